--- /dev/null
+++ b/control/plain_test.go
@@ -0,0 +1,444 @@
+package control
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"testing"
+)
+
+// The plain way of all that the router does with its servers: every server is asked each time. The router must decide the same.
+
+func plainListed(r *Router, now Micros, kind ListKind, list []Listing) {
+	if kind == ListFailed {
+		r.watching = false
+		return
+	}
+	for _, s := range r.servers {
+		s.listed = s.listed && kind == ListChanges
+	}
+	for _, l := range list {
+		i, known := r.find(l.Server)
+		if !known {
+			r.servers = slices.Insert(r.servers, i, &server{heard: now})
+		}
+		s := r.servers[i]
+		if known && l.Born > s.Born {
+			for _, f := range r.order {
+				if in := f.at(s, false); in != nil && max(in.used, in.since) < l.Born {
+					in.copies, in.loading = 0, 0
+				}
+			}
+			s.suspect, s.setbacks, s.fulls, s.size = false, 0, 0, 0
+		}
+		s.Listing, s.listed = l, true
+	}
+	for _, s := range r.servers {
+		if !s.listed {
+			s.State = Gone
+		}
+		if s.State != Gone {
+			s.left = now
+		}
+	}
+}
+
+func plainWait(r *Router, now Micros) Upkeep {
+	up := Upkeep{Next: now + checkEvery}
+	if r.told.ListOnRequest && !r.watching {
+		r.watching, up.Subscribe = true, true
+	}
+	plainPool(r, now)
+	plainExamine(r, now)
+	plainTidy(r, now)
+	r.waiting = slices.DeleteFunc(r.waiting, func(f *function) bool {
+		r.check(now, f)
+		f.waits = f.held > 0
+		return !f.waits
+	})
+	up.Recalls, up.Notes, r.recalls, r.notes = r.recalls, r.notes, nil, nil
+	return up
+}
+
+func plainPool(r *Router, now Micros) {
+	const over = 10_000_000
+	r.answers = after(r.answers, now-over)
+	servers := 0.0
+	for _, s := range r.servers {
+		if s.State == Ready {
+			servers += r.capacity(now, s)
+		}
+	}
+	seen := min(over, max(over/10, now-r.started))
+	r.rate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
+	r.fresh = Micros(min(8e6, max(seldom, 1e6/max(0.01, r.rate))))
+}
+
+func plainExamine(r *Router, now Micros) {
+	limit := 4 * quantile(r.latencies.since(0), 0.9)
+	if limit == 0 {
+		return
+	}
+	var silent []*server
+	busy := 0
+	for _, s := range r.servers {
+		if len(s.flights) == 0 {
+			continue
+		}
+		busy++
+		for _, fl := range s.flights {
+			allowed := limit
+			if !fl.warm && !s.suspect {
+				allowed += 3 * r.loadTime(fl.job)
+			}
+			if now-max(fl.sent, s.heard) > allowed {
+				silent = append(silent, s)
+				break
+			}
+		}
+	}
+	if len(silent)*2 > max(2, busy) {
+		return
+	}
+	for _, s := range silent {
+		r.sicken(now, s, "owes answers")
+		for _, fl := range s.flights {
+			r.recall(fl.job, fl.no)
+		}
+	}
+}
+
+func plainTidy(r *Router, now Micros) {
+	const many, batch, long = 1 << 14, 1 << 11, 600_000_000
+	if len(r.order) > many {
+		from := r.tidied % len(r.order)
+		to := min(len(r.order), from+batch)
+		kept := slices.DeleteFunc(r.order[from:to:to], func(f *function) bool {
+			gone := r.idle(now, f)
+			if gone {
+				delete(r.functions, f.id)
+			}
+			return gone
+		})
+		r.order = slices.Delete(r.order, from+len(kept), to)
+		r.tidied = from + len(kept)
+	}
+	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
+		if s.State != Gone || len(s.flights) > 0 || now < s.left+long {
+			return false
+		}
+		for _, f := range r.order {
+			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
+		}
+		return true
+	})
+}
+
+func plainLoadTarget(r *Router, now Micros, f *function, j *Job, beside bool) *server {
+	takes := func(s *server) bool {
+		return now >= s.loadsAfter && s.waiting() < 8 && !(beside && s.room() < 0.75)
+	}
+	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
+		return nil
+	}
+	var cs []choice
+	for _, s := range r.servers {
+		if !r.usable(now, s, j) {
+			continue
+		}
+		weight := max(0.1, s.Power) * r.capacity(now, s)
+		if r.fresh <= seldom && r.told.Routers == 1 {
+			free := max(0.05, min(1-s.report.Util, s.room()))
+			weight *= free * free / (1 + max(0, s.report.Loads))
+		} else if s.room() < 0.25 || r.shunned(now, s) {
+			weight *= 0.01
+		}
+		weight = max(0.001, weight)
+		cs = append(cs, choice{s, -math.Log(even(uint64(f.id), uint64(s.Server))) / weight, weight})
+	}
+	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	slices.SortFunc(cs, byKey)
+	part := float64(f.recent-1) / float64(max(32, len(r.recent)))
+	homes := cs[:min(len(cs), max(1, int(math.Ceil(2*part*float64(len(cs))))))]
+	for i, c := range homes {
+		homes[i].key = -math.Log(even(mix(uint64(f.id), uint64(r.told.Number)+1), uint64(c.s.Server))) / c.weight
+	}
+	slices.SortFunc(homes, byKey)
+	var best *server
+	fewest := math.MaxInt
+	near := len(cs)
+	if r.told.Routers > 1 {
+		near = min(near, 2)
+	}
+	for _, c := range cs[:near] {
+		s, copies := c.s, 0
+		if !takes(s) {
+			continue
+		}
+		if in := f.at(s, false); in != nil {
+			copies = in.copies + in.loading
+		}
+		if copies < fewest {
+			best, fewest = s, copies
+		}
+	}
+	return best
+}
+
+// days is a router in a world of chance: servers join, drain, leave, return and restart, functions are asked for and answered for.
+type days struct {
+	t       *testing.T
+	chance  *rand.Rand
+	now     Micros
+	r       *Router
+	ids     []ServerID // of all servers there ever were
+	jobs    map[JobID]*Job
+	out     []JobID // with an execution out, one each
+	next    JobID
+	targets map[string]int // of the placements compared, by how they came out
+}
+
+func newDays(t *testing.T, seed uint64, servers int) *days {
+	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, jobs: map[JobID]*Job{}, targets: map[string]int{}}
+	told := deployment()
+	told.Routers = []int{1, 3, 300, 900}[seed%4]
+	told.Number, told.Zone, told.ListOnRequest = d.chance.IntN(told.Routers), 1, true
+	if seed%8 >= 6 {
+		told.LoadsOnMiss, told.LoadWindow, told.LoadFree, told.LoadShare = false, 5*second, 100, 1
+	}
+	told.Workloads = []Workload{{StartTarget: second, TimeLimit: 8 * second}, {StartTarget: second / 2, TimeLimit: 4 * second, Effect: Fingerprinted,
+		Scope: OneZone, Window: 5 * second}, {StartTarget: second, TimeLimit: 8 * second, Effect: RunOnce}}
+	d.r = Start(0, seed, told)
+	var list []Listing
+	for range servers {
+		list = append(list, d.listing(ServerID(d.chance.Uint64())))
+	}
+	d.listed(ListWhole, list)
+	return d
+}
+
+func (d *days) chanceOf(p float64) bool { return d.chance.Float64() < p }
+
+func (d *days) listing(id ServerID) Listing {
+	if !slices.Contains(d.ids, id) {
+		d.ids = append(d.ids, id)
+	}
+	l := Listing{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Power: []float64{1, 1, 1, 0.5, 2, 0.02, d.chance.Float64() * 3}[d.chance.IntN(7)]}
+	switch {
+	case d.chanceOf(0.1):
+		l.State = ServerState(d.chance.IntN(2))
+	case d.chanceOf(0.3):
+		l.Born = d.now - Micros(d.chance.IntN(15*second)) + second
+	}
+	return l
+}
+
+// clone gives the router as a snapshot tells it, with jobs of its own.
+func (d *days) clone() (*Router, map[JobID]*Job) {
+	jobs := map[JobID]*Job{}
+	for id, j := range d.jobs {
+		copied := j.Snapshot().Restore()
+		jobs[id] = &copied
+	}
+	r, err := Restore(d.r.Snapshot(), jobs)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return r, jobs
+}
+
+// same holds the router against a clone that went the plain way. Sends that no longer count are left out: who asks drops them.
+func (d *days) same(plain *Router, what string) {
+	d.t.Helper()
+	got, want := d.r.Snapshot(), plain.Snapshot()
+	for i := range min(len(got.Servers), len(want.Servers)) {
+		want.Servers[i].Left = plain.servers[i].left
+		for _, s := range []*ServerSnapshot{&got.Servers[i], &want.Servers[i]} {
+			s.Sent = slices.Clone(after(s.Sent, d.now-d.r.told.Fall))
+		}
+	}
+	if !reflect.DeepEqual(got, want) {
+		d.t.Fatalf("%s at %d:\n got %s\nwant %s", what, d.now, differ(got, want), differ(want, got))
+	}
+}
+
+// differ tells the first server or field that is not as in another snapshot.
+func differ(a, b *Snapshot) string {
+	for i := range a.Servers {
+		if i >= len(b.Servers) || !reflect.DeepEqual(a.Servers[i], b.Servers[i]) {
+			return fmt.Sprintf("server %d of %d: %+v", i, len(a.Servers), a.Servers[i])
+		}
+	}
+	for i := range a.Functions {
+		if i >= len(b.Functions) || !reflect.DeepEqual(a.Functions[i], b.Functions[i]) {
+			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
+		}
+	}
+	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Chance, a.Rate, a.Fresh, a.Notes, a.Recalls)
+}
+
+func (d *days) listed(kind ListKind, list []Listing) {
+	plain, _ := d.clone()
+	plainListed(plain, d.now, kind, list)
+	d.r.Listed(d.now, kind, list)
+	d.same(plain, fmt.Sprintf("list of kind %d: %+v", kind, list))
+}
+
+func (d *days) wait() {
+	plain, _ := d.clone()
+	want, got := plainWait(plain, d.now), d.r.Wait(d.now)
+	if !reflect.DeepEqual(got, want) {
+		d.t.Fatalf("upkeep at %d: got %+v, want %+v", d.now, got, want)
+	}
+	d.same(plain, "upkeep")
+}
+
+// place holds the server that a load would go to against the plain way's, and then places the job.
+func (d *days) place(j *Job) {
+	f := d.r.function(j)
+	plain, jobs := d.clone()
+	for _, beside := range []bool{false, true} {
+		want, got := plainLoadTarget(plain, d.now, plain.functions[j.Function], jobs[j.ID], beside), d.r.loadTarget(d.now, f, j, beside)
+		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
+			d.t.Fatalf("a load for function %x at %d, beside %t: got %+v, want %+v", f.id, d.now, beside, got, want)
+		}
+		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.told.Routers > 1, f.recent > 1, got != nil)]++
+	}
+	d.same(plain, "a load's server")
+	d.done(j, d.r.Place(d.now, j))
+}
+
+func (d *days) done(j *Job, p Placement) {
+	switch p.Verb {
+	case Send:
+		d.out = append(d.out, j.ID)
+	case PushBack, Kill:
+		d.r.Left(d.now, j)
+		delete(d.jobs, j.ID)
+	}
+	for _, o := range p.Orders {
+		d.r.Loaded(d.now, o.Server, o.Function, []Result{Finished, Full, Errored, NoConnection}[d.chance.IntN(4)], second, o.Copies)
+	}
+}
+
+func (d *days) arrive() {
+	d.next++
+	j := &Job{ID: d.next, Workload: WorkloadID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), Arrived: d.now, Patience: d.now + Micros(d.chance.IntN(8*second)), Repeat: d.chanceOf(0.1)}
+	switch d.chance.IntN(3) { // a hot one, some, and many that are hardly known
+	case 0:
+		j.Function = 1
+	case 1:
+		j.Function = FunctionID(2 + d.chance.IntN(6))
+	case 2:
+		j.Function = FunctionID(10 + d.chance.IntN(60))
+	}
+	d.jobs[j.ID] = j
+	d.place(j)
+}
+
+// answer ends an execution that is out.
+func (d *days) answer() {
+	if len(d.out) == 0 {
+		return
+	}
+	i := d.chance.IntN(len(d.out))
+	j := d.jobs[d.out[i]]
+	d.out = slices.Delete(d.out, i, i+1)
+	no := len(j.Executions) - 1
+	o := Outcome{Execution: ExecutionID(no), Server: j.Executions[no].Server, Took: Micros(d.chance.IntN(second)),
+		Result: []Result{Finished, Finished, Finished, Finished, Errored, Full, TimedOut, NoConnection, Reset, Missing}[d.chance.IntN(10)]}
+	if o.Result == Finished {
+		o.JobOver, o.Found = true, Found(d.chance.IntN(3))
+		o.Report = &Report{Util: d.chance.Float64() * 1.2, Loads: float64(d.chance.IntN(7)) - 1}
+	}
+	if p := d.r.After(d.now, j, o); o.JobOver {
+		delete(d.jobs, j.ID)
+	} else {
+		d.done(j, p)
+	}
+}
+
+// change tells the list's news of one to three servers, known ones and new ones.
+func (d *days) change() {
+	var list []Listing
+	for range 1 + d.chance.IntN(3) {
+		id := ServerID(d.chance.Uint64())
+		if d.chanceOf(0.8) {
+			id = d.ids[d.chance.IntN(len(d.ids))]
+		}
+		list = append(list, d.listing(id))
+	}
+	d.listed(ListChanges, list)
+}
+
+// trouble changes what is believed of a server that the order of some function may begin with.
+func (d *days) trouble() {
+	s := d.r.servers[d.chance.IntN(len(d.r.servers))]
+	switch d.chance.IntN(5) {
+	case 0:
+		s.avoidUntil = d.now + Micros(d.chance.IntN(2*second))
+	case 1:
+		s.suspect, s.trialAt = true, d.now+Micros(d.chance.IntN(2*second))
+	case 2:
+		s.report, s.reported = Report{Util: 0.95, Loads: 3}, d.now
+	case 3:
+		s.strain.add(d.now, 900)
+	case 4:
+		s.size = float64(s.busy) + 0.1
+	}
+}
+
+func (d *days) step() {
+	d.now += Micros(d.chance.IntN(100_000))
+	switch p := d.chance.Float64(); {
+	case p < 0.40:
+		d.arrive()
+	case p < 0.65:
+		d.answer()
+	case p < 0.75:
+		d.change()
+	case p < 0.88:
+		d.trouble()
+	case p < 0.98:
+		d.wait()
+	case p < 0.985:
+		var list []Listing
+		for _, id := range d.ids {
+			if d.chanceOf(0.9) {
+				list = append(list, d.listing(id))
+			}
+		}
+		d.listed([]ListKind{ListCached, ListWhole}[d.chance.IntN(2)], list)
+	case p < 0.99:
+		d.listed(ListFailed, nil)
+	case p < 0.995:
+		d.r, d.jobs = d.clone() // a restart from a snapshot
+	default:
+		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
+	}
+}
+
+// Whatever is kept beside the servers, each choice of a server for a load, each list and each upkeep is that of the plain way, bit
+// for bit, and draws as often from the router's chance.
+func TestDecidesAsThePlainWay(t *testing.T) {
+	targets := map[string]int{}
+	for seed := range uint64(24) {
+		d := newDays(t, seed, []int{1, 5, 40, 200}[seed/4%4])
+		for range 250 {
+			d.step()
+		}
+		for how, n := range d.targets {
+			targets[how] += n
+		}
+	}
+	for _, several := range []bool{false, true} {
+		for _, hot := range []bool{false, true} {
+			if how := fmt.Sprintf("several %t, hot %t, found %t", several, hot, true); targets[how] < 100 {
+				t.Errorf("%s: compared %d times only", how, targets[how])
+			}
+		}
+	}
+}
