--- a/control/control.go
+++ b/control/control.go
@@ -47,6 +47,7 @@
 			}
 		}
 	}
+	r.reindex()
 }
 
 // Listed takes in the list of servers. A later start than the one known means an empty, cold server.
@@ -55,8 +56,12 @@
 		r.watching = false
 		return
 	}
-	for _, s := range r.servers {
-		s.listed = s.listed && kind == ListChanges
+	before := r.index.listed
+	r.index.listed = now
+	if kind != ListChanges {
+		for _, s := range r.servers {
+			s.listed = false
+		}
 	}
 	for _, l := range list {
 		i, known := r.find(l.Server)
@@ -70,19 +75,24 @@
 		}
 		s.Listing, s.listed = l, true
 	}
+	if kind == ListChanges {
+		for _, l := range list {
+			i, _ := r.find(l.Server)
+			r.settle(before, r.servers[i])
+		}
+		return
+	}
 	for _, s := range r.servers {
 		if !s.listed {
 			s.State = Gone
 		}
-		if s.State != Gone {
-			s.left = now
-		}
+		r.settle(before, s)
 	}
 }
 
 // forget drops the beliefs about a server's copies that are older than its start: a restart holds nothing.
 func (r *Router) forget(s *server, born Micros) {
-	for _, f := range r.order {
+	for _, f := range s.holds {
 		if in := f.at(s, false); in != nil && max(in.used, in.since) < born {
 			in.copies, in.loading = 0, 0
 		}
@@ -821,6 +831,9 @@
 			gone := r.idle(now, f)
 			if gone {
 				delete(r.functions, f.id)
+				for _, in := range f.instances {
+					in.server.drop(f)
+				}
 			}
 			return gone
 		})
@@ -828,15 +841,21 @@
 		r.tidied = from + len(kept)
 	}
 	const long = 600_000_000 // a roll or a break of the list is over by then
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
-		if s.State != Gone || len(s.flights) > 0 || now < s.left+long {
+	gone, due := r.index.gone, 0
+	for due < len(gone) && now >= gone[due].left+long {
+		due++
+	}
+	kept := slices.DeleteFunc(gone[:due:due], func(s *server) bool {
+		if len(s.flights) > 0 {
 			return false
 		}
-		for _, f := range r.order {
+		for _, f := range s.holds {
 			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
 		}
+		r.servers = without(r.servers, s, byID)
 		return true
 	})
+	r.index.gone = slices.Delete(gone, len(kept), due)
 }
 
 // idle tells whether all that is known of a function may be forgotten.
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -20,6 +20,7 @@
 		r.servers = append(r.servers, &server{listed: true,
 			Listing: Listing{Server: ServerID(i + 1), State: Ready, Power: 1}})
 	}
+	r.reindex()
 	return r
 }
 
@@ -644,6 +645,25 @@
 	}
 }
 
+// A function that was forgotten and is known again must lose its copies with a restart, like any other.
+func TestRestartForgetsCopiesOfAFunctionKnownAgain(t *testing.T) {
+	r := fleet(deployment(), 1)
+	stands(r, 1, 0).used = 0
+	for i := range 1 << 15 {
+		r.function(&Job{Function: FunctionID(1000 + i)})
+	}
+	for range 100 {
+		r.tidy(at)
+	}
+	if r.functions[7] != nil {
+		t.Fatal("it was not forgotten")
+	}
+	in := stands(r, 1, 0)
+	if r.Listed(at+2, ListChanges, []Listing{{Server: 1, State: Ready, Born: at + 1}}); r.warm(at+2, in) {
+		t.Error("a server that started anew holds nothing")
+	}
+}
+
 // BenchmarkDistinctFunctions is a router that is asked for a name nobody serves, a million times over.
 func BenchmarkDistinctFunctions(b *testing.B) {
 	told := deployment()
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -416,8 +416,16 @@
 		d.listed(ListFailed, nil)
 	case p < 0.995:
 		d.r, d.jobs = d.clone() // a restart from a snapshot
-	default:
+	case p < 0.998:
 		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
+	default: // to the microsecond at which one is forgotten
+		for _, s := range d.r.servers {
+			if s.State == Gone {
+				d.now = max(d.now, s.left+600*second)
+				break
+			}
+		}
+		d.wait()
 	}
 }
 
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -172,7 +172,7 @@
 		Strain: r.strain.snapshot(), Orders: slices.Clone(r.orders), Taken: slices.Clone(r.taken), Recalls: slices.Clone(r.recalls),
 		Notes: slices.Clone(r.notes), Answers: slices.Clone(r.answers), Rate: r.rate, Fresh: r.fresh, Tidied: r.tidied, Watching: r.watching}
 	for _, v := range r.servers {
-		s.Servers = append(s.Servers, ServerSnapshot{v.Listing, v.listed, v.left, v.heard, many(v.flights, func(f flight) FlightSnapshot {
+		s.Servers = append(s.Servers, ServerSnapshot{v.Listing, v.listed, r.lastListed(v), v.heard, many(v.flights, func(f flight) FlightSnapshot {
 			return FlightSnapshot{f.job.ID, f.no, f.sent, f.warm}
 		}), slices.Clone(v.sent), v.report, v.reported, v.avoidUntil, v.loadsAfter, v.size, v.busy, v.narrowed, v.strain.snapshot(),
 			v.suspect, v.trialAt, v.setbacks, v.fulls, v.breaks})
@@ -251,5 +251,6 @@
 			*list.to = append(*list.to, r.order[i])
 		}
 	}
+	r.reindex()
 	return r, nil
 }
--- a/control/state.go
+++ b/control/state.go
@@ -33,6 +33,7 @@
 	recent    []*function // of the last jobs taken
 	tidied    int         // functions looked at by tidy, in their order
 	watching  bool
+	index     index
 	trace     *Trace // nil but for tools
 }
 
@@ -40,8 +41,10 @@
 type server struct {
 	Listing
 	listed     bool
-	left       Micros // when it was last on the list
-	heard      Micros // last sign that it works
+	left       Micros      // when it was last on the list, if it is not there
+	there      bool        // as the index has it: not gone
+	holds      []*function // of whose copies there something is known, by id
+	heard      Micros      // last sign that it works
 	flights    []flight
 	sent       []Micros // recent sends, while it is cold
 	report     Report
@@ -113,6 +116,7 @@
 			return nil
 		}
 		f.instances = slices.Insert(f.instances, i, &instance{server: s})
+		s.hold(f)
 	}
 	return f.instances[i]
 }
