--- a/control/control.go
+++ b/control/control.go
@@ -66,7 +66,7 @@
 	for _, l := range list {
 		i, known := r.find(l.Server)
 		if !known {
-			r.servers = slices.Insert(r.servers, i, &server{heard: now})
+			r.know(i, &server{Listing: Listing{Server: l.Server}, heard: now})
 		}
 		s := r.servers[i]
 		if known && l.Born > s.Born {
@@ -450,12 +450,8 @@
 func (r *Router) pool(now Micros) {
 	const over = 10_000_000 // some tens of answers even where a router sees a few jobs a second
 	r.answers = after(r.answers, now-over)
-	servers := 0.0
-	for _, s := range r.servers {
-		if s.State == Ready { // refusing or suspect ones too: they must not make the rest look able to more
-			servers += r.capacity(now, s)
-		}
-	}
+	// Refusing or suspect ones too: they must not make the rest look able to more.
+	servers := r.capacities(now)
 	seen := min(over, max(over/10, now-r.started)) // a router that started just now
 	r.rate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
 	r.fresh = Micros(min(8e6, max(seldom, 1e6/max(0.01, r.rate))))
@@ -501,6 +497,7 @@
 		s.busy++
 	}
 	s.flights = append(s.flights, flight{j, ExecutionID(len(j.Executions) - 1), now, warm})
+	r.index.flying = with(r.index.flying, s, byID)
 	s.sent = append(after(s.sent, now-r.told.Fall), now)
 	if s.suspect {
 		s.trialAt = now + r.untilTrial(s)
@@ -633,6 +630,9 @@
 		s.busy--
 	}
 	s.flights = slices.DeleteFunc(s.flights, func(fl flight) bool { return fl.job == j && fl.no == o.Execution })
+	if len(s.flights) == 0 {
+		r.index.flying = without(r.index.flying, s, byID)
+	}
 	r.learn(now, f, in, j, o)
 	if o.JobOver {
 		r.Left(now, j)
@@ -852,7 +852,7 @@
 		for _, f := range s.holds {
 			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
 		}
-		r.servers = without(r.servers, s, byID)
+		r.unknow(s)
 		return true
 	})
 	r.index.gone = slices.Delete(gone, len(kept), due)
@@ -873,12 +873,7 @@
 		return
 	}
 	var silent []*server
-	busy := 0
-	for _, s := range r.servers {
-		if len(s.flights) == 0 {
-			continue
-		}
-		busy++
+	for _, s := range r.index.flying {
 		for _, fl := range s.flights {
 			allowed := limit
 			if !fl.warm && !s.suspect {
@@ -890,7 +885,7 @@
 			}
 		}
 	}
-	if len(silent)*2 > max(2, busy) {
+	if len(silent)*2 > max(2, len(r.index.flying)) {
 		return
 	}
 	for _, s := range silent {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -205,6 +205,7 @@
 		s.heard = at - 10_000
 	}
 	r.servers[2].heard = at - second
+	r.reindex()
 	r.examine(at)
 	if !r.servers[2].suspect || r.servers[1].suspect || len(r.recalls) != 1 {
 		t.Errorf("suspects wrong, or %d recalls, want 1", len(r.recalls))
@@ -300,6 +301,7 @@
 		r.answers = append(r.answers, at-second+Micros(i))
 	}
 	cold.Born = at - second
+	r.reindex()
 	r.pool(at)
 	// 40 answers a second of 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 jobs in a window of a second: 31.4.
 	r.told.Number = 1 // whose turn the part of a job is not
@@ -321,6 +323,7 @@
 		told.Routers, told.Number = 200, number
 		r := fleet(told, 2)
 		r.servers[1].Born = at - second
+		r.reindex()
 		r.answers = []Micros{at - second, at - second} // a tenth of one a second from each of 200: 20 of all
 		r.pool(at)
 		if r.coldRoom(at, r.servers[1]) {
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -450,3 +450,18 @@
 		}
 	}
 }
+
+// Ones are added up to a sum in few steps, with the roundings of one after the other.
+func TestAddOnesRoundsAsOneByOne(t *testing.T) {
+	chance := rand.New(rand.NewPCG(1, 1))
+	for range 2000 {
+		sum, n := chance.Float64()*math.Ldexp(1, chance.IntN(14)), chance.IntN(4000)
+		want := sum
+		for range n {
+			want++
+		}
+		if got := addOnes(sum, n); got != want {
+			t.Fatalf("%v and %d ones: got %v, want %v", sum, n, got, want)
+		}
+	}
+}
