--- a/control/control.go
+++ b/control/control.go
@@ -517,35 +517,16 @@
 	takes := func(s *server) bool {
 		return now >= s.loadsAfter && s.waiting() < few && !(beside && s.room() < 0.75)
 	}
-	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
-		return nil // bounds the work of a turn with many held jobs
+	cs, known := []choice(nil), false
+	if r.told.Routers > 1 && r.homes(f, len(r.index.ids)-len(r.index.unready)) == 1 {
+		cs, known = r.firstTwo(now, f, j)
 	}
-	cs := r.choices[:0]
-	for _, s := range r.servers {
-		if !r.usable(now, s, j) {
-			continue
-		}
-		weight := max(0.1, s.Power) * r.capacity(now, s)
-		if r.fresh <= seldom && r.told.Routers == 1 { // what we see of a server is new and tells how free it is
-			free := max(0.05, min(1-s.report.Util, s.room()))
-			weight *= free * free / (1 + max(0, s.report.Loads))
-		} else if s.room() < 0.25 || r.shunned(now, s) {
-			weight *= 0.01 // last, in the same order
+	if !known {
+		if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.open(now, s, j) }) {
+			return nil // bounds the work of a turn with many held jobs
 		}
-		weight = max(0.001, weight)
-		cs = append(cs, choice{s, -math.Log(even(uint64(f.id), uint64(s.Server))) / weight, weight})
-	}
-	r.choices = cs
-	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
-	slices.SortFunc(cs, byKey)
-	const spread = 2  // homes for a server's part of the jobs, so that a home is half of its server's load
-	const enough = 32 // jobs that tell a part; the one in hand tells nothing
-	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
-	homes := cs[:min(len(cs), max(1, int(math.Ceil(spread*part*float64(len(cs))))))]
-	for i, c := range homes {
-		homes[i].key = -math.Log(even(mix(uint64(f.id), uint64(r.told.Number)+1), uint64(c.s.Server))) / c.weight
+		cs = r.inOrder(now, f, j)
 	}
-	slices.SortFunc(homes, byKey)
 	var best *server
 	fewest := math.MaxInt
 	near := len(cs)
@@ -567,6 +548,45 @@
 	return best
 }
 
+// homes is how many of the servers that can be used a function has for homes.
+func (r *Router) homes(f *function, usable int) int {
+	const spread = 2  // homes for a server's part of the jobs, so that a home is half of its server's load
+	const enough = 32 // jobs that tell a part; the one in hand tells nothing
+	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
+	return min(usable, max(1, int(math.Ceil(spread*part*float64(usable)))))
+}
+
+// inOrder gives all servers that a load may go to, those that loadTarget looks at first and in order.
+func (r *Router) inOrder(now Micros, f *function, j *Job) []choice {
+	cs := r.choices[:0]
+	for _, s := range r.servers {
+		if r.open(now, s, j) {
+			weight := r.weight(now, s)
+			cs = append(cs, choice{s, key(uint64(f.id), s.Server, weight), weight})
+		}
+	}
+	r.choices = cs
+	near := cs
+	if r.told.Routers > 1 {
+		near = cs[:min(len(cs), 2)]
+	}
+	homes := cs[:r.homes(f, len(cs))]
+	lowest(cs, len(homes))
+	for i, c := range homes {
+		homes[i].key = key(mix(uint64(f.id), uint64(r.told.Number)+1), c.s.Server, c.weight)
+	}
+	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	if len(near) <= len(homes) {
+		lowest(homes, len(near))
+		slices.SortFunc(near, byKey)
+	} else {
+		lowest(cs[len(homes):], len(near)-len(homes))
+		slices.SortFunc(homes, byKey)
+		slices.SortFunc(near[len(homes):], byKey)
+	}
+	return cs
+}
+
 // load starts a load for a job. Where a job loads what is missing it goes by itself: so it finds what others
 // loaded, for no price. An order goes before it for one copy more, or where only orders load: there a job goes
 // once without, when the ration gives none, since others may have loaded it and a miss never ran.
--- a/control/index.go
+++ b/control/index.go
@@ -15,6 +15,10 @@
 	unready []ServerID // of those that drain or are gone
 	cold    []*server  // ready ones of which capacities has not seen yet that they have all of theirs, by id
 	flying  []*server  // with executions out, by id
+
+	heaviest float64    // no ready server has a larger weight
+	changes  []ServerID // the latest that came, went or changed their weight
+	dropped  int        // such changes before those
 }
 
 func byID(a, b *server) int { return cmp.Compare(a.Server, b.Server) }
@@ -74,6 +78,14 @@
 	case !is && was:
 		x.unready = slices.Delete(x.unready, i, i+1)
 	}
+	weight := 0.0
+	if s.State == Ready {
+		weight = max(0.1, s.Power)
+	}
+	if weight != s.weight {
+		s.weight, x.heaviest = weight, max(x.heaviest, weight)
+		x.changed(s.Server)
+	}
 	if s.State == Ready && r.capacity(x.listed, s) < 1 {
 		x.cold = with(x.cold, s, byID)
 	} else {
@@ -81,6 +93,16 @@
 	}
 }
 
+// changed notes a change for the rankings.
+func (x *index) changed(id ServerID) {
+	const kept = 256 // to take in more costs a ranking as much as to look at some thousand servers
+	if len(x.changes) == 2*kept {
+		x.dropped += kept
+		x.changes = append(x.changes[:0], x.changes[kept:]...)
+	}
+	x.changes = append(x.changes, id)
+}
+
 // capacities sums up the capacity of all ready servers, in the order of their ids and rounded at each: the sum decides, and must not
 // depend on who is known to be cold. Each has all of its own but those of cold. It costs as many steps as those are, times a logarithm.
 func (r *Router) capacities(now Micros) float64 {
@@ -134,7 +156,7 @@
 func (r *Router) reindex() {
 	r.index = index{}
 	for _, s := range r.servers {
-		s.there, s.holds = false, nil
+		s.weight, s.there, s.holds = 0, false, nil
 		r.index.ids = append(r.index.ids, s.Server)
 		if s.State != Gone {
 			r.index.listed = max(r.index.listed, s.left)
@@ -147,6 +169,7 @@
 		}
 	}
 	for _, f := range r.order {
+		f.ranking = ranking{}
 		for _, in := range f.instances {
 			in.server.hold(f)
 		}
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -300,6 +300,7 @@
 func (d *days) place(j *Job) {
 	f := d.r.function(j)
 	plain, jobs := d.clone()
+	before := d.r.Snapshot()
 	for _, beside := range []bool{false, true} {
 		want, got := plainLoadTarget(plain, d.now, plain.functions[j.Function], jobs[j.ID], beside), d.r.loadTarget(d.now, f, j, beside)
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
@@ -308,6 +309,9 @@
 		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.told.Routers > 1, f.recent > 1, got != nil)]++
 	}
 	d.same(plain, "a load's server")
+	if after := d.r.Snapshot(); !reflect.DeepEqual(before, after) {
+		d.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", d.now, differ(before, after), differ(after, before))
+	}
 	d.done(j, d.r.Place(d.now, j))
 }
 
@@ -465,3 +469,122 @@
 		}
 	}
 }
+
+// burden gives each server, by chance, something that keeps a job away or makes the server come last.
+func (d *days) burden(share float64) {
+	r := d.r
+	for _, s := range r.servers {
+		s.avoidUntil, s.suspect, s.loadsAfter, s.report, s.reported, s.size, s.busy = 0, false, 0, Report{}, 0, 0, 0
+		if !d.chanceOf(share) {
+			continue
+		}
+		switch d.chance.IntN(6) {
+		case 0:
+			s.avoidUntil = d.now + 1
+		case 1:
+			s.suspect, s.trialAt = true, d.now+1
+		case 2:
+			s.report, s.reported = Report{Util: 0.95, Loads: 3}, d.now
+		case 3:
+			s.size, s.busy = 4, 4
+		case 4:
+			s.loadsAfter = d.now + 1
+		case 5:
+			s.sent = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
+		}
+	}
+}
+
+// In fleets of any size, with any part of them out of use, crowded or cold and with few or many changes of the list between two
+// looks, a load goes where it goes the plain way: by the ranking, and where that is not enough to tell.
+func TestRankingTellsAsThePlainWay(t *testing.T) {
+	told, short := 0, 0
+	for seed := range uint64(48) {
+		d := newDays(t, seed, 0)
+		r := d.r
+		if r.told.Routers < 2 {
+			r.told.Routers = 300
+		}
+		r.told.ColdFrom = []float64{0.25, 0.01, 1, 3}[seed/4%4]
+		n := []int{2, deep, deep + 1, deep + 2, 40, 300, 1500}[seed%7]
+		most, rounds := []int{2, 30, 300}, 40 // changes in a round
+		if seed%4 == 3 {
+			most, rounds = []int{1}, 40_000/(n+100) // one by one, through many
+		}
+		powers := []float64{1, 1, 1, 1, 2, 0.05, 10}[:1+d.chance.IntN(7)]
+		news := func(id ServerID) Listing {
+			l := Listing{Server: id, State: Ready, Zone: 1, Power: powers[d.chance.IntN(len(powers))]}
+			if d.chanceOf(0.3) {
+				l.Born = d.now - Micros(d.chance.IntN(12*second))
+			}
+			return l
+		}
+		var list []Listing
+		for range n {
+			list = append(list, news(ServerID(d.chance.Uint64())))
+		}
+		r.Listed(d.now, ListWhole, list)
+		for round := range rounds {
+			d.now += Micros(d.chance.IntN(second))
+			list = list[:0]
+			for range min(n, 1+d.chance.IntN(most[d.chance.IntN(len(most))])) {
+				l := r.servers[d.chance.IntN(len(r.servers))].Listing
+				switch d.chance.IntN(4) {
+				case 0:
+					l.State = Draining
+				case 1:
+					l = news(l.Server)
+				case 2:
+					l.State = Gone
+				case 3:
+					l = news(ServerID(d.chance.Uint64()))
+				}
+				list = append(list, l)
+			}
+			r.Listed(d.now, ListChanges, list)
+			r.rate, r.fresh = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
+			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
+			for range 8 {
+				j := &Job{Function: FunctionID(d.chance.IntN(8 + round%40)), Arrived: d.now, Patience: d.now + second}
+				f := r.function(j)
+				f.recent, r.recent = 1, make([]*function, 128)
+				beside := d.chanceOf(0.2)
+				got, want := r.loadTarget(d.now, f, j, beside), plainLoadTarget(r, d.now, f, j, beside)
+				if got != want {
+					t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v", seed, round, f.id, len(r.servers), got, want)
+				}
+				if two, known := r.firstTwo(d.now, f, j); known && len(two) > 0 {
+					told++
+				} else {
+					short++
+				}
+			}
+		}
+	}
+	if told < 5000 || short < 1000 {
+		t.Errorf("the ranking told %d times, and not %d times: the days are too much alike", told, short)
+	}
+}
+
+// A ranking has the lowest keys in order, and its bound is the next one.
+func TestRankingKeepsTheLowest(t *testing.T) {
+	chance := rand.New(rand.NewPCG(1, 1))
+	for n := range 3 * deep {
+		for range 40 {
+			keys, k := make([]float64, n), ranking{bound: math.Inf(1)}
+			for i := range keys {
+				keys[i] = chance.Float64()
+				k.add(ServerID(i), keys[i])
+			}
+			sorted := append(slices.Sorted(slices.Values(keys)), math.Inf(1))
+			for i, p := range k.first {
+				if p.key != sorted[i] || p.key != keys[p.id] {
+					t.Fatalf("%d keys: got %+v, want %v", n, k.first, sorted)
+				}
+			}
+			if len(k.first) != min(n, deep) || k.bound != sorted[len(k.first)] {
+				t.Fatalf("%d keys: got %d with bound %v of %v", n, len(k.first), k.bound, sorted)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/control/ranking.go
@@ -0,0 +1,186 @@
+package control
+
+import (
+	"math"
+	"slices"
+)
+
+// ranking is the beginning of a function's order of ready servers by their static keys: those that they would have with nothing
+// believed of them but what the list tells for good. What else is believed lowers a server's weight and so raises its key alone:
+// whoever walks in static order may stop at the first static key that can't beat what it has. It is kept for functions that were
+// placed without a copy, follows from the list, and is never stored.
+type ranking struct {
+	first []place // lowest key first
+	bound float64 // no other ready server has a lower key
+	seen  int     // changes of the list taken in
+	built bool
+}
+
+type place struct {
+	id  ServerID
+	key float64
+}
+
+// deep is how many places a ranking has: the first two that can be used were among them in all but 1 of some hundred choices where
+// half of the fleet could not be used, see BenchmarkFleetSize for what they cost.
+const deep = 12
+
+// add takes up a server at its place, if it is among the first.
+func (k *ranking) add(id ServerID, key float64) {
+	if key >= k.bound {
+		return
+	}
+	i := len(k.first)
+	for i > 0 && k.first[i-1].key > key {
+		i--
+	}
+	if len(k.first) == deep {
+		last := &k.first[deep-1]
+		if i == deep {
+			k.bound = key
+			return
+		}
+		k.bound, k.first = last.key, k.first[:deep-1]
+	}
+	k.first = slices.Insert(k.first, i, place{id, key})
+}
+
+// key is a server's key in a function's order, for a weight.
+func key(order uint64, id ServerID, weight float64) float64 {
+	return -math.Log(even(order, uint64(id))) / weight
+}
+
+// rank builds a function's ranking: the one look at all servers that a function costs, so that it is a tight loop. A server's number
+// is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: most are passed over by a comparison of integers.
+func (r *Router) rank(f *function) {
+	k, x := &f.ranking, &r.index
+	*k = ranking{first: k.first[:0], bound: math.Inf(1), built: true}
+	if cap(k.first) == 0 {
+		k.first = make([]place, 0, deep)
+	}
+	most := uint64(math.MaxUint64) // of 2^64 x (1-u)
+	for i, id := range x.ids {
+		if ^mix(uint64(f.id), uint64(id)) > most {
+			continue
+		}
+		s := r.servers[i]
+		if s.weight == 0 {
+			continue
+		}
+		k.add(id, key(uint64(f.id), id, s.weight))
+		const whole = 1 << 64
+		if reach := k.bound * x.heaviest * (1 + 1e-9); reach < 1-1e-9 { // a little more than exact: to compare is no proof
+			most = uint64(reach*whole) + 1<<12
+		}
+	}
+}
+
+// ranked gives a function's ranking with all changes of the list taken in.
+func (r *Router) ranked(f *function) *ranking {
+	k, x := &f.ranking, &r.index
+	if !k.built || k.seen < x.dropped {
+		r.rank(f)
+	} else {
+		for _, id := range x.changes[k.seen-x.dropped:] {
+			k.first = slices.DeleteFunc(k.first, func(p place) bool { return p.id == id })
+			if i, known := r.find(id); known && r.servers[i].weight > 0 {
+				k.add(id, key(uint64(f.id), id, r.servers[i].weight))
+			}
+		}
+	}
+	k.seen = x.dropped + len(x.changes)
+	return k
+}
+
+// firstTwo gives the first two servers that a load may go to in a function's order, by its ranking alone; false where that is not
+// enough to tell. The order then is that of loadTarget.
+func (r *Router) firstTwo(now Micros, f *function, j *Job) ([]choice, bool) {
+	if !(r.told.ColdFrom <= 1 && r.told.Cold > 0) {
+		return nil, false // a capacity could be more than all of it
+	}
+	k := r.ranked(f)
+	two, ok := r.walk(now, f, j, k)
+	if !ok && len(k.first) < deep && !math.IsInf(k.bound, 1) { // servers that left have thinned it
+		r.rank(f)
+		k.seen = r.index.dropped + len(r.index.changes)
+		two, ok = r.walk(now, f, j, k)
+	}
+	return two, ok
+}
+
+func (r *Router) walk(now Micros, f *function, j *Job, k *ranking) ([]choice, bool) {
+	two := r.choices[:0]
+	for _, p := range k.first {
+		if len(two) == 2 && p.key >= two[1].key {
+			break
+		}
+		i, _ := r.find(p.id)
+		s := r.servers[i]
+		if !r.open(now, s, j) {
+			continue
+		}
+		c := choice{s, p.key, r.weight(now, s)}
+		if c.weight != s.weight {
+			c.key = key(uint64(f.id), p.id, c.weight)
+		}
+		if len(two) == 2 && c.key >= two[1].key {
+			continue
+		}
+		if len(two) == 2 {
+			two = two[:1]
+		}
+		if two = append(two, c); len(two) == 2 && two[1].key < two[0].key {
+			two[0], two[1] = two[1], two[0]
+		}
+	}
+	r.choices = two
+	return two, math.IsInf(k.bound, 1) || len(two) == 2 && k.bound >= two[1].key
+}
+
+// open is usable, and leaves nothing behind: which servers are asked depends on the ranking, and one that was restored has none.
+func (r *Router) open(now Micros, s *server, j *Job) bool {
+	sent := s.sent
+	usable := r.usable(now, s, j)
+	s.sent = sent
+	return usable
+}
+
+// weight is a server's weight in the order for loads: what the list tells, less for what is believed.
+func (r *Router) weight(now Micros, s *server) float64 {
+	weight := max(0.1, s.Power) * r.capacity(now, s)
+	if r.fresh <= seldom && r.told.Routers == 1 { // what we see of a server is new and tells how free it is
+		free := max(0.05, min(1-s.report.Util, s.room()))
+		weight *= free * free / (1 + max(0, s.report.Loads))
+	} else if s.room() < 0.25 || r.shunned(now, s) {
+		weight *= 0.01 // last, in the same order
+	}
+	return max(0.001, weight)
+}
+
+// lowest brings the n choices with the lowest keys to the front, in any order.
+func lowest(cs []choice, n int) {
+	for n > 0 && n < len(cs) {
+		pivot := cs[len(cs)/2].key
+		i, j := 0, len(cs)-1
+		for i <= j {
+			for cs[i].key < pivot {
+				i++
+			}
+			for cs[j].key > pivot {
+				j--
+			}
+			if i <= j {
+				cs[i], cs[j] = cs[j], cs[i]
+				i, j = i+1, j-1
+			}
+		}
+		switch { // what is between j and i equals the pivot
+		case n <= j+1:
+			cs = cs[:j+1]
+		case n >= i:
+			cs, n = cs[i:], n-i
+		default:
+			return
+		}
+	}
+}
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -13,9 +13,9 @@
 		renamed         string // state's names that the snapshot gives another way
 	}{
 		{Router{}, Snapshot{}, "order choices index trace"}, // functions stand in their order; choices is room for work, index follows from the rest, trace is a tool's
-		{server{}, ServerSnapshot{}, "there holds"},         // of the index
+		{server{}, ServerSnapshot{}, "weight there holds"},  // of the index
 		{flight{}, FlightSnapshot{}, ""},
-		{function{}, FunctionSnapshot{}, ""},
+		{function{}, FunctionSnapshot{}, "ranking"}, // of the index
 		{instance{}, InstanceSnapshot{}, ""},
 		{Job{}, JobSnapshot{}, "ID Workload Tenant Function Lanes Work LoadTime Arrived Patience Repeat Unmarked"}, // in Job
 		{Execution{}, ExecutionSnapshot{}, "Server Zone Cell Sent Done MayRun"},                                    // in Execution
--- a/control/state.go
+++ b/control/state.go
@@ -42,6 +42,7 @@
 	Listing
 	listed     bool
 	left       Micros      // when it was last on the list, if it is not there
+	weight     float64     // as the index has it: 0 where it is not ready
 	there      bool        // as the index has it: not gone
 	holds      []*function // of whose copies there something is known, by id
 	heard      Micros      // last sign that it works
@@ -91,6 +92,7 @@
 	recent    int    // of the last jobs taken, those for it
 	heldFrom  Micros // since when some job has been held
 	blocked   Micros // when a job for it last found no place
+	ranking   ranking
 }
 
 // instance is a function's copies on one server, as believed.
