--- a/control/ranking.go
+++ b/control/ranking.go
@@ -54,25 +54,41 @@
 // is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: most are passed over by a comparison of integers.
 func (r *Router) rank(f *function) {
 	k, x := &f.ranking, &r.index
-	*k = ranking{first: k.first[:0], bound: math.Inf(1), built: true}
 	if cap(k.first) == 0 {
 		k.first = make([]place, 0, deep)
 	}
-	most := uint64(math.MaxUint64) // of 2^64 x (1-u)
-	for i, id := range x.ids {
-		if ^mix(uint64(f.id), uint64(id)) > most {
-			continue
+	// At first only as far as three times as many servers as are kept are to be expected: else most logarithms are of keys that
+	// others push out again.
+	k.bound = 3 * deep / (float64(len(x.ids)) * x.heaviest)
+	for guess := k.bound; ; guess = math.Inf(1) {
+		*k = ranking{first: k.first[:0], bound: guess, built: true}
+		r.scan(f)
+		if k.bound < guess || math.IsInf(guess, 1) {
+			return
 		}
-		s := r.servers[i]
-		if s.weight == 0 {
+	}
+}
+
+func (r *Router) scan(f *function) {
+	k, x := &f.ranking, &r.index
+	most := x.reach(k.bound)
+	for i, id := range x.ids {
+		if ^mix(uint64(f.id), uint64(id)) > most || r.servers[i].weight == 0 {
 			continue
 		}
-		k.add(id, key(uint64(f.id), id, s.weight))
-		const whole = 1 << 64
-		if reach := k.bound * x.heaviest * (1 + 1e-9); reach < 1-1e-9 { // a little more than exact: to compare is no proof
-			most = uint64(reach*whole) + 1<<12
-		}
+		k.add(id, key(uint64(f.id), id, r.servers[i].weight))
+		most = x.reach(k.bound)
+	}
+}
+
+// reach is how far from 2^64 the number of a server may be whose key is below a bound. It is a little more than that: what is left out
+// must be left out for sure.
+func (x *index) reach(bound float64) uint64 {
+	const whole = 1 << 64
+	if u := bound * x.heaviest * (1 + 1e-9); u < 1-1e-9 {
+		return uint64(u*whole) + 1<<12
 	}
+	return math.MaxUint64
 }
 
 // ranked gives a function's ranking with all changes of the list taken in.
