--- /dev/null
+++ b/internal/platform/fleetsize_test.go
@@ -0,0 +1,88 @@
+package platform
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"hollymast/control"
+	"hollymast/internal/board"
+	"hollymast/internal/fleet"
+	"hollymast/internal/platformtest"
+)
+
+// sized is a router that knows many servers and takes no turns of its own.
+type sized struct {
+	*Platform
+	board board.State
+	rev   uint64
+	at    control.Micros
+}
+
+// ofSize gives one that has a pool of connections to each server.
+func ofSize(b *testing.B, servers int) *sized {
+	b.Helper()
+	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	if err != nil {
+		b.Fatal(err)
+	}
+	p, err := New(told, zerolog.Nop())
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() {
+		p.timer.Stop()
+		p.listener.Close()
+	})
+	f := &sized{Platform: p, at: p.now()}
+	whole := &board.Pool{All: true}
+	for i := range servers {
+		whole.Targets = append(whole.Targets, f.target(i, "ready"))
+	}
+	f.tell(b, whole)
+	for i := range servers {
+		p.poolOf(fleet.ID(f.target(i, "").UID))
+	}
+	return f
+}
+
+func (f *sized) target(i int, state string) board.Target {
+	return board.Target{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
+		Power: 4, BootMS: int64(f.rev)}
+}
+
+// tell has the router hear an event and take a turn, one millisecond after the last.
+func (f *sized) tell(b *testing.B, told *board.Pool) {
+	f.rev++
+	meaning, err := f.board.Line(platformtest.Line(board.Event{Rev: f.rev, Pool: told}))
+	if err != nil || meaning != board.Changed {
+		b.Fatal(meaning, err)
+	}
+	f.listed(f.at, f.board.List())
+	f.at += 1000
+	f.turn(f.at, nil)
+}
+
+// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all layers, and
+// a turn; upkeep is a turn with nothing but what falls due each half second.
+func BenchmarkFleetSize(b *testing.B) {
+	for _, servers := range []int{200, 3200} {
+		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
+			f := ofSize(b, servers)
+			b.ReportAllocs()
+			states := []string{"draining", "gone", "ready"}
+			for n := 0; b.Loop(); n++ {
+				f.tell(b, &board.Pool{Targets: []board.Target{f.target(n/len(states)%servers, states[n%len(states)])}})
+			}
+		})
+		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
+			f := ofSize(b, servers)
+			b.ReportAllocs()
+			for b.Loop() {
+				f.at += 500_000
+				f.turn(f.at, nil)
+			}
+		})
+	}
+}
