--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -51,8 +51,9 @@
 type State struct {
 	last    uint64
 	servers map[string]fleet.Entry
-	asked   bool // nothing was heard since the last time that we asked
-	level   bool // since then a heartbeat has told that nothing is missing
+	news    fleet.Update // of the last event that was taken in
+	asked   bool         // nothing was heard since the last time that we asked
+	level   bool         // since then a heartbeat has told that nothing is missing
 	// doubted is set where what follows Last could not be used: it was asked for once more. Guards against a loop over what
 	// stays unusable, behind which a drain would never be heard.
 	doubted   bool
@@ -140,17 +141,7 @@
 			}
 			return meaning, err
 		}
-		if e.Pool.All || s.servers == nil {
-			s.servers = map[string]fleet.Entry{}
-		}
-		for _, t := range e.Pool.Targets {
-			if t.State == "gone" {
-				delete(s.servers, t.UID)
-				continue
-			}
-			s.servers[t.UID] = fleet.Entry{Name: t.UID, Address: t.Endpoint, State: states[t.State], Zone: t.Zone,
-				Cell: strconv.Itoa(t.Cell), Power: t.Power, Born: t.BootMS * 1000}
-		}
+		s.news = s.take(e)
 	}
 	s.last, s.asked = e.Rev, false
 	if e.Pool == nil {
@@ -159,6 +150,49 @@
 	return Changed, nil
 }
 
+// take takes in what an event tells of servers, and gives what that changed: the complete list where it is the first, tells all
+// of them or comes after a gap.
+func (s *State) take(e Event) fleet.Update {
+	whole := e.Pool.All || s.servers == nil || e.Rev > s.last+1
+	if e.Pool.All || s.servers == nil {
+		s.servers = map[string]fleet.Entry{}
+	}
+	before := make(map[string]fleet.Entry, len(e.Pool.Targets)) // an event may name a server twice
+	for _, t := range e.Pool.Targets {
+		if _, twice := before[t.UID]; !twice {
+			before[t.UID] = s.servers[t.UID]
+		}
+		if t.State == "gone" {
+			delete(s.servers, t.UID)
+			continue
+		}
+		s.servers[t.UID] = fleet.Entry{Name: t.UID, Address: t.Endpoint, State: states[t.State], Zone: t.Zone,
+			Cell: strconv.Itoa(t.Cell), Power: t.Power, Born: t.BootMS * 1000}
+	}
+	if whole {
+		return fleet.Update{Whole: true, Entries: s.List()}
+	}
+	return fleet.Update{Entries: s.differing(before)}
+}
+
+// differing gives the servers that are not as they were, by name.
+func (s *State) differing(before map[string]fleet.Entry) []fleet.Entry {
+	changed := make([]fleet.Entry, 0, len(before))
+	for uid, was := range before {
+		is, listed := s.servers[uid]
+		if is == was {
+			continue
+		}
+		if !listed {
+			is = was
+			is.State = control.Gone
+		}
+		changed = append(changed, is)
+	}
+	slices.SortFunc(changed, byName)
+	return changed
+}
+
 // check keeps an event out whole of which a part can't be used.
 func (p *Pool) check() error {
 	for _, t := range p.Targets {
@@ -172,8 +206,10 @@
 	return nil
 }
 
-// Known takes in what a configuration tells, up to the first event that it leaves out: from there on the board is asked.
+// Known takes in what a configuration tells, up to the first event that it leaves out: from there on the board is asked. It is no
+// news: List gives what is known then.
 func (s *State) Known(k Known) error {
+	defer s.News()
 	for _, e := range k.Notices {
 		if s.last > 0 && e.Rev > s.last+1 {
 			break
@@ -185,7 +221,14 @@
 	return nil
 }
 
-// List gives the servers by name.
-func (s *State) List() []fleet.Entry {
-	return slices.SortedFunc(maps.Values(s.servers), func(a, b fleet.Entry) int { return cmp.Compare(a.Name, b.Name) })
+// News gives what the last event that was taken in changed, once; no entries: nothing.
+func (s *State) News() fleet.Update {
+	news := s.news
+	s.news = fleet.Update{}
+	return news
 }
+
+// List gives the servers by name.
+func (s *State) List() []fleet.Entry { return slices.SortedFunc(maps.Values(s.servers), byName) }
+
+func byName(a, b fleet.Entry) int { return cmp.Compare(a.Name, b.Name) }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -5,7 +5,9 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net"
+	"slices"
 	"testing"
 	"time"
 
@@ -77,11 +79,30 @@
 // testGrace is that of a usual deployment.
 const testGrace = 500 * time.Millisecond
 
+// listing keeps the list by what a follower hands over, and hands it on after each.
+func listing(told chan<- []fleet.Entry) func(fleet.Update) {
+	list := map[string]fleet.Entry{}
+	return func(news fleet.Update) { told <- apply(list, news) }
+}
+
+// apply brings a list up to date and gives it by name.
+func apply(list map[string]fleet.Entry, news fleet.Update) []fleet.Entry {
+	if news.Whole {
+		clear(list)
+	}
+	for _, e := range news.Entries {
+		if list[e.Name] = e; e.State == control.Gone {
+			delete(list, e.Name)
+		}
+	}
+	return slices.SortedFunc(maps.Values(list), byName)
+}
+
 // follow starts a follower that ends with the test.
 func follow(t *testing.T, address string) (*Follower, chan []fleet.Entry) {
 	t.Helper()
 	told := make(chan []fleet.Entry, 8)
-	f := NewFollower(State{}, address, testGrace, 1, func(list []fleet.Entry) { told <- list }, func(string, error) {})
+	f := NewFollower(State{}, address, testGrace, 1, listing(told), func(string, error) {})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Follow(ctx); close(ended) }()
@@ -267,3 +288,43 @@
 		t.Error("a new question was not answered yet")
 	}
 }
+
+// An event tells on what it changed, and all servers only where it has to.
+func TestNews(t *testing.T) {
+	ready := func(uid, endpoint string) Target { return Target{UID: uid, Endpoint: endpoint, State: "ready"} }
+	gone := func(uid string) Target { return Target{UID: uid, State: "gone"} }
+	for _, c := range []struct {
+		name    string
+		rev     uint64
+		pool    Pool
+		whole   bool
+		entries string // those that are told on, and their states
+	}{
+		{"a further server", 2, Pool{Targets: []Target{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
+		{"one that goes", 2, Pool{Targets: []Target{gone("a")}}, false, "a 0 "},
+		{"one that was never there", 2, Pool{Targets: []Target{gone("b")}}, false, ""},
+		{"nothing new", 2, Pool{Targets: []Target{ready("a", "10.0.0.1:1")}}, false, ""},
+		{"one that returns elsewhere", 2, Pool{Targets: []Target{gone("a"), ready("a", "10.0.0.9:1")}}, false, "a 2 "},
+		{"one that comes and goes", 2, Pool{Targets: []Target{ready("b", "10.0.0.2:1"), gone("b")}}, false, ""},
+		{"an address with another owner", 2, Pool{Targets: []Target{ready("b", "10.0.0.1:1"), gone("a")}}, false, "a 0 b 2 "},
+		{"all", 2, Pool{All: true, Targets: []Target{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
+		{"after a gap", 3, Pool{Targets: []Target{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
+	} {
+		s := State{}
+		s.Event(Event{1, &Pool{Targets: []Target{ready("a", "10.0.0.1:1")}}})
+		if news := s.News(); !news.Whole || len(news.Entries) != 1 {
+			t.Errorf("the first event told on %v", news)
+		}
+		for range 2 { // a gap is asked for and stays
+			s.Asked()
+			s.Event(Event{c.rev, &c.pool})
+		}
+		news, told := s.News(), ""
+		for _, e := range news.Entries {
+			told += fmt.Sprint(e.Name, " ", e.State, " ")
+		}
+		if news.Whole != c.whole || told != c.entries {
+			t.Errorf("%s: told on %v", c.name, news)
+		}
+	}
+}
--- a/internal/board/follow.go
+++ b/internal/board/follow.go
@@ -16,7 +16,7 @@
 // whoever needs the list now (CatchUp), under one lock.
 type Follower struct {
 	grace  time.Duration // within which a change of the list must be heeded
-	told   func([]fleet.Entry)
+	told   func(fleet.Update)
 	note   func(text string, err error)
 	turned chan struct{} // holds one: the address changed
 	pause  *backoff.Backoff
@@ -33,9 +33,9 @@
 	watch   *watch // nil: none stands
 }
 
-// NewFollower follows from a state on. Told hears each new list, Note what went wrong. Told is called with a lock held: it may
-// not wait.
-func NewFollower(state State, address string, grace time.Duration, seed uint64, told func([]fleet.Entry),
+// NewFollower follows from a state on. Told hears what each event changed, in their order, Note what went wrong. Told is called
+// with a lock held: it may not wait.
+func NewFollower(state State, address string, grace time.Duration, seed uint64, told func(fleet.Update),
 	note func(string, error)) *Follower {
 	return &Follower{state: state, address: address, grace: grace, told: told, note: note, turned: make(chan struct{}, 1),
 		started: make(chan struct{}), pause: backoff.New(seed, pauseFirst, pauseMost)}
@@ -256,7 +256,7 @@
 	f.start()
 	switch meaning {
 	case Changed:
-		f.told(f.state.List())
+		f.told(f.state.News())
 	case AskAgain:
 		return errMissing
 	}
--- a/internal/board/follow_test.go
+++ b/internal/board/follow_test.go
@@ -22,7 +22,7 @@
 
 func newAsking(address string) asking {
 	told := make(chan []fleet.Entry, 8)
-	return asking{NewFollower(State{}, address, testGrace, 1, func(list []fleet.Entry) { told <- list }, func(string, error) {}), told}
+	return asking{NewFollower(State{}, address, testGrace, 1, listing(told), func(string, error) {}), told}
 }
 
 // asked asks, and gives the board's end of the connection.
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -29,8 +29,8 @@
 	d.sent = append(d.sent, out{j.ID, no, to})
 }
 
-// step makes one turn of random news.
-func step(t *rapid.T, now control.Micros, next *control.JobID, ds ...*driven) {
+// traffic is random jobs and answers.
+func traffic(t *rapid.T, now control.Micros, next *control.JobID, ds ...*driven) {
 	for range rapid.IntRange(0, 4).Draw(t, "jobs") {
 		*next++
 		j := control.Job{ID: *next, Workload: control.WorkloadID(rapid.IntRange(0, 2).Draw(t, "workload")),
@@ -57,6 +57,11 @@
 			d.Answered(now, x.job, o)
 		}
 	}
+}
+
+// step makes one turn of random news.
+func step(t *rapid.T, now control.Micros, next *control.JobID, ds ...*driven) {
+	traffic(t, now, next, ds...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
 	case 0:
 		id := control.JobID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "left"))
@@ -83,14 +88,19 @@
 	}
 }
 
+// anyDeployment is one of two routers, with each kind of effect.
+func anyDeployment(t *rapid.T) control.Deployment {
+	return control.Deployment{Routers: 2, Tick: 4000, MaxExecutions: 3, MaxStayAway: 1_000_000, Cancels: true, ColdFrom: 0.25,
+		Cold: 2_000_000, Fall: 500_000, FallMultiple: 2, KeepAlive: 1_000_000, Orders: true, LoadWindow: 1_000_000, LoadFree: 3, LoadShare: 0.2,
+		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Shares: []float64{3}, Workloads: []control.Workload{
+			{StartTarget: 300_000, TimeLimit: 3_000_000}, {StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.RunOnce},
+			{StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.Fingerprinted, Scope: control.OneZone, Window: 1_000_000}}}
+}
+
 // Any reachable state, restored, decides the same from there on.
 func TestSnapshotGoesOnAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := control.Deployment{Routers: 2, Tick: 4000, MaxExecutions: 3, MaxStayAway: 1_000_000, Cancels: true, ColdFrom: 0.25,
-			Cold: 2_000_000, Fall: 500_000, FallMultiple: 2, KeepAlive: 1_000_000, Orders: true, LoadWindow: 1_000_000, LoadFree: 3, LoadShare: 0.2,
-			LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Shares: []float64{3}, Workloads: []control.Workload{
-				{StartTarget: 300_000, TimeLimit: 3_000_000}, {StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.RunOnce},
-				{StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.Fingerprinted, Scope: control.OneZone, Window: 1_000_000}}}
+		told := anyDeployment(t)
 		now, next := control.Micros(10_000_000), control.JobID(0)
 		a := &driven{}
 		a.Core = New(control.Start(now, 7, told), a)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,6 +37,13 @@
 	told    int64          // the start as the list told it
 	born    control.Micros // brought into the router's time
 	left    control.Micros // when it was last on a list
+	list    uint64         // the last complete list that named it
+}
+
+// Update is what a source tells at a time: the complete list, or only what differs from what it told before.
+type Update struct {
+	Whole   bool
+	Entries []Entry // of changes: each server at most once, those that left in state Gone
 }
 
 // Fleet is the list as last told.
@@ -45,6 +52,7 @@
 	read    control.Micros
 	first   bool
 	ours    bool
+	lists   uint64 // complete ones so far
 	servers map[control.ServerID]*Server
 	zones   map[string]control.ZoneID
 	cells   map[string]control.CellID
@@ -92,12 +100,45 @@
 // Whole takes in a whole list, heard at a time, and gives it in the module's words, by ascending id. A server that it
 // leaves out is gone; it is kept as such, so that its return is known for a restart, until Forget.
 func (f *Fleet) Whole(now control.Micros, list []Entry) []control.Listing {
-	var out []control.Listing
-	listed := make(map[control.ServerID]bool, len(list))
+	f.lists++
+	out := f.take(now, list)
+	for _, s := range f.servers {
+		if s.list != f.lists {
+			f.leave(s)
+		}
+	}
+	f.read, f.first = now, false
+	return out
+}
+
+// Changes takes in what differs from what was heard last, and gives it in the module's words, by ascending id: all is then as if
+// the complete list had come. A server that leaves is handed on as it was, but gone.
+func (f *Fleet) Changes(now control.Micros, changed []Entry) []control.Listing {
+	out := f.take(now, changed)
+	f.read, f.first = now, false
+	return out
+}
+
+// leave notes that a server is on the list no more.
+func (f *Fleet) leave(s *Server) {
+	if s.State != control.Gone {
+		s.State, s.left = control.Gone, f.read
+	}
+}
+
+// take takes in what a list tells of the servers that it names.
+func (f *Fleet) take(now control.Micros, list []Entry) []control.Listing {
+	out := make([]control.Listing, 0, len(list))
 	for _, e := range list {
 		id := ID(cmp.Or(e.Name, e.Address))
-		listed[id] = true
 		s := f.servers[id]
+		if e.State == control.Gone {
+			if s != nil && s.State != control.Gone {
+				f.leave(s)
+				out = append(out, s.listing())
+			}
+			continue
+		}
 		// With no start told, a server that was gone may have restarted meanwhile.
 		fresh := s == nil || s.told != e.Born || s.State == control.Gone && e.Born == 0
 		if s == nil {
@@ -109,18 +150,18 @@
 		}
 		s.Told, s.Address = e, e.Address
 		s.State, s.Zone, s.Cell, s.left = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell), now
-		out = append(out, control.Listing{Server: id, State: e.State, Zone: s.Zone, Cell: s.Cell, Power: e.Power, Born: s.born})
+		s.list = f.lists
+		out = append(out, s.listing())
 	}
-	for id, s := range f.servers {
-		if !listed[id] {
-			s.State = control.Gone
-		}
-	}
-	f.read, f.first = now, false
 	slices.SortFunc(out, func(a, b control.Listing) int { return cmp.Compare(a.Server, b.Server) })
 	return out
 }
 
+// listing gives a server in the module's words.
+func (s *Server) listing() control.Listing {
+	return control.Listing{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Power: s.Told.Power, Born: s.born}
+}
+
 // born brings the start of a server that was not on the last list, or not with this start, into the router's time. It
 // began after that list was read, whatever the clocks say, and no later than now.
 func (f *Fleet) born(now control.Micros, told int64) control.Micros {
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -21,7 +21,7 @@
 }
 
 // ofSize gives one that has a pool of connections to each server.
-func ofSize(b *testing.B, servers int) *sized {
+func ofSize(b testing.TB, servers int) *sized {
 	b.Helper()
 	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
@@ -53,17 +53,40 @@
 }
 
 // tell has the router hear an event and take a turn, one millisecond after the last.
-func (f *sized) tell(b *testing.B, told *board.Pool) {
+func (f *sized) tell(b testing.TB, told *board.Pool) {
 	f.rev++
 	meaning, err := f.board.Line(platformtest.Line(board.Event{Rev: f.rev, Pool: told}))
 	if err != nil || meaning != board.Changed {
 		b.Fatal(meaning, err)
 	}
-	f.listed(f.at, f.board.List())
+	f.hearBoard(f.at, f.board.News())
 	f.at += 1000
 	f.turn(f.at, nil)
 }
 
+// states are what a server goes through in the benchmark, over and over.
+var states = []string{"draining", "gone", "ready"}
+
+// change has one server go on to its next state.
+func (f *sized) change(b testing.TB, n, servers int) {
+	f.tell(b, &board.Pool{Targets: []board.Target{f.target(n/len(states)%servers, states[n%len(states)])}})
+}
+
+// An event about one server allocates no more among many servers than among a few.
+func TestListChangeAllocatesAlike(t *testing.T) {
+	var allocated [2]float64
+	for i, servers := range []int{200, 3200} {
+		f, n := ofSize(t, servers), 0
+		allocated[i] = testing.AllocsPerRun(300, func() {
+			f.change(t, n, servers)
+			n++
+		})
+	}
+	if allocated[1] > 1.2*allocated[0] {
+		t.Errorf("%v allocations among 200 servers, %v among 3200", allocated[0], allocated[1])
+	}
+}
+
 // BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all layers, and
 // a turn; upkeep is a turn with nothing but what falls due each half second.
 func BenchmarkFleetSize(b *testing.B) {
@@ -71,9 +94,8 @@
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
 			f := ofSize(b, servers)
 			b.ReportAllocs()
-			states := []string{"draining", "gone", "ready"}
 			for n := 0; b.Loop(); n++ {
-				f.tell(b, &board.Pool{Targets: []board.Target{f.target(n/len(states)%servers, states[n%len(states)])}})
+				f.change(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -113,8 +113,8 @@
 	}
 	p.timer = time.NewTimer(time.Hour)
 	p.listed(p.epoch, state.List())
-	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(list []fleet.Entry) {
-		p.box.TellList(func(now control.Micros) { p.listed(now, list) })
+	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
+		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
 	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
 	l, err := net.Listen("tcp", told.Listen)
 	if err != nil {
@@ -319,17 +319,37 @@
 	}
 }
 
-// listed takes in the list of servers.
+// hearBoard takes in what the notice board told.
+func (p *Platform) hearBoard(now control.Micros, news fleet.Update) {
+	if news.Whole {
+		p.listed(now, news.Entries)
+		return
+	}
+	changed := p.fleet.Changes(now, news.Entries)
+	p.core.Listed(now, control.ListChanges, changed)
+	for _, l := range changed {
+		if pl := p.pools[l.Server]; pl != nil {
+			p.relist(now, pl)
+		}
+	}
+}
+
+// listed takes in the complete list of servers.
 func (p *Platform) listed(now control.Micros, list []fleet.Entry) {
 	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, list))
-	for id, pl := range p.pools {
-		s := p.fleet.Get(id)
-		if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
-			p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
-			p.unlist(now, pl)
-			if s != nil && s.State == control.Ready { // another life: other connections
-				delete(p.pools, id)
-			}
+	for _, pl := range p.pools {
+		p.relist(now, pl)
+	}
+}
+
+// relist ends the connections to a server that takes nothing new, or lives another life.
+func (p *Platform) relist(now control.Micros, pl *pool) {
+	s := p.fleet.Get(pl.id)
+	if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
+		p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
+		p.unlist(now, pl)
+		if s != nil && s.State == control.Ready { // another life: other connections
+			delete(p.pools, pl.id)
 		}
 	}
 }
