--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -46,6 +46,12 @@
 	Entries []Entry // of changes: each server at most once, those that left in state Gone
 }
 
+// departure is that of a server from the list.
+type departure struct {
+	id control.ServerID
+	at control.Micros // when it was last on it
+}
+
 // Fleet is the list as last told.
 type Fleet struct {
 	offset  int64 // wall clock at the router's time 0, fixed at the start
@@ -54,6 +60,7 @@
 	ours    bool
 	lists   uint64 // complete ones so far
 	servers map[control.ServerID]*Server
+	gone    []departure // in the order of their ends
 	zones   map[string]control.ZoneID
 	cells   map[string]control.CellID
 }
@@ -123,6 +130,7 @@
 func (f *Fleet) leave(s *Server) {
 	if s.State != control.Gone {
 		s.State, s.left = control.Gone, f.read
+		f.gone = append(f.gone, departure{s.ID, s.left})
 	}
 }
 
@@ -197,9 +205,23 @@
 // the start that it had is known not to be cold.
 func (f *Fleet) Forget(now control.Micros, keep func(control.ServerID) bool) {
 	const long = 600_000_000 // as long as the module keeps them
-	for id, s := range f.servers {
-		if s.State == control.Gone && now > s.left+long && !keep(id) {
-			delete(f.servers, id)
-		}
+	due := 0
+	for due < len(f.gone) && now > f.gone[due].at+long {
+		due++
 	}
+	if due == 0 {
+		return
+	}
+	kept := slices.DeleteFunc(f.gone[:due:due], func(d departure) bool {
+		s := f.servers[d.id]
+		if s == nil || s.State != control.Gone || s.left != d.at {
+			return true // it has returned since
+		}
+		if keep(d.id) {
+			return false
+		}
+		delete(f.servers, d.id)
+		return true
+	})
+	f.gone = slices.Delete(f.gone, len(kept), due)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -75,7 +75,32 @@
 	if f.Forget(60*second, keep); len(f.servers) != 3 {
 		t.Error("forgotten after a minute")
 	}
+	if f.Forget(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
+		t.Error("forgotten while it was in use")
+	}
 	if f.Forget(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
 		t.Errorf("got %v", f.servers)
 	}
 }
+
+// A server is remembered for as long as it should be after the last list that named it, whenever it went, also if it returns and
+// goes again; what is remembered costs nothing until then.
+func TestForgetCountsFromTheLastListThatNamedIt(t *testing.T) {
+	const name = "127.0.0.1:1"
+	keep := func(control.ServerID) bool { return false }
+	f := New(0)
+	f.Whole(1, []Entry{entry(name, 0), entry("127.0.0.1:2", 0)})
+	f.Changes(500*second, []Entry{entry("127.0.0.1:2", 1)})
+	f.Changes(900*second, []Entry{{Address: name, State: control.Gone}})
+	f.Changes(1000*second, []Entry{entry(name, 0)})
+	f.Changes(1050*second, []Entry{{Address: name, State: control.Gone}})
+	if f.Forget(1600*second, keep); f.Get(ID(name)) == nil {
+		t.Error("forgotten before its time")
+	}
+	if f.Forget(1601*second, keep); f.Get(ID(name)) != nil || len(f.gone) > 0 {
+		t.Errorf("not forgotten: %v", f.gone)
+	}
+	if f.Get(ID("127.0.0.1:2")) == nil {
+		t.Error("one on the list was forgotten")
+	}
+}
--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"cmp"
 	"fmt"
 	"reflect"
 	"slices"
@@ -20,8 +21,8 @@
 	sent []*sending
 }
 
-// open has an order on its way to a server, written or not.
-func (r *replaced) open(now control.Micros, to control.ServerID, written bool) {
+// open has an order on its way to a server, written or not, on a connection that stands or not yet.
+func (r *replaced) open(now control.Micros, to control.ServerID, written, up bool) {
 	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
 		return
 	}
@@ -35,7 +36,7 @@
 	}
 	if s.link == nil {
 		s.link = r.newLink(now, pl)
-		s.link.up = true
+		s.link.up = written || up
 	}
 	s.link.out[s.id] = s
 	s.timer = r.timer // which ends nothing here
@@ -45,24 +46,75 @@
 	r.sent = append(r.sent, s)
 }
 
-// pooled tells of each connection, in the order of servers and of their beginnings.
-func (r *replaced) pooled() []string {
+// pooled tells of each connection, in the order of servers and of their beginnings, but for those that are dropped.
+func (r *replaced) pooled(dropped func(l *link) bool) []string {
 	var out []string
 	for id, pl := range r.pools {
-		line := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.born)
+		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.born), 0
 		for _, l := range pl.links {
-			line += fmt.Sprintf(" %d open, retired %t, since %d;", len(l.out), l.retired, l.since)
+			if !dropped(l) {
+				stay++
+				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.out), l.up, l.retired, l.since)
+			}
+		}
+		if s := r.fleet.Get(id); stay > 0 || s != nil && s.State != control.Gone {
+			out = append(out, line)
 		}
-		out = append(out, line)
 	}
 	slices.Sort(out)
+	return out
+}
+
+// all tells of the connections and of what was sent.
+func (r *replaced) all() []string {
+	out := r.pooled(func(*link) bool { return false })
 	for _, s := range r.sent {
 		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.reached(), s.state.Over))
 	}
-	return append(out, fmt.Sprint(r.linked, " connections"))
+	return append(out, fmt.Sprint(r.linked, " connections, ", len(r.pools), " pools"))
+}
+
+// checkPrune prunes, and looks whether just those connections and pools are dropped that a look at all of them finds.
+func (r *replaced) checkPrune(t *rapid.T, now control.Micros) {
+	r.pruned = 0
+	want := r.pooled(func(l *link) bool { return len(l.out) == 0 && l.up && now-l.since > r.told.idle*3/4 })
+	r.prune(now)
+	if got := r.pooled(func(*link) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
+		t.Fatalf("pruned to\n%q, a look at all gives\n%q", got, want)
+	}
+}
+
+// idle gives the connections that stand and have nothing open, the one idle longest first.
+func (r *replaced) idle() []*link {
+	var out []*link
+	for _, pl := range r.pools {
+		for _, l := range pl.links {
+			if len(l.out) == 0 && l.up {
+				out = append(out, l)
+			}
+		}
+	}
+	slices.SortFunc(out, func(a, b *link) int { return cmp.Compare(a.since, b.since) })
+	return out
+}
+
+// checkFreeLink makes room, and looks whether one of those idle longest is dropped.
+func (r *replaced) checkFreeLink(t *rapid.T) {
+	before := r.idle()
+	freed := r.freeLink()
+	after := r.idle()
+	if freed != (len(before) > 0) || freed && len(after) != len(before)-1 {
+		t.Fatalf("freed %t, %d of %d are left", freed, len(after), len(before))
+	}
+	for _, l := range before {
+		if !slices.Contains(after, l) && l.since != before[0].since {
+			t.Fatalf("dropped one idle since %d, not %d", l.since, before[0].since)
+		}
+	}
 }
 
-// A router that hears what changed keeps and ends the connections that one does that hears the complete list at each event.
+// A router that hears what changed keeps and ends the connections that one does that hears the complete list at each event, and
+// prunes what a look at all of them would.
 func TestChangesEndTheSameConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		both := []*replaced{{Platform: idlePlatform(t)}, {Platform: idlePlatform(t)}}
@@ -82,9 +134,9 @@
 			both[0].hearBoard(now, s.News())
 			both[1].listed(now, s.List())
 			for range rapid.IntRange(0, 3).Draw(rt, "sent") {
-				to, written := fleet.ID(uid()), rapid.Bool().Draw(rt, "written")
+				to, written, up := fleet.ID(uid()), rapid.Bool().Draw(rt, "written"), rapid.Bool().Draw(rt, "up")
 				for _, r := range both {
-					r.open(now, to, written)
+					r.open(now, to, written, up)
 				}
 			}
 			if n := len(both[0].sent); n > 0 && rapid.Bool().Draw(rt, "answered") {
@@ -93,10 +145,16 @@
 					r.ended(now, r.sent[i], control.Finished, nil)
 				}
 			}
+			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
 			for _, r := range both {
-				r.prune(now)
+				if prune {
+					r.checkPrune(rt, now)
+				}
+				if free {
+					r.checkFreeLink(rt)
+				}
 			}
-			if x, y := both[0].pooled(), both[1].pooled(); !reflect.DeepEqual(x, y) {
+			if x, y := both[0].all(), both[1].all(); !reflect.DeepEqual(x, y) {
 				rt.Fatalf("by changes\n%q, by lists\n%q", x, y)
 			}
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -5,6 +5,7 @@
 
 import (
 	"cmp"
+	"container/list"
 	"context"
 	"fmt"
 	"maps"
@@ -42,7 +43,9 @@
 	fleet    *fleet.Fleet
 	jobs     map[control.JobID]*job
 	pools    map[control.ServerID]*pool
-	linked   int // connections to servers
+	linked   int                        // connections to servers
+	bySince  *list.List                 // of *link: all that are not dropped, by when something last began or ended on them
+	leaving  map[control.ServerID]*pool // to servers that are gone, until prune finds their connections ended
 	timer    *time.Timer
 	due      control.Micros // when the timer fires
 	pruned   control.Micros
@@ -95,7 +98,7 @@
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
 	now := time.Now()
 	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
-		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
+		pools: map[control.ServerID]*pool{}, bySince: list.New(), leaving: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
@@ -335,8 +338,8 @@
 }
 
 // listed takes in the complete list of servers.
-func (p *Platform) listed(now control.Micros, list []fleet.Entry) {
-	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, list))
+func (p *Platform) listed(now control.Micros, all []fleet.Entry) {
+	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, all))
 	for _, pl := range p.pools {
 		p.relist(now, pl)
 	}
@@ -352,6 +355,9 @@
 			delete(p.pools, pl.id)
 		}
 	}
+	if s == nil || s.State == control.Gone {
+		p.leaving[pl.id] = pl
+	}
 }
 
 // onTheWay is what of a client's patience goes by before its job is here, and before its answer is there: a millisecond or
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"container/list"
 	"context"
 	"errors"
 	"net"
@@ -37,7 +38,8 @@
 	up      bool // the turn has heard that it stands
 	retired bool // takes nothing new: an answer is owed that nobody waits for, or its server is gone
 	since   control.Micros
-	partial atomic.Bool // a write ended within a frame
+	place   *list.Element // in the router's order by since
+	partial atomic.Bool   // a write ended within a frame
 	dialing context.Context
 	undial  context.CancelFunc
 }
@@ -180,6 +182,7 @@
 	l.dialing, l.undial = context.WithTimeout(context.Background(), span(p.told.connecting))
 	l.box.most = linkUnread
 	pl.links = append(pl.links, l)
+	l.place = p.bySince.PushBack(l)
 	p.linked++
 	return l
 }
@@ -207,19 +210,13 @@
 
 // freeLink closes the connection that has been idle for longest, of any server.
 func (p *Platform) freeLink() bool {
-	var oldest *link
-	for _, pl := range p.pools {
-		for _, l := range pl.links {
-			if len(l.out) == 0 && l.up && (oldest == nil || l.since < oldest.since) {
-				oldest = l
-			}
+	for e := p.bySince.Front(); e != nil; e = e.Next() {
+		if l := e.Value.(*link); len(l.out) == 0 && l.up {
+			p.drop(l)
+			return true
 		}
 	}
-	if oldest == nil {
-		return false
-	}
-	p.drop(oldest)
-	return true
+	return false
 }
 
 // drop forgets a connection and closes it after what waits to be written.
@@ -228,6 +225,7 @@
 	for i, other := range l.pool.links {
 		if other == l {
 			l.pool.links = append(l.pool.links[:i], l.pool.links[i+1:]...)
+			p.bySince.Remove(l.place)
 			p.linked--
 			break
 		}
@@ -387,6 +385,7 @@
 	s.timer.Stop()
 	if l := s.link; l != nil && l.out[s.id] == s {
 		delete(l.out, s.id)
+		p.bySince.MoveToBack(l.place)
 		if l.since = now; l.retired && len(l.out) == 0 {
 			p.drop(l)
 		}
@@ -449,14 +448,20 @@
 		return
 	}
 	p.pruned = now
-	for id, pl := range p.pools {
-		for i := len(pl.links) - 1; i >= 0; i-- {
-			if l := pl.links[i]; len(l.out) == 0 && l.up && now-l.since > p.told.idle*3/4 {
-				p.drop(l)
-			}
+	for e := p.bySince.Front(); e != nil; {
+		l := e.Value.(*link)
+		if now-l.since <= p.told.idle*3/4 {
+			break
+		}
+		if e = e.Next(); len(l.out) == 0 && l.up {
+			p.drop(l)
 		}
-		s := p.fleet.Get(id)
-		if len(pl.links) == 0 && (s == nil || s.State == control.Gone) {
+	}
+	for id, pl := range p.leaving {
+		if s := p.fleet.Get(id); s != nil && s.State != control.Gone || p.pools[id] != pl {
+			delete(p.leaving, id) // it has returned
+		} else if len(pl.links) == 0 {
+			delete(p.leaving, id)
 			delete(p.pools, id)
 		}
 	}
