--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -4,7 +4,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -36,7 +35,6 @@
 	last    *memory.Kept   // set before the gateway's end is told
 	lastUse *history.Taken // so too
 	failed  bool
-	deaf    atomic.Bool // the journal failed, and it was said
 }
 
 // journalMost bounds a journal's files: with the usual marks_for and marks_most the bound of marks comes first.
@@ -66,11 +64,15 @@
 		return nil
 	}
 	k := &keeper{usual: usual, age: now - learned.Saved, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
-	journal, entries, lines, err := memory.OpenJournal(told.MemoryDir, told.Journal, micros(told.MarksFor), journalMost, func(err error) {
-		if !k.deaf.Swap(true) {
-			log.Error().Err(err).Msg("the journal can't be written: what is sent now is not known after a restart")
-		}
-	})
+	journal, entries, lines, err := memory.JournalOptions{Files: memory.System{}, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost,
+		Failed: func(err error) {
+			if err != nil {
+				log.Error().Err(err).Msg("the journal can't be written: what is sent now is not known after a restart")
+			} else {
+				log.Info().Msg("the journal is written again")
+			}
+		},
+		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.MemoryDir)
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
--- /dev/null
+++ b/internal/memory/faults_test.go
@@ -0,0 +1,283 @@
+package memory
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+)
+
+var errKilled = errors.New("killed")
+
+// The ways in which one call goes wrong. Killed: nothing happens from then on, after none, half or all of the call.
+type fault int
+
+const (
+	fine fault = iota
+	fails
+	half // a write of half its bytes, or a call that was carried out and yet fails
+	killedBefore
+	killedHalf
+	killedAfter
+)
+
+// state tells of a byte whether a power cut leaves it. A byte that a failed sync met is lost: the kernel counts its page as clean,
+// and no later sync writes it.
+type state byte
+
+const (
+	dirty state = iota
+	safe
+	lost
+)
+
+type inode struct {
+	data   []byte
+	states []state
+}
+
+// faultDisk is a file system in memory that fails or is killed at chosen calls. It tells what a new life finds: after a kill all that
+// was written, after a power cut what was synced and any part of the rest.
+type faultDisk struct {
+	mu     sync.Mutex
+	names  map[string]*inode
+	synced map[string]*inode // names that a power cut leaves; a nil one is lost to failed syncs of the folder
+	gone   map[string]*inode // removed, and the folder not synced since: a power cut may bring them back
+	calls  int
+	bytes  int
+	most   int // files at any time
+	plan   func(n int, call, name string) fault
+	err    error
+	dead   chan struct{} // closed once killed
+}
+
+func newFaultDisk(plan func(n int, call, name string) fault) *faultDisk {
+	return &faultDisk{names: map[string]*inode{}, synced: map[string]*inode{}, gone: map[string]*inode{}, plan: plan,
+		err: syscall.ENOSPC, dead: make(chan struct{})}
+}
+
+func (d *faultDisk) killed() bool {
+	select {
+	case <-d.dead:
+		return true
+	default:
+		return false
+	}
+}
+
+// call plays one call; do carries it out, or half of it.
+func (d *faultDisk) call(call, name string, do func(half bool) error) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.killed() {
+		return errKilled
+	}
+	d.calls++
+	switch f := d.plan(d.calls, call, filepath.Base(name)); f {
+	case fails:
+		if call == "sync" || call == "sync folder" {
+			do(false)
+		}
+		return d.err
+	case half:
+		do(true)
+		return d.err
+	case killedBefore, killedHalf, killedAfter:
+		if f != killedBefore {
+			do(f == killedHalf)
+		}
+		close(d.dead)
+		return errKilled
+	}
+	return do(false)
+}
+
+func (d *faultDisk) Names(dir string) (names []string, err error) {
+	err = d.call("list", dir, func(bool) error {
+		for name := range d.names {
+			names = append(names, strings.TrimPrefix(name, dir+"/"))
+		}
+		slices.Sort(names)
+		return nil
+	})
+	return names, err
+}
+
+func (d *faultDisk) Read(name string) (b []byte, err error) {
+	err = d.call("read", name, func(bool) error {
+		i := d.names[name]
+		if i == nil {
+			return fs.ErrNotExist
+		}
+		b = slices.Clone(i.data)
+		return nil
+	})
+	return b, err
+}
+
+type faultFile struct {
+	*inode
+	d    *faultDisk
+	name string
+}
+
+func (d *faultDisk) Create(name string) (File, error) {
+	f := &faultFile{d: d, name: name}
+	err := d.call("create", name, func(bool) error {
+		if f.inode = d.names[name]; f.inode == nil {
+			f.inode = &inode{}
+			d.names[name] = f.inode
+		}
+		f.data, f.states = nil, nil
+		d.most = max(d.most, len(d.names))
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+func (f *faultFile) Write(b []byte) (n int, err error) {
+	err = f.d.call("write", f.name, func(half bool) error {
+		if n = len(b); half {
+			n /= 2
+		}
+		f.data = append(f.data, b[:n]...)
+		f.states = append(f.states, make([]state, n)...)
+		f.d.bytes += n
+		return nil
+	})
+	return n, err
+}
+
+func (f *faultFile) Sync() error {
+	return f.d.call("sync", f.name, func(bool) error {
+		to := safe
+		if f.d.planned(f.name, "sync") {
+			to = lost
+		}
+		for i, s := range f.states {
+			if s == dirty {
+				f.states[i] = to
+			}
+		}
+		return nil
+	})
+}
+
+// planned tells whether the call under way fails.
+func (d *faultDisk) planned(name, call string) bool {
+	f := d.plan(d.calls, call, filepath.Base(name))
+	return f == fails || f == half || f == killedHalf
+}
+
+func (f *faultFile) Close() error {
+	return f.d.call("close", f.name, func(bool) error { return nil })
+}
+
+func (d *faultDisk) Rename(from, to string) error {
+	return d.call("rename", to, func(bool) error {
+		if was := d.synced[to]; was != nil {
+			d.gone[to] = was
+		}
+		d.forget(to)
+		d.names[to] = d.names[from]
+		d.unlink(from)
+		return nil
+	})
+}
+
+func (d *faultDisk) Remove(name string) error {
+	return d.call("remove", name, func(bool) error {
+		if d.names[name] == nil {
+			return fs.ErrNotExist
+		}
+		d.unlink(name)
+		return nil
+	})
+}
+
+// unlink takes a name away, which a power cut may bring back.
+func (d *faultDisk) unlink(name string) {
+	if was := d.synced[name]; was != nil {
+		d.gone[name] = was
+	}
+	d.forget(name)
+	delete(d.names, name)
+}
+
+// forget makes a lost name one that the next sync of the folder brings to the disk: it changes again.
+func (d *faultDisk) forget(name string) {
+	if d.synced[name] == nil {
+		delete(d.synced, name)
+	}
+}
+
+func (d *faultDisk) SyncFolder(dir string) error {
+	return d.call("sync folder", dir, func(bool) error {
+		bad := d.planned(dir, "sync folder")
+		for name, i := range d.names {
+			if _, known := d.synced[name]; !known || !bad && d.synced[name] != nil {
+				if d.synced[name] = i; bad {
+					d.synced[name] = nil
+				}
+			}
+		}
+		if !bad {
+			clear(d.gone)
+			maps.DeleteFunc(d.synced, func(name string, _ *inode) bool { return d.names[name] == nil })
+		}
+		return nil
+	})
+}
+
+// after gives what the next life finds. The power's cut leaves of bytes that were never synced none, or all but those lost; of
+// names removed and not synced none, or all.
+func (d *faultDisk) after(cut, more bool) *faultDisk {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	next := newFaultDisk(func(int, string, string) fault { return fine })
+	names := maps.Clone(d.names)
+	if cut {
+		if !more {
+			names = map[string]*inode{}
+			for name, i := range d.synced {
+				if i != nil && (d.names[name] != nil || d.gone[name] != nil) {
+					names[name] = i
+				}
+			}
+		}
+		maps.Copy(names, d.gone)
+	}
+	for name, i := range names {
+		b := slices.Clone(i.data)
+		end := 0
+		for at, s := range i.states {
+			if cut && (s == lost || s == dirty && !more) {
+				b[at] = 0
+			} else {
+				end = at + 1
+			}
+		}
+		if cut && !more {
+			b = b[:end]
+		}
+		copied := &inode{data: b, states: slices.Repeat([]state{safe}, len(b))}
+		next.names[name], next.synced[name] = copied, copied
+	}
+	return next
+}
+
+func (d *faultDisk) String() string {
+	var b strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(d.names)) {
+		fmt.Fprintf(&b, "%s %d ", filepath.Base(name), len(d.names[name].data))
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/memory/kill_test.go
@@ -0,0 +1,272 @@
+package memory
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"hollymast/control"
+)
+
+// appended is one round that a life handed over.
+type appended struct {
+	*Round
+	es []Entry
+}
+
+// closed tells of a channel.
+func closed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
+const earlierAt, outdatedAt = 100 * minute, 10 * minute
+
+// earlierLife leaves files of a life before: one whose time is over, one that counts, and one with nothing in it.
+func earlierLife(d *faultDisk) (counts []Entry) {
+	counts = []Entry{{Execution, earlierAt, 7, 1}, {Unrun, earlierAt + 1, 7, 1}}
+	for name, b := range map[string][]byte{
+		"journal-00000001": appendFrame([]byte(journalMagic), []Entry{{Execution, outdatedAt, 9, 1}}),
+		"journal-00000002": appendFrame([]byte(journalMagic), counts),
+		"journal-00000003": []byte(journalMagic)[:5],
+	} {
+		i := &inode{data: b, states: slices.Repeat([]state{safe}, len(b))}
+		d.names["dir/"+name], d.synced["dir/"+name] = i, i
+	}
+	return counts
+}
+
+func tested(d *faultDisk, sync Sync, failed func(error)) JournalOptions {
+	return JournalOptions{Files: d, Sync: sync, Keep: 10 * minute, Most: 1 << 20, Full: 300, Failed: failed, Said: func(string) {}, Pause: time.Microsecond}
+}
+
+// live opens a journal on a disk and hands over rounds, some of which wait for the one before, until all is done or it was killed.
+func live(d *faultDisk, sync Sync, rounds int) (all []appended) {
+	j, _, _, err := tested(d, sync, func(error) {}).Open("dir")
+	if err != nil {
+		return nil
+	}
+	for i := range rounds {
+		at := control.Micros(earlierAt + 10 + i)
+		es := []Entry{{Execution, at, Mark(i + 100), 1}, {ToCold, at, 0, control.ServerID(i)}, {Taken, at, 1, 0}}[:1+i%3]
+		r := j.Append(es...)
+		all = append(all, appended{r, es})
+		if i%4 == 3 { // the next comes while this one is on its way
+			continue
+		}
+		select {
+		case <-r.Done():
+		case <-d.dead:
+		case <-time.After(20 * time.Second):
+			panic(fmt.Sprintf("a round never ended: %+v, %s", j, d))
+		}
+	}
+	j.Close()
+	return all
+}
+
+// judge checks what the next life knows after a kill or a power cut: all that was told as kept, each entry once, in its order,
+// and nothing else; and that this one can write on.
+func judge(after *faultDisk, sync Sync, cut bool, earlier []Entry, all []appended) error {
+	j, got, _, err := tested(after, sync, func(error) {}).Open("dir")
+	if err != nil {
+		return err
+	}
+	got = slices.DeleteFunc(got, func(e Entry) bool { return e.At <= outdatedAt })
+	want := slices.Clone(earlier)
+	var maybe []Entry
+	for _, a := range all {
+		maybe = append(maybe, a.es...)
+		if owed := closed(a.done) && a.err == nil && (!cut || sync != Never) || closed(a.written) && !a.lost && !cut; owed {
+			want = append(want, a.es...)
+		}
+	}
+	maybe = slices.Concat(earlier, maybe)
+	at := 0
+	for _, e := range got {
+		i := slices.Index(maybe[at:], e)
+		if i < 0 {
+			return fmt.Errorf("%+v is found twice, out of its order, or from nowhere", e)
+		}
+		at += i + 1
+	}
+	for _, e := range want {
+		if !slices.Contains(got, e) {
+			return fmt.Errorf("%+v was told as kept and is lost", e)
+		}
+	}
+	r := j.Append(Entry{Execution, earlierAt + 1000, 1000, 1})
+	<-r.Done()
+	j.Close()
+	j, more, _, err := tested(after, sync, func(error) {}).Open("dir")
+	if err != nil {
+		return err
+	}
+	j.Close()
+	if more = slices.DeleteFunc(more, func(e Entry) bool { return e.At <= outdatedAt }); len(more) != len(got)+1 {
+		return fmt.Errorf("%d entries, and one more made %d", len(got), len(more))
+	}
+	return nil
+}
+
+// afterwards judges all that may be left.
+func afterwards(d *faultDisk, sync Sync, earlier []Entry, all []appended) error {
+	for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
+		if err := judge(d.after(left.cut, left.more), sync, left.cut, earlier, all); err != nil {
+			return fmt.Errorf("power cut %t, with what was not synced %t: %w; %s", left.cut, left.more, err, d)
+		}
+	}
+	return nil
+}
+
+var syncs = map[string]Sync{"never": Never, "grouped": Grouped, "each": Each}
+
+// A kill or a power cut at each call, before, within and after it, loses nothing that was told as kept.
+func TestJournalKilledAtEachCall(t *testing.T) {
+	for name, sync := range syncs {
+		t.Run(name, func(t *testing.T) {
+			bad := 0
+			for at, more := 1, true; more; at++ {
+				for _, f := range []fault{killedBefore, killedHalf, killedAfter} {
+					d := newFaultDisk(func(n int, _, _ string) fault {
+						if n == at {
+							return f
+						}
+						return fine
+					})
+					earlier := earlierLife(d)
+					all := live(d, sync, 12)
+					more = d.killed()
+					if err := afterwards(d, sync, earlier, all); err != nil {
+						if bad++; bad < 5 {
+							t.Errorf("killed at call %d (%d): %v", at, f, err)
+						}
+					}
+				}
+			}
+			if bad > 0 {
+				t.Errorf("%d kills lost something", bad)
+			}
+		})
+	}
+}
+
+// Each call fails once, for a while, with all of its kind or each second time, wholly or half carried out; then the life ends by a
+// kill or a power cut. Nothing told as kept is lost, all rounds end, and no more than one stray is left.
+func TestJournalWithEachCallFailing(t *testing.T) {
+	for name, sync := range syncs {
+		t.Run(name, func(t *testing.T) {
+			bad, runs := 0, 0
+			for _, kind := range []string{"", "create", "write", "sync", "remove", "sync folder", "close", "rename"} {
+				for _, long := range []int{1, 3, 40} {
+					for _, f := range []fault{fails, half} {
+						for at := 1; at < 60; at += min(long, 4) {
+							d := newFaultDisk(func(n int, call, _ string) fault {
+								if n >= at && n < at+long && (kind == "" && call != "list" && call != "read" || call == kind) {
+									return f
+								}
+								return fine
+							})
+							d.err = []error{syscall.ENOSPC, syscall.EIO}[at%2]
+							earlier := earlierLife(d)
+							all := live(d, sync, 12)
+							runs++
+							err := afterwards(d, sync, earlier, all)
+							for i, a := range all {
+								if err == nil && (!closed(a.done) || a.err != nil) && i < len(all)-1 {
+									err = fmt.Errorf("round %d: %v", i, a.err)
+								}
+							}
+							if left := strays(d); err == nil && left > 1 && at+long < d.calls {
+								err = fmt.Errorf("%d strays: %s", left, d)
+							}
+							if err != nil {
+								if bad++; bad < 5 {
+									t.Errorf("%q fails from call %d, %d times (%d): %v", kind, at, long, f, err)
+								}
+							}
+						}
+					}
+				}
+			}
+			if bad > 0 {
+				t.Errorf("%d of %d runs failed", bad, runs)
+			}
+		})
+	}
+}
+
+// strays counts files with no entry in them.
+func strays(d *faultDisk) (n int) {
+	for _, i := range d.names {
+		if es, _ := ReadJournal(i.data); len(es) == 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// However long a folder fails, in whatever way, it never holds more than one stray beside the file that is tried.
+func TestFailingMinutesLeaveNoStrays(t *testing.T) {
+	for _, kinds := range []string{"create", "write", "sync", "sync folder", "write remove", "sync remove", "sync folder remove",
+		"sync remove rename", "write remove rename", "sync folder remove rename"} {
+		t.Run(kinds, func(t *testing.T) {
+			const long = 600
+			d := newFaultDisk(func(n int, call, _ string) fault {
+				if n > 20 && n < 20+long && slices.Contains(strings.Fields(strings.Replace(kinds, "sync folder", "folder", 1)), strings.Replace(call, "sync folder", "folder", 1)) {
+					return fails
+				}
+				return fine
+			})
+			earlier := earlierLife(d)
+			all := live(d, Grouped, 12)
+			if err := afterwards(d, Grouped, earlier, all); err != nil {
+				t.Error(err)
+			}
+			for i, a := range all {
+				if !closed(a.done) || a.err != nil {
+					t.Errorf("round %d: %v", i, a.err)
+				}
+			}
+			if n := strays(d); d.calls < 20+long || n > 1 || d.most > 12 {
+				t.Errorf("%d calls; %d strays, %d files at once: %s", d.calls, n, d.most, d)
+			}
+		})
+	}
+}
+
+// Kills at chosen bytes of what is written, with syncs that fail by chance before them: 500 lives, each on what the one before left.
+func TestJournalKilledAtChosenBytes(t *testing.T) {
+	for seed := range uint64(500) {
+		chance := rand.New(rand.NewPCG(seed, 3))
+		var d *faultDisk
+		failing := make([]bool, 2000)
+		for i := range failing {
+			failing[i] = chance.IntN(5) == 0
+		}
+		until, sync := chance.IntN(2500), []Sync{Grouped, Each}[seed%2]
+		plan := func(n int, call, _ string) fault {
+			switch {
+			case call == "write" && d.bytes >= until:
+				return killedHalf
+			case call == "sync" && n < len(failing) && failing[n]:
+				return fails
+			}
+			return fine
+		}
+		d = newFaultDisk(plan)
+		earlier := earlierLife(d)
+		all := live(d, sync, 30)
+		if err := afterwards(d, sync, earlier, all); err != nil {
+			t.Fatalf("seed %d, killed after %d bytes: %v", seed, until, err)
+		}
+	}
+}
