--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,6 +52,7 @@
 	storm      *storm.Watch               // nil: storms are not damped
 	counted    *counted                   // the tally, for others; nil: it is not reported
 	keeper     *keeper                    // nil: nothing outlasts this run
+	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
 	between    []func(now control.Micros) // to be called after the turn
 	clock      control.Micros             // of the turn under way
 	listAsOf   control.Micros             // as of when the list that this turn chooses from was complete
@@ -136,7 +137,9 @@
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.Start(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
-		if g.keeper = openKeeper(told, g.epoch, module, log); g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
+		g.keeper, g.unknown = openKeeper(told, g.epoch, module, log)
+		g.metrics.journal(g.keeper)
+		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
 			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
 		}
 	}
@@ -439,6 +442,13 @@
 		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
 		return
 	}
+	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
+		j.state.Give()
+		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		g.metrics.answered("pushed back")
+		g.metrics.unrecorded.Inc()
+		return
+	}
 	w := g.told.Deployment.Workloads[p.Workload]
 	limit := w.TimeLimit
 	if ask.Timeout > 0 {
@@ -541,7 +551,7 @@
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
-	if g.keeper != nil {
+	if g.keeper != nil && g.told.Deployment.LoadWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -40,13 +40,22 @@
 // journalMost bounds a journal's files: with the usual marks_for and marks_most the bound of marks comes first.
 const journalMost = 256 << 20
 
+// forever is a time that no router sees.
+const forever = control.Micros(1) << 60
+
 // openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
-// router from starting: it then runs without and says so; nil where nothing may be written.
-func openKeeper(told *Told, now control.Micros, module *control.Router, log zerolog.Logger) *keeper {
-	unlock, err := memory.Lock(told.MemoryDir)
+// router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
+// life sent may be owed and is not known, since the folder failed.
+func openKeeper(told *Told, now control.Micros, module *control.Router, log zerolog.Logger) (k *keeper, unknown control.Micros) {
+	files := told.files
+	if files == nil {
+		files = memory.System{}
+	}
+	var unlock func()
+	err := memory.Patiently(startPause, func() (err error) { unlock, err = memory.Lock(told.MemoryDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
-		return nil
+		return nil, unknownAfter(err)
 	}
 	store, found := memory.Look(memory.Folder(told.MemoryDir), told.owner())
 	for _, line := range found.Told {
@@ -61,13 +70,13 @@
 	}
 	if !found.Write {
 		unlock()
-		return nil
+		return nil, 0
 	}
-	k := &keeper{usual: usual, age: now - learned.Saved, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
-	journal, entries, lines, err := memory.JournalOptions{Files: memory.System{}, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost,
+	k = &keeper{usual: usual, age: now - learned.Saved, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
+	journal, entries, lines, err := memory.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost,
 		Failed: func(err error) {
 			if err != nil {
-				log.Error().Err(err).Msg("the journal can't be written: what is sent now is not known after a restart")
+				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
 			} else {
 				log.Info().Msg("the journal is written again")
 			}
@@ -79,9 +88,12 @@
 	k.marks = memory.Recalled(learned, entries, micros(told.MarksFor), told.MarksMost)
 	module.Recall(now, learned)
 	if err != nil {
-		log.Error().Err(err).Msg("no memory: no journal can be begun; nothing is kept")
+		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
 		unlock()
-		return nil
+		return nil, unknownAfter(err)
+	}
+	if journal.Unread() {
+		unknown = now + micros(told.MarksFor)
 	}
 	log.Info().Int("marks", k.marks.Len()).Int("entries", len(entries)).Msg("journal read")
 	k.Journal = journal
@@ -89,7 +101,31 @@
 		k.tally, k.useKept = history.NewTally(), make(chan struct{})
 		k.uses = history.NewStore(filepath.Join(told.MemoryDir, HistoryFile), int64(told.HistoryRows))
 	}
-	return k
+	return k, unknown
+}
+
+// startPause is the first between tries to open a folder.
+const startPause = 5 * time.Millisecond
+
+// unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
+// one that is no folder of ours never did.
+func unknownAfter(err error) control.Micros {
+	if memory.Passing(err) {
+		return forever
+	}
+	return 0
+}
+
+// unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
+func (g *Gateway) unrecorded(now control.Micros, mark memory.Mark) string {
+	switch {
+	case mark == 0:
+	case g.keeper != nil && g.keeper.Failing():
+		return "the journal can't be written, and what is sent must be known after a restart"
+	case now < g.unknown:
+		return "the journal could not be read, and what was sent before the restart is not known"
+	}
+	return ""
 }
 
 // owner names this router and what the ids in its memory hang on.
@@ -225,8 +261,9 @@
 	}
 }
 
-// kept waits until a sending is in the journal: a marked job on the disk itself, what counts for seconds with the kernel. A journal that fails keeps nobody waiting: that it does was said. False
-// tells that the sending was withdrawn meanwhile, or that the disk stood still.
+// kept waits until a sending is in the journal: a marked job on the disk itself, what counts for seconds with the kernel. While the
+// journal fails it waits too, since what goes out unrecorded is not known after a kill. False tells that it was withdrawn
+// meanwhile, that the disk stood still or failed for too long, or that too much waits for it.
 func (s *sending) kept(now control.Micros) bool {
 	if s.round == nil {
 		return true
@@ -235,13 +272,18 @@
 	wait := attempt.KeepWait(now, s.until, micros(time.Until(s.deadline)))
 	timer := time.NewTimer(span(wait))
 	defer timer.Stop()
-	done := s.round.Written()
 	if s.job != nil && s.job.kept != 0 {
-		done = s.round.Done()
+		select {
+		case <-s.round.Done():
+			return s.round.Err() == nil
+		case <-timer.C:
+		case <-s.ctx.Done():
+		}
+		return false
 	}
 	select {
-	case <-done:
-		return true
+	case <-s.round.Written():
+		return !s.round.Lost()
 	case <-timer.C:
 	case <-s.ctx.Done():
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -19,6 +19,7 @@
 	late, turnedAway      prometheus.Counter
 	turn                  prometheus.Histogram
 	damped                *prometheus.CounterVec
+	unrecorded            prometheus.Counter
 	storm                 prometheus.Gauge
 	byResult              [control.Missing + 1]prometheus.Counter
 }
@@ -47,11 +48,12 @@
 			Help: "Jobs pushed back in a storm, by its kind."}, []string{"kind"}),
 		storm:      gauge("storm", "The storm that is on: 0 none, 1 retry wave, 2 return, 3 woken, 4 one tenant, 5 reconnect rush."),
 		late:       count("late_answers_total", "Answers dropped because their job had its final answer."),
+		unrecorded: count("journal_refused_total", "Jobs pushed back because the journal can't keep what a restart must know of them."),
 		turnedAway: count("connections_turned_away_total", "Client connections beyond the bound."),
 		turn: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "hollymast_turn_seconds", Help: "Time of a turn.",
 			Buckets: prometheus.ExponentialBuckets(10e-6, 2, 14)}), // 10 us to 80 ms
 	}
-	m.registry.MustRegister(m.answers, m.executions, m.inHand, m.held, m.servers, m.orders, m.loads, m.late, m.turnedAway, m.turn, m.damped, m.storm,
+	m.registry.MustRegister(m.answers, m.executions, m.inHand, m.held, m.servers, m.orders, m.loads, m.late, m.turnedAway, m.turn, m.damped, m.storm, m.unrecorded,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	for r := range m.byResult {
 		m.byResult[r] = m.executions.WithLabelValues(resultNames[r])
@@ -59,6 +61,17 @@
 	return m
 }
 
+// journal counts what fails of a router's journal.
+func (m *metrics) journal(k *keeper) {
+	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "hollymast_journal_failures_total",
+		Help: "Writes and syncs of the journal that failed."}, func() float64 {
+		if k == nil {
+			return 0
+		}
+		return float64(k.Failures())
+	}))
+}
+
 func (m *metrics) answered(word string) { m.answers.WithLabelValues(word).Inc() }
 
 func (m *metrics) executed(r control.Result) { m.byResult[r].Inc() }
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -46,10 +46,11 @@
 	RecordDir string // folder for recordings; empty: none
 	Record    record.Bounds
 
-	MemoryDir   string        // folder for what is learned; empty: none
-	MemoryEvery time.Duration // between two writings
-	MarksFor    time.Duration // how long a client's mark of a job that may have run is known
-	MarksMost   int           // and how many of them
+	MemoryDir   string            // folder for what is learned; empty: none
+	files       memory.FileSystem // of that folder; nil: the machine's
+	MemoryEvery time.Duration     // between two writings
+	MarksFor    time.Duration     // how long a client's mark of a job that may have run is known
+	MarksMost   int               // and how many of them
 	Journal     memory.Sync
 	HistoryRows int // kept at most of the history of use; 0: none
 
--- a/internal/memory/journal.go
+++ b/internal/memory/journal.go
@@ -176,6 +176,7 @@
 	JournalOptions
 	dir string
 
+	unread   bool // a file, at the start
 	failing  atomic.Bool
 	failures atomic.Int64
 
@@ -258,9 +259,9 @@
 
 // Open is OpenJournal.
 func (o JournalOptions) Open(dir string) (j *Journal, es []Entry, told []string, err error) {
-	o.Full = cmp.Or(o.Full, fileSize)
+	o.Full, o.Pause = cmp.Or(o.Full, fileSize), cmp.Or(o.Pause, firstPause)
 	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		toSync: make(chan File, 1), synced: make(chan error, 1), pause: cmp.Or(o.Pause, firstPause), retry: time.NewTimer(0)}
+		toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.Pause, retry: time.NewTimer(0)}
 	<-j.retry.C
 	if es, told, err = j.read(); err != nil {
 		return nil, nil, told, err
@@ -277,8 +278,8 @@
 
 // read gives what all files hold, oldest first.
 func (j *Journal) read() (es []Entry, told []string, err error) {
-	names, err := j.Files.Names(j.dir)
-	if err != nil {
+	var names []string
+	if err := Patiently(j.Pause, func() (err error) { names, err = j.Files.Names(j.dir); return err }); err != nil {
 		return nil, nil, err
 	}
 	var last []frame             // of the files before
@@ -288,9 +289,10 @@
 			continue
 		}
 		j.number = max(j.number, number)
-		b, err := j.Files.Read(filepath.Join(j.dir, name))
+		b, err := j.readFile(name)
 		if err != nil {
 			told = append(told, fmt.Sprintf("%s: %v: it is passed over", name, err))
+			j.unread = j.unread || Passing(err)
 			continue
 		}
 		frames, err := readFrames(b)
@@ -315,6 +317,18 @@
 	return es, told, nil
 }
 
+// readFile reads a file, with patience for the first that fails only: a start may not take long.
+func (j *Journal) readFile(name string) (b []byte, err error) {
+	read := func() (err error) { b, err = j.Files.Read(filepath.Join(j.dir, name)); return err }
+	if j.unread {
+		return b, read()
+	}
+	return b, Patiently(j.Pause, read)
+}
+
+// Unread tells that a file could not be read at the start: what stands in it is still owed, and not known.
+func (j *Journal) Unread() bool { return j.unread }
+
 // again tells how many of a file's first frames stand in the files before: what was not synced in a file that was abandoned was
 // written again, frame by frame, at the beginning of the next.
 func again(before, frames []frame) int {
@@ -548,7 +562,7 @@
 	j.abandon()
 	j.pausing = true
 	j.retry.Reset(j.pause)
-	j.pause = min(2*j.pause, mostPauses*cmp.Or(j.Pause, firstPause))
+	j.pause = min(2*j.pause, mostPauses*j.Pause)
 }
 
 // well takes in that all is kept.
@@ -556,7 +570,7 @@
 	if j.file == nil || len(j.unwritten)+len(j.unsynced) > 0 {
 		return
 	}
-	j.pause = cmp.Or(j.Pause, firstPause)
+	j.pause = j.Pause
 	if !j.failing.Swap(false) {
 		return
 	}
--- a/internal/memory/kill_test.go
+++ b/internal/memory/kill_test.go
@@ -270,3 +270,35 @@
 		}
 	}
 }
+
+// A file that can't be read for a moment at a start is read; one that can't for longer is passed over, which is told.
+func TestJournalThatCannotBeReadAtAStart(t *testing.T) {
+	for times, want := range map[int]int{0: 3, 1: 3, startTries - 1: 3, startTries + 3: 0} {
+		failed := 0
+		d := newFaultDisk(nil)
+		d.plan = func(_ int, call, name string) fault {
+			if call == "read" && name == "journal-00000002" && failed < times {
+				failed++
+				return fails
+			}
+			return fine
+		}
+		d.err = syscall.EIO
+		earlierLife(d)
+		j, es, told, err := tested(d, Grouped, func(error) {}).Open("dir")
+		if err != nil {
+			t.Fatal(err)
+		}
+		j.Close()
+		lost := want == 0
+		if lost {
+			want = 1 // that of the file before
+		}
+		if len(es) != want || j.Unread() != lost || slices.ContainsFunc(told, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
+			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(es), j.Unread(), told)
+		}
+		if _, is := d.names["dir/journal-00000002"]; !is {
+			t.Error("what was not read was removed")
+		}
+	}
+}
