--- a/internal/memory/kill_test.go
+++ b/internal/memory/kill_test.go
@@ -302,3 +302,46 @@
 		}
 	}
 }
+
+// A kill or power cut at each call of writing the memory, and each call failing for a while, leave the last generation that was
+// told as written, or a later one, whole; and one stray at most.
+func TestMemoryFileWithEachCallFailing(t *testing.T) {
+	bad := 0
+	for at := 1; at < 45; at++ {
+		for _, long := range []int{1, 9} {
+			for _, f := range []fault{fails, half, killedBefore, killedHalf, killedAfter} {
+				for _, sparing := range []string{"", "remove", "rename"} { // calls that do not fail
+					d := newFaultDisk(func(n int, call, _ string) fault {
+						if n >= at && n < at+long && call != sparing && call != "read" {
+							return f
+						}
+						return fine
+					})
+					s, _ := Look(Folder("dir").on(d), ours)
+					told := 0
+					for mark := 1; mark <= 6 && !d.killed(); mark++ {
+						if s.Write(kept(mark)) == nil {
+							told = mark
+						}
+					}
+					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
+						after := d.after(left.cut, left.more)
+						_, found := Look(Folder("dir").on(after), ours)
+						mark, ok := 0, true
+						if found.Kept != nil {
+							mark, ok = whole(found.Kept)
+						}
+						if !ok || mark < told || len(d.names) > 3 || f < killedBefore && at+long+6 < d.calls && told < 6 {
+							if bad++; bad < 5 {
+								t.Errorf("call %d, %d times (%d, but %q), power cut %t, %t: got %d, told %d; %s", at, long, f, sparing, left.cut, left.more, mark, told, d)
+							}
+						}
+					}
+				}
+			}
+		}
+	}
+	if bad > 0 {
+		t.Errorf("%d cases failed", bad)
+	}
+}
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -319,11 +319,12 @@
 	}
 	dir := t.TempDir()
 	chance := rand.New(rand.NewPCG(1, 2))
+	elsewhere := t.TempDir()
 	last, before := 0, 0
 	told := map[Mark]bool{}
 	for i := range kills {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "HOLLYMAST_TEST_WRITE="+dir)
+		cmd.Env = append(os.Environ(), "HOLLYMAST_TEST_WRITE="+dir, "TMPDIR="+elsewhere)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -370,6 +371,13 @@
 			t.Fatalf("the journal lacks %d of %d", mark, last)
 		}
 	}
+	left, err := filepath.Glob(filepath.Join(dir, "*memory*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if hidden, err := os.ReadDir(elsewhere); err != nil || len(hidden) > 0 || len(left) > len(Files)+1 {
+		t.Errorf("%d kills left %d files elsewhere, and %q, %v", kills, len(hidden), left, err)
+	}
 	if last < kills {
 		t.Errorf("only %d generations in %d lives", last, kills)
 	}
--- a/internal/memory/store.go
+++ b/internal/memory/store.go
@@ -7,8 +7,6 @@
 	"os"
 	"path/filepath"
 	"syscall"
-
-	"github.com/google/renameio/v2"
 )
 
 // Disk is a folder of small files.
@@ -37,20 +35,43 @@
 }
 
 // Replace writes a file, syncs it, renames it into place and syncs the folder.
-func (f Folder) Replace(name string, b []byte) error {
-	if err := renameio.WriteFile(filepath.Join(string(f), name), b, 0o600); err != nil {
+func (f Folder) Replace(name string, b []byte) error { return f.on(System{}).Replace(name, b) }
+
+func (f Folder) on(files FileSystem) folder { return folder{files, string(f)} }
+
+// folder is a Folder on any file system.
+type folder struct {
+	files FileSystem
+	dir   string
+}
+
+func (f folder) Read(name string) ([]byte, error) { return f.files.Read(filepath.Join(f.dir, name)) }
+
+// newFile is what a file is called until it is whole. The name is always the same, so that kills and failing writes leave one at most.
+const newFile = "memory-new"
+
+func (f folder) Replace(name string, b []byte) error {
+	fresh := filepath.Join(f.dir, newFile)
+	err := f.write(fresh, b)
+	if err == nil {
+		err = f.files.Rename(fresh, filepath.Join(f.dir, name))
+	}
+	if err != nil {
+		f.files.Remove(fresh) // or the next writing begins it anew
 		return err
 	}
-	return f.sync()
+	return f.files.SyncFolder(f.dir)
 }
 
-func (f Folder) sync() error {
-	dir, err := os.Open(string(f))
+func (f folder) write(path string, b []byte) error {
+	file, err := f.files.Create(path)
 	if err != nil {
 		return err
 	}
-	defer dir.Close()
-	return dir.Sync()
+	if _, err = file.Write(b); err == nil {
+		err = file.Sync()
+	}
+	return errors.Join(err, file.Close())
 }
 
 // Files are the two generations' names; each writing replaces the older.
