--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -29,6 +29,7 @@
 	awaiting bool            // the reader waits between messages
 	dismiss  bool            // it ends as soon as nothing is open
 	short    bool            // and no message is waited for
+	readTo   time.Time       // nothing is read later; zero: no bound
 	faults   int
 	spoke    atomic.Bool   // a whole message was read
 	quiet    atomic.Int64  // since when nothing is open, the router's time
@@ -45,6 +46,8 @@
 	// firstWithin and restWithin bound what a client may take for its first message, from when it connected, and for one
 	// that it has begun. Bad ones are owed an end within 3 s; a usual one sends a message in one piece.
 	firstWithin, restWithin = 2 * time.Second, 2 * time.Second
+	// lastReads is for how long a connection is read on whose end waits no longer, not even for what is open: some last looks.
+	lastReads = 5 * lastLook
 	// idleMost closes connections with nothing open: usual clients do so after 4 s, some never.
 	idleMost = 6 * time.Second
 	// unread is how much may wait for a client to read: the answers to all that it may have open.
@@ -232,6 +235,22 @@
 	}
 }
 
+// endNow has the reader end the connection whatever is open, after last looks for what is here. Guards against clients that go on
+// sending, so that there is always something open.
+func (c *client) endNow() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dismiss, c.readTo = true, time.Now().Add(lastReads)
+	c.conn.SetReadDeadline(time.Now())
+}
+
+// over tells whether nothing more is read.
+func (c *client) over() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.readTo.IsZero() && time.Now().After(c.readTo)
+}
+
 // wake wakes a reader that waits for a message on a connection that may end.
 func (c *client) wake() {
 	if c.dismiss && c.awaiting && c.nothing() {
@@ -248,7 +267,7 @@
 		if !c.spoke.Load() {
 			at = first
 		}
-		if c.dismiss && c.nothing() {
+		if c.dismiss && c.nothing() || !c.readTo.IsZero() {
 			at = time.Now()
 		}
 		c.in.until(at)
@@ -256,7 +275,7 @@
 		err := in.Await()
 		c.mu.Lock()
 		c.awaiting = false
-		nothing := c.nothing()
+		nothing := c.nothing() || !c.readTo.IsZero()
 		c.mu.Unlock()
 		if err == nil {
 			return true
@@ -275,8 +294,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.short:
+	case c.short, !c.readTo.IsZero():
 		c.in.until(time.Now())
+		c.in.looked = !c.readTo.IsZero() && time.Now().After(c.readTo) // only what was read already
 	case !c.spoke.Load():
 		c.in.until(first)
 	default:
@@ -291,7 +311,7 @@
 	in := msgrpc.NewReader(c.in)
 	first := time.Now().Add(firstWithin)
 	for {
-		if !in.Buffered() && !c.await(in, first) {
+		if !in.Buffered() && (c.over() || !c.await(in, first)) {
 			return
 		}
 		c.expect(first)
@@ -311,7 +331,7 @@
 			c.fault()
 			continue
 		case err != nil:
-			if errors.Is(err, os.ErrDeadlineExceeded) {
+			if errors.Is(err, os.ErrDeadlineExceeded) && !c.over() {
 				c.p.count("client closed: no whole message in time")
 				c.end(lingerBad)
 			}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -177,12 +177,52 @@
 
 // A stopping router takes jobs for takesOn: they keep coming for 0.6 s. What comes after 0.7 s must have its answer before it is
 // killed, however long the job would take, so that it is pushed back at once; connections are taken for servesOn, longer, for
-// that answer.
+// that answer, where the kill doesn't come sooner.
 const (
 	takesOn  = 650_000
 	servesOn = 800 * time.Millisecond
 )
 
+// A stopping router is killed no sooner than killAfter and the longest deadline of its settings, of which killCounts counts at most,
+// after it was told to stop. The times before that: connections end from endsBefore on, since on a quarter of a core some hundred
+// take tens of milliseconds, and not before endsFrom, up to when requests come; what is still in hand gets its answer at answersBefore, by which a job taken at takesOn has had its own
+// time; and nothing is read any more from readsBefore on, so that clients which never pause keep no connection open.
+// A job that is only held, and whose client waits beyond the kill, is pushed back holdsBefore it: there is time to be served elsewhere.
+const (
+	killAfter, killCounts = 700_000, 3_000_000
+	endsBefore            = 130_000
+	endsFrom              = 600_000
+	answersBefore         = 50_000
+	readsBefore           = 30_000
+	holdsBefore           = 550_000
+)
+
+// killedFrom is how long after the order to stop the kill may come.
+func killedFrom(d control.Deployment) control.Micros {
+	var longest control.Micros
+	for _, w := range d.Workloads {
+		longest = max(longest, w.TimeLimit)
+	}
+	return killAfter + min(longest, killCounts)
+}
+
+// stopStep is what a stopping router does at its time after the order.
+type stopStep struct {
+	at control.Micros
+	do func()
+}
+
+// stopSteps gives them in their order.
+func (p *Platform) stopSteps() []stopStep {
+	kill := killedFrom(p.told.Deployment)
+	return []stopStep{
+		{min(control.Micros(servesOn/time.Microsecond), max(endsFrom, kill-endsBefore)), p.close},
+		{kill - holdsBefore, p.pushBackHeld},
+		{kill - answersBefore, p.answerAll},
+		{kill - readsBefore, p.readNoMore},
+	}
+}
+
 // Serve routes until the context ends, serves on for a little, gives each job in hand its answer, and returns once every
 // client's connection has ended: each is read until nothing is left on it.
 func (p *Platform) Serve(ctx context.Context) {
@@ -203,7 +243,8 @@
 	}
 	p.ready.Store(true)
 	done, accepted, ending := ctx.Done(), p.accepted, false
-	var last <-chan time.Time
+	var next <-chan time.Time
+	var steps []stopStep
 	var batch []func(control.Micros)
 	told := time.NewTicker(10 * time.Second)
 	defer told.Stop()
@@ -219,11 +260,14 @@
 			p.stopTold = p.now()
 			p.ready.Store(false)
 			p.log.Info().Int("jobs", len(p.jobs)).Msg("stopping: serving on a little, then answering what is in hand")
-			last = time.After(servesOn)
-		case <-last:
-			last = nil
+			steps = p.stopSteps()
+			next = time.After(span(steps[0].at))
+		case <-next:
 			ending = true
-			p.listenNoMore()
+			steps[0].do()
+			if steps = steps[1:]; len(steps) > 0 {
+				next = time.After(span(p.stopTold + steps[0].at - p.now()))
+			}
 		case <-accepted:
 			accepted = nil
 			p.endClients()
@@ -284,6 +328,12 @@
 	p.prune(now)
 }
 
+// close ends the clients' connections, and the listener after those that wait there: they are ended in their turn.
+func (p *Platform) close() {
+	p.listenNoMore()
+	p.endClients()
+}
+
 // listenNoMore has connections accepted that wait already, and no others.
 func (p *Platform) listenNoMore() { p.listener.SetDeadline(time.Now().Add(lastLook)) }
 
@@ -296,6 +346,41 @@
 	}
 }
 
+// readNoMore ends those that are still read, after a last look.
+func (p *Platform) readNoMore() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.clients {
+		c.endNow()
+	}
+}
+
+// pushBackHeld pushes back what was never sent and whose client waits longer than this router can.
+func (p *Platform) pushBackHeld() {
+	kill := p.stopTold + killedFrom(p.told.Deployment)
+	p.giveBack(func(j *job) bool { return len(j.executions) == 0 && j.read+j.ask.Patience > kill-answersBefore })
+}
+
+// answerAll gives all that is in hand its answer: whatever is not answered now meets the kill.
+func (p *Platform) answerAll() { p.giveBack(func(*job) bool { return true }) }
+
+// giveBack ends those jobs in hand that are meant. Of one that was never written none is harmed by trying again.
+func (p *Platform) giveBack(meant func(j *job) bool) {
+	now := p.now()
+	for _, j := range slices.SortedFunc(maps.Values(p.jobs), func(a, b *job) int { return cmp.Compare(a.id, b.id) }) {
+		if j.state.Given || !meant(j) {
+			continue
+		}
+		p.count("ended by the stop")
+		p.core.Left(now, j.id)
+		if slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing }) {
+			p.finish(j, msgrpc.Killed(j.number))
+		} else {
+			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
+		}
+	}
+}
+
 // served tells whether every client's connection has ended, and with them all that was owed.
 func (p *Platform) served() bool {
 	p.mu.Lock()
@@ -343,7 +428,7 @@
 	if j.client.left(j) {
 		return // before this turn
 	}
-	if p.stopTold > 0 && j.read >= p.stopTold+takesOn {
+	if p.stopTold > 0 && now >= p.stopTold+takesOn {
 		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
 		return
 	}
--- /dev/null
+++ b/internal/platform/stop_test.go
@@ -0,0 +1,123 @@
+package platform
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"hollymast/control"
+)
+
+// All times of a stop follow from the longest deadline: before the earliest kill all is answered and closed.
+func TestStopEndsBeforeTheKill(t *testing.T) {
+	const second = 1_000_000
+	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
+		3 * second: 800_000, 30 * second: 800_000} {
+		p := idlePlatform(t)
+		p.told.Deployment.Workloads = []control.Workload{{TimeLimit: longest / 2}, {TimeLimit: longest}}
+		steps := p.stopSteps()
+		kill := 700_000 + min(longest, 3*second)
+		if steps[0].at != ends {
+			t.Errorf("%d: connections end from %d on, want %d", longest, steps[0].at, ends)
+		}
+		for _, s := range steps {
+			if s.at >= kill {
+				t.Errorf("%d: a step at %d, the kill at %d", longest, s.at, kill)
+			}
+		}
+	}
+}
+
+// What is in hand when the kill is near gets its answer: what was never written one that tells to try again.
+func TestStopAnswersWhatIsInHand(t *testing.T) {
+	held := make(chan asked, 1)
+	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	c := r.caller(t)
+	c.call(1, "once")
+	<-held
+	r.box.Tell(func(now control.Micros) { // chosen, and not written yet
+		j := &job{id: 2, number: 2, client: r.jobs[1].client, read: now}
+		j.client.open[2] = j
+		r.jobs[2] = j
+		r.answerAll()
+	})
+	c.expect("1: Aborted")
+	c.expect("2: TryLater")
+}
+
+// Near the kill only those jobs that are held are pushed back, and of those the ones whose client waits beyond it.
+func TestStopPushesBackHeldJobsFirst(t *testing.T) {
+	held := make(chan asked, 1)
+	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	c := r.caller(t)
+	c.call(1, "again")
+	a := <-held
+	r.box.Tell(func(now control.Micros) {
+		r.stopTold = now - killedFrom(r.told.Deployment) + holdsBefore
+		first := r.jobs[1]
+		for n, patience := range map[uint32]control.Micros{2: holdsBefore - answersBefore, 3: holdsBefore - answersBefore + 1} {
+			j := &job{id: control.JobID(n), number: n, client: first.client, read: now}
+			j.ask.Patience = patience
+			first.client.open[n] = j
+			r.jobs[j.id] = j
+		}
+		r.pushBackHeld()
+		if r.jobs[2] == nil || r.jobs[1] == nil {
+			t.Error("more than what is held beyond the kill was pushed back")
+		}
+		r.giveBack(func(j *job) bool { return j.id == 2 })
+		r.stopTold = 0
+	})
+	c.expect("3: TryLater")
+	c.expect("2: TryLater")
+	good(a)
+	c.expect("1: body 1")
+}
+
+// A client that always has something open does not keep its connection: each request has its answer, or comes with the close.
+func TestSteadyClientIsClosed(t *testing.T) {
+	r := start(t, plane(t, 1), worker(t, good))
+	c, ours := r.crossing(t, func(*caller, int, error) {})
+	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
+	var both sync.WaitGroup
+	both.Go(func() {
+		for what := c.heard(); what != "closed"; what = c.heard() {
+			var number int
+			fmt.Sscanf(what, "%d", &number)
+			answered[number] = true
+		}
+	})
+	both.Go(func() {
+		for n := 1; ; n++ {
+			select {
+			case <-done:
+				return
+			case <-time.After(lastLook / 4):
+			}
+			sent[n] = time.Now()
+			c.call(n, "again")
+		}
+	})
+	until(t, "it is answered steadily", func() bool {
+		ours.mu.Lock()
+		defer ours.mu.Unlock()
+		return ours.last > 100
+	})
+	ours.end(lingerIdle)
+	ours.endNow()
+	select {
+	case <-ours.box.written:
+	case <-time.After(time.Second):
+		t.Error("it is open still")
+		ours.conn.Close()
+	}
+	closed := time.Now()
+	close(done)
+	both.Wait()
+	for n, at := range sent {
+		if !answered[n] && closed.Sub(at) > lingerIdle {
+			t.Errorf("request %d, sent %v before the close, has no answer", n, closed.Sub(at))
+		}
+	}
+}
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
@@ -24,6 +25,7 @@
 type Deployment struct {
 	Grace      time.Duration // within which nothing new may go to a server that was told to drain
 	OrdersOnly bool          // model servers load what they are ordered to, and nothing for a request
+	Deadline   time.Duration // after which clients give up; 0: 9 s
 }
 
 // settings are start settings with one restartable class, "again".
@@ -32,13 +34,14 @@
 	if d.OrdersOnly {
 		absent = "miss"
 	}
+	aim, deadline := 8*time.Second, cmp.Or(d.Deadline, 9*time.Second)
 	return fmt.Sprintf(`{"balancers": 1, "tick": 1000, "zones": ["east"],
 	"ceilings": {"cancel": true, "conn_idle": 15000000, "connect_timeout": 250000, "max_retry_after": 2000000, "retry_after": true,
 		"streams_per_conn": 100, "try_limit": 3},
-	"classes": [{"name": "again", "aim": 8000000, "hard_limit": 9000000, "importance": 1, "semantics": "pure", "window": 0}],
+	"classes": [{"name": "again", "aim": %d, "hard_limit": %d, "importance": 1, "semantics": "pure", "window": 0}],
 	"contract": {"stop_sending_within": %d}, "customers": [{"name": "acme", "allowance_per_s": 1000}],
 	"specifics": {"when_absent": %q, "linger_idle": 60000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`,
-		d.Grace.Microseconds(), absent)
+		min(aim, deadline/2).Microseconds(), deadline.Microseconds(), d.Grace.Microseconds(), absent)
 }
 
 // Configuration is a router's configuration file. The events are those that it knows at its start.
