--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -137,7 +137,7 @@
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.Start(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
-		g.keeper, g.unknown = openKeeper(told, g.epoch, module, log)
+		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
 		g.metrics.journal(g.keeper)
 		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
 			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -32,6 +32,7 @@
 	log     zerolog.Logger
 	usual   *storm.Usual   // of calls, in the last run; nil: not known
 	age     control.Micros // of that
+	clock   memory.Clock   // of this life
 	last    *memory.Kept   // set before the gateway's end is told
 	lastUse *history.Taken // so too
 	failed  bool
@@ -51,6 +52,7 @@
 	if files == nil {
 		files = memory.System{}
 	}
+	clock := memory.ReadClock(now)
 	var unlock func()
 	err := memory.Patiently(startPause, func() (err error) { unlock, err = memory.Lock(told.MemoryDir); return err })
 	if err != nil {
@@ -63,17 +65,21 @@
 	}
 	learned := &control.Memory{}
 	var usual *storm.Usual
+	var age control.Micros
 	if k := found.Kept; k != nil {
-		learned, usual = k.Module, k.Storm
-		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(now-k.Module.Saved)).Int("functions", len(k.Module.Functions)).
+		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.Saved)
+		if k.Meets(clock, now); k.Module.Saved > 0 {
+			age = now - k.Module.Saved // exactly
+		}
+		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Module.Functions)).
 			Int("servers", len(k.Module.Servers)).Msg("memory of an earlier run recalled")
 	}
 	if !found.Write {
 		unlock()
 		return nil, 0
 	}
-	k = &keeper{usual: usual, age: now - learned.Saved, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
-	journal, entries, lines, err := memory.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost,
+	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
+	journal, entries, lines, err := memory.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost, Clock: clock, Now: now,
 		Failed: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
@@ -85,7 +91,9 @@
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
-	k.marks = memory.Recalled(learned, entries, micros(told.MarksFor), told.MarksMost)
+	if err == nil {
+		k.marks = journal.Past(entries).Recalled(learned, micros(told.MarksFor), told.MarksMost)
+	}
 	module.Recall(now, learned)
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
@@ -165,6 +173,9 @@
 // kept gives what is to outlast this run.
 func (g *Gateway) kept(now control.Micros) *memory.Kept {
 	k := &memory.Kept{Module: g.core.Remember(now)}
+	if g.keeper.clock.Boot != 0 {
+		k.Clock = &g.keeper.clock
+	}
 	if g.storm != nil {
 		usual := g.storm.Remember()
 		k.Storm = &usual
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -232,6 +232,52 @@
 	return f.File.Sync()
 }
 
+// The wall clock was stepped between two lives, in one boot: a run-once job that may have run stays known for its time, and a
+// fingerprinted one's window is that of real time. What another boot sent lies beyond every window, and is known as well.
+func TestRepeatsAfterTheClockWasStepped(t *testing.T) {
+	const hour = 3_600_000_000
+	for _, c := range []struct {
+		name       string
+		step       control.Micros // of the wall clock since
+		boot       bool           // again since
+		booking    string
+		executions int
+	}{
+		{"ahead", hour, false, audit.Finished, 1}, {"back", -hour, false, audit.Finished, 1}, {"by seconds", 5_000_000, false, audit.Finished, 1},
+		{"not at all", 0, false, audit.Finished, 1}, {"another boot", 0, true, audit.PushedBack, 0}, {"another boot, ahead", hour, true, audit.PushedBack, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			told := &Told{Deployment: control.Deployment{Workloads: []control.Workload{{}, {Effect: control.Fingerprinted}, {Effect: control.RunOnce}}}}
+			now := control.Micros(time.Now().UnixMicro()) - c.step
+			clock := memory.ReadClock(now)
+			if c.boot {
+				clock.Boot++
+			}
+			j, _, _, err := memory.JournalOptions{Files: memory.System{}, Sync: memory.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
+				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			elsewhere := fleet.ID("127.0.0.1:9")
+			j.Append(memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Close()
+			f := newFieldChanged(t, remembering(dir), func(t *Told) {
+				booking, _ := t.Match("booking-1")
+				t.Deployment.Workloads[booking.Workload].Window = 60_000_000
+			}, usual(0), usual(1))
+			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
+			}
+			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
+			if got := f.askMarked("ticket", "ticket-1", "sent"); got != audit.Killed || f.began("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
+			}
+		})
+	}
+}
+
 // While the folder fails a marked job that may not repeat is pushed back with the time to come again, others are served, and once
 // it is well all are. What ran is known to the next life at any moment, and both metrics count.
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
--- /dev/null
+++ b/internal/memory/clock.go
@@ -0,0 +1,98 @@
+package memory
+
+import (
+	"os"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+	"golang.org/x/sys/unix"
+
+	"hollymast/control"
+)
+
+// Clock ties the time of a router's life to the machine's clock that counts from its boot, whatever is done to the wall clock. Two
+// lives of one boot measure spans between them by it exactly. Across a boot, or where a clock is not known, only bounds remain.
+type Clock struct {
+	Boot   uint64         // names the boot; 0: not known
+	Offset control.Micros // how far the life's time is ahead of the clock from boot
+}
+
+// ReadClock reads the machine's, at a time of this life.
+func ReadClock(now control.Micros) Clock {
+	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
+	if err != nil || len(boot) == 0 {
+		return Clock{}
+	}
+	var up unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &up) != nil {
+		return Clock{}
+	}
+	return Clock{xxhash.Sum64(boot), now - control.Micros(up.Nano()/1000)}
+}
+
+// ahead tells how far this life's time is ahead of that of an earlier one; sure is false if that can't be told.
+func (c Clock) ahead(earlier Clock) (by control.Micros, sure bool) {
+	return c.Offset - earlier.Offset, c.Boot != 0 && c.Boot == earlier.Boot
+}
+
+// note gives entries that tell a clock, at the beginning of a file: jobs taken, none of them, which mean nothing to a reader that
+// does not know of clocks.
+func (c Clock) note() []Entry {
+	return []Entry{{Kind: Taken, Server: control.ServerID(c.Boot)}, {Kind: Taken, Server: control.ServerID(c.Offset)}}
+}
+
+// noted reads a clock.
+func noted(es []Entry) (c Clock, is bool) {
+	if len(es) != 2 || slices.ContainsFunc(es, func(e Entry) bool { return e.Kind != Taken || e.Mark != 0 || e.At != 0 }) {
+		return c, false
+	}
+	return Clock{uint64(es[0].Server), control.Micros(es[1].Server)}, true
+}
+
+// Past is what a journal tells of earlier lives, in the time of this one.
+type Past struct {
+	Entries []Entry
+	Unsure  int // of so many first ones it is known only that they were made, at the latest now
+	Now     control.Micros
+}
+
+// Meets brings a memory into the time of this life, now. Where only bounds remain, what limits us counts as of just now, and what
+// allows anything, or is only worth something while it is fresh, is dropped. Starts of servers are told by other clocks.
+func (k *Kept) Meets(clock Clock, now control.Micros) {
+	earlier := Clock{}
+	if k.Clock != nil {
+		earlier = *k.Clock
+	}
+	m := k.Module
+	by, sure := clock.ahead(earlier)
+	if !sure || m.Saved+by > now {
+		m.Saved, m.Started, m.Taken, m.Answers = 0, 0, nil, nil
+		m.Orders = slices.Repeat([]control.Micros{now}, len(m.Orders))
+		for i := range m.Servers {
+			m.Servers[i].Sent = slices.Repeat([]control.Micros{now}, len(m.Servers[i].Sent))
+		}
+		return
+	}
+	move := func(ts ...*control.Micros) {
+		for _, t := range ts {
+			*t = max(0, *t+by)
+		}
+	}
+	all := func(ts []control.Micros) {
+		for i := range ts {
+			move(&ts[i])
+		}
+	}
+	move(&m.Saved, &m.Started)
+	for _, ts := range [][]control.Micros{m.Due, m.Orders, m.Taken, m.Answers} {
+		all(ts)
+	}
+	for i := range m.Servers {
+		all(m.Servers[i].Sent)
+	}
+	for _, f := range m.Functions {
+		for i := range f.Copies {
+			move(&f.Copies[i].Used, &f.Copies[i].Since)
+		}
+	}
+}
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -32,6 +32,7 @@
 	Generation uint64 // one more with each writing
 	Module     *control.Memory
 	Storm      *storm.Usual `cbor:",omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Clock      *Clock       `cbor:",omitempty"` // of the life that wrote it; nil: not known
 }
 
 // Errors of Decode.
--- a/internal/memory/journal.go
+++ b/internal/memory/journal.go
@@ -177,6 +177,7 @@
 	dir string
 
 	unread   bool // a file, at the start
+	unsure   int
 	failing  atomic.Bool
 	failures atomic.Int64
 
@@ -219,6 +220,8 @@
 	Failed func(error)    // hears of writing that begins to fail, and nil when it is over
 	Said   func(string)   // hears what else operators should know
 	Pause  time.Duration  // the first after a failure; 0: the usual
+	Clock  Clock          // of this life; unknown: times of earlier lives are taken as they are
+	Now    control.Micros // in its time
 }
 
 // journalFile is a file that is being written.
@@ -261,7 +264,7 @@
 func (o JournalOptions) Open(dir string) (j *Journal, es []Entry, told []string, err error) {
 	o.Full, o.Pause = cmp.Or(o.Full, fileSize), cmp.Or(o.Pause, firstPause)
 	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.Pause, retry: time.NewTimer(0)}
+		newest: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.Pause, retry: time.NewTimer(0)}
 	<-j.retry.C
 	if es, told, err = j.read(); err != nil {
 		return nil, nil, told, err
@@ -296,13 +299,21 @@
 			continue
 		}
 		frames, err := readFrames(b)
-		old := oldFile{name: name, size: int64(len(b)), empty: len(frames) == 0 && strings.HasPrefix(journalMagic, string(b[:min(len(b), len(journalMagic))]))}
-		n := 0
+		old := oldFile{name: name, size: int64(len(b))}
+		var clock Clock
+		if len(frames) > 0 {
+			if c, is := noted(frames[0].entries); is {
+				clock, frames = c, frames[1:]
+			}
+		}
+		n, sure := 0, j.meet(clock, frames)
 		for _, f := range frames {
 			n += len(f.entries)
-			for _, e := range f.entries {
-				old.newest = max(old.newest, e.At)
-			}
+			old.newest = max(old.newest, newest(f.entries))
+		}
+		old.empty = n == 0 && (err == nil || strings.HasPrefix(journalMagic, string(b[:min(len(b), len(journalMagic))])))
+		if j.Now > 0 && !sure && (n > 0 || err != nil) {
+			old.newest = j.Now // it may be as young
 		}
 		if err != nil && len(b) > 0 {
 			told = append(told, fmt.Sprintf("%s: %v after %d entries", name, err, n))
@@ -311,12 +322,34 @@
 		for _, f := range fresh {
 			es = append(es, f.entries...)
 		}
+		if !sure {
+			j.unsure = len(es)
+		}
 		last = append(last[max(0, len(last)-mostOwed):], fresh...)
 		j.old, j.newest = append(j.old, old), max(j.newest, old.newest)
 	}
 	return es, told, nil
 }
 
+// meet brings a file's entries into the time of this life; sure is false where that can't be done.
+func (j *Journal) meet(earlier Clock, frames []frame) (sure bool) {
+	by, sure := j.Clock.ahead(earlier)
+	for _, f := range frames {
+		sure = sure && newest(f.entries)+by <= j.Now
+	}
+	for _, f := range frames {
+		for i := range f.entries {
+			if sure {
+				f.entries[i].At = max(0, f.entries[i].At+by)
+			}
+		}
+	}
+	return sure
+}
+
+// Past gives what was read, in the time of this life.
+func (j *Journal) Past(es []Entry) Past { return Past{es, j.unsure, j.Now} }
+
 // readFile reads a file, with patience for the first that fails only: a start may not take long.
 func (j *Journal) readFile(name string) (b []byte, err error) {
 	read := func() (err error) { b, err = j.Files.Read(filepath.Join(j.dir, name)); return err }
@@ -690,7 +723,11 @@
 
 // head writes what a file begins with, and syncs the folder.
 func (j *Journal) head(f File) error {
-	if _, err := f.Write([]byte(journalMagic)); err != nil {
+	head := []byte(journalMagic)
+	if j.Clock.Boot != 0 {
+		head = appendFrame(head, j.Clock.note())
+	}
+	if _, err := f.Write(head); err != nil {
 		return err
 	}
 	if j.Sync != Never { // so that a disk which fails is not taken for well
@@ -732,26 +769,40 @@
 	j.old = kept
 }
 
-// Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
-// does not hold. With no memory, m is an empty one.
+// Recalled is Past.Recalled of entries whose times are sure.
 func Recalled(m *control.Memory, es []Entry, keep control.Micros, most int) *Marks {
+	return Past{Entries: es}.Recalled(m, keep, most)
+}
+
+// Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
+// does not hold. With no memory, m is an empty one. Of entries whose time is not sure those that limit us count as of now, and those
+// that allow anything don't; what may have run lies beyond every window, and is remembered as long as if it were sent now.
+func (p Past) Recalled(m *control.Memory, keep control.Micros, most int) *Marks {
 	marks := NewMarks(keep, most)
-	for _, e := range es {
+	for i, e := range p.Entries {
+		unsure := i < p.Unsure
+		latest := e.At
+		if unsure {
+			latest = p.Now
+		}
 		switch e.Kind {
 		case Execution:
-			marks.Sent(e.Mark, Sent{e.Server, e.At})
+			if unsure {
+				e.At = 0
+			}
+			marks.add(e.Mark, Sent{e.Server, e.At}, latest)
 		case Unrun:
 			marks.Unrun(e.Mark, e.Server)
 		case Ordered:
-			if e.At > m.Saved {
-				m.Orders = append(m.Orders, e.At)
+			if latest > m.Saved {
+				m.Orders = append(m.Orders, latest)
 			}
 		case Taken:
-			if e.At > m.Saved && len(m.Taken) < many {
+			if !unsure && e.At > m.Saved && len(m.Taken) < many {
 				m.Taken = append(m.Taken, slices.Repeat([]control.Micros{e.At}, int(e.Mark))...)
 			}
 		case ToCold:
-			if e.At <= m.Saved {
+			if latest <= m.Saved {
 				continue
 			}
 			i, known := slices.BinarySearchFunc(m.Servers, e.Server, func(s control.ServerMemory, id control.ServerID) int {
@@ -760,7 +811,7 @@
 			if !known {
 				m.Servers = slices.Insert(m.Servers, i, control.ServerMemory{Server: e.Server})
 			}
-			m.Servers[i].Sent = append(m.Servers[i].Sent, e.At)
+			m.Servers[i].Sent = append(m.Servers[i].Sent, latest)
 		}
 	}
 	return marks
--- a/internal/memory/marks.go
+++ b/internal/memory/marks.go
@@ -13,12 +13,18 @@
 	At     control.Micros // when it was chosen, no later than it was sent
 }
 
+// sent is one with the latest time at which it can have been: that it is remembered from.
+type sent struct {
+	Sent
+	latest control.Micros
+}
+
 // Marks knows of which marked jobs executions may have run, so that a client's repeat is judged with what this router and
 // its earlier lives sent. It is free of I/O and clocks.
 type Marks struct {
 	keep    control.Micros
 	most    int
-	sent    map[Mark][]Sent
+	sent    map[Mark][]sent
 	order   []Mark // by their first sending
 	from    int    // of order: those before are forgotten
 	Dropped int    // marks forgotten before their time, for want of room
@@ -26,16 +32,18 @@
 
 // NewMarks gives an index that remembers each mark for a time after its last sending, and no more than a number of them.
 func NewMarks(keep control.Micros, most int) *Marks {
-	return &Marks{keep: keep, most: most, sent: map[Mark][]Sent{}}
+	return &Marks{keep: keep, most: most, sent: map[Mark][]sent{}}
 }
 
 // Sent notes an execution.
-func (m *Marks) Sent(mark Mark, s Sent) {
+func (m *Marks) Sent(mark Mark, s Sent) { m.add(mark, s, s.At) }
+
+func (m *Marks) add(mark Mark, s Sent, latest control.Micros) {
 	was, known := m.sent[mark]
 	if !known {
 		m.order = append(m.order, mark)
 	}
-	m.sent[mark] = append(was, s)
+	m.sent[mark] = append(was, sent{s, latest})
 }
 
 // Unrun notes the proof that an execution did not run. Of several to one server the last one is meant: they come one
@@ -58,7 +66,7 @@
 		if s.At > now {
 			s.At = 0
 		}
-		out = append(out, s)
+		out = append(out, s.Sent)
 	}
 	return out
 }
@@ -72,9 +80,9 @@
 	for range min(batch, len(m.order)-m.from) {
 		mark := m.order[m.from]
 		was := m.sent[mark]
-		if n := len(was); n > 0 && now < was[n-1].At+m.keep {
+		if n := len(was); n > 0 && now < was[n-1].latest+m.keep {
 			if len(m.sent) <= m.most {
-				if now >= was[0].At+m.keep { // sent again since: it goes to the end
+				if now >= was[0].latest+m.keep { // sent again since: it goes to the end
 					m.order = append(m.order, mark)
 					m.from++
 					continue
