--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -417,3 +417,64 @@
 		t.Errorf("got %+v", u)
 	}
 }
+
+// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
+// is not set aside.
+func TestHistoryOnAFailingDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), HistoryFile)
+	var said strings.Builder
+	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	now := int64(1_800_000_000_000_000)
+	rows := func() []history.Row {
+		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
+	}
+	write := func() {
+		now += 10_000_000
+		o.write(rows(), now)
+	}
+	write()
+	for _, bad := range []func() error{
+		func() error { return os.Mkdir(path, 0o700) },
+		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
+	} {
+		if err := os.Rename(path, path+".well"); err != nil {
+			t.Fatal(err)
+		}
+		if err := bad(); err != nil {
+			t.Fatal(err)
+		}
+		for range damagedTries - 1 {
+			write()
+		}
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(path+".well", path); err != nil {
+			t.Fatal(err)
+		}
+		write()
+	}
+	jobs := int64(0)
+	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
+		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
+	}
+	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
+		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	}
+	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for range damagedTries {
+		write()
+	}
+	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+		t.Errorf("%d jobs more in a new one, %v", jobs, err)
+	}
+	for range 40 {
+		o.batches = append(o.batches, useBatch{1, make([]history.Row, 1000)})
+	}
+	if o.bound(); len(o.batches) > mostOwedRows/1000 {
+		t.Errorf("%d batches wait", len(o.batches))
+	}
+}
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"hollymast/control"
 	"hollymast/internal/history"
 	"hollymast/internal/record"
@@ -61,27 +63,80 @@
 	}
 }
 
+// useOwed is what the history lacks, while it can't be written.
+type useOwed struct {
+	uses    *history.Store
+	log     zerolog.Logger
+	batches []useBatch
+	damaged int // tries in a row that found it so
+	failed  bool
+}
+
+type useBatch struct {
+	number uint64
+	rows   []history.Row
+}
+
+const (
+	// mostOwedRows is some 16 minutes of as many functions as have rows of their own: 8 MB.
+	mostOwedRows = 1 << 14
+	// damagedTries is how often a file has to be found damaged, ten seconds apart, before it is set aside: a disk that can't read
+	// for a moment looks the same.
+	damagedTries = 3
+)
+
+// write adds rows, those first that could not be written before.
+func (o *useOwed) write(rows []history.Row, now int64) {
+	o.batches = append(o.batches, useBatch{uint64(now), rows})
+	err := o.drain(now)
+	if o.damaged++; !errors.Is(err, history.ErrDamaged) {
+		o.damaged = 0
+	}
+	if o.damaged >= damagedTries {
+		o.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
+		if err = o.uses.Aside(now); err == nil {
+			err = o.drain(now)
+		}
+	}
+	switch {
+	case err != nil && !o.failed:
+		o.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
+	case err == nil && o.failed:
+		o.log.Info().Msg("the history is written again")
+	}
+	o.failed = err != nil
+	o.bound()
+}
+
+func (o *useOwed) drain(now int64) error {
+	for len(o.batches) > 0 {
+		if err := o.uses.AddOnce(o.batches[0].rows, now, o.batches[0].number); err != nil {
+			return err
+		}
+		o.batches = o.batches[1:]
+	}
+	return nil
+}
+
+// bound drops the oldest beyond what may wait: the history owes nobody an answer.
+func (o *useOwed) bound() {
+	n := 0
+	for i := len(o.batches) - 1; i >= 0; i-- {
+		if n += len(o.batches[i].rows); n > mostOwedRows {
+			o.batches = o.batches[i+1:]
+			return
+		}
+	}
+}
+
 // keepUse writes the history now and again until the gateway has ended, and then once more.
 func (k *keeper) keepUse(g *Gateway) {
 	defer close(k.useKept)
 	ticker := time.NewTicker(useEvery)
 	defer ticker.Stop()
 	taken := make(chan *history.Taken, 1)
-	failed := false
-	write := func(t *history.Taken) {
-		now := time.Now().UnixMicro()
-		err := k.uses.Add(t.Rows(), now)
-		if errors.Is(err, history.ErrDamaged) {
-			k.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-			if err = k.uses.Aside(now); err == nil {
-				err = k.uses.Add(t.Rows(), now)
-			}
-		}
-		if err != nil && !failed {
-			k.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
-		}
-		failed = err != nil
-	}
+	owed := useOwed{uses: k.uses, log: k.log}
+	write := func(t *history.Taken) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -179,6 +179,49 @@
 	}
 }
 
+// A batch that may stand in the file already counts once, and a later one with the same rows again.
+func TestBatchesCountOnce(t *testing.T) {
+	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
+	rows := []Row{{At: now, Who: Who{"f", ""}, Use: Use{Jobs: 1}}}
+	for _, batch := range []uint64{5, 5, 6, 6, 0, 0} {
+		if err := s.AddOnce(rows, now, batch); err != nil {
+			t.Fatal(err)
+		}
+	}
+	jobs := int64(0)
+	if err := s.Read(0, now+1, func(_ Level, r Row) error { jobs += r.Jobs; return nil }); err != nil || jobs != 4 {
+		t.Errorf("%d jobs, %v", jobs, err)
+	}
+}
+
+// However often a file is found damaged, one a day is kept, and none that was only half begun.
+func TestDamagedFilesDoNotPileUp(t *testing.T) {
+	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
+	for i, size := range []int{20000, 0, 4096, 16384, 20000, 100000} {
+		if err := os.WriteFile(s.path, make([]byte, size), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Aside(now + int64(i)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := os.Stat(s.path); err == nil {
+			t.Error("it still stands")
+		}
+		if left, _ := filepath.Glob(s.path + "*"); len(left) != 1 {
+			t.Errorf("after %d: %q", i, left)
+		}
+	}
+	if err := os.WriteFile(s.path, make([]byte, 20000), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Aside(now + 2*Day); err != nil {
+		t.Fatal(err)
+	}
+	if left, _ := filepath.Glob(s.path + "*"); len(left) != 2 {
+		t.Errorf("a day later: %q", left)
+	}
+}
+
 func BenchmarkAdd(b *testing.B) {
 	tl := NewTally()
 	for i := range int64(60_000) { // a minute of 1000 jobs a second for 1000 functions
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -7,7 +7,11 @@
 	"fmt"
 	"io/fs"
 	"os"
+	"path/filepath"
 	"runtime/debug"
+	"slices"
+	"strconv"
+	"strings"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -31,6 +35,7 @@
 var (
 	metaBucket = []byte("meta")
 	versionKey = []byte("version")
+	batchKey   = []byte("batch") // the last writing's, where it had one
 )
 
 // Errors of a store.
@@ -170,13 +175,27 @@
 }
 
 // Add merges rows of minutes into the file and compacts it, all or nothing.
-func (s *Store) Add(rows []Row, now int64) error {
+func (s *Store) Add(rows []Row, now int64) error { return s.AddOnce(rows, now, 0) }
+
+// AddOnce adds rows that were perhaps added before: a writing that failed at its end may stand in the file. The batch's number
+// tells, unless it is 0; it is to be tried again before another batch.
+func (s *Store) AddOnce(rows []Row, now int64, batch uint64) error {
 	return s.opened(false, func(db *bolt.DB) error {
 		return db.Update(func(tx *bolt.Tx) error {
 			w, err := begin(tx)
 			if err != nil {
 				return err
 			}
+			if batch != 0 {
+				number := binary.BigEndian.AppendUint64(nil, batch)
+				meta := w.Bucket(metaBucket)
+				if bytes.Equal(meta.Get(batchKey), number) {
+					return nil
+				}
+				if err := meta.Put(batchKey, number); err != nil {
+					return err
+				}
+			}
 			for _, r := range rows {
 				if err := w.merge(0, r); err != nil {
 					return err
@@ -283,9 +302,25 @@
 	})
 }
 
-// Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it.
+// half is the size under which a file never held a row: that of its four first pages, the least that a system has.
+const half = 4*4096 + 1
+
+// Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it, but not
+// one that was only half begun, nor more than one a day: a disk that fails for long fills with none.
 func (s *Store) Aside(now int64) error {
-	err := os.Rename(s.path, fmt.Sprintf("%s.damaged-%d", s.path, now))
+	others, err := filepath.Glob(s.path + ".damaged-*")
+	if err != nil {
+		return err
+	}
+	lately := slices.ContainsFunc(others, func(name string) bool {
+		at, err := strconv.ParseInt(name[strings.LastIndexByte(name, '-')+1:], 10, 64)
+		return err == nil && now-at < Day
+	})
+	if info, statErr := os.Stat(s.path); lately || statErr == nil && info.Size() < half {
+		err = os.Remove(s.path)
+	} else {
+		err = os.Rename(s.path, fmt.Sprintf("%s.damaged-%d", s.path, now))
+	}
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
