--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -346,7 +346,7 @@
 	g.listeners[0].(*net.TCPListener).SetDeadline(time.Now().Add(lastAccepts))
 	g.conns.Range(func(c, waiting any) bool {
 		if waiting.(bool) {
-			c.(*rest.Conn).Hurry(lastAccepts) // a request may be on its way
+			c.(*rest.Conn).EndBy(time.Now().Add(lastAccepts)) // a request may be on its way
 		}
 		return true
 	})
--- /dev/null
+++ b/internal/rest/crossing_test.go
@@ -0,0 +1,93 @@
+package rest
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// waits returns once bytes have come on a server's connection.
+func waits(t *testing.T, s *Conn) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); quiet(socket(s.nc)); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("nothing came")
+		}
+	}
+}
+
+// A deadline that passed while the process stood still does not hide what had come: it is read first.
+func TestWhatCameIsReadBeforeADeadlineCounts(t *testing.T) {
+	long := bytes.Repeat([]byte("x"), 3*readBuffer)
+	for name, passed := range map[string]func(*Limits){
+		"idle":   func(l *Limits) { l.IdleTime = time.Nanosecond },
+		"header": func(l *Limits) { l.HeaderTime = time.Nanosecond },
+		"body":   func(l *Limits) { l.BodyTime = time.Nanosecond },
+	} {
+		l := Usual
+		passed(&l)
+		s, nc := served(t, l)
+		io.WriteString(nc, head+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
+		nc.Write(long)
+		waits(t, s)
+		time.Sleep(10 * time.Millisecond) // for the rest of it
+		if q, err := s.Next(); err != nil || len(q.Body) != len(long) {
+			t.Errorf("%s: got %v", name, err)
+		}
+	}
+}
+
+// A connection that is to end soon is told so while a message comes, between two, or while one is awaited: it still gives the
+// message, and ends when nothing comes.
+func TestEndsBetweenMessages(t *testing.T) {
+	s, nc := served(t, Usual)
+	s.EndBy(time.Now()) // before anything is awaited
+	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	waits(t, s)
+	if q, err := s.Next(); err != nil || q.Target != "/1" {
+		t.Errorf("sent before: got %+v, %v", q, err)
+	}
+	if _, err := s.Next(); err != ErrIdle {
+		t.Errorf("nothing sent: got %v", err)
+	}
+
+	begun, client := served(t, Usual)
+	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // it has begun
+	time.AfterFunc(50*time.Millisecond, func() { begun.EndBy(time.Now()) })
+	time.AfterFunc(100*time.Millisecond, func() { io.WriteString(client, "Host: a\r\n\r\n") })
+	if q, err := begun.Next(); err != nil || q.Target != "/2" {
+		t.Errorf("begun before: got %+v, %v", q, err)
+	}
+
+	quiet, _ := served(t, Usual)
+	time.AfterFunc(50*time.Millisecond, func() { quiet.EndBy(time.Now()) })
+	if _, err := quiet.Next(); err != ErrIdle {
+		t.Errorf("while nothing comes: got %v", err)
+	}
+}
+
+// The last answer on a connection is whole at a client that reads slowly and has sent more than is read: a close with
+// something unread would reset the connection, and what of the answer is on the way would be gone.
+func TestLastAnswerIsNotOvertakenByAReset(t *testing.T) {
+	s, nc := served(t, Usual)
+	nc.(*net.TCPConn).SetReadBuffer(16 << 10)
+	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	nc.Write(make([]byte, 200<<10))
+	if _, err := s.Next(); err != nil {
+		t.Fatal(err)
+	}
+	answer := bytes.Repeat([]byte("y"), 48<<10)
+	answered := make(chan error, 1)
+	go func() { answered <- s.Answer(&Response{Status: 400, Body: answer, Close: true}) }()
+	time.Sleep(300 * time.Millisecond)
+	got, err := io.ReadAll(nc)
+	if err != nil || !bytes.HasSuffix(got, answer) {
+		t.Errorf("%d bytes of over %d, %v", len(got), len(answer), err)
+	}
+	nc.Close()
+	if err := <-answered; err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"os"
+	"sync"
 	"syscall"
 	"time"
 )
@@ -16,24 +17,64 @@
 // Conn is the server's side of a connection. One goroutine owns it.
 type Conn struct {
 	nc     net.Conn
+	in     *looking
 	r      *bufio.Reader
 	limits *Limits
 	room   Reserve
 	out    []byte
 	method string // of the request in hand
+
+	mu       sync.Mutex
+	awaiting bool      // the first byte of a request is
+	endBy    time.Time // zero: no end was told
 }
 
 // NewConn serves a connection; room may be nil.
 func NewConn(nc net.Conn, limits *Limits, room Reserve) *Conn {
-	return &Conn{nc: nc, r: bufio.NewReaderSize(nc, readBuffer), limits: limits, room: room}
+	in := &looking{nc: nc}
+	return &Conn{nc: nc, in: in, r: bufio.NewReaderSize(in, readBuffer), limits: limits, room: room}
 }
 
 // Close closes the connection; it may be called from any goroutine.
 func (c *Conn) Close() error { return socket(c.nc).Close() }
 
-// Hurry has a connection that waits for a request wait no longer than this; it is meant for
-// one on which no request has begun. It may be called from any goroutine while Next waits.
-func (c *Conn) Hurry(d time.Duration) { c.nc.SetReadDeadline(time.Now().Add(d)) }
+// EndBy has the connection end once no request has begun on it by a time: Next gives what had come by then, and after that
+// ErrIdle. It may be called from any goroutine, whatever the connection does.
+func (c *Conn) EndBy(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endBy = at
+	if c.awaiting {
+		c.in.until(at)
+	}
+}
+
+// await waits for the first byte of a request.
+func (c *Conn) await() error {
+	c.mu.Lock()
+	at := after(c.limits.IdleTime)
+	if !c.endBy.IsZero() && (at.IsZero() || c.endBy.Before(at)) {
+		at = c.endBy
+	}
+	c.awaiting = true
+	c.in.until(at)
+	c.mu.Unlock()
+	_, err := c.r.Peek(1)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.awaiting = false
+	c.in.until(after(c.limits.HeaderTime))
+	return err
+}
+
+// More tells whether something of a further request is here already.
+func (c *Conn) More() bool {
+	if c.r.Buffered() > 0 {
+		return true
+	}
+	e, ok := glance(socket(c.nc))
+	return ok && e == 0
+}
 
 // ErrIdle is what Next gives for a connection on which no request began in time.
 var ErrIdle = errors.New("idle for too long")
@@ -49,8 +90,7 @@
 // a *Refused is to be answered with its status, a *Distrusted as it says, and both close the connection. Other errors are the
 // connection's.
 func (c *Conn) Next() (*Request, error) {
-	c.nc.SetReadDeadline(after(c.limits.IdleTime))
-	if _, err := c.r.Peek(1); err != nil {
+	if err := c.await(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = ErrIdle
 		}
@@ -61,7 +101,6 @@
 	}
 	c.method = ""
 	began := time.Now()
-	c.nc.SetReadDeadline(after(c.limits.HeaderTime))
 	q, length, err := requestHead(c.r, c.limits)
 	if err != nil {
 		return nil, slow(err, "header")
@@ -82,7 +121,7 @@
 			return nil, err
 		}
 	}
-	c.nc.SetReadDeadline(after(c.limits.BodyTime))
+	c.in.until(after(c.limits.BodyTime))
 	if q.Body, err = body(c.r, length, c.limits, false, c.room); err != nil {
 		return nil, slow(err, "body")
 	}
@@ -120,7 +159,7 @@
 // the watcher is gone.
 func (c *Conn) Watch() (gone <-chan error, stop func()) {
 	left, ended := make(chan error, 1), make(chan struct{})
-	c.nc.SetReadDeadline(time.Time{})
+	c.in.until(time.Time{})
 	go func() {
 		defer close(ended)
 		if _, err := c.r.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -128,7 +167,7 @@
 		}
 	}()
 	return left, func() {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+		c.in.cut()
 		<-ended
 	}
 }
@@ -155,15 +194,26 @@
 	return err
 }
 
-// linger closes a connection so that an answer just written is not lost to a reset for bytes that nobody read.
+// A connection is read on after its last answer until the client closes too, within these bounds: the time is several round
+// trips, the bytes are several times what a usual client has on its way.
+const (
+	lingerTime = 500 * time.Millisecond
+	lingerMost = 256 << 10
+)
+
+// linger closes a connection so that an answer just written is not lost to a reset for bytes that nobody read. Beyond the bound
+// on bytes nothing is read, so that a flood costs nothing, and the close waits all the same.
 func (c *Conn) linger() {
 	if s, ok := c.nc.(interface{ CloseWrite() error }); ok && secret(c.nc) {
 		s.CloseWrite()
 	}
 	nc := socket(c.nc)
 	if t, ok := nc.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		nc.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // several round trips
-		io.CopyN(io.Discard, nc, 64<<10)
+		until := time.Now().Add(lingerTime)
+		nc.SetReadDeadline(until)
+		if _, err := io.CopyN(io.Discard, nc, lingerMost); err == nil {
+			time.Sleep(time.Until(until))
+		}
 	}
 	nc.Close()
 }
