--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -190,12 +190,12 @@
 
 // Client is a conversation with one client.
 type Client struct {
-	First    bool // its first request is awaited
 	Stopping bool
+	More     bool // it has sent further requests ahead
 }
 
-// MayAwait tells whether another request is awaited: a stopping router hears what may be on the way already, and no more.
-func (c Client) MayAwait() bool { return !c.Stopping || c.First }
-
-// CloseAfter tells whether the connection ends with an answer: where either side asked for it, the client is gone, or we stop.
-func (c Client) CloseAfter(ours, theirs, left bool) bool { return ours || theirs || left || c.Stopping }
+// CloseAfter tells whether the connection ends with an answer: where either side asked for it, the client is gone, or we stop and
+// nothing was sent ahead that would then have no answer.
+func (c Client) CloseAfter(ours, theirs, left bool) bool {
+	return ours || theirs || left || c.Stopping && !c.More
+}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -22,8 +22,10 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			l.Close()
+		if errors.Is(err, os.ErrDeadlineExceeded) { // this router stops
+			for _, nc := range closeAccepting(l) {
+				g.welcomed(nc, admin)
+			}
 			return
 		}
 		if err != nil { // out of descriptors, say: connections will end
@@ -31,32 +33,37 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if !admin && g.clients.Load() >= int64(g.told.Connections) {
-			g.metrics.turnedAway.Inc()
-			if g.rings[fromClients] != nil {
-				nc.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
-				continue
-			}
-			go turnAway(nc, g.told.Deployment.MaxStayAway)
-			continue
-		}
-		g.clients.Add(1)
-		g.asked.Add(1)
-		if !admin && g.storm != nil {
-			g.tell(func(now control.Micros) { g.storm.Connected(now) })
+		g.welcomed(nc, admin)
+	}
+}
+
+// welcomed serves a connection that was accepted.
+func (g *Gateway) welcomed(nc net.Conn, admin bool) {
+	if !admin && g.clients.Load() >= int64(g.told.Connections) {
+		g.metrics.turnedAway.Inc()
+		if g.rings[fromClients] != nil {
+			nc.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
+			return
 		}
-		go func() {
-			defer g.asked.Done()
-			defer g.clients.Add(-1)
-			if !admin {
-				var err error
-				if nc, err = g.welcome(nc); err != nil {
-					return
-				}
-			}
-			g.converse(nc, admin)
-		}()
+		go turnAway(nc, g.told.Deployment.MaxStayAway)
+		return
 	}
+	g.clients.Add(1)
+	g.asked.Add(1)
+	if !admin && g.storm != nil {
+		g.tell(func(now control.Micros) { g.storm.Connected(now) })
+	}
+	go func() {
+		defer g.asked.Done()
+		defer g.clients.Add(-1)
+		if !admin {
+			var err error
+			if nc, err = g.welcome(nc); err != nil {
+				return
+			}
+		}
+		g.converse(nc, admin)
+	}()
 }
 
 // turnAway answers a connection beyond the bound before it has asked for anything: nothing was taken, so trying again
@@ -90,21 +97,13 @@
 		g.conns.Delete(c)
 		c.Close()
 	}()
+	g.conns.Store(c, nil)
+	held := g.told.stopTimes().held
 	if g.isStopping() {
-		limits.IdleTime = 5 * lastAccepts // its request is on the way, or there is none
+		c.EndBy(g.sinceStop(held))
 	}
-	for first := true; ; first = false {
-		g.conns.Store(c, true)
-		select {
-		case <-g.ended:
-			return
-		default:
-		}
-		if state := (attempt.Client{First: first, Stopping: g.isStopping()}); !admin && !state.MayAwait() {
-			return
-		}
+	for {
 		q, err := c.Next()
-		g.conns.Store(c, false)
 		if err != nil {
 			var distrusted *rest.Distrusted
 			if errors.As(err, &distrusted) {
@@ -125,15 +124,15 @@
 		}
 		p, left := g.respond(c, q, admin)
 		free()
-		p.Close = attempt.Client{Stopping: g.isStopping()}.CloseAfter(p.Close, q.Close, left)
+		state := attempt.Client{Stopping: g.isStopping()}
+		state.More = state.Stopping && c.More() && time.Now().Before(g.sinceStop(held))
+		p.Close = state.CloseAfter(p.Close, q.Close, left)
 		if c.Answer(p) != nil || p.Close {
 			return
 		}
 	}
 }
 
-func (g *Gateway) isStopping() bool { return g.stopNow.Load() }
-
 // respond answers one request; left tells that its client has closed its side.
 func (g *Gateway) respond(c *rest.Conn, q *rest.Request, admin bool) (p *rest.Response, left bool) {
 	if admin && strings.HasPrefix(q.Target, "/metrics") {
--- /dev/null
+++ b/internal/gateway/crossing_test.go
@@ -0,0 +1,151 @@
+package gateway
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/standin"
+)
+
+// answers reads n answers and tells their first lines.
+func answers(r *bufio.Reader, n int) (lines []string, err error) {
+	for range n {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			return lines, err
+		}
+		lines = append(lines, strings.TrimSpace(line))
+		length := 0
+		for line != "\r\n" {
+			if line, err = r.ReadString('\n'); err != nil {
+				return lines, err
+			}
+			if name, value, ok := strings.Cut(strings.TrimSpace(line), ": "); ok && name == "Content-Length" {
+				for _, digit := range value {
+					length = 10*length + int(digit-'0')
+				}
+			}
+		}
+		if _, err := r.Discard(length); err != nil {
+			return lines, err
+		}
+	}
+	return lines, nil
+}
+
+// Requests that were sent ahead of the stop are answered, each on its turn, and so is one that comes on an open connection
+// some time after it; then the connection ends.
+func TestStopAnswersWhatWasSentAhead(t *testing.T) {
+	m := usual(0)
+	m.Work = 100 * time.Millisecond
+	f := newField(t, m)
+	ahead, r := f.talk()
+	io.WriteString(ahead, text("a", "forecast-1")+text("b", "forecast-1")+text("c", "forecast-1"))
+	for f.inHand() == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	open, later := f.talk()
+	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+	if _, err := answers(later, 1); err != nil {
+		t.Fatal(err)
+	}
+	f.stop()
+	if lines, err := answers(r, 3); err != nil {
+		t.Errorf("sent ahead: got %q, %v", lines, err)
+	}
+	time.Sleep(200 * time.Millisecond)
+	io.WriteString(open, text("d", "forecast-1"))
+	if lines, err := answers(later, 1); err != nil || lines[0] != "HTTP/1.1 503 Service Unavailable" {
+		t.Errorf("sent later: got %q, %v", lines, err)
+	}
+	for name, r := range map[string]*bufio.Reader{"ahead": r, "later": later} {
+		if _, err := r.ReadByte(); err != io.EOF {
+			t.Errorf("%s: then got %v", name, err)
+		}
+	}
+}
+
+// Connections that the kernel has accepted when the router stops are answered, also where the time for that has passed in a
+// standstill, and where no job is in hand.
+func TestStopAnswersWaitingConnections(t *testing.T) {
+	f := newField(t)
+	l, err := listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	nc, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	io.WriteString(nc, text("1", "forecast-1"))
+	l.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
+	f.g.accept(l, false)
+	nc.SetDeadline(time.Now().Add(5 * time.Second))
+	if lines, err := answers(bufio.NewReader(nc), 1); err != nil {
+		t.Errorf("got %q, %v", lines, err)
+	}
+	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
+		t.Error("it still listens")
+	}
+}
+
+func TestStopWithManyNewConnections(t *testing.T) {
+	f := newField(t)
+	var rs []*bufio.Reader
+	for i := range 100 {
+		nc, r := f.talk()
+		if i%2 == 0 { // the others send a little later
+			io.WriteString(nc, text("1", "forecast-1"))
+		} else {
+			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(nc, text("1", "forecast-1")) })
+		}
+		rs = append(rs, r)
+	}
+	f.stop()
+	for i, r := range rs {
+		if _, err := answers(r, 1); err != nil {
+			t.Errorf("connection %d: %v", i, err)
+		}
+	}
+}
+
+// A stopping router's times: requests are awaited for as long as they keep coming, and each job has its answer, and each
+// connection its end, before the router may be killed.
+func TestStopTimes(t *testing.T) {
+	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
+		told := Told{Deployment: control.Deployment{Workloads: []control.Workload{{TimeLimit: 1000}, {TimeLimit: micros(longest)}}}}
+		killed := min(longest, 3*time.Second) + 700*time.Millisecond
+		s := told.stopTimes()
+		if s.held < 600*time.Millisecond || s.answered < s.held || s.closed <= s.answered || s.closed >= killed {
+			t.Errorf("%v: %+v", longest, s)
+		}
+		if longest <= deadlineMost && s.answered < longest+100*time.Millisecond {
+			t.Errorf("%v: a job is cut short: %+v", longest, s)
+		}
+	}
+}
+
+// A job that would take longer than a stopping router has left gets its answer all the same.
+func TestStopAnswersLongJobs(t *testing.T) {
+	f := newField(t, usual(0))
+	f.servers[0].Fail(standin.Faults{Silent: true})
+	nc, r := f.talk()
+	io.WriteString(nc, text("1", "ticket-1"))
+	for f.received("1") == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	f.g.tell(f.g.answerAll)
+	began := time.Now()
+	if lines, err := answers(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
+		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
+	}
+	for f.inHand() > 0 {
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
 	ready      atomic.Bool  // a list was read, and we take jobs
-	stopNow    atomic.Bool
+	stopTold   atomic.Int64 // the router's time at which it was; 0: not
 	dials      chan struct{}
 	refresh    chan chan struct{}       // holds one
 	lookNow    atomic.Bool              // the list is read before the next turn, however young it is
@@ -83,7 +83,7 @@
 	asked      sync.WaitGroup // client connections
 	listeners  []net.Listener
 	listening  sync.WaitGroup
-	conns      sync.Map // *rest.Conn to bool: waiting for a request
+	conns      sync.Map // of *rest.Conn
 	ended      chan struct{}
 }
 
@@ -145,7 +145,7 @@
 		if address == "" {
 			continue
 		}
-		l, err := net.Listen("tcp", address)
+		l, err := listen(address)
 		if err != nil {
 			g.closeListeners()
 			g.keeper.close()
@@ -243,6 +243,7 @@
 	g.timer = time.NewTimer(time.Hour)
 	defer g.timer.Stop()
 	done := ctx.Done()
+	var last <-chan time.Time // when all jobs are to have their answers
 	var batch []func(control.Micros)
 	g.turn(g.now(), nil)
 	for {
@@ -252,6 +253,9 @@
 		case <-done:
 			done = nil
 			g.beginStop()
+			last = time.After(g.told.stopTimes().answered)
+		case <-last:
+			g.tell(g.answerAll)
 		}
 		g.noteStop(g.now() - g.due)
 		g.catchUp()
@@ -333,25 +337,6 @@
 	g.tell(func(control.Micros) {})
 }
 
-// lastAccepts is for how long a stopping router takes connections, to push back what they ask: several times what it takes
-// to accept all that wait.
-const lastAccepts = 20 * time.Millisecond
-
-func (g *Gateway) beginStop() {
-	g.stopping = true
-	g.ready.Store(false)
-	g.stopNow.Store(true)
-	g.log.Info().Int("jobs", len(g.jobs)).Msg("stopping: no new jobs are taken")
-	// What the kernel has accepted by now is still answered: closed at once, the listener would reset it.
-	g.listeners[0].(*net.TCPListener).SetDeadline(time.Now().Add(lastAccepts))
-	g.conns.Range(func(c, waiting any) bool {
-		if waiting.(bool) {
-			c.(*rest.Conn).EndBy(time.Now().Add(lastAccepts)) // a request may be on its way
-		}
-		return true
-	})
-}
-
 // dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
 func (g *Gateway) dropOrders() {
 	for _, p := range g.pools {
@@ -378,7 +363,6 @@
 		g.writer.Close()
 		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
 	}
-	g.closeListeners()
 	g.closePools()
 	settled := make(chan struct{})
 	go func() {
@@ -387,8 +371,8 @@
 		g.links.Wait()
 		close(settled)
 	}()
-	const most = 2 * time.Second // answers are written; only slow readers are left
-	timer := time.NewTimer(most)
+	// Answers are written; only those who may still ask are left, and slow readers.
+	timer := time.NewTimer(time.Until(g.sinceStop(g.told.stopTimes().closed)))
 	defer timer.Stop()
 	select {
 	case <-settled:
