--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -9,6 +9,7 @@
 	"slices"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 
 	"hollymast/control"
@@ -31,11 +32,14 @@
 	short    bool            // and no message is waited for
 	readTo   time.Time       // nothing is read later; zero: no bound
 	faults   int
-	spoke    atomic.Bool   // a whole message was read
-	quiet    atomic.Int64  // since when nothing is open, the router's time
-	linger   time.Duration // how long the other direction is read after all is written
-	gone     chan struct{} // closed once the descriptor is free
-	leaving  atomic.Bool   // all is written; it is only read on
+	away     bool                       // it is read to be turned away, and takes no room
+	refusing func(number uint32) []byte // the reader's: what each further job is told; nil: they are taken
+	owing    bool                       // the reader's: the job that it handles has no answer yet, and is not open
+	spoke    atomic.Bool                // a whole message was read
+	quiet    atomic.Int64               // since when nothing is open, the router's time
+	linger   time.Duration              // how long the other direction is read after all is written
+	gone     chan struct{}              // closed once the descriptor is free
+	leaving  atomic.Bool                // all is written; it is only read on
 	hurried  atomic.Bool
 	now      chan struct{} // closed where it is not read on
 }
@@ -48,6 +52,11 @@
 	firstWithin, restWithin = 2 * time.Second, 2 * time.Second
 	// lastReads is for how long a connection is read on whose end waits no longer, not even for what is open: some last looks.
 	lastReads = 5 * lastLook
+	// mostOnTheWay is all that a usual client may have on the way, half of it with the longest bodies.
+	mostOnTheWay = 256 << 10
+	// awayReads is for how long a connection is read for which there is no room: several times what a request takes behind its
+	// connection. awayMost is how many are at once: of the descriptors that are spare, less than half.
+	awayReads, awayMost = 20 * time.Millisecond, 16
 	// idleMost closes connections with nothing open: usual clients do so after 4 s, some never.
 	idleMost = 6 * time.Second
 	// unread is how much may wait for a client to read: the answers to all that it may have open.
@@ -67,11 +76,12 @@
 	closing = 50 * time.Millisecond
 )
 
-// looking reads from a connection with a deadline. Guards against a deadline that passed while this process stood still:
-// what is here by then is read before the deadline counts, once for each.
+// looking reads from a connection with a deadline. Guards against a deadline that passed while this process stood still, or got
+// no processor: what is here by then is read before the deadline counts, all of it.
 type looking struct {
 	conn   net.Conn
-	looked bool
+	looked bool // nothing was here
+	late   int  // bytes that were read after a deadline
 }
 
 func (l *looking) until(at time.Time) {
@@ -82,13 +92,50 @@
 func (l *looking) Read(b []byte) (int, error) {
 	n, err := l.conn.Read(b)
 	if n == 0 && !l.looked && errors.Is(err, os.ErrDeadlineExceeded) {
-		l.looked = true
-		l.conn.SetReadDeadline(time.Now().Add(lastLook))
-		n, err = l.conn.Read(b)
+		n, err = l.look(b)
+		l.looked = n == 0
+		l.late += n
 	}
 	return n, err
 }
 
+// look reads what is here, without waiting where the connection lets it.
+func (l *looking) look(b []byte) (n int, err error) {
+	socket, ok := l.conn.(syscall.Conn)
+	if !ok {
+		l.conn.SetReadDeadline(time.Now().Add(lastLook))
+		return l.conn.Read(b)
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	const most = 8 // others may have the deadline pass again before the look, and signals interrupt it
+	for tries := 0; tries < most; tries++ {
+		l.conn.SetReadDeadline(time.Now().Add(lastLook))
+		failed := error(nil)
+		err = raw.Read(func(fd uintptr) bool {
+			n, failed = syscall.Read(int(fd), b)
+			return true
+		})
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(failed, syscall.EINTR):
+			n = 0
+			continue
+		case err != nil:
+			return 0, err
+		case errors.Is(failed, syscall.EAGAIN):
+			return 0, os.ErrDeadlineExceeded
+		case failed != nil:
+			return 0, failed
+		case n == 0:
+			return 0, io.EOF
+		}
+		return n, nil
+	}
+	return 0, os.ErrDeadlineExceeded
+}
+
 // accept takes connections until the listener closes, or its deadline passes with none waiting: then it closes it.
 func (p *Platform) accept(l *net.TCPListener) {
 	defer l.Close()
@@ -106,24 +153,47 @@
 			continue
 		}
 		if !p.room() {
-			conn.Close()
 			p.count("client refused: too many connections")
+			p.turnAway(conn)
 			continue
 		}
 		p.welcome(conn)
 	}
 }
 
+// turnAway has a connection read for which there is no room: what it asks is pushed back, and it ends. Guards against requests that
+// are lost on a connection that this machine accepted. So many are read at once; the others wait, unread, for those to end.
+func (p *Platform) turnAway(conn net.Conn) {
+	p.away <- struct{}{}
+	c := p.newClient(conn, true)
+	c.refusing = func(number uint32) []byte {
+		c.end(lingerIdle)
+		return msgrpc.PushedBack(number, p.told.Deployment.MaxStayAway)
+	}
+	c.end(0)
+	c.endBy(awayReads)
+	go func() {
+		c.read()
+		<-p.away
+	}()
+}
+
 // welcome has a connection read.
 func (p *Platform) welcome(conn net.Conn) *client {
-	c := &client{p: p, conn: conn, in: &looking{conn: conn}, open: map[uint32]*job{}, linger: lingerIdle,
+	c := p.newClient(conn, false)
+	go c.read()
+	return c
+}
+
+func (p *Platform) newClient(conn net.Conn, away bool) *client {
+	c := &client{p: p, away: away, conn: conn, in: &looking{conn: conn}, open: map[uint32]*job{}, linger: lingerIdle,
 		gone: make(chan struct{}), now: make(chan struct{})}
 	c.box.most, c.box.conn, c.box.written = unread, conn, make(chan struct{})
 	c.quiet.Store(int64(p.now()))
 	p.mu.Lock()
 	p.clients[c] = struct{}{}
+	p.turned += one(away)
 	p.mu.Unlock()
-	go c.read()
 	return c
 }
 
@@ -132,7 +202,7 @@
 func (p *Platform) room() bool {
 	before := min(early, p.mostClients/4) // three eighths of all descriptors stay: usual clients hold a third
 	p.mu.Lock()
-	over := len(p.clients) + 1 - (p.mostClients - before)
+	over := len(p.clients) - p.turned + 1 - (p.mostClients - before)
 	p.mu.Unlock()
 	if over <= 0 {
 		return true
@@ -167,7 +237,7 @@
 	for c := range p.clients {
 		nothing, ends := c.idle()
 		switch {
-		case !nothing:
+		case !nothing || c.away:
 			continue
 		case ends:
 			c.hurry()
@@ -235,22 +305,29 @@
 	}
 }
 
-// endNow has the reader end the connection whatever is open, after last looks for what is here. Guards against clients that go on
-// sending, so that there is always something open.
-func (c *client) endNow() {
+// endBy has the reader end the connection once nothing is open, or then whatever is open, after a last look for what is here.
+// Guards against clients that go on sending, so that there is always something open.
+func (c *client) endBy(most time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dismiss, c.readTo = true, time.Now().Add(lastReads)
-	c.conn.SetReadDeadline(time.Now())
+	c.dismiss, c.readTo = true, time.Now().Add(most)
+	if c.awaiting {
+		c.conn.SetReadDeadline(time.Now())
+	} else {
+		c.conn.SetReadDeadline(c.readTo)
+	}
 }
 
-// over tells whether nothing more is read.
+// over tells whether nothing more is read, though more may be here: guards against clients that send faster than they are read.
 func (c *client) over() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.readTo.IsZero() && time.Now().After(c.readTo)
+	return c.late() && c.in.late > mostOnTheWay
 }
 
+// late tells whether only what is here is read.
+func (c *client) late() bool { return !c.readTo.IsZero() && time.Now().After(c.readTo) }
+
 // wake wakes a reader that waits for a message on a connection that may end.
 func (c *client) wake() {
 	if c.dismiss && c.awaiting && c.nothing() {
@@ -267,7 +344,10 @@
 		if !c.spoke.Load() {
 			at = first
 		}
-		if c.dismiss && c.nothing() || !c.readTo.IsZero() {
+		if !c.readTo.IsZero() {
+			at = c.readTo
+		}
+		if c.dismiss && c.nothing() && !c.away {
 			at = time.Now()
 		}
 		c.in.until(at)
@@ -275,7 +355,7 @@
 		err := in.Await()
 		c.mu.Lock()
 		c.awaiting = false
-		nothing := c.nothing() || !c.readTo.IsZero()
+		nothing := c.nothing() || c.late()
 		c.mu.Unlock()
 		if err == nil {
 			return true
@@ -294,9 +374,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.short, !c.readTo.IsZero():
+	case c.short:
 		c.in.until(time.Now())
-		c.in.looked = !c.readTo.IsZero() && time.Now().After(c.readTo) // only what was read already
+	case !c.readTo.IsZero():
+		c.in.until(c.readTo)
+		c.in.looked = c.late() && c.in.late > mostOnTheWay
 	case !c.spoke.Load():
 		c.in.until(first)
 	default:
@@ -338,17 +420,46 @@
 			return
 		}
 		c.spoke.Store(true)
-		switch m.Kind {
-		case msgrpc.IsWell:
-			c.isWell(m.Number)
-		case msgrpc.Forget:
-			c.forget(m.Number)
-		case msgrpc.Call:
-			if !c.call(m) {
-				return
+		c.take(m)
+	}
+}
+
+// take does what a message asks. Should a fault of our own end that, all that its connection asks has an error, and it ends.
+func (c *client) take(m *msgrpc.Message) {
+	whole := false
+	defer func() {
+		if !whole {
+			c.spoil(msgrpc.Killed)
+			if c.owing {
+				c.reply(msgrpc.Killed(m.Number))
 			}
 		}
-	}
+	}()
+	defer c.p.caught("reading a client")
+	switch m.Kind {
+	case msgrpc.IsWell:
+		c.isWell(m.Number)
+	case msgrpc.Forget:
+		c.forget(m.Number)
+	case msgrpc.Call:
+		c.owing = true
+		c.call(m)
+	}
+	whole = true
+}
+
+// spoil has the connection take no job any more: all that is open is over, and what was sent behind it, whole, is told so too.
+func (c *client) spoil(refusing func(number uint32) []byte) {
+	c.refusing = refusing
+	c.refuseAll()
+	c.end(lingerBad)
+	c.endBy(lingerBad)
+}
+
+// reply answers the job that the reader handles.
+func (c *client) reply(data []byte) {
+	c.owing = false
+	c.post(data)
 }
 
 // isWell is answered by the turn: a router whose turns stand still is not well.
@@ -386,14 +497,19 @@
 	}
 }
 
-// call takes a job; no ends the connection.
-func (c *client) call(m *msgrpc.Message) bool {
+// call takes a job.
+func (c *client) call(m *msgrpc.Message) {
+	if c.refusing != nil {
+		c.reply(c.refusing(m.Number))
+		c.fault()
+		return
+	}
 	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now()}
 	if why := c.p.check(&m.Ask, j); why != "" {
 		c.p.badInput(&msgrpc.Fault{Number: m.Number, Text: why})
-		c.post(msgrpc.Invalid(m.Number, why))
+		c.reply(msgrpc.Invalid(m.Number, why))
 		c.fault()
-		return true
+		return
 	}
 	c.mu.Lock()
 	rising := m.Number > c.last
@@ -401,23 +517,23 @@
 	full := len(c.open) >= perClient || c.faults >= freeFaults
 	if rising && !full {
 		c.open[m.Number] = j
+		c.owing = false
 	}
 	c.mu.Unlock()
 	if !rising {
 		// Whose answer would be whose? Nobody can tell, so that no job of this connection gets one that counts.
 		c.p.badInput(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
-		c.post(msgrpc.Invalid(m.Number, "number does not rise"))
-		c.end(lingerBad)
-		return false
+		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
+		c.spoil(func(number uint32) []byte { return msgrpc.Invalid(number, "sent behind a number that did not rise") })
+		return
 	}
 	if full {
 		c.p.count("pushed back: too many open on a connection")
-		c.post(msgrpc.PushedBack(m.Number, c.p.told.Deployment.MaxStayAway))
+		c.reply(msgrpc.PushedBack(m.Number, c.p.told.Deployment.MaxStayAway))
 		c.fault()
-		return true
+		return
 	}
 	c.p.box.Tell(func(now control.Micros) { c.p.arrived(now, j) })
-	return true
 }
 
 // forget ends a job whose client stopped waiting. From here on nothing of it is written, whenever the turn hears of it.
@@ -463,6 +579,7 @@
 	c.box.close()
 	c.p.mu.Lock()
 	delete(c.p.clients, c)
+	c.p.turned -= one(c.away)
 	c.p.mu.Unlock()
 	close(c.gone)
 }
@@ -470,10 +587,9 @@
 // readOn reads what a client still sends, and drops it, until it has closed too. Guards against the reset that a close
 // makes of unread input, which may overtake the last answer; beyond a bound nothing is read, so that a flood costs nothing.
 func (c *client) readOn(linger time.Duration) {
-	const most = 256 << 10 // all that a usual client may have on the way, half of it with the longest bodies
 	until := time.Now().Add(linger)
 	c.conn.SetReadDeadline(until)
-	if _, err := io.CopyN(io.Discard, c.conn, most); err == nil {
+	if _, err := io.CopyN(io.Discard, c.conn, mostOnTheWay); err == nil {
 		select {
 		case <-c.now:
 		case <-time.After(time.Until(until)):
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -59,8 +59,10 @@
 	ready    atomic.Bool
 	listener *net.TCPListener
 	accepted chan struct{} // closed when no connection is accepted any more
+	away     chan struct{} // holds one for each connection that is read to be turned away
 	mu       sync.Mutex
 	clients  map[*client]struct{}
+	turned   int            // of them, for which there is no room
 	counts   map[string]int // what was out of order since the last line about it
 	// What the log tells of the rule for drains, since the last line, in microseconds.
 	oldestList maximum // of the lists that first bytes rested on: their age
@@ -96,7 +98,7 @@
 	now := time.Now()
 	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
 		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
-		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
+		fleet: fleet.New(0), accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
@@ -351,7 +353,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.clients {
-		c.endNow()
+		c.endBy(lastReads)
 	}
 }
 
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -105,7 +105,7 @@
 		return ours.last > 100
 	})
 	ours.end(lingerIdle)
-	ours.endNow()
+	ours.endBy(lastReads)
 	select {
 	case <-ours.box.written:
 	case <-time.After(time.Second):
