--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -5,6 +5,7 @@
 
 import (
 	"cmp"
+	"container/list"
 	"context"
 	"fmt"
 	"maps"
@@ -42,7 +43,9 @@
 	fleet    *fleet.Fleet
 	jobs     map[control.JobID]*job
 	pools    map[control.ServerID]*pool
-	linked   int // connections to servers
+	linked   int                        // connections to servers
+	bySince  *list.List                 // of *link: all that are not dropped, by when something last began or ended on them
+	leaving  map[control.ServerID]*pool // to servers that are gone, until prune finds their connections ended
 	timer    *time.Timer
 	due      control.Micros // when the timer fires
 	pruned   control.Micros
@@ -97,7 +100,7 @@
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
 	now := time.Now()
 	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
-		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
+		pools: map[control.ServerID]*pool{}, bySince: list.New(), leaving: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
@@ -115,8 +118,8 @@
 	}
 	p.timer = time.NewTimer(time.Hour)
 	p.listed(p.epoch, state.List())
-	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(list []fleet.Entry) {
-		p.box.TellList(func(now control.Micros) { p.listed(now, list) })
+	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
+		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
 	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
 	l, err := net.Listen("tcp", told.Listen)
 	if err != nil {
@@ -406,19 +409,42 @@
 	}
 }
 
-// listed takes in the list of servers.
-func (p *Platform) listed(now control.Micros, list []fleet.Entry) {
-	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, list))
-	for id, pl := range p.pools {
-		s := p.fleet.Get(id)
-		if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
-			p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
-			p.unlist(now, pl)
-			if s != nil && s.State == control.Ready { // another life: other connections
-				delete(p.pools, id)
-			}
+// hearBoard takes in what the notice board told.
+func (p *Platform) hearBoard(now control.Micros, news fleet.Update) {
+	if news.Whole {
+		p.listed(now, news.Entries)
+		return
+	}
+	changed := p.fleet.Changes(now, news.Entries)
+	p.core.Listed(now, control.ListChanges, changed)
+	for _, l := range changed {
+		if pl := p.pools[l.Server]; pl != nil {
+			p.relist(now, pl)
+		}
+	}
+}
+
+// listed takes in the complete list of servers.
+func (p *Platform) listed(now control.Micros, all []fleet.Entry) {
+	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, all))
+	for _, pl := range p.pools {
+		p.relist(now, pl)
+	}
+}
+
+// relist ends the connections to a server that takes nothing new, or lives another life.
+func (p *Platform) relist(now control.Micros, pl *pool) {
+	s := p.fleet.Get(pl.id)
+	if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
+		p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
+		p.unlist(now, pl)
+		if s != nil && s.State == control.Ready { // another life: other connections
+			delete(p.pools, pl.id)
 		}
 	}
+	if s == nil || s.State == control.Gone {
+		p.leaving[pl.id] = pl
+	}
 }
 
 // onTheWay is what of a client's patience goes by before its job is here, and before its answer is there: a millisecond or
