--- a/control/control.go
+++ b/control/control.go
@@ -522,7 +522,7 @@
 		cs, known = r.firstTwo(now, f, j)
 	}
 	if !known {
-		if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.open(now, s, j) }) {
+		if r.told.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.open(now, s, j) }) {
 			return nil // bounds the work of a turn with many held jobs
 		}
 		cs = r.inOrder(now, f, j)
@@ -556,21 +556,14 @@
 	return min(usable, max(1, int(math.Ceil(spread*part*float64(usable)))))
 }
 
-// inOrder gives all servers that a load may go to, those that loadTarget looks at first and in order.
+// inOrder gives servers that a load may go to, those that loadTarget looks at first and in order.
 func (r *Router) inOrder(now Micros, f *function, j *Job) []choice {
-	cs := r.choices[:0]
-	for _, s := range r.servers {
-		if r.open(now, s, j) {
-			weight := r.weight(now, s)
-			cs = append(cs, choice{s, key(uint64(f.id), s.Server, weight), weight})
-		}
-	}
-	r.choices = cs
+	cs, n := r.nearest(now, f, j)
 	near := cs
 	if r.told.Routers > 1 {
 		near = cs[:min(len(cs), 2)]
 	}
-	homes := cs[:r.homes(f, len(cs))]
+	homes := cs[:n]
 	lowest(cs, len(homes))
 	for i, c := range homes {
 		homes[i].key = key(mix(uint64(f.id), uint64(r.told.Number)+1), c.s.Server, c.weight)
@@ -687,6 +680,7 @@
 			in.copies = 0 // none of ours runs there: the copy may have made way for others
 		}
 		s.avoidUntil = now + fullPause<<min(s.fulls, 5)
+		r.index.doubt(s)
 		r.fit(now, s, 1000)
 	case o.Result == Finished:
 		r.answers, s.fulls = append(r.answers, now), 0
@@ -782,6 +776,7 @@
 	}
 	s.suspect, s.setbacks = true, s.setbacks+1
 	s.trialAt = now + r.untilTrial(s)
+	r.index.doubt(s)
 }
 
 const checkEvery = 200_000 // several checks within a load's time and within a start target
@@ -876,6 +871,7 @@
 		return true
 	})
 	r.index.gone = slices.Delete(gone, len(kept), due)
+	r.index.trust(func(s *server) bool { return !s.suspect && now >= s.avoidUntil })
 }
 
 // idle tells whether all that is known of a function may be forgotten.
--- a/control/index.go
+++ b/control/index.go
@@ -16,7 +16,10 @@
 	cold    []*server  // ready ones of which capacities has not seen yet that they have all of theirs, by id
 	flying  []*server  // with executions out, by id
 
+	doubted []*server // those that may be suspect or avoided, in any order
+
 	heaviest float64    // no ready server has a larger weight
+	total    float64    // of the ready servers' weights, about
 	changes  []ServerID // the latest that came, went or changed their weight
 	dropped  int        // such changes before those
 }
@@ -39,6 +42,25 @@
 	if i, is := slices.BinarySearch(x.unready, s.Server); is {
 		x.unready = slices.Delete(x.unready, i, i+1)
 	}
+	if s.doubted {
+		x.trust(func(other *server) bool { return other == s })
+	}
+}
+
+// doubt notes that a server may be suspect or avoided.
+func (x *index) doubt(s *server) {
+	if !s.doubted {
+		s.doubted, x.doubted = true, append(x.doubted, s)
+	}
+}
+
+// trust drops those that are not any more.
+func (x *index) trust(not func(s *server) bool) {
+	x.doubted = slices.DeleteFunc(x.doubted, func(s *server) bool {
+		trusted := not(s)
+		s.doubted = !trusted
+		return trusted
+	})
 }
 
 // with gives a sorted list that has the server in it.
@@ -83,10 +105,11 @@
 		weight = max(0.1, s.Power)
 	}
 	if weight != s.weight {
-		s.weight, x.heaviest = weight, max(x.heaviest, weight)
+		x.heaviest, x.total = max(x.heaviest, weight), x.total+weight-s.weight
+		s.weight = weight
 		x.changed(s.Server)
 	}
-	if s.State == Ready && r.capacity(x.listed, s) < 1 {
+	if s.State == Ready && r.capacity(x.listed, s) != 1 {
 		x.cold = with(x.cold, s, byID)
 	} else {
 		x.cold = without(x.cold, s, byID)
@@ -156,7 +179,7 @@
 func (r *Router) reindex() {
 	r.index = index{}
 	for _, s := range r.servers {
-		s.weight, s.there, s.holds = 0, false, nil
+		s.weight, s.there, s.doubted, s.holds = 0, false, false, nil
 		r.index.ids = append(r.index.ids, s.Server)
 		if s.State != Gone {
 			r.index.listed = max(r.index.listed, s.left)
@@ -167,6 +190,9 @@
 		if len(s.flights) > 0 {
 			r.index.flying = append(r.index.flying, s)
 		}
+		if s.suspect || s.avoidUntil > 0 {
+			r.index.doubt(s)
+		}
 	}
 	for _, f := range r.order {
 		f.ranking = ranking{}
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -253,6 +253,8 @@
 // same holds the router against a clone that went the plain way. Sends that no longer count are left out: who asks drops them.
 func (d *days) same(plain *Router, what string) {
 	d.t.Helper()
+	restored, _ := d.clone()
+	d.indexed(restored)
 	got, want := d.r.Snapshot(), plain.Snapshot()
 	for i := range min(len(got.Servers), len(want.Servers)) {
 		want.Servers[i].Left = plain.servers[i].left
@@ -265,6 +267,43 @@
 	}
 }
 
+// counted holds the number of servers that a job may go to against asking each.
+func (d *days) counted(j *Job) {
+	d.t.Helper()
+	want := 0
+	for _, s := range d.r.servers {
+		if d.r.open(d.now, s, j) {
+			want++
+		}
+	}
+	if got := d.r.usables(d.now, j); got != want && !d.r.grouped(j) {
+		d.t.Fatalf("%d servers can be used at %d, counted %d", want, d.now, got)
+	}
+}
+
+// indexed holds what is kept beside the servers against what a restored router makes of them.
+func (d *days) indexed(restored *Router) {
+	d.t.Helper()
+	ids := func(servers []*server) []ServerID { return many(servers, func(s *server) ServerID { return s.Server }) }
+	got, want := &d.r.index, &restored.index
+	for what, pair := range map[string][2][]ServerID{"known": {got.ids, want.ids}, "ids": {got.ids, ids(d.r.servers)}, "unready": {got.unready, want.unready},
+		"gone": {ids(got.gone), ids(want.gone)}, "flying": {ids(got.flying), ids(want.flying)}} {
+		if !slices.Equal(pair[0], pair[1]) {
+			d.t.Fatalf("%s at %d: got %x, want %x", what, d.now, pair[0], pair[1])
+		}
+	}
+	for i, s := range d.r.servers {
+		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.holds, restored.servers[i].holds, func(a, b *function) bool { return a.id == b.id && a == d.r.functions[a.id] }) {
+			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers[i])
+		}
+	}
+	for _, s := range append(slices.Clone(got.doubted), got.cold...) {
+		if i, known := d.r.find(s.Server); !known || d.r.servers[i] != s {
+			d.t.Fatalf("server %x at %d is forgotten, and not", s.Server, d.now)
+		}
+	}
+}
+
 // differ tells the first server or field that is not as in another snapshot.
 func differ(a, b *Snapshot) string {
 	for i := range a.Servers {
@@ -308,6 +347,7 @@
 		}
 		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.told.Routers > 1, f.recent > 1, got != nil)]++
 	}
+	d.counted(j)
 	d.same(plain, "a load's server")
 	if after := d.r.Snapshot(); !reflect.DeepEqual(before, after) {
 		d.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", d.now, differ(before, after), differ(after, before))
@@ -393,6 +433,7 @@
 	case 4:
 		s.size = float64(s.busy) + 0.1
 	}
+	d.r.index.doubt(s)
 }
 
 func (d *days) step() {
@@ -472,13 +513,17 @@
 
 // burden gives each server, by chance, something that keeps a job away or makes the server come last.
 func (d *days) burden(share float64) {
-	r := d.r
+	r, one := d.r, d.chance.IntN(12) // of the burdens for all; six or more: of any
 	for _, s := range r.servers {
 		s.avoidUntil, s.suspect, s.loadsAfter, s.report, s.reported, s.size, s.busy = 0, false, 0, Report{}, 0, 0, 0
 		if !d.chanceOf(share) {
 			continue
 		}
-		switch d.chance.IntN(6) {
+		which := one
+		if one >= 6 {
+			which = d.chance.IntN(6)
+		}
+		switch which {
 		case 0:
 			s.avoidUntil = d.now + 1
 		case 1:
@@ -492,13 +537,33 @@
 		case 5:
 			s.sent = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
 		}
+		r.index.doubt(s)
+	}
+}
+
+// looked holds a bounded look for the first servers against one at all.
+func (d *days) looked(f *function, j *Job) {
+	d.t.Helper()
+	look, homes := d.r.nearest(d.now, f, j)
+	look = slices.Clone(look)
+	all := d.r.within(d.now, f, j, math.Inf(1))
+	want := d.r.homes(f, len(all))
+	need := max(want, min(2, len(all)))
+	if homes != want || len(look) < need {
+		d.t.Fatalf("%d homes of %d servers at %d, want %d of %d", homes, len(look), d.now, want, len(all))
+	}
+	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	slices.SortFunc(look, byKey)
+	slices.SortFunc(all, byKey)
+	if !slices.Equal(look[:need], all[:need]) {
+		d.t.Fatalf("the first %d of %d servers at %d: got %+v, want %+v", need, len(all), d.now, look[:need], all[:need])
 	}
 }
 
 // In fleets of any size, with any part of them out of use, crowded or cold and with few or many changes of the list between two
 // looks, a load goes where it goes the plain way: by the ranking, and where that is not enough to tell.
 func TestRankingTellsAsThePlainWay(t *testing.T) {
-	told, short := 0, 0
+	told, short, hot := 0, 0, 0
 	for seed := range uint64(48) {
 		d := newDays(t, seed, 0)
 		r := d.r
@@ -513,7 +578,7 @@
 		}
 		powers := []float64{1, 1, 1, 1, 2, 0.05, 10}[:1+d.chance.IntN(7)]
 		news := func(id ServerID) Listing {
-			l := Listing{Server: id, State: Ready, Zone: 1, Power: powers[d.chance.IntN(len(powers))]}
+			l := Listing{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Power: powers[d.chance.IntN(len(powers))]}
 			if d.chanceOf(0.3) {
 				l.Born = d.now - Micros(d.chance.IntN(12*second))
 			}
@@ -546,23 +611,33 @@
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range 8 {
 				j := &Job{Function: FunctionID(d.chance.IntN(8 + round%40)), Arrived: d.now, Patience: d.now + second}
+				if d.chanceOf(0.1) { // one that may only be repeated in its zone
+					j.Workload, j.Executions = 1, []Execution{{Zone: 1, MayRun: true, Done: true, Sent: d.now}}
+				}
 				f := r.function(j)
-				f.recent, r.recent = 1, make([]*function, 128)
+				f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
+				d.counted(j)
+				d.looked(f, j)
 				beside := d.chanceOf(0.2)
 				got, want := r.loadTarget(d.now, f, j, beside), plainLoadTarget(r, d.now, f, j, beside)
 				if got != want {
 					t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v", seed, round, f.id, len(r.servers), got, want)
 				}
-				if two, known := r.firstTwo(d.now, f, j); known && len(two) > 0 {
+				if f.recent > 1 {
+					hot++
+				} else if two, known := r.firstTwo(d.now, f, j); known && len(two) > 0 {
 					told++
 				} else {
 					short++
 				}
+				if got != nil {
+					f.at(got, true).copies++ // the next goes to another of those that come first
+				}
 			}
 		}
 	}
-	if told < 5000 || short < 1000 {
-		t.Errorf("the ranking told %d times, and not %d times: the days are too much alike", told, short)
+	if told < 5000 || short < 1000 || hot < 5000 {
+		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike", told, short, hot)
 	}
 }
 
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -59,8 +59,7 @@
 	}
 	// At first only as far as three times as many servers as are kept are to be expected: else most logarithms are of keys that
 	// others push out again.
-	k.bound = 3 * deep / (float64(len(x.ids)) * x.heaviest)
-	for guess := k.bound; ; guess = math.Inf(1) {
+	for guess := x.bound(3 * deep); ; guess = math.Inf(1) {
 		*k = ranking{first: k.first[:0], bound: guess, built: true}
 		r.scan(f)
 		if k.bound < guess || math.IsInf(guess, 1) {
@@ -91,6 +90,15 @@
 	return math.MaxUint64
 }
 
+// bound is a key below which about n of the ready servers are to be expected.
+func (x *index) bound(n int) float64 {
+	ready := float64(len(x.ids) - len(x.unready))
+	if share := float64(n) / ready; share < 1 {
+		return -math.Log(1-share) * ready / x.total
+	}
+	return math.Inf(1)
+}
+
 // ranked gives a function's ranking with all changes of the list taken in.
 func (r *Router) ranked(f *function) *ranking {
 	k, x := &f.ranking, &r.index
@@ -111,8 +119,8 @@
 // firstTwo gives the first two servers that a load may go to in a function's order, by its ranking alone; false where that is not
 // enough to tell. The order then is that of loadTarget.
 func (r *Router) firstTwo(now Micros, f *function, j *Job) ([]choice, bool) {
-	if !(r.told.ColdFrom <= 1 && r.told.Cold > 0) {
-		return nil, false // a capacity could be more than all of it
+	if !r.onlyLowers() {
+		return nil, false
 	}
 	k := r.ranked(f)
 	two, ok := r.walk(now, f, j, k)
@@ -153,6 +161,72 @@
 	return two, math.IsInf(k.bound, 1) || len(two) == 2 && k.bound >= two[1].key
 }
 
+// onlyLowers tells whether what is believed of a server can but lower its weight: a capacity could be more than all of it.
+func (r *Router) onlyLowers() bool { return r.told.ColdFrom <= 1 && r.told.Cold > 0 }
+
+// nearest gives servers that a load may go to, the function's homes and the first two among them, in any order, and the number of homes.
+// One of several routers looks at first only as far as to expect a little more than it needs.
+func (r *Router) nearest(now Micros, f *function, j *Job) ([]choice, int) {
+	if r.told.Routers > 1 && r.onlyLowers() && !r.grouped(j) {
+		usable := r.usables(now, j)
+		homes := r.homes(f, usable)
+		need := max(homes, min(2, usable))
+		ready := len(r.index.ids) - len(r.index.unready)
+		likely := (need + need/4 + 2*deep) * ready / max(1, usable)
+		for _, n := range []int{likely, 4 * likely} { // slow start brings keys up to some times higher
+			if cs := r.within(now, f, j, r.index.bound(n)); len(cs) >= need {
+				return cs, homes
+			}
+		}
+	}
+	cs := r.within(now, f, j, math.Inf(1))
+	return cs, r.homes(f, len(cs))
+}
+
+// within gives all servers that a load may go to whose key is below a bound.
+func (r *Router) within(now Micros, f *function, j *Job, bound float64) []choice {
+	cs, x := r.choices[:0], &r.index
+	most := x.reach(bound)
+	for i, id := range x.ids {
+		if ^mix(uint64(f.id), uint64(id)) > most {
+			continue
+		}
+		s := r.servers[i]
+		if s.weight == 0 || !r.open(now, s, j) {
+			continue
+		}
+		weight := r.weight(now, s)
+		if k := key(uint64(f.id), id, weight); k < bound {
+			cs = append(cs, choice{s, k, weight})
+		}
+	}
+	r.choices = cs
+	return cs
+}
+
+// grouped tells whether the earlier executions of a job keep it from some of the servers.
+func (r *Router) grouped(j *Job) bool {
+	w := r.told.Workloads[j.Workload]
+	return w.Effect == Fingerprinted && w.Scope != WholeFleet && slices.ContainsFunc(j.Executions, func(e Execution) bool { return e.MayRun })
+}
+
+// usables counts the servers that a job of no group may go to: all that are ready but some of those in doubt or in slow start.
+func (r *Router) usables(now Micros, j *Job) int {
+	x := &r.index
+	n := len(x.ids) - len(x.unready)
+	for _, s := range x.doubted {
+		if s.State == Ready && !r.open(now, s, j) {
+			n--
+		}
+	}
+	for _, s := range x.cold {
+		if !s.doubted && !r.open(now, s, j) {
+			n--
+		}
+	}
+	return n
+}
+
 // open is usable, and leaves nothing behind: which servers are asked depends on the ranking, and one that was restored has none.
 func (r *Router) open(now Micros, s *server, j *Job) bool {
 	sent := s.sent
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -49,9 +49,9 @@
 	const known = 256 // functions in turn, so that none draws more than its part
 	for _, c := range []struct {
 		name string
-		run  func(b *testing.B, r *Router, i int)
+		run  func(b *testing.B, r *Router, i, servers int)
 	}{
-		{"change", func(_ *testing.B, r *Router, i int) { // drains, leaves, joins again as another start
+		{"change", func(_ *testing.B, r *Router, i, _ int) { // drains, leaves, joins again as another start
 			s := r.servers[i/3*37%len(r.servers)]
 			l := s.Listing
 			if l.State = []ServerState{Draining, Gone, Ready}[i%3]; l.State == Ready {
@@ -59,20 +59,25 @@
 			}
 			r.Listed(at, ListChanges, []Listing{l})
 		}},
-		{"place-known", func(b *testing.B, r *Router, i int) {
+		{"replace", func(_ *testing.B, r *Router, i, servers int) { // a new one for an old one; half as many as stand are remembered as gone
+			now := at + Micros(i)*1200*second/Micros(servers)
+			r.Listed(now, ListChanges, []Listing{{Server: ServerID(mix(1, uint64(i)))}, {Server: ServerID(mix(1, uint64(servers+i))), State: Ready, Power: 1, Born: now}})
+			r.Wait(now)
+		}},
+		{"place-known", func(b *testing.B, r *Router, i, _ int) {
 			missed(b, r, sizedJob(JobID(i), FunctionID(mix(3, uint64(i%known)))))
 		}},
-		{"place-known-hot", func(b *testing.B, r *Router, i int) {
+		{"place-known-hot", func(b *testing.B, r *Router, i, _ int) {
 			missed(b, r, sizedJob(JobID(i), FunctionID(mix(3, uint64(i%(known/8))))))
 		}},
-		{"place-never-seen", func(b *testing.B, r *Router, i int) {
+		{"place-never-seen", func(b *testing.B, r *Router, i, _ int) {
 			missed(b, r, sizedJob(JobID(i), FunctionID(mix(4, uint64(i)))))
 			if i%1000 == 0 {
 				r.Wait(at)
 			}
 		}},
-		{"upkeep", func(_ *testing.B, r *Router, i int) { r.Wait(at) }},
-		{"upkeep-tenth-cold", func(_ *testing.B, r *Router, i int) {
+		{"upkeep", func(_ *testing.B, r *Router, _, _ int) { r.Wait(at) }},
+		{"upkeep-tenth-cold", func(_ *testing.B, r *Router, i, _ int) {
 			if i == 0 {
 				var list []Listing
 				for k := 0; k < len(r.servers); k += 10 {
@@ -84,18 +89,18 @@
 			}
 			r.Wait(at)
 		}},
-		{"forget", func(_ *testing.B, r *Router, i int) { r.forget(r.servers[i*37%len(r.servers)], at-second) }},
+		{"forget", func(_ *testing.B, r *Router, i, _ int) { r.forget(r.servers[i*37%len(r.servers)], at-second) }},
 	} {
 		for _, servers := range []int{200, 3200} {
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
 				r := sized(servers)
 				for i := range 2 * known { // first looks are told apart
-					c.run(b, r, i)
+					c.run(b, r, i, servers)
 				}
 				b.ReportAllocs()
 				i := 2 * known
 				for b.Loop() {
-					c.run(b, r, i)
+					c.run(b, r, i, servers)
 					i++
 				}
 			})
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -12,8 +12,8 @@
 		state, snapshot any
 		renamed         string // state's names that the snapshot gives another way
 	}{
-		{Router{}, Snapshot{}, "order choices index trace"}, // functions stand in their order; choices is room for work, index follows from the rest, trace is a tool's
-		{server{}, ServerSnapshot{}, "weight there holds"},  // of the index
+		{Router{}, Snapshot{}, "order choices index trace"},        // functions stand in their order; choices is room for work, index follows from the rest, trace is a tool's
+		{server{}, ServerSnapshot{}, "weight there doubted holds"}, // of the index
 		{flight{}, FlightSnapshot{}, ""},
 		{function{}, FunctionSnapshot{}, "ranking"}, // of the index
 		{instance{}, InstanceSnapshot{}, ""},
--- a/control/state.go
+++ b/control/state.go
@@ -43,6 +43,7 @@
 	listed     bool
 	left       Micros      // when it was last on the list, if it is not there
 	weight     float64     // as the index has it: 0 where it is not ready
+	doubted    bool        // is in the index's doubted
 	there      bool        // as the index has it: not gone
 	holds      []*function // of whose copies there something is known, by id
 	heard      Micros      // last sign that it works
