--- a/internal/board/follow.go
+++ b/internal/board/follow.go
@@ -31,6 +31,8 @@
 	address string
 	state   State
 	watch   *watch // nil: none stands
+	// complete is the last time of which it is known that nothing the board had told by then is missing.
+	complete time.Time
 }
 
 // NewFollower follows from a state on. Told hears each new list, Note what went wrong. Told is called with a lock held: it may
@@ -73,6 +75,7 @@
 	defer f.mu.Unlock()
 	if w := f.watch; w != nil {
 		if w.readAll(f) == nil {
+			f.noteComplete(w)
 			return w.complete
 		}
 		f.drop(w)
@@ -80,6 +83,21 @@
 	return time.Now()
 }
 
+// Complete gives the last time of which it is known that nothing the board had told by then is missing; zero: none is known. While
+// no connection stands, or a new one has not been answered whole, it stays what it was.
+func (f *Follower) Complete() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.complete
+}
+
+// noteComplete takes in that all that has come on a watch was read. The lock is held.
+func (f *Follower) noteComplete(w *watch) {
+	if f.state.Level() && len(w.unread) == 0 && !w.skipping {
+		f.complete = w.complete
+	}
+}
+
 // Started is closed once the list can be relied on after a start: the board has answered, or had its time to, or can't be
 // reached.
 func (f *Follower) Started() <-chan struct{} { return f.started }
@@ -206,6 +224,7 @@
 	if err := w.end(w.drain(fd, f)); err != nil {
 		return err
 	}
+	f.noteComplete(w)
 	w.conn.SetReadDeadline(w.heard.Add(silence))
 	return nil
 }
--- a/internal/board/follow_test.go
+++ b/internal/board/follow_test.go
@@ -212,3 +212,47 @@
 		t.Errorf("got %v", list)
 	}
 }
+
+// The list is known to be complete once a heartbeat has told that nothing is missing, as of each later look. A board that is gone,
+// and one that has only begun to answer, tell of no later time.
+func TestListIsCompleteAsOfTheLastWholeAnswer(t *testing.T) {
+	address, conns, questions := plane(t)
+	a := newAsking(address)
+	_, c := a.asked(t, conns, questions)
+	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
+	look := func() (before time.Time) {
+		before = time.Now()
+		a.CatchUp()
+		return before
+	}
+	until := func(what string, done func() bool) {
+		for began := time.Now(); !done(); look() {
+			if time.Since(began) > 4*time.Second {
+				t.Fatal(what)
+			}
+		}
+	}
+	until("the event is not read", func() bool { return a.Last() == 1 })
+	if !a.Complete().IsZero() {
+		t.Error("complete before a heartbeat")
+	}
+	fmt.Fprintln(c, 1)
+	until("not complete after a heartbeat", func() bool { return !a.Complete().IsZero() })
+	if before := look(); a.Complete().Before(before) {
+		t.Error("not complete as of the last look")
+	}
+	fmt.Fprint(c, `{"rev":2`) // an event that has begun to come
+	a.watch.arrived(t)
+	if before := look(); !a.Complete().Before(before) {
+		t.Error("complete with an event that has begun to come")
+	}
+	c.Close()
+	until("the end is not read", func() bool { return a.watch == nil })
+	whole := a.Complete()
+	_, c = a.asked(t, conns, questions)
+	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
+	until("the next event is not read", func() bool { return a.Last() == 2 })
+	if !a.Complete().Equal(whole) {
+		t.Errorf("complete as of %v later, with no whole answer since", a.Complete().Sub(whole))
+	}
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,13 +41,16 @@
 
 // Fleet is the list as last told.
 type Fleet struct {
-	offset  int64 // wall clock at the router's time 0, fixed at the start
-	read    control.Micros
-	first   bool
-	ours    bool
-	servers map[control.ServerID]*Server
-	zones   map[string]control.ZoneID
-	cells   map[string]control.CellID
+	offset int64 // wall clock at the router's time 0, fixed at the start
+	read   control.Micros
+	first  bool
+	ours   bool
+	// complete is the last time of which it is known that nothing its source had told by then is missing; 0: none is known.
+	complete control.Micros
+	slow     control.Micros // how long slow start takes
+	servers  map[control.ServerID]*Server
+	zones    map[string]control.ZoneID
+	cells    map[string]control.CellID
 }
 
 // New gives an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: read once, so
@@ -57,10 +60,17 @@
 		zones: map[string]control.ZoneID{}, cells: map[string]control.CellID{}}
 }
 
-// OneClock has starts taken as told: for lists made by the clock that the router's own time was read from, on which a
-// server whose start is not told has run for long, whenever it is first listed.
+// OneClock is for lists made by the clock that the router's own time was read from, on which a server whose start is not told
+// has run for long, whenever it is first listed.
 func (f *Fleet) OneClock() { f.ours = true }
 
+// SlowStart tells how long a server's slow start takes.
+func (f *Fleet) SlowStart(span control.Micros) { f.slow = span }
+
+// Complete tells as of when the list was complete that was taken in last: nothing told by then is missing. Call it after the
+// lists that were told by then.
+func (f *Fleet) Complete(asOf control.Micros) { f.complete = max(f.complete, asOf) }
+
 // ID gives a server's id: the same in every router, since all share one order of servers.
 func ID(address string) control.ServerID {
 	if a, err := netip.ParseAddrPort(address); err == nil && a.Addr().Is4() {
@@ -105,7 +115,7 @@
 			f.servers[id] = s
 		}
 		if fresh {
-			s.told, s.born = e.Born, f.born(now, e.Born)
+			s.told, s.born = e.Born, f.born(now, e.Born, s.born)
 		}
 		s.Told, s.Address = e, e.Address
 		s.State, s.Zone, s.Cell, s.left = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell), now
@@ -121,20 +131,31 @@
 	return out
 }
 
-// born brings the start of a server that was not on the last list, or not with this start, into the router's time. It
-// began after that list was read, whatever the clocks say, and no later than now.
-func (f *Fleet) born(now control.Micros, told int64) control.Micros {
-	if f.ours {
-		return control.Micros(max(0, told-f.offset))
-	}
-	if told == 0 && f.first {
+// announced is the part of slow start that may pass between a server's start and its first listing, at the most: sources tell
+// a server once it was found ready. A clock that is off by less makes a server look this much older: with a quarter of the
+// capacity at first the budget is then a fifth too large, which the module's margin covers.
+const announced = 1.0 / 16
+
+// born brings the start of a server that was not on the last list, or not with this start, into the router's time, whatever the
+// clocks say: it began after the list was last complete without it, no later than now, and after its earlier life's start.
+func (f *Fleet) born(now control.Micros, told int64, earlier control.Micros) control.Micros {
+	if told == 0 && (f.first || f.ours) {
 		return 0
 	}
 	at := control.Micros(told - f.offset)
-	if !f.first && (told == 0 || at < f.read) {
-		at = f.read
+	if since := f.without(); told == 0 || at < since-control.Micros(announced*float64(f.slow)) {
+		at = since
+	}
+	return max(1, earlier+1, min(at, now))
+}
+
+// without is when the list was last complete without a server that comes on it now; 0 where that is not known, as of what a
+// configuration knows at the start.
+func (f *Fleet) without() control.Micros {
+	if f.first || f.ours && f.complete == 0 {
+		return 0
 	}
-	return max(1, min(at, now))
+	return cmp.Or(f.complete, f.read)
 }
 
 // Servers gives the servers that are on the list, by ascending id.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -79,3 +79,51 @@
 		t.Errorf("got %v", f.servers)
 	}
 }
+
+// A server that comes while this router runs began after the list was last complete without it and no later than now, whatever
+// the wall clock told of it. The list was complete at 190 s, the change is heard at 200 s, and slow start takes 16 s.
+func TestBornLiesWithinWhatTheListShows(t *testing.T) {
+	for name, c := range map[string]struct {
+		told     int64
+		complete control.Micros // 0: never since the start
+		want     control.Micros
+	}{
+		"as told":                          {1195 * second, 190 * second, 195 * second},
+		"told an hour ago":                 {1200*second - 3600*second, 190 * second, 190 * second},
+		"told in an hour":                  {1200*second + 3600*second, 190 * second, 200 * second},
+		"told some time after it began":    {1189*second + 1, 190 * second, 189*second + 1},
+		"told some seconds too early":      {1187 * second, 190 * second, 190 * second},
+		"discovery was down for long":      {1150 * second, 120 * second, 150 * second},
+		"down, and told an hour ago":       {1200*second - 3600*second, 120 * second, 120 * second},
+		"no complete list since the start": {1050 * second, 0, 50 * second},
+		"none, and told in an hour":        {1200*second + 3600*second, 0, 200 * second},
+	} {
+		for _, restarted := range []bool{false, true} {
+			f := New(1000 * second)
+			f.OneClock()
+			f.SlowStart(16 * second)
+			var list []Entry
+			if restarted {
+				list = append(list, entry("127.0.0.1:9", 5*second))
+			}
+			f.Whole(10*second, list)
+			f.Complete(c.complete)
+			f.Whole(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
+			if got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.told)}); got[0].Born != c.want {
+				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].Born, c.want)
+			}
+		}
+	}
+}
+
+// A later life began after the one before, also where both were told with starts from a clock that was set back meanwhile.
+func TestLaterLifeBeganLater(t *testing.T) {
+	f := New(1000 * second)
+	f.OneClock()
+	f.Whole(10*second, nil)
+	f.Complete(10 * second)
+	first := f.Whole(20*second, []Entry{entry("127.0.0.1:9", 4600*second)})
+	if then := f.Whole(21*second, []Entry{entry("127.0.0.1:9", 1015*second)}); then[0].Born <= first[0].Born {
+		t.Errorf("born %d, its earlier life %d", then[0].Born, first[0].Born)
+	}
+}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"fmt"
 	"os"
 	"syscall"
 	"testing"
@@ -91,3 +92,38 @@
 		t.Errorf("five jobs took %v", took)
 	}
 }
+
+// A server that is told to have started an hour ago, as after a step of the clock, began after the list was last looked at without
+// it, however long that list had stood.
+func TestStartIsBoundedByTheLastLook(t *testing.T) {
+	f := newFieldChanged(t, "", rarely, usual(0), usual(1))
+	look := func() (asOf control.Micros) {
+		asOf = f.g.now()
+		for control.Micros(f.g.listWhole.Load()) < asOf {
+			f.g.Refresh()
+			time.Sleep(time.Millisecond)
+		}
+		return asOf
+	}
+	f.write("ready")
+	look()
+	time.Sleep(100 * time.Millisecond) // the list stands
+	complete := look()
+	list := fmt.Sprintf("[0]\naddress = %s\n[1]\naddress = %s\nborn = %s\n", f.servers[0].Address(), f.servers[1].Address(),
+		time.Now().Add(-time.Hour).UTC().Format(time.RFC3339Nano))
+	if err := os.WriteFile(f.list+".new", []byte(list), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(f.list+".new", f.list); err != nil {
+		t.Fatal(err)
+	}
+	look()
+	bounded := make(chan bool)
+	f.g.tell(func(now control.Micros) {
+		s := f.g.fleet.Get(fleet.ID(f.servers[1].Address()))
+		bounded <- s.Cold(complete, 1) && !s.Cold(now, 0)
+	})
+	if !<-bounded {
+		t.Error("it began before the list was complete without it, or after now")
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,8 +66,11 @@
 	pruned     control.Micros
 	stopping   bool
 	orders     int // without an answer
+	// complete is the last time of which it is known that the list was complete; 0: none is.
+	complete control.Micros
 
 	// Shared.
+	listWhole  atomic.Int64 // complete, as whoever follows the list's source knows it
 	box        *mailbox.Box
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
@@ -122,6 +125,7 @@
 		return nil, err
 	}
 	g.fleet, g.tally = fleet.New(0), loads.NewTally(g.epoch)
+	g.fleet.SlowStart(told.Deployment.Cold)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
@@ -286,6 +290,7 @@
 		g.look()
 		g.listAsOf = asOf
 	}
+	g.complete = control.Micros(g.listWhole.Load()) // before the batch is taken: it holds all told by then
 }
 
 // look waits until the list's source was looked at. A source that gives no word for a quarter of the grace counts as one that
@@ -314,6 +319,7 @@
 	for _, f := range heard {
 		f(now)
 	}
+	g.fleet.Complete(g.complete)
 	g.core.Turn(now)
 	for _, f := range g.between {
 		f(now)
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -31,8 +31,9 @@
 	ticker := time.NewTicker(g.told.ListEvery)
 	defer ticker.Stop()
 	var seen []byte
-	missing := false
+	missing, taken := false, false
 	for {
+		looked := g.now()
 		text, err := os.ReadFile(file)
 		switch {
 		case err != nil && !missing:
@@ -41,17 +42,25 @@
 		case err == nil && (seen == nil || missing || !bytes.Equal(text, seen)):
 			missing = false
 			seen = text
-			take(text)
+			taken = take(text)
 		}
 		tick()
+		if err == nil && taken {
+			g.listWhole.Store(int64(looked))
+		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		case looked := <-g.refresh:
-			if text, err := os.ReadFile(file); err == nil && !bytes.Equal(text, seen) {
+			asOf := g.now()
+			text, err := os.ReadFile(file)
+			if err == nil && !bytes.Equal(text, seen) {
 				seen = text
-				take(text)
+				taken = take(text)
+			}
+			if err == nil && taken {
+				g.listWhole.Store(int64(asOf))
 			}
 			close(looked)
 		}
@@ -63,7 +72,7 @@
 	members := membership.New(membership.Usual)
 	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.PlaneDelta, xds.Usual)
 	source := xds.Source{Address: g.told.Plane, Creds: g.credentials(toPlane), Delta: g.told.PlaneDelta, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
-		Grace: g.told.Grace,
+		Grace: g.told.Grace, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
 		Changed: func(now control.Micros) {
 			if list, news := members.News(now); news {
 				if g.counted != nil {
@@ -79,7 +88,7 @@
 }
 
 // bootstrap gives what takes in the texts of a file in Envoy's own form, and what ends what waits there.
-func (g *Gateway) bootstrap() (take func(text []byte), tick func()) {
+func (g *Gateway) bootstrap() (take func(text []byte) bool, tick func()) {
 	members := membership.New(membership.Usual)
 	f := xds.NewFollower(members, "", g.told.Zone, false, xds.Usual)
 	tell := func() {
@@ -90,11 +99,13 @@
 			g.box.TellList(func(now control.Micros) { g.listed(now, list) })
 		}
 	}
-	take = func(text []byte) {
-		if err := f.Bootstrap(g.now(), text); err != nil {
+	take = func(text []byte) bool {
+		err := f.Bootstrap(g.now(), text)
+		if err != nil {
 			g.log.Error().Str("file", g.told.Bootstrap).Err(err).Msg("the new list is refused: the old one stands")
 		}
 		tell()
+		return err == nil
 	}
 	return take, func() {
 		f.Tick(g.now())
@@ -102,8 +113,8 @@
 	}
 }
 
-// take tells the turn of a list's text.
-func (g *Gateway) take(text []byte) {
+// take tells the turn of a list's text, unless it is refused.
+func (g *Gateway) take(text []byte) bool {
 	f, err := inifile.Read(g.told.List, text)
 	var list []fleet.Entry
 	if err == nil {
@@ -116,9 +127,10 @@
 		} else {
 			g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("the new list is refused: the old one stands")
 		}
-		return
+		return false
 	}
 	g.box.TellList(func(now control.Micros) { g.listed(now, list) })
+	return true
 }
 
 // listed passes a list on and takes back what is on its way to servers that take nothing new.
--- /dev/null
+++ b/internal/platform/clock_test.go
@@ -0,0 +1,116 @@
+package platform
+
+import (
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/fleet"
+	"hollymast/internal/platformtest"
+)
+
+// steppedPlatform is a router that read its wall clock at the start while that was ahead by a step. The test takes its turns.
+func steppedPlatform(t *testing.T, step time.Duration) *Platform {
+	t.Helper()
+	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	told.wall = func() time.Time { return time.Now().Add(step) }
+	return newPlatform(t, told)
+}
+
+// The wall clock was ahead or behind when this router started, and is right when a server starts: what the module is told of the
+// server's start is bounded by when the list was last complete without it.
+func TestStartIsBoundedWhateverTheWallClock(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
+		p := steppedPlatform(t, step)
+		complete := p.now()
+		p.listWhole = complete
+		p.turn(complete, nil)
+		time.Sleep(2 * time.Millisecond)
+		started := time.Now()
+		time.Sleep(2 * time.Millisecond)
+		now := p.now()
+		p.turn(now, []func(control.Micros){func(control.Micros) {
+			p.listed(now, []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, Born: started.UnixMilli() * 1000}})
+		}})
+		if s := p.fleet.Get(fleet.ID("s-0")); !s.Cold(complete, 1) || s.Cold(now, 0) {
+			t.Errorf("step %v: the server began more than %v ago, or after now", step, span(now-complete))
+		}
+	}
+}
+
+// newcomer plays one router whose server is replaced by a cold one, told to have started a while ago. It gives the attempts there
+// in the first part of slow start and in one after its end.
+func newcomer(t *testing.T, ago time.Duration) (first, last int) {
+	const cold, part = 2 * time.Second, time.Second
+	old, fresh := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
+	known := platformtest.Event(1, "s-0", old.Address(), "ready")
+	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, known)
+	told, err := parseTold([]byte(platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), known)), Environment{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := &told.Deployment
+	d.Cold, d.ColdFrom, d.Fall, d.FallMultiple = control.Micros(cold.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
+	r := serve(t, told)
+	until(t, "the router is well", r.ready.Load)
+	ended := make(chan struct{})
+	var clients sync.WaitGroup
+	for i := range 24 {
+		c := platformtest.Dial(t, r.Address())
+		clients.Go(func() {
+			for {
+				select {
+				case <-ended:
+					return
+				case <-time.After(40 * time.Millisecond):
+					c.Call(rand.Uint64(), uint64(i%4)+1)
+					c.Answer()
+				}
+			}
+		})
+	}
+	defer func() { close(ended); clients.Wait() }()
+	time.Sleep(cold) // the usual pace of answers is known
+	start := time.Now()
+	next := platformtest.Event(2, "s-1", fresh.Address(), "ready")
+	next.Pool.Targets[0].BootMS = start.Add(-ago).UnixMilli()
+	plane.Tell(next)
+	plane.Tell(platformtest.Event(3, "s-0", old.Address(), "gone"))
+	time.Sleep(cold + part + part/2)
+	for _, f := range fresh.Received() {
+		age := f.At.Sub(start)
+		switch {
+		case f.Code != platformtest.Execution:
+		case age < part:
+			first++
+		case age > cold+part/2 && age < cold+part+part/2:
+			last++
+		}
+	}
+	return first, last
+}
+
+// A server that starts now gets the attempts of a cold one at first (a tenth of the demand; less than a quarter leaves room for
+// chance) and of a warm one after slow start, whether its start is told as now, an hour ago or in an hour, as after a step of the
+// router's wall clock.
+func TestStepOfTheWallClockLeavesSlowStart(t *testing.T) {
+	type attempts struct{ first, last int }
+	ago := []time.Duration{0, time.Hour, -time.Hour}
+	got := make([]attempts, len(ago))
+	var all sync.WaitGroup
+	for i, a := range ago { // side by side, so that what else this machine does meets all alike
+		all.Go(func() { got[i].first, got[i].last = newcomer(t, a) })
+	}
+	all.Wait()
+	t.Logf("started %v ago: %v attempts in the first second and in one after slow start", ago, got)
+	for i, a := range ago {
+		if g, now := got[i], got[0]; 4*g.first > g.last || g.last > 2*now.last || now.last > 2*g.last {
+			t.Errorf("told to have started %v ago: %v attempts, told now: %v", a, g, now)
+		}
+	}
+}
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -45,6 +45,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return newPlatform(t, told)
+}
+
+func newPlatform(t *testing.T, told *Told) *Platform {
+	t.Helper()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -50,6 +50,7 @@
 	listAsOf control.Micros // as of when the list that this turn chooses from was complete
 	// listBefore is listAsOf of the turn before: a change that this turn takes in was told after that.
 	listBefore control.Micros
+	listWhole  control.Micros // the last time of which it is known that the list was complete; 0: none is
 	stopTold   control.Micros // to stop; 0: not
 	chance     *rand.PCG      // for the ids of orders; decides nothing
 
@@ -93,11 +94,11 @@
 
 // New opens the router's listener.
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
-	now := time.Now()
-	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
+	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.JobID]*job{},
 		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
+	p.fleet.SlowStart(told.Deployment.Cold)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
 	p.mostLinks = told.Sockets - p.mostClients - spare
@@ -272,6 +273,9 @@
 	p.listBefore = p.listAsOf
 	if attempt.MustCatchUp(p.now()-p.listAsOf, p.told.grace) {
 		p.listAsOf = p.at(p.follower.CatchUp())
+		if complete := p.follower.Complete(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+			p.listWhole = p.at(complete)
+		}
 	}
 }
 
@@ -280,6 +284,7 @@
 	for _, f := range heard {
 		f(now)
 	}
+	p.fleet.Complete(p.listWhole)
 	p.core.Turn(now)
 	p.prune(now)
 }
--- a/internal/platform/told.go
+++ b/internal/platform/told.go
@@ -39,7 +39,8 @@
 	streams    int
 	grace      control.Micros
 	orderLimit control.Micros
-	memoryMB   float64 // of the largest server; 0: not told
+	memoryMB   float64          // of the largest server; 0: not told
+	wall       func() time.Time // the wall clock; read once, at the start
 }
 
 // document is the configuration file.
@@ -109,7 +110,7 @@
 		Deployment: deployment, classes: map[string]control.WorkloadID{}, tenants: map[string]control.TenantID{},
 		reports: boot.Report.Fields, connecting: control.Micros(boot.Ceilings.ConnectTimeout),
 		idle: control.Micros(boot.Ceilings.ConnIdle), streams: boot.Ceilings.StreamsPerConn,
-		grace: control.Micros(boot.Contract.StopSending), orderLimit: control.Micros(boot.Specifics.OrderLimit)}
+		grace: control.Micros(boot.Contract.StopSending), orderLimit: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
 	if t.Seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %q: %w", d.Seed, err)
 	}
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"net"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -54,7 +55,9 @@
 			var mu sync.Mutex
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
+			var complete atomic.Int64
 			source := Source{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Note: func(string) {},
+				Complete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
 					if err != nil {
@@ -94,7 +97,7 @@
 			time.Sleep(50 * time.Millisecond)
 			tell("draining", "ready")
 			platformtest.Until(t, "the change is in the socket", conn.unread)
-			looked := make(chan struct{})
+			looked, asked := make(chan struct{}), now()
 			refresh <- looked
 			select {
 			case <-looked:
@@ -106,6 +109,9 @@
 			if got := state(); got != control.Draining {
 				t.Errorf("after the look the server is in state %d", got)
 			}
+			if got := control.Micros(complete.Load()); got < asked {
+				t.Errorf("complete as of %v before the look", asked-got)
+			}
 		})
 	}
 }
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -32,6 +32,8 @@
 	Dial    func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
 	Changed func(now control.Micros)                                    // something was taken in
 	Note    func(text string)                                           // for the log
+	// Complete hears as of when all that the control plane had told was taken in, on a stream that it has answered; may be nil.
+	Complete func(asOf control.Micros)
 }
 
 // Protocol is the client's side of one protocol, free of I/O.
@@ -235,8 +237,10 @@
 			}
 		}
 	}()
+	level := false
 	take := func(m proto.Message) error {
 		answered()
+		level = true
 		for _, answer := range f.Heard(s.Now(), m) {
 			if err := st.send(answer); err != nil {
 				return err
@@ -274,7 +278,11 @@
 			alarm.Reset(s.untilTick(f))
 			s.tell(f)
 		case looked := <-s.Refresh:
+			asOf := s.Now()
 			err := s.catchUp(d, heard, take)
+			if err == nil && level && s.Complete != nil {
+				s.Complete(asOf)
+			}
 			close(looked)
 			switch {
 			case errors.Is(err, errClosed):
