--- a/control/control.go
+++ b/control/control.go
@@ -404,10 +404,16 @@
 	if has == 1 {
 		return true
 	}
+	if now < r.started+r.told.Fall {
+		return false // what our earlier life sent within this window is forgotten; all routers may have restarted at once
+	}
 	s.sent = after(s.sent, now-r.told.Fall)
-	const margin = 0.8 // jobs vary, and two turns' jobs may meet in one window
-	ours := margin * r.told.FallMultiple * has * r.rate * float64(r.told.Fall) / 1e6
-	whole, part := math.Modf(ours)
+	const margin = 0.8 // jobs vary
+	budget := r.told.FallMultiple * has * r.rate * float64(r.told.Fall) / 1e6
+	whole, part := math.Modf(margin * budget)
+	// Jobs of two turns that follow one another may meet in one window: both together stay within what chance may make of it.
+	routers := float64(max(1, r.told.Routers))
+	part = min(part, (bears(budget*routers)/routers-whole)/2)
 	// Powers of two, so that a figure that changes within a window lets nobody in beside those of the largest.
 	turns := uint64(1) << int(math.Ceil(-math.Log2(max(part, 1e-6))))
 	if (uint64(now/r.told.Fall)+uint64(r.told.Number)+mix(0, uint64(s.Server)))%turns == 0 {
@@ -416,6 +422,14 @@
 	return len(s.sent) < int(whole)
 }
 
+// bears is how many jobs a cold server with a budget for some survives in a window, by the rule's allowance for chance.
+func bears(budget float64) float64 {
+	if budget < 30 {
+		return budget + 3*math.Sqrt(budget) + 3
+	}
+	return budget + 2*math.Sqrt(budget) + 2
+}
+
 // capacity is the share of its full capacity that a server has at least.
 func (r *Router) capacity(now Micros, s *server) float64 {
 	if age := now - s.Born; s.Born > 0 && age < r.told.Cold {
--- /dev/null
+++ b/control/slowstart_test.go
@@ -0,0 +1,135 @@
+package control
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// day is a time in which a cold server warms up while routers that share nothing have far more for it than it may get.
+type day struct {
+	routers int
+	calls   float64                           // N at the server's start
+	fall    Micros                            // the window of the budget
+	restart func(router int, age Micros) bool // asked at each age of the server, a step apart; nil: never
+	offset  func(router int) Micros           // of a router's clock; nil: none
+}
+
+const (
+	warmUp   = 10 * second
+	coldFrom = 0.25
+	step     = second / 50
+	usual    = 20 // servers that are warm
+)
+
+// bound is what a cold server bears of N calls in the window.
+func bound(n float64) float64 {
+	if n < 30 {
+		return n + 3*math.Sqrt(n) + 3
+	}
+	return n + 2*math.Sqrt(n) + 2
+}
+
+// worst plays a day and gives the largest sum of sends in any window, as a multiple of the bound, and when its last was sent.
+func (d day) worst() (most float64, at Micros, n int) {
+	const began = 100_000 * second // above any offset
+	told := deployment()
+	told.Routers, told.Cold, told.ColdFrom, told.Fall = d.routers, warmUp, coldFrom, d.fall
+	warm := d.calls / (told.FallMultiple * coldFrom * float64(d.fall) / 1e6) // a warm server's answers a second
+	chance := rand.New(rand.NewPCG(1, uint64(d.routers)))
+	routers := make([]*Router, d.routers)
+	start := func(i int, now Micros, known bool) {
+		told.Number = i
+		now += d.clock(i)
+		r := Start(now, uint64(i), told)
+		var list []Listing
+		for id := range usual {
+			list = append(list, Listing{Server: ServerID(id + 1), State: Ready, Power: 1})
+		}
+		if known {
+			list = append(list, Listing{Server: usual + 1, State: Ready, Power: 1, Born: began + d.clock(i)})
+		}
+		r.Listed(now, ListWhole, list)
+		routers[i] = r
+	}
+	for i := range routers {
+		start(i, began-20*second, false)
+	}
+	var sent []Micros
+	for t := Micros(-10 * second); t < warmUp; t += step {
+		for i := range routers {
+			if d.restart != nil && t > 0 && d.restart(i, t) {
+				start(i, began+t, true)
+			}
+			r := routers[i]
+			now := began + t + d.clock(i)
+			if t == 0 {
+				r.Listed(now, ListChanges, []Listing{{Server: usual + 1, State: Ready, Power: 1, Born: now}})
+			}
+			answers := usual * warm * float64(step) / 1e6 / float64(d.routers)
+			if t >= 0 {
+				answers *= (usual + coldFrom) / usual
+			}
+			for answers += chance.Float64(); answers >= 1; answers-- {
+				r.answers = append(r.answers, now)
+			}
+			if t%(second/5) == 0 {
+				r.pool(now)
+			}
+			if t < 0 {
+				continue
+			}
+			s := r.servers[len(r.servers)-1]
+			for r.coldRoom(now, s) {
+				s.sent = append(s.sent, now)
+				sent = append(sent, t)
+			}
+		}
+	}
+	slices.Sort(sent)
+	from := 0
+	for to, t := range sent {
+		for sent[from] < t-d.fall {
+			from++
+		}
+		has := coldFrom + (1-coldFrom)*float64(t)/float64(warmUp)
+		if over := float64(to+1-from) / bound(d.calls*has/coldFrom); over > most {
+			most, at, n = over, t, to+1-from
+		}
+	}
+	return most, at, n
+}
+
+func (d day) clock(router int) Micros {
+	if d.offset == nil {
+		return 0
+	}
+	return d.offset(router)
+}
+
+// All routers together keep within what a cold server bears in any window, however few or many they are, and however they
+// restart: each has forgotten what its earlier life sent.
+func TestSlowStartBudgetHoldsOverAllRouters(t *testing.T) {
+	at := func(when Micros) func(int, Micros) bool { return func(_ int, age Micros) bool { return age == when } }
+	tenths := func(apart Micros) func(int, Micros) bool {
+		return func(r int, age Micros) bool {
+			return age > second && age%apart == 0 && age/apart-second/apart <= 10 && Micros(r%10) == age/apart%10
+		}
+	}
+	for name, restart := range map[string]func(router int, age Micros) bool{"no restart": nil, "all at 0.3 s": at(300_000), "all at 2.1 s": at(2_100_000),
+		"all at 2.5 s": at(2_500_000), "all each 1.3 s": func(_ int, age Micros) bool { return age > 0 && age%1_300_000 == 0 },
+		"a tenth each 0.5 s": tenths(500_000), "a tenth each 0.1 s": tenths(100_000)} {
+		for _, routers := range []int{2, 3, 4, 5, 6, 30, 300} {
+			for _, calls := range []float64{6, 25, 31, 50, 100, 200} {
+				for _, fall := range []Micros{second, 2 * second} {
+					d := day{routers: routers, calls: calls, fall: fall, restart: restart}
+					if most, at, n := d.worst(); most > 1 {
+						t.Errorf("%s, %d routers, %v calls in %d s: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears",
+							name, routers, calls, fall/second, n, float64(at)/1e6, most)
+					}
+				}
+			}
+		}
+	}
+}
