--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -4,6 +4,10 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -74,6 +78,144 @@
 	}
 }
 
+// faultDisk is a disk that is full, stands still, or can't make a folder so many times.
+type faultDisk struct {
+	machine
+	full, still   atomic.Bool
+	tries, unmade atomic.Int64
+}
+
+func (d *faultDisk) Make(dir string) error {
+	if d.unmade.Add(-1) >= 0 {
+		return syscall.EIO
+	}
+	return d.machine.Make(dir)
+}
+
+func (d *faultDisk) Create(name string, flags int) (file, error) {
+	d.tries.Add(1)
+	f, err := d.machine.Create(name, flags)
+	return fullFile{f, d}, err
+}
+
+type fullFile struct {
+	file
+	d *faultDisk
+}
+
+func (f fullFile) Write(b []byte) (int, error) {
+	for f.d.still.Load() {
+		time.Sleep(time.Millisecond)
+	}
+	if f.d.full.Load() {
+		n, _ := f.file.Write(b[:len(b)/2])
+		return n, syscall.ENOSPC
+	}
+	return f.file.Write(b)
+}
+
+// faulty opens a recording on such a disk.
+func faulty(t *testing.T, dir string, log zerolog.Logger, d *faultDisk) *Writer {
+	t.Helper()
+	w, err := open(dir, Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, Header{Life: "a"}, state, log, d)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.pause = time.Millisecond // before anything is handed to its goroutine
+	return w
+}
+
+// saying is a log that is read while it is written.
+type saying struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (s *saying) Write(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.text.Write(b)
+}
+
+func (s *saying) String() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.text.String()
+}
+
+// However long a folder is full, no segments of nothing pile up; it is said once, and once it is over.
+func TestFullFolder(t *testing.T) {
+	dir := t.TempDir()
+	said := &saying{}
+	d := &faultDisk{}
+	w := faulty(t, dir, zerolog.New(said), d)
+	d.full.Store(true)
+	w.Begin(1)
+	for d.tries.Load() < 12 {
+		w.end(Turn{Clock: 2})
+		time.Sleep(time.Millisecond)
+		if left, err := Segments(dir); err != nil || len(left) > 1 {
+			t.Fatalf("%q, %v", left, err)
+		}
+	}
+	d.full.Store(false)
+	for begun := time.Now(); !strings.Contains(said.String(), "goes on") && time.Since(begun) < 10*time.Second; {
+		w.end(Turn{Clock: 3})
+		time.Sleep(time.Millisecond)
+		if w.Lost() > 1<<20 {
+			break
+		}
+	}
+	w.Close()
+	if n, m := strings.Count(said.String(), "recording failed"), strings.Count(said.String(), "goes on"); n != 1 || m != 1 {
+		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	}
+	if left, err := Segments(dir); err != nil || len(left) != 1 {
+		t.Errorf("%q, %v", left, err)
+	}
+}
+
+// A disk that stands still keeps neither a turn nor a router's end waiting.
+func TestDiskThatStandsStill(t *testing.T) {
+	d := &faultDisk{}
+	w := faulty(t, t.TempDir(), zerolog.Nop(), d)
+	d.still.Store(true)
+	begun := time.Now()
+	w.Begin(1)
+	for range 4 * depth {
+		w.end(Turn{Clock: 2})
+	}
+	turns := time.Since(begun)
+	w.Close()
+	if whole := time.Since(begun); turns > closeTime || whole > 3*closeTime || w.Lost() < depth {
+		t.Errorf("%v for turns, %v in all, %d lost", turns, whole, w.Lost())
+	}
+	d.still.Store(false)
+	w.done.Wait()
+}
+
+// A folder that can't be made for a moment keeps no router from starting, and is made later; one that can't be for good does.
+func TestFolderThatCannotBeMade(t *testing.T) {
+	d := &faultDisk{}
+	d.unmade.Store(3)
+	w := faulty(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), d)
+	w.Begin(1)
+	for end := time.Now().Add(10 * time.Second); w.Written() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		w.end(Turn{Clock: 2})
+	}
+	w.Close()
+	if left, err := Segments(w.dir); err != nil || len(left) != 1 {
+		t.Errorf("%q, %v", left, err)
+	}
+	name := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(name, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(name, Bounds{}, Header{}, state, zerolog.Nop()); err == nil {
+		t.Error("a file was taken for a folder")
+	}
+}
+
 func TestTotalIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	w := &Writer{dir: dir, bounds: Bounds{Segment: 100, Total: 1000}, head: Header{Life: "a"}, log: zerolog.Nop()}
--- a/internal/record/write.go
+++ b/internal/record/write.go
@@ -2,7 +2,9 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -16,6 +18,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/core"
+	"hollymast/internal/memory"
 )
 
 // Bounds limit what a recording takes on disk.
@@ -26,7 +29,8 @@
 	Wait    bool          // a turn waits for the disk where time is simulated: nothing is lost
 }
 
-// Writer records a core. Its Tape runs in the turn and only hands over; a goroutine of its own writes. Where that can't
+// Writer records a core. A recording owes nothing to clients: a folder that fails, is full or stands still costs turns of it and
+// nothing else. Its Tape runs in the turn and only hands over; a goroutine of its own writes. Where that can't
 // keep up, or the disk fails, turns are dropped whole, and a new segment says how many.
 type Writer struct {
 	dir    string
@@ -37,6 +41,10 @@
 	queue  queue
 	done   sync.WaitGroup
 	fresh  atomic.Bool // the goroutine wants a new segment
+	disk   disk
+	unmade bool          // the folder could not be made yet
+	pause  time.Duration // between tries of a folder that fails
+	stray  string        // the goroutine's own: a segment of nothing that couldn't be removed
 
 	// The turn's own.
 	turns uint64
@@ -111,10 +119,41 @@
 // Open begins a recording in a folder. State is asked, within turns, for the core's snapshot. Errors are those of the
 // folder.
 func Open(dir string, bounds Bounds, head Header, state func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, err
+	return open(dir, bounds, head, state, log, machine{})
+}
+
+// file is a segment's.
+type file interface {
+	Write(b []byte) (int, error)
+	Close() error
+}
+
+// disk is what a recording needs of a file system; tests have one that fails.
+type disk interface {
+	Make(dir string) error
+	Create(name string, flags int) (file, error)
+}
+
+type machine struct{}
+
+func (machine) Make(dir string) error { return os.MkdirAll(dir, 0o700) }
+
+func (machine) Create(name string, flags int) (file, error) {
+	f, err := os.OpenFile(name, flags|os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		return nil, err // not f: a nil *os.File would be a file
+	}
+	return f, nil
+}
+
+func open(dir string, bounds Bounds, head Header, state func() (*core.Snapshot, error), log zerolog.Logger,
+	disk disk) (*Writer, error) {
+	// An error that may be over in a moment keeps no router from starting: the folder is made with the first segment that can be.
+	unmade := disk.Make(dir)
+	if unmade != nil && !memory.Passing(unmade) {
+		return nil, unmade
 	}
-	w := &Writer{dir: dir, bounds: bounds, head: head, state: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
+	w := &Writer{unmade: unmade != nil, disk: disk, pause: time.Second, dir: dir, bounds: bounds, head: head, state: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
 	w.head.Version = Version
 	w.done.Add(1)
 	go func() {
@@ -170,12 +209,32 @@
 // Close ends the recording, with all turns that were handed over. Its Tape must not be in use any more.
 func (w *Writer) Close() {
 	w.queue.close()
-	w.done.Wait()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		w.done.Wait()
+	}()
+	if w.bounds.Wait {
+		<-ended
+		return
+	}
+	timer := time.NewTimer(closeTime)
+	defer timer.Stop()
+	select {
+	case <-ended:
+	case <-timer.C:
+		w.log.Warn().Msg("the recording's disk stands still: its last turns are lost")
+	}
 }
 
+// closeTime bounds what a disk that stands still costs a router that ends. A second of turns is written in far less.
+const closeTime = 2 * time.Second
+
 // segment is the file being written.
 type segment struct {
-	file  *os.File
+	file  file
+	name  string
+	some  bool // turns are in it
 	size  int64
 	begun time.Time
 	turns batch
@@ -185,15 +244,22 @@
 func (w *Writer) write() {
 	var s *segment // nil: the last one failed, or none was begun
 	var failed time.Time
-	number := 0
+	number, said := 0, false
 	var room []item
 	flush := time.NewTicker(100 * time.Millisecond) // how much a killed router loses
 	defer flush.Stop()
 	check := func(err error) {
 		if err != nil {
-			w.log.Error().Err(err).Msg("recording failed: turns are lost until a new segment can be begun")
+			if !said {
+				w.log.Error().Err(err).Msg("recording failed: turns are lost until a new segment can be begun")
+			}
+			said = true
 			if s != nil {
-				s.file.Close()
+				s.file.Close() // it failed: whatever else does
+				if !s.some {
+					w.discard(s.name)
+					number-- // the next one takes its name
+				}
 			}
 			s, failed = nil, time.Now()
 		}
@@ -210,9 +276,10 @@
 					check(w.finish(s))
 				}
 				it.header.Segment = number
-				number++
 				var err error
-				s, err = w.begin(it)
+				if s, err = w.begin(it); err == nil {
+					number++
+				}
 				check(err)
 				continue
 			}
@@ -239,11 +306,16 @@
 		case closed:
 			return
 		case s != nil:
-			if check(w.flush(s)); s != nil && (s.size > w.bounds.Segment || time.Since(s.begun) > w.bounds.Age) {
+			check(w.flush(s))
+			if said && s != nil && s.some {
+				w.log.Info().Msg("recording goes on")
+				said = false
+			}
+			if s != nil && (s.size > w.bounds.Segment || time.Since(s.begun) > w.bounds.Age) {
 				s.begun = time.Now()
 				w.fresh.Store(true)
 			}
-		case !failed.IsZero() && time.Since(failed) > time.Second:
+		case !failed.IsZero() && time.Since(failed) > w.pause:
 			failed = time.Now()
 			w.fresh.Store(true)
 		}
@@ -261,23 +333,42 @@
 // begin opens a segment's file and writes its head.
 func (w *Writer) begin(it item) (*segment, error) {
 	w.makeRoom()
+	if w.unmade {
+		if err := w.disk.Make(w.dir); err != nil {
+			return nil, err
+		}
+		w.unmade = false // one that goes later is not made again: what is mounted there may be missing
+	}
 	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.head.Life, it.header.Segment))
-	file, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	flags := os.O_EXCL
+	if name == w.stray {
+		flags = os.O_TRUNC
+	}
+	file, err := w.disk.Create(name, flags)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{file: file, begun: time.Now()}
+	s := &segment{file: file, name: name, begun: time.Now()}
 	b, err := opening(it.header, it.checkpoint)
 	if err == nil {
 		err = w.put(s, b)
 	}
 	if err != nil {
 		file.Close()
+		w.discard(name)
 		return nil, err
 	}
 	return s, nil
 }
 
+// discard removes a segment in which nothing stands. One that can't be removed is written over by the next try: a folder that fails
+// for long fills with none.
+func (w *Writer) discard(name string) {
+	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		w.stray = name
+	}
+}
+
 // opening is a segment's beginning.
 func opening(h *Header, s *core.Snapshot) (b []byte, err error) {
 	b = []byte(magic)
@@ -312,7 +403,11 @@
 	}
 	clear(s.turns.Turns)
 	s.turns.Turns = s.turns.Turns[:0]
-	return w.put(s, b)
+	if err := w.put(s, b); err != nil {
+		return err
+	}
+	s.some = true
+	return nil
 }
 
 // makeRoom removes the oldest segments beyond the bound of all.
