--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -67,6 +67,12 @@
 	return frame(codeRequest, x.ID, fields.String(), x.Body)
 }
 
+// Size is how many bytes Frame gives, at most.
+func (x *Execution) Size() int {
+	const namesAndFigure = 64 // the fields' names, and the longest time in milliseconds
+	return headLength + namesAndFigure + len(x.Class) + len(x.Function) + len(x.Mark) + len(x.Body) + checkBytes
+}
+
 // GiveUp tells a server that an execution is not waited for.
 func GiveUp(id ID) []byte { return frame(codeGiveUp, id, "", nil) }
 
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -116,3 +116,11 @@
 		}
 	})
 }
+
+// What a frame may take is known before it is encoded.
+func TestSizeBoundsTheFrame(t *testing.T) {
+	x := Execution{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", Mark: "aa", Allow: 1 << 62, Body: []byte("xyz")}
+	if got := len(x.Frame()); got > x.Size() {
+		t.Errorf("%d bytes, at most %d told", got, x.Size())
+	}
+}
--- /dev/null
+++ b/internal/platform/deadline_test.go
@@ -0,0 +1,201 @@
+package platform
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/binframe"
+	"hollymast/internal/fleet"
+	"hollymast/internal/msgrpc"
+	"hollymast/internal/platformtest"
+)
+
+// startChanged starts a router whose settings and calls a test changes first.
+func startChanged(t *testing.T, change func(p *Platform), servers ...string) *running {
+	t.Helper()
+	r := start(t, plane(t, 1), servers...)
+	done := make(chan bool)
+	r.box.Tell(func(control.Micros) { change(r.Platform); close(done) })
+	<-done
+	return r
+}
+
+// longGrace has a list be fresh for so long that its age withdraws nothing.
+func longGrace(p *Platform) {
+	p.told.grace, p.told.connecting = 4_000_000, 1_000_000
+	p.told.Deployment.Late = attempt.Fresh(p.told.grace)
+}
+
+// fill writes to a connection until it takes no more, also of what the kernel moves on a little later, and tells how much that was.
+func fill(t *testing.T, conn net.Conn) (filled int) {
+	const moved = 50 * time.Millisecond
+	raw, err := conn.(syscall.Conn).SyscallConn()
+	if err != nil {
+		t.Error(err)
+		return 0
+	}
+	conn.(*net.TCPConn).SetWriteBuffer(2048) // the kernel makes it no longer by itself
+	for before := -1; before < filled; time.Sleep(moved) {
+		before = filled
+		raw.Control(func(fd uintptr) {
+			for {
+				n, err := syscall.Write(int(fd), make([]byte, 4096))
+				if err != nil {
+					return
+				}
+				filled += n
+			}
+		})
+	}
+	return filled
+}
+
+// narrow listens with buffers that hold less than one long message, and serves each connection.
+func narrow(t *testing.T, serve func(net.Conn)) string {
+	t.Helper()
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
+	}}
+	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c)
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// The deadline that a server is told is at most what the client has left when the frame is there, with the page's slack of
+// 0.15 s, whatever its way there was held up by.
+func TestDeadlineIsWhatIsLeft(t *testing.T) {
+	const late = 600 * time.Millisecond
+	var nth atomic.Int32
+	filled := make(chan int, 8)
+	for name, way := range map[string]struct {
+		serve func(c net.Conn, answer func())
+		dial  func(conn net.Conn)
+		body  int
+		want  string
+	}{
+		"a dial comes up late": {
+			serve: func(_ net.Conn, answer func()) { answer() },
+			dial:  func(net.Conn) { time.Sleep(late) },
+			want:  "1: done",
+		},
+		"no room for the first byte": {
+			serve: func(c net.Conn, answer func()) {
+				time.Sleep(late)
+				io.ReadFull(c, make([]byte, <-filled))
+				answer()
+			},
+			dial: func(conn net.Conn) { filled <- fill(t, conn) },
+			want: "1: done",
+		},
+		"no room for the rest": {
+			serve: func(_ net.Conn, answer func()) { time.Sleep(late); answer() },
+			dial:  func(conn net.Conn) { conn.(*net.TCPConn).SetWriteBuffer(2048) },
+			body:  msgrpc.MaxBody, want: "1: TryLater",
+		},
+		"a second attempt after an error": {
+			serve: func(c net.Conn, answer func()) {
+				if nth.Add(1) == 1 {
+					f, _ := platformtest.ReadFrame(c)
+					time.Sleep(late)
+					c.Write(platformtest.AnswerFrame(101, f.ID, "", nil))
+				}
+				answer()
+			},
+			dial: func(net.Conn) {}, want: "1: done",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var begun time.Time
+			server := narrow(t, func(c net.Conn) { way.serve(c, func() { checkDeadlines(t, c, &begun) }) })
+			r := startChanged(t, func(p *Platform) {
+				longGrace(p)
+				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+					conn, err := systemCalls.dial(ctx, address)
+					if err == nil {
+						way.dial(conn)
+					}
+					return conn, err
+				}
+			}, server)
+			c := r.caller(t)
+			begun = time.Now()
+			c.send(0, 1, "again", []any{map[string]string{"ref": "0000000000000001", "allow": fmt.Sprint(allowed.Milliseconds()),
+				"project": "acme", "lookup": "7f3a9c21e0b4d655", "spec": "memory_mb:512;lanes:2"}, make([]byte, way.body)})
+			c.expect(way.want)
+		})
+	}
+}
+
+const allowed = 1500 * time.Millisecond
+
+// checkDeadlines answers what comes on a connection, and holds the deadline told in each frame against what is left of the time
+// allowed.
+func checkDeadlines(t *testing.T, c net.Conn, begun *time.Time) {
+	const slack = 150 * time.Millisecond
+	for in := bufio.NewReader(c); ; {
+		f, err := platformtest.ReadFrame(in)
+		if err != nil {
+			return
+		}
+		if f.Code != platformtest.Execution {
+			continue
+		}
+		var most int
+		for field := range strings.SplitSeq(f.Fields, ",") {
+			fmt.Sscanf(field, "max=%d", &most)
+		}
+		left := allowed - time.Since(*begun)
+		if told := time.Duration(most) * time.Millisecond; most == 0 || told > left+slack {
+			t.Errorf("told %v where the client has %v left", told, left.Round(time.Millisecond))
+		}
+		c.Write(platformtest.AnswerFrame(97, f.ID, "remark=resident", []byte("done")))
+	}
+}
+
+// An attempt whose time is up when its connection stands is withdrawn there, however fresh its list is: it provably never ran.
+func TestNothingLeftIsNotWritten(t *testing.T) {
+	p := idlePlatform(t)
+	longGrace(p)
+	conn, theirs := platformtest.Connected(t)
+	p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
+	p.catchUp()
+	p.turn(p.now(), nil)
+	const left = 20 * time.Millisecond
+	s := p.sending(fleet.ID("s-0"), control.Micros(left.Microseconds()))
+	s.request = &binframe.Execution{ID: 1}
+	s.link = p.newLink(p.now(), p.poolOf(s.to)) // it dials
+	defer s.link.undial()
+	s.link.box.post(s.parcel(nil))
+	time.Sleep(left + time.Millisecond)
+	s.link.box.up(conn)
+	until(t, "it is withdrawn", s.link.box.drained)
+	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.reached() == attempt.Writing {
+		t.Errorf("%d bytes were written, stage %d", n, s.reached())
+	}
+}
--- a/internal/platform/outbox.go
+++ b/internal/platform/outbox.go
@@ -20,6 +20,8 @@
 	writing bool // the goroutine runs
 	closing bool // the connection ends with the last of it
 	closed  bool
+	// firstWrite writes the first bytes of a parcel with a check; nil: the system's call.
+	firstWrite func(fd int, b []byte) (int, error)
 	// written, where there is one, is closed when nothing is written any more: with the last of it only this direction of
 	// the connection ends, and whoever reads the other closes it.
 	written chan struct{}
@@ -28,14 +30,22 @@
 // parcel is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
 // parcel. Write tells whether any byte is out; begin is called again once the connection has room.
 type parcel struct {
-	data  []byte
-	begin func(write func() bool) (withdrawn bool)
-	wrote func(whole bool)
+	data []byte
+	// encode, where there is one, gives data, right before each try to write the first byte: guards against a deadline in it that was
+	// true when the parcel was handed over, before a dial or a wait for room.
+	encode func() []byte
+	size   int // of what encode gives, at most
+	begin  func(write func() bool) (withdrawn bool)
+	wrote  func(whole bool)
 }
 
 // writeTime bounds a write: a reader that takes nothing for this long is gone, or means harm.
 const writeTime = 2 * time.Second
 
+// restTime bounds the rest of a message whose first bytes are out and that tells a deadline. Guards against a deadline that is read
+// when the message has come whole, much later: two thirds of the 0.15 s by which it may exceed what the client has left.
+const restTime = 100 * time.Millisecond
+
 // post hands over a message; no tells that the connection takes none any more. Guards against an end that asks and does
 // not read: beyond its bound the connection is closed.
 func (o *outbox) post(p parcel) bool {
@@ -44,12 +54,13 @@
 	if o.closed || o.closing {
 		return false
 	}
-	if o.size+len(p.data) > o.most {
+	p.size = max(p.size, len(p.data))
+	if o.size+p.size > o.most {
 		o.shut()
 		return false
 	}
 	o.queue = append(o.queue, p)
-	o.size += len(p.data)
+	o.size += p.size
 	o.start()
 	return true
 }
@@ -139,14 +150,17 @@
 		if o.queue = o.queue[1:]; len(o.queue) == 0 {
 			o.queue = nil
 		}
-		o.size -= len(p.data)
+		o.size -= p.size
 		o.mu.Unlock()
 		o.conn.SetWriteDeadline(time.Now().Add(writeTime))
 		n, err := 0, error(nil)
 		if p.begin != nil {
-			if n, err = begin(o.conn, p); n == 0 && err == nil {
+			if n, err = begin(o.conn, &p, o.firstWrite); n == 0 && err == nil {
 				continue // withdrawn
 			}
+			if p.encode != nil && n < len(p.data) {
+				o.conn.SetWriteDeadline(time.Now().Add(restTime))
+			}
 		}
 		if err == nil {
 			var more int
@@ -164,7 +178,10 @@
 
 // begin writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
 // before the first byte that is no longer true at the first byte: where the connection has no room, the check comes again.
-func begin(conn net.Conn, p parcel) (n int, err error) {
+func begin(conn net.Conn, p *parcel, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
+	if firstWrite == nil {
+		firstWrite = syscall.Write
+	}
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, err
@@ -173,8 +190,11 @@
 	err = raw.Write(func(fd uintptr) bool {
 		room := true
 		write := func() bool {
-			for n, failed = syscall.Write(int(fd), p.data); errors.Is(failed, syscall.EINTR); {
-				n, failed = syscall.Write(int(fd), p.data)
+			if p.encode != nil {
+				p.data = p.encode()
+			}
+			for n, failed = firstWrite(int(fd), p.data); errors.Is(failed, syscall.EINTR); {
+				n, failed = firstWrite(int(fd), p.data)
 			}
 			n = max(0, n)
 			if errors.Is(failed, syscall.EAGAIN) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -55,6 +55,7 @@
 
 	// Shared.
 	box      *mailbox.Box
+	calls    calls
 	follower *board.Follower
 	ready    atomic.Bool
 	listener *net.TCPListener
@@ -96,7 +97,7 @@
 	now := time.Now()
 	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
 		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
-		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
+		fleet: fleet.New(0), calls: systemCalls, accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
@@ -421,8 +422,8 @@
 	}
 	j.executions = append(j.executions, s)
 	j.state.Sent()
-	x := binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Allow: allow, Body: j.ask.Body}
-	p.dispatch(p.clock, s, x.Frame())
+	s.request = &binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Body: j.ask.Body}
+	p.dispatch(p.clock, s, nil)
 }
 
 func (p *Platform) sending(to control.ServerID, allow control.Micros) *sending {
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -56,7 +56,8 @@
 	order    control.Order
 	id       binframe.ID
 	to       control.ServerID
-	link     *link // nil: none was had
+	request  *binframe.Execution // nil of an order
+	link     *link               // nil: none was had
 	chosen   control.Micros
 	listAsOf control.Micros // as of when the list was complete that it was chosen from
 	until    control.Micros // it is not written later
@@ -114,6 +115,12 @@
 	return false
 }
 
+// frame gives a request's frame as of now: it tells what is left of its time.
+func (s *sending) frame() []byte {
+	s.request.Allow = s.deadline - s.p.now()
+	return s.request.Frame()
+}
+
 func (s *sending) wrote(whole bool) {
 	s.whole.Store(whole)
 	if !whole {
@@ -121,7 +128,7 @@
 	}
 }
 
-// dispatch hands a sending to a connection.
+// dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
 func (p *Platform) dispatch(now control.Micros, s *sending, frame []byte) {
 	var l *link
 	if server := p.fleet.Get(s.to); server != nil && server.State == control.Ready {
@@ -133,7 +140,7 @@
 	if l != nil {
 		s.link = l
 		l.out[s.id] = s
-		if l.box.post(parcel{data: frame, begin: s.begin, wrote: s.wrote}) {
+		if l.box.post(s.parcel(frame)) {
 			return
 		}
 		delete(l.out, s.id)
@@ -142,6 +149,14 @@
 	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NeverSent, nil) })
 }
 
+func (s *sending) parcel(frame []byte) parcel {
+	p := parcel{data: frame, begin: s.begin, wrote: s.wrote}
+	if s.request != nil {
+		p.encode, p.size = s.frame, s.request.Size()
+	}
+	return p
+}
+
 // poolOf gives the connections to a server that is listed.
 func (p *Platform) poolOf(id control.ServerID) *pool {
 	pl := p.pools[id]
@@ -178,7 +193,7 @@
 func (p *Platform) newLink(now control.Micros, pl *pool) *link {
 	l := &link{p: p, pool: pl, out: map[binframe.ID]*sending{}, since: now}
 	l.dialing, l.undial = context.WithTimeout(context.Background(), span(p.told.connecting))
-	l.box.most = linkUnread
+	l.box.most, l.box.firstWrite = linkUnread, p.calls.write
 	pl.links = append(pl.links, l)
 	p.linked++
 	return l
@@ -285,10 +300,23 @@
 	}
 }
 
+// calls are the system's calls that a connection to a server begins with; tests put others in their place.
+type calls struct {
+	dial  func(ctx context.Context, address string) (net.Conn, error)
+	write func(fd int, b []byte) (int, error) // does not wait
+}
+
+var systemCalls = calls{
+	dial: func(ctx context.Context, address string) (net.Conn, error) {
+		return new(net.Dialer).DialContext(ctx, "tcp", address)
+	},
+	write: syscall.Write,
+}
+
 // dial connects. Where descriptors are short for it, idle clients make room.
 func (l *link) dial() (net.Conn, error) {
 	for {
-		conn, err := new(net.Dialer).DialContext(l.dialing, "tcp", l.pool.address)
+		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
 		if !outOfDescriptors(err) {
 			return conn, err
 		}
