--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -21,6 +21,7 @@
 	p        *Platform
 	conn     net.Conn
 	in       *looking
+	seen     *seen
 	box      outbox
 	mu       sync.Mutex
 	open     map[uint32]*job // by number
@@ -113,7 +114,8 @@
 
 // welcome has a connection read.
 func (p *Platform) welcome(conn net.Conn) *client {
-	c := &client{p: p, conn: conn, in: &looking{conn: conn}, open: map[uint32]*job{}, linger: lingerIdle,
+	seen := newSeen(conn)
+	c := &client{p: p, conn: conn, in: &looking{conn: seen}, seen: seen, open: map[uint32]*job{}, linger: lingerIdle,
 		gone: make(chan struct{}), now: make(chan struct{})}
 	c.box.most, c.box.conn, c.box.written = unread, conn, make(chan struct{})
 	c.quiet.Store(int64(p.now()))
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -90,20 +90,37 @@
 	return attempt.Stage(s.stage.Load())
 }
 
+// readerMost is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
+// Guards against a client that sends without a pause, and holds up what others sent on the same connection to a server.
+const readerMost = 100 * time.Millisecond
+
 // begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
-// turn, and so is a list that has grown too old since the choice.
+// turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
+// leaves: its reader comes first.
 func (s *sending) begin(write func() bool) (withdrawn bool) {
+	for began := time.Now(); ; time.Sleep(time.Millisecond) {
+		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerMost); !unread {
+			return withdrawn
+		}
+	}
+}
+
+func (s *sending) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	now := s.p.now()
+	unread = s.job != nil && !s.job.client.seen.level(time.Now())
 	wanted := s.job == nil || !s.job.gone.Load()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.until)
+	now := s.p.now()
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.until)
+	if ok && unread {
+		return false, true
+	}
 	if !ok {
 		s.p.box.Tell(func(now control.Micros) {
 			s.withdraw()
 			s.p.ended(now, s, control.NeverSent, nil)
 		})
-		return true
+		return true, false
 	}
 	if write() {
 		s.stage.Store(int32(next))
@@ -112,7 +129,7 @@
 			s.link.pool.firstByte.note(int64(now))
 		}
 	}
-	return false
+	return false, false
 }
 
 // frame gives a request's frame as of now: it tells what is left of its time.
--- /dev/null
+++ b/internal/platform/unread_test.go
@@ -0,0 +1,164 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"hollymast/internal/platformtest"
+)
+
+// stalling is the router's end of a client's connection: while a test holds the lock, what comes is not read, as by a reader that
+// waits for the processor.
+type stalling struct {
+	*net.TCPConn
+	sync.RWMutex
+}
+
+func (s *stalling) Read(b []byte) (int, error) {
+	raw, err := s.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	err = raw.Read(func(fd uintptr) bool {
+		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return !errors.Is(err, syscall.EAGAIN)
+	})
+	if err != nil {
+		return 0, err
+	}
+	s.RLock()
+	defer s.RUnlock()
+	return s.TCPConn.Read(b)
+}
+
+// leaving are the ways in which a client stops waiting for its request 1.
+var leaving = map[string]func(c *caller){
+	"cancels":     func(c *caller) { c.send(2, "forget", []any{1}) },
+	"closes":      func(c *caller) { c.conn.Close() },
+	"half closes": func(c *caller) { c.conn.(*net.TCPConn).CloseWrite() },
+	"resets":      func(c *caller) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
+	"cancels behind another request": func(c *caller) {
+		c.call(2, "again", "lookup", "00000000000000ff")
+		c.send(2, "forget", []any{1})
+		c.send(2, "forget", []any{2})
+	},
+}
+
+// A client leaves while its attempt waits, and nobody reads that for long: no first byte follows.
+func TestLeavingLiesUnread(t *testing.T) {
+	const unread, watched = 130 * time.Millisecond, 300 * time.Millisecond
+	for how, leave := range leaving {
+		for where, way := range map[string]struct {
+			dial   func(conn net.Conn, filled chan<- int, left <-chan bool)
+			accept func(c net.Conn, filled <-chan int, left <-chan bool)
+		}{
+			"in a dial": {dial: func(_ net.Conn, _ chan<- int, left <-chan bool) { <-left }},
+			"for room": {
+				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fill(t, conn) },
+				accept: func(c net.Conn, filled <-chan int, left <-chan bool) {
+					<-left
+					io.ReadFull(c, make([]byte, <-filled))
+				},
+			},
+			"between two attempts": {accept: func(c net.Conn, _ <-chan int, left <-chan bool) {
+				f, _ := platformtest.ReadFrame(c)
+				<-left
+				c.Write(platformtest.AnswerFrame(101, f.ID, "", nil))
+			}},
+		} {
+			t.Run(how+" "+where, func(t *testing.T) {
+				t.Parallel()
+				waits, left, filled, first := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
+				var nth atomic.Int32
+				server := narrow(t, func(c net.Conn) {
+					if way.accept != nil && nth.Add(1) == 1 {
+						waits <- true
+						way.accept(c, filled, left)
+					}
+					for {
+						f, err := platformtest.ReadFrame(c)
+						if err != nil {
+							return
+						}
+						first <- f
+					}
+				})
+				r := startChanged(t, func(p *Platform) {
+					longGrace(p)
+					p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+						conn, err := systemCalls.dial(ctx, address)
+						if err == nil && way.dial != nil {
+							waits <- true
+							way.dial(conn, filled, left)
+						}
+						return conn, err
+					}
+				}, server)
+				ours, theirs := platformtest.Connected(t)
+				stalled := &stalling{TCPConn: ours.(*net.TCPConn)}
+				r.welcome(stalled)
+				c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
+				c.call(1, "again")
+				<-waits
+				time.Sleep(lookAge) // the attempt waits, and the reader for what comes
+				stalled.Lock()
+				leave(c)
+				time.Sleep(unread)
+				close(left)
+				select {
+				case f := <-first:
+					t.Errorf("a frame of code %d follows", f.Code)
+				case <-time.After(watched):
+				}
+				stalled.Unlock()
+			})
+		}
+	}
+}
+
+// What the router's own way to read knows of what lies unread, where its reader does not come back.
+func TestSeenKnowsWhatIsUnread(t *testing.T) {
+	for how, leave := range leaving {
+		t.Run(how, func(t *testing.T) {
+			ours, theirs := platformtest.Connected(t)
+			s := newSeen(ours)
+			if !s.direct {
+				t.Fatal("not read from the descriptor")
+			}
+			later := func() time.Time { return time.Now().Add(lookAge + time.Millisecond) }
+			theirs.Write([]byte("request"))
+			b := make([]byte, 100)
+			if n, err := s.Read(b); n != 7 || err != nil {
+				t.Fatalf("read %d, %v", n, err)
+			}
+			if s.level(time.Now()) {
+				t.Error("what was read of a new connection is not taken in yet")
+			}
+			s.SetReadDeadline(time.Now().Add(lookAge))
+			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Fatal(err)
+			}
+			if !s.level(later()) {
+				t.Error("nothing is unread")
+			}
+			leave(&caller{t, theirs, msgpack.NewDecoder(theirs)})
+			until(t, "it is told that something is unread", func() bool {
+				s.asOf = time.Now().Add(-lookAge - 1) // the reader looked that long ago
+				return !s.level(time.Now())
+			})
+			if s.asOf = time.Now(); !s.level(time.Now()) {
+				t.Error("where the reader looked just now it is looked again")
+			}
+		})
+	}
+}
