--- a/control/control.go
+++ b/control/control.go
@@ -414,9 +414,10 @@
 	// Jobs of two turns that follow one another may meet in one window: both together stay within what chance may make of it.
 	routers := float64(max(1, r.told.Routers))
 	part = min(part, (bears(budget*routers)/routers-whole)/2)
-	// Powers of two, so that a figure that changes within a window lets nobody in beside those of the largest.
+	// Powers of two, so that a figure that changes within a window lets nobody in beside those of the largest. Turns go by the
+	// server's age, which all routers know alike: their clocks may have been set between their starts.
 	turns := uint64(1) << int(math.Ceil(-math.Log2(max(part, 1e-6))))
-	if (uint64(now/r.told.Fall)+uint64(r.told.Number)+mix(0, uint64(s.Server)))%turns == 0 {
+	if (uint64(max(0, now-s.Born)/r.told.Fall)+uint64(r.told.Number)+mix(0, uint64(s.Server)))%turns == 0 {
 		whole++
 	}
 	return len(s.sent) < int(whole)
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -133,3 +133,24 @@
 		}
 	}
 }
+
+// Routers take their turns alike though their clocks differ, as where the wall clock was stepped between their starts.
+func TestTurnsHoldWhateverTheClocks(t *testing.T) {
+	chance := rand.New(rand.NewPCG(2, 2))
+	var drawn [300]Micros
+	for i := range drawn {
+		drawn[i] = Micros(chance.Int64N(7200*second)) - 3600*second
+	}
+	for name, offset := range map[string]func(router int) Micros{"half an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
+		"any": func(r int) Micros { return drawn[r] }, "a window more each": func(r int) Micros { return Micros(-r) * second }} {
+		for _, routers := range []int{6, 30, 300} {
+			for _, calls := range []float64{6, 25, 50, 200} {
+				d := day{routers: routers, calls: calls, fall: second, offset: offset}
+				if most, at, n := d.worst(); most > 1 {
+					t.Errorf("%s, %d routers, %v calls: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears", name, routers,
+						calls, n, float64(at)/1e6, most)
+				}
+			}
+		}
+	}
+}
