--- a/control/control.go
+++ b/control/control.go
@@ -47,6 +47,7 @@
 			}
 		}
 	}
+	r.reindex()
 }
 
 // Listed takes in the list of servers. A later start than the one known means an empty, cold server.
@@ -55,13 +56,17 @@
 		r.watching = false
 		return
 	}
-	for _, s := range r.servers {
-		s.listed = s.listed && kind == ListChanges
+	before := r.index.listed
+	r.index.listed = now
+	if kind != ListChanges {
+		for _, s := range r.servers {
+			s.listed = false
+		}
 	}
 	for _, l := range list {
 		i, known := r.find(l.Server)
 		if !known {
-			r.servers = slices.Insert(r.servers, i, &server{heard: now})
+			r.know(i, &server{Listing: Listing{Server: l.Server}, heard: now})
 		}
 		s := r.servers[i]
 		if known && l.Born > s.Born {
@@ -70,19 +75,24 @@
 		}
 		s.Listing, s.listed = l, true
 	}
+	if kind == ListChanges {
+		for _, l := range list {
+			i, _ := r.find(l.Server)
+			r.settle(before, r.servers[i])
+		}
+		return
+	}
 	for _, s := range r.servers {
 		if !s.listed {
 			s.State = Gone
 		}
-		if s.State != Gone {
-			s.left = now
-		}
+		r.settle(before, s)
 	}
 }
 
 // forget drops the beliefs about a server's copies that are older than its start: a restart holds nothing.
 func (r *Router) forget(s *server, born Micros) {
-	for _, f := range r.order {
+	for _, f := range s.holds {
 		if in := f.at(s, false); in != nil && max(in.used, in.since) < born {
 			in.copies, in.loading = 0, 0
 		}
@@ -455,12 +465,8 @@
 func (r *Router) pool(now Micros) {
 	const over = 10_000_000 // some tens of answers even where a router sees a few jobs a second
 	r.answers = after(r.answers, now-over)
-	servers := 0.0
-	for _, s := range r.servers {
-		if s.State == Ready { // refusing or suspect ones too: they must not make the rest look able to more
-			servers += r.capacity(now, s)
-		}
-	}
+	// Refusing or suspect ones too: they must not make the rest look able to more.
+	servers := r.capacities(now)
 	seen := min(over, max(over/10, now-r.started)) // a router that started just now
 	r.rate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
 	r.fresh = Micros(min(8e6, max(seldom, 1e6/max(0.01, r.rate))))
@@ -506,6 +512,7 @@
 		s.busy++
 	}
 	s.flights = append(s.flights, flight{j, ExecutionID(len(j.Executions) - 1), now, warm})
+	r.index.flying = with(r.index.flying, s, byID)
 	s.sent = append(after(s.sent, now-r.told.Fall), now)
 	if s.suspect {
 		s.trialAt = now + r.untilTrial(s)
@@ -525,35 +532,16 @@
 	takes := func(s *server) bool {
 		return now >= s.loadsAfter && s.waiting() < few && !(beside && s.room() < 0.75)
 	}
-	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
-		return nil // bounds the work of a turn with many held jobs
+	cs, known := []choice(nil), false
+	if r.told.Routers > 1 && r.homes(f, len(r.index.ids)-len(r.index.unready)) == 1 {
+		cs, known = r.firstTwo(now, f, j)
 	}
-	cs := r.choices[:0]
-	for _, s := range r.servers {
-		if !r.usable(now, s, j) {
-			continue
-		}
-		weight := max(0.1, s.Power) * r.capacity(now, s)
-		if r.fresh <= seldom && r.told.Routers == 1 { // what we see of a server is new and tells how free it is
-			free := max(0.05, min(1-s.report.Util, s.room()))
-			weight *= free * free / (1 + max(0, s.report.Loads))
-		} else if s.room() < 0.25 || r.shunned(now, s) {
-			weight *= 0.01 // last, in the same order
+	if !known {
+		if r.told.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.open(now, s, j) }) {
+			return nil // bounds the work of a turn with many held jobs
 		}
-		weight = max(0.001, weight)
-		cs = append(cs, choice{s, -math.Log(even(uint64(f.id), uint64(s.Server))) / weight, weight})
+		cs = r.inOrder(now, f, j)
 	}
-	r.choices = cs
-	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
-	slices.SortFunc(cs, byKey)
-	const spread = 2  // homes for a server's part of the jobs, so that a home is half of its server's load
-	const enough = 32 // jobs that tell a part; the one in hand tells nothing
-	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
-	homes := cs[:min(len(cs), max(1, int(math.Ceil(spread*part*float64(len(cs))))))]
-	for i, c := range homes {
-		homes[i].key = -math.Log(even(mix(uint64(f.id), uint64(r.told.Number)+1), uint64(c.s.Server))) / c.weight
-	}
-	slices.SortFunc(homes, byKey)
 	var best *server
 	fewest := math.MaxInt
 	near := len(cs)
@@ -575,6 +563,38 @@
 	return best
 }
 
+// homes is how many of the servers that can be used a function has for homes.
+func (r *Router) homes(f *function, usable int) int {
+	const spread = 2  // homes for a server's part of the jobs, so that a home is half of its server's load
+	const enough = 32 // jobs that tell a part; the one in hand tells nothing
+	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
+	return min(usable, max(1, int(math.Ceil(spread*part*float64(usable)))))
+}
+
+// inOrder gives servers that a load may go to, those that loadTarget looks at first and in order.
+func (r *Router) inOrder(now Micros, f *function, j *Job) []choice {
+	cs, n := r.nearest(now, f, j)
+	near := cs
+	if r.told.Routers > 1 {
+		near = cs[:min(len(cs), 2)]
+	}
+	homes := cs[:n]
+	lowest(cs, len(homes))
+	for i, c := range homes {
+		homes[i].key = key(mix(uint64(f.id), uint64(r.told.Number)+1), c.s.Server, c.weight)
+	}
+	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	if len(near) <= len(homes) {
+		lowest(homes, len(near))
+		slices.SortFunc(near, byKey)
+	} else {
+		lowest(cs[len(homes):], len(near)-len(homes))
+		slices.SortFunc(homes, byKey)
+		slices.SortFunc(near[len(homes):], byKey)
+	}
+	return cs
+}
+
 // load starts a load for a job. Where a job loads what is missing it goes by itself: so it finds what others
 // loaded, for no price. An order goes before it for one copy more, or where only orders load: there a job goes
 // once without, when the ration gives none, since others may have loaded it and a miss never ran.
@@ -638,6 +658,9 @@
 		s.busy--
 	}
 	s.flights = slices.DeleteFunc(s.flights, func(fl flight) bool { return fl.job == j && fl.no == o.Execution })
+	if len(s.flights) == 0 {
+		r.index.flying = without(r.index.flying, s, byID)
+	}
 	r.learn(now, f, in, j, o)
 	if o.JobOver {
 		r.Left(now, j)
@@ -672,6 +695,7 @@
 			in.copies = 0 // none of ours runs there: the copy may have made way for others
 		}
 		s.avoidUntil = now + fullPause<<min(s.fulls, 5)
+		r.index.doubt(s)
 		r.fit(now, s, 1000)
 	case o.Result == Finished:
 		r.answers, s.fulls = append(r.answers, now), 0
@@ -767,6 +791,7 @@
 	}
 	s.suspect, s.setbacks = true, s.setbacks+1
 	s.trialAt = now + r.untilTrial(s)
+	r.index.doubt(s)
 }
 
 const checkEvery = 200_000 // several checks within a load's time and within a start target
@@ -836,6 +861,9 @@
 			gone := r.idle(now, f)
 			if gone {
 				delete(r.functions, f.id)
+				for _, in := range f.instances {
+					in.server.drop(f)
+				}
 			}
 			return gone
 		})
@@ -843,15 +871,22 @@
 		r.tidied = from + len(kept)
 	}
 	const long = 600_000_000 // a roll or a break of the list is over by then
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
-		if s.State != Gone || len(s.flights) > 0 || now < s.left+long {
+	gone, due := r.index.gone, 0
+	for due < len(gone) && now >= gone[due].left+long {
+		due++
+	}
+	kept := slices.DeleteFunc(gone[:due:due], func(s *server) bool {
+		if len(s.flights) > 0 {
 			return false
 		}
-		for _, f := range r.order {
+		for _, f := range s.holds {
 			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
 		}
+		r.unknow(s)
 		return true
 	})
+	r.index.gone = slices.Delete(gone, len(kept), due)
+	r.index.trust(func(s *server) bool { return !s.suspect && now >= s.avoidUntil })
 }
 
 // idle tells whether all that is known of a function may be forgotten.
@@ -869,12 +904,7 @@
 		return
 	}
 	var silent []*server
-	busy := 0
-	for _, s := range r.servers {
-		if len(s.flights) == 0 {
-			continue
-		}
-		busy++
+	for _, s := range r.index.flying {
 		for _, fl := range s.flights {
 			allowed := limit
 			if !fl.warm && !s.suspect {
@@ -886,7 +916,7 @@
 			}
 		}
 	}
-	if len(silent)*2 > max(2, busy) {
+	if len(silent)*2 > max(2, len(r.index.flying)) {
 		return
 	}
 	for _, s := range silent {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,6 +52,7 @@
 	storm      *storm.Watch               // nil: storms are not damped
 	counted    *counted                   // the tally, for others; nil: it is not reported
 	keeper     *keeper                    // nil: nothing outlasts this run
+	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
 	between    []func(now control.Micros) // to be called after the turn
 	clock      control.Micros             // of the turn under way
 	listAsOf   control.Micros             // as of when the list that this turn chooses from was complete
@@ -75,7 +76,7 @@
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
 	ready      atomic.Bool  // a list was read, and we take jobs
-	stopNow    atomic.Bool
+	stopTold   atomic.Int64 // the router's time at which it was; 0: not
 	dials      chan struct{}
 	refresh    chan chan struct{}       // holds one
 	lookNow    atomic.Bool              // the list is read before the next turn, however young it is
@@ -86,7 +87,7 @@
 	asked      sync.WaitGroup // client connections
 	listeners  []net.Listener
 	listening  sync.WaitGroup
-	conns      sync.Map // *rest.Conn to bool: waiting for a request
+	conns      sync.Map // of *rest.Conn
 	ended      chan struct{}
 }
 
@@ -140,7 +141,9 @@
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.Start(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
-		if g.keeper = openKeeper(told, g.epoch, module, log); g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
+		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
+		g.metrics.journal(g.keeper)
+		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
 			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
 		}
 	}
@@ -149,7 +152,7 @@
 		if address == "" {
 			continue
 		}
-		l, err := net.Listen("tcp", address)
+		l, err := listen(address)
 		if err != nil {
 			g.closeListeners()
 			g.keeper.close()
@@ -247,6 +250,7 @@
 	g.timer = time.NewTimer(time.Hour)
 	defer g.timer.Stop()
 	done := ctx.Done()
+	var last <-chan time.Time // when all jobs are to have their answers
 	var batch []func(control.Micros)
 	g.turn(g.now(), nil)
 	for {
@@ -256,6 +260,9 @@
 		case <-done:
 			done = nil
 			g.beginStop()
+			last = time.After(g.told.stopTimes().answered)
+		case <-last:
+			g.tell(g.answerAll)
 		}
 		g.noteStop(g.now() - g.due)
 		g.catchUp()
@@ -339,25 +346,6 @@
 	g.tell(func(control.Micros) {})
 }
 
-// lastAccepts is for how long a stopping router takes connections, to push back what they ask: several times what it takes
-// to accept all that wait.
-const lastAccepts = 20 * time.Millisecond
-
-func (g *Gateway) beginStop() {
-	g.stopping = true
-	g.ready.Store(false)
-	g.stopNow.Store(true)
-	g.log.Info().Int("jobs", len(g.jobs)).Msg("stopping: no new jobs are taken")
-	// What the kernel has accepted by now is still answered: closed at once, the listener would reset it.
-	g.listeners[0].(*net.TCPListener).SetDeadline(time.Now().Add(lastAccepts))
-	g.conns.Range(func(c, waiting any) bool {
-		if waiting.(bool) {
-			c.(*rest.Conn).Hurry(lastAccepts) // a request may be on its way
-		}
-		return true
-	})
-}
-
 // dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
 func (g *Gateway) dropOrders() {
 	for _, p := range g.pools {
@@ -384,7 +372,6 @@
 		g.writer.Close()
 		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
 	}
-	g.closeListeners()
 	g.closePools()
 	settled := make(chan struct{})
 	go func() {
@@ -393,8 +380,8 @@
 		g.links.Wait()
 		close(settled)
 	}()
-	const most = 2 * time.Second // answers are written; only slow readers are left
-	timer := time.NewTimer(most)
+	// Answers are written; only those who may still ask are left, and slow readers.
+	timer := time.NewTimer(time.Until(g.sinceStop(g.told.stopTimes().closed)))
 	defer timer.Stop()
 	select {
 	case <-settled:
@@ -445,6 +432,13 @@
 		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
 		return
 	}
+	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
+		j.state.Give()
+		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		g.metrics.answered("pushed back")
+		g.metrics.unrecorded.Inc()
+		return
+	}
 	w := g.told.Deployment.Workloads[p.Workload]
 	limit := w.TimeLimit
 	if ask.Timeout > 0 {
@@ -547,7 +541,7 @@
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
-	if g.keeper != nil {
+	if g.keeper != nil && g.told.Deployment.LoadWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
