--- a/control/control.go
+++ b/control/control.go
@@ -361,9 +361,8 @@
 
 // final ends a job: pushed back where that promise holds, else killed.
 func (r *Router) final(j *Job) Placement {
-	w := r.told.Workloads[j.Workload]
 	for _, e := range j.Executions {
-		if e.MayRun && (w.Effect == RunOnce || w.Effect == Fingerprinted && w.Scope != WholeFleet) {
+		if e.MayRun && !r.told.Workloads[j.Workload].RepeatsAnywhere() {
 			return Placement{Verb: Kill}
 		}
 	}
--- a/control/types.go
+++ b/control/types.go
@@ -45,6 +45,11 @@
 	Window      Micros // how long a group drops repeats
 }
 
+// RepeatsAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
+func (w Workload) RepeatsAnywhere() bool {
+	return w.Effect == Restartable || w.Effect == Fingerprinted && w.Scope == WholeFleet
+}
+
 // Deployment holds what a router is told when it starts.
 type Deployment struct {
 	Routers       int
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -375,7 +375,8 @@
 // answerAll gives all that is in hand its answer: whatever is not answered now meets the kill.
 func (p *Platform) answerAll() { p.giveBack(func(*job) bool { return true }) }
 
-// giveBack ends those jobs in hand that are meant. Of one that was never written none is harmed by trying again.
+// giveBack ends those jobs in hand that are meant. Nobody is harmed by trying one again that was never written, or whose repeats
+// do no harm: that has time left with another router.
 func (p *Platform) giveBack(meant func(j *job) bool) {
 	now := p.now()
 	for _, j := range slices.SortedFunc(maps.Values(p.jobs), func(a, b *job) int { return cmp.Compare(a.id, b.id) }) {
@@ -384,7 +385,8 @@
 		}
 		p.count("ended by the stop")
 		p.core.Left(now, j.id)
-		if slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing }) {
+		mayHaveRun := slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing })
+		if mayHaveRun && !p.told.Deployment.Workloads[j.workload].RepeatsAnywhere() {
 			p.finish(j, msgrpc.Killed(j.number))
 		} else {
 			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -46,6 +46,19 @@
 	c.expect("2: TryLater")
 }
 
+// A job that may have run goes to another router where its repeat does no harm.
+func TestStopSendsElsewhereWhatMayRepeat(t *testing.T) {
+	held := make(chan asked, 1)
+	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
+		r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+		c := r.caller(t)
+		c.call(1, class)
+		<-held
+		r.box.Tell(func(control.Micros) { r.answerAll() })
+		c.expect(want)
+	}
+}
+
 // Near the kill only those jobs that are held are pushed back, and of those the ones whose client waits beyond it.
 func TestStopPushesBackHeldJobsFirst(t *testing.T) {
 	held := make(chan asked, 1)
