--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -390,3 +391,52 @@
 	answerAll()
 	checkNoneAfter(t, drains, told, drainGrace)
 }
+
+// A request that comes while the process is stopped is read late. The deadline that its server is told is still at most what the
+// client has left, with the page's slack of 0.15 s.
+func TestStoppedRouterTellsWhatIsLeft(t *testing.T) {
+	const allowed, slack = 8900 * time.Millisecond, 150 * time.Millisecond // of platformtest's clients
+	for _, stopped := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, time.Second} {
+		t.Run(fmt.Sprint(stopped), func(t *testing.T) {
+			t.Parallel()
+			server := platformtest.NewModelServer(t)
+			known := platformtest.Event(1, "s-0", server.Address(), "ready")
+			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, known)
+			router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), known))
+			clients := []*platformtest.Client{router.waitWell(), platformtest.Dial(t, router.address)}
+			clients[0].Call(1, 1)
+			if !clients[0].Answer() {
+				t.Fatal("not served")
+			}
+			requests := func() []platformtest.Received {
+				return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.Execution })
+			}
+			before := len(requests())
+			router.stop()
+			asked := time.Now()
+			for i, c := range append(clients, platformtest.Dial(t, router.address)) { // the last is accepted afterwards
+				c.Call(uint64(i+2), 1)
+			}
+			time.Sleep(stopped)
+			router.goOn()
+			checked := 0
+			until := time.Now().Add(4 * time.Second)
+			for checked < len(clients)+1 && time.Now().Before(until) {
+				time.Sleep(10 * time.Millisecond)
+				frames := requests()[before:]
+				for ; checked < len(frames); checked++ {
+					_, figure, _ := strings.Cut(frames[checked].Fields, "max=")
+					most := 0
+					fmt.Sscanf(figure, "%d", &most)
+					left := allowed - frames[checked].At.Sub(asked)
+					if told := time.Duration(most) * time.Millisecond; most == 0 || told > left+slack {
+						t.Errorf("told %v where the client has %v left", told, left.Round(time.Millisecond))
+					}
+				}
+			}
+			if checked < len(clients)+1 {
+				t.Errorf("%d of %d requests reached the server", checked, len(clients)+1)
+			}
+		})
+	}
+}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -370,7 +370,7 @@
 
 // call takes a job; no ends the connection.
 func (c *client) call(m *msgrpc.Message) bool {
-	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now()}
+	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now(), came: c.came()}
 	if why := c.p.check(&m.Ask, j); why != "" {
 		c.p.badInput(&msgrpc.Fault{Number: m.Number, Text: why})
 		c.post(msgrpc.Invalid(m.Number, why))
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -56,6 +56,7 @@
 	// Shared.
 	box      *mailbox.Box
 	calls    calls
+	pulse    pulse
 	follower *board.Follower
 	ready    atomic.Bool
 	listener *net.TCPListener
@@ -77,6 +78,7 @@
 	client     *client
 	ask        msgrpc.Ask
 	read       control.Micros // when its last byte was
+	came       control.Micros // when it may have come: before, where the process stood still
 	gone       atomic.Bool    // its client has cancelled or closed: no execution begins
 	workload   control.WorkloadID
 	tenant     control.TenantID
@@ -192,6 +194,7 @@
 	defer others.Wait()
 	defer stop()
 	others.Go(func() { p.follower.Follow(following) })
+	others.Go(func() { p.beat(following) })
 	others.Go(func() {
 		defer close(p.accepted)
 		p.accept(p.listener)
@@ -422,12 +425,14 @@
 	}
 	j.executions = append(j.executions, s)
 	j.state.Sent()
+	s.ends = min(s.deadline, j.came+j.ask.Patience-onTheWay)
+	s.until = min(s.until, s.ends)
 	s.request = &binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Body: j.ask.Body}
 	p.dispatch(p.clock, s, nil)
 }
 
 func (p *Platform) sending(to control.ServerID, allow control.Micros) *sending {
-	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, listAsOf: p.listAsOf,
+	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, ends: p.clock + allow, listAsOf: p.listAsOf,
 		until: min(p.clock+allow, attempt.WriteUntil(p.listAsOf, p.told.grace))}
 }
 
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -61,10 +61,11 @@
 	chosen   control.Micros
 	listAsOf control.Micros // as of when the list was complete that it was chosen from
 	until    control.Micros // it is not written later
-	deadline control.Micros
-	writing  sync.Mutex   // held from the last check to the first byte
-	stage    atomic.Int32 // an attempt.Stage
-	whole    atomic.Bool  // its last byte was written
+	deadline control.Micros // it is not waited for longer
+	ends     control.Micros // its client's time is up: the server is told no more
+	writing  sync.Mutex     // held from the last check to the first byte
+	stage    atomic.Int32   // an attempt.Stage
+	whole    atomic.Bool    // its last byte was written
 	state    attempt.Sending
 	timer    *time.Timer
 }
@@ -134,7 +135,7 @@
 
 // frame gives a request's frame as of now: it tells what is left of its time.
 func (s *sending) frame() []byte {
-	s.request.Allow = s.deadline - s.p.now()
+	s.request.Allow = s.ends - s.p.now()
 	return s.request.Frame()
 }
 
--- a/internal/platform/unread.go
+++ b/internal/platform/unread.go
@@ -96,6 +96,13 @@
 	return true
 }
 
+// emptyAt gives when the reader last found that nothing more had come.
+func (s *seen) emptyAt() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.asOf
+}
+
 // unread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
 func (s *seen) unread() bool {
 	var found error
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -226,8 +226,9 @@
 
 // Received is one frame as a model server got it.
 type Received struct {
-	Code byte
-	At   time.Time // of its first byte
+	Code   byte
+	At     time.Time // of its first byte
+	Fields string
 }
 
 // ModelServer is a fake model server: it has everything loaded and answers each execution with its body.
@@ -310,7 +311,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.received = append(s.received, Received{f.Code, at})
+		s.received = append(s.received, Received{f.Code, at, f.Fields})
 		s.mu.Unlock()
 		switch f.Code {
 		case Execution:
