--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -507,7 +507,7 @@
 		c.fault()
 		return
 	}
-	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now()}
+	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now(), came: c.came()}
 	if why := c.p.check(&m.Ask, j); why != "" {
 		c.p.badInput(&msgrpc.Fault{Number: m.Number, Text: why})
 		c.reply(msgrpc.Invalid(m.Number, why))
