--- a/cmd/hollymast/platform_test.go
+++ b/cmd/hollymast/platform_test.go
@@ -14,6 +14,9 @@
 // asRouter, where it is set, has the test program run as the router itself.
 const asRouter = "HOLLYMAST_TEST_ARGS"
 
+// builtRouter, where it is set, is a router that was built, to run in the place of the test program.
+const builtRouter = "HOLLYMAST_TEST_ROUTER"
+
 func TestMain(m *testing.M) {
 	if args := os.Getenv(asRouter); args != "" {
 		os.Args = append(os.Args[:1], strings.Fields(args)...)
--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -36,6 +36,9 @@
 	}
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), asRouter+"=platform", "BALANCER_CONFIG="+name)
+	if built := os.Getenv(builtRouter); built != "" {
+		command.Path, command.Args = built, []string{built, "platform"}
+	}
 	log, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -98,7 +98,7 @@
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
 	now := time.Now()
 	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
-		pools: map[control.ServerID]*pool{}, bySince: list.New(), leaving: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
+		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
@@ -115,6 +115,7 @@
 		return nil, err
 	}
 	p.timer = time.NewTimer(time.Hour)
+	p.bySince, p.leaving = list.New(), map[control.ServerID]*pool{}
 	p.listed(p.epoch, state.List())
 	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
 		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -26,6 +26,8 @@
 	Grace      time.Duration // within which nothing new may go to a server that was told to drain
 	OrdersOnly bool          // model servers load what they are ordered to, and nothing for a request
 	Deadline   time.Duration // after which clients give up; 0: 9 s
+	SlowStart  time.Duration // how long model servers take to reach full capacity
+	Routers    int           // in the fleet; 0: one
 }
 
 // settings are start settings with one restartable class, "again".
@@ -35,13 +37,15 @@
 		absent = "miss"
 	}
 	aim, deadline := 8*time.Second, cmp.Or(d.Deadline, 9*time.Second)
-	return fmt.Sprintf(`{"balancers": 1, "tick": 1000, "zones": ["east"],
+	return fmt.Sprintf(`{"balancers": %d, "tick": 1000, "zones": ["east"],
 	"ceilings": {"cancel": true, "conn_idle": 15000000, "connect_timeout": 250000, "max_retry_after": 2000000, "retry_after": true,
 		"streams_per_conn": 100, "try_limit": 3},
 	"classes": [{"name": "again", "aim": %d, "hard_limit": %d, "importance": 1, "semantics": "pure", "window": 0}],
-	"contract": {"stop_sending_within": %d}, "customers": [{"name": "acme", "allowance_per_s": 1000}],
+	"contract": {"stop_sending_within": %d, "cold": %d, "cold_from": 0.25, "fall": 1000000, "fall_multiple": 2},
+	"customers": [{"name": "acme", "allowance_per_s": 1000}],
 	"specifics": {"when_absent": %q, "linger_idle": 60000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`,
-		min(aim, deadline/2).Microseconds(), deadline.Microseconds(), d.Grace.Microseconds(), absent)
+		max(1, d.Routers), min(aim, deadline/2).Microseconds(), deadline.Microseconds(), d.Grace.Microseconds(),
+		d.SlowStart.Microseconds(), absent)
 }
 
 // Configuration is a router's configuration file. The events are those that it knows at its start.
@@ -80,6 +84,7 @@
 	events   []board.Event
 	watchers map[net.Conn]struct{}
 	asked    []time.Time
+	written  int64 // bytes, to all watchers
 	ended    chan struct{}
 	script   func(c net.Conn, nth int) (handled bool)
 }
@@ -168,11 +173,25 @@
 	b.events = append(b.events, e)
 	told := time.Now()
 	for c := range b.watchers {
-		c.Write(Line(e))
+		b.write(c, Line(e))
 	}
 	return told
 }
 
+// write writes to a watcher. The lock is held.
+func (b *Board) write(c net.Conn, text []byte) error {
+	n, err := c.Write(text)
+	b.written += int64(n)
+	return err
+}
+
+// Written gives the bytes that it wrote to all watchers.
+func (b *Board) Written() int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.written
+}
+
 func (b *Board) watch(c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
@@ -190,7 +209,7 @@
 	b.mu.Lock()
 	for _, e := range b.events {
 		if e.Rev > last {
-			c.Write(Line(e))
+			b.write(c, Line(e))
 		}
 	}
 	b.watchers[c] = struct{}{}
@@ -216,8 +235,7 @@
 	if n := len(b.events); n > 0 {
 		last = b.events[n-1].Rev
 	}
-	_, err := fmt.Fprintln(c, last)
-	return err == nil
+	return b.write(c, fmt.Appendln(nil, last)) == nil
 }
 
 // The codes of frames to model servers.
@@ -238,14 +256,18 @@
 	listener net.Listener
 	mu       sync.Mutex
 	received []Received
+	accepted int
 	held     []func() // answers
 	hold     func(frame []byte) (now []byte)
 }
 
 // NewModelServer starts one that ends with the test.
-func NewModelServer(t testing.TB) *ModelServer {
+func NewModelServer(t testing.TB) *ModelServer { return NewModelServerAt(t, "127.0.0.1:0") }
+
+// NewModelServerAt starts one at an address; at 0.0.0.0 it stands for as many as there are addresses 127.x.y.z.
+func NewModelServerAt(t testing.TB, address string) *ModelServer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,6 +279,13 @@
 // Address is where it listens.
 func (s *ModelServer) Address() string { return s.listener.Addr().String() }
 
+// Accepted counts the connections so far.
+func (s *ModelServer) Accepted() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepted
+}
+
 // Received gives what came so far.
 func (s *ModelServer) Received() []Received {
 	s.mu.Lock()
@@ -302,6 +331,9 @@
 }
 
 func (s *ModelServer) serve(c net.Conn) {
+	s.mu.Lock()
+	s.accepted++
+	s.mu.Unlock()
 	in := bufio.NewReader(c)
 	for {
 		if _, err := in.Peek(1); err != nil {
