--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -121,6 +121,7 @@
 		return nil, err
 	}
 	p.timer = time.NewTimer(time.Hour)
+	p.bySince, p.leaving = list.New(), map[control.ServerID]*pool{}
 	p.listed(p.epoch, state.List())
 	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
 		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
