--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -58,14 +58,16 @@
 	order    control.Order
 	id       binframe.ID
 	to       control.ServerID
-	link     *link // nil: none was had
+	request  *binframe.Execution // nil of an order
+	link     *link               // nil: none was had
 	chosen   control.Micros
 	listAsOf control.Micros // as of when the list was complete that it was chosen from
 	until    control.Micros // it is not written later
-	deadline control.Micros
-	writing  sync.Mutex   // held from the last check to the first byte
-	stage    atomic.Int32 // an attempt.Stage
-	whole    atomic.Bool  // its last byte was written
+	deadline control.Micros // it is not waited for longer
+	ends     control.Micros // its client's time is up: the server is told no more
+	writing  sync.Mutex     // held from the last check to the first byte
+	stage    atomic.Int32   // an attempt.Stage
+	whole    atomic.Bool    // its last byte was written
 	state    attempt.Sending
 	timer    *time.Timer
 }
@@ -91,20 +93,37 @@
 	return attempt.Stage(s.stage.Load())
 }
 
+// readerMost is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
+// Guards against a client that sends without a pause, and holds up what others sent on the same connection to a server.
+const readerMost = 100 * time.Millisecond
+
 // begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
-// turn, and so is a list that has grown too old since the choice.
+// turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
+// leaves: its reader comes first.
 func (s *sending) begin(write func() bool) (withdrawn bool) {
+	for began := time.Now(); ; time.Sleep(time.Millisecond) {
+		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerMost); !unread {
+			return withdrawn
+		}
+	}
+}
+
+func (s *sending) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	now := s.p.now()
+	unread = s.job != nil && !s.job.client.seen.level(time.Now())
 	wanted := s.job == nil || !s.job.gone.Load()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.until)
+	now := s.p.now()
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.until)
+	if ok && unread {
+		return false, true
+	}
 	if !ok {
 		s.p.box.Tell(func(now control.Micros) {
 			s.withdraw()
 			s.p.ended(now, s, control.NeverSent, nil)
 		})
-		return true
+		return true, false
 	}
 	if write() {
 		s.stage.Store(int32(next))
@@ -113,7 +132,13 @@
 			s.link.pool.firstByte.note(int64(now))
 		}
 	}
-	return false
+	return false, false
+}
+
+// frame gives a request's frame as of now: it tells what is left of its time.
+func (s *sending) frame() []byte {
+	s.request.Allow = s.ends - s.p.now()
+	return s.request.Frame()
 }
 
 func (s *sending) wrote(whole bool) {
@@ -123,7 +148,7 @@
 	}
 }
 
-// dispatch hands a sending to a connection.
+// dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
 func (p *Platform) dispatch(now control.Micros, s *sending, frame []byte) {
 	var l *link
 	if server := p.fleet.Get(s.to); server != nil && server.State == control.Ready {
@@ -135,7 +160,7 @@
 	if l != nil {
 		s.link = l
 		l.out[s.id] = s
-		if l.box.post(parcel{data: frame, begin: s.begin, wrote: s.wrote}) {
+		if l.box.post(s.parcel(frame)) {
 			return
 		}
 		delete(l.out, s.id)
@@ -144,6 +169,14 @@
 	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NeverSent, nil) })
 }
 
+func (s *sending) parcel(frame []byte) parcel {
+	p := parcel{data: frame, begin: s.begin, wrote: s.wrote}
+	if s.request != nil {
+		p.encode, p.size = s.frame, s.request.Size()
+	}
+	return p
+}
+
 // poolOf gives the connections to a server that is listed.
 func (p *Platform) poolOf(id control.ServerID) *pool {
 	pl := p.pools[id]
@@ -180,7 +213,7 @@
 func (p *Platform) newLink(now control.Micros, pl *pool) *link {
 	l := &link{p: p, pool: pl, out: map[binframe.ID]*sending{}, since: now}
 	l.dialing, l.undial = context.WithTimeout(context.Background(), span(p.told.connecting))
-	l.box.most = linkUnread
+	l.box.most, l.box.firstWrite = linkUnread, p.calls.write
 	pl.links = append(pl.links, l)
 	l.place = p.bySince.PushBack(l)
 	p.linked++
@@ -283,10 +316,23 @@
 	}
 }
 
+// calls are the system's calls that a connection to a server begins with; tests put others in their place.
+type calls struct {
+	dial  func(ctx context.Context, address string) (net.Conn, error)
+	write func(fd int, b []byte) (int, error) // does not wait
+}
+
+var systemCalls = calls{
+	dial: func(ctx context.Context, address string) (net.Conn, error) {
+		return new(net.Dialer).DialContext(ctx, "tcp", address)
+	},
+	write: syscall.Write,
+}
+
 // dial connects. Where descriptors are short for it, idle clients make room.
 func (l *link) dial() (net.Conn, error) {
 	for {
-		conn, err := new(net.Dialer).DialContext(l.dialing, "tcp", l.pool.address)
+		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
 		if !outOfDescriptors(err) {
 			return conn, err
 		}
