--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -202,8 +202,8 @@
 	killAfter, killCounts = 700_000, 3_000_000
 	endsBefore            = 130_000
 	endsFrom              = 600_000
-	answersBefore         = 50_000
-	readsBefore           = 30_000
+	answersBefore         = 80_000
+	readsBefore           = 60_000
 	holdsBefore           = 550_000
 )
 
