--- a/internal/memory/kill_test.go
+++ b/internal/memory/kill_test.go
@@ -3,7 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"os"
+	"runtime"
 	"slices"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -48,8 +51,12 @@
 	return JournalOptions{Files: d, Sync: sync, Keep: 10 * minute, Most: 1 << 20, Full: 300, Failed: failed, Said: func(string) {}, Pause: time.Microsecond}
 }
 
-// live opens a journal on a disk and hands over rounds, some of which wait for the one before, until all is done or it was killed.
+// live opens a journal on a disk and hands over rounds, until all is done or it was killed. Now and again it waits for the last one.
 func live(d *faultDisk, sync Sync, rounds int) (all []appended) {
+	return liveBy(d, sync, rounds, func(i int) bool { return i%4 != 3 })
+}
+
+func liveBy(d *faultDisk, sync Sync, rounds int, wait func(i int) bool) (all []appended) {
 	j, _, _, err := tested(d, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return nil
@@ -59,7 +66,10 @@
 		es := []Entry{{Execution, at, Mark(i + 100), 1}, {ToCold, at, 0, control.ServerID(i)}, {Taken, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
 		all = append(all, appended{r, es})
-		if i%4 == 3 { // the next comes while this one is on its way
+		if !wait(i) { // the next comes while this one is on its way
+			if i%2 == 0 {
+				runtime.Gosched() // or is of the same round
+			}
 			continue
 		}
 		select {
@@ -243,28 +253,34 @@
 	}
 }
 
-// Kills at chosen bytes of what is written, with syncs that fail by chance before them: 500 lives, each on what the one before left.
+// Kills at chosen bytes of what is written, with syncs, and in each second life any calls, that fail by chance before them.
 func TestJournalKilledAtChosenBytes(t *testing.T) {
-	for seed := range uint64(500) {
+	lives := uint64(500)
+	if n, err := strconv.ParseUint(os.Getenv("HOLLYMAST_KILLS"), 10, 64); err == nil {
+		lives = n
+	}
+	for seed := range lives {
 		chance := rand.New(rand.NewPCG(seed, 3))
 		var d *faultDisk
-		failing := make([]bool, 2000)
+		failing := make([]fault, 2000)
 		for i := range failing {
-			failing[i] = chance.IntN(5) == 0
+			if chance.IntN(5) == 0 {
+				failing[i] = fails + fault(chance.IntN(2))
+			}
 		}
-		until, sync := chance.IntN(2500), []Sync{Grouped, Each}[seed%2]
+		until, sync, waits := chance.IntN(2500), []Sync{Grouped, Each}[seed%2], 1+chance.IntN(12)
 		plan := func(n int, call, _ string) fault {
 			switch {
 			case call == "write" && d.bytes >= until:
 				return killedHalf
-			case call == "sync" && n < len(failing) && failing[n]:
-				return fails
+			case n < len(failing) && (call == "sync" || seed%4 > 1 && call != "list" && call != "read"):
+				return failing[n]
 			}
 			return fine
 		}
 		d = newFaultDisk(plan)
 		earlier := earlierLife(d)
-		all := live(d, sync, 30)
+		all := liveBy(d, sync, 30, func(i int) bool { return i%waits == 0 })
 		if err := afterwards(d, sync, earlier, all); err != nil {
 			t.Fatalf("seed %d, killed after %d bytes: %v", seed, until, err)
 		}
@@ -345,3 +361,22 @@
 		t.Errorf("%d cases failed", bad)
 	}
 }
+
+// A memory that can't be read for a moment at a start is read.
+func TestMemoryThatCannotBeReadAtAStart(t *testing.T) {
+	d := newFaultDisk(func(n int, call, _ string) fault {
+		if call == "read" && n < 20 && n%3 > 0 {
+			return fails
+		}
+		return fine
+	})
+	b, err := Encode(&Kept{Owner: ours, Generation: 3, Module: kept(5).Module})
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.err = syscall.EIO
+	d.names["dir/"+Files[1]] = &inode{data: b}
+	if _, found := Look(Folder("dir").on(d), ours); found.Kept == nil || len(found.Told) > 0 {
+		t.Errorf("%+v", found)
+	}
+}
--- a/internal/memory/store.go
+++ b/internal/memory/store.go
@@ -99,7 +99,8 @@
 	s := &Store{disk: disk, owner: owner}
 	found := Found{Write: true}
 	for _, name := range Files {
-		b, err := disk.Read(name)
+		var b []byte
+		err := Patiently(firstPause, func() (err error) { b, err = disk.Read(name); return err })
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
