--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -194,8 +194,8 @@
 	More     bool // it has sent further requests ahead
 }
 
-// CloseAfter tells whether the connection ends with an answer: where either side asked for it, the client is gone, or we stop and
+// CloseAfter tells whether the connection ends with an answer: where either side asked for it, or the client is gone or we stop, and
 // nothing was sent ahead that would then have no answer.
 func (c Client) CloseAfter(ours, theirs, left bool) bool {
-	return ours || theirs || left || c.Stopping && !c.More
+	return ours || theirs || (left || c.Stopping) && !c.More
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -125,7 +125,7 @@
 		p, left := g.respond(c, q, admin)
 		free()
 		state := attempt.Client{Stopping: g.isStopping()}
-		state.More = state.Stopping && c.More() && time.Now().Before(g.sinceStop(held))
+		state.More = (left || state.Stopping) && c.More() && (!state.Stopping || time.Now().Before(g.sinceStop(held)))
 		p.Close = state.CloseAfter(p.Close, q.Close, left)
 		if c.Answer(p) != nil || p.Close {
 			return
@@ -194,6 +194,7 @@
 		}
 		return pushedBack(why, g.told.Deployment.MaxStayAway), false
 	}
+	seen := g.now()
 	if c.Gone() { // after a stall of this process, say: its time may be long over
 		return pushedBack("the client closed its side of the connection", 0), true
 	}
@@ -201,7 +202,8 @@
 	if !ok {
 		tenant = control.TenantID(len(g.told.Deployment.Shares)) // of no told share
 	}
-	j := &job{name: call.Model, tenant: g.told.tenantName(tenant), call: call, request: q, answer: make(chan *rest.Response, 1)}
+	j := &job{name: call.Model, tenant: g.told.tenantName(tenant), call: call, request: q, client: c, answer: make(chan *rest.Response, 1)}
+	j.seen.Store(int64(seen))
 	g.tell(func(now control.Micros) {
 		g.arrived(now, j, pattern, tenant, ask, micros(time.Since(q.Began)))
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,6 +93,8 @@
 	name       string // of the function
 	call       kserve.Call
 	request    *rest.Request
+	client     *rest.Conn
+	seen       atomic.Int64 // when the client was last looked at and had not gone, the router's time
 	mark       string
 	kept       memory.Mark // for the journal
 	patience   control.Micros
@@ -489,7 +491,7 @@
 func (g *Gateway) Send(cj *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
 	j := g.jobs[cj.ID]
 	s := g.sending(to, allow)
-	s.job, s.no, s.request, s.round = j, no, g.execution(j, no, allow), g.enter(j.kept, to)
+	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
 	if no > 0 && g.told.Deployment.Workloads[j.workload].Effect == control.Fingerprinted {
 		s.until = min(s.until, g.clock+attempt.FreshRepeat)
 	}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -53,7 +53,7 @@
 }
 
 func (g *Gateway) sending(to control.ServerID, allow control.Micros) *sending {
-	s := &sending{to: to, until: attempt.WriteUntil(g.listAsOf, micros(g.told.Grace)), deadline: time.Now().Add(span(allow))}
+	s := &sending{to: to, until: attempt.WriteUntil(g.listAsOf, micros(g.told.Grace)), deadline: g.started.Add(span(g.clock + allow - g.epoch))}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
@@ -142,7 +142,7 @@
 		}
 		l.client.Store(c)
 	}
-	kept := s.kept(l.g.now())
+	kept := s.kept(l.g.now()) && l.g.wanted(s.job) && s.tellsLeft()
 	if !attempt.Step(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
 		return st.Write(kept, l.g.now(), s.until)
 	}) {
@@ -160,6 +160,31 @@
 	return exchange{result: Broken(progress, err)}
 }
 
+// wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
+// unread in the socket, as after a stop of the process.
+func (g *Gateway) wanted(j *job) bool {
+	now := g.now()
+	if j == nil || !attempt.MustLook(now-control.Micros(j.seen.Load())) {
+		return true
+	}
+	if j.client.Gone() {
+		g.tell(func(now control.Micros) { g.left(now, j) })
+		return false
+	}
+	j.seen.Store(int64(now))
+	return true
+}
+
+// tellsLeft has an execution tell how long it is waited for; no tells that it has no time left. Guards against a figure from when
+// it was chosen: a dial, the journal or a stop of the process may have taken much of it.
+func (s *sending) tellsLeft() bool {
+	left := time.Until(s.deadline).Milliseconds()
+	if s.job != nil {
+		s.request.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
+	}
+	return left > 0
+}
+
 var errWithdrawn = errors.New("withdrawn")
 
 func (l *link) dial(s *sending) (*rest.Client, error) {
@@ -216,9 +241,8 @@
 }
 
 // execution is the request of one execution: the client's own, with what is ours to say.
-func (g *Gateway) execution(j *job, no control.ExecutionID, allow control.Micros) *rest.Request {
+func (g *Gateway) execution(j *job, no control.ExecutionID) *rest.Request {
 	h := forwarded(j.request.Header)
-	h[kserve.TimeoutHeader] = []string{strconv.FormatInt(max(1, int64(allow)/1000), 10)}
 	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(no) + 1)}
 	h[kserve.RepeatMark] = []string{j.mark}
 	return &rest.Request{Method: "POST", Target: j.call.Target(), Header: h, Body: j.request.Body}
--- a/internal/rest/looking.go
+++ b/internal/rest/looking.go
@@ -13,6 +13,7 @@
 type looking struct {
 	nc     net.Conn
 	looked atomic.Bool
+	came   time.Time // when what was read last was here
 }
 
 // lastLook is for how long bytes that are here are read once a deadline has passed: they are read at once, but the rest of a
@@ -31,7 +32,7 @@
 }
 
 func (l *looking) Read(b []byte) (int, error) {
-	n, err := l.nc.Read(b)
+	n, err := l.read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || l.looked.Swap(true) {
 		return n, err
 	}
@@ -39,5 +40,15 @@
 		return n, err
 	}
 	l.nc.SetReadDeadline(time.Now().Add(lastLook))
-	return l.nc.Read(b)
+	return l.read(b)
+}
+
+// read notes when what it gives was here. Guards against a client's time that begins when it is read: while the process stood
+// still, that may be long after.
+func (l *looking) read(b []byte) (int, error) {
+	n, err := l.nc.Read(b)
+	if n > 0 {
+		l.came = time.Now().Add(-unread(socket(l.nc)))
+	}
+	return n, err
 }
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -7,7 +7,6 @@
 	"net"
 	"os"
 	"sync"
-	"syscall"
 	"time"
 )
 
@@ -100,7 +99,7 @@
 		return nil, &Distrusted{err}
 	}
 	c.method = ""
-	began := time.Now()
+	began := c.in.came
 	q, length, err := requestHead(c.r, c.limits)
 	if err != nil {
 		return nil, slow(err, "header")
@@ -154,33 +153,42 @@
 	return time.Now().Add(d)
 }
 
+// lookEvery is how often a close is looked for behind requests that were sent ahead, where no read can see it.
+const lookEvery = 20 * time.Millisecond
+
 // Watch reports on the channel if the client closes or breaks the connection before stop is called. Requests that
-// come meanwhile are kept; a close behind them is seen only once they are read. Stop must be called, and returns once
-// the watcher is gone.
+// come meanwhile are kept. Stop must be called, and returns once the watcher is gone.
 func (c *Conn) Watch() (gone <-chan error, stop func()) {
-	left, ended := make(chan error, 1), make(chan struct{})
+	left, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	c.in.until(time.Time{})
 	go func() {
 		defer close(ended)
-		if _, err := c.r.Peek(1); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			left <- err
+		if _, err := c.r.Peek(1); err != nil {
+			if !errors.Is(err, os.ErrDeadlineExceeded) {
+				left <- err
+			}
+			return
+		}
+		again := time.NewTicker(lookEvery)
+		defer again.Stop()
+		for !c.Gone() {
+			select {
+			case <-again.C:
+			case <-stopped:
+				return
+			}
 		}
+		left <- io.EOF
 	}()
 	return left, func() {
+		close(stopped)
 		c.in.cut()
 		<-ended
 	}
 }
 
-// Gone tells whether the client has already closed or broken the connection, as far as can be seen without waiting.
-// Behind requests that it sent ahead nothing can be seen.
-func (c *Conn) Gone() bool {
-	if c.r.Buffered() > 0 {
-		return false
-	}
-	e, ok := glance(socket(c.nc))
-	return !ok || e != 0 && e != syscall.EAGAIN && e != syscall.EWOULDBLOCK
-}
+// Gone tells whether the client has already closed or broken the connection, without waiting. It may be called from any goroutine.
+func (c *Conn) Gone() bool { return left(socket(c.nc)) }
 
 // Answer writes the response to the request in hand.
 func (c *Conn) Answer(p *Response) error {
