--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -74,6 +74,8 @@
 	atOnce = 8
 	// closing is how long an accept or a dial waits for a descriptor: several such times.
 	closing = 50 * time.Millisecond
+	// acceptAgain is when an accept that failed is tried again; doubled up to closing while it fails.
+	acceptAgain = time.Millisecond
 )
 
 // looking reads from a connection with a deadline. Guards against a deadline that passed while this process stood still, or got
@@ -136,22 +138,46 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// accept takes connections until the listener closes, or its deadline passes with none waiting: then it closes it.
-func (p *Platform) accept(l *net.TCPListener) {
+// listener is what is used of a listening socket.
+type listener interface {
+	Accept() (net.Conn, error)
+	SetDeadline(at time.Time) error
+	Close() error
+}
+
+// accept takes connections until the listener closes, or its deadline passes with none waiting: then it closes it. No other error
+// ends it: the machine's resources may be short for a while, and a connection may have broken before it was taken.
+func (p *Platform) accept(l listener) {
 	defer l.Close()
+	pause, looked, last := acceptAgain, false, time.Time{}
 	for {
 		conn, err := l.Accept()
 		switch {
-		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
+		case errors.Is(err, net.ErrClosed):
 			return
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			now := time.Now()
+			if last.IsZero() {
+				last = now.Add(closing)
+			}
+			if looked || now.After(last) {
+				return
+			}
+			// What waits may not have been looked at since this was elsewhere.
+			looked = true
+			l.SetDeadline(now.Add(lastLook))
+			continue
 		case err != nil:
-			// Out of descriptors, or the client left already. Guards against a loop at full speed.
 			p.count("accept failed")
-			if !p.makeRoom(1) {
-				time.Sleep(time.Millisecond)
+			looked = false
+			if errors.Is(err, syscall.EMFILE) && p.makeRoom(1) { // descriptors of our own; what else is short idle clients can't give
+				continue
 			}
+			time.Sleep(pause) // guards against a loop at full speed
+			pause = min(2*pause, closing)
 			continue
 		}
+		pause, looked = acceptAgain, false
 		if !p.room() {
 			p.count("client refused: too many connections")
 			p.turnAway(conn)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"container/list"
 	"context"
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -17,6 +18,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -121,7 +123,7 @@
 	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
 		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
 	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
-	l, err := net.Listen("tcp", told.Listen)
+	l, err := listenAt(told.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -129,6 +131,22 @@
 	return p, nil
 }
 
+// listenFor is for how long a start tries to listen: a predecessor's process may not be gone yet, or the machine be short of
+// something. A restart has several times as long to be ready.
+const listenFor = 3 * time.Second
+
+// listenAt listens, and tries again while what hinders it may pass.
+func listenAt(address string) (net.Listener, error) {
+	for begin := time.Now(); ; time.Sleep(rereadFirst) {
+		l, err := net.Listen("tcp", address)
+		passes := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+			syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
+		if !passes || time.Since(begin) > listenFor {
+			return l, err
+		}
+	}
+}
+
 // Address is where clients are listened to.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
