--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -232,6 +232,52 @@
 	return f.File.Sync()
 }
 
+// The wall clock was stepped between two lives, in one boot: a run-once job that may have run stays known for its time, and a
+// fingerprinted one's window is that of real time. What another boot sent lies beyond every window, and is known as well.
+func TestRepeatsAfterTheClockWasStepped(t *testing.T) {
+	const hour = 3_600_000_000
+	for _, c := range []struct {
+		name       string
+		step       control.Micros // of the wall clock since
+		boot       bool           // again since
+		booking    string
+		executions int
+	}{
+		{"ahead", hour, false, audit.Finished, 1}, {"back", -hour, false, audit.Finished, 1}, {"by seconds", 5_000_000, false, audit.Finished, 1},
+		{"not at all", 0, false, audit.Finished, 1}, {"another boot", 0, true, audit.PushedBack, 0}, {"another boot, ahead", hour, true, audit.PushedBack, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			told := &Told{Deployment: control.Deployment{Workloads: []control.Workload{{}, {Effect: control.Fingerprinted}, {Effect: control.RunOnce}}}}
+			now := control.Micros(time.Now().UnixMicro()) - c.step
+			clock := memory.ReadClock(now)
+			if c.boot {
+				clock.Boot++
+			}
+			j, _, _, err := memory.JournalOptions{Files: memory.System{}, Sync: memory.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
+				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			elsewhere := fleet.ID("127.0.0.1:9")
+			j.Append(memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Close()
+			f := newFieldChanged(t, remembering(dir), func(t *Told) {
+				booking, _ := t.Match("booking-1")
+				t.Deployment.Workloads[booking.Workload].Window = 60_000_000
+			}, usual(0), usual(1))
+			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
+			}
+			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
+			if got := f.askMarked("ticket", "ticket-1", "sent"); got != audit.Killed || f.began("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
+			}
+		})
+	}
+}
+
 // While the folder fails a marked job that may not repeat is pushed back with the time to come again, others are served, and once
 // it is well all are. What ran is known to the next life at any moment, and both metrics count.
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
@@ -371,3 +417,64 @@
 		t.Errorf("got %+v", u)
 	}
 }
+
+// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
+// is not set aside.
+func TestHistoryOnAFailingDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), HistoryFile)
+	var said strings.Builder
+	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	now := int64(1_800_000_000_000_000)
+	rows := func() []history.Row {
+		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
+	}
+	write := func() {
+		now += 10_000_000
+		o.write(rows(), now)
+	}
+	write()
+	for _, bad := range []func() error{
+		func() error { return os.Mkdir(path, 0o700) },
+		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
+	} {
+		if err := os.Rename(path, path+".well"); err != nil {
+			t.Fatal(err)
+		}
+		if err := bad(); err != nil {
+			t.Fatal(err)
+		}
+		for range damagedTries - 1 {
+			write()
+		}
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(path+".well", path); err != nil {
+			t.Fatal(err)
+		}
+		write()
+	}
+	jobs := int64(0)
+	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
+		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
+	}
+	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
+		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	}
+	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for range damagedTries {
+		write()
+	}
+	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+		t.Errorf("%d jobs more in a new one, %v", jobs, err)
+	}
+	for range 40 {
+		o.batches = append(o.batches, useBatch{1, make([]history.Row, 1000)})
+	}
+	if o.bound(); len(o.batches) > mostOwedRows/1000 {
+		t.Errorf("%d batches wait", len(o.batches))
+	}
+}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -22,6 +22,7 @@
 	p        *Platform
 	conn     net.Conn
 	in       *looking
+	seen     *seen
 	box      outbox
 	mu       sync.Mutex
 	open     map[uint32]*job // by number
@@ -103,41 +104,42 @@
 
 // look reads what is here, without waiting where the connection lets it.
 func (l *looking) look(b []byte) (n int, err error) {
-	socket, ok := l.conn.(syscall.Conn)
-	if !ok {
+	readNow := l.readNow()
+	if readNow == nil {
 		l.conn.SetReadDeadline(time.Now().Add(lastLook))
 		return l.conn.Read(b)
 	}
-	raw, err := socket.SyscallConn()
-	if err != nil {
-		return 0, err
-	}
-	const most = 8 // others may have the deadline pass again before the look, and signals interrupt it
+	const most = 8 // others may have the deadline pass again before the look
 	for tries := 0; tries < most; tries++ {
 		l.conn.SetReadDeadline(time.Now().Add(lastLook))
-		failed := error(nil)
-		err = raw.Read(func(fd uintptr) bool {
-			n, failed = syscall.Read(int(fd), b)
-			return true
-		})
-		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(failed, syscall.EINTR):
-			n = 0
+		switch n, err = readNow(b); {
+		case errors.Is(err, os.ErrDeadlineExceeded):
 			continue
-		case err != nil:
-			return 0, err
-		case errors.Is(failed, syscall.EAGAIN):
+		case errors.Is(err, syscall.EAGAIN):
 			return 0, os.ErrDeadlineExceeded
-		case failed != nil:
-			return 0, failed
-		case n == 0:
-			return 0, io.EOF
 		}
-		return n, nil
+		return n, err
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
+// readNow gives what reads without waiting, EAGAIN where nothing is here; nil where the connection can't.
+func (l *looking) readNow() func(b []byte) (int, error) {
+	switch c := l.conn.(type) {
+	case *seen:
+		if c.direct && c.raw != nil {
+			return func(b []byte) (int, error) { return c.read(b, noWait) }
+		}
+	case syscall.Conn:
+		if raw, err := c.SyscallConn(); err == nil {
+			return func(b []byte) (int, error) {
+				return readRaw(raw, noWait, func(fd int) (int, error) { return syscall.Read(fd, b) })
+			}
+		}
+	}
+	return nil
+}
+
 // listener is what is used of a listening socket.
 type listener interface {
 	Accept() (net.Conn, error)
@@ -212,7 +214,8 @@
 }
 
 func (p *Platform) newClient(conn net.Conn, away bool) *client {
-	c := &client{p: p, away: away, conn: conn, in: &looking{conn: conn}, open: map[uint32]*job{}, linger: lingerIdle,
+	seen := newSeen(conn)
+	c := &client{p: p, away: away, conn: conn, in: &looking{conn: seen}, seen: seen, open: map[uint32]*job{}, linger: lingerIdle,
 		gone: make(chan struct{}), now: make(chan struct{})}
 	c.box.most, c.box.conn, c.box.written = unread, conn, make(chan struct{})
 	c.quiet.Store(int64(p.now()))
@@ -530,7 +533,7 @@
 		c.fault()
 		return
 	}
-	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now()}
+	j := &job{id: m.Ask.ID, number: m.Number, client: c, ask: m.Ask, read: c.p.now(), came: c.came()}
 	if why := c.p.check(&m.Ask, j); why != "" {
 		c.p.badInput(&msgrpc.Fault{Number: m.Number, Text: why})
 		c.reply(msgrpc.Invalid(m.Number, why))
