--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -7,11 +7,14 @@
 	"io"
 	"net"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/binframe"
@@ -23,13 +26,53 @@
 // startChanged starts a router whose settings and calls a test changes first.
 func startChanged(t *testing.T, change func(p *Platform), servers ...string) *running {
 	t.Helper()
-	r := start(t, plane(t, 1), servers...)
-	done := make(chan bool)
-	r.box.Tell(func(control.Micros) { change(r.Platform); close(done) })
-	<-done
+	r, _ := startLogged(t, change, servers...)
 	return r
 }
 
+// startLogged is startChanged with the router's log.
+func startLogged(t *testing.T, change func(p *Platform), servers ...string) (*running, *log) {
+	t.Helper()
+	told, err := parseTold([]byte(configuration(plane(t, 1))), Environment{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, address := range servers {
+		told.Known.Notices = append(told.Known.Notices, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
+	}
+	told.Known.Rev = uint64(len(servers))
+	noted := &log{}
+	p, err := New(told, zerolog.New(noted))
+	if err != nil {
+		t.Fatal(err)
+	}
+	change(p)
+	ctx, stop := context.WithCancel(context.Background())
+	r := &running{p, stop, make(chan struct{})}
+	go func() { p.Serve(ctx); close(r.ended) }()
+	t.Cleanup(func() { stop(); <-r.ended })
+	until(t, "the router is well", r.ready.Load)
+	return r, noted
+}
+
+// log keeps what a router logs.
+type log struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *log) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
+}
+
+func (l *log) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
 // longGrace has a list be fresh for so long that its age withdraws nothing.
 func longGrace(p *Platform) {
 	p.told.grace, p.told.connecting = 4_000_000, 1_000_000
--- /dev/null
+++ b/internal/platform/faults_test.go
@@ -0,0 +1,127 @@
+package platform
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// faulty is a connection to a server on which reads fail once a request is out.
+type faulty struct {
+	*net.TCPConn
+	asked <-chan asked
+	err   error
+}
+
+func (f *faulty) Read([]byte) (int, error) {
+	<-f.asked
+	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
+}
+
+// Each call towards a server fails with each error, once, for a while, or for good. Each row is a run-once request: it has one final
+// answer in time, runs at most once, and the server is not blamed for what may be our own fault.
+func TestCallsFail(t *testing.T) {
+	const once, while, forGood = time.Nanosecond, 100 * time.Millisecond, time.Hour
+	const served, refused, mayHaveRun = "1: body 1", "1: TryLater", "1: Aborted"
+	type row struct {
+		call  string
+		err   syscall.Errno
+		lasts time.Duration
+		want  string
+		blame bool // the server may be
+	}
+	var rows []row
+	add := func(call string, lasts time.Duration, want string, blame bool, errs ...syscall.Errno) {
+		for _, err := range errs {
+			rows = append(rows, row{call, err, lasts, want, blame})
+		}
+	}
+	ownFaults := []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
+		syscall.EINTR, syscall.EAGAIN}
+	wayFaults := []syscall.Errno{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
+	broken := []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
+	for _, lasts := range []time.Duration{once, while} {
+		add("dial", lasts, served, false, append(ownFaults, wayFaults...)...)
+		add("write", lasts, served, false, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM)
+	}
+	add("dial", forGood, refused, false, ownFaults...)
+	add("dial", forGood, refused, true, wayFaults...)
+	add("dial", forGood, refused, true, syscall.ECONNREFUSED)
+	add("write", forGood, refused, false, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM)
+	add("write", once, served, false, broken...)
+	add("write", forGood, refused, false, broken...)
+	add("short write", once, served, false, 0)
+	add("read", forGood, mayHaveRun, true, broken...)
+	add("read", forGood, mayHaveRun, false, syscall.ENOMEM, syscall.ENOBUFS)
+	for _, row := range rows {
+		t.Run(fmt.Sprintf("%s %v %v", row.call, row.err, row.lasts), func(t *testing.T) {
+			t.Parallel()
+			var first atomic.Int64 // when the call failed first
+			var runs atomic.Int32
+			var mended atomic.Bool
+			fails := func(call string) bool {
+				if call != row.call || mended.Load() {
+					return false
+				}
+				now := time.Now().UnixNano()
+				return first.CompareAndSwap(0, now) || time.Duration(now-first.Load()) < row.lasts && row.lasts > once
+			}
+			out := make(chan asked, 8)
+			address := worker(t, func(a asked) {
+				runs.Add(1)
+				if row.call == "read" && !mended.Load() {
+					out <- a
+					return
+				}
+				good(a)
+			})
+			r, noted := startLogged(t, func(p *Platform) {
+				longGrace(p)
+				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+					if fails("dial") {
+						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", row.err)}
+					}
+					conn, err := systemCalls.dial(ctx, address)
+					if err == nil && fails("read") {
+						return &faulty{conn.(*net.TCPConn), out, row.err}, nil
+					}
+					return conn, err
+				}
+				p.calls.write = func(fd int, b []byte) (int, error) {
+					if fails("short write") {
+						return syscall.Write(fd, b[:1])
+					}
+					if fails("write") {
+						return -1, row.err
+					}
+					return syscall.Write(fd, b)
+				}
+			}, address)
+			c := r.caller(t)
+			begun := time.Now()
+			c.call(1, "once")
+			c.expect(row.want)
+			if took := time.Since(begun); took > allowed+500*time.Millisecond {
+				t.Errorf("answered after %v", took)
+			}
+			if n := runs.Load(); n > 1 || n == 1 != (row.want != refused) {
+				t.Errorf("it ran %d times", n)
+			}
+			if row.blame {
+				return
+			}
+			mended.Store(true)
+			c.call(2, "again", "allow", "3000")
+			c.expect("2: body 2")
+			if text := noted.String(); strings.Contains(text, "is suspect") {
+				t.Error(text)
+			}
+		})
+	}
+}
--- a/internal/platform/outbox.go
+++ b/internal/platform/outbox.go
@@ -187,22 +187,29 @@
 		return 0, err
 	}
 	var failed error
-	err = raw.Write(func(fd uintptr) bool {
+	err = raw.Write(func(fd uintptr) (done bool) {
 		room := true
 		write := func() bool {
 			if p.encode != nil {
 				p.data = p.encode()
 			}
-			for n, failed = firstWrite(int(fd), p.data); errors.Is(failed, syscall.EINTR); {
-				n, failed = firstWrite(int(fd), p.data)
-			}
-			n = max(0, n)
+			n, failed = uninterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
 			if errors.Is(failed, syscall.EAGAIN) {
 				room, failed = false, nil
 			}
 			return n > 0
 		}
-		return p.begin(write) || room
+		for range writeTime / writePause { // a fault of our own that may be over in a moment
+			failed = nil
+			if done = p.begin(write) || room; !room || n > 0 || !ours(failed) {
+				break
+			}
+			time.Sleep(writePause)
+		}
+		return done
 	})
 	return n, cmp.Or(failed, err)
 }
+
+// writePause is how soon a first byte is tried again that this machine had no means for: the check before it comes again as well.
+const writePause = time.Millisecond
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -292,7 +292,7 @@
 	conn, err := l.dial()
 	if err != nil {
 		end = control.NoConnection
-		if outOfDescriptors(err) || errors.Is(err, context.Canceled) {
+		if ours(err) || errors.Is(err, context.Canceled) {
 			end = control.NeverSent // says nothing of the server
 		} else {
 			p.count("no connection to a server")
@@ -311,6 +311,8 @@
 			if why := spoilt(err); why != "" {
 				end = control.Errored // the server answers; what it said can't be read
 				p.count("spoilt answer: " + why)
+			} else if ours(err) {
+				end = control.Errored // may have run; says nothing of the server
 			}
 			return
 		}
@@ -331,28 +333,51 @@
 	write: syscall.Write,
 }
 
-// dial connects. Where descriptors are short for it, idle clients make room.
+// dialPause is how soon a dial is tried again that failed for a moment, doubled up to closing: such a moment may be a packet's.
+const dialPause = 2 * time.Millisecond
+
+// dial connects. What may be over in a moment is tried again for as long as a connection may take to come up; where descriptors
+// are short, idle clients make room meanwhile.
 func (l *link) dial() (net.Conn, error) {
-	for {
+	var before error // why the try before failed, through no fault of the server's
+	for pause := dialPause; ; pause = min(2*pause, closing) {
 		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
-		if !outOfDescriptors(err) {
-			return conn, err
+		switch {
+		case err == nil:
+			return conn, nil
+		case ours(err), momentary(err):
+		case ours(before) && os.IsTimeout(err):
+			return nil, before // the server had but the rest of the time
+		default:
+			return nil, err
 		}
-		l.p.count("out of descriptors for a server")
-		if !l.p.makeRoom(1) {
-			select {
-			case <-l.dialing.Done():
-				return nil, err
-			case <-time.After(closing):
+		before = err
+		if errors.Is(err, syscall.EMFILE) {
+			l.p.count("out of descriptors for a server")
+			if l.p.makeRoom(1) {
+				continue
 			}
+		} else {
+			l.p.count("a dial failed for a moment")
+		}
+		select {
+		case <-l.dialing.Done():
+			return nil, err
+		case <-time.After(pause):
 		}
 	}
 }
 
-// outOfDescriptors tells of a fault that is ours.
-func outOfDescriptors(err error) bool {
-	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
-		errors.Is(err, syscall.EADDRNOTAVAIL)
+// ours tells of a fault that is this machine's, and no sign about a server.
+func ours(err error) bool {
+	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
+		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(one error) bool { return errors.Is(err, one) })
+}
+
+// momentary tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
+func momentary(err error) bool {
+	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
+		errors.Is(err, syscall.ECONNABORTED)
 }
 
 // spoilt tells what was wrong with an answer; empty where the connection itself ended.
