--- a/internal/board/follow.go
+++ b/internal/board/follow.go
@@ -16,7 +16,7 @@
 // whoever needs the list now (CatchUp), under one lock.
 type Follower struct {
 	grace  time.Duration // within which a change of the list must be heeded
-	told   func([]fleet.Entry)
+	told   func(fleet.Update)
 	note   func(text string, err error)
 	turned chan struct{} // holds one: the address changed
 	pause  *backoff.Backoff
@@ -31,11 +31,13 @@
 	address string
 	state   State
 	watch   *watch // nil: none stands
+	// complete is the last time of which it is known that nothing the board had told by then is missing.
+	complete time.Time
 }
 
-// NewFollower follows from a state on. Told hears each new list, Note what went wrong. Told is called with a lock held: it may
-// not wait.
-func NewFollower(state State, address string, grace time.Duration, seed uint64, told func([]fleet.Entry),
+// NewFollower follows from a state on. Told hears what each event changed, in their order, Note what went wrong. Told is called
+// with a lock held: it may not wait.
+func NewFollower(state State, address string, grace time.Duration, seed uint64, told func(fleet.Update),
 	note func(string, error)) *Follower {
 	return &Follower{state: state, address: address, grace: grace, told: told, note: note, turned: make(chan struct{}, 1),
 		started: make(chan struct{}), pause: backoff.New(seed, pauseFirst, pauseMost)}
@@ -73,6 +75,7 @@
 	defer f.mu.Unlock()
 	if w := f.watch; w != nil {
 		if w.readAll(f) == nil {
+			f.noteComplete(w)
 			return w.complete
 		}
 		f.drop(w)
@@ -80,6 +83,21 @@
 	return time.Now()
 }
 
+// Complete gives the last time of which it is known that nothing the board had told by then is missing; zero: none is known. While
+// no connection stands, or a new one has not been answered whole, it stays what it was.
+func (f *Follower) Complete() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.complete
+}
+
+// noteComplete takes in that all that has come on a watch was read. The lock is held.
+func (f *Follower) noteComplete(w *watch) {
+	if f.state.Level() && len(w.unread) == 0 && !w.skipping {
+		f.complete = w.complete
+	}
+}
+
 // Started is closed once the list can be relied on after a start: the board has answered, or had its time to, or can't be
 // reached.
 func (f *Follower) Started() <-chan struct{} { return f.started }
@@ -206,6 +224,7 @@
 	if err := w.end(w.drain(fd, f)); err != nil {
 		return err
 	}
+	f.noteComplete(w)
 	w.conn.SetReadDeadline(w.heard.Add(silence))
 	return nil
 }
@@ -256,7 +275,7 @@
 	f.start()
 	switch meaning {
 	case Changed:
-		f.told(f.state.List())
+		f.told(f.state.News())
 	case AskAgain:
 		return errMissing
 	}
