--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -684,3 +684,24 @@
 		}
 	}
 }
+
+// A power that is no number, or has no end, keeps no load from its server.
+func TestOddPowersServe(t *testing.T) {
+	for _, power := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
+		told := deployment()
+		told.Routers = 300
+		r := Start(0, 1, told)
+		var list []Listing
+		for id := range ServerID(3 * deep) {
+			list = append(list, Listing{Server: id, State: Ready, Power: power})
+		}
+		r.Listed(at, ListWhole, list)
+		for id := range JobID(10) {
+			j := newJob(id)
+			j.Function = FunctionID(id)
+			if p := r.Place(at, j); p.Verb != Send {
+				t.Errorf("power %v: got %+v", power, p)
+			}
+		}
+	}
+}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -168,8 +168,11 @@
 	return two, math.IsInf(k.bound, 1) || len(two) == 2 && k.bound >= two[1].key
 }
 
-// onlyLowers tells whether what is believed of a server can but lower its weight: a capacity could be more than all of it.
-func (r *Router) onlyLowers() bool { return r.told.ColdFrom <= 1 && r.told.Cold > 0 }
+// onlyLowers tells whether what is believed of a server can but lower its weight: a capacity could be more than all of it, and a power
+// no number.
+func (r *Router) onlyLowers() bool {
+	return r.told.ColdFrom <= 1 && r.told.Cold > 0 && r.index.heaviest < math.Inf(1)
+}
 
 // nearest gives servers that a load may go to, the function's homes and the first two among them, in any order, and the number of homes.
 // One of several routers looks at first only as far as to expect a little more than it needs.
@@ -203,7 +206,7 @@
 			continue
 		}
 		weight := r.weight(now, s)
-		if k := key(uint64(f.id), id, weight); k < bound {
+		if k := key(uint64(f.id), id, weight); !(k >= bound) { // also where it is no number
 			cs = append(cs, choice{s, k, weight})
 		}
 	}
