--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -104,6 +104,15 @@
 			if x, y := known(t, both[0]), known(t, both[1]); !reflect.DeepEqual(x, y) {
 				t.Fatalf("turn %d: by changes %+v, by lists %+v", turn, x.Module.Servers, y.Module.Servers)
 			}
+			for _, f := range fleets {
+				servers, ready := f.Count()
+				of := func(only bool) int {
+					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return only && s.State != control.Ready }))
+				}
+				if servers != of(false) || ready != of(true) {
+					t.Fatalf("turn %d: %d servers, %d of them ready: %+v", turn, servers, ready, f.Servers())
+				}
+			}
 			for uid := range 6 {
 				id := fleet.ID(fmt.Sprint("s-", uid))
 				if x, y := plain(fleets[0].Get(id)), plain(fleets[1].Get(id)); x != y {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,7 +60,8 @@
 	ours    bool
 	lists   uint64 // complete ones so far
 	servers map[control.ServerID]*Server
-	gone    []departure // in the order of their ends
+	gone    []departure                 // in the order of their ends
+	counts  map[control.ServerState]int // of servers on the list
 	zones   map[string]control.ZoneID
 	cells   map[string]control.CellID
 }
@@ -68,7 +69,7 @@
 // New gives an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: read once, so
 // that setting the clock later changes nothing.
 func New(offset int64) *Fleet {
-	return &Fleet{offset: offset, first: true, servers: map[control.ServerID]*Server{},
+	return &Fleet{offset: offset, first: true, servers: map[control.ServerID]*Server{}, counts: map[control.ServerState]int{},
 		zones: map[string]control.ZoneID{}, cells: map[string]control.CellID{}}
 }
 
@@ -129,6 +130,7 @@
 // leave notes that a server is on the list no more.
 func (f *Fleet) leave(s *Server) {
 	if s.State != control.Gone {
+		f.counts[s.State]--
 		s.State, s.left = control.Gone, f.read
 		f.gone = append(f.gone, departure{s.ID, s.left})
 	}
@@ -147,6 +149,10 @@
 			}
 			continue
 		}
+		if s != nil && s.State != control.Gone {
+			f.counts[s.State]--
+		}
+		f.counts[e.State]++
 		// With no start told, a server that was gone may have restarted meanwhile.
 		fresh := s == nil || s.told != e.Born || s.State == control.Gone && e.Born == 0
 		if s == nil {
@@ -186,6 +192,11 @@
 	return max(1, min(at, now))
 }
 
+// Count gives how many servers are on the list, and how many of them are ready.
+func (f *Fleet) Count() (servers, ready int) {
+	return f.counts[control.Ready] + f.counts[control.Draining], f.counts[control.Ready]
+}
+
 // Servers gives the servers that are on the list, by ascending id.
 func (f *Fleet) Servers() []*Server {
 	var ss []*Server
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/attempt"
 	"hollymast/internal/audit"
 	"hollymast/internal/fleet"
 )
@@ -91,3 +92,34 @@
 		t.Errorf("five jobs took %v", took)
 	}
 }
+
+// What is on its way to a server that drains or goes is taken back, whether the list tells all servers or what changed.
+func TestNewsTakesBackWhatIsOnItsWay(t *testing.T) {
+	const address, other = "127.0.0.1:1", "127.0.0.1:2"
+	id := fleet.ID(address)
+	for name, news := range map[string]fleet.Update{
+		"drains": {Entries: []fleet.Entry{{Address: address, State: control.Draining}}},
+		"goes":   {Entries: []fleet.Entry{{Address: address, State: control.Gone}}},
+		"all":    {Whole: true, Entries: []fleet.Entry{{Address: other, State: control.Ready}}},
+	} {
+		f := newFieldChanged(t, "", rarely, usual(0))
+		stages := make(chan [2]attempt.Stage)
+		f.g.tell(func(now control.Micros) {
+			f.g.listed(now, fleet.Update{Whole: true, Entries: []fleet.Entry{{Address: address, State: control.Ready}, {Address: other, State: control.Ready}}})
+			var sent [2]*sending
+			for i, to := range []control.ServerID{id, fleet.ID(other)} {
+				sent[i] = f.g.sending(to, 1_000_000)
+				f.g.pools[to] = &pool{id: to, out: map[*sending]struct{}{sent[i]: {}}}
+			}
+			f.g.listed(now, news)
+			stages <- [2]attempt.Stage{attempt.Stage(sent[0].stage.Load()), attempt.Stage(sent[1].stage.Load())}
+			for _, s := range sent {
+				s.cancel()
+				delete(f.g.pools, s.to)
+			}
+		})
+		if got := <-stages; got[0] != attempt.Withdrawn || got[1] == attempt.Withdrawn {
+			t.Errorf("%s: it is at stage %d, what goes to another server at %d", name, got[0], got[1])
+		}
+	}
+}
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -105,9 +105,9 @@
 // take tells the turn of a list's text.
 func (g *Gateway) take(text []byte) {
 	f, err := inifile.Read(g.told.List, text)
-	var list []fleet.Entry
+	list := fleet.Update{Whole: true}
 	if err == nil {
-		list, err = ReadList(f)
+		list.Entries, err = ReadList(f)
 	}
 	if err != nil {
 		var faults *inifile.Faults
@@ -121,24 +121,33 @@
 	g.box.TellList(func(now control.Micros) { g.listed(now, list) })
 }
 
-// listed passes a list on and takes back what is on its way to servers that take nothing new.
-func (g *Gateway) listed(now control.Micros, entries []fleet.Entry) {
-	list := g.fleet.Whole(now, entries)
-	g.core.Listed(now, control.ListWhole, list)
-	ready := 0
-	for _, l := range list {
-		if l.State == control.Ready {
-			ready++
+// listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
+func (g *Gateway) listed(now control.Micros, told fleet.Update) {
+	if told.Whole {
+		g.core.Listed(now, control.ListWhole, g.fleet.Whole(now, told.Entries))
+		for id := range g.pools {
+			g.relist(id)
 		}
-	}
-	for id := range g.pools {
-		if s := g.fleet.Get(id); s == nil || s.State != control.Ready {
-			g.withdrawFrom(id)
+	} else {
+		changed := g.fleet.Changes(now, told.Entries)
+		g.core.Listed(now, control.ListChanges, changed)
+		for _, l := range changed {
+			if g.pools[l.Server] != nil {
+				g.relist(l.Server)
+			}
 		}
 	}
+	servers, ready := g.fleet.Count()
 	g.metrics.servers.Set(float64(ready))
 	if !g.stopping {
 		g.ready.Store(true)
 	}
-	g.log.Info().Int("servers", len(list)).Int("ready", ready).Msg("list of servers taken")
+	g.log.Info().Int("servers", servers).Int("ready", ready).Msg("list of servers taken")
+}
+
+// relist takes back what is on its way to a server, if it takes nothing new.
+func (g *Gateway) relist(id control.ServerID) {
+	if s := g.fleet.Get(id); s == nil || s.State != control.Ready {
+		g.withdrawFrom(id)
+	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -92,12 +92,15 @@
 	version  uint64         // of the list, one more with each change
 	given    uint64         // the version last given
 	givenAt  control.Micros
+	told     map[string]fleet.Entry // as last given; nil: nothing was
+	stale    map[string]bool        // addresses whose entry may differ from that
 	notes    []string
 }
 
 // New gives a model that knows nothing.
 func New(b Bounds) *Members {
-	return &Members{bounds: b, clusters: map[string]*cluster{}, facts: map[string]*Fact{}, watched: map[string]bool{}, calming: map[string]bool{}}
+	return &Members{bounds: b, clusters: map[string]*cluster{}, facts: map[string]*Fact{}, watched: map[string]bool{}, calming: map[string]bool{},
+		stale: map[string]bool{}}
 }
 
 // Source tells whether the source is up. While it is down all stands as it last said.
@@ -231,6 +234,7 @@
 	var withdrawn []*Fact
 	back := false
 	for _, a := range touched {
+		m.stale[a] = true
 		f := m.facts[a]
 		names := []string{changed}
 		if f != nil {
@@ -390,6 +394,7 @@
 // drop has a server gone. Its fact stays for as long as it could flap.
 func (m *Members) drop(now control.Micros, f *Fact) {
 	f.Held = false
+	m.stale[f.Address] = true
 	m.changed(now, f, false)
 	m.version++
 }
@@ -417,6 +422,7 @@
 		if n := len(f.changes); f.Flapping && n > 0 {
 			if calm := f.changes[n-1] + m.bounds.Calm; now >= calm {
 				f.Flapping, f.changes = false, nil
+				m.stale[a] = true
 				m.version++
 			} else {
 				wake(calm)
@@ -454,13 +460,41 @@
 // source that changes all the time costs at most a quarter of a processor, and 10 000 servers wait no longer than 20 ms.
 const pausePer = control.Micros(2)
 
-// News gives the list if it changed since it was last given, unless that was a moment ago; Tick then tells when to ask again.
-func (m *Members) News(now control.Micros) (list []fleet.Entry, news bool) {
+// News gives what differs from the list as it was last given, the first time all of it, unless that was a moment ago; Tick then
+// tells when to ask again.
+func (m *Members) News(now control.Micros) (list fleet.Update, news bool) {
 	if m.version == m.given || m.givenAt > 0 && now < m.nextNews() {
-		return nil, false
+		return fleet.Update{}, false
 	}
 	m.given, m.givenAt = m.version, now
-	return m.List(), true
+	list = m.differing()
+	clear(m.stale)
+	return list, true
+}
+
+func (m *Members) differing() (list fleet.Update) {
+	if m.told == nil {
+		m.told = map[string]fleet.Entry{}
+		list = fleet.Update{Whole: true, Entries: m.List()}
+		for _, e := range list.Entries {
+			m.told[e.Address] = e
+		}
+		return list
+	}
+	for _, a := range sorted(m.stale) {
+		was, known := m.told[a]
+		is, listed := m.entry(m.facts[a])
+		switch {
+		case listed && is != was:
+			m.told[a] = is
+			list.Entries = append(list.Entries, is)
+		case !listed && known:
+			delete(m.told, a)
+			was.State = control.Gone
+			list.Entries = append(list.Entries, was)
+		}
+	}
+	return list
 }
 
 func (m *Members) nextNews() control.Micros { return m.givenAt + pausePer*control.Micros(len(m.facts)) }
@@ -472,20 +506,27 @@
 // draining, and none that are gone.
 func (m *Members) List() []fleet.Entry {
 	list := make([]fleet.Entry, 0, len(m.facts))
-	for a, f := range m.facts {
-		if f.Withdrawn > 0 && !f.Held {
-			continue
-		}
-		e := fleet.Entry{Address: a, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Power: power(f.Endpoint), Born: f.Born}
-		if !f.Health.usable() || f.Flapping || m.inReserve(f) {
-			e.State = control.Draining
+	for _, f := range m.facts {
+		if e, listed := m.entry(f); listed {
+			list = append(list, e)
 		}
-		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
 	return list
 }
 
+// entry gives a server as the module is to be told, where it is on the list.
+func (m *Members) entry(f *Fact) (e fleet.Entry, listed bool) {
+	if f == nil || f.Withdrawn > 0 && !f.Held {
+		return fleet.Entry{}, false
+	}
+	e = fleet.Entry{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Power: power(f.Endpoint), Born: f.Born}
+	if !f.Health.usable() || f.Flapping || m.inReserve(f) {
+		e.State = control.Draining
+	}
+	return e, true
+}
+
 // power is a server's share of work by its weight. Envoy's weights are relative; hundred is commonly meant for one whole. A
 // degraded endpoint is to get little while others are well.
 func power(e Endpoint) float64 {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -1,7 +1,9 @@
 package membership
 
 import (
+	"cmp"
 	"fmt"
+	"maps"
 	"reflect"
 	"slices"
 	"strings"
@@ -10,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	"hollymast/control"
+	"hollymast/internal/fleet"
 )
 
 const second = control.Micros(1_000_000)
@@ -438,7 +441,81 @@
 	if m.version == m.given && !news {
 		return // the last change was told at once
 	}
-	if !news || last[0].Power != float64(uint32(now))/100 {
-		t.Errorf("the last change is not told: %t %+v", news, last[0])
+	if !news || last.Entries[0].Power != float64(uint32(now))/100 {
+		t.Errorf("the last change is not told: %t %+v", news, last)
+	}
+}
+
+// What is given as news, taken together, is the list, whatever the source says.
+func TestNewsIsAsTheList(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		bounds := Usual
+		bounds.Flaps = 2
+		m, now, list := New(bounds), second, map[string]fleet.Entry{}
+		clusters := []string{"a", "b"}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			now += control.Micros(rapid.SampledFrom([]int{0, 1000, 300_000, 6_000_000, 40_000_000}).Draw(t, "pause"))
+			cluster := rapid.SampledFrom(clusters).Draw(t, "cluster")
+			switch rapid.IntRange(0, 7).Draw(t, "what") {
+			case 0:
+				m.AddCluster(now, cluster)
+			case 1:
+				m.RemoveCluster(now, cluster)
+			case 2:
+				m.Source(now, rapid.Bool().Draw(t, "up"))
+			case 3:
+				m.Clusters(now, rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named"))
+			case 4:
+				m.Tick(now)
+			default:
+				m.Endpoints(now, cluster, rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Endpoint {
+					return Endpoint{Address: fmt.Sprint("x:", rapid.IntRange(0, 7).Draw(t, "address")), Health: Health(rapid.IntRange(0, 5).Draw(t, "health")),
+						Priority: uint32(rapid.IntRange(0, 2).Draw(t, "priority")), Weight: uint32(rapid.IntRange(0, 1).Draw(t, "weight"))}
+				}), 0, 8).Draw(t, "endpoints"))
+			}
+			news, is := m.News(now)
+			if !is {
+				continue
+			}
+			if news.Whole {
+				clear(list)
+			}
+			for _, e := range news.Entries {
+				if e == list[e.Address] {
+					t.Fatalf("%+v is no news", e)
+				}
+				if list[e.Address] = e; e.State == control.Gone {
+					delete(list, e.Address)
+				}
+			}
+			got := slices.SortedFunc(maps.Values(list), func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
+			if want := m.List(); !slices.Equal(got, want) {
+				t.Fatalf("by news %+v, the list is %+v", got, want)
+			}
+		}
+	})
+}
+
+// BenchmarkFleetSize is an update of one of the clusters of 100 servers that make up a fleet, and the news of it.
+func BenchmarkFleetSize(b *testing.B) {
+	for _, servers := range []int{200, 3200} {
+		b.Run(fmt.Sprintf("news/servers=%d", servers), func(b *testing.B) {
+			es, m := large(servers), New(Usual)
+			for c := range servers / 100 {
+				m.AddCluster(second, fmt.Sprint(c))
+				m.Endpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+			}
+			m.News(second)
+			now := second
+			b.ReportAllocs()
+			for b.Loop() {
+				now += second
+				es[0].Born++
+				m.Endpoints(now, "0", es[:100])
+				if _, news := m.News(now); !news {
+					b.Fatal("no news")
+				}
+			}
+		})
 	}
 }
--- a/internal/membership/reserve.go
+++ b/internal/membership/reserve.go
@@ -57,7 +57,7 @@
 	case need > r.upTo:
 		m.note("cluster %s: servers of priority %d are called in", name, need)
 		r.upTo, r.fewer = need, 0
-		m.version++
+		m.levelsChanged(c)
 	case need == r.upTo:
 		r.fewer = 0
 	case r.fewer == 0:
@@ -66,6 +66,14 @@
 	}
 }
 
+// levelsChanged notes that other servers of a cluster are in reserve.
+func (m *Members) levelsChanged(c *cluster) {
+	m.version++
+	for a := range c.endpoints {
+		m.stale[a] = true
+	}
+}
+
 // need is the last priority needed: levels are added up until there is enough.
 func (r *reserve) need() (last uint32) {
 	times := r.spare
@@ -97,7 +105,7 @@
 			r.upTo, r.fewer = r.need(), 0
 			delete(m.calming, name)
 			m.note("cluster %s: servers beyond priority %d are let go", name, r.upTo)
-			m.version++
+			m.levelsChanged(c)
 		}
 	}
 }
