--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -117,8 +117,8 @@
 	g := &Gateway{told: told, log: log, started: time.Now(), box: mailbox.New(),
 		jobs: map[control.JobID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
 		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
-	// Routers take turns at cold servers by their common time (control.coldRoom), so it begins at the wall clock; from
-	// then on it is monotonic, whatever is done to that clock.
+	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
+	// whatever is done to that clock.
 	g.epoch = control.Micros(g.started.UnixMicro())
 	g.run = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
