--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -53,17 +53,22 @@
 	listAsOf control.Micros // as of when the list that this turn chooses from was complete
 	// listBefore is listAsOf of the turn before: a change that this turn takes in was told after that.
 	listBefore control.Micros
+	listWhole  control.Micros // the last time of which it is known that the list was complete; 0: none is
 	stopTold   control.Micros // to stop; 0: not
 	chance     *rand.PCG      // for the ids of orders; decides nothing
 
 	// Shared.
 	box      *mailbox.Box
+	calls    calls
+	pulse    pulse
 	follower *board.Follower
 	ready    atomic.Bool
 	listener *net.TCPListener
 	accepted chan struct{} // closed when no connection is accepted any more
+	away     chan struct{} // holds one for each connection that is read to be turned away
 	mu       sync.Mutex
 	clients  map[*client]struct{}
+	turned   int            // of them, for which there is no room
 	counts   map[string]int // what was out of order since the last line about it
 	// What the log tells of the rule for drains, since the last line, in microseconds.
 	oldestList maximum // of the lists that first bytes rested on: their age
@@ -79,6 +84,7 @@
 	client     *client
 	ask        msgrpc.Ask
 	read       control.Micros // when its last byte was
+	came       control.Micros // when it may have come: before, where the process stood still
 	gone       atomic.Bool    // its client has cancelled or closed: no execution begins
 	workload   control.WorkloadID
 	tenant     control.TenantID
@@ -96,11 +102,11 @@
 
 // New opens the router's listener.
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
-	now := time.Now()
-	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
+	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.JobID]*job{},
 		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
-		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
+		fleet: fleet.New(0), calls: systemCalls, accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
+	p.fleet.SlowStart(told.Deployment.Cold)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
 	p.mostLinks = told.Sockets - p.mostClients - spare
@@ -235,6 +241,7 @@
 	defer others.Wait()
 	defer stop()
 	others.Go(func() { p.follower.Follow(following) })
+	others.Go(func() { p.beat(following) })
 	others.Go(func() {
 		defer close(p.accepted)
 		p.accept(p.listener)
@@ -320,6 +327,9 @@
 	p.listBefore = p.listAsOf
 	if attempt.MustCatchUp(p.now()-p.listAsOf, p.told.grace) {
 		p.listAsOf = p.at(p.follower.CatchUp())
+		if complete := p.follower.Complete(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+			p.listWhole = p.at(complete)
+		}
 	}
 }
 
@@ -328,6 +338,7 @@
 	for _, f := range heard {
 		f(now)
 	}
+	p.fleet.Complete(p.listWhole)
 	p.core.Turn(now)
 	p.prune(now)
 }
@@ -355,7 +366,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.clients {
-		c.endNow()
+		c.endBy(lastReads)
 	}
 }
 
@@ -368,7 +379,8 @@
 // answerAll gives all that is in hand its answer: whatever is not answered now meets the kill.
 func (p *Platform) answerAll() { p.giveBack(func(*job) bool { return true }) }
 
-// giveBack ends those jobs in hand that are meant. Of one that was never written none is harmed by trying again.
+// giveBack ends those jobs in hand that are meant. Nobody is harmed by trying one again that was never written, or whose repeats
+// do no harm: that has time left with another router.
 func (p *Platform) giveBack(meant func(j *job) bool) {
 	now := p.now()
 	for _, j := range slices.SortedFunc(maps.Values(p.jobs), func(a, b *job) int { return cmp.Compare(a.id, b.id) }) {
@@ -377,7 +389,8 @@
 		}
 		p.count("ended by the stop")
 		p.core.Left(now, j.id)
-		if slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing }) {
+		mayHaveRun := slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing })
+		if mayHaveRun && !p.told.Deployment.Workloads[j.workload].RepeatsAnywhere() {
 			p.finish(j, msgrpc.Killed(j.number))
 		} else {
 			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
@@ -533,12 +546,14 @@
 	}
 	j.executions = append(j.executions, s)
 	j.state.Sent()
-	x := binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Allow: allow, Body: j.ask.Body}
-	p.dispatch(p.clock, s, x.Frame())
+	s.ends = min(s.deadline, j.came+j.ask.Patience-onTheWay)
+	s.until = min(s.until, s.ends)
+	s.request = &binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Body: j.ask.Body}
+	p.dispatch(p.clock, s, nil)
 }
 
 func (p *Platform) sending(to control.ServerID, allow control.Micros) *sending {
-	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, listAsOf: p.listAsOf,
+	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, ends: p.clock + allow, listAsOf: p.listAsOf,
 		until: min(p.clock+allow, attempt.WriteUntil(p.listAsOf, p.told.grace))}
 }
 
