--- a/control/memory.go
+++ b/control/memory.go
@@ -5,37 +5,37 @@
 // Memory is what a router learned that a later life of it may use, in plain values with the times at which it was
 // learned. Unlike a Snapshot it holds nothing that is under way. What of it still counts is decided by Recall.
 type Memory struct {
-	Saved     Micros
-	Started   Micros
-	Due       []Micros // by tenant
-	Orders    []Micros // within the ration's window
-	Taken     []Micros
-	Answers   []Micros
-	Servers   []ServerMemory   // by ascending id
-	Functions []FunctionMemory // as first seen
+	Saved     Micros           `cbor:"Saved"`
+	Started   Micros           `cbor:"Started"`
+	Due       []Micros         `cbor:"Due"`    // by tenant
+	Orders    []Micros         `cbor:"Orders"` // within the ration's window
+	Taken     []Micros         `cbor:"Taken"`
+	Answers   []Micros         `cbor:"Answers"`
+	Servers   []ServerMemory   `cbor:"Servers"`   // by ascending id
+	Functions []FunctionMemory `cbor:"Functions"` // as first seen
 }
 
 // ServerMemory is what was learned of one server.
 type ServerMemory struct {
-	Server ServerID
-	Born   Micros
-	Sent   []Micros // within Deployment.Fall
+	Server ServerID `cbor:"Server"`
+	Born   Micros   `cbor:"Born"`
+	Sent   []Micros `cbor:"Sent"` // within Deployment.Fall
 }
 
 // FunctionMemory is what was learned of one function.
 type FunctionMemory struct {
-	ID     FunctionID
-	Lanes  int
-	Copies []CopiesMemory // by ascending server
+	ID     FunctionID     `cbor:"ID"`
+	Lanes  int            `cbor:"Lanes"`
+	Copies []CopiesMemory `cbor:"Copies"` // by ascending server
 }
 
 // CopiesMemory is a function's copies on one server, as believed.
 type CopiesMemory struct {
-	Server  ServerID
-	Copies  int
-	Used    Micros
-	Loading int
-	Since   Micros
+	Server  ServerID `cbor:"Server"`
+	Copies  int      `cbor:"Copies"`
+	Used    Micros   `cbor:"Used"`
+	Loading int      `cbor:"Loading"`
+	Since   Micros   `cbor:"Since"`
 }
 
 // Remember gives what is worth keeping. Functions of which no copy is believed are left out. It shares nothing
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,111 +8,112 @@
 // Snapshot is all that a router knows, in plain values: restored, it decides the same from there on. Functions stand in
 // the order in which they were first seen, and servers by ascending id; each is named by its place there.
 type Snapshot struct {
-	Told      Deployment
-	Chance    uint64
-	Started   Micros
-	Servers   []ServerSnapshot
-	Functions []FunctionSnapshot
-	Execs     []Samples
-	Patience  []Samples
-	Due       []Micros
-	Latencies Samples
-	Loads     Samples
-	Strain    Samples
-	Orders    []Micros
-	Taken     []Micros
-	Recalls   []Recall
-	Notes     []string
-	Answers   []Micros
-	Rate      float64
-	Fresh     Micros
-	Waiting   []int // places of functions
-	Recent    []int // places of functions
-	Tidied    int
-	Watching  bool
+	Told      Deployment         `json:"Told"`
+	Chance    uint64             `json:"Chance"`
+	Started   Micros             `json:"Started"`
+	Servers   []ServerSnapshot   `json:"Servers"`
+	Functions []FunctionSnapshot `json:"Functions"`
+	Execs     []Samples          `json:"Execs"`
+	Patience  []Samples          `json:"Patience"`
+	Due       []Micros           `json:"Due"`
+	Latencies Samples            `json:"Latencies"`
+	Loads     Samples            `json:"Loads"`
+	Strain    Samples            `json:"Strain"`
+	Orders    []Micros           `json:"Orders"`
+	Taken     []Micros           `json:"Taken"`
+	Recalls   []Recall           `json:"Recalls"`
+	Notes     []string           `json:"Notes"`
+	Answers   []Micros           `json:"Answers"`
+	Rate      float64            `json:"Rate"`
+	Fresh     Micros             `json:"Fresh"`
+	Waiting   []int              `json:"Waiting"` // places of functions
+	Recent    []int              `json:"Recent"`  // places of functions
+	Tidied    int                `json:"Tidied"`
+	Watching  bool               `json:"Watching"`
 }
 
 // ServerSnapshot is what is believed of one server.
 type ServerSnapshot struct {
-	Listing    Listing
-	Listed     bool
-	Left       Micros
-	Heard      Micros
-	Flights    []FlightSnapshot
-	Sent       []Micros
-	Report     Report
-	Reported   Micros
-	AvoidUntil Micros
-	LoadsAfter Micros
-	Size       float64
-	Busy       int
-	Narrowed   Micros
-	Strain     Samples
-	Suspect    bool
-	TrialAt    Micros
-	Setbacks   int
-	Fulls      int
-	Breaks     int
+	Listing    Listing          `json:"Listing"`
+	Listed     bool             `json:"Listed"`
+	Left       Micros           `json:"Left"`
+	Heard      Micros           `json:"Heard"`
+	Flights    []FlightSnapshot `json:"Flights"`
+	Sent       []Micros         `json:"Sent"`
+	Report     Report           `json:"Report"`
+	Reported   Micros           `json:"Reported"`
+	AvoidUntil Micros           `json:"AvoidUntil"`
+	LoadsAfter Micros           `json:"LoadsAfter"`
+	Size       float64          `json:"Size"`
+	Busy       int              `json:"Busy"`
+	Narrowed   Micros           `json:"Narrowed"`
+	Strain     Samples          `json:"Strain"`
+	Suspect    bool             `json:"Suspect"`
+	TrialAt    Micros           `json:"TrialAt"`
+	Setbacks   int              `json:"Setbacks"`
+	Fulls      int              `json:"Fulls"`
+	Breaks     int              `json:"Breaks"`
 }
 
 // FlightSnapshot is one execution that is out, by its job's id.
 type FlightSnapshot struct {
-	Job  JobID
-	No   ExecutionID
-	Sent Micros
-	Warm bool
+	Job  JobID       `json:"Job"`
+	No   ExecutionID `json:"No"`
+	Sent Micros      `json:"Sent"`
+	Warm bool        `json:"Warm"`
 }
 
 // FunctionSnapshot is what is known of one function.
 type FunctionSnapshot struct {
-	ID        FunctionID
-	Lanes     int
-	Last      *JobSnapshot
-	Due       int
-	Instances []InstanceSnapshot
-	Execs     Samples
-	Delays    Samples
-	Turned    Samples
-	Held      int
-	Waits     bool
-	Recent    int
-	HeldFrom  Micros
-	Blocked   Micros
+	ID        FunctionID         `json:"ID"`
+	Lanes     int                `json:"Lanes"`
+	Last      *JobSnapshot       `json:"Last"`
+	Due       int                `json:"Due"`
+	Instances []InstanceSnapshot `json:"Instances"`
+	Execs     Samples            `json:"Execs"`
+	Delays    Samples            `json:"Delays"`
+	Turned    Samples            `json:"Turned"`
+	Held      int                `json:"Held"`
+	Waits     bool               `json:"Waits"`
+	Recent    int                `json:"Recent"`
+	HeldFrom  Micros             `json:"HeldFrom"`
+	Blocked   Micros             `json:"Blocked"`
 }
 
 // InstanceSnapshot is a function's copies on one server.
 type InstanceSnapshot struct {
-	Server  ServerID
-	Copies  int
-	Used    Micros
-	Loading int
-	Since   Micros
-	Out     int
+	Server  ServerID `json:"Server"`
+	Copies  int      `json:"Copies"`
+	Used    Micros   `json:"Used"`
+	Loading int      `json:"Loading"`
+	Since   Micros   `json:"Since"`
+	Out     int      `json:"Out"`
 }
 
 // JobSnapshot is a job with the notes that a router keeps in it.
 type JobSnapshot struct {
-	Job        Job // Executions left out
-	Executions []ExecutionSnapshot
-	HeldSince  Micros
-	HeldFor    Micros
-	Held       bool
-	Taken      bool
-	Begun      Micros
-	Surplus    bool
+	Job        Job                 `json:"Job"` // Executions left out
+	Executions []ExecutionSnapshot `json:"Executions"`
+	HeldSince  Micros              `json:"HeldSince"`
+	HeldFor    Micros              `json:"HeldFor"`
+	Held       bool                `json:"Held"`
+	Taken      bool                `json:"Taken"`
+	Begun      Micros              `json:"Begun"`
+	Surplus    bool                `json:"Surplus"`
 }
 
 // ExecutionSnapshot is an execution with the notes that a router keeps in it.
 type ExecutionSnapshot struct {
-	Execution Execution
-	Warm      bool
-	Recall    bool
+	Execution Execution `json:"Execution"`
+	Warm      bool      `json:"Warm"`
+	Recall    bool      `json:"Recall"`
 }
 
 // Samples are the last few measurements and when they were taken; N counts all there ever were.
 type Samples struct {
-	V, At []Micros
-	N     int
+	V  []Micros `json:"V"`
+	At []Micros `json:"At"`
+	N  int      `json:"N"`
 }
 
 func (s *samples) snapshot() Samples {
--- a/control/types.go
+++ b/control/types.go
@@ -37,48 +37,48 @@
 
 // Workload is one row of the table of workloads.
 type Workload struct {
-	StartTarget Micros
-	TimeLimit   Micros  // after which a client gives up, all its tries together
-	Stretch     float64 // the start target grows by this multiple of the job's own work
-	Effect      Effect
-	Scope       Scope
-	Window      Micros // how long a group drops repeats
+	StartTarget Micros  `json:"StartTarget"`
+	TimeLimit   Micros  `json:"TimeLimit"` // after which a client gives up, all its tries together
+	Stretch     float64 `json:"Stretch"`   // the start target grows by this multiple of the job's own work
+	Effect      Effect  `json:"Effect"`
+	Scope       Scope   `json:"Scope"`
+	Window      Micros  `json:"Window"` // how long a group drops repeats
 }
 
 // Deployment holds what a router is told when it starts.
 type Deployment struct {
-	Routers       int
-	Number        int // ours among them, from 0
-	Zone          ZoneID
-	Tick          Micros
-	Workloads     []Workload
-	Shares        []float64 // of each tenant: jobs a second within its share, to all routers together
-	MaxExecutions int
-	MaxStayAway   Micros // longest pause a client heeds; 0 where clients take no advice
-	Cancels       bool
-	MarksRepeats  bool // clients say when they ask again
-	ListOnRequest bool
-	ColdFrom      float64 // share of its capacity with which a server starts
-	Cold          Micros  // and the time after which it has all of it
-	Fall          Micros
-	FallMultiple  float64
-	KeepAlive     Micros // an idle copy stays at least this long
-	Orders        bool
-	LoadWindow    Micros // of the ration of orders to load; 0: no ration
-	LoadFree      float64
-	LoadShare     float64
-	Late          Micros // how long after it was chosen an order may be written, at most
-	LoadsOnMiss   bool   // a job loads its function where it is missing
+	Routers       int        `json:"Routers"`
+	Number        int        `json:"Number"` // ours among them, from 0
+	Zone          ZoneID     `json:"Zone"`
+	Tick          Micros     `json:"Tick"`
+	Workloads     []Workload `json:"Workloads"`
+	Shares        []float64  `json:"Shares"` // of each tenant: jobs a second within its share, to all routers together
+	MaxExecutions int        `json:"MaxExecutions"`
+	MaxStayAway   Micros     `json:"MaxStayAway"` // longest pause a client heeds; 0 where clients take no advice
+	Cancels       bool       `json:"Cancels"`
+	MarksRepeats  bool       `json:"MarksRepeats"` // clients say when they ask again
+	ListOnRequest bool       `json:"ListOnRequest"`
+	ColdFrom      float64    `json:"ColdFrom"` // share of its capacity with which a server starts
+	Cold          Micros     `json:"Cold"`     // and the time after which it has all of it
+	Fall          Micros     `json:"Fall"`
+	FallMultiple  float64    `json:"FallMultiple"`
+	KeepAlive     Micros     `json:"KeepAlive"` // an idle copy stays at least this long
+	Orders        bool       `json:"Orders"`
+	LoadWindow    Micros     `json:"LoadWindow"` // of the ration of orders to load; 0: no ration
+	LoadFree      float64    `json:"LoadFree"`
+	LoadShare     float64    `json:"LoadShare"`
+	Late          Micros     `json:"Late"`        // how long after it was chosen an order may be written, at most
+	LoadsOnMiss   bool       `json:"LoadsOnMiss"` // a job loads its function where it is missing
 }
 
 // Listing is what the list says of one server.
 type Listing struct {
-	Server ServerID
-	State  ServerState
-	Zone   ZoneID
-	Cell   CellID
-	Power  float64
-	Born   Micros // 0: long ago
+	Server ServerID    `json:"Server"`
+	State  ServerState `json:"State"`
+	Zone   ZoneID      `json:"Zone"`
+	Cell   CellID      `json:"Cell"`
+	Power  float64     `json:"Power"`
+	Born   Micros      `json:"Born"` // 0: long ago
 }
 
 // ServerState is a server's state on the list.
@@ -132,37 +132,37 @@
 
 // Report is a server's load report; a negative value was not reported.
 type Report struct {
-	Util   float64 // share of its cores in use
-	Loads  float64 // loads under way or waiting
-	Pinned float64 // share of its memory that can't be freed
+	Util   float64 `json:"Util"`   // share of its cores in use
+	Loads  float64 `json:"Loads"`  // loads under way or waiting
+	Pinned float64 `json:"Pinned"` // share of its memory that can't be freed
 }
 
 // Outcome is the end of one execution.
 type Outcome struct {
-	Execution ExecutionID
-	Server    ServerID
-	Result    Result
-	Found     Found
-	Took      Micros
-	JobOver   bool
-	Report    *Report
+	Execution ExecutionID `cbor:"Execution"`
+	Server    ServerID    `cbor:"Server"`
+	Result    Result      `cbor:"Result"`
+	Found     Found       `cbor:"Found"`
+	Took      Micros      `cbor:"Took"`
+	JobOver   bool        `cbor:"JobOver"`
+	Report    *Report     `cbor:"Report"`
 }
 
 // Job is one client's job, kept by the adapter; the router keeps its notes on the job in it.
 type Job struct {
-	ID       JobID
-	Workload WorkloadID
-	Tenant   TenantID
-	Function FunctionID
-	Lanes    int
-	Work     Micros // hint; 0: none
-	LoadTime Micros // hint; 0: none
-	Arrived  Micros
-	Patience Micros // when its client gives up
-	Repeat   bool   // the client says that it asks again
-	Unmarked bool   // this client never says so, whatever is told of clients
-
-	Executions []Execution
+	ID       JobID      `json:"ID"`
+	Workload WorkloadID `json:"Workload"`
+	Tenant   TenantID   `json:"Tenant"`
+	Function FunctionID `json:"Function"`
+	Lanes    int        `json:"Lanes"`
+	Work     Micros     `json:"Work"`     // hint; 0: none
+	LoadTime Micros     `json:"LoadTime"` // hint; 0: none
+	Arrived  Micros     `json:"Arrived"`
+	Patience Micros     `json:"Patience"` // when its client gives up
+	Repeat   bool       `json:"Repeat"`   // the client says that it asks again
+	Unmarked bool       `json:"Unmarked"` // this client never says so, whatever is told of clients
+
+	Executions []Execution `json:"Executions"`
 	heldSince  Micros
 	heldFor    Micros
 	held       bool
@@ -173,13 +173,13 @@
 
 // Execution is one sending of a job.
 type Execution struct {
-	Server ServerID
-	Zone   ZoneID
-	Cell   CellID
-	Sent   Micros
-	Done   bool
-	MayRun bool // false once it is proven not to have run
-	warm   bool // sent to a copy believed loaded
+	Server ServerID `json:"Server"`
+	Zone   ZoneID   `json:"Zone"`
+	Cell   CellID   `json:"Cell"`
+	Sent   Micros   `json:"Sent"`
+	Done   bool     `json:"Done"`
+	MayRun bool     `json:"MayRun"` // false once it is proven not to have run
+	warm   bool     // sent to a copy believed loaded
 	recall bool
 }
 
@@ -215,8 +215,8 @@
 
 // Recall names an execution to call off.
 type Recall struct {
-	Job       JobID
-	Execution ExecutionID
+	Job       JobID       `json:"Job"`
+	Execution ExecutionID `json:"Execution"`
 }
 
 // Upkeep answers how long to wait, and what falls due now beside the jobs.
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -45,8 +45,8 @@
 
 // Sending is the turn's own part of one execution or order on its way.
 type Sending struct {
-	Off  bool // called off: whatever comes of it changes nothing for its job
-	Over bool // its end was taken in: its connection may carry another by now
+	Off  bool `cbor:"Off"`  // called off: whatever comes of it changes nothing for its job
+	Over bool `cbor:"Over"` // its end was taken in: its connection may carry another by now
 }
 
 // CallOff stops waiting for it. Act tells that there is something to stop: what is not written is withdrawn, what is is broken off.
@@ -103,8 +103,8 @@
 
 // Answer is a job's one final answer, and what is still out for it.
 type Answer struct {
-	Given bool
-	Out   int // executions whose end was not heard
+	Given bool `cbor:"Given"`
+	Out   int  `cbor:"Out"` // executions whose end was not heard
 }
 
 // Give gives the final answer; only the first is one.
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -11,21 +11,21 @@
 
 // Snapshot is a core between two turns, in plain values, its module's included.
 type Snapshot struct {
-	Module *control.Snapshot
-	Jobs   []JobSnapshot   // by ascending id
-	Held   []control.JobID // in the order in which they stand
-	Next   control.Micros
-	Alarm  control.Micros
+	Module *control.Snapshot `json:"Module"`
+	Jobs   []JobSnapshot     `json:"Jobs"` // by ascending id
+	Held   []control.JobID   `json:"Held"` // in the order in which they stand
+	Next   control.Micros    `json:"Next"`
+	Alarm  control.Micros    `json:"Alarm"`
 }
 
 // JobSnapshot is a job in hand.
 type JobSnapshot struct {
-	Job   control.JobSnapshot
-	Rank  control.Micros
-	Again control.Micros
-	Held  bool
-	Over  bool
-	Out   int
+	Job   control.JobSnapshot `json:"Job"`
+	Rank  control.Micros      `json:"Rank"`
+	Again control.Micros      `json:"Again"`
+	Held  bool                `json:"Held"`
+	Over  bool                `json:"Over"`
+	Out   int                 `json:"Out"`
 }
 
 // Wrapper is a decider round the module, as explorers plant wrong decisions with.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -11,20 +11,21 @@
 
 // Cell is one day to be played: a size of the day, whose decisions, and the seed that calls and troubles are drawn from.
 type Cell struct {
-	Size, Arm string
-	Seed      uint64
+	Size string `cbor:"Size"`
+	Arm  string `cbor:"Arm"`
+	Seed uint64 `cbor:"Seed"`
 }
 
 // Row is what a played day showed.
 type Row struct {
 	Cell
-	InTime     float64 // share of effects within their start target
-	Worth      float64 // the same, weighted with importance
-	Jobs       int
-	Executions int
-	Loads      int
-	Broken     int // breaches of rules
-	Hash       uint64
+	InTime     float64 `cbor:"InTime"` // share of effects within their start target
+	Worth      float64 `cbor:"Worth"`  // the same, weighted with importance
+	Jobs       int     `cbor:"Jobs"`
+	Executions int     `cbor:"Executions"`
+	Loads      int     `cbor:"Loads"`
+	Broken     int     `cbor:"Broken"` // breaches of rules
+	Hash       uint64  `cbor:"Hash"`
 }
 
 // Measures are what arms can be held against each other by.
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -33,8 +33,11 @@
 
 // Progress is told after each depth.
 type Progress struct {
-	Depth, Frontier, States, Steps int
-	Took                           time.Duration
+	Depth    int           `cbor:"Depth"`
+	Frontier int           `cbor:"Frontier"`
+	States   int           `cbor:"States"`
+	Steps    int           `cbor:"Steps"`
+	Took     time.Duration `cbor:"Took"`
 }
 
 // Found is an exploration's end.
@@ -47,8 +50,8 @@
 
 // from is how a state was first reached.
 type from struct {
-	Parent Key
-	Step   Step
+	Parent Key  `cbor:"Parent"`
+	Step   Step `cbor:"Step"`
 }
 
 // seen is all states that were reached, in parts so that workers seldom wait for each other.
@@ -274,8 +277,8 @@
 
 // stored is a world with its routers' states.
 type stored struct {
-	World *World
-	Cores []*core.Snapshot
+	World *World           `cbor:"World"`
+	Cores []*core.Snapshot `cbor:"Cores"`
 }
 
 func (f *frontier) each(do func(*World) bool) error {
@@ -389,11 +392,11 @@
 
 // saved is an exploration between two depths.
 type saved struct {
-	Setup    Setup
-	Progress Progress
-	Keys     []Key
-	From     []from
-	Frontier []stored
+	Setup    Setup    `cbor:"Setup"`
+	Progress Progress `cbor:"Progress"`
+	Keys     []Key    `cbor:"Keys"`
+	From     []from   `cbor:"From"`
+	Frontier []stored `cbor:"Frontier"`
 }
 
 const resumeName = "resume.cbor"
--- a/internal/explore/moment.go
+++ b/internal/explore/moment.go
@@ -15,11 +15,11 @@
 // all orderings of tens of jobs are more than anyone can go through. What is not recorded is taken at its worst: executions that
 // are out were written and ran, and their time is up when their client's patience ends.
 type Moment struct {
-	Now     control.Micros
-	Core    *core.Snapshot
-	Servers []control.ServerID
-	Jobs    []control.JobID
-	Watched []bool // of Jobs
+	Now     control.Micros     `json:"Now"`
+	Core    *core.Snapshot     `json:"Core"`
+	Servers []control.ServerID `json:"Servers"`
+	Jobs    []control.JobID    `json:"Jobs"`
+	Watched []bool             `json:"Watched"` // of Jobs
 }
 
 // mostWatched bounds the jobs that are followed from a moment.
--- a/internal/explore/steps.go
+++ b/internal/explore/steps.go
@@ -30,9 +30,9 @@
 
 // Step is one of the things that can happen in a state.
 type Step struct {
-	Kind Kind
-	Of   int16 // job, exchange, router, notice or server, by the kind
-	Way  Way   // of Write; of News Silent: it was broken off
+	Kind Kind  `json:"Kind"`
+	Of   int16 `json:"Of"`  // job, exchange, router, notice or server, by the kind
+	Way  Way   `json:"Way"` // of Write; of News Silent: it was broken off
 }
 
 // Steps gives all that can happen, in a fixed order. Budgeted faults are among them.
--- a/internal/explore/story.go
+++ b/internal/explore/story.go
@@ -9,9 +9,9 @@
 
 // Story is how a state is reached, and what is wrong there; it is saved as JSON and replayed for ever.
 type Story struct {
-	Setup Setup
-	Steps []Step
-	Wrong string // property and what it said; empty: nothing
+	Setup Setup  `json:"Setup"`
+	Steps []Step `json:"Steps"`
+	Wrong string `json:"Wrong"` // property and what it said; empty: nothing
 }
 
 // Replay takes a story's steps under some rules and gives what is wrong first, and after how many steps; none: empty. An error tells
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -17,24 +17,28 @@
 
 // Setup describes a world: what there is, and how often what may go wrong.
 type Setup struct {
-	Jobs, Servers, Routers int
-	Effects                []string       // of the jobs, in turn: restartable, fingerprinted, run-once
-	Scope                  string         // of fingerprinted jobs: fleet or zone; servers stand in two zones by turns
-	Apart                  control.Micros // between two jobs' arrivals; 0: all at once
-	Target, Limit, Window  control.Micros
-	Orders                 bool // copies are ordered; else jobs load them
-	Warm                   bool // all servers have the function loaded
-	ColdServer             bool // server 0 has just started
-
-	Breaks   int      // exchanges that go wrong, each in one of the ways
-	Ways     []string // no-connection, refused, reset-before, reset-after, lost, silent; none: all
-	Drains   int
-	Restarts int // of servers
-	Leaves   int // clients that go
-	Stalls   int // choices whose writing is delayed beyond the moment
-	Freezes  int // routers that stand still for a while
-
-	Moment *Moment `json:",omitempty"` // a recorded state to begin with, in the place of all but the faults
+	Jobs       int            `json:"Jobs"`
+	Servers    int            `json:"Servers"`
+	Routers    int            `json:"Routers"`
+	Effects    []string       `json:"Effects"` // of the jobs, in turn: restartable, fingerprinted, run-once
+	Scope      string         `json:"Scope"`   // of fingerprinted jobs: fleet or zone; servers stand in two zones by turns
+	Apart      control.Micros `json:"Apart"`   // between two jobs' arrivals; 0: all at once
+	Target     control.Micros `json:"Target"`
+	Limit      control.Micros `json:"Limit"`
+	Window     control.Micros `json:"Window"`
+	Orders     bool           `json:"Orders"`     // copies are ordered; else jobs load them
+	Warm       bool           `json:"Warm"`       // all servers have the function loaded
+	ColdServer bool           `json:"ColdServer"` // server 0 has just started
+
+	Breaks   int      `json:"Breaks"` // exchanges that go wrong, each in one of the ways
+	Ways     []string `json:"Ways"`   // no-connection, refused, reset-before, reset-after, lost, silent; none: all
+	Drains   int      `json:"Drains"`
+	Restarts int      `json:"Restarts"` // of servers
+	Leaves   int      `json:"Leaves"`   // clients that go
+	Stalls   int      `json:"Stalls"`   // choices whose writing is delayed beyond the moment
+	Freezes  int      `json:"Freezes"`  // routers that stand still for a while
+
+	Moment *Moment `json:"Moment,omitempty"` // a recorded state to begin with, in the place of all but the faults
 }
 
 // Small is the world that others are made from: one job, one server, one router, nothing goes wrong.
@@ -103,75 +107,88 @@
 
 // World is one state. A world that was reached is not changed: each step makes another.
 type World struct {
-	Now       control.Micros
-	Routers   []Router
-	Servers   []Server
-	Jobs      []Job
-	Exchanges []Exchange
-	Notices   []Notice
-	Left      Budget // of what may go wrong
-	Wrong     int    // how much did
+	Now       control.Micros `cbor:"Now"`
+	Routers   []Router       `cbor:"Routers"`
+	Servers   []Server       `cbor:"Servers"`
+	Jobs      []Job          `cbor:"Jobs"`
+	Exchanges []Exchange     `cbor:"Exchanges"`
+	Notices   []Notice       `cbor:"Notices"`
+	Left      Budget         `cbor:"Left"`  // of what may go wrong
+	Wrong     int            `cbor:"Wrong"` // how much did
 }
 
 // Budget is how often each thing may still go wrong.
-type Budget struct{ Breaks, Drains, Restarts, Leaves, Stalls, Freezes int8 }
+type Budget struct {
+	Breaks   int8 `cbor:"Breaks"`
+	Drains   int8 `cbor:"Drains"`
+	Restarts int8 `cbor:"Restarts"`
+	Leaves   int8 `cbor:"Leaves"`
+	Stalls   int8 `cbor:"Stalls"`
+	Freezes  int8 `cbor:"Freezes"`
+}
 
 // Router is one router.
 type Router struct {
 	core   *core.Snapshot
 	digest [16]byte
-	Alarm  control.Micros
-	Frozen bool
-	AsOf   control.Micros // as of when its list was complete when it last froze; 0: it has caught up since
+	Alarm  control.Micros `cbor:"Alarm"`
+	Frozen bool           `cbor:"Frozen"`
+	AsOf   control.Micros `cbor:"AsOf"` // as of when its list was complete when it last froze; 0: it has caught up since
 }
 
 // Server is one server as it really is.
 type Server struct {
-	State  control.ServerState
-	Since  control.Micros // of the state, as the source of the list tells it
-	Born   control.Micros // 0: long ago
-	Epoch  int            // lives before this one
-	Loaded bool
+	State  control.ServerState `cbor:"State"`
+	Since  control.Micros      `cbor:"Since"` // of the state, as the source of the list tells it
+	Born   control.Micros      `cbor:"Born"`  // 0: long ago
+	Epoch  int                 `cbor:"Epoch"` // lives before this one
+	Loaded bool                `cbor:"Loaded"`
 }
 
 // Job is one job as its client sees it.
 type Job struct {
-	Arrived bool
-	Still   bool // in hand at a moment, and not followed
-	At      control.Micros
-	Until   control.Micros // its client's patience
-	State   attempt.Answer
-	Answers int // that its client got
-	Word    string
-	When    control.Micros
-	Excused bool // its router stood still: nobody can promise it anything
-	Left    bool
+	Arrived bool           `cbor:"Arrived"`
+	Still   bool           `cbor:"Still"` // in hand at a moment, and not followed
+	At      control.Micros `cbor:"At"`
+	Until   control.Micros `cbor:"Until"` // its client's patience
+	State   attempt.Answer `cbor:"State"`
+	Answers int            `cbor:"Answers"` // that its client got
+	Word    string         `cbor:"Word"`
+	When    control.Micros `cbor:"When"`
+	Excused bool           `cbor:"Excused"` // its router stood still: nobody can promise it anything
+	Left    bool           `cbor:"Left"`
 }
 
 // Exchange is one execution, or an order, on its way.
 type Exchange struct {
-	Job, No, Router, Server int
-	Order                   int // copies ordered; 0: an execution
-	Stage                   attempt.Stage
-	State                   attempt.Sending
-	Chosen, Written         control.Micros // 0: not yet
-	Until, Deadline         control.Micros
-	Way                     Way
-	Ran                     bool // truly
-	Began                   bool // a load
-	Epoch                   int  // of the server when it was written
-	Result                  control.Result
-	Ended                   control.Micros
-	Stalled                 bool
-	After                   bool // written when its job had its answer
+	Job      int             `cbor:"Job"`
+	No       int             `cbor:"No"`
+	Router   int             `cbor:"Router"`
+	Server   int             `cbor:"Server"`
+	Order    int             `cbor:"Order"` // copies ordered; 0: an execution
+	Stage    attempt.Stage   `cbor:"Stage"`
+	State    attempt.Sending `cbor:"State"`
+	Chosen   control.Micros  `cbor:"Chosen"` // 0: not yet
+	Written  control.Micros  `cbor:"Written"`
+	Until    control.Micros  `cbor:"Until"`
+	Deadline control.Micros  `cbor:"Deadline"`
+	Way      Way             `cbor:"Way"`
+	Ran      bool            `cbor:"Ran"`   // truly
+	Began    bool            `cbor:"Began"` // a load
+	Epoch    int             `cbor:"Epoch"` // of the server when it was written
+	Result   control.Result  `cbor:"Result"`
+	Ended    control.Micros  `cbor:"Ended"`
+	Stalled  bool            `cbor:"Stalled"`
+	After    bool            `cbor:"After"` // written when its job had its answer
 }
 
 // Notice is a change of the list on its way to a router.
 type Notice struct {
-	Router, Server int
-	State          control.ServerState
-	Born           control.Micros
-	Sent           control.Micros
+	Router int                 `cbor:"Router"`
+	Server int                 `cbor:"Server"`
+	State  control.ServerState `cbor:"State"`
+	Born   control.Micros      `cbor:"Born"`
+	Sent   control.Micros      `cbor:"Sent"`
 }
 
 // Way is what becomes of an exchange.
--- a/internal/history/tally.go
+++ b/internal/history/tally.go
@@ -22,14 +22,14 @@
 
 // Use is what was done within a span of time.
 type Use struct {
-	Jobs       int64 // that got their answer
-	Finished   int64
-	InTime     int64 // finished within their start target
-	PushedBack int64
-	Killed     int64
-	Executions int64
-	Loads      int64 // executions that began a load, and orders
-	Times      Times // of executions by warm copies
+	Jobs       int64 `cbor:"Jobs"` // that got their answer
+	Finished   int64 `cbor:"Finished"`
+	InTime     int64 `cbor:"InTime"` // finished within their start target
+	PushedBack int64 `cbor:"PushedBack"`
+	Killed     int64 `cbor:"Killed"`
+	Executions int64 `cbor:"Executions"`
+	Loads      int64 `cbor:"Loads"` // executions that began a load, and orders
+	Times      Times `cbor:"Times"` // of executions by warm copies
 }
 
 // Times are execution times as an HdrHistogram's buckets: each bucket's upper bound in microseconds and how many fell into it,
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -22,16 +22,16 @@
 
 // Owner tells whose memory a file is.
 type Owner struct {
-	Router     int
-	Deployment uint64 // of what the ids in it hang on
+	Router     int    `cbor:"Router"`
+	Deployment uint64 `cbor:"Deployment"` // of what the ids in it hang on
 }
 
 // Kept is a file's content.
 type Kept struct {
-	Owner      Owner
-	Generation uint64 // one more with each writing
-	Module     *control.Memory
-	Storm      *storm.Usual `cbor:",omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Owner      Owner           `cbor:"Owner"`
+	Generation uint64          `cbor:"Generation"` // one more with each writing
+	Module     *control.Memory `cbor:"Module"`
+	Storm      *storm.Usual    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
 }
 
 // Errors of Decode.
--- /dev/null
+++ b/internal/memory/golden_test.go
@@ -0,0 +1,40 @@
+package memory
+
+import (
+	"reflect"
+	"testing"
+
+	"hollymast/internal/golden"
+)
+
+// What routers in service have stored is read, and written in the same form.
+func TestStoredForm(t *testing.T) {
+	kept := &Kept{}
+	golden.Fill(kept)
+	golden.Check(t, "memory-2", kept, func(v any) ([]byte, error) { return Encode(v.(*Kept)) }, func(b []byte, v any) error {
+		read, err := Decode(b)
+		if err == nil {
+			*v.(*Kept) = *read
+		}
+		return err
+	})
+	if missing := golden.Untagged(reflect.TypeOf(kept)); len(missing) > 0 {
+		t.Errorf("stored under the name of a field: %q", missing)
+	}
+}
+
+// The same of the journal, with an entry of each kind.
+func TestStoredJournal(t *testing.T) {
+	entries := make([]Entry, Taken-Execution+1)
+	for i := range entries {
+		golden.Fill(&entries[i])
+		entries[i].Kind = Execution + Kind(i)
+	}
+	golden.Check(t, "journal-1", &entries, func(v any) ([]byte, error) {
+		return appendFrame([]byte(journalMagic), *v.(*[]Entry)), nil
+	}, func(b []byte, v any) error {
+		read, err := ReadJournal(b)
+		*v.(*[]Entry) = read
+		return err
+	})
+}
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -30,14 +30,14 @@
 
 // Header begins a segment.
 type Header struct {
-	Version int
-	Build   string // of the program that wrote it
-	Router  int
-	Life    string         // tells one run of a router from its others
-	Segment int            // within the life, from 0
-	Turn    uint64         // the first turn in it
-	Clock   control.Micros // the router's time at the checkpoint
-	Gap     uint64         // turns lost before it
+	Version int            `cbor:"Version"`
+	Build   string         `cbor:"Build"` // of the program that wrote it
+	Router  int            `cbor:"Router"`
+	Life    string         `cbor:"Life"`    // tells one run of a router from its others
+	Segment int            `cbor:"Segment"` // within the life, from 0
+	Turn    uint64         `cbor:"Turn"`    // the first turn in it
+	Clock   control.Micros `cbor:"Clock"`   // the router's time at the checkpoint
+	Gap     uint64         `cbor:"Gap"`     // turns lost before it
 }
 
 // Turn is one turn: what was heard, in order, and what was then asked of the outlet, in order.
@@ -61,17 +61,17 @@
 
 // Listed is a list of servers as heard.
 type Listed struct {
-	Kind control.ListKind
-	List []control.Listing
+	Kind control.ListKind  `cbor:"Kind"`
+	List []control.Listing `cbor:"List"`
 }
 
 // Loaded is an answer to an order.
 type Loaded struct {
-	Server   control.ServerID
-	Function control.FunctionID
-	Result   control.Result
-	Took     control.Micros
-	Copies   int
+	Server   control.ServerID   `cbor:"Server"`
+	Function control.FunctionID `cbor:"Function"`
+	Result   control.Result     `cbor:"Result"`
+	Took     control.Micros     `cbor:"Took"`
+	Copies   int                `cbor:"Copies"`
 }
 
 // What a Deed does.
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -437,8 +437,9 @@
 
 // Usual are the figures that outlast a router, so that one that is started in a storm knows what is usual.
 type Usual struct {
-	First, Connections float64 // a second
-	Storm              Kind    // that was on
+	First       float64 `cbor:"First"` // a second
+	Connections float64 `cbor:"Connections"`
+	Storm       Kind    `cbor:"Storm"` // that was on
 }
 
 // Remember gives them.
