--- /dev/null
+++ b/internal/gateway/pins_test.go
@@ -0,0 +1,71 @@
+package gateway
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/inifile"
+	"hollymast/internal/memory"
+)
+
+// Settings of routers in service stay valid, key by key, and mean what they meant.
+func TestStoredSettingsAreTaken(t *testing.T) {
+	f, err := inifile.Load("testdata/settings-1.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadTold(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := got.Deployment
+	for name, holds := range map[string]bool{
+		"router":   got.Listen == "127.0.0.1:8080" && got.List == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.Number == 2,
+		"servers":  d.MaxExecutions == 4 && d.ColdFrom == 0.3 && d.Cold == 11_000_000 && d.LoadFree == 5 && got.Grace == 600*time.Millisecond,
+		"clients":  !d.MarksRepeats && d.MaxStayAway == 3_000_000 && !got.Storms && got.AnswerMargin == 21*time.Millisecond,
+		"bounds":   got.Connections == 20001 && got.PerServer == 257 && got.DialTime == 2*time.Second && got.BodyTime == 11*time.Second,
+		"record":   got.RecordDir == "rec" && got.Record.Segment == 67108865 && got.Record.Age == 11*time.Minute,
+		"memory":   got.MemoryDir == "memory" && got.MarksFor == 11*time.Minute && got.Journal == memory.Each && got.HistoryRows == 200001,
+		"workload": d.Workloads[0] == control.Workload{StartTarget: 2_000_000, TimeLimit: 11_000_000, Stretch: 1.5, Effect: control.Fingerprinted, Scope: control.OneZone, Window: 6_000_000},
+		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
+		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Shares[0] == 50,
+	} {
+		if !holds {
+			t.Errorf("[%s] is read as something else: %+v", name, got)
+		}
+	}
+}
+
+// Dashboards and alerts name metrics and labels: these stay.
+func TestMetricNames(t *testing.T) {
+	m := newMetrics(&Told{})
+	m.answered("finished")
+	m.damped.WithLabelValues("x").Inc()
+	families, err := m.registry.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := map[string]string{} // first label by name
+	for _, f := range families {
+		label := ""
+		if labels := f.GetMetric()[0].GetLabel(); len(labels) > 0 {
+			label = labels[0].GetName()
+		}
+		got[f.GetName()] = label
+	}
+	for name, label := range map[string]string{
+		"hollymast_jobs_total": "answer", "hollymast_executions_total": "result", "hollymast_jobs_in_hand": "", "hollymast_jobs_held": "",
+		"hollymast_servers_ready": "", "hollymast_orders_total": "", "hollymast_loads_total": "", "hollymast_storm_refused_total": "kind",
+		"hollymast_storm": "", "hollymast_late_answers_total": "", "hollymast_connections_turned_away_total": "", "hollymast_turn_seconds": "",
+	} {
+		if was, ok := got[name]; !ok || was != label {
+			t.Errorf("metric %s with label %q: there %t, label %q", name, label, ok, was)
+		}
+	}
+	want := []string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled", "never sent", "missing"}
+	if !slices.Equal(resultNames[:], want) {
+		t.Errorf("values of result: %q", resultNames)
+	}
+}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -175,3 +175,11 @@
 		t.Error("a file of another kind was played")
 	}
 }
+
+// A recording that an earlier build made is replayed, from its checkpoint on, to the same decisions.
+func TestStoredRecordingDecidesTheSame(t *testing.T) {
+	a, err := Play([]string{"testdata/format2.rec"}, Range{})
+	if err != nil || a.Turns != 600 || a.Deeds != 596 || len(a.Damaged) > 0 {
+		t.Errorf("got %+v, %v", a, err)
+	}
+}
