--- a/control/trace.go
+++ b/control/trace.go
@@ -13,58 +13,58 @@
 
 // Why is how one choice came out, with what was believed before it. Times are microseconds.
 type Why struct {
-	Now       Micros
-	Job       JobID
-	Function  FunctionID
-	Exec      Micros  // execution time, told or measured
-	Target    Micros  // start target
-	Slack     Micros  // that is left; negative: late. Like Margin and Last 0 where an execution was out
-	Margin    Micros  // of slack, below which full copies push the job back
-	Last      Micros  // from then on it can't end within its client's patience
-	LoadTime  Micros  // told or measured
-	B         float64 // slots of a lane
-	Held      int     // jobs held for the function
-	Due       int     // loads that the last check found needed
-	Servers   []Belief
-	Ended     string // the condition that ended the choice
-	Placement Placement
+	Now       Micros     `json:"Now"`
+	Job       JobID      `json:"Job"`
+	Function  FunctionID `json:"Function"`
+	Exec      Micros     `json:"Exec"`     // execution time, told or measured
+	Target    Micros     `json:"Target"`   // start target
+	Slack     Micros     `json:"Slack"`    // that is left; negative: late. Like Margin and Last 0 where an execution was out
+	Margin    Micros     `json:"Margin"`   // of slack, below which full copies push the job back
+	Last      Micros     `json:"Last"`     // from then on it can't end within its client's patience
+	LoadTime  Micros     `json:"LoadTime"` // told or measured
+	B         float64    `json:"B"`        // slots of a lane
+	Held      int        `json:"Held"`     // jobs held for the function
+	Due       int        `json:"Due"`      // loads that the last check found needed
+	Servers   []Belief   `json:"Servers"`
+	Ended     string     `json:"Ended"` // the condition that ended the choice
+	Placement Placement  `json:"Placement"`
 }
 
 // Belief is what was believed of one server, and of the function's copies there.
 type Belief struct {
-	Server  ServerID
-	State   ServerState
-	Barred  string // why the job may not go there; empty if it may
-	Here    bool   // something is known of the function's copies there
-	Warm    bool
-	Coming  bool // a load is under way
-	Copies  int
-	Loading int
-	Out     int // executions of ours of the function there
-	Slots   int // that the instance offers us
-	Window  float64
-	Busy    int // executions of ours there, of any function
-	Suspect bool
-	Shunned bool
-	Waiting int // jobs of ours behind loads there
-	Cold    bool
-	Room    float64 // share of the window that is free
-	Report  Report
-	Fresh   Micros // age of the report; negative: none
+	Server  ServerID    `json:"Server"`
+	State   ServerState `json:"State"`
+	Barred  string      `json:"Barred"` // why the job may not go there; empty if it may
+	Here    bool        `json:"Here"`   // something is known of the function's copies there
+	Warm    bool        `json:"Warm"`
+	Coming  bool        `json:"Coming"` // a load is under way
+	Copies  int         `json:"Copies"`
+	Loading int         `json:"Loading"`
+	Out     int         `json:"Out"`   // executions of ours of the function there
+	Slots   int         `json:"Slots"` // that the instance offers us
+	Window  float64     `json:"Window"`
+	Busy    int         `json:"Busy"` // executions of ours there, of any function
+	Suspect bool        `json:"Suspect"`
+	Shunned bool        `json:"Shunned"`
+	Waiting int         `json:"Waiting"` // jobs of ours behind loads there
+	Cold    bool        `json:"Cold"`
+	Room    float64     `json:"Room"` // share of the window that is free
+	Report  Report      `json:"Report"`
+	Fresh   Micros      `json:"Fresh"` // age of the report; negative: none
 }
 
 // Check is the design's test whether a function needs more copies: it does where delay has reached slack and D_f, held
 // x target / slots, the load time.
 type Check struct {
-	Now      Micros
-	Function FunctionID
-	Held     int
-	Slots    int
-	Loading  int
-	Delay    Micros
-	Slack    Micros
-	Target   Micros
-	LoadTime Micros
+	Now      Micros     `json:"Now"`
+	Function FunctionID `json:"Function"`
+	Held     int        `json:"Held"`
+	Slots    int        `json:"Slots"`
+	Loading  int        `json:"Loading"`
+	Delay    Micros     `json:"Delay"`
+	Slack    Micros     `json:"Slack"`
+	Target   Micros     `json:"Target"`
+	LoadTime Micros     `json:"LoadTime"`
 }
 
 // Df is D_f; 0 where there are no slots.
--- a/control/types.go
+++ b/control/types.go
@@ -197,20 +197,20 @@
 
 // Placement answers where a job goes, or not yet, or never.
 type Placement struct {
-	Verb     Verb
-	Server   ServerID // of Send
-	Allow    Micros   // of Send: the execution's time-out
-	Rank     Micros   // of Hold: lowest leaves first
-	Again    Micros   // of Hold: ask again then at the latest
-	StayAway Micros   // of PushBack: advice to the client
-	Orders   []Order  // to be given before the job goes
+	Verb     Verb     `json:"Verb"`
+	Server   ServerID `json:"Server"`   // of Send
+	Allow    Micros   `json:"Allow"`    // of Send: the execution's time-out
+	Rank     Micros   `json:"Rank"`     // of Hold: lowest leaves first
+	Again    Micros   `json:"Again"`    // of Hold: ask again then at the latest
+	StayAway Micros   `json:"StayAway"` // of PushBack: advice to the client
+	Orders   []Order  `json:"Orders"`   // to be given before the job goes
 }
 
 // Order tells a server to hold copies of a function; with none it only asks how many stand.
 type Order struct {
-	Server   ServerID
-	Function FunctionID
-	Copies   int
+	Server   ServerID   `json:"Server"`
+	Function FunctionID `json:"Function"`
+	Copies   int        `json:"Copies"`
 }
 
 // Recall names an execution to call off.
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -31,11 +31,11 @@
 
 // Rule is the finding on one rule.
 type Rule struct {
-	Number        int
-	Name          string
-	Opportunities int      // times that it could have been broken
-	Breaches      []string // the first few
-	Count         int      // all
+	Number        int      `json:"Number"`
+	Name          string   `json:"Name"`
+	Opportunities int      `json:"Opportunities"` // times that it could have been broken
+	Breaches      []string `json:"Breaches"`      // the first few
+	Count         int      `json:"Count"`         // all
 }
 
 func (r *Rule) breach(at int64, text string, args ...any) {
@@ -47,18 +47,25 @@
 
 // Verdict is the finding on a day.
 type Verdict struct {
-	Rules                                                       []*Rule
-	Jobs, Finished, PushedBack, Killed, Unanswered, Left, Other int
-	Excused                                                     int // asked of a router that was halted before their answer was due
-	Executions, Repeats                                         int
-	Cold                                                        []Window // jobs that reached servers while they were cold
+	Rules      []*Rule  `json:"Rules"`
+	Jobs       int      `json:"Jobs"`
+	Finished   int      `json:"Finished"`
+	PushedBack int      `json:"PushedBack"`
+	Killed     int      `json:"Killed"`
+	Unanswered int      `json:"Unanswered"`
+	Left       int      `json:"Left"`
+	Other      int      `json:"Other"`
+	Excused    int      `json:"Excused"` // asked of a router that was halted before their answer was due
+	Executions int      `json:"Executions"`
+	Repeats    int      `json:"Repeats"`
+	Cold       []Window `json:"Cold"` // jobs that reached servers while they were cold
 }
 
 // Window is how much of its budget a cold server had got when a job reached it; above 1 the fourth rule is broken.
 type Window struct {
-	At     int64
-	Server int
-	Share  float64
+	At     int64   `json:"At"`
+	Server int     `json:"Server"`
+	Share  float64 `json:"Share"`
 }
 
 // Kept tells whether no rule was broken.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -16,19 +16,19 @@
 
 // Answer is one decision about a job.
 type Answer struct {
-	File  string
-	Turn  uint64
-	List  List // what the decision rests on
-	Check *control.Check
-	Why   control.Why
-	If    string `json:",omitempty"` // what was changed before it was asked again
+	File  string         `json:"File"`
+	Turn  uint64         `json:"Turn"`
+	List  List           `json:"List"` // what the decision rests on
+	Check *control.Check `json:"Check"`
+	Why   control.Why    `json:"Why"`
+	If    string         `json:"If,omitempty"` // what was changed before it was asked again
 }
 
 // List names the list of servers that was known: when it was heard, and how many had been heard in the recording before.
 // Heard is 0 where it came before the recording began.
 type List struct {
-	Heard   control.Micros
-	Version int
+	Heard   control.Micros `json:"Heard"`
+	Version int            `json:"Version"`
 }
 
 // Change is something to be different before a decision is asked again.
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -84,13 +84,13 @@
 // operatorsView is what /router/state tells.
 type operatorsView struct {
 	*core.Snapshot
-	Last []decision // oldest first
+	Last []decision `json:"Last"` // oldest first
 }
 
 // decision is one thing that the core asked for.
 type decision struct {
-	At       control.Micros
-	Decision string
+	At       control.Micros `json:"At"`
+	Decision string         `json:"Decision"`
 }
 
 // recent keeps the last deeds: as many as fill some screens.
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -21,13 +21,15 @@
 // Emulated is a day played in simulated time.
 type Emulated struct {
 	*audit.Verdict
-	InTime, Worth float64
-	Loads         int
-	Orders        int
-	ColdUse       float64 // jobs that cold servers ran, of what they could in that time
-	WarmUse       float64 // the same of all servers while they were warm
-	Hash          uint64
-	Events, Turns int
+	InTime  float64 `json:"InTime"`
+	Worth   float64 `json:"Worth"`
+	Loads   int     `json:"Loads"`
+	Orders  int     `json:"Orders"`
+	ColdUse float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
+	WarmUse float64 `json:"WarmUse"` // the same of all servers while they were warm
+	Hash    uint64  `json:"Hash"`
+	Events  int     `json:"Events"`
+	Turns   int     `json:"Turns"`
 }
 
 // Plan gives a day as the emulator plays it: the same calls, servers and settings as on sockets. An error names what is only there.
--- /dev/null
+++ b/internal/lab/output_test.go
@@ -0,0 +1,19 @@
+package lab
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"hollymast/internal/golden"
+)
+
+// Scripts read this JSON: its names stay.
+func TestJSONForm(t *testing.T) {
+	value := &Emulated{}
+	golden.Fill(value)
+	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
+	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+		t.Errorf("told under the name of a field: %q", missing)
+	}
+}
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -15,23 +15,23 @@
 
 // Finding is what one server answered.
 type Finding struct {
-	Address string
-	Ready   bool
-	Says    string          `json:",omitempty"` // why not, or what is odd
-	Took    control.Micros  // of the readiness call, connecting included
-	Load    *control.Report `json:",omitempty"`
-	Stands  []kserve.Standing
-	Run     *Run `json:",omitempty"`
+	Address string            `json:"Address"`
+	Ready   bool              `json:"Ready"`
+	Says    string            `json:"Says,omitempty"` // why not, or what is odd
+	Took    control.Micros    `json:"Took"`           // of the readiness call, connecting included
+	Load    *control.Report   `json:"Load,omitempty"`
+	Stands  []kserve.Standing `json:"Stands"`
+	Run     *Run              `json:"Run,omitempty"`
 }
 
 // Run is what became of a job that the probe was told to run.
 type Run struct {
-	Status  int
-	Result  string // as the module would be told
-	Found   control.Found
-	MayRun  bool // whether the module would have to take it as run
-	Took    control.Micros
-	Message string `json:",omitempty"`
+	Status  int            `json:"Status"`
+	Result  string         `json:"Result"` // as the module would be told
+	Found   control.Found  `json:"Found"`
+	MayRun  bool           `json:"MayRun"` // whether the module would have to take it as run
+	Took    control.Micros `json:"Took"`
+	Message string         `json:"Message,omitempty"`
 }
 
 // Ask is what to ask a server.
