--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -32,6 +32,7 @@
 	Generation uint64          `cbor:"Generation"` // one more with each writing
 	Module     *control.Memory `cbor:"Module"`
 	Storm      *storm.Usual    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Clock      *Clock          `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
 }
 
 // Errors of Decode.
