--- a/internal/memory/clock.go
+++ b/internal/memory/clock.go
@@ -13,8 +13,8 @@
 // Clock ties the time of a router's life to the machine's clock that counts from its boot, whatever is done to the wall clock. Two
 // lives of one boot measure spans between them by it exactly. Across a boot, or where a clock is not known, only bounds remain.
 type Clock struct {
-	Boot   uint64         // names the boot; 0: not known
-	Offset control.Micros // how far the life's time is ahead of the clock from boot
+	Boot   uint64         `cbor:"Boot"`   // names the boot; 0: not known
+	Offset control.Micros `cbor:"Offset"` // how far the life's time is ahead of the clock from boot
 }
 
 // ReadClock reads the machine's, at a time of this life.
