--- a/client/client.go
+++ b/client/client.go
@@ -199,7 +199,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.o.Late))
 	defer cancel()
-	w := retry.Workload{Effect: [...]control.Effect{control.RunOnce, control.Restartable, control.Fingerprinted}[call.Workload.Effect],
+	w := retry.Workload{Effect: [...]control.Effect{control.NonIdempotent, control.Idempotent, control.IdempotentByKey}[call.Workload.Effect],
 		Window: control.Micros(call.Workload.Window.Microseconds()), Remembered: call.Workload.Remembered, TwoAtOnce: call.Workload.Hedge}
 	if call.Workload.Narrow {
 		w.Scope = control.OneZone
--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -71,7 +71,7 @@
 	if c.Job == 0 {
 		return program.Use{Err: errors.New("name a job with --job or a time with --at, or ask for --all")}
 	}
-	q := explain.Question{Job: control.JobID(c.Job)}
+	q := explain.Question{Job: control.RequestID(c.Job)}
 	if c.WhatIf != "" {
 		change, err := explain.ReadChange(c.WhatIf)
 		if err != nil {
--- a/cmd/hmexplore/main.go
+++ b/cmd/hmexplore/main.go
@@ -205,9 +205,9 @@
 	if err != nil {
 		return err
 	}
-	var jobs []control.JobID
+	var jobs []control.RequestID
 	for _, j := range m.Job {
-		jobs = append(jobs, control.JobID(j))
+		jobs = append(jobs, control.RequestID(j))
 	}
 	at, err := explore.NewMoment(now, c, jobs)
 	if err != nil {
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return program.Use{Err: err}
 	}
-	r := replay.Range{From: c.From, Until: c.Until, Job: control.JobID(c.Job)}
+	r := replay.Range{From: c.From, Until: c.Until, Job: control.RequestID(c.Job)}
 	if c.Show {
 		r.Shown = func(turn uint64, clock control.Micros, d record.Deed) { fmt.Printf("%d %d %s\n", turn, clock, d) }
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -8,38 +8,38 @@
 const at = Micros(100 * second)
 
 func deployment() Deployment {
-	return Deployment{Routers: 1, Tick: 4000, MaxExecutions: 3, Cancels: true, ColdFrom: 0.25, Cold: 10 * second,
-		Fall: second, FallMultiple: 4, KeepAlive: 10 * second, Orders: true, LoadsOnMiss: true,
-		Workloads: []Workload{{StartTarget: second, Window: 5 * second}}}
+	return Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, SlowStartInitial: 0.25, SlowStartDuration: 10 * second,
+		OverloadWindow: second, OverloadFactor: 4, KeepAlive: 10 * second, LoadCommands: true, LoadsOnMiss: true,
+		Classes: []Class{{LatencyObjective: second, Window: 5 * second}}}
 }
 
 // fleet gives a router that knows n sound servers, numbered from 1, all started long ago.
-func fleet(told Deployment, n int) *Router {
-	r := Start(0, 1, told)
+func fleet(told Deployment, n int) *Balancer {
+	r := New(0, 1, told)
 	for i := range n {
 		r.servers = append(r.servers, &server{listed: true,
-			Listing: Listing{Server: ServerID(i + 1), State: Ready, Power: 1}})
+			Endpoint: Endpoint{Server: ServerID(i + 1), State: Ready, Weight: 1}})
 	}
-	r.reindex()
+	r.rebuildIndex()
 	return r
 }
 
 // newJob gives a job of 100 ms of work for function 7, with 4 s of patience.
-func newJob(id JobID) *Job {
-	return &Job{ID: id, Function: 7, Lanes: 2, Work: 100_000, Arrived: at, Patience: at + 4*second}
+func newJob(id RequestID) *Request {
+	return &Request{ID: id, Function: 7, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
 // stands makes a copy of function 7 believed loaded on a server, with some of our executions out there.
-func stands(r *Router, server, out int) *instance {
-	in := r.function(newJob(0)).at(r.servers[server-1], true)
-	in.copies, in.used, in.out = 1, at, out
+func stands(r *Balancer, server, out int) *instance {
+	in := r.function(newJob(0)).instanceOn(r.servers[server-1], true)
+	in.replicas, in.lastUsed, in.inFlight = 1, at, out
 	return in
 }
 
 // sent gives a job with one execution on server 1 that began some time ago and has ended.
-func sent(ago Micros, mayRun bool) *Job {
+func sent(ago Micros, mayRun bool) *Request {
 	j := newJob(1)
-	j.Executions = []Execution{{Server: 1, Zone: 1, Cell: 1, Sent: at - ago, Done: true, MayRun: mayRun}}
+	j.Attempts = []Attempt{{Server: 1, Zone: 1, Cell: 1, SentAt: at - ago, Done: true, MayHaveRun: mayRun}}
 	return j
 }
 
@@ -52,7 +52,7 @@
 		for i, n := range out {
 			stands(r, i+1, n)
 		}
-		if p := r.Place(at, newJob(1)); p.Verb != Send || p.Server != want {
+		if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != want {
 			t.Errorf("%v out: got %+v, want server %d", out, p, want)
 		}
 	}
@@ -76,9 +76,9 @@
 		told.Routers = c.routers
 		r := fleet(told, 1)
 		in := stands(r, 1, 0)
-		in.copies, in.loading, in.since, in.used = c.copies, c.loading, at, c.used
-		r.servers[0].size = 100
-		if got := r.slots(at, in, r.functions[7], r.perLane(r.functions[7], newJob(1))); got != c.want {
+		in.replicas, in.loading, in.loadingSince, in.lastUsed = c.copies, c.loading, at, c.used
+		r.servers[0].concurrencyLimit = 100
+		if got := r.slots(at, in, r.functions[7], r.slotsPerLane(r.functions[7], newJob(1))); got != c.want {
 			t.Errorf("%s: got %d slots, want %d", c.name, got, c.want)
 		}
 	}
@@ -87,23 +87,23 @@
 func TestHeldWhileItsCopyIsFull(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 1, 18)
-	p := r.Place(at, newJob(1))
-	if p.Verb != Hold || len(p.Orders) != 0 || r.functions[7].held != 1 {
+	p := r.Route(at, newJob(1))
+	if p.Action != Hold || len(p.LoadCommands) != 0 || r.functions[7].held != 1 {
 		t.Errorf("got %+v with %d held, want it held without a load", p, r.functions[7].held)
 	}
 }
 
 func TestLeastSlackRanksFirst(t *testing.T) {
 	r, early, late := fleet(deployment(), 1), newJob(1), newJob(2)
-	if late.Arrived += 1000; r.Rank(at, early) >= r.Rank(at, late) {
+	if late.ArrivedAt += 1000; r.Rank(at, early) >= r.Rank(at, late) {
 		t.Error("the job with less slack must rank first")
 	}
 }
 
 func TestLoadsAtOnceWithNothingWarm(t *testing.T) {
 	r := fleet(deployment(), 3)
-	p := r.Place(at, newJob(1))
-	if p.Verb != Send || len(p.Orders) != 0 {
+	p := r.Route(at, newJob(1))
+	if p.Action != Forward || len(p.LoadCommands) != 0 {
 		t.Errorf("got %+v, want the job sent, which starts the load", p)
 	}
 }
@@ -121,12 +121,12 @@
 	} {
 		r := fleet(deployment(), 2)
 		stands(r, 1, 18)
-		r.servers[0].size = 100
-		r.loads.add(at, 2*second)
+		r.servers[0].concurrencyLimit = 100
+		r.loadTimes.add(at, 2*second)
 		f := r.functions[7]
-		f.held, f.heldFrom, f.last = c.held, c.since, newJob(1)
-		if r.check(at, f); f.due != c.want {
-			t.Errorf("%s: got %d loads due, want %d", c.name, f.due, c.want)
+		f.held, f.heldSince, f.lastRequest = c.held, c.since, newJob(1)
+		if r.checkReplicas(at, f); f.loadsDue != c.want {
+			t.Errorf("%s: got %d loads due, want %d", c.name, f.loadsDue, c.want)
 		}
 	}
 }
@@ -134,16 +134,16 @@
 // A crash, a hang or a late list must not keep jobs waiting for copies that are gone.
 func TestCopiesOnUnsoundServersDontHoldJobs(t *testing.T) {
 	for name, harm := range map[string]func(s *server){
-		"gone":      func(s *server) { s.State = Gone },
+		"gone":      func(s *server) { s.State = Removed },
 		"draining":  func(s *server) { s.State = Draining },
-		"suspect":   func(s *server) { s.suspect, s.trialAt = true, at+second },
-		"deaf":      func(s *server) { s.fulls, s.avoidUntil = 5, at+second },
-		"gone full": func(s *server) { s.State, s.size = Gone, 1 },
+		"suspect":   func(s *server) { s.ejected, s.probeAt = true, at+second },
+		"deaf":      func(s *server) { s.rejections, s.backoffUntil = 5, at+second },
+		"gone full": func(s *server) { s.State, s.concurrencyLimit = Removed, 1 },
 	} {
 		r := fleet(deployment(), 2)
 		stands(r, 1, 0)
 		harm(r.servers[0])
-		if p := r.Place(at, newJob(1)); p.Verb != Send || p.Server != 2 {
+		if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != 2 {
 			t.Errorf("%s: got %+v, want a load on server 2", name, p)
 		}
 	}
@@ -153,14 +153,14 @@
 func TestLateJobGivesWayOnACrowdedServer(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 1)
-	r.servers[0].size, r.servers[0].busy = 10, 6
+	r.servers[0].concurrencyLimit, r.servers[0].running = 10, 6
 	j := newJob(1)
-	j.Arrived = at - 850_000
-	if p := r.Place(at, j); p.Verb != PushBack {
+	j.ArrivedAt = at - 850_000
+	if p := r.Route(at, j); p.Action != Reject {
 		t.Errorf("crowded: got %+v, want it pushed back", p)
 	}
-	r.servers[0].busy = 1
-	if p := r.Place(at, j); p.Verb != Send {
+	r.servers[0].running = 1
+	if p := r.Route(at, j); p.Action != Forward {
 		t.Errorf("free: got %+v, want it sent", p)
 	}
 }
@@ -169,16 +169,16 @@
 func TestWindowNarrowsWithQueueing(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
-	s.size, s.busy = 10, 9
-	r.fit(at, s, 100)
-	if s.size <= 10 {
-		t.Errorf("window %v after an answer in time, want it wider", s.size)
+	s.concurrencyLimit, s.running = 10, 9
+	r.adaptConcurrencyLimit(at, s, 100)
+	if s.concurrencyLimit <= 10 {
+		t.Errorf("window %v after an answer in time, want it wider", s.concurrencyLimit)
 	}
 	for range 8 {
-		r.fit(at, s, 900)
+		r.adaptConcurrencyLimit(at, s, 900)
 	}
-	if s.size > 8 {
-		t.Errorf("window %v after long queueing, want it narrower", s.size)
+	if s.concurrencyLimit > 8 {
+		t.Errorf("window %v after long queueing, want it narrower", s.concurrencyLimit)
 	}
 }
 
@@ -186,12 +186,12 @@
 func TestRefusedLoadStopsLoadsOnly(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in := stands(r, 1, 1)
-	in.copies, in.loading = 0, 1
+	in.replicas, in.loading = 0, 1
 	j := newJob(1)
-	j.Executions = []Execution{{Server: 1, Sent: at - 1000, MayRun: true}}
-	r.After(at, j, Outcome{Server: 1, Result: Full})
-	if s := r.servers[0]; s.loadsAfter <= at || s.avoidUntil > at || in.loading != 0 {
-		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadsAfter, s.avoidUntil, in.loading)
+	j.Attempts = []Attempt{{Server: 1, SentAt: at - 1000, MayHaveRun: true}}
+	r.HandleOutcome(at, j, Outcome{Server: 1, Result: Overloaded})
+	if s := r.servers[0]; s.loadsAfter <= at || s.backoffUntil > at || in.loading != 0 {
+		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadsAfter, s.backoffUntil, in.loading)
 	}
 }
 
@@ -199,21 +199,21 @@
 	r := fleet(deployment(), 4)
 	r.latencies.add(at, 100_000)
 	for i, s := range r.servers {
-		j := newJob(JobID(i))
-		j.Executions = []Execution{{Server: s.Server, MayRun: true}}
-		s.flights = []flight{{job: j, sent: at - second, warm: true}}
-		s.heard = at - 10_000
+		j := newJob(RequestID(i))
+		j.Attempts = []Attempt{{Server: s.Server, MayHaveRun: true}}
+		s.inFlight = []inFlightAttempt{{request: j, sentAt: at - second, toLoaded: true}}
+		s.lastAnswer = at - 10_000
 	}
-	r.servers[2].heard = at - second
-	r.reindex()
-	r.examine(at)
-	if !r.servers[2].suspect || r.servers[1].suspect || len(r.recalls) != 1 {
-		t.Errorf("suspects wrong, or %d recalls, want 1", len(r.recalls))
+	r.servers[2].lastAnswer = at - second
+	r.rebuildIndex()
+	r.ejectSilentServers(at)
+	if !r.servers[2].ejected || r.servers[1].ejected || len(r.cancellations) != 1 {
+		t.Errorf("suspects wrong, or %d recalls, want 1", len(r.cancellations))
 	}
 	for _, s := range r.servers {
-		s.suspect, s.heard = false, at-second
+		s.ejected, s.lastAnswer = false, at-second
 	}
-	if r.examine(at); r.servers[0].suspect {
+	if r.ejectSilentServers(at); r.servers[0].ejected {
 		t.Error("where all owe answers none is to blame")
 	}
 }
@@ -221,8 +221,8 @@
 func TestRestartForgetsCopies(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in := stands(r, 1, 0)
-	r.Listed(at+2, ListChanges, []Listing{{Server: 1, State: Ready, Born: at + 1}})
-	if r.warm(at+2, in) {
+	r.UpdateEndpoints(at+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + 1}})
+	if r.loaded(at+2, in) {
 		t.Error("a server that started anew holds nothing")
 	}
 }
@@ -232,11 +232,11 @@
 	r := fleet(deployment(), 1)
 	stands(r, 1, 18)
 	j := newJob(1)
-	p := r.Place(at, j)
-	if p.Verb != Hold || p.Again >= j.Patience {
-		t.Fatalf("got %+v, want it asked about again before %d", p, j.Patience)
+	p := r.Route(at, j)
+	if p.Action != Hold || p.RecheckAt >= j.Deadline {
+		t.Fatalf("got %+v, want it asked about again before %d", p, j.Deadline)
 	}
-	if p = r.Place(j.Patience-10_000, j); p.Verb != PushBack {
+	if p = r.Route(j.Deadline-10_000, j); p.Action != Reject {
 		t.Errorf("got %+v, want it pushed back", p)
 	}
 }
@@ -249,23 +249,23 @@
 		scope  Scope
 		ago    Micros
 		mayRun bool
-		want   Verb
+		want   Action
 		server ServerID
 	}{
-		{"restartable", Restartable, WholeFleet, second, true, Send, 2},
-		{"run-once that may have run", RunOnce, WholeFleet, second, true, Kill, 0},
-		{"run-once that did not run", RunOnce, WholeFleet, second, false, Send, 2},
-		{"fingerprinted within its window", Fingerprinted, WholeFleet, second, true, Send, 2},
-		{"fingerprinted beyond it", Fingerprinted, WholeFleet, 5 * second, true, PushBack, 0},
-		{"fingerprinted beyond it, group of a cell", Fingerprinted, OneCell, 5 * second, true, Kill, 0},
-		{"fingerprinted, copy in another cell", Fingerprinted, OneCell, second, true, Hold, 0},
-		{"fingerprinted, copy in another zone", Fingerprinted, OneZone, second, true, Hold, 0},
+		{"restartable", Idempotent, WholeFleet, second, true, Forward, 2},
+		{"run-once that may have run", NonIdempotent, WholeFleet, second, true, Fail, 0},
+		{"run-once that did not run", NonIdempotent, WholeFleet, second, false, Forward, 2},
+		{"fingerprinted within its window", IdempotentByKey, WholeFleet, second, true, Forward, 2},
+		{"fingerprinted beyond it", IdempotentByKey, WholeFleet, 5 * second, true, Reject, 0},
+		{"fingerprinted beyond it, group of a cell", IdempotentByKey, OneCell, 5 * second, true, Fail, 0},
+		{"fingerprinted, copy in another cell", IdempotentByKey, OneCell, second, true, Hold, 0},
+		{"fingerprinted, copy in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
 	} {
 		told := deployment()
-		told.Workloads[0].Effect, told.Workloads[0].Scope = c.effect, c.scope
+		told.Classes[0].Effect, told.Classes[0].Scope = c.effect, c.scope
 		r := fleet(told, 2)
 		stands(r, 2, 0)
-		if p := r.Place(at, sent(c.ago, c.mayRun)); p.Verb != c.want || p.Server != c.server {
+		if p := r.Route(at, sent(c.ago, c.mayRun)); p.Action != c.want || p.Server != c.server {
 			t.Errorf("%s: got %+v, want verb %d, server %d", c.name, p, c.want, c.server)
 		}
 	}
@@ -275,19 +275,19 @@
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0)
 	j := sent(second, true)
-	j.Executions[0].Done = false
-	if p := r.Place(at, j); p.Verb != Nothing {
+	j.Attempts[0].Done = false
+	if p := r.Route(at, j); p.Action != NoAction {
 		t.Errorf("got %+v while an execution is out", p)
 	}
 }
 
 // Rule 3: nothing new to a server that drains or is gone, loads included.
 func TestDrainsAreKept(t *testing.T) {
-	for _, state := range []ServerState{Draining, Gone} {
+	for _, state := range []ServerState{Draining, Removed} {
 		r := fleet(deployment(), 1)
 		stands(r, 1, 0)
-		r.Listed(at, ListChanges, []Listing{{Server: 1, State: state}})
-		if p := r.Place(at, newJob(1)); p.Verb != Hold || len(p.Orders) != 0 {
+		r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{{Server: 1, State: state}})
+		if p := r.Route(at, newJob(1)); p.Action != Hold || len(p.LoadCommands) != 0 {
 			t.Errorf("state %d: got %+v, want nothing sent", state, p)
 		}
 	}
@@ -300,21 +300,21 @@
 	for i := range 400 { // 20 answers a second from each server
 		r.answers = append(r.answers, at-second+Micros(i))
 	}
-	cold.Born = at - second
-	r.reindex()
-	r.pool(at)
+	cold.StartedAt = at - second
+	r.rebuildIndex()
+	r.updateAnswerRate(at)
 	// 40 answers a second of 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 jobs in a window of a second: 31.4.
-	r.told.Number = 2 // whose turn the part of a job is not
+	r.deployment.Number = 2 // whose turn the part of a job is not
 	for i := range 31 {
-		if !r.coldRoom(at, cold) {
+		if !r.withinSlowStartBudget(at, cold) {
 			t.Fatalf("refused after %d", i)
 		}
-		cold.sent = append(cold.sent, at)
+		cold.slowStartSends = append(cold.slowStartSends, at)
 	}
-	if r.coldRoom(at, cold) {
+	if r.withinSlowStartBudget(at, cold) {
 		t.Error("32 sent within one window")
 	}
-	if !r.coldRoom(at+second+1, cold) {
+	if !r.withinSlowStartBudget(at+second+1, cold) {
 		t.Error("the window has passed")
 	}
 	let := 0
@@ -322,11 +322,11 @@
 		told := deployment()
 		told.Routers, told.Number = 200, number
 		r := fleet(told, 2)
-		r.servers[1].Born = at - second
-		r.reindex()
+		r.servers[1].StartedAt = at - second
+		r.rebuildIndex()
 		r.answers = []Micros{at - second, at - second} // a tenth of one a second from each of 200: 20 of all
-		r.pool(at)
-		if r.coldRoom(at, r.servers[1]) {
+		r.updateAnswerRate(at)
+		if r.withinSlowStartBudget(at, r.servers[1]) {
 			let++
 		}
 	}
@@ -338,10 +338,10 @@
 // Rule 5: orders to load are rationed.
 func TestRation(t *testing.T) {
 	told := deployment()
-	told.LoadWindow, told.LoadFree, told.LoadShare = 5*second, 1, 0.5
+	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = 5*second, 1, 0.5
 	r := fleet(told, 1)
-	r.taken = []Micros{at, at}
-	if got := []bool{r.ration(at), r.ration(at), r.ration(at)}; !got[0] || !got[1] || got[2] {
+	r.admitted = []Micros{at, at}
+	if got := []bool{r.loadCommandAllowed(at), r.loadCommandAllowed(at), r.loadCommandAllowed(at)}; !got[0] || !got[1] || got[2] {
 		t.Errorf("got %v, want two orders within the ration", got)
 	}
 }
@@ -350,13 +350,13 @@
 // jobs that were taken before it began do not.
 func TestRationOfLateOrders(t *testing.T) {
 	told := deployment()
-	told.LoadWindow, told.LoadFree, told.LoadShare, told.Late = 5*second, 1, 1, second/4
+	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest, told.MaxCommandDelay = 5*second, 1, 1, second/4
 	for name, c := range map[string]struct{ orders, taken []Micros }{
 		"a late order": {[]Micros{at - 5*second - second/5}, nil},
 		"an early job": {[]Micros{at - second}, []Micros{at - 5*second + second/5}},
 	} {
 		r := fleet(told, 1)
-		if r.orders, r.taken = c.orders, c.taken; r.ration(at) {
+		if r.loadCommands, r.admitted = c.orders, c.taken; r.loadCommandAllowed(at) {
 			t.Errorf("%s: another order was given", name)
 		}
 	}
@@ -366,13 +366,13 @@
 func TestOneBreakIsNoDeath(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in, s := stands(r, 1, 0), r.servers[0]
-	in.used = at - 1000
+	in.lastUsed = at - 1000
 	r.latencies.add(at, 100_000)
-	s.heard = at - 1000
-	if r.broke(at, s); s.suspect || in.copies != 1 {
+	s.lastAnswer = at - 1000
+	if r.connectionFailed(at, s); s.ejected || in.replicas != 1 {
 		t.Error("one break just after an answer made a suspect")
 	}
-	if r.broke(at, s); !s.suspect || in.copies != 0 {
+	if r.connectionFailed(at, s); !s.ejected || in.replicas != 0 {
 		t.Error("two breaks with no answer between are a crash")
 	}
 }
@@ -392,14 +392,14 @@
 		{"a client that marks none, where others do", true, true, 2 * second, at - 2*second},
 	} {
 		told := deployment()
-		told.MarksRepeats, told.Workloads[0].TimeLimit = c.marks, 4*second
+		told.MarksRetries, told.Classes[0].MaxDeadline = c.marks, 4*second
 		r := fleet(told, 1)
 		for range 15 {
-			r.patience[0].add(at, 3*second)
+			r.deadlines[0].add(at, 3*second)
 		}
 		j := newJob(1)
-		j.Patience, j.Unmarked = at+c.left, c.never
-		if got := r.begun(at, j); got != c.want {
+		j.Deadline, j.RetriesUnmarked = at+c.left, c.never
+		if got := r.firstSentAt(at, j); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -412,9 +412,9 @@
 	j.Work = 0
 	f := r.function(j)
 	for _, v := range []Micros{100_000, 120_000, 80_000, 100_000, 3 * second} {
-		f.execs.add(at, v)
+		f.execTimes.add(at, v)
 	}
-	if got := r.exec(f, j); got != 100_000 {
+	if got := r.execTime(f, j); got != 100_000 {
 		t.Errorf("got %d, want the mean of the four usual ones", got)
 	}
 }
@@ -424,12 +424,12 @@
 	r := fleet(deployment(), 2)
 	stands(r, 1, 0)
 	full, s := r.servers[0], r.servers[1]
-	full.size, full.busy = 10, 9
-	s.size, s.busy = 10, 8
+	full.concurrencyLimit, full.running = 10, 9
+	s.concurrencyLimit, s.running = 10, 8
 	if got := r.loadTarget(at, r.functions[7], newJob(1), true); got != nil {
 		t.Errorf("got server %d, want none", got.Server)
 	}
-	s.busy = 2
+	s.running = 2
 	if got := r.loadTarget(at, r.functions[7], newJob(1), true); got == nil || got.Server != 2 {
 		t.Errorf("got %v, want server 2", got)
 	}
@@ -439,15 +439,15 @@
 func TestSuspectsComeBack(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
-	s.suspect, s.trialAt = true, at+second
-	if p := r.Place(at, newJob(1)); p.Verb != Hold {
+	s.ejected, s.probeAt = true, at+second
+	if p := r.Route(at, newJob(1)); p.Action != Hold {
 		t.Errorf("got %+v before a trial is due", p)
 	}
-	if p := r.Place(at+second, newJob(2)); p.Verb != Send || s.trialAt <= at+second {
-		t.Errorf("got %+v, next trial at %d; want one trial load", p, s.trialAt)
+	if p := r.Route(at+second, newJob(2)); p.Action != Forward || s.probeAt <= at+second {
+		t.Errorf("got %+v, next trial at %d; want one trial load", p, s.probeAt)
 	}
-	r.Listed(at+second, ListChanges, []Listing{{Server: 1, State: Ready, Born: at + second}})
-	if s.suspect {
+	r.UpdateEndpoints(at+second, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + second}})
+	if s.ejected {
 		t.Error("a told restart clears the suspicion")
 	}
 }
@@ -455,26 +455,26 @@
 // Rule 1: a job that waits for a load that may not be ordered yet is asked about again in time, too.
 func TestWaitForAnOrderEndsBeforePatience(t *testing.T) {
 	told := deployment()
-	told.LoadsOnMiss, told.Orders = false, false
+	told.LoadsOnMiss, told.LoadCommands = false, false
 	r := fleet(told, 1)
 	j := newJob(1)
-	j.Executions = []Execution{{Done: true}} // it was looked for where others load it
-	j.Patience = at + 75_000
-	if p := r.Place(at, j); p.Verb != Hold || p.Again >= j.Patience {
-		t.Errorf("got %+v, want it asked about again before %d", p, j.Patience)
+	j.Attempts = []Attempt{{Done: true}} // it was looked for where others load it
+	j.Deadline = at + 75_000
+	if p := r.Route(at, j); p.Action != Hold || p.RecheckAt >= j.Deadline {
+		t.Errorf("got %+v, want it asked about again before %d", p, j.Deadline)
 	}
 }
 
 // Where only orders load and the ration gives none, a job goes once where others load its function, then waits.
 func TestJobGoesWhereOthersLoad(t *testing.T) {
 	told := deployment()
-	told.LoadsOnMiss, told.LoadWindow = false, 5*second
+	told.LoadsOnMiss, told.LoadRateWindow = false, 5*second
 	r := fleet(told, 1)
 	j := newJob(1)
-	if p := r.Place(at, j); p.Verb != Send || len(p.Orders) > 0 {
+	if p := r.Route(at, j); p.Action != Forward || len(p.LoadCommands) > 0 {
 		t.Fatalf("got %+v, want it sent without an order", p)
 	}
-	if p := r.After(at+1000, j, Outcome{Server: 1, Result: Missing}); p.Verb != Hold {
+	if p := r.HandleOutcome(at+1000, j, Outcome{Server: 1, Result: NotLoaded}); p.Action != Hold {
 		t.Errorf("got %+v after a miss, want it held", p)
 	}
 }
@@ -488,7 +488,7 @@
 			told.Routers, told.Number = 40, number
 			r := fleet(told, 40)
 			f := r.function(newJob(1))
-			f.recent, r.recent, r.fresh = recent, make([]*function, 100), 8*second
+			f.recent, r.recent, r.freshFor = recent, make([]*function, 100), 8*second
 			homes[r.loadTarget(at, f, newJob(1), false).Server]++
 		}
 		if len(homes) > want || len(homes)*4 < want*3 {
@@ -502,16 +502,16 @@
 	r := fleet(deployment(), 2)
 	in := stands(r, 1, 0)
 	s := in.server
-	s.report, s.reported, r.fresh = Report{Util: 0.95, Loads: -1}, at-second, 8*second
-	if p := r.Place(at, newJob(1)); p.Verb != Send || p.Server != 2 {
+	s.report, s.reportedAt, r.freshFor = LoadReport{Utilization: 0.95, PendingLoads: -1}, at-second, 8*second
+	if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != 2 {
 		t.Errorf("got %+v, want a load on server 2", p)
 	}
-	s.reported = at - 9*second // too old to tell
-	if p := r.Place(at, newJob(2)); p.Verb != Send || p.Server != 1 && p.Server != 2 || r.shunned(at, s) {
+	s.reportedAt = at - 9*second // too old to tell
+	if p := r.Route(at, newJob(2)); p.Action != Forward || p.Server != 1 && p.Server != 2 || r.overloaded(at, s) {
 		t.Errorf("got %+v, want the old report forgotten", p)
 	}
-	s.strain.add(at, 900)
-	if !r.shunned(at, s) {
+	s.queueing.add(at, 900)
+	if !r.overloaded(at, s) {
 		t.Error("long queueing of our own job tells of a crowd, too")
 	}
 }
@@ -529,12 +529,12 @@
 		{second / 2, true, false, false}, // a first try, where repeats are marked
 	} {
 		told := deployment()
-		told.Shares, told.MarksRepeats = []float64{10}, c.marks
+		told.Quotas, told.MarksRetries = []float64{10}, c.marks
 		r, got := fleet(told, 1), false
 		for range 30 { // 2 s of burst and one more are within: 21
 			j := newJob(1)
-			j.Patience, j.Repeat = at+c.left, c.repeat
-			got = r.surplus(at, j)
+			j.Deadline, j.IsRetry = at+c.left, c.repeat
+			got = r.exceedsQuota(at, j)
 		}
 		if got != c.want {
 			t.Errorf("%+v: surplus %v after 30 jobs at once", c, got)
@@ -547,8 +547,8 @@
 	r := fleet(deployment(), 2)
 	stands(r, 2, 0)
 	j := sent(second, true)
-	j.taken, j.begun, j.Arrived = true, at-second, at-second
-	if p := r.Place(at, j); p.Verb != PushBack {
+	j.admitted, j.firstSentAt, j.ArrivedAt = true, at-second, at-second
+	if p := r.Route(at, j); p.Action != Reject {
 		t.Errorf("got %+v, want it pushed back", p)
 	}
 }
@@ -557,11 +557,11 @@
 func TestQuickAnswerIsNoLoad(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in := stands(r, 1, 1)
-	in.copies, in.loading = 0, 1
+	in.replicas, in.loading = 0, 1
 	for _, took := range []Micros{120_000, second} {
 		j := newJob(1)
-		j.Executions = []Execution{{Server: 1, Sent: at - took, MayRun: true}}
-		r.After(at, j, Outcome{Server: 1, Result: Finished, Found: Untold, Took: took, JobOver: true})
+		j.Attempts = []Attempt{{Server: 1, SentAt: at - took, MayHaveRun: true}}
+		r.HandleOutcome(at, j, Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
 	}
 	if got := r.loadTime(newJob(1)); got != 900_000 {
 		t.Errorf("a load takes %d, want 900 ms", got)
@@ -572,10 +572,10 @@
 func TestShedsForAStandingQueue(t *testing.T) {
 	r := fleet(deployment(), 1)
 	shed := func(strain, fresh Micros) (n int) {
-		r.fresh, r.strain = fresh, samples{}
-		r.strain.add(at, strain)
+		r.freshFor, r.queueing = fresh, samples{}
+		r.queueing.add(at, strain)
 		for range 1000 {
-			if r.shed(at) {
+			if r.mustShed(at) {
 				n++
 			}
 		}
@@ -584,7 +584,7 @@
 	if n := shed(1000, 8*second); n < 400 || n > 600 {
 		t.Errorf("%d of 1000 shed for queues of a whole slack, want about half", n)
 	}
-	if a, b := shed(200, 8*second), shed(1000, seldom); a+b != 0 {
+	if a, b := shed(200, 8*second), shed(1000, rareAnswers); a+b != 0 {
 		t.Errorf("%d shed for a short queue, %d where windows tell, want none", a, b)
 	}
 }
@@ -593,12 +593,12 @@
 func TestTrialsAreRarerWhereAnswersAre(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
-	s.setbacks = 1
-	if got := r.untilTrial(s); got != second {
+	s.ejections = 1
+	if got := r.probeInterval(s); got != second {
 		t.Errorf("first trial after %d, want a second", got)
 	}
-	if r.fresh = 8 * second; r.untilTrial(s) != 4*second {
-		t.Errorf("first trial after %d, want four seconds", r.untilTrial(s))
+	if r.freshFor = 8 * second; r.probeInterval(s) != 4*second {
+		t.Errorf("first trial after %d, want four seconds", r.probeInterval(s))
 	}
 }
 
@@ -607,19 +607,19 @@
 	r := fleet(deployment(), 1)
 	const names = 1 << 16
 	for i := range names {
-		j := newJob(JobID(i))
+		j := newJob(RequestID(i))
 		j.Function = FunctionID(i)
 		r.function(j)
 	}
-	in := r.functions[1].at(r.servers[0], true)
-	in.copies, in.used = 1, at
-	r.functions[2].at(r.servers[0], true).out = 1
-	r.functions[3].held, r.functions[3].waits = 1, true
+	in := r.functions[1].instanceOn(r.servers[0], true)
+	in.replicas, in.lastUsed = 1, at
+	r.functions[2].instanceOn(r.servers[0], true).inFlight = 1
+	r.functions[3].held, r.functions[3].waiting = 1, true
 	for range 100 {
-		r.tidy(at)
+		r.prune(at)
 	}
-	if len(r.order) != len(r.functions) || len(r.order) > 1<<14 {
-		t.Errorf("%d functions in order, %d known", len(r.order), len(r.functions))
+	if len(r.functionOrder) != len(r.functions) || len(r.functionOrder) > 1<<14 {
+		t.Errorf("%d functions in order, %d known", len(r.functionOrder), len(r.functions))
 	}
 	for id := range FunctionID(4) {
 		if kept := r.functions[id] != nil; kept != (id > 0) {
@@ -631,18 +631,18 @@
 func TestTidyForgetsServersLongGone(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 1, 0)
-	r.Listed(at, ListWhole, []Listing{{Server: 2, State: Ready}})
-	r.tidy(at + 60*second)
+	r.UpdateEndpoints(at, FullUpdate, []Endpoint{{Server: 2, State: Ready}})
+	r.prune(at + 60*second)
 	if len(r.servers) != 2 {
 		t.Error("forgotten after a minute")
 	}
-	r.servers[0].flights = []flight{{}}
-	r.tidy(at + 3600*second)
+	r.servers[0].inFlight = []inFlightAttempt{{}}
+	r.prune(at + 3600*second)
 	if len(r.servers) != 2 {
 		t.Error("forgotten with an execution out")
 	}
-	r.servers[0].flights = nil
-	r.tidy(at + 3600*second)
+	r.servers[0].inFlight = nil
+	r.prune(at + 3600*second)
 	if len(r.servers) != 1 || len(r.functions[7].instances) != 0 {
 		t.Errorf("%d servers, %d instances", len(r.servers), len(r.functions[7].instances))
 	}
@@ -651,18 +651,18 @@
 // A function that was forgotten and is known again must lose its copies with a restart, like any other.
 func TestRestartForgetsCopiesOfAFunctionKnownAgain(t *testing.T) {
 	r := fleet(deployment(), 1)
-	stands(r, 1, 0).used = 0
+	stands(r, 1, 0).lastUsed = 0
 	for i := range 1 << 15 {
-		r.function(&Job{Function: FunctionID(1000 + i)})
+		r.function(&Request{Function: FunctionID(1000 + i)})
 	}
 	for range 100 {
-		r.tidy(at)
+		r.prune(at)
 	}
 	if r.functions[7] != nil {
 		t.Fatal("it was not forgotten")
 	}
 	in := stands(r, 1, 0)
-	if r.Listed(at+2, ListChanges, []Listing{{Server: 1, State: Ready, Born: at + 1}}); r.warm(at+2, in) {
+	if r.UpdateEndpoints(at+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + 1}}); r.loaded(at+2, in) {
 		t.Error("a server that started anew holds nothing")
 	}
 }
@@ -670,19 +670,19 @@
 // BenchmarkDistinctFunctions is a router that is asked for a name nobody serves, a million times over.
 func BenchmarkDistinctFunctions(b *testing.B) {
 	told := deployment()
-	told.Workloads[0].TimeLimit = 4 * second
+	told.Classes[0].MaxDeadline = 4 * second
 	r := fleet(told, 12)
 	now := at
 	for i := range b.N {
 		now += 200 // 5000 jobs a second
-		j := newJob(JobID(i))
-		j.Function, j.Arrived, j.Patience = FunctionID(i), now, now+4*second
-		for p := r.Place(now, j); p.Verb == Send; {
-			p = r.After(now, j, Outcome{Execution: ExecutionID(len(j.Executions) - 1), Server: p.Server, Result: Missing, Took: 100})
+		j := newJob(RequestID(i))
+		j.Function, j.ArrivedAt, j.Deadline = FunctionID(i), now, now+4*second
+		for p := r.Route(now, j); p.Action == Forward; {
+			p = r.HandleOutcome(now, j, Outcome{Attempt: AttemptID(len(j.Attempts) - 1), Server: p.Server, Result: NotLoaded, Duration: 100})
 		}
-		r.Left(now, j)
+		r.Cancel(now, j)
 		if i%1000 == 0 {
-			r.Wait(now)
+			r.Maintain(now)
 		}
 	}
 	b.ReportMetric(float64(len(r.functions)), "functions")
@@ -690,9 +690,9 @@
 
 // Jobs that wait for one load are one load: they must not keep other functions from theirs.
 func TestJobsBehindOneLoadCountOnce(t *testing.T) {
-	s := &server{flights: []flight{{job: &Job{Function: 1}}, {job: &Job{Function: 1}}, {job: &Job{Function: 2}},
-		{job: &Job{Function: 3}, warm: true}}}
-	if n := s.waiting(); n != 2 {
+	s := &server{inFlight: []inFlightAttempt{{request: &Request{Function: 1}}, {request: &Request{Function: 1}}, {request: &Request{Function: 2}},
+		{request: &Request{Function: 3}, toLoaded: true}}}
+	if n := s.pendingLoads(); n != 2 {
 		t.Errorf("%d functions load, want 2", n)
 	}
 }
@@ -721,14 +721,14 @@
 		r := fleet(deployment(), 2)
 		in := stands(r, 1, 18)
 		f := r.functions[7]
-		in.server.size, in.server.busy, f.last = 100, 18, newJob(1)
-		f.execs.add(at, 100_000)
-		f.held, f.heldFrom = 8, at-second
+		in.server.concurrencyLimit, in.server.running, f.lastRequest = 100, 18, newJob(1)
+		f.execTimes.add(at, 100_000)
+		f.held, f.heldSince = 8, at-second
 		for range turned {
-			r.turned(at, second, f)
+			r.noteShed(at, second, f)
 		}
-		r.check(at, f)
-		if got := f.due > 0; got != want {
+		r.checkReplicas(at, f)
+		if got := f.loadsDue > 0; got != want {
 			t.Errorf("%d turned away: another copy %v, want %v", turned, got, want)
 		}
 	}
@@ -738,12 +738,12 @@
 func TestRefusedLoadIsSoonTriedAgain(t *testing.T) {
 	r := fleet(deployment(), 1)
 	j := newJob(1)
-	r.Place(at, j)
-	p := r.After(at+1000, j, Outcome{Server: 1, Result: Full})
-	if p.Verb != Hold {
+	r.Route(at, j)
+	p := r.HandleOutcome(at+1000, j, Outcome{Server: 1, Result: Overloaded})
+	if p.Action != Hold {
 		t.Fatalf("got %+v right after a refusal, want it held", p)
 	}
-	if p = r.Place(at+100_000, j); p.Verb != Send {
+	if p = r.Route(at+100_000, j); p.Action != Forward {
 		t.Errorf("got %+v a tenth of a second later, want another try", p)
 	}
 }
@@ -752,13 +752,13 @@
 func TestServerThatErrsIsLeftAlone(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0)
-	for id := range JobID(3) {
+	for id := range RequestID(3) {
 		j := newJob(id)
-		j.Executions = []Execution{{Server: 1, Sent: at, MayRun: true, warm: true}}
-		r.servers[0].busy++
-		r.After(at, j, Outcome{Server: 1, Result: Errored})
+		j.Attempts = []Attempt{{Server: 1, SentAt: at, MayHaveRun: true, toLoaded: true}}
+		r.servers[0].running++
+		r.HandleOutcome(at, j, Outcome{Server: 1, Result: Failed})
 	}
-	if s := r.servers[0]; s.sound() || s.avoidUntil <= at {
-		t.Errorf("after three errors in a row: sound %v, avoided until %d", s.sound(), s.avoidUntil)
+	if s := r.servers[0]; s.healthy() || s.backoffUntil <= at {
+		t.Errorf("after three errors in a row: sound %v, avoided until %d", s.healthy(), s.backoffUntil)
 	}
 }
--- a/control/index.go
+++ b/control/index.go
@@ -9,62 +9,62 @@
 // index is what could be found by asking all servers, kept so that nobody has to: a fleet may have thousands. It follows from the
 // rest of the state, is built anew after a restore, and is never stored.
 type index struct {
-	listed  Micros     // when a list was last taken in: until then what it tells of was on the list
-	gone    []*server  // by when they left, then by id
-	ids     []ServerID // of all servers
-	unready []ServerID // of those that drain or are gone
-	cold    []*server  // ready ones of which capacities has not seen yet that they have all of theirs, by id
-	flying  []*server  // with executions out, by id
+	listedAt    Micros     // when a list was last taken in: until then what it tells of was on the list
+	removed     []*server  // by when they left, then by id
+	ids         []ServerID // of all servers
+	notReady    []ServerID // of those that drain or are gone
+	inSlowStart []*server  // ready ones of which capacities has not seen yet that they have all of theirs, by id
+	busy        []*server  // with executions out, by id
 
-	doubted []*server // those that may be suspect or avoided, in any order
+	questionable []*server // those that may be suspect or avoided, in any order
 
-	heaviest float64    // no ready server has a larger weight
-	total    float64    // of the ready servers' weights, about
-	changes  []ServerID // the latest that came, went or changed their weight
-	dropped  int        // such changes before those
+	maxWeight      float64    // no ready server has a larger weight
+	totalWeight    float64    // of the ready servers' weights, about
+	changes        []ServerID // the latest that came, went or changed their weight
+	droppedChanges int        // such changes before those
 }
 
 func byID(a, b *server) int { return cmp.Compare(a.Server, b.Server) }
 
-func byLeft(a, b *server) int { return cmp.Or(cmp.Compare(a.left, b.left), byID(a, b)) }
+func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
 
-// know takes up a new server at its place.
-func (r *Router) know(i int, s *server) {
+// addServer takes up a new server at its place.
+func (r *Balancer) addServer(i int, s *server) {
 	r.servers, r.index.ids = slices.Insert(r.servers, i, s), slices.Insert(r.index.ids, i, s.Server)
 }
 
-// unknow drops one that is gone. Its place among the gone is the caller's to drop.
-func (r *Router) unknow(s *server) {
+// removeServer drops one that is gone. Its place among the gone is the caller's to drop.
+func (r *Balancer) removeServer(s *server) {
 	x := &r.index
 	if i, known := r.find(s.Server); known {
 		r.servers, x.ids = slices.Delete(r.servers, i, i+1), slices.Delete(x.ids, i, i+1)
 	}
-	if i, is := slices.BinarySearch(x.unready, s.Server); is {
-		x.unready = slices.Delete(x.unready, i, i+1)
+	if i, is := slices.BinarySearch(x.notReady, s.Server); is {
+		x.notReady = slices.Delete(x.notReady, i, i+1)
 	}
-	if s.doubted {
-		x.trust(func(other *server) bool { return other == s })
+	if s.questionable {
+		x.dropQuestionable(func(other *server) bool { return other == s })
 	}
 }
 
-// doubt notes that a server may be suspect or avoided.
-func (x *index) doubt(s *server) {
-	if !s.doubted {
-		s.doubted, x.doubted = true, append(x.doubted, s)
+// markQuestionable notes that a server may be suspect or avoided.
+func (x *index) markQuestionable(s *server) {
+	if !s.questionable {
+		s.questionable, x.questionable = true, append(x.questionable, s)
 	}
 }
 
-// trust drops those that are not any more.
-func (x *index) trust(not func(s *server) bool) {
-	x.doubted = slices.DeleteFunc(x.doubted, func(s *server) bool {
+// dropQuestionable drops those that are not any more.
+func (x *index) dropQuestionable(not func(s *server) bool) {
+	x.questionable = slices.DeleteFunc(x.questionable, func(s *server) bool {
 		trusted := not(s)
-		s.doubted = !trusted
+		s.questionable = !trusted
 		return trusted
 	})
 }
 
-// with gives a sorted list that has the server in it.
-func with(list []*server, s *server, by func(a, b *server) int) []*server {
+// insertSorted gives a sorted list that has the server in it.
+func insertSorted(list []*server, s *server, by func(a, b *server) int) []*server {
 	i, in := slices.BinarySearchFunc(list, s, by)
 	if in {
 		return list
@@ -72,76 +72,76 @@
 	return slices.Insert(list, i, s)
 }
 
-// without gives a sorted list that has not.
-func without(list []*server, s *server, by func(a, b *server) int) []*server {
+// deleteSorted gives a sorted list that has not.
+func deleteSorted(list []*server, s *server, by func(a, b *server) int) []*server {
 	if i, in := slices.BinarySearchFunc(list, s, by); in {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// settle takes in what a list has changed about a server. Before is when the list before it was taken in.
-func (r *Router) settle(before Micros, s *server) {
+// reindexServer takes in what a list has changed about a server. Before is when the list before it was taken in.
+func (r *Balancer) reindexServer(before Micros, s *server) {
 	x := &r.index
-	switch there := s.State != Gone; {
-	case there && !s.there:
-		x.gone = without(x.gone, s, byLeft)
-	case !there && s.there:
-		s.left = before
+	switch there := s.State != Removed; {
+	case there && !s.present:
+		x.removed = deleteSorted(x.removed, s, byRemoval)
+	case !there && s.present:
+		s.lastListed = before
 		fallthrough
 	case !there:
-		x.gone = with(x.gone, s, byLeft)
+		x.removed = insertSorted(x.removed, s, byRemoval)
 	}
-	s.there = s.State != Gone
-	i, was := slices.BinarySearch(x.unready, s.Server)
+	s.present = s.State != Removed
+	i, was := slices.BinarySearch(x.notReady, s.Server)
 	switch is := s.State != Ready; {
 	case is && !was:
-		x.unready = slices.Insert(x.unready, i, s.Server)
+		x.notReady = slices.Insert(x.notReady, i, s.Server)
 	case !is && was:
-		x.unready = slices.Delete(x.unready, i, i+1)
+		x.notReady = slices.Delete(x.notReady, i, i+1)
 	}
 	weight := 0.0
 	if s.State == Ready {
-		weight = max(0.1, s.Power)
+		weight = max(0.1, s.Weight)
 	}
 	if weight != s.weight {
-		x.heaviest, x.total = max(x.heaviest, weight), x.total+weight-s.weight
+		x.maxWeight, x.totalWeight = max(x.maxWeight, weight), x.totalWeight+weight-s.weight
 		s.weight = weight
-		x.changed(s.Server)
+		x.noteChange(s.Server)
 	}
-	if s.State == Ready && r.capacity(x.listed, s) != 1 {
-		x.cold = with(x.cold, s, byID)
+	if s.State == Ready && r.capacity(x.listedAt, s) != 1 {
+		x.inSlowStart = insertSorted(x.inSlowStart, s, byID)
 	} else {
-		x.cold = without(x.cold, s, byID)
+		x.inSlowStart = deleteSorted(x.inSlowStart, s, byID)
 	}
 }
 
-// changed notes a change for the rankings.
-func (x *index) changed(id ServerID) {
+// noteChange notes a change for the rankings.
+func (x *index) noteChange(id ServerID) {
 	const kept = 256 // to take in more costs a ranking as much as to look at some thousand servers
 	if len(x.changes) == 2*kept {
-		x.dropped += kept
+		x.droppedChanges += kept
 		x.changes = append(x.changes[:0], x.changes[kept:]...)
 	}
 	x.changes = append(x.changes, id)
 }
 
-// capacities sums up the capacity of all ready servers, in the order of their ids and rounded at each: the sum decides, and must not
+// totalCapacity sums up the capacity of all ready servers, in the order of their ids and rounded at each: the sum decides, and must not
 // depend on who is known to be cold. Each has all of its own but those of cold. It costs as many steps as those are, times a logarithm.
-func (r *Router) capacities(now Micros) float64 {
+func (r *Balancer) totalCapacity(now Micros) float64 {
 	x := &r.index
 	sum, counted, i, unready := 0.0, 0, 0, 0
-	x.cold = slices.DeleteFunc(x.cold, func(s *server) bool {
+	x.inSlowStart = slices.DeleteFunc(x.inSlowStart, func(s *server) bool {
 		has := r.capacity(now, s)
 		if has == 1 {
 			return true
 		}
-		i, unready = seek(x.ids, i, s.Server), seek(x.unready, unready, s.Server)
+		i, unready = seek(x.ids, i, s.Server), seek(x.notReady, unready, s.Server)
 		sum = addOnes(sum, i-unready-counted) + has
 		counted = i - unready + 1
 		return false
 	})
-	return addOnes(sum, len(x.ids)-len(x.unready)-counted)
+	return addOnes(sum, len(x.ids)-len(x.notReady)-counted)
 }
 
 // addOnes adds 1 to a positive sum n times and gives just what doing so one by one gives: only the step to the next power of two and
@@ -168,51 +168,51 @@
 }
 
 // lastListed tells when a server was last on the list.
-func (r *Router) lastListed(s *server) Micros {
-	if s.there {
-		return r.index.listed
+func (r *Balancer) lastListed(s *server) Micros {
+	if s.present {
+		return r.index.listedAt
 	}
-	return s.left
+	return s.lastListed
 }
 
-// reindex builds the index from the rest of the state.
-func (r *Router) reindex() {
+// rebuildIndex builds the index from the rest of the state.
+func (r *Balancer) rebuildIndex() {
 	r.index = index{}
 	for _, s := range r.servers {
-		s.weight, s.there, s.doubted, s.holds = 0, false, false, nil
+		s.weight, s.present, s.questionable, s.functions = 0, false, false, nil
 		r.index.ids = append(r.index.ids, s.Server)
-		if s.State != Gone {
-			r.index.listed = max(r.index.listed, s.left)
+		if s.State != Removed {
+			r.index.listedAt = max(r.index.listedAt, s.lastListed)
 		}
 	}
 	for _, s := range r.servers {
-		r.settle(r.index.listed, s)
-		if len(s.flights) > 0 {
-			r.index.flying = append(r.index.flying, s)
+		r.reindexServer(r.index.listedAt, s)
+		if len(s.inFlight) > 0 {
+			r.index.busy = append(r.index.busy, s)
 		}
-		if s.suspect || s.avoidUntil > 0 {
-			r.index.doubt(s)
+		if s.ejected || s.backoffUntil > 0 {
+			r.index.markQuestionable(s)
 		}
 	}
-	for _, f := range r.order {
+	for _, f := range r.functionOrder {
 		f.ranking = ranking{}
 		for _, in := range f.instances {
-			in.server.hold(f)
+			in.server.addFunction(f)
 		}
 	}
 }
 
-// hold notes that something is known of a function's copies on a server.
-func (s *server) hold(f *function) {
-	if i, known := slices.BinarySearchFunc(s.holds, f, byFunction); !known {
-		s.holds = slices.Insert(s.holds, i, f)
+// addFunction notes that something is known of a function's copies on a server.
+func (s *server) addFunction(f *function) {
+	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); !known {
+		s.functions = slices.Insert(s.functions, i, f)
 	}
 }
 
-// drop notes that nothing is any more.
-func (s *server) drop(f *function) {
-	if i, known := slices.BinarySearchFunc(s.holds, f, byFunction); known {
-		s.holds = slices.Delete(s.holds, i, i+1)
+// removeFunction notes that nothing is any more.
+func (s *server) removeFunction(f *function) {
+	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); known {
+		s.functions = slices.Delete(s.functions, i, i+1)
 	}
 }
 
--- a/control/memory.go
+++ b/control/memory.go
@@ -2,77 +2,77 @@
 
 import "slices"
 
-// Memory is what a router learned that a later life of it may use, in plain values with the times at which it was
+// LearnedState is what a router learned that a later life of it may use, in plain values with the times at which it was
 // learned. Unlike a Snapshot it holds nothing that is under way. What of it still counts is decided by Recall.
-type Memory struct {
-	Saved     Micros           `cbor:"Saved"`
-	Started   Micros           `cbor:"Started"`
-	Due       []Micros         `cbor:"Due"`    // by tenant
-	Orders    []Micros         `cbor:"Orders"` // within the ration's window
-	Taken     []Micros         `cbor:"Taken"`
-	Answers   []Micros         `cbor:"Answers"`
-	Servers   []ServerMemory   `cbor:"Servers"`   // by ascending id
-	Functions []FunctionMemory `cbor:"Functions"` // as first seen
+type LearnedState struct {
+	SavedAt      Micros            `cbor:"Saved"`
+	StartedAt    Micros            `cbor:"Started"`
+	QuotaDebt    []Micros          `cbor:"Due"`    // by tenant
+	LoadCommands []Micros          `cbor:"Orders"` // within the ration's window
+	Admitted     []Micros          `cbor:"Taken"`
+	Answers      []Micros          `cbor:"Answers"`
+	Servers      []LearnedServer   `cbor:"Servers"`   // by ascending id
+	Functions    []LearnedFunction `cbor:"Functions"` // as first seen
 }
 
-// ServerMemory is what was learned of one server.
-type ServerMemory struct {
-	Server ServerID `cbor:"Server"`
-	Born   Micros   `cbor:"Born"`
-	Sent   []Micros `cbor:"Sent"` // within Deployment.Fall
+// LearnedServer is what was learned of one server.
+type LearnedServer struct {
+	Server         ServerID `cbor:"Server"`
+	StartedAt      Micros   `cbor:"Born"`
+	SlowStartSends []Micros `cbor:"Sent"` // within Deployment.Fall
 }
 
-// FunctionMemory is what was learned of one function.
-type FunctionMemory struct {
-	ID     FunctionID     `cbor:"ID"`
-	Lanes  int            `cbor:"Lanes"`
-	Copies []CopiesMemory `cbor:"Copies"` // by ascending server
+// LearnedFunction is what was learned of one function.
+type LearnedFunction struct {
+	ID        FunctionID        `cbor:"ID"`
+	Lanes     int               `cbor:"Lanes"`
+	Instances []LearnedInstance `cbor:"Copies"` // by ascending server
 }
 
-// CopiesMemory is a function's copies on one server, as believed.
-type CopiesMemory struct {
-	Server  ServerID `cbor:"Server"`
-	Copies  int      `cbor:"Copies"`
-	Used    Micros   `cbor:"Used"`
-	Loading int      `cbor:"Loading"`
-	Since   Micros   `cbor:"Since"`
+// LearnedInstance is a function's copies on one server, as believed.
+type LearnedInstance struct {
+	Server       ServerID `cbor:"Server"`
+	Replicas     int      `cbor:"Copies"`
+	LastUsed     Micros   `cbor:"Used"`
+	Loading      int      `cbor:"Loading"`
+	LoadingSince Micros   `cbor:"Since"`
 }
 
-// Remember gives what is worth keeping. Functions of which no copy is believed are left out. It shares nothing
+// LearnedState gives what is worth keeping. Functions of which no copy is believed are left out. It shares nothing
 // with the router.
-func (r *Router) Remember(now Micros) *Memory {
-	m := &Memory{Saved: now, Started: r.started, Due: slices.Clone(r.due), Orders: slices.Clone(r.orders),
-		Taken: slices.Clone(r.taken), Answers: slices.Clone(r.answers)}
+func (r *Balancer) LearnedState(now Micros) *LearnedState {
+	m := &LearnedState{SavedAt: now, StartedAt: r.startedAt, QuotaDebt: slices.Clone(r.quotaDebt), LoadCommands: slices.Clone(r.loadCommands),
+		Admitted: slices.Clone(r.admitted), Answers: slices.Clone(r.answers)}
 	for _, s := range r.servers {
-		m.Servers = append(m.Servers, ServerMemory{s.Server, s.Born, slices.Clone(after(s.sent, now-r.told.Fall))})
+		m.Servers = append(m.Servers, LearnedServer{s.Server, s.StartedAt, slices.Clone(dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow))})
 	}
-	for _, f := range r.order {
-		v := FunctionMemory{ID: f.id, Lanes: f.lanes}
+	for _, f := range r.functionOrder {
+		v := LearnedFunction{ID: f.id, Lanes: f.lanes}
 		for _, in := range f.instances {
-			if r.warm(now, in) || r.underWay(now, in) {
-				v.Copies = append(v.Copies, CopiesMemory{in.server.Server, in.copies, in.used, in.loading, in.since})
+			if r.loaded(now, in) || r.loading(now, in) {
+				v.Instances = append(v.Instances, LearnedInstance{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince})
 			}
 		}
-		if len(v.Copies) > 0 {
+		if len(v.Instances) > 0 {
 			m.Functions = append(m.Functions, v)
 		}
 	}
 	return m
 }
 
-// Suspects gives the servers that are suspect just now.
-func (r *Router) Suspects() map[ServerID]bool {
+// EjectedServers gives the servers that are suspect just now.
+func (r *Balancer) EjectedServers() map[ServerID]bool {
 	suspects := map[ServerID]bool{}
 	for _, s := range r.servers {
-		if s.suspect {
+		if s.ejected {
 			suspects[s.Server] = true
 		}
 	}
 	return suspects
 }
 
-// notAfter gives ascending times, none of them later than one.
-func notAfter(ts []Micros, latest Micros) []Micros {
+// clampTo gives ascending times, none of them later than one.
+func clampTo(ts []Micros, latest Micros) []Micros {
 	ts = slices.Clone(ts)
 	for i := range ts {
 		ts[i] = min(ts[i], latest)
@@ -81,8 +81,8 @@
 	return ts
 }
 
-// upTo gives ascending times without those later than one.
-func upTo(ts []Micros, latest Micros) []Micros {
+// dropAfter gives ascending times without those later than one.
+func dropAfter(ts []Micros, latest Micros) []Micros {
 	ts = slices.DeleteFunc(slices.Clone(ts), func(t Micros) bool { return t > latest })
 	slices.Sort(ts)
 	return ts
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -3,15 +3,15 @@
 import "testing"
 
 // again gives the next life of a router, at a time, told the list of three sound servers.
-func again(r *Router, saved, now Micros) *Router {
-	m := r.Remember(saved)
-	next := Start(now, 1, r.told)
-	next.Recall(now, m)
-	list := make([]Listing, 3)
+func again(r *Balancer, saved, now Micros) *Balancer {
+	m := r.LearnedState(saved)
+	next := New(now, 1, r.deployment)
+	next.ApplyLearned(now, m)
+	list := make([]Endpoint, 3)
 	for i := range list {
-		list[i] = Listing{Server: ServerID(i + 1), State: Ready, Power: 1}
+		list[i] = Endpoint{Server: ServerID(i + 1), State: Ready, Weight: 1}
 	}
-	next.Listed(now, ListWhole, list)
+	next.UpdateEndpoints(now, FullUpdate, list)
 	return next
 }
 
@@ -24,9 +24,9 @@
 		stands(r, 2, 3) // executions of the earlier life are no longer ours
 		next := again(r, at, at+c.pause)
 		j := newJob(1)
-		j.Arrived, j.Patience = at+c.pause, at+c.pause+4*second
-		p := next.Place(at+c.pause, j)
-		if in := next.functions[7].at(next.servers[1], false); p.Verb != Send || (p.Server == 2 && next.warm(at+c.pause, in)) != c.warm || in != nil && in.copies > 0 && in.out > 1 {
+		j.ArrivedAt, j.Deadline = at+c.pause, at+c.pause+4*second
+		p := next.Route(at+c.pause, j)
+		if in := next.functions[7].instanceOn(next.servers[1], false); p.Action != Forward || (p.Server == 2 && next.loaded(at+c.pause, in)) != c.warm || in != nil && in.replicas > 0 && in.inFlight > 1 {
 			t.Errorf("after %d us: got %+v, %+v", c.pause, p, in)
 		}
 	}
@@ -34,16 +34,16 @@
 
 // A server that restarted, left or drained while the router was down gets nothing for what was known of it.
 func TestListOverrulesMemory(t *testing.T) {
-	for _, l := range []Listing{{Server: 2, State: Ready, Power: 1, Born: at + 1}, {Server: 2, State: Draining, Power: 1}, {Server: 1, State: Draining, Power: 1}} {
+	for _, l := range []Endpoint{{Server: 2, State: Ready, Weight: 1, StartedAt: at + 1}, {Server: 2, State: Draining, Weight: 1}, {Server: 1, State: Draining, Weight: 1}} {
 		r := fleet(deployment(), 2)
 		stands(r, 2, 0)
-		next := Start(at+2, 1, r.told)
-		next.Recall(at+2, r.Remember(at))
-		next.Listed(at+2, ListWhole, []Listing{l})
-		if in := next.fullest(at+2, next.functions[7], newJob(1)); in != nil {
+		next := New(at+2, 1, r.deployment)
+		next.ApplyLearned(at+2, r.LearnedState(at))
+		next.UpdateEndpoints(at+2, FullUpdate, []Endpoint{l})
+		if in := next.fullestInstance(at+2, next.functions[7], newJob(1)); in != nil {
 			t.Errorf("%+v: got %+v", l, in)
 		}
-		if p := next.Place(at+2, newJob(1)); l.State != Ready && p.Verb == Send {
+		if p := next.Route(at+2, newJob(1)); l.State != Ready && p.Action == Forward {
 			t.Errorf("%+v: sent to %d", l, p.Server)
 		}
 	}
@@ -53,23 +53,23 @@
 func TestRecalledLimitsCount(t *testing.T) {
 	for _, pause := range []Micros{second / 2, -50 * second} {
 		told := deployment()
-		told.LoadWindow, told.LoadFree = second, 2
+		told.LoadRateWindow, told.LoadRateBase = second, 2
 		r := fleet(told, 3)
-		r.ration(at)
-		r.ration(at)
+		r.loadCommandAllowed(at)
+		r.loadCommandAllowed(at)
 		for range 50 {
-			r.servers[1].sent = append(r.servers[1].sent, at)
+			r.servers[1].slowStartSends = append(r.servers[1].slowStartSends, at)
 		}
 		now := at + pause
 		next := again(r, at, now)
-		if next.ration(now) {
+		if next.loadCommandAllowed(now) {
 			t.Errorf("after %d us: an order beyond the ration", pause)
 		}
-		if !next.ration(now + second + 1) {
+		if !next.loadCommandAllowed(now + second + 1) {
 			t.Errorf("after %d us: no order once the window is over", pause)
 		}
-		next.servers[1].Born, next.rate = now-second, 10
-		if next.coldRoom(now, next.servers[1]) {
+		next.servers[1].StartedAt, next.answerRate = now-second, 10
+		if next.withinSlowStartBudget(now, next.servers[1]) {
 			t.Errorf("after %d us: a job beyond the cold server's budget", pause)
 		}
 	}
@@ -79,11 +79,11 @@
 func TestRecalledJobsTaken(t *testing.T) {
 	for pause, want := range map[Micros]bool{second / 2: true, -50 * second: false} {
 		told := deployment()
-		told.LoadWindow, told.LoadFree, told.LoadShare = second, 0, 0.5
+		told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = second, 0, 0.5
 		r := fleet(told, 3)
-		r.taken = []Micros{at - 1000, at}
+		r.admitted = []Micros{at - 1000, at}
 		next := again(r, at, at+pause)
-		if got := next.ration(at + pause); got != want {
+		if got := next.loadCommandAllowed(at + pause); got != want {
 			t.Errorf("after %d us: an order allowed: %t", pause, got)
 		}
 	}
@@ -95,9 +95,9 @@
 		r := fleet(deployment(), 3)
 		r.answers = []Micros{at - second, at}
 		next := again(r, at, at+pause)
-		next.pool(at + pause)
-		if next.rate < want-1e-9 || next.rate > want+1e-9 {
-			t.Errorf("after %d us: %g answers a second, want %g", pause, next.rate, want)
+		next.updateAnswerRate(at + pause)
+		if next.answerRate < want-1e-9 || next.answerRate > want+1e-9 {
+			t.Errorf("after %d us: %g answers a second, want %g", pause, next.answerRate, want)
 		}
 	}
 }
@@ -105,14 +105,14 @@
 // What a tenant used up stays used up, but no longer than one that is told apart.
 func TestRecalledShares(t *testing.T) {
 	told := deployment()
-	told.Shares = []float64{1}
-	r := Start(at, 1, told)
-	r.due[0] = at + 2*second
+	told.Quotas = []float64{1}
+	r := New(at, 1, told)
+	r.quotaDebt[0] = at + 2*second
 	for pause, want := range map[Micros]Micros{second: at + 2*second, -3600 * second: at - 3598*second} {
-		next := Start(at+pause, 1, told)
-		next.Recall(at+pause, r.Remember(at))
-		if next.due[0] != want {
-			t.Errorf("after %d us: %d, want %d", pause, next.due[0], want)
+		next := New(at+pause, 1, told)
+		next.ApplyLearned(at+pause, r.LearnedState(at))
+		if next.quotaDebt[0] != want {
+			t.Errorf("after %d us: %d, want %d", pause, next.quotaDebt[0], want)
 		}
 	}
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -12,72 +12,72 @@
 
 // The plain way of all that the router does with its servers: every server is asked each time. The router must decide the same.
 
-func plainListed(r *Router, now Micros, kind ListKind, list []Listing) {
-	if kind == ListFailed {
-		r.watching = false
+func plainListed(r *Balancer, now Micros, kind UpdateKind, list []Endpoint) {
+	if kind == FailedUpdate {
+		r.subscribed = false
 		return
 	}
 	for _, s := range r.servers {
-		s.listed = s.listed && kind == ListChanges
+		s.listed = s.listed && kind == IncrementalUpdate
 	}
 	for _, l := range list {
 		i, known := r.find(l.Server)
 		if !known {
-			r.servers = slices.Insert(r.servers, i, &server{heard: now})
+			r.servers = slices.Insert(r.servers, i, &server{lastAnswer: now})
 		}
 		s := r.servers[i]
-		if known && l.Born > s.Born {
-			for _, f := range r.order {
-				if in := f.at(s, false); in != nil && max(in.used, in.since) < l.Born {
-					in.copies, in.loading = 0, 0
+		if known && l.StartedAt > s.StartedAt {
+			for _, f := range r.functionOrder {
+				if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < l.StartedAt {
+					in.replicas, in.loading = 0, 0
 				}
 			}
-			s.suspect, s.setbacks, s.fulls, s.size = false, 0, 0, 0
+			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
 		}
-		s.Listing, s.listed = l, true
+		s.Endpoint, s.listed = l, true
 	}
 	for _, s := range r.servers {
 		if !s.listed {
-			s.State = Gone
+			s.State = Removed
 		}
-		if s.State != Gone {
-			s.left = now
+		if s.State != Removed {
+			s.lastListed = now
 		}
 	}
 }
 
-func plainWait(r *Router, now Micros) Upkeep {
-	up := Upkeep{Next: now + checkEvery}
-	if r.told.ListOnRequest && !r.watching {
-		r.watching, up.Subscribe = true, true
+func plainWait(r *Balancer, now Micros) Maintenance {
+	up := Maintenance{Next: now + maintenanceInterval}
+	if r.deployment.EndpointsOnRequest && !r.subscribed {
+		r.subscribed, up.SubscribeEndpoints = true, true
 	}
 	plainPool(r, now)
 	plainExamine(r, now)
 	plainTidy(r, now)
 	r.waiting = slices.DeleteFunc(r.waiting, func(f *function) bool {
-		r.check(now, f)
-		f.waits = f.held > 0
-		return !f.waits
+		r.checkReplicas(now, f)
+		f.waiting = f.held > 0
+		return !f.waiting
 	})
-	up.Recalls, up.Notes, r.recalls, r.notes = r.recalls, r.notes, nil, nil
+	up.Cancellations, up.LogLines, r.cancellations, r.logLines = r.cancellations, r.logLines, nil, nil
 	return up
 }
 
-func plainPool(r *Router, now Micros) {
+func plainPool(r *Balancer, now Micros) {
 	const over = 10_000_000
-	r.answers = after(r.answers, now-over)
+	r.answers = dropBefore(r.answers, now-over)
 	servers := 0.0
 	for _, s := range r.servers {
 		if s.State == Ready {
 			servers += r.capacity(now, s)
 		}
 	}
-	seen := min(over, max(over/10, now-r.started))
-	r.rate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
-	r.fresh = Micros(min(8e6, max(seldom, 1e6/max(0.01, r.rate))))
+	seen := min(over, max(over/10, now-r.startedAt))
+	r.answerRate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
+	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
-func plainExamine(r *Router, now Micros) {
+func plainExamine(r *Balancer, now Micros) {
 	limit := 4 * quantile(r.latencies.since(0), 0.9)
 	if limit == 0 {
 		return
@@ -85,16 +85,16 @@
 	var silent []*server
 	busy := 0
 	for _, s := range r.servers {
-		if len(s.flights) == 0 {
+		if len(s.inFlight) == 0 {
 			continue
 		}
 		busy++
-		for _, fl := range s.flights {
+		for _, fl := range s.inFlight {
 			allowed := limit
-			if !fl.warm && !s.suspect {
-				allowed += 3 * r.loadTime(fl.job)
+			if !fl.toLoaded && !s.ejected {
+				allowed += 3 * r.loadTime(fl.request)
 			}
-			if now-max(fl.sent, s.heard) > allowed {
+			if now-max(fl.sentAt, s.lastAnswer) > allowed {
 				silent = append(silent, s)
 				break
 			}
@@ -104,82 +104,82 @@
 		return
 	}
 	for _, s := range silent {
-		r.sicken(now, s, "owes answers")
-		for _, fl := range s.flights {
-			r.recall(fl.job, fl.no)
+		r.eject(now, s, "owes answers")
+		for _, fl := range s.inFlight {
+			r.cancelAttempt(fl.request, fl.attempt)
 		}
 	}
 }
 
-func plainTidy(r *Router, now Micros) {
+func plainTidy(r *Balancer, now Micros) {
 	const many, batch, long = 1 << 14, 1 << 11, 600_000_000
-	if len(r.order) > many {
-		from := r.tidied % len(r.order)
-		to := min(len(r.order), from+batch)
-		kept := slices.DeleteFunc(r.order[from:to:to], func(f *function) bool {
+	if len(r.functionOrder) > many {
+		from := r.pruned % len(r.functionOrder)
+		to := min(len(r.functionOrder), from+batch)
+		kept := slices.DeleteFunc(r.functionOrder[from:to:to], func(f *function) bool {
 			gone := r.idle(now, f)
 			if gone {
 				delete(r.functions, f.id)
 			}
 			return gone
 		})
-		r.order = slices.Delete(r.order, from+len(kept), to)
-		r.tidied = from + len(kept)
+		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
+		r.pruned = from + len(kept)
 	}
 	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
-		if s.State != Gone || len(s.flights) > 0 || now < s.left+long {
+		if s.State != Removed || len(s.inFlight) > 0 || now < s.lastListed+long {
 			return false
 		}
-		for _, f := range r.order {
+		for _, f := range r.functionOrder {
 			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
 		}
 		return true
 	})
 }
 
-func plainLoadTarget(r *Router, now Micros, f *function, j *Job, beside bool) *server {
+func plainLoadTarget(r *Balancer, now Micros, f *function, j *Request, beside bool) *server {
 	takes := func(s *server) bool {
-		return now >= s.loadsAfter && s.waiting() < 8 && !(beside && s.room() < 0.75)
+		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(beside && s.freeShare() < 0.75)
 	}
 	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
 		return nil
 	}
-	var cs []choice
+	var cs []candidate
 	for _, s := range r.servers {
 		if !r.usable(now, s, j) {
 			continue
 		}
-		weight := max(0.1, s.Power) * r.capacity(now, s)
-		if r.fresh <= seldom && r.told.Routers == 1 {
-			free := max(0.05, min(1-s.report.Util, s.room()))
-			weight *= free * free / (1 + max(0, s.report.Loads))
-		} else if s.room() < 0.25 || r.shunned(now, s) {
+		weight := max(0.1, s.Weight) * r.capacity(now, s)
+		if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
+			free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
+			weight *= free * free / (1 + max(0, s.report.PendingLoads))
+		} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
 			weight *= 0.01
 		}
 		weight = max(0.001, weight)
-		cs = append(cs, choice{s, -math.Log(even(uint64(f.id), uint64(s.Server))) / weight, weight})
+		cs = append(cs, candidate{s, -math.Log(uniform(uint64(f.id), uint64(s.Server))) / weight, weight})
 	}
-	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
 	slices.SortFunc(cs, byKey)
 	part := float64(f.recent-1) / float64(max(32, len(r.recent)))
 	homes := cs[:min(len(cs), max(1, int(math.Ceil(2*part*float64(len(cs))))))]
 	for i, c := range homes {
-		homes[i].key = -math.Log(even(mix(uint64(f.id), uint64(r.told.Number)+1), uint64(c.s.Server))) / c.weight
+		homes[i].key = -math.Log(uniform(hash(uint64(f.id), uint64(r.deployment.Number)+1), uint64(c.server.Server))) / c.weight
 	}
 	slices.SortFunc(homes, byKey)
 	var best *server
 	fewest := math.MaxInt
 	near := len(cs)
-	if r.told.Routers > 1 {
+	if r.deployment.Routers > 1 {
 		near = min(near, 2)
 	}
 	for _, c := range cs[:near] {
-		s, copies := c.s, 0
+		s, copies := c.server, 0
 		if !takes(s) {
 			continue
 		}
-		if in := f.at(s, false); in != nil {
-			copies = in.copies + in.loading
+		if in := f.instanceOn(s, false); in != nil {
+			copies = in.replicas + in.loading
 		}
 		if copies < fewest {
 			best, fewest = s, copies
@@ -193,53 +193,53 @@
 	t       *testing.T
 	chance  *rand.Rand
 	now     Micros
-	r       *Router
+	r       *Balancer
 	ids     []ServerID // of all servers there ever were
-	jobs    map[JobID]*Job
-	out     []JobID // with an execution out, one each
-	next    JobID
+	jobs    map[RequestID]*Request
+	out     []RequestID // with an execution out, one each
+	next    RequestID
 	held    int            // against the plain way
 	targets map[string]int // of the placements compared, by how they came out
 }
 
 func newDays(t *testing.T, seed uint64, servers int) *days {
-	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, jobs: map[JobID]*Job{}, targets: map[string]int{}}
+	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, jobs: map[RequestID]*Request{}, targets: map[string]int{}}
 	told := deployment()
 	told.Routers = []int{1, 3, 300, 900}[seed%4]
-	told.Number, told.Zone, told.ListOnRequest = d.chance.IntN(told.Routers), 1, true
+	told.Number, told.Zone, told.EndpointsOnRequest = d.chance.IntN(told.Routers), 1, true
 	if seed%8 >= 6 {
-		told.LoadsOnMiss, told.LoadWindow, told.LoadFree, told.LoadShare = false, 5*second, 100, 1
+		told.LoadsOnMiss, told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = false, 5*second, 100, 1
 	}
-	told.Workloads = []Workload{{StartTarget: second, TimeLimit: 8 * second}, {StartTarget: second / 2, TimeLimit: 4 * second, Effect: Fingerprinted,
-		Scope: OneZone, Window: 5 * second}, {StartTarget: second, TimeLimit: 8 * second, Effect: RunOnce}}
-	d.r = Start(0, seed, told)
-	var list []Listing
+	told.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Effect: IdempotentByKey,
+		Scope: OneZone, Window: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Effect: NonIdempotent}}
+	d.r = New(0, seed, told)
+	var list []Endpoint
 	for range servers {
 		list = append(list, d.listing(ServerID(d.chance.Uint64())))
 	}
-	d.listed(ListWhole, list)
+	d.listed(FullUpdate, list)
 	return d
 }
 
 func (d *days) chanceOf(p float64) bool { return d.chance.Float64() < p }
 
-func (d *days) listing(id ServerID) Listing {
+func (d *days) listing(id ServerID) Endpoint {
 	if !slices.Contains(d.ids, id) {
 		d.ids = append(d.ids, id)
 	}
-	l := Listing{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Power: []float64{1, 1, 1, 0.5, 2, 0.02, d.chance.Float64() * 3}[d.chance.IntN(7)]}
+	l := Endpoint{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Weight: []float64{1, 1, 1, 0.5, 2, 0.02, d.chance.Float64() * 3}[d.chance.IntN(7)]}
 	switch {
 	case d.chanceOf(0.1):
 		l.State = ServerState(d.chance.IntN(2))
 	case d.chanceOf(0.3):
-		l.Born = d.now - Micros(d.chance.IntN(15*second)) + second
+		l.StartedAt = d.now - Micros(d.chance.IntN(15*second)) + second
 	}
 	return l
 }
 
 // clone gives the router as a snapshot tells it, with jobs of its own.
-func (d *days) clone() (*Router, map[JobID]*Job) {
-	jobs := map[JobID]*Job{}
+func (d *days) clone() (*Balancer, map[RequestID]*Request) {
+	jobs := map[RequestID]*Request{}
 	for id, j := range d.jobs {
 		copied := j.Snapshot().Restore()
 		jobs[id] = &copied
@@ -252,7 +252,7 @@
 }
 
 // same holds the router against a clone that went the plain way. Sends that no longer count are left out: who asks drops them.
-func (d *days) same(plain *Router, what string) {
+func (d *days) same(plain *Balancer, what string) {
 	d.t.Helper()
 	if d.held++; d.held%4 == 0 {
 		restored, _ := d.clone()
@@ -260,9 +260,9 @@
 	}
 	got, want := d.r.Snapshot(), plain.Snapshot()
 	for i := range min(len(got.Servers), len(want.Servers)) {
-		want.Servers[i].Left = plain.servers[i].left
+		want.Servers[i].LastListed = plain.servers[i].lastListed
 		for _, s := range []*ServerSnapshot{&got.Servers[i], &want.Servers[i]} {
-			s.Sent = slices.Clone(after(s.Sent, d.now-d.r.told.Fall))
+			s.SlowStartSends = slices.Clone(dropBefore(s.SlowStartSends, d.now-d.r.deployment.OverloadWindow))
 		}
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -271,36 +271,38 @@
 }
 
 // counted holds the number of servers that a job may go to against asking each.
-func (d *days) counted(j *Job) {
+func (d *days) counted(j *Request) {
 	d.t.Helper()
 	want := 0
 	for _, s := range d.r.servers {
-		if d.r.open(d.now, s, j) {
+		if d.r.usableUnchanged(d.now, s, j) {
 			want++
 		}
 	}
-	if got := d.r.usables(d.now, j); got != want && !d.r.grouped(j) {
+	if got := d.r.usableCount(d.now, j); got != want && !d.r.restrictedToGroup(j) {
 		d.t.Fatalf("%d servers can be used at %d, counted %d", want, d.now, got)
 	}
 }
 
 // indexed holds what is kept beside the servers against what a restored router makes of them.
-func (d *days) indexed(restored *Router) {
+func (d *days) indexed(restored *Balancer) {
 	d.t.Helper()
-	ids := func(servers []*server) []ServerID { return many(servers, func(s *server) ServerID { return s.Server }) }
+	ids := func(servers []*server) []ServerID {
+		return convertAll(servers, func(s *server) ServerID { return s.Server })
+	}
 	got, want := &d.r.index, &restored.index
-	for what, pair := range map[string][2][]ServerID{"known": {got.ids, want.ids}, "ids": {got.ids, ids(d.r.servers)}, "unready": {got.unready, want.unready},
-		"gone": {ids(got.gone), ids(want.gone)}, "flying": {ids(got.flying), ids(want.flying)}} {
+	for what, pair := range map[string][2][]ServerID{"known": {got.ids, want.ids}, "ids": {got.ids, ids(d.r.servers)}, "unready": {got.notReady, want.notReady},
+		"gone": {ids(got.removed), ids(want.removed)}, "flying": {ids(got.busy), ids(want.busy)}} {
 		if !slices.Equal(pair[0], pair[1]) {
 			d.t.Fatalf("%s at %d: got %x, want %x", what, d.now, pair[0], pair[1])
 		}
 	}
 	for i, s := range d.r.servers {
-		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.holds, restored.servers[i].holds, func(a, b *function) bool { return a.id == b.id && a == d.r.functions[a.id] }) {
+		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.functions, restored.servers[i].functions, func(a, b *function) bool { return a.id == b.id && a == d.r.functions[a.id] }) {
 			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers[i])
 		}
 	}
-	for _, s := range append(slices.Clone(got.doubted), got.cold...) {
+	for _, s := range append(slices.Clone(got.questionable), got.inSlowStart...) {
 		if i, known := d.r.find(s.Server); !known || d.r.servers[i] != s {
 			d.t.Fatalf("server %x at %d is forgotten, and not", s.Server, d.now)
 		}
@@ -319,19 +321,19 @@
 			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
 		}
 	}
-	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Chance, a.Rate, a.Fresh, a.Notes, a.Recalls)
+	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.FreshFor, a.LogLines, a.Cancellations)
 }
 
-func (d *days) listed(kind ListKind, list []Listing) {
+func (d *days) listed(kind UpdateKind, list []Endpoint) {
 	plain, _ := d.clone()
 	plainListed(plain, d.now, kind, list)
-	d.r.Listed(d.now, kind, list)
+	d.r.UpdateEndpoints(d.now, kind, list)
 	d.same(plain, fmt.Sprintf("list of kind %d: %+v", kind, list))
 }
 
 func (d *days) wait() {
 	plain, _ := d.clone()
-	want, got := plainWait(plain, d.now), d.r.Wait(d.now)
+	want, got := plainWait(plain, d.now), d.r.Maintain(d.now)
 	if !reflect.DeepEqual(got, want) {
 		d.t.Fatalf("upkeep at %d: got %+v, want %+v", d.now, got, want)
 	}
@@ -339,7 +341,7 @@
 }
 
 // place holds the server that a load would go to against the plain way's, and then places the job.
-func (d *days) place(j *Job) {
+func (d *days) place(j *Request) {
 	f := d.r.function(j)
 	plain, jobs := d.clone()
 	before := d.r.Snapshot()
@@ -348,32 +350,32 @@
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
 			d.t.Fatalf("a load for function %x at %d, beside %t: got %+v, want %+v", f.id, d.now, beside, got, want)
 		}
-		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.told.Routers > 1, f.recent > 1, got != nil)]++
+		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
 	}
 	d.counted(j)
 	d.same(plain, "a load's server")
 	if after := d.r.Snapshot(); !reflect.DeepEqual(before, after) {
 		d.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", d.now, differ(before, after), differ(after, before))
 	}
-	d.done(j, d.r.Place(d.now, j))
+	d.done(j, d.r.Route(d.now, j))
 }
 
-func (d *days) done(j *Job, p Placement) {
-	switch p.Verb {
-	case Send:
+func (d *days) done(j *Request, p Decision) {
+	switch p.Action {
+	case Forward:
 		d.out = append(d.out, j.ID)
-	case PushBack, Kill:
-		d.r.Left(d.now, j)
+	case Reject, Fail:
+		d.r.Cancel(d.now, j)
 		delete(d.jobs, j.ID)
 	}
-	for _, o := range p.Orders {
-		d.r.Loaded(d.now, o.Server, o.Function, []Result{Finished, Full, Errored, NoConnection}[d.chance.IntN(4)], second, o.Copies)
+	for _, o := range p.LoadCommands {
+		d.r.HandleLoadResult(d.now, o.Server, o.Function, []Result{Succeeded, Overloaded, Failed, ConnectFailed}[d.chance.IntN(4)], second, o.Replicas)
 	}
 }
 
 func (d *days) arrive() {
 	d.next++
-	j := &Job{ID: d.next, Workload: WorkloadID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), Arrived: d.now, Patience: d.now + Micros(d.chance.IntN(8*second)), Repeat: d.chanceOf(0.1)}
+	j := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
 	switch d.chance.IntN(3) { // a hot one, some, and many that are hardly known
 	case 0:
 		j.Function = 1
@@ -394,14 +396,14 @@
 	i := d.chance.IntN(len(d.out))
 	j := d.jobs[d.out[i]]
 	d.out = slices.Delete(d.out, i, i+1)
-	no := len(j.Executions) - 1
-	o := Outcome{Execution: ExecutionID(no), Server: j.Executions[no].Server, Took: Micros(d.chance.IntN(second)),
-		Result: []Result{Finished, Finished, Finished, Finished, Errored, Full, TimedOut, NoConnection, Reset, Missing}[d.chance.IntN(10)]}
-	if o.Result == Finished {
-		o.JobOver, o.Found = true, Found(d.chance.IntN(3))
-		o.Report = &Report{Util: d.chance.Float64() * 1.2, Loads: float64(d.chance.IntN(7)) - 1}
-	}
-	if p := d.r.After(d.now, j, o); o.JobOver {
+	no := len(j.Attempts) - 1
+	o := Outcome{Attempt: AttemptID(no), Server: j.Attempts[no].Server, Duration: Micros(d.chance.IntN(second)),
+		Result: []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, NotLoaded}[d.chance.IntN(10)]}
+	if o.Result == Succeeded {
+		o.RequestDone, o.CacheStatus = true, CacheStatus(d.chance.IntN(3))
+		o.Report = &LoadReport{Utilization: d.chance.Float64() * 1.2, PendingLoads: float64(d.chance.IntN(7)) - 1}
+	}
+	if p := d.r.HandleOutcome(d.now, j, o); o.RequestDone {
 		delete(d.jobs, j.ID)
 	} else {
 		d.done(j, p)
@@ -410,7 +412,7 @@
 
 // change tells the list's news of one to three servers, known ones and new ones.
 func (d *days) change() {
-	var list []Listing
+	var list []Endpoint
 	for range 1 + d.chance.IntN(3) {
 		id := ServerID(d.chance.Uint64())
 		if d.chanceOf(0.8) {
@@ -418,7 +420,7 @@
 		}
 		list = append(list, d.listing(id))
 	}
-	d.listed(ListChanges, list)
+	d.listed(IncrementalUpdate, list)
 }
 
 // trouble changes what is believed of a server that the order of some function may begin with.
@@ -426,17 +428,17 @@
 	s := d.r.servers[d.chance.IntN(len(d.r.servers))]
 	switch d.chance.IntN(5) {
 	case 0:
-		s.avoidUntil = d.now + Micros(d.chance.IntN(2*second))
+		s.backoffUntil = d.now + Micros(d.chance.IntN(2*second))
 	case 1:
-		s.suspect, s.trialAt = true, d.now+Micros(d.chance.IntN(2*second))
+		s.ejected, s.probeAt = true, d.now+Micros(d.chance.IntN(2*second))
 	case 2:
-		s.report, s.reported = Report{Util: 0.95, Loads: 3}, d.now
+		s.report, s.reportedAt = LoadReport{Utilization: 0.95, PendingLoads: 3}, d.now
 	case 3:
-		s.strain.add(d.now, 900)
+		s.queueing.add(d.now, 900)
 	case 4:
-		s.size = float64(s.busy) + 0.1
+		s.concurrencyLimit = float64(s.running) + 0.1
 	}
-	d.r.index.doubt(s)
+	d.r.index.markQuestionable(s)
 }
 
 func (d *days) step() {
@@ -453,23 +455,23 @@
 	case p < 0.98:
 		d.wait()
 	case p < 0.985:
-		var list []Listing
+		var list []Endpoint
 		for _, id := range d.ids {
 			if d.chanceOf(0.9) {
 				list = append(list, d.listing(id))
 			}
 		}
-		d.listed([]ListKind{ListCached, ListWhole}[d.chance.IntN(2)], list)
+		d.listed([]UpdateKind{CachedUpdate, FullUpdate}[d.chance.IntN(2)], list)
 	case p < 0.99:
-		d.listed(ListFailed, nil)
+		d.listed(FailedUpdate, nil)
 	case p < 0.995:
 		d.r, d.jobs = d.clone() // a restart from a snapshot
 	case p < 0.998:
 		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
 	default: // to the microsecond at which one is forgotten
 		for _, s := range d.r.servers {
-			if s.State == Gone {
-				d.now = max(d.now, s.left+600*second)
+			if s.State == Removed {
+				d.now = max(d.now, s.lastListed+600*second)
 				break
 			}
 		}
@@ -518,7 +520,7 @@
 func (d *days) burden(share float64) {
 	r, one := d.r, d.chance.IntN(12) // of the burdens for all; six or more: of any
 	for _, s := range r.servers {
-		s.avoidUntil, s.suspect, s.loadsAfter, s.report, s.reported, s.size, s.busy = 0, false, 0, Report{}, 0, 0, 0
+		s.backoffUntil, s.ejected, s.loadsAfter, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
 		if !d.chanceOf(share) {
 			continue
 		}
@@ -528,34 +530,34 @@
 		}
 		switch which {
 		case 0:
-			s.avoidUntil = d.now + 1
+			s.backoffUntil = d.now + 1
 		case 1:
-			s.suspect, s.trialAt = true, d.now+1
+			s.ejected, s.probeAt = true, d.now+1
 		case 2:
-			s.report, s.reported = Report{Util: 0.95, Loads: 3}, d.now
+			s.report, s.reportedAt = LoadReport{Utilization: 0.95, PendingLoads: 3}, d.now
 		case 3:
-			s.size, s.busy = 4, 4
+			s.concurrencyLimit, s.running = 4, 4
 		case 4:
 			s.loadsAfter = d.now + 1
 		case 5:
-			s.sent = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
+			s.slowStartSends = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
 		}
-		r.index.doubt(s)
+		r.index.markQuestionable(s)
 	}
 }
 
 // looked holds a bounded look for the first servers against one at all.
-func (d *days) looked(f *function, j *Job) {
+func (d *days) looked(f *function, j *Request) {
 	d.t.Helper()
-	look, homes := d.r.nearest(d.now, f, j)
+	look, homes := d.r.nearestHomes(d.now, f, j)
 	look = slices.Clone(look)
-	all := d.r.within(d.now, f, j, math.Inf(1))
-	want := d.r.homes(f, len(all))
+	all := d.r.candidatesWithin(d.now, f, j, math.Inf(1))
+	want := d.r.homeCount(f, len(all))
 	need := max(want, min(2, len(all)))
 	if homes != want || len(look) < need {
 		d.t.Fatalf("%d homes of %d servers at %d, want %d of %d", homes, len(look), d.now, want, len(all))
 	}
-	byKey := func(a, b choice) int { return cmp.Compare(a.key, b.key) }
+	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
 	slices.SortFunc(look, byKey)
 	slices.SortFunc(all, byKey)
 	if !slices.Equal(look[:need], all[:need]) {
@@ -566,15 +568,15 @@
 // rankedWell holds a function's ranking against the order of all ready servers.
 func (d *days) rankedWell(f *function) {
 	d.t.Helper()
-	order := []place{{key: math.Inf(1)}}
+	order := []rankingEntry{{key: math.Inf(1)}}
 	for _, s := range d.r.servers {
 		if s.State == Ready {
-			order = append(order, place{s.Server, key(uint64(f.id), s.Server, max(0.1, s.Power))})
+			order = append(order, rankingEntry{s.Server, rankKey(uint64(f.id), s.Server, max(0.1, s.Weight))})
 		}
 	}
-	slices.SortFunc(order, func(a, b place) int { return cmp.Compare(a.key, b.key) })
-	if k := d.r.ranked(f); !slices.Equal(k.first, order[:len(k.first)]) || k.bound > order[len(k.first)].key {
-		d.t.Fatalf("function %x at %d: ranked %+v, want the first of %+v", f.id, d.now, k, order[:min(len(order), deep+1)])
+	slices.SortFunc(order, func(a, b rankingEntry) int { return cmp.Compare(a.key, b.key) })
+	if k := d.r.currentRanking(f); !slices.Equal(k.entries, order[:len(k.entries)]) || k.bound > order[len(k.entries)].key {
+		d.t.Fatalf("function %x at %d: ranked %+v, want the first of %+v", f.id, d.now, k, order[:min(len(order), rankingLength+1)])
 	}
 }
 
@@ -585,52 +587,52 @@
 	for seed := range uint64(28) {
 		d := newDays(t, seed, 0)
 		r := d.r
-		if r.told.Routers < 2 {
-			r.told.Routers = 300
+		if r.deployment.Routers < 2 {
+			r.deployment.Routers = 300
 		}
-		r.told.ColdFrom = []float64{0.25, 0.01, 1, 3}[seed/4%4]
-		n := []int{2, deep, deep + 1, deep + 2, 40, 300, 1500}[seed%7]
+		r.deployment.SlowStartInitial = []float64{0.25, 0.01, 1, 3}[seed/4%4]
+		n := []int{2, rankingLength, rankingLength + 1, rankingLength + 2, 40, 300, 1500}[seed%7]
 		most, rounds, looks := []int{2, 30, 300}, 25, 8 // changes in a round
 		if seed%4 == 3 {
 			most, rounds, looks = []int{1}, 200_000/(n+100), 1 // one by one, through more than are kept
 		}
 		powers := []float64{1, 1, 1, 1, 2, 0.05, 10}[:1+d.chance.IntN(7)]
-		news := func(id ServerID) Listing {
-			l := Listing{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Power: powers[d.chance.IntN(len(powers))]}
+		news := func(id ServerID) Endpoint {
+			l := Endpoint{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Weight: powers[d.chance.IntN(len(powers))]}
 			if d.chanceOf(0.3) {
-				l.Born = d.now - Micros(d.chance.IntN(12*second))
+				l.StartedAt = d.now - Micros(d.chance.IntN(12*second))
 			}
 			return l
 		}
-		var list []Listing
+		var list []Endpoint
 		for range n {
 			list = append(list, news(ServerID(d.chance.Uint64())))
 		}
-		r.Listed(d.now, ListWhole, list)
+		r.UpdateEndpoints(d.now, FullUpdate, list)
 		for round := range rounds {
 			d.now += Micros(d.chance.IntN(second))
 			list = list[:0]
 			for range min(n, 1+d.chance.IntN(most[d.chance.IntN(len(most))])) {
-				l := r.servers[d.chance.IntN(len(r.servers))].Listing
+				l := r.servers[d.chance.IntN(len(r.servers))].Endpoint
 				switch d.chance.IntN(4) {
 				case 0:
 					l.State = Draining
 				case 1:
 					l = news(l.Server)
 				case 2:
-					l.State = Gone
+					l.State = Removed
 				case 3:
 					l = news(ServerID(d.chance.Uint64()))
 				}
 				list = append(list, l)
 			}
-			r.Listed(d.now, ListChanges, list)
-			r.rate, r.fresh = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
+			r.UpdateEndpoints(d.now, IncrementalUpdate, list)
+			r.answerRate, r.freshFor = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range looks {
-				j := &Job{Function: FunctionID(d.chance.IntN(8 + round%40)), Arrived: d.now, Patience: d.now + second}
+				j := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
 				if d.chanceOf(0.1) { // one that may only be repeated in its zone
-					j.Workload, j.Executions = 1, []Execution{{Zone: 1, MayRun: true, Done: true, Sent: d.now}}
+					j.Class, j.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
 				}
 				f := r.function(j)
 				f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
@@ -646,13 +648,13 @@
 				}
 				if f.recent > 1 {
 					hot++
-				} else if two, known := r.firstTwo(d.now, f, j); known && len(two) > 0 {
+				} else if two, known := r.firstTwoByRanking(d.now, f, j); known && len(two) > 0 {
 					told++
 				} else {
 					short++
 				}
 				if got != nil {
-					f.at(got, true).copies++ // the next goes to another of those that come first
+					f.instanceOn(got, true).replicas++ // the next goes to another of those that come first
 				}
 			}
 		}
@@ -665,7 +667,7 @@
 // A ranking has the lowest keys in order, and its bound is the next one.
 func TestRankingKeepsTheLowest(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 1))
-	for n := range 3 * deep {
+	for n := range 3 * rankingLength {
 		for range 40 {
 			keys, k := make([]float64, n), ranking{bound: math.Inf(1)}
 			for i := range keys {
@@ -673,13 +675,13 @@
 				k.add(ServerID(i), keys[i])
 			}
 			sorted := append(slices.Sorted(slices.Values(keys)), math.Inf(1))
-			for i, p := range k.first {
+			for i, p := range k.entries {
 				if p.key != sorted[i] || p.key != keys[p.id] {
-					t.Fatalf("%d keys: got %+v, want %v", n, k.first, sorted)
+					t.Fatalf("%d keys: got %+v, want %v", n, k.entries, sorted)
 				}
 			}
-			if len(k.first) != min(n, deep) || k.bound != sorted[len(k.first)] {
-				t.Fatalf("%d keys: got %d with bound %v of %v", n, len(k.first), k.bound, sorted)
+			if len(k.entries) != min(n, rankingLength) || k.bound != sorted[len(k.entries)] {
+				t.Fatalf("%d keys: got %d with bound %v of %v", n, len(k.entries), k.bound, sorted)
 			}
 		}
 	}
@@ -690,16 +692,16 @@
 	for _, power := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		told := deployment()
 		told.Routers = 300
-		r := Start(0, 1, told)
-		var list []Listing
-		for id := range ServerID(3 * deep) {
-			list = append(list, Listing{Server: id, State: Ready, Power: power})
+		r := New(0, 1, told)
+		var list []Endpoint
+		for id := range ServerID(3 * rankingLength) {
+			list = append(list, Endpoint{Server: id, State: Ready, Weight: power})
 		}
-		r.Listed(at, ListWhole, list)
-		for id := range JobID(10) {
+		r.UpdateEndpoints(at, FullUpdate, list)
+		for id := range RequestID(10) {
 			j := newJob(id)
 			j.Function = FunctionID(id)
-			if p := r.Place(at, j); p.Verb != Send {
+			if p := r.Route(at, j); p.Action != Forward {
 				t.Errorf("power %v: got %+v", power, p)
 			}
 		}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -6,41 +6,41 @@
 )
 
 // sized gives one of many routers with many servers and functions that stand here and there, some with executions out.
-func sized(servers int) *Router {
+func sized(servers int) *Balancer {
 	told := deployment()
 	told.Routers, told.Number = 300, 7
-	told.Workloads[0].TimeLimit = 4 * second
-	r := Start(0, 1, told)
-	list := make([]Listing, servers)
+	told.Classes[0].MaxDeadline = 4 * second
+	r := New(0, 1, told)
+	list := make([]Endpoint, servers)
 	for i := range list {
-		list[i] = Listing{Server: ServerID(mix(1, uint64(i))), State: Ready, Power: 1 + float64(i%4)/2}
+		list[i] = Endpoint{Server: ServerID(hash(1, uint64(i))), State: Ready, Weight: 1 + float64(i%4)/2}
 	}
-	r.Listed(at, ListWhole, list)
+	r.UpdateEndpoints(at, FullUpdate, list)
 	for i := range 512 {
-		f := r.function(&Job{Function: FunctionID(mix(2, uint64(i)))})
+		f := r.function(&Request{Function: FunctionID(hash(2, uint64(i)))})
 		for k := range 2 {
-			in := f.at(r.servers[(i*7+k*31)%servers], true)
-			in.copies, in.used = 1, at
+			in := f.instanceOn(r.servers[(i*7+k*31)%servers], true)
+			in.replicas, in.lastUsed = 1, at
 		}
 	}
 	for i := range 16 {
-		r.Place(at, sizedJob(JobID(i), FunctionID(mix(2, uint64(i)))))
+		r.Route(at, sizedJob(RequestID(i), FunctionID(hash(2, uint64(i)))))
 	}
 	r.latencies.add(at, second)
 	return r
 }
 
-func sizedJob(id JobID, f FunctionID) *Job {
-	return &Job{ID: id, Function: f, Lanes: 2, Work: 100_000, Arrived: at, Patience: at + 4*second}
+func sizedJob(id RequestID, f FunctionID) *Request {
+	return &Request{ID: id, Function: f, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
 // missed places a job of a function that has no copy, and has it told that there was none.
-func missed(b *testing.B, r *Router, j *Job) {
-	p := r.Place(at, j)
-	if p.Verb != Send {
+func missed(b *testing.B, r *Balancer, j *Request) {
+	p := r.Route(at, j)
+	if p.Action != Forward {
 		b.Fatalf("got %+v", p)
 	}
-	r.After(at, j, Outcome{Server: p.Server, Result: Missing, JobOver: true})
+	r.HandleOutcome(at, j, Outcome{Server: p.Server, Result: NotLoaded, RequestDone: true})
 }
 
 // BenchmarkFleetSize holds a router's costs with 3200 servers against those with 200. Only a function never seen before, one that
@@ -49,47 +49,47 @@
 	const known = 256 // functions in turn, so that none draws more than its part
 	for _, c := range []struct {
 		name string
-		run  func(b *testing.B, r *Router, i, servers int)
+		run  func(b *testing.B, r *Balancer, i, servers int)
 	}{
-		{"change", func(_ *testing.B, r *Router, i, _ int) { // drains, leaves, joins again as another start
+		{"change", func(_ *testing.B, r *Balancer, i, _ int) { // drains, leaves, joins again as another start
 			s := r.servers[i/3*37%len(r.servers)]
-			l := s.Listing
-			if l.State = []ServerState{Draining, Gone, Ready}[i%3]; l.State == Ready {
-				l.Born = max(1, l.Born+1)
+			l := s.Endpoint
+			if l.State = []ServerState{Draining, Removed, Ready}[i%3]; l.State == Ready {
+				l.StartedAt = max(1, l.StartedAt+1)
 			}
-			r.Listed(at, ListChanges, []Listing{l})
+			r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{l})
 		}},
-		{"replace", func(_ *testing.B, r *Router, i, servers int) { // a new one for an old one; half as many as stand are remembered as gone
+		{"replace", func(_ *testing.B, r *Balancer, i, servers int) { // a new one for an old one; half as many as stand are remembered as gone
 			now := at + Micros(i)*1200*second/Micros(servers)
-			r.Listed(now, ListChanges, []Listing{{Server: ServerID(mix(1, uint64(i)))}, {Server: ServerID(mix(1, uint64(servers+i))), State: Ready, Power: 1, Born: now}})
-			r.Wait(now)
+			r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))}, {Server: ServerID(hash(1, uint64(servers+i))), State: Ready, Weight: 1, StartedAt: now}})
+			r.Maintain(now)
 		}},
-		{"place-known", func(b *testing.B, r *Router, i, _ int) {
-			missed(b, r, sizedJob(JobID(i), FunctionID(mix(3, uint64(i%known)))))
+		{"place-known", func(b *testing.B, r *Balancer, i, _ int) {
+			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(3, uint64(i%known)))))
 		}},
-		{"place-known-hot", func(b *testing.B, r *Router, i, _ int) {
-			missed(b, r, sizedJob(JobID(i), FunctionID(mix(3, uint64(i%(known/8))))))
+		{"place-known-hot", func(b *testing.B, r *Balancer, i, _ int) {
+			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(3, uint64(i%(known/8))))))
 		}},
-		{"place-never-seen", func(b *testing.B, r *Router, i, _ int) {
-			missed(b, r, sizedJob(JobID(i), FunctionID(mix(4, uint64(i)))))
+		{"place-never-seen", func(b *testing.B, r *Balancer, i, _ int) {
+			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(4, uint64(i)))))
 			if i%1000 == 0 {
-				r.Wait(at)
+				r.Maintain(at)
 			}
 		}},
-		{"upkeep", func(_ *testing.B, r *Router, _, _ int) { r.Wait(at) }},
-		{"upkeep-tenth-cold", func(_ *testing.B, r *Router, i, _ int) {
+		{"upkeep", func(_ *testing.B, r *Balancer, _, _ int) { r.Maintain(at) }},
+		{"upkeep-tenth-cold", func(_ *testing.B, r *Balancer, i, _ int) {
 			if i == 0 {
-				var list []Listing
+				var list []Endpoint
 				for k := 0; k < len(r.servers); k += 10 {
-					l := r.servers[k].Listing
-					l.Born = at - second
+					l := r.servers[k].Endpoint
+					l.StartedAt = at - second
 					list = append(list, l)
 				}
-				r.Listed(at, ListChanges, list)
+				r.UpdateEndpoints(at, IncrementalUpdate, list)
 			}
-			r.Wait(at)
+			r.Maintain(at)
 		}},
-		{"forget", func(_ *testing.B, r *Router, i, _ int) { r.forget(r.servers[i*37%len(r.servers)], at-second) }},
+		{"forget", func(_ *testing.B, r *Balancer, i, _ int) { r.dropInstances(r.servers[i*37%len(r.servers)], at-second) }},
 	} {
 		for _, servers := range []int{200, 3200} {
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -35,22 +35,22 @@
 func (d day) worst() (most float64, at Micros, n int) {
 	const began = 100_000 * second // above any offset
 	told := deployment()
-	told.Routers, told.Cold, told.ColdFrom, told.Fall = d.routers, warmUp, coldFrom, d.fall
-	warm := d.calls / (told.FallMultiple * coldFrom * float64(d.fall) / 1e6) // a warm server's answers a second
+	told.Routers, told.SlowStartDuration, told.SlowStartInitial, told.OverloadWindow = d.routers, warmUp, coldFrom, d.fall
+	warm := d.calls / (told.OverloadFactor * coldFrom * float64(d.fall) / 1e6) // a warm server's answers a second
 	chance := rand.New(rand.NewPCG(1, uint64(d.routers)))
-	routers := make([]*Router, d.routers)
+	routers := make([]*Balancer, d.routers)
 	start := func(i int, now Micros, known bool) {
 		told.Number = i
 		now += d.clock(i)
-		r := Start(now, uint64(i), told)
-		var list []Listing
+		r := New(now, uint64(i), told)
+		var list []Endpoint
 		for id := range usual {
-			list = append(list, Listing{Server: ServerID(id + 1), State: Ready, Power: 1})
+			list = append(list, Endpoint{Server: ServerID(id + 1), State: Ready, Weight: 1})
 		}
 		if known {
-			list = append(list, Listing{Server: usual + 1, State: Ready, Power: 1, Born: began + d.clock(i)})
+			list = append(list, Endpoint{Server: usual + 1, State: Ready, Weight: 1, StartedAt: began + d.clock(i)})
 		}
-		r.Listed(now, ListWhole, list)
+		r.UpdateEndpoints(now, FullUpdate, list)
 		routers[i] = r
 	}
 	for i := range routers {
@@ -65,7 +65,7 @@
 			r := routers[i]
 			now := began + t + d.clock(i)
 			if t == 0 {
-				r.Listed(now, ListChanges, []Listing{{Server: usual + 1, State: Ready, Power: 1, Born: now}})
+				r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: usual + 1, State: Ready, Weight: 1, StartedAt: now}})
 			}
 			answers := usual * warm * float64(step) / 1e6 / float64(d.routers)
 			if t >= 0 {
@@ -75,14 +75,14 @@
 				r.answers = append(r.answers, now)
 			}
 			if t%(second/5) == 0 {
-				r.pool(now)
+				r.updateAnswerRate(now)
 			}
 			if t < 0 {
 				continue
 			}
 			s := r.servers[len(r.servers)-1]
-			for r.coldRoom(now, s) {
-				s.sent = append(s.sent, now)
+			for r.withinSlowStartBudget(now, s) {
+				s.slowStartSends = append(s.slowStartSends, now)
 				sent = append(sent, t)
 			}
 		}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,105 +8,105 @@
 // Snapshot is all that a router knows, in plain values: restored, it decides the same from there on. Functions stand in
 // the order in which they were first seen, and servers by ascending id; each is named by its place there.
 type Snapshot struct {
-	Told      Deployment         `json:"Told"`
-	Chance    uint64             `json:"Chance"`
-	Started   Micros             `json:"Started"`
-	Servers   []ServerSnapshot   `json:"Servers"`
-	Functions []FunctionSnapshot `json:"Functions"`
-	Execs     []Samples          `json:"Execs"`
-	Patience  []Samples          `json:"Patience"`
-	Due       []Micros           `json:"Due"`
-	Latencies Samples            `json:"Latencies"`
-	Loads     Samples            `json:"Loads"`
-	Strain    Samples            `json:"Strain"`
-	Orders    []Micros           `json:"Orders"`
-	Taken     []Micros           `json:"Taken"`
-	Recalls   []Recall           `json:"Recalls"`
-	Notes     []string           `json:"Notes"`
-	Answers   []Micros           `json:"Answers"`
-	Rate      float64            `json:"Rate"`
-	Fresh     Micros             `json:"Fresh"`
-	Waiting   []int              `json:"Waiting"` // places of functions
-	Recent    []int              `json:"Recent"`  // places of functions
-	Tidied    int                `json:"Tidied"`
-	Watching  bool               `json:"Watching"`
+	Deployment    Deployment         `json:"Told"`
+	Random        uint64             `json:"Chance"`
+	StartedAt     Micros             `json:"Started"`
+	Servers       []ServerSnapshot   `json:"Servers"`
+	Functions     []FunctionSnapshot `json:"Functions"`
+	ExecTimes     []Samples          `json:"Execs"`
+	Deadlines     []Samples          `json:"Patience"`
+	QuotaDebt     []Micros           `json:"Due"`
+	Latencies     Samples            `json:"Latencies"`
+	LoadTimes     Samples            `json:"Loads"`
+	Queueing      Samples            `json:"Strain"`
+	LoadCommands  []Micros           `json:"Orders"`
+	Admitted      []Micros           `json:"Taken"`
+	Cancellations []Cancellation     `json:"Recalls"`
+	LogLines      []string           `json:"Notes"`
+	Answers       []Micros           `json:"Answers"`
+	AnswerRate    float64            `json:"Rate"`
+	FreshFor      Micros             `json:"Fresh"`
+	Waiting       []int              `json:"Waiting"` // places of functions
+	Recent        []int              `json:"Recent"`  // places of functions
+	Pruned        int                `json:"Tidied"`
+	Subscribed    bool               `json:"Watching"`
 }
 
 // ServerSnapshot is what is believed of one server.
 type ServerSnapshot struct {
-	Listing    Listing          `json:"Listing"`
-	Listed     bool             `json:"Listed"`
-	Left       Micros           `json:"Left"`
-	Heard      Micros           `json:"Heard"`
-	Flights    []FlightSnapshot `json:"Flights"`
-	Sent       []Micros         `json:"Sent"`
-	Report     Report           `json:"Report"`
-	Reported   Micros           `json:"Reported"`
-	AvoidUntil Micros           `json:"AvoidUntil"`
-	LoadsAfter Micros           `json:"LoadsAfter"`
-	Size       float64          `json:"Size"`
-	Busy       int              `json:"Busy"`
-	Narrowed   Micros           `json:"Narrowed"`
-	Strain     Samples          `json:"Strain"`
-	Suspect    bool             `json:"Suspect"`
-	TrialAt    Micros           `json:"TrialAt"`
-	Setbacks   int              `json:"Setbacks"`
-	Fulls      int              `json:"Fulls"`
-	Breaks     int              `json:"Breaks"`
+	Endpoint           Endpoint           `json:"Listing"`
+	Listed             bool               `json:"Listed"`
+	LastListed         Micros             `json:"Left"`
+	LastAnswer         Micros             `json:"Heard"`
+	InFlight           []InFlightSnapshot `json:"Flights"`
+	SlowStartSends     []Micros           `json:"Sent"`
+	Report             LoadReport         `json:"Report"`
+	ReportedAt         Micros             `json:"Reported"`
+	BackoffUntil       Micros             `json:"AvoidUntil"`
+	LoadsAfter         Micros             `json:"LoadsAfter"`
+	ConcurrencyLimit   float64            `json:"Size"`
+	Running            int                `json:"Busy"`
+	LimitLoweredAt     Micros             `json:"Narrowed"`
+	Queueing           Samples            `json:"Strain"`
+	Ejected            bool               `json:"Suspect"`
+	ProbeAt            Micros             `json:"TrialAt"`
+	Ejections          int                `json:"Setbacks"`
+	Rejections         int                `json:"Fulls"`
+	ConnectionFailures int                `json:"Breaks"`
 }
 
-// FlightSnapshot is one execution that is out, by its job's id.
-type FlightSnapshot struct {
-	Job  JobID       `json:"Job"`
-	No   ExecutionID `json:"No"`
-	Sent Micros      `json:"Sent"`
-	Warm bool        `json:"Warm"`
+// InFlightSnapshot is one execution that is out, by its job's id.
+type InFlightSnapshot struct {
+	Request  RequestID `json:"Job"`
+	Attempt  AttemptID `json:"No"`
+	SentAt   Micros    `json:"Sent"`
+	ToLoaded bool      `json:"Warm"`
 }
 
 // FunctionSnapshot is what is known of one function.
 type FunctionSnapshot struct {
-	ID        FunctionID         `json:"ID"`
-	Lanes     int                `json:"Lanes"`
-	Last      *JobSnapshot       `json:"Last"`
-	Due       int                `json:"Due"`
-	Instances []InstanceSnapshot `json:"Instances"`
-	Execs     Samples            `json:"Execs"`
-	Delays    Samples            `json:"Delays"`
-	Turned    Samples            `json:"Turned"`
-	Held      int                `json:"Held"`
-	Waits     bool               `json:"Waits"`
-	Recent    int                `json:"Recent"`
-	HeldFrom  Micros             `json:"HeldFrom"`
-	Blocked   Micros             `json:"Blocked"`
+	ID          FunctionID         `json:"ID"`
+	Lanes       int                `json:"Lanes"`
+	LastRequest *RequestSnapshot   `json:"Last"`
+	LoadsDue    int                `json:"Due"`
+	Instances   []InstanceSnapshot `json:"Instances"`
+	ExecTimes   Samples            `json:"Execs"`
+	Delays      Samples            `json:"Delays"`
+	Shed        Samples            `json:"Turned"`
+	Held        int                `json:"Held"`
+	Waiting     bool               `json:"Waits"`
+	Recent      int                `json:"Recent"`
+	HeldSince   Micros             `json:"HeldFrom"`
+	BlockedAt   Micros             `json:"Blocked"`
 }
 
 // InstanceSnapshot is a function's copies on one server.
 type InstanceSnapshot struct {
-	Server  ServerID `json:"Server"`
-	Copies  int      `json:"Copies"`
-	Used    Micros   `json:"Used"`
-	Loading int      `json:"Loading"`
-	Since   Micros   `json:"Since"`
-	Out     int      `json:"Out"`
+	Server       ServerID `json:"Server"`
+	Replicas     int      `json:"Copies"`
+	LastUsed     Micros   `json:"Used"`
+	Loading      int      `json:"Loading"`
+	LoadingSince Micros   `json:"Since"`
+	InFlight     int      `json:"Out"`
 }
 
-// JobSnapshot is a job with the notes that a router keeps in it.
-type JobSnapshot struct {
-	Job        Job                 `json:"Job"` // Executions left out
-	Executions []ExecutionSnapshot `json:"Executions"`
-	HeldSince  Micros              `json:"HeldSince"`
-	HeldFor    Micros              `json:"HeldFor"`
-	Held       bool                `json:"Held"`
-	Taken      bool                `json:"Taken"`
-	Begun      Micros              `json:"Begun"`
-	Surplus    bool                `json:"Surplus"`
+// RequestSnapshot is a job with the notes that a router keeps in it.
+type RequestSnapshot struct {
+	Request     Request           `json:"Job"` // Executions left out
+	Attempts    []AttemptSnapshot `json:"Executions"`
+	HeldSince   Micros            `json:"HeldSince"`
+	HeldFor     Micros            `json:"HeldFor"`
+	Held        bool              `json:"Held"`
+	Admitted    bool              `json:"Taken"`
+	FirstSentAt Micros            `json:"Begun"`
+	OverQuota   bool              `json:"Surplus"`
 }
 
-// ExecutionSnapshot is an execution with the notes that a router keeps in it.
-type ExecutionSnapshot struct {
-	Execution Execution `json:"Execution"`
-	Warm      bool      `json:"Warm"`
-	Recall    bool      `json:"Recall"`
+// AttemptSnapshot is an execution with the notes that a router keeps in it.
+type AttemptSnapshot struct {
+	Attempt    Attempt `json:"Execution"`
+	ToLoaded   bool    `json:"Warm"`
+	Cancelling bool    `json:"Recall"`
 }
 
 // Samples are the last few measurements and when they were taken; N counts all there ever were.
@@ -129,28 +129,28 @@
 }
 
 // Snapshot gives the job with its notes.
-func (j *Job) Snapshot() JobSnapshot {
-	s := JobSnapshot{Job: *j, HeldSince: j.heldSince, HeldFor: j.heldFor, Held: j.held, Taken: j.taken, Begun: j.begun, Surplus: j.surplus}
-	s.Job.Executions = nil
-	for _, e := range j.Executions {
-		s.Executions = append(s.Executions, ExecutionSnapshot{e, e.warm, e.recall})
+func (j *Request) Snapshot() RequestSnapshot {
+	s := RequestSnapshot{Request: *j, HeldSince: j.heldSince, HeldFor: j.heldFor, Held: j.held, Admitted: j.admitted, FirstSentAt: j.firstSentAt, OverQuota: j.overQuota}
+	s.Request.Attempts = nil
+	for _, e := range j.Attempts {
+		s.Attempts = append(s.Attempts, AttemptSnapshot{e, e.toLoaded, e.cancelling})
 	}
 	return s
 }
 
 // Restore gives back the job.
-func (s JobSnapshot) Restore() Job {
-	j := s.Job
-	j.heldSince, j.heldFor, j.held, j.taken, j.begun, j.surplus = s.HeldSince, s.HeldFor, s.Held, s.Taken, s.Begun, s.Surplus
-	j.Executions = nil
-	for _, e := range s.Executions {
-		e.Execution.warm, e.Execution.recall = e.Warm, e.Recall
-		j.Executions = append(j.Executions, e.Execution)
+func (s RequestSnapshot) Restore() Request {
+	j := s.Request
+	j.heldSince, j.heldFor, j.held, j.admitted, j.firstSentAt, j.overQuota = s.HeldSince, s.HeldFor, s.Held, s.Admitted, s.FirstSentAt, s.OverQuota
+	j.Attempts = nil
+	for _, e := range s.Attempts {
+		e.Attempt.toLoaded, e.Attempt.cancelling = e.ToLoaded, e.Cancelling
+		j.Attempts = append(j.Attempts, e.Attempt)
 	}
 	return j
 }
 
-func many[T, S any](from []T, f func(T) S) []S {
+func convertAll[T, S any](from []T, f func(T) S) []S {
 	to := make([]S, 0, len(from))
 	for _, t := range from {
 		to = append(to, f(t))
@@ -167,69 +167,69 @@
 }
 
 // Snapshot gives all that the router knows. It shares nothing with the router but the deployment that it was told.
-func (r *Router) Snapshot() *Snapshot {
-	s := &Snapshot{Told: r.told, Chance: uint64(r.chance), Started: r.started, Execs: snapshots(r.execs),
-		Patience: snapshots(r.patience), Due: slices.Clone(r.due), Latencies: r.latencies.snapshot(), Loads: r.loads.snapshot(),
-		Strain: r.strain.snapshot(), Orders: slices.Clone(r.orders), Taken: slices.Clone(r.taken), Recalls: slices.Clone(r.recalls),
-		Notes: slices.Clone(r.notes), Answers: slices.Clone(r.answers), Rate: r.rate, Fresh: r.fresh, Tidied: r.tidied, Watching: r.watching}
+func (r *Balancer) Snapshot() *Snapshot {
+	s := &Snapshot{Deployment: r.deployment, Random: uint64(r.random), StartedAt: r.startedAt, ExecTimes: snapshots(r.execTimes),
+		Deadlines: snapshots(r.deadlines), QuotaDebt: slices.Clone(r.quotaDebt), Latencies: r.latencies.snapshot(), LoadTimes: r.loadTimes.snapshot(),
+		Queueing: r.queueing.snapshot(), LoadCommands: slices.Clone(r.loadCommands), Admitted: slices.Clone(r.admitted), Cancellations: slices.Clone(r.cancellations),
+		LogLines: slices.Clone(r.logLines), Answers: slices.Clone(r.answers), AnswerRate: r.answerRate, FreshFor: r.freshFor, Pruned: r.pruned, Subscribed: r.subscribed}
 	for _, v := range r.servers {
-		s.Servers = append(s.Servers, ServerSnapshot{v.Listing, v.listed, r.lastListed(v), v.heard, many(v.flights, func(f flight) FlightSnapshot {
-			return FlightSnapshot{f.job.ID, f.no, f.sent, f.warm}
-		}), slices.Clone(v.sent), v.report, v.reported, v.avoidUntil, v.loadsAfter, v.size, v.busy, v.narrowed, v.strain.snapshot(),
-			v.suspect, v.trialAt, v.setbacks, v.fulls, v.breaks})
+		s.Servers = append(s.Servers, ServerSnapshot{v.Endpoint, v.listed, r.lastListed(v), v.lastAnswer, convertAll(v.inFlight, func(f inFlightAttempt) InFlightSnapshot {
+			return InFlightSnapshot{f.request.ID, f.attempt, f.sentAt, f.toLoaded}
+		}), slices.Clone(v.slowStartSends), v.report, v.reportedAt, v.backoffUntil, v.loadsAfter, v.concurrencyLimit, v.running, v.limitLoweredAt, v.queueing.snapshot(),
+			v.ejected, v.probeAt, v.ejections, v.rejections, v.connectionFailures})
 	}
-	place := make(map[*function]int, len(r.order))
-	for i, f := range r.order {
+	place := make(map[*function]int, len(r.functionOrder))
+	for i, f := range r.functionOrder {
 		place[f] = i
-		fs := FunctionSnapshot{ID: f.id, Lanes: f.lanes, Due: f.due, Execs: f.execs.snapshot(), Delays: f.delays.snapshot(), Turned: f.turned.snapshot(), Held: f.held, Waits: f.waits,
-			Recent: f.recent, HeldFrom: f.heldFrom, Blocked: f.blocked, Instances: many(f.instances, func(in *instance) InstanceSnapshot {
-				return InstanceSnapshot{in.server.Server, in.copies, in.used, in.loading, in.since, in.out}
+		fs := FunctionSnapshot{ID: f.id, Lanes: f.lanes, LoadsDue: f.loadsDue, ExecTimes: f.execTimes.snapshot(), Delays: f.delays.snapshot(), Shed: f.shed.snapshot(), Held: f.held, Waiting: f.waiting,
+			Recent: f.recent, HeldSince: f.heldSince, BlockedAt: f.blockedAt, Instances: convertAll(f.instances, func(in *instance) InstanceSnapshot {
+				return InstanceSnapshot{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince, in.inFlight}
 			})}
-		if f.last != nil {
-			last := f.last.Snapshot()
-			fs.Last = &last
+		if f.lastRequest != nil {
+			last := f.lastRequest.Snapshot()
+			fs.LastRequest = &last
 		}
 		s.Functions = append(s.Functions, fs)
 	}
 	at := func(f *function) int { return place[f] }
-	s.Recent, s.Waiting = many(r.recent, at), many(r.waiting, at)
+	s.Recent, s.Waiting = convertAll(r.recent, at), convertAll(r.waiting, at)
 	return s
 }
 
 // Restore gives a router that knows what the snapshot holds. Jobs are those in hand, by id: the router keeps its notes in
 // them. An error tells of a snapshot that does not hold together.
-func Restore(s *Snapshot, jobs map[JobID]*Job) (*Router, error) {
-	r := &Router{told: s.Told, chance: pcg(s.Chance), started: s.Started, functions: map[FunctionID]*function{},
-		due: slices.Clone(s.Due), latencies: s.Latencies.restore(), loads: s.Loads.restore(), strain: s.Strain.restore(),
-		orders: slices.Clone(s.Orders), taken: slices.Clone(s.Taken), recalls: slices.Clone(s.Recalls), notes: slices.Clone(s.Notes),
-		answers: slices.Clone(s.Answers), rate: s.Rate, fresh: s.Fresh, tidied: s.Tidied, watching: s.Watching,
-		execs: many(s.Execs, Samples.restore), patience: many(s.Patience, Samples.restore)}
-	if len(r.execs) != len(r.told.Workloads) || len(r.patience) != len(r.told.Workloads) || len(r.due) != len(r.told.Shares) {
-		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", len(r.told.Workloads), len(r.told.Shares))
+func Restore(s *Snapshot, jobs map[RequestID]*Request) (*Balancer, error) {
+	r := &Balancer{deployment: s.Deployment, random: pcg(s.Random), startedAt: s.StartedAt, functions: map[FunctionID]*function{},
+		quotaDebt: slices.Clone(s.QuotaDebt), latencies: s.Latencies.restore(), loadTimes: s.LoadTimes.restore(), queueing: s.Queueing.restore(),
+		loadCommands: slices.Clone(s.LoadCommands), admitted: slices.Clone(s.Admitted), cancellations: slices.Clone(s.Cancellations), logLines: slices.Clone(s.LogLines),
+		answers: slices.Clone(s.Answers), answerRate: s.AnswerRate, freshFor: s.FreshFor, pruned: s.Pruned, subscribed: s.Subscribed,
+		execTimes: convertAll(s.ExecTimes, Samples.restore), deadlines: convertAll(s.Deadlines, Samples.restore)}
+	if len(r.execTimes) != len(r.deployment.Classes) || len(r.deadlines) != len(r.deployment.Classes) || len(r.quotaDebt) != len(r.deployment.Quotas) {
+		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", len(r.deployment.Classes), len(r.deployment.Quotas))
 	}
 	for i, v := range s.Servers {
-		if i > 0 && s.Servers[i-1].Listing.Server >= v.Listing.Server {
+		if i > 0 && s.Servers[i-1].Endpoint.Server >= v.Endpoint.Server {
 			return nil, fmt.Errorf("snapshot: servers are not in ascending order at %d", i)
 		}
-		to := &server{Listing: v.Listing, listed: v.Listed, left: v.Left, heard: v.Heard, sent: slices.Clone(v.Sent), report: v.Report,
-			reported: v.Reported, avoidUntil: v.AvoidUntil, loadsAfter: v.LoadsAfter, size: v.Size, busy: v.Busy, narrowed: v.Narrowed,
-			strain: v.Strain.restore(), suspect: v.Suspect, trialAt: v.TrialAt, setbacks: v.Setbacks, fulls: v.Fulls, breaks: v.Breaks}
-		for _, f := range v.Flights {
-			j := jobs[f.Job]
-			if j == nil || int(f.No) >= len(j.Executions) {
-				return nil, fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", f.No, f.Job)
+		to := &server{Endpoint: v.Endpoint, listed: v.Listed, lastListed: v.LastListed, lastAnswer: v.LastAnswer, slowStartSends: slices.Clone(v.SlowStartSends), report: v.Report,
+			reportedAt: v.ReportedAt, backoffUntil: v.BackoffUntil, loadsAfter: v.LoadsAfter, concurrencyLimit: v.ConcurrencyLimit, running: v.Running, limitLoweredAt: v.LimitLoweredAt,
+			queueing: v.Queueing.restore(), ejected: v.Ejected, probeAt: v.ProbeAt, ejections: v.Ejections, rejections: v.Rejections, connectionFailures: v.ConnectionFailures}
+		for _, f := range v.InFlight {
+			j := jobs[f.Request]
+			if j == nil || int(f.Attempt) >= len(j.Attempts) {
+				return nil, fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", f.Attempt, f.Request)
 			}
-			to.flights = append(to.flights, flight{j, f.No, f.Sent, f.Warm})
+			to.inFlight = append(to.inFlight, inFlightAttempt{j, f.Attempt, f.SentAt, f.ToLoaded})
 		}
 		r.servers = append(r.servers, to)
 	}
 	for _, v := range s.Functions {
-		f := &function{id: v.ID, lanes: v.Lanes, due: v.Due, execs: v.Execs.restore(), delays: v.Delays.restore(), turned: v.Turned.restore(), held: v.Held, waits: v.Waits, recent: v.Recent,
-			heldFrom: v.HeldFrom, blocked: v.Blocked}
-		if v.Last != nil {
-			if f.last = jobs[v.Last.Job.ID]; f.last == nil {
-				last := v.Last.Restore()
-				f.last = &last
+		f := &function{id: v.ID, lanes: v.Lanes, loadsDue: v.LoadsDue, execTimes: v.ExecTimes.restore(), delays: v.Delays.restore(), shed: v.Shed.restore(), held: v.Held, waiting: v.Waiting, recent: v.Recent,
+			heldSince: v.HeldSince, blockedAt: v.BlockedAt}
+		if v.LastRequest != nil {
+			if f.lastRequest = jobs[v.LastRequest.Request.ID]; f.lastRequest == nil {
+				last := v.LastRequest.Restore()
+				f.lastRequest = &last
 			}
 		}
 		for _, in := range v.Instances {
@@ -237,21 +237,21 @@
 			if !known {
 				return nil, fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, in.Server)
 			}
-			f.instances = append(f.instances, &instance{r.servers[i], in.Copies, in.Used, in.Loading, in.Since, in.Out})
+			f.instances = append(f.instances, &instance{r.servers[i], in.Replicas, in.LastUsed, in.Loading, in.LoadingSince, in.InFlight})
 		}
-		r.functions[v.ID], r.order = f, append(r.order, f)
+		r.functions[v.ID], r.functionOrder = f, append(r.functionOrder, f)
 	}
 	for _, list := range []struct {
 		from []int
 		to   *[]*function
 	}{{s.Recent, &r.recent}, {s.Waiting, &r.waiting}} {
 		for _, i := range list.from {
-			if i < 0 || i >= len(r.order) {
-				return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(r.order))
+			if i < 0 || i >= len(r.functionOrder) {
+				return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(r.functionOrder))
 			}
-			*list.to = append(*list.to, r.order[i])
+			*list.to = append(*list.to, r.functionOrder[i])
 		}
 	}
-	r.reindex()
+	r.rebuildIndex()
 	return r, nil
 }
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -12,13 +12,13 @@
 		state, snapshot any
 		renamed         string // state's names that the snapshot gives another way
 	}{
-		{Router{}, Snapshot{}, "order choices index trace"},        // functions stand in their order; choices is room for work, index follows from the rest, trace is a tool's
-		{server{}, ServerSnapshot{}, "weight there doubted holds"}, // of the index
-		{flight{}, FlightSnapshot{}, ""},
+		{Balancer{}, Snapshot{}, "functionOrder candidates index trace"},      // functions stand in their order; candidates is room for work, index follows from the rest, trace is a tool's
+		{server{}, ServerSnapshot{}, "weight present questionable functions"}, // of the index
+		{inFlightAttempt{}, InFlightSnapshot{}, ""},
 		{function{}, FunctionSnapshot{}, "ranking"}, // of the index
 		{instance{}, InstanceSnapshot{}, ""},
-		{Job{}, JobSnapshot{}, "ID Workload Tenant Function Lanes Work LoadTime Arrived Patience Repeat Unmarked"}, // in Job
-		{Execution{}, ExecutionSnapshot{}, "Server Zone Cell Sent Done MayRun"},                                    // in Execution
+		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes Work LoadTime ArrivedAt Deadline IsRetry RetriesUnmarked"}, // in Request
+		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                 // in Attempt
 		{samples{}, Samples{}, ""},
 	} {
 		carried := map[string]bool{}
--- a/control/state.go
+++ b/control/state.go
@@ -7,111 +7,111 @@
 	"slices"
 )
 
-// Router is the state of one router.
-type Router struct {
-	told      Deployment
-	chance    pcg
-	started   Micros
-	servers   []*server // by ascending id
-	functions map[FunctionID]*function
-	order     []*function // as first seen
-	waiting   []*function // for which jobs were held since the last check
-	execs     []samples   // by workload
-	patience  []samples   // by workload
-	due       []Micros    // by tenant: until when its jobs have used up its share
-	latencies samples     // of answers from loaded copies, all servers
-	loads     samples     // how long loads took
-	strain    samples     // queueing on all servers, as a server's
-	orders    []Micros    // orders to load within the ration's window
-	taken     []Micros    // jobs taken within it
-	recalls   []Recall
-	choices   []choice // room for the choice in hand
-	notes     []string
-	answers   []Micros // recent ones, of all servers
-	rate      float64  // see pool
-	fresh     Micros
-	recent    []*function // of the last jobs taken
-	tidied    int         // functions looked at by tidy, in their order
-	watching  bool
-	index     index
-	trace     *Trace // nil but for tools
+// Balancer is the state of one router.
+type Balancer struct {
+	deployment    Deployment
+	random        pcg
+	startedAt     Micros
+	servers       []*server // by ascending id
+	functions     map[FunctionID]*function
+	functionOrder []*function // as first seen
+	waiting       []*function // for which jobs were held since the last check
+	execTimes     []samples   // by workload
+	deadlines     []samples   // by workload
+	quotaDebt     []Micros    // by tenant: until when its jobs have used up its share
+	latencies     samples     // of answers from loaded copies, all servers
+	loadTimes     samples     // how long loads took
+	queueing      samples     // queueing on all servers, as a server's
+	loadCommands  []Micros    // orders to load within the ration's window
+	admitted      []Micros    // jobs taken within it
+	cancellations []Cancellation
+	candidates    []candidate // room for the choice in hand
+	logLines      []string
+	answers       []Micros // recent ones, of all servers
+	answerRate    float64  // see pool
+	freshFor      Micros
+	recent        []*function // of the last jobs taken
+	pruned        int         // functions looked at by tidy, in their order
+	subscribed    bool
+	index         index
+	trace         *Trace // nil but for tools
 }
 
 // server is what a router believes of one server.
 type server struct {
-	Listing
-	listed     bool
-	left       Micros      // when it was last on the list, if it is not there
-	weight     float64     // as the index has it: 0 where it is not ready
-	doubted    bool        // is in the index's doubted
-	there      bool        // as the index has it: not gone
-	holds      []*function // of whose copies there something is known, by id
-	heard      Micros      // last sign that it works
-	flights    []flight
-	sent       []Micros // recent sends, while it is cold
-	report     Report
-	reported   Micros
-	avoidUntil Micros  // after a refusal
-	loadsAfter Micros  // after a refused load
-	size       float64 // of its window: how many executions of ours it bears at once, see fit
-	busy       int     // those that run there, not those that wait for a load
-	narrowed   Micros
-	strain     samples // queueing there, in thousandths of the job's slack
-	suspect    bool
-	trialAt    Micros // when a suspect gets its next job
-	setbacks   int    // times that it was found sick in a row
-	fulls      int    // refusals and errors since it last finished a job
-	breaks     int    // broken connections since then
-}
-
-// choice is a server that may take a load, with its place in a function's order: lowest key first.
-type choice struct {
-	s           *server
+	Endpoint
+	listed             bool
+	lastListed         Micros      // when it was last on the list, if it is not there
+	weight             float64     // as the index has it: 0 where it is not ready
+	questionable       bool        // is in the index's doubted
+	present            bool        // as the index has it: not gone
+	functions          []*function // of whose copies there something is known, by id
+	lastAnswer         Micros      // last sign that it works
+	inFlight           []inFlightAttempt
+	slowStartSends     []Micros // recent sends, while it is cold
+	report             LoadReport
+	reportedAt         Micros
+	backoffUntil       Micros  // after a refusal
+	loadsAfter         Micros  // after a refused load
+	concurrencyLimit   float64 // of its window: how many executions of ours it bears at once, see fit
+	running            int     // those that run there, not those that wait for a load
+	limitLoweredAt     Micros
+	queueing           samples // queueing there, in thousandths of the job's slack
+	ejected            bool
+	probeAt            Micros // when a suspect gets its next job
+	ejections          int    // times that it was found sick in a row
+	rejections         int    // refusals and errors since it last finished a job
+	connectionFailures int    // broken connections since then
+}
+
+// candidate is a server that may take a load, with its place in a function's order: lowest key first.
+type candidate struct {
+	server      *server
 	key, weight float64
 }
 
-// flight is one execution that is out.
-type flight struct {
-	job  *Job
-	no   ExecutionID
-	sent Micros
-	warm bool
+// inFlightAttempt is one execution that is out.
+type inFlightAttempt struct {
+	request  *Request
+	attempt  AttemptID
+	sentAt   Micros
+	toLoaded bool
 }
 
 // function is what a router knows of one function.
 type function struct {
-	id        FunctionID
-	lanes     int
-	last      *Job        // the latest one asked about
-	due       int         // loads that the last check found needed
-	instances []*instance // by ascending server id
-	execs     samples
-	delays    samples // holding here plus queueing there
-	turned    samples // jobs pushed back for want of slack
-	held      int
-	waits     bool   // is in waiting
-	recent    int    // of the last jobs taken, those for it
-	heldFrom  Micros // since when some job has been held
-	blocked   Micros // when a job for it last found no place
-	ranking   ranking
+	id          FunctionID
+	lanes       int
+	lastRequest *Request    // the latest one asked about
+	loadsDue    int         // loads that the last check found needed
+	instances   []*instance // by ascending server id
+	execTimes   samples
+	delays      samples // holding here plus queueing there
+	shed        samples // jobs pushed back for want of slack
+	held        int
+	waiting     bool   // is in waiting
+	recent      int    // of the last jobs taken, those for it
+	heldSince   Micros // since when some job has been held
+	blockedAt   Micros // when a job for it last found no place
+	ranking     ranking
 }
 
 // instance is a function's copies on one server, as believed.
 type instance struct {
-	server  *server
-	copies  int
-	used    Micros // last evidence that they were used
-	loading int
-	since   Micros // when the load began
-	out     int    // our executions there
+	server       *server
+	replicas     int
+	lastUsed     Micros // last evidence that they were used
+	loading      int
+	loadingSince Micros // when the load began
+	inFlight     int    // our executions there
 }
 
-func (r *Router) find(id ServerID) (int, bool) {
+func (r *Balancer) find(id ServerID) (int, bool) {
 	return slices.BinarySearchFunc(r.servers, id,
 		func(s *server, id ServerID) int { return cmp.Compare(s.Server, id) })
 }
 
-func (f *function) at(s *server, add bool) *instance {
+func (f *function) instanceOn(s *server, add bool) *instance {
 	i, ok := slices.BinarySearchFunc(f.instances, s.Server,
 		func(in *instance, id ServerID) int { return cmp.Compare(in.server.Server, id) })
 	if !ok {
@@ -119,50 +119,52 @@
 			return nil
 		}
 		f.instances = slices.Insert(f.instances, i, &instance{server: s})
-		s.hold(f)
+		s.addFunction(f)
 	}
 	return f.instances[i]
 }
 
-// room is the share of a server's window that is free.
-func (s *server) room() float64 {
-	if s.size == 0 {
+// freeShare is the share of a server's window that is free.
+func (s *server) freeShare() float64 {
+	if s.concurrencyLimit == 0 {
 		return 1
 	}
-	return max(0, 1-float64(s.busy)/s.size)
+	return max(0, 1-float64(s.running)/s.concurrencyLimit)
 }
 
-// waiting counts the functions for which our executions on a server began a load or wait for one.
-func (s *server) waiting() int {
+// pendingLoads counts the functions for which our executions on a server began a load or wait for one.
+func (s *server) pendingLoads() int {
 	n := 0
-	for i, fl := range s.flights {
-		same := func(other flight) bool { return !other.warm && other.job.Function == fl.job.Function }
-		if !fl.warm && !slices.ContainsFunc(s.flights[:i], same) {
+	for i, fl := range s.inFlight {
+		same := func(other inFlightAttempt) bool {
+			return !other.toLoaded && other.request.Function == fl.request.Function
+		}
+		if !fl.toLoaded && !slices.ContainsFunc(s.inFlight[:i], same) {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Router) note(format string, args ...any) {
-	r.notes = append(r.notes, fmt.Sprintf(format, args...))
+func (r *Balancer) logf(format string, args ...any) {
+	r.logLines = append(r.logLines, fmt.Sprintf(format, args...))
 }
 
-func (r *Router) function(j *Job) *function {
+func (r *Balancer) function(j *Request) *function {
 	f := r.functions[j.Function]
 	if f == nil {
 		f = &function{id: j.Function}
 		r.functions[j.Function] = f
-		r.order = append(r.order, f)
+		r.functionOrder = append(r.functionOrder, f)
 	}
-	f.lanes, f.last = max(1, j.Lanes), j
+	f.lanes, f.lastRequest = max(1, j.Lanes), j
 	return f
 }
 
-// target is a job's start target, which may grow with its execution time.
-func (r *Router) target(j *Job, exec Micros) Micros {
-	w := r.told.Workloads[j.Workload]
-	return w.StartTarget + Micros(w.Stretch*float64(exec))
+// latencyObjective is a job's start target, which may grow with its execution time.
+func (r *Balancer) latencyObjective(j *Request, exec Micros) Micros {
+	w := r.deployment.Classes[j.Class]
+	return w.LatencyObjective + Micros(w.ObjectivePerWork*float64(exec))
 }
 
 // samples keeps the last few measurements and when they were taken.
@@ -216,8 +218,8 @@
 	return sum / Micros(max(1, len(vs)))
 }
 
-// after drops the times before t from the front of an ascending list.
-func after(times []Micros, t Micros) []Micros {
+// dropBefore drops the times before t from the front of an ascending list.
+func dropBefore(times []Micros, t Micros) []Micros {
 	i := 0
 	for i < len(times) && times[i] < t {
 		i++
@@ -235,11 +237,11 @@
 	return int(uint64(word) * uint64(n) >> 32)
 }
 
-// even spreads two ids over (0, 1].
-func even(a, b uint64) float64 { return (float64(mix(a, b)>>11) + 1) / (1 << 53) }
+// uniform spreads two ids over (0, 1].
+func uniform(a, b uint64) float64 { return (float64(hash(a, b)>>11) + 1) / (1 << 53) }
 
-// mix scrambles two ids into one evenly spread number (the finaliser of SplitMix64).
-func mix(a, b uint64) uint64 {
+// hash scrambles two ids into one evenly spread number (the finaliser of SplitMix64).
+func hash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/control/types.go
+++ b/control/types.go
@@ -5,14 +5,14 @@
 
 // Each kind of id is a type of its own; none carries a meaning.
 type (
-	JobID       uint64
-	ServerID    uint64
-	FunctionID  uint64
-	WorkloadID  uint16
-	TenantID    uint16
-	ZoneID      uint16
-	CellID      uint16
-	ExecutionID uint16
+	RequestID  uint64
+	ServerID   uint64
+	FunctionID uint64
+	ClassID    uint16
+	TenantID   uint16
+	ZoneID     uint16
+	CellID     uint16
+	AttemptID  uint16
 )
 
 // Effect tells what a second execution of a job would do.
@@ -20,9 +20,9 @@
 
 // A restartable job may run again, a fingerprinted one only where its repeat is known, a run-once one never.
 const (
-	Restartable Effect = iota
-	Fingerprinted
-	RunOnce
+	Idempotent Effect = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
 // Scope is the group of servers that drop a fingerprinted job's repeats.
@@ -35,55 +35,55 @@
 	OneCell
 )
 
-// Workload is one row of the table of workloads.
-type Workload struct {
-	StartTarget Micros  `json:"StartTarget"`
-	TimeLimit   Micros  `json:"TimeLimit"` // after which a client gives up, all its tries together
-	Stretch     float64 `json:"Stretch"`   // the start target grows by this multiple of the job's own work
-	Effect      Effect  `json:"Effect"`
-	Scope       Scope   `json:"Scope"`
-	Window      Micros  `json:"Window"` // how long a group drops repeats
+// Class is one row of the table of workloads.
+type Class struct {
+	LatencyObjective Micros  `json:"StartTarget"`
+	MaxDeadline      Micros  `json:"TimeLimit"` // after which a client gives up, all its tries together
+	ObjectivePerWork float64 `json:"Stretch"`   // the start target grows by this multiple of the job's own work
+	Effect           Effect  `json:"Effect"`
+	Scope            Scope   `json:"Scope"`
+	Window           Micros  `json:"Window"` // how long a group drops repeats
 }
 
-// RepeatsAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
-func (w Workload) RepeatsAnywhere() bool {
-	return w.Effect == Restartable || w.Effect == Fingerprinted && w.Scope == WholeFleet
+// SafeToRetryAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
+func (w Class) SafeToRetryAnywhere() bool {
+	return w.Effect == Idempotent || w.Effect == IdempotentByKey && w.Scope == WholeFleet
 }
 
 // Deployment holds what a router is told when it starts.
 type Deployment struct {
-	Routers       int        `json:"Routers"`
-	Number        int        `json:"Number"` // ours among them, from 0
-	Zone          ZoneID     `json:"Zone"`
-	Tick          Micros     `json:"Tick"`
-	Workloads     []Workload `json:"Workloads"`
-	Shares        []float64  `json:"Shares"` // of each tenant: jobs a second within its share, to all routers together
-	MaxExecutions int        `json:"MaxExecutions"`
-	MaxStayAway   Micros     `json:"MaxStayAway"` // longest pause a client heeds; 0 where clients take no advice
-	Cancels       bool       `json:"Cancels"`
-	MarksRepeats  bool       `json:"MarksRepeats"` // clients say when they ask again
-	ListOnRequest bool       `json:"ListOnRequest"`
-	ColdFrom      float64    `json:"ColdFrom"` // share of its capacity with which a server starts
-	Cold          Micros     `json:"Cold"`     // and the time after which it has all of it
-	Fall          Micros     `json:"Fall"`
-	FallMultiple  float64    `json:"FallMultiple"`
-	KeepAlive     Micros     `json:"KeepAlive"` // an idle copy stays at least this long
-	Orders        bool       `json:"Orders"`
-	LoadWindow    Micros     `json:"LoadWindow"` // of the ration of orders to load; 0: no ration
-	LoadFree      float64    `json:"LoadFree"`
-	LoadShare     float64    `json:"LoadShare"`
-	Late          Micros     `json:"Late"`        // how long after it was chosen an order may be written, at most
-	LoadsOnMiss   bool       `json:"LoadsOnMiss"` // a job loads its function where it is missing
+	Routers            int       `json:"Routers"`
+	Number             int       `json:"Number"` // ours among them, from 0
+	Zone               ZoneID    `json:"Zone"`
+	Tick               Micros    `json:"Tick"`
+	Classes            []Class   `json:"Workloads"`
+	Quotas             []float64 `json:"Shares"` // of each tenant: jobs a second within its share, to all routers together
+	MaxAttempts        int       `json:"MaxExecutions"`
+	MaxRetryAfter      Micros    `json:"MaxStayAway"` // longest pause a client heeds; 0 where clients take no advice
+	SupportsCancel     bool      `json:"Cancels"`
+	MarksRetries       bool      `json:"MarksRepeats"` // clients say when they ask again
+	EndpointsOnRequest bool      `json:"ListOnRequest"`
+	SlowStartInitial   float64   `json:"ColdFrom"` // share of its capacity with which a server starts
+	SlowStartDuration  Micros    `json:"Cold"`     // and the time after which it has all of it
+	OverloadWindow     Micros    `json:"Fall"`
+	OverloadFactor     float64   `json:"FallMultiple"`
+	KeepAlive          Micros    `json:"KeepAlive"` // an idle copy stays at least this long
+	LoadCommands       bool      `json:"Orders"`
+	LoadRateWindow     Micros    `json:"LoadWindow"` // of the ration of orders to load; 0: no ration
+	LoadRateBase       float64   `json:"LoadFree"`
+	LoadRatePerRequest float64   `json:"LoadShare"`
+	MaxCommandDelay    Micros    `json:"Late"`        // how long after it was chosen an order may be written, at most
+	LoadsOnMiss        bool      `json:"LoadsOnMiss"` // a job loads its function where it is missing
 }
 
-// Listing is what the list says of one server.
-type Listing struct {
-	Server ServerID    `json:"Server"`
-	State  ServerState `json:"State"`
-	Zone   ZoneID      `json:"Zone"`
-	Cell   CellID      `json:"Cell"`
-	Power  float64     `json:"Power"`
-	Born   Micros      `json:"Born"` // 0: long ago
+// Endpoint is what the list says of one server.
+type Endpoint struct {
+	Server    ServerID    `json:"Server"`
+	State     ServerState `json:"State"`
+	Zone      ZoneID      `json:"Zone"`
+	Cell      CellID      `json:"Cell"`
+	Weight    float64     `json:"Power"`
+	StartedAt Micros      `json:"Born"` // 0: long ago
 }
 
 // ServerState is a server's state on the list.
@@ -91,20 +91,20 @@
 
 // The states.
 const (
-	Gone ServerState = iota
+	Removed ServerState = iota
 	Draining
 	Ready
 )
 
-// ListKind tells what a message about the list holds.
-type ListKind uint8
+// UpdateKind tells what a message about the list holds.
+type UpdateKind uint8
 
 // The kinds: what the router had when it last ran, everything, changes only, nothing.
 const (
-	ListCached ListKind = iota
-	ListWhole
-	ListChanges
-	ListFailed
+	CachedUpdate UpdateKind = iota
+	FullUpdate
+	IncrementalUpdate
+	FailedUpdate
 )
 
 // Result is how an execution, an order or a probe ended.
@@ -112,122 +112,122 @@
 
 // The results. Full, NoConnection, NeverSent and Missing prove that the job did not run.
 const (
-	Finished Result = iota
-	Errored
-	Full
+	Succeeded Result = iota
+	Failed
+	Overloaded
 	TimedOut
-	NoConnection
-	Reset
+	ConnectFailed
+	ConnectionReset
 	Cancelled
-	NeverSent
-	Missing
+	NotSent
+	NotLoaded
 )
 
-// Found is what an answer tells of the copy that it met.
-type Found uint8
+// CacheStatus is what an answer tells of the copy that it met.
+type CacheStatus uint8
 
 // The findings.
 const (
-	Untold Found = iota
-	FoundWarm
-	BeganLoad
-	JoinedLoad
-	LoadFailed
+	CacheUnknown CacheStatus = iota
+	CacheHit
+	CacheMiss
+	CacheLoading
+	CacheLoadFailed
 )
 
-// Report is a server's load report; a negative value was not reported.
-type Report struct {
-	Util   float64 `json:"Util"`   // share of its cores in use
-	Loads  float64 `json:"Loads"`  // loads under way or waiting
-	Pinned float64 `json:"Pinned"` // share of its memory that can't be freed
+// LoadReport is a server's load report; a negative value was not reported.
+type LoadReport struct {
+	Utilization  float64 `json:"Util"`   // share of its cores in use
+	PendingLoads float64 `json:"Loads"`  // loads under way or waiting
+	PinnedMemory float64 `json:"Pinned"` // share of its memory that can't be freed
 }
 
 // Outcome is the end of one execution.
 type Outcome struct {
-	Execution ExecutionID `cbor:"Execution"`
-	Server    ServerID    `cbor:"Server"`
-	Result    Result      `cbor:"Result"`
-	Found     Found       `cbor:"Found"`
-	Took      Micros      `cbor:"Took"`
-	JobOver   bool        `cbor:"JobOver"`
-	Report    *Report     `cbor:"Report"`
+	Attempt     AttemptID   `cbor:"Execution"`
+	Server      ServerID    `cbor:"Server"`
+	Result      Result      `cbor:"Result"`
+	CacheStatus CacheStatus `cbor:"Found"`
+	Duration    Micros      `cbor:"Took"`
+	RequestDone bool        `cbor:"JobOver"`
+	Report      *LoadReport `cbor:"Report"`
 }
 
-// Job is one client's job, kept by the adapter; the router keeps its notes on the job in it.
-type Job struct {
-	ID       JobID      `json:"ID"`
-	Workload WorkloadID `json:"Workload"`
-	Tenant   TenantID   `json:"Tenant"`
-	Function FunctionID `json:"Function"`
-	Lanes    int        `json:"Lanes"`
-	Work     Micros     `json:"Work"`     // hint; 0: none
-	LoadTime Micros     `json:"LoadTime"` // hint; 0: none
-	Arrived  Micros     `json:"Arrived"`
-	Patience Micros     `json:"Patience"` // when its client gives up
-	Repeat   bool       `json:"Repeat"`   // the client says that it asks again
-	Unmarked bool       `json:"Unmarked"` // this client never says so, whatever is told of clients
-
-	Executions []Execution `json:"Executions"`
-	heldSince  Micros
-	heldFor    Micros
-	held       bool
-	taken      bool
-	begun      Micros // when its client first asked
-	surplus    bool   // beyond its tenant's share
+// Request is one client's job, kept by the adapter; the router keeps its notes on the job in it.
+type Request struct {
+	ID              RequestID  `json:"ID"`
+	Class           ClassID    `json:"Workload"`
+	Tenant          TenantID   `json:"Tenant"`
+	Function        FunctionID `json:"Function"`
+	Lanes           int        `json:"Lanes"`
+	Work            Micros     `json:"Work"`     // hint; 0: none
+	LoadTime        Micros     `json:"LoadTime"` // hint; 0: none
+	ArrivedAt       Micros     `json:"Arrived"`
+	Deadline        Micros     `json:"Patience"` // when its client gives up
+	IsRetry         bool       `json:"Repeat"`   // the client says that it asks again
+	RetriesUnmarked bool       `json:"Unmarked"` // this client never says so, whatever is told of clients
+
+	Attempts    []Attempt `json:"Executions"`
+	heldSince   Micros
+	heldFor     Micros
+	held        bool
+	admitted    bool
+	firstSentAt Micros // when its client first asked
+	overQuota   bool   // beyond its tenant's share
 }
 
-// Execution is one sending of a job.
-type Execution struct {
-	Server ServerID `json:"Server"`
-	Zone   ZoneID   `json:"Zone"`
-	Cell   CellID   `json:"Cell"`
-	Sent   Micros   `json:"Sent"`
-	Done   bool     `json:"Done"`
-	MayRun bool     `json:"MayRun"` // false once it is proven not to have run
-	warm   bool     // sent to a copy believed loaded
-	recall bool
+// Attempt is one sending of a job.
+type Attempt struct {
+	Server     ServerID `json:"Server"`
+	Zone       ZoneID   `json:"Zone"`
+	Cell       CellID   `json:"Cell"`
+	SentAt     Micros   `json:"Sent"`
+	Done       bool     `json:"Done"`
+	MayHaveRun bool     `json:"MayRun"` // false once it is proven not to have run
+	toLoaded   bool     // sent to a copy believed loaded
+	cancelling bool
 }
 
-// Verb is what is to be done with a job.
-type Verb uint8
+// Action is what is to be done with a job.
+type Action uint8
 
 // The verbs. Nothing: the job is over, or an execution is still out.
 const (
-	Nothing Verb = iota
-	Send
+	NoAction Action = iota
+	Forward
 	Hold
-	PushBack
-	Kill
+	Reject
+	Fail
 )
 
-// Placement answers where a job goes, or not yet, or never.
-type Placement struct {
-	Verb     Verb     `json:"Verb"`
-	Server   ServerID `json:"Server"`   // of Send
-	Allow    Micros   `json:"Allow"`    // of Send: the execution's time-out
-	Rank     Micros   `json:"Rank"`     // of Hold: lowest leaves first
-	Again    Micros   `json:"Again"`    // of Hold: ask again then at the latest
-	StayAway Micros   `json:"StayAway"` // of PushBack: advice to the client
-	Orders   []Order  `json:"Orders"`   // to be given before the job goes
+// Decision answers where a job goes, or not yet, or never.
+type Decision struct {
+	Action       Action        `json:"Verb"`
+	Server       ServerID      `json:"Server"`   // of Send
+	Timeout      Micros        `json:"Allow"`    // of Send: the execution's time-out
+	Rank         Micros        `json:"Rank"`     // of Hold: lowest leaves first
+	RecheckAt    Micros        `json:"Again"`    // of Hold: ask again then at the latest
+	RetryAfter   Micros        `json:"StayAway"` // of PushBack: advice to the client
+	LoadCommands []LoadCommand `json:"Orders"`   // to be given before the job goes
 }
 
-// Order tells a server to hold copies of a function; with none it only asks how many stand.
-type Order struct {
+// LoadCommand tells a server to hold copies of a function; with none it only asks how many stand.
+type LoadCommand struct {
 	Server   ServerID   `json:"Server"`
 	Function FunctionID `json:"Function"`
-	Copies   int        `json:"Copies"`
+	Replicas int        `json:"Copies"`
 }
 
-// Recall names an execution to call off.
-type Recall struct {
-	Job       JobID       `json:"Job"`
-	Execution ExecutionID `json:"Execution"`
+// Cancellation names an execution to call off.
+type Cancellation struct {
+	Request RequestID `json:"Job"`
+	Attempt AttemptID `json:"Execution"`
 }
 
-// Upkeep answers how long to wait, and what falls due now beside the jobs.
-type Upkeep struct {
-	Next      Micros
-	Recalls   []Recall
-	Subscribe bool
-	Notes     []string // for the log
+// Maintenance answers how long to wait, and what falls due now beside the jobs.
+type Maintenance struct {
+	Next               Micros
+	Cancellations      []Cancellation
+	SubscribeEndpoints bool
+	LogLines           []string // for the log
 }
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -81,24 +81,24 @@
 func Broken(written bool, why Cut) control.Result {
 	switch {
 	case !written:
-		return control.NeverSent
+		return control.NotSent
 	case why == Refused:
-		return control.NoConnection
+		return control.ConnectFailed
 	case why == Aborted:
 		return control.Cancelled
 	case why == Late:
 		return control.TimedOut
 	}
-	return control.Reset
+	return control.ConnectionReset
 }
 
 // Undialled tells what it means that no connection came about: nothing is known of the server where the sending was withdrawn
 // meanwhile, or waited for its turn to dial.
 func Undialled(s Stage, waited bool) control.Result {
 	if waited || s == Withdrawn {
-		return control.NeverSent
+		return control.NotSent
 	}
-	return control.NoConnection
+	return control.ConnectFailed
 }
 
 // Answer is a job's one final answer, and what is still out for it.
@@ -131,9 +131,9 @@
 func (a *Answer) Ended(r control.Result) Delivery {
 	a.Out--
 	switch {
-	case a.Given && r == control.Finished:
+	case a.Given && r == control.Succeeded:
 		return Drop
-	case r == control.Finished:
+	case r == control.Succeeded:
 		return Deliver
 	}
 	return Ask
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -27,11 +27,11 @@
 // Only what was not written, or came from nobody who believed us, is proved not to have run.
 func TestWhatBreaksProve(t *testing.T) {
 	for why, want := range map[Cut]bool{Lost: false, Aborted: false, Late: false, Refused: true} {
-		if Broken(true, why).ProvesUnrun() != want || !Broken(false, why).ProvesUnrun() {
+		if Broken(true, why).ProvesNotRun() != want || !Broken(false, why).ProvesNotRun() {
 			t.Errorf("%d: %v, %v", why, Broken(true, why), Broken(false, why))
 		}
 	}
-	if r := Undialled(Chosen, true); r != control.NeverSent {
+	if r := Undialled(Chosen, true); r != control.NotSent {
 		t.Errorf("waited for its turn to dial: %v tells something of the server", r)
 	}
 }
@@ -43,7 +43,7 @@
 	if !a.Give() || a.Give() || a.Over() {
 		t.Errorf("%+v", a)
 	}
-	if d := a.Ended(control.Finished); d != Drop || !a.Over() {
+	if d := a.Ended(control.Succeeded); d != Drop || !a.Over() {
 		t.Errorf("%v, %+v", d, a)
 	}
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -40,7 +40,7 @@
 	policy  Policy
 	told    control.Deployment
 	chance  *rand.Rand
-	servers []control.Listing // ready ones, by id
+	servers []control.Endpoint // ready ones, by id
 	out     map[control.ServerID]int
 	all     int // of out
 	holds   map[control.FunctionID]map[control.ServerID]bool
@@ -49,21 +49,21 @@
 // checkEvery is when a job that no server could be had for is asked about again.
 const checkEvery = control.Micros(50_000)
 
-// Listed takes in the list.
-func (d *decider) Listed(_ control.Micros, kind control.ListKind, list []control.Listing) {
-	if kind == control.ListFailed {
+// UpdateEndpoints takes in the list.
+func (d *decider) UpdateEndpoints(_ control.Micros, kind control.UpdateKind, list []control.Endpoint) {
+	if kind == control.FailedUpdate {
 		return
 	}
-	if kind != control.ListChanges {
+	if kind != control.IncrementalUpdate {
 		d.servers = nil
 	}
 	for _, l := range list {
-		d.servers = slices.DeleteFunc(d.servers, func(s control.Listing) bool { return s.Server == l.Server })
+		d.servers = slices.DeleteFunc(d.servers, func(s control.Endpoint) bool { return s.Server == l.Server })
 		if l.State == control.Ready {
 			d.servers = append(d.servers, l)
 		}
 	}
-	slices.SortFunc(d.servers, func(a, b control.Listing) int {
+	slices.SortFunc(d.servers, func(a, b control.Endpoint) int {
 		if a.Server < b.Server {
 			return -1
 		}
@@ -72,56 +72,56 @@
 }
 
 // Rank is the order of arrival.
-func (d *decider) Rank(_ control.Micros, j *control.Job) control.Micros { return j.Arrived }
+func (d *decider) Rank(_ control.Micros, j *control.Request) control.Micros { return j.ArrivedAt }
 
 // candidates are the servers that may have a job: warm ones, else cold ones.
-func (d *decider) candidates(now control.Micros) []control.Listing {
-	warm := slices.DeleteFunc(slices.Clone(d.servers), func(s control.Listing) bool { return s.Born > 0 && now < s.Born+d.told.Cold })
+func (d *decider) candidates(now control.Micros) []control.Endpoint {
+	warm := slices.DeleteFunc(slices.Clone(d.servers), func(s control.Endpoint) bool { return s.StartedAt > 0 && now < s.StartedAt+d.told.SlowStartDuration })
 	if len(warm) > 0 {
 		return warm
 	}
 	return nil // cold ones would be pushed over by policies that count nothing
 }
 
-// Place answers where to send a job.
-func (d *decider) Place(now control.Micros, j *control.Job) control.Placement {
-	w := d.told.Workloads[j.Workload]
-	for _, e := range j.Executions {
+// Route answers where to send a job.
+func (d *decider) Route(now control.Micros, j *control.Request) control.Decision {
+	w := d.told.Classes[j.Class]
+	for _, e := range j.Attempts {
 		if !e.Done {
-			return control.Placement{Verb: control.Nothing}
+			return control.Decision{Action: control.NoAction}
 		}
-		if e.MayRun && w.Effect != control.Restartable {
-			if w.Effect == control.Fingerprinted && w.Scope == control.WholeFleet {
-				return control.Placement{Verb: control.PushBack, StayAway: d.told.MaxStayAway}
+		if e.MayHaveRun && w.Effect != control.Idempotent {
+			if w.Effect == control.IdempotentByKey && w.Scope == control.WholeFleet {
+				return control.Decision{Action: control.Reject, RetryAfter: d.told.MaxRetryAfter}
 			}
-			return control.Placement{Verb: control.Kill}
+			return control.Decision{Action: control.Fail}
 		}
 	}
-	last := j.Patience - 4*d.told.Tick
-	if now >= last || len(j.Executions) >= d.told.MaxExecutions {
-		return control.Placement{Verb: control.PushBack, StayAway: d.told.MaxStayAway}
+	last := j.Deadline - 4*d.told.Tick
+	if now >= last || len(j.Attempts) >= d.told.MaxAttempts {
+		return control.Decision{Action: control.Reject, RetryAfter: d.told.MaxRetryAfter}
 	}
 	cs := d.candidates(now)
 	if len(cs) == 0 {
-		return control.Placement{Verb: control.Hold, Rank: j.Arrived, Again: min(last, now+checkEvery)}
+		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(last, now+checkEvery)}
 	}
 	s := d.pick(cs, j)
-	j.Executions = append(j.Executions, control.Execution{Server: s.Server, Zone: s.Zone, Cell: s.Cell, Sent: now, MayRun: true})
+	j.Attempts = append(j.Attempts, control.Attempt{Server: s.Server, Zone: s.Zone, Cell: s.Cell, SentAt: now, MayHaveRun: true})
 	d.out[s.Server]++
 	d.all++
-	return control.Placement{Verb: control.Send, Server: s.Server, Allow: j.Patience - now}
+	return control.Decision{Action: control.Forward, Server: s.Server, Timeout: j.Deadline - now}
 }
 
-func (d *decider) pick(cs []control.Listing, j *control.Job) control.Listing {
-	any := func() control.Listing { return cs[d.chance.IntN(len(cs))] }
+func (d *decider) pick(cs []control.Endpoint, j *control.Request) control.Endpoint {
+	any := func() control.Endpoint { return cs[d.chance.IntN(len(cs))] }
 	switch d.policy {
 	case Least:
 		return d.least(cs)
 	case PowerOfTwo:
-		return d.least([]control.Listing{any(), any()})
+		return d.least([]control.Endpoint{any(), any()})
 	case BoundedHash:
 		bound := 1 + 5*(d.all+1)/(4*len(cs))
-		slices.SortFunc(cs, func(a, b control.Listing) int {
+		slices.SortFunc(cs, func(a, b control.Endpoint) int {
 			if weight(j.Function, a.Server) > weight(j.Function, b.Server) {
 				return -1
 			}
@@ -134,7 +134,7 @@
 		}
 		return cs[0]
 	case FirstMiss:
-		held := slices.DeleteFunc(slices.Clone(cs), func(s control.Listing) bool { return !d.holds[j.Function][s.Server] })
+		held := slices.DeleteFunc(slices.Clone(cs), func(s control.Endpoint) bool { return !d.holds[j.Function][s.Server] })
 		if len(held) > 0 {
 			return d.least(held)
 		}
@@ -149,7 +149,7 @@
 }
 
 // least is the one with the fewest of ours outstanding; of several any.
-func (d *decider) least(cs []control.Listing) control.Listing {
+func (d *decider) least(cs []control.Endpoint) control.Endpoint {
 	best, ties := cs[0], 0
 	for _, s := range cs {
 		switch {
@@ -172,38 +172,38 @@
 	return xxhash.Sum64(b[:])
 }
 
-// After takes in how an execution ended.
-func (d *decider) After(now control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	e := &j.Executions[o.Execution]
-	e.Done, e.MayRun = true, !o.Result.ProvesUnrun()
+// HandleOutcome takes in how an execution ended.
+func (d *decider) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	e := &j.Attempts[o.Attempt]
+	e.Done, e.MayHaveRun = true, !o.Result.ProvesNotRun()
 	d.out[o.Server]--
 	d.all--
 	switch o.Result {
-	case control.Finished:
-	case control.Reset, control.NoConnection:
+	case control.Succeeded:
+	case control.ConnectionReset, control.ConnectFailed:
 		for _, held := range d.holds {
 			delete(held, o.Server)
 		}
 	default:
 		delete(d.holds[j.Function], o.Server)
 	}
-	if o.JobOver {
-		return control.Placement{Verb: control.Nothing}
+	if o.RequestDone {
+		return control.Decision{Action: control.NoAction}
 	}
-	if o.Result == control.Full { // at once again would only ask all of them in turn
-		return control.Placement{Verb: control.Hold, Rank: j.Arrived, Again: min(j.Patience-4*d.told.Tick, now+checkEvery)}
+	if o.Result == control.Overloaded { // at once again would only ask all of them in turn
+		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(j.Deadline-4*d.told.Tick, now+checkEvery)}
 	}
-	return d.Place(now, j)
+	return d.Route(now, j)
 }
 
-// Left does nothing.
-func (d *decider) Left(control.Micros, *control.Job) {}
+// Cancel does nothing.
+func (d *decider) Cancel(control.Micros, *control.Request) {}
 
-// Loaded does nothing: these policies give no orders.
-func (d *decider) Loaded(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
+// HandleLoadResult does nothing: these policies give no orders.
+func (d *decider) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
 }
 
-// Wait asks for nothing.
-func (d *decider) Wait(now control.Micros) control.Upkeep {
-	return control.Upkeep{Next: now + 1_000_000}
+// Maintain asks for nothing.
+func (d *decider) Maintain(now control.Micros) control.Maintenance {
+	return control.Maintenance{Next: now + 1_000_000}
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -10,27 +10,27 @@
 const second = control.Micros(1_000_000)
 
 func decide(p Policy, effect control.Effect) core.Decider {
-	d := New(p)(second, 1, control.Deployment{Tick: 4_000, MaxExecutions: 3, Cold: 4 * second, MaxStayAway: second,
-		Workloads: []control.Workload{{StartTarget: second, TimeLimit: 4 * second, Effect: effect}}})
-	d.Listed(second, control.ListWhole, []control.Listing{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
-		{Server: 4, State: control.Ready, Born: second}})
+	d := New(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
+		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Effect: effect}}})
+	d.UpdateEndpoints(second, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
+		{Server: 4, State: control.Ready, StartedAt: second}})
 	return d
 }
 
-func job(id control.JobID) *control.Job {
-	return &control.Job{ID: id, Function: 7, Arrived: second, Patience: 4 * second}
+func job(id control.RequestID) *control.Request {
+	return &control.Request{ID: id, Function: 7, ArrivedAt: second, Deadline: 4 * second}
 }
 
 // No policy sends to a server that drains or is cold, and none sends in vain once a job can't end in time.
 func TestOnlySoundServers(t *testing.T) {
 	for p := range Names {
-		d := decide(Policy(p), control.Restartable)
+		d := decide(Policy(p), control.Idempotent)
 		for i := range 200 {
-			if got := d.Place(2*second, job(control.JobID(i))); got.Verb != control.Send || got.Server > 2 {
+			if got := d.Route(2*second, job(control.RequestID(i))); got.Action != control.Forward || got.Server > 2 {
 				t.Fatalf("%s: %+v", Names[p], got)
 			}
 		}
-		if got := d.Place(4*second-5_000, job(999)); got.Verb != control.PushBack {
+		if got := d.Route(4*second-5_000, job(999)); got.Action != control.Reject {
 			t.Errorf("%s: %+v", Names[p], got)
 		}
 	}
@@ -38,10 +38,10 @@
 
 // What may have run is sent again only if it is restartable.
 func TestNothingRunsTwice(t *testing.T) {
-	for effect, want := range map[control.Effect]control.Verb{control.Restartable: control.Send, control.Fingerprinted: control.PushBack, control.RunOnce: control.Kill} {
+	for effect, want := range map[control.Effect]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
 		d, j := decide(Least, effect), job(1)
-		p := d.Place(2*second, j)
-		if got := d.After(2*second, j, control.Outcome{Server: p.Server, Result: control.Reset}); got.Verb != want {
+		p := d.Route(2*second, j)
+		if got := d.HandleOutcome(2*second, j, control.Outcome{Server: p.Server, Result: control.ConnectionReset}); got.Action != want {
 			t.Errorf("%d: %+v", effect, got)
 		}
 	}
@@ -50,9 +50,9 @@
 // Each policy chooses as its name says.
 func TestChoices(t *testing.T) {
 	count := func(p Policy) (of [5]int) {
-		d := decide(p, control.Restartable)
+		d := decide(p, control.Idempotent)
 		for i := range 100 {
-			of[d.Place(2*second, job(control.JobID(i))).Server]++
+			of[d.Route(2*second, job(control.RequestID(i))).Server]++
 		}
 		return of
 	}
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -95,7 +95,7 @@
 type Answer struct {
 	ID      ID
 	Result  control.Result
-	Found   control.Found
+	Found   control.CacheStatus
 	Copies  int                // that stand, of an order; -1: not told
 	Reports map[string]float64 // by the simulator's names; nil: none
 	Body    []byte
@@ -110,8 +110,8 @@
 	ErrCheck  = errors.New("an answer's check does not match")
 )
 
-var found = map[string]control.Found{
-	"resident": control.FoundWarm, "booted": control.BeganLoad, "rode": control.JoinedLoad, "boot_error": control.LoadFailed,
+var found = map[string]control.CacheStatus{
+	"resident": control.CacheHit, "booted": control.CacheMiss, "rode": control.CacheLoading, "boot_error": control.CacheLoadFailed,
 }
 
 // Read reads one answer. Begun is called when its first byte is here.
@@ -133,15 +133,15 @@
 	a := &Answer{ID: ID(binary.BigEndian.Uint64(head[8:])), Copies: -1}
 	switch head[1] {
 	case codeOK:
-		a.Result = control.Finished
+		a.Result = control.Succeeded
 	case codeMiss:
-		a.Result = control.Missing
+		a.Result = control.NotLoaded
 	case codeFull:
-		a.Result = control.Full
+		a.Result = control.Overloaded
 	case codeError:
-		a.Result = control.Errored
+		a.Result = control.Failed
 	case codeOver:
-		a.Result = control.NeverSent
+		a.Result = control.NotSent
 	case codeUp, codeReports:
 		a.Probe = true
 	default:
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -45,10 +45,10 @@
 }
 
 func TestReadsAnswers(t *testing.T) {
-	for code, want := range map[byte]control.Result{codeOK: control.Finished, codeMiss: control.Missing, codeFull: control.Full,
-		codeError: control.Errored, codeOver: control.NeverSent} {
+	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded, codeFull: control.Overloaded,
+		codeError: control.Failed, codeOver: control.NotSent} {
 		a, err := read1(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
-		if err != nil || a.ID != 7 || a.Result != want || a.Found != control.JoinedLoad || a.Copies != 3 || a.Reports["util"] != 0.61 ||
+		if err != nil || a.ID != 7 || a.Result != want || a.Found != control.CacheLoading || a.Copies != 3 || a.Reports["util"] != 0.61 ||
 			string(a.Body) != "x" {
 			t.Errorf("code %d: %+v, %v", code, a, err)
 		}
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -45,7 +45,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-var states = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Gone}
+var states = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Removed}
 
 // State is the list as told so far. Its zero value knows nothing.
 type State struct {
@@ -185,7 +185,7 @@
 		}
 		if !listed {
 			is = was
-			is.State = control.Gone
+			is.State = control.Removed
 		}
 		changed = append(changed, is)
 	}
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -91,7 +91,7 @@
 		clear(list)
 	}
 	for _, e := range news.Entries {
-		if list[e.Name] = e; e.State == control.Gone {
+		if list[e.Name] = e; e.State == control.Removed {
 			delete(list, e.Name)
 		}
 	}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,21 +9,21 @@
 // crowded gives a core that knows 80 servers and 1000 functions, each with a job. Two on each server wait behind
 // loads and the rest is held, as when a fleet comes back empty.
 func crowded() (*Core, control.Micros) {
-	told := control.Deployment{Routers: 3, Tick: 4000, MaxExecutions: 3, Cancels: true, Fall: 1_000_000, KeepAlive: 60_000_000,
-		Orders: true, LoadsOnMiss: true, Workloads: []control.Workload{{StartTarget: 1_000_000, TimeLimit: 60_000_000}}}
+	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
+		LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
-	c := New(control.Start(1, 1, told), Silent{})
-	list := make([]control.Listing, servers)
+	c := New(control.New(1, 1, told), Silent{})
+	list := make([]control.Endpoint, servers)
 	for i := range list {
-		list[i] = control.Listing{Server: control.ServerID(i + 1), State: control.Ready, Power: 1}
+		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
 	}
 	now := control.Micros(1_000_000_000)
-	c.Listed(now, control.ListWhole, list)
+	c.UpdateEndpoints(now, control.FullUpdate, list)
 	for i := range functions {
-		c.Arrived(now, control.Job{ID: control.JobID(i), Function: control.FunctionID(i), Lanes: 1, Arrived: now, Patience: now + 1<<50})
+		c.Arrived(now, control.Request{ID: control.RequestID(i), Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
 	}
 	c.Turn(now)
-	for i := control.JobID(0); c.Held() > held; i++ {
+	for i := control.RequestID(0); c.Held() > held; i++ {
 		c.Left(now, functions-1-i)
 		c.Turn(now)
 	}
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -49,10 +49,10 @@
 // hear has a router take in what differs, whole where it is told whole.
 func hear(now control.Micros, c *driven, f *fleet.Fleet, news fleet.Update) {
 	if news.Whole {
-		c.Listed(now, control.ListWhole, f.Whole(now, news.Entries))
+		c.UpdateEndpoints(now, control.FullUpdate, f.Whole(now, news.Entries))
 		return
 	}
-	c.Listed(now, control.ListChanges, f.Changes(now, news.Entries))
+	c.UpdateEndpoints(now, control.IncrementalUpdate, f.Changes(now, news.Entries))
 }
 
 // known is what a router believes. Whether a server that is gone was named by the last list changes no decision.
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	for i := range s.Module.Servers {
-		s.Module.Servers[i].Listed = s.Module.Servers[i].Listing.State != control.Gone
+		s.Module.Servers[i].Listed = s.Module.Servers[i].Endpoint.State != control.Removed
 	}
 	return s
 }
@@ -70,13 +70,13 @@
 // A router that hears what changed believes and decides what one does that hears the complete list at each event.
 func TestChangesAreAsCompleteLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, next, told := control.Micros(10_000_000), control.JobID(0), anyDeployment(t)
+		now, next, told := control.Micros(10_000_000), control.RequestID(0), anyDeployment(t)
 		var both [2]*driven
 		fleets := [2]*fleet.Fleet{fleet.New(1_000_000), fleet.New(1_000_000)}
 		oneClock := rapid.Bool().Draw(t, "one clock")
 		for i := range both {
 			both[i] = &driven{}
-			both[i].Core = New(control.Start(now, 7, told), both[i])
+			both[i].Core = New(control.New(now, 7, told), both[i])
 			if oneClock {
 				fleets[i].OneClock()
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,27 +17,27 @@
 
 // Decider is what the core asks. control.Router is the one that serves; a laboratory may put a baseline in its place.
 type Decider interface {
-	Listed(now control.Micros, kind control.ListKind, list []control.Listing)
-	Rank(now control.Micros, j *control.Job) control.Micros
-	Place(now control.Micros, j *control.Job) control.Placement
-	After(now control.Micros, j *control.Job, o control.Outcome) control.Placement
-	Left(now control.Micros, j *control.Job)
-	Loaded(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int)
-	Wait(now control.Micros) control.Upkeep
+	UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint)
+	Rank(now control.Micros, j *control.Request) control.Micros
+	Route(now control.Micros, j *control.Request) control.Decision
+	HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision
+	Cancel(now control.Micros, j *control.Request)
+	HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int)
+	Maintain(now control.Micros) control.Maintenance
 }
 
 // Outlet carries out what the module answers, within the turn and in the order asked. No method may block or call
 // back into the core.
 type Outlet interface {
 	// Send starts an execution, numbered from 0 for each job, that may take up to allow.
-	Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros)
+	Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros)
 	// PushBack and Kill give a job its final answer.
-	PushBack(id control.JobID, stayAway control.Micros)
-	Kill(id control.JobID)
+	PushBack(id control.RequestID, stayAway control.Micros)
+	Kill(id control.RequestID)
 	// CallOff stops waiting for an execution; its outcome is still to be reported.
-	CallOff(id control.JobID, no control.ExecutionID)
+	CallOff(id control.RequestID, no control.AttemptID)
 	// Order orders copies for the sake of a job.
-	Order(j *control.Job, o control.Order)
+	Order(j *control.Request, o control.LoadCommand)
 	// Subscribe asks for changes of the list, Note writes a line in the log.
 	Subscribe()
 	Note(text string)
@@ -49,19 +49,19 @@
 type Silent struct{}
 
 // Send and the others do nothing.
-func (Silent) Send(*control.Job, control.ExecutionID, control.ServerID, control.Micros) {}
+func (Silent) Send(*control.Request, control.AttemptID, control.ServerID, control.Micros) {}
 
 // PushBack does nothing.
-func (Silent) PushBack(control.JobID, control.Micros) {}
+func (Silent) PushBack(control.RequestID, control.Micros) {}
 
 // Kill does nothing.
-func (Silent) Kill(control.JobID) {}
+func (Silent) Kill(control.RequestID) {}
 
 // CallOff does nothing.
-func (Silent) CallOff(control.JobID, control.ExecutionID) {}
+func (Silent) CallOff(control.RequestID, control.AttemptID) {}
 
 // Order does nothing.
-func (Silent) Order(*control.Job, control.Order) {}
+func (Silent) Order(*control.Request, control.LoadCommand) {}
 
 // Subscribe does nothing.
 func (Silent) Subscribe() {}
@@ -75,10 +75,10 @@
 // Tape hears all that a core hears and does, in order, before the core acts on it.
 type Tape interface {
 	Outlet
-	Listed(kind control.ListKind, list []control.Listing)
-	Arrived(job control.Job)
-	Answered(id control.JobID, o control.Outcome)
-	Left(id control.JobID)
+	Listed(kind control.UpdateKind, list []control.Endpoint)
+	Arrived(job control.Request)
+	Answered(id control.RequestID, o control.Outcome)
+	Left(id control.RequestID)
 	Loaded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int)
 	// Turned ends a turn, with all that was asked of the outlet in it.
 	Turned(now control.Micros)
@@ -89,7 +89,7 @@
 	ask   Decider
 	out   Outlet
 	tape  Tape // nil: none
-	jobs  map[control.JobID]*inHand
+	jobs  map[control.RequestID]*inHand
 	held  []*inHand
 	spare []*inHand      // the other array for held, so that a turn allocates none
 	next  control.Micros // upkeep falls due
@@ -98,7 +98,7 @@
 
 // inHand is a job, or what is left of one with executions still out.
 type inHand struct {
-	job   control.Job
+	job   control.Request
 	rank  control.Micros
 	again control.Micros
 	held  bool
@@ -108,7 +108,7 @@
 
 // New gives a core with no job in hand.
 func New(ask Decider, out Outlet) *Core {
-	return &Core{ask: ask, out: out, jobs: map[control.JobID]*inHand{}}
+	return &Core{ask: ask, out: out, jobs: map[control.RequestID]*inHand{}}
 }
 
 // Record has a tape hear all from the next news on; nil ends it. Call it between turns only.
@@ -123,11 +123,11 @@
 
 // Trace has a tool hear why the module decides as it does; the error tells that the decider is a baseline.
 func (c *Core) Trace(t *control.Trace) error {
-	module, ok := c.ask.(*control.Router)
+	module, ok := c.ask.(*control.Balancer)
 	if !ok {
 		return errors.New("this decider tells no reasons")
 	}
-	module.Trace(t)
+	module.SetTrace(t)
 	return nil
 }
 
@@ -137,25 +137,25 @@
 // Held counts the jobs that wait for a place. Between Arrived and Turn a new job counts.
 func (c *Core) Held() int { return len(c.held) }
 
-// Listed passes on the list of servers.
-func (c *Core) Listed(now control.Micros, kind control.ListKind, list []control.Listing) {
+// UpdateEndpoints passes on the list of servers.
+func (c *Core) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	if c.tape != nil {
 		c.tape.Listed(kind, list)
 	}
-	c.ask.Listed(now, kind, list)
+	c.ask.UpdateEndpoints(now, kind, list)
 }
 
-// Loaded passes on the answer to an order.
-func (c *Core) Loaded(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
+// HandleLoadResult passes on the answer to an order.
+func (c *Core) HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
 	took control.Micros, copies int) {
 	if c.tape != nil {
 		c.tape.Loaded(s, f, result, took, copies)
 	}
-	c.ask.Loaded(now, s, f, result, took, copies)
+	c.ask.HandleLoadResult(now, s, f, result, took, copies)
 }
 
 // Arrived takes a job in hand; the next Turn places it. An id must not come twice: that is an error.
-func (c *Core) Arrived(now control.Micros, job control.Job) error {
+func (c *Core) Arrived(now control.Micros, job control.Request) error {
 	if c.jobs[job.ID] != nil {
 		return fmt.Errorf("job %d came twice", job.ID)
 	}
@@ -172,19 +172,19 @@
 // Answered passes on the end of an execution and does with its job what the module answers. The caller sets JobOver
 // where the outcome itself gave the client its final answer. News of a job no longer in hand is passed over; the
 // result tells whether the job was still without a final answer.
-func (c *Core) Answered(now control.Micros, id control.JobID, o control.Outcome) bool {
+func (c *Core) Answered(now control.Micros, id control.RequestID, o control.Outcome) bool {
 	if c.tape != nil {
 		c.tape.Answered(id, o)
 	}
 	h := c.jobs[id]
-	if h == nil || int(o.Execution) >= len(h.job.Executions) || h.job.Executions[o.Execution].Done {
+	if h == nil || int(o.Attempt) >= len(h.job.Attempts) || h.job.Attempts[o.Attempt].Done {
 		return false
 	}
 	open := !h.over
 	h.out--
-	o.JobOver = o.JobOver || h.over
-	p := c.ask.After(now, &h.job, o)
-	if o.JobOver {
+	o.RequestDone = o.RequestDone || h.over
+	p := c.ask.HandleOutcome(now, &h.job, o)
+	if o.RequestDone {
 		c.end(h)
 	} else {
 		c.carry(h, p)
@@ -193,12 +193,12 @@
 }
 
 // Left ends a job that its client no longer wants.
-func (c *Core) Left(now control.Micros, id control.JobID) {
+func (c *Core) Left(now control.Micros, id control.RequestID) {
 	if c.tape != nil {
 		c.tape.Left(id)
 	}
 	if h := c.jobs[id]; h != nil && !h.over {
-		c.ask.Left(now, &h.job)
+		c.ask.Cancel(now, &h.job)
 		c.end(h)
 	}
 }
@@ -206,15 +206,15 @@
 // Turn ends a turn: it asks for the upkeep if due and again for every held job, and sets the alarm.
 func (c *Core) Turn(now control.Micros) {
 	if now >= c.next {
-		up := c.ask.Wait(now)
+		up := c.ask.Maintain(now)
 		c.next = up.Next
-		for _, r := range up.Recalls {
-			c.out.CallOff(r.Job, r.Execution)
+		for _, r := range up.Cancellations {
+			c.out.CallOff(r.Request, r.Attempt)
 		}
-		if up.Subscribe {
+		if up.SubscribeEndpoints {
 			c.out.Subscribe()
 		}
-		for _, text := range up.Notes {
+		for _, text := range up.LogLines {
 			c.out.Note(text)
 		}
 	}
@@ -223,7 +223,7 @@
 	c.held = c.spare[:0]
 	for _, h := range asked {
 		if h.held = false; !h.over {
-			c.carry(h, c.ask.Place(now, &h.job))
+			c.carry(h, c.ask.Route(now, &h.job))
 		}
 	}
 	clear(asked)
@@ -243,21 +243,21 @@
 }
 
 // carry does with a job what the module answered.
-func (c *Core) carry(h *inHand, p control.Placement) {
-	for _, o := range p.Orders {
+func (c *Core) carry(h *inHand, p control.Decision) {
+	for _, o := range p.LoadCommands {
 		c.out.Order(&h.job, o)
 	}
-	switch p.Verb {
-	case control.Send:
+	switch p.Action {
+	case control.Forward:
 		h.out++
-		c.out.Send(&h.job, control.ExecutionID(len(h.job.Executions)-1), p.Server, p.Allow)
+		c.out.Send(&h.job, control.AttemptID(len(h.job.Attempts)-1), p.Server, p.Timeout)
 	case control.Hold:
-		h.rank, h.again = p.Rank, p.Again
+		h.rank, h.again = p.Rank, p.RecheckAt
 		c.hold(h)
-	case control.PushBack:
-		c.out.PushBack(h.job.ID, p.StayAway)
+	case control.Reject:
+		c.out.PushBack(h.job.ID, p.RetryAfter)
 		c.end(h)
-	case control.Kill:
+	case control.Fail:
 		c.out.Kill(h.job.ID)
 		c.end(h)
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,36 +10,36 @@
 
 // scripted answers what its placements say for each job, and holds a job without one.
 type scripted struct {
-	placements map[control.JobID]control.Placement
-	after      control.Placement
-	upkeep     control.Upkeep
+	placements map[control.RequestID]control.Decision
+	after      control.Decision
+	upkeep     control.Maintenance
 	heard      []string
 }
 
-func (s *scripted) Listed(control.Micros, control.ListKind, []control.Listing) {}
-func (s *scripted) Rank(_ control.Micros, j *control.Job) control.Micros       { return j.Patience }
-func (s *scripted) Left(_ control.Micros, j *control.Job) {
+func (s *scripted) UpdateEndpoints(control.Micros, control.UpdateKind, []control.Endpoint) {}
+func (s *scripted) Rank(_ control.Micros, j *control.Request) control.Micros               { return j.Deadline }
+func (s *scripted) Cancel(_ control.Micros, j *control.Request) {
 	s.heard = append(s.heard, fmt.Sprint("left ", j.ID))
 }
-func (s *scripted) Loaded(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
+func (s *scripted) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
 }
-func (s *scripted) Wait(control.Micros) control.Upkeep { return s.upkeep }
-func (s *scripted) Place(now control.Micros, j *control.Job) control.Placement {
+func (s *scripted) Maintain(control.Micros) control.Maintenance { return s.upkeep }
+func (s *scripted) Route(now control.Micros, j *control.Request) control.Decision {
 	s.heard = append(s.heard, fmt.Sprint("place ", j.ID))
 	p, ok := s.placements[j.ID]
 	if !ok {
-		return control.Placement{Verb: control.Hold, Rank: j.Patience, Again: now + 50}
+		return control.Decision{Action: control.Hold, Rank: j.Deadline, RecheckAt: now + 50}
 	}
 	return s.sent(j, p)
 }
-func (s *scripted) After(_ control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	s.heard = append(s.heard, fmt.Sprint("after ", j.ID, " over ", o.JobOver))
-	j.Executions[o.Execution].Done = true
+func (s *scripted) HandleOutcome(_ control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	s.heard = append(s.heard, fmt.Sprint("after ", j.ID, " over ", o.RequestDone))
+	j.Attempts[o.Attempt].Done = true
 	return s.sent(j, s.after)
 }
-func (s *scripted) sent(j *control.Job, p control.Placement) control.Placement {
-	if p.Verb == control.Send {
-		j.Executions = append(j.Executions, control.Execution{})
+func (s *scripted) sent(j *control.Request, p control.Decision) control.Decision {
+	if p.Action == control.Forward {
+		j.Attempts = append(j.Attempts, control.Attempt{})
 	}
 	return p
 }
@@ -50,19 +50,21 @@
 func (w *written) put(format string, args ...any) {
 	w.asked = append(w.asked, fmt.Sprintf(format, args...))
 }
-func (w *written) Send(j *control.Job, no control.ExecutionID, to control.ServerID, _ control.Micros) {
+func (w *written) Send(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
 	w.put("send %d.%d to %d", j.ID, no, to)
 }
-func (w *written) PushBack(id control.JobID, stay control.Micros) {
+func (w *written) PushBack(id control.RequestID, stay control.Micros) {
 	w.put("push back %d for %d", id, stay)
 }
-func (w *written) Kill(id control.JobID)                            { w.put("kill %d", id) }
-func (w *written) CallOff(id control.JobID, no control.ExecutionID) { w.put("call off %d.%d", id, no) }
-func (w *written) Order(j *control.Job, o control.Order)            { w.put("order for %d", j.ID) }
-func (w *written) Subscribe()                                       { w.put("subscribe") }
-func (w *written) Note(text string)                                 { w.put("note %s", text) }
-func (w *written) Alarm(at control.Micros)                          { w.put("alarm %d", at) }
-func (w *written) taken() (asked []string)                          { asked, w.asked = w.asked, nil; return }
+func (w *written) Kill(id control.RequestID) { w.put("kill %d", id) }
+func (w *written) CallOff(id control.RequestID, no control.AttemptID) {
+	w.put("call off %d.%d", id, no)
+}
+func (w *written) Order(j *control.Request, o control.LoadCommand) { w.put("order for %d", j.ID) }
+func (w *written) Subscribe()                                      { w.put("subscribe") }
+func (w *written) Note(text string)                                { w.put("note %s", text) }
+func (w *written) Alarm(at control.Micros)                         { w.put("alarm %d", at) }
+func (w *written) taken() (asked []string)                         { asked, w.asked = w.asked, nil; return }
 
 func newCore(s *scripted) (*Core, *written) {
 	w := &written{}
@@ -70,16 +72,16 @@
 }
 
 func TestTurnAsksInOrder(t *testing.T) {
-	s := &scripted{placements: map[control.JobID]control.Placement{
-		1: {Verb: control.Send, Server: 7, Orders: []control.Order{{}}}, 2: {Verb: control.PushBack, StayAway: 9}, 3: {Verb: control.Kill}},
-		upkeep: control.Upkeep{Next: 500, Recalls: []control.Recall{{Job: 8, Execution: 1}}, Subscribe: true, Notes: []string{"n"}}}
+	s := &scripted{placements: map[control.RequestID]control.Decision{
+		1: {Action: control.Forward, Server: 7, LoadCommands: []control.LoadCommand{{}}}, 2: {Action: control.Reject, RetryAfter: 9}, 3: {Action: control.Fail}},
+		upkeep: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}}, SubscribeEndpoints: true, LogLines: []string{"n"}}}
 	c, w := newCore(s)
-	for id, patience := range map[control.JobID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
-		if err := c.Arrived(100, control.Job{ID: id, Patience: patience}); err != nil {
+	for id, patience := range map[control.RequestID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
+		if err := c.Arrived(100, control.Request{ID: id, Deadline: patience}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Arrived(100, control.Job{ID: 4}); err == nil {
+	if err := c.Arrived(100, control.Request{ID: 4}); err == nil {
 		t.Error("an id came twice")
 	}
 	c.Turn(100)
@@ -95,9 +97,9 @@
 
 // A job that is over keeps what is out in hand until its outcome came, and is asked about no more.
 func TestLateNews(t *testing.T) {
-	s := &scripted{placements: map[control.JobID]control.Placement{1: {Verb: control.Send}}, after: control.Placement{Verb: control.Kill}}
+	s := &scripted{placements: map[control.RequestID]control.Decision{1: {Action: control.Forward}}, after: control.Decision{Action: control.Fail}}
 	c, w := newCore(s)
-	c.Arrived(1, control.Job{ID: 1})
+	c.Arrived(1, control.Request{ID: 1})
 	c.Turn(1)
 	c.Left(2, 1)
 	c.Left(2, 1)
@@ -105,7 +107,7 @@
 		t.Errorf("over %t, %d jobs", c.jobs[1].over, c.Jobs())
 	}
 	w.taken()
-	for _, id := range []control.JobID{1, 1, 9} { // an answer, the same again, one to a job that there is not
+	for _, id := range []control.RequestID{1, 1, 9} { // an answer, the same again, one to a job that there is not
 		if c.Answered(3, id, control.Outcome{}) {
 			t.Errorf("late news of job %d counted for an open job", id)
 		}
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -11,40 +11,40 @@
 
 // Snapshot is a core between two turns, in plain values, its module's included.
 type Snapshot struct {
-	Module *control.Snapshot `json:"Module"`
-	Jobs   []JobSnapshot     `json:"Jobs"` // by ascending id
-	Held   []control.JobID   `json:"Held"` // in the order in which they stand
-	Next   control.Micros    `json:"Next"`
-	Alarm  control.Micros    `json:"Alarm"`
+	Module *control.Snapshot   `json:"Module"`
+	Jobs   []JobSnapshot       `json:"Jobs"` // by ascending id
+	Held   []control.RequestID `json:"Held"` // in the order in which they stand
+	Next   control.Micros      `json:"Next"`
+	Alarm  control.Micros      `json:"Alarm"`
 }
 
 // JobSnapshot is a job in hand.
 type JobSnapshot struct {
-	Job   control.JobSnapshot `json:"Job"`
-	Rank  control.Micros      `json:"Rank"`
-	Again control.Micros      `json:"Again"`
-	Held  bool                `json:"Held"`
-	Over  bool                `json:"Over"`
-	Out   int                 `json:"Out"`
+	Job   control.RequestSnapshot `json:"Job"`
+	Rank  control.Micros          `json:"Rank"`
+	Again control.Micros          `json:"Again"`
+	Held  bool                    `json:"Held"`
+	Over  bool                    `json:"Over"`
+	Out   int                     `json:"Out"`
 }
 
 // Wrapper is a decider round the module, as explorers plant wrong decisions with.
 type Wrapper interface {
 	Decider
-	Inner() *control.Router
+	Inner() *control.Balancer
 }
 
 // Wrap puts a decider round the module.
-func (c *Core) Wrap(f func(*control.Router) Decider) {
+func (c *Core) Wrap(f func(*control.Balancer) Decider) {
 	if module := c.module(); module != nil {
 		c.ask = f(module)
 	}
 }
 
 // module gives the module that decides; nil: a baseline does.
-func (c *Core) module() *control.Router {
+func (c *Core) module() *control.Balancer {
 	switch d := c.ask.(type) {
-	case *control.Router:
+	case *control.Balancer:
 		return d
 	case Wrapper:
 		return d.Inner()
@@ -63,7 +63,7 @@
 	for _, h := range c.jobs {
 		s.Jobs = append(s.Jobs, JobSnapshot{h.job.Snapshot(), h.rank, h.again, h.held, h.over, h.out})
 	}
-	slices.SortFunc(s.Jobs, func(a, b JobSnapshot) int { return cmp.Compare(a.Job.Job.ID, b.Job.Job.ID) })
+	slices.SortFunc(s.Jobs, func(a, b JobSnapshot) int { return cmp.Compare(a.Job.Request.ID, b.Job.Request.ID) })
 	for _, h := range c.held {
 		s.Held = append(s.Held, h.job.ID)
 	}
@@ -71,18 +71,18 @@
 }
 
 // Remember gives what the module has learned. It may be called between turns; nil of a baseline.
-func (c *Core) Remember(now control.Micros) *control.Memory {
-	module, ok := c.ask.(*control.Router)
+func (c *Core) Remember(now control.Micros) *control.LearnedState {
+	module, ok := c.ask.(*control.Balancer)
 	if !ok {
 		return nil
 	}
-	return module.Remember(now)
+	return module.LearnedState(now)
 }
 
 // Suspects gives the servers that the module suspects; none of a baseline.
 func (c *Core) Suspects() map[control.ServerID]bool {
-	if module, ok := c.ask.(*control.Router); ok {
-		return module.Suspects()
+	if module, ok := c.ask.(*control.Balancer); ok {
+		return module.EjectedServers()
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 func Restore(s *Snapshot, out Outlet) (*Core, error) {
 	c := New(nil, out)
 	c.next, c.alarm = s.Next, s.Alarm
-	jobs := make(map[control.JobID]*control.Job, len(s.Jobs))
+	jobs := make(map[control.RequestID]*control.Request, len(s.Jobs))
 	for _, j := range s.Jobs {
 		h := &inHand{job: j.Job.Restore(), rank: j.Rank, again: j.Again, held: j.Held, over: j.Over, out: j.Out}
 		c.jobs[h.job.ID], jobs[h.job.ID] = h, &h.job
@@ -121,27 +121,27 @@
 	tape Tape
 }
 
-func (b both) Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (b both) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	b.tape.Send(j, no, to, allow)
 	b.out.Send(j, no, to, allow)
 }
 
-func (b both) PushBack(id control.JobID, stayAway control.Micros) {
+func (b both) PushBack(id control.RequestID, stayAway control.Micros) {
 	b.tape.PushBack(id, stayAway)
 	b.out.PushBack(id, stayAway)
 }
 
-func (b both) Kill(id control.JobID) {
+func (b both) Kill(id control.RequestID) {
 	b.tape.Kill(id)
 	b.out.Kill(id)
 }
 
-func (b both) CallOff(id control.JobID, no control.ExecutionID) {
+func (b both) CallOff(id control.RequestID, no control.AttemptID) {
 	b.tape.CallOff(id, no)
 	b.out.CallOff(id, no)
 }
 
-func (b both) Order(j *control.Job, o control.Order) {
+func (b both) Order(j *control.Request, o control.LoadCommand) {
 	b.tape.Order(j, o)
 	b.out.Order(j, o)
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -12,8 +12,8 @@
 
 // out is an execution without an outcome.
 type out struct {
-	job    control.JobID
-	no     control.ExecutionID
+	job    control.RequestID
+	no     control.AttemptID
 	server control.ServerID
 }
 
@@ -24,18 +24,18 @@
 	sent []out
 }
 
-func (d *driven) Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (d *driven) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	d.written.Send(j, no, to, allow)
 	d.sent = append(d.sent, out{j.ID, no, to})
 }
 
 // traffic is random jobs and answers.
-func traffic(t *rapid.T, now control.Micros, next *control.JobID, ds ...*driven) {
+func traffic(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*driven) {
 	for range rapid.IntRange(0, 4).Draw(t, "jobs") {
 		*next++
-		j := control.Job{ID: *next, Workload: control.WorkloadID(rapid.IntRange(0, 2).Draw(t, "workload")),
-			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, Arrived: now,
-			Patience: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")), Repeat: rapid.Bool().Draw(t, "repeat")}
+		j := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "workload")),
+			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
+			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")), IsRetry: rapid.Bool().Draw(t, "repeat")}
 		for _, d := range ds {
 			d.Arrived(now, j)
 		}
@@ -46,11 +46,11 @@
 		}
 		i := rapid.IntRange(0, len(ds[0].sent)-1).Draw(t, "which")
 		x := ds[0].sent[i]
-		o := control.Outcome{Execution: x.no, Server: x.server, Result: control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
-			Found: control.Found(rapid.IntRange(0, 4).Draw(t, "found")), Took: control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
-		o.JobOver = o.Result == control.Finished
+		o := control.Outcome{Attempt: x.no, Server: x.server, Result: control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
+			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "found")), Duration: control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
+		o.RequestDone = o.Result == control.Succeeded
 		if rapid.Bool().Draw(t, "reported") {
-			o.Report = &control.Report{Util: rapid.Float64Range(0, 1).Draw(t, "util"), Loads: 1}
+			o.Report = &control.LoadReport{Utilization: rapid.Float64Range(0, 1).Draw(t, "util"), PendingLoads: 1}
 		}
 		for _, d := range ds {
 			d.sent = slices.Delete(d.sent, i, i+1)
@@ -60,27 +60,27 @@
 }
 
 // step makes one turn of random news.
-func step(t *rapid.T, now control.Micros, next *control.JobID, ds ...*driven) {
+func step(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*driven) {
 	traffic(t, now, next, ds...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
 	case 0:
-		id := control.JobID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "left"))
+		id := control.RequestID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "left"))
 		for _, d := range ds {
 			d.Left(now, id)
 		}
 	case 1:
-		list := make([]control.Listing, rapid.IntRange(1, 5).Draw(t, "servers"))
+		list := make([]control.Endpoint, rapid.IntRange(1, 5).Draw(t, "servers"))
 		for i := range list {
-			list[i] = control.Listing{Server: control.ServerID(i + 1), State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Power: 1,
-				Zone: control.ZoneID(i % 2), Born: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "born"))}
+			list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Weight: 1,
+				Zone: control.ZoneID(i % 2), StartedAt: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "born"))}
 		}
 		for _, d := range ds {
-			d.Listed(now, control.ListWhole, list)
+			d.UpdateEndpoints(now, control.FullUpdate, list)
 		}
 	case 2:
 		s, copies := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "copies")
 		for _, d := range ds {
-			d.Loaded(now, s, 1, control.Finished, 1000, copies)
+			d.HandleLoadResult(now, s, 1, control.Succeeded, 1000, copies)
 		}
 	}
 	for _, d := range ds {
@@ -90,21 +90,21 @@
 
 // anyDeployment is one of two routers, with each kind of effect.
 func anyDeployment(t *rapid.T) control.Deployment {
-	return control.Deployment{Routers: 2, Tick: 4000, MaxExecutions: 3, MaxStayAway: 1_000_000, Cancels: true, ColdFrom: 0.25,
-		Cold: 2_000_000, Fall: 500_000, FallMultiple: 2, KeepAlive: 1_000_000, Orders: true, LoadWindow: 1_000_000, LoadFree: 3, LoadShare: 0.2,
-		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Shares: []float64{3}, Workloads: []control.Workload{
-			{StartTarget: 300_000, TimeLimit: 3_000_000}, {StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.RunOnce},
-			{StartTarget: 300_000, TimeLimit: 3_000_000, Effect: control.Fingerprinted, Scope: control.OneZone, Window: 1_000_000}}}
+	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
+		SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2, KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
+		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000}, {LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 1_000_000}}}
 }
 
 // Any reachable state, restored, decides the same from there on.
 func TestSnapshotGoesOnAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		told := anyDeployment(t)
-		now, next := control.Micros(10_000_000), control.JobID(0)
+		now, next := control.Micros(10_000_000), control.RequestID(0)
 		a := &driven{}
-		a.Core = New(control.Start(now, 7, told), a)
-		a.Listed(now, control.ListWhole, []control.Listing{{Server: 1, State: control.Ready, Power: 1}, {Server: 2, State: control.Ready, Power: 2}})
+		a.Core = New(control.New(now, 7, told), a)
+		a.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 2}})
 		for range rapid.IntRange(1, 60).Draw(t, "before") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			step(t, now, &next, a)
@@ -140,9 +140,9 @@
 func TestRestoreRefusesWhatDoesNotHoldTogether(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
 		"no module":     {},
-		"held":          {Held: []control.JobID{1}, Module: &control.Snapshot{}},
-		"tables":        {Module: &control.Snapshot{Due: []control.Micros{1}}},
-		"flight":        {Module: &control.Snapshot{Servers: []control.ServerSnapshot{{Flights: []control.FlightSnapshot{{Job: 1}}}}}},
+		"held":          {Held: []control.RequestID{1}, Module: &control.Snapshot{}},
+		"tables":        {Module: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
+		"flight":        {Module: &control.Snapshot{Servers: []control.ServerSnapshot{{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
 		"order":         {Module: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
 		"instance":      {Module: &control.Snapshot{Functions: []control.FunctionSnapshot{{Instances: make([]control.InstanceSnapshot, 1)}}}},
 		"last function": {Module: &control.Snapshot{Recent: []int{0}}},
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -137,22 +137,22 @@
 }
 
 // Send, PushBack, Kill, CallOff, Order, Subscribe, Note and Alarm write what the core asks for.
-func (r *router) Send(j *control.Job, _ control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (r *router) Send(j *control.Request, _ control.AttemptID, to control.ServerID, allow control.Micros) {
 	r.start().Attempt(uint64(j.ID), address(to), uint32(allow))
 }
 
-func (r *router) PushBack(id control.JobID, stayAway control.Micros) {
+func (r *router) PushBack(id control.RequestID, stayAway control.Micros) {
 	r.start().TurnAway(uint64(id), uint32(stayAway))
 }
 
-func (r *router) Kill(id control.JobID) { r.start().GiveUp(uint64(id)) }
+func (r *router) Kill(id control.RequestID) { r.start().GiveUp(uint64(id)) }
 
-func (r *router) CallOff(id control.JobID, no control.ExecutionID) {
+func (r *router) CallOff(id control.RequestID, no control.AttemptID) {
 	r.start().UndoSend(uint64(id), uint16(no))
 }
 
-func (r *router) Order(_ *control.Job, o control.Order) {
-	r.start().Preload(address(o.Server), uint64(o.Function), uint8(o.Copies))
+func (r *router) Order(_ *control.Request, o control.LoadCommand) {
+	r.start().Preload(address(o.Server), uint64(o.Function), uint8(o.Replicas))
 }
 
 func (r *router) Subscribe() { r.start().Watch(true) }
--- a/internal/drill/records.go
+++ b/internal/drill/records.go
@@ -10,8 +10,8 @@
 )
 
 var results = map[uint16]control.Result{
-	10: control.Finished, 20: control.Errored, 30: control.Full, 40: control.TimedOut, 50: control.NoConnection,
-	60: control.Reset, 70: control.Cancelled, 80: control.NeverSent, 90: control.Missing,
+	10: control.Succeeded, 20: control.Failed, 30: control.Overloaded, 40: control.TimedOut, 50: control.ConnectFailed,
+	60: control.ConnectionReset, 70: control.Cancelled, 80: control.NotSent, 90: control.NotLoaded,
 }
 
 func resultOf(status uint16) (control.Result, error) {
@@ -55,7 +55,7 @@
 	number, touched, out := h.current.number, h.current.touched, h.current.out
 	*h.current = router{number: number, touched: touched, out: out, fields: boot.Report.Fields,
 		workloads: len(boot.Classes)}
-	h.current.core = core.New(control.Start(h.now, seed, told), h.current)
+	h.current.core = core.New(control.New(h.now, seed, told), h.current)
 	return h.record(h.current)
 }
 
@@ -80,23 +80,23 @@
 
 // BackendsChanged passes on the list of servers.
 func (h *host) BackendsChanged(mode uint8, _ uint64, entries []wire.Entry) error {
-	kinds := map[uint8]control.ListKind{0: control.ListCached, 1: control.ListWhole, 2: control.ListChanges,
-		3: control.ListFailed}
-	states := map[uint8]control.ServerState{0: control.Draining, 2: control.Ready, 3: control.Gone}
+	kinds := map[uint8]control.UpdateKind{0: control.CachedUpdate, 1: control.FullUpdate, 2: control.IncrementalUpdate,
+		3: control.FailedUpdate}
+	states := map[uint8]control.ServerState{0: control.Draining, 2: control.Ready, 3: control.Removed}
 	kind, ok := kinds[mode]
 	if !ok {
 		return fmt.Errorf("unknown mode %d", mode)
 	}
-	list := make([]control.Listing, len(entries))
+	list := make([]control.Endpoint, len(entries))
 	for i, e := range entries {
 		state, ok := states[e.State]
 		if !ok {
 			return fmt.Errorf("unknown state %d in entry %d", e.State, i)
 		}
-		list[i] = control.Listing{Server: serverID(e.Server), State: state, Zone: control.ZoneID(e.Zone),
-			Cell: control.CellID(e.Cell), Power: float64(e.Power), Born: control.Micros(e.Born)}
+		list[i] = control.Endpoint{Server: serverID(e.Server), State: state, Zone: control.ZoneID(e.Zone),
+			Cell: control.CellID(e.Cell), Weight: float64(e.Power), StartedAt: control.Micros(e.Born)}
 	}
-	return h.with(func(r *router) error { r.core.Listed(h.now, kind, list); return nil })
+	return h.with(func(r *router) error { r.core.UpdateEndpoints(h.now, kind, list); return nil })
 }
 
 // Option bits of an inbound request.
@@ -111,10 +111,10 @@
 		if int(in.Type) >= r.workloads {
 			return fmt.Errorf("unknown class %d", in.Type)
 		}
-		job := control.Job{ID: control.JobID(in.ID), Workload: control.WorkloadID(in.Type),
+		job := control.Request{ID: control.RequestID(in.ID), Class: control.ClassID(in.Type),
 			Tenant: control.TenantID(in.Tenant), Function: control.FunctionID(in.Function),
 			Lanes: int(in.Width), LoadTime: control.Micros(in.LoadMS * 1000),
-			Arrived: h.now, Patience: h.now + control.Micros(in.Patience), Repeat: in.Options&repeats != 0}
+			ArrivedAt: h.now, Deadline: h.now + control.Micros(in.Patience), IsRetry: in.Options&repeats != 0}
 		if in.Options&costTold != 0 {
 			job.Work = control.Micros(in.Cost)
 		}
@@ -135,9 +135,9 @@
 		return err
 	}
 	return h.with(func(r *router) error {
-		r.core.Answered(h.now, control.JobID(v.ID), control.Outcome{Execution: control.ExecutionID(v.Trial),
-			Server: serverID(v.Server), Result: result, Found: control.Found(v.Note & 7),
-			Took: control.Micros(v.Duration), JobOver: v.Last, Report: terms.Report(r.fields, v.Load)})
+		r.core.Answered(h.now, control.RequestID(v.ID), control.Outcome{Attempt: control.AttemptID(v.Trial),
+			Server: serverID(v.Server), Result: result, CacheStatus: control.CacheStatus(v.Note & 7),
+			Duration: control.Micros(v.Duration), RequestDone: v.Last, Report: terms.Report(r.fields, v.Load)})
 		return nil
 	})
 }
@@ -145,7 +145,7 @@
 // ClientLeft ends a job that its client no longer wants.
 func (h *host) ClientLeft(id uint64) error {
 	return h.with(func(r *router) error {
-		r.core.Left(h.now, control.JobID(id))
+		r.core.Left(h.now, control.RequestID(id))
 		return nil
 	})
 }
@@ -171,7 +171,7 @@
 		return err
 	}
 	return h.with(func(r *router) error {
-		r.core.Loaded(h.now, serverID(s), control.FunctionID(function), result, control.Micros(took), int(held))
+		r.core.HandleLoadResult(h.now, serverID(s), control.FunctionID(function), result, control.Micros(took), int(held))
 		return nil
 	})
 }
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -122,9 +122,9 @@
 // key is the mark as servers know it. Those of run-once jobs are not known to any.
 func (t *try) key() string {
 	switch w := t.client.w.plan.Workloads[t.call.Workload].Told; {
-	case w.Effect == control.RunOnce:
+	case w.Effect == control.NonIdempotent:
 		return OnceMark + itoa(t.call.Number)
-	case t.state == nil && w.Effect != control.Fingerprinted:
+	case t.state == nil && w.Effect != control.IdempotentByKey:
 		return ""
 	}
 	return "effect-" + itoa(t.call.Number)
@@ -159,7 +159,7 @@
 		return
 	}
 	if t.state == nil {
-		restartable := c.w.plan.Workloads[t.call.Workload].Told.Effect == control.Restartable
+		restartable := c.w.plan.Workloads[t.call.Workload].Told.Effect == control.Idempotent
 		if mayHaveRun := e == killed || e == broken || e == late; mayHaveRun && !restartable {
 			t.done(false)
 			return
@@ -191,7 +191,7 @@
 	e := Effect{Call: a.index, Tries: a.tries}
 	if finished {
 		e.Ended = now
-		e.Well = now-a.begun <= a.client.w.plan.Workloads[a.call.Workload].Told.StartTarget
+		e.Well = now-a.begun <= a.client.w.plan.Workloads[a.call.Workload].Told.LatencyObjective
 	}
 	a.client.effects = append(a.client.effects, e)
 }
