--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -20,7 +20,7 @@
 // Workload is one kind of jobs.
 type Workload struct {
 	Name       string
-	Told       control.Workload
+	Told       control.Class
 	Importance float64
 }
 
@@ -237,7 +237,7 @@
 		back()
 	case Deploy:
 		list(from, func(i int) { w.ground.list[i].State = control.Draining })
-		list(to-1, func(i int) { w.ground.list[i].State = control.Gone })
+		list(to-1, func(i int) { w.ground.list[i].State = control.Removed })
 		servers(to-1, func(s *server) { s.model.Kill() })
 		back()
 	case Store:
@@ -262,7 +262,7 @@
 	node  *node
 	w     *world
 	store *serving.Store
-	list  []control.Listing
+	list  []control.Endpoint
 	told  []control.ServerState
 	stale int
 	count int // of lists written
@@ -273,7 +273,7 @@
 	g.store = serving.NewStore(g.node, w.plan.Fetch, w.plan.AtOnce)
 	for i := range w.plan.Servers {
 		zone := w.plan.Zones[i]
-		g.list = append(g.list, control.Listing{Server: serverID(i), State: control.Ready, Zone: zone, Cell: control.CellID(zone), Power: 1})
+		g.list = append(g.list, control.Endpoint{Server: serverID(i), State: control.Ready, Zone: zone, Cell: control.CellID(zone), Weight: 1})
 	}
 	g.told = make([]control.ServerState, len(g.list))
 	return g
@@ -282,10 +282,10 @@
 func (g *ground) begin() { g.publish() }
 
 func (g *ground) ready(i int, born control.Micros) {
-	g.list[i].State, g.list[i].Born = control.Ready, born
+	g.list[i].State, g.list[i].StartedAt = control.Ready, born
 }
 
-var states = map[control.ServerState]string{control.Gone: "gone", control.Draining: "draining", control.Ready: "ready"}
+var states = map[control.ServerState]string{control.Removed: "gone", control.Draining: "draining", control.Ready: "ready"}
 
 // publish writes the list; each router looks at it within its own time.
 func (g *ground) publish() {
@@ -298,7 +298,7 @@
 			g.node.record(audit.Record{Kind: audit.Told, Server: i, Word: states[l.State]})
 		}
 	}
-	list := slices.DeleteFunc(slices.Clone(g.list), func(l control.Listing) bool { return l.State == control.Gone })
+	list := slices.DeleteFunc(slices.Clone(g.list), func(l control.Endpoint) bool { return l.State == control.Removed })
 	g.count++
 	count := g.count
 	for _, r := range g.w.routers {
@@ -342,7 +342,7 @@
 	for _, x := range w.plan.Workloads {
 		importances = append(importances, x.Importance)
 	}
-	return storm.NewWatch(now, nil, importances, w.plan.Deployment.MaxStayAway, seed)
+	return storm.NewWatch(now, nil, importances, w.plan.Deployment.MaxRetryAfter, seed)
 }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -14,13 +14,13 @@
 // small is a plan of a few routers and servers, with calls at an even pace.
 func small(calls int, troubles ...Trouble) *Plan {
 	p := &Plan{Seed: 1, Routers: 3, Lanes: 2, Fetch: 20_000, AtOnce: 4, Clients: 4, Length: 6 * second, Margin: 20_000, Damped: true, ListEvery: 50_000,
-		Workloads: []Workload{{Name: "w", Importance: 1, Told: control.Workload{StartTarget: 400_000, TimeLimit: 3 * second, Effect: control.Restartable}},
-			{Name: "once", Importance: 2, Told: control.Workload{StartTarget: 400_000, TimeLimit: 3 * second, Effect: control.RunOnce}}},
+		Workloads: []Workload{{Name: "w", Importance: 1, Told: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.Idempotent}},
+			{Name: "once", Importance: 2, Told: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.NonIdempotent}}},
 		Troubles: troubles}
-	p.Deployment = control.Deployment{Tick: 4_000, MaxExecutions: 3, MaxStayAway: 2 * second, Cancels: true, MarksRepeats: true, ColdFrom: 0.25, Cold: 2 * second,
-		Fall: second, FallMultiple: 2, KeepAlive: 5 * second, Orders: true, LoadsOnMiss: true}
+	p.Deployment = control.Deployment{Tick: 4_000, MaxAttempts: 3, MaxRetryAfter: 2 * second, SupportsCancel: true, MarksRetries: true, SlowStartInitial: 0.25, SlowStartDuration: 2 * second,
+		OverloadWindow: second, OverloadFactor: 2, KeepAlive: 5 * second, LoadCommands: true, LoadsOnMiss: true}
 	for _, w := range p.Workloads {
-		p.Deployment.Workloads = append(p.Deployment.Workloads, w.Told)
+		p.Deployment.Classes = append(p.Deployment.Classes, w.Told)
 	}
 	for i := range 4 {
 		p.Servers = append(p.Servers, serving.Make{Number: i, Copies: 20, Lanes: 2, Cores: 2, Work: 20_000, Queue: 20, Load: 50_000, Loads: 4, Window: 5 * second,
@@ -36,7 +36,7 @@
 }
 
 func judge(p *Plan, res *Result) *audit.Verdict {
-	return audit.Judge(audit.Law{Grace: 500_000, Travel: 50_000, Cold: int64(p.Deployment.Cold), ColdFrom: 0.25, Fall: int64(second), FallMultiple: 2, Rate: 100,
+	return audit.Judge(audit.Law{Grace: 500_000, Travel: 50_000, Cold: int64(p.Deployment.SlowStartDuration), ColdFrom: 0.25, Fall: int64(second), FallMultiple: 2, Rate: 100,
 		Zone: make([]string, 4), Cell: make([]string, 4), Workloads: map[string]audit.Workload{"once": {RunOnce: true}}}, res.Records)
 }
 
--- a/internal/emulate/router.go
+++ b/internal/emulate/router.go
@@ -20,18 +20,18 @@
 	life   uint64
 	thaws  control.Micros // until when it stands still
 	apart  []*Trouble     // partitions that keep servers from it
-	jobs   map[control.JobID]*job
+	jobs   map[control.RequestID]*job
 	open   []*job // in order of arrival; those that ended leave it now and then
-	last   control.JobID
+	last   control.RequestID
 	alarm  uint64 // counts up with each, so that a replaced one is known
-	list   []control.Listing
+	list   []control.Endpoint
 	seen   int // number of that list
 	turns  int
 }
 
 // job is a try of a client's that the router took.
 type job struct {
-	id       control.JobID
+	id       control.RequestID
 	try      *try
 	workload int
 	given    bool
@@ -60,13 +60,13 @@
 	if r.w.plan.Decide != nil {
 		decide = r.w.plan.Decide(now, seed, d)
 	} else {
-		decide = control.Start(now, seed, d)
+		decide = control.New(now, seed, d)
 	}
-	r.core, r.watch, r.jobs, r.open = core.New(decide, r), r.w.watch(now, seed), map[control.JobID]*job{}, nil
+	r.core, r.watch, r.jobs, r.open = core.New(decide, r), r.w.watch(now, seed), map[control.RequestID]*job{}, nil
 	if r.life > 0 {
 		r.node.record(audit.Record{Kind: audit.Renewed, Router: r.number})
 		r.node.record(audit.Record{Kind: audit.Back, Router: r.number})
-		r.core.Listed(now, control.ListWhole, r.list)
+		r.core.UpdateEndpoints(now, control.FullUpdate, r.list)
 	}
 	r.life++
 	r.turn()
@@ -113,12 +113,12 @@
 }
 
 // listed takes in the list of a look; an older one than it has seen is none that a look could find.
-func (r *router) listed(count int, list []control.Listing) {
+func (r *router) listed(count int, list []control.Endpoint) {
 	if count <= r.seen {
 		return
 	}
 	r.seen, r.list = count, list
-	r.hear(r.life, func(now control.Micros) { r.core.Listed(now, control.ListWhole, list) })
+	r.hear(r.life, func(now control.Micros) { r.core.UpdateEndpoints(now, control.FullUpdate, list) })
 }
 
 // arrived takes a try. One that reaches a dead router is refused by its machine.
@@ -147,9 +147,9 @@
 		if len(r.open) > 2*len(r.jobs)+64 {
 			r.open = slices.DeleteFunc(r.open, func(j *job) bool { return j.given })
 		}
-		limit := min(w.Told.TimeLimit, t.left)
-		if err := r.core.Arrived(now, control.Job{ID: j.id, Workload: control.WorkloadID(t.call.Workload), Tenant: 0, Function: f, Lanes: r.w.plan.Lanes,
-			Arrived: now, Patience: max(now, now+limit-r.w.plan.Margin), Repeat: t.marked(), Unmarked: t.state == nil}); err != nil {
+		limit := min(w.Told.MaxDeadline, t.left)
+		if err := r.core.Arrived(now, control.Request{ID: j.id, Class: control.ClassID(t.call.Workload), Tenant: 0, Function: f, Lanes: r.w.plan.Lanes,
+			ArrivedAt: now, Deadline: max(now, now+limit-r.w.plan.Margin), IsRetry: t.marked(), RetriesUnmarked: t.state == nil}); err != nil {
 			panic(err) // ids count up
 		}
 	})
@@ -186,7 +186,7 @@
 }
 
 // Send starts an execution.
-func (r *router) Send(cj *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (r *router) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := r.jobs[cj.ID]
 	s := &sending{to: int(to) - 1, begun: r.node.Now()}
 	j.sendings = append(j.sendings, s)
@@ -197,7 +197,7 @@
 	}
 	r.node.After(allow, func() { end(control.TimedOut, serving.Reply{}) })
 	if r.unreached(s.to) {
-		r.node.After(min(dialTime, allow), func() { end(control.NoConnection, serving.Reply{}) })
+		r.node.After(min(dialTime, allow), func() { end(control.ConnectFailed, serving.Reply{}) })
 		return
 	}
 	x := r.w.servers[s.to]
@@ -207,33 +207,33 @@
 			x.node.send(r.node, x.node.way(), func() { end(result, reply) })
 		}
 		if !x.model.Alive() {
-			back(control.NoConnection, serving.Reply{})
+			back(control.ConnectFailed, serving.Reply{})
 			return
 		}
 		x.model.Infer(ask, func(reply serving.Reply) { back(results[reply.Ending], reply) })
 	})
 }
 
-var results = map[serving.Ending]control.Result{serving.Done: control.Finished, serving.Full: control.Full, serving.Missing: control.Missing,
-	serving.Broken: control.Reset}
+var results = map[serving.Ending]control.Result{serving.Done: control.Succeeded, serving.Full: control.Overloaded, serving.Missing: control.NotLoaded,
+	serving.Broken: control.ConnectionReset}
 
 func (r *router) unreached(server int) bool {
 	return slices.ContainsFunc(r.apart, func(t *Trouble) bool { return slices.Contains(t.Apart, server) })
 }
 
 // executed takes in the end of an execution.
-func (r *router) executed(now control.Micros, j *job, no control.ExecutionID, s *sending, result control.Result, reply serving.Reply) {
+func (r *router) executed(now control.Micros, j *job, no control.AttemptID, s *sending, result control.Result, reply serving.Reply) {
 	if s.ended {
 		return
 	}
 	s.ended = true
 	j.out--
-	o := control.Outcome{Execution: no, Server: serverID(s.to), Result: result, Found: reply.Found, Took: now - s.begun}
-	if result == control.Finished || result == control.Full || result == control.Missing {
+	o := control.Outcome{Attempt: no, Server: serverID(s.to), Result: result, CacheStatus: reply.Found, Duration: now - s.begun}
+	if result == control.Succeeded || result == control.Overloaded || result == control.NotLoaded {
 		o.Report = &reply.Report
 	}
-	if result == control.Finished && !j.given {
-		o.JobOver = true
+	if result == control.Succeeded && !j.given {
+		o.RequestDone = true
 		r.core.Answered(now, j.id, o)
 		if r.watch != nil {
 			r.watch.Answered(now)
@@ -246,7 +246,7 @@
 }
 
 // PushBack ends a job.
-func (r *router) PushBack(id control.JobID, stayAway control.Micros) {
+func (r *router) PushBack(id control.RequestID, stayAway control.Micros) {
 	j := r.jobs[id]
 	if r.watch != nil {
 		stayAway = r.watch.Spread(r.node.Now(), stayAway, j.try.mark())
@@ -255,10 +255,10 @@
 }
 
 // Kill ends a job of which nothing may be promised.
-func (r *router) Kill(id control.JobID) { r.answer(r.jobs[id], killed, 0) }
+func (r *router) Kill(id control.RequestID) { r.answer(r.jobs[id], killed, 0) }
 
 // CallOff stops waiting for an execution; its outcome comes in a turn of its own.
-func (r *router) CallOff(id control.JobID, no control.ExecutionID) {
+func (r *router) CallOff(id control.RequestID, no control.AttemptID) {
 	j, life := r.jobs[id], r.life
 	if j == nil || int(no) >= len(j.sendings) {
 		return
@@ -269,20 +269,20 @@
 }
 
 // Order orders copies of a job's function.
-func (r *router) Order(cj *control.Job, o control.Order) {
+func (r *router) Order(cj *control.Request, o control.LoadCommand) {
 	name, life := r.jobs[cj.ID].try.call.Function, r.life
 	s := &sending{to: int(o.Server) - 1, begun: r.node.Now()}
 	end := func(result control.Result, copies int) {
 		r.hear(life, func(now control.Micros) {
 			if !s.ended {
 				s.ended = true
-				r.core.Loaded(now, o.Server, o.Function, result, now-s.begun, copies)
+				r.core.HandleLoadResult(now, o.Server, o.Function, result, now-s.begun, copies)
 			}
 		})
 	}
 	r.node.After(orderTime, func() { end(control.TimedOut, -1) })
 	if r.unreached(s.to) {
-		r.node.After(dialTime, func() { end(control.NoConnection, -1) })
+		r.node.After(dialTime, func() { end(control.ConnectFailed, -1) })
 		return
 	}
 	x := r.w.servers[s.to]
@@ -291,10 +291,10 @@
 			x.node.send(r.node, x.node.way(), func() { end(result, copies) })
 		}
 		if !x.model.Alive() {
-			back(control.NoConnection, -1)
+			back(control.ConnectFailed, -1)
 			return
 		}
-		x.model.Order(name, o.Copies, r.number, func(reply serving.Reply) { back(results[reply.Ending], reply.Copies) })
+		x.model.Order(name, o.Replicas, r.number, func(reply serving.Reply) { back(results[reply.Ending], reply.Copies) })
 	})
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -16,12 +16,12 @@
 
 // Answer is one decision about a job.
 type Answer struct {
-	File  string         `json:"File"`
-	Turn  uint64         `json:"Turn"`
-	List  List           `json:"List"` // what the decision rests on
-	Check *control.Check `json:"Check"`
-	Why   control.Why    `json:"Why"`
-	If    string         `json:"If,omitempty"` // what was changed before it was asked again
+	File  string                `json:"File"`
+	Turn  uint64                `json:"Turn"`
+	List  List                  `json:"List"` // what the decision rests on
+	Check *control.ReplicaCheck `json:"Check"`
+	Why   control.Explanation   `json:"Why"`
+	If    string                `json:"If,omitempty"` // what was changed before it was asked again
 }
 
 // List names the list of servers that was known: when it was heard, and how many had been heard in the recording before.
@@ -55,18 +55,18 @@
 func (c Change) apply(s *core.Snapshot) error {
 	for i := range s.Module.Servers {
 		v := &s.Module.Servers[i]
-		if v.Listing.Server != c.Server {
+		if v.Endpoint.Server != c.Server {
 			continue
 		}
 		switch c.What {
 		case "drain":
-			v.Listing.State = control.Draining
+			v.Endpoint.State = control.Draining
 		case "ready":
-			v.Listing.State, v.Suspect, v.AvoidUntil = control.Ready, false, 0
+			v.Endpoint.State, v.Ejected, v.BackoffUntil = control.Ready, false, 0
 		case "slot":
-			v.Size++
+			v.ConcurrencyLimit++
 		case "no-report":
-			v.Report, v.Reported = control.Report{}, 0
+			v.Report, v.ReportedAt = control.LoadReport{}, 0
 		}
 		return nil
 	}
@@ -75,13 +75,13 @@
 
 // Question says which decisions are meant.
 type Question struct {
-	Job control.JobID
+	Job control.RequestID
 	If  *Change // asked again, at the job's first decision, with this changed
 }
 
 // Near lists the jobs that were decided about within a span round a time, in order, each once.
-func Near(files []string, at, span control.Micros) (jobs []control.JobID, err error) {
-	seen := map[control.JobID]bool{}
+func Near(files []string, at, span control.Micros) (jobs []control.RequestID, err error) {
+	seen := map[control.RequestID]bool{}
 	for _, name := range files {
 		s, err := record.OpenSegment(name)
 		if err != nil {
@@ -107,7 +107,7 @@
 }
 
 // Requested finds a request's job by the tag of its id; the last one, where an id was used again.
-func Requested(files []string, tag uint64) (job control.JobID, err error) {
+func Requested(files []string, tag uint64) (job control.RequestID, err error) {
 	for _, name := range files {
 		s, err := record.OpenSegment(name)
 		if err != nil {
@@ -167,9 +167,9 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
-			var whys []control.Why
-			if err := p.Core.Trace(&control.Trace{Placed: func(w control.Why) {
-				if w.Placement.Verb != control.Nothing && w.Placement.Verb != control.Hold {
+			var whys []control.Explanation
+			if err := p.Core.Trace(&control.Trace{OnDecision: func(w control.Explanation) {
+				if w.Decision.Action != control.NoAction && w.Decision.Action != control.Hold {
 					whys = append(whys, w)
 				}
 			}}); err != nil {
@@ -190,7 +190,7 @@
 					alike++
 				}
 				if i < len(whys) {
-					return fmt.Errorf("%s: turn %d: job %d is explained, but no decision was recorded", name, n, whys[i].Job)
+					return fmt.Errorf("%s: turn %d: job %d is explained, but no decision was recorded", name, n, whys[i].Request)
 				}
 				return nil
 			})
@@ -203,30 +203,30 @@
 }
 
 // fits tells whether an explanation is of a recorded deed.
-func fits(w control.Why, d record.Deed) bool {
-	p := w.Placement
+func fits(w control.Explanation, d record.Deed) bool {
+	p := w.Decision
 	switch d.Verb {
 	case record.Send:
-		return p.Verb == control.Send && w.Job == d.Job && p.Server == d.Server && p.Allow == d.Time
+		return p.Action == control.Forward && w.Request == d.Job && p.Server == d.Server && p.Timeout == d.Time
 	case record.PushBack:
-		return p.Verb == control.PushBack && w.Job == d.Job && p.StayAway == d.Time
+		return p.Action == control.Reject && w.Request == d.Job && p.RetryAfter == d.Time
 	}
-	return p.Verb == control.Kill && w.Job == d.Job
+	return p.Action == control.Fail && w.Request == d.Job
 }
 
 // listener gathers what the module tells about one job.
 type listener struct {
-	job     control.JobID
+	job     control.RequestID
 	at      Answer
-	checks  map[control.FunctionID]control.Check
+	checks  map[control.FunctionID]control.ReplicaCheck
 	answers []Answer
 }
 
 func (l *listener) trace() *control.Trace {
 	return &control.Trace{
-		Checked: func(c control.Check) { l.checks[c.Function] = c },
-		Placed: func(w control.Why) {
-			if w.Job != l.job {
+		OnReplicaCheck: func(c control.ReplicaCheck) { l.checks[c.Function] = c },
+		OnDecision: func(w control.Explanation) {
+			if w.Request != l.job {
 				return
 			}
 			a := l.at
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	l := &listener{job: q.Job, at: Answer{File: name}, checks: map[control.FunctionID]control.Check{}}
+	l := &listener{job: q.Job, at: Answer{File: name}, checks: map[control.FunctionID]control.ReplicaCheck{}}
 	if err := p.Core.Trace(l.trace()); err != nil {
 		return nil, err
 	}
@@ -277,7 +277,7 @@
 	return l.answers, err
 }
 
-func arrives(t record.Turn, id control.JobID) bool {
+func arrives(t record.Turn, id control.RequestID) bool {
 	for _, n := range t.Heard {
 		if n.Arrived != nil && n.Arrived.ID == id {
 			return true
@@ -315,46 +315,46 @@
 	w := a.Why
 	var b strings.Builder
 	put := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
-	put("turn %d at %d us: %s", a.Turn, w.Now, verbs[w.Placement.Verb])
-	if w.Placement.Verb == control.Send {
-		put(" to server %x", w.Placement.Server)
+	put("turn %d at %d us: %s", a.Turn, w.Now, verbs[w.Decision.Action])
+	if w.Decision.Action == control.Forward {
+		put(" to server %x", w.Decision.Server)
 	}
 	if a.If != "" {
 		put(", if %s", a.If)
 	}
-	put("\n  because %s\n", w.Ended)
+	put("\n  because %s\n", w.Reason)
 	if a.List.Heard == 0 {
 		put("  list: as known when the recording began\n")
 	} else {
 		put("  list: number %d of the recording, heard at %d us\n", a.List.Version, a.List.Heard)
 	}
 	put("  execution time %d us, start target %d us, B %.2f, slack left %d us (margin %d us), load time %d us, held for the function %d\n",
-		w.Exec, w.Target, w.B, w.Slack, w.Margin, w.LoadTime, w.Held)
+		w.ExecTime, w.Objective, w.B, w.Slack, w.Margin, w.LoadTime, w.Held)
 	if c := a.Check; c != nil {
 		put("  last check at %d us: D_f %d us = held %d x target %d us / slots %d, against load time %d us; delay %d us against slack %d us; %d loads due\n",
-			c.Now, c.Df(), c.Held, c.Target, c.Slots, c.LoadTime, c.Delay, c.Slack, w.Due)
+			c.Now, c.QueueDelay(), c.Held, c.Objective, c.Slots, c.LoadTime, c.Delay, c.Slack, w.LoadsDue)
 	}
 	for _, s := range w.Servers {
 		put("  server %x: ", s.Server)
 		switch {
-		case s.Warm:
-			put("%d copies warm, %d of ours out, %d slots", s.Copies, s.Out, s.Slots)
-		case s.Coming:
-			put("%d copies loading, %d of ours out, %d slots", s.Loading, s.Out, s.Slots)
+		case s.Loaded:
+			put("%d copies warm, %d of ours out, %d slots", s.Replicas, s.InFlight, s.Slots)
+		case s.LoadingNow:
+			put("%d copies loading, %d of ours out, %d slots", s.Loading, s.InFlight, s.Slots)
 		default:
 			put("no copy believed")
 		}
-		put("; window %.1f, busy %d, behind loads %d", s.Window, s.Busy, s.Waiting)
+		put("; window %.1f, busy %d, behind loads %d", s.ConcurrencyLimit, s.Running, s.PendingLoads)
 		for _, x := range []struct {
 			is   bool
 			word string
-		}{{s.Suspect, "suspect"}, {s.Shunned, "shunned"}, {s.Cold, "cold"}, {s.Barred != "", "barred: " + s.Barred}} {
+		}{{s.Ejected, "suspect"}, {s.Overloaded, "shunned"}, {s.SlowStart, "cold"}, {s.Unusable != "", "barred: " + s.Unusable}} {
 			if x.is {
 				put("; %s", x.word)
 			}
 		}
-		if s.Fresh >= 0 {
-			put("; reported %d us ago: %.2f of its cores, %g loads", s.Fresh, s.Report.Util, s.Report.Loads)
+		if s.ReportAge >= 0 {
+			put("; reported %d us ago: %.2f of its cores, %g loads", s.ReportAge, s.Report.Utilization, s.Report.PendingLoads)
 		}
 		put("\n")
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -17,10 +17,10 @@
 // recorded is a router that hears a list of two servers, places job 1, hears that server 2 drains, and places job 2.
 func recorded(t *testing.T) []string {
 	t.Helper()
-	told := control.Deployment{Routers: 1, Tick: 4000, MaxExecutions: 3, Fall: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
-		Workloads: []control.Workload{{StartTarget: 300_000, TimeLimit: 2_000_000}}}
+	told := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
+		Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000}}}
 	now := control.Micros(5_000_000)
-	c := core.New(control.Start(now, 1, told), core.Silent{})
+	c := core.New(control.New(now, 1, told), core.Silent{})
 	dir := t.TempDir()
 	w, err := record.Open(dir, record.Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, record.Header{Life: "a"}, c.Snapshot, zerolog.Nop())
 	if err != nil {
@@ -29,10 +29,10 @@
 	c.Record(w.Tape())
 	w.Begin(now)
 	list := func(second control.ServerState) {
-		c.Listed(now, control.ListWhole, []control.Listing{{Server: 1, State: control.Ready, Power: 1}, {Server: 2, State: second, Power: 1}})
+		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: second, Weight: 1}})
 	}
-	job := func(id control.JobID, f control.FunctionID) {
-		c.Arrived(now, control.Job{ID: id, Function: f, Lanes: 1, Arrived: now, Patience: now + 2_000_000})
+	job := func(id control.RequestID, f control.FunctionID) {
+		c.Arrived(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
 	}
 	list(control.Ready)
 	job(1, 7)
@@ -53,19 +53,19 @@
 
 func TestJobTellsWhyAndOnWhichList(t *testing.T) {
 	files := recorded(t)
-	for job, version := range map[control.JobID]int{1: 1, 2: 2} {
+	for job, version := range map[control.RequestID]int{1: 1, 2: 2} {
 		first, err := Job(files, Question{Job: job})
 		if err != nil || len(first) != 1 {
 			t.Fatalf("job %d: %+v, %v", job, first, err)
 		}
 		a := first[0]
-		if a.List.Version != version || a.Why.Ended != "no copy stands or comes" || a.Why.Placement.Verb != control.Send || len(a.Why.Servers) != 2 {
+		if a.List.Version != version || a.Why.Reason != "no copy stands or comes" || a.Why.Decision.Action != control.Forward || len(a.Why.Servers) != 2 {
 			t.Errorf("job %d: %+v", job, a)
 		}
-		if barred := a.Why.Servers[1].Barred != ""; barred != (job == 2) {
-			t.Errorf("job %d: server 2 is %q", job, a.Why.Servers[1].Barred)
+		if barred := a.Why.Servers[1].Unusable != ""; barred != (job == 2) {
+			t.Errorf("job %d: server 2 is %q", job, a.Why.Servers[1].Unusable)
 		}
-		if text := a.Text(); !strings.Contains(text, a.Why.Ended) || !strings.Contains(text, "server 2") {
+		if text := a.Text(); !strings.Contains(text, a.Why.Reason) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
 		if again, err := Job(files, Question{Job: job}); err != nil || !reflect.DeepEqual(first, again) {
@@ -79,7 +79,7 @@
 
 func TestNear(t *testing.T) {
 	files := recorded(t)
-	for at, want := range map[control.Micros][]control.JobID{5_000_000: {1}, 5_002_000: {2}, 9_000_000: nil} {
+	for at, want := range map[control.Micros][]control.RequestID{5_000_000: {1}, 5_002_000: {2}, 9_000_000: nil} {
 		if jobs, err := Near(files, at, 500); err != nil || !reflect.DeepEqual(jobs, want) {
 			t.Errorf("at %d: %v, %v", at, jobs, err)
 		}
@@ -89,16 +89,16 @@
 func TestWhatIf(t *testing.T) {
 	files := recorded(t)
 	plain, err := Job(files, Question{Job: 2}) // by then both servers are known
-	if err != nil || plain[0].Why.Placement.Server != 1 {
+	if err != nil || plain[0].Why.Decision.Server != 1 {
 		t.Fatalf("%+v, %v", plain, err)
 	}
-	for change, want := range map[string]control.Verb{"drain=1": control.Hold, "slot=1": control.Send, "no-report=1": control.Send, "ready=2": control.Send} {
+	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward, "no-report=1": control.Forward, "ready=2": control.Forward} {
 		c, err := ReadChange(change)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := Job(files, Question{Job: 2, If: &c})
-		if err != nil || len(got) != 2 || got[0].If != "" || got[1].If != change || got[1].Why.Placement.Verb != want {
+		if err != nil || len(got) != 2 || got[0].If != "" || got[1].If != change || got[1].Why.Decision.Action != want {
 			t.Errorf("%s: %+v, %v", change, got, err)
 		}
 	}
--- a/internal/explore/diagram.go
+++ b/internal/explore/diagram.go
@@ -32,8 +32,8 @@
 	return b.String()
 }
 
-func resultName(r interface{ ProvesUnrun() bool }) string {
-	if r.ProvesUnrun() {
+func resultName(r interface{ ProvesNotRun() bool }) string {
+	if r.ProvesNotRun() {
 		return "proved not to have run"
 	}
 	return "may have run"
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -62,54 +62,54 @@
 
 // inner is a decider round the module that can plant wrong decisions.
 type inner struct {
-	*control.Router
-	place func(j *control.Job, p control.Placement) control.Placement
+	*control.Balancer
+	place func(j *control.Request, p control.Decision) control.Decision
 }
 
-func (i inner) Inner() *control.Router { return i.Router }
+func (i inner) Inner() *control.Balancer { return i.Balancer }
 
-func (i inner) Place(now control.Micros, j *control.Job) control.Placement {
-	return i.place(j, i.Router.Place(now, j))
+func (i inner) Route(now control.Micros, j *control.Request) control.Decision {
+	return i.place(j, i.Balancer.Route(now, j))
 }
 
-func (i inner) After(now control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	return i.place(j, i.Router.After(now, j, o))
+func (i inner) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	return i.place(j, i.Balancer.HandleOutcome(now, j, o))
 }
 
 // careless forgets which executions may have run.
-type careless struct{ *control.Router }
+type careless struct{ *control.Balancer }
 
-func (c careless) Inner() *control.Router { return c.Router }
+func (c careless) Inner() *control.Balancer { return c.Balancer }
 
-func (c careless) After(now control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	if o.Result == control.Reset || o.Result == control.TimedOut {
-		o.Result = control.Full
+func (c careless) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	if o.Result == control.ConnectionReset || o.Result == control.TimedOut {
+		o.Result = control.Overloaded
 	}
-	return c.Router.After(now, j, o)
+	return c.Balancer.HandleOutcome(now, j, o)
 }
 
 // leaky forgets the end of executions that broke.
-type leaky struct{ *control.Router }
+type leaky struct{ *control.Balancer }
 
-func (l leaky) Inner() *control.Router { return l.Router }
+func (l leaky) Inner() *control.Balancer { return l.Balancer }
 
-func (l leaky) After(now control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	if o.Result == control.Reset && !o.JobOver {
-		return control.Placement{Verb: control.Kill}
+func (l leaky) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	if o.Result == control.ConnectionReset && !o.RequestDone {
+		return control.Decision{Action: control.Fail}
 	}
-	return l.Router.After(now, j, o)
+	return l.Balancer.HandleOutcome(now, j, o)
 }
 
 // deaf does not hear that servers drain.
-type deaf struct{ *control.Router }
+type deaf struct{ *control.Balancer }
 
-func (d deaf) Inner() *control.Router { return d.Router }
+func (d deaf) Inner() *control.Balancer { return d.Balancer }
 
-func (d deaf) Listed(now control.Micros, kind control.ListKind, list []control.Listing) {
+func (d deaf) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	for i := range list {
 		list[i].State = control.Ready
 	}
-	d.Router.Listed(now, kind, list)
+	d.Balancer.UpdateEndpoints(now, kind, list)
 }
 
 // Each planted wrong decision is found, with a story that the real rules don't let come true.
@@ -119,8 +119,8 @@
 		change(&r)
 		return &r
 	}
-	place := func(f func(j *control.Job, p control.Placement) control.Placement) *Rules {
-		return with(func(r *Rules) { r.Decide = func(m *control.Router) core.Decider { return inner{m, f} } })
+	place := func(f func(j *control.Request, p control.Decision) control.Decision) *Rules {
+		return with(func(r *Rules) { r.Decide = func(m *control.Balancer) core.Decider { return inner{m, f} } })
 	}
 	once := world(func(s *Setup) { s.Effects[0], s.Servers, s.Breaks = "run-once", 2, 1 })
 	marked := world(func(s *Setup) {
@@ -135,7 +135,7 @@
 			r.Give = func(a *attempt.Answer) bool { a.Given = true; return true }
 			r.Ended = func(a *attempt.Answer, res control.Result) attempt.Delivery {
 				a.Out--
-				if res == control.Finished {
+				if res == control.Succeeded {
 					return attempt.Deliver
 				}
 				return attempt.Ask
@@ -148,17 +148,17 @@
 			r.Withdraw = func(s attempt.Stage) (attempt.Stage, bool) { return s, s == attempt.Chosen }
 		}), "nothing-after"},
 		"slot leak": {world(func(s *Setup) { s.Breaks, s.Servers = 1, 2 }), with(func(r *Rules) {
-			r.Decide = func(m *control.Router) core.Decider { return leaky{m} }
+			r.Decide = func(m *control.Balancer) core.Decider { return leaky{m} }
 		}), "nothing-left"},
 		"a reset taken for a proof": {once, with(func(r *Rules) {
-			r.Broken = func(bool, attempt.Cut) control.Result { return control.NeverSent }
+			r.Broken = func(bool, attempt.Cut) control.Result { return control.NotSent }
 		}), "proved"},
 		"wrong MayRun": {once, with(func(r *Rules) {
-			r.Decide = func(m *control.Router) core.Decider { return careless{m} }
+			r.Decide = func(m *control.Balancer) core.Decider { return careless{m} }
 		}), "run-once"},
-		"run-once pushed back": {once, place(func(j *control.Job, p control.Placement) control.Placement {
-			if p.Verb == control.Kill {
-				p.Verb = control.PushBack
+		"run-once pushed back": {once, place(func(j *control.Request, p control.Decision) control.Decision {
+			if p.Action == control.Fail {
+				p.Action = control.Reject
 			}
 			return p
 		}), "harmless"},
@@ -172,20 +172,20 @@
 			r.Until = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteUntil(chosen, grace) }
 		}), "drained"},
 		"deaf to drains": {world(func(s *Setup) { s.Drains, s.Jobs, s.Apart, s.Limit = 1, 2, 600_000, 400_000 }), with(func(r *Rules) {
-			r.Decide = func(m *control.Router) core.Decider { return deaf{m} }
+			r.Decide = func(m *control.Balancer) core.Decider { return deaf{m} }
 		}), "drained"},
 		"window from the wrong end": {marked, with(func(r *Rules) {
-			r.Decide = func(m *control.Router) core.Decider { return late{m} }
+			r.Decide = func(m *control.Balancer) core.Decider { return late{m} }
 		}), "in-window"},
-		"killed without a reason": {world(func(s *Setup) { s.Jobs = 2 }), place(func(j *control.Job, p control.Placement) control.Placement {
-			if j.ID == 2 && p.Verb == control.Send {
-				return control.Placement{Verb: control.Kill}
+		"killed without a reason": {world(func(s *Setup) { s.Jobs = 2 }), place(func(j *control.Request, p control.Decision) control.Decision {
+			if j.ID == 2 && p.Action == control.Forward {
+				return control.Decision{Action: control.Fail}
 			}
 			return p
 		}), "served"},
-		"held for ever": {world(func(s *Setup) { s.Breaks, s.Ways = 1, []string{"refused"} }), place(func(j *control.Job, p control.Placement) control.Placement {
-			if p.Verb == control.PushBack {
-				return control.Placement{Verb: control.Hold, Again: j.Patience + 1_000_000}
+		"held for ever": {world(func(s *Setup) { s.Breaks, s.Ways = 1, []string{"refused"} }), place(func(j *control.Request, p control.Decision) control.Decision {
+			if p.Action == control.Reject {
+				return control.Decision{Action: control.Hold, RecheckAt: j.Deadline + 1_000_000}
 			}
 			return p
 		}), "answered"},
@@ -208,27 +208,27 @@
 }
 
 // late has a group remember executions from a time after they were sent.
-type late struct{ *control.Router }
+type late struct{ *control.Balancer }
 
-func (l late) Inner() *control.Router { return l.Router }
+func (l late) Inner() *control.Balancer { return l.Balancer }
 
-func (l late) Place(now control.Micros, j *control.Job) control.Placement {
-	return l.forward(j, func() control.Placement { return l.Router.Place(now, j) })
+func (l late) Route(now control.Micros, j *control.Request) control.Decision {
+	return l.forward(j, func() control.Decision { return l.Balancer.Route(now, j) })
 }
 
-func (l late) After(now control.Micros, j *control.Job, o control.Outcome) control.Placement {
-	return l.forward(j, func() control.Placement { return l.Router.After(now, j, o) })
+func (l late) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+	return l.forward(j, func() control.Decision { return l.Balancer.HandleOutcome(now, j, o) })
 }
 
-func (l late) forward(j *control.Job, f func() control.Placement) control.Placement {
+func (l late) forward(j *control.Request, f func() control.Decision) control.Decision {
 	const by = 300_000
-	n := len(j.Executions)
+	n := len(j.Attempts)
 	for i := range n {
-		j.Executions[i].Sent += by
+		j.Attempts[i].SentAt += by
 	}
 	p := f()
 	for i := range n {
-		j.Executions[i].Sent -= by
+		j.Attempts[i].SentAt -= by
 	}
 	return p
 }
@@ -287,7 +287,7 @@
 	answersTwice.Give = func(a *attempt.Answer) bool { a.Given = true; return true }
 	answersTwice.Ended = func(a *attempt.Answer, result control.Result) attempt.Delivery {
 		a.Out--
-		if result == control.Finished {
+		if result == control.Succeeded {
 			return attempt.Deliver
 		}
 		return attempt.Ask
--- a/internal/explore/moment.go
+++ b/internal/explore/moment.go
@@ -15,29 +15,29 @@
 // all orderings of tens of jobs are more than anyone can go through. What is not recorded is taken at its worst: executions that
 // are out were written and ran, and their time is up when their client's patience ends.
 type Moment struct {
-	Now     control.Micros     `json:"Now"`
-	Core    *core.Snapshot     `json:"Core"`
-	Servers []control.ServerID `json:"Servers"`
-	Jobs    []control.JobID    `json:"Jobs"`
-	Watched []bool             `json:"Watched"` // of Jobs
+	Now     control.Micros      `json:"Now"`
+	Core    *core.Snapshot      `json:"Core"`
+	Servers []control.ServerID  `json:"Servers"`
+	Jobs    []control.RequestID `json:"Jobs"`
+	Watched []bool              `json:"Watched"` // of Jobs
 }
 
 // mostWatched bounds the jobs that are followed from a moment.
 const mostWatched = mostJobs
 
 // NewMoment gives the world of a router's state; jobs are those to be followed, none: the last that came and have no answer.
-func NewMoment(now control.Micros, c *core.Snapshot, jobs []control.JobID) (*Moment, error) {
+func NewMoment(now control.Micros, c *core.Snapshot, jobs []control.RequestID) (*Moment, error) {
 	m := &Moment{Now: now, Core: c}
 	for _, s := range c.Module.Servers {
-		m.Servers = append(m.Servers, s.Listing.Server)
+		m.Servers = append(m.Servers, s.Endpoint.Server)
 	}
 	if len(jobs) == 0 {
 		for _, j := range c.Jobs {
 			if !j.Over {
-				jobs = append(jobs, j.Job.Job.ID)
+				jobs = append(jobs, j.Job.Request.ID)
 			}
 		}
-		slices.SortFunc(jobs, func(a, b control.JobID) int { return cmp.Compare(b, a) })
+		slices.SortFunc(jobs, func(a, b control.RequestID) int { return cmp.Compare(b, a) })
 		jobs = jobs[:min(len(jobs), mostWatched)]
 	}
 	if len(jobs) == 0 || len(jobs) > mostWatched {
@@ -45,11 +45,11 @@
 	}
 	n := 0
 	for _, j := range c.Jobs {
-		watched := slices.Contains(jobs, j.Job.Job.ID)
+		watched := slices.Contains(jobs, j.Job.Request.ID)
 		if watched {
 			n++
 		}
-		m.Jobs, m.Watched = append(m.Jobs, j.Job.Job.ID), append(m.Watched, watched)
+		m.Jobs, m.Watched = append(m.Jobs, j.Job.Request.ID), append(m.Watched, watched)
 	}
 	if n != len(jobs) {
 		return nil, errors.New("a job to be followed is not in hand then")
@@ -67,25 +67,25 @@
 func (m *Moment) begin(s *Setup, w *World) error {
 	w.Now = m.Now
 	for _, v := range m.Core.Module.Servers {
-		state := v.Listing.State
+		state := v.Endpoint.State
 		if !v.Listed {
-			state = control.Gone
+			state = control.Removed
 		}
-		w.Servers = append(w.Servers, Server{State: state, Since: v.Left, Born: v.Listing.Born, Loaded: true})
+		w.Servers = append(w.Servers, Server{State: state, Since: v.LastListed, Born: v.Endpoint.StartedAt, Loaded: true})
 	}
 	for i, j := range m.Core.Jobs {
-		job := j.Job.Job
-		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.Arrived, Until: job.Patience + margin, State: attempt.Answer{Given: j.Over, Out: j.Out}})
-		for no, e := range j.Job.Executions {
-			x := Exchange{Job: i, No: no, Server: s.index(e.Execution.Server), Stage: attempt.Writing, Chosen: e.Execution.Sent, Written: e.Execution.Sent,
-				Deadline: job.Patience, Ran: true}
-			if e.Execution.Done {
-				x.State.Over, x.Result, x.Ran = true, control.Reset, false
-				if !e.Execution.MayRun {
-					x.Result = control.NeverSent
+		job := j.Job.Request
+		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.ArrivedAt, Until: job.Deadline + margin, State: attempt.Answer{Given: j.Over, Out: j.Out}})
+		for no, e := range j.Job.Attempts {
+			x := Exchange{Job: i, No: no, Server: s.index(e.Attempt.Server), Stage: attempt.Writing, Chosen: e.Attempt.SentAt, Written: e.Attempt.SentAt,
+				Deadline: job.Deadline, Ran: true}
+			if e.Attempt.Done {
+				x.State.Over, x.Result, x.Ran = true, control.ConnectionReset, false
+				if !e.Attempt.MayHaveRun {
+					x.Result = control.NotSent
 				}
 			}
-			x.State.Off = e.Recall
+			x.State.Off = e.Cancelling
 			w.Exchanges = append(w.Exchanges, x)
 		}
 	}
@@ -114,14 +114,14 @@
 	return int(id&0xffff) - firstPort
 }
 
-func (s *Setup) jobID(job int) control.JobID {
+func (s *Setup) jobID(job int) control.RequestID {
 	if s.Moment != nil {
 		return s.Moment.Jobs[job]
 	}
-	return control.JobID(job + 1)
+	return control.RequestID(job + 1)
 }
 
-func (s *Setup) jobIndex(id control.JobID) int {
+func (s *Setup) jobIndex(id control.RequestID) int {
 	if s.Moment != nil {
 		return slices.Index(s.Moment.Jobs, id)
 	}
@@ -129,12 +129,12 @@
 }
 
 // workload gives a job's.
-func (s *Setup) workload(job int) control.Workload {
+func (s *Setup) workload(job int) control.Class {
 	if m := s.Moment; m != nil {
-		return m.Core.Module.Told.Workloads[m.Core.Jobs[job].Job.Job.Workload]
+		return m.Core.Module.Deployment.Classes[m.Core.Jobs[job].Job.Request.Class]
 	}
-	w := control.Workload{StartTarget: s.Target, TimeLimit: s.Limit, Effect: effects[s.Effects[job%len(s.Effects)]]}
-	if w.Effect == control.Fingerprinted {
+	w := control.Class{LatencyObjective: s.Target, MaxDeadline: s.Limit, Effect: effects[s.Effects[job%len(s.Effects)]]}
+	if w.Effect == control.IdempotentByKey {
 		w.Window = s.Window
 		if s.Scope == "zone" {
 			w.Scope = control.OneZone
@@ -158,11 +158,11 @@
 }
 
 // place tells where a server stands.
-func (s *Setup) place(server int) control.Listing {
+func (s *Setup) place(server int) control.Endpoint {
 	if s.Moment != nil {
-		return s.Moment.Core.Module.Servers[server].Listing
+		return s.Moment.Core.Module.Servers[server].Endpoint
 	}
-	return control.Listing{Server: s.id(server), Zone: control.ZoneID(1 + server%2), Cell: control.CellID(1 + server%2), Power: 1}
+	return control.Endpoint{Server: s.id(server), Zone: control.ZoneID(1 + server%2), Cell: control.CellID(1 + server%2), Weight: 1}
 }
 
 var effectNames = [...]string{"restartable", "fingerprinted", "run-once"}
--- a/internal/explore/property.go
+++ b/internal/explore/property.go
@@ -48,9 +48,9 @@
 }
 
 // unrun tells whether it is proved to its router that an execution did not run.
-func (e *Exchange) unrun() bool { return e.State.Over && e.Result.ProvesUnrun() }
+func (e *Exchange) unrun() bool { return e.State.Over && e.Result.ProvesNotRun() }
 
 // narrow tells whether a job's repeats are known to a part of the servers alone.
 func narrow(s *Setup, job int) bool {
-	return s.effect(job) == control.Fingerprinted && s.workload(job).Scope != control.WholeFleet
+	return s.effect(job) == control.IdempotentByKey && s.workload(job).Scope != control.WholeFleet
 }
--- a/internal/explore/property_again.go
+++ b/internal/explore/property_again.go
@@ -6,7 +6,7 @@
 	for i, r := range w.Routers {
 		for _, j := range r.core.Jobs {
 			if j.Held && !r.Frozen && r.Alarm > max(j.Again, w.Now+1) {
-				return fmt.Sprintf("router %d holds job %d until %d us after it was to be asked about", i, j.Job.Job.ID-1, r.Alarm-j.Again)
+				return fmt.Sprintf("router %d holds job %d until %d us after it was to be asked about", i, j.Job.Request.ID-1, r.Alarm-j.Again)
 			}
 		}
 	}
--- a/internal/explore/property_left.go
+++ b/internal/explore/property_left.go
@@ -22,14 +22,14 @@
 		}
 		m := r.core.Module
 		for _, v := range m.Servers {
-			if v.Busy != 0 || len(v.Flights) > 0 {
-				return fmt.Sprintf("router %d still counts %d busy and %d out at server %d", i, v.Busy, len(v.Flights), s.index(v.Listing.Server))
+			if v.Running != 0 || len(v.InFlight) > 0 {
+				return fmt.Sprintf("router %d still counts %d busy and %d out at server %d", i, v.Running, len(v.InFlight), s.index(v.Endpoint.Server))
 			}
 		}
 		for _, f := range m.Functions {
 			for _, in := range f.Instances {
-				if in.Out != 0 { // a load may go on without us: that belief ends by itself
-					return fmt.Sprintf("router %d still counts %d executions out at server %d", i, in.Out, s.index(in.Server))
+				if in.InFlight != 0 { // a load may go on without us: that belief ends by itself
+					return fmt.Sprintf("router %d still counts %d executions out at server %d", i, in.InFlight, s.index(in.Server))
 				}
 			}
 			if f.Held != 0 {
--- a/internal/explore/property_runonce.go
+++ b/internal/explore/property_runonce.go
@@ -8,7 +8,7 @@
 
 var runOnce = Property{"run-once", "A run-once job is written again only if it is proved that no earlier execution ran; it never runs twice.", func(s *Setup, w *World) string {
 	return w.executions(func(e *Exchange, before []*Exchange) string {
-		if s.effect(e.Job) != control.RunOnce || e.Written == 0 {
+		if s.effect(e.Job) != control.NonIdempotent || e.Written == 0 {
 			return ""
 		}
 		for _, b := range before {
--- a/internal/explore/property_trials.go
+++ b/internal/explore/property_trials.go
@@ -6,8 +6,8 @@
 	const most = 20_000_000 // the module's longest pause between trials, where answers are rarest
 	for i, r := range w.Routers {
 		for _, v := range r.core.Module.Servers {
-			if v.Suspect && v.TrialAt > w.Now+most {
-				return fmt.Sprintf("router %d tries suspect server %d no sooner than in %d us", i, s.index(v.Listing.Server), v.TrialAt-w.Now)
+			if v.Ejected && v.ProbeAt > w.Now+most {
+				return fmt.Sprintf("router %d tries suspect server %d no sooner than in %d us", i, s.index(v.Endpoint.Server), v.ProbeAt-w.Now)
 			}
 		}
 	}
--- a/internal/explore/property_window.go
+++ b/internal/explore/property_window.go
@@ -8,7 +8,7 @@
 
 var inWindow = Property{"in-window", "A fingerprinted job that may have run is written again only in its group and while that knows it.", func(s *Setup, w *World) string {
 	return w.executions(func(e *Exchange, before []*Exchange) string {
-		if s.effect(e.Job) != control.Fingerprinted || e.Written == 0 {
+		if s.effect(e.Job) != control.IdempotentByKey || e.Written == 0 {
 			return ""
 		}
 		for _, b := range before {
--- a/internal/explore/steps.go
+++ b/internal/explore/steps.go
@@ -189,17 +189,17 @@
 // orderTime is for how long the answer to an order is awaited.
 const orderTime = control.Micros(1_000_000)
 
-func (o *outlet) Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (o *outlet) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	e := o.exchange(o.setup.jobIndex(j.ID), int(no), to, allow)
-	if no > 0 && o.setup.effect(e.Job) == control.Fingerprinted {
+	if no > 0 && o.setup.effect(e.Job) == control.IdempotentByKey {
 		e.Until = min(e.Until, e.Chosen+attempt.FreshRepeat)
 	}
 	o.w.Jobs[e.Job].State.Sent()
 }
 
-func (o *outlet) Order(j *control.Job, order control.Order) {
+func (o *outlet) Order(j *control.Request, order control.LoadCommand) {
 	e := o.exchange(o.setup.jobIndex(j.ID), 0, order.Server, orderTime)
-	e.Order = max(1, order.Copies)
+	e.Order = max(1, order.Replicas)
 }
 
 func (o *outlet) end(job int, word string) {
@@ -223,13 +223,13 @@
 	}
 }
 
-func (o *outlet) PushBack(id control.JobID, _ control.Micros) {
+func (o *outlet) PushBack(id control.RequestID, _ control.Micros) {
 	o.end(o.setup.jobIndex(id), "pushed back")
 }
 
-func (o *outlet) Kill(id control.JobID) { o.end(o.setup.jobIndex(id), "killed") }
+func (o *outlet) Kill(id control.RequestID) { o.end(o.setup.jobIndex(id), "killed") }
 
-func (o *outlet) CallOff(id control.JobID, no control.ExecutionID) {
+func (o *outlet) CallOff(id control.RequestID, no control.AttemptID) {
 	for i := range o.w.Exchanges {
 		e := &o.w.Exchanges[i]
 		if e.Job == o.setup.jobIndex(id) && e.No == int(no) && e.Order == 0 && o.rules.CallOff(&e.State) {
@@ -339,15 +339,15 @@
 func (e *Exchange) result(rules *Rules) control.Result {
 	switch {
 	case e.Stage == attempt.Withdrawn:
-		return control.NeverSent
+		return control.NotSent
 	case e.Way == NoConnection:
 		return rules.Undialled(e.Stage, false)
 	case e.Way == Refused:
-		return control.Full
+		return control.Overloaded
 	case e.Way == ResetBefore || e.Way == ResetAfter:
 		return rules.Broken(true, attempt.Lost)
 	}
-	return control.Finished
+	return control.Succeeded
 }
 
 // ask has a router hear something and take its turn.
@@ -378,8 +378,8 @@
 	case Arrive:
 		j := &w.Jobs[of]
 		j.Arrived = true
-		err = c.Arrived(w.Now, control.Job{ID: s.jobID(of), Workload: control.WorkloadID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
-			Arrived: j.At, Patience: j.Until - margin})
+		err = c.Arrived(w.Now, control.Request{ID: s.jobID(of), Class: control.ClassID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
+			ArrivedAt: j.At, Deadline: j.Until - margin})
 	case Leave:
 		w.Left.Leaves--
 		w.Wrong++
@@ -420,7 +420,7 @@
 func (w *World) heard(s *Setup, rules *Rules, c *core.Core, of int) {
 	n := w.Notices[of]
 	w.Notices = slices.Delete(w.Notices, of, of+1)
-	c.Listed(w.Now, control.ListChanges, []control.Listing{s.listing(n.Server, n.State, n.Born)})
+	c.UpdateEndpoints(w.Now, control.IncrementalUpdate, []control.Endpoint{s.listing(n.Server, n.State, n.Born)})
 	if n.State == control.Ready {
 		return
 	}
@@ -448,23 +448,23 @@
 	e.State.End()
 	if e.Order > 0 {
 		copies := -1
-		if e.Result == control.Finished {
+		if e.Result == control.Succeeded {
 			copies = e.Order
 		}
-		c.Loaded(w.Now, out.setup.id(e.Server), theFunction, e.Result, w.Now-e.Chosen, copies)
+		c.HandleLoadResult(w.Now, out.setup.id(e.Server), theFunction, e.Result, w.Now-e.Chosen, copies)
 		return
 	}
 	j := &w.Jobs[e.Job]
-	o := control.Outcome{Execution: control.ExecutionID(e.No), Server: out.setup.id(e.Server), Result: e.Result, Took: w.Now - e.Chosen}
-	if o.Result == control.Finished {
-		o.Found = control.FoundWarm
+	o := control.Outcome{Attempt: control.AttemptID(e.No), Server: out.setup.id(e.Server), Result: e.Result, Duration: w.Now - e.Chosen}
+	if o.Result == control.Succeeded {
+		o.CacheStatus = control.CacheHit
 		if e.Began {
-			o.Found = control.BeganLoad
+			o.CacheStatus = control.CacheMiss
 		}
 	}
 	id := out.setup.jobID(e.Job)
 	if out.rules.Ended(&j.State, e.Result) == attempt.Deliver {
-		o.JobOver = true
+		o.RequestDone = true
 		c.Answered(w.Now, id, o)
 		out.end(e.Job, "finished")
 		return
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-var effects = map[string]control.Effect{"restartable": control.Restartable, "fingerprinted": control.Fingerprinted, "run-once": control.RunOnce}
+var effects = map[string]control.Effect{"restartable": control.Idempotent, "fingerprinted": control.IdempotentByKey, "run-once": control.NonIdempotent}
 
 // What the router is told besides. The grace and the list's way are those of a usual deployment; a margin is kept for answers.
 const (
@@ -97,10 +97,10 @@
 const theFunction = control.FunctionID(7)
 
 func (s *Setup) deployment(number int) control.Deployment {
-	d := control.Deployment{Routers: s.Routers, Number: number, Tick: 4000, MaxExecutions: 3, MaxStayAway: 2_000_000, Cancels: true, MarksRepeats: true,
-		ColdFrom: coldFrom, Cold: cold, Fall: fall, FallMultiple: multiple, KeepAlive: 60_000_000, Orders: s.Orders, LoadsOnMiss: !s.Orders}
+	d := control.Deployment{Routers: s.Routers, Number: number, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 2_000_000, SupportsCancel: true, MarksRetries: true,
+		SlowStartInitial: coldFrom, SlowStartDuration: cold, OverloadWindow: fall, OverloadFactor: multiple, KeepAlive: 60_000_000, LoadCommands: s.Orders, LoadsOnMiss: !s.Orders}
 	for i := range s.Effects {
-		d.Workloads = append(d.Workloads, s.workload(i))
+		d.Classes = append(d.Classes, s.workload(i))
 	}
 	return d
 }
@@ -218,7 +218,7 @@
 	Broken    func(written bool, why attempt.Cut) control.Result
 	CatchUp   func(age, grace control.Micros) bool
 	Until     func(listAsOf, chosen, grace control.Micros) control.Micros
-	Decide    func(*control.Router) core.Decider // nil: the module itself
+	Decide    func(*control.Balancer) core.Decider // nil: the module itself
 }
 
 // Real are the rules that are shipped.
@@ -247,10 +247,10 @@
 	}
 	for i := range s.Routers {
 		w.Routers = append(w.Routers, Router{})
-		module := control.Start(begin, uint64(i)+1, s.deployment(i))
+		module := control.New(begin, uint64(i)+1, s.deployment(i))
 		out := &outlet{w: w, rules: rules, setup: s, router: i}
 		c := core.New(module, out)
-		c.Listed(begin, control.ListWhole, w.list(s))
+		c.UpdateEndpoints(begin, control.FullUpdate, w.list(s))
 		c.Turn(begin)
 		if err := w.keep(i, c); err != nil {
 			return nil, err
@@ -259,17 +259,17 @@
 	return w, nil
 }
 
-func (w *World) list(s *Setup) []control.Listing {
-	var list []control.Listing
+func (w *World) list(s *Setup) []control.Endpoint {
+	var list []control.Endpoint
 	for i, v := range w.Servers {
 		list = append(list, s.listing(i, v.State, v.Born))
 	}
 	return list
 }
 
-func (s *Setup) listing(i int, state control.ServerState, born control.Micros) control.Listing {
+func (s *Setup) listing(i int, state control.ServerState, born control.Micros) control.Endpoint {
 	l := s.place(i)
-	l.State, l.Born = state, born
+	l.State, l.StartedAt = state, born
 	return l
 }
 
@@ -279,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	s.Module.Notes = nil // for the log alone
+	s.Module.LogLines = nil // for the log alone
 	w.Routers[i].core = s
 	b, err := cbor.Marshal(s)
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -117,7 +117,7 @@
 
 // Whole takes in a whole list, heard at a time, and gives it in the module's words, by ascending id. A server that it
 // leaves out is gone; it is kept as such, so that its return is known for a restart, until Forget.
-func (f *Fleet) Whole(now control.Micros, list []Entry) []control.Listing {
+func (f *Fleet) Whole(now control.Micros, list []Entry) []control.Endpoint {
 	f.lists++
 	out := f.take(now, list)
 	for _, s := range f.servers {
@@ -131,7 +131,7 @@
 
 // Changes takes in what differs from what was heard last, and gives it in the module's words, by ascending id: all is then as if
 // the complete list had come. A server that leaves is handed on as it was, but gone.
-func (f *Fleet) Changes(now control.Micros, changed []Entry) []control.Listing {
+func (f *Fleet) Changes(now control.Micros, changed []Entry) []control.Endpoint {
 	out := f.take(now, changed)
 	f.read, f.first = now, false
 	return out
@@ -139,32 +139,32 @@
 
 // leave notes that a server is on the list no more.
 func (f *Fleet) leave(s *Server) {
-	if s.State != control.Gone {
+	if s.State != control.Removed {
 		f.counts[s.State]--
-		s.State, s.left = control.Gone, f.read
+		s.State, s.left = control.Removed, f.read
 		f.gone = append(f.gone, departure{s.ID, s.left})
 	}
 }
 
 // take takes in what a list tells of the servers that it names.
-func (f *Fleet) take(now control.Micros, list []Entry) []control.Listing {
-	out := make([]control.Listing, 0, len(list))
+func (f *Fleet) take(now control.Micros, list []Entry) []control.Endpoint {
+	out := make([]control.Endpoint, 0, len(list))
 	for _, e := range list {
 		id := ID(cmp.Or(e.Name, e.Address))
 		s := f.servers[id]
-		if e.State == control.Gone {
-			if s != nil && s.State != control.Gone {
+		if e.State == control.Removed {
+			if s != nil && s.State != control.Removed {
 				f.leave(s)
 				out = append(out, s.listing())
 			}
 			continue
 		}
-		if s != nil && s.State != control.Gone {
+		if s != nil && s.State != control.Removed {
 			f.counts[s.State]--
 		}
 		f.counts[e.State]++
 		// With no start told, a server that was gone may have restarted meanwhile.
-		fresh := s == nil || s.told != e.Born || s.State == control.Gone && e.Born == 0
+		fresh := s == nil || s.told != e.Born || s.State == control.Removed && e.Born == 0
 		if s == nil {
 			s = &Server{ID: id, Address: e.Address}
 			f.servers[id] = s
@@ -177,13 +177,13 @@
 		s.list = f.lists
 		out = append(out, s.listing())
 	}
-	slices.SortFunc(out, func(a, b control.Listing) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(out, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
 	return out
 }
 
 // listing gives a server in the module's words.
-func (s *Server) listing() control.Listing {
-	return control.Listing{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Power: s.Told.Power, Born: s.born}
+func (s *Server) listing() control.Endpoint {
+	return control.Endpoint{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Told.Power, StartedAt: s.born}
 }
 
 // announced is the part of slow start that may pass between a server's start and its first listing, at the most: sources tell
@@ -222,7 +222,7 @@
 func (f *Fleet) Servers() []*Server {
 	var ss []*Server
 	for _, s := range f.servers {
-		if s.State != control.Gone {
+		if s.State != control.Removed {
 			ss = append(ss, s)
 		}
 	}
@@ -246,7 +246,7 @@
 	}
 	kept := slices.DeleteFunc(f.gone[:due:due], func(d departure) bool {
 		s := f.servers[d.id]
-		if s == nil || s.State != control.Gone || s.left != d.at {
+		if s == nil || s.State != control.Removed || s.left != d.at {
 			return true // it has returned since
 		}
 		if keep(d.id) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,8 +35,8 @@
 		}
 		f.Whole(100*second, list)
 		got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.then)})
-		if got[0].Born != c.want {
-			t.Errorf("%s: got %d, want %d", name, got[0].Born, c.want)
+		if got[0].StartedAt != c.want {
+			t.Errorf("%s: got %d, want %d", name, got[0].StartedAt, c.want)
 		}
 	}
 }
@@ -48,11 +48,11 @@
 		list := []Entry{entry("127.0.0.1:9", born)}
 		f.Whole(100*second, list)
 		f.Whole(200*second, nil)
-		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Gone {
+		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
 			t.Errorf("got %+v", s)
 		}
-		if got := f.Whole(300*second, list); got[0].Born != want {
-			t.Errorf("born %d: got %d, want %d", born, got[0].Born, want)
+		if got := f.Whole(300*second, list); got[0].StartedAt != want {
+			t.Errorf("born %d: got %d, want %d", born, got[0].StartedAt, want)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 	f := New(0)
 	f.Whole(1, []Entry{entry(name, 0), entry("127.0.0.1:2", 0)})
 	f.Changes(500*second, []Entry{entry("127.0.0.1:2", 1)})
-	f.Changes(900*second, []Entry{{Address: name, State: control.Gone}})
+	f.Changes(900*second, []Entry{{Address: name, State: control.Removed}})
 	f.Changes(1000*second, []Entry{entry(name, 0)})
-	f.Changes(1050*second, []Entry{{Address: name, State: control.Gone}})
+	f.Changes(1050*second, []Entry{{Address: name, State: control.Removed}})
 	if f.Forget(1600*second, keep); f.Get(ID(name)) == nil {
 		t.Error("forgotten before its time")
 	}
@@ -134,8 +134,8 @@
 			f.Whole(10*second, list)
 			f.Complete(c.complete)
 			f.Whole(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
-			if got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.told)}); got[0].Born != c.want {
-				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].Born, c.want)
+			if got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.told)}); got[0].StartedAt != c.want {
+				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
 		}
 	}
@@ -148,7 +148,7 @@
 	f.Whole(10*second, nil)
 	f.Complete(10 * second)
 	first := f.Whole(20*second, []Entry{entry("127.0.0.1:9", 4600*second)})
-	if then := f.Whole(21*second, []Entry{entry("127.0.0.1:9", 1015*second)}); then[0].Born <= first[0].Born {
-		t.Errorf("born %d, its earlier life %d", then[0].Born, first[0].Born)
+	if then := f.Whole(21*second, []Entry{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
+		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
 	}
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -45,7 +45,7 @@
 			nc.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
 			return
 		}
-		go turnAway(nc, g.told.Deployment.MaxStayAway)
+		go turnAway(nc, g.told.Deployment.MaxRetryAfter)
 		return
 	}
 	g.clients.Add(1)
@@ -115,7 +115,7 @@
 			if errors.As(err, &refused) {
 				p := fault(refused.Status, refused.Why)
 				if refused.Status == 503 {
-					p = pushedBack(refused.Why, g.told.Deployment.MaxStayAway)
+					p = pushedBack(refused.Why, g.told.Deployment.MaxRetryAfter)
 				}
 				p.Close = true
 				c.Answer(p)
@@ -192,7 +192,7 @@
 		if g.isStopping() {
 			why = "this router is stopping"
 		}
-		return pushedBack(why, g.told.Deployment.MaxStayAway), false
+		return pushedBack(why, g.told.Deployment.MaxRetryAfter), false
 	}
 	seen := g.now()
 	if c.Gone() { // after a stall of this process, say: its time may be long over
@@ -200,7 +200,7 @@
 	}
 	tenant, ok := g.told.Tenants[q.Header.Get(tenantHeader)]
 	if !ok {
-		tenant = control.TenantID(len(g.told.Deployment.Shares)) // of no told share
+		tenant = control.TenantID(len(g.told.Deployment.Quotas)) // of no told share
 	}
 	j := &job{name: call.Model, tenant: g.told.tenantName(tenant), call: call, request: q, client: c, answer: make(chan *rest.Response, 1)}
 	j.seen.Store(int64(seen))
@@ -228,7 +228,7 @@
 	case p := <-j.answer:
 		return p, left
 	default:
-		return pushedBack("this router is stopping", g.told.Deployment.MaxStayAway), left
+		return pushedBack("this router is stopping", g.told.Deployment.MaxRetryAfter), left
 	}
 }
 
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -12,9 +12,9 @@
 // Conclude tells what a server's answer to an execution, or to an order, means to the module. The router and the probe
 // read answers with this, so they cannot disagree.
 func Conclude(p *rest.Response, order bool) control.Outcome {
-	o := control.Outcome{Result: resultOf(p, order), Found: foundOf(p)}
+	o := control.Outcome{Result: resultOf(p, order), CacheStatus: foundOf(p)}
 	if l, ok := kserve.ReadLoad(p.Header); ok {
-		o.Report = &control.Report{Util: l.Util, Loads: l.Loads, Pinned: l.Pinned}
+		o.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
 	}
 	return o
 }
@@ -24,27 +24,27 @@
 func resultOf(p *rest.Response, order bool) control.Result {
 	switch {
 	case p.Status == 429 || p.Status == 503:
-		return control.Full
+		return control.Overloaded
 	case p.Status == 404:
-		return control.Missing
+		return control.NotLoaded
 	case p.Status >= 500 || p.Status == 408 || order && p.Status >= 300:
-		return control.Errored
+		return control.Failed
 	}
-	return control.Finished
+	return control.Succeeded
 }
 
-func foundOf(p *rest.Response) control.Found {
+func foundOf(p *rest.Response) control.CacheStatus {
 	switch kserve.Found(p.Header, p.Body) {
 	case "warm":
-		return control.FoundWarm
+		return control.CacheHit
 	case "began":
-		return control.BeganLoad
+		return control.CacheMiss
 	case "joined":
-		return control.JoinedLoad
+		return control.CacheLoading
 	case "load_failed":
-		return control.LoadFailed
+		return control.CacheLoadFailed
 	}
-	return control.Untold
+	return control.CacheUnknown
 }
 
 // Broken tells what a broken exchange means to the module, by how far it had got.
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -51,7 +51,7 @@
 	})
 	old := <-s
 	old.request = request("1", "forecast-1", time.Second)
-	if e := f.carried(old); e.result != control.NeverSent {
+	if e := f.carried(old); e.result != control.NotSent {
 		t.Errorf("got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
@@ -135,7 +135,7 @@
 	id := fleet.ID(address)
 	for name, news := range map[string]fleet.Update{
 		"drains": {Entries: []fleet.Entry{{Address: address, State: control.Draining}}},
-		"goes":   {Entries: []fleet.Entry{{Address: address, State: control.Gone}}},
+		"goes":   {Entries: []fleet.Entry{{Address: address, State: control.Removed}}},
 		"all":    {Whole: true, Entries: []fleet.Entry{{Address: other, State: control.Ready}}},
 	} {
 		f := newFieldChanged(t, "", rarely, usual(0))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,8 +59,8 @@
 	looking    chan struct{}              // closed when the look that was asked for has ended; nil: none is awaited
 	recordings int
 	fleet      *fleet.Fleet
-	jobs       map[control.JobID]*job
-	last       control.JobID
+	jobs       map[control.RequestID]*job
+	last       control.RequestID
 	pools      map[control.ServerID]*pool
 	timer      *time.Timer
 	due        control.Micros // when the timer fires
@@ -93,7 +93,7 @@
 
 // job is a job as its client's connection and its executions see it.
 type job struct {
-	id         control.JobID
+	id         control.RequestID
 	name       string // of the function
 	call       kserve.Call
 	request    *rest.Request
@@ -102,7 +102,7 @@
 	mark       string
 	kept       memory.Mark // for the journal
 	patience   control.Micros
-	workload   control.WorkloadID
+	workload   control.ClassID
 	tenant     string
 	due        control.Micros      // its start target
 	answer     chan *rest.Response // holds one
@@ -117,7 +117,7 @@
 		seed = rand.Uint64()
 	}
 	g := &Gateway{told: told, log: log, started: time.Now(), box: mailbox.New(),
-		jobs: map[control.JobID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
+		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
 		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
 	// whatever is done to that clock.
@@ -128,20 +128,20 @@
 		return nil, err
 	}
 	g.fleet, g.tally = fleet.New(0), loads.NewTally(g.epoch)
-	g.fleet.SlowStart(told.Deployment.Cold)
+	g.fleet.SlowStart(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
 	if told.Storms {
-		shares := make([]float64, len(told.Deployment.Shares))
-		for i, s := range told.Deployment.Shares {
+		shares := make([]float64, len(told.Deployment.Quotas))
+		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = storm.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxStayAway, seed)
+		g.storm = storm.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
-	module := control.Start(g.epoch, seed, deployment)
+	module := control.New(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
 		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
 		g.metrics.journal(g.keeper)
@@ -423,7 +423,7 @@
 			why = "this router is stopping"
 		}
 		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
 		g.metrics.answered("pushed back")
 		return
 	}
@@ -436,20 +436,20 @@
 	}
 	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
 		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
 		g.metrics.answered("pushed back")
 		g.metrics.unrecorded.Inc()
 		return
 	}
-	w := g.told.Deployment.Workloads[p.Workload]
-	limit := w.TimeLimit
+	w := g.told.Deployment.Classes[p.Workload]
+	limit := w.MaxDeadline
 	if ask.Timeout > 0 {
 		limit = min(limit, control.Micros(ask.Timeout))
 	}
 	g.last++
 	j.id, j.workload = g.last, p.Workload
 	begun := now - age
-	j.due = begun + w.StartTarget
+	j.due = begun + w.LatencyObjective
 	j.patience = begun + limit - micros(g.told.AnswerMargin)
 	if j.mark = ask.Mark; j.mark == "" {
 		j.mark = g.run + "-" + strconv.FormatUint(uint64(j.id), 36)
@@ -459,9 +459,9 @@
 	g.took(now)
 	earlier := g.earlier(now, j.kept)
 	j.executions = make([]*sending, len(earlier))
-	err := g.core.Arrived(now, control.Job{Executions: earlier,
-		ID: j.id, Workload: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
-		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, Arrived: begun, Patience: max(now, j.patience), Repeat: ask.Repeat, Unmarked: !ask.Counts})
+	err := g.core.Arrived(now, control.Request{Attempts: earlier,
+		ID: j.id, Class: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
+		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.patience), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
 	} else if g.tape != nil && ask.ID != "" {
@@ -504,11 +504,11 @@
 }
 
 // Send starts an execution.
-func (g *Gateway) Send(cj *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (g *Gateway) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := g.jobs[cj.ID]
 	s := g.sending(to, allow)
 	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
-	if no > 0 && g.told.Deployment.Workloads[j.workload].Effect == control.Fingerprinted {
+	if no > 0 && g.told.Deployment.Classes[j.workload].Effect == control.IdempotentByKey {
 		s.until = min(s.until, g.clock+attempt.FreshRepeat)
 	}
 	j.executions = append(j.executions, s)
@@ -519,19 +519,19 @@
 }
 
 // PushBack and Kill end a job.
-func (g *Gateway) PushBack(id control.JobID, stayAway control.Micros) {
+func (g *Gateway) PushBack(id control.RequestID, stayAway control.Micros) {
 	g.recent.add(g.clock, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
 	g.end(g.jobs[id], "pushed back", pushedBack("not now: it could not be finished in time", g.spread(g.jobs[id], stayAway)))
 }
 
 // Kill ends a job of which nothing may be promised.
-func (g *Gateway) Kill(id control.JobID) {
+func (g *Gateway) Kill(id control.RequestID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.Kill, Job: id})
 	g.end(g.jobs[id], "killed", killed("the job may have run; its end is not known"))
 }
 
 // CallOff stops waiting for an execution.
-func (g *Gateway) CallOff(id control.JobID, no control.ExecutionID) {
+func (g *Gateway) CallOff(id control.RequestID, no control.AttemptID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.CallOff, Job: id, No: no})
 	if j := g.jobs[id]; j != nil && int(no) < len(j.executions) {
 		j.executions[no].callOff()
@@ -539,19 +539,19 @@
 }
 
 // Order orders copies of a job's function.
-func (g *Gateway) Order(cj *control.Job, o control.Order) {
+func (g *Gateway) Order(cj *control.Request, o control.LoadCommand) {
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
-	if g.keeper != nil && g.told.Deployment.LoadWindow > 0 { // without a ration nothing is owed
+	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Copies)}
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.orders++
 	g.metrics.orders.Inc()
 	g.useOrdered(g.jobs[cj.ID])
-	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Copies})
+	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
 	g.dispatch(s)
 }
 
@@ -584,16 +584,16 @@
 	g.metrics.executed(o.Result)
 	g.tally.Ended(g.pools[s.to].address, o.Result, o.Report)
 	g.useExecuted(now, j, o)
-	if o.Result.ProvesUnrun() {
+	if o.Result.ProvesNotRun() {
 		g.proved(j.kept, s.to)
 	}
-	if o.Found == control.BeganLoad {
+	if o.CacheStatus == control.CacheMiss {
 		g.metrics.loads.Inc()
 	}
 	if delivery == attempt.Deliver {
-		o.JobOver = true
+		o.RequestDone = true
 		g.core.Answered(now, j.id, o)
-		j.due += control.Micros(g.told.Deployment.Workloads[j.workload].Stretch * float64(o.Took))
+		j.due += control.Micros(g.told.Deployment.Classes[j.workload].ObjectivePerWork * float64(o.Duration))
 		p.Header = forwarded(p.Header)
 		p.Close, p.Chunk = false, 0
 		g.end(j, "finished", p)
@@ -612,7 +612,7 @@
 // ordered takes in the answer to an order.
 func (g *Gateway) ordered(now control.Micros, s *sending, result control.Result, took control.Micros, copies int) {
 	g.orders--
-	g.core.Loaded(now, s.order.Server, s.order.Function, result, took, copies)
+	g.core.HandleLoadResult(now, s.order.Server, s.order.Function, result, took, copies)
 }
 
 var errNoList = errors.New("no list of servers could be read yet")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -301,13 +301,13 @@
 	if !s.withdraw() {
 		t.Error("could not be withdrawn")
 	}
-	if e := f.carried(s); e.result != control.NeverSent {
+	if e := f.carried(s); e.result != control.NotSent {
 		t.Errorf("withdrawn: got %v", e.result)
 	}
 	s = f.g.sending(1, 1_000_000)
 	s.request = request("2", "forecast-1", time.Second)
 	s.until -= micros(f.g.told.Grace)
-	if e := f.carried(s); e.result != control.NeverSent {
+	if e := f.carried(s); e.result != control.NotSent {
 		t.Errorf("old: got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
@@ -362,14 +362,14 @@
 		closed <- struct{}{}
 	})
 	l := &link{g: f.g, address: address}
-	for i, want := range []control.Result{control.Finished, control.Reset, control.Finished} {
+	for i, want := range []control.Result{control.Succeeded, control.ConnectionReset, control.Succeeded} {
 		s := f.g.sending(1, 1_000_000)
 		s.request = request("1", "forecast-1", time.Second)
 		if e := l.carry(s); e.result != want {
 			t.Errorf("exchange %d: got %v, want %v", i, e.result, want)
 		}
 		s.cancel()
-		if want == control.Finished {
+		if want == control.Succeeded {
 			<-closed
 			for c := l.client.Load(); c != nil && !c.Stale(); {
 				time.Sleep(time.Millisecond)
@@ -386,7 +386,7 @@
 	f.servers[0].Stop()
 	s := f.g.sending(1, 1_000_000)
 	s.request = request("1", "forecast-1", time.Second)
-	if e := f.carried(s); e.result != control.NoConnection {
+	if e := f.carried(s); e.result != control.ConnectFailed {
 		t.Errorf("got %v", e.result)
 	}
 }
@@ -591,8 +591,8 @@
 		order  bool
 		status int
 		want   control.Result
-	}{{false, 200, control.Finished}, {false, 400, control.Finished}, {false, 503, control.Full}, {false, 429, control.Full},
-		{false, 404, control.Missing}, {false, 500, control.Errored}, {true, 400, control.Errored}, {true, 200, control.Finished}} {
+	}{{false, 200, control.Succeeded}, {false, 400, control.Succeeded}, {false, 503, control.Overloaded}, {false, 429, control.Overloaded},
+		{false, 404, control.NotLoaded}, {false, 500, control.Failed}, {true, 400, control.Failed}, {true, 200, control.Succeeded}} {
 		if got := Conclude(&rest.Response{Status: c.status}, c.order); got.Result != c.want {
 			t.Errorf("%d: got %v, want %v", c.status, got.Result, c.want)
 		}
@@ -679,7 +679,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if late := attempt.Fresh(micros(told.Grace)); told.Deployment.Late != late || late == 0 {
-		t.Errorf("told %d of %d", told.Deployment.Late, late)
+	if late := attempt.Fresh(micros(told.Grace)); told.Deployment.MaxCommandDelay != late || late == 0 {
+		t.Errorf("told %d of %d", told.Deployment.MaxCommandDelay, late)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -47,7 +47,7 @@
 // openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
 // router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
 // life sent may be owed and is not known, since the folder failed.
-func openKeeper(told *Told, now control.Micros, module *control.Router, log zerolog.Logger) (k *keeper, unknown control.Micros) {
+func openKeeper(told *Told, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
 	files := told.files
 	if files == nil {
 		files = memory.System{}
@@ -63,13 +63,13 @@
 	for _, line := range found.Told {
 		log.Warn().Msg("memory: " + line)
 	}
-	learned := &control.Memory{}
+	learned := &control.LearnedState{}
 	var usual *storm.Usual
 	var age control.Micros
 	if k := found.Kept; k != nil {
-		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.Saved)
-		if k.Meets(clock, now); k.Module.Saved > 0 {
-			age = now - k.Module.Saved // exactly
+		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.SavedAt)
+		if k.Meets(clock, now); k.Module.SavedAt > 0 {
+			age = now - k.Module.SavedAt // exactly
 		}
 		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Module.Functions)).
 			Int("servers", len(k.Module.Servers)).Msg("memory of an earlier run recalled")
@@ -94,7 +94,7 @@
 	if err == nil {
 		k.marks = journal.Past(entries).Recalled(learned, micros(told.MarksFor), told.MarksMost)
 	}
-	module.Recall(now, learned)
+	module.ApplyLearned(now, learned)
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
 		unlock()
@@ -204,8 +204,8 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Told) mark(function string, ask kserve.Ask, w control.WorkloadID) memory.Mark {
-	if ask.Mark == "" || t.Deployment.Workloads[w].Effect == control.Restartable {
+func (t *Told) mark(function string, ask kserve.Ask, w control.ClassID) memory.Mark {
+	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
 		return 0
 	}
 	return memory.Mark(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
@@ -213,13 +213,13 @@
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlier(now control.Micros, mark memory.Mark) []control.Execution {
+func (g *Gateway) earlier(now control.Micros, mark memory.Mark) []control.Attempt {
 	if g.keeper == nil || mark == 0 {
 		return nil
 	}
-	var es []control.Execution
+	var es []control.Attempt
 	for _, s := range g.keeper.marks.MayHaveRun(now, mark) {
-		e := control.Execution{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, Sent: s.At, Done: true, MayRun: true}
+		e := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
 		if to := g.fleet.Get(s.Server); to != nil {
 			e.Zone, e.Cell = to.Zone, to.Cell
 		}
@@ -232,7 +232,7 @@
 func (g *Gateway) took(now control.Micros) {
 	const some = 200_000 // a small part of a ration's window
 	k := g.keeper
-	if k == nil || g.told.Deployment.LoadWindow == 0 {
+	if k == nil || g.told.Deployment.LoadRateWindow == 0 {
 		return
 	}
 	if k.taken > 0 && now > k.first+some {
@@ -255,7 +255,7 @@
 		g.keeper.marks.Sent(mark, memory.Sent{Server: to, At: g.clock})
 		es = append(es, memory.Entry{Kind: memory.Execution, At: g.clock, Mark: mark, Server: to})
 	}
-	if s := g.fleet.Get(to); s != nil && s.Cold(g.clock, g.told.Deployment.Cold) {
+	if s := g.fleet.Get(to); s != nil && s.Cold(g.clock, g.told.Deployment.SlowStartDuration) {
 		es = append(es, memory.Entry{Kind: memory.ToCold, At: g.clock, Server: to})
 	}
 	if len(es) == 0 {
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -63,8 +63,8 @@
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
-	told := &Told{Deployment: control.Deployment{Workloads: []control.Workload{{}, {Effect: control.Fingerprinted}, {Effect: control.RunOnce}}}}
-	mark := func(function, mark string, w control.WorkloadID) memory.Mark {
+	told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	mark := func(function, mark string, w control.ClassID) memory.Mark {
 		return told.mark(function, kserve.Ask{Mark: mark}, w)
 	}
 	j, _, _, err := memory.OpenJournal(dir, memory.Grouped, 1<<40, 1<<30, func(error) {})
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Module.Functions) != 1 || !slices.ContainsFunc(s.Module.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Copies == 1 && in.Out == 0 }) {
+	if len(s.Module.Functions) != 1 || !slices.ContainsFunc(s.Module.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Replicas == 1 && in.InFlight == 0 }) {
 		t.Errorf("got %+v", s.Module.Functions)
 	}
 }
@@ -248,7 +248,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			told := &Told{Deployment: control.Deployment{Workloads: []control.Workload{{}, {Effect: control.Fingerprinted}, {Effect: control.RunOnce}}}}
+			told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := memory.ReadClock(now)
 			if c.boot {
@@ -265,7 +265,7 @@
 			j.Close()
 			f := newFieldChanged(t, remembering(dir), func(t *Told) {
 				booking, _ := t.Match("booking-1")
-				t.Deployment.Workloads[booking.Workload].Window = 60_000_000
+				t.Deployment.Classes[booking.Workload].Window = 60_000_000
 			}, usual(0), usual(1))
 			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
 				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
@@ -339,7 +339,7 @@
 	}
 }
 
-func (f *field) ticket() control.WorkloadID {
+func (f *field) ticket() control.ClassID {
 	p, _ := f.g.told.Match("ticket-1")
 	return p.Workload
 }
@@ -366,7 +366,7 @@
 		t.Fatal(err)
 	}
 	j.Close()
-	return memory.Recalled(&control.Memory{}, es, 1<<40, 1000)
+	return memory.Recalled(&control.LearnedState{}, es, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
@@ -375,7 +375,7 @@
 	var said strings.Builder
 	told := &Told{MemoryDir: t.TempDir(), MarksFor: 10 * time.Minute, MarksMost: 10, Journal: memory.Grouped, files: &fullDisk{}}
 	disk := told.files.(*fullDisk)
-	k, unknown := openKeeper(told, 1e15, control.Start(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
 		k.Append(memory.Entry{Kind: memory.Execution, At: 1e15, Mark: 1})
@@ -389,7 +389,7 @@
 		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
 	}
 	disk.full.Store(true)
-	k, unknown = openKeeper(told, 1e15, control.Start(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	k, unknown = openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	g := &Gateway{told: told, keeper: k, unknown: unknown}
 	if k != nil || g.unrecorded(1e15, 1) == "" || g.unrecorded(1e15, 0) != "" {
 		t.Errorf("%v, unknown until %d", k, unknown)
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -55,7 +55,7 @@
 	s := f.sendingNow(address, time.Second)
 	time.AfterFunc(500*time.Millisecond, func() { <-f.g.dials })
 	l := &link{g: f.g, address: address}
-	if e := l.carry(s); e.result != control.Finished {
+	if e := l.carry(s); e.result != control.Succeeded {
 		t.Fatalf("got %v", e.result)
 	}
 	s.cancel()
@@ -95,7 +95,7 @@
 	const limit, late = time.Second, 400 * time.Millisecond
 	for name, ahead := range map[string]int{"read late": 0, "sent ahead": 1} {
 		var slow atomic.Int64
-		f := newFieldChanged(t, "", func(t *Told) { t.Deployment.Workloads[0].StartTarget = micros(limit) })
+		f := newFieldChanged(t, "", func(t *Told) { t.Deployment.Classes[0].LatencyObjective = micros(limit) })
 		address, heard := listens(t, &slow)
 		if err := os.WriteFile(f.list, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -145,15 +145,15 @@
 		leave  func(nc *net.TCPConn)
 		result control.Result
 	}{
-		"stays":       {func(*net.TCPConn) {}, control.Finished},
-		"sends ahead": {func(nc *net.TCPConn) { io.WriteString(nc, text("2", "forecast-1")) }, control.Finished},
-		"closes":      {func(nc *net.TCPConn) { nc.Close() }, control.NeverSent},
-		"half closes": {func(nc *net.TCPConn) { nc.CloseWrite() }, control.NeverSent},
-		"resets":      {func(nc *net.TCPConn) { nc.SetLinger(0); nc.Close() }, control.NeverSent},
+		"stays":       {func(*net.TCPConn) {}, control.Succeeded},
+		"sends ahead": {func(nc *net.TCPConn) { io.WriteString(nc, text("2", "forecast-1")) }, control.Succeeded},
+		"closes":      {func(nc *net.TCPConn) { nc.Close() }, control.NotSent},
+		"half closes": {func(nc *net.TCPConn) { nc.CloseWrite() }, control.NotSent},
+		"resets":      {func(nc *net.TCPConn) { nc.SetLinger(0); nc.Close() }, control.NotSent},
 		"closes behind a request": {func(nc *net.TCPConn) {
 			io.WriteString(nc, text("2", "forecast-1"))
 			nc.Close()
-		}, control.NeverSent},
+		}, control.NotSent},
 	} {
 		f := newField(t)
 		address, _ := listens(t, new(atomic.Int64))
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -136,13 +136,13 @@
 // listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
 func (g *Gateway) listed(now control.Micros, told fleet.Update) {
 	if told.Whole {
-		g.core.Listed(now, control.ListWhole, g.fleet.Whole(now, told.Entries))
+		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.Whole(now, told.Entries))
 		for id := range g.pools {
 			g.relist(id)
 		}
 	} else {
 		changed := g.fleet.Changes(now, told.Entries)
-		g.core.Listed(now, control.ListChanges, changed)
+		g.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 		for _, l := range changed {
 			if g.pools[l.Server] != nil {
 				g.relist(l.Server)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -21,7 +21,7 @@
 	damped                *prometheus.CounterVec
 	unrecorded            prometheus.Counter
 	storm                 prometheus.Gauge
-	byResult              [control.Missing + 1]prometheus.Counter
+	byResult              [control.NotLoaded + 1]prometheus.Counter
 }
 
 var resultNames = [...]string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled",
--- a/internal/gateway/pins_test.go
+++ b/internal/gateway/pins_test.go
@@ -23,14 +23,14 @@
 	d := got.Deployment
 	for name, holds := range map[string]bool{
 		"router":   got.Listen == "127.0.0.1:8080" && got.List == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.Number == 2,
-		"servers":  d.MaxExecutions == 4 && d.ColdFrom == 0.3 && d.Cold == 11_000_000 && d.LoadFree == 5 && got.Grace == 600*time.Millisecond,
-		"clients":  !d.MarksRepeats && d.MaxStayAway == 3_000_000 && !got.Storms && got.AnswerMargin == 21*time.Millisecond,
+		"servers":  d.MaxAttempts == 4 && d.SlowStartInitial == 0.3 && d.SlowStartDuration == 11_000_000 && d.LoadRateBase == 5 && got.Grace == 600*time.Millisecond,
+		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.Storms && got.AnswerMargin == 21*time.Millisecond,
 		"bounds":   got.Connections == 20001 && got.PerServer == 257 && got.DialTime == 2*time.Second && got.BodyTime == 11*time.Second,
 		"record":   got.RecordDir == "rec" && got.Record.Segment == 67108865 && got.Record.Age == 11*time.Minute,
 		"memory":   got.MemoryDir == "memory" && got.MarksFor == 11*time.Minute && got.Journal == memory.Each && got.HistoryRows == 200001,
-		"workload": d.Workloads[0] == control.Workload{StartTarget: 2_000_000, TimeLimit: 11_000_000, Stretch: 1.5, Effect: control.Fingerprinted, Scope: control.OneZone, Window: 6_000_000},
+		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerWork: 1.5, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 6_000_000},
 		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
-		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Shares[0] == 50,
+		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
 	} {
 		if !holds {
 			t.Errorf("[%s] is read as something else: %+v", name, got)
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -36,8 +36,8 @@
 // stopTimes gives the times that follow from the longest time limit.
 func (t *Told) stopTimes() stopTimes {
 	longest := control.Micros(0)
-	for _, w := range t.Deployment.Workloads {
-		longest = max(longest, w.TimeLimit)
+	for _, w := range t.Deployment.Classes {
+		longest = max(longest, w.MaxDeadline)
 	}
 	killed := min(span(longest), deadlineMost) + killAfter
 	return stopTimes{held: killAfter - lastAnswers, answered: killed - lastAnswers, closed: killed - lastAnswers/2}
@@ -67,7 +67,7 @@
 
 // answerAll gives each job in hand the answer that promises nothing: the process may be killed before its own time is up.
 func (g *Gateway) answerAll(now control.Micros) {
-	var ids []control.JobID
+	var ids []control.RequestID
 	for id := range g.jobs {
 		ids = append(ids, id)
 	}
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,7 +9,7 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admitted(now control.Micros, name string, w control.WorkloadID, tenant control.TenantID, ask kserve.Ask) storm.Verdict {
+func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) storm.Verdict {
 	if g.storm == nil {
 		return storm.Verdict{Admit: true}
 	}
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -71,7 +71,7 @@
 // Pattern says what is known beforehand of the functions whose names match it.
 type Pattern struct {
 	Glob     string // as in path.Match
-	Workload control.WorkloadID
+	Workload control.ClassID
 	Lanes    int
 	Work     control.Micros
 	LoadTime control.Micros
@@ -145,32 +145,32 @@
 	t.LogLevel = levels[r.OneOf("log", "info", levels...)]
 
 	s := f.Section("servers")
-	d.MaxExecutions = s.Int("executions", 3, 1, 16)
+	d.MaxAttempts = s.Int("executions", 3, 1, 16)
 	d.Tick = micros(s.Span("tick", 4*time.Millisecond, time.Microsecond, time.Second))
 	d.KeepAlive = micros(s.Span("keep_alive", time.Minute, 0, year))
 	d.LoadsOnMiss = s.Flag("loads_on_miss", true)
-	d.Orders = s.Flag("orders", true)
-	if !d.LoadsOnMiss && !d.Orders {
+	d.LoadCommands = s.Flag("orders", true)
+	if !d.LoadsOnMiss && !d.LoadCommands {
 		s.Fault("orders", "neither jobs nor orders load what is missing: nothing would ever be loaded")
 	}
-	d.ColdFrom = s.Float("cold_from", 0.25, 0, 1)
-	d.Cold = micros(s.Span("cold", 10*time.Second, 0, year))
-	d.Fall = micros(s.Span("fall", time.Second, time.Millisecond, year))
-	d.FallMultiple = s.Float("fall_multiple", 2, 0.01, 1000)
-	d.LoadWindow = micros(s.Span("load_window", 0, 0, year))
-	d.LoadFree = s.Float("load_free", 0, 0, 1e6)
-	d.LoadShare = s.Float("load_share", 0, 0, 100)
-	if d.LoadWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
+	d.SlowStartInitial = s.Float("cold_from", 0.25, 0, 1)
+	d.SlowStartDuration = micros(s.Span("cold", 10*time.Second, 0, year))
+	d.OverloadWindow = micros(s.Span("fall", time.Second, time.Millisecond, year))
+	d.OverloadFactor = s.Float("fall_multiple", 2, 0.01, 1000)
+	d.LoadRateWindow = micros(s.Span("load_window", 0, 0, year))
+	d.LoadRateBase = s.Float("load_free", 0, 0, 1e6)
+	d.LoadRatePerRequest = s.Float("load_share", 0, 0, 100)
+	if d.LoadRateWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
 		s.Fault("load_window", "load_free and load_share mean nothing without it")
 	}
 	t.Grace = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
-	d.Late = attempt.Fresh(micros(t.Grace))
+	d.MaxCommandDelay = attempt.Fresh(micros(t.Grace))
 	t.OrderTime = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
-	d.Cancels = true // closing its connection calls an execution off
+	d.SupportsCancel = true // closing its connection calls an execution off
 
 	c := f.Section("clients")
-	d.MarksRepeats = c.Flag("mark_repeats", true)
-	d.MaxStayAway = micros(c.Span("stay_away", 2*time.Second, 0, time.Hour))
+	d.MarksRetries = c.Flag("mark_repeats", true)
+	d.MaxRetryAfter = micros(c.Span("stay_away", 2*time.Second, 0, time.Hour))
 	t.Storms = c.Flag("damp_storms", true)
 	t.AnswerMargin = c.Span("answer_margin", 20*time.Millisecond, 0, time.Minute)
 
@@ -211,9 +211,9 @@
 	t.workloads(f)
 	t.patterns(f)
 	for _, s := range f.Sections("tenant ") {
-		t.Tenants[strings.TrimPrefix(s.Name, "tenant ")] = control.TenantID(len(d.Shares))
+		t.Tenants[strings.TrimPrefix(s.Name, "tenant ")] = control.TenantID(len(d.Quotas))
 		t.TenantNames = append(t.TenantNames, strings.TrimPrefix(s.Name, "tenant "))
-		d.Shares = append(d.Shares, s.Float("share", 1, 0, 1e9))
+		d.Quotas = append(d.Quotas, s.Float("share", 1, 0, 1e9))
 	}
 	return t, f.Check()
 }
@@ -223,21 +223,21 @@
 	for _, s := range f.Sections("workload ") {
 		t.Workloads = append(t.Workloads, strings.TrimPrefix(s.Name, "workload "))
 		t.Importance = append(t.Importance, s.Float("importance", 1, 0, 1e6))
-		w := control.Workload{
-			StartTarget: micros(s.Span("start_target", time.Second, time.Millisecond, day)),
-			TimeLimit:   micros(s.Span("time_limit", 10*time.Second, time.Millisecond, day)),
-			Stretch:     s.Float("stretch", 0, 0, 1000),
-			Effect:      control.Effect(s.OneOf("effect", "run-once", "restartable", "fingerprinted", "run-once")),
-			Scope:       control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
-			Window:      micros(s.Span("window", 0, 0, day)),
+		w := control.Class{
+			LatencyObjective: micros(s.Span("start_target", time.Second, time.Millisecond, day)),
+			MaxDeadline:      micros(s.Span("time_limit", 10*time.Second, time.Millisecond, day)),
+			ObjectivePerWork: s.Float("stretch", 0, 0, 1000),
+			Effect:           control.Effect(s.OneOf("effect", "run-once", "restartable", "fingerprinted", "run-once")),
+			Scope:            control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
+			Window:           micros(s.Span("window", 0, 0, day)),
 		}
-		if w.Effect == control.Fingerprinted && w.Window == 0 {
+		if w.Effect == control.IdempotentByKey && w.Window == 0 {
 			s.Fault("window", "a fingerprinted workload needs the time for which its repeats are known")
 		}
-		if w.TimeLimit < w.StartTarget {
+		if w.MaxDeadline < w.LatencyObjective {
 			s.Fault("time_limit", "shorter than the start target")
 		}
-		t.Deployment.Workloads = append(t.Deployment.Workloads, w)
+		t.Deployment.Classes = append(t.Deployment.Classes, w)
 	}
 	if len(t.Workloads) == 0 {
 		f.Section("workload").Fault("", "no section [workload NAME]")
@@ -251,7 +251,7 @@
 			s.Fault("", "malformed pattern")
 		}
 		if len(t.Workloads) > 0 {
-			p.Workload = control.WorkloadID(s.OneOf("workload", t.Workloads[0], t.Workloads...))
+			p.Workload = control.ClassID(s.OneOf("workload", t.Workloads[0], t.Workloads...))
 		} else {
 			s.Has("workload")
 		}
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -40,13 +40,13 @@
 	if !g.counts() {
 		return
 	}
-	verb := control.Nothing
+	verb := control.NoAction
 	switch word {
 	case "finished":
 	case "pushed back":
-		verb = control.PushBack
+		verb = control.Reject
 	default:
-		verb = control.Kill
+		verb = control.Fail
 	}
 	g.keeper.tally.Answered(g.clock, g.who(j), verb, g.clock > j.due)
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -54,7 +54,7 @@
 			v.InFlight = len(p.out)
 		}
 		if r, said := g.tally.Said(s.Address); said {
-			v.Said, v.Util, v.Loads, v.Pinned = true, r.Util, r.Loads, r.Pinned
+			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
 	}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -38,8 +38,8 @@
 // sending is one execution or order on its way.
 type sending struct {
 	job      *job // nil of an order
-	no       control.ExecutionID
-	order    control.Order
+	no       control.AttemptID
+	order    control.LoadCommand
 	to       control.ServerID
 	request  *rest.Request
 	round    *memory.Round  // of the journal, in which it must be before it is written; nil: none
@@ -96,7 +96,7 @@
 		g.links.Add(1)
 		go s.link.serve()
 	case attempt.NoRoom: // never sent; told in the next turn, since this one is still asking
-		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NeverSent}, false) })
+		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NotSent}, false) })
 		return
 	}
 	s.link.work <- s
@@ -146,7 +146,7 @@
 	if !attempt.Step(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
 		return st.Write(kept, l.g.now(), s.until)
 	}) {
-		return exchange{result: control.NeverSent}
+		return exchange{result: control.NotSent}
 	}
 	p, progress, err := c.Do(s.request, s.deadline)
 	if err == nil && !p.Close {
@@ -221,8 +221,8 @@
 		if e.response != nil {
 			copies = kserve.Copies(e.response.Body)
 		}
-		if e.result == control.Finished && copies < 0 {
-			copies = s.order.Copies // an answer that tells no number has done what was asked
+		if e.result == control.Succeeded && copies < 0 {
+			copies = s.order.Replicas // an answer that tells no number has done what was asked
 		}
 		g.ordered(now, s, e.result, micros(e.took), copies)
 		return
@@ -231,17 +231,17 @@
 	if e.response != nil {
 		o = Conclude(e.response, false)
 	}
-	o.Execution, o.Server, o.Took = s.no, s.to, micros(e.took)
+	o.Attempt, o.Server, o.Duration = s.no, s.to, micros(e.took)
 	g.executed(now, s, o, e.response)
 }
 
 func (g *Gateway) listedThere(id control.ServerID) bool {
 	s := g.fleet.Get(id)
-	return s != nil && s.State != control.Gone
+	return s != nil && s.State != control.Removed
 }
 
 // execution is the request of one execution: the client's own, with what is ours to say.
-func (g *Gateway) execution(j *job, no control.ExecutionID) *rest.Request {
+func (g *Gateway) execution(j *job, no control.AttemptID) *rest.Request {
 	h := forwarded(j.request.Header)
 	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(no) + 1)}
 	h[kserve.RepeatMark] = []string{j.mark}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -20,12 +20,12 @@
 	a, b := Who{"a", "x"}, Who{"b", ""}
 	tl := NewTally()
 	for i := range int64(100) {
-		tl.Executed(at(now), a, control.Outcome{Result: control.Finished, Found: control.FoundWarm, Took: control.Micros(1000 * (i + 1))})
-		tl.Answered(at(now), a, control.Nothing, i < 10)
+		tl.Executed(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
+		tl.Answered(at(now), a, control.NoAction, i < 10)
 	}
-	tl.Executed(at(now), a, control.Outcome{Result: control.Finished, Found: control.BeganLoad, Took: 9_000_000})
-	tl.Answered(at(now), a, control.PushBack, true)
-	tl.Answered(at(now+Minute), b, control.Kill, true)
+	tl.Executed(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
+	tl.Answered(at(now), a, control.Reject, true)
+	tl.Answered(at(now+Minute), b, control.Fail, true)
 	tl.Ordered(at(now+Minute), b)
 	rows := tl.Take().Rows()
 	if len(rows) != 2 || len(tl.Take().Rows()) != 0 {
@@ -47,10 +47,10 @@
 func TestRareNamesAreOneRow(t *testing.T) {
 	tl := NewTally()
 	for i := range 5000 {
-		tl.Answered(at(now), Who{fmt.Sprint("once-", i), ""}, control.Nothing, false)
+		tl.Answered(at(now), Who{fmt.Sprint("once-", i), ""}, control.NoAction, false)
 	}
 	for range 3 {
-		tl.Answered(at(now), Who{"often", ""}, control.Nothing, false)
+		tl.Answered(at(now), Who{"often", ""}, control.NoAction, false)
 	}
 	rows := tl.Take().Rows()
 	jobs := int64(0)
@@ -67,7 +67,7 @@
 func TestMergedTimesKeepTheirQuantiles(t *testing.T) {
 	tl := NewTally()
 	for i := range int64(1000) {
-		tl.Executed(at(now+i%10*Minute), Who{"a", ""}, control.Outcome{Result: control.Finished, Found: control.FoundWarm, Took: control.Micros(100 * (i + 1))})
+		tl.Executed(at(now+i%10*Minute), Who{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
 	}
 	var sum Use
 	for _, r := range tl.Take().Rows() {
@@ -226,8 +226,8 @@
 	tl := NewTally()
 	for i := range int64(60_000) { // a minute of 1000 jobs a second for 1000 functions
 		w := Who{fmt.Sprint("function-", i%1000), ""}
-		tl.Executed(at(now), w, control.Outcome{Result: control.Finished, Found: control.FoundWarm, Took: control.Micros(1000 + i)})
-		tl.Answered(at(now), w, control.Nothing, false)
+		tl.Executed(at(now), w, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
+		tl.Answered(at(now), w, control.NoAction, false)
 	}
 	taken := tl.Take()
 	s := NewStore(filepath.Join(b.TempDir(), "h.db"), 1e6)
--- a/internal/history/tally.go
+++ b/internal/history/tally.go
@@ -118,13 +118,13 @@
 }
 
 // Answered counts a job's final answer; late tells that it was finished after its start target.
-func (t *Tally) Answered(now control.Micros, w Who, word control.Verb, late bool) {
+func (t *Tally) Answered(now control.Micros, w Who, word control.Action, late bool) {
 	c := t.count(now, w)
 	c.Jobs++
 	switch word {
-	case control.PushBack:
+	case control.Reject:
 		c.PushedBack++
-	case control.Kill:
+	case control.Fail:
 		c.Killed++
 	default:
 		if c.Finished++; !late {
@@ -137,11 +137,11 @@
 func (t *Tally) Executed(now control.Micros, w Who, o control.Outcome) {
 	c := t.count(now, w)
 	c.Executions++
-	if o.Found == control.BeganLoad {
+	if o.CacheStatus == control.CacheMiss {
 		c.Loads++
 	}
-	if o.Result == control.Finished && o.Found == control.FoundWarm {
-		c.times = append(c.times, o.Took)
+	if o.Result == control.Succeeded && o.CacheStatus == control.CacheHit {
+		c.times = append(c.times, o.Duration)
 	}
 }
 
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -56,7 +56,7 @@
 	for i := range d.Routers {
 		plan.RouterZone = append(plan.RouterZone, control.ZoneID(i%3))
 	}
-	for i, w := range told.Deployment.Workloads {
+	for i, w := range told.Deployment.Classes {
 		plan.Workloads = append(plan.Workloads, emulate.Workload{Name: told.Workloads[i], Told: w, Importance: told.Importance[i]})
 	}
 	for _, c := range d.schedule() {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -124,7 +124,7 @@
 // first upkeep, whose alarm it sets, and no earlier.
 func plantedBuild(t *testing.T, files []string) {
 	t.Helper()
-	const constant = "const checkEvery = 200_00"
+	const constant = "const maintenanceInterval = 200_00"
 	source, err := filepath.Abs("../../control/control.go")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/restarts.go
+++ b/internal/lab/restarts.go
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func age(m *control.Memory, by control.Micros) {
+func age(m *control.LearnedState, by control.Micros) {
 	back := func(ts ...*control.Micros) {
 		for _, t := range ts {
 			*t = max(0, *t-by)
@@ -177,23 +177,23 @@
 			back(&ts[i])
 		}
 	}
-	back(&m.Saved, &m.Started)
-	for _, ts := range [][]control.Micros{m.Due, m.Orders, m.Taken, m.Answers} {
+	back(&m.SavedAt, &m.StartedAt)
+	for _, ts := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
 		all(ts)
 	}
 	for i := range m.Servers {
-		back(&m.Servers[i].Born)
-		all(m.Servers[i].Sent)
+		back(&m.Servers[i].StartedAt)
+		all(m.Servers[i].SlowStartSends)
 	}
 	for i := range m.Functions {
 		f := &m.Functions[i]
-		for j := range f.Copies {
-			back(&f.Copies[j].Used, &f.Copies[j].Since)
+		for j := range f.Instances {
+			back(&f.Instances[j].LastUsed, &f.Instances[j].LoadingSince)
 		}
 	}
 }
 
-func otherDay(m *control.Memory) {
+func otherDay(m *control.LearnedState) {
 	m.Answers = slices.Concat(m.Answers, m.Answers, m.Answers)
 	slices.Sort(m.Answers)
 	place := map[control.ServerID]int{}
@@ -202,8 +202,8 @@
 	}
 	for i := range m.Functions {
 		f := &m.Functions[i]
-		for j := range f.Copies {
-			f.Copies[j].Server = m.Servers[(place[f.Copies[j].Server]+5)%len(m.Servers)].Server
+		for j := range f.Instances {
+			f.Instances[j].Server = m.Servers[(place[f.Instances[j].Server]+5)%len(m.Servers)].Server
 		}
 	}
 }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -60,7 +60,7 @@
 	Counts
 	Figures
 	inFlight uint64
-	last     control.Report // of itself
+	last     control.LoadReport // of itself
 	heard    bool
 }
 
@@ -86,16 +86,16 @@
 }
 
 // Ended counts the end of one. What was never sent was never issued. One that we called off is neither finished nor errored.
-func (t *Tally) Ended(address string, result control.Result, said *control.Report) {
+func (t *Tally) Ended(address string, result control.Result, said *control.LoadReport) {
 	s := t.servers[address]
 	if s == nil || s.inFlight == 0 {
 		return // not counted when it was chosen
 	}
 	s.inFlight--
 	switch result {
-	case control.NeverSent:
+	case control.NotSent:
 		return
-	case control.Finished:
+	case control.Succeeded:
 		s.Finished++
 	case control.Cancelled:
 	default:
@@ -104,12 +104,12 @@
 	s.Issued++
 	if said != nil {
 		s.heard, s.last = true, *said
-		s.Figures.add(Figures{1, max(0, said.Util), max(0, said.Loads), max(0, said.Pinned)}) // below zero: it did not say
+		s.Figures.add(Figures{1, max(0, said.Utilization), max(0, said.PendingLoads), max(0, said.PinnedMemory)}) // below zero: it did not say
 	}
 }
 
 // Said gives what a server last said of itself.
-func (t *Tally) Said(address string) (r control.Report, ok bool) {
+func (t *Tally) Said(address string) (r control.LoadReport, ok bool) {
 	s := t.servers[address]
 	if s == nil || !s.heard {
 		return r, false
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -45,19 +45,19 @@
 				tally.Chosen(a)
 				flying[a]++
 			case 2, 3:
-				result := rapid.SampledFrom([]control.Result{control.Finished, control.Errored, control.Reset, control.Cancelled, control.NeverSent}).Draw(t, "result")
+				result := rapid.SampledFrom([]control.Result{control.Succeeded, control.Failed, control.ConnectionReset, control.Cancelled, control.NotSent}).Draw(t, "result")
 				tally.Ended(a, result, nil)
 				if flying[a] == 0 {
 					continue
 				}
 				flying[a]--
-				if result != control.NeverSent {
+				if result != control.NotSent {
 					happened.Issued++
 				}
 				switch result {
-				case control.Finished:
+				case control.Succeeded:
 					happened.Finished++
-				case control.Errored, control.Reset:
+				case control.Failed, control.ConnectionReset:
 					happened.Errored++
 				}
 			case 4:
@@ -104,11 +104,11 @@
 // What servers said of themselves is kept until they are forgotten; what they did not say counts as nothing in sums.
 func TestFigures(t *testing.T) {
 	tally := NewTally(0)
-	for _, r := range []control.Report{{Util: 0.5, Loads: 2, Pinned: -1}, {Util: 0.7, Loads: -1, Pinned: 0.1}} {
+	for _, r := range []control.LoadReport{{Utilization: 0.5, PendingLoads: 2, PinnedMemory: -1}, {Utilization: 0.7, PendingLoads: -1, PinnedMemory: 0.1}} {
 		tally.Chosen("a:1")
-		tally.Ended("a:1", control.Finished, &r)
+		tally.Ended("a:1", control.Succeeded, &r)
 	}
-	if r, ok := tally.Said("a:1"); !ok || r.Util != 0.7 {
+	if r, ok := tally.Said("a:1"); !ok || r.Utilization != 0.7 {
 		t.Errorf("%+v, %t", r, ok)
 	}
 	if l := tally.Take(1).Lines[0]; l.Figures != (Figures{2, 1.2, 2, 0.1}) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -490,7 +490,7 @@
 			list.Entries = append(list.Entries, is)
 		case !listed && known:
 			delete(m.told, a)
-			was.State = control.Gone
+			was.State = control.Removed
 			list.Entries = append(list.Entries, was)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -484,7 +484,7 @@
 				if e == list[e.Address] {
 					t.Fatalf("%+v is no news", e)
 				}
-				if list[e.Address] = e; e.State == control.Gone {
+				if list[e.Address] = e; e.State == control.Removed {
 					delete(list, e.Address)
 				}
 			}
--- a/internal/memory/clock.go
+++ b/internal/memory/clock.go
@@ -65,11 +65,11 @@
 	}
 	m := k.Module
 	by, sure := clock.ahead(earlier)
-	if !sure || m.Saved+by > now {
-		m.Saved, m.Started, m.Taken, m.Answers = 0, 0, nil, nil
-		m.Orders = slices.Repeat([]control.Micros{now}, len(m.Orders))
+	if !sure || m.SavedAt+by > now {
+		m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
+		m.LoadCommands = slices.Repeat([]control.Micros{now}, len(m.LoadCommands))
 		for i := range m.Servers {
-			m.Servers[i].Sent = slices.Repeat([]control.Micros{now}, len(m.Servers[i].Sent))
+			m.Servers[i].SlowStartSends = slices.Repeat([]control.Micros{now}, len(m.Servers[i].SlowStartSends))
 		}
 		return
 	}
@@ -83,16 +83,16 @@
 			move(&ts[i])
 		}
 	}
-	move(&m.Saved, &m.Started)
-	for _, ts := range [][]control.Micros{m.Due, m.Orders, m.Taken, m.Answers} {
+	move(&m.SavedAt, &m.StartedAt)
+	for _, ts := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
 		all(ts)
 	}
 	for i := range m.Servers {
-		all(m.Servers[i].Sent)
+		all(m.Servers[i].SlowStartSends)
 	}
 	for _, f := range m.Functions {
-		for i := range f.Copies {
-			move(&f.Copies[i].Used, &f.Copies[i].Since)
+		for i := range f.Instances {
+			move(&f.Instances[i].LastUsed, &f.Instances[i].LoadingSince)
 		}
 	}
 }
--- a/internal/memory/clock_test.go
+++ b/internal/memory/clock_test.go
@@ -48,11 +48,11 @@
 			if err != nil || len(told) > 0 {
 				t.Fatal(err, told)
 			}
-			memory := &control.Memory{}
+			memory := &control.LearnedState{}
 			marks := j.Past(es).Recalled(memory, keep, 1e6)
 			colds := map[control.ServerID]control.Micros{}
 			for _, s := range memory.Servers {
-				colds[s.Server] = s.Sent[len(s.Sent)-1]
+				colds[s.Server] = s.SlowStartSends[len(s.SlowStartSends)-1]
 			}
 			for i, s := range sent {
 				age := m.real - s.at
@@ -74,7 +74,7 @@
 					t.Fatalf("sent %d ago, of boot %d, is remembered from %d ago", age, s.boot, now-latest)
 				}
 			}
-			for _, at := range memory.Taken {
+			for _, at := range memory.Admitted {
 				if !slices.ContainsFunc(sent, func(s sending) bool { return s.boot == m.boot && at == now-(m.real-s.at) }) {
 					t.Fatalf("taken at %d", at-now)
 				}
@@ -101,8 +101,8 @@
 func TestMemoryOfAnotherClock(t *testing.T) {
 	of := func() *Kept {
 		k := kept(1000)
-		k.Module.Orders, k.Module.Taken, k.Module.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
-		k.Module.Servers[0].Sent, k.Module.Servers[0].Born = []control.Micros{930}, 5
+		k.Module.LoadCommands, k.Module.Admitted, k.Module.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
+		k.Module.Servers[0].SlowStartSends, k.Module.Servers[0].StartedAt = []control.Micros{930}, 5
 		k.Clock = &Clock{7, 100}
 		return k
 	}
@@ -120,8 +120,8 @@
 	k := read(of())
 	k.Meets(Clock{7, 3600e6 + 100}, 3600e6+2000) // the clock was set an hour ahead, and 1 ms has passed
 	m := k.Module
-	if m.Saved != 3600e6+1000 || m.Orders[0] != 3600e6+900 || m.Taken[0] != 3600e6+910 || m.Answers[0] != 3600e6+920 ||
-		m.Servers[0].Sent[0] != 3600e6+930 || m.Servers[0].Born != 5 || m.Functions[0].Copies[0].Used != 3600e6+1000 {
+	if m.SavedAt != 3600e6+1000 || m.LoadCommands[0] != 3600e6+900 || m.Admitted[0] != 3600e6+910 || m.Answers[0] != 3600e6+920 ||
+		m.Servers[0].SlowStartSends[0] != 3600e6+930 || m.Servers[0].StartedAt != 5 || m.Functions[0].Instances[0].LastUsed != 3600e6+1000 {
 		t.Errorf("within a boot: %+v", m)
 	}
 	unknown := of()
@@ -130,7 +130,7 @@
 	late.Clock.Offset = -1e9 // it would be of a time to come
 	for name, k := range map[string]*Kept{"another boot": {Module: of().Module, Clock: &Clock{8, 100}}, "no clock": read(unknown), "to come": late} {
 		k.Meets(Clock{7, 100}, 5000)
-		if m := k.Module; m.Saved != 0 || !slices.Equal(m.Orders, []control.Micros{5000}) || len(m.Taken)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].Sent, []control.Micros{5000}) {
+		if m := k.Module; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) || len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	k.Meets(Clock{7, 100}, 5000)
-	if k.Module.Saved != 0 || len(k.Module.Functions) < 10 {
+	if k.Module.SavedAt != 0 || len(k.Module.Functions) < 10 {
 		t.Errorf("an older file: %+v", k.Module)
 	}
 }
--- a/internal/memory/format.go
+++ b/internal/memory/format.go
@@ -28,11 +28,11 @@
 
 // Kept is a file's content.
 type Kept struct {
-	Owner      Owner           `cbor:"Owner"`
-	Generation uint64          `cbor:"Generation"` // one more with each writing
-	Module     *control.Memory `cbor:"Module"`
-	Storm      *storm.Usual    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
-	Clock      *Clock          `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
+	Owner      Owner                 `cbor:"Owner"`
+	Generation uint64                `cbor:"Generation"` // one more with each writing
+	Module     *control.LearnedState `cbor:"Module"`
+	Storm      *storm.Usual          `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Clock      *Clock                `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
 }
 
 // Errors of Decode.
@@ -90,7 +90,7 @@
 	many   = 1 << 20                 // copies, loads, lanes, setbacks
 )
 
-func sound(m *control.Memory) error {
+func sound(m *control.LearnedState) error {
 	if m == nil {
 		return errors.New("nothing in it")
 	}
@@ -110,14 +110,14 @@
 		}
 		return true
 	}
-	if !in(m.Saved, m.Started) || !in(m.Due...) || !in(m.Orders...) || !in(m.Taken...) || !in(m.Answers...) {
+	if !in(m.SavedAt, m.StartedAt) || !in(m.QuotaDebt...) || !in(m.LoadCommands...) || !in(m.Admitted...) || !in(m.Answers...) {
 		return errors.New("a figure is out of its range")
 	}
 	for i, s := range m.Servers {
 		if i > 0 && m.Servers[i-1].Server >= s.Server {
 			return errors.New("servers are not in ascending order")
 		}
-		if !in(s.Born) || !in(s.Sent...) {
+		if !in(s.StartedAt) || !in(s.SlowStartSends...) {
 			return fmt.Errorf("server %x: a figure is out of its range", s.Server)
 		}
 	}
@@ -127,8 +127,8 @@
 			return fmt.Errorf("function %x: twice, or a figure out of its range", f.ID)
 		}
 		seen[f.ID] = true
-		for _, c := range f.Copies {
-			if !few(c.Copies, c.Loading) || !in(c.Used, c.Since) {
+		for _, c := range f.Instances {
+			if !few(c.Replicas, c.Loading) || !in(c.LastUsed, c.LoadingSince) {
 				return fmt.Errorf("function %x: a figure is out of its range", f.ID)
 			}
 		}
--- a/internal/memory/journal.go
+++ b/internal/memory/journal.go
@@ -770,14 +770,14 @@
 }
 
 // Recalled is Past.Recalled of entries whose times are sure.
-func Recalled(m *control.Memory, es []Entry, keep control.Micros, most int) *Marks {
+func Recalled(m *control.LearnedState, es []Entry, keep control.Micros, most int) *Marks {
 	return Past{Entries: es}.Recalled(m, keep, most)
 }
 
 // Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
 // does not hold. With no memory, m is an empty one. Of entries whose time is not sure those that limit us count as of now, and those
 // that allow anything don't; what may have run lies beyond every window, and is remembered as long as if it were sent now.
-func (p Past) Recalled(m *control.Memory, keep control.Micros, most int) *Marks {
+func (p Past) Recalled(m *control.LearnedState, keep control.Micros, most int) *Marks {
 	marks := NewMarks(keep, most)
 	for i, e := range p.Entries {
 		unsure := i < p.Unsure
@@ -794,24 +794,24 @@
 		case Unrun:
 			marks.Unrun(e.Mark, e.Server)
 		case Ordered:
-			if latest > m.Saved {
-				m.Orders = append(m.Orders, latest)
+			if latest > m.SavedAt {
+				m.LoadCommands = append(m.LoadCommands, latest)
 			}
 		case Taken:
-			if !unsure && e.At > m.Saved && len(m.Taken) < many {
-				m.Taken = append(m.Taken, slices.Repeat([]control.Micros{e.At}, int(e.Mark))...)
+			if !unsure && e.At > m.SavedAt && len(m.Admitted) < many {
+				m.Admitted = append(m.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Mark))...)
 			}
 		case ToCold:
-			if latest <= m.Saved {
+			if latest <= m.SavedAt {
 				continue
 			}
-			i, known := slices.BinarySearchFunc(m.Servers, e.Server, func(s control.ServerMemory, id control.ServerID) int {
+			i, known := slices.BinarySearchFunc(m.Servers, e.Server, func(s control.LearnedServer, id control.ServerID) int {
 				return cmp.Compare(s.Server, id)
 			})
 			if !known {
-				m.Servers = slices.Insert(m.Servers, i, control.ServerMemory{Server: e.Server})
+				m.Servers = slices.Insert(m.Servers, i, control.LearnedServer{Server: e.Server})
 			}
-			m.Servers[i].Sent = append(m.Servers[i].Sent, latest)
+			m.Servers[i].SlowStartSends = append(m.Servers[i].SlowStartSends, latest)
 		}
 	}
 	return marks
--- a/internal/memory/journal_test.go
+++ b/internal/memory/journal_test.go
@@ -208,11 +208,11 @@
 
 // A memory holds what was sent before it was saved; the journal adds what came after, once.
 func TestRecalledAddsWhatTheMemoryLacks(t *testing.T) {
-	m := &control.Memory{Saved: 100, Orders: []control.Micros{90}, Servers: []control.ServerMemory{{Server: 5, Sent: []control.Micros{95}}}}
+	m := &control.LearnedState{SavedAt: 100, LoadCommands: []control.Micros{90}, Servers: []control.LearnedServer{{Server: 5, SlowStartSends: []control.Micros{95}}}}
 	marks := Recalled(m, []Entry{{Ordered, 90, 0, 5}, {ToCold, 95, 0, 5}, {Execution, 96, 9, 5}, {Ordered, 110, 0, 5}, {ToCold, 120, 0, 5},
 		{ToCold, 130, 0, 3}, {Execution, 131, 11, 3}, {Unrun, 132, 11, 3}}, minute, 100)
-	if !slices.Equal(m.Orders, []control.Micros{90, 110}) || len(m.Servers) != 2 || m.Servers[0].Server != 3 ||
-		!slices.Equal(m.Servers[0].Sent, []control.Micros{130}) || !slices.Equal(m.Servers[1].Sent, []control.Micros{95, 120}) {
+	if !slices.Equal(m.LoadCommands, []control.Micros{90, 110}) || len(m.Servers) != 2 || m.Servers[0].Server != 3 ||
+		!slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{130}) || !slices.Equal(m.Servers[1].SlowStartSends, []control.Micros{95, 120}) {
 		t.Errorf("got %+v", m)
 	}
 	if len(marks.MayHaveRun(200, 9)) != 1 || len(marks.MayHaveRun(200, 11)) != 0 {
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -28,20 +28,20 @@
 
 // kept is a memory in which every figure tells which one it is, so that a mixture of two would show.
 func kept(mark int) *Kept {
-	m := &control.Memory{Saved: control.Micros(mark), Started: 1, Due: []control.Micros{control.Micros(mark)}}
+	m := &control.LearnedState{SavedAt: control.Micros(mark), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(mark)}}
 	for i := range items {
-		m.Servers = append(m.Servers, control.ServerMemory{Server: control.ServerID(i + 1), Born: control.Micros(mark)})
-		m.Functions = append(m.Functions, control.FunctionMemory{ID: control.FunctionID(i), Lanes: 2, Copies: []control.CopiesMemory{{Server: 1, Copies: 1, Used: control.Micros(mark)}}})
+		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(mark)})
+		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2, Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(mark)}}})
 	}
 	return &Kept{Owner: ours, Module: m}
 }
 
 // whole tells the mark of a memory, and whether all of it is of that one.
 func whole(k *Kept) (mark int, ok bool) {
-	m := k.Module.Saved
-	ok = len(k.Module.Servers) == items && len(k.Module.Functions) == items && k.Module.Due[0] == m
+	m := k.Module.SavedAt
+	ok = len(k.Module.Servers) == items && len(k.Module.Functions) == items && k.Module.QuotaDebt[0] == m
 	for i := range k.Module.Servers {
-		ok = ok && k.Module.Servers[i].Born == m && k.Module.Functions[i].Copies[0].Used == m
+		ok = ok && k.Module.Servers[i].StartedAt == m && k.Module.Functions[i].Instances[0].LastUsed == m
 	}
 	return int(m), ok
 }
@@ -154,11 +154,11 @@
 // What is not ours, or not for us, is neither used nor written over.
 func TestForeignFilesAreLeftAlone(t *testing.T) {
 	newer := sealed(Version+1, []byte{0xa0})
-	other, err := Encode(&Kept{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Module: &control.Memory{}})
+	other, err := Encode(&Kept{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Module: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := Encode(&Kept{Owner: ours, Generation: 3, Module: &control.Memory{}})
+	good, err := Encode(&Kept{Owner: ours, Generation: 3, Module: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 		t.Errorf("got %+v", found)
 	}
 	s.Write(kept(3))
-	if _, found = Look(d, ours); found.Kept == nil || found.Kept.Module.Saved != 3 || found.Kept.Generation != 3 {
+	if _, found = Look(d, ours); found.Kept == nil || found.Kept.Module.SavedAt != 3 || found.Kept.Generation != 3 {
 		t.Errorf("got %+v", found)
 	}
 }
@@ -225,13 +225,13 @@
 
 // Values out of their ranges are no memory, whatever the checksum says.
 func TestValuesOutOfRange(t *testing.T) {
-	for i, change := range []func(m *control.Memory){
-		func(m *control.Memory) { m.Saved = -1 },
-		func(m *control.Memory) { m.Servers[3].Server = 1 },
-		func(m *control.Memory) { m.Servers[3].Born = -1 },
-		func(m *control.Memory) { m.Functions[3].ID = 0 },
-		func(m *control.Memory) { m.Functions[3].Copies[0].Copies = -1 },
-		func(m *control.Memory) { m.Orders = []control.Micros{-1} },
+	for i, change := range []func(m *control.LearnedState){
+		func(m *control.LearnedState) { m.SavedAt = -1 },
+		func(m *control.LearnedState) { m.Servers[3].Server = 1 },
+		func(m *control.LearnedState) { m.Servers[3].StartedAt = -1 },
+		func(m *control.LearnedState) { m.Functions[3].ID = 0 },
+		func(m *control.LearnedState) { m.Functions[3].Instances[0].Replicas = -1 },
+		func(m *control.LearnedState) { m.LoadCommands = []control.Micros{-1} },
 	} {
 		k := kept(1)
 		change(k.Module)
@@ -269,7 +269,7 @@
 	f.Add(b[len(magic)+12:])
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		if k, err := Decode(sealed(Version, payload)); err == nil {
-			control.Start(1, 1, control.Deployment{Workloads: make([]control.Workload, 2)}).Recall(1<<40, k.Module)
+			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, k.Module)
 		}
 		Decode(payload)
 	})
@@ -385,14 +385,14 @@
 
 // BenchmarkDecode reads what a router with 80 servers and 10 000 functions wrote.
 func BenchmarkDecode(b *testing.B) {
-	m := &control.Memory{Saved: 1_796_133_869_057_624}
+	m := &control.LearnedState{SavedAt: 1_796_133_869_057_624}
 	for i := range 80 {
-		m.Servers = append(m.Servers, control.ServerMemory{Server: control.ServerID(0x7f0000019a00 + i)})
+		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(0x7f0000019a00 + i)})
 	}
 	for i := range 10_000 {
-		f := control.FunctionMemory{ID: control.FunctionID(uint64(i) * 0x9e3779b97f4a7c15), Lanes: 2}
+		f := control.LearnedFunction{ID: control.FunctionID(uint64(i) * 0x9e3779b97f4a7c15), Lanes: 2}
 		for k := range 3 {
-			f.Copies = append(f.Copies, control.CopiesMemory{Server: m.Servers[(i+k)%80].Server, Copies: 1, Used: m.Saved, Since: m.Saved})
+			f.Instances = append(f.Instances, control.LearnedInstance{Server: m.Servers[(i+k)%80].Server, Replicas: 1, LastUsed: m.SavedAt, LoadingSince: m.SavedAt})
 		}
 		m.Functions = append(m.Functions, f)
 	}
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -48,7 +48,7 @@
 
 // Ask is what a client tells of a job. Names are as sent: whether they are known is for the caller to say.
 type Ask struct {
-	ID       control.JobID
+	ID       control.RequestID
 	Class    string
 	Tenant   string
 	Function string // 16 hex digits
@@ -275,7 +275,7 @@
 	if err != nil || !isHex(fields["ref"], 16) {
 		return "ref: 16 hex digits expected"
 	}
-	a.ID = control.JobID(id)
+	a.ID = control.RequestID(id)
 	if !isHex(a.Function, 16) {
 		return "lookup: 16 hex digits expected"
 	}
--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -57,7 +57,7 @@
 				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.out), l.up, l.retired, l.since)
 			}
 		}
-		if s := r.fleet.Get(id); stay > 0 || s != nil && s.State != control.Gone {
+		if s := r.fleet.Get(id); stay > 0 || s != nil && s.State != control.Removed {
 			out = append(out, line)
 		}
 	}
@@ -142,7 +142,7 @@
 			if n := len(both[0].sent); n > 0 && rapid.Bool().Draw(rt, "answered") {
 				i := rapid.IntRange(0, n-1).Draw(rt, "which")
 				for _, r := range both {
-					r.ended(now, r.sent[i], control.Finished, nil)
+					r.ended(now, r.sent[i], control.Succeeded, nil)
 				}
 			}
 			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -196,7 +196,7 @@
 	c := p.newClient(conn, true)
 	c.refusing = func(number uint32) []byte {
 		c.end(lingerIdle)
-		return msgrpc.PushedBack(number, p.told.Deployment.MaxStayAway)
+		return msgrpc.PushedBack(number, p.told.Deployment.MaxRetryAfter)
 	}
 	c.end(0)
 	c.endBy(awayReads)
@@ -558,7 +558,7 @@
 	}
 	if full {
 		c.p.count("pushed back: too many open on a connection")
-		c.reply(msgrpc.PushedBack(m.Number, c.p.told.Deployment.MaxStayAway))
+		c.reply(msgrpc.PushedBack(m.Number, c.p.told.Deployment.MaxRetryAfter))
 		c.fault()
 		return
 	}
@@ -652,11 +652,11 @@
 	if j.tenant, ok = p.told.tenants[a.Tenant]; !ok && len(p.told.tenants) > 0 {
 		return "unknown project"
 	}
-	w := p.told.Deployment.Workloads[j.workload]
-	if a.Patience > 2*w.TimeLimit { // a client waits no longer than that in all; twice, for those that round
+	w := p.told.Deployment.Classes[j.workload]
+	if a.Patience > 2*w.MaxDeadline { // a client waits no longer than that in all; twice, for those that round
 		return "allow: longer than the class allows"
 	}
-	if a.Mark == "" && w.Effect == control.Fingerprinted {
+	if a.Mark == "" && w.Effect == control.IdempotentByKey {
 		return "replay: missing"
 	}
 	if p.told.memoryMB > 0 && a.MemoryMB > p.told.memoryMB {
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	d := &told.Deployment
-	d.Cold, d.ColdFrom, d.Fall, d.FallMultiple = control.Micros(cold.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
+	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(cold.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
 	r := serve(t, told)
 	until(t, "the router is well", r.ready.Load)
 	ended := make(chan struct{})
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -76,7 +76,7 @@
 // longGrace has a list be fresh for so long that its age withdraws nothing.
 func longGrace(p *Platform) {
 	p.told.grace, p.told.connecting = 4_000_000, 1_000_000
-	p.told.Deployment.Late = attempt.Fresh(p.told.grace)
+	p.told.Deployment.MaxCommandDelay = attempt.Fresh(p.told.grace)
 }
 
 // fill writes to a connection until it takes no more, also of what the kernel moves on a little later, and tells how much that was.
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -84,7 +84,7 @@
 // A server that is not listed as ready is sent nothing, whatever was chosen.
 func TestNothingIsSentToAServerThatIsNotReady(t *testing.T) {
 	p := idlePlatform(t)
-	for _, state := range []control.ServerState{control.Draining, control.Gone} {
+	for _, state := range []control.ServerState{control.Draining, control.Removed} {
 		p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
 		s := p.sending(fleet.ID("s-0"), 1_000_000)
 		s.order.Server = s.to
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -43,7 +43,7 @@
 	// The turn's own; touched by no other goroutine.
 	core     *core.Core
 	fleet    *fleet.Fleet
-	jobs     map[control.JobID]*job
+	jobs     map[control.RequestID]*job
 	pools    map[control.ServerID]*pool
 	linked   int                        // connections to servers
 	bySince  *list.List                 // of *link: all that are not dropped, by when something last began or ended on them
@@ -81,14 +81,14 @@
 
 // job is a job as its client's connection and its executions see it.
 type job struct {
-	id         control.JobID
+	id         control.RequestID
 	number     uint32
 	client     *client
 	ask        msgrpc.Ask
 	read       control.Micros // when its last byte was
 	came       control.Micros // when it may have come: before, where the process stood still
 	gone       atomic.Bool    // its client has cancelled or closed: no execution begins
-	workload   control.WorkloadID
+	workload   control.ClassID
 	tenant     control.TenantID
 	state      attempt.Answer
 	executions []*sending
@@ -104,17 +104,17 @@
 
 // New opens the router's listener.
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
-	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.JobID]*job{},
+	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.RequestID]*job{},
 		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), calls: systemCalls, accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
-	p.fleet.SlowStart(told.Deployment.Cold)
+	p.fleet.SlowStart(told.Deployment.SlowStartDuration)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
 	p.mostLinks = told.Sockets - p.mostClients - spare
 	deployment := told.Deployment
 	deployment.Zone = p.fleet.Zone(told.zone)
-	p.core = core.New(control.Start(p.epoch, told.Seed, deployment), p)
+	p.core = core.New(control.New(p.epoch, told.Seed, deployment), p)
 	if err := p.traceChoices(); err != nil {
 		return nil, err
 	}
@@ -228,8 +228,8 @@
 // killedFrom is how long after the order to stop the kill may come.
 func killedFrom(d control.Deployment) control.Micros {
 	var longest control.Micros
-	for _, w := range d.Workloads {
-		longest = max(longest, w.TimeLimit)
+	for _, w := range d.Classes {
+		longest = max(longest, w.MaxDeadline)
 	}
 	return killAfter + min(longest, killCounts)
 }
@@ -408,10 +408,10 @@
 		p.count("ended by the stop")
 		p.core.Left(now, j.id)
 		mayHaveRun := slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing })
-		if mayHaveRun && !p.told.Deployment.Workloads[j.workload].RepeatsAnywhere() {
+		if mayHaveRun && !p.told.Deployment.Classes[j.workload].SafeToRetryAnywhere() {
 			p.finish(j, msgrpc.Killed(j.number))
 		} else {
-			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
+			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxRetryAfter))
 		}
 	}
 }
@@ -446,7 +446,7 @@
 		return
 	}
 	changed := p.fleet.Changes(now, news.Entries)
-	p.core.Listed(now, control.ListChanges, changed)
+	p.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 	for _, l := range changed {
 		if pl := p.pools[l.Server]; pl != nil {
 			p.relist(now, pl)
@@ -456,7 +456,7 @@
 
 // listed takes in the complete list of servers.
 func (p *Platform) listed(now control.Micros, all []fleet.Entry) {
-	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, all))
+	p.core.UpdateEndpoints(now, control.FullUpdate, p.fleet.Whole(now, all))
 	for _, pl := range p.pools {
 		p.relist(now, pl)
 	}
@@ -472,7 +472,7 @@
 			delete(p.pools, pl.id)
 		}
 	}
-	if s == nil || s.State == control.Gone {
+	if s == nil || s.State == control.Removed {
 		p.leaving[pl.id] = pl
 	}
 }
@@ -487,7 +487,7 @@
 		return // before this turn
 	}
 	if p.stopTold > 0 && now >= p.stopTold+takesOn {
-		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
+		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxRetryAfter))
 		return
 	}
 	if p.jobs[j.id] != nil {
@@ -500,13 +500,13 @@
 		return
 	}
 	p.jobs[j.id] = j
-	err := p.core.Arrived(now, control.Job{ID: j.id, Workload: j.workload, Tenant: j.tenant, Function: j.ask.FunctionID(),
-		Lanes: j.ask.Lanes, Work: j.ask.Work, LoadTime: j.ask.LoadTime, Arrived: now,
-		Patience: max(now, j.read+j.ask.Patience-onTheWay), Repeat: j.ask.Repeat})
+	err := p.core.Arrived(now, control.Request{ID: j.id, Class: j.workload, Tenant: j.tenant, Function: j.ask.FunctionID(),
+		Lanes: j.ask.Lanes, Work: j.ask.Work, LoadTime: j.ask.LoadTime, ArrivedAt: now,
+		Deadline: max(now, j.read+j.ask.Patience-onTheWay), IsRetry: j.ask.Repeat})
 	if err != nil {
 		p.log.Error().Err(err).Msg("job not taken")
 		delete(p.jobs, j.id)
-		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
+		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxRetryAfter))
 	}
 }
 
@@ -551,14 +551,14 @@
 }
 
 // Send starts an execution.
-func (p *Platform) Send(cj *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (p *Platform) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := p.jobs[cj.ID]
 	s := p.sending(to, allow)
 	s.job, s.no, s.id = j, no, binframe.ID(j.id)
-	if w := p.told.Deployment.Workloads[j.workload]; w.Effect == control.Fingerprinted {
-		for _, e := range cj.Executions[:no] {
-			if e.MayRun { // the group must still remember it when this one comes
-				s.until = min(s.until, e.Sent+w.Window-onTheWay)
+	if w := p.told.Deployment.Classes[j.workload]; w.Effect == control.IdempotentByKey {
+		for _, e := range cj.Attempts[:no] {
+			if e.MayHaveRun { // the group must still remember it when this one comes
+				s.until = min(s.until, e.SentAt+w.Window-onTheWay)
 			}
 		}
 	}
@@ -576,19 +576,19 @@
 }
 
 // PushBack and Kill end a job.
-func (p *Platform) PushBack(id control.JobID, stayAway control.Micros) {
+func (p *Platform) PushBack(id control.RequestID, stayAway control.Micros) {
 	j := p.jobs[id]
 	p.finish(j, msgrpc.PushedBack(j.number, stayAway))
 }
 
 // Kill ends a job of which nothing may be promised.
-func (p *Platform) Kill(id control.JobID) {
+func (p *Platform) Kill(id control.RequestID) {
 	j := p.jobs[id]
 	p.finish(j, msgrpc.Killed(j.number))
 }
 
 // CallOff stops waiting for an execution.
-func (p *Platform) CallOff(id control.JobID, no control.ExecutionID) {
+func (p *Platform) CallOff(id control.RequestID, no control.AttemptID) {
 	j := p.jobs[id]
 	if j == nil || int(no) >= len(j.executions) {
 		return
@@ -599,7 +599,7 @@
 	}
 	result := control.Cancelled
 	if s.withdraw() {
-		result = control.NeverSent
+		result = control.NotSent
 	} else {
 		p.giveUp(s)
 	}
@@ -607,10 +607,10 @@
 }
 
 // Order orders copies of a job's function.
-func (p *Platform) Order(_ *control.Job, o control.Order) {
+func (p *Platform) Order(_ *control.Request, o control.LoadCommand) {
 	s := p.sending(o.Server, p.told.orderLimit)
 	s.order, s.id = o, p.orderID()
-	p.dispatch(p.clock, s, binframe.Order(s.id, o.Function, o.Copies))
+	p.dispatch(p.clock, s, binframe.Order(s.id, o.Function, o.Replicas))
 }
 
 // Subscribe has nothing to do: the board is followed in any case.
@@ -629,7 +629,7 @@
 func (p *Platform) executed(now control.Micros, s *sending, o control.Outcome, a *binframe.Answer) {
 	j := s.job
 	if j.state.Ended(o.Result) == attempt.Deliver {
-		o.JobOver = true
+		o.RequestDone = true
 		p.core.Answered(now, j.id, o)
 		p.finish(j, msgrpc.Finished(j.number, a.Body))
 		return
@@ -688,17 +688,17 @@
 	if p.log.Trace() == nil {
 		return nil
 	}
-	return p.core.Trace(&control.Trace{Placed: func(w control.Why) {
-		if w.Placement.Verb != control.PushBack && w.Placement.Verb != control.Kill {
+	return p.core.Trace(&control.Trace{OnDecision: func(w control.Explanation) {
+		if w.Decision.Action != control.Reject && w.Decision.Action != control.Fail {
 			return
 		}
 		var warm, coming, waiting, shunned, suspect int
 		for _, b := range w.Servers {
-			waiting += b.Waiting
-			warm, coming = warm+one(b.Warm), coming+one(b.Coming)
-			shunned, suspect = shunned+one(b.Shunned), suspect+one(b.Suspect)
+			waiting += b.PendingLoads
+			warm, coming = warm+one(b.Loaded), coming+one(b.LoadingNow)
+			shunned, suspect = shunned+one(b.Overloaded), suspect+one(b.Ejected)
 		}
-		p.log.Trace().Str("why", w.Ended).Str("function", fmt.Sprintf("%016x", uint64(w.Function))).Int64("exec", int64(w.Exec)).
+		p.log.Trace().Str("why", w.Reason).Str("function", fmt.Sprintf("%016x", uint64(w.Function))).Int64("exec", int64(w.ExecTime)).
 			Int64("slack", int64(w.Slack)).Int64("load", int64(w.LoadTime)).Int("held", w.Held).Float64("B", w.B).Int("warm", warm).
 			Int("coming", coming).Int("waiting", waiting).Int("shunned", shunned).Int("suspect", suspect).
 			Int("servers", len(w.Servers)).Msg("turned away")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -519,8 +519,8 @@
 // How late an order may be written is told to the module, which counts its ration by it: as late as any choice is written.
 func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
 	p := idlePlatform(t)
-	if s := p.sending(1, p.told.orderLimit); s.until-s.chosen != p.told.Deployment.Late || p.told.Deployment.Late == 0 {
-		t.Errorf("written %d late, told %d", s.until-s.chosen, p.told.Deployment.Late)
+	if s := p.sending(1, p.told.orderLimit); s.until-s.chosen != p.told.Deployment.MaxCommandDelay || p.told.Deployment.MaxCommandDelay == 0 {
+		t.Errorf("written %d late, told %d", s.until-s.chosen, p.told.Deployment.MaxCommandDelay)
 	}
 }
 
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -54,8 +54,8 @@
 type sending struct {
 	p        *Platform
 	job      *job // nil of an order
-	no       control.ExecutionID
-	order    control.Order
+	no       control.AttemptID
+	order    control.LoadCommand
 	id       binframe.ID
 	to       control.ServerID
 	request  *binframe.Execution // nil of an order
@@ -121,7 +121,7 @@
 	if !ok {
 		s.p.box.Tell(func(now control.Micros) {
 			s.withdraw()
-			s.p.ended(now, s, control.NeverSent, nil)
+			s.p.ended(now, s, control.NotSent, nil)
 		})
 		return true, false
 	}
@@ -166,7 +166,7 @@
 		delete(l.out, s.id)
 	}
 	// Never sent; told in the next turn, since this one is still asking.
-	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NeverSent, nil) })
+	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NotSent, nil) })
 }
 
 func (s *sending) parcel(frame []byte) parcel {
@@ -284,14 +284,14 @@
 		l.close()
 		p.box.Tell(func(now control.Micros) { p.broke(now, l, result) })
 	}
-	end := control.Errored // should a fault of our own end this: what was written may have run
+	end := control.Failed // should a fault of our own end this: what was written may have run
 	defer p.caught("reading a server")
 	defer func() { broke(end) }()
 	conn, err := l.dial()
 	if err != nil {
-		end = control.NoConnection
+		end = control.ConnectFailed
 		if ours(err) || errors.Is(err, context.Canceled) {
-			end = control.NeverSent // says nothing of the server
+			end = control.NotSent // says nothing of the server
 		} else {
 			p.count("no connection to a server")
 		}
@@ -305,12 +305,12 @@
 		reader.until(time.Time{})
 		a, err := binframe.Read(in, func() { reader.until(time.Now().Add(stallMost)) })
 		if err != nil {
-			end = control.Reset
+			end = control.ConnectionReset
 			if why := spoilt(err); why != "" {
-				end = control.Errored // the server answers; what it said can't be read
+				end = control.Failed // the server answers; what it said can't be read
 				p.count("spoilt answer: " + why)
 			} else if ours(err) {
-				end = control.Errored // may have run; says nothing of the server
+				end = control.Failed // may have run; says nothing of the server
 			}
 			return
 		}
@@ -411,13 +411,13 @@
 		r := result
 		switch {
 		case s.withdraw():
-			if r != control.NoConnection {
-				r = control.NeverSent
+			if r != control.ConnectFailed {
+				r = control.NotSent
 			}
 		case s.reached() == attempt.Withdrawn:
-			r = control.NeverSent
+			r = control.NotSent
 		case l.partial.Load() && !s.whole.Load():
-			r = control.NeverSent // its frame did not come whole
+			r = control.NotSent // its frame did not come whole
 		}
 		p.ended(now, s, r, nil)
 	}
@@ -429,7 +429,7 @@
 		return
 	}
 	if s.withdraw() {
-		p.ended(now, s, control.NeverSent, nil)
+		p.ended(now, s, control.NotSent, nil)
 		return
 	}
 	p.giveUp(s)
@@ -442,7 +442,7 @@
 	if s.link == nil || s.state.Over {
 		return
 	}
-	if s.job != nil && p.told.Deployment.Cancels {
+	if s.job != nil && p.told.Deployment.SupportsCancel {
 		s.link.box.post(parcel{data: binframe.GiveUp(s.id)})
 	}
 	s.link.retired = true
@@ -461,30 +461,30 @@
 			p.drop(l)
 		}
 	}
-	if s.state.Off && result != control.Finished && !result.ProvesUnrun() {
+	if s.state.Off && result != control.Succeeded && !result.ProvesNotRun() {
 		result = control.Cancelled
 	}
 	p.trace(now, s, result, a)
 	took := now - s.chosen
 	if s.job == nil {
 		copies := 0
-		if a != nil && result == control.Finished {
+		if a != nil && result == control.Succeeded {
 			if copies = a.Copies; copies < 0 {
-				copies = s.order.Copies // an answer that tells no number has done what was asked
+				copies = s.order.Replicas // an answer that tells no number has done what was asked
 			}
 		}
-		p.core.Loaded(now, s.to, s.order.Function, result, took, copies)
+		p.core.HandleLoadResult(now, s.to, s.order.Function, result, took, copies)
 		return
 	}
-	o := control.Outcome{Execution: s.no, Server: s.to, Result: result, Took: took}
+	o := control.Outcome{Attempt: s.no, Server: s.to, Result: result, Duration: took}
 	if a != nil {
-		o.Found, o.Report = a.Found, p.report(a)
+		o.CacheStatus, o.Report = a.Found, p.report(a)
 	}
 	p.executed(now, s, o, a)
 }
 
 // report puts what an answer reports in the order that the settings name.
-func (p *Platform) report(a *binframe.Answer) *control.Report {
+func (p *Platform) report(a *binframe.Answer) *control.LoadReport {
 	if a.Reports == nil {
 		return nil
 	}
@@ -506,7 +506,7 @@
 func (p *Platform) orderID() binframe.ID {
 	for {
 		id := binframe.ID(p.chance.Uint64())
-		if p.jobs[control.JobID(id)] == nil {
+		if p.jobs[control.RequestID(id)] == nil {
 			return id
 		}
 	}
@@ -529,7 +529,7 @@
 		}
 	}
 	for id, pl := range p.leaving {
-		if s := p.fleet.Get(id); s != nil && s.State != control.Gone || p.pools[id] != pl {
+		if s := p.fleet.Get(id); s != nil && s.State != control.Removed || p.pools[id] != pl {
 			delete(p.leaving, id) // it has returned
 		} else if len(pl.links) == 0 {
 			delete(p.leaving, id)
@@ -544,7 +544,7 @@
 	for _, l := range append([]*link(nil), pl.links...) {
 		for _, s := range inOrder(l.out) {
 			if s.withdraw() {
-				p.ended(now, s, control.NeverSent, nil)
+				p.ended(now, s, control.NotSent, nil)
 			}
 		}
 		p.retire(l)
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -15,7 +15,7 @@
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
 		3 * second: 800_000, 30 * second: 800_000} {
 		p := idlePlatform(t)
-		p.told.Deployment.Workloads = []control.Workload{{TimeLimit: longest / 2}, {TimeLimit: longest}}
+		p.told.Deployment.Classes = []control.Class{{MaxDeadline: longest / 2}, {MaxDeadline: longest}}
 		steps := p.stopSteps()
 		kill := 700_000 + min(longest, 3*second)
 		if steps[0].at != ends {
@@ -70,7 +70,7 @@
 		r.stopTold = now - killedFrom(r.told.Deployment) + holdsBefore
 		first := r.jobs[1]
 		for n, patience := range map[uint32]control.Micros{2: holdsBefore - answersBefore, 3: holdsBefore - answersBefore + 1} {
-			j := &job{id: control.JobID(n), number: n, client: first.client, read: now}
+			j := &job{id: control.RequestID(n), number: n, client: first.client, read: now}
 			j.ask.Patience = patience
 			first.client.open[n] = j
 			r.jobs[j.id] = j
--- a/internal/platform/told.go
+++ b/internal/platform/told.go
@@ -30,7 +30,7 @@
 	Known      board.Known
 	Deployment control.Deployment
 
-	classes    map[string]control.WorkloadID
+	classes    map[string]control.ClassID
 	tenants    map[string]control.TenantID
 	zone       string
 	reports    []string // fields of a load report
@@ -103,11 +103,11 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment.Late = attempt.Fresh(control.Micros(boot.Contract.StopSending))
+	deployment.MaxCommandDelay = attempt.Fresh(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // as the start settings allow a router to hold open
 	t := &Told{Name: cmp.Or(env.Name, d.Name), Listen: cmp.Or(env.Listen, d.Listen), Cores: d.Limits.Cores,
 		MemoryMB: int(d.Limits.MemoryMB), Sockets: cmp.Or(d.Limits.Sockets, plenty), Board: d.Board, Known: d.Known,
-		Deployment: deployment, classes: map[string]control.WorkloadID{}, tenants: map[string]control.TenantID{},
+		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
 		reports: boot.Report.Fields, connecting: control.Micros(boot.Ceilings.ConnectTimeout),
 		idle: control.Micros(boot.Ceilings.ConnIdle), streams: boot.Ceilings.StreamsPerConn,
 		grace: control.Micros(boot.Contract.StopSending), orderLimit: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
@@ -127,7 +127,7 @@
 			"order_limit must be above 0")
 	}
 	for i, c := range boot.Classes {
-		t.classes[c.Name] = control.WorkloadID(i)
+		t.classes[c.Name] = control.ClassID(i)
 	}
 	for i, c := range boot.Customers {
 		t.tenants[c.Name] = control.TenantID(i)
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -15,23 +15,23 @@
 
 // Finding is what one server answered.
 type Finding struct {
-	Address string            `json:"Address"`
-	Ready   bool              `json:"Ready"`
-	Says    string            `json:"Says,omitempty"` // why not, or what is odd
-	Took    control.Micros    `json:"Took"`           // of the readiness call, connecting included
-	Load    *control.Report   `json:"Load,omitempty"`
-	Stands  []kserve.Standing `json:"Stands"`
-	Run     *Run              `json:"Run,omitempty"`
+	Address string              `json:"Address"`
+	Ready   bool                `json:"Ready"`
+	Says    string              `json:"Says,omitempty"` // why not, or what is odd
+	Took    control.Micros      `json:"Took"`           // of the readiness call, connecting included
+	Load    *control.LoadReport `json:"Load,omitempty"`
+	Stands  []kserve.Standing   `json:"Stands"`
+	Run     *Run                `json:"Run,omitempty"`
 }
 
 // Run is what became of a job that the probe was told to run.
 type Run struct {
-	Status  int            `json:"Status"`
-	Result  string         `json:"Result"` // as the module would be told
-	Found   control.Found  `json:"Found"`
-	MayRun  bool           `json:"MayRun"` // whether the module would have to take it as run
-	Took    control.Micros `json:"Took"`
-	Message string         `json:"Message,omitempty"`
+	Status  int                 `json:"Status"`
+	Result  string              `json:"Result"` // as the module would be told
+	Found   control.CacheStatus `json:"Found"`
+	MayRun  bool                `json:"MayRun"` // whether the module would have to take it as run
+	Took    control.Micros      `json:"Took"`
+	Message string              `json:"Message,omitempty"`
 }
 
 // Ask is what to ask a server.
@@ -98,9 +98,9 @@
 		result, r.Message = gateway.Broken(progress, err), err.Error()
 	} else {
 		o := gateway.Conclude(p, false)
-		result, r.Status, r.Found = o.Result, p.Status, o.Found
+		result, r.Status, r.Found = o.Result, p.Status, o.CacheStatus
 	}
-	r.Result, r.MayRun = gateway.ResultName(result), !result.ProvesUnrun()
+	r.Result, r.MayRun = gateway.ResultName(result), !result.ProvesNotRun()
 	return r
 }
 
@@ -116,7 +116,7 @@
 		fmt.Fprintf(&b, " (%s)", f.Says)
 	}
 	if l := f.Load; l != nil {
-		fmt.Fprintf(&b, "; %.2f of its cores in use, %g loads, %.2f pinned", l.Util, l.Loads, l.Pinned)
+		fmt.Fprintf(&b, "; %.2f of its cores in use, %g loads, %.2f pinned", l.Utilization, l.PendingLoads, l.PinnedMemory)
 	}
 	b.WriteString("\n")
 	for _, s := range f.Stands {
--- a/internal/record/cost_test.go
+++ b/internal/record/cost_test.go
@@ -10,17 +10,17 @@
 func BenchmarkTurns(b *testing.B) {
 	var turns []Turn
 	tape := &Tape{End: func(t Turn) { turns = append(turns, t) }}
-	report := &control.Report{Util: 0.5}
+	report := &control.LoadReport{Utilization: 0.5}
 	clock, size := control.Micros(1_796_133_869_057_624), 0
-	j := control.Job{Function: 0x661936cc994fc, Lanes: 2}
+	j := control.Request{Function: 0x661936cc994fc, Lanes: 2}
 	for b.Loop() {
 		j.ID++
 		clock += 431
-		j.Arrived, j.Patience = clock, clock+2_000_000
+		j.ArrivedAt, j.Deadline = clock, clock+2_000_000
 		tape.Arrived(j)
 		tape.Send(&j, 0, 0x7f0000019a7b, 2_000_000)
 		tape.Turned(clock)
-		tape.Answered(j.ID, control.Outcome{Server: 0x7f0000019a7b, Found: control.FoundWarm, Took: 50_000, JobOver: true, Report: report})
+		tape.Answered(j.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
 		tape.Turned(clock + 211)
 		if len(turns) >= 200 { // 100 ms at 1000 jobs a second
 			frame, err := appendFrame(nil, batch{First: 1, Turns: turns})
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -50,19 +50,19 @@
 
 // News is one thing heard; one of its parts is set.
 type News struct {
-	Arrived  *control.Job     `cbor:"1,keyasint,omitempty"`
-	Answered *control.Outcome `cbor:"2,keyasint,omitempty"`
-	Job      control.JobID    `cbor:"3,keyasint,omitempty"` // of Answered and Left
-	Listed   *Listed          `cbor:"4,keyasint,omitempty"`
-	Left     bool             `cbor:"5,keyasint,omitempty"`
-	Loaded   *Loaded          `cbor:"6,keyasint,omitempty"`
-	Request  uint64           `cbor:"7,keyasint,omitempty"` // of Arrived: Tag of its client's id for it; 0: none
+	Arrived  *control.Request  `cbor:"1,keyasint,omitempty"`
+	Answered *control.Outcome  `cbor:"2,keyasint,omitempty"`
+	Job      control.RequestID `cbor:"3,keyasint,omitempty"` // of Answered and Left
+	Listed   *Listed           `cbor:"4,keyasint,omitempty"`
+	Left     bool              `cbor:"5,keyasint,omitempty"`
+	Loaded   *Loaded           `cbor:"6,keyasint,omitempty"`
+	Request  uint64            `cbor:"7,keyasint,omitempty"` // of Arrived: Tag of its client's id for it; 0: none
 }
 
 // Listed is a list of servers as heard.
 type Listed struct {
-	Kind control.ListKind  `cbor:"Kind"`
-	List []control.Listing `cbor:"List"`
+	Kind control.UpdateKind `cbor:"Kind"`
+	List []control.Endpoint `cbor:"List"`
 }
 
 // Loaded is an answer to an order.
@@ -90,14 +90,14 @@
 
 // Deed is one thing asked of the outlet.
 type Deed struct {
-	Verb     uint8               `cbor:"1,keyasint"`
-	Job      control.JobID       `cbor:"2,keyasint,omitempty"`
-	No       control.ExecutionID `cbor:"3,keyasint,omitempty"`
-	Server   control.ServerID    `cbor:"4,keyasint,omitempty"`
-	Time     control.Micros      `cbor:"5,keyasint,omitempty"` // allowed, to stay away, or of the alarm
-	Function control.FunctionID  `cbor:"6,keyasint,omitempty"`
-	Copies   int                 `cbor:"7,keyasint,omitempty"`
-	Text     string              `cbor:"8,keyasint,omitempty"`
+	Verb     uint8              `cbor:"1,keyasint"`
+	Job      control.RequestID  `cbor:"2,keyasint,omitempty"`
+	No       control.AttemptID  `cbor:"3,keyasint,omitempty"`
+	Server   control.ServerID   `cbor:"4,keyasint,omitempty"`
+	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // allowed, to stay away, or of the alarm
+	Function control.FunctionID `cbor:"6,keyasint,omitempty"`
+	Copies   int                `cbor:"7,keyasint,omitempty"`
+	Text     string             `cbor:"8,keyasint,omitempty"`
 }
 
 // String tells a deed in plain words.
@@ -139,7 +139,7 @@
 	End      func(Turn) // takes each finished turn
 	news     []News
 	deeds    []Deed
-	jobs     []control.Job
+	jobs     []control.Request
 	outcomes []control.Outcome
 }
 
@@ -177,12 +177,12 @@
 func (t *Tape) did(d Deed)   { t.turn.Did = add(&t.deeds, t.turn.Did, d) }
 
 // Listed notes a list of servers.
-func (t *Tape) Listed(kind control.ListKind, list []control.Listing) {
+func (t *Tape) Listed(kind control.UpdateKind, list []control.Endpoint) {
 	t.heard(News{Listed: &Listed{kind, list}})
 }
 
 // Arrived notes a new job.
-func (t *Tape) Arrived(job control.Job) { t.heard(News{Arrived: keep(&t.jobs, job)}) }
+func (t *Tape) Arrived(job control.Request) { t.heard(News{Arrived: keep(&t.jobs, job)}) }
 
 // Asked notes the client's id for the job that has just arrived, as a Tag.
 func (t *Tape) Asked(request uint64) { t.turn.Heard[len(t.turn.Heard)-1].Request = request }
@@ -198,12 +198,12 @@
 }
 
 // Answered notes the end of an execution.
-func (t *Tape) Answered(id control.JobID, o control.Outcome) {
+func (t *Tape) Answered(id control.RequestID, o control.Outcome) {
 	t.heard(News{Job: id, Answered: keep(&t.outcomes, o)})
 }
 
 // Left notes that a client left.
-func (t *Tape) Left(id control.JobID) { t.heard(News{Job: id, Left: true}) }
+func (t *Tape) Left(id control.RequestID) { t.heard(News{Job: id, Left: true}) }
 
 // Loaded notes the answer to an order.
 func (t *Tape) Loaded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
@@ -211,26 +211,26 @@
 }
 
 // Send and the others note what the core asked of its outlet.
-func (t *Tape) Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (t *Tape) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	t.did(Deed{Verb: Send, Job: j.ID, No: no, Server: to, Time: allow})
 }
 
 // PushBack notes a push back.
-func (t *Tape) PushBack(id control.JobID, stayAway control.Micros) {
+func (t *Tape) PushBack(id control.RequestID, stayAway control.Micros) {
 	t.did(Deed{Verb: PushBack, Job: id, Time: stayAway})
 }
 
 // Kill notes a kill.
-func (t *Tape) Kill(id control.JobID) { t.did(Deed{Verb: Kill, Job: id}) }
+func (t *Tape) Kill(id control.RequestID) { t.did(Deed{Verb: Kill, Job: id}) }
 
 // CallOff notes an execution called off.
-func (t *Tape) CallOff(id control.JobID, no control.ExecutionID) {
+func (t *Tape) CallOff(id control.RequestID, no control.AttemptID) {
 	t.did(Deed{Verb: CallOff, Job: id, No: no})
 }
 
 // Order notes an order to load.
-func (t *Tape) Order(j *control.Job, o control.Order) {
-	t.did(Deed{Verb: Order, Job: j.ID, Server: o.Server, Function: o.Function, Copies: o.Copies})
+func (t *Tape) Order(j *control.Request, o control.LoadCommand) {
+	t.did(Deed{Verb: Order, Job: j.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
 }
 
 // Subscribe notes the wish for changes of the list.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -268,17 +268,17 @@
 
 // BenchmarkCheckpoint is a segment's beginning at 80 servers and 1000 functions; it is made outside turns.
 func BenchmarkCheckpoint(b *testing.B) {
-	told := control.Deployment{Routers: 3, Tick: 4000, MaxExecutions: 3, Fall: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
-		Workloads: []control.Workload{{StartTarget: 1_000_000, TimeLimit: 60_000_000}}}
+	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
+		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	now := control.Micros(1_000_000_000)
-	c := core.New(control.Start(now, 1, told), core.Silent{})
-	list := make([]control.Listing, 80)
+	c := core.New(control.New(now, 1, told), core.Silent{})
+	list := make([]control.Endpoint, 80)
 	for i := range list {
-		list[i] = control.Listing{Server: control.ServerID(i + 1), State: control.Ready, Power: 1}
+		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
 	}
-	c.Listed(now, control.ListWhole, list)
-	for i := range control.JobID(1000) {
-		c.Arrived(now, control.Job{ID: i, Function: control.FunctionID(i), Lanes: 1, Arrived: now, Patience: now + 1<<50})
+	c.UpdateEndpoints(now, control.FullUpdate, list)
+	for i := range control.RequestID(1000) {
+		c.Arrived(now, control.Request{ID: i, Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
 	}
 	c.Turn(now)
 	s, err := c.Snapshot()
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -44,12 +44,12 @@
 		case n.Answered != nil:
 			p.Core.Answered(t.Clock, n.Job, *n.Answered)
 		case n.Listed != nil:
-			p.Core.Listed(t.Clock, n.Listed.Kind, n.Listed.List)
+			p.Core.UpdateEndpoints(t.Clock, n.Listed.Kind, n.Listed.List)
 		case n.Left:
 			p.Core.Left(t.Clock, n.Job)
 		case n.Loaded != nil:
 			l := n.Loaded
-			p.Core.Loaded(t.Clock, l.Server, l.Function, l.Result, l.Took, l.Copies)
+			p.Core.HandleLoadResult(t.Clock, l.Server, l.Function, l.Result, l.Took, l.Copies)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	File       string
 	Turn       uint64
 	Clock      control.Micros
-	Job        control.JobID
+	Job        control.RequestID
 	Then, Now  string // what was decided
 	Checkpoint bool   // it is no deed that differs but the state at the segment's beginning
 }
@@ -81,8 +81,8 @@
 
 // Range limits what is compared. The zero value is everything.
 type Range struct {
-	From, Until uint64        // turns; Until 0: to the end
-	Job         control.JobID // only deeds for this job; 0: all
+	From, Until uint64            // turns; Until 0: to the end
+	Job         control.RequestID // only deeds for this job; 0: all
 	Shown       func(turn uint64, clock control.Micros, d record.Deed)
 }
 
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -21,12 +21,12 @@
 	now  control.Micros
 	rand uint64
 	out  []flight
-	last control.JobID
+	last control.RequestID
 }
 
 type flight struct {
-	job    control.JobID
-	no     control.ExecutionID
+	job    control.RequestID
+	no     control.AttemptID
 	server control.ServerID
 }
 
@@ -36,7 +36,7 @@
 	return (x ^ x>>27) % n
 }
 
-func (t *traffic) Send(j *control.Job, no control.ExecutionID, to control.ServerID, _ control.Micros) {
+func (t *traffic) Send(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
 	t.out = append(t.out, flight{j.ID, no, to})
 }
 
@@ -44,23 +44,23 @@
 	t.now += control.Micros(1 + t.below(8000))
 	for range t.below(3) {
 		t.last++
-		t.core.Arrived(t.now, control.Job{ID: t.last, Workload: control.WorkloadID(t.below(2)), Function: control.FunctionID(t.below(9)), Lanes: 2,
-			Arrived: t.now, Patience: t.now + 2_000_000})
+		t.core.Arrived(t.now, control.Request{ID: t.last, Class: control.ClassID(t.below(2)), Function: control.FunctionID(t.below(9)), Lanes: 2,
+			ArrivedAt: t.now, Deadline: t.now + 2_000_000})
 	}
 	for len(t.out) > 8 {
 		i := t.below(uint64(len(t.out)))
 		x := t.out[i]
 		t.out[i] = t.out[len(t.out)-1]
 		t.out = t.out[:len(t.out)-1]
-		o := control.Outcome{Execution: x.no, Server: x.server, Took: control.Micros(10_000 + t.below(40_000)), Report: &control.Report{Util: 0.5}}
+		o := control.Outcome{Attempt: x.no, Server: x.server, Duration: control.Micros(10_000 + t.below(40_000)), Report: &control.LoadReport{Utilization: 0.5}}
 		if t.below(5) == 0 {
 			o.Result = control.Result(t.below(9))
 		}
-		o.JobOver = o.Result == control.Finished
+		o.RequestDone = o.Result == control.Succeeded
 		t.core.Answered(t.now, x.job, o)
 	}
 	if t.below(50) == 0 {
-		t.core.Left(t.now, t.last-control.JobID(t.below(5)))
+		t.core.Left(t.now, t.last-control.RequestID(t.below(5)))
 	}
 	t.core.Turn(t.now)
 }
@@ -68,11 +68,11 @@
 // recorded records some turns into segments of few turns and gives the files.
 func recorded(t *testing.T, turns int) []string {
 	t.Helper()
-	told := control.Deployment{Routers: 2, Tick: 4000, MaxExecutions: 3, MaxStayAway: 1_000_000, Cancels: true, Fall: 1_000_000, FallMultiple: 2,
-		KeepAlive: 1_000_000, Orders: true, LoadsOnMiss: true, Workloads: []control.Workload{{StartTarget: 300_000, TimeLimit: 2_000_000},
-			{StartTarget: 300_000, TimeLimit: 2_000_000, Effect: control.RunOnce}}}
+	told := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, OverloadWindow: 1_000_000, OverloadFactor: 2,
+		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
+			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Effect: control.NonIdempotent}}}
 	tr := &traffic{now: 5_000_000, rand: 1}
-	tr.core = core.New(control.Start(tr.now, 1, told), tr)
+	tr.core = core.New(control.New(tr.now, 1, told), tr)
 	dir := t.TempDir()
 	w, err := record.Open(dir, record.Bounds{Segment: 1, Age: time.Hour, Total: 1 << 30}, record.Header{Life: "a"}, tr.core.Snapshot, zerolog.Nop())
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	tr.core.Record(w.Tape())
 	w.Begin(tr.now)
-	tr.core.Listed(tr.now, control.ListWhole, []control.Listing{{Server: 1, State: control.Ready, Power: 1}, {Server: 2, State: control.Ready, Power: 1}})
+	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}})
 	tr.core.Turn(tr.now)
 	for i := range turns {
 		tr.turn()
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Checkpoint.Module.Told.MaxStayAway++ // seen at a segment's first push back and no earlier
+		s.Checkpoint.Module.Deployment.MaxRetryAfter++ // seen at a segment's first push back and no earlier
 		p, err := From(s.Checkpoint)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -77,9 +77,9 @@
 // mayRepeat tells whether another try does no harm if the earlier ones ran.
 func (c *Call) mayRepeat(now control.Micros) bool {
 	switch {
-	case c.first == 0 || c.Workload.Effect == control.Restartable || c.bound >= 0:
+	case c.first == 0 || c.Workload.Effect == control.Idempotent || c.bound >= 0:
 		return true
-	case c.Workload.Effect == control.Fingerprinted && c.Workload.Scope == control.WholeFleet:
+	case c.Workload.Effect == control.IdempotentByKey && c.Workload.Scope == control.WholeFleet:
 		return now+travel < c.first+c.Workload.Window
 	}
 	return false
@@ -102,7 +102,7 @@
 	case e == Finished || e == Wrong:
 		c.over = true
 	case c.over || c.out > 0 || c.tries >= mostTries:
-	case e == Lost && c.Workload.Remembered && c.Workload.Effect == control.RunOnce:
+	case e == Lost && c.Workload.Remembered && c.Workload.Effect == control.NonIdempotent:
 		c.bound = router // only it knows whether the job may run again
 		return c.again(now, Pause(c.tries, chance), false, b)
 	case c.bound >= 0 && e == Unsent: // it is not back yet
@@ -135,7 +135,7 @@
 
 // Hedge tells whether a second try may run beside the one that is out.
 func (c *Call) Hedge(now control.Micros, b *Budget) bool {
-	return !c.over && c.Workload.TwoAtOnce && c.Workload.Effect == control.Restartable && c.out == 1 && c.tries == 1 && now+least <= c.Deadline && b.Spend()
+	return !c.over && c.Workload.TwoAtOnce && c.Workload.Effect == control.Idempotent && c.out == 1 && c.tries == 1 && now+least <= c.Deadline && b.Spend()
 }
 
 // Pause is a try's backoff with full jitter: anything between nothing and a span that doubles with each try.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -23,8 +23,8 @@
 // What may have run is tried again only where its repeat does no harm: anywhere for restartable jobs, inside the window for
 // fingerprinted ones of the whole fleet, at the same router for run-once ones where that remembers.
 func TestWhatMayHaveRun(t *testing.T) {
-	once, restartable := Workload{Effect: control.RunOnce}, Workload{Effect: control.Restartable}
-	marked := Workload{Effect: control.Fingerprinted, Window: 2 * second}
+	once, restartable := Workload{Effect: control.NonIdempotent}, Workload{Effect: control.Idempotent}
+	marked := Workload{Effect: control.IdempotentByKey, Window: 2 * second}
 	narrow := marked
 	narrow.Scope = control.OneZone
 	for name, c := range map[string]struct {
@@ -38,7 +38,7 @@
 			if next.Over == c.again {
 				t.Errorf("%s, %d: %+v", name, e, next)
 			}
-			if c.again && c.w.Effect == control.Fingerprinted && call.Sent(3*second) {
+			if c.again && c.w.Effect == control.IdempotentByKey && call.Sent(3*second) {
 				t.Errorf("%s: sent once its window is over", name)
 			}
 		}
@@ -58,7 +58,7 @@
 // over as long again.
 func TestHarmlessTries(t *testing.T) {
 	for _, e := range []Ending{PushedBack, Unsent} {
-		if _, next := tried(Workload{Effect: control.RunOnce}, e, 2*second, 0); next.Over || !next.Other {
+		if _, next := tried(Workload{Effect: control.NonIdempotent}, e, 2*second, 0); next.Over || !next.Other {
 			t.Errorf("%d: %+v", e, next)
 		}
 	}
@@ -69,7 +69,7 @@
 	if _, next := tried(Workload{}, PushedBack, 2*second, 20*second); !next.Over {
 		t.Error("waits past its deadline")
 	}
-	if _, next := tried(Workload{Effect: control.Restartable}, Wrong, 2*second, 0); !next.Over {
+	if _, next := tried(Workload{Effect: control.Idempotent}, Wrong, 2*second, 0); !next.Over {
 		t.Error("a wrong request is sent again")
 	}
 }
@@ -95,7 +95,7 @@
 				if now > deadline || finished || n >= mostTries {
 					t.Fatalf("try %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
-				if ran > 0 && w.Effect == control.RunOnce && c.Bound() < 0 || ran > 0 && w.Effect == control.Fingerprinted && now >= ran+w.Window {
+				if ran > 0 && w.Effect == control.NonIdempotent && c.Bound() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
 					t.Fatalf("try %d at %d after one that may have run at %d", n, now, ran)
 				}
 				if n > 0 {
@@ -213,7 +213,7 @@
 	for _, c := range []struct {
 		w    Workload
 		want bool
-	}{{Workload{Effect: control.Restartable, TwoAtOnce: true}, true}, {Workload{Effect: control.Restartable}, false}, {Workload{Effect: control.RunOnce, TwoAtOnce: true}, false}} {
+	}{{Workload{Effect: control.Idempotent, TwoAtOnce: true}, true}, {Workload{Effect: control.Idempotent}, false}, {Workload{Effect: control.NonIdempotent, TwoAtOnce: true}, false}} {
 		call := Begin(c.w, 10*second)
 		call.Sent(second)
 		if got := call.Hedge(second, b); got != c.want {
--- a/internal/serving/serving.go
+++ b/internal/serving/serving.go
@@ -79,10 +79,10 @@
 // Reply ends an exchange.
 type Reply struct {
 	Ending Ending
-	Why    string         // of a refusal
-	Found  control.Found  // of Done
-	Copies int            // that stand, in the answer to an order
-	Report control.Report // its load
+	Why    string              // of a refusal
+	Found  control.CacheStatus // of Done
+	Copies int                 // that stand, in the answer to an order
+	Report control.LoadReport  // its load
 }
 
 // Server is one server; Kill and Start make it die and come back empty.
@@ -128,7 +128,7 @@
 	rec   audit.Record
 	copy  *copies
 	id    uint64
-	found control.Found
+	found control.CacheStatus
 	key   string
 	mark  *mark // nil: none is kept
 	slow  float64
@@ -210,15 +210,15 @@
 }
 
 // Report is its load.
-func (s *Server) Report() control.Report {
+func (s *Server) Report() control.LoadReport {
 	pinned := 0
 	for _, c := range s.copies {
 		if c.busy > 0 || c.loading > 0 {
 			pinned += c.n + c.loading
 		}
 	}
-	return control.Report{Util: float64(min(s.running, s.m.Cores)) / float64(s.m.Cores), Loads: float64(s.loading),
-		Pinned: float64(pinned) / float64(s.m.Copies)}
+	return control.LoadReport{Utilization: float64(min(s.running, s.m.Cores)) / float64(s.m.Cores), PendingLoads: float64(s.loading),
+		PinnedMemory: float64(pinned) / float64(s.m.Copies)}
 }
 
 func (s *Server) happens(share float64) bool { return share > 0 && s.chance.Float64() < share }
@@ -250,7 +250,7 @@
 	if known {
 		add(audit.Dropped)
 		if m.ended {
-			s.end(id, Reply{Found: control.FoundWarm})
+			s.end(id, Reply{Found: control.CacheHit})
 		} else {
 			m.wait = append(m.wait, id)
 		}
@@ -267,17 +267,17 @@
 		refuse(Missing, "not loaded")
 		return
 	}
-	r.found = control.FoundWarm
+	r.found = control.CacheHit
 	switch {
 	case c == nil:
 		if c = s.room(a.Function, 1); c == nil {
 			refuse(Full, "no room")
 			return
 		}
-		r.found = control.BeganLoad
+		r.found = control.CacheMiss
 		s.load(c, 1, func() {})
 	case c.n == 0:
-		r.found = control.JoinedLoad
+		r.found = control.CacheLoading
 	}
 	if s.waiting >= s.m.Queue {
 		refuse(Full, "no room")
@@ -319,7 +319,7 @@
 	if r.mark != nil {
 		r.mark.ended = true
 		for _, id := range r.mark.wait {
-			s.end(id, Reply{Found: control.FoundWarm})
+			s.end(id, Reply{Found: control.CacheHit})
 		}
 		r.mark.wait = nil
 	}
--- a/internal/serving/serving_test.go
+++ b/internal/serving/serving_test.go
@@ -103,14 +103,14 @@
 	b.infer("a", "")
 	b.infer("b", "")
 	b.clock.to(1_000_000)
-	if r := b.Report(); len(b.got) > 0 || r.Loads != 2 || r.Pinned != 0.5 {
+	if r := b.Report(); len(b.got) > 0 || r.PendingLoads != 2 || r.PinnedMemory != 0.5 {
 		t.Errorf("%v, %+v", b.got, r)
 	}
 	b.store.Set(1, false)
 	if b.clock.to(1_026_000); len(b.got) != 0 {
 		t.Errorf("answered before its work was done: %v", b.got)
 	}
-	if b.clock.to(2_000_000); !slices.Equal(b.endings(), []Ending{Done, Done}) || b.got[0].Found != control.BeganLoad {
+	if b.clock.to(2_000_000); !slices.Equal(b.endings(), []Ending{Done, Done}) || b.got[0].Found != control.CacheMiss {
 		t.Errorf("%v", b.got)
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -297,7 +297,7 @@
 }
 
 // founds are the words for what a job met.
-var founds = map[control.Found]string{control.FoundWarm: "warm", control.BeganLoad: "began", control.JoinedLoad: "joined"}
+var founds = map[control.CacheStatus]string{control.CacheHit: "warm", control.CacheMiss: "began", control.CacheLoading: "joined"}
 
 // await begins an exchange and waits for its end; not ok: this life is over.
 func (s *Server) await(life context.Context, begin func(reply func(serving.Reply))) (r serving.Reply, ok bool) {
@@ -364,7 +364,7 @@
 	return answer(status, body, report)
 }
 
-func answer(status int, body []byte, r control.Report) *rest.Response {
+func answer(status int, body []byte, r control.LoadReport) *rest.Response {
 	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"},
-		kserve.LoadMetrics: {kserve.Load{Util: r.Util, Loads: r.Loads, Pinned: r.Pinned}.String()}}, Body: body}
+		kserve.LoadMetrics: {kserve.Load{Util: r.Utilization, Loads: r.PendingLoads, Pinned: r.PinnedMemory}.String()}}, Body: body}
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -9,19 +9,19 @@
 )
 
 // Report reads a load report: values in the order of the fields that the settings name. Nil where there is none.
-func Report(fields []string, load []float32) *control.Report {
+func Report(fields []string, load []float32) *control.LoadReport {
 	if len(load) == 0 {
 		return nil
 	}
-	rep := &control.Report{Util: -1, Loads: -1, Pinned: -1}
+	rep := &control.LoadReport{Utilization: -1, PendingLoads: -1, PinnedMemory: -1}
 	for i, v := range load[:min(len(load), len(fields))] {
 		switch fields[i] {
 		case "cpu_share":
-			rep.Util = float64(v)
+			rep.Utilization = float64(v)
 		case "x1":
-			rep.Loads = float64(v)
+			rep.PendingLoads = float64(v)
 		case "x0":
-			rep.Pinned = float64(v)
+			rep.PinnedMemory = float64(v)
 		}
 	}
 	return rep
@@ -31,23 +31,23 @@
 func Deployment(b *wire.BootInfo) (control.Deployment, error) {
 	d := control.Deployment{
 		Routers: b.Balancers, Number: b.SelfIndex, Zone: control.ZoneID(b.Zone), Tick: control.Micros(b.Tick),
-		MaxExecutions: b.Ceilings.TryLimit, Cancels: b.Ceilings.Cancel,
-		MarksRepeats: b.Clients.MarksRetry, ListOnRequest: b.Discovery == "on_request",
-		ColdFrom: b.Contract.ColdFrom,
-		Cold:     control.Micros(b.Contract.Cold), Fall: control.Micros(b.Contract.Fall),
-		FallMultiple: b.Contract.FallMultiple, KeepAlive: control.Micros(b.Specifics.LingerIdle),
-		Orders: b.Specifics.LoadControl, LoadWindow: control.Micros(b.Specifics.LoadWindow),
-		LoadFree: b.Specifics.LoadsAnyway, LoadShare: b.Specifics.LoadPart,
+		MaxAttempts: b.Ceilings.TryLimit, SupportsCancel: b.Ceilings.Cancel,
+		MarksRetries: b.Clients.MarksRetry, EndpointsOnRequest: b.Discovery == "on_request",
+		SlowStartInitial:  b.Contract.ColdFrom,
+		SlowStartDuration: control.Micros(b.Contract.Cold), OverloadWindow: control.Micros(b.Contract.Fall),
+		OverloadFactor: b.Contract.FallMultiple, KeepAlive: control.Micros(b.Specifics.LingerIdle),
+		LoadCommands: b.Specifics.LoadControl, LoadRateWindow: control.Micros(b.Specifics.LoadWindow),
+		LoadRateBase: b.Specifics.LoadsAnyway, LoadRatePerRequest: b.Specifics.LoadPart,
 		LoadsOnMiss: b.Specifics.WhenAbsent != "miss",
 	}
 	if b.Ceilings.RetryAfter {
-		d.MaxStayAway = control.Micros(b.Ceilings.MaxRetryAfter)
+		d.MaxRetryAfter = control.Micros(b.Ceilings.MaxRetryAfter)
 	}
 	for _, c := range b.Customers {
-		d.Shares = append(d.Shares, c.AllowancePerS)
+		d.Quotas = append(d.Quotas, c.AllowancePerS)
 	}
-	effects := map[string]control.Effect{"pure": control.Restartable, "token": control.Fingerprinted,
-		"side_effect": control.RunOnce}
+	effects := map[string]control.Effect{"pure": control.Idempotent, "token": control.IdempotentByKey,
+		"side_effect": control.NonIdempotent}
 	scopes := map[string]control.Scope{"all": control.WholeFleet, "zone": control.OneZone, "cell": control.OneCell}
 	for i, c := range b.Classes {
 		effect, ok := effects[c.Semantics]
@@ -55,11 +55,11 @@
 			return d, fmt.Errorf("start settings: class %d: unknown semantics %q", i, c.Semantics)
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && effect == control.Fingerprinted {
+		if !ok && effect == control.IdempotentByKey {
 			return d, fmt.Errorf("start settings: class %d: unknown key_scope %q", i, c.KeyScope)
 		}
-		d.Workloads = append(d.Workloads, control.Workload{StartTarget: control.Micros(c.Aim),
-			TimeLimit: control.Micros(c.HardLimit), Stretch: c.Stretch,
+		d.Classes = append(d.Classes, control.Class{LatencyObjective: control.Micros(c.Aim),
+			MaxDeadline: control.Micros(c.HardLimit), ObjectivePerWork: c.Stretch,
 			Effect: effect, Scope: scope,
 			Window: control.Micros(c.Window)})
 	}
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -8,7 +8,7 @@
 
 func TestReportNamesValues(t *testing.T) {
 	got := Report([]string{"x1", "cpu_share"}, []float32{3, 0.5, 9})
-	if want := (control.Report{Util: 0.5, Loads: 3, Pinned: -1}); got == nil || *got != want {
+	if want := (control.LoadReport{Utilization: 0.5, PendingLoads: 3, PinnedMemory: -1}); got == nil || *got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if Report([]string{"x1"}, nil) != nil {
