--- a/internal/memory/journal.go
+++ b/internal/memory/journal.go
@@ -561,17 +561,23 @@
 
 // done ends the first rounds of those unsynced.
 func (j *Journal) done(n int) {
-	owed := 0
-	for _, r := range j.unsynced[:n] {
-		owed += len(r.entries)
+	kept := j.unsynced[:n]
+	j.unsynced = j.unsynced[n:]
+	j.file.kept = true
+	j.settle(kept)
+	for _, r := range kept {
 		r.release()
 		close(r.done)
 	}
-	j.unsynced = j.unsynced[n:]
-	j.file.kept = true
+}
+
+// settle takes rounds off what is owed. It comes before they are told as done: whoever waited for that may hand over as much again.
+func (j *Journal) settle(kept []*Round) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.owed -= owed
+	for _, r := range kept {
+		j.owed -= len(r.entries)
+	}
 }
 
 func (j *Journal) syncEnded(err error) {
