--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -29,8 +29,8 @@
 var Names = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
 // New gives what makes a router's decisions by a policy.
-func New(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Decider {
-	return func(_ control.Micros, seed uint64, d control.Deployment) core.Decider {
+func New(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Policy {
+	return func(_ control.Micros, seed uint64, d control.Deployment) core.Policy {
 		return &decider{policy: p, told: d, chance: rand.New(rand.NewPCG(seed, uint64(p))), out: map[control.ServerID]int{},
 			holds: map[control.FunctionID]map[control.ServerID]bool{}}
 	}
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -9,7 +9,7 @@
 
 const second = control.Micros(1_000_000)
 
-func decide(p Policy, effect control.Effect) core.Decider {
+func decide(p Policy, effect control.Effect) core.Policy {
 	d := New(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
 		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Effect: effect}}})
 	d.UpdateEndpoints(second, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -12,7 +12,7 @@
 	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
 		LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
-	c := New(control.New(1, 1, told), Silent{})
+	c := New(control.New(1, 1, told), NoopExecutor{})
 	list := make([]control.Endpoint, servers)
 	for i := range list {
 		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
@@ -20,12 +20,12 @@
 	now := control.Micros(1_000_000_000)
 	c.UpdateEndpoints(now, control.FullUpdate, list)
 	for i := range functions {
-		c.Arrived(now, control.Request{ID: control.RequestID(i), Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
+		c.Add(now, control.Request{ID: control.RequestID(i), Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
 	}
-	c.Turn(now)
+	c.Step(now)
 	for i := control.RequestID(0); c.Held() > held; i++ {
-		c.Left(now, functions-1-i)
-		c.Turn(now)
+		c.Cancel(now, functions-1-i)
+		c.Step(now)
 	}
 	return c, now
 }
@@ -33,7 +33,7 @@
 func BenchmarkTurn(b *testing.B) {
 	c, now := crowded()
 	for b.Loop() {
-		c.Turn(now)
+		c.Step(now)
 		now++ // so little that the upkeep seldom falls due
 	}
 	b.ReportMetric(float64(c.Held()), "held")
@@ -42,7 +42,7 @@
 func BenchmarkUpkeep(b *testing.B) {
 	c, now := crowded()
 	for b.Loop() {
-		c.Turn(now)
+		c.Step(now)
 		now += 200_000 // falls due each time
 	}
 	b.ReportMetric(float64(c.Held()), "held")
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -61,8 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range s.Module.Servers {
-		s.Module.Servers[i].Listed = s.Module.Servers[i].Endpoint.State != control.Removed
+	for i := range s.Balancer.Servers {
+		s.Balancer.Servers[i].Listed = s.Balancer.Servers[i].Endpoint.State != control.Removed
 	}
 	return s
 }
@@ -95,14 +95,14 @@
 			}
 			traffic(t, now, &next, both[:]...)
 			for i, d := range both {
-				d.Turn(now)
+				d.Step(now)
 				fleets[i].Forget(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && turn%2 == 0 })
 			}
 			if x, y := both[0].taken(), both[1].taken(); !slices.Equal(x, y) {
 				t.Fatalf("turn %d: by changes %q, by lists %q", turn, x, y)
 			}
 			if x, y := known(t, both[0]), known(t, both[1]); !reflect.DeepEqual(x, y) {
-				t.Fatalf("turn %d: by changes %+v, by lists %+v", turn, x.Module.Servers, y.Module.Servers)
+				t.Fatalf("turn %d: by changes %+v, by lists %+v", turn, x.Balancer.Servers, y.Balancer.Servers)
 			}
 			for _, f := range fleets {
 				servers, ready := f.Count()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -50,21 +50,21 @@
 func (w *written) put(format string, args ...any) {
 	w.asked = append(w.asked, fmt.Sprintf(format, args...))
 }
-func (w *written) Send(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
+func (w *written) Forward(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
 	w.put("send %d.%d to %d", j.ID, no, to)
 }
-func (w *written) PushBack(id control.RequestID, stay control.Micros) {
+func (w *written) Reject(id control.RequestID, stay control.Micros) {
 	w.put("push back %d for %d", id, stay)
 }
-func (w *written) Kill(id control.RequestID) { w.put("kill %d", id) }
-func (w *written) CallOff(id control.RequestID, no control.AttemptID) {
+func (w *written) Fail(id control.RequestID) { w.put("kill %d", id) }
+func (w *written) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	w.put("call off %d.%d", id, no)
 }
-func (w *written) Order(j *control.Request, o control.LoadCommand) { w.put("order for %d", j.ID) }
-func (w *written) Subscribe()                                      { w.put("subscribe") }
-func (w *written) Note(text string)                                { w.put("note %s", text) }
-func (w *written) Alarm(at control.Micros)                         { w.put("alarm %d", at) }
-func (w *written) taken() (asked []string)                         { asked, w.asked = w.asked, nil; return }
+func (w *written) Load(j *control.Request, o control.LoadCommand) { w.put("order for %d", j.ID) }
+func (w *written) SubscribeEndpoints()                            { w.put("subscribe") }
+func (w *written) Log(text string)                                { w.put("note %s", text) }
+func (w *written) SetTimer(at control.Micros)                     { w.put("alarm %d", at) }
+func (w *written) taken() (asked []string)                        { asked, w.asked = w.asked, nil; return }
 
 func newCore(s *scripted) (*Core, *written) {
 	w := &written{}
@@ -77,21 +77,21 @@
 		upkeep: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}}, SubscribeEndpoints: true, LogLines: []string{"n"}}}
 	c, w := newCore(s)
 	for id, patience := range map[control.RequestID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
-		if err := c.Arrived(100, control.Request{ID: id, Deadline: patience}); err != nil {
+		if err := c.Add(100, control.Request{ID: id, Deadline: patience}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := c.Arrived(100, control.Request{ID: 4}); err == nil {
+	if err := c.Add(100, control.Request{ID: 4}); err == nil {
 		t.Error("an id came twice")
 	}
-	c.Turn(100)
+	c.Step(100)
 	want := []string{"call off 8.1", "subscribe", "note n", "kill 3", "push back 2 for 9", "order for 1", "send 1.0 to 7", "alarm 150"}
 	if got := w.taken(); !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
 	}
-	c.Turn(120) // nothing is due: the alarm stands
-	if got := w.taken(); len(got) != 0 || c.Jobs() != 2 || c.Held() != 1 {
-		t.Errorf("got %q, %d jobs, %d held", got, c.Jobs(), c.Held())
+	c.Step(120) // nothing is due: the alarm stands
+	if got := w.taken(); len(got) != 0 || c.Requests() != 2 || c.Held() != 1 {
+		t.Errorf("got %q, %d jobs, %d held", got, c.Requests(), c.Held())
 	}
 }
 
@@ -99,21 +99,21 @@
 func TestLateNews(t *testing.T) {
 	s := &scripted{placements: map[control.RequestID]control.Decision{1: {Action: control.Forward}}, after: control.Decision{Action: control.Fail}}
 	c, w := newCore(s)
-	c.Arrived(1, control.Request{ID: 1})
-	c.Turn(1)
-	c.Left(2, 1)
-	c.Left(2, 1)
-	if !c.jobs[1].over || c.Jobs() != 1 {
-		t.Errorf("over %t, %d jobs", c.jobs[1].over, c.Jobs())
+	c.Add(1, control.Request{ID: 1})
+	c.Step(1)
+	c.Cancel(2, 1)
+	c.Cancel(2, 1)
+	if !c.requests[1].done || c.Requests() != 1 {
+		t.Errorf("over %t, %d jobs", c.requests[1].done, c.Requests())
 	}
 	w.taken()
 	for _, id := range []control.RequestID{1, 1, 9} { // an answer, the same again, one to a job that there is not
-		if c.Answered(3, id, control.Outcome{}) {
+		if c.HandleOutcome(3, id, control.Outcome{}) {
 			t.Errorf("late news of job %d counted for an open job", id)
 		}
 	}
 	want := []string{"place 1", "left 1", "after 1 over true"}
-	if got := w.taken(); len(got) != 0 || c.Jobs() != 0 || !slices.Equal(s.heard, want) {
-		t.Errorf("asked %q, %d jobs, heard %q", got, c.Jobs(), s.heard)
+	if got := w.taken(); len(got) != 0 || c.Requests() != 0 || !slices.Equal(s.heard, want) {
+		t.Errorf("asked %q, %d jobs, heard %q", got, c.Requests(), s.heard)
 	}
 }
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -61,8 +61,8 @@
 		for range 60 {
 			now += control.Micros(rapid.IntRange(1, 50_000).Draw(t, "pause"))
 			next++
-			d.Arrived(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")), Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
-			d.Turn(now)
+			d.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")), Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
+			d.Step(now)
 			for _, x := range d.taken() {
 				if strings.HasPrefix(x, "send") && strings.HasSuffix(x, "to 2") {
 					t.Fatalf("a draining server got a job: %s", x)
@@ -79,7 +79,7 @@
 					t.Fatalf("server %d, not on the list, got a job", x.server)
 				}
 				sent++
-				d.Answered(now, x.job, control.Outcome{Attempt: x.no, Server: x.server, Result: control.Succeeded, Duration: 40_000, RequestDone: true})
+				d.HandleOutcome(now, x.job, control.Outcome{Attempt: x.no, Server: x.server, Result: control.Succeeded, Duration: 40_000, RequestDone: true})
 			}
 			d.sent = d.sent[:0]
 		}
@@ -93,7 +93,7 @@
 func BenchmarkRemember(b *testing.B) {
 	c, now := crowded()
 	for b.Loop() {
-		if c.Remember(now) == nil {
+		if c.LearnedState(now) == nil {
 			b.Fatal("nothing to remember")
 		}
 	}
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -24,8 +24,8 @@
 	sent []out
 }
 
-func (d *driven) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	d.written.Send(j, no, to, allow)
+func (d *driven) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+	d.written.Forward(j, no, to, allow)
 	d.sent = append(d.sent, out{j.ID, no, to})
 }
 
@@ -37,7 +37,7 @@
 			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
 			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")), IsRetry: rapid.Bool().Draw(t, "repeat")}
 		for _, d := range ds {
-			d.Arrived(now, j)
+			d.Add(now, j)
 		}
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "answers") {
@@ -54,7 +54,7 @@
 		}
 		for _, d := range ds {
 			d.sent = slices.Delete(d.sent, i, i+1)
-			d.Answered(now, x.job, o)
+			d.HandleOutcome(now, x.job, o)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	case 0:
 		id := control.RequestID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "left"))
 		for _, d := range ds {
-			d.Left(now, id)
+			d.Cancel(now, id)
 		}
 	case 1:
 		list := make([]control.Endpoint, rapid.IntRange(1, 5).Draw(t, "servers"))
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, d := range ds {
-		d.Turn(now)
+		d.Step(now)
 	}
 }
 
@@ -123,8 +123,8 @@
 			if turn < 100 {
 				step(t, now, &next, a, b)
 			} else {
-				a.Turn(now)
-				b.Turn(now)
+				a.Step(now)
+				b.Step(now)
 			}
 			if x, y := a.taken(), b.taken(); !slices.Equal(x, y) {
 				t.Fatalf("turn %d after it: %q, restored %q", turn, x, y)
@@ -140,12 +140,12 @@
 func TestRestoreRefusesWhatDoesNotHoldTogether(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
 		"no module":     {},
-		"held":          {Held: []control.RequestID{1}, Module: &control.Snapshot{}},
-		"tables":        {Module: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
-		"flight":        {Module: &control.Snapshot{Servers: []control.ServerSnapshot{{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
-		"order":         {Module: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
-		"instance":      {Module: &control.Snapshot{Functions: []control.FunctionSnapshot{{Instances: make([]control.InstanceSnapshot, 1)}}}},
-		"last function": {Module: &control.Snapshot{Recent: []int{0}}},
+		"held":          {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
+		"tables":        {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
+		"flight":        {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
+		"order":         {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
+		"instance":      {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{{Instances: make([]control.InstanceSnapshot, 1)}}}},
+		"last function": {Balancer: &control.Snapshot{Recent: []int{0}}},
 	} {
 		if _, err := Restore(s, &written{}); err == nil {
 			t.Errorf("%s: taken", name)
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -68,7 +68,7 @@
 	}
 	var parts []*wire.Replies
 	for _, r := range h.touched {
-		r.guard(func() { r.core.Turn(now) })
+		r.guard(func() { r.core.Step(now) })
 		if r.broke != "" {
 			parts = append(parts, r.start())
 			r.out.BailOut(r.broke)
@@ -102,7 +102,7 @@
 	head := record.Header{Build: program.Build(), Router: int(r.number), Life: fmt.Sprintf("%d-%d", r.number, h.lives)}
 	var err error
 	if r.writer, err = record.Open(h.folder, bounds, head, r.core.Snapshot, zerolog.New(os.Stderr)); err == nil {
-		r.core.Record(r.writer.Tape())
+		r.core.SetRecorder(r.writer.Tape())
 		r.writer.Begin(h.now)
 	}
 	return err
@@ -110,7 +110,7 @@
 
 func (r *router) endRecording() {
 	if r.writer != nil {
-		r.core.Record(nil)
+		r.core.SetRecorder(nil)
 		r.writer.Close()
 	}
 }
@@ -136,30 +136,30 @@
 	f()
 }
 
-// Send, PushBack, Kill, CallOff, Order, Subscribe, Note and Alarm write what the core asks for.
-func (r *router) Send(j *control.Request, _ control.AttemptID, to control.ServerID, allow control.Micros) {
+// Forward, PushBack, Kill, CallOff, Order, Subscribe, Note and Alarm write what the core asks for.
+func (r *router) Forward(j *control.Request, _ control.AttemptID, to control.ServerID, allow control.Micros) {
 	r.start().Attempt(uint64(j.ID), address(to), uint32(allow))
 }
 
-func (r *router) PushBack(id control.RequestID, stayAway control.Micros) {
+func (r *router) Reject(id control.RequestID, stayAway control.Micros) {
 	r.start().TurnAway(uint64(id), uint32(stayAway))
 }
 
-func (r *router) Kill(id control.RequestID) { r.start().GiveUp(uint64(id)) }
+func (r *router) Fail(id control.RequestID) { r.start().GiveUp(uint64(id)) }
 
-func (r *router) CallOff(id control.RequestID, no control.AttemptID) {
+func (r *router) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	r.start().UndoSend(uint64(id), uint16(no))
 }
 
-func (r *router) Order(_ *control.Request, o control.LoadCommand) {
+func (r *router) Load(_ *control.Request, o control.LoadCommand) {
 	r.start().Preload(address(o.Server), uint64(o.Function), uint8(o.Replicas))
 }
 
-func (r *router) Subscribe() { r.start().Watch(true) }
+func (r *router) SubscribeEndpoints() { r.start().Watch(true) }
 
-func (r *router) Note(text string) { r.start().Record(text) }
+func (r *router) Log(text string) { r.start().Record(text) }
 
-func (r *router) Alarm(at control.Micros) { r.start().Remind(uint64(at), 0) }
+func (r *router) SetTimer(at control.Micros) { r.start().Remind(uint64(at), 0) }
 
 func serverID(s wire.Server) control.ServerID {
 	return control.ServerID(binary.BigEndian.Uint32(s[:]))<<16 | control.ServerID(binary.BigEndian.Uint16(s[4:]))
--- a/internal/drill/records.go
+++ b/internal/drill/records.go
@@ -118,7 +118,7 @@
 		if in.Options&costTold != 0 {
 			job.Work = control.Micros(in.Cost)
 		}
-		return r.core.Arrived(h.now, job)
+		return r.core.Add(h.now, job)
 	})
 }
 
@@ -135,7 +135,7 @@
 		return err
 	}
 	return h.with(func(r *router) error {
-		r.core.Answered(h.now, control.RequestID(v.ID), control.Outcome{Attempt: control.AttemptID(v.Trial),
+		r.core.HandleOutcome(h.now, control.RequestID(v.ID), control.Outcome{Attempt: control.AttemptID(v.Trial),
 			Server: serverID(v.Server), Result: result, CacheStatus: control.CacheStatus(v.Note & 7),
 			Duration: control.Micros(v.Duration), RequestDone: v.Last, Report: terms.Report(r.fields, v.Load)})
 		return nil
@@ -145,7 +145,7 @@
 // ClientLeft ends a job that its client no longer wants.
 func (h *host) ClientLeft(id uint64) error {
 	return h.with(func(r *router) error {
-		r.core.Left(h.now, control.RequestID(id))
+		r.core.Cancel(h.now, control.RequestID(id))
 		return nil
 	})
 }
--- a/internal/emulate/emulate.go
+++ b/internal/emulate/emulate.go
@@ -83,7 +83,7 @@
 	ListEvery  control.Micros // between two looks of a router at the list
 
 	// Decide gives a router's decisions; nil: the module's. Baselines stand here.
-	Decide func(now control.Micros, seed uint64, d control.Deployment) core.Decider
+	Decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy
 }
 
 // Result is a played day.
--- a/internal/emulate/router.go
+++ b/internal/emulate/router.go
@@ -56,7 +56,7 @@
 	d := r.w.plan.Deployment
 	d.Routers, d.Number, d.Zone = r.w.plan.Routers, r.number, r.w.plan.RouterZone[r.number]
 	seed := r.w.plan.Seed*1_000_003 + uint64(r.number)*64 + r.life
-	var decide core.Decider
+	var decide core.Policy
 	if r.w.plan.Decide != nil {
 		decide = r.w.plan.Decide(now, seed, d)
 	} else {
@@ -106,7 +106,7 @@
 
 func (r *router) turn() {
 	r.turns++
-	r.core.Turn(r.node.Now())
+	r.core.Step(r.node.Now())
 	if r.watch != nil {
 		r.watch.Notes()
 	}
@@ -148,7 +148,7 @@
 			r.open = slices.DeleteFunc(r.open, func(j *job) bool { return j.given })
 		}
 		limit := min(w.Told.MaxDeadline, t.left)
-		if err := r.core.Arrived(now, control.Request{ID: j.id, Class: control.ClassID(t.call.Workload), Tenant: 0, Function: f, Lanes: r.w.plan.Lanes,
+		if err := r.core.Add(now, control.Request{ID: j.id, Class: control.ClassID(t.call.Workload), Tenant: 0, Function: f, Lanes: r.w.plan.Lanes,
 			ArrivedAt: now, Deadline: max(now, now+limit-r.w.plan.Margin), IsRetry: t.marked(), RetriesUnmarked: t.state == nil}); err != nil {
 			panic(err) // ids count up
 		}
@@ -161,7 +161,7 @@
 		for _, j := range r.open {
 			if j.try == t && !j.given {
 				j.given = true
-				r.core.Left(now, j.id)
+				r.core.Cancel(now, j.id)
 				r.release(j)
 				return
 			}
@@ -185,8 +185,8 @@
 	}
 }
 
-// Send starts an execution.
-func (r *router) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+// Forward starts an execution.
+func (r *router) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := r.jobs[cj.ID]
 	s := &sending{to: int(to) - 1, begun: r.node.Now()}
 	j.sendings = append(j.sendings, s)
@@ -234,19 +234,19 @@
 	}
 	if result == control.Succeeded && !j.given {
 		o.RequestDone = true
-		r.core.Answered(now, j.id, o)
+		r.core.HandleOutcome(now, j.id, o)
 		if r.watch != nil {
 			r.watch.Answered(now)
 		}
 		r.answer(j, finished, 0)
 		return
 	}
-	r.core.Answered(now, j.id, o)
+	r.core.HandleOutcome(now, j.id, o)
 	r.release(j)
 }
 
-// PushBack ends a job.
-func (r *router) PushBack(id control.RequestID, stayAway control.Micros) {
+// Reject ends a job.
+func (r *router) Reject(id control.RequestID, stayAway control.Micros) {
 	j := r.jobs[id]
 	if r.watch != nil {
 		stayAway = r.watch.Spread(r.node.Now(), stayAway, j.try.mark())
@@ -254,11 +254,11 @@
 	r.answer(j, pushedBack, stayAway)
 }
 
-// Kill ends a job of which nothing may be promised.
-func (r *router) Kill(id control.RequestID) { r.answer(r.jobs[id], killed, 0) }
+// Fail ends a job of which nothing may be promised.
+func (r *router) Fail(id control.RequestID) { r.answer(r.jobs[id], killed, 0) }
 
-// CallOff stops waiting for an execution; its outcome comes in a turn of its own.
-func (r *router) CallOff(id control.RequestID, no control.AttemptID) {
+// CancelAttempt stops waiting for an execution; its outcome comes in a turn of its own.
+func (r *router) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	j, life := r.jobs[id], r.life
 	if j == nil || int(no) >= len(j.sendings) {
 		return
@@ -268,8 +268,8 @@
 	})
 }
 
-// Order orders copies of a job's function.
-func (r *router) Order(cj *control.Request, o control.LoadCommand) {
+// Load orders copies of a job's function.
+func (r *router) Load(cj *control.Request, o control.LoadCommand) {
 	name, life := r.jobs[cj.ID].try.call.Function, r.life
 	s := &sending{to: int(o.Server) - 1, begun: r.node.Now()}
 	end := func(result control.Result, copies int) {
@@ -298,14 +298,14 @@
 	})
 }
 
-// Subscribe does nothing: the list is followed in any case.
-func (r *router) Subscribe() {}
+// SubscribeEndpoints does nothing: the list is followed in any case.
+func (r *router) SubscribeEndpoints() {}
 
-// Note does nothing.
-func (r *router) Note(string) {}
+// Log does nothing.
+func (r *router) Log(string) {}
 
-// Alarm sets the one timer.
-func (r *router) Alarm(at control.Micros) {
+// SetTimer sets the one timer.
+func (r *router) SetTimer(at control.Micros) {
 	r.alarm++
 	n, life := r.alarm, r.life
 	r.node.at(max(at, r.node.Now()), func() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -53,8 +53,8 @@
 
 // apply makes the change in a snapshot.
 func (c Change) apply(s *core.Snapshot) error {
-	for i := range s.Module.Servers {
-		v := &s.Module.Servers[i]
+	for i := range s.Balancer.Servers {
+		v := &s.Balancer.Servers[i]
 		if v.Endpoint.Server != c.Server {
 			continue
 		}
@@ -168,7 +168,7 @@
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			var whys []control.Explanation
-			if err := p.Core.Trace(&control.Trace{OnDecision: func(w control.Explanation) {
+			if err := p.Core.SetTrace(&control.Trace{OnDecision: func(w control.Explanation) {
 				if w.Decision.Action != control.NoAction && w.Decision.Action != control.Hold {
 					whys = append(whys, w)
 				}
@@ -249,7 +249,7 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	l := &listener{job: q.Job, at: Answer{File: name}, checks: map[control.FunctionID]control.ReplicaCheck{}}
-	if err := p.Core.Trace(l.trace()); err != nil {
+	if err := p.Core.SetTrace(l.trace()); err != nil {
 		return nil, err
 	}
 	err = s.Turns(func(n uint64, t record.Turn) error {
@@ -298,7 +298,7 @@
 		return err
 	}
 	first := len(l.answers)
-	if err := p.Core.Trace(l.trace()); err != nil {
+	if err := p.Core.SetTrace(l.trace()); err != nil {
 		return err
 	}
 	p.Turn(t)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -20,29 +20,29 @@
 	told := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000}}}
 	now := control.Micros(5_000_000)
-	c := core.New(control.New(now, 1, told), core.Silent{})
+	c := core.New(control.New(now, 1, told), core.NoopExecutor{})
 	dir := t.TempDir()
 	w, err := record.Open(dir, record.Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, record.Header{Life: "a"}, c.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Record(w.Tape())
+	c.SetRecorder(w.Tape())
 	w.Begin(now)
 	list := func(second control.ServerState) {
 		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: second, Weight: 1}})
 	}
 	job := func(id control.RequestID, f control.FunctionID) {
-		c.Arrived(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
+		c.Add(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
 	}
 	list(control.Ready)
 	job(1, 7)
-	c.Turn(now)
+	c.Step(now)
 	now += 1000
 	list(control.Draining)
-	c.Turn(now)
+	c.Step(now)
 	now += 1000
 	job(2, 8)
-	c.Turn(now)
+	c.Step(now)
 	w.Close()
 	files, err := record.Segments(dir)
 	if err != nil {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -120,7 +120,7 @@
 		return &r
 	}
 	place := func(f func(j *control.Request, p control.Decision) control.Decision) *Rules {
-		return with(func(r *Rules) { r.Decide = func(m *control.Balancer) core.Decider { return inner{m, f} } })
+		return with(func(r *Rules) { r.Decide = func(m *control.Balancer) core.Policy { return inner{m, f} } })
 	}
 	once := world(func(s *Setup) { s.Effects[0], s.Servers, s.Breaks = "run-once", 2, 1 })
 	marked := world(func(s *Setup) {
@@ -148,13 +148,13 @@
 			r.Withdraw = func(s attempt.Stage) (attempt.Stage, bool) { return s, s == attempt.Chosen }
 		}), "nothing-after"},
 		"slot leak": {world(func(s *Setup) { s.Breaks, s.Servers = 1, 2 }), with(func(r *Rules) {
-			r.Decide = func(m *control.Balancer) core.Decider { return leaky{m} }
+			r.Decide = func(m *control.Balancer) core.Policy { return leaky{m} }
 		}), "nothing-left"},
 		"a reset taken for a proof": {once, with(func(r *Rules) {
 			r.Broken = func(bool, attempt.Cut) control.Result { return control.NotSent }
 		}), "proved"},
 		"wrong MayRun": {once, with(func(r *Rules) {
-			r.Decide = func(m *control.Balancer) core.Decider { return careless{m} }
+			r.Decide = func(m *control.Balancer) core.Policy { return careless{m} }
 		}), "run-once"},
 		"run-once pushed back": {once, place(func(j *control.Request, p control.Decision) control.Decision {
 			if p.Action == control.Fail {
@@ -172,10 +172,10 @@
 			r.Until = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteUntil(chosen, grace) }
 		}), "drained"},
 		"deaf to drains": {world(func(s *Setup) { s.Drains, s.Jobs, s.Apart, s.Limit = 1, 2, 600_000, 400_000 }), with(func(r *Rules) {
-			r.Decide = func(m *control.Balancer) core.Decider { return deaf{m} }
+			r.Decide = func(m *control.Balancer) core.Policy { return deaf{m} }
 		}), "drained"},
 		"window from the wrong end": {marked, with(func(r *Rules) {
-			r.Decide = func(m *control.Balancer) core.Decider { return late{m} }
+			r.Decide = func(m *control.Balancer) core.Policy { return late{m} }
 		}), "in-window"},
 		"killed without a reason": {world(func(s *Setup) { s.Jobs = 2 }), place(func(j *control.Request, p control.Decision) control.Decision {
 			if j.ID == 2 && p.Action == control.Forward {
--- a/internal/explore/moment.go
+++ b/internal/explore/moment.go
@@ -28,13 +28,13 @@
 // NewMoment gives the world of a router's state; jobs are those to be followed, none: the last that came and have no answer.
 func NewMoment(now control.Micros, c *core.Snapshot, jobs []control.RequestID) (*Moment, error) {
 	m := &Moment{Now: now, Core: c}
-	for _, s := range c.Module.Servers {
+	for _, s := range c.Balancer.Servers {
 		m.Servers = append(m.Servers, s.Endpoint.Server)
 	}
 	if len(jobs) == 0 {
-		for _, j := range c.Jobs {
-			if !j.Over {
-				jobs = append(jobs, j.Job.Request.ID)
+		for _, j := range c.Requests {
+			if !j.Done {
+				jobs = append(jobs, j.Request.Request.ID)
 			}
 		}
 		slices.SortFunc(jobs, func(a, b control.RequestID) int { return cmp.Compare(b, a) })
@@ -44,12 +44,12 @@
 		return nil, fmt.Errorf("%d jobs to follow, of 1 to %d", len(jobs), mostWatched)
 	}
 	n := 0
-	for _, j := range c.Jobs {
-		watched := slices.Contains(jobs, j.Job.Request.ID)
+	for _, j := range c.Requests {
+		watched := slices.Contains(jobs, j.Request.Request.ID)
 		if watched {
 			n++
 		}
-		m.Jobs, m.Watched = append(m.Jobs, j.Job.Request.ID), append(m.Watched, watched)
+		m.Jobs, m.Watched = append(m.Jobs, j.Request.Request.ID), append(m.Watched, watched)
 	}
 	if n != len(jobs) {
 		return nil, errors.New("a job to be followed is not in hand then")
@@ -66,17 +66,17 @@
 // begin gives the moment's first world.
 func (m *Moment) begin(s *Setup, w *World) error {
 	w.Now = m.Now
-	for _, v := range m.Core.Module.Servers {
+	for _, v := range m.Core.Balancer.Servers {
 		state := v.Endpoint.State
 		if !v.Listed {
 			state = control.Removed
 		}
 		w.Servers = append(w.Servers, Server{State: state, Since: v.LastListed, Born: v.Endpoint.StartedAt, Loaded: true})
 	}
-	for i, j := range m.Core.Jobs {
-		job := j.Job.Request
-		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.ArrivedAt, Until: job.Deadline + margin, State: attempt.Answer{Given: j.Over, Out: j.Out}})
-		for no, e := range j.Job.Attempts {
+	for i, j := range m.Core.Requests {
+		job := j.Request.Request
+		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.ArrivedAt, Until: job.Deadline + margin, State: attempt.Answer{Given: j.Done, Out: j.InFlight}})
+		for no, e := range j.Request.Attempts {
 			x := Exchange{Job: i, No: no, Server: s.index(e.Attempt.Server), Stage: attempt.Writing, Chosen: e.Attempt.SentAt, Written: e.Attempt.SentAt,
 				Deadline: job.Deadline, Ran: true}
 			if e.Attempt.Done {
@@ -89,11 +89,11 @@
 			w.Exchanges = append(w.Exchanges, x)
 		}
 	}
-	c, err := core.Restore(m.Core, core.Silent{})
+	c, err := core.Restore(m.Core, core.NoopExecutor{})
 	if err != nil {
 		return err
 	}
-	w.Routers = []Router{{Alarm: max(m.Core.Alarm, m.Now)}}
+	w.Routers = []Router{{Alarm: max(m.Core.TimerAt, m.Now)}}
 	return w.keep(0, c)
 }
 
@@ -131,7 +131,7 @@
 // workload gives a job's.
 func (s *Setup) workload(job int) control.Class {
 	if m := s.Moment; m != nil {
-		return m.Core.Module.Deployment.Classes[m.Core.Jobs[job].Job.Request.Class]
+		return m.Core.Balancer.Deployment.Classes[m.Core.Requests[job].Request.Request.Class]
 	}
 	w := control.Class{LatencyObjective: s.Target, MaxDeadline: s.Limit, Effect: effects[s.Effects[job%len(s.Effects)]]}
 	if w.Effect == control.IdempotentByKey {
@@ -160,7 +160,7 @@
 // place tells where a server stands.
 func (s *Setup) place(server int) control.Endpoint {
 	if s.Moment != nil {
-		return s.Moment.Core.Module.Servers[server].Endpoint
+		return s.Moment.Core.Balancer.Servers[server].Endpoint
 	}
 	return control.Endpoint{Server: s.id(server), Zone: control.ZoneID(1 + server%2), Cell: control.CellID(1 + server%2), Weight: 1}
 }
--- a/internal/explore/property_again.go
+++ b/internal/explore/property_again.go
@@ -4,9 +4,9 @@
 
 var askedAgain = Property{"asked-again", "For a job that is held the alarm is set no later than it is to be asked about again.", func(_ *Setup, w *World) string {
 	for i, r := range w.Routers {
-		for _, j := range r.core.Jobs {
-			if j.Held && !r.Frozen && r.Alarm > max(j.Again, w.Now+1) {
-				return fmt.Sprintf("router %d holds job %d until %d us after it was to be asked about", i, j.Job.Request.ID-1, r.Alarm-j.Again)
+		for _, j := range r.core.Requests {
+			if j.Held && !r.Frozen && r.Alarm > max(j.RecheckAt, w.Now+1) {
+				return fmt.Sprintf("router %d holds job %d until %d us after it was to be asked about", i, j.Request.Request.ID-1, r.Alarm-j.RecheckAt)
 			}
 		}
 	}
--- a/internal/explore/property_left.go
+++ b/internal/explore/property_left.go
@@ -20,7 +20,7 @@
 		if r.Frozen {
 			continue
 		}
-		m := r.core.Module
+		m := r.core.Balancer
 		for _, v := range m.Servers {
 			if v.Running != 0 || len(v.InFlight) > 0 {
 				return fmt.Sprintf("router %d still counts %d busy and %d out at server %d", i, v.Running, len(v.InFlight), s.index(v.Endpoint.Server))
@@ -36,7 +36,7 @@
 				return fmt.Sprintf("router %d still counts %d jobs as held", i, f.Held)
 			}
 		}
-		if len(r.core.Jobs) > 0 || len(r.core.Held) > 0 {
+		if len(r.core.Requests) > 0 || len(r.core.Held) > 0 {
 			return fmt.Sprintf("router %d still has jobs in hand", i)
 		}
 	}
--- a/internal/explore/steps.go
+++ b/internal/explore/steps.go
@@ -189,7 +189,7 @@
 // orderTime is for how long the answer to an order is awaited.
 const orderTime = control.Micros(1_000_000)
 
-func (o *outlet) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+func (o *outlet) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	e := o.exchange(o.setup.jobIndex(j.ID), int(no), to, allow)
 	if no > 0 && o.setup.effect(e.Job) == control.IdempotentByKey {
 		e.Until = min(e.Until, e.Chosen+attempt.FreshRepeat)
@@ -197,7 +197,7 @@
 	o.w.Jobs[e.Job].State.Sent()
 }
 
-func (o *outlet) Order(j *control.Request, order control.LoadCommand) {
+func (o *outlet) Load(j *control.Request, order control.LoadCommand) {
 	e := o.exchange(o.setup.jobIndex(j.ID), 0, order.Server, orderTime)
 	e.Order = max(1, order.Replicas)
 }
@@ -223,13 +223,13 @@
 	}
 }
 
-func (o *outlet) PushBack(id control.RequestID, _ control.Micros) {
+func (o *outlet) Reject(id control.RequestID, _ control.Micros) {
 	o.end(o.setup.jobIndex(id), "pushed back")
 }
 
-func (o *outlet) Kill(id control.RequestID) { o.end(o.setup.jobIndex(id), "killed") }
+func (o *outlet) Fail(id control.RequestID) { o.end(o.setup.jobIndex(id), "killed") }
 
-func (o *outlet) CallOff(id control.RequestID, no control.AttemptID) {
+func (o *outlet) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	for i := range o.w.Exchanges {
 		e := &o.w.Exchanges[i]
 		if e.Job == o.setup.jobIndex(id) && e.No == int(no) && e.Order == 0 && o.rules.CallOff(&e.State) {
@@ -238,11 +238,11 @@
 	}
 }
 
-func (o *outlet) Subscribe() {}
+func (o *outlet) SubscribeEndpoints() {}
 
-func (o *outlet) Note(string) {}
+func (o *outlet) Log(string) {}
 
-func (o *outlet) Alarm(at control.Micros) { o.w.Routers[o.router].Alarm = at }
+func (o *outlet) SetTimer(at control.Micros) { o.w.Routers[o.router].Alarm = at }
 
 // Take gives the world after a step, which must be among its Steps.
 func (w *World) Take(s *Setup, rules *Rules, step Step) (*World, error) {
@@ -369,7 +369,7 @@
 		return err
 	}
 	if rules.Decide != nil {
-		c.Wrap(rules.Decide)
+		c.WrapPolicy(rules.Decide)
 	}
 	if step.Kind != Tell {
 		w.catchUp(s, rules, c, router)
@@ -378,13 +378,13 @@
 	case Arrive:
 		j := &w.Jobs[of]
 		j.Arrived = true
-		err = c.Arrived(w.Now, control.Request{ID: s.jobID(of), Class: control.ClassID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
+		err = c.Add(w.Now, control.Request{ID: s.jobID(of), Class: control.ClassID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
 			ArrivedAt: j.At, Deadline: j.Until - margin})
 	case Leave:
 		w.Left.Leaves--
 		w.Wrong++
 		w.Jobs[of].Left = true
-		c.Left(w.Now, s.jobID(of))
+		c.Cancel(w.Now, s.jobID(of))
 		out.end(of, "left")
 	case News, TimeOut:
 		w.ended(c, out, of, step)
@@ -395,7 +395,7 @@
 	if err != nil {
 		return err
 	}
-	c.Turn(w.Now)
+	c.Step(w.Now)
 	return w.keep(router, c)
 }
 
@@ -465,11 +465,11 @@
 	id := out.setup.jobID(e.Job)
 	if out.rules.Ended(&j.State, e.Result) == attempt.Deliver {
 		o.RequestDone = true
-		c.Answered(w.Now, id, o)
+		c.HandleOutcome(w.Now, id, o)
 		out.end(e.Job, "finished")
 		return
 	}
-	c.Answered(w.Now, id, o)
+	c.HandleOutcome(w.Now, id, o)
 }
 
 // Tell gives a step as a line of a story.
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -218,7 +218,7 @@
 	Broken    func(written bool, why attempt.Cut) control.Result
 	CatchUp   func(age, grace control.Micros) bool
 	Until     func(listAsOf, chosen, grace control.Micros) control.Micros
-	Decide    func(*control.Balancer) core.Decider // nil: the module itself
+	Decide    func(*control.Balancer) core.Policy // nil: the module itself
 }
 
 // Real are the rules that are shipped.
@@ -251,7 +251,7 @@
 		out := &outlet{w: w, rules: rules, setup: s, router: i}
 		c := core.New(module, out)
 		c.UpdateEndpoints(begin, control.FullUpdate, w.list(s))
-		c.Turn(begin)
+		c.Step(begin)
 		if err := w.keep(i, c); err != nil {
 			return nil, err
 		}
@@ -279,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	s.Module.LogLines = nil // for the log alone
+	s.Balancer.LogLines = nil // for the log alone
 	w.Routers[i].core = s
 	b, err := cbor.Marshal(s)
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -329,7 +329,7 @@
 		f(now)
 	}
 	g.fleet.Complete(g.complete)
-	g.core.Turn(now)
+	g.core.Step(now)
 	for _, f := range g.between {
 		f(now)
 	}
@@ -369,7 +369,7 @@
 	close(g.ended)
 	stop()
 	if g.writer != nil {
-		g.core.Record(nil)
+		g.core.SetRecorder(nil)
 		g.tape = nil
 		g.writer.Close()
 		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
@@ -459,7 +459,7 @@
 	g.took(now)
 	earlier := g.earlier(now, j.kept)
 	j.executions = make([]*sending, len(earlier))
-	err := g.core.Arrived(now, control.Request{Attempts: earlier,
+	err := g.core.Add(now, control.Request{Attempts: earlier,
 		ID: j.id, Class: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
 		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.patience), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
@@ -499,12 +499,12 @@
 	if j.state.Given {
 		return
 	}
-	g.core.Left(now, j.id)
+	g.core.Cancel(now, j.id)
 	g.end(j, "left", killed("the client closed its side of the connection"))
 }
 
-// Send starts an execution.
-func (g *Gateway) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+// Forward starts an execution.
+func (g *Gateway) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := g.jobs[cj.ID]
 	s := g.sending(to, allow)
 	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
@@ -518,28 +518,28 @@
 	g.dispatch(s)
 }
 
-// PushBack and Kill end a job.
-func (g *Gateway) PushBack(id control.RequestID, stayAway control.Micros) {
+// Reject and Kill end a job.
+func (g *Gateway) Reject(id control.RequestID, stayAway control.Micros) {
 	g.recent.add(g.clock, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
 	g.end(g.jobs[id], "pushed back", pushedBack("not now: it could not be finished in time", g.spread(g.jobs[id], stayAway)))
 }
 
-// Kill ends a job of which nothing may be promised.
-func (g *Gateway) Kill(id control.RequestID) {
+// Fail ends a job of which nothing may be promised.
+func (g *Gateway) Fail(id control.RequestID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.Kill, Job: id})
 	g.end(g.jobs[id], "killed", killed("the job may have run; its end is not known"))
 }
 
-// CallOff stops waiting for an execution.
-func (g *Gateway) CallOff(id control.RequestID, no control.AttemptID) {
+// CancelAttempt stops waiting for an execution.
+func (g *Gateway) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.CallOff, Job: id, No: no})
 	if j := g.jobs[id]; j != nil && int(no) < len(j.executions) {
 		j.executions[no].callOff()
 	}
 }
 
-// Order orders copies of a job's function.
-func (g *Gateway) Order(cj *control.Request, o control.LoadCommand) {
+// Load orders copies of a job's function.
+func (g *Gateway) Load(cj *control.Request, o control.LoadCommand) {
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
@@ -555,11 +555,11 @@
 	g.dispatch(s)
 }
 
-// Subscribe has the list looked at; it is followed in any case.
-func (g *Gateway) Subscribe() {}
+// SubscribeEndpoints has the list looked at; it is followed in any case.
+func (g *Gateway) SubscribeEndpoints() {}
 
-// Note writes a line in the log, with the address of the server that it names by its id.
-func (g *Gateway) Note(text string) {
+// Log writes a line in the log, with the address of the server that it names by its id.
+func (g *Gateway) Log(text string) {
 	e := g.log.Info()
 	if words := strings.Fields(text); len(words) > 1 && words[0] == "server" {
 		if id, err := strconv.ParseUint(words[1], 16, 64); err == nil {
@@ -571,8 +571,8 @@
 	e.Msg(text)
 }
 
-// Alarm sets the one timer.
-func (g *Gateway) Alarm(at control.Micros) {
+// SetTimer sets the one timer.
+func (g *Gateway) SetTimer(at control.Micros) {
 	g.due = at
 	g.timer.Reset(time.Duration(max(0, at-g.now())) * time.Microsecond)
 }
@@ -592,7 +592,7 @@
 	}
 	if delivery == attempt.Deliver {
 		o.RequestDone = true
-		g.core.Answered(now, j.id, o)
+		g.core.HandleOutcome(now, j.id, o)
 		j.due += control.Micros(g.told.Deployment.Classes[j.workload].ObjectivePerWork * float64(o.Duration))
 		p.Header = forwarded(p.Header)
 		p.Close, p.Chunk = false, 0
@@ -605,7 +605,7 @@
 	if delivery == attempt.Drop {
 		g.metrics.late.Inc() // its job has its answer: the late one is dropped
 	}
-	g.core.Answered(now, j.id, o)
+	g.core.HandleOutcome(now, j.id, o)
 	g.release(j)
 }
 
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -172,7 +172,7 @@
 
 // kept gives what is to outlast this run.
 func (g *Gateway) kept(now control.Micros) *memory.Kept {
-	k := &memory.Kept{Module: g.core.Remember(now)}
+	k := &memory.Kept{Module: g.core.LearnedState(now)}
 	if g.keeper.clock.Boot != 0 {
 		k.Clock = &g.keeper.clock
 	}
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -130,8 +130,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Module.Functions) != 1 || !slices.ContainsFunc(s.Module.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Replicas == 1 && in.InFlight == 0 }) {
-		t.Errorf("got %+v", s.Module.Functions)
+	if len(s.Balancer.Functions) != 1 || !slices.ContainsFunc(s.Balancer.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Replicas == 1 && in.InFlight == 0 }) {
+		t.Errorf("got %+v", s.Balancer.Functions)
 	}
 }
 
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -69,7 +69,7 @@
 			if g.writer == nil {
 				return fault(409, "nothing is being recorded")
 			}
-			g.core.Record(nil)
+			g.core.SetRecorder(nil)
 			ended, g.writer, g.tape = g.writer, nil, nil
 			return object(200, []byte(`{"recording":false}`))
 		})
@@ -158,7 +158,7 @@
 	}
 	g.writer = w
 	g.tape = w.Tape()
-	g.core.Record(g.tape)
+	g.core.SetRecorder(g.tape)
 	w.Begin(now)
 	return nil
 }
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -74,7 +74,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if j := g.jobs[id]; !j.state.Given {
-			g.core.Left(now, id)
+			g.core.Cancel(now, id)
 			g.end(j, "killed", killed("this router is stopping"))
 		}
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -40,7 +40,7 @@
 
 // seen gives the servers as this router sees them.
 func (g *Gateway) seen() []xds.Seen {
-	suspects := g.core.Suspects()
+	suspects := g.core.EjectedServers()
 	var out []xds.Seen
 	for _, s := range g.fleet.Servers() {
 		v := xds.Seen{Address: s.Address, Zone: s.Told.Zone, Cell: s.Told.Cell, Power: s.Told.Power, Born: s.Told.Born, Health: membership.Healthy}
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -134,7 +134,7 @@
 }
 
 // Emulate plays a day in simulated time, with the module's decisions or a baseline's.
-func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Decider) (*Emulated, error) {
+func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*Emulated, error) {
 	plan, err := d.Plan()
 	if err != nil {
 		return nil, err
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -357,7 +357,7 @@
 		f(now)
 	}
 	p.fleet.Complete(p.listWhole)
-	p.core.Turn(now)
+	p.core.Step(now)
 	p.prune(now)
 }
 
@@ -406,7 +406,7 @@
 			continue
 		}
 		p.count("ended by the stop")
-		p.core.Left(now, j.id)
+		p.core.Cancel(now, j.id)
 		mayHaveRun := slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing })
 		if mayHaveRun && !p.told.Deployment.Classes[j.workload].SafeToRetryAnywhere() {
 			p.finish(j, msgrpc.Killed(j.number))
@@ -493,14 +493,14 @@
 	if p.jobs[j.id] != nil {
 		p.badInput(&msgrpc.Fault{Number: j.number, Text: "ref: open already"})
 		if other := p.jobs[j.id]; other.client == j.client && !other.state.Given { // which of the two was meant?
-			p.core.Left(now, other.id)
+			p.core.Cancel(now, other.id)
 			p.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
 		}
 		p.finish(j, msgrpc.Invalid(j.number, "ref: open already"))
 		return
 	}
 	p.jobs[j.id] = j
-	err := p.core.Arrived(now, control.Request{ID: j.id, Class: j.workload, Tenant: j.tenant, Function: j.ask.FunctionID(),
+	err := p.core.Add(now, control.Request{ID: j.id, Class: j.workload, Tenant: j.tenant, Function: j.ask.FunctionID(),
 		Lanes: j.ask.Lanes, Work: j.ask.Work, LoadTime: j.ask.LoadTime, ArrivedAt: now,
 		Deadline: max(now, j.read+j.ask.Patience-onTheWay), IsRetry: j.ask.Repeat})
 	if err != nil {
@@ -546,12 +546,12 @@
 	if j.state.Given || p.jobs[j.id] != j {
 		return
 	}
-	p.core.Left(now, j.id)
+	p.core.Cancel(now, j.id)
 	p.finish(j, nil)
 }
 
-// Send starts an execution.
-func (p *Platform) Send(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+// Forward starts an execution.
+func (p *Platform) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := p.jobs[cj.ID]
 	s := p.sending(to, allow)
 	s.job, s.no, s.id = j, no, binframe.ID(j.id)
@@ -575,20 +575,20 @@
 		until: min(p.clock+allow, attempt.WriteUntil(p.listAsOf, p.told.grace))}
 }
 
-// PushBack and Kill end a job.
-func (p *Platform) PushBack(id control.RequestID, stayAway control.Micros) {
+// Reject and Kill end a job.
+func (p *Platform) Reject(id control.RequestID, stayAway control.Micros) {
 	j := p.jobs[id]
 	p.finish(j, msgrpc.PushedBack(j.number, stayAway))
 }
 
-// Kill ends a job of which nothing may be promised.
-func (p *Platform) Kill(id control.RequestID) {
+// Fail ends a job of which nothing may be promised.
+func (p *Platform) Fail(id control.RequestID) {
 	j := p.jobs[id]
 	p.finish(j, msgrpc.Killed(j.number))
 }
 
-// CallOff stops waiting for an execution.
-func (p *Platform) CallOff(id control.RequestID, no control.AttemptID) {
+// CancelAttempt stops waiting for an execution.
+func (p *Platform) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	j := p.jobs[id]
 	if j == nil || int(no) >= len(j.executions) {
 		return
@@ -606,21 +606,21 @@
 	p.box.Tell(func(now control.Micros) { p.ended(now, s, result, nil) })
 }
 
-// Order orders copies of a job's function.
-func (p *Platform) Order(_ *control.Request, o control.LoadCommand) {
+// Load orders copies of a job's function.
+func (p *Platform) Load(_ *control.Request, o control.LoadCommand) {
 	s := p.sending(o.Server, p.told.orderLimit)
 	s.order, s.id = o, p.orderID()
 	p.dispatch(p.clock, s, binframe.Order(s.id, o.Function, o.Replicas))
 }
 
-// Subscribe has nothing to do: the board is followed in any case.
-func (p *Platform) Subscribe() {}
+// SubscribeEndpoints has nothing to do: the board is followed in any case.
+func (p *Platform) SubscribeEndpoints() {}
 
-// Note writes a line in the log.
-func (p *Platform) Note(text string) { p.log.Info().Msg(text) }
+// Log writes a line in the log.
+func (p *Platform) Log(text string) { p.log.Info().Msg(text) }
 
-// Alarm sets the one timer.
-func (p *Platform) Alarm(at control.Micros) {
+// SetTimer sets the one timer.
+func (p *Platform) SetTimer(at control.Micros) {
 	p.due = at
 	p.timer.Reset(span(max(0, at-p.now())))
 }
@@ -630,11 +630,11 @@
 	j := s.job
 	if j.state.Ended(o.Result) == attempt.Deliver {
 		o.RequestDone = true
-		p.core.Answered(now, j.id, o)
+		p.core.HandleOutcome(now, j.id, o)
 		p.finish(j, msgrpc.Finished(j.number, a.Body))
 		return
 	}
-	p.core.Answered(now, j.id, o)
+	p.core.HandleOutcome(now, j.id, o)
 	p.release(j)
 }
 
@@ -688,7 +688,7 @@
 	if p.log.Trace() == nil {
 		return nil
 	}
-	return p.core.Trace(&control.Trace{OnDecision: func(w control.Explanation) {
+	return p.core.SetTrace(&control.Trace{OnDecision: func(w control.Explanation) {
 		if w.Decision.Action != control.Reject && w.Decision.Action != control.Fail {
 			return
 		}
--- a/internal/record/cost_test.go
+++ b/internal/record/cost_test.go
@@ -17,11 +17,11 @@
 		j.ID++
 		clock += 431
 		j.ArrivedAt, j.Deadline = clock, clock+2_000_000
-		tape.Arrived(j)
-		tape.Send(&j, 0, 0x7f0000019a7b, 2_000_000)
-		tape.Turned(clock)
-		tape.Answered(j.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
-		tape.Turned(clock + 211)
+		tape.RequestAdded(j)
+		tape.Forward(&j, 0, 0x7f0000019a7b, 2_000_000)
+		tape.StepEnded(clock)
+		tape.AttemptEnded(j.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
+		tape.StepEnded(clock + 211)
 		if len(turns) >= 200 { // 100 ms at 1000 jobs a second
 			frame, err := appendFrame(nil, batch{First: 1, Turns: turns})
 			if err != nil {
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -165,8 +165,8 @@
 	return (*p)[len(*p)-len(list)-1:]
 }
 
-// Turned ends a turn.
-func (t *Tape) Turned(now control.Micros) {
+// StepEnded ends a turn.
+func (t *Tape) StepEnded(now control.Micros) {
 	t.turn.Clock = now
 	turn := t.turn
 	t.turn = Turn{}
@@ -176,13 +176,13 @@
 func (t *Tape) heard(n News) { t.turn.Heard = add(&t.news, t.turn.Heard, n) }
 func (t *Tape) did(d Deed)   { t.turn.Did = add(&t.deeds, t.turn.Did, d) }
 
-// Listed notes a list of servers.
-func (t *Tape) Listed(kind control.UpdateKind, list []control.Endpoint) {
+// EndpointsUpdated notes a list of servers.
+func (t *Tape) EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint) {
 	t.heard(News{Listed: &Listed{kind, list}})
 }
 
-// Arrived notes a new job.
-func (t *Tape) Arrived(job control.Request) { t.heard(News{Arrived: keep(&t.jobs, job)}) }
+// RequestAdded notes a new job.
+func (t *Tape) RequestAdded(job control.Request) { t.heard(News{Arrived: keep(&t.jobs, job)}) }
 
 // Asked notes the client's id for the job that has just arrived, as a Tag.
 func (t *Tape) Asked(request uint64) { t.turn.Heard[len(t.turn.Heard)-1].Request = request }
@@ -197,50 +197,50 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// Answered notes the end of an execution.
-func (t *Tape) Answered(id control.RequestID, o control.Outcome) {
+// AttemptEnded notes the end of an execution.
+func (t *Tape) AttemptEnded(id control.RequestID, o control.Outcome) {
 	t.heard(News{Job: id, Answered: keep(&t.outcomes, o)})
 }
 
-// Left notes that a client left.
-func (t *Tape) Left(id control.RequestID) { t.heard(News{Job: id, Left: true}) }
+// RequestCancelled notes that a client left.
+func (t *Tape) RequestCancelled(id control.RequestID) { t.heard(News{Job: id, Left: true}) }
 
-// Loaded notes the answer to an order.
-func (t *Tape) Loaded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
+// LoadEnded notes the answer to an order.
+func (t *Tape) LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
 	t.heard(News{Loaded: &Loaded{s, f, result, took, copies}})
 }
 
-// Send and the others note what the core asked of its outlet.
-func (t *Tape) Send(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+// Forward and the others note what the core asked of its outlet.
+func (t *Tape) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	t.did(Deed{Verb: Send, Job: j.ID, No: no, Server: to, Time: allow})
 }
 
-// PushBack notes a push back.
-func (t *Tape) PushBack(id control.RequestID, stayAway control.Micros) {
+// Reject notes a push back.
+func (t *Tape) Reject(id control.RequestID, stayAway control.Micros) {
 	t.did(Deed{Verb: PushBack, Job: id, Time: stayAway})
 }
 
-// Kill notes a kill.
-func (t *Tape) Kill(id control.RequestID) { t.did(Deed{Verb: Kill, Job: id}) }
+// Fail notes a kill.
+func (t *Tape) Fail(id control.RequestID) { t.did(Deed{Verb: Kill, Job: id}) }
 
-// CallOff notes an execution called off.
-func (t *Tape) CallOff(id control.RequestID, no control.AttemptID) {
+// CancelAttempt notes an execution called off.
+func (t *Tape) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	t.did(Deed{Verb: CallOff, Job: id, No: no})
 }
 
-// Order notes an order to load.
-func (t *Tape) Order(j *control.Request, o control.LoadCommand) {
+// Load notes an order to load.
+func (t *Tape) Load(j *control.Request, o control.LoadCommand) {
 	t.did(Deed{Verb: Order, Job: j.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
 }
 
-// Subscribe notes the wish for changes of the list.
-func (t *Tape) Subscribe() { t.did(Deed{Verb: Subscribe}) }
+// SubscribeEndpoints notes the wish for changes of the list.
+func (t *Tape) SubscribeEndpoints() { t.did(Deed{Verb: Subscribe}) }
 
-// Note notes a line for the log.
-func (t *Tape) Note(text string) { t.did(Deed{Verb: Note, Text: text}) }
+// Log notes a line for the log.
+func (t *Tape) Log(text string) { t.did(Deed{Verb: Note, Text: text}) }
 
-// Alarm notes the alarm.
-func (t *Tape) Alarm(at control.Micros) { t.did(Deed{Verb: Alarm, Time: at}) }
+// SetTimer notes the alarm.
+func (t *Tape) SetTimer(at control.Micros) { t.did(Deed{Verb: Alarm, Time: at}) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -308,4 +308,4 @@
 	return b, nil
 }
 
-var _ core.Tape = (*Tape)(nil)
+var _ core.Recorder = (*Tape)(nil)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -18,7 +18,7 @@
 )
 
 func state() (*core.Snapshot, error) {
-	return &core.Snapshot{Module: &control.Snapshot{}}, nil
+	return &core.Snapshot{Balancer: &control.Snapshot{}}, nil
 }
 
 // A disk that is too slow stops no turn: turns are dropped, and the next segment says how many.
@@ -271,16 +271,16 @@
 	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	now := control.Micros(1_000_000_000)
-	c := core.New(control.New(now, 1, told), core.Silent{})
+	c := core.New(control.New(now, 1, told), core.NoopExecutor{})
 	list := make([]control.Endpoint, 80)
 	for i := range list {
 		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
 	}
 	c.UpdateEndpoints(now, control.FullUpdate, list)
 	for i := range control.RequestID(1000) {
-		c.Arrived(now, control.Request{ID: i, Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
+		c.Add(now, control.Request{ID: i, Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
 	}
-	c.Turn(now)
+	c.Step(now)
 	s, err := c.Snapshot()
 	if err != nil {
 		b.Fatal(err)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -40,13 +40,13 @@
 	for _, n := range t.Heard {
 		switch {
 		case n.Arrived != nil:
-			p.Core.Arrived(t.Clock, *n.Arrived) // one that came twice was refused then too
+			p.Core.Add(t.Clock, *n.Arrived) // one that came twice was refused then too
 		case n.Answered != nil:
-			p.Core.Answered(t.Clock, n.Job, *n.Answered)
+			p.Core.HandleOutcome(t.Clock, n.Job, *n.Answered)
 		case n.Listed != nil:
 			p.Core.UpdateEndpoints(t.Clock, n.Listed.Kind, n.Listed.List)
 		case n.Left:
-			p.Core.Left(t.Clock, n.Job)
+			p.Core.Cancel(t.Clock, n.Job)
 		case n.Loaded != nil:
 			l := n.Loaded
 			p.Core.HandleLoadResult(t.Clock, l.Server, l.Function, l.Result, l.Took, l.Copies)
@@ -56,8 +56,8 @@
 
 // Decide ends a turn.
 func (p *Player) Decide(now control.Micros) []record.Deed {
-	p.Core.Turn(now)
-	p.tape.Turned(now)
+	p.Core.Step(now)
+	p.tape.StepEnded(now)
 	return p.did
 }
 
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -16,7 +16,7 @@
 
 // traffic drives a recorded core: jobs come, run for a while on some server, and end in all ways.
 type traffic struct {
-	core.Silent
+	core.NoopExecutor
 	core *core.Core
 	now  control.Micros
 	rand uint64
@@ -36,7 +36,7 @@
 	return (x ^ x>>27) % n
 }
 
-func (t *traffic) Send(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
+func (t *traffic) Forward(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
 	t.out = append(t.out, flight{j.ID, no, to})
 }
 
@@ -44,7 +44,7 @@
 	t.now += control.Micros(1 + t.below(8000))
 	for range t.below(3) {
 		t.last++
-		t.core.Arrived(t.now, control.Request{ID: t.last, Class: control.ClassID(t.below(2)), Function: control.FunctionID(t.below(9)), Lanes: 2,
+		t.core.Add(t.now, control.Request{ID: t.last, Class: control.ClassID(t.below(2)), Function: control.FunctionID(t.below(9)), Lanes: 2,
 			ArrivedAt: t.now, Deadline: t.now + 2_000_000})
 	}
 	for len(t.out) > 8 {
@@ -57,12 +57,12 @@
 			o.Result = control.Result(t.below(9))
 		}
 		o.RequestDone = o.Result == control.Succeeded
-		t.core.Answered(t.now, x.job, o)
+		t.core.HandleOutcome(t.now, x.job, o)
 	}
 	if t.below(50) == 0 {
-		t.core.Left(t.now, t.last-control.RequestID(t.below(5)))
+		t.core.Cancel(t.now, t.last-control.RequestID(t.below(5)))
 	}
-	t.core.Turn(t.now)
+	t.core.Step(t.now)
 }
 
 // recorded records some turns into segments of few turns and gives the files.
@@ -78,10 +78,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr.core.Record(w.Tape())
+	tr.core.SetRecorder(w.Tape())
 	w.Begin(tr.now)
 	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}})
-	tr.core.Turn(tr.now)
+	tr.core.Step(tr.now)
 	for i := range turns {
 		tr.turn()
 		if i%(turns/3) == 0 {
@@ -121,7 +121,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Checkpoint.Module.Deployment.MaxRetryAfter++ // seen at a segment's first push back and no earlier
+		s.Checkpoint.Balancer.Deployment.MaxRetryAfter++ // seen at a segment's first push back and no earlier
 		p, err := From(s.Checkpoint)
 		if err != nil {
 			t.Fatal(err)
