--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/platformtest"
 )
 
@@ -59,19 +59,19 @@
 	)
 	models := platformtest.NewModelServerAt(t, "0.0.0.0:0")
 	_, port, _ := net.SplitHostPort(models.Address())
-	target := func(i int, state string, booted int64) board.Target {
-		return board.Target{UID: fmt.Sprintf("server-%d", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
-			State: state, Power: 4, BootMS: booted}
+	target := func(i int, state string, booted int64) discovery.EndpointMessage {
+		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
+			State: state, Weight: 4, StartedAtMS: booted}
 	}
-	whole := board.Event{Rev: 1, Pool: &board.Pool{All: true}}
+	whole := discovery.Event{Revision: 1, Update: &discovery.UpdateMessage{All: true}}
 	for i := range servers {
-		whole.Pool.Targets = append(whole.Pool.Targets, target(i, "ready", 0))
+		whole.Update.Targets = append(whole.Update.Targets, target(i, "ready", 0))
 	}
 	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, whole)
 	rev := uint64(1)
-	tell := func(told board.Target) {
+	tell := func(told discovery.EndpointMessage) {
 		rev++
-		plane.Tell(board.Event{Rev: rev, Pool: &board.Pool{Targets: []board.Target{told}}})
+		plane.Tell(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
 	}
 	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
 	client := router.waitWell()
--- a/cmd/hollymast/shutdown_test.go
+++ b/cmd/hollymast/shutdown_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/platformtest"
 )
 
@@ -165,7 +165,7 @@
 		lastSteps   = 150 * time.Millisecond // before the kill: in them a router closes what it has
 	)
 	server := platformtest.NewModelServer(t)
-	events := []board.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
+	events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
 	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: drainGrace, Deadline: deadline}.Configuration(plane.Address(), events...))
 	router.waitWell()
--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/platformtest"
 )
 
@@ -152,7 +152,7 @@
 		t.Run(fmt.Sprintf("%v busy=%t", c.stopped, c.busy), func(t *testing.T) {
 			t.Parallel()
 			drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-			events := []board.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
+			events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
 			client := router.waitWell()
@@ -216,7 +216,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			server := platformtest.NewModelServer(t)
-			events := []board.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
+			events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
 			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
 			client := router.waitWell()
@@ -248,7 +248,7 @@
 // by the old one as the last that it tells, the router is stopped before it reads it, and the new one takes its time to answer.
 func TestReloadIsFollowedByADrain(t *testing.T) {
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	events := []board.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
+	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 	old := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 	answer := make(chan bool)
 	fresh := platformtest.NewBoard(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, events...)
@@ -316,7 +316,7 @@
 		flooders  = 4
 	)
 	fakes := make([]*platformtest.ModelServer, servers)
-	var events []board.Event
+	var events []discovery.Event
 	for i := range fakes {
 		fakes[i] = platformtest.NewModelServer(t)
 		events = append(events, platformtest.Event(uint64(i+1), fmt.Sprint("s-", i), fakes[i].Address(), "ready"))
@@ -364,7 +364,7 @@
 func TestStoppedRouterOrdersNothingAfterTheGrace(t *testing.T) {
 	const functions = 24 // their orders go to both servers
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	events := []board.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
+	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 	deployment := platformtest.Deployment{Grace: drainGrace, OrdersOnly: true}
 	router := startRouter(t, deployment.Configuration(plane.Address(), events...))
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -40,107 +40,107 @@
 	}
 }
 
-// KeepWait is how long a chosen sending may wait for the journal: as long as its list is fresh, and its time is not up.
-func KeepWait(now, until, left control.Micros) control.Micros { return max(0, min(until-now, left)) }
+// JournalWait is how long a chosen sending may wait for the journal: as long as its list is fresh, and its time is not up.
+func JournalWait(now, until, left control.Micros) control.Micros { return max(0, min(until-now, left)) }
 
-// Sending is the turn's own part of one execution or order on its way.
-type Sending struct {
-	Off  bool `cbor:"Off"`  // called off: whatever comes of it changes nothing for its job
-	Over bool `cbor:"Over"` // its end was taken in: its connection may carry another by now
+// Progress is the turn's own part of one execution or order on its way.
+type Progress struct {
+	Cancelled bool `cbor:"Off"`  // called off: whatever comes of it changes nothing for its job
+	Ended     bool `cbor:"Over"` // its end was taken in: its connection may carry another by now
 }
 
-// CallOff stops waiting for it. Act tells that there is something to stop: what is not written is withdrawn, what is is broken off.
+// Cancel stops waiting for it. Act tells that there is something to stop: what is not written is withdrawn, what is is broken off.
 // After its end nothing may be, since its connection may carry another.
-func (s *Sending) CallOff() (act bool) {
-	if s.Off || s.Over {
+func (s *Progress) Cancel() (act bool) {
+	if s.Cancelled || s.Ended {
 		return false
 	}
-	s.Off = true
+	s.Cancelled = true
 	return true
 }
 
 // End takes in its end; first is false where that was known.
-func (s *Sending) End() (first bool) {
-	first = !s.Over
-	s.Over = true
+func (s *Progress) End() (first bool) {
+	first = !s.Ended
+	s.Ended = true
 	return first
 }
 
-// Cut is why an exchange broke.
-type Cut uint8
+// BreakReason is why an exchange broke.
+type BreakReason uint8
 
 // The reasons. A refused one never got through its handshake (rest.ErrRefused).
 const (
-	Lost    Cut = iota // the other end closed or broke it
-	Aborted            // we did
-	Late               // its time was up
-	Refused            // the other end does not believe who we are
+	ByPeer           BreakReason = iota // the other end closed or broke it
+	ByUs                                // we did
+	ByDeadline                          // its time was up
+	ByAuthentication                    // the other end does not believe who we are
 )
 
-// Broken tells what a broken exchange means: only of what was not written at all, or not believed, is it proved that nothing ran.
-func Broken(written bool, why Cut) control.Result {
+// BrokenResult tells what a broken exchange means: only of what was not written at all, or not believed, is it proved that nothing ran.
+func BrokenResult(written bool, why BreakReason) control.Result {
 	switch {
 	case !written:
 		return control.NotSent
-	case why == Refused:
+	case why == ByAuthentication:
 		return control.ConnectFailed
-	case why == Aborted:
+	case why == ByUs:
 		return control.Cancelled
-	case why == Late:
+	case why == ByDeadline:
 		return control.TimedOut
 	}
 	return control.ConnectionReset
 }
 
-// Undialled tells what it means that no connection came about: nothing is known of the server where the sending was withdrawn
+// UndialledResult tells what it means that no connection came about: nothing is known of the server where the sending was withdrawn
 // meanwhile, or waited for its turn to dial.
-func Undialled(s Stage, waited bool) control.Result {
+func UndialledResult(s Stage, waited bool) control.Result {
 	if waited || s == Withdrawn {
 		return control.NotSent
 	}
 	return control.ConnectFailed
 }
 
-// Answer is a job's one final answer, and what is still out for it.
-type Answer struct {
-	Given bool `cbor:"Given"`
-	Out   int  `cbor:"Out"` // executions whose end was not heard
+// FinalAnswer is a job's one final answer, and what is still out for it.
+type FinalAnswer struct {
+	Given    bool `cbor:"Given"`
+	InFlight int  `cbor:"Out"` // executions whose end was not heard
 }
 
 // Give gives the final answer; only the first is one.
-func (a *Answer) Give() (first bool) {
+func (a *FinalAnswer) Give() (first bool) {
 	first = !a.Given
 	a.Given = true
 	return first
 }
 
-// Sent counts an execution.
-func (a *Answer) Sent() { a.Out++ }
+// AttemptBegan counts an execution.
+func (a *FinalAnswer) AttemptBegan() { a.InFlight++ }
 
 // Delivery is what the end of an execution means to its client.
 type Delivery uint8
 
 // The deliveries.
 const (
-	Ask     Delivery = iota // none: the module is asked what next
-	Deliver                 // it is the final answer
-	Drop                    // too late: the job has its answer
+	AskPolicy Delivery = iota // none: the module is asked what next
+	Deliver                   // it is the final answer
+	Drop                      // too late: the job has its answer
 )
 
-// Ended takes in the end of an execution.
-func (a *Answer) Ended(r control.Result) Delivery {
-	a.Out--
+// AttemptEnded takes in the end of an execution.
+func (a *FinalAnswer) AttemptEnded(r control.Result) Delivery {
+	a.InFlight--
 	switch {
 	case a.Given && r == control.Succeeded:
 		return Drop
 	case r == control.Succeeded:
 		return Deliver
 	}
-	return Ask
+	return AskPolicy
 }
 
-// Over tells that the job can be forgotten.
-func (a *Answer) Over() bool { return a.Given && a.Out == 0 }
+// Done tells that the job can be forgotten.
+func (a *FinalAnswer) Done() bool { return a.Given && a.InFlight == 0 }
 
 // Connections are those to one server. The turn owns them.
 type Connections struct {
@@ -148,31 +148,31 @@
 	All  int // idle or not
 }
 
-// Use is which connection a sending gets.
-type Use uint8
+// ConnectionChoice is which connection a sending gets.
+type ConnectionChoice uint8
 
 // The uses. With no room it is never sent.
 const (
-	Reuse Use = iota
-	Open
-	NoRoom
+	Reuse ConnectionChoice = iota
+	OpenNew
+	NoneLeft
 )
 
-// Take finds a connection for a sending.
-func (c *Connections) Take(most int) Use {
+// Acquire finds a connection for a sending.
+func (c *Connections) Acquire(most int) ConnectionChoice {
 	switch {
 	case c.Idle > 0:
 		c.Idle--
 		return Reuse
 	case c.All < most:
 		c.All++
-		return Open
+		return OpenNew
 	}
-	return NoRoom
+	return NoneLeft
 }
 
-// Back takes a connection back at a sending's end. Open tells that it stands; it is kept only for a server that is still listed.
-func (c *Connections) Back(open, listed bool) (keep bool) {
+// Release takes a connection back at a sending's end. Open tells that it stands; it is kept only for a server that is still listed.
+func (c *Connections) Release(open, listed bool) (keep bool) {
 	if open && listed {
 		c.Idle++
 		return true
@@ -181,21 +181,21 @@
 	return false
 }
 
-// Closed counts one that was idle and is closed.
-func (c *Connections) Closed() { c.Idle--; c.All-- }
+// CloseIdle counts one that was idle and is closed.
+func (c *Connections) CloseIdle() { c.Idle--; c.All-- }
 
-// FreshRepeat is that of a fingerprinted job's further execution: half of what the module allows for the way there
+// KeyedRetryFreshness is that of a fingerprinted job's further execution: half of what the module allows for the way there
 // (control.mayRepeat), so that the group still remembers the earlier one.
-const FreshRepeat = control.Micros(25_000)
+const KeyedRetryFreshness = control.Micros(25_000)
 
-// Client is a conversation with one client.
-type Client struct {
+// ClientConnection is a conversation with one client.
+type ClientConnection struct {
 	Stopping bool
 	More     bool // it has sent further requests ahead
 }
 
 // CloseAfter tells whether the connection ends with an answer: where either side asked for it, or the client is gone or we stop, and
 // nothing was sent ahead that would then have no answer.
-func (c Client) CloseAfter(ours, theirs, left bool) bool {
+func (c ClientConnection) CloseAfter(ours, theirs, left bool) bool {
 	return ours || theirs || (left || c.Stopping) && !c.More
 }
--- a/internal/attempt/listage_test.go
+++ b/internal/attempt/endpoint_age_test.go
@@ -11,7 +11,7 @@
 func TestListAge(t *testing.T) {
 	for _, grace := range []control.Micros{250_000, 400_000, 500_000, 1_000_000} {
 		oldest := control.Micros(0) // that a turn chooses from without a look
-		for !MustCatchUp(oldest, grace) {
+		for !MustReadEndpoints(oldest, grace) {
 			oldest += 1000
 		}
 		const asOf, told = 1_000_000, 1_000_001 // a change that the list just misses
--- a/internal/terms/terms.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package terms puts the start settings, and the names in them, into the module's words.
-package terms
+// Package config puts the start settings, and the names in them, into the module's words.
+package config
 
 import (
 	"fmt"
--- a/internal/terms/terms_test.go
+++ b/internal/config/settings_test.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"testing"
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -9,50 +9,50 @@
 	"pgregory.net/rapid"
 
 	"hollymast/control"
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 )
 
 // anyTarget is one of a few servers, at one of fewer addresses, so that both return and change hands.
-func anyTarget(t *rapid.T, now control.Micros) board.Target {
-	return board.Target{UID: fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "uid")), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
+func anyTarget(t *rapid.T, now control.Micros) discovery.EndpointMessage {
+	return discovery.EndpointMessage{UID: fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "uid")), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
 		Zone: rapid.SampledFrom([]string{"", "east", "west"}).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
-		State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(t, "state"), Power: float64(rapid.IntRange(1, 2).Draw(t, "power")),
-		BootMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "boot")}
+		State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(t, "state"), Weight: float64(rapid.IntRange(1, 2).Draw(t, "power")),
+		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "boot")}
 }
 
 // anyNews has a board tell an event, and tells whether the list counts as heard anew: one in order, one that is told twice, or
 // one after a gap, which is asked for and stays.
-func anyNews(t *rapid.T, now control.Micros, s *board.State) bool {
-	e := board.Event{Rev: s.Last() + 1, Pool: &board.Pool{All: rapid.IntRange(0, 9).Draw(t, "all") == 0,
-		Targets: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) board.Target { return anyTarget(t, now) }), 0, 3).Draw(t, "targets")}}
+func anyNews(t *rapid.T, now control.Micros, s *discovery.State) bool {
+	e := discovery.Event{Revision: s.Revision() + 1, Update: &discovery.UpdateMessage{All: rapid.IntRange(0, 9).Draw(t, "all") == 0,
+		Targets: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) discovery.EndpointMessage { return anyTarget(t, now) }), 0, 3).Draw(t, "targets")}}
 	switch rapid.IntRange(0, 7).Draw(t, "order") {
 	case 0:
-		e.Rev--
+		e.Revision--
 	case 1:
-		e.Rev++
+		e.Revision++
 	case 2:
-		e.Pool = nil
+		e.Update = nil
 	}
-	s.Asked()
-	meaning, err := s.Event(e)
-	if meaning == board.AskAgain {
-		s.Asked()
-		meaning, err = s.Event(e)
+	s.Subscribed()
+	meaning, err := s.Apply(e)
+	if meaning == discovery.Resubscribe {
+		s.Subscribed()
+		meaning, err = s.Apply(e)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return meaning == board.Changed
+	return meaning == discovery.EndpointsChanged
 }
 
 // hear has a router take in what differs, whole where it is told whole.
 func hear(now control.Micros, c *driven, f *fleet.Fleet, news fleet.Update) {
-	if news.Whole {
-		c.UpdateEndpoints(now, control.FullUpdate, f.Whole(now, news.Entries))
+	if news.Full {
+		c.UpdateEndpoints(now, control.FullUpdate, f.FullUpdate(now, news.Endpoints))
 		return
 	}
-	c.UpdateEndpoints(now, control.IncrementalUpdate, f.Changes(now, news.Entries))
+	c.UpdateEndpoints(now, control.IncrementalUpdate, f.IncrementalUpdate(now, news.Endpoints))
 }
 
 // known is what a router believes. Whether a server that is gone was named by the last list changes no decision.
@@ -78,10 +78,10 @@
 			both[i] = &driven{}
 			both[i].Core = New(control.New(now, 7, told), both[i])
 			if oneClock {
-				fleets[i].OneClock()
+				fleets[i].UseSourceClock()
 			}
 		}
-		var s board.State
+		var s discovery.State
 		for turn := range rapid.IntRange(1, 60).Draw(t, "turns") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			if rapid.IntRange(0, 19).Draw(t, "long pause") == 0 {
@@ -89,14 +89,14 @@
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
 				if anyNews(t, now, &s) {
-					hear(now, both[0], fleets[0], s.News())
-					hear(now, both[1], fleets[1], fleet.Update{Whole: true, Entries: s.List()})
+					hear(now, both[0], fleets[0], s.Update())
+					hear(now, both[1], fleets[1], fleet.Update{Full: true, Endpoints: s.Endpoints()})
 				}
 			}
 			traffic(t, now, &next, both[:]...)
 			for i, d := range both {
 				d.Step(now)
-				fleets[i].Forget(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && turn%2 == 0 })
+				fleets[i].Prune(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && turn%2 == 0 })
 			}
 			if x, y := both[0].taken(), both[1].taken(); !slices.Equal(x, y) {
 				t.Fatalf("turn %d: by changes %q, by lists %q", turn, x, y)
@@ -128,5 +128,5 @@
 	if s == nil {
 		return fleet.Server{}
 	}
-	return fleet.Server{ID: s.ID, Address: s.Address, State: s.State, Zone: s.Zone, Cell: s.Cell, Told: s.Told}
+	return fleet.Server{ID: s.ID, Address: s.Address, State: s.State, Zone: s.Zone, Cell: s.Cell, Endpoint: s.Endpoint}
 }
--- a/internal/board/follow.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"context"
@@ -12,20 +12,20 @@
 	"hollymast/internal/fleet"
 )
 
-// Follower keeps a State level with a board. Its goroutine (Follow) dials and waits; what has come is read by it or by
+// Client keeps a State level with a board. Its goroutine (Follow) dials and waits; what has come is read by it or by
 // whoever needs the list now (CatchUp), under one lock.
-type Follower struct {
-	grace  time.Duration // within which a change of the list must be heeded
-	told   func(fleet.Update)
-	note   func(text string, err error)
-	turned chan struct{} // holds one: the address changed
-	pause  *backoff.Backoff
+type Client struct {
+	grace          time.Duration // within which a change of the list must be heeded
+	updated        func(fleet.Update)
+	note           func(text string, err error)
+	addressChanged chan struct{} // holds one: the address changed
+	backoff        *backoff.Backoff
 
 	startOnce sync.Once
 	started   chan struct{}
-	// hurryUntil bounds the waits after a watch that ended before its answer was whole: all that it would have told counts as
+	// urgentUntil bounds the waits after a watch that ended before its answer was whole: all that it would have told counts as
 	// told since it was asked for. It belongs to Follow.
-	hurryUntil time.Time
+	urgentUntil time.Time
 
 	mu      sync.Mutex
 	address string
@@ -35,12 +35,12 @@
 	complete time.Time
 }
 
-// NewFollower follows from a state on. Told hears what each event changed, in their order, Note what went wrong. Told is called
+// NewClient follows from a state on. Told hears what each event changed, in their order, Note what went wrong. Told is called
 // with a lock held: it may not wait.
-func NewFollower(state State, address string, grace time.Duration, seed uint64, told func(fleet.Update),
-	note func(string, error)) *Follower {
-	return &Follower{state: state, address: address, grace: grace, told: told, note: note, turned: make(chan struct{}, 1),
-		started: make(chan struct{}), pause: backoff.New(seed, pauseFirst, pauseMost)}
+func NewClient(state State, address string, grace time.Duration, seed uint64, told func(fleet.Update),
+	note func(string, error)) *Client {
+	return &Client{state: state, address: address, grace: grace, updated: told, note: note, addressChanged: make(chan struct{}, 1),
+		started: make(chan struct{}), backoff: backoff.New(seed, pauseFirst, pauseMost)}
 }
 
 const (
@@ -54,8 +54,8 @@
 	pauseFirst, pauseMost = 20 * time.Millisecond, time.Second
 )
 
-// Turn has the follower go on at another address. The old connection is read until the new one stands.
-func (f *Follower) Turn(address string) {
+// SetAddress has the follower go on at another address. The old connection is read until the new one stands.
+func (f *Client) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.address = address
@@ -63,14 +63,14 @@
 		f.watch.conn.SetReadDeadline(time.Now()) // wakes Follow
 	}
 	select {
-	case f.turned <- struct{}{}:
+	case f.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
 // CatchUp reads all that the board has told this router so far and gives the time as of which the list is complete. While no
 // connection stands, the list is as complete as it can be: that is now.
-func (f *Follower) CatchUp() (asOf time.Time) {
+func (f *Client) CatchUp() (asOf time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.watch; w != nil {
@@ -83,36 +83,36 @@
 	return time.Now()
 }
 
-// Complete gives the last time of which it is known that nothing the board had told by then is missing; zero: none is known. While
+// CompleteAsOf gives the last time of which it is known that nothing the board had told by then is missing; zero: none is known. While
 // no connection stands, or a new one has not been answered whole, it stays what it was.
-func (f *Follower) Complete() time.Time {
+func (f *Client) CompleteAsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.complete
 }
 
 // noteComplete takes in that all that has come on a watch was read. The lock is held.
-func (f *Follower) noteComplete(w *watch) {
-	if f.state.Level() && len(w.unread) == 0 && !w.skipping {
+func (f *Client) noteComplete(w *watch) {
+	if f.state.UpToDate() && len(w.unread) == 0 && !w.skipping {
 		f.complete = w.complete
 	}
 }
 
 // Started is closed once the list can be relied on after a start: the board has answered, or had its time to, or can't be
 // reached.
-func (f *Follower) Started() <-chan struct{} { return f.started }
+func (f *Client) Started() <-chan struct{} { return f.started }
 
-func (f *Follower) start() { f.startOnce.Do(func() { close(f.started) }) }
+func (f *Client) start() { f.startOnce.Do(func() { close(f.started) }) }
 
-// Follow runs until the context ends.
-func (f *Follower) Follow(ctx context.Context) {
+// Run runs until the context ends.
+func (f *Client) Run(ctx context.Context) {
 	defer f.close()
 	for ctx.Err() == nil {
-		before, began := f.Last(), time.Now()
-		w, err := f.ask(ctx)
+		before, began := f.Revision(), time.Now()
+		w, err := f.open(ctx)
 		if err == nil {
-			if err = f.listen(ctx, w); !f.level() {
-				f.hurryUntil = time.Now().Add(f.grace)
+			if err = f.listen(ctx, w); !f.upToDate() {
+				f.urgentUntil = time.Now().Add(f.grace)
 			}
 		}
 		if ctx.Err() != nil {
@@ -120,52 +120,52 @@
 		}
 		f.start()
 		f.note("asking the notice board again", err)
-		if errors.Is(err, errTurned) {
-			f.pause.Well()
-			f.turnTaken()
+		if errors.Is(err, errAddressChanged) {
+			f.backoff.Well()
+			f.takeAddressChange()
 			continue
 		}
-		if f.Last() > before || time.Since(began) >= silence { // it was worth asking
-			f.pause.Well()
+		if f.Revision() > before || time.Since(began) >= silence { // it was worth asking
+			f.backoff.Well()
 		}
 		select {
-		case <-time.After(f.pause.NextWithin(f.atMost(pauseMost))):
-		case <-f.turned:
-			f.pause.Well()
+		case <-time.After(f.backoff.NextWithin(f.withinUrgency(pauseMost))):
+		case <-f.addressChanged:
+			f.backoff.Well()
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Last is the number of the last event that was taken in.
-func (f *Follower) Last() uint64 {
+// Revision is the number of the last event that was taken in.
+func (f *Client) Revision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Last()
+	return f.state.Revision()
 }
 
-// level tells whether the last watch was answered whole.
-func (f *Follower) level() bool {
+// upToDate tells whether the last watch was answered whole.
+func (f *Client) upToDate() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.state.Level()
+	return f.state.UpToDate()
 }
 
-// atMost bounds a wait. In a hurry a pause and a dial take a quarter of the grace each at most; the other half is for the answer
+// withinUrgency bounds a wait. In a hurry a pause and a dial take a quarter of the grace each at most; the other half is for the answer
 // and the way to the model server (attempt.Fresh).
-func (f *Follower) atMost(usual time.Duration) time.Duration {
-	if time.Now().Before(f.hurryUntil) {
+func (f *Client) withinUrgency(usual time.Duration) time.Duration {
+	if time.Now().Before(f.urgentUntil) {
 		return min(usual, f.grace/4)
 	}
 	return usual
 }
 
-// ask dials and asks for all that is new. The watch that stood before is read to its end first and then closed.
-func (f *Follower) ask(ctx context.Context) (*watch, error) {
+// open dials and asks for all that is new. The watch that stood before is read to its end first and then closed.
+func (f *Client) open(ctx context.Context) (*watch, error) {
 	f.mu.Lock()
 	address := f.address
 	f.mu.Unlock()
-	dialer := net.Dialer{Timeout: f.atMost(dialTime)}
+	dialer := net.Dialer{Timeout: f.withinUrgency(dialTime)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -174,24 +174,24 @@
 	defer f.mu.Unlock()
 	if f.address != address {
 		conn.Close()
-		return nil, errTurned
+		return nil, errAddressChanged
 	}
 	if f.watch != nil {
 		f.watch.readAll(f)
 		f.drop(f.watch)
 	}
-	w, err := newWatch(conn, address, f.state.Last())
+	w, err := newWatch(conn, address, f.state.Revision())
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
-	f.state.Asked()
+	f.state.Subscribed()
 	f.watch = w
 	return w, nil
 }
 
 // listen has a watch read until it breaks off, falls silent, leaves something out, or is to be elsewhere.
-func (f *Follower) listen(ctx context.Context, w *watch) error {
+func (f *Client) listen(ctx context.Context, w *watch) error {
 	unblock := context.AfterFunc(ctx, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -205,87 +205,87 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = f.lookAgain(ctx, w)
 		}
-		if errors.Is(err, errTurned) {
+		if errors.Is(err, errAddressChanged) {
 			return err
 		}
 		if err != nil {
-			return f.leave(w, err)
+			return f.closeOld(w, err)
 		}
 	}
 }
 
 // readReady reads what has come, and has the watch waited for until silence has lasted.
-func (f *Follower) readReady(ctx context.Context, w *watch, fd uintptr) error {
+func (f *Client) readReady(ctx context.Context, w *watch, fd uintptr) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.unwanted(ctx, w); err != nil {
+	if err := f.readOldUntilNew(ctx, w); err != nil {
 		return err
 	}
 	if err := w.end(w.drain(fd, f)); err != nil {
 		return err
 	}
 	f.noteComplete(w)
-	w.conn.SetReadDeadline(w.heard.Add(silence))
+	w.conn.SetReadDeadline(w.lastLine.Add(silence))
 	return nil
 }
 
-// unwanted tells why a watch is no longer to be listened to. The lock is held.
-func (f *Follower) unwanted(ctx context.Context, w *watch) error {
+// readOldUntilNew tells why a watch is no longer to be listened to. The lock is held.
+func (f *Client) readOldUntilNew(ctx context.Context, w *watch) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	if f.address != w.address {
-		return errTurned
+		return errAddressChanged
 	}
 	return nil
 }
 
-// turnTaken forgets that the address has changed: it is being asked.
-func (f *Follower) turnTaken() {
+// takeAddressChange forgets that the address has changed: it is being asked.
+func (f *Client) takeAddressChange() {
 	select {
-	case <-f.turned:
+	case <-f.addressChanged:
 	default:
 	}
 }
 
 // lookAgain reads once more after the deadline of a watch has passed. Guards against a deadline that passed while this process
 // was stopped: what came meanwhile is read before it counts.
-func (f *Follower) lookAgain(ctx context.Context, w *watch) error {
+func (f *Client) lookAgain(ctx context.Context, w *watch) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.unwanted(ctx, w); err != nil {
+	if err := f.readOldUntilNew(ctx, w); err != nil {
 		return err
 	}
 	if err := w.readAll(f); err != nil {
 		return err
 	}
-	if time.Since(w.heard) >= silence {
+	if time.Since(w.lastLine) >= silence {
 		return errSilent
 	}
-	w.conn.SetReadDeadline(w.heard.Add(silence))
+	w.conn.SetReadDeadline(w.lastLine.Add(silence))
 	return nil
 }
 
-// line takes in a line. The lock is held.
-func (f *Follower) line(line []byte) error {
-	meaning, err := f.state.Line(line)
+// handleLine takes in a line. The lock is held.
+func (f *Client) handleLine(line []byte) error {
+	meaning, err := f.state.HandleLine(line)
 	if err != nil {
 		return err
 	}
 	f.start()
 	switch meaning {
-	case Changed:
-		f.told(f.state.News())
-	case AskAgain:
+	case EndpointsChanged:
+		f.updated(f.state.Update())
+	case Resubscribe:
 		return errMissing
 	}
 	return nil
 }
 
-func (f *Follower) tooLong() (skip bool) { return f.state.TooLong() }
+func (f *Client) handleLongLine() (skip bool) { return f.state.HandleLongLine() }
 
-// leave closes a watch that has ended, and gives what ended it first.
-func (f *Follower) leave(w *watch, err error) error {
+// closeOld closes a watch that has ended, and gives what ended it first.
+func (f *Client) closeOld(w *watch, err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	err = w.end(err)
@@ -294,7 +294,7 @@
 }
 
 // drop closes a watch. The lock is held.
-func (f *Follower) drop(w *watch) {
+func (f *Client) drop(w *watch) {
 	w.end(net.ErrClosed)
 	w.conn.Close()
 	if f.watch == w {
@@ -302,7 +302,7 @@
 	}
 }
 
-func (f *Follower) close() {
+func (f *Client) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.watch != nil {
--- a/internal/board/follow_test.go
+++ b/internal/discovery/client_test.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"bufio"
@@ -16,19 +16,19 @@
 
 // asking is a follower whose goroutine never runs: the test takes its steps.
 type asking struct {
-	*Follower
-	told chan []fleet.Entry
+	*Client
+	told chan []fleet.Endpoint
 }
 
 func newAsking(address string) asking {
-	told := make(chan []fleet.Entry, 8)
-	return asking{NewFollower(State{}, address, testGrace, 1, listing(told), func(string, error) {}), told}
+	told := make(chan []fleet.Endpoint, 8)
+	return asking{NewClient(State{}, address, testGrace, 1, listing(told), func(string, error) {}), told}
 }
 
 // asked asks, and gives the board's end of the connection.
 func (a asking) asked(t *testing.T, conns chan net.Conn, questions chan string) (*watch, net.Conn) {
 	t.Helper()
-	w, err := a.ask(context.Background())
+	w, err := a.open(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	fmt.Fprintln(c, event(2, false, "a", "10.0.0.1:1", "draining"))
 	w.arrived(t)
 	before := time.Now()
-	for a.Last() < 2 { // the second may come after the first
+	for a.Revision() < 2 { // the second may come after the first
 		if asOf := a.CatchUp(); asOf.Before(before) {
 			t.Fatalf("the list is as of %v before the look", before.Sub(asOf))
 		}
@@ -97,10 +97,10 @@
 	a := newAsking(address)
 	w, c := a.asked(t, conns, questions)
 	other, otherConns, otherQuestions := plane(t)
-	a.Turn(other)
+	a.SetAddress(other)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
 	w.arrived(t)
-	if _, err := a.ask(context.Background()); err != nil {
+	if _, err := a.open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	next(t, "the list", a.told)
@@ -115,8 +115,8 @@
 	address, conns, questions := plane(t)
 	a := newAsking(address)
 	w, c := a.asked(t, conns, questions)
-	a.Turn("127.0.0.1:1")
-	if _, err := a.ask(context.Background()); err == nil {
+	a.SetAddress("127.0.0.1:1")
+	if _, err := a.open(context.Background()); err == nil {
 		t.Fatal("somebody listens on port 1")
 	}
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
@@ -232,27 +232,27 @@
 			}
 		}
 	}
-	until("the event is not read", func() bool { return a.Last() == 1 })
-	if !a.Complete().IsZero() {
+	until("the event is not read", func() bool { return a.Revision() == 1 })
+	if !a.CompleteAsOf().IsZero() {
 		t.Error("complete before a heartbeat")
 	}
 	fmt.Fprintln(c, 1)
-	until("not complete after a heartbeat", func() bool { return !a.Complete().IsZero() })
-	if before := look(); a.Complete().Before(before) {
+	until("not complete after a heartbeat", func() bool { return !a.CompleteAsOf().IsZero() })
+	if before := look(); a.CompleteAsOf().Before(before) {
 		t.Error("not complete as of the last look")
 	}
 	fmt.Fprint(c, `{"rev":2`) // an event that has begun to come
 	a.watch.arrived(t)
-	if before := look(); !a.Complete().Before(before) {
+	if before := look(); !a.CompleteAsOf().Before(before) {
 		t.Error("complete with an event that has begun to come")
 	}
 	c.Close()
 	until("the end is not read", func() bool { return a.watch == nil })
-	whole := a.Complete()
+	whole := a.CompleteAsOf()
 	_, c = a.asked(t, conns, questions)
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	until("the next event is not read", func() bool { return a.Last() == 2 })
-	if !a.Complete().Equal(whole) {
-		t.Errorf("complete as of %v later, with no whole answer since", a.Complete().Sub(whole))
+	until("the next event is not read", func() bool { return a.Revision() == 2 })
+	if !a.CompleteAsOf().Equal(whole) {
+		t.Errorf("complete as of %v later, with no whole answer since", a.CompleteAsOf().Sub(whole))
 	}
 }
--- a/internal/board/board_test.go
+++ b/internal/discovery/state_test.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"bufio"
@@ -24,31 +24,31 @@
 	for _, c := range []struct {
 		name    string
 		line    string
-		meaning Meaning
+		meaning Effect
 		fails   bool
 		servers int
 	}{
-		{"a further server", event(4, false, "b", "10.0.0.2:1", "ready"), Changed, false, 2},
-		{"one that goes", event(4, false, "a", "", "gone"), Changed, false, 0},
-		{"the whole list", event(4, true, "c", "10.0.0.3:1", "draining"), Changed, false, 1},
-		{"an old event again", event(3, true, "c", "10.0.0.3:1", "ready"), Nothing, false, 1},
-		{"one after a gap", event(5, true, "c", "10.0.0.3:1", "ready"), AskAgain, false, 1},
-		{"a number we have", "3", Nothing, false, 1},
-		{"a number we lack", "4", AskAgain, false, 1},
-		{"no number", "x3", Nothing, true, 1},
-		{"a broken event", event(4, false, "b", "10.0.0.2:1", "ready")[:80], Nothing, true, 1},
-		{"an unknown state", event(4, true, "b", "10.0.0.2:1", "asleep"), Nothing, true, 1},
+		{"a further server", event(4, false, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
+		{"one that goes", event(4, false, "a", "", "gone"), EndpointsChanged, false, 0},
+		{"the whole list", event(4, true, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
+		{"an old event again", event(3, true, "c", "10.0.0.3:1", "ready"), None, false, 1},
+		{"one after a gap", event(5, true, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
+		{"a number we have", "3", None, false, 1},
+		{"a number we lack", "4", Resubscribe, false, 1},
+		{"no number", "x3", None, true, 1},
+		{"a broken event", event(4, false, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
+		{"an unknown state", event(4, true, "b", "10.0.0.2:1", "asleep"), None, true, 1},
 	} {
 		var s State
-		s.Known(Known{Rev: 3})
-		s.Asked()
-		s.last = 2
-		if _, err := s.Line([]byte(event(3, true, "a", "10.0.0.1:1", "ready"))); err != nil {
+		s.Restore(History{Revision: 3})
+		s.Subscribed()
+		s.revision = 2
+		if _, err := s.HandleLine([]byte(event(3, true, "a", "10.0.0.1:1", "ready"))); err != nil {
 			t.Fatal(err)
 		}
-		meaning, err := s.Line([]byte(c.line + "\n"))
-		if meaning != c.meaning || (err != nil) != c.fails || len(s.List()) != c.servers {
-			t.Errorf("%s: %v, %v, %d servers", c.name, meaning, err, len(s.List()))
+		meaning, err := s.HandleLine([]byte(c.line + "\n"))
+		if meaning != c.meaning || (err != nil) != c.fails || len(s.Endpoints()) != c.servers {
+			t.Errorf("%s: %v, %v, %d servers", c.name, meaning, err, len(s.Endpoints()))
 		}
 	}
 }
@@ -80,17 +80,17 @@
 const testGrace = 500 * time.Millisecond
 
 // listing keeps the list by what a follower hands over, and hands it on after each.
-func listing(told chan<- []fleet.Entry) func(fleet.Update) {
-	list := map[string]fleet.Entry{}
+func listing(told chan<- []fleet.Endpoint) func(fleet.Update) {
+	list := map[string]fleet.Endpoint{}
 	return func(news fleet.Update) { told <- apply(list, news) }
 }
 
 // apply brings a list up to date and gives it by name.
-func apply(list map[string]fleet.Entry, news fleet.Update) []fleet.Entry {
-	if news.Whole {
+func apply(list map[string]fleet.Endpoint, news fleet.Update) []fleet.Endpoint {
+	if news.Full {
 		clear(list)
 	}
-	for _, e := range news.Entries {
+	for _, e := range news.Endpoints {
 		if list[e.Name] = e; e.State == control.Removed {
 			delete(list, e.Name)
 		}
@@ -99,13 +99,13 @@
 }
 
 // follow starts a follower that ends with the test.
-func follow(t *testing.T, address string) (*Follower, chan []fleet.Entry) {
+func follow(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
 	t.Helper()
-	told := make(chan []fleet.Entry, 8)
-	f := NewFollower(State{}, address, testGrace, 1, listing(told), func(string, error) {})
+	told := make(chan []fleet.Endpoint, 8)
+	f := NewClient(State{}, address, testGrace, 1, listing(told), func(string, error) {})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Follow(ctx); close(ended) }()
+	go func() { f.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended })
 	return f, told
 }
@@ -155,7 +155,7 @@
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	next(t, "the first list", told)
 	other, conns, asked := plane(t)
-	f.Turn(other)
+	f.SetAddress(other)
 	c = next(t, "a connection elsewhere", conns)
 	if line := next(t, "a question elsewhere", asked); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
@@ -194,10 +194,10 @@
 func newState(t *testing.T) *State {
 	t.Helper()
 	s := &State{}
-	if _, err := s.Line([]byte(event(1, true, "a", "10.0.0.1:1", "ready"))); err != nil {
+	if _, err := s.HandleLine([]byte(event(1, true, "a", "10.0.0.1:1", "ready"))); err != nil {
 		t.Fatal(err)
 	}
-	s.Asked()
+	s.Subscribed()
 	return s
 }
 
@@ -211,18 +211,18 @@
 		"not even an object": "two",
 	} {
 		s := newState(t)
-		if _, err := s.Line([]byte(bad)); err == nil {
+		if _, err := s.HandleLine([]byte(bad)); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if list := s.List(); len(list) != 1 || list[0].State != control.Ready || s.Last() != 1 {
-			t.Errorf("%s: it changed the list to %v, as of %d", name, list, s.Last())
+		if list := s.Endpoints(); len(list) != 1 || list[0].State != control.Ready || s.Revision() != 1 {
+			t.Errorf("%s: it changed the list to %v, as of %d", name, list, s.Revision())
 		}
-		s.Asked()
-		if _, err := s.Line([]byte(bad)); err != nil {
+		s.Subscribed()
+		if _, err := s.HandleLine([]byte(bad)); err != nil {
 			t.Errorf("%s stays: %v", name, err)
 		}
-		meaning, err := s.Line([]byte(event(3, false, "a", "10.0.0.1:1", "draining")))
-		if list := s.List(); err != nil || meaning != Changed || list[0].State != control.Draining {
+		meaning, err := s.HandleLine([]byte(event(3, false, "a", "10.0.0.1:1", "draining")))
+		if list := s.Endpoints(); err != nil || meaning != EndpointsChanged || list[0].State != control.Draining {
 			t.Errorf("%s: then %v, %v, %v", name, meaning, err, list)
 		}
 	}
@@ -231,12 +231,12 @@
 // What was doubted and then came whole is doubted anew the next time: it is not passed over at once.
 func TestHeartbeatEndsDoubt(t *testing.T) {
 	s := newState(t)
-	if _, err := s.Line([]byte("noise")); err == nil {
+	if _, err := s.HandleLine([]byte("noise")); err == nil {
 		t.Error("taken")
 	}
-	s.Asked()
-	s.Line([]byte("1"))
-	if _, err := s.Line([]byte("noise")); err == nil {
+	s.Subscribed()
+	s.HandleLine([]byte("1"))
+	if _, err := s.HandleLine([]byte("noise")); err == nil {
 		t.Error("passed over at once")
 	}
 }
@@ -245,13 +245,13 @@
 func TestGapAfterAskingIsAskedForOnce(t *testing.T) {
 	s := newState(t)
 	gap := []byte(event(3, false, "b", "10.0.0.2:1", "ready"))
-	if meaning, err := s.Line(gap); meaning != AskAgain || err != nil {
+	if meaning, err := s.HandleLine(gap); meaning != Resubscribe || err != nil {
 		t.Errorf("the first time: %v, %v", meaning, err)
 	}
-	if s.Asked(); s.Last() != 1 {
-		t.Errorf("asked from %d on", s.Last())
+	if s.Subscribed(); s.Revision() != 1 {
+		t.Errorf("asked from %d on", s.Revision())
 	}
-	if meaning, err := s.Line(gap); meaning != Changed || err != nil {
+	if meaning, err := s.HandleLine(gap); meaning != EndpointsChanged || err != nil {
 		t.Errorf("the second time: %v, %v", meaning, err)
 	}
 }
@@ -265,65 +265,67 @@
 		return e
 	}
 	s := &State{}
-	known := Known{Rev: 5, Notices: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")), text(event(2, false, "b", "10.0.0.2:1", "ready")),
+	known := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")), text(event(2, false, "b", "10.0.0.2:1", "ready")),
 		text(event(4, false, "c", "10.0.0.3:1", "ready"))}}
-	if err := s.Known(known); err != nil {
+	if err := s.Restore(known); err != nil {
 		t.Fatal(err)
 	}
-	if s.Last() != 2 || len(s.List()) != 2 {
-		t.Errorf("as of %d: %v", s.Last(), s.List())
+	if s.Revision() != 2 || len(s.Endpoints()) != 2 {
+		t.Errorf("as of %d: %v", s.Revision(), s.Endpoints())
 	}
 }
 
 // A heartbeat tells that the answer to a question was whole.
 func TestLevel(t *testing.T) {
 	s := newState(t)
-	if s.Level() {
+	if s.UpToDate() {
 		t.Error("before the heartbeat")
 	}
-	if s.Line([]byte("1")); !s.Level() {
+	if s.HandleLine([]byte("1")); !s.UpToDate() {
 		t.Error("not after the heartbeat")
 	}
-	if s.Asked(); s.Level() {
+	if s.Subscribed(); s.UpToDate() {
 		t.Error("a new question was not answered yet")
 	}
 }
 
 // An event tells on what it changed, and all servers only where it has to.
 func TestNews(t *testing.T) {
-	ready := func(uid, endpoint string) Target { return Target{UID: uid, Endpoint: endpoint, State: "ready"} }
-	gone := func(uid string) Target { return Target{UID: uid, State: "gone"} }
+	ready := func(uid, endpoint string) EndpointMessage {
+		return EndpointMessage{UID: uid, Endpoint: endpoint, State: "ready"}
+	}
+	gone := func(uid string) EndpointMessage { return EndpointMessage{UID: uid, State: "gone"} }
 	for _, c := range []struct {
 		name    string
 		rev     uint64
-		pool    Pool
+		pool    UpdateMessage
 		whole   bool
 		entries string // those that are told on, and their states
 	}{
-		{"a further server", 2, Pool{Targets: []Target{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
-		{"one that goes", 2, Pool{Targets: []Target{gone("a")}}, false, "a 0 "},
-		{"one that was never there", 2, Pool{Targets: []Target{gone("b")}}, false, ""},
-		{"nothing new", 2, Pool{Targets: []Target{ready("a", "10.0.0.1:1")}}, false, ""},
-		{"one that returns elsewhere", 2, Pool{Targets: []Target{gone("a"), ready("a", "10.0.0.9:1")}}, false, "a 2 "},
-		{"one that comes and goes", 2, Pool{Targets: []Target{ready("b", "10.0.0.2:1"), gone("b")}}, false, ""},
-		{"an address with another owner", 2, Pool{Targets: []Target{ready("b", "10.0.0.1:1"), gone("a")}}, false, "a 0 b 2 "},
-		{"all", 2, Pool{All: true, Targets: []Target{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
-		{"after a gap", 3, Pool{Targets: []Target{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
+		{"a further server", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
+		{"one that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("a")}}, false, "a 0 "},
+		{"one that was never there", 2, UpdateMessage{Targets: []EndpointMessage{gone("b")}}, false, ""},
+		{"nothing new", 2, UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
+		{"one that returns elsewhere", 2, UpdateMessage{Targets: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}}, false, "a 2 "},
+		{"one that comes and goes", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}}, false, ""},
+		{"an address with another owner", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}}, false, "a 0 b 2 "},
+		{"all", 2, UpdateMessage{All: true, Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
+		{"after a gap", 3, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
 	} {
 		s := State{}
-		s.Event(Event{1, &Pool{Targets: []Target{ready("a", "10.0.0.1:1")}}})
-		if news := s.News(); !news.Whole || len(news.Entries) != 1 {
+		s.Apply(Event{1, &UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}})
+		if news := s.Update(); !news.Full || len(news.Endpoints) != 1 {
 			t.Errorf("the first event told on %v", news)
 		}
 		for range 2 { // a gap is asked for and stays
-			s.Asked()
-			s.Event(Event{c.rev, &c.pool})
+			s.Subscribed()
+			s.Apply(Event{c.rev, &c.pool})
 		}
-		news, told := s.News(), ""
-		for _, e := range news.Entries {
+		news, told := s.Update(), ""
+		for _, e := range news.Endpoints {
 			told += fmt.Sprint(e.Name, " ", e.State, " ")
 		}
-		if news.Whole != c.whole || told != c.entries {
+		if news.Full != c.whole || told != c.entries {
 			t.Errorf("%s: told on %v", c.name, news)
 		}
 	}
--- a/internal/board/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package board
+package discovery
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	raw      syscall.RawConn
 	unread   []byte // read from the connection, but no whole line yet
 	address  string
-	heard    time.Time // a whole line, or the question
+	lastLine time.Time // a whole line, or the question
 	skipping bool      // to the end of a line that is too long
 	complete time.Time // as of when all that had come was read
 	ended    error     // nothing further comes
@@ -33,16 +33,16 @@
 
 // Why a watch ends.
 var (
-	errLongLine = errors.New("a line without an end")
-	errMissing  = errors.New("an event is missing")
-	errSilent   = errors.New("silent")
-	errTurned   = errors.New("turned to another address")
+	errLineTooLong    = errors.New("a line without an end")
+	errMissing        = errors.New("an event is missing")
+	errSilent         = errors.New("silent")
+	errAddressChanged = errors.New("turned to another address")
 )
 
 // events is what a watch passes on what it reads to.
 type events interface {
-	line(line []byte) error
-	tooLong() (skip bool)
+	handleLine(line []byte) error
+	handleLongLine() (skip bool)
 }
 
 // newWatch asks at an address for all events after a number.
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	return &watch{conn: conn, raw: raw, address: address, heard: now, complete: now}, nil
+	return &watch{conn: conn, raw: raw, address: address, lastLine: now, complete: now}, nil
 }
 
 // readAll reads all that has come and passes each whole line on, until the connection has nothing more or ends. It reads the
@@ -119,12 +119,12 @@
 		}
 		line := w.unread[:end]
 		w.unread = w.unread[end+1:]
-		w.heard = time.Now()
+		w.lastLine = time.Now()
 		if w.skipping {
 			w.skipping = false
 			continue
 		}
-		if err := to.line(line); err != nil {
+		if err := to.handleLine(line); err != nil {
 			return err
 		}
 	}
@@ -134,8 +134,8 @@
 	if len(w.unread) <= maxLine {
 		return nil
 	}
-	if !to.tooLong() {
-		return errLongLine
+	if !to.handleLongLine() {
+		return errLineTooLong
 	}
 	w.skipping, w.unread = true, nil
 	return nil
--- a/internal/drill/records.go
+++ b/internal/drill/records.go
@@ -4,8 +4,8 @@
 	"fmt"
 
 	"hollymast/control"
+	"hollymast/internal/config"
 	"hollymast/internal/core"
-	"hollymast/internal/terms"
 	"hollymast/internal/wire"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	told, err := terms.Deployment(boot)
+	told, err := config.Deployment(boot)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	return h.with(func(r *router) error {
 		r.core.HandleOutcome(h.now, control.RequestID(v.ID), control.Outcome{Attempt: control.AttemptID(v.Trial),
 			Server: serverID(v.Server), Result: result, CacheStatus: control.CacheStatus(v.Note & 7),
-			Duration: control.Micros(v.Duration), RequestDone: v.Last, Report: terms.Report(r.fields, v.Load)})
+			Duration: control.Micros(v.Duration), RequestDone: v.Last, Report: config.Report(r.fields, v.Load)})
 		return nil
 	})
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -1,4 +1,4 @@
-package mailbox
+package eventqueue
 
 import (
 	"slices"
@@ -11,21 +11,21 @@
 	b := New()
 	var got []int
 	for i := range 3 {
-		b.Tell(func(control.Micros) { got = append(got, i) })
+		b.Post(func(control.Micros) { got = append(got, i) })
 	}
-	<-b.Wake()
-	batch := b.Take(nil)
+	<-b.Ready()
+	batch := b.Drain(nil)
 	for _, f := range batch {
 		f(0)
 	}
 	if len(got) != 3 || got[0] != 0 || got[2] != 2 {
 		t.Errorf("called %v, want 0, 1, 2", got)
 	}
-	if rest := b.Take(batch); len(rest) != 0 {
+	if rest := b.Drain(batch); len(rest) != 0 {
 		t.Errorf("%d left", len(rest))
 	}
 	select {
-	case <-b.Wake():
+	case <-b.Ready():
 		t.Error("woken for nothing")
 	default:
 	}
@@ -38,19 +38,19 @@
 	note := func(what string) func(control.Micros) {
 		return func(control.Micros) { got = append(got, what) }
 	}
-	b.Tell(note("answer"))
-	b.TellList(note("list 1"))
-	b.Tell(note("request"))
-	b.TellList(note("list 2"))
-	batch := b.Take(nil)
+	b.Post(note("answer"))
+	b.PostEndpoints(note("list 1"))
+	b.Post(note("request"))
+	b.PostEndpoints(note("list 2"))
+	batch := b.Drain(nil)
 	for _, f := range batch {
 		f(0)
 	}
 	if want := []string{"list 1", "list 2", "answer", "request"}; !slices.Equal(got, want) {
 		t.Errorf("called %v, want %v", got, want)
 	}
-	b.TellList(note("list 3")) // what is given up to be filled again holds nothing of before
-	if rest := b.Take(batch); len(rest) != 1 {
+	b.PostEndpoints(note("list 3")) // what is given up to be filled again holds nothing of before
+	if rest := b.Drain(batch); len(rest) != 1 {
 		t.Errorf("%d left", len(rest))
 	}
 }
--- a/internal/explore/diagram.go
+++ b/internal/explore/diagram.go
@@ -20,13 +20,13 @@
 			fmt.Fprintf(&b, "    %s --> %s: written, fresh and kept\n", stages[from], stages[to])
 		}
 		if _, ok := from.Write(true, 1, 0); !ok && from == attempt.Chosen {
-			fmt.Fprintf(&b, "    %s --> [*]: too old or not kept: %s\n", stages[from], resultName(attempt.Broken(false, attempt.Lost)))
-			fmt.Fprintf(&b, "    %s --> [*]: no connection came about: %s\n", stages[from], resultName(attempt.Undialled(from, false)))
+			fmt.Fprintf(&b, "    %s --> [*]: too old or not kept: %s\n", stages[from], resultName(attempt.BrokenResult(false, attempt.ByPeer)))
+			fmt.Fprintf(&b, "    %s --> [*]: no connection came about: %s\n", stages[from], resultName(attempt.UndialledResult(from, false)))
 		}
 	}
-	fmt.Fprintf(&b, "    Withdrawn --> [*]: %s\n", resultName(attempt.Undialled(attempt.Withdrawn, false)))
+	fmt.Fprintf(&b, "    Withdrawn --> [*]: %s\n", resultName(attempt.UndialledResult(attempt.Withdrawn, false)))
 	for cut, why := range []string{"broken by the server", "called off", "its time is up", "not believed"} {
-		fmt.Fprintf(&b, "    Writing --> [*]: %s: %s\n", why, resultName(attempt.Broken(true, attempt.Cut(cut))))
+		fmt.Fprintf(&b, "    Writing --> [*]: %s: %s\n", why, resultName(attempt.BrokenResult(true, attempt.BreakReason(cut))))
 	}
 	b.WriteString("    Writing --> [*]: an answer came\n")
 	return b.String()
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -132,13 +132,13 @@
 		want  string
 	}{
 		"double answer": {world(func(s *Setup) { s.Leaves = 1 }), with(func(r *Rules) {
-			r.Give = func(a *attempt.Answer) bool { a.Given = true; return true }
-			r.Ended = func(a *attempt.Answer, res control.Result) attempt.Delivery {
-				a.Out--
+			r.Give = func(a *attempt.FinalAnswer) bool { a.Given = true; return true }
+			r.Ended = func(a *attempt.FinalAnswer, res control.Result) attempt.Delivery {
+				a.InFlight--
 				if res == control.Succeeded {
 					return attempt.Deliver
 				}
-				return attempt.Ask
+				return attempt.AskPolicy
 			}
 		}), "one-answer"},
 		"forgotten call-off": {world(func(s *Setup) { s.Leaves, s.Stalls = 1, 1 }), with(func(r *Rules) {
@@ -151,7 +151,7 @@
 			r.Decide = func(m *control.Balancer) core.Policy { return leaky{m} }
 		}), "nothing-left"},
 		"a reset taken for a proof": {once, with(func(r *Rules) {
-			r.Broken = func(bool, attempt.Cut) control.Result { return control.NotSent }
+			r.Broken = func(bool, attempt.BreakReason) control.Result { return control.NotSent }
 		}), "proved"},
 		"wrong MayRun": {once, with(func(r *Rules) {
 			r.Decide = func(m *control.Balancer) core.Policy { return careless{m} }
@@ -284,13 +284,13 @@
 // A breach whose way back to the start is not known, since what was saved lacks a part, is an error and not a clean result.
 func TestBreachWithoutItsWayIsAnError(t *testing.T) {
 	answersTwice := Real
-	answersTwice.Give = func(a *attempt.Answer) bool { a.Given = true; return true }
-	answersTwice.Ended = func(a *attempt.Answer, result control.Result) attempt.Delivery {
-		a.Out--
+	answersTwice.Give = func(a *attempt.FinalAnswer) bool { a.Given = true; return true }
+	answersTwice.Ended = func(a *attempt.FinalAnswer, result control.Result) attempt.Delivery {
+		a.InFlight--
 		if result == control.Succeeded {
 			return attempt.Deliver
 		}
-		return attempt.Ask
+		return attempt.AskPolicy
 	}
 	dir := t.TempDir()
 	setup := world(func(s *Setup) { s.Leaves = 1 })
--- a/internal/explore/moment.go
+++ b/internal/explore/moment.go
@@ -75,17 +75,17 @@
 	}
 	for i, j := range m.Core.Requests {
 		job := j.Request.Request
-		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.ArrivedAt, Until: job.Deadline + margin, State: attempt.Answer{Given: j.Done, Out: j.InFlight}})
+		w.Jobs = append(w.Jobs, Job{Arrived: true, Still: !m.Watched[i], At: job.ArrivedAt, Until: job.Deadline + margin, State: attempt.FinalAnswer{Given: j.Done, InFlight: j.InFlight}})
 		for no, e := range j.Request.Attempts {
 			x := Exchange{Job: i, No: no, Server: s.index(e.Attempt.Server), Stage: attempt.Writing, Chosen: e.Attempt.SentAt, Written: e.Attempt.SentAt,
 				Deadline: job.Deadline, Ran: true}
 			if e.Attempt.Done {
-				x.State.Over, x.Result, x.Ran = true, control.ConnectionReset, false
+				x.State.Ended, x.Result, x.Ran = true, control.ConnectionReset, false
 				if !e.Attempt.MayHaveRun {
 					x.Result = control.NotSent
 				}
 			}
-			x.State.Off = e.Cancelling
+			x.State.Cancelled = e.Cancelling
 			w.Exchanges = append(w.Exchanges, x)
 		}
 	}
--- a/internal/explore/property.go
+++ b/internal/explore/property.go
@@ -48,7 +48,7 @@
 }
 
 // unrun tells whether it is proved to its router that an execution did not run.
-func (e *Exchange) unrun() bool { return e.State.Over && e.Result.ProvesNotRun() }
+func (e *Exchange) unrun() bool { return e.State.Ended && e.Result.ProvesNotRun() }
 
 // narrow tells whether a job's repeats are known to a part of the servers alone.
 func narrow(s *Setup, job int) bool {
--- a/internal/explore/property_left.go
+++ b/internal/explore/property_left.go
@@ -7,12 +7,12 @@
 		return "" // its other jobs stand still
 	}
 	for _, j := range w.Jobs {
-		if !j.State.Over() {
+		if !j.State.Done() {
 			return ""
 		}
 	}
 	for _, e := range w.Exchanges {
-		if !e.State.Over {
+		if !e.State.Ended {
 			return ""
 		}
 	}
--- a/internal/explore/property_served.go
+++ b/internal/explore/property_served.go
@@ -7,7 +7,7 @@
 		return ""
 	}
 	for _, e := range w.Exchanges {
-		if e.Stalled || e.State.Over && e.Ended-e.Chosen > s.Target/4 || !e.State.Over && w.Now-e.Chosen > s.Target/4 {
+		if e.Stalled || e.State.Ended && e.Ended-e.Chosen > s.Target/4 || !e.State.Ended && w.Now-e.Chosen > s.Target/4 {
 			return ""
 		}
 	}
--- a/internal/explore/steps.go
+++ b/internal/explore/steps.go
@@ -55,7 +55,7 @@
 	}
 	for i := range w.Exchanges {
 		e := &w.Exchanges[i]
-		if e.State.Over || w.Routers[e.Router].Frozen || w.Jobs[e.Job].Still {
+		if e.State.Ended || w.Routers[e.Router].Frozen || w.Jobs[e.Job].Still {
 			continue
 		}
 		switch {
@@ -80,7 +80,7 @@
 			if e.Way != LostAnswer && e.Way != Silent {
 				add(News, i, 0)
 			}
-			if e.State.Off { // broken off; an answer that came before may be on its way all the same
+			if e.State.Cancelled { // broken off; an answer that came before may be on its way all the same
 				add(News, i, Silent)
 			}
 			if w.Now >= e.Deadline {
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, e := range w.Exchanges {
-		if e.State.Over || w.Jobs[e.Job].Still {
+		if e.State.Ended || w.Jobs[e.Job].Still {
 			continue
 		}
 		busy = true
@@ -192,9 +192,9 @@
 func (o *outlet) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	e := o.exchange(o.setup.jobIndex(j.ID), int(no), to, allow)
 	if no > 0 && o.setup.effect(e.Job) == control.IdempotentByKey {
-		e.Until = min(e.Until, e.Chosen+attempt.FreshRepeat)
+		e.Until = min(e.Until, e.Chosen+attempt.KeyedRetryFreshness)
 	}
-	o.w.Jobs[e.Job].State.Sent()
+	o.w.Jobs[e.Job].State.AttemptBegan()
 }
 
 func (o *outlet) Load(j *control.Request, order control.LoadCommand) {
@@ -252,7 +252,7 @@
 	case Pass:
 		w.Now = w.next(s)
 		for i := range w.Exchanges {
-			if e := &w.Exchanges[i]; e.Stage == attempt.Chosen && !e.State.Over && !e.Stalled && !w.Routers[e.Router].Frozen && !w.Jobs[e.Job].Still {
+			if e := &w.Exchanges[i]; e.Stage == attempt.Chosen && !e.State.Ended && !e.Stalled && !w.Routers[e.Router].Frozen && !w.Jobs[e.Job].Still {
 				e.Stalled = true
 				w.Left.Stalls--
 			}
@@ -270,7 +270,7 @@
 		v := &w.Servers[of]
 		v.Epoch, v.Born, v.Loaded = v.Epoch+1, w.Now, false
 		for i := range w.Exchanges {
-			if e := &w.Exchanges[i]; e.Server == of && e.Written > 0 && !e.State.Over {
+			if e := &w.Exchanges[i]; e.Server == of && e.Written > 0 && !e.State.Ended {
 				e.Way = ResetAfter
 				if !e.Ran {
 					e.Way = ResetBefore
@@ -345,7 +345,7 @@
 	case e.Way == Refused:
 		return control.Overloaded
 	case e.Way == ResetBefore || e.Way == ResetAfter:
-		return rules.Broken(true, attempt.Lost)
+		return rules.Broken(true, attempt.ByPeer)
 	}
 	return control.Succeeded
 }
@@ -441,9 +441,9 @@
 	case step.Kind == TimeOut && e.Stage == attempt.Chosen:
 		e.Result = out.rules.Undialled(e.Stage, false)
 	case step.Kind == TimeOut:
-		e.Result = out.rules.Broken(true, attempt.Late)
+		e.Result = out.rules.Broken(true, attempt.ByDeadline)
 	case step.Way == Silent:
-		e.Result = out.rules.Broken(true, attempt.Aborted)
+		e.Result = out.rules.Broken(true, attempt.ByUs)
 	}
 	e.State.End()
 	if e.Order > 0 {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -147,39 +147,39 @@
 
 // Job is one job as its client sees it.
 type Job struct {
-	Arrived bool           `cbor:"Arrived"`
-	Still   bool           `cbor:"Still"` // in hand at a moment, and not followed
-	At      control.Micros `cbor:"At"`
-	Until   control.Micros `cbor:"Until"` // its client's patience
-	State   attempt.Answer `cbor:"State"`
-	Answers int            `cbor:"Answers"` // that its client got
-	Word    string         `cbor:"Word"`
-	When    control.Micros `cbor:"When"`
-	Excused bool           `cbor:"Excused"` // its router stood still: nobody can promise it anything
-	Left    bool           `cbor:"Left"`
+	Arrived bool                `cbor:"Arrived"`
+	Still   bool                `cbor:"Still"` // in hand at a moment, and not followed
+	At      control.Micros      `cbor:"At"`
+	Until   control.Micros      `cbor:"Until"` // its client's patience
+	State   attempt.FinalAnswer `cbor:"State"`
+	Answers int                 `cbor:"Answers"` // that its client got
+	Word    string              `cbor:"Word"`
+	When    control.Micros      `cbor:"When"`
+	Excused bool                `cbor:"Excused"` // its router stood still: nobody can promise it anything
+	Left    bool                `cbor:"Left"`
 }
 
 // Exchange is one execution, or an order, on its way.
 type Exchange struct {
-	Job      int             `cbor:"Job"`
-	No       int             `cbor:"No"`
-	Router   int             `cbor:"Router"`
-	Server   int             `cbor:"Server"`
-	Order    int             `cbor:"Order"` // copies ordered; 0: an execution
-	Stage    attempt.Stage   `cbor:"Stage"`
-	State    attempt.Sending `cbor:"State"`
-	Chosen   control.Micros  `cbor:"Chosen"` // 0: not yet
-	Written  control.Micros  `cbor:"Written"`
-	Until    control.Micros  `cbor:"Until"`
-	Deadline control.Micros  `cbor:"Deadline"`
-	Way      Way             `cbor:"Way"`
-	Ran      bool            `cbor:"Ran"`   // truly
-	Began    bool            `cbor:"Began"` // a load
-	Epoch    int             `cbor:"Epoch"` // of the server when it was written
-	Result   control.Result  `cbor:"Result"`
-	Ended    control.Micros  `cbor:"Ended"`
-	Stalled  bool            `cbor:"Stalled"`
-	After    bool            `cbor:"After"` // written when its job had its answer
+	Job      int              `cbor:"Job"`
+	No       int              `cbor:"No"`
+	Router   int              `cbor:"Router"`
+	Server   int              `cbor:"Server"`
+	Order    int              `cbor:"Order"` // copies ordered; 0: an execution
+	Stage    attempt.Stage    `cbor:"Stage"`
+	State    attempt.Progress `cbor:"State"`
+	Chosen   control.Micros   `cbor:"Chosen"` // 0: not yet
+	Written  control.Micros   `cbor:"Written"`
+	Until    control.Micros   `cbor:"Until"`
+	Deadline control.Micros   `cbor:"Deadline"`
+	Way      Way              `cbor:"Way"`
+	Ran      bool             `cbor:"Ran"`   // truly
+	Began    bool             `cbor:"Began"` // a load
+	Epoch    int              `cbor:"Epoch"` // of the server when it was written
+	Result   control.Result   `cbor:"Result"`
+	Ended    control.Micros   `cbor:"Ended"`
+	Stalled  bool             `cbor:"Stalled"`
+	After    bool             `cbor:"After"` // written when its job had its answer
 }
 
 // Notice is a change of the list on its way to a router.
@@ -211,19 +211,19 @@
 type Rules struct {
 	Withdraw  func(attempt.Stage) (attempt.Stage, bool)
 	Write     func(s attempt.Stage, kept bool, now, until control.Micros) (attempt.Stage, bool)
-	CallOff   func(*attempt.Sending) bool
-	Ended     func(*attempt.Answer, control.Result) attempt.Delivery
-	Give      func(*attempt.Answer) bool
+	CallOff   func(*attempt.Progress) bool
+	Ended     func(*attempt.FinalAnswer, control.Result) attempt.Delivery
+	Give      func(*attempt.FinalAnswer) bool
 	Undialled func(s attempt.Stage, waited bool) control.Result
-	Broken    func(written bool, why attempt.Cut) control.Result
+	Broken    func(written bool, why attempt.BreakReason) control.Result
 	CatchUp   func(age, grace control.Micros) bool
 	Until     func(listAsOf, chosen, grace control.Micros) control.Micros
 	Decide    func(*control.Balancer) core.Policy // nil: the module itself
 }
 
 // Real are the rules that are shipped.
-var Real = Rules{Withdraw: attempt.Stage.Withdraw, Write: attempt.Stage.Write, CallOff: (*attempt.Sending).CallOff, Ended: (*attempt.Answer).Ended,
-	Give: (*attempt.Answer).Give, Undialled: attempt.Undialled, Broken: attempt.Broken, CatchUp: attempt.MustCatchUp,
+var Real = Rules{Withdraw: attempt.Stage.Withdraw, Write: attempt.Stage.Write, CallOff: (*attempt.Progress).Cancel, Ended: (*attempt.FinalAnswer).AttemptEnded,
+	Give: (*attempt.FinalAnswer).Give, Undialled: attempt.UndialledResult, Broken: attempt.BrokenResult, CatchUp: attempt.MustReadEndpoints,
 	Until: func(listAsOf, _, grace control.Micros) control.Micros { return attempt.WriteUntil(listAsOf, grace) }}
 
 // Begin gives a setup's first world.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,8 +8,8 @@
 
 const second = 1_000_000
 
-func entry(address string, born int64) Entry {
-	return Entry{Address: address, State: control.Ready, Power: 1, Born: born}
+func entry(address string, born int64) Endpoint {
+	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: born}
 }
 
 // Times in lists are wall clock; the router's time began at 1000 s of it.
@@ -29,12 +29,12 @@
 		"new, nothing told":         {-1, 0, 100 * second},
 	} {
 		f := New(1000 * second)
-		var list []Entry
+		var list []Endpoint
 		if c.first >= 0 {
 			list = append(list, entry("127.0.0.1:9", c.first))
 		}
-		f.Whole(100*second, list)
-		got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.then)})
+		f.FullUpdate(100*second, list)
+		got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.then)})
 		if got[0].StartedAt != c.want {
 			t.Errorf("%s: got %d, want %d", name, got[0].StartedAt, c.want)
 		}
@@ -45,13 +45,13 @@
 func TestReturn(t *testing.T) {
 	for born, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
 		f := New(1000 * second)
-		list := []Entry{entry("127.0.0.1:9", born)}
-		f.Whole(100*second, list)
-		f.Whole(200*second, nil)
+		list := []Endpoint{entry("127.0.0.1:9", born)}
+		f.FullUpdate(100*second, list)
+		f.FullUpdate(200*second, nil)
 		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
 			t.Errorf("got %+v", s)
 		}
-		if got := f.Whole(300*second, list); got[0].StartedAt != want {
+		if got := f.FullUpdate(300*second, list); got[0].StartedAt != want {
 			t.Errorf("born %d: got %d, want %d", born, got[0].StartedAt, want)
 		}
 	}
@@ -69,16 +69,16 @@
 
 func TestForget(t *testing.T) {
 	f := New(0)
-	f.Whole(1, []Entry{entry("127.0.0.1:1", 0), entry("127.0.0.1:2", 0), entry("127.0.0.1:3", 0)})
-	f.Whole(2, []Entry{entry("127.0.0.1:3", 0)})
+	f.FullUpdate(1, []Endpoint{entry("127.0.0.1:1", 0), entry("127.0.0.1:2", 0), entry("127.0.0.1:3", 0)})
+	f.FullUpdate(2, []Endpoint{entry("127.0.0.1:3", 0)})
 	keep := func(id control.ServerID) bool { return id == ID("127.0.0.1:2") }
-	if f.Forget(60*second, keep); len(f.servers) != 3 {
+	if f.Prune(60*second, keep); len(f.servers) != 3 {
 		t.Error("forgotten after a minute")
 	}
-	if f.Forget(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
+	if f.Prune(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
 		t.Error("forgotten while it was in use")
 	}
-	if f.Forget(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
+	if f.Prune(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
 		t.Errorf("got %v", f.servers)
 	}
 }
@@ -89,16 +89,16 @@
 	const name = "127.0.0.1:1"
 	keep := func(control.ServerID) bool { return false }
 	f := New(0)
-	f.Whole(1, []Entry{entry(name, 0), entry("127.0.0.1:2", 0)})
-	f.Changes(500*second, []Entry{entry("127.0.0.1:2", 1)})
-	f.Changes(900*second, []Entry{{Address: name, State: control.Removed}})
-	f.Changes(1000*second, []Entry{entry(name, 0)})
-	f.Changes(1050*second, []Entry{{Address: name, State: control.Removed}})
-	if f.Forget(1600*second, keep); f.Get(ID(name)) == nil {
+	f.FullUpdate(1, []Endpoint{entry(name, 0), entry("127.0.0.1:2", 0)})
+	f.IncrementalUpdate(500*second, []Endpoint{entry("127.0.0.1:2", 1)})
+	f.IncrementalUpdate(900*second, []Endpoint{{Address: name, State: control.Removed}})
+	f.IncrementalUpdate(1000*second, []Endpoint{entry(name, 0)})
+	f.IncrementalUpdate(1050*second, []Endpoint{{Address: name, State: control.Removed}})
+	if f.Prune(1600*second, keep); f.Get(ID(name)) == nil {
 		t.Error("forgotten before its time")
 	}
-	if f.Forget(1601*second, keep); f.Get(ID(name)) != nil || len(f.gone) > 0 {
-		t.Errorf("not forgotten: %v", f.gone)
+	if f.Prune(1601*second, keep); f.Get(ID(name)) != nil || len(f.removed) > 0 {
+		t.Errorf("not forgotten: %v", f.removed)
 	}
 	if f.Get(ID("127.0.0.1:2")) == nil {
 		t.Error("one on the list was forgotten")
@@ -125,16 +125,16 @@
 	} {
 		for _, restarted := range []bool{false, true} {
 			f := New(1000 * second)
-			f.OneClock()
+			f.UseSourceClock()
 			f.SlowStart(16 * second)
-			var list []Entry
+			var list []Endpoint
 			if restarted {
 				list = append(list, entry("127.0.0.1:9", 5*second))
 			}
-			f.Whole(10*second, list)
-			f.Complete(c.complete)
-			f.Whole(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
-			if got := f.Whole(200*second, []Entry{entry("127.0.0.1:9", c.told)}); got[0].StartedAt != c.want {
+			f.FullUpdate(10*second, list)
+			f.CompleteAsOf(c.complete)
+			f.FullUpdate(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
+			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.told)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
 		}
@@ -144,11 +144,11 @@
 // A later life began after the one before, also where both were told with starts from a clock that was set back meanwhile.
 func TestLaterLifeBeganLater(t *testing.T) {
 	f := New(1000 * second)
-	f.OneClock()
-	f.Whole(10*second, nil)
-	f.Complete(10 * second)
-	first := f.Whole(20*second, []Entry{entry("127.0.0.1:9", 4600*second)})
-	if then := f.Whole(21*second, []Entry{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
+	f.UseSourceClock()
+	f.FullUpdate(10*second, nil)
+	f.CompleteAsOf(10 * second)
+	first := f.FullUpdate(20*second, []Endpoint{entry("127.0.0.1:9", 4600*second)})
+	if then := f.FullUpdate(21*second, []Endpoint{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
 		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
 	}
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -124,7 +124,7 @@
 		}
 		p, left := g.respond(c, q, admin)
 		free()
-		state := attempt.Client{Stopping: g.isStopping()}
+		state := attempt.ClientConnection{Stopping: g.isStopping()}
 		state.More = (left || state.Stopping) && c.More() && (!state.Stopping || time.Now().Before(g.sinceStop(held)))
 		p.Close = state.CloseAfter(p.Close, q.Close, left)
 		if c.Answer(p) != nil || p.Close {
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -49,16 +49,16 @@
 
 // Broken tells what a broken exchange means to the module, by how far it had got.
 func Broken(progress rest.Progress, err error) control.Result {
-	why := attempt.Lost
+	why := attempt.ByPeer
 	switch {
 	case errors.Is(err, rest.ErrRefused):
-		why = attempt.Refused
+		why = attempt.ByAuthentication
 	case errors.Is(err, rest.ErrAborted):
-		why = attempt.Aborted
+		why = attempt.ByUs
 	case errors.Is(err, rest.ErrTimeout):
-		why = attempt.Late
+		why = attempt.ByDeadline
 	}
-	return attempt.Broken(progress > rest.None, why)
+	return attempt.BrokenResult(progress > rest.None, why)
 }
 
 // ResultName is a result in our words.
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -122,7 +122,7 @@
 	bounded := make(chan bool)
 	f.g.tell(func(now control.Micros) {
 		s := f.g.fleet.Get(fleet.ID(f.servers[1].Address()))
-		bounded <- s.Cold(complete, 1) && !s.Cold(now, 0)
+		bounded <- s.InSlowStart(complete, 1) && !s.InSlowStart(now, 0)
 	})
 	if !<-bounded {
 		t.Error("it began before the list was complete without it, or after now")
@@ -134,14 +134,14 @@
 	const address, other = "127.0.0.1:1", "127.0.0.1:2"
 	id := fleet.ID(address)
 	for name, news := range map[string]fleet.Update{
-		"drains": {Entries: []fleet.Entry{{Address: address, State: control.Draining}}},
-		"goes":   {Entries: []fleet.Entry{{Address: address, State: control.Removed}}},
-		"all":    {Whole: true, Entries: []fleet.Entry{{Address: other, State: control.Ready}}},
+		"drains": {Endpoints: []fleet.Endpoint{{Address: address, State: control.Draining}}},
+		"goes":   {Endpoints: []fleet.Endpoint{{Address: address, State: control.Removed}}},
+		"all":    {Full: true, Endpoints: []fleet.Endpoint{{Address: other, State: control.Ready}}},
 	} {
 		f := newFieldChanged(t, "", rarely, usual(0))
 		stages := make(chan [2]attempt.Stage)
 		f.g.tell(func(now control.Micros) {
-			f.g.listed(now, fleet.Update{Whole: true, Entries: []fleet.Entry{{Address: address, State: control.Ready}, {Address: other, State: control.Ready}}})
+			f.g.listed(now, fleet.Update{Full: true, Endpoints: []fleet.Endpoint{{Address: address, State: control.Ready}, {Address: other, State: control.Ready}}})
 			var sent [2]*sending
 			for i, to := range []control.ServerID{id, fleet.ID(other)} {
 				sent[i] = f.g.sending(to, 1_000_000)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,10 +20,10 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/core"
+	"hollymast/internal/eventqueue"
 	"hollymast/internal/fleet"
 	"hollymast/internal/keyring"
 	"hollymast/internal/loads"
-	"hollymast/internal/mailbox"
 	"hollymast/internal/memory"
 	"hollymast/internal/record"
 	"hollymast/internal/rest"
@@ -72,7 +72,7 @@
 
 	// Shared.
 	listWhole  atomic.Int64 // complete, as whoever follows the list's source knows it
-	box        *mailbox.Box
+	box        *eventqueue.Queue
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
 	ready      atomic.Bool  // a list was read, and we take jobs
@@ -106,7 +106,7 @@
 	tenant     string
 	due        control.Micros      // its start target
 	answer     chan *rest.Response // holds one
-	state      attempt.Answer
+	state      attempt.FinalAnswer
 	executions []*sending
 }
 
@@ -116,7 +116,7 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	g := &Gateway{told: told, log: log, started: time.Now(), box: mailbox.New(),
+	g := &Gateway{told: told, log: log, started: time.Now(), box: eventqueue.New(),
 		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
 		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
@@ -200,7 +200,7 @@
 func (g *Gateway) now() control.Micros { return g.epoch + micros(time.Since(g.started)) }
 
 // tell has f called in the next turn.
-func (g *Gateway) tell(f func(now control.Micros)) { g.box.Tell(f) }
+func (g *Gateway) tell(f func(now control.Micros)) { g.box.Post(f) }
 
 // Serve routes until the context ends; then it stops taking jobs, gives each one in hand its answer within its own
 // limits, and returns. A nil error means that none was left.
@@ -257,7 +257,7 @@
 	g.turn(g.now(), nil)
 	for {
 		select {
-		case <-g.box.Wake():
+		case <-g.box.Ready():
 		case <-g.timer.C:
 		case <-done:
 			done = nil
@@ -268,7 +268,7 @@
 		}
 		g.noteStop(g.now() - g.due)
 		g.catchUp()
-		batch = g.box.Take(batch)
+		batch = g.box.Drain(batch)
 		g.turn(g.now(), batch)
 		if g.stopping && len(g.jobs) == 0 {
 			if g.orders == 0 {
@@ -283,7 +283,7 @@
 
 // noteStop tells of a time in which this process was stopped.
 func (g *Gateway) noteStop(late control.Micros) {
-	if !attempt.Stopped(late, micros(g.told.Grace)) {
+	if !attempt.Stalled(late, micros(g.told.Grace)) {
 		return
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
@@ -295,7 +295,7 @@
 // catchUp has all that the list's source told taken in by the turn that comes next.
 func (g *Gateway) catchUp() {
 	asOf := g.now()
-	if g.lookNow.Swap(false) || attempt.MustCatchUp(asOf-g.listAsOf, micros(g.told.Grace)) {
+	if g.lookNow.Swap(false) || attempt.MustReadEndpoints(asOf-g.listAsOf, micros(g.told.Grace)) {
 		g.look()
 		g.listAsOf = asOf
 	}
@@ -328,7 +328,7 @@
 	for _, f := range heard {
 		f(now)
 	}
-	g.fleet.Complete(g.complete)
+	g.fleet.CompleteAsOf(g.complete)
 	g.core.Step(now)
 	for _, f := range g.between {
 		f(now)
@@ -489,7 +489,7 @@
 
 // release forgets a job that has its answer and no execution out.
 func (g *Gateway) release(j *job) {
-	if j.state.Over() {
+	if j.state.Done() {
 		delete(g.jobs, j.id)
 	}
 }
@@ -509,10 +509,10 @@
 	s := g.sending(to, allow)
 	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
 	if no > 0 && g.told.Deployment.Classes[j.workload].Effect == control.IdempotentByKey {
-		s.until = min(s.until, g.clock+attempt.FreshRepeat)
+		s.until = min(s.until, g.clock+attempt.KeyedRetryFreshness)
 	}
 	j.executions = append(j.executions, s)
-	j.state.Sent()
+	j.state.AttemptBegan()
 	g.tally.Chosen(g.fleet.Get(to).Address)
 	g.recent.add(g.clock, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
 	g.dispatch(s)
@@ -580,7 +580,7 @@
 // executed takes in the end of an execution.
 func (g *Gateway) executed(now control.Micros, s *sending, o control.Outcome, p *rest.Response) {
 	j := s.job
-	delivery := j.state.Ended(o.Result)
+	delivery := j.state.AttemptEnded(o.Result)
 	g.metrics.executed(o.Result)
 	g.tally.Ended(g.pools[s.to].address, o.Result, o.Report)
 	g.useExecuted(now, j, o)
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -255,7 +255,7 @@
 		g.keeper.marks.Sent(mark, memory.Sent{Server: to, At: g.clock})
 		es = append(es, memory.Entry{Kind: memory.Execution, At: g.clock, Mark: mark, Server: to})
 	}
-	if s := g.fleet.Get(to); s != nil && s.Cold(g.clock, g.told.Deployment.SlowStartDuration) {
+	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.clock, g.told.Deployment.SlowStartDuration) {
 		es = append(es, memory.Entry{Kind: memory.ToCold, At: g.clock, Server: to})
 	}
 	if len(es) == 0 {
@@ -280,7 +280,7 @@
 		return true
 	}
 	// A disk that stands still: then the list is too old too, or the job's time is up.
-	wait := attempt.KeepWait(now, s.until, micros(time.Until(s.deadline)))
+	wait := attempt.JournalWait(now, s.until, micros(time.Until(s.deadline)))
 	timer := time.NewTimer(span(wait))
 	defer timer.Stop()
 	if s.job != nil && s.job.kept != 0 {
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -78,7 +78,7 @@
 				if g.counted != nil {
 					g.counted.listed(members.Facts(), f.Services())
 				}
-				g.box.TellList(func(now control.Micros) { g.listed(now, list) })
+				g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
 			}
 		},
 		Note: func(text string) { g.log.Info().Msg("xds: " + text) }}
@@ -96,7 +96,7 @@
 			g.log.Info().Msg("xds: " + note)
 		}
 		if list, news := members.News(g.now()); news {
-			g.box.TellList(func(now control.Micros) { g.listed(now, list) })
+			g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
 		}
 	}
 	take = func(text []byte) bool {
@@ -116,9 +116,9 @@
 // take tells the turn of a list's text, unless it is refused.
 func (g *Gateway) take(text []byte) bool {
 	f, err := inifile.Read(g.told.List, text)
-	list := fleet.Update{Whole: true}
+	list := fleet.Update{Full: true}
 	if err == nil {
-		list.Entries, err = ReadList(f)
+		list.Endpoints, err = ReadList(f)
 	}
 	if err != nil {
 		var faults *inifile.Faults
@@ -129,19 +129,19 @@
 		}
 		return false
 	}
-	g.box.TellList(func(now control.Micros) { g.listed(now, list) })
+	g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
 	return true
 }
 
 // listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
 func (g *Gateway) listed(now control.Micros, told fleet.Update) {
-	if told.Whole {
-		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.Whole(now, told.Entries))
+	if told.Full {
+		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.FullUpdate(now, told.Endpoints))
 		for id := range g.pools {
 			g.relist(id)
 		}
 	} else {
-		changed := g.fleet.Changes(now, told.Entries)
+		changed := g.fleet.IncrementalUpdate(now, told.Endpoints)
 		g.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 		for _, l := range changed {
 			if g.pools[l.Server] != nil {
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -164,7 +164,7 @@
 		s.Fault("load_window", "load_free and load_share mean nothing without it")
 	}
 	t.Grace = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
-	d.MaxCommandDelay = attempt.Fresh(micros(t.Grace))
+	d.MaxCommandDelay = attempt.EndpointsFresh(micros(t.Grace))
 	t.OrderTime = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
 	d.SupportsCancel = true // closing its connection calls an execution off
 
@@ -279,19 +279,19 @@
 }
 
 // ReadList reads a list of servers: a section for each, with its address, state, zone, cell, power and start.
-func ReadList(f *inifile.File) ([]fleet.Entry, error) {
-	var list []fleet.Entry
+func ReadList(f *inifile.File) ([]fleet.Endpoint, error) {
+	var list []fleet.Endpoint
 	first := map[string]string{}
 	for _, s := range f.Sections("") {
-		e := fleet.Entry{Address: address(s, "address", ""), Zone: s.Text("zone", ""), Cell: s.Text("cell", ""),
-			Power: s.Float("power", 1, 0.001, 1e6),
-			State: control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
+		e := fleet.Endpoint{Address: address(s, "address", ""), Zone: s.Text("zone", ""), Cell: s.Text("cell", ""),
+			Weight: s.Float("power", 1, 0.001, 1e6),
+			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
 		if born := s.Text("born", ""); born != "" {
 			at, err := time.Parse(time.RFC3339Nano, born)
 			if err != nil || at.UnixMicro() <= 0 {
 				s.Fault("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
 			}
-			e.Born = at.UnixMicro()
+			e.StartedAt = at.UnixMicro()
 		}
 		if other, twice := first[e.Address]; twice {
 			s.Fault("address", "also that of [%s]", other)
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -43,7 +43,7 @@
 	suspects := g.core.EjectedServers()
 	var out []xds.Seen
 	for _, s := range g.fleet.Servers() {
-		v := xds.Seen{Address: s.Address, Zone: s.Told.Zone, Cell: s.Told.Cell, Power: s.Told.Power, Born: s.Told.Born, Health: membership.Healthy}
+		v := xds.Seen{Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Power: s.Endpoint.Weight, Born: s.Endpoint.StartedAt, Health: membership.Healthy}
 		switch {
 		case s.State == control.Draining:
 			v.Health = membership.Draining
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -49,7 +49,7 @@
 	cancel   context.CancelFunc
 	stage    atomic.Int32 // an attempt.Stage
 	link     *link
-	state    attempt.Sending // the turn's
+	state    attempt.Progress // the turn's
 }
 
 func (g *Gateway) sending(to control.ServerID, allow control.Micros) *sending {
@@ -69,7 +69,7 @@
 
 // callOff also breaks off what was written.
 func (s *sending) callOff() {
-	if s.state.CallOff() && !s.withdraw() && s.link != nil {
+	if s.state.Cancel() && !s.withdraw() && s.link != nil {
 		if c := s.link.client.Load(); c != nil {
 			c.Abort()
 		}
@@ -86,16 +86,16 @@
 	p.out[s] = struct{}{}
 	s.request.Header["Host"] = []string{p.address}
 	s.request.Header["Via"] = append(s.request.Header["Via"][:len(s.request.Header["Via"]):len(s.request.Header["Via"])], g.via)
-	switch p.conns.Take(g.told.PerServer) {
+	switch p.conns.Acquire(g.told.PerServer) {
 	case attempt.Reuse:
 		n := len(p.idle)
 		s.link = p.idle[n-1]
 		p.idle = p.idle[:n-1]
-	case attempt.Open:
+	case attempt.OpenNew:
 		s.link = &link{g: g, address: p.address, work: make(chan *sending, 1)}
 		g.links.Add(1)
 		go s.link.serve()
-	case attempt.NoRoom: // never sent; told in the next turn, since this one is still asking
+	case attempt.NoneLeft: // never sent; told in the next turn, since this one is still asking
 		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NotSent}, false) })
 		return
 	}
@@ -138,7 +138,7 @@
 	if c == nil {
 		var err error
 		if c, err = l.dial(s); err != nil {
-			return exchange{result: attempt.Undialled(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn))}
+			return exchange{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn))}
 		}
 		l.client.Store(c)
 	}
@@ -208,7 +208,7 @@
 	delete(p.out, s)
 	s.state.End()
 	if s.link != nil {
-		switch keep := p.conns.Back(open, g.listedThere(s.to)); {
+		switch keep := p.conns.Release(open, g.listedThere(s.to)); {
 		case keep:
 			s.link.since = now
 			p.idle = append(p.idle, s.link)
@@ -284,7 +284,7 @@
 	for _, l := range p.idle {
 		if which(l) {
 			close(l.work)
-			p.conns.Closed()
+			p.conns.CloseIdle()
 		} else {
 			kept = append(kept, l)
 		}
@@ -307,7 +307,7 @@
 		}
 	}
 	g.tally.Forget(func(address string) bool { return g.listedThere(fleet.ID(address)) })
-	g.fleet.Forget(now, func(id control.ServerID) bool { return g.pools[id] != nil })
+	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
 func (g *Gateway) closePools() {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -92,8 +92,8 @@
 	version  uint64         // of the list, one more with each change
 	given    uint64         // the version last given
 	givenAt  control.Micros
-	told     map[string]fleet.Entry // as last given; nil: nothing was
-	stale    map[string]bool        // addresses whose entry may differ from that
+	told     map[string]fleet.Endpoint // as last given; nil: nothing was
+	stale    map[string]bool           // addresses whose entry may differ from that
 	notes    []string
 }
 
@@ -474,9 +474,9 @@
 
 func (m *Members) differing() (list fleet.Update) {
 	if m.told == nil {
-		m.told = map[string]fleet.Entry{}
-		list = fleet.Update{Whole: true, Entries: m.List()}
-		for _, e := range list.Entries {
+		m.told = map[string]fleet.Endpoint{}
+		list = fleet.Update{Full: true, Endpoints: m.List()}
+		for _, e := range list.Endpoints {
 			m.told[e.Address] = e
 		}
 		return list
@@ -487,11 +487,11 @@
 		switch {
 		case listed && is != was:
 			m.told[a] = is
-			list.Entries = append(list.Entries, is)
+			list.Endpoints = append(list.Endpoints, is)
 		case !listed && known:
 			delete(m.told, a)
 			was.State = control.Removed
-			list.Entries = append(list.Entries, was)
+			list.Endpoints = append(list.Endpoints, was)
 		}
 	}
 	return list
@@ -504,23 +504,23 @@
 
 // List gives the servers as the module is to be told, by address: those that are usable as ready, those that are not as
 // draining, and none that are gone.
-func (m *Members) List() []fleet.Entry {
-	list := make([]fleet.Entry, 0, len(m.facts))
+func (m *Members) List() []fleet.Endpoint {
+	list := make([]fleet.Endpoint, 0, len(m.facts))
 	for _, f := range m.facts {
 		if e, listed := m.entry(f); listed {
 			list = append(list, e)
 		}
 	}
-	slices.SortFunc(list, func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(list, func(a, b fleet.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 	return list
 }
 
 // entry gives a server as the module is to be told, where it is on the list.
-func (m *Members) entry(f *Fact) (e fleet.Entry, listed bool) {
+func (m *Members) entry(f *Fact) (e fleet.Endpoint, listed bool) {
 	if f == nil || f.Withdrawn > 0 && !f.Held {
-		return fleet.Entry{}, false
+		return fleet.Endpoint{}, false
 	}
-	e = fleet.Entry{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Power: power(f.Endpoint), Born: f.Born}
+	e = fleet.Endpoint{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Weight: power(f.Endpoint), StartedAt: f.Born}
 	if !f.Health.usable() || f.Flapping || m.inReserve(f) {
 		e.State = control.Draining
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -441,7 +441,7 @@
 	if m.version == m.given && !news {
 		return // the last change was told at once
 	}
-	if !news || last.Entries[0].Power != float64(uint32(now))/100 {
+	if !news || last.Endpoints[0].Weight != float64(uint32(now))/100 {
 		t.Errorf("the last change is not told: %t %+v", news, last)
 	}
 }
@@ -451,7 +451,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Usual
 		bounds.Flaps = 2
-		m, now, list := New(bounds), second, map[string]fleet.Entry{}
+		m, now, list := New(bounds), second, map[string]fleet.Endpoint{}
 		clusters := []string{"a", "b"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += control.Micros(rapid.SampledFrom([]int{0, 1000, 300_000, 6_000_000, 40_000_000}).Draw(t, "pause"))
@@ -477,10 +477,10 @@
 			if !is {
 				continue
 			}
-			if news.Whole {
+			if news.Full {
 				clear(list)
 			}
-			for _, e := range news.Entries {
+			for _, e := range news.Endpoints {
 				if e == list[e.Address] {
 					t.Fatalf("%+v is no news", e)
 				}
@@ -488,7 +488,7 @@
 					delete(list, e.Address)
 				}
 			}
-			got := slices.SortedFunc(maps.Values(list), func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
+			got := slices.SortedFunc(maps.Values(list), func(a, b fleet.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 			if want := m.List(); !slices.Equal(got, want) {
 				t.Fatalf("by news %+v, the list is %+v", got, want)
 			}
--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -11,7 +11,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 )
 
@@ -69,7 +69,7 @@
 func (r *replaced) all() []string {
 	out := r.pooled(func(*link) bool { return false })
 	for _, s := range r.sent {
-		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.reached(), s.state.Over))
+		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.reached(), s.state.Ended))
 	}
 	return append(out, fmt.Sprint(r.linked, " connections, ", len(r.pools), " pools"))
 }
@@ -119,20 +119,20 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		both := []*replaced{{Platform: idlePlatform(t)}, {Platform: idlePlatform(t)}}
 		now := max(both[0].now(), both[1].now())
-		var s board.State
+		var s discovery.State
 		for rev := range uint64(rapid.IntRange(1, 40).Draw(rt, "steps")) {
 			now += control.Micros(rapid.SampledFrom([]int{1000, 100_000, 600_000, 4_000_000, 620_000_000}).Draw(rt, "pause"))
 			uid := func() string { return fmt.Sprint("s-", rapid.IntRange(0, 4).Draw(rt, "server")) }
-			e := board.Event{Rev: rev + 1, Pool: &board.Pool{All: rapid.IntRange(0, 9).Draw(rt, "all") == 0}}
+			e := discovery.Event{Revision: rev + 1, Update: &discovery.UpdateMessage{All: rapid.IntRange(0, 9).Draw(rt, "all") == 0}}
 			for range rapid.IntRange(0, 3).Draw(rt, "servers") {
-				e.Pool.Targets = append(e.Pool.Targets, board.Target{UID: uid(), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 3).Draw(rt, "address")),
-					State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(rt, "state"), BootMS: int64(rapid.IntRange(0, 1).Draw(rt, "boot"))})
+				e.Update.Targets = append(e.Update.Targets, discovery.EndpointMessage{UID: uid(), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 3).Draw(rt, "address")),
+					State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(rt, "state"), StartedAtMS: int64(rapid.IntRange(0, 1).Draw(rt, "boot"))})
 			}
-			if _, err := s.Event(e); err != nil {
+			if _, err := s.Apply(e); err != nil {
 				rt.Fatal(err)
 			}
-			both[0].hearBoard(now, s.News())
-			both[1].listed(now, s.List())
+			both[0].hearBoard(now, s.Update())
+			both[1].listed(now, s.Endpoints())
 			for range rapid.IntRange(0, 3).Draw(rt, "sent") {
 				to, written, up := fleet.ID(uid()), rapid.Bool().Draw(rt, "written"), rapid.Bool().Draw(rt, "up")
 				for _, r := range both {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -496,7 +496,7 @@
 	c.mu.Lock()
 	c.owed++
 	c.mu.Unlock()
-	c.p.box.Tell(func(control.Micros) {
+	c.p.box.Post(func(control.Micros) {
 		c.post(msgrpc.Well(number, c.p.ready.Load()))
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -562,7 +562,7 @@
 		c.fault()
 		return
 	}
-	c.p.box.Tell(func(now control.Micros) { c.p.arrived(now, j) })
+	c.p.box.Post(func(now control.Micros) { c.p.arrived(now, j) })
 }
 
 // forget ends a job whose client stopped waiting. From here on nothing of it is written, whenever the turn hears of it.
@@ -575,7 +575,7 @@
 	}
 	c.mu.Unlock()
 	if j != nil {
-		c.p.box.Tell(func(now control.Micros) { c.p.left(now, j) })
+		c.p.box.Post(func(now control.Micros) { c.p.left(now, j) })
 	}
 }
 
@@ -586,7 +586,7 @@
 	for number, j := range c.open {
 		j.gone.Store(true)
 		c.post(msgrpc.Killed(number))
-		c.p.box.Tell(func(now control.Micros) { c.p.left(now, j) })
+		c.p.box.Post(func(now control.Micros) { c.p.left(now, j) })
 	}
 	clear(c.open)
 }
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -35,9 +35,9 @@
 		time.Sleep(2 * time.Millisecond)
 		now := p.now()
 		p.turn(now, []func(control.Micros){func(control.Micros) {
-			p.listed(now, []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, Born: started.UnixMilli() * 1000}})
+			p.listed(now, []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
 		}})
-		if s := p.fleet.Get(fleet.ID("s-0")); !s.Cold(complete, 1) || s.Cold(now, 0) {
+		if s := p.fleet.Get(fleet.ID("s-0")); !s.InSlowStart(complete, 1) || s.InSlowStart(now, 0) {
 			t.Errorf("step %v: the server began more than %v ago, or after now", step, span(now-complete))
 		}
 	}
@@ -78,7 +78,7 @@
 	time.Sleep(cold) // the usual pace of answers is known
 	start := time.Now()
 	next := platformtest.Event(2, "s-1", fresh.Address(), "ready")
-	next.Pool.Targets[0].BootMS = start.Add(-ago).UnixMilli()
+	next.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
 	plane.Tell(next)
 	plane.Tell(platformtest.Event(3, "s-0", old.Address(), "gone"))
 	time.Sleep(cold + part + part/2)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -88,7 +88,7 @@
 func TestJobCrossesTheKill(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	c := r.caller(t)
-	r.box.Tell(func(now control.Micros) { r.stopTold = now - takesOn })
+	r.box.Post(func(now control.Micros) { r.stopTold = now - takesOn })
 	c.call(1, "again")
 	c.expect("1: TryLater")
 }
@@ -185,10 +185,10 @@
 			c.call(1, "again")
 			<-held
 			chosen, turn := make(chan *sending), make(chan bool)
-			r.box.Tell(func(control.Micros) { // a further execution is chosen, and the turn lasts
+			r.box.Post(func(control.Micros) { // a further execution is chosen, and the turn lasts
 				s := r.sending(fleet.ID("s-0"), 1_000_000)
 				s.job, s.no, s.timer = r.jobs[1], 1, time.NewTimer(time.Hour)
-				s.job.state.Sent()
+				s.job.state.AttemptBegan()
 				chosen <- s
 				<-turn
 			})
@@ -353,7 +353,7 @@
 func TestWellCrossesAStandingTurn(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	turn := make(chan bool)
-	r.box.Tell(func(control.Micros) { <-turn })
+	r.box.Post(func(control.Micros) { <-turn })
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	until(t, "the question is read", func() bool {
@@ -396,7 +396,7 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
-	r.box.Tell(func(now control.Micros) {
+	r.box.Post(func(now control.Micros) {
 		l := r.newLink(now, r.pools[fleet.ID("s-0")])
 		l.dialing = nil // the dial panics
 		go l.serve()
@@ -429,7 +429,7 @@
 	r := start(t, plane(t, 1), worker(t, func(a asked) { got <- a; good(a) }))
 	const stood = 300
 	turn := make(chan bool)
-	r.box.Tell(func(control.Micros) { <-turn })
+	r.box.Post(func(control.Micros) { <-turn })
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	until(t, "the job is read", func() bool { idle, _ := ours.idle(); return !idle })
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -38,9 +38,9 @@
 		t.Fatal(err)
 	}
 	for i, address := range servers {
-		told.Known.Notices = append(told.Known.Notices, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
+		told.Known.Events = append(told.Known.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
 	}
-	told.Known.Rev = uint64(len(servers))
+	told.Known.Revision = uint64(len(servers))
 	noted := &log{}
 	p, err := New(told, zerolog.New(noted))
 	if err != nil {
@@ -76,7 +76,7 @@
 // longGrace has a list be fresh for so long that its age withdraws nothing.
 func longGrace(p *Platform) {
 	p.told.grace, p.told.connecting = 4_000_000, 1_000_000
-	p.told.Deployment.MaxCommandDelay = attempt.Fresh(p.told.grace)
+	p.told.Deployment.MaxCommandDelay = attempt.EndpointsFresh(p.told.grace)
 }
 
 // fill writes to a connection until it takes no more, also of what the kernel moves on a little later, and tells how much that was.
@@ -225,7 +225,7 @@
 	p := idlePlatform(t)
 	longGrace(p)
 	conn, theirs := platformtest.Connected(t)
-	p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
+	p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
 	p.catchUp()
 	p.turn(p.now(), nil)
 	const left = 20 * time.Millisecond
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -13,7 +13,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
 )
@@ -68,7 +68,7 @@
 	if !fresh.begun() {
 		t.Error("not written from a list that is up to date")
 	}
-	time.Sleep(span(attempt.Fresh(p.told.grace)) + time.Millisecond) // the process is stopped
+	time.Sleep(span(attempt.EndpointsFresh(p.told.grace)) + time.Millisecond) // the process is stopped
 	var late *sending
 	p.turn(p.now(), []func(control.Micros){func(control.Micros) { late = p.sending(1, 1_000_000) }})
 	if late.begun() || order.begun() {
@@ -85,7 +85,7 @@
 func TestNothingIsSentToAServerThatIsNotReady(t *testing.T) {
 	p := idlePlatform(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
-		p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
+		p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
 		s := p.sending(fleet.ID("s-0"), 1_000_000)
 		s.order.Server = s.to
 		p.dispatch(p.now(), s, []byte("frame"))
@@ -101,7 +101,7 @@
 	p := idlePlatform(t)
 	var line bytes.Buffer
 	p.log = zerolog.New(&line)
-	ready := []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}}
+	ready := []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}}
 	p.listed(p.now(), ready)
 	p.catchUp()
 	p.turn(p.now(), nil)
@@ -136,10 +136,10 @@
 	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
 	until(t, "the router is well", r.ready.Load)
 	state := make(chan control.ServerState, 1)
-	r.box.Tell(func(control.Micros) { // a turn that lasts
-		r.box.Tell(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
+	r.box.Post(func(control.Micros) { // a turn that lasts
+		r.box.Post(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
 		plane.Tell(platformtest.Event(2, "s-0", server.Address(), "draining"))
-		for r.follower.Last() < 2 {
+		for r.follower.Revision() < 2 {
 			r.follower.CatchUp()
 		}
 	})
@@ -152,7 +152,7 @@
 func TestStartCrossesADrain(t *testing.T) {
 	const grace = 2 * time.Second // the answer has a quarter of it to come
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	known := []board.Event{platformtest.Event(1, "s-0", drains.Address(), "ready")}
+	known := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready")}
 	answer := make(chan bool)
 	plane := platformtest.NewBoard(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
 	told := plane.Tell(platformtest.Event(2, "s-0", drains.Address(), "draining"))
@@ -243,7 +243,7 @@
 // another server has by then gets nothing meant for the old one.
 func TestUIDReturnsElsewhere(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	events := []board.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
+	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
 	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
 	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
 	until(t, "the router is well", r.ready.Load)
@@ -256,7 +256,7 @@
 	plane.Tell(platformtest.Event(2, "s-0", "", "gone"))
 	plane.Tell(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
 	plane.Tell(platformtest.Event(4, "s-1", first.Address(), "draining"))
-	until(t, "the list is read", func() bool { return r.follower.Last() == 4 })
+	until(t, "the list is read", func() bool { return r.follower.Revision() == 4 })
 	for ref := range uint64(10) {
 		client.Call(ref+2, ref+1)
 	}
@@ -290,14 +290,14 @@
 func TestDialCrossesTheGrace(t *testing.T) {
 	p := idlePlatform(t)
 	conn, theirs := platformtest.Connected(t)
-	p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
+	p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
 	p.catchUp()
 	p.turn(p.now(), nil)
 	s := p.sending(fleet.ID("s-0"), 1_000_000)
 	s.link = p.newLink(p.now(), p.poolOf(s.to)) // it dials: nothing is up yet
 	defer s.link.undial()
 	s.link.box.post(parcel{data: []byte("late"), begin: s.begin, wrote: s.wrote})
-	time.Sleep(span(attempt.Fresh(p.told.grace)) + time.Millisecond)
+	time.Sleep(span(attempt.EndpointsFresh(p.told.grace)) + time.Millisecond)
 	s.link.box.up(conn)
 	until(t, "it is withdrawn", s.link.box.drained)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"hollymast/control"
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
 )
@@ -15,7 +15,7 @@
 // sized is a router that knows many servers and takes no turns of its own.
 type sized struct {
 	*Platform
-	board board.State
+	board discovery.State
 	rev   uint64
 	at    control.Micros
 }
@@ -36,7 +36,7 @@
 		p.listener.Close()
 	})
 	f := &sized{Platform: p, at: p.now()}
-	whole := &board.Pool{All: true}
+	whole := &discovery.UpdateMessage{All: true}
 	for i := range servers {
 		whole.Targets = append(whole.Targets, f.target(i, "ready"))
 	}
@@ -47,19 +47,19 @@
 	return f
 }
 
-func (f *sized) target(i int, state string) board.Target {
-	return board.Target{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
-		Power: 4, BootMS: int64(f.rev)}
+func (f *sized) target(i int, state string) discovery.EndpointMessage {
+	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
+		Weight: 4, StartedAtMS: int64(f.rev)}
 }
 
 // tell has the router hear an event and take a turn, one millisecond after the last.
-func (f *sized) tell(b testing.TB, told *board.Pool) {
+func (f *sized) tell(b testing.TB, told *discovery.UpdateMessage) {
 	f.rev++
-	meaning, err := f.board.Line(platformtest.Line(board.Event{Rev: f.rev, Pool: told}))
-	if err != nil || meaning != board.Changed {
+	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
+	if err != nil || meaning != discovery.EndpointsChanged {
 		b.Fatal(meaning, err)
 	}
-	f.hearBoard(f.at, f.board.News())
+	f.hearBoard(f.at, f.board.Update())
 	f.at += 1000
 	f.turn(f.at, nil)
 }
@@ -69,7 +69,7 @@
 
 // change has one server go on to its next state.
 func (f *sized) change(b testing.TB, n, servers int) {
-	f.tell(b, &board.Pool{Targets: []board.Target{f.target(n/len(states)%servers, states[n%len(states)])}})
+	f.tell(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -72,8 +72,8 @@
 	}
 	told.Sockets = fewestSockets
 	held := make(chan asked, fewestSockets)
-	told.Known.Notices = append(told.Known.Notices, event(1, "s-0", worker(t, func(a asked) { held <- a }), "ready"))
-	told.Known.Rev = 1
+	told.Known.Events = append(told.Known.Events, event(1, "s-0", worker(t, func(a asked) { held <- a }), "ready"))
+	told.Known.Revision = 1
 	r := serve(t, told)
 	until(t, "the router is well", r.ready.Load)
 	taken := make([]*caller, r.mostClients)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -26,10 +26,10 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/binframe"
-	"hollymast/internal/board"
 	"hollymast/internal/core"
+	"hollymast/internal/discovery"
+	"hollymast/internal/eventqueue"
 	"hollymast/internal/fleet"
-	"hollymast/internal/mailbox"
 	"hollymast/internal/msgrpc"
 )
 
@@ -60,10 +60,10 @@
 	chance     *rand.PCG      // for the ids of orders; decides nothing
 
 	// Shared.
-	box      *mailbox.Box
+	box      *eventqueue.Queue
 	calls    calls
 	pulse    pulse
-	follower *board.Follower
+	follower *discovery.Client
 	ready    atomic.Bool
 	listener *net.TCPListener
 	accepted chan struct{} // closed when no connection is accepted any more
@@ -90,7 +90,7 @@
 	gone       atomic.Bool    // its client has cancelled or closed: no execution begins
 	workload   control.ClassID
 	tenant     control.TenantID
-	state      attempt.Answer
+	state      attempt.FinalAnswer
 	executions []*sending
 }
 
@@ -105,9 +105,9 @@
 // New opens the router's listener.
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
 	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.RequestID]*job{},
-		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
+		pools: map[control.ServerID]*pool{}, box: eventqueue.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
 		fleet: fleet.New(0), calls: systemCalls, accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
-	p.fleet.OneClock()
+	p.fleet.UseSourceClock()
 	p.fleet.SlowStart(told.Deployment.SlowStartDuration)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
@@ -118,15 +118,15 @@
 	if err := p.traceChoices(); err != nil {
 		return nil, err
 	}
-	var state board.State
-	if err := state.Known(told.Known); err != nil {
+	var state discovery.State
+	if err := state.Restore(told.Known); err != nil {
 		return nil, err
 	}
 	p.timer = time.NewTimer(time.Hour)
 	p.bySince, p.leaving = list.New(), map[control.ServerID]*pool{}
-	p.listed(p.epoch, state.List())
-	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
-		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
+	p.listed(p.epoch, state.Endpoints())
+	p.follower = discovery.NewClient(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
+		p.box.PostEndpoints(func(now control.Micros) { p.hearBoard(now, news) })
 	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
 	l, err := listenAt(told.Listen)
 	if err != nil {
@@ -166,7 +166,7 @@
 }
 
 // Reload takes in a new configuration: where the notice board is. The rest needs a restart.
-func (p *Platform) Reload(told *Told) { p.follower.Turn(told.Board) }
+func (p *Platform) Reload(told *Told) { p.follower.SetAddress(told.Board) }
 
 // Between two tries to read a configuration: first about as long as a file takes to be written, then less often, for one that
 // stays broken.
@@ -258,7 +258,7 @@
 	var others sync.WaitGroup
 	defer others.Wait()
 	defer stop()
-	others.Go(func() { p.follower.Follow(following) })
+	others.Go(func() { p.follower.Run(following) })
 	others.Go(func() { p.beat(following) })
 	others.Go(func() {
 		defer close(p.accepted)
@@ -279,7 +279,7 @@
 	defer told.Stop()
 	for {
 		select {
-		case <-p.box.Wake():
+		case <-p.box.Ready():
 		case <-p.timer.C:
 		case <-told.C:
 			p.tell()
@@ -303,7 +303,7 @@
 		}
 		p.pace()
 		p.catchUp()
-		batch = p.box.Take(batch)
+		batch = p.box.Drain(batch)
 		p.turn(p.now(), batch)
 		if accepted == nil && p.served() {
 			break
@@ -328,7 +328,7 @@
 // pace keeps turns apart, so that what comes close together costs one.
 func (p *Platform) pace() {
 	now := p.now()
-	if p.due > 0 && attempt.Stopped(now-p.due, p.told.grace) {
+	if p.due > 0 && attempt.Stalled(now-p.due, p.told.grace) {
 		p.count("the router stood still")
 		time.Sleep(answersRead)
 		return
@@ -343,9 +343,9 @@
 // turn's batch is taken: whenever this process was stopped, the turn's choices are no younger than their list.
 func (p *Platform) catchUp() {
 	p.listBefore = p.listAsOf
-	if attempt.MustCatchUp(p.now()-p.listAsOf, p.told.grace) {
+	if attempt.MustReadEndpoints(p.now()-p.listAsOf, p.told.grace) {
 		p.listAsOf = p.at(p.follower.CatchUp())
-		if complete := p.follower.Complete(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+		if complete := p.follower.CompleteAsOf(); !complete.IsZero() { // before the batch is taken: it holds all told by then
 			p.listWhole = p.at(complete)
 		}
 	}
@@ -356,7 +356,7 @@
 	for _, f := range heard {
 		f(now)
 	}
-	p.fleet.Complete(p.listWhole)
+	p.fleet.CompleteAsOf(p.listWhole)
 	p.core.Step(now)
 	p.prune(now)
 }
@@ -441,11 +441,11 @@
 
 // hearBoard takes in what the notice board told.
 func (p *Platform) hearBoard(now control.Micros, news fleet.Update) {
-	if news.Whole {
-		p.listed(now, news.Entries)
+	if news.Full {
+		p.listed(now, news.Endpoints)
 		return
 	}
-	changed := p.fleet.Changes(now, news.Entries)
+	changed := p.fleet.IncrementalUpdate(now, news.Endpoints)
 	p.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 	for _, l := range changed {
 		if pl := p.pools[l.Server]; pl != nil {
@@ -455,8 +455,8 @@
 }
 
 // listed takes in the complete list of servers.
-func (p *Platform) listed(now control.Micros, all []fleet.Entry) {
-	p.core.UpdateEndpoints(now, control.FullUpdate, p.fleet.Whole(now, all))
+func (p *Platform) listed(now control.Micros, all []fleet.Endpoint) {
+	p.core.UpdateEndpoints(now, control.FullUpdate, p.fleet.FullUpdate(now, all))
 	for _, pl := range p.pools {
 		p.relist(now, pl)
 	}
@@ -465,7 +465,7 @@
 // relist ends the connections to a server that takes nothing new, or lives another life.
 func (p *Platform) relist(now control.Micros, pl *pool) {
 	s := p.fleet.Get(pl.id)
-	if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
+	if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Endpoint.StartedAt) != pl.born {
 		p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
 		p.unlist(now, pl)
 		if s != nil && s.State == control.Ready { // another life: other connections
@@ -531,7 +531,7 @@
 
 // release forgets a job that has its answer and no execution out.
 func (p *Platform) release(j *job) {
-	if j.state.Over() && p.jobs[j.id] == j {
+	if j.state.Done() && p.jobs[j.id] == j {
 		delete(p.jobs, j.id)
 	}
 }
@@ -563,7 +563,7 @@
 		}
 	}
 	j.executions = append(j.executions, s)
-	j.state.Sent()
+	j.state.AttemptBegan()
 	s.ends = min(s.deadline, j.came+j.ask.Patience-onTheWay)
 	s.until = min(s.until, s.ends)
 	s.request = &binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Body: j.ask.Body}
@@ -594,7 +594,7 @@
 		return
 	}
 	s := j.executions[no]
-	if !s.state.CallOff() {
+	if !s.state.Cancel() {
 		return
 	}
 	result := control.Cancelled
@@ -603,7 +603,7 @@
 	} else {
 		p.giveUp(s)
 	}
-	p.box.Tell(func(now control.Micros) { p.ended(now, s, result, nil) })
+	p.box.Post(func(now control.Micros) { p.ended(now, s, result, nil) })
 }
 
 // Load orders copies of a job's function.
@@ -628,7 +628,7 @@
 // executed takes in the end of an execution.
 func (p *Platform) executed(now control.Micros, s *sending, o control.Outcome, a *binframe.Answer) {
 	j := s.job
-	if j.state.Ended(o.Result) == attempt.Deliver {
+	if j.state.AttemptEnded(o.Result) == attempt.Deliver {
 		o.RequestDone = true
 		p.core.HandleOutcome(now, j.id, o)
 		p.finish(j, msgrpc.Finished(j.number, a.Body))
@@ -664,7 +664,7 @@
 	p.mu.Unlock()
 	slices.Sort(parts)
 	p.log.Info().Int("clients", clients).Int("server_connections", p.linked).Int("jobs", len(p.jobs)).Int("held", p.core.Held()).
-		Uint64("list", p.follower.Last()).Int64("oldest_list_us", p.oldestList.take()).Int64("after_drain_us", p.afterDrain.take()).
+		Uint64("list", p.follower.Revision()).Int64("oldest_list_us", p.oldestList.take()).Int64("after_drain_us", p.afterDrain.take()).
 		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 
 	"hollymast/control"
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
 )
@@ -34,13 +34,13 @@
 	"specifics": {"when_absent": "load", "linger_idle": 9000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`
 
 // event is one of the board, of one server.
-func event(rev int, uid, endpoint, state string) board.Event {
-	return board.Event{Rev: uint64(rev), Pool: &board.Pool{All: rev == 1, Targets: []board.Target{
-		{UID: uid, Endpoint: endpoint, Zone: "east", Power: 4, State: state}}}}
+func event(rev int, uid, endpoint, state string) discovery.Event {
+	return discovery.Event{Revision: uint64(rev), Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
+		{UID: uid, Endpoint: endpoint, Zone: "east", Weight: 4, State: state}}}}
 }
 
 // plane is a board that tells nothing but its number.
-func plane(t *testing.T, last int, events ...board.Event) string {
+func plane(t *testing.T, last int, events ...discovery.Event) string {
 	return listen(t, func(c net.Conn) {
 		for _, e := range events {
 			text, _ := json.Marshal(e)
@@ -132,9 +132,9 @@
 		t.Fatal(err)
 	}
 	for i, address := range servers {
-		told.Known.Notices = append(told.Known.Notices, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
+		told.Known.Events = append(told.Known.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
 	}
-	told.Known.Rev = uint64(len(servers))
+	told.Known.Revision = uint64(len(servers))
 	r := serve(t, told)
 	until(t, "the router is well, as clients wait for", r.ready.Load)
 	return r
@@ -398,7 +398,7 @@
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	done := make(chan bool)
-	r.box.Tell(func(now control.Micros) {
+	r.box.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
 		s := r.sending(id, 1_000_000)
 		s.order.Server = id
@@ -410,8 +410,8 @@
 		}
 		s.link = r.newLink(now, pl)
 		s.link.out[1] = s
-		r.listed(now, []fleet.Entry{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
-		done <- s.state.Over && !s.begun()
+		r.listed(now, []fleet.Endpoint{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
+		done <- s.state.Ended && !s.begun()
 	})
 	if !<-done {
 		t.Error("it could still be written")
@@ -426,8 +426,8 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
-	r.box.Tell(func(now control.Micros) {
-		r.listed(now, []fleet.Entry{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
+	r.box.Post(func(now control.Micros) {
+		r.listed(now, []fleet.Endpoint{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
 	})
 	c.call(2, "again")
 	c.expect("2: body 2")
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -16,7 +16,7 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/binframe"
-	"hollymast/internal/terms"
+	"hollymast/internal/config"
 )
 
 // pool is the connections to one life of one server. The turn owns it.
@@ -68,7 +68,7 @@
 	writing  sync.Mutex     // held from the last check to the first byte
 	stage    atomic.Int32   // an attempt.Stage
 	whole    atomic.Bool    // its last byte was written
-	state    attempt.Sending
+	state    attempt.Progress
 	timer    *time.Timer
 }
 
@@ -119,7 +119,7 @@
 		return false, true
 	}
 	if !ok {
-		s.p.box.Tell(func(now control.Micros) {
+		s.p.box.Post(func(now control.Micros) {
 			s.withdraw()
 			s.p.ended(now, s, control.NotSent, nil)
 		})
@@ -155,7 +155,7 @@
 		l = p.link(now, s)
 	}
 	s.timer = time.AfterFunc(span(max(0, s.deadline-now)), func() {
-		p.box.Tell(func(now control.Micros) { p.late(now, s) })
+		p.box.Post(func(now control.Micros) { p.late(now, s) })
 	})
 	if l != nil {
 		s.link = l
@@ -166,7 +166,7 @@
 		delete(l.out, s.id)
 	}
 	// Never sent; told in the next turn, since this one is still asking.
-	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NotSent, nil) })
+	p.box.Post(func(now control.Micros) { p.ended(now, s, control.NotSent, nil) })
 }
 
 func (s *sending) parcel(frame []byte) parcel {
@@ -182,7 +182,7 @@
 	pl := p.pools[id]
 	if pl == nil {
 		server := p.fleet.Get(id)
-		pl = &pool{id: id, address: server.Address, born: control.Micros(server.Told.Born)}
+		pl = &pool{id: id, address: server.Address, born: control.Micros(server.Endpoint.StartedAt)}
 		p.pools[id] = pl
 	}
 	return pl
@@ -282,7 +282,7 @@
 	p := l.p
 	broke := func(result control.Result) {
 		l.close()
-		p.box.Tell(func(now control.Micros) { p.broke(now, l, result) })
+		p.box.Post(func(now control.Micros) { p.broke(now, l, result) })
 	}
 	end := control.Failed // should a fault of our own end this: what was written may have run
 	defer p.caught("reading a server")
@@ -298,7 +298,7 @@
 		return
 	}
 	l.box.up(conn)
-	p.box.Tell(func(control.Micros) { l.up = true })
+	p.box.Post(func(control.Micros) { l.up = true })
 	reader := &looking{conn: conn}
 	in := bufio.NewReaderSize(reader, 2<<10)
 	for {
@@ -314,7 +314,7 @@
 			}
 			return
 		}
-		p.box.Tell(func(now control.Micros) { p.heard(now, l, a) })
+		p.box.Post(func(now control.Micros) { p.heard(now, l, a) })
 	}
 }
 
@@ -425,7 +425,7 @@
 
 // late takes in that a sending's time is up.
 func (p *Platform) late(now control.Micros, s *sending) {
-	if s.state.Over {
+	if s.state.Ended {
 		return
 	}
 	if s.withdraw() {
@@ -439,7 +439,7 @@
 // giveUp tells the server that nobody waits. The answer may be on its way, or never come: its connection takes nothing
 // new.
 func (p *Platform) giveUp(s *sending) {
-	if s.link == nil || s.state.Over {
+	if s.link == nil || s.state.Ended {
 		return
 	}
 	if s.job != nil && p.told.Deployment.SupportsCancel {
@@ -461,7 +461,7 @@
 			p.drop(l)
 		}
 	}
-	if s.state.Off && result != control.Succeeded && !result.ProvesNotRun() {
+	if s.state.Cancelled && result != control.Succeeded && !result.ProvesNotRun() {
 		result = control.Cancelled
 	}
 	p.trace(now, s, result, a)
@@ -496,7 +496,7 @@
 		}
 		values[i] = float32(v)
 	}
-	return terms.Report(p.told.reports, values)
+	return config.Report(p.told.reports, values)
 }
 
 // reported maps what the settings name to the simulator's names, which the answers use.
@@ -536,7 +536,7 @@
 			delete(p.pools, id)
 		}
 	}
-	p.fleet.Forget(now, func(id control.ServerID) bool { return p.pools[id] != nil })
+	p.fleet.Prune(now, func(id control.ServerID) bool { return p.pools[id] != nil })
 }
 
 // unlist takes back all that is not being written to a server that takes nothing new, and its connections with the rest.
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -36,7 +36,7 @@
 	c := r.caller(t)
 	c.call(1, "once")
 	<-held
-	r.box.Tell(func(now control.Micros) { // chosen, and not written yet
+	r.box.Post(func(now control.Micros) { // chosen, and not written yet
 		j := &job{id: 2, number: 2, client: r.jobs[1].client, read: now}
 		j.client.open[2] = j
 		r.jobs[2] = j
@@ -54,7 +54,7 @@
 		c := r.caller(t)
 		c.call(1, class)
 		<-held
-		r.box.Tell(func(control.Micros) { r.answerAll() })
+		r.box.Post(func(control.Micros) { r.answerAll() })
 		c.expect(want)
 	}
 }
@@ -66,7 +66,7 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-held
-	r.box.Tell(func(now control.Micros) {
+	r.box.Post(func(now control.Micros) {
 		r.stopTold = now - killedFrom(r.told.Deployment) + holdsBefore
 		first := r.jobs[1]
 		for n, patience := range map[uint32]control.Micros{2: holdsBefore - answersBefore, 3: holdsBefore - answersBefore + 1} {
--- a/internal/platform/told.go
+++ b/internal/platform/told.go
@@ -13,8 +13,8 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/board"
-	"hollymast/internal/terms"
+	"hollymast/internal/config"
+	"hollymast/internal/discovery"
 	"hollymast/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 	MemoryMB   int
 	Sockets    int
 	Board      string
-	Known      board.Known
+	Known      discovery.History
 	Deployment control.Deployment
 
 	classes    map[string]control.ClassID
@@ -53,9 +53,9 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Board    string          `json:"board"`
-	Known    board.Known     `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Board    string            `json:"board"`
+	Known    discovery.History `json:"known"`
+	Settings json.RawMessage   `json:"settings"`
 }
 
 // Environment gives the variables that the platform sets.
@@ -99,11 +99,11 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment, err := terms.Deployment(boot)
+	deployment, err := config.Deployment(boot)
 	if err != nil {
 		return nil, err
 	}
-	deployment.MaxCommandDelay = attempt.Fresh(control.Micros(boot.Contract.StopSending))
+	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // as the start settings allow a router to hold open
 	t := &Told{Name: cmp.Or(env.Name, d.Name), Listen: cmp.Or(env.Listen, d.Listen), Cores: d.Limits.Cores,
 		MemoryMB: int(d.Limits.MemoryMB), Sockets: cmp.Or(d.Limits.Sockets, plenty), Board: d.Board, Known: d.Known,
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -18,7 +18,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 )
 
 // Deployment is what tests vary of a router's start settings.
@@ -49,10 +49,10 @@
 }
 
 // Configuration is a router's configuration file. The events are those that it knows at its start.
-func (d Deployment) Configuration(boardAddress string, events ...board.Event) string {
-	known := board.Known{Notices: events}
+func (d Deployment) Configuration(boardAddress string, events ...discovery.Event) string {
+	known := discovery.History{Events: events}
 	if len(events) > 0 {
-		known.Rev = events[len(events)-1].Rev
+		known.Revision = events[len(events)-1].Revision
 	}
 	text, err := json.Marshal(known)
 	if err != nil {
@@ -63,13 +63,13 @@
 }
 
 // Event is one event of the notice board about one server. The first is the whole list.
-func Event(rev uint64, uid, address, state string) board.Event {
-	return board.Event{Rev: rev, Pool: &board.Pool{All: rev == 1, Targets: []board.Target{
-		{UID: uid, Endpoint: address, Zone: "east", Power: 4, State: state}}}}
+func Event(rev uint64, uid, address, state string) discovery.Event {
+	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
+		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
 // Line is an event as a board writes it.
-func Line(e board.Event) []byte {
+func Line(e discovery.Event) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain values
@@ -81,7 +81,7 @@
 type Board struct {
 	listener net.Listener
 	mu       sync.Mutex
-	events   []board.Event
+	events   []discovery.Event
 	watchers map[net.Conn]struct{}
 	asked    []time.Time
 	written  int64 // bytes, to all watchers
@@ -91,7 +91,7 @@
 
 // NewBoard starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
 // counted from 1.
-func NewBoard(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...board.Event) *Board {
+func NewBoard(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Board {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -167,7 +167,7 @@
 }
 
 // Tell adds an event and writes it to all watchers. It gives the time from which the event counts as told.
-func (b *Board) Tell(e board.Event) time.Time {
+func (b *Board) Tell(e discovery.Event) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.events = append(b.events, e)
@@ -208,7 +208,7 @@
 	}
 	b.mu.Lock()
 	for _, e := range b.events {
-		if e.Rev > last {
+		if e.Revision > last {
 			b.write(c, Line(e))
 		}
 	}
@@ -233,7 +233,7 @@
 	defer b.mu.Unlock()
 	var last uint64
 	if n := len(b.events); n > 0 {
-		last = b.events[n-1].Rev
+		last = b.events[n-1].Revision
 	}
 	return b.write(c, fmt.Appendln(nil, last)) == nil
 }
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -449,8 +449,8 @@
 		t.Fatal(err)
 	}
 	list := m.List()
-	if len(list) != 2 || list[0].Address != "127.0.0.1:9001" || list[0].Power != 1.5 || list[0].Zone != "a" || list[0].Cell != "a1" ||
-		list[0].Born == 0 || list[1].State != control.Draining {
+	if len(list) != 2 || list[0].Address != "127.0.0.1:9001" || list[0].Weight != 1.5 || list[0].Zone != "a" || list[0].Cell != "a1" ||
+		list[0].StartedAt == 0 || list[1].State != control.Draining {
 		t.Errorf("got %+v", list)
 	}
 	for _, bad := range []string{"a: [", "static_resources: 7", "node: {}", strings.Replace(text, "port_value: 9001", "port_value: 0", 1)} {
@@ -458,7 +458,7 @@
 			t.Errorf("%.30q: got %v", bad, err)
 		}
 	}
-	if !slices.EqualFunc(m.List(), list, func(a, b fleet.Entry) bool { return a == b }) {
+	if !slices.EqualFunc(m.List(), list, func(a, b fleet.Endpoint) bool { return a == b }) {
 		t.Errorf("a fault changed the list: %+v", m.List())
 	}
 }
