--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -67,11 +67,11 @@
 	for i := range servers {
 		whole.Update.Targets = append(whole.Update.Targets, target(i, "ready", 0))
 	}
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, whole)
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, whole)
 	rev := uint64(1)
 	tell := func(told discovery.EndpointMessage) {
 		rev++
-		plane.Tell(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
+		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
 	}
 	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
 	client := router.waitWell()
--- a/cmd/hollymast/platform.go
+++ b/cmd/hollymast/platform.go
@@ -25,7 +25,7 @@
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
 	env := platform.Environment{Name: o.Name, Listen: o.Listen, File: o.Config}
-	told, err := platform.FirstTold(env)
+	told, err := platform.LoadConfigAtStart(env)
 	if err != nil {
 		return program.Use{Err: err}
 	}
@@ -47,7 +47,7 @@
 		stop() // a second one changes nothing: what is in hand is still owed its answer
 	}()
 	go p.ReloadOn(context.Background(), reloads, env) // to the end: a stopping router still follows the notice board
-	log.Info().Str("listen", p.Address()).Str("name", told.Name).Str("board", told.Board).Float64("cores", told.Cores).
+	log.Info().Str("listen", p.Address()).Str("name", told.Name).Str("board", told.DiscoveryAddress).Float64("cores", told.Cores).
 		Int("memory_mb", told.MemoryMB).Int("sockets", told.Sockets).Msg("serving")
 	p.Serve(ctx)
 	return nil
--- a/cmd/hollymast/shutdown_test.go
+++ b/cmd/hollymast/shutdown_test.go
@@ -166,7 +166,7 @@
 	)
 	server := platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: drainGrace, Deadline: deadline}.Configuration(plane.Address(), events...))
 	router.waitWell()
 	if silent {
--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -153,7 +153,7 @@
 			t.Parallel()
 			drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
-			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
 			client := router.waitWell()
 			ref := uint64(0)
@@ -185,10 +185,10 @@
 				callAll(others[1])
 			}
 			router.stop()
-			told := plane.Tell(platformtest.Event(3, "s-0", drains.Address(), "draining"))
+			told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 			joins := platformtest.NewModelServer(t) // further events behind it, the last one another drain
-			plane.Tell(platformtest.Event(4, "s-2", joins.Address(), "ready"))
-			plane.Tell(platformtest.Event(5, "s-2", joins.Address(), "draining"))
+			plane.Publish(platformtest.Event(4, "s-2", joins.Address(), "ready"))
+			plane.Publish(platformtest.Event(5, "s-2", joins.Address(), "draining"))
 			callAll(others[0])
 			callAll(others[2])
 			time.Sleep(c.stopped)
@@ -217,7 +217,7 @@
 			t.Parallel()
 			server := platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
-			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
 			client := router.waitWell()
 			client.Call(1, 1) // its copy stands from now on
@@ -249,9 +249,9 @@
 func TestReloadIsFollowedByADrain(t *testing.T) {
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
-	old := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+	old := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	answer := make(chan bool)
-	fresh := platformtest.NewBoard(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, events...)
+	fresh := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(old.Address(), events...))
 	client := router.waitWell()
 	const functions = 12
@@ -270,8 +270,8 @@
 		t.Fatal("the server that is to drain was never used")
 	}
 	router.stop()
-	told := old.Tell(platformtest.Event(3, "s-0", drains.Address(), "draining")) // the last that the old address tells
-	fresh.Tell(platformtest.Event(3, "s-0", drains.Address(), "draining"))
+	told := old.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining")) // the last that the old address tells
+	fresh.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 	router.configure(platformtest.Deployment{Grace: drainGrace}.Configuration(fresh.Address(), events...))
 	router.signal(syscall.SIGHUP)
 	time.Sleep(drainGrace + drainSlack)
@@ -321,7 +321,7 @@
 		fakes[i] = platformtest.NewModelServer(t)
 		events = append(events, platformtest.Event(uint64(i+1), fmt.Sprint("s-", i), fakes[i].Address(), "ready"))
 	}
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), events...))
 	client := router.waitWell()
 	served, ref := 0, uint64(0)
@@ -345,7 +345,7 @@
 	told := make([]time.Time, servers-1)
 	for i := range told {
 		callAll()
-		told[i] = plane.Tell(platformtest.Event(uint64(servers+i+1), fmt.Sprint("s-", i), fakes[i].Address(), "draining"))
+		told[i] = plane.Publish(platformtest.Event(uint64(servers+i+1), fmt.Sprint("s-", i), fakes[i].Address(), "draining"))
 		for time.Since(told[i]) < 2*grace {
 			callAll()
 		}
@@ -365,7 +365,7 @@
 	const functions = 24 // their orders go to both servers
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	deployment := platformtest.Deployment{Grace: drainGrace, OrdersOnly: true}
 	router := startRouter(t, deployment.Configuration(plane.Address(), events...))
 	client := router.waitWell()
@@ -383,11 +383,11 @@
 	}
 	callAll(1)
 	answerAll()
-	if drains.Orders() == 0 || stays.Orders() == 0 {
-		t.Fatalf("%d and %d orders: both servers should get some", drains.Orders(), stays.Orders())
+	if drains.LoadCommands() == 0 || stays.LoadCommands() == 0 {
+		t.Fatalf("%d and %d orders: both servers should get some", drains.LoadCommands(), stays.LoadCommands())
 	}
 	router.stop()
-	told := plane.Tell(platformtest.Event(3, "s-0", drains.Address(), "draining"))
+	told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 	callAll(101)
 	time.Sleep(1600 * time.Millisecond)
 	router.goOn()
@@ -404,7 +404,7 @@
 			t.Parallel()
 			server := platformtest.NewModelServer(t)
 			known := platformtest.Event(1, "s-0", server.Address(), "ready")
-			plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, known)
+			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
 			router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), known))
 			clients := []*platformtest.Client{router.waitWell(), platformtest.Dial(t, router.address)}
 			clients[0].Call(1, 1)
@@ -412,7 +412,7 @@
 				t.Fatal("not served")
 			}
 			requests := func() []platformtest.Received {
-				return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.Execution })
+				return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.AttemptCode })
 			}
 			before := len(requests())
 			router.stop()
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -19,8 +19,8 @@
 type ID uint64
 
 const (
-	ours   = 76
-	theirs = 108
+	markFromRouter = 76
+	markFromServer = 108
 
 	headLength = 16
 	checkBytes = 4
@@ -41,49 +41,49 @@
 // MaxBody is the largest answer that is taken: many times what jobs bring with them.
 const MaxBody = 1 << 20
 
-// Execution is what a server is told of one execution. What a client sent passes on as it came.
-type Execution struct {
-	ID       ID
-	Class    string
-	Function string
-	Mark     string // empty: none
-	Allow    control.Micros
-	Body     []byte
+// Attempt is what a server is told of one execution. What a client sent passes on as it came.
+type Attempt struct {
+	ID             ID
+	Class          string
+	Function       string
+	IdempotencyKey string // empty: none
+	Timeout        control.Micros
+	Body           []byte
 }
 
 // Frame gives the bytes.
-func (x *Execution) Frame() []byte {
+func (x *Attempt) Frame() []byte {
 	var fields strings.Builder
 	fields.WriteString("profile=")
 	fields.WriteString(x.Class)
 	fields.WriteString(",thing=")
 	fields.WriteString(x.Function)
 	fields.WriteString(",max=")
-	fields.WriteString(strconv.FormatInt(max(1, int64(x.Allow)/1000), 10))
-	if x.Mark != "" {
+	fields.WriteString(strconv.FormatInt(max(1, int64(x.Timeout)/1000), 10))
+	if x.IdempotencyKey != "" {
 		fields.WriteString(",replay=")
-		fields.WriteString(x.Mark)
+		fields.WriteString(x.IdempotencyKey)
 	}
 	return frame(codeRequest, x.ID, fields.String(), x.Body)
 }
 
 // Size is how many bytes Frame gives, at most.
-func (x *Execution) Size() int {
+func (x *Attempt) Size() int {
 	const namesAndFigure = 64 // the fields' names, and the longest time in milliseconds
-	return headLength + namesAndFigure + len(x.Class) + len(x.Function) + len(x.Mark) + len(x.Body) + checkBytes
+	return headLength + namesAndFigure + len(x.Class) + len(x.Function) + len(x.IdempotencyKey) + len(x.Body) + checkBytes
 }
 
-// GiveUp tells a server that an execution is not waited for.
-func GiveUp(id ID) []byte { return frame(codeGiveUp, id, "", nil) }
+// CancelFrame tells a server that an execution is not waited for.
+func CancelFrame(id ID) []byte { return frame(codeGiveUp, id, "", nil) }
 
-// Order tells a server to hold copies of a function; with none it only asks.
-func Order(id ID, function control.FunctionID, copies int) []byte {
+// LoadFrame tells a server to hold copies of a function; with none it only asks.
+func LoadFrame(id ID, function control.FunctionID, copies int) []byte {
 	return frame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), copies), nil)
 }
 
 func frame(code byte, id ID, fields string, body []byte) []byte {
 	b := make([]byte, 0, headLength+len(fields)+len(body)+checkBytes)
-	b = append(b, ours, code)
+	b = append(b, markFromRouter, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, uint64(id))
@@ -93,13 +93,13 @@
 
 // Answer is a server's answer to an execution or an order.
 type Answer struct {
-	ID      ID
-	Result  control.Result
-	Found   control.CacheStatus
-	Copies  int                // that stand, of an order; -1: not told
-	Reports map[string]float64 // by the simulator's names; nil: none
-	Body    []byte
-	Probe   bool // answers no execution and no order
+	ID          ID
+	Result      control.Result
+	CacheStatus control.CacheStatus
+	Replicas    int                // that stand, of an order; -1: not told
+	Reports     map[string]float64 // by the simulator's names; nil: none
+	Body        []byte
+	Probe       bool // answers no execution and no order
 }
 
 // Errors of an answer that can't be believed: nothing after it on its connection can be either.
@@ -110,7 +110,7 @@
 	ErrCheck  = errors.New("an answer's check does not match")
 )
 
-var found = map[string]control.CacheStatus{
+var cacheStatuses = map[string]control.CacheStatus{
 	"resident": control.CacheHit, "booted": control.CacheMiss, "rode": control.CacheLoading, "boot_error": control.CacheLoadFailed,
 }
 
@@ -124,13 +124,13 @@
 	if _, err := io.ReadFull(r, head[:1]); err != nil {
 		return nil, err
 	}
-	if head[0] != theirs {
+	if head[0] != markFromServer {
 		return nil, ErrMark
 	}
 	if _, err := io.ReadFull(r, head[1:]); err != nil {
 		return nil, err
 	}
-	a := &Answer{ID: ID(binary.BigEndian.Uint64(head[8:])), Copies: -1}
+	a := &Answer{ID: ID(binary.BigEndian.Uint64(head[8:])), Replicas: -1}
 	switch head[1] {
 	case codeOK:
 		a.Result = control.Succeeded
@@ -186,10 +186,10 @@
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
 		case "remark":
-			a.Found = found[value]
+			a.CacheStatus = cacheStatuses[value]
 		case "pods":
 			if n, err := strconv.Atoi(value); err == nil && n >= 0 {
-				a.Copies = n
+				a.Replicas = n
 			}
 		case "report":
 			a.Reports = map[string]float64{}
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -14,7 +14,7 @@
 
 // answer builds a server's frame.
 func answer(code byte, id uint64, fields string, body []byte) []byte {
-	b := []byte{theirs, code}
+	b := []byte{markFromServer, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
@@ -27,10 +27,10 @@
 }
 
 func TestExecutionFrame(t *testing.T) {
-	x := Execution{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", Mark: "aa", Allow: 1_500_999, Body: []byte("xyz")}
+	x := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
 	want := answer(codeRequest, uint64(x.ID), fields, x.Body)
-	want[0] = ours
+	want[0] = markFromRouter
 	if got := x.Frame(); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
@@ -38,8 +38,8 @@
 
 func TestOrderFrame(t *testing.T) {
 	want := answer(codeLoad, 5, "thing=00000000000000ff,pods=2", nil)
-	want[0] = ours
-	if got := Order(5, 0xff, 2); !bytes.Equal(got, want) {
+	want[0] = markFromRouter
+	if got := LoadFrame(5, 0xff, 2); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -48,7 +48,7 @@
 	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded, codeFull: control.Overloaded,
 		codeError: control.Failed, codeOver: control.NotSent} {
 		a, err := read1(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
-		if err != nil || a.ID != 7 || a.Result != want || a.Found != control.CacheLoading || a.Copies != 3 || a.Reports["util"] != 0.61 ||
+		if err != nil || a.ID != 7 || a.Result != want || a.CacheStatus != control.CacheLoading || a.Replicas != 3 || a.Reports["util"] != 0.61 ||
 			string(a.Body) != "x" {
 			t.Errorf("code %d: %+v, %v", code, a, err)
 		}
@@ -119,7 +119,7 @@
 
 // What a frame may take is known before it is encoded.
 func TestSizeBoundsTheFrame(t *testing.T) {
-	x := Execution{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", Mark: "aa", Allow: 1 << 62, Body: []byte("xyz")}
+	x := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62, Body: []byte("xyz")}
 	if got := len(x.Frame()); got > x.Size() {
 		t.Errorf("%d bytes, at most %d told", got, x.Size())
 	}
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -34,46 +34,46 @@
 
 // The kinds.
 const (
-	Call   Kind = iota // a job
-	Forget             // its client stopped waiting for the answer to Number
-	IsWell             // does this router take jobs?
+	Call        Kind = iota // a job
+	Cancel                  // its client stopped waiting for the answer to Number
+	HealthCheck             // does this router take jobs?
 )
 
 // Message is one whole message of a client.
 type Message struct {
-	Kind   Kind
-	Number uint32
-	Ask    Ask // of a Call
+	Kind    Kind
+	Number  uint32
+	Request Request // of a Call
 }
 
-// Ask is what a client tells of a job. Names are as sent: whether they are known is for the caller to say.
-type Ask struct {
-	ID       control.RequestID
-	Class    string
-	Tenant   string
-	Function string // 16 hex digits
-	Patience control.Micros
-	Repeat   bool
-	Mark     string // of a fingerprinted job; empty: none
-	Lanes    int    // 0: not told
-	MemoryMB float64
-	LoadTime control.Micros
-	Work     control.Micros
-	Body     []byte
+// Request is what a client tells of a job. Names are as sent: whether they are known is for the caller to say.
+type Request struct {
+	ID             control.RequestID
+	Class          string
+	Tenant         string
+	Function       string // 16 hex digits
+	Timeout        control.Micros
+	IsRetry        bool
+	IdempotencyKey string // of a fingerprinted job; empty: none
+	Lanes          int    // 0: not told
+	MemoryMB       float64
+	LoadTime       control.Micros
+	Work           control.Micros
+	Body           []byte
 }
 
 // FunctionID gives the function as the module knows it.
-func (a *Ask) FunctionID() control.FunctionID {
+func (a *Request) FunctionID() control.FunctionID {
 	id, _ := strconv.ParseUint(a.Function, 16, 64)
 	return control.FunctionID(id)
 }
 
 // Fault is a message that can't be taken. After a broken one nothing that follows on its connection can be read.
 type Fault struct {
-	Number uint32
-	Told   bool // Number is known: the fault can be answered
-	Broken bool
-	Text   string
+	Number     uint32
+	Answerable bool // Number is known: the fault can be answered
+	Unreadable bool
+	Text       string
 }
 
 func (f *Fault) Error() string { return f.Text }
@@ -102,7 +102,7 @@
 // Read reads one message. Errors are a *Fault or those of the stream.
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
-	f := &Fault{Broken: true}
+	f := &Fault{Unreadable: true}
 	fault := func(text string, err error) (*Message, error) {
 		var stream *broken
 		if errors.As(err, &stream) {
@@ -124,7 +124,7 @@
 		if m.Number, err = r.number(math.MaxUint32); err != nil {
 			return fault("no number", err)
 		}
-		f.Told = true
+		f.Answerable = true
 		method, err := r.text(maxName)
 		if err != nil {
 			return fault("no method", err)
@@ -138,7 +138,7 @@
 			return fault(err.Error(), err)
 		}
 		if method == "isWell" && params == 1 {
-			m.Kind = IsWell
+			m.Kind = HealthCheck
 			return m, nil
 		}
 		if params != 2 {
@@ -148,11 +148,11 @@
 		if err != nil {
 			return fault("body: "+err.Error(), err)
 		}
-		if text := m.Ask.read(method, fields); text != "" {
-			f.Broken = false // read whole: what follows can be read
+		if text := m.Request.read(method, fields); text != "" {
+			f.Unreadable = false // read whole: what follows can be read
 			return fault(text, nil)
 		}
-		m.Ask.Body = body
+		m.Request.Body = body
 		return m, nil
 	case kind == 2 && n == 3:
 		method, err := r.text(maxName)
@@ -165,7 +165,7 @@
 		if m.Number, err = r.number(math.MaxUint32); err != nil {
 			return fault("notice without its number", err)
 		}
-		m.Kind = Forget
+		m.Kind = Cancel
 		return m, nil
 	}
 	return fault("unknown kind of message", nil)
@@ -269,8 +269,8 @@
 }
 
 // read checks the fields of a call; the text tells what is wrong with them.
-func (a *Ask) read(method string, fields map[string]string) (fault string) {
-	a.Class, a.Tenant, a.Function, a.Mark = method, fields["project"], fields["lookup"], fields["replay"]
+func (a *Request) read(method string, fields map[string]string) (fault string) {
+	a.Class, a.Tenant, a.Function, a.IdempotencyKey = method, fields["project"], fields["lookup"], fields["replay"]
 	id, err := strconv.ParseUint(fields["ref"], 16, 64)
 	if err != nil || !isHex(fields["ref"], 16) {
 		return "ref: 16 hex digits expected"
@@ -279,19 +279,19 @@
 	if !isHex(a.Function, 16) {
 		return "lookup: 16 hex digits expected"
 	}
-	if a.Mark != "" && !isHex(a.Mark, 32) {
+	if a.IdempotencyKey != "" && !isHex(a.IdempotencyKey, 32) {
 		return "replay: 32 hex digits expected"
 	}
 	allow, ok := figure(fields["allow"])
 	if !ok || allow <= 0 {
 		return "allow: a time in milliseconds expected"
 	}
-	a.Patience = control.Micros(allow * 1000)
+	a.Timeout = control.Micros(allow * 1000)
 	switch dup, told := fields["dup"]; {
 	case told && dup != "1":
 		return "dup: 1 expected"
 	case told:
-		a.Repeat = true
+		a.IsRetry = true
 	}
 	for pair := range strings.SplitSeq(fields["spec"], ";") {
 		if pair == "" {
@@ -337,13 +337,13 @@
 
 // The words of an answer that is no result.
 const (
-	pushedBack = "TryLater"
-	failed     = "Aborted"
-	invalid    = "Invalid"
+	wireRejected = "TryLater"
+	wireFailed   = "Aborted"
+	wireInvalid  = "Invalid"
 )
 
-// Finished is the answer with a server's body.
-func Finished(number uint32, body []byte) []byte {
+// Success is the answer with a server's body.
+func Success(number uint32, body []byte) []byte {
 	return answer(number, len(body), func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
@@ -352,22 +352,22 @@
 	})
 }
 
-// PushedBack tells that trying again is harmless, and after how long.
-func PushedBack(number uint32, stayAway control.Micros) []byte {
+// Rejection tells that trying again is harmless, and after how long.
+func Rejection(number uint32, stayAway control.Micros) []byte {
 	if stayAway <= 0 {
-		return refusal(number, pushedBack)
+		return refusal(number, wireRejected)
 	}
-	return refusal(number, pushedBack, "cooldown", strconv.FormatInt((int64(stayAway)+999)/1000, 10))
+	return refusal(number, wireRejected, "cooldown", strconv.FormatInt((int64(stayAway)+999)/1000, 10))
 }
 
-// Killed promises nothing.
-func Killed(number uint32) []byte { return refusal(number, failed) }
+// Failure promises nothing.
+func Failure(number uint32) []byte { return refusal(number, wireFailed) }
 
 // Invalid tells what is wrong with a message.
-func Invalid(number uint32, why string) []byte { return refusal(number, invalid, "why", why) }
+func Invalid(number uint32, why string) []byte { return refusal(number, wireInvalid, "why", why) }
 
-// Well answers whether jobs are taken.
-func Well(number uint32, well bool) []byte {
+// Health answers whether jobs are taken.
+func Health(number uint32, well bool) []byte {
 	return answer(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -38,9 +38,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := m.Ask
-	if m.Kind != Call || m.Number != 7 || a.ID != 0x9b1f03aa5c7e2d41 || a.Class != "infer" || a.Tenant != "acme" || !a.Repeat ||
-		a.Patience != 1_500_000 || a.Lanes != 2 || a.MemoryMB != 512 || a.FunctionID() != 0x7f3a9c21e0b4d655 ||
+	a := m.Request
+	if m.Kind != Call || m.Number != 7 || a.ID != 0x9b1f03aa5c7e2d41 || a.Class != "infer" || a.Tenant != "acme" || !a.IsRetry ||
+		a.Timeout != 1_500_000 || a.Lanes != 2 || a.MemoryMB != 512 || a.FunctionID() != 0x7f3a9c21e0b4d655 ||
 		!bytes.Equal(a.Body, []byte{0, 255}) {
 		t.Errorf("got %+v", m)
 	}
@@ -49,10 +49,10 @@
 func TestReadsForgetAndIsWell(t *testing.T) {
 	in := append(pack(t, 2, "forget", []any{7}), pack(t, 0, 8, "isWell", []any{map[string]string{}})...)
 	r := NewReader(bytes.NewReader(in))
-	if m, err := r.Read(); err != nil || m.Kind != Forget || m.Number != 7 {
+	if m, err := r.Read(); err != nil || m.Kind != Cancel || m.Number != 7 {
 		t.Errorf("got %+v, %v", m, err)
 	}
-	if m, err := r.Read(); err != nil || m.Kind != IsWell || m.Number != 8 {
+	if m, err := r.Read(); err != nil || m.Kind != HealthCheck || m.Number != 8 {
 		t.Errorf("got %+v, %v", m, err)
 	}
 }
@@ -64,7 +64,7 @@
 		r := NewReader(bytes.NewReader(append(call(t, fields(name, value)), call(t, fields())...)))
 		_, err := r.Read()
 		var f *Fault
-		if !errors.As(err, &f) || f.Broken || !f.Told || f.Number != 7 || !strings.HasPrefix(f.Text, name) {
+		if !errors.As(err, &f) || f.Unreadable || !f.Answerable || f.Number != 7 || !strings.HasPrefix(f.Text, name) {
 			t.Errorf("%s: got %v", name, err)
 		}
 		if _, err := r.Read(); err != nil {
@@ -99,7 +99,7 @@
 	} {
 		_, err := NewReader(io.MultiReader(bytes.NewReader(in), neverRead{t, name})).Read()
 		var f *Fault
-		if !errors.As(err, &f) || !f.Broken {
+		if !errors.As(err, &f) || !f.Unreadable {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -130,10 +130,10 @@
 		data []byte
 		want []any
 	}{
-		"finished":    {Finished(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
-		"pushed back": {PushedBack(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
-		"killed":      {Killed(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
-		"well":        {Well(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
+		"finished":    {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
+		"pushed back": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
+		"killed":      {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
+		"well":        {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
 	} {
 		if want := pack(t, c.want...); !bytes.Equal(c.data, want) {
 			t.Errorf("%s: got % x, want % x", name, c.data, want)
@@ -151,10 +151,10 @@
 		for {
 			m, err := r.Read()
 			var fault *Fault
-			if err != nil && (!errors.As(err, &fault) || fault.Broken) {
+			if err != nil && (!errors.As(err, &fault) || fault.Unreadable) {
 				return
 			}
-			if m != nil && m.Kind == Call && (len(m.Ask.Body) > MaxBody || m.Ask.Patience <= 0) {
+			if m != nil && m.Kind == Call && (len(m.Request.Body) > MaxBody || m.Request.Timeout <= 0) {
 				t.Errorf("taken: %+v", m)
 			}
 		}
--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -17,8 +17,8 @@
 
 // replaced is a router whose connections to servers are never dialled.
 type replaced struct {
-	*Platform
-	sent []*sending
+	*Router
+	sent []*serverCall
 }
 
 // open has an order on its way to a server, written or not, on a connection that stands or not yet.
@@ -26,19 +26,19 @@
 	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
 		return
 	}
-	s := r.sending(to, 1_000_000)
-	s.order.Server, s.id = to, r.orderID()
+	s := r.newCall(to, 1_000_000)
+	s.load.Server, s.id = to, r.loadCommandID()
 	pl := r.poolOf(to)
-	for _, l := range pl.links {
-		if !l.retired && len(l.out) == 0 {
-			s.link = l
+	for _, l := range pl.conns {
+		if !l.retired && len(l.open) == 0 {
+			s.conn = l
 		}
 	}
-	if s.link == nil {
-		s.link = r.newLink(now, pl)
-		s.link.up = written || up
+	if s.conn == nil {
+		s.conn = r.newServerConn(now, pl)
+		s.conn.up = written || up
 	}
-	s.link.out[s.id] = s
+	s.conn.open[s.id] = s
 	s.timer = r.timer // which ends nothing here
 	if written {
 		s.stage.Store(int32(attempt.Writing))
@@ -47,14 +47,14 @@
 }
 
 // pooled tells of each connection, in the order of servers and of their beginnings, but for those that are dropped.
-func (r *replaced) pooled(dropped func(l *link) bool) []string {
+func (r *replaced) pooled(dropped func(l *serverConn) bool) []string {
 	var out []string
 	for id, pl := range r.pools {
-		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.born), 0
-		for _, l := range pl.links {
+		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.startedAt), 0
+		for _, l := range pl.conns {
 			if !dropped(l) {
 				stay++
-				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.out), l.up, l.retired, l.since)
+				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.open), l.up, l.retired, l.idleSince)
 			}
 		}
 		if s := r.fleet.Get(id); stay > 0 || s != nil && s.State != control.Removed {
@@ -67,48 +67,50 @@
 
 // all tells of the connections and of what was sent.
 func (r *replaced) all() []string {
-	out := r.pooled(func(*link) bool { return false })
+	out := r.pooled(func(*serverConn) bool { return false })
 	for _, s := range r.sent {
-		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.reached(), s.state.Ended))
+		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.currentStage(), s.progress.Ended))
 	}
-	return append(out, fmt.Sprint(r.linked, " connections, ", len(r.pools), " pools"))
+	return append(out, fmt.Sprint(r.serverConnCount, " connections, ", len(r.pools), " pools"))
 }
 
 // checkPrune prunes, and looks whether just those connections and pools are dropped that a look at all of them finds.
 func (r *replaced) checkPrune(t *rapid.T, now control.Micros) {
-	r.pruned = 0
-	want := r.pooled(func(l *link) bool { return len(l.out) == 0 && l.up && now-l.since > r.told.idle*3/4 })
+	r.prunedAt = 0
+	want := r.pooled(func(l *serverConn) bool {
+		return len(l.open) == 0 && l.up && now-l.idleSince > r.config.serverIdleTimeout*3/4
+	})
 	r.prune(now)
-	if got := r.pooled(func(*link) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
+	if got := r.pooled(func(*serverConn) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
 		t.Fatalf("pruned to\n%q, a look at all gives\n%q", got, want)
 	}
 }
 
 // idle gives the connections that stand and have nothing open, the one idle longest first.
-func (r *replaced) idle() []*link {
-	var out []*link
+func (r *replaced) idle() []*serverConn {
+	var out []*serverConn
 	for _, pl := range r.pools {
-		for _, l := range pl.links {
-			if len(l.out) == 0 && l.up {
+		for _, l := range pl.conns {
+			if len(l.open) == 0 && l.up {
 				out = append(out, l)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b *link) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(out, func(a, b *serverConn) int { return cmp.Compare(a.idleSince, b.idleSince) })
 	return out
 }
 
 // checkFreeLink makes room, and looks whether one of those idle longest is dropped.
 func (r *replaced) checkFreeLink(t *rapid.T) {
 	before := r.idle()
-	freed := r.freeLink()
+	freed := r.closeIdleServerConn()
 	after := r.idle()
 	if freed != (len(before) > 0) || freed && len(after) != len(before)-1 {
 		t.Fatalf("freed %t, %d of %d are left", freed, len(after), len(before))
 	}
 	for _, l := range before {
-		if !slices.Contains(after, l) && l.since != before[0].since {
-			t.Fatalf("dropped one idle since %d, not %d", l.since, before[0].since)
+		if !slices.Contains(after, l) && l.idleSince != before[0].idleSince {
+			t.Fatalf("dropped one idle since %d, not %d", l.idleSince, before[0].idleSince)
 		}
 	}
 }
@@ -117,7 +119,7 @@
 // prunes what a look at all of them would.
 func TestChangesEndTheSameConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		both := []*replaced{{Platform: idlePlatform(t)}, {Platform: idlePlatform(t)}}
+		both := []*replaced{{Router: idlePlatform(t)}, {Router: idlePlatform(t)}}
 		now := max(both[0].now(), both[1].now())
 		var s discovery.State
 		for rev := range uint64(rapid.IntRange(1, 40).Draw(rt, "steps")) {
@@ -131,8 +133,8 @@
 			if _, err := s.Apply(e); err != nil {
 				rt.Fatal(err)
 			}
-			both[0].hearBoard(now, s.Update())
-			both[1].listed(now, s.Endpoints())
+			both[0].handleUpdate(now, s.Update())
+			both[1].handleEndpoints(now, s.Endpoints())
 			for range rapid.IntRange(0, 3).Draw(rt, "sent") {
 				to, written, up := fleet.ID(uid()), rapid.Bool().Draw(rt, "written"), rapid.Bool().Draw(rt, "up")
 				for _, r := range both {
@@ -142,7 +144,7 @@
 			if n := len(both[0].sent); n > 0 && rapid.Bool().Draw(rt, "answered") {
 				i := rapid.IntRange(0, n-1).Draw(rt, "which")
 				for _, r := range both {
-					r.ended(now, r.sent[i], control.Succeeded, nil)
+					r.callEnded(now, r.sent[i], control.Succeeded, nil)
 				}
 			}
 			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -12,9 +12,9 @@
 )
 
 // steppedPlatform is a router that read its wall clock at the start while that was ahead by a step. The test takes its turns.
-func steppedPlatform(t *testing.T, step time.Duration) *Platform {
+func steppedPlatform(t *testing.T, step time.Duration) *Router {
 	t.Helper()
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,17 +28,17 @@
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
 		p := steppedPlatform(t, step)
 		complete := p.now()
-		p.listWhole = complete
-		p.turn(complete, nil)
+		p.endpointsCompleteAsOf = complete
+		p.step(complete, nil)
 		time.Sleep(2 * time.Millisecond)
 		started := time.Now()
 		time.Sleep(2 * time.Millisecond)
 		now := p.now()
-		p.turn(now, []func(control.Micros){func(control.Micros) {
-			p.listed(now, []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
+		p.step(now, []func(control.Micros){func(control.Micros) {
+			p.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
 		}})
 		if s := p.fleet.Get(fleet.ID("s-0")); !s.InSlowStart(complete, 1) || s.InSlowStart(now, 0) {
-			t.Errorf("step %v: the server began more than %v ago, or after now", step, span(now-complete))
+			t.Errorf("step %v: the server began more than %v ago, or after now", step, duration(now-complete))
 		}
 	}
 }
@@ -49,8 +49,8 @@
 	const cold, part = 2 * time.Second, time.Second
 	old, fresh := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := platformtest.Event(1, "s-0", old.Address(), "ready")
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, known)
-	told, err := parseTold([]byte(platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), known)), Environment{})
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
+	told, err := parseConfig([]byte(platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), known)), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,13 +79,13 @@
 	start := time.Now()
 	next := platformtest.Event(2, "s-1", fresh.Address(), "ready")
 	next.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
-	plane.Tell(next)
-	plane.Tell(platformtest.Event(3, "s-0", old.Address(), "gone"))
+	plane.Publish(next)
+	plane.Publish(platformtest.Event(3, "s-0", old.Address(), "gone"))
 	time.Sleep(cold + part + part/2)
 	for _, f := range fresh.Received() {
 		age := f.At.Sub(start)
 		switch {
-		case f.Code != platformtest.Execution:
+		case f.Code != platformtest.AttemptCode:
 		case age < part:
 			first++
 		case age > cold+part/2 && age < cold+part+part/2:
--- a/internal/platform/told.go
+++ b/internal/platform/config.go
@@ -18,29 +18,29 @@
 	"hollymast/internal/wire"
 )
 
-// Told is what the platform tells a router.
-type Told struct {
-	Name       string
-	Listen     string
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	Board      string
-	Known      discovery.History
-	Deployment control.Deployment
+// Config is what the platform tells a router.
+type Config struct {
+	Name             string
+	Listen           string
+	Seed             uint64
+	Cores            float64
+	MemoryMB         int
+	Sockets          int
+	DiscoveryAddress string
+	History          discovery.History
+	Deployment       control.Deployment
 
-	classes    map[string]control.ClassID
-	tenants    map[string]control.TenantID
-	zone       string
-	reports    []string // fields of a load report
-	connecting control.Micros
-	idle       control.Micros
-	streams    int
-	grace      control.Micros
-	orderLimit control.Micros
-	memoryMB   float64          // of the largest server; 0: not told
-	wall       func() time.Time // the wall clock; read once, at the start
+	classes           map[string]control.ClassID
+	tenants           map[string]control.TenantID
+	zone              string
+	reportFields      []string // fields of a load report
+	connectTimeout    control.Micros
+	serverIdleTimeout control.Micros
+	maxStreams        int
+	grace             control.Micros
+	loadTimeout       control.Micros
+	memoryMB          float64          // of the largest server; 0: not told
+	wall              func() time.Time // the wall clock; read once, at the start
 }
 
 // document is the configuration file.
@@ -63,34 +63,34 @@
 	Name, Listen, File string
 }
 
-// ReadTold reads the configuration; what the environment tells beside it comes before.
-func ReadTold(env Environment) (*Told, error) {
+// LoadConfig reads the configuration; what the environment tells beside it comes before.
+func LoadConfig(env Environment) (*Config, error) {
 	text, err := os.ReadFile(env.File)
 	if err != nil {
 		return nil, err
 	}
-	t, err := parseTold(text, env)
+	t, err := parseConfig(text, env)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", env.File, err)
 	}
 	return t, nil
 }
 
-// halfWritten is for how long a file that ends too early may be on its way at the start.
-const halfWritten = time.Second
+// configWriteTime is for how long a file that ends too early may be on its way at the start.
+const configWriteTime = time.Second
 
-// FirstTold is ReadTold at a start, which may meet the file while it is written.
-func FirstTold(env Environment) (*Told, error) {
-	for begin := time.Now(); ; time.Sleep(rereadFirst) {
-		t, err := ReadTold(env)
+// LoadConfigAtStart is ReadTold at a start, which may meet the file while it is written.
+func LoadConfigAtStart(env Environment) (*Config, error) {
+	for begin := time.Now(); ; time.Sleep(firstReread) {
+		t, err := LoadConfig(env)
 		var syntax *json.SyntaxError
-		if !errors.As(err, &syntax) || time.Since(begin) > halfWritten {
+		if !errors.As(err, &syntax) || time.Since(begin) > configWriteTime {
 			return t, err
 		}
 	}
 }
 
-func parseTold(text []byte, env Environment) (*Told, error) {
+func parseConfig(text []byte, env Environment) (*Config, error) {
 	var d document
 	if err := json.Unmarshal(text, &d); err != nil {
 		return nil, err
@@ -105,24 +105,24 @@
 	}
 	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // as the start settings allow a router to hold open
-	t := &Told{Name: cmp.Or(env.Name, d.Name), Listen: cmp.Or(env.Listen, d.Listen), Cores: d.Limits.Cores,
-		MemoryMB: int(d.Limits.MemoryMB), Sockets: cmp.Or(d.Limits.Sockets, plenty), Board: d.Board, Known: d.Known,
+	t := &Config{Name: cmp.Or(env.Name, d.Name), Listen: cmp.Or(env.Listen, d.Listen), Cores: d.Limits.Cores,
+		MemoryMB: int(d.Limits.MemoryMB), Sockets: cmp.Or(d.Limits.Sockets, plenty), DiscoveryAddress: d.Board, History: d.Known,
 		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
-		reports: boot.Report.Fields, connecting: control.Micros(boot.Ceilings.ConnectTimeout),
-		idle: control.Micros(boot.Ceilings.ConnIdle), streams: boot.Ceilings.StreamsPerConn,
-		grace: control.Micros(boot.Contract.StopSending), orderLimit: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
+		reportFields: boot.Report.Fields, connectTimeout: control.Micros(boot.Ceilings.ConnectTimeout),
+		serverIdleTimeout: control.Micros(boot.Ceilings.ConnIdle), maxStreams: boot.Ceilings.StreamsPerConn,
+		grace: control.Micros(boot.Contract.StopSending), loadTimeout: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
 	if t.Seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %q: %w", d.Seed, err)
 	}
-	for _, a := range []string{t.Listen, t.Board} {
+	for _, a := range []string{t.Listen, t.DiscoveryAddress} {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return nil, err
 		}
 	}
-	if t.Cores < 0 || math.IsNaN(t.Cores) || t.MemoryMB < 0 || t.Sockets < fewestSockets {
-		return nil, fmt.Errorf("limits %+v: at least %d sockets, nothing negative", d.Limits, fewestSockets)
+	if t.Cores < 0 || math.IsNaN(t.Cores) || t.MemoryMB < 0 || t.Sockets < minSockets {
+		return nil, fmt.Errorf("limits %+v: at least %d sockets, nothing negative", d.Limits, minSockets)
 	}
-	if t.connecting <= 0 || t.idle <= 0 || t.streams <= 0 || t.grace <= 0 || t.orderLimit <= 0 {
+	if t.connectTimeout <= 0 || t.serverIdleTimeout <= 0 || t.maxStreams <= 0 || t.grace <= 0 || t.loadTimeout <= 0 {
 		return nil, errors.New("settings: connect_timeout, conn_idle, streams_per_conn, stop_sending_within and " +
 			"order_limit must be above 0")
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -38,12 +38,12 @@
 }
 
 // crossing gives a client of a router, and the router's end of its connection.
-func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *client) {
+func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *clientConn) {
 	t.Helper()
 	ours, theirs := platformtest.Connected(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
-	return c, r.welcome(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
+	return c, r.serveClient(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
 }
 
 // once gives a hook that acts at the first read whose deadline has passed: what it sends is here when the router looks again.
@@ -68,7 +68,7 @@
 	c, ours := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
-	ours.end(0)
+	ours.closeWhenIdle(0)
 	c.expect("2: body 2")
 	c.expect("closed")
 }
@@ -88,7 +88,7 @@
 func TestJobCrossesTheKill(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	c := r.caller(t)
-	r.box.Post(func(now control.Micros) { r.stopTold = now - takesOn })
+	r.queue.Post(func(now control.Micros) { r.stopRequestedAt = now - acceptRequestsFor })
 	c.call(1, "again")
 	c.expect("1: TryLater")
 }
@@ -100,7 +100,7 @@
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	a := <-held
-	ours.end(0)
+	ours.closeWhenIdle(0)
 	good(a)
 	c.expect("1: body 1")
 	c.expect("closed")
@@ -113,7 +113,7 @@
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	a := <-held
-	ours.cut()
+	ours.abort()
 	r.makeRoom(1)
 	good(a)
 	c.expect("1: body 1")
@@ -129,7 +129,7 @@
 
 // Connections that wait at the listener when it closes have been made: they are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
-	told, err := parseTold([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 		}
 		conns = append(conns, c)
 	}
-	p.listenNoMore()
+	p.stopListening()
 	p.accept(p.listener)
 	p.mu.Lock()
 	accepted := len(p.clients)
@@ -157,7 +157,7 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	until(t, "all connections end", p.served)
+	until(t, "all connections end", p.allClientsClosed)
 }
 
 // After what can't be read its sender reads why, and then the end: no reset overtakes the answer.
@@ -184,17 +184,17 @@
 			c := r.caller(t)
 			c.call(1, "again")
 			<-held
-			chosen, turn := make(chan *sending), make(chan bool)
-			r.box.Post(func(control.Micros) { // a further execution is chosen, and the turn lasts
-				s := r.sending(fleet.ID("s-0"), 1_000_000)
-				s.job, s.no, s.timer = r.jobs[1], 1, time.NewTimer(time.Hour)
-				s.job.state.AttemptBegan()
+			chosen, turn := make(chan *serverCall), make(chan bool)
+			r.queue.Post(func(control.Micros) { // a further execution is chosen, and the turn lasts
+				s := r.newCall(fleet.ID("s-0"), 1_000_000)
+				s.request, s.attempt, s.timer = r.requests[1], 1, time.NewTimer(time.Hour)
+				s.request.answer.AttemptBegan()
 				chosen <- s
 				<-turn
 			})
 			s := <-chosen
 			leave(c)
-			until(t, "the client's leaving is read", s.job.gone.Load)
+			until(t, "the client's leaving is read", s.request.abandoned.Load)
 			if s.begun() {
 				t.Error("it was written")
 			}
@@ -209,10 +209,10 @@
 	c := start(t, plane(t, 1), worker(t, func(a asked) { held <- a })).caller(t)
 	c.call(1, "again")
 	<-held
-	for n := 2; n < 2+freeFaults; n++ {
+	for n := 2; n < 2+tolerableFaults; n++ {
 		c.call(n, "unheard")
 	}
-	for n := 2; n < 2+freeFaults; n++ {
+	for n := 2; n < 2+tolerableFaults; n++ {
 		c.expect(fmt.Sprintf("%d: Invalid", n))
 	}
 	c.expect("1: Aborted")
@@ -238,8 +238,8 @@
 
 // Of two free connections the one that stands is used: the other may come up late, or never.
 func TestStandingConnectionComesFirst(t *testing.T) {
-	stands, comes := &link{up: true, since: 1}, &link{since: 2}
-	if !stands.before(comes) || comes.before(stands) {
+	stands, comes := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
+	if !stands.preferredOver(comes) || comes.preferredOver(stands) {
 		t.Error("the one that is still dialled comes first")
 	}
 }
@@ -269,7 +269,7 @@
 	until(t, "a dial finds no descriptor", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.counts["out of descriptors for a server"] > 0
+		return r.anomalies["out of descriptors for a server"] > 0
 	})
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
@@ -277,7 +277,7 @@
 	c.expect("2: body 2")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.counts["no connection to a server"]; n > 0 {
+	if n := r.anomalies["no connection to a server"]; n > 0 {
 		t.Errorf("%d held against the server", n)
 	}
 }
@@ -304,7 +304,7 @@
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseTold([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -339,12 +339,12 @@
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadTold(env); err == nil {
+	if _, err := LoadConfig(env); err == nil {
 		t.Fatal("half of it was taken")
 	}
-	written := time.AfterFunc(halfWritten/4, func() { os.WriteFile(env.File, []byte(whole), 0o600) })
+	written := time.AfterFunc(configWriteTime/4, func() { os.WriteFile(env.File, []byte(whole), 0o600) })
 	defer written.Stop()
-	if _, err := FirstTold(env); err != nil {
+	if _, err := LoadConfigAtStart(env); err != nil {
 		t.Error(err)
 	}
 }
@@ -353,13 +353,13 @@
 func TestWellCrossesAStandingTurn(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	turn := make(chan bool)
-	r.box.Post(func(control.Micros) { <-turn })
+	r.queue.Post(func(control.Micros) { <-turn })
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	until(t, "the question is read", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
-		return ours.owed == 1
+		return ours.healthChecks == 1
 	})
 	c.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.conn.Read(make([]byte, 1)); n > 0 || !os.IsTimeout(err) {
@@ -386,7 +386,7 @@
 	until(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.counts["fault of our own reading a client"] == 1
+		return r.anomalies["fault of our own reading a client"] == 1
 	})
 }
 
@@ -396,15 +396,15 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
-	r.box.Post(func(now control.Micros) {
-		l := r.newLink(now, r.pools[fleet.ID("s-0")])
+	r.queue.Post(func(now control.Micros) {
+		l := r.newServerConn(now, r.pools[fleet.ID("s-0")])
 		l.dialing = nil // the dial panics
-		go l.serve()
+		go l.run()
 	})
 	until(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.counts["fault of our own reading a server"] == 1
+		return r.anomalies["fault of our own reading a server"] == 1
 	})
 	c.call(2, "again")
 	c.expect("2: body 2")
@@ -415,10 +415,10 @@
 	r := start(t, plane(t, 1), worker(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.conn.Close()
-	<-ours.gone
+	<-ours.closed
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.counts["client closed: no whole message in time"]; n > 0 {
+	if n := r.anomalies["client closed: no whole message in time"]; n > 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
@@ -429,7 +429,7 @@
 	r := start(t, plane(t, 1), worker(t, func(a asked) { got <- a; good(a) }))
 	const stood = 300
 	turn := make(chan bool)
-	r.box.Post(func(control.Micros) { <-turn })
+	r.queue.Post(func(control.Micros) { <-turn })
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	until(t, "the job is read", func() bool { idle, _ := ours.idle(); return !idle })
@@ -467,25 +467,25 @@
 		}
 		defer c.Close()
 	}
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told.connecting = 60_000_000
+	told.connectTimeout = 60_000_000
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.listener.Close()
-	l := p.newLink(0, &pool{address: address})
+	l := p.newServerConn(0, &serverPool{address: address})
 	ended := make(chan struct{})
-	go func() { l.serve(); close(ended) }()
-	p.drop(l)
+	go func() { l.run(); close(ended) }()
+	p.removeConn(l)
 	select {
 	case <-ended:
 	case <-time.After(4 * time.Second):
 		t.Error("the dial goes on")
-		l.undial()
+		l.cancelDial()
 		<-ended
 	}
 }
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -24,23 +24,23 @@
 )
 
 // startChanged starts a router whose settings and calls a test changes first.
-func startChanged(t *testing.T, change func(p *Platform), servers ...string) *running {
+func startChanged(t *testing.T, change func(p *Router), servers ...string) *running {
 	t.Helper()
 	r, _ := startLogged(t, change, servers...)
 	return r
 }
 
 // startLogged is startChanged with the router's log.
-func startLogged(t *testing.T, change func(p *Platform), servers ...string) (*running, *log) {
+func startLogged(t *testing.T, change func(p *Router), servers ...string) (*running, *log) {
 	t.Helper()
-	told, err := parseTold([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, address := range servers {
-		told.Known.Events = append(told.Known.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
+		told.History.Events = append(told.History.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
 	}
-	told.Known.Revision = uint64(len(servers))
+	told.History.Revision = uint64(len(servers))
 	noted := &log{}
 	p, err := New(told, zerolog.New(noted))
 	if err != nil {
@@ -74,9 +74,9 @@
 }
 
 // longGrace has a list be fresh for so long that its age withdraws nothing.
-func longGrace(p *Platform) {
-	p.told.grace, p.told.connecting = 4_000_000, 1_000_000
-	p.told.Deployment.MaxCommandDelay = attempt.EndpointsFresh(p.told.grace)
+func longGrace(p *Router) {
+	p.config.grace, p.config.connectTimeout = 4_000_000, 1_000_000
+	p.config.Deployment.MaxCommandDelay = attempt.EndpointsFresh(p.config.grace)
 }
 
 // fill writes to a connection until it takes no more, also of what the kernel moves on a little later, and tells how much that was.
@@ -175,7 +175,7 @@
 		t.Run(name, func(t *testing.T) {
 			var begun time.Time
 			server := narrow(t, func(c net.Conn) { way.serve(c, func() { checkDeadlines(t, c, &begun) }) })
-			r := startChanged(t, func(p *Platform) {
+			r := startChanged(t, func(p *Router) {
 				longGrace(p)
 				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
 					conn, err := systemCalls.dial(ctx, address)
@@ -205,7 +205,7 @@
 		if err != nil {
 			return
 		}
-		if f.Code != platformtest.Execution {
+		if f.Code != platformtest.AttemptCode {
 			continue
 		}
 		var most int
@@ -225,20 +225,20 @@
 	p := idlePlatform(t)
 	longGrace(p)
 	conn, theirs := platformtest.Connected(t)
-	p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
-	p.catchUp()
-	p.turn(p.now(), nil)
+	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
+	p.readEndpoints()
+	p.step(p.now(), nil)
 	const left = 20 * time.Millisecond
-	s := p.sending(fleet.ID("s-0"), control.Micros(left.Microseconds()))
-	s.request = &binframe.Execution{ID: 1}
-	s.link = p.newLink(p.now(), p.poolOf(s.to)) // it dials
-	defer s.link.undial()
-	s.link.box.post(s.parcel(nil))
+	s := p.newCall(fleet.ID("s-0"), control.Micros(left.Microseconds()))
+	s.message = &binframe.Attempt{ID: 1}
+	s.conn = p.newServerConn(p.now(), p.poolOf(s.to)) // it dials
+	defer s.conn.cancelDial()
+	s.conn.writes.post(s.queued(nil))
 	time.Sleep(left + time.Millisecond)
-	s.link.box.up(conn)
-	until(t, "it is withdrawn", s.link.box.drained)
+	s.conn.writes.connected(conn)
+	until(t, "it is withdrawn", s.conn.writes.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.reached() == attempt.Writing {
-		t.Errorf("%d bytes were written, stage %d", n, s.reached())
+	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.currentStage() == attempt.Writing {
+		t.Errorf("%d bytes were written, stage %d", n, s.currentStage())
 	}
 }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -19,7 +19,7 @@
 )
 
 // begun tells whether its first byte would be written now.
-func (s *sending) begun() bool {
+func (s *serverCall) begun() bool {
 	wrote := false
 	s.begin(func() bool {
 		wrote = true
@@ -31,7 +31,7 @@
 // startTold starts a router with a configuration, which need not be well at once.
 func startTold(t *testing.T, configuration string) *running {
 	t.Helper()
-	told, err := parseTold([]byte(configuration), Environment{})
+	told, err := parseConfig([]byte(configuration), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,16 +39,16 @@
 }
 
 // idlePlatform is a router that takes no turns of its own: the test takes them.
-func idlePlatform(t *testing.T) *Platform {
+func idlePlatform(t *testing.T) *Router {
 	t.Helper()
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return newPlatform(t, told)
 }
 
-func newPlatform(t *testing.T, told *Told) *Platform {
+func newPlatform(t *testing.T, told *Config) *Router {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
@@ -62,21 +62,21 @@
 // an order to load is written then.
 func TestStopBetweenListAndTurn(t *testing.T) {
 	p := idlePlatform(t)
-	p.catchUp()
-	p.turn(p.now(), nil)
-	fresh, order := p.sending(1, 1_000_000), p.sending(1, p.told.orderLimit)
+	p.readEndpoints()
+	p.step(p.now(), nil)
+	fresh, order := p.newCall(1, 1_000_000), p.newCall(1, p.config.loadTimeout)
 	if !fresh.begun() {
 		t.Error("not written from a list that is up to date")
 	}
-	time.Sleep(span(attempt.EndpointsFresh(p.told.grace)) + time.Millisecond) // the process is stopped
-	var late *sending
-	p.turn(p.now(), []func(control.Micros){func(control.Micros) { late = p.sending(1, 1_000_000) }})
+	time.Sleep(duration(attempt.EndpointsFresh(p.config.grace)) + time.Millisecond) // the process is stopped
+	var late *serverCall
+	p.step(p.now(), []func(control.Micros){func(control.Micros) { late = p.newCall(1, 1_000_000) }})
 	if late.begun() || order.begun() {
 		t.Error("written from a list that is older than half the grace")
 	}
-	p.catchUp()
-	p.turn(p.now(), nil)
-	if again := p.sending(1, 1_000_000); !again.begun() {
+	p.readEndpoints()
+	p.step(p.now(), nil)
+	if again := p.newCall(1, 1_000_000); !again.begun() {
 		t.Error("not written after the next look")
 	}
 }
@@ -85,11 +85,11 @@
 func TestNothingIsSentToAServerThatIsNotReady(t *testing.T) {
 	p := idlePlatform(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
-		p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
-		s := p.sending(fleet.ID("s-0"), 1_000_000)
-		s.order.Server = s.to
+		p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
+		s := p.newCall(fleet.ID("s-0"), 1_000_000)
+		s.load.Server = s.to
 		p.dispatch(p.now(), s, []byte("frame"))
-		if s.link != nil || len(p.pools) > 0 {
+		if s.conn != nil || len(p.pools) > 0 {
 			t.Errorf("state %d: it has a connection", state)
 		}
 		s.timer.Stop()
@@ -102,19 +102,19 @@
 	var line bytes.Buffer
 	p.log = zerolog.New(&line)
 	ready := []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}}
-	p.listed(p.now(), ready)
-	p.catchUp()
-	p.turn(p.now(), nil)
-	s := p.sending(fleet.ID("s-0"), 1_000_000)
-	s.link = &link{pool: p.poolOf(s.to)}
+	p.handleEndpoints(p.now(), ready)
+	p.readEndpoints()
+	p.step(p.now(), nil)
+	s := p.newCall(fleet.ID("s-0"), 1_000_000)
+	s.conn = &serverConn{pool: p.poolOf(s.to)}
 	time.Sleep(2 * time.Millisecond)
 	if !s.begun() {
 		t.Fatal("not written")
 	}
 	ready[0].State = control.Draining
-	p.listBefore = p.listAsOf
-	p.listed(p.now(), ready)
-	p.tell()
+	p.endpointsAsOfBefore = p.endpointsAsOf
+	p.handleEndpoints(p.now(), ready)
+	p.logState()
 	var told struct {
 		List  int64 `json:"oldest_list_us"`
 		Drain int64 `json:"after_drain_us"`
@@ -122,7 +122,7 @@
 	if err := json.Unmarshal(line.Bytes(), &told); err != nil {
 		t.Fatal(err)
 	}
-	grace := int64(p.told.grace)
+	grace := int64(p.config.grace)
 	if told.List < 2000 || told.List > grace/2 || told.Drain < 2000 || told.Drain > grace/2 {
 		t.Errorf("%s", &line)
 	}
@@ -132,15 +132,15 @@
 // older list.
 func TestListComesFirstInItsTurn(t *testing.T) {
 	server := platformtest.NewModelServer(t)
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
 	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
 	until(t, "the router is well", r.ready.Load)
 	state := make(chan control.ServerState, 1)
-	r.box.Post(func(control.Micros) { // a turn that lasts
-		r.box.Post(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
-		plane.Tell(platformtest.Event(2, "s-0", server.Address(), "draining"))
-		for r.follower.Revision() < 2 {
-			r.follower.CatchUp()
+	r.queue.Post(func(control.Micros) { // a turn that lasts
+		r.queue.Post(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
+		plane.Publish(platformtest.Event(2, "s-0", server.Address(), "draining"))
+		for r.discovery.Revision() < 2 {
+			r.discovery.CatchUp()
 		}
 	})
 	if got := <-state; got != control.Draining {
@@ -154,9 +154,9 @@
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready")}
 	answer := make(chan bool)
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
-	told := plane.Tell(platformtest.Event(2, "s-0", drains.Address(), "draining"))
-	plane.Tell(platformtest.Event(3, "s-1", stays.Address(), "ready"))
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
+	told := plane.Publish(platformtest.Event(2, "s-0", drains.Address(), "draining"))
+	plane.Publish(platformtest.Event(3, "s-1", stays.Address(), "ready"))
 	r := startTold(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
 	until(t, "the board is asked", func() bool { return len(plane.Asked()) == 1 })
 	client := platformtest.Dial(t, r.Address())
@@ -207,8 +207,8 @@
 	raw.Control(fill)
 	asked, allowed := make(chan bool, 1000), make(chan bool, 1)
 	allowed <- true
-	o := &outbox{conn: ours, most: 1 << 20}
-	o.post(parcel{data: []byte("late"), begin: func(write func() bool) bool {
+	o := &writeQueue{conn: ours, maxQueuedBytes: 1 << 20}
+	o.post(queuedFrame{data: []byte("late"), begin: func(write func() bool) bool {
 		asked <- true
 		select {
 		case <-allowed: // the first time
@@ -232,7 +232,7 @@
 		t.Fatalf("read %d: %v", n, err)
 	}
 	ask()
-	until(t, "it is withdrawn", o.drained)
+	until(t, "it is withdrawn", o.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 8)); n > 0 {
 		t.Errorf("%d bytes were written after the grace", n)
@@ -244,7 +244,7 @@
 func TestUIDReturnsElsewhere(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", nil, events...)
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
 	until(t, "the router is well", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
@@ -253,10 +253,10 @@
 		t.Fatal("the first life was not used")
 	}
 	before := len(first.Received())
-	plane.Tell(platformtest.Event(2, "s-0", "", "gone"))
-	plane.Tell(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
-	plane.Tell(platformtest.Event(4, "s-1", first.Address(), "draining"))
-	until(t, "the list is read", func() bool { return r.follower.Revision() == 4 })
+	plane.Publish(platformtest.Event(2, "s-0", "", "gone"))
+	plane.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
+	plane.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
+	until(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
 	for ref := range uint64(10) {
 		client.Call(ref+2, ref+1)
 	}
@@ -274,7 +274,7 @@
 func TestStartWithASilentBoard(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	silent := make(chan bool)
-	plane := platformtest.NewBoard(t, "127.0.0.1:0", func(net.Conn, int) bool { <-silent; return true })
+	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-silent; return true })
 	t.Cleanup(func() { close(silent) })
 	server := platformtest.NewModelServer(t)
 	r := startTold(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
@@ -290,18 +290,18 @@
 func TestDialCrossesTheGrace(t *testing.T) {
 	p := idlePlatform(t)
 	conn, theirs := platformtest.Connected(t)
-	p.listed(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
-	p.catchUp()
-	p.turn(p.now(), nil)
-	s := p.sending(fleet.ID("s-0"), 1_000_000)
-	s.link = p.newLink(p.now(), p.poolOf(s.to)) // it dials: nothing is up yet
-	defer s.link.undial()
-	s.link.box.post(parcel{data: []byte("late"), begin: s.begin, wrote: s.wrote})
-	time.Sleep(span(attempt.EndpointsFresh(p.told.grace)) + time.Millisecond)
-	s.link.box.up(conn)
-	until(t, "it is withdrawn", s.link.box.drained)
+	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
+	p.readEndpoints()
+	p.step(p.now(), nil)
+	s := p.newCall(fleet.ID("s-0"), 1_000_000)
+	s.conn = p.newServerConn(p.now(), p.poolOf(s.to)) // it dials: nothing is up yet
+	defer s.conn.cancelDial()
+	s.conn.writes.post(queuedFrame{data: []byte("late"), begin: s.begin, wrote: s.wrote})
+	time.Sleep(duration(attempt.EndpointsFresh(p.config.grace)) + time.Millisecond)
+	s.conn.writes.connected(conn)
+	until(t, "it is withdrawn", s.conn.writes.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.reached() == attempt.Writing {
-		t.Errorf("%d bytes were written, stage %d", n, s.reached())
+	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.currentStage() == attempt.Writing {
+		t.Errorf("%d bytes were written, stage %d", n, s.currentStage())
 	}
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -48,7 +48,7 @@
 		} {
 			p := idlePlatform(t)
 			ours, theirs := platformtest.Connected(t)
-			idle := p.welcome(ours)
+			idle := p.serveClient(ours)
 			begin := time.Now()
 			l := &failing{TCPListener: p.listener}
 			l.fault = func() error {
@@ -66,7 +66,7 @@
 			until(t, "the connection is accepted", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return p.turned == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.accepts(conn)
+				return p.rejectedConns == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.accepts(conn)
 			})
 			if _, ends := idle.idle(); ends != (errno == syscall.EMFILE) {
 				t.Errorf("%v %s: an idle client is ended: %t", errno, name, ends)
@@ -78,13 +78,13 @@
 			theirs.Close()
 			l.Close()
 			all.Wait()
-			until(t, "all connections end", p.served)
+			until(t, "all connections end", p.allClientsClosed)
 		}
 	}
 }
 
 // accepts tells whether the router has the other end of a connection.
-func (p *Platform) accepts(conn net.Conn) bool {
+func (p *Router) accepts(conn net.Conn) bool {
 	for c := range p.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
 			return true
@@ -99,7 +99,7 @@
 		p := idlePlatform(t)
 		begin := time.Now()
 		l := &failing{TCPListener: p.listener, fault: func() error {
-			if errno != 0 && time.Since(begin) < 5*lastLook {
+			if errno != 0 && time.Since(begin) < 5*lastReadTime {
 				return errno
 			}
 			return nil
@@ -109,9 +109,9 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		p.listenNoMore()
+		p.stopListening()
 		if errno == 0 {
-			time.Sleep(2 * lastLook)
+			time.Sleep(2 * lastReadTime)
 		}
 		p.accept(l)
 		p.mu.Lock()
@@ -120,7 +120,7 @@
 		}
 		p.mu.Unlock()
 		conn.Close()
-		until(t, "all connections end", p.served)
+		until(t, "all connections end", p.allClientsClosed)
 	}
 }
 
@@ -130,12 +130,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	told.Listen = before.Addr().String()
-	gone := time.AfterFunc(5*rereadFirst, func() { before.Close() })
+	gone := time.AfterFunc(5*firstReread, func() { before.Close() })
 	defer gone.Stop()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
@@ -205,7 +205,7 @@
 			theirs.SetDeadline(time.Now().Add(5 * time.Second))
 			b := &broken{TCPConn: ours.(*net.TCPConn)}
 			c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
-			client := r.welcome(b)
+			client := r.serveClient(b)
 			nth++
 			c.call(1, "once", "ref", fmt.Sprintf("%016x", 1000+nth))
 			var a asked
@@ -219,11 +219,11 @@
 			client.mu.Unlock()
 			broke(b, c)
 			select {
-			case <-client.gone:
+			case <-client.closed:
 			case <-time.After(5 * time.Second):
 				t.Fatalf("%v %s: the connection does not end", errno, name)
 			}
-			if !j.gone.Load() {
+			if !j.abandoned.Load() {
 				t.Errorf("%v %s: its request goes on", errno, name)
 			}
 			good(a)
@@ -239,7 +239,7 @@
 	ours, theirs := platformtest.Connected(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
-	r.welcome(&broken{TCPConn: ours.(*net.TCPConn), short: true})
+	r.serveClient(&broken{TCPConn: ours.(*net.TCPConn), short: true})
 	for n := 1; n <= 3; n++ {
 		c.call(n, "again")
 	}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -14,7 +14,7 @@
 
 // sized is a router that knows many servers and takes no turns of its own.
 type sized struct {
-	*Platform
+	*Router
 	board discovery.State
 	rev   uint64
 	at    control.Micros
@@ -23,7 +23,7 @@
 // ofSize gives one that has a pool of connections to each server.
 func ofSize(b testing.TB, servers int) *sized {
 	b.Helper()
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		p.timer.Stop()
 		p.listener.Close()
 	})
-	f := &sized{Platform: p, at: p.now()}
+	f := &sized{Router: p, at: p.now()}
 	whole := &discovery.UpdateMessage{All: true}
 	for i := range servers {
 		whole.Targets = append(whole.Targets, f.target(i, "ready"))
@@ -59,9 +59,9 @@
 	if err != nil || meaning != discovery.EndpointsChanged {
 		b.Fatal(meaning, err)
 	}
-	f.hearBoard(f.at, f.board.Update())
+	f.handleUpdate(f.at, f.board.Update())
 	f.at += 1000
-	f.turn(f.at, nil)
+	f.step(f.at, nil)
 }
 
 // states are what a server goes through in the benchmark, over and over.
@@ -103,7 +103,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f.at += 500_000
-				f.turn(f.at, nil)
+				f.step(f.at, nil)
 			}
 		})
 	}
--- a/internal/platform/harm_test.go
+++ b/internal/platform/harm_test.go
@@ -47,7 +47,7 @@
 					case <-end:
 						conn.Close()
 						return
-					case <-time.After(lastLook / 2):
+					case <-time.After(lastReadTime / 2):
 					}
 				}
 				if name != "reads nothing" {
@@ -89,7 +89,7 @@
 		"noise":          func(c *caller) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
 		"a number twice": func(c *caller) { c.call(open, "again", "ref", "00000000000000ff") },
 		"wrong messages": func(c *caller) {
-			for n := range freeFaults + 1 {
+			for n := range tolerableFaults + 1 {
 				c.call(100+n, "unheard")
 			}
 		},
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -31,7 +31,7 @@
 
 // A request that was here whole when its connection's time was up is read to its end, however long the processor is elsewhere.
 func TestLongRequestIsReadAfterItsDeadline(t *testing.T) {
-	for name, end := range map[string]func(c *client){"idle": func(c *client) { c.end(0) }, "room": func(c *client) { c.cut() }} {
+	for name, end := range map[string]func(c *clientConn){"idle": func(c *clientConn) { c.closeWhenIdle(0) }, "room": func(c *clientConn) { c.abort() }} {
 		r := start(t, plane(t, 1), worker(t, good))
 		var sent atomic.Bool
 		c, ours := r.crossing(t, func(c *caller, n int, err error) {
@@ -39,7 +39,7 @@
 				c.conn.Write(whole(c.t, 2, "again"))
 			}
 			if sent.Load() {
-				time.Sleep(2 * lastLook)
+				time.Sleep(2 * lastReadTime)
 			}
 		})
 		c.send(0, 1, "isWell", []any{map[string]string{}})
@@ -66,17 +66,17 @@
 
 // Where there is no room for a connection its requests are pushed back; they are many at once.
 func TestNoRoomPushesBack(t *testing.T) {
-	told, err := parseTold([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told.Sockets = fewestSockets
-	held := make(chan asked, fewestSockets)
-	told.Known.Events = append(told.Known.Events, event(1, "s-0", worker(t, func(a asked) { held <- a }), "ready"))
-	told.Known.Revision = 1
+	told.Sockets = minSockets
+	held := make(chan asked, minSockets)
+	told.History.Events = append(told.History.Events, event(1, "s-0", worker(t, func(a asked) { held <- a }), "ready"))
+	told.History.Revision = 1
 	r := serve(t, told)
 	until(t, "the router is well", r.ready.Load)
-	taken := make([]*caller, r.mostClients)
+	taken := make([]*caller, r.maxClients)
 	for i := range taken {
 		taken[i] = r.caller(t)
 		taken[i].call(1, "again", "ref", fmt.Sprintf("%016x", i+1), "allow", "3500")
@@ -91,7 +91,7 @@
 			return len(r.clients) > i
 		})
 	}
-	more := make([]*caller, 3*awayMost)
+	more := make([]*caller, 3*maxRejecting)
 	for i := range more {
 		more[i] = r.caller(t)
 		more[i].conn.Write(append(whole(t, 1, "again"), whole(t, 2, "again")...))
@@ -114,7 +114,7 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	<-held
-	r.told.classes["planted"] = 99 // there is no such row
+	r.config.classes["planted"] = 99 // there is no such row
 	c.conn.Write(append(whole(t, 2, "planted"), whole(t, 3, "again")...))
 	c.expect("1: Aborted")
 	c.expect("2: Aborted")
@@ -122,7 +122,7 @@
 	c.expect("closed")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.counts["fault of our own reading a client"] != 1 {
+	if r.anomalies["fault of our own reading a client"] != 1 {
 		t.Error("it is not told")
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -102,7 +102,7 @@
 			if err != nil {
 				return
 			}
-			if f.Code == platformtest.Execution {
+			if f.Code == platformtest.AttemptCode {
 				do(asked{f.Code, f.ID, f.Fields, f.Body, int(nth.Add(1)), c})
 			}
 		}
@@ -114,7 +114,7 @@
 
 // running is a router that serves until the test ends.
 type running struct {
-	*Platform
+	*Router
 	stop  context.CancelFunc
 	ended chan struct{}
 }
@@ -127,21 +127,21 @@
 
 func start(t *testing.T, boardAt string, servers ...string) *running {
 	t.Helper()
-	told, err := parseTold([]byte(configuration(boardAt)), Environment{})
+	told, err := parseConfig([]byte(configuration(boardAt)), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, address := range servers {
-		told.Known.Events = append(told.Known.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
+		told.History.Events = append(told.History.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
 	}
-	told.Known.Revision = uint64(len(servers))
+	told.History.Revision = uint64(len(servers))
 	r := serve(t, told)
 	until(t, "the router is well, as clients wait for", r.ready.Load)
 	return r
 }
 
 // serve has a router serve until the test ends.
-func serve(t *testing.T, told *Told) *running {
+func serve(t *testing.T, told *Config) *running {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
@@ -341,16 +341,16 @@
 
 func TestMoreThan32OpenArePushedBack(t *testing.T) {
 	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
-	for n := 1; n <= perClient+1; n++ {
+	for n := 1; n <= maxOpenPerClient+1; n++ {
 		c.call(n, "again")
 	}
-	c.expect(fmt.Sprintf("%d: TryLater", perClient+1))
+	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
 
 // Connections over the bound make room among those that have said nothing.
 func TestManySilentConnectionsLeaveRoom(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
-	for range r.mostClients + 20 {
+	for range r.maxClients + 20 {
 		r.caller(t)
 	}
 	c := r.caller(t)
@@ -362,7 +362,7 @@
 func TestManyHalfMessagesLeaveRoom(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	usual := r.caller(t)
-	for n := 1; n <= r.mostClients; n++ {
+	for n := 1; n <= r.maxClients; n++ {
 		half, stays := r.caller(t), r.caller(t)
 		half.conn.Write([]byte{0x94, 0, 1})
 		stays.send(0, 1, "isWell", []any{map[string]string{}})
@@ -371,8 +371,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.counts["client refused: too many connections"] > 0 {
-		t.Errorf("%v", r.counts)
+	if r.anomalies["client refused: too many connections"] > 0 {
+		t.Errorf("%v", r.anomalies)
 	}
 }
 
@@ -398,20 +398,20 @@
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	r := start(t, plane(t, 1), worker(t, good))
 	done := make(chan bool)
-	r.box.Post(func(now control.Micros) {
+	r.queue.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
-		s := r.sending(id, 1_000_000)
-		s.order.Server = id
+		s := r.newCall(id, 1_000_000)
+		s.load.Server = id
 		s.id, s.timer = 1, time.NewTimer(time.Hour)
 		pl := r.pools[id]
 		if pl == nil {
-			pl = &pool{id: id, address: "elsewhere"}
+			pl = &serverPool{id: id, address: "elsewhere"}
 			r.pools[id] = pl
 		}
-		s.link = r.newLink(now, pl)
-		s.link.out[1] = s
-		r.listed(now, []fleet.Endpoint{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
-		done <- s.state.Ended && !s.begun()
+		s.conn = r.newServerConn(now, pl)
+		s.conn.open[1] = s
+		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
+		done <- s.progress.Ended && !s.begun()
 	})
 	if !<-done {
 		t.Error("it could still be written")
@@ -426,8 +426,8 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
-	r.box.Post(func(now control.Micros) {
-		r.listed(now, []fleet.Endpoint{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
+	r.queue.Post(func(now control.Micros) {
+		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
 	})
 	c.call(2, "again")
 	c.expect("2: body 2")
@@ -444,8 +444,8 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-first
-	fresh := *r.told
-	fresh.Board = plane(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
+	fresh := *r.config
+	fresh.DiscoveryAddress = plane(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
 	r.Reload(&fresh)
 	for n := 2; ; n++ {
 		c.call(n, "again", "allow", "200")
@@ -475,7 +475,7 @@
 	late.call(2, "again", "ref", "00000000000000ff")
 	good(<-first)
 	late.expect("2: body 2")
-	time.Sleep(servesOn)
+	time.Sleep(acceptConnectionsFor)
 	good(a)
 	c.expect("1: body 1")
 	select {
@@ -489,12 +489,12 @@
 func TestOutboxIsBounded(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
-	o := &outbox{conn: ours, most: 1000}
+	o := &writeQueue{conn: ours, maxQueuedBytes: 1000}
 	taken := 0
-	for o.post(parcel{data: make([]byte, 100)}) {
+	for o.post(queuedFrame{data: make([]byte, 100)}) {
 		taken++
 	}
-	if taken > 11 || !o.drained() {
+	if taken > 11 || !o.empty() {
 		t.Errorf("%d taken", taken)
 	}
 }
@@ -510,7 +510,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadTold(Environment{File: file}); err == nil {
+		if _, err := LoadConfig(Environment{File: file}); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -519,30 +519,30 @@
 // How late an order may be written is told to the module, which counts its ration by it: as late as any choice is written.
 func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
 	p := idlePlatform(t)
-	if s := p.sending(1, p.told.orderLimit); s.until-s.chosen != p.told.Deployment.MaxCommandDelay || p.told.Deployment.MaxCommandDelay == 0 {
-		t.Errorf("written %d late, told %d", s.until-s.chosen, p.told.Deployment.MaxCommandDelay)
+	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
+		t.Errorf("written %d late, told %d", s.writeBefore-s.chosenAt, p.config.Deployment.MaxCommandDelay)
 	}
 }
 
 // Where descriptors are few, room is not made among as many connections as usual clients hold: a third of all.
 func TestFewDescriptorsLeaveUsualClients(t *testing.T) {
-	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told.Sockets = fewestSockets
+	told.Sockets = minSockets
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.listener.Close()
 	for range told.Sockets / 3 {
-		if !p.room() {
+		if !p.hasRoom() {
 			t.Fatal("no room")
 		}
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		p.clients[&client{p: p, conn: ours}] = struct{}{}
+		p.clients[&clientConn{p: p, conn: ours}] = struct{}{}
 	}
 	for c := range p.clients {
 		if _, ends := c.idle(); ends {
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -81,7 +81,7 @@
 				}
 				good(a)
 			})
-			r, noted := startLogged(t, func(p *Platform) {
+			r, noted := startLogged(t, func(p *Router) {
 				longGrace(p)
 				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
 					if fails("dial") {
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -19,302 +19,302 @@
 	"hollymast/internal/config"
 )
 
-// pool is the connections to one life of one server. The turn owns it.
-type pool struct {
-	id      control.ServerID
-	address string
-	born    control.Micros
-	links   []*link
+// serverPool is the connections to one life of one server. The turn owns it.
+type serverPool struct {
+	id        control.ServerID
+	address   string
+	startedAt control.Micros
+	conns     []*serverConn
 	// firstByte is when the latest first byte of an execution or order was written, the router's time.
-	firstByte maximum
+	firstByte peak
 }
 
-// link is one connection to a server. The turn owns all but the outbox; a goroutine dials and reads.
-type link struct {
-	p       *Platform
-	pool    *pool
-	box     outbox
-	out     map[binframe.ID]*sending
-	up      bool // the turn has heard that it stands
-	retired bool // takes nothing new: an answer is owed that nobody waits for, or its server is gone
-	since   control.Micros
-	place   *list.Element // in the router's order by since
-	partial atomic.Bool   // a write ended within a frame
-	dialing context.Context
-	undial  context.CancelFunc
+// serverConn is one connection to a server. The turn owns all but the outbox; a goroutine dials and reads.
+type serverConn struct {
+	p            *Router
+	pool         *serverPool
+	writes       writeQueue
+	open         map[binframe.ID]*serverCall
+	up           bool // the turn has heard that it stands
+	retired      bool // takes nothing new: an answer is owed that nobody waits for, or its server is gone
+	idleSince    control.Micros
+	idlePlace    *list.Element // in the router's order by since
+	partialWrite atomic.Bool   // a write ended within a frame
+	dialing      context.Context
+	cancelDial   context.CancelFunc
 }
 
 // close ends a connection at once, one that is still dialled too: its descriptor is another's then.
-func (l *link) close() {
-	l.box.close()
-	l.undial()
-}
-
-// sending is one execution or order on its way.
-type sending struct {
-	p        *Platform
-	job      *job // nil of an order
-	no       control.AttemptID
-	order    control.LoadCommand
-	id       binframe.ID
-	to       control.ServerID
-	request  *binframe.Execution // nil of an order
-	link     *link               // nil: none was had
-	chosen   control.Micros
-	listAsOf control.Micros // as of when the list was complete that it was chosen from
-	until    control.Micros // it is not written later
-	deadline control.Micros // it is not waited for longer
-	ends     control.Micros // its client's time is up: the server is told no more
-	writing  sync.Mutex     // held from the last check to the first byte
-	stage    atomic.Int32   // an attempt.Stage
-	whole    atomic.Bool    // its last byte was written
-	state    attempt.Progress
-	timer    *time.Timer
-}
-
-func (s *sending) withdraw() bool {
+func (l *serverConn) close() {
+	l.writes.close()
+	l.cancelDial()
+}
+
+// serverCall is one execution or order on its way.
+type serverCall struct {
+	p              *Router
+	request        *request // nil of an order
+	attempt        control.AttemptID
+	load           control.LoadCommand
+	id             binframe.ID
+	to             control.ServerID
+	message        *binframe.Attempt // nil of an order
+	conn           *serverConn       // nil: none was had
+	chosenAt       control.Micros
+	endpointsAsOf  control.Micros // as of when the list was complete that it was chosen from
+	writeBefore    control.Micros // it is not written later
+	deadline       control.Micros // it is not waited for longer
+	clientDeadline control.Micros // its client's time is up: the server is told no more
+	writing        sync.Mutex     // held from the last check to the first byte
+	stage          atomic.Int32   // an attempt.Stage
+	writtenWhole   atomic.Bool    // its last byte was written
+	progress       attempt.Progress
+	timer          *time.Timer
+}
+
+func (s *serverCall) withdraw() bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	return attempt.Step(&s.stage, attempt.Stage.Withdraw)
 }
 
 // address is where it goes; empty where no connection was to be had.
-func (s *sending) address() string {
-	if s.link == nil {
+func (s *serverCall) address() string {
+	if s.conn == nil {
 		return ""
 	}
-	return s.link.pool.address
+	return s.conn.pool.address
 }
 
-// reached is how far it has got.
-func (s *sending) reached() attempt.Stage {
+// currentStage is how far it has got.
+func (s *serverCall) currentStage() attempt.Stage {
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	return attempt.Stage(s.stage.Load())
 }
 
-// readerMost is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
+// readerWait is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
 // Guards against a client that sends without a pause, and holds up what others sent on the same connection to a server.
-const readerMost = 100 * time.Millisecond
+const readerWait = 100 * time.Millisecond
 
 // begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
 // turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
 // leaves: its reader comes first.
-func (s *sending) begin(write func() bool) (withdrawn bool) {
+func (s *serverCall) begin(write func() bool) (withdrawn bool) {
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerMost); !unread {
+		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerWait); !unread {
 			return withdrawn
 		}
 	}
 }
 
-func (s *sending) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
+func (s *serverCall) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	unread = s.job != nil && !s.job.client.seen.level(time.Now())
-	wanted := s.job == nil || !s.job.gone.Load()
+	unread = s.request != nil && !s.request.client.tracked.upToDate(time.Now())
+	wanted := s.request == nil || !s.request.abandoned.Load()
 	now := s.p.now()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.until)
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.writeBefore)
 	if ok && unread {
 		return false, true
 	}
 	if !ok {
-		s.p.box.Post(func(now control.Micros) {
+		s.p.queue.Post(func(now control.Micros) {
 			s.withdraw()
-			s.p.ended(now, s, control.NotSent, nil)
+			s.p.callEnded(now, s, control.NotSent, nil)
 		})
 		return true, false
 	}
 	if write() {
 		s.stage.Store(int32(next))
-		s.p.oldestList.note(int64(now - s.listAsOf))
-		if s.link != nil {
-			s.link.pool.firstByte.note(int64(now))
+		s.p.oldestEndpoints.record(int64(now - s.endpointsAsOf))
+		if s.conn != nil {
+			s.conn.pool.firstByte.record(int64(now))
 		}
 	}
 	return false, false
 }
 
 // frame gives a request's frame as of now: it tells what is left of its time.
-func (s *sending) frame() []byte {
-	s.request.Allow = s.ends - s.p.now()
-	return s.request.Frame()
+func (s *serverCall) frame() []byte {
+	s.message.Timeout = s.clientDeadline - s.p.now()
+	return s.message.Frame()
 }
 
-func (s *sending) wrote(whole bool) {
-	s.whole.Store(whole)
+func (s *serverCall) wrote(whole bool) {
+	s.writtenWhole.Store(whole)
 	if !whole {
-		s.link.partial.Store(true)
+		s.conn.partialWrite.Store(true)
 	}
 }
 
 // dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
-func (p *Platform) dispatch(now control.Micros, s *sending, frame []byte) {
-	var l *link
+func (p *Router) dispatch(now control.Micros, s *serverCall, frame []byte) {
+	var l *serverConn
 	if server := p.fleet.Get(s.to); server != nil && server.State == control.Ready {
-		l = p.link(now, s)
+		l = p.connFor(now, s)
 	}
-	s.timer = time.AfterFunc(span(max(0, s.deadline-now)), func() {
-		p.box.Post(func(now control.Micros) { p.late(now, s) })
+	s.timer = time.AfterFunc(duration(max(0, s.deadline-now)), func() {
+		p.queue.Post(func(now control.Micros) { p.deadlinePassed(now, s) })
 	})
 	if l != nil {
-		s.link = l
-		l.out[s.id] = s
-		if l.box.post(s.parcel(frame)) {
+		s.conn = l
+		l.open[s.id] = s
+		if l.writes.post(s.queued(frame)) {
 			return
 		}
-		delete(l.out, s.id)
+		delete(l.open, s.id)
 	}
 	// Never sent; told in the next turn, since this one is still asking.
-	p.box.Post(func(now control.Micros) { p.ended(now, s, control.NotSent, nil) })
+	p.queue.Post(func(now control.Micros) { p.callEnded(now, s, control.NotSent, nil) })
 }
 
-func (s *sending) parcel(frame []byte) parcel {
-	p := parcel{data: frame, begin: s.begin, wrote: s.wrote}
-	if s.request != nil {
-		p.encode, p.size = s.frame, s.request.Size()
+func (s *serverCall) queued(frame []byte) queuedFrame {
+	p := queuedFrame{data: frame, begin: s.begin, wrote: s.wrote}
+	if s.message != nil {
+		p.encode, p.size = s.frame, s.message.Size()
 	}
 	return p
 }
 
 // poolOf gives the connections to a server that is listed.
-func (p *Platform) poolOf(id control.ServerID) *pool {
+func (p *Router) poolOf(id control.ServerID) *serverPool {
 	pl := p.pools[id]
 	if pl == nil {
 		server := p.fleet.Get(id)
-		pl = &pool{id: id, address: server.Address, born: control.Micros(server.Endpoint.StartedAt)}
+		pl = &serverPool{id: id, address: server.Address, startedAt: control.Micros(server.Endpoint.StartedAt)}
 		p.pools[id] = pl
 	}
 	return pl
 }
 
-// link finds a connection: one with nothing open, else a new one, else the one with the least open; of equal ones one that
+// connFor finds a connection: one with nothing open, else a new one, else the one with the least open; of equal ones one that
 // stands. One execution a connection as long as descriptors last: a spoilt answer costs all that is open on its
 // connection. A job's further execution goes on another, where no second answer to the earlier one can be taken for its own.
-func (p *Platform) link(now control.Micros, s *sending) *link {
+func (p *Router) connFor(now control.Micros, s *serverCall) *serverConn {
 	pl := p.poolOf(s.to)
-	var best *link
-	for _, l := range pl.links {
-		if l.retired || l.out[s.id] != nil || len(l.out) >= p.told.streams || s.wentOn(l) {
+	var best *serverConn
+	for _, l := range pl.conns {
+		if l.retired || l.open[s.id] != nil || len(l.open) >= p.config.maxStreams || s.alreadyUsed(l) {
 			continue
 		}
-		if best == nil || l.before(best) {
+		if best == nil || l.preferredOver(best) {
 			best = l
 		}
 	}
-	if best != nil && len(best.out) == 0 || p.linked >= p.mostLinks && !p.freeLink() {
+	if best != nil && len(best.open) == 0 || p.serverConnCount >= p.maxServerConns && !p.closeIdleServerConn() {
 		return best
 	}
-	l := p.newLink(now, pl)
-	go l.serve()
+	l := p.newServerConn(now, pl)
+	go l.run()
 	return l
 }
 
-func (p *Platform) newLink(now control.Micros, pl *pool) *link {
-	l := &link{p: p, pool: pl, out: map[binframe.ID]*sending{}, since: now}
-	l.dialing, l.undial = context.WithTimeout(context.Background(), span(p.told.connecting))
-	l.box.most, l.box.firstWrite = linkUnread, p.calls.write
-	pl.links = append(pl.links, l)
-	l.place = p.bySince.PushBack(l)
-	p.linked++
+func (p *Router) newServerConn(now control.Micros, pl *serverPool) *serverConn {
+	l := &serverConn{p: p, pool: pl, open: map[binframe.ID]*serverCall{}, idleSince: now}
+	l.dialing, l.cancelDial = context.WithTimeout(context.Background(), duration(p.config.connectTimeout))
+	l.writes.maxQueuedBytes, l.writes.firstWrite = maxUnreadByServer, p.calls.write
+	pl.conns = append(pl.conns, l)
+	l.idlePlace = p.connsByIdle.PushBack(l)
+	p.serverConnCount++
 	return l
 }
 
-// before tells which of two connections takes a sending.
-func (l *link) before(other *link) bool {
+// preferredOver tells which of two connections takes a sending.
+func (l *serverConn) preferredOver(other *serverConn) bool {
 	switch {
-	case len(l.out) != len(other.out):
-		return len(l.out) < len(other.out)
+	case len(l.open) != len(other.open):
+		return len(l.open) < len(other.open)
 	case l.up != other.up:
 		return l.up
 	}
-	return l.since > other.since
+	return l.idleSince > other.idleSince
 }
 
-// wentOn tells whether an earlier execution of the same job was written to a connection.
-func (s *sending) wentOn(l *link) bool {
-	return s.job != nil && slices.ContainsFunc(s.job.executions, func(earlier *sending) bool {
-		return earlier.link == l && earlier.reached() == attempt.Writing
+// alreadyUsed tells whether an earlier execution of the same job was written to a connection.
+func (s *serverCall) alreadyUsed(l *serverConn) bool {
+	return s.request != nil && slices.ContainsFunc(s.request.attempts, func(earlier *serverCall) bool {
+		return earlier.conn == l && earlier.currentStage() == attempt.Writing
 	})
 }
 
-// linkUnread is how much may wait for a server to read: with the longest bodies, as many as share a connection.
-const linkUnread = 2 << 20
+// maxUnreadByServer is how much may wait for a server to read: with the longest bodies, as many as share a connection.
+const maxUnreadByServer = 2 << 20
 
-// freeLink closes the connection that has been idle for longest, of any server.
-func (p *Platform) freeLink() bool {
-	for e := p.bySince.Front(); e != nil; e = e.Next() {
-		if l := e.Value.(*link); len(l.out) == 0 && l.up {
-			p.drop(l)
+// closeIdleServerConn closes the connection that has been idle for longest, of any server.
+func (p *Router) closeIdleServerConn() bool {
+	for e := p.connsByIdle.Front(); e != nil; e = e.Next() {
+		if l := e.Value.(*serverConn); len(l.open) == 0 && l.up {
+			p.removeConn(l)
 			return true
 		}
 	}
 	return false
 }
 
-// drop forgets a connection and closes it after what waits to be written.
-func (p *Platform) drop(l *link) {
+// removeConn forgets a connection and closes it after what waits to be written.
+func (p *Router) removeConn(l *serverConn) {
 	l.retired = true
-	for i, other := range l.pool.links {
+	for i, other := range l.pool.conns {
 		if other == l {
-			l.pool.links = append(l.pool.links[:i], l.pool.links[i+1:]...)
-			p.bySince.Remove(l.place)
-			p.linked--
+			l.pool.conns = append(l.pool.conns[:i], l.pool.conns[i+1:]...)
+			p.connsByIdle.Remove(l.idlePlace)
+			p.serverConnCount--
 			break
 		}
 	}
-	if l.box.end(); !l.up && len(l.out) == 0 { // a dial that nothing waits for
-		l.undial()
+	if l.writes.closeWhenWritten(); !l.up && len(l.open) == 0 { // a dial that nothing waits for
+		l.cancelDial()
 	}
 }
 
 // retire has a connection take nothing new; it ends with the last that is open on it.
-func (p *Platform) retire(l *link) {
-	if l.retired = true; len(l.out) == 0 {
-		p.drop(l)
+func (p *Router) retire(l *serverConn) {
+	if l.retired = true; len(l.open) == 0 {
+		p.removeConn(l)
 	}
 }
 
-// stallMost is how long an answer that has begun may take: it is written in one piece.
-const stallMost = time.Second
+// answerTimeout is how long an answer that has begun may take: it is written in one piece.
+const answerTimeout = time.Second
 
-func (l *link) serve() {
+func (l *serverConn) run() {
 	p := l.p
 	broke := func(result control.Result) {
 		l.close()
-		p.box.Post(func(now control.Micros) { p.broke(now, l, result) })
+		p.queue.Post(func(now control.Micros) { p.connectionBroke(now, l, result) })
 	}
 	end := control.Failed // should a fault of our own end this: what was written may have run
-	defer p.caught("reading a server")
+	defer p.recoverPanic("reading a server")
 	defer func() { broke(end) }()
 	conn, err := l.dial()
 	if err != nil {
 		end = control.ConnectFailed
-		if ours(err) || errors.Is(err, context.Canceled) {
+		if localFailure(err) || errors.Is(err, context.Canceled) {
 			end = control.NotSent // says nothing of the server
 		} else {
-			p.count("no connection to a server")
+			p.countAnomaly("no connection to a server")
 		}
 		return
 	}
-	l.box.up(conn)
-	p.box.Post(func(control.Micros) { l.up = true })
-	reader := &looking{conn: conn}
+	l.writes.connected(conn)
+	p.queue.Post(func(control.Micros) { l.up = true })
+	reader := &deadlineReader{conn: conn}
 	in := bufio.NewReaderSize(reader, 2<<10)
 	for {
-		reader.until(time.Time{})
-		a, err := binframe.Read(in, func() { reader.until(time.Now().Add(stallMost)) })
+		reader.setDeadline(time.Time{})
+		a, err := binframe.Read(in, func() { reader.setDeadline(time.Now().Add(answerTimeout)) })
 		if err != nil {
 			end = control.ConnectionReset
-			if why := spoilt(err); why != "" {
+			if why := corruptionOf(err); why != "" {
 				end = control.Failed // the server answers; what it said can't be read
-				p.count("spoilt answer: " + why)
-			} else if ours(err) {
+				p.countAnomaly("spoilt answer: " + why)
+			} else if localFailure(err) {
 				end = control.Failed // may have run; says nothing of the server
 			}
 			return
 		}
-		p.box.Post(func(now control.Micros) { p.heard(now, l, a) })
+		p.queue.Post(func(now control.Micros) { p.handleAnswer(now, l, a) })
 	}
 }
 
@@ -336,27 +336,27 @@
 
 // dial connects. What may be over in a moment is tried again for as long as a connection may take to come up; where descriptors
 // are short, idle clients make room meanwhile.
-func (l *link) dial() (net.Conn, error) {
+func (l *serverConn) dial() (net.Conn, error) {
 	var before error // why the try before failed, through no fault of the server's
-	for pause := dialPause; ; pause = min(2*pause, closing) {
+	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
 		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
 		switch {
 		case err == nil:
 			return conn, nil
-		case ours(err), momentary(err):
-		case ours(before) && os.IsTimeout(err):
+		case localFailure(err), transient(err):
+		case localFailure(before) && os.IsTimeout(err):
 			return nil, before // the server had but the rest of the time
 		default:
 			return nil, err
 		}
 		before = err
 		if errors.Is(err, syscall.EMFILE) {
-			l.p.count("out of descriptors for a server")
+			l.p.countAnomaly("out of descriptors for a server")
 			if l.p.makeRoom(1) {
 				continue
 			}
 		} else {
-			l.p.count("a dial failed for a moment")
+			l.p.countAnomaly("a dial failed for a moment")
 		}
 		select {
 		case <-l.dialing.Done():
@@ -366,20 +366,20 @@
 	}
 }
 
-// ours tells of a fault that is this machine's, and no sign about a server.
-func ours(err error) bool {
+// localFailure tells of a fault that is this machine's, and no sign about a server.
+func localFailure(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(one error) bool { return errors.Is(err, one) })
 }
 
-// momentary tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
-func momentary(err error) bool {
+// transient tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
+func transient(err error) bool {
 	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
 		errors.Is(err, syscall.ECONNABORTED)
 }
 
-// spoilt tells what was wrong with an answer; empty where the connection itself ended.
-func spoilt(err error) string {
+// corruptionOf tells what was wrong with an answer; empty where the connection itself ended.
+func corruptionOf(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "stopped short"
 	}
@@ -391,160 +391,160 @@
 	return ""
 }
 
-// heard takes in an answer. One that nobody waits for, or a second one, is dropped: it harms nothing else.
-func (p *Platform) heard(now control.Micros, l *link, a *binframe.Answer) {
-	s := l.out[a.ID]
+// handleAnswer takes in an answer. One that nobody waits for, or a second one, is dropped: it harms nothing else.
+func (p *Router) handleAnswer(now control.Micros, l *serverConn, a *binframe.Answer) {
+	s := l.open[a.ID]
 	if s == nil || a.Probe {
 		return
 	}
-	if s.reached() != attempt.Writing {
+	if s.currentStage() != attempt.Writing {
 		return // an answer to what was not asked yet
 	}
-	p.ended(now, s, a.Result, a)
+	p.callEnded(now, s, a.Result, a)
 }
 
-// broke takes in the end of a connection: what it means to each sending follows from how far that had got.
-func (p *Platform) broke(now control.Micros, l *link, result control.Result) {
-	open := l.out
-	p.drop(l)
-	for _, s := range inOrder(open) {
+// connectionBroke takes in the end of a connection: what it means to each sending follows from how far that had got.
+func (p *Router) connectionBroke(now control.Micros, l *serverConn, result control.Result) {
+	open := l.open
+	p.removeConn(l)
+	for _, s := range sortedByID(open) {
 		r := result
 		switch {
 		case s.withdraw():
 			if r != control.ConnectFailed {
 				r = control.NotSent
 			}
-		case s.reached() == attempt.Withdrawn:
+		case s.currentStage() == attempt.Withdrawn:
 			r = control.NotSent
-		case l.partial.Load() && !s.whole.Load():
+		case l.partialWrite.Load() && !s.writtenWhole.Load():
 			r = control.NotSent // its frame did not come whole
 		}
-		p.ended(now, s, r, nil)
+		p.callEnded(now, s, r, nil)
 	}
 }
 
-// late takes in that a sending's time is up.
-func (p *Platform) late(now control.Micros, s *sending) {
-	if s.state.Ended {
+// deadlinePassed takes in that a sending's time is up.
+func (p *Router) deadlinePassed(now control.Micros, s *serverCall) {
+	if s.progress.Ended {
 		return
 	}
 	if s.withdraw() {
-		p.ended(now, s, control.NotSent, nil)
+		p.callEnded(now, s, control.NotSent, nil)
 		return
 	}
-	p.giveUp(s)
-	p.ended(now, s, control.TimedOut, nil)
+	p.abandon(s)
+	p.callEnded(now, s, control.TimedOut, nil)
 }
 
-// giveUp tells the server that nobody waits. The answer may be on its way, or never come: its connection takes nothing
+// abandon tells the server that nobody waits. The answer may be on its way, or never come: its connection takes nothing
 // new.
-func (p *Platform) giveUp(s *sending) {
-	if s.link == nil || s.state.Ended {
+func (p *Router) abandon(s *serverCall) {
+	if s.conn == nil || s.progress.Ended {
 		return
 	}
-	if s.job != nil && p.told.Deployment.SupportsCancel {
-		s.link.box.post(parcel{data: binframe.GiveUp(s.id)})
+	if s.request != nil && p.config.Deployment.SupportsCancel {
+		s.conn.writes.post(queuedFrame{data: binframe.CancelFrame(s.id)})
 	}
-	s.link.retired = true
+	s.conn.retired = true
 }
 
-// ended takes in the end of a sending, once.
-func (p *Platform) ended(now control.Micros, s *sending, result control.Result, a *binframe.Answer) {
-	if !s.state.End() {
+// callEnded takes in the end of a sending, once.
+func (p *Router) callEnded(now control.Micros, s *serverCall, result control.Result, a *binframe.Answer) {
+	if !s.progress.End() {
 		return
 	}
 	s.timer.Stop()
-	if l := s.link; l != nil && l.out[s.id] == s {
-		delete(l.out, s.id)
-		p.bySince.MoveToBack(l.place)
-		if l.since = now; l.retired && len(l.out) == 0 {
-			p.drop(l)
+	if l := s.conn; l != nil && l.open[s.id] == s {
+		delete(l.open, s.id)
+		p.connsByIdle.MoveToBack(l.idlePlace)
+		if l.idleSince = now; l.retired && len(l.open) == 0 {
+			p.removeConn(l)
 		}
 	}
-	if s.state.Cancelled && result != control.Succeeded && !result.ProvesNotRun() {
+	if s.progress.Cancelled && result != control.Succeeded && !result.ProvesNotRun() {
 		result = control.Cancelled
 	}
-	p.trace(now, s, result, a)
-	took := now - s.chosen
-	if s.job == nil {
+	p.logAttempt(now, s, result, a)
+	took := now - s.chosenAt
+	if s.request == nil {
 		copies := 0
 		if a != nil && result == control.Succeeded {
-			if copies = a.Copies; copies < 0 {
-				copies = s.order.Replicas // an answer that tells no number has done what was asked
+			if copies = a.Replicas; copies < 0 {
+				copies = s.load.Replicas // an answer that tells no number has done what was asked
 			}
 		}
-		p.core.HandleLoadResult(now, s.to, s.order.Function, result, took, copies)
+		p.core.HandleLoadResult(now, s.to, s.load.Function, result, took, copies)
 		return
 	}
-	o := control.Outcome{Attempt: s.no, Server: s.to, Result: result, Duration: took}
+	o := control.Outcome{Attempt: s.attempt, Server: s.to, Result: result, Duration: took}
 	if a != nil {
-		o.CacheStatus, o.Report = a.Found, p.report(a)
+		o.CacheStatus, o.Report = a.CacheStatus, p.report(a)
 	}
-	p.executed(now, s, o, a)
+	p.attemptEnded(now, s, o, a)
 }
 
 // report puts what an answer reports in the order that the settings name.
-func (p *Platform) report(a *binframe.Answer) *control.LoadReport {
+func (p *Router) report(a *binframe.Answer) *control.LoadReport {
 	if a.Reports == nil {
 		return nil
 	}
-	values := make([]float32, len(p.told.reports))
-	for i, name := range p.told.reports {
-		v, told := a.Reports[reported[name]]
+	values := make([]float32, len(p.config.reportFields))
+	for i, name := range p.config.reportFields {
+		v, told := a.Reports[reportNames[name]]
 		if !told {
 			v = -1
 		}
 		values[i] = float32(v)
 	}
-	return config.Report(p.told.reports, values)
+	return config.Report(p.config.reportFields, values)
 }
 
-// reported maps what the settings name to the simulator's names, which the answers use.
-var reported = map[string]string{"cpu_share": "util", "x0": "x0", "x1": "x1"}
+// reportNames maps what the settings name to the simulator's names, which the answers use.
+var reportNames = map[string]string{"cpu_share": "util", "x0": "x0", "x1": "x1"}
 
-// orderID is an id for an order that is none of a job's on any connection.
-func (p *Platform) orderID() binframe.ID {
+// loadCommandID is an id for an order that is none of a job's on any connection.
+func (p *Router) loadCommandID() binframe.ID {
 	for {
-		id := binframe.ID(p.chance.Uint64())
-		if p.jobs[control.RequestID(id)] == nil {
+		id := binframe.ID(p.random.Uint64())
+		if p.requests[control.RequestID(id)] == nil {
 			return id
 		}
 	}
 }
 
 // prune closes connections that are idle for nearly as long as servers allow, and forgets servers that are gone.
-func (p *Platform) prune(now control.Micros) {
+func (p *Router) prune(now control.Micros) {
 	const every = 500_000 // idle times are many seconds
-	if now < p.pruned+every {
+	if now < p.prunedAt+every {
 		return
 	}
-	p.pruned = now
-	for e := p.bySince.Front(); e != nil; {
-		l := e.Value.(*link)
-		if now-l.since <= p.told.idle*3/4 {
+	p.prunedAt = now
+	for e := p.connsByIdle.Front(); e != nil; {
+		l := e.Value.(*serverConn)
+		if now-l.idleSince <= p.config.serverIdleTimeout*3/4 {
 			break
 		}
-		if e = e.Next(); len(l.out) == 0 && l.up {
-			p.drop(l)
+		if e = e.Next(); len(l.open) == 0 && l.up {
+			p.removeConn(l)
 		}
 	}
-	for id, pl := range p.leaving {
+	for id, pl := range p.removedPools {
 		if s := p.fleet.Get(id); s != nil && s.State != control.Removed || p.pools[id] != pl {
-			delete(p.leaving, id) // it has returned
-		} else if len(pl.links) == 0 {
-			delete(p.leaving, id)
+			delete(p.removedPools, id) // it has returned
+		} else if len(pl.conns) == 0 {
+			delete(p.removedPools, id)
 			delete(p.pools, id)
 		}
 	}
 	p.fleet.Prune(now, func(id control.ServerID) bool { return p.pools[id] != nil })
 }
 
-// unlist takes back all that is not being written to a server that takes nothing new, and its connections with the rest.
-func (p *Platform) unlist(now control.Micros, pl *pool) {
-	for _, l := range append([]*link(nil), pl.links...) {
-		for _, s := range inOrder(l.out) {
+// withdrawFrom takes back all that is not being written to a server that takes nothing new, and its connections with the rest.
+func (p *Router) withdrawFrom(now control.Micros, pl *serverPool) {
+	for _, l := range append([]*serverConn(nil), pl.conns...) {
+		for _, s := range sortedByID(l.open) {
 			if s.withdraw() {
-				p.ended(now, s, control.NotSent, nil)
+				p.callEnded(now, s, control.NotSent, nil)
 			}
 		}
 		p.retire(l)
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -15,8 +15,8 @@
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
 		3 * second: 800_000, 30 * second: 800_000} {
 		p := idlePlatform(t)
-		p.told.Deployment.Classes = []control.Class{{MaxDeadline: longest / 2}, {MaxDeadline: longest}}
-		steps := p.stopSteps()
+		p.config.Deployment.Classes = []control.Class{{MaxDeadline: longest / 2}, {MaxDeadline: longest}}
+		steps := p.stopActions()
 		kill := 700_000 + min(longest, 3*second)
 		if steps[0].at != ends {
 			t.Errorf("%d: connections end from %d on, want %d", longest, steps[0].at, ends)
@@ -36,11 +36,11 @@
 	c := r.caller(t)
 	c.call(1, "once")
 	<-held
-	r.box.Post(func(now control.Micros) { // chosen, and not written yet
-		j := &job{id: 2, number: 2, client: r.jobs[1].client, read: now}
+	r.queue.Post(func(now control.Micros) { // chosen, and not written yet
+		j := &request{id: 2, number: 2, client: r.requests[1].client, readAt: now}
 		j.client.open[2] = j
-		r.jobs[2] = j
-		r.answerAll()
+		r.requests[2] = j
+		r.answerOpen()
 	})
 	c.expect("1: Aborted")
 	c.expect("2: TryLater")
@@ -54,7 +54,7 @@
 		c := r.caller(t)
 		c.call(1, class)
 		<-held
-		r.box.Post(func(control.Micros) { r.answerAll() })
+		r.queue.Post(func(control.Micros) { r.answerOpen() })
 		c.expect(want)
 	}
 }
@@ -66,21 +66,21 @@
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-held
-	r.box.Post(func(now control.Micros) {
-		r.stopTold = now - killedFrom(r.told.Deployment) + holdsBefore
-		first := r.jobs[1]
-		for n, patience := range map[uint32]control.Micros{2: holdsBefore - answersBefore, 3: holdsBefore - answersBefore + 1} {
-			j := &job{id: control.RequestID(n), number: n, client: first.client, read: now}
-			j.ask.Patience = patience
+	r.queue.Post(func(now control.Micros) {
+		r.stopRequestedAt = now - earliestKill(r.config.Deployment) + rejectHeldBeforeKill
+		first := r.requests[1]
+		for n, patience := range map[uint32]control.Micros{2: rejectHeldBeforeKill - answerBeforeKill, 3: rejectHeldBeforeKill - answerBeforeKill + 1} {
+			j := &request{id: control.RequestID(n), number: n, client: first.client, readAt: now}
+			j.ask.Timeout = patience
 			first.client.open[n] = j
-			r.jobs[j.id] = j
+			r.requests[j.id] = j
 		}
-		r.pushBackHeld()
-		if r.jobs[2] == nil || r.jobs[1] == nil {
+		r.rejectHeld()
+		if r.requests[2] == nil || r.requests[1] == nil {
 			t.Error("more than what is held beyond the kill was pushed back")
 		}
-		r.giveBack(func(j *job) bool { return j.id == 2 })
-		r.stopTold = 0
+		r.endRequests(func(j *request) bool { return j.id == 2 })
+		r.stopRequestedAt = 0
 	})
 	c.expect("3: TryLater")
 	c.expect("2: TryLater")
@@ -106,7 +106,7 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(lastLook / 4):
+			case <-time.After(lastReadTime / 4):
 			}
 			sent[n] = time.Now()
 			c.call(n, "again")
@@ -115,12 +115,12 @@
 	until(t, "it is answered steadily", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
-		return ours.last > 100
+		return ours.lastNumber > 100
 	})
-	ours.end(lingerIdle)
-	ours.endBy(lastReads)
+	ours.closeWhenIdle(drainAfterIdle)
+	ours.closeBy(finalReadTime)
 	select {
-	case <-ours.box.written:
+	case <-ours.writes.written:
 	case <-time.After(time.Second):
 		t.Error("it is open still")
 		ours.conn.Close()
@@ -129,7 +129,7 @@
 	close(done)
 	both.Wait()
 	for n, at := range sent {
-		if !answered[n] && closed.Sub(at) > lingerIdle {
+		if !answered[n] && closed.Sub(at) > drainAfterIdle {
 			t.Errorf("request %d, sent %v before the close, has no answer", n, closed.Sub(at))
 		}
 	}
--- a/internal/platform/unread.go
+++ b/internal/platform/trackedconn.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// seen is what a client sends, and as of when all of it was taken in. An attempt that begins more than 0.1 s after its client has
+// trackedConn is what a client sends, and as of when all of it was taken in. An attempt that begins more than 0.1 s after its client has
 // closed or cancelled is a break, and either may lie unread in the socket: after a stop of the process, or while readers wait for
 // the processor. So the last check before the first byte rests on the age of what was read, as it does with the list of servers.
-type seen struct {
+type trackedConn struct {
 	net.Conn
-	raw     syscall.RawConn // nil: there is no descriptor to look at
-	direct  bool            // it is read from the descriptor itself, which tells when nothing was left
-	mu      sync.Mutex      // held from a look at the descriptor until what it found is noted
-	waits   bool            // all that was read is taken in
-	asOf    time.Time       // all that had come by then is taken in; zero: some may have come before it was accepted
-	emptied time.Time       // when the last read began; zero where it may have left some
+	raw          syscall.RawConn // nil: there is no descriptor to look at
+	direct       bool            // it is read from the descriptor itself, which tells when nothing was left
+	mu           sync.Mutex      // held from a look at the descriptor until what it found is noted
+	allProcessed bool            // all that was read is taken in
+	asOf         time.Time       // all that had come by then is taken in; zero: some may have come before it was accepted
+	emptyReadAt  time.Time       // when the last read began; zero where it may have left some
 }
 
-// lookAge is how old what was read from a client may be at a first byte: half of the 0.1 s, the other is for the way here.
-const lookAge = 50 * time.Millisecond
+// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s, the other is for the way here.
+const maxUnreadAge = 50 * time.Millisecond
 
-func newSeen(conn net.Conn) *seen {
-	s := &seen{Conn: conn}
+func newTrackedConn(conn net.Conn) *trackedConn {
+	s := &trackedConn{Conn: conn}
 	if c, ok := conn.(syscall.Conn); ok {
 		s.raw, _ = c.SyscallConn()
 	}
@@ -35,11 +35,11 @@
 }
 
 // Read is called only once all that was read before is taken in, but for a message that has begun.
-func (s *seen) Read(b []byte) (n int, err error) {
+func (s *trackedConn) Read(b []byte) (n int, err error) {
 	s.mu.Lock()
-	s.waits = true
-	if !s.emptied.IsZero() {
-		s.asOf = s.emptied
+	s.allProcessed = true
+	if !s.emptyReadAt.IsZero() {
+		s.asOf = s.emptyReadAt
 	}
 	s.mu.Unlock()
 	if !s.direct || s.raw == nil || len(b) == 0 {
@@ -47,23 +47,23 @@
 		n, err = s.Conn.Read(b)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.brought(began, n, len(b))
+		s.noteRead(began, n, len(b))
 		return n, err
 	}
 	return s.read(b, wait)
 }
 
 // read reads from the descriptor itself and notes what was there.
-func (s *seen) read(b []byte, waiting waiting) (int, error) {
+func (s *trackedConn) read(b []byte, waiting waiting) (int, error) {
 	return readRaw(s.raw, waiting, func(fd int) (int, error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		began := time.Now()
-		n, err := uninterrupted(func() (int, error) { return syscall.Read(fd, b) })
+		n, err := retryInterrupted(func() (int, error) { return syscall.Read(fd, b) })
 		if errors.Is(err, syscall.EAGAIN) {
 			s.asOf = began
 		} else {
-			s.brought(began, n, len(b))
+			s.noteRead(began, n, len(b))
 		}
 		return n, err
 	})
@@ -81,7 +81,7 @@
 func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
-		n, failed = uninterrupted(func() (int, error) { return call(int(fd)) })
+		n, failed = retryInterrupted(func() (int, error) { return call(int(fd)) })
 		return waiting == noWait || !errors.Is(failed, syscall.EAGAIN)
 	})
 	switch {
@@ -95,41 +95,41 @@
 	return n, nil
 }
 
-// brought notes what a read brought. The lock is held.
-func (s *seen) brought(began time.Time, n, most int) {
-	s.waits = false
-	if s.emptied = began; n == most {
-		s.emptied = time.Time{}
+// noteRead notes what a read brought. The lock is held.
+func (s *trackedConn) noteRead(began time.Time, n, most int) {
+	s.allProcessed = false
+	if s.emptyReadAt = began; n == most {
+		s.emptyReadAt = time.Time{}
 	}
 }
 
-// level tells whether all that the client had sent by now is taken in, or all but the latest.
-func (s *seen) level(now time.Time) bool {
+// upToDate tells whether all that the client had sent by now is taken in, or all but the latest.
+func (s *trackedConn) upToDate(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.raw == nil || now.Sub(s.asOf) <= lookAge {
+	if s.raw == nil || now.Sub(s.asOf) <= maxUnreadAge {
 		return true
 	}
-	if !s.waits || s.unread() {
+	if !s.allProcessed || s.hasUnread() {
 		return false
 	}
 	s.asOf = now
 	return true
 }
 
-// emptyAt gives when the reader last found that nothing more had come.
-func (s *seen) emptyAt() time.Time {
+// emptiedAt gives when the reader last found that nothing more had come.
+func (s *trackedConn) emptiedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asOf
 }
 
-// unread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
-func (s *seen) unread() bool {
+// hasUnread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
+func (s *trackedConn) hasUnread() bool {
 	var found error
 	err := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
-		_, found = uninterrupted(func() (int, error) {
+		_, found = retryInterrupted(func() (int, error) {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
@@ -140,7 +140,7 @@
 // interruptions bounds how often a call that a signal interrupts is tried again at once; one or two come in a row.
 const interruptions = 100
 
-func uninterrupted(call func() (int, error)) (n int, err error) {
+func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for range interruptions {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
 			break
--- a/internal/platform/unread_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -93,7 +93,7 @@
 						first <- f
 					}
 				})
-				r := startChanged(t, func(p *Platform) {
+				r := startChanged(t, func(p *Router) {
 					longGrace(p)
 					p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
 						conn, err := systemCalls.dial(ctx, address)
@@ -106,11 +106,11 @@
 				}, server)
 				ours, theirs := platformtest.Connected(t)
 				stalled := &stalling{TCPConn: ours.(*net.TCPConn)}
-				r.welcome(stalled)
+				r.serveClient(stalled)
 				c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
 				c.call(1, "again")
 				<-waits
-				time.Sleep(lookAge) // the attempt waits, and the reader for what comes
+				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
 				stalled.Lock()
 				leave(c)
 				time.Sleep(unread)
@@ -131,32 +131,32 @@
 	for how, leave := range leaving {
 		t.Run(how, func(t *testing.T) {
 			ours, theirs := platformtest.Connected(t)
-			s := newSeen(ours)
+			s := newTrackedConn(ours)
 			if !s.direct {
 				t.Fatal("not read from the descriptor")
 			}
-			later := func() time.Time { return time.Now().Add(lookAge + time.Millisecond) }
+			later := func() time.Time { return time.Now().Add(maxUnreadAge + time.Millisecond) }
 			theirs.Write([]byte("request"))
 			b := make([]byte, 100)
 			if n, err := s.Read(b); n != 7 || err != nil {
 				t.Fatalf("read %d, %v", n, err)
 			}
-			if s.level(time.Now()) {
+			if s.upToDate(time.Now()) {
 				t.Error("what was read of a new connection is not taken in yet")
 			}
-			s.SetReadDeadline(time.Now().Add(lookAge))
+			s.SetReadDeadline(time.Now().Add(maxUnreadAge))
 			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
 			}
-			if !s.level(later()) {
+			if !s.upToDate(later()) {
 				t.Error("nothing is unread")
 			}
 			leave(&caller{t, theirs, msgpack.NewDecoder(theirs)})
 			until(t, "it is told that something is unread", func() bool {
-				s.asOf = time.Now().Add(-lookAge - 1) // the reader looked that long ago
-				return !s.level(time.Now())
+				s.asOf = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
+				return !s.upToDate(time.Now())
 			})
-			if s.asOf = time.Now(); !s.level(time.Now()) {
+			if s.asOf = time.Now(); !s.upToDate(time.Now()) {
 				t.Error("where the reader looked just now it is looked again")
 			}
 		})
--- a/internal/platform/outbox.go
+++ b/internal/platform/writequeue.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// outbox writes to one connection what others hand over without waiting. Its goroutine lives only while there is something
+// writeQueue writes to one connection what others hand over without waiting. Its goroutine lives only while there is something
 // to write.
-type outbox struct {
-	mu      sync.Mutex
-	conn    net.Conn // nil: not up yet
-	queue   []parcel
-	size    int
-	most    int  // bytes that may wait
-	writing bool // the goroutine runs
-	closing bool // the connection ends with the last of it
-	closed  bool
+type writeQueue struct {
+	mu             sync.Mutex
+	conn           net.Conn // nil: not up yet
+	queue          []queuedFrame
+	queuedBytes    int
+	maxQueuedBytes int  // bytes that may wait
+	writing        bool // the goroutine runs
+	closing        bool // the connection ends with the last of it
+	closed         bool
 	// firstWrite writes the first bytes of a parcel with a check; nil: the system's call.
 	firstWrite func(fd int, b []byte) (int, error)
 	// written, where there is one, is closed when nothing is written any more: with the last of it only this direction of
@@ -27,9 +27,9 @@
 	written chan struct{}
 }
 
-// parcel is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
+// queuedFrame is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
 // parcel. Write tells whether any byte is out; begin is called again once the connection has room.
-type parcel struct {
+type queuedFrame struct {
 	data []byte
 	// encode, where there is one, gives data, right before each try to write the first byte: guards against a deadline in it that was
 	// true when the parcel was handed over, before a dial or a wait for room.
@@ -39,41 +39,41 @@
 	wrote  func(whole bool)
 }
 
-// writeTime bounds a write: a reader that takes nothing for this long is gone, or means harm.
-const writeTime = 2 * time.Second
+// writeTimeout bounds a write: a reader that takes nothing for this long is gone, or means harm.
+const writeTimeout = 2 * time.Second
 
-// restTime bounds the rest of a message whose first bytes are out and that tells a deadline. Guards against a deadline that is read
+// frameRestTimeout bounds the rest of a message whose first bytes are out and that tells a deadline. Guards against a deadline that is read
 // when the message has come whole, much later: two thirds of the 0.15 s by which it may exceed what the client has left.
-const restTime = 100 * time.Millisecond
+const frameRestTimeout = 100 * time.Millisecond
 
 // post hands over a message; no tells that the connection takes none any more. Guards against an end that asks and does
 // not read: beyond its bound the connection is closed.
-func (o *outbox) post(p parcel) bool {
+func (o *writeQueue) post(p queuedFrame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.closing {
 		return false
 	}
 	p.size = max(p.size, len(p.data))
-	if o.size+p.size > o.most {
-		o.shut()
+	if o.queuedBytes+p.size > o.maxQueuedBytes {
+		o.closeLocked()
 		return false
 	}
 	o.queue = append(o.queue, p)
-	o.size += p.size
+	o.queuedBytes += p.size
 	o.start()
 	return true
 }
 
-func (o *outbox) start() {
+func (o *writeQueue) start() {
 	if o.conn != nil && !o.writing && !o.closed {
 		o.writing = true
 		go o.write()
 	}
 }
 
-// up tells that the connection stands.
-func (o *outbox) up(conn net.Conn) {
+// connected tells that the connection stands.
+func (o *writeQueue) connected(conn net.Conn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.conn = conn
@@ -86,8 +86,8 @@
 	}
 }
 
-// end closes the connection once all that waits is written.
-func (o *outbox) end() {
+// closeWhenWritten closes the connection once all that waits is written.
+func (o *writeQueue) closeWhenWritten() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closing = true
@@ -98,10 +98,10 @@
 
 // finish ends a connection on which all is written. Guards against the reset that a close makes of input nobody read: it
 // may overtake the last answer, so that the direction that is read stays open for a little where somebody reads it.
-func (o *outbox) finish() {
+func (o *writeQueue) finish() {
 	half, ok := o.conn.(interface{ CloseWrite() error })
 	if !ok || o.written == nil || o.closed {
-		o.shut()
+		o.closeLocked()
 		return
 	}
 	o.closed = true
@@ -110,31 +110,31 @@
 }
 
 // close closes it at once.
-func (o *outbox) close() {
+func (o *writeQueue) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.shut()
+	o.closeLocked()
 }
 
-func (o *outbox) shut() {
+func (o *writeQueue) closeLocked() {
 	if !o.closed && o.written != nil {
 		close(o.written)
 	}
 	o.closed = true
-	o.queue, o.size = nil, 0
+	o.queue, o.queuedBytes = nil, 0
 	if o.conn != nil {
 		o.conn.Close()
 	}
 }
 
-// drained tells that nothing waits or is being written.
-func (o *outbox) drained() bool {
+// empty tells that nothing waits or is being written.
+func (o *writeQueue) empty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.closed || !o.writing && len(o.queue) == 0
 }
 
-func (o *outbox) write() {
+func (o *writeQueue) write() {
 	for {
 		o.mu.Lock()
 		if len(o.queue) == 0 || o.closed {
@@ -146,20 +146,20 @@
 			return
 		}
 		p := o.queue[0]
-		o.queue[0] = parcel{}
+		o.queue[0] = queuedFrame{}
 		if o.queue = o.queue[1:]; len(o.queue) == 0 {
 			o.queue = nil
 		}
-		o.size -= p.size
+		o.queuedBytes -= p.size
 		o.mu.Unlock()
-		o.conn.SetWriteDeadline(time.Now().Add(writeTime))
+		o.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := 0, error(nil)
 		if p.begin != nil {
-			if n, err = begin(o.conn, &p, o.firstWrite); n == 0 && err == nil {
+			if n, err = writeFirst(o.conn, &p, o.firstWrite); n == 0 && err == nil {
 				continue // withdrawn
 			}
 			if p.encode != nil && n < len(p.data) {
-				o.conn.SetWriteDeadline(time.Now().Add(restTime))
+				o.conn.SetWriteDeadline(time.Now().Add(frameRestTimeout))
 			}
 		}
 		if err == nil {
@@ -176,9 +176,9 @@
 	}
 }
 
-// begin writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
+// writeFirst writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
 // before the first byte that is no longer true at the first byte: where the connection has no room, the check comes again.
-func begin(conn net.Conn, p *parcel, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
+func writeFirst(conn net.Conn, p *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
 	if firstWrite == nil {
 		firstWrite = syscall.Write
 	}
@@ -193,15 +193,15 @@
 			if p.encode != nil {
 				p.data = p.encode()
 			}
-			n, failed = uninterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
+			n, failed = retryInterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
 			if errors.Is(failed, syscall.EAGAIN) {
 				room, failed = false, nil
 			}
 			return n > 0
 		}
-		for range writeTime / writePause { // a fault of our own that may be over in a moment
+		for range writeTimeout / writePause { // a fault of our own that may be over in a moment
 			failed = nil
-			if done = p.begin(write) || room; !room || n > 0 || !ours(failed) {
+			if done = p.begin(write) || room; !room || n > 0 || !localFailure(failed) {
 				break
 			}
 			time.Sleep(writePause)
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -77,8 +77,8 @@
 	return append(text, '\n')
 }
 
-// Board is a fake notice board. It tells each watcher the events it asks for and a heartbeat each second.
-type Board struct {
+// Discovery is a fake notice board. It tells each watcher the events it asks for and a heartbeat each second.
+type Discovery struct {
 	listener net.Listener
 	mu       sync.Mutex
 	events   []discovery.Event
@@ -89,15 +89,15 @@
 	script   func(c net.Conn, nth int) (handled bool)
 }
 
-// NewBoard starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
+// NewDiscovery starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
 // counted from 1.
-func NewBoard(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Board {
+func NewDiscovery(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Board{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
+	b := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
 	acceptEach(t, l, b.watch)
 	t.Cleanup(func() { close(b.ended) }) // before the connections are waited for
 	return b
@@ -157,17 +157,17 @@
 }
 
 // Address is where it listens.
-func (b *Board) Address() string { return b.listener.Addr().String() }
+func (b *Discovery) Address() string { return b.listener.Addr().String() }
 
 // Asked gives when each watch was asked for.
-func (b *Board) Asked() []time.Time {
+func (b *Discovery) Asked() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]time.Time(nil), b.asked...)
 }
 
-// Tell adds an event and writes it to all watchers. It gives the time from which the event counts as told.
-func (b *Board) Tell(e discovery.Event) time.Time {
+// Publish adds an event and writes it to all watchers. It gives the time from which the event counts as told.
+func (b *Discovery) Publish(e discovery.Event) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.events = append(b.events, e)
@@ -179,20 +179,20 @@
 }
 
 // write writes to a watcher. The lock is held.
-func (b *Board) write(c net.Conn, text []byte) error {
+func (b *Discovery) write(c net.Conn, text []byte) error {
 	n, err := c.Write(text)
 	b.written += int64(n)
 	return err
 }
 
 // Written gives the bytes that it wrote to all watchers.
-func (b *Board) Written() int64 {
+func (b *Discovery) Written() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.written
 }
 
-func (b *Board) watch(c net.Conn) {
+func (b *Discovery) watch(c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
 		return
@@ -228,7 +228,7 @@
 	}
 }
 
-func (b *Board) heartbeat(c net.Conn) bool {
+func (b *Discovery) heartbeat(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var last uint64
@@ -240,9 +240,9 @@
 
 // The codes of frames to model servers.
 const (
-	Execution = 65
-	Order     = 69
-	codeOK    = 97 // of their answers
+	AttemptCode = 65
+	LoadCode    = 69
+	codeOK      = 97 // of their answers
 )
 
 // Received is one frame as a model server got it.
@@ -349,9 +349,9 @@
 		s.received = append(s.received, Received{f.Code, at, f.Fields})
 		s.mu.Unlock()
 		switch f.Code {
-		case Execution:
+		case AttemptCode:
 			s.answer(c, AnswerFrame(codeOK, f.ID, "remark=resident", f.Body))
-		case Order:
+		case LoadCode:
 			pods := "1"
 			for field := range strings.SplitSeq(f.Fields, ",") {
 				if value, is := strings.CutPrefix(field, "pods="); is {
@@ -491,11 +491,11 @@
 	t.Fatalf("not within 4 s: %s", what)
 }
 
-// Orders counts the orders to load that came so far.
-func (s *ModelServer) Orders() int {
+// LoadCommands counts the orders to load that came so far.
+func (s *ModelServer) LoadCommands() int {
 	n := 0
 	for _, frame := range s.Received() {
-		if frame.Code == Order {
+		if frame.Code == LoadCode {
 			n++
 		}
 	}
