--- a/control/index.go
+++ b/control/index.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -126,37 +125,6 @@
 	x.changes = append(x.changes, id)
 }
 
-// totalCapacity sums up the capacity of all ready servers, in the order of their ids and rounded at each: the sum decides, and must not
-// depend on who is known to be cold. Each has all of its own but those of cold. It costs as many steps as those are, times a logarithm.
-func (r *Balancer) totalCapacity(now Micros) float64 {
-	x := &r.index
-	sum, counted, i, unready := 0.0, 0, 0, 0
-	x.inSlowStart = slices.DeleteFunc(x.inSlowStart, func(s *server) bool {
-		has := r.capacity(now, s)
-		if has == 1 {
-			return true
-		}
-		i, unready = seek(x.ids, i, s.Server), seek(x.notReady, unready, s.Server)
-		sum = addOnes(sum, i-unready-counted) + has
-		counted = i - unready + 1
-		return false
-	})
-	return addOnes(sum, len(x.ids)-len(x.notReady)-counted)
-}
-
-// addOnes adds 1 to a positive sum n times and gives just what doing so one by one gives: only the step to the next power of two and
-// beyond it may round.
-func addOnes(sum float64, n int) float64 {
-	for n > 0 {
-		const fraction = 52 // bits of it in a float64: without them and one exponent up is the next power of two
-		next := math.Float64frombits((math.Float64bits(sum)>>fraction + 1) << fraction)
-		exact := max(1, min(n, int(next-sum)))
-		sum += float64(exact)
-		n -= exact
-	}
-	return sum
-}
-
 // seek finds the place of the first id not below one, from a place on that is not behind it; the nearer the cheaper.
 func seek(ids []ServerID, from int, id ServerID) int {
 	step := 1
--- a/control/memory.go
+++ b/control/learned.go
@@ -2,6 +2,36 @@
 
 import "slices"
 
+// ApplyLearned takes back what an earlier life remembered; call it after Start, before all else. What limits us
+// counts whatever its age, an order or a job sent at a time still to come as now: it may be fresh. Beliefs count
+// for as long as they would have. How long executions and loads take is no part of it (docs/memory.md).
+func (r *Balancer) ApplyLearned(now Micros, m *LearnedState) {
+	const lately = 60_000_000 // six times as long as answers count
+	r.loadCommands, r.admitted = clampTo(m.LoadCommands, now), dropAfter(m.Admitted, now)
+	if now >= m.SavedAt && now < m.SavedAt+lately {
+		r.answers, r.startedAt = dropAfter(m.Answers, now), min(now, m.StartedAt)
+	}
+	for i := range min(len(r.quotaDebt), len(m.QuotaDebt)) {
+		r.quotaDebt[i] = min(m.QuotaDebt[i], now+2_000_000) // see surplus
+	}
+	for _, v := range m.Servers {
+		r.servers = append(r.servers, &server{Endpoint: Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)}, lastListed: now,
+			lastAnswer: now, slowStartSends: clampTo(v.SlowStartSends, now)})
+	}
+	for _, v := range m.Functions {
+		f := r.function(&Request{Function: v.ID, Lanes: v.Lanes})
+		for _, c := range v.Instances {
+			if i, known := r.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
+				in := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed, loading: c.Loading, loadingSince: c.LoadingSince}
+				if r.loaded(now, &in) || r.loading(now, &in) {
+					*f.instanceOn(in.server, true) = in
+				}
+			}
+		}
+	}
+	r.rebuildIndex()
+}
+
 // LearnedState is what a router learned that a later life of it may use, in plain values with the times at which it was
 // learned. Unlike a Snapshot it holds nothing that is under way. What of it still counts is decided by Recall.
 type LearnedState struct {
@@ -60,17 +90,6 @@
 	return m
 }
 
-// EjectedServers gives the servers that are suspect just now.
-func (r *Balancer) EjectedServers() map[ServerID]bool {
-	suspects := map[ServerID]bool{}
-	for _, s := range r.servers {
-		if s.ejected {
-			suspects[s.Server] = true
-		}
-	}
-	return suspects
-}
-
 // clampTo gives ascending times, none of them later than one.
 func clampTo(ts []Micros, latest Micros) []Micros {
 	ts = slices.Clone(ts)
@@ -87,3 +106,12 @@
 	slices.Sort(ts)
 	return ts
 }
+
+// dropBefore drops the times before t from the front of an ascending list.
+func dropBefore(times []Micros, t Micros) []Micros {
+	i := 0
+	for i < len(times) && times[i] < t {
+		i++
+	}
+	return times[i:]
+}
--- a/control/types.go
+++ b/control/types.go
@@ -3,18 +3,6 @@
 // Micros is a time or a span of time in whole microseconds.
 type Micros int64
 
-// Each kind of id is a type of its own; none carries a meaning.
-type (
-	RequestID  uint64
-	ServerID   uint64
-	FunctionID uint64
-	ClassID    uint16
-	TenantID   uint16
-	ZoneID     uint16
-	CellID     uint16
-	AttemptID  uint16
-)
-
 // Effect tells what a second execution of a job would do.
 type Effect uint8
 
@@ -45,11 +33,6 @@
 	Window           Micros  `json:"Window"` // how long a group drops repeats
 }
 
-// SafeToRetryAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
-func (w Class) SafeToRetryAnywhere() bool {
-	return w.Effect == Idempotent || w.Effect == IdempotentByKey && w.Scope == WholeFleet
-}
-
 // Deployment holds what a router is told when it starts.
 type Deployment struct {
 	Routers            int       `json:"Routers"`
@@ -153,41 +136,6 @@
 	Report      *LoadReport `cbor:"Report"`
 }
 
-// Request is one client's job, kept by the adapter; the router keeps its notes on the job in it.
-type Request struct {
-	ID              RequestID  `json:"ID"`
-	Class           ClassID    `json:"Workload"`
-	Tenant          TenantID   `json:"Tenant"`
-	Function        FunctionID `json:"Function"`
-	Lanes           int        `json:"Lanes"`
-	Work            Micros     `json:"Work"`     // hint; 0: none
-	LoadTime        Micros     `json:"LoadTime"` // hint; 0: none
-	ArrivedAt       Micros     `json:"Arrived"`
-	Deadline        Micros     `json:"Patience"` // when its client gives up
-	IsRetry         bool       `json:"Repeat"`   // the client says that it asks again
-	RetriesUnmarked bool       `json:"Unmarked"` // this client never says so, whatever is told of clients
-
-	Attempts    []Attempt `json:"Executions"`
-	heldSince   Micros
-	heldFor     Micros
-	held        bool
-	admitted    bool
-	firstSentAt Micros // when its client first asked
-	overQuota   bool   // beyond its tenant's share
-}
-
-// Attempt is one sending of a job.
-type Attempt struct {
-	Server     ServerID `json:"Server"`
-	Zone       ZoneID   `json:"Zone"`
-	Cell       CellID   `json:"Cell"`
-	SentAt     Micros   `json:"Sent"`
-	Done       bool     `json:"Done"`
-	MayHaveRun bool     `json:"MayRun"` // false once it is proven not to have run
-	toLoaded   bool     // sent to a copy believed loaded
-	cancelling bool
-}
-
 // Action is what is to be done with a job.
 type Action uint8
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -125,7 +125,7 @@
 func plantedBuild(t *testing.T, files []string) {
 	t.Helper()
 	const constant = "const maintenanceInterval = 200_00"
-	source, err := filepath.Abs("../../control/control.go")
+	source, err := filepath.Abs("../../control/maintenance.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 		t.Fatalf("the constant isn't there: %v", err)
 	}
 	dir := t.TempDir()
-	changed, overlay, program := filepath.Join(dir, "control.go"), filepath.Join(dir, "overlay.json"), filepath.Join(dir, "hmreplay")
+	changed, overlay, program := filepath.Join(dir, "maintenance.go"), filepath.Join(dir, "overlay.json"), filepath.Join(dir, "hmreplay")
 	replaced, err := json.Marshal(map[string]map[string]string{"Replace": {source: changed}})
 	if err != nil {
 		t.Fatal(err)
