--- a/internal/memory/faults_test.go
+++ b/internal/memory/faults_test.go
@@ -183,6 +183,9 @@
 
 func (d *faultDisk) Rename(from, to string) error {
 	return d.call("rename", to, func(bool) error {
+		if d.names[from] == nil { // a removal that was told as failed had happened
+			return fs.ErrNotExist
+		}
 		if was := d.synced[to]; was != nil {
 			d.gone[to] = was
 		}
