--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -176,9 +176,13 @@
 		s.job.state.Give() // the turn has it answered
 		c.leave(nc.(*net.TCPConn))
 		time.Sleep(10 * time.Millisecond)
-		if e := (&link{g: f.g, address: address}).carry(s); e.result != c.result {
+		to := &link{g: f.g, address: address}
+		if e := to.carry(s); e.result != c.result {
 			t.Errorf("%s: got %v", name, e.result)
 		}
+		if x := to.client.Load(); x != nil {
+			x.Close()
+		}
 		s.cancel()
 		for _, x := range []io.Closer{l, nc, accepted} {
 			x.Close()
