--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,17 +37,35 @@
 	told    int64          // the start as the list told it
 	born    control.Micros // brought into the router's time
 	left    control.Micros // when it was last on a list
+	list    uint64         // the last complete list that named it
+}
+
+// Update is what a source tells at a time: the complete list, or only what differs from what it told before.
+type Update struct {
+	Whole   bool
+	Entries []Entry // of changes: each server at most once, those that left in state Gone
+}
+
+// departure is that of a server from the list.
+type departure struct {
+	id control.ServerID
+	at control.Micros // when it was last on it
 }
 
 // Fleet is the list as last told.
 type Fleet struct {
-	offset  int64 // wall clock at the router's time 0, fixed at the start
-	read    control.Micros
-	first   bool
-	ours    bool
-	servers map[control.ServerID]*Server
-	zones   map[string]control.ZoneID
-	cells   map[string]control.CellID
+	offset int64 // wall clock at the router's time 0, fixed at the start
+	read   control.Micros
+	first  bool
+	ours   bool
+	lists  uint64 // complete ones so far
+	// complete is the last time of which it is known that nothing its source had told by then is missing; 0: none is known.
+	complete control.Micros
+	slow     control.Micros // how long slow start takes
+	servers  map[control.ServerID]*Server
+	gone     []departure // in the order of their ends
+	zones    map[string]control.ZoneID
+	cells    map[string]control.CellID
 }
 
 // New gives an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: read once, so
@@ -57,10 +75,17 @@
 		zones: map[string]control.ZoneID{}, cells: map[string]control.CellID{}}
 }
 
-// OneClock has starts taken as told: for lists made by the clock that the router's own time was read from, on which a
-// server whose start is not told has run for long, whenever it is first listed.
+// OneClock is for lists made by the clock that the router's own time was read from, on which a server whose start is not told
+// has run for long, whenever it is first listed.
 func (f *Fleet) OneClock() { f.ours = true }
 
+// SlowStart tells how long a server's slow start takes.
+func (f *Fleet) SlowStart(span control.Micros) { f.slow = span }
+
+// Complete tells as of when the list was complete that was taken in last: nothing told by then is missing. Call it after the
+// lists that were told by then.
+func (f *Fleet) Complete(asOf control.Micros) { f.complete = max(f.complete, asOf) }
+
 // ID gives a server's id: the same in every router, since all share one order of servers.
 func ID(address string) control.ServerID {
 	if a, err := netip.ParseAddrPort(address); err == nil && a.Addr().Is4() {
@@ -92,12 +117,46 @@
 // Whole takes in a whole list, heard at a time, and gives it in the module's words, by ascending id. A server that it
 // leaves out is gone; it is kept as such, so that its return is known for a restart, until Forget.
 func (f *Fleet) Whole(now control.Micros, list []Entry) []control.Listing {
-	var out []control.Listing
-	listed := make(map[control.ServerID]bool, len(list))
+	f.lists++
+	out := f.take(now, list)
+	for _, s := range f.servers {
+		if s.list != f.lists {
+			f.leave(s)
+		}
+	}
+	f.read, f.first = now, false
+	return out
+}
+
+// Changes takes in what differs from what was heard last, and gives it in the module's words, by ascending id: all is then as if
+// the complete list had come. A server that leaves is handed on as it was, but gone.
+func (f *Fleet) Changes(now control.Micros, changed []Entry) []control.Listing {
+	out := f.take(now, changed)
+	f.read, f.first = now, false
+	return out
+}
+
+// leave notes that a server is on the list no more.
+func (f *Fleet) leave(s *Server) {
+	if s.State != control.Gone {
+		s.State, s.left = control.Gone, f.read
+		f.gone = append(f.gone, departure{s.ID, s.left})
+	}
+}
+
+// take takes in what a list tells of the servers that it names.
+func (f *Fleet) take(now control.Micros, list []Entry) []control.Listing {
+	out := make([]control.Listing, 0, len(list))
 	for _, e := range list {
 		id := ID(cmp.Or(e.Name, e.Address))
-		listed[id] = true
 		s := f.servers[id]
+		if e.State == control.Gone {
+			if s != nil && s.State != control.Gone {
+				f.leave(s)
+				out = append(out, s.listing())
+			}
+			continue
+		}
 		// With no start told, a server that was gone may have restarted meanwhile.
 		fresh := s == nil || s.told != e.Born || s.State == control.Gone && e.Born == 0
 		if s == nil {
@@ -105,36 +164,47 @@
 			f.servers[id] = s
 		}
 		if fresh {
-			s.told, s.born = e.Born, f.born(now, e.Born)
+			s.told, s.born = e.Born, f.born(now, e.Born, s.born)
 		}
 		s.Told, s.Address = e, e.Address
 		s.State, s.Zone, s.Cell, s.left = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell), now
-		out = append(out, control.Listing{Server: id, State: e.State, Zone: s.Zone, Cell: s.Cell, Power: e.Power, Born: s.born})
-	}
-	for id, s := range f.servers {
-		if !listed[id] {
-			s.State = control.Gone
-		}
+		s.list = f.lists
+		out = append(out, s.listing())
 	}
-	f.read, f.first = now, false
 	slices.SortFunc(out, func(a, b control.Listing) int { return cmp.Compare(a.Server, b.Server) })
 	return out
 }
 
-// born brings the start of a server that was not on the last list, or not with this start, into the router's time. It
-// began after that list was read, whatever the clocks say, and no later than now.
-func (f *Fleet) born(now control.Micros, told int64) control.Micros {
-	if f.ours {
-		return control.Micros(max(0, told-f.offset))
-	}
-	if told == 0 && f.first {
+// listing gives a server in the module's words.
+func (s *Server) listing() control.Listing {
+	return control.Listing{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Power: s.Told.Power, Born: s.born}
+}
+
+// announced is the part of slow start that may pass between a server's start and its first listing, at the most: sources tell
+// a server once it was found ready. A clock that is off by less makes a server look this much older: with a quarter of the
+// capacity at first the budget is then a fifth too large, which the module's margin covers.
+const announced = 1.0 / 16
+
+// born brings the start of a server that was not on the last list, or not with this start, into the router's time, whatever the
+// clocks say: it began after the list was last complete without it, no later than now, and after its earlier life's start.
+func (f *Fleet) born(now control.Micros, told int64, earlier control.Micros) control.Micros {
+	if told == 0 && (f.first || f.ours) {
 		return 0
 	}
 	at := control.Micros(told - f.offset)
-	if !f.first && (told == 0 || at < f.read) {
-		at = f.read
+	if since := f.without(); told == 0 || at < since-control.Micros(announced*float64(f.slow)) {
+		at = since
+	}
+	return max(1, earlier+1, min(at, now))
+}
+
+// without is when the list was last complete without a server that comes on it now; 0 where that is not known, as of what a
+// configuration knows at the start.
+func (f *Fleet) without() control.Micros {
+	if f.first || f.ours && f.complete == 0 {
+		return 0
 	}
-	return max(1, min(at, now))
+	return cmp.Or(f.complete, f.read)
 }
 
 // Servers gives the servers that are on the list, by ascending id.
@@ -156,9 +226,23 @@
 // the start that it had is known not to be cold.
 func (f *Fleet) Forget(now control.Micros, keep func(control.ServerID) bool) {
 	const long = 600_000_000 // as long as the module keeps them
-	for id, s := range f.servers {
-		if s.State == control.Gone && now > s.left+long && !keep(id) {
-			delete(f.servers, id)
-		}
+	due := 0
+	for due < len(f.gone) && now > f.gone[due].at+long {
+		due++
+	}
+	if due == 0 {
+		return
 	}
+	kept := slices.DeleteFunc(f.gone[:due:due], func(d departure) bool {
+		s := f.servers[d.id]
+		if s == nil || s.State != control.Gone || s.left != d.at {
+			return true // it has returned since
+		}
+		if keep(d.id) {
+			return false
+		}
+		delete(f.servers, d.id)
+		return true
+	})
+	f.gone = slices.Delete(f.gone, len(kept), due)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,6 +52,7 @@
 	storm      *storm.Watch               // nil: storms are not damped
 	counted    *counted                   // the tally, for others; nil: it is not reported
 	keeper     *keeper                    // nil: nothing outlasts this run
+	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
 	between    []func(now control.Micros) // to be called after the turn
 	clock      control.Micros             // of the turn under way
 	listAsOf   control.Micros             // as of when the list that this turn chooses from was complete
@@ -66,8 +67,11 @@
 	pruned     control.Micros
 	stopping   bool
 	orders     int // without an answer
+	// complete is the last time of which it is known that the list was complete; 0: none is.
+	complete control.Micros
 
 	// Shared.
+	listWhole  atomic.Int64 // complete, as whoever follows the list's source knows it
 	box        *mailbox.Box
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
@@ -124,6 +128,7 @@
 		return nil, err
 	}
 	g.fleet, g.tally = fleet.New(0), loads.NewTally(g.epoch)
+	g.fleet.SlowStart(told.Deployment.Cold)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
@@ -138,7 +143,9 @@
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.Start(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
-		if g.keeper = openKeeper(told, g.epoch, module, log); g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
+		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
+		g.metrics.journal(g.keeper)
+		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
 			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
 		}
 	}
@@ -292,6 +299,7 @@
 		g.look()
 		g.listAsOf = asOf
 	}
+	g.complete = control.Micros(g.listWhole.Load()) // before the batch is taken: it holds all told by then
 }
 
 // look waits until the list's source was looked at. A source that gives no word for a quarter of the grace counts as one that
@@ -320,6 +328,7 @@
 	for _, f := range heard {
 		f(now)
 	}
+	g.fleet.Complete(g.complete)
 	g.core.Turn(now)
 	for _, f := range g.between {
 		f(now)
@@ -425,6 +434,13 @@
 		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
 		return
 	}
+	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
+		j.state.Give()
+		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		g.metrics.answered("pushed back")
+		g.metrics.unrecorded.Inc()
+		return
+	}
 	w := g.told.Deployment.Workloads[p.Workload]
 	limit := w.TimeLimit
 	if ask.Timeout > 0 {
@@ -527,7 +543,7 @@
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
-	if g.keeper != nil {
+	if g.keeper != nil && g.told.Deployment.LoadWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
--- /dev/null
+++ b/internal/platform/changes_test.go
@@ -0,0 +1,162 @@
+package platform
+
+import (
+	"cmp"
+	"fmt"
+	"reflect"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/board"
+	"hollymast/internal/fleet"
+)
+
+// replaced is a router whose connections to servers are never dialled.
+type replaced struct {
+	*Platform
+	sent []*sending
+}
+
+// open has an order on its way to a server, written or not, on a connection that stands or not yet.
+func (r *replaced) open(now control.Micros, to control.ServerID, written, up bool) {
+	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
+		return
+	}
+	s := r.sending(to, 1_000_000)
+	s.order.Server, s.id = to, r.orderID()
+	pl := r.poolOf(to)
+	for _, l := range pl.links {
+		if !l.retired && len(l.out) == 0 {
+			s.link = l
+		}
+	}
+	if s.link == nil {
+		s.link = r.newLink(now, pl)
+		s.link.up = written || up
+	}
+	s.link.out[s.id] = s
+	s.timer = r.timer // which ends nothing here
+	if written {
+		s.stage.Store(int32(attempt.Writing))
+	}
+	r.sent = append(r.sent, s)
+}
+
+// pooled tells of each connection, in the order of servers and of their beginnings, but for those that are dropped.
+func (r *replaced) pooled(dropped func(l *link) bool) []string {
+	var out []string
+	for id, pl := range r.pools {
+		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.born), 0
+		for _, l := range pl.links {
+			if !dropped(l) {
+				stay++
+				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.out), l.up, l.retired, l.since)
+			}
+		}
+		if s := r.fleet.Get(id); stay > 0 || s != nil && s.State != control.Gone {
+			out = append(out, line)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// all tells of the connections and of what was sent.
+func (r *replaced) all() []string {
+	out := r.pooled(func(*link) bool { return false })
+	for _, s := range r.sent {
+		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.reached(), s.state.Over))
+	}
+	return append(out, fmt.Sprint(r.linked, " connections, ", len(r.pools), " pools"))
+}
+
+// checkPrune prunes, and looks whether just those connections and pools are dropped that a look at all of them finds.
+func (r *replaced) checkPrune(t *rapid.T, now control.Micros) {
+	r.pruned = 0
+	want := r.pooled(func(l *link) bool { return len(l.out) == 0 && l.up && now-l.since > r.told.idle*3/4 })
+	r.prune(now)
+	if got := r.pooled(func(*link) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
+		t.Fatalf("pruned to\n%q, a look at all gives\n%q", got, want)
+	}
+}
+
+// idle gives the connections that stand and have nothing open, the one idle longest first.
+func (r *replaced) idle() []*link {
+	var out []*link
+	for _, pl := range r.pools {
+		for _, l := range pl.links {
+			if len(l.out) == 0 && l.up {
+				out = append(out, l)
+			}
+		}
+	}
+	slices.SortFunc(out, func(a, b *link) int { return cmp.Compare(a.since, b.since) })
+	return out
+}
+
+// checkFreeLink makes room, and looks whether one of those idle longest is dropped.
+func (r *replaced) checkFreeLink(t *rapid.T) {
+	before := r.idle()
+	freed := r.freeLink()
+	after := r.idle()
+	if freed != (len(before) > 0) || freed && len(after) != len(before)-1 {
+		t.Fatalf("freed %t, %d of %d are left", freed, len(after), len(before))
+	}
+	for _, l := range before {
+		if !slices.Contains(after, l) && l.since != before[0].since {
+			t.Fatalf("dropped one idle since %d, not %d", l.since, before[0].since)
+		}
+	}
+}
+
+// A router that hears what changed keeps and ends the connections that one does that hears the complete list at each event, and
+// prunes what a look at all of them would.
+func TestChangesEndTheSameConnections(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		both := []*replaced{{Platform: idlePlatform(t)}, {Platform: idlePlatform(t)}}
+		now := max(both[0].now(), both[1].now())
+		var s board.State
+		for rev := range uint64(rapid.IntRange(1, 40).Draw(rt, "steps")) {
+			now += control.Micros(rapid.SampledFrom([]int{1000, 100_000, 600_000, 4_000_000, 620_000_000}).Draw(rt, "pause"))
+			uid := func() string { return fmt.Sprint("s-", rapid.IntRange(0, 4).Draw(rt, "server")) }
+			e := board.Event{Rev: rev + 1, Pool: &board.Pool{All: rapid.IntRange(0, 9).Draw(rt, "all") == 0}}
+			for range rapid.IntRange(0, 3).Draw(rt, "servers") {
+				e.Pool.Targets = append(e.Pool.Targets, board.Target{UID: uid(), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 3).Draw(rt, "address")),
+					State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(rt, "state"), BootMS: int64(rapid.IntRange(0, 1).Draw(rt, "boot"))})
+			}
+			if _, err := s.Event(e); err != nil {
+				rt.Fatal(err)
+			}
+			both[0].hearBoard(now, s.News())
+			both[1].listed(now, s.List())
+			for range rapid.IntRange(0, 3).Draw(rt, "sent") {
+				to, written, up := fleet.ID(uid()), rapid.Bool().Draw(rt, "written"), rapid.Bool().Draw(rt, "up")
+				for _, r := range both {
+					r.open(now, to, written, up)
+				}
+			}
+			if n := len(both[0].sent); n > 0 && rapid.Bool().Draw(rt, "answered") {
+				i := rapid.IntRange(0, n-1).Draw(rt, "which")
+				for _, r := range both {
+					r.ended(now, r.sent[i], control.Finished, nil)
+				}
+			}
+			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
+			for _, r := range both {
+				if prune {
+					r.checkPrune(rt, now)
+				}
+				if free {
+					r.checkFreeLink(rt)
+				}
+			}
+			if x, y := both[0].all(), both[1].all(); !reflect.DeepEqual(x, y) {
+				rt.Fatalf("by changes\n%q, by lists\n%q", x, y)
+			}
+		}
+	})
+}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -5,7 +5,9 @@
 
 import (
 	"cmp"
+	"container/list"
 	"context"
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -16,6 +18,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -42,7 +45,9 @@
 	fleet    *fleet.Fleet
 	jobs     map[control.JobID]*job
 	pools    map[control.ServerID]*pool
-	linked   int // connections to servers
+	linked   int                        // connections to servers
+	bySince  *list.List                 // of *link: all that are not dropped, by when something last began or ended on them
+	leaving  map[control.ServerID]*pool // to servers that are gone, until prune finds their connections ended
 	timer    *time.Timer
 	due      control.Micros // when the timer fires
 	pruned   control.Micros
@@ -50,17 +55,22 @@
 	listAsOf control.Micros // as of when the list that this turn chooses from was complete
 	// listBefore is listAsOf of the turn before: a change that this turn takes in was told after that.
 	listBefore control.Micros
+	listWhole  control.Micros // the last time of which it is known that the list was complete; 0: none is
 	stopTold   control.Micros // to stop; 0: not
 	chance     *rand.PCG      // for the ids of orders; decides nothing
 
 	// Shared.
 	box      *mailbox.Box
+	calls    calls
+	pulse    pulse
 	follower *board.Follower
 	ready    atomic.Bool
 	listener *net.TCPListener
 	accepted chan struct{} // closed when no connection is accepted any more
+	away     chan struct{} // holds one for each connection that is read to be turned away
 	mu       sync.Mutex
 	clients  map[*client]struct{}
+	turned   int            // of them, for which there is no room
 	counts   map[string]int // what was out of order since the last line about it
 	// What the log tells of the rule for drains, since the last line, in microseconds.
 	oldestList maximum // of the lists that first bytes rested on: their age
@@ -76,6 +86,7 @@
 	client     *client
 	ask        msgrpc.Ask
 	read       control.Micros // when its last byte was
+	came       control.Micros // when it may have come: before, where the process stood still
 	gone       atomic.Bool    // its client has cancelled or closed: no execution begins
 	workload   control.WorkloadID
 	tenant     control.TenantID
@@ -93,11 +104,11 @@
 
 // New opens the router's listener.
 func New(told *Told, log zerolog.Logger) (*Platform, error) {
-	now := time.Now()
-	p := &Platform{told: told, log: log, started: now, epoch: control.Micros(now.UnixMicro()), jobs: map[control.JobID]*job{},
-		pools: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
-		fleet: fleet.New(0), accepted: make(chan struct{}), chance: rand.NewPCG(told.Seed, 0)}
+	p := &Platform{told: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), jobs: map[control.JobID]*job{},
+		pools: map[control.ServerID]*pool{}, bySince: list.New(), leaving: map[control.ServerID]*pool{}, box: mailbox.New(), clients: map[*client]struct{}{}, counts: map[string]int{},
+		fleet: fleet.New(0), calls: systemCalls, accepted: make(chan struct{}), away: make(chan struct{}, awayMost), chance: rand.NewPCG(told.Seed, 0)}
 	p.fleet.OneClock()
+	p.fleet.SlowStart(told.Deployment.Cold)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
 	p.mostClients = told.Sockets / 2
 	p.mostLinks = told.Sockets - p.mostClients - spare
@@ -112,11 +123,12 @@
 		return nil, err
 	}
 	p.timer = time.NewTimer(time.Hour)
+	p.bySince, p.leaving = list.New(), map[control.ServerID]*pool{}
 	p.listed(p.epoch, state.List())
-	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(list []fleet.Entry) {
-		p.box.TellList(func(now control.Micros) { p.listed(now, list) })
+	p.follower = board.NewFollower(state, told.Board, span(told.grace), told.Seed, func(news fleet.Update) {
+		p.box.TellList(func(now control.Micros) { p.hearBoard(now, news) })
 	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
-	l, err := net.Listen("tcp", told.Listen)
+	l, err := listenAt(told.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -124,6 +136,22 @@
 	return p, nil
 }
 
+// listenFor is for how long a start tries to listen: a predecessor's process may not be gone yet, or the machine be short of
+// something. A restart has several times as long to be ready.
+const listenFor = 3 * time.Second
+
+// listenAt listens, and tries again while what hinders it may pass.
+func listenAt(address string) (net.Listener, error) {
+	for begin := time.Now(); ; time.Sleep(rereadFirst) {
+		l, err := net.Listen("tcp", address)
+		passes := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+			syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
+		if !passes || time.Since(begin) > listenFor {
+			return l, err
+		}
+	}
+}
+
 // Address is where clients are listened to.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
@@ -177,12 +205,52 @@
 
 // A stopping router takes jobs for takesOn: they keep coming for 0.6 s. What comes after 0.7 s must have its answer before it is
 // killed, however long the job would take, so that it is pushed back at once; connections are taken for servesOn, longer, for
-// that answer.
+// that answer, where the kill doesn't come sooner.
 const (
 	takesOn  = 650_000
 	servesOn = 800 * time.Millisecond
 )
 
+// A stopping router is killed no sooner than killAfter and the longest deadline of its settings, of which killCounts counts at most,
+// after it was told to stop. The times before that: connections end from endsBefore on, since on a quarter of a core some hundred
+// take tens of milliseconds, and not before endsFrom, up to when requests come; what is still in hand gets its answer at answersBefore, by which a job taken at takesOn has had its own
+// time; and nothing is read any more from readsBefore on, so that clients which never pause keep no connection open.
+// A job that is only held, and whose client waits beyond the kill, is pushed back holdsBefore it: there is time to be served elsewhere.
+const (
+	killAfter, killCounts = 700_000, 3_000_000
+	endsBefore            = 130_000
+	endsFrom              = 600_000
+	answersBefore         = 80_000
+	readsBefore           = 60_000
+	holdsBefore           = 550_000
+)
+
+// killedFrom is how long after the order to stop the kill may come.
+func killedFrom(d control.Deployment) control.Micros {
+	var longest control.Micros
+	for _, w := range d.Workloads {
+		longest = max(longest, w.TimeLimit)
+	}
+	return killAfter + min(longest, killCounts)
+}
+
+// stopStep is what a stopping router does at its time after the order.
+type stopStep struct {
+	at control.Micros
+	do func()
+}
+
+// stopSteps gives them in their order.
+func (p *Platform) stopSteps() []stopStep {
+	kill := killedFrom(p.told.Deployment)
+	return []stopStep{
+		{min(control.Micros(servesOn/time.Microsecond), max(endsFrom, kill-endsBefore)), p.close},
+		{kill - holdsBefore, p.pushBackHeld},
+		{kill - answersBefore, p.answerAll},
+		{kill - readsBefore, p.readNoMore},
+	}
+}
+
 // Serve routes until the context ends, serves on for a little, gives each job in hand its answer, and returns once every
 // client's connection has ended: each is read until nothing is left on it.
 func (p *Platform) Serve(ctx context.Context) {
@@ -191,6 +259,7 @@
 	defer others.Wait()
 	defer stop()
 	others.Go(func() { p.follower.Follow(following) })
+	others.Go(func() { p.beat(following) })
 	others.Go(func() {
 		defer close(p.accepted)
 		p.accept(p.listener)
@@ -203,7 +272,8 @@
 	}
 	p.ready.Store(true)
 	done, accepted, ending := ctx.Done(), p.accepted, false
-	var last <-chan time.Time
+	var next <-chan time.Time
+	var steps []stopStep
 	var batch []func(control.Micros)
 	told := time.NewTicker(10 * time.Second)
 	defer told.Stop()
@@ -219,11 +289,14 @@
 			p.stopTold = p.now()
 			p.ready.Store(false)
 			p.log.Info().Int("jobs", len(p.jobs)).Msg("stopping: serving on a little, then answering what is in hand")
-			last = time.After(servesOn)
-		case <-last:
-			last = nil
+			steps = p.stopSteps()
+			next = time.After(span(steps[0].at))
+		case <-next:
 			ending = true
-			p.listenNoMore()
+			steps[0].do()
+			if steps = steps[1:]; len(steps) > 0 {
+				next = time.After(span(p.stopTold + steps[0].at - p.now()))
+			}
 		case <-accepted:
 			accepted = nil
 			p.endClients()
@@ -272,6 +345,9 @@
 	p.listBefore = p.listAsOf
 	if attempt.MustCatchUp(p.now()-p.listAsOf, p.told.grace) {
 		p.listAsOf = p.at(p.follower.CatchUp())
+		if complete := p.follower.Complete(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+			p.listWhole = p.at(complete)
+		}
 	}
 }
 
@@ -280,10 +356,17 @@
 	for _, f := range heard {
 		f(now)
 	}
+	p.fleet.Complete(p.listWhole)
 	p.core.Turn(now)
 	p.prune(now)
 }
 
+// close ends the clients' connections, and the listener after those that wait there: they are ended in their turn.
+func (p *Platform) close() {
+	p.listenNoMore()
+	p.endClients()
+}
+
 // listenNoMore has connections accepted that wait already, and no others.
 func (p *Platform) listenNoMore() { p.listener.SetDeadline(time.Now().Add(lastLook)) }
 
@@ -296,6 +379,43 @@
 	}
 }
 
+// readNoMore ends those that are still read, after a last look.
+func (p *Platform) readNoMore() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.clients {
+		c.endBy(lastReads)
+	}
+}
+
+// pushBackHeld pushes back what was never sent and whose client waits longer than this router can.
+func (p *Platform) pushBackHeld() {
+	kill := p.stopTold + killedFrom(p.told.Deployment)
+	p.giveBack(func(j *job) bool { return len(j.executions) == 0 && j.read+j.ask.Patience > kill-answersBefore })
+}
+
+// answerAll gives all that is in hand its answer: whatever is not answered now meets the kill.
+func (p *Platform) answerAll() { p.giveBack(func(*job) bool { return true }) }
+
+// giveBack ends those jobs in hand that are meant. Nobody is harmed by trying one again that was never written, or whose repeats
+// do no harm: that has time left with another router.
+func (p *Platform) giveBack(meant func(j *job) bool) {
+	now := p.now()
+	for _, j := range slices.SortedFunc(maps.Values(p.jobs), func(a, b *job) int { return cmp.Compare(a.id, b.id) }) {
+		if j.state.Given || !meant(j) {
+			continue
+		}
+		p.count("ended by the stop")
+		p.core.Left(now, j.id)
+		mayHaveRun := slices.ContainsFunc(j.executions, func(s *sending) bool { return !s.withdraw() && s.reached() == attempt.Writing })
+		if mayHaveRun && !p.told.Deployment.Workloads[j.workload].RepeatsAnywhere() {
+			p.finish(j, msgrpc.Killed(j.number))
+		} else {
+			p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
+		}
+	}
+}
+
 // served tells whether every client's connection has ended, and with them all that was owed.
 func (p *Platform) served() bool {
 	p.mu.Lock()
@@ -319,19 +439,42 @@
 	}
 }
 
-// listed takes in the list of servers.
-func (p *Platform) listed(now control.Micros, list []fleet.Entry) {
-	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, list))
-	for id, pl := range p.pools {
-		s := p.fleet.Get(id)
-		if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
-			p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
-			p.unlist(now, pl)
-			if s != nil && s.State == control.Ready { // another life: other connections
-				delete(p.pools, id)
-			}
+// hearBoard takes in what the notice board told.
+func (p *Platform) hearBoard(now control.Micros, news fleet.Update) {
+	if news.Whole {
+		p.listed(now, news.Entries)
+		return
+	}
+	changed := p.fleet.Changes(now, news.Entries)
+	p.core.Listed(now, control.ListChanges, changed)
+	for _, l := range changed {
+		if pl := p.pools[l.Server]; pl != nil {
+			p.relist(now, pl)
+		}
+	}
+}
+
+// listed takes in the complete list of servers.
+func (p *Platform) listed(now control.Micros, all []fleet.Entry) {
+	p.core.Listed(now, control.ListWhole, p.fleet.Whole(now, all))
+	for _, pl := range p.pools {
+		p.relist(now, pl)
+	}
+}
+
+// relist ends the connections to a server that takes nothing new, or lives another life.
+func (p *Platform) relist(now control.Micros, pl *pool) {
+	s := p.fleet.Get(pl.id)
+	if s == nil || s.State != control.Ready || s.Address != pl.address || control.Micros(s.Told.Born) != pl.born {
+		p.afterDrain.note(pl.firstByte.Load() - int64(p.listBefore))
+		p.unlist(now, pl)
+		if s != nil && s.State == control.Ready { // another life: other connections
+			delete(p.pools, pl.id)
 		}
 	}
+	if s == nil || s.State == control.Gone {
+		p.leaving[pl.id] = pl
+	}
 }
 
 // onTheWay is what of a client's patience goes by before its job is here, and before its answer is there: a millisecond or
@@ -343,7 +486,7 @@
 	if j.client.left(j) {
 		return // before this turn
 	}
-	if p.stopTold > 0 && j.read >= p.stopTold+takesOn {
+	if p.stopTold > 0 && now >= p.stopTold+takesOn {
 		p.finish(j, msgrpc.PushedBack(j.number, p.told.Deployment.MaxStayAway))
 		return
 	}
@@ -421,12 +564,14 @@
 	}
 	j.executions = append(j.executions, s)
 	j.state.Sent()
-	x := binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Allow: allow, Body: j.ask.Body}
-	p.dispatch(p.clock, s, x.Frame())
+	s.ends = min(s.deadline, j.came+j.ask.Patience-onTheWay)
+	s.until = min(s.until, s.ends)
+	s.request = &binframe.Execution{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, Mark: j.ask.Mark, Body: j.ask.Body}
+	p.dispatch(p.clock, s, nil)
 }
 
 func (p *Platform) sending(to control.ServerID, allow control.Micros) *sending {
-	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, listAsOf: p.listAsOf,
+	return &sending{p: p, to: to, chosen: p.clock, deadline: p.clock + allow, ends: p.clock + allow, listAsOf: p.listAsOf,
 		until: min(p.clock+allow, attempt.WriteUntil(p.listAsOf, p.told.grace))}
 }
 
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"container/list"
 	"context"
 	"errors"
 	"net"
@@ -37,7 +38,8 @@
 	up      bool // the turn has heard that it stands
 	retired bool // takes nothing new: an answer is owed that nobody waits for, or its server is gone
 	since   control.Micros
-	partial atomic.Bool // a write ended within a frame
+	place   *list.Element // in the router's order by since
+	partial atomic.Bool   // a write ended within a frame
 	dialing context.Context
 	undial  context.CancelFunc
 }
@@ -56,14 +58,16 @@
 	order    control.Order
 	id       binframe.ID
 	to       control.ServerID
-	link     *link // nil: none was had
+	request  *binframe.Execution // nil of an order
+	link     *link               // nil: none was had
 	chosen   control.Micros
 	listAsOf control.Micros // as of when the list was complete that it was chosen from
 	until    control.Micros // it is not written later
-	deadline control.Micros
-	writing  sync.Mutex   // held from the last check to the first byte
-	stage    atomic.Int32 // an attempt.Stage
-	whole    atomic.Bool  // its last byte was written
+	deadline control.Micros // it is not waited for longer
+	ends     control.Micros // its client's time is up: the server is told no more
+	writing  sync.Mutex     // held from the last check to the first byte
+	stage    atomic.Int32   // an attempt.Stage
+	whole    atomic.Bool    // its last byte was written
 	state    attempt.Sending
 	timer    *time.Timer
 }
@@ -89,20 +93,37 @@
 	return attempt.Stage(s.stage.Load())
 }
 
+// readerMost is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
+// Guards against a client that sends without a pause, and holds up what others sent on the same connection to a server.
+const readerMost = 100 * time.Millisecond
+
 // begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
-// turn, and so is a list that has grown too old since the choice.
+// turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
+// leaves: its reader comes first.
 func (s *sending) begin(write func() bool) (withdrawn bool) {
+	for began := time.Now(); ; time.Sleep(time.Millisecond) {
+		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerMost); !unread {
+			return withdrawn
+		}
+	}
+}
+
+func (s *sending) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	now := s.p.now()
+	unread = s.job != nil && !s.job.client.seen.level(time.Now())
 	wanted := s.job == nil || !s.job.gone.Load()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.until)
+	now := s.p.now()
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.until)
+	if ok && unread {
+		return false, true
+	}
 	if !ok {
 		s.p.box.Tell(func(now control.Micros) {
 			s.withdraw()
 			s.p.ended(now, s, control.NeverSent, nil)
 		})
-		return true
+		return true, false
 	}
 	if write() {
 		s.stage.Store(int32(next))
@@ -111,7 +132,13 @@
 			s.link.pool.firstByte.note(int64(now))
 		}
 	}
-	return false
+	return false, false
+}
+
+// frame gives a request's frame as of now: it tells what is left of its time.
+func (s *sending) frame() []byte {
+	s.request.Allow = s.ends - s.p.now()
+	return s.request.Frame()
 }
 
 func (s *sending) wrote(whole bool) {
@@ -121,7 +148,7 @@
 	}
 }
 
-// dispatch hands a sending to a connection.
+// dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
 func (p *Platform) dispatch(now control.Micros, s *sending, frame []byte) {
 	var l *link
 	if server := p.fleet.Get(s.to); server != nil && server.State == control.Ready {
@@ -133,7 +160,7 @@
 	if l != nil {
 		s.link = l
 		l.out[s.id] = s
-		if l.box.post(parcel{data: frame, begin: s.begin, wrote: s.wrote}) {
+		if l.box.post(s.parcel(frame)) {
 			return
 		}
 		delete(l.out, s.id)
@@ -142,6 +169,14 @@
 	p.box.Tell(func(now control.Micros) { p.ended(now, s, control.NeverSent, nil) })
 }
 
+func (s *sending) parcel(frame []byte) parcel {
+	p := parcel{data: frame, begin: s.begin, wrote: s.wrote}
+	if s.request != nil {
+		p.encode, p.size = s.frame, s.request.Size()
+	}
+	return p
+}
+
 // poolOf gives the connections to a server that is listed.
 func (p *Platform) poolOf(id control.ServerID) *pool {
 	pl := p.pools[id]
@@ -178,8 +213,9 @@
 func (p *Platform) newLink(now control.Micros, pl *pool) *link {
 	l := &link{p: p, pool: pl, out: map[binframe.ID]*sending{}, since: now}
 	l.dialing, l.undial = context.WithTimeout(context.Background(), span(p.told.connecting))
-	l.box.most = linkUnread
+	l.box.most, l.box.firstWrite = linkUnread, p.calls.write
 	pl.links = append(pl.links, l)
+	l.place = p.bySince.PushBack(l)
 	p.linked++
 	return l
 }
@@ -207,19 +243,13 @@
 
 // freeLink closes the connection that has been idle for longest, of any server.
 func (p *Platform) freeLink() bool {
-	var oldest *link
-	for _, pl := range p.pools {
-		for _, l := range pl.links {
-			if len(l.out) == 0 && l.up && (oldest == nil || l.since < oldest.since) {
-				oldest = l
-			}
+	for e := p.bySince.Front(); e != nil; e = e.Next() {
+		if l := e.Value.(*link); len(l.out) == 0 && l.up {
+			p.drop(l)
+			return true
 		}
 	}
-	if oldest == nil {
-		return false
-	}
-	p.drop(oldest)
-	return true
+	return false
 }
 
 // drop forgets a connection and closes it after what waits to be written.
@@ -228,6 +258,7 @@
 	for i, other := range l.pool.links {
 		if other == l {
 			l.pool.links = append(l.pool.links[:i], l.pool.links[i+1:]...)
+			p.bySince.Remove(l.place)
 			p.linked--
 			break
 		}
@@ -259,7 +290,7 @@
 	conn, err := l.dial()
 	if err != nil {
 		end = control.NoConnection
-		if outOfDescriptors(err) || errors.Is(err, context.Canceled) {
+		if ours(err) || errors.Is(err, context.Canceled) {
 			end = control.NeverSent // says nothing of the server
 		} else {
 			p.count("no connection to a server")
@@ -278,6 +309,8 @@
 			if why := spoilt(err); why != "" {
 				end = control.Errored // the server answers; what it said can't be read
 				p.count("spoilt answer: " + why)
+			} else if ours(err) {
+				end = control.Errored // may have run; says nothing of the server
 			}
 			return
 		}
@@ -285,28 +318,64 @@
 	}
 }
 
-// dial connects. Where descriptors are short for it, idle clients make room.
+// calls are the system's calls that a connection to a server begins with; tests put others in their place.
+type calls struct {
+	dial  func(ctx context.Context, address string) (net.Conn, error)
+	write func(fd int, b []byte) (int, error) // does not wait
+}
+
+var systemCalls = calls{
+	dial: func(ctx context.Context, address string) (net.Conn, error) {
+		return new(net.Dialer).DialContext(ctx, "tcp", address)
+	},
+	write: syscall.Write,
+}
+
+// dialPause is how soon a dial is tried again that failed for a moment, doubled up to closing: such a moment may be a packet's.
+const dialPause = 2 * time.Millisecond
+
+// dial connects. What may be over in a moment is tried again for as long as a connection may take to come up; where descriptors
+// are short, idle clients make room meanwhile.
 func (l *link) dial() (net.Conn, error) {
-	for {
-		conn, err := new(net.Dialer).DialContext(l.dialing, "tcp", l.pool.address)
-		if !outOfDescriptors(err) {
-			return conn, err
+	var before error // why the try before failed, through no fault of the server's
+	for pause := dialPause; ; pause = min(2*pause, closing) {
+		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
+		switch {
+		case err == nil:
+			return conn, nil
+		case ours(err), momentary(err):
+		case ours(before) && os.IsTimeout(err):
+			return nil, before // the server had but the rest of the time
+		default:
+			return nil, err
 		}
-		l.p.count("out of descriptors for a server")
-		if !l.p.makeRoom(1) {
-			select {
-			case <-l.dialing.Done():
-				return nil, err
-			case <-time.After(closing):
+		before = err
+		if errors.Is(err, syscall.EMFILE) {
+			l.p.count("out of descriptors for a server")
+			if l.p.makeRoom(1) {
+				continue
 			}
+		} else {
+			l.p.count("a dial failed for a moment")
+		}
+		select {
+		case <-l.dialing.Done():
+			return nil, err
+		case <-time.After(pause):
 		}
 	}
 }
 
-// outOfDescriptors tells of a fault that is ours.
-func outOfDescriptors(err error) bool {
-	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
-		errors.Is(err, syscall.EADDRNOTAVAIL)
+// ours tells of a fault that is this machine's, and no sign about a server.
+func ours(err error) bool {
+	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
+		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(one error) bool { return errors.Is(err, one) })
+}
+
+// momentary tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
+func momentary(err error) bool {
+	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
+		errors.Is(err, syscall.ECONNABORTED)
 }
 
 // spoilt tells what was wrong with an answer; empty where the connection itself ended.
@@ -387,6 +456,7 @@
 	s.timer.Stop()
 	if l := s.link; l != nil && l.out[s.id] == s {
 		delete(l.out, s.id)
+		p.bySince.MoveToBack(l.place)
 		if l.since = now; l.retired && len(l.out) == 0 {
 			p.drop(l)
 		}
@@ -449,14 +519,20 @@
 		return
 	}
 	p.pruned = now
-	for id, pl := range p.pools {
-		for i := len(pl.links) - 1; i >= 0; i-- {
-			if l := pl.links[i]; len(l.out) == 0 && l.up && now-l.since > p.told.idle*3/4 {
-				p.drop(l)
-			}
+	for e := p.bySince.Front(); e != nil; {
+		l := e.Value.(*link)
+		if now-l.since <= p.told.idle*3/4 {
+			break
+		}
+		if e = e.Next(); len(l.out) == 0 && l.up {
+			p.drop(l)
 		}
-		s := p.fleet.Get(id)
-		if len(pl.links) == 0 && (s == nil || s.State == control.Gone) {
+	}
+	for id, pl := range p.leaving {
+		if s := p.fleet.Get(id); s != nil && s.State != control.Gone || p.pools[id] != pl {
+			delete(p.leaving, id) // it has returned
+		} else if len(pl.links) == 0 {
+			delete(p.leaving, id)
 			delete(p.pools, id)
 		}
 	}
