--- a/client/client.go
+++ b/client/client.go
@@ -250,6 +250,7 @@
 	advised control.Micros
 	took    time.Duration
 	asked   bool // it had a connection
+	ours    bool // how it ended says nothing of the router
 }
 
 // run makes tries until the call has its outcome.
@@ -374,9 +375,10 @@
 	x, err := c.get(ctx, router)
 	if err != nil {
 		e.ending, e.failed = retry.Unsent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
+		e.ours = rest.Ours(err) || errors.Is(err, context.Canceled)
 	} else if !t.hold(x) { // the call is over
 		c.put(router, x, true)
-		e.ending, e.failed = retry.Unsent, &Failed{Kind: Unreached, Why: "the call is over"}
+		e.ending, e.failed, e.ours = retry.Unsent, &Failed{Kind: Unreached, Why: "the call is over"}, true
 	} else {
 		e.sent, e.asked = c.now(), true
 		told.Left = time.Until(t.deadline)
@@ -384,9 +386,11 @@
 	}
 	e.took = time.Since(begun)
 	c.mu.Lock()
-	if e.ending == retry.Unsent || e.ending == retry.Lost {
+	switch {
+	case e.ours:
+	case e.ending == retry.Unsent || e.ending == retry.Lost:
 		c.routers.Failed(c.now(), router)
-	} else {
+	default:
 		c.routers.Well(router)
 	}
 	c.mu.Unlock()
@@ -439,7 +443,11 @@
 	p, progress, err := x.Do(q, t.deadline.Add(c.o.Late))
 	t.drop(x)
 	if err != nil {
-		c.lose(e.router, x)
+		if e.ours = errors.Is(err, rest.ErrAborted) || rest.Ours(err); e.ours { // given up, by the caller or for another try's answer
+			c.put(e.router, x, true)
+		} else {
+			c.lose(e.router, x)
+		}
 		e.ending, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
 		if progress < rest.Whole || errors.Is(err, rest.ErrRefused) {
 			e.ending, e.failed.Kind = retry.Unsent, Unreached
