--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -58,6 +58,9 @@
 	case errors.Is(err, rest.ErrTimeout):
 		why = attempt.Late
 	}
+	if progress > rest.None && why == attempt.Lost && rest.Ours(err) {
+		return control.Errored // may have run; says nothing of the server
+	}
 	return attempt.Broken(progress > rest.None, why)
 }
 
--- /dev/null
+++ b/internal/gateway/faults_test.go
@@ -0,0 +1,124 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/rest"
+)
+
+// failed is a system call's error as the standard library gives it.
+func failed(call string, errno syscall.Errno) error {
+	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
+}
+
+// What a failed dial means to the module: what is ours is never a sign about the server, what may be the way's only where it lasts.
+func TestFailedDials(t *testing.T) {
+	const ours, way, server = control.NeverSent, control.NoConnection, control.Result(255)
+	f := newFieldChanged(t, "", func(t *Told) { t.DialTime = 40 * time.Millisecond })
+	address, _ := listens(t, new(atomic.Int64))
+	connect := f.g.connect
+	for errno, lasting := range map[syscall.Errno]control.Result{syscall.EMFILE: ours, syscall.ENFILE: ours, syscall.ENOBUFS: ours,
+		syscall.ENOMEM: ours, syscall.EADDRNOTAVAIL: ours, syscall.EINTR: ours, syscall.EAGAIN: ours, syscall.ENETUNREACH: way,
+		syscall.EHOSTUNREACH: way, syscall.ENETDOWN: way, syscall.ECONNABORTED: way, syscall.ECONNREFUSED: server, syscall.ECONNRESET: server,
+		syscall.ETIMEDOUT: server} {
+		for name, times := range map[string]int{"once": 1, "always": 1 << 20} {
+			tries := 0
+			f.g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
+				if tries++; tries <= times {
+					return nil, failed("connect", errno)
+				}
+				return connect(ctx, address)
+			}
+			want := control.Finished
+			switch {
+			case lasting == server:
+				want = control.NoConnection
+			case times > 1:
+				want = lasting
+			}
+			s := f.sendingNow(address, time.Second)
+			if e := (&link{g: f.g, address: address}).carry(s); e.result != want {
+				t.Errorf("%v %s: got %v, want %v", errno, name, e.result, want)
+			}
+			s.cancel()
+			if tries > 20 {
+				t.Errorf("%v %s: %d tries", errno, name, tries)
+			}
+		}
+	}
+}
+
+// What a failed read or write of an open connection means: nothing ran only where no byte was written.
+func TestFailedExchanges(t *testing.T) {
+	for errno, want := range map[syscall.Errno]control.Result{syscall.ETIMEDOUT: control.Reset, syscall.EHOSTUNREACH: control.Reset,
+		syscall.ENETUNREACH: control.Reset, syscall.ECONNRESET: control.Reset, syscall.EPIPE: control.Reset,
+		syscall.ENOBUFS: control.Errored, syscall.ENOMEM: control.Errored} {
+		for progress := rest.None; progress < rest.Done; progress++ {
+			got := Broken(progress, fmt.Errorf("exchange broken: %w", failed("read", errno)))
+			if progress == rest.None && got != control.NeverSent || progress > rest.None && got != want {
+				t.Errorf("%v at %d: got %v", errno, progress, got)
+			}
+		}
+	}
+}
+
+// faulty fails some accepts before each that it takes.
+type faulty struct {
+	net.Listener
+	errs []syscall.Errno
+}
+
+func (l *faulty) Accept() (net.Conn, error) {
+	if len(l.errs) > 0 {
+		errno := l.errs[0]
+		l.errs = l.errs[1:]
+		return nil, failed("accept", errno)
+	}
+	return l.Listener.Accept()
+}
+
+// A failed accept closes nobody, and the next connections are served, whatever the error and however often it comes.
+func TestFailedAccepts(t *testing.T) {
+	f := newField(t, usual(0))
+	open, r := f.talk()
+	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
+		syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
+		for _, times := range []int{1, 5} {
+			l, err := listen("127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			fails := &faulty{Listener: l}
+			for range times {
+				fails.errs = append(fails.errs, errno)
+			}
+			ended := make(chan bool)
+			go func() { defer close(ended); f.g.accept(fails, false) }()
+			nc, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			nc.SetDeadline(time.Now().Add(5 * time.Second))
+			io.WriteString(nc, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+			if _, err := io.ReadFull(nc, make([]byte, 15)); err != nil {
+				t.Errorf("%v %d times: %v", errno, times, err)
+			}
+			nc.Close()
+			l.Close()
+			<-ended
+		}
+	}
+	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+	if _, err := answers(r, 1); err != nil {
+		t.Errorf("the connection that was open: %v", err)
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -78,11 +78,12 @@
 	ready      atomic.Bool  // a list was read, and we take jobs
 	stopTold   atomic.Int64 // the router's time at which it was; 0: not
 	dials      chan struct{}
-	refresh    chan chan struct{}       // holds one
-	lookNow    atomic.Bool              // the list is read before the next turn, however young it is
-	rings      map[string]*keyring.Ring // by kind of connections
-	serving    context.Context          // ends with the last turn
-	distrusted sync.Map                 // address of a worker to what was last said of its certificate
+	connect    func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
+	refresh    chan chan struct{}                                              // holds one
+	lookNow    atomic.Bool                                                     // the list is read before the next turn, however young it is
+	rings      map[string]*keyring.Ring                                        // by kind of connections
+	serving    context.Context                                                 // ends with the last turn
+	distrusted sync.Map                                                        // address of a worker to what was last said of its certificate
 	links      sync.WaitGroup
 	asked      sync.WaitGroup // client connections
 	listeners  []net.Listener
@@ -122,6 +123,9 @@
 	// Routers take turns at cold servers by their common time (control.coldRoom), so it begins at the wall clock; from
 	// then on it is monotonic, whatever is done to that clock.
 	g.epoch = control.Micros(g.started.UnixMicro())
+	g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
+		return rest.DialSecure(ctx, address, &workerLimits, g.secure())
+	}
 	g.run = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
 	if err := g.openRings(); err != nil {
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -31,7 +31,7 @@
 
 // listens gives a server that notes what it is told, and takes its time for one request.
 func listens(t *testing.T, slow *atomic.Int64) (address string, heard chan toldLeft) {
-	heard = make(chan toldLeft, 8)
+	heard = make(chan toldLeft, 64)
 	return raw(t, func(_ int, nc *net.TCPConn) {
 		c := rest.NewConn(nc, &rest.Usual, nil)
 		q, err := c.Next()
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net/textproto"
+	"os"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -138,7 +139,7 @@
 	if c == nil {
 		var err error
 		if c, err = l.dial(s); err != nil {
-			return exchange{result: attempt.Undialled(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn))}
+			return exchange{result: attempt.Undialled(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.Ours(err))}
 		}
 		l.client.Store(c)
 	}
@@ -196,9 +197,33 @@
 	case <-ctx.Done():
 		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
 	}
-	return rest.DialSecure(ctx, l.address, &workerLimits, l.g.secure())
+	var before error // why the try before failed, through no fault of the server's
+	for pause := dialPause; ; pause = min(2*pause, dialPauseMost) {
+		c, err := l.g.connect(ctx, l.address)
+		switch {
+		case err == nil:
+			return c, nil
+		case rest.Ours(err), rest.Momentary(err):
+		case rest.Ours(before) && os.IsTimeout(err):
+			return nil, before // the server had but the rest of the time
+		default:
+			return nil, err
+		}
+		before = err
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-time.After(pause):
+		}
+	}
 }
 
+// A dial that failed for a moment is tried again after dialPause, doubled up to dialPauseMost: such a moment may be a packet's.
+const (
+	dialPause     = 2 * time.Millisecond
+	dialPauseMost = 50 * time.Millisecond
+)
+
 // workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
 var workerLimits = rest.Limits{Line: 16 << 10, Headers: 128, Block: 64 << 10, Body: 64 << 20}
 
