--- a/internal/board/watch.go
+++ b/internal/board/watch.go
@@ -31,6 +31,11 @@
 	maxAtOnce = maxLine
 )
 
+// interruptedMost is how often a read that a signal interrupts is made again at once: signals come some a second at most.
+const interruptedMost = 8
+
+var read = syscall.Read // tests have it fail
+
 // Why a watch ends.
 var (
 	errLongLine = errors.New("a line without an end")
@@ -88,10 +93,12 @@
 	}
 	began := time.Now()
 	var part [chunk]byte
+	interrupted := 0
 	for total := 0; total < maxAtOnce; {
-		n, err := syscall.Read(int(fd), part[:])
+		n, err := read(int(fd), part[:])
 		switch {
-		case errors.Is(err, syscall.EINTR):
+		case errors.Is(err, syscall.EINTR) && interrupted < interruptedMost:
+			interrupted++
 			continue
 		case errors.Is(err, syscall.EAGAIN):
 			w.complete = began
--- /dev/null
+++ b/internal/board/watch_test.go
@@ -0,0 +1,27 @@
+package board
+
+import (
+	"errors"
+	"syscall"
+	"testing"
+)
+
+// A read that a signal interrupts is made again, and not for ever; one that goes on failing ends the watch, which is asked anew.
+func TestInterruptedRead(t *testing.T) {
+	defer func() { read = syscall.Read }()
+	for times := range 20 {
+		calls := 0
+		read = func(int, []byte) (int, error) {
+			if calls++; calls <= times {
+				return -1, syscall.EINTR
+			}
+			return -1, syscall.EAGAIN
+		}
+		w := &watch{}
+		err := w.drain(0, nil)
+		well := times <= interruptedMost
+		if (err == nil) != well || !well && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == well || calls > interruptedMost+1 {
+			t.Errorf("interrupted %d times: %v after %d calls", times, err, calls)
+		}
+	}
+}
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -121,6 +121,11 @@
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
+// interruptedMost is how often a call that a signal interrupts is made again: signals come some a second at most.
+const interruptedMost = 8
+
+var recvfrom = syscall.Recvfrom // tests have it fail
+
 // glance looks at a connection's next byte without taking it or waiting; ok is false at its end.
 func glance(nc net.Conn) (e syscall.Errno, ok bool) {
 	sc, is := nc.(syscall.Conn)
@@ -134,9 +139,13 @@
 	n := 0
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		var got error
-		n, _, got = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		e, _ = got.(syscall.Errno)
+		for range interruptedMost {
+			var got error
+			n, _, got = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			if e, _ = got.(syscall.Errno); e != syscall.EINTR {
+				break
+			}
+		}
 	})
 	return e, err == nil && (e != 0 || n > 0)
 }
--- a/internal/rest/crossing_test.go
+++ b/internal/rest/crossing_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"io"
 	"net"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -91,3 +92,23 @@
 		t.Error(err)
 	}
 }
+
+// A look that a signal interrupts is made again, and not for ever.
+func TestInterruptedLook(t *testing.T) {
+	s, nc := served(t, Usual)
+	io.WriteString(nc, "x")
+	waits(t, s)
+	times, calls := 0, 0
+	recvfrom = func(fd int, b []byte, flags int) (int, syscall.Sockaddr, error) {
+		if calls++; calls <= times {
+			return -1, nil, syscall.EINTR
+		}
+		return syscall.Recvfrom(fd, b, flags)
+	}
+	defer func() { recvfrom = syscall.Recvfrom }()
+	for times = range 10 {
+		if calls = 0; s.More() != (times < interruptedMost) || calls > interruptedMost {
+			t.Errorf("interrupted %d times: %d calls", times, calls)
+		}
+	}
+}
