--- a/client/client.go
+++ b/client/client.go
@@ -430,8 +430,15 @@
 	if t.call.BodyOf != nil {
 		body = t.call.BodyOf(told)
 	}
+	left := time.Until(t.deadline).Milliseconds()
+	if left <= 0 { // the body took what was left
+		t.drop(x)
+		c.put(e.router, x, true) // the call's end may have broken it
+		e.ending, e.failed, e.ours = retry.Unsent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
+		return
+	}
 	h := rest.Header{"Host": {address}, "Content-Type": {"application/json"}, kserve.RepeatMark: {told.Mark}, kserve.AttemptHeader: {strconv.Itoa(told.Number)},
-		kserve.TimeoutHeader: {strconv.FormatInt(max(1, told.Left.Milliseconds()), 10)}}
+		kserve.TimeoutHeader: {strconv.FormatInt(left, 10)}}
 	if t.call.Header > 0 {
 		h["Content-Type"] = []string{"application/octet-stream"}
 		h[kserve.HeaderLength] = []string{strconv.Itoa(t.call.Header)}
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -40,3 +40,22 @@
 		t.Errorf("asked %v", asked)
 	}
 }
+
+// A body that takes its time to be made costs the try its time: the router is told what is left, and with nothing left nothing goes out.
+func TestSlowBodies(t *testing.T) {
+	r := begin(t, 1, well)
+	lib := made(t, Options{Routers: r.addrs})
+	slow := func(Try) []byte { time.Sleep(200 * time.Millisecond); return body }
+	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyOf: slow, Patience: time.Second}); err != nil {
+		t.Error(err)
+	}
+	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyOf: slow, Patience: 100 * time.Millisecond}); err == nil {
+		t.Error("answered in no time")
+	}
+	time.Sleep(50 * time.Millisecond)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.log) != 1 || r.log[0].timeout > 800*time.Millisecond {
+		t.Errorf("heard %+v", r.log)
+	}
+}
