--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"hollymast/internal/platformtest"
 )
 
 // faulty is a connection to a server on which reads fail once a request is out.
@@ -125,3 +127,28 @@
 		})
 	}
 }
+
+// A first byte that is tried again and again holds up no end of its connection: the turn may close it.
+func TestCloseDoesNotWaitForAFirstByte(t *testing.T) {
+	ours, _ := platformtest.Connected(t)
+	tried := make(chan bool, 1)
+	o := &outbox{conn: ours, most: 1000, firstWrite: func(int, []byte) (int, error) {
+		select {
+		case tried <- true:
+		default:
+		}
+		return -1, syscall.ENOBUFS
+	}}
+	o.post(parcel{data: []byte("never"), begin: func(write func() bool) bool { write(); return false }})
+	<-tried
+	begun := time.Now()
+	o.close()
+	if took := time.Since(begun); took > writeTime/4 {
+		t.Errorf("the close took %v", took)
+	}
+	until(t, "the writer ends", func() bool {
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		return !o.writing
+	})
+}
--- a/internal/platform/outbox.go
+++ b/internal/platform/outbox.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"net"
+	"os"
 	"sync"
 	"syscall"
 	"time"
@@ -28,7 +29,8 @@
 }
 
 // parcel is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
-// parcel. Write tells whether any byte is out; begin is called again once the connection has room.
+// parcel. Write tells whether any byte is out; begin is called again once the connection has room, and in a moment where it did
+// neither.
 type parcel struct {
 	data []byte
 	// encode, where there is one, gives data, right before each try to write the first byte: guards against a deadline in it that was
@@ -186,30 +188,35 @@
 	if err != nil {
 		return 0, err
 	}
-	var failed error
-	err = raw.Write(func(fd uintptr) (done bool) {
-		room := true
-		write := func() bool {
-			if p.encode != nil {
-				p.data = p.encode()
+	for range writeTime / writePause {
+		var failed error
+		again := false
+		err = raw.Write(func(fd uintptr) bool {
+			room, asked := true, false
+			write := func() bool {
+				asked = true
+				if p.encode != nil {
+					p.data = p.encode()
+				}
+				n, failed = uninterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
+				if errors.Is(failed, syscall.EAGAIN) {
+					room, failed = false, nil
+				}
+				return n > 0
 			}
-			n, failed = uninterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
-			if errors.Is(failed, syscall.EAGAIN) {
-				room, failed = false, nil
-			}
-			return n > 0
-		}
-		for range writeTime / writePause { // a fault of our own that may be over in a moment
 			failed = nil
-			if done = p.begin(write) || room; !room || n > 0 || !ours(failed) {
-				break
-			}
-			time.Sleep(writePause)
+			withdrawn := p.begin(write)
+			again = !withdrawn && (!asked || n == 0 && ours(failed))
+			return withdrawn || room
+		})
+		if !again || err != nil {
+			return n, cmp.Or(failed, err)
 		}
-		return done
-	})
-	return n, cmp.Or(failed, err)
+		time.Sleep(writePause) // outside of the connection's write, which its close waits for
+	}
+	return 0, os.ErrDeadlineExceeded
 }
 
-// writePause is how soon a first byte is tried again that this machine had no means for: the check before it comes again as well.
+// writePause is how soon a first byte is tried again that this machine had no means for, or that waits for a reader: the check before
+// it comes again as well.
 const writePause = time.Millisecond
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"errors"
 	"net"
@@ -63,6 +64,7 @@
 	until    control.Micros // it is not written later
 	deadline control.Micros // it is not waited for longer
 	ends     control.Micros // its client's time is up: the server is told no more
+	unread   control.Micros // since when the first byte waits for its client's reader; 0: it does not
 	writing  sync.Mutex     // held from the last check to the first byte
 	stage    atomic.Int32   // an attempt.Stage
 	whole    atomic.Bool    // its last byte was written
@@ -99,29 +101,27 @@
 // turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
 // leaves: its reader comes first.
 func (s *sending) begin(write func() bool) (withdrawn bool) {
-	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerMost); !unread {
-			return withdrawn
-		}
-	}
-}
-
-func (s *sending) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	unread = s.job != nil && !s.job.client.seen.level(time.Now())
+	unread := s.job != nil && !s.job.client.seen.level(time.Now())
 	wanted := s.job == nil || !s.job.gone.Load()
 	now := s.p.now()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.until)
-	if ok && unread {
-		return false, true
+	if !unread {
+		s.unread = 0
+	} else {
+		s.unread = cmp.Or(s.unread, now)
+		wanted = wanted && now-s.unread < control.Micros(readerMost.Microseconds())
 	}
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.until)
 	if !ok {
 		s.p.box.Tell(func(now control.Micros) {
 			s.withdraw()
 			s.p.ended(now, s, control.NeverSent, nil)
 		})
-		return true, false
+		return true
+	}
+	if unread {
+		return false
 	}
 	if write() {
 		s.stage.Store(int32(next))
@@ -130,7 +130,7 @@
 			s.link.pool.firstByte.note(int64(now))
 		}
 	}
-	return false, false
+	return false
 }
 
 // frame gives a request's frame as of now: it tells what is left of its time.
