--- /dev/null
+++ b/internal/platform/trouble_test.go
@@ -0,0 +1,126 @@
+package platform
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/binframe"
+	"hollymast/internal/fleet"
+	"hollymast/internal/msgrpc"
+	"hollymast/internal/platformtest"
+)
+
+// Trouble at the only server, whatever it is, frees no request of its final answer: each has one, in time.
+func TestTroubleAtTheServer(t *testing.T) {
+	type serve func(c net.Conn)
+	do := func(act func(a asked)) serve { // act on each request
+		return func(c net.Conn) {
+			for in := bufio.NewReader(c); ; {
+				f, err := platformtest.ReadFrame(in)
+				if err != nil {
+					return
+				}
+				if f.Code == platformtest.Execution {
+					act(asked{f.Code, f.ID, f.Fields, f.Body, 0, c})
+				}
+			}
+		}
+	}
+	ways := map[string]serve{
+		"silent":           do(func(asked) {}),
+		"reads nothing":    func(net.Conn) { <-t.Context().Done() },
+		"closes at once":   func(net.Conn) {},
+		"another's answer": do(func(a asked) { a.conn.Write(a.answer(97, a.id+1, "x")) }),
+		"half and silent":  do(func(a asked) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)/2]) }),
+		"resets": do(func(a asked) {
+			a.conn.(*net.TCPConn).SetLinger(0)
+			a.conn.Close()
+		}),
+	}
+	for name, spoil := range spoils {
+		ways["spoilt: "+name] = do(spoil)
+	}
+	for name, way := range ways {
+		for _, links := range []int{0, 1} { // as many connections as are wanted; one for all
+			t.Run(fmt.Sprintf("%s, links %d", name, links), func(t *testing.T) {
+				t.Parallel()
+				r := startChanged(t, func(p *Platform) {
+					longGrace(p)
+					if links > 0 {
+						p.mostLinks = links
+					}
+					p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+						conn, err := systemCalls.dial(ctx, address)
+						if err == nil {
+							conn.(*net.TCPConn).SetWriteBuffer(2048) // holds less than one request
+						}
+						return conn, err
+					}
+				}, narrow(t, way))
+				const clients, each = 6, perClient
+				var callers []*caller
+				begun := time.Now()
+				for i := range clients {
+					c := r.caller(t)
+					callers = append(callers, c)
+					go func() {
+						for n := 1; n <= each; n++ {
+							c.send(0, n, []string{"again", "once"}[n%2], []any{map[string]string{"ref": fmt.Sprintf("%016x", i*each+n),
+								"allow": fmt.Sprint(allowed.Milliseconds()), "project": "acme", "lookup": "7f3a9c21e0b4d655",
+								"spec": "memory_mb:512;lanes:2"}, make([]byte, msgrpc.MaxBody)})
+						}
+					}()
+				}
+				for _, c := range callers {
+					answers := map[any]int{}
+					for len(answers) < each {
+						v, err := c.dec.DecodeSlice()
+						if err != nil {
+							t.Fatalf("%d of %d answered: %v", len(answers), each, err)
+						}
+						answers[fmt.Sprint(v[1])]++
+					}
+					if took := time.Since(begun); took > allowed+500*time.Millisecond {
+						t.Errorf("the last answer came after %v", took)
+					}
+					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+					if v, err := c.dec.DecodeSlice(); err == nil {
+						t.Errorf("a further answer: %v", v[1])
+					}
+				}
+			})
+		}
+	}
+}
+
+// A queue to a server that gets full ends all that waits in it, provably never sent.
+func TestFullQueueEndsWhatWaits(t *testing.T) {
+	p := idlePlatform(t)
+	p.mostLinks = 1
+	p.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
+	p.listed(p.now(), []fleet.Entry{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}})
+	id := fleet.ID("s-0")
+	var all []*sending
+	for n := range 3 {
+		s := p.sending(id, 1_000_000)
+		s.order, s.id = control.Order{Server: id}, binframe.ID(n+1)
+		p.dispatch(p.now(), s, make([]byte, linkUnread*2/5)) // two of them have room
+		all = append(all, s)
+	}
+	until(t, "all have ended", func() bool {
+		p.turn(p.now(), p.box.Take(nil))
+		return !slices.ContainsFunc(all, func(s *sending) bool { return !s.state.Over })
+	})
+	for _, s := range all {
+		if s.reached() == attempt.Writing {
+			t.Error("one was written")
+		}
+	}
+}
