--- a/control/control_test.go
+++ b/control/control_test.go
@@ -20,6 +20,7 @@
 		r.servers = append(r.servers, &server{listed: true,
 			Listing: Listing{Server: ServerID(i + 1), State: Ready, Power: 1}})
 	}
+	r.reindex()
 	return r
 }
 
@@ -204,6 +205,7 @@
 		s.heard = at - 10_000
 	}
 	r.servers[2].heard = at - second
+	r.reindex()
 	r.examine(at)
 	if !r.servers[2].suspect || r.servers[1].suspect || len(r.recalls) != 1 {
 		t.Errorf("suspects wrong, or %d recalls, want 1", len(r.recalls))
@@ -299,9 +301,10 @@
 		r.answers = append(r.answers, at-second+Micros(i))
 	}
 	cold.Born = at - second
+	r.reindex()
 	r.pool(at)
 	// 40 answers a second of 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 jobs in a window of a second: 31.4.
-	r.told.Number = 1 // whose turn the part of a job is not
+	r.told.Number = 2 // whose turn the part of a job is not
 	for i := range 31 {
 		if !r.coldRoom(at, cold) {
 			t.Fatalf("refused after %d", i)
@@ -320,6 +323,7 @@
 		told.Routers, told.Number = 200, number
 		r := fleet(told, 2)
 		r.servers[1].Born = at - second
+		r.reindex()
 		r.answers = []Micros{at - second, at - second} // a tenth of one a second from each of 200: 20 of all
 		r.pool(at)
 		if r.coldRoom(at, r.servers[1]) {
@@ -644,6 +648,25 @@
 	}
 }
 
+// A function that was forgotten and is known again must lose its copies with a restart, like any other.
+func TestRestartForgetsCopiesOfAFunctionKnownAgain(t *testing.T) {
+	r := fleet(deployment(), 1)
+	stands(r, 1, 0).used = 0
+	for i := range 1 << 15 {
+		r.function(&Job{Function: FunctionID(1000 + i)})
+	}
+	for range 100 {
+		r.tidy(at)
+	}
+	if r.functions[7] != nil {
+		t.Fatal("it was not forgotten")
+	}
+	in := stands(r, 1, 0)
+	if r.Listed(at+2, ListChanges, []Listing{{Server: 1, State: Ready, Born: at + 1}}); r.warm(at+2, in) {
+		t.Error("a server that started anew holds nothing")
+	}
+}
+
 // BenchmarkDistinctFunctions is a router that is asked for a name nobody serves, a million times over.
 func BenchmarkDistinctFunctions(b *testing.B) {
 	told := deployment()
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -1,12 +1,14 @@
 package gateway
 
 import (
+	"fmt"
 	"os"
 	"syscall"
 	"testing"
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/attempt"
 	"hollymast/internal/audit"
 	"hollymast/internal/fleet"
 )
@@ -91,3 +93,69 @@
 		t.Errorf("five jobs took %v", took)
 	}
 }
+
+// A server that is told to have started an hour ago, as after a step of the clock, began after the list was last looked at without
+// it, however long that list had stood.
+func TestStartIsBoundedByTheLastLook(t *testing.T) {
+	f := newFieldChanged(t, "", rarely, usual(0), usual(1))
+	look := func() (asOf control.Micros) {
+		asOf = f.g.now()
+		for control.Micros(f.g.listWhole.Load()) < asOf {
+			f.g.Refresh()
+			time.Sleep(time.Millisecond)
+		}
+		return asOf
+	}
+	f.write("ready")
+	look()
+	time.Sleep(100 * time.Millisecond) // the list stands
+	complete := look()
+	list := fmt.Sprintf("[0]\naddress = %s\n[1]\naddress = %s\nborn = %s\n", f.servers[0].Address(), f.servers[1].Address(),
+		time.Now().Add(-time.Hour).UTC().Format(time.RFC3339Nano))
+	if err := os.WriteFile(f.list+".new", []byte(list), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(f.list+".new", f.list); err != nil {
+		t.Fatal(err)
+	}
+	look()
+	bounded := make(chan bool)
+	f.g.tell(func(now control.Micros) {
+		s := f.g.fleet.Get(fleet.ID(f.servers[1].Address()))
+		bounded <- s.Cold(complete, 1) && !s.Cold(now, 0)
+	})
+	if !<-bounded {
+		t.Error("it began before the list was complete without it, or after now")
+	}
+}
+
+// What is on its way to a server that drains or goes is taken back, whether the list tells all servers or what changed.
+func TestNewsTakesBackWhatIsOnItsWay(t *testing.T) {
+	const address, other = "127.0.0.1:1", "127.0.0.1:2"
+	id := fleet.ID(address)
+	for name, news := range map[string]fleet.Update{
+		"drains": {Entries: []fleet.Entry{{Address: address, State: control.Draining}}},
+		"goes":   {Entries: []fleet.Entry{{Address: address, State: control.Gone}}},
+		"all":    {Whole: true, Entries: []fleet.Entry{{Address: other, State: control.Ready}}},
+	} {
+		f := newFieldChanged(t, "", rarely, usual(0))
+		stages := make(chan [2]attempt.Stage)
+		f.g.tell(func(now control.Micros) {
+			f.g.listed(now, fleet.Update{Whole: true, Entries: []fleet.Entry{{Address: address, State: control.Ready}, {Address: other, State: control.Ready}}})
+			var sent [2]*sending
+			for i, to := range []control.ServerID{id, fleet.ID(other)} {
+				sent[i] = f.g.sending(to, 1_000_000)
+				f.g.pools[to] = &pool{id: to, out: map[*sending]struct{}{sent[i]: {}}}
+			}
+			f.g.listed(now, news)
+			stages <- [2]attempt.Stage{attempt.Stage(sent[0].stage.Load()), attempt.Stage(sent[1].stage.Load())}
+			for _, s := range sent {
+				s.cancel()
+				delete(f.g.pools, s.to)
+			}
+		})
+		if got := <-stages; got[0] != attempt.Withdrawn || got[1] == attempt.Withdrawn {
+			t.Errorf("%s: it is at stage %d, what goes to another server at %d", name, got[0], got[1])
+		}
+	}
+}
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -6,6 +6,9 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -162,7 +165,7 @@
 	return os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)
 }
 
-// A journal that fails costs no job anything, and one whose disk stands still costs none its answer.
+// A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
 	f := newFieldTold(t, remembering(filepath.Join(t.TempDir(), "m")), usual(0))
 	set := func(j *memory.Journal) (old *memory.Journal) {
@@ -180,8 +183,216 @@
 	}
 	set(old)
 	old.Close()
-	if got := f.askMarked("failing", "ticket-1", "failing"); got != audit.Finished {
-		t.Errorf("got %s", got)
+	if got := f.askMarked("failing", "ticket-1", "failing"); got != audit.PushedBack || f.began("failing", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, f.began("failing", -1))
+	}
+	if got := f.ask("unmarked", "ticket-1", time.Second); got != audit.Finished {
+		t.Errorf("unmarked: got %s", got)
+	}
+}
+
+// fullDisk is the machine's file system, which fails while it is full.
+type fullDisk struct {
+	memory.System
+	full atomic.Bool
+}
+
+func (d *fullDisk) Create(path string) (memory.File, error) {
+	if d.full.Load() {
+		return nil, syscall.ENOSPC
+	}
+	f, err := d.System.Create(path)
+	return &fullFile{f, d}, err
+}
+
+func (d *fullDisk) Names(dir string) ([]string, error) {
+	if d.full.Load() {
+		return nil, syscall.EIO
+	}
+	return d.System.Names(dir)
+}
+
+type fullFile struct {
+	memory.File
+	d *fullDisk
+}
+
+func (f *fullFile) Write(b []byte) (int, error) {
+	if f.d.full.Load() {
+		n, _ := f.File.Write(b[:len(b)/2])
+		return n, syscall.ENOSPC
+	}
+	return f.File.Write(b)
+}
+
+func (f *fullFile) Sync() error {
+	if f.d.full.Load() {
+		return syscall.EIO
+	}
+	return f.File.Sync()
+}
+
+// The wall clock was stepped between two lives, in one boot: a run-once job that may have run stays known for its time, and a
+// fingerprinted one's window is that of real time. What another boot sent lies beyond every window, and is known as well.
+func TestRepeatsAfterTheClockWasStepped(t *testing.T) {
+	const hour = 3_600_000_000
+	for _, c := range []struct {
+		name       string
+		step       control.Micros // of the wall clock since
+		boot       bool           // again since
+		booking    string
+		executions int
+	}{
+		{"ahead", hour, false, audit.Finished, 1}, {"back", -hour, false, audit.Finished, 1}, {"by seconds", 5_000_000, false, audit.Finished, 1},
+		{"not at all", 0, false, audit.Finished, 1}, {"another boot", 0, true, audit.PushedBack, 0}, {"another boot, ahead", hour, true, audit.PushedBack, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			told := &Told{Deployment: control.Deployment{Workloads: []control.Workload{{}, {Effect: control.Fingerprinted}, {Effect: control.RunOnce}}}}
+			now := control.Micros(time.Now().UnixMicro()) - c.step
+			clock := memory.ReadClock(now)
+			if c.boot {
+				clock.Boot++
+			}
+			j, _, _, err := memory.JournalOptions{Files: memory.System{}, Sync: memory.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
+				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			elsewhere := fleet.ID("127.0.0.1:9")
+			j.Append(memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Close()
+			f := newFieldChanged(t, remembering(dir), func(t *Told) {
+				booking, _ := t.Match("booking-1")
+				t.Deployment.Workloads[booking.Workload].Window = 60_000_000
+			}, usual(0), usual(1))
+			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
+			}
+			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
+			if got := f.askMarked("ticket", "ticket-1", "sent"); got != audit.Killed || f.began("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
+			}
+		})
+	}
+}
+
+// While the folder fails a marked job that may not repeat is pushed back with the time to come again, others are served, and once
+// it is well all are. What ran is known to the next life at any moment, and both metrics count.
+func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
+	dir := t.TempDir()
+	disk := &fullDisk{}
+	f := newFieldChanged(t, remembering(dir), func(t *Told) { t.files = disk }, usual(0), usual(1))
+	refused := 0
+	for i := range 60 {
+		disk.full.Store(i/10%2 == 1)
+		job := fmt.Sprint("job-", i)
+		got := f.askMarked(job, "ticket-1", job)
+		switch ran := f.began(job, -1); {
+		case got == audit.PushedBack && ran == 0:
+			refused++
+		case got != audit.Finished || ran != 1:
+			t.Errorf("%s: got %s with %d executions", job, got, ran)
+		case disk.full.Load():
+			t.Errorf("%s: ran unrecorded", job)
+		}
+		if disk.full.Load() && i%10 == 5 {
+			if got := f.ask(job+" other", "forecast-1", time.Second); got != audit.Finished {
+				t.Errorf("a job that may repeat: %s", got)
+			}
+			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.Usual)
+			if err != nil {
+				t.Fatal(err)
+			}
+			q := request(job, "ticket-1", time.Second)
+			q.Header[kserve.RepeatMark] = []string{job + " again"}
+			p, _, err := c.Do(q, time.Now().Add(2*time.Second))
+			if c.Close(); err != nil || p.Status != 503 || p.Header["Retry-After"] == nil {
+				t.Errorf("%+v, %v", p, err)
+			}
+		}
+		if i%10 == 9 {
+			known := f.knownTo(t, dir)
+			for k := range i + 1 {
+				job := fmt.Sprint("job-", k)
+				if f.began(job, -1) > 0 && len(known.MayHaveRun(f.g.now(), f.g.told.mark("ticket-1", kserve.Ask{Mark: job}, f.ticket()))) == 0 {
+					t.Errorf("%s ran, and a next life would not know", job)
+				}
+			}
+		}
+		if i%20 == 19 { // until it is tried again
+			disk.full.Store(false)
+			for end := time.Now().Add(10 * time.Second); f.g.keeper.Failing() && time.Now().Before(end); {
+				time.Sleep(time.Millisecond)
+			}
+		}
+	}
+	if refused < 25 {
+		t.Errorf("%d were pushed back", refused)
+	}
+	text := string(f.g.metrics.page().Body)
+	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
+		if !strings.Contains(text, "hollymast_"+name+" ") || strings.Contains(text, "hollymast_"+name+" 0\n") {
+			t.Errorf("%s does not count", name)
+		}
+	}
+}
+
+func (f *field) ticket() control.WorkloadID {
+	p, _ := f.g.told.Match("ticket-1")
+	return p.Workload
+}
+
+// knownTo gives what a life that begins now would know of marks, were this one killed.
+func (f *field) knownTo(t *testing.T, dir string) *memory.Marks {
+	t.Helper()
+	copied := t.TempDir()
+	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names { // the memory beside them is being replaced
+		b, err := os.ReadFile(name)
+		if err == nil {
+			err = os.WriteFile(filepath.Join(copied, filepath.Base(name)), b, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	j, es, _, err := memory.OpenJournal(copied, memory.Never, 1<<40, 1<<30, func(error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	j.Close()
+	return memory.Recalled(&control.Memory{}, es, 1<<40, 1000)
+}
+
+// What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
+// earlier life may have run.
+func TestFolderThatFailsAtAStart(t *testing.T) {
+	var said strings.Builder
+	told := &Told{MemoryDir: t.TempDir(), MarksFor: 10 * time.Minute, MarksMost: 10, Journal: memory.Grouped, files: &fullDisk{}}
+	disk := told.files.(*fullDisk)
+	k, unknown := openKeeper(told, 1e15, control.Start(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	disk.full.Store(true)
+	for range 3 {
+		k.Append(memory.Entry{Kind: memory.Execution, At: 1e15, Mark: 1})
+		time.Sleep(20 * time.Millisecond)
+	}
+	r := k.Append(memory.Entry{Kind: memory.Execution, At: 1e15, Mark: 1})
+	disk.full.Store(false)
+	<-r.Done()
+	k.close()
+	if n, m := strings.Count(said.String(), "the journal can't be written"), strings.Count(said.String(), "the journal is written again"); n != 1 || m != 1 || unknown != 0 {
+		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
+	}
+	disk.full.Store(true)
+	k, unknown = openKeeper(told, 1e15, control.Start(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	g := &Gateway{told: told, keeper: k, unknown: unknown}
+	if k != nil || g.unrecorded(1e15, 1) == "" || g.unrecorded(1e15, 0) != "" {
+		t.Errorf("%v, unknown until %d", k, unknown)
 	}
 }
 
@@ -216,3 +427,64 @@
 		t.Errorf("got %+v", u)
 	}
 }
+
+// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
+// is not set aside.
+func TestHistoryOnAFailingDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), HistoryFile)
+	var said strings.Builder
+	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	now := int64(1_800_000_000_000_000)
+	rows := func() []history.Row {
+		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
+	}
+	write := func() {
+		now += 10_000_000
+		o.write(rows(), now)
+	}
+	write()
+	for _, bad := range []func() error{
+		func() error { return os.Mkdir(path, 0o700) },
+		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
+	} {
+		if err := os.Rename(path, path+".well"); err != nil {
+			t.Fatal(err)
+		}
+		if err := bad(); err != nil {
+			t.Fatal(err)
+		}
+		for range damagedTries - 1 {
+			write()
+		}
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(path+".well", path); err != nil {
+			t.Fatal(err)
+		}
+		write()
+	}
+	jobs := int64(0)
+	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
+		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
+	}
+	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
+		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	}
+	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for range damagedTries {
+		write()
+	}
+	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+		t.Errorf("%d jobs more in a new one, %v", jobs, err)
+	}
+	for range 40 {
+		o.batches = append(o.batches, useBatch{1, make([]history.Row, 1000)})
+	}
+	if o.bound(); len(o.batches) > mostOwedRows/1000 {
+		t.Errorf("%d batches wait", len(o.batches))
+	}
+}
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -31,8 +31,9 @@
 	ticker := time.NewTicker(g.told.ListEvery)
 	defer ticker.Stop()
 	var seen []byte
-	missing := false
+	missing, taken := false, false
 	for {
+		looked := g.now()
 		text, err := os.ReadFile(file)
 		switch {
 		case err != nil && !missing:
@@ -41,17 +42,25 @@
 		case err == nil && (seen == nil || missing || !bytes.Equal(text, seen)):
 			missing = false
 			seen = text
-			take(text)
+			taken = take(text)
 		}
 		tick()
+		if err == nil && taken {
+			g.listWhole.Store(int64(looked))
+		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		case looked := <-g.refresh:
-			if text, err := os.ReadFile(file); err == nil && !bytes.Equal(text, seen) {
+			asOf := g.now()
+			text, err := os.ReadFile(file)
+			if err == nil && !bytes.Equal(text, seen) {
 				seen = text
-				take(text)
+				taken = take(text)
+			}
+			if err == nil && taken {
+				g.listWhole.Store(int64(asOf))
 			}
 			close(looked)
 		}
@@ -63,7 +72,7 @@
 	members := membership.New(membership.Usual)
 	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.PlaneDelta, xds.Usual)
 	source := xds.Source{Address: g.told.Plane, Creds: g.credentials(toPlane), Delta: g.told.PlaneDelta, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
-		Grace: g.told.Grace,
+		Grace: g.told.Grace, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
 		Changed: func(now control.Micros) {
 			if list, news := members.News(now); news {
 				if g.counted != nil {
@@ -79,7 +88,7 @@
 }
 
 // bootstrap gives what takes in the texts of a file in Envoy's own form, and what ends what waits there.
-func (g *Gateway) bootstrap() (take func(text []byte), tick func()) {
+func (g *Gateway) bootstrap() (take func(text []byte) bool, tick func()) {
 	members := membership.New(membership.Usual)
 	f := xds.NewFollower(members, "", g.told.Zone, false, xds.Usual)
 	tell := func() {
@@ -90,11 +99,13 @@
 			g.box.TellList(func(now control.Micros) { g.listed(now, list) })
 		}
 	}
-	take = func(text []byte) {
-		if err := f.Bootstrap(g.now(), text); err != nil {
+	take = func(text []byte) bool {
+		err := f.Bootstrap(g.now(), text)
+		if err != nil {
 			g.log.Error().Str("file", g.told.Bootstrap).Err(err).Msg("the new list is refused: the old one stands")
 		}
 		tell()
+		return err == nil
 	}
 	return take, func() {
 		f.Tick(g.now())
@@ -102,12 +113,12 @@
 	}
 }
 
-// take tells the turn of a list's text.
-func (g *Gateway) take(text []byte) {
+// take tells the turn of a list's text, unless it is refused.
+func (g *Gateway) take(text []byte) bool {
 	f, err := inifile.Read(g.told.List, text)
-	var list []fleet.Entry
+	list := fleet.Update{Whole: true}
 	if err == nil {
-		list, err = ReadList(f)
+		list.Entries, err = ReadList(f)
 	}
 	if err != nil {
 		var faults *inifile.Faults
@@ -116,29 +127,39 @@
 		} else {
 			g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("the new list is refused: the old one stands")
 		}
-		return
+		return false
 	}
 	g.box.TellList(func(now control.Micros) { g.listed(now, list) })
+	return true
 }
 
-// listed passes a list on and takes back what is on its way to servers that take nothing new.
-func (g *Gateway) listed(now control.Micros, entries []fleet.Entry) {
-	list := g.fleet.Whole(now, entries)
-	g.core.Listed(now, control.ListWhole, list)
-	ready := 0
-	for _, l := range list {
-		if l.State == control.Ready {
-			ready++
+// listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
+func (g *Gateway) listed(now control.Micros, told fleet.Update) {
+	if told.Whole {
+		g.core.Listed(now, control.ListWhole, g.fleet.Whole(now, told.Entries))
+		for id := range g.pools {
+			g.relist(id)
 		}
-	}
-	for id := range g.pools {
-		if s := g.fleet.Get(id); s == nil || s.State != control.Ready {
-			g.withdrawFrom(id)
+	} else {
+		changed := g.fleet.Changes(now, told.Entries)
+		g.core.Listed(now, control.ListChanges, changed)
+		for _, l := range changed {
+			if g.pools[l.Server] != nil {
+				g.relist(l.Server)
+			}
 		}
 	}
+	servers, ready := g.fleet.Count()
 	g.metrics.servers.Set(float64(ready))
 	if !g.stopping {
 		g.ready.Store(true)
 	}
-	g.log.Info().Int("servers", len(list)).Int("ready", ready).Msg("list of servers taken")
+	g.log.Info().Int("servers", servers).Int("ready", ready).Msg("list of servers taken")
+}
+
+// relist takes back what is on its way to a server, if it takes nothing new.
+func (g *Gateway) relist(id control.ServerID) {
+	if s := g.fleet.Get(id); s == nil || s.State != control.Ready {
+		g.withdrawFrom(id)
+	}
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -1,154 +1,253 @@
 package platform
 
 import (
-	"context"
 	"fmt"
 	"net"
 	"os"
-	"strings"
+	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+	"github.com/vmihailenco/msgpack/v5"
+
 	"hollymast/internal/platformtest"
 )
 
-// faulty is a connection to a server on which reads fail once a request is out.
-type faulty struct {
-	*net.TCPConn
-	asked <-chan asked
-	err   error
+// failing is a listener whose accepts fail for as long as fault tells.
+type failing struct {
+	*net.TCPListener
+	calls atomic.Int32
+	fault func() error
 }
 
-func (f *faulty) Read([]byte) (int, error) {
-	<-f.asked
-	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
+func (f *failing) Accept() (net.Conn, error) {
+	f.calls.Add(1)
+	if err := f.fault(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
+	}
+	return f.TCPListener.Accept()
 }
 
-// Each call towards a server fails with each error, once, for a while, or for good. Each row is a run-once request: it has one final
-// answer in time, runs at most once, and the server is not blamed for what may be our own fault.
-func TestCallsFail(t *testing.T) {
-	const once, while, forGood = time.Nanosecond, 100 * time.Millisecond, time.Hour
-	const served, refused, mayHaveRun = "1: body 1", "1: TryLater", "1: Aborted"
-	type row struct {
-		call  string
-		err   syscall.Errno
-		lasts time.Duration
-		want  string
-		blame bool // the server may be
-	}
-	var rows []row
-	add := func(call string, lasts time.Duration, want string, blame bool, errs ...syscall.Errno) {
-		for _, err := range errs {
-			rows = append(rows, row{call, err, lasts, want, blame})
-		}
-	}
-	ownFaults := []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
-		syscall.EINTR, syscall.EAGAIN}
-	wayFaults := []syscall.Errno{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
-	broken := []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
-	for _, lasts := range []time.Duration{once, while} {
-		add("dial", lasts, served, false, append(ownFaults, wayFaults...)...)
-		add("write", lasts, served, false, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM)
-	}
-	add("dial", forGood, refused, false, ownFaults...)
-	add("dial", forGood, refused, true, wayFaults...)
-	add("dial", forGood, refused, true, syscall.ECONNREFUSED)
-	add("write", forGood, refused, false, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM)
-	add("write", once, served, false, broken...)
-	add("write", forGood, refused, false, broken...)
-	add("short write", once, served, false, 0)
-	add("read", forGood, mayHaveRun, true, broken...)
-	add("read", forGood, mayHaveRun, false, syscall.ENOMEM, syscall.ENOBUFS)
-	for _, row := range rows {
-		t.Run(fmt.Sprintf("%s %v %v", row.call, row.err, row.lasts), func(t *testing.T) {
-			t.Parallel()
-			var first atomic.Int64 // when the call failed first
-			var runs atomic.Int32
-			var mended atomic.Bool
-			fails := func(call string) bool {
-				if call != row.call || mended.Load() {
-					return false
+// acceptErrors are all that Linux documents of accept, but for those that a fault of our own would cause.
+var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
+	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
+	syscall.ETIMEDOUT}
+
+// Whatever accept fails with, once or for a while: the listener goes on, not at full speed, and costs no idle client its connection
+// unless the descriptors are our own.
+func TestAcceptFails(t *testing.T) {
+	const lasts = 150 * time.Millisecond
+	for _, errno := range acceptErrors {
+		for name, fault := range map[string]func(nth int32, since time.Duration) bool{
+			"once":        func(nth int32, _ time.Duration) bool { return nth == 1 },
+			"for a while": func(_ int32, since time.Duration) bool { return since < lasts },
+		} {
+			p := idlePlatform(t)
+			ours, theirs := platformtest.Connected(t)
+			idle := p.welcome(ours)
+			begin := time.Now()
+			l := &failing{TCPListener: p.listener}
+			l.fault = func() error {
+				if fault(l.calls.Load(), time.Since(begin)) {
+					return errno
 				}
-				now := time.Now().UnixNano()
-				return first.CompareAndSwap(0, now) || time.Duration(now-first.Load()) < row.lasts && row.lasts > once
+				return nil
 			}
-			out := make(chan asked, 8)
-			address := worker(t, func(a asked) {
-				runs.Add(1)
-				if row.call == "read" && !mended.Load() {
-					out <- a
-					return
-				}
-				good(a)
-			})
-			r, noted := startLogged(t, func(p *Platform) {
-				longGrace(p)
-				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-					if fails("dial") {
-						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", row.err)}
-					}
-					conn, err := systemCalls.dial(ctx, address)
-					if err == nil && fails("read") {
-						return &faulty{conn.(*net.TCPConn), out, row.err}, nil
-					}
-					return conn, err
-				}
-				p.calls.write = func(fd int, b []byte) (int, error) {
-					if fails("short write") {
-						return syscall.Write(fd, b[:1])
-					}
-					if fails("write") {
-						return -1, row.err
-					}
-					return syscall.Write(fd, b)
-				}
-			}, address)
-			c := r.caller(t)
-			begun := time.Now()
-			c.call(1, "once")
-			c.expect(row.want)
-			if took := time.Since(begun); took > allowed+500*time.Millisecond {
-				t.Errorf("answered after %v", took)
+			var all sync.WaitGroup
+			all.Go(func() { p.accept(l) })
+			conn, err := net.Dial("tcp", p.Address())
+			if err != nil {
+				t.Fatal(err)
 			}
-			if n := runs.Load(); n > 1 || n == 1 != (row.want != refused) {
-				t.Errorf("it ran %d times", n)
+			until(t, "the connection is accepted", func() bool {
+				p.mu.Lock()
+				defer p.mu.Unlock()
+				return p.turned == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.accepts(conn)
+			})
+			if _, ends := idle.idle(); ends != (errno == syscall.EMFILE) {
+				t.Errorf("%v %s: an idle client is ended: %t", errno, name, ends)
 			}
-			if row.blame {
-				return
+			if most := int32(20); l.calls.Load() > most {
+				t.Errorf("%v %s: %d accepts", errno, name, l.calls.Load())
 			}
-			mended.Store(true)
-			c.call(2, "again", "allow", "3000")
-			c.expect("2: body 2")
-			if text := noted.String(); strings.Contains(text, "is suspect") {
-				t.Error(text)
+			conn.Close()
+			theirs.Close()
+			l.Close()
+			all.Wait()
+			until(t, "all connections end", p.served)
+		}
+	}
+}
+
+// accepts tells whether the router has the other end of a connection.
+func (p *Platform) accepts(conn net.Conn) bool {
+	for c := range p.clients {
+		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
+			return true
+		}
+	}
+	return false
+}
+
+// A stopping router takes the connections that wait though accept fails meanwhile, or its deadline passed while it was elsewhere.
+func TestWaitingConnectionsAreAcceptedInSpiteOfFaults(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
+		p := idlePlatform(t)
+		begin := time.Now()
+		l := &failing{TCPListener: p.listener, fault: func() error {
+			if errno != 0 && time.Since(begin) < 5*lastLook {
+				return errno
 			}
-		})
+			return nil
+		}}
+		conn, err := net.Dial("tcp", p.Address())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		p.listenNoMore()
+		if errno == 0 {
+			time.Sleep(2 * lastLook)
+		}
+		p.accept(l)
+		p.mu.Lock()
+		if len(p.clients) != 1 {
+			t.Errorf("%v: the connection was not accepted", errno)
+		}
+		p.mu.Unlock()
+		conn.Close()
+		until(t, "all connections end", p.served)
 	}
 }
 
-// A first byte that is tried again and again holds up no end of its connection: the turn may close it.
-func TestCloseDoesNotWaitForAFirstByte(t *testing.T) {
-	ours, _ := platformtest.Connected(t)
-	tried := make(chan bool, 1)
-	o := &outbox{conn: ours, most: 1000, firstWrite: func(int, []byte) (int, error) {
-		select {
-		case tried <- true:
-		default:
+// A start whose address is still taken, as by a predecessor that was killed, tries again; what can't pass is told at once.
+func TestListenIsTriedAgain(t *testing.T) {
+	before, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	told, err := parseTold([]byte(configuration("127.0.0.1:1")), Environment{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	told.Listen = before.Addr().String()
+	gone := time.AfterFunc(5*rereadFirst, func() { before.Close() })
+	defer gone.Stop()
+	p, err := New(told, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.listener.Close()
+	begin := time.Now()
+	if _, err := listenAt("192.0.2.1:http-"); err == nil || time.Since(begin) > listenFor/2 {
+		t.Errorf("%v after %v", err, time.Since(begin))
+	}
+}
+
+// broken is the router's end of a connection whose reads or writes fail from a moment on, or bring a byte at a time.
+type broken struct {
+	*net.TCPConn
+	short           bool
+	reading, writes atomic.Pointer[syscall.Errno]
+}
+
+func (b *broken) fails(op string, errno *syscall.Errno) error {
+	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, *errno)}
+}
+
+func (b *broken) Read(p []byte) (int, error) {
+	if b.short {
+		p = p[:1]
+	}
+	n, err := b.TCPConn.Read(p)
+	if errno := b.reading.Load(); errno != nil {
+		return 0, b.fails("read", errno)
+	}
+	return n, err
+}
+
+func (b *broken) Write(p []byte) (int, error) {
+	if errno := b.writes.Load(); errno != nil {
+		return 0, b.fails("write", errno)
+	}
+	return b.TCPConn.Write(p)
+}
+
+// A client's connection that breaks in whatever way is a client that left: nothing further of it is sent, and nobody else notices.
+func TestClientConnectionBreaks(t *testing.T) {
+	held := make(chan asked, 1)
+	r := start(t, plane(t, 1), worker(t, func(a asked) {
+		if string(a.body) == "body 1" {
+			held <- a
+		} else {
+			good(a)
+		}
+	}))
+	other := r.caller(t)
+	nth := 0
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
+		syscall.ENOBUFS, syscall.ENOMEM} {
+		for name, broke := range map[string]func(b *broken, c *caller){
+			"read": func(b *broken, c *caller) {
+				b.reading.Store(&errno)
+				c.conn.Write([]byte{0x93})
+			},
+			"write": func(b *broken, c *caller) {
+				b.writes.Store(&errno)
+				c.send(0, 2, "isWell", []any{map[string]string{}})
+			},
+		} {
+			ours, theirs := platformtest.Connected(t)
+			theirs.SetDeadline(time.Now().Add(5 * time.Second))
+			b := &broken{TCPConn: ours.(*net.TCPConn)}
+			c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
+			client := r.welcome(b)
+			nth++
+			c.call(1, "once", "ref", fmt.Sprintf("%016x", 1000+nth))
+			var a asked
+			select {
+			case a = <-held:
+			case <-time.After(5 * time.Second):
+				t.Fatalf("%v %s: not sent", errno, name)
+			}
+			client.mu.Lock()
+			j := client.open[1]
+			client.mu.Unlock()
+			broke(b, c)
+			select {
+			case <-client.gone:
+			case <-time.After(5 * time.Second):
+				t.Fatalf("%v %s: the connection does not end", errno, name)
+			}
+			if !j.gone.Load() {
+				t.Errorf("%v %s: its request goes on", errno, name)
+			}
+			good(a)
+			other.call(nth+1, "again")
+			other.expect(fmt.Sprintf("%d: body %d", nth+1, nth+1))
 		}
-		return -1, syscall.ENOBUFS
-	}}
-	o.post(parcel{data: []byte("never"), begin: func(write func() bool) bool { write(); return false }})
-	<-tried
-	begun := time.Now()
-	o.close()
-	if took := time.Since(begun); took > writeTime/4 {
-		t.Errorf("the close took %v", took)
 	}
-	until(t, "the writer ends", func() bool {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		return !o.writing
-	})
+}
+
+// A connection on which a byte comes at a time brings its requests.
+func TestShortReads(t *testing.T) {
+	r := start(t, plane(t, 1), worker(t, good))
+	ours, theirs := platformtest.Connected(t)
+	theirs.SetDeadline(time.Now().Add(5 * time.Second))
+	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
+	r.welcome(&broken{TCPConn: ours.(*net.TCPConn), short: true})
+	for n := 1; n <= 3; n++ {
+		c.call(n, "again")
+	}
+	got := map[string]bool{}
+	for range 3 {
+		got[c.heard()] = true
+	}
+	if !got["1: body 1"] || !got["2: body 2"] || !got["3: body 3"] {
+		t.Errorf("got %v", got)
+	}
 }
--- a/internal/platform/unread.go
+++ b/internal/platform/unread.go
@@ -50,18 +50,39 @@
 		s.brought(began, n, len(b))
 		return n, err
 	}
-	var failed error
-	err = s.raw.Read(func(fd uintptr) bool {
+	return s.read(b, wait)
+}
+
+// read reads from the descriptor itself and notes what was there.
+func (s *seen) read(b []byte, waiting waiting) (int, error) {
+	return readRaw(s.raw, waiting, func(fd int) (int, error) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		began := time.Now()
-		n, failed = uninterrupted(func() (int, error) { return syscall.Read(int(fd), b) })
-		if errors.Is(failed, syscall.EAGAIN) {
+		n, err := uninterrupted(func() (int, error) { return syscall.Read(fd, b) })
+		if errors.Is(err, syscall.EAGAIN) {
 			s.asOf = began
-			return false
+		} else {
+			s.brought(began, n, len(b))
 		}
-		s.brought(began, n, len(b))
-		return true
+		return n, err
+	})
+}
+
+// waiting tells what a read does where nothing is here.
+type waiting bool
+
+const (
+	wait   waiting = true
+	noWait waiting = false // it gives EAGAIN
+)
+
+// readRaw reads by a call on a descriptor that does not wait.
+func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
+	var failed error
+	err = raw.Read(func(fd uintptr) bool {
+		n, failed = uninterrupted(func() (int, error) { return call(int(fd)) })
+		return waiting == noWait || !errors.Is(failed, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
