--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -355,7 +355,7 @@
 }
 
 // late tells whether only what is here is read.
-func (c *client) late() bool { return !c.readTo.IsZero() && time.Now().After(c.readTo) }
+func (c *client) late() bool { return !c.readTo.IsZero() && !time.Now().Before(c.readTo) }
 
 // wake wakes a reader that waits for a message on a connection that may end.
 func (c *client) wake() {
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -2,11 +2,16 @@
 
 import (
 	"fmt"
+	"net"
+	"os"
 	"sync"
+	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/msgrpc"
 )
 
 // All times of a stop follow from the longest deadline: before the earliest kill all is answered and closed.
@@ -134,3 +139,29 @@
 		}
 	}
 }
+
+// instant is a connection on which nothing comes; a look at it takes no time.
+type instant struct{ net.Conn }
+
+// nothing is its descriptor.
+type nothing struct{}
+
+func (instant) SyscallConn() (syscall.RawConn, error) { return nothing{}, nil }
+func (nothing) Control(func(uintptr)) error           { return nil }
+func (nothing) Read(func(uintptr) bool) error         { return os.ErrDeadlineExceeded }
+func (nothing) Write(func(uintptr) bool) error        { return nil }
+
+// A reader whose time is up at this very moment ends, and doesn't ask again and again: the clock may stand while it does.
+func TestReaderEndsOnTheMoment(t *testing.T) {
+	p := idlePlatform(t)
+	synctest.Test(t, func(t *testing.T) {
+		ours, theirs := net.Pipe()
+		defer theirs.Close()
+		c := &client{p: p, conn: ours, in: &looking{conn: instant{ours}}, open: map[uint32]*job{1: {}}}
+		c.spoke.Store(true)
+		c.endBy(lastReads)
+		if c.await(msgrpc.NewReader(c.in), time.Now()) {
+			t.Error("something was read")
+		}
+	})
+}
