--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -58,6 +58,9 @@
 	case errors.Is(err, rest.ErrTimeout):
 		why = attempt.ByDeadline
 	}
+	if progress > rest.None && why == attempt.ByPeer && rest.Ours(err) {
+		return control.Failed // may have run; says nothing of the server
+	}
 	return attempt.BrokenResult(progress > rest.None, why)
 }
 
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -356,7 +356,7 @@
 
 // pastReadTime tells whether only what is here is read.
 func (c *clientConn) pastReadTime() bool {
-	return !c.readUntil.IsZero() && time.Now().After(c.readUntil)
+	return !c.readUntil.IsZero() && !time.Now().Before(c.readUntil)
 }
 
 // wakeReader wakes a reader that waits for a message on a connection that may end.
--- a/internal/platform/servers.go
+++ b/internal/platform/servers.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"container/list"
 	"context"
 	"errors"
@@ -65,6 +66,7 @@
 	writeBefore    control.Micros // it is not written later
 	deadline       control.Micros // it is not waited for longer
 	clientDeadline control.Micros // its client's time is up: the server is told no more
+	unread         control.Micros // since when the first byte waits for its client's reader; 0: it does not
 	writing        sync.Mutex     // held from the last check to the first byte
 	stage          atomic.Int32   // an attempt.Stage
 	writtenWhole   atomic.Bool    // its last byte was written
@@ -101,29 +103,27 @@
 // turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
 // leaves: its reader comes first.
 func (s *serverCall) begin(write func() bool) (withdrawn bool) {
-	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		if withdrawn, unread := s.tryBegin(write, time.Since(began) < readerWait); !unread {
-			return withdrawn
-		}
-	}
-}
-
-func (s *serverCall) tryBegin(write func() bool, mayWait bool) (withdrawn, unread bool) {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	unread = s.request != nil && !s.request.client.tracked.upToDate(time.Now())
+	unread := s.request != nil && !s.request.client.tracked.upToDate(time.Now())
 	wanted := s.request == nil || !s.request.abandoned.Load()
 	now := s.p.now()
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted && (mayWait || !unread), now, s.writeBefore)
-	if ok && unread {
-		return false, true
+	if !unread {
+		s.unread = 0
+	} else {
+		s.unread = cmp.Or(s.unread, now)
+		wanted = wanted && now-s.unread < control.Micros(readerWait.Microseconds())
 	}
+	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.writeBefore)
 	if !ok {
 		s.p.queue.Post(func(now control.Micros) {
 			s.withdraw()
 			s.p.callEnded(now, s, control.NotSent, nil)
 		})
-		return true, false
+		return true
+	}
+	if unread {
+		return false
 	}
 	if write() {
 		s.stage.Store(int32(next))
@@ -132,7 +132,7 @@
 			s.conn.pool.firstByte.record(int64(now))
 		}
 	}
-	return false, false
+	return false
 }
 
 // frame gives a request's frame as of now: it tells what is left of its time.
