--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -84,7 +84,8 @@
 type looking struct {
 	conn   net.Conn
 	looked bool // nothing was here
-	late   int  // bytes that were read after a deadline
+	last   bool // only rest is read any more
+	rest   []byte
 }
 
 func (l *looking) until(at time.Time) {
@@ -92,12 +93,30 @@
 	l.conn.SetReadDeadline(at)
 }
 
+// takeRest has no more read than what is here now, and of that no more than a usual client may have on the way.
+func (l *looking) takeRest() {
+	b := make([]byte, 2<<10)
+	for len(l.rest) < mostOnTheWay {
+		n, err := l.look(b)
+		if l.rest = append(l.rest, b[:n]...); n == 0 || err != nil {
+			break
+		}
+	}
+	l.last = true
+}
+
 func (l *looking) Read(b []byte) (int, error) {
+	if l.last {
+		n := copy(b, l.rest)
+		if l.rest = l.rest[n:]; n == 0 {
+			return 0, os.ErrDeadlineExceeded
+		}
+		return n, nil
+	}
 	n, err := l.conn.Read(b)
 	if n == 0 && !l.looked && errors.Is(err, os.ErrDeadlineExceeded) {
 		n, err = l.look(b)
 		l.looked = n == 0
-		l.late += n
 	}
 	return n, err
 }
@@ -347,11 +366,15 @@
 	}
 }
 
-// over tells whether nothing more is read, though more may be here: guards against clients that send faster than they are read.
+// over tells whether nothing more is read, though more may come: guards against clients that send faster than they are read.
 func (c *client) over() bool {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.late() && c.in.late > mostOnTheWay
+	late := c.late()
+	c.mu.Unlock()
+	if late && !c.in.last {
+		c.in.takeRest()
+	}
+	return late && len(c.in.rest) == 0
 }
 
 // late tells whether only what is here is read.
@@ -407,7 +430,6 @@
 		c.in.until(time.Now())
 	case !c.readTo.IsZero():
 		c.in.until(c.readTo)
-		c.in.looked = c.late() && c.in.late > mostOnTheWay
 	case !c.spoke.Load():
 		c.in.until(first)
 	default:
@@ -422,7 +444,7 @@
 	in := msgrpc.NewReader(c.in)
 	first := time.Now().Add(firstWithin)
 	for {
-		if !in.Buffered() && (c.over() || !c.await(in, first)) {
+		if over := c.over(); !in.Buffered() && (over || !c.await(in, first)) {
 			return
 		}
 		c.expect(first)
