--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -84,7 +84,8 @@
 type deadlineReader struct {
 	conn        net.Conn
 	lookedAgain bool // nothing was here
-	lateBytes   int  // bytes that were read after a deadline
+	last        bool // only rest is read any more
+	rest        []byte
 }
 
 func (l *deadlineReader) setDeadline(at time.Time) {
@@ -92,12 +93,30 @@
 	l.conn.SetReadDeadline(at)
 }
 
+// takeRest has no more read than what is here now, and of that no more than a usual client may have on the way.
+func (l *deadlineReader) takeRest() {
+	b := make([]byte, 2<<10)
+	for len(l.rest) < maxInTransit {
+		n, err := l.readPending(b)
+		if l.rest = append(l.rest, b[:n]...); n == 0 || err != nil {
+			break
+		}
+	}
+	l.last = true
+}
+
 func (l *deadlineReader) Read(b []byte) (int, error) {
+	if l.last {
+		n := copy(b, l.rest)
+		if l.rest = l.rest[n:]; n == 0 {
+			return 0, os.ErrDeadlineExceeded
+		}
+		return n, nil
+	}
 	n, err := l.conn.Read(b)
 	if n == 0 && !l.lookedAgain && errors.Is(err, os.ErrDeadlineExceeded) {
 		n, err = l.readPending(b)
 		l.lookedAgain = n == 0
-		l.lateBytes += n
 	}
 	return n, err
 }
@@ -347,11 +366,15 @@
 	}
 }
 
-// readTimeOver tells whether nothing more is read, though more may be here: guards against clients that send faster than they are read.
+// readTimeOver tells whether nothing more is read, though more may come: guards against clients that send faster than they are read.
 func (c *clientConn) readTimeOver() bool {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.pastReadTime() && c.in.lateBytes > maxInTransit
+	late := c.pastReadTime()
+	c.mu.Unlock()
+	if late && !c.in.last {
+		c.in.takeRest()
+	}
+	return late && len(c.in.rest) == 0
 }
 
 // pastReadTime tells whether only what is here is read.
@@ -409,7 +432,6 @@
 		c.in.setDeadline(time.Now())
 	case !c.readUntil.IsZero():
 		c.in.setDeadline(c.readUntil)
-		c.in.lookedAgain = c.pastReadTime() && c.in.lateBytes > maxInTransit
 	case !c.sentMessage.Load():
 		c.in.setDeadline(first)
 	default:
@@ -424,7 +446,7 @@
 	in := msgrpc.NewReader(c.in)
 	first := time.Now().Add(firstMessageTimeout)
 	for {
-		if !in.Buffered() && (c.readTimeOver() || !c.awaitMessage(in, first)) {
+		if over := c.readTimeOver(); !in.Buffered() && (over || !c.awaitMessage(in, first)) {
 			return
 		}
 		c.setMessageDeadline(first)
