--- a/internal/explore/steps.go
+++ b/internal/explore/steps.go
@@ -55,7 +55,7 @@
 	}
 	for i := range w.Exchanges {
 		e := &w.Exchanges[i]
-		if e.State.Over || w.Routers[e.Router].Frozen || w.Jobs[e.Job].Still {
+		if e.State.Ended || w.Routers[e.Router].Frozen || w.Jobs[e.Job].Still {
 			continue
 		}
 		switch {
@@ -80,7 +80,7 @@
 			if e.Way != LostAnswer && e.Way != Silent {
 				add(News, i, 0)
 			}
-			if e.State.Off { // broken off; an answer that came before may be on its way all the same
+			if e.State.Cancelled { // broken off; an answer that came before may be on its way all the same
 				add(News, i, Silent)
 			}
 			if w.Now >= e.Deadline {
@@ -142,7 +142,7 @@
 		}
 	}
 	for _, e := range w.Exchanges {
-		if e.State.Over || w.Jobs[e.Job].Still {
+		if e.State.Ended || w.Jobs[e.Job].Still {
 			continue
 		}
 		busy = true
@@ -189,17 +189,17 @@
 // orderTime is for how long the answer to an order is awaited.
 const orderTime = control.Micros(1_000_000)
 
-func (o *outlet) Send(j *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+func (o *outlet) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	e := o.exchange(o.setup.jobIndex(j.ID), int(no), to, allow)
-	if no > 0 && o.setup.effect(e.Job) == control.Fingerprinted {
-		e.Until = min(e.Until, e.Chosen+attempt.FreshRepeat)
+	if no > 0 && o.setup.effect(e.Job) == control.IdempotentByKey {
+		e.Until = min(e.Until, e.Chosen+attempt.KeyedRetryFreshness)
 	}
-	o.w.Jobs[e.Job].State.Sent()
+	o.w.Jobs[e.Job].State.AttemptBegan()
 }
 
-func (o *outlet) Order(j *control.Job, order control.Order) {
+func (o *outlet) Load(j *control.Request, order control.LoadCommand) {
 	e := o.exchange(o.setup.jobIndex(j.ID), 0, order.Server, orderTime)
-	e.Order = max(1, order.Copies)
+	e.Order = max(1, order.Replicas)
 }
 
 func (o *outlet) end(job int, word string) {
@@ -223,13 +223,13 @@
 	}
 }
 
-func (o *outlet) PushBack(id control.JobID, _ control.Micros) {
+func (o *outlet) Reject(id control.RequestID, _ control.Micros) {
 	o.end(o.setup.jobIndex(id), "pushed back")
 }
 
-func (o *outlet) Kill(id control.JobID) { o.end(o.setup.jobIndex(id), "killed") }
+func (o *outlet) Fail(id control.RequestID) { o.end(o.setup.jobIndex(id), "killed") }
 
-func (o *outlet) CallOff(id control.JobID, no control.ExecutionID) {
+func (o *outlet) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	for i := range o.w.Exchanges {
 		e := &o.w.Exchanges[i]
 		if e.Job == o.setup.jobIndex(id) && e.No == int(no) && e.Order == 0 && o.rules.CallOff(&e.State) {
@@ -238,11 +238,11 @@
 	}
 }
 
-func (o *outlet) Subscribe() {}
+func (o *outlet) SubscribeEndpoints() {}
 
-func (o *outlet) Note(string) {}
+func (o *outlet) Log(string) {}
 
-func (o *outlet) Alarm(at control.Micros) { o.w.Routers[o.router].Alarm = at }
+func (o *outlet) SetTimer(at control.Micros) { o.w.Routers[o.router].Alarm = at }
 
 // Take gives the world after a step, which must be among its Steps.
 func (w *World) Take(s *Setup, rules *Rules, step Step) (*World, error) {
@@ -252,7 +252,7 @@
 	case Pass:
 		w.Now = w.next(s)
 		for i := range w.Exchanges {
-			if e := &w.Exchanges[i]; e.Stage == attempt.Chosen && !e.State.Over && !e.Stalled && !w.Routers[e.Router].Frozen && !w.Jobs[e.Job].Still {
+			if e := &w.Exchanges[i]; e.Stage == attempt.Chosen && !e.State.Ended && !e.Stalled && !w.Routers[e.Router].Frozen && !w.Jobs[e.Job].Still {
 				e.Stalled = true
 				w.Left.Stalls--
 			}
@@ -270,7 +270,7 @@
 		v := &w.Servers[of]
 		v.Epoch, v.Born, v.Loaded = v.Epoch+1, w.Now, false
 		for i := range w.Exchanges {
-			if e := &w.Exchanges[i]; e.Server == of && e.Written > 0 && !e.State.Over {
+			if e := &w.Exchanges[i]; e.Server == of && e.Written > 0 && !e.State.Ended {
 				e.Way = ResetAfter
 				if !e.Ran {
 					e.Way = ResetBefore
@@ -339,15 +339,15 @@
 func (e *Exchange) result(rules *Rules) control.Result {
 	switch {
 	case e.Stage == attempt.Withdrawn:
-		return control.NeverSent
+		return control.NotSent
 	case e.Way == NoConnection:
 		return rules.Undialled(e.Stage, false)
 	case e.Way == Refused:
-		return control.Full
+		return control.Overloaded
 	case e.Way == ResetBefore || e.Way == ResetAfter:
-		return rules.Broken(true, attempt.Lost)
+		return rules.Broken(true, attempt.ByPeer)
 	}
-	return control.Finished
+	return control.Succeeded
 }
 
 // ask has a router hear something and take its turn.
@@ -369,7 +369,7 @@
 		return err
 	}
 	if rules.Decide != nil {
-		c.Wrap(rules.Decide)
+		c.WrapPolicy(rules.Decide)
 	}
 	if step.Kind != Tell {
 		w.catchUp(s, rules, c, router)
@@ -378,13 +378,13 @@
 	case Arrive:
 		j := &w.Jobs[of]
 		j.Arrived = true
-		err = c.Arrived(w.Now, control.Job{ID: s.jobID(of), Workload: control.WorkloadID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
-			Arrived: j.At, Patience: j.Until - margin})
+		err = c.Add(w.Now, control.Request{ID: s.jobID(of), Class: control.ClassID(of % len(s.Effects)), Tenant: 1, Function: theFunction, Lanes: 1,
+			ArrivedAt: j.At, Deadline: j.Until - margin})
 	case Leave:
 		w.Left.Leaves--
 		w.Wrong++
 		w.Jobs[of].Left = true
-		c.Left(w.Now, s.jobID(of))
+		c.Cancel(w.Now, s.jobID(of))
 		out.end(of, "left")
 	case News, TimeOut:
 		w.ended(c, out, of, step)
@@ -395,7 +395,7 @@
 	if err != nil {
 		return err
 	}
-	c.Turn(w.Now)
+	c.Step(w.Now)
 	return w.keep(router, c)
 }
 
@@ -420,7 +420,7 @@
 func (w *World) heard(s *Setup, rules *Rules, c *core.Core, of int) {
 	n := w.Notices[of]
 	w.Notices = slices.Delete(w.Notices, of, of+1)
-	c.Listed(w.Now, control.ListChanges, []control.Listing{s.listing(n.Server, n.State, n.Born)})
+	c.UpdateEndpoints(w.Now, control.IncrementalUpdate, []control.Endpoint{s.listing(n.Server, n.State, n.Born)})
 	if n.State == control.Ready {
 		return
 	}
@@ -441,35 +441,35 @@
 	case step.Kind == TimeOut && e.Stage == attempt.Chosen:
 		e.Result = out.rules.Undialled(e.Stage, false)
 	case step.Kind == TimeOut:
-		e.Result = out.rules.Broken(true, attempt.Late)
+		e.Result = out.rules.Broken(true, attempt.ByDeadline)
 	case step.Way == Silent:
-		e.Result = out.rules.Broken(true, attempt.Aborted)
+		e.Result = out.rules.Broken(true, attempt.ByUs)
 	}
 	e.State.End()
 	if e.Order > 0 {
 		copies := -1
-		if e.Result == control.Finished {
+		if e.Result == control.Succeeded {
 			copies = e.Order
 		}
-		c.Loaded(w.Now, out.setup.id(e.Server), theFunction, e.Result, w.Now-e.Chosen, copies)
+		c.HandleLoadResult(w.Now, out.setup.id(e.Server), theFunction, e.Result, w.Now-e.Chosen, copies)
 		return
 	}
 	j := &w.Jobs[e.Job]
-	o := control.Outcome{Execution: control.ExecutionID(e.No), Server: out.setup.id(e.Server), Result: e.Result, Took: w.Now - e.Chosen}
-	if o.Result == control.Finished {
-		o.Found = control.FoundWarm
+	o := control.Outcome{Attempt: control.AttemptID(e.No), Server: out.setup.id(e.Server), Result: e.Result, Duration: w.Now - e.Chosen}
+	if o.Result == control.Succeeded {
+		o.CacheStatus = control.CacheHit
 		if e.Began {
-			o.Found = control.BeganLoad
+			o.CacheStatus = control.CacheMiss
 		}
 	}
 	id := out.setup.jobID(e.Job)
 	if out.rules.Ended(&j.State, e.Result) == attempt.Deliver {
-		o.JobOver = true
-		c.Answered(w.Now, id, o)
+		o.RequestDone = true
+		c.HandleOutcome(w.Now, id, o)
 		out.end(e.Job, "finished")
 		return
 	}
-	c.Answered(w.Now, id, o)
+	c.HandleOutcome(w.Now, id, o)
 }
 
 // Tell gives a step as a line of a story.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,10 +20,10 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/core"
+	"hollymast/internal/eventqueue"
 	"hollymast/internal/fleet"
 	"hollymast/internal/keyring"
 	"hollymast/internal/loads"
-	"hollymast/internal/mailbox"
 	"hollymast/internal/memory"
 	"hollymast/internal/record"
 	"hollymast/internal/rest"
@@ -59,8 +59,8 @@
 	looking    chan struct{}              // closed when the look that was asked for has ended; nil: none is awaited
 	recordings int
 	fleet      *fleet.Fleet
-	jobs       map[control.JobID]*job
-	last       control.JobID
+	jobs       map[control.RequestID]*job
+	last       control.RequestID
 	pools      map[control.ServerID]*pool
 	timer      *time.Timer
 	due        control.Micros // when the timer fires
@@ -72,17 +72,18 @@
 
 	// Shared.
 	listWhole  atomic.Int64 // complete, as whoever follows the list's source knows it
-	box        *mailbox.Box
+	box        *eventqueue.Queue
 	bytes      atomic.Int64 // of bodies in hand
 	clients    atomic.Int64 // connections
 	ready      atomic.Bool  // a list was read, and we take jobs
 	stopTold   atomic.Int64 // the router's time at which it was; 0: not
 	dials      chan struct{}
-	refresh    chan chan struct{}       // holds one
-	lookNow    atomic.Bool              // the list is read before the next turn, however young it is
-	rings      map[string]*keyring.Ring // by kind of connections
-	serving    context.Context          // ends with the last turn
-	distrusted sync.Map                 // address of a worker to what was last said of its certificate
+	connect    func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
+	refresh    chan chan struct{}                                              // holds one
+	lookNow    atomic.Bool                                                     // the list is read before the next turn, however young it is
+	rings      map[string]*keyring.Ring                                        // by kind of connections
+	serving    context.Context                                                 // ends with the last turn
+	distrusted sync.Map                                                        // address of a worker to what was last said of its certificate
 	links      sync.WaitGroup
 	asked      sync.WaitGroup // client connections
 	listeners  []net.Listener
@@ -93,7 +94,7 @@
 
 // job is a job as its client's connection and its executions see it.
 type job struct {
-	id         control.JobID
+	id         control.RequestID
 	name       string // of the function
 	call       kserve.Call
 	request    *rest.Request
@@ -102,11 +103,11 @@
 	mark       string
 	kept       memory.Mark // for the journal
 	patience   control.Micros
-	workload   control.WorkloadID
+	workload   control.ClassID
 	tenant     string
 	due        control.Micros      // its start target
 	answer     chan *rest.Response // holds one
-	state      attempt.Answer
+	state      attempt.FinalAnswer
 	executions []*sending
 }
 
@@ -116,32 +117,35 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	g := &Gateway{told: told, log: log, started: time.Now(), box: mailbox.New(),
-		jobs: map[control.JobID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
+	g := &Gateway{told: told, log: log, started: time.Now(), box: eventqueue.New(),
+		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
 		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
 	// whatever is done to that clock.
 	g.epoch = control.Micros(g.started.UnixMicro())
+	g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
+		return rest.DialSecure(ctx, address, &workerLimits, g.secure())
+	}
 	g.run = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
 	if err := g.openRings(); err != nil {
 		return nil, err
 	}
 	g.fleet, g.tally = fleet.New(0), loads.NewTally(g.epoch)
-	g.fleet.SlowStart(told.Deployment.Cold)
+	g.fleet.SlowStart(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
 	if told.Storms {
-		shares := make([]float64, len(told.Deployment.Shares))
-		for i, s := range told.Deployment.Shares {
+		shares := make([]float64, len(told.Deployment.Quotas))
+		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = storm.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxStayAway, seed)
+		g.storm = storm.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
-	module := control.Start(g.epoch, seed, deployment)
+	module := control.New(g.epoch, seed, deployment)
 	if told.MemoryDir != "" {
 		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
 		g.metrics.journal(g.keeper)
@@ -200,7 +204,7 @@
 func (g *Gateway) now() control.Micros { return g.epoch + micros(time.Since(g.started)) }
 
 // tell has f called in the next turn.
-func (g *Gateway) tell(f func(now control.Micros)) { g.box.Tell(f) }
+func (g *Gateway) tell(f func(now control.Micros)) { g.box.Post(f) }
 
 // Serve routes until the context ends; then it stops taking jobs, gives each one in hand its answer within its own
 // limits, and returns. A nil error means that none was left.
@@ -257,7 +261,7 @@
 	g.turn(g.now(), nil)
 	for {
 		select {
-		case <-g.box.Wake():
+		case <-g.box.Ready():
 		case <-g.timer.C:
 		case <-done:
 			done = nil
@@ -268,7 +272,7 @@
 		}
 		g.noteStop(g.now() - g.due)
 		g.catchUp()
-		batch = g.box.Take(batch)
+		batch = g.box.Drain(batch)
 		g.turn(g.now(), batch)
 		if g.stopping && len(g.jobs) == 0 {
 			if g.orders == 0 {
@@ -283,7 +287,7 @@
 
 // noteStop tells of a time in which this process was stopped.
 func (g *Gateway) noteStop(late control.Micros) {
-	if !attempt.Stopped(late, micros(g.told.Grace)) {
+	if !attempt.Stalled(late, micros(g.told.Grace)) {
 		return
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
@@ -295,7 +299,7 @@
 // catchUp has all that the list's source told taken in by the turn that comes next.
 func (g *Gateway) catchUp() {
 	asOf := g.now()
-	if g.lookNow.Swap(false) || attempt.MustCatchUp(asOf-g.listAsOf, micros(g.told.Grace)) {
+	if g.lookNow.Swap(false) || attempt.MustReadEndpoints(asOf-g.listAsOf, micros(g.told.Grace)) {
 		g.look()
 		g.listAsOf = asOf
 	}
@@ -328,8 +332,8 @@
 	for _, f := range heard {
 		f(now)
 	}
-	g.fleet.Complete(g.complete)
-	g.core.Turn(now)
+	g.fleet.CompleteAsOf(g.complete)
+	g.core.Step(now)
 	for _, f := range g.between {
 		f(now)
 	}
@@ -369,7 +373,7 @@
 	close(g.ended)
 	stop()
 	if g.writer != nil {
-		g.core.Record(nil)
+		g.core.SetRecorder(nil)
 		g.tape = nil
 		g.writer.Close()
 		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
@@ -423,7 +427,7 @@
 			why = "this router is stopping"
 		}
 		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
 		g.metrics.answered("pushed back")
 		return
 	}
@@ -436,20 +440,20 @@
 	}
 	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
 		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxStayAway)
+		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
 		g.metrics.answered("pushed back")
 		g.metrics.unrecorded.Inc()
 		return
 	}
-	w := g.told.Deployment.Workloads[p.Workload]
-	limit := w.TimeLimit
+	w := g.told.Deployment.Classes[p.Workload]
+	limit := w.MaxDeadline
 	if ask.Timeout > 0 {
 		limit = min(limit, control.Micros(ask.Timeout))
 	}
 	g.last++
 	j.id, j.workload = g.last, p.Workload
 	begun := now - age
-	j.due = begun + w.StartTarget
+	j.due = begun + w.LatencyObjective
 	j.patience = begun + limit - micros(g.told.AnswerMargin)
 	if j.mark = ask.Mark; j.mark == "" {
 		j.mark = g.run + "-" + strconv.FormatUint(uint64(j.id), 36)
@@ -459,9 +463,9 @@
 	g.took(now)
 	earlier := g.earlier(now, j.kept)
 	j.executions = make([]*sending, len(earlier))
-	err := g.core.Arrived(now, control.Job{Executions: earlier,
-		ID: j.id, Workload: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
-		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, Arrived: begun, Patience: max(now, j.patience), Repeat: ask.Repeat, Unmarked: !ask.Counts})
+	err := g.core.Add(now, control.Request{Attempts: earlier,
+		ID: j.id, Class: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
+		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.patience), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
 	} else if g.tape != nil && ask.ID != "" {
@@ -489,7 +493,7 @@
 
 // release forgets a job that has its answer and no execution out.
 func (g *Gateway) release(j *job) {
-	if j.state.Over() {
+	if j.state.Done() {
 		delete(g.jobs, j.id)
 	}
 }
@@ -499,67 +503,67 @@
 	if j.state.Given {
 		return
 	}
-	g.core.Left(now, j.id)
+	g.core.Cancel(now, j.id)
 	g.end(j, "left", killed("the client closed its side of the connection"))
 }
 
-// Send starts an execution.
-func (g *Gateway) Send(cj *control.Job, no control.ExecutionID, to control.ServerID, allow control.Micros) {
+// Forward starts an execution.
+func (g *Gateway) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	j := g.jobs[cj.ID]
 	s := g.sending(to, allow)
 	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
-	if no > 0 && g.told.Deployment.Workloads[j.workload].Effect == control.Fingerprinted {
-		s.until = min(s.until, g.clock+attempt.FreshRepeat)
+	if no > 0 && g.told.Deployment.Classes[j.workload].Effect == control.IdempotentByKey {
+		s.until = min(s.until, g.clock+attempt.KeyedRetryFreshness)
 	}
 	j.executions = append(j.executions, s)
-	j.state.Sent()
+	j.state.AttemptBegan()
 	g.tally.Chosen(g.fleet.Get(to).Address)
 	g.recent.add(g.clock, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
 	g.dispatch(s)
 }
 
-// PushBack and Kill end a job.
-func (g *Gateway) PushBack(id control.JobID, stayAway control.Micros) {
+// Reject and Kill end a job.
+func (g *Gateway) Reject(id control.RequestID, stayAway control.Micros) {
 	g.recent.add(g.clock, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
 	g.end(g.jobs[id], "pushed back", pushedBack("not now: it could not be finished in time", g.spread(g.jobs[id], stayAway)))
 }
 
-// Kill ends a job of which nothing may be promised.
-func (g *Gateway) Kill(id control.JobID) {
+// Fail ends a job of which nothing may be promised.
+func (g *Gateway) Fail(id control.RequestID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.Kill, Job: id})
 	g.end(g.jobs[id], "killed", killed("the job may have run; its end is not known"))
 }
 
-// CallOff stops waiting for an execution.
-func (g *Gateway) CallOff(id control.JobID, no control.ExecutionID) {
+// CancelAttempt stops waiting for an execution.
+func (g *Gateway) CancelAttempt(id control.RequestID, no control.AttemptID) {
 	g.recent.add(g.clock, record.Deed{Verb: record.CallOff, Job: id, No: no})
 	if j := g.jobs[id]; j != nil && int(no) < len(j.executions) {
 		j.executions[no].callOff()
 	}
 }
 
-// Order orders copies of a job's function.
-func (g *Gateway) Order(cj *control.Job, o control.Order) {
+// Load orders copies of a job's function.
+func (g *Gateway) Load(cj *control.Request, o control.LoadCommand) {
 	name := g.jobs[cj.ID].name
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
-	if g.keeper != nil && g.told.Deployment.LoadWindow > 0 { // without a ration nothing is owed
+	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Copies)}
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.orders++
 	g.metrics.orders.Inc()
 	g.useOrdered(g.jobs[cj.ID])
-	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Copies})
+	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
 	g.dispatch(s)
 }
 
-// Subscribe has the list looked at; it is followed in any case.
-func (g *Gateway) Subscribe() {}
+// SubscribeEndpoints has the list looked at; it is followed in any case.
+func (g *Gateway) SubscribeEndpoints() {}
 
-// Note writes a line in the log, with the address of the server that it names by its id.
-func (g *Gateway) Note(text string) {
+// Log writes a line in the log, with the address of the server that it names by its id.
+func (g *Gateway) Log(text string) {
 	e := g.log.Info()
 	if words := strings.Fields(text); len(words) > 1 && words[0] == "server" {
 		if id, err := strconv.ParseUint(words[1], 16, 64); err == nil {
@@ -571,8 +575,8 @@
 	e.Msg(text)
 }
 
-// Alarm sets the one timer.
-func (g *Gateway) Alarm(at control.Micros) {
+// SetTimer sets the one timer.
+func (g *Gateway) SetTimer(at control.Micros) {
 	g.due = at
 	g.timer.Reset(time.Duration(max(0, at-g.now())) * time.Microsecond)
 }
@@ -580,20 +584,20 @@
 // executed takes in the end of an execution.
 func (g *Gateway) executed(now control.Micros, s *sending, o control.Outcome, p *rest.Response) {
 	j := s.job
-	delivery := j.state.Ended(o.Result)
+	delivery := j.state.AttemptEnded(o.Result)
 	g.metrics.executed(o.Result)
 	g.tally.Ended(g.pools[s.to].address, o.Result, o.Report)
 	g.useExecuted(now, j, o)
-	if o.Result.ProvesUnrun() {
+	if o.Result.ProvesNotRun() {
 		g.proved(j.kept, s.to)
 	}
-	if o.Found == control.BeganLoad {
+	if o.CacheStatus == control.CacheMiss {
 		g.metrics.loads.Inc()
 	}
 	if delivery == attempt.Deliver {
-		o.JobOver = true
-		g.core.Answered(now, j.id, o)
-		j.due += control.Micros(g.told.Deployment.Workloads[j.workload].Stretch * float64(o.Took))
+		o.RequestDone = true
+		g.core.HandleOutcome(now, j.id, o)
+		j.due += control.Micros(g.told.Deployment.Classes[j.workload].ObjectivePerWork * float64(o.Duration))
 		p.Header = forwarded(p.Header)
 		p.Close, p.Chunk = false, 0
 		g.end(j, "finished", p)
@@ -605,14 +609,14 @@
 	if delivery == attempt.Drop {
 		g.metrics.late.Inc() // its job has its answer: the late one is dropped
 	}
-	g.core.Answered(now, j.id, o)
+	g.core.HandleOutcome(now, j.id, o)
 	g.release(j)
 }
 
 // ordered takes in the answer to an order.
 func (g *Gateway) ordered(now control.Micros, s *sending, result control.Result, took control.Micros, copies int) {
 	g.orders--
-	g.core.Loaded(now, s.order.Server, s.order.Function, result, took, copies)
+	g.core.HandleLoadResult(now, s.order.Server, s.order.Function, result, took, copies)
 }
 
 var errNoList = errors.New("no list of servers could be read yet")
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -40,10 +40,10 @@
 
 // seen gives the servers as this router sees them.
 func (g *Gateway) seen() []xds.Seen {
-	suspects := g.core.Suspects()
+	suspects := g.core.EjectedServers()
 	var out []xds.Seen
 	for _, s := range g.fleet.Servers() {
-		v := xds.Seen{Address: s.Address, Zone: s.Told.Zone, Cell: s.Told.Cell, Power: s.Told.Power, Born: s.Told.Born, Health: membership.Healthy}
+		v := xds.Seen{Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Power: s.Endpoint.Weight, Born: s.Endpoint.StartedAt, Health: membership.Healthy}
 		switch {
 		case s.State == control.Draining:
 			v.Health = membership.Draining
@@ -54,7 +54,7 @@
 			v.InFlight = len(p.out)
 		}
 		if r, said := g.tally.Said(s.Address); said {
-			v.Said, v.Util, v.Loads, v.Pinned = true, r.Util, r.Loads, r.Pinned
+			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
 	}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"net/textproto"
+	"os"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -38,8 +39,8 @@
 // sending is one execution or order on its way.
 type sending struct {
 	job      *job // nil of an order
-	no       control.ExecutionID
-	order    control.Order
+	no       control.AttemptID
+	order    control.LoadCommand
 	to       control.ServerID
 	request  *rest.Request
 	round    *memory.Round  // of the journal, in which it must be before it is written; nil: none
@@ -49,7 +50,7 @@
 	cancel   context.CancelFunc
 	stage    atomic.Int32 // an attempt.Stage
 	link     *link
-	state    attempt.Sending // the turn's
+	state    attempt.Progress // the turn's
 }
 
 func (g *Gateway) sending(to control.ServerID, allow control.Micros) *sending {
@@ -69,7 +70,7 @@
 
 // callOff also breaks off what was written.
 func (s *sending) callOff() {
-	if s.state.CallOff() && !s.withdraw() && s.link != nil {
+	if s.state.Cancel() && !s.withdraw() && s.link != nil {
 		if c := s.link.client.Load(); c != nil {
 			c.Abort()
 		}
@@ -86,17 +87,17 @@
 	p.out[s] = struct{}{}
 	s.request.Header["Host"] = []string{p.address}
 	s.request.Header["Via"] = append(s.request.Header["Via"][:len(s.request.Header["Via"]):len(s.request.Header["Via"])], g.via)
-	switch p.conns.Take(g.told.PerServer) {
+	switch p.conns.Acquire(g.told.PerServer) {
 	case attempt.Reuse:
 		n := len(p.idle)
 		s.link = p.idle[n-1]
 		p.idle = p.idle[:n-1]
-	case attempt.Open:
+	case attempt.OpenNew:
 		s.link = &link{g: g, address: p.address, work: make(chan *sending, 1)}
 		g.links.Add(1)
 		go s.link.serve()
-	case attempt.NoRoom: // never sent; told in the next turn, since this one is still asking
-		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NeverSent}, false) })
+	case attempt.NoneLeft: // never sent; told in the next turn, since this one is still asking
+		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NotSent}, false) })
 		return
 	}
 	s.link.work <- s
@@ -138,7 +139,7 @@
 	if c == nil {
 		var err error
 		if c, err = l.dial(s); err != nil {
-			return exchange{result: attempt.Undialled(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn))}
+			return exchange{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.Ours(err))}
 		}
 		l.client.Store(c)
 	}
@@ -146,7 +147,7 @@
 	if !attempt.Step(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
 		return st.Write(kept, l.g.now(), s.until)
 	}) {
-		return exchange{result: control.NeverSent}
+		return exchange{result: control.NotSent}
 	}
 	p, progress, err := c.Do(s.request, s.deadline)
 	if err == nil && !p.Close {
@@ -196,9 +197,33 @@
 	case <-ctx.Done():
 		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
 	}
-	return rest.DialSecure(ctx, l.address, &workerLimits, l.g.secure())
+	var before error // why the try before failed, through no fault of the server's
+	for pause := dialPause; ; pause = min(2*pause, dialPauseMost) {
+		c, err := l.g.connect(ctx, l.address)
+		switch {
+		case err == nil:
+			return c, nil
+		case rest.Ours(err), rest.Momentary(err):
+		case rest.Ours(before) && os.IsTimeout(err):
+			return nil, before // the server had but the rest of the time
+		default:
+			return nil, err
+		}
+		before = err
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-time.After(pause):
+		}
+	}
 }
 
+// A dial that failed for a moment is tried again after dialPause, doubled up to dialPauseMost: such a moment may be a packet's.
+const (
+	dialPause     = 2 * time.Millisecond
+	dialPauseMost = 50 * time.Millisecond
+)
+
 // workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
 var workerLimits = rest.Limits{Line: 16 << 10, Headers: 128, Block: 64 << 10, Body: 64 << 20}
 
@@ -208,7 +233,7 @@
 	delete(p.out, s)
 	s.state.End()
 	if s.link != nil {
-		switch keep := p.conns.Back(open, g.listedThere(s.to)); {
+		switch keep := p.conns.Release(open, g.listedThere(s.to)); {
 		case keep:
 			s.link.since = now
 			p.idle = append(p.idle, s.link)
@@ -221,8 +246,8 @@
 		if e.response != nil {
 			copies = kserve.Copies(e.response.Body)
 		}
-		if e.result == control.Finished && copies < 0 {
-			copies = s.order.Copies // an answer that tells no number has done what was asked
+		if e.result == control.Succeeded && copies < 0 {
+			copies = s.order.Replicas // an answer that tells no number has done what was asked
 		}
 		g.ordered(now, s, e.result, micros(e.took), copies)
 		return
@@ -231,17 +256,17 @@
 	if e.response != nil {
 		o = Conclude(e.response, false)
 	}
-	o.Execution, o.Server, o.Took = s.no, s.to, micros(e.took)
+	o.Attempt, o.Server, o.Duration = s.no, s.to, micros(e.took)
 	g.executed(now, s, o, e.response)
 }
 
 func (g *Gateway) listedThere(id control.ServerID) bool {
 	s := g.fleet.Get(id)
-	return s != nil && s.State != control.Gone
+	return s != nil && s.State != control.Removed
 }
 
 // execution is the request of one execution: the client's own, with what is ours to say.
-func (g *Gateway) execution(j *job, no control.ExecutionID) *rest.Request {
+func (g *Gateway) execution(j *job, no control.AttemptID) *rest.Request {
 	h := forwarded(j.request.Header)
 	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(no) + 1)}
 	h[kserve.RepeatMark] = []string{j.mark}
@@ -284,7 +309,7 @@
 	for _, l := range p.idle {
 		if which(l) {
 			close(l.work)
-			p.conns.Closed()
+			p.conns.CloseIdle()
 		} else {
 			kept = append(kept, l)
 		}
@@ -307,7 +332,7 @@
 		}
 	}
 	g.tally.Forget(func(address string) bool { return g.listedThere(fleet.ID(address)) })
-	g.fleet.Forget(now, func(id control.ServerID) bool { return g.pools[id] != nil })
+	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
 func (g *Gateway) closePools() {
--- a/internal/lab/emulated.go
+++ b/internal/lab/emulated.go
@@ -56,7 +56,7 @@
 	for i := range d.Routers {
 		plan.RouterZone = append(plan.RouterZone, control.ZoneID(i%3))
 	}
-	for i, w := range told.Deployment.Workloads {
+	for i, w := range told.Deployment.Classes {
 		plan.Workloads = append(plan.Workloads, emulate.Workload{Name: told.Workloads[i], Told: w, Importance: told.Importance[i]})
 	}
 	for _, c := range d.schedule() {
@@ -134,7 +134,7 @@
 }
 
 // Emulate plays a day in simulated time, with the module's decisions or a baseline's.
-func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Decider) (*Emulated, error) {
+func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*Emulated, error) {
 	plan, err := d.Plan()
 	if err != nil {
 		return nil, err
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -18,7 +18,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hollymast/internal/board"
+	"hollymast/internal/discovery"
 )
 
 // Deployment is what tests vary of a router's start settings.
@@ -49,10 +49,10 @@
 }
 
 // Configuration is a router's configuration file. The events are those that it knows at its start.
-func (d Deployment) Configuration(boardAddress string, events ...board.Event) string {
-	known := board.Known{Notices: events}
+func (d Deployment) Configuration(boardAddress string, events ...discovery.Event) string {
+	known := discovery.History{Events: events}
 	if len(events) > 0 {
-		known.Rev = events[len(events)-1].Rev
+		known.Revision = events[len(events)-1].Revision
 	}
 	text, err := json.Marshal(known)
 	if err != nil {
@@ -63,13 +63,13 @@
 }
 
 // Event is one event of the notice board about one server. The first is the whole list.
-func Event(rev uint64, uid, address, state string) board.Event {
-	return board.Event{Rev: rev, Pool: &board.Pool{All: rev == 1, Targets: []board.Target{
-		{UID: uid, Endpoint: address, Zone: "east", Power: 4, State: state}}}}
+func Event(rev uint64, uid, address, state string) discovery.Event {
+	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
+		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
 // Line is an event as a board writes it.
-func Line(e board.Event) []byte {
+func Line(e discovery.Event) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain values
@@ -77,11 +77,11 @@
 	return append(text, '\n')
 }
 
-// Board is a fake notice board. It tells each watcher the events it asks for and a heartbeat each second.
-type Board struct {
+// Discovery is a fake notice board. It tells each watcher the events it asks for and a heartbeat each second.
+type Discovery struct {
 	listener net.Listener
 	mu       sync.Mutex
-	events   []board.Event
+	events   []discovery.Event
 	watchers map[net.Conn]struct{}
 	asked    []time.Time
 	written  int64 // bytes, to all watchers
@@ -89,15 +89,15 @@
 	script   func(c net.Conn, nth int) (handled bool)
 }
 
-// NewBoard starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
+// NewDiscovery starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
 // counted from 1.
-func NewBoard(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...board.Event) *Board {
+func NewDiscovery(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Board{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
+	b := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
 	acceptEach(t, l, b.watch)
 	t.Cleanup(func() { close(b.ended) }) // before the connections are waited for
 	return b
@@ -157,17 +157,17 @@
 }
 
 // Address is where it listens.
-func (b *Board) Address() string { return b.listener.Addr().String() }
+func (b *Discovery) Address() string { return b.listener.Addr().String() }
 
 // Asked gives when each watch was asked for.
-func (b *Board) Asked() []time.Time {
+func (b *Discovery) Asked() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]time.Time(nil), b.asked...)
 }
 
-// Tell adds an event and writes it to all watchers. It gives the time from which the event counts as told.
-func (b *Board) Tell(e board.Event) time.Time {
+// Publish adds an event and writes it to all watchers. It gives the time from which the event counts as told.
+func (b *Discovery) Publish(e discovery.Event) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.events = append(b.events, e)
@@ -179,20 +179,20 @@
 }
 
 // write writes to a watcher. The lock is held.
-func (b *Board) write(c net.Conn, text []byte) error {
+func (b *Discovery) write(c net.Conn, text []byte) error {
 	n, err := c.Write(text)
 	b.written += int64(n)
 	return err
 }
 
 // Written gives the bytes that it wrote to all watchers.
-func (b *Board) Written() int64 {
+func (b *Discovery) Written() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.written
 }
 
-func (b *Board) watch(c net.Conn) {
+func (b *Discovery) watch(c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
 		return
@@ -208,7 +208,7 @@
 	}
 	b.mu.Lock()
 	for _, e := range b.events {
-		if e.Rev > last {
+		if e.Revision > last {
 			b.write(c, Line(e))
 		}
 	}
@@ -228,21 +228,21 @@
 	}
 }
 
-func (b *Board) heartbeat(c net.Conn) bool {
+func (b *Discovery) heartbeat(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var last uint64
 	if n := len(b.events); n > 0 {
-		last = b.events[n-1].Rev
+		last = b.events[n-1].Revision
 	}
 	return b.write(c, fmt.Appendln(nil, last)) == nil
 }
 
 // The codes of frames to model servers.
 const (
-	Execution = 65
-	Order     = 69
-	codeOK    = 97 // of their answers
+	AttemptCode = 65
+	LoadCode    = 69
+	codeOK      = 97 // of their answers
 )
 
 // Received is one frame as a model server got it.
@@ -349,9 +349,9 @@
 		s.received = append(s.received, Received{f.Code, at, f.Fields})
 		s.mu.Unlock()
 		switch f.Code {
-		case Execution:
+		case AttemptCode:
 			s.answer(c, AnswerFrame(codeOK, f.ID, "remark=resident", f.Body))
-		case Order:
+		case LoadCode:
 			pods := "1"
 			for field := range strings.SplitSeq(f.Fields, ",") {
 				if value, is := strings.CutPrefix(field, "pods="); is {
@@ -491,11 +491,11 @@
 	t.Fatalf("not within 4 s: %s", what)
 }
 
-// Orders counts the orders to load that came so far.
-func (s *ModelServer) Orders() int {
+// LoadCommands counts the orders to load that came so far.
+func (s *ModelServer) LoadCommands() int {
 	n := 0
 	for _, frame := range s.Received() {
-		if frame.Code == Order {
+		if frame.Code == LoadCode {
 			n++
 		}
 	}
