--- a/control/balancer.go
+++ b/control/balancer.go
@@ -1,45 +1,48 @@
-// Package control decides where each request of functions that are loaded on demand goes. The mechanism is Fifer's, as
-// docs/design.md tells it. It does no I/O and reads no clock: the caller hands in the time.
+// Package control decides where each request for an on-demand loaded function goes. The algorithm is Fifer's; see
+// docs/design.md. The package does no I/O and reads no clock: callers pass the current time in microseconds.
 //
-// A Balancer is told what happens (UpdateEndpoints, HandleOutcome, HandleLoadResult, Cancel) and is asked three things: Route, where
-// to forward this request (or not yet, or never); HandleOutcome, what to do after this attempt; Maintain, what falls due now and
-// when to ask again. In each step of the event loop the caller asks Route for all requests in hand, lowest Rank first.
+// A caller reports events to a [Balancer] (UpdateEndpoints, HandleOutcome, HandleLoadResult, Cancel) and asks it
+// for three decisions: Route, whether a request is forwarded, held or ended; HandleOutcome, what follows an
+// attempt; and Maintain, which periodic work is due and when to call it next. In each event-loop iteration the
+// caller passes every pending request to Route, lowest Rank first.
 //
-// Each concern has a file: routing, loading (with ranking and index, which make it cheap in a large fleet), slow start, outliers,
-// overload, quotas, retries, endpoints, estimates and maintenance. The values that go in and out are in types.go and requests.go.
+// Each concern has a file of its own: routing, loading (ranking and index keep it cheap in a large fleet), slow
+// start, outliers, overload, quotas, retries, endpoints, estimates and maintenance. The types of inputs and
+// decisions are in types.go and requests.go.
 package control
 
-// Balancer is the state of one router.
+// Balancer holds the routing state of one router. It is not safe for concurrent use: one event loop owns it.
 type Balancer struct {
 	deployment    Deployment
 	random        pcg
 	startedAt     Micros
-	servers       []*server // by ascending id
+	servers       []*server // by ascending ID
 	functions     map[FunctionID]*function
-	functionOrder []*function // as first seen
-	waiting       []*function // for which jobs were held since the last check
-	execTimes     []samples   // by workload
-	deadlines     []samples   // by workload
-	quotaDebt     []Micros    // by tenant: until when its jobs have used up its share
-	latencies     samples     // of answers from loaded copies, all servers
-	loadTimes     samples     // how long loads took
-	queueing      samples     // queueing on all servers, as a server's
-	loadCommands  []Micros    // orders to load within the ration's window
-	admitted      []Micros    // jobs taken within it
+	functionOrder []*function // in order of first use
+	waiting       []*function // functions with requests held or shed since the last replica check
+	execTimes     []samples   // by class
+	deadlines     []samples   // by class: time from arrival to deadline
+	quotaDebt     []Micros    // by tenant: the time at which its admitted requests are back within its quota
+	latencies     samples     // of answers from loaded replicas, all servers
+	loadTimes     samples     // load durations
+	queueing      samples     // queueing on all servers, in the same unit as server.queueing
+	loadCommands  []Micros    // load commands within the load-rate window
+	admitted      []Micros    // requests admitted within the load-rate window
 	cancellations []Cancellation
-	candidates    []candidate // room for the choice in hand
+	candidates    []candidate // scratch space, reused between decisions
 	logLines      []string
-	answers       []Micros // recent ones, of all servers
-	answerRate    float64  // see pool
+	answers       []Micros // recent answers, from all servers
+	answerRate    float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
 	freshFor      Micros
-	recent        []*function // of the last jobs taken
-	pruned        int         // functions looked at by tidy, in their order
+	recent        []*function // functions of the most recently admitted requests
+	pruned        int         // where prune continues in functionOrder
 	subscribed    bool
 	index         index
-	trace         *Trace // nil but for tools
+	trace         *Trace // nil except in diagnostic tools
 }
 
-// New gives a router that knows only what it is told.
+// New returns a Balancer for the given deployment. It knows no servers until UpdateEndpoints is called; seed
+// determines its random choices.
 func New(now Micros, seed uint64, told Deployment) *Balancer {
 	return &Balancer{deployment: told, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
 		execTimes: make([]samples, len(told.Classes)), deadlines: make([]samples, len(told.Classes)),
--- a/control/index.go
+++ b/control/index.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// index is what could be found by asking all servers, kept so that nobody has to: a fleet may have thousands. It follows from the
-// rest of the state, is built anew after a restore, and is never stored.
+// index keeps what a scan of all servers would find, so that no decision needs one: a fleet may have thousands. It
+// is derived from the rest of the state, rebuilt after a restore, and never stored.
 type index struct {
-	listedAt    Micros     // when a list was last taken in: until then what it tells of was on the list
-	removed     []*server  // by when they left, then by id
-	ids         []ServerID // of all servers
-	notReady    []ServerID // of those that drain or are gone
-	inSlowStart []*server  // ready ones of which capacities has not seen yet that they have all of theirs, by id
-	busy        []*server  // with executions out, by id
+	// When an endpoint list was last applied: servers that are present were listed until then.
+	listedAt Micros
+	removed  []*server  // by the time they were last listed, then by ID
+	ids      []ServerID // of all servers
+	notReady []ServerID // of draining and removed servers
+	// Ready servers, by ID, that totalCapacity has not yet seen at full capacity.
+	inSlowStart []*server
+	busy        []*server // with attempts in flight, by ID
 
-	questionable []*server // those that may be suspect or avoided, in any order
+	questionable []*server // may be ejected or backed off; in any order
 
 	maxWeight      float64    // no ready server has a larger weight
-	totalWeight    float64    // of the ready servers' weights, about
-	changes        []ServerID // the latest that came, went or changed their weight
-	droppedChanges int        // such changes before those
+	totalWeight    float64    // of all ready servers, approximately
+	changes        []ServerID // the latest servers that were added, removed or changed their weight
+	droppedChanges int        // number of changes before those
 }
 
 func byID(a, b *server) int { return cmp.Compare(a.Server, b.Server) }
 
 func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
 
-// addServer takes up a new server at its place.
+// addServer inserts a new server at index i.
 func (r *Balancer) addServer(i int, s *server) {
 	r.servers, r.index.ids = slices.Insert(r.servers, i, s), slices.Insert(r.index.ids, i, s.Server)
 }
 
-// removeServer drops one that is gone. Its place among the gone is the caller's to drop.
+// removeServer forgets a removed server. The caller deletes it from index.removed.
 func (r *Balancer) removeServer(s *server) {
 	x := &r.index
 	if i, known := r.find(s.Server); known {
@@ -46,14 +48,14 @@
 	}
 }
 
-// markQuestionable notes that a server may be suspect or avoided.
+// markQuestionable notes that a server may be ejected or backed off.
 func (x *index) markQuestionable(s *server) {
 	if !s.questionable {
 		s.questionable, x.questionable = true, append(x.questionable, s)
 	}
 }
 
-// dropQuestionable drops those that are not any more.
+// dropQuestionable drops the servers for which not is true: they are no longer ejected or backed off.
 func (x *index) dropQuestionable(not func(s *server) bool) {
 	x.questionable = slices.DeleteFunc(x.questionable, func(s *server) bool {
 		trusted := not(s)
@@ -62,7 +64,7 @@
 	})
 }
 
-// insertSorted gives a sorted list that has the server in it.
+// insertSorted returns a sorted list with s inserted, if it isn't in it already.
 func insertSorted(list []*server, s *server, by func(a, b *server) int) []*server {
 	i, in := slices.BinarySearchFunc(list, s, by)
 	if in {
@@ -71,7 +73,7 @@
 	return slices.Insert(list, i, s)
 }
 
-// deleteSorted gives a sorted list that has not.
+// deleteSorted returns a sorted list without s.
 func deleteSorted(list []*server, s *server, by func(a, b *server) int) []*server {
 	if i, in := slices.BinarySearchFunc(list, s, by); in {
 		return slices.Delete(list, i, i+1)
@@ -79,7 +81,8 @@
 	return list
 }
 
-// reindexServer takes in what a list has changed about a server. Before is when the list before it was taken in.
+// reindexServer applies what an endpoint list has changed about a server; before is when the previous list was
+// applied.
 func (r *Balancer) reindexServer(before Micros, s *server) {
 	x := &r.index
 	switch there := s.State != Removed; {
@@ -115,9 +118,9 @@
 	}
 }
 
-// noteChange notes a change for the rankings.
+// noteChange records a change that rankings have to apply.
 func (x *index) noteChange(id ServerID) {
-	const kept = 256 // to take in more costs a ranking as much as to look at some thousand servers
+	const kept = 256 // applying more costs a ranking as much as scanning a few thousand servers
 	if len(x.changes) == 2*kept {
 		x.droppedChanges += kept
 		x.changes = append(x.changes[:0], x.changes[kept:]...)
@@ -125,7 +128,8 @@
 	x.changes = append(x.changes, id)
 }
 
-// seek finds the place of the first id not below one, from a place on that is not behind it; the nearer the cheaper.
+// seek returns the index of the first ID not below id. The search starts at from, which must not be beyond that
+// index; the closer it is, the cheaper the search.
 func seek(ids []ServerID, from int, id ServerID) int {
 	step := 1
 	for from+step <= len(ids) && ids[from+step-1] < id {
@@ -135,7 +139,7 @@
 	return from + i
 }
 
-// lastListed tells when a server was last on the list.
+// lastListed returns when a server was last on the endpoint list.
 func (r *Balancer) lastListed(s *server) Micros {
 	if s.present {
 		return r.index.listedAt
@@ -143,7 +147,7 @@
 	return s.lastListed
 }
 
-// rebuildIndex builds the index from the rest of the state.
+// rebuildIndex derives the index from the rest of the state.
 func (r *Balancer) rebuildIndex() {
 	r.index = index{}
 	for _, s := range r.servers {
@@ -170,14 +174,14 @@
 	}
 }
 
-// addFunction notes that something is known of a function's copies on a server.
+// addFunction notes that a function has an instance on the server.
 func (s *server) addFunction(f *function) {
 	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); !known {
 		s.functions = slices.Insert(s.functions, i, f)
 	}
 }
 
-// removeFunction notes that nothing is any more.
+// removeFunction notes that a function has no instance on the server any more.
 func (s *server) removeFunction(f *function) {
 	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); known {
 		s.functions = slices.Delete(s.functions, i, i+1)
--- a/control/loading.go
+++ b/control/loading.go
@@ -6,16 +6,20 @@
 	"slices"
 )
 
-// Loading: when a function gets another replica, and on which server.
+// This file decides when a function gets another replica, and on which server.
 
-// loadTarget picks the server for one more copy, in the order of a rendezvous hash weighted with what the
-// list tells: routers that share nothing meet on the same copies, and a load sent where one stands finds it.
-// Several routers keep to the first two: else each full one sends them elsewhere, to load what others load.
-// A function that draws much of the jobs has several homes, and each router turns to one of them by its
-// number: guards against crowds on one copy. A copy beside others of ours goes to the server with the fewest,
-// and only where three quarters of it are free: in a full fleet it would only take more from the rest.
+// loadTarget picks the server for one more replica, nil if there is none. Candidates are in the order of a
+// weighted rendezvous hash over the endpoint list: routers that share no state agree on the same servers, and a
+// request sent to load a function finds it already loaded there.
+//
+// With several routers only the first two candidates count; otherwise each full server would make the routers
+// spread out and load what others have loaded already. A function with a large share of the requests has several
+// homes, which each router orders by its own number: this guards against all routers crowding onto one replica. An
+// additional replica goes to the candidate with the fewest of them, and only if three quarters of that server are
+// free: in a full fleet it would only take capacity from other functions.
 func (r *Balancer) loadTarget(now Micros, f *function, j *Request, beside bool) *server {
-	const few = 8 // functions of ours loading on a server: past a few it queues or refuses them itself
+	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
+	const few = 8
 	takes := func(s *server) bool {
 		return now >= s.loadsAfter && s.pendingLoads() < few && !(beside && s.freeShare() < 0.75)
 	}
@@ -25,7 +29,7 @@
 	}
 	if !known {
 		if r.deployment.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usableUnchanged(now, s, j) }) {
-			return nil // bounds the work of a turn with many held jobs
+			return nil // bounds the work of an iteration with many held requests
 		}
 		cs = r.candidatesInOrder(now, f, j)
 	}
@@ -33,7 +37,7 @@
 	fewest := math.MaxInt
 	near := len(cs)
 	if r.deployment.Routers > 1 {
-		near = min(near, 2) // one alone would wait for a server that is stuck
+		near = min(near, 2) // one candidate alone would block while its server is stuck
 	}
 	for _, c := range cs[:near] {
 		s, copies := c.server, 0
@@ -50,21 +54,21 @@
 	return best
 }
 
-// candidate is a server that may take a load, with its place in a function's order: lowest key first.
+// candidate is a server that may take a load, with its key in a function's order: lowest first.
 type candidate struct {
 	server      *server
 	key, weight float64
 }
 
-// homeCount is how many of the servers that can be used a function has for homes.
+// homeCount returns how many of the usable servers are homes of a function.
 func (r *Balancer) homeCount(f *function, usable int) int {
-	const spread = 2  // homes for a server's part of the jobs, so that a home is half of its server's load
-	const enough = 32 // jobs that tell a part; the one in hand tells nothing
+	const spread = 2  // homes per server's worth of requests, so that a home takes half of its server's load
+	const enough = 32 // requests needed to estimate a share; the current one says nothing
 	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
 	return min(usable, max(1, int(math.Ceil(spread*part*float64(usable)))))
 }
 
-// candidatesInOrder gives servers that a load may go to, those that loadTarget looks at first and in order.
+// candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
 func (r *Balancer) candidatesInOrder(now Micros, f *function, j *Request) []candidate {
 	cs, n := r.nearestHomes(now, f, j)
 	near := cs
@@ -88,9 +92,11 @@
 	return cs
 }
 
-// startLoad starts a load for a job. Where a job loads what is missing it goes by itself: so it finds what others
-// loaded, for no price. An order goes before it for one copy more, or where only orders load: there a job goes
-// once without, when the ration gives none, since others may have loaded it and a miss never ran.
+// startLoad starts a load for a request. Where a request to a server that lacks the function loads it
+// (LoadsOnMiss), the request is forwarded at once and finds what other routers have loaded, at no extra cost. A
+// load command precedes it only for an additional replica. Where only load commands load, a request whose command
+// the load-rate limit denies is forwarded once without it: another router may have loaded the function, and a miss
+// is known not to have run.
 func (r *Balancer) startLoad(now Micros, f *function, j *Request, s *server) Decision {
 	in := f.instanceOn(s, true)
 	if !r.loaded(now, in) {
@@ -110,17 +116,20 @@
 	}
 	p := Decision{Action: Hold, Rank: r.Rank(now, j), RecheckAt: now + 30_000}
 	in.loading, in.loadingSince = in.loading+1, now
-	if r.deployment.LoadsOnMiss { // else a job would overtake its order and only miss
+	if r.deployment.LoadsOnMiss { // otherwise a request would overtake its load command and miss
 		p = r.forward(now, f, j, in)
 	}
 	p.LoadCommands = []LoadCommand{{s.Server, f.id, min(16, in.replicas+in.loading)}}
 	return p
 }
 
-// loadCommandAllowed keeps the fifth rule.
+// loadCommandAllowed enforces the load-rate limit (rule 5 of docs/design.md) and counts the command if it is
+// allowed.
 func (r *Balancer) loadCommandAllowed(now Micros) bool {
 	if r.deployment.LoadRateWindow > 0 {
-		begin, late := now-r.deployment.LoadRateWindow, r.deployment.MaxCommandDelay // an earlier order may arrive late, this one not
+		// An earlier command may be written late, this one at once: the window is wider for commands than for
+		// requests.
+		begin, late := now-r.deployment.LoadRateWindow, r.deployment.MaxCommandDelay
 		r.loadCommands, r.admitted = dropBefore(r.loadCommands, begin-late), dropBefore(r.admitted, begin+max(r.deployment.Tick, late))
 		if float64(len(r.loadCommands)+1) > r.deployment.LoadRateBase+r.deployment.LoadRatePerRequest*float64(len(r.admitted)) {
 			return false
@@ -130,10 +139,11 @@
 	return true
 }
 
-// checkReplicas is the design's test whether a function needs more copies: recent delay has reached slack, and what
-// is held would wait at least as long as a load takes. Held jobs then carry the loads out, see place. The
-// page's D_f holds every job; here those without slack leave, so those of the last load's time count as held:
-// else a start target shorter than a load keeps D_f below it whatever the demand.
+// checkReplicas is Fifer's test for whether a function needs more replicas: recent delay has reached the slack,
+// and the held requests would wait at least as long as a load takes. Route then starts the loads that are due. The
+// paper's D_f counts every waiting request. Here requests without slack are shed, so those shed within the last
+// load's time count as held; otherwise a latency objective shorter than a load would keep D_f below the load time
+// whatever the demand.
 func (r *Balancer) checkReplicas(now Micros, f *function) {
 	held := f.held + len(f.shed.since(now-r.loadTime(f.lastRequest)))
 	if f.loadsDue = 0; held == 0 {
@@ -161,11 +171,12 @@
 	if delay < target-exec || slots == 0 || Micros(held)*target/Micros(slots) < r.loadTime(f.lastRequest) {
 		return
 	}
-	const few = 3 // a check's loads are under way before the next one counts again
+	const few = 3 // per check: these are in progress before the next check counts
 	f.loadsDue = min(few, int(math.Ceil(float64(held-slots)/perLane))-loading)
 }
 
-// HandleLoadResult takes in the answer to an order.
+// HandleLoadResult records the result of a load command. The replica count is what the server reports; took is
+// unused.
 func (r *Balancer) HandleLoadResult(now Micros, id ServerID, fn FunctionID, result Result, took Micros, copies int) {
 	f := r.functions[fn]
 	i, known := r.find(id)
@@ -188,4 +199,4 @@
 	}
 }
 
-const loadBackoff = 50_000 // a part of a load: one that ends meanwhile makes room
+const loadBackoff = 50_000 // microseconds; a fraction of a load's time, since a load that ends meanwhile frees capacity
--- a/control/random.go
+++ b/control/random.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// Chance and hashes: the only sources of ties and of orders shared by all routers.
+// This file holds the generator that breaks ties, and the hash behind the orders that all routers share.
 
 // pcg is a permuted congruential generator (XSH-RR 64/32).
 type pcg uint64
@@ -14,10 +14,10 @@
 	return int(uint64(word) * uint64(n) >> 32)
 }
 
-// uniform spreads two ids over (0, 1].
+// uniform maps two IDs to an evenly distributed number in (0, 1].
 func uniform(a, b uint64) float64 { return (float64(hash(a, b)>>11) + 1) / (1 << 53) }
 
-// hash scrambles two ids into one evenly spread number (the finaliser of SplitMix64).
+// hash mixes two IDs into one evenly distributed number (the SplitMix64 finalizer).
 func hash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// ranking is the beginning of a function's order of ready servers by their static keys: those that they would have with nothing
-// believed of them but what the list tells for good. What else is believed lowers a server's weight and so raises its key alone:
-// whoever walks in static order may stop at the first static key that can't beat what it has. It is kept for functions that were
-// placed without a copy, follows from the list, and is never stored.
+// ranking is the head of a function's order of ready servers by static key: the key that follows from the endpoint
+// list alone. Whatever else is known of a server lowers its weight and so only raises its key: a walk in static
+// order may stop at the first static key that can't beat the candidates it has. Rankings exist for functions that
+// were routed while they had no replica. They are derived from the endpoint list and never stored.
 type ranking struct {
 	entries []rankingEntry // lowest key first
-	bound   float64        // no other ready server has a lower key
-	seen    int            // changes of the list taken in
+	bound   float64        // no ready server outside entries has a lower key
+	seen    int            // changes of the endpoint list applied so far
 	built   bool
 }
 
@@ -21,12 +21,13 @@
 	key float64
 }
 
-// rankingLength is how many places a ranking has. On trial with 3,200 servers they told the first two in all but 1 of 400 choices where half of
-// the fleet could not be used or was in slow start without room, in all but 1 of 20 where a third could not and another third was
-// shunned, and in one of three where one of ten could be used: enough, since to look at all is only slow.
+// rankingLength is how many entries a ranking has. In trials with 3,200 servers, 12 entries determined the first
+// two candidates in all but 1 of 400 choices with half of the fleet unusable or in slow start without budget, in
+// all but 1 of 20 with one third unusable and another third overloaded, and in 1 of 3 with only one server in ten
+// usable. That is enough: the fallback, a scan of all servers, is merely slow.
 const rankingLength = 12
 
-// add takes up a server at its place, if it is among the first.
+// add inserts a server in order if its key is below the bound, and lowers the bound when the ranking overflows.
 func (k *ranking) add(id ServerID, key float64) {
 	if key >= k.bound {
 		return
@@ -46,20 +47,21 @@
 	k.entries = slices.Insert(k.entries, i, rankingEntry{id, key})
 }
 
-// rankKey is a server's key in a function's order, for a weight.
+// rankKey returns a server's key in a function's order, given its weight.
 func rankKey(order uint64, id ServerID, weight float64) float64 {
 	return -math.Log(uniform(order, uint64(id))) / weight
 }
 
-// buildRanking builds a function's ranking: the one look at all servers that a function costs, so that it is a tight loop. A server's number
-// is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: most are passed over by a comparison of integers.
+// buildRanking builds a function's ranking. This is the only scan of all servers that a function costs, so its
+// loop is tight. A server's hash is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: an integer
+// comparison skips most.
 func (r *Balancer) buildRanking(f *function) {
 	k, x := &f.ranking, &r.index
 	if cap(k.entries) == 0 {
 		k.entries = make([]rankingEntry, 0, rankingLength)
 	}
-	// At first only as far as three times as many servers as are kept are to be expected: else most logarithms are of keys that
-	// others push out again.
+	// The first pass uses a bound below which three times the needed number of servers is expected. Without it,
+	// most logarithms would be computed for keys that are displaced again.
 	for guess := x.keyBound(3 * rankingLength); ; guess = math.Inf(1) {
 		*k = ranking{entries: k.entries[:0], bound: guess, built: true}
 		r.scanForRanking(f)
@@ -81,8 +83,8 @@
 	}
 }
 
-// hashBound is how far from 2^64 the number of a server may be whose key is below a bound. It is a little more than that: what is left out
-// must be left out for sure.
+// hashBound returns how far below 2^64 the hash of a server may be if its key is below bound. It is rounded up a
+// little: a server that is skipped must certainly have a key at or above the bound.
 func (x *index) hashBound(bound float64) uint64 {
 	const whole = 1 << 64
 	if u := bound * x.maxWeight * (1 + 1e-9); u < 1-1e-9 {
@@ -91,7 +93,7 @@
 	return math.MaxUint64
 }
 
-// keyBound is a key below which about n of the ready servers are to be expected.
+// keyBound returns a key below which about n ready servers are expected.
 func (x *index) keyBound(n int) float64 {
 	ready := float64(len(x.ids) - len(x.notReady))
 	if share := float64(n) / ready; share < 1 {
@@ -100,7 +102,7 @@
 	return math.Inf(1)
 }
 
-// currentRanking gives a function's ranking with all changes of the list taken in.
+// currentRanking returns a function's ranking with all changes of the endpoint list applied.
 func (r *Balancer) currentRanking(f *function) *ranking {
 	k, x := &f.ranking, &r.index
 	if !k.built || k.seen < x.droppedChanges {
@@ -123,15 +125,16 @@
 	return k
 }
 
-// firstTwoByRanking gives the first two servers that a load may go to in a function's order, by its ranking alone; false where that is not
-// enough to tell. The order then is that of loadTarget.
+// firstTwoByRanking returns the first two servers that a load may go to, in loadTarget's order, from the
+// function's ranking alone. The result is false if the ranking doesn't determine them.
 func (r *Balancer) firstTwoByRanking(now Micros, f *function, j *Request) ([]candidate, bool) {
 	if !r.weightsOnlyLowered() {
 		return nil, false
 	}
 	k := r.currentRanking(f)
 	two, ok := r.walkRanking(now, f, j, k)
-	if !ok && len(k.entries) < rankingLength && !math.IsInf(k.bound, 1) { // servers that left have thinned it
+	// Servers that left the endpoint list have shortened the ranking.
+	if !ok && len(k.entries) < rankingLength && !math.IsInf(k.bound, 1) {
 		r.buildRanking(f)
 		k.seen = r.index.droppedChanges + len(r.index.changes)
 		two, ok = r.walkRanking(now, f, j, k)
@@ -168,14 +171,15 @@
 	return two, math.IsInf(k.bound, 1) || len(two) == 2 && k.bound >= two[1].key
 }
 
-// weightsOnlyLowered tells whether what is believed of a server can but lower its weight: a capacity could be more than all of it, and a power
-// no number.
+// weightsOnlyLowered reports whether slow start can only lower a server's weight. An initial capacity above 1
+// would raise it, and an infinite weight can make a bound NaN.
 func (r *Balancer) weightsOnlyLowered() bool {
 	return r.deployment.SlowStartInitial <= 1 && r.deployment.SlowStartDuration > 0 && r.index.maxWeight < math.Inf(1)
 }
 
-// nearestHomes gives servers that a load may go to, the function's homes and the first two among them, in any order, and the number of homes.
-// One of several routers looks at first only as far as to expect a little more than it needs.
+// nearestHomes returns servers that a load may go to, in any order, and the function's number of homes. The homes
+// and the first two candidates are among them. With several routers it first looks only as far as it expects to
+// find slightly more than it needs.
 func (r *Balancer) nearestHomes(now Micros, f *function, j *Request) ([]candidate, int) {
 	if r.deployment.Routers > 1 && r.weightsOnlyLowered() && !r.restrictedToGroup(j) {
 		usable := r.usableCount(now, j)
@@ -183,7 +187,7 @@
 		need := max(homes, min(2, usable))
 		ready := len(r.index.ids) - len(r.index.notReady)
 		likely := (need + need/4 + 2*rankingLength) * ready / max(1, usable)
-		for _, n := range []int{likely, 4 * likely} { // slow start brings keys up to some times higher
+		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
 			if cs := r.candidatesWithin(now, f, j, r.index.keyBound(n)); len(cs) >= need {
 				return cs, homes
 			}
@@ -193,7 +197,7 @@
 	return cs, r.homeCount(f, len(cs))
 }
 
-// candidatesWithin gives all servers that a load may go to whose key is below a bound.
+// candidatesWithin returns all servers that a load may go to whose key is below bound.
 func (r *Balancer) candidatesWithin(now Micros, f *function, j *Request, bound float64) []candidate {
 	cs, x := r.candidates[:0], &r.index
 	most := x.hashBound(bound)
@@ -206,7 +210,7 @@
 			continue
 		}
 		weight := r.weight(now, s)
-		if k := rankKey(uint64(f.id), id, weight); !(k >= bound) { // also where it is no number
+		if k := rankKey(uint64(f.id), id, weight); !(k >= bound) { // keeps a key that is NaN
 			cs = append(cs, candidate{s, k, weight})
 		}
 	}
@@ -214,13 +218,14 @@
 	return cs
 }
 
-// restrictedToGroup tells whether the earlier executions of a job keep it from some of the servers.
+// restrictedToGroup reports whether a request's earlier attempts confine it to a zone or cell.
 func (r *Balancer) restrictedToGroup(j *Request) bool {
 	w := r.deployment.Classes[j.Class]
 	return w.Effect == IdempotentByKey && w.Scope != WholeFleet && slices.ContainsFunc(j.Attempts, func(e Attempt) bool { return e.MayHaveRun })
 }
 
-// usableCount counts the servers that a job of no group may go to: all that are ready but some of those in doubt or in slow start.
+// usableCount counts the servers that a request that isn't restricted to a group may go to: all ready ones except
+// some that are questionable or in slow start.
 func (r *Balancer) usableCount(now Micros, j *Request) int {
 	x := &r.index
 	n := len(x.ids) - len(x.notReady)
@@ -237,7 +242,8 @@
 	return n
 }
 
-// usableUnchanged is usable, and leaves nothing behind: which servers are asked depends on the ranking, and one that was restored has none.
+// usableUnchanged is usable without side effects. Which servers are asked depends on the ranking, and a restored
+// Balancer starts without one: a side effect would make its decisions differ.
 func (r *Balancer) usableUnchanged(now Micros, s *server, j *Request) bool {
 	sent := s.slowStartSends
 	usable := r.usable(now, s, j)
@@ -245,19 +251,19 @@
 	return usable
 }
 
-// weight is a server's weight in the order for loads: what the list tells, less for what is believed.
+// weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
 func (r *Balancer) weight(now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * r.capacity(now, s)
-	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 { // what we see of a server is new and tells how free it is
+	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 { // what we know of a server is recent and tells how free it is
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
 	} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
-		weight *= 0.01 // last, in the same order
+		weight *= 0.01 // moves it to the end, in the same order
 	}
 	return max(0.001, weight)
 }
 
-// partitionLowest brings the n choices with the lowest keys to the front, in any order.
+// partitionLowest moves the n candidates with the lowest keys to the front, in any order.
 func partitionLowest(cs []candidate, n int) {
 	for n > 0 && n < len(cs) {
 		pivot := cs[len(cs)/2].key
@@ -274,7 +280,7 @@
 				i, j = i+1, j-1
 			}
 		}
-		switch { // what is between j and i equals the pivot
+		switch { // everything between j and i equals the pivot
 		case n <= j+1:
 			cs = cs[:j+1]
 		case n >= i:
--- a/control/routing.go
+++ b/control/routing.go
@@ -2,24 +2,27 @@
 
 import "slices"
 
-// Routing: which instance a request is forwarded to, and when it is held or ends.
+// This file decides which instance a request is forwarded to, and when it is held or ended.
 
-// Rank orders the jobs in hand: least slack first.
+// Rank returns the key by which callers order pending requests, lowest first: the time at which the request's
+// slack ends.
 func (r *Balancer) Rank(_ Micros, j *Request) Micros {
 	return j.ArrivedAt + r.slack(j, r.execTime(r.function(j), j))
 }
 
-// slack is the time that a job can spare: before its start target, and before its client gives up.
+// slack returns how long a request may wait without missing its latency objective or its deadline.
 func (r *Balancer) slack(j *Request, exec Micros) Micros {
 	return max(0, min(r.latencyObjective(j, exec), j.Deadline-j.ArrivedAt)-exec)
 }
 
-// Route answers where to send a job, or not yet, or never.
+// Route decides whether a request is forwarded, held, or ended. The caller asks again when the state has changed,
+// at the latest at the decision's RecheckAt.
 func (r *Balancer) Route(now Micros, j *Request) Decision {
 	f := r.function(j)
 	if !j.admitted {
 		j.admitted, j.firstSentAt, j.overQuota = true, r.firstSentAt(now, j), r.mustShed(now) || r.exceedsQuota(now, j)
-		const last = 128 // tells a function's part of the jobs to a few hundredths
+		// Large enough to resolve a function's share of the requests to within a few hundredths.
+		const last = 128
 		r.recent = append(r.recent, f)
 		if f.recent++; len(r.recent) > last {
 			r.recent[0].recent, r.recent = r.recent[0].recent-1, r.recent[1:]
@@ -35,7 +38,8 @@
 	if r.trace != nil {
 		r.trace.end(p)
 	}
-	p.RecheckAt = min(p.RecheckAt, j.Deadline-2*r.deployment.Tick) // rule 1, whatever the job waits for
+	// A request ends before its deadline, whatever it waits for (rule 1 of docs/design.md).
+	p.RecheckAt = min(p.RecheckAt, j.Deadline-2*r.deployment.Tick)
 	if hold := p.Action == Hold; hold != j.held {
 		if hold {
 			if f.held++; f.held == 1 {
@@ -60,18 +64,20 @@
 	}
 	exec := r.execTime(f, j)
 	whole := r.slack(j, exec)
-	slack, margin := j.firstSentAt+whole-now, min(exec, whole/2) // the margin lets every fresh job in
+	slack, margin := j.firstSentAt+whole-now, min(exec, whole/2) // the margin admits every new request
 	if j.IsRetry {
-		slack = 0 // the client's first try has used it up
+		slack = 0 // used up by the client's first attempt
 	}
-	last := j.Deadline - exec/2 - 2*r.deployment.Tick // it can't end within its client's patience if sent later
+	// An attempt started later can't end before the deadline.
+	last := j.Deadline - exec/2 - 2*r.deployment.Tick
 	tries := len(j.Attempts)
 	if r.trace != nil {
 		r.trace.explanation.Slack, r.trace.explanation.Margin, r.trace.explanation.LatestStart = slack, margin, last
 	}
 	over := ""
 	switch {
-	case tries > 0 && slack < 0: // to run it again would only feed what made it late
+	// A retry would add to the load that made it late.
+	case tries > 0 && slack < 0:
 		over = "it ran once and has no slack left"
 	case j.overQuota:
 		over = "it is beyond its tenant's share, or shed"
@@ -87,12 +93,13 @@
 	}
 	p := Decision{Action: Hold, Rank: j.ArrivedAt + whole, RecheckAt: min(now+maintenanceInterval, last)}
 	if f.blockedAt == now && slack >= margin && tries == 0 {
-		// One with less slack found no place: bounds the work of a turn with many held jobs.
+		// A request with less slack found no instance in this event-loop iteration. Skipping the rest bounds the
+		// work of an iteration with many held requests.
 		return r.explain(p, "another job for its function found no place in this turn")
 	}
 	if in := r.fullestInstance(now, f, j); in != nil {
-		// Guards against an overload in which least slack first serves every job just too late: where a
-		// server is half full, a job that its queue would make late gives way to those that can be in time.
+		// Guards against an overload in which least-slack-first serves every request just too late: where a server
+		// is half full, a request that its queue would make late yields to those that can still be in time.
 		s, queue := in.server, in.server.queueing.mean(now-1_000_000)*whole/1000
 		if r.loaded(now, in) && slack < margin+queue && 2*s.running >= int(s.concurrencyLimit) {
 			f.delays.add(now, whole)
@@ -117,7 +124,7 @@
 	}
 	if stands && slack < margin && !comes {
 		r.noteShed(now, whole, f)
-		return r.explain(r.giveUp(j), "its copies are there and full, and it has no slack") // as above
+		return r.explain(r.giveUp(j), "its copies are there and full, and it has no slack") // same guard as above
 	} else if !stands && !comes {
 		if s := r.loadTarget(now, f, j, false); s != nil {
 			return r.explain(r.startLoad(now, f, j, s), "no copy stands or comes")
@@ -127,7 +134,7 @@
 	return r.explain(p, "it waits for a copy")
 }
 
-// explain notes what ended a choice, where someone asks.
+// explain records the reason for a decision if a trace is attached.
 func (r *Balancer) explain(p Decision, by string) Decision {
 	if r.trace != nil {
 		r.trace.explanation.Reason = by
@@ -135,8 +142,9 @@
 	return p
 }
 
-// fullestInstance picks the instance for a job: among those with fewer of our executions out than lanes the
-// fullest, else the one with the fewest free slots, else one that loads; ties by own zone, then by chance.
+// fullestInstance picks the instance for a request, nil if none has a free slot: among loaded instances with fewer
+// of our attempts in flight than lanes the fullest, otherwise the loaded one with the fewest free slots, otherwise
+// one that is loading. Ties go to our own zone, then to a random choice.
 func (r *Balancer) fullestInstance(now Micros, f *function, j *Request) *instance {
 	perLane := r.slotsPerLane(f, j)
 	var best *instance
@@ -166,13 +174,13 @@
 	return best
 }
 
-// slotsPerLane is B, the slots of a lane: slack over execution time, at least 1.
+// slotsPerLane returns B, the slots per lane: slack divided by execution time, at least 1.
 func (r *Balancer) slotsPerLane(f *function, j *Request) float64 {
 	exec := r.execTime(f, j)
 	return max(1, float64(r.latencyObjective(j, exec)-exec)/float64(exec))
 }
 
-// slots is what an instance offers this router.
+// slots returns how many slots an instance offers this router, those in use included.
 func (r *Balancer) slots(now Micros, in *instance, f *function, perLane float64) int {
 	offered := 0
 	if r.loaded(now, in) {
@@ -182,7 +190,8 @@
 	}
 	s := in.server
 	if s.concurrencyLimit == 0 {
-		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(r.deployment.Routers)) // at first, as one instance offers
+		// The initial limit is what one instance offers.
+		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(r.deployment.Routers))
 	}
 	if r.overloaded(now, s) {
 		return 0
@@ -208,14 +217,15 @@
 	return Decision{Action: Forward, Server: s.Server, Timeout: j.Deadline - now}
 }
 
-// unusableReason tells why a job may not go to a server; empty if it may.
+// unusableReason tells why a request may not go to a server; it is empty if the request may.
 func (r *Balancer) unusableReason(now Micros, s *server, j *Request) string {
 	switch {
 	case s.State != Ready:
 		return "drains or is gone"
 	case now < s.backoffUntil:
 		return "refused lately"
-	case s.ejected && now < s.probeAt: // without trials a suspect with no copies would stay one
+	// An ejected server without replicas gets probe requests, or it would stay ejected.
+	case s.ejected && now < s.probeAt:
 		return "is suspect, and no trial is due"
 	case !r.mayRetry(now, j, s):
 		return "is outside the job's group or window"
@@ -225,7 +235,7 @@
 	return ""
 }
 
-// usable tells whether a job may go to a server at all.
+// usable reports whether a request may go to a server at all.
 func (r *Balancer) usable(now Micros, s *server, j *Request) bool {
 	return r.unusableReason(now, s, j) == ""
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -5,28 +5,32 @@
 	"slices"
 )
 
-// Slow start: what all routers together may send to a server that has just started.
+// This file limits what all routers together may send to a server that has just started.
 
-// withinSlowStartBudget keeps the fourth rule: all routers together may send a cold server a told multiple of its present
-// capacity, at least its part of what the fleet answers. Where our fraction of a window is less than a job,
-// the routers take turns by number, server and time: the sum stays within the budget with no agreement.
+// withinSlowStartBudget enforces rule 4 of docs/design.md: all routers together may send a server in slow start a
+// configured multiple of its present capacity, where full capacity is at least its share of what the fleet
+// answers. Where our part of a window is less than one request, the routers alternate by number, server and time:
+// the sum stays within the budget without any coordination.
 func (r *Balancer) withinSlowStartBudget(now Micros, s *server) bool {
 	has := r.capacity(now, s)
 	if has == 1 {
 		return true
 	}
 	if now < r.startedAt+r.deployment.OverloadWindow {
-		return false // what our earlier life sent within this window is forgotten; all routers may have restarted at once
+		// What our earlier incarnation sent within this window is unknown, and all routers may have restarted at
+		// once.
+		return false
 	}
 	s.slowStartSends = dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow)
-	const margin = 0.8 // jobs vary
+	const margin = 0.8 // for the variance between requests
 	budget := r.deployment.OverloadFactor * has * r.answerRate * float64(r.deployment.OverloadWindow) / 1e6
 	whole, part := math.Modf(margin * budget)
-	// Jobs of two turns that follow one another may meet in one window: both together stay within what chance may make of it.
+	// Requests of two consecutive turns may fall into one window: both together stay within the tolerance.
 	routers := float64(max(1, r.deployment.Routers))
 	part = min(part, (slowStartTolerance(budget*routers)/routers-whole)/2)
-	// Powers of two, so that a figure that changes within a window lets nobody in beside those of the largest. Turns go by the
-	// server's age, which all routers know alike: their clocks may have been set between their starts.
+	// The period is a power of two, so that a value that changes within a window admits no router besides those of
+	// the largest period. Turns follow the server's age, which all routers compute alike: wall clocks may have
+	// been set between their starts.
 	turns := uint64(1) << int(math.Ceil(-math.Log2(max(part, 1e-6))))
 	if (uint64(max(0, now-s.StartedAt)/r.deployment.OverloadWindow)+uint64(r.deployment.Number)+hash(0, uint64(s.Server)))%turns == 0 {
 		whole++
@@ -34,7 +38,7 @@
 	return len(s.slowStartSends) < int(whole)
 }
 
-// capacity is the share of its full capacity that a server has at least.
+// capacity returns the fraction of its full capacity that a server has at least: 1 unless it is in slow start.
 func (r *Balancer) capacity(now Micros, s *server) float64 {
 	if age := now - s.StartedAt; s.StartedAt > 0 && age < r.deployment.SlowStartDuration {
 		return r.deployment.SlowStartInitial + (1-r.deployment.SlowStartInitial)*float64(max(0, age))/float64(r.deployment.SlowStartDuration)
@@ -42,7 +46,8 @@
 	return 1
 }
 
-// slowStartTolerance is how many jobs a cold server with a budget for some survives in a window, by the rule's allowance for chance.
+// slowStartTolerance returns how many requests a server in slow start with the given budget survives in a window;
+// the rule allows this much for random variation.
 func slowStartTolerance(budget float64) float64 {
 	if budget < 30 {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -50,8 +55,9 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// totalCapacity sums up the capacity of all ready servers, in the order of their ids and rounded at each: the sum decides, and must not
-// depend on who is known to be cold. Each has all of its own but those of cold. It costs as many steps as those are, times a logarithm.
+// totalCapacity sums the capacity of all ready servers, by ascending ID with rounding at each addition: decisions
+// depend on the sum, so it must not depend on which servers are known to be in slow start. All other servers count
+// 1. The cost is the number of servers in slow start times a logarithm.
 func (r *Balancer) totalCapacity(now Micros) float64 {
 	x := &r.index
 	sum, counted, i, unready := 0.0, 0, 0, 0
@@ -68,11 +74,12 @@
 	return addOnes(sum, len(x.ids)-len(x.notReady)-counted)
 }
 
-// addOnes adds 1 to a positive sum n times and gives just what doing so one by one gives: only the step to the next power of two and
-// beyond it may round.
+// addOnes adds 1 to a positive sum n times, with exactly the result of n single additions: only the step to the
+// next power of two and those beyond it may round.
 func addOnes(sum float64, n int) float64 {
 	for n > 0 {
-		const fraction = 52 // bits of it in a float64: without them and one exponent up is the next power of two
+		// Mantissa bits of a float64. Clearing them and raising the exponent by one gives the next power of two.
+		const fraction = 52
 		next := math.Float64frombits((math.Float64bits(sum)>>fraction + 1) << fraction)
 		exact := max(1, min(n, int(next-sum)))
 		sum += float64(exact)
