--- a/control/balancer.go
+++ b/control/balancer.go
@@ -43,8 +43,8 @@
 
 // New returns a Balancer for the given deployment. It knows no servers until UpdateEndpoints is called; seed
 // determines its random choices.
-func New(now Micros, seed uint64, told Deployment) *Balancer {
-	return &Balancer{deployment: told, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
-		execTimes: make([]samples, len(told.Classes)), deadlines: make([]samples, len(told.Classes)),
-		quotaDebt: make([]Micros, len(told.Quotas))}
+func New(now Micros, seed uint64, config Deployment) *Balancer {
+	return &Balancer{deployment: config, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
+		execTimes: make([]samples, len(config.Classes)), deadlines: make([]samples, len(config.Classes)),
+		quotaDebt: make([]Micros, len(config.Quotas))}
 }
--- a/control/index.go
+++ b/control/index.go
@@ -36,96 +36,96 @@
 
 // removeServer forgets a removed server. The caller deletes it from index.removed.
 func (r *Balancer) removeServer(s *server) {
-	x := &r.index
-	if i, known := r.find(s.Server); known {
-		r.servers, x.ids = slices.Delete(r.servers, i, i+1), slices.Delete(x.ids, i, i+1)
+	idx := &r.index
+	if i, found := r.find(s.Server); found {
+		r.servers, idx.ids = slices.Delete(r.servers, i, i+1), slices.Delete(idx.ids, i, i+1)
 	}
-	if i, is := slices.BinarySearch(x.notReady, s.Server); is {
-		x.notReady = slices.Delete(x.notReady, i, i+1)
+	if i, found := slices.BinarySearch(idx.notReady, s.Server); found {
+		idx.notReady = slices.Delete(idx.notReady, i, i+1)
 	}
 	if s.questionable {
-		x.dropQuestionable(func(other *server) bool { return other == s })
+		idx.dropQuestionable(func(other *server) bool { return other == s })
 	}
 }
 
 // markQuestionable notes that a server may be ejected or backed off.
-func (x *index) markQuestionable(s *server) {
+func (idx *index) markQuestionable(s *server) {
 	if !s.questionable {
-		s.questionable, x.questionable = true, append(x.questionable, s)
+		s.questionable, idx.questionable = true, append(idx.questionable, s)
 	}
 }
 
-// dropQuestionable drops the servers for which not is true: they are no longer ejected or backed off.
-func (x *index) dropQuestionable(not func(s *server) bool) {
-	x.questionable = slices.DeleteFunc(x.questionable, func(s *server) bool {
-		trusted := not(s)
+// dropQuestionable drops the servers for which isTrusted is true: they are no longer ejected or backed off.
+func (idx *index) dropQuestionable(isTrusted func(s *server) bool) {
+	idx.questionable = slices.DeleteFunc(idx.questionable, func(s *server) bool {
+		trusted := isTrusted(s)
 		s.questionable = !trusted
 		return trusted
 	})
 }
 
 // insertSorted returns a sorted list with s inserted, if it isn't in it already.
-func insertSorted(list []*server, s *server, by func(a, b *server) int) []*server {
-	i, in := slices.BinarySearchFunc(list, s, by)
-	if in {
+func insertSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
+	i, found := slices.BinarySearchFunc(list, s, compare)
+	if found {
 		return list
 	}
 	return slices.Insert(list, i, s)
 }
 
 // deleteSorted returns a sorted list without s.
-func deleteSorted(list []*server, s *server, by func(a, b *server) int) []*server {
-	if i, in := slices.BinarySearchFunc(list, s, by); in {
+func deleteSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
+	if i, found := slices.BinarySearchFunc(list, s, compare); found {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// reindexServer applies what an endpoint list has changed about a server; before is when the previous list was
-// applied.
-func (r *Balancer) reindexServer(before Micros, s *server) {
-	x := &r.index
-	switch there := s.State != Removed; {
-	case there && !s.present:
-		x.removed = deleteSorted(x.removed, s, byRemoval)
-	case !there && s.present:
-		s.lastListed = before
+// reindexServer applies what an endpoint list has changed about a server; previousListing is when the list
+// before it was applied.
+func (r *Balancer) reindexServer(previousListing Micros, s *server) {
+	idx := &r.index
+	switch listed := s.State != Removed; {
+	case listed && !s.present:
+		idx.removed = deleteSorted(idx.removed, s, byRemoval)
+	case !listed && s.present:
+		s.lastListed = previousListing
 		fallthrough
-	case !there:
-		x.removed = insertSorted(x.removed, s, byRemoval)
+	case !listed:
+		idx.removed = insertSorted(idx.removed, s, byRemoval)
 	}
 	s.present = s.State != Removed
-	i, was := slices.BinarySearch(x.notReady, s.Server)
-	switch is := s.State != Ready; {
-	case is && !was:
-		x.notReady = slices.Insert(x.notReady, i, s.Server)
-	case !is && was:
-		x.notReady = slices.Delete(x.notReady, i, i+1)
+	i, wasNotReady := slices.BinarySearch(idx.notReady, s.Server)
+	switch notReady := s.State != Ready; {
+	case notReady && !wasNotReady:
+		idx.notReady = slices.Insert(idx.notReady, i, s.Server)
+	case !notReady && wasNotReady:
+		idx.notReady = slices.Delete(idx.notReady, i, i+1)
 	}
 	weight := 0.0
 	if s.State == Ready {
 		weight = max(0.1, s.Weight)
 	}
 	if weight != s.weight {
-		x.maxWeight, x.totalWeight = max(x.maxWeight, weight), x.totalWeight+weight-s.weight
+		idx.maxWeight, idx.totalWeight = max(idx.maxWeight, weight), idx.totalWeight+weight-s.weight
 		s.weight = weight
-		x.noteChange(s.Server)
+		idx.noteChange(s.Server)
 	}
-	if s.State == Ready && r.capacity(x.listedAt, s) != 1 {
-		x.inSlowStart = insertSorted(x.inSlowStart, s, byID)
+	if s.State == Ready && r.capacity(idx.listedAt, s) != 1 {
+		idx.inSlowStart = insertSorted(idx.inSlowStart, s, byID)
 	} else {
-		x.inSlowStart = deleteSorted(x.inSlowStart, s, byID)
+		idx.inSlowStart = deleteSorted(idx.inSlowStart, s, byID)
 	}
 }
 
 // noteChange records a change that rankings have to apply.
-func (x *index) noteChange(id ServerID) {
-	const kept = 256 // applying more costs a ranking as much as scanning a few thousand servers
-	if len(x.changes) == 2*kept {
-		x.droppedChanges += kept
-		x.changes = append(x.changes[:0], x.changes[kept:]...)
+func (idx *index) noteChange(id ServerID) {
+	const maxKept = 256 // applying more costs a ranking as much as scanning a few thousand servers
+	if len(idx.changes) == 2*maxKept {
+		idx.droppedChanges += maxKept
+		idx.changes = append(idx.changes[:0], idx.changes[maxKept:]...)
 	}
-	x.changes = append(x.changes, id)
+	idx.changes = append(idx.changes, id)
 }
 
 // seek returns the index of the first ID not below id. The search starts at from, which must not be beyond that
@@ -168,22 +168,22 @@
 	}
 	for _, f := range r.functionOrder {
 		f.ranking = ranking{}
-		for _, in := range f.instances {
-			in.server.addFunction(f)
+		for _, inst := range f.instances {
+			inst.server.addFunction(f)
 		}
 	}
 }
 
 // addFunction notes that a function has an instance on the server.
 func (s *server) addFunction(f *function) {
-	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); !known {
+	if i, found := slices.BinarySearchFunc(s.functions, f, byFunction); !found {
 		s.functions = slices.Insert(s.functions, i, f)
 	}
 }
 
 // removeFunction notes that a function has no instance on the server any more.
 func (s *server) removeFunction(f *function) {
-	if i, known := slices.BinarySearchFunc(s.functions, f, byFunction); known {
+	if i, found := slices.BinarySearchFunc(s.functions, f, byFunction); found {
 		s.functions = slices.Delete(s.functions, i, i+1)
 	}
 }
--- a/control/loading.go
+++ b/control/loading.go
@@ -17,21 +17,23 @@
 // homes, which each router orders by its own number: this guards against all routers crowding onto one replica. An
 // additional replica goes to the candidate with the fewest of them, and only if three quarters of that server are
 // free: in a full fleet it would only take capacity from other functions.
-func (r *Balancer) loadTarget(now Micros, f *function, j *Request, beside bool) *server {
+func (r *Balancer) loadTarget(now Micros, f *function, req *Request, additional bool) *server {
 	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
-	const few = 8
-	takes := func(s *server) bool {
-		return now >= s.loadsAfter && s.pendingLoads() < few && !(beside && s.freeShare() < 0.75)
+	const maxPending = 8
+	acceptsLoads := func(s *server) bool {
+		return now >= s.loadsAfter && s.pendingLoads() < maxPending && !(additional && s.freeShare() < 0.75)
 	}
-	cs, known := []candidate(nil), false
+	cs, ranked := []candidate(nil), false
 	if r.deployment.Routers > 1 && r.homeCount(f, len(r.index.ids)-len(r.index.notReady)) == 1 {
-		cs, known = r.firstTwoByRanking(now, f, j)
+		cs, ranked = r.firstTwoByRanking(now, f, req)
 	}
-	if !known {
-		if r.deployment.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usableUnchanged(now, s, j) }) {
+	if !ranked {
+		if r.deployment.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool {
+			return acceptsLoads(s) && r.usableUnchanged(now, s, req)
+		}) {
 			return nil // bounds the work of an iteration with many held requests
 		}
-		cs = r.candidatesInOrder(now, f, j)
+		cs = r.candidatesInOrder(now, f, req)
 	}
 	var best *server
 	fewest := math.MaxInt
@@ -40,15 +42,15 @@
 		near = min(near, 2) // one candidate alone would block while its server is stuck
 	}
 	for _, c := range cs[:near] {
-		s, copies := c.server, 0
-		if !takes(s) {
+		s, replicas := c.server, 0
+		if !acceptsLoads(s) {
 			continue
 		}
-		if in := f.instanceOn(s, false); in != nil {
-			copies = in.replicas + in.loading
+		if inst := f.instanceOn(s, false); inst != nil {
+			replicas = inst.replicas + inst.loading
 		}
-		if copies < fewest {
-			best, fewest = s, copies
+		if replicas < fewest {
+			best, fewest = s, replicas
 		}
 	}
 	return best
@@ -62,15 +64,15 @@
 
 // homeCount returns how many of the usable servers are homes of a function.
 func (r *Balancer) homeCount(f *function, usable int) int {
-	const spread = 2  // homes per server's worth of requests, so that a home takes half of its server's load
-	const enough = 32 // requests needed to estimate a share; the current one says nothing
-	part := float64(f.recent-1) / float64(max(enough, len(r.recent)))
-	return min(usable, max(1, int(math.Ceil(spread*part*float64(usable)))))
+	const homesPerServer = 2 // homes per server's worth of requests, so that a home takes half of its server's load
+	const minRequests = 32   // requests needed to estimate a share; the current one says nothing
+	share := float64(f.recent-1) / float64(max(minRequests, len(r.recent)))
+	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
 }
 
 // candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
-func (r *Balancer) candidatesInOrder(now Micros, f *function, j *Request) []candidate {
-	cs, n := r.nearestHomes(now, f, j)
+func (r *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
+	cs, n := r.nearestHomes(now, f, req)
 	near := cs
 	if r.deployment.Routers > 1 {
 		near = cs[:min(len(cs), 2)]
@@ -97,30 +99,31 @@
 // load command precedes it only for an additional replica. Where only load commands load, a request whose command
 // the load-rate limit denies is forwarded once without it: another router may have loaded the function, and a miss
 // is known not to have run.
-func (r *Balancer) startLoad(now Micros, f *function, j *Request, s *server) Decision {
-	in := f.instanceOn(s, true)
-	if !r.loaded(now, in) {
-		in.replicas = 0
-	}
-	if !r.loading(now, in) {
-		in.loading = 0
-	}
-	if r.deployment.LoadsOnMiss && in.replicas+in.loading == 0 {
-		in.loading, in.loadingSince = 1, now
-		return r.forward(now, f, j, in)
-	}
-	if given := r.deployment.LoadCommands && r.loadCommandAllowed(now); !given && !r.deployment.LoadsOnMiss && len(j.Attempts) == 0 {
-		return r.forward(now, f, j, in)
-	} else if !given {
-		return Decision{Action: Hold, Rank: r.Rank(now, j), RecheckAt: now + maintenanceInterval}
-	}
-	p := Decision{Action: Hold, Rank: r.Rank(now, j), RecheckAt: now + 30_000}
-	in.loading, in.loadingSince = in.loading+1, now
+func (r *Balancer) startLoad(now Micros, f *function, req *Request, s *server) Decision {
+	inst := f.instanceOn(s, true)
+	if !r.loaded(now, inst) {
+		inst.replicas = 0
+	}
+	if !r.loading(now, inst) {
+		inst.loading = 0
+	}
+	if r.deployment.LoadsOnMiss && inst.replicas+inst.loading == 0 {
+		inst.loading, inst.loadingSince = 1, now
+		return r.forward(now, f, req, inst)
+	}
+	commanded := r.deployment.LoadCommands && r.loadCommandAllowed(now)
+	if !commanded && !r.deployment.LoadsOnMiss && len(req.Attempts) == 0 {
+		return r.forward(now, f, req, inst)
+	} else if !commanded {
+		return Decision{Action: Hold, Rank: r.Rank(now, req), RecheckAt: now + maintenanceInterval}
+	}
+	d := Decision{Action: Hold, Rank: r.Rank(now, req), RecheckAt: now + 30_000}
+	inst.loading, inst.loadingSince = inst.loading+1, now
 	if r.deployment.LoadsOnMiss { // otherwise a request would overtake its load command and miss
-		p = r.forward(now, f, j, in)
+		d = r.forward(now, f, req, inst)
 	}
-	p.LoadCommands = []LoadCommand{{s.Server, f.id, min(16, in.replicas+in.loading)}}
-	return p
+	d.LoadCommands = []LoadCommand{{s.Server, f.id, min(16, inst.replicas+inst.loading)}}
+	return d
 }
 
 // loadCommandAllowed enforces the load-rate limit (rule 5 of docs/design.md) and counts the command if it is
@@ -129,9 +132,11 @@
 	if r.deployment.LoadRateWindow > 0 {
 		// An earlier command may be written late, this one at once: the window is wider for commands than for
 		// requests.
-		begin, late := now-r.deployment.LoadRateWindow, r.deployment.MaxCommandDelay
-		r.loadCommands, r.admitted = dropBefore(r.loadCommands, begin-late), dropBefore(r.admitted, begin+max(r.deployment.Tick, late))
-		if float64(len(r.loadCommands)+1) > r.deployment.LoadRateBase+r.deployment.LoadRatePerRequest*float64(len(r.admitted)) {
+		windowStart, delay := now-r.deployment.LoadRateWindow, r.deployment.MaxCommandDelay
+		r.loadCommands = dropBefore(r.loadCommands, windowStart-delay)
+		r.admitted = dropBefore(r.admitted, windowStart+max(r.deployment.Tick, delay))
+		allowed := r.deployment.LoadRateBase + r.deployment.LoadRatePerRequest*float64(len(r.admitted))
+		if float64(len(r.loadCommands)+1) > allowed {
 			return false
 		}
 		r.loadCommands = append(r.loadCommands, now)
@@ -150,53 +155,56 @@
 		return
 	}
 	exec, perLane := r.execTime(f, f.lastRequest), r.slotsPerLane(f, f.lastRequest)
-	target := r.latencyObjective(f.lastRequest, exec)
+	objective := r.latencyObjective(f.lastRequest, exec)
 	delay := quantile(f.delays.since(now-2_000_000), 0.9)
 	if f.held > 0 {
 		delay = max(delay, now-f.heldSince)
 	}
 	slots, loading := 0, 0
-	for _, in := range f.instances {
-		if in.server.healthy() {
-			slots += r.slots(now, in, f, perLane)
-			if r.loading(now, in) {
-				loading += in.loading
+	for _, inst := range f.instances {
+		if inst.server.healthy() {
+			slots += r.slots(now, inst, f, perLane)
+			if r.loading(now, inst) {
+				loading += inst.loading
 			}
 		}
 	}
 	if r.trace != nil {
-		r.trace.replicaCheck(ReplicaCheck{Now: now, Function: f.id, Held: held, Slots: slots, Loading: loading, Delay: delay,
-			Slack: target - exec, Objective: target, LoadTime: r.loadTime(f.lastRequest)})
+		r.trace.replicaCheck(ReplicaCheck{Now: now, Function: f.id, Held: held, Slots: slots, Loading: loading,
+			Delay: delay, Slack: objective - exec, Objective: objective, LoadTime: r.loadTime(f.lastRequest)})
 	}
-	if delay < target-exec || slots == 0 || Micros(held)*target/Micros(slots) < r.loadTime(f.lastRequest) {
+	if delay < objective-exec || slots == 0 || Micros(held)*objective/Micros(slots) < r.loadTime(f.lastRequest) {
 		return
 	}
-	const few = 3 // per check: these are in progress before the next check counts
-	f.loadsDue = min(few, int(math.Ceil(float64(held-slots)/perLane))-loading)
+	const maxLoads = 3 // per check: these are in progress before the next check counts
+	f.loadsDue = min(maxLoads, int(math.Ceil(float64(held-slots)/perLane))-loading)
 }
 
 // HandleLoadResult records the result of a load command. The replica count is what the server reports; took is
 // unused.
-func (r *Balancer) HandleLoadResult(now Micros, id ServerID, fn FunctionID, result Result, took Micros, copies int) {
-	f := r.functions[fn]
-	i, known := r.find(id)
-	if f == nil || !known {
+func (r *Balancer) HandleLoadResult(now Micros, id ServerID, functionID FunctionID, result Result, took Micros,
+	replicas int) {
+	f := r.functions[functionID]
+	i, found := r.find(id)
+	if f == nil || !found {
 		return
 	}
-	in := f.instanceOn(r.servers[i], true)
+	inst := f.instanceOn(r.servers[i], true)
 	switch result {
 	case Succeeded:
-		if in.loading > 0 && copies > in.replicas {
-			r.loadTimes.add(now, now-in.loadingSince)
-			in.loading = max(0, in.loading-(copies-in.replicas))
+		if inst.loading > 0 && replicas > inst.replicas {
+			r.loadTimes.add(now, now-inst.loadingSince)
+			inst.loading = max(0, inst.loading-(replicas-inst.replicas))
 		}
-		in.replicas, in.lastUsed = copies, now
+		inst.replicas, inst.lastUsed = replicas, now
 	case Overloaded, Failed:
-		in.loading, in.server.loadsAfter = 0, now+loadBackoff
+		inst.loading, inst.server.loadsAfter = 0, now+loadBackoff
 	case ConnectionReset, ConnectFailed:
-		in.loading = 0
-		r.connectionFailed(now, in.server)
+		inst.loading = 0
+		r.connectionFailed(now, inst.server)
 	}
 }
 
-const loadBackoff = 50_000 // microseconds; a fraction of a load's time, since a load that ends meanwhile frees capacity
+// loadBackoff is how long no load goes to a server that refused one, in microseconds: a fraction of a load's time,
+// since a load that ends meanwhile frees capacity.
+const loadBackoff = 50_000
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -28,23 +28,23 @@
 const rankingLength = 12
 
 // add inserts a server in order if its key is below the bound, and lowers the bound when the ranking overflows.
-func (k *ranking) add(id ServerID, key float64) {
-	if key >= k.bound {
+func (rk *ranking) add(id ServerID, key float64) {
+	if key >= rk.bound {
 		return
 	}
-	i := len(k.entries)
-	for i > 0 && k.entries[i-1].key > key {
+	i := len(rk.entries)
+	for i > 0 && rk.entries[i-1].key > key {
 		i--
 	}
-	if len(k.entries) == rankingLength {
-		last := &k.entries[rankingLength-1]
+	if len(rk.entries) == rankingLength {
+		last := &rk.entries[rankingLength-1]
 		if i == rankingLength {
-			k.bound = key
+			rk.bound = key
 			return
 		}
-		k.bound, k.entries = last.key, k.entries[:rankingLength-1]
+		rk.bound, rk.entries = last.key, rk.entries[:rankingLength-1]
 	}
-	k.entries = slices.Insert(k.entries, i, rankingEntry{id, key})
+	rk.entries = slices.Insert(rk.entries, i, rankingEntry{id, key})
 }
 
 // rankKey returns a server's key in a function's order, given its weight.
@@ -56,119 +56,119 @@
 // loop is tight. A server's hash is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: an integer
 // comparison skips most.
 func (r *Balancer) buildRanking(f *function) {
-	k, x := &f.ranking, &r.index
-	if cap(k.entries) == 0 {
-		k.entries = make([]rankingEntry, 0, rankingLength)
+	rk, idx := &f.ranking, &r.index
+	if cap(rk.entries) == 0 {
+		rk.entries = make([]rankingEntry, 0, rankingLength)
 	}
 	// The first pass uses a bound below which three times the needed number of servers is expected. Without it,
 	// most logarithms would be computed for keys that are displaced again.
-	for guess := x.keyBound(3 * rankingLength); ; guess = math.Inf(1) {
-		*k = ranking{entries: k.entries[:0], bound: guess, built: true}
+	for bound := idx.keyBound(3 * rankingLength); ; bound = math.Inf(1) {
+		*rk = ranking{entries: rk.entries[:0], bound: bound, built: true}
 		r.scanForRanking(f)
-		if k.bound < guess || math.IsInf(guess, 1) {
+		if rk.bound < bound || math.IsInf(bound, 1) {
 			return
 		}
 	}
 }
 
 func (r *Balancer) scanForRanking(f *function) {
-	k, x := &f.ranking, &r.index
-	most := x.hashBound(k.bound)
-	for i, id := range x.ids {
-		if ^hash(uint64(f.id), uint64(id)) > most || r.servers[i].weight == 0 {
+	rk, idx := &f.ranking, &r.index
+	maxDistance := idx.hashBound(rk.bound)
+	for i, id := range idx.ids {
+		if ^hash(uint64(f.id), uint64(id)) > maxDistance || r.servers[i].weight == 0 {
 			continue
 		}
-		k.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
-		most = x.hashBound(k.bound)
+		rk.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
+		maxDistance = idx.hashBound(rk.bound)
 	}
 }
 
 // hashBound returns how far below 2^64 the hash of a server may be if its key is below bound. It is rounded up a
 // little: a server that is skipped must certainly have a key at or above the bound.
-func (x *index) hashBound(bound float64) uint64 {
-	const whole = 1 << 64
-	if u := bound * x.maxWeight * (1 + 1e-9); u < 1-1e-9 {
-		return uint64(u*whole) + 1<<12
+func (idx *index) hashBound(bound float64) uint64 {
+	const hashRange = 1 << 64
+	if u := bound * idx.maxWeight * (1 + 1e-9); u < 1-1e-9 {
+		return uint64(u*hashRange) + 1<<12
 	}
 	return math.MaxUint64
 }
 
 // keyBound returns a key below which about n ready servers are expected.
-func (x *index) keyBound(n int) float64 {
-	ready := float64(len(x.ids) - len(x.notReady))
+func (idx *index) keyBound(n int) float64 {
+	ready := float64(len(idx.ids) - len(idx.notReady))
 	if share := float64(n) / ready; share < 1 {
-		return -math.Log(1-share) * ready / x.totalWeight
+		return -math.Log(1-share) * ready / idx.totalWeight
 	}
 	return math.Inf(1)
 }
 
 // currentRanking returns a function's ranking with all changes of the endpoint list applied.
 func (r *Balancer) currentRanking(f *function) *ranking {
-	k, x := &f.ranking, &r.index
-	if !k.built || k.seen < x.droppedChanges {
+	rk, idx := &f.ranking, &r.index
+	if !rk.built || rk.seen < idx.droppedChanges {
 		r.buildRanking(f)
 	} else {
-		most := x.hashBound(k.bound)
-		for _, id := range x.changes[k.seen-x.droppedChanges:] {
-			if i := slices.IndexFunc(k.entries, func(p rankingEntry) bool { return p.id == id }); i >= 0 {
-				k.entries = slices.Delete(k.entries, i, i+1)
+		maxDistance := idx.hashBound(rk.bound)
+		for _, id := range idx.changes[rk.seen-idx.droppedChanges:] {
+			if i := slices.IndexFunc(rk.entries, func(e rankingEntry) bool { return e.id == id }); i >= 0 {
+				rk.entries = slices.Delete(rk.entries, i, i+1)
 			}
-			if ^hash(uint64(f.id), uint64(id)) > most {
+			if ^hash(uint64(f.id), uint64(id)) > maxDistance {
 				continue
 			}
-			if i, known := r.find(id); known && r.servers[i].weight > 0 {
-				k.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
+			if i, found := r.find(id); found && r.servers[i].weight > 0 {
+				rk.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
 			}
 		}
 	}
-	k.seen = x.droppedChanges + len(x.changes)
-	return k
+	rk.seen = idx.droppedChanges + len(idx.changes)
+	return rk
 }
 
 // firstTwoByRanking returns the first two servers that a load may go to, in loadTarget's order, from the
 // function's ranking alone. The result is false if the ranking doesn't determine them.
-func (r *Balancer) firstTwoByRanking(now Micros, f *function, j *Request) ([]candidate, bool) {
+func (r *Balancer) firstTwoByRanking(now Micros, f *function, req *Request) ([]candidate, bool) {
 	if !r.weightsOnlyLowered() {
 		return nil, false
 	}
-	k := r.currentRanking(f)
-	two, ok := r.walkRanking(now, f, j, k)
+	rk := r.currentRanking(f)
+	firstTwo, ok := r.walkRanking(now, f, req, rk)
 	// Servers that left the endpoint list have shortened the ranking.
-	if !ok && len(k.entries) < rankingLength && !math.IsInf(k.bound, 1) {
+	if !ok && len(rk.entries) < rankingLength && !math.IsInf(rk.bound, 1) {
 		r.buildRanking(f)
-		k.seen = r.index.droppedChanges + len(r.index.changes)
-		two, ok = r.walkRanking(now, f, j, k)
+		rk.seen = r.index.droppedChanges + len(r.index.changes)
+		firstTwo, ok = r.walkRanking(now, f, req, rk)
 	}
-	return two, ok
+	return firstTwo, ok
 }
 
-func (r *Balancer) walkRanking(now Micros, f *function, j *Request, k *ranking) ([]candidate, bool) {
-	two := r.candidates[:0]
-	for _, p := range k.entries {
-		if len(two) == 2 && p.key >= two[1].key {
+func (r *Balancer) walkRanking(now Micros, f *function, req *Request, rk *ranking) ([]candidate, bool) {
+	firstTwo := r.candidates[:0]
+	for _, e := range rk.entries {
+		if len(firstTwo) == 2 && e.key >= firstTwo[1].key {
 			break
 		}
-		i, _ := r.find(p.id)
+		i, _ := r.find(e.id)
 		s := r.servers[i]
-		if !r.usableUnchanged(now, s, j) {
+		if !r.usableUnchanged(now, s, req) {
 			continue
 		}
-		c := candidate{s, p.key, r.weight(now, s)}
+		c := candidate{s, e.key, r.weight(now, s)}
 		if c.weight != s.weight {
-			c.key = rankKey(uint64(f.id), p.id, c.weight)
+			c.key = rankKey(uint64(f.id), e.id, c.weight)
 		}
-		if len(two) == 2 && c.key >= two[1].key {
+		if len(firstTwo) == 2 && c.key >= firstTwo[1].key {
 			continue
 		}
-		if len(two) == 2 {
-			two = two[:1]
+		if len(firstTwo) == 2 {
+			firstTwo = firstTwo[:1]
 		}
-		if two = append(two, c); len(two) == 2 && two[1].key < two[0].key {
-			two[0], two[1] = two[1], two[0]
+		if firstTwo = append(firstTwo, c); len(firstTwo) == 2 && firstTwo[1].key < firstTwo[0].key {
+			firstTwo[0], firstTwo[1] = firstTwo[1], firstTwo[0]
 		}
 	}
-	r.candidates = two
-	return two, math.IsInf(k.bound, 1) || len(two) == 2 && k.bound >= two[1].key
+	r.candidates = firstTwo
+	return firstTwo, math.IsInf(rk.bound, 1) || len(firstTwo) == 2 && rk.bound >= firstTwo[1].key
 }
 
 // weightsOnlyLowered reports whether slow start can only lower a server's weight. An initial capacity above 1
@@ -180,38 +180,38 @@
 // nearestHomes returns servers that a load may go to, in any order, and the function's number of homes. The homes
 // and the first two candidates are among them. With several routers it first looks only as far as it expects to
 // find slightly more than it needs.
-func (r *Balancer) nearestHomes(now Micros, f *function, j *Request) ([]candidate, int) {
-	if r.deployment.Routers > 1 && r.weightsOnlyLowered() && !r.restrictedToGroup(j) {
-		usable := r.usableCount(now, j)
+func (r *Balancer) nearestHomes(now Micros, f *function, req *Request) ([]candidate, int) {
+	if r.deployment.Routers > 1 && r.weightsOnlyLowered() && !r.restrictedToGroup(req) {
+		usable := r.usableCount(now, req)
 		homes := r.homeCount(f, usable)
 		need := max(homes, min(2, usable))
 		ready := len(r.index.ids) - len(r.index.notReady)
 		likely := (need + need/4 + 2*rankingLength) * ready / max(1, usable)
 		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
-			if cs := r.candidatesWithin(now, f, j, r.index.keyBound(n)); len(cs) >= need {
+			if cs := r.candidatesWithin(now, f, req, r.index.keyBound(n)); len(cs) >= need {
 				return cs, homes
 			}
 		}
 	}
-	cs := r.candidatesWithin(now, f, j, math.Inf(1))
+	cs := r.candidatesWithin(now, f, req, math.Inf(1))
 	return cs, r.homeCount(f, len(cs))
 }
 
 // candidatesWithin returns all servers that a load may go to whose key is below bound.
-func (r *Balancer) candidatesWithin(now Micros, f *function, j *Request, bound float64) []candidate {
-	cs, x := r.candidates[:0], &r.index
-	most := x.hashBound(bound)
-	for i, id := range x.ids {
-		if ^hash(uint64(f.id), uint64(id)) > most {
+func (r *Balancer) candidatesWithin(now Micros, f *function, req *Request, bound float64) []candidate {
+	cs, idx := r.candidates[:0], &r.index
+	maxDistance := idx.hashBound(bound)
+	for i, id := range idx.ids {
+		if ^hash(uint64(f.id), uint64(id)) > maxDistance {
 			continue
 		}
 		s := r.servers[i]
-		if s.weight == 0 || !r.usableUnchanged(now, s, j) {
+		if s.weight == 0 || !r.usableUnchanged(now, s, req) {
 			continue
 		}
 		weight := r.weight(now, s)
-		if k := rankKey(uint64(f.id), id, weight); !(k >= bound) { // keeps a key that is NaN
-			cs = append(cs, candidate{s, k, weight})
+		if key := rankKey(uint64(f.id), id, weight); !(key >= bound) { // keeps a key that is NaN
+			cs = append(cs, candidate{s, key, weight})
 		}
 	}
 	r.candidates = cs
@@ -219,23 +219,24 @@
 }
 
 // restrictedToGroup reports whether a request's earlier attempts confine it to a zone or cell.
-func (r *Balancer) restrictedToGroup(j *Request) bool {
-	w := r.deployment.Classes[j.Class]
-	return w.Effect == IdempotentByKey && w.Scope != WholeFleet && slices.ContainsFunc(j.Attempts, func(e Attempt) bool { return e.MayHaveRun })
+func (r *Balancer) restrictedToGroup(req *Request) bool {
+	class := r.deployment.Classes[req.Class]
+	return class.Effect == IdempotentByKey && class.Scope != WholeFleet &&
+		slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return a.MayHaveRun })
 }
 
 // usableCount counts the servers that a request that isn't restricted to a group may go to: all ready ones except
 // some that are questionable or in slow start.
-func (r *Balancer) usableCount(now Micros, j *Request) int {
-	x := &r.index
-	n := len(x.ids) - len(x.notReady)
-	for _, s := range x.questionable {
-		if s.State == Ready && !r.usableUnchanged(now, s, j) {
+func (r *Balancer) usableCount(now Micros, req *Request) int {
+	idx := &r.index
+	n := len(idx.ids) - len(idx.notReady)
+	for _, s := range idx.questionable {
+		if s.State == Ready && !r.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
-	for _, s := range x.inSlowStart {
-		if !s.questionable && !r.usableUnchanged(now, s, j) {
+	for _, s := range idx.inSlowStart {
+		if !s.questionable && !r.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
@@ -244,17 +245,18 @@
 
 // usableUnchanged is usable without side effects. Which servers are asked depends on the ranking, and a restored
 // Balancer starts without one: a side effect would make its decisions differ.
-func (r *Balancer) usableUnchanged(now Micros, s *server, j *Request) bool {
-	sent := s.slowStartSends
-	usable := r.usable(now, s, j)
-	s.slowStartSends = sent
+func (r *Balancer) usableUnchanged(now Micros, s *server, req *Request) bool {
+	sends := s.slowStartSends
+	usable := r.usable(now, s, req)
+	s.slowStartSends = sends
 	return usable
 }
 
 // weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
 func (r *Balancer) weight(now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * r.capacity(now, s)
-	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 { // what we know of a server is recent and tells how free it is
+	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
+		// What we know of a server is recent and tells how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
 	} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
@@ -267,22 +269,22 @@
 func partitionLowest(cs []candidate, n int) {
 	for n > 0 && n < len(cs) {
 		pivot := cs[len(cs)/2].key
-		i, j := 0, len(cs)-1
-		for i <= j {
+		i, req := 0, len(cs)-1
+		for i <= req {
 			for cs[i].key < pivot {
 				i++
 			}
-			for cs[j].key > pivot {
-				j--
+			for cs[req].key > pivot {
+				req--
 			}
-			if i <= j {
-				cs[i], cs[j] = cs[j], cs[i]
-				i, j = i+1, j-1
+			if i <= req {
+				cs[i], cs[req] = cs[req], cs[i]
+				i, req = i+1, req-1
 			}
 		}
 		switch { // everything between j and i equals the pivot
-		case n <= j+1:
-			cs = cs[:j+1]
+		case n <= req+1:
+			cs = cs[:req+1]
 		case n >= i:
 			cs, n = cs[i:], n-i
 		default:
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -12,8 +12,8 @@
 // answers. Where our part of a window is less than one request, the routers alternate by number, server and time:
 // the sum stays within the budget without any coordination.
 func (r *Balancer) withinSlowStartBudget(now Micros, s *server) bool {
-	has := r.capacity(now, s)
-	if has == 1 {
+	capacity := r.capacity(now, s)
+	if capacity == 1 {
 		return true
 	}
 	if now < r.startedAt+r.deployment.OverloadWindow {
@@ -23,16 +23,17 @@
 	}
 	s.slowStartSends = dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow)
 	const margin = 0.8 // for the variance between requests
-	budget := r.deployment.OverloadFactor * has * r.answerRate * float64(r.deployment.OverloadWindow) / 1e6
-	whole, part := math.Modf(margin * budget)
+	budget := r.deployment.OverloadFactor * capacity * r.answerRate * float64(r.deployment.OverloadWindow) / 1e6
+	whole, fraction := math.Modf(margin * budget)
 	// Requests of two consecutive turns may fall into one window: both together stay within the tolerance.
 	routers := float64(max(1, r.deployment.Routers))
-	part = min(part, (slowStartTolerance(budget*routers)/routers-whole)/2)
+	fraction = min(fraction, (slowStartTolerance(budget*routers)/routers-whole)/2)
 	// The period is a power of two, so that a value that changes within a window admits no router besides those of
 	// the largest period. Turns follow the server's age, which all routers compute alike: wall clocks may have
 	// been set between their starts.
-	turns := uint64(1) << int(math.Ceil(-math.Log2(max(part, 1e-6))))
-	if (uint64(max(0, now-s.StartedAt)/r.deployment.OverloadWindow)+uint64(r.deployment.Number)+hash(0, uint64(s.Server)))%turns == 0 {
+	period := uint64(1) << int(math.Ceil(-math.Log2(max(fraction, 1e-6))))
+	window := uint64(max(0, now-s.StartedAt) / r.deployment.OverloadWindow)
+	if (window+uint64(r.deployment.Number)+hash(0, uint64(s.Server)))%period == 0 {
 		whole++
 	}
 	return len(s.slowStartSends) < int(whole)
@@ -41,7 +42,8 @@
 // capacity returns the fraction of its full capacity that a server has at least: 1 unless it is in slow start.
 func (r *Balancer) capacity(now Micros, s *server) float64 {
 	if age := now - s.StartedAt; s.StartedAt > 0 && age < r.deployment.SlowStartDuration {
-		return r.deployment.SlowStartInitial + (1-r.deployment.SlowStartInitial)*float64(max(0, age))/float64(r.deployment.SlowStartDuration)
+		initial, duration := r.deployment.SlowStartInitial, float64(r.deployment.SlowStartDuration)
+		return initial + (1-initial)*float64(max(0, age))/duration
 	}
 	return 1
 }
@@ -59,19 +61,19 @@
 // depend on the sum, so it must not depend on which servers are known to be in slow start. All other servers count
 // 1. The cost is the number of servers in slow start times a logarithm.
 func (r *Balancer) totalCapacity(now Micros) float64 {
-	x := &r.index
-	sum, counted, i, unready := 0.0, 0, 0, 0
-	x.inSlowStart = slices.DeleteFunc(x.inSlowStart, func(s *server) bool {
-		has := r.capacity(now, s)
-		if has == 1 {
+	idx := &r.index
+	sum, counted, i, notReady := 0.0, 0, 0, 0
+	idx.inSlowStart = slices.DeleteFunc(idx.inSlowStart, func(s *server) bool {
+		capacity := r.capacity(now, s)
+		if capacity == 1 {
 			return true
 		}
-		i, unready = seek(x.ids, i, s.Server), seek(x.notReady, unready, s.Server)
-		sum = addOnes(sum, i-unready-counted) + has
-		counted = i - unready + 1
+		i, notReady = seek(idx.ids, i, s.Server), seek(idx.notReady, notReady, s.Server)
+		sum = addOnes(sum, i-notReady-counted) + capacity
+		counted = i - notReady + 1
 		return false
 	})
-	return addOnes(sum, len(x.ids)-len(x.notReady)-counted)
+	return addOnes(sum, len(idx.ids)-len(idx.notReady)-counted)
 }
 
 // addOnes adds 1 to a positive sum n times, with exactly the result of n single additions: only the step to the
@@ -79,8 +81,8 @@
 func addOnes(sum float64, n int) float64 {
 	for n > 0 {
 		// Mantissa bits of a float64. Clearing them and raising the exponent by one gives the next power of two.
-		const fraction = 52
-		next := math.Float64frombits((math.Float64bits(sum)>>fraction + 1) << fraction)
+		const mantissaBits = 52
+		next := math.Float64frombits((math.Float64bits(sum)>>mantissaBits + 1) << mantissaBits)
 		exact := max(1, min(n, int(next-sum)))
 		sum += float64(exact)
 		n -= exact
