--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -426,11 +426,11 @@
 	full, s := r.servers[0], r.servers[1]
 	full.concurrencyLimit, full.running = 10, 9
 	s.concurrencyLimit, s.running = 10, 8
-	if got := r.loadTarget(at, r.functions[7], newJob(1), true); got != nil {
+	if got := r.loadTarget(at, r.functions[7], newJob(1), additionalReplica); got != nil {
 		t.Errorf("got server %d, want none", got.Server)
 	}
 	s.running = 2
-	if got := r.loadTarget(at, r.functions[7], newJob(1), true); got == nil || got.Server != 2 {
+	if got := r.loadTarget(at, r.functions[7], newJob(1), additionalReplica); got == nil || got.Server != 2 {
 		t.Errorf("got %v, want server 2", got)
 	}
 }
@@ -489,7 +489,7 @@
 			r := fleet(told, 40)
 			f := r.function(newJob(1))
 			f.recent, r.recent, r.freshFor = recent, make([]*function, 100), 8*second
-			homes[r.loadTarget(at, f, newJob(1), false).Server]++
+			homes[r.loadTarget(at, f, newJob(1), firstReplica).Server]++
 		}
 		if len(homes) > want || len(homes)*4 < want*3 {
 			t.Errorf("%d homes for %d of 100 jobs, want %d or nearly", len(homes), recent, want)
@@ -705,7 +705,7 @@
 		r := fleet(told, 4)
 		j := newJob(1)
 		n := 0
-		for s := r.loadTarget(at, r.function(j), j, false); s != nil; s = r.loadTarget(at, r.function(j), j, false) {
+		for s := r.loadTarget(at, r.function(j), j, firstReplica); s != nil; s = r.loadTarget(at, r.function(j), j, firstReplica) {
 			s.loadsAfter = at + second // takes no load now
 			n++
 		}
--- a/control/loading.go
+++ b/control/loading.go
@@ -8,6 +8,14 @@
 
 // This file decides when a function gets another replica, and on which server.
 
+// loadPurpose is why a load is wanted.
+type loadPurpose uint8
+
+const (
+	firstReplica      loadPurpose = iota // the function has no replica loaded or loading
+	additionalReplica                    // its replicas don't suffice
+)
+
 // loadTarget picks the server for one more replica, nil if there is none. Candidates are in the order of a
 // weighted rendezvous hash over the endpoint list: routers that share no state agree on the same servers, and a
 // request sent to load a function finds it already loaded there.
@@ -17,11 +25,12 @@
 // homes, which each router orders by its own number: this guards against all routers crowding onto one replica. An
 // additional replica goes to the candidate with the fewest of them, and only if three quarters of that server are
 // free: in a full fleet it would only take capacity from other functions.
-func (r *Balancer) loadTarget(now Micros, f *function, req *Request, additional bool) *server {
+func (r *Balancer) loadTarget(now Micros, f *function, req *Request, purpose loadPurpose) *server {
 	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
 	const maxPending = 8
 	acceptsLoads := func(s *server) bool {
-		return now >= s.loadsAfter && s.pendingLoads() < maxPending && !(additional && s.freeShare() < 0.75)
+		return now >= s.loadsAfter && s.pendingLoads() < maxPending &&
+			!(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	cs, ranked := []candidate(nil), false
 	if r.deployment.Routers > 1 && r.homeCount(f, len(r.index.ids)-len(r.index.notReady)) == 1 {
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -137,9 +137,9 @@
 	})
 }
 
-func plainLoadTarget(r *Balancer, now Micros, f *function, j *Request, beside bool) *server {
+func plainLoadTarget(r *Balancer, now Micros, f *function, j *Request, purpose loadPurpose) *server {
 	takes := func(s *server) bool {
-		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(beside && s.freeShare() < 0.75)
+		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
 		return nil
@@ -345,10 +345,10 @@
 	f := d.r.function(j)
 	plain, jobs := d.clone()
 	before := d.r.Snapshot()
-	for _, beside := range []bool{false, true} {
-		want, got := plainLoadTarget(plain, d.now, plain.functions[j.Function], jobs[j.ID], beside), d.r.loadTarget(d.now, f, j, beside)
+	for _, purpose := range []loadPurpose{firstReplica, additionalReplica} {
+		want, got := plainLoadTarget(plain, d.now, plain.functions[j.Function], jobs[j.ID], purpose), d.r.loadTarget(d.now, f, j, purpose)
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
-			d.t.Fatalf("a load for function %x at %d, beside %t: got %+v, want %+v", f.id, d.now, beside, got, want)
+			d.t.Fatalf("a load for function %x at %d, purpose %d: got %+v, want %+v", f.id, d.now, purpose, got, want)
 		}
 		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
 	}
@@ -641,8 +641,11 @@
 					d.looked(f, j)
 					d.rankedWell(f)
 				}
-				beside := d.chanceOf(0.2)
-				got, want := r.loadTarget(d.now, f, j, beside), plainLoadTarget(r, d.now, f, j, beside)
+				purpose := firstReplica
+				if d.chanceOf(0.2) {
+					purpose = additionalReplica
+				}
+				got, want := r.loadTarget(d.now, f, j, purpose), plainLoadTarget(r, d.now, f, j, purpose)
 				if got != want {
 					t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v", seed, round, f.id, len(r.servers), got, want)
 				}
--- a/control/routing.go
+++ b/control/routing.go
@@ -20,17 +20,7 @@
 func (r *Balancer) Route(now Micros, req *Request) Decision {
 	f := r.function(req)
 	if !req.admitted {
-		req.admitted, req.firstSentAt = true, r.firstSentAt(now, req)
-		req.overQuota = r.mustShed(now) || r.exceedsQuota(now, req)
-		// Large enough to resolve a function's share of the requests to within a few hundredths.
-		const window = 128
-		r.recent = append(r.recent, f)
-		if f.recent++; len(r.recent) > window {
-			r.recent[0].recent, r.recent = r.recent[0].recent-1, r.recent[1:]
-		}
-		if r.deployment.LoadRateWindow > 0 {
-			r.admitted = append(r.admitted, now)
-		}
+		r.admit(now, f, req)
 	}
 	if r.trace != nil {
 		r.trace.begin(r, now, f, req)
@@ -41,95 +31,103 @@
 	}
 	// A request ends before its deadline, whatever it waits for (rule 1 of docs/design.md).
 	d.RecheckAt = min(d.RecheckAt, req.Deadline-2*r.deployment.Tick)
-	if hold := d.Action == Hold; hold != req.held {
-		if hold {
-			if f.held++; f.held == 1 {
-				f.heldSince = now
-			}
-			if !f.waiting {
-				f.waiting, r.waiting = true, append(r.waiting, f)
-			}
-			req.heldSince = now
-		} else {
-			f.held--
-			req.heldFor += now - req.heldSince
-		}
-		req.held = hold
+	if hold := d.Action == Hold; hold && !req.held {
+		r.beginHold(now, f, req)
+	} else if !hold && req.held {
+		f.endHold(now, req)
 	}
 	return d
 }
 
-func (r *Balancer) decide(now Micros, f *function, req *Request) Decision {
-	if slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return !a.Done }) {
-		return r.explain(Decision{Action: NoAction}, "an execution is out")
+// admit takes a request in when Route sees it for the first time.
+func (r *Balancer) admit(now Micros, f *function, req *Request) {
+	req.admitted, req.firstSentAt = true, r.firstSentAt(now, req)
+	req.overQuota = r.mustShed(now) || r.exceedsQuota(now, req)
+	// Large enough to resolve a function's share of the requests to within a few hundredths.
+	const window = 128
+	r.recent = append(r.recent, f)
+	if f.recent++; len(r.recent) > window {
+		r.recent[0].recent, r.recent = r.recent[0].recent-1, r.recent[1:]
+	}
+	if r.deployment.LoadRateWindow > 0 {
+		r.admitted = append(r.admitted, now)
 	}
+}
+
+// beginHold counts a request as held, and has the next replica check look at its function.
+func (r *Balancer) beginHold(now Micros, f *function, req *Request) {
+	if f.held++; f.held == 1 {
+		f.heldSince = now
+	}
+	if !f.waiting {
+		f.waiting, r.waiting = true, append(r.waiting, f)
+	}
+	req.held, req.heldSince = true, now
+}
+
+// endHold counts a request as no longer held.
+func (f *function) endHold(now Micros, req *Request) {
+	f.held--
+	req.held = false
+	req.heldFor += now - req.heldSince
+}
+
+// timing is how much time a request has for its next attempt.
+type timing struct {
+	total       Micros // the slack that it had when its client first sent it
+	slack       Micros // what is left of it; negative if the request will miss its objective or deadline
+	margin      Micros // the least slack that a request needs where others compete with it
+	latestStart Micros // an attempt started later can't end before the deadline
+}
+
+// timing works out a request's timing.
+func (r *Balancer) timing(now Micros, f *function, req *Request) timing {
 	exec := r.execTime(f, req)
-	totalSlack := r.slack(req, exec)
-	slack, margin := req.firstSentAt+totalSlack-now, min(exec, totalSlack/2) // the margin admits every new request
+	total := r.slack(req, exec)
+	t := timing{total: total, slack: req.firstSentAt + total - now,
+		margin:      min(exec, total/2), // admits every new request
+		latestStart: req.Deadline - exec/2 - 2*r.deployment.Tick}
 	if req.IsRetry {
-		slack = 0 // used up by the client's first attempt
+		t.slack = 0 // used up by the client's first attempt
 	}
-	// An attempt started later can't end before the deadline.
-	latestStart := req.Deadline - exec/2 - 2*r.deployment.Tick
-	attempts := len(req.Attempts)
+	return t
+}
+
+// decide makes Route's decision.
+func (r *Balancer) decide(now Micros, f *function, req *Request) Decision {
+	if slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return !a.Done }) {
+		return r.explain(Decision{Action: NoAction}, "an execution is out")
+	}
+	t := r.timing(now, f, req)
 	if r.trace != nil {
 		e := &r.trace.explanation
-		e.Slack, e.Margin, e.LatestStart = slack, margin, latestStart
+		e.Slack, e.Margin, e.LatestStart = t.slack, t.margin, t.latestStart
 	}
-	reason := ""
-	switch {
-	// A retry would add to the load that made it late.
-	case attempts > 0 && slack < 0:
-		reason = "it ran once and has no slack left"
-	case req.overQuota:
-		reason = "it is beyond its tenant's share, or shed"
-	case now >= latestStart:
-		reason = "it can't end within its client's patience"
-	case attempts >= r.deployment.MaxAttempts:
-		reason = "it had all its executions"
-	case !r.mayRetry(now, req, nil):
-		reason = "an earlier execution may have run"
-	}
-	if reason != "" {
+	if reason := r.endReason(now, req, t); reason != "" {
 		return r.explain(r.giveUp(req), reason)
 	}
-	hold := Decision{Action: Hold, Rank: req.ArrivedAt + totalSlack,
-		RecheckAt: min(now+maintenanceInterval, latestStart)}
-	if f.blockedAt == now && slack >= margin && attempts == 0 {
+	hold := Decision{Action: Hold, Rank: req.ArrivedAt + t.total, RecheckAt: min(now+maintenanceInterval, t.latestStart)}
+	if f.blockedAt == now && t.slack >= t.margin && len(req.Attempts) == 0 {
 		// A request with less slack found no instance in this event-loop iteration. Skipping the rest bounds the
 		// work of an iteration with many held requests.
 		return r.explain(hold, "another job for its function found no place in this turn")
 	}
 	if inst := r.fullestInstance(now, f, req); inst != nil {
-		// Guards against an overload in which least-slack-first serves every request just too late: where a server
-		// is half full, a request that its queue would make late yields to those that can still be in time.
-		s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*totalSlack/1000
-		if r.loaded(now, inst) && slack < margin+queue && 2*s.running >= int(s.concurrencyLimit) {
-			f.delays.add(now, totalSlack)
-			return r.explain(r.giveUp(req), "the queue at its instance would make it late")
-		}
-		d := r.forward(now, f, req, inst)
-		inst.lastUsed = max(inst.lastUsed, now)
-		return r.explain(d, "the fullest instance with room")
+		return r.forwardOrShed(now, f, req, inst, t)
 	}
 	if f.loadsDue > 0 {
-		if s := r.loadTarget(now, f, req, true); s != nil {
+		if s := r.loadTarget(now, f, req, additionalReplica); s != nil {
 			f.loadsDue--
 			return r.explain(r.startLoad(now, f, req, s), "the last check asked for another copy")
 		}
 	}
-	hasLoaded, hasLoading := false, false
-	for _, inst := range f.instances {
-		if inst.server.healthy() && !r.overloaded(now, inst.server) {
-			hasLoaded = hasLoaded || r.loaded(now, inst)
-			hasLoading = hasLoading || r.loading(now, inst)
-		}
+	loaded, loading := r.replicaState(now, f)
+	if loaded && t.slack < t.margin && !loading {
+		r.noteShed(now, t.total, f) // guards against the same overload as forwardOrShed
+		return r.explain(r.giveUp(req), "its copies are there and full, and it has no slack")
 	}
-	if hasLoaded && slack < margin && !hasLoading {
-		r.noteShed(now, totalSlack, f)
-		return r.explain(r.giveUp(req), "its copies are there and full, and it has no slack") // same guard as above
-	} else if !hasLoaded && !hasLoading {
-		if s := r.loadTarget(now, f, req, false); s != nil {
+	if !loaded && !loading {
+		if s := r.loadTarget(now, f, req, firstReplica); s != nil {
 			return r.explain(r.startLoad(now, f, req, s), "no copy stands or comes")
 		}
 	}
@@ -137,6 +135,49 @@
 	return r.explain(hold, "it waits for a copy")
 }
 
+// endReason tells why a request gets no further attempt; it is empty if the request may have one.
+func (r *Balancer) endReason(now Micros, req *Request, t timing) string {
+	attempts := len(req.Attempts)
+	switch {
+	case attempts > 0 && t.slack < 0: // a retry would add to the load that made it late
+		return "it ran once and has no slack left"
+	case req.overQuota:
+		return "it is beyond its tenant's share, or shed"
+	case now >= t.latestStart:
+		return "it can't end within its client's patience"
+	case attempts >= r.deployment.MaxAttempts:
+		return "it had all its executions"
+	case !r.mayRetry(now, req, nil):
+		return "an earlier execution may have run"
+	}
+	return ""
+}
+
+// forwardOrShed forwards a request to an instance with a free slot, unless the queue there would make it late. This
+// guards against an overload in which least-slack-first serves every request just too late: where a server is half
+// full, a request that its queue would make late yields to those that can still be in time.
+func (r *Balancer) forwardOrShed(now Micros, f *function, req *Request, inst *instance, t timing) Decision {
+	s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*t.total/1000
+	if r.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
+		f.delays.add(now, t.total)
+		return r.explain(r.giveUp(req), "the queue at its instance would make it late")
+	}
+	d := r.forward(now, f, req, inst)
+	inst.lastUsed = max(inst.lastUsed, now)
+	return r.explain(d, "the fullest instance with room")
+}
+
+// replicaState reports whether a function has replicas on usable servers that are loaded, and some that are loading.
+func (r *Balancer) replicaState(now Micros, f *function) (loaded, loading bool) {
+	for _, inst := range f.instances {
+		if inst.server.healthy() && !r.overloaded(now, inst.server) {
+			loaded = loaded || r.loaded(now, inst)
+			loading = loading || r.loading(now, inst)
+		}
+	}
+	return loaded, loading
+}
+
 // explain records the reason for a decision if a trace is attached.
 func (r *Balancer) explain(d Decision, reason string) Decision {
 	if r.trace != nil {
