--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -4,7 +4,7 @@
 
 const second = 1_000_000
 
-// at is the time at which the tests ask: late enough that nothing is cold or new.
+// at is the time at which the tests ask: late enough that no server and no router is in slow start.
 const at = Micros(100 * second)
 
 func deployment() Deployment {
@@ -13,7 +13,7 @@
 		Classes: []Class{{LatencyObjective: second, Window: 5 * second}}}
 }
 
-// fleet gives a router that knows n sound servers, numbered from 1, all started long ago.
+// fleet returns a balancer that knows n healthy servers, numbered from 1, all started long ago.
 func fleet(told Deployment, n int) *Balancer {
 	r := New(0, 1, told)
 	for i := range n {
@@ -24,19 +24,19 @@
 	return r
 }
 
-// newJob gives a job of 100 ms of work for function 7, with 4 s of patience.
+// newJob returns a request with 100 ms of work for function 7 and a deadline 4 s ahead.
 func newJob(id RequestID) *Request {
 	return &Request{ID: id, Function: 7, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
-// stands makes a copy of function 7 believed loaded on a server, with some of our executions out there.
+// stands gives a server a loaded replica of function 7 with the given number of our attempts in flight there.
 func stands(r *Balancer, server, out int) *instance {
 	in := r.function(newJob(0)).instanceOn(r.servers[server-1], true)
 	in.replicas, in.lastUsed, in.inFlight = 1, at, out
 	return in
 }
 
-// sent gives a job with one execution on server 1 that began some time ago and has ended.
+// sent returns a request with one finished attempt on server 1 that began some time ago.
 func sent(ago Micros, mayRun bool) *Request {
 	j := newJob(1)
 	j.Attempts = []Attempt{{Server: 1, Zone: 1, Cell: 1, SentAt: at - ago, Done: true, MayHaveRun: mayRun}}
@@ -45,8 +45,8 @@
 
 func TestFullestFirst(t *testing.T) {
 	for want, out := range map[ServerID][]int{
-		2: {0, 1, 2}, // the fullest with a free lane, of two
-		3: {3, 4, 5}, // else the fewest free slots
+		2: {0, 1, 2}, // the fullest of the two with a free lane
+		3: {3, 4, 5}, // otherwise the one with the fewest free slots
 	} {
 		r := fleet(deployment(), 3)
 		for i, n := range out {
@@ -112,7 +112,7 @@
 	for _, c := range []struct {
 		name  string
 		held  int
-		since Micros // of holding
+		since Micros // start of holding
 		want  int
 	}{
 		{"delay under slack", 60, at - 500_000, 0},
@@ -131,7 +131,7 @@
 	}
 }
 
-// A crash, a hang or a late list must not keep jobs waiting for copies that are gone.
+// A crash, a hang or a late endpoint list must not keep requests waiting for replicas that are gone.
 func TestCopiesOnUnsoundServersDontHoldJobs(t *testing.T) {
 	for name, harm := range map[string]func(s *server){
 		"gone":      func(s *server) { s.State = Removed },
@@ -149,7 +149,7 @@
 	}
 }
 
-// Least slack first under overload serves every job just too late unless the late ones give way.
+// In an overload, least slack first serves every request just too late unless late requests yield.
 func TestLateJobGivesWayOnACrowdedServer(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 1)
@@ -165,7 +165,7 @@
 	}
 }
 
-// Many functions' copies share a server's cores: queueing there must narrow what it gets.
+// Replicas of many functions share a server's cores: queueing there must lower its concurrency limit.
 func TestWindowNarrowsWithQueueing(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
@@ -182,7 +182,7 @@
 	}
 }
 
-// A full queue of loads says nothing of the copies that stand beside it.
+// A full load queue says nothing about the replicas that are loaded on the server.
 func TestRefusedLoadStopsLoadsOnly(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in := stands(r, 1, 1)
@@ -227,7 +227,7 @@
 	}
 }
 
-// Rule 1: an answer before the client's patience ends.
+// Rule 1: a request is answered before its deadline.
 func TestEndsBeforePatience(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 18)
@@ -241,7 +241,7 @@
 	}
 }
 
-// Rule 2: what may run again, where, and how it ends.
+// Rule 2: which requests may be retried, where, and how they end.
 func TestFurtherExecutions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -281,7 +281,7 @@
 	}
 }
 
-// Rule 3: nothing new to a server that drains or is gone, loads included.
+// Rule 3: nothing new goes to a server that drains or is removed, loads included.
 func TestDrainsAreKept(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
 		r := fleet(deployment(), 1)
@@ -293,18 +293,19 @@
 	}
 }
 
-// Rule 4: a cold server gets our fraction of its budget, and many routers take turns.
+// Rule 4: a server in slow start gets our fraction of its budget, and many routers alternate.
 func TestColdBudget(t *testing.T) {
 	r := fleet(deployment(), 2)
 	cold := r.servers[1]
-	for i := range 400 { // 20 answers a second from each server
+	for i := range 400 { // 20 answers per second from each server
 		r.answers = append(r.answers, at-second+Micros(i))
 	}
 	cold.StartedAt = at - second
 	r.rebuildIndex()
 	r.updateAnswerRate(at)
-	// 40 answers a second of 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 jobs in a window of a second: 31.4.
-	r.deployment.Number = 2 // whose turn the part of a job is not
+	// 40 answers per second from 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 requests in a window of a second:
+	// 31.4.
+	r.deployment.Number = 2 // this router's turn for the fractional request is another one
 	for i := range 31 {
 		if !r.withinSlowStartBudget(at, cold) {
 			t.Fatalf("refused after %d", i)
@@ -324,7 +325,7 @@
 		r := fleet(told, 2)
 		r.servers[1].StartedAt = at - second
 		r.rebuildIndex()
-		r.answers = []Micros{at - second, at - second} // a tenth of one a second from each of 200: 20 of all
+		r.answers = []Micros{at - second, at - second} // a tenth of an answer per second from each of 200 servers: 20 in all
 		r.updateAnswerRate(at)
 		if r.withinSlowStartBudget(at, r.servers[1]) {
 			let++
@@ -335,7 +336,7 @@
 	}
 }
 
-// Rule 5: orders to load are rationed.
+// Rule 5: the rate of load commands is limited.
 func TestRation(t *testing.T) {
 	told := deployment()
 	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = 5*second, 1, 0.5
@@ -346,8 +347,8 @@
 	}
 }
 
-// The ration is counted where orders arrive: an earlier one that waited for its connection may still fall into the window, and
-// jobs that were taken before it began do not.
+// The limit counts commands where they arrive: an earlier one that waited for its connection may still fall into
+// the window, and requests admitted before the window began do not count.
 func TestRationOfLateOrders(t *testing.T) {
 	told := deployment()
 	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest, told.MaxCommandDelay = 5*second, 1, 1, second/4
@@ -362,7 +363,7 @@
 	}
 }
 
-// A flaky network breaks some connections while the rest are answered: that is no crash.
+// A flaky network breaks some connections while other requests are answered: that is no crash.
 func TestOneBreakIsNoDeath(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in, s := stands(r, 1, 0), r.servers[0]
@@ -377,12 +378,12 @@
 	}
 }
 
-// Later tries must not take the place of jobs that can still be in time.
+// Retries must not take the place of requests that can still be in time.
 func TestBegun(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		marks bool
-		never bool // this client marks none
+		never bool // this client marks no retries
 		left  Micros
 		want  Micros
 	}{
@@ -419,7 +420,7 @@
 	}
 }
 
-// A full fleet gains nothing from further copies.
+// A full fleet gains nothing from additional replicas.
 func TestFurtherCopyOnlyWhereThereIsRoom(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 1, 0)
@@ -435,7 +436,8 @@
 	}
 }
 
-// A suspect whose copies are forgotten must come back: by a told restart at once, else by a trial load.
+// An ejected server whose replicas are forgotten must come back: at once with a listed restart, otherwise by a
+// probe request.
 func TestSuspectsComeBack(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
@@ -452,20 +454,21 @@
 	}
 }
 
-// Rule 1: a job that waits for a load that may not be ordered yet is asked about again in time, too.
+// Rule 1: a request that waits for a load that may not be commanded yet is rechecked in time, too.
 func TestWaitForAnOrderEndsBeforePatience(t *testing.T) {
 	told := deployment()
 	told.LoadsOnMiss, told.LoadCommands = false, false
 	r := fleet(told, 1)
 	j := newJob(1)
-	j.Attempts = []Attempt{{Done: true}} // it was looked for where others load it
+	j.Attempts = []Attempt{{Done: true}} // an attempt where other routers would have loaded it
 	j.Deadline = at + 75_000
 	if p := r.Route(at, j); p.Action != Hold || p.RecheckAt >= j.Deadline {
 		t.Errorf("got %+v, want it asked about again before %d", p, j.Deadline)
 	}
 }
 
-// Where only orders load and the ration gives none, a job goes once where others load its function, then waits.
+// Where only load commands load and the rate limit denies one, a request is forwarded once to where other routers
+// load its function, then held.
 func TestJobGoesWhereOthersLoad(t *testing.T) {
 	told := deployment()
 	told.LoadsOnMiss, told.LoadRateWindow = false, 5*second
@@ -479,9 +482,10 @@
 	}
 }
 
-// Many routers must not all crowd one copy, nor part without need: one home, several for what draws much.
+// Many routers must not all crowd onto one replica, nor spread without need: one home, several for a busy
+// function.
 func TestManyRoutersShareHomes(t *testing.T) {
-	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the jobs: four servers' part, eight homes
+	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the requests: four servers' share, eight homes
 		homes := map[ServerID]int{}
 		for number := range 40 {
 			told := deployment()
@@ -497,7 +501,8 @@
 	}
 }
 
-// A crowded server must not keep the jobs of many routers, each of which has hardly an execution there.
+// An overloaded server must not keep the requests of many routers, each of which has hardly an attempt in flight
+// there.
 func TestShunsCrowdedServer(t *testing.T) {
 	r := fleet(deployment(), 2)
 	in := stands(r, 1, 0)
@@ -506,7 +511,7 @@
 	if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != 2 {
 		t.Errorf("got %+v, want a load on server 2", p)
 	}
-	s.reportedAt = at - 9*second // too old to tell
+	s.reportedAt = at - 9*second // too old to count
 	if p := r.Route(at, newJob(2)); p.Action != Forward || p.Server != 1 && p.Server != 2 || r.overloaded(at, s) {
 		t.Errorf("got %+v, want the old report forgotten", p)
 	}
@@ -516,7 +521,8 @@
 	}
 }
 
-// One tenant's hasty clients that ask again at once must not take the place of the rest.
+// One tenant's clients with short deadlines and immediate retries must not take the place of the other tenants'
+// requests.
 func TestHastySurplusIsPushedBack(t *testing.T) {
 	for _, c := range []struct {
 		left          Micros
@@ -524,14 +530,14 @@
 		want          bool
 	}{
 		{second / 2, false, false, true},
-		{2 * second, false, false, false}, // patient, as in any overload
+		{2 * second, false, false, false}, // a long deadline, as in any overload
 		{second / 2, true, true, true},
-		{second / 2, true, false, false}, // a first try, where repeats are marked
+		{second / 2, true, false, false}, // a first attempt, where retries are marked
 	} {
 		told := deployment()
 		told.Quotas, told.MarksRetries = []float64{10}, c.marks
 		r, got := fleet(told, 1), false
-		for range 30 { // 2 s of burst and one more are within: 21
+		for range 30 { // 2 s of burst and one more are within the quota: 21
 			j := newJob(1)
 			j.Deadline, j.IsRetry = at+c.left, c.repeat
 			got = r.exceedsQuota(at, j)
@@ -542,7 +548,7 @@
 	}
 }
 
-// What is late already must not run again and feed the overload that made it late.
+// A request that is late already must not run again and add to the overload that made it late.
 func TestLateJobIsNotRunAgain(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 2, 0)
@@ -553,7 +559,8 @@
 	}
 }
 
-// Where answers don't tell, a send that finds another's copy is no load: loads would look instant.
+// Where answers carry no cache status, a request that finds another router's replica is not a load: loads would
+// look instant.
 func TestQuickAnswerIsNoLoad(t *testing.T) {
 	r := fleet(deployment(), 1)
 	in := stands(r, 1, 1)
@@ -568,7 +575,7 @@
 	}
 }
 
-// With many routers no window fills: a standing queue must make the routers shed load by themselves.
+// With many routers no concurrency limit is reached: each router must shed load by itself when queueing persists.
 func TestShedsForAStandingQueue(t *testing.T) {
 	r := fleet(deployment(), 1)
 	shed := func(strain, fresh Micros) (n int) {
@@ -589,7 +596,7 @@
 	}
 }
 
-// The trials of many routers must not add up to the jobs of a silent server.
+// The probe requests of many routers must not add up to a silent server's normal traffic.
 func TestTrialsAreRarerWhereAnswersAre(t *testing.T) {
 	r := fleet(deployment(), 1)
 	s := r.servers[0]
@@ -602,7 +609,8 @@
 	}
 }
 
-// Names that nobody ever served are forgotten; what is held, out or believed loaded is not.
+// Functions that no server ever served are forgotten; those with requests held, attempts in flight or loaded
+// replicas are not.
 func TestTidyForgetsIdleFunctions(t *testing.T) {
 	r := fleet(deployment(), 1)
 	const names = 1 << 16
@@ -648,7 +656,7 @@
 	}
 }
 
-// A function that was forgotten and is known again must lose its copies with a restart, like any other.
+// A function that was forgotten and is known again must lose its replicas with a server's restart, like any other.
 func TestRestartForgetsCopiesOfAFunctionKnownAgain(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0).lastUsed = 0
@@ -667,14 +675,14 @@
 	}
 }
 
-// BenchmarkDistinctFunctions is a router that is asked for a name nobody serves, a million times over.
+// BenchmarkDistinctFunctions asks a balancer for a function that no server serves, a million different ones.
 func BenchmarkDistinctFunctions(b *testing.B) {
 	told := deployment()
 	told.Classes[0].MaxDeadline = 4 * second
 	r := fleet(told, 12)
 	now := at
 	for i := range b.N {
-		now += 200 // 5000 jobs a second
+		now += 200 // 5000 requests per second
 		j := newJob(RequestID(i))
 		j.Function, j.ArrivedAt, j.Deadline = FunctionID(i), now, now+4*second
 		for p := r.Route(now, j); p.Action == Forward; {
@@ -688,7 +696,7 @@
 	b.ReportMetric(float64(len(r.functions)), "functions")
 }
 
-// Jobs that wait for one load are one load: they must not keep other functions from theirs.
+// Requests that wait for the same load count as one load: they must not keep other functions from theirs.
 func TestJobsBehindOneLoadCountOnce(t *testing.T) {
 	s := &server{inFlight: []inFlightAttempt{{request: &Request{Function: 1}}, {request: &Request{Function: 1}}, {request: &Request{Function: 2}},
 		{request: &Request{Function: 3}, toLoaded: true}}}
@@ -697,7 +705,7 @@
 	}
 }
 
-// Routers that share nothing would each load the function elsewhere while its own servers are full of loads.
+// Routers without shared state would each load the function elsewhere while its own servers are full of loads.
 func TestSeveralRoutersWaitForTheFirstTwoServers(t *testing.T) {
 	for routers, want := range map[int]int{1: 4, 3: 2} {
 		told := deployment()
@@ -706,7 +714,7 @@
 		j := newJob(1)
 		n := 0
 		for s := r.loadTarget(at, r.function(j), j, firstReplica); s != nil; s = r.loadTarget(at, r.function(j), j, firstReplica) {
-			s.loadsAfter = at + second // takes no load now
+			s.loadsAfter = at + second // accepts no load now
 			n++
 		}
 		if n != want {
@@ -715,7 +723,8 @@
 	}
 }
 
-// A start target shorter than a load keeps few jobs held at a time: those that left for want of slack count too.
+// With a latency objective shorter than a load few requests are held at a time: those shed for want of slack count
+// too.
 func TestTurnedJobsCountInTheCheck(t *testing.T) {
 	for turned, want := range map[int]bool{0: false, 12: true} {
 		r := fleet(deployment(), 2)
@@ -734,7 +743,7 @@
 	}
 }
 
-// A refused load is no reason to leave a server alone for longer than it takes until one of its loads may have ended.
+// A refused load keeps loads from a server only until one of its own loads may have ended.
 func TestRefusedLoadIsSoonTriedAgain(t *testing.T) {
 	r := fleet(deployment(), 1)
 	j := newJob(1)
@@ -748,7 +757,7 @@
 	}
 }
 
-// A server that answers all with errors at once looks the emptiest of all.
+// A server that answers everything with an immediate error looks like the emptiest of all.
 func TestServerThatErrsIsLeftAlone(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0)
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// sized gives one of many routers with many servers and functions that stand here and there, some with executions out.
+// sized returns a balancer of one of many routers, with many servers, functions with some instances, and attempts
+// in flight.
 func sized(servers int) *Balancer {
 	told := deployment()
 	told.Routers, told.Number = 300, 7
@@ -34,7 +35,7 @@
 	return &Request{ID: id, Function: f, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
-// missed places a job of a function that has no copy, and has it told that there was none.
+// missed routes a request for a function without replicas and reports a cache miss for it.
 func missed(b *testing.B, r *Balancer, j *Request) {
 	p := r.Route(at, j)
 	if p.Action != Forward {
@@ -43,15 +44,16 @@
 	r.HandleOutcome(at, j, Outcome{Server: p.Server, Result: NotLoaded, RequestDone: true})
 }
 
-// BenchmarkFleetSize holds a router's costs with 3200 servers against those with 200. Only a function never seen before, one that
-// draws many of the jobs and servers in slow start may cost more where there are more servers: see rank, nearest and capacities.
+// BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a function never seen
+// before, a busy function, and servers in slow start may cost more in a larger fleet: see buildRanking,
+// nearestHomes and totalCapacity.
 func BenchmarkFleetSize(b *testing.B) {
-	const known = 256 // functions in turn, so that none draws more than its part
+	const known = 256 // functions in rotation, so that none gets more than its share
 	for _, c := range []struct {
 		name string
 		run  func(b *testing.B, r *Balancer, i, servers int)
 	}{
-		{"change", func(_ *testing.B, r *Balancer, i, _ int) { // drains, leaves, joins again as another start
+		{"change", func(_ *testing.B, r *Balancer, i, _ int) { // drains, leaves, returns restarted
 			s := r.servers[i/3*37%len(r.servers)]
 			l := s.Endpoint
 			if l.State = []ServerState{Draining, Removed, Ready}[i%3]; l.State == Ready {
@@ -59,7 +61,8 @@
 			}
 			r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{l})
 		}},
-		{"replace", func(_ *testing.B, r *Balancer, i, servers int) { // a new one for an old one; half as many as stand are remembered as gone
+		// Each step replaces a server; half as many as are present are remembered as removed.
+		{"replace", func(_ *testing.B, r *Balancer, i, servers int) {
 			now := at + Micros(i)*1200*second/Micros(servers)
 			r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))}, {Server: ServerID(hash(1, uint64(servers+i))), State: Ready, Weight: 1, StartedAt: now}})
 			r.Maintain(now)
@@ -94,7 +97,7 @@
 		for _, servers := range []int{200, 3200} {
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
 				r := sized(servers)
-				for i := range 2 * known { // first looks are told apart
+				for i := range 2 * known { // the first ranking of a function is not measured
 					c.run(b, r, i, servers)
 				}
 				b.ReportAllocs()
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// The plain way of all that the router does with its servers: every server is asked each time. The router must decide the same.
+// The reference implementation of all that a Balancer does with its servers: it scans every server each time. The
+// Balancer must decide the same.
 
 func plainListed(r *Balancer, now Micros, kind UpdateKind, list []Endpoint) {
 	if kind == FailedUpdate {
@@ -188,7 +189,8 @@
 	return best
 }
 
-// days is a router in a world of chance: servers join, drain, leave, return and restart, functions are asked for and answered for.
+// days drives a balancer through random events: servers join, drain, leave, return and restart, requests arrive
+// and are answered.
 type days struct {
 	t       *testing.T
 	chance  *rand.Rand
@@ -196,10 +198,10 @@
 	r       *Balancer
 	ids     []ServerID // of all servers there ever were
 	jobs    map[RequestID]*Request
-	out     []RequestID // with an execution out, one each
+	out     []RequestID // with one attempt in flight each
 	next    RequestID
-	held    int            // against the plain way
-	targets map[string]int // of the placements compared, by how they came out
+	held    int            // comparisons made so far
+	targets map[string]int // the number of compared decisions, by outcome
 }
 
 func newDays(t *testing.T, seed uint64, servers int) *days {
@@ -237,7 +239,7 @@
 	return l
 }
 
-// clone gives the router as a snapshot tells it, with jobs of its own.
+// clone returns the balancer restored from a snapshot, with requests of its own.
 func (d *days) clone() (*Balancer, map[RequestID]*Request) {
 	jobs := map[RequestID]*Request{}
 	for id, j := range d.jobs {
@@ -251,7 +253,8 @@
 	return r, jobs
 }
 
-// same holds the router against a clone that went the plain way. Sends that no longer count are left out: who asks drops them.
+// same compares the balancer with a clone that the reference implementation has changed. Sends that are outside
+// the slow-start window are left out: the check for them drops them.
 func (d *days) same(plain *Balancer, what string) {
 	d.t.Helper()
 	if d.held++; d.held%4 == 0 {
@@ -270,7 +273,7 @@
 	}
 }
 
-// counted holds the number of servers that a job may go to against asking each.
+// counted compares usableCount with a scan of all servers.
 func (d *days) counted(j *Request) {
 	d.t.Helper()
 	want := 0
@@ -284,7 +287,7 @@
 	}
 }
 
-// indexed holds what is kept beside the servers against what a restored router makes of them.
+// indexed compares the index with the one that a restored balancer builds.
 func (d *days) indexed(restored *Balancer) {
 	d.t.Helper()
 	ids := func(servers []*server) []ServerID {
@@ -309,7 +312,7 @@
 	}
 }
 
-// differ tells the first server or field that is not as in another snapshot.
+// differ describes the first server or field in which two snapshots differ.
 func differ(a, b *Snapshot) string {
 	for i := range a.Servers {
 		if i >= len(b.Servers) || !reflect.DeepEqual(a.Servers[i], b.Servers[i]) {
@@ -340,7 +343,8 @@
 	d.same(plain, "upkeep")
 }
 
-// place holds the server that a load would go to against the plain way's, and then places the job.
+// place compares the server that a load would go to with the reference implementation's choice, and then routes
+// the request.
 func (d *days) place(j *Request) {
 	f := d.r.function(j)
 	plain, jobs := d.clone()
@@ -376,7 +380,7 @@
 func (d *days) arrive() {
 	d.next++
 	j := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
-	switch d.chance.IntN(3) { // a hot one, some, and many that are hardly known
+	switch d.chance.IntN(3) { // a busy function, some of them, and many rare ones
 	case 0:
 		j.Function = 1
 	case 1:
@@ -388,7 +392,7 @@
 	d.place(j)
 }
 
-// answer ends an execution that is out.
+// answer ends an attempt that is in flight.
 func (d *days) answer() {
 	if len(d.out) == 0 {
 		return
@@ -410,7 +414,7 @@
 	}
 }
 
-// change tells the list's news of one to three servers, known ones and new ones.
+// change sends an endpoint update for one to three servers, known and new ones.
 func (d *days) change() {
 	var list []Endpoint
 	for range 1 + d.chance.IntN(3) {
@@ -423,7 +427,7 @@
 	d.listed(IncrementalUpdate, list)
 }
 
-// trouble changes what is believed of a server that the order of some function may begin with.
+// trouble changes what is known of a server that is early in some function's order.
 func (d *days) trouble() {
 	s := d.r.servers[d.chance.IntN(len(d.r.servers))]
 	switch d.chance.IntN(5) {
@@ -468,7 +472,7 @@
 		d.r, d.jobs = d.clone() // a restart from a snapshot
 	case p < 0.998:
 		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
-	default: // to the microsecond at which one is forgotten
+	default: // to the exact microsecond at which one is forgotten
 		for _, s := range d.r.servers {
 			if s.State == Removed {
 				d.now = max(d.now, s.lastListed+600*second)
@@ -479,8 +483,8 @@
 	}
 }
 
-// Whatever is kept beside the servers, each choice of a server for a load, each list and each upkeep is that of the plain way, bit
-// for bit, and draws as often from the router's chance.
+// With the index, each choice of a server for a load, each endpoint update and each maintenance is that of the
+// reference implementation, bit for bit, and uses as many random numbers.
 func TestDecidesAsThePlainWay(t *testing.T) {
 	targets := map[string]int{}
 	for seed := range uint64(16) {
@@ -501,7 +505,7 @@
 	}
 }
 
-// Ones are added up to a sum in few steps, with the roundings of one after the other.
+// addOnes adds up in few steps, with the rounding of single additions.
 func TestAddOnesRoundsAsOneByOne(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
@@ -516,9 +520,9 @@
 	}
 }
 
-// burden gives each server, by chance, something that keeps a job away or makes the server come last.
+// burden gives each server, at random, something that makes it unusable or moves it to the end of the order.
 func (d *days) burden(share float64) {
-	r, one := d.r, d.chance.IntN(12) // of the burdens for all; six or more: of any
+	r, one := d.r, d.chance.IntN(12) // one kind of burden for all; six or more: any kind
 	for _, s := range r.servers {
 		s.backoffUntil, s.ejected, s.loadsAfter, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
 		if !d.chanceOf(share) {
@@ -546,7 +550,7 @@
 	}
 }
 
-// looked holds a bounded look for the first servers against one at all.
+// looked compares nearestHomes' bounded search with a scan of all servers.
 func (d *days) looked(f *function, j *Request) {
 	d.t.Helper()
 	look, homes := d.r.nearestHomes(d.now, f, j)
@@ -565,7 +569,7 @@
 	}
 }
 
-// rankedWell holds a function's ranking against the order of all ready servers.
+// rankedWell compares a function's ranking with the order of all ready servers.
 func (d *days) rankedWell(f *function) {
 	d.t.Helper()
 	order := []rankingEntry{{key: math.Inf(1)}}
@@ -580,8 +584,9 @@
 	}
 }
 
-// In fleets of any size, with any part of them out of use, crowded or cold and with few or many changes of the list between two
-// looks, a load goes where it goes the plain way: by the ranking, and where that is not enough to tell.
+// In fleets of any size, with any part of them unusable, overloaded or in slow start and with few or many endpoint
+// updates between two decisions, a load goes where the reference implementation sends it: by the ranking, and
+// where that is not sufficient.
 func TestRankingTellsAsThePlainWay(t *testing.T) {
 	told, short, hot := 0, 0, 0
 	for seed := range uint64(28) {
@@ -592,9 +597,9 @@
 		}
 		r.deployment.SlowStartInitial = []float64{0.25, 0.01, 1, 3}[seed/4%4]
 		n := []int{2, rankingLength, rankingLength + 1, rankingLength + 2, 40, 300, 1500}[seed%7]
-		most, rounds, looks := []int{2, 30, 300}, 25, 8 // changes in a round
+		most, rounds, looks := []int{2, 30, 300}, 25, 8 // changes per round
 		if seed%4 == 3 {
-			most, rounds, looks = []int{1}, 200_000/(n+100), 1 // one by one, through more than are kept
+			most, rounds, looks = []int{1}, 200_000/(n+100), 1 // one by one, through more than the index keeps
 		}
 		powers := []float64{1, 1, 1, 1, 2, 0.05, 10}[:1+d.chance.IntN(7)]
 		news := func(id ServerID) Endpoint {
@@ -631,7 +636,7 @@
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range looks {
 				j := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
-				if d.chanceOf(0.1) { // one that may only be repeated in its zone
+				if d.chanceOf(0.1) { // one that may only be retried in its zone
 					j.Class, j.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
 				}
 				f := r.function(j)
@@ -657,7 +662,7 @@
 					short++
 				}
 				if got != nil {
-					f.instanceOn(got, true).replicas++ // the next goes to another of those that come first
+					f.instanceOn(got, true).replicas++ // the next goes to another of the first candidates
 				}
 			}
 		}
@@ -690,7 +695,7 @@
 	}
 }
 
-// A power that is no number, or has no end, keeps no load from its server.
+// A weight that is NaN or infinite keeps no load from its server.
 func TestOddPowersServe(t *testing.T) {
 	for _, power := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		told := deployment()
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// day is a time in which a cold server warms up while routers that share nothing have far more for it than it may get.
+// day simulates a slow start while uncoordinated routers have far more requests for the server than it may get.
 type day struct {
 	routers int
 	calls   float64                           // N at the server's start
 	fall    Micros                            // the window of the budget
-	restart func(router int, age Micros) bool // asked at each age of the server, a step apart; nil: never
+	restart func(router int, age Micros) bool // called at each step of the server's age; nil: never restarts
 	offset  func(router int) Micros           // of a router's clock; nil: none
 }
 
@@ -20,10 +20,10 @@
 	warmUp   = 10 * second
 	coldFrom = 0.25
 	step     = second / 50
-	usual    = 5 // servers that are warm
+	usual    = 5 // servers at full capacity
 )
 
-// bound is what a cold server bears of N calls in the window.
+// bound returns what a server in slow start bears in the window, where N requests are its budget.
 func bound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -31,12 +31,13 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worst plays a day and gives the largest sum of sends in any window, as a multiple of the bound, and when its last was sent.
+// worst simulates a day. It returns the largest number of requests in any window as a multiple of the bound, when
+// the last of them was sent, and how many they were.
 func (d day) worst() (most float64, at Micros, n int) {
 	const began = 100_000 * second // above any offset
 	told := deployment()
 	told.Routers, told.SlowStartDuration, told.SlowStartInitial, told.OverloadWindow = d.routers, warmUp, coldFrom, d.fall
-	warm := d.calls / (told.OverloadFactor * coldFrom * float64(d.fall) / 1e6) // a warm server's answers a second
+	warm := d.calls / (told.OverloadFactor * coldFrom * float64(d.fall) / 1e6) // answers per second of a server at full capacity
 	chance := rand.New(rand.NewPCG(1, uint64(d.routers)))
 	routers := make([]*Balancer, d.routers)
 	start := func(i int, now Micros, known bool) {
@@ -108,8 +109,8 @@
 	return d.offset(router)
 }
 
-// All routers together keep within what a cold server bears in any window, however few or many they are, and however they
-// restart: each has forgotten what its earlier life sent.
+// All routers together keep within what a server in slow start bears in any window, however few or many they are,
+// and however they restart: a restarted router has forgotten what its earlier incarnation sent.
 func TestSlowStartBudgetHoldsOverAllRouters(t *testing.T) {
 	at := func(when Micros) func(int, Micros) bool { return func(_ int, age Micros) bool { return age == when } }
 	tenths := func(apart Micros) func(int, Micros) bool {
@@ -134,7 +135,8 @@
 	}
 }
 
-// Routers take their turns alike though their clocks differ, as where the wall clock was stepped between their starts.
+// Routers alternate in the same order although their clocks differ, as where wall clocks were stepped between
+// their starts.
 func TestTurnsHoldWhateverTheClocks(t *testing.T) {
 	chance := rand.New(rand.NewPCG(2, 2))
 	var drawn [300]Micros
