--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -14,8 +14,8 @@
 }
 
 // fleet returns a balancer that knows n healthy servers, numbered from 1, all started long ago.
-func fleet(told Deployment, n int) *Balancer {
-	r := New(0, 1, told)
+func fleet(config Deployment, n int) *Balancer {
+	r := New(0, 1, config)
 	for i := range n {
 		r.servers = append(r.servers, &server{listed: true,
 			Endpoint: Endpoint{Server: ServerID(i + 1), State: Ready, Weight: 1}})
@@ -31,16 +31,16 @@
 
 // stands gives a server a loaded replica of function 7 with the given number of our attempts in flight there.
 func stands(r *Balancer, server, out int) *instance {
-	in := r.function(newJob(0)).instanceOn(r.servers[server-1], true)
-	in.replicas, in.lastUsed, in.inFlight = 1, at, out
-	return in
+	inst := r.function(newJob(0)).instanceOn(r.servers[server-1], true)
+	inst.replicas, inst.lastUsed, inst.inFlight = 1, at, out
+	return inst
 }
 
 // sent returns a request with one finished attempt on server 1 that began some time ago.
 func sent(ago Micros, mayRun bool) *Request {
-	j := newJob(1)
-	j.Attempts = []Attempt{{Server: 1, Zone: 1, Cell: 1, SentAt: at - ago, Done: true, MayHaveRun: mayRun}}
-	return j
+	req := newJob(1)
+	req.Attempts = []Attempt{{Server: 1, Zone: 1, Cell: 1, SentAt: at - ago, Done: true, MayHaveRun: mayRun}}
+	return req
 }
 
 func TestFullestFirst(t *testing.T) {
@@ -72,13 +72,13 @@
 		{"one that loads offers its lanes", 1, 0, 1, at, 2},
 		{"a belief fades", 1, 1, 0, at - 11*second, 0},
 	} {
-		told := deployment()
-		told.Routers = c.routers
-		r := fleet(told, 1)
-		in := stands(r, 1, 0)
-		in.replicas, in.loading, in.loadingSince, in.lastUsed = c.copies, c.loading, at, c.used
+		config := deployment()
+		config.Routers = c.routers
+		r := fleet(config, 1)
+		inst := stands(r, 1, 0)
+		inst.replicas, inst.loading, inst.loadingSince, inst.lastUsed = c.copies, c.loading, at, c.used
 		r.servers[0].concurrencyLimit = 100
-		if got := r.slots(at, in, r.functions[7], r.slotsPerLane(r.functions[7], newJob(1))); got != c.want {
+		if got := r.slots(at, inst, r.functions[7], r.slotsPerLane(r.functions[7], newJob(1))); got != c.want {
 			t.Errorf("%s: got %d slots, want %d", c.name, got, c.want)
 		}
 	}
@@ -154,13 +154,13 @@
 	r := fleet(deployment(), 1)
 	stands(r, 1, 1)
 	r.servers[0].concurrencyLimit, r.servers[0].running = 10, 6
-	j := newJob(1)
-	j.ArrivedAt = at - 850_000
-	if p := r.Route(at, j); p.Action != Reject {
+	req := newJob(1)
+	req.ArrivedAt = at - 850_000
+	if p := r.Route(at, req); p.Action != Reject {
 		t.Errorf("crowded: got %+v, want it pushed back", p)
 	}
 	r.servers[0].running = 1
-	if p := r.Route(at, j); p.Action != Forward {
+	if p := r.Route(at, req); p.Action != Forward {
 		t.Errorf("free: got %+v, want it sent", p)
 	}
 }
@@ -185,13 +185,13 @@
 // A full load queue says nothing about the replicas that are loaded on the server.
 func TestRefusedLoadStopsLoadsOnly(t *testing.T) {
 	r := fleet(deployment(), 1)
-	in := stands(r, 1, 1)
-	in.replicas, in.loading = 0, 1
-	j := newJob(1)
-	j.Attempts = []Attempt{{Server: 1, SentAt: at - 1000, MayHaveRun: true}}
-	r.HandleOutcome(at, j, Outcome{Server: 1, Result: Overloaded})
-	if s := r.servers[0]; s.loadsAfter <= at || s.backoffUntil > at || in.loading != 0 {
-		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadsAfter, s.backoffUntil, in.loading)
+	inst := stands(r, 1, 1)
+	inst.replicas, inst.loading = 0, 1
+	req := newJob(1)
+	req.Attempts = []Attempt{{Server: 1, SentAt: at - 1000, MayHaveRun: true}}
+	r.HandleOutcome(at, req, Outcome{Server: 1, Result: Overloaded})
+	if s := r.servers[0]; s.loadsAfter <= at || s.backoffUntil > at || inst.loading != 0 {
+		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadsAfter, s.backoffUntil, inst.loading)
 	}
 }
 
@@ -199,9 +199,9 @@
 	r := fleet(deployment(), 4)
 	r.latencies.add(at, 100_000)
 	for i, s := range r.servers {
-		j := newJob(RequestID(i))
-		j.Attempts = []Attempt{{Server: s.Server, MayHaveRun: true}}
-		s.inFlight = []inFlightAttempt{{request: j, sentAt: at - second, toLoaded: true}}
+		req := newJob(RequestID(i))
+		req.Attempts = []Attempt{{Server: s.Server, MayHaveRun: true}}
+		s.inFlight = []inFlightAttempt{{request: req, sentAt: at - second, toLoaded: true}}
 		s.lastAnswer = at - 10_000
 	}
 	r.servers[2].lastAnswer = at - second
@@ -220,9 +220,9 @@
 
 func TestRestartForgetsCopies(t *testing.T) {
 	r := fleet(deployment(), 1)
-	in := stands(r, 1, 0)
+	inst := stands(r, 1, 0)
 	r.UpdateEndpoints(at+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + 1}})
-	if r.loaded(at+2, in) {
+	if r.loaded(at+2, inst) {
 		t.Error("a server that started anew holds nothing")
 	}
 }
@@ -231,12 +231,12 @@
 func TestEndsBeforePatience(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 18)
-	j := newJob(1)
-	p := r.Route(at, j)
-	if p.Action != Hold || p.RecheckAt >= j.Deadline {
-		t.Fatalf("got %+v, want it asked about again before %d", p, j.Deadline)
+	req := newJob(1)
+	p := r.Route(at, req)
+	if p.Action != Hold || p.RecheckAt >= req.Deadline {
+		t.Fatalf("got %+v, want it asked about again before %d", p, req.Deadline)
 	}
-	if p = r.Route(j.Deadline-10_000, j); p.Action != Reject {
+	if p = r.Route(req.Deadline-10_000, req); p.Action != Reject {
 		t.Errorf("got %+v, want it pushed back", p)
 	}
 }
@@ -261,9 +261,9 @@
 		{"fingerprinted, copy in another cell", IdempotentByKey, OneCell, second, true, Hold, 0},
 		{"fingerprinted, copy in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
 	} {
-		told := deployment()
-		told.Classes[0].Effect, told.Classes[0].Scope = c.effect, c.scope
-		r := fleet(told, 2)
+		config := deployment()
+		config.Classes[0].Effect, config.Classes[0].Scope = c.effect, c.scope
+		r := fleet(config, 2)
 		stands(r, 2, 0)
 		if p := r.Route(at, sent(c.ago, c.mayRun)); p.Action != c.want || p.Server != c.server {
 			t.Errorf("%s: got %+v, want verb %d, server %d", c.name, p, c.want, c.server)
@@ -274,9 +274,9 @@
 func TestNeverTwoAtOnce(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0)
-	j := sent(second, true)
-	j.Attempts[0].Done = false
-	if p := r.Route(at, j); p.Action != NoAction {
+	req := sent(second, true)
+	req.Attempts[0].Done = false
+	if p := r.Route(at, req); p.Action != NoAction {
 		t.Errorf("got %+v while an execution is out", p)
 	}
 }
@@ -320,9 +320,9 @@
 	}
 	let := 0
 	for number := range 200 {
-		told := deployment()
-		told.Routers, told.Number = 200, number
-		r := fleet(told, 2)
+		config := deployment()
+		config.Routers, config.Number = 200, number
+		r := fleet(config, 2)
 		r.servers[1].StartedAt = at - second
 		r.rebuildIndex()
 		r.answers = []Micros{at - second, at - second} // a tenth of an answer per second from each of 200 servers: 20 in all
@@ -338,9 +338,9 @@
 
 // Rule 5: the rate of load commands is limited.
 func TestRation(t *testing.T) {
-	told := deployment()
-	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = 5*second, 1, 0.5
-	r := fleet(told, 1)
+	config := deployment()
+	config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest = 5*second, 1, 0.5
+	r := fleet(config, 1)
 	r.admitted = []Micros{at, at}
 	if got := []bool{r.loadCommandAllowed(at), r.loadCommandAllowed(at), r.loadCommandAllowed(at)}; !got[0] || !got[1] || got[2] {
 		t.Errorf("got %v, want two orders within the ration", got)
@@ -350,13 +350,13 @@
 // The limit counts commands where they arrive: an earlier one that waited for its connection may still fall into
 // the window, and requests admitted before the window began do not count.
 func TestRationOfLateOrders(t *testing.T) {
-	told := deployment()
-	told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest, told.MaxCommandDelay = 5*second, 1, 1, second/4
+	config := deployment()
+	config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest, config.MaxCommandDelay = 5*second, 1, 1, second/4
 	for name, c := range map[string]struct{ orders, taken []Micros }{
 		"a late order": {[]Micros{at - 5*second - second/5}, nil},
 		"an early job": {[]Micros{at - second}, []Micros{at - 5*second + second/5}},
 	} {
-		r := fleet(told, 1)
+		r := fleet(config, 1)
 		if r.loadCommands, r.admitted = c.orders, c.taken; r.loadCommandAllowed(at) {
 			t.Errorf("%s: another order was given", name)
 		}
@@ -366,14 +366,14 @@
 // A flaky network breaks some connections while other requests are answered: that is no crash.
 func TestOneBreakIsNoDeath(t *testing.T) {
 	r := fleet(deployment(), 1)
-	in, s := stands(r, 1, 0), r.servers[0]
-	in.lastUsed = at - 1000
+	inst, s := stands(r, 1, 0), r.servers[0]
+	inst.lastUsed = at - 1000
 	r.latencies.add(at, 100_000)
 	s.lastAnswer = at - 1000
-	if r.connectionFailed(at, s); s.ejected || in.replicas != 1 {
+	if r.connectionFailed(at, s); s.ejected || inst.replicas != 1 {
 		t.Error("one break just after an answer made a suspect")
 	}
-	if r.connectionFailed(at, s); !s.ejected || in.replicas != 0 {
+	if r.connectionFailed(at, s); !s.ejected || inst.replicas != 0 {
 		t.Error("two breaks with no answer between are a crash")
 	}
 }
@@ -392,15 +392,15 @@
 		{"hasty, where repeats are marked", true, false, 2 * second, at},
 		{"a client that marks none, where others do", true, true, 2 * second, at - 2*second},
 	} {
-		told := deployment()
-		told.MarksRetries, told.Classes[0].MaxDeadline = c.marks, 4*second
-		r := fleet(told, 1)
+		config := deployment()
+		config.MarksRetries, config.Classes[0].MaxDeadline = c.marks, 4*second
+		r := fleet(config, 1)
 		for range 15 {
 			r.deadlines[0].add(at, 3*second)
 		}
-		j := newJob(1)
-		j.Deadline, j.RetriesUnmarked = at+c.left, c.never
-		if got := r.firstSentAt(at, j); got != c.want {
+		req := newJob(1)
+		req.Deadline, req.RetriesUnmarked = at+c.left, c.never
+		if got := r.firstSentAt(at, req); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -409,13 +409,13 @@
 // A heavy tail must not distort B.
 func TestExecutionTimeLeavesOutTheFarTail(t *testing.T) {
 	r := fleet(deployment(), 1)
-	j := newJob(1)
-	j.Work = 0
-	f := r.function(j)
+	req := newJob(1)
+	req.Work = 0
+	f := r.function(req)
 	for _, v := range []Micros{100_000, 120_000, 80_000, 100_000, 3 * second} {
 		f.execTimes.add(at, v)
 	}
-	if got := r.execTime(f, j); got != 100_000 {
+	if got := r.execTime(f, req); got != 100_000 {
 		t.Errorf("got %d, want the mean of the four usual ones", got)
 	}
 }
@@ -456,28 +456,28 @@
 
 // Rule 1: a request that waits for a load that may not be commanded yet is rechecked in time, too.
 func TestWaitForAnOrderEndsBeforePatience(t *testing.T) {
-	told := deployment()
-	told.LoadsOnMiss, told.LoadCommands = false, false
-	r := fleet(told, 1)
-	j := newJob(1)
-	j.Attempts = []Attempt{{Done: true}} // an attempt where other routers would have loaded it
-	j.Deadline = at + 75_000
-	if p := r.Route(at, j); p.Action != Hold || p.RecheckAt >= j.Deadline {
-		t.Errorf("got %+v, want it asked about again before %d", p, j.Deadline)
+	config := deployment()
+	config.LoadsOnMiss, config.LoadCommands = false, false
+	r := fleet(config, 1)
+	req := newJob(1)
+	req.Attempts = []Attempt{{Done: true}} // an attempt where other routers would have loaded it
+	req.Deadline = at + 75_000
+	if p := r.Route(at, req); p.Action != Hold || p.RecheckAt >= req.Deadline {
+		t.Errorf("got %+v, want it asked about again before %d", p, req.Deadline)
 	}
 }
 
 // Where only load commands load and the rate limit denies one, a request is forwarded once to where other routers
 // load its function, then held.
 func TestJobGoesWhereOthersLoad(t *testing.T) {
-	told := deployment()
-	told.LoadsOnMiss, told.LoadRateWindow = false, 5*second
-	r := fleet(told, 1)
-	j := newJob(1)
-	if p := r.Route(at, j); p.Action != Forward || len(p.LoadCommands) > 0 {
+	config := deployment()
+	config.LoadsOnMiss, config.LoadRateWindow = false, 5*second
+	r := fleet(config, 1)
+	req := newJob(1)
+	if p := r.Route(at, req); p.Action != Forward || len(p.LoadCommands) > 0 {
 		t.Fatalf("got %+v, want it sent without an order", p)
 	}
-	if p := r.HandleOutcome(at+1000, j, Outcome{Server: 1, Result: NotLoaded}); p.Action != Hold {
+	if p := r.HandleOutcome(at+1000, req, Outcome{Server: 1, Result: NotLoaded}); p.Action != Hold {
 		t.Errorf("got %+v after a miss, want it held", p)
 	}
 }
@@ -488,9 +488,9 @@
 	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the requests: four servers' share, eight homes
 		homes := map[ServerID]int{}
 		for number := range 40 {
-			told := deployment()
-			told.Routers, told.Number = 40, number
-			r := fleet(told, 40)
+			config := deployment()
+			config.Routers, config.Number = 40, number
+			r := fleet(config, 40)
 			f := r.function(newJob(1))
 			f.recent, r.recent, r.freshFor = recent, make([]*function, 100), 8*second
 			homes[r.loadTarget(at, f, newJob(1), firstReplica).Server]++
@@ -505,8 +505,8 @@
 // there.
 func TestShunsCrowdedServer(t *testing.T) {
 	r := fleet(deployment(), 2)
-	in := stands(r, 1, 0)
-	s := in.server
+	inst := stands(r, 1, 0)
+	s := inst.server
 	s.report, s.reportedAt, r.freshFor = LoadReport{Utilization: 0.95, PendingLoads: -1}, at-second, 8*second
 	if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != 2 {
 		t.Errorf("got %+v, want a load on server 2", p)
@@ -534,13 +534,13 @@
 		{second / 2, true, true, true},
 		{second / 2, true, false, false}, // a first attempt, where retries are marked
 	} {
-		told := deployment()
-		told.Quotas, told.MarksRetries = []float64{10}, c.marks
-		r, got := fleet(told, 1), false
+		config := deployment()
+		config.Quotas, config.MarksRetries = []float64{10}, c.marks
+		r, got := fleet(config, 1), false
 		for range 30 { // 2 s of burst and one more are within the quota: 21
-			j := newJob(1)
-			j.Deadline, j.IsRetry = at+c.left, c.repeat
-			got = r.exceedsQuota(at, j)
+			req := newJob(1)
+			req.Deadline, req.IsRetry = at+c.left, c.repeat
+			got = r.exceedsQuota(at, req)
 		}
 		if got != c.want {
 			t.Errorf("%+v: surplus %v after 30 jobs at once", c, got)
@@ -552,9 +552,9 @@
 func TestLateJobIsNotRunAgain(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 2, 0)
-	j := sent(second, true)
-	j.admitted, j.firstSentAt, j.ArrivedAt = true, at-second, at-second
-	if p := r.Route(at, j); p.Action != Reject {
+	req := sent(second, true)
+	req.admitted, req.firstSentAt, req.ArrivedAt = true, at-second, at-second
+	if p := r.Route(at, req); p.Action != Reject {
 		t.Errorf("got %+v, want it pushed back", p)
 	}
 }
@@ -563,12 +563,12 @@
 // look instant.
 func TestQuickAnswerIsNoLoad(t *testing.T) {
 	r := fleet(deployment(), 1)
-	in := stands(r, 1, 1)
-	in.replicas, in.loading = 0, 1
+	inst := stands(r, 1, 1)
+	inst.replicas, inst.loading = 0, 1
 	for _, took := range []Micros{120_000, second} {
-		j := newJob(1)
-		j.Attempts = []Attempt{{Server: 1, SentAt: at - took, MayHaveRun: true}}
-		r.HandleOutcome(at, j, Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
+		req := newJob(1)
+		req.Attempts = []Attempt{{Server: 1, SentAt: at - took, MayHaveRun: true}}
+		r.HandleOutcome(at, req, Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
 	}
 	if got := r.loadTime(newJob(1)); got != 900_000 {
 		t.Errorf("a load takes %d, want 900 ms", got)
@@ -615,12 +615,12 @@
 	r := fleet(deployment(), 1)
 	const names = 1 << 16
 	for i := range names {
-		j := newJob(RequestID(i))
-		j.Function = FunctionID(i)
-		r.function(j)
+		req := newJob(RequestID(i))
+		req.Function = FunctionID(i)
+		r.function(req)
 	}
-	in := r.functions[1].instanceOn(r.servers[0], true)
-	in.replicas, in.lastUsed = 1, at
+	inst := r.functions[1].instanceOn(r.servers[0], true)
+	inst.replicas, inst.lastUsed = 1, at
 	r.functions[2].instanceOn(r.servers[0], true).inFlight = 1
 	r.functions[3].held, r.functions[3].waiting = 1, true
 	for range 100 {
@@ -669,26 +669,26 @@
 	if r.functions[7] != nil {
 		t.Fatal("it was not forgotten")
 	}
-	in := stands(r, 1, 0)
-	if r.UpdateEndpoints(at+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + 1}}); r.loaded(at+2, in) {
+	inst := stands(r, 1, 0)
+	if r.UpdateEndpoints(at+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: at + 1}}); r.loaded(at+2, inst) {
 		t.Error("a server that started anew holds nothing")
 	}
 }
 
 // BenchmarkDistinctFunctions asks a balancer for a function that no server serves, a million different ones.
 func BenchmarkDistinctFunctions(b *testing.B) {
-	told := deployment()
-	told.Classes[0].MaxDeadline = 4 * second
-	r := fleet(told, 12)
+	config := deployment()
+	config.Classes[0].MaxDeadline = 4 * second
+	r := fleet(config, 12)
 	now := at
 	for i := range b.N {
 		now += 200 // 5000 requests per second
-		j := newJob(RequestID(i))
-		j.Function, j.ArrivedAt, j.Deadline = FunctionID(i), now, now+4*second
-		for p := r.Route(now, j); p.Action == Forward; {
-			p = r.HandleOutcome(now, j, Outcome{Attempt: AttemptID(len(j.Attempts) - 1), Server: p.Server, Result: NotLoaded, Duration: 100})
+		req := newJob(RequestID(i))
+		req.Function, req.ArrivedAt, req.Deadline = FunctionID(i), now, now+4*second
+		for p := r.Route(now, req); p.Action == Forward; {
+			p = r.HandleOutcome(now, req, Outcome{Attempt: AttemptID(len(req.Attempts) - 1), Server: p.Server, Result: NotLoaded, Duration: 100})
 		}
-		r.Cancel(now, j)
+		r.Cancel(now, req)
 		if i%1000 == 0 {
 			r.Maintain(now)
 		}
@@ -708,12 +708,12 @@
 // Routers without shared state would each load the function elsewhere while its own servers are full of loads.
 func TestSeveralRoutersWaitForTheFirstTwoServers(t *testing.T) {
 	for routers, want := range map[int]int{1: 4, 3: 2} {
-		told := deployment()
-		told.Routers = routers
-		r := fleet(told, 4)
-		j := newJob(1)
+		config := deployment()
+		config.Routers = routers
+		r := fleet(config, 4)
+		req := newJob(1)
 		n := 0
-		for s := r.loadTarget(at, r.function(j), j, firstReplica); s != nil; s = r.loadTarget(at, r.function(j), j, firstReplica) {
+		for s := r.loadTarget(at, r.function(req), req, firstReplica); s != nil; s = r.loadTarget(at, r.function(req), req, firstReplica) {
 			s.loadsAfter = at + second // accepts no load now
 			n++
 		}
@@ -728,9 +728,9 @@
 func TestTurnedJobsCountInTheCheck(t *testing.T) {
 	for turned, want := range map[int]bool{0: false, 12: true} {
 		r := fleet(deployment(), 2)
-		in := stands(r, 1, 18)
+		inst := stands(r, 1, 18)
 		f := r.functions[7]
-		in.server.concurrencyLimit, in.server.running, f.lastRequest = 100, 18, newJob(1)
+		inst.server.concurrencyLimit, inst.server.running, f.lastRequest = 100, 18, newJob(1)
 		f.execTimes.add(at, 100_000)
 		f.held, f.heldSince = 8, at-second
 		for range turned {
@@ -746,13 +746,13 @@
 // A refused load keeps loads from a server only until one of its own loads may have ended.
 func TestRefusedLoadIsSoonTriedAgain(t *testing.T) {
 	r := fleet(deployment(), 1)
-	j := newJob(1)
-	r.Route(at, j)
-	p := r.HandleOutcome(at+1000, j, Outcome{Server: 1, Result: Overloaded})
+	req := newJob(1)
+	r.Route(at, req)
+	p := r.HandleOutcome(at+1000, req, Outcome{Server: 1, Result: Overloaded})
 	if p.Action != Hold {
 		t.Fatalf("got %+v right after a refusal, want it held", p)
 	}
-	if p = r.Route(at+100_000, j); p.Action != Forward {
+	if p = r.Route(at+100_000, req); p.Action != Forward {
 		t.Errorf("got %+v a tenth of a second later, want another try", p)
 	}
 }
@@ -762,10 +762,10 @@
 	r := fleet(deployment(), 1)
 	stands(r, 1, 0)
 	for id := range RequestID(3) {
-		j := newJob(id)
-		j.Attempts = []Attempt{{Server: 1, SentAt: at, MayHaveRun: true, toLoaded: true}}
+		req := newJob(id)
+		req.Attempts = []Attempt{{Server: 1, SentAt: at, MayHaveRun: true, toLoaded: true}}
 		r.servers[0].running++
-		r.HandleOutcome(at, j, Outcome{Server: 1, Result: Failed})
+		r.HandleOutcome(at, req, Outcome{Server: 1, Result: Failed})
 	}
 	if s := r.servers[0]; s.healthy() || s.backoffUntil <= at {
 		t.Errorf("after three errors in a row: sound %v, avoided until %d", s.healthy(), s.backoffUntil)
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// sized returns a balancer of one of many routers, with many servers, functions with some instances, and attempts
+// sizedBalancer returns a balancer of one of many routers, with many servers, functions with some instances, and attempts
 // in flight.
-func sized(servers int) *Balancer {
-	told := deployment()
-	told.Routers, told.Number = 300, 7
-	told.Classes[0].MaxDeadline = 4 * second
-	r := New(0, 1, told)
+func sizedBalancer(servers int) *Balancer {
+	config := deployment()
+	config.Routers, config.Number = 300, 7
+	config.Classes[0].MaxDeadline = 4 * second
+	r := New(0, 1, config)
 	list := make([]Endpoint, servers)
 	for i := range list {
 		list[i] = Endpoint{Server: ServerID(hash(1, uint64(i))), State: Ready, Weight: 1 + float64(i%4)/2}
@@ -20,28 +20,28 @@
 	for i := range 512 {
 		f := r.function(&Request{Function: FunctionID(hash(2, uint64(i)))})
 		for k := range 2 {
-			in := f.instanceOn(r.servers[(i*7+k*31)%servers], true)
-			in.replicas, in.lastUsed = 1, at
+			inst := f.instanceOn(r.servers[(i*7+k*31)%servers], true)
+			inst.replicas, inst.lastUsed = 1, at
 		}
 	}
 	for i := range 16 {
-		r.Route(at, sizedJob(RequestID(i), FunctionID(hash(2, uint64(i)))))
+		r.Route(at, sizedRequest(RequestID(i), FunctionID(hash(2, uint64(i)))))
 	}
 	r.latencies.add(at, second)
 	return r
 }
 
-func sizedJob(id RequestID, f FunctionID) *Request {
+func sizedRequest(id RequestID, f FunctionID) *Request {
 	return &Request{ID: id, Function: f, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
-// missed routes a request for a function without replicas and reports a cache miss for it.
-func missed(b *testing.B, r *Balancer, j *Request) {
-	p := r.Route(at, j)
-	if p.Action != Forward {
-		b.Fatalf("got %+v", p)
+// routeMiss routes a request for a function without replicas and reports a cache miss for it.
+func routeMiss(b *testing.B, r *Balancer, req *Request) {
+	d := r.Route(at, req)
+	if d.Action != Forward {
+		b.Fatalf("got %+v", d)
 	}
-	r.HandleOutcome(at, j, Outcome{Server: p.Server, Result: NotLoaded, RequestDone: true})
+	r.HandleOutcome(at, req, Outcome{Server: d.Server, Result: NotLoaded, RequestDone: true})
 }
 
 // BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a function never seen
@@ -55,11 +55,11 @@
 	}{
 		{"change", func(_ *testing.B, r *Balancer, i, _ int) { // drains, leaves, returns restarted
 			s := r.servers[i/3*37%len(r.servers)]
-			l := s.Endpoint
-			if l.State = []ServerState{Draining, Removed, Ready}[i%3]; l.State == Ready {
-				l.StartedAt = max(1, l.StartedAt+1)
+			endpoint := s.Endpoint
+			if endpoint.State = []ServerState{Draining, Removed, Ready}[i%3]; endpoint.State == Ready {
+				endpoint.StartedAt = max(1, endpoint.StartedAt+1)
 			}
-			r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{l})
+			r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{endpoint})
 		}},
 		// Each step replaces a server; half as many as are present are remembered as removed.
 		{"replace", func(_ *testing.B, r *Balancer, i, servers int) {
@@ -68,13 +68,13 @@
 			r.Maintain(now)
 		}},
 		{"place-known", func(b *testing.B, r *Balancer, i, _ int) {
-			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(3, uint64(i%known)))))
+			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(3, uint64(i%known)))))
 		}},
 		{"place-known-hot", func(b *testing.B, r *Balancer, i, _ int) {
-			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(3, uint64(i%(known/8))))))
+			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(3, uint64(i%(known/8))))))
 		}},
 		{"place-never-seen", func(b *testing.B, r *Balancer, i, _ int) {
-			missed(b, r, sizedJob(RequestID(i), FunctionID(hash(4, uint64(i)))))
+			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(4, uint64(i)))))
 			if i%1000 == 0 {
 				r.Maintain(at)
 			}
@@ -84,9 +84,9 @@
 			if i == 0 {
 				var list []Endpoint
 				for k := 0; k < len(r.servers); k += 10 {
-					l := r.servers[k].Endpoint
-					l.StartedAt = at - second
-					list = append(list, l)
+					endpoint := r.servers[k].Endpoint
+					endpoint.StartedAt = at - second
+					list = append(list, endpoint)
 				}
 				r.UpdateEndpoints(at, IncrementalUpdate, list)
 			}
@@ -96,7 +96,7 @@
 	} {
 		for _, servers := range []int{200, 3200} {
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
-				r := sized(servers)
+				r := sizedBalancer(servers)
 				for i := range 2 * known { // the first ranking of a function is not measured
 					c.run(b, r, i, servers)
 				}
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -13,7 +13,7 @@
 // The reference implementation of all that a Balancer does with its servers: it scans every server each time. The
 // Balancer must decide the same.
 
-func plainListed(r *Balancer, now Micros, kind UpdateKind, list []Endpoint) {
+func referenceUpdateEndpoints(r *Balancer, now Micros, kind UpdateKind, list []Endpoint) {
 	if kind == FailedUpdate {
 		r.subscribed = false
 		return
@@ -29,8 +29,8 @@
 		s := r.servers[i]
 		if known && l.StartedAt > s.StartedAt {
 			for _, f := range r.functionOrder {
-				if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < l.StartedAt {
-					in.replicas, in.loading = 0, 0
+				if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < l.StartedAt {
+					inst.replicas, inst.loading = 0, 0
 				}
 			}
 			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
@@ -47,14 +47,14 @@
 	}
 }
 
-func plainWait(r *Balancer, now Micros) Maintenance {
+func referenceMaintain(r *Balancer, now Micros) Maintenance {
 	up := Maintenance{Next: now + maintenanceInterval}
 	if r.deployment.EndpointsOnRequest && !r.subscribed {
 		r.subscribed, up.SubscribeEndpoints = true, true
 	}
-	plainPool(r, now)
-	plainExamine(r, now)
-	plainTidy(r, now)
+	referenceUpdateAnswerRate(r, now)
+	referenceEjectSilentServers(r, now)
+	referencePrune(r, now)
 	r.waiting = slices.DeleteFunc(r.waiting, func(f *function) bool {
 		r.checkReplicas(now, f)
 		f.waiting = f.held > 0
@@ -64,7 +64,7 @@
 	return up
 }
 
-func plainPool(r *Balancer, now Micros) {
+func referenceUpdateAnswerRate(r *Balancer, now Micros) {
 	const over = 10_000_000
 	r.answers = dropBefore(r.answers, now-over)
 	servers := 0.0
@@ -78,7 +78,7 @@
 	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
-func plainExamine(r *Balancer, now Micros) {
+func referenceEjectSilentServers(r *Balancer, now Micros) {
 	limit := 4 * quantile(r.latencies.since(0), 0.9)
 	if limit == 0 {
 		return
@@ -112,7 +112,7 @@
 	}
 }
 
-func plainTidy(r *Balancer, now Micros) {
+func referencePrune(r *Balancer, now Micros) {
 	const many, batch, long = 1 << 14, 1 << 11, 600_000_000
 	if len(r.functionOrder) > many {
 		from := r.pruned % len(r.functionOrder)
@@ -132,22 +132,22 @@
 			return false
 		}
 		for _, f := range r.functionOrder {
-			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
+			f.instances = slices.DeleteFunc(f.instances, func(inst *instance) bool { return inst.server == s })
 		}
 		return true
 	})
 }
 
-func plainLoadTarget(r *Balancer, now Micros, f *function, j *Request, purpose loadPurpose) *server {
+func referenceLoadTarget(r *Balancer, now Micros, f *function, req *Request, purpose loadPurpose) *server {
 	takes := func(s *server) bool {
 		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
-	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, j) }) {
+	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, req) }) {
 		return nil
 	}
 	var cs []candidate
 	for _, s := range r.servers {
-		if !r.usable(now, s, j) {
+		if !r.usable(now, s, req) {
 			continue
 		}
 		weight := max(0.1, s.Weight) * r.capacity(now, s)
@@ -179,8 +179,8 @@
 		if !takes(s) {
 			continue
 		}
-		if in := f.instanceOn(s, false); in != nil {
-			copies = in.replicas + in.loading
+		if inst := f.instanceOn(s, false); inst != nil {
+			copies = inst.replicas + inst.loading
 		}
 		if copies < fewest {
 			best, fewest = s, copies
@@ -192,32 +192,32 @@
 // days drives a balancer through random events: servers join, drain, leave, return and restart, requests arrive
 // and are answered.
 type days struct {
-	t       *testing.T
-	chance  *rand.Rand
-	now     Micros
-	r       *Balancer
-	ids     []ServerID // of all servers there ever were
-	jobs    map[RequestID]*Request
-	out     []RequestID // with one attempt in flight each
-	next    RequestID
-	held    int            // comparisons made so far
-	targets map[string]int // the number of compared decisions, by outcome
+	t           *testing.T
+	chance      *rand.Rand
+	now         Micros
+	r           *Balancer
+	ids         []ServerID // of all servers there ever were
+	requests    map[RequestID]*Request
+	inFlight    []RequestID // with one attempt in flight each
+	next        RequestID
+	comparisons int            // comparisons made so far
+	outcomes    map[string]int // the number of compared decisions, by outcome
 }
 
 func newDays(t *testing.T, seed uint64, servers int) *days {
-	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, jobs: map[RequestID]*Request{}, targets: map[string]int{}}
-	told := deployment()
-	told.Routers = []int{1, 3, 300, 900}[seed%4]
-	told.Number, told.Zone, told.EndpointsOnRequest = d.chance.IntN(told.Routers), 1, true
+	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, requests: map[RequestID]*Request{}, outcomes: map[string]int{}}
+	config := deployment()
+	config.Routers = []int{1, 3, 300, 900}[seed%4]
+	config.Number, config.Zone, config.EndpointsOnRequest = d.chance.IntN(config.Routers), 1, true
 	if seed%8 >= 6 {
-		told.LoadsOnMiss, told.LoadRateWindow, told.LoadRateBase, told.LoadRatePerRequest = false, 5*second, 100, 1
+		config.LoadsOnMiss, config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest = false, 5*second, 100, 1
 	}
-	told.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Effect: IdempotentByKey,
+	config.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Effect: IdempotentByKey,
 		Scope: OneZone, Window: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Effect: NonIdempotent}}
-	d.r = New(0, seed, told)
+	d.r = New(0, seed, config)
 	var list []Endpoint
 	for range servers {
-		list = append(list, d.listing(ServerID(d.chance.Uint64())))
+		list = append(list, d.randomEndpoint(ServerID(d.chance.Uint64())))
 	}
 	d.listed(FullUpdate, list)
 	return d
@@ -225,7 +225,7 @@
 
 func (d *days) chanceOf(p float64) bool { return d.chance.Float64() < p }
 
-func (d *days) listing(id ServerID) Endpoint {
+func (d *days) randomEndpoint(id ServerID) Endpoint {
 	if !slices.Contains(d.ids, id) {
 		d.ids = append(d.ids, id)
 	}
@@ -241,29 +241,29 @@
 
 // clone returns the balancer restored from a snapshot, with requests of its own.
 func (d *days) clone() (*Balancer, map[RequestID]*Request) {
-	jobs := map[RequestID]*Request{}
-	for id, j := range d.jobs {
-		copied := j.Snapshot().Restore()
-		jobs[id] = &copied
+	requests := map[RequestID]*Request{}
+	for id, req := range d.requests {
+		copied := req.Snapshot().Restore()
+		requests[id] = &copied
 	}
-	r, err := Restore(d.r.Snapshot(), jobs)
+	r, err := Restore(d.r.Snapshot(), requests)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return r, jobs
+	return r, requests
 }
 
-// same compares the balancer with a clone that the reference implementation has changed. Sends that are outside
+// checkEqual compares the balancer with a clone that the reference implementation has changed. Sends that are outside
 // the slow-start window are left out: the check for them drops them.
-func (d *days) same(plain *Balancer, what string) {
+func (d *days) checkEqual(reference *Balancer, what string) {
 	d.t.Helper()
-	if d.held++; d.held%4 == 0 {
+	if d.comparisons++; d.comparisons%4 == 0 {
 		restored, _ := d.clone()
-		d.indexed(restored)
+		d.checkIndex(restored)
 	}
-	got, want := d.r.Snapshot(), plain.Snapshot()
+	got, want := d.r.Snapshot(), reference.Snapshot()
 	for i := range min(len(got.Servers), len(want.Servers)) {
-		want.Servers[i].LastListed = plain.servers[i].lastListed
+		want.Servers[i].LastListed = reference.servers[i].lastListed
 		for _, s := range []*ServerSnapshot{&got.Servers[i], &want.Servers[i]} {
 			s.SlowStartSends = slices.Clone(dropBefore(s.SlowStartSends, d.now-d.r.deployment.OverloadWindow))
 		}
@@ -273,22 +273,22 @@
 	}
 }
 
-// counted compares usableCount with a scan of all servers.
-func (d *days) counted(j *Request) {
+// checkUsableCount compares usableCount with a scan of all servers.
+func (d *days) checkUsableCount(req *Request) {
 	d.t.Helper()
 	want := 0
 	for _, s := range d.r.servers {
-		if d.r.usableUnchanged(d.now, s, j) {
+		if d.r.usableUnchanged(d.now, s, req) {
 			want++
 		}
 	}
-	if got := d.r.usableCount(d.now, j); got != want && !d.r.restrictedToGroup(j) {
+	if got := d.r.usableCount(d.now, req); got != want && !d.r.restrictedToGroup(req) {
 		d.t.Fatalf("%d servers can be used at %d, counted %d", want, d.now, got)
 	}
 }
 
-// indexed compares the index with the one that a restored balancer builds.
-func (d *days) indexed(restored *Balancer) {
+// checkIndex compares the index with the one that a restored balancer builds.
+func (d *days) checkIndex(restored *Balancer) {
 	d.t.Helper()
 	ids := func(servers []*server) []ServerID {
 		return convertAll(servers, func(s *server) ServerID { return s.Server })
@@ -328,49 +328,49 @@
 }
 
 func (d *days) listed(kind UpdateKind, list []Endpoint) {
-	plain, _ := d.clone()
-	plainListed(plain, d.now, kind, list)
+	reference, _ := d.clone()
+	referenceUpdateEndpoints(reference, d.now, kind, list)
 	d.r.UpdateEndpoints(d.now, kind, list)
-	d.same(plain, fmt.Sprintf("list of kind %d: %+v", kind, list))
+	d.checkEqual(reference, fmt.Sprintf("list of kind %d: %+v", kind, list))
 }
 
 func (d *days) wait() {
-	plain, _ := d.clone()
-	want, got := plainWait(plain, d.now), d.r.Maintain(d.now)
+	reference, _ := d.clone()
+	want, got := referenceMaintain(reference, d.now), d.r.Maintain(d.now)
 	if !reflect.DeepEqual(got, want) {
 		d.t.Fatalf("upkeep at %d: got %+v, want %+v", d.now, got, want)
 	}
-	d.same(plain, "upkeep")
+	d.checkEqual(reference, "upkeep")
 }
 
 // place compares the server that a load would go to with the reference implementation's choice, and then routes
 // the request.
-func (d *days) place(j *Request) {
-	f := d.r.function(j)
-	plain, jobs := d.clone()
+func (d *days) place(req *Request) {
+	f := d.r.function(req)
+	reference, jobs := d.clone()
 	before := d.r.Snapshot()
 	for _, purpose := range []loadPurpose{firstReplica, additionalReplica} {
-		want, got := plainLoadTarget(plain, d.now, plain.functions[j.Function], jobs[j.ID], purpose), d.r.loadTarget(d.now, f, j, purpose)
+		want, got := referenceLoadTarget(reference, d.now, reference.functions[req.Function], jobs[req.ID], purpose), d.r.loadTarget(d.now, f, req, purpose)
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
 			d.t.Fatalf("a load for function %x at %d, purpose %d: got %+v, want %+v", f.id, d.now, purpose, got, want)
 		}
-		d.targets[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
+		d.outcomes[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
 	}
-	d.counted(j)
-	d.same(plain, "a load's server")
+	d.checkUsableCount(req)
+	d.checkEqual(reference, "a load's server")
 	if after := d.r.Snapshot(); !reflect.DeepEqual(before, after) {
 		d.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", d.now, differ(before, after), differ(after, before))
 	}
-	d.done(j, d.r.Route(d.now, j))
+	d.done(req, d.r.Route(d.now, req))
 }
 
-func (d *days) done(j *Request, p Decision) {
+func (d *days) done(req *Request, p Decision) {
 	switch p.Action {
 	case Forward:
-		d.out = append(d.out, j.ID)
+		d.inFlight = append(d.inFlight, req.ID)
 	case Reject, Fail:
-		d.r.Cancel(d.now, j)
-		delete(d.jobs, j.ID)
+		d.r.Cancel(d.now, req)
+		delete(d.requests, req.ID)
 	}
 	for _, o := range p.LoadCommands {
 		d.r.HandleLoadResult(d.now, o.Server, o.Function, []Result{Succeeded, Overloaded, Failed, ConnectFailed}[d.chance.IntN(4)], second, o.Replicas)
@@ -379,38 +379,38 @@
 
 func (d *days) arrive() {
 	d.next++
-	j := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
+	req := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
 	switch d.chance.IntN(3) { // a busy function, some of them, and many rare ones
 	case 0:
-		j.Function = 1
+		req.Function = 1
 	case 1:
-		j.Function = FunctionID(2 + d.chance.IntN(6))
+		req.Function = FunctionID(2 + d.chance.IntN(6))
 	case 2:
-		j.Function = FunctionID(10 + d.chance.IntN(60))
+		req.Function = FunctionID(10 + d.chance.IntN(60))
 	}
-	d.jobs[j.ID] = j
-	d.place(j)
+	d.requests[req.ID] = req
+	d.place(req)
 }
 
 // answer ends an attempt that is in flight.
 func (d *days) answer() {
-	if len(d.out) == 0 {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	i := d.chance.IntN(len(d.out))
-	j := d.jobs[d.out[i]]
-	d.out = slices.Delete(d.out, i, i+1)
-	no := len(j.Attempts) - 1
-	o := Outcome{Attempt: AttemptID(no), Server: j.Attempts[no].Server, Duration: Micros(d.chance.IntN(second)),
+	i := d.chance.IntN(len(d.inFlight))
+	req := d.requests[d.inFlight[i]]
+	d.inFlight = slices.Delete(d.inFlight, i, i+1)
+	no := len(req.Attempts) - 1
+	o := Outcome{Attempt: AttemptID(no), Server: req.Attempts[no].Server, Duration: Micros(d.chance.IntN(second)),
 		Result: []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, NotLoaded}[d.chance.IntN(10)]}
 	if o.Result == Succeeded {
 		o.RequestDone, o.CacheStatus = true, CacheStatus(d.chance.IntN(3))
 		o.Report = &LoadReport{Utilization: d.chance.Float64() * 1.2, PendingLoads: float64(d.chance.IntN(7)) - 1}
 	}
-	if p := d.r.HandleOutcome(d.now, j, o); o.RequestDone {
-		delete(d.jobs, j.ID)
+	if p := d.r.HandleOutcome(d.now, req, o); o.RequestDone {
+		delete(d.requests, req.ID)
 	} else {
-		d.done(j, p)
+		d.done(req, p)
 	}
 }
 
@@ -422,7 +422,7 @@
 		if d.chanceOf(0.8) {
 			id = d.ids[d.chance.IntN(len(d.ids))]
 		}
-		list = append(list, d.listing(id))
+		list = append(list, d.randomEndpoint(id))
 	}
 	d.listed(IncrementalUpdate, list)
 }
@@ -462,14 +462,14 @@
 		var list []Endpoint
 		for _, id := range d.ids {
 			if d.chanceOf(0.9) {
-				list = append(list, d.listing(id))
+				list = append(list, d.randomEndpoint(id))
 			}
 		}
 		d.listed([]UpdateKind{CachedUpdate, FullUpdate}[d.chance.IntN(2)], list)
 	case p < 0.99:
 		d.listed(FailedUpdate, nil)
 	case p < 0.995:
-		d.r, d.jobs = d.clone() // a restart from a snapshot
+		d.r, d.requests = d.clone() // a restart from a snapshot
 	case p < 0.998:
 		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
 	default: // to the exact microsecond at which one is forgotten
@@ -492,7 +492,7 @@
 		for range 200 {
 			d.step()
 		}
-		for how, n := range d.targets {
+		for how, n := range d.outcomes {
 			targets[how] += n
 		}
 	}
@@ -550,12 +550,12 @@
 	}
 }
 
-// looked compares nearestHomes' bounded search with a scan of all servers.
-func (d *days) looked(f *function, j *Request) {
+// checkNearestHomes compares nearestHomes' bounded search with a scan of all servers.
+func (d *days) checkNearestHomes(f *function, req *Request) {
 	d.t.Helper()
-	look, homes := d.r.nearestHomes(d.now, f, j)
+	look, homes := d.r.nearestHomes(d.now, f, req)
 	look = slices.Clone(look)
-	all := d.r.candidatesWithin(d.now, f, j, math.Inf(1))
+	all := d.r.candidatesWithin(d.now, f, req, math.Inf(1))
 	want := d.r.homeCount(f, len(all))
 	need := max(want, min(2, len(all)))
 	if homes != want || len(look) < need {
@@ -569,8 +569,8 @@
 	}
 }
 
-// rankedWell compares a function's ranking with the order of all ready servers.
-func (d *days) rankedWell(f *function) {
+// checkRanking compares a function's ranking with the order of all ready servers.
+func (d *days) checkRanking(f *function) {
 	d.t.Helper()
 	order := []rankingEntry{{key: math.Inf(1)}}
 	for _, s := range d.r.servers {
@@ -588,7 +588,7 @@
 // updates between two decisions, a load goes where the reference implementation sends it: by the ranking, and
 // where that is not sufficient.
 func TestRankingTellsAsThePlainWay(t *testing.T) {
-	told, short, hot := 0, 0, 0
+	sufficient, short, hot := 0, 0, 0
 	for seed := range uint64(28) {
 		d := newDays(t, seed, 0)
 		r := d.r
@@ -635,29 +635,29 @@
 			r.answerRate, r.freshFor = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range looks {
-				j := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
+				req := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
 				if d.chanceOf(0.1) { // one that may only be retried in its zone
-					j.Class, j.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
+					req.Class, req.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
 				}
-				f := r.function(j)
+				f := r.function(req)
 				f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
-				d.counted(j)
+				d.checkUsableCount(req)
 				if d.chanceOf(0.3) {
-					d.looked(f, j)
-					d.rankedWell(f)
+					d.checkNearestHomes(f, req)
+					d.checkRanking(f)
 				}
 				purpose := firstReplica
 				if d.chanceOf(0.2) {
 					purpose = additionalReplica
 				}
-				got, want := r.loadTarget(d.now, f, j, purpose), plainLoadTarget(r, d.now, f, j, purpose)
+				got, want := r.loadTarget(d.now, f, req, purpose), referenceLoadTarget(r, d.now, f, req, purpose)
 				if got != want {
 					t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v", seed, round, f.id, len(r.servers), got, want)
 				}
 				if f.recent > 1 {
 					hot++
-				} else if two, known := r.firstTwoByRanking(d.now, f, j); known && len(two) > 0 {
-					told++
+				} else if two, known := r.firstTwoByRanking(d.now, f, req); known && len(two) > 0 {
+					sufficient++
 				} else {
 					short++
 				}
@@ -667,8 +667,8 @@
 			}
 		}
 	}
-	if told < 2000 || short < 500 || hot < 2000 {
-		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike", told, short, hot)
+	if sufficient < 2000 || short < 500 || hot < 2000 {
+		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike", sufficient, short, hot)
 	}
 }
 
@@ -698,18 +698,18 @@
 // A weight that is NaN or infinite keeps no load from its server.
 func TestOddPowersServe(t *testing.T) {
 	for _, power := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
-		told := deployment()
-		told.Routers = 300
-		r := New(0, 1, told)
+		config := deployment()
+		config.Routers = 300
+		r := New(0, 1, config)
 		var list []Endpoint
 		for id := range ServerID(3 * rankingLength) {
 			list = append(list, Endpoint{Server: id, State: Ready, Weight: power})
 		}
 		r.UpdateEndpoints(at, FullUpdate, list)
 		for id := range RequestID(10) {
-			j := newJob(id)
-			j.Function = FunctionID(id)
-			if p := r.Route(at, j); p.Action != Forward {
+			req := newJob(id)
+			req.Function = FunctionID(id)
+			if p := r.Route(at, req); p.Action != Forward {
 				t.Errorf("power %v: got %+v", power, p)
 			}
 		}
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -11,16 +11,16 @@
 type day struct {
 	routers int
 	calls   float64                           // N at the server's start
-	fall    Micros                            // the window of the budget
+	window  Micros                            // the window of the budget
 	restart func(router int, age Micros) bool // called at each step of the server's age; nil: never restarts
 	offset  func(router int) Micros           // of a router's clock; nil: none
 }
 
 const (
-	warmUp   = 10 * second
-	coldFrom = 0.25
-	step     = second / 50
-	usual    = 5 // servers at full capacity
+	slowStartDuration = 10 * second
+	initialCapacity   = 0.25
+	step              = second / 50
+	fullServers       = 5 // servers at full capacity
 )
 
 // bound returns what a server in slow start bears in the window, where N requests are its budget.
@@ -31,48 +31,48 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worst simulates a day. It returns the largest number of requests in any window as a multiple of the bound, when
+// worstWindow simulates a day. It returns the largest number of requests in any window as a multiple of the bound, when
 // the last of them was sent, and how many they were.
-func (d day) worst() (most float64, at Micros, n int) {
-	const began = 100_000 * second // above any offset
-	told := deployment()
-	told.Routers, told.SlowStartDuration, told.SlowStartInitial, told.OverloadWindow = d.routers, warmUp, coldFrom, d.fall
-	warm := d.calls / (told.OverloadFactor * coldFrom * float64(d.fall) / 1e6) // answers per second of a server at full capacity
-	chance := rand.New(rand.NewPCG(1, uint64(d.routers)))
+func (d day) worstWindow() (largest float64, at Micros, n int) {
+	const startedAt = 100_000 * second // above any offset
+	config := deployment()
+	config.Routers, config.SlowStartDuration, config.SlowStartInitial, config.OverloadWindow = d.routers, slowStartDuration, initialCapacity, d.window
+	answerRate := d.calls / (config.OverloadFactor * initialCapacity * float64(d.window) / 1e6) // answers per second of a server at full capacity
+	random := rand.New(rand.NewPCG(1, uint64(d.routers)))
 	routers := make([]*Balancer, d.routers)
-	start := func(i int, now Micros, known bool) {
-		told.Number = i
+	start := func(i int, now Micros, listed bool) {
+		config.Number = i
 		now += d.clock(i)
-		r := New(now, uint64(i), told)
+		r := New(now, uint64(i), config)
 		var list []Endpoint
-		for id := range usual {
+		for id := range fullServers {
 			list = append(list, Endpoint{Server: ServerID(id + 1), State: Ready, Weight: 1})
 		}
-		if known {
-			list = append(list, Endpoint{Server: usual + 1, State: Ready, Weight: 1, StartedAt: began + d.clock(i)})
+		if listed {
+			list = append(list, Endpoint{Server: fullServers + 1, State: Ready, Weight: 1, StartedAt: startedAt + d.clock(i)})
 		}
 		r.UpdateEndpoints(now, FullUpdate, list)
 		routers[i] = r
 	}
 	for i := range routers {
-		start(i, began-3*second, false)
+		start(i, startedAt-3*second, false)
 	}
 	var sent []Micros
-	for t := Micros(-3 * second); t < warmUp; t += step {
+	for t := Micros(-3 * second); t < slowStartDuration; t += step {
 		for i := range routers {
 			if d.restart != nil && t > 0 && d.restart(i, t) {
-				start(i, began+t, true)
+				start(i, startedAt+t, true)
 			}
 			r := routers[i]
-			now := began + t + d.clock(i)
+			now := startedAt + t + d.clock(i)
 			if t == 0 {
-				r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: usual + 1, State: Ready, Weight: 1, StartedAt: now}})
+				r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: fullServers + 1, State: Ready, Weight: 1, StartedAt: now}})
 			}
-			answers := usual * warm * float64(step) / 1e6 / float64(d.routers)
+			answers := fullServers * answerRate * float64(step) / 1e6 / float64(d.routers)
 			if t >= 0 {
-				answers *= (usual + coldFrom) / usual
+				answers *= (fullServers + initialCapacity) / fullServers
 			}
-			for answers += chance.Float64(); answers >= 1; answers-- {
+			for answers += random.Float64(); answers >= 1; answers-- {
 				r.answers = append(r.answers, now)
 			}
 			if t%(second/5) == 0 {
@@ -91,15 +91,15 @@
 	slices.Sort(sent)
 	from := 0
 	for to, t := range sent {
-		for sent[from] < t-d.fall {
+		for sent[from] < t-d.window {
 			from++
 		}
-		has := coldFrom + (1-coldFrom)*float64(t)/float64(warmUp)
-		if over := float64(to+1-from) / bound(d.calls*has/coldFrom); over > most {
-			most, at, n = over, t, to+1-from
+		capacity := initialCapacity + (1-initialCapacity)*float64(t)/float64(slowStartDuration)
+		if ratio := float64(to+1-from) / bound(d.calls*capacity/initialCapacity); ratio > largest {
+			largest, at, n = ratio, t, to+1-from
 		}
 	}
-	return most, at, n
+	return largest, at, n
 }
 
 func (d day) clock(router int) Micros {
@@ -123,11 +123,11 @@
 		"a tenth each 0.5 s": tenths(500_000), "a tenth each 0.1 s": tenths(100_000)} {
 		for _, routers := range []int{2, 3, 4, 5, 6, 30, 300} {
 			for _, calls := range []float64{6, 25, 31, 50, 100, 200} {
-				for _, fall := range []Micros{second, 2 * second} {
-					d := day{routers: routers, calls: calls, fall: fall, restart: restart}
-					if most, at, n := d.worst(); most > 1 {
+				for _, window := range []Micros{second, 2 * second} {
+					d := day{routers: routers, calls: calls, window: window, restart: restart}
+					if most, at, n := d.worstWindow(); most > 1 {
 						t.Errorf("%s, %d routers, %v calls in %d s: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears",
-							name, routers, calls, fall/second, n, float64(at)/1e6, most)
+							name, routers, calls, window/second, n, float64(at)/1e6, most)
 					}
 				}
 			}
@@ -138,17 +138,17 @@
 // Routers alternate in the same order although their clocks differ, as where wall clocks were stepped between
 // their starts.
 func TestTurnsHoldWhateverTheClocks(t *testing.T) {
-	chance := rand.New(rand.NewPCG(2, 2))
+	random := rand.New(rand.NewPCG(2, 2))
 	var drawn [300]Micros
 	for i := range drawn {
-		drawn[i] = Micros(chance.Int64N(7200*second)) - 3600*second
+		drawn[i] = Micros(random.Int64N(7200*second)) - 3600*second
 	}
 	for name, offset := range map[string]func(router int) Micros{"half an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
 		"any": func(r int) Micros { return drawn[r] }, "a window more each": func(r int) Micros { return Micros(-r) * second }} {
 		for _, routers := range []int{6, 30, 300} {
 			for _, calls := range []float64{6, 25, 50, 200} {
-				d := day{routers: routers, calls: calls, fall: second, offset: offset}
-				if most, at, n := d.worst(); most > 1 {
+				d := day{routers: routers, calls: calls, window: second, offset: offset}
+				if most, at, n := d.worstWindow(); most > 1 {
 					t.Errorf("%s, %d routers, %v calls: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears", name, routers,
 						calls, n, float64(at)/1e6, most)
 				}
