--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -8,7 +8,8 @@
 const at = Micros(100 * second)
 
 func deployment() Deployment {
-	return Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, SlowStartInitial: 0.25, SlowStartDuration: 10 * second,
+	return Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
+		SlowStartInitial: 0.25, SlowStartDuration: 10 * second,
 		OverloadWindow: second, OverloadFactor: 4, KeepAlive: 10 * second, LoadCommands: true, LoadsOnMiss: true,
 		Classes: []Class{{LatencyObjective: second, Window: 5 * second}}}
 }
@@ -325,7 +326,8 @@
 		r := fleet(config, 2)
 		r.servers[1].StartedAt = at - second
 		r.rebuildIndex()
-		r.answers = []Micros{at - second, at - second} // a tenth of an answer per second from each of 200 servers: 20 in all
+		// A tenth of an answer per second from each of 200 servers: 20 in all.
+		r.answers = []Micros{at - second, at - second}
 		r.updateAnswerRate(at)
 		if r.withinSlowStartBudget(at, r.servers[1]) {
 			let++
@@ -568,7 +570,8 @@
 	for _, took := range []Micros{120_000, second} {
 		req := newJob(1)
 		req.Attempts = []Attempt{{Server: 1, SentAt: at - took, MayHaveRun: true}}
-		r.HandleOutcome(at, req, Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
+		r.HandleOutcome(at, req,
+			Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
 	}
 	if got := r.loadTime(newJob(1)); got != 900_000 {
 		t.Errorf("a load takes %d, want 900 ms", got)
@@ -686,7 +689,8 @@
 		req := newJob(RequestID(i))
 		req.Function, req.ArrivedAt, req.Deadline = FunctionID(i), now, now+4*second
 		for p := r.Route(now, req); p.Action == Forward; {
-			p = r.HandleOutcome(now, req, Outcome{Attempt: AttemptID(len(req.Attempts) - 1), Server: p.Server, Result: NotLoaded, Duration: 100})
+			p = r.HandleOutcome(now, req,
+				Outcome{Attempt: AttemptID(len(req.Attempts) - 1), Server: p.Server, Result: NotLoaded, Duration: 100})
 		}
 		r.Cancel(now, req)
 		if i%1000 == 0 {
@@ -713,7 +717,8 @@
 		r := fleet(config, 4)
 		req := newJob(1)
 		n := 0
-		for s := r.loadTarget(at, r.function(req), req, firstReplica); s != nil; s = r.loadTarget(at, r.function(req), req, firstReplica) {
+		target := func() *server { return r.loadTarget(at, r.function(req), req, firstReplica) }
+		for s := target(); s != nil; s = target() {
 			s.loadsAfter = at + second // accepts no load now
 			n++
 		}
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -64,7 +64,8 @@
 		// Each step replaces a server; half as many as are present are remembered as removed.
 		{"replace", func(_ *testing.B, r *Balancer, i, servers int) {
 			now := at + Micros(i)*1200*second/Micros(servers)
-			r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))}, {Server: ServerID(hash(1, uint64(servers+i))), State: Ready, Weight: 1, StartedAt: now}})
+			r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))},
+				{Server: ServerID(hash(1, uint64(servers+i))), State: Ready, Weight: 1, StartedAt: now}})
 			r.Maintain(now)
 		}},
 		{"place-known", func(b *testing.B, r *Balancer, i, _ int) {
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -205,7 +205,8 @@
 }
 
 func newDays(t *testing.T, seed uint64, servers int) *days {
-	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at, requests: map[RequestID]*Request{}, outcomes: map[string]int{}}
+	d := &days{t: t, chance: rand.New(rand.NewPCG(seed, 1)), now: at,
+		requests: map[RequestID]*Request{}, outcomes: map[string]int{}}
 	config := deployment()
 	config.Routers = []int{1, 3, 300, 900}[seed%4]
 	config.Number, config.Zone, config.EndpointsOnRequest = d.chance.IntN(config.Routers), 1, true
@@ -229,7 +230,8 @@
 	if !slices.Contains(d.ids, id) {
 		d.ids = append(d.ids, id)
 	}
-	l := Endpoint{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)), Weight: []float64{1, 1, 1, 0.5, 2, 0.02, d.chance.Float64() * 3}[d.chance.IntN(7)]}
+	l := Endpoint{Server: id, State: Ready, Zone: ZoneID(d.chance.IntN(3)),
+		Weight: []float64{1, 1, 1, 0.5, 2, 0.02, d.chance.Float64() * 3}[d.chance.IntN(7)]}
 	switch {
 	case d.chanceOf(0.1):
 		l.State = ServerState(d.chance.IntN(2))
@@ -301,7 +303,9 @@
 		}
 	}
 	for i, s := range d.r.servers {
-		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.functions, restored.servers[i].functions, func(a, b *function) bool { return a.id == b.id && a == d.r.functions[a.id] }) {
+		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.functions, restored.servers[i].functions, func(a, b *function) bool {
+			return a.id == b.id && a == d.r.functions[a.id]
+		}) {
 			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers[i])
 		}
 	}
@@ -350,7 +354,8 @@
 	reference, jobs := d.clone()
 	before := d.r.Snapshot()
 	for _, purpose := range []loadPurpose{firstReplica, additionalReplica} {
-		want, got := referenceLoadTarget(reference, d.now, reference.functions[req.Function], jobs[req.ID], purpose), d.r.loadTarget(d.now, f, req, purpose)
+		want := referenceLoadTarget(reference, d.now, reference.functions[req.Function], jobs[req.ID], purpose)
+		got := d.r.loadTarget(d.now, f, req, purpose)
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
 			d.t.Fatalf("a load for function %x at %d, purpose %d: got %+v, want %+v", f.id, d.now, purpose, got, want)
 		}
@@ -373,13 +378,15 @@
 		delete(d.requests, req.ID)
 	}
 	for _, o := range p.LoadCommands {
-		d.r.HandleLoadResult(d.now, o.Server, o.Function, []Result{Succeeded, Overloaded, Failed, ConnectFailed}[d.chance.IntN(4)], second, o.Replicas)
+		result := []Result{Succeeded, Overloaded, Failed, ConnectFailed}[d.chance.IntN(4)]
+		d.r.HandleLoadResult(d.now, o.Server, o.Function, result, second, o.Replicas)
 	}
 }
 
 func (d *days) arrive() {
 	d.next++
-	req := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4), ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
+	req := &Request{ID: d.next, Class: ClassID(d.chance.IntN(3)), Lanes: 1 + d.chance.IntN(4),
+		ArrivedAt: d.now, Deadline: d.now + Micros(d.chance.IntN(8*second)), IsRetry: d.chanceOf(0.1)}
 	switch d.chance.IntN(3) { // a busy function, some of them, and many rare ones
 	case 0:
 		req.Function = 1
@@ -402,7 +409,8 @@
 	d.inFlight = slices.Delete(d.inFlight, i, i+1)
 	no := len(req.Attempts) - 1
 	o := Outcome{Attempt: AttemptID(no), Server: req.Attempts[no].Server, Duration: Micros(d.chance.IntN(second)),
-		Result: []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed, Overloaded, TimedOut, ConnectFailed, ConnectionReset, NotLoaded}[d.chance.IntN(10)]}
+		Result: []Result{Succeeded, Succeeded, Succeeded, Succeeded, Failed,
+			Overloaded, TimedOut, ConnectFailed, ConnectionReset, NotLoaded}[d.chance.IntN(10)]}
 	if o.Result == Succeeded {
 		o.RequestDone, o.CacheStatus = true, CacheStatus(d.chance.IntN(3))
 		o.Report = &LoadReport{Utilization: d.chance.Float64() * 1.2, PendingLoads: float64(d.chance.IntN(7)) - 1}
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -36,8 +36,10 @@
 func (d day) worstWindow() (largest float64, at Micros, n int) {
 	const startedAt = 100_000 * second // above any offset
 	config := deployment()
-	config.Routers, config.SlowStartDuration, config.SlowStartInitial, config.OverloadWindow = d.routers, slowStartDuration, initialCapacity, d.window
-	answerRate := d.calls / (config.OverloadFactor * initialCapacity * float64(d.window) / 1e6) // answers per second of a server at full capacity
+	config.Routers, config.OverloadWindow = d.routers, d.window
+	config.SlowStartDuration, config.SlowStartInitial = slowStartDuration, initialCapacity
+	// Answers per second of a server at full capacity.
+	answerRate := d.calls / (config.OverloadFactor * initialCapacity * float64(d.window) / 1e6)
 	random := rand.New(rand.NewPCG(1, uint64(d.routers)))
 	routers := make([]*Balancer, d.routers)
 	start := func(i int, now Micros, listed bool) {
@@ -66,7 +68,8 @@
 			r := routers[i]
 			now := startedAt + t + d.clock(i)
 			if t == 0 {
-				r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: fullServers + 1, State: Ready, Weight: 1, StartedAt: now}})
+				r.UpdateEndpoints(now, IncrementalUpdate,
+					[]Endpoint{{Server: fullServers + 1, State: Ready, Weight: 1, StartedAt: now}})
 			}
 			answers := fullServers * answerRate * float64(step) / 1e6 / float64(d.routers)
 			if t >= 0 {
@@ -118,8 +121,9 @@
 			return age > second && age%apart == 0 && age/apart-second/apart <= 10 && Micros(r%10) == age/apart%10
 		}
 	}
-	for name, restart := range map[string]func(router int, age Micros) bool{"no restart": nil, "all at 0.3 s": at(300_000), "all at 2.1 s": at(2_100_000),
-		"all at 2.5 s": at(2_500_000), "all each 1.3 s": func(_ int, age Micros) bool { return age > 0 && age%1_300_000 == 0 },
+	for name, restart := range map[string]func(router int, age Micros) bool{
+		"no restart": nil, "all at 0.3 s": at(300_000), "all at 2.1 s": at(2_100_000), "all at 2.5 s": at(2_500_000),
+		"all each 1.3 s":     func(_ int, age Micros) bool { return age > 0 && age%1_300_000 == 0 },
 		"a tenth each 0.5 s": tenths(500_000), "a tenth each 0.1 s": tenths(100_000)} {
 		for _, routers := range []int{2, 3, 4, 5, 6, 30, 300} {
 			for _, calls := range []float64{6, 25, 31, 50, 100, 200} {
@@ -143,8 +147,9 @@
 	for i := range drawn {
 		drawn[i] = Micros(random.Int64N(7200*second)) - 3600*second
 	}
-	for name, offset := range map[string]func(router int) Micros{"half an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
-		"any": func(r int) Micros { return drawn[r] }, "a window more each": func(r int) Micros { return Micros(-r) * second }} {
+	for name, offset := range map[string]func(router int) Micros{
+		"half an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
+		"any":                func(r int) Micros { return drawn[r] }, "a window more each": func(r int) Micros { return Micros(-r) * second }} {
 		for _, routers := range []int{6, 30, 300} {
 			for _, calls := range []float64{6, 25, 50, 200} {
 				d := day{routers: routers, calls: calls, window: second, offset: offset}
