--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -5,9 +5,11 @@
 	"slices"
 )
 
-// Endpoints: the list of servers and what is known of each.
+// Endpoints: the endpoint list and what is known of each server.
 
-// UpdateEndpoints takes in the list of servers. A later start than the one known means an empty, cold server.
+// UpdateEndpoints applies an update of the endpoint list. A later StartedAt than the known one means that the server
+// restarted: it holds no replicas and is in slow start. A failed update keeps the list and makes Maintain ask for a
+// new subscription.
 func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, list []Endpoint) {
 	if kind == FailedUpdate {
 		r.subscribed = false
@@ -47,7 +49,8 @@
 	}
 }
 
-// dropInstances drops the beliefs about a server's copies that are older than its start: a restart holds nothing.
+// dropInstances drops what is believed of a server's replicas from before its start, because a restarted server holds
+// none.
 func (r *Balancer) dropInstances(s *server, born Micros) {
 	for _, f := range s.functions {
 		if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < born {
@@ -56,39 +59,41 @@
 	}
 }
 
+// find returns the position of a server in r.servers, or where it would be inserted.
 func (r *Balancer) find(id ServerID) (int, bool) {
 	return slices.BinarySearchFunc(r.servers, id,
 		func(s *server, id ServerID) int { return cmp.Compare(s.Server, id) })
 }
 
-// server is what a router believes of one server.
+// server is what the balancer knows and believes about one server.
 type server struct {
 	Endpoint
-	listed             bool
-	lastListed         Micros      // when it was last on the list, if it is not there
-	weight             float64     // as the index has it: 0 where it is not ready
-	questionable       bool        // is in the index's doubted
-	present            bool        // as the index has it: not gone
-	functions          []*function // of whose copies there something is known, by id
-	lastAnswer         Micros      // last sign that it works
-	inFlight           []inFlightAttempt
-	slowStartSends     []Micros // recent sends, while it is cold
-	report             LoadReport
-	reportedAt         Micros
-	backoffUntil       Micros  // after a refusal
-	loadsAfter         Micros  // after a refused load
-	concurrencyLimit   float64 // of its window: how many executions of ours it bears at once, see fit
-	running            int     // those that run there, not those that wait for a load
+	listed         bool        // named in the latest full list or in an update since
+	lastListed     Micros      // when it was last in the list, if it no longer is
+	weight         float64     // as the index has it: 0 if the server is not ready
+	questionable   bool        // is in index.questionable
+	present        bool        // as the index has it: not removed
+	functions      []*function // those with an entry for this server in their instances, by id
+	lastAnswer     Micros      // last response, or when it became known
+	inFlight       []inFlightAttempt
+	slowStartSends []Micros // times of recent attempts, while it is in slow start
+	report         LoadReport
+	reportedAt     Micros
+	backoffUntil   Micros // no attempts before this time, after a rejection
+	loadsAfter     Micros // no loads before this time, after a rejected load
+	// How many of this router's attempts the server handles at once, see adaptConcurrencyLimit; 0: not set yet.
+	concurrencyLimit   float64
+	running            int // attempts that execute there, without those that wait for a load
 	limitLoweredAt     Micros
-	queueing           samples // queueing there, in thousandths of the job's slack
+	queueing           samples // queueing delay there, in thousandths of the requests' slack
 	ejected            bool
-	probeAt            Micros // when a suspect gets its next job
-	ejections          int    // times that it was found sick in a row
-	rejections         int    // refusals and errors since it last finished a job
-	connectionFailures int    // broken connections since then
+	probeAt            Micros // when an ejected server gets its next probe request
+	ejections          int    // consecutive ejections, probes that fail included
+	rejections         int    // rejections and errors since its last success
+	connectionFailures int    // failed connections since its last answer
 }
 
-// inFlightAttempt is one execution that is out.
+// inFlightAttempt is one attempt in flight.
 type inFlightAttempt struct {
 	request  *Request
 	attempt  AttemptID
@@ -96,7 +101,8 @@
 	toLoaded bool
 }
 
-// pendingLoads counts the functions for which our executions on a server began a load or wait for one.
+// pendingLoads returns the number of functions for which attempts of this router on the server started a load or wait
+// for one.
 func (s *server) pendingLoads() int {
 	n := 0
 	for i, fl := range s.inFlight {
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -5,28 +5,31 @@
 	"slices"
 )
 
-// Estimates: execution and load times, objectives, and the samples they rest on.
+// Estimates: execution and load times, objectives, and the samples that they are computed from.
 
-// execTime is the function's execution time: the hint, else a mean of its last warm answers that leaves out
-// the far tail, so that a few heavy jobs don't distort B; with too few, its workload's.
+// execTime estimates a function's execution time: the request's hint, else the mean of the latest answers from loaded
+// replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
+// uses those of the request's class.
 func (r *Balancer) execTime(f *function, j *Request) Micros {
 	if j.Work > 0 {
 		return j.Work
 	}
-	const enough = 3 // a mean of fewer is mostly the luck of one job
+	const enough = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
 	if s.n < enough {
 		if s = &r.execTimes[j.Class]; s.n < enough {
-			return r.deployment.Classes[j.Class].LatencyObjective / 4 // before any answer: a guess that leaves B at 3
+			// Before any answer: a guess that makes B 3.
+			return r.deployment.Classes[j.Class].LatencyObjective / 4
 		}
 	}
 	sorted := s.since(0)
-	far := 4 * quantile(sorted, 0.5) // an exponential's tail beyond 4 medians is 1 in 16
+	far := 4 * quantile(sorted, 0.5) // an exponential distribution has 1 in 16 beyond 4 medians
 	n, _ := slices.BinarySearch(sorted, far+1)
 	return max(1, mean(sorted[:n]))
 }
 
-// loadTime is how long a load takes: the hint, else the mean of recent loads, with none the start target.
+// loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
+// objective of the first class. The request may be nil.
 func (r *Balancer) loadTime(j *Request) Micros {
 	if j != nil && j.LoadTime > 0 {
 		return j.LoadTime
@@ -34,16 +37,16 @@
 	return cmp.Or(r.loadTimes.mean(0), r.deployment.Classes[0].LatencyObjective)
 }
 
-// latencyObjective is a job's start target, which may grow with its execution time.
+// latencyObjective returns a request's latency objective, which may grow with its execution time.
 func (r *Balancer) latencyObjective(j *Request, exec Micros) Micros {
 	w := r.deployment.Classes[j.Class]
 	return w.LatencyObjective + Micros(w.ObjectivePerWork*float64(exec))
 }
 
-// samples keeps the last few measurements and when they were taken.
+// samples is a ring of the latest measurements and their times.
 type samples struct {
 	v, at [16]Micros
-	n     int
+	n     int // number of measurements ever taken
 }
 
 func (s *samples) add(now, v Micros) {
@@ -52,7 +55,7 @@
 	s.n++
 }
 
-// since lists the measurements taken after t, smallest first.
+// since returns the measurements taken at t or later, in ascending order.
 func (s *samples) since(t Micros) []Micros {
 	var vs []Micros
 	for i := range min(s.n, len(s.v)) {
@@ -64,7 +67,7 @@
 	return vs
 }
 
-// mean is that of the measurements taken after t; 0 of none.
+// mean returns the mean of the measurements taken at t or later; 0 if there are none.
 func (s *samples) mean(t Micros) Micros {
 	var sum, n Micros
 	for i, v := range s.v[:min(s.n, len(s.v))] {
@@ -75,7 +78,7 @@
 	return sum / max(1, n)
 }
 
-// quantile gives the measurement below which a share q of the sorted ones lies; 0 of none.
+// quantile returns the q-quantile of measurements in ascending order; 0 if there are none.
 func quantile(sorted []Micros, q float64) Micros {
 	if len(sorted) == 0 {
 		return 0
@@ -83,6 +86,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
+// mean returns the mean of the measurements; 0 if there are none.
 func mean(vs []Micros) Micros {
 	var sum Micros
 	for _, v := range vs {
--- a/control/instances.go
+++ b/control/instances.go
@@ -5,36 +5,38 @@
 	"slices"
 )
 
-// Functions and their instances, as believed.
+// Functions and their instances, as far as this router believes.
 
-// function is what a router knows of one function.
+// function is what the balancer knows of one function.
 type function struct {
 	id          FunctionID
 	lanes       int
-	lastRequest *Request    // the latest one asked about
-	loadsDue    int         // loads that the last check found needed
+	lastRequest *Request    // the latest request routed
+	loadsDue    int         // loads that the last replica check asked for
 	instances   []*instance // by ascending server id
 	execTimes   samples
-	delays      samples // holding here plus queueing there
-	shed        samples // jobs pushed back for want of slack
+	delays      samples // time held here plus queueing delay on the server
+	shed        samples // requests rejected for lack of slack
 	held        int
-	waiting     bool   // is in waiting
-	recent      int    // of the last jobs taken, those for it
-	heldSince   Micros // since when some job has been held
-	blockedAt   Micros // when a job for it last found no place
+	waiting     bool   // is in Balancer.waiting
+	recent      int    // number of its requests among the most recently admitted
+	heldSince   Micros // since when at least one request has been held
+	blockedAt   Micros // when a request for it last found no instance
 	ranking     ranking
 }
 
-// instance is a function's copies on one server, as believed.
+// instance is the set of a function's replicas on one server, as far as this router believes.
 type instance struct {
 	server       *server
 	replicas     int
 	lastUsed     Micros // last evidence that they were used
 	loading      int
 	loadingSince Micros // when the load began
-	inFlight     int    // our executions there
+	inFlight     int    // attempts of this router there
 }
 
+// instanceOn returns the function's instance on a server. If there is none, it adds one if add is set, else it returns
+// nil.
 func (f *function) instanceOn(s *server, add bool) *instance {
 	i, ok := slices.BinarySearchFunc(f.instances, s.Server,
 		func(in *instance, id ServerID) int { return cmp.Compare(in.server.Server, id) })
@@ -48,6 +50,8 @@
 	return f.instances[i]
 }
 
+// function returns the entry for the request's function, which it adds if needed, and records the request as its
+// latest.
 func (r *Balancer) function(j *Request) *function {
 	f := r.functions[j.Function]
 	if f == nil {
@@ -59,13 +63,14 @@
 	return f
 }
 
-// loaded tells whether the copies are believed loaded: the belief fades after the told least keep-alive.
+// loaded reports whether an instance's replicas are believed loaded. Without use they count as unloaded after the
+// configured keep-alive time.
 func (r *Balancer) loaded(now Micros, in *instance) bool {
 	return in.replicas > 0 && (in.inFlight > 0 || now < in.lastUsed+r.deployment.KeepAlive)
 }
 
-// loading tells whether copies are believed under way. Guards against a load that nobody ever reports: after
-// four times the usual it is taken as lost.
+// loading reports whether replicas are believed to be loading. It guards against loads whose end is never reported:
+// after four times the usual load time a load counts as lost.
 func (r *Balancer) loading(now Micros, in *instance) bool {
 	return in.loading > 0 && now < in.loadingSince+4*r.loadTime(nil)
 }
--- a/control/learned.go
+++ b/control/learned.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// ApplyLearned takes back what an earlier life remembered; call it after Start, before all else. What limits us
-// counts whatever its age, an order or a job sent at a time still to come as now: it may be fresh. Beliefs count
-// for as long as they would have. How long executions and loads take is no part of it (docs/memory.md).
+// ApplyLearned restores what an earlier incarnation of the router learned. Call it right after New, before anything
+// else. Limits count whatever their age; load commands and attempts with a time in the future, after the clock was set
+// back, count as of now, since they may be recent. Beliefs about replicas expire as they would have without the
+// restart. Execution and load times are not part of it (docs/memory.md).
 func (r *Balancer) ApplyLearned(now Micros, m *LearnedState) {
-	const lately = 60_000_000 // six times as long as answers count
+	const lately = 60_000_000 // six times as long as answers count, see updateAnswerRate
 	r.loadCommands, r.admitted = clampTo(m.LoadCommands, now), dropAfter(m.Admitted, now)
 	if now >= m.SavedAt && now < m.SavedAt+lately {
 		r.answers, r.startedAt = dropAfter(m.Answers, now), min(now, m.StartedAt)
 	}
 	for i := range min(len(r.quotaDebt), len(m.QuotaDebt)) {
-		r.quotaDebt[i] = min(m.QuotaDebt[i], now+2_000_000) // see surplus
+		r.quotaDebt[i] = min(m.QuotaDebt[i], now+2_000_000) // see exceedsQuota
 	}
 	for _, v := range m.Servers {
 		r.servers = append(r.servers, &server{Endpoint: Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)}, lastListed: now,
@@ -32,34 +33,34 @@
 	r.rebuildIndex()
 }
 
-// LearnedState is what a router learned that a later life of it may use, in plain values with the times at which it was
-// learned. Unlike a Snapshot it holds nothing that is under way. What of it still counts is decided by Recall.
+// LearnedState is what a router learned that a later incarnation may use, in plain values with the times at which they
+// were learned. Unlike a Snapshot it holds nothing in flight. ApplyLearned decides what of it still counts.
 type LearnedState struct {
 	SavedAt      Micros            `cbor:"Saved"`
 	StartedAt    Micros            `cbor:"Started"`
 	QuotaDebt    []Micros          `cbor:"Due"`    // by tenant
-	LoadCommands []Micros          `cbor:"Orders"` // within the ration's window
+	LoadCommands []Micros          `cbor:"Orders"` // within the window of the load-rate limit
 	Admitted     []Micros          `cbor:"Taken"`
 	Answers      []Micros          `cbor:"Answers"`
 	Servers      []LearnedServer   `cbor:"Servers"`   // by ascending id
 	Functions    []LearnedFunction `cbor:"Functions"` // as first seen
 }
 
-// LearnedServer is what was learned of one server.
+// LearnedServer is what was learned about one server.
 type LearnedServer struct {
 	Server         ServerID `cbor:"Server"`
 	StartedAt      Micros   `cbor:"Born"`
-	SlowStartSends []Micros `cbor:"Sent"` // within Deployment.Fall
+	SlowStartSends []Micros `cbor:"Sent"` // within Deployment.OverloadWindow
 }
 
-// LearnedFunction is what was learned of one function.
+// LearnedFunction is what was learned about one function.
 type LearnedFunction struct {
 	ID        FunctionID        `cbor:"ID"`
 	Lanes     int               `cbor:"Lanes"`
 	Instances []LearnedInstance `cbor:"Copies"` // by ascending server
 }
 
-// LearnedInstance is a function's copies on one server, as believed.
+// LearnedInstance is the set of a function's replicas on one server, as far as the router believed.
 type LearnedInstance struct {
 	Server       ServerID `cbor:"Server"`
 	Replicas     int      `cbor:"Copies"`
@@ -68,8 +69,8 @@
 	LoadingSince Micros   `cbor:"Since"`
 }
 
-// LearnedState gives what is worth keeping. Functions of which no copy is believed are left out. It shares nothing
-// with the router.
+// LearnedState returns what is worth saving. It leaves out functions without a replica that is believed loaded or
+// loading. The result shares no memory with the balancer.
 func (r *Balancer) LearnedState(now Micros) *LearnedState {
 	m := &LearnedState{SavedAt: now, StartedAt: r.startedAt, QuotaDebt: slices.Clone(r.quotaDebt), LoadCommands: slices.Clone(r.loadCommands),
 		Admitted: slices.Clone(r.admitted), Answers: slices.Clone(r.answers)}
@@ -90,7 +91,7 @@
 	return m
 }
 
-// clampTo gives ascending times, none of them later than one.
+// clampTo returns the times in ascending order, with later ones than latest replaced by it.
 func clampTo(ts []Micros, latest Micros) []Micros {
 	ts = slices.Clone(ts)
 	for i := range ts {
@@ -100,14 +101,14 @@
 	return ts
 }
 
-// dropAfter gives ascending times without those later than one.
+// dropAfter returns the times in ascending order without those after latest.
 func dropAfter(ts []Micros, latest Micros) []Micros {
 	ts = slices.DeleteFunc(slices.Clone(ts), func(t Micros) bool { return t > latest })
 	slices.Sort(ts)
 	return ts
 }
 
-// dropBefore drops the times before t from the front of an ascending list.
+// dropBefore returns ascending times without those before t. It shares memory with its argument.
 func dropBefore(times []Micros, t Micros) []Micros {
 	i := 0
 	for i < len(times) && times[i] < t {
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Maintenance: what falls due without an event, and what is forgotten.
+// Maintenance: what is due without an event, and what is forgotten.
 
-// Maintain answers how long to wait until the next upkeep, and what falls due now.
+// Maintain does what is due by time: ejection of silent servers, replica checks, pruning. It returns the time of the
+// next call, and the cancellations and log lines since the last one.
 func (r *Balancer) Maintain(now Micros) Maintenance {
 	up := Maintenance{Next: now + maintenanceInterval}
 	if r.deployment.EndpointsOnRequest && !r.subscribed {
@@ -25,11 +26,12 @@
 	return up
 }
 
-// prune forgets what is long idle, so that a router may serve for months: beyond many functions one with nothing
-// held or out, and no copy believed loaded or coming; and a server long after it left the list.
+// prune forgets what has long been idle, so that a router can run for months: with many functions known, those with
+// nothing held or in flight and no replica believed loaded or loading; and servers that left the endpoint list long
+// ago.
 func (r *Balancer) prune(now Micros) {
-	const many = 1 << 14  // some 20 MB; a check of all takes a fraction of a millisecond
-	const batch = 1 << 11 // looked at in one upkeep: more new names a second than a router takes jobs
+	const many = 1 << 14  // about 20 MB; checking all of them takes a fraction of a millisecond
+	const batch = 1 << 11 // functions checked in one call: more than a router gets requests for new ones in the interval
 	if len(r.functionOrder) > many {
 		from := r.pruned % len(r.functionOrder)
 		to := min(len(r.functionOrder), from+batch)
@@ -46,7 +48,7 @@
 		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
 		r.pruned = from + len(kept)
 	}
-	const long = 600_000_000 // a roll or a break of the list is over by then
+	const long = 600_000_000 // longer than a rolling restart or an outage of discovery
 	gone, due := r.index.removed, 0
 	for due < len(gone) && now >= gone[due].lastListed+long {
 		due++
@@ -65,15 +67,18 @@
 	r.index.dropQuestionable(func(s *server) bool { return !s.ejected && now >= s.backoffUntil })
 }
 
-// idle tells whether all that is known of a function may be forgotten.
+// idle reports whether everything known of a function can be forgotten.
 func (r *Balancer) idle(now Micros, f *function) bool {
 	return !f.waiting && f.recent == 0 && !slices.ContainsFunc(f.instances, func(in *instance) bool {
 		return in.inFlight > 0 || r.loaded(now, in) || r.loading(now, in)
 	})
 }
 
-const maintenanceInterval = 200_000 // several checks within a load's time and within a start target
+// maintenanceInterval is the time between calls of Maintain. It allows for several replica checks within a load time
+// and within a latency objective.
+const maintenanceInterval = 200_000
 
+// logf queues a log line, which Maintain returns.
 func (r *Balancer) logf(format string, args ...any) {
 	r.logLines = append(r.logLines, fmt.Sprintf(format, args...))
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -1,9 +1,10 @@
 package control
 
-// Outliers: servers that fail or fall silent are ejected, and probed now and then.
+// Outliers: servers that fail or don't answer are ejected, and get a probe request from time to time.
 
-// ejectSilentServers looks for servers that owe answers for longer than recent ones explain. Guards against machines that
-// hang or vanish without a word; where most owe alike the cause lies elsewhere, and none is suspected.
+// ejectSilentServers ejects servers whose answers are overdue by more than recent latencies explain, and cancels their
+// attempts. It guards against machines that hang or vanish without closing connections. If most busy servers are
+// overdue, the cause lies elsewhere and none is ejected.
 func (r *Balancer) ejectSilentServers(now Micros) {
 	limit := 4 * quantile(r.latencies.since(0), 0.9)
 	if limit == 0 {
@@ -33,6 +34,7 @@
 	}
 }
 
+// eject marks a server as ejected and schedules its next probe request.
 func (r *Balancer) eject(now Micros, s *server, why string) {
 	if !s.ejected {
 		r.logf("server %x is suspect: %s", s.Server, why)
@@ -42,6 +44,7 @@
 	r.index.markQuestionable(s)
 }
 
+// answered records an answer from a server, which ends its ejection.
 func (r *Balancer) answered(now Micros, s *server) {
 	s.lastAnswer, s.connectionFailures = now, 0
 	if s.ejected {
@@ -50,8 +53,9 @@
 	}
 }
 
-// connectionFailed takes in a broken or refused connection. Guards against crashes: one after a silence, or a second
-// with no answer between, makes a suspect, which holds nothing when it is back. One alone is a flaky network.
+// connectionFailed records a broken or refused connection. It guards against crashes: a failure after a silence, or a
+// second one with no answer in between, ejects the server and drops its replicas. A single failure may be just the
+// network.
 func (r *Balancer) connectionFailed(now Micros, s *server) {
 	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(r.latencies.since(0), 0.5) {
 		r.eject(now, s, "connections fail")
@@ -59,18 +63,20 @@
 	}
 }
 
-// probeInterval is how long a suspect gets no job: longer each time that it fails, and where answers are rare:
-// else many routers' trials add up. From half a second: a router with many jobs can spare one in that.
+// probeInterval returns the time until an ejected server's next probe request. It grows with each failed probe, and
+// where answers are rare, so that the probes of many routers don't add up. It starts at half a second, in which a
+// router with much traffic can spare one request.
 func (r *Balancer) probeInterval(s *server) Micros {
 	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, r.freshFor) / rareAnswers
 }
 
-// healthy tells whether a server is there, and neither suspect nor turning all away.
+// healthy reports whether a server is ready, not ejected, and not rejecting everything.
 func (s *server) healthy() bool {
-	return s.State == Ready && !s.ejected && s.rejections < 3 // refusals or errors in a row; a busy server takes some
+	// Below three in a row: a busy server rejects some requests.
+	return s.State == Ready && !s.ejected && s.rejections < 3
 }
 
-// EjectedServers gives the servers that are suspect just now.
+// EjectedServers returns the ids of the servers that are ejected now.
 func (r *Balancer) EjectedServers() map[ServerID]bool {
 	suspects := map[ServerID]bool{}
 	for _, s := range r.servers {
--- a/control/overload.go
+++ b/control/overload.go
@@ -1,42 +1,51 @@
 package control
 
-// Overload: how much a server bears at once, and what is shed when all are slow.
+// Overload: concurrency limits of servers, and load shedding when all of them are slow.
 
-// adaptConcurrencyLimit narrows or widens how much of ours a server bears at once, by the part of their slack that its last
-// jobs spent queueing there: the design counts slots for each function alone, but copies share a server's
-// cores. Guards against crowding from any cause: many functions on one server, other routers, a slow or cold
-// machine, stalls. It harms where one heavy job after another looks like a queue.
+// adaptConcurrencyLimit lowers or raises a server's concurrency limit by strain: the queueing delay of its latest
+// answer, in thousandths of the request's slack. The design counts slots for each function alone, but replicas share a
+// server's cores. The limit guards against crowding from any cause: many functions on one server, other routers, a
+// slow server or one in slow start, stalls.
+//
+// Its cost: consecutive heavy requests look like a queue and lower the limit.
 func (r *Balancer) adaptConcurrencyLimit(now Micros, s *server, strain Micros) {
-	const most = 400      // thousandths: leaves the rest of the slack for holding here and for chance
-	const narrower = 0.75 // sheds a queue within a few answers' time
+	const most = 400      // thousandths: leaves the rest of the slack for holding and for variance
+	const narrower = 0.75 // shrinks a queue within a few answers' time
 	s.queueing.add(now, strain)
 	r.queueing.add(now, strain)
 	s.concurrencyLimit = max(0.5, s.concurrencyLimit)
 	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > most {
 		s.concurrencyLimit = max(1, min(s.concurrencyLimit, float64(s.running+1))*narrower)
-		s.limitLoweredAt = now + quantile(r.latencies.since(0), 0.5) // the effect shows in answers to later sends
+		// The effect shows only in answers to attempts sent from now on.
+		s.limitLoweredAt = now + quantile(r.latencies.since(0), 0.5)
 	} else if float64(s.running+2) >= s.concurrencyLimit && now >= s.limitLoweredAt {
 		s.concurrencyLimit += 1 / s.concurrencyLimit
 	}
 }
 
-// overloaded tells whether a server is to be left alone for its report or the queueing of our jobs there. Guards
-// against the floor of one slot, at which a copy is full for none of many routers however long its queue. It
-// acts only where a server's answers to us are too rare for a window; copies there then hold no jobs either.
+// overloaded reports whether a server gets no requests because of its load report or of the queueing delay there. It
+// guards against the minimum of one slot: with that, a replica is full for none of many routers, however long its
+// queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
+// there then don't count as capacity to wait for either.
 func (r *Balancer) overloaded(now Micros, s *server) bool {
-	// Above 0.85 jobs wait for cores; 5 loads are more than most run at once. Lower bounds brought nothing.
+	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
+	// at once. Lower bounds brought no gain.
 	told := s.reportedAt > 0 && now < s.reportedAt+r.freshFor && (s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
-	return r.freshFor > rareAnswers && (told || s.queueing.mean(now-r.freshFor) > 250) // a quarter of slack: beats two fifths
+	// 250: a quarter of the slack, which performed better than two fifths.
+	return r.freshFor > rareAnswers && (told || s.queueing.mean(now-r.freshFor) > 250)
 }
 
-// mustShed tells whether a job is turned away for the queueing that our last ones met on any server. Guards
-// against a standing overload that answers every job just too late, where answers are too rare for windows.
+// mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all
+// servers. It guards against a lasting overload in which every request is answered just too late, where answers are
+// too rare for concurrency limits to adapt.
 func (r *Balancer) mustShed(now Micros) bool {
-	over := quantile(r.queueing.since(now-r.freshFor/2), 0.5) - 250 // between 150 and 400, as good; half is shed
+	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
+	over := quantile(r.queueing.since(now-r.freshFor/2), 0.5) - 250
 	return r.freshFor > rareAnswers && Micros(r.random.below(1000)) < min(over, 500)
 }
 
-// noteShed notes a job that is pushed back for want of slack: the check counts it, see there.
+// noteShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
+// checkReplicas.
 func (r *Balancer) noteShed(now, whole Micros, f *function) {
 	f.delays.add(now, whole)
 	f.shed.add(now, 1)
@@ -45,21 +54,23 @@
 	}
 }
 
-// updateAnswerRate works out what one server's answers are too few for: our share of the answers a second of a warm
-// server, and for how long what was seen of a server counts, until about when its next answer to us is due.
+// updateAnswerRate updates answerRate, the answers per second that this router gets from a server at full capacity,
+// and freshFor, how long an observation of a server stays valid: about the time until its next answer is due.
 func (r *Balancer) updateAnswerRate(now Micros) {
-	const over = 10_000_000 // some tens of answers even where a router sees a few jobs a second
+	const over = 10_000_000 // some tens of answers, even if a router gets only a few requests per second
 	r.answers = dropBefore(r.answers, now-over)
-	// Refusing or suspect ones too: they must not make the rest look able to more.
+	// Includes ejected and overloaded servers: leaving them out would make the rest look more capable.
 	servers := r.totalCapacity(now)
-	seen := min(over, max(over/10, now-r.startedAt)) // a router that started just now
+	seen := min(over, max(over/10, now-r.startedAt)) // shorter if the router just started
 	r.answerRate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
 	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
-const rareAnswers = 2_000_000 // between a server's answers to us; a few times a report's own age
+// rareAnswers is the interval between a server's answers from which on they are too rare for its concurrency limit to
+// adapt: a few times the age of a load report.
+const rareAnswers = 2_000_000
 
-// freeShare is the share of a server's window that is free.
+// freeShare returns the free fraction of a server's concurrency limit.
 func (s *server) freeShare() float64 {
 	if s.concurrencyLimit == 0 {
 		return 1
@@ -67,4 +78,6 @@
 	return max(0, 1-float64(s.running)/s.concurrencyLimit)
 }
 
-const rejectionBackoff = 25_000 // doubled, about the time in which a busy server ends a job
+// rejectionBackoff is the base of the exponential backoff after a rejection. Doubled, it is about the time in which a
+// busy server completes a request.
+const rejectionBackoff = 25_000
--- a/control/requests.go
+++ b/control/requests.go
@@ -1,6 +1,6 @@
 package control
 
-// Each kind of id is a type of its own; none carries a meaning.
+// The id types. Each kind of id has a type of its own, so that they can't be mixed up; the values carry no meaning.
 type (
 	RequestID  uint64
 	ServerID   uint64
@@ -12,30 +12,31 @@
 	AttemptID  uint16
 )
 
-// Request is one client's job, kept by the adapter; the router keeps its notes on the job in it.
+// Request is one client request. The caller keeps it from arrival until it is done; the balancer stores its own state
+// for the request in the unexported fields.
 type Request struct {
 	ID              RequestID  `json:"ID"`
 	Class           ClassID    `json:"Workload"`
 	Tenant          TenantID   `json:"Tenant"`
 	Function        FunctionID `json:"Function"`
 	Lanes           int        `json:"Lanes"`
-	Work            Micros     `json:"Work"`     // hint; 0: none
-	LoadTime        Micros     `json:"LoadTime"` // hint; 0: none
+	Work            Micros     `json:"Work"`     // hint in microseconds; 0: none
+	LoadTime        Micros     `json:"LoadTime"` // hint in microseconds; 0: none
 	ArrivedAt       Micros     `json:"Arrived"`
 	Deadline        Micros     `json:"Patience"` // when its client gives up
-	IsRetry         bool       `json:"Repeat"`   // the client says that it asks again
-	RetriesUnmarked bool       `json:"Unmarked"` // this client never says so, whatever is told of clients
+	IsRetry         bool       `json:"Repeat"`   // its client marked it as a retry
+	RetriesUnmarked bool       `json:"Unmarked"` // its client never marks retries, whatever Deployment.MarksRetries says
 
 	Attempts    []Attempt `json:"Executions"`
 	heldSince   Micros
 	heldFor     Micros
 	held        bool
 	admitted    bool
-	firstSentAt Micros // when its client first asked
-	overQuota   bool   // beyond its tenant's share
+	firstSentAt Micros // estimate of when its client first sent it
+	overQuota   bool   // beyond its tenant's quota, or shed
 }
 
-// Attempt is one sending of a job.
+// Attempt is one attempt to run a request on a server.
 type Attempt struct {
 	Server     ServerID `json:"Server"`
 	Zone       ZoneID   `json:"Zone"`
@@ -43,6 +44,6 @@
 	SentAt     Micros   `json:"Sent"`
 	Done       bool     `json:"Done"`
 	MayHaveRun bool     `json:"MayRun"` // false once it is proven not to have run
-	toLoaded   bool     // sent to a copy believed loaded
-	cancelling bool
+	toLoaded   bool     // sent to a replica that was believed loaded
+	cancelling bool     // a cancellation was issued
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -2,19 +2,21 @@
 
 import "slices"
 
-// Retries: what an outcome means for its request, and whether it may be attempted again.
+// Retries: what an outcome means for its request, and whether the request may be attempted again.
 
-// SafeToRetryAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
+// SafeToRetryAnywhere reports whether a request that may have run can be sent again to any router and server without
+// harm.
 func (w Class) SafeToRetryAnywhere() bool {
 	return w.Effect == Idempotent || w.Effect == IdempotentByKey && w.Scope == WholeFleet
 }
 
-// ProvesNotRun tells whether a result proves that the job did not run.
+// ProvesNotRun reports whether the result proves that the request did not run.
 func (r Result) ProvesNotRun() bool {
 	return r == Overloaded || r == ConnectFailed || r == NotSent || r == NotLoaded
 }
 
-// HandleOutcome takes in how an execution ended and answers what to do with its job.
+// HandleOutcome records how an attempt ended and decides what happens to its request. It returns NoAction for an
+// attempt that is already done, a server that is not known, and a request that is done.
 func (r *Balancer) HandleOutcome(now Micros, j *Request, o Outcome) Decision {
 	e := &j.Attempts[o.Attempt]
 	i, known := r.find(o.Server)
@@ -41,6 +43,7 @@
 	return r.Route(now, j)
 }
 
+// recordOutcome updates what is believed of the instance and its server, and the estimates.
 func (r *Balancer) recordOutcome(now Micros, f *function, in *instance, j *Request, o Outcome) {
 	s, e := in.server, &j.Attempts[o.Attempt]
 	f.blockedAt = 0
@@ -56,15 +59,16 @@
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
 		in.replicas, in.loading = 0, 0
-	case o.Result == Overloaded || o.Result == Failed && e.toLoaded: // one that errs at once looks ever emptier
+	// A server that fails fast would otherwise look emptier and emptier.
+	case o.Result == Overloaded || o.Result == Failed && e.toLoaded:
 		if !e.toLoaded {
-			in.loading, s.loadsAfter = 0, now+loadBackoff // its loads queue is full, or there is no memory
+			in.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
-		// Guards against a server that turns all away, full or draining before the list says so: each time
-		// without an answer between it is left alone for longer, and soon its copies count for nothing.
+		// Guards against a server that rejects everything, because it is full or drains before the endpoint list
+		// says so: its backoff doubles with each rejection, and soon its replicas don't count as capacity.
 		if s.rejections++; in.inFlight == 0 {
-			in.replicas = 0 // none of ours runs there: the copy may have made way for others
+			in.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
 		}
 		s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
 		r.index.markQuestionable(s)
@@ -79,7 +83,8 @@
 			r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(j, exec)-exec))
 			r.latencies.add(now, o.Duration)
 			f.delays.add(now, j.heldFor+max(0, o.Duration-exec))
-		} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec { // a quicker one found a copy
+		} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
+			// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
 			r.loadTimes.add(now, max(1, o.Duration-exec))
 		}
 		if in.replicas == 0 {
@@ -88,12 +93,13 @@
 	}
 }
 
-// mayRetry keeps the second rule: an execution that may have run allows another only where repeats do no
-// harm; for a fingerprinted job only inside its group (of the server s, where one is meant) and while that
-// still remembers it, less a margin for the way there.
+// mayRetry reports whether the request may be attempted (on server s, unless s is nil) after its earlier attempts. If
+// one of them may have run, the request must be idempotent; if it is idempotent by key, the server must be in the
+// scope of the earlier attempt, and within the window in which that scope remembers the key, less a margin for the
+// network.
 func (r *Balancer) mayRetry(now Micros, j *Request, s *server) bool {
 	w := r.deployment.Classes[j.Class]
-	const travel = 50_000 // far longer than any hop between router and server
+	const travel = 50_000 // far longer than the way from a router to a server
 	for _, e := range j.Attempts {
 		outside := s != nil && (w.Scope == OneZone && e.Zone != s.Zone || w.Scope == OneCell && e.Cell != s.Cell)
 		forgotten := now+travel >= e.SentAt+w.Window
@@ -104,7 +110,7 @@
 	return true
 }
 
-// giveUp ends a job: pushed back where that promise holds, else killed.
+// giveUp ends a request. It rejects it if the client can retry it safely, else it fails it.
 func (r *Balancer) giveUp(j *Request) Decision {
 	for _, e := range j.Attempts {
 		if e.MayHaveRun && !r.deployment.Classes[j.Class].SafeToRetryAnywhere() {
@@ -114,7 +120,7 @@
 	return Decision{Action: Reject, RetryAfter: r.deployment.MaxRetryAfter}
 }
 
-// Cancel takes in that a job is over: what is still out for it is called off.
+// Cancel records that a request is done, and cancels its attempts in flight.
 func (r *Balancer) Cancel(now Micros, j *Request) {
 	if j.held {
 		j.held = false
@@ -127,6 +133,7 @@
 	}
 }
 
+// cancelAttempt queues the cancellation of an attempt, once, if the deployment supports that. Maintain returns it.
 func (r *Balancer) cancelAttempt(j *Request, no AttemptID) {
 	if e := &j.Attempts[no]; r.deployment.SupportsCancel && !e.cancelling {
 		e.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{j.ID, no})
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Snapshot is all that a router knows, in plain values: restored, it decides the same from there on. Functions stand in
-// the order in which they were first seen, and servers by ascending id; each is named by its place there.
+// Snapshot is the whole state of a balancer in plain values; a restored balancer makes the same decisions from there
+// on. Functions are in the order in which they were first seen, servers by ascending id.
 type Snapshot struct {
 	Deployment    Deployment         `json:"Told"`
 	Random        uint64             `json:"Chance"`
@@ -26,13 +26,13 @@
 	Answers       []Micros           `json:"Answers"`
 	AnswerRate    float64            `json:"Rate"`
 	FreshFor      Micros             `json:"Fresh"`
-	Waiting       []int              `json:"Waiting"` // places of functions
-	Recent        []int              `json:"Recent"`  // places of functions
+	Waiting       []int              `json:"Waiting"` // positions in Functions
+	Recent        []int              `json:"Recent"`  // positions in Functions
 	Pruned        int                `json:"Tidied"`
 	Subscribed    bool               `json:"Watching"`
 }
 
-// ServerSnapshot is what is believed of one server.
+// ServerSnapshot is the state of one server.
 type ServerSnapshot struct {
 	Endpoint           Endpoint           `json:"Listing"`
 	Listed             bool               `json:"Listed"`
@@ -55,7 +55,7 @@
 	ConnectionFailures int                `json:"Breaks"`
 }
 
-// InFlightSnapshot is one execution that is out, by its job's id.
+// InFlightSnapshot is one attempt in flight, with the id of its request.
 type InFlightSnapshot struct {
 	Request  RequestID `json:"Job"`
 	Attempt  AttemptID `json:"No"`
@@ -63,7 +63,7 @@
 	ToLoaded bool      `json:"Warm"`
 }
 
-// FunctionSnapshot is what is known of one function.
+// FunctionSnapshot is the state of one function.
 type FunctionSnapshot struct {
 	ID          FunctionID         `json:"ID"`
 	Lanes       int                `json:"Lanes"`
@@ -80,7 +80,7 @@
 	BlockedAt   Micros             `json:"Blocked"`
 }
 
-// InstanceSnapshot is a function's copies on one server.
+// InstanceSnapshot is the state of a function's replicas on one server.
 type InstanceSnapshot struct {
 	Server       ServerID `json:"Server"`
 	Replicas     int      `json:"Copies"`
@@ -90,9 +90,9 @@
 	InFlight     int      `json:"Out"`
 }
 
-// RequestSnapshot is a job with the notes that a router keeps in it.
+// RequestSnapshot is a request with the balancer's state for it.
 type RequestSnapshot struct {
-	Request     Request           `json:"Job"` // Executions left out
+	Request     Request           `json:"Job"` // without its Attempts
 	Attempts    []AttemptSnapshot `json:"Executions"`
 	HeldSince   Micros            `json:"HeldSince"`
 	HeldFor     Micros            `json:"HeldFor"`
@@ -102,14 +102,14 @@
 	OverQuota   bool              `json:"Surplus"`
 }
 
-// AttemptSnapshot is an execution with the notes that a router keeps in it.
+// AttemptSnapshot is an attempt with the balancer's state for it.
 type AttemptSnapshot struct {
 	Attempt    Attempt `json:"Execution"`
 	ToLoaded   bool    `json:"Warm"`
 	Cancelling bool    `json:"Recall"`
 }
 
-// Samples are the last few measurements and when they were taken; N counts all there ever were.
+// Samples holds the latest measurements and their times. N counts all that were ever taken.
 type Samples struct {
 	V  []Micros `json:"V"`
 	At []Micros `json:"At"`
@@ -128,7 +128,7 @@
 	return r
 }
 
-// Snapshot gives the job with its notes.
+// Snapshot returns the request with the balancer's state for it.
 func (j *Request) Snapshot() RequestSnapshot {
 	s := RequestSnapshot{Request: *j, HeldSince: j.heldSince, HeldFor: j.heldFor, Held: j.held, Admitted: j.admitted, FirstSentAt: j.firstSentAt, OverQuota: j.overQuota}
 	s.Request.Attempts = nil
@@ -138,7 +138,7 @@
 	return s
 }
 
-// Restore gives back the job.
+// Restore returns the request that the snapshot was taken of.
 func (s RequestSnapshot) Restore() Request {
 	j := s.Request
 	j.heldSince, j.heldFor, j.held, j.admitted, j.firstSentAt, j.overQuota = s.HeldSince, s.HeldFor, s.Held, s.Admitted, s.FirstSentAt, s.OverQuota
@@ -150,6 +150,7 @@
 	return j
 }
 
+// convertAll returns the results of f for each element.
 func convertAll[T, S any](from []T, f func(T) S) []S {
 	to := make([]S, 0, len(from))
 	for _, t := range from {
@@ -166,7 +167,7 @@
 	return to
 }
 
-// Snapshot gives all that the router knows. It shares nothing with the router but the deployment that it was told.
+// Snapshot returns the whole state. It shares no memory with the balancer, except for the slices in Deployment.
 func (r *Balancer) Snapshot() *Snapshot {
 	s := &Snapshot{Deployment: r.deployment, Random: uint64(r.random), StartedAt: r.startedAt, ExecTimes: snapshots(r.execTimes),
 		Deadlines: snapshots(r.deadlines), QuotaDebt: slices.Clone(r.quotaDebt), Latencies: r.latencies.snapshot(), LoadTimes: r.loadTimes.snapshot(),
@@ -196,8 +197,8 @@
 	return s
 }
 
-// Restore gives a router that knows what the snapshot holds. Jobs are those in hand, by id: the router keeps its notes in
-// them. An error tells of a snapshot that does not hold together.
+// Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
+// balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
 func Restore(s *Snapshot, jobs map[RequestID]*Request) (*Balancer, error) {
 	r := &Balancer{deployment: s.Deployment, random: pcg(s.Random), startedAt: s.StartedAt, functions: map[FunctionID]*function{},
 		quotaDebt: slices.Clone(s.QuotaDebt), latencies: s.Latencies.restore(), loadTimes: s.LoadTimes.restore(), queueing: s.Queueing.restore(),
--- a/control/trace.go
+++ b/control/trace.go
@@ -1,60 +1,61 @@
 package control
 
-// Trace has a tool hear why decisions come out as they do. It decides nothing, and a router without one pays for it with
-// a comparison.
+// Trace lets a tool observe why decisions come out as they do. It has no influence on them; without one the cost is a
+// comparison.
 type Trace struct {
-	OnDecision     func(Explanation)  // after each choice
-	OnReplicaCheck func(ReplicaCheck) // at each check of a function with held jobs
+	OnDecision     func(Explanation)  // after each decision of Route
+	OnReplicaCheck func(ReplicaCheck) // at each replica check of a function with held or shed requests
 	explanation    Explanation
 }
 
-// SetTrace sets a trace; nil ends it.
+// SetTrace installs a trace; nil removes it.
 func (r *Balancer) SetTrace(t *Trace) { r.trace = t }
 
-// Explanation is how one choice came out, with what was believed before it. Times are microseconds.
+// Explanation is how one decision came about, with what was believed before it. Times are in microseconds. Slack,
+// Margin and LatestStart are 0 if an attempt was in flight.
 type Explanation struct {
 	Now         Micros       `json:"Now"`
 	Request     RequestID    `json:"Job"`
 	Function    FunctionID   `json:"Function"`
-	ExecTime    Micros       `json:"Exec"`     // execution time, told or measured
-	Objective   Micros       `json:"Target"`   // start target
-	Slack       Micros       `json:"Slack"`    // that is left; negative: late. Like Margin and Last 0 where an execution was out
-	Margin      Micros       `json:"Margin"`   // of slack, below which full copies push the job back
-	LatestStart Micros       `json:"Last"`     // from then on it can't end within its client's patience
-	LoadTime    Micros       `json:"LoadTime"` // told or measured
-	B           float64      `json:"B"`        // slots of a lane
-	Held        int          `json:"Held"`     // jobs held for the function
-	LoadsDue    int          `json:"Due"`      // loads that the last check found needed
+	ExecTime    Micros       `json:"Exec"`     // execution time: hint or estimate
+	Objective   Micros       `json:"Target"`   // latency objective
+	Slack       Micros       `json:"Slack"`    // what is left of it; negative: late
+	Margin      Micros       `json:"Margin"`   // slack below which a request is rejected if all replicas are full
+	LatestStart Micros       `json:"Last"`     // a later start can't end before the client's deadline
+	LoadTime    Micros       `json:"LoadTime"` // hint or estimate
+	B           float64      `json:"B"`        // slots per lane
+	Held        int          `json:"Held"`     // requests held for the function
+	LoadsDue    int          `json:"Due"`      // loads that the last replica check asked for
 	Servers     []ServerView `json:"Servers"`
-	Reason      string       `json:"Ended"` // the condition that ended the choice
+	Reason      string       `json:"Ended"` // the condition that decided
 	Decision    Decision     `json:"Placement"`
 }
 
-// ServerView is what was believed of one server, and of the function's copies there.
+// ServerView is what was believed of one server, and of the function's replicas there.
 type ServerView struct {
 	Server           ServerID    `json:"Server"`
 	State            ServerState `json:"State"`
-	Unusable         string      `json:"Barred"` // why the job may not go there; empty if it may
-	Known            bool        `json:"Here"`   // something is known of the function's copies there
+	Unusable         string      `json:"Barred"` // why the request can't go there; empty if it can
+	Known            bool        `json:"Here"`   // there is an entry for the function's replicas there
 	Loaded           bool        `json:"Warm"`
-	LoadingNow       bool        `json:"Coming"` // a load is under way
+	LoadingNow       bool        `json:"Coming"` // a load is running
 	Replicas         int         `json:"Copies"`
 	Loading          int         `json:"Loading"`
-	InFlight         int         `json:"Out"`   // executions of ours of the function there
-	Slots            int         `json:"Slots"` // that the instance offers us
+	InFlight         int         `json:"Out"`   // attempts of this router there, for the function
+	Slots            int         `json:"Slots"` // that the instance offers this router
 	ConcurrencyLimit float64     `json:"Window"`
-	Running          int         `json:"Busy"` // executions of ours there, of any function
+	Running          int         `json:"Busy"` // attempts of this router that execute there, for any function
 	Ejected          bool        `json:"Suspect"`
 	Overloaded       bool        `json:"Shunned"`
-	PendingLoads     int         `json:"Waiting"` // jobs of ours behind loads there
+	PendingLoads     int         `json:"Waiting"` // functions of this router that load there, see server.pendingLoads
 	SlowStart        bool        `json:"Cold"`
-	FreeShare        float64     `json:"Room"` // share of the window that is free
+	FreeShare        float64     `json:"Room"` // free fraction of the concurrency limit
 	Report           LoadReport  `json:"Report"`
-	ReportAge        Micros      `json:"Fresh"` // age of the report; negative: none
+	ReportAge        Micros      `json:"Fresh"` // negative: no report
 }
 
-// ReplicaCheck is the design's test whether a function needs more copies: it does where delay has reached slack and D_f, held
-// x target / slots, the load time.
+// ReplicaCheck is the design's test whether a function needs more replicas: it does if Delay has reached Slack and
+// D_f, Held x Objective / Slots, has reached LoadTime.
 type ReplicaCheck struct {
 	Now       Micros     `json:"Now"`
 	Function  FunctionID `json:"Function"`
@@ -67,7 +68,7 @@
 	LoadTime  Micros     `json:"LoadTime"`
 }
 
-// QueueDelay is D_f; 0 where there are no slots.
+// QueueDelay returns D_f; 0 if there are no slots.
 func (c ReplicaCheck) QueueDelay() Micros {
 	if c.Slots == 0 {
 		return 0
@@ -81,13 +82,14 @@
 	}
 }
 
+// end completes the explanation and hands it to the observer.
 func (t *Trace) end(p Decision) {
 	if t.explanation.Decision = p; t.OnDecision != nil {
 		t.OnDecision(t.explanation)
 	}
 }
 
-// begin notes what is believed before a choice. What it asks for changes nothing.
+// begin starts the explanation with what is believed before the decision. It must not change any state.
 func (t *Trace) begin(r *Balancer, now Micros, f *function, j *Request) {
 	exec := r.execTime(f, j)
 	t.explanation = Explanation{Now: now, Request: j.ID, Function: f.id, ExecTime: exec, Objective: r.latencyObjective(j, exec), LoadTime: r.loadTime(j),
@@ -99,7 +101,7 @@
 			b.ReportAge = now - s.reportedAt
 		}
 		if in := f.instanceOn(s, false); in != nil {
-			size := s.concurrencyLimit // slots sets a first window; that is the choice's to do
+			size := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
 			b.Known, b.Loaded, b.LoadingNow, b.Replicas, b.Loading, b.InFlight = true, r.loaded(now, in), r.loading(now, in), in.replicas, in.loading, in.inFlight
 			b.Slots = r.slots(now, in, f, t.explanation.B)
 			s.concurrencyLimit = size
--- a/control/types.go
+++ b/control/types.go
@@ -1,88 +1,90 @@
 package control
 
-// Micros is a time or a span of time in whole microseconds.
+// Micros is a point in time or a duration in whole microseconds.
 type Micros int64
 
-// Effect tells what a second execution of a job would do.
+// Effect is what a second attempt at a request may do, if the first one may have run.
 type Effect uint8
 
-// A restartable job may run again, a fingerprinted one only where its repeat is known, a run-once one never.
+// The effects. An idempotent request may run again; one that is idempotent by key may run again only where its earlier
+// attempt is remembered (see Scope and Class.Window); a non-idempotent one must not.
 const (
 	Idempotent Effect = iota
 	IdempotentByKey
 	NonIdempotent
 )
 
-// Scope is the group of servers that drop a fingerprinted job's repeats.
+// Scope is the group of servers that drop repeats of a request by its idempotency key.
 type Scope uint8
 
-// The groups.
+// The scopes.
 const (
 	WholeFleet Scope = iota
 	OneZone
 	OneCell
 )
 
-// Class is one row of the table of workloads.
+// Class holds the settings of one request class.
 type Class struct {
-	LatencyObjective Micros  `json:"StartTarget"`
-	MaxDeadline      Micros  `json:"TimeLimit"` // after which a client gives up, all its tries together
-	ObjectivePerWork float64 `json:"Stretch"`   // the start target grows by this multiple of the job's own work
+	LatencyObjective Micros  `json:"StartTarget"` // target latency
+	MaxDeadline      Micros  `json:"TimeLimit"`   // longest time that a client waits, over all of its retries
+	ObjectivePerWork float64 `json:"Stretch"`     // the objective grows by this multiple of the execution time
 	Effect           Effect  `json:"Effect"`
-	Scope            Scope   `json:"Scope"`
-	Window           Micros  `json:"Window"` // how long a group drops repeats
+	Scope            Scope   `json:"Scope"`  // where an idempotency key is remembered
+	Window           Micros  `json:"Window"` // how long the servers of a scope remember an idempotency key
 }
 
-// Deployment holds what a router is told when it starts.
+// Deployment is the configuration that a balancer gets when it starts.
 type Deployment struct {
-	Routers            int       `json:"Routers"`
-	Number             int       `json:"Number"` // ours among them, from 0
+	Routers            int       `json:"Routers"` // number of routers that share the fleet
+	Number             int       `json:"Number"`  // of this router among them, from 0
 	Zone               ZoneID    `json:"Zone"`
-	Tick               Micros    `json:"Tick"`
+	Tick               Micros    `json:"Tick"` // shortest interval between event-loop steps
 	Classes            []Class   `json:"Workloads"`
-	Quotas             []float64 `json:"Shares"` // of each tenant: jobs a second within its share, to all routers together
-	MaxAttempts        int       `json:"MaxExecutions"`
-	MaxRetryAfter      Micros    `json:"MaxStayAway"` // longest pause a client heeds; 0 where clients take no advice
-	SupportsCancel     bool      `json:"Cancels"`
-	MarksRetries       bool      `json:"MarksRepeats"` // clients say when they ask again
-	EndpointsOnRequest bool      `json:"ListOnRequest"`
-	SlowStartInitial   float64   `json:"ColdFrom"` // share of its capacity with which a server starts
-	SlowStartDuration  Micros    `json:"Cold"`     // and the time after which it has all of it
-	OverloadWindow     Micros    `json:"Fall"`
-	OverloadFactor     float64   `json:"FallMultiple"`
-	KeepAlive          Micros    `json:"KeepAlive"` // an idle copy stays at least this long
-	LoadCommands       bool      `json:"Orders"`
-	LoadRateWindow     Micros    `json:"LoadWindow"` // of the ration of orders to load; 0: no ration
-	LoadRateBase       float64   `json:"LoadFree"`
-	LoadRatePerRequest float64   `json:"LoadShare"`
-	MaxCommandDelay    Micros    `json:"Late"`        // how long after it was chosen an order may be written, at most
-	LoadsOnMiss        bool      `json:"LoadsOnMiss"` // a job loads its function where it is missing
+	Quotas             []float64 `json:"Shares"`        // by tenant: requests per second, over all routers together
+	MaxAttempts        int       `json:"MaxExecutions"` // per request
+	MaxRetryAfter      Micros    `json:"MaxStayAway"`   // longest Retry-After that clients heed; 0: they ignore it
+	SupportsCancel     bool      `json:"Cancels"`       // servers can cancel attempts
+	MarksRetries       bool      `json:"MarksRepeats"`  // clients mark their retries
+	EndpointsOnRequest bool      `json:"ListOnRequest"` // the endpoint list comes only after a subscription, see Maintenance
+	SlowStartInitial   float64   `json:"ColdFrom"`      // fraction of its capacity that a server starts with
+	SlowStartDuration  Micros    `json:"Cold"`          // time until a started server has full capacity
+	OverloadWindow     Micros    `json:"Fall"`          // window of the limit on attempts at servers in slow start
+	OverloadFactor     float64   `json:"FallMultiple"`  // that limit, as a multiple of the server's present capacity
+	KeepAlive          Micros    `json:"KeepAlive"`     // shortest time that an idle replica stays loaded
+	LoadCommands       bool      `json:"Orders"`        // servers accept load commands
+	LoadRateWindow     Micros    `json:"LoadWindow"`    // window of the load-rate limit; 0: no limit
+	LoadRateBase       float64   `json:"LoadFree"`      // load commands allowed per window
+	LoadRatePerRequest float64   `json:"LoadShare"`     // and in addition for each request admitted within it
+	MaxCommandDelay    Micros    `json:"Late"`          // longest time from choosing a load command to writing it
+	LoadsOnMiss        bool      `json:"LoadsOnMiss"`   // a server loads a missing function when a request for it arrives
 }
 
-// Endpoint is what the list says of one server.
+// Endpoint is the endpoint list's entry for one server.
 type Endpoint struct {
 	Server    ServerID    `json:"Server"`
 	State     ServerState `json:"State"`
 	Zone      ZoneID      `json:"Zone"`
 	Cell      CellID      `json:"Cell"`
-	Weight    float64     `json:"Power"`
-	StartedAt Micros      `json:"Born"` // 0: long ago
+	Weight    float64     `json:"Power"` // relative size of the server
+	StartedAt Micros      `json:"Born"`  // 0: long ago
 }
 
-// ServerState is a server's state on the list.
+// ServerState is a server's state in the endpoint list.
 type ServerState uint8
 
-// The states.
+// The server states.
 const (
 	Removed ServerState = iota
 	Draining
 	Ready
 )
 
-// UpdateKind tells what a message about the list holds.
+// UpdateKind is what an update of the endpoint list holds.
 type UpdateKind uint8
 
-// The kinds: what the router had when it last ran, everything, changes only, nothing.
+// The update kinds: the list saved by an earlier incarnation of the router, the whole list, only the changed
+// endpoints, or nothing because the subscription failed.
 const (
 	CachedUpdate UpdateKind = iota
 	FullUpdate
@@ -90,10 +92,10 @@
 	FailedUpdate
 )
 
-// Result is how an execution, an order or a probe ended.
+// Result is how an attempt, a load command or a probe request ended.
 type Result uint8
 
-// The results. Full, NoConnection, NeverSent and Missing prove that the job did not run.
+// The results. Overloaded, ConnectFailed, NotSent and NotLoaded prove that the request did not run.
 const (
 	Succeeded Result = iota
 	Failed
@@ -106,10 +108,10 @@
 	NotLoaded
 )
 
-// CacheStatus is what an answer tells of the copy that it met.
+// CacheStatus is what a response says about the replica that the request found.
 type CacheStatus uint8
 
-// The findings.
+// The cache statuses.
 const (
 	CacheUnknown CacheStatus = iota
 	CacheHit
@@ -118,14 +120,14 @@
 	CacheLoadFailed
 )
 
-// LoadReport is a server's load report; a negative value was not reported.
+// LoadReport is a server's report of its load. A negative value was not reported.
 type LoadReport struct {
-	Utilization  float64 `json:"Util"`   // share of its cores in use
-	PendingLoads float64 `json:"Loads"`  // loads under way or waiting
-	PinnedMemory float64 `json:"Pinned"` // share of its memory that can't be freed
+	Utilization  float64 `json:"Util"`   // fraction of its cores in use
+	PendingLoads float64 `json:"Loads"`  // loads running or queued
+	PinnedMemory float64 `json:"Pinned"` // fraction of its memory that can't be freed
 }
 
-// Outcome is the end of one execution.
+// Outcome is how one attempt ended. It is the input of Balancer.HandleOutcome.
 type Outcome struct {
 	Attempt     AttemptID   `cbor:"Execution"`
 	Server      ServerID    `cbor:"Server"`
@@ -136,10 +138,11 @@
 	Report      *LoadReport `cbor:"Report"`
 }
 
-// Action is what is to be done with a job.
+// Action is what the caller does with a request.
 type Action uint8
 
-// The verbs. Nothing: the job is over, or an execution is still out.
+// The actions. NoAction means that the request is done or an attempt is still in flight. Reject tells the client that
+// it may retry safely; Fail does not.
 const (
 	NoAction Action = iota
 	Forward
@@ -148,34 +151,35 @@
 	Fail
 )
 
-// Decision answers where a job goes, or not yet, or never.
+// Decision is the balancer's answer for one request: where it goes, or that it is held, or that it ends.
 type Decision struct {
 	Action       Action        `json:"Verb"`
 	Server       ServerID      `json:"Server"`   // of Send
-	Timeout      Micros        `json:"Allow"`    // of Send: the execution's time-out
-	Rank         Micros        `json:"Rank"`     // of Hold: lowest leaves first
-	RecheckAt    Micros        `json:"Again"`    // of Hold: ask again then at the latest
-	RetryAfter   Micros        `json:"StayAway"` // of PushBack: advice to the client
-	LoadCommands []LoadCommand `json:"Orders"`   // to be given before the job goes
+	Timeout      Micros        `json:"Allow"`    // of Forward: the attempt's timeout
+	Rank         Micros        `json:"Rank"`     // of Hold: lower ranks leave first
+	RecheckAt    Micros        `json:"Again"`    // of Hold: call Route again at this time at the latest
+	RetryAfter   Micros        `json:"StayAway"` // of Reject: advice to the client
+	LoadCommands []LoadCommand `json:"Orders"`   // to be sent before the request
 }
 
-// LoadCommand tells a server to hold copies of a function; with none it only asks how many stand.
+// LoadCommand asks a server to hold a number of replicas of a function. With 0 replicas it only asks how many are
+// loaded.
 type LoadCommand struct {
 	Server   ServerID   `json:"Server"`
 	Function FunctionID `json:"Function"`
 	Replicas int        `json:"Copies"`
 }
 
-// Cancellation names an execution to call off.
+// Cancellation names an attempt to cancel.
 type Cancellation struct {
 	Request RequestID `json:"Job"`
 	Attempt AttemptID `json:"Execution"`
 }
 
-// Maintenance answers how long to wait, and what falls due now beside the jobs.
+// Maintenance is the result of Balancer.Maintain: the time of the next call, and what is due now besides requests.
 type Maintenance struct {
 	Next               Micros
 	Cancellations      []Cancellation
 	SubscribeEndpoints bool
-	LogLines           []string // for the log
+	LogLines           []string
 }
