--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -10,34 +10,34 @@
 // UpdateEndpoints applies an update of the endpoint list. A later StartedAt than the known one means that the server
 // restarted: it holds no replicas and is in slow start. A failed update keeps the list and makes Maintain ask for a
 // new subscription.
-func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, list []Endpoint) {
+func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, endpoints []Endpoint) {
 	if kind == FailedUpdate {
 		r.subscribed = false
 		return
 	}
-	before := r.index.listedAt
+	previous := r.index.listedAt
 	r.index.listedAt = now
 	if kind != IncrementalUpdate {
 		for _, s := range r.servers {
 			s.listed = false
 		}
 	}
-	for _, l := range list {
-		i, known := r.find(l.Server)
+	for _, ep := range endpoints {
+		i, known := r.find(ep.Server)
 		if !known {
-			r.addServer(i, &server{Endpoint: Endpoint{Server: l.Server}, lastAnswer: now})
+			r.addServer(i, &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now})
 		}
 		s := r.servers[i]
-		if known && l.StartedAt > s.StartedAt {
-			r.dropInstances(s, l.StartedAt)
+		if known && ep.StartedAt > s.StartedAt {
+			r.dropInstances(s, ep.StartedAt)
 			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
 		}
-		s.Endpoint, s.listed = l, true
+		s.Endpoint, s.listed = ep, true
 	}
 	if kind == IncrementalUpdate {
-		for _, l := range list {
-			i, _ := r.find(l.Server)
-			r.reindexServer(before, r.servers[i])
+		for _, ep := range endpoints {
+			i, _ := r.find(ep.Server)
+			r.reindexServer(previous, r.servers[i])
 		}
 		return
 	}
@@ -45,15 +45,15 @@
 		if !s.listed {
 			s.State = Removed
 		}
-		r.reindexServer(before, s)
+		r.reindexServer(previous, s)
 	}
 }
 
 // dropInstances drops what is believed of a server's replicas from before its start, because a restarted server holds
 // none.
-func (r *Balancer) dropInstances(s *server, born Micros) {
+func (r *Balancer) dropInstances(s *server, startedAt Micros) {
 	for _, f := range s.functions {
-		if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < born {
+		if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < startedAt {
 			in.replicas, in.loading = 0, 0
 		}
 	}
@@ -105,11 +105,11 @@
 // for one.
 func (s *server) pendingLoads() int {
 	n := 0
-	for i, fl := range s.inFlight {
+	for i, a := range s.inFlight {
 		same := func(other inFlightAttempt) bool {
-			return !other.toLoaded && other.request.Function == fl.request.Function
+			return !other.toLoaded && other.request.Function == a.request.Function
 		}
-		if !fl.toLoaded && !slices.ContainsFunc(s.inFlight[:i], same) {
+		if !a.toLoaded && !slices.ContainsFunc(s.inFlight[:i], same) {
 			n++
 		}
 	}
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -10,37 +10,37 @@
 // execTime estimates a function's execution time: the request's hint, else the mean of the latest answers from loaded
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
 // uses those of the request's class.
-func (r *Balancer) execTime(f *function, j *Request) Micros {
-	if j.Work > 0 {
-		return j.Work
+func (r *Balancer) execTime(f *function, req *Request) Micros {
+	if req.Work > 0 {
+		return req.Work
 	}
-	const enough = 3 // a mean of fewer depends too much on single requests
+	const minSamples = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
-	if s.n < enough {
-		if s = &r.execTimes[j.Class]; s.n < enough {
+	if s.n < minSamples {
+		if s = &r.execTimes[req.Class]; s.n < minSamples {
 			// Before any answer: a guess that makes B 3.
-			return r.deployment.Classes[j.Class].LatencyObjective / 4
+			return r.deployment.Classes[req.Class].LatencyObjective / 4
 		}
 	}
 	sorted := s.since(0)
-	far := 4 * quantile(sorted, 0.5) // an exponential distribution has 1 in 16 beyond 4 medians
-	n, _ := slices.BinarySearch(sorted, far+1)
+	cutoff := 4 * quantile(sorted, 0.5) // an exponential distribution has 1 in 16 beyond 4 medians
+	n, _ := slices.BinarySearch(sorted, cutoff+1)
 	return max(1, mean(sorted[:n]))
 }
 
 // loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
 // objective of the first class. The request may be nil.
-func (r *Balancer) loadTime(j *Request) Micros {
-	if j != nil && j.LoadTime > 0 {
-		return j.LoadTime
+func (r *Balancer) loadTime(req *Request) Micros {
+	if req != nil && req.LoadTime > 0 {
+		return req.LoadTime
 	}
 	return cmp.Or(r.loadTimes.mean(0), r.deployment.Classes[0].LatencyObjective)
 }
 
 // latencyObjective returns a request's latency objective, which may grow with its execution time.
-func (r *Balancer) latencyObjective(j *Request, exec Micros) Micros {
-	w := r.deployment.Classes[j.Class]
-	return w.LatencyObjective + Micros(w.ObjectivePerWork*float64(exec))
+func (r *Balancer) latencyObjective(req *Request, exec Micros) Micros {
+	class := r.deployment.Classes[req.Class]
+	return class.LatencyObjective + Micros(class.ObjectivePerWork*float64(exec))
 }
 
 // samples is a ring of the latest measurements and their times.
@@ -57,14 +57,14 @@
 
 // since returns the measurements taken at t or later, in ascending order.
 func (s *samples) since(t Micros) []Micros {
-	var vs []Micros
+	var values []Micros
 	for i := range min(s.n, len(s.v)) {
 		if s.at[i] >= t {
-			vs = append(vs, s.v[i])
+			values = append(values, s.v[i])
 		}
 	}
-	slices.Sort(vs)
-	return vs
+	slices.Sort(values)
+	return values
 }
 
 // mean returns the mean of the measurements taken at t or later; 0 if there are none.
--- a/control/instances.go
+++ b/control/instances.go
@@ -52,14 +52,14 @@
 
 // function returns the entry for the request's function, which it adds if needed, and records the request as its
 // latest.
-func (r *Balancer) function(j *Request) *function {
-	f := r.functions[j.Function]
+func (r *Balancer) function(req *Request) *function {
+	f := r.functions[req.Function]
 	if f == nil {
-		f = &function{id: j.Function}
-		r.functions[j.Function] = f
+		f = &function{id: req.Function}
+		r.functions[req.Function] = f
 		r.functionOrder = append(r.functionOrder, f)
 	}
-	f.lanes, f.lastRequest = max(1, j.Lanes), j
+	f.lanes, f.lastRequest = max(1, req.Lanes), req
 	return f
 }
 
--- a/control/learned.go
+++ b/control/learned.go
@@ -6,24 +6,29 @@
 // else. Limits count whatever their age; load commands and attempts with a time in the future, after the clock was set
 // back, count as of now, since they may be recent. Beliefs about replicas expire as they would have without the
 // restart. Execution and load times are not part of it (docs/memory.md).
-func (r *Balancer) ApplyLearned(now Micros, m *LearnedState) {
-	const lately = 60_000_000 // six times as long as answers count, see updateAnswerRate
-	r.loadCommands, r.admitted = clampTo(m.LoadCommands, now), dropAfter(m.Admitted, now)
-	if now >= m.SavedAt && now < m.SavedAt+lately {
-		r.answers, r.startedAt = dropAfter(m.Answers, now), min(now, m.StartedAt)
+func (r *Balancer) ApplyLearned(now Micros, state *LearnedState) {
+	const recently = 60_000_000 // six times as long as answers count, see updateAnswerRate
+	r.loadCommands, r.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
+	if now >= state.SavedAt && now < state.SavedAt+recently {
+		r.answers, r.startedAt = dropAfter(state.Answers, now), min(now, state.StartedAt)
 	}
-	for i := range min(len(r.quotaDebt), len(m.QuotaDebt)) {
-		r.quotaDebt[i] = min(m.QuotaDebt[i], now+2_000_000) // see exceedsQuota
+	for i := range min(len(r.quotaDebt), len(state.QuotaDebt)) {
+		r.quotaDebt[i] = min(state.QuotaDebt[i], now+2_000_000) // see exceedsQuota
 	}
-	for _, v := range m.Servers {
-		r.servers = append(r.servers, &server{Endpoint: Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)}, lastListed: now,
-			lastAnswer: now, slowStartSends: clampTo(v.SlowStartSends, now)})
+	for _, v := range state.Servers {
+		r.servers = append(r.servers, &server{
+			Endpoint:       Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)},
+			lastListed:     now,
+			lastAnswer:     now,
+			slowStartSends: clampTo(v.SlowStartSends, now),
+		})
 	}
-	for _, v := range m.Functions {
+	for _, v := range state.Functions {
 		f := r.function(&Request{Function: v.ID, Lanes: v.Lanes})
 		for _, c := range v.Instances {
 			if i, known := r.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
-				in := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed, loading: c.Loading, loadingSince: c.LoadingSince}
+				in := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
+					loading: c.Loading, loadingSince: c.LoadingSince}
 				if r.loaded(now, &in) || r.loading(now, &in) {
 					*f.instanceOn(in.server, true) = in
 				}
@@ -72,40 +77,48 @@
 // LearnedState returns what is worth saving. It leaves out functions without a replica that is believed loaded or
 // loading. The result shares no memory with the balancer.
 func (r *Balancer) LearnedState(now Micros) *LearnedState {
-	m := &LearnedState{SavedAt: now, StartedAt: r.startedAt, QuotaDebt: slices.Clone(r.quotaDebt), LoadCommands: slices.Clone(r.loadCommands),
-		Admitted: slices.Clone(r.admitted), Answers: slices.Clone(r.answers)}
+	state := &LearnedState{
+		SavedAt:      now,
+		StartedAt:    r.startedAt,
+		QuotaDebt:    slices.Clone(r.quotaDebt),
+		LoadCommands: slices.Clone(r.loadCommands),
+		Admitted:     slices.Clone(r.admitted),
+		Answers:      slices.Clone(r.answers),
+	}
 	for _, s := range r.servers {
-		m.Servers = append(m.Servers, LearnedServer{s.Server, s.StartedAt, slices.Clone(dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow))})
+		sends := dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow)
+		state.Servers = append(state.Servers, LearnedServer{s.Server, s.StartedAt, slices.Clone(sends)})
 	}
 	for _, f := range r.functionOrder {
-		v := LearnedFunction{ID: f.id, Lanes: f.lanes}
+		learned := LearnedFunction{ID: f.id, Lanes: f.lanes}
 		for _, in := range f.instances {
 			if r.loaded(now, in) || r.loading(now, in) {
-				v.Instances = append(v.Instances, LearnedInstance{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince})
+				learned.Instances = append(learned.Instances,
+					LearnedInstance{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince})
 			}
 		}
-		if len(v.Instances) > 0 {
-			m.Functions = append(m.Functions, v)
+		if len(learned.Instances) > 0 {
+			state.Functions = append(state.Functions, learned)
 		}
 	}
-	return m
+	return state
 }
 
 // clampTo returns the times in ascending order, with later ones than latest replaced by it.
-func clampTo(ts []Micros, latest Micros) []Micros {
-	ts = slices.Clone(ts)
-	for i := range ts {
-		ts[i] = min(ts[i], latest)
+func clampTo(times []Micros, latest Micros) []Micros {
+	times = slices.Clone(times)
+	for i := range times {
+		times[i] = min(times[i], latest)
 	}
-	slices.Sort(ts)
-	return ts
+	slices.Sort(times)
+	return times
 }
 
 // dropAfter returns the times in ascending order without those after latest.
-func dropAfter(ts []Micros, latest Micros) []Micros {
-	ts = slices.DeleteFunc(slices.Clone(ts), func(t Micros) bool { return t > latest })
-	slices.Sort(ts)
-	return ts
+func dropAfter(times []Micros, latest Micros) []Micros {
+	times = slices.DeleteFunc(slices.Clone(times), func(t Micros) bool { return t > latest })
+	slices.Sort(times)
+	return times
 }
 
 // dropBefore returns ascending times without those before t. It shares memory with its argument.
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -10,9 +10,9 @@
 // Maintain does what is due by time: ejection of silent servers, replica checks, pruning. It returns the time of the
 // next call, and the cancellations and log lines since the last one.
 func (r *Balancer) Maintain(now Micros) Maintenance {
-	up := Maintenance{Next: now + maintenanceInterval}
+	m := Maintenance{Next: now + maintenanceInterval}
 	if r.deployment.EndpointsOnRequest && !r.subscribed {
-		r.subscribed, up.SubscribeEndpoints = true, true
+		r.subscribed, m.SubscribeEndpoints = true, true
 	}
 	r.updateAnswerRate(now)
 	r.ejectSilentServers(now)
@@ -22,38 +22,38 @@
 		f.waiting = f.held > 0
 		return !f.waiting
 	})
-	up.Cancellations, up.LogLines, r.cancellations, r.logLines = r.cancellations, r.logLines, nil, nil
-	return up
+	m.Cancellations, m.LogLines, r.cancellations, r.logLines = r.cancellations, r.logLines, nil, nil
+	return m
 }
 
 // prune forgets what has long been idle, so that a router can run for months: with many functions known, those with
 // nothing held or in flight and no replica believed loaded or loading; and servers that left the endpoint list long
 // ago.
 func (r *Balancer) prune(now Micros) {
-	const many = 1 << 14  // about 20 MB; checking all of them takes a fraction of a millisecond
-	const batch = 1 << 11 // functions checked in one call: more than a router gets requests for new ones in the interval
-	if len(r.functionOrder) > many {
+	const maxFunctions = 1 << 14 // about 20 MB; checking all of them takes a fraction of a millisecond
+	const batch = 1 << 11        // functions checked per call: more than a router gets requests in the interval
+	if len(r.functionOrder) > maxFunctions {
 		from := r.pruned % len(r.functionOrder)
 		to := min(len(r.functionOrder), from+batch)
 		kept := slices.DeleteFunc(r.functionOrder[from:to:to], func(f *function) bool {
-			gone := r.idle(now, f)
-			if gone {
+			forget := r.idle(now, f)
+			if forget {
 				delete(r.functions, f.id)
 				for _, in := range f.instances {
 					in.server.removeFunction(f)
 				}
 			}
-			return gone
+			return forget
 		})
 		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
 		r.pruned = from + len(kept)
 	}
-	const long = 600_000_000 // longer than a rolling restart or an outage of discovery
-	gone, due := r.index.removed, 0
-	for due < len(gone) && now >= gone[due].lastListed+long {
-		due++
+	const retention = 600_000_000 // longer than a rolling restart or an outage of discovery
+	removed, expired := r.index.removed, 0
+	for expired < len(removed) && now >= removed[expired].lastListed+retention {
+		expired++
 	}
-	kept := slices.DeleteFunc(gone[:due:due], func(s *server) bool {
+	kept := slices.DeleteFunc(removed[:expired:expired], func(s *server) bool {
 		if len(s.inFlight) > 0 {
 			return false
 		}
@@ -63,7 +63,7 @@
 		r.removeServer(s)
 		return true
 	})
-	r.index.removed = slices.Delete(gone, len(kept), due)
+	r.index.removed = slices.Delete(removed, len(kept), expired)
 	r.index.dropQuestionable(func(s *server) bool { return !s.ejected && now >= s.backoffUntil })
 }
 
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,18 +6,18 @@
 // attempts. It guards against machines that hang or vanish without closing connections. If most busy servers are
 // overdue, the cause lies elsewhere and none is ejected.
 func (r *Balancer) ejectSilentServers(now Micros) {
-	limit := 4 * quantile(r.latencies.since(0), 0.9)
-	if limit == 0 {
+	latencyLimit := 4 * quantile(r.latencies.since(0), 0.9)
+	if latencyLimit == 0 {
 		return
 	}
 	var silent []*server
 	for _, s := range r.index.busy {
-		for _, fl := range s.inFlight {
-			allowed := limit
-			if !fl.toLoaded && !s.ejected {
-				allowed += 3 * r.loadTime(fl.request)
+		for _, a := range s.inFlight {
+			timeout := latencyLimit
+			if !a.toLoaded && !s.ejected {
+				timeout += 3 * r.loadTime(a.request)
 			}
-			if now-max(fl.sentAt, s.lastAnswer) > allowed {
+			if now-max(a.sentAt, s.lastAnswer) > timeout {
 				silent = append(silent, s)
 				break
 			}
@@ -28,16 +28,16 @@
 	}
 	for _, s := range silent {
 		r.eject(now, s, "owes answers")
-		for _, fl := range s.inFlight {
-			r.cancelAttempt(fl.request, fl.attempt)
+		for _, a := range s.inFlight {
+			r.cancelAttempt(a.request, a.attempt)
 		}
 	}
 }
 
 // eject marks a server as ejected and schedules its next probe request.
-func (r *Balancer) eject(now Micros, s *server, why string) {
+func (r *Balancer) eject(now Micros, s *server, reason string) {
 	if !s.ejected {
-		r.logf("server %x is suspect: %s", s.Server, why)
+		r.logf("server %x is suspect: %s", s.Server, reason)
 	}
 	s.ejected, s.ejections = true, s.ejections+1
 	s.probeAt = now + r.probeInterval(s)
@@ -78,11 +78,11 @@
 
 // EjectedServers returns the ids of the servers that are ejected now.
 func (r *Balancer) EjectedServers() map[ServerID]bool {
-	suspects := map[ServerID]bool{}
+	ejected := map[ServerID]bool{}
 	for _, s := range r.servers {
 		if s.ejected {
-			suspects[s.Server] = true
+			ejected[s.Server] = true
 		}
 	}
-	return suspects
+	return ejected
 }
--- a/control/overload.go
+++ b/control/overload.go
@@ -9,13 +9,13 @@
 //
 // Its cost: consecutive heavy requests look like a queue and lower the limit.
 func (r *Balancer) adaptConcurrencyLimit(now Micros, s *server, strain Micros) {
-	const most = 400      // thousandths: leaves the rest of the slack for holding and for variance
-	const narrower = 0.75 // shrinks a queue within a few answers' time
+	const maxStrain = 400 // thousandths: leaves the rest of the slack for holding and for variance
+	const decrease = 0.75 // shrinks a queue within a few answers' time
 	s.queueing.add(now, strain)
 	r.queueing.add(now, strain)
 	s.concurrencyLimit = max(0.5, s.concurrencyLimit)
-	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > most {
-		s.concurrencyLimit = max(1, min(s.concurrencyLimit, float64(s.running+1))*narrower)
+	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > maxStrain {
+		s.concurrencyLimit = max(1, min(s.concurrencyLimit, float64(s.running+1))*decrease)
 		// The effect shows only in answers to attempts sent from now on.
 		s.limitLoweredAt = now + quantile(r.latencies.since(0), 0.5)
 	} else if float64(s.running+2) >= s.concurrencyLimit && now >= s.limitLoweredAt {
@@ -30,9 +30,10 @@
 func (r *Balancer) overloaded(now Micros, s *server) bool {
 	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
 	// at once. Lower bounds brought no gain.
-	told := s.reportedAt > 0 && now < s.reportedAt+r.freshFor && (s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
+	reported := s.reportedAt > 0 && now < s.reportedAt+r.freshFor &&
+		(s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
 	// 250: a quarter of the slack, which performed better than two fifths.
-	return r.freshFor > rareAnswers && (told || s.queueing.mean(now-r.freshFor) > 250)
+	return r.freshFor > rareAnswers && (reported || s.queueing.mean(now-r.freshFor) > 250)
 }
 
 // mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all
@@ -40,14 +41,14 @@
 // too rare for concurrency limits to adapt.
 func (r *Balancer) mustShed(now Micros) bool {
 	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
-	over := quantile(r.queueing.since(now-r.freshFor/2), 0.5) - 250
-	return r.freshFor > rareAnswers && Micros(r.random.below(1000)) < min(over, 500)
+	excess := quantile(r.queueing.since(now-r.freshFor/2), 0.5) - 250
+	return r.freshFor > rareAnswers && Micros(r.random.below(1000)) < min(excess, 500)
 }
 
 // noteShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
 // checkReplicas.
-func (r *Balancer) noteShed(now, whole Micros, f *function) {
-	f.delays.add(now, whole)
+func (r *Balancer) noteShed(now, slack Micros, f *function) {
+	f.delays.add(now, slack)
 	f.shed.add(now, 1)
 	if !f.waiting {
 		f.waiting, r.waiting = true, append(r.waiting, f)
@@ -57,12 +58,12 @@
 // updateAnswerRate updates answerRate, the answers per second that this router gets from a server at full capacity,
 // and freshFor, how long an observation of a server stays valid: about the time until its next answer is due.
 func (r *Balancer) updateAnswerRate(now Micros) {
-	const over = 10_000_000 // some tens of answers, even if a router gets only a few requests per second
-	r.answers = dropBefore(r.answers, now-over)
+	const window = 10_000_000 // some tens of answers, even if a router gets only a few requests per second
+	r.answers = dropBefore(r.answers, now-window)
 	// Includes ejected and overloaded servers: leaving them out would make the rest look more capable.
 	servers := r.totalCapacity(now)
-	seen := min(over, max(over/10, now-r.startedAt)) // shorter if the router just started
-	r.answerRate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
+	observed := min(window, max(window/10, now-r.startedAt)) // shorter if the router just started
+	r.answerRate = float64(len(r.answers)) * 1e6 / float64(observed) / max(1, servers)
 	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -25,7 +25,7 @@
 	ArrivedAt       Micros     `json:"Arrived"`
 	Deadline        Micros     `json:"Patience"` // when its client gives up
 	IsRetry         bool       `json:"Repeat"`   // its client marked it as a retry
-	RetriesUnmarked bool       `json:"Unmarked"` // its client never marks retries, whatever Deployment.MarksRetries says
+	RetriesUnmarked bool       `json:"Unmarked"` // its client never does, see Deployment.MarksRetries
 
 	Attempts    []Attempt `json:"Executions"`
 	heldSince   Micros
--- a/control/retries.go
+++ b/control/retries.go
@@ -6,8 +6,8 @@
 
 // SafeToRetryAnywhere reports whether a request that may have run can be sent again to any router and server without
 // harm.
-func (w Class) SafeToRetryAnywhere() bool {
-	return w.Effect == Idempotent || w.Effect == IdempotentByKey && w.Scope == WholeFleet
+func (c Class) SafeToRetryAnywhere() bool {
+	return c.Effect == Idempotent || c.Effect == IdempotentByKey && c.Scope == WholeFleet
 }
 
 // ProvesNotRun reports whether the result proves that the request did not run.
@@ -17,35 +17,37 @@
 
 // HandleOutcome records how an attempt ended and decides what happens to its request. It returns NoAction for an
 // attempt that is already done, a server that is not known, and a request that is done.
-func (r *Balancer) HandleOutcome(now Micros, j *Request, o Outcome) Decision {
-	e := &j.Attempts[o.Attempt]
+func (r *Balancer) HandleOutcome(now Micros, req *Request, o Outcome) Decision {
+	attempt := &req.Attempts[o.Attempt]
 	i, known := r.find(o.Server)
-	if e.Done || !known {
+	if attempt.Done || !known {
 		return Decision{Action: NoAction}
 	}
-	f, s := r.function(j), r.servers[i]
+	f, s := r.function(req), r.servers[i]
 	in := f.instanceOn(s, true)
-	e.Done = true
-	e.MayHaveRun = !o.Result.ProvesNotRun()
+	attempt.Done = true
+	attempt.MayHaveRun = !o.Result.ProvesNotRun()
 	in.inFlight = max(0, in.inFlight-1)
-	if e.toLoaded {
+	if attempt.toLoaded {
 		s.running--
 	}
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(fl inFlightAttempt) bool { return fl.request == j && fl.attempt == o.Attempt })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(a inFlightAttempt) bool {
+		return a.request == req && a.attempt == o.Attempt
+	})
 	if len(s.inFlight) == 0 {
 		r.index.busy = deleteSorted(r.index.busy, s, byID)
 	}
-	r.recordOutcome(now, f, in, j, o)
+	r.recordOutcome(now, f, in, req, o)
 	if o.RequestDone {
-		r.Cancel(now, j)
+		r.Cancel(now, req)
 		return Decision{Action: NoAction}
 	}
-	return r.Route(now, j)
+	return r.Route(now, req)
 }
 
 // recordOutcome updates what is believed of the instance and its server, and the estimates.
-func (r *Balancer) recordOutcome(now Micros, f *function, in *instance, j *Request, o Outcome) {
-	s, e := in.server, &j.Attempts[o.Attempt]
+func (r *Balancer) recordOutcome(now Micros, f *function, in *instance, req *Request, o Outcome) {
+	s, attempt := in.server, &req.Attempts[o.Attempt]
 	f.blockedAt = 0
 	if o.Report != nil {
 		s.report, s.reportedAt = *o.Report, now
@@ -60,8 +62,8 @@
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
 		in.replicas, in.loading = 0, 0
 	// A server that fails fast would otherwise look emptier and emptier.
-	case o.Result == Overloaded || o.Result == Failed && e.toLoaded:
-		if !e.toLoaded {
+	case o.Result == Overloaded || o.Result == Failed && attempt.toLoaded:
+		if !attempt.toLoaded {
 			in.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
@@ -76,13 +78,13 @@
 	case o.Result == Succeeded:
 		r.answers, s.rejections = append(r.answers, now), 0
 		in.lastUsed = now
-		exec := r.execTime(f, j)
-		if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && e.toLoaded {
+		exec := r.execTime(f, req)
+		if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && attempt.toLoaded {
 			f.execTimes.add(now, o.Duration)
-			r.execTimes[j.Class].add(now, o.Duration)
-			r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(j, exec)-exec))
+			r.execTimes[req.Class].add(now, o.Duration)
+			r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(req, exec)-exec))
 			r.latencies.add(now, o.Duration)
-			f.delays.add(now, j.heldFor+max(0, o.Duration-exec))
+			f.delays.add(now, req.heldFor+max(0, o.Duration-exec))
 		} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
 			// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
 			r.loadTimes.add(now, max(1, o.Duration-exec))
@@ -97,13 +99,15 @@
 // one of them may have run, the request must be idempotent; if it is idempotent by key, the server must be in the
 // scope of the earlier attempt, and within the window in which that scope remembers the key, less a margin for the
 // network.
-func (r *Balancer) mayRetry(now Micros, j *Request, s *server) bool {
-	w := r.deployment.Classes[j.Class]
-	const travel = 50_000 // far longer than the way from a router to a server
-	for _, e := range j.Attempts {
-		outside := s != nil && (w.Scope == OneZone && e.Zone != s.Zone || w.Scope == OneCell && e.Cell != s.Cell)
-		forgotten := now+travel >= e.SentAt+w.Window
-		if e.MayHaveRun && (w.Effect == NonIdempotent || w.Effect == IdempotentByKey && (outside || forgotten)) {
+func (r *Balancer) mayRetry(now Micros, req *Request, s *server) bool {
+	class := r.deployment.Classes[req.Class]
+	const networkMargin = 50_000 // far longer than the way from a router to a server
+	for _, a := range req.Attempts {
+		outOfScope := s != nil &&
+			(class.Scope == OneZone && a.Zone != s.Zone || class.Scope == OneCell && a.Cell != s.Cell)
+		expired := now+networkMargin >= a.SentAt+class.Window
+		if a.MayHaveRun &&
+			(class.Effect == NonIdempotent || class.Effect == IdempotentByKey && (outOfScope || expired)) {
 			return false
 		}
 	}
@@ -111,9 +115,9 @@
 }
 
 // giveUp ends a request. It rejects it if the client can retry it safely, else it fails it.
-func (r *Balancer) giveUp(j *Request) Decision {
-	for _, e := range j.Attempts {
-		if e.MayHaveRun && !r.deployment.Classes[j.Class].SafeToRetryAnywhere() {
+func (r *Balancer) giveUp(req *Request) Decision {
+	for _, a := range req.Attempts {
+		if a.MayHaveRun && !r.deployment.Classes[req.Class].SafeToRetryAnywhere() {
 			return Decision{Action: Fail}
 		}
 	}
@@ -121,21 +125,21 @@
 }
 
 // Cancel records that a request is done, and cancels its attempts in flight.
-func (r *Balancer) Cancel(now Micros, j *Request) {
-	if j.held {
-		j.held = false
-		r.function(j).held--
+func (r *Balancer) Cancel(now Micros, req *Request) {
+	if req.held {
+		req.held = false
+		r.function(req).held--
 	}
-	for i, e := range j.Attempts {
-		if !e.Done {
-			r.cancelAttempt(j, AttemptID(i))
+	for i, a := range req.Attempts {
+		if !a.Done {
+			r.cancelAttempt(req, AttemptID(i))
 		}
 	}
 }
 
 // cancelAttempt queues the cancellation of an attempt, once, if the deployment supports that. Maintain returns it.
-func (r *Balancer) cancelAttempt(j *Request, no AttemptID) {
-	if e := &j.Attempts[no]; r.deployment.SupportsCancel && !e.cancelling {
-		e.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{j.ID, no})
+func (r *Balancer) cancelAttempt(req *Request, id AttemptID) {
+	if a := &req.Attempts[id]; r.deployment.SupportsCancel && !a.cancelling {
+		a.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{req.ID, id})
 	}
 }
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -129,25 +129,25 @@
 }
 
 // Snapshot returns the request with the balancer's state for it.
-func (j *Request) Snapshot() RequestSnapshot {
-	s := RequestSnapshot{Request: *j, HeldSince: j.heldSince, HeldFor: j.heldFor, Held: j.held, Admitted: j.admitted, FirstSentAt: j.firstSentAt, OverQuota: j.overQuota}
+func (req *Request) Snapshot() RequestSnapshot {
+	s := RequestSnapshot{Request: *req, HeldSince: req.heldSince, HeldFor: req.heldFor, Held: req.held, Admitted: req.admitted, FirstSentAt: req.firstSentAt, OverQuota: req.overQuota}
 	s.Request.Attempts = nil
-	for _, e := range j.Attempts {
-		s.Attempts = append(s.Attempts, AttemptSnapshot{e, e.toLoaded, e.cancelling})
+	for _, a := range req.Attempts {
+		s.Attempts = append(s.Attempts, AttemptSnapshot{a, a.toLoaded, a.cancelling})
 	}
 	return s
 }
 
 // Restore returns the request that the snapshot was taken of.
 func (s RequestSnapshot) Restore() Request {
-	j := s.Request
-	j.heldSince, j.heldFor, j.held, j.admitted, j.firstSentAt, j.overQuota = s.HeldSince, s.HeldFor, s.Held, s.Admitted, s.FirstSentAt, s.OverQuota
-	j.Attempts = nil
-	for _, e := range s.Attempts {
-		e.Attempt.toLoaded, e.Attempt.cancelling = e.ToLoaded, e.Cancelling
-		j.Attempts = append(j.Attempts, e.Attempt)
+	req := s.Request
+	req.heldSince, req.heldFor, req.held, req.admitted, req.firstSentAt, req.overQuota = s.HeldSince, s.HeldFor, s.Held, s.Admitted, s.FirstSentAt, s.OverQuota
+	req.Attempts = nil
+	for _, a := range s.Attempts {
+		a.Attempt.toLoaded, a.Attempt.cancelling = a.ToLoaded, a.Cancelling
+		req.Attempts = append(req.Attempts, a.Attempt)
 	}
-	return j
+	return req
 }
 
 // convertAll returns the results of f for each element.
@@ -179,9 +179,9 @@
 		}), slices.Clone(v.slowStartSends), v.report, v.reportedAt, v.backoffUntil, v.loadsAfter, v.concurrencyLimit, v.running, v.limitLoweredAt, v.queueing.snapshot(),
 			v.ejected, v.probeAt, v.ejections, v.rejections, v.connectionFailures})
 	}
-	place := make(map[*function]int, len(r.functionOrder))
+	position := make(map[*function]int, len(r.functionOrder))
 	for i, f := range r.functionOrder {
-		place[f] = i
+		position[f] = i
 		fs := FunctionSnapshot{ID: f.id, Lanes: f.lanes, LoadsDue: f.loadsDue, ExecTimes: f.execTimes.snapshot(), Delays: f.delays.snapshot(), Shed: f.shed.snapshot(), Held: f.held, Waiting: f.waiting,
 			Recent: f.recent, HeldSince: f.heldSince, BlockedAt: f.blockedAt, Instances: convertAll(f.instances, func(in *instance) InstanceSnapshot {
 				return InstanceSnapshot{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince, in.inFlight}
@@ -192,14 +192,14 @@
 		}
 		s.Functions = append(s.Functions, fs)
 	}
-	at := func(f *function) int { return place[f] }
+	at := func(f *function) int { return position[f] }
 	s.Recent, s.Waiting = convertAll(r.recent, at), convertAll(r.waiting, at)
 	return s
 }
 
 // Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
 // balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
-func Restore(s *Snapshot, jobs map[RequestID]*Request) (*Balancer, error) {
+func Restore(s *Snapshot, requests map[RequestID]*Request) (*Balancer, error) {
 	r := &Balancer{deployment: s.Deployment, random: pcg(s.Random), startedAt: s.StartedAt, functions: map[FunctionID]*function{},
 		quotaDebt: slices.Clone(s.QuotaDebt), latencies: s.Latencies.restore(), loadTimes: s.LoadTimes.restore(), queueing: s.Queueing.restore(),
 		loadCommands: slices.Clone(s.LoadCommands), admitted: slices.Clone(s.Admitted), cancellations: slices.Clone(s.Cancellations), logLines: slices.Clone(s.LogLines),
@@ -212,23 +212,23 @@
 		if i > 0 && s.Servers[i-1].Endpoint.Server >= v.Endpoint.Server {
 			return nil, fmt.Errorf("snapshot: servers are not in ascending order at %d", i)
 		}
-		to := &server{Endpoint: v.Endpoint, listed: v.Listed, lastListed: v.LastListed, lastAnswer: v.LastAnswer, slowStartSends: slices.Clone(v.SlowStartSends), report: v.Report,
+		srv := &server{Endpoint: v.Endpoint, listed: v.Listed, lastListed: v.LastListed, lastAnswer: v.LastAnswer, slowStartSends: slices.Clone(v.SlowStartSends), report: v.Report,
 			reportedAt: v.ReportedAt, backoffUntil: v.BackoffUntil, loadsAfter: v.LoadsAfter, concurrencyLimit: v.ConcurrencyLimit, running: v.Running, limitLoweredAt: v.LimitLoweredAt,
 			queueing: v.Queueing.restore(), ejected: v.Ejected, probeAt: v.ProbeAt, ejections: v.Ejections, rejections: v.Rejections, connectionFailures: v.ConnectionFailures}
 		for _, f := range v.InFlight {
-			j := jobs[f.Request]
-			if j == nil || int(f.Attempt) >= len(j.Attempts) {
+			req := requests[f.Request]
+			if req == nil || int(f.Attempt) >= len(req.Attempts) {
 				return nil, fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", f.Attempt, f.Request)
 			}
-			to.inFlight = append(to.inFlight, inFlightAttempt{j, f.Attempt, f.SentAt, f.ToLoaded})
+			srv.inFlight = append(srv.inFlight, inFlightAttempt{req, f.Attempt, f.SentAt, f.ToLoaded})
 		}
-		r.servers = append(r.servers, to)
+		r.servers = append(r.servers, srv)
 	}
 	for _, v := range s.Functions {
 		f := &function{id: v.ID, lanes: v.Lanes, loadsDue: v.LoadsDue, execTimes: v.ExecTimes.restore(), delays: v.Delays.restore(), shed: v.Shed.restore(), held: v.Held, waiting: v.Waiting, recent: v.Recent,
 			heldSince: v.HeldSince, blockedAt: v.BlockedAt}
 		if v.LastRequest != nil {
-			if f.lastRequest = jobs[v.LastRequest.Request.ID]; f.lastRequest == nil {
+			if f.lastRequest = requests[v.LastRequest.Request.ID]; f.lastRequest == nil {
 				last := v.LastRequest.Restore()
 				f.lastRequest = &last
 			}
--- a/control/trace.go
+++ b/control/trace.go
@@ -83,29 +83,51 @@
 }
 
 // end completes the explanation and hands it to the observer.
-func (t *Trace) end(p Decision) {
-	if t.explanation.Decision = p; t.OnDecision != nil {
+func (t *Trace) end(d Decision) {
+	if t.explanation.Decision = d; t.OnDecision != nil {
 		t.OnDecision(t.explanation)
 	}
 }
 
 // begin starts the explanation with what is believed before the decision. It must not change any state.
-func (t *Trace) begin(r *Balancer, now Micros, f *function, j *Request) {
-	exec := r.execTime(f, j)
-	t.explanation = Explanation{Now: now, Request: j.ID, Function: f.id, ExecTime: exec, Objective: r.latencyObjective(j, exec), LoadTime: r.loadTime(j),
-		B: r.slotsPerLane(f, j), Held: f.held, LoadsDue: f.loadsDue}
+func (t *Trace) begin(r *Balancer, now Micros, f *function, req *Request) {
+	exec := r.execTime(f, req)
+	t.explanation = Explanation{
+		Now:       now,
+		Request:   req.ID,
+		Function:  f.id,
+		ExecTime:  exec,
+		Objective: r.latencyObjective(req, exec),
+		LoadTime:  r.loadTime(req),
+		B:         r.slotsPerLane(f, req),
+		Held:      f.held,
+		LoadsDue:  f.loadsDue,
+	}
 	for _, s := range r.servers {
-		b := ServerView{Server: s.Server, State: s.State, Unusable: r.unusableReason(now, s, j), ConcurrencyLimit: s.concurrencyLimit, Running: s.running, Ejected: s.ejected,
-			Overloaded: r.overloaded(now, s), PendingLoads: s.pendingLoads(), SlowStart: r.capacity(now, s) < 1, FreeShare: s.freeShare(), Report: s.report, ReportAge: -1}
+		view := ServerView{
+			Server:           s.Server,
+			State:            s.State,
+			Unusable:         r.unusableReason(now, s, req),
+			ConcurrencyLimit: s.concurrencyLimit,
+			Running:          s.running,
+			Ejected:          s.ejected,
+			Overloaded:       r.overloaded(now, s),
+			PendingLoads:     s.pendingLoads(),
+			SlowStart:        r.capacity(now, s) < 1,
+			FreeShare:        s.freeShare(),
+			Report:           s.report,
+			ReportAge:        -1,
+		}
 		if s.reportedAt > 0 {
-			b.ReportAge = now - s.reportedAt
+			view.ReportAge = now - s.reportedAt
 		}
 		if in := f.instanceOn(s, false); in != nil {
-			size := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
-			b.Known, b.Loaded, b.LoadingNow, b.Replicas, b.Loading, b.InFlight = true, r.loaded(now, in), r.loading(now, in), in.replicas, in.loading, in.inFlight
-			b.Slots = r.slots(now, in, f, t.explanation.B)
-			s.concurrencyLimit = size
+			limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
+			view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, in), r.loading(now, in)
+			view.Replicas, view.Loading, view.InFlight = in.replicas, in.loading, in.inFlight
+			view.Slots = r.slots(now, in, f, t.explanation.B)
+			s.concurrencyLimit = limit
 		}
-		t.explanation.Servers = append(t.explanation.Servers, b)
+		t.explanation.Servers = append(t.explanation.Servers, view)
 	}
 }
--- a/control/types.go
+++ b/control/types.go
@@ -46,7 +46,7 @@
 	MaxRetryAfter      Micros    `json:"MaxStayAway"`   // longest Retry-After that clients heed; 0: they ignore it
 	SupportsCancel     bool      `json:"Cancels"`       // servers can cancel attempts
 	MarksRetries       bool      `json:"MarksRepeats"`  // clients mark their retries
-	EndpointsOnRequest bool      `json:"ListOnRequest"` // the endpoint list comes only after a subscription, see Maintenance
+	EndpointsOnRequest bool      `json:"ListOnRequest"` // the endpoint list must be subscribed to
 	SlowStartInitial   float64   `json:"ColdFrom"`      // fraction of its capacity that a server starts with
 	SlowStartDuration  Micros    `json:"Cold"`          // time until a started server has full capacity
 	OverloadWindow     Micros    `json:"Fall"`          // window of the limit on attempts at servers in slow start
@@ -57,7 +57,7 @@
 	LoadRateBase       float64   `json:"LoadFree"`      // load commands allowed per window
 	LoadRatePerRequest float64   `json:"LoadShare"`     // and in addition for each request admitted within it
 	MaxCommandDelay    Micros    `json:"Late"`          // longest time from choosing a load command to writing it
-	LoadsOnMiss        bool      `json:"LoadsOnMiss"`   // a server loads a missing function when a request for it arrives
+	LoadsOnMiss        bool      `json:"LoadsOnMiss"`   // servers load a missing function on request
 }
 
 // Endpoint is the endpoint list's entry for one server.
