--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -26,28 +26,38 @@
 	return m
 }
 
-// prune forgets what has long been idle, so that a router can run for months: with many functions known, those with
-// nothing held or in flight and no replica believed loaded or loading; and servers that left the endpoint list long
-// ago.
+// prune forgets what has long been idle, so that a router can run for months.
 func (r *Balancer) prune(now Micros) {
+	r.pruneFunctions(now)
+	r.pruneServers(now)
+	r.index.dropQuestionable(func(s *server) bool { return !s.ejected && now >= s.backoffUntil })
+}
+
+// pruneFunctions forgets idle functions, if many are known. Each call checks the next batch.
+func (r *Balancer) pruneFunctions(now Micros) {
 	const maxFunctions = 1 << 14 // about 20 MB; checking all of them takes a fraction of a millisecond
 	const batch = 1 << 11        // functions checked per call: more than a router gets requests in the interval
-	if len(r.functionOrder) > maxFunctions {
-		from := r.pruned % len(r.functionOrder)
-		to := min(len(r.functionOrder), from+batch)
-		kept := slices.DeleteFunc(r.functionOrder[from:to:to], func(f *function) bool {
-			forget := r.idle(now, f)
-			if forget {
-				delete(r.functions, f.id)
-				for _, in := range f.instances {
-					in.server.removeFunction(f)
-				}
-			}
-			return forget
-		})
-		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
-		r.pruned = from + len(kept)
+	if len(r.functionOrder) <= maxFunctions {
+		return
 	}
+	from := r.pruned % len(r.functionOrder)
+	to := min(len(r.functionOrder), from+batch)
+	kept := slices.DeleteFunc(r.functionOrder[from:to:to], func(f *function) bool {
+		forget := r.idle(now, f)
+		if forget {
+			delete(r.functions, f.id)
+			for _, in := range f.instances {
+				in.server.removeFunction(f)
+			}
+		}
+		return forget
+	})
+	r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
+	r.pruned = from + len(kept)
+}
+
+// pruneServers forgets servers that left the endpoint list long ago and have no attempt in flight.
+func (r *Balancer) pruneServers(now Micros) {
 	const retention = 600_000_000 // longer than a rolling restart or an outage of discovery
 	removed, expired := r.index.removed, 0
 	for expired < len(removed) && now >= removed[expired].lastListed+retention {
@@ -64,7 +74,6 @@
 		return true
 	})
 	r.index.removed = slices.Delete(removed, len(kept), expired)
-	r.index.dropQuestionable(func(s *server) bool { return !s.ejected && now >= s.backoffUntil })
 }
 
 // idle reports whether everything known of a function can be forgotten.
--- a/control/retries.go
+++ b/control/retries.go
@@ -67,31 +67,44 @@
 			in.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
-		// Guards against a server that rejects everything, because it is full or drains before the endpoint list
-		// says so: its backoff doubles with each rejection, and soon its replicas don't count as capacity.
-		if s.rejections++; in.inFlight == 0 {
-			in.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
-		}
-		s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
-		r.index.markQuestionable(s)
-		r.adaptConcurrencyLimit(now, s, 1000)
+		r.recordRejection(now, in)
 	case o.Result == Succeeded:
-		r.answers, s.rejections = append(r.answers, now), 0
-		in.lastUsed = now
-		exec := r.execTime(f, req)
-		if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && attempt.toLoaded {
-			f.execTimes.add(now, o.Duration)
-			r.execTimes[req.Class].add(now, o.Duration)
-			r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(req, exec)-exec))
-			r.latencies.add(now, o.Duration)
-			f.delays.add(now, req.heldFor+max(0, o.Duration-exec))
-		} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
-			// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
-			r.loadTimes.add(now, max(1, o.Duration-exec))
-		}
-		if in.replicas == 0 {
-			in.replicas, in.loading = 1, max(0, in.loading-1)
-		}
+		r.recordSuccess(now, f, in, req, o)
+	}
+}
+
+// recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
+// it is full or drains before the endpoint list says so: its backoff doubles with each rejection, and soon its
+// replicas don't count as capacity.
+func (r *Balancer) recordRejection(now Micros, in *instance) {
+	s := in.server
+	if s.rejections++; in.inFlight == 0 {
+		in.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
+	}
+	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
+	r.index.markQuestionable(s)
+	r.adaptConcurrencyLimit(now, s, 1000)
+}
+
+// recordSuccess updates the estimates by an answer from a loaded replica, or the load time by one that waited for a
+// load.
+func (r *Balancer) recordSuccess(now Micros, f *function, in *instance, req *Request, o Outcome) {
+	s, toLoaded := in.server, req.Attempts[o.Attempt].toLoaded
+	r.answers, s.rejections = append(r.answers, now), 0
+	in.lastUsed = now
+	exec := r.execTime(f, req)
+	if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && toLoaded {
+		f.execTimes.add(now, o.Duration)
+		r.execTimes[req.Class].add(now, o.Duration)
+		r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(req, exec)-exec))
+		r.latencies.add(now, o.Duration)
+		f.delays.add(now, req.heldFor+max(0, o.Duration-exec))
+	} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
+		// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
+		r.loadTimes.add(now, max(1, o.Duration-exec))
+	}
+	if in.replicas == 0 {
+		in.replicas, in.loading = 1, max(0, in.loading-1)
 	}
 }
 
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -130,7 +130,15 @@
 
 // Snapshot returns the request with the balancer's state for it.
 func (req *Request) Snapshot() RequestSnapshot {
-	s := RequestSnapshot{Request: *req, HeldSince: req.heldSince, HeldFor: req.heldFor, Held: req.held, Admitted: req.admitted, FirstSentAt: req.firstSentAt, OverQuota: req.overQuota}
+	s := RequestSnapshot{
+		Request:     *req,
+		HeldSince:   req.heldSince,
+		HeldFor:     req.heldFor,
+		Held:        req.held,
+		Admitted:    req.admitted,
+		FirstSentAt: req.firstSentAt,
+		OverQuota:   req.overQuota,
+	}
 	s.Request.Attempts = nil
 	for _, a := range req.Attempts {
 		s.Attempts = append(s.Attempts, AttemptSnapshot{a, a.toLoaded, a.cancelling})
@@ -141,7 +149,8 @@
 // Restore returns the request that the snapshot was taken of.
 func (s RequestSnapshot) Restore() Request {
 	req := s.Request
-	req.heldSince, req.heldFor, req.held, req.admitted, req.firstSentAt, req.overQuota = s.HeldSince, s.HeldFor, s.Held, s.Admitted, s.FirstSentAt, s.OverQuota
+	req.heldSince, req.heldFor, req.held = s.HeldSince, s.HeldFor, s.Held
+	req.admitted, req.firstSentAt, req.overQuota = s.Admitted, s.FirstSentAt, s.OverQuota
 	req.Attempts = nil
 	for _, a := range s.Attempts {
 		a.Attempt.toLoaded, a.Attempt.cancelling = a.ToLoaded, a.Cancelling
@@ -169,90 +178,226 @@
 
 // Snapshot returns the whole state. It shares no memory with the balancer, except for the slices in Deployment.
 func (r *Balancer) Snapshot() *Snapshot {
-	s := &Snapshot{Deployment: r.deployment, Random: uint64(r.random), StartedAt: r.startedAt, ExecTimes: snapshots(r.execTimes),
-		Deadlines: snapshots(r.deadlines), QuotaDebt: slices.Clone(r.quotaDebt), Latencies: r.latencies.snapshot(), LoadTimes: r.loadTimes.snapshot(),
-		Queueing: r.queueing.snapshot(), LoadCommands: slices.Clone(r.loadCommands), Admitted: slices.Clone(r.admitted), Cancellations: slices.Clone(r.cancellations),
-		LogLines: slices.Clone(r.logLines), Answers: slices.Clone(r.answers), AnswerRate: r.answerRate, FreshFor: r.freshFor, Pruned: r.pruned, Subscribed: r.subscribed}
+	s := &Snapshot{
+		Deployment:    r.deployment,
+		Random:        uint64(r.random),
+		StartedAt:     r.startedAt,
+		ExecTimes:     snapshots(r.execTimes),
+		Deadlines:     snapshots(r.deadlines),
+		QuotaDebt:     slices.Clone(r.quotaDebt),
+		Latencies:     r.latencies.snapshot(),
+		LoadTimes:     r.loadTimes.snapshot(),
+		Queueing:      r.queueing.snapshot(),
+		LoadCommands:  slices.Clone(r.loadCommands),
+		Admitted:      slices.Clone(r.admitted),
+		Cancellations: slices.Clone(r.cancellations),
+		LogLines:      slices.Clone(r.logLines),
+		Answers:       slices.Clone(r.answers),
+		AnswerRate:    r.answerRate,
+		FreshFor:      r.freshFor,
+		Pruned:        r.pruned,
+		Subscribed:    r.subscribed,
+	}
 	for _, v := range r.servers {
-		s.Servers = append(s.Servers, ServerSnapshot{v.Endpoint, v.listed, r.lastListed(v), v.lastAnswer, convertAll(v.inFlight, func(f inFlightAttempt) InFlightSnapshot {
-			return InFlightSnapshot{f.request.ID, f.attempt, f.sentAt, f.toLoaded}
-		}), slices.Clone(v.slowStartSends), v.report, v.reportedAt, v.backoffUntil, v.loadsAfter, v.concurrencyLimit, v.running, v.limitLoweredAt, v.queueing.snapshot(),
-			v.ejected, v.probeAt, v.ejections, v.rejections, v.connectionFailures})
+		s.Servers = append(s.Servers, r.serverSnapshot(v))
 	}
 	position := make(map[*function]int, len(r.functionOrder))
 	for i, f := range r.functionOrder {
 		position[f] = i
-		fs := FunctionSnapshot{ID: f.id, Lanes: f.lanes, LoadsDue: f.loadsDue, ExecTimes: f.execTimes.snapshot(), Delays: f.delays.snapshot(), Shed: f.shed.snapshot(), Held: f.held, Waiting: f.waiting,
-			Recent: f.recent, HeldSince: f.heldSince, BlockedAt: f.blockedAt, Instances: convertAll(f.instances, func(in *instance) InstanceSnapshot {
-				return InstanceSnapshot{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince, in.inFlight}
-			})}
-		if f.lastRequest != nil {
-			last := f.lastRequest.Snapshot()
-			fs.LastRequest = &last
-		}
-		s.Functions = append(s.Functions, fs)
+		s.Functions = append(s.Functions, f.snapshot())
 	}
 	at := func(f *function) int { return position[f] }
 	s.Recent, s.Waiting = convertAll(r.recent, at), convertAll(r.waiting, at)
 	return s
 }
 
+func (r *Balancer) serverSnapshot(s *server) ServerSnapshot {
+	return ServerSnapshot{
+		Endpoint:   s.Endpoint,
+		Listed:     s.listed,
+		LastListed: r.lastListed(s),
+		LastAnswer: s.lastAnswer,
+		InFlight: convertAll(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
+			return InFlightSnapshot{a.request.ID, a.attempt, a.sentAt, a.toLoaded}
+		}),
+		SlowStartSends:     slices.Clone(s.slowStartSends),
+		Report:             s.report,
+		ReportedAt:         s.reportedAt,
+		BackoffUntil:       s.backoffUntil,
+		LoadsAfter:         s.loadsAfter,
+		ConcurrencyLimit:   s.concurrencyLimit,
+		Running:            s.running,
+		LimitLoweredAt:     s.limitLoweredAt,
+		Queueing:           s.queueing.snapshot(),
+		Ejected:            s.ejected,
+		ProbeAt:            s.probeAt,
+		Ejections:          s.ejections,
+		Rejections:         s.rejections,
+		ConnectionFailures: s.connectionFailures,
+	}
+}
+
+func (f *function) snapshot() FunctionSnapshot {
+	s := FunctionSnapshot{
+		ID:       f.id,
+		Lanes:    f.lanes,
+		LoadsDue: f.loadsDue,
+		Instances: convertAll(f.instances, func(in *instance) InstanceSnapshot {
+			return InstanceSnapshot{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince,
+				in.inFlight}
+		}),
+		ExecTimes: f.execTimes.snapshot(),
+		Delays:    f.delays.snapshot(),
+		Shed:      f.shed.snapshot(),
+		Held:      f.held,
+		Waiting:   f.waiting,
+		Recent:    f.recent,
+		HeldSince: f.heldSince,
+		BlockedAt: f.blockedAt,
+	}
+	if f.lastRequest != nil {
+		last := f.lastRequest.Snapshot()
+		s.LastRequest = &last
+	}
+	return s
+}
+
 // Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
 // balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
 func Restore(s *Snapshot, requests map[RequestID]*Request) (*Balancer, error) {
-	r := &Balancer{deployment: s.Deployment, random: pcg(s.Random), startedAt: s.StartedAt, functions: map[FunctionID]*function{},
-		quotaDebt: slices.Clone(s.QuotaDebt), latencies: s.Latencies.restore(), loadTimes: s.LoadTimes.restore(), queueing: s.Queueing.restore(),
-		loadCommands: slices.Clone(s.LoadCommands), admitted: slices.Clone(s.Admitted), cancellations: slices.Clone(s.Cancellations), logLines: slices.Clone(s.LogLines),
-		answers: slices.Clone(s.Answers), answerRate: s.AnswerRate, freshFor: s.FreshFor, pruned: s.Pruned, subscribed: s.Subscribed,
-		execTimes: convertAll(s.ExecTimes, Samples.restore), deadlines: convertAll(s.Deadlines, Samples.restore)}
-	if len(r.execTimes) != len(r.deployment.Classes) || len(r.deadlines) != len(r.deployment.Classes) || len(r.quotaDebt) != len(r.deployment.Quotas) {
-		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", len(r.deployment.Classes), len(r.deployment.Quotas))
+	r := &Balancer{
+		deployment:    s.Deployment,
+		random:        pcg(s.Random),
+		startedAt:     s.StartedAt,
+		functions:     map[FunctionID]*function{},
+		quotaDebt:     slices.Clone(s.QuotaDebt),
+		latencies:     s.Latencies.restore(),
+		loadTimes:     s.LoadTimes.restore(),
+		queueing:      s.Queueing.restore(),
+		loadCommands:  slices.Clone(s.LoadCommands),
+		admitted:      slices.Clone(s.Admitted),
+		cancellations: slices.Clone(s.Cancellations),
+		logLines:      slices.Clone(s.LogLines),
+		answers:       slices.Clone(s.Answers),
+		answerRate:    s.AnswerRate,
+		freshFor:      s.FreshFor,
+		pruned:        s.Pruned,
+		subscribed:    s.Subscribed,
+		execTimes:     convertAll(s.ExecTimes, Samples.restore),
+		deadlines:     convertAll(s.Deadlines, Samples.restore),
+	}
+	classes, tenants := len(r.deployment.Classes), len(r.deployment.Quotas)
+	if len(r.execTimes) != classes || len(r.deadlines) != classes || len(r.quotaDebt) != tenants {
+		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", classes, tenants)
+	}
+	if err := r.restoreServers(s.Servers, requests); err != nil {
+		return nil, err
+	}
+	if err := r.restoreFunctions(s.Functions, requests); err != nil {
+		return nil, err
+	}
+	var err error
+	if r.recent, err = r.functionsAt(s.Recent); err != nil {
+		return nil, err
 	}
-	for i, v := range s.Servers {
-		if i > 0 && s.Servers[i-1].Endpoint.Server >= v.Endpoint.Server {
-			return nil, fmt.Errorf("snapshot: servers are not in ascending order at %d", i)
+	if r.waiting, err = r.functionsAt(s.Waiting); err != nil {
+		return nil, err
+	}
+	r.rebuildIndex()
+	return r, nil
+}
+
+func (r *Balancer) restoreServers(from []ServerSnapshot, requests map[RequestID]*Request) error {
+	for i, v := range from {
+		if i > 0 && from[i-1].Endpoint.Server >= v.Endpoint.Server {
+			return fmt.Errorf("snapshot: servers are not in ascending order at %d", i)
 		}
-		srv := &server{Endpoint: v.Endpoint, listed: v.Listed, lastListed: v.LastListed, lastAnswer: v.LastAnswer, slowStartSends: slices.Clone(v.SlowStartSends), report: v.Report,
-			reportedAt: v.ReportedAt, backoffUntil: v.BackoffUntil, loadsAfter: v.LoadsAfter, concurrencyLimit: v.ConcurrencyLimit, running: v.Running, limitLoweredAt: v.LimitLoweredAt,
-			queueing: v.Queueing.restore(), ejected: v.Ejected, probeAt: v.ProbeAt, ejections: v.Ejections, rejections: v.Rejections, connectionFailures: v.ConnectionFailures}
-		for _, f := range v.InFlight {
-			req := requests[f.Request]
-			if req == nil || int(f.Attempt) >= len(req.Attempts) {
-				return nil, fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", f.Attempt, f.Request)
+		s := v.restore()
+		for _, a := range v.InFlight {
+			req := requests[a.Request]
+			if req == nil || int(a.Attempt) >= len(req.Attempts) {
+				return fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", a.Attempt, a.Request)
 			}
-			srv.inFlight = append(srv.inFlight, inFlightAttempt{req, f.Attempt, f.SentAt, f.ToLoaded})
+			s.inFlight = append(s.inFlight, inFlightAttempt{req, a.Attempt, a.SentAt, a.ToLoaded})
 		}
-		r.servers = append(r.servers, srv)
+		r.servers = append(r.servers, s)
 	}
-	for _, v := range s.Functions {
-		f := &function{id: v.ID, lanes: v.Lanes, loadsDue: v.LoadsDue, execTimes: v.ExecTimes.restore(), delays: v.Delays.restore(), shed: v.Shed.restore(), held: v.Held, waiting: v.Waiting, recent: v.Recent,
-			heldSince: v.HeldSince, blockedAt: v.BlockedAt}
-		if v.LastRequest != nil {
-			if f.lastRequest = requests[v.LastRequest.Request.ID]; f.lastRequest == nil {
-				last := v.LastRequest.Restore()
-				f.lastRequest = &last
-			}
-		}
+	return nil
+}
+
+// restore returns the server without its attempts in flight.
+func (s ServerSnapshot) restore() *server {
+	return &server{
+		Endpoint:           s.Endpoint,
+		listed:             s.Listed,
+		lastListed:         s.LastListed,
+		lastAnswer:         s.LastAnswer,
+		slowStartSends:     slices.Clone(s.SlowStartSends),
+		report:             s.Report,
+		reportedAt:         s.ReportedAt,
+		backoffUntil:       s.BackoffUntil,
+		loadsAfter:         s.LoadsAfter,
+		concurrencyLimit:   s.ConcurrencyLimit,
+		running:            s.Running,
+		limitLoweredAt:     s.LimitLoweredAt,
+		queueing:           s.Queueing.restore(),
+		ejected:            s.Ejected,
+		probeAt:            s.ProbeAt,
+		ejections:          s.Ejections,
+		rejections:         s.Rejections,
+		connectionFailures: s.ConnectionFailures,
+	}
+}
+
+// restoreFunctions restores the functions. The servers must have been restored before.
+func (r *Balancer) restoreFunctions(from []FunctionSnapshot, requests map[RequestID]*Request) error {
+	for _, v := range from {
+		f := v.restore(requests)
 		for _, in := range v.Instances {
 			i, known := r.find(in.Server)
 			if !known {
-				return nil, fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, in.Server)
+				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, in.Server)
 			}
-			f.instances = append(f.instances, &instance{r.servers[i], in.Replicas, in.LastUsed, in.Loading, in.LoadingSince, in.InFlight})
+			f.instances = append(f.instances,
+				&instance{r.servers[i], in.Replicas, in.LastUsed, in.Loading, in.LoadingSince, in.InFlight})
 		}
 		r.functions[v.ID], r.functionOrder = f, append(r.functionOrder, f)
 	}
-	for _, list := range []struct {
-		from []int
-		to   *[]*function
-	}{{s.Recent, &r.recent}, {s.Waiting, &r.waiting}} {
-		for _, i := range list.from {
-			if i < 0 || i >= len(r.functionOrder) {
-				return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(r.functionOrder))
-			}
-			*list.to = append(*list.to, r.functionOrder[i])
+	return nil
+}
+
+// restore returns the function without its instances.
+func (s FunctionSnapshot) restore(requests map[RequestID]*Request) *function {
+	f := &function{
+		id:        s.ID,
+		lanes:     s.Lanes,
+		loadsDue:  s.LoadsDue,
+		execTimes: s.ExecTimes.restore(),
+		delays:    s.Delays.restore(),
+		shed:      s.Shed.restore(),
+		held:      s.Held,
+		waiting:   s.Waiting,
+		recent:    s.Recent,
+		heldSince: s.HeldSince,
+		blockedAt: s.BlockedAt,
+	}
+	if s.LastRequest != nil {
+		if f.lastRequest = requests[s.LastRequest.Request.ID]; f.lastRequest == nil {
+			last := s.LastRequest.Restore()
+			f.lastRequest = &last
 		}
 	}
-	r.rebuildIndex()
-	return r, nil
+	return f
+}
+
+// functionsAt returns the functions at some positions of functionOrder; nil for no positions.
+func (r *Balancer) functionsAt(positions []int) ([]*function, error) {
+	var functions []*function
+	for _, i := range positions {
+		if i < 0 || i >= len(r.functionOrder) {
+			return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(r.functionOrder))
+		}
+		functions = append(functions, r.functionOrder[i])
+	}
+	return functions, nil
 }
--- a/control/trace.go
+++ b/control/trace.go
@@ -104,30 +104,35 @@
 		LoadsDue:  f.loadsDue,
 	}
 	for _, s := range r.servers {
-		view := ServerView{
-			Server:           s.Server,
-			State:            s.State,
-			Unusable:         r.unusableReason(now, s, req),
-			ConcurrencyLimit: s.concurrencyLimit,
-			Running:          s.running,
-			Ejected:          s.ejected,
-			Overloaded:       r.overloaded(now, s),
-			PendingLoads:     s.pendingLoads(),
-			SlowStart:        r.capacity(now, s) < 1,
-			FreeShare:        s.freeShare(),
-			Report:           s.report,
-			ReportAge:        -1,
-		}
-		if s.reportedAt > 0 {
-			view.ReportAge = now - s.reportedAt
-		}
-		if in := f.instanceOn(s, false); in != nil {
-			limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
-			view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, in), r.loading(now, in)
-			view.Replicas, view.Loading, view.InFlight = in.replicas, in.loading, in.inFlight
-			view.Slots = r.slots(now, in, f, t.explanation.B)
-			s.concurrencyLimit = limit
-		}
-		t.explanation.Servers = append(t.explanation.Servers, view)
+		t.explanation.Servers = append(t.explanation.Servers, t.view(r, now, s, f, req))
 	}
 }
+
+// view returns what is believed of a server. It must not change any state.
+func (t *Trace) view(r *Balancer, now Micros, s *server, f *function, req *Request) ServerView {
+	view := ServerView{
+		Server:           s.Server,
+		State:            s.State,
+		Unusable:         r.unusableReason(now, s, req),
+		ConcurrencyLimit: s.concurrencyLimit,
+		Running:          s.running,
+		Ejected:          s.ejected,
+		Overloaded:       r.overloaded(now, s),
+		PendingLoads:     s.pendingLoads(),
+		SlowStart:        r.capacity(now, s) < 1,
+		FreeShare:        s.freeShare(),
+		Report:           s.report,
+		ReportAge:        -1,
+	}
+	if s.reportedAt > 0 {
+		view.ReportAge = now - s.reportedAt
+	}
+	if in := f.instanceOn(s, false); in != nil {
+		limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
+		view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, in), r.loading(now, in)
+		view.Replicas, view.Loading, view.InFlight = in.replicas, in.loading, in.inFlight
+		view.Slots = r.slots(now, in, f, t.explanation.B)
+		s.concurrencyLimit = limit
+	}
+	return view
+}
