--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -53,8 +53,8 @@
 // none.
 func (r *Balancer) dropInstances(s *server, startedAt Micros) {
 	for _, f := range s.functions {
-		if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < startedAt {
-			in.replicas, in.loading = 0, 0
+		if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < startedAt {
+			inst.replicas, inst.loading = 0, 0
 		}
 	}
 }
--- a/control/instances.go
+++ b/control/instances.go
@@ -39,7 +39,7 @@
 // nil.
 func (f *function) instanceOn(s *server, add bool) *instance {
 	i, ok := slices.BinarySearchFunc(f.instances, s.Server,
-		func(in *instance, id ServerID) int { return cmp.Compare(in.server.Server, id) })
+		func(inst *instance, id ServerID) int { return cmp.Compare(inst.server.Server, id) })
 	if !ok {
 		if !add {
 			return nil
@@ -65,12 +65,12 @@
 
 // loaded reports whether an instance's replicas are believed loaded. Without use they count as unloaded after the
 // configured keep-alive time.
-func (r *Balancer) loaded(now Micros, in *instance) bool {
-	return in.replicas > 0 && (in.inFlight > 0 || now < in.lastUsed+r.deployment.KeepAlive)
+func (r *Balancer) loaded(now Micros, inst *instance) bool {
+	return inst.replicas > 0 && (inst.inFlight > 0 || now < inst.lastUsed+r.deployment.KeepAlive)
 }
 
 // loading reports whether replicas are believed to be loading. It guards against loads whose end is never reported:
 // after four times the usual load time a load counts as lost.
-func (r *Balancer) loading(now Micros, in *instance) bool {
-	return in.loading > 0 && now < in.loadingSince+4*r.loadTime(nil)
+func (r *Balancer) loading(now Micros, inst *instance) bool {
+	return inst.loading > 0 && now < inst.loadingSince+4*r.loadTime(nil)
 }
--- a/control/learned.go
+++ b/control/learned.go
@@ -27,10 +27,10 @@
 		f := r.function(&Request{Function: v.ID, Lanes: v.Lanes})
 		for _, c := range v.Instances {
 			if i, known := r.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
-				in := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
+				inst := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
 					loading: c.Loading, loadingSince: c.LoadingSince}
-				if r.loaded(now, &in) || r.loading(now, &in) {
-					*f.instanceOn(in.server, true) = in
+				if r.loaded(now, &inst) || r.loading(now, &inst) {
+					*f.instanceOn(inst.server, true) = inst
 				}
 			}
 		}
@@ -91,10 +91,10 @@
 	}
 	for _, f := range r.functionOrder {
 		learned := LearnedFunction{ID: f.id, Lanes: f.lanes}
-		for _, in := range f.instances {
-			if r.loaded(now, in) || r.loading(now, in) {
+		for _, inst := range f.instances {
+			if r.loaded(now, inst) || r.loading(now, inst) {
 				learned.Instances = append(learned.Instances,
-					LearnedInstance{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince})
+					LearnedInstance{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince})
 			}
 		}
 		if len(learned.Instances) > 0 {
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -46,8 +46,8 @@
 		forget := r.idle(now, f)
 		if forget {
 			delete(r.functions, f.id)
-			for _, in := range f.instances {
-				in.server.removeFunction(f)
+			for _, inst := range f.instances {
+				inst.server.removeFunction(f)
 			}
 		}
 		return forget
@@ -68,7 +68,7 @@
 			return false
 		}
 		for _, f := range s.functions {
-			f.instances = slices.DeleteFunc(f.instances, func(in *instance) bool { return in.server == s })
+			f.instances = slices.DeleteFunc(f.instances, func(inst *instance) bool { return inst.server == s })
 		}
 		r.removeServer(s)
 		return true
@@ -78,8 +78,8 @@
 
 // idle reports whether everything known of a function can be forgotten.
 func (r *Balancer) idle(now Micros, f *function) bool {
-	return !f.waiting && f.recent == 0 && !slices.ContainsFunc(f.instances, func(in *instance) bool {
-		return in.inFlight > 0 || r.loaded(now, in) || r.loading(now, in)
+	return !f.waiting && f.recent == 0 && !slices.ContainsFunc(f.instances, func(inst *instance) bool {
+		return inst.inFlight > 0 || r.loaded(now, inst) || r.loading(now, inst)
 	})
 }
 
--- a/control/retries.go
+++ b/control/retries.go
@@ -24,10 +24,10 @@
 		return Decision{Action: NoAction}
 	}
 	f, s := r.function(req), r.servers[i]
-	in := f.instanceOn(s, true)
+	inst := f.instanceOn(s, true)
 	attempt.Done = true
 	attempt.MayHaveRun = !o.Result.ProvesNotRun()
-	in.inFlight = max(0, in.inFlight-1)
+	inst.inFlight = max(0, inst.inFlight-1)
 	if attempt.toLoaded {
 		s.running--
 	}
@@ -37,7 +37,7 @@
 	if len(s.inFlight) == 0 {
 		r.index.busy = deleteSorted(r.index.busy, s, byID)
 	}
-	r.recordOutcome(now, f, in, req, o)
+	r.recordOutcome(now, f, inst, req, o)
 	if o.RequestDone {
 		r.Cancel(now, req)
 		return Decision{Action: NoAction}
@@ -46,8 +46,8 @@
 }
 
 // recordOutcome updates what is believed of the instance and its server, and the estimates.
-func (r *Balancer) recordOutcome(now Micros, f *function, in *instance, req *Request, o Outcome) {
-	s, attempt := in.server, &req.Attempts[o.Attempt]
+func (r *Balancer) recordOutcome(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+	s, attempt := inst.server, &req.Attempts[o.Attempt]
 	f.blockedAt = 0
 	if o.Report != nil {
 		s.report, s.reportedAt = *o.Report, now
@@ -60,26 +60,26 @@
 	}
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
-		in.replicas, in.loading = 0, 0
+		inst.replicas, inst.loading = 0, 0
 	// A server that fails fast would otherwise look emptier and emptier.
 	case o.Result == Overloaded || o.Result == Failed && attempt.toLoaded:
 		if !attempt.toLoaded {
-			in.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
+			inst.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
-		r.recordRejection(now, in)
+		r.recordRejection(now, inst)
 	case o.Result == Succeeded:
-		r.recordSuccess(now, f, in, req, o)
+		r.recordSuccess(now, f, inst, req, o)
 	}
 }
 
 // recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
 // it is full or drains before the endpoint list says so: its backoff doubles with each rejection, and soon its
 // replicas don't count as capacity.
-func (r *Balancer) recordRejection(now Micros, in *instance) {
-	s := in.server
-	if s.rejections++; in.inFlight == 0 {
-		in.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
+func (r *Balancer) recordRejection(now Micros, inst *instance) {
+	s := inst.server
+	if s.rejections++; inst.inFlight == 0 {
+		inst.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
 	}
 	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
 	r.index.markQuestionable(s)
@@ -88,10 +88,10 @@
 
 // recordSuccess updates the estimates by an answer from a loaded replica, or the load time by one that waited for a
 // load.
-func (r *Balancer) recordSuccess(now Micros, f *function, in *instance, req *Request, o Outcome) {
-	s, toLoaded := in.server, req.Attempts[o.Attempt].toLoaded
+func (r *Balancer) recordSuccess(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+	s, toLoaded := inst.server, req.Attempts[o.Attempt].toLoaded
 	r.answers, s.rejections = append(r.answers, now), 0
-	in.lastUsed = now
+	inst.lastUsed = now
 	exec := r.execTime(f, req)
 	if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && toLoaded {
 		f.execTimes.add(now, o.Duration)
@@ -103,8 +103,8 @@
 		// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
 		r.loadTimes.add(now, max(1, o.Duration-exec))
 	}
-	if in.replicas == 0 {
-		in.replicas, in.loading = 1, max(0, in.loading-1)
+	if inst.replicas == 0 {
+		inst.replicas, inst.loading = 1, max(0, inst.loading-1)
 	}
 }
 
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -242,9 +242,9 @@
 		ID:       f.id,
 		Lanes:    f.lanes,
 		LoadsDue: f.loadsDue,
-		Instances: convertAll(f.instances, func(in *instance) InstanceSnapshot {
-			return InstanceSnapshot{in.server.Server, in.replicas, in.lastUsed, in.loading, in.loadingSince,
-				in.inFlight}
+		Instances: convertAll(f.instances, func(inst *instance) InstanceSnapshot {
+			return InstanceSnapshot{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince,
+				inst.inFlight}
 		}),
 		ExecTimes: f.execTimes.snapshot(),
 		Delays:    f.delays.snapshot(),
@@ -353,13 +353,13 @@
 func (r *Balancer) restoreFunctions(from []FunctionSnapshot, requests map[RequestID]*Request) error {
 	for _, v := range from {
 		f := v.restore(requests)
-		for _, in := range v.Instances {
-			i, known := r.find(in.Server)
+		for _, inst := range v.Instances {
+			i, known := r.find(inst.Server)
 			if !known {
-				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, in.Server)
+				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, inst.Server)
 			}
 			f.instances = append(f.instances,
-				&instance{r.servers[i], in.Replicas, in.LastUsed, in.Loading, in.LoadingSince, in.InFlight})
+				&instance{r.servers[i], inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
 		}
 		r.functions[v.ID], r.functionOrder = f, append(r.functionOrder, f)
 	}
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -6,23 +6,23 @@
 	"testing"
 )
 
-// A field added to the state must be carried by the snapshot too.
+// TestSnapshotCarriesEveryField checks that each field of the state is in the snapshot too, so that none is forgotten.
 func TestSnapshotCarriesEveryField(t *testing.T) {
 	for _, c := range []struct {
 		state, snapshot any
-		renamed         string // state's names that the snapshot gives another way
+		elsewhere       string // fields of the state that the snapshot represents differently or leaves out
 	}{
-		{Balancer{}, Snapshot{}, "functionOrder candidates index trace"},      // functions stand in their order; candidates is room for work, index follows from the rest, trace is a tool's
-		{server{}, ServerSnapshot{}, "weight present questionable functions"}, // of the index
+		{Balancer{}, Snapshot{}, "functionOrder candidates index trace"},      // Functions are in that order; candidates is scratch space, the index is rebuilt, a trace belongs to a tool
+		{server{}, ServerSnapshot{}, "weight present questionable functions"}, // derived, with the index
 		{inFlightAttempt{}, InFlightSnapshot{}, ""},
-		{function{}, FunctionSnapshot{}, "ranking"}, // of the index
+		{function{}, FunctionSnapshot{}, "ranking"}, // derived, with the index
 		{instance{}, InstanceSnapshot{}, ""},
-		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes Work LoadTime ArrivedAt Deadline IsRetry RetriesUnmarked"}, // in Request
-		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                 // in Attempt
+		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes Work LoadTime ArrivedAt Deadline IsRetry RetriesUnmarked"}, // in RequestSnapshot.Request
+		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                 // in AttemptSnapshot.Attempt
 		{samples{}, Samples{}, ""},
 	} {
 		carried := map[string]bool{}
-		for _, name := range strings.Fields(c.renamed) {
+		for _, name := range strings.Fields(c.elsewhere) {
 			carried[strings.ToLower(name)] = true
 		}
 		to := reflect.TypeOf(c.snapshot)
--- a/control/trace.go
+++ b/control/trace.go
@@ -127,11 +127,11 @@
 	if s.reportedAt > 0 {
 		view.ReportAge = now - s.reportedAt
 	}
-	if in := f.instanceOn(s, false); in != nil {
+	if inst := f.instanceOn(s, false); inst != nil {
 		limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
-		view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, in), r.loading(now, in)
-		view.Replicas, view.Loading, view.InFlight = in.replicas, in.loading, in.inFlight
-		view.Slots = r.slots(now, in, f, t.explanation.B)
+		view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, inst), r.loading(now, inst)
+		view.Replicas, view.Loading, view.InFlight = inst.replicas, inst.loading, inst.inFlight
+		view.Slots = r.slots(now, inst, f, t.explanation.B)
 		s.concurrencyLimit = limit
 	}
 	return view
