--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -5,37 +5,39 @@
 	"slices"
 )
 
-// Endpoints: the list of servers and what is known of each.
+// Endpoints: the endpoint list and what is known of each server.
 
-// UpdateEndpoints takes in the list of servers. A later start than the one known means an empty, cold server.
-func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, list []Endpoint) {
+// UpdateEndpoints applies an update of the endpoint list. A later StartedAt than the known one means that the server
+// restarted: it holds no replicas and is in slow start. A failed update keeps the list and makes Maintain ask for a
+// new subscription.
+func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, endpoints []Endpoint) {
 	if kind == FailedUpdate {
 		r.subscribed = false
 		return
 	}
-	before := r.index.listedAt
+	previous := r.index.listedAt
 	r.index.listedAt = now
 	if kind != IncrementalUpdate {
 		for _, s := range r.servers {
 			s.listed = false
 		}
 	}
-	for _, l := range list {
-		i, known := r.find(l.Server)
+	for _, ep := range endpoints {
+		i, known := r.find(ep.Server)
 		if !known {
-			r.addServer(i, &server{Endpoint: Endpoint{Server: l.Server}, lastAnswer: now})
+			r.addServer(i, &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now})
 		}
 		s := r.servers[i]
-		if known && l.StartedAt > s.StartedAt {
-			r.dropInstances(s, l.StartedAt)
+		if known && ep.StartedAt > s.StartedAt {
+			r.dropInstances(s, ep.StartedAt)
 			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
 		}
-		s.Endpoint, s.listed = l, true
+		s.Endpoint, s.listed = ep, true
 	}
 	if kind == IncrementalUpdate {
-		for _, l := range list {
-			i, _ := r.find(l.Server)
-			r.reindexServer(before, r.servers[i])
+		for _, ep := range endpoints {
+			i, _ := r.find(ep.Server)
+			r.reindexServer(previous, r.servers[i])
 		}
 		return
 	}
@@ -43,52 +45,55 @@
 		if !s.listed {
 			s.State = Removed
 		}
-		r.reindexServer(before, s)
+		r.reindexServer(previous, s)
 	}
 }
 
-// dropInstances drops the beliefs about a server's copies that are older than its start: a restart holds nothing.
-func (r *Balancer) dropInstances(s *server, born Micros) {
+// dropInstances drops what is believed of a server's replicas from before its start, because a restarted server holds
+// none.
+func (r *Balancer) dropInstances(s *server, startedAt Micros) {
 	for _, f := range s.functions {
-		if in := f.instanceOn(s, false); in != nil && max(in.lastUsed, in.loadingSince) < born {
-			in.replicas, in.loading = 0, 0
+		if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < startedAt {
+			inst.replicas, inst.loading = 0, 0
 		}
 	}
 }
 
+// find returns the position of a server in r.servers, or where it would be inserted.
 func (r *Balancer) find(id ServerID) (int, bool) {
 	return slices.BinarySearchFunc(r.servers, id,
 		func(s *server, id ServerID) int { return cmp.Compare(s.Server, id) })
 }
 
-// server is what a router believes of one server.
+// server is what the balancer knows and believes about one server.
 type server struct {
 	Endpoint
-	listed             bool
-	lastListed         Micros      // when it was last on the list, if it is not there
-	weight             float64     // as the index has it: 0 where it is not ready
-	questionable       bool        // is in the index's doubted
-	present            bool        // as the index has it: not gone
-	functions          []*function // of whose copies there something is known, by id
-	lastAnswer         Micros      // last sign that it works
-	inFlight           []inFlightAttempt
-	slowStartSends     []Micros // recent sends, while it is cold
-	report             LoadReport
-	reportedAt         Micros
-	backoffUntil       Micros  // after a refusal
-	loadsAfter         Micros  // after a refused load
-	concurrencyLimit   float64 // of its window: how many executions of ours it bears at once, see fit
-	running            int     // those that run there, not those that wait for a load
+	listed         bool        // named in the latest full list or in an update since
+	lastListed     Micros      // when it was last in the list, if it no longer is
+	weight         float64     // as the index has it: 0 if the server is not ready
+	questionable   bool        // is in index.questionable
+	present        bool        // as the index has it: not removed
+	functions      []*function // those with an entry for this server in their instances, by id
+	lastAnswer     Micros      // last response, or when it became known
+	inFlight       []inFlightAttempt
+	slowStartSends []Micros // times of recent attempts, while it is in slow start
+	report         LoadReport
+	reportedAt     Micros
+	backoffUntil   Micros // no attempts before this time, after a rejection
+	loadsAfter     Micros // no loads before this time, after a rejected load
+	// How many of this router's attempts the server handles at once, see adaptConcurrencyLimit; 0: not set yet.
+	concurrencyLimit   float64
+	running            int // attempts that execute there, without those that wait for a load
 	limitLoweredAt     Micros
-	queueing           samples // queueing there, in thousandths of the job's slack
+	queueing           samples // queueing delay there, in thousandths of the requests' slack
 	ejected            bool
-	probeAt            Micros // when a suspect gets its next job
-	ejections          int    // times that it was found sick in a row
-	rejections         int    // refusals and errors since it last finished a job
-	connectionFailures int    // broken connections since then
+	probeAt            Micros // when an ejected server gets its next probe request
+	ejections          int    // consecutive ejections, probes that fail included
+	rejections         int    // rejections and errors since its last success
+	connectionFailures int    // failed connections since its last answer
 }
 
-// inFlightAttempt is one execution that is out.
+// inFlightAttempt is one attempt in flight.
 type inFlightAttempt struct {
 	request  *Request
 	attempt  AttemptID
@@ -96,14 +101,15 @@
 	toLoaded bool
 }
 
-// pendingLoads counts the functions for which our executions on a server began a load or wait for one.
+// pendingLoads returns the number of functions for which attempts of this router on the server started a load or wait
+// for one.
 func (s *server) pendingLoads() int {
 	n := 0
-	for i, fl := range s.inFlight {
+	for i, a := range s.inFlight {
 		same := func(other inFlightAttempt) bool {
-			return !other.toLoaded && other.request.Function == fl.request.Function
+			return !other.toLoaded && other.request.Function == a.request.Function
 		}
-		if !fl.toLoaded && !slices.ContainsFunc(s.inFlight[:i], same) {
+		if !a.toLoaded && !slices.ContainsFunc(s.inFlight[:i], same) {
 			n++
 		}
 	}
--- a/control/retries.go
+++ b/control/retries.go
@@ -2,47 +2,52 @@
 
 import "slices"
 
-// Retries: what an outcome means for its request, and whether it may be attempted again.
+// Retries: what an outcome means for its request, and whether the request may be attempted again.
 
-// SafeToRetryAnywhere tells whether a job that may have run does no harm if its client sends it again, to whichever router and server.
-func (w Class) SafeToRetryAnywhere() bool {
-	return w.Effect == Idempotent || w.Effect == IdempotentByKey && w.Scope == WholeFleet
+// SafeToRetryAnywhere reports whether a request that may have run can be sent again to any router and server without
+// harm.
+func (c Class) SafeToRetryAnywhere() bool {
+	return c.Effect == Idempotent || c.Effect == IdempotentByKey && c.Scope == WholeFleet
 }
 
-// ProvesNotRun tells whether a result proves that the job did not run.
+// ProvesNotRun reports whether the result proves that the request did not run.
 func (r Result) ProvesNotRun() bool {
 	return r == Overloaded || r == ConnectFailed || r == NotSent || r == NotLoaded
 }
 
-// HandleOutcome takes in how an execution ended and answers what to do with its job.
-func (r *Balancer) HandleOutcome(now Micros, j *Request, o Outcome) Decision {
-	e := &j.Attempts[o.Attempt]
+// HandleOutcome records how an attempt ended and decides what happens to its request. It returns NoAction for an
+// attempt that is already done, a server that is not known, and a request that is done.
+func (r *Balancer) HandleOutcome(now Micros, req *Request, o Outcome) Decision {
+	attempt := &req.Attempts[o.Attempt]
 	i, known := r.find(o.Server)
-	if e.Done || !known {
+	if attempt.Done || !known {
 		return Decision{Action: NoAction}
 	}
-	f, s := r.function(j), r.servers[i]
-	in := f.instanceOn(s, true)
-	e.Done = true
-	e.MayHaveRun = !o.Result.ProvesNotRun()
-	in.inFlight = max(0, in.inFlight-1)
-	if e.toLoaded {
+	f, s := r.function(req), r.servers[i]
+	inst := f.instanceOn(s, true)
+	attempt.Done = true
+	attempt.MayHaveRun = !o.Result.ProvesNotRun()
+	inst.inFlight = max(0, inst.inFlight-1)
+	if attempt.toLoaded {
 		s.running--
 	}
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(fl inFlightAttempt) bool { return fl.request == j && fl.attempt == o.Attempt })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(a inFlightAttempt) bool {
+		return a.request == req && a.attempt == o.Attempt
+	})
 	if len(s.inFlight) == 0 {
 		r.index.busy = deleteSorted(r.index.busy, s, byID)
 	}
-	r.recordOutcome(now, f, in, j, o)
+	r.recordOutcome(now, f, inst, req, o)
 	if o.RequestDone {
-		r.Cancel(now, j)
+		r.Cancel(now, req)
 		return Decision{Action: NoAction}
 	}
-	return r.Route(now, j)
+	return r.Route(now, req)
 }
 
-func (r *Balancer) recordOutcome(now Micros, f *function, in *instance, j *Request, o Outcome) {
-	s, e := in.server, &j.Attempts[o.Attempt]
+// recordOutcome updates what is believed of the instance and its server, and the estimates.
+func (r *Balancer) recordOutcome(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+	s, attempt := inst.server, &req.Attempts[o.Attempt]
 	f.blockedAt = 0
 	if o.Report != nil {
 		s.report, s.reportedAt = *o.Report, now
@@ -55,80 +60,99 @@
 	}
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
-		in.replicas, in.loading = 0, 0
-	case o.Result == Overloaded || o.Result == Failed && e.toLoaded: // one that errs at once looks ever emptier
-		if !e.toLoaded {
-			in.loading, s.loadsAfter = 0, now+loadBackoff // its loads queue is full, or there is no memory
+		inst.replicas, inst.loading = 0, 0
+	// A server that fails fast would otherwise look emptier and emptier.
+	case o.Result == Overloaded || o.Result == Failed && attempt.toLoaded:
+		if !attempt.toLoaded {
+			inst.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
-		// Guards against a server that turns all away, full or draining before the list says so: each time
-		// without an answer between it is left alone for longer, and soon its copies count for nothing.
-		if s.rejections++; in.inFlight == 0 {
-			in.replicas = 0 // none of ours runs there: the copy may have made way for others
-		}
-		s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
-		r.index.markQuestionable(s)
-		r.adaptConcurrencyLimit(now, s, 1000)
+		r.recordRejection(now, inst)
 	case o.Result == Succeeded:
-		r.answers, s.rejections = append(r.answers, now), 0
-		in.lastUsed = now
-		exec := r.execTime(f, j)
-		if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && e.toLoaded {
-			f.execTimes.add(now, o.Duration)
-			r.execTimes[j.Class].add(now, o.Duration)
-			r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(j, exec)-exec))
-			r.latencies.add(now, o.Duration)
-			f.delays.add(now, j.heldFor+max(0, o.Duration-exec))
-		} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec { // a quicker one found a copy
-			r.loadTimes.add(now, max(1, o.Duration-exec))
-		}
-		if in.replicas == 0 {
-			in.replicas, in.loading = 1, max(0, in.loading-1)
-		}
+		r.recordSuccess(now, f, inst, req, o)
+	}
+}
+
+// recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
+// it is full or drains before the endpoint list says so: its backoff doubles with each rejection, and soon its
+// replicas don't count as capacity.
+func (r *Balancer) recordRejection(now Micros, inst *instance) {
+	s := inst.server
+	if s.rejections++; inst.inFlight == 0 {
+		inst.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
+	}
+	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
+	r.index.markQuestionable(s)
+	r.adaptConcurrencyLimit(now, s, 1000)
+}
+
+// recordSuccess updates the estimates by an answer from a loaded replica, or the load time by one that waited for a
+// load.
+func (r *Balancer) recordSuccess(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+	s, toLoaded := inst.server, req.Attempts[o.Attempt].toLoaded
+	r.answers, s.rejections = append(r.answers, now), 0
+	inst.lastUsed = now
+	exec := r.execTime(f, req)
+	if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && toLoaded {
+		f.execTimes.add(now, o.Duration)
+		r.execTimes[req.Class].add(now, o.Duration)
+		r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(req, exec)-exec))
+		r.latencies.add(now, o.Duration)
+		f.delays.add(now, req.heldFor+max(0, o.Duration-exec))
+	} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
+		// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
+		r.loadTimes.add(now, max(1, o.Duration-exec))
+	}
+	if inst.replicas == 0 {
+		inst.replicas, inst.loading = 1, max(0, inst.loading-1)
 	}
 }
 
-// mayRetry keeps the second rule: an execution that may have run allows another only where repeats do no
-// harm; for a fingerprinted job only inside its group (of the server s, where one is meant) and while that
-// still remembers it, less a margin for the way there.
-func (r *Balancer) mayRetry(now Micros, j *Request, s *server) bool {
-	w := r.deployment.Classes[j.Class]
-	const travel = 50_000 // far longer than any hop between router and server
-	for _, e := range j.Attempts {
-		outside := s != nil && (w.Scope == OneZone && e.Zone != s.Zone || w.Scope == OneCell && e.Cell != s.Cell)
-		forgotten := now+travel >= e.SentAt+w.Window
-		if e.MayHaveRun && (w.Effect == NonIdempotent || w.Effect == IdempotentByKey && (outside || forgotten)) {
+// mayRetry reports whether the request may be attempted (on server s, unless s is nil) after its earlier attempts. If
+// one of them may have run, the request must be idempotent; if it is idempotent by key, the server must be in the
+// scope of the earlier attempt, and within the window in which that scope remembers the key, less a margin for the
+// network.
+func (r *Balancer) mayRetry(now Micros, req *Request, s *server) bool {
+	class := r.deployment.Classes[req.Class]
+	const networkMargin = 50_000 // far longer than the way from a router to a server
+	for _, a := range req.Attempts {
+		outOfScope := s != nil &&
+			(class.Scope == OneZone && a.Zone != s.Zone || class.Scope == OneCell && a.Cell != s.Cell)
+		expired := now+networkMargin >= a.SentAt+class.Window
+		if a.MayHaveRun &&
+			(class.Effect == NonIdempotent || class.Effect == IdempotentByKey && (outOfScope || expired)) {
 			return false
 		}
 	}
 	return true
 }
 
-// giveUp ends a job: pushed back where that promise holds, else killed.
-func (r *Balancer) giveUp(j *Request) Decision {
-	for _, e := range j.Attempts {
-		if e.MayHaveRun && !r.deployment.Classes[j.Class].SafeToRetryAnywhere() {
+// giveUp ends a request. It rejects it if the client can retry it safely, else it fails it.
+func (r *Balancer) giveUp(req *Request) Decision {
+	for _, a := range req.Attempts {
+		if a.MayHaveRun && !r.deployment.Classes[req.Class].SafeToRetryAnywhere() {
 			return Decision{Action: Fail}
 		}
 	}
 	return Decision{Action: Reject, RetryAfter: r.deployment.MaxRetryAfter}
 }
 
-// Cancel takes in that a job is over: what is still out for it is called off.
-func (r *Balancer) Cancel(now Micros, j *Request) {
-	if j.held {
-		j.held = false
-		r.function(j).held--
+// Cancel records that a request is done, and cancels its attempts in flight.
+func (r *Balancer) Cancel(now Micros, req *Request) {
+	if req.held {
+		req.held = false
+		r.function(req).held--
 	}
-	for i, e := range j.Attempts {
-		if !e.Done {
-			r.cancelAttempt(j, AttemptID(i))
+	for i, a := range req.Attempts {
+		if !a.Done {
+			r.cancelAttempt(req, AttemptID(i))
 		}
 	}
 }
 
-func (r *Balancer) cancelAttempt(j *Request, no AttemptID) {
-	if e := &j.Attempts[no]; r.deployment.SupportsCancel && !e.cancelling {
-		e.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{j.ID, no})
+// cancelAttempt queues the cancellation of an attempt, once, if the deployment supports that. Maintain returns it.
+func (r *Balancer) cancelAttempt(req *Request, id AttemptID) {
+	if a := &req.Attempts[id]; r.deployment.SupportsCancel && !a.cancelling {
+		a.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{req.ID, id})
 	}
 }
