--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,9 +1,11 @@
-// Package core keeps one router's jobs in hand and takes its turns. It asks the decision module and hands what the
-// module answers to an outlet: the bench's frames, the gateway's sockets. It decides nothing.
+// Package core holds the requests in flight of one router and runs its event loop. It asks the balancer for
+// decisions and hands them to an Executor: the simulator adapter's frames or the gateway's sockets. It makes no
+// decision of its own.
 //
-// A turn is: all that was heard since the last one (Arrived, Answered, Listed, Left, Loaded), then Turn, which asks
-// for the upkeep if due, then for every held job in the order of its rank, then sets the one alarm. All of a turn gets
-// one clock. What a turn does follows from what it heard, that clock and the seed alone.
+// A step, one iteration of the event loop, takes in the events since the last one (UpdateEndpoints, Add,
+// HandleOutcome, Cancel, HandleLoadResult); then Step runs the maintenance if it is due, asks about each held
+// request by ascending rank and sets the one timer. All of a step gets the same clock. What it does depends on
+// its events, that clock and the seed alone.
 package core
 
 import (
@@ -15,40 +17,43 @@
 	"hollymast/control"
 )
 
-// Policy is what the core asks. control.Router is the one that serves; a laboratory may put a baseline in its place.
+// Policy makes the decisions. control.Balancer is the one in service; a simulation may use a baseline instead.
 type Policy interface {
 	UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint)
-	Rank(now control.Micros, j *control.Request) control.Micros
-	Route(now control.Micros, j *control.Request) control.Decision
-	HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision
-	Cancel(now control.Micros, j *control.Request)
-	HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int)
+	Rank(now control.Micros, r *control.Request) control.Micros
+	Route(now control.Micros, r *control.Request) control.Decision
+	HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision
+	Cancel(now control.Micros, r *control.Request)
+	HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
+		took control.Micros, replicas int)
 	Maintain(now control.Micros) control.Maintenance
 }
 
-// Executor carries out what the module answers, within the turn and in the order asked. No method may block or call
-// back into the core.
+// Executor carries out the decisions, within the step and in the order in which they were made. No method may
+// block or call back into the core.
 type Executor interface {
-	// Forward starts an execution, numbered from 0 for each job, that may take up to allow.
-	Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros)
-	// Reject and Kill give a job its final answer.
-	Reject(id control.RequestID, stayAway control.Micros)
+	// Forward starts an attempt, numbered from 0 for each request, that may take up to timeout.
+	Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros)
+	// Reject and Fail give a request its final response.
+	Reject(id control.RequestID, retryAfter control.Micros)
 	Fail(id control.RequestID)
-	// CancelAttempt stops waiting for an execution; its outcome is still to be reported.
-	CancelAttempt(id control.RequestID, no control.AttemptID)
-	// Load orders copies for the sake of a job.
-	Load(j *control.Request, o control.LoadCommand)
-	// SubscribeEndpoints asks for changes of the list, Note writes a line in the log.
+	// CancelAttempt stops waiting for an attempt; its outcome is still to be reported.
+	CancelAttempt(id control.RequestID, attempt control.AttemptID)
+	// Load sends a command to load replicas for the sake of a request.
+	Load(r *control.Request, command control.LoadCommand)
+	// SubscribeEndpoints asks discovery for changes of the endpoint list.
 	SubscribeEndpoints()
+	// Log writes a log line.
 	Log(text string)
-	// SetTimer asks for a turn at a time at the latest; a later call replaces an earlier one that has passed or is later.
+	// SetTimer asks for a step at a time at the latest; a later call replaces an earlier one that has passed or
+	// is later.
 	SetTimer(at control.Micros)
 }
 
-// NoopExecutor is an outlet that does nothing, for those who only listen to decisions.
+// NoopExecutor does nothing. It serves callers that only want the decisions.
 type NoopExecutor struct{}
 
-// Forward and the others do nothing.
+// Forward does nothing.
 func (NoopExecutor) Forward(*control.Request, control.AttemptID, control.ServerID, control.Micros) {}
 
 // Reject does nothing.
@@ -72,72 +77,73 @@
 // SetTimer does nothing.
 func (NoopExecutor) SetTimer(control.Micros) {}
 
-// Recorder hears all that a core hears and does, in order, before the core acts on it.
+// Recorder is called with all events and decisions of a core, in order, before the core acts on them.
 type Recorder interface {
 	Executor
 	EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint)
-	RequestAdded(job control.Request)
+	RequestAdded(req control.Request)
 	AttemptEnded(id control.RequestID, o control.Outcome)
 	RequestCancelled(id control.RequestID)
-	LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int)
-	// StepEnded ends a turn, with all that was asked of the outlet in it.
+	LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, replicas int)
+	// StepEnded ends a step, with all that the executor was asked to do in it.
 	StepEnded(now control.Micros)
 }
 
-// Core is one router's jobs in hand round its decider. It is not safe for use by several goroutines.
+// Core holds the requests in flight of one router around its Policy. It is not safe for concurrent use.
 type Core struct {
 	policy        Policy
 	executor      Executor
 	recorder      Recorder // nil: none
 	requests      map[control.RequestID]*request
 	held          []*request
-	spare         []*request     // the other array for held, so that a turn allocates none
-	maintenanceAt control.Micros // upkeep falls due
-	timerAt       control.Micros // earliest alarm asked for and not yet passed; 0: none
+	spare         []*request     // the other array for held, so that a step allocates none
+	maintenanceAt control.Micros // when the next maintenance is due
+	timerAt       control.Micros // earliest timer requested and not yet passed; 0: none
 }
 
-// request is a job, or what is left of one with executions still out.
+// request is a request in flight, or one that is done and still has attempts in flight.
 type request struct {
-	job       control.Request
+	req       control.Request
 	rank      control.Micros
 	recheckAt control.Micros
 	held      bool
 	done      bool
-	inFlight  int // executions without an outcome
+	inFlight  int // attempts without an outcome
 }
 
-// New gives a core with no job in hand.
-func New(ask Policy, out Executor) *Core {
-	return &Core{policy: ask, executor: out, requests: map[control.RequestID]*request{}}
+// New returns a core with no request in flight.
+func New(policy Policy, executor Executor) *Core {
+	return &Core{policy: policy, executor: executor, requests: map[control.RequestID]*request{}}
 }
 
-// SetRecorder has a tape hear all from the next news on; nil ends it. Call it between turns only.
-func (c *Core) SetRecorder(t Recorder) {
-	if b, taped := c.executor.(recordingExecutor); taped {
-		c.executor = b.executor
+// SetRecorder records all from the next event on; nil ends it. It may be called only between steps.
+func (c *Core) SetRecorder(rec Recorder) {
+	if recording, ok := c.executor.(recordingExecutor); ok {
+		c.executor = recording.executor
 	}
-	if c.recorder = t; t != nil {
-		c.executor = recordingExecutor{c.executor, t}
+	if c.recorder = rec; rec != nil {
+		c.executor = recordingExecutor{c.executor, rec}
 	}
 }
 
-// SetTrace has a tool hear why the module decides as it does; the error tells that the decider is a baseline.
-func (c *Core) SetTrace(t *control.Trace) error {
-	module, ok := c.policy.(*control.Balancer)
+// SetTrace has the reasons of the balancer's decisions traced. It returns an error if the policy is a baseline.
+func (c *Core) SetTrace(trace *control.Trace) error {
+	balancer, ok := c.policy.(*control.Balancer)
 	if !ok {
 		return errors.New("this decider tells no reasons")
 	}
-	module.SetTrace(t)
+	balancer.SetTrace(trace)
 	return nil
 }
 
-// Requests counts the jobs in hand, those included that are over and have executions out; Held those that wait here.
+// Requests returns the number of requests in flight, including those that are done and still have attempts in
+// flight.
 func (c *Core) Requests() int { return len(c.requests) }
 
-// Held counts the jobs that wait for a place. Between Arrived and Turn a new job counts.
+// Held returns the number of requests that wait for a server. Between Add and Step a new request counts.
 func (c *Core) Held() int { return len(c.held) }
 
-// UpdateEndpoints passes on the list of servers.
+// UpdateEndpoints passes the endpoint list, or its changes, to the policy.
 func (c *Core) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	if c.recorder != nil {
 		c.recorder.EndpointsUpdated(kind, list)
@@ -145,92 +151,93 @@
 	c.policy.UpdateEndpoints(now, kind, list)
 }
 
-// HandleLoadResult passes on the answer to an order.
+// HandleLoadResult passes the result of a load command to the policy.
 func (c *Core) HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
-	took control.Micros, copies int) {
+	took control.Micros, replicas int) {
 	if c.recorder != nil {
-		c.recorder.LoadEnded(s, f, result, took, copies)
+		c.recorder.LoadEnded(s, f, result, took, replicas)
 	}
-	c.policy.HandleLoadResult(now, s, f, result, took, copies)
+	c.policy.HandleLoadResult(now, s, f, result, took, replicas)
 }
 
-// Add takes a job in hand; the next Turn places it. An id must not come twice: that is an error.
-func (c *Core) Add(now control.Micros, job control.Request) error {
-	if c.requests[job.ID] != nil {
-		return fmt.Errorf("job %d came twice", job.ID)
+// Add takes in a request; the next Step routes it. It returns an error if a request with this ID is in flight.
+func (c *Core) Add(now control.Micros, req control.Request) error {
+	if c.requests[req.ID] != nil {
+		return fmt.Errorf("job %d came twice", req.ID)
 	}
 	if c.recorder != nil {
-		c.recorder.RequestAdded(job)
+		c.recorder.RequestAdded(req)
 	}
-	h := &request{job: job}
-	h.rank = c.policy.Rank(now, &h.job)
-	c.requests[job.ID] = h
-	c.hold(h)
+	r := &request{req: req}
+	r.rank = c.policy.Rank(now, &r.req)
+	c.requests[req.ID] = r
+	c.hold(r)
 	return nil
 }
 
-// HandleOutcome passes on the end of an execution and does with its job what the module answers. The caller sets JobOver
-// where the outcome itself gave the client its final answer. News of a job no longer in hand is passed over; the
-// result tells whether the job was still without a final answer.
+// HandleOutcome passes the end of an attempt to the policy and carries out its decision. The caller sets
+// o.RequestDone if the outcome itself gave the client its final response. An outcome of a request or attempt
+// that is not in flight is ignored. The result is true if the request had no final response before.
 func (c *Core) HandleOutcome(now control.Micros, id control.RequestID, o control.Outcome) bool {
 	if c.recorder != nil {
 		c.recorder.AttemptEnded(id, o)
 	}
-	h := c.requests[id]
-	if h == nil || int(o.Attempt) >= len(h.job.Attempts) || h.job.Attempts[o.Attempt].Done {
+	r := c.requests[id]
+	if r == nil || int(o.Attempt) >= len(r.req.Attempts) || r.req.Attempts[o.Attempt].Done {
 		return false
 	}
-	open := !h.done
-	h.inFlight--
-	o.RequestDone = o.RequestDone || h.done
-	p := c.policy.HandleOutcome(now, &h.job, o)
+	open := !r.done
+	r.inFlight--
+	o.RequestDone = o.RequestDone || r.done
+	d := c.policy.HandleOutcome(now, &r.req, o)
 	if o.RequestDone {
-		c.finish(h)
+		c.finish(r)
 	} else {
-		c.execute(h, p)
+		c.execute(r, d)
 	}
 	return open
 }
 
-// Cancel ends a job that its client no longer wants.
+// Cancel ends a request whose client no longer waits for it.
 func (c *Core) Cancel(now control.Micros, id control.RequestID) {
 	if c.recorder != nil {
 		c.recorder.RequestCancelled(id)
 	}
-	if h := c.requests[id]; h != nil && !h.done {
-		c.policy.Cancel(now, &h.job)
-		c.finish(h)
+	if r := c.requests[id]; r != nil && !r.done {
+		c.policy.Cancel(now, &r.req)
+		c.finish(r)
 	}
 }
 
-// Step ends a turn: it asks for the upkeep if due and again for every held job, and sets the alarm.
+// Step ends a step: it runs the maintenance if it is due, asks again about each held request, and sets the
+// timer.
 func (c *Core) Step(now control.Micros) {
 	if now >= c.maintenanceAt {
-		up := c.policy.Maintain(now)
-		c.maintenanceAt = up.Next
-		for _, r := range up.Cancellations {
-			c.executor.CancelAttempt(r.Request, r.Attempt)
+		maintenance := c.policy.Maintain(now)
+		c.maintenanceAt = maintenance.Next
+		for _, cancel := range maintenance.Cancellations {
+			c.executor.CancelAttempt(cancel.Request, cancel.Attempt)
 		}
-		if up.SubscribeEndpoints {
+		if maintenance.SubscribeEndpoints {
 			c.executor.SubscribeEndpoints()
 		}
-		for _, text := range up.LogLines {
+		for _, text := range maintenance.LogLines {
 			c.executor.Log(text)
 		}
 	}
 	slices.SortStableFunc(c.held, func(a, b *request) int { return cmp.Compare(a.rank, b.rank) })
-	asked := c.held
+	held := c.held
 	c.held = c.spare[:0]
-	for _, h := range asked {
-		if h.held = false; !h.done {
-			c.execute(h, c.policy.Route(now, &h.job))
+	for _, r := range held {
+		if r.held = false; !r.done {
+			c.execute(r, c.policy.Route(now, &r.req))
 		}
 	}
-	clear(asked)
-	c.spare = asked[:0]
+	clear(held)
+	c.spare = held[:0]
 	wake := c.maintenanceAt
-	for _, h := range c.held {
-		wake = min(wake, h.recheckAt)
+	for _, r := range c.held {
+		wake = min(wake, r.recheckAt)
 	}
 	wake = max(wake, now+1)
 	if c.timerAt <= now || wake < c.timerAt {
@@ -242,37 +249,38 @@
 	}
 }
 
-// execute does with a job what the module answered.
-func (c *Core) execute(h *request, p control.Decision) {
-	for _, o := range p.LoadCommands {
-		c.executor.Load(&h.job, o)
+// execute carries out the decision on a request.
+func (c *Core) execute(r *request, d control.Decision) {
+	for _, command := range d.LoadCommands {
+		c.executor.Load(&r.req, command)
 	}
-	switch p.Action {
+	switch d.Action {
 	case control.Forward:
-		h.inFlight++
-		c.executor.Forward(&h.job, control.AttemptID(len(h.job.Attempts)-1), p.Server, p.Timeout)
+		r.inFlight++
+		c.executor.Forward(&r.req, control.AttemptID(len(r.req.Attempts)-1), d.Server, d.Timeout)
 	case control.Hold:
-		h.rank, h.recheckAt = p.Rank, p.RecheckAt
-		c.hold(h)
+		r.rank, r.recheckAt = d.Rank, d.RecheckAt
+		c.hold(r)
 	case control.Reject:
-		c.executor.Reject(h.job.ID, p.RetryAfter)
-		c.finish(h)
+		c.executor.Reject(r.req.ID, d.RetryAfter)
+		c.finish(r)
 	case control.Fail:
-		c.executor.Fail(h.job.ID)
-		c.finish(h)
+		c.executor.Fail(r.req.ID)
+		c.finish(r)
 	}
 }
 
-func (c *Core) hold(h *request) {
-	if !h.held {
-		h.held = true
-		c.held = append(c.held, h)
+func (c *Core) hold(r *request) {
+	if !r.held {
+		r.held = true
+		c.held = append(c.held, r)
 	}
 }
 
-func (c *Core) finish(h *request) {
-	h.done = true
-	if h.inFlight == 0 {
-		delete(c.requests, h.job.ID)
+// finish marks a request as done. It is kept until the last of its attempts has ended.
+func (c *Core) finish(r *request) {
+	r.done = true
+	if r.inFlight == 0 {
+		delete(c.requests, r.req.ID)
 	}
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -9,16 +9,17 @@
 	"hollymast/control"
 )
 
-// Snapshot is a core between two turns, in plain values, its module's included.
+// Snapshot is the state of a core between two steps, the balancer's included, in plain values. Its tags are the
+// stored names.
 type Snapshot struct {
 	Balancer      *control.Snapshot   `json:"Module"`
-	Requests      []RequestSnapshot   `json:"Jobs"` // by ascending id
-	Held          []control.RequestID `json:"Held"` // in the order in which they stand
+	Requests      []RequestSnapshot   `json:"Jobs"` // by ascending ID
+	Held          []control.RequestID `json:"Held"` // in the order in which they are held
 	MaintenanceAt control.Micros      `json:"Next"`
 	TimerAt       control.Micros      `json:"Alarm"`
 }
 
-// RequestSnapshot is a job in hand.
+// RequestSnapshot is the state of a request in flight.
 type RequestSnapshot struct {
 	Request   control.RequestSnapshot `json:"Job"`
 	Rank      control.Micros          `json:"Rank"`
@@ -28,135 +29,142 @@
 	InFlight  int                     `json:"Out"`
 }
 
-// PolicyWrapper is a decider round the module, as explorers plant wrong decisions with.
+// PolicyWrapper is a Policy around the balancer, with which the model checker plants wrong decisions.
 type PolicyWrapper interface {
 	Policy
 	Inner() *control.Balancer
 }
 
-// WrapPolicy puts a decider round the module.
-func (c *Core) WrapPolicy(f func(*control.Balancer) Policy) {
-	if module := c.balancer(); module != nil {
-		c.policy = f(module)
+// WrapPolicy puts a policy around the balancer. It does nothing if the policy is a baseline.
+func (c *Core) WrapPolicy(wrap func(*control.Balancer) Policy) {
+	if b := c.balancer(); b != nil {
+		c.policy = wrap(b)
 	}
 }
 
-// balancer gives the module that decides; nil: a baseline does.
+// balancer returns the balancer that decides, or nil if the policy is a baseline.
 func (c *Core) balancer() *control.Balancer {
-	switch d := c.policy.(type) {
+	switch p := c.policy.(type) {
 	case *control.Balancer:
-		return d
+		return p
 	case PolicyWrapper:
-		return d.Inner()
+		return p.Inner()
 	}
 	return nil
 }
 
-// Snapshot gives the core's state. It must be called between turns, and not between news and its turn; the error tells
-// that the decider is a baseline that gives none.
+// Snapshot returns the core's state. It may be called only between steps, with no event taken in since the last.
+// It returns an error if the policy is a baseline, which has no snapshot.
 func (c *Core) Snapshot() (*Snapshot, error) {
-	module := c.balancer()
-	if module == nil {
+	b := c.balancer()
+	if b == nil {
 		return nil, errors.New("this decider gives no snapshot")
 	}
-	s := &Snapshot{Balancer: module.Snapshot(), MaintenanceAt: c.maintenanceAt, TimerAt: c.timerAt, Requests: make([]RequestSnapshot, 0, len(c.requests))}
-	for _, h := range c.requests {
-		s.Requests = append(s.Requests, RequestSnapshot{h.job.Snapshot(), h.rank, h.recheckAt, h.held, h.done, h.inFlight})
+	s := &Snapshot{Balancer: b.Snapshot(), MaintenanceAt: c.maintenanceAt, TimerAt: c.timerAt,
+		Requests: make([]RequestSnapshot, 0, len(c.requests))}
+	for _, r := range c.requests {
+		s.Requests = append(s.Requests,
+			RequestSnapshot{r.req.Snapshot(), r.rank, r.recheckAt, r.held, r.done, r.inFlight})
 	}
-	slices.SortFunc(s.Requests, func(a, b RequestSnapshot) int { return cmp.Compare(a.Request.Request.ID, b.Request.Request.ID) })
-	for _, h := range c.held {
-		s.Held = append(s.Held, h.job.ID)
+	slices.SortFunc(s.Requests, func(a, b RequestSnapshot) int {
+		return cmp.Compare(a.Request.Request.ID, b.Request.Request.ID)
+	})
+	for _, r := range c.held {
+		s.Held = append(s.Held, r.req.ID)
 	}
 	return s, nil
 }
 
-// LearnedState gives what the module has learned. It may be called between turns; nil of a baseline.
+// LearnedState returns what the balancer has learned, or nil if the policy is a baseline. It may be called
+// between steps.
 func (c *Core) LearnedState(now control.Micros) *control.LearnedState {
-	module, ok := c.policy.(*control.Balancer)
+	b, ok := c.policy.(*control.Balancer)
 	if !ok {
 		return nil
 	}
-	return module.LearnedState(now)
+	return b.LearnedState(now)
 }
 
-// EjectedServers gives the servers that the module suspects; none of a baseline.
+// EjectedServers returns the servers that the balancer has ejected, or nil if the policy is a baseline.
 func (c *Core) EjectedServers() map[control.ServerID]bool {
-	if module, ok := c.policy.(*control.Balancer); ok {
-		return module.EjectedServers()
+	if b, ok := c.policy.(*control.Balancer); ok {
+		return b.EjectedServers()
 	}
 	return nil
 }
 
-// Restore gives a core that goes on from a snapshot, with an outlet of its own. The error tells of a snapshot that does
-// not hold together.
-func Restore(s *Snapshot, out Executor) (*Core, error) {
-	c := New(nil, out)
+// Restore returns a core with its own executor that goes on from a snapshot. It returns an error if the snapshot
+// is inconsistent.
+func Restore(s *Snapshot, executor Executor) (*Core, error) {
+	c := New(nil, executor)
 	c.maintenanceAt, c.timerAt = s.MaintenanceAt, s.TimerAt
-	jobs := make(map[control.RequestID]*control.Request, len(s.Requests))
-	for _, j := range s.Requests {
-		h := &request{job: j.Request.Restore(), rank: j.Rank, recheckAt: j.RecheckAt, held: j.Held, done: j.Done, inFlight: j.InFlight}
-		c.requests[h.job.ID], jobs[h.job.ID] = h, &h.job
+	requests := make(map[control.RequestID]*control.Request, len(s.Requests))
+	for _, saved := range s.Requests {
+		r := &request{req: saved.Request.Restore(), rank: saved.Rank, recheckAt: saved.RecheckAt, held: saved.Held,
+			done: saved.Done, inFlight: saved.InFlight}
+		c.requests[r.req.ID], requests[r.req.ID] = r, &r.req
 	}
 	for _, id := range s.Held {
-		h := c.requests[id]
-		if h == nil || !h.held {
+		r := c.requests[id]
+		if r == nil || !r.held {
 			return nil, fmt.Errorf("snapshot: job %d is held, but not in hand", id)
 		}
-		c.held = append(c.held, h)
+		c.held = append(c.held, r)
 	}
 	if s.Balancer == nil {
 		return nil, errors.New("snapshot: no module in it")
 	}
-	module, err := control.Restore(s.Balancer, jobs)
+	b, err := control.Restore(s.Balancer, requests)
 	if err != nil {
 		return nil, err
 	}
-	c.policy = module
+	c.policy = b
 	return c, nil
 }
 
-// recordingExecutor carries out what is asked and has a tape hear it.
+// recordingExecutor records each call before the executor gets it.
 type recordingExecutor struct {
 	executor Executor
 	recorder Recorder
 }
 
-func (b recordingExecutor) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	b.recorder.Forward(j, no, to, allow)
-	b.executor.Forward(j, no, to, allow)
+func (e recordingExecutor) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID,
+	timeout control.Micros) {
+	e.recorder.Forward(r, attempt, to, timeout)
+	e.executor.Forward(r, attempt, to, timeout)
 }
 
-func (b recordingExecutor) Reject(id control.RequestID, stayAway control.Micros) {
-	b.recorder.Reject(id, stayAway)
-	b.executor.Reject(id, stayAway)
+func (e recordingExecutor) Reject(id control.RequestID, retryAfter control.Micros) {
+	e.recorder.Reject(id, retryAfter)
+	e.executor.Reject(id, retryAfter)
 }
 
-func (b recordingExecutor) Fail(id control.RequestID) {
-	b.recorder.Fail(id)
-	b.executor.Fail(id)
+func (e recordingExecutor) Fail(id control.RequestID) {
+	e.recorder.Fail(id)
+	e.executor.Fail(id)
 }
 
-func (b recordingExecutor) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	b.recorder.CancelAttempt(id, no)
-	b.executor.CancelAttempt(id, no)
+func (e recordingExecutor) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
+	e.recorder.CancelAttempt(id, attempt)
+	e.executor.CancelAttempt(id, attempt)
 }
 
-func (b recordingExecutor) Load(j *control.Request, o control.LoadCommand) {
-	b.recorder.Load(j, o)
-	b.executor.Load(j, o)
+func (e recordingExecutor) Load(r *control.Request, command control.LoadCommand) {
+	e.recorder.Load(r, command)
+	e.executor.Load(r, command)
 }
 
-func (b recordingExecutor) SubscribeEndpoints() {
-	b.recorder.SubscribeEndpoints()
-	b.executor.SubscribeEndpoints()
+func (e recordingExecutor) SubscribeEndpoints() {
+	e.recorder.SubscribeEndpoints()
+	e.executor.SubscribeEndpoints()
 }
 
-func (b recordingExecutor) Log(text string) {
-	b.recorder.Log(text)
-	b.executor.Log(text)
+func (e recordingExecutor) Log(text string) {
+	e.recorder.Log(text)
+	e.executor.Log(text)
 }
 
-func (b recordingExecutor) SetTimer(at control.Micros) {
-	b.recorder.SetTimer(at)
-	b.executor.SetTimer(at)
+func (e recordingExecutor) SetTimer(at control.Micros) {
+	e.recorder.SetTimer(at)
+	e.executor.SetTimer(at)
 }
