--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,6 +1,7 @@
-// Package attempt is the life of one job's answer, of its executions on their way, and of the connections that carry them, as plain
-// state: what a call-off, a drain notice, an answer, a break or a leaving client does in each state. It is free of I/O and
-// clocks. The gateway drives it between sockets, internal/explore between all orderings.
+// Package attempt holds, as plain state, the one final answer of a request, its attempts in flight and the
+// connections that carry them: what a cancellation, a drain notification, an answer, a broken connection or a
+// client that disconnects does in each state. It is free of I/O and clocks. The gateway drives it between
+// sockets; the model checker (internal/explore) drives it through all orderings.
 package attempt
 
 import (
@@ -9,48 +10,54 @@
 	"hollymast/control"
 )
 
-// Stage is how far a sending has got. The turn and the sending's connection share it: each of its steps is taken by
-// comparing and swapping, so that exactly one of them takes it out of Chosen.
+// Stage is how far an attempt has got. The event loop and the goroutine of the attempt's connection share it:
+// each transition is a compare-and-swap, so that exactly one of them takes it out of Chosen.
 type Stage int32
 
-// The stages.
+// The stages of an attempt.
 const (
-	Chosen    Stage = iota // the module chose a server; no byte is written
-	Writing                // bytes may be out: only its end tells what became of it
+	Chosen    Stage = iota // the balancer chose a server; no byte is written
+	Writing                // bytes may be written: only its end tells its outcome
 	Withdrawn              // taken back before a byte was written: provably never sent
 )
 
-// Withdraw takes back what is not being written yet; ok is false where it is too late for that, or done.
+// Withdraw takes back an attempt that is not being written yet; ok is false if it is being written or was
+// withdrawn before.
 func (s Stage) Withdraw() (next Stage, ok bool) { return Withdrawn, s == Chosen }
 
-// Write begins to write, unless it was taken back, or the list that its choice rests on has grown too old (WriteUntil): what was
-// told since may forbid it. Kept tells that the journal holds what must be known of it before.
+// Write begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
+// old (WriteUntil): a later list may forbid the server. Kept is true if the journal holds what it must hold
+// before the first byte.
 func (s Stage) Write(kept bool, now, until control.Micros) (next Stage, ok bool) {
 	return Writing, s == Chosen && kept && now <= until
 }
 
-// Step takes a step of a stage that a turn and a connection share; no tells that it could not be taken.
-func Step(shared *atomic.Int32, f func(Stage) (next Stage, ok bool)) bool {
+// Step makes a transition of a stage that the event loop and a connection share; it returns false if the stage
+// does not allow it.
+func Step(shared *atomic.Int32, transition func(Stage) (next Stage, ok bool)) bool {
 	for {
 		old := shared.Load()
-		next, ok := f(Stage(old))
+		next, ok := transition(Stage(old))
 		if !ok || shared.CompareAndSwap(old, int32(next)) {
 			return ok
 		}
 	}
 }
 
-// JournalWait is how long a chosen sending may wait for the journal: as long as its list is fresh, and its time is not up.
-func JournalWait(now, until, left control.Micros) control.Micros { return max(0, min(until-now, left)) }
+// JournalWait returns how long, in microseconds, a chosen attempt may wait for the journal: until its endpoint
+// list is stale or its time is up.
+func JournalWait(now, until, timeout control.Micros) control.Micros {
+	return max(0, min(until-now, timeout))
+}
 
-// Progress is the turn's own part of one execution or order on its way.
+// Progress is what the event loop knows of one attempt or load command in flight. Its tags are the stored names.
 type Progress struct {
-	Cancelled bool `cbor:"Off"`  // called off: whatever comes of it changes nothing for its job
-	Ended     bool `cbor:"Over"` // its end was taken in: its connection may carry another by now
+	Cancelled bool `cbor:"Off"`  // whatever its outcome, it changes nothing for its request
+	Ended     bool `cbor:"Over"` // its end was handled: its connection may carry another by now
 }
 
-// Cancel stops waiting for it. Act tells that there is something to stop: what is not written is withdrawn, what is is broken off.
-// After its end nothing may be, since its connection may carry another.
+// Cancel stops waiting for it. Act is true if there is something to stop: withdraw it if it is not being
+// written, else abort it. After its end nothing may be stopped, since its connection may carry another.
 func (s *Progress) Cancel() (act bool) {
 	if s.Cancelled || s.Ended {
 		return false
@@ -59,75 +66,78 @@
 	return true
 }
 
-// End takes in its end; first is false where that was known.
+// End handles its end; first is false if it was handled before.
 func (s *Progress) End() (first bool) {
 	first = !s.Ended
 	s.Ended = true
 	return first
 }
 
-// BreakReason is why an exchange broke.
+// BreakReason is why an exchange broke off.
 type BreakReason uint8
 
-// The reasons. A refused one never got through its handshake (rest.ErrRefused).
+// The reasons. With ByAuthentication the handshake never completed (rest.ErrRefused).
 const (
-	ByPeer           BreakReason = iota // the other end closed or broke it
-	ByUs                                // we did
-	ByDeadline                          // its time was up
-	ByAuthentication                    // the other end does not believe who we are
+	ByPeer           BreakReason = iota // the peer closed or reset the connection
+	ByUs                                // this router aborted it
+	ByDeadline                          // its timeout expired
+	ByAuthentication                    // the peer refused our certificate
 )
 
-// BrokenResult tells what a broken exchange means: only of what was not written at all, or not believed, is it proved that nothing ran.
-func BrokenResult(written bool, why BreakReason) control.Result {
+// BrokenResult returns the result of an exchange that broke off. Only one that was not written at all, or whose
+// handshake was refused, is proved not to have run.
+func BrokenResult(written bool, reason BreakReason) control.Result {
 	switch {
 	case !written:
 		return control.NotSent
-	case why == ByAuthentication:
+	case reason == ByAuthentication:
 		return control.ConnectFailed
-	case why == ByUs:
+	case reason == ByUs:
 		return control.Cancelled
-	case why == ByDeadline:
+	case reason == ByDeadline:
 		return control.TimedOut
 	}
 	return control.ConnectionReset
 }
 
-// UndialledResult tells what it means that no connection came about: nothing is known of the server where the sending was withdrawn
-// meanwhile, or waited for its turn to dial.
-func UndialledResult(s Stage, waited bool) control.Result {
-	if waited || s == Withdrawn {
+// UndialledResult returns the result of an attempt for which no connection was established. It says nothing
+// about the server (NotSent) if the attempt was withdrawn meanwhile, or if the cause is local: it was still
+// waiting to dial, or the fault is this machine's (rest.Ours).
+func UndialledResult(s Stage, local bool) control.Result {
+	if local || s == Withdrawn {
 		return control.NotSent
 	}
 	return control.ConnectFailed
 }
 
-// FinalAnswer is a job's one final answer, and what is still out for it.
+// FinalAnswer is the one final answer of a request, and how many attempts are in flight for it. Its tags are the
+// stored names.
 type FinalAnswer struct {
 	Given    bool `cbor:"Given"`
-	InFlight int  `cbor:"Out"` // executions whose end was not heard
+	InFlight int  `cbor:"Out"` // attempts whose end was not handled
 }
 
-// Give gives the final answer; only the first is one.
+// Give gives the final answer; first is false if it was given before.
 func (a *FinalAnswer) Give() (first bool) {
 	first = !a.Given
 	a.Given = true
 	return first
 }
 
-// AttemptBegan counts an execution.
+// AttemptBegan counts an attempt.
 func (a *FinalAnswer) AttemptBegan() { a.InFlight++ }
 
-// Delivery is what the end of an execution means to its client.
+// Delivery is what the end of an attempt means to the client.
 type Delivery uint8
 
-// The deliveries.
+// The deliveries of an outcome.
 const (
-	AskPolicy Delivery = iota // none: the module is asked what next
+	AskPolicy Delivery = iota // nothing: the policy is asked what to do next
 	Deliver                   // it is the final answer
-	Drop                      // too late: the job has its answer
+	Drop                      // too late: the request has its answer
 )
 
-// AttemptEnded takes in the end of an execution.
+// AttemptEnded handles the end of an attempt.
 func (a *FinalAnswer) AttemptEnded(r control.Result) Delivery {
 	a.InFlight--
 	switch {
@@ -139,39 +149,40 @@
 	return AskPolicy
 }
 
-// Done tells that the job can be forgotten.
+// Done reports whether the request can be forgotten.
 func (a *FinalAnswer) Done() bool { return a.Given && a.InFlight == 0 }
 
-// Connections are those to one server. The turn owns them.
+// Connections counts the connections to one server. The event loop owns it.
 type Connections struct {
 	Idle int
 	All  int // idle or not
 }
 
-// ConnectionChoice is which connection a sending gets.
+// ConnectionChoice is which connection an attempt gets.
 type ConnectionChoice uint8
 
-// The uses. With no room it is never sent.
+// The choices.
 const (
-	Reuse ConnectionChoice = iota
-	OpenNew
-	NoneLeft
+	Reuse    ConnectionChoice = iota // an idle one
+	OpenNew                          // a new one
+	NoneLeft                         // none: the limit is reached and the attempt is never sent
 )
 
-// Acquire finds a connection for a sending.
-func (c *Connections) Acquire(most int) ConnectionChoice {
+// Acquire finds a connection for an attempt, at most limit in all.
+func (c *Connections) Acquire(limit int) ConnectionChoice {
 	switch {
 	case c.Idle > 0:
 		c.Idle--
 		return Reuse
-	case c.All < most:
+	case c.All < limit:
 		c.All++
 		return OpenNew
 	}
 	return NoneLeft
 }
 
-// Release takes a connection back at a sending's end. Open tells that it stands; it is kept only for a server that is still listed.
+// Release takes a connection back at the end of its attempt. Open is true if it is still established; it is kept
+// only for a server that is still listed.
 func (c *Connections) Release(open, listed bool) (keep bool) {
 	if open && listed {
 		c.Idle++
@@ -181,21 +192,23 @@
 	return false
 }
 
-// CloseIdle counts one that was idle and is closed.
+// CloseIdle counts an idle connection as closed.
 func (c *Connections) CloseIdle() { c.Idle--; c.All-- }
 
-// KeyedRetryFreshness is that of a fingerprinted job's further execution: half of what the module allows for the way there
-// (control.mayRepeat), so that the group still remembers the earlier one.
+// KeyedRetryFreshness bounds, in microseconds, the way of a further attempt with an idempotency key to its
+// server: half of what the balancer allows for it (control.mayRetry), so that the servers that share the key
+// still remember the earlier attempt.
 const KeyedRetryFreshness = control.Micros(25_000)
 
-// ClientConnection is a conversation with one client.
+// ClientConnection is the state of a connection from a client.
 type ClientConnection struct {
 	Stopping bool
-	More     bool // it has sent further requests ahead
+	More     bool // the client has pipelined further requests
 }
 
-// CloseAfter tells whether the connection ends with an answer: where either side asked for it, or the client is gone or we stop, and
-// nothing was sent ahead that would then have no answer.
-func (c ClientConnection) CloseAfter(ours, theirs, left bool) bool {
-	return ours || theirs || (left || c.Stopping) && !c.More
+// CloseAfter reports whether the connection is closed after an answer: if either side asked for it, or if the
+// client has closed its side or this router is stopping and no pipelined request would be left without an
+// answer.
+func (c ClientConnection) CloseAfter(serverClose, clientClose, clientGone bool) bool {
+	return serverClose || clientClose || (clientGone || c.Stopping) && !c.More
 }
