--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet turns lists of servers, as a source tells them, into the module's words. It is free of I/O and clocks.
+// Package fleet turns the endpoint lists of a source, discovery or the configuration, into the balancer's terms.
+// It is free of I/O and clocks.
 //
-// What it decides is how old a server is. Lists carry the time of a server's start by some other machine's wall clock;
-// the router's time only goes forward. A clock set back or forward must make no server look older than it can be, since
-// a cold one would then be sent more than it bears (rule 4).
+// What it decides is how old a server is. Lists carry the start time of a server by another machine's wall
+// clock; the router's own time only goes forward. A wall clock that is set must make no server look older than
+// it can be, since a server in slow start would then be sent more than it can take (rule 4).
 package fleet
 
 import (
@@ -15,9 +16,9 @@
 	"hollymast/control"
 )
 
-// Endpoint is one server as a list tells it.
+// Endpoint is one server as a source lists it.
 type Endpoint struct {
-	Name      string // where the list names servers apart from their addresses, which others may get; else empty
+	Name      string // set if the source names servers apart from their addresses, which other servers may get; else empty
 	Address   string
 	State     control.ServerState
 	Zone      string
@@ -28,66 +29,74 @@
 
 // Server is what the fleet keeps of a server.
 type Server struct {
-	ID         control.ServerID
-	Address    string
-	State      control.ServerState
-	Zone       control.ZoneID
-	Cell       control.CellID
-	Endpoint   Endpoint       // as the list told it last
-	toldStart  int64          // the start as the list told it
-	startedAt  control.Micros // brought into the router's time
-	removedAt  control.Micros // when it was last on a list
-	fullUpdate uint64         // the last complete list that named it
+	ID          control.ServerID
+	Address     string
+	State       control.ServerState
+	Zone        control.ZoneID
+	Cell        control.CellID
+	Endpoint    Endpoint       // as last listed
+	listedStart int64          // Endpoint.StartedAt as last listed
+	startedAt   control.Micros // the start in the router's time
+	removedAt   control.Micros // when it was last on a list
+	fullUpdate  uint64         // the number of the last full update that listed it
 }
 
-// Update is what a source tells at a time: the complete list, or only what differs from what it told before.
+// Update is what a source sends at a time: the full list, or only what differs from what it sent before.
 type Update struct {
 	Full      bool
-	Endpoints []Endpoint // of changes: each server at most once, those that left in state Gone
+	Endpoints []Endpoint // if not Full: each server at most once, a server that left in state Removed
 }
 
-// removal is that of a server from the list.
+// removal is the removal of a server from the list.
 type removal struct {
 	id control.ServerID
-	at control.Micros // when it was last on it
+	at control.Micros // when it was last on the list
 }
 
-// Fleet is the list as last told.
+// Fleet is the endpoint list as last sent. It is not safe for concurrent use.
 type Fleet struct {
-	offset      int64 // wall clock at the router's time 0, fixed at the start
+	offset      int64 // wall clock at the router's time 0, in microseconds since 1970, fixed at the start
 	lastUpdate  control.Micros
 	first       bool
 	sourceClock bool
-	fullUpdates uint64 // complete ones so far
-	// completeAsOf is the last time of which it is known that nothing its source had told by then is missing; 0: none is known.
+	fullUpdates uint64 // number of full updates so far
+	// completeAsOf is the last time of which it is known that the list holds all that its source had sent by
+	// then; 0: none is known.
 	completeAsOf control.Micros
-	slowStart    control.Micros // how long slow start takes
+	slowStart    control.Micros // duration of slow start
 	servers      map[control.ServerID]*Server
-	removed      []removal                   // in the order of their ends
-	counts       map[control.ServerState]int // of servers on the list
+	removed      []removal                   // in the order of their removal
+	counts       map[control.ServerState]int // number of servers on the list by state
 	zones        map[string]control.ZoneID
 	cells        map[string]control.CellID
 }
 
-// New gives an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: read once, so
-// that setting the clock later changes nothing.
+// New returns an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: it is
+// read once, so that setting the clock later changes nothing.
 func New(offset int64) *Fleet {
-	return &Fleet{offset: offset, first: true, servers: map[control.ServerID]*Server{}, counts: map[control.ServerState]int{},
-		zones: map[string]control.ZoneID{}, cells: map[string]control.CellID{}}
+	return &Fleet{
+		offset:  offset,
+		first:   true,
+		servers: map[control.ServerID]*Server{},
+		counts:  map[control.ServerState]int{},
+		zones:   map[string]control.ZoneID{},
+		cells:   map[string]control.CellID{},
+	}
 }
 
-// UseSourceClock is for lists made by the clock that the router's own time was read from, on which a server whose start is not told
-// has run for long, whenever it is first listed.
+// UseSourceClock is for a source that shares the clock of the router's own time. A server that such a source
+// lists without a start time has run for long, whenever it is first listed.
 func (f *Fleet) UseSourceClock() { f.sourceClock = true }
 
-// SlowStart tells how long a server's slow start takes.
-func (f *Fleet) SlowStart(span control.Micros) { f.slowStart = span }
+// SlowStart sets the duration of slow start.
+func (f *Fleet) SlowStart(duration control.Micros) { f.slowStart = duration }
 
-// CompleteAsOf tells as of when the list was complete that was taken in last: nothing told by then is missing. Call it after the
-// lists that were told by then.
+// CompleteAsOf sets the time as of which the list is complete: it holds all that its source had sent by then. It
+// is called after the updates that were sent by then.
 func (f *Fleet) CompleteAsOf(asOf control.Micros) { f.completeAsOf = max(f.completeAsOf, asOf) }
 
-// ID gives a server's id: the same in every router, since all share one order of servers.
+// ID returns a server's ID, from its name or address. It is the same in every router, since all share one order
+// of servers.
 func ID(address string) control.ServerID {
 	if a, err := netip.ParseAddrPort(address); err == nil && a.Addr().Is4() {
 		b := a.Addr().As4()
@@ -97,7 +106,7 @@
 	return control.ServerID(xxhash.Sum64String(address) | 1<<63) // no IPv4 address has the top bit
 }
 
-// Zone gives a zone's id; the empty name is zone 0.
+// Zone returns a zone's ID; the empty name is zone 0.
 func (f *Fleet) Zone(name string) control.ZoneID { return intern(f.zones, name) }
 
 func intern[T ~uint16](ids map[string]T, name string) T {
@@ -112,32 +121,34 @@
 	return id
 }
 
-// Get gives a server by id; nil where no list named it.
+// Get returns a server by ID, or nil if no list named it.
 func (f *Fleet) Get(id control.ServerID) *Server { return f.servers[id] }
 
-// FullUpdate takes in a whole list, heard at a time, and gives it in the module's words, by ascending id. A server that it
-// leaves out is gone; it is kept as such, so that its return is known for a restart, until Forget.
+// FullUpdate takes in a full list, received at now, and returns it in the balancer's terms by ascending ID. A
+// server that is not on it is removed; it is kept as such until Prune, so that its return is recognized as a
+// restart.
 func (f *Fleet) FullUpdate(now control.Micros, list []Endpoint) []control.Endpoint {
 	f.fullUpdates++
-	out := f.applyEndpoints(now, list)
+	updated := f.applyEndpoints(now, list)
 	for _, s := range f.servers {
 		if s.fullUpdate != f.fullUpdates {
 			f.remove(s)
 		}
 	}
 	f.lastUpdate, f.first = now, false
-	return out
+	return updated
 }
 
-// IncrementalUpdate takes in what differs from what was heard last, and gives it in the module's words, by ascending id: all is then as if
-// the complete list had come. A server that leaves is handed on as it was, but gone.
+// IncrementalUpdate takes in the changes since the last update, received at now, and returns them in the
+// balancer's terms by ascending ID. All is then as if the full list had come. A server that leaves is returned
+// as it was, in state Removed.
 func (f *Fleet) IncrementalUpdate(now control.Micros, changed []Endpoint) []control.Endpoint {
-	out := f.applyEndpoints(now, changed)
+	updated := f.applyEndpoints(now, changed)
 	f.lastUpdate, f.first = now, false
-	return out
+	return updated
 }
 
-// remove notes that a server is on the list no more.
+// remove marks a server as removed from the list.
 func (f *Fleet) remove(s *Server) {
 	if s.State != control.Removed {
 		f.counts[s.State]--
@@ -146,16 +157,16 @@
 	}
 }
 
-// applyEndpoints takes in what a list tells of the servers that it names.
+// applyEndpoints takes in the listed endpoints and returns them in the balancer's terms.
 func (f *Fleet) applyEndpoints(now control.Micros, list []Endpoint) []control.Endpoint {
-	out := make([]control.Endpoint, 0, len(list))
+	updated := make([]control.Endpoint, 0, len(list))
 	for _, e := range list {
 		id := ID(cmp.Or(e.Name, e.Address))
 		s := f.servers[id]
 		if e.State == control.Removed {
 			if s != nil && s.State != control.Removed {
 				f.remove(s)
-				out = append(out, s.endpoint())
+				updated = append(updated, s.endpoint())
 			}
 			continue
 		}
@@ -163,49 +174,54 @@
 			f.counts[s.State]--
 		}
 		f.counts[e.State]++
-		// With no start told, a server that was gone may have restarted meanwhile.
-		fresh := s == nil || s.toldStart != e.StartedAt || s.State == control.Removed && e.StartedAt == 0
+		// Without a start time, a server that was removed may have restarted meanwhile.
+		newStart := s == nil || s.listedStart != e.StartedAt || s.State == control.Removed && e.StartedAt == 0
 		if s == nil {
 			s = &Server{ID: id, Address: e.Address}
 			f.servers[id] = s
 		}
-		if fresh {
-			s.toldStart, s.startedAt = e.StartedAt, f.startedAt(now, e.StartedAt, s.startedAt)
+		if newStart {
+			s.listedStart, s.startedAt = e.StartedAt, f.startedAt(now, e.StartedAt, s.startedAt)
 		}
 		s.Endpoint, s.Address = e, e.Address
-		s.State, s.Zone, s.Cell, s.removedAt = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell), now
+		s.State, s.Zone, s.Cell = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell)
+		s.removedAt = now
 		s.fullUpdate = f.fullUpdates
-		out = append(out, s.endpoint())
+		updated = append(updated, s.endpoint())
 	}
-	slices.SortFunc(out, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
-	return out
+	slices.SortFunc(updated, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
+	return updated
 }
 
-// endpoint gives a server in the module's words.
+// endpoint returns a server in the balancer's terms.
 func (s *Server) endpoint() control.Endpoint {
-	return control.Endpoint{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Endpoint.Weight, StartedAt: s.startedAt}
+	return control.Endpoint{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Endpoint.Weight,
+		StartedAt: s.startedAt}
 }
 
-// announcementLag is the part of slow start that may pass between a server's start and its first listing, at the most: sources tell
-// a server once it was found ready. A clock that is off by less makes a server look this much older: with a quarter of the
-// capacity at first the budget is then a fifth too large, which the module's margin covers.
+// announcementLag is the largest part of slow start that may pass between a server's start and its first
+// listing: sources list a server once it was found ready. A clock that is off by less makes a server look this
+// much older. If capacity starts at a quarter the slow-start budget is then a fifth too large, which the
+// balancer's margin covers.
 const announcementLag = 1.0 / 16
 
-// startedAt brings the start of a server that was not on the last list, or not with this start, into the router's time, whatever the
-// clocks say: it began after the list was last complete without it, no later than now, and after its earlier life's start.
-func (f *Fleet) startedAt(now control.Micros, told int64, earlier control.Micros) control.Micros {
-	if told == 0 && (f.first || f.sourceClock) {
+// startedAt converts the start time of a server that was not on the last list, or not with this start time, into
+// the router's time; 0 is long ago. Whatever the clocks say, a start is no earlier than the last time that the
+// list was complete without the server (less announcementLag), no later than now, and after the start of the
+// server's previous incarnation.
+func (f *Fleet) startedAt(now control.Micros, listedStart int64, previous control.Micros) control.Micros {
+	if listedStart == 0 && (f.first || f.sourceClock) {
 		return 0
 	}
-	at := control.Micros(told - f.offset)
-	if since := f.lastWithout(); told == 0 || at < since-control.Micros(announcementLag*float64(f.slowStart)) {
+	at := control.Micros(listedStart - f.offset)
+	if since := f.lastWithout(); listedStart == 0 || at < since-control.Micros(announcementLag*float64(f.slowStart)) {
 		at = since
 	}
-	return max(1, earlier+1, min(at, now))
+	return max(1, previous+1, min(at, now))
 }
 
-// lastWithout is when the list was last complete without a server that comes on it now; 0 where that is not known, as of what a
-// configuration knows at the start.
+// lastWithout returns when the list was last complete without a server that is listed now; 0 if that is not
+// known, as for the servers of the configuration at the start.
 func (f *Fleet) lastWithout() control.Micros {
 	if f.first || f.sourceClock && f.completeAsOf == 0 {
 		return 0
@@ -213,12 +229,12 @@
 	return cmp.Or(f.completeAsOf, f.lastUpdate)
 }
 
-// Count gives how many servers are on the list, and how many of them are ready.
+// Count returns how many servers are on the list, and how many of them are ready.
 func (f *Fleet) Count() (servers, ready int) {
 	return f.counts[control.Ready] + f.counts[control.Draining], f.counts[control.Ready]
 }
 
-// Servers gives the servers that are on the list, by ascending id.
+// Servers returns the servers on the list by ascending ID.
 func (f *Fleet) Servers() []*Server {
 	var ss []*Server
 	for _, s := range f.servers {
@@ -230,15 +246,15 @@
 	return ss
 }
 
-// InSlowStart tells whether a server began less than a span ago.
+// InSlowStart reports whether a server started less than span ago.
 func (s *Server) InSlowStart(now, span control.Micros) bool {
 	return s.startedAt > 0 && now < s.startedAt+span
 }
 
-// Prune drops servers that left the list long ago and for which keep says no. Until then a server that comes back with
-// the start that it had is known not to be cold.
+// Prune drops servers that left the list long ago and for which keep returns false. A server that comes back
+// before that with the start time that it had is known not to need slow start.
 func (f *Fleet) Prune(now control.Micros, keep func(control.ServerID) bool) {
-	const long = 600_000_000 // as long as the module keeps them
+	const long = 600_000_000 // 10 minutes, as long as the balancer keeps them
 	due := 0
 	for due < len(f.removed) && now > f.removed[due].at+long {
 		due++
