--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,6 @@
-// Package backoff decides how long to wait before a further try to reach one that many ask: doubled each time, half of it by
-// chance, so that many routers that lost it in one moment don't come back in one.
+// Package backoff computes how long to wait before a further attempt to reach a server that many clients use:
+// exponential, with half of each wait at random, so that many routers that lost the server in one moment don't
+// come back in one.
 package backoff
 
 import (
@@ -7,27 +8,27 @@
 	"time"
 )
 
-// Backoff is one asker's waits.
+// Backoff is the state of one client's waits. It is not safe for concurrent use.
 type Backoff struct {
 	first, longest time.Duration
 	next           time.Duration
-	chance         *rand.Rand
+	random         *rand.Rand
 }
 
-// New gives a backoff with its own chance, from its first wait to its longest.
+// New returns a Backoff with its own random source, from its first wait to its longest.
 func New(seed uint64, first, longest time.Duration) *Backoff {
-	return &Backoff{first: first, longest: longest, next: first, chance: rand.New(rand.NewPCG(seed, 1))}
+	return &Backoff{first: first, longest: longest, next: first, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Next gives the next wait.
+// Next returns the next wait.
 func (b *Backoff) Next() time.Duration { return b.NextWithin(b.longest) }
 
-// NextWithin gives the next wait where this one may last no longer than a limit. Part of it is up to chance all the same.
+// NextWithin returns the next wait, of at most limit. Half of it is random all the same.
 func (b *Backoff) NextWithin(limit time.Duration) time.Duration {
-	span := min(b.next, limit)
+	wait := min(b.next, limit)
 	b.next = min(2*b.next, b.longest)
-	return span/2 + time.Duration(b.chance.Int64N(int64(span/2)+1))
+	return wait/2 + time.Duration(b.random.Int64N(int64(wait/2)+1))
 }
 
-// Well forgets earlier failures: there was an answer.
+// Well resets the wait to the first after a success.
 func (b *Backoff) Well() { b.next = b.first }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,4 +1,5 @@
-// Package config puts the start settings, and the names in them, into the module's words.
+// Package config converts the simulator's start settings (wire.BootInfo), and the names in them, into the
+// balancer's terms.
 package config
 
 import (
@@ -8,48 +9,59 @@
 	"hollymast/internal/wire"
 )
 
-// Report reads a load report: values in the order of the fields that the settings name. Nil where there is none.
+// Report converts a server's load report: the values come in the order of the fields that the settings name. It
+// returns nil if there is none. A value of the result that is not reported is -1.
 func Report(fields []string, load []float32) *control.LoadReport {
 	if len(load) == 0 {
 		return nil
 	}
-	rep := &control.LoadReport{Utilization: -1, PendingLoads: -1, PinnedMemory: -1}
+	report := &control.LoadReport{Utilization: -1, PendingLoads: -1, PinnedMemory: -1}
 	for i, v := range load[:min(len(load), len(fields))] {
 		switch fields[i] {
 		case "cpu_share":
-			rep.Utilization = float64(v)
+			report.Utilization = float64(v)
 		case "x1":
-			rep.PendingLoads = float64(v)
+			report.PendingLoads = float64(v)
 		case "x0":
-			rep.PinnedMemory = float64(v)
+			report.PinnedMemory = float64(v)
 		}
 	}
-	return rep
+	return report
 }
 
-// Deployment puts the start settings into the module's words.
-func Deployment(b *wire.BootInfo) (control.Deployment, error) {
+// Deployment converts the start settings. Times are in microseconds on both sides. It returns an error if a
+// class has unknown semantics, or an unknown key scope where it needs one.
+func Deployment(boot *wire.BootInfo) (control.Deployment, error) {
 	d := control.Deployment{
-		Routers: b.Balancers, Number: b.SelfIndex, Zone: control.ZoneID(b.Zone), Tick: control.Micros(b.Tick),
-		MaxAttempts: b.Ceilings.TryLimit, SupportsCancel: b.Ceilings.Cancel,
-		MarksRetries: b.Clients.MarksRetry, EndpointsOnRequest: b.Discovery == "on_request",
-		SlowStartInitial:  b.Contract.ColdFrom,
-		SlowStartDuration: control.Micros(b.Contract.Cold), OverloadWindow: control.Micros(b.Contract.Fall),
-		OverloadFactor: b.Contract.FallMultiple, KeepAlive: control.Micros(b.Specifics.LingerIdle),
-		LoadCommands: b.Specifics.LoadControl, LoadRateWindow: control.Micros(b.Specifics.LoadWindow),
-		LoadRateBase: b.Specifics.LoadsAnyway, LoadRatePerRequest: b.Specifics.LoadPart,
-		LoadsOnMiss: b.Specifics.WhenAbsent != "miss",
+		Routers:            boot.Balancers,
+		Number:             boot.SelfIndex,
+		Zone:               control.ZoneID(boot.Zone),
+		Tick:               control.Micros(boot.Tick),
+		MaxAttempts:        boot.Ceilings.TryLimit,
+		SupportsCancel:     boot.Ceilings.Cancel,
+		MarksRetries:       boot.Clients.MarksRetry,
+		EndpointsOnRequest: boot.Discovery == "on_request",
+		SlowStartInitial:   boot.Contract.ColdFrom,
+		SlowStartDuration:  control.Micros(boot.Contract.Cold),
+		OverloadWindow:     control.Micros(boot.Contract.Fall),
+		OverloadFactor:     boot.Contract.FallMultiple,
+		KeepAlive:          control.Micros(boot.Specifics.LingerIdle),
+		LoadCommands:       boot.Specifics.LoadControl,
+		LoadRateWindow:     control.Micros(boot.Specifics.LoadWindow),
+		LoadRateBase:       boot.Specifics.LoadsAnyway,
+		LoadRatePerRequest: boot.Specifics.LoadPart,
+		LoadsOnMiss:        boot.Specifics.WhenAbsent != "miss",
 	}
-	if b.Ceilings.RetryAfter {
-		d.MaxRetryAfter = control.Micros(b.Ceilings.MaxRetryAfter)
+	if boot.Ceilings.RetryAfter {
+		d.MaxRetryAfter = control.Micros(boot.Ceilings.MaxRetryAfter)
 	}
-	for _, c := range b.Customers {
+	for _, c := range boot.Customers {
 		d.Quotas = append(d.Quotas, c.AllowancePerS)
 	}
 	effects := map[string]control.Effect{"pure": control.Idempotent, "token": control.IdempotentByKey,
 		"side_effect": control.NonIdempotent}
 	scopes := map[string]control.Scope{"all": control.WholeFleet, "zone": control.OneZone, "cell": control.OneCell}
-	for i, c := range b.Classes {
+	for i, c := range boot.Classes {
 		effect, ok := effects[c.Semantics]
 		if !ok {
 			return d, fmt.Errorf("start settings: class %d: unknown semantics %q", i, c.Semantics)
@@ -58,10 +70,14 @@
 		if !ok && effect == control.IdempotentByKey {
 			return d, fmt.Errorf("start settings: class %d: unknown key_scope %q", i, c.KeyScope)
 		}
-		d.Classes = append(d.Classes, control.Class{LatencyObjective: control.Micros(c.Aim),
-			MaxDeadline: control.Micros(c.HardLimit), ObjectivePerWork: c.Stretch,
-			Effect: effect, Scope: scope,
-			Window: control.Micros(c.Window)})
+		d.Classes = append(d.Classes, control.Class{
+			LatencyObjective: control.Micros(c.Aim),
+			MaxDeadline:      control.Micros(c.HardLimit),
+			ObjectivePerWork: c.Stretch,
+			Effect:           effect,
+			Scope:            scope,
+			Window:           control.Micros(c.Window),
+		})
 	}
 	return d, nil
 }
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -1,4 +1,5 @@
-// Package eventqueue carries what connections hear to the one goroutine that takes a router's turns.
+// Package eventqueue carries events from the connections' goroutines to the one goroutine that runs a router's
+// event loop.
 package eventqueue
 
 import (
@@ -7,7 +8,8 @@
 	"hollymast/control"
 )
 
-// Queue holds what is to be called in the next turn. Its zero value is not ready: use New.
+// Queue holds the functions to be called in the next step of the event loop. It is safe for concurrent use. Its
+// zero value is not ready: use New.
 type Queue struct {
 	mu        sync.Mutex
 	endpoints []func(now control.Micros)
@@ -15,40 +17,42 @@
 	ready     chan struct{}
 }
 
-// New gives an empty box.
+// New returns an empty queue.
 func New() *Queue { return &Queue{ready: make(chan struct{}, 1)} }
 
-// Post has f called in the next turn, after all that was told before.
-func (b *Queue) Post(f func(now control.Micros)) { b.add(&b.events, f) }
+// Post has f called in the next step, after all that was posted before.
+func (q *Queue) Post(f func(now control.Micros)) { q.add(&q.events, f) }
 
-// PostEndpoints has f, which takes in a list of servers, called in the next turn before all else. Guards against choices that are
-// made within the turn, for what was heard before the list, from the older one.
-func (b *Queue) PostEndpoints(f func(now control.Micros)) { b.add(&b.endpoints, f) }
+// PostEndpoints has f, which takes in an endpoint list, called in the next step before all else. It guards
+// against choices in that step that are made by the old list for events received before the new one.
+func (q *Queue) PostEndpoints(f func(now control.Micros)) { q.add(&q.endpoints, f) }
 
-func (b *Queue) add(to *[]func(control.Micros), f func(now control.Micros)) {
-	b.mu.Lock()
-	*to = append(*to, f)
-	first := len(b.endpoints)+len(b.events) == 1
-	b.mu.Unlock()
+// add appends f to one of the two lists and signals Ready if the queue was empty.
+func (q *Queue) add(list *[]func(control.Micros), f func(now control.Micros)) {
+	q.mu.Lock()
+	*list = append(*list, f)
+	first := len(q.endpoints)+len(q.events) == 1
+	q.mu.Unlock()
 	if first {
 		select {
-		case b.ready <- struct{}{}:
+		case q.ready <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Ready tells that something waits.
-func (b *Queue) Ready() <-chan struct{} { return b.ready }
-
-// Drain gives all that waits: lists first, each kind in its order. What was given before makes room for what comes next.
-func (b *Queue) Drain(before []func(control.Micros)) []func(control.Micros) {
-	clear(before)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	batch := append(append(before[:0], b.endpoints...), b.events...)
-	clear(b.endpoints)
-	clear(b.events)
-	b.endpoints, b.events = b.endpoints[:0], b.events[:0]
+// Ready returns a channel that receives a value when the queue is no longer empty.
+func (q *Queue) Ready() <-chan struct{} { return q.ready }
+
+// Drain empties the queue and returns its functions: endpoint lists first, each kind in the order in which it
+// was posted. It reuses the array of previous, the result of the previous call.
+func (q *Queue) Drain(previous []func(control.Micros)) []func(control.Micros) {
+	clear(previous)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	batch := append(append(previous[:0], q.endpoints...), q.events...)
+	clear(q.endpoints)
+	clear(q.events)
+	q.endpoints, q.events = q.endpoints[:0], q.events[:0]
 	return batch
 }
