--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,251 +12,263 @@
 	"hollymast/internal/fleet"
 )
 
-// Client keeps a State level with a board. Its goroutine (Follow) dials and waits; what has come is read by it or by
-// whoever needs the list now (CatchUp), under one lock.
+// Client keeps a State up to date with a discovery server. Its goroutine (Run) dials and waits; what has arrived
+// is read by it or by whoever needs the endpoint list now (CatchUp), under one lock.
 type Client struct {
-	grace          time.Duration // within which a change of the list must be heeded
+	grace          time.Duration // within which a change of the list must take effect
 	updated        func(fleet.Update)
 	note           func(text string, err error)
-	addressChanged chan struct{} // holds one: the address changed
+	addressChanged chan struct{} // capacity 1: the address changed
 	backoff        *backoff.Backoff
 
 	startOnce sync.Once
 	started   chan struct{}
-	// urgentUntil bounds the waits after a watch that ended before its answer was whole: all that it would have told counts as
-	// told since it was asked for. It belongs to Follow.
+	// urgentUntil bounds the waits after a watch that ended before it was up to date: all that it would have sent
+	// counts as listed since it was asked for. It belongs to Run.
 	urgentUntil time.Time
 
 	mu      sync.Mutex
 	address string
 	state   State
-	watch   *watch // nil: none stands
-	// complete is the last time of which it is known that nothing the board had told by then is missing.
+	watch   *watch // nil: not connected
+	// complete is the last time of which it is known that the state holds all that the server had sent by then.
 	complete time.Time
 }
 
-// NewClient follows from a state on. Told hears what each event changed, in their order, Note what went wrong. Told is called
-// with a lock held: it may not wait.
-func NewClient(state State, address string, grace time.Duration, seed uint64, told func(fleet.Update),
+// NewClient returns a client that goes on from a state. Updated is called with each change, in their order, with
+// a lock held: it must not block or call the client. Note is called with what went wrong.
+func NewClient(state State, address string, grace time.Duration, seed uint64, updated func(fleet.Update),
 	note func(string, error)) *Client {
-	return &Client{state: state, address: address, grace: grace, updated: told, note: note, addressChanged: make(chan struct{}, 1),
-		started: make(chan struct{}), backoff: backoff.New(seed, pauseFirst, pauseMost)}
+	return &Client{
+		state:          state,
+		address:        address,
+		grace:          grace,
+		updated:        updated,
+		note:           note,
+		addressChanged: make(chan struct{}, 1),
+		started:        make(chan struct{}),
+		backoff:        backoff.New(seed, pauseFirst, pauseMost),
+	}
 }
 
 const (
-	// silence is how long nothing may be heard. A line comes each second: one and a half without leaves time to ask again well
-	// within the 4 s after which all counts as told.
+	// silence is how long nothing may arrive before the connection counts as broken. A message comes each second:
+	// one and a half without leaves time to reconnect well within the 4 s after which all counts as listed.
 	silence = 1500 * time.Millisecond
 	// dialTime bounds connecting, a few round trips, well within the 2 s after a break.
 	dialTime = 500 * time.Millisecond
-	// pauseFirst and pauseMost are the waits between two failed tries, doubled each time: with a dial that hangs the longest
+	// pauseFirst and pauseMost bound the backoff between two failed attempts: with a dial that hangs the longest
 	// stays within the 2 s after a break.
 	pauseFirst, pauseMost = 20 * time.Millisecond, time.Second
 )
 
-// SetAddress has the follower go on at another address. The old connection is read until the new one stands.
-func (f *Client) SetAddress(address string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.address = address
-	if f.watch != nil {
-		f.watch.conn.SetReadDeadline(time.Now()) // wakes Follow
+// SetAddress makes the client go on at another address. The old connection is read until the new one is
+// established.
+func (c *Client) SetAddress(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.address = address
+	if c.watch != nil {
+		c.watch.conn.SetReadDeadline(time.Now()) // wakes Run
 	}
 	select {
-	case f.addressChanged <- struct{}{}:
+	case c.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// CatchUp reads all that the board has told this router so far and gives the time as of which the list is complete. While no
-// connection stands, the list is as complete as it can be: that is now.
-func (f *Client) CatchUp() (asOf time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if w := f.watch; w != nil {
-		if w.readAll(f) == nil {
-			f.noteComplete(w)
+// CatchUp reads all that the server has sent so far and returns the time as of which the endpoint list is
+// complete. Without a connection, the list is as complete as it can be: that is now.
+func (c *Client) CatchUp() (asOf time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w := c.watch; w != nil {
+		if w.readAll(c) == nil {
+			c.noteComplete(w)
 			return w.complete
 		}
-		f.drop(w)
+		c.drop(w)
 	}
 	return time.Now()
 }
 
-// CompleteAsOf gives the last time of which it is known that nothing the board had told by then is missing; zero: none is known. While
-// no connection stands, or a new one has not been answered whole, it stays what it was.
-func (f *Client) CompleteAsOf() time.Time {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.complete
+// CompleteAsOf returns the last time of which it is known that the endpoint list holds all that the server had
+// sent by then; zero: none is known. While there is no connection, or a new one is not up to date yet, it stays
+// what it was.
+func (c *Client) CompleteAsOf() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.complete
 }
 
-// noteComplete takes in that all that has come on a watch was read. The lock is held.
-func (f *Client) noteComplete(w *watch) {
-	if f.state.UpToDate() && len(w.unread) == 0 && !w.skipping {
-		f.complete = w.complete
+// noteComplete records that all that has arrived on a watch was read. The lock is held.
+func (c *Client) noteComplete(w *watch) {
+	if c.state.UpToDate() && len(w.unread) == 0 && !w.skipping {
+		c.complete = w.complete
 	}
 }
 
-// Started is closed once the list can be relied on after a start: the board has answered, or had its time to, or can't be
-// reached.
-func (f *Client) Started() <-chan struct{} { return f.started }
+// Started returns a channel that is closed once the list can be relied on after a start: the server has
+// answered, has had its time to, or can't be reached.
+func (c *Client) Started() <-chan struct{} { return c.started }
 
-func (f *Client) start() { f.startOnce.Do(func() { close(f.started) }) }
+func (c *Client) start() { c.startOnce.Do(func() { close(c.started) }) }
 
-// Run runs until the context ends.
-func (f *Client) Run(ctx context.Context) {
-	defer f.close()
+// Run keeps the state up to date until the context ends. It is called once.
+func (c *Client) Run(ctx context.Context) {
+	defer c.close()
 	for ctx.Err() == nil {
-		before, began := f.Revision(), time.Now()
-		w, err := f.open(ctx)
+		revision, began := c.Revision(), time.Now()
+		w, err := c.open(ctx)
 		if err == nil {
-			if err = f.listen(ctx, w); !f.upToDate() {
-				f.urgentUntil = time.Now().Add(f.grace)
+			if err = c.listen(ctx, w); !c.upToDate() {
+				c.urgentUntil = time.Now().Add(c.grace)
 			}
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.start()
-		f.note("asking the notice board again", err)
+		c.start()
+		c.note("asking the notice board again", err)
 		if errors.Is(err, errAddressChanged) {
-			f.backoff.Well()
-			f.takeAddressChange()
+			c.backoff.Well()
+			c.takeAddressChange()
 			continue
 		}
-		if f.Revision() > before || time.Since(began) >= silence { // it was worth asking
-			f.backoff.Well()
+		if c.Revision() > revision || time.Since(began) >= silence { // the connection was of use
+			c.backoff.Well()
 		}
 		select {
-		case <-time.After(f.backoff.NextWithin(f.withinUrgency(pauseMost))):
-		case <-f.addressChanged:
-			f.backoff.Well()
+		case <-time.After(c.backoff.NextWithin(c.withinUrgency(pauseMost))):
+		case <-c.addressChanged:
+			c.backoff.Well()
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Revision is the number of the last event that was taken in.
-func (f *Client) Revision() uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.state.Revision()
+// Revision returns the number of the last event that was applied.
+func (c *Client) Revision() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.Revision()
 }
 
-// upToDate tells whether the last watch was answered whole.
-func (f *Client) upToDate() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.state.UpToDate()
+// upToDate reports whether the last watch got up to date.
+func (c *Client) upToDate() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.UpToDate()
 }
 
-// withinUrgency bounds a wait. In a hurry a pause and a dial take a quarter of the grace each at most; the other half is for the answer
-// and the way to the model server (attempt.Fresh).
-func (f *Client) withinUrgency(usual time.Duration) time.Duration {
-	if time.Now().Before(f.urgentUntil) {
-		return min(usual, f.grace/4)
+// withinUrgency bounds a wait. While it is urgent a pause and a dial take a quarter of the grace each at most;
+// the other half is for the answer and the way to the model server (attempt.EndpointsFresh).
+func (c *Client) withinUrgency(usual time.Duration) time.Duration {
+	if time.Now().Before(c.urgentUntil) {
+		return min(usual, c.grace/4)
 	}
 	return usual
 }
 
-// open dials and asks for all that is new. The watch that stood before is read to its end first and then closed.
-func (f *Client) open(ctx context.Context) (*watch, error) {
-	f.mu.Lock()
-	address := f.address
-	f.mu.Unlock()
-	dialer := net.Dialer{Timeout: f.withinUrgency(dialTime)}
+// open dials and subscribes to all that is new. The previous watch is read to its end first and then closed.
+func (c *Client) open(ctx context.Context) (*watch, error) {
+	c.mu.Lock()
+	address := c.address
+	c.mu.Unlock()
+	dialer := net.Dialer{Timeout: c.withinUrgency(dialTime)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.address != address {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.address != address {
 		conn.Close()
 		return nil, errAddressChanged
 	}
-	if f.watch != nil {
-		f.watch.readAll(f)
-		f.drop(f.watch)
+	if c.watch != nil {
+		c.watch.readAll(c)
+		c.drop(c.watch)
 	}
-	w, err := newWatch(conn, address, f.state.Revision())
+	w, err := newWatch(conn, address, c.state.Revision())
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
-	f.state.Subscribed()
-	f.watch = w
+	c.state.Subscribed()
+	c.watch = w
 	return w, nil
 }
 
-// listen has a watch read until it breaks off, falls silent, leaves something out, or is to be elsewhere.
-func (f *Client) listen(ctx context.Context, w *watch) error {
+// listen reads a watch until it breaks off, falls silent, leaves out an event, or the address changes.
+func (c *Client) listen(ctx context.Context, w *watch) error {
 	unblock := context.AfterFunc(ctx, func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		w.conn.SetReadDeadline(time.Now())
 	})
 	defer unblock()
-	answerTime := time.AfterFunc(f.grace/4, f.start) // a board with nothing new says so at its next heartbeat only
+	// A server with nothing new says so only with its next heartbeat.
+	answerTime := time.AfterFunc(c.grace/4, c.start)
 	defer answerTime.Stop()
 	for {
-		err := w.wait(func(fd uintptr) error { return f.readReady(ctx, w, fd) })
+		err := w.wait(func(fd uintptr) error { return c.readReady(ctx, w, fd) })
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			err = f.lookAgain(ctx, w)
+			err = c.lookAgain(ctx, w)
 		}
 		if errors.Is(err, errAddressChanged) {
 			return err
 		}
 		if err != nil {
-			return f.closeOld(w, err)
+			return c.closeOld(w, err)
 		}
 	}
 }
 
-// readReady reads what has come, and has the watch waited for until silence has lasted.
-func (f *Client) readReady(ctx context.Context, w *watch, fd uintptr) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.readOldUntilNew(ctx, w); err != nil {
+// readReady reads what has arrived, and sets the deadline to the end of the silence allowed.
+func (c *Client) readReady(ctx context.Context, w *watch, fd uintptr) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.stopReason(ctx, w); err != nil {
 		return err
 	}
-	if err := w.end(w.drain(fd, f)); err != nil {
+	if err := w.end(w.drain(fd, c)); err != nil {
 		return err
 	}
-	f.noteComplete(w)
+	c.noteComplete(w)
 	w.conn.SetReadDeadline(w.lastLine.Add(silence))
 	return nil
 }
 
-// readOldUntilNew tells why a watch is no longer to be listened to. The lock is held.
-func (f *Client) readOldUntilNew(ctx context.Context, w *watch) error {
+// stopReason returns why a watch is no longer to be read: the context has ended or the address has changed.
+// The lock is held.
+func (c *Client) stopReason(ctx context.Context, w *watch) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	if f.address != w.address {
+	if c.address != w.address {
 		return errAddressChanged
 	}
 	return nil
 }
 
-// takeAddressChange forgets that the address has changed: it is being asked.
-func (f *Client) takeAddressChange() {
+// takeAddressChange clears the signal of an address change that is being acted on.
+func (c *Client) takeAddressChange() {
 	select {
-	case <-f.addressChanged:
+	case <-c.addressChanged:
 	default:
 	}
 }
 
-// lookAgain reads once more after the deadline of a watch has passed. Guards against a deadline that passed while this process
-// was stopped: what came meanwhile is read before it counts.
-func (f *Client) lookAgain(ctx context.Context, w *watch) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err := f.readOldUntilNew(ctx, w); err != nil {
+// lookAgain reads once more after the deadline of a watch has passed. It guards against a deadline that passed
+// while this process was stopped: what arrived meanwhile is read before the silence counts.
+func (c *Client) lookAgain(ctx context.Context, w *watch) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := c.stopReason(ctx, w); err != nil {
 		return err
 	}
-	if err := w.readAll(f); err != nil {
+	if err := w.readAll(c); err != nil {
 		return err
 	}
 	if time.Since(w.lastLine) >= silence {
@@ -266,46 +278,47 @@
 	return nil
 }
 
-// handleLine takes in a line. The lock is held.
-func (f *Client) handleLine(line []byte) error {
-	meaning, err := f.state.HandleLine(line)
+// handleLine applies a message. The lock is held.
+func (c *Client) handleLine(line []byte) error {
+	effect, err := c.state.HandleLine(line)
 	if err != nil {
 		return err
 	}
-	f.start()
-	switch meaning {
+	c.start()
+	switch effect {
 	case EndpointsChanged:
-		f.updated(f.state.Update())
+		c.updated(c.state.Update())
 	case Resubscribe:
 		return errMissing
 	}
 	return nil
 }
 
-func (f *Client) handleLongLine() (skip bool) { return f.state.HandleLongLine() }
+// handleLongLine handles a message that is too long. The lock is held.
+func (c *Client) handleLongLine() (skip bool) { return c.state.HandleLongLine() }
 
-// closeOld closes a watch that has ended, and gives what ended it first.
-func (f *Client) closeOld(w *watch, err error) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// closeOld closes a watch that has ended, and returns what ended it first.
+func (c *Client) closeOld(w *watch, err error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	err = w.end(err)
-	f.drop(w)
+	c.drop(w)
 	return err
 }
 
 // drop closes a watch. The lock is held.
-func (f *Client) drop(w *watch) {
+func (c *Client) drop(w *watch) {
 	w.end(net.ErrClosed)
 	w.conn.Close()
-	if f.watch == w {
-		f.watch = nil
+	if c.watch == w {
+		c.watch = nil
 	}
 }
 
-func (f *Client) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.watch != nil {
-		f.drop(f.watch)
+func (c *Client) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.watch != nil {
+		c.drop(c.watch)
 	}
 }
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -1,5 +1,6 @@
-// Package discovery is the notice board: the list of servers as it tells it, in numbered events, one a line. What a line means
-// and when to ask again is plain state (State), free of I/O and clocks; Follower dials and reads.
+// Package discovery follows a discovery server: the endpoint list as it sends it, in numbered events, one a
+// line. What a line means and when to subscribe again is plain state (State), free of I/O and clocks; Client
+// dials and reads.
 package discovery
 
 import (
@@ -16,7 +17,7 @@
 	"hollymast/internal/fleet"
 )
 
-// History is what a configuration holds of the board: all events so far.
+// History is what a configuration holds of discovery: all events so far.
 type History struct {
 	Revision uint64  `json:"rev"`
 	Events   []Event `json:"notices"`
@@ -25,16 +26,16 @@
 // Event is one numbered event.
 type Event struct {
 	Revision uint64         `json:"rev"`
-	Update   *UpdateMessage `json:"pool"` // nil: it tells of something else
+	Update   *UpdateMessage `json:"pool"` // nil: an event about something else
 }
 
-// UpdateMessage tells servers: all of them, or those that changed.
+// UpdateMessage lists servers: all of them, or those that changed.
 type UpdateMessage struct {
 	All     bool              `json:"all"`
 	Targets []EndpointMessage `json:"targets"`
 }
 
-// EndpointMessage is a server as the board tells it.
+// EndpointMessage is a server as discovery lists it.
 type EndpointMessage struct {
 	UID         string  `json:"uid"`
 	Endpoint    string  `json:"endpoint"`
@@ -47,50 +48,53 @@
 
 var states = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Removed}
 
-// State is the list as told so far. Its zero value knows nothing.
+// State is the endpoint list as received so far. Its zero value is empty. It is not safe for concurrent use.
 type State struct {
 	revision   uint64
 	servers    map[string]fleet.Endpoint
-	update     fleet.Update // of the last event that was taken in
-	subscribed bool         // nothing was heard since the last time that we asked
-	upToDate   bool         // since then a heartbeat has told that nothing is missing
-	// retried is set where what follows Last could not be used: it was asked for once more. Guards against a loop over what
-	// stays unusable, behind which a drain would never be heard.
+	update     fleet.Update // what the last event that was applied changed
+	subscribed bool         // no event was applied since the last subscription
+	upToDate   bool         // since then a heartbeat has confirmed that no event is missing
+	// retried is set if what follows revision could not be used and was requested once more. It guards against a
+	// loop over events that stay unusable, behind which a drain would never be read.
 	retried   bool
-	retriedAt uint64 // Last at that time
+	retriedAt uint64 // revision at that time
 }
 
-// Revision is the number of the last event that was taken in.
+// Revision returns the number of the last event that was applied.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Subscribed notes that all after Last was asked for.
+// Subscribed records that all events after Revision were requested.
 func (s *State) Subscribed() { s.subscribed, s.upToDate = true, false }
 
-// UpToDate tells whether a heartbeat has told, since all was asked for, that nothing is missing.
+// UpToDate reports whether a heartbeat has confirmed, since the last subscription, that no event is missing.
 func (s *State) UpToDate() bool { return s.upToDate }
 
-// retryOnce notes that what follows Last can't be used; again tells that it could not be the last time either.
+// retryOnce records that what follows revision can't be used; again is true if it could not be used the last
+// time either.
 func (s *State) retryOnce() (again bool) {
 	again = s.retried && s.retriedAt == s.revision
 	s.retried, s.retriedAt = true, s.revision
 	return again
 }
 
-// HandleLongLine takes in a line that is too long to be an event; skip tells that it was so the last time too: what follows it counts.
+// HandleLongLine handles a line that is too long for an event. Skip is true if that happened the last time too:
+// then the line is skipped, and what follows it is used.
 func (s *State) HandleLongLine() (skip bool) { return s.retryOnce() }
 
 // Effect is what a line calls for.
 type Effect uint8
 
-// The meanings.
+// The effects of a line.
 const (
 	None             Effect = iota
-	EndpointsChanged        // the list
-	Resubscribe             // an event is missing: ask from Last on
+	EndpointsChanged        // the endpoint list changed: call Update
+	Resubscribe             // an event is missing: request all after Revision
 )
 
-// HandleLine takes in a line. An error tells that it can't be used: nothing of it was taken in, and all after Last is to be asked for
-// again. Where it can't be used then either it is passed over, so that what follows is heard.
+// HandleLine handles a line: an event, a heartbeat (the number of the last event) or an empty one. An error
+// means that it can't be used: nothing of it was applied, and all after Revision is to be requested again. If it
+// can't be used then either it is skipped, so that what follows is read.
 func (s *State) HandleLine(line []byte) (Effect, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -116,7 +120,7 @@
 	return s.Apply(e)
 }
 
-// unusable gives the error the first time that what follows Last can't be used.
+// unusable returns err the first time that what follows revision can't be used, and nil from then on.
 func (s *State) unusable(err error) (Effect, error) {
 	if s.retryOnce() {
 		return None, nil
@@ -124,8 +128,8 @@
 	return None, err
 }
 
-// Apply takes in one event: an older one is passed over, and one after a gap not taken in, unless all was asked for twice and
-// the gap stays: then the board has nothing there.
+// Apply applies one event. An older one is ignored. One after a gap is not applied, unless all was requested
+// twice and the gap stays: then the server has no events in it.
 func (s *State) Apply(e Event) (Effect, error) {
 	if e.Revision <= s.revision {
 		return None, nil
@@ -135,11 +139,11 @@
 	}
 	if e.Update != nil {
 		if err := e.Update.check(); err != nil {
-			meaning, err := s.unusable(err)
+			effect, err := s.unusable(err)
 			if err == nil {
 				s.revision, s.subscribed = e.Revision, false
 			}
-			return meaning, err
+			return effect, err
 		}
 		s.update = s.apply(e)
 	}
@@ -150,16 +154,16 @@
 	return EndpointsChanged, nil
 }
 
-// apply takes in what an event tells of servers, and gives what that changed: the complete list where it is the first, tells all
-// of them or comes after a gap.
+// apply applies the servers of an event and returns what that changed: the full list if the event is the first,
+// lists all servers or comes after a gap.
 func (s *State) apply(e Event) fleet.Update {
-	whole := e.Update.All || s.servers == nil || e.Revision > s.revision+1
+	full := e.Update.All || s.servers == nil || e.Revision > s.revision+1
 	if e.Update.All || s.servers == nil {
 		s.servers = map[string]fleet.Endpoint{}
 	}
 	before := make(map[string]fleet.Endpoint, len(e.Update.Targets)) // an event may name a server twice
 	for _, t := range e.Update.Targets {
-		if _, twice := before[t.UID]; !twice {
+		if _, seen := before[t.UID]; !seen {
 			before[t.UID] = s.servers[t.UID]
 		}
 		if t.State == "gone" {
@@ -169,33 +173,33 @@
 		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Endpoint, State: states[t.State], Zone: t.Zone,
 			Cell: strconv.Itoa(t.Cell), Weight: t.Weight, StartedAt: t.StartedAtMS * 1000}
 	}
-	if whole {
+	if full {
 		return fleet.Update{Full: true, Endpoints: s.Endpoints()}
 	}
 	return fleet.Update{Endpoints: s.changed(before)}
 }
 
-// changed gives the servers that are not as they were, by name.
+// changed returns the servers that differ from before, by name.
 func (s *State) changed(before map[string]fleet.Endpoint) []fleet.Endpoint {
 	changed := make([]fleet.Endpoint, 0, len(before))
-	for uid, was := range before {
-		is, listed := s.servers[uid]
-		if is == was {
+	for uid, old := range before {
+		current, listed := s.servers[uid]
+		if current == old {
 			continue
 		}
 		if !listed {
-			is = was
-			is.State = control.Removed
+			current = old
+			current.State = control.Removed
 		}
-		changed = append(changed, is)
+		changed = append(changed, current)
 	}
 	slices.SortFunc(changed, byName)
 	return changed
 }
 
-// check keeps an event out whole of which a part can't be used.
-func (p *UpdateMessage) check() error {
-	for _, t := range p.Targets {
+// check returns an error if any part of the update can't be used: then none of it is.
+func (u *UpdateMessage) check() error {
+	for _, t := range u.Targets {
 		if _, ok := states[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Endpoint == "" {
 			return fmt.Errorf("notice board: server %q at %q in state %q", t.UID, t.Endpoint, t.State)
 		}
@@ -206,11 +210,11 @@
 	return nil
 }
 
-// Restore takes in what a configuration tells, up to the first event that it leaves out: from there on the board is asked. It is no
-// news: List gives what is known then.
-func (s *State) Restore(k History) error {
+// Restore applies the events of a configuration, up to the first gap: from there on discovery is asked. Update
+// returns nothing of them: Endpoints returns the list.
+func (s *State) Restore(h History) error {
 	defer s.Update()
-	for _, e := range k.Events {
+	for _, e := range h.Events {
 		if s.revision > 0 && e.Revision > s.revision+1 {
 			break
 		}
@@ -221,14 +225,14 @@
 	return nil
 }
 
-// Update gives what the last event that was taken in changed, once; no entries: nothing.
+// Update returns what the last event that was applied changed, once; no endpoints: nothing.
 func (s *State) Update() fleet.Update {
-	news := s.update
+	update := s.update
 	s.update = fleet.Update{}
-	return news
+	return update
 }
 
-// Endpoints gives the servers by name.
+// Endpoints returns the servers by name.
 func (s *State) Endpoints() []fleet.Endpoint {
 	return slices.SortedFunc(maps.Values(s.servers), byName)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,31 +10,34 @@
 	"time"
 )
 
-// watch is one connection on which a board tells events. It is read without waiting, by whoever holds the follower's lock.
+// watch is one connection on which a discovery server sends events. It is read without blocking, by whoever
+// holds the client's lock.
 type watch struct {
 	conn     net.Conn
 	raw      syscall.RawConn
-	unread   []byte // read from the connection, but no whole line yet
+	unread   []byte // read from the connection, but no complete line yet
 	address  string
-	lastLine time.Time // a whole line, or the question
+	lastLine time.Time // when a line was complete, or the subscription was sent
 	skipping bool      // to the end of a line that is too long
-	complete time.Time // as of when all that had come was read
-	ended    error     // nothing further comes
+	complete time.Time // as of when all that had arrived was read
+	ended    error     // why nothing more is read
 }
 
 const (
-	// maxLine is an event with some thousand servers. A longer line is no event.
+	// maxLine is an event with a few thousand servers. A longer line is no event.
 	maxLine = 4 << 20
 	// chunk is how much is read at a time: several events about one server.
 	chunk = 8 << 10
-	// maxAtOnce is how much is read without a pause, so that a board that never stops writing holds up no turn for long.
+	// maxAtOnce bounds how much is read without a pause, so that a server that never stops writing does not block
+	// a step of the event loop for long.
 	maxAtOnce = maxLine
 )
 
-// interruptedMost is how often a read that a signal interrupts is made again at once: signals come some a second at most.
+// interruptedMost bounds how often a read that a signal interrupts is repeated at once: signals come a few a
+// second at most.
 const interruptedMost = 8
 
-var read = syscall.Read // tests have it fail
+var read = syscall.Read // replaced by tests
 
 // Why a watch ends.
 var (
@@ -44,14 +47,14 @@
 	errAddressChanged = errors.New("turned to another address")
 )
 
-// events is what a watch passes on what it reads to.
+// events handles what a watch reads.
 type events interface {
 	handleLine(line []byte) error
 	handleLongLine() (skip bool)
 }
 
-// newWatch asks at an address for all events after a number.
-func newWatch(conn net.Conn, address string, last uint64) (*watch, error) {
+// newWatch subscribes, on a new connection to address, to all events after a revision.
+func newWatch(conn net.Conn, address string, revision uint64) (*watch, error) {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil, fmt.Errorf("notice board: %T can't be read without waiting", conn)
@@ -61,15 +64,16 @@
 		return nil, err
 	}
 	conn.SetWriteDeadline(time.Now().Add(dialTime))
-	if _, err := fmt.Fprintf(conn, "watch %d\n", last); err != nil {
+	if _, err := fmt.Fprintf(conn, "watch %d\n", revision); err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	return &watch{conn: conn, raw: raw, address: address, lastLine: now, complete: now}, nil
 }
 
-// readAll reads all that has come and passes each whole line on, until the connection has nothing more or ends. It reads the
-// descriptor itself: a deadline that passed while the process was stopped must not hide what waits there.
+// readAll reads all that has arrived and passes on each complete line, until there is nothing more or the
+// connection ends. It reads the descriptor itself: a deadline that passed while the process was stopped must not
+// hide what has arrived.
 func (w *watch) readAll(to events) error {
 	var err error
 	if e := w.raw.Control(func(fd uintptr) { err = w.drain(fd, to) }); e != nil {
@@ -78,7 +82,7 @@
 	return w.end(err)
 }
 
-// end notes why the watch ended, the first time.
+// end records why the watch ended, the first time, and returns it.
 func (w *watch) end(err error) error {
 	if w.ended == nil && err != nil {
 		w.ended = err
@@ -87,6 +91,7 @@
 	return w.ended
 }
 
+// drain reads from the descriptor until it would block, maxAtOnce bytes were read, or the watch ends.
 func (w *watch) drain(fd uintptr, to events) error {
 	if w.ended != nil {
 		return w.ended
@@ -106,7 +111,7 @@
 		case err != nil:
 			return err
 		case n == 0:
-			return io.EOF // what came of a line is not taken in
+			return io.EOF // an incomplete line is not used
 		}
 		total += n
 		if err := w.lines(part[:n], to); err != nil {
@@ -116,7 +121,7 @@
 	return nil
 }
 
-// lines passes on the lines that are whole with what was read.
+// lines passes on the lines that are complete with what was read.
 func (w *watch) lines(read []byte, to events) error {
 	w.unread = append(w.unread, read...)
 	for {
@@ -148,7 +153,7 @@
 	return nil
 }
 
-// wait has all that comes read until read gives an error, or the deadline passes.
+// wait calls read whenever something has arrived, until read returns an error or the deadline passes.
 func (w *watch) wait(read func(fd uintptr) error) error {
 	var ended error
 	err := w.raw.Read(func(fd uintptr) bool {
