--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -1,5 +1,6 @@
-// Package msgrpc is the clients' protocol: MessagePack-RPC messages, read and written within bounds. Names on the wire end
-// here. Every length is held against its bound before anything is made room for.
+// Package msgrpc implements the clients' protocol: MessagePack-RPC messages, read and written within bounds. The
+// names on the wire are known here only. Every length is checked against its bound before anything is allocated
+// for it.
 package msgrpc
 
 import (
@@ -19,34 +20,35 @@
 	"hollymast/control"
 )
 
-// MaxBody is the largest body that a job may bring.
+// MaxBody is the largest request body, in bytes.
 const MaxBody = 16 << 10
 
-// Bounds on what is no body: several times what the fields of a request need.
+// Bounds on what is not the body: several times what the fields of a request need.
 const (
 	maxFields = 32
 	maxName   = 64
 	maxValue  = 1 << 10
 )
 
-// Kind is what a message asks.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds.
+// The kinds of message.
 const (
-	Call        Kind = iota // a job
-	Cancel                  // its client stopped waiting for the answer to Number
-	HealthCheck             // does this router take jobs?
+	Call        Kind = iota // a request
+	Cancel                  // the client no longer waits for the response to Number
+	HealthCheck             // does this router accept requests?
 )
 
-// Message is one whole message of a client.
+// Message is one complete message of a client.
 type Message struct {
 	Kind    Kind
 	Number  uint32
 	Request Request // of a Call
 }
 
-// Request is what a client tells of a job. Names are as sent: whether they are known is for the caller to say.
+// Request is a request as the client sent it. Names are not checked: whether they are known is for the caller to
+// say.
 type Request struct {
 	ID             control.RequestID
 	Class          string
@@ -54,52 +56,53 @@
 	Function       string // 16 hex digits
 	Timeout        control.Micros
 	IsRetry        bool
-	IdempotencyKey string // of a fingerprinted job; empty: none
-	Lanes          int    // 0: not told
+	IdempotencyKey string // 32 hex digits; empty: none
+	Lanes          int    // 0: not specified
 	MemoryMB       float64
 	LoadTime       control.Micros
 	Work           control.Micros
 	Body           []byte
 }
 
-// FunctionID gives the function as the module knows it.
-func (a *Request) FunctionID() control.FunctionID {
-	id, _ := strconv.ParseUint(a.Function, 16, 64)
+// FunctionID returns the function's ID in the balancer's terms.
+func (r *Request) FunctionID() control.FunctionID {
+	id, _ := strconv.ParseUint(r.Function, 16, 64)
 	return control.FunctionID(id)
 }
 
-// Fault is a message that can't be taken. After a broken one nothing that follows on its connection can be read.
+// Fault is the error of a message that can't be accepted.
 type Fault struct {
 	Number     uint32
 	Answerable bool // Number is known: the fault can be answered
-	Unreadable bool
+	Unreadable bool // nothing that follows on the connection can be read
 	Text       string
 }
 
+// Error returns the text that the client is sent.
 func (f *Fault) Error() string { return f.Text }
 
-// Reader reads a client's messages.
+// Reader reads a client's messages. It is not safe for concurrent use.
 type Reader struct {
 	in  *bufio.Reader
 	dec *msgpack.Decoder
 }
 
-// NewReader reads from a stream.
+// NewReader returns a reader of a stream.
 func NewReader(in io.Reader) *Reader {
 	br := bufio.NewReaderSize(in, 2<<10) // a message with a small body; many connections are idle
 	return &Reader{in: br, dec: msgpack.NewDecoder(br)}
 }
 
-// Await waits for the first byte of the next message.
+// Await blocks until the first byte of the next message has arrived.
 func (r *Reader) Await() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// Buffered tells whether some of the next message is here already.
+// Buffered reports whether some of the next message has arrived already.
 func (r *Reader) Buffered() bool { return r.in.Buffered() > 0 }
 
-// Read reads one message. Errors are a *Fault or those of the stream.
+// Read reads one message. Its error is a *Fault or that of the stream.
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
 	f := &Fault{Unreadable: true}
@@ -176,7 +179,7 @@
 
 func (b *broken) Error() string { return b.err.Error() }
 
-// code looks at what comes next.
+// code returns the code of the next value without consuming it.
 func (r *Reader) code() (byte, error) {
 	c, err := r.dec.PeekCode()
 	if err != nil {
@@ -185,7 +188,7 @@
 	return c, nil
 }
 
-// length reads a length where the code says that one of this form comes.
+// length reads a length if the next value's code fits; what names the form expected in the error.
 func (r *Reader) length(fits func(byte) bool, read func() (int, error), what string) (int, error) {
 	c, err := r.code()
 	if err != nil {
@@ -207,7 +210,8 @@
 	}, r.dec.DecodeArrayLen, "array")
 }
 
-func (r *Reader) number(most int64) (uint32, error) {
+// number reads an unsigned number up to limit.
+func (r *Reader) number(limit int64) (uint32, error) {
 	c, err := r.code()
 	if err != nil {
 		return 0, err
@@ -219,19 +223,20 @@
 	if err != nil {
 		return 0, &broken{err}
 	}
-	if n < 0 || n > most { // beyond int64 it comes out negative
+	if n < 0 || n > limit { // a number beyond int64 is decoded as negative
 		return 0, errors.New("number out of range")
 	}
 	return uint32(n), nil
 }
 
-func (r *Reader) bytes(most int) ([]byte, error) {
+// bytes reads a string or binary value of at most limit bytes.
+func (r *Reader) bytes(limit int) ([]byte, error) {
 	n, err := r.length(func(c byte) bool { return msgpcode.IsString(c) || msgpcode.IsBin(c) }, r.dec.DecodeBytesLen, "bytes")
 	if err != nil {
 		return nil, err
 	}
-	if n < 0 || n > most {
-		return nil, fmt.Errorf("longer than %d bytes", most)
+	if n < 0 || n > limit {
+		return nil, fmt.Errorf("longer than %d bytes", limit)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r.in, b); err != nil {
@@ -240,11 +245,12 @@
 	return b, nil
 }
 
-func (r *Reader) text(most int) (string, error) {
-	b, err := r.bytes(most)
+func (r *Reader) text(limit int) (string, error) {
+	b, err := r.bytes(limit)
 	return string(b), err
 }
 
+// fields reads a map of strings.
 func (r *Reader) fields() (map[string]string, error) {
 	n, err := r.length(func(c byte) bool {
 		return msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32
@@ -268,30 +274,30 @@
 	return fields, nil
 }
 
-// read checks the fields of a call; the text tells what is wrong with them.
-func (a *Request) read(method string, fields map[string]string) (fault string) {
-	a.Class, a.Tenant, a.Function, a.IdempotencyKey = method, fields["project"], fields["lookup"], fields["replay"]
+// read sets the request from the fields of a call; fault is what is wrong with them, or empty.
+func (r *Request) read(method string, fields map[string]string) (fault string) {
+	r.Class, r.Tenant, r.Function, r.IdempotencyKey = method, fields["project"], fields["lookup"], fields["replay"]
 	id, err := strconv.ParseUint(fields["ref"], 16, 64)
 	if err != nil || !isHex(fields["ref"], 16) {
 		return "ref: 16 hex digits expected"
 	}
-	a.ID = control.RequestID(id)
-	if !isHex(a.Function, 16) {
+	r.ID = control.RequestID(id)
+	if !isHex(r.Function, 16) {
 		return "lookup: 16 hex digits expected"
 	}
-	if a.IdempotencyKey != "" && !isHex(a.IdempotencyKey, 32) {
+	if r.IdempotencyKey != "" && !isHex(r.IdempotencyKey, 32) {
 		return "replay: 32 hex digits expected"
 	}
-	allow, ok := figure(fields["allow"])
-	if !ok || allow <= 0 {
+	timeout, ok := figure(fields["allow"])
+	if !ok || timeout <= 0 {
 		return "allow: a time in milliseconds expected"
 	}
-	a.Timeout = control.Micros(allow * 1000)
-	switch dup, told := fields["dup"]; {
-	case told && dup != "1":
+	r.Timeout = control.Micros(timeout * 1000)
+	switch dup, ok := fields["dup"]; {
+	case ok && dup != "1":
 		return "dup: 1 expected"
-	case told:
-		a.IsRetry = true
+	case ok:
+		r.IsRetry = true
 	}
 	for pair := range strings.SplitSeq(fields["spec"], ";") {
 		if pair == "" {
@@ -307,11 +313,11 @@
 			if v > math.MaxInt16 || v != math.Trunc(v) {
 				return "spec: lanes out of range"
 			}
-			a.Lanes = int(v)
+			r.Lanes = int(v)
 		case "memory_mb":
-			a.MemoryMB = v
+			r.MemoryMB = v
 		case "load_ms":
-			a.LoadTime = control.Micros(v * 1000)
+			r.LoadTime = control.Micros(v * 1000)
 		}
 	}
 	return ""
@@ -325,24 +331,24 @@
 	return err == nil
 }
 
-// figure reads a plain decimal number: no sign, no exponent, no name such as NaN, and none so long that it is no figure.
+// figure reads a plain decimal number: no sign, no exponent, no name such as NaN, and of at most 20 characters.
 func figure(s string) (float64, bool) {
-	const long = 20
-	if s == "" || len(s) > long || strings.Trim(s, "0123456789.") != "" {
+	const maxLength = 20
+	if s == "" || len(s) > maxLength || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	return v, err == nil && v < 1e12 // an hour in microseconds is 4e9; more means nothing here
 }
 
-// The words of an answer that is no result.
+// The words of a response without a result.
 const (
 	wireRejected = "TryLater"
 	wireFailed   = "Aborted"
 	wireInvalid  = "Invalid"
 )
 
-// Success is the answer with a server's body.
+// Success returns the response with a server's body.
 func Success(number uint32, body []byte) []byte {
 	return answer(number, len(body), func(e *msgpack.Encoder) {
 		e.EncodeNil()
@@ -352,30 +358,31 @@
 	})
 }
 
-// Rejection tells that trying again is harmless, and after how long.
-func Rejection(number uint32, stayAway control.Micros) []byte {
-	if stayAway <= 0 {
+// Rejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
+func Rejection(number uint32, retryAfter control.Micros) []byte {
+	if retryAfter <= 0 {
 		return refusal(number, wireRejected)
 	}
-	return refusal(number, wireRejected, "cooldown", strconv.FormatInt((int64(stayAway)+999)/1000, 10))
+	return refusal(number, wireRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
 }
 
-// Failure promises nothing.
+// Failure returns the response of a failed request, which may have run.
 func Failure(number uint32) []byte { return refusal(number, wireFailed) }
 
-// Invalid tells what is wrong with a message.
-func Invalid(number uint32, why string) []byte { return refusal(number, wireInvalid, "why", why) }
+// Invalid returns the response to an invalid message, with the reason.
+func Invalid(number uint32, reason string) []byte { return refusal(number, wireInvalid, "why", reason) }
 
-// Health answers whether jobs are taken.
-func Health(number uint32, well bool) []byte {
+// Health returns the response to a health check.
+func Health(number uint32, healthy bool) []byte {
 	return answer(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
-		e.EncodeBool(well)
+		e.EncodeBool(healthy)
 		e.EncodeMapLen(0)
 	})
 }
 
+// refusal returns a response without a result: a word, and names and values in turn.
 func refusal(number uint32, word string, fields ...string) []byte {
 	return answer(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeArrayLen(2)
@@ -388,7 +395,7 @@
 	})
 }
 
-// answer writes to memory, so that no write fails.
+// answer writes a response to memory, so that no write fails.
 func answer(number uint32, size int, rest func(*msgpack.Encoder)) []byte {
 	var b bytes.Buffer
 	b.Grow(size + 64)
