--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -1,5 +1,5 @@
-// Package binframe is the model servers' protocol: binary frames, read and written within bounds. Names and codes on the
-// wire end here.
+// Package binframe implements the model servers' protocol: binary frames, read and written within bounds. The
+// names and codes on the wire are known here only.
 package binframe
 
 import (
@@ -15,7 +15,7 @@
 	"hollymast/control"
 )
 
-// ID is a frame's id: that of a job, or of an order.
+// ID identifies an attempt or a load command and its answer.
 type ID uint64
 
 const (
@@ -38,10 +38,11 @@
 	codeReports = 104
 )
 
-// MaxBody is the largest answer that is taken: many times what jobs bring with them.
+// MaxBody is the largest body of an answer, in bytes: many times that of a request.
 const MaxBody = 1 << 20
 
-// Attempt is what a server is told of one execution. What a client sent passes on as it came.
+// Attempt is what a server is sent of one attempt. Class, Function, IdempotencyKey and Body are as the client
+// sent them.
 type Attempt struct {
 	ID             ID
 	Class          string
@@ -51,36 +52,38 @@
 	Body           []byte
 }
 
-// Frame gives the bytes.
-func (x *Attempt) Frame() []byte {
+// Frame returns the frame on the wire.
+func (a *Attempt) Frame() []byte {
 	var fields strings.Builder
 	fields.WriteString("profile=")
-	fields.WriteString(x.Class)
+	fields.WriteString(a.Class)
 	fields.WriteString(",thing=")
-	fields.WriteString(x.Function)
+	fields.WriteString(a.Function)
 	fields.WriteString(",max=")
-	fields.WriteString(strconv.FormatInt(max(1, int64(x.Timeout)/1000), 10))
-	if x.IdempotencyKey != "" {
+	fields.WriteString(strconv.FormatInt(max(1, int64(a.Timeout)/1000), 10))
+	if a.IdempotencyKey != "" {
 		fields.WriteString(",replay=")
-		fields.WriteString(x.IdempotencyKey)
+		fields.WriteString(a.IdempotencyKey)
 	}
-	return frame(codeRequest, x.ID, fields.String(), x.Body)
+	return frame(codeRequest, a.ID, fields.String(), a.Body)
 }
 
-// Size is how many bytes Frame gives, at most.
-func (x *Attempt) Size() int {
+// Size returns an upper bound of the length of Frame, in bytes.
+func (a *Attempt) Size() int {
 	const namesAndFigure = 64 // the fields' names, and the longest time in milliseconds
-	return headLength + namesAndFigure + len(x.Class) + len(x.Function) + len(x.IdempotencyKey) + len(x.Body) + checkBytes
+	return headLength + namesAndFigure + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checkBytes
 }
 
-// CancelFrame tells a server that an execution is not waited for.
+// CancelFrame returns the frame that cancels an attempt.
 func CancelFrame(id ID) []byte { return frame(codeGiveUp, id, "", nil) }
 
-// LoadFrame tells a server to hold copies of a function; with none it only asks.
-func LoadFrame(id ID, function control.FunctionID, copies int) []byte {
-	return frame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), copies), nil)
+// LoadFrame returns the frame of a load command for a number of replicas; with 0 it only asks how many there
+// are.
+func LoadFrame(id ID, function control.FunctionID, replicas int) []byte {
+	return frame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
 }
 
+// frame returns a frame: header, fields, body and the CRC-32 of the latter two.
 func frame(code byte, id ID, fields string, body []byte) []byte {
 	b := make([]byte, 0, headLength+len(fields)+len(body)+checkBytes)
 	b = append(b, markFromRouter, code)
@@ -91,18 +94,18 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headLength:]))
 }
 
-// Answer is a server's answer to an execution or an order.
+// Answer is a server's answer to an attempt or a load command.
 type Answer struct {
 	ID          ID
 	Result      control.Result
 	CacheStatus control.CacheStatus
-	Replicas    int                // that stand, of an order; -1: not told
+	Replicas    int                // loaded, in the answer to a load command; -1: not specified
 	Reports     map[string]float64 // by the simulator's names; nil: none
 	Body        []byte
-	Probe       bool // answers no execution and no order
+	Probe       bool // answers neither an attempt nor a load command
 }
 
-// Errors of an answer that can't be believed: nothing after it on its connection can be either.
+// Errors of an invalid answer: nothing that follows on its connection can be read.
 var (
 	ErrMark   = errors.New("not an answer's mark")
 	ErrCode   = errors.New("unknown code of an answer")
@@ -110,11 +113,16 @@
 	ErrCheck  = errors.New("an answer's check does not match")
 )
 
+// cacheStatuses are the values of the field "remark".
 var cacheStatuses = map[string]control.CacheStatus{
-	"resident": control.CacheHit, "booted": control.CacheMiss, "rode": control.CacheLoading, "boot_error": control.CacheLoadFailed,
+	"resident":   control.CacheHit,
+	"booted":     control.CacheMiss,
+	"rode":       control.CacheLoading,
+	"boot_error": control.CacheLoadFailed,
 }
 
-// Read reads one answer. Begun is called when its first byte is here.
+// Read reads one answer. It calls begun when the first byte has arrived. Its error is one of the above or that
+// of the stream.
 func Read(r *bufio.Reader, begun func()) (*Answer, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
@@ -159,15 +167,16 @@
 	if crc32.ChecksumIEEE(rest[:end]) != binary.BigEndian.Uint32(rest[end:]) {
 		return nil, ErrCheck
 	}
-	a.tell(string(rest[:fields]))
+	a.setFields(string(rest[:fields]))
 	a.Body = rest[fields:end:end]
 	return a, nil
 }
 
-// read reads n bytes. Guards against a length that is only claimed: room is made as they come.
+// read reads n bytes. It guards against a claimed length that is never sent: memory is allocated as the bytes
+// arrive.
 func read(r *bufio.Reader, n int) ([]byte, error) {
-	const step = 32 << 10 // an answer as long as the longest body, and its fields
-	b := make([]byte, min(n, step))
+	const chunk = 32 << 10 // more than the longest request body and its fields
+	b := make([]byte, min(n, chunk))
 	if _, err := io.ReadFull(r, b); err != nil {
 		return nil, err
 	}
@@ -181,7 +190,8 @@
 	return b, nil
 }
 
-func (a *Answer) tell(fields string) {
+// setFields sets the answer from its fields. Unknown fields and values are ignored.
+func (a *Answer) setFields(fields string) {
 	for field := range strings.SplitSeq(fields, ",") {
 		name, value, _ := strings.Cut(field, "=")
 		switch name {
