--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -105,73 +105,93 @@
 // Read reads one message. Its error is a *Fault or that of the stream.
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
-	f := &Fault{Unreadable: true}
-	fault := func(text string, err error) (*Message, error) {
+	if f, err := r.readMessage(m); f != nil {
 		var stream *broken
 		if errors.As(err, &stream) {
 			return nil, stream.err
 		}
-		f.Number, f.Text = m.Number, text
+		f.Number = m.Number
 		return nil, f
 	}
+	return m, nil
+}
+
+// readMessage reads one message into m. If it can't be accepted the fault is not nil, and err is what caused it,
+// if that is an error.
+func (r *Reader) readMessage(m *Message) (*Fault, error) {
 	n, err := r.array()
 	if err != nil || n != 3 && n != 4 {
-		return fault("not a message", err)
+		return unreadable("not a message"), err
 	}
 	kind, err := r.number(math.MaxUint32)
 	if err != nil {
-		return fault("no kind of message", err)
+		return unreadable("no kind of message"), err
 	}
 	switch {
 	case kind == 0 && n == 4:
 		if m.Number, err = r.number(math.MaxUint32); err != nil {
-			return fault("no number", err)
+			return unreadable("no number"), err
 		}
-		f.Answerable = true
-		method, err := r.text(maxName)
-		if err != nil {
-			return fault("no method", err)
+		f, err := r.readCall(m)
+		if f != nil {
+			f.Answerable = true
 		}
-		params, err := r.array()
-		if err != nil || params < 1 || params > 2 {
-			return fault("no parameters", err)
-		}
-		fields, err := r.fields()
-		if err != nil {
-			return fault(err.Error(), err)
-		}
-		if method == "isWell" && params == 1 {
-			m.Kind = HealthCheck
-			return m, nil
-		}
-		if params != 2 {
-			return fault("no body", nil)
-		}
-		body, err := r.bytes(MaxBody)
-		if err != nil {
-			return fault("body: "+err.Error(), err)
-		}
-		if text := m.Request.read(method, fields); text != "" {
-			f.Unreadable = false // read whole: what follows can be read
-			return fault(text, nil)
-		}
-		m.Request.Body = body
-		return m, nil
+		return f, err
 	case kind == 2 && n == 3:
-		method, err := r.text(maxName)
-		if err != nil || method != "forget" {
-			return fault("unknown notice", err)
-		}
-		if params, err := r.array(); err != nil || params != 1 {
-			return fault("notice without its number", err)
-		}
-		if m.Number, err = r.number(math.MaxUint32); err != nil {
-			return fault("notice without its number", err)
-		}
-		m.Kind = Cancel
-		return m, nil
+		return r.readNotification(m)
+	}
+	return unreadable("unknown kind of message"), nil
+}
+
+// unreadable returns a fault after which nothing that follows on the connection can be read.
+func unreadable(text string) *Fault { return &Fault{Unreadable: true, Text: text} }
+
+// readCall reads the method and parameters of a call.
+func (r *Reader) readCall(m *Message) (*Fault, error) {
+	method, err := r.text(maxName)
+	if err != nil {
+		return unreadable("no method"), err
+	}
+	params, err := r.array()
+	if err != nil || params < 1 || params > 2 {
+		return unreadable("no parameters"), err
+	}
+	fields, err := r.fields()
+	if err != nil {
+		return unreadable(err.Error()), err
+	}
+	if method == "isWell" && params == 1 {
+		m.Kind = HealthCheck
+		return nil, nil
+	}
+	if params != 2 {
+		return unreadable("no body"), nil
+	}
+	body, err := r.bytes(MaxBody)
+	if err != nil {
+		return unreadable("body: " + err.Error()), err
+	}
+	if text := m.Request.read(method, fields); text != "" {
+		return &Fault{Text: text}, nil // the message was read to its end: what follows can be read
+	}
+	m.Request.Body = body
+	return nil, nil
+}
+
+// readNotification reads the method and parameter of a notification; the one there is cancels a request.
+func (r *Reader) readNotification(m *Message) (*Fault, error) {
+	method, err := r.text(maxName)
+	if err != nil || method != "forget" {
+		return unreadable("unknown notice"), err
+	}
+	if params, err := r.array(); err != nil || params != 1 {
+		return unreadable("notice without its number"), err
+	}
+	if m.Number, err = r.number(math.MaxUint32); err != nil {
+		return unreadable("notice without its number"), err
 	}
-	return fault("unknown kind of message", nil)
+	m.Kind = Cancel
+	return nil, nil
 }
 
 // broken marks an error of the stream itself.
