--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,85 +10,12 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 
 	"hollymast/control"
 )
 
-// Policy makes the decisions. control.Balancer is the one in service; a simulation may use a baseline instead.
-type Policy interface {
-	UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint)
-	Rank(now control.Micros, r *control.Request) control.Micros
-	Route(now control.Micros, r *control.Request) control.Decision
-	HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision
-	Cancel(now control.Micros, r *control.Request)
-	HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
-		took control.Micros, replicas int)
-	Maintain(now control.Micros) control.Maintenance
-}
-
-// Executor carries out the decisions, within the step and in the order in which they were made. No method may
-// block or call back into the core.
-type Executor interface {
-	// Forward starts an attempt, numbered from 0 for each request, that may take up to timeout.
-	Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros)
-	// Reject and Fail give a request its final response.
-	Reject(id control.RequestID, retryAfter control.Micros)
-	Fail(id control.RequestID)
-	// CancelAttempt stops waiting for an attempt; its outcome is still to be reported.
-	CancelAttempt(id control.RequestID, attempt control.AttemptID)
-	// Load sends a command to load replicas for the sake of a request.
-	Load(r *control.Request, command control.LoadCommand)
-	// SubscribeEndpoints asks discovery for changes of the endpoint list.
-	SubscribeEndpoints()
-	// Log writes a log line.
-	Log(text string)
-	// SetTimer asks for a step at a time at the latest; a later call replaces an earlier one that has passed or
-	// is later.
-	SetTimer(at control.Micros)
-}
-
-// NoopExecutor does nothing. It serves callers that only want the decisions.
-type NoopExecutor struct{}
-
-// Forward does nothing.
-func (NoopExecutor) Forward(*control.Request, control.AttemptID, control.ServerID, control.Micros) {}
-
-// Reject does nothing.
-func (NoopExecutor) Reject(control.RequestID, control.Micros) {}
-
-// Fail does nothing.
-func (NoopExecutor) Fail(control.RequestID) {}
-
-// CancelAttempt does nothing.
-func (NoopExecutor) CancelAttempt(control.RequestID, control.AttemptID) {}
-
-// Load does nothing.
-func (NoopExecutor) Load(*control.Request, control.LoadCommand) {}
-
-// SubscribeEndpoints does nothing.
-func (NoopExecutor) SubscribeEndpoints() {}
-
-// Log does nothing.
-func (NoopExecutor) Log(string) {}
-
-// SetTimer does nothing.
-func (NoopExecutor) SetTimer(control.Micros) {}
-
-// Recorder is called with all events and decisions of a core, in order, before the core acts on them.
-type Recorder interface {
-	Executor
-	EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint)
-	RequestAdded(req control.Request)
-	AttemptEnded(id control.RequestID, o control.Outcome)
-	RequestCancelled(id control.RequestID)
-	LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, replicas int)
-	// StepEnded ends a step, with all that the executor was asked to do in it.
-	StepEnded(now control.Micros)
-}
-
 // Core holds the requests in flight of one router around its Policy. It is not safe for concurrent use.
 type Core struct {
 	policy        Policy
@@ -116,26 +43,6 @@
 	return &Core{policy: policy, executor: executor, requests: map[control.RequestID]*request{}}
 }
 
-// SetRecorder records all from the next event on; nil ends it. It may be called only between steps.
-func (c *Core) SetRecorder(rec Recorder) {
-	if recording, ok := c.executor.(recordingExecutor); ok {
-		c.executor = recording.executor
-	}
-	if c.recorder = rec; rec != nil {
-		c.executor = recordingExecutor{c.executor, rec}
-	}
-}
-
-// SetTrace has the reasons of the balancer's decisions traced. It returns an error if the policy is a baseline.
-func (c *Core) SetTrace(trace *control.Trace) error {
-	balancer, ok := c.policy.(*control.Balancer)
-	if !ok {
-		return errors.New("this decider tells no reasons")
-	}
-	balancer.SetTrace(trace)
-	return nil
-}
-
 // Requests returns the number of requests in flight, including those that are done and still have attempts in
 // flight.
 func (c *Core) Requests() int { return len(c.requests) }
--- /dev/null
+++ b/internal/core/executor.go
@@ -0,0 +1,51 @@
+package core
+
+import "hollymast/control"
+
+// Executor carries out the decisions, within the step and in the order in which they were made. No method may
+// block or call back into the core.
+type Executor interface {
+	// Forward starts an attempt, numbered from 0 for each request, that may take up to timeout.
+	Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros)
+	// Reject and Fail give a request its final response.
+	Reject(id control.RequestID, retryAfter control.Micros)
+	Fail(id control.RequestID)
+	// CancelAttempt stops waiting for an attempt; its outcome is still to be reported.
+	CancelAttempt(id control.RequestID, attempt control.AttemptID)
+	// Load sends a command to load replicas for the sake of a request.
+	Load(r *control.Request, command control.LoadCommand)
+	// SubscribeEndpoints asks discovery for changes of the endpoint list.
+	SubscribeEndpoints()
+	// Log writes a log line.
+	Log(text string)
+	// SetTimer asks for a step at a time at the latest; a later call replaces an earlier one that has passed or
+	// is later.
+	SetTimer(at control.Micros)
+}
+
+// NoopExecutor does nothing. It serves callers that only want the decisions.
+type NoopExecutor struct{}
+
+// Forward does nothing.
+func (NoopExecutor) Forward(*control.Request, control.AttemptID, control.ServerID, control.Micros) {}
+
+// Reject does nothing.
+func (NoopExecutor) Reject(control.RequestID, control.Micros) {}
+
+// Fail does nothing.
+func (NoopExecutor) Fail(control.RequestID) {}
+
+// CancelAttempt does nothing.
+func (NoopExecutor) CancelAttempt(control.RequestID, control.AttemptID) {}
+
+// Load does nothing.
+func (NoopExecutor) Load(*control.Request, control.LoadCommand) {}
+
+// SubscribeEndpoints does nothing.
+func (NoopExecutor) SubscribeEndpoints() {}
+
+// Log does nothing.
+func (NoopExecutor) Log(string) {}
+
+// SetTimer does nothing.
+func (NoopExecutor) SetTimer(control.Micros) {}
--- /dev/null
+++ b/internal/core/policy.go
@@ -0,0 +1,71 @@
+package core
+
+import (
+	"errors"
+
+	"hollymast/control"
+)
+
+// Policy makes the decisions. control.Balancer is the one in service; a simulation may use a baseline instead.
+type Policy interface {
+	UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint)
+	Rank(now control.Micros, r *control.Request) control.Micros
+	Route(now control.Micros, r *control.Request) control.Decision
+	HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision
+	Cancel(now control.Micros, r *control.Request)
+	HandleLoadResult(now control.Micros, s control.ServerID, f control.FunctionID, result control.Result,
+		took control.Micros, replicas int)
+	Maintain(now control.Micros) control.Maintenance
+}
+
+// PolicyWrapper is a Policy around the balancer, with which the model checker plants wrong decisions.
+type PolicyWrapper interface {
+	Policy
+	Inner() *control.Balancer
+}
+
+// WrapPolicy puts a policy around the balancer. It does nothing if the policy is a baseline.
+func (c *Core) WrapPolicy(wrap func(*control.Balancer) Policy) {
+	if b := c.balancer(); b != nil {
+		c.policy = wrap(b)
+	}
+}
+
+// balancer returns the balancer that decides, or nil if the policy is a baseline.
+func (c *Core) balancer() *control.Balancer {
+	switch p := c.policy.(type) {
+	case *control.Balancer:
+		return p
+	case PolicyWrapper:
+		return p.Inner()
+	}
+	return nil
+}
+
+// SetTrace has the reasons of the balancer's decisions traced. It returns an error if the policy is a baseline.
+func (c *Core) SetTrace(trace *control.Trace) error {
+	balancer, ok := c.policy.(*control.Balancer)
+	if !ok {
+		return errors.New("this decider tells no reasons")
+	}
+	balancer.SetTrace(trace)
+	return nil
+}
+
+// LearnedState returns what the balancer has learned, or nil if the policy is a baseline. It may be called
+// between steps.
+func (c *Core) LearnedState(now control.Micros) *control.LearnedState {
+	b, ok := c.policy.(*control.Balancer)
+	if !ok {
+		return nil
+	}
+	return b.LearnedState(now)
+}
+
+// EjectedServers returns the servers that the balancer has ejected, or nil if the policy is a baseline.
+func (c *Core) EjectedServers() map[control.ServerID]bool {
+	if b, ok := c.policy.(*control.Balancer); ok {
+		return b.EjectedServers()
+	}
+	return nil
+}
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -29,30 +29,6 @@
 	InFlight  int                     `json:"Out"`
 }
 
-// PolicyWrapper is a Policy around the balancer, with which the model checker plants wrong decisions.
-type PolicyWrapper interface {
-	Policy
-	Inner() *control.Balancer
-}
-
-// WrapPolicy puts a policy around the balancer. It does nothing if the policy is a baseline.
-func (c *Core) WrapPolicy(wrap func(*control.Balancer) Policy) {
-	if b := c.balancer(); b != nil {
-		c.policy = wrap(b)
-	}
-}
-
-// balancer returns the balancer that decides, or nil if the policy is a baseline.
-func (c *Core) balancer() *control.Balancer {
-	switch p := c.policy.(type) {
-	case *control.Balancer:
-		return p
-	case PolicyWrapper:
-		return p.Inner()
-	}
-	return nil
-}
-
 // Snapshot returns the core's state. It may be called only between steps, with no event taken in since the last.
 // It returns an error if the policy is a baseline, which has no snapshot.
 func (c *Core) Snapshot() (*Snapshot, error) {
@@ -75,24 +51,6 @@
 	return s, nil
 }
 
-// LearnedState returns what the balancer has learned, or nil if the policy is a baseline. It may be called
-// between steps.
-func (c *Core) LearnedState(now control.Micros) *control.LearnedState {
-	b, ok := c.policy.(*control.Balancer)
-	if !ok {
-		return nil
-	}
-	return b.LearnedState(now)
-}
-
-// EjectedServers returns the servers that the balancer has ejected, or nil if the policy is a baseline.
-func (c *Core) EjectedServers() map[control.ServerID]bool {
-	if b, ok := c.policy.(*control.Balancer); ok {
-		return b.EjectedServers()
-	}
-	return nil
-}
-
 // Restore returns a core with its own executor that goes on from a snapshot. It returns an error if the snapshot
 // is inconsistent.
 func Restore(s *Snapshot, executor Executor) (*Core, error) {
@@ -121,50 +79,3 @@
 	c.policy = b
 	return c, nil
 }
-
-// recordingExecutor records each call before the executor gets it.
-type recordingExecutor struct {
-	executor Executor
-	recorder Recorder
-}
-
-func (e recordingExecutor) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID,
-	timeout control.Micros) {
-	e.recorder.Forward(r, attempt, to, timeout)
-	e.executor.Forward(r, attempt, to, timeout)
-}
-
-func (e recordingExecutor) Reject(id control.RequestID, retryAfter control.Micros) {
-	e.recorder.Reject(id, retryAfter)
-	e.executor.Reject(id, retryAfter)
-}
-
-func (e recordingExecutor) Fail(id control.RequestID) {
-	e.recorder.Fail(id)
-	e.executor.Fail(id)
-}
-
-func (e recordingExecutor) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
-	e.recorder.CancelAttempt(id, attempt)
-	e.executor.CancelAttempt(id, attempt)
-}
-
-func (e recordingExecutor) Load(r *control.Request, command control.LoadCommand) {
-	e.recorder.Load(r, command)
-	e.executor.Load(r, command)
-}
-
-func (e recordingExecutor) SubscribeEndpoints() {
-	e.recorder.SubscribeEndpoints()
-	e.executor.SubscribeEndpoints()
-}
-
-func (e recordingExecutor) Log(text string) {
-	e.recorder.Log(text)
-	e.executor.Log(text)
-}
-
-func (e recordingExecutor) SetTimer(at control.Micros) {
-	e.recorder.SetTimer(at)
-	e.executor.SetTimer(at)
-}
