--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -120,18 +120,32 @@
 // timer.
 func (c *Core) Step(now control.Micros) {
 	if now >= c.maintenanceAt {
-		maintenance := c.policy.Maintain(now)
-		c.maintenanceAt = maintenance.Next
-		for _, cancel := range maintenance.Cancellations {
-			c.executor.CancelAttempt(cancel.Request, cancel.Attempt)
-		}
-		if maintenance.SubscribeEndpoints {
-			c.executor.SubscribeEndpoints()
-		}
-		for _, text := range maintenance.LogLines {
-			c.executor.Log(text)
-		}
+		c.maintain(now)
+	}
+	c.routeHeld(now)
+	c.setTimer(now)
+	if c.recorder != nil {
+		c.recorder.StepEnded(now)
+	}
+}
+
+// maintain runs the policy's maintenance and carries out what it asks for.
+func (c *Core) maintain(now control.Micros) {
+	maintenance := c.policy.Maintain(now)
+	c.maintenanceAt = maintenance.Next
+	for _, cancel := range maintenance.Cancellations {
+		c.executor.CancelAttempt(cancel.Request, cancel.Attempt)
 	}
+	if maintenance.SubscribeEndpoints {
+		c.executor.SubscribeEndpoints()
+	}
+	for _, text := range maintenance.LogLines {
+		c.executor.Log(text)
+	}
+}
+
+// routeHeld asks the policy about each held request, by ascending rank.
+func (c *Core) routeHeld(now control.Micros) {
 	slices.SortStableFunc(c.held, func(a, b *request) int { return cmp.Compare(a.rank, b.rank) })
 	held := c.held
 	c.held = c.spare[:0]
@@ -142,6 +156,10 @@
 	}
 	clear(held)
 	c.spare = held[:0]
+}
+
+// setTimer asks for a step at the next maintenance or recheck, unless a timer is set that is no later.
+func (c *Core) setTimer(now control.Micros) {
 	wake := c.maintenanceAt
 	for _, r := range c.held {
 		wake = min(wake, r.recheckAt)
@@ -151,9 +169,6 @@
 		c.timerAt = wake
 		c.executor.SetTimer(wake)
 	}
-	if c.recorder != nil {
-		c.recorder.StepEnded(now)
-	}
 }
 
 // execute carries out the decision on a request.
