--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -6,13 +6,13 @@
 	"hollymast/control"
 )
 
-// crowded gives a core that knows 80 servers and 1000 functions, each with a job. Two on each server wait behind
+// crowdedCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
 // loads and the rest is held, as when a fleet comes back empty.
-func crowded() (*Core, control.Micros) {
-	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
+func crowdedCore() (*Core, control.Micros) {
+	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
 		LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
-	c := New(control.New(1, 1, told), NoopExecutor{})
+	c := New(control.New(1, 1, deployment), NoopExecutor{})
 	list := make([]control.Endpoint, servers)
 	for i := range list {
 		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
@@ -31,26 +31,26 @@
 }
 
 func BenchmarkTurn(b *testing.B) {
-	c, now := crowded()
+	c, now := crowdedCore()
 	for b.Loop() {
 		c.Step(now)
-		now++ // so little that the upkeep seldom falls due
+		now++ // so little that maintenance is seldom due
 	}
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
 func BenchmarkUpkeep(b *testing.B) {
-	c, now := crowded()
+	c, now := crowdedCore()
 	for b.Loop() {
 		c.Step(now)
-		now += 200_000 // falls due each time
+		now += 200_000 // maintenance is due each time
 	}
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
-// BenchmarkSnapshot is the checkpoint that a recording takes within a turn.
+// BenchmarkSnapshot is the checkpoint that a recording takes within a step.
 func BenchmarkSnapshot(b *testing.B) {
-	c, _ := crowded()
+	c, _ := crowdedCore()
 	for b.Loop() {
 		if _, err := c.Snapshot(); err != nil {
 			b.Fatal(err)
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -10,8 +10,8 @@
 	"hollymast/control"
 )
 
-// anyMemory draws a memory that a file might hold, true or not.
-func anyMemory(t *rapid.T, now control.Micros) *control.LearnedState {
+// randomLearnedState draws a learned state that a file might hold, correct or not.
+func randomLearnedState(t *rapid.T, now control.Micros) *control.LearnedState {
 	time := func() control.Micros {
 		return control.Micros(rapid.Int64Range(0, int64(now)+5_000_000).Draw(t, "time"))
 	}
@@ -37,39 +37,40 @@
 	return m
 }
 
-// With any memory, true or not, nothing goes where the list forbids it, orders stay within their ration and jobs still run.
+// With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay within their
+// rate limit and requests still run.
 func TestAnyMemoryKeepsTheRules(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now, next := control.Micros(100_000_000), control.RequestID(0)
-		told := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
+		deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
 			SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2, KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3,
 			LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
 				{LatencyObjective: 300_000, MaxDeadline: 3_000_000}, {LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
 				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 1_000_000}}}
-		m := anyMemory(t, now)
-		module := control.New(now, 7, told)
-		module.ApplyLearned(now, m)
-		d := &driven{}
-		d.Core = New(module, d)
+		m := randomLearnedState(t, now)
+		balancer := control.New(now, 7, deployment)
+		balancer.ApplyLearned(now, m)
+		d := &testCore{}
+		d.Core = New(balancer, d)
 		list := []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Draining, Weight: 1}, {Server: 3, State: control.Ready, Weight: 1}}
 		d.UpdateEndpoints(now, control.FullUpdate, list)
-		var orders []control.Micros
+		var loadCommands []control.Micros
 		for _, at := range m.LoadCommands {
-			orders = append(orders, min(at, now))
+			loadCommands = append(loadCommands, min(at, now))
 		}
 		for range 60 {
 			now += control.Micros(rapid.IntRange(1, 50_000).Draw(t, "pause"))
 			next++
 			d.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")), Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
 			d.Step(now)
-			for _, x := range d.taken() {
+			for _, x := range d.takeCalls() {
 				if strings.HasPrefix(x, "send") && strings.HasSuffix(x, "to 2") {
 					t.Fatalf("a draining server got a job: %s", x)
 				}
 				if strings.HasPrefix(x, "order") {
-					orders = append(orders, now)
-					if n := len(slices.DeleteFunc(slices.Clone(orders), func(at control.Micros) bool { return at < now-told.LoadRateWindow })); float64(n) > told.LoadRateBase {
+					loadCommands = append(loadCommands, now)
+					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), func(at control.Micros) bool { return at < now-deployment.LoadRateWindow })); float64(n) > deployment.LoadRateBase {
 						t.Fatalf("%d orders within a window", n)
 					}
 				}
@@ -79,7 +80,7 @@
 					t.Fatalf("server %d, not on the list, got a job", x.server)
 				}
 				sent++
-				d.HandleOutcome(now, x.job, control.Outcome{Attempt: x.no, Server: x.server, Result: control.Succeeded, Duration: 40_000, RequestDone: true})
+				d.HandleOutcome(now, x.request, control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Succeeded, Duration: 40_000, RequestDone: true})
 			}
 			d.sent = d.sent[:0]
 		}
@@ -89,9 +90,9 @@
 	}
 }
 
-// BenchmarkRemember is the copy that a memory's writing takes between two turns.
+// BenchmarkRemember is the copy of the learned state that is taken between two steps to be written.
 func BenchmarkRemember(b *testing.B) {
-	c, now := crowded()
+	c, now := crowdedCore()
 	for b.Loop() {
 		if c.LearnedState(now) == nil {
 			b.Fatal("nothing to remember")
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -10,34 +10,34 @@
 	"hollymast/control"
 )
 
-// out is an execution without an outcome.
-type out struct {
-	job    control.RequestID
-	no     control.AttemptID
-	server control.ServerID
+// sentAttempt is an attempt without an outcome.
+type sentAttempt struct {
+	request control.RequestID
+	attempt control.AttemptID
+	server  control.ServerID
 }
 
-// driven is a core with what its outlet was asked, and what is out.
-type driven struct {
+// testCore is a core with the log of its executor and its attempts in flight.
+type testCore struct {
 	*Core
-	written
-	sent []out
+	callLog
+	sent []sentAttempt
 }
 
-func (d *driven) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	d.written.Forward(j, no, to, allow)
-	d.sent = append(d.sent, out{j.ID, no, to})
+func (d *testCore) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
+	d.callLog.Forward(r, attempt, to, timeout)
+	d.sent = append(d.sent, sentAttempt{r.ID, attempt, to})
 }
 
-// traffic is random jobs and answers.
-func traffic(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*driven) {
+// traffic adds random requests and outcomes, the same to each core.
+func traffic(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*testCore) {
 	for range rapid.IntRange(0, 4).Draw(t, "jobs") {
 		*next++
-		j := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "workload")),
+		r := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "workload")),
 			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
 			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")), IsRetry: rapid.Bool().Draw(t, "repeat")}
 		for _, d := range ds {
-			d.Add(now, j)
+			d.Add(now, r)
 		}
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "answers") {
@@ -46,7 +46,7 @@
 		}
 		i := rapid.IntRange(0, len(ds[0].sent)-1).Draw(t, "which")
 		x := ds[0].sent[i]
-		o := control.Outcome{Attempt: x.no, Server: x.server, Result: control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
+		o := control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
 			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "found")), Duration: control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
 		o.RequestDone = o.Result == control.Succeeded
 		if rapid.Bool().Draw(t, "reported") {
@@ -54,13 +54,13 @@
 		}
 		for _, d := range ds {
 			d.sent = slices.Delete(d.sent, i, i+1)
-			d.HandleOutcome(now, x.job, o)
+			d.HandleOutcome(now, x.request, o)
 		}
 	}
 }
 
-// step makes one turn of random news.
-func step(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*driven) {
+// step makes one step of random events.
+func step(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*testCore) {
 	traffic(t, now, next, ds...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
 	case 0:
@@ -78,9 +78,9 @@
 			d.UpdateEndpoints(now, control.FullUpdate, list)
 		}
 	case 2:
-		s, copies := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "copies")
+		s, replicas := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "copies")
 		for _, d := range ds {
-			d.HandleLoadResult(now, s, 1, control.Succeeded, 1000, copies)
+			d.HandleLoadResult(now, s, 1, control.Succeeded, 1000, replicas)
 		}
 	}
 	for _, d := range ds {
@@ -88,8 +88,8 @@
 	}
 }
 
-// anyDeployment is one of two routers, with each kind of effect.
-func anyDeployment(t *rapid.T) control.Deployment {
+// randomDeployment is one of two routers, with each kind of effect.
+func randomDeployment(t *rapid.T) control.Deployment {
 	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
 		SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2, KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
 		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
@@ -97,13 +97,13 @@
 			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 1_000_000}}}
 }
 
-// Any reachable state, restored, decides the same from there on.
+// A core restored from any reachable state decides the same from there on.
 func TestSnapshotGoesOnAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := anyDeployment(t)
+		deployment := randomDeployment(t)
 		now, next := control.Micros(10_000_000), control.RequestID(0)
-		a := &driven{}
-		a.Core = New(control.New(now, 7, told), a)
+		a := &testCore{}
+		a.Core = New(control.New(now, 7, deployment), a)
 		a.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 2}})
 		for range rapid.IntRange(1, 60).Draw(t, "before") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
@@ -113,11 +113,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &driven{sent: slices.Clone(a.sent)}
+		b := &testCore{sent: slices.Clone(a.sent)}
 		if b.Core, err = Restore(s, b); err != nil {
 			t.Fatal(err)
 		}
-		a.taken()
+		a.takeCalls()
 		for turn := range 1000 {
 			now += control.Micros(1 + uint64(turn)*7919%200_000)
 			if turn < 100 {
@@ -126,7 +126,7 @@
 				a.Step(now)
 				b.Step(now)
 			}
-			if x, y := a.taken(), b.taken(); !slices.Equal(x, y) {
+			if x, y := a.takeCalls(), b.takeCalls(); !slices.Equal(x, y) {
 				t.Fatalf("turn %d after it: %q, restored %q", turn, x, y)
 			}
 		}
@@ -147,7 +147,7 @@
 		"instance":      {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{{Instances: make([]control.InstanceSnapshot, 1)}}}},
 		"last function": {Balancer: &control.Snapshot{Recent: []int{0}}},
 	} {
-		if _, err := Restore(s, &written{}); err == nil {
+		if _, err := Restore(s, &callLog{}); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
