--- /dev/null
+++ b/internal/memory/journal_files.go
@@ -0,0 +1,190 @@
+package memory
+
+import (
+	"errors"
+	"fmt"
+	"hollymast/control"
+	"io/fs"
+	"path/filepath"
+	"slices"
+)
+
+// The files that a journal writes: begun, ended, abandoned and removed.
+
+// journalFile is a file that is being written.
+type journalFile struct {
+	File
+	number int
+	size   int64
+	newest control.Micros
+	kept   bool // it holds rounds that are done
+}
+
+// oldFile is one that is not written any more.
+type oldFile struct {
+	name   string
+	size   int64
+	newest control.Micros
+	empty  bool // nothing in it is owed
+	told   bool // that it can't be removed
+}
+
+func journalName(number int) string { return fmt.Sprintf("journal-%08d", number) }
+
+// abandon gives the file up. What was not synced in it is written to the next one.
+func (j *Journal) abandon() {
+	f := j.file
+	if f == nil {
+		return
+	}
+	if j.syncing > 0 {
+		n := j.syncing
+		if j.syncing = 0; <-j.synced == nil {
+			j.done(n)
+		}
+	}
+	j.file = nil
+	f.Close() // whatever it says: the file counts for nothing that was not synced
+	back := len(j.unsynced)
+	j.unwritten, j.unsynced = slices.Concat(j.unsynced, j.unwritten), nil
+	switch {
+	case j.shadow != nil:
+		if j.carried += back; f.kept {
+			j.old = append(j.old, oldFile{name: journalName(f.number), size: f.size, newest: f.newest})
+		} else {
+			j.discard(f.number)
+		}
+	case f.kept:
+		j.old = append(j.old, oldFile{name: journalName(f.number), size: f.size, newest: f.newest})
+	case back > 0:
+		j.shadow, j.carried = f, back
+	default:
+		j.discard(f.number)
+	}
+}
+
+// discard removes a file in which nothing is owed, or notes that it couldn't be.
+func (j *Journal) discard(number int) {
+	if err := j.Files.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		j.strays = append(j.strays, number)
+	}
+}
+
+func (j *Journal) path(number int) string { return filepath.Join(j.dir, journalName(number)) }
+
+// finish ends a full file.
+func (j *Journal) finish() error {
+	if j.syncing > 0 {
+		n := j.syncing
+		j.syncing = 0
+		if err := <-j.synced; err != nil {
+			return err
+		}
+		j.done(n)
+	}
+	if len(j.unsynced) > 0 {
+		j.syncs++
+		if err := j.file.Sync(); err != nil {
+			return err
+		}
+		j.done(len(j.unsynced))
+	}
+	j.close(j.file)
+	j.old = append(j.old, oldFile{name: journalName(j.file.number), size: j.file.size, newest: j.file.newest})
+	j.file = nil
+	return nil
+}
+
+// close closes a file of which all that is promised was synced. An error then takes nothing from that.
+func (j *Journal) close(f *journalFile) {
+	if err := f.Close(); err != nil {
+		j.Said(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
+	}
+}
+
+// begin begins a file. One that can't be begun is removed.
+func (j *Journal) begin() error {
+	j.prune()
+	number := j.number + 1
+	if err := j.reuse(number); err != nil {
+		return err
+	}
+	file, err := j.Files.Create(j.path(number))
+	if err != nil {
+		return err // if it is there all the same, the next try takes its name
+	}
+	if err := j.head(file); err != nil {
+		file.Close()
+		if j.discard(number); slices.Contains(j.strays, number) {
+			j.number = number // its name may be lost to the failed sync for good: never used again
+		}
+		return err
+	}
+	j.number = number
+	j.file = &journalFile{File: file, number: number, size: int64(len(journalMagic))}
+	return nil
+}
+
+// reuse gives a stray the name of the file that is to begin. Guards against a folder that fails for long: in it no more than
+// two strays stand, and one of them only while neither can be renamed.
+func (j *Journal) reuse(number int) error {
+	n := len(j.strays)
+	if n == 0 {
+		return nil
+	}
+	err := j.Files.Rename(j.path(j.strays[n-1]), j.path(number))
+	if err == nil {
+		j.strays = j.strays[:n-1]
+	} else if n == 1 {
+		return nil
+	}
+	return err
+}
+
+// head writes what a file begins with, and syncs the folder.
+func (j *Journal) head(f File) error {
+	head := []byte(journalMagic)
+	if j.Clock.Boot != 0 {
+		head = appendFrame(head, j.Clock.note())
+	}
+	if _, err := f.Write(head); err != nil {
+		return err
+	}
+	if j.Sync != Never { // so that a disk which fails is not taken for well
+		if err := f.Sync(); err != nil {
+			return err
+		}
+	}
+	return j.Files.SyncFolder(j.dir)
+}
+
+// prune removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed stays for the
+// next time, and keeps nothing from going on.
+func (j *Journal) prune() {
+	strays := j.strays
+	j.strays = nil
+	for _, number := range strays {
+		j.discard(number)
+	}
+	total := int64(0)
+	for _, o := range j.old {
+		total += o.size
+	}
+	kept := j.old[:0]
+	for _, o := range j.old {
+		if !o.empty && o.newest+j.Keep >= j.newest && total <= j.Most {
+			kept = append(kept, o)
+			continue
+		}
+		if err := j.Files.Remove(filepath.Join(j.dir, o.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			if !o.told {
+				o.told = true
+				j.Said(fmt.Sprintf("%s: %v: it stays, and is tried again", o.name, err))
+			}
+			kept = append(kept, o)
+			continue
+		}
+		total -= o.size
+	}
+	j.old = kept
+}
--- /dev/null
+++ b/internal/memory/journal_format.go
@@ -0,0 +1,108 @@
+package memory
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"hollymast/control"
+)
+
+// The form of a journal file: its entries and frames.
+
+// Kind is what an entry of the journal tells.
+type Kind uint8
+
+// The kinds. Execution: a marked job was sent to a server. Unrun: it is proven that it did not run there. ToCold: a job
+// was sent to a server that is cold. Ordered: an order to load was given.
+// Taken: some jobs were taken, their number in Mark, the first of them then.
+const (
+	Execution Kind = iota + 1
+	Unrun
+	ToCold
+	Ordered
+	Taken
+)
+
+// Entry is one line of the journal.
+type Entry struct {
+	Kind   Kind
+	At     control.Micros
+	Mark   Mark
+	Server control.ServerID
+}
+
+const entrySize = 1 + 3*8
+
+func appendEntry(b []byte, e Entry) []byte {
+	b = append(b, byte(e.Kind))
+	b = binary.BigEndian.AppendUint64(b, uint64(e.At))
+	b = binary.BigEndian.AppendUint64(b, uint64(e.Mark))
+	return binary.BigEndian.AppendUint64(b, uint64(e.Server))
+}
+
+func readEntry(b []byte) (Entry, bool) {
+	e := Entry{Kind(b[0]), control.Micros(binary.BigEndian.Uint64(b[1:])), Mark(binary.BigEndian.Uint64(b[9:])),
+		control.ServerID(binary.BigEndian.Uint64(b[17:]))}
+	return e, e.Kind >= Execution && e.Kind <= Taken && (e.Kind != Taken || e.Mark <= many) && e.At >= 0 && e.At <= latest
+}
+
+// A journal file is the magic, then frames: number of entries (two bytes) and CRC-32C of that and the entries (four),
+// both big-endian, then the entries.
+const (
+	journalMagic = "hollymast journal 1\n"
+	frameHead    = 6
+	mostInFrame  = 1 << 12
+)
+
+func appendFrame(b []byte, es []Entry) []byte {
+	at := len(b)
+	b = append(binary.BigEndian.AppendUint16(b, uint16(len(es))), 0, 0, 0, 0)
+	for _, e := range es {
+		b = appendEntry(b, e)
+	}
+	sum := crc32.Update(crc32.Checksum(b[at:at+2], castagnoli), castagnoli, b[at+frameHead:])
+	binary.BigEndian.PutUint32(b[at+2:], sum)
+	return b
+}
+
+// ReadJournal gives a file's entries up to its end or its first damage, which the error tells. Nothing that is owed stands after a
+// damage: a file is not written on after a writing that failed, and a sync covers all before it.
+func ReadJournal(b []byte) (es []Entry, err error) {
+	frames, err := readFrames(b)
+	for _, f := range frames {
+		es = append(es, f.entries...)
+	}
+	return es, err
+}
+
+type frame struct {
+	bytes   []byte
+	entries []Entry
+}
+
+func readFrames(b []byte) (frames []frame, err error) {
+	if len(b) < len(journalMagic) || string(b[:len(journalMagic)]) != journalMagic {
+		return nil, fmt.Errorf("%w: no journal", ErrDamaged)
+	}
+	for b = b[len(journalMagic):]; len(b) > 0; {
+		if len(b) < frameHead {
+			return frames, ErrDamaged
+		}
+		n := int(binary.BigEndian.Uint16(b)) * entrySize
+		if n == 0 || n > len(b)-frameHead ||
+			crc32.Update(crc32.Checksum(b[:2], castagnoli), castagnoli, b[frameHead:frameHead+n]) != binary.BigEndian.Uint32(b[2:]) {
+			return frames, ErrDamaged
+		}
+		es := make([]Entry, 0, n/entrySize)
+		for at := frameHead; at < frameHead+n; at += entrySize {
+			e, ok := readEntry(b[at:])
+			if !ok {
+				return frames, ErrDamaged
+			}
+			es = append(es, e)
+		}
+		frames = append(frames, frame{b[:frameHead+n], es})
+		b = b[frameHead+n:]
+	}
+	return frames, nil
+}
--- /dev/null
+++ b/internal/memory/journal_read.go
@@ -0,0 +1,163 @@
+package memory
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"hollymast/control"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// Reading the journals of earlier incarnations at a start.
+
+// read gives what all files hold, oldest first.
+func (j *Journal) read() (es []Entry, told []string, err error) {
+	var names []string
+	if err := Patiently(j.Pause, func() (err error) { names, err = j.Files.Names(j.dir); return err }); err != nil {
+		return nil, nil, err
+	}
+	var last []frame             // of the files before
+	for _, name := range names { // by name, so by number
+		var number int
+		if n, err := fmt.Sscanf(name, "journal-%d", &number); n != 1 || err != nil || strings.Count(name, "-") != 1 {
+			continue
+		}
+		j.number = max(j.number, number)
+		b, err := j.readFile(name)
+		if err != nil {
+			told = append(told, fmt.Sprintf("%s: %v: it is passed over", name, err))
+			j.unread = j.unread || Passing(err)
+			continue
+		}
+		frames, err := readFrames(b)
+		old := oldFile{name: name, size: int64(len(b))}
+		var clock Clock
+		if len(frames) > 0 {
+			if c, is := noted(frames[0].entries); is {
+				clock, frames = c, frames[1:]
+			}
+		}
+		n, sure := 0, j.meet(clock, frames)
+		for _, f := range frames {
+			n += len(f.entries)
+			old.newest = max(old.newest, newest(f.entries))
+		}
+		old.empty = n == 0 && (err == nil || strings.HasPrefix(journalMagic, string(b[:min(len(b), len(journalMagic))])))
+		if j.Now > 0 && !sure && (n > 0 || err != nil) {
+			old.newest = j.Now // it may be as young
+		}
+		if err != nil && len(b) > 0 {
+			told = append(told, fmt.Sprintf("%s: %v after %d entries", name, err, n))
+		}
+		fresh := frames[again(last, frames):]
+		for _, f := range fresh {
+			es = append(es, f.entries...)
+		}
+		if !sure {
+			j.unsure = len(es)
+		}
+		last = append(last[max(0, len(last)-mostOwed):], fresh...)
+		j.old, j.newest = append(j.old, old), max(j.newest, old.newest)
+	}
+	return es, told, nil
+}
+
+// meet brings a file's entries into the time of this life; sure is false where that can't be done.
+func (j *Journal) meet(earlier Clock, frames []frame) (sure bool) {
+	by, sure := j.Clock.ahead(earlier)
+	for _, f := range frames {
+		sure = sure && newest(f.entries)+by <= j.Now
+	}
+	for _, f := range frames {
+		for i := range f.entries {
+			if sure {
+				f.entries[i].At = max(0, f.entries[i].At+by)
+			}
+		}
+	}
+	return sure
+}
+
+// Past gives what was read, in the time of this life.
+func (j *Journal) Past(es []Entry) Past { return Past{es, j.unsure, j.Now} }
+
+// readFile reads a file, with patience for the first that fails only: a start may not take long.
+func (j *Journal) readFile(name string) (b []byte, err error) {
+	read := func() (err error) { b, err = j.Files.Read(filepath.Join(j.dir, name)); return err }
+	if j.unread {
+		return b, read()
+	}
+	return b, Patiently(j.Pause, read)
+}
+
+// Unread tells that a file could not be read at the start: what stands in it is still owed, and not known.
+func (j *Journal) Unread() bool { return j.unread }
+
+// again tells how many of a file's first frames stand in the files before: what was not synced in a file that was abandoned was
+// written again, frame by frame, at the beginning of the next.
+func again(before, frames []frame) int {
+	if len(frames) == 0 {
+		return 0
+	}
+	for i := len(before) - 1; i >= 0; i-- {
+		if !bytes.Equal(before[i].bytes, frames[0].bytes) {
+			continue
+		}
+		n := 1
+		for i+n < len(before) && n < len(frames) && bytes.Equal(before[i+n].bytes, frames[n].bytes) {
+			n++
+		}
+		return n
+	}
+	return 0
+}
+
+// Recalled is Past.Recalled of entries whose times are sure.
+func Recalled(m *control.LearnedState, es []Entry, keep control.Micros, most int) *Marks {
+	return Past{Entries: es}.Recalled(m, keep, most)
+}
+
+// Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
+// does not hold. With no memory, m is an empty one. Of entries whose time is not sure those that limit us count as of now, and those
+// that allow anything don't; what may have run lies beyond every window, and is remembered as long as if it were sent now.
+func (p Past) Recalled(m *control.LearnedState, keep control.Micros, most int) *Marks {
+	marks := NewMarks(keep, most)
+	for i, e := range p.Entries {
+		unsure := i < p.Unsure
+		latest := e.At
+		if unsure {
+			latest = p.Now
+		}
+		switch e.Kind {
+		case Execution:
+			if unsure {
+				e.At = 0
+			}
+			marks.add(e.Mark, Sent{e.Server, e.At}, latest)
+		case Unrun:
+			marks.Unrun(e.Mark, e.Server)
+		case Ordered:
+			if latest > m.SavedAt {
+				m.LoadCommands = append(m.LoadCommands, latest)
+			}
+		case Taken:
+			if !unsure && e.At > m.SavedAt && len(m.Admitted) < many {
+				m.Admitted = append(m.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Mark))...)
+			}
+		case ToCold:
+			if latest <= m.SavedAt {
+				continue
+			}
+			i, known := slices.BinarySearchFunc(m.Servers, e.Server, func(s control.LearnedServer, id control.ServerID) int {
+				return cmp.Compare(s.Server, id)
+			})
+			if !known {
+				m.Servers = slices.Insert(m.Servers, i, control.LearnedServer{Server: e.Server})
+			}
+			m.Servers[i].SlowStartSends = append(m.Servers[i].SlowStartSends, latest)
+		}
+	}
+	return marks
+}
