--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -44,6 +44,17 @@
 	r.HandleOutcome(at, req, Outcome{Server: d.Server, Result: NotLoaded, RequestDone: true})
 }
 
+// restartTenth puts one in ten servers in slow start.
+func restartTenth(r *Balancer) {
+	var list []Endpoint
+	for k := 0; k < len(r.servers); k += 10 {
+		endpoint := r.servers[k].Endpoint
+		endpoint.StartedAt = at - second
+		list = append(list, endpoint)
+	}
+	r.UpdateEndpoints(at, IncrementalUpdate, list)
+}
+
 // BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a function never seen
 // before, a busy function, and servers in slow start may cost more in a larger fleet: see buildRanking,
 // nearestHomes and totalCapacity.
@@ -83,13 +94,7 @@
 		{"upkeep", func(_ *testing.B, r *Balancer, _, _ int) { r.Maintain(at) }},
 		{"upkeep-tenth-cold", func(_ *testing.B, r *Balancer, i, _ int) {
 			if i == 0 {
-				var list []Endpoint
-				for k := 0; k < len(r.servers); k += 10 {
-					endpoint := r.servers[k].Endpoint
-					endpoint.StartedAt = at - second
-					list = append(list, endpoint)
-				}
-				r.UpdateEndpoints(at, IncrementalUpdate, list)
+				restartTenth(r)
 			}
 			r.Maintain(at)
 		}},
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -150,14 +150,7 @@
 		if !r.usable(now, s, req) {
 			continue
 		}
-		weight := max(0.1, s.Weight) * r.capacity(now, s)
-		if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
-			free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
-			weight *= free * free / (1 + max(0, s.report.PendingLoads))
-		} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
-			weight *= 0.01
-		}
-		weight = max(0.001, weight)
+		weight := referenceWeight(r, now, s)
 		cs = append(cs, candidate{s, -math.Log(uniform(uint64(f.id), uint64(s.Server))) / weight, weight})
 	}
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
@@ -189,6 +182,17 @@
 	return best
 }
 
+func referenceWeight(r *Balancer, now Micros, s *server) float64 {
+	weight := max(0.1, s.Weight) * r.capacity(now, s)
+	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
+		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
+		weight *= free * free / (1 + max(0, s.report.PendingLoads))
+	} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
+		weight *= 0.01
+	}
+	return max(0.001, weight)
+}
+
 // days drives a balancer through random events: servers join, drain, leave, return and restart, requests arrive
 // and are answered.
 type days struct {
@@ -592,11 +596,49 @@
 	}
 }
 
+// rankingCounts counts decisions by whether the ranking was sufficient, fell short, or was not asked for a busy function.
+type rankingCounts struct{ sufficient, short, hot int }
+
+// compareLoadTarget compares where a load for a random request goes with the reference implementation's choice.
+func (d *days) compareLoadTarget(seed uint64, round int, counts *rankingCounts) {
+	r := d.r
+	req := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
+	if d.chanceOf(0.1) { // one that may only be retried in its zone
+		req.Class, req.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
+	}
+	f := r.function(req)
+	f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
+	d.checkUsableCount(req)
+	if d.chanceOf(0.3) {
+		d.checkNearestHomes(f, req)
+		d.checkRanking(f)
+	}
+	purpose := firstReplica
+	if d.chanceOf(0.2) {
+		purpose = additionalReplica
+	}
+	got, want := r.loadTarget(d.now, f, req, purpose), referenceLoadTarget(r, d.now, f, req, purpose)
+	if got != want {
+		d.t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v",
+			seed, round, f.id, len(r.servers), got, want)
+	}
+	if f.recent > 1 {
+		counts.hot++
+	} else if two, known := r.firstTwoByRanking(d.now, f, req); known && len(two) > 0 {
+		counts.sufficient++
+	} else {
+		counts.short++
+	}
+	if got != nil {
+		f.instanceOn(got, true).replicas++ // the next goes to another of the first candidates
+	}
+}
+
 // In fleets of any size, with any part of them unusable, overloaded or in slow start and with few or many endpoint
 // updates between two decisions, a load goes where the reference implementation sends it: by the ranking, and
 // where that is not sufficient.
 func TestRankingTellsAsThePlainWay(t *testing.T) {
-	sufficient, short, hot := 0, 0, 0
+	var counts rankingCounts
 	for seed := range uint64(28) {
 		d := newDays(t, seed, 0)
 		r := d.r
@@ -643,40 +685,13 @@
 			r.answerRate, r.freshFor = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range looks {
-				req := &Request{Function: FunctionID(d.chance.IntN(8 + round%40)), ArrivedAt: d.now, Deadline: d.now + second}
-				if d.chanceOf(0.1) { // one that may only be retried in its zone
-					req.Class, req.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
-				}
-				f := r.function(req)
-				f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
-				d.checkUsableCount(req)
-				if d.chanceOf(0.3) {
-					d.checkNearestHomes(f, req)
-					d.checkRanking(f)
-				}
-				purpose := firstReplica
-				if d.chanceOf(0.2) {
-					purpose = additionalReplica
-				}
-				got, want := r.loadTarget(d.now, f, req, purpose), referenceLoadTarget(r, d.now, f, req, purpose)
-				if got != want {
-					t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v", seed, round, f.id, len(r.servers), got, want)
-				}
-				if f.recent > 1 {
-					hot++
-				} else if two, known := r.firstTwoByRanking(d.now, f, req); known && len(two) > 0 {
-					sufficient++
-				} else {
-					short++
-				}
-				if got != nil {
-					f.instanceOn(got, true).replicas++ // the next goes to another of the first candidates
-				}
+				d.compareLoadTarget(seed, round, &counts)
 			}
 		}
 	}
-	if sufficient < 2000 || short < 500 || hot < 2000 {
-		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike", sufficient, short, hot)
+	if counts.sufficient < 2000 || counts.short < 500 || counts.hot < 2000 {
+		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike",
+			counts.sufficient, counts.short, counts.hot)
 	}
 }
 
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -91,6 +91,11 @@
 			}
 		}
 	}
+	return d.worstOf(sent)
+}
+
+// worstOf finds the worst window among the ages at which requests were sent to the server; see worstWindow.
+func (d day) worstOf(sent []Micros) (largest float64, at Micros, n int) {
 	slices.Sort(sent)
 	from := 0
 	for to, t := range sent {
