--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// Exactly one of those who withdraw and those who write takes a sending out of Chosen.
+// Exactly one of Withdraw and Write takes an attempt out of Chosen.
 func TestOneLeavesChosen(t *testing.T) {
 	for _, s := range []Stage{Writing, Withdrawn} {
 		if _, ok := s.Withdraw(); ok {
@@ -24,11 +24,11 @@
 	}
 }
 
-// Only what was not written, or came from nobody who believed us, is proved not to have run.
+// Only what was not written, or whose handshake the peer refused, is proved not to have run.
 func TestWhatBreaksProve(t *testing.T) {
-	for why, want := range map[BreakReason]bool{ByPeer: false, ByUs: false, ByDeadline: false, ByAuthentication: true} {
-		if BrokenResult(true, why).ProvesNotRun() != want || !BrokenResult(false, why).ProvesNotRun() {
-			t.Errorf("%d: %v, %v", why, BrokenResult(true, why), BrokenResult(false, why))
+	for reason, want := range map[BreakReason]bool{ByPeer: false, ByUs: false, ByDeadline: false, ByAuthentication: true} {
+		if BrokenResult(true, reason).ProvesNotRun() != want || !BrokenResult(false, reason).ProvesNotRun() {
+			t.Errorf("%d: %v, %v", reason, BrokenResult(true, reason), BrokenResult(false, reason))
 		}
 	}
 	if r := UndialledResult(Chosen, true); r != control.NotSent {
@@ -36,7 +36,7 @@
 	}
 }
 
-// An answer that comes when the job has one is dropped, and the job is kept until its last execution has ended.
+// An answer of a request that has one is dropped, and the request is kept until its last attempt has ended.
 func TestLateAnswerIsDropped(t *testing.T) {
 	var a FinalAnswer
 	a.AttemptBegan()
@@ -48,7 +48,7 @@
 	}
 }
 
-// A call-off after a sending's end does nothing: its connection may carry another.
+// A cancellation after an attempt's end does nothing: its connection may carry another.
 func TestCallOffAfterTheEnd(t *testing.T) {
 	var s Progress
 	s.End()
@@ -57,7 +57,7 @@
 	}
 }
 
-// Connections are counted through all of their lives.
+// Connections are counted from opening to closing.
 func TestConnectionsAreCounted(t *testing.T) {
 	var c Connections
 	if c.Acquire(1) != OpenNew || c.Acquire(1) != NoneLeft || !c.Release(true, true) || c.Acquire(1) != Reuse || c.Release(true, false) || c != (Connections{}) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// A wait for the journal ends with the choice's freshness, and before its time is up.
+// A wait for the journal ends when the choice's endpoint list is stale or the attempt's time is up.
 func TestWaitForTheJournal(t *testing.T) {
 	for _, c := range [][4]control.Micros{{10, 100, 1000, 90}, {10, 100, 50, 50}, {200, 100, 50, 0}} {
 		if got := JournalWait(c[0], c[1], c[2]); got != c[3] {
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -6,9 +6,10 @@
 	"hollymast/control"
 )
 
-// Whatever a client does, the first byte of an attempt without a look comes well within what is allowed after it has gone.
+// Without a further check of the client's connection, the first byte of an attempt comes well within the grace after the client
+// has disconnected.
 func TestClientAge(t *testing.T) {
-	oldest := control.Micros(0) // a look that is taken for good
+	oldest := control.Micros(0) // age of a check that is still accepted
 	for !MustLook(oldest) {
 		oldest++
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Waits double up to the longest, each between a half and the whole, and begin anew after an answer.
+// Waits double up to the longest, each between half and all of it, and start over after a success.
 func TestWaits(t *testing.T) {
 	b := New(1, 20*time.Millisecond, time.Second)
-	for _, most := range []time.Duration{20, 40, 80, 160, 320, 640, 1000, 1000} {
-		most *= time.Millisecond
-		if w := b.Next(); w < most/2 || w > most {
-			t.Errorf("waited %v of at most %v", w, most)
+	for _, longest := range []time.Duration{20, 40, 80, 160, 320, 640, 1000, 1000} {
+		longest *= time.Millisecond
+		if w := b.Next(); w < longest/2 || w > longest {
+			t.Errorf("waited %v of at most %v", w, longest)
 		}
 	}
 	if b.Well(); b.Next() > 20*time.Millisecond {
@@ -19,14 +19,14 @@
 	}
 }
 
-// Two that lost it together ask again at different times.
+// Two clients that lost the server together retry at different times.
 func TestWaitsAreSpread(t *testing.T) {
 	if New(1, time.Second, time.Second).Next() == New(2, time.Second, time.Second).Next() {
 		t.Error("both wait alike")
 	}
 }
 
-// A wait that may not last as long as it would otherwise still differs from asker to asker, and failures go on counting.
+// A limited wait still differs from client to client, and later waits go on growing.
 func TestNextWithinKeepsChanceAndGrowth(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	seen := map[time.Duration]bool{}
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -12,7 +12,7 @@
 	"hollymast/control"
 )
 
-// answer builds a server's frame.
+// answer returns a server's frame.
 func answer(code byte, id uint64, fields string, body []byte) []byte {
 	b := []byte{markFromServer, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
@@ -22,16 +22,16 @@
 	return binary.BigEndian.AppendUint32(append(b, rest...), crc32.ChecksumIEEE(rest))
 }
 
-func read1(in []byte) (*Answer, error) {
+func readBytes(in []byte) (*Answer, error) {
 	return Read(bufio.NewReader(bytes.NewReader(in)), func() {})
 }
 
 func TestExecutionFrame(t *testing.T) {
-	x := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1_500_999, Body: []byte("xyz")}
+	a := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
-	want := answer(codeRequest, uint64(x.ID), fields, x.Body)
+	want := answer(codeRequest, uint64(a.ID), fields, a.Body)
 	want[0] = markFromRouter
-	if got := x.Frame(); !bytes.Equal(got, want) {
+	if got := a.Frame(); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -47,7 +47,7 @@
 func TestReadsAnswers(t *testing.T) {
 	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded, codeFull: control.Overloaded,
 		codeError: control.Failed, codeOver: control.NotSent} {
-		a, err := read1(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
+		a, err := readBytes(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
 		if err != nil || a.ID != 7 || a.Result != want || a.CacheStatus != control.CacheLoading || a.Replicas != 3 || a.Reports["util"] != 0.61 ||
 			string(a.Body) != "x" {
 			t.Errorf("code %d: %+v, %v", code, a, err)
@@ -57,7 +57,7 @@
 
 func TestSpoiltAnswers(t *testing.T) {
 	good := answer(codeOK, 7, "remark=resident", []byte("body"))
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		at   int
 		put  []byte
 		want error
@@ -69,9 +69,9 @@
 		"fields": {18, []byte{0}, ErrCheck},
 	} {
 		in := bytes.Clone(good)
-		copy(in[c.at:], c.put)
-		if _, err := read1(in); !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want %v", name, err, c.want)
+		copy(in[test.at:], test.put)
+		if _, err := readBytes(in); !errors.Is(err, test.want) {
+			t.Errorf("%s: got %v, want %v", name, err, test.want)
 		}
 	}
 }
@@ -79,20 +79,20 @@
 func TestTruncatedAtEachByte(t *testing.T) {
 	good := answer(codeOK, 7, "remark=resident", []byte("body"))
 	for n := range good {
-		if _, err := read1(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := readBytes(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("after %d bytes: %v", n, err)
 		}
 	}
 }
 
-// A claimed length costs only what comes of it.
+// A claimed length allocates little more than what arrives.
 func TestClaimedLengthCostsLittle(t *testing.T) {
 	claim := answer(codeOK, 7, "", nil)
 	binary.BigEndian.PutUint32(claim[4:], MaxBody)
 	r := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			read1(claim[:headLength])
+			readBytes(claim[:headLength])
 		}
 	})
 	if r.AllocedBytesPerOp() > 64<<10 {
@@ -117,10 +117,10 @@
 	})
 }
 
-// What a frame may take is known before it is encoded.
+// Size is an upper bound of the length of a frame.
 func TestSizeBoundsTheFrame(t *testing.T) {
-	x := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62, Body: []byte("xyz")}
-	if got := len(x.Frame()); got > x.Size() {
-		t.Errorf("%d bytes, at most %d told", got, x.Size())
+	a := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62, Body: []byte("xyz")}
+	if got := len(a.Frame()); got > a.Size() {
+		t.Errorf("%d bytes, at most %d told", got, a.Size())
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,14 +8,14 @@
 
 const second = 1_000_000
 
-func entry(address string, born int64) Endpoint {
-	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: born}
+func entry(address string, startedAt int64) Endpoint {
+	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: startedAt}
 }
 
-// Times in lists are wall clock; the router's time began at 1000 s of it.
+// Times in lists are wall clock; the router's time 0 is 1000 s of it.
 func TestBornIsBroughtIntoOurTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		first, then int64 // the start as told by the first list at 100 s and the next at 200 s; -1: not listed
+		first, then int64 // start time in the first list at 100 s and the next at 200 s; -1: not listed
 		want        control.Micros
 	}{
 		"unknown and old":           {0, 0, 0},
@@ -41,18 +41,18 @@
 	}
 }
 
-// A list that forgets a server for a moment does not make it cold; one whose start nobody knows may have restarted.
+// A server that is off the list for a moment gets no slow start; without a start time it may have restarted.
 func TestReturn(t *testing.T) {
-	for born, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
+	for startedAt, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
 		f := New(1000 * second)
-		list := []Endpoint{entry("127.0.0.1:9", born)}
+		list := []Endpoint{entry("127.0.0.1:9", startedAt)}
 		f.FullUpdate(100*second, list)
 		f.FullUpdate(200*second, nil)
 		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
 			t.Errorf("got %+v", s)
 		}
 		if got := f.FullUpdate(300*second, list); got[0].StartedAt != want {
-			t.Errorf("born %d: got %d, want %d", born, got[0].StartedAt, want)
+			t.Errorf("born %d: got %d, want %d", startedAt, got[0].StartedAt, want)
 		}
 	}
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// A server is remembered for as long as it should be after the last list that named it, whenever it went, also if it returns and
-// goes again; what is remembered costs nothing until then.
+// A removed server is kept for its full time after the last list that it was on, whenever it was removed, also if it returns and
+// is removed again; then nothing is left of its removals.
 func TestForgetCountsFromTheLastListThatNamedIt(t *testing.T) {
 	const name = "127.0.0.1:1"
 	keep := func(control.ServerID) bool { return false }
@@ -105,11 +105,11 @@
 	}
 }
 
-// A server that comes while this router runs began after the list was last complete without it and no later than now, whatever
-// the wall clock told of it. The list was complete at 190 s, the change is heard at 200 s, and slow start takes 16 s.
+// A server that is added while this router runs started after the list was last complete without it and no later than now,
+// whatever its listed start. The list was complete at 190 s, the change is received at 200 s, and slow start takes 16 s.
 func TestBornLiesWithinWhatTheListShows(t *testing.T) {
 	for name, c := range map[string]struct {
-		told     int64
+		listed   int64
 		complete control.Micros // 0: never since the start
 		want     control.Micros
 	}{
@@ -134,14 +134,14 @@
 			f.FullUpdate(10*second, list)
 			f.CompleteAsOf(c.complete)
 			f.FullUpdate(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
-			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.told)}); got[0].StartedAt != c.want {
+			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
 		}
 	}
 }
 
-// A later life began after the one before, also where both were told with starts from a clock that was set back meanwhile.
+// An incarnation started after the previous one, also if both were listed with starts by a clock that was set back meanwhile.
 func TestLaterLifeBeganLater(t *testing.T) {
 	f := New(1000 * second)
 	f.UseSourceClock()
