--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,26 +14,26 @@
 	"hollymast/internal/fleet"
 )
 
-// asking is a follower whose goroutine never runs: the test takes its steps.
-type asking struct {
+// steppedClient is a client whose goroutine never runs: the test calls its steps.
+type steppedClient struct {
 	*Client
-	told chan []fleet.Endpoint
+	lists chan []fleet.Endpoint
 }
 
-func newAsking(address string) asking {
-	told := make(chan []fleet.Endpoint, 8)
-	return asking{NewClient(State{}, address, testGrace, 1, listing(told), func(string, error) {}), told}
+func newSteppedClient(address string) steppedClient {
+	lists := make(chan []fleet.Endpoint, 8)
+	return steppedClient{NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {}), lists}
 }
 
-// asked asks, and gives the board's end of the connection.
-func (a asking) asked(t *testing.T, conns chan net.Conn, questions chan string) (*watch, net.Conn) {
+// subscribe subscribes, and returns the watch and the server's end of the connection.
+func (a steppedClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
 	t.Helper()
 	w, err := a.open(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.close)
-	next(t, "a question", questions)
+	next(t, "a question", subscriptions)
 	return w, next(t, "a connection", conns)
 }
 
@@ -53,11 +53,11 @@
 	t.Fatal("nothing came within 4 s")
 }
 
-// What the board has told is read by whoever needs the list, whether the follower's goroutine has had its turn or not.
+// What the server has sent is read by whoever needs the list, whether the client's goroutine has run or not.
 func TestCatchUpReadsWhatCame(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
-	w, c := a.asked(t, conns, questions)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
+	w, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	fmt.Fprintln(c, event(2, false, "a", "10.0.0.1:1", "draining"))
 	w.arrived(t)
@@ -67,54 +67,54 @@
 			t.Fatalf("the list is as of %v before the look", before.Sub(asOf))
 		}
 	}
-	next(t, "the first list", a.told)
-	if list := next(t, "the second list", a.told); len(list) != 1 || list[0].State != control.Draining {
+	next(t, "the first list", a.lists)
+	if list := next(t, "the second list", a.lists); len(list) != 1 || list[0].State != control.Draining {
 		t.Errorf("got %v", list)
 	}
 }
 
-// A deadline that passed while the process was stopped does not hide what came meanwhile, nor end the connection.
+// A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the connection.
 func TestDeadlineCrossesAnEvent(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
-	w, c := a.asked(t, conns, questions)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
+	w, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	w.arrived(t)
 	w.conn.SetReadDeadline(time.Now().Add(-time.Second))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.listen(ctx, w) }()
-	next(t, "the list", a.told)
+	next(t, "the list", a.lists)
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	next(t, "a list on the same connection", a.told)
+	next(t, "a list on the same connection", a.lists)
 	stop()
 	<-ended
 }
 
-// What the old address has told is taken in before its connection is closed for the new one.
+// What the old address has sent is applied before its connection is closed for the new one.
 func TestTurnCrossesAnEvent(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
-	w, c := a.asked(t, conns, questions)
-	other, otherConns, otherQuestions := plane(t)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
+	w, c := a.subscribe(t, conns, subscriptions)
+	other, otherConns, otherSubscriptions := listen(t)
 	a.SetAddress(other)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
 	w.arrived(t)
 	if _, err := a.open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	next(t, "the list", a.told)
+	next(t, "the list", a.lists)
 	next(t, "a connection elsewhere", otherConns)
-	if line := next(t, "a question elsewhere", otherQuestions); line != "watch 1\n" {
+	if line := next(t, "a question elsewhere", otherSubscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 }
 
 // While the new address can't be reached the old connection goes on being read.
 func TestTurnToAnAddressThatRefuses(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
-	w, c := a.asked(t, conns, questions)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
+	w, c := a.subscribe(t, conns, subscriptions)
 	a.SetAddress("127.0.0.1:1")
 	if _, err := a.open(context.Background()); err == nil {
 		t.Fatal("somebody listens on port 1")
@@ -122,11 +122,11 @@
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
 	w.arrived(t)
 	a.CatchUp()
-	next(t, "the list", a.told)
+	next(t, "the list", a.lists)
 }
 
-// A board that was down for long, comes back and breaks off within the first event is asked again within half the grace: what
-// it would have told counts as told since it was asked.
+// A server that was down for long, comes back and breaks off within the first event is asked again within half the grace: what
+// it would have sent counts as listed since it was asked.
 func TestBreakInTheAnswerAfterALongOutage(t *testing.T) {
 	for name, answer := range map[string]string{
 		"within the first event":   event(1, true, "a", "10.0.0.1:1", "ready")[:60],
@@ -142,7 +142,7 @@
 				t.Fatal(err)
 			}
 			address := l.Addr().String()
-			l.Close() // it is down, until the waits have grown
+			l.Close() // the server is down until the waits have grown
 			follow(t, address)
 			time.Sleep(2500 * time.Millisecond)
 			if l, err = net.Listen("tcp", address); err != nil {
@@ -172,18 +172,18 @@
 	}
 }
 
-// A start does not wait for a board that can't be reached.
+// A start does not wait for a server that can't be reached.
 func TestStartedWithoutABoard(t *testing.T) {
 	f, _ := follow(t, "127.0.0.1:1")
 	next(t, "the start", f.Started())
 }
 
-// A start can be relied on once the board's answer to the first question was taken in.
+// A start can be relied on once the server's answer to the first subscription was applied.
 func TestStartedWithTheAnswer(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
 	a.grace = time.Hour
-	w, c := a.asked(t, conns, questions)
+	w, c := a.subscribe(t, conns, subscriptions)
 	select {
 	case <-a.Started():
 		t.Fatal("started before the answer")
@@ -193,32 +193,32 @@
 	w.arrived(t)
 	a.CatchUp()
 	next(t, "the start", a.Started())
-	next(t, "the list", a.told)
+	next(t, "the list", a.lists)
 }
 
-// A line of absurd length ends the connection; where it stays it is passed over, and the drain that follows is heard.
+// A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is read.
 func TestDrainAfterALineOfAbsurdLength(t *testing.T) {
-	address, conns, questions := plane(t)
-	_, told := follow(t, address)
+	address, conns, subscriptions := listen(t)
+	_, lists := follow(t, address)
 	for range 2 {
 		c := next(t, "a connection", conns)
-		next(t, "a question", questions)
+		next(t, "a question", subscriptions)
 		go func() {
 			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*chunk))
 			fmt.Fprintln(c, event(2, true, "a", "10.0.0.1:1", "draining"))
 		}()
 	}
-	if list := next(t, "the list", told); len(list) != 1 || list[0].State != control.Draining {
+	if list := next(t, "the list", lists); len(list) != 1 || list[0].State != control.Draining {
 		t.Errorf("got %v", list)
 	}
 }
 
-// The list is known to be complete once a heartbeat has told that nothing is missing, as of each later look. A board that is gone,
-// and one that has only begun to answer, tell of no later time.
+// The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later read. A server that
+// is gone, and one that has only begun to answer, confirm no later time.
 func TestListIsCompleteAsOfTheLastWholeAnswer(t *testing.T) {
-	address, conns, questions := plane(t)
-	a := newAsking(address)
-	_, c := a.asked(t, conns, questions)
+	address, conns, subscriptions := listen(t)
+	a := newSteppedClient(address)
+	_, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	look := func() (before time.Time) {
 		before = time.Now()
@@ -241,18 +241,18 @@
 	if before := look(); a.CompleteAsOf().Before(before) {
 		t.Error("not complete as of the last look")
 	}
-	fmt.Fprint(c, `{"rev":2`) // an event that has begun to come
+	fmt.Fprint(c, `{"rev":2`) // an incomplete event
 	a.watch.arrived(t)
 	if before := look(); !a.CompleteAsOf().Before(before) {
 		t.Error("complete with an event that has begun to come")
 	}
 	c.Close()
 	until("the end is not read", func() bool { return a.watch == nil })
-	whole := a.CompleteAsOf()
-	_, c = a.asked(t, conns, questions)
+	complete := a.CompleteAsOf()
+	_, c = a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
 	until("the next event is not read", func() bool { return a.Revision() == 2 })
-	if !a.CompleteAsOf().Equal(whole) {
-		t.Errorf("complete as of %v later, with no whole answer since", a.CompleteAsOf().Sub(whole))
+	if !a.CompleteAsOf().Equal(complete) {
+		t.Errorf("complete as of %v later, with no whole answer since", a.CompleteAsOf().Sub(complete))
 	}
 }
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		name    string
 		line    string
-		meaning Effect
+		effect  Effect
 		fails   bool
 		servers int
 	}{
@@ -46,22 +46,22 @@
 		if _, err := s.HandleLine([]byte(event(3, true, "a", "10.0.0.1:1", "ready"))); err != nil {
 			t.Fatal(err)
 		}
-		meaning, err := s.HandleLine([]byte(c.line + "\n"))
-		if meaning != c.meaning || (err != nil) != c.fails || len(s.Endpoints()) != c.servers {
-			t.Errorf("%s: %v, %v, %d servers", c.name, meaning, err, len(s.Endpoints()))
+		effect, err := s.HandleLine([]byte(c.line + "\n"))
+		if effect != c.effect || (err != nil) != c.fails || len(s.Endpoints()) != c.servers {
+			t.Errorf("%s: %v, %v, %d servers", c.name, effect, err, len(s.Endpoints()))
 		}
 	}
 }
 
-// plane listens as a board and hands over each connection with the number that was asked from.
-func plane(t *testing.T) (string, chan net.Conn, chan string) {
+// listen listens as a discovery server and sends each connection and its subscription to the channels.
+func listen(t *testing.T) (string, chan net.Conn, chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	conns, asked := make(chan net.Conn, 8), make(chan string, 8)
+	conns, subscriptions := make(chan net.Conn, 8), make(chan string, 8)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -69,28 +69,28 @@
 				return
 			}
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			asked <- line
+			subscriptions <- line
 			conns <- c
 		}
 	}()
-	return l.Addr().String(), conns, asked
+	return l.Addr().String(), conns, subscriptions
 }
 
 // testGrace is that of a usual deployment.
 const testGrace = 500 * time.Millisecond
 
-// listing keeps the list by what a follower hands over, and hands it on after each.
-func listing(told chan<- []fleet.Endpoint) func(fleet.Update) {
+// sendLists returns a callback of NewClient that keeps the list and sends it to the channel after each update.
+func sendLists(lists chan<- []fleet.Endpoint) func(fleet.Update) {
 	list := map[string]fleet.Endpoint{}
-	return func(news fleet.Update) { told <- apply(list, news) }
+	return func(update fleet.Update) { lists <- apply(list, update) }
 }
 
-// apply brings a list up to date and gives it by name.
-func apply(list map[string]fleet.Endpoint, news fleet.Update) []fleet.Endpoint {
-	if news.Full {
+// apply applies an update to a list and returns the list by name.
+func apply(list map[string]fleet.Endpoint, update fleet.Update) []fleet.Endpoint {
+	if update.Full {
 		clear(list)
 	}
-	for _, e := range news.Endpoints {
+	for _, e := range update.Endpoints {
 		if list[e.Name] = e; e.State == control.Removed {
 			delete(list, e.Name)
 		}
@@ -98,16 +98,16 @@
 	return slices.SortedFunc(maps.Values(list), byName)
 }
 
-// follow starts a follower that ends with the test.
+// follow runs a client that ends with the test.
 func follow(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
 	t.Helper()
-	told := make(chan []fleet.Endpoint, 8)
-	f := NewClient(State{}, address, testGrace, 1, listing(told), func(string, error) {})
+	lists := make(chan []fleet.Endpoint, 8)
+	f := NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended })
-	return f, told
+	return f, lists
 }
 
 func next[T any](t *testing.T, what string, c <-chan T) T {
@@ -115,58 +115,58 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(4 * time.Second): // by then all counts as told
+	case <-time.After(4 * time.Second): // by then all counts as listed
 		t.Fatalf("not within 4 s: %s", what)
 		panic("not reached")
 	}
 }
 
 func TestFollowerAsksAgainAfterABreakWithinAnEvent(t *testing.T) {
-	address, conns, asked := plane(t)
-	_, told := follow(t, address)
+	address, conns, subscriptions := listen(t)
+	_, lists := follow(t, address)
 	c := next(t, "a connection", conns)
-	next(t, "a question", asked)
+	next(t, "a question", subscriptions)
 	fmt.Fprint(c, event(1, true, "a", "10.0.0.1:1", "ready"), "\n", event(2, false, "b", "10.0.0.2:1", "ready")[:60])
-	next(t, "the first list", told)
+	next(t, "the first list", lists)
 	c.Close()
 	c = next(t, "another connection", conns)
-	if line := next(t, "another question", asked); line != "watch 1\n" {
+	if line := next(t, "another question", subscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	if list := next(t, "the second list", told); len(list) != 2 {
+	if list := next(t, "the second list", lists); len(list) != 2 {
 		t.Errorf("got %v", list)
 	}
 }
 
 func TestFollowerAsksAgainAfterSilence(t *testing.T) {
-	address, conns, asked := plane(t)
+	address, conns, subscriptions := listen(t)
 	follow(t, address)
-	next(t, "a connection", conns) // and nothing is said on it
-	next(t, "a question", asked)
+	next(t, "a connection", conns) // and nothing is sent on it
+	next(t, "a question", subscriptions)
 	next(t, "another connection", conns)
 }
 
 func TestFollowerTurnsToAnotherAddress(t *testing.T) {
-	address, conns, asked := plane(t)
-	f, told := follow(t, address)
+	address, conns, subscriptions := listen(t)
+	f, lists := follow(t, address)
 	c := next(t, "a connection", conns)
-	next(t, "a question", asked)
+	next(t, "a question", subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	next(t, "the first list", told)
-	other, conns, asked := plane(t)
+	next(t, "the first list", lists)
+	other, conns, subscriptions := listen(t)
 	f.SetAddress(other)
 	c = next(t, "a connection elsewhere", conns)
-	if line := next(t, "a question elsewhere", asked); line != "watch 1\n" {
+	if line := next(t, "a question elsewhere", subscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "a", "", "gone"))
-	if list := next(t, "the second list", told); len(list) != 0 {
+	if list := next(t, "the second list", lists); len(list) != 0 {
 		t.Errorf("got %v", list)
 	}
 }
 
-// A board that breaks off after each question is asked ever less often: some hundred routers ask at the same time.
+// A server that breaks off after each subscription is asked ever less often: some hundred routers ask at the same time.
 func TestBoardThatBreaksOffIsAskedLessOften(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -174,7 +174,7 @@
 	}
 	defer l.Close()
 	follow(t, l.Addr().String())
-	const most = 12 // 20 ms doubled seven times is over 2 s; at 20 ms each there would be a hundred
+	const limit = 12 // 20 ms doubled seven times is over 2 s; at 20 ms each there would be a hundred
 	n := 0
 	for l.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); ; n++ {
 		c, err := l.Accept()
@@ -185,12 +185,12 @@
 		fmt.Fprintln(c, 0)
 		c.Close()
 	}
-	if n > most {
+	if n > limit {
 		t.Errorf("asked %d times in 2 s", n)
 	}
 }
 
-// newState has taken in event 1, of server a, and asked for what follows.
+// newState returns a state with event 1, of server a, applied and subscribed to what follows.
 func newState(t *testing.T) *State {
 	t.Helper()
 	s := &State{}
@@ -201,8 +201,8 @@
 	return s
 }
 
-// What can't be used is asked for again, and passed over only if it stays: what was known stands, and the drain behind it is
-// taken in.
+// What can't be used is requested again, and skipped only if it stays: the list is unchanged, and the drain behind it is
+// applied.
 func TestDrainBehindWhatCanNotBeUsed(t *testing.T) {
 	for name, bad := range map[string]string{
 		"an unreadable line": `{"rev":2,"pool":[`,
@@ -221,14 +221,14 @@
 		if _, err := s.HandleLine([]byte(bad)); err != nil {
 			t.Errorf("%s stays: %v", name, err)
 		}
-		meaning, err := s.HandleLine([]byte(event(3, false, "a", "10.0.0.1:1", "draining")))
-		if list := s.Endpoints(); err != nil || meaning != EndpointsChanged || list[0].State != control.Draining {
-			t.Errorf("%s: then %v, %v, %v", name, meaning, err, list)
+		effect, err := s.HandleLine([]byte(event(3, false, "a", "10.0.0.1:1", "draining")))
+		if list := s.Endpoints(); err != nil || effect != EndpointsChanged || list[0].State != control.Draining {
+			t.Errorf("%s: then %v, %v, %v", name, effect, err, list)
 		}
 	}
 }
 
-// What was doubted and then came whole is doubted anew the next time: it is not passed over at once.
+// After a heartbeat what can't be used is requested again the next time too: it is not skipped at once.
 func TestHeartbeatEndsDoubt(t *testing.T) {
 	s := newState(t)
 	if _, err := s.HandleLine([]byte("noise")); err == nil {
@@ -241,22 +241,22 @@
 	}
 }
 
-// What was left out is asked for once more before it is believed that there is nothing.
+// A gap is requested once more before it counts as empty.
 func TestGapAfterAskingIsAskedForOnce(t *testing.T) {
 	s := newState(t)
 	gap := []byte(event(3, false, "b", "10.0.0.2:1", "ready"))
-	if meaning, err := s.HandleLine(gap); meaning != Resubscribe || err != nil {
-		t.Errorf("the first time: %v, %v", meaning, err)
+	if effect, err := s.HandleLine(gap); effect != Resubscribe || err != nil {
+		t.Errorf("the first time: %v, %v", effect, err)
 	}
 	if s.Subscribed(); s.Revision() != 1 {
 		t.Errorf("asked from %d on", s.Revision())
 	}
-	if meaning, err := s.HandleLine(gap); meaning != EndpointsChanged || err != nil {
-		t.Errorf("the second time: %v, %v", meaning, err)
+	if effect, err := s.HandleLine(gap); effect != EndpointsChanged || err != nil {
+		t.Errorf("the second time: %v, %v", effect, err)
 	}
 }
 
-// What a configuration leaves out is asked for.
+// Events after a gap in a configuration are not applied: they are requested.
 func TestKnownWithAGap(t *testing.T) {
 	text := func(line string) (e Event) {
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
@@ -265,9 +265,9 @@
 		return e
 	}
 	s := &State{}
-	known := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")), text(event(2, false, "b", "10.0.0.2:1", "ready")),
+	history := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")), text(event(2, false, "b", "10.0.0.2:1", "ready")),
 		text(event(4, false, "c", "10.0.0.3:1", "ready"))}}
-	if err := s.Restore(known); err != nil {
+	if err := s.Restore(history); err != nil {
 		t.Fatal(err)
 	}
 	if s.Revision() != 2 || len(s.Endpoints()) != 2 {
@@ -275,7 +275,7 @@
 	}
 }
 
-// A heartbeat tells that the answer to a question was whole.
+// A heartbeat confirms that the answer to a subscription was complete.
 func TestLevel(t *testing.T) {
 	s := newState(t)
 	if s.UpToDate() {
@@ -289,7 +289,7 @@
 	}
 }
 
-// An event tells on what it changed, and all servers only where it has to.
+// An event updates what it changed, and all servers only if it has to.
 func TestNews(t *testing.T) {
 	ready := func(uid, endpoint string) EndpointMessage {
 		return EndpointMessage{UID: uid, Endpoint: endpoint, State: "ready"}
@@ -300,7 +300,7 @@
 		rev     uint64
 		pool    UpdateMessage
 		whole   bool
-		entries string // those that are told on, and their states
+		entries string // the updated servers and their states
 	}{
 		{"a further server", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
 		{"one that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("a")}}, false, "a 0 "},
@@ -314,19 +314,19 @@
 	} {
 		s := State{}
 		s.Apply(Event{1, &UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}})
-		if news := s.Update(); !news.Full || len(news.Endpoints) != 1 {
-			t.Errorf("the first event told on %v", news)
+		if update := s.Update(); !update.Full || len(update.Endpoints) != 1 {
+			t.Errorf("the first event told on %v", update)
 		}
-		for range 2 { // a gap is asked for and stays
+		for range 2 { // a gap is requested again and stays
 			s.Subscribed()
 			s.Apply(Event{c.rev, &c.pool})
 		}
-		news, told := s.Update(), ""
-		for _, e := range news.Endpoints {
-			told += fmt.Sprint(e.Name, " ", e.State, " ")
+		update, updated := s.Update(), ""
+		for _, e := range update.Endpoints {
+			updated += fmt.Sprint(e.Name, " ", e.State, " ")
 		}
-		if news.Full != c.whole || told != c.entries {
-			t.Errorf("%s: told on %v", c.name, news)
+		if update.Full != c.whole || updated != c.entries {
+			t.Errorf("%s: told on %v", c.name, update)
 		}
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A read that a signal interrupts is made again, and not for ever; one that goes on failing ends the watch, which is asked anew.
+// A read that a signal interrupts is repeated, but not for ever; one that goes on failing ends the watch, and the client reconnects.
 func TestInterruptedRead(t *testing.T) {
 	defer func() { read = syscall.Read }()
 	for times := range 20 {
@@ -19,8 +19,8 @@
 		}
 		w := &watch{}
 		err := w.drain(0, nil)
-		well := times <= interruptedMost
-		if (err == nil) != well || !well && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == well || calls > interruptedMost+1 {
+		ok := times <= interruptedMost
+		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == ok || calls > interruptedMost+1 {
 			t.Errorf("interrupted %d times: %v after %d calls", times, err, calls)
 		}
 	}
