--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -38,10 +38,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := m.Request
-	if m.Kind != Call || m.Number != 7 || a.ID != 0x9b1f03aa5c7e2d41 || a.Class != "infer" || a.Tenant != "acme" || !a.IsRetry ||
-		a.Timeout != 1_500_000 || a.Lanes != 2 || a.MemoryMB != 512 || a.FunctionID() != 0x7f3a9c21e0b4d655 ||
-		!bytes.Equal(a.Body, []byte{0, 255}) {
+	req := m.Request
+	if m.Kind != Call || m.Number != 7 || req.ID != 0x9b1f03aa5c7e2d41 || req.Class != "infer" || req.Tenant != "acme" || !req.IsRetry ||
+		req.Timeout != 1_500_000 || req.Lanes != 2 || req.MemoryMB != 512 || req.FunctionID() != 0x7f3a9c21e0b4d655 ||
+		!bytes.Equal(req.Body, []byte{0, 255}) {
 		t.Errorf("got %+v", m)
 	}
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// A message that was read whole is answered, and what follows it can be read.
+// A message that was read to its end is answered, and what follows it can be read.
 func TestWrongFieldsLeaveTheConnectionReadable(t *testing.T) {
 	for name, value := range map[string]string{"ref": "9b1f", "lookup": "zzzz9c21e0b4d655", "allow": "NaN", "spec": "lanes:-2",
 		"replay": "5c", "dup": "yes"} {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Lengths are refused before anything is made room for.
+// Lengths are rejected before anything is allocated.
 func TestBrokenMessages(t *testing.T) {
 	head := []byte{0x94, 0, 7, 0xa5, 'i', 'n', 'f', 'e', 'r'}
 	for name, in := range map[string][]byte{
@@ -105,7 +105,7 @@
 	}
 }
 
-// neverRead fails the test where more is read than the fault needs.
+// neverRead fails the test if more is read than is needed to find the fault.
 type neverRead struct {
 	t    *testing.T
 	name string
@@ -117,9 +117,9 @@
 }
 
 func TestTruncatedAtEachByte(t *testing.T) {
-	whole := call(t, fields())
-	for n := range whole {
-		if m, err := NewReader(bytes.NewReader(whole[:n])).Read(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+	data := call(t, fields())
+	for n := range data {
+		if m, err := NewReader(bytes.NewReader(data[:n])).Read(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("after %d bytes: %+v, %v", n, m, err)
 		}
 	}
