--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -60,7 +60,8 @@
 // Connections are counted from opening to closing.
 func TestConnectionsAreCounted(t *testing.T) {
 	var c Connections
-	if c.Acquire(1) != OpenNew || c.Acquire(1) != NoneLeft || !c.Release(true, true) || c.Acquire(1) != Reuse || c.Release(true, false) || c != (Connections{}) {
+	if c.Acquire(1) != OpenNew || c.Acquire(1) != NoneLeft || !c.Release(true, true) || c.Acquire(1) != Reuse ||
+		c.Release(true, false) || c != (Connections{}) {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -6,8 +6,8 @@
 	"hollymast/control"
 )
 
-// Without a further check of the client's connection, the first byte of an attempt comes well within the grace after the client
-// has disconnected.
+// Without a further check of the client's connection, the first byte of an attempt comes well within the grace
+// after the client has disconnected.
 func TestClientAge(t *testing.T) {
 	oldest := control.Micros(0) // age of a check that is still accepted
 	for !MustLook(oldest) {
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -27,7 +27,8 @@
 }
 
 func TestExecutionFrame(t *testing.T) {
-	a := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1_500_999, Body: []byte("xyz")}
+	a := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa",
+		Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
 	want := answer(codeRequest, uint64(a.ID), fields, a.Body)
 	want[0] = markFromRouter
@@ -45,11 +46,11 @@
 }
 
 func TestReadsAnswers(t *testing.T) {
-	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded, codeFull: control.Overloaded,
-		codeError: control.Failed, codeOver: control.NotSent} {
+	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded,
+		codeFull: control.Overloaded, codeError: control.Failed, codeOver: control.NotSent} {
 		a, err := readBytes(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
-		if err != nil || a.ID != 7 || a.Result != want || a.CacheStatus != control.CacheLoading || a.Replicas != 3 || a.Reports["util"] != 0.61 ||
-			string(a.Body) != "x" {
+		if err != nil || a.ID != 7 || a.Result != want || a.CacheStatus != control.CacheLoading || a.Replicas != 3 ||
+			a.Reports["util"] != 0.61 || string(a.Body) != "x" {
 			t.Errorf("code %d: %+v, %v", code, a, err)
 		}
 	}
@@ -119,7 +120,8 @@
 
 // Size is an upper bound of the length of a frame.
 func TestSizeBoundsTheFrame(t *testing.T) {
-	a := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62, Body: []byte("xyz")}
+	a := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62,
+		Body: []byte("xyz")}
 	if got := len(a.Frame()); got > a.Size() {
 		t.Errorf("%d bytes, at most %d told", got, a.Size())
 	}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,8 +9,9 @@
 // crowdedCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
 // loads and the rest is held, as when a fleet comes back empty.
 func crowdedCore() (*Core, control.Micros) {
-	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
-		LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
+	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
+		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
+		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
 	c := New(control.New(1, 1, deployment), NoopExecutor{})
 	list := make([]control.Endpoint, servers)
@@ -20,7 +21,8 @@
 	now := control.Micros(1_000_000_000)
 	c.UpdateEndpoints(now, control.FullUpdate, list)
 	for i := range functions {
-		c.Add(now, control.Request{ID: control.RequestID(i), Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
+		c.Add(now, control.Request{ID: control.RequestID(i), Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now,
+			Deadline: now + 1<<50})
 	}
 	c.Step(now)
 	for i := control.RequestID(0); c.Held() > held; i++ {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -21,7 +21,8 @@
 func (s *scriptedPolicy) Cancel(_ control.Micros, r *control.Request) {
 	s.calls = append(s.calls, fmt.Sprint("left ", r.ID))
 }
-func (s *scriptedPolicy) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
+func (s *scriptedPolicy) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result,
+	control.Micros, int) {
 }
 func (s *scriptedPolicy) Maintain(control.Micros) control.Maintenance { return s.maintenance }
 func (s *scriptedPolicy) Route(now control.Micros, r *control.Request) control.Decision {
@@ -73,8 +74,11 @@
 
 func TestTurnAsksInOrder(t *testing.T) {
 	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{
-		1: {Action: control.Forward, Server: 7, LoadCommands: []control.LoadCommand{{}}}, 2: {Action: control.Reject, RetryAfter: 9}, 3: {Action: control.Fail}},
-		maintenance: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}}, SubscribeEndpoints: true, LogLines: []string{"n"}}}
+		1: {Action: control.Forward, Server: 7, LoadCommands: []control.LoadCommand{{}}},
+		2: {Action: control.Reject, RetryAfter: 9},
+		3: {Action: control.Fail}},
+		maintenance: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}},
+			SubscribeEndpoints: true, LogLines: []string{"n"}}}
 	c, w := newCore(s)
 	for id, deadline := range map[control.RequestID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
 		if err := c.Add(100, control.Request{ID: id, Deadline: deadline}); err != nil {
@@ -85,7 +89,8 @@
 		t.Error("an id came twice")
 	}
 	c.Step(100)
-	want := []string{"call off 8.1", "subscribe", "note n", "kill 3", "push back 2 for 9", "order for 1", "send 1.0 to 7", "alarm 150"}
+	want := []string{"call off 8.1", "subscribe", "note n", "kill 3", "push back 2 for 9", "order for 1",
+		"send 1.0 to 7", "alarm 150"}
 	if got := w.takeCalls(); !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
 	}
@@ -97,7 +102,8 @@
 
 // A request that is done is kept until the outcome of its attempts in flight, and the policy is not asked again.
 func TestLateNews(t *testing.T) {
-	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}}, after: control.Decision{Action: control.Fail}}
+	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}},
+		after: control.Decision{Action: control.Fail}}
 	c, w := newCore(s)
 	c.Add(1, control.Request{ID: 1})
 	c.Step(1)
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -16,9 +16,11 @@
 		return control.Micros(rapid.Int64Range(0, int64(now)+5_000_000).Draw(t, "time"))
 	}
 	times := func() []control.Micros {
-		return rapid.SliceOfN(rapid.Map(rapid.Int64Range(int64(now)-3_000_000, int64(now)+1_000_000), func(v int64) control.Micros { return control.Micros(v) }), 0, 6).Draw(t, "times")
+		return rapid.SliceOfN(rapid.Map(rapid.Int64Range(int64(now)-3_000_000, int64(now)+1_000_000),
+			func(v int64) control.Micros { return control.Micros(v) }), 0, 6).Draw(t, "times")
 	}
-	m := &control.LearnedState{SavedAt: time(), StartedAt: time(), QuotaDebt: times(), LoadCommands: times(), Admitted: times(), Answers: times()}
+	m := &control.LearnedState{SavedAt: time(), StartedAt: time(), QuotaDebt: times(), LoadCommands: times(),
+		Admitted: times(), Answers: times()}
 	for id := range control.ServerID(7) {
 		if rapid.Bool().Draw(t, "known") {
 			m.Servers = append(m.Servers, control.LearnedServer{Server: id, StartedAt: time(), SlowStartSends: times()})
@@ -28,7 +30,8 @@
 		f := control.LearnedFunction{ID: id, Lanes: rapid.IntRange(0, 4).Draw(t, "lanes")}
 		for s := range control.ServerID(7) {
 			if rapid.Bool().Draw(t, "stands") {
-				f.Instances = append(f.Instances, control.LearnedInstance{Server: s, Replicas: rapid.IntRange(0, 3).Draw(t, "copies"), LastUsed: time(),
+				f.Instances = append(f.Instances, control.LearnedInstance{Server: s,
+					Replicas: rapid.IntRange(0, 3).Draw(t, "copies"), LastUsed: time(),
 					Loading: rapid.IntRange(0, 2).Draw(t, "loading"), LoadingSince: time()})
 			}
 		}
@@ -37,23 +40,28 @@
 	return m
 }
 
-// With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay within their
-// rate limit and requests still run.
+// With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay
+// within their rate limit and requests still run.
 func TestAnyMemoryKeepsTheRules(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now, next := control.Micros(100_000_000), control.RequestID(0)
-		deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
-			SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2, KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3,
+		deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000,
+			SupportsCancel: true, SlowStartInitial: 0.25,
+			SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
+			KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3,
 			LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
-				{LatencyObjective: 300_000, MaxDeadline: 3_000_000}, {LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
-				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 1_000_000}}}
+				{LatencyObjective: 300_000, MaxDeadline: 3_000_000},
+				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
+				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone,
+					Window: 1_000_000}}}
 		m := randomLearnedState(t, now)
 		balancer := control.New(now, 7, deployment)
 		balancer.ApplyLearned(now, m)
 		d := &testCore{}
 		d.Core = New(balancer, d)
-		list := []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Draining, Weight: 1}, {Server: 3, State: control.Ready, Weight: 1}}
+		list := []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
+			{Server: 2, State: control.Draining, Weight: 1}, {Server: 3, State: control.Ready, Weight: 1}}
 		d.UpdateEndpoints(now, control.FullUpdate, list)
 		var loadCommands []control.Micros
 		for _, at := range m.LoadCommands {
@@ -62,7 +70,8 @@
 		for range 60 {
 			now += control.Micros(rapid.IntRange(1, 50_000).Draw(t, "pause"))
 			next++
-			d.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")), Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
+			d.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")),
+				Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
 			d.Step(now)
 			for _, x := range d.takeCalls() {
 				if strings.HasPrefix(x, "send") && strings.HasSuffix(x, "to 2") {
@@ -70,7 +79,8 @@
 				}
 				if strings.HasPrefix(x, "order") {
 					loadCommands = append(loadCommands, now)
-					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), func(at control.Micros) bool { return at < now-deployment.LoadRateWindow })); float64(n) > deployment.LoadRateBase {
+					old := func(at control.Micros) bool { return at < now-deployment.LoadRateWindow }
+					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), old)); float64(n) > deployment.LoadRateBase {
 						t.Fatalf("%d orders within a window", n)
 					}
 				}
@@ -80,7 +90,8 @@
 					t.Fatalf("server %d, not on the list, got a job", x.server)
 				}
 				sent++
-				d.HandleOutcome(now, x.request, control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Succeeded, Duration: 40_000, RequestDone: true})
+				d.HandleOutcome(now, x.request, control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Succeeded,
+					Duration: 40_000, RequestDone: true})
 			}
 			d.sent = d.sent[:0]
 		}
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -35,7 +35,8 @@
 		*next++
 		r := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "workload")),
 			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
-			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")), IsRetry: rapid.Bool().Draw(t, "repeat")}
+			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")),
+			IsRetry:  rapid.Bool().Draw(t, "repeat")}
 		for _, d := range ds {
 			d.Add(now, r)
 		}
@@ -46,8 +47,10 @@
 		}
 		i := rapid.IntRange(0, len(ds[0].sent)-1).Draw(t, "which")
 		x := ds[0].sent[i]
-		o := control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
-			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "found")), Duration: control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
+		o := control.Outcome{Attempt: x.attempt, Server: x.server,
+			Result:      control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
+			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "found")),
+			Duration:    control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
 		o.RequestDone = o.Result == control.Succeeded
 		if rapid.Bool().Draw(t, "reported") {
 			o.Report = &control.LoadReport{Utilization: rapid.Float64Range(0, 1).Draw(t, "util"), PendingLoads: 1}
@@ -71,7 +74,8 @@
 	case 1:
 		list := make([]control.Endpoint, rapid.IntRange(1, 5).Draw(t, "servers"))
 		for i := range list {
-			list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Weight: 1,
+			list[i] = control.Endpoint{Server: control.ServerID(i + 1),
+				State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Weight: 1,
 				Zone: control.ZoneID(i % 2), StartedAt: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "born"))}
 		}
 		for _, d := range ds {
@@ -90,11 +94,14 @@
 
 // randomDeployment is one of two routers, with each kind of effect.
 func randomDeployment(t *rapid.T) control.Deployment {
-	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, SlowStartInitial: 0.25,
-		SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2, KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
+	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
+		SlowStartInitial: 0.25, SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
+		KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
 		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
-			{LatencyObjective: 300_000, MaxDeadline: 3_000_000}, {LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
-			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 1_000_000}}}
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000},
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone,
+				Window: 1_000_000}}}
 }
 
 // A core restored from any reachable state decides the same from there on.
@@ -104,7 +111,8 @@
 		now, next := control.Micros(10_000_000), control.RequestID(0)
 		a := &testCore{}
 		a.Core = New(control.New(now, 7, deployment), a)
-		a.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 2}})
+		a.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
+			{Server: 2, State: control.Ready, Weight: 2}})
 		for range rapid.IntRange(1, 60).Draw(t, "before") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			step(t, now, &next, a)
@@ -139,12 +147,14 @@
 
 func TestRestoreRefusesWhatDoesNotHoldTogether(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
-		"no module":     {},
-		"held":          {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
-		"tables":        {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
-		"flight":        {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
-		"order":         {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
-		"instance":      {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{{Instances: make([]control.InstanceSnapshot, 1)}}}},
+		"no module": {},
+		"held":      {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
+		"tables":    {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
+		"flight": {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{
+			{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
+		"order": {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
+		"instance": {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{
+			{Instances: make([]control.InstanceSnapshot, 1)}}}},
 		"last function": {Balancer: &control.Snapshot{Recent: []int{0}}},
 	} {
 		if _, err := Restore(s, &callLog{}); err == nil {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the connection.
+// A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the
+// connection.
 func TestDeadlineCrossesAnEvent(t *testing.T) {
 	address, conns, subscriptions := listen(t)
 	a := newSteppedClient(address)
@@ -125,8 +126,8 @@
 	next(t, "the list", a.lists)
 }
 
-// A server that was down for long, comes back and breaks off within the first event is asked again within half the grace: what
-// it would have sent counts as listed since it was asked.
+// A server that was down for long, comes back and breaks off within the first event is asked again within half
+// the grace: what it would have sent counts as listed since it was asked.
 func TestBreakInTheAnswerAfterALongOutage(t *testing.T) {
 	for name, answer := range map[string]string{
 		"within the first event":   event(1, true, "a", "10.0.0.1:1", "ready")[:60],
@@ -196,7 +197,8 @@
 	next(t, "the list", a.lists)
 }
 
-// A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is read.
+// A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is
+// read.
 func TestDrainAfterALineOfAbsurdLength(t *testing.T) {
 	address, conns, subscriptions := listen(t)
 	_, lists := follow(t, address)
@@ -213,8 +215,8 @@
 	}
 }
 
-// The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later read. A server that
-// is gone, and one that has only begun to answer, confirm no later time.
+// The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later
+// read. A server that is gone, and one that has only begun to answer, confirm no later time.
 func TestListIsCompleteAsOfTheLastWholeAnswer(t *testing.T) {
 	address, conns, subscriptions := listen(t)
 	a := newSteppedClient(address)
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -265,7 +265,8 @@
 		return e
 	}
 	s := &State{}
-	history := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")), text(event(2, false, "b", "10.0.0.2:1", "ready")),
+	history := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")),
+		text(event(2, false, "b", "10.0.0.2:1", "ready")),
 		text(event(4, false, "c", "10.0.0.3:1", "ready"))}}
 	if err := s.Restore(history); err != nil {
 		t.Fatal(err)
@@ -306,9 +307,12 @@
 		{"one that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("a")}}, false, "a 0 "},
 		{"one that was never there", 2, UpdateMessage{Targets: []EndpointMessage{gone("b")}}, false, ""},
 		{"nothing new", 2, UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
-		{"one that returns elsewhere", 2, UpdateMessage{Targets: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}}, false, "a 2 "},
-		{"one that comes and goes", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}}, false, ""},
-		{"an address with another owner", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}}, false, "a 0 b 2 "},
+		{"one that returns elsewhere", 2, UpdateMessage{Targets: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
+			false, "a 2 "},
+		{"one that comes and goes", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}},
+			false, ""},
+		{"an address with another owner", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}},
+			false, "a 0 b 2 "},
 		{"all", 2, UpdateMessage{All: true, Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
 		{"after a gap", 3, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
 	} {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A read that a signal interrupts is repeated, but not for ever; one that goes on failing ends the watch, and the client reconnects.
+// A read that a signal interrupts is repeated, but not for ever; one that goes on failing ends the watch, and
+// the client reconnects.
 func TestInterruptedRead(t *testing.T) {
 	defer func() { read = syscall.Read }()
 	for times := range 20 {
@@ -20,7 +21,8 @@
 		w := &watch{}
 		err := w.drain(0, nil)
 		ok := times <= interruptedMost
-		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == ok || calls > interruptedMost+1 {
+		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == ok ||
+			calls > interruptedMost+1 {
 			t.Errorf("interrupted %d times: %v after %d calls", times, err, calls)
 		}
 	}
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	req := m.Request
-	if m.Kind != Call || m.Number != 7 || req.ID != 0x9b1f03aa5c7e2d41 || req.Class != "infer" || req.Tenant != "acme" || !req.IsRetry ||
-		req.Timeout != 1_500_000 || req.Lanes != 2 || req.MemoryMB != 512 || req.FunctionID() != 0x7f3a9c21e0b4d655 ||
-		!bytes.Equal(req.Body, []byte{0, 255}) {
+	if m.Kind != Call || m.Number != 7 || req.ID != 0x9b1f03aa5c7e2d41 || req.Class != "infer" || req.Tenant != "acme" ||
+		!req.IsRetry || req.Timeout != 1_500_000 || req.Lanes != 2 || req.MemoryMB != 512 ||
+		req.FunctionID() != 0x7f3a9c21e0b4d655 || !bytes.Equal(req.Body, []byte{0, 255}) {
 		t.Errorf("got %+v", m)
 	}
 }
@@ -59,8 +59,8 @@
 
 // A message that was read to its end is answered, and what follows it can be read.
 func TestWrongFieldsLeaveTheConnectionReadable(t *testing.T) {
-	for name, value := range map[string]string{"ref": "9b1f", "lookup": "zzzz9c21e0b4d655", "allow": "NaN", "spec": "lanes:-2",
-		"replay": "5c", "dup": "yes"} {
+	for name, value := range map[string]string{"ref": "9b1f", "lookup": "zzzz9c21e0b4d655", "allow": "NaN",
+		"spec": "lanes:-2", "replay": "5c", "dup": "yes"} {
 		r := NewReader(bytes.NewReader(append(call(t, fields(name, value)), call(t, fields())...)))
 		_, err := r.Read()
 		var f *Fault
@@ -74,8 +74,8 @@
 }
 
 func TestFigures(t *testing.T) {
-	for s, want := range map[string]bool{"1500": true, "0.5": true, "": false, "-1": false, "1e9": false, "Inf": false, "NaN": false,
-		"0x10": false, "1.2.3": false, "99999999999999999999": false, " 1": false} {
+	for s, want := range map[string]bool{"1500": true, "0.5": true, "": false, "-1": false, "1e9": false, "Inf": false,
+		"NaN": false, "0x10": false, "1.2.3": false, "99999999999999999999": false, " 1": false} {
 		if _, ok := figure(s); ok != want {
 			t.Errorf("%q: %v", s, ok)
 		}
@@ -119,7 +119,8 @@
 func TestTruncatedAtEachByte(t *testing.T) {
 	data := call(t, fields())
 	for n := range data {
-		if m, err := NewReader(bytes.NewReader(data[:n])).Read(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		if m, err := NewReader(bytes.NewReader(data[:n])).Read(); !errors.Is(err, io.EOF) &&
+			!errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("after %d bytes: %+v, %v", n, m, err)
 		}
 	}
