--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -16,7 +16,7 @@
 // clientConn is one connection of a client. Its goroutine reads, and alone decides that the connection takes nothing more: a
 // job was either read before, or never. The turn answers through the outbox.
 type clientConn struct {
-	p             *Router
+	router        *Router
 	conn          net.Conn
 	in            *deadlineReader
 	tracked       *trackedConn
@@ -43,10 +43,10 @@
 }
 
 // hasLeft tells whether the client has no use for an answer any more.
-func (c *clientConn) hasLeft(j *request) bool {
+func (c *clientConn) hasLeft(req *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open[j.number] != j
+	return c.open[req.number] != req
 }
 
 // closeNow closes a connection at once that is only read on.
@@ -67,11 +67,11 @@
 func (c *clientConn) nothingOpen() bool { return len(c.open) == 0 && c.healthChecks == 0 }
 
 // closeWhenIdle has the reader end the connection once nothing is open, after a last look for a message. It is read on for a while.
-func (c *clientConn) closeWhenIdle(linger time.Duration) {
+func (c *clientConn) closeWhenIdle(drainTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing = true; !c.aborting {
-		c.drainTime = linger
+		c.drainTime = drainTime
 	}
 	c.wakeReader()
 }
@@ -88,10 +88,10 @@
 
 // closeBy has the reader end the connection once nothing is open, or then whatever is open, after a last look for what is here.
 // Guards against clients that go on sending, so that there is always something open.
-func (c *clientConn) closeBy(most time.Duration) {
+func (c *clientConn) closeBy(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing, c.readUntil = true, time.Now().Add(most)
+	c.closing, c.readUntil = true, time.Now().Add(timeout)
 	if c.awaiting {
 		c.conn.SetReadDeadline(time.Now())
 	} else {
@@ -119,13 +119,13 @@
 }
 
 // awaitMessage waits for the first byte of the next message; no ends the connection.
-func (c *clientConn) awaitMessage(in *msgrpc.Reader, first time.Time) bool {
+func (c *clientConn) awaitMessage(in *msgrpc.Reader, firstDeadline time.Time) bool {
 	for {
 		c.mu.Lock()
 		c.awaiting = true
 		at := time.Now().Add(clientIdleTimeout)
 		if !c.sentMessage.Load() {
-			at = first
+			at = firstDeadline
 		}
 		if !c.readUntil.IsZero() {
 			at = c.readUntil
@@ -145,7 +145,7 @@
 		}
 		if late := errors.Is(err, os.ErrDeadlineExceeded); nothing || !late {
 			if late && !c.sentMessage.Load() {
-				c.p.countAnomaly("client closed: no whole message in time")
+				c.router.countAnomaly("client closed: no whole message in time")
 			}
 			return false
 		}
@@ -153,7 +153,7 @@
 }
 
 // setMessageDeadline sets how long a message that has begun may take.
-func (c *clientConn) setMessageDeadline(first time.Time) {
+func (c *clientConn) setMessageDeadline(firstDeadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -163,7 +163,7 @@
 		c.in.setDeadline(c.readUntil)
 		c.in.lookedAgain = c.pastReadTime() && c.in.lateBytes > maxInTransit
 	case !c.sentMessage.Load():
-		c.in.setDeadline(first)
+		c.in.setDeadline(firstDeadline)
 	default:
 		c.in.setDeadline(time.Now().Add(messageTimeout))
 	}
@@ -171,20 +171,20 @@
 
 // readLoop reads until the connection ends. It owns the connection's end: all that is open then is over.
 func (c *clientConn) readLoop() {
-	defer c.p.recoverPanic("reading a client")
+	defer c.router.recoverPanic("reading a client")
 	defer c.finish()
 	in := msgrpc.NewReader(c.in)
-	first := time.Now().Add(firstMessageTimeout)
+	firstDeadline := time.Now().Add(firstMessageTimeout)
 	for {
-		if !in.Buffered() && (c.readTimeOver() || !c.awaitMessage(in, first)) {
+		if !in.Buffered() && (c.readTimeOver() || !c.awaitMessage(in, firstDeadline)) {
 			return
 		}
-		c.setMessageDeadline(first)
-		m, err := in.Read()
+		c.setMessageDeadline(firstDeadline)
+		message, err := in.Read()
 		var fault *msgrpc.Fault
 		switch {
 		case errors.As(err, &fault):
-			c.p.countBadMessage(fault)
+			c.router.countBadMessage(fault)
 			if fault.Answerable {
 				c.post(msgrpc.Invalid(fault.Number, fault.Text))
 			}
@@ -197,28 +197,28 @@
 			continue
 		case err != nil:
 			if errors.Is(err, os.ErrDeadlineExceeded) && !c.readTimeOver() {
-				c.p.countAnomaly("client closed: no whole message in time")
+				c.router.countAnomaly("client closed: no whole message in time")
 				c.closeWhenIdle(drainAfterBadInput)
 			}
 			return
 		}
 		c.sentMessage.Store(true)
-		c.handle(m)
+		c.handle(message)
 	}
 }
 
 // handle does what a message asks. Should a fault of our own end that, all that its connection asks has an error, and it ends.
 func (c *clientConn) handle(m *msgrpc.Message) {
-	whole := false
+	completed := false
 	defer func() {
-		if !whole {
+		if !completed {
 			c.refuseFurther(msgrpc.Failure)
 			if c.unanswered {
 				c.reply(msgrpc.Failure(m.Number))
 			}
 		}
 	}()
-	defer c.p.recoverPanic("reading a client")
+	defer c.router.recoverPanic("reading a client")
 	switch m.Kind {
 	case msgrpc.HealthCheck:
 		c.handleHealthCheck(m.Number)
@@ -228,12 +228,12 @@
 		c.unanswered = true
 		c.handleCall(m)
 	}
-	whole = true
+	completed = true
 }
 
 // refuseFurther has the connection take no job any more: all that is open is over, and what was sent behind it, whole, is told so too.
-func (c *clientConn) refuseFurther(refusing func(number uint32) []byte) {
-	c.refusal = refusing
+func (c *clientConn) refuseFurther(refusal func(number uint32) []byte) {
+	c.refusal = refusal
 	c.failOpen()
 	c.closeWhenIdle(drainAfterBadInput)
 	c.closeBy(drainAfterBadInput)
@@ -250,8 +250,8 @@
 	c.mu.Lock()
 	c.healthChecks++
 	c.mu.Unlock()
-	c.p.queue.Post(func(control.Micros) {
-		c.post(msgrpc.Health(number, c.p.ready.Load()))
+	c.router.queue.Post(func(control.Micros) {
+		c.post(msgrpc.Health(number, c.router.ready.Load()))
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.healthChecks--
@@ -287,9 +287,9 @@
 		c.penalize()
 		return
 	}
-	j := &request{id: m.Request.ID, number: m.Number, client: c, ask: m.Request, readAt: c.p.now(), cameAt: c.came()}
-	if why := c.p.validate(&m.Request, j); why != "" {
-		c.p.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: why})
+	req := &request{id: m.Request.ID, number: m.Number, client: c, message: m.Request, readAt: c.router.now(), cameAt: c.came()}
+	if why := c.router.validate(&m.Request, req); why != "" {
+		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: why})
 		c.reply(msgrpc.Invalid(m.Number, why))
 		c.penalize()
 		return
@@ -299,37 +299,37 @@
 	c.lastNumber = max(c.lastNumber, m.Number)
 	full := len(c.open) >= maxOpenPerClient || c.faults >= tolerableFaults
 	if rising && !full {
-		c.open[m.Number] = j
+		c.open[m.Number] = req
 		c.unanswered = false
 	}
 	c.mu.Unlock()
 	if !rising {
 		// Whose answer would be whose? Nobody can tell, so that no job of this connection gets one that counts.
-		c.p.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
+		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
 		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
 		c.refuseFurther(func(number uint32) []byte { return msgrpc.Invalid(number, "sent behind a number that did not rise") })
 		return
 	}
 	if full {
-		c.p.countAnomaly("pushed back: too many open on a connection")
-		c.reply(msgrpc.Rejection(m.Number, c.p.config.Deployment.MaxRetryAfter))
+		c.router.countAnomaly("pushed back: too many open on a connection")
+		c.reply(msgrpc.Rejection(m.Number, c.router.config.Deployment.MaxRetryAfter))
 		c.penalize()
 		return
 	}
-	c.p.queue.Post(func(now control.Micros) { c.p.handleRequest(now, j) })
+	c.router.queue.Post(func(now control.Micros) { c.router.handleRequest(now, req) })
 }
 
 // handleForget ends a job whose client stopped waiting. From here on nothing of it is written, whenever the turn hears of it.
 func (c *clientConn) handleForget(number uint32) {
 	c.mu.Lock()
-	j := c.open[number]
-	if j != nil {
-		j.abandoned.Store(true)
+	req := c.open[number]
+	if req != nil {
+		req.abandoned.Store(true)
 		delete(c.open, number)
 	}
 	c.mu.Unlock()
-	if j != nil {
-		c.p.queue.Post(func(now control.Micros) { c.p.handleCancel(now, j) })
+	if req != nil {
+		c.router.queue.Post(func(now control.Micros) { c.router.handleCancel(now, req) })
 	}
 }
 
@@ -337,10 +337,10 @@
 func (c *clientConn) failOpen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for number, j := range c.open {
-		j.abandoned.Store(true)
+	for number, req := range c.open {
+		req.abandoned.Store(true)
 		c.post(msgrpc.Failure(number))
-		c.p.queue.Post(func(now control.Micros) { c.p.handleCancel(now, j) })
+		c.router.queue.Post(func(now control.Micros) { c.router.handleCancel(now, req) })
 	}
 	clear(c.open)
 }
@@ -350,27 +350,27 @@
 	c.failOpen()
 	c.mu.Lock()
 	c.closing = true
-	linger := c.drainTime
+	drainTime := c.drainTime
 	c.mu.Unlock()
 	c.writes.closeWhenWritten()
 	select {
 	case <-c.writes.written:
 		c.draining.Store(true)
-		c.drainAfterClose(linger)
+		c.drainAfterClose(drainTime)
 	case <-time.After(writeTimeout):
 	}
 	c.writes.close()
-	c.p.mu.Lock()
-	delete(c.p.clients, c)
-	c.p.rejectedConns -= countOf(c.rejected)
-	c.p.mu.Unlock()
+	c.router.mu.Lock()
+	delete(c.router.clients, c)
+	c.router.rejectedConns -= countOf(c.rejected)
+	c.router.mu.Unlock()
 	close(c.closed)
 }
 
 // drainAfterClose reads what a client still sends, and drops it, until it has closed too. Guards against the reset that a close
 // makes of unread input, which may overtake the last answer; beyond a bound nothing is read, so that a flood costs nothing.
-func (c *clientConn) drainAfterClose(linger time.Duration) {
-	until := time.Now().Add(linger)
+func (c *clientConn) drainAfterClose(drainTime time.Duration) {
+	until := time.Now().Add(drainTime)
 	c.conn.SetReadDeadline(until)
 	if _, err := io.CopyN(io.Discard, c.conn, maxInTransit); err == nil {
 		select {
@@ -381,14 +381,14 @@
 }
 
 // respond gives a job its answer.
-func (c *clientConn) respond(j *request, data []byte) {
+func (c *clientConn) respond(req *request, data []byte) {
 	c.mu.Lock()
-	open := c.open[j.number] == j
+	open := c.open[req.number] == req
 	if open {
-		delete(c.open, j.number)
+		delete(c.open, req.number)
 	}
 	if len(c.open) == 0 {
-		c.idleSince.Store(int64(c.p.now()))
+		c.idleSince.Store(int64(c.router.now()))
 	}
 	if open {
 		c.post(data)
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -55,9 +55,9 @@
 
 // accept takes connections until the listener closes, or its deadline passes with none waiting: then it closes it. No other error
 // ends it: the machine's resources may be short for a while, and a connection may have broken before it was taken.
-func (p *Router) accept(l listener) {
+func (r *Router) accept(l listener) {
 	defer l.Close()
-	pause, looked, last := acceptAgain, false, time.Time{}
+	pause, checked, until := acceptAgain, false, time.Time{}
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -65,93 +65,93 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			now := time.Now()
-			if last.IsZero() {
-				last = now.Add(descriptorWait)
+			if until.IsZero() {
+				until = now.Add(descriptorWait)
 			}
-			if looked || now.After(last) {
+			if checked || now.After(until) {
 				return
 			}
 			// What waits may not have been looked at since this was elsewhere.
-			looked = true
+			checked = true
 			l.SetDeadline(now.Add(lastReadTime))
 			continue
 		case err != nil:
-			p.countAnomaly("accept failed")
-			looked = false
-			if errors.Is(err, syscall.EMFILE) && p.makeRoom(1) { // descriptors of our own; what else is short idle clients can't give
+			r.countAnomaly("accept failed")
+			checked = false
+			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) { // descriptors of our own; what else is short idle clients can't give
 				continue
 			}
 			time.Sleep(pause) // guards against a loop at full speed
 			pause = min(2*pause, descriptorWait)
 			continue
 		}
-		pause, looked = acceptAgain, false
-		if !p.hasRoom() {
-			p.countAnomaly("client refused: too many connections")
-			p.rejectConn(conn)
+		pause, checked = acceptAgain, false
+		if !r.hasRoom() {
+			r.countAnomaly("client refused: too many connections")
+			r.rejectConn(conn)
 			continue
 		}
-		p.serveClient(conn)
+		r.serveClient(conn)
 	}
 }
 
 // rejectConn has a connection read for which there is no room: what it asks is pushed back, and it ends. Guards against requests that
 // are lost on a connection that this machine accepted. So many are read at once; the others wait, unread, for those to end.
-func (p *Router) rejectConn(conn net.Conn) {
-	p.rejecting <- struct{}{}
-	c := p.newClient(conn, true)
+func (r *Router) rejectConn(conn net.Conn) {
+	r.rejecting <- struct{}{}
+	c := r.newClient(conn, true)
 	c.refusal = func(number uint32) []byte {
 		c.closeWhenIdle(drainAfterIdle)
-		return msgrpc.Rejection(number, p.config.Deployment.MaxRetryAfter)
+		return msgrpc.Rejection(number, r.config.Deployment.MaxRetryAfter)
 	}
 	c.closeWhenIdle(0)
 	c.closeBy(rejectReadTime)
 	go func() {
 		c.readLoop()
-		<-p.rejecting
+		<-r.rejecting
 	}()
 }
 
 // serveClient has a connection read.
-func (p *Router) serveClient(conn net.Conn) *clientConn {
-	c := p.newClient(conn, false)
+func (r *Router) serveClient(conn net.Conn) *clientConn {
+	c := r.newClient(conn, false)
 	go c.readLoop()
 	return c
 }
 
-func (p *Router) newClient(conn net.Conn, away bool) *clientConn {
-	seen := newTrackedConn(conn)
-	c := &clientConn{p: p, rejected: away, conn: conn, in: &deadlineReader{conn: seen}, tracked: seen, open: map[uint32]*request{}, drainTime: drainAfterIdle,
+func (r *Router) newClient(conn net.Conn, rejected bool) *clientConn {
+	tracked := newTrackedConn(conn)
+	c := &clientConn{router: r, rejected: rejected, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked, open: map[uint32]*request{}, drainTime: drainAfterIdle,
 		closed: make(chan struct{}), closeNowAsked: make(chan struct{})}
 	c.writes.maxQueuedBytes, c.writes.conn, c.writes.written = maxUnreadByClient, conn, make(chan struct{})
-	c.idleSince.Store(int64(p.now()))
-	p.mu.Lock()
-	p.clients[c] = struct{}{}
-	p.rejectedConns += countOf(away)
-	p.mu.Unlock()
+	c.idleSince.Store(int64(r.now()))
+	r.mu.Lock()
+	r.clients[c] = struct{}{}
+	r.rejectedConns += countOf(rejected)
+	r.mu.Unlock()
 	return c
 }
 
 // hasRoom tells whether there is room for one more connection, and makes some before it is short: ending one takes a last look
 // at it, for which accepts should not have to wait.
-func (p *Router) hasRoom() bool {
-	before := min(roomMargin, p.maxClients/4) // three eighths of all descriptors stay: usual clients hold a third
-	p.mu.Lock()
-	over := len(p.clients) - p.rejectedConns + 1 - (p.maxClients - before)
-	p.mu.Unlock()
+func (r *Router) hasRoom() bool {
+	margin := min(roomMargin, r.maxClients/4) // three eighths of all descriptors stay: usual clients hold a third
+	r.mu.Lock()
+	over := len(r.clients) - r.rejectedConns + 1 - (r.maxClients - margin)
+	r.mu.Unlock()
 	if over <= 0 {
 		return true
 	}
-	if over <= before {
-		p.closeIdleClients(over + closeBatch)
+	if over <= margin {
+		r.closeIdleClients(over + closeBatch)
 		return true
 	}
-	return p.makeRoom(over + closeBatch)
+	return r.makeRoom(over + closeBatch)
 }
 
 // makeRoom ends connections, and waits until the first of them has given its descriptor back.
-func (p *Router) makeRoom(n int) bool {
-	first := p.closeIdleClients(n)
+func (r *Router) makeRoom(n int) bool {
+	first := r.closeIdleClients(n)
 	if first == nil {
 		return false
 	}
@@ -165,16 +165,16 @@
 
 // closeIdleClients has n connections end, those counted that do already: first the ones that are only read on, which close at once; then
 // those that have had nothing open for longest, before them those that have said nothing. It gives the first.
-func (p *Router) closeIdleClients(n int) (first *clientConn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (r *Router) closeIdleClients(n int) (first *clientConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var idle []*clientConn
-	for c := range p.clients {
-		nothing, ends := c.idle()
+	for c := range r.clients {
+		isIdle, ending := c.idle()
 		switch {
-		case !nothing || c.rejected:
+		case !isIdle || c.rejected:
 			continue
-		case ends:
+		case ending:
 			c.closeNow()
 			first = c
 			n--
@@ -196,7 +196,7 @@
 	})
 	for _, c := range idle[:min(n, len(idle))] {
 		c.abort()
-		if p.anomalies["idle client closed to make room"]++; first == nil {
+		if r.anomalies["idle client closed to make room"]++; first == nil {
 			first = c
 		}
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -69,11 +69,11 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := parseConfig(text, env)
+	c, err := parseConfig(text, env)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", env.File, err)
 	}
-	return t, nil
+	return c, nil
 }
 
 // configWriteTime is for how long a file that ends too early may be on its way at the start.
@@ -82,20 +82,20 @@
 // LoadConfigAtStart is ReadTold at a start, which may meet the file while it is written.
 func LoadConfigAtStart(env Environment) (*Config, error) {
 	for begin := time.Now(); ; time.Sleep(firstReread) {
-		t, err := LoadConfig(env)
+		c, err := LoadConfig(env)
 		var syntax *json.SyntaxError
 		if !errors.As(err, &syntax) || time.Since(begin) > configWriteTime {
-			return t, err
+			return c, err
 		}
 	}
 }
 
 func parseConfig(text []byte, env Environment) (*Config, error) {
-	var d document
-	if err := json.Unmarshal(text, &d); err != nil {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	boot, err := wire.ReadBootInfo(d.Settings)
+	boot, err := wire.ReadBootInfo(doc.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -105,38 +105,38 @@
 	}
 	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // as the start settings allow a router to hold open
-	t := &Config{Name: cmp.Or(env.Name, d.Name), Listen: cmp.Or(env.Listen, d.Listen), Cores: d.Limits.Cores,
-		MemoryMB: int(d.Limits.MemoryMB), Sockets: cmp.Or(d.Limits.Sockets, plenty), DiscoveryAddress: d.Board, History: d.Known,
+	c := &Config{Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
+		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, plenty), DiscoveryAddress: doc.Board, History: doc.Known,
 		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
 		reportFields: boot.Report.Fields, connectTimeout: control.Micros(boot.Ceilings.ConnectTimeout),
 		serverIdleTimeout: control.Micros(boot.Ceilings.ConnIdle), maxStreams: boot.Ceilings.StreamsPerConn,
 		grace: control.Micros(boot.Contract.StopSending), loadTimeout: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
-	if t.Seed, err = strconv.ParseUint(d.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed %q: %w", d.Seed, err)
+	if c.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("seed %q: %w", doc.Seed, err)
 	}
-	for _, a := range []string{t.Listen, t.DiscoveryAddress} {
+	for _, a := range []string{c.Listen, c.DiscoveryAddress} {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			return nil, err
 		}
 	}
-	if t.Cores < 0 || math.IsNaN(t.Cores) || t.MemoryMB < 0 || t.Sockets < minSockets {
-		return nil, fmt.Errorf("limits %+v: at least %d sockets, nothing negative", d.Limits, minSockets)
+	if c.Cores < 0 || math.IsNaN(c.Cores) || c.MemoryMB < 0 || c.Sockets < minSockets {
+		return nil, fmt.Errorf("limits %+v: at least %d sockets, nothing negative", doc.Limits, minSockets)
 	}
-	if t.connectTimeout <= 0 || t.serverIdleTimeout <= 0 || t.maxStreams <= 0 || t.grace <= 0 || t.loadTimeout <= 0 {
+	if c.connectTimeout <= 0 || c.serverIdleTimeout <= 0 || c.maxStreams <= 0 || c.grace <= 0 || c.loadTimeout <= 0 {
 		return nil, errors.New("settings: connect_timeout, conn_idle, streams_per_conn, stop_sending_within and " +
 			"order_limit must be above 0")
 	}
-	for i, c := range boot.Classes {
-		t.classes[c.Name] = control.ClassID(i)
+	for i, class := range boot.Classes {
+		c.classes[class.Name] = control.ClassID(i)
 	}
-	for i, c := range boot.Customers {
-		t.tenants[c.Name] = control.TenantID(i)
+	for i, customer := range boot.Customers {
+		c.tenants[customer.Name] = control.TenantID(i)
 	}
 	if int(boot.Zone) < len(boot.Zones) {
-		t.zone = boot.Zones[boot.Zone]
+		c.zone = boot.Zones[boot.Zone]
 	}
 	for _, mb := range boot.Specifics.KindMemoryMB {
-		t.memoryMB = max(t.memoryMB, mb)
+		c.memoryMB = max(c.memoryMB, mb)
 	}
-	return t, nil
+	return c, nil
 }
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -16,31 +16,31 @@
 	lateBytes   int  // bytes that were read after a deadline
 }
 
-func (l *deadlineReader) setDeadline(at time.Time) {
-	l.lookedAgain = false
-	l.conn.SetReadDeadline(at)
+func (d *deadlineReader) setDeadline(at time.Time) {
+	d.lookedAgain = false
+	d.conn.SetReadDeadline(at)
 }
 
-func (l *deadlineReader) Read(b []byte) (int, error) {
-	n, err := l.conn.Read(b)
-	if n == 0 && !l.lookedAgain && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = l.readPending(b)
-		l.lookedAgain = n == 0
-		l.lateBytes += n
+func (d *deadlineReader) Read(b []byte) (int, error) {
+	n, err := d.conn.Read(b)
+	if n == 0 && !d.lookedAgain && errors.Is(err, os.ErrDeadlineExceeded) {
+		n, err = d.readPending(b)
+		d.lookedAgain = n == 0
+		d.lateBytes += n
 	}
 	return n, err
 }
 
 // readPending reads what is here, without waiting where the connection lets it.
-func (l *deadlineReader) readPending(b []byte) (n int, err error) {
-	readNow := l.nonBlockingRead()
+func (d *deadlineReader) readPending(b []byte) (n int, err error) {
+	readNow := d.nonBlockingRead()
 	if readNow == nil {
-		l.conn.SetReadDeadline(time.Now().Add(lastReadTime))
-		return l.conn.Read(b)
+		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
+		return d.conn.Read(b)
 	}
 	const most = 8 // others may have the deadline pass again before the look
 	for tries := 0; tries < most; tries++ {
-		l.conn.SetReadDeadline(time.Now().Add(lastReadTime))
+		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
 		switch n, err = readNow(b); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			continue
@@ -53,8 +53,8 @@
 }
 
 // nonBlockingRead gives what reads without waiting, EAGAIN where nothing is here; nil where the connection can't.
-func (l *deadlineReader) nonBlockingRead() func(b []byte) (int, error) {
-	switch c := l.conn.(type) {
+func (d *deadlineReader) nonBlockingRead() func(b []byte) (int, error) {
+	switch c := d.conn.(type) {
 	case *trackedConn:
 		if c.direct && c.raw != nil {
 			return func(b []byte) (int, error) { return c.read(b, noWait) }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -19,9 +19,9 @@
 )
 
 // begun tells whether its first byte would be written now.
-func (s *serverCall) begun() bool {
+func (call *serverCall) begun() bool {
 	wrote := false
-	s.begin(func() bool {
+	call.begin(func() bool {
 		wrote = true
 		return true
 	})
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -84,8 +84,8 @@
 }
 
 // accepts tells whether the router has the other end of a connection.
-func (p *Router) accepts(conn net.Conn) bool {
-	for c := range p.clients {
+func (r *Router) accepts(conn net.Conn) bool {
+	for c := range r.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
 			return true
 		}
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -12,67 +12,67 @@
 )
 
 // Log writes a line in the log.
-func (p *Router) Log(text string) { p.log.Info().Msg(text) }
+func (r *Router) Log(text string) { r.log.Info().Msg(text) }
 
 // countAnomaly notes what is out of order; one line tells of all in some seconds, so that a flood costs no log.
-func (p *Router) countAnomaly(what string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.anomalies[what]++
+func (r *Router) countAnomaly(what string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.anomalies[what]++
 }
 
-func (p *Router) countBadMessage(f *msgrpc.Fault) { p.countAnomaly("bad message: " + f.Text) }
+func (r *Router) countBadMessage(f *msgrpc.Fault) { r.countAnomaly("bad message: " + f.Text) }
 
 // logState writes that line.
-func (p *Router) logState() {
-	p.mu.Lock()
+func (r *Router) logState() {
+	r.mu.Lock()
 	var parts []string
-	for what, n := range p.anomalies {
+	for what, n := range r.anomalies {
 		parts = append(parts, fmt.Sprintf("%s: %d", what, n))
 	}
-	clear(p.anomalies)
-	clients := len(p.clients)
-	p.mu.Unlock()
+	clear(r.anomalies)
+	clients := len(r.clients)
+	r.mu.Unlock()
 	slices.Sort(parts)
-	p.log.Info().Int("clients", clients).Int("server_connections", p.serverConnCount).Int("jobs", len(p.requests)).Int("held", p.core.Held()).
-		Uint64("list", p.discovery.Revision()).Int64("oldest_list_us", p.oldestEndpoints.take()).Int64("after_drain_us", p.afterDrain.take()).
+	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).Int("jobs", len(r.requests)).Int("held", r.core.Held()).
+		Uint64("list", r.discovery.Revision()).Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
 		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
 }
 
 // peak is the largest of some numbers that several goroutines note; none: 0.
 type peak struct{ atomic.Int64 }
 
-func (m *peak) record(n int64) {
+func (p *peak) record(n int64) {
 	for {
-		old := m.Load()
-		if n <= old || m.CompareAndSwap(old, n) {
+		old := p.Load()
+		if n <= old || p.CompareAndSwap(old, n) {
 			return
 		}
 	}
 }
 
 // take gives it and begins anew.
-func (m *peak) take() int64 { return m.Swap(0) }
+func (p *peak) take() int64 { return p.Swap(0) }
 
 // traceRejections tells why jobs are turned away, where the log is told to.
-func (p *Router) traceRejections() error {
-	if p.log.Trace() == nil {
+func (r *Router) traceRejections() error {
+	if r.log.Trace() == nil {
 		return nil
 	}
-	return p.core.SetTrace(&control.Trace{OnDecision: func(w control.Explanation) {
-		if w.Decision.Action != control.Reject && w.Decision.Action != control.Fail {
+	return r.core.SetTrace(&control.Trace{OnDecision: func(explanation control.Explanation) {
+		if explanation.Decision.Action != control.Reject && explanation.Decision.Action != control.Fail {
 			return
 		}
-		var warm, coming, waiting, shunned, suspect int
-		for _, b := range w.Servers {
-			waiting += b.PendingLoads
-			warm, coming = warm+countOf(b.Loaded), coming+countOf(b.LoadingNow)
-			shunned, suspect = shunned+countOf(b.Overloaded), suspect+countOf(b.Ejected)
+		var loaded, loading, pending, overloaded, ejected int
+		for _, server := range explanation.Servers {
+			pending += server.PendingLoads
+			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
+			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
 		}
-		p.log.Trace().Str("why", w.Reason).Str("function", fmt.Sprintf("%016x", uint64(w.Function))).Int64("exec", int64(w.ExecTime)).
-			Int64("slack", int64(w.Slack)).Int64("load", int64(w.LoadTime)).Int("held", w.Held).Float64("B", w.B).Int("warm", warm).
-			Int("coming", coming).Int("waiting", waiting).Int("shunned", shunned).Int("suspect", suspect).
-			Int("servers", len(w.Servers)).Msg("turned away")
+		r.log.Trace().Str("why", explanation.Reason).Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
+			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
+			Int("coming", loading).Int("waiting", pending).Int("shunned", overloaded).Int("suspect", ejected).
+			Int("servers", len(explanation.Servers)).Msg("turned away")
 	}})
 }
 
@@ -84,19 +84,19 @@
 }
 
 // logAttempt tells of one execution or order, where the log is told to.
-func (p *Router) logAttempt(now control.Micros, s *serverCall, result control.Result, a *binframe.Answer) {
-	e := p.log.Debug()
-	if e == nil {
+func (r *Router) logAttempt(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
+	event := r.log.Debug()
+	if event == nil {
 		return
 	}
-	function := uint64(s.load.Function)
-	if s.request != nil {
-		function = uint64(s.request.ask.FunctionID())
+	function := uint64(call.load.Function)
+	if call.request != nil {
+		function = uint64(call.request.message.FunctionID())
 	}
-	if a != nil {
-		e = e.Uint8("found", uint8(a.CacheStatus))
+	if answer != nil {
+		event = event.Uint8("found", uint8(answer.CacheStatus))
 	}
-	e.Str("id", fmt.Sprintf("%016x", uint64(s.id))).Bool("order", s.request == nil).Str("function", fmt.Sprintf("%016x", function)).
-		Str("server", s.address()).Int64("chosen", int64(s.chosenAt)).Bool("whole", s.writtenWhole.Load()).
+	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("order", call.request == nil).Str("function", fmt.Sprintf("%016x", function)).
+		Str("server", call.address()).Int64("chosen", int64(call.chosenAt)).Bool("whole", call.writtenWhole.Load()).
 		Int64("answered", int64(now)).Uint8("result", uint8(result)).Msg("execution")
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -542,7 +542,7 @@
 		}
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		p.clients[&clientConn{p: p, conn: ours}] = struct{}{}
+		p.clients[&clientConn{router: p, conn: ours}] = struct{}{}
 	}
 	for c := range p.clients {
 		if _, ends := c.idle(); ends {
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -14,7 +14,7 @@
 	id        control.RequestID
 	number    uint32
 	client    *clientConn
-	ask       msgrpc.Request
+	message   msgrpc.Request
 	readAt    control.Micros // when its last byte was
 	cameAt    control.Micros // when it may have come: before, where the process stood still
 	abandoned atomic.Bool    // its client has cancelled or closed: no execution begins
@@ -29,179 +29,179 @@
 const networkDelay = 10_000
 
 // handleRequest takes a job in hand.
-func (p *Router) handleRequest(now control.Micros, j *request) {
-	if j.client.hasLeft(j) {
+func (r *Router) handleRequest(now control.Micros, req *request) {
+	if req.client.hasLeft(req) {
 		return // before this turn
 	}
-	if p.stopRequestedAt > 0 && now >= p.stopRequestedAt+acceptRequestsFor {
-		p.finish(j, msgrpc.Rejection(j.number, p.config.Deployment.MaxRetryAfter))
+	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
+		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 		return
 	}
-	if p.requests[j.id] != nil {
-		p.countBadMessage(&msgrpc.Fault{Number: j.number, Text: "ref: open already"})
-		if other := p.requests[j.id]; other.client == j.client && !other.answer.Given { // which of the two was meant?
-			p.core.Cancel(now, other.id)
-			p.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
+	if r.requests[req.id] != nil {
+		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
+		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // which of the two was meant?
+			r.core.Cancel(now, other.id)
+			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
 		}
-		p.finish(j, msgrpc.Invalid(j.number, "ref: open already"))
+		r.finish(req, msgrpc.Invalid(req.number, "ref: open already"))
 		return
 	}
-	p.requests[j.id] = j
-	err := p.core.Add(now, control.Request{ID: j.id, Class: j.class, Tenant: j.tenant, Function: j.ask.FunctionID(),
-		Lanes: j.ask.Lanes, Work: j.ask.Work, LoadTime: j.ask.LoadTime, ArrivedAt: now,
-		Deadline: max(now, j.readAt+j.ask.Timeout-networkDelay), IsRetry: j.ask.IsRetry})
+	r.requests[req.id] = req
+	err := r.core.Add(now, control.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Function: req.message.FunctionID(),
+		Lanes: req.message.Lanes, Work: req.message.Work, LoadTime: req.message.LoadTime, ArrivedAt: now,
+		Deadline: max(now, req.readAt+req.message.Timeout-networkDelay), IsRetry: req.message.IsRetry})
 	if err != nil {
-		p.log.Error().Err(err).Msg("job not taken")
-		delete(p.requests, j.id)
-		p.finish(j, msgrpc.Rejection(j.number, p.config.Deployment.MaxRetryAfter))
+		r.log.Error().Err(err).Msg("job not taken")
+		delete(r.requests, req.id)
+		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 	}
 }
 
 // finish gives a job its one final answer.
-func (p *Router) finish(j *request, data []byte) {
-	if !j.answer.Give() {
+func (r *Router) finish(req *request, data []byte) {
+	if !req.answer.Give() {
 		return
 	}
-	for _, s := range j.attempts { // nothing is sent for a job that has its answer
-		s.withdraw()
+	for _, call := range req.attempts { // nothing is sent for a job that has its answer
+		call.withdraw()
 	}
-	j.client.respond(j, data)
-	p.release(j)
+	req.client.respond(req, data)
+	r.release(req)
 }
 
 // release forgets a job that has its answer and no execution out.
-func (p *Router) release(j *request) {
-	if j.answer.Done() && p.requests[j.id] == j {
-		delete(p.requests, j.id)
+func (r *Router) release(req *request) {
+	if req.answer.Done() && r.requests[req.id] == req {
+		delete(r.requests, req.id)
 	}
 }
 
 // handleCancel takes in that a job's client no longer waits.
-func (p *Router) handleCancel(now control.Micros, j *request) {
-	j.client.mu.Lock()
-	if j.client.open[j.number] == j {
-		delete(j.client.open, j.number)
+func (r *Router) handleCancel(now control.Micros, req *request) {
+	req.client.mu.Lock()
+	if req.client.open[req.number] == req {
+		delete(req.client.open, req.number)
 	}
-	j.client.mu.Unlock()
-	if j.answer.Given || p.requests[j.id] != j {
+	req.client.mu.Unlock()
+	if req.answer.Given || r.requests[req.id] != req {
 		return
 	}
-	p.core.Cancel(now, j.id)
-	p.finish(j, nil)
+	r.core.Cancel(now, req.id)
+	r.finish(req, nil)
 }
 
 // Forward starts an execution.
-func (p *Router) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	j := p.requests[cj.ID]
-	s := p.newCall(to, allow)
-	s.request, s.attempt, s.id = j, no, binframe.ID(j.id)
-	if w := p.config.Deployment.Classes[j.class]; w.Effect == control.IdempotentByKey {
-		for _, e := range cj.Attempts[:no] {
-			if e.MayHaveRun { // the group must still remember it when this one comes
-				s.writeBefore = min(s.writeBefore, e.SentAt+w.Window-networkDelay)
+func (r *Router) Forward(coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros) {
+	req := r.requests[coreReq.ID]
+	call := r.newCall(to, timeout)
+	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
+	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
+		for _, earlier := range coreReq.Attempts[:attemptID] {
+			if earlier.MayHaveRun { // the group must still remember it when this one comes
+				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
 			}
 		}
 	}
-	j.attempts = append(j.attempts, s)
-	j.answer.AttemptBegan()
-	s.clientDeadline = min(s.deadline, j.cameAt+j.ask.Timeout-networkDelay)
-	s.writeBefore = min(s.writeBefore, s.clientDeadline)
-	s.message = &binframe.Attempt{ID: s.id, Class: j.ask.Class, Function: j.ask.Function, IdempotencyKey: j.ask.IdempotencyKey, Body: j.ask.Body}
-	p.dispatch(p.stepTime, s, nil)
+	req.attempts = append(req.attempts, call)
+	req.answer.AttemptBegan()
+	call.clientDeadline = min(call.deadline, req.cameAt+req.message.Timeout-networkDelay)
+	call.writeBefore = min(call.writeBefore, call.clientDeadline)
+	call.message = &binframe.Attempt{ID: call.id, Class: req.message.Class, Function: req.message.Function, IdempotencyKey: req.message.IdempotencyKey, Body: req.message.Body}
+	r.dispatch(r.stepTime, call, nil)
 }
 
-func (p *Router) newCall(to control.ServerID, allow control.Micros) *serverCall {
-	return &serverCall{p: p, to: to, chosenAt: p.stepTime, deadline: p.stepTime + allow, clientDeadline: p.stepTime + allow, endpointsAsOf: p.endpointsAsOf,
-		writeBefore: min(p.stepTime+allow, attempt.WriteUntil(p.endpointsAsOf, p.config.grace))}
+func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+	return &serverCall{router: r, to: to, chosenAt: r.stepTime, deadline: r.stepTime + timeout, clientDeadline: r.stepTime + timeout, endpointsAsOf: r.endpointsAsOf,
+		writeBefore: min(r.stepTime+timeout, attempt.WriteUntil(r.endpointsAsOf, r.config.grace))}
 }
 
 // Reject and Kill end a job.
-func (p *Router) Reject(id control.RequestID, stayAway control.Micros) {
-	j := p.requests[id]
-	p.finish(j, msgrpc.Rejection(j.number, stayAway))
+func (r *Router) Reject(id control.RequestID, retryAfter control.Micros) {
+	req := r.requests[id]
+	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
 }
 
 // Fail ends a job of which nothing may be promised.
-func (p *Router) Fail(id control.RequestID) {
-	j := p.requests[id]
-	p.finish(j, msgrpc.Failure(j.number))
+func (r *Router) Fail(id control.RequestID) {
+	req := r.requests[id]
+	r.finish(req, msgrpc.Failure(req.number))
 }
 
 // CancelAttempt stops waiting for an execution.
-func (p *Router) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	j := p.requests[id]
-	if j == nil || int(no) >= len(j.attempts) {
+func (r *Router) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
+	req := r.requests[id]
+	if req == nil || int(attemptID) >= len(req.attempts) {
 		return
 	}
-	s := j.attempts[no]
-	if !s.progress.Cancel() {
+	call := req.attempts[attemptID]
+	if !call.progress.Cancel() {
 		return
 	}
 	result := control.Cancelled
-	if s.withdraw() {
+	if call.withdraw() {
 		result = control.NotSent
 	} else {
-		p.abandon(s)
+		r.abandon(call)
 	}
-	p.queue.Post(func(now control.Micros) { p.callEnded(now, s, result, nil) })
+	r.queue.Post(func(now control.Micros) { r.callEnded(now, call, result, nil) })
 }
 
 // Load orders copies of a job's function.
-func (p *Router) Load(_ *control.Request, o control.LoadCommand) {
-	s := p.newCall(o.Server, p.config.loadTimeout)
-	s.load, s.id = o, p.loadCommandID()
-	p.dispatch(p.stepTime, s, binframe.LoadFrame(s.id, o.Function, o.Replicas))
+func (r *Router) Load(_ *control.Request, command control.LoadCommand) {
+	call := r.newCall(command.Server, r.config.loadTimeout)
+	call.load, call.id = command, r.loadCommandID()
+	r.dispatch(r.stepTime, call, binframe.LoadFrame(call.id, command.Function, command.Replicas))
 }
 
 // SubscribeEndpoints has nothing to do: the board is followed in any case.
-func (p *Router) SubscribeEndpoints() {}
+func (r *Router) SubscribeEndpoints() {}
 
 // SetTimer sets the one timer.
-func (p *Router) SetTimer(at control.Micros) {
-	p.timerAt = at
-	p.timer.Reset(duration(max(0, at-p.now())))
+func (r *Router) SetTimer(at control.Micros) {
+	r.timerAt = at
+	r.timer.Reset(duration(max(0, at-r.now())))
 }
 
 // attemptEnded takes in the end of an execution.
-func (p *Router) attemptEnded(now control.Micros, s *serverCall, o control.Outcome, a *binframe.Answer) {
-	j := s.request
-	if j.answer.AttemptEnded(o.Result) == attempt.Deliver {
-		o.RequestDone = true
-		p.core.HandleOutcome(now, j.id, o)
-		p.finish(j, msgrpc.Success(j.number, a.Body))
+func (r *Router) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, answer *binframe.Answer) {
+	req := call.request
+	if req.answer.AttemptEnded(outcome.Result) == attempt.Deliver {
+		outcome.RequestDone = true
+		r.core.HandleOutcome(now, req.id, outcome)
+		r.finish(req, msgrpc.Success(req.number, answer.Body))
 		return
 	}
-	p.core.HandleOutcome(now, j.id, o)
-	p.release(j)
+	r.core.HandleOutcome(now, req.id, outcome)
+	r.release(req)
 }
 
 // loadCommandID is an id for an order that is none of a job's on any connection.
-func (p *Router) loadCommandID() binframe.ID {
+func (r *Router) loadCommandID() binframe.ID {
 	for {
-		id := binframe.ID(p.random.Uint64())
-		if p.requests[control.RequestID(id)] == nil {
+		id := binframe.ID(r.random.Uint64())
+		if r.requests[control.RequestID(id)] == nil {
 			return id
 		}
 	}
 }
 
 // validate holds what a client asks against the settings; the text tells what is wrong.
-func (p *Router) validate(a *msgrpc.Request, j *request) string {
+func (r *Router) validate(msg *msgrpc.Request, req *request) string {
 	var ok bool
-	if j.class, ok = p.config.classes[a.Class]; !ok {
+	if req.class, ok = r.config.classes[msg.Class]; !ok {
 		return "unknown class"
 	}
-	if j.tenant, ok = p.config.tenants[a.Tenant]; !ok && len(p.config.tenants) > 0 {
+	if req.tenant, ok = r.config.tenants[msg.Tenant]; !ok && len(r.config.tenants) > 0 {
 		return "unknown project"
 	}
-	w := p.config.Deployment.Classes[j.class]
-	if a.Timeout > 2*w.MaxDeadline { // a client waits no longer than that in all; twice, for those that round
+	class := r.config.Deployment.Classes[req.class]
+	if msg.Timeout > 2*class.MaxDeadline { // a client waits no longer than that in all; twice, for those that round
 		return "allow: longer than the class allows"
 	}
-	if a.IdempotencyKey == "" && w.Effect == control.IdempotentByKey {
+	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
 		return "replay: missing"
 	}
-	if p.config.memoryMB > 0 && a.MemoryMB > p.config.memoryMB {
+	if r.config.memoryMB > 0 && msg.MemoryMB > r.config.memoryMB {
 		return "spec: more memory than a server has"
 	}
 	return ""
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -81,37 +81,37 @@
 )
 
 // New opens the router's listener.
-func New(told *Config, log zerolog.Logger) (*Router, error) {
-	p := &Router{config: told, log: log, started: time.Now(), epoch: control.Micros(told.wall().UnixMicro()), requests: map[control.RequestID]*request{},
+func New(config *Config, log zerolog.Logger) (*Router, error) {
+	r := &Router{config: config, log: log, started: time.Now(), epoch: control.Micros(config.wall().UnixMicro()), requests: map[control.RequestID]*request{},
 		pools: map[control.ServerID]*serverPool{}, queue: eventqueue.New(), clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
-		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}), rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(told.Seed, 0)}
-	p.fleet.UseSourceClock()
-	p.fleet.SlowStart(told.Deployment.SlowStartDuration)
+		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}), rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0)}
+	r.fleet.UseSourceClock()
+	r.fleet.SlowStart(config.Deployment.SlowStartDuration)
 	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
-	p.maxClients = told.Sockets / 2
-	p.maxServerConns = told.Sockets - p.maxClients - reservedSockets
-	deployment := told.Deployment
-	deployment.Zone = p.fleet.Zone(told.zone)
-	p.core = core.New(control.New(p.epoch, told.Seed, deployment), p)
-	if err := p.traceRejections(); err != nil {
+	r.maxClients = config.Sockets / 2
+	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
+	deployment := config.Deployment
+	deployment.Zone = r.fleet.Zone(config.zone)
+	r.core = core.New(control.New(r.epoch, config.Seed, deployment), r)
+	if err := r.traceRejections(); err != nil {
 		return nil, err
 	}
 	var state discovery.State
-	if err := state.Restore(told.History); err != nil {
+	if err := state.Restore(config.History); err != nil {
 		return nil, err
 	}
-	p.timer = time.NewTimer(time.Hour)
-	p.connsByIdle, p.removedPools = list.New(), map[control.ServerID]*serverPool{}
-	p.handleEndpoints(p.epoch, state.Endpoints())
-	p.discovery = discovery.NewClient(state, told.DiscoveryAddress, duration(told.grace), told.Seed, func(news fleet.Update) {
-		p.queue.PostEndpoints(func(now control.Micros) { p.handleUpdate(now, news) })
-	}, func(text string, err error) { p.log.Info().AnErr("why", err).Msg(text) })
-	l, err := listenAt(told.Listen)
+	r.timer = time.NewTimer(time.Hour)
+	r.connsByIdle, r.removedPools = list.New(), map[control.ServerID]*serverPool{}
+	r.handleEndpoints(r.epoch, state.Endpoints())
+	r.discovery = discovery.NewClient(state, config.DiscoveryAddress, duration(config.grace), config.Seed, func(update fleet.Update) {
+		r.queue.PostEndpoints(func(now control.Micros) { r.handleUpdate(now, update) })
+	}, func(text string, err error) { r.log.Info().AnErr("why", err).Msg(text) })
+	l, err := listenAt(config.Listen)
 	if err != nil {
 		return nil, err
 	}
-	p.listener = l.(*net.TCPListener)
-	return p, nil
+	r.listener = l.(*net.TCPListener)
+	return r, nil
 }
 
 // listenFor is for how long a start tries to listen: a predecessor's process may not be gone yet, or the machine be short of
@@ -122,91 +122,91 @@
 func listenAt(address string) (net.Listener, error) {
 	for begin := time.Now(); ; time.Sleep(firstReread) {
 		l, err := net.Listen("tcp", address)
-		passes := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
+		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 			syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
-		if !passes || time.Since(begin) > listenFor {
+		if !retryable || time.Since(begin) > listenFor {
 			return l, err
 		}
 	}
 }
 
 // Address is where clients are listened to.
-func (p *Router) Address() string { return p.listener.Addr().String() }
+func (r *Router) Address() string { return r.listener.Addr().String() }
 
 // duration is a time of the module's as the standard library has it.
 func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-func (p *Router) now() control.Micros { return p.micros(time.Now()) }
+func (r *Router) now() control.Micros { return r.micros(time.Now()) }
 
 // micros is a time of the standard library as the module has it.
-func (p *Router) micros(t time.Time) control.Micros {
-	return p.epoch + control.Micros(t.Sub(p.started)/time.Microsecond)
+func (r *Router) micros(t time.Time) control.Micros {
+	return r.epoch + control.Micros(t.Sub(r.started)/time.Microsecond)
 }
 
 // Serve routes until the context ends, serves on for a little, gives each job in hand its answer, and returns once every
 // client's connection has ended: each is read until nothing is left on it.
-func (p *Router) Serve(ctx context.Context) {
-	following, stop := context.WithCancel(context.Background())
-	var others sync.WaitGroup
-	defer others.Wait()
+func (r *Router) Serve(ctx context.Context) {
+	background, stop := context.WithCancel(context.Background())
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	defer stop()
-	others.Go(func() { p.discovery.Run(following) })
-	others.Go(func() { p.detectStalls(following) })
-	others.Go(func() {
-		defer close(p.acceptEnded)
-		p.accept(p.listener)
+	workers.Go(func() { r.discovery.Run(background) })
+	workers.Go(func() { r.detectStalls(background) })
+	workers.Go(func() {
+		defer close(r.acceptEnded)
+		r.accept(r.listener)
 	})
-	defer p.listener.Close()
+	defer r.listener.Close()
 	// What the configuration knows may be older than the grace: nothing is chosen from it before the board was asked.
 	select {
-	case <-p.discovery.Started():
+	case <-r.discovery.Started():
 	case <-ctx.Done():
 	}
-	p.ready.Store(true)
-	done, accepted, ending := ctx.Done(), p.acceptEnded, false
-	var next <-chan time.Time
-	var steps []stopAction
+	r.ready.Store(true)
+	stopRequested, acceptEnded, ending := ctx.Done(), r.acceptEnded, false
+	var nextAction <-chan time.Time
+	var actions []stopAction
 	var batch []func(control.Micros)
-	told := time.NewTicker(10 * time.Second)
-	defer told.Stop()
+	stateTicker := time.NewTicker(10 * time.Second)
+	defer stateTicker.Stop()
 	for {
 		select {
-		case <-p.queue.Ready():
-		case <-p.timer.C:
-		case <-told.C:
-			p.logState()
+		case <-r.queue.Ready():
+		case <-r.timer.C:
+		case <-stateTicker.C:
+			r.logState()
 			continue
-		case <-done:
-			done = nil
-			p.stopRequestedAt = p.now()
-			p.ready.Store(false)
-			p.log.Info().Int("jobs", len(p.requests)).Msg("stopping: serving on a little, then answering what is in hand")
-			steps = p.stopActions()
-			next = time.After(duration(steps[0].at))
-		case <-next:
+		case <-stopRequested:
+			stopRequested = nil
+			r.stopRequestedAt = r.now()
+			r.ready.Store(false)
+			r.log.Info().Int("jobs", len(r.requests)).Msg("stopping: serving on a little, then answering what is in hand")
+			actions = r.stopActions()
+			nextAction = time.After(duration(actions[0].at))
+		case <-nextAction:
 			ending = true
-			steps[0].do()
-			if steps = steps[1:]; len(steps) > 0 {
-				next = time.After(duration(p.stopRequestedAt + steps[0].at - p.now()))
+			actions[0].do()
+			if actions = actions[1:]; len(actions) > 0 {
+				nextAction = time.After(duration(r.stopRequestedAt + actions[0].at - r.now()))
 			}
-		case <-accepted:
-			accepted = nil
-			p.closeClients()
+		case <-acceptEnded:
+			acceptEnded = nil
+			r.closeClients()
 		}
-		p.awaitStep()
-		p.readEndpoints()
-		batch = p.queue.Drain(batch)
-		p.step(p.now(), batch)
-		if accepted == nil && p.allClientsClosed() {
+		r.awaitStep()
+		r.readEndpoints()
+		batch = r.queue.Drain(batch)
+		r.step(r.now(), batch)
+		if acceptEnded == nil && r.allClientsClosed() {
 			break
 		}
 		if ending { // connections are ending
-			p.timer.Reset(min(5*time.Millisecond, duration(max(0, p.timerAt-p.now()))))
+			r.timer.Reset(min(5*time.Millisecond, duration(max(0, r.timerAt-r.now()))))
 		}
 	}
-	p.logState()
-	p.log.Info().Msg("no job is left in hand")
-	p.closeAll()
+	r.logState()
+	r.log.Info().Msg("no job is left in hand")
+	r.closeAll()
 }
 
 // minStepInterval is how far apart turns are at least, where the settings' tick is shorter: each asks again for every held job, and
@@ -218,45 +218,45 @@
 const readersCatchUp = 10 * time.Millisecond
 
 // awaitStep keeps turns apart, so that what comes close together costs one.
-func (p *Router) awaitStep() {
-	now := p.now()
-	if p.timerAt > 0 && attempt.Stalled(now-p.timerAt, p.config.grace) {
-		p.countAnomaly("the router stood still")
+func (r *Router) awaitStep() {
+	now := r.now()
+	if r.timerAt > 0 && attempt.Stalled(now-r.timerAt, r.config.grace) {
+		r.countAnomaly("the router stood still")
 		time.Sleep(readersCatchUp)
 		return
 	}
-	least := max(minStepInterval, p.config.Deployment.Tick)
-	if wait := p.stepTime + least - now; wait > 0 {
+	least := max(minStepInterval, r.config.Deployment.Tick)
+	if wait := r.stepTime + least - now; wait > 0 {
 		time.Sleep(duration(min(wait, least)))
 	}
 }
 
 // readEndpoints has all that the notice board told taken in by the turn that comes next. It comes after the last wait before the
 // turn's batch is taken: whenever this process was stopped, the turn's choices are no younger than their list.
-func (p *Router) readEndpoints() {
-	p.endpointsAsOfBefore = p.endpointsAsOf
-	if attempt.MustReadEndpoints(p.now()-p.endpointsAsOf, p.config.grace) {
-		p.endpointsAsOf = p.micros(p.discovery.CatchUp())
-		if complete := p.discovery.CompleteAsOf(); !complete.IsZero() { // before the batch is taken: it holds all told by then
-			p.endpointsCompleteAsOf = p.micros(complete)
+func (r *Router) readEndpoints() {
+	r.endpointsAsOfBefore = r.endpointsAsOf
+	if attempt.MustReadEndpoints(r.now()-r.endpointsAsOf, r.config.grace) {
+		r.endpointsAsOf = r.micros(r.discovery.CatchUp())
+		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+			r.endpointsCompleteAsOf = r.micros(complete)
 		}
 	}
 }
 
-func (p *Router) step(now control.Micros, heard []func(control.Micros)) {
-	p.stepTime = now
-	for _, f := range heard {
+func (r *Router) step(now control.Micros, events []func(control.Micros)) {
+	r.stepTime = now
+	for _, f := range events {
 		f(now)
 	}
-	p.fleet.CompleteAsOf(p.endpointsCompleteAsOf)
-	p.core.Step(now)
-	p.prune(now)
+	r.fleet.CompleteAsOf(r.endpointsCompleteAsOf)
+	r.core.Step(now)
+	r.prune(now)
 }
 
 // recoverPanic keeps a fault of our own on one connection from ending the others. It is told, since it needs mending.
-func (p *Router) recoverPanic(at string) {
+func (r *Router) recoverPanic(at string) {
 	if fault := recover(); fault != nil {
-		p.countAnomaly("fault of our own " + at)
-		p.log.Error().Str("at", at).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("fault of our own")
+		r.countAnomaly("fault of our own " + at)
+		r.log.Error().Str("at", at).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("fault of our own")
 	}
 }
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -15,7 +15,7 @@
 
 // serverCall is one execution or order on its way.
 type serverCall struct {
-	p              *Router
+	router         *Router
 	request        *request // nil of an order
 	attempt        control.AttemptID
 	load           control.LoadCommand
@@ -36,25 +36,25 @@
 	timer          *time.Timer
 }
 
-func (s *serverCall) withdraw() bool {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	return attempt.Step(&s.stage, attempt.Stage.Withdraw)
+func (call *serverCall) withdraw() bool {
+	call.writing.Lock()
+	defer call.writing.Unlock()
+	return attempt.Step(&call.stage, attempt.Stage.Withdraw)
 }
 
 // address is where it goes; empty where no connection was to be had.
-func (s *serverCall) address() string {
-	if s.conn == nil {
+func (call *serverCall) address() string {
+	if call.conn == nil {
 		return ""
 	}
-	return s.conn.pool.address
+	return call.conn.pool.address
 }
 
 // currentStage is how far it has got.
-func (s *serverCall) currentStage() attempt.Stage {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	return attempt.Stage(s.stage.Load())
+func (call *serverCall) currentStage() attempt.Stage {
+	call.writing.Lock()
+	defer call.writing.Unlock()
+	return attempt.Stage(call.stage.Load())
 }
 
 // readerWait is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
@@ -64,23 +64,23 @@
 // begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
 // turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
 // leaves: its reader comes first.
-func (s *serverCall) begin(write func() bool) (withdrawn bool) {
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	unread := s.request != nil && !s.request.client.tracked.upToDate(time.Now())
-	wanted := s.request == nil || !s.request.abandoned.Load()
-	now := s.p.now()
+func (call *serverCall) begin(write func() bool) (withdrawn bool) {
+	call.writing.Lock()
+	defer call.writing.Unlock()
+	unread := call.request != nil && !call.request.client.tracked.upToDate(time.Now())
+	wanted := call.request == nil || !call.request.abandoned.Load()
+	now := call.router.now()
 	if !unread {
-		s.unread = 0
+		call.unread = 0
 	} else {
-		s.unread = cmp.Or(s.unread, now)
-		wanted = wanted && now-s.unread < control.Micros(readerWait.Microseconds())
+		call.unread = cmp.Or(call.unread, now)
+		wanted = wanted && now-call.unread < control.Micros(readerWait.Microseconds())
 	}
-	next, ok := attempt.Stage(s.stage.Load()).Write(wanted, now, s.writeBefore)
+	next, ok := attempt.Stage(call.stage.Load()).Write(wanted, now, call.writeBefore)
 	if !ok {
-		s.p.queue.Post(func(now control.Micros) {
-			s.withdraw()
-			s.p.callEnded(now, s, control.NotSent, nil)
+		call.router.queue.Post(func(now control.Micros) {
+			call.withdraw()
+			call.router.callEnded(now, call, control.NotSent, nil)
 		})
 		return true
 	}
@@ -88,150 +88,150 @@
 		return false
 	}
 	if write() {
-		s.stage.Store(int32(next))
-		s.p.oldestEndpoints.record(int64(now - s.endpointsAsOf))
-		if s.conn != nil {
-			s.conn.pool.firstByte.record(int64(now))
+		call.stage.Store(int32(next))
+		call.router.oldestEndpoints.record(int64(now - call.endpointsAsOf))
+		if call.conn != nil {
+			call.conn.pool.firstByte.record(int64(now))
 		}
 	}
 	return false
 }
 
 // frame gives a request's frame as of now: it tells what is left of its time.
-func (s *serverCall) frame() []byte {
-	s.message.Timeout = s.clientDeadline - s.p.now()
-	return s.message.Frame()
+func (call *serverCall) frame() []byte {
+	call.message.Timeout = call.clientDeadline - call.router.now()
+	return call.message.Frame()
 }
 
-func (s *serverCall) wrote(whole bool) {
-	s.writtenWhole.Store(whole)
+func (call *serverCall) wrote(whole bool) {
+	call.writtenWhole.Store(whole)
 	if !whole {
-		s.conn.partialWrite.Store(true)
+		call.conn.partialWrite.Store(true)
 	}
 }
 
 // dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
-func (p *Router) dispatch(now control.Micros, s *serverCall, frame []byte) {
-	var l *serverConn
-	if server := p.fleet.Get(s.to); server != nil && server.State == control.Ready {
-		l = p.connFor(now, s)
+func (r *Router) dispatch(now control.Micros, call *serverCall, frame []byte) {
+	var sc *serverConn
+	if server := r.fleet.Get(call.to); server != nil && server.State == control.Ready {
+		sc = r.connFor(now, call)
 	}
-	s.timer = time.AfterFunc(duration(max(0, s.deadline-now)), func() {
-		p.queue.Post(func(now control.Micros) { p.deadlinePassed(now, s) })
+	call.timer = time.AfterFunc(duration(max(0, call.deadline-now)), func() {
+		r.queue.Post(func(now control.Micros) { r.deadlinePassed(now, call) })
 	})
-	if l != nil {
-		s.conn = l
-		l.open[s.id] = s
-		if l.writes.post(s.queued(frame)) {
+	if sc != nil {
+		call.conn = sc
+		sc.open[call.id] = call
+		if sc.writes.post(call.queued(frame)) {
 			return
 		}
-		delete(l.open, s.id)
+		delete(sc.open, call.id)
 	}
 	// Never sent; told in the next turn, since this one is still asking.
-	p.queue.Post(func(now control.Micros) { p.callEnded(now, s, control.NotSent, nil) })
+	r.queue.Post(func(now control.Micros) { r.callEnded(now, call, control.NotSent, nil) })
 }
 
-func (s *serverCall) queued(frame []byte) queuedFrame {
-	p := queuedFrame{data: frame, begin: s.begin, wrote: s.wrote}
-	if s.message != nil {
-		p.encode, p.size = s.frame, s.message.Size()
+func (call *serverCall) queued(data []byte) queuedFrame {
+	frame := queuedFrame{data: data, begin: call.begin, wrote: call.wrote}
+	if call.message != nil {
+		frame.encode, frame.size = call.frame, call.message.Size()
 	}
-	return p
+	return frame
 }
 
 // alreadyUsed tells whether an earlier execution of the same job was written to a connection.
-func (s *serverCall) alreadyUsed(l *serverConn) bool {
-	return s.request != nil && slices.ContainsFunc(s.request.attempts, func(earlier *serverCall) bool {
-		return earlier.conn == l && earlier.currentStage() == attempt.Writing
+func (call *serverCall) alreadyUsed(sc *serverConn) bool {
+	return call.request != nil && slices.ContainsFunc(call.request.attempts, func(earlier *serverCall) bool {
+		return earlier.conn == sc && earlier.currentStage() == attempt.Writing
 	})
 }
 
 // handleAnswer takes in an answer. One that nobody waits for, or a second one, is dropped: it harms nothing else.
-func (p *Router) handleAnswer(now control.Micros, l *serverConn, a *binframe.Answer) {
-	s := l.open[a.ID]
-	if s == nil || a.Probe {
+func (r *Router) handleAnswer(now control.Micros, sc *serverConn, answer *binframe.Answer) {
+	call := sc.open[answer.ID]
+	if call == nil || answer.Probe {
 		return
 	}
-	if s.currentStage() != attempt.Writing {
+	if call.currentStage() != attempt.Writing {
 		return // an answer to what was not asked yet
 	}
-	p.callEnded(now, s, a.Result, a)
+	r.callEnded(now, call, answer.Result, answer)
 }
 
 // deadlinePassed takes in that a sending's time is up.
-func (p *Router) deadlinePassed(now control.Micros, s *serverCall) {
-	if s.progress.Ended {
+func (r *Router) deadlinePassed(now control.Micros, call *serverCall) {
+	if call.progress.Ended {
 		return
 	}
-	if s.withdraw() {
-		p.callEnded(now, s, control.NotSent, nil)
+	if call.withdraw() {
+		r.callEnded(now, call, control.NotSent, nil)
 		return
 	}
-	p.abandon(s)
-	p.callEnded(now, s, control.TimedOut, nil)
+	r.abandon(call)
+	r.callEnded(now, call, control.TimedOut, nil)
 }
 
 // abandon tells the server that nobody waits. The answer may be on its way, or never come: its connection takes nothing
 // new.
-func (p *Router) abandon(s *serverCall) {
-	if s.conn == nil || s.progress.Ended {
+func (r *Router) abandon(call *serverCall) {
+	if call.conn == nil || call.progress.Ended {
 		return
 	}
-	if s.request != nil && p.config.Deployment.SupportsCancel {
-		s.conn.writes.post(queuedFrame{data: binframe.CancelFrame(s.id)})
+	if call.request != nil && r.config.Deployment.SupportsCancel {
+		call.conn.writes.post(queuedFrame{data: binframe.CancelFrame(call.id)})
 	}
-	s.conn.retired = true
+	call.conn.retired = true
 }
 
 // callEnded takes in the end of a sending, once.
-func (p *Router) callEnded(now control.Micros, s *serverCall, result control.Result, a *binframe.Answer) {
-	if !s.progress.End() {
+func (r *Router) callEnded(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
+	if !call.progress.End() {
 		return
 	}
-	s.timer.Stop()
-	if l := s.conn; l != nil && l.open[s.id] == s {
-		delete(l.open, s.id)
-		p.connsByIdle.MoveToBack(l.idlePlace)
-		if l.idleSince = now; l.retired && len(l.open) == 0 {
-			p.removeConn(l)
+	call.timer.Stop()
+	if sc := call.conn; sc != nil && sc.open[call.id] == call {
+		delete(sc.open, call.id)
+		r.connsByIdle.MoveToBack(sc.idlePlace)
+		if sc.idleSince = now; sc.retired && len(sc.open) == 0 {
+			r.removeConn(sc)
 		}
 	}
-	if s.progress.Cancelled && result != control.Succeeded && !result.ProvesNotRun() {
+	if call.progress.Cancelled && result != control.Succeeded && !result.ProvesNotRun() {
 		result = control.Cancelled
 	}
-	p.logAttempt(now, s, result, a)
-	took := now - s.chosenAt
-	if s.request == nil {
-		copies := 0
-		if a != nil && result == control.Succeeded {
-			if copies = a.Replicas; copies < 0 {
-				copies = s.load.Replicas // an answer that tells no number has done what was asked
+	r.logAttempt(now, call, result, answer)
+	duration := now - call.chosenAt
+	if call.request == nil {
+		replicas := 0
+		if answer != nil && result == control.Succeeded {
+			if replicas = answer.Replicas; replicas < 0 {
+				replicas = call.load.Replicas // an answer that tells no number has done what was asked
 			}
 		}
-		p.core.HandleLoadResult(now, s.to, s.load.Function, result, took, copies)
+		r.core.HandleLoadResult(now, call.to, call.load.Function, result, duration, replicas)
 		return
 	}
-	o := control.Outcome{Attempt: s.attempt, Server: s.to, Result: result, Duration: took}
-	if a != nil {
-		o.CacheStatus, o.Report = a.CacheStatus, p.report(a)
+	outcome := control.Outcome{Attempt: call.attempt, Server: call.to, Result: result, Duration: duration}
+	if answer != nil {
+		outcome.CacheStatus, outcome.Report = answer.CacheStatus, r.report(answer)
 	}
-	p.attemptEnded(now, s, o, a)
+	r.attemptEnded(now, call, outcome, answer)
 }
 
 // report puts what an answer reports in the order that the settings name.
-func (p *Router) report(a *binframe.Answer) *control.LoadReport {
-	if a.Reports == nil {
+func (r *Router) report(answer *binframe.Answer) *control.LoadReport {
+	if answer.Reports == nil {
 		return nil
 	}
-	values := make([]float32, len(p.config.reportFields))
-	for i, name := range p.config.reportFields {
-		v, told := a.Reports[reportNames[name]]
-		if !told {
+	values := make([]float32, len(r.config.reportFields))
+	for i, name := range r.config.reportFields {
+		v, known := answer.Reports[reportNames[name]]
+		if !known {
 			v = -1
 		}
 		values[i] = float32(v)
 	}
-	return config.Report(p.config.reportFields, values)
+	return config.Report(r.config.reportFields, values)
 }
 
 // reportNames maps what the settings name to the simulator's names, which the answers use.
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -19,7 +19,7 @@
 
 // serverConn is one connection to a server. The turn owns all but the outbox; a goroutine dials and reads.
 type serverConn struct {
-	p            *Router
+	router       *Router
 	pool         *serverPool
 	writes       writeQueue
 	open         map[binframe.ID]*serverCall
@@ -33,20 +33,20 @@
 }
 
 // close ends a connection at once, one that is still dialled too: its descriptor is another's then.
-func (l *serverConn) close() {
-	l.writes.close()
-	l.cancelDial()
+func (sc *serverConn) close() {
+	sc.writes.close()
+	sc.cancelDial()
 }
 
 // preferredOver tells which of two connections takes a sending.
-func (l *serverConn) preferredOver(other *serverConn) bool {
+func (sc *serverConn) preferredOver(other *serverConn) bool {
 	switch {
-	case len(l.open) != len(other.open):
-		return len(l.open) < len(other.open)
-	case l.up != other.up:
-		return l.up
+	case len(sc.open) != len(other.open):
+		return len(sc.open) < len(other.open)
+	case sc.up != other.up:
+		return sc.up
 	}
-	return l.idleSince > other.idleSince
+	return sc.idleSince > other.idleSince
 }
 
 // maxUnreadByServer is how much may wait for a server to read: with the longest bodies, as many as share a connection.
@@ -55,43 +55,43 @@
 // answerTimeout is how long an answer that has begun may take: it is written in one piece.
 const answerTimeout = time.Second
 
-func (l *serverConn) run() {
-	p := l.p
+func (sc *serverConn) run() {
+	r := sc.router
 	broke := func(result control.Result) {
-		l.close()
-		p.queue.Post(func(now control.Micros) { p.connectionBroke(now, l, result) })
+		sc.close()
+		r.queue.Post(func(now control.Micros) { r.connectionBroke(now, sc, result) })
 	}
 	end := control.Failed // should a fault of our own end this: what was written may have run
-	defer p.recoverPanic("reading a server")
+	defer r.recoverPanic("reading a server")
 	defer func() { broke(end) }()
-	conn, err := l.dial()
+	conn, err := sc.dial()
 	if err != nil {
 		end = control.ConnectFailed
 		if localFailure(err) || errors.Is(err, context.Canceled) {
 			end = control.NotSent // says nothing of the server
 		} else {
-			p.countAnomaly("no connection to a server")
+			r.countAnomaly("no connection to a server")
 		}
 		return
 	}
-	l.writes.connected(conn)
-	p.queue.Post(func(control.Micros) { l.up = true })
+	sc.writes.connected(conn)
+	r.queue.Post(func(control.Micros) { sc.up = true })
 	reader := &deadlineReader{conn: conn}
 	in := bufio.NewReaderSize(reader, 2<<10)
 	for {
 		reader.setDeadline(time.Time{})
-		a, err := binframe.Read(in, func() { reader.setDeadline(time.Now().Add(answerTimeout)) })
+		answer, err := binframe.Read(in, func() { reader.setDeadline(time.Now().Add(answerTimeout)) })
 		if err != nil {
 			end = control.ConnectionReset
 			if why := corruptionOf(err); why != "" {
 				end = control.Failed // the server answers; what it said can't be read
-				p.countAnomaly("spoilt answer: " + why)
+				r.countAnomaly("spoilt answer: " + why)
 			} else if localFailure(err) {
 				end = control.Failed // may have run; says nothing of the server
 			}
 			return
 		}
-		p.queue.Post(func(now control.Micros) { p.handleAnswer(now, l, a) })
+		r.queue.Post(func(now control.Micros) { r.handleAnswer(now, sc, answer) })
 	}
 }
 
@@ -113,30 +113,30 @@
 
 // dial connects. What may be over in a moment is tried again for as long as a connection may take to come up; where descriptors
 // are short, idle clients make room meanwhile.
-func (l *serverConn) dial() (net.Conn, error) {
-	var before error // why the try before failed, through no fault of the server's
+func (sc *serverConn) dial() (net.Conn, error) {
+	var previous error // why the try before failed, through no fault of the server's
 	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
-		conn, err := l.p.calls.dial(l.dialing, l.pool.address)
+		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
 		switch {
 		case err == nil:
 			return conn, nil
 		case localFailure(err), transient(err):
-		case localFailure(before) && os.IsTimeout(err):
-			return nil, before // the server had but the rest of the time
+		case localFailure(previous) && os.IsTimeout(err):
+			return nil, previous // the server had but the rest of the time
 		default:
 			return nil, err
 		}
-		before = err
+		previous = err
 		if errors.Is(err, syscall.EMFILE) {
-			l.p.countAnomaly("out of descriptors for a server")
-			if l.p.makeRoom(1) {
+			sc.router.countAnomaly("out of descriptors for a server")
+			if sc.router.makeRoom(1) {
 				continue
 			}
 		} else {
-			l.p.countAnomaly("a dial failed for a moment")
+			sc.router.countAnomaly("a dial failed for a moment")
 		}
 		select {
-		case <-l.dialing.Done():
+		case <-sc.dialing.Done():
 			return nil, err
 		case <-time.After(pause):
 		}
@@ -146,7 +146,7 @@
 // localFailure tells of a fault that is this machine's, and no sign about a server.
 func localFailure(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(one error) bool { return errors.Is(err, one) })
+		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
 }
 
 // transient tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
@@ -169,21 +169,21 @@
 }
 
 // connectionBroke takes in the end of a connection: what it means to each sending follows from how far that had got.
-func (p *Router) connectionBroke(now control.Micros, l *serverConn, result control.Result) {
-	open := l.open
-	p.removeConn(l)
-	for _, s := range sortedByID(open) {
-		r := result
+func (r *Router) connectionBroke(now control.Micros, sc *serverConn, result control.Result) {
+	open := sc.open
+	r.removeConn(sc)
+	for _, call := range sortedByID(open) {
+		callResult := result
 		switch {
-		case s.withdraw():
-			if r != control.ConnectFailed {
-				r = control.NotSent
+		case call.withdraw():
+			if callResult != control.ConnectFailed {
+				callResult = control.NotSent
 			}
-		case s.currentStage() == attempt.Withdrawn:
-			r = control.NotSent
-		case l.partialWrite.Load() && !s.writtenWhole.Load():
-			r = control.NotSent // its frame did not come whole
+		case call.currentStage() == attempt.Withdrawn:
+			callResult = control.NotSent
+		case sc.partialWrite.Load() && !call.writtenWhole.Load():
+			callResult = control.NotSent // its frame did not come whole
 		}
-		p.callEnded(now, s, r, nil)
+		r.callEnded(now, call, callResult, nil)
 	}
 }
--- a/internal/platform/serverpool.go
+++ b/internal/platform/serverpool.go
@@ -21,53 +21,53 @@
 }
 
 // poolOf gives the connections to a server that is listed.
-func (p *Router) poolOf(id control.ServerID) *serverPool {
-	pl := p.pools[id]
-	if pl == nil {
-		server := p.fleet.Get(id)
-		pl = &serverPool{id: id, address: server.Address, startedAt: control.Micros(server.Endpoint.StartedAt)}
-		p.pools[id] = pl
+func (r *Router) poolOf(id control.ServerID) *serverPool {
+	pool := r.pools[id]
+	if pool == nil {
+		server := r.fleet.Get(id)
+		pool = &serverPool{id: id, address: server.Address, startedAt: control.Micros(server.Endpoint.StartedAt)}
+		r.pools[id] = pool
 	}
-	return pl
+	return pool
 }
 
 // connFor finds a connection: one with nothing open, else a new one, else the one with the least open; of equal ones one that
 // stands. One execution a connection as long as descriptors last: a spoilt answer costs all that is open on its
 // connection. A job's further execution goes on another, where no second answer to the earlier one can be taken for its own.
-func (p *Router) connFor(now control.Micros, s *serverCall) *serverConn {
-	pl := p.poolOf(s.to)
+func (r *Router) connFor(now control.Micros, call *serverCall) *serverConn {
+	pool := r.poolOf(call.to)
 	var best *serverConn
-	for _, l := range pl.conns {
-		if l.retired || l.open[s.id] != nil || len(l.open) >= p.config.maxStreams || s.alreadyUsed(l) {
+	for _, sc := range pool.conns {
+		if sc.retired || sc.open[call.id] != nil || len(sc.open) >= r.config.maxStreams || call.alreadyUsed(sc) {
 			continue
 		}
-		if best == nil || l.preferredOver(best) {
-			best = l
+		if best == nil || sc.preferredOver(best) {
+			best = sc
 		}
 	}
-	if best != nil && len(best.open) == 0 || p.serverConnCount >= p.maxServerConns && !p.closeIdleServerConn() {
+	if best != nil && len(best.open) == 0 || r.serverConnCount >= r.maxServerConns && !r.closeIdleServerConn() {
 		return best
 	}
-	l := p.newServerConn(now, pl)
-	go l.run()
-	return l
+	sc := r.newServerConn(now, pool)
+	go sc.run()
+	return sc
 }
 
-func (p *Router) newServerConn(now control.Micros, pl *serverPool) *serverConn {
-	l := &serverConn{p: p, pool: pl, open: map[binframe.ID]*serverCall{}, idleSince: now}
-	l.dialing, l.cancelDial = context.WithTimeout(context.Background(), duration(p.config.connectTimeout))
-	l.writes.maxQueuedBytes, l.writes.firstWrite = maxUnreadByServer, p.calls.write
-	pl.conns = append(pl.conns, l)
-	l.idlePlace = p.connsByIdle.PushBack(l)
-	p.serverConnCount++
-	return l
+func (r *Router) newServerConn(now control.Micros, pool *serverPool) *serverConn {
+	sc := &serverConn{router: r, pool: pool, open: map[binframe.ID]*serverCall{}, idleSince: now}
+	sc.dialing, sc.cancelDial = context.WithTimeout(context.Background(), duration(r.config.connectTimeout))
+	sc.writes.maxQueuedBytes, sc.writes.firstWrite = maxUnreadByServer, r.calls.write
+	pool.conns = append(pool.conns, sc)
+	sc.idlePlace = r.connsByIdle.PushBack(sc)
+	r.serverConnCount++
+	return sc
 }
 
 // closeIdleServerConn closes the connection that has been idle for longest, of any server.
-func (p *Router) closeIdleServerConn() bool {
-	for e := p.connsByIdle.Front(); e != nil; e = e.Next() {
-		if l := e.Value.(*serverConn); len(l.open) == 0 && l.up {
-			p.removeConn(l)
+func (r *Router) closeIdleServerConn() bool {
+	for e := r.connsByIdle.Front(); e != nil; e = e.Next() {
+		if sc := e.Value.(*serverConn); len(sc.open) == 0 && sc.up {
+			r.removeConn(sc)
 			return true
 		}
 	}
@@ -75,25 +75,25 @@
 }
 
 // removeConn forgets a connection and closes it after what waits to be written.
-func (p *Router) removeConn(l *serverConn) {
-	l.retired = true
-	for i, other := range l.pool.conns {
-		if other == l {
-			l.pool.conns = append(l.pool.conns[:i], l.pool.conns[i+1:]...)
-			p.connsByIdle.Remove(l.idlePlace)
-			p.serverConnCount--
+func (r *Router) removeConn(sc *serverConn) {
+	sc.retired = true
+	for i, other := range sc.pool.conns {
+		if other == sc {
+			sc.pool.conns = append(sc.pool.conns[:i], sc.pool.conns[i+1:]...)
+			r.connsByIdle.Remove(sc.idlePlace)
+			r.serverConnCount--
 			break
 		}
 	}
-	if l.writes.closeWhenWritten(); !l.up && len(l.open) == 0 { // a dial that nothing waits for
-		l.cancelDial()
+	if sc.writes.closeWhenWritten(); !sc.up && len(sc.open) == 0 { // a dial that nothing waits for
+		sc.cancelDial()
 	}
 }
 
 // retire has a connection take nothing new; it ends with the last that is open on it.
-func (p *Router) retire(l *serverConn) {
-	if l.retired = true; len(l.open) == 0 {
-		p.removeConn(l)
+func (r *Router) retire(sc *serverConn) {
+	if sc.retired = true; len(sc.open) == 0 {
+		r.removeConn(sc)
 	}
 }
 
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -36,8 +36,8 @@
 // earliestKill is how long after the order to stop the kill may come.
 func earliestKill(d control.Deployment) control.Micros {
 	var longest control.Micros
-	for _, w := range d.Classes {
-		longest = max(longest, w.MaxDeadline)
+	for _, class := range d.Classes {
+		longest = max(longest, class.MaxDeadline)
 	}
 	return killAfter + min(longest, maxCountedDeadline)
 }
@@ -49,82 +49,84 @@
 }
 
 // stopActions gives them in their order.
-func (p *Router) stopActions() []stopAction {
-	kill := earliestKill(p.config.Deployment)
+func (r *Router) stopActions() []stopAction {
+	kill := earliestKill(r.config.Deployment)
 	return []stopAction{
-		{min(control.Micros(acceptConnectionsFor/time.Microsecond), max(closeNotBefore, kill-closeBeforeKill)), p.close},
-		{kill - rejectHeldBeforeKill, p.rejectHeld},
-		{kill - answerBeforeKill, p.answerOpen},
-		{kill - stopReadingBeforeKill, p.stopReading},
+		{min(control.Micros(acceptConnectionsFor/time.Microsecond), max(closeNotBefore, kill-closeBeforeKill)), r.close},
+		{kill - rejectHeldBeforeKill, r.rejectHeld},
+		{kill - answerBeforeKill, r.answerOpen},
+		{kill - stopReadingBeforeKill, r.stopReading},
 	}
 }
 
 // close ends the clients' connections, and the listener after those that wait there: they are ended in their turn.
-func (p *Router) close() {
-	p.stopListening()
-	p.closeClients()
+func (r *Router) close() {
+	r.stopListening()
+	r.closeClients()
 }
 
 // stopListening has connections accepted that wait already, and no others.
-func (p *Router) stopListening() { p.listener.SetDeadline(time.Now().Add(lastReadTime)) }
+func (r *Router) stopListening() { r.listener.SetDeadline(time.Now().Add(lastReadTime)) }
 
 // closeClients ends the clients' connections, each once nothing is open on it and nothing left to read.
-func (p *Router) closeClients() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.clients {
+func (r *Router) closeClients() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c := range r.clients {
 		c.closeWhenIdle(drainAfterIdle)
 	}
 }
 
 // stopReading ends those that are still read, after a last look.
-func (p *Router) stopReading() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.clients {
+func (r *Router) stopReading() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c := range r.clients {
 		c.closeBy(finalReadTime)
 	}
 }
 
 // rejectHeld pushes back what was never sent and whose client waits longer than this router can.
-func (p *Router) rejectHeld() {
-	kill := p.stopRequestedAt + earliestKill(p.config.Deployment)
-	p.endRequests(func(j *request) bool { return len(j.attempts) == 0 && j.readAt+j.ask.Timeout > kill-answerBeforeKill })
+func (r *Router) rejectHeld() {
+	kill := r.stopRequestedAt + earliestKill(r.config.Deployment)
+	r.endRequests(func(req *request) bool {
+		return len(req.attempts) == 0 && req.readAt+req.message.Timeout > kill-answerBeforeKill
+	})
 }
 
 // answerOpen gives all that is in hand its answer: whatever is not answered now meets the kill.
-func (p *Router) answerOpen() { p.endRequests(func(*request) bool { return true }) }
+func (r *Router) answerOpen() { r.endRequests(func(*request) bool { return true }) }
 
 // endRequests ends those jobs in hand that are meant. Nobody is harmed by trying one again that was never written, or whose repeats
 // do no harm: that has time left with another router.
-func (p *Router) endRequests(meant func(j *request) bool) {
-	now := p.now()
-	for _, j := range slices.SortedFunc(maps.Values(p.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) }) {
-		if j.answer.Given || !meant(j) {
+func (r *Router) endRequests(selected func(req *request) bool) {
+	now := r.now()
+	for _, req := range slices.SortedFunc(maps.Values(r.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) }) {
+		if req.answer.Given || !selected(req) {
 			continue
 		}
-		p.countAnomaly("ended by the stop")
-		p.core.Cancel(now, j.id)
-		mayHaveRun := slices.ContainsFunc(j.attempts, func(s *serverCall) bool { return !s.withdraw() && s.currentStage() == attempt.Writing })
-		if mayHaveRun && !p.config.Deployment.Classes[j.class].SafeToRetryAnywhere() {
-			p.finish(j, msgrpc.Failure(j.number))
+		r.countAnomaly("ended by the stop")
+		r.core.Cancel(now, req.id)
+		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool { return !call.withdraw() && call.currentStage() == attempt.Writing })
+		if mayHaveRun && !r.config.Deployment.Classes[req.class].SafeToRetryAnywhere() {
+			r.finish(req, msgrpc.Failure(req.number))
 		} else {
-			p.finish(j, msgrpc.Rejection(j.number, p.config.Deployment.MaxRetryAfter))
+			r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 		}
 	}
 }
 
 // allClientsClosed tells whether every client's connection has ended, and with them all that was owed.
-func (p *Router) allClientsClosed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.clients) == 0
+func (r *Router) allClientsClosed() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.clients) == 0
 }
 
-func (p *Router) closeAll() {
-	for _, pl := range p.pools {
-		for _, l := range pl.conns {
-			l.close()
+func (r *Router) closeAll() {
+	for _, pool := range r.pools {
+		for _, sc := range pool.conns {
+			sc.close()
 		}
 	}
 }
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -24,50 +24,50 @@
 )
 
 // tick notes that the process runs.
-func (u *stallDetector) tick(now control.Micros) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.lastRan > 0 && now-u.lastRan > stallThreshold {
-		u.from, u.until = u.lastRan, now+control.Micros(readerWait.Microseconds())
+func (d *stallDetector) tick(now control.Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lastRan > 0 && now-d.lastRan > stallThreshold {
+		d.from, d.until = d.lastRan, now+control.Micros(readerWait.Microseconds())
 	}
-	u.lastRan = now
+	d.lastRan = now
 }
 
 // cameSince gives from when on what is read now may have come, as far as it is known to lie back.
-func (u *stallDetector) cameSince(now control.Micros) control.Micros {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (d *stallDetector) cameSince(now control.Micros) control.Micros {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case u.lastRan > 0 && now-u.lastRan > stallThreshold:
-		return u.lastRan
-	case now < u.until:
-		return u.from
+	case d.lastRan > 0 && now-d.lastRan > stallThreshold:
+		return d.lastRan
+	case now < d.until:
+		return d.from
 	}
 	return now
 }
 
 // detectStalls has the pulse beat until the context ends.
-func (p *Router) detectStalls(ctx context.Context) {
-	p.stalls.tick(p.now())
-	every := time.NewTicker(tickInterval)
-	defer every.Stop()
+func (r *Router) detectStalls(ctx context.Context) {
+	r.stalls.tick(r.now())
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
-			p.stalls.tick(p.now())
+		case <-ticker.C:
+			r.stalls.tick(r.now())
 		}
 	}
 }
 
 // came gives when a message came that was read just now: at the earliest that is possible, where the process stood still.
 func (c *clientConn) came() control.Micros {
-	now := c.p.now()
-	since := c.p.stalls.cameSince(now)
+	now := c.router.now()
+	since := c.router.stalls.cameSince(now)
 	if since < now {
-		c.p.countAnomaly("a request may have come long before it was read")
-		since = max(since, c.p.micros(c.tracked.emptiedAt())) // not before its reader found nothing
+		c.router.countAnomaly("a request may have come long before it was read")
+		since = max(since, c.router.micros(c.tracked.emptiedAt())) // not before its reader found nothing
 	}
 	return min(now, since)
 }
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -76,7 +76,7 @@
 		first := r.requests[1]
 		for n, patience := range map[uint32]control.Micros{2: rejectHeldBeforeKill - answerBeforeKill, 3: rejectHeldBeforeKill - answerBeforeKill + 1} {
 			j := &request{id: control.RequestID(n), number: n, client: first.client, readAt: now}
-			j.ask.Timeout = patience
+			j.message.Timeout = patience
 			first.client.open[n] = j
 			r.requests[j.id] = j
 		}
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := &clientConn{p: p, conn: ours, in: &deadlineReader{conn: instant{ours}}, open: map[uint32]*request{1: {}}}
+		c := &clientConn{router: p, conn: ours, in: &deadlineReader{conn: instant{ours}}, open: map[uint32]*request{1: {}}}
 		c.sentMessage.Store(true)
 		c.closeBy(finalReadTime)
 		if c.awaitMessage(msgrpc.NewReader(c.in), time.Now()) {
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -26,44 +26,44 @@
 const maxUnreadAge = 50 * time.Millisecond
 
 func newTrackedConn(conn net.Conn) *trackedConn {
-	s := &trackedConn{Conn: conn}
+	t := &trackedConn{Conn: conn}
 	if c, ok := conn.(syscall.Conn); ok {
-		s.raw, _ = c.SyscallConn()
+		t.raw, _ = c.SyscallConn()
 	}
-	_, s.direct = conn.(*net.TCPConn)
-	return s
+	_, t.direct = conn.(*net.TCPConn)
+	return t
 }
 
 // Read is called only once all that was read before is taken in, but for a message that has begun.
-func (s *trackedConn) Read(b []byte) (n int, err error) {
-	s.mu.Lock()
-	s.allProcessed = true
-	if !s.emptyReadAt.IsZero() {
-		s.asOf = s.emptyReadAt
+func (t *trackedConn) Read(b []byte) (n int, err error) {
+	t.mu.Lock()
+	t.allProcessed = true
+	if !t.emptyReadAt.IsZero() {
+		t.asOf = t.emptyReadAt
 	}
-	s.mu.Unlock()
-	if !s.direct || s.raw == nil || len(b) == 0 {
+	t.mu.Unlock()
+	if !t.direct || t.raw == nil || len(b) == 0 {
 		began := time.Now()
-		n, err = s.Conn.Read(b)
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.noteRead(began, n, len(b))
+		n, err = t.Conn.Read(b)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.noteRead(began, n, len(b))
 		return n, err
 	}
-	return s.read(b, wait)
+	return t.read(b, wait)
 }
 
 // read reads from the descriptor itself and notes what was there.
-func (s *trackedConn) read(b []byte, waiting waiting) (int, error) {
-	return readRaw(s.raw, waiting, func(fd int) (int, error) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+func (t *trackedConn) read(b []byte, waiting waiting) (int, error) {
+	return readRaw(t.raw, waiting, func(fd int) (int, error) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
 		began := time.Now()
 		n, err := retryInterrupted(func() (int, error) { return syscall.Read(fd, b) })
 		if errors.Is(err, syscall.EAGAIN) {
-			s.asOf = began
+			t.asOf = began
 		} else {
-			s.noteRead(began, n, len(b))
+			t.noteRead(began, n, len(b))
 		}
 		return n, err
 	})
@@ -79,16 +79,16 @@
 
 // readRaw reads by a call on a descriptor that does not wait.
 func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
-	var failed error
+	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
-		n, failed = retryInterrupted(func() (int, error) { return call(int(fd)) })
-		return waiting == noWait || !errors.Is(failed, syscall.EAGAIN)
+		n, readErr = retryInterrupted(func() (int, error) { return call(int(fd)) })
+		return waiting == noWait || !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, failed
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
@@ -96,45 +96,45 @@
 }
 
 // noteRead notes what a read brought. The lock is held.
-func (s *trackedConn) noteRead(began time.Time, n, most int) {
-	s.allProcessed = false
-	if s.emptyReadAt = began; n == most {
-		s.emptyReadAt = time.Time{}
+func (t *trackedConn) noteRead(began time.Time, n, most int) {
+	t.allProcessed = false
+	if t.emptyReadAt = began; n == most {
+		t.emptyReadAt = time.Time{}
 	}
 }
 
 // upToDate tells whether all that the client had sent by now is taken in, or all but the latest.
-func (s *trackedConn) upToDate(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.raw == nil || now.Sub(s.asOf) <= maxUnreadAge {
+func (t *trackedConn) upToDate(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.raw == nil || now.Sub(t.asOf) <= maxUnreadAge {
 		return true
 	}
-	if !s.allProcessed || s.hasUnread() {
+	if !t.allProcessed || t.hasUnread() {
 		return false
 	}
-	s.asOf = now
+	t.asOf = now
 	return true
 }
 
 // emptiedAt gives when the reader last found that nothing more had come.
-func (s *trackedConn) emptiedAt() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.asOf
+func (t *trackedConn) emptiedAt() time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.asOf
 }
 
 // hasUnread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
-func (s *trackedConn) hasUnread() bool {
-	var found error
-	err := s.raw.Control(func(fd uintptr) {
+func (t *trackedConn) hasUnread() bool {
+	var peekErr error
+	err := t.raw.Control(func(fd uintptr) {
 		var b [1]byte
-		_, found = retryInterrupted(func() (int, error) {
+		_, peekErr = retryInterrupted(func() (int, error) {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
 	})
-	return err != nil || !errors.Is(found, syscall.EAGAIN)
+	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
 // interruptions bounds how often a call that a signal interrupts is tried again at once; one or two come in a row.
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -50,137 +50,137 @@
 
 // post hands over a message; no tells that the connection takes none any more. Guards against an end that asks and does
 // not read: beyond its bound the connection is closed.
-func (o *writeQueue) post(p queuedFrame) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.closed || o.closing {
+func (q *writeQueue) post(frame queuedFrame) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.closing {
 		return false
 	}
-	p.size = max(p.size, len(p.data))
-	if o.queuedBytes+p.size > o.maxQueuedBytes {
-		o.closeLocked()
+	frame.size = max(frame.size, len(frame.data))
+	if q.queuedBytes+frame.size > q.maxQueuedBytes {
+		q.closeLocked()
 		return false
 	}
-	o.queue = append(o.queue, p)
-	o.queuedBytes += p.size
-	o.start()
+	q.queue = append(q.queue, frame)
+	q.queuedBytes += frame.size
+	q.start()
 	return true
 }
 
-func (o *writeQueue) start() {
-	if o.conn != nil && !o.writing && !o.closed {
-		o.writing = true
-		go o.write()
+func (q *writeQueue) start() {
+	if q.conn != nil && !q.writing && !q.closed {
+		q.writing = true
+		go q.write()
 	}
 }
 
 // connected tells that the connection stands.
-func (o *writeQueue) connected(conn net.Conn) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.conn = conn
-	if o.closed || o.closing && len(o.queue) == 0 {
-		o.finish()
+func (q *writeQueue) connected(conn net.Conn) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.conn = conn
+	if q.closed || q.closing && len(q.queue) == 0 {
+		q.finish()
 		return
 	}
-	if len(o.queue) > 0 {
-		o.start()
+	if len(q.queue) > 0 {
+		q.start()
 	}
 }
 
 // closeWhenWritten closes the connection once all that waits is written.
-func (o *writeQueue) closeWhenWritten() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.closing = true
-	if !o.writing && len(o.queue) == 0 {
-		o.finish()
+func (q *writeQueue) closeWhenWritten() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closing = true
+	if !q.writing && len(q.queue) == 0 {
+		q.finish()
 	}
 }
 
 // finish ends a connection on which all is written. Guards against the reset that a close makes of input nobody read: it
 // may overtake the last answer, so that the direction that is read stays open for a little where somebody reads it.
-func (o *writeQueue) finish() {
-	half, ok := o.conn.(interface{ CloseWrite() error })
-	if !ok || o.written == nil || o.closed {
-		o.closeLocked()
+func (q *writeQueue) finish() {
+	half, ok := q.conn.(interface{ CloseWrite() error })
+	if !ok || q.written == nil || q.closed {
+		q.closeLocked()
 		return
 	}
-	o.closed = true
+	q.closed = true
 	half.CloseWrite()
-	close(o.written)
+	close(q.written)
 }
 
 // close closes it at once.
-func (o *writeQueue) close() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.closeLocked()
+func (q *writeQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closeLocked()
 }
 
-func (o *writeQueue) closeLocked() {
-	if !o.closed && o.written != nil {
-		close(o.written)
+func (q *writeQueue) closeLocked() {
+	if !q.closed && q.written != nil {
+		close(q.written)
 	}
-	o.closed = true
-	o.queue, o.queuedBytes = nil, 0
-	if o.conn != nil {
-		o.conn.Close()
+	q.closed = true
+	q.queue, q.queuedBytes = nil, 0
+	if q.conn != nil {
+		q.conn.Close()
 	}
 }
 
 // empty tells that nothing waits or is being written.
-func (o *writeQueue) empty() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.closed || !o.writing && len(o.queue) == 0
+func (q *writeQueue) empty() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.closed || !q.writing && len(q.queue) == 0
 }
 
-func (o *writeQueue) write() {
+func (q *writeQueue) write() {
 	for {
-		o.mu.Lock()
-		if len(o.queue) == 0 || o.closed {
-			o.writing = false
-			if o.closing && !o.closed {
-				o.finish()
+		q.mu.Lock()
+		if len(q.queue) == 0 || q.closed {
+			q.writing = false
+			if q.closing && !q.closed {
+				q.finish()
 			}
-			o.mu.Unlock()
+			q.mu.Unlock()
 			return
 		}
-		p := o.queue[0]
-		o.queue[0] = queuedFrame{}
-		if o.queue = o.queue[1:]; len(o.queue) == 0 {
-			o.queue = nil
+		frame := q.queue[0]
+		q.queue[0] = queuedFrame{}
+		if q.queue = q.queue[1:]; len(q.queue) == 0 {
+			q.queue = nil
 		}
-		o.queuedBytes -= p.size
-		o.mu.Unlock()
-		o.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		q.queuedBytes -= frame.size
+		q.mu.Unlock()
+		q.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := 0, error(nil)
-		if p.begin != nil {
-			if n, err = writeFirst(o.conn, &p, o.firstWrite); n == 0 && err == nil {
+		if frame.begin != nil {
+			if n, err = writeFirst(q.conn, &frame, q.firstWrite); n == 0 && err == nil {
 				continue // withdrawn
 			}
-			if p.encode != nil && n < len(p.data) {
-				o.conn.SetWriteDeadline(time.Now().Add(frameRestTimeout))
+			if frame.encode != nil && n < len(frame.data) {
+				q.conn.SetWriteDeadline(time.Now().Add(frameRestTimeout))
 			}
 		}
 		if err == nil {
 			var more int
-			more, err = o.conn.Write(p.data[n:])
+			more, err = q.conn.Write(frame.data[n:])
 			n += more
 		}
-		if p.wrote != nil && (n > 0 || p.begin == nil) {
-			p.wrote(n == len(p.data))
+		if frame.wrote != nil && (n > 0 || frame.begin == nil) {
+			frame.wrote(n == len(frame.data))
 		}
 		if err != nil {
-			o.close()
+			q.close()
 		}
 	}
 }
 
 // writeFirst writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
 // before the first byte that is no longer true at the first byte: where the connection has no room, the check comes again.
-func writeFirst(conn net.Conn, p *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
+func writeFirst(conn net.Conn, frame *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
 	if firstWrite == nil {
 		firstWrite = syscall.Write
 	}
@@ -189,28 +189,28 @@
 		return 0, err
 	}
 	for range writeTimeout / writePause {
-		var failed error
-		again := false
+		var writeErr error
+		retry := false
 		err = raw.Write(func(fd uintptr) bool {
-			room, asked := true, false
+			room, attempted := true, false
 			write := func() bool {
-				asked = true
-				if p.encode != nil {
-					p.data = p.encode()
+				attempted = true
+				if frame.encode != nil {
+					frame.data = frame.encode()
 				}
-				n, failed = retryInterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
-				if errors.Is(failed, syscall.EAGAIN) {
-					room, failed = false, nil
+				n, writeErr = retryInterrupted(func() (int, error) { return firstWrite(int(fd), frame.data) })
+				if errors.Is(writeErr, syscall.EAGAIN) {
+					room, writeErr = false, nil
 				}
 				return n > 0
 			}
-			failed = nil
-			withdrawn := p.begin(write)
-			again = !withdrawn && (!asked || n == 0 && localFailure(failed))
+			writeErr = nil
+			withdrawn := frame.begin(write)
+			retry = !withdrawn && (!attempted || n == 0 && localFailure(writeErr))
 			return withdrawn || room
 		})
-		if !again || err != nil {
-			return n, cmp.Or(failed, err)
+		if !retry || err != nil {
+			return n, cmp.Or(writeErr, err)
 		}
 		time.Sleep(writePause) // outside of the connection's write, which its close waits for
 	}
