--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -13,8 +13,8 @@
 	"hollymast/internal/msgrpc"
 )
 
-// clientConn is one connection of a client. Its goroutine reads, and alone decides that the connection takes nothing more: a
-// job was either read before, or never. The turn answers through the outbox.
+// clientConn is one client connection. Its goroutine reads, and it alone decides that nothing more is read: a request
+// was either read before that, or never. The event loop answers through the write queue.
 type clientConn struct {
 	router        *Router
 	conn          net.Conn
@@ -22,34 +22,34 @@
 	tracked       *trackedConn
 	writes        writeQueue
 	mu            sync.Mutex
-	open          map[uint32]*request // by number
-	lastNumber    uint32              // number
-	healthChecks  int                 // answers to isWell
+	open          map[uint32]*request // by message number
+	lastNumber    uint32              // the largest so far
+	healthChecks  int                 // health checks not answered yet
 	awaiting      bool                // the reader waits between messages
-	closing       bool                // it ends as soon as nothing is open
-	aborting      bool                // and no message is waited for
-	readUntil     time.Time           // nothing is read later; zero: no bound
+	closing       bool                // it closes as soon as nothing is open
+	aborting      bool                // it closes even amid a message
+	readUntil     time.Time           // only what is pending is read later; zero: no bound
 	faults        int
-	rejected      bool                       // it is read to be turned away, and takes no room
-	refusal       func(number uint32) []byte // the reader's: what each further job is told; nil: they are taken
-	unanswered    bool                       // the reader's: the job that it handles has no answer yet, and is not open
+	rejected      bool                       // it is read only to be rejected, and does not count towards the limit
+	refusal       func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
+	unanswered    bool                       // the reader's: the request it handles has no answer yet, and is not open
 	sentMessage   atomic.Bool                // a whole message was read
-	idleSince     atomic.Int64               // since when nothing is open, the router's time
-	drainTime     time.Duration              // how long the other direction is read after all is written
+	idleSince     atomic.Int64               // since when nothing is open, on the router's clock
+	drainTime     time.Duration              // how long input is read after all is written
 	closed        chan struct{}              // closed once the descriptor is free
-	draining      atomic.Bool                // all is written; it is only read on
+	draining      atomic.Bool                // all is written; input is only read and dropped
 	closedNow     atomic.Bool
-	closeNowAsked chan struct{} // closed where it is not read on
+	closeNowAsked chan struct{} // closed to end the draining
 }
 
-// hasLeft tells whether the client has no use for an answer any more.
+// hasLeft reports whether the client no longer waits for a request's answer.
 func (c *clientConn) hasLeft(req *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[req.number] != req
 }
 
-// closeNow closes a connection at once that is only read on.
+// closeNow closes a connection at once that only drains.
 func (c *clientConn) closeNow() {
 	if c.draining.Load() && c.closedNow.CompareAndSwap(false, true) {
 		close(c.closeNowAsked)
@@ -57,16 +57,18 @@
 	}
 }
 
-// idle tells whether nothing is open, and whether it was told to end.
+// idle reports whether nothing is open on the connection, and whether it is closing.
 func (c *clientConn) idle() (idle, ending bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nothingOpen(), c.closing
 }
 
+// nothingOpen reports whether no request and no health check is open. The lock is held.
 func (c *clientConn) nothingOpen() bool { return len(c.open) == 0 && c.healthChecks == 0 }
 
-// closeWhenIdle has the reader end the connection once nothing is open, after a last look for a message. It is read on for a while.
+// closeWhenIdle makes the reader close the connection once nothing is open, after a last read. It then drains for
+// drainTime.
 func (c *clientConn) closeWhenIdle(drainTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +78,8 @@
 	c.wakeReader()
 }
 
-// abort has the reader end the connection though a message has begun: guards against those that never end, by the hundred.
+// abort makes the reader close the connection even amid a message. It guards against clients that never complete
+// theirs, by the hundred.
 func (c *clientConn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +89,8 @@
 	}
 }
 
-// closeBy has the reader end the connection once nothing is open, or then whatever is open, after a last look for what is here.
-// Guards against clients that go on sending, so that there is always something open.
+// closeBy makes the reader close the connection once nothing is open, or after timeout whatever is open, after a last
+// read. It guards against clients that go on sending, so that something is always open.
 func (c *clientConn) closeBy(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,26 +102,27 @@
 	}
 }
 
-// readTimeOver tells whether nothing more is read, though more may be here: guards against clients that send faster than they are read.
+// readTimeOver reports whether reading ends though more may be pending. It guards against clients that send faster
+// than they are read.
 func (c *clientConn) readTimeOver() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pastReadTime() && c.in.lateBytes > maxInTransit
 }
 
-// pastReadTime tells whether only what is here is read.
+// pastReadTime reports whether only what is pending is still read. The lock is held.
 func (c *clientConn) pastReadTime() bool {
 	return !c.readUntil.IsZero() && !time.Now().Before(c.readUntil)
 }
 
-// wakeReader wakes a reader that waits for a message on a connection that may end.
+// wakeReader wakes a reader that waits for a message on a connection that may close. The lock is held.
 func (c *clientConn) wakeReader() {
 	if c.closing && c.awaiting && c.nothingOpen() {
 		c.conn.SetReadDeadline(time.Now())
 	}
 }
 
-// awaitMessage waits for the first byte of the next message; no ends the connection.
+// awaitMessage waits for the first byte of the next message; false: the connection is to end.
 func (c *clientConn) awaitMessage(in *msgrpc.Reader, firstDeadline time.Time) bool {
 	for {
 		c.mu.Lock()
@@ -152,7 +156,7 @@
 	}
 }
 
-// setMessageDeadline sets how long a message that has begun may take.
+// setMessageDeadline sets the deadline for the rest of a message that has begun.
 func (c *clientConn) setMessageDeadline(firstDeadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +173,7 @@
 	}
 }
 
-// readLoop reads until the connection ends. It owns the connection's end: all that is open then is over.
+// readLoop reads until the connection ends. It owns the connection's end: all that is open then is cancelled.
 func (c *clientConn) readLoop() {
 	defer c.router.recoverPanic("reading a client")
 	defer c.finish()
@@ -207,7 +211,7 @@
 	}
 }
 
-// handle does what a message asks. Should a fault of our own end that, all that its connection asks has an error, and it ends.
+// handle handles a message. After a panic it fails every request of the connection, and closes it.
 func (c *clientConn) handle(m *msgrpc.Message) {
 	completed := false
 	defer func() {
@@ -231,7 +235,8 @@
 	completed = true
 }
 
-// refuseFurther has the connection take no job any more: all that is open is over, and what was sent behind it, whole, is told so too.
+// refuseFurther fails all requests open on the connection, answers those already sent behind them with refusal, and
+// closes the connection.
 func (c *clientConn) refuseFurther(refusal func(number uint32) []byte) {
 	c.refusal = refusal
 	c.failOpen()
@@ -239,13 +244,13 @@
 	c.closeBy(drainAfterBadInput)
 }
 
-// reply answers the job that the reader handles.
+// reply answers the request that the reader is handling.
 func (c *clientConn) reply(data []byte) {
 	c.unanswered = false
 	c.post(data)
 }
 
-// handleHealthCheck is answered by the turn: a router whose turns stand still is not well.
+// handleHealthCheck lets the event loop answer: a router whose event loop hangs is not healthy.
 func (c *clientConn) handleHealthCheck(number uint32) {
 	c.mu.Lock()
 	c.healthChecks++
@@ -259,16 +264,19 @@
 	})
 }
 
+// post queues a message to the client.
 func (c *clientConn) post(data []byte) { c.writes.post(queuedFrame{data: data}) }
 
+// tolerableFaults and excessiveFaults are the numbers of malformed or refused messages on one connection from which
+// on penalize acts.
 const (
-	tolerableFaults = 64 // no usual client makes as many on one connection
+	tolerableFaults = 64 // no well-behaved client causes as many
 	excessiveFaults = 1000
 )
 
-// penalize slows down a client whose messages are wrong. Guards against floods of them, whose answers would cost the others
-// their part of the core: some hundreds at once are answered within the time that such a client is owed. While its reader
-// sleeps a cancelled job would go unnoticed, so that none of such a client is open from then on.
+// penalize slows down a client whose messages are malformed. It guards against floods of them, whose answers would
+// cost others their share of the core: some hundreds at once are answered within the time that such a client is owed.
+// While its reader sleeps a cancellation would go unnoticed, so that none of its requests stays open from then on.
 func (c *clientConn) penalize() {
 	switch c.faults++; {
 	case c.faults == tolerableFaults:
@@ -280,7 +288,7 @@
 	}
 }
 
-// handleCall takes a job.
+// handleCall validates a request and posts it to the event loop.
 func (c *clientConn) handleCall(m *msgrpc.Message) {
 	if c.refusal != nil {
 		c.reply(c.refusal(m.Number))
@@ -304,7 +312,7 @@
 	}
 	c.mu.Unlock()
 	if !rising {
-		// Whose answer would be whose? Nobody can tell, so that no job of this connection gets one that counts.
+		// Answers could not be told apart, so that no request of this connection gets one that counts.
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
 		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
 		c.refuseFurther(func(number uint32) []byte { return msgrpc.Invalid(number, "sent behind a number that did not rise") })
@@ -319,7 +327,8 @@
 	c.router.queue.Post(func(now control.Micros) { c.router.handleRequest(now, req) })
 }
 
-// handleForget ends a job whose client stopped waiting. From here on nothing of it is written, whenever the turn hears of it.
+// handleForget cancels a request. No attempt of it is written from here on, whenever the event loop handles the
+// cancellation.
 func (c *clientConn) handleForget(number uint32) {
 	c.mu.Lock()
 	req := c.open[number]
@@ -333,7 +342,7 @@
 	}
 }
 
-// failOpen ends all that is open here with an error.
+// failOpen fails every request open on the connection.
 func (c *clientConn) failOpen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -345,7 +354,8 @@
 	clear(c.open)
 }
 
-// finish ends the connection, after what waits to be written. It counts as one until its descriptor is free.
+// finish closes the connection after what is queued is written. It counts as a connection until its descriptor is
+// free.
 func (c *clientConn) finish() {
 	c.failOpen()
 	c.mu.Lock()
@@ -367,8 +377,9 @@
 	close(c.closed)
 }
 
-// drainAfterClose reads what a client still sends, and drops it, until it has closed too. Guards against the reset that a close
-// makes of unread input, which may overtake the last answer; beyond a bound nothing is read, so that a flood costs nothing.
+// drainAfterClose reads and discards what the client still sends until it closes too, at most for drainTime. It
+// guards against the reset that closing with unread input causes, which may overtake the last answer. Beyond
+// maxInTransit nothing is read, so that a flood costs nothing.
 func (c *clientConn) drainAfterClose(drainTime time.Duration) {
 	until := time.Now().Add(drainTime)
 	c.conn.SetReadDeadline(until)
@@ -380,7 +391,7 @@
 	}
 }
 
-// respond gives a job its answer.
+// respond sends a request's answer, if its client still waits for one.
 func (c *clientConn) respond(req *request, data []byte) {
 	c.mu.Lock()
 	open := c.open[req.number] == req
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -13,48 +13,56 @@
 )
 
 const (
-	// maxOpenPerClient is how many jobs a connection may have open, as the protocol tells.
+	// maxOpenPerClient is how many requests a connection may have open, as the protocol states.
 	maxOpenPerClient = 32
-	// firstMessageTimeout and restWithin bound what a client may take for its first message, from when it connected, and for one
-	// that it has begun. Bad ones are owed an end within 3 s; a usual one sends a message in one piece.
+	// firstMessageTimeout and messageTimeout bound the time for a client's first message, from the connection on,
+	// and for a message that has begun. A client that sends malformed ones must be closed within 3 s; a well-behaved
+	// one sends a message in one piece.
 	firstMessageTimeout, messageTimeout = 2 * time.Second, 2 * time.Second
-	// finalReadTime is for how long a connection is read on whose end waits no longer, not even for what is open: some last looks.
+	// finalReadTime is for how long a connection is read that must close now, even with requests open: several times
+	// lastReadTime.
 	finalReadTime = 5 * lastReadTime
-	// maxInTransit is all that a usual client may have on the way, half of it with the longest bodies.
+	// maxInTransit is all that a well-behaved client may have in transit, half of it with the longest bodies.
 	maxInTransit = 256 << 10
-	// rejectReadTime is for how long a connection is read for which there is no room: several times what a request takes behind its
-	// connection. awayMost is how many are at once: of the descriptors that are spare, less than half.
+	// rejectReadTime is for how long a connection beyond the limit is read: several times what a request takes to
+	// follow its connection. maxRejecting is how many are read at once: less than half of the spare descriptors.
 	rejectReadTime, maxRejecting = 20 * time.Millisecond, 16
-	// clientIdleTimeout closes connections with nothing open: usual clients do so after 4 s, some never.
+	// clientIdleTimeout closes connections with nothing open: well-behaved clients close them after 4 s, some never
+	// do.
 	clientIdleTimeout = 6 * time.Second
-	// maxUnreadByClient is how much may wait for a client to read: the answers to all that it may have open.
+	// maxUnreadByClient bounds the bytes queued for a client: the answers to all that it may have open.
 	maxUnreadByClient = maxOpenPerClient * (msgrpc.MaxBody + 1024)
-	// lastReadTime is for how long a connection is read once its time is up: what is here already is read at once, so that the
-	// shortest time that a timer keeps is enough.
+	// lastReadTime is for how long a connection is read once its time is up: what is pending is read at once, so
+	// that the shortest time that a timer keeps is enough.
 	lastReadTime = 2 * time.Millisecond
-	// A connection that ends idle is read on for as long as a request may cross the close. One that ends after a message
-	// that can't be read is given the time to read why: the rest of 3 s after firstWithin, halved.
+	// A connection that closes idle is read for drainAfterIdle, as long as a request may cross the close. One that
+	// closes after an unreadable message is given drainAfterBadInput to read the error: half of what is left of 3 s
+	// after firstMessageTimeout.
 	drainAfterIdle, drainAfterBadInput = 50 * time.Millisecond, 500 * time.Millisecond
-	// roomMargin is by how many connections room is made before the bound: a thousand a second come while one ends, which takes a
-	// last look, and the reader's turn on a shared core. A quarter of what is kept back for accepts and dials would do.
+	// roomMargin is how many connections before the limit idle ones are closed: a thousand a second may come while
+	// one closes, which takes a last read and a scheduling delay of a shared core. A quarter of reservedSockets
+	// would do.
 	roomMargin = 32
-	// closeBatch is how many more are ended than is needed: choosing them takes a look at all. Of some hundred, a few.
+	// closeBatch is how many more connections are closed than needed, since choosing them scans all: a few of some
+	// hundred.
 	closeBatch = 8
-	// descriptorWait is how long an accept or a dial waits for a descriptor: several such times.
+	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times what closing a
+	// connection takes.
 	descriptorWait = 50 * time.Millisecond
-	// acceptAgain is when an accept that failed is tried again; doubled up to closing while it fails.
+	// acceptAgain is the first pause before a failed accept is retried, doubled up to descriptorWait while it fails.
 	acceptAgain = time.Millisecond
 )
 
-// listener is what is used of a listening socket.
+// listener is what accept uses of a listening socket.
 type listener interface {
 	Accept() (net.Conn, error)
 	SetDeadline(at time.Time) error
 	Close() error
 }
 
-// accept takes connections until the listener closes, or its deadline passes with none waiting: then it closes it. No other error
-// ends it: the machine's resources may be short for a while, and a connection may have broken before it was taken.
+// accept accepts connections until the listener closes, or its deadline passes with none pending; then it closes the
+// listener. No other error ends it: the machine may be short of resources for a while, and a connection may break
+// before it is accepted.
 func (r *Router) accept(l listener) {
 	defer l.Close()
 	pause, checked, until := acceptAgain, false, time.Time{}
@@ -71,17 +79,17 @@
 			if checked || now.After(until) {
 				return
 			}
-			// What waits may not have been looked at since this was elsewhere.
+			// Connections may have come while this goroutine was not accepting.
 			checked = true
 			l.SetDeadline(now.Add(lastReadTime))
 			continue
 		case err != nil:
 			r.countAnomaly("accept failed")
 			checked = false
-			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) { // descriptors of our own; what else is short idle clients can't give
+			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) { // only this process's own descriptors can be freed by closing clients
 				continue
 			}
-			time.Sleep(pause) // guards against a loop at full speed
+			time.Sleep(pause) // guards against a busy loop
 			pause = min(2*pause, descriptorWait)
 			continue
 		}
@@ -95,8 +103,9 @@
 	}
 }
 
-// rejectConn has a connection read for which there is no room: what it asks is pushed back, and it ends. Guards against requests that
-// are lost on a connection that this machine accepted. So many are read at once; the others wait, unread, for those to end.
+// rejectConn reads a connection beyond the limit, rejects its requests, and closes it. It guards against requests
+// lost on a connection that this machine has accepted. At most maxRejecting are read at once; it blocks until this
+// one may be.
 func (r *Router) rejectConn(conn net.Conn) {
 	r.rejecting <- struct{}{}
 	c := r.newClient(conn, true)
@@ -112,13 +121,14 @@
 	}()
 }
 
-// serveClient has a connection read.
+// serveClient starts to read a client connection.
 func (r *Router) serveClient(conn net.Conn) *clientConn {
 	c := r.newClient(conn, false)
 	go c.readLoop()
 	return c
 }
 
+// newClient registers a client connection; a rejected one does not count towards the limit.
 func (r *Router) newClient(conn net.Conn, rejected bool) *clientConn {
 	tracked := newTrackedConn(conn)
 	c := &clientConn{router: r, rejected: rejected, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked, open: map[uint32]*request{}, drainTime: drainAfterIdle,
@@ -132,10 +142,10 @@
 	return c
 }
 
-// hasRoom tells whether there is room for one more connection, and makes some before it is short: ending one takes a last look
-// at it, for which accepts should not have to wait.
+// hasRoom reports whether one more connection may be served. It closes idle ones before the limit is reached: each
+// takes a last read, for which accepts should not have to wait.
 func (r *Router) hasRoom() bool {
-	margin := min(roomMargin, r.maxClients/4) // three eighths of all descriptors stay: usual clients hold a third
+	margin := min(roomMargin, r.maxClients/4) // leaves three eighths of all descriptors: well-behaved clients hold a third
 	r.mu.Lock()
 	over := len(r.clients) - r.rejectedConns + 1 - (r.maxClients - margin)
 	r.mu.Unlock()
@@ -149,7 +159,7 @@
 	return r.makeRoom(over + closeBatch)
 }
 
-// makeRoom ends connections, and waits until the first of them has given its descriptor back.
+// makeRoom closes n idle connections and reports whether the first has freed its descriptor within descriptorWait.
 func (r *Router) makeRoom(n int) bool {
 	first := r.closeIdleClients(n)
 	if first == nil {
@@ -163,8 +173,9 @@
 	}
 }
 
-// closeIdleClients has n connections end, those counted that do already: first the ones that are only read on, which close at once; then
-// those that have had nothing open for longest, before them those that have said nothing. It gives the first.
+// closeIdleClients closes n idle connections, counting those that are closing already: first those that only drain,
+// which close at once; then those that never sent a message; then those that have been idle for longest. It returns
+// the first, or nil.
 func (r *Router) closeIdleClients(n int) (first *clientConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,7 +18,7 @@
 	"hollymast/internal/wire"
 )
 
-// Config is what the platform tells a router.
+// Config is a router's configuration.
 type Config struct {
 	Name             string
 	Listen           string
@@ -39,11 +39,11 @@
 	maxStreams        int
 	grace             control.Micros
 	loadTimeout       control.Micros
-	memoryMB          float64          // of the largest server; 0: not told
-	wall              func() time.Time // the wall clock; read once, at the start
+	memoryMB          float64          // of the largest server; 0: not configured
+	wall              func() time.Time // the wall clock, read once at the start
 }
 
-// document is the configuration file.
+// document is the configuration file as JSON.
 type document struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -58,12 +58,12 @@
 	Settings json.RawMessage   `json:"settings"`
 }
 
-// Environment gives the variables that the platform sets.
+// Environment holds what the environment sets: Name and Listen override the file's, File is the file's path.
 type Environment struct {
 	Name, Listen, File string
 }
 
-// LoadConfig reads the configuration; what the environment tells beside it comes before.
+// LoadConfig reads and validates the configuration file; values of env take precedence.
 func LoadConfig(env Environment) (*Config, error) {
 	text, err := os.ReadFile(env.File)
 	if err != nil {
@@ -76,10 +76,11 @@
 	return c, nil
 }
 
-// configWriteTime is for how long a file that ends too early may be on its way at the start.
+// configWriteTime is for how long a truncated file at the start may be one that is still being written.
 const configWriteTime = time.Second
 
-// LoadConfigAtStart is ReadTold at a start, which may meet the file while it is written.
+// LoadConfigAtStart is LoadConfig for a process's start, which may find the file half written: it retries for
+// configWriteTime.
 func LoadConfigAtStart(env Environment) (*Config, error) {
 	for begin := time.Now(); ; time.Sleep(firstReread) {
 		c, err := LoadConfig(env)
@@ -90,6 +91,7 @@
 	}
 }
 
+// parseConfig parses and validates the file's text.
 func parseConfig(text []byte, env Environment) (*Config, error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -104,7 +106,7 @@
 		return nil, err
 	}
 	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
-	const plenty = 20_000 // as the start settings allow a router to hold open
+	const plenty = 20_000 // what the settings allow a router to hold open
 	c := &Config{Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
 		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, plenty), DiscoveryAddress: doc.Board, History: doc.Known,
 		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -8,19 +8,22 @@
 	"time"
 )
 
-// deadlineReader reads from a connection with a deadline. Guards against a deadline that passed while this process stood still, or got
-// no processor: what is here by then is read before the deadline counts, all of it.
+// deadlineReader reads from a connection with a deadline that bounds when bytes arrive, not when they are read. It
+// guards against a deadline that passed while this process was stalled or had no processor: what has arrived by then
+// is read, all of it, before the deadline counts.
 type deadlineReader struct {
 	conn        net.Conn
-	lookedAgain bool // nothing was here
-	lateBytes   int  // bytes that were read after a deadline
+	lookedAgain bool // nothing was pending after the deadline
+	lateBytes   int  // bytes read after a deadline
 }
 
+// setDeadline sets the deadline of later reads; zero: none.
 func (d *deadlineReader) setDeadline(at time.Time) {
 	d.lookedAgain = false
 	d.conn.SetReadDeadline(at)
 }
 
+// Read reads; past the deadline only what is pending, and then returns os.ErrDeadlineExceeded.
 func (d *deadlineReader) Read(b []byte) (int, error) {
 	n, err := d.conn.Read(b)
 	if n == 0 && !d.lookedAgain && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -31,14 +34,14 @@
 	return n, err
 }
 
-// readPending reads what is here, without waiting where the connection lets it.
+// readPending reads what is pending, without blocking where the connection supports that.
 func (d *deadlineReader) readPending(b []byte) (n int, err error) {
 	readNow := d.nonBlockingRead()
 	if readNow == nil {
 		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
 		return d.conn.Read(b)
 	}
-	const most = 8 // others may have the deadline pass again before the look
+	const most = 8 // the deadline may pass again before the read
 	for tries := 0; tries < most; tries++ {
 		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
 		switch n, err = readNow(b); {
@@ -52,7 +55,7 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// nonBlockingRead gives what reads without waiting, EAGAIN where nothing is here; nil where the connection can't.
+// nonBlockingRead returns a read that returns EAGAIN where nothing is pending, or nil where the connection has none.
 func (d *deadlineReader) nonBlockingRead() func(b []byte) (int, error) {
 	switch c := d.conn.(type) {
 	case *trackedConn:
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -5,7 +5,7 @@
 	"hollymast/internal/fleet"
 )
 
-// handleUpdate takes in what the notice board told.
+// handleUpdate applies an update from discovery, full or incremental.
 func (r *Router) handleUpdate(now control.Micros, update fleet.Update) {
 	if update.Full {
 		r.handleEndpoints(now, update.Endpoints)
@@ -20,7 +20,7 @@
 	}
 }
 
-// handleEndpoints takes in the complete list of servers.
+// handleEndpoints applies a complete endpoint list.
 func (r *Router) handleEndpoints(now control.Micros, all []fleet.Endpoint) {
 	r.core.UpdateEndpoints(now, control.FullUpdate, r.fleet.FullUpdate(now, all))
 	for _, pool := range r.pools {
@@ -28,13 +28,14 @@
 	}
 }
 
-// refreshPool ends the connections to a server that takes nothing new, or lives another life.
+// refreshPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
+// incarnation).
 func (r *Router) refreshPool(now control.Micros, pool *serverPool) {
 	s := r.fleet.Get(pool.id)
 	if s == nil || s.State != control.Ready || s.Address != pool.address || control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
 		r.afterDrain.record(pool.firstByte.Load() - int64(r.endpointsAsOfBefore))
 		r.withdrawFrom(now, pool)
-		if s != nil && s.State == control.Ready { // another life: other connections
+		if s != nil && s.State == control.Ready { // another incarnation gets a pool of its own
 			delete(r.pools, pool.id)
 		}
 	}
@@ -43,7 +44,8 @@
 	}
 }
 
-// withdrawFrom takes back all that is not being written to a server that takes nothing new, and its connections with the rest.
+// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and retires its
+// connections: each closes with the last answer that is open on it.
 func (r *Router) withdrawFrom(now control.Micros, pool *serverPool) {
 	for _, sc := range append([]*serverConn(nil), pool.conns...) {
 		for _, call := range sortedByID(sc.open) {
@@ -55,7 +57,8 @@
 	}
 }
 
-// prune closes connections that are idle for nearly as long as servers allow, and forgets servers that are gone.
+// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that none meets
+// the server's own close, and forgets removed servers whose connections have ended.
 func (r *Router) prune(now control.Micros) {
 	const every = 500_000 // idle times are many seconds
 	if now < r.prunedAt+every {
@@ -73,7 +76,7 @@
 	}
 	for id, pool := range r.removedPools {
 		if s := r.fleet.Get(id); s != nil && s.State != control.Removed || r.pools[id] != pool {
-			delete(r.removedPools, id) // it has returned
+			delete(r.removedPools, id) // the server has returned
 		} else if len(pool.conns) == 0 {
 			delete(r.removedPools, id)
 			delete(r.pools, id)
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -11,19 +11,21 @@
 	"hollymast/internal/msgrpc"
 )
 
-// Log writes a line in the log.
+// Log logs a text of the core's.
 func (r *Router) Log(text string) { r.log.Info().Msg(text) }
 
-// countAnomaly notes what is out of order; one line tells of all in some seconds, so that a flood costs no log.
+// countAnomaly counts an anomaly for the next state log line: one line for all, so that a flood of faults does not
+// flood the log.
 func (r *Router) countAnomaly(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.anomalies[what]++
 }
 
+// countBadMessage counts a client message that breaks the protocol.
 func (r *Router) countBadMessage(f *msgrpc.Fault) { r.countAnomaly("bad message: " + f.Text) }
 
-// logState writes that line.
+// logState logs the state line: connections, requests, and the anomalies since the last one.
 func (r *Router) logState() {
 	r.mu.Lock()
 	var parts []string
@@ -39,9 +41,10 @@
 		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
 }
 
-// peak is the largest of some numbers that several goroutines note; none: 0.
+// peak is a maximum that several goroutines record into; zero when there was none.
 type peak struct{ atomic.Int64 }
 
+// record raises the peak to n if n is larger.
 func (p *peak) record(n int64) {
 	for {
 		old := p.Load()
@@ -51,10 +54,10 @@
 	}
 }
 
-// take gives it and begins anew.
+// take returns the peak and resets it.
 func (p *peak) take() int64 { return p.Swap(0) }
 
-// traceRejections tells why jobs are turned away, where the log is told to.
+// traceRejections logs the reason for each rejection and failure, at trace level.
 func (r *Router) traceRejections() error {
 	if r.log.Trace() == nil {
 		return nil
@@ -76,6 +79,7 @@
 	}})
 }
 
+// countOf returns 1 for true and 0 for false.
 func countOf(is bool) int {
 	if is {
 		return 1
@@ -83,7 +87,7 @@
 	return 0
 }
 
-// logAttempt tells of one execution or order, where the log is told to.
+// logAttempt logs the end of an attempt or load command, at debug level.
 func (r *Router) logAttempt(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
 	event := r.log.Debug()
 	if event == nil {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Reload takes in a new configuration: where the notice board is. The rest needs a restart.
+// Reload applies a changed configuration: the address of the discovery service. Everything else needs a restart.
 func (r *Router) Reload(config *Config) { r.discovery.SetAddress(config.DiscoveryAddress) }
 
-// Between two tries to read a configuration: first about as long as a file takes to be written, then less often, for one that
-// stays broken.
+// firstReread and longestReread bound the pause between two attempts to read a configuration: at first about as long
+// as a file takes to be written, then doubled, for one that stays broken.
 const firstReread, longestReread = 20 * time.Millisecond, time.Second
 
-// ReloadOn reads the configuration again at each signal. Until it can be read, as when it is half written, the old one stands
-// and it is tried again.
+// ReloadOn reloads the configuration at each signal, until ctx ends. While it can't be read, as when it is half
+// written, the old one stays in force and reading is retried.
 func (r *Router) ReloadOn(ctx context.Context, signals <-chan os.Signal, env Environment) {
 	for {
 		select {
@@ -29,7 +29,7 @@
 				r.log.Info().Str("board", config.DiscoveryAddress).Msg("reloaded")
 				break
 			}
-			if err.Error() != lastError { // once for each fault
+			if err.Error() != lastError { // log each distinct error once
 				lastError = err.Error()
 				r.log.Error().Err(err).Msg("configuration refused: the old one stands, and it is read again")
 			}
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -9,29 +9,29 @@
 	"hollymast/internal/msgrpc"
 )
 
-// request is a job as its client's connection and its executions see it.
+// request is a client's request as its connection and its attempts see it. The event loop owns it, except abandoned.
 type request struct {
 	id        control.RequestID
 	number    uint32
 	client    *clientConn
 	message   msgrpc.Request
-	readAt    control.Micros // when its last byte was
-	cameAt    control.Micros // when it may have come: before, where the process stood still
-	abandoned atomic.Bool    // its client has cancelled or closed: no execution begins
+	readAt    control.Micros // when its last byte was read
+	cameAt    control.Micros // when it may have arrived: before readAt where the process stalled
+	abandoned atomic.Bool    // its client has cancelled or closed: no attempt begins
 	class     control.ClassID
 	tenant    control.TenantID
 	answer    attempt.FinalAnswer
 	attempts  []*serverCall
 }
 
-// networkDelay is what of a client's patience goes by before its job is here, and before its answer is there: a millisecond or
-// two each, and several where the core is shared.
+// networkDelay is the part of a client's deadline, in microseconds, that is spent on the network before its request
+// is here and before its answer is there: a millisecond or two each, and several where the core is shared.
 const networkDelay = 10_000
 
-// handleRequest takes a job in hand.
+// handleRequest hands a request to the core, unless its client has left or the router is stopping.
 func (r *Router) handleRequest(now control.Micros, req *request) {
 	if req.client.hasLeft(req) {
-		return // before this turn
+		return // before this step
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
 		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
@@ -39,7 +39,7 @@
 	}
 	if r.requests[req.id] != nil {
 		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
-		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // which of the two was meant?
+		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // ambiguous: both end
 			r.core.Cancel(now, other.id)
 			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
 		}
@@ -57,26 +57,27 @@
 	}
 }
 
-// finish gives a job its one final answer.
+// finish gives a request its one final answer and withdraws what of it is not written yet. No data: no answer is
+// sent.
 func (r *Router) finish(req *request, data []byte) {
 	if !req.answer.Give() {
 		return
 	}
-	for _, call := range req.attempts { // nothing is sent for a job that has its answer
+	for _, call := range req.attempts { // an answered request is not sent any more
 		call.withdraw()
 	}
 	req.client.respond(req, data)
 	r.release(req)
 }
 
-// release forgets a job that has its answer and no execution out.
+// release forgets a request that is answered and has no attempt in flight.
 func (r *Router) release(req *request) {
 	if req.answer.Done() && r.requests[req.id] == req {
 		delete(r.requests, req.id)
 	}
 }
 
-// handleCancel takes in that a job's client no longer waits.
+// handleCancel ends a request whose client waits no longer.
 func (r *Router) handleCancel(now control.Micros, req *request) {
 	req.client.mu.Lock()
 	if req.client.open[req.number] == req {
@@ -90,14 +91,15 @@
 	r.finish(req, nil)
 }
 
-// Forward starts an execution.
+// Forward starts an attempt of a request on a server, to end within timeout. It is part of core.Executor, as are
+// Reject, Fail, CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer; the core calls them within a step.
 func (r *Router) Forward(coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros) {
 	req := r.requests[coreReq.ID]
 	call := r.newCall(to, timeout)
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
 	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
 		for _, earlier := range coreReq.Attempts[:attemptID] {
-			if earlier.MayHaveRun { // the group must still remember it when this one comes
+			if earlier.MayHaveRun { // the servers must still remember the key when this attempt arrives
 				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
 			}
 		}
@@ -110,24 +112,26 @@
 	r.dispatch(r.stepTime, call, nil)
 }
 
+// newCall returns a call chosen in this step, to end within timeout, that must not be written later than its endpoint
+// list allows.
 func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
 	return &serverCall{router: r, to: to, chosenAt: r.stepTime, deadline: r.stepTime + timeout, clientDeadline: r.stepTime + timeout, endpointsAsOf: r.endpointsAsOf,
 		writeBefore: min(r.stepTime+timeout, attempt.WriteUntil(r.endpointsAsOf, r.config.grace))}
 }
 
-// Reject and Kill end a job.
+// Reject ends a request that did not run; its client may retry after retryAfter.
 func (r *Router) Reject(id control.RequestID, retryAfter control.Micros) {
 	req := r.requests[id]
 	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
 }
 
-// Fail ends a job of which nothing may be promised.
+// Fail ends a request that may have run and must not be repeated.
 func (r *Router) Fail(id control.RequestID) {
 	req := r.requests[id]
 	r.finish(req, msgrpc.Failure(req.number))
 }
 
-// CancelAttempt stops waiting for an execution.
+// CancelAttempt stops waiting for an attempt; its end is reported in the next step.
 func (r *Router) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
 	req := r.requests[id]
 	if req == nil || int(attemptID) >= len(req.attempts) {
@@ -146,23 +150,23 @@
 	r.queue.Post(func(now control.Micros) { r.callEnded(now, call, result, nil) })
 }
 
-// Load orders copies of a job's function.
+// Load sends a load command to a server.
 func (r *Router) Load(_ *control.Request, command control.LoadCommand) {
 	call := r.newCall(command.Server, r.config.loadTimeout)
 	call.load, call.id = command, r.loadCommandID()
 	r.dispatch(r.stepTime, call, binframe.LoadFrame(call.id, command.Function, command.Replicas))
 }
 
-// SubscribeEndpoints has nothing to do: the board is followed in any case.
+// SubscribeEndpoints does nothing: the router always watches discovery.
 func (r *Router) SubscribeEndpoints() {}
 
-// SetTimer sets the one timer.
+// SetTimer sets the one timer, replacing its time.
 func (r *Router) SetTimer(at control.Micros) {
 	r.timerAt = at
 	r.timer.Reset(duration(max(0, at-r.now())))
 }
 
-// attemptEnded takes in the end of an execution.
+// attemptEnded reports an attempt's outcome to the core, and delivers its answer where that is final.
 func (r *Router) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, answer *binframe.Answer) {
 	req := call.request
 	if req.answer.AttemptEnded(outcome.Result) == attempt.Deliver {
@@ -175,7 +179,7 @@
 	r.release(req)
 }
 
-// loadCommandID is an id for an order that is none of a job's on any connection.
+// loadCommandID returns an id for a load command that is no open request's: both share the connections.
 func (r *Router) loadCommandID() binframe.ID {
 	for {
 		id := binframe.ID(r.random.Uint64())
@@ -185,7 +189,8 @@
 	}
 }
 
-// validate holds what a client asks against the settings; the text tells what is wrong.
+// validate checks a request against the settings and sets its class and tenant. It returns what is wrong, or the
+// empty string.
 func (r *Router) validate(msg *msgrpc.Request, req *request) string {
 	var ok bool
 	if req.class, ok = r.config.classes[msg.Class]; !ok {
@@ -195,7 +200,7 @@
 		return "unknown project"
 	}
 	class := r.config.Deployment.Classes[req.class]
-	if msg.Timeout > 2*class.MaxDeadline { // a client waits no longer than that in all; twice, for those that round
+	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in all; twice that allows for rounding
 		return "allow: longer than the class allows"
 	}
 	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -1,6 +1,7 @@
-// Package platform is one real router on the operators' platform: client connections, server connections and the notice
-// board round one core. One goroutine owns the core, takes its turns and carries out what it asks; connections have
-// goroutines of their own. Nothing that may wait happens within a turn, and nothing is decided here.
+// Package platform is a router as a network service: it connects client connections, server connections and the
+// discovery service to one core. One goroutine runs the event loop: it owns the core and carries out what the core
+// decides. Each connection has a goroutine of its own. Nothing in an event-loop step blocks, and no decision is taken
+// in this package.
 package platform
 
 import (
@@ -26,68 +27,71 @@
 	"hollymast/internal/fleet"
 )
 
-// Router is one router.
+// Router is one router process: its listener, its connections and its event loop. Create it with New, run it with
+// Serve.
 type Router struct {
 	config  *Config
 	log     zerolog.Logger
 	started time.Time
-	epoch   control.Micros // the router's time at its start: the Unix clock's, from then on monotonic
+	epoch   control.Micros // the router's clock at its start: Unix time, monotonic from then on
 
-	// The turn's own; touched by no other goroutine.
+	// Owned by the event loop; no other goroutine touches these.
 	core            *core.Core
 	fleet           *fleet.Fleet
 	requests        map[control.RequestID]*request
 	pools           map[control.ServerID]*serverPool
-	serverConnCount int                              // connections to servers
-	connsByIdle     *list.List                       // of *link: all that are not dropped, by when something last began or ended on them
-	removedPools    map[control.ServerID]*serverPool // to servers that are gone, until prune finds their connections ended
+	serverConnCount int                              // server connections, all pools
+	connsByIdle     *list.List                       // *serverConn that are in use, least recently used first
+	removedPools    map[control.ServerID]*serverPool // pools of removed servers, until their connections have ended
 	timer           *time.Timer
 	timerAt         control.Micros // when the timer fires
 	prunedAt        control.Micros
-	stepTime        control.Micros // this turn's, or the last one's
-	endpointsAsOf   control.Micros // as of when the list that this turn chooses from was complete
-	// endpointsAsOfBefore is listAsOf of the turn before: a change that this turn takes in was told after that.
+	stepTime        control.Micros // of this step, or of the last one
+	endpointsAsOf   control.Micros // when the endpoint list that this step chooses from was complete
+	// endpointsAsOfBefore is endpointsAsOf of the step before: an endpoint change that this step handles was
+	// announced after that time.
 	endpointsAsOfBefore   control.Micros
-	endpointsCompleteAsOf control.Micros // the last time of which it is known that the list was complete; 0: none is
-	stopRequestedAt       control.Micros // to stop; 0: not
-	random                *rand.PCG      // for the ids of orders; decides nothing
+	endpointsCompleteAsOf control.Micros // latest time for which the list is known to be complete; 0: none
+	stopRequestedAt       control.Micros // 0: not stopping
+	random                *rand.PCG      // for load commands' ids; no decision depends on it
 
-	// Shared.
+	// Shared with other goroutines.
 	queue         *eventqueue.Queue
 	calls         calls
 	stalls        stallDetector
 	discovery     *discovery.Client
 	ready         atomic.Bool
 	listener      *net.TCPListener
-	acceptEnded   chan struct{} // closed when no connection is accepted any more
-	rejecting     chan struct{} // holds one for each connection that is read to be turned away
+	acceptEnded   chan struct{} // closed once no more connections are accepted
+	rejecting     chan struct{} // semaphore: connections that are read only to be rejected
 	mu            sync.Mutex
 	clients       map[*clientConn]struct{}
-	rejectedConns int            // of them, for which there is no room
-	anomalies     map[string]int // what was out of order since the last line about it
-	// What the log tells of the rule for drains, since the last line, in microseconds.
-	oldestEndpoints peak // of the lists that first bytes rested on: their age
-	afterDrain      peak // the latest first byte to a server that drained or went: how much later than that, at most
+	rejectedConns int            // of clients, those beyond the limit
+	anomalies     map[string]int // counts since the last state log line
+	// Peaks for the state log line, reset with each, in microseconds.
+	oldestEndpoints peak // age of the endpoint list at an attempt's first byte
+	afterDrain      peak // upper bound on a first byte's delay after its server drained or was removed
 
 	maxClients, maxServerConns int
 }
 
 const (
-	// minSockets is what a router needs to serve at all.
+	// minSockets is the smallest number of sockets that a router can serve with.
 	minSockets = 128
-	// reservedSockets descriptors: standard streams, the poller, the listener, the board's two, the configuration, and as many
-	// accepts and dials as may be ahead of what is counted.
+	// reservedSockets is the number of descriptors kept back: standard streams, the poller, the listener, two of the
+	// discovery client, the configuration file, and as many accepts and dials as may run ahead of the counters.
 	reservedSockets = 40
 )
 
-// New opens the router's listener.
+// New returns a router for a configuration, with its listener open. It fails when the recorded endpoint history is
+// invalid or the listening address can't be had in time.
 func New(config *Config, log zerolog.Logger) (*Router, error) {
 	r := &Router{config: config, log: log, started: time.Now(), epoch: control.Micros(config.wall().UnixMicro()), requests: map[control.RequestID]*request{},
 		pools: map[control.ServerID]*serverPool{}, queue: eventqueue.New(), clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
 		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}), rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0)}
 	r.fleet.UseSourceClock()
 	r.fleet.SlowStart(config.Deployment.SlowStartDuration)
-	// Usual clients hold up to a third; the rest of a half is for those that say nothing.
+	// Well-behaved clients hold up to a third; the rest of a half is for silent ones.
 	r.maxClients = config.Sockets / 2
 	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
 	deployment := config.Deployment
@@ -114,11 +118,11 @@
 	return r, nil
 }
 
-// listenFor is for how long a start tries to listen: a predecessor's process may not be gone yet, or the machine be short of
-// something. A restart has several times as long to be ready.
+// listenFor is for how long New retries to listen: a predecessor's process may still hold the address, or the machine
+// be short of something. A restart is allowed several times as long to become ready.
 const listenFor = 3 * time.Second
 
-// listenAt listens, and tries again while what hinders it may pass.
+// listenAt listens on a TCP address, and retries for up to listenFor while the error may be temporary.
 func listenAt(address string) (net.Listener, error) {
 	for begin := time.Now(); ; time.Sleep(firstReread) {
 		l, err := net.Listen("tcp", address)
@@ -130,21 +134,22 @@
 	}
 }
 
-// Address is where clients are listened to.
+// Address returns the address that the router listens on for clients.
 func (r *Router) Address() string { return r.listener.Addr().String() }
 
-// duration is a time of the module's as the standard library has it.
+// duration converts microseconds to a time.Duration.
 func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
+// now returns the current time on the router's clock.
 func (r *Router) now() control.Micros { return r.micros(time.Now()) }
 
-// micros is a time of the standard library as the module has it.
+// micros converts a time to the router's clock: microseconds of the Unix epoch, monotonic since the start.
 func (r *Router) micros(t time.Time) control.Micros {
 	return r.epoch + control.Micros(t.Sub(r.started)/time.Microsecond)
 }
 
-// Serve routes until the context ends, serves on for a little, gives each job in hand its answer, and returns once every
-// client's connection has ended: each is read until nothing is left on it.
+// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts requests for a little longer,
+// answers every request in flight, and returns once each client connection was read to its end and has closed.
 func (r *Router) Serve(ctx context.Context) {
 	background, stop := context.WithCancel(context.Background())
 	var workers sync.WaitGroup
@@ -157,7 +162,7 @@
 		r.accept(r.listener)
 	})
 	defer r.listener.Close()
-	// What the configuration knows may be older than the grace: nothing is chosen from it before the board was asked.
+	// The configuration's endpoints may be older than the grace period: none is chosen before discovery has answered.
 	select {
 	case <-r.discovery.Started():
 	case <-ctx.Done():
@@ -200,7 +205,7 @@
 		if acceptEnded == nil && r.allClientsClosed() {
 			break
 		}
-		if ending { // connections are ending
+		if ending { // poll for the end of the connections
 			r.timer.Reset(min(5*time.Millisecond, duration(max(0, r.timerAt-r.now()))))
 		}
 	}
@@ -209,15 +214,16 @@
 	r.closeAll()
 }
 
-// minStepInterval is how far apart turns are at least, where the settings' tick is shorter: each asks again for every held job, and
-// a thousand a second with 150 held took a quarter of a core. It is a hundredth of the shortest start target.
+// minStepInterval is the least time between two event-loop steps, in microseconds, where the configured tick is
+// shorter. Each step considers every held request: 1000 steps/s with 150 held requests took a quarter of a core. It
+// is a hundredth of the shortest latency objective.
 const minStepInterval = 3_000
 
-// readersCatchUp is for how long the readers of connections run after this process was stopped before the turn that may find the
-// time of executions up: their answers may have come meanwhile. Reading what waits on some hundred connections takes less.
+// readersCatchUp is for how long connections' readers run after a stall before the step that may time out attempts:
+// their answers may have come during the stall. Reading what is pending on some hundred connections takes less.
 const readersCatchUp = 10 * time.Millisecond
 
-// awaitStep keeps turns apart, so that what comes close together costs one.
+// awaitStep keeps steps apart, so that events that come close together share one.
 func (r *Router) awaitStep() {
 	now := r.now()
 	if r.timerAt > 0 && attempt.Stalled(now-r.timerAt, r.config.grace) {
@@ -231,18 +237,20 @@
 	}
 }
 
-// readEndpoints has all that the notice board told taken in by the turn that comes next. It comes after the last wait before the
-// turn's batch is taken: whenever this process was stopped, the turn's choices are no younger than their list.
+// readEndpoints makes the next step handle everything that discovery has announced. It runs after the last wait
+// before the event batch is taken: wherever the process stalls, the step's choices are no newer than its endpoint
+// list.
 func (r *Router) readEndpoints() {
 	r.endpointsAsOfBefore = r.endpointsAsOf
 	if attempt.MustReadEndpoints(r.now()-r.endpointsAsOf, r.config.grace) {
 		r.endpointsAsOf = r.micros(r.discovery.CatchUp())
-		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() { // before the batch is taken: it holds all told by then
+		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() { // read before the batch is taken, which holds everything up to then
 			r.endpointsCompleteAsOf = r.micros(complete)
 		}
 	}
 }
 
+// step handles a batch of events and lets the core decide on them.
 func (r *Router) step(now control.Micros, events []func(control.Micros)) {
 	r.stepTime = now
 	for _, f := range events {
@@ -253,7 +261,8 @@
 	r.prune(now)
 }
 
-// recoverPanic keeps a fault of our own on one connection from ending the others. It is told, since it needs mending.
+// recoverPanic, deferred, logs a panic and its stack; the process goes on. It guards against one connection's fault
+// ending all others.
 func (r *Router) recoverPanic(at string) {
 	if fault := recover(); fault != nil {
 		r.countAnomaly("fault of our own " + at)
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -13,22 +13,22 @@
 	"hollymast/internal/config"
 )
 
-// serverCall is one execution or order on its way.
+// serverCall is one attempt or load command sent to a server. The event loop owns it, except what writing guards.
 type serverCall struct {
 	router         *Router
-	request        *request // nil of an order
+	request        *request // nil: a load command
 	attempt        control.AttemptID
 	load           control.LoadCommand
 	id             binframe.ID
 	to             control.ServerID
-	message        *binframe.Attempt // nil of an order
-	conn           *serverConn       // nil: none was had
+	message        *binframe.Attempt // nil: a load command
+	conn           *serverConn       // nil: none was available
 	chosenAt       control.Micros
-	endpointsAsOf  control.Micros // as of when the list was complete that it was chosen from
-	writeBefore    control.Micros // it is not written later
-	deadline       control.Micros // it is not waited for longer
-	clientDeadline control.Micros // its client's time is up: the server is told no more
-	unread         control.Micros // since when the first byte waits for its client's reader; 0: it does not
+	endpointsAsOf  control.Micros // when the endpoint list that it was chosen from was complete
+	writeBefore    control.Micros // its first byte is not written later
+	deadline       control.Micros // its answer is not awaited longer
+	clientDeadline control.Micros // the client's deadline: the server is given no longer
+	unread         control.Micros // since when the first byte waits for the client's reader; 0: it doesn't
 	writing        sync.Mutex     // held from the last check to the first byte
 	stage          atomic.Int32   // an attempt.Stage
 	writtenWhole   atomic.Bool    // its last byte was written
@@ -36,13 +36,14 @@
 	timer          *time.Timer
 }
 
+// withdraw withdraws a call that is not being written yet, and reports whether it did: it will never be written.
 func (call *serverCall) withdraw() bool {
 	call.writing.Lock()
 	defer call.writing.Unlock()
 	return attempt.Step(&call.stage, attempt.Stage.Withdraw)
 }
 
-// address is where it goes; empty where no connection was to be had.
+// address returns the server's address, or the empty string where no connection was found.
 func (call *serverCall) address() string {
 	if call.conn == nil {
 		return ""
@@ -50,20 +51,21 @@
 	return call.conn.pool.address
 }
 
-// currentStage is how far it has got.
+// currentStage returns how far the call has got. It waits for a first byte that is being written.
 func (call *serverCall) currentStage() attempt.Stage {
 	call.writing.Lock()
 	defer call.writing.Unlock()
 	return attempt.Stage(call.stage.Load())
 }
 
-// readerWait is how long a first byte waits for its client's reader to take in what lies in the socket: some turns of a shared core.
-// Guards against a client that sends without a pause, and holds up what others sent on the same connection to a server.
+// readerWait is how long a first byte waits for its client's reader to process what is in the socket: some scheduling
+// delays of a shared core. It guards against a client that sends without pause and so delays others' requests on the
+// same server connection.
 const readerWait = 100 * time.Millisecond
 
-// begin is the last check before the first byte, and writes it. That its client has left is seen here without waiting for a
-// turn, and so is a list that has grown too old since the choice. What the client has sent and nobody has read yet may be that it
-// leaves: its reader comes first.
+// begin makes the last check before the first byte, and writes it. It sees without waiting for a step that the client
+// has left, or that the endpoint list has grown too old since the choice. What the client has sent but its reader has
+// not processed may be a cancellation: the reader comes first.
 func (call *serverCall) begin(write func() bool) (withdrawn bool) {
 	call.writing.Lock()
 	defer call.writing.Unlock()
@@ -97,12 +99,13 @@
 	return false
 }
 
-// frame gives a request's frame as of now: it tells what is left of its time.
+// frame encodes the attempt's frame as of now: it states the time left.
 func (call *serverCall) frame() []byte {
 	call.message.Timeout = call.clientDeadline - call.router.now()
 	return call.message.Frame()
 }
 
+// wrote records that a write has ended, and whether it was complete.
 func (call *serverCall) wrote(whole bool) {
 	call.writtenWhole.Store(whole)
 	if !whole {
@@ -110,7 +113,8 @@
 	}
 }
 
-// dispatch hands a sending to a connection. The frame is an order's; a request's is encoded at its first byte.
+// dispatch queues a call on a connection and starts its timeout. frame is a load command's; an attempt's is encoded
+// at its first byte.
 func (r *Router) dispatch(now control.Micros, call *serverCall, frame []byte) {
 	var sc *serverConn
 	if server := r.fleet.Get(call.to); server != nil && server.State == control.Ready {
@@ -127,10 +131,11 @@
 		}
 		delete(sc.open, call.id)
 	}
-	// Never sent; told in the next turn, since this one is still asking.
+	// Never sent; reported in the next step, since the core is still deciding in this one.
 	r.queue.Post(func(now control.Micros) { r.callEnded(now, call, control.NotSent, nil) })
 }
 
+// queued returns the call as a frame for a write queue.
 func (call *serverCall) queued(data []byte) queuedFrame {
 	frame := queuedFrame{data: data, begin: call.begin, wrote: call.wrote}
 	if call.message != nil {
@@ -139,26 +144,26 @@
 	return frame
 }
 
-// alreadyUsed tells whether an earlier execution of the same job was written to a connection.
+// alreadyUsed reports whether an earlier attempt of the same request was written to a connection.
 func (call *serverCall) alreadyUsed(sc *serverConn) bool {
 	return call.request != nil && slices.ContainsFunc(call.request.attempts, func(earlier *serverCall) bool {
 		return earlier.conn == sc && earlier.currentStage() == attempt.Writing
 	})
 }
 
-// handleAnswer takes in an answer. One that nobody waits for, or a second one, is dropped: it harms nothing else.
+// handleAnswer handles an answer. One that nobody waits for, or a duplicate, is dropped without harm to others.
 func (r *Router) handleAnswer(now control.Micros, sc *serverConn, answer *binframe.Answer) {
 	call := sc.open[answer.ID]
 	if call == nil || answer.Probe {
 		return
 	}
 	if call.currentStage() != attempt.Writing {
-		return // an answer to what was not asked yet
+		return // an answer to a call that was not written yet
 	}
 	r.callEnded(now, call, answer.Result, answer)
 }
 
-// deadlinePassed takes in that a sending's time is up.
+// deadlinePassed handles a call's timeout.
 func (r *Router) deadlinePassed(now control.Micros, call *serverCall) {
 	if call.progress.Ended {
 		return
@@ -171,8 +176,8 @@
 	r.callEnded(now, call, control.TimedOut, nil)
 }
 
-// abandon tells the server that nobody waits. The answer may be on its way, or never come: its connection takes nothing
-// new.
+// abandon tells the server that nobody waits for a call. The answer may be on its way, or never come, so its
+// connection takes no new calls.
 func (r *Router) abandon(call *serverCall) {
 	if call.conn == nil || call.progress.Ended {
 		return
@@ -183,7 +188,7 @@
 	call.conn.retired = true
 }
 
-// callEnded takes in the end of a sending, once.
+// callEnded handles the end of a call, once: later ends are ignored.
 func (r *Router) callEnded(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
 	if !call.progress.End() {
 		return
@@ -205,7 +210,7 @@
 		replicas := 0
 		if answer != nil && result == control.Succeeded {
 			if replicas = answer.Replicas; replicas < 0 {
-				replicas = call.load.Replicas // an answer that tells no number has done what was asked
+				replicas = call.load.Replicas // an answer without a number: all replicas that were asked for
 			}
 		}
 		r.core.HandleLoadResult(now, call.to, call.load.Function, result, duration, replicas)
@@ -218,7 +223,7 @@
 	r.attemptEnded(now, call, outcome, answer)
 }
 
-// report puts what an answer reports in the order that the settings name.
+// report returns an answer's load report in the order of fields that the settings give.
 func (r *Router) report(answer *binframe.Answer) *control.LoadReport {
 	if answer.Reports == nil {
 		return nil
@@ -234,5 +239,5 @@
 	return config.Report(r.config.reportFields, values)
 }
 
-// reportNames maps what the settings name to the simulator's names, which the answers use.
+// reportNames maps the settings' field names to the simulator's, which the answers use.
 var reportNames = map[string]string{"cpu_share": "util", "x0": "x0", "x1": "x1"}
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -17,28 +17,30 @@
 	"hollymast/internal/binframe"
 )
 
-// serverConn is one connection to a server. The turn owns all but the outbox; a goroutine dials and reads.
+// serverConn is one connection to a server. The event loop owns all but the write queue and partialWrite; a goroutine
+// of its own dials and reads.
 type serverConn struct {
 	router       *Router
 	pool         *serverPool
 	writes       writeQueue
 	open         map[binframe.ID]*serverCall
-	up           bool // the turn has heard that it stands
-	retired      bool // takes nothing new: an answer is owed that nobody waits for, or its server is gone
+	up           bool // the event loop knows that it is connected
+	retired      bool // takes no new calls: an abandoned call's answer may come, or the server is removed
 	idleSince    control.Micros
-	idlePlace    *list.Element // in the router's order by since
-	partialWrite atomic.Bool   // a write ended within a frame
+	idlePlace    *list.Element // in Router.connsByIdle
+	partialWrite atomic.Bool   // a write ended amid a frame
 	dialing      context.Context
 	cancelDial   context.CancelFunc
 }
 
-// close ends a connection at once, one that is still dialled too: its descriptor is another's then.
+// close closes the connection at once and cancels its dial, whose descriptor is then free for another.
 func (sc *serverConn) close() {
 	sc.writes.close()
 	sc.cancelDial()
 }
 
-// preferredOver tells which of two connections takes a sending.
+// preferredOver reports whether a new call should go on sc rather than on other: fewer calls open, connected, used
+// last.
 func (sc *serverConn) preferredOver(other *serverConn) bool {
 	switch {
 	case len(sc.open) != len(other.open):
@@ -49,26 +51,28 @@
 	return sc.idleSince > other.idleSince
 }
 
-// maxUnreadByServer is how much may wait for a server to read: with the longest bodies, as many as share a connection.
+// maxUnreadByServer bounds the bytes queued for a server: as many calls with the longest bodies as may share a
+// connection.
 const maxUnreadByServer = 2 << 20
 
-// answerTimeout is how long an answer that has begun may take: it is written in one piece.
+// answerTimeout is how long the rest of an answer may take once it has begun: servers write it in one piece.
 const answerTimeout = time.Second
 
+// run dials, then reads answers until the connection ends, and reports its end to the event loop.
 func (sc *serverConn) run() {
 	r := sc.router
 	broke := func(result control.Result) {
 		sc.close()
 		r.queue.Post(func(now control.Micros) { r.connectionBroke(now, sc, result) })
 	}
-	end := control.Failed // should a fault of our own end this: what was written may have run
+	end := control.Failed // after a panic: what was written may have run
 	defer r.recoverPanic("reading a server")
 	defer func() { broke(end) }()
 	conn, err := sc.dial()
 	if err != nil {
 		end = control.ConnectFailed
 		if localFailure(err) || errors.Is(err, context.Canceled) {
-			end = control.NotSent // says nothing of the server
+			end = control.NotSent // says nothing about the server
 		} else {
 			r.countAnomaly("no connection to a server")
 		}
@@ -84,10 +88,10 @@
 		if err != nil {
 			end = control.ConnectionReset
 			if why := corruptionOf(err); why != "" {
-				end = control.Failed // the server answers; what it said can't be read
+				end = control.Failed // the server answers, but unreadably
 				r.countAnomaly("spoilt answer: " + why)
 			} else if localFailure(err) {
-				end = control.Failed // may have run; says nothing of the server
+				end = control.Failed // may have run; says nothing about the server
 			}
 			return
 		}
@@ -95,10 +99,10 @@
 	}
 }
 
-// calls are the system's calls that a connection to a server begins with; tests put others in their place.
+// calls are the system calls that a server connection begins with; tests replace them.
 type calls struct {
 	dial  func(ctx context.Context, address string) (net.Conn, error)
-	write func(fd int, b []byte) (int, error) // does not wait
+	write func(fd int, b []byte) (int, error) // does not block
 }
 
 var systemCalls = calls{
@@ -108,13 +112,14 @@
 	write: syscall.Write,
 }
 
-// dialPause is how soon a dial is tried again that failed for a moment, doubled up to closing: such a moment may be a packet's.
+// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
+// failure may last no longer than one packet.
 const dialPause = 2 * time.Millisecond
 
-// dial connects. What may be over in a moment is tried again for as long as a connection may take to come up; where descriptors
-// are short, idle clients make room meanwhile.
+// dial connects. Temporary failures are retried until the connect timeout; where descriptors are short, idle client
+// connections are closed meanwhile.
 func (sc *serverConn) dial() (net.Conn, error) {
-	var previous error // why the try before failed, through no fault of the server's
+	var previous error // why the last dial failed, where the server is not to blame
 	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
 		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
 		switch {
@@ -122,7 +127,7 @@
 			return conn, nil
 		case localFailure(err), transient(err):
 		case localFailure(previous) && os.IsTimeout(err):
-			return nil, previous // the server had but the rest of the time
+			return nil, previous // the server only had what was left of the timeout
 		default:
 			return nil, err
 		}
@@ -143,19 +148,20 @@
 	}
 }
 
-// localFailure tells of a fault that is this machine's, and no sign about a server.
+// localFailure reports whether an error is this machine's shortage, and says nothing about the server.
 func localFailure(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
 		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
 }
 
-// transient tells of a fault of the way that may be over in a moment. One that lasts is a sign about the server.
+// transient reports whether an error is a network fault that may pass at once. A lasting one counts against the
+// server.
 func transient(err error) bool {
 	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
 		errors.Is(err, syscall.ECONNABORTED)
 }
 
-// corruptionOf tells what was wrong with an answer; empty where the connection itself ended.
+// corruptionOf returns what made an answer unreadable, or the empty string where the connection itself ended.
 func corruptionOf(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "stopped short"
@@ -168,7 +174,8 @@
 	return ""
 }
 
-// connectionBroke takes in the end of a connection: what it means to each sending follows from how far that had got.
+// connectionBroke handles the end of a connection: the result of each call open on it follows from how far it had
+// got.
 func (r *Router) connectionBroke(now control.Micros, sc *serverConn, result control.Result) {
 	open := sc.open
 	r.removeConn(sc)
@@ -182,7 +189,7 @@
 		case call.currentStage() == attempt.Withdrawn:
 			callResult = control.NotSent
 		case sc.partialWrite.Load() && !call.writtenWhole.Load():
-			callResult = control.NotSent // its frame did not come whole
+			callResult = control.NotSent // the server did not get a whole frame
 		}
 		r.callEnded(now, call, callResult, nil)
 	}
--- a/internal/platform/serverpool.go
+++ b/internal/platform/serverpool.go
@@ -10,17 +10,17 @@
 	"hollymast/internal/binframe"
 )
 
-// serverPool is the connections to one life of one server. The turn owns it.
+// serverPool holds the connections to one incarnation of one server. The event loop owns it.
 type serverPool struct {
 	id        control.ServerID
 	address   string
 	startedAt control.Micros
 	conns     []*serverConn
-	// firstByte is when the latest first byte of an execution or order was written, the router's time.
+	// firstByte is when the latest first byte of a call was written, on the router's clock.
 	firstByte peak
 }
 
-// poolOf gives the connections to a server that is listed.
+// poolOf returns the pool of a known server, and creates it if need be.
 func (r *Router) poolOf(id control.ServerID) *serverPool {
 	pool := r.pools[id]
 	if pool == nil {
@@ -31,9 +31,10 @@
 	return pool
 }
 
-// connFor finds a connection: one with nothing open, else a new one, else the one with the least open; of equal ones one that
-// stands. One execution a connection as long as descriptors last: a spoilt answer costs all that is open on its
-// connection. A job's further execution goes on another, where no second answer to the earlier one can be taken for its own.
+// connFor returns the connection for a call, or nil: one with no calls open, else a new one, else the one with the
+// fewest; among equals one that is connected. Calls share a connection only once descriptors run out, since a corrupt
+// answer fails every call open on its connection. A request's next attempt uses another connection, so that a
+// duplicate answer to the earlier one can't be taken for its own.
 func (r *Router) connFor(now control.Micros, call *serverCall) *serverConn {
 	pool := r.poolOf(call.to)
 	var best *serverConn
@@ -53,6 +54,7 @@
 	return sc
 }
 
+// newServerConn adds a connection to a pool; the caller starts its goroutine.
 func (r *Router) newServerConn(now control.Micros, pool *serverPool) *serverConn {
 	sc := &serverConn{router: r, pool: pool, open: map[binframe.ID]*serverCall{}, idleSince: now}
 	sc.dialing, sc.cancelDial = context.WithTimeout(context.Background(), duration(r.config.connectTimeout))
@@ -63,7 +65,8 @@
 	return sc
 }
 
-// closeIdleServerConn closes the connection that has been idle for longest, of any server.
+// closeIdleServerConn closes the least recently used idle connection of any server, and reports whether there was
+// one.
 func (r *Router) closeIdleServerConn() bool {
 	for e := r.connsByIdle.Front(); e != nil; e = e.Next() {
 		if sc := e.Value.(*serverConn); len(sc.open) == 0 && sc.up {
@@ -74,7 +77,7 @@
 	return false
 }
 
-// removeConn forgets a connection and closes it after what waits to be written.
+// removeConn removes a connection from its pool, to close after what is queued on it is written.
 func (r *Router) removeConn(sc *serverConn) {
 	sc.retired = true
 	for i, other := range sc.pool.conns {
@@ -85,19 +88,20 @@
 			break
 		}
 	}
-	if sc.writes.closeWhenWritten(); !sc.up && len(sc.open) == 0 { // a dial that nothing waits for
+	if sc.writes.closeWhenWritten(); !sc.up && len(sc.open) == 0 { // no call waits for this dial
 		sc.cancelDial()
 	}
 }
 
-// retire has a connection take nothing new; it ends with the last that is open on it.
+// retire lets a connection take no new calls; it closes with the last one open on it.
 func (r *Router) retire(sc *serverConn) {
 	if sc.retired = true; len(sc.open) == 0 {
 		r.removeConn(sc)
 	}
 }
 
-// sortedByID gives what is open on a connection in an order of its own: never that of a map.
+// sortedByID returns the calls open on a connection in order of their ids, so that a recording replays: a map's order
+// varies.
 func sortedByID(open map[binframe.ID]*serverCall) []*serverCall {
 	return slices.SortedFunc(maps.Values(open), func(a, b *serverCall) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -11,19 +11,23 @@
 	"hollymast/internal/msgrpc"
 )
 
-// A stopping router takes jobs for takesOn: they keep coming for 0.6 s. What comes after 0.7 s must have its answer before it is
-// killed, however long the job would take, so that it is pushed back at once; connections are taken for servesOn, longer, for
-// that answer, where the kill doesn't come sooner.
+// A stopping router accepts requests for acceptRequestsFor (microseconds): clients go on sending for 0.6 s. A request
+// that comes after 0.7 s must be answered before the kill, however long it would take, so it is rejected at once;
+// connections are accepted for acceptConnectionsFor, longer, for that answer, unless the kill comes sooner.
 const (
 	acceptRequestsFor    = 650_000
 	acceptConnectionsFor = 800 * time.Millisecond
 )
 
-// A stopping router is killed no sooner than killAfter and the longest deadline of its settings, of which killCounts counts at most,
-// after it was told to stop. The times before that: connections end from endsBefore on, since on a quarter of a core some hundred
-// take tens of milliseconds, and not before endsFrom, up to when requests come; what is still in hand gets its answer at answersBefore, by which a job taken at takesOn has had its own
-// time; and nothing is read any more from readsBefore on, so that clients which never pause keep no connection open.
-// A job that is only held, and whose client waits beyond the kill, is pushed back holdsBefore it: there is time to be served elsewhere.
+// A stopping router is killed no sooner than killAfter plus the longest configured deadline, of which at most
+// maxCountedDeadline counts, after it was asked to stop. All times are microseconds. Before the kill:
+//
+// connections are closed from closeBeforeKill on, since some hundred take tens of milliseconds on a quarter of a
+// core, but not before closeNotBefore, until when requests come; what is still in flight is answered at
+// answerBeforeKill, by which time a request accepted at acceptRequestsFor has had its own deadline; nothing is read
+// any more from stopReadingBeforeKill on, so that clients that never pause keep no connection open; a request that is
+// only held, and whose client waits beyond the kill, is rejected at rejectHeldBeforeKill, which leaves time to be
+// served elsewhere.
 const (
 	killAfter, maxCountedDeadline = 700_000, 3_000_000
 	closeBeforeKill               = 130_000
@@ -33,7 +37,7 @@
 	rejectHeldBeforeKill          = 550_000
 )
 
-// earliestKill is how long after the order to stop the kill may come.
+// earliestKill returns the earliest time of the kill after the request to stop, in microseconds.
 func earliestKill(d control.Deployment) control.Micros {
 	var longest control.Micros
 	for _, class := range d.Classes {
@@ -42,13 +46,13 @@
 	return killAfter + min(longest, maxCountedDeadline)
 }
 
-// stopAction is what a stopping router does at its time after the order.
+// stopAction is one action of the graceful shutdown, at a time in microseconds after the request to stop.
 type stopAction struct {
 	at control.Micros
 	do func()
 }
 
-// stopActions gives them in their order.
+// stopActions returns the actions of the graceful shutdown, in order of time.
 func (r *Router) stopActions() []stopAction {
 	kill := earliestKill(r.config.Deployment)
 	return []stopAction{
@@ -59,16 +63,17 @@
 	}
 }
 
-// close ends the clients' connections, and the listener after those that wait there: they are ended in their turn.
+// close stops listening, after the connections waiting to be accepted, and closes client connections once they are
+// idle.
 func (r *Router) close() {
 	r.stopListening()
 	r.closeClients()
 }
 
-// stopListening has connections accepted that wait already, and no others.
+// stopListening accepts the connections that wait already, and no others.
 func (r *Router) stopListening() { r.listener.SetDeadline(time.Now().Add(lastReadTime)) }
 
-// closeClients ends the clients' connections, each once nothing is open on it and nothing left to read.
+// closeClients closes each client connection once no request is open on it and nothing is left to read.
 func (r *Router) closeClients() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +82,7 @@
 	}
 }
 
-// stopReading ends those that are still read, after a last look.
+// stopReading closes the connections that are still read, after a last read of what is pending.
 func (r *Router) stopReading() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +91,7 @@
 	}
 }
 
-// rejectHeld pushes back what was never sent and whose client waits longer than this router can.
+// rejectHeld rejects requests that were never attempted and whose deadline is after this router's end.
 func (r *Router) rejectHeld() {
 	kill := r.stopRequestedAt + earliestKill(r.config.Deployment)
 	r.endRequests(func(req *request) bool {
@@ -94,11 +99,11 @@
 	})
 }
 
-// answerOpen gives all that is in hand its answer: whatever is not answered now meets the kill.
+// answerOpen answers every request in flight: the kill would leave it without an answer.
 func (r *Router) answerOpen() { r.endRequests(func(*request) bool { return true }) }
 
-// endRequests ends those jobs in hand that are meant. Nobody is harmed by trying one again that was never written, or whose repeats
-// do no harm: that has time left with another router.
+// endRequests ends the selected requests in flight. A request that was never written, or that is safe to repeat, is
+// rejected, so that its client can use the time left with another router; any other fails.
 func (r *Router) endRequests(selected func(req *request) bool) {
 	now := r.now()
 	for _, req := range slices.SortedFunc(maps.Values(r.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) }) {
@@ -116,13 +121,14 @@
 	}
 }
 
-// allClientsClosed tells whether every client's connection has ended, and with them all that was owed.
+// allClientsClosed reports whether every client connection has ended, and with them all answers owed.
 func (r *Router) allClientsClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.clients) == 0
 }
 
+// closeAll closes all server connections at once.
 func (r *Router) closeAll() {
 	for _, pool := range r.pools {
 		for _, sc := range pool.conns {
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -8,22 +8,24 @@
 	"hollymast/control"
 )
 
-// stallDetector knows when this process stood still, or had no part of its core: what is read right after may have come at any time in
-// between, and its time runs from when its client sent it.
+// stallDetector notices when this process was stalled: stopped, or without a share of its core. A request read right
+// after a stall may have arrived at any time during it, and its deadline runs from when its client sent it.
 type stallDetector struct {
-	mu          sync.Mutex
-	lastRan     control.Micros // when it was last seen to run; 0: it is not watched
-	from, until control.Micros // what is read before until may have come from from on: the latest standstill, and the readers' time after it
+	mu      sync.Mutex
+	lastRan control.Micros // the last tick; 0: none yet
+	// The latest stall and the readers' time after it: what is read before until may have arrived from from on.
+	from, until control.Micros
 }
 
 const (
-	// tickInterval and stoodStill bound by how much a request may be older than it is taken for: with the 10 ms of onTheWay, less than
-	// the 0.15 s by which a deadline may exceed what the client has left. A beat costs some microseconds.
+	// tickInterval and stallThreshold (microseconds) bound by how much a request may be older than assumed: with the
+	// 10 ms of networkDelay, less than the 0.15 s by which a stated deadline may exceed the client's. A tick costs
+	// some microseconds.
 	tickInterval   = 80 * time.Millisecond
 	stallThreshold = 120_000
 )
 
-// tick notes that the process runs.
+// tick records that the process runs.
 func (d *stallDetector) tick(now control.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -33,7 +35,8 @@
 	d.lastRan = now
 }
 
-// cameSince gives from when on what is read now may have come, as far as it is known to lie back.
+// cameSince returns the earliest time at which a message read at now may have arrived; now itself where there was no
+// stall.
 func (d *stallDetector) cameSince(now control.Micros) control.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,7 +49,7 @@
 	return now
 }
 
-// detectStalls has the pulse beat until the context ends.
+// detectStalls ticks until ctx ends.
 func (r *Router) detectStalls(ctx context.Context) {
 	r.stalls.tick(r.now())
 	ticker := time.NewTicker(tickInterval)
@@ -61,13 +64,13 @@
 	}
 }
 
-// came gives when a message came that was read just now: at the earliest that is possible, where the process stood still.
+// came returns when the message that was just read may have arrived: the earliest possible time, after a stall.
 func (c *clientConn) came() control.Micros {
 	now := c.router.now()
 	since := c.router.stalls.cameSince(now)
 	if since < now {
 		c.router.countAnomaly("a request may have come long before it was read")
-		since = max(since, c.router.micros(c.tracked.emptiedAt())) // not before its reader found nothing
+		since = max(since, c.router.micros(c.tracked.emptiedAt())) // not before its reader last found nothing pending
 	}
 	return min(now, since)
 }
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -9,22 +9,25 @@
 	"time"
 )
 
-// trackedConn is what a client sends, and as of when all of it was taken in. An attempt that begins more than 0.1 s after its client has
-// closed or cancelled is a break, and either may lie unread in the socket: after a stop of the process, or while readers wait for
-// the processor. So the last check before the first byte rests on the age of what was read, as it does with the list of servers.
+// trackedConn is a client connection that tracks as of when all that the client sent has been processed. No attempt
+// may begin more than 0.1 s after its client has closed or cancelled, and either may lie unread in the socket: after
+// a stall of the process, or while readers wait for the processor. So the last check before the first byte rests on
+// the age of what was read, as it does on the age of the endpoint list.
 type trackedConn struct {
 	net.Conn
-	raw          syscall.RawConn // nil: there is no descriptor to look at
-	direct       bool            // it is read from the descriptor itself, which tells when nothing was left
-	mu           sync.Mutex      // held from a look at the descriptor until what it found is noted
-	allProcessed bool            // all that was read is taken in
-	asOf         time.Time       // all that had come by then is taken in; zero: some may have come before it was accepted
-	emptyReadAt  time.Time       // when the last read began; zero where it may have left some
+	raw          syscall.RawConn // nil: no descriptor to look into
+	direct       bool            // read from the descriptor itself, which shows when nothing is left
+	mu           sync.Mutex      // held from a look into the descriptor until its result is recorded
+	allProcessed bool            // all that was read is processed
+	asOf         time.Time       // all that had come by then is processed; zero: not known yet
+	emptyReadAt  time.Time       // when the last read began; zero: it may have left some
 }
 
-// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s, the other is for the way here.
+// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s; the other half is
+// for the network.
 const maxUnreadAge = 50 * time.Millisecond
 
+// newTrackedConn wraps an accepted connection.
 func newTrackedConn(conn net.Conn) *trackedConn {
 	t := &trackedConn{Conn: conn}
 	if c, ok := conn.(syscall.Conn); ok {
@@ -34,7 +37,8 @@
 	return t
 }
 
-// Read is called only once all that was read before is taken in, but for a message that has begun.
+// Read reads from the connection. It must be called only once all that was read before has been processed, except
+// amid a message.
 func (t *trackedConn) Read(b []byte) (n int, err error) {
 	t.mu.Lock()
 	t.allProcessed = true
@@ -53,7 +57,7 @@
 	return t.read(b, wait)
 }
 
-// read reads from the descriptor itself and notes what was there.
+// read reads from the descriptor itself and records whether anything was pending.
 func (t *trackedConn) read(b []byte, waiting waiting) (int, error) {
 	return readRaw(t.raw, waiting, func(fd int) (int, error) {
 		t.mu.Lock()
@@ -69,15 +73,15 @@
 	})
 }
 
-// waiting tells what a read does where nothing is here.
+// waiting is what a read does where nothing is pending.
 type waiting bool
 
 const (
 	wait   waiting = true
-	noWait waiting = false // it gives EAGAIN
+	noWait waiting = false // returns EAGAIN
 )
 
-// readRaw reads by a call on a descriptor that does not wait.
+// readRaw reads through a call on a descriptor that does not block.
 func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
 	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
@@ -95,7 +99,7 @@
 	return n, nil
 }
 
-// noteRead notes what a read brought. The lock is held.
+// noteRead records a read of n bytes, of most, that began at began. The lock is held.
 func (t *trackedConn) noteRead(began time.Time, n, most int) {
 	t.allProcessed = false
 	if t.emptyReadAt = began; n == most {
@@ -103,7 +107,8 @@
 	}
 }
 
-// upToDate tells whether all that the client had sent by now is taken in, or all but the latest.
+// upToDate reports whether all that the client had sent by now is processed, or all but what came within
+// maxUnreadAge.
 func (t *trackedConn) upToDate(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,14 +122,14 @@
 	return true
 }
 
-// emptiedAt gives when the reader last found that nothing more had come.
+// emptiedAt returns when the reader last found nothing pending.
 func (t *trackedConn) emptiedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.asOf
 }
 
-// hasUnread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
+// hasUnread looks into the socket for what came since the last read: a message, or an end. The lock is held.
 func (t *trackedConn) hasUnread() bool {
 	var peekErr error
 	err := t.raw.Control(func(fd uintptr) {
@@ -137,9 +142,10 @@
 	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// interruptions bounds how often a call that a signal interrupts is tried again at once; one or two come in a row.
+// interruptions bounds how often a call interrupted by a signal is retried at once; one or two come in a row.
 const interruptions = 100
 
+// retryInterrupted retries a call that returns EINTR. It returns no negative count.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for range interruptions {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -10,46 +10,47 @@
 	"time"
 )
 
-// writeQueue writes to one connection what others hand over without waiting. Its goroutine lives only while there is something
-// to write.
+// writeQueue writes frames to one connection; adding one does not block. Its goroutine lives only while there is
+// something to write.
 type writeQueue struct {
 	mu             sync.Mutex
-	conn           net.Conn // nil: not up yet
+	conn           net.Conn // nil: not connected yet
 	queue          []queuedFrame
 	queuedBytes    int
-	maxQueuedBytes int  // bytes that may wait
+	maxQueuedBytes int  // bytes that may be queued
 	writing        bool // the goroutine runs
-	closing        bool // the connection ends with the last of it
+	closing        bool // the connection closes with the last frame
 	closed         bool
-	// firstWrite writes the first bytes of a parcel with a check; nil: the system's call.
+	// firstWrite writes the first bytes of a frame that has a begin check; nil: the system call.
 	firstWrite func(fd int, b []byte) (int, error)
-	// written, where there is one, is closed when nothing is written any more: with the last of it only this direction of
-	// the connection ends, and whoever reads the other closes it.
+	// written, if not nil, is closed when nothing is written any more: with the last frame only the write direction
+	// of the connection is closed, and whoever reads the other closes the connection.
 	written chan struct{}
 }
 
-// queuedFrame is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
-// parcel. Write tells whether any byte is out; begin is called again once the connection has room, and in a moment where it did
-// neither.
+// queuedFrame is one message. If begin is not nil, it either writes the first bytes by calling write, which never
+// blocks and reports whether any byte is out, or withdraws the frame. begin is called again once the connection has
+// room, and after writePause where it did neither.
 type queuedFrame struct {
 	data []byte
-	// encode, where there is one, gives data, right before each try to write the first byte: guards against a deadline in it that was
-	// true when the parcel was handed over, before a dial or a wait for room.
+	// encode, if not nil, returns data right before each attempt to write the first byte. It guards against a stated
+	// deadline that was true when the frame was queued, before a dial or a wait for room.
 	encode func() []byte
-	size   int // of what encode gives, at most
+	size   int // upper bound of encode's result
 	begin  func(write func() bool) (withdrawn bool)
 	wrote  func(whole bool)
 }
 
-// writeTimeout bounds a write: a reader that takes nothing for this long is gone, or means harm.
+// writeTimeout bounds one write: a peer that accepts nothing for this long is gone or malicious.
 const writeTimeout = 2 * time.Second
 
-// frameRestTimeout bounds the rest of a message whose first bytes are out and that tells a deadline. Guards against a deadline that is read
-// when the message has come whole, much later: two thirds of the 0.15 s by which it may exceed what the client has left.
+// frameRestTimeout bounds the rest of a frame that states a deadline, once its first bytes are out. It guards against
+// a deadline that is read much later, when the frame is complete: two thirds of the 0.15 s by which it may exceed
+// what the client has left.
 const frameRestTimeout = 100 * time.Millisecond
 
-// post hands over a message; no tells that the connection takes none any more. Guards against an end that asks and does
-// not read: beyond its bound the connection is closed.
+// post queues a frame, and reports false if the connection accepts none any more. It guards against a peer that asks
+// and does not read: beyond maxQueuedBytes the connection is closed.
 func (q *writeQueue) post(frame queuedFrame) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -67,6 +68,7 @@
 	return true
 }
 
+// start starts the goroutine unless it runs. The lock is held.
 func (q *writeQueue) start() {
 	if q.conn != nil && !q.writing && !q.closed {
 		q.writing = true
@@ -74,7 +76,7 @@
 	}
 }
 
-// connected tells that the connection stands.
+// connected sets the connection once it is established, and starts to write what is queued.
 func (q *writeQueue) connected(conn net.Conn) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// closeWhenWritten closes the connection once all that waits is written.
+// closeWhenWritten closes the connection once all that is queued is written.
 func (q *writeQueue) closeWhenWritten() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,8 +100,9 @@
 	}
 }
 
-// finish ends a connection on which all is written. Guards against the reset that a close makes of input nobody read: it
-// may overtake the last answer, so that the direction that is read stays open for a little where somebody reads it.
+// finish ends a connection on which all is written. It guards against the reset that closing with unread input
+// causes, which may overtake the last answer: the read direction stays open where somebody drains it. The lock is
+// held.
 func (q *writeQueue) finish() {
 	half, ok := q.conn.(interface{ CloseWrite() error })
 	if !ok || q.written == nil || q.closed {
@@ -111,13 +114,14 @@
 	close(q.written)
 }
 
-// close closes it at once.
+// close closes the connection at once; what is queued is dropped.
 func (q *writeQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closeLocked()
 }
 
+// closeLocked is close with the lock held.
 func (q *writeQueue) closeLocked() {
 	if !q.closed && q.written != nil {
 		close(q.written)
@@ -129,13 +133,14 @@
 	}
 }
 
-// empty tells that nothing waits or is being written.
+// empty reports whether nothing is queued or being written.
 func (q *writeQueue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.closed || !q.writing && len(q.queue) == 0
 }
 
+// write writes what is queued, one frame after the other, until nothing is left.
 func (q *writeQueue) write() {
 	for {
 		q.mu.Lock()
@@ -178,8 +183,9 @@
 	}
 }
 
-// writeFirst writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
-// before the first byte that is no longer true at the first byte: where the connection has no room, the check comes again.
+// writeFirst writes a frame's first bytes and returns their number; 0 without an error: the frame was withdrawn. It
+// guards against a check before the first byte that no longer holds at that byte: where the connection has no room,
+// the check is repeated.
 func writeFirst(conn net.Conn, frame *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
 	if firstWrite == nil {
 		firstWrite = syscall.Write
@@ -212,11 +218,11 @@
 		if !retry || err != nil {
 			return n, cmp.Or(writeErr, err)
 		}
-		time.Sleep(writePause) // outside of the connection's write, which its close waits for
+		time.Sleep(writePause) // outside of raw.Write, for which Close would wait
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-// writePause is how soon a first byte is tried again that this machine had no means for, or that waits for a reader: the check before
-// it comes again as well.
+// writePause is how soon a first byte is retried that failed for a shortage of this machine's, or that waits for the
+// client's reader; the check before it is repeated too.
 const writePause = time.Millisecond
