--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -295,7 +295,10 @@
 		c.penalize()
 		return
 	}
-	req := &request{id: m.Request.ID, number: m.Number, client: c, message: m.Request, readAt: c.router.now(), cameAt: c.came()}
+	req := &request{
+		id: m.Request.ID, number: m.Number, client: c, message: m.Request,
+		readAt: c.router.now(), cameAt: c.came(),
+	}
 	if why := c.router.validate(&m.Request, req); why != "" {
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: why})
 		c.reply(msgrpc.Invalid(m.Number, why))
@@ -315,7 +318,9 @@
 		// Answers could not be told apart, so that no request of this connection gets one that counts.
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
 		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
-		c.refuseFurther(func(number uint32) []byte { return msgrpc.Invalid(number, "sent behind a number that did not rise") })
+		c.refuseFurther(func(number uint32) []byte {
+			return msgrpc.Invalid(number, "sent behind a number that did not rise")
+		})
 		return
 	}
 	if full {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -86,7 +86,8 @@
 		case err != nil:
 			r.countAnomaly("accept failed")
 			checked = false
-			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) { // only this process's own descriptors can be freed by closing clients
+			// Closing clients helps only where the process is short of descriptors.
+			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) {
 				continue
 			}
 			time.Sleep(pause) // guards against a busy loop
@@ -131,8 +132,11 @@
 // newClient registers a client connection; a rejected one does not count towards the limit.
 func (r *Router) newClient(conn net.Conn, rejected bool) *clientConn {
 	tracked := newTrackedConn(conn)
-	c := &clientConn{router: r, rejected: rejected, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked, open: map[uint32]*request{}, drainTime: drainAfterIdle,
-		closed: make(chan struct{}), closeNowAsked: make(chan struct{})}
+	c := &clientConn{
+		router: r, rejected: rejected, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked,
+		open: map[uint32]*request{}, drainTime: drainAfterIdle,
+		closed: make(chan struct{}), closeNowAsked: make(chan struct{}),
+	}
 	c.writes.maxQueuedBytes, c.writes.conn, c.writes.written = maxUnreadByClient, conn, make(chan struct{})
 	c.idleSince.Store(int64(r.now()))
 	r.mu.Lock()
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -107,12 +107,16 @@
 	}
 	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // what the settings allow a router to hold open
-	c := &Config{Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
-		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, plenty), DiscoveryAddress: doc.Board, History: doc.Known,
+	c := &Config{
+		Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
+		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, plenty),
+		DiscoveryAddress: doc.Board, History: doc.Known,
 		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
 		reportFields: boot.Report.Fields, connectTimeout: control.Micros(boot.Ceilings.ConnectTimeout),
 		serverIdleTimeout: control.Micros(boot.Ceilings.ConnIdle), maxStreams: boot.Ceilings.StreamsPerConn,
-		grace: control.Micros(boot.Contract.StopSending), loadTimeout: control.Micros(boot.Specifics.OrderLimit), wall: time.Now}
+		grace: control.Micros(boot.Contract.StopSending), loadTimeout: control.Micros(boot.Specifics.OrderLimit),
+		wall: time.Now,
+	}
 	if c.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %q: %w", doc.Seed, err)
 	}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -32,7 +32,8 @@
 // incarnation).
 func (r *Router) refreshPool(now control.Micros, pool *serverPool) {
 	s := r.fleet.Get(pool.id)
-	if s == nil || s.State != control.Ready || s.Address != pool.address || control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
+	if s == nil || s.State != control.Ready || s.Address != pool.address ||
+		control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
 		r.afterDrain.record(pool.firstByte.Load() - int64(r.endpointsAsOfBefore))
 		r.withdrawFrom(now, pool)
 		if s != nil && s.State == control.Ready { // another incarnation gets a pool of its own
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -36,8 +36,9 @@
 	clients := len(r.clients)
 	r.mu.Unlock()
 	slices.Sort(parts)
-	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).Int("jobs", len(r.requests)).Int("held", r.core.Held()).
-		Uint64("list", r.discovery.Revision()).Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
+	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).
+		Int("jobs", len(r.requests)).Int("held", r.core.Held()).Uint64("list", r.discovery.Revision()).
+		Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
 		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
 }
 
@@ -72,8 +73,10 @@
 			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
 			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
 		}
-		r.log.Trace().Str("why", explanation.Reason).Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
-			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
+		r.log.Trace().Str("why", explanation.Reason).
+			Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
+			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).
+			Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
 			Int("coming", loading).Int("waiting", pending).Int("shunned", overloaded).Int("suspect", ejected).
 			Int("servers", len(explanation.Servers)).Msg("turned away")
 	}})
@@ -100,7 +103,8 @@
 	if answer != nil {
 		event = event.Uint8("found", uint8(answer.CacheStatus))
 	}
-	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("order", call.request == nil).Str("function", fmt.Sprintf("%016x", function)).
+	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("order", call.request == nil).
+		Str("function", fmt.Sprintf("%016x", function)).
 		Str("server", call.address()).Int64("chosen", int64(call.chosenAt)).Bool("whole", call.writtenWhole.Load()).
 		Int64("answered", int64(now)).Uint8("result", uint8(result)).Msg("execution")
 }
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -93,7 +93,9 @@
 
 // Forward starts an attempt of a request on a server, to end within timeout. It is part of core.Executor, as are
 // Reject, Fail, CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer; the core calls them within a step.
-func (r *Router) Forward(coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros) {
+func (r *Router) Forward(
+	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
+) {
 	req := r.requests[coreReq.ID]
 	call := r.newCall(to, timeout)
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
@@ -108,15 +110,22 @@
 	req.answer.AttemptBegan()
 	call.clientDeadline = min(call.deadline, req.cameAt+req.message.Timeout-networkDelay)
 	call.writeBefore = min(call.writeBefore, call.clientDeadline)
-	call.message = &binframe.Attempt{ID: call.id, Class: req.message.Class, Function: req.message.Function, IdempotencyKey: req.message.IdempotencyKey, Body: req.message.Body}
+	call.message = &binframe.Attempt{
+		ID: call.id, Class: req.message.Class, Function: req.message.Function,
+		IdempotencyKey: req.message.IdempotencyKey, Body: req.message.Body,
+	}
 	r.dispatch(r.stepTime, call, nil)
 }
 
 // newCall returns a call chosen in this step, to end within timeout, that must not be written later than its endpoint
 // list allows.
 func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
-	return &serverCall{router: r, to: to, chosenAt: r.stepTime, deadline: r.stepTime + timeout, clientDeadline: r.stepTime + timeout, endpointsAsOf: r.endpointsAsOf,
-		writeBefore: min(r.stepTime+timeout, attempt.WriteUntil(r.endpointsAsOf, r.config.grace))}
+	deadline := r.stepTime + timeout
+	return &serverCall{
+		router: r, to: to, chosenAt: r.stepTime, deadline: deadline, clientDeadline: deadline,
+		endpointsAsOf: r.endpointsAsOf,
+		writeBefore:   min(deadline, attempt.WriteUntil(r.endpointsAsOf, r.config.grace)),
+	}
 }
 
 // Reject ends a request that did not run; its client may retry after retryAfter.
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -86,9 +86,13 @@
 // New returns a router for a configuration, with its listener open. It fails when the recorded endpoint history is
 // invalid or the listening address can't be had in time.
 func New(config *Config, log zerolog.Logger) (*Router, error) {
-	r := &Router{config: config, log: log, started: time.Now(), epoch: control.Micros(config.wall().UnixMicro()), requests: map[control.RequestID]*request{},
-		pools: map[control.ServerID]*serverPool{}, queue: eventqueue.New(), clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
-		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}), rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0)}
+	r := &Router{
+		config: config, log: log, started: time.Now(), epoch: control.Micros(config.wall().UnixMicro()),
+		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
+		queue: eventqueue.New(), clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
+		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}),
+		rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0),
+	}
 	r.fleet.UseSourceClock()
 	r.fleet.SlowStart(config.Deployment.SlowStartDuration)
 	// Well-behaved clients hold up to a third; the rest of a half is for silent ones.
@@ -126,8 +130,8 @@
 func listenAt(address string) (net.Listener, error) {
 	for begin := time.Now(); ; time.Sleep(firstReread) {
 		l, err := net.Listen("tcp", address)
-		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
-			syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
+		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
+			syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
 		if !retryable || time.Since(begin) > listenFor {
 			return l, err
 		}
@@ -244,7 +248,8 @@
 	r.endpointsAsOfBefore = r.endpointsAsOf
 	if attempt.MustReadEndpoints(r.now()-r.endpointsAsOf, r.config.grace) {
 		r.endpointsAsOf = r.micros(r.discovery.CatchUp())
-		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() { // read before the batch is taken, which holds everything up to then
+		// Read before the batch is taken, which so holds everything up to then.
+		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() {
 			r.endpointsCompleteAsOf = r.micros(complete)
 		}
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -106,13 +106,16 @@
 // rejected, so that its client can use the time left with another router; any other fails.
 func (r *Router) endRequests(selected func(req *request) bool) {
 	now := r.now()
-	for _, req := range slices.SortedFunc(maps.Values(r.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) }) {
+	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
+	for _, req := range slices.SortedFunc(maps.Values(r.requests), byID) {
 		if req.answer.Given || !selected(req) {
 			continue
 		}
 		r.countAnomaly("ended by the stop")
 		r.core.Cancel(now, req.id)
-		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool { return !call.withdraw() && call.currentStage() == attempt.Writing })
+		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
+			return !call.withdraw() && call.currentStage() == attempt.Writing
+		})
 		if mayHaveRun && !r.config.Deployment.Classes[req.class].SafeToRetryAnywhere() {
 			r.finish(req, msgrpc.Failure(req.number))
 		} else {
