--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -109,7 +109,9 @@
 // one may be.
 func (r *Router) rejectConn(conn net.Conn) {
 	r.rejecting <- struct{}{}
-	c := r.newClient(conn, true)
+	c := r.newClient(conn)
+	c.rejected = true
+	r.addClient(c)
 	c.refusal = func(number uint32) []byte {
 		c.closeWhenIdle(drainAfterIdle)
 		return msgrpc.Rejection(number, r.config.Deployment.MaxRetryAfter)
@@ -124,26 +126,31 @@
 
 // serveClient starts to read a client connection.
 func (r *Router) serveClient(conn net.Conn) *clientConn {
-	c := r.newClient(conn, false)
+	c := r.newClient(conn)
+	r.addClient(c)
 	go c.readLoop()
 	return c
 }
 
-// newClient registers a client connection; a rejected one does not count towards the limit.
-func (r *Router) newClient(conn net.Conn, rejected bool) *clientConn {
+// newClient returns the state of a client connection; addClient counts it.
+func (r *Router) newClient(conn net.Conn) *clientConn {
 	tracked := newTrackedConn(conn)
 	c := &clientConn{
-		router: r, rejected: rejected, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked,
+		router: r, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked,
 		open: map[uint32]*request{}, drainTime: drainAfterIdle,
 		closed: make(chan struct{}), closeNowAsked: make(chan struct{}),
 	}
 	c.writes.maxQueuedBytes, c.writes.conn, c.writes.written = maxUnreadByClient, conn, make(chan struct{})
 	c.idleSince.Store(int64(r.now()))
+	return c
+}
+
+// addClient registers a client connection; a rejected one does not count towards the limit.
+func (r *Router) addClient(c *clientConn) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.clients[c] = struct{}{}
-	r.rejectedConns += countOf(rejected)
-	r.mu.Unlock()
-	return c
+	r.rejectedConns += countOf(c.rejected)
 }
 
 // hasRoom reports whether one more connection may be served. It closes idle ones before the limit is reached: each
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -172,7 +172,15 @@
 	case <-ctx.Done():
 	}
 	r.ready.Store(true)
-	stopRequested, acceptEnded, ending := ctx.Done(), r.acceptEnded, false
+	r.runEventLoop(ctx.Done())
+	r.logState()
+	r.log.Info().Msg("no job is left in hand")
+	r.closeAll()
+}
+
+// runEventLoop runs the event loop until the router was asked to stop and every client connection has ended.
+func (r *Router) runEventLoop(stopRequested <-chan struct{}) {
+	acceptEnded, ending := r.acceptEnded, false
 	var nextAction <-chan time.Time
 	var actions []stopAction
 	var batch []func(control.Micros)
@@ -187,10 +195,7 @@
 			continue
 		case <-stopRequested:
 			stopRequested = nil
-			r.stopRequestedAt = r.now()
-			r.ready.Store(false)
-			r.log.Info().Int("jobs", len(r.requests)).Msg("stopping: serving on a little, then answering what is in hand")
-			actions = r.stopActions()
+			actions = r.beginStop()
 			nextAction = time.After(duration(actions[0].at))
 		case <-nextAction:
 			ending = true
@@ -213,9 +218,6 @@
 			r.timer.Reset(min(5*time.Millisecond, duration(max(0, r.timerAt-r.now()))))
 		}
 	}
-	r.logState()
-	r.log.Info().Msg("no job is left in hand")
-	r.closeAll()
 }
 
 // minStepInterval is the least time between two event-loop steps, in microseconds, where the configured tick is
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -52,6 +52,14 @@
 	do func()
 }
 
+// beginStop marks the router as stopping and returns the actions that follow.
+func (r *Router) beginStop() []stopAction {
+	r.stopRequestedAt = r.now()
+	r.ready.Store(false)
+	r.log.Info().Int("jobs", len(r.requests)).Msg("stopping: serving on a little, then answering what is in hand")
+	return r.stopActions()
+}
+
 // stopActions returns the actions of the graceful shutdown, in order of time.
 func (r *Router) stopActions() []stopAction {
 	kill := earliestKill(r.config.Deployment)
