--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -100,8 +100,8 @@
 	return out
 }
 
-// checkFreeLink makes room, and looks whether one of those idle longest is dropped.
-func (r *replaced) checkFreeLink(t *rapid.T) {
+// checkCloseIdle makes room, and looks whether one of those idle longest is dropped.
+func (r *replaced) checkCloseIdle(t *rapid.T) {
 	before := r.idle()
 	freed := r.closeIdleServerConn()
 	after := r.idle()
@@ -119,7 +119,7 @@
 // prunes what a look at all of them would.
 func TestChangesEndTheSameConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		both := []*replaced{{Router: idlePlatform(t)}, {Router: idlePlatform(t)}}
+		both := []*replaced{{Router: idleRouter(t)}, {Router: idleRouter(t)}}
 		now := max(both[0].now(), both[1].now())
 		var s discovery.State
 		for rev := range uint64(rapid.IntRange(1, 40).Draw(rt, "steps")) {
@@ -153,7 +153,7 @@
 					r.checkPrune(rt, now)
 				}
 				if free {
-					r.checkFreeLink(rt)
+					r.checkCloseIdle(rt)
 				}
 			}
 			if x, y := both[0].all(), both[1].all(); !reflect.DeepEqual(x, y) {
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -11,22 +11,22 @@
 	"hollymast/internal/platformtest"
 )
 
-// steppedPlatform is a router that read its wall clock at the start while that was ahead by a step. The test takes its turns.
-func steppedPlatform(t *testing.T, step time.Duration) *Router {
+// steppedRouter is a router that read its wall clock at the start while that was ahead by a step. The test takes its turns.
+func steppedRouter(t *testing.T, step time.Duration) *Router {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	told.wall = func() time.Time { return time.Now().Add(step) }
-	return newPlatform(t, told)
+	return newRouter(t, told)
 }
 
 // The wall clock was ahead or behind when this router started, and is right when a server starts: what the module is told of the
 // server's start is bounded by when the list was last complete without it.
 func TestStartIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
-		p := steppedPlatform(t, step)
+		p := steppedRouter(t, step)
 		complete := p.now()
 		p.endpointsCompleteAsOf = complete
 		p.step(complete, nil)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -63,8 +63,8 @@
 }
 
 // A job that comes as its idle connection is about to end is read before, and served.
-func TestJobCrossesAnIdleClose(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+func TestRequestCrossesIdleClose(t *testing.T) {
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
@@ -74,8 +74,8 @@
 }
 
 // A job that comes as a stopping router looks at its connections for the last time has its answer before the end.
-func TestJobCrossesTheEnd(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+func TestRequestCrossesShutdown(t *testing.T) {
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
@@ -85,8 +85,8 @@
 }
 
 // A job that comes so late after the order to stop that its answer might not come before the kill is pushed back at once.
-func TestJobCrossesTheKill(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+func TestRequestCrossesKill(t *testing.T) {
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
 	r.queue.Post(func(now control.Micros) { r.stopRequestedAt = now - acceptRequestsFor })
 	c.call(1, "again")
@@ -94,9 +94,9 @@
 }
 
 // A connection that is told to end while a job is open ends with that job's answer.
-func TestConnectionEndsAfterItsJob(t *testing.T) {
+func TestConnectionClosesAfterItsRequest(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	a := <-held
@@ -107,9 +107,9 @@
 }
 
 // Room is asked for while a job is open on a connection that is to end: it is not that one which is closed at once.
-func TestRoomCrossesAJob(t *testing.T) {
+func TestMakingRoomSparesOpenRequests(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.call(1, "again")
 	a := <-held
@@ -122,14 +122,14 @@
 
 // A first message that came while the process stood still counts as in time.
 func TestMessageCrossesItsDeadline(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, once(func(c *caller) { c.call(1, "again") }))
 	c.expect("1: body 1") // after firstWithin
 }
 
 // Connections that wait at the listener when it closes have been made: they are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
-	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +162,7 @@
 
 // After what can't be read its sender reads why, and then the end: no reset overtakes the answer.
 func TestAnswerIsNotLostToTheClose(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, func(*caller, int, error) {})
 	c.conn.Write(append([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}, make([]byte, 64<<10)...))
 	c.expect("1: Invalid")
@@ -180,7 +180,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			held := make(chan asked, 1)
-			r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+			r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 			c := r.caller(t)
 			c.call(1, "again")
 			<-held
@@ -206,7 +206,7 @@
 // A client that floods has nothing open: its reader sleeps between messages, and would see a cancel late.
 func TestFloodingClientHasNothingOpen(t *testing.T) {
 	held := make(chan asked, 1)
-	c := start(t, plane(t, 1), worker(t, func(a asked) { held <- a })).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a })).caller(t)
 	c.call(1, "again")
 	<-held
 	for n := 2; n < 2+tolerableFaults; n++ {
@@ -221,9 +221,9 @@
 }
 
 // A second answer to an execution that has ended comes when the same job is out again: it is not taken for the other's.
-func TestSecondAnswerCrossesTheNextExecution(t *testing.T) {
+func TestDuplicateAnswerCrossesNextAttempt(t *testing.T) {
 	var first asked
-	c := start(t, plane(t, 1), worker(t, func(a asked) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		if a.nth == 1 {
 			first = a
 			a.conn.Write(a.answer(101, a.id, ""))
@@ -237,7 +237,7 @@
 }
 
 // Of two free connections the one that stands is used: the other may come up late, or never.
-func TestStandingConnectionComesFirst(t *testing.T) {
+func TestConnectedConnectionComesFirst(t *testing.T) {
 	stands, comes := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
 	if !stands.preferredOver(comes) || comes.preferredOver(stands) {
 		t.Error("the one that is still dialled comes first")
@@ -246,7 +246,7 @@
 
 // That no descriptor is free for a connection is no sign of a bad server: the job waits for one.
 func TestOutOfDescriptors(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
@@ -304,7 +304,7 @@
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -350,8 +350,8 @@
 }
 
 // A router whose turns stand still doesn't say that it is well, though its readers go on.
-func TestWellCrossesAStandingTurn(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+func TestHealthCheckFailsWhileEventLoopHangs(t *testing.T) {
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	turn := make(chan bool)
 	r.queue.Post(func(control.Micros) { <-turn })
 	c, ours := r.crossing(t, func(*caller, int, error) {})
@@ -372,7 +372,7 @@
 
 // A fault of our own on one connection ends that one, and is told; the others go on.
 func TestFaultOnOneConnection(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, func(c *caller, n int, err error) {
 		if n > 0 {
 			panic("planted")
@@ -392,7 +392,7 @@
 
 // A fault of our own on a connection to a server ends that one.
 func TestFaultOnOneServerConnection(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
@@ -412,7 +412,7 @@
 
 // A client that leaves before its first message was not too slow.
 func TestLeavingIsNotCountedAsSlow(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	c.conn.Close()
 	<-ours.closed
@@ -424,9 +424,9 @@
 }
 
 // What a client allows runs from when its message was read, though the turn comes later.
-func TestPatienceCrossesAStandingTurn(t *testing.T) {
+func TestDeadlineRunsWhileEventLoopHangs(t *testing.T) {
 	got := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { got <- a; good(a) }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { got <- a; good(a) }))
 	const stood = 300
 	turn := make(chan bool)
 	r.queue.Post(func(control.Micros) { <-turn })
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -33,7 +33,7 @@
 // startLogged is startChanged with the router's log.
 func startLogged(t *testing.T, change func(p *Router), servers ...string) (*running, *log) {
 	t.Helper()
-	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 
 // An attempt whose time is up when its connection stands is withdrawn there, however fresh its list is: it provably never ran.
 func TestNothingLeftIsNotWritten(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	longGrace(p)
 	conn, theirs := platformtest.Connected(t)
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -28,8 +28,8 @@
 	return wrote
 }
 
-// startTold starts a router with a configuration, which need not be well at once.
-func startTold(t *testing.T, configuration string) *running {
+// startWithConfig starts a router with a configuration, which need not be well at once.
+func startWithConfig(t *testing.T, configuration string) *running {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration), Environment{})
 	if err != nil {
@@ -38,17 +38,17 @@
 	return serve(t, told)
 }
 
-// idlePlatform is a router that takes no turns of its own: the test takes them.
-func idlePlatform(t *testing.T) *Router {
+// idleRouter is a router that takes no turns of its own: the test takes them.
+func idleRouter(t *testing.T) *Router {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return newPlatform(t, told)
+	return newRouter(t, told)
 }
 
-func newPlatform(t *testing.T, told *Config) *Router {
+func newRouter(t *testing.T, told *Config) *Router {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
@@ -60,8 +60,8 @@
 
 // A stop between the look at the list and the turn's clock makes the choice no younger than its list: neither an execution nor
 // an order to load is written then.
-func TestStopBetweenListAndTurn(t *testing.T) {
-	p := idlePlatform(t)
+func TestStallBetweenEndpointsAndStep(t *testing.T) {
+	p := idleRouter(t)
 	p.readEndpoints()
 	p.step(p.now(), nil)
 	fresh, order := p.newCall(1, 1_000_000), p.newCall(1, p.config.loadTimeout)
@@ -83,7 +83,7 @@
 
 // A server that is not listed as ready is sent nothing, whatever was chosen.
 func TestNothingIsSentToAServerThatIsNotReady(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
 		p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
 		s := p.newCall(fleet.ID("s-0"), 1_000_000)
@@ -98,7 +98,7 @@
 
 // The log tells how late the latest first byte to a server was that drained, at most, and how old the oldest list.
 func TestLogTellsHowLateFirstBytesWere(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	var line bytes.Buffer
 	p.log = zerolog.New(&line)
 	ready := []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}}
@@ -130,10 +130,10 @@
 
 // Within a turn the list comes first: what was heard before it leads to further executions, which must not be chosen from the
 // older list.
-func TestListComesFirstInItsTurn(t *testing.T) {
+func TestEndpointsComeFirstInTheirStep(t *testing.T) {
 	server := platformtest.NewModelServer(t)
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
-	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
+	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
 	until(t, "the router is well", r.ready.Load)
 	state := make(chan control.ServerState, 1)
 	r.queue.Post(func(control.Micros) { // a turn that lasts
@@ -157,7 +157,7 @@
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
 	told := plane.Publish(platformtest.Event(2, "s-0", drains.Address(), "draining"))
 	plane.Publish(platformtest.Event(3, "s-1", stays.Address(), "ready"))
-	r := startTold(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
+	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
 	until(t, "the board is asked", func() bool { return len(plane.Asked()) == 1 })
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
@@ -245,7 +245,7 @@
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	r := startTold(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
+	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
 	until(t, "the router is well", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
@@ -271,13 +271,13 @@
 }
 
 // A notice board that accepts and says nothing keeps no router from being well: it had a quarter of the grace to answer.
-func TestStartWithASilentBoard(t *testing.T) {
+func TestStartWithSilentDiscovery(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	silent := make(chan bool)
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-silent; return true })
 	t.Cleanup(func() { close(silent) })
 	server := platformtest.NewModelServer(t)
-	r := startTold(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
+	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
 	until(t, "the router is well", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
@@ -288,7 +288,7 @@
 
 // A connection that comes up when the grace has run writes nothing that was chosen before.
 func TestDialCrossesTheGrace(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	conn, theirs := platformtest.Connected(t)
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
 	p.readEndpoints()
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -46,7 +46,7 @@
 			"once":        func(nth int32, _ time.Duration) bool { return nth == 1 },
 			"for a while": func(_ int32, since time.Duration) bool { return since < lasts },
 		} {
-			p := idlePlatform(t)
+			p := idleRouter(t)
 			ours, theirs := platformtest.Connected(t)
 			idle := p.serveClient(ours)
 			begin := time.Now()
@@ -96,7 +96,7 @@
 // A stopping router takes the connections that wait though accept fails meanwhile, or its deadline passed while it was elsewhere.
 func TestWaitingConnectionsAreAcceptedInSpiteOfFaults(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
-		p := idlePlatform(t)
+		p := idleRouter(t)
 		begin := time.Now()
 		l := &failing{TCPListener: p.listener, fault: func() error {
 			if errno != 0 && time.Since(begin) < 5*lastReadTime {
@@ -180,7 +180,7 @@
 // A client's connection that breaks in whatever way is a client that left: nothing further of it is sent, and nobody else notices.
 func TestClientConnectionBreaks(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) {
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		if string(a.body) == "body 1" {
 			held <- a
 		} else {
@@ -235,7 +235,7 @@
 
 // A connection on which a byte comes at a time brings its requests.
 func TestShortReads(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	ours, theirs := platformtest.Connected(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
@@ -245,7 +245,7 @@
 	}
 	got := map[string]bool{}
 	for range 3 {
-		got[c.heard()] = true
+		got[c.receive()] = true
 	}
 	if !got["1: body 1"] || !got["2: body 2"] || !got["3: body 3"] {
 		t.Errorf("got %v", got)
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -20,8 +20,8 @@
 	at    control.Micros
 }
 
-// ofSize gives one that has a pool of connections to each server.
-func ofSize(b testing.TB, servers int) *sized {
+// newSized gives one that has a pool of connections to each server.
+func newSized(b testing.TB, servers int) *sized {
 	b.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
@@ -40,7 +40,7 @@
 	for i := range servers {
 		whole.Targets = append(whole.Targets, f.target(i, "ready"))
 	}
-	f.tell(b, whole)
+	f.handle(b, whole)
 	for i := range servers {
 		p.poolOf(fleet.ID(f.target(i, "").UID))
 	}
@@ -52,8 +52,8 @@
 		Weight: 4, StartedAtMS: int64(f.rev)}
 }
 
-// tell has the router hear an event and take a turn, one millisecond after the last.
-func (f *sized) tell(b testing.TB, told *discovery.UpdateMessage) {
+// handle has the router hear an event and take a turn, one millisecond after the last.
+func (f *sized) handle(b testing.TB, told *discovery.UpdateMessage) {
 	f.rev++
 	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
 	if err != nil || meaning != discovery.EndpointsChanged {
@@ -69,14 +69,14 @@
 
 // change has one server go on to its next state.
 func (f *sized) change(b testing.TB, n, servers int) {
-	f.tell(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
+	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
 func TestListChangeAllocatesAlike(t *testing.T) {
 	var allocated [2]float64
 	for i, servers := range []int{200, 3200} {
-		f, n := ofSize(t, servers), 0
+		f, n := newSized(t, servers), 0
 		allocated[i] = testing.AllocsPerRun(300, func() {
 			f.change(t, n, servers)
 			n++
@@ -92,14 +92,14 @@
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
-			f := ofSize(b, servers)
+			f := newSized(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				f.change(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
-			f := ofSize(b, servers)
+			f := newSized(b, servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				f.at += 500_000
--- a/internal/platform/harm_test.go
+++ b/internal/platform/harm_test.go
@@ -13,7 +13,7 @@
 // Several kinds of bad clients at once cost a usual one none of its answers.
 func TestBadClientsCostNobodyAnAnswer(t *testing.T) {
 	const requests = 40
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	usual := r.caller(t)
 	end := make(chan struct{})
 	var all sync.WaitGroup
@@ -63,7 +63,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range requests {
-		answers[usual.heard()]++
+		answers[usual.receive()]++
 	}
 	close(end)
 	all.Wait()
@@ -96,7 +96,7 @@
 		"a body of 60 MB": func(c *caller) { c.conn.Write([]byte{0x94, 0, 100, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
 		held := make(chan asked, 4*open)
-		r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+		r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 		c, ours := r.crossing(t, func(*caller, int, error) {})
 		for n := 1; n <= open; n++ {
 			c.call(n, "again")
@@ -109,7 +109,7 @@
 		bad(c)
 		c.conn.(*net.TCPConn).CloseWrite()
 		answers := map[string]int{}
-		for what := c.heard(); what != "closed"; what = c.heard() {
+		for what := c.receive(); what != "closed"; what = c.receive() {
 			answers[what]++
 		}
 		for n := 1; n <= open; n++ {
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -32,7 +32,7 @@
 // A request that was here whole when its connection's time was up is read to its end, however long the processor is elsewhere.
 func TestLongRequestIsReadAfterItsDeadline(t *testing.T) {
 	for name, end := range map[string]func(c *clientConn){"idle": func(c *clientConn) { c.closeWhenIdle(0) }, "room": func(c *clientConn) { c.abort() }} {
-		r := start(t, plane(t, 1), worker(t, good))
+		r := start(t, discoveryServer(t, 1), modelServer(t, good))
 		var sent atomic.Bool
 		c, ours := r.crossing(t, func(c *caller, n int, err error) {
 			if errors.Is(err, os.ErrDeadlineExceeded) && sent.CompareAndSwap(false, true) {
@@ -45,7 +45,7 @@
 		c.send(0, 1, "isWell", []any{map[string]string{}})
 		c.expect("1: true")
 		end(ours)
-		if got := c.heard(); len(got) < 3 || got[:3] != "2: " {
+		if got := c.receive(); len(got) < 3 || got[:3] != "2: " {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // What was sent behind a number that does not rise has an error each.
 func TestRequestsBehindAWrongNumber(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	var all []byte
 	for _, n := range []int{3, 3, 4, 5} {
 		all = append(all, whole(t, n, "again")...)
@@ -66,13 +66,13 @@
 
 // Where there is no room for a connection its requests are pushed back; they are many at once.
 func TestNoRoomPushesBack(t *testing.T) {
-	told, err := parseConfig([]byte(configuration(plane(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	told.Sockets = minSockets
 	held := make(chan asked, minSockets)
-	told.History.Events = append(told.History.Events, event(1, "s-0", worker(t, func(a asked) { held <- a }), "ready"))
+	told.History.Events = append(told.History.Events, event(1, "s-0", modelServer(t, func(a asked) { held <- a }), "ready"))
 	told.History.Revision = 1
 	r := serve(t, told)
 	until(t, "the router is well", r.ready.Load)
@@ -97,7 +97,7 @@
 		more[i].conn.Write(append(whole(t, 1, "again"), whole(t, 2, "again")...))
 	}
 	for i, c := range more {
-		if first, second := c.heard(), c.heard(); first != "1: TryLater" || second != "2: TryLater" {
+		if first, second := c.receive(), c.receive(); first != "1: TryLater" || second != "2: TryLater" {
 			t.Fatalf("connection %d: %q, %q", i, first, second)
 		}
 		c.expect("closed")
@@ -110,7 +110,7 @@
 // A fault of our own in handling a request leaves none of its connection without an answer: neither it nor what is open or behind it.
 func TestFaultInHandlingARequest(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c := r.caller(t)
 	c.call(1, "again")
 	<-held
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -39,8 +39,8 @@
 		{UID: uid, Endpoint: endpoint, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// plane is a board that tells nothing but its number.
-func plane(t *testing.T, last int, events ...discovery.Event) string {
+// discoveryServer is a board that tells nothing but its number.
+func discoveryServer(t *testing.T, last int, events ...discovery.Event) string {
 	return listen(t, func(c net.Conn) {
 		for _, e := range events {
 			text, _ := json.Marshal(e)
@@ -92,8 +92,8 @@
 	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
 }
 
-// worker is a stand-in for a model server: do is called for each execution.
-func worker(t *testing.T, do func(a asked)) string {
+// modelServer is a stand-in for a model server: do is called for each execution.
+func modelServer(t *testing.T, do func(a asked)) string {
 	var nth atomic.Int32
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -189,8 +189,8 @@
 	c.send(0, number, class, []any{f, []byte(fmt.Sprint("body ", number))})
 }
 
-// heard gives the next answer as "number: what", or what ended the connection.
-func (c *caller) heard() string {
+// receive gives the next answer as "number: what", or what ended the connection.
+func (c *caller) receive() string {
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
 		return "closed"
@@ -209,13 +209,13 @@
 
 func (c *caller) expect(want string) {
 	c.t.Helper()
-	if got := c.heard(); got != want {
+	if got := c.receive(); got != want {
 		c.t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-func TestServesAJobUnchanged(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, good)).caller(t)
+func TestServesRequestUnchanged(t *testing.T) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, good)).caller(t)
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	c.call(2, "again")
@@ -234,9 +234,9 @@
 // A spoilt answer has run: a run-once job is killed, and nobody is told that trying again is harmless.
 func TestSpoiltAnswersMayHaveRun(t *testing.T) {
 	for name, spoil := range spoils {
-		c := start(t, plane(t, 1), worker(t, spoil)).caller(t)
+		c := start(t, discoveryServer(t, 1), modelServer(t, spoil)).caller(t)
 		c.call(1, "once")
-		if got := c.heard(); got != "1: Aborted" {
+		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -245,7 +245,7 @@
 // A restartable one runs again, on another connection; the server is not held to be dead.
 func TestSpoiltAnswersRunAgain(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
-		c := start(t, plane(t, 1), worker(t, func(a asked) {
+		c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 			if a.nth == 1 {
 				spoils[name](a)
 			} else {
@@ -253,7 +253,7 @@
 			}
 		})).caller(t)
 		c.call(1, "again")
-		if got := c.heard(); got != "1: body 1" {
+		if got := c.receive(); got != "1: body 1" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -262,7 +262,7 @@
 // What belongs to nobody is dropped, and the connection stays.
 func TestSurplusAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
-	c := start(t, plane(t, 1), worker(t, func(a asked) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		a.conn.Write(a.answer(97, a.id+1, "not yours"))
 		good(a)
 		good(a)
@@ -281,13 +281,13 @@
 }
 
 func TestFullServerProvesNothingRan(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(a asked) { a.conn.Write(a.answer(100, a.id, "")) })).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { a.conn.Write(a.answer(100, a.id, "")) })).caller(t)
 	c.call(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
 func TestBadInputIsAnsweredOrClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	for name, bad := range map[string]func(c *caller){
 		"an unknown class":   func(c *caller) { c.call(1, "unheard") },
 		"an unknown project": func(c *caller) { c.call(1, "again", "project", "nobody") },
@@ -298,7 +298,7 @@
 	} {
 		c := r.caller(t)
 		bad(c)
-		if got := c.heard(); got != "1: Invalid" {
+		if got := c.receive(); got != "1: Invalid" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -309,7 +309,7 @@
 
 // Which of the two was meant? Neither is served.
 func TestRefTwiceServesNeither(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	c.call(1, "again")
 	c.call(2, "again", "ref", fmt.Sprintf("%016x", 1))
 	c.expect("1: Invalid")
@@ -318,7 +318,7 @@
 
 // Whose answer would be whose? No job of such a connection gets one that counts.
 func TestNumberTwiceEndsTheConnection(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, func(asked) {}))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {}))
 	c := r.caller(t)
 	c.call(1, "again")
 	c.call(1, "again", "ref", "00000000000000ff")
@@ -328,7 +328,7 @@
 }
 
 func TestSilentConnectionsAreClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	silent, half := r.caller(t), r.caller(t)
 	half.conn.Write([]byte{0x94, 0, 1})
 	for _, c := range []*caller{silent, half} {
@@ -339,8 +339,8 @@
 	}
 }
 
-func TestMoreThan32OpenArePushedBack(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
+func TestMoreThan32OpenAreRejected(t *testing.T) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
 		c.call(n, "again")
 	}
@@ -349,7 +349,7 @@
 
 // Connections over the bound make room among those that have said nothing.
 func TestManySilentConnectionsLeaveRoom(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	for range r.maxClients + 20 {
 		r.caller(t)
 	}
@@ -360,7 +360,7 @@
 
 // So do those that have begun a message, or asked once and stay: neither costs a usual client its answer.
 func TestManyHalfMessagesLeaveRoom(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	usual := r.caller(t)
 	for n := 1; n <= r.maxClients; n++ {
 		half, stays := r.caller(t), r.caller(t)
@@ -376,9 +376,9 @@
 	}
 }
 
-func TestForgottenJobIsNotAnswered(t *testing.T) {
+func TestCancelledRequestIsNotAnswered(t *testing.T) {
 	got := make(chan asked, 1)
-	c := start(t, plane(t, 1), worker(t, func(a asked) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		if a.nth == 1 {
 			got <- a
 		} else {
@@ -396,7 +396,7 @@
 
 // A server that drains between the choice and the first byte gets nothing.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	done := make(chan bool)
 	r.queue.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
@@ -421,8 +421,8 @@
 // A new server at the address of one that has gone has connections of its own.
 func TestAddressOfAnotherServer(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	address := worker(t, func(a asked) { good(a); conns <- a.conn })
-	r := start(t, plane(t, 1), address)
+	address := modelServer(t, func(a asked) { good(a); conns <- a.conn })
+	r := start(t, discoveryServer(t, 1), address)
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
@@ -439,17 +439,17 @@
 // At a new configuration the board is asked elsewhere, and jobs in hand stay.
 func TestReload(t *testing.T) {
 	first := make(chan asked, 1)
-	old, other := worker(t, func(a asked) { first <- a }), worker(t, good)
-	r := start(t, plane(t, 1), old)
+	old, other := modelServer(t, func(a asked) { first <- a }), modelServer(t, good)
+	r := start(t, discoveryServer(t, 1), old)
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-first
 	fresh := *r.config
-	fresh.DiscoveryAddress = plane(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
+	fresh.DiscoveryAddress = discoveryServer(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
 	r.Reload(&fresh)
 	for n := 2; ; n++ {
 		c.call(n, "again", "allow", "200")
-		if c.heard() == fmt.Sprintf("%d: body %d", n, n) {
+		if c.receive() == fmt.Sprintf("%d: body %d", n, n) {
 			break
 		}
 		if n > 20 {
@@ -463,7 +463,7 @@
 // A stopping router serves on for a little, answers what is in hand, and ends.
 func TestStop(t *testing.T) {
 	first := make(chan asked, 2)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { first <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { first <- a }))
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-first
@@ -518,14 +518,14 @@
 
 // How late an order may be written is told to the module, which counts its ration by it: as late as any choice is written.
 func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
 		t.Errorf("written %d late, told %d", s.writeBefore-s.chosenAt, p.config.Deployment.MaxCommandDelay)
 	}
 }
 
 // Where descriptors are few, room is not made among as many connections as usual clients hold: a third of all.
-func TestFewDescriptorsLeaveUsualClients(t *testing.T) {
+func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -75,7 +75,7 @@
 				return first.CompareAndSwap(0, now) || time.Duration(now-first.Load()) < row.lasts && row.lasts > once
 			}
 			out := make(chan asked, 8)
-			address := worker(t, func(a asked) {
+			address := modelServer(t, func(a asked) {
 				runs.Add(1)
 				if row.call == "read" && !mended.Load() {
 					out <- a
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -19,7 +19,7 @@
 	const second = 1_000_000
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
 		3 * second: 800_000, 30 * second: 800_000} {
-		p := idlePlatform(t)
+		p := idleRouter(t)
 		p.config.Deployment.Classes = []control.Class{{MaxDeadline: longest / 2}, {MaxDeadline: longest}}
 		steps := p.stopActions()
 		kill := 700_000 + min(longest, 3*second)
@@ -37,7 +37,7 @@
 // What is in hand when the kill is near gets its answer: what was never written one that tells to try again.
 func TestStopAnswersWhatIsInHand(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c := r.caller(t)
 	c.call(1, "once")
 	<-held
@@ -55,7 +55,7 @@
 func TestStopSendsElsewhereWhatMayRepeat(t *testing.T) {
 	held := make(chan asked, 1)
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
-		r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+		r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 		c := r.caller(t)
 		c.call(1, class)
 		<-held
@@ -67,7 +67,7 @@
 // Near the kill only those jobs that are held are pushed back, and of those the ones whose client waits beyond it.
 func TestStopPushesBackHeldJobsFirst(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-held
@@ -95,12 +95,12 @@
 
 // A client that always has something open does not keep its connection: each request has its answer, or comes with the close.
 func TestSteadyClientIsClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
 	var both sync.WaitGroup
 	both.Go(func() {
-		for what := c.heard(); what != "closed"; what = c.heard() {
+		for what := c.receive(); what != "closed"; what = c.receive() {
 			var number int
 			fmt.Sscanf(what, "%d", &number)
 			answered[number] = true
@@ -153,7 +153,7 @@
 
 // A reader whose time is up at this very moment ends, and doesn't ask again and again: the clock may stand while it does.
 func TestReaderEndsOnTheMoment(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
--- a/internal/platform/trouble_test.go
+++ b/internal/platform/trouble_test.go
@@ -102,7 +102,7 @@
 
 // A queue to a server that gets full ends all that waits in it, provably never sent.
 func TestFullQueueEndsWhatWaits(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	p.maxServerConns = 1
 	p.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}})
