--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -15,13 +15,13 @@
 	"hollymast/internal/fleet"
 )
 
-// replaced is a router whose connections to servers are never dialled.
+// replaced is a router whose server connections are never dialled.
 type replaced struct {
 	*Router
 	sent []*serverCall
 }
 
-// open has an order on its way to a server, written or not, on a connection that stands or not yet.
+// open puts a load command in flight to a server, written or not, on a connection that is connected or not yet.
 func (r *replaced) open(now control.Micros, to control.ServerID, written, up bool) {
 	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
 		return
@@ -46,7 +46,7 @@
 	r.sent = append(r.sent, s)
 }
 
-// pooled tells of each connection, in the order of servers and of their beginnings, but for those that are dropped.
+// pooled describes each connection, by server and in order of creation, except those that are dropped.
 func (r *replaced) pooled(dropped func(l *serverConn) bool) []string {
 	var out []string
 	for id, pl := range r.pools {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// all tells of the connections and of what was sent.
+// all describes the connections and what was sent.
 func (r *replaced) all() []string {
 	out := r.pooled(func(*serverConn) bool { return false })
 	for _, s := range r.sent {
@@ -74,7 +74,7 @@
 	return append(out, fmt.Sprint(r.serverConnCount, " connections, ", len(r.pools), " pools"))
 }
 
-// checkPrune prunes, and looks whether just those connections and pools are dropped that a look at all of them finds.
+// checkPrune prunes, and checks that just those connections and pools are dropped that a scan of all finds.
 func (r *replaced) checkPrune(t *rapid.T, now control.Micros) {
 	r.prunedAt = 0
 	want := r.pooled(func(l *serverConn) bool {
@@ -86,7 +86,7 @@
 	}
 }
 
-// idle gives the connections that stand and have nothing open, the one idle longest first.
+// idle returns the connected connections with nothing open, the least recently used first.
 func (r *replaced) idle() []*serverConn {
 	var out []*serverConn
 	for _, pl := range r.pools {
@@ -100,7 +100,7 @@
 	return out
 }
 
-// checkCloseIdle makes room, and looks whether one of those idle longest is dropped.
+// checkCloseIdle closes an idle connection, and checks that it is one of the least recently used.
 func (r *replaced) checkCloseIdle(t *rapid.T) {
 	before := r.idle()
 	freed := r.closeIdleServerConn()
@@ -115,8 +115,8 @@
 	}
 }
 
-// A router that hears what changed keeps and ends the connections that one does that hears the complete list at each event, and
-// prunes what a look at all of them would.
+// A router that handles incremental updates keeps and closes the connections that one does that handles a complete
+// list at each event, and prunes what a scan of all would.
 func TestChangesEndTheSameConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		both := []*replaced{{Router: idleRouter(t)}, {Router: idleRouter(t)}}
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -11,7 +11,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// steppedRouter is a router that read its wall clock at the start while that was ahead by a step. The test takes its turns.
+// steppedRouter returns a router whose wall clock was ahead by step when it started. The test runs its event-loop
+// steps.
 func steppedRouter(t *testing.T, step time.Duration) *Router {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
@@ -22,8 +23,8 @@
 	return newRouter(t, told)
 }
 
-// The wall clock was ahead or behind when this router started, and is right when a server starts: what the module is told of the
-// server's start is bounded by when the list was last complete without it.
+// The wall clock was ahead or behind when this router started, and is right when a server starts: the start time that
+// the balancer is given is bounded by when the endpoint list was last complete without the server.
 func TestStartIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
 		p := steppedRouter(t, step)
@@ -43,8 +44,8 @@
 	}
 }
 
-// newcomer plays one router whose server is replaced by a cold one, told to have started a while ago. It gives the attempts there
-// in the first part of slow start and in one after its end.
+// newcomer runs a router whose server is replaced by one in slow start that claims to have started a while ago. It
+// returns the attempts there in the first part of slow start and in one after its end.
 func newcomer(t *testing.T, ago time.Duration) (first, last int) {
 	const cold, part = 2 * time.Second, time.Second
 	old, fresh := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
@@ -95,9 +96,10 @@
 	return first, last
 }
 
-// A server that starts now gets the attempts of a cold one at first, a tenth of the demand here, and of a warm one after slow start,
-// whether its start is told as now, an hour ago or in an hour, as after a step of the router's wall clock. With a start taken as told
-// it is full load from the beginning, or slow start to the end.
+// A server that starts now gets slow start's attempts at first, a tenth of the demand here, and all of them after
+// slow start, whether its start is announced as now, an hour ago or in an hour, as after a step of the router's wall
+// clock. Were the announced start taken as it is, it would get full load from the beginning, or slow start to the
+// end.
 func TestStepOfTheWallClockLeavesSlowStart(t *testing.T) {
 	type attempts struct{ first, last int }
 	ago := []time.Duration{0, time.Hour, -time.Hour}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -25,7 +25,7 @@
 
 // Each test here forces two events to cross, on real sockets: it holds one until the other has happened.
 
-// crossed is the router's end of a connection; hook sees what a read brought before the router does.
+// crossed is the router's end of a connection; hook sees what a read returned before the router does.
 type crossed struct {
 	*net.TCPConn
 	hook func(n int, err error)
@@ -37,7 +37,7 @@
 	return n, err
 }
 
-// crossing gives a client of a router, and the router's end of its connection.
+// crossing returns a client of a router, and the router's end of its connection.
 func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *clientConn) {
 	t.Helper()
 	ours, theirs := platformtest.Connected(t)
@@ -46,7 +46,8 @@
 	return c, r.serveClient(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
 }
 
-// once gives a hook that acts at the first read whose deadline has passed: what it sends is here when the router looks again.
+// once returns a hook that acts at the first read whose deadline has passed: what it sends is pending when the router
+// reads again.
 func once(act func(c *caller)) func(c *caller, n int, err error) {
 	var done atomic.Bool
 	return func(c *caller, n int, err error) {
@@ -62,7 +63,7 @@
 	platformtest.Until(t, what, done)
 }
 
-// A job that comes as its idle connection is about to end is read before, and served.
+// A request that comes as its idle connection is about to close is read before, and served.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
@@ -73,7 +74,7 @@
 	c.expect("closed")
 }
 
-// A job that comes as a stopping router looks at its connections for the last time has its answer before the end.
+// A request that comes at a stopping router's last read of its connections is answered before the end.
 func TestRequestCrossesShutdown(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
@@ -84,7 +85,7 @@
 	c.expect("closed")
 }
 
-// A job that comes so late after the order to stop that its answer might not come before the kill is pushed back at once.
+// A request that comes so late in the shutdown that its answer might not come before the kill is rejected at once.
 func TestRequestCrossesKill(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
@@ -93,7 +94,7 @@
 	c.expect("1: TryLater")
 }
 
-// A connection that is told to end while a job is open ends with that job's answer.
+// A connection that is to close while a request is open closes with that request's answer.
 func TestConnectionClosesAfterItsRequest(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
@@ -106,7 +107,7 @@
 	c.expect("closed")
 }
 
-// Room is asked for while a job is open on a connection that is to end: it is not that one which is closed at once.
+// Room is needed while a request is open on a closing connection: that one is not closed at once.
 func TestMakingRoomSparesOpenRequests(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
@@ -120,14 +121,14 @@
 	c.expect("closed")
 }
 
-// A first message that came while the process stood still counts as in time.
+// A first message that came during a stall of the process counts as in time.
 func TestMessageCrossesItsDeadline(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, once(func(c *caller) { c.call(1, "again") }))
 	c.expect("1: body 1") // after firstWithin
 }
 
-// Connections that wait at the listener when it closes have been made: they are served.
+// Connections that wait at the listener when it closes are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
 	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
@@ -160,7 +161,7 @@
 	until(t, "all connections end", p.allClientsClosed)
 }
 
-// After what can't be read its sender reads why, and then the end: no reset overtakes the answer.
+// The sender of an unreadable message reads the error, and then the end: no reset overtakes the answer.
 func TestAnswerIsNotLostToTheClose(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, func(*caller, int, error) {})
@@ -172,7 +173,7 @@
 	}
 }
 
-// What a client cancels, or leaves by closing, is not written any more though the turn has yet to hear of it.
+// What a client cancels, or leaves by closing, is not written any more, though the event loop has yet to handle it.
 func TestClientLeavesBeforeTheFirstByte(t *testing.T) {
 	for name, leave := range map[string]func(c *caller){
 		"cancels": func(c *caller) { c.send(2, "forget", []any{1}) },
@@ -203,7 +204,7 @@
 	}
 }
 
-// A client that floods has nothing open: its reader sleeps between messages, and would see a cancel late.
+// A client that floods has nothing open: its reader sleeps between messages, and would see a cancellation late.
 func TestFloodingClientHasNothingOpen(t *testing.T) {
 	held := make(chan asked, 1)
 	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a })).caller(t)
@@ -220,7 +221,8 @@
 	c.expect("100: TryLater")
 }
 
-// A second answer to an execution that has ended comes when the same job is out again: it is not taken for the other's.
+// A duplicate answer to an attempt that has ended comes during the request's next attempt: it is not taken for that
+// one's.
 func TestDuplicateAnswerCrossesNextAttempt(t *testing.T) {
 	var first asked
 	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
@@ -236,7 +238,7 @@
 	c.expect("1: body 1")
 }
 
-// Of two free connections the one that stands is used: the other may come up late, or never.
+// Of two free connections the connected one is used: the other may connect late, or never.
 func TestConnectedConnectionComesFirst(t *testing.T) {
 	stands, comes := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
 	if !stands.preferredOver(comes) || comes.preferredOver(stands) {
@@ -244,7 +246,7 @@
 	}
 }
 
-// That no descriptor is free for a connection is no sign of a bad server: the job waits for one.
+// A shortage of descriptors does not count against the server: the request waits for one.
 func TestOutOfDescriptors(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
@@ -282,7 +284,7 @@
 	}
 }
 
-// lines hands over each line of a log.
+// lines passes on each line of a log.
 type lines chan string
 
 func (l lines) Write(b []byte) (int, error) {
@@ -290,7 +292,7 @@
 	return len(b), nil
 }
 
-// A configuration that is half written when its signal comes is read again, without another.
+// A configuration that is half written at its signal is read again, without another signal.
 func TestReloadCrossesTheWriting(t *testing.T) {
 	asked := make(chan bool, 8)
 	whole := configuration(listen(t, func(c net.Conn) {
@@ -332,7 +334,7 @@
 	}
 }
 
-// So is one that a start meets half written.
+// So is one that a start finds half written.
 func TestStartCrossesTheWriting(t *testing.T) {
 	whole := configuration("127.0.0.1:1")
 	env := Environment{File: filepath.Join(t.TempDir(), "config.json")}
@@ -349,7 +351,7 @@
 	}
 }
 
-// A router whose turns stand still doesn't say that it is well, though its readers go on.
+// A router whose event loop hangs does not report itself healthy, though its readers go on.
 func TestHealthCheckFailsWhileEventLoopHangs(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	turn := make(chan bool)
@@ -370,7 +372,7 @@
 	c.expect("1: true")
 }
 
-// A fault of our own on one connection ends that one, and is told; the others go on.
+// A panic on one connection closes that one, and is logged; the others go on.
 func TestFaultOnOneConnection(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, _ := r.crossing(t, func(c *caller, n int, err error) {
@@ -390,7 +392,7 @@
 	})
 }
 
-// A fault of our own on a connection to a server ends that one.
+// A panic on a server connection closes that one.
 func TestFaultOnOneServerConnection(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c := r.caller(t)
@@ -410,7 +412,7 @@
 	c.expect("2: body 2")
 }
 
-// A client that leaves before its first message was not too slow.
+// A client that leaves before its first message is not counted as slow.
 func TestLeavingIsNotCountedAsSlow(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
@@ -423,7 +425,7 @@
 	}
 }
 
-// What a client allows runs from when its message was read, though the turn comes later.
+// A request's timeout runs from when its message was read, though its step comes later.
 func TestDeadlineRunsWhileEventLoopHangs(t *testing.T) {
 	got := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { got <- a; good(a) }))
@@ -445,7 +447,7 @@
 	c.expect("1: body 1")
 }
 
-// A dial that hangs ends with its connection: its descriptor is another's then.
+// A hanging dial ends with its connection, whose descriptor is then free for another.
 func TestDialEndsWithItsConnection(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -30,7 +30,7 @@
 	return r
 }
 
-// startLogged is startChanged with the router's log.
+// startLogged is startChanged that also returns the router's log.
 func startLogged(t *testing.T, change func(p *Router), servers ...string) (*running, *log) {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
@@ -55,7 +55,7 @@
 	return r, noted
 }
 
-// log keeps what a router logs.
+// log records what a router logs.
 type log struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -73,13 +73,14 @@
 	return l.text.String()
 }
 
-// longGrace has a list be fresh for so long that its age withdraws nothing.
+// longGrace makes an endpoint list valid for so long that its age withdraws nothing.
 func longGrace(p *Router) {
 	p.config.grace, p.config.connectTimeout = 4_000_000, 1_000_000
 	p.config.Deployment.MaxCommandDelay = attempt.EndpointsFresh(p.config.grace)
 }
 
-// fill writes to a connection until it takes no more, also of what the kernel moves on a little later, and tells how much that was.
+// fill writes to a connection until it accepts no more, also of what the kernel moves on a little later, and returns
+// how much.
 func fill(t *testing.T, conn net.Conn) (filled int) {
 	const moved = 50 * time.Millisecond
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -103,7 +104,7 @@
 	return filled
 }
 
-// narrow listens with buffers that hold less than one long message, and serves each connection.
+// narrow listens with buffers smaller than one long message, and serves each connection.
 func narrow(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -129,8 +130,8 @@
 	return l.Addr().String()
 }
 
-// The deadline that a server is told is at most what the client has left when the frame is there, with the page's slack of
-// 0.15 s, whatever its way there was held up by.
+// The deadline stated to a server is at most what the client has left when the frame arrives, with the allowed excess
+// of 0.15 s, whatever delayed the frame.
 func TestDeadlineIsWhatIsLeft(t *testing.T) {
 	const late = 600 * time.Millisecond
 	var nth atomic.Int32
@@ -196,8 +197,8 @@
 
 const allowed = 1500 * time.Millisecond
 
-// checkDeadlines answers what comes on a connection, and holds the deadline told in each frame against what is left of the time
-// allowed.
+// checkDeadlines answers what comes on a connection, and compares the deadline stated in each frame with what is left
+// of the allowed time.
 func checkDeadlines(t *testing.T, c net.Conn, begun *time.Time) {
 	const slack = 150 * time.Millisecond
 	for in := bufio.NewReader(c); ; {
@@ -220,7 +221,8 @@
 	}
 }
 
-// An attempt whose time is up when its connection stands is withdrawn there, however fresh its list is: it provably never ran.
+// An attempt whose deadline has passed when its connection is established is withdrawn, however fresh its endpoint
+// list: it provably never ran.
 func TestNothingLeftIsNotWritten(t *testing.T) {
 	p := idleRouter(t)
 	longGrace(p)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -18,7 +18,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// begun tells whether its first byte would be written now.
+// begun reports whether the first byte would be written now.
 func (call *serverCall) begun() bool {
 	wrote := false
 	call.begin(func() bool {
@@ -28,7 +28,7 @@
 	return wrote
 }
 
-// startWithConfig starts a router with a configuration, which need not be well at once.
+// startWithConfig starts a router with a configuration; it need not be ready at once.
 func startWithConfig(t *testing.T, configuration string) *running {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration), Environment{})
@@ -38,7 +38,7 @@
 	return serve(t, told)
 }
 
-// idleRouter is a router that takes no turns of its own: the test takes them.
+// idleRouter returns a router that runs no event loop: the test runs its steps.
 func idleRouter(t *testing.T) *Router {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
@@ -58,8 +58,8 @@
 	return p
 }
 
-// A stop between the look at the list and the turn's clock makes the choice no younger than its list: neither an execution nor
-// an order to load is written then.
+// A stall between reading the endpoint list and the step's clock makes the choice no newer than its list: neither an
+// attempt nor a load command is written then.
 func TestStallBetweenEndpointsAndStep(t *testing.T) {
 	p := idleRouter(t)
 	p.readEndpoints()
@@ -96,7 +96,8 @@
 	}
 }
 
-// The log tells how late the latest first byte to a server was that drained, at most, and how old the oldest list.
+// The log states an upper bound on how late the last first byte to a draining server was, and the age of the oldest
+// endpoint list.
 func TestLogTellsHowLateFirstBytesWere(t *testing.T) {
 	p := idleRouter(t)
 	var line bytes.Buffer
@@ -128,8 +129,8 @@
 	}
 }
 
-// Within a turn the list comes first: what was heard before it leads to further executions, which must not be chosen from the
-// older list.
+// Within a step the endpoint list comes first: events before it lead to further attempts, which must not be chosen
+// from the older list.
 func TestEndpointsComeFirstInTheirStep(t *testing.T) {
 	server := platformtest.NewModelServer(t)
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
@@ -148,7 +149,7 @@
 	}
 }
 
-// A router that starts with a configuration that has grown old chooses nothing before the board has answered.
+// A router that starts with an old configuration chooses nothing before discovery has answered.
 func TestStartCrossesADrain(t *testing.T) {
 	const grace = 2 * time.Second // the answer has a quarter of it to come
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
@@ -185,7 +186,7 @@
 	}
 }
 
-// Where the connection has no room for the first byte, the check comes again when it has.
+// Where the connection has no room for the first byte, the check is repeated when it has.
 func TestFullConnectionCrossesTheGrace(t *testing.T) {
 	ours, theirs := platformtest.Connected(t)
 	raw, err := ours.(syscall.Conn).SyscallConn()
@@ -239,8 +240,8 @@
 	}
 }
 
-// A uid that returns at another address is another life: what is sent goes there, on connections of its own, and an address that
-// another server has by then gets nothing meant for the old one.
+// A uid that returns at another address is another incarnation: its calls go there, on connections of its own, and an
+// address that another server has by then gets nothing meant for the old one.
 func TestUIDReturnsElsewhere(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
@@ -270,7 +271,8 @@
 	}
 }
 
-// A notice board that accepts and says nothing keeps no router from being well: it had a quarter of the grace to answer.
+// A discovery service that accepts and says nothing does not keep a router from getting ready: it had a quarter of
+// the grace period to answer.
 func TestStartWithSilentDiscovery(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	silent := make(chan bool)
@@ -286,7 +288,7 @@
 	}
 }
 
-// A connection that comes up when the grace has run writes nothing that was chosen before.
+// A connection established after the grace period writes nothing that was chosen before.
 func TestDialCrossesTheGrace(t *testing.T) {
 	p := idleRouter(t)
 	conn, theirs := platformtest.Connected(t)
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -16,7 +16,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// failing is a listener whose accepts fail for as long as fault tells.
+// failing is a listener whose accepts fail for as long as fault returns an error.
 type failing struct {
 	*net.TCPListener
 	calls atomic.Int32
@@ -37,8 +37,8 @@
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
 	syscall.ETIMEDOUT}
 
-// Whatever accept fails with, once or for a while: the listener goes on, not at full speed, and costs no idle client its connection
-// unless the descriptors are our own.
+// Whatever accept fails with, once or for a while: the listener goes on, without a busy loop, and closes no idle
+// client connection unless the process itself is out of descriptors.
 func TestAcceptFails(t *testing.T) {
 	const lasts = 150 * time.Millisecond
 	for _, errno := range acceptErrors {
@@ -83,7 +83,7 @@
 	}
 }
 
-// accepts tells whether the router has the other end of a connection.
+// accepts reports whether the router has the other end of a connection.
 func (r *Router) accepts(conn net.Conn) bool {
 	for c := range r.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
@@ -93,7 +93,8 @@
 	return false
 }
 
-// A stopping router takes the connections that wait though accept fails meanwhile, or its deadline passed while it was elsewhere.
+// A stopping router accepts waiting connections though accept fails meanwhile, or its deadline passed before it was
+// called.
 func TestWaitingConnectionsAreAcceptedInSpiteOfFaults(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
 		p := idleRouter(t)
@@ -124,7 +125,8 @@
 	}
 }
 
-// A start whose address is still taken, as by a predecessor that was killed, tries again; what can't pass is told at once.
+// A start whose address is still taken, as by a predecessor that was killed, retries; a permanent error is returned
+// at once.
 func TestListenIsTriedAgain(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,7 +150,8 @@
 	}
 }
 
-// broken is the router's end of a connection whose reads or writes fail from a moment on, or bring a byte at a time.
+// broken is the router's end of a connection whose reads or writes fail from some time on, or that brings one byte at
+// a time.
 type broken struct {
 	*net.TCPConn
 	short           bool
@@ -177,7 +180,8 @@
 	return b.TCPConn.Write(p)
 }
 
-// A client's connection that breaks in whatever way is a client that left: nothing further of it is sent, and nobody else notices.
+// A client connection that breaks, in whatever way, is a client that left: none of its requests is written any more,
+// and no other client notices.
 func TestClientConnectionBreaks(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
@@ -233,7 +237,7 @@
 	}
 }
 
-// A connection on which a byte comes at a time brings its requests.
+// A connection that brings one byte at a time brings its requests.
 func TestShortReads(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	ours, theirs := platformtest.Connected(t)
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -12,7 +12,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// sized is a router that knows many servers and takes no turns of its own.
+// sized is a router that knows many servers and runs no event loop.
 type sized struct {
 	*Router
 	board discovery.State
@@ -20,7 +20,7 @@
 	at    control.Micros
 }
 
-// newSized gives one that has a pool of connections to each server.
+// newSized returns one that has a pool of connections to each server.
 func newSized(b testing.TB, servers int) *sized {
 	b.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
@@ -52,7 +52,7 @@
 		Weight: 4, StartedAtMS: int64(f.rev)}
 }
 
-// handle has the router hear an event and take a turn, one millisecond after the last.
+// handle lets the router handle an event in one step, one millisecond after the last.
 func (f *sized) handle(b testing.TB, told *discovery.UpdateMessage) {
 	f.rev++
 	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
@@ -67,7 +67,7 @@
 // states are what a server goes through in the benchmark, over and over.
 var states = []string{"draining", "gone", "ready"}
 
-// change has one server go on to its next state.
+// change moves one server on to its next state.
 func (f *sized) change(b testing.TB, n, servers int) {
 	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all layers, and
-// a turn; upkeep is a turn with nothing but what falls due each half second.
+// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all
+// layers and one step; upkeep is a step with nothing but the maintenance due each half second.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
--- a/internal/platform/harm_test.go
+++ b/internal/platform/harm_test.go
@@ -10,7 +10,7 @@
 
 // Trouble with one client, or on its connection, frees no request of its one final answer. Each test here makes one kind.
 
-// Several kinds of bad clients at once cost a usual one none of its answers.
+// Several kinds of bad clients at once cost a well-behaved one none of its answers.
 func TestBadClientsCostNobodyAnAnswer(t *testing.T) {
 	const requests = 40
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -14,7 +14,7 @@
 
 // A request that was read whole has its answer, whatever ends its connection. Each test here ends one in its own way.
 
-// whole is a request that takes several reads: it has a long body, and fields that nobody knows.
+// whole returns a request that takes several reads: it has a long body, and unknown fields.
 func whole(t *testing.T, number int, class string) []byte {
 	t.Helper()
 	fields := map[string]string{"ref": fmt.Sprintf("%016x", number), "allow": "1500", "project": "acme", "lookup": "7f3a9c21e0b4d655",
@@ -29,7 +29,8 @@
 	return b
 }
 
-// A request that was here whole when its connection's time was up is read to its end, however long the processor is elsewhere.
+// A request that had arrived whole by its connection's deadline is read to its end, however long the process gets no
+// processor.
 func TestLongRequestIsReadAfterItsDeadline(t *testing.T) {
 	for name, end := range map[string]func(c *clientConn){"idle": func(c *clientConn) { c.closeWhenIdle(0) }, "room": func(c *clientConn) { c.abort() }} {
 		r := start(t, discoveryServer(t, 1), modelServer(t, good))
@@ -51,7 +52,7 @@
 	}
 }
 
-// What was sent behind a number that does not rise has an error each.
+// Each request sent behind a number that does not rise gets an error.
 func TestRequestsBehindAWrongNumber(t *testing.T) {
 	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	var all []byte
@@ -64,7 +65,7 @@
 	}
 }
 
-// Where there is no room for a connection its requests are pushed back; they are many at once.
+// The requests of connections beyond the limit are rejected; many come at once.
 func TestNoRoomPushesBack(t *testing.T) {
 	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
 	if err != nil {
@@ -107,7 +108,8 @@
 	}
 }
 
-// A fault of our own in handling a request leaves none of its connection without an answer: neither it nor what is open or behind it.
+// A panic while handling a request leaves none of its connection without an answer: neither it nor those open or sent
+// behind it.
 func TestFaultInHandlingARequest(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -33,13 +33,14 @@
 	"clients": {"marks_retry": true}, "contract": {"stop_sending_within": 500000}, "customers": [{"name": "acme", "allowance_per_s": 100}],
 	"specifics": {"when_absent": "load", "linger_idle": 9000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`
 
-// event is one of the board, of one server.
+// event returns a discovery event about one server.
 func event(rev int, uid, endpoint, state string) discovery.Event {
 	return discovery.Event{Revision: uint64(rev), Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
 		{UID: uid, Endpoint: endpoint, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// discoveryServer is a board that tells nothing but its number.
+// discoveryServer returns the address of a discovery service that announces nothing but its revision and the given
+// events.
 func discoveryServer(t *testing.T, last int, events ...discovery.Event) string {
 	return listen(t, func(c net.Conn) {
 		for _, e := range events {
@@ -78,7 +79,7 @@
 	return l.Addr().String()
 }
 
-// asked is one frame that a stand-in server got.
+// asked is one frame that a fake server received.
 type asked struct {
 	code   byte
 	id     uint64
@@ -92,7 +93,7 @@
 	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
 }
 
-// modelServer is a stand-in for a model server: do is called for each execution.
+// modelServer is a fake model server: do is called for each attempt.
 func modelServer(t *testing.T, do func(a asked)) string {
 	var nth atomic.Int32
 	return listen(t, func(c net.Conn) {
@@ -109,7 +110,7 @@
 	})
 }
 
-// good answers with the body that it got.
+// good answers with the body that it received.
 func good(a asked) { a.conn.Write(a.answer(97, a.id, string(a.body))) }
 
 // running is a router that serves until the test ends.
@@ -119,7 +120,7 @@
 	ended chan struct{}
 }
 
-// configuration is one without servers.
+// configuration returns one without servers.
 func configuration(boardAt string) string {
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, boardAt, settings)
@@ -140,7 +141,7 @@
 	return r
 }
 
-// serve has a router serve until the test ends.
+// serve runs a router until the test ends.
 func serve(t *testing.T, told *Config) *running {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
@@ -189,7 +190,7 @@
 	c.send(0, number, class, []any{f, []byte(fmt.Sprint("body ", number))})
 }
 
-// receive gives the next answer as "number: what", or what ended the connection.
+// receive returns the next answer as "number: text", or what ended the connection.
 func (c *caller) receive() string {
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
@@ -231,7 +232,8 @@
 	"short": func(a asked) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
-// A spoilt answer has run: a run-once job is killed, and nobody is told that trying again is harmless.
+// A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
+// safe.
 func TestSpoiltAnswersMayHaveRun(t *testing.T) {
 	for name, spoil := range spoils {
 		c := start(t, discoveryServer(t, 1), modelServer(t, spoil)).caller(t)
@@ -242,7 +244,7 @@
 	}
 }
 
-// A restartable one runs again, on another connection; the server is not held to be dead.
+// An idempotent one runs again, on another connection; the server is not ejected.
 func TestSpoiltAnswersRunAgain(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
 		c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
@@ -259,7 +261,7 @@
 	}
 }
 
-// What belongs to nobody is dropped, and the connection stays.
+// Answers to nothing are dropped, and the connection stays.
 func TestSurplusAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
 	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
@@ -307,7 +309,7 @@
 	c.expect("1: body 1")
 }
 
-// Which of the two was meant? Neither is served.
+// Of two requests with one id neither is served, since they can't be told apart.
 func TestRefTwiceServesNeither(t *testing.T) {
 	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	c.call(1, "again")
@@ -316,7 +318,7 @@
 	c.expect("2: Invalid")
 }
 
-// Whose answer would be whose? No job of such a connection gets one that counts.
+// Answers to one number can't be told apart: no request of such a connection gets one that counts.
 func TestNumberTwiceEndsTheConnection(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {}))
 	c := r.caller(t)
@@ -347,7 +349,7 @@
 	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
 
-// Connections over the bound make room among those that have said nothing.
+// Connections beyond the limit make room among those that never sent a message.
 func TestManySilentConnectionsLeaveRoom(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	for range r.maxClients + 20 {
@@ -358,7 +360,7 @@
 	c.expect("1: body 1")
 }
 
-// So do those that have begun a message, or asked once and stay: neither costs a usual client its answer.
+// So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
 func TestManyHalfMessagesLeaveRoom(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	usual := r.caller(t)
@@ -418,7 +420,7 @@
 	}
 }
 
-// A new server at the address of one that has gone has connections of its own.
+// A new server at the address of a removed one has connections of its own.
 func TestAddressOfAnotherServer(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	address := modelServer(t, func(a asked) { good(a); conns <- a.conn })
@@ -436,7 +438,7 @@
 	}
 }
 
-// At a new configuration the board is asked elsewhere, and jobs in hand stay.
+// After a reload the router asks the new discovery address, and requests in flight stay.
 func TestReload(t *testing.T) {
 	first := make(chan asked, 1)
 	old, other := modelServer(t, func(a asked) { first <- a }), modelServer(t, good)
@@ -460,7 +462,7 @@
 	c.expect("1: body 1")
 }
 
-// A stopping router serves on for a little, answers what is in hand, and ends.
+// A stopping router serves for a little longer, answers the requests in flight, and ends.
 func TestStop(t *testing.T) {
 	first := make(chan asked, 2)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { first <- a }))
@@ -485,7 +487,7 @@
 	}
 }
 
-// Beyond what may wait for an end that does not read, its connection is closed.
+// The connection to a peer that does not read is closed once too many bytes are queued.
 func TestOutboxIsBounded(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -516,7 +518,7 @@
 	}
 }
 
-// How late an order may be written is told to the module, which counts its ration by it: as late as any choice is written.
+// The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
 func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
 	p := idleRouter(t)
 	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
@@ -524,7 +526,7 @@
 	}
 }
 
-// Where descriptors are few, room is not made among as many connections as usual clients hold: a third of all.
+// Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// faulty is a connection to a server on which reads fail once a request is out.
+// faulty is a server connection on which reads fail once a request is written.
 type faulty struct {
 	*net.TCPConn
 	asked <-chan asked
@@ -26,8 +26,9 @@
 	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
 }
 
-// Each call towards a server fails with each error, once, for a while, or for good. Each row is a run-once request: it has one final
-// answer in time, runs at most once, and the server is not blamed for what may be our own fault.
+// Each system call towards a server fails with each error, once, for a while, or for good. Each row is a
+// non-idempotent request: it has one final answer in time, runs at most once, and the server is not blamed for what
+// may be a local failure.
 func TestCallsFail(t *testing.T) {
 	const once, while, forGood = time.Nanosecond, 100 * time.Millisecond, time.Hour
 	const served, refused, mayHaveRun = "1: body 1", "1: TryLater", "1: Aborted"
@@ -128,7 +129,7 @@
 	}
 }
 
-// A first byte that is tried again and again holds up no end of its connection: the turn may close it.
+// A first byte that is retried again and again does not delay its connection's end: the event loop may close it.
 func TestCloseDoesNotWaitForAFirstByte(t *testing.T) {
 	ours, _ := platformtest.Connected(t)
 	tried := make(chan bool, 1)
--- a/internal/platform/stalls_test.go
+++ b/internal/platform/stalls_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// What is read during a standstill, or soon after it, may have come since it began; what is read later came when it was read.
+// What is read during a stall, or soon after it, may have come since it began; what is read later came when it was read.
 func TestPulseKnowsStandstills(t *testing.T) {
 	const second = control.Micros(1_000_000)
 	var u stallDetector
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/msgrpc"
 )
 
-// All times of a stop follow from the longest deadline: before the earliest kill all is answered and closed.
+// All times of the shutdown follow from the longest deadline: before the earliest kill all is answered and closed.
 func TestStopEndsBeforeTheKill(t *testing.T) {
 	const second = 1_000_000
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
@@ -34,7 +34,7 @@
 	}
 }
 
-// What is in hand when the kill is near gets its answer: what was never written one that tells to try again.
+// Requests in flight when the kill is near are answered; those that were never written are told that a retry is safe.
 func TestStopAnswersWhatIsInHand(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
@@ -51,7 +51,7 @@
 	c.expect("2: TryLater")
 }
 
-// A job that may have run goes to another router where its repeat does no harm.
+// A request that may have run is rejected, for another router, where repeating it is safe.
 func TestStopSendsElsewhereWhatMayRepeat(t *testing.T) {
 	held := make(chan asked, 1)
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Near the kill only those jobs that are held are pushed back, and of those the ones whose client waits beyond it.
+// Near the kill only held requests are rejected, and of those the ones whose deadline is after it.
 func TestStopPushesBackHeldJobsFirst(t *testing.T) {
 	held := make(chan asked, 1)
 	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
@@ -93,7 +93,8 @@
 	c.expect("1: body 1")
 }
 
-// A client that always has something open does not keep its connection: each request has its answer, or comes with the close.
+// A client that always has something open does not keep its connection: each request is answered, or crosses the
+// close.
 func TestSteadyClientIsClosed(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
@@ -140,10 +141,10 @@
 	}
 }
 
-// instant is a connection on which nothing comes; a look at it takes no time.
+// instant is a connection on which nothing comes; a read of it takes no time.
 type instant struct{ net.Conn }
 
-// nothing is its descriptor.
+// nothing is the descriptor of an instant.
 type nothing struct{}
 
 func (instant) SyscallConn() (syscall.RawConn, error) { return nothing{}, nil }
@@ -151,7 +152,7 @@
 func (nothing) Read(func(uintptr) bool) error         { return os.ErrDeadlineExceeded }
 func (nothing) Write(func(uintptr) bool) error        { return nil }
 
-// A reader whose time is up at this very moment ends, and doesn't ask again and again: the clock may stand while it does.
+// A reader whose deadline passes at this very moment ends, and does not loop: the clock may stand still meanwhile.
 func TestReaderEndsOnTheMoment(t *testing.T) {
 	p := idleRouter(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -17,8 +17,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// stalling is the router's end of a client's connection: while a test holds the lock, what comes is not read, as by a reader that
-// waits for the processor.
+// stalling is the router's end of a client connection: while a test holds the lock, nothing is read, as by a reader
+// that waits for the processor.
 type stalling struct {
 	*net.TCPConn
 	sync.RWMutex
@@ -126,7 +126,7 @@
 	}
 }
 
-// What the router's own way to read knows of what lies unread, where its reader does not come back.
+// What a trackedConn knows of unread input while its reader does not return.
 func TestSeenKnowsWhatIsUnread(t *testing.T) {
 	for how, leave := range leaving {
 		t.Run(how, func(t *testing.T) {
--- a/internal/platform/trouble_test.go
+++ b/internal/platform/trouble_test.go
@@ -17,7 +17,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// Trouble at the only server, whatever it is, frees no request of its final answer: each has one, in time.
+// Whatever goes wrong at the only server, each request has its one final answer in time.
 func TestTroubleAtTheServer(t *testing.T) {
 	type serve func(c net.Conn)
 	do := func(act func(a asked)) serve { // act on each request
@@ -100,7 +100,7 @@
 	}
 }
 
-// A queue to a server that gets full ends all that waits in it, provably never sent.
+// A server's write queue that overflows ends all that is queued on it, provably never sent.
 func TestFullQueueEndsWhatWaits(t *testing.T) {
 	p := idleRouter(t)
 	p.maxServerConns = 1
