--- /dev/null
+++ b/internal/platform/endpoints.go
@@ -0,0 +1,87 @@
+package platform
+
+import (
+	"hollymast/control"
+	"hollymast/internal/fleet"
+)
+
+// handleUpdate applies an update from discovery, full or incremental.
+func (r *Router) handleUpdate(now control.Micros, update fleet.Update) {
+	if update.Full {
+		r.handleEndpoints(now, update.Endpoints)
+		return
+	}
+	changed := r.fleet.IncrementalUpdate(now, update.Endpoints)
+	r.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
+	for _, endpoint := range changed {
+		if pool := r.pools[endpoint.Server]; pool != nil {
+			r.refreshPool(now, pool)
+		}
+	}
+}
+
+// handleEndpoints applies a complete endpoint list.
+func (r *Router) handleEndpoints(now control.Micros, all []fleet.Endpoint) {
+	r.core.UpdateEndpoints(now, control.FullUpdate, r.fleet.FullUpdate(now, all))
+	for _, pool := range r.pools {
+		r.refreshPool(now, pool)
+	}
+}
+
+// refreshPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
+// incarnation).
+func (r *Router) refreshPool(now control.Micros, pool *serverPool) {
+	s := r.fleet.Get(pool.id)
+	if s == nil || s.State != control.Ready || s.Address != pool.address ||
+		control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
+		r.afterDrain.record(pool.firstByte.Load() - int64(r.endpointsAsOfBefore))
+		r.withdrawFrom(now, pool)
+		if s != nil && s.State == control.Ready { // another incarnation gets a pool of its own
+			delete(r.pools, pool.id)
+		}
+	}
+	if s == nil || s.State == control.Removed {
+		r.removedPools[pool.id] = pool
+	}
+}
+
+// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and retires its
+// connections: each closes with the last answer that is open on it.
+func (r *Router) withdrawFrom(now control.Micros, pool *serverPool) {
+	for _, sc := range append([]*serverConn(nil), pool.conns...) {
+		for _, call := range sortedByID(sc.open) {
+			if call.withdraw() {
+				r.callEnded(now, call, control.NotSent, nil)
+			}
+		}
+		r.retire(sc)
+	}
+}
+
+// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that none meets
+// the server's own close, and forgets removed servers whose connections have ended.
+func (r *Router) prune(now control.Micros) {
+	const every = 500_000 // idle times are many seconds
+	if now < r.prunedAt+every {
+		return
+	}
+	r.prunedAt = now
+	for e := r.connsByIdle.Front(); e != nil; {
+		sc := e.Value.(*serverConn)
+		if now-sc.idleSince <= r.config.serverIdleTimeout*3/4 {
+			break
+		}
+		if e = e.Next(); len(sc.open) == 0 && sc.up {
+			r.removeConn(sc)
+		}
+	}
+	for id, pool := range r.removedPools {
+		if s := r.fleet.Get(id); s != nil && s.State != control.Removed || r.pools[id] != pool {
+			delete(r.removedPools, id) // the server has returned
+		} else if len(pool.conns) == 0 {
+			delete(r.removedPools, id)
+			delete(r.pools, id)
+		}
+	}
+	r.fleet.Prune(now, func(id control.ServerID) bool { return r.pools[id] != nil })
+}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -12,7 +12,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// sized is a router that knows many servers and takes no turns of its own.
+// sized is a router that knows many servers and runs no event loop.
 type sized struct {
 	*Router
 	board discovery.State
@@ -20,8 +20,8 @@
 	at    control.Micros
 }
 
-// ofSize gives one that has a pool of connections to each server.
-func ofSize(b testing.TB, servers int) *sized {
+// newSized returns one that has a pool of connections to each server.
+func newSized(b testing.TB, servers int) *sized {
 	b.Helper()
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
@@ -40,7 +40,7 @@
 	for i := range servers {
 		whole.Targets = append(whole.Targets, f.target(i, "ready"))
 	}
-	f.tell(b, whole)
+	f.handle(b, whole)
 	for i := range servers {
 		p.poolOf(fleet.ID(f.target(i, "").UID))
 	}
@@ -52,8 +52,8 @@
 		Weight: 4, StartedAtMS: int64(f.rev)}
 }
 
-// tell has the router hear an event and take a turn, one millisecond after the last.
-func (f *sized) tell(b testing.TB, told *discovery.UpdateMessage) {
+// handle lets the router handle an event in one step, one millisecond after the last.
+func (f *sized) handle(b testing.TB, told *discovery.UpdateMessage) {
 	f.rev++
 	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
 	if err != nil || meaning != discovery.EndpointsChanged {
@@ -67,16 +67,16 @@
 // states are what a server goes through in the benchmark, over and over.
 var states = []string{"draining", "gone", "ready"}
 
-// change has one server go on to its next state.
+// change moves one server on to its next state.
 func (f *sized) change(b testing.TB, n, servers int) {
-	f.tell(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
+	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
 func TestListChangeAllocatesAlike(t *testing.T) {
 	var allocated [2]float64
 	for i, servers := range []int{200, 3200} {
-		f, n := ofSize(t, servers), 0
+		f, n := newSized(t, servers), 0
 		allocated[i] = testing.AllocsPerRun(300, func() {
 			f.change(t, n, servers)
 			n++
@@ -87,19 +87,19 @@
 	}
 }
 
-// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all layers, and
-// a turn; upkeep is a turn with nothing but what falls due each half second.
+// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all
+// layers and one step; upkeep is a step with nothing but the maintenance due each half second.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
-			f := ofSize(b, servers)
+			f := newSized(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				f.change(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
-			f := ofSize(b, servers)
+			f := newSized(b, servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				f.at += 500_000
--- /dev/null
+++ b/internal/platform/logging.go
@@ -0,0 +1,110 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync/atomic"
+
+	"hollymast/control"
+	"hollymast/internal/binframe"
+	"hollymast/internal/msgrpc"
+)
+
+// Log logs a text of the core's.
+func (r *Router) Log(text string) { r.log.Info().Msg(text) }
+
+// countAnomaly counts an anomaly for the next state log line: one line for all, so that a flood of faults does not
+// flood the log.
+func (r *Router) countAnomaly(what string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.anomalies[what]++
+}
+
+// countBadMessage counts a client message that breaks the protocol.
+func (r *Router) countBadMessage(f *msgrpc.Fault) { r.countAnomaly("bad message: " + f.Text) }
+
+// logState logs the state line: connections, requests, and the anomalies since the last one.
+func (r *Router) logState() {
+	r.mu.Lock()
+	var parts []string
+	for what, n := range r.anomalies {
+		parts = append(parts, fmt.Sprintf("%s: %d", what, n))
+	}
+	clear(r.anomalies)
+	clients := len(r.clients)
+	r.mu.Unlock()
+	slices.Sort(parts)
+	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).
+		Int("jobs", len(r.requests)).Int("held", r.core.Held()).Uint64("list", r.discovery.Revision()).
+		Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
+		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
+}
+
+// peak is a maximum that several goroutines record into; zero when there was none.
+type peak struct{ atomic.Int64 }
+
+// record raises the peak to n if n is larger.
+func (p *peak) record(n int64) {
+	for {
+		old := p.Load()
+		if n <= old || p.CompareAndSwap(old, n) {
+			return
+		}
+	}
+}
+
+// take returns the peak and resets it.
+func (p *peak) take() int64 { return p.Swap(0) }
+
+// traceRejections logs the reason for each rejection and failure, at trace level.
+func (r *Router) traceRejections() error {
+	if r.log.Trace() == nil {
+		return nil
+	}
+	return r.core.SetTrace(&control.Trace{OnDecision: func(explanation control.Explanation) {
+		if explanation.Decision.Action != control.Reject && explanation.Decision.Action != control.Fail {
+			return
+		}
+		var loaded, loading, pending, overloaded, ejected int
+		for _, server := range explanation.Servers {
+			pending += server.PendingLoads
+			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
+			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
+		}
+		r.log.Trace().Str("why", explanation.Reason).
+			Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
+			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).
+			Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
+			Int("coming", loading).Int("waiting", pending).Int("shunned", overloaded).Int("suspect", ejected).
+			Int("servers", len(explanation.Servers)).Msg("turned away")
+	}})
+}
+
+// countOf returns 1 for true and 0 for false.
+func countOf(is bool) int {
+	if is {
+		return 1
+	}
+	return 0
+}
+
+// logAttempt logs the end of an attempt or load command, at debug level.
+func (r *Router) logAttempt(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
+	event := r.log.Debug()
+	if event == nil {
+		return
+	}
+	function := uint64(call.load.Function)
+	if call.request != nil {
+		function = uint64(call.request.message.FunctionID())
+	}
+	if answer != nil {
+		event = event.Uint8("found", uint8(answer.CacheStatus))
+	}
+	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("order", call.request == nil).
+		Str("function", fmt.Sprintf("%016x", function)).
+		Str("server", call.address()).Int64("chosen", int64(call.chosenAt)).Bool("whole", call.writtenWhole.Load()).
+		Int64("answered", int64(now)).Uint8("result", uint8(result)).Msg("execution")
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -33,14 +33,15 @@
 	"clients": {"marks_retry": true}, "contract": {"stop_sending_within": 500000}, "customers": [{"name": "acme", "allowance_per_s": 100}],
 	"specifics": {"when_absent": "load", "linger_idle": 9000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`
 
-// event is one of the board, of one server.
+// event returns a discovery event about one server.
 func event(rev int, uid, endpoint, state string) discovery.Event {
 	return discovery.Event{Revision: uint64(rev), Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
 		{UID: uid, Endpoint: endpoint, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// plane is a board that tells nothing but its number.
-func plane(t *testing.T, last int, events ...discovery.Event) string {
+// discoveryServer returns the address of a discovery service that announces nothing but its revision and the given
+// events.
+func discoveryServer(t *testing.T, last int, events ...discovery.Event) string {
 	return listen(t, func(c net.Conn) {
 		for _, e := range events {
 			text, _ := json.Marshal(e)
@@ -78,7 +79,7 @@
 	return l.Addr().String()
 }
 
-// asked is one frame that a stand-in server got.
+// asked is one frame that a fake server received.
 type asked struct {
 	code   byte
 	id     uint64
@@ -92,8 +93,8 @@
 	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
 }
 
-// worker is a stand-in for a model server: do is called for each execution.
-func worker(t *testing.T, do func(a asked)) string {
+// modelServer is a fake model server: do is called for each attempt.
+func modelServer(t *testing.T, do func(a asked)) string {
 	var nth atomic.Int32
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -109,7 +110,7 @@
 	})
 }
 
-// good answers with the body that it got.
+// good answers with the body that it received.
 func good(a asked) { a.conn.Write(a.answer(97, a.id, string(a.body))) }
 
 // running is a router that serves until the test ends.
@@ -119,7 +120,7 @@
 	ended chan struct{}
 }
 
-// configuration is one without servers.
+// configuration returns one without servers.
 func configuration(boardAt string) string {
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, boardAt, settings)
@@ -140,7 +141,7 @@
 	return r
 }
 
-// serve has a router serve until the test ends.
+// serve runs a router until the test ends.
 func serve(t *testing.T, told *Config) *running {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
@@ -189,8 +190,8 @@
 	c.send(0, number, class, []any{f, []byte(fmt.Sprint("body ", number))})
 }
 
-// heard gives the next answer as "number: what", or what ended the connection.
-func (c *caller) heard() string {
+// receive returns the next answer as "number: text", or what ended the connection.
+func (c *caller) receive() string {
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
 		return "closed"
@@ -209,13 +210,13 @@
 
 func (c *caller) expect(want string) {
 	c.t.Helper()
-	if got := c.heard(); got != want {
+	if got := c.receive(); got != want {
 		c.t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-func TestServesAJobUnchanged(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, good)).caller(t)
+func TestServesRequestUnchanged(t *testing.T) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, good)).caller(t)
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	c.call(2, "again")
@@ -231,21 +232,22 @@
 	"short": func(a asked) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
-// A spoilt answer has run: a run-once job is killed, and nobody is told that trying again is harmless.
+// A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
+// safe.
 func TestSpoiltAnswersMayHaveRun(t *testing.T) {
 	for name, spoil := range spoils {
-		c := start(t, plane(t, 1), worker(t, spoil)).caller(t)
+		c := start(t, discoveryServer(t, 1), modelServer(t, spoil)).caller(t)
 		c.call(1, "once")
-		if got := c.heard(); got != "1: Aborted" {
+		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
 }
 
-// A restartable one runs again, on another connection; the server is not held to be dead.
+// An idempotent one runs again, on another connection; the server is not ejected.
 func TestSpoiltAnswersRunAgain(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
-		c := start(t, plane(t, 1), worker(t, func(a asked) {
+		c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 			if a.nth == 1 {
 				spoils[name](a)
 			} else {
@@ -253,16 +255,16 @@
 			}
 		})).caller(t)
 		c.call(1, "again")
-		if got := c.heard(); got != "1: body 1" {
+		if got := c.receive(); got != "1: body 1" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
 }
 
-// What belongs to nobody is dropped, and the connection stays.
+// Answers to nothing are dropped, and the connection stays.
 func TestSurplusAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
-	c := start(t, plane(t, 1), worker(t, func(a asked) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		a.conn.Write(a.answer(97, a.id+1, "not yours"))
 		good(a)
 		good(a)
@@ -281,13 +283,13 @@
 }
 
 func TestFullServerProvesNothingRan(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(a asked) { a.conn.Write(a.answer(100, a.id, "")) })).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { a.conn.Write(a.answer(100, a.id, "")) })).caller(t)
 	c.call(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
 func TestBadInputIsAnsweredOrClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	for name, bad := range map[string]func(c *caller){
 		"an unknown class":   func(c *caller) { c.call(1, "unheard") },
 		"an unknown project": func(c *caller) { c.call(1, "again", "project", "nobody") },
@@ -298,7 +300,7 @@
 	} {
 		c := r.caller(t)
 		bad(c)
-		if got := c.heard(); got != "1: Invalid" {
+		if got := c.receive(); got != "1: Invalid" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -307,18 +309,18 @@
 	c.expect("1: body 1")
 }
 
-// Which of the two was meant? Neither is served.
+// Of two requests with one id neither is served, since they can't be told apart.
 func TestRefTwiceServesNeither(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	c.call(1, "again")
 	c.call(2, "again", "ref", fmt.Sprintf("%016x", 1))
 	c.expect("1: Invalid")
 	c.expect("2: Invalid")
 }
 
-// Whose answer would be whose? No job of such a connection gets one that counts.
+// Answers to one number can't be told apart: no request of such a connection gets one that counts.
 func TestNumberTwiceEndsTheConnection(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, func(asked) {}))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {}))
 	c := r.caller(t)
 	c.call(1, "again")
 	c.call(1, "again", "ref", "00000000000000ff")
@@ -328,7 +330,7 @@
 }
 
 func TestSilentConnectionsAreClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	silent, half := r.caller(t), r.caller(t)
 	half.conn.Write([]byte{0x94, 0, 1})
 	for _, c := range []*caller{silent, half} {
@@ -339,17 +341,17 @@
 	}
 }
 
-func TestMoreThan32OpenArePushedBack(t *testing.T) {
-	c := start(t, plane(t, 1), worker(t, func(asked) {})).caller(t)
+func TestMoreThan32OpenAreRejected(t *testing.T) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
 		c.call(n, "again")
 	}
 	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
 
-// Connections over the bound make room among those that have said nothing.
+// Connections beyond the limit make room among those that never sent a message.
 func TestManySilentConnectionsLeaveRoom(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	for range r.maxClients + 20 {
 		r.caller(t)
 	}
@@ -358,9 +360,9 @@
 	c.expect("1: body 1")
 }
 
-// So do those that have begun a message, or asked once and stay: neither costs a usual client its answer.
+// So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
 func TestManyHalfMessagesLeaveRoom(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	usual := r.caller(t)
 	for n := 1; n <= r.maxClients; n++ {
 		half, stays := r.caller(t), r.caller(t)
@@ -376,9 +378,9 @@
 	}
 }
 
-func TestForgottenJobIsNotAnswered(t *testing.T) {
+func TestCancelledRequestIsNotAnswered(t *testing.T) {
 	got := make(chan asked, 1)
-	c := start(t, plane(t, 1), worker(t, func(a asked) {
+	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
 		if a.nth == 1 {
 			got <- a
 		} else {
@@ -396,7 +398,7 @@
 
 // A server that drains between the choice and the first byte gets nothing.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	done := make(chan bool)
 	r.queue.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
@@ -418,11 +420,11 @@
 	}
 }
 
-// A new server at the address of one that has gone has connections of its own.
+// A new server at the address of a removed one has connections of its own.
 func TestAddressOfAnotherServer(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	address := worker(t, func(a asked) { good(a); conns <- a.conn })
-	r := start(t, plane(t, 1), address)
+	address := modelServer(t, func(a asked) { good(a); conns <- a.conn })
+	r := start(t, discoveryServer(t, 1), address)
 	c := r.caller(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
@@ -436,20 +438,20 @@
 	}
 }
 
-// At a new configuration the board is asked elsewhere, and jobs in hand stay.
+// After a reload the router asks the new discovery address, and requests in flight stay.
 func TestReload(t *testing.T) {
 	first := make(chan asked, 1)
-	old, other := worker(t, func(a asked) { first <- a }), worker(t, good)
-	r := start(t, plane(t, 1), old)
+	old, other := modelServer(t, func(a asked) { first <- a }), modelServer(t, good)
+	r := start(t, discoveryServer(t, 1), old)
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-first
 	fresh := *r.config
-	fresh.DiscoveryAddress = plane(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
+	fresh.DiscoveryAddress = discoveryServer(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
 	r.Reload(&fresh)
 	for n := 2; ; n++ {
 		c.call(n, "again", "allow", "200")
-		if c.heard() == fmt.Sprintf("%d: body %d", n, n) {
+		if c.receive() == fmt.Sprintf("%d: body %d", n, n) {
 			break
 		}
 		if n > 20 {
@@ -460,10 +462,10 @@
 	c.expect("1: body 1")
 }
 
-// A stopping router serves on for a little, answers what is in hand, and ends.
+// A stopping router serves for a little longer, answers the requests in flight, and ends.
 func TestStop(t *testing.T) {
 	first := make(chan asked, 2)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { first <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { first <- a }))
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-first
@@ -485,7 +487,7 @@
 	}
 }
 
-// Beyond what may wait for an end that does not read, its connection is closed.
+// The connection to a peer that does not read is closed once too many bytes are queued.
 func TestOutboxIsBounded(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -516,16 +518,16 @@
 	}
 }
 
-// How late an order may be written is told to the module, which counts its ration by it: as late as any choice is written.
+// The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
 func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
 		t.Errorf("written %d late, told %d", s.writeBefore-s.chosenAt, p.config.Deployment.MaxCommandDelay)
 	}
 }
 
-// Where descriptors are few, room is not made among as many connections as usual clients hold: a third of all.
-func TestFewDescriptorsLeaveUsualClients(t *testing.T) {
+// Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
+func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
 	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
@@ -542,7 +544,7 @@
 		}
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		p.clients[&clientConn{p: p, conn: ours}] = struct{}{}
+		p.clients[&clientConn{router: p, conn: ours}] = struct{}{}
 	}
 	for c := range p.clients {
 		if _, ends := c.idle(); ends {
--- /dev/null
+++ b/internal/platform/router.go
@@ -0,0 +1,278 @@
+// Package platform is a router as a network service: it connects client connections, server connections and the
+// discovery service to one core. One goroutine runs the event loop: it owns the core and carries out what the core
+// decides. Each connection has a goroutine of its own. Nothing in an event-loop step blocks, and no decision is taken
+// in this package.
+package platform
+
+import (
+	"container/list"
+	"context"
+	"errors"
+	"math/rand/v2"
+	"net"
+	"runtime/debug"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/core"
+	"hollymast/internal/discovery"
+	"hollymast/internal/eventqueue"
+	"hollymast/internal/fleet"
+)
+
+// Router is one router process: its listener, its connections and its event loop. Create it with New, run it with
+// Serve.
+type Router struct {
+	config  *Config
+	log     zerolog.Logger
+	started time.Time
+	epoch   control.Micros // the router's clock at its start: Unix time, monotonic from then on
+
+	// Owned by the event loop; no other goroutine touches these.
+	core            *core.Core
+	fleet           *fleet.Fleet
+	requests        map[control.RequestID]*request
+	pools           map[control.ServerID]*serverPool
+	serverConnCount int                              // server connections, all pools
+	connsByIdle     *list.List                       // *serverConn that are in use, least recently used first
+	removedPools    map[control.ServerID]*serverPool // pools of removed servers, until their connections have ended
+	timer           *time.Timer
+	timerAt         control.Micros // when the timer fires
+	prunedAt        control.Micros
+	stepTime        control.Micros // of this step, or of the last one
+	endpointsAsOf   control.Micros // when the endpoint list that this step chooses from was complete
+	// endpointsAsOfBefore is endpointsAsOf of the step before: an endpoint change that this step handles was
+	// announced after that time.
+	endpointsAsOfBefore   control.Micros
+	endpointsCompleteAsOf control.Micros // latest time for which the list is known to be complete; 0: none
+	stopRequestedAt       control.Micros // 0: not stopping
+	random                *rand.PCG      // for load commands' ids; no decision depends on it
+
+	// Shared with other goroutines.
+	queue         *eventqueue.Queue
+	calls         calls
+	stalls        stallDetector
+	discovery     *discovery.Client
+	ready         atomic.Bool
+	listener      *net.TCPListener
+	acceptEnded   chan struct{} // closed once no more connections are accepted
+	rejecting     chan struct{} // semaphore: connections that are read only to be rejected
+	mu            sync.Mutex
+	clients       map[*clientConn]struct{}
+	rejectedConns int            // of clients, those beyond the limit
+	anomalies     map[string]int // counts since the last state log line
+	// Peaks for the state log line, reset with each, in microseconds.
+	oldestEndpoints peak // age of the endpoint list at an attempt's first byte
+	afterDrain      peak // upper bound on a first byte's delay after its server drained or was removed
+
+	maxClients, maxServerConns int
+}
+
+const (
+	// minSockets is the smallest number of sockets that a router can serve with.
+	minSockets = 128
+	// reservedSockets is the number of descriptors kept back: standard streams, the poller, the listener, two of the
+	// discovery client, the configuration file, and as many accepts and dials as may run ahead of the counters.
+	reservedSockets = 40
+)
+
+// New returns a router for a configuration, with its listener open. It fails when the recorded endpoint history is
+// invalid or the listening address can't be had in time.
+func New(config *Config, log zerolog.Logger) (*Router, error) {
+	r := &Router{
+		config: config, log: log, started: time.Now(), epoch: control.Micros(config.wall().UnixMicro()),
+		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
+		queue: eventqueue.New(), clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
+		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}),
+		rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0),
+	}
+	r.fleet.UseSourceClock()
+	r.fleet.SlowStart(config.Deployment.SlowStartDuration)
+	// Well-behaved clients hold up to a third; the rest of a half is for silent ones.
+	r.maxClients = config.Sockets / 2
+	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
+	deployment := config.Deployment
+	deployment.Zone = r.fleet.Zone(config.zone)
+	r.core = core.New(control.New(r.epoch, config.Seed, deployment), r)
+	if err := r.traceRejections(); err != nil {
+		return nil, err
+	}
+	var state discovery.State
+	if err := state.Restore(config.History); err != nil {
+		return nil, err
+	}
+	r.timer = time.NewTimer(time.Hour)
+	r.connsByIdle, r.removedPools = list.New(), map[control.ServerID]*serverPool{}
+	r.handleEndpoints(r.epoch, state.Endpoints())
+	r.discovery = discovery.NewClient(state, config.DiscoveryAddress, duration(config.grace), config.Seed, func(update fleet.Update) {
+		r.queue.PostEndpoints(func(now control.Micros) { r.handleUpdate(now, update) })
+	}, func(text string, err error) { r.log.Info().AnErr("why", err).Msg(text) })
+	l, err := listenAt(config.Listen)
+	if err != nil {
+		return nil, err
+	}
+	r.listener = l.(*net.TCPListener)
+	return r, nil
+}
+
+// listenFor is for how long New retries to listen: a predecessor's process may still hold the address, or the machine
+// be short of something. A restart is allowed several times as long to become ready.
+const listenFor = 3 * time.Second
+
+// listenAt listens on a TCP address, and retries for up to listenFor while the error may be temporary.
+func listenAt(address string) (net.Listener, error) {
+	for begin := time.Now(); ; time.Sleep(firstReread) {
+		l, err := net.Listen("tcp", address)
+		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
+			syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
+		if !retryable || time.Since(begin) > listenFor {
+			return l, err
+		}
+	}
+}
+
+// Address returns the address that the router listens on for clients.
+func (r *Router) Address() string { return r.listener.Addr().String() }
+
+// duration converts microseconds to a time.Duration.
+func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+
+// now returns the current time on the router's clock.
+func (r *Router) now() control.Micros { return r.micros(time.Now()) }
+
+// micros converts a time to the router's clock: microseconds of the Unix epoch, monotonic since the start.
+func (r *Router) micros(t time.Time) control.Micros {
+	return r.epoch + control.Micros(t.Sub(r.started)/time.Microsecond)
+}
+
+// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts requests for a little longer,
+// answers every request in flight, and returns once each client connection was read to its end and has closed.
+func (r *Router) Serve(ctx context.Context) {
+	background, stop := context.WithCancel(context.Background())
+	var workers sync.WaitGroup
+	defer workers.Wait()
+	defer stop()
+	workers.Go(func() { r.discovery.Run(background) })
+	workers.Go(func() { r.detectStalls(background) })
+	workers.Go(func() {
+		defer close(r.acceptEnded)
+		r.accept(r.listener)
+	})
+	defer r.listener.Close()
+	// The configuration's endpoints may be older than the grace period: none is chosen before discovery has answered.
+	select {
+	case <-r.discovery.Started():
+	case <-ctx.Done():
+	}
+	r.ready.Store(true)
+	r.runEventLoop(ctx.Done())
+	r.logState()
+	r.log.Info().Msg("no job is left in hand")
+	r.closeAll()
+}
+
+// runEventLoop runs the event loop until the router was asked to stop and every client connection has ended.
+func (r *Router) runEventLoop(stopRequested <-chan struct{}) {
+	acceptEnded, ending := r.acceptEnded, false
+	var nextAction <-chan time.Time
+	var actions []stopAction
+	var batch []func(control.Micros)
+	stateTicker := time.NewTicker(10 * time.Second)
+	defer stateTicker.Stop()
+	for {
+		select {
+		case <-r.queue.Ready():
+		case <-r.timer.C:
+		case <-stateTicker.C:
+			r.logState()
+			continue
+		case <-stopRequested:
+			stopRequested = nil
+			actions = r.beginStop()
+			nextAction = time.After(duration(actions[0].at))
+		case <-nextAction:
+			ending = true
+			actions[0].do()
+			if actions = actions[1:]; len(actions) > 0 {
+				nextAction = time.After(duration(r.stopRequestedAt + actions[0].at - r.now()))
+			}
+		case <-acceptEnded:
+			acceptEnded = nil
+			r.closeClients()
+		}
+		r.awaitStep()
+		r.readEndpoints()
+		batch = r.queue.Drain(batch)
+		r.step(r.now(), batch)
+		if acceptEnded == nil && r.allClientsClosed() {
+			break
+		}
+		if ending { // poll for the end of the connections
+			r.timer.Reset(min(5*time.Millisecond, duration(max(0, r.timerAt-r.now()))))
+		}
+	}
+}
+
+// minStepInterval is the least time between two event-loop steps, in microseconds, where the configured tick is
+// shorter. Each step considers every held request: 1000 steps/s with 150 held requests took a quarter of a core. It
+// is a hundredth of the shortest latency objective.
+const minStepInterval = 3_000
+
+// readersCatchUp is for how long connections' readers run after a stall before the step that may time out attempts:
+// their answers may have come during the stall. Reading what is pending on some hundred connections takes less.
+const readersCatchUp = 10 * time.Millisecond
+
+// awaitStep keeps steps apart, so that events that come close together share one.
+func (r *Router) awaitStep() {
+	now := r.now()
+	if r.timerAt > 0 && attempt.Stalled(now-r.timerAt, r.config.grace) {
+		r.countAnomaly("the router stood still")
+		time.Sleep(readersCatchUp)
+		return
+	}
+	least := max(minStepInterval, r.config.Deployment.Tick)
+	if wait := r.stepTime + least - now; wait > 0 {
+		time.Sleep(duration(min(wait, least)))
+	}
+}
+
+// readEndpoints makes the next step handle everything that discovery has announced. It runs after the last wait
+// before the event batch is taken: wherever the process stalls, the step's choices are no newer than its endpoint
+// list.
+func (r *Router) readEndpoints() {
+	r.endpointsAsOfBefore = r.endpointsAsOf
+	if attempt.MustReadEndpoints(r.now()-r.endpointsAsOf, r.config.grace) {
+		r.endpointsAsOf = r.micros(r.discovery.CatchUp())
+		// Read before the batch is taken, which so holds everything up to then.
+		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() {
+			r.endpointsCompleteAsOf = r.micros(complete)
+		}
+	}
+}
+
+// step handles a batch of events and lets the core decide on them.
+func (r *Router) step(now control.Micros, events []func(control.Micros)) {
+	r.stepTime = now
+	for _, f := range events {
+		f(now)
+	}
+	r.fleet.CompleteAsOf(r.endpointsCompleteAsOf)
+	r.core.Step(now)
+	r.prune(now)
+}
+
+// recoverPanic, deferred, logs a panic and its stack; the process goes on. It guards against one connection's fault
+// ending all others.
+func (r *Router) recoverPanic(at string) {
+	if fault := recover(); fault != nil {
+		r.countAnomaly("fault of our own " + at)
+		r.log.Error().Str("at", at).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("fault of our own")
+	}
+}
--- /dev/null
+++ b/internal/platform/serverconn.go
@@ -0,0 +1,196 @@
+package platform
+
+import (
+	"bufio"
+	"container/list"
+	"context"
+	"errors"
+	"net"
+	"os"
+	"slices"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/binframe"
+)
+
+// serverConn is one connection to a server. The event loop owns all but the write queue and partialWrite; a goroutine
+// of its own dials and reads.
+type serverConn struct {
+	router       *Router
+	pool         *serverPool
+	writes       writeQueue
+	open         map[binframe.ID]*serverCall
+	up           bool // the event loop knows that it is connected
+	retired      bool // takes no new calls: an abandoned call's answer may come, or the server is removed
+	idleSince    control.Micros
+	idlePlace    *list.Element // in Router.connsByIdle
+	partialWrite atomic.Bool   // a write ended amid a frame
+	dialing      context.Context
+	cancelDial   context.CancelFunc
+}
+
+// close closes the connection at once and cancels its dial, whose descriptor is then free for another.
+func (sc *serverConn) close() {
+	sc.writes.close()
+	sc.cancelDial()
+}
+
+// preferredOver reports whether a new call should go on sc rather than on other: fewer calls open, connected, used
+// last.
+func (sc *serverConn) preferredOver(other *serverConn) bool {
+	switch {
+	case len(sc.open) != len(other.open):
+		return len(sc.open) < len(other.open)
+	case sc.up != other.up:
+		return sc.up
+	}
+	return sc.idleSince > other.idleSince
+}
+
+// maxUnreadByServer bounds the bytes queued for a server: as many calls with the longest bodies as may share a
+// connection.
+const maxUnreadByServer = 2 << 20
+
+// answerTimeout is how long the rest of an answer may take once it has begun: servers write it in one piece.
+const answerTimeout = time.Second
+
+// run dials, then reads answers until the connection ends, and reports its end to the event loop.
+func (sc *serverConn) run() {
+	r := sc.router
+	broke := func(result control.Result) {
+		sc.close()
+		r.queue.Post(func(now control.Micros) { r.connectionBroke(now, sc, result) })
+	}
+	end := control.Failed // after a panic: what was written may have run
+	defer r.recoverPanic("reading a server")
+	defer func() { broke(end) }()
+	conn, err := sc.dial()
+	if err != nil {
+		end = control.ConnectFailed
+		if localFailure(err) || errors.Is(err, context.Canceled) {
+			end = control.NotSent // says nothing about the server
+		} else {
+			r.countAnomaly("no connection to a server")
+		}
+		return
+	}
+	sc.writes.connected(conn)
+	r.queue.Post(func(control.Micros) { sc.up = true })
+	reader := &deadlineReader{conn: conn}
+	in := bufio.NewReaderSize(reader, 2<<10)
+	for {
+		reader.setDeadline(time.Time{})
+		answer, err := binframe.Read(in, func() { reader.setDeadline(time.Now().Add(answerTimeout)) })
+		if err != nil {
+			end = control.ConnectionReset
+			if why := corruptionOf(err); why != "" {
+				end = control.Failed // the server answers, but unreadably
+				r.countAnomaly("spoilt answer: " + why)
+			} else if localFailure(err) {
+				end = control.Failed // may have run; says nothing about the server
+			}
+			return
+		}
+		r.queue.Post(func(now control.Micros) { r.handleAnswer(now, sc, answer) })
+	}
+}
+
+// calls are the system calls that a server connection begins with; tests replace them.
+type calls struct {
+	dial  func(ctx context.Context, address string) (net.Conn, error)
+	write func(fd int, b []byte) (int, error) // does not block
+}
+
+var systemCalls = calls{
+	dial: func(ctx context.Context, address string) (net.Conn, error) {
+		return new(net.Dialer).DialContext(ctx, "tcp", address)
+	},
+	write: syscall.Write,
+}
+
+// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
+// failure may last no longer than one packet.
+const dialPause = 2 * time.Millisecond
+
+// dial connects. Temporary failures are retried until the connect timeout; where descriptors are short, idle client
+// connections are closed meanwhile.
+func (sc *serverConn) dial() (net.Conn, error) {
+	var previous error // why the last dial failed, where the server is not to blame
+	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
+		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
+		switch {
+		case err == nil:
+			return conn, nil
+		case localFailure(err), transient(err):
+		case localFailure(previous) && os.IsTimeout(err):
+			return nil, previous // the server only had what was left of the timeout
+		default:
+			return nil, err
+		}
+		previous = err
+		if errors.Is(err, syscall.EMFILE) {
+			sc.router.countAnomaly("out of descriptors for a server")
+			if sc.router.makeRoom(1) {
+				continue
+			}
+		} else {
+			sc.router.countAnomaly("a dial failed for a moment")
+		}
+		select {
+		case <-sc.dialing.Done():
+			return nil, err
+		case <-time.After(pause):
+		}
+	}
+}
+
+// localFailure reports whether an error is this machine's shortage, and says nothing about the server.
+func localFailure(err error) bool {
+	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
+		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
+}
+
+// transient reports whether an error is a network fault that may pass at once. A lasting one counts against the
+// server.
+func transient(err error) bool {
+	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
+		errors.Is(err, syscall.ECONNABORTED)
+}
+
+// corruptionOf returns what made an answer unreadable, or the empty string where the connection itself ended.
+func corruptionOf(err error) string {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return "stopped short"
+	}
+	for _, known := range []error{binframe.ErrMark, binframe.ErrCode, binframe.ErrLength, binframe.ErrCheck} {
+		if errors.Is(err, known) {
+			return known.Error()
+		}
+	}
+	return ""
+}
+
+// connectionBroke handles the end of a connection: the result of each call open on it follows from how far it had
+// got.
+func (r *Router) connectionBroke(now control.Micros, sc *serverConn, result control.Result) {
+	open := sc.open
+	r.removeConn(sc)
+	for _, call := range sortedByID(open) {
+		callResult := result
+		switch {
+		case call.withdraw():
+			if callResult != control.ConnectFailed {
+				callResult = control.NotSent
+			}
+		case call.currentStage() == attempt.Withdrawn:
+			callResult = control.NotSent
+		case sc.partialWrite.Load() && !call.writtenWhole.Load():
+			callResult = control.NotSent // the server did not get a whole frame
+		}
+		r.callEnded(now, call, callResult, nil)
+	}
+}
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -8,66 +8,69 @@
 	"hollymast/control"
 )
 
-// stallDetector knows when this process stood still, or had no part of its core: what is read right after may have come at any time in
-// between, and its time runs from when its client sent it.
+// stallDetector notices when this process was stalled: stopped, or without a share of its core. A request read right
+// after a stall may have arrived at any time during it, and its deadline runs from when its client sent it.
 type stallDetector struct {
-	mu          sync.Mutex
-	lastRan     control.Micros // when it was last seen to run; 0: it is not watched
-	from, until control.Micros // what is read before until may have come from from on: the latest standstill, and the readers' time after it
+	mu      sync.Mutex
+	lastRan control.Micros // the last tick; 0: none yet
+	// The latest stall and the readers' time after it: what is read before until may have arrived from from on.
+	from, until control.Micros
 }
 
 const (
-	// tickInterval and stoodStill bound by how much a request may be older than it is taken for: with the 10 ms of onTheWay, less than
-	// the 0.15 s by which a deadline may exceed what the client has left. A beat costs some microseconds.
+	// tickInterval and stallThreshold (microseconds) bound by how much a request may be older than assumed: with the
+	// 10 ms of networkDelay, less than the 0.15 s by which a stated deadline may exceed the client's. A tick costs
+	// some microseconds.
 	tickInterval   = 80 * time.Millisecond
 	stallThreshold = 120_000
 )
 
-// tick notes that the process runs.
-func (u *stallDetector) tick(now control.Micros) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.lastRan > 0 && now-u.lastRan > stallThreshold {
-		u.from, u.until = u.lastRan, now+control.Micros(readerWait.Microseconds())
+// tick records that the process runs.
+func (d *stallDetector) tick(now control.Micros) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lastRan > 0 && now-d.lastRan > stallThreshold {
+		d.from, d.until = d.lastRan, now+control.Micros(readerWait.Microseconds())
 	}
-	u.lastRan = now
+	d.lastRan = now
 }
 
-// cameSince gives from when on what is read now may have come, as far as it is known to lie back.
-func (u *stallDetector) cameSince(now control.Micros) control.Micros {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// cameSince returns the earliest time at which a message read at now may have arrived; now itself where there was no
+// stall.
+func (d *stallDetector) cameSince(now control.Micros) control.Micros {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case u.lastRan > 0 && now-u.lastRan > stallThreshold:
-		return u.lastRan
-	case now < u.until:
-		return u.from
+	case d.lastRan > 0 && now-d.lastRan > stallThreshold:
+		return d.lastRan
+	case now < d.until:
+		return d.from
 	}
 	return now
 }
 
-// detectStalls has the pulse beat until the context ends.
-func (p *Router) detectStalls(ctx context.Context) {
-	p.stalls.tick(p.now())
-	every := time.NewTicker(tickInterval)
-	defer every.Stop()
+// detectStalls ticks until ctx ends.
+func (r *Router) detectStalls(ctx context.Context) {
+	r.stalls.tick(r.now())
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
-			p.stalls.tick(p.now())
+		case <-ticker.C:
+			r.stalls.tick(r.now())
 		}
 	}
 }
 
-// came gives when a message came that was read just now: at the earliest that is possible, where the process stood still.
+// came returns when the message that was just read may have arrived: the earliest possible time, after a stall.
 func (c *clientConn) came() control.Micros {
-	now := c.p.now()
-	since := c.p.stalls.cameSince(now)
+	now := c.router.now()
+	since := c.router.stalls.cameSince(now)
 	if since < now {
-		c.p.countAnomaly("a request may have come long before it was read")
-		since = max(since, c.p.micros(c.tracked.emptiedAt())) // not before its reader found nothing
+		c.router.countAnomaly("a request may have come long before it was read")
+		since = max(since, c.router.micros(c.tracked.emptiedAt())) // not before its reader last found nothing pending
 	}
 	return min(now, since)
 }
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -14,12 +14,12 @@
 	"hollymast/internal/msgrpc"
 )
 
-// All times of a stop follow from the longest deadline: before the earliest kill all is answered and closed.
+// All times of the shutdown follow from the longest deadline: before the earliest kill all is answered and closed.
 func TestStopEndsBeforeTheKill(t *testing.T) {
 	const second = 1_000_000
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
 		3 * second: 800_000, 30 * second: 800_000} {
-		p := idlePlatform(t)
+		p := idleRouter(t)
 		p.config.Deployment.Classes = []control.Class{{MaxDeadline: longest / 2}, {MaxDeadline: longest}}
 		steps := p.stopActions()
 		kill := 700_000 + min(longest, 3*second)
@@ -34,10 +34,10 @@
 	}
 }
 
-// What is in hand when the kill is near gets its answer: what was never written one that tells to try again.
+// Requests in flight when the kill is near are answered; those that were never written are told that a retry is safe.
 func TestStopAnswersWhatIsInHand(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c := r.caller(t)
 	c.call(1, "once")
 	<-held
@@ -51,11 +51,11 @@
 	c.expect("2: TryLater")
 }
 
-// A job that may have run goes to another router where its repeat does no harm.
+// A request that may have run is rejected, for another router, where repeating it is safe.
 func TestStopSendsElsewhereWhatMayRepeat(t *testing.T) {
 	held := make(chan asked, 1)
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
-		r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+		r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 		c := r.caller(t)
 		c.call(1, class)
 		<-held
@@ -64,10 +64,10 @@
 	}
 }
 
-// Near the kill only those jobs that are held are pushed back, and of those the ones whose client waits beyond it.
+// Near the kill only held requests are rejected, and of those the ones whose deadline is after it.
 func TestStopPushesBackHeldJobsFirst(t *testing.T) {
 	held := make(chan asked, 1)
-	r := start(t, plane(t, 1), worker(t, func(a asked) { held <- a }))
+	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
 	c := r.caller(t)
 	c.call(1, "again")
 	a := <-held
@@ -76,7 +76,7 @@
 		first := r.requests[1]
 		for n, patience := range map[uint32]control.Micros{2: rejectHeldBeforeKill - answerBeforeKill, 3: rejectHeldBeforeKill - answerBeforeKill + 1} {
 			j := &request{id: control.RequestID(n), number: n, client: first.client, readAt: now}
-			j.ask.Timeout = patience
+			j.message.Timeout = patience
 			first.client.open[n] = j
 			r.requests[j.id] = j
 		}
@@ -93,15 +93,16 @@
 	c.expect("1: body 1")
 }
 
-// A client that always has something open does not keep its connection: each request has its answer, or comes with the close.
+// A client that always has something open does not keep its connection: each request is answered, or crosses the
+// close.
 func TestSteadyClientIsClosed(t *testing.T) {
-	r := start(t, plane(t, 1), worker(t, good))
+	r := start(t, discoveryServer(t, 1), modelServer(t, good))
 	c, ours := r.crossing(t, func(*caller, int, error) {})
 	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
 	open := make(chan struct{}, maxOpenPerClient) // no more: it is a usual client otherwise
 	var both sync.WaitGroup
 	both.Go(func() {
-		for what := c.heard(); what != "closed"; what = c.heard() {
+		for what := c.receive(); what != "closed"; what = c.receive() {
 			var number int
 			fmt.Sscanf(what, "%d", &number)
 			answered[number] = true
@@ -143,10 +144,10 @@
 	}
 }
 
-// instant is a connection on which nothing comes; a look at it takes no time.
+// instant is a connection on which nothing comes; a read of it takes no time.
 type instant struct{ net.Conn }
 
-// nothing is its descriptor.
+// nothing is the descriptor of an instant.
 type nothing struct{}
 
 func (instant) SyscallConn() (syscall.RawConn, error) { return nothing{}, nil }
@@ -154,13 +155,13 @@
 func (nothing) Read(func(uintptr) bool) error         { return os.ErrDeadlineExceeded }
 func (nothing) Write(func(uintptr) bool) error        { return nil }
 
-// A reader whose time is up at this very moment ends, and doesn't ask again and again: the clock may stand while it does.
+// A reader whose deadline passes at this very moment ends, and does not loop: the clock may stand still meanwhile.
 func TestReaderEndsOnTheMoment(t *testing.T) {
-	p := idlePlatform(t)
+	p := idleRouter(t)
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := &clientConn{p: p, conn: ours, in: &deadlineReader{conn: instant{ours}}, open: map[uint32]*request{1: {}}}
+		c := &clientConn{router: p, conn: ours, in: &deadlineReader{conn: instant{ours}}, open: map[uint32]*request{1: {}}}
 		c.sentMessage.Store(true)
 		c.closeBy(finalReadTime)
 		if c.awaitMessage(msgrpc.NewReader(c.in), time.Now()) {
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -9,137 +9,143 @@
 	"time"
 )
 
-// trackedConn is what a client sends, and as of when all of it was taken in. An attempt that begins more than 0.1 s after its client has
-// closed or cancelled is a break, and either may lie unread in the socket: after a stop of the process, or while readers wait for
-// the processor. So the last check before the first byte rests on the age of what was read, as it does with the list of servers.
+// trackedConn is a client connection that tracks as of when all that the client sent has been processed. No attempt
+// may begin more than 0.1 s after its client has closed or cancelled, and either may lie unread in the socket: after
+// a stall of the process, or while readers wait for the processor. So the last check before the first byte rests on
+// the age of what was read, as it does on the age of the endpoint list.
 type trackedConn struct {
 	net.Conn
-	raw          syscall.RawConn // nil: there is no descriptor to look at
-	direct       bool            // it is read from the descriptor itself, which tells when nothing was left
-	mu           sync.Mutex      // held from a look at the descriptor until what it found is noted
-	allProcessed bool            // all that was read is taken in
-	asOf         time.Time       // all that had come by then is taken in; zero: some may have come before it was accepted
-	emptyReadAt  time.Time       // when the last read began; zero where it may have left some
+	raw          syscall.RawConn // nil: no descriptor to look into
+	direct       bool            // read from the descriptor itself, which shows when nothing is left
+	mu           sync.Mutex      // held from a look into the descriptor until its result is recorded
+	allProcessed bool            // all that was read is processed
+	asOf         time.Time       // all that had come by then is processed; zero: not known yet
+	emptyReadAt  time.Time       // when the last read began; zero: it may have left some
 }
 
-// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s, the other is for the way here.
+// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s; the other half is
+// for the network.
 const maxUnreadAge = 50 * time.Millisecond
 
+// newTrackedConn wraps an accepted connection.
 func newTrackedConn(conn net.Conn) *trackedConn {
-	s := &trackedConn{Conn: conn}
+	t := &trackedConn{Conn: conn}
 	if c, ok := conn.(syscall.Conn); ok {
-		s.raw, _ = c.SyscallConn()
+		t.raw, _ = c.SyscallConn()
 	}
-	_, s.direct = conn.(*net.TCPConn)
-	return s
+	_, t.direct = conn.(*net.TCPConn)
+	return t
 }
 
-// Read is called only once all that was read before is taken in, but for a message that has begun.
-func (s *trackedConn) Read(b []byte) (n int, err error) {
-	s.mu.Lock()
-	s.allProcessed = true
-	if !s.emptyReadAt.IsZero() {
-		s.asOf = s.emptyReadAt
+// Read reads from the connection. It must be called only once all that was read before has been processed, except
+// amid a message.
+func (t *trackedConn) Read(b []byte) (n int, err error) {
+	t.mu.Lock()
+	t.allProcessed = true
+	if !t.emptyReadAt.IsZero() {
+		t.asOf = t.emptyReadAt
 	}
-	s.mu.Unlock()
-	if !s.direct || s.raw == nil || len(b) == 0 {
+	t.mu.Unlock()
+	if !t.direct || t.raw == nil || len(b) == 0 {
 		began := time.Now()
-		n, err = s.Conn.Read(b)
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.noteRead(began, n, len(b))
+		n, err = t.Conn.Read(b)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.noteRead(began, n, len(b))
 		return n, err
 	}
-	return s.read(b, wait)
+	return t.read(b, wait)
 }
 
-// read reads from the descriptor itself and notes what was there.
-func (s *trackedConn) read(b []byte, waiting waiting) (int, error) {
-	return readRaw(s.raw, waiting, func(fd int) (int, error) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
+// read reads from the descriptor itself and records whether anything was pending.
+func (t *trackedConn) read(b []byte, waiting waiting) (int, error) {
+	return readRaw(t.raw, waiting, func(fd int) (int, error) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
 		began := time.Now()
 		n, err := retryInterrupted(func() (int, error) { return syscall.Read(fd, b) })
 		if errors.Is(err, syscall.EAGAIN) {
-			s.asOf = began
+			t.asOf = began
 		} else {
-			s.noteRead(began, n, len(b))
+			t.noteRead(began, n, len(b))
 		}
 		return n, err
 	})
 }
 
-// waiting tells what a read does where nothing is here.
+// waiting is what a read does where nothing is pending.
 type waiting bool
 
 const (
 	wait   waiting = true
-	noWait waiting = false // it gives EAGAIN
+	noWait waiting = false // returns EAGAIN
 )
 
-// readRaw reads by a call on a descriptor that does not wait.
+// readRaw reads through a call on a descriptor that does not block.
 func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
-	var failed error
+	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
-		n, failed = retryInterrupted(func() (int, error) { return call(int(fd)) })
-		return waiting == noWait || !errors.Is(failed, syscall.EAGAIN)
+		n, readErr = retryInterrupted(func() (int, error) { return call(int(fd)) })
+		return waiting == noWait || !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, failed
+	case readErr != nil:
+		return 0, readErr
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// noteRead notes what a read brought. The lock is held.
-func (s *trackedConn) noteRead(began time.Time, n, most int) {
-	s.allProcessed = false
-	if s.emptyReadAt = began; n == most {
-		s.emptyReadAt = time.Time{}
+// noteRead records a read of n bytes, of most, that began at began. The lock is held.
+func (t *trackedConn) noteRead(began time.Time, n, most int) {
+	t.allProcessed = false
+	if t.emptyReadAt = began; n == most {
+		t.emptyReadAt = time.Time{}
 	}
 }
 
-// upToDate tells whether all that the client had sent by now is taken in, or all but the latest.
-func (s *trackedConn) upToDate(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.raw == nil || now.Sub(s.asOf) <= maxUnreadAge {
+// upToDate reports whether all that the client had sent by now is processed, or all but what came within
+// maxUnreadAge.
+func (t *trackedConn) upToDate(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.raw == nil || now.Sub(t.asOf) <= maxUnreadAge {
 		return true
 	}
-	if !s.allProcessed || s.hasUnread() {
+	if !t.allProcessed || t.hasUnread() {
 		return false
 	}
-	s.asOf = now
+	t.asOf = now
 	return true
 }
 
-// emptiedAt gives when the reader last found that nothing more had come.
-func (s *trackedConn) emptiedAt() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.asOf
+// emptiedAt returns when the reader last found nothing pending.
+func (t *trackedConn) emptiedAt() time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.asOf
 }
 
-// hasUnread looks at the socket itself for what came since the reader looked: a message, or an end. The lock is held.
-func (s *trackedConn) hasUnread() bool {
-	var found error
-	err := s.raw.Control(func(fd uintptr) {
+// hasUnread looks into the socket for what came since the last read: a message, or an end. The lock is held.
+func (t *trackedConn) hasUnread() bool {
+	var peekErr error
+	err := t.raw.Control(func(fd uintptr) {
 		var b [1]byte
-		_, found = retryInterrupted(func() (int, error) {
+		_, peekErr = retryInterrupted(func() (int, error) {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
 	})
-	return err != nil || !errors.Is(found, syscall.EAGAIN)
+	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// interruptions bounds how often a call that a signal interrupts is tried again at once; one or two come in a row.
+// interruptions bounds how often a call interrupted by a signal is retried at once; one or two come in a row.
 const interruptions = 100
 
+// retryInterrupted retries a call that returns EINTR. It returns no negative count.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for range interruptions {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -10,177 +10,183 @@
 	"time"
 )
 
-// writeQueue writes to one connection what others hand over without waiting. Its goroutine lives only while there is something
-// to write.
+// writeQueue writes frames to one connection; adding one does not block. Its goroutine lives only while there is
+// something to write.
 type writeQueue struct {
 	mu             sync.Mutex
-	conn           net.Conn // nil: not up yet
+	conn           net.Conn // nil: not connected yet
 	queue          []queuedFrame
 	queuedBytes    int
-	maxQueuedBytes int  // bytes that may wait
+	maxQueuedBytes int  // bytes that may be queued
 	writing        bool // the goroutine runs
-	closing        bool // the connection ends with the last of it
+	closing        bool // the connection closes with the last frame
 	closed         bool
-	// firstWrite writes the first bytes of a parcel with a check; nil: the system's call.
+	// firstWrite writes the first bytes of a frame that has a begin check; nil: the system call.
 	firstWrite func(fd int, b []byte) (int, error)
-	// written, where there is one, is closed when nothing is written any more: with the last of it only this direction of
-	// the connection ends, and whoever reads the other closes it.
+	// written, if not nil, is closed when nothing is written any more: with the last frame only the write direction
+	// of the connection is closed, and whoever reads the other closes the connection.
 	written chan struct{}
 }
 
-// queuedFrame is one message. Begin may be nil: else it writes the first bytes by calling write, which never waits, or withdraws the
-// parcel. Write tells whether any byte is out; begin is called again once the connection has room, and in a moment where it did
-// neither.
+// queuedFrame is one message. If begin is not nil, it either writes the first bytes by calling write, which never
+// blocks and reports whether any byte is out, or withdraws the frame. begin is called again once the connection has
+// room, and after writePause where it did neither.
 type queuedFrame struct {
 	data []byte
-	// encode, where there is one, gives data, right before each try to write the first byte: guards against a deadline in it that was
-	// true when the parcel was handed over, before a dial or a wait for room.
+	// encode, if not nil, returns data right before each attempt to write the first byte. It guards against a stated
+	// deadline that was true when the frame was queued, before a dial or a wait for room.
 	encode func() []byte
-	size   int // of what encode gives, at most
+	size   int // upper bound of encode's result
 	begin  func(write func() bool) (withdrawn bool)
 	wrote  func(whole bool)
 }
 
-// writeTimeout bounds a write: a reader that takes nothing for this long is gone, or means harm.
+// writeTimeout bounds one write: a peer that accepts nothing for this long is gone or malicious.
 const writeTimeout = 2 * time.Second
 
-// frameRestTimeout bounds the rest of a message whose first bytes are out and that tells a deadline. Guards against a deadline that is read
-// when the message has come whole, much later: two thirds of the 0.15 s by which it may exceed what the client has left.
+// frameRestTimeout bounds the rest of a frame that states a deadline, once its first bytes are out. It guards against
+// a deadline that is read much later, when the frame is complete: two thirds of the 0.15 s by which it may exceed
+// what the client has left.
 const frameRestTimeout = 100 * time.Millisecond
 
-// post hands over a message; no tells that the connection takes none any more. Guards against an end that asks and does
-// not read: beyond its bound the connection is closed.
-func (o *writeQueue) post(p queuedFrame) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.closed || o.closing {
+// post queues a frame, and reports false if the connection accepts none any more. It guards against a peer that asks
+// and does not read: beyond maxQueuedBytes the connection is closed.
+func (q *writeQueue) post(frame queuedFrame) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.closing {
 		return false
 	}
-	p.size = max(p.size, len(p.data))
-	if o.queuedBytes+p.size > o.maxQueuedBytes {
-		o.closeLocked()
+	frame.size = max(frame.size, len(frame.data))
+	if q.queuedBytes+frame.size > q.maxQueuedBytes {
+		q.closeLocked()
 		return false
 	}
-	o.queue = append(o.queue, p)
-	o.queuedBytes += p.size
-	o.start()
+	q.queue = append(q.queue, frame)
+	q.queuedBytes += frame.size
+	q.start()
 	return true
 }
 
-func (o *writeQueue) start() {
-	if o.conn != nil && !o.writing && !o.closed {
-		o.writing = true
-		go o.write()
+// start starts the goroutine unless it runs. The lock is held.
+func (q *writeQueue) start() {
+	if q.conn != nil && !q.writing && !q.closed {
+		q.writing = true
+		go q.write()
 	}
 }
 
-// connected tells that the connection stands.
-func (o *writeQueue) connected(conn net.Conn) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.conn = conn
-	if o.closed || o.closing && len(o.queue) == 0 {
-		o.finish()
+// connected sets the connection once it is established, and starts to write what is queued.
+func (q *writeQueue) connected(conn net.Conn) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.conn = conn
+	if q.closed || q.closing && len(q.queue) == 0 {
+		q.finish()
 		return
 	}
-	if len(o.queue) > 0 {
-		o.start()
+	if len(q.queue) > 0 {
+		q.start()
 	}
 }
 
-// closeWhenWritten closes the connection once all that waits is written.
-func (o *writeQueue) closeWhenWritten() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.closing = true
-	if !o.writing && len(o.queue) == 0 {
-		o.finish()
+// closeWhenWritten closes the connection once all that is queued is written.
+func (q *writeQueue) closeWhenWritten() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closing = true
+	if !q.writing && len(q.queue) == 0 {
+		q.finish()
 	}
 }
 
-// finish ends a connection on which all is written. Guards against the reset that a close makes of input nobody read: it
-// may overtake the last answer, so that the direction that is read stays open for a little where somebody reads it.
-func (o *writeQueue) finish() {
-	half, ok := o.conn.(interface{ CloseWrite() error })
-	if !ok || o.written == nil || o.closed {
-		o.closeLocked()
+// finish ends a connection on which all is written. It guards against the reset that closing with unread input
+// causes, which may overtake the last answer: the read direction stays open where somebody drains it. The lock is
+// held.
+func (q *writeQueue) finish() {
+	half, ok := q.conn.(interface{ CloseWrite() error })
+	if !ok || q.written == nil || q.closed {
+		q.closeLocked()
 		return
 	}
-	o.closed = true
+	q.closed = true
 	half.CloseWrite()
-	close(o.written)
+	close(q.written)
 }
 
-// close closes it at once.
-func (o *writeQueue) close() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.closeLocked()
+// close closes the connection at once; what is queued is dropped.
+func (q *writeQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closeLocked()
 }
 
-func (o *writeQueue) closeLocked() {
-	if !o.closed && o.written != nil {
-		close(o.written)
+// closeLocked is close with the lock held.
+func (q *writeQueue) closeLocked() {
+	if !q.closed && q.written != nil {
+		close(q.written)
 	}
-	o.closed = true
-	o.queue, o.queuedBytes = nil, 0
-	if o.conn != nil {
-		o.conn.Close()
+	q.closed = true
+	q.queue, q.queuedBytes = nil, 0
+	if q.conn != nil {
+		q.conn.Close()
 	}
 }
 
-// empty tells that nothing waits or is being written.
-func (o *writeQueue) empty() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.closed || !o.writing && len(o.queue) == 0
+// empty reports whether nothing is queued or being written.
+func (q *writeQueue) empty() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.closed || !q.writing && len(q.queue) == 0
 }
 
-func (o *writeQueue) write() {
+// write writes what is queued, one frame after the other, until nothing is left.
+func (q *writeQueue) write() {
 	for {
-		o.mu.Lock()
-		if len(o.queue) == 0 || o.closed {
-			o.writing = false
-			if o.closing && !o.closed {
-				o.finish()
+		q.mu.Lock()
+		if len(q.queue) == 0 || q.closed {
+			q.writing = false
+			if q.closing && !q.closed {
+				q.finish()
 			}
-			o.mu.Unlock()
+			q.mu.Unlock()
 			return
 		}
-		p := o.queue[0]
-		o.queue[0] = queuedFrame{}
-		if o.queue = o.queue[1:]; len(o.queue) == 0 {
-			o.queue = nil
+		frame := q.queue[0]
+		q.queue[0] = queuedFrame{}
+		if q.queue = q.queue[1:]; len(q.queue) == 0 {
+			q.queue = nil
 		}
-		o.queuedBytes -= p.size
-		o.mu.Unlock()
-		o.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		q.queuedBytes -= frame.size
+		q.mu.Unlock()
+		q.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := 0, error(nil)
-		if p.begin != nil {
-			if n, err = writeFirst(o.conn, &p, o.firstWrite); n == 0 && err == nil {
+		if frame.begin != nil {
+			if n, err = writeFirst(q.conn, &frame, q.firstWrite); n == 0 && err == nil {
 				continue // withdrawn
 			}
-			if p.encode != nil && n < len(p.data) {
-				o.conn.SetWriteDeadline(time.Now().Add(frameRestTimeout))
+			if frame.encode != nil && n < len(frame.data) {
+				q.conn.SetWriteDeadline(time.Now().Add(frameRestTimeout))
 			}
 		}
 		if err == nil {
 			var more int
-			more, err = o.conn.Write(p.data[n:])
+			more, err = q.conn.Write(frame.data[n:])
 			n += more
 		}
-		if p.wrote != nil && (n > 0 || p.begin == nil) {
-			p.wrote(n == len(p.data))
+		if frame.wrote != nil && (n > 0 || frame.begin == nil) {
+			frame.wrote(n == len(frame.data))
 		}
 		if err != nil {
-			o.close()
+			q.close()
 		}
 	}
 }
 
-// writeFirst writes the first bytes of a parcel, how many it tells; 0 with no error where it was withdrawn. Guards against a check
-// before the first byte that is no longer true at the first byte: where the connection has no room, the check comes again.
-func writeFirst(conn net.Conn, p *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
+// writeFirst writes a frame's first bytes and returns their number; 0 without an error: the frame was withdrawn. It
+// guards against a check before the first byte that no longer holds at that byte: where the connection has no room,
+// the check is repeated.
+func writeFirst(conn net.Conn, frame *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
 	if firstWrite == nil {
 		firstWrite = syscall.Write
 	}
@@ -189,34 +195,34 @@
 		return 0, err
 	}
 	for range writeTimeout / writePause {
-		var failed error
-		again := false
+		var writeErr error
+		retry := false
 		err = raw.Write(func(fd uintptr) bool {
-			room, asked := true, false
+			room, attempted := true, false
 			write := func() bool {
-				asked = true
-				if p.encode != nil {
-					p.data = p.encode()
+				attempted = true
+				if frame.encode != nil {
+					frame.data = frame.encode()
 				}
-				n, failed = retryInterrupted(func() (int, error) { return firstWrite(int(fd), p.data) })
-				if errors.Is(failed, syscall.EAGAIN) {
-					room, failed = false, nil
+				n, writeErr = retryInterrupted(func() (int, error) { return firstWrite(int(fd), frame.data) })
+				if errors.Is(writeErr, syscall.EAGAIN) {
+					room, writeErr = false, nil
 				}
 				return n > 0
 			}
-			failed = nil
-			withdrawn := p.begin(write)
-			again = !withdrawn && (!asked || n == 0 && localFailure(failed))
+			writeErr = nil
+			withdrawn := frame.begin(write)
+			retry = !withdrawn && (!attempted || n == 0 && localFailure(writeErr))
 			return withdrawn || room
 		})
-		if !again || err != nil {
-			return n, cmp.Or(failed, err)
+		if !retry || err != nil {
+			return n, cmp.Or(writeErr, err)
 		}
-		time.Sleep(writePause) // outside of the connection's write, which its close waits for
+		time.Sleep(writePause) // outside of raw.Write, for which Close would wait
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-// writePause is how soon a first byte is tried again that this machine had no means for, or that waits for a reader: the check before
-// it comes again as well.
+// writePause is how soon a first byte is retried that failed for a shortage of this machine's, or that waits for the
+// client's reader; the check before it is repeated too.
 const writePause = time.Millisecond
