--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -263,11 +263,16 @@
 		}
 		return ""
 	}
+	known := func() bool {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		return r.peers.Known()
+	}
 	x, y := a.Issue(host), a.Issue(host)
 	service.SetPair("own", x.Chain, x.Key)
 	service.SetPeers("peers", a.Cert(), a.List(time.Now().Add(time.Hour)))
 	await("the first pair", func() bool { return serial() == x.Serial.String() })
-	await("the first authorities", func() bool { return r.peers.Known() }) // they come by a resource of their own
+	await("the first authorities", known) // they come by a resource of their own
 	service.SetPeers("peers", nil, nil)
 	await("a NACK", func() bool {
 		_, nacks := service.Counts()
@@ -275,7 +280,7 @@
 	})
 	service.SetPair("own", y.Chain, y.Key) // taken, whatever is wrong with the other
 	await("the second pair", func() bool { return serial() == y.Serial.String() })
-	if !r.peers.Known() {
+	if !known() {
 		t.Error("bad authorities took the place of good ones")
 	}
 }
