--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -79,6 +79,9 @@
 
 // CatchUp reads all that the server has sent so far and returns the time as of which the endpoint list is
 // complete. Without a connection, the list is as complete as it can be: that is now.
+//
+// It never closes a connection that has ended, since a close waits for the readers of the descriptor, and Run's goroutine
+// may be one that waits for the lock: that goroutine closes it.
 func (c *Client) CatchUp() (asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +90,6 @@
 			c.noteComplete(w)
 			return w.complete
 		}
-		c.drop(w)
 	}
 	return time.Now()
 }
@@ -306,7 +308,7 @@
 	return err
 }
 
-// drop closes a watch. The lock is held.
+// drop closes a watch. The lock is held. Only Run's goroutine calls it, while it isn't reading (CatchUp says why).
 func (c *Client) drop(w *watch) {
 	w.end(net.ErrClosed)
 	w.conn.Close()
