--- a/cmd/hmlab/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hollymast/internal/baseline"
-	"hollymast/internal/lab"
+	"hollymast/internal/chaostest"
 	"hollymast/internal/program"
 )
 
@@ -87,8 +87,8 @@
 }
 
 // one plays one day.
-func (e emulate) one(text []byte, arm string, seed uint64) (*lab.Emulated, time.Duration, error) {
-	d, err := lab.ReadDay(e.Script, text)
+func (e emulate) one(text []byte, arm string, seed uint64) (*chaostest.Emulated, time.Duration, error) {
+	d, err := chaostest.ReadDay(e.Script, text)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -99,11 +99,11 @@
 	if e.Manners != "" {
 		d.Manners = e.Manners
 	}
-	var res *lab.Emulated
+	var res *chaostest.Emulated
 	if arm == "module" {
-		res, err = lab.Emulate(d, e.Threads, nil)
+		res, err = chaostest.Emulate(d, e.Threads, nil)
 	} else {
-		res, err = lab.Emulate(d, e.Threads, baseline.New(baseline.Policy(slices.Index(baseline.Names, arm))))
+		res, err = chaostest.Emulate(d, e.Threads, baseline.New(baseline.Policy(slices.Index(baseline.Names, arm))))
 	}
 	return res, d.Length, err
 }
--- a/cmd/hmlab/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -18,9 +18,9 @@
 	"github.com/schollz/progressbar/v3"
 
 	"hollymast/internal/baseline"
+	"hollymast/internal/chaostest"
 	experiments "hollymast/internal/experiment"
 	"hollymast/internal/inifile"
-	"hollymast/internal/lab"
 	"hollymast/internal/program"
 )
 
@@ -62,14 +62,14 @@
 		Measure: experiments.Measures[s.OneOf("measure", experiments.Measures[0], experiments.Measures...)]}
 	if a.text, err = os.ReadFile(a.script); err != nil {
 		s.Fault("script", "%v", err)
-	} else if _, err := lab.ReadDay(a.script, a.text); err != nil {
+	} else if _, err := chaostest.ReadDay(a.script, a.text); err != nil {
 		s.Fault("script", "%v", err)
 	}
 	for _, x := range f.Sections("size ") {
 		n := x.Name[len("size "):]
 		a.plan.Sizes = append(a.plan.Sizes, n)
 		a.sizes[n] = size{x.Int("routers", 0, 0, 5000), x.Int("workers", 0, 0, 5000), x.Int("jobs", 0, 0, 10_000_000), x.Int("clients", 0, 0, 20_000),
-			append([]string{""}, lab.Manners...)[x.OneOf("manners", "", append([]string{""}, lab.Manners...)...)]}
+			append([]string{""}, chaostest.Manners...)[x.OneOf("manners", "", append([]string{""}, chaostest.Manners...)...)]}
 	}
 	if len(a.plan.Sizes) == 0 {
 		a.plan.Sizes, a.sizes[usualSize] = []string{usualSize}, size{}
@@ -97,7 +97,7 @@
 	if p := a.programs[arm]; p != "" {
 		build = program.BuildOf(p)
 	}
-	return build + " " + fmt.Sprintf("%x", lab.DayKey(a.text)) + " " + fmt.Sprint(a.sizes)
+	return build + " " + fmt.Sprintf("%x", chaostest.DayKey(a.text)) + " " + fmt.Sprint(a.sizes)
 }
 
 // play plays one day on one thread.
@@ -105,7 +105,7 @@
 	z := a.sizes[c.Size]
 	e := emulate{Script: a.script, Seed: c.Seed, Seeds: 1, Threads: 1, Routers: z.routers, Workers: z.workers, Jobs: z.jobs, Clients: z.clients, Manners: z.manners,
 		Undamped: c.Arm == "undamped"}
-	var res *lab.Emulated
+	var res *chaostest.Emulated
 	var err error
 	if p := a.programs[c.Arm]; p != "" {
 		res, err = e.elsewhere(ctx, p)
@@ -126,8 +126,8 @@
 	return row, nil
 }
 
-// elsewhere has another build of hmlab play a day.
-func (e emulate) elsewhere(ctx context.Context, name string) (*lab.Emulated, error) {
+// elsewhere has another build of hmchaos play a day.
+func (e emulate) elsewhere(ctx context.Context, name string) (*chaostest.Emulated, error) {
 	args := []string{"emulate", "--json", "--threads=1", "--script=" + e.Script, fmt.Sprint("--seed=", e.Seed), fmt.Sprint("--routers=", e.Routers),
 		fmt.Sprint("--workers=", e.Workers), fmt.Sprint("--jobs=", e.Jobs), fmt.Sprint("--clients=", e.Clients), "--manners=" + e.Manners}
 	out, err := exec.CommandContext(ctx, name, args...).Output()
@@ -135,7 +135,7 @@
 	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == program.Found) { // a broken rule is in the result
 		return nil, err
 	}
-	res := &lab.Emulated{}
+	res := &chaostest.Emulated{}
 	line, _, _ := bytes.Cut(out, []byte("\n"))
 	return res, json.Unmarshal(line, res)
 }
--- a/cmd/hmlab/main.go
+++ b/cmd/hmchaos/main.go
@@ -1,4 +1,4 @@
-// Command hmlab is the laboratory: it plays days against real routers on loopback and judges them.
+// Command hmchaos is the laboratory: it plays days against real routers on loopback and judges them.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"hollymast/internal/lab"
+	"hollymast/internal/chaostest"
 	"hollymast/internal/program"
 )
 
@@ -26,20 +26,20 @@
 
 func main() {
 	var c cli
-	ctx := program.Parse(&c, "hmlab", `The laboratory of hollymast.
+	ctx := program.Parse(&c, "hmchaos", `The laboratory of hollymast.
 
 Examples:
 
-  hmlab day --seed 7                              the built-in bad day
+  hmchaos day --seed 7                              the built-in bad day
 
-  hmlab day --script days/dawn.ini --record REC
+  hmchaos day --script days/dawn.ini --record REC
 
-  hmlab emulate --script days/portals.ini --seeds 20 --arms module,least
+  hmchaos emulate --script days/portals.ini --seeds 20 --arms module,least
 
-  hmlab experiment days/arms.exp.ini
+  hmchaos experiment days/arms.exp.ini
 
-  hmlab load --rates 1000,10000 --recording 8`)
-	program.Exit("hmlab", ctx.Run())
+  hmchaos load --rates 1000,10000 --recording 8`)
+	program.Exit("hmchaos", ctx.Run())
 }
 
 type day struct {
@@ -69,7 +69,7 @@
 			return program.Use{Err: err}
 		}
 	}
-	script, err := lab.ReadDay(d.Script, text)
+	script, err := chaostest.ReadDay(d.Script, text)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, d.Most)
 	defer cancel()
-	res, err := lab.Run(ctx, script, router)
+	res, err := chaostest.Run(ctx, script, router)
 	if res == nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 			fmt.Printf("calm tenants in time %.3f while one storms, %.3f otherwise\n", meanwhile, otherwise)
 		}
 		if t.Kind == "origin_stopped" || t.Kind == "balancer_kill" && t.Number < 0 {
-			usual, after := lab.Recovery(res.Seconds, t.At, t.At+t.Lasts)
+			usual, after := chaostest.Recovery(res.Seconds, t.At, t.At+t.Lasts)
 			again := "after " + after.String()
 			if after < 0 {
 				again = "not before the day's end"
@@ -122,7 +122,7 @@
 		}
 	}
 	if d.Plot != "" {
-		if err := lab.Plot(res.Seconds, script.Name, d.Plot); err != nil {
+		if err := chaostest.Plot(res.Seconds, script.Name, d.Plot); err != nil {
 			return err
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // resize replaces a script's counts by those of flags; 0 leaves one as it is.
-func resize(d *lab.Day, jobs, routers, workers, clients int) error {
+func resize(d *chaostest.Day, jobs, routers, workers, clients int) error {
 	for _, x := range []struct {
 		flag int
 		to   *int
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func table(res *lab.Result) {
+func table(res *chaostest.Result) {
 	fmt.Printf("%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8.3f\n", "jobs (tries of clients)", res.Jobs,
 		"finished", res.Finished, "pushed back", res.PushedBack, "killed", res.Killed, "left by their clients", res.Left,
 		"excused: their router was halted", res.Excused, "refused as wrong", res.Other, "repeats by a router", res.Repeats,
@@ -232,7 +232,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	f, err := lab.PlayChanges(ctx, lab.Changes{Seed: c.Seed, Number: c.Number, Every: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
+	f, err := chaostest.PlayChanges(ctx, chaostest.Changes{Seed: c.Seed, Number: c.Number, Every: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
 		Cuts: c.Cuts, Loses: c.Loses, Keys: c.Keys, Delay: c.Delay}, router)
 	if err != nil {
 		return err
@@ -271,7 +271,7 @@
 	defer stop()
 	fmt.Printf("%-20s %8s %8s %8s %8s %8s %8s %10s %10s\n", "path", "asked/s", "kept/s", "failed", "p50 us", "p99 us", "p99.9 us", "CPU us/job", "memory KB")
 	for _, rate := range l.Rates {
-		measured, err := lab.MeasureLoad(ctx, lab.Load{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
+		measured, err := chaostest.MeasureLoad(ctx, chaostest.Load{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
 			Functions: l.Functions, Idle: l.Idle, Bytes: l.Bytes, Strangers: l.Strangers, Recording: l.Recording, TLS: l.TLS, Memory: l.Memory}, router)
 		if err != nil {
 			return err
--- a/cmd/hmexplore/main.go
+++ b/cmd/hmmodelcheck/main.go
@@ -1,4 +1,4 @@
-// Command hmexplore takes small worlds of jobs, servers and routers through all orderings of what can happen in them.
+// Command hmmodelcheck takes small worlds of jobs, servers and routers through all orderings of what can happen in them.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 
 	"hollymast/control"
-	"hollymast/internal/explore"
+	"hollymast/internal/modelcheck"
 	"hollymast/internal/program"
 	"hollymast/internal/record"
 	"hollymast/internal/replay"
@@ -31,18 +31,18 @@
 
 func main() {
 	var c cli
-	ctx := program.Parse(&c, "hmexplore", `Explores rare orderings, on the code that decides.
+	ctx := program.Parse(&c, "hmmodelcheck", `Explores rare orderings, on the code that decides.
 
 Examples:
 
-  hmexplore run --breaks 1 --effects run-once
+  hmmodelcheck run --breaks 1 --effects run-once
 
-  hmexplore run --jobs 2 --servers 2 --drains 1 --breaks 1 --depth 14
+  hmmodelcheck run --jobs 2 --servers 2 --drains 1 --breaks 1 --depth 14
 
-  hmexplore walk --jobs 3 --servers 3 --routers 2 --breaks 3 --restarts 1 --walks 1000
+  hmmodelcheck walk --jobs 3 --servers 3 --routers 2 --breaks 3 --restarts 1 --walks 1000
 
-  hmexplore replay internal/explore/stories/left-before-written.json`)
-	program.Exit("hmexplore", ctx.Run())
+  hmmodelcheck replay internal/modelcheck/stories/left-before-written.json`)
+	program.Exit("hmmodelcheck", ctx.Run())
 }
 
 // world is the flags that describe one.
@@ -74,28 +74,28 @@
 	Freezes  int      `help:"Routers that stand still for a while."`
 }
 
-func (f faults) add(s *explore.Setup) {
+func (f faults) add(s *modelcheck.Setup) {
 	s.Breaks, s.Ways, s.Drains, s.Restarts, s.Leaves, s.Stalls, s.Freezes = f.Breaks, f.Ways, f.Drains, f.Restarts, f.Leaves, f.Stalls, f.Freezes
 }
 
-func (w world) setup() (explore.Setup, []explore.Property, error) {
+func (w world) setup() (modelcheck.Setup, []modelcheck.Property, error) {
 	us := func(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
-	s := explore.Setup{Jobs: w.Jobs, Servers: w.Servers, Routers: w.Routers, Effects: w.Effects, Scope: w.Scope, Apart: us(w.Apart), Target: us(w.Target),
+	s := modelcheck.Setup{Jobs: w.Jobs, Servers: w.Servers, Routers: w.Routers, Effects: w.Effects, Scope: w.Scope, Apart: us(w.Apart), Target: us(w.Target),
 		Limit: us(w.Limit), Window: us(w.Window), Orders: w.Orders, Warm: w.Warm, ColdServer: w.ColdServer}
 	w.faults.add(&s)
 	if err := s.Check(); err != nil {
 		return s, nil, program.Use{Err: err}
 	}
-	ps, ok := explore.Named(w.Check)
+	ps, ok := modelcheck.Named(w.Check)
 	if !ok {
-		return s, nil, program.Use{Err: fmt.Errorf("a property of %s is not known; hmexplore properties lists them", strings.Join(w.Check, ", "))}
+		return s, nil, program.Use{Err: fmt.Errorf("a property of %s is not known; hmmodelcheck properties lists them", strings.Join(w.Check, ", "))}
 	}
 	return s, ps, nil
 }
 
 // tell prints a find and saves it where that is wanted.
-func tell(s *explore.Story, save string) error {
-	fmt.Print(s.Text(&explore.Real))
+func tell(s *modelcheck.Story, save string) error {
+	fmt.Print(s.Text(&modelcheck.Real))
 	if save != "" {
 		b, err := s.Save()
 		if err != nil {
@@ -129,10 +129,10 @@
 			return err
 		}
 	}
-	x := explore.Exploration{Setup: s, Properties: ps, Depth: r.Depth, States: r.States, Workers: r.Workers, Memory: r.Memory, Folder: r.Folder}
+	x := modelcheck.Exploration{Setup: s, Properties: ps, Depth: r.Depth, States: r.States, Workers: r.Workers, Memory: r.Memory, Folder: r.Folder}
 	if !r.Quiet {
 		before := 1
-		x.Progress = func(p explore.Progress) {
+		x.Progress = func(p modelcheck.Progress) {
 			growth := float64(p.Frontier) / float64(max(1, before))
 			before = p.Frontier
 			fmt.Fprintf(os.Stderr, "depth %d: %d states, %d new (%.2f times the last), %d steps, %.0f states/s\n", p.Depth, p.States, p.Frontier, growth, p.Steps,
@@ -143,7 +143,7 @@
 }
 
 // explored runs an exploration and tells its end.
-func explored(x explore.Exploration, save string) error {
+func explored(x modelcheck.Exploration, save string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	f, err := x.Run(ctx)
@@ -209,13 +209,13 @@
 	for _, j := range m.Job {
 		jobs = append(jobs, control.RequestID(j))
 	}
-	at, err := explore.NewMoment(now, c, jobs)
+	at, err := modelcheck.NewMoment(now, c, jobs)
 	if err != nil {
 		return program.Use{Err: err}
 	}
 	setup := at.Setup()
 	m.faults.add(&setup)
-	return explored(explore.Exploration{Setup: setup, Depth: m.Depth, States: m.States}, m.Save)
+	return explored(modelcheck.Exploration{Setup: setup, Depth: m.Depth, States: m.States}, m.Save)
 }
 
 type walk struct {
@@ -234,7 +234,7 @@
 	steps := 0
 	begun := time.Now()
 	for i := range w.Walks {
-		story, n, err := explore.Walk(s, &explore.Real, ps, w.Steps, explore.Chance(w.Seed+uint64(i)))
+		story, n, err := modelcheck.Walk(s, &modelcheck.Real, ps, w.Steps, modelcheck.Chance(w.Seed+uint64(i)))
 		steps += n
 		if err != nil {
 			return err
@@ -259,11 +259,11 @@
 		if err != nil {
 			return program.Use{Err: err}
 		}
-		s, err := explore.ReadStory(b)
+		s, err := modelcheck.ReadStory(b)
 		if err != nil {
 			return program.Use{Err: fmt.Errorf("%s: %w", name, err)}
 		}
-		switch wrong, after, err := s.Replay(&explore.Real, explore.Properties); {
+		switch wrong, after, err := s.Replay(&modelcheck.Real, modelcheck.Properties); {
 		case wrong != "":
 			bad++
 			fmt.Printf("%s: after %d steps %s\n", filepath.Base(name), after, wrong)
@@ -282,7 +282,7 @@
 type properties struct{}
 
 func (properties) Run() error {
-	for _, p := range explore.Properties {
+	for _, p := range modelcheck.Properties {
 		fmt.Printf("%-15s %s\n", p.Name, p.Words)
 	}
 	return nil
@@ -291,6 +291,6 @@
 type diagram struct{}
 
 func (diagram) Run() error {
-	fmt.Print(explore.Diagram())
+	fmt.Print(modelcheck.Diagram())
 	return nil
 }
--- a/cmd/hollymast/stop_test.go
+++ b/cmd/hollymast/stop_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/audit"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
 )
 
 const shortDeadlines = `
@@ -116,8 +116,8 @@
 // Told to stop with deadlines of 50 ms, the router may be killed 0.75 s later. Clients go on sending on open connections until
 // then, quick ones and slow ones: each request has its answer.
 func TestStopWithShortDeadlines(t *testing.T) {
-	server := standin.New(standin.Make{Copies: 20, Lanes: 20, Cores: 8, Work: 5 * time.Millisecond, Queue: 200, Load: time.Millisecond, Loads: 8,
-		FallOver: 1e6, Fall: time.Second, Seed: 1}, standin.NewStore(time.Millisecond, 8), audit.NewLog())
+	server := fakeserver.New(fakeserver.Make{Copies: 20, Lanes: 20, Cores: 8, Work: 5 * time.Millisecond, Queue: 200, Load: time.Millisecond, Loads: 8,
+		FallOver: 1e6, Fall: time.Second, Seed: 1}, fakeserver.NewStore(time.Millisecond, 8), invariant.NewLog())
 	if err := server.Start(false); err != nil {
 		t.Fatal(err)
 	}
--- a/control/learned.go
+++ b/control/learned.go
@@ -5,7 +5,7 @@
 // ApplyLearned restores what an earlier incarnation of the router learned. Call it right after New, before anything
 // else. Limits count whatever their age; load commands and attempts with a time in the future, after the clock was set
 // back, count as of now, since they may be recent. Beliefs about replicas expire as they would have without the
-// restart. Execution and load times are not part of it (docs/memory.md).
+// restart. Execution and load times are not part of it (docs/persistence.md).
 func (r *Balancer) ApplyLearned(now Micros, state *LearnedState) {
 	const recently = 60_000_000 // six times as long as answers count, see updateAnswerRate
 	r.loadCommands, r.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,7 +1,7 @@
 // Package attempt holds, as plain state, the one final answer of a request, its attempts in flight and the
 // connections that carry them: what a cancellation, a drain notification, an answer, a broken connection or a
 // client that disconnects does in each state. It is free of I/O and clocks. The gateway drives it between
-// sockets; the model checker (internal/explore) drives it through all orderings.
+// sockets; the model checker (internal/modelcheck) drives it through all orderings.
 package attempt
 
 import (
--- a/internal/keyring/grpc.go
+++ b/internal/certstore/grpc.go
@@ -1,4 +1,4 @@
-package keyring
+package certstore
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/grpc/credentials"
 
-	"hollymast/internal/trust"
+	"hollymast/internal/tlspolicy"
 )
 
 // watched is a connection that stands for long, on which nobody asks whether its peer is still believed.
@@ -16,7 +16,7 @@
 	net.Conn
 	raw      net.Conn
 	ring     *Ring
-	standing trust.Standing
+	standing tlspolicy.Standing
 }
 
 func (w *watched) Close() error {
@@ -34,12 +34,12 @@
 // protocol is what gRPC must agree on (RFC 7540, 3.3).
 const protocol = "h2"
 
-func (c *creds) hand(ctx context.Context, nc net.Conn, side trust.Side, host string) (net.Conn, credentials.AuthInfo, error) {
+func (c *creds) hand(ctx context.Context, nc net.Conn, side tlspolicy.Side, host string) (net.Conn, credentials.AuthInfo, error) {
 	w := &watched{raw: nc, ring: c.ring}
 	config := c.ring.config(side, host, &w.standing)
 	config.NextProtos = []string{protocol}
 	t := tls.Client(nc, config)
-	if side == trust.Client {
+	if side == tlspolicy.Client {
 		t = tls.Server(nc, config)
 	}
 	if err := c.ring.shake(ctx, t); err != nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		host = authority
 	}
-	return c.hand(ctx, nc, trust.Server, host)
+	return c.hand(ctx, nc, tlspolicy.Server, host)
 }
 
 // serverHandshake bounds a handshake, for which gRPC gives no context on this side: a few of the slowest round trips.
@@ -72,7 +72,7 @@
 func (c *creds) ServerHandshake(nc net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), serverHandshake)
 	defer cancel()
-	return c.hand(ctx, nc, trust.Client, "")
+	return c.hand(ctx, nc, tlspolicy.Client, "")
 }
 
 func (c *creds) Info() credentials.ProtocolInfo {
--- a/internal/keyring/keyring.go
+++ b/internal/certstore/keyring.go
@@ -1,6 +1,6 @@
-// Package keyring puts what package trust decides on connections: it finds certificates, keys, authorities and lists of revoked
+// Package certstore puts what package trust decides on connections: it finds certificates, keys, authorities and lists of revoked
 // certificates in files or hears them from a secret discovery service, and changes them while connections stand.
-package keyring
+package certstore
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"time"
 
 	"hollymast/control"
-	"hollymast/internal/trust"
+	"hollymast/internal/tlspolicy"
 )
 
 // Told is what one side of one kind of connection is told.
@@ -46,8 +46,8 @@
 	note func(text string)
 
 	mu       sync.Mutex
-	identity trust.Identity
-	peers    *trust.Peers
+	identity tlspolicy.Identity
+	peers    *tlspolicy.Peers
 	long     map[*watched]struct{} // connections that are cut once their peer is no longer believed
 	counts   Counts
 	chance   *rand.Rand // spreads the replacing of connections
@@ -63,7 +63,7 @@
 
 // Open finds the keys. Where files are told they must be whole; secrets may come later. Errors are what is wrong with them.
 func Open(told *Told, now func() control.Micros, note func(text string)) (*Ring, error) {
-	r := &Ring{told: told, now: now, note: note, peers: trust.NewPeers(told.Names), long: map[*watched]struct{}{}, counts: Counts{Refused: map[string]uint64{}},
+	r := &Ring{told: told, now: now, note: note, peers: tlspolicy.NewPeers(told.Names), long: map[*watched]struct{}{}, counts: Counts{Refused: map[string]uint64{}},
 		chance: rand.New(rand.NewPCG(uint64(now()), 1))}
 	if told.Secrets != "" {
 		return r, nil
@@ -184,7 +184,7 @@
 }
 
 func (r *Ring) refusedLocked(err error) {
-	var no *trust.Refusal
+	var no *tlspolicy.Refusal
 	if errors.As(err, &no) {
 		r.counts.Refused[no.Reason.String()]++
 	}
@@ -195,7 +195,7 @@
 var errNoPair = errors.New("no certificate is in service yet")
 
 // config gives what one handshake runs by; standing gets what is found of the peer.
-func (r *Ring) config(side trust.Side, host string, standing *trust.Standing) *tls.Config {
+func (r *Ring) config(side tlspolicy.Side, host string, standing *tlspolicy.Standing) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true} // each connection is checked whole
 	if r.told.Twelve {
 		c.MinVersion = tls.VersionTLS12
@@ -224,7 +224,7 @@
 		return nil
 	}
 	c.VerifyConnection = verify
-	if side == trust.Server { // the peer is one
+	if side == tlspolicy.Server { // the peer is one
 		c.InsecureSkipVerify = true
 		c.ServerName = host
 		c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -246,7 +246,7 @@
 type Secure struct {
 	*tls.Conn
 	ring     *Ring
-	standing trust.Standing
+	standing tlspolicy.Standing
 	dialled  bool
 	own      uint64 // version of the identity that it was made with
 	place    float64
@@ -280,14 +280,14 @@
 	r.mu.Lock()
 	s := &Secure{ring: r, dialled: true, own: r.identity.Version(), place: r.chance.Float64()}
 	r.mu.Unlock()
-	s.Conn = tls.Client(nc, r.config(trust.Server, host, &s.standing))
+	s.Conn = tls.Client(nc, r.config(tlspolicy.Server, host, &s.standing))
 	return s, r.shake(ctx, s.Conn)
 }
 
 // Accepted makes a connection that was accepted secret, within the context.
 func (r *Ring) Accepted(ctx context.Context, nc net.Conn) (net.Conn, error) {
 	s := &Secure{ring: r}
-	s.Conn = tls.Server(nc, r.config(trust.Client, "", &s.standing))
+	s.Conn = tls.Server(nc, r.config(tlspolicy.Client, "", &s.standing))
 	err := r.shake(ctx, s.Conn)
 	if err != nil {
 		linger(nc)
@@ -309,7 +309,7 @@
 	err := c.HandshakeContext(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var no *trust.Refusal
+	var no *tlspolicy.Refusal
 	switch {
 	case err == nil:
 		r.counts.Handshakes++
--- a/internal/keyring/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -1,4 +1,4 @@
-package keyring
+package certstore
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"google.golang.org/grpc/health/grpc_health_v1"
 
 	"hollymast/control"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/fakeserver/authority"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
-	"hollymast/internal/standin/authority"
-	"hollymast/internal/trust"
+	"hollymast/internal/tlspolicy"
 	"hollymast/internal/xds"
 )
 
@@ -194,7 +194,7 @@
 	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
 	address := serve(t, server)
 	own := a.Issue(host)
-	pair, err := trust.ReadPair(own.Chain, own.Key)
+	pair, err := tlspolicy.ReadPair(own.Chain, own.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,7 +231,7 @@
 // Secrets come from a service, change there, and are refused there where they are bad.
 func TestSecretsFromAService(t *testing.T) {
 	a := authority.New("a")
-	service, err := standin.NewSecrets()
+	service, err := fakeserver.NewSecrets()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/changes.go
+++ b/internal/chaostest/changes.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"hollymast/internal/audit"
-	"hollymast/internal/standin"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 )
 
 // Changes is a stream of changes of the list, told by a pretend control plane to one router under load.
@@ -34,7 +34,7 @@
 
 // Followed is how quickly a router followed changes that took servers away.
 type Followed struct {
-	*audit.Verdict
+	*invariant.Verdict
 	Taken         int           // changes that took a server away
 	Late          int           // after which something new still came to it
 	Median, Worst time.Duration // of those: the last that came, after the change was sent; 0 of none
@@ -45,11 +45,11 @@
 }
 
 // members gives the control plane's view: two clusters that share the servers between them.
-func (p *play) members(states []string) func(map[string][]standin.Member) {
-	return func(clusters map[string][]standin.Member) {
+func (p *play) members(states []string) func(map[string][]fakeserver.Member) {
+	return func(clusters map[string][]fakeserver.Member) {
 		clusters["even"], clusters["odd"] = nil, nil
 		for i, s := range p.servers {
-			m := standin.Member{Address: s.Address(), Zone: zone(i), Cell: zone(i), Health: core.HealthStatus_HEALTHY}
+			m := fakeserver.Member{Address: s.Address(), Zone: zone(i), Cell: zone(i), Health: core.HealthStatus_HEALTHY}
 			if born, cold := s.Born(); cold {
 				m.Born = born.UTC().Format(time.RFC3339Nano)
 			}
@@ -67,14 +67,14 @@
 
 // PlayChanges plays them with a router of the named program.
 func PlayChanges(ctx context.Context, c Changes, program string) (f *Followed, err error) {
-	dir, err := os.MkdirTemp("", "hmlab-changes-")
+	dir, err := os.MkdirTemp("", "hmchaos-changes-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	length := time.Duration(c.Number) * c.Every
 	d := &Day{Seed: c.Seed, Jobs: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: 12}
-	p := &play{day: d, dir: dir, bin: program, log: audit.NewLog(), store: standin.NewStore(5*time.Millisecond, 8)}
+	p := &play{day: d, dir: dir, bin: program, log: invariant.NewLog(), store: fakeserver.NewStore(5*time.Millisecond, 8)}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var k *keys
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 	}
-	plane, err := standin.NewPlane(k.planeOptions()...)
+	plane, err := fakeserver.NewPlane(k.planeOptions()...)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	}()
 	states := make([]string, c.Workers)
 	for i := range c.Workers {
-		s := standin.New(standin.Make{Number: i, Copies: 60, Lanes: lanes, Cores: 4, Work: 10 * time.Millisecond, Queue: 100, Load: 10 * time.Millisecond, Loads: 8,
+		s := fakeserver.New(fakeserver.Make{Number: i, Copies: 60, Lanes: lanes, Cores: 4, Work: 10 * time.Millisecond, Queue: 100, Load: 10 * time.Millisecond, Loads: 8,
 			Window: 5 * time.Second, KeepAlive: keepAlive, Seed: c.Seed, Secure: k.accept(worker(i))}, p.store, p.log)
 		if err := s.Start(false); err != nil {
 			return nil, err
@@ -163,7 +163,7 @@
 		return nil, fmt.Errorf("%w %w", p.faults, ctx.Err())
 	}
 	recs := p.log.Records()
-	f = &Followed{Verdict: audit.Judge(p.law(), recs)}
+	f = &Followed{Verdict: invariant.Judge(p.law(), recs)}
 	if _, f.Streams, _ = plane.Counts(); c.Keys {
 		f.Keys = k.Number
 	}
@@ -174,7 +174,7 @@
 }
 
 // change1000 makes the changes: a server drains, is withdrawn or comes back. Two thirds of the servers stay ready.
-func (p *play) change1000(ctx context.Context, c Changes, plane *standin.Plane, states []string) {
+func (p *play) change1000(ctx context.Context, c Changes, plane *fakeserver.Plane, states []string) {
 	chance := rand.New(rand.NewPCG(c.Seed, 2))
 	away := map[int]time.Duration{} // since when
 	for n := range c.Number {
@@ -184,7 +184,7 @@
 		const least = 700 * time.Millisecond // long enough that what comes after the grace is seen
 		at := time.Since(p.begun)
 		if c.Loses && (n == c.Number/3 || n == 2*c.Number/3) {
-			plane.Change(func(clusters map[string][]standin.Member) {
+			plane.Change(func(clusters map[string][]fakeserver.Member) {
 				if n == c.Number/3 {
 					clear(clusters)
 				} else {
@@ -217,7 +217,7 @@
 		default:
 			continue
 		}
-		p.log.Add(audit.Record{Kind: audit.Told, Server: i, Word: states[i]})
+		p.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: states[i]})
 		plane.Change(p.members(states))
 		if c.Cuts && chance.IntN(50) == 0 {
 			plane.Cut(chance.IntN(2) == 0)
@@ -226,7 +226,7 @@
 }
 
 // follow works out how late the last new thing came to each server that was taken away.
-func (f *Followed) follow(recs []audit.Record) {
+func (f *Followed) follow(recs []invariant.Record) {
 	since, last := map[int]int64{}, map[int]int64{}
 	var lates []int64
 	end := func(server int) {
@@ -240,14 +240,14 @@
 	}
 	for _, r := range recs {
 		switch r.Kind {
-		case audit.Told:
+		case invariant.Told:
 			if r.Word == "ready" {
 				end(r.Server)
 			} else if _, away := since[r.Server]; !away {
 				since[r.Server] = r.At
 				f.Taken++
 			}
-		case audit.Received, audit.Ordered:
+		case invariant.Received, invariant.Ordered:
 			if _, away := since[r.Server]; away {
 				last[r.Server] = r.At
 			}
--- a/internal/lab/clients.go
+++ b/internal/chaostest/clients.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -84,9 +84,9 @@
 		o := p.try(ctx, c, router, n, left)
 		if sticks && !o.untaken {
 			p.resume(o.word)
-			return o.word == audit.Finished && time.Since(begun) <= c.workload.target
+			return o.word == invariant.Finished && time.Since(begun) <= c.workload.target
 		}
-		if o.word == audit.Finished {
+		if o.word == invariant.Finished {
 			return time.Since(begun) <= c.workload.target
 		}
 		if o.mayHaveRun && first.IsZero() {
@@ -101,9 +101,9 @@
 			router = (router + 1) % len(p.addrs)
 		case o.broken && c.workload.effect == "run-once" && p.day.remembers():
 			sticks, again = true, 50*time.Millisecond
-		case o.word == audit.PushedBack:
+		case o.word == invariant.PushedBack:
 			again = o.after
-		case o.word == audit.Killed, o.mayHaveRun:
+		case o.word == invariant.Killed, o.mayHaveRun:
 			// Nothing is promised: only what may run twice is asked again, the rest as its window allows.
 			if c.workload.effect == "run-once" || c.workload.group == "zone" {
 				return false
@@ -136,8 +136,8 @@
 
 // try asks once.
 func (p *play) try(ctx context.Context, c call, router, n int, left time.Duration) outcome {
-	rec := audit.Record{Job: fmt.Sprintf("%d.%d", c.number, n), Effect: itoa(c.number), Workload: c.workload.name, Router: router}
-	add := func(k audit.Kind) { rec.Kind = k; p.log.Add(rec) }
+	rec := invariant.Record{Job: fmt.Sprintf("%d.%d", c.number, n), Effect: itoa(c.number), Workload: c.workload.name, Router: router}
+	add := func(k invariant.Kind) { rec.Kind = k; p.log.Add(rec) }
 	o := outcome{begun: time.Now()}
 	x, err := p.client[router].get(ctx)
 	if err != nil {
@@ -161,7 +161,7 @@
 		}
 	}
 	rec.Limit = p.log.Now() + left.Microseconds()
-	add(audit.Asked)
+	add(invariant.Asked)
 	deadline := time.Now().Add(left + 300*time.Millisecond) // beyond its time, so that a late answer is seen
 	if c.hasty {
 		deadline = time.Now().Add(left)
@@ -177,11 +177,11 @@
 		o.broken = o.mayHaveRun && !errors.Is(err, rest.ErrTimeout)
 		p.broke(err)
 		if o.untaken = !o.mayHaveRun; o.untaken {
-			add(audit.Untaken)
+			add(invariant.Untaken)
 		} else if errors.Is(err, rest.ErrTimeout) && (c.hasty || c.leaves > 0) {
-			add(audit.LeftIt)
+			add(invariant.LeftIt)
 		} else {
-			add(audit.GaveUp)
+			add(invariant.GaveUp)
 		}
 		return o
 	case res.Close:
@@ -189,20 +189,20 @@
 	default:
 		p.client[router].put(x)
 	}
-	rec.Word = audit.Other
+	rec.Word = invariant.Other
 	switch answer := gjson.GetBytes(res.Body, "answer").Str; {
 	case res.Status == 200:
-		rec.Word = audit.Finished
+		rec.Word = invariant.Finished
 		if gjson.GetBytes(res.Body, "id").Str != rec.Job {
 			p.fail(fmt.Errorf("job %s got the answer of another: %s", rec.Job, res.Body))
 		}
-	case answer == audit.PushedBack && res.Status == 503:
-		rec.Word = audit.PushedBack
+	case answer == invariant.PushedBack && res.Status == 503:
+		rec.Word = invariant.PushedBack
 		o.after = time.Duration(gjson.GetBytes(res.Body, "retry_after_us").Int()) * time.Microsecond
-	case answer == audit.Killed && res.Status == 504:
-		rec.Word, o.mayHaveRun = audit.Killed, true
+	case answer == invariant.Killed && res.Status == 504:
+		rec.Word, o.mayHaveRun = invariant.Killed, true
 	}
 	o.word = rec.Word
-	add(audit.Answered)
+	add(invariant.Answered)
 	return o
 }
--- a/internal/lab/day.go
+++ b/internal/chaostest/day.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 	"github.com/google/renameio/v2"
 
 	"hollymast/client"
-	"hollymast/internal/audit"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
 )
 
 func itoa(n int) string { return strconv.Itoa(n) }
@@ -49,11 +49,11 @@
 	day     *Day
 	dir     string
 	bin     string
-	log     *audit.Log
-	store   *standin.Store
-	plane   *standin.Plane // nil: the list is a file
-	keys    *keys          // nil: connections are in plain text
-	servers []*standin.Server
+	log     *invariant.Log
+	store   *fakeserver.Store
+	plane   *fakeserver.Plane // nil: the list is a file
+	keys    *keys             // nil: connections are in plain text
+	servers []*fakeserver.Server
 	routers []*process
 	addrs   []string
 	client  []*clientPool
@@ -85,7 +85,7 @@
 
 // Result is a day's end.
 type Result struct {
-	*audit.Verdict
+	*invariant.Verdict
 	InTime  float64 // share of all effects that were finished within their start target
 	Records int
 	Seconds []Second
@@ -100,13 +100,13 @@
 // Run plays a day with routers of the named program. Everything that it starts has ended when it returns.
 func Run(ctx context.Context, d *Day, program string) (res *Result, err error) {
 	if d.Routers > mostRouters || d.Workers > mostWorkers {
-		return nil, fmt.Errorf("%d routers and %d workers are more than a day on sockets may have (%d, %d): hmlab emulate plays it", d.Routers, d.Workers, mostRouters, mostWorkers)
+		return nil, fmt.Errorf("%d routers and %d workers are more than a day on sockets may have (%d, %d): hmchaos emulate plays it", d.Routers, d.Workers, mostRouters, mostWorkers)
 	}
-	dir, err := os.MkdirTemp("", "hmlab-")
+	dir, err := os.MkdirTemp("", "hmchaos-")
 	if err != nil {
 		return nil, err
 	}
-	p := &play{day: d, dir: dir, bin: program, log: audit.NewLog(), store: standin.NewStore(storeFetch, storeAtOnce)}
+	p := &play{day: d, dir: dir, bin: program, log: invariant.NewLog(), store: fakeserver.NewStore(storeFetch, storeAtOnce)}
 	keysCtx, keysStop := context.WithCancel(ctx)
 	defer keysStop()
 	defer func() {
@@ -131,7 +131,7 @@
 		}
 	}
 	if d.Source == "xds" || d.Source == "delta" {
-		if p.plane, err = standin.NewPlane(p.keys.planeOptions()...); err != nil {
+		if p.plane, err = fakeserver.NewPlane(p.keys.planeOptions()...); err != nil {
 			return nil, err
 		}
 	}
@@ -169,7 +169,7 @@
 		return nil, err
 	}
 	recs := p.log.Records()
-	v := audit.Judge(p.law(), recs)
+	v := invariant.Judge(p.law(), recs)
 	return &Result{Verdict: v, InTime: float64(in) / float64(max(1, total)), Records: len(recs), Seconds: p.seconds(recs, v.Cold), effects: p.effects,
 		Resumed: p.resumed, Renewed: p.after(recs), Over: p.over(recs), Worth: p.worth(), Storms: storms}, nil
 }
@@ -204,7 +204,7 @@
 	for i := range d.Workers {
 		m := p.make(i)
 		m.Secure = p.keys.accept(worker(i))
-		s := standin.New(m, p.store, p.log)
+		s := fakeserver.New(m, p.store, p.log)
 		if err := s.Start(false); err != nil {
 			return err
 		}
@@ -243,8 +243,8 @@
 }
 
 // make gives what a server of the day is made like.
-func (p *play) make(i int) standin.Make {
-	return standin.Make{Number: i, Copies: 40, Lanes: lanes, Cores: cores, Work: work, Queue: 40,
+func (p *play) make(i int) fakeserver.Make {
+	return fakeserver.Make{Number: i, Copies: 40, Lanes: lanes, Cores: cores, Work: work, Queue: 40,
 		Load: 150 * time.Millisecond, Loads: 4, OrdersOnly: p.day.Orders, Window: 5 * time.Second, KeepAlive: keepAlive, Cold: cold, ColdFrom: coldFrom, Fall: fall,
 		FallOver: rate * fallMultiple, Seed: p.day.Seed, Forgets: runOnceMark}
 }
@@ -292,15 +292,15 @@
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 // law is what the judge is told: the same figures as the routers, and the stand-ins' own rate.
-func (p *play) law() audit.Law {
-	l := audit.Law{Workloads: map[string]audit.Workload{}, Grace: grace.Microseconds(), Cold: cold.Microseconds(),
+func (p *play) law() invariant.Law {
+	l := invariant.Law{Workloads: map[string]invariant.Workload{}, Grace: grace.Microseconds(), Cold: cold.Microseconds(),
 		ColdFrom: coldFrom, Fall: fall.Microseconds(), FallMultiple: fallMultiple, Rate: rate,
 		Travel: 50_000} // as the module allows for a hop
 	for i := range p.servers {
 		l.Zone, l.Cell = append(l.Zone, zone(i)), append(l.Cell, zone(i))
 	}
 	for _, w := range mix {
-		l.Workloads[w.name] = audit.Workload{RunOnce: w.effect == "run-once", Fingerprinted: w.effect == "fingerprinted",
+		l.Workloads[w.name] = invariant.Workload{RunOnce: w.effect == "run-once", Fingerprinted: w.effect == "fingerprinted",
 			Group: w.group, Window: w.window.Microseconds()}
 	}
 	if p.day.Ration {
@@ -334,7 +334,7 @@
 	}
 	for i, state := range p.states {
 		if p.told[i] != state {
-			p.log.Add(audit.Record{Kind: audit.Told, Server: i, Word: state})
+			p.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
 		}
 	}
 	p.told = slices.Clone(p.states)
@@ -458,7 +458,7 @@
 	if d <= 0 {
 		return ctx.Err()
 	}
-	return standin.Pause(ctx, d)
+	return fakeserver.Pause(ctx, d)
 }
 
 // trouble makes one trouble and ends it.
@@ -473,33 +473,33 @@
 	if !strings.HasPrefix(t.Kind, "balancer") {
 		which = slices.DeleteFunc(which, func(i int) bool { return i >= len(p.servers) })
 	}
-	faults := func(f standin.Faults) {
+	faults := func(f fakeserver.Faults) {
 		for _, i := range which {
 			p.servers[i].Fail(f)
 		}
 	}
 	switch t.Kind {
 	case "hang":
-		faults(standin.Faults{Silent: true})
+		faults(fakeserver.Faults{Silent: true})
 	case "pauses":
 		for end := time.Now().Add(t.Lasts); time.Now().Before(end) && ctx.Err() == nil; {
-			faults(standin.Faults{Slow: 10})
+			faults(fakeserver.Faults{Slow: 10})
 			sleep(ctx, 200*time.Millisecond)
-			faults(standin.Faults{})
+			faults(fakeserver.Faults{})
 			sleep(ctx, 600*time.Millisecond)
 		}
 		return
 	case "answer_lost":
-		faults(standin.Faults{Lost: t.Share})
+		faults(fakeserver.Faults{Lost: t.Share})
 	case "reset_before":
-		faults(standin.Faults{ResetEre: t.Share})
+		faults(fakeserver.Faults{ResetEre: t.Share})
 	case "reset_after":
-		faults(standin.Faults{ResetPost: t.Share})
+		faults(fakeserver.Faults{ResetPost: t.Share})
 	case "refuse":
-		faults(standin.Faults{Full: true})
+		faults(fakeserver.Faults{Full: true})
 	case "ageing":
 		for step := range 5 {
-			faults(standin.Faults{Slow: 1 + (t.Times-1)*float64(step+1)/5})
+			faults(fakeserver.Faults{Slow: 1 + (t.Times-1)*float64(step+1)/5})
 			sleep(ctx, t.Lasts/5)
 		}
 	case "origin_slow":
@@ -533,7 +533,7 @@
 		p.revive(ctx, which)
 		return
 	case "vanish":
-		faults(standin.Faults{Silent: true})
+		faults(fakeserver.Faults{Silent: true})
 		sleep(ctx, t.Lasts)
 		for _, i := range which {
 			p.servers[i].Stop()
@@ -573,7 +573,7 @@
 	if t.Kind != "ageing" {
 		sleep(ctx, t.Lasts)
 	}
-	faults(standin.Faults{})
+	faults(fakeserver.Faults{})
 }
 
 // planeTrouble breaks the control plane: all of its list or half of it is lost by a fault, its streams are cut again and again,
@@ -587,7 +587,7 @@
 	switch t.Kind {
 	case "plane_lost", "plane_half":
 		hold(1)
-		p.plane.Change(func(clusters map[string][]standin.Member) {
+		p.plane.Change(func(clusters map[string][]fakeserver.Member) {
 			if t.Kind == "plane_lost" {
 				clear(clusters)
 			} else {
@@ -628,8 +628,8 @@
 	if t.Number < 0 || t.Number >= len(p.routers) {
 		return
 	}
-	r, halted := p.routers[t.Number], audit.Record{Router: t.Number}
-	halted.Kind = audit.Halted
+	r, halted := p.routers[t.Number], invariant.Record{Router: t.Number}
+	halted.Kind = invariant.Halted
 	p.log.Add(halted)
 	switch t.Kind {
 	case "balancer_stall":
@@ -644,9 +644,9 @@
 	case "balancer_kill":
 		r.end(syscall.SIGKILL)
 		sleep(ctx, t.Lasts)
-		renewed := audit.Record{Kind: audit.Renewed, Router: t.Number}
+		renewed := invariant.Record{Kind: invariant.Renewed, Router: t.Number}
 		if p.day.remembers() {
-			renewed.Word = audit.Remembers
+			renewed.Word = invariant.Remembers
 			if err := p.change(t.Number); err != nil {
 				p.fail(err)
 				return
@@ -662,7 +662,7 @@
 		p.renewed = append(p.renewed, renewal{t.Number, p.log.Now(), time.Since(p.begun)})
 		p.mu.Unlock()
 	}
-	halted.Kind = audit.Back
+	halted.Kind = invariant.Back
 	p.log.Add(halted)
 }
 
--- a/internal/lab/emulated.go
+++ b/internal/chaostest/emulated.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"errors"
@@ -9,18 +9,18 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
 	"hollymast/internal/core"
-	"hollymast/internal/emulate"
+	"hollymast/internal/fakeserver"
 	"hollymast/internal/gateway"
 	"hollymast/internal/inifile"
-	"hollymast/internal/serving"
-	"hollymast/internal/standin"
+	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
+	"hollymast/internal/simulation"
 )
 
 // Emulated is a day played in simulated time.
 type Emulated struct {
-	*audit.Verdict
+	*invariant.Verdict
 	InTime  float64 `json:"InTime"`
 	Worth   float64 `json:"Worth"`
 	Loads   int     `json:"Loads"`
@@ -33,7 +33,7 @@
 }
 
 // Plan gives a day as the emulator plays it: the same calls, servers and settings as on sockets. An error names what is only there.
-func (d *Day) Plan() (*emulate.Plan, error) {
+func (d *Day) Plan() (*simulation.Plan, error) {
 	p := &play{day: d}
 	for range d.Routers {
 		p.addrs = append(p.addrs, "127.0.0.1:1")
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	plan := &emulate.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, Lanes: lanes, Fetch: control.Micros(storeFetch.Microseconds()),
+	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, Lanes: lanes, Fetch: control.Micros(storeFetch.Microseconds()),
 		AtOnce: storeAtOnce, Clients: d.Clients, Length: control.Micros(d.Length.Microseconds()), Margin: control.Micros(told.AnswerMargin.Microseconds()),
 		Damped: d.Damped, ListEvery: control.Micros(told.ListEvery.Microseconds())}
 	for i := range d.Workers {
@@ -57,11 +57,11 @@
 		plan.RouterZone = append(plan.RouterZone, control.ZoneID(i%3))
 	}
 	for i, w := range told.Deployment.Classes {
-		plan.Workloads = append(plan.Workloads, emulate.Workload{Name: told.Workloads[i], Told: w, Importance: told.Importance[i]})
+		plan.Workloads = append(plan.Workloads, simulation.Workload{Name: told.Workloads[i], Told: w, Importance: told.Importance[i]})
 	}
 	for _, c := range d.schedule() {
 		rude := d.Manners == "bad" || d.Manners == "mixed" && c.number%2 == 1 || c.loud
-		plan.Calls = append(plan.Calls, emulate.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Workload: slices.Index(told.Workloads, c.workload.name),
+		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Workload: slices.Index(told.Workloads, c.workload.name),
 			Function: c.function, Patience: control.Micros(c.patience.Microseconds()), Rude: rude, Router: c.router})
 	}
 	for _, t := range d.Troubles {
@@ -75,8 +75,8 @@
 }
 
 // emulated gives a trouble as the emulator has it; none where the calls have it already.
-func (d *Day) emulated(t Trouble) ([]emulate.Trouble, error) {
-	x := emulate.Trouble{At: control.Micros(t.At.Microseconds()), Lasts: control.Micros(t.Lasts.Microseconds()), Which: []int{t.Number}}
+func (d *Day) emulated(t Trouble) ([]simulation.Trouble, error) {
+	x := simulation.Trouble{At: control.Micros(t.At.Microseconds()), Lasts: control.Micros(t.Lasts.Microseconds()), Which: []int{t.Number}}
 	of := d.Workers
 	if strings.HasPrefix(t.Kind, "balancer") {
 		of = d.Routers
@@ -88,47 +88,47 @@
 		}
 	}
 	x.Which = slices.DeleteFunc(x.Which, func(i int) bool { return i >= of })
-	one := func(k emulate.Kind) ([]emulate.Trouble, error) { x.Kind = k; return []emulate.Trouble{x}, nil }
-	fault := func(f standin.Faults) ([]emulate.Trouble, error) { x.Fault = f; return one(emulate.Fault) }
+	one := func(k simulation.Kind) ([]simulation.Trouble, error) { x.Kind = k; return []simulation.Trouble{x}, nil }
+	fault := func(f fakeserver.Faults) ([]simulation.Trouble, error) { x.Fault = f; return one(simulation.Fault) }
 	switch t.Kind {
 	case "hot_key", "scan", "rise", "give_up":
 		return nil, nil
 	case "hang":
-		return fault(serving.Faults{Silent: true})
+		return fault(modelserver.Faults{Silent: true})
 	case "answer_lost":
-		return fault(serving.Faults{Lost: t.Share})
+		return fault(modelserver.Faults{Lost: t.Share})
 	case "reset_before":
-		return fault(serving.Faults{ResetEre: t.Share})
+		return fault(modelserver.Faults{ResetEre: t.Share})
 	case "reset_after":
-		return fault(serving.Faults{ResetPost: t.Share})
+		return fault(modelserver.Faults{ResetPost: t.Share})
 	case "refuse":
-		return fault(serving.Faults{Full: true})
+		return fault(modelserver.Faults{Full: true})
 	case "ageing":
 		const steps = 5
-		var xs []emulate.Trouble
-		x.Kind, x.Lasts = emulate.Fault, x.Lasts/steps
+		var xs []simulation.Trouble
+		x.Kind, x.Lasts = simulation.Fault, x.Lasts/steps
 		for i := range steps {
-			x.Fault = serving.Faults{Slow: 1 + (t.Times-1)*float64(i+1)/steps}
+			x.Fault = modelserver.Faults{Slow: 1 + (t.Times-1)*float64(i+1)/steps}
 			xs = append(xs, x)
 			x.At += x.Lasts
 		}
 		return xs, nil
 	case "crash", "vanish":
-		return one(emulate.Crash)
+		return one(simulation.Crash)
 	case "deploy":
-		return one(emulate.Deploy)
+		return one(simulation.Deploy)
 	case "origin_slow":
 		x.Slow = t.Times
-		return one(emulate.Store)
+		return one(simulation.Store)
 	case "origin_stopped":
 		x.Close = true
-		return one(emulate.Store)
+		return one(simulation.Store)
 	case "discovery_stale":
-		return one(emulate.Stale)
+		return one(simulation.Stale)
 	case "balancer_stall":
-		return one(emulate.Freeze)
+		return one(simulation.Freeze)
 	case "balancer_kill", "balancer_roll":
-		return one(emulate.KillRouters)
+		return one(simulation.KillRouters)
 	}
 	return nil, fmt.Errorf("trouble %s: %s is played on sockets only", t.Name, t.Kind)
 }
@@ -143,9 +143,9 @@
 		return nil, errors.New("only orders load on this day, and textbook policies give none")
 	}
 	plan.Decide = decide
-	res := emulate.Run(plan, threads)
-	p := &play{day: d, servers: make([]*standin.Server, d.Workers)}
-	e := &Emulated{Verdict: audit.Judge(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Turns}
+	res := simulation.Run(plan, threads)
+	p := &play{day: d, servers: make([]*fakeserver.Server, d.Workers)}
+	e := &Emulated{Verdict: invariant.Judge(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Turns}
 	e.ColdUse, e.WarmUse = p.use(res.Records)
 	in, worth, all := 0, 0.0, 0.0
 	for i, x := range res.Effects {
@@ -158,9 +158,9 @@
 	e.InTime, e.Worth = float64(in)/float64(max(1, len(res.Effects))), worth/max(1, all)
 	for _, r := range res.Records {
 		switch r.Kind {
-		case audit.Loading:
+		case invariant.Loading:
 			e.Loads++
-		case audit.Ordered:
+		case invariant.Ordered:
 			e.Orders++
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // use gives which part of what they could run cold and warm servers ran.
-func (p *play) use(recs []audit.Record) (ofCold, ofWarm float64) {
+func (p *play) use(recs []invariant.Record) (ofCold, ofWarm float64) {
 	end := p.day.Length.Microseconds()
 	var first int64
 	if len(recs) > 0 {
@@ -179,12 +179,12 @@
 	for _, r := range recs {
 		at := r.At - first
 		switch r.Kind {
-		case audit.Started:
+		case invariant.Started:
 			born[r.Server] = at
 			aged := float64(min(end-at, cold.Microseconds())) / 1e6
 			could[0] += rate * aged * (coldFrom + (1-coldFrom)*aged/cold.Seconds()/2)
 			could[1] -= rate * aged
-		case audit.Began:
+		case invariant.Began:
 			if b, started := born[r.Server]; started && at < b+cold.Microseconds() {
 				ran[0]++
 			} else {
--- a/internal/lab/keys.go
+++ b/internal/chaostest/keys.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"google.golang.org/grpc"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
-	"hollymast/internal/keyring"
+	"hollymast/internal/certstore"
+	"hollymast/internal/fakeserver/authority"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin/authority"
 )
 
 // keys are the certificates of a play whose connections are all secret, each owner's in a folder of its own.
@@ -26,8 +26,8 @@
 	dir    string
 	ours   *authority.Authority
 	shown  map[string]authority.Issued
-	rings  map[string]*keyring.Ring // of the laboratory's own processes
-	Number int                      // of changes
+	rings  map[string]*certstore.Ring // of the laboratory's own processes
+	Number int                        // of changes
 }
 
 // The owners whose keys the router reads; the laboratory's own are "client", "plane" and "worker N".
@@ -39,7 +39,7 @@
 
 // openKeys issues a certificate to each owner and opens the laboratory's own rings, which follow their files until the context ends.
 func openKeys(ctx context.Context, dir string, workers int) (*keys, error) {
-	k := &keys{dir: dir, ours: authority.New("laboratory"), shown: map[string]authority.Issued{}, rings: map[string]*keyring.Ring{}}
+	k := &keys{dir: dir, ours: authority.New("laboratory"), shown: map[string]authority.Issued{}, rings: map[string]*certstore.Ring{}}
 	owners := []string{routerToWorkers, routerToClients, routerToPlane, "client", "plane"}
 	for i := range workers {
 		owners = append(owners, worker(i))
@@ -57,7 +57,7 @@
 		if strings.HasPrefix(o, "router-") {
 			continue
 		}
-		r, err := keyring.Open(k.told(o), func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, func(string) {})
+		r, err := certstore.Open(k.told(o), func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, func(string) {})
 		if err != nil {
 			return nil, err
 		}
@@ -71,8 +71,8 @@
 
 func (k *keys) file(owner, name string) string { return filepath.Join(k.dir, owner, name) }
 
-func (k *keys) told(owner string) *keyring.Told {
-	return &keyring.Told{Certificate: k.file(owner, "cert"), Key: k.file(owner, "key"), Authorities: k.file(owner, "authorities"), Revoked: k.file(owner, "revoked")}
+func (k *keys) told(owner string) *certstore.Told {
+	return &certstore.Told{Certificate: k.file(owner, "cert"), Key: k.file(owner, "key"), Authorities: k.file(owner, "authorities"), Revoked: k.file(owner, "revoked")}
 }
 
 // settings is the router's part; of no keys there is none.
@@ -169,14 +169,14 @@
 		case revokes && n%12 == 6: // a worker is revoked, and gets another certificate later
 			k.ours.Revoke(k.shown[worker(0)].Serial)
 			k.Number++
-			p.log.Add(audit.Record{Kind: audit.Told, Server: 0, Word: "gone"})
+			p.log.Add(invariant.Record{Kind: invariant.Told, Server: 0, Word: "gone"})
 			if err = os.WriteFile(k.file(routerToWorkers, "revoked"), k.ours.List(time.Now().Add(time.Hour)), 0o600); err != nil {
 				return err
 			}
 			if sleep(ctx, 2*settle) != nil {
 				return nil
 			}
-			p.log.Add(audit.Record{Kind: audit.Told, Server: 0, Word: "ready"})
+			p.log.Add(invariant.Record{Kind: invariant.Told, Server: 0, Word: "ready"})
 			err = k.renew(worker(0), 0)
 		case n%12 == 9: // half a change stays for a while
 			o := owners[chance.IntN(len(owners))]
--- a/internal/lab/lab_test.go
+++ b/internal/chaostest/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/audit"
 	"hollymast/internal/explain"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 	"hollymast/internal/record"
 	"hollymast/internal/replay"
-	"hollymast/internal/standin"
 )
 
 // router builds the router's program.
@@ -236,10 +236,10 @@
 
 // A cold server's work counts against what it could do at its age, all else against full speed.
 func TestUseOfColdServers(t *testing.T) {
-	p := &play{day: &Day{Length: 10 * time.Second}, servers: make([]*standin.Server, 2)}
-	recs := []audit.Record{{At: 100, Kind: audit.Told}, {At: 100 + 2_000_000, Kind: audit.Started, Server: 1}}
+	p := &play{day: &Day{Length: 10 * time.Second}, servers: make([]*fakeserver.Server, 2)}
+	recs := []invariant.Record{{At: 100, Kind: invariant.Told}, {At: 100 + 2_000_000, Kind: invariant.Started, Server: 1}}
 	for i := range 100 {
-		recs = append(recs, audit.Record{At: 100 + 3_000_000, Kind: audit.Began, Server: i % 2})
+		recs = append(recs, invariant.Record{At: 100 + 3_000_000, Kind: invariant.Began, Server: i % 2})
 	}
 	ofCold, ofWarm := p.use(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
 	if math.Abs(ofCold-0.5) > 0.001 || math.Abs(ofWarm-50.0/640) > 0.001 {
--- a/internal/lab/load.go
+++ b/internal/chaostest/load.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"bytes"
@@ -187,7 +187,7 @@
 func MeasureLoad(ctx context.Context, load Load, program string) (measured []Measured, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "hmlab-load-")
+	dir, err := os.MkdirTemp("", "hmchaos-load-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/output_test.go
+++ b/internal/chaostest/output_test.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"encoding/json"
--- a/internal/lab/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"cmp"
@@ -10,8 +10,8 @@
 	"time"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
-	"hollymast/internal/memory"
+	"hollymast/internal/invariant"
+	"hollymast/internal/persistence"
 )
 
 // runOnceMark begins the marks of run-once jobs, which no server remembers: only routers can keep them from running twice.
@@ -53,11 +53,11 @@
 	defer p.mu.Unlock()
 	p.resumed.Asked++
 	switch word {
-	case audit.Finished:
+	case invariant.Finished:
 		p.resumed.Finished++
-	case audit.PushedBack:
+	case invariant.PushedBack:
 		p.resumed.PushedBack++
-	case audit.Killed:
+	case invariant.Killed:
 		p.resumed.Killed++
 	}
 }
@@ -79,7 +79,7 @@
 	Executions float64 // a job, of all routers
 }
 
-func (p *play) after(recs []audit.Record) []Renewed {
+func (p *play) after(recs []invariant.Record) []Renewed {
 	const span = 10 * time.Second
 	var rs []Renewed
 	for _, n := range p.renewed {
@@ -98,11 +98,11 @@
 				continue
 			}
 			switch x.Kind {
-			case audit.Loading:
+			case invariant.Loading:
 				r.Loads++
-			case audit.Asked:
+			case invariant.Asked:
 				asked++
-			case audit.Received:
+			case invariant.Received:
 				received++
 			}
 		}
@@ -114,32 +114,32 @@
 
 // over counts the orders that routers gave beyond their ration if what they ordered before a restart counts, whether they
 // remembered it or not.
-func (p *play) over(recs []audit.Record) int {
+func (p *play) over(recs []invariant.Record) int {
 	recs = slices.Clone(recs)
 	for i := range recs {
-		if recs[i].Kind == audit.Renewed {
-			recs[i].Word = audit.Remembers
+		if recs[i].Kind == invariant.Renewed {
+			recs[i].Word = invariant.Remembers
 		}
 	}
-	return audit.Judge(p.law(), recs).Rules[4].Count
+	return invariant.Judge(p.law(), recs).Rules[4].Count
 }
 
 // change makes the memory of a router that is down what the day says: nothing but its journal, old by a month, or of quite another day, on which
 // copies stood elsewhere and answers came three times as fast.
 func (p *play) change(router int) error {
-	dir := memory.Folder(p.memory(router))
+	dir := persistence.Folder(p.memory(router))
 	if p.day.Memory == "kept" {
 		return nil
 	}
 	if p.day.Memory == "limits" {
-		for _, name := range memory.Files {
+		for _, name := range persistence.Files {
 			if err := os.Remove(filepath.Join(string(dir), name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
 		return nil
 	}
-	for _, name := range memory.Files {
+	for _, name := range persistence.Files {
 		b, err := dir.Read(name)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		k, err := memory.Decode(b)
+		k, err := persistence.Decode(b)
 		if err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 		} else {
 			otherDay(m)
 		}
-		if b, err = memory.Encode(k); err != nil {
+		if b, err = persistence.Encode(k); err != nil {
 			return err
 		}
 		if err := dir.Replace(name, b); err != nil {
--- a/internal/lab/script.go
+++ b/internal/chaostest/script.go
@@ -1,6 +1,6 @@
-// Package lab plays days: real router processes, stand-ins and clients on loopback, with scripted troubles, judged by
+// Package chaostest plays days: real router processes, stand-ins and clients on loopback, with scripted troubles, judged by
 // what crossed the sockets.
-package lab
+package chaostest
 
 import (
 	"cmp"
--- a/internal/lab/storms.go
+++ b/internal/chaostest/storms.go
@@ -1,4 +1,4 @@
-package lab
+package chaostest
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"hollymast/client"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 )
 
 // Manners are how a day's clients behave: as those of days always did; as the client library does; asking again at once and unmarked
@@ -63,15 +63,15 @@
 		mark = runOnceMark
 	}
 	var mu sync.Mutex
-	tries := map[int]audit.Record{} // that were asked and have no end yet
+	tries := map[int]invariant.Record{} // that were asked and have no end yet
 	var ends sync.WaitGroup
-	record := func(t client.Try) audit.Record {
-		return audit.Record{Job: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addrs, t.Router)}
+	record := func(t client.Try) invariant.Record {
+		return invariant.Record{Job: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addrs, t.Router)}
 	}
 	_, err := p.apps[c.number%len(p.apps)].Infer(ctx, client.Call{Model: c.function, Mark: mark + itoa(c.number), Tenant: c.tenant(), Workload: w, Patience: c.patience,
 		BodyOf: func(t client.Try) []byte {
 			rec := record(t)
-			rec.Kind, rec.Limit = audit.Asked, p.log.Now()+t.Left.Microseconds()
+			rec.Kind, rec.Limit = invariant.Asked, p.log.Now()+t.Left.Microseconds()
 			mu.Lock()
 			tries[t.Number] = rec
 			mu.Unlock()
@@ -87,13 +87,13 @@
 			if !asked {
 				return
 			}
-			switch rec.Kind, rec.Word = audit.Answered, ending; ending {
+			switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
 			case "unsent":
-				rec.Kind, rec.Word = audit.Untaken, ""
+				rec.Kind, rec.Word = invariant.Untaken, ""
 			case "lost":
-				rec.Kind, rec.Word = audit.GaveUp, ""
+				rec.Kind, rec.Word = invariant.GaveUp, ""
 			case "refused":
-				rec.Word = audit.Other
+				rec.Word = invariant.Other
 			}
 			p.log.Add(rec)
 			ends.Done()
@@ -116,7 +116,7 @@
 			return false
 		}
 		o := p.try(ctx, c, (c.router+n)%len(p.addrs), n, left)
-		if o.word == audit.Finished {
+		if o.word == invariant.Finished {
 			return time.Since(begun) <= c.workload.target
 		}
 		if o.mayHaveRun && c.workload.effect != "restartable" {
@@ -140,7 +140,7 @@
 }
 
 // seconds gives a day second by second.
-func (p *play) seconds(recs []audit.Record, cold []audit.Window) []Second {
+func (p *play) seconds(recs []invariant.Record, cold []invariant.Window) []Second {
 	out := make([]Second, int(p.day.Length.Seconds())+1)
 	at := func(t time.Duration) *Second { return &out[min(max(0, int(t.Seconds())), len(out)-1)] }
 	for _, w := range p.effects {
@@ -168,17 +168,17 @@
 	for _, r := range recs {
 		s := at(time.Duration(r.At-first) * time.Microsecond)
 		switch {
-		case r.Kind == audit.Asked:
+		case r.Kind == invariant.Asked:
 			s.Tries++
-		case r.Kind == audit.Answered && r.Word == audit.PushedBack:
+		case r.Kind == invariant.Answered && r.Word == invariant.PushedBack:
 			s.PushedBack++
-		case r.Kind == audit.Loading:
+		case r.Kind == invariant.Loading:
 			s.Loads++
 		}
 		switch r.Kind {
-		case audit.Asked:
+		case invariant.Asked:
 			open[r.Job] = true
-		case audit.Answered, audit.GaveUp, audit.LeftIt, audit.Untaken:
+		case invariant.Answered, invariant.GaveUp, invariant.LeftIt, invariant.Untaken:
 			delete(open, r.Job)
 		}
 		s.Open = len(open)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"hollymast/control"
-	"hollymast/internal/wire"
+	"hollymast/internal/simproto"
 )
 
 // Report converts a server's load report: the values come in the order of the fields that the settings name. It
@@ -31,7 +31,7 @@
 
 // Deployment converts the start settings. Times are in microseconds on both sides. It returns an error if a
 // class has unknown semantics, or an unknown key scope where it needs one.
-func Deployment(boot *wire.BootInfo) (control.Deployment, error) {
+func Deployment(boot *simproto.BootInfo) (control.Deployment, error) {
 	d := control.Deployment{
 		Routers:            boot.Balancers,
 		Number:             boot.SelfIndex,
--- a/internal/standin/secrets.go
+++ b/internal/fakeserver/secrets.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"fmt"
--- a/internal/standin/standin.go
+++ b/internal/fakeserver/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a pretend model server: it speaks KServe v2 over loopback sockets and fails in scripted ways. What it does
+// Package fakeserver is a pretend model server: it speaks KServe v2 over loopback sockets and fails in scripted ways. What it does
 // between sockets is package serving's.
-package standin
+package fakeserver
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"github.com/tidwall/gjson"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
 	"hollymast/internal/rest"
-	"hollymast/internal/serving"
 	"hollymast/kserve"
 )
 
@@ -45,8 +45,8 @@
 }
 
 // Model is the same in the words of the model that runs it.
-func (m Make) Model() serving.Make {
-	return serving.Make{Number: m.Number, Copies: m.Copies, Lanes: m.Lanes, Cores: m.Cores, Work: micros(m.Work), Queue: m.Queue, Load: micros(m.Load),
+func (m Make) Model() modelserver.Make {
+	return modelserver.Make{Number: m.Number, Copies: m.Copies, Lanes: m.Lanes, Cores: m.Cores, Work: micros(m.Work), Queue: m.Queue, Load: micros(m.Load),
 		Loads: m.Loads, OrdersOnly: m.OrdersOnly, Window: micros(m.Window), Forgets: m.Forgets, KeepAlive: micros(m.KeepAlive), Cold: micros(m.Cold),
 		ColdFrom: m.ColdFrom, Fall: micros(m.Fall), FallOver: m.FallOver, Seed: m.Seed}
 }
@@ -74,13 +74,13 @@
 // Store is the one source of all functions. Fetches share it.
 type Store struct {
 	mu sync.Mutex
-	m  *serving.Store
+	m  *modelserver.Store
 }
 
 // NewStore gives a store that serves some fetches at once.
 func NewStore(fetch time.Duration, atOnce int) *Store {
 	s := &Store{}
-	s.m = serving.NewStore(clock{time.Now(), &s.mu}, micros(fetch), atOnce)
+	s.m = modelserver.NewStore(clock{time.Now(), &s.mu}, micros(fetch), atOnce)
 	return s
 }
 
@@ -117,15 +117,15 @@
 }
 
 // Faults are the ways in which a server fails just now.
-type Faults = serving.Faults
+type Faults = modelserver.Faults
 
 // Server is one pretend server; Stop and Start make it die and come back empty.
 type Server struct {
 	m   Make
-	log *audit.Log
+	log *invariant.Log
 
 	mu       sync.Mutex
-	model    *serving.Server
+	model    *modelserver.Server
 	listener net.Listener
 	address  string
 	life     context.Context
@@ -136,10 +136,10 @@
 }
 
 // New gives a server that is not started. It keeps its address over restarts.
-func New(m Make, store *Store, log *audit.Log) *Server {
+func New(m Make, store *Store, log *invariant.Log) *Server {
 	s := &Server{m: m, log: log}
 	c := clock{time.Now(), &s.mu}
-	s.model = serving.New(m.Model(), c, source{store, c}, log.Add)
+	s.model = modelserver.New(m.Model(), c, source{store, c}, log.Add)
 	return s
 }
 
@@ -277,16 +277,16 @@
 	switch call.Kind {
 	case kserve.Infer:
 		head := gjson.GetManyBytes(q.Body, "id", "parameters.effect")
-		ask := serving.Ask{Job: head[0].Str, Effect: head[1].Str, Router: router(q), Function: call.Model, Mark: q.Header.Get(kserve.RepeatMark)}
-		r, ok := s.await(life, func(reply func(serving.Reply)) { s.model.Infer(ask, reply) })
-		if !ok || r.Ending != serving.Done {
+		ask := modelserver.Ask{Job: head[0].Str, Effect: head[1].Str, Router: router(q), Function: call.Model, Mark: q.Header.Get(kserve.RepeatMark)}
+		r, ok := s.await(life, func(reply func(modelserver.Reply)) { s.model.Infer(ask, reply) })
+		if !ok || r.Ending != modelserver.Done {
 			return s.refused(r, ok)
 		}
 		return answer(200, fmt.Appendf(nil, `{"model_name":"m","id":%q,"parameters":{"found":%q},"outputs":[]}`, ask.Job, founds[r.Found]), r.Report)
 	case kserve.RepositoryLoad:
 		n := int(gjson.GetBytes(q.Body, "parameters.copies").Int())
-		r, ok := s.await(life, func(reply func(serving.Reply)) { s.model.Order(call.Model, n, router(q), reply) })
-		if !ok || r.Ending != serving.Done {
+		r, ok := s.await(life, func(reply func(modelserver.Reply)) { s.model.Order(call.Model, n, router(q), reply) })
+		if !ok || r.Ending != modelserver.Done {
 			return s.refused(r, ok)
 		}
 		return answer(200, kserve.LoadBody(r.Copies), r.Report)
@@ -300,14 +300,14 @@
 var founds = map[control.CacheStatus]string{control.CacheHit: "warm", control.CacheMiss: "began", control.CacheLoading: "joined"}
 
 // await begins an exchange and waits for its end; not ok: this life is over.
-func (s *Server) await(life context.Context, begin func(reply func(serving.Reply))) (r serving.Reply, ok bool) {
-	ended := make(chan serving.Reply, 1)
+func (s *Server) await(life context.Context, begin func(reply func(modelserver.Reply))) (r modelserver.Reply, ok bool) {
+	ended := make(chan modelserver.Reply, 1)
 	s.mu.Lock()
 	if life.Err() != nil {
 		s.mu.Unlock()
 		return r, false
 	}
-	begin(func(r serving.Reply) { ended <- r })
+	begin(func(r modelserver.Reply) { ended <- r })
 	fell := !s.model.Alive()
 	s.mu.Unlock()
 	if fell {
@@ -322,12 +322,12 @@
 }
 
 // refused answers an exchange that came to nothing; nil breaks the connection.
-func (s *Server) refused(r serving.Reply, ok bool) *rest.Response {
+func (s *Server) refused(r modelserver.Reply, ok bool) *rest.Response {
 	status := 503
 	switch {
-	case !ok || r.Ending == serving.Broken:
+	case !ok || r.Ending == modelserver.Broken:
 		return nil
-	case r.Ending == serving.Missing:
+	case r.Ending == modelserver.Missing:
 		status = 404
 	}
 	return answer(status, kserve.Fault{Error: r.Why}.Body(), r.Report)
--- a/internal/standin/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -17,7 +17,7 @@
 	m := Make{Copies: 2, Lanes: 1, Cores: 4, Work: 5 * time.Millisecond, Queue: 8, Load: 20 * time.Millisecond, Loads: 2,
 		Window: time.Second, Cold: time.Minute, ColdFrom: 0.25, Fall: time.Second, FallOver: 1000}
 	change(&m)
-	s := New(m, NewStore(time.Millisecond, 2), audit.NewLog())
+	s := New(m, NewStore(time.Millisecond, 2), invariant.NewLog())
 	if err := s.Start(cold); err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	return status, gjson.Get(body, "parameters.found").Str
 }
 
-func (s *Server) count(k audit.Kind) (n int) {
+func (s *Server) count(k invariant.Kind) (n int) {
 	for _, r := range s.log.Records() {
 		if r.Kind == k {
 			n++
@@ -62,7 +62,7 @@
 			t.Errorf("%d: got %d %q, want %q", i, status, found, want.found)
 		}
 	}
-	if b, d := s.count(audit.Began), s.count(audit.Dropped); b != 5 || d != 1 {
+	if b, d := s.count(invariant.Began), s.count(invariant.Dropped); b != 5 || d != 1 {
 		t.Errorf("%d ran, %d dropped", b, d)
 	}
 }
@@ -87,10 +87,10 @@
 		f             Faults
 		status, began int
 	}{{Faults{ResetEre: 1}, 0, 0}, {Faults{ResetPost: 1}, 0, 1}, {Faults{Full: true}, 503, 0}, {Faults{Slow: 3}, 200, 1}} {
-		before := s.count(audit.Began)
+		before := s.count(invariant.Began)
 		s.Fail(c.f)
-		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(audit.Began)-before != c.began {
-			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(audit.Began)-before)
+		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(invariant.Began)-before != c.began {
+			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(invariant.Began)-before)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for i := range 4 {
 		infer(t, s, "a", fmt.Sprint(i))
 	}
-	if s.count(audit.FellOver) != 1 {
+	if s.count(invariant.FellOver) != 1 {
 		t.Error("it stands")
 	}
 	if status, _ := infer(t, s, "a", "9"); status != 0 {
@@ -131,7 +131,7 @@
 		status, _ := infer(t, s, "a", "1")
 		done <- status
 	}()
-	for s.count(audit.Began) == 0 {
+	for s.count(invariant.Began) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.Stop()
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hollymast/control"
-	"hollymast/internal/standin"
+	"hollymast/internal/fakeserver"
 )
 
 // answers reads n answers and tells their first lines.
@@ -134,7 +134,7 @@
 // A job that would take longer than a stopping router has left gets its answer all the same.
 func TestStopAnswersLongJobs(t *testing.T) {
 	f := newField(t, usual(0))
-	f.servers[0].Fail(standin.Faults{Silent: true})
+	f.servers[0].Fail(fakeserver.Faults{Silent: true})
 	nc, r := f.talk()
 	io.WriteString(nc, text("1", "ticket-1"))
 	for f.received("1") == 0 {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -9,8 +9,8 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/audit"
 	"hollymast/internal/fleet"
+	"hollymast/internal/invariant"
 )
 
 // rarely has the list's file looked at only where a turn asks for it.
@@ -55,7 +55,7 @@
 		t.Errorf("got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == audit.Received {
+		if r.Kind == invariant.Received {
 			t.Errorf("server got job %s", r.Job)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,15 +19,15 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
+	"hollymast/internal/certstore"
 	"hollymast/internal/core"
 	"hollymast/internal/eventqueue"
 	"hollymast/internal/fleet"
-	"hollymast/internal/keyring"
-	"hollymast/internal/loads"
-	"hollymast/internal/memory"
+	"hollymast/internal/loadreport"
+	"hollymast/internal/overload"
+	"hollymast/internal/persistence"
 	"hollymast/internal/record"
 	"hollymast/internal/rest"
-	"hollymast/internal/storm"
 	"hollymast/internal/xds"
 	"hollymast/kserve"
 )
@@ -48,8 +48,8 @@
 	tape       *record.Tape   // the writer's
 	recent     recent
 	view       *xds.View // nil: ours is not served
-	tally      *loads.Tally
-	storm      *storm.Watch               // nil: storms are not damped
+	tally      *loadreport.Tally
+	storm      *overload.Watch            // nil: storms are not damped
 	counted    *counted                   // the tally, for others; nil: it is not reported
 	keeper     *keeper                    // nil: nothing outlasts this run
 	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
@@ -81,7 +81,7 @@
 	connect    func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
 	refresh    chan chan struct{}                                              // holds one
 	lookNow    atomic.Bool                                                     // the list is read before the next turn, however young it is
-	rings      map[string]*keyring.Ring                                        // by kind of connections
+	rings      map[string]*certstore.Ring                                      // by kind of connections
 	serving    context.Context                                                 // ends with the last turn
 	distrusted sync.Map                                                        // address of a worker to what was last said of its certificate
 	links      sync.WaitGroup
@@ -101,7 +101,7 @@
 	client     *rest.Conn
 	seen       atomic.Int64 // when the client was last looked at and had not gone, the router's time
 	mark       string
-	kept       memory.Mark // for the journal
+	kept       persistence.Mark // for the journal
 	patience   control.Micros
 	workload   control.ClassID
 	tenant     string
@@ -131,7 +131,7 @@
 	if err := g.openRings(); err != nil {
 		return nil, err
 	}
-	g.fleet, g.tally = fleet.New(0), loads.NewTally(g.epoch)
+	g.fleet, g.tally = fleet.New(0), loadreport.NewTally(g.epoch)
 	g.fleet.SlowStart(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
@@ -141,7 +141,7 @@
 		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = storm.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxRetryAfter, seed)
+		g.storm = overload.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
@@ -548,7 +548,7 @@
 	s := g.sending(o.Server, micros(g.told.OrderTime))
 	s.order = o
 	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		s.round = g.keeper.Append(memory.Entry{Kind: memory.Ordered, At: g.clock, Server: o.Server})
+		s.round = g.keeper.Append(persistence.Entry{Kind: persistence.Ordered, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,13 +19,13 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/audit"
 	"hollymast/internal/explain"
+	"hollymast/internal/fakeserver"
 	"hollymast/internal/inifile"
+	"hollymast/internal/invariant"
 	"hollymast/internal/record"
 	"hollymast/internal/replay"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
 	"hollymast/kserve"
 )
 
@@ -71,37 +71,37 @@
 type field struct {
 	t       *testing.T
 	g       *Gateway
-	log     *audit.Log
-	servers []*standin.Server
+	log     *invariant.Log
+	servers []*fakeserver.Server
 	list    string
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-func usual(n int) standin.Make {
-	return standin.Make{Number: n, Copies: 20, Lanes: 2, Cores: 4, Work: 10 * time.Millisecond, Queue: 50, Load: 5 * time.Millisecond,
+func usual(n int) fakeserver.Make {
+	return fakeserver.Make{Number: n, Copies: 20, Lanes: 2, Cores: 4, Work: 10 * time.Millisecond, Queue: 50, Load: 5 * time.Millisecond,
 		Loads: 4, Window: 600 * time.Millisecond, Cold: time.Second, ColdFrom: 0.25, Fall: time.Second, FallOver: 1e6, Seed: 1}
 }
 
-func newField(t *testing.T, makes ...standin.Make) *field {
+func newField(t *testing.T, makes ...fakeserver.Make) *field {
 	t.Helper()
 	return newFieldTold(t, "", makes...)
 }
 
 // newFieldTold gives a gateway with further settings.
-func newFieldTold(t *testing.T, further string, makes ...standin.Make) *field {
+func newFieldTold(t *testing.T, further string, makes ...fakeserver.Make) *field {
 	t.Helper()
 	return newFieldChanged(t, further, func(*Told) {}, makes...)
 }
 
 // newFieldChanged gives one whose told values are changed besides.
-func newFieldChanged(t *testing.T, further string, change func(*Told), makes ...standin.Make) *field {
+func newFieldChanged(t *testing.T, further string, change func(*Told), makes ...fakeserver.Make) *field {
 	t.Helper()
-	f := &field{t: t, log: audit.NewLog(), list: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
-	store := standin.NewStore(time.Millisecond, 8)
+	f := &field{t: t, log: invariant.NewLog(), list: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
+	store := fakeserver.NewStore(time.Millisecond, 8)
 	states := make([]string, len(makes))
 	for i, m := range makes {
-		s := standin.New(m, store, f.log)
+		s := fakeserver.New(m, store, f.log)
 		if err := s.Start(false); err != nil {
 			t.Fatal(err)
 		}
@@ -152,7 +152,7 @@
 		f.t.Fatal(err)
 	}
 	for i, state := range states {
-		f.log.Add(audit.Record{Kind: audit.Told, Server: i, Word: state})
+		f.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
 	}
 }
 
@@ -166,16 +166,16 @@
 	}
 	defer c.Close()
 	workload, _, _ := strings.Cut(function, "-")
-	rec := audit.Record{Kind: audit.Asked, Job: job, Effect: job, Workload: workload, Limit: f.log.Now() + limit.Microseconds()}
+	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: f.log.Now() + limit.Microseconds()}
 	f.log.Add(rec)
 	p, _, err := c.Do(request(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
 		f.t.Errorf("job %s: %v", job, err)
 		return ""
 	}
-	rec.Kind, rec.Word = audit.Answered, gjson.GetBytes(p.Body, "answer").Str
+	rec.Kind, rec.Word = invariant.Answered, gjson.GetBytes(p.Body, "answer").Str
 	if p.Status == 200 {
-		rec.Word = audit.Finished
+		rec.Word = invariant.Finished
 	}
 	f.log.Add(rec)
 	return rec.Word
@@ -187,10 +187,10 @@
 }
 
 // judge fails the test for each breach of a rule.
-func (f *field) judge() *audit.Verdict {
+func (f *field) judge() *invariant.Verdict {
 	f.t.Helper()
-	v := audit.Judge(audit.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
-		Workloads: map[string]audit.Workload{"ticket": {RunOnce: true},
+	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
+		Workloads: map[string]invariant.Workload{"ticket": {RunOnce: true},
 			"booking": {Fingerprinted: true, Group: "fleet", Window: 600_000}}}, f.log.Records())
 	for _, r := range v.Rules {
 		for _, b := range r.Breaches {
@@ -208,7 +208,7 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != audit.Finished {
+			if word := f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
 				t.Errorf("job %d: %s", i, word)
 			}
 		}()
@@ -225,7 +225,7 @@
 		f.ask(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range f.servers {
-		s.Fail(standin.Faults{Silent: true})
+		s.Fail(fakeserver.Faults{Silent: true})
 	}
 	var wg sync.WaitGroup
 	for i := range 10 {
@@ -234,7 +234,7 @@
 			go func() {
 				defer wg.Done()
 				word := f.ask(fmt.Sprint(function, i), function, 1500*time.Millisecond)
-				if function == "ticket-1" && word == audit.Finished {
+				if function == "ticket-1" && word == invariant.Finished {
 					t.Errorf("%s %d: %s from a silent server", function, i, word)
 				}
 			}()
@@ -311,7 +311,7 @@
 		t.Errorf("old: got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == audit.Received {
+		if r.Kind == invariant.Received {
 			t.Errorf("server got job %s", r.Job)
 		}
 	}
@@ -427,7 +427,7 @@
 		}
 	}
 	for _, rec := range f.log.Records() {
-		if rec.Kind == audit.Received {
+		if rec.Kind == invariant.Received {
 			t.Errorf("a server got job %q", rec.Job)
 		}
 	}
@@ -437,7 +437,7 @@
 func TestClientLeaves(t *testing.T) {
 	f := newField(t, usual(0))
 	f.ask("first", "forecast-1", time.Second)
-	f.servers[0].Fail(standin.Faults{Silent: true})
+	f.servers[0].Fail(fakeserver.Faults{Silent: true})
 	nc, r := f.talk()
 	io.WriteString(nc, text("half", "ticket-1"))
 	for f.received("half") == 0 {
@@ -457,7 +457,7 @@
 }
 
 // inHand counts the jobs that the gateway has in hand.
-// Nothing is written for a job whose client left while a connection was still being opened (found by hmexplore).
+// Nothing is written for a job whose client left while a connection was still being opened (found by hmmodelcheck).
 func TestClientLeavesBeforeItsJobIsWritten(t *testing.T) {
 	f := newFieldChanged(t, "", func(t *Told) { t.Dials = 1 }, usual(0))
 	f.g.dials <- struct{}{} // somebody else dials
@@ -497,7 +497,7 @@
 
 func (f *field) received(job string) (n int) {
 	for _, r := range f.log.Records() {
-		if r.Kind == audit.Received && r.Job == job {
+		if r.Kind == invariant.Received && r.Job == job {
 			n++
 		}
 	}
@@ -529,7 +529,7 @@
 	for range 200 {
 		f.talk()
 	}
-	if word := f.ask("busy", "forecast-1", time.Second); word != audit.Finished {
+	if word := f.ask("busy", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 	for range 120 {
@@ -581,7 +581,7 @@
 		t.Fatal(err)
 	}
 	f.g.Refresh()
-	if word := f.ask("1", "forecast-1", time.Second); word != audit.Finished {
+	if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -11,30 +11,30 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/history"
-	"hollymast/internal/memory"
+	"hollymast/internal/overload"
+	"hollymast/internal/persistence"
 	"hollymast/internal/record"
-	"hollymast/internal/storm"
 	"hollymast/kserve"
 )
 
 // keeper writes what the module has learned to a folder: copied between two turns, encoded and written outside them.
 type keeper struct {
-	store *memory.Store
-	*memory.Journal
-	marks   *memory.Marks  // the turn's own
-	tally   *history.Tally // the turn's own; nil: no history
-	taken   int            // jobs since first, not yet in the journal; the turn's own
+	store *persistence.Store
+	*persistence.Journal
+	marks   *persistence.Marks // the turn's own
+	tally   *history.Tally     // the turn's own; nil: no history
+	taken   int                // jobs since first, not yet in the journal; the turn's own
 	first   control.Micros
 	uses    *history.Store
 	unlock  func()
 	every   time.Duration
 	useKept chan struct{} // closed once the history is written for the last time
 	log     zerolog.Logger
-	usual   *storm.Usual   // of calls, in the last run; nil: not known
-	age     control.Micros // of that
-	clock   memory.Clock   // of this life
-	last    *memory.Kept   // set before the gateway's end is told
-	lastUse *history.Taken // so too
+	usual   *overload.Usual   // of calls, in the last run; nil: not known
+	age     control.Micros    // of that
+	clock   persistence.Clock // of this life
+	last    *persistence.Kept // set before the gateway's end is told
+	lastUse *history.Taken    // so too
 	failed  bool
 }
 
@@ -50,21 +50,21 @@
 func openKeeper(told *Told, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
 	files := told.files
 	if files == nil {
-		files = memory.System{}
+		files = persistence.System{}
 	}
-	clock := memory.ReadClock(now)
+	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := memory.Patiently(startPause, func() (err error) { unlock, err = memory.Lock(told.MemoryDir); return err })
+	err := persistence.Patiently(startPause, func() (err error) { unlock, err = persistence.Lock(told.MemoryDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownAfter(err)
 	}
-	store, found := memory.Look(memory.Folder(told.MemoryDir), told.owner())
+	store, found := persistence.Look(persistence.Folder(told.MemoryDir), told.owner())
 	for _, line := range found.Told {
 		log.Warn().Msg("memory: " + line)
 	}
 	learned := &control.LearnedState{}
-	var usual *storm.Usual
+	var usual *overload.Usual
 	var age control.Micros
 	if k := found.Kept; k != nil {
 		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.SavedAt)
@@ -79,7 +79,7 @@
 		return nil, 0
 	}
 	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
-	journal, entries, lines, err := memory.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost, Clock: clock, Now: now,
+	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost, Clock: clock, Now: now,
 		Failed: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
@@ -118,14 +118,14 @@
 // unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
 // one that is no folder of ours never did.
 func unknownAfter(err error) control.Micros {
-	if memory.Passing(err) {
+	if persistence.Passing(err) {
 		return forever
 	}
 	return 0
 }
 
 // unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) unrecorded(now control.Micros, mark memory.Mark) string {
+func (g *Gateway) unrecorded(now control.Micros, mark persistence.Mark) string {
 	switch {
 	case mark == 0:
 	case g.keeper != nil && g.keeper.Failing():
@@ -137,9 +137,9 @@
 }
 
 // owner names this router and what the ids in its memory hang on.
-func (t *Told) owner() memory.Owner {
+func (t *Told) owner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, t.Workloads, []string{"tenants"}, t.TenantNames)
-	return memory.Owner{Router: t.Deployment.Number, Deployment: record.Tag(t.NameKey, strings.Join(names, "\n"))}
+	return persistence.Owner{Router: t.Deployment.Number, Deployment: record.Tag(t.NameKey, strings.Join(names, "\n"))}
 }
 
 // keep writes now and again until the gateway has ended, and then once more.
@@ -147,7 +147,7 @@
 	defer k.close()
 	ticker := time.NewTicker(k.every)
 	defer ticker.Stop()
-	copies := make(chan *memory.Kept, 1)
+	copies := make(chan *persistence.Kept, 1)
 	for {
 		select {
 		case <-ticker.C:
@@ -171,8 +171,8 @@
 }
 
 // kept gives what is to outlast this run.
-func (g *Gateway) kept(now control.Micros) *memory.Kept {
-	k := &memory.Kept{Module: g.core.LearnedState(now)}
+func (g *Gateway) kept(now control.Micros) *persistence.Kept {
+	k := &persistence.Kept{Module: g.core.LearnedState(now)}
 	if g.keeper.clock.Boot != 0 {
 		k.Clock = &g.keeper.clock
 	}
@@ -184,7 +184,7 @@
 }
 
 // write writes one generation. A disk that fails is told once, and again when it is well.
-func (k *keeper) write(m *memory.Kept) {
+func (k *keeper) write(m *persistence.Kept) {
 	err := k.store.Write(m)
 	switch {
 	case err != nil && !k.failed:
@@ -204,16 +204,16 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Told) mark(function string, ask kserve.Ask, w control.ClassID) memory.Mark {
+func (t *Told) mark(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
 	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
 		return 0
 	}
-	return memory.Mark(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
+	return persistence.Mark(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
 }
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlier(now control.Micros, mark memory.Mark) []control.Attempt {
+func (g *Gateway) earlier(now control.Micros, mark persistence.Mark) []control.Attempt {
 	if g.keeper == nil || mark == 0 {
 		return nil
 	}
@@ -236,7 +236,7 @@
 		return
 	}
 	if k.taken > 0 && now > k.first+some {
-		k.Append(memory.Entry{Kind: memory.Taken, At: k.first, Mark: memory.Mark(k.taken)})
+		k.Append(persistence.Entry{Kind: persistence.Taken, At: k.first, Mark: persistence.Mark(k.taken)})
 		k.taken = 0
 	}
 	if k.taken == 0 {
@@ -246,17 +246,17 @@
 }
 
 // enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) enter(mark memory.Mark, to control.ServerID) *memory.Round {
+func (g *Gateway) enter(mark persistence.Mark, to control.ServerID) *persistence.Round {
 	if g.keeper == nil {
 		return nil
 	}
-	var es []memory.Entry
+	var es []persistence.Entry
 	if mark != 0 {
-		g.keeper.marks.Sent(mark, memory.Sent{Server: to, At: g.clock})
-		es = append(es, memory.Entry{Kind: memory.Execution, At: g.clock, Mark: mark, Server: to})
+		g.keeper.marks.Sent(mark, persistence.Sent{Server: to, At: g.clock})
+		es = append(es, persistence.Entry{Kind: persistence.Execution, At: g.clock, Mark: mark, Server: to})
 	}
 	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.clock, g.told.Deployment.SlowStartDuration) {
-		es = append(es, memory.Entry{Kind: memory.ToCold, At: g.clock, Server: to})
+		es = append(es, persistence.Entry{Kind: persistence.ToCold, At: g.clock, Server: to})
 	}
 	if len(es) == 0 {
 		return nil
@@ -265,10 +265,10 @@
 }
 
 // proved notes that an execution did not run.
-func (g *Gateway) proved(mark memory.Mark, to control.ServerID) {
+func (g *Gateway) proved(mark persistence.Mark, to control.ServerID) {
 	if g.keeper != nil && mark != 0 {
 		g.keeper.marks.Unrun(mark, to)
-		g.keeper.Append(memory.Entry{Kind: memory.Unrun, At: g.clock, Mark: mark, Server: to})
+		g.keeper.Append(persistence.Entry{Kind: persistence.Unrun, At: g.clock, Mark: mark, Server: to})
 	}
 }
 
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -16,10 +16,10 @@
 	"github.com/tidwall/gjson"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
 	"hollymast/internal/fleet"
 	"hollymast/internal/history"
-	"hollymast/internal/memory"
+	"hollymast/internal/invariant"
+	"hollymast/internal/persistence"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -44,7 +44,7 @@
 		f.t.Fatal(err)
 	}
 	if p.Status == 200 {
-		return audit.Finished
+		return invariant.Finished
 	}
 	return gjson.GetBytes(p.Body, "answer").Str
 }
@@ -53,7 +53,7 @@
 func (f *field) began(job string, server int) int {
 	n := 0
 	for _, r := range f.log.Records() {
-		if r.Kind == audit.Began && r.Job == job && (server < 0 || r.Server == server) {
+		if r.Kind == invariant.Began && r.Job == job && (server < 0 || r.Server == server) {
 			n++
 		}
 	}
@@ -64,34 +64,34 @@
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
 	told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, mark string, w control.ClassID) memory.Mark {
+	mark := func(function, mark string, w control.ClassID) persistence.Mark {
 		return told.mark(function, kserve.Ask{Mark: mark}, w)
 	}
-	j, _, _, err := memory.OpenJournal(dir, memory.Grouped, 1<<40, 1<<30, func(error) {})
+	j, _, _, err := persistence.OpenJournal(dir, persistence.Grouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := control.Micros(time.Now().UnixMicro())
 	elsewhere := fleet.ID("127.0.0.1:9")
 	j.Append(
-		memory.Entry{Kind: memory.Execution, At: now, Mark: mark("ticket-1", "sent", 2), Server: elsewhere},
-		memory.Entry{Kind: memory.Execution, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		memory.Entry{Kind: memory.Unrun, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		memory.Entry{Kind: memory.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
-		memory.Entry{Kind: memory.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
+		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "sent", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.Unrun, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
+		persistence.Entry{Kind: persistence.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
 	f := newFieldTold(t, remembering(dir), usual(0), usual(1))
 	for i, c := range []struct {
 		function, mark, want string
 		executions           int
 	}{
-		{"ticket-1", "sent", audit.Killed, 0},
-		{"ticket-1", "proved", audit.Finished, 1},
-		{"ticket-1", "new", audit.Finished, 1},
-		{"ticket-1", "new", audit.Killed, 0}, // asked again of the same life
-		{"ticket-2", "sent", audit.Finished, 1},
-		{"booking-1", "late", audit.PushedBack, 0}, // its window is over; no execution does harm in a window of the whole fleet
-		{"booking-1", "clock set back", audit.PushedBack, 0},
+		{"ticket-1", "sent", invariant.Killed, 0},
+		{"ticket-1", "proved", invariant.Finished, 1},
+		{"ticket-1", "new", invariant.Finished, 1},
+		{"ticket-1", "new", invariant.Killed, 0}, // asked again of the same life
+		{"ticket-2", "sent", invariant.Finished, 1},
+		{"booking-1", "late", invariant.PushedBack, 0}, // its window is over; no execution does harm in a window of the whole fleet
+		{"booking-1", "clock set back", invariant.PushedBack, 0},
 	} {
 		job := fmt.Sprint("job-", i)
 		if got := f.askMarked(job, c.function, c.mark); got != c.want || f.began(job, -1) != c.executions {
@@ -104,7 +104,7 @@
 func TestNextLifeRecalls(t *testing.T) {
 	dir := t.TempDir()
 	first := newFieldTold(t, remembering(dir), usual(0), usual(1), usual(2))
-	if word := first.ask("1", "forecast-1", time.Second); word != audit.Finished {
+	if word := first.ask("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Fatal(word)
 	}
 	other, err := New(first.g.told, zerolog.Nop())
@@ -139,8 +139,8 @@
 func TestAnyFolderLetsTheRouterStart(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return write(dir, memory.Files[0], "rubbish") },
-		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, memory.Files[0]), 0o700) },
+		"rubbish":      func(dir string) error { return write(dir, persistence.Files[0], "rubbish") },
+		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.Files[0]), 0o700) },
 		"bad journal":  func(dir string) error { return write(dir, "journal-00000001", "rubbish") },
 		"last journal": func(dir string) error { return write(dir, "journal-99999999999999999999", "") },
 		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
@@ -151,7 +151,7 @@
 				t.Fatal(err)
 			}
 			f := newFieldTold(t, remembering(dir), usual(0))
-			if word := f.ask("1", "forecast-1", time.Second); word != audit.Finished {
+			if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
 				t.Error(word)
 			}
 		})
@@ -168,7 +168,7 @@
 // A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
 	f := newFieldTold(t, remembering(filepath.Join(t.TempDir(), "m")), usual(0))
-	set := func(j *memory.Journal) (old *memory.Journal) {
+	set := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
 		f.g.tell(func(control.Micros) {
 			old, f.g.keeper.Journal = f.g.keeper.Journal, j
@@ -177,27 +177,27 @@
 		<-done
 		return old
 	}
-	old := set(&memory.Journal{}) // no round of it ever ends
-	if got := f.askMarked("still", "ticket-1", "still"); got != audit.PushedBack || f.began("still", -1) > 0 {
+	old := set(&persistence.Journal{}) // no round of it ever ends
+	if got := f.askMarked("still", "ticket-1", "still"); got != invariant.PushedBack || f.began("still", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, f.began("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := f.askMarked("failing", "ticket-1", "failing"); got != audit.PushedBack || f.began("failing", -1) > 0 {
+	if got := f.askMarked("failing", "ticket-1", "failing"); got != invariant.PushedBack || f.began("failing", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, f.began("failing", -1))
 	}
-	if got := f.ask("unmarked", "ticket-1", time.Second); got != audit.Finished {
+	if got := f.ask("unmarked", "ticket-1", time.Second); got != invariant.Finished {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
 
 // fullDisk is the machine's file system, which fails while it is full.
 type fullDisk struct {
-	memory.System
+	persistence.System
 	full atomic.Bool
 }
 
-func (d *fullDisk) Create(path string) (memory.File, error) {
+func (d *fullDisk) Create(path string) (persistence.File, error) {
 	if d.full.Load() {
 		return nil, syscall.ENOSPC
 	}
@@ -213,7 +213,7 @@
 }
 
 type fullFile struct {
-	memory.File
+	persistence.File
 	d *fullDisk
 }
 
@@ -243,25 +243,25 @@
 		booking    string
 		executions int
 	}{
-		{"ahead", hour, false, audit.Finished, 1}, {"back", -hour, false, audit.Finished, 1}, {"by seconds", 5_000_000, false, audit.Finished, 1},
-		{"not at all", 0, false, audit.Finished, 1}, {"another boot", 0, true, audit.PushedBack, 0}, {"another boot, ahead", hour, true, audit.PushedBack, 0},
+		{"ahead", hour, false, invariant.Finished, 1}, {"back", -hour, false, invariant.Finished, 1}, {"by seconds", 5_000_000, false, invariant.Finished, 1},
+		{"not at all", 0, false, invariant.Finished, 1}, {"another boot", 0, true, invariant.PushedBack, 0}, {"another boot, ahead", hour, true, invariant.PushedBack, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
-			clock := memory.ReadClock(now)
+			clock := persistence.ReadClock(now)
 			if c.boot {
 				clock.Boot++
 			}
-			j, _, _, err := memory.JournalOptions{Files: memory.System{}, Sync: memory.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
+			j, _, _, err := persistence.JournalOptions{Files: persistence.System{}, Sync: persistence.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
 				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				memory.Entry{Kind: memory.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			f := newFieldChanged(t, remembering(dir), func(t *Told) {
 				booking, _ := t.Match("booking-1")
@@ -271,7 +271,7 @@
 				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := f.askMarked("ticket", "ticket-1", "sent"); got != audit.Killed || f.began("ticket", -1) > 0 {
+			if got := f.askMarked("ticket", "ticket-1", "sent"); got != invariant.Killed || f.began("ticket", -1) > 0 {
 				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
 			}
 		})
@@ -290,15 +290,15 @@
 		job := fmt.Sprint("job-", i)
 		got := f.askMarked(job, "ticket-1", job)
 		switch ran := f.began(job, -1); {
-		case got == audit.PushedBack && ran == 0:
+		case got == invariant.PushedBack && ran == 0:
 			refused++
-		case got != audit.Finished || ran != 1:
+		case got != invariant.Finished || ran != 1:
 			t.Errorf("%s: got %s with %d executions", job, got, ran)
 		case disk.full.Load():
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := f.ask(job+" other", "forecast-1", time.Second); got != audit.Finished {
+			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Finished {
 				t.Errorf("a job that may repeat: %s", got)
 			}
 			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.Usual)
@@ -345,7 +345,7 @@
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (f *field) knownTo(t *testing.T, dir string) *memory.Marks {
+func (f *field) knownTo(t *testing.T, dir string) *persistence.Marks {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -361,27 +361,27 @@
 			t.Fatal(err)
 		}
 	}
-	j, es, _, err := memory.OpenJournal(copied, memory.Never, 1<<40, 1<<30, func(error) {})
+	j, es, _, err := persistence.OpenJournal(copied, persistence.Never, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	return memory.Recalled(&control.LearnedState{}, es, 1<<40, 1000)
+	return persistence.Recalled(&control.LearnedState{}, es, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Told{MemoryDir: t.TempDir(), MarksFor: 10 * time.Minute, MarksMost: 10, Journal: memory.Grouped, files: &fullDisk{}}
+	told := &Told{MemoryDir: t.TempDir(), MarksFor: 10 * time.Minute, MarksMost: 10, Journal: persistence.Grouped, files: &fullDisk{}}
 	disk := told.files.(*fullDisk)
 	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		k.Append(memory.Entry{Kind: memory.Execution, At: 1e15, Mark: 1})
+		k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	r := k.Append(memory.Entry{Kind: memory.Execution, At: 1e15, Mark: 1})
+	r := k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
 	disk.full.Store(false)
 	<-r.Done()
 	k.close()
@@ -401,7 +401,7 @@
 	dir := t.TempDir()
 	f := newFieldTold(t, remembering(dir)+"[tenant laundry]\nshare = 100\n", usual(0), usual(1))
 	for i := range 30 {
-		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != audit.Finished {
+		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
 			t.Fatal(word)
 		}
 	}
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -13,10 +13,10 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/audit"
+	"hollymast/internal/fakeserver"
 	"hollymast/internal/fleet"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
 	"hollymast/kserve"
 )
 
@@ -100,7 +100,7 @@
 		if err := os.WriteFile(f.list, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for f.ask("first", "forecast-1", limit) != audit.Finished { // the list is read, and a copy loaded
+		for f.ask("first", "forecast-1", limit) != invariant.Finished { // the list is read, and a copy loaded
 			time.Sleep(10 * time.Millisecond)
 		}
 		<-heard
@@ -194,7 +194,7 @@
 func TestCloseBehindARequestIsSeen(t *testing.T) {
 	f := newField(t, usual(0))
 	f.ask("first", "forecast-1", time.Second)
-	f.servers[0].Fail(standin.Faults{Silent: true})
+	f.servers[0].Fail(fakeserver.Faults{Silent: true})
 	nc, _ := f.talk()
 	io.WriteString(nc, text("1", "ticket-1")+text("2", "ticket-1"))
 	for f.received("1") == 0 {
--- a/internal/gateway/library_test.go
+++ b/internal/gateway/library_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"hollymast/client"
-	"hollymast/internal/audit"
-	"hollymast/internal/standin"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 )
 
 // The client library against this router, while servers lose answers, break connections and refuse: each call has one outcome at its
@@ -19,7 +19,7 @@
 func TestClientLibraryUnderFaults(t *testing.T) {
 	f := newFieldTold(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", usual(0), usual(1), usual(2))
 	for i, s := range f.servers {
-		s.Fail(standin.Faults{Lost: 0.02, ResetPost: 0.05, ResetEre: 0.05, Full: i == 2})
+		s.Fail(fakeserver.Faults{Lost: 0.02, ResetPost: 0.05, ResetEre: 0.05, Full: i == 2})
 	}
 	lib, err := client.New(client.Options{Routers: []string{f.g.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
@@ -40,7 +40,7 @@
 		wg.Go(func() {
 			defer func() { <-places }()
 			mark, last, begun := fmt.Sprint("m", i), 0, time.Now()
-			rec := audit.Record{Effect: mark, Workload: name}
+			rec := invariant.Record{Effect: mark, Workload: name}
 			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: mark, Patience: patience, Workload: workloads[name],
 				BodyOf: func(x client.Try) []byte {
 					if x.Number <= last || x.Mark != mark || x.Left <= 0 || x.Left > patience {
@@ -52,16 +52,16 @@
 						mu.Unlock()
 					}
 					last = x.Number
-					rec.Kind, rec.Job, rec.Limit = audit.Asked, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
+					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
 					f.log.Add(rec)
 					return request(rec.Job, "", x.Left).Body
 				},
 				Tried: func(_ client.Try, ending string) {
-					switch rec.Kind, rec.Word = audit.Answered, ending; ending {
+					switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
 					case "unsent":
-						rec.Kind = audit.Untaken
+						rec.Kind = invariant.Untaken
 					case "lost":
-						rec.Kind = audit.GaveUp
+						rec.Kind = invariant.GaveUp
 					}
 					f.log.Add(rec)
 				}})
--- a/internal/gateway/pins_test.go
+++ b/internal/gateway/pins_test.go
@@ -7,7 +7,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/inifile"
-	"hollymast/internal/memory"
+	"hollymast/internal/persistence"
 )
 
 // Settings of routers in service stay valid, key by key, and mean what they meant.
@@ -27,7 +27,7 @@
 		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.Storms && got.AnswerMargin == 21*time.Millisecond,
 		"bounds":   got.Connections == 20001 && got.PerServer == 257 && got.DialTime == 2*time.Second && got.BodyTime == 11*time.Second,
 		"record":   got.RecordDir == "rec" && got.Record.Segment == 67108865 && got.Record.Age == 11*time.Minute,
-		"memory":   got.MemoryDir == "memory" && got.MarksFor == 11*time.Minute && got.Journal == memory.Each && got.HistoryRows == 200001,
+		"memory":   got.MemoryDir == "memory" && got.MarksFor == 11*time.Minute && got.Journal == persistence.Each && got.HistoryRows == 200001,
 		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerWork: 1.5, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 6_000_000},
 		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 
 	"hollymast/control"
-	"hollymast/internal/loads"
+	"hollymast/internal/loadreport"
 	"hollymast/internal/membership"
 	"hollymast/internal/rest"
 	"hollymast/internal/xds"
@@ -16,13 +16,13 @@
 // counted lends the turn's tally to the stream that reports it.
 type counted struct {
 	g      *Gateway
-	places atomic.Pointer[map[string]loads.Place]
+	places atomic.Pointer[map[string]loadreport.Place]
 	named  atomic.Pointer[map[string]string]
 }
 
 // Take has the turn give its counts. Once the last turn is over there are none.
-func (c *counted) Take(now control.Micros) (r loads.Report) {
-	taken := make(chan loads.Report, 1)
+func (c *counted) Take(now control.Micros) (r loadreport.Report) {
+	taken := make(chan loadreport.Report, 1)
 	c.g.afterTurn(func(control.Micros) { taken <- c.g.tally.Take(now) })
 	select {
 	case r = <-taken:
@@ -32,7 +32,7 @@
 }
 
 // Places tells where the servers stand in the control plane's list.
-func (c *counted) Places() map[string]loads.Place {
+func (c *counted) Places() map[string]loadreport.Place {
 	if p := c.places.Load(); p != nil {
 		return *p
 	}
@@ -49,10 +49,10 @@
 
 // listed takes in where servers stand now.
 func (c *counted) listed(facts []membership.Fact, services map[string]string) {
-	places := make(map[string]loads.Place, len(facts))
+	places := make(map[string]loadreport.Place, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
-			places[f.Address] = loads.Place{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
+			places[f.Address] = loadreport.Place{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
 		}
 	}
 	c.places.Store(&places)
@@ -76,11 +76,11 @@
 	}
 	lines, nodes := g.view.Others()
 	if lines == nil {
-		lines = []loads.Line{}
+		lines = []loadreport.Line{}
 	}
 	b, err := json.Marshal(struct {
 		Followers int
-		Servers   []loads.Line
+		Servers   []loadreport.Line
 	}{nodes, lines})
 	if err != nil {
 		return fault(500, err.Error())
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/credentials"
 
 	"hollymast/control"
+	"hollymast/internal/certstore"
 	"hollymast/internal/inifile"
-	"hollymast/internal/keyring"
 	"hollymast/internal/rest"
 	"hollymast/internal/xds"
 )
@@ -28,7 +28,7 @@
 
 // secrets reads the sections [tls KIND].
 func (t *Told) secrets(f *inifile.File) {
-	t.TLS = map[string]*keyring.Told{}
+	t.TLS = map[string]*certstore.Told{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
 		known := false
@@ -39,7 +39,7 @@
 			s.Fault("", "connections are those of workers, clients, xds and view")
 			continue
 		}
-		k := &keyring.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
+		k := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
 			Revoked: s.Text("revoked", ""), Names: s.Words("names"), Twelve: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
 		if k.Secrets = s.Text("sds", ""); k.Secrets != "" {
 			k.Secrets = address(s, "sds", "")
@@ -82,13 +82,13 @@
 
 // openRings finds the keys of all kinds of connections that are secret.
 func (g *Gateway) openRings() error {
-	g.rings = map[string]*keyring.Ring{}
+	g.rings = map[string]*certstore.Ring{}
 	for _, kind := range kinds {
 		told := g.told.TLS[kind]
 		if told == nil {
 			continue
 		}
-		r, err := keyring.Open(told, wall, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
+		r, err := certstore.Open(told, wall, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
 		if err != nil {
 			return fmt.Errorf("[tls %s]: %w", kind, err)
 		}
@@ -165,7 +165,7 @@
 }
 
 // ringMetrics tells what rings have met, by kind of connections.
-type ringMetrics map[string]*keyring.Ring
+type ringMetrics map[string]*certstore.Ring
 
 var (
 	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Secret connections begun.", []string{"connections"}, nil)
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -9,34 +9,34 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/audit"
+	"hollymast/internal/certstore"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/fakeserver/authority"
 	"hollymast/internal/inifile"
-	"hollymast/internal/keyring"
+	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
-	"hollymast/internal/standin"
-	"hollymast/internal/standin/authority"
 )
 
 var everywhere = authority.Asked{Names: []string{"127.0.0.1"}}
 
 // ringFor gives a ring of its own files; authorities may be nil.
-func ringFor(t *testing.T, own authority.Issued, authorities []byte) (*keyring.Told, *keyring.Ring) {
+func ringFor(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
 	t.Helper()
 	dir := t.TempDir()
-	told := &keyring.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	told := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
 	for name, b := range map[string][]byte{told.Certificate: own.Chain, told.Key: own.Key, told.Authorities: authorities} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := keyring.Open(told, wall, func(string) {})
+	r, err := certstore.Open(told, wall, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return told, r
 }
 
-func accepting(r *keyring.Ring) func(nc net.Conn) (net.Conn, error) {
+func accepting(r *certstore.Ring) func(nc net.Conn) (net.Conn, error) {
 	return func(nc net.Conn) (net.Conn, error) { return r.Accepted(context.Background(), nc) }
 }
 
@@ -47,18 +47,18 @@
 	_, good := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	_, stranger := ringFor(t, theirs.Issue(everywhere), ours.Cert())
 	_, aloof := ringFor(t, ours.Issue(everywhere), theirs.Cert())
-	makes := []standin.Make{usual(0), usual(1), usual(2)}
-	for i, r := range []*keyring.Ring{stranger, aloof, good} {
+	makes := []fakeserver.Make{usual(0), usual(1), usual(2)}
+	for i, r := range []*certstore.Ring{stranger, aloof, good} {
 		makes[i].Secure = accepting(r)
 	}
 	toldWorkers, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	toldClients, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	f := newFieldChanged(t, "", func(t *Told) {
-		t.TLS = map[string]*keyring.Told{toWorkers: toldWorkers, fromClients: toldClients}
+		t.TLS = map[string]*certstore.Told{toWorkers: toldWorkers, fromClients: toldClients}
 	}, makes...)
 	_, client := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	_, unknown := ringFor(t, theirs.Issue(everywhere), ours.Cert())
-	ask := func(r *keyring.Ring, job string) string {
+	ask := func(r *certstore.Ring, job string) string {
 		t.Helper()
 		c, err := rest.DialSecure(context.Background(), f.g.Address(), &rest.Usual, r.Dialled)
 		if err != nil {
@@ -70,17 +70,17 @@
 			return err.Error()
 		}
 		if p.Status == 200 {
-			return audit.Finished
+			return invariant.Finished
 		}
 		return string(p.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
-		if word := ask(client, job); word != audit.Finished {
+		if word := ask(client, job); word != invariant.Finished {
 			t.Errorf("job %s: %s", job, word)
 		}
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == audit.Received && r.Server != 2 {
+		if r.Kind == invariant.Received && r.Server != 2 {
 			t.Errorf("server %d got job %s", r.Server, r.Job)
 		}
 	}
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -4,16 +4,16 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hollymast/control"
-	"hollymast/internal/storm"
+	"hollymast/internal/overload"
 	"hollymast/kserve"
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) storm.Verdict {
+func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
 	if g.storm == nil {
-		return storm.Verdict{Admit: true}
+		return overload.Verdict{Admit: true}
 	}
-	return g.storm.Arrived(now, storm.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashed(ask.Mark),
+	return g.storm.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashed(ask.Mark),
 		Function: functionID(g.told.NameKey, name), Importance: g.told.Importance[w]})
 }
 
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -9,10 +9,10 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
+	"hollymast/internal/certstore"
 	"hollymast/internal/fleet"
 	"hollymast/internal/inifile"
-	"hollymast/internal/keyring"
-	"hollymast/internal/memory"
+	"hollymast/internal/persistence"
 	"hollymast/internal/record"
 )
 
@@ -28,9 +28,9 @@
 	Bootstrap   string // file in Envoy's own form that lists the servers; empty: none
 	ServeView   string // address at which our view is served as a control plane does; empty: none
 	Zone        string
-	TLS         map[string]*keyring.Told // by kind of connections; none: in plain text
-	Seed        uint64                   // 0: drawn at the start
-	NameKey     string                   // keys the ids of functions; empty: they are plain hashes of the names
+	TLS         map[string]*certstore.Told // by kind of connections; none: in plain text
+	Seed        uint64                     // 0: drawn at the start
+	NameKey     string                     // keys the ids of functions; empty: they are plain hashes of the names
 	LogLevel    string
 	Deployment  control.Deployment
 	Workloads   []string  // names, in the order of Deployment.Workloads
@@ -46,12 +46,12 @@
 	RecordDir string // folder for recordings; empty: none
 	Record    record.Bounds
 
-	MemoryDir   string            // folder for what is learned; empty: none
-	files       memory.FileSystem // of that folder; nil: the machine's
-	MemoryEvery time.Duration     // between two writings
-	MarksFor    time.Duration     // how long a client's mark of a job that may have run is known
-	MarksMost   int               // and how many of them
-	Journal     memory.Sync
+	MemoryDir   string                 // folder for what is learned; empty: none
+	files       persistence.FileSystem // of that folder; nil: the machine's
+	MemoryEvery time.Duration          // between two writings
+	MarksFor    time.Duration          // how long a client's mark of a job that may have run is known
+	MarksMost   int                    // and how many of them
+	Journal     persistence.Sync
 	HistoryRows int // kept at most of the history of use; 0: none
 
 	Connections int // of clients
@@ -205,7 +205,7 @@
 	t.MarksFor = mem.Span("marks_for", 10*time.Minute, time.Second, 7*day)
 	t.MarksMost = mem.Int("marks_most", 1_000_000, 1, 1<<30)
 	t.HistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
-	t.Journal = memory.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
+	t.Journal = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
 
 	t.secrets(f)
 	t.workloads(f)
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 )
 
 // A second router that follows the first one's view has its list, its drains and what it suspects.
@@ -56,7 +56,7 @@
 	}
 	await(3, 0, 5*time.Second)
 	both := &field{t: t, g: g, log: f.log}
-	if word := both.ask("1", "forecast-1", time.Second); word != audit.Finished {
+	if word := both.ask("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Error(word)
 	}
 	// What it does there the first one learns from its reports, with what the server told of its load.
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -13,7 +13,7 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/fleet"
-	"hollymast/internal/memory"
+	"hollymast/internal/persistence"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -43,8 +43,8 @@
 	order    control.LoadCommand
 	to       control.ServerID
 	request  *rest.Request
-	round    *memory.Round  // of the journal, in which it must be before it is written; nil: none
-	until    control.Micros // it is not written later
+	round    *persistence.Round // of the journal, in which it must be before it is written; nil: none
+	until    control.Micros     // it is not written later
 	deadline time.Time
 	ctx      context.Context
 	cancel   context.CancelFunc
--- a/internal/audit/audit_test.go
+++ b/internal/invariant/audit_test.go
@@ -1,4 +1,4 @@
-package audit
+package invariant
 
 import "testing"
 
--- a/internal/audit/log.go
+++ b/internal/invariant/log.go
@@ -1,6 +1,6 @@
-// Package audit judges the five rules from what crossed the sockets: records taken by clients and model servers at
+// Package invariant judges the five rules from what crossed the sockets: records taken by clients and model servers at
 // their ends of the wire. It knows neither the gateway nor its core, and takes no router's word for anything.
-package audit
+package invariant
 
 import (
 	"slices"
--- a/internal/loads/loads.go
+++ b/internal/loadreport/loads.go
@@ -1,6 +1,6 @@
-// Package loads counts what a router did to each server and what it heard of that server's load, for reports to a control plane.
+// Package loadreport counts what a router did to each server and what it heard of that server's load, for reports to a control plane.
 // It is free of I/O and clocks. Counts are told once: what was not sent goes into the next report.
-package loads
+package loadreport
 
 import (
 	"cmp"
--- a/internal/loads/loads_test.go
+++ b/internal/loadreport/loads_test.go
@@ -1,4 +1,4 @@
-package loads
+package loadreport
 
 import (
 	"testing"
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"cmp"
@@ -125,7 +125,7 @@
 	}
 	spill := x.Folder
 	if spill == "" && x.Memory > 0 {
-		if spill, err = os.MkdirTemp("", "hmexplore-"); err != nil {
+		if spill, err = os.MkdirTemp("", "hmmodelcheck-"); err != nil {
 			return nil, err
 		}
 		defer os.RemoveAll(spill)
--- a/internal/explore/property_answered.go
+++ b/internal/modelcheck/property_answered.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import "fmt"
 
--- a/internal/explore/world.go
+++ b/internal/modelcheck/world.go
@@ -1,7 +1,7 @@
-// Package explore takes small worlds of jobs, servers and routers through all orderings of what can happen in them. What decides
+// Package modelcheck takes small worlds of jobs, servers and routers through all orderings of what can happen in them. What decides
 // is the real code: control, core and attempt. Around it stand servers, clients and a list as plain state. It is free of I/O but
 // for saved stories and the exploration's own files.
-package explore
+package modelcheck
 
 import (
 	"crypto/sha256"
--- a/internal/serving/serving.go
+++ b/internal/modelserver/serving.go
@@ -1,7 +1,7 @@
-// Package serving is a model server as plain state, driven by a clock that it is given: lanes, cores, memory, loads from a shared
+// Package modelserver is a model server as plain state, driven by a clock that it is given: lanes, cores, memory, loads from a shared
 // store, a cold start, refusals, repeats dropped within their window, and scripted ways of failing. Stand-ins run it on sockets, the
 // emulator in simulated time. It is free of I/O, and for one goroutine (or one lock) at a time.
-package serving
+package modelserver
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"strings"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 )
 
 // Clock is the time a server lives in.
@@ -90,7 +90,7 @@
 	m      Make
 	clock  Clock
 	source Source
-	log    func(audit.Record)
+	log    func(invariant.Record)
 	chance *rand.Rand
 
 	life    int // counts up with each death: what was begun in an earlier one is void
@@ -125,7 +125,7 @@
 
 // run is one execution.
 type run struct {
-	rec   audit.Record
+	rec   invariant.Record
 	copy  *copies
 	id    uint64
 	found control.CacheStatus
@@ -137,7 +137,7 @@
 }
 
 // New gives a server that is not started. Log takes what happens at its end of the wire.
-func New(m Make, clock Clock, source Source, log func(audit.Record)) *Server {
+func New(m Make, clock Clock, source Source, log func(invariant.Record)) *Server {
 	return &Server{m: m, clock: clock, source: source, log: log, chance: rand.New(rand.NewPCG(m.Seed, uint64(m.Number)))}
 }
 
@@ -147,7 +147,7 @@
 	s.copies, s.marks, s.recent, s.ready, s.open = map[string]*copies{}, map[string]*mark{}, nil, nil, map[uint64]func(Reply){}
 	s.running, s.waiting, s.loading = 0, 0, 0
 	if cold {
-		s.log(audit.Record{Kind: audit.Started, Server: s.m.Number})
+		s.log(invariant.Record{Kind: invariant.Started, Server: s.m.Number})
 	}
 }
 
@@ -225,15 +225,15 @@
 
 // Infer runs one execution, or refuses it; reply is called once, perhaps within this call, unless the server stays silent until it dies.
 func (s *Server) Infer(a Ask, reply func(Reply)) {
-	rec := audit.Record{Server: s.m.Number, Job: a.Job, Effect: a.Effect, Router: a.Router}
-	add := func(k audit.Kind) { rec.Kind = k; s.log(rec) }
-	add(audit.Received)
+	rec := invariant.Record{Server: s.m.Number, Job: a.Job, Effect: a.Effect, Router: a.Router}
+	add := func(k invariant.Kind) { rec.Kind = k; s.log(rec) }
+	add(invariant.Received)
 	f := s.faults
 	early, lost, post := s.happens(f.ResetEre), s.happens(f.Lost), s.happens(f.ResetPost)
 	id := s.hold(reply)
 	switch {
 	case s.pushedOver():
-		add(audit.FellOver)
+		add(invariant.FellOver)
 		s.Kill()
 		return
 	case f.Silent:
@@ -242,13 +242,13 @@
 		s.end(id, Reply{Ending: Broken})
 		return
 	case f.Full:
-		add(audit.Refused)
+		add(invariant.Refused)
 		s.end(id, Reply{Ending: Full, Why: "full"})
 		return
 	}
 	m, known := s.remember(a.Mark)
 	if known {
-		add(audit.Dropped)
+		add(invariant.Dropped)
 		if m.ended {
 			s.end(id, Reply{Found: control.CacheHit})
 		} else {
@@ -259,7 +259,7 @@
 	r := &run{rec: rec, id: id, key: a.Mark, mark: m, slow: f.Slow, lost: lost, post: post}
 	refuse := func(e Ending, why string) {
 		s.forget(r)
-		add(audit.Refused)
+		add(invariant.Refused)
 		s.end(id, Reply{Ending: e, Why: why})
 	}
 	c := s.copies[a.Function]
@@ -302,7 +302,7 @@
 		s.ready = s.ready[1:]
 		s.waiting--
 		s.running++
-		r.rec.Kind = audit.Began
+		r.rec.Kind = invariant.Began
 		s.log(r.rec)
 		s.after(s.work(r.slow), func() { s.ran(r) })
 	}
@@ -314,7 +314,7 @@
 	r.copy.lanes++
 	r.copy.busy--
 	r.copy.used = s.clock.Now()
-	r.rec.Kind = audit.Ended
+	r.rec.Kind = invariant.Ended
 	s.log(r.rec)
 	if r.mark != nil {
 		r.mark.ended = true
@@ -429,7 +429,7 @@
 
 // load fetches copies and calls done once they stand.
 func (s *Server) load(c *copies, n int, done func()) {
-	s.log(audit.Record{Kind: audit.Loading, Server: s.m.Number})
+	s.log(invariant.Record{Kind: invariant.Loading, Server: s.m.Number})
 	life := s.life
 	s.source.Fetch(func() {
 		if s.life != life {
@@ -449,7 +449,7 @@
 
 // Order holds as many copies as ordered, and answers when they stand.
 func (s *Server) Order(function string, n, router int, reply func(Reply)) {
-	s.log(audit.Record{Kind: audit.Ordered, Server: s.m.Number, Router: router})
+	s.log(invariant.Record{Kind: invariant.Ordered, Server: s.m.Number, Router: router})
 	id := s.hold(reply)
 	if s.faults.Silent {
 		return
--- a/internal/serving/serving_test.go
+++ b/internal/modelserver/serving_test.go
@@ -1,11 +1,11 @@
-package serving
+package modelserver
 
 import (
 	"slices"
 	"testing"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 )
 
 // hand is a clock that is moved by hand.
@@ -50,7 +50,7 @@
 	*Server
 	clock *hand
 	store *Store
-	log   []audit.Record
+	log   []invariant.Record
 	got   []Reply
 }
 
@@ -59,7 +59,7 @@
 	m := Make{Copies: 4, Lanes: 1, Cores: 1, Work: 10_000, Queue: 3, Load: 20_000, Loads: 2, Window: 1_000_000, Fall: 1_000_000, FallOver: 1000}
 	change(&m)
 	b.store = NewStore(b.clock, 5_000, 1)
-	b.Server = New(m, b.clock, b.store, func(r audit.Record) { b.log = append(b.log, r) })
+	b.Server = New(m, b.clock, b.store, func(r invariant.Record) { b.log = append(b.log, r) })
 	b.Start(false)
 	return b
 }
@@ -87,7 +87,7 @@
 	}
 	began := 0
 	for _, r := range b.log {
-		if r.Kind == audit.Began {
+		if r.Kind == invariant.Began {
 			began++
 		}
 	}
--- a/internal/serving/store.go
+++ b/internal/modelserver/store.go
@@ -1,4 +1,4 @@
-package serving
+package modelserver
 
 import "hollymast/control"
 
--- a/internal/storm/storm.go
+++ b/internal/overload/storm.go
@@ -1,10 +1,10 @@
-// Package storm sees a storm of calls as it forms, tells its kind, and damps it: which calls are let in while it lasts, and when
+// Package overload sees a storm of calls as it forms, tells its kind, and damps it: which calls are let in while it lasts, and when
 // those that are not should return. It is free of I/O and clocks; chance comes from a seeded generator. What becomes of a job that is
 // let in is the module's, here as ever.
 //
 // A storm is not demand that rises: first tries alone never make one. It is made of calls that come again because earlier ones
 // came to nothing, all at the same time.
-package storm
+package overload
 
 import (
 	"fmt"
@@ -324,7 +324,7 @@
 }
 
 // What is let in while a storm lasts. First tries are: what comes first is demand, and only demand that the module sees has copies
-// loaded; to let in no more than servers answered just now starved a fleet that had to load (docs/storm.md). Repeats of clients that
+// loaded; to let in no more than servers answered just now starved a fleet that had to load (docs/overload.md). Repeats of clients that
 // heeded their pause are let in too. What comes again without a pause, or without a mark by which that could be told, has a tenth of
 // its tenant's first tries.
 const (
--- a/internal/storm/storm_test.go
+++ b/internal/overload/storm_test.go
@@ -1,4 +1,4 @@
-package storm
+package overload
 
 import (
 	"testing"
--- a/internal/memory/format.go
+++ b/internal/persistence/format.go
@@ -1,6 +1,6 @@
-// Package memory keeps what a router learned, and what it owes, where a folder outlasts it: a file of learned figures in
+// Package persistence keeps what a router learned, and what it owes, where a folder outlasts it: a file of learned figures in
 // two generations, and a journal of what was sent that a later life must still count.
-package memory
+package persistence
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"hollymast/control"
-	"hollymast/internal/storm"
+	"hollymast/internal/overload"
 )
 
 const magic = "hollymast memory\n"
@@ -31,7 +31,7 @@
 	Owner      Owner                 `cbor:"Owner"`
 	Generation uint64                `cbor:"Generation"` // one more with each writing
 	Module     *control.LearnedState `cbor:"Module"`
-	Storm      *storm.Usual          `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Storm      *overload.Usual       `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
 	Clock      *Clock                `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
 }
 
--- a/internal/memory/journal.go
+++ b/internal/persistence/journal.go
@@ -1,4 +1,4 @@
-package memory
+package persistence
 
 import (
 	"cmp"
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -15,7 +15,7 @@
 	"hollymast/internal/attempt"
 	"hollymast/internal/config"
 	"hollymast/internal/discovery"
-	"hollymast/internal/wire"
+	"hollymast/internal/simproto"
 )
 
 // Config is a router's configuration.
@@ -97,7 +97,7 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	boot, err := wire.ReadBootInfo(doc.Settings)
+	boot, err := simproto.ReadBootInfo(doc.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"hollymast/internal/audit"
-	"hollymast/internal/standin"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 )
 
-func start(t *testing.T) (*standin.Server, *audit.Log) {
-	log := audit.NewLog()
-	s := standin.New(standin.Make{Copies: 4, Lanes: 1, Cores: 2, Work: time.Millisecond, Queue: 4, Load: time.Millisecond, Loads: 2, Window: time.Second},
-		standin.NewStore(time.Millisecond, 2), log)
+func start(t *testing.T) (*fakeserver.Server, *invariant.Log) {
+	log := invariant.NewLog()
+	s := fakeserver.New(fakeserver.Make{Copies: 4, Lanes: 1, Cores: 2, Work: time.Millisecond, Queue: 4, Load: time.Millisecond, Loads: 2, Window: time.Second},
+		fakeserver.NewStore(time.Millisecond, 2), log)
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
 	}
@@ -43,10 +43,10 @@
 	s, _ := start(t)
 	ask := Ask{Patience: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
 	for _, c := range []struct {
-		f      standin.Faults
+		f      fakeserver.Faults
 		result string
 		mayRun bool
-	}{{standin.Faults{Full: true}, "full", false}, {standin.Faults{Silent: true}, "timed out", true}, {standin.Faults{ResetEre: 1}, "reset", true}} {
+	}{{fakeserver.Faults{Full: true}, "full", false}, {fakeserver.Faults{Silent: true}, "timed out", true}, {fakeserver.Faults{ResetEre: 1}, "reset", true}} {
 		s.Fail(c.f)
 		if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != c.result || f.Run.MayRun != c.mayRun {
 			t.Errorf("%+v: got %+v", c.f, f.Run)
--- a/internal/record/write.go
+++ b/internal/record/write.go
@@ -18,7 +18,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/core"
-	"hollymast/internal/memory"
+	"hollymast/internal/persistence"
 )
 
 // Bounds limit what a recording takes on disk.
@@ -150,7 +150,7 @@
 	disk disk) (*Writer, error) {
 	// An error that may be over in a moment keeps no router from starting: the folder is made with the first segment that can be.
 	unmade := disk.Make(dir)
-	if unmade != nil && !memory.Passing(unmade) {
+	if unmade != nil && !persistence.Passing(unmade) {
 		return nil, unmade
 	}
 	w := &Writer{unmade: unmade != nil, disk: disk, pause: time.Second, dir: dir, bounds: bounds, head: head, state: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
--- a/internal/drill/drill.go
+++ b/internal/simadapter/drill.go
@@ -1,6 +1,6 @@
-// Package drill hosts routers behind the simulator's wire: it turns records into calls on each router's core, and
+// Package simadapter hosts routers behind the simulator's wire: it turns records into calls on each router's core, and
 // what the core asks for into records. It decides nothing.
-package drill
+package simadapter
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"hollymast/internal/core"
 	"hollymast/internal/program"
 	"hollymast/internal/record"
-	"hollymast/internal/wire"
+	"hollymast/internal/simproto"
 )
 
 // Run answers batches until the input ends. With a folder it records each router's turns there, as a gateway does.
@@ -31,17 +31,17 @@
 	var frame, reply []byte
 	for {
 		var err error
-		if frame, err = wire.ReadFrame(r, frame); err == io.EOF {
+		if frame, err = simproto.ReadFrame(r, frame); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		batch, clock := wire.Header(frame)
+		batch, clock := simproto.Header(frame)
 		parts, err := h.batch(frame, control.Micros(clock))
 		if err != nil {
 			return err
 		}
-		reply = wire.Frame(reply, batch, parts)
+		reply = simproto.Frame(reply, batch, parts)
 		if _, err := w.Write(reply); err != nil {
 			return err
 		}
@@ -61,12 +61,12 @@
 	now     control.Micros
 }
 
-func (h *host) batch(frame []byte, now control.Micros) ([]*wire.Replies, error) {
+func (h *host) batch(frame []byte, now control.Micros) ([]*simproto.Replies, error) {
 	h.touched, h.current, h.now = h.touched[:0], nil, now
-	if err := wire.Walk(frame, h); err != nil {
+	if err := simproto.Walk(frame, h); err != nil {
 		return nil, err
 	}
-	var parts []*wire.Replies
+	var parts []*simproto.Replies
 	for _, r := range h.touched {
 		r.guard(func() { r.core.Step(now) })
 		if r.broke != "" {
@@ -86,7 +86,7 @@
 	core      *core.Core
 	fields    []string // of a load report
 	workloads int
-	out       *wire.Replies
+	out       *simproto.Replies
 	touched   bool
 	broke     string
 	writer    *record.Writer
@@ -115,9 +115,9 @@
 	}
 }
 
-func (r *router) start() *wire.Replies {
+func (r *router) start() *simproto.Replies {
 	if r.out == nil {
-		r.out = &wire.Replies{}
+		r.out = &simproto.Replies{}
 		r.out.For(r.number)
 	}
 	return r.out
@@ -161,11 +161,11 @@
 
 func (r *router) SetTimer(at control.Micros) { r.start().Remind(uint64(at), 0) }
 
-func serverID(s wire.Server) control.ServerID {
+func serverID(s simproto.Server) control.ServerID {
 	return control.ServerID(binary.BigEndian.Uint32(s[:]))<<16 | control.ServerID(binary.BigEndian.Uint16(s[4:]))
 }
 
-func address(id control.ServerID) (s wire.Server) {
+func address(id control.ServerID) (s simproto.Server) {
 	binary.BigEndian.PutUint32(s[:], uint32(id>>16))
 	binary.BigEndian.PutUint16(s[4:], uint16(id))
 	return s
--- a/internal/drill/records.go
+++ b/internal/simadapter/records.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"hollymast/control"
 	"hollymast/internal/config"
 	"hollymast/internal/core"
-	"hollymast/internal/wire"
+	"hollymast/internal/simproto"
 )
 
 var results = map[uint16]control.Result{
@@ -43,7 +43,7 @@
 	if h.current == nil {
 		return errNoRouter
 	}
-	boot, err := wire.ReadBootInfo(info)
+	boot, err := simproto.ReadBootInfo(info)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 // BackendsChanged passes on the list of servers.
-func (h *host) BackendsChanged(mode uint8, _ uint64, entries []wire.Entry) error {
+func (h *host) BackendsChanged(mode uint8, _ uint64, entries []simproto.Entry) error {
 	kinds := map[uint8]control.UpdateKind{0: control.CachedUpdate, 1: control.FullUpdate, 2: control.IncrementalUpdate,
 		3: control.FailedUpdate}
 	states := map[uint8]control.ServerState{0: control.Draining, 2: control.Ready, 3: control.Removed}
@@ -106,7 +106,7 @@
 )
 
 // Inbound takes a job in hand; it is placed when the batch has been read.
-func (h *host) Inbound(in wire.Inbound) error {
+func (h *host) Inbound(in simproto.Inbound) error {
 	return h.with(func(r *router) error {
 		if int(in.Type) >= r.workloads {
 			return fmt.Errorf("unknown class %d", in.Type)
@@ -124,12 +124,12 @@
 
 // HeadReceived is passed over: the job's answer has begun, but until a verdict says that the job is over it is
 // owed a final answer, also where the execution that had begun to answer is called off.
-func (h *host) HeadReceived(uint64, uint16, wire.Server, uint32) error {
+func (h *host) HeadReceived(uint64, uint16, simproto.Server, uint32) error {
 	return h.with(func(*router) error { return nil })
 }
 
 // Verdict passes on the end of an execution and does with its job what the module answers.
-func (h *host) Verdict(v wire.Verdict) error {
+func (h *host) Verdict(v simproto.Verdict) error {
 	result, err := resultOf(v.Status)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 func (h *host) TickDue(uint32) error { return h.with(func(*router) error { return nil }) }
 
 // Probed is passed over: the module asks for no probes.
-func (h *host) Probed(_ wire.Server, status uint16, _ uint32, _ []float32) error {
+func (h *host) Probed(_ simproto.Server, status uint16, _ uint32, _ []float32) error {
 	if _, err := resultOf(status); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 func (h *host) Mail(uint32, []byte) error { return h.with(func(*router) error { return nil }) }
 
 // LoadResult passes on the answer to an order.
-func (h *host) LoadResult(s wire.Server, function uint64, status uint16, took uint32, held uint8) error {
+func (h *host) LoadResult(s simproto.Server, function uint64, status uint16, took uint32, held uint8) error {
 	result, err := resultOf(status)
 	if err != nil {
 		return err
--- a/internal/wire/bootinfo.go
+++ b/internal/simproto/bootinfo.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"encoding/json"
--- a/internal/wire/read.go
+++ b/internal/simproto/read.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the frames that the drill's simulator speaks.
+// Package simproto reads and writes the frames that the simulator speaks.
 // It knows the layout of each record and nothing of what the records mean.
-package wire
+package simproto
 
 import (
 	"encoding/binary"
--- a/internal/emulate/emulate.go
+++ b/internal/simulation/emulate.go
@@ -1,7 +1,7 @@
-// Package emulate plays days in simulated time: hundreds of unchanged cores, each with a decision module of its own, against the same
+// Package simulation plays days in simulated time: hundreds of unchanged cores, each with a decision module of its own, against the same
 // model servers that stand-ins run on sockets, with clients that retry, a shared store, network delays, partitions, and routers and
 // servers that freeze, die and come back. The same plan gives the same records, to the last byte, whatever the number of threads.
-package emulate
+package simulation
 
 import (
 	"encoding/binary"
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
 	"hollymast/internal/core"
-	"hollymast/internal/serving"
-	"hollymast/internal/storm"
+	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
+	"hollymast/internal/overload"
 )
 
 // Workload is one kind of jobs.
@@ -40,11 +40,11 @@
 	Kind  Kind
 	At    control.Micros
 	Lasts control.Micros
-	Which []int          // servers or routers
-	Apart []int          // Partition: the servers that the routers in Which don't reach
-	Fault serving.Faults // Fault: what the servers do
-	Slow  float64        // Store
-	Close bool           // Store
+	Which []int              // servers or routers
+	Apart []int              // Partition: the servers that the routers in Which don't reach
+	Fault modelserver.Faults // Fault: what the servers do
+	Slow  float64            // Store
+	Close bool               // Store
 }
 
 // Kind is a trouble's.
@@ -67,7 +67,7 @@
 	Seed       uint64
 	Routers    int
 	Deployment control.Deployment // Routers and Number are set here
-	Servers    []serving.Make
+	Servers    []modelserver.Make
 	Zones      []control.ZoneID // of servers; cells are the same
 	RouterZone []control.ZoneID
 	Workloads  []Workload
@@ -88,8 +88,8 @@
 
 // Result is a played day.
 type Result struct {
-	Records []audit.Record // in order of time
-	Hash    uint64         // of all records: two runs are alike if and only if (but for one chance in 2^64) their hashes are
+	Records []invariant.Record // in order of time
+	Hash    uint64             // of all records: two runs are alike if and only if (but for one chance in 2^64) their hashes are
 	Events  int
 	Turns   int
 	Effects []Effect // by call
@@ -175,7 +175,7 @@
 	for _, n := range w.engine.nodes {
 		res.Records = append(res.Records, n.log...)
 	}
-	slices.SortStableFunc(res.Records, func(a, b audit.Record) int { return int(a.At - b.At) })
+	slices.SortStableFunc(res.Records, func(a, b invariant.Record) int { return int(a.At - b.At) })
 	h := xxhash.New()
 	var b []byte
 	for _, r := range res.Records {
@@ -231,7 +231,7 @@
 	switch t.Kind {
 	case Fault:
 		servers(from, func(s *server) { s.model.Fail(t.Fault) })
-		servers(to, func(s *server) { s.model.Fail(serving.Faults{}) })
+		servers(to, func(s *server) { s.model.Fail(modelserver.Faults{}) })
 	case Crash:
 		servers(from, func(s *server) { s.model.Kill() })
 		back()
@@ -261,7 +261,7 @@
 type ground struct {
 	node  *node
 	w     *world
-	store *serving.Store
+	store *modelserver.Store
 	list  []control.Endpoint
 	told  []control.ServerState
 	stale int
@@ -270,7 +270,7 @@
 
 func newGround(w *world) *ground {
 	g := &ground{node: w.engine.node(w.plan.Seed), w: w}
-	g.store = serving.NewStore(g.node, w.plan.Fetch, w.plan.AtOnce)
+	g.store = modelserver.NewStore(g.node, w.plan.Fetch, w.plan.AtOnce)
 	for i := range w.plan.Servers {
 		zone := w.plan.Zones[i]
 		g.list = append(g.list, control.Endpoint{Server: serverID(i), State: control.Ready, Zone: zone, Cell: control.CellID(zone), Weight: 1})
@@ -295,7 +295,7 @@
 	for i, l := range g.list {
 		if g.told[i] != l.State {
 			g.told[i] = l.State
-			g.node.record(audit.Record{Kind: audit.Told, Server: i, Word: states[l.State]})
+			g.node.record(invariant.Record{Kind: invariant.Told, Server: i, Word: states[l.State]})
 		}
 	}
 	list := slices.DeleteFunc(slices.Clone(g.list), func(l control.Endpoint) bool { return l.State == control.Removed })
@@ -310,13 +310,13 @@
 // server is a model server on its node.
 type server struct {
 	node  *node
-	model *serving.Server
+	model *modelserver.Server
 	w     *world
 }
 
 func newServer(w *world, i int) *server {
 	s := &server{node: w.engine.node(w.plan.Seed), w: w}
-	s.model = serving.New(w.plan.Servers[i], s.node, s, s.node.record)
+	s.model = modelserver.New(w.plan.Servers[i], s.node, s, s.node.record)
 	return s
 }
 
@@ -334,7 +334,7 @@
 func functionID(name string) control.FunctionID { return control.FunctionID(xxhash.Sum64String(name)) }
 
 // watch gives a router its watch over storms; nil: it has none. Days here have no tenants.
-func (w *world) watch(now control.Micros, seed uint64) *storm.Watch {
+func (w *world) watch(now control.Micros, seed uint64) *overload.Watch {
 	if !w.plan.Damped {
 		return nil
 	}
@@ -342,7 +342,7 @@
 	for _, x := range w.plan.Workloads {
 		importances = append(importances, x.Importance)
 	}
-	return storm.NewWatch(now, nil, importances, w.plan.Deployment.MaxRetryAfter, seed)
+	return overload.NewWatch(now, nil, importances, w.plan.Deployment.MaxRetryAfter, seed)
 }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/emulate/emulate_test.go
+++ b/internal/simulation/emulate_test.go
@@ -1,12 +1,12 @@
-package emulate
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
-	"hollymast/internal/serving"
+	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
 )
 
 const second = control.Micros(1_000_000)
@@ -23,7 +23,7 @@
 		p.Deployment.Classes = append(p.Deployment.Classes, w.Told)
 	}
 	for i := range 4 {
-		p.Servers = append(p.Servers, serving.Make{Number: i, Copies: 20, Lanes: 2, Cores: 2, Work: 20_000, Queue: 20, Load: 50_000, Loads: 4, Window: 5 * second,
+		p.Servers = append(p.Servers, modelserver.Make{Number: i, Copies: 20, Lanes: 2, Cores: 2, Work: 20_000, Queue: 20, Load: 50_000, Loads: 4, Window: 5 * second,
 			Forgets: OnceMark, Cold: 2 * second, ColdFrom: 0.25, Fall: second, FallOver: 200, Seed: 1})
 		p.Zones = append(p.Zones, 0)
 	}
@@ -35,9 +35,9 @@
 	return p
 }
 
-func judge(p *Plan, res *Result) *audit.Verdict {
-	return audit.Judge(audit.Law{Grace: 500_000, Travel: 50_000, Cold: int64(p.Deployment.SlowStartDuration), ColdFrom: 0.25, Fall: int64(second), FallMultiple: 2, Rate: 100,
-		Zone: make([]string, 4), Cell: make([]string, 4), Workloads: map[string]audit.Workload{"once": {RunOnce: true}}}, res.Records)
+func judge(p *Plan, res *Result) *invariant.Verdict {
+	return invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Cold: int64(p.Deployment.SlowStartDuration), ColdFrom: 0.25, Fall: int64(second), FallMultiple: 2, Rate: 100,
+		Zone: make([]string, 4), Cell: make([]string, 4), Workloads: map[string]invariant.Workload{"once": {RunOnce: true}}}, res.Records)
 }
 
 // The same plan gives the same records on one, two and four threads, whatever goes wrong; another seed gives others.
@@ -65,8 +65,8 @@
 // Rules are kept and every call has its end, under each trouble alone.
 func TestRulesUnderEachTrouble(t *testing.T) {
 	for name, x := range map[string]Trouble{
-		"silent": {Kind: Fault, Which: []int{0, 1}, Fault: serving.Faults{Silent: true}}, "lost": {Kind: Fault, Which: []int{0, 1, 2, 3}, Fault: serving.Faults{Lost: 0.3}},
-		"reset": {Kind: Fault, Which: []int{0, 1}, Fault: serving.Faults{ResetPost: 0.5}}, "crash": {Kind: Crash, Which: []int{0, 1, 2}}, "deploy": {Kind: Deploy, Which: []int{0, 1}},
+		"silent": {Kind: Fault, Which: []int{0, 1}, Fault: modelserver.Faults{Silent: true}}, "lost": {Kind: Fault, Which: []int{0, 1, 2, 3}, Fault: modelserver.Faults{Lost: 0.3}},
+		"reset": {Kind: Fault, Which: []int{0, 1}, Fault: modelserver.Faults{ResetPost: 0.5}}, "crash": {Kind: Crash, Which: []int{0, 1, 2}}, "deploy": {Kind: Deploy, Which: []int{0, 1}},
 		"store": {Kind: Store, Close: true}, "frozen": {Kind: Freeze, Which: []int{0, 1, 2}}, "killed": {Kind: KillRouters, Which: []int{0, 1, 2}},
 		"partition": {Kind: Partition, Which: []int{0, 1}, Apart: []int{0, 1}},
 	} {
@@ -96,7 +96,7 @@
 	from, to := int64(epoch+second+20_000), int64(epoch+4*second)
 	got := map[bool]int{}
 	for _, r := range res.Records {
-		if r.Kind == audit.Received && r.At > from && r.At < to && r.Server < 2 {
+		if r.Kind == invariant.Received && r.At > from && r.At < to && r.Server < 2 {
 			got[r.Router == 0]++
 		}
 	}
--- a/internal/emulate/engine.go
+++ b/internal/simulation/engine.go
@@ -1,4 +1,4 @@
-package emulate
+package simulation
 
 import (
 	"container/heap"
@@ -6,7 +6,7 @@
 	"sync"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
+	"hollymast/internal/invariant"
 )
 
 // event is something that happens to one node. Events of a node are ordered by time, then by the node that they come from, then by
@@ -51,7 +51,7 @@
 	shard  *shard
 	count  uint64
 	chance *rand.Rand
-	log    []audit.Record
+	log    []invariant.Record
 }
 
 // shard is the part of the nodes that one thread runs, with what is still to happen to them.
@@ -114,7 +114,7 @@
 }
 
 // record notes something at this node's end of a wire.
-func (n *node) record(r audit.Record) {
+func (n *node) record(r invariant.Record) {
 	r.At = int64(n.Now())
 	n.log = append(n.log, r)
 }
--- a/internal/emulate/router.go
+++ b/internal/simulation/router.go
@@ -1,13 +1,13 @@
-package emulate
+package simulation
 
 import (
 	"slices"
 
 	"hollymast/control"
-	"hollymast/internal/audit"
 	"hollymast/internal/core"
-	"hollymast/internal/serving"
-	"hollymast/internal/storm"
+	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
+	"hollymast/internal/overload"
 )
 
 // router is one router: an unchanged core, and the outlet that carries out what it asks, as the gateway does on sockets.
@@ -16,7 +16,7 @@
 	node   *node
 	number int
 	core   *core.Core // nil: it is dead
-	watch  *storm.Watch
+	watch  *overload.Watch
 	life   uint64
 	thaws  control.Micros // until when it stands still
 	apart  []*Trouble     // partitions that keep servers from it
@@ -64,8 +64,8 @@
 	}
 	r.core, r.watch, r.jobs, r.open = core.New(decide, r), r.w.watch(now, seed), map[control.RequestID]*job{}, nil
 	if r.life > 0 {
-		r.node.record(audit.Record{Kind: audit.Renewed, Router: r.number})
-		r.node.record(audit.Record{Kind: audit.Back, Router: r.number})
+		r.node.record(invariant.Record{Kind: invariant.Renewed, Router: r.number})
+		r.node.record(invariant.Record{Kind: invariant.Back, Router: r.number})
 		r.core.UpdateEndpoints(now, control.FullUpdate, r.list)
 	}
 	r.life++
@@ -74,7 +74,7 @@
 
 // kill ends a life: connections break.
 func (r *router) kill() {
-	r.node.record(audit.Record{Kind: audit.Halted, Router: r.number})
+	r.node.record(invariant.Record{Kind: invariant.Halted, Router: r.number})
 	r.core = nil
 	for _, j := range r.open {
 		if !j.given {
@@ -86,9 +86,9 @@
 
 // freeze has it stand still; what comes meanwhile waits.
 func (r *router) freeze(until control.Micros) {
-	r.node.record(audit.Record{Kind: audit.Halted, Router: r.number})
+	r.node.record(invariant.Record{Kind: invariant.Halted, Router: r.number})
 	r.thaws = until
-	r.node.at(until, func() { r.node.record(audit.Record{Kind: audit.Back, Router: r.number}) })
+	r.node.at(until, func() { r.node.record(invariant.Record{Kind: invariant.Back, Router: r.number}) })
 }
 
 // hear has something happen in a turn, once the router runs and if it still lives as it did.
@@ -135,7 +135,7 @@
 		j := &job{try: t, workload: t.call.Workload}
 		f := functionID(t.call.Function)
 		if r.watch != nil {
-			if v := r.watch.Arrived(now, storm.Arrival{Repeat: t.marked(), Mark: t.mark(), Function: f, Importance: w.Importance}); !v.Admit {
+			if v := r.watch.Arrived(now, overload.Arrival{Repeat: t.marked(), Mark: t.mark(), Function: f, Importance: w.Importance}); !v.Admit {
 				r.answer(j, pushedBack, v.StayAway)
 				return
 			}
@@ -192,37 +192,37 @@
 	j.sendings = append(j.sendings, s)
 	j.out++
 	life, t := r.life, j.try
-	end := func(result control.Result, reply serving.Reply) {
+	end := func(result control.Result, reply modelserver.Reply) {
 		r.hear(life, func(now control.Micros) { r.executed(now, j, no, s, result, reply) })
 	}
-	r.node.After(allow, func() { end(control.TimedOut, serving.Reply{}) })
+	r.node.After(allow, func() { end(control.TimedOut, modelserver.Reply{}) })
 	if r.unreached(s.to) {
-		r.node.After(min(dialTime, allow), func() { end(control.ConnectFailed, serving.Reply{}) })
+		r.node.After(min(dialTime, allow), func() { end(control.ConnectFailed, modelserver.Reply{}) })
 		return
 	}
 	x := r.w.servers[s.to]
-	ask := serving.Ask{Job: t.name(), Effect: itoa(t.call.Number), Router: r.number, Function: t.call.Function, Mark: t.key()}
+	ask := modelserver.Ask{Job: t.name(), Effect: itoa(t.call.Number), Router: r.number, Function: t.call.Function, Mark: t.key()}
 	r.node.send(x.node, r.node.way(), func() {
-		back := func(result control.Result, reply serving.Reply) {
+		back := func(result control.Result, reply modelserver.Reply) {
 			x.node.send(r.node, x.node.way(), func() { end(result, reply) })
 		}
 		if !x.model.Alive() {
-			back(control.ConnectFailed, serving.Reply{})
+			back(control.ConnectFailed, modelserver.Reply{})
 			return
 		}
-		x.model.Infer(ask, func(reply serving.Reply) { back(results[reply.Ending], reply) })
+		x.model.Infer(ask, func(reply modelserver.Reply) { back(results[reply.Ending], reply) })
 	})
 }
 
-var results = map[serving.Ending]control.Result{serving.Done: control.Succeeded, serving.Full: control.Overloaded, serving.Missing: control.NotLoaded,
-	serving.Broken: control.ConnectionReset}
+var results = map[modelserver.Ending]control.Result{modelserver.Done: control.Succeeded, modelserver.Full: control.Overloaded, modelserver.Missing: control.NotLoaded,
+	modelserver.Broken: control.ConnectionReset}
 
 func (r *router) unreached(server int) bool {
 	return slices.ContainsFunc(r.apart, func(t *Trouble) bool { return slices.Contains(t.Apart, server) })
 }
 
 // executed takes in the end of an execution.
-func (r *router) executed(now control.Micros, j *job, no control.AttemptID, s *sending, result control.Result, reply serving.Reply) {
+func (r *router) executed(now control.Micros, j *job, no control.AttemptID, s *sending, result control.Result, reply modelserver.Reply) {
 	if s.ended {
 		return
 	}
@@ -264,7 +264,9 @@
 		return
 	}
 	r.node.After(0, func() {
-		r.hear(life, func(now control.Micros) { r.executed(now, j, no, j.sendings[no], control.Cancelled, serving.Reply{}) })
+		r.hear(life, func(now control.Micros) {
+			r.executed(now, j, no, j.sendings[no], control.Cancelled, modelserver.Reply{})
+		})
 	})
 }
 
@@ -294,7 +296,7 @@
 			back(control.ConnectFailed, -1)
 			return
 		}
-		x.model.Order(name, o.Replicas, r.number, func(reply serving.Reply) { back(results[reply.Ending], reply.Copies) })
+		x.model.Order(name, o.Replicas, r.number, func(reply modelserver.Reply) { back(results[reply.Ending], reply.Copies) })
 	})
 }
 
--- a/internal/trust/notes.go
+++ b/internal/tlspolicy/notes.go
@@ -1,4 +1,4 @@
-package trust
+package tlspolicy
 
 import "fmt"
 
--- a/internal/trust/pair.go
+++ b/internal/tlspolicy/pair.go
@@ -1,7 +1,7 @@
-// Package trust decides which certificate is in service and which peers are believed. It is free of I/O and clocks: texts of
+// Package tlspolicy decides which certificate is in service and which peers are believed. It is free of I/O and clocks: texts of
 // files or secrets and the time are given to it. Times are the wall clock's, in microseconds since 1970, since certificates
 // tell theirs by it.
-package trust
+package tlspolicy
 
 import (
 	"bytes"
--- a/internal/trust/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -1,4 +1,4 @@
-package trust
+package tlspolicy
 
 import (
 	"crypto/x509"
@@ -10,7 +10,7 @@
 	"time"
 
 	"hollymast/control"
-	"hollymast/internal/standin/authority"
+	"hollymast/internal/fakeserver/authority"
 )
 
 func at(t time.Time) control.Micros { return micros(t) }
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/fakeserver"
 	"hollymast/internal/membership"
 	"hollymast/internal/platformtest"
-	"hollymast/internal/standin"
 )
 
 const testGrace = 2 * time.Second
@@ -32,13 +32,13 @@
 func TestLookCrossesAnUnreadChange(t *testing.T) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			plane, err := standin.NewPlane()
+			plane, err := fakeserver.NewPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer plane.Stop()
 			tell := func(states ...string) {
-				plane.Change(func(cs map[string][]standin.Member) {
+				plane.Change(func(cs map[string][]fakeserver.Member) {
 					ms := members(healthy, healthy)
 					for i, s := range states {
 						if s == "draining" {
@@ -119,7 +119,7 @@
 // A control plane that breaks off before it has answered is asked again within half the grace, however long it was down before;
 // one that can't be reached is asked less and less often.
 func TestBreakBeforeTheAnswer(t *testing.T) {
-	plane, err := standin.NewPlane()
+	plane, err := fakeserver.NewPlane()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xds/gather.go
+++ b/internal/xds/gather.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"hollymast/control"
-	"hollymast/internal/loads"
+	"hollymast/internal/loadreport"
 )
 
 // gatherEvery is how often those who follow our view are asked for their loads: as often as somebody looks at a page.
@@ -20,7 +20,7 @@
 type gatherer struct {
 	lrs.UnimplementedLoadReportingServiceServer
 	mu  sync.Mutex
-	got *loads.Gathered
+	got *loadreport.Gathered
 }
 
 // StreamLoadStats asks one follower for all its loads and keeps its latest until it goes.
@@ -57,7 +57,7 @@
 }
 
 // Others gives what those who follow the view last reported, summed by server, and how many they are.
-func (v *View) Others() (lines []loads.Line, nodes int) {
+func (v *View) Others() (lines []loadreport.Line, nodes int) {
 	v.gatherer.mu.Lock()
 	defer v.gatherer.mu.Unlock()
 	return v.gatherer.got.Sum()
--- a/internal/xds/reports.go
+++ b/internal/xds/reports.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"hollymast/control"
-	"hollymast/internal/loads"
+	"hollymast/internal/loadreport"
 )
 
 // allClusters tells a control plane that it may ask for all clusters at once.
@@ -22,16 +22,16 @@
 
 // Counted is where reports come from.
 type Counted interface {
-	Take(now control.Micros) loads.Report // what was counted since the last
-	Places() map[string]loads.Place       // of the servers that a control plane lists
-	Services() map[string]string          // the name under which a cluster's endpoints are asked for, where it is another
+	Take(now control.Micros) loadreport.Report // what was counted since the last
+	Places() map[string]loadreport.Place       // of the servers that a control plane lists
+	Services() map[string]string               // the name under which a cluster's endpoints are asked for, where it is another
 }
 
 // Reports is the client's side of load reporting (LRS): the control plane asks for clusters at an interval, and is told.
 type Reports struct {
 	node    *core.Node
 	counted Counted
-	pace    loads.Pace
+	pace    loadreport.Pace
 }
 
 // NewReports gives one that reports what is counted.
@@ -55,7 +55,7 @@
 	if !ok {
 		return nil
 	}
-	a := loads.Asked{All: x.SendAllClusters, Clusters: map[string]bool{}, Endpoints: x.ReportEndpointGranularity}
+	a := loadreport.Asked{All: x.SendAllClusters, Clusters: map[string]bool{}, Endpoints: x.ReportEndpointGranularity}
 	for _, c := range x.Clusters {
 		a.Clusters[c] = true
 	}
@@ -91,16 +91,16 @@
 
 // clusters gives a report in the protocol's form: by cluster, then by locality and priority. Servers of clusters that are not
 // asked for are left out, and so are those that no cluster names any more.
-func (r *Reports) clusters(report loads.Report) []*endpoint.ClusterStats {
+func (r *Reports) clusters(report loadreport.Report) []*endpoint.ClusterStats {
 	asked, places, services := r.pace.Wants(), r.counted.Places(), r.counted.Services()
-	by := map[string]map[loads.Place][]loads.Line{}
+	by := map[string]map[loadreport.Place][]loadreport.Line{}
 	for _, l := range report.Lines {
 		at, known := places[l.Address]
 		if !known || !asked.All && !asked.Clusters[at.Cluster] {
 			continue
 		}
 		if by[at.Cluster] == nil {
-			by[at.Cluster] = map[loads.Place][]loads.Line{}
+			by[at.Cluster] = map[loadreport.Place][]loadreport.Line{}
 		}
 		by[at.Cluster][at] = append(by[at.Cluster][at], l)
 	}
@@ -108,7 +108,7 @@
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: &durationpb.Duration{
 			Seconds: int64(report.To-report.From) / 1e6, Nanos: int32(int64(report.To-report.From) % 1e6 * 1000)}}
-		in := slices.SortedFunc(maps.Keys(by[name]), func(a, b loads.Place) int {
+		in := slices.SortedFunc(maps.Keys(by[name]), func(a, b loadreport.Place) int {
 			return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
 		})
 		for _, at := range in {
@@ -119,9 +119,9 @@
 	return out
 }
 
-func locality(at loads.Place, lines []loads.Line, each bool) *endpoint.UpstreamLocalityStats {
+func locality(at loadreport.Place, lines []loadreport.Line, each bool) *endpoint.UpstreamLocalityStats {
 	s := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
-	var f loads.Figures
+	var f loadreport.Figures
 	for _, l := range lines {
 		s.TotalIssuedRequests += l.Issued
 		s.TotalSuccessfulRequests += l.Finished
@@ -146,7 +146,7 @@
 	pinnedMetric = "named_metrics.pinned"
 )
 
-func metrics(f loads.Figures) []*endpoint.EndpointLoadMetricStats {
+func metrics(f loadreport.Figures) []*endpoint.EndpointLoadMetricStats {
 	if f.Answers == 0 {
 		return nil
 	}
@@ -172,8 +172,8 @@
 }
 
 // readReport reads what a follower tells of servers, of endpoints alone: sums can't be added to those of others by server.
-func readReport(cs []*endpoint.ClusterStats, now control.Micros) loads.Report {
-	r := loads.Report{To: now}
+func readReport(cs []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
+	r := loadreport.Report{To: now}
 	for _, c := range cs {
 		for _, l := range c.GetUpstreamLocalityStats() {
 			for _, e := range l.GetUpstreamEndpointStats() {
@@ -181,8 +181,8 @@
 				if a == nil {
 					continue
 				}
-				line := loads.Line{Address: net.JoinHostPort(a.GetAddress(), strconv.FormatUint(uint64(a.GetPortValue()), 10)), InFlight: e.GetTotalRequestsInProgress(),
-					Counts: loads.Counts{Issued: e.GetTotalIssuedRequests(), Finished: e.GetTotalSuccessfulRequests(), Errored: e.GetTotalErrorRequests()}}
+				line := loadreport.Line{Address: net.JoinHostPort(a.GetAddress(), strconv.FormatUint(uint64(a.GetPortValue()), 10)), InFlight: e.GetTotalRequestsInProgress(),
+					Counts: loadreport.Counts{Issued: e.GetTotalIssuedRequests(), Finished: e.GetTotalSuccessfulRequests(), Errored: e.GetTotalErrorRequests()}}
 				for _, m := range e.GetLoadMetricStats() {
 					switch line.Answers = max(line.Answers, m.GetNumRequestsFinishedWithMetric()); m.GetMetricName() {
 					case utilMetric:
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -16,15 +16,15 @@
 	"google.golang.org/protobuf/types/known/anypb"
 
 	"hollymast/control"
+	"hollymast/internal/fakeserver"
 	"hollymast/internal/fleet"
 	"hollymast/internal/membership"
-	"hollymast/internal/standin"
 )
 
 // scene is a follower of a pretend control plane over real streams.
 type scene struct {
 	t       *testing.T
-	plane   *standin.Plane
+	plane   *fakeserver.Plane
 	mu      sync.Mutex
 	list    map[string]control.ServerState
 	fewest  int // servers ready at any change since it was set
@@ -38,7 +38,7 @@
 func both(t *testing.T, f func(t *testing.T, s *scene)) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			plane, err := standin.NewPlane()
+			plane, err := fakeserver.NewPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,10 +113,10 @@
 	return false
 }
 
-func members(states ...core.HealthStatus) []standin.Member {
-	var ms []standin.Member
+func members(states ...core.HealthStatus) []fakeserver.Member {
+	var ms []fakeserver.Member
 	for i, h := range states {
-		ms = append(ms, standin.Member{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
+		ms = append(ms, fakeserver.Member{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
 	}
 	return ms
 }
@@ -124,8 +124,8 @@
 const healthy, draining = core.HealthStatus_HEALTHY, core.HealthStatus_DRAINING
 
 // tell has the plane tell one cluster.
-func (s *scene) tell(name string, ms []standin.Member) {
-	s.plane.Change(func(cs map[string][]standin.Member) { cs[name] = ms })
+func (s *scene) tell(name string, ms []fakeserver.Member) {
+	s.plane.Change(func(cs map[string][]fakeserver.Member) { cs[name] = ms })
 }
 
 func TestClustersThenEndpointsThenChanges(t *testing.T) {
@@ -134,9 +134,9 @@
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, draining, healthy))
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		s.tell("two", []standin.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
+		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Change(func(cs map[string][]standin.Member) { delete(cs, "two") })
+		s.plane.Change(func(cs map[string][]fakeserver.Member) { delete(cs, "two") })
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if acks, streams, nacks := s.plane.Counts(); acks < 5 || streams != 1 || len(nacks) > 0 {
 			t.Errorf("%d acks on %d streams, nacks %q", acks, streams, nacks)
@@ -146,15 +146,15 @@
 
 // What is bad is refused whole with its reason and changes nothing; the next good one is taken.
 func TestBadUpdatesAreRefused(t *testing.T) {
-	bad := standin.Assignment("one", members(healthy))
+	bad := fakeserver.Assignment("one", members(healthy))
 	bad.Endpoints[0].LbEndpoints[0].GetEndpoint().Address.GetSocketAddress().PortSpecifier = &core.SocketAddress_PortValue{PortValue: 0}
-	twice := standin.Any(standin.Assignment("one", members(draining)))
-	born := standin.Assignment("one", []standin.Member{{Address: "127.0.0.1:80", Born: "yesterday"}})
+	twice := fakeserver.Any(fakeserver.Assignment("one", members(draining)))
+	born := fakeserver.Assignment("one", []fakeserver.Member{{Address: "127.0.0.1:80", Born: "yesterday"}})
 	for i, c := range []struct {
 		resources []*anypb.Any
 		why       string
-	}{{[]*anypb.Any{standin.Any(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
-		{[]*anypb.Any{standin.Any(born)}, "no time"}, {[]*anypb.Any{standin.Any(&cluster.Cluster{Name: "x"})}, "can't be read"},
+	}{{[]*anypb.Any{fakeserver.Any(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
+		{[]*anypb.Any{fakeserver.Any(born)}, "no time"}, {[]*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "x"})}, "can't be read"},
 		{[]*anypb.Any{{TypeUrl: EndpointType, Value: []byte{1, 2, 3}}}, "can't be read"}} {
 		both(t, func(t *testing.T, s *scene) {
 			s.tell("one", members(healthy, healthy))
@@ -186,10 +186,10 @@
 func TestStreamCut(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []standin.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
 		s.plane.Stall(true)
-		s.plane.Change(func(cs map[string][]standin.Member) {
+		s.plane.Change(func(cs map[string][]fakeserver.Member) {
 			delete(cs, "two")
 			cs["one"] = members(healthy, draining, healthy)
 		})
@@ -234,7 +234,7 @@
 	both(t, func(t *testing.T, s *scene) {
 		s.plane.Hide("two", true)
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []standin.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, healthy, draining))
 		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80")
@@ -252,7 +252,7 @@
 		s.fewest = 2
 		s.mu.Unlock()
 		for i := range 5 {
-			s.plane.Change(func(cs map[string][]standin.Member) {
+			s.plane.Change(func(cs map[string][]fakeserver.Member) {
 				clear(cs)
 				cs[fmt.Sprint("new", i)] = members(healthy, healthy)
 			})
@@ -271,11 +271,11 @@
 func TestWarmingEnds(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("old", members(healthy))
-		s.tell("stays", []standin.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("stays", []fakeserver.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.8:80", "127.0.0.9:80")
 		s.plane.Hide("new", true)
 		begun := time.Now()
-		s.plane.Change(func(cs map[string][]standin.Member) {
+		s.plane.Change(func(cs map[string][]fakeserver.Member) {
 			delete(cs, "old")
 			cs["new"] = members(healthy)
 		})
@@ -290,11 +290,11 @@
 	f := NewFollower(membership.New(membership.Usual), "r", "", false, Usual)
 	f.Connected(1)
 	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
-		standin.Any(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
-		standin.Any(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
-			LoadAssignment: standin.Assignment("ring", members(healthy))})}})
+		fakeserver.Any(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
+		fakeserver.Any(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
+			LoadAssignment: fakeserver.Assignment("ring", members(healthy))})}})
 	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
-		standin.Any(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
+		fakeserver.Any(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
 	notes := strings.Join(f.Notes(), "\n")
 	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.Refused > 0 {
 		t.Errorf("got %+v, %s", list, notes)
@@ -304,11 +304,11 @@
 func TestBoundsOfWhatIsAccepted(t *testing.T) {
 	f := NewFollower(membership.New(membership.Usual), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
-	many := []*anypb.Any{standin.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
-		standin.Any(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
+	many := []*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
+		fakeserver.Any(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
 	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
 	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
-	f.Heard(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{standin.Any(standin.Assignment("a", members(healthy, healthy, healthy)))}})
+	f.Heard(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.Any(fakeserver.Assignment("a", members(healthy, healthy, healthy)))}})
 	if f.Refused != 2 || f.Accepted != 1 || len(f.members.List()) != 0 {
 		t.Errorf("%d refused, %d accepted", f.Refused, f.Accepted)
 	}
@@ -321,7 +321,7 @@
 	if first.VersionInfo != "" || first.ResponseNonce != "" || first.Node.GetId() != "r" || len(first.ResourceNames) > 0 {
 		t.Errorf("first: %+v", first)
 	}
-	one := standin.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
+	one := fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
 	out := f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
 	ack, eds := out[0].(*discovery.DiscoveryRequest), out[1].(*discovery.DiscoveryRequest)
 	if ack.VersionInfo != "7" || ack.ResponseNonce != "n1" || ack.ErrorDetail != nil || eds.TypeUrl != EndpointType || !slices.Equal(eds.ResourceNames, []string{"a"}) {
