--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -10,48 +10,48 @@
 // UpdateEndpoints applies an update of the endpoint list. A later StartedAt than the known one means that the server
 // restarted: it holds no replicas and is in slow start. A failed update keeps the list and makes Maintain ask for a
 // new subscription.
-func (r *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, endpoints []Endpoint) {
+func (b *Balancer) UpdateEndpoints(now Micros, kind UpdateKind, endpoints []Endpoint) {
 	if kind == FailedUpdate {
-		r.subscribed = false
+		b.subscribed = false
 		return
 	}
-	previous := r.index.listedAt
-	r.index.listedAt = now
+	previous := b.index.listedAt
+	b.index.listedAt = now
 	if kind != IncrementalUpdate {
-		for _, s := range r.servers {
+		for _, s := range b.servers {
 			s.listed = false
 		}
 	}
 	for _, ep := range endpoints {
-		i, known := r.find(ep.Server)
+		i, known := b.find(ep.Server)
 		if !known {
-			r.addServer(i, &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now})
+			b.addServer(i, &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now})
 		}
-		s := r.servers[i]
+		s := b.servers[i]
 		if known && ep.StartedAt > s.StartedAt {
-			r.dropInstances(s, ep.StartedAt)
+			b.dropInstances(s, ep.StartedAt)
 			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
 		}
 		s.Endpoint, s.listed = ep, true
 	}
 	if kind == IncrementalUpdate {
 		for _, ep := range endpoints {
-			i, _ := r.find(ep.Server)
-			r.reindexServer(previous, r.servers[i])
+			i, _ := b.find(ep.Server)
+			b.reindexServer(previous, b.servers[i])
 		}
 		return
 	}
-	for _, s := range r.servers {
+	for _, s := range b.servers {
 		if !s.listed {
 			s.State = Removed
 		}
-		r.reindexServer(previous, s)
+		b.reindexServer(previous, s)
 	}
 }
 
 // dropInstances drops what is believed of a server's replicas from before its start, because a restarted server holds
 // none.
-func (r *Balancer) dropInstances(s *server, startedAt Micros) {
+func (b *Balancer) dropInstances(s *server, startedAt Micros) {
 	for _, f := range s.functions {
 		if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < startedAt {
 			inst.replicas, inst.loading = 0, 0
@@ -60,8 +60,8 @@
 }
 
 // find returns the position of a server in r.servers, or where it would be inserted.
-func (r *Balancer) find(id ServerID) (int, bool) {
-	return slices.BinarySearchFunc(r.servers, id,
+func (b *Balancer) find(id ServerID) (int, bool) {
+	return slices.BinarySearchFunc(b.servers, id,
 		func(s *server, id ServerID) int { return cmp.Compare(s.Server, id) })
 }
 
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -10,16 +10,16 @@
 // execTime estimates a function's execution time: the request's hint, else the mean of the latest answers from loaded
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
 // uses those of the request's class.
-func (r *Balancer) execTime(f *function, req *Request) Micros {
+func (b *Balancer) execTime(f *function, req *Request) Micros {
 	if req.Work > 0 {
 		return req.Work
 	}
 	const minSamples = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
 	if s.n < minSamples {
-		if s = &r.execTimes[req.Class]; s.n < minSamples {
+		if s = &b.execTimes[req.Class]; s.n < minSamples {
 			// Before any answer: a guess that makes B 3.
-			return r.deployment.Classes[req.Class].LatencyObjective / 4
+			return b.deployment.Classes[req.Class].LatencyObjective / 4
 		}
 	}
 	sorted := s.since(0)
@@ -30,16 +30,16 @@
 
 // loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
 // objective of the first class. The request may be nil.
-func (r *Balancer) loadTime(req *Request) Micros {
+func (b *Balancer) loadTime(req *Request) Micros {
 	if req != nil && req.LoadTime > 0 {
 		return req.LoadTime
 	}
-	return cmp.Or(r.loadTimes.mean(0), r.deployment.Classes[0].LatencyObjective)
+	return cmp.Or(b.loadTimes.mean(0), b.deployment.Classes[0].LatencyObjective)
 }
 
 // latencyObjective returns a request's latency objective, which may grow with its execution time.
-func (r *Balancer) latencyObjective(req *Request, exec Micros) Micros {
-	class := r.deployment.Classes[req.Class]
+func (b *Balancer) latencyObjective(req *Request, exec Micros) Micros {
+	class := b.deployment.Classes[req.Class]
 	return class.LatencyObjective + Micros(class.ObjectivePerWork*float64(exec))
 }
 
--- a/control/index.go
+++ b/control/index.go
@@ -30,15 +30,15 @@
 func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
 
 // addServer inserts a new server at index i.
-func (r *Balancer) addServer(i int, s *server) {
-	r.servers, r.index.ids = slices.Insert(r.servers, i, s), slices.Insert(r.index.ids, i, s.Server)
+func (b *Balancer) addServer(i int, s *server) {
+	b.servers, b.index.ids = slices.Insert(b.servers, i, s), slices.Insert(b.index.ids, i, s.Server)
 }
 
 // removeServer forgets a removed server. The caller deletes it from index.removed.
-func (r *Balancer) removeServer(s *server) {
-	idx := &r.index
-	if i, found := r.find(s.Server); found {
-		r.servers, idx.ids = slices.Delete(r.servers, i, i+1), slices.Delete(idx.ids, i, i+1)
+func (b *Balancer) removeServer(s *server) {
+	idx := &b.index
+	if i, found := b.find(s.Server); found {
+		b.servers, idx.ids = slices.Delete(b.servers, i, i+1), slices.Delete(idx.ids, i, i+1)
 	}
 	if i, found := slices.BinarySearch(idx.notReady, s.Server); found {
 		idx.notReady = slices.Delete(idx.notReady, i, i+1)
@@ -83,8 +83,8 @@
 
 // reindexServer applies what an endpoint list has changed about a server; previousListing is when the list
 // before it was applied.
-func (r *Balancer) reindexServer(previousListing Micros, s *server) {
-	idx := &r.index
+func (b *Balancer) reindexServer(previousListing Micros, s *server) {
+	idx := &b.index
 	switch listed := s.State != Removed; {
 	case listed && !s.present:
 		idx.removed = deleteSorted(idx.removed, s, byRemoval)
@@ -111,7 +111,7 @@
 		s.weight = weight
 		idx.noteChange(s.Server)
 	}
-	if s.State == Ready && r.capacity(idx.listedAt, s) != 1 {
+	if s.State == Ready && b.capacity(idx.listedAt, s) != 1 {
 		idx.inSlowStart = insertSorted(idx.inSlowStart, s, byID)
 	} else {
 		idx.inSlowStart = deleteSorted(idx.inSlowStart, s, byID)
@@ -140,33 +140,33 @@
 }
 
 // lastListed returns when a server was last on the endpoint list.
-func (r *Balancer) lastListed(s *server) Micros {
+func (b *Balancer) lastListed(s *server) Micros {
 	if s.present {
-		return r.index.listedAt
+		return b.index.listedAt
 	}
 	return s.lastListed
 }
 
 // rebuildIndex derives the index from the rest of the state.
-func (r *Balancer) rebuildIndex() {
-	r.index = index{}
-	for _, s := range r.servers {
+func (b *Balancer) rebuildIndex() {
+	b.index = index{}
+	for _, s := range b.servers {
 		s.weight, s.present, s.questionable, s.functions = 0, false, false, nil
-		r.index.ids = append(r.index.ids, s.Server)
+		b.index.ids = append(b.index.ids, s.Server)
 		if s.State != Removed {
-			r.index.listedAt = max(r.index.listedAt, s.lastListed)
+			b.index.listedAt = max(b.index.listedAt, s.lastListed)
 		}
 	}
-	for _, s := range r.servers {
-		r.reindexServer(r.index.listedAt, s)
+	for _, s := range b.servers {
+		b.reindexServer(b.index.listedAt, s)
 		if len(s.inFlight) > 0 {
-			r.index.busy = append(r.index.busy, s)
+			b.index.busy = append(b.index.busy, s)
 		}
 		if s.ejected || s.backoffUntil > 0 {
-			r.index.markQuestionable(s)
+			b.index.markQuestionable(s)
 		}
 	}
-	for _, f := range r.functionOrder {
+	for _, f := range b.functionOrder {
 		f.ranking = ranking{}
 		for _, inst := range f.instances {
 			inst.server.addFunction(f)
--- a/control/instances.go
+++ b/control/instances.go
@@ -52,12 +52,12 @@
 
 // function returns the entry for the request's function, which it adds if needed, and records the request as its
 // latest.
-func (r *Balancer) function(req *Request) *function {
-	f := r.functions[req.Function]
+func (b *Balancer) function(req *Request) *function {
+	f := b.functions[req.Function]
 	if f == nil {
 		f = &function{id: req.Function}
-		r.functions[req.Function] = f
-		r.functionOrder = append(r.functionOrder, f)
+		b.functions[req.Function] = f
+		b.functionOrder = append(b.functionOrder, f)
 	}
 	f.lanes, f.lastRequest = max(1, req.Lanes), req
 	return f
@@ -65,12 +65,12 @@
 
 // loaded reports whether an instance's replicas are believed loaded. Without use they count as unloaded after the
 // configured keep-alive time.
-func (r *Balancer) loaded(now Micros, inst *instance) bool {
-	return inst.replicas > 0 && (inst.inFlight > 0 || now < inst.lastUsed+r.deployment.KeepAlive)
+func (b *Balancer) loaded(now Micros, inst *instance) bool {
+	return inst.replicas > 0 && (inst.inFlight > 0 || now < inst.lastUsed+b.deployment.KeepAlive)
 }
 
 // loading reports whether replicas are believed to be loading. It guards against loads whose end is never reported:
 // after four times the usual load time a load counts as lost.
-func (r *Balancer) loading(now Micros, inst *instance) bool {
-	return inst.loading > 0 && now < inst.loadingSince+4*r.loadTime(nil)
+func (b *Balancer) loading(now Micros, inst *instance) bool {
+	return inst.loading > 0 && now < inst.loadingSince+4*b.loadTime(nil)
 }
--- a/control/learned.go
+++ b/control/learned.go
@@ -6,17 +6,17 @@
 // else. Limits count whatever their age; load commands and attempts with a time in the future, after the clock was set
 // back, count as of now, since they may be recent. Beliefs about replicas expire as they would have without the
 // restart. Execution and load times are not part of it (docs/persistence.md).
-func (r *Balancer) ApplyLearned(now Micros, state *LearnedState) {
+func (b *Balancer) ApplyLearned(now Micros, state *LearnedState) {
 	const recently = 60_000_000 // six times as long as answers count, see updateAnswerRate
-	r.loadCommands, r.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
+	b.loadCommands, b.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
 	if now >= state.SavedAt && now < state.SavedAt+recently {
-		r.answers, r.startedAt = dropAfter(state.Answers, now), min(now, state.StartedAt)
+		b.answers, b.startedAt = dropAfter(state.Answers, now), min(now, state.StartedAt)
 	}
-	for i := range min(len(r.quotaDebt), len(state.QuotaDebt)) {
-		r.quotaDebt[i] = min(state.QuotaDebt[i], now+2_000_000) // see exceedsQuota
+	for i := range min(len(b.quotaDebt), len(state.QuotaDebt)) {
+		b.quotaDebt[i] = min(state.QuotaDebt[i], now+2_000_000) // see exceedsQuota
 	}
 	for _, v := range state.Servers {
-		r.servers = append(r.servers, &server{
+		b.servers = append(b.servers, &server{
 			Endpoint:       Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)},
 			lastListed:     now,
 			lastAnswer:     now,
@@ -24,18 +24,18 @@
 		})
 	}
 	for _, v := range state.Functions {
-		f := r.function(&Request{Function: v.ID, Lanes: v.Lanes})
+		f := b.function(&Request{Function: v.ID, Lanes: v.Lanes})
 		for _, c := range v.Instances {
-			if i, known := r.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
-				inst := instance{server: r.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
+			if i, known := b.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
+				inst := instance{server: b.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
 					loading: c.Loading, loadingSince: c.LoadingSince}
-				if r.loaded(now, &inst) || r.loading(now, &inst) {
+				if b.loaded(now, &inst) || b.loading(now, &inst) {
 					*f.instanceOn(inst.server, true) = inst
 				}
 			}
 		}
 	}
-	r.rebuildIndex()
+	b.rebuildIndex()
 }
 
 // LearnedState is what a router learned that a later incarnation may use, in plain values with the times at which they
@@ -76,23 +76,23 @@
 
 // LearnedState returns what is worth saving. It leaves out functions without a replica that is believed loaded or
 // loading. The result shares no memory with the balancer.
-func (r *Balancer) LearnedState(now Micros) *LearnedState {
+func (b *Balancer) LearnedState(now Micros) *LearnedState {
 	state := &LearnedState{
 		SavedAt:      now,
-		StartedAt:    r.startedAt,
-		QuotaDebt:    slices.Clone(r.quotaDebt),
-		LoadCommands: slices.Clone(r.loadCommands),
-		Admitted:     slices.Clone(r.admitted),
-		Answers:      slices.Clone(r.answers),
+		StartedAt:    b.startedAt,
+		QuotaDebt:    slices.Clone(b.quotaDebt),
+		LoadCommands: slices.Clone(b.loadCommands),
+		Admitted:     slices.Clone(b.admitted),
+		Answers:      slices.Clone(b.answers),
 	}
-	for _, s := range r.servers {
-		sends := dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow)
+	for _, s := range b.servers {
+		sends := dropBefore(s.slowStartSends, now-b.deployment.OverloadWindow)
 		state.Servers = append(state.Servers, LearnedServer{s.Server, s.StartedAt, slices.Clone(sends)})
 	}
-	for _, f := range r.functionOrder {
+	for _, f := range b.functionOrder {
 		learned := LearnedFunction{ID: f.id, Lanes: f.lanes}
 		for _, inst := range f.instances {
-			if r.loaded(now, inst) || r.loading(now, inst) {
+			if b.loaded(now, inst) || b.loading(now, inst) {
 				learned.Instances = append(learned.Instances,
 					LearnedInstance{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince})
 			}
--- a/control/loading.go
+++ b/control/loading.go
@@ -25,7 +25,7 @@
 // homes, which each router orders by its own number: this guards against all routers crowding onto one replica. An
 // additional replica goes to the candidate with the fewest of them, and only if three quarters of that server are
 // free: in a full fleet it would only take capacity from other functions.
-func (r *Balancer) loadTarget(now Micros, f *function, req *Request, purpose loadPurpose) *server {
+func (b *Balancer) loadTarget(now Micros, f *function, req *Request, purpose loadPurpose) *server {
 	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
 	const maxPending = 8
 	acceptsLoads := func(s *server) bool {
@@ -33,21 +33,21 @@
 			!(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	cs, ranked := []candidate(nil), false
-	if r.deployment.Routers > 1 && r.homeCount(f, len(r.index.ids)-len(r.index.notReady)) == 1 {
-		cs, ranked = r.firstTwoByRanking(now, f, req)
+	if b.deployment.Routers > 1 && b.homeCount(f, len(b.index.ids)-len(b.index.notReady)) == 1 {
+		cs, ranked = b.firstTwoByRanking(now, f, req)
 	}
 	if !ranked {
-		if r.deployment.Routers == 1 && !slices.ContainsFunc(r.servers, func(s *server) bool {
-			return acceptsLoads(s) && r.usableUnchanged(now, s, req)
+		if b.deployment.Routers == 1 && !slices.ContainsFunc(b.servers, func(s *server) bool {
+			return acceptsLoads(s) && b.usableUnchanged(now, s, req)
 		}) {
 			return nil // bounds the work of an iteration with many held requests
 		}
-		cs = r.candidatesInOrder(now, f, req)
+		cs = b.candidatesInOrder(now, f, req)
 	}
 	var best *server
 	fewest := math.MaxInt
 	near := len(cs)
-	if r.deployment.Routers > 1 {
+	if b.deployment.Routers > 1 {
 		near = min(near, 2) // one candidate alone would block while its server is stuck
 	}
 	for _, c := range cs[:near] {
@@ -72,24 +72,24 @@
 }
 
 // homeCount returns how many of the usable servers are homes of a function.
-func (r *Balancer) homeCount(f *function, usable int) int {
+func (b *Balancer) homeCount(f *function, usable int) int {
 	const homesPerServer = 2 // homes per server's worth of requests, so that a home takes half of its server's load
 	const minRequests = 32   // requests needed to estimate a share; the current one says nothing
-	share := float64(f.recent-1) / float64(max(minRequests, len(r.recent)))
+	share := float64(f.recent-1) / float64(max(minRequests, len(b.recent)))
 	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
 }
 
 // candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
-func (r *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
-	cs, n := r.nearestHomes(now, f, req)
+func (b *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
+	cs, n := b.nearestHomes(now, f, req)
 	near := cs
-	if r.deployment.Routers > 1 {
+	if b.deployment.Routers > 1 {
 		near = cs[:min(len(cs), 2)]
 	}
 	homes := cs[:n]
 	partitionLowest(cs, len(homes))
 	for i, c := range homes {
-		homes[i].key = rankKey(hash(uint64(f.id), uint64(r.deployment.Number)+1), c.server.Server, c.weight)
+		homes[i].key = rankKey(hash(uint64(f.id), uint64(b.deployment.Number)+1), c.server.Server, c.weight)
 	}
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
 	if len(near) <= len(homes) {
@@ -108,28 +108,28 @@
 // load command precedes it only for an additional replica. Where only load commands load, a request whose command
 // the load-rate limit denies is forwarded once without it: another router may have loaded the function, and a miss
 // is known not to have run.
-func (r *Balancer) startLoad(now Micros, f *function, req *Request, s *server) Decision {
+func (b *Balancer) startLoad(now Micros, f *function, req *Request, s *server) Decision {
 	inst := f.instanceOn(s, true)
-	if !r.loaded(now, inst) {
+	if !b.loaded(now, inst) {
 		inst.replicas = 0
 	}
-	if !r.loading(now, inst) {
+	if !b.loading(now, inst) {
 		inst.loading = 0
 	}
-	if r.deployment.LoadsOnMiss && inst.replicas+inst.loading == 0 {
+	if b.deployment.LoadsOnMiss && inst.replicas+inst.loading == 0 {
 		inst.loading, inst.loadingSince = 1, now
-		return r.forward(now, f, req, inst)
+		return b.forward(now, f, req, inst)
 	}
-	commanded := r.deployment.LoadCommands && r.loadCommandAllowed(now)
-	if !commanded && !r.deployment.LoadsOnMiss && len(req.Attempts) == 0 {
-		return r.forward(now, f, req, inst)
+	commanded := b.deployment.LoadCommands && b.loadCommandAllowed(now)
+	if !commanded && !b.deployment.LoadsOnMiss && len(req.Attempts) == 0 {
+		return b.forward(now, f, req, inst)
 	} else if !commanded {
-		return Decision{Action: Hold, Rank: r.Rank(now, req), RecheckAt: now + maintenanceInterval}
+		return Decision{Action: Hold, Rank: b.Rank(now, req), RecheckAt: now + maintenanceInterval}
 	}
-	d := Decision{Action: Hold, Rank: r.Rank(now, req), RecheckAt: now + 30_000}
+	d := Decision{Action: Hold, Rank: b.Rank(now, req), RecheckAt: now + 30_000}
 	inst.loading, inst.loadingSince = inst.loading+1, now
-	if r.deployment.LoadsOnMiss { // otherwise a request would overtake its load command and miss
-		d = r.forward(now, f, req, inst)
+	if b.deployment.LoadsOnMiss { // otherwise a request would overtake its load command and miss
+		d = b.forward(now, f, req, inst)
 	}
 	d.LoadCommands = []LoadCommand{{s.Server, f.id, min(16, inst.replicas+inst.loading)}}
 	return d
@@ -137,18 +137,18 @@
 
 // loadCommandAllowed enforces the load-rate limit (rule 5 of docs/design.md) and counts the command if it is
 // allowed.
-func (r *Balancer) loadCommandAllowed(now Micros) bool {
-	if r.deployment.LoadRateWindow > 0 {
+func (b *Balancer) loadCommandAllowed(now Micros) bool {
+	if b.deployment.LoadRateWindow > 0 {
 		// An earlier command may be written late, this one at once: the window is wider for commands than for
 		// requests.
-		windowStart, delay := now-r.deployment.LoadRateWindow, r.deployment.MaxCommandDelay
-		r.loadCommands = dropBefore(r.loadCommands, windowStart-delay)
-		r.admitted = dropBefore(r.admitted, windowStart+max(r.deployment.Tick, delay))
-		allowed := r.deployment.LoadRateBase + r.deployment.LoadRatePerRequest*float64(len(r.admitted))
-		if float64(len(r.loadCommands)+1) > allowed {
+		windowStart, delay := now-b.deployment.LoadRateWindow, b.deployment.MaxCommandDelay
+		b.loadCommands = dropBefore(b.loadCommands, windowStart-delay)
+		b.admitted = dropBefore(b.admitted, windowStart+max(b.deployment.Tick, delay))
+		allowed := b.deployment.LoadRateBase + b.deployment.LoadRatePerRequest*float64(len(b.admitted))
+		if float64(len(b.loadCommands)+1) > allowed {
 			return false
 		}
-		r.loadCommands = append(r.loadCommands, now)
+		b.loadCommands = append(b.loadCommands, now)
 	}
 	return true
 }
@@ -158,13 +158,13 @@
 // paper's D_f counts every waiting request. Here requests without slack are shed, so those shed within the last
 // load's time count as held; otherwise a latency objective shorter than a load would keep D_f below the load time
 // whatever the demand.
-func (r *Balancer) checkReplicas(now Micros, f *function) {
-	held := f.held + len(f.shed.since(now-r.loadTime(f.lastRequest)))
+func (b *Balancer) checkReplicas(now Micros, f *function) {
+	held := f.held + len(f.shed.since(now-b.loadTime(f.lastRequest)))
 	if f.loadsDue = 0; held == 0 {
 		return
 	}
-	exec, perLane := r.execTime(f, f.lastRequest), r.slotsPerLane(f, f.lastRequest)
-	objective := r.latencyObjective(f.lastRequest, exec)
+	exec, perLane := b.execTime(f, f.lastRequest), b.slotsPerLane(f, f.lastRequest)
+	objective := b.latencyObjective(f.lastRequest, exec)
 	delay := quantile(f.delays.since(now-2_000_000), 0.9)
 	if f.held > 0 {
 		delay = max(delay, now-f.heldSince)
@@ -172,17 +172,17 @@
 	slots, loading := 0, 0
 	for _, inst := range f.instances {
 		if inst.server.healthy() {
-			slots += r.slots(now, inst, f, perLane)
-			if r.loading(now, inst) {
+			slots += b.slots(now, inst, f, perLane)
+			if b.loading(now, inst) {
 				loading += inst.loading
 			}
 		}
 	}
-	if r.trace != nil {
-		r.trace.replicaCheck(ReplicaCheck{Now: now, Function: f.id, Held: held, Slots: slots, Loading: loading,
-			Delay: delay, Slack: objective - exec, Objective: objective, LoadTime: r.loadTime(f.lastRequest)})
+	if b.trace != nil {
+		b.trace.replicaCheck(ReplicaCheck{Now: now, Function: f.id, Held: held, Slots: slots, Loading: loading,
+			Delay: delay, Slack: objective - exec, Objective: objective, LoadTime: b.loadTime(f.lastRequest)})
 	}
-	if delay < objective-exec || slots == 0 || Micros(held)*objective/Micros(slots) < r.loadTime(f.lastRequest) {
+	if delay < objective-exec || slots == 0 || Micros(held)*objective/Micros(slots) < b.loadTime(f.lastRequest) {
 		return
 	}
 	const maxLoads = 3 // per check: these are in progress before the next check counts
@@ -191,18 +191,18 @@
 
 // HandleLoadResult records the result of a load command. The replica count is what the server reports; took is
 // unused.
-func (r *Balancer) HandleLoadResult(now Micros, id ServerID, functionID FunctionID, result Result, took Micros,
+func (b *Balancer) HandleLoadResult(now Micros, id ServerID, functionID FunctionID, result Result, took Micros,
 	replicas int) {
-	f := r.functions[functionID]
-	i, found := r.find(id)
+	f := b.functions[functionID]
+	i, found := b.find(id)
 	if f == nil || !found {
 		return
 	}
-	inst := f.instanceOn(r.servers[i], true)
+	inst := f.instanceOn(b.servers[i], true)
 	switch result {
 	case Succeeded:
 		if inst.loading > 0 && replicas > inst.replicas {
-			r.loadTimes.add(now, now-inst.loadingSince)
+			b.loadTimes.add(now, now-inst.loadingSince)
 			inst.loading = max(0, inst.loading-(replicas-inst.replicas))
 		}
 		inst.replicas, inst.lastUsed = replicas, now
@@ -210,7 +210,7 @@
 		inst.loading, inst.server.loadsAfter = 0, now+loadBackoff
 	case ConnectionReset, ConnectFailed:
 		inst.loading = 0
-		r.connectionFailed(now, inst.server)
+		b.connectionFailed(now, inst.server)
 	}
 }
 
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -5,17 +5,17 @@
 // ejectSilentServers ejects servers whose answers are overdue by more than recent latencies explain, and cancels their
 // attempts. It guards against machines that hang or vanish without closing connections. If most busy servers are
 // overdue, the cause lies elsewhere and none is ejected.
-func (r *Balancer) ejectSilentServers(now Micros) {
-	latencyLimit := 4 * quantile(r.latencies.since(0), 0.9)
+func (b *Balancer) ejectSilentServers(now Micros) {
+	latencyLimit := 4 * quantile(b.latencies.since(0), 0.9)
 	if latencyLimit == 0 {
 		return
 	}
 	var silent []*server
-	for _, s := range r.index.busy {
+	for _, s := range b.index.busy {
 		for _, a := range s.inFlight {
 			timeout := latencyLimit
 			if !a.toLoaded && !s.ejected {
-				timeout += 3 * r.loadTime(a.request)
+				timeout += 3 * b.loadTime(a.request)
 			}
 			if now-max(a.sentAt, s.lastAnswer) > timeout {
 				silent = append(silent, s)
@@ -23,51 +23,51 @@
 			}
 		}
 	}
-	if len(silent)*2 > max(2, len(r.index.busy)) {
+	if len(silent)*2 > max(2, len(b.index.busy)) {
 		return
 	}
 	for _, s := range silent {
-		r.eject(now, s, "owes answers")
+		b.eject(now, s, "owes answers")
 		for _, a := range s.inFlight {
-			r.cancelAttempt(a.request, a.attempt)
+			b.cancelAttempt(a.request, a.attempt)
 		}
 	}
 }
 
 // eject marks a server as ejected and schedules its next probe request.
-func (r *Balancer) eject(now Micros, s *server, reason string) {
+func (b *Balancer) eject(now Micros, s *server, reason string) {
 	if !s.ejected {
-		r.logf("server %x is suspect: %s", s.Server, reason)
+		b.logf("server %x is suspect: %s", s.Server, reason)
 	}
 	s.ejected, s.ejections = true, s.ejections+1
-	s.probeAt = now + r.probeInterval(s)
-	r.index.markQuestionable(s)
+	s.probeAt = now + b.probeInterval(s)
+	b.index.markQuestionable(s)
 }
 
 // answered records an answer from a server, which ends its ejection.
-func (r *Balancer) answered(now Micros, s *server) {
+func (b *Balancer) answered(now Micros, s *server) {
 	s.lastAnswer, s.connectionFailures = now, 0
 	if s.ejected {
 		s.ejected, s.ejections = false, 0
-		r.logf("server %x answers again", s.Server)
+		b.logf("server %x answers again", s.Server)
 	}
 }
 
 // connectionFailed records a broken or refused connection. It guards against crashes: a failure after a silence, or a
 // second one with no answer in between, ejects the server and drops its replicas. A single failure may be just the
 // network.
-func (r *Balancer) connectionFailed(now Micros, s *server) {
-	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(r.latencies.since(0), 0.5) {
-		r.eject(now, s, "connections fail")
-		r.dropInstances(s, now)
+func (b *Balancer) connectionFailed(now Micros, s *server) {
+	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(b.latencies.since(0), 0.5) {
+		b.eject(now, s, "connections fail")
+		b.dropInstances(s, now)
 	}
 }
 
 // probeInterval returns the time until an ejected server's next probe request. It grows with each failed probe, and
 // where answers are rare, so that the probes of many routers don't add up. It starts at half a second, in which a
 // router with much traffic can spare one request.
-func (r *Balancer) probeInterval(s *server) Micros {
-	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, r.freshFor) / rareAnswers
+func (b *Balancer) probeInterval(s *server) Micros {
+	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, b.freshFor) / rareAnswers
 }
 
 // healthy reports whether a server is ready, not ejected, and not rejecting everything.
@@ -77,9 +77,9 @@
 }
 
 // EjectedServers returns the ids of the servers that are ejected now.
-func (r *Balancer) EjectedServers() map[ServerID]bool {
+func (b *Balancer) EjectedServers() map[ServerID]bool {
 	ejected := map[ServerID]bool{}
-	for _, s := range r.servers {
+	for _, s := range b.servers {
 		if s.ejected {
 			ejected[s.Server] = true
 		}
--- a/control/overload.go
+++ b/control/overload.go
@@ -8,16 +8,16 @@
 // slow server or one in slow start, stalls.
 //
 // Its cost: consecutive heavy requests look like a queue and lower the limit.
-func (r *Balancer) adaptConcurrencyLimit(now Micros, s *server, strain Micros) {
+func (b *Balancer) adaptConcurrencyLimit(now Micros, s *server, strain Micros) {
 	const maxStrain = 400 // thousandths: leaves the rest of the slack for holding and for variance
 	const decrease = 0.75 // shrinks a queue within a few answers' time
 	s.queueing.add(now, strain)
-	r.queueing.add(now, strain)
+	b.queueing.add(now, strain)
 	s.concurrencyLimit = max(0.5, s.concurrencyLimit)
 	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > maxStrain {
 		s.concurrencyLimit = max(1, min(s.concurrencyLimit, float64(s.running+1))*decrease)
 		// The effect shows only in answers to attempts sent from now on.
-		s.limitLoweredAt = now + quantile(r.latencies.since(0), 0.5)
+		s.limitLoweredAt = now + quantile(b.latencies.since(0), 0.5)
 	} else if float64(s.running+2) >= s.concurrencyLimit && now >= s.limitLoweredAt {
 		s.concurrencyLimit += 1 / s.concurrencyLimit
 	}
@@ -27,44 +27,44 @@
 // guards against the minimum of one slot: with that, a replica is full for none of many routers, however long its
 // queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
 // there then don't count as capacity to wait for either.
-func (r *Balancer) overloaded(now Micros, s *server) bool {
+func (b *Balancer) overloaded(now Micros, s *server) bool {
 	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
 	// at once. Lower bounds brought no gain.
-	reported := s.reportedAt > 0 && now < s.reportedAt+r.freshFor &&
+	reported := s.reportedAt > 0 && now < s.reportedAt+b.freshFor &&
 		(s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
 	// 250: a quarter of the slack, which performed better than two fifths.
-	return r.freshFor > rareAnswers && (reported || s.queueing.mean(now-r.freshFor) > 250)
+	return b.freshFor > rareAnswers && (reported || s.queueing.mean(now-b.freshFor) > 250)
 }
 
 // mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all
 // servers. It guards against a lasting overload in which every request is answered just too late, where answers are
 // too rare for concurrency limits to adapt.
-func (r *Balancer) mustShed(now Micros) bool {
+func (b *Balancer) mustShed(now Micros) bool {
 	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
-	excess := quantile(r.queueing.since(now-r.freshFor/2), 0.5) - 250
-	return r.freshFor > rareAnswers && Micros(r.random.below(1000)) < min(excess, 500)
+	excess := quantile(b.queueing.since(now-b.freshFor/2), 0.5) - 250
+	return b.freshFor > rareAnswers && Micros(b.random.below(1000)) < min(excess, 500)
 }
 
 // noteShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
 // checkReplicas.
-func (r *Balancer) noteShed(now, slack Micros, f *function) {
+func (b *Balancer) noteShed(now, slack Micros, f *function) {
 	f.delays.add(now, slack)
 	f.shed.add(now, 1)
 	if !f.waiting {
-		f.waiting, r.waiting = true, append(r.waiting, f)
+		f.waiting, b.waiting = true, append(b.waiting, f)
 	}
 }
 
 // updateAnswerRate updates answerRate, the answers per second that this router gets from a server at full capacity,
 // and freshFor, how long an observation of a server stays valid: about the time until its next answer is due.
-func (r *Balancer) updateAnswerRate(now Micros) {
+func (b *Balancer) updateAnswerRate(now Micros) {
 	const window = 10_000_000 // some tens of answers, even if a router gets only a few requests per second
-	r.answers = dropBefore(r.answers, now-window)
+	b.answers = dropBefore(b.answers, now-window)
 	// Includes ejected and overloaded servers: leaving them out would make the rest look more capable.
-	servers := r.totalCapacity(now)
-	observed := min(window, max(window/10, now-r.startedAt)) // shorter if the router just started
-	r.answerRate = float64(len(r.answers)) * 1e6 / float64(observed) / max(1, servers)
-	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
+	servers := b.totalCapacity(now)
+	observed := min(window, max(window/10, now-b.startedAt)) // shorter if the router just started
+	b.answerRate = float64(len(b.answers)) * 1e6 / float64(observed) / max(1, servers)
+	b.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
 }
 
 // rareAnswers is the interval between a server's answers from which on they are too rare for its concurrency limit to
--- a/control/quota.go
+++ b/control/quota.go
@@ -7,18 +7,18 @@
 // clients that give up before the latency objective and retry at once: their earlier attempts run on and take
 // capacity from the other tenants. The cost: it hurts a tenant with short deadlines whose requests reach only a few
 // of the routers.
-func (r *Balancer) exceedsQuota(now Micros, req *Request) bool {
-	if int(req.Tenant) >= len(r.deployment.Quotas) {
+func (b *Balancer) exceedsQuota(now Micros, req *Request) bool {
+	if int(req.Tenant) >= len(b.deployment.Quotas) {
 		return false
 	}
-	debtUntil := max(now, r.quotaDebt[req.Tenant])
+	debtUntil := max(now, b.quotaDebt[req.Tenant])
 	if debtUntil > now+2_000_000 { // clients are spread unevenly over routers and seconds
 		// First attempts are exempt where they can be told apart.
-		mayBeRetry := req.IsRetry || req.RetriesUnmarked || !r.deployment.MarksRetries
-		return mayBeRetry && req.Deadline-req.ArrivedAt < r.deployment.Classes[req.Class].LatencyObjective
+		mayBeRetry := req.IsRetry || req.RetriesUnmarked || !b.deployment.MarksRetries
+		return mayBeRetry && req.Deadline-req.ArrivedAt < b.deployment.Classes[req.Class].LatencyObjective
 	}
-	r.quotaDebt[req.Tenant] = debtUntil +
-		Micros(1e6*float64(r.deployment.Routers)/max(0.01, r.deployment.Quotas[req.Tenant]))
+	b.quotaDebt[req.Tenant] = debtUntil +
+		Micros(1e6*float64(b.deployment.Routers)/max(0.01, b.deployment.Quotas[req.Tenant]))
 	return false
 }
 
@@ -26,12 +26,12 @@
 // the place of requests that can still be in time: a deadline shorter than usual is what earlier attempts have
 // left. The cost: it hurts clients whose deadlines are short by design, so for clients that mark retries only the
 // mark counts.
-func (r *Balancer) firstSentAt(now Micros, req *Request) Micros {
-	usualTimeouts, timeout := &r.deadlines[req.Class], req.Deadline-now
+func (b *Balancer) firstSentAt(now Micros, req *Request) Micros {
+	usualTimeouts, timeout := &b.deadlines[req.Class], req.Deadline-now
 	usualTimeouts.add(now, timeout)
 	// The 30 ms tolerate the time on the way here, a few milliseconds.
-	if (!r.deployment.MarksRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
-		return min(req.ArrivedAt, req.Deadline-r.deployment.Classes[req.Class].MaxDeadline)
+	if (!b.deployment.MarksRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
+		return min(req.ArrivedAt, req.Deadline-b.deployment.Classes[req.Class].MaxDeadline)
 	}
 	return req.ArrivedAt
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -55,8 +55,8 @@
 // buildRanking builds a function's ranking. This is the only scan of all servers that a function costs, so its
 // loop is tight. A server's hash is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: an integer
 // comparison skips most.
-func (r *Balancer) buildRanking(f *function) {
-	rk, idx := &f.ranking, &r.index
+func (b *Balancer) buildRanking(f *function) {
+	rk, idx := &f.ranking, &b.index
 	if cap(rk.entries) == 0 {
 		rk.entries = make([]rankingEntry, 0, rankingLength)
 	}
@@ -64,21 +64,21 @@
 	// most logarithms would be computed for keys that are displaced again.
 	for bound := idx.keyBound(3 * rankingLength); ; bound = math.Inf(1) {
 		*rk = ranking{entries: rk.entries[:0], bound: bound, built: true}
-		r.scanForRanking(f)
+		b.scanForRanking(f)
 		if rk.bound < bound || math.IsInf(bound, 1) {
 			return
 		}
 	}
 }
 
-func (r *Balancer) scanForRanking(f *function) {
-	rk, idx := &f.ranking, &r.index
+func (b *Balancer) scanForRanking(f *function) {
+	rk, idx := &f.ranking, &b.index
 	maxDistance := idx.hashBound(rk.bound)
 	for i, id := range idx.ids {
-		if ^hash(uint64(f.id), uint64(id)) > maxDistance || r.servers[i].weight == 0 {
+		if ^hash(uint64(f.id), uint64(id)) > maxDistance || b.servers[i].weight == 0 {
 			continue
 		}
-		rk.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
+		rk.add(id, rankKey(uint64(f.id), id, b.servers[i].weight))
 		maxDistance = idx.hashBound(rk.bound)
 	}
 }
@@ -103,10 +103,10 @@
 }
 
 // currentRanking returns a function's ranking with all changes of the endpoint list applied.
-func (r *Balancer) currentRanking(f *function) *ranking {
-	rk, idx := &f.ranking, &r.index
+func (b *Balancer) currentRanking(f *function) *ranking {
+	rk, idx := &f.ranking, &b.index
 	if !rk.built || rk.seen < idx.droppedChanges {
-		r.buildRanking(f)
+		b.buildRanking(f)
 	} else {
 		maxDistance := idx.hashBound(rk.bound)
 		for _, id := range idx.changes[rk.seen-idx.droppedChanges:] {
@@ -116,8 +116,8 @@
 			if ^hash(uint64(f.id), uint64(id)) > maxDistance {
 				continue
 			}
-			if i, found := r.find(id); found && r.servers[i].weight > 0 {
-				rk.add(id, rankKey(uint64(f.id), id, r.servers[i].weight))
+			if i, found := b.find(id); found && b.servers[i].weight > 0 {
+				rk.add(id, rankKey(uint64(f.id), id, b.servers[i].weight))
 			}
 		}
 	}
@@ -127,33 +127,33 @@
 
 // firstTwoByRanking returns the first two servers that a load may go to, in loadTarget's order, from the
 // function's ranking alone. The result is false if the ranking doesn't determine them.
-func (r *Balancer) firstTwoByRanking(now Micros, f *function, req *Request) ([]candidate, bool) {
-	if !r.weightsOnlyLowered() {
+func (b *Balancer) firstTwoByRanking(now Micros, f *function, req *Request) ([]candidate, bool) {
+	if !b.weightsOnlyLowered() {
 		return nil, false
 	}
-	rk := r.currentRanking(f)
-	firstTwo, ok := r.walkRanking(now, f, req, rk)
+	rk := b.currentRanking(f)
+	firstTwo, ok := b.walkRanking(now, f, req, rk)
 	// Servers that left the endpoint list have shortened the ranking.
 	if !ok && len(rk.entries) < rankingLength && !math.IsInf(rk.bound, 1) {
-		r.buildRanking(f)
-		rk.seen = r.index.droppedChanges + len(r.index.changes)
-		firstTwo, ok = r.walkRanking(now, f, req, rk)
+		b.buildRanking(f)
+		rk.seen = b.index.droppedChanges + len(b.index.changes)
+		firstTwo, ok = b.walkRanking(now, f, req, rk)
 	}
 	return firstTwo, ok
 }
 
-func (r *Balancer) walkRanking(now Micros, f *function, req *Request, rk *ranking) ([]candidate, bool) {
-	firstTwo := r.candidates[:0]
+func (b *Balancer) walkRanking(now Micros, f *function, req *Request, rk *ranking) ([]candidate, bool) {
+	firstTwo := b.candidates[:0]
 	for _, e := range rk.entries {
 		if len(firstTwo) == 2 && e.key >= firstTwo[1].key {
 			break
 		}
-		i, _ := r.find(e.id)
-		s := r.servers[i]
-		if !r.usableUnchanged(now, s, req) {
+		i, _ := b.find(e.id)
+		s := b.servers[i]
+		if !b.usableUnchanged(now, s, req) {
 			continue
 		}
-		c := candidate{s, e.key, r.weight(now, s)}
+		c := candidate{s, e.key, b.weight(now, s)}
 		if c.weight != s.weight {
 			c.key = rankKey(uint64(f.id), e.id, c.weight)
 		}
@@ -167,76 +167,76 @@
 			firstTwo[0], firstTwo[1] = firstTwo[1], firstTwo[0]
 		}
 	}
-	r.candidates = firstTwo
+	b.candidates = firstTwo
 	return firstTwo, math.IsInf(rk.bound, 1) || len(firstTwo) == 2 && rk.bound >= firstTwo[1].key
 }
 
 // weightsOnlyLowered reports whether slow start can only lower a server's weight. An initial capacity above 1
 // would raise it, and an infinite weight can make a bound NaN.
-func (r *Balancer) weightsOnlyLowered() bool {
-	return r.deployment.SlowStartInitial <= 1 && r.deployment.SlowStartDuration > 0 && r.index.maxWeight < math.Inf(1)
+func (b *Balancer) weightsOnlyLowered() bool {
+	return b.deployment.SlowStartInitial <= 1 && b.deployment.SlowStartDuration > 0 && b.index.maxWeight < math.Inf(1)
 }
 
 // nearestHomes returns servers that a load may go to, in any order, and the function's number of homes. The homes
 // and the first two candidates are among them. With several routers it first looks only as far as it expects to
 // find slightly more than it needs.
-func (r *Balancer) nearestHomes(now Micros, f *function, req *Request) ([]candidate, int) {
-	if r.deployment.Routers > 1 && r.weightsOnlyLowered() && !r.restrictedToGroup(req) {
-		usable := r.usableCount(now, req)
-		homes := r.homeCount(f, usable)
+func (b *Balancer) nearestHomes(now Micros, f *function, req *Request) ([]candidate, int) {
+	if b.deployment.Routers > 1 && b.weightsOnlyLowered() && !b.restrictedToGroup(req) {
+		usable := b.usableCount(now, req)
+		homes := b.homeCount(f, usable)
 		need := max(homes, min(2, usable))
-		ready := len(r.index.ids) - len(r.index.notReady)
+		ready := len(b.index.ids) - len(b.index.notReady)
 		likely := (need + need/4 + 2*rankingLength) * ready / max(1, usable)
 		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
-			if cs := r.candidatesWithin(now, f, req, r.index.keyBound(n)); len(cs) >= need {
+			if cs := b.candidatesWithin(now, f, req, b.index.keyBound(n)); len(cs) >= need {
 				return cs, homes
 			}
 		}
 	}
-	cs := r.candidatesWithin(now, f, req, math.Inf(1))
-	return cs, r.homeCount(f, len(cs))
+	cs := b.candidatesWithin(now, f, req, math.Inf(1))
+	return cs, b.homeCount(f, len(cs))
 }
 
 // candidatesWithin returns all servers that a load may go to whose key is below bound.
-func (r *Balancer) candidatesWithin(now Micros, f *function, req *Request, bound float64) []candidate {
-	cs, idx := r.candidates[:0], &r.index
+func (b *Balancer) candidatesWithin(now Micros, f *function, req *Request, bound float64) []candidate {
+	cs, idx := b.candidates[:0], &b.index
 	maxDistance := idx.hashBound(bound)
 	for i, id := range idx.ids {
 		if ^hash(uint64(f.id), uint64(id)) > maxDistance {
 			continue
 		}
-		s := r.servers[i]
-		if s.weight == 0 || !r.usableUnchanged(now, s, req) {
+		s := b.servers[i]
+		if s.weight == 0 || !b.usableUnchanged(now, s, req) {
 			continue
 		}
-		weight := r.weight(now, s)
+		weight := b.weight(now, s)
 		if key := rankKey(uint64(f.id), id, weight); !(key >= bound) { // keeps a key that is NaN
 			cs = append(cs, candidate{s, key, weight})
 		}
 	}
-	r.candidates = cs
+	b.candidates = cs
 	return cs
 }
 
 // restrictedToGroup reports whether a request's earlier attempts confine it to a zone or cell.
-func (r *Balancer) restrictedToGroup(req *Request) bool {
-	class := r.deployment.Classes[req.Class]
+func (b *Balancer) restrictedToGroup(req *Request) bool {
+	class := b.deployment.Classes[req.Class]
 	return class.Effect == IdempotentByKey && class.Scope != WholeFleet &&
 		slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return a.MayHaveRun })
 }
 
 // usableCount counts the servers that a request that isn't restricted to a group may go to: all ready ones except
 // some that are questionable or in slow start.
-func (r *Balancer) usableCount(now Micros, req *Request) int {
-	idx := &r.index
+func (b *Balancer) usableCount(now Micros, req *Request) int {
+	idx := &b.index
 	n := len(idx.ids) - len(idx.notReady)
 	for _, s := range idx.questionable {
-		if s.State == Ready && !r.usableUnchanged(now, s, req) {
+		if s.State == Ready && !b.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
 	for _, s := range idx.inSlowStart {
-		if !s.questionable && !r.usableUnchanged(now, s, req) {
+		if !s.questionable && !b.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
@@ -245,21 +245,21 @@
 
 // usableUnchanged is usable without side effects. Which servers are asked depends on the ranking, and a restored
 // Balancer starts without one: a side effect would make its decisions differ.
-func (r *Balancer) usableUnchanged(now Micros, s *server, req *Request) bool {
+func (b *Balancer) usableUnchanged(now Micros, s *server, req *Request) bool {
 	sends := s.slowStartSends
-	usable := r.usable(now, s, req)
+	usable := b.usable(now, s, req)
 	s.slowStartSends = sends
 	return usable
 }
 
 // weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
-func (r *Balancer) weight(now Micros, s *server) float64 {
-	weight := max(0.1, s.Weight) * r.capacity(now, s)
-	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
+func (b *Balancer) weight(now Micros, s *server) float64 {
+	weight := max(0.1, s.Weight) * b.capacity(now, s)
+	if b.freshFor <= rareAnswers && b.deployment.Routers == 1 {
 		// What we know of a server is recent and tells how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
-	} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
+	} else if s.freeShare() < 0.25 || b.overloaded(now, s) {
 		weight *= 0.01 // moves it to the end, in the same order
 	}
 	return max(0.001, weight)
--- a/control/retries.go
+++ b/control/retries.go
@@ -17,13 +17,13 @@
 
 // HandleOutcome records how an attempt ended and decides what happens to its request. It returns NoAction for an
 // attempt that is already done, a server that is not known, and a request that is done.
-func (r *Balancer) HandleOutcome(now Micros, req *Request, o Outcome) Decision {
+func (b *Balancer) HandleOutcome(now Micros, req *Request, o Outcome) Decision {
 	attempt := &req.Attempts[o.Attempt]
-	i, known := r.find(o.Server)
+	i, known := b.find(o.Server)
 	if attempt.Done || !known {
 		return Decision{Action: NoAction}
 	}
-	f, s := r.function(req), r.servers[i]
+	f, s := b.function(req), b.servers[i]
 	inst := f.instanceOn(s, true)
 	attempt.Done = true
 	attempt.MayHaveRun = !o.Result.ProvesNotRun()
@@ -35,18 +35,18 @@
 		return a.request == req && a.attempt == o.Attempt
 	})
 	if len(s.inFlight) == 0 {
-		r.index.busy = deleteSorted(r.index.busy, s, byID)
+		b.index.busy = deleteSorted(b.index.busy, s, byID)
 	}
-	r.recordOutcome(now, f, inst, req, o)
+	b.recordOutcome(now, f, inst, req, o)
 	if o.RequestDone {
-		r.Cancel(now, req)
+		b.Cancel(now, req)
 		return Decision{Action: NoAction}
 	}
-	return r.Route(now, req)
+	return b.Route(now, req)
 }
 
 // recordOutcome updates what is believed of the instance and its server, and the estimates.
-func (r *Balancer) recordOutcome(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+func (b *Balancer) recordOutcome(now Micros, f *function, inst *instance, req *Request, o Outcome) {
 	s, attempt := inst.server, &req.Attempts[o.Attempt]
 	f.blockedAt = 0
 	if o.Report != nil {
@@ -54,9 +54,9 @@
 	}
 	switch o.Result {
 	case Succeeded, Failed, Overloaded, NotLoaded:
-		r.answered(now, s)
+		b.answered(now, s)
 	case ConnectionReset, ConnectFailed:
-		r.connectionFailed(now, s)
+		b.connectionFailed(now, s)
 	}
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
@@ -67,41 +67,41 @@
 			inst.loading, s.loadsAfter = 0, now+loadBackoff // its load queue or memory is full
 			break
 		}
-		r.recordRejection(now, inst)
+		b.recordRejection(now, inst)
 	case o.Result == Succeeded:
-		r.recordSuccess(now, f, inst, req, o)
+		b.recordSuccess(now, f, inst, req, o)
 	}
 }
 
 // recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
 // it is full or drains before the endpoint list says so: its backoff doubles with each rejection, and soon its
 // replicas don't count as capacity.
-func (r *Balancer) recordRejection(now Micros, inst *instance) {
+func (b *Balancer) recordRejection(now Micros, inst *instance) {
 	s := inst.server
 	if s.rejections++; inst.inFlight == 0 {
 		inst.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
 	}
 	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
-	r.index.markQuestionable(s)
-	r.adaptConcurrencyLimit(now, s, 1000)
+	b.index.markQuestionable(s)
+	b.adaptConcurrencyLimit(now, s, 1000)
 }
 
 // recordSuccess updates the estimates by an answer from a loaded replica, or the load time by one that waited for a
 // load.
-func (r *Balancer) recordSuccess(now Micros, f *function, inst *instance, req *Request, o Outcome) {
+func (b *Balancer) recordSuccess(now Micros, f *function, inst *instance, req *Request, o Outcome) {
 	s, toLoaded := inst.server, req.Attempts[o.Attempt].toLoaded
-	r.answers, s.rejections = append(r.answers, now), 0
+	b.answers, s.rejections = append(b.answers, now), 0
 	inst.lastUsed = now
-	exec := r.execTime(f, req)
+	exec := b.execTime(f, req)
 	if o.CacheStatus == CacheHit || o.CacheStatus == CacheUnknown && toLoaded {
 		f.execTimes.add(now, o.Duration)
-		r.execTimes[req.Class].add(now, o.Duration)
-		r.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, r.latencyObjective(req, exec)-exec))
-		r.latencies.add(now, o.Duration)
+		b.execTimes[req.Class].add(now, o.Duration)
+		b.adaptConcurrencyLimit(now, s, max(0, o.Duration-exec)*1000/max(1, b.latencyObjective(req, exec)-exec))
+		b.latencies.add(now, o.Duration)
 		f.delays.add(now, req.heldFor+max(0, o.Duration-exec))
 	} else if o.CacheStatus == CacheMiss || o.CacheStatus == CacheUnknown && o.Duration > 3*exec {
 		// With an unknown status only a slow answer counts as a miss: a quicker one found a loaded replica.
-		r.loadTimes.add(now, max(1, o.Duration-exec))
+		b.loadTimes.add(now, max(1, o.Duration-exec))
 	}
 	if inst.replicas == 0 {
 		inst.replicas, inst.loading = 1, max(0, inst.loading-1)
@@ -112,8 +112,8 @@
 // one of them may have run, the request must be idempotent; if it is idempotent by key, the server must be in the
 // scope of the earlier attempt, and within the window in which that scope remembers the key, less a margin for the
 // network.
-func (r *Balancer) mayRetry(now Micros, req *Request, s *server) bool {
-	class := r.deployment.Classes[req.Class]
+func (b *Balancer) mayRetry(now Micros, req *Request, s *server) bool {
+	class := b.deployment.Classes[req.Class]
 	const networkMargin = 50_000 // far longer than the way from a router to a server
 	for _, a := range req.Attempts {
 		outOfScope := s != nil &&
@@ -128,31 +128,31 @@
 }
 
 // giveUp ends a request. It rejects it if the client can retry it safely, else it fails it.
-func (r *Balancer) giveUp(req *Request) Decision {
+func (b *Balancer) giveUp(req *Request) Decision {
 	for _, a := range req.Attempts {
-		if a.MayHaveRun && !r.deployment.Classes[req.Class].SafeToRetryAnywhere() {
+		if a.MayHaveRun && !b.deployment.Classes[req.Class].SafeToRetryAnywhere() {
 			return Decision{Action: Fail}
 		}
 	}
-	return Decision{Action: Reject, RetryAfter: r.deployment.MaxRetryAfter}
+	return Decision{Action: Reject, RetryAfter: b.deployment.MaxRetryAfter}
 }
 
 // Cancel records that a request is done, and cancels its attempts in flight.
-func (r *Balancer) Cancel(now Micros, req *Request) {
+func (b *Balancer) Cancel(now Micros, req *Request) {
 	if req.held {
 		req.held = false
-		r.function(req).held--
+		b.function(req).held--
 	}
 	for i, a := range req.Attempts {
 		if !a.Done {
-			r.cancelAttempt(req, AttemptID(i))
+			b.cancelAttempt(req, AttemptID(i))
 		}
 	}
 }
 
 // cancelAttempt queues the cancellation of an attempt, once, if the deployment supports that. Maintain returns it.
-func (r *Balancer) cancelAttempt(req *Request, id AttemptID) {
-	if a := &req.Attempts[id]; r.deployment.SupportsCancel && !a.cancelling {
-		a.cancelling, r.cancellations = true, append(r.cancellations, Cancellation{req.ID, id})
+func (b *Balancer) cancelAttempt(req *Request, id AttemptID) {
+	if a := &req.Attempts[id]; b.deployment.SupportsCancel && !a.cancelling {
+		a.cancelling, b.cancellations = true, append(b.cancellations, Cancellation{req.ID, id})
 	}
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -6,33 +6,33 @@
 
 // Rank returns the key by which callers order pending requests, lowest first: the time at which the request's
 // slack ends.
-func (r *Balancer) Rank(_ Micros, req *Request) Micros {
-	return req.ArrivedAt + r.slack(req, r.execTime(r.function(req), req))
+func (b *Balancer) Rank(_ Micros, req *Request) Micros {
+	return req.ArrivedAt + b.slack(req, b.execTime(b.function(req), req))
 }
 
 // slack returns how long a request may wait without missing its latency objective or its deadline.
-func (r *Balancer) slack(req *Request, exec Micros) Micros {
-	return max(0, min(r.latencyObjective(req, exec), req.Deadline-req.ArrivedAt)-exec)
+func (b *Balancer) slack(req *Request, exec Micros) Micros {
+	return max(0, min(b.latencyObjective(req, exec), req.Deadline-req.ArrivedAt)-exec)
 }
 
 // Route decides whether a request is forwarded, held, or ended. The caller asks again when the state has changed,
 // at the latest at the decision's RecheckAt.
-func (r *Balancer) Route(now Micros, req *Request) Decision {
-	f := r.function(req)
+func (b *Balancer) Route(now Micros, req *Request) Decision {
+	f := b.function(req)
 	if !req.admitted {
-		r.admit(now, f, req)
+		b.admit(now, f, req)
 	}
-	if r.trace != nil {
-		r.trace.begin(r, now, f, req)
+	if b.trace != nil {
+		b.trace.begin(b, now, f, req)
 	}
-	d := r.decide(now, f, req)
-	if r.trace != nil {
-		r.trace.end(d)
+	d := b.decide(now, f, req)
+	if b.trace != nil {
+		b.trace.end(d)
 	}
 	// A request ends before its deadline, whatever it waits for (rule 1 of docs/design.md).
-	d.RecheckAt = min(d.RecheckAt, req.Deadline-2*r.deployment.Tick)
+	d.RecheckAt = min(d.RecheckAt, req.Deadline-2*b.deployment.Tick)
 	if hold := d.Action == Hold; hold && !req.held {
-		r.beginHold(now, f, req)
+		b.beginHold(now, f, req)
 	} else if !hold && req.held {
 		f.endHold(now, req)
 	}
@@ -40,27 +40,27 @@
 }
 
 // admit takes a request in when Route sees it for the first time.
-func (r *Balancer) admit(now Micros, f *function, req *Request) {
-	req.admitted, req.firstSentAt = true, r.firstSentAt(now, req)
-	req.overQuota = r.mustShed(now) || r.exceedsQuota(now, req)
+func (b *Balancer) admit(now Micros, f *function, req *Request) {
+	req.admitted, req.firstSentAt = true, b.firstSentAt(now, req)
+	req.overQuota = b.mustShed(now) || b.exceedsQuota(now, req)
 	// Large enough to resolve a function's share of the requests to within a few hundredths.
 	const window = 128
-	r.recent = append(r.recent, f)
-	if f.recent++; len(r.recent) > window {
-		r.recent[0].recent, r.recent = r.recent[0].recent-1, r.recent[1:]
+	b.recent = append(b.recent, f)
+	if f.recent++; len(b.recent) > window {
+		b.recent[0].recent, b.recent = b.recent[0].recent-1, b.recent[1:]
 	}
-	if r.deployment.LoadRateWindow > 0 {
-		r.admitted = append(r.admitted, now)
+	if b.deployment.LoadRateWindow > 0 {
+		b.admitted = append(b.admitted, now)
 	}
 }
 
 // beginHold counts a request as held, and has the next replica check look at its function.
-func (r *Balancer) beginHold(now Micros, f *function, req *Request) {
+func (b *Balancer) beginHold(now Micros, f *function, req *Request) {
 	if f.held++; f.held == 1 {
 		f.heldSince = now
 	}
 	if !f.waiting {
-		f.waiting, r.waiting = true, append(r.waiting, f)
+		f.waiting, b.waiting = true, append(b.waiting, f)
 	}
 	req.held, req.heldSince = true, now
 }
@@ -81,12 +81,12 @@
 }
 
 // timing works out a request's timing.
-func (r *Balancer) timing(now Micros, f *function, req *Request) timing {
-	exec := r.execTime(f, req)
-	total := r.slack(req, exec)
+func (b *Balancer) timing(now Micros, f *function, req *Request) timing {
+	exec := b.execTime(f, req)
+	total := b.slack(req, exec)
 	t := timing{total: total, slack: req.firstSentAt + total - now,
 		margin:      min(exec, total/2), // admits every new request
-		latestStart: req.Deadline - exec/2 - 2*r.deployment.Tick}
+		latestStart: req.Deadline - exec/2 - 2*b.deployment.Tick}
 	if req.IsRetry {
 		t.slack = 0 // used up by the client's first attempt
 	}
@@ -94,49 +94,49 @@
 }
 
 // decide makes Route's decision.
-func (r *Balancer) decide(now Micros, f *function, req *Request) Decision {
+func (b *Balancer) decide(now Micros, f *function, req *Request) Decision {
 	if slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return !a.Done }) {
-		return r.explain(Decision{Action: NoAction}, "an execution is out")
+		return b.explain(Decision{Action: NoAction}, "an execution is out")
 	}
-	t := r.timing(now, f, req)
-	if r.trace != nil {
-		e := &r.trace.explanation
+	t := b.timing(now, f, req)
+	if b.trace != nil {
+		e := &b.trace.explanation
 		e.Slack, e.Margin, e.LatestStart = t.slack, t.margin, t.latestStart
 	}
-	if reason := r.endReason(now, req, t); reason != "" {
-		return r.explain(r.giveUp(req), reason)
+	if reason := b.endReason(now, req, t); reason != "" {
+		return b.explain(b.giveUp(req), reason)
 	}
 	hold := Decision{Action: Hold, Rank: req.ArrivedAt + t.total, RecheckAt: min(now+maintenanceInterval, t.latestStart)}
 	if f.blockedAt == now && t.slack >= t.margin && len(req.Attempts) == 0 {
 		// A request with less slack found no instance in this event-loop iteration. Skipping the rest bounds the
 		// work of an iteration with many held requests.
-		return r.explain(hold, "another job for its function found no place in this turn")
+		return b.explain(hold, "another job for its function found no place in this turn")
 	}
-	if inst := r.fullestInstance(now, f, req); inst != nil {
-		return r.forwardOrShed(now, f, req, inst, t)
+	if inst := b.fullestInstance(now, f, req); inst != nil {
+		return b.forwardOrShed(now, f, req, inst, t)
 	}
 	if f.loadsDue > 0 {
-		if s := r.loadTarget(now, f, req, additionalReplica); s != nil {
+		if s := b.loadTarget(now, f, req, additionalReplica); s != nil {
 			f.loadsDue--
-			return r.explain(r.startLoad(now, f, req, s), "the last check asked for another copy")
+			return b.explain(b.startLoad(now, f, req, s), "the last check asked for another copy")
 		}
 	}
-	loaded, loading := r.replicaState(now, f)
+	loaded, loading := b.replicaState(now, f)
 	if loaded && t.slack < t.margin && !loading {
-		r.noteShed(now, t.total, f) // guards against the same overload as forwardOrShed
-		return r.explain(r.giveUp(req), "its copies are there and full, and it has no slack")
+		b.noteShed(now, t.total, f) // guards against the same overload as forwardOrShed
+		return b.explain(b.giveUp(req), "its copies are there and full, and it has no slack")
 	}
 	if !loaded && !loading {
-		if s := r.loadTarget(now, f, req, firstReplica); s != nil {
-			return r.explain(r.startLoad(now, f, req, s), "no copy stands or comes")
+		if s := b.loadTarget(now, f, req, firstReplica); s != nil {
+			return b.explain(b.startLoad(now, f, req, s), "no copy stands or comes")
 		}
 	}
 	f.blockedAt = now
-	return r.explain(hold, "it waits for a copy")
+	return b.explain(hold, "it waits for a copy")
 }
 
 // endReason tells why a request gets no further attempt; it is empty if the request may have one.
-func (r *Balancer) endReason(now Micros, req *Request, t timing) string {
+func (b *Balancer) endReason(now Micros, req *Request, t timing) string {
 	attempts := len(req.Attempts)
 	switch {
 	case attempts > 0 && t.slack < 0: // a retry would add to the load that made it late
@@ -145,9 +145,9 @@
 		return "it is beyond its tenant's share, or shed"
 	case now >= t.latestStart:
 		return "it can't end within its client's patience"
-	case attempts >= r.deployment.MaxAttempts:
+	case attempts >= b.deployment.MaxAttempts:
 		return "it had all its executions"
-	case !r.mayRetry(now, req, nil):
+	case !b.mayRetry(now, req, nil):
 		return "an earlier execution may have run"
 	}
 	return ""
@@ -156,32 +156,32 @@
 // forwardOrShed forwards a request to an instance with a free slot, unless the queue there would make it late. This
 // guards against an overload in which least-slack-first serves every request just too late: where a server is half
 // full, a request that its queue would make late yields to those that can still be in time.
-func (r *Balancer) forwardOrShed(now Micros, f *function, req *Request, inst *instance, t timing) Decision {
+func (b *Balancer) forwardOrShed(now Micros, f *function, req *Request, inst *instance, t timing) Decision {
 	s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*t.total/1000
-	if r.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
+	if b.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
 		f.delays.add(now, t.total)
-		return r.explain(r.giveUp(req), "the queue at its instance would make it late")
+		return b.explain(b.giveUp(req), "the queue at its instance would make it late")
 	}
-	d := r.forward(now, f, req, inst)
+	d := b.forward(now, f, req, inst)
 	inst.lastUsed = max(inst.lastUsed, now)
-	return r.explain(d, "the fullest instance with room")
+	return b.explain(d, "the fullest instance with room")
 }
 
 // replicaState reports whether a function has replicas on usable servers that are loaded, and some that are loading.
-func (r *Balancer) replicaState(now Micros, f *function) (loaded, loading bool) {
+func (b *Balancer) replicaState(now Micros, f *function) (loaded, loading bool) {
 	for _, inst := range f.instances {
-		if inst.server.healthy() && !r.overloaded(now, inst.server) {
-			loaded = loaded || r.loaded(now, inst)
-			loading = loading || r.loading(now, inst)
+		if inst.server.healthy() && !b.overloaded(now, inst.server) {
+			loaded = loaded || b.loaded(now, inst)
+			loading = loading || b.loading(now, inst)
 		}
 	}
 	return loaded, loading
 }
 
 // explain records the reason for a decision if a trace is attached.
-func (r *Balancer) explain(d Decision, reason string) Decision {
-	if r.trace != nil {
-		r.trace.explanation.Reason = reason
+func (b *Balancer) explain(d Decision, reason string) Decision {
+	if b.trace != nil {
+		b.trace.explanation.Reason = reason
 	}
 	return d
 }
@@ -189,28 +189,28 @@
 // fullestInstance picks the instance for a request, nil if none has a free slot: among loaded instances with fewer
 // of our attempts in flight than lanes the fullest, otherwise the loaded one with the fewest free slots, otherwise
 // one that is loading. Ties go to our own zone, then to a random choice.
-func (r *Balancer) fullestInstance(now Micros, f *function, req *Request) *instance {
-	perLane := r.slotsPerLane(f, req)
+func (b *Balancer) fullestInstance(now Micros, f *function, req *Request) *instance {
+	perLane := b.slotsPerLane(f, req)
 	var best *instance
 	var bestKey, ties int
 	for _, inst := range f.instances {
-		free := r.slots(now, inst, f, perLane) - inst.inFlight
-		if free <= 0 || !r.usable(now, inst.server, req) {
+		free := b.slots(now, inst, f, perLane) - inst.inFlight
+		if free <= 0 || !b.usable(now, inst.server, req) {
 			continue
 		}
 		key := inst.inFlight * 2
-		if loaded := r.loaded(now, inst); loaded && inst.inFlight < f.lanes*inst.replicas {
+		if loaded := b.loaded(now, inst); loaded && inst.inFlight < f.lanes*inst.replicas {
 			key += 1 << 30
 		} else if loaded {
 			key = 1<<28 - free*2
 		}
-		if inst.server.Zone == r.deployment.Zone {
+		if inst.server.Zone == b.deployment.Zone {
 			key++
 		}
 		if best == nil || key > bestKey {
 			best, bestKey, ties = inst, key, 1
 		} else if key == bestKey {
-			if ties++; r.random.below(ties) == 0 {
+			if ties++; b.random.below(ties) == 0 {
 				best = inst
 			}
 		}
@@ -219,50 +219,50 @@
 }
 
 // slotsPerLane returns B, the slots per lane: slack divided by execution time, at least 1.
-func (r *Balancer) slotsPerLane(f *function, req *Request) float64 {
-	exec := r.execTime(f, req)
-	return max(1, float64(r.latencyObjective(req, exec)-exec)/float64(exec))
+func (b *Balancer) slotsPerLane(f *function, req *Request) float64 {
+	exec := b.execTime(f, req)
+	return max(1, float64(b.latencyObjective(req, exec)-exec)/float64(exec))
 }
 
 // slots returns how many slots an instance offers this router, those in use included.
-func (r *Balancer) slots(now Micros, inst *instance, f *function, perLane float64) int {
+func (b *Balancer) slots(now Micros, inst *instance, f *function, perLane float64) int {
 	offered := 0
-	if r.loaded(now, inst) {
-		offered = max(1, int(perLane*float64(f.lanes*inst.replicas)/float64(r.deployment.Routers)))
-	} else if r.loading(now, inst) {
+	if b.loaded(now, inst) {
+		offered = max(1, int(perLane*float64(f.lanes*inst.replicas)/float64(b.deployment.Routers)))
+	} else if b.loading(now, inst) {
 		offered = f.lanes * inst.loading
 	}
 	s := inst.server
 	if s.concurrencyLimit == 0 {
 		// The initial limit is what one instance offers.
-		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(r.deployment.Routers))
+		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(b.deployment.Routers))
 	}
-	if r.overloaded(now, s) {
+	if b.overloaded(now, s) {
 		return 0
 	}
 	return min(offered, inst.inFlight+int(s.concurrencyLimit)-s.running)
 }
 
-func (r *Balancer) forward(now Micros, f *function, req *Request, inst *instance) Decision {
+func (b *Balancer) forward(now Micros, f *function, req *Request, inst *instance) Decision {
 	s := inst.server
-	loaded := r.loaded(now, inst)
+	loaded := b.loaded(now, inst)
 	req.Attempts = append(req.Attempts, Attempt{Server: s.Server, Zone: s.Zone, Cell: s.Cell, SentAt: now,
 		MayHaveRun: true, toLoaded: loaded})
 	if loaded {
 		s.running++
 	}
 	s.inFlight = append(s.inFlight, inFlightAttempt{req, AttemptID(len(req.Attempts) - 1), now, loaded})
-	r.index.busy = insertSorted(r.index.busy, s, byID)
-	s.slowStartSends = append(dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow), now)
+	b.index.busy = insertSorted(b.index.busy, s, byID)
+	s.slowStartSends = append(dropBefore(s.slowStartSends, now-b.deployment.OverloadWindow), now)
 	if s.ejected {
-		s.probeAt = now + r.probeInterval(s)
+		s.probeAt = now + b.probeInterval(s)
 	}
 	inst.inFlight++
 	return Decision{Action: Forward, Server: s.Server, Timeout: req.Deadline - now}
 }
 
 // unusableReason tells why a request may not go to a server; it is empty if the request may.
-func (r *Balancer) unusableReason(now Micros, s *server, req *Request) string {
+func (b *Balancer) unusableReason(now Micros, s *server, req *Request) string {
 	switch {
 	case s.State != Ready:
 		return "drains or is gone"
@@ -271,15 +271,15 @@
 	// An ejected server without replicas gets probe requests, or it would stay ejected.
 	case s.ejected && now < s.probeAt:
 		return "is suspect, and no trial is due"
-	case !r.mayRetry(now, req, s):
+	case !b.mayRetry(now, req, s):
 		return "is outside the job's group or window"
-	case !r.withinSlowStartBudget(now, s):
+	case !b.withinSlowStartBudget(now, s):
 		return "is cold, and its budget is used up"
 	}
 	return ""
 }
 
 // usable reports whether a request may go to a server at all.
-func (r *Balancer) usable(now Micros, s *server, req *Request) bool {
-	return r.unusableReason(now, s, req) == ""
+func (b *Balancer) usable(now Micros, s *server, req *Request) bool {
+	return b.unusableReason(now, s, req) == ""
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -11,38 +11,38 @@
 // configured multiple of its present capacity, where full capacity is at least its share of what the fleet
 // answers. Where our part of a window is less than one request, the routers alternate by number, server and time:
 // the sum stays within the budget without any coordination.
-func (r *Balancer) withinSlowStartBudget(now Micros, s *server) bool {
-	capacity := r.capacity(now, s)
+func (b *Balancer) withinSlowStartBudget(now Micros, s *server) bool {
+	capacity := b.capacity(now, s)
 	if capacity == 1 {
 		return true
 	}
-	if now < r.startedAt+r.deployment.OverloadWindow {
+	if now < b.startedAt+b.deployment.OverloadWindow {
 		// What our earlier incarnation sent within this window is unknown, and all routers may have restarted at
 		// once.
 		return false
 	}
-	s.slowStartSends = dropBefore(s.slowStartSends, now-r.deployment.OverloadWindow)
+	s.slowStartSends = dropBefore(s.slowStartSends, now-b.deployment.OverloadWindow)
 	const margin = 0.8 // for the variance between requests
-	budget := r.deployment.OverloadFactor * capacity * r.answerRate * float64(r.deployment.OverloadWindow) / 1e6
+	budget := b.deployment.OverloadFactor * capacity * b.answerRate * float64(b.deployment.OverloadWindow) / 1e6
 	whole, fraction := math.Modf(margin * budget)
 	// Requests of two consecutive turns may fall into one window: both together stay within the tolerance.
-	routers := float64(max(1, r.deployment.Routers))
+	routers := float64(max(1, b.deployment.Routers))
 	fraction = min(fraction, (slowStartTolerance(budget*routers)/routers-whole)/2)
 	// The period is a power of two, so that a value that changes within a window admits no router besides those of
 	// the largest period. Turns follow the server's age, which all routers compute alike: wall clocks may have
 	// been set between their starts.
 	period := uint64(1) << int(math.Ceil(-math.Log2(max(fraction, 1e-6))))
-	window := uint64(max(0, now-s.StartedAt) / r.deployment.OverloadWindow)
-	if (window+uint64(r.deployment.Number)+hash(0, uint64(s.Server)))%period == 0 {
+	window := uint64(max(0, now-s.StartedAt) / b.deployment.OverloadWindow)
+	if (window+uint64(b.deployment.Number)+hash(0, uint64(s.Server)))%period == 0 {
 		whole++
 	}
 	return len(s.slowStartSends) < int(whole)
 }
 
 // capacity returns the fraction of its full capacity that a server has at least: 1 unless it is in slow start.
-func (r *Balancer) capacity(now Micros, s *server) float64 {
-	if age := now - s.StartedAt; s.StartedAt > 0 && age < r.deployment.SlowStartDuration {
-		initial, duration := r.deployment.SlowStartInitial, float64(r.deployment.SlowStartDuration)
+func (b *Balancer) capacity(now Micros, s *server) float64 {
+	if age := now - s.StartedAt; s.StartedAt > 0 && age < b.deployment.SlowStartDuration {
+		initial, duration := b.deployment.SlowStartInitial, float64(b.deployment.SlowStartDuration)
 		return initial + (1-initial)*float64(max(0, age))/duration
 	}
 	return 1
@@ -60,11 +60,11 @@
 // totalCapacity sums the capacity of all ready servers, by ascending ID with rounding at each addition: decisions
 // depend on the sum, so it must not depend on which servers are known to be in slow start. All other servers count
 // 1. The cost is the number of servers in slow start times a logarithm.
-func (r *Balancer) totalCapacity(now Micros) float64 {
-	idx := &r.index
+func (b *Balancer) totalCapacity(now Micros) float64 {
+	idx := &b.index
 	sum, counted, i, notReady := 0.0, 0, 0, 0
 	idx.inSlowStart = slices.DeleteFunc(idx.inSlowStart, func(s *server) bool {
-		capacity := r.capacity(now, s)
+		capacity := b.capacity(now, s)
 		if capacity == 1 {
 			return true
 		}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -177,45 +177,45 @@
 }
 
 // Snapshot returns the whole state. It shares no memory with the balancer, except for the slices in Deployment.
-func (r *Balancer) Snapshot() *Snapshot {
+func (b *Balancer) Snapshot() *Snapshot {
 	s := &Snapshot{
-		Deployment:    r.deployment,
-		Random:        uint64(r.random),
-		StartedAt:     r.startedAt,
-		ExecTimes:     snapshots(r.execTimes),
-		Deadlines:     snapshots(r.deadlines),
-		QuotaDebt:     slices.Clone(r.quotaDebt),
-		Latencies:     r.latencies.snapshot(),
-		LoadTimes:     r.loadTimes.snapshot(),
-		Queueing:      r.queueing.snapshot(),
-		LoadCommands:  slices.Clone(r.loadCommands),
-		Admitted:      slices.Clone(r.admitted),
-		Cancellations: slices.Clone(r.cancellations),
-		LogLines:      slices.Clone(r.logLines),
-		Answers:       slices.Clone(r.answers),
-		AnswerRate:    r.answerRate,
-		FreshFor:      r.freshFor,
-		Pruned:        r.pruned,
-		Subscribed:    r.subscribed,
+		Deployment:    b.deployment,
+		Random:        uint64(b.random),
+		StartedAt:     b.startedAt,
+		ExecTimes:     snapshots(b.execTimes),
+		Deadlines:     snapshots(b.deadlines),
+		QuotaDebt:     slices.Clone(b.quotaDebt),
+		Latencies:     b.latencies.snapshot(),
+		LoadTimes:     b.loadTimes.snapshot(),
+		Queueing:      b.queueing.snapshot(),
+		LoadCommands:  slices.Clone(b.loadCommands),
+		Admitted:      slices.Clone(b.admitted),
+		Cancellations: slices.Clone(b.cancellations),
+		LogLines:      slices.Clone(b.logLines),
+		Answers:       slices.Clone(b.answers),
+		AnswerRate:    b.answerRate,
+		FreshFor:      b.freshFor,
+		Pruned:        b.pruned,
+		Subscribed:    b.subscribed,
 	}
-	for _, v := range r.servers {
-		s.Servers = append(s.Servers, r.serverSnapshot(v))
+	for _, v := range b.servers {
+		s.Servers = append(s.Servers, b.serverSnapshot(v))
 	}
-	position := make(map[*function]int, len(r.functionOrder))
-	for i, f := range r.functionOrder {
+	position := make(map[*function]int, len(b.functionOrder))
+	for i, f := range b.functionOrder {
 		position[f] = i
 		s.Functions = append(s.Functions, f.snapshot())
 	}
 	at := func(f *function) int { return position[f] }
-	s.Recent, s.Waiting = convertAll(r.recent, at), convertAll(r.waiting, at)
+	s.Recent, s.Waiting = convertAll(b.recent, at), convertAll(b.waiting, at)
 	return s
 }
 
-func (r *Balancer) serverSnapshot(s *server) ServerSnapshot {
+func (b *Balancer) serverSnapshot(s *server) ServerSnapshot {
 	return ServerSnapshot{
 		Endpoint:   s.Endpoint,
 		Listed:     s.listed,
-		LastListed: r.lastListed(s),
+		LastListed: b.lastListed(s),
 		LastAnswer: s.lastAnswer,
 		InFlight: convertAll(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
 			return InFlightSnapshot{a.request.ID, a.attempt, a.sentAt, a.toLoaded}
@@ -307,7 +307,7 @@
 	return r, nil
 }
 
-func (r *Balancer) restoreServers(from []ServerSnapshot, requests map[RequestID]*Request) error {
+func (b *Balancer) restoreServers(from []ServerSnapshot, requests map[RequestID]*Request) error {
 	for i, v := range from {
 		if i > 0 && from[i-1].Endpoint.Server >= v.Endpoint.Server {
 			return fmt.Errorf("snapshot: servers are not in ascending order at %d", i)
@@ -320,7 +320,7 @@
 			}
 			s.inFlight = append(s.inFlight, inFlightAttempt{req, a.Attempt, a.SentAt, a.ToLoaded})
 		}
-		r.servers = append(r.servers, s)
+		b.servers = append(b.servers, s)
 	}
 	return nil
 }
@@ -350,18 +350,18 @@
 }
 
 // restoreFunctions restores the functions. The servers must have been restored before.
-func (r *Balancer) restoreFunctions(from []FunctionSnapshot, requests map[RequestID]*Request) error {
+func (b *Balancer) restoreFunctions(from []FunctionSnapshot, requests map[RequestID]*Request) error {
 	for _, v := range from {
 		f := v.restore(requests)
 		for _, inst := range v.Instances {
-			i, known := r.find(inst.Server)
+			i, known := b.find(inst.Server)
 			if !known {
 				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, inst.Server)
 			}
 			f.instances = append(f.instances,
-				&instance{r.servers[i], inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
+				&instance{b.servers[i], inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
 		}
-		r.functions[v.ID], r.functionOrder = f, append(r.functionOrder, f)
+		b.functions[v.ID], b.functionOrder = f, append(b.functionOrder, f)
 	}
 	return nil
 }
@@ -391,13 +391,13 @@
 }
 
 // functionsAt returns the functions at some positions of functionOrder; nil for no positions.
-func (r *Balancer) functionsAt(positions []int) ([]*function, error) {
+func (b *Balancer) functionsAt(positions []int) ([]*function, error) {
 	var functions []*function
 	for _, i := range positions {
-		if i < 0 || i >= len(r.functionOrder) {
-			return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(r.functionOrder))
+		if i < 0 || i >= len(b.functionOrder) {
+			return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(b.functionOrder))
 		}
-		functions = append(functions, r.functionOrder[i])
+		functions = append(functions, b.functionOrder[i])
 	}
 	return functions, nil
 }
--- a/control/trace.go
+++ b/control/trace.go
@@ -9,7 +9,7 @@
 }
 
 // SetTrace installs a trace; nil removes it.
-func (r *Balancer) SetTrace(t *Trace) { r.trace = t }
+func (b *Balancer) SetTrace(t *Trace) { b.trace = t }
 
 // Explanation is how one decision came about, with what was believed before it. Times are in microseconds. Slack,
 // Margin and LatestStart are 0 if an attempt was in flight.
