--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -114,7 +114,7 @@
 	r.t.Helper()
 	c := platformtest.Dial(r.t, r.address)
 	for range 1000 {
-		if c.Well() {
+		if c.Healthy() {
 			return c
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -279,7 +279,7 @@
 	callAll(101)
 	close(answer)
 	checkNoneAfter(t, drains, told, drainGrace)
-	if len(fresh.Asked()) == 0 {
+	if len(fresh.Subscriptions()) == 0 {
 		t.Error("the new address was not asked")
 	}
 }
@@ -366,7 +366,7 @@
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	deployment := platformtest.Deployment{Grace: drainGrace, OrdersOnly: true}
+	deployment := platformtest.Deployment{Grace: drainGrace, LoadsOnCommandOnly: true}
 	router := startRouter(t, deployment.Configuration(plane.Address(), events...))
 	client := router.waitWell()
 	callAll := func(first uint64) {
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -28,13 +28,13 @@
 // Write begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
 // old (WriteUntil): a later list may forbid the server. Kept is true if the journal holds what it must hold
 // before the first byte.
-func (s Stage) Write(kept bool, now, until control.Micros) (next Stage, ok bool) {
-	return Writing, s == Chosen && kept && now <= until
+func (s Stage) Write(allowed bool, now, until control.Micros) (next Stage, ok bool) {
+	return Writing, s == Chosen && allowed && now <= until
 }
 
 // Step makes a transition of a stage that the event loop and a connection share; it returns false if the stage
 // does not allow it.
-func Step(shared *atomic.Int32, transition func(Stage) (next Stage, ok bool)) bool {
+func Transition(shared *atomic.Int32, transition func(Stage) (next Stage, ok bool)) bool {
 	for {
 		old := shared.Load()
 		next, ok := transition(Stage(old))
@@ -198,7 +198,7 @@
 // KeyedRetryFreshness bounds, in microseconds, the way of a further attempt with an idempotency key to its
 // server: half of what the balancer allows for it (control.mayRetry), so that the servers that share the key
 // still remember the earlier attempt.
-const KeyedRetryFreshness = control.Micros(25_000)
+const MaxKeyedRetryDelay = control.Micros(25_000)
 
 // ClientConnection is the state of a connection from a client.
 type ClientConnection struct {
--- a/internal/attempt/clientage.go
+++ b/internal/attempt/clientage.go
@@ -13,8 +13,8 @@
 // ClientLook is how old the last check of a client's connection may be at the first byte of an attempt: a
 // quarter of the grace, so that a busy router seldom checks twice for one attempt, and most is left for the way
 // from the check to the byte.
-const ClientLook = clientGrace / 4
+const MaxClientCheckAge = clientGrace / 4
 
 // MustLook reports whether a client's connection has to be checked again before the first byte of an attempt;
 // age is the time since the last check.
-func MustLook(age control.Micros) bool { return age > ClientLook }
+func MustCheckClient(age control.Micros) bool { return age > MaxClientCheckAge }
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -10,7 +10,7 @@
 // after the client has disconnected.
 func TestClientAge(t *testing.T) {
 	oldest := control.Micros(0) // age of a check that is still accepted
-	for !MustLook(oldest) {
+	for !MustCheckClient(oldest) {
 		oldest++
 	}
 	if oldest == 0 || oldest > 50_000 {
--- a/internal/attempt/endpoint_age.go
+++ b/internal/attempt/endpoint_age.go
@@ -17,12 +17,12 @@
 // WriteUntil returns the latest time for the first byte of an attempt whose choice rests on a list that was
 // complete at listAsOf.
 func WriteUntil(listAsOf, grace control.Micros) control.Micros {
-	return listAsOf + EndpointsFresh(grace)
+	return listAsOf + MaxEndpointsAge(grace)
 }
 
 // EndpointsFresh returns how old the list that a choice rests on may be at the first byte: half the grace. The
 // other half is for the way of a change from discovery to this router.
-func EndpointsFresh(grace control.Micros) control.Micros { return grace / 2 }
+func MaxEndpointsAge(grace control.Micros) control.Micros { return grace / 2 }
 
 // Stalled reports whether a router that wakes this late counts as one that was stopped, and reads at once what
 // came meanwhile.
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -31,4 +31,4 @@
 }
 
 // Well resets the wait to the first after a success.
-func (b *Backoff) Well() { b.next = b.first }
+func (b *Backoff) Reset() { b.next = b.first }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -14,7 +14,7 @@
 			t.Errorf("waited %v of at most %v", w, longest)
 		}
 	}
-	if b.Well(); b.Next() > 20*time.Millisecond {
+	if b.Reset(); b.Next() > 20*time.Millisecond {
 		t.Error("an answer changed nothing")
 	}
 }
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -107,10 +107,10 @@
 
 // Errors of an invalid answer: nothing that follows on its connection can be read.
 var (
-	ErrMark   = errors.New("not an answer's mark")
-	ErrCode   = errors.New("unknown code of an answer")
-	ErrLength = errors.New("an answer over the bound")
-	ErrCheck  = errors.New("an answer's check does not match")
+	ErrMagic    = errors.New("not an answer's mark")
+	ErrCode     = errors.New("unknown code of an answer")
+	ErrLength   = errors.New("an answer over the bound")
+	ErrChecksum = errors.New("an answer's check does not match")
 )
 
 // cacheStatuses are the values of the field "remark".
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	if head[0] != markFromServer {
-		return nil, ErrMark
+		return nil, ErrMagic
 	}
 	if _, err := io.ReadFull(r, head[1:]); err != nil {
 		return nil, err
@@ -165,7 +165,7 @@
 	}
 	end := fields + int(body)
 	if crc32.ChecksumIEEE(rest[:end]) != binary.BigEndian.Uint32(rest[end:]) {
-		return nil, ErrCheck
+		return nil, ErrChecksum
 	}
 	a.setFields(string(rest[:fields]))
 	a.Body = rest[fields:end:end]
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -63,11 +63,11 @@
 		put  []byte
 		want error
 	}{
-		"mark":   {0, []byte{1}, ErrMark},
+		"mark":   {0, []byte{1}, ErrMagic},
 		"code":   {1, []byte{1}, ErrCode},
 		"3 GB":   {4, []byte{0xc0, 0, 0, 0}, ErrLength},
-		"body":   {len(good) - 6, []byte{0}, ErrCheck},
-		"fields": {18, []byte{0}, ErrCheck},
+		"body":   {len(good) - 6, []byte{0}, ErrChecksum},
+		"fields": {18, []byte{0}, ErrChecksum},
 	} {
 		in := bytes.Clone(good)
 		copy(in[test.at:], test.put)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -133,17 +133,17 @@
 		c.start()
 		c.note("asking the notice board again", err)
 		if errors.Is(err, errAddressChanged) {
-			c.backoff.Well()
+			c.backoff.Reset()
 			c.takeAddressChange()
 			continue
 		}
 		if c.Revision() > revision || time.Since(began) >= silence { // the connection was of use
-			c.backoff.Well()
+			c.backoff.Reset()
 		}
 		select {
 		case <-time.After(c.backoff.NextWithin(c.withinUrgency(pauseMost))):
 		case <-c.addressChanged:
-			c.backoff.Well()
+			c.backoff.Reset()
 		case <-ctx.Done():
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -89,11 +89,11 @@
 func (f *Fleet) UseSourceClock() { f.sourceClock = true }
 
 // SlowStart sets the duration of slow start.
-func (f *Fleet) SlowStart(duration control.Micros) { f.slowStart = duration }
+func (f *Fleet) SetSlowStartDuration(duration control.Micros) { f.slowStart = duration }
 
 // CompleteAsOf sets the time as of which the list is complete: it holds all that its source had sent by then. It
 // is called after the updates that were sent by then.
-func (f *Fleet) CompleteAsOf(asOf control.Micros) { f.completeAsOf = max(f.completeAsOf, asOf) }
+func (f *Fleet) SetCompleteAsOf(asOf control.Micros) { f.completeAsOf = max(f.completeAsOf, asOf) }
 
 // ID returns a server's ID, from its name or address. It is the same in every router, since all share one order
 // of servers.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -126,13 +126,13 @@
 		for _, restarted := range []bool{false, true} {
 			f := New(1000 * second)
 			f.UseSourceClock()
-			f.SlowStart(16 * second)
+			f.SetSlowStartDuration(16 * second)
 			var list []Endpoint
 			if restarted {
 				list = append(list, entry("127.0.0.1:9", 5*second))
 			}
 			f.FullUpdate(10*second, list)
-			f.CompleteAsOf(c.complete)
+			f.SetCompleteAsOf(c.complete)
 			f.FullUpdate(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
 			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
@@ -146,7 +146,7 @@
 	f := New(1000 * second)
 	f.UseSourceClock()
 	f.FullUpdate(10*second, nil)
-	f.CompleteAsOf(10 * second)
+	f.SetCompleteAsOf(10 * second)
 	first := f.FullUpdate(20*second, []Endpoint{entry("127.0.0.1:9", 4600*second)})
 	if then := f.FullUpdate(21*second, []Endpoint{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
 		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	g.fleet, g.tally = fleet.New(0), loadreport.NewTally(g.epoch)
-	g.fleet.SlowStart(told.Deployment.SlowStartDuration)
+	g.fleet.SetSlowStartDuration(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
@@ -332,7 +332,7 @@
 	for _, f := range heard {
 		f(now)
 	}
-	g.fleet.CompleteAsOf(g.complete)
+	g.fleet.SetCompleteAsOf(g.complete)
 	g.core.Step(now)
 	for _, f := range g.between {
 		f(now)
@@ -513,7 +513,7 @@
 	s := g.sending(to, allow)
 	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
 	if no > 0 && g.told.Deployment.Classes[j.workload].Effect == control.IdempotentByKey {
-		s.until = min(s.until, g.clock+attempt.KeyedRetryFreshness)
+		s.until = min(s.until, g.clock+attempt.MaxKeyedRetryDelay)
 	}
 	j.executions = append(j.executions, s)
 	j.state.AttemptBegan()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -679,7 +679,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if late := attempt.EndpointsFresh(micros(told.Grace)); told.Deployment.MaxCommandDelay != late || late == 0 {
+	if late := attempt.MaxEndpointsAge(micros(told.Grace)); told.Deployment.MaxCommandDelay != late || late == 0 {
 		t.Errorf("told %d of %d", told.Deployment.MaxCommandDelay, late)
 	}
 }
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 		s.job.client = rest.NewConn(accepted, &rest.Usual, nil)
-		s.job.seen.Store(int64(f.g.now() - attempt.ClientLook - 1))
+		s.job.seen.Store(int64(f.g.now() - attempt.MaxClientCheckAge - 1))
 		s.job.answer, s.job.id = make(chan *rest.Response, 1), 1
 		s.job.state.Give() // the turn has it answered
 		c.leave(nc.(*net.TCPConn))
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -164,7 +164,7 @@
 		s.Fault("load_window", "load_free and load_share mean nothing without it")
 	}
 	t.Grace = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
-	d.MaxCommandDelay = attempt.EndpointsFresh(micros(t.Grace))
+	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(t.Grace))
 	t.OrderTime = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
 	d.SupportsCancel = true // closing its connection calls an execution off
 
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -61,7 +61,7 @@
 
 // withdraw takes back what is not yet being written; what is goes on.
 func (s *sending) withdraw() bool {
-	if !attempt.Step(&s.stage, attempt.Stage.Withdraw) {
+	if !attempt.Transition(&s.stage, attempt.Stage.Withdraw) {
 		return false
 	}
 	s.cancel()
@@ -144,7 +144,7 @@
 		l.client.Store(c)
 	}
 	kept := s.kept(l.g.now()) && l.g.wanted(s.job) && s.tellsLeft()
-	if !attempt.Step(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
+	if !attempt.Transition(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
 		return st.Write(kept, l.g.now(), s.until)
 	}) {
 		return exchange{result: control.NotSent}
@@ -165,7 +165,7 @@
 // unread in the socket, as after a stop of the process.
 func (g *Gateway) wanted(j *job) bool {
 	now := g.now()
-	if j == nil || !attempt.MustLook(now-control.Micros(j.seen.Load())) {
+	if j == nil || !attempt.MustCheckClient(now-control.Micros(j.seen.Load())) {
 		return true
 	}
 	if j.client.Gone() {
--- a/internal/modelcheck/steps.go
+++ b/internal/modelcheck/steps.go
@@ -192,7 +192,7 @@
 func (o *outlet) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
 	e := o.exchange(o.setup.jobIndex(j.ID), int(no), to, allow)
 	if no > 0 && o.setup.effect(e.Job) == control.IdempotentByKey {
-		e.Until = min(e.Until, e.Chosen+attempt.KeyedRetryFreshness)
+		e.Until = min(e.Until, e.Chosen+attempt.MaxKeyedRetryDelay)
 	}
 	o.w.Jobs[e.Job].State.AttemptBegan()
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	deployment.MaxCommandDelay = attempt.EndpointsFresh(control.Micros(boot.Contract.StopSending))
+	deployment.MaxCommandDelay = attempt.MaxEndpointsAge(control.Micros(boot.Contract.StopSending))
 	const plenty = 20_000 // what the settings allow a router to hold open
 	c := &Config{
 		Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -40,7 +40,7 @@
 // crossing returns a client of a router, and the router's end of its connection.
 func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *clientConn) {
 	t.Helper()
-	ours, theirs := platformtest.Connected(t)
+	ours, theirs := platformtest.ConnPair(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
 	return c, r.serveClient(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
@@ -60,7 +60,7 @@
 // until waits for what another goroutine is about to do.
 func until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	platformtest.Until(t, what, done)
+	platformtest.WaitFor(t, what, done)
 }
 
 // A request that comes as its idle connection is about to close is read before, and served.
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -76,7 +76,7 @@
 // longGrace makes an endpoint list valid for so long that its age withdraws nothing.
 func longGrace(p *Router) {
 	p.config.grace, p.config.connectTimeout = 4_000_000, 1_000_000
-	p.config.Deployment.MaxCommandDelay = attempt.EndpointsFresh(p.config.grace)
+	p.config.Deployment.MaxCommandDelay = attempt.MaxEndpointsAge(p.config.grace)
 }
 
 // fill writes to a connection until it accepts no more, also of what the kernel moves on a little later, and returns
@@ -226,7 +226,7 @@
 func TestNothingLeftIsNotWritten(t *testing.T) {
 	p := idleRouter(t)
 	longGrace(p)
-	conn, theirs := platformtest.Connected(t)
+	conn, theirs := platformtest.ConnPair(t)
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
 	p.readEndpoints()
 	p.step(p.now(), nil)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -68,7 +68,7 @@
 	if !fresh.begun() {
 		t.Error("not written from a list that is up to date")
 	}
-	time.Sleep(duration(attempt.EndpointsFresh(p.config.grace)) + time.Millisecond) // the process is stopped
+	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond) // the process is stopped
 	var late *serverCall
 	p.step(p.now(), []func(control.Micros){func(control.Micros) { late = p.newCall(1, 1_000_000) }})
 	if late.begun() || order.begun() {
@@ -159,7 +159,7 @@
 	told := plane.Publish(platformtest.Event(2, "s-0", drains.Address(), "draining"))
 	plane.Publish(platformtest.Event(3, "s-1", stays.Address(), "ready"))
 	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
-	until(t, "the board is asked", func() bool { return len(plane.Asked()) == 1 })
+	until(t, "the board is asked", func() bool { return len(plane.Subscriptions()) == 1 })
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
 	until(t, "the request is read", func() bool {
@@ -188,7 +188,7 @@
 
 // Where the connection has no room for the first byte, the check is repeated when it has.
 func TestFullConnectionCrossesTheGrace(t *testing.T) {
-	ours, theirs := platformtest.Connected(t)
+	ours, theirs := platformtest.ConnPair(t)
 	raw, err := ours.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -291,7 +291,7 @@
 // A connection established after the grace period writes nothing that was chosen before.
 func TestDialCrossesTheGrace(t *testing.T) {
 	p := idleRouter(t)
-	conn, theirs := platformtest.Connected(t)
+	conn, theirs := platformtest.ConnPair(t)
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
 	p.readEndpoints()
 	p.step(p.now(), nil)
@@ -299,7 +299,7 @@
 	s.conn = p.newServerConn(p.now(), p.poolOf(s.to)) // it dials: nothing is up yet
 	defer s.conn.cancelDial()
 	s.conn.writes.post(queuedFrame{data: []byte("late"), begin: s.begin, wrote: s.wrote})
-	time.Sleep(duration(attempt.EndpointsFresh(p.config.grace)) + time.Millisecond)
+	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond)
 	s.conn.writes.connected(conn)
 	until(t, "it is withdrawn", s.conn.writes.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -47,7 +47,7 @@
 			"for a while": func(_ int32, since time.Duration) bool { return since < lasts },
 		} {
 			p := idleRouter(t)
-			ours, theirs := platformtest.Connected(t)
+			ours, theirs := platformtest.ConnPair(t)
 			idle := p.serveClient(ours)
 			begin := time.Now()
 			l := &failing{TCPListener: p.listener}
@@ -205,7 +205,7 @@
 				c.send(0, 2, "isWell", []any{map[string]string{}})
 			},
 		} {
-			ours, theirs := platformtest.Connected(t)
+			ours, theirs := platformtest.ConnPair(t)
 			theirs.SetDeadline(time.Now().Add(5 * time.Second))
 			b := &broken{TCPConn: ours.(*net.TCPConn)}
 			c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
@@ -240,7 +240,7 @@
 // A connection that brings one byte at a time brings its requests.
 func TestShortReads(t *testing.T) {
 	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	ours, theirs := platformtest.Connected(t)
+	ours, theirs := platformtest.ConnPair(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
 	r.serveClient(&broken{TCPConn: ours.(*net.TCPConn), short: true})
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -94,7 +94,7 @@
 		rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0),
 	}
 	r.fleet.UseSourceClock()
-	r.fleet.SlowStart(config.Deployment.SlowStartDuration)
+	r.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
 	// Well-behaved clients hold up to a third; the rest of a half is for silent ones.
 	r.maxClients = config.Sockets / 2
 	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
@@ -263,7 +263,7 @@
 	for _, f := range events {
 		f(now)
 	}
-	r.fleet.CompleteAsOf(r.endpointsCompleteAsOf)
+	r.fleet.SetCompleteAsOf(r.endpointsCompleteAsOf)
 	r.core.Step(now)
 	r.prune(now)
 }
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -131,7 +131,7 @@
 
 // A first byte that is retried again and again does not delay its connection's end: the event loop may close it.
 func TestCloseDoesNotWaitForAFirstByte(t *testing.T) {
-	ours, _ := platformtest.Connected(t)
+	ours, _ := platformtest.ConnPair(t)
 	tried := make(chan bool, 1)
 	o := &writeQueue{conn: ours, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
 		select {
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -40,7 +40,7 @@
 func (call *serverCall) withdraw() bool {
 	call.writing.Lock()
 	defer call.writing.Unlock()
-	return attempt.Step(&call.stage, attempt.Stage.Withdraw)
+	return attempt.Transition(&call.stage, attempt.Stage.Withdraw)
 }
 
 // address returns the server's address, or the empty string where no connection was found.
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -166,7 +166,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "stopped short"
 	}
-	for _, known := range []error{binframe.ErrMark, binframe.ErrCode, binframe.ErrLength, binframe.ErrCheck} {
+	for _, known := range []error{binframe.ErrMagic, binframe.ErrCode, binframe.ErrLength, binframe.ErrChecksum} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -104,7 +104,7 @@
 						return conn, err
 					}
 				}, server)
-				ours, theirs := platformtest.Connected(t)
+				ours, theirs := platformtest.ConnPair(t)
 				stalled := &stalling{TCPConn: ours.(*net.TCPConn)}
 				r.serveClient(stalled)
 				c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
@@ -130,7 +130,7 @@
 func TestSeenKnowsWhatIsUnread(t *testing.T) {
 	for how, leave := range leaving {
 		t.Run(how, func(t *testing.T) {
-			ours, theirs := platformtest.Connected(t)
+			ours, theirs := platformtest.ConnPair(t)
 			s := newTrackedConn(ours)
 			if !s.direct {
 				t.Fatal("not read from the descriptor")
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -23,17 +23,17 @@
 
 // Deployment is what tests vary of a router's start settings.
 type Deployment struct {
-	Grace      time.Duration // within which nothing new may go to a server that was told to drain
-	OrdersOnly bool          // model servers load what they are ordered to, and nothing for a request
-	Deadline   time.Duration // after which clients give up; 0: 9 s
-	SlowStart  time.Duration // how long model servers take to reach full capacity
-	Routers    int           // in the fleet; 0: one
+	Grace              time.Duration // within which nothing new may go to a server that was told to drain
+	LoadsOnCommandOnly bool          // model servers load what they are ordered to, and nothing for a request
+	Deadline           time.Duration // after which clients give up; 0: 9 s
+	SlowStart          time.Duration // how long model servers take to reach full capacity
+	Routers            int           // in the fleet; 0: one
 }
 
 // settings are start settings with one restartable class, "again".
 func (d Deployment) settings() string {
 	absent := "load"
-	if d.OrdersOnly {
+	if d.LoadsOnCommandOnly {
 		absent = "miss"
 	}
 	aim, deadline := 8*time.Second, cmp.Or(d.Deadline, 9*time.Second)
@@ -104,7 +104,7 @@
 }
 
 // Connected gives the two ends of a connection, as the one who dialled and the one who accepted have them.
-func Connected(t testing.TB) (dialled, accepted net.Conn) {
+func ConnPair(t testing.TB) (dialled, accepted net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,7 +160,7 @@
 func (b *Discovery) Address() string { return b.listener.Addr().String() }
 
 // Asked gives when each watch was asked for.
-func (b *Discovery) Asked() []time.Time {
+func (b *Discovery) Subscriptions() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]time.Time(nil), b.asked...)
@@ -448,7 +448,7 @@
 }
 
 // Well asks whether the router is well.
-func (c *Client) Well() bool {
+func (c *Client) Healthy() bool {
 	c.t.Helper()
 	c.send("isWell", map[string]string{})
 	v, err := c.dec.DecodeSlice()
@@ -480,7 +480,7 @@
 }
 
 // Until waits for what another goroutine is about to do.
-func Until(t testing.TB, what string, done func() bool) {
+func WaitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
 	for range 4000 {
 		if done() {
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -88,7 +88,7 @@
 					t.Error(err)
 				}
 			}()
-			platformtest.Until(t, "the first list", func() bool { return state() == control.Ready })
+			platformtest.WaitFor(t, "the first list", func() bool { return state() == control.Ready })
 			conn := <-conns
 			conn.reading.Store(true)
 			gate.Lock()
@@ -96,7 +96,7 @@
 			tell("ready", "ready")
 			time.Sleep(50 * time.Millisecond)
 			tell("draining", "ready")
-			platformtest.Until(t, "the change is in the socket", conn.unread)
+			platformtest.WaitFor(t, "the change is in the socket", conn.unread)
 			looked, asked := make(chan struct{}), now()
 			refresh <- looked
 			select {
@@ -160,10 +160,10 @@
 	mu.Lock()
 	down = false
 	mu.Unlock()
-	platformtest.Until(t, "a stream", func() bool { _, streams, _ := plane.Counts(); return streams == 1 })
+	platformtest.WaitFor(t, "a stream", func() bool { _, streams, _ := plane.Counts(); return streams == 1 })
 	began := time.Now()
 	plane.Cut(false)
-	platformtest.Until(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
+	platformtest.WaitFor(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
 	const slack = 100 * time.Millisecond
 	if took := time.Since(began); took > testGrace/2+slack {
 		t.Errorf("asked again after %v", took)
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -117,7 +117,7 @@
 	for ctx.Err() == nil {
 		conn.ResetConnectBackoff() // the waits between tries are ours
 		answered := false
-		asked, err := s.one(ctx, conn, d, f, func() { answered = true; waits.Well() })
+		asked, err := s.one(ctx, conn, d, f, func() { answered = true; waits.Reset() })
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -358,7 +358,7 @@
 			t.Errorf("try %d: %s of %s", i, w, span)
 		}
 	}
-	b.Well()
+	b.Reset()
 	if w := b.Next(); w > firstWait {
 		t.Errorf("after it was well: %s", w)
 	}
