--- a/client/client.go
+++ b/client/client.go
@@ -375,7 +375,7 @@
 	x, err := c.get(ctx, router)
 	if err != nil {
 		e.ending, e.failed = retry.Unsent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
-		e.ours = rest.Ours(err) || errors.Is(err, context.Canceled)
+		e.ours = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
 	} else if !t.hold(x) { // the call is over
 		c.put(router, x, true)
 		e.ending, e.failed, e.ours = retry.Unsent, &Failed{Kind: Unreached, Why: "the call is over"}, true
@@ -450,13 +450,13 @@
 	p, progress, err := x.Do(q, t.deadline.Add(c.o.Late))
 	t.drop(x)
 	if err != nil {
-		if e.ours = errors.Is(err, rest.ErrAborted) || rest.Ours(err); e.ours { // given up, by the caller or for another try's answer
+		if e.ours = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err); e.ours { // given up, by the caller or for another try's answer
 			c.put(e.router, x, true)
 		} else {
 			c.lose(e.router, x)
 		}
 		e.ending, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
-		if progress < rest.Whole || errors.Is(err, rest.ErrRefused) {
+		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
 			e.ending, e.failed.Kind = retry.Unsent, Unreached
 		}
 		return
@@ -511,7 +511,7 @@
 				return nil, ctx.Err()
 			}
 		}
-		var secure rest.Secure
+		var secure rest.Handshake
 		if c.o.TLS != nil {
 			secure = func(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 				config := c.o.TLS.Clone()
@@ -522,7 +522,7 @@
 				return s, s.HandshakeContext(ctx)
 			}
 		}
-		x, err := rest.DialSecure(ctx, c.o.Routers[router], &rest.Usual, secure)
+		x, err := rest.DialWith(ctx, c.o.Routers[router], &rest.DefaultLimits, secure)
 		if err != nil {
 			c.mu.Lock()
 			c.open[router]--
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -90,9 +90,9 @@
 
 func (r *routers) serve(i int, nc net.Conn, do act) {
 	defer nc.Close()
-	c := rest.NewConn(nc, &rest.Usual, nil)
+	c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 	for {
-		q, err := c.Next()
+		q, err := c.ReadRequest()
 		if err != nil {
 			return
 		}
@@ -104,7 +104,7 @@
 		r.log = append(r.log, h)
 		r.mu.Unlock()
 		p := do(h)
-		if p == nil || c.Answer(p) != nil {
+		if p == nil || c.WriteResponse(p) != nil {
 			return
 		}
 	}
@@ -273,9 +273,9 @@
 			return
 		}
 		defer nc.Close()
-		c := rest.NewConn(nc, &rest.Usual, nil)
-		c.Next()
-		gone, stop := c.Watch()
+		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
+		c.ReadRequest()
+		gone, stop := c.WatchClose()
 		close(came)
 		<-gone
 		stop()
@@ -405,7 +405,7 @@
 func BenchmarkInfer(b *testing.B) {
 	r := begin(b, 1, well)
 	b.Run("plain", func(b *testing.B) {
-		x, err := rest.Dial(context.Background(), r.addrs[0], &rest.Usual)
+		x, err := rest.Dial(context.Background(), r.addrs[0], &rest.DefaultLimits)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, program.Use{Err: err}
 		}
-		list, err := gateway.ReadList(f)
+		list, err := gateway.ParseEndpoints(f)
 		if err != nil {
 			return nil, err
 		}
@@ -128,8 +128,8 @@
 	const patience = 10 * time.Second // a state of many thousand functions takes a part of one
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	limits := rest.Usual
-	limits.Body = 1 << 30
+	limits := rest.DefaultLimits
+	limits.MaxBody = 1 << 30
 	c, err := rest.Dial(ctx, r.Address, &limits)
 	if err != nil {
 		return err
--- a/cmd/hollymast/main.go
+++ b/cmd/hollymast/main.go
@@ -57,12 +57,12 @@
 	return err
 }
 
-func read(name string) (*gateway.Told, error) {
+func read(name string) (*gateway.Config, error) {
 	f, err := inifile.Load(name)
 	if err != nil {
 		return nil, program.Use{Err: err}
 	}
-	return gateway.ReadTold(f)
+	return gateway.ParseConfig(f)
 }
 
 type serve struct {
@@ -110,14 +110,14 @@
 	return g.Serve(ctx)
 }
 
-func level(told *gateway.Told) {
+func level(told *gateway.Config) {
 	if l, err := zerolog.ParseLevel(told.LogLevel); err == nil {
 		zerolog.SetGlobalLevel(l)
 	}
 }
 
 // reload takes in what can change in service: the list of servers and the log level.
-func reload(name string, told *gateway.Told, g *gateway.Gateway, log zerolog.Logger) {
+func reload(name string, told *gateway.Config, g *gateway.Gateway, log zerolog.Logger) {
 	fresh, err := read(name)
 	var faults *inifile.Faults
 	if errors.As(err, &faults) {
@@ -126,10 +126,10 @@
 		log.Error().Err(err).Msg("settings refused: the old ones stand")
 	} else {
 		level(fresh)
-		if rest := gateway.NeedRestart(told, fresh); len(rest) > 0 {
+		if rest := gateway.ChangesNeedingRestart(told, fresh); len(rest) > 0 {
 			log.Warn().Strs("changed", rest).Msg("these need a restart; the old ones stand")
 		}
 	}
-	g.Refresh()
+	g.RefreshEndpoints()
 	log.Info().Msg("reloaded")
 }
--- a/cmd/hollymast/stop_test.go
+++ b/cmd/hollymast/stop_test.go
@@ -87,7 +87,7 @@
 
 func (a *asker) ask(until func() bool) {
 	for until() {
-		c, err := rest.Dial(context.Background(), a.address, &rest.Usual)
+		c, err := rest.Dial(context.Background(), a.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				time.Sleep(a.every)
@@ -100,7 +100,7 @@
 			switch {
 			case err == nil:
 				a.answered++
-			case progress < rest.Whole:
+			case progress < rest.WrittenWhole:
 			default:
 				a.unanswered = append(a.unanswered, fmt.Sprintf("after %v: %v", time.Since(sent).Round(time.Millisecond), err))
 			}
--- a/internal/certstore/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -82,14 +82,14 @@
 				if err != nil {
 					return
 				}
-				limits := rest.Usual
-				limits.IdleTime = 5 * time.Second
+				limits := rest.DefaultLimits
+				limits.IdleTimeout = 5 * time.Second
 				c := rest.NewConn(s, &limits, nil)
 				for {
-					if _, err := c.Next(); err != nil {
+					if _, err := c.ReadRequest(); err != nil {
 						return
 					}
-					c.Answer(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte("yes")})
+					c.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte("yes")})
 				}
 			}()
 		}
@@ -103,7 +103,7 @@
 }
 
 func dial(r *Ring, address string) (*rest.Client, error) {
-	return rest.DialSecure(context.Background(), address, &rest.Usual, r.Dialled)
+	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, r.Dialled)
 }
 
 // A server that does not believe a client tells it so although the client has already sent its whole request, every time: it is
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err) // in TLS 1.3 the client's side is done before it is checked
 		}
-		if p, err := ask(c); !errors.Is(err, rest.ErrRefused) {
+		if p, err := ask(c); !errors.Is(err, rest.ErrCertificateRejected) {
 			t.Fatalf("%v, %v", p, err)
 		}
 		c.Close()
@@ -215,7 +215,7 @@
 	if err := old(); err != nil {
 		t.Errorf("TLS 1.2, asked for: %v", err)
 	}
-	c, err := rest.Dial(context.Background(), strict, &rest.Usual)
+	c, err := rest.Dial(context.Background(), strict, &rest.DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/chaostest/clients.go
+++ b/internal/chaostest/clients.go
@@ -28,7 +28,7 @@
 // clientPool keeps connections to one router.
 type clientPool struct {
 	address string
-	secure  rest.Secure // nil: in plain text
+	secure  rest.Handshake // nil: in plain text
 	mu      sync.Mutex
 	idle    []*rest.Client
 }
@@ -47,7 +47,7 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return rest.DialSecure(ctx, c.address, &rest.Usual, c.secure)
+	return rest.DialWith(ctx, c.address, &rest.DefaultLimits, c.secure)
 }
 
 func (c *clientPool) put(x *rest.Client) {
@@ -173,7 +173,7 @@
 	switch {
 	case err != nil:
 		x.Close()
-		o.mayHaveRun = progress >= rest.Whole
+		o.mayHaveRun = progress >= rest.WrittenWhole
 		o.broken = o.mayHaveRun && !errors.Is(err, rest.ErrTimeout)
 		p.broke(err)
 		if o.untaken = !o.mayHaveRun; o.untaken {
--- a/internal/chaostest/day.go
+++ b/internal/chaostest/day.go
@@ -670,7 +670,7 @@
 func (p *play) awaitReady(ctx context.Context, i int) error {
 	const most = 10 * time.Second
 	for end := time.Now().Add(most); time.Now().Before(end); {
-		c, err := rest.DialSecure(ctx, p.addrs[i], &rest.Usual, p.client[i].secure)
+		c, err := rest.DialWith(ctx, p.addrs[i], &rest.DefaultLimits, p.client[i].secure)
 		if err == nil {
 			res, _, err := c.Do(&rest.Request{Method: "GET", Target: "/v2/health/ready", Header: rest.Header{"Host": {"lab"}}}, time.Now().Add(time.Second))
 			c.Close()
--- a/internal/chaostest/emulated.go
+++ b/internal/chaostest/emulated.go
@@ -42,13 +42,13 @@
 	if err != nil {
 		return nil, err
 	}
-	told, err := gateway.ReadTold(in)
+	told, err := gateway.ParseConfig(in)
 	if err != nil {
 		return nil, err
 	}
 	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, Lanes: lanes, Fetch: control.Micros(storeFetch.Microseconds()),
 		AtOnce: storeAtOnce, Clients: d.Clients, Length: control.Micros(d.Length.Microseconds()), Margin: control.Micros(told.AnswerMargin.Microseconds()),
-		Damped: d.Damped, ListEvery: control.Micros(told.ListEvery.Microseconds())}
+		Damped: d.Damped, ListEvery: control.Micros(told.EndpointFileInterval.Microseconds())}
 	for i := range d.Workers {
 		plan.Servers = append(plan.Servers, p.make(i).Model())
 		plan.Zones = append(plan.Zones, control.ZoneID(i%3))
@@ -57,11 +57,11 @@
 		plan.RouterZone = append(plan.RouterZone, control.ZoneID(i%3))
 	}
 	for i, w := range told.Deployment.Classes {
-		plan.Workloads = append(plan.Workloads, simulation.Workload{Name: told.Workloads[i], Told: w, Importance: told.Importance[i]})
+		plan.Workloads = append(plan.Workloads, simulation.Workload{Name: told.ClassNames[i], Told: w, Importance: told.Priorities[i]})
 	}
 	for _, c := range d.schedule() {
 		rude := d.Manners == "bad" || d.Manners == "mixed" && c.number%2 == 1 || c.loud
-		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Workload: slices.Index(told.Workloads, c.workload.name),
+		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Workload: slices.Index(told.ClassNames, c.workload.name),
 			Function: c.function, Patience: control.Micros(c.patience.Microseconds()), Rude: rude, Router: c.router})
 	}
 	for _, t := range d.Troubles {
--- a/internal/chaostest/keys.go
+++ b/internal/chaostest/keys.go
@@ -100,7 +100,7 @@
 }
 
 // dial makes connections secret that an owner dials; nil: they are in plain text.
-func (k *keys) dial(owner string) rest.Secure {
+func (k *keys) dial(owner string) rest.Handshake {
 	if k == nil {
 		return nil
 	}
@@ -113,7 +113,7 @@
 		return nil
 	}
 	return func(nc net.Conn) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(context.Background(), rest.Usual.HeaderTime)
+		ctx, cancel := context.WithTimeout(context.Background(), rest.DefaultLimits.HeaderTimeout)
 		defer cancel()
 		return k.rings[owner].Accepted(ctx, nc)
 	}
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -33,7 +33,7 @@
 	Idle        int    // further client connections that do nothing
 	Bytes       int    // of tensors a job
 	prefix      string // of functions' names
-	secure      rest.Secure
+	secure      rest.Handshake
 	Recording   int // pairs of streams, one while the router records and one while it does not
 	Memory      int // pairs of streams, one through a further router that has a memory
 	TLS         int // triples of streams: in plain text, over TLS, and over TLS while keys change
@@ -161,11 +161,11 @@
 						return
 					}
 				}
-				c := rest.NewConn(nc, &rest.Usual, nil)
+				c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 				answer := &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {"application/json"}},
 					Body: []byte(`{"model_name":"m","parameters":{"found":"warm"},"outputs":[]}`)}
 				for {
-					q, err := c.Next()
+					q, err := c.ReadRequest()
 					if err != nil {
 						return
 					}
@@ -173,7 +173,7 @@
 					if strings.Contains(q.Target, strangers) {
 						p = &rest.Response{Status: 404, Header: rest.Header{}, Body: kserve.Fault{Error: "no such model"}.Body()}
 					}
-					if c.Answer(p) != nil {
+					if c.WriteResponse(p) != nil {
 						return
 					}
 				}
@@ -349,7 +349,7 @@
 
 // operate asks a router something at its admin address.
 func operate(ctx context.Context, admin, target string) error {
-	c, err := rest.Dial(ctx, admin, &rest.Usual)
+	c, err := rest.Dial(ctx, admin, &rest.DefaultLimits)
 	if err != nil {
 		return err
 	}
@@ -379,7 +379,7 @@
 		go func() {
 			defer wg.Done()
 			h := hdrhistogram.New(1, 60_000_000, 3)
-			c, err := rest.DialSecure(ctx, addresses[n%len(addresses)], &rest.Usual, load.secure)
+			c, err := rest.DialWith(ctx, addresses[n%len(addresses)], &rest.DefaultLimits, load.secure)
 			connected.Done()
 			<-start
 			if err != nil {
@@ -408,7 +408,7 @@
 				}
 				if err != nil {
 					c.Close()
-					if c, err = rest.DialSecure(ctx, addresses[n%len(addresses)], &rest.Usual, load.secure); err != nil {
+					if c, err = rest.DialWith(ctx, addresses[n%len(addresses)], &rest.DefaultLimits, load.secure); err != nil {
 						return
 					}
 					continue
--- a/internal/chaostest/secret.go
+++ b/internal/chaostest/secret.go
@@ -122,7 +122,7 @@
 }
 
 // connecting measures new connections, each with one request that the router answers itself, in plain text and over TLS by turns.
-func connecting(ctx context.Context, plain, address string, secure rest.Secure, plainPid, pid int) (string, error) {
+func connecting(ctx context.Context, plain, address string, secure rest.Handshake, plainPid, pid int) (string, error) {
 	const times = 500
 	var took [2][]time.Duration
 	before := [2]time.Duration{cpuTime(plainPid), cpuTime(pid)}
@@ -133,7 +133,7 @@
 			if i == 0 {
 				s = nil
 			}
-			c, err := rest.DialSecure(ctx, to, &rest.Usual, s)
+			c, err := rest.DialWith(ctx, to, &rest.DefaultLimits, s)
 			if err != nil {
 				return "", err
 			}
--- a/internal/fakeserver/standin.go
+++ b/internal/fakeserver/standin.go
@@ -246,14 +246,14 @@
 			return
 		}
 	}
-	c := rest.NewConn(nc, &rest.Usual, nil)
+	c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 	for {
-		q, err := c.Next()
-		var distrusted *rest.Distrusted
+		q, err := c.ReadRequest()
+		var distrusted *rest.PeerUntrustedError
 		if errors.As(err, &distrusted) && life.Err() == nil {
 			p := s.answer(503, kserve.Fault{Error: distrusted.Error()}.Body())
 			p.Close = true
-			c.Answer(p)
+			c.WriteResponse(p)
 		}
 		if err != nil || life.Err() != nil {
 			return
@@ -262,7 +262,7 @@
 		if p == nil {
 			return
 		}
-		if c.Answer(p) != nil {
+		if c.WriteResponse(p) != nil {
 			return
 		}
 	}
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -27,7 +27,7 @@
 
 // post sends one request; the status is 0 where the connection broke.
 func post(t *testing.T, s *Server, target, mark, body string) (int, string) {
-	c, err := rest.Dial(context.Background(), s.Address(), &rest.Usual)
+	c, err := rest.Dial(context.Background(), s.Address(), &rest.DefaultLimits)
 	if err != nil {
 		return 0, ""
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -39,7 +39,7 @@
 
 // welcomed serves a connection that was accepted.
 func (g *Gateway) welcomed(nc net.Conn, admin bool) {
-	if !admin && g.clients.Load() >= int64(g.told.Connections) {
+	if !admin && g.clients.Load() >= int64(g.told.MaxClientConns) {
 		g.metrics.turnedAway.Inc()
 		if g.rings[fromClients] != nil {
 			nc.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
@@ -69,22 +69,22 @@
 // turnAway answers a connection beyond the bound before it has asked for anything: nothing was taken, so trying again
 // is harmless.
 func turnAway(nc net.Conn, stayAway control.Micros) {
-	limits := rest.Limits{WriteTime: time.Second}
+	limits := rest.Limits{WriteTimeout: time.Second}
 	c := rest.NewConn(nc, &limits, nil)
 	p := pushedBack("too many connections", stayAway)
 	p.Close = true
-	c.Answer(p)
+	c.WriteResponse(p)
 	c.Close()
 }
 
 // converse answers one connection's requests, each in its turn.
 func (g *Gateway) converse(nc net.Conn, admin bool) {
-	limits := rest.Usual
-	limits.Body, limits.IdleTime = g.told.Body, g.told.ClientIdle
-	limits.HeaderTime, limits.BodyTime = g.told.HeaderTime, g.told.BodyTime
+	limits := rest.DefaultLimits
+	limits.MaxBody, limits.IdleTimeout = g.told.MaxBody, g.told.ClientIdleTimeout
+	limits.HeaderTimeout, limits.BodyTimeout = g.told.HeaderTimeout, g.told.BodyTimeout
 	reserved := 0
 	c := rest.NewConn(nc, &limits, func(n int) bool {
-		if g.bytes.Add(int64(n)) > int64(g.told.Bytes) {
+		if g.bytes.Add(int64(n)) > int64(g.told.MaxBodyBytes) {
 			g.bytes.Add(int64(-n))
 			return false
 		}
@@ -100,34 +100,34 @@
 	g.conns.Store(c, nil)
 	held := g.told.stopTimes().held
 	if g.isStopping() {
-		c.EndBy(g.sinceStop(held))
+		c.SetIdleDeadline(g.sinceStop(held))
 	}
 	for {
-		q, err := c.Next()
+		q, err := c.ReadRequest()
 		if err != nil {
-			var distrusted *rest.Distrusted
+			var distrusted *rest.PeerUntrustedError
 			if errors.As(err, &distrusted) {
 				p := pushedBack(distrusted.Error(), 0)
 				p.Close = true
-				c.Answer(p)
+				c.WriteResponse(p)
 			}
-			var refused *rest.Refused
+			var refused *rest.MessageError
 			if errors.As(err, &refused) {
-				p := fault(refused.Status, refused.Why)
+				p := fault(refused.Status, refused.Reason)
 				if refused.Status == 503 {
-					p = pushedBack(refused.Why, g.told.Deployment.MaxRetryAfter)
+					p = pushedBack(refused.Reason, g.told.Deployment.MaxRetryAfter)
 				}
 				p.Close = true
-				c.Answer(p)
+				c.WriteResponse(p)
 			}
 			return
 		}
 		p, left := g.respond(c, q, admin)
 		free()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.More = (left || state.Stopping) && c.More() && (!state.Stopping || time.Now().Before(g.sinceStop(held)))
+		state.More = (left || state.Stopping) && c.HasPending() && (!state.Stopping || time.Now().Before(g.sinceStop(held)))
 		p.Close = state.CloseAfter(p.Close, q.Close, left)
-		if c.Answer(p) != nil || p.Close {
+		if c.WriteResponse(p) != nil || p.Close {
 			return
 		}
 	}
@@ -195,7 +195,7 @@
 		return pushedBack(why, g.told.Deployment.MaxRetryAfter), false
 	}
 	seen := g.now()
-	if c.Gone() { // after a stall of this process, say: its time may be long over
+	if c.PeerClosed() { // after a stall of this process, say: its time may be long over
 		return pushedBack("the client closed its side of the connection", 0), true
 	}
 	tenant, ok := g.told.Tenants[q.Header.Get(tenantHeader)]
@@ -205,9 +205,9 @@
 	j := &job{name: call.Model, tenant: g.told.tenantName(tenant), call: call, request: q, client: c, answer: make(chan *rest.Response, 1)}
 	j.seen.Store(int64(seen))
 	g.tell(func(now control.Micros) {
-		g.arrived(now, j, pattern, tenant, ask, micros(time.Since(q.Began)))
+		g.arrived(now, j, pattern, tenant, ask, micros(time.Since(q.ArrivedAt)))
 	})
-	gone, stop := c.Watch()
+	gone, stop := c.WatchClose()
 	left := false
 	select {
 	case p := <-j.answer:
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -11,7 +11,7 @@
 
 // Conclude tells what a server's answer to an execution, or to an order, means to the module. The router and the probe
 // read answers with this, so they cannot disagree.
-func Conclude(p *rest.Response, order bool) control.Outcome {
+func OutcomeOf(p *rest.Response, order bool) control.Outcome {
 	o := control.Outcome{Result: resultOf(p, order), CacheStatus: foundOf(p)}
 	if l, ok := kserve.ReadLoad(p.Header); ok {
 		o.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
@@ -48,20 +48,20 @@
 }
 
 // Broken tells what a broken exchange means to the module, by how far it had got.
-func Broken(progress rest.Progress, err error) control.Result {
+func BrokenExchangeResult(progress rest.Progress, err error) control.Result {
 	why := attempt.ByPeer
 	switch {
-	case errors.Is(err, rest.ErrRefused):
+	case errors.Is(err, rest.ErrCertificateRejected):
 		why = attempt.ByAuthentication
 	case errors.Is(err, rest.ErrAborted):
 		why = attempt.ByUs
 	case errors.Is(err, rest.ErrTimeout):
 		why = attempt.ByDeadline
 	}
-	if progress > rest.None && why == attempt.ByPeer && rest.Ours(err) {
+	if progress > rest.NothingWritten && why == attempt.ByPeer && rest.LocalFailure(err) {
 		return control.Failed // may have run; says nothing of the server
 	}
-	return attempt.BrokenResult(progress > rest.None, why)
+	return attempt.BrokenResult(progress > rest.NothingWritten, why)
 }
 
 // ResultName is a result in our words.
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -119,7 +119,7 @@
 // connection its end, before the router may be killed.
 func TestStopTimes(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
-		told := Told{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
+		told := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
 		s := told.stopTimes()
 		if s.held < 600*time.Millisecond || s.answered < s.held || s.closed <= s.answered || s.closed >= killed {
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -14,7 +14,7 @@
 )
 
 // rarely has the list's file looked at only where a turn asks for it.
-func rarely(t *Told) { t.ListEvery = time.Hour }
+func rarely(t *Config) { t.EndpointFileInterval = time.Hour }
 
 // A turn reads the list before it chooses, however long the next look would be off, and whether an alarm was missed or not.
 func TestTurnReadsTheListFirst(t *testing.T) {
@@ -32,7 +32,7 @@
 	states[used] = "draining"
 	f.write(states...)
 	told := f.g.now()
-	for f.g.now()-told < micros(f.g.told.Grace) { // the process may have been stopped meanwhile
+	for f.g.now()-told < micros(f.g.told.GracePeriod) { // the process may have been stopped meanwhile
 		time.Sleep(time.Millisecond)
 	}
 	f.ask("c", "forecast-1", time.Second)
@@ -46,7 +46,7 @@
 	f := newField(t, usual(0))
 	s := make(chan *sending)
 	f.g.tell(func(now control.Micros) {
-		f.g.listAsOf = now - micros(f.g.told.Grace) // the process was stopped after the look
+		f.g.listAsOf = now - micros(f.g.told.GracePeriod) // the process was stopped after the look
 		s <- f.g.sending(fleet.ID(f.servers[0].Address()), 1_000_000)
 	})
 	old := <-s
@@ -87,9 +87,9 @@
 		if word := f.ask(string(rune('a'+i)), "forecast-1", time.Second); word != "finished" {
 			t.Errorf("got %q", word)
 		}
-		time.Sleep(f.g.told.Grace / 4)
+		time.Sleep(f.g.told.GracePeriod / 4)
 	}
-	if took := time.Since(began); took > 5*f.g.told.Grace {
+	if took := time.Since(began); took > 5*f.g.told.GracePeriod {
 		t.Errorf("five jobs took %v", took)
 	}
 }
@@ -101,7 +101,7 @@
 	look := func() (asOf control.Micros) {
 		asOf = f.g.now()
 		for control.Micros(f.g.listWhole.Load()) < asOf {
-			f.g.Refresh()
+			f.g.RefreshEndpoints()
 			time.Sleep(time.Millisecond)
 		}
 		return asOf
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -23,7 +23,7 @@
 // What a failed dial means to the module: what is ours is never a sign about the server, what may be the way's only where it lasts.
 func TestFailedDials(t *testing.T) {
 	const ours, way, server = control.NotSent, control.ConnectFailed, control.Result(255)
-	f := newFieldChanged(t, "", func(t *Told) { t.DialTime = 40 * time.Millisecond })
+	f := newFieldChanged(t, "", func(t *Config) { t.DialTimeout = 40 * time.Millisecond })
 	address, _ := listens(t, new(atomic.Int64))
 	connect := f.g.connect
 	for errno, lasting := range map[syscall.Errno]control.Result{syscall.EMFILE: ours, syscall.ENFILE: ours, syscall.ENOBUFS: ours,
@@ -62,9 +62,9 @@
 	for errno, want := range map[syscall.Errno]control.Result{syscall.ETIMEDOUT: control.ConnectionReset, syscall.EHOSTUNREACH: control.ConnectionReset,
 		syscall.ENETUNREACH: control.ConnectionReset, syscall.ECONNRESET: control.ConnectionReset, syscall.EPIPE: control.ConnectionReset,
 		syscall.ENOBUFS: control.Failed, syscall.ENOMEM: control.Failed} {
-		for progress := rest.None; progress < rest.Done; progress++ {
-			got := Broken(progress, fmt.Errorf("exchange broken: %w", failed("read", errno)))
-			if progress == rest.None && got != control.NotSent || progress > rest.None && got != want {
+		for progress := rest.NothingWritten; progress < rest.ResponseRead; progress++ {
+			got := BrokenExchangeResult(progress, fmt.Errorf("exchange broken: %w", failed("read", errno)))
+			if progress == rest.NothingWritten && got != control.NotSent || progress > rest.NothingWritten && got != want {
 				t.Errorf("%v at %d: got %v", errno, progress, got)
 			}
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,7 +34,7 @@
 
 // Gateway is one router.
 type Gateway struct {
-	told    *Told
+	told    *Config
 	log     zerolog.Logger
 	started time.Time
 	epoch   control.Micros // the router's time at its start
@@ -112,19 +112,19 @@
 }
 
 // New opens the router's listeners. Errors are those of listening.
-func New(told *Told, log zerolog.Logger) (*Gateway, error) {
+func New(told *Config, log zerolog.Logger) (*Gateway, error) {
 	seed := told.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	g := &Gateway{told: told, log: log, started: time.Now(), box: eventqueue.New(),
-		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.Dials),
+		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.MaxDials),
 		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
 	// whatever is done to that clock.
 	g.epoch = control.Micros(g.started.UnixMicro())
 	g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
-		return rest.DialSecure(ctx, address, &workerLimits, g.secure())
+		return rest.DialWith(ctx, address, &workerLimits, g.secure())
 	}
 	g.run = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
@@ -136,17 +136,17 @@
 	if told.LoadReports {
 		g.counted = &counted{g: g}
 	}
-	if told.Storms {
+	if told.DampOverload {
 		shares := make([]float64, len(told.Deployment.Quotas))
 		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = overload.NewWatch(g.epoch, shares, told.Importance, told.Deployment.MaxRetryAfter, seed)
+		g.storm = overload.NewWatch(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.New(g.epoch, seed, deployment)
-	if told.MemoryDir != "" {
+	if told.StateDir != "" {
 		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
 		g.metrics.journal(g.keeper)
 		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
@@ -154,7 +154,7 @@
 		}
 	}
 	g.core = core.New(module, g)
-	for _, address := range []string{told.Listen, told.Admin} {
+	for _, address := range []string{told.Listen, told.AdminListen} {
 		if address == "" {
 			continue
 		}
@@ -287,7 +287,7 @@
 
 // noteStop tells of a time in which this process was stopped.
 func (g *Gateway) noteStop(late control.Micros) {
-	if !attempt.Stalled(late, micros(g.told.Grace)) {
+	if !attempt.Stalled(late, micros(g.told.GracePeriod)) {
 		return
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
@@ -299,7 +299,7 @@
 // catchUp has all that the list's source told taken in by the turn that comes next.
 func (g *Gateway) catchUp() {
 	asOf := g.now()
-	if g.lookNow.Swap(false) || attempt.MustReadEndpoints(asOf-g.listAsOf, micros(g.told.Grace)) {
+	if g.lookNow.Swap(false) || attempt.MustReadEndpoints(asOf-g.listAsOf, micros(g.told.GracePeriod)) {
 		g.look()
 		g.listAsOf = asOf
 	}
@@ -318,7 +318,7 @@
 	}
 	g.looking = make(chan struct{})
 	g.refresh <- g.looking // has room: the look before has ended
-	timer := time.NewTimer(g.told.Grace / 4)
+	timer := time.NewTimer(g.told.GracePeriod / 4)
 	defer timer.Stop()
 	select {
 	case <-g.looking:
@@ -347,7 +347,7 @@
 }
 
 // Refresh has the list read again at once.
-func (g *Gateway) Refresh() {
+func (g *Gateway) RefreshEndpoints() {
 	g.lookNow.Store(true)
 	g.tell(func(control.Micros) {})
 }
@@ -421,7 +421,7 @@
 
 // arrived takes a job in hand, or pushes it back at once beyond the bounds.
 func (g *Gateway) arrived(now control.Micros, j *job, p Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
-	if g.stopping || len(g.jobs) >= g.told.Jobs {
+	if g.stopping || len(g.jobs) >= g.told.MaxRequests {
 		why := "too many jobs are in hand"
 		if g.stopping {
 			why = "this router is stopping"
@@ -431,27 +431,27 @@
 		g.metrics.answered("pushed back")
 		return
 	}
-	if v := g.admitted(now, j.name, p.Workload, tenant, ask); !v.Admit {
+	if v := g.admitted(now, j.name, p.Class, tenant, ask); !v.Admit {
 		j.state.Give()
 		j.answer <- refusal("a storm of calls: "+v.Why.String(), v.StayAway, v.Why.String())
 		g.metrics.answered("pushed back")
 		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
 		return
 	}
-	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Workload)); why != "" {
+	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Class)); why != "" {
 		j.state.Give()
 		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
 		g.metrics.answered("pushed back")
 		g.metrics.unrecorded.Inc()
 		return
 	}
-	w := g.told.Deployment.Classes[p.Workload]
+	w := g.told.Deployment.Classes[p.Class]
 	limit := w.MaxDeadline
 	if ask.Timeout > 0 {
 		limit = min(limit, control.Micros(ask.Timeout))
 	}
 	g.last++
-	j.id, j.workload = g.last, p.Workload
+	j.id, j.workload = g.last, p.Class
 	begun := now - age
 	j.due = begun + w.LatencyObjective
 	j.patience = begun + limit - micros(g.told.AnswerMargin)
@@ -459,12 +459,12 @@
 		j.mark = g.run + "-" + strconv.FormatUint(uint64(j.id), 36)
 	}
 	g.jobs[j.id] = j
-	j.kept = g.told.mark(j.name, ask, p.Workload)
+	j.kept = g.told.mark(j.name, ask, p.Class)
 	g.took(now)
 	earlier := g.earlier(now, j.kept)
 	j.executions = make([]*sending, len(earlier))
 	err := g.core.Add(now, control.Request{Attempts: earlier,
-		ID: j.id, Class: p.Workload, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
+		ID: j.id, Class: p.Class, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
 		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.patience), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
@@ -545,7 +545,7 @@
 // Load orders copies of a job's function.
 func (g *Gateway) Load(cj *control.Request, o control.LoadCommand) {
 	name := g.jobs[cj.ID].name
-	s := g.sending(o.Server, micros(g.told.OrderTime))
+	s := g.sending(o.Server, micros(g.told.LoadTimeout))
 	s.order = o
 	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
 		s.round = g.keeper.Append(persistence.Entry{Kind: persistence.Ordered, At: g.clock, Server: o.Server})
@@ -599,7 +599,7 @@
 		g.core.HandleOutcome(now, j.id, o)
 		j.due += control.Micros(g.told.Deployment.Classes[j.workload].ObjectivePerWork * float64(o.Duration))
 		p.Header = forwarded(p.Header)
-		p.Close, p.Chunk = false, 0
+		p.Close, p.ChunkSize = false, 0
 		g.end(j, "finished", p)
 		if g.storm != nil {
 			g.storm.Answered(now)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -91,11 +91,11 @@
 // newFieldTold gives a gateway with further settings.
 func newFieldTold(t *testing.T, further string, makes ...fakeserver.Make) *field {
 	t.Helper()
-	return newFieldChanged(t, further, func(*Told) {}, makes...)
+	return newFieldChanged(t, further, func(*Config) {}, makes...)
 }
 
 // newFieldChanged gives one whose told values are changed besides.
-func newFieldChanged(t *testing.T, further string, change func(*Told), makes ...fakeserver.Make) *field {
+func newFieldChanged(t *testing.T, further string, change func(*Config), makes ...fakeserver.Make) *field {
 	t.Helper()
 	f := &field{t: t, log: invariant.NewLog(), list: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
@@ -113,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := ReadTold(in)
+	told, err := ParseConfig(in)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 // ask sends one job and notes both ends of it; the answer's word comes back.
 func (f *field) ask(job, function string, limit time.Duration) string {
 	ctx := context.Background()
-	c, err := rest.Dial(ctx, f.g.Address(), &rest.Usual)
+	c, err := rest.Dial(ctx, f.g.Address(), &rest.DefaultLimits)
 	if err != nil {
 		f.t.Error(err)
 		return ""
@@ -306,7 +306,7 @@
 	}
 	s = f.g.sending(1, 1_000_000)
 	s.request = request("2", "forecast-1", time.Second)
-	s.until -= micros(f.g.told.Grace)
+	s.until -= micros(f.g.told.GracePeriod)
 	if e := f.carried(s); e.result != control.NotSent {
 		t.Errorf("old: got %v", e.result)
 	}
@@ -349,15 +349,15 @@
 	f := newField(t)
 	closed := make(chan struct{}, 8)
 	address := raw(t, func(n int, nc *net.TCPConn) {
-		c := rest.NewConn(nc, &rest.Usual, nil)
-		if _, err := c.Next(); err != nil {
+		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
+		if _, err := c.ReadRequest(); err != nil {
 			return
 		}
 		if n == 1 { // reads the job, and is gone
 			nc.SetLinger(0)
 			return
 		}
-		c.Answer(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`)})
+		c.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`)})
 		nc.Close()
 		closed <- struct{}{}
 	})
@@ -459,7 +459,7 @@
 // inHand counts the jobs that the gateway has in hand.
 // Nothing is written for a job whose client left while a connection was still being opened (found by hmmodelcheck).
 func TestClientLeavesBeforeItsJobIsWritten(t *testing.T) {
-	f := newFieldChanged(t, "", func(t *Told) { t.Dials = 1 }, usual(0))
+	f := newFieldChanged(t, "", func(t *Config) { t.MaxDials = 1 }, usual(0))
 	f.g.dials <- struct{}{} // somebody else dials
 	nc, _ := f.talk()
 	if _, err := nc.Write([]byte(text("1", "ticket-1"))); err != nil {
@@ -580,7 +580,7 @@
 	if err := os.WriteFile(f.list, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.g.Refresh()
+	f.g.RefreshEndpoints()
 	if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
@@ -593,7 +593,7 @@
 		want   control.Result
 	}{{false, 200, control.Succeeded}, {false, 400, control.Succeeded}, {false, 503, control.Overloaded}, {false, 429, control.Overloaded},
 		{false, 404, control.NotLoaded}, {false, 500, control.Failed}, {true, 400, control.Failed}, {true, 200, control.Succeeded}} {
-		if got := Conclude(&rest.Response{Status: c.status}, c.order); got.Result != c.want {
+		if got := OutcomeOf(&rest.Response{Status: c.status}, c.order); got.Result != c.want {
 			t.Errorf("%d: got %v, want %v", c.status, got.Result, c.want)
 		}
 	}
@@ -609,7 +609,7 @@
 		status         int
 	}{{"GET", "/router/state", 200}, {"GET", "/router/snapshot", 200}, {"POST", "/router/record/stop", 409},
 		{"POST", "/router/record/start?folder=" + dir, 200}, {"POST", "/router/record/start?folder=" + dir, 409}, {"POST", "/router/nothing", 404}} {
-		c2, err := rest.Dial(context.Background(), f.g.AdminAddress(), &rest.Usual)
+		c2, err := rest.Dial(context.Background(), f.g.AdminAddress(), &rest.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -675,11 +675,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := ReadTold(in)
+	told, err := ParseConfig(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if late := attempt.MaxEndpointsAge(micros(told.Grace)); told.Deployment.MaxCommandDelay != late || late == 0 {
+	if late := attempt.MaxEndpointsAge(micros(told.GracePeriod)); told.Deployment.MaxCommandDelay != late || late == 0 {
 		t.Errorf("told %d of %d", told.Deployment.MaxCommandDelay, late)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -47,19 +47,19 @@
 // openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
 // router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
 // life sent may be owed and is not known, since the folder failed.
-func openKeeper(told *Told, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
+func openKeeper(told *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
 	files := told.files
 	if files == nil {
 		files = persistence.System{}
 	}
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.Patiently(startPause, func() (err error) { unlock, err = persistence.Lock(told.MemoryDir); return err })
+	err := persistence.Patiently(startPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownAfter(err)
 	}
-	store, found := persistence.Look(persistence.Folder(told.MemoryDir), told.owner())
+	store, found := persistence.Look(persistence.Folder(told.StateDir), told.owner())
 	for _, line := range found.Told {
 		log.Warn().Msg("memory: " + line)
 	}
@@ -78,8 +78,8 @@
 		unlock()
 		return nil, 0
 	}
-	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.MemoryEvery, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.Journal, Keep: micros(told.MarksFor), Most: journalMost, Clock: clock, Now: now,
+	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.StateInterval, log: log}
+	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.JournalSync, Keep: micros(told.KeyRetention), Most: journalMost, Clock: clock, Now: now,
 		Failed: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
@@ -87,12 +87,12 @@
 				log.Info().Msg("the journal is written again")
 			}
 		},
-		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.MemoryDir)
+		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.StateDir)
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
 	if err == nil {
-		k.marks = journal.Past(entries).Recalled(learned, micros(told.MarksFor), told.MarksMost)
+		k.marks = journal.Past(entries).Recalled(learned, micros(told.KeyRetention), told.MaxKeys)
 	}
 	module.ApplyLearned(now, learned)
 	if err != nil {
@@ -101,13 +101,13 @@
 		return nil, unknownAfter(err)
 	}
 	if journal.Unread() {
-		unknown = now + micros(told.MarksFor)
+		unknown = now + micros(told.KeyRetention)
 	}
 	log.Info().Int("marks", k.marks.Len()).Int("entries", len(entries)).Msg("journal read")
 	k.Journal = journal
-	if told.HistoryRows > 0 {
+	if told.MaxHistoryRows > 0 {
 		k.tally, k.useKept = history.NewTally(), make(chan struct{})
-		k.uses = history.NewStore(filepath.Join(told.MemoryDir, HistoryFile), int64(told.HistoryRows))
+		k.uses = history.NewStore(filepath.Join(told.StateDir, HistoryFile), int64(told.MaxHistoryRows))
 	}
 	return k, unknown
 }
@@ -137,8 +137,8 @@
 }
 
 // owner names this router and what the ids in its memory hang on.
-func (t *Told) owner() persistence.Owner {
-	names := slices.Concat([]string{"workloads"}, t.Workloads, []string{"tenants"}, t.TenantNames)
+func (t *Config) owner() persistence.Owner {
+	names := slices.Concat([]string{"workloads"}, t.ClassNames, []string{"tenants"}, t.TenantNames)
 	return persistence.Owner{Router: t.Deployment.Number, Deployment: record.Tag(t.NameKey, strings.Join(names, "\n"))}
 }
 
@@ -204,7 +204,7 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Told) mark(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
+func (t *Config) mark(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
 	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
 		return 0
 	}
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -32,7 +32,7 @@
 // askMarked sends a job with a client's mark and gives the answer's word.
 func (f *field) askMarked(job, function, mark string) string {
 	f.t.Helper()
-	c, err := rest.Dial(context.Background(), f.g.Address(), &rest.Usual)
+	c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
-	told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 	mark := func(function, mark string, w control.ClassID) persistence.Mark {
 		return told.mark(function, kserve.Ask{Mark: mark}, w)
 	}
@@ -248,7 +248,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			told := &Told{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
@@ -263,9 +263,9 @@
 			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
 				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
-			f := newFieldChanged(t, remembering(dir), func(t *Told) {
+			f := newFieldChanged(t, remembering(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
-				t.Deployment.Classes[booking.Workload].Window = 60_000_000
+				t.Deployment.Classes[booking.Class].Window = 60_000_000
 			}, usual(0), usual(1))
 			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
 				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
@@ -283,7 +283,7 @@
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
-	f := newFieldChanged(t, remembering(dir), func(t *Told) { t.files = disk }, usual(0), usual(1))
+	f := newFieldChanged(t, remembering(dir), func(t *Config) { t.files = disk }, usual(0), usual(1))
 	refused := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
@@ -301,7 +301,7 @@
 			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Finished {
 				t.Errorf("a job that may repeat: %s", got)
 			}
-			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.Usual)
+			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -341,7 +341,7 @@
 
 func (f *field) ticket() control.ClassID {
 	p, _ := f.g.told.Match("ticket-1")
-	return p.Workload
+	return p.Class
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
@@ -373,7 +373,7 @@
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Told{MemoryDir: t.TempDir(), MarksFor: 10 * time.Minute, MarksMost: 10, Journal: persistence.Grouped, files: &fullDisk{}}
+	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, files: &fullDisk{}}
 	disk := told.files.(*fullDisk)
 	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -33,8 +33,8 @@
 func listens(t *testing.T, slow *atomic.Int64) (address string, heard chan toldLeft) {
 	heard = make(chan toldLeft, 64)
 	return raw(t, func(_ int, nc *net.TCPConn) {
-		c := rest.NewConn(nc, &rest.Usual, nil)
-		q, err := c.Next()
+		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
+		q, err := c.ReadRequest()
 		if err != nil {
 			return
 		}
@@ -43,13 +43,13 @@
 			heard <- toldLeft{time.Now(), time.Duration(ms) * time.Millisecond}
 			time.Sleep(time.Duration(slow.Swap(0)))
 		}
-		c.Answer(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
+		c.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
 	}), heard
 }
 
 // However late the first byte goes out, the server is told what is left then.
 func TestServersAreToldWhatIsLeft(t *testing.T) {
-	f := newFieldChanged(t, "", func(t *Told) { t.Dials = 1 })
+	f := newFieldChanged(t, "", func(t *Config) { t.MaxDials = 1 })
 	f.g.dials <- struct{}{} // somebody else dials
 	address, heard := listens(t, new(atomic.Int64))
 	s := f.sendingNow(address, time.Second)
@@ -95,7 +95,7 @@
 	const limit, late = time.Second, 400 * time.Millisecond
 	for name, ahead := range map[string]int{"read late": 0, "sent ahead": 1} {
 		var slow atomic.Int64
-		f := newFieldChanged(t, "", func(t *Told) { t.Deployment.Classes[0].LatencyObjective = micros(limit) })
+		f := newFieldChanged(t, "", func(t *Config) { t.Deployment.Classes[0].LatencyObjective = micros(limit) })
 		address, heard := listens(t, &slow)
 		if err := os.WriteFile(f.list, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -170,7 +170,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.job.client = rest.NewConn(accepted, &rest.Usual, nil)
+		s.job.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
 		s.job.seen.Store(int64(f.g.now() - attempt.MaxClientCheckAge - 1))
 		s.job.answer, s.job.id = make(chan *rest.Response, 1), 1
 		s.job.state.Give() // the turn has it answered
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -19,16 +19,16 @@
 // follow looks at the list's file now and again, and when asked. A bad file is refused with its reasons and the old
 // list stays.
 func (g *Gateway) follow(ctx context.Context) {
-	if g.told.Plane != "" {
+	if g.told.ControlPlane != "" {
 		g.followPlane(ctx)
 		return
 	}
-	file, take, tick := g.told.List, g.take, func() {}
-	if g.told.Bootstrap != "" {
-		file = g.told.Bootstrap
+	file, take, tick := g.told.EndpointFile, g.take, func() {}
+	if g.told.EnvoyFile != "" {
+		file = g.told.EnvoyFile
 		take, tick = g.bootstrap()
 	}
-	ticker := time.NewTicker(g.told.ListEvery)
+	ticker := time.NewTicker(g.told.EndpointFileInterval)
 	defer ticker.Stop()
 	var seen []byte
 	missing, taken := false, false
@@ -70,9 +70,9 @@
 // followPlane follows a control plane in the place of a file. While nothing was heard of it the router takes no jobs.
 func (g *Gateway) followPlane(ctx context.Context) {
 	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.PlaneDelta, xds.Usual)
-	source := xds.Source{Address: g.told.Plane, Creds: g.credentials(toPlane), Delta: g.told.PlaneDelta, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
-		Grace: g.told.Grace, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
+	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.DeltaXDS, xds.Usual)
+	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Delta: g.told.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
+		Grace: g.told.GracePeriod, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
 		Changed: func(now control.Micros) {
 			if list, news := members.News(now); news {
 				if g.counted != nil {
@@ -102,7 +102,7 @@
 	take = func(text []byte) bool {
 		err := f.Bootstrap(g.now(), text)
 		if err != nil {
-			g.log.Error().Str("file", g.told.Bootstrap).Err(err).Msg("the new list is refused: the old one stands")
+			g.log.Error().Str("file", g.told.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
 		}
 		tell()
 		return err == nil
@@ -115,10 +115,10 @@
 
 // take tells the turn of a list's text, unless it is refused.
 func (g *Gateway) take(text []byte) bool {
-	f, err := inifile.Read(g.told.List, text)
+	f, err := inifile.Read(g.told.EndpointFile, text)
 	list := fleet.Update{Full: true}
 	if err == nil {
-		list.Endpoints, err = ReadList(f)
+		list.Endpoints, err = ParseEndpoints(f)
 	}
 	if err != nil {
 		var faults *inifile.Faults
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -27,7 +27,7 @@
 var resultNames = [...]string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled",
 	"never sent", "missing"}
 
-func newMetrics(told *Told) *metrics {
+func newMetrics(told *Config) *metrics {
 	count := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "hollymast_" + name, Help: help})
 	}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -152,7 +152,7 @@
 	if g.recordings++; g.recordings > 1 {
 		head.Life += "r" + string(rune('a'+g.recordings%26))
 	}
-	w, err := record.Open(folder, g.told.Record, head, g.core.Snapshot, g.log)
+	w, err := record.Open(folder, g.told.RecordBounds, head, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/pins_test.go
+++ b/internal/gateway/pins_test.go
@@ -16,18 +16,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ReadTold(f)
+	got, err := ParseConfig(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := got.Deployment
 	for name, holds := range map[string]bool{
-		"router":   got.Listen == "127.0.0.1:8080" && got.List == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.Number == 2,
-		"servers":  d.MaxAttempts == 4 && d.SlowStartInitial == 0.3 && d.SlowStartDuration == 11_000_000 && d.LoadRateBase == 5 && got.Grace == 600*time.Millisecond,
-		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.Storms && got.AnswerMargin == 21*time.Millisecond,
-		"bounds":   got.Connections == 20001 && got.PerServer == 257 && got.DialTime == 2*time.Second && got.BodyTime == 11*time.Second,
-		"record":   got.RecordDir == "rec" && got.Record.Segment == 67108865 && got.Record.Age == 11*time.Minute,
-		"memory":   got.MemoryDir == "memory" && got.MarksFor == 11*time.Minute && got.Journal == persistence.Each && got.HistoryRows == 200001,
+		"router":   got.Listen == "127.0.0.1:8080" && got.EndpointFile == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.Number == 2,
+		"servers":  d.MaxAttempts == 4 && d.SlowStartInitial == 0.3 && d.SlowStartDuration == 11_000_000 && d.LoadRateBase == 5 && got.GracePeriod == 600*time.Millisecond,
+		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.DampOverload && got.AnswerMargin == 21*time.Millisecond,
+		"bounds":   got.MaxClientConns == 20001 && got.MaxConnsPerServer == 257 && got.DialTimeout == 2*time.Second && got.BodyTimeout == 11*time.Second,
+		"record":   got.RecordDir == "rec" && got.RecordBounds.Segment == 67108865 && got.RecordBounds.Age == 11*time.Minute,
+		"memory":   got.StateDir == "memory" && got.KeyRetention == 11*time.Minute && got.JournalSync == persistence.Each && got.MaxHistoryRows == 200001,
 		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerWork: 1.5, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 6_000_000},
 		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
@@ -40,7 +40,7 @@
 
 // Dashboards and alerts name metrics and labels: these stay.
 func TestMetricNames(t *testing.T) {
-	m := newMetrics(&Told{})
+	m := newMetrics(&Config{})
 	m.answered("finished")
 	m.damped.WithLabelValues("x").Inc()
 	families, err := m.registry.Gather()
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -62,7 +62,7 @@
 // report reports loads to the control plane until the context ends.
 func (g *Gateway) report(ctx context.Context) {
 	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Source{Address: g.told.Plane, Creds: g.credentials(toPlane), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
+	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
 		Changed: func(control.Micros) {}, Note: note}
 	if err := source.Follow(ctx, xds.NewReports(g.counted, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone)); err != nil {
 		note(err.Error())
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -27,7 +27,7 @@
 var kinds = []string{toWorkers, fromClients, toPlane, fromViewers}
 
 // secrets reads the sections [tls KIND].
-func (t *Told) secrets(f *inifile.File) {
+func (t *Config) secrets(f *inifile.File) {
 	t.TLS = map[string]*certstore.Told{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
@@ -69,7 +69,7 @@
 		}
 		t.TLS[kind] = k
 	}
-	if t.TLS[toPlane] != nil && t.Plane == "" {
+	if t.TLS[toPlane] != nil && t.ControlPlane == "" {
 		f.Section("tls "+toPlane).Fault("", "no control plane (xds) is told")
 	}
 	if t.TLS[fromViewers] != nil && t.ServeView == "" {
@@ -132,7 +132,7 @@
 }
 
 // secure makes connections to workers secret where that is told; nil: they are in plain text.
-func (g *Gateway) secure() rest.Secure {
+func (g *Gateway) secure() rest.Handshake {
 	r := g.rings[toWorkers]
 	if r == nil {
 		return nil
@@ -154,7 +154,7 @@
 	if r == nil {
 		return nc, nil
 	}
-	ctx, cancel := context.WithTimeout(g.serving, g.told.HeaderTime)
+	ctx, cancel := context.WithTimeout(g.serving, g.told.HeaderTimeout)
 	defer cancel()
 	s, err := r.Accepted(ctx, nc)
 	if err != nil {
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -53,14 +53,14 @@
 	}
 	toldWorkers, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	toldClients, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
-	f := newFieldChanged(t, "", func(t *Told) {
+	f := newFieldChanged(t, "", func(t *Config) {
 		t.TLS = map[string]*certstore.Told{toWorkers: toldWorkers, fromClients: toldClients}
 	}, makes...)
 	_, client := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	_, unknown := ringFor(t, theirs.Issue(everywhere), ours.Cert())
 	ask := func(r *certstore.Ring, job string) string {
 		t.Helper()
-		c, err := rest.DialSecure(context.Background(), f.g.Address(), &rest.Usual, r.Dialled)
+		c, err := rest.DialWith(context.Background(), f.g.Address(), &rest.DefaultLimits, r.Dialled)
 		if err != nil {
 			return err.Error()
 		}
@@ -84,7 +84,7 @@
 			t.Errorf("server %d got job %s", r.Server, r.Job)
 		}
 	}
-	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrRefused.Error()) {
+	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
 		t.Errorf("a client of another authority: %s", word)
 	}
 	text := string(f.g.metrics.page().Body)
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = ReadTold(f)
+	_, err = ParseConfig(f)
 	for _, want := range []string{"r.ini:5: [tls workers] key:", "r.ini:5: [tls workers] authorities:", "[tls clients] certificate:", "[tls clients] sds: 10.0.0.1", "[tls clients] sds: keys come", "[tls xds]", "[tls others]"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v lacks %q", err, want)
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -34,7 +34,7 @@
 }
 
 // stopTimes gives the times that follow from the longest time limit.
-func (t *Told) stopTimes() stopTimes {
+func (t *Config) stopTimes() stopTimes {
 	longest := control.Micros(0)
 	for _, w := range t.Deployment.Classes {
 		longest = max(longest, w.MaxDeadline)
@@ -60,7 +60,7 @@
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(lastAccepts))
 	}
 	g.conns.Range(func(c, _ any) bool {
-		c.(*rest.Conn).EndBy(g.sinceStop(times.held))
+		c.(*rest.Conn).SetIdleDeadline(g.sinceStop(times.held))
 		return true
 	})
 }
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -14,7 +14,7 @@
 		return overload.Verdict{Admit: true}
 	}
 	return g.storm.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashed(ask.Mark),
-		Function: functionID(g.told.NameKey, name), Importance: g.told.Importance[w]})
+		Function: functionID(g.told.NameKey, name), Importance: g.told.Priorities[w]})
 }
 
 // hashed names a client's mark; 0: it gave none.
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -17,68 +17,68 @@
 )
 
 // Told is all that a router is told at its start.
-type Told struct {
-	Listen      string
-	Admin       string // address of health and metrics; empty: none
-	List        string // file that lists the servers
-	Plane       string // address of the control plane that does; empty: the file
-	PlaneDelta  bool   // it is asked for changes alone
-	Storms      bool   // are damped
-	LoadReports bool   // are sent to it where it asks
-	Bootstrap   string // file in Envoy's own form that lists the servers; empty: none
-	ServeView   string // address at which our view is served as a control plane does; empty: none
-	Zone        string
-	TLS         map[string]*certstore.Told // by kind of connections; none: in plain text
-	Seed        uint64                     // 0: drawn at the start
-	NameKey     string                     // keys the ids of functions; empty: they are plain hashes of the names
-	LogLevel    string
-	Deployment  control.Deployment
-	Workloads   []string  // names, in the order of Deployment.Workloads
-	Importance  []float64 // of each; in storms the least important give way first
-	Tenants     map[string]control.TenantID
-	TenantNames []string  // by id
-	Functions   []Pattern // the first that matches a name counts
+type Config struct {
+	Listen       string
+	AdminListen  string // address of health and metrics; empty: none
+	EndpointFile string // file that lists the servers
+	ControlPlane string // address of the control plane that does; empty: the file
+	DeltaXDS     bool   // it is asked for changes alone
+	DampOverload bool   // are damped
+	LoadReports  bool   // are sent to it where it asks
+	EnvoyFile    string // file in Envoy's own form that lists the servers; empty: none
+	ServeView    string // address at which our view is served as a control plane does; empty: none
+	Zone         string
+	TLS          map[string]*certstore.Told // by kind of connections; none: in plain text
+	Seed         uint64                     // 0: drawn at the start
+	NameKey      string                     // keys the ids of functions; empty: they are plain hashes of the names
+	LogLevel     string
+	Deployment   control.Deployment
+	ClassNames   []string  // names, in the order of Deployment.Workloads
+	Priorities   []float64 // of each; in storms the least important give way first
+	Tenants      map[string]control.TenantID
+	TenantNames  []string  // by id
+	Functions    []Pattern // the first that matches a name counts
 
-	Grace        time.Duration // within which nothing new may still go to a server told to drain
+	GracePeriod  time.Duration // within which nothing new may still go to a server told to drain
 	AnswerMargin time.Duration // an answer's way to the client: kept free at the end of its time
-	OrderTime    time.Duration // for which the answer to an order to load is awaited
+	LoadTimeout  time.Duration // for which the answer to an order to load is awaited
 
-	RecordDir string // folder for recordings; empty: none
-	Record    record.Bounds
+	RecordDir    string // folder for recordings; empty: none
+	RecordBounds record.Bounds
 
-	MemoryDir   string                 // folder for what is learned; empty: none
-	files       persistence.FileSystem // of that folder; nil: the machine's
-	MemoryEvery time.Duration          // between two writings
-	MarksFor    time.Duration          // how long a client's mark of a job that may have run is known
-	MarksMost   int                    // and how many of them
-	Journal     persistence.Sync
-	HistoryRows int // kept at most of the history of use; 0: none
+	StateDir       string                 // folder for what is learned; empty: none
+	files          persistence.FileSystem // of that folder; nil: the machine's
+	StateInterval  time.Duration          // between two writings
+	KeyRetention   time.Duration          // how long a client's mark of a job that may have run is known
+	MaxKeys        int                    // and how many of them
+	JournalSync    persistence.Sync
+	MaxHistoryRows int // kept at most of the history of use; 0: none
 
-	Connections int // of clients
-	Jobs        int // in hand
-	Bytes       int // of bodies in hand
-	Body        int // of one body
-	PerServer   int // connections to one server
-	Dials       int // under way at once
-	ServerIdle  time.Duration
-	ClientIdle  time.Duration
-	ListEvery   time.Duration
-	DialTime    time.Duration
-	HeaderTime  time.Duration
-	BodyTime    time.Duration
+	MaxClientConns       int // of clients
+	MaxRequests          int // in hand
+	MaxBodyBytes         int // of bodies in hand
+	MaxBody              int // of one body
+	MaxConnsPerServer    int // connections to one server
+	MaxDials             int // under way at once
+	ServerIdleTimeout    time.Duration
+	ClientIdleTimeout    time.Duration
+	EndpointFileInterval time.Duration
+	DialTimeout          time.Duration
+	HeaderTimeout        time.Duration
+	BodyTimeout          time.Duration
 }
 
 // Pattern says what is known beforehand of the functions whose names match it.
 type Pattern struct {
 	Glob     string // as in path.Match
-	Workload control.ClassID
+	Class    control.ClassID
 	Lanes    int
 	Work     control.Micros
 	LoadTime control.Micros
 }
 
 // Match finds what is told of a function; ok is false where no pattern matches.
-func (t *Told) Match(name string) (Pattern, bool) {
+func (t *Config) Match(name string) (Pattern, bool) {
 	for _, p := range t.Functions {
 		if hit, _ := path.Match(p.Glob, name); hit {
 			return p, true
@@ -90,21 +90,21 @@
 func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
 
 // ReadTold reads a router's settings. A *inifile.Faults names every fault with file, line and key.
-func ReadTold(f *inifile.File) (*Told, error) {
+func ParseConfig(f *inifile.File) (*Config, error) {
 	const day = 24 * time.Hour
 	const year = 365 * day
-	t := &Told{Tenants: map[string]control.TenantID{}}
+	t := &Config{Tenants: map[string]control.TenantID{}}
 	d := &t.Deployment
 
 	r := f.Section("router")
 	t.Listen = address(r, "listen", "127.0.0.1:8080")
-	t.Admin = r.Text("admin", "")
-	if t.Admin != "" {
-		t.Admin = address(r, "admin", "")
+	t.AdminListen = r.Text("admin", "")
+	if t.AdminListen != "" {
+		t.AdminListen = address(r, "admin", "")
 	}
-	t.List = r.Text("list", "")
-	if t.Plane = r.Text("xds", ""); t.Plane != "" {
-		t.Plane = address(r, "xds", "")
+	t.EndpointFile = r.Text("list", "")
+	if t.ControlPlane = r.Text("xds", ""); t.ControlPlane != "" {
+		t.ControlPlane = address(r, "xds", "")
 	}
 	if t.ServeView = r.Text("serve_view", ""); t.ServeView != "" {
 		t.ServeView = address(r, "serve_view", "")
@@ -112,13 +112,13 @@
 			r.Fault("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
-	t.PlaneDelta = r.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
-	if t.LoadReports = r.Flag("load_reports", false); t.LoadReports && t.Plane == "" {
+	t.DeltaXDS = r.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
+	if t.LoadReports = r.Flag("load_reports", false); t.LoadReports && t.ControlPlane == "" {
 		r.Fault("load_reports", "no control plane (xds) is told")
 	}
-	t.Bootstrap = r.Text("envoy_file", "")
+	t.EnvoyFile = r.Text("envoy_file", "")
 	sources := 0
-	for _, s := range []string{t.List, t.Plane, t.Bootstrap} {
+	for _, s := range []string{t.EndpointFile, t.ControlPlane, t.EnvoyFile} {
 		if s != "" {
 			sources++
 		}
@@ -163,49 +163,49 @@
 	if d.LoadRateWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
 		s.Fault("load_window", "load_free and load_share mean nothing without it")
 	}
-	t.Grace = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
-	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(t.Grace))
-	t.OrderTime = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
+	t.GracePeriod = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
+	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(t.GracePeriod))
+	t.LoadTimeout = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
 	d.SupportsCancel = true // closing its connection calls an execution off
 
 	c := f.Section("clients")
 	d.MarksRetries = c.Flag("mark_repeats", true)
 	d.MaxRetryAfter = micros(c.Span("stay_away", 2*time.Second, 0, time.Hour))
-	t.Storms = c.Flag("damp_storms", true)
+	t.DampOverload = c.Flag("damp_storms", true)
 	t.AnswerMargin = c.Span("answer_margin", 20*time.Millisecond, 0, time.Minute)
 
 	b := f.Section("bounds")
-	t.Connections = b.Int("connections", 20_000, 1, 1<<20)
-	t.Jobs = b.Int("jobs", 10_000, 1, 1<<20)
-	t.Bytes = b.Int("bytes", 1<<30, 1<<10, 1<<40)
-	t.Body = b.Int("body", 4<<20, 1, 1<<30)
-	t.PerServer = b.Int("per_server", 256, 1, 1<<16)
-	t.Dials = b.Int("dials", 256, 1, 1<<16)
-	t.DialTime = b.Span("dial_time", time.Second, time.Millisecond, time.Minute)
-	t.ServerIdle = b.Span("server_idle", 20*time.Second, time.Millisecond, time.Hour)
-	t.ClientIdle = b.Span("client_idle", 2*time.Minute, time.Millisecond, 24*time.Hour)
-	t.HeaderTime = b.Span("header_time", 5*time.Second, time.Millisecond, time.Hour)
-	t.BodyTime = b.Span("body_time", 10*time.Second, time.Millisecond, time.Hour)
-	t.ListEvery = b.Span("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
-	if t.ListEvery > t.Grace/2 {
-		b.Fault("list_every", "%s leaves too little of the grace of %s", t.ListEvery, t.Grace)
+	t.MaxClientConns = b.Int("connections", 20_000, 1, 1<<20)
+	t.MaxRequests = b.Int("jobs", 10_000, 1, 1<<20)
+	t.MaxBodyBytes = b.Int("bytes", 1<<30, 1<<10, 1<<40)
+	t.MaxBody = b.Int("body", 4<<20, 1, 1<<30)
+	t.MaxConnsPerServer = b.Int("per_server", 256, 1, 1<<16)
+	t.MaxDials = b.Int("dials", 256, 1, 1<<16)
+	t.DialTimeout = b.Span("dial_time", time.Second, time.Millisecond, time.Minute)
+	t.ServerIdleTimeout = b.Span("server_idle", 20*time.Second, time.Millisecond, time.Hour)
+	t.ClientIdleTimeout = b.Span("client_idle", 2*time.Minute, time.Millisecond, 24*time.Hour)
+	t.HeaderTimeout = b.Span("header_time", 5*time.Second, time.Millisecond, time.Hour)
+	t.BodyTimeout = b.Span("body_time", 10*time.Second, time.Millisecond, time.Hour)
+	t.EndpointFileInterval = b.Span("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
+	if t.EndpointFileInterval > t.GracePeriod/2 {
+		b.Fault("list_every", "%s leaves too little of the grace of %s", t.EndpointFileInterval, t.GracePeriod)
 	}
 
 	rec := f.Section("record")
 	t.RecordDir = rec.Text("folder", "")
-	t.Record = record.Bounds{Segment: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), Total: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
+	t.RecordBounds = record.Bounds{Segment: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), Total: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
 		Age: rec.Span("age", 10*time.Minute, time.Second, day)}
-	if t.Record.Total < 2*t.Record.Segment {
-		rec.Fault("total", "less than two segments of %d bytes", t.Record.Segment)
+	if t.RecordBounds.Total < 2*t.RecordBounds.Segment {
+		rec.Fault("total", "less than two segments of %d bytes", t.RecordBounds.Segment)
 	}
 
 	mem := f.Section("memory")
-	t.MemoryDir = mem.Text("folder", "")
-	t.MemoryEvery = mem.Span("every", 3*time.Second, 100*time.Millisecond, time.Hour)
-	t.MarksFor = mem.Span("marks_for", 10*time.Minute, time.Second, 7*day)
-	t.MarksMost = mem.Int("marks_most", 1_000_000, 1, 1<<30)
-	t.HistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
-	t.Journal = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
+	t.StateDir = mem.Text("folder", "")
+	t.StateInterval = mem.Span("every", 3*time.Second, 100*time.Millisecond, time.Hour)
+	t.KeyRetention = mem.Span("marks_for", 10*time.Minute, time.Second, 7*day)
+	t.MaxKeys = mem.Int("marks_most", 1_000_000, 1, 1<<30)
+	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
+	t.JournalSync = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
 
 	t.secrets(f)
 	t.workloads(f)
@@ -218,11 +218,11 @@
 	return t, f.Check()
 }
 
-func (t *Told) workloads(f *inifile.File) {
+func (t *Config) workloads(f *inifile.File) {
 	const day = 24 * time.Hour
 	for _, s := range f.Sections("workload ") {
-		t.Workloads = append(t.Workloads, strings.TrimPrefix(s.Name, "workload "))
-		t.Importance = append(t.Importance, s.Float("importance", 1, 0, 1e6))
+		t.ClassNames = append(t.ClassNames, strings.TrimPrefix(s.Name, "workload "))
+		t.Priorities = append(t.Priorities, s.Float("importance", 1, 0, 1e6))
 		w := control.Class{
 			LatencyObjective: micros(s.Span("start_target", time.Second, time.Millisecond, day)),
 			MaxDeadline:      micros(s.Span("time_limit", 10*time.Second, time.Millisecond, day)),
@@ -239,19 +239,19 @@
 		}
 		t.Deployment.Classes = append(t.Deployment.Classes, w)
 	}
-	if len(t.Workloads) == 0 {
+	if len(t.ClassNames) == 0 {
 		f.Section("workload").Fault("", "no section [workload NAME]")
 	}
 }
 
-func (t *Told) patterns(f *inifile.File) {
+func (t *Config) patterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
 		p := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
 		if _, err := path.Match(p.Glob, ""); err != nil {
 			s.Fault("", "malformed pattern")
 		}
-		if len(t.Workloads) > 0 {
-			p.Workload = control.ClassID(s.OneOf("workload", t.Workloads[0], t.Workloads...))
+		if len(t.ClassNames) > 0 {
+			p.Class = control.ClassID(s.OneOf("workload", t.ClassNames[0], t.ClassNames...))
 		} else {
 			s.Has("workload")
 		}
@@ -279,7 +279,7 @@
 }
 
 // ReadList reads a list of servers: a section for each, with its address, state, zone, cell, power and start.
-func ReadList(f *inifile.File) ([]fleet.Endpoint, error) {
+func ParseEndpoints(f *inifile.File) ([]fleet.Endpoint, error) {
 	var list []fleet.Endpoint
 	first := map[string]string{}
 	for _, s := range f.Sections("") {
@@ -303,7 +303,7 @@
 }
 
 // NeedRestart names the parts of the settings that differ and can't change in service: all but the log level.
-func NeedRestart(old, fresh *Told) []string {
+func ChangesNeedingRestart(old, fresh *Config) []string {
 	var names []string
 	a, b := reflect.ValueOf(*old), reflect.ValueOf(*fresh)
 	for i := range a.NumField() {
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -19,7 +19,7 @@
 const useEvery = 10 * time.Second
 
 // tenantName gives a tenant's name; empty of one that no share is told for.
-func (t *Told) tenantName(id control.TenantID) string {
+func (t *Config) tenantName(id control.TenantID) string {
 	if int(id) < len(t.TenantNames) {
 		return t.TenantNames[id]
 	}
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -13,9 +13,9 @@
 
 // A second router that follows the first one's view has its list, its drains and what it suspects.
 func TestSecondRouterFollowsTheView(t *testing.T) {
-	f := newFieldChanged(t, "", func(t *Told) { t.ServeView = "127.0.0.1:0" }, usual(0), usual(1), usual(2))
+	f := newFieldChanged(t, "", func(t *Config) { t.ServeView = "127.0.0.1:0" }, usual(0), usual(1), usual(2))
 	told := *f.g.told
-	told.Plane, told.ServeView, told.Admin, told.LoadReports = f.g.view.Address(), "", "", true
+	told.ControlPlane, told.ServeView, told.AdminListen, told.LoadReports = f.g.view.Address(), "", "", true
 	g, err := New(&told, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -54,7 +54,7 @@
 }
 
 func (g *Gateway) sending(to control.ServerID, allow control.Micros) *sending {
-	s := &sending{to: to, until: attempt.WriteUntil(g.listAsOf, micros(g.told.Grace)), deadline: g.started.Add(span(g.clock + allow - g.epoch))}
+	s := &sending{to: to, until: attempt.WriteUntil(g.listAsOf, micros(g.told.GracePeriod)), deadline: g.started.Add(span(g.clock + allow - g.epoch))}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
@@ -87,7 +87,7 @@
 	p.out[s] = struct{}{}
 	s.request.Header["Host"] = []string{p.address}
 	s.request.Header["Via"] = append(s.request.Header["Via"][:len(s.request.Header["Via"]):len(s.request.Header["Via"])], g.via)
-	switch p.conns.Acquire(g.told.PerServer) {
+	switch p.conns.Acquire(g.told.MaxConnsPerServer) {
 	case attempt.Reuse:
 		n := len(p.idle)
 		s.link = p.idle[n-1]
@@ -139,7 +139,7 @@
 	if c == nil {
 		var err error
 		if c, err = l.dial(s); err != nil {
-			return exchange{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.Ours(err))}
+			return exchange{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
 		}
 		l.client.Store(c)
 	}
@@ -158,7 +158,7 @@
 	if err == nil {
 		return exchange{result: resultOf(p, s.job == nil), response: p}
 	}
-	return exchange{result: Broken(progress, err)}
+	return exchange{result: BrokenExchangeResult(progress, err)}
 }
 
 // wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
@@ -168,7 +168,7 @@
 	if j == nil || !attempt.MustCheckClient(now-control.Micros(j.seen.Load())) {
 		return true
 	}
-	if j.client.Gone() {
+	if j.client.PeerClosed() {
 		g.tell(func(now control.Micros) { g.left(now, j) })
 		return false
 	}
@@ -189,7 +189,7 @@
 var errWithdrawn = errors.New("withdrawn")
 
 func (l *link) dial(s *sending) (*rest.Client, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, min(l.g.told.DialTime, time.Until(s.deadline)))
+	ctx, cancel := context.WithTimeout(s.ctx, min(l.g.told.DialTimeout, time.Until(s.deadline)))
 	defer cancel()
 	select {
 	case l.g.dials <- struct{}{}:
@@ -203,8 +203,8 @@
 		switch {
 		case err == nil:
 			return c, nil
-		case rest.Ours(err), rest.Momentary(err):
-		case rest.Ours(before) && os.IsTimeout(err):
+		case rest.LocalFailure(err), rest.TransientFailure(err):
+		case rest.LocalFailure(before) && os.IsTimeout(err):
 			return nil, before // the server had but the rest of the time
 		default:
 			return nil, err
@@ -225,7 +225,7 @@
 )
 
 // workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
-var workerLimits = rest.Limits{Line: 16 << 10, Headers: 128, Block: 64 << 10, Body: 64 << 20}
+var workerLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
 
 // over takes in the end of a sending, and its link back if it can be used again.
 func (g *Gateway) over(now control.Micros, s *sending, e exchange, open bool) {
@@ -254,7 +254,7 @@
 	}
 	o := control.Outcome{Result: e.result}
 	if e.response != nil {
-		o = Conclude(e.response, false)
+		o = OutcomeOf(e.response, false)
 	}
 	o.Attempt, o.Server, o.Duration = s.no, s.to, micros(e.took)
 	g.executed(now, s, o, e.response)
@@ -326,7 +326,7 @@
 	}
 	g.pruned = now
 	for id, p := range g.pools {
-		g.closeIdle(p, func(l *link) bool { return now-l.since > micros(g.told.ServerIdle) })
+		g.closeIdle(p, func(l *link) bool { return now-l.since > micros(g.told.ServerIdleTimeout) })
 		if p.conns.All == 0 && len(p.out) == 0 && !g.listedThere(id) {
 			delete(g.pools, id)
 		}
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -47,7 +47,7 @@
 	begun := time.Now()
 	dialling, cancel := context.WithTimeout(ctx, ask.Patience)
 	defer cancel()
-	c, err := rest.Dial(dialling, address, &rest.Usual)
+	c, err := rest.Dial(dialling, address, &rest.DefaultLimits)
 	if err != nil {
 		f.Says = "no connection: " + err.Error()
 		return f
@@ -57,14 +57,14 @@
 		p, progress, err := c.Do(&rest.Request{Method: method, Target: kserve.Call{Kind: kind}.Target(), Header: rest.Header{"Host": {address}}},
 			time.Now().Add(ask.Patience))
 		if err != nil {
-			f.Says = strings.TrimPrefix(f.Says+"; ", "; ") + gateway.ResultName(gateway.Broken(progress, err)) + ": " + err.Error()
+			f.Says = strings.TrimPrefix(f.Says+"; ", "; ") + gateway.ResultName(gateway.BrokenExchangeResult(progress, err)) + ": " + err.Error()
 			c.Close()
-			if c2, err := rest.Dial(ctx, address, &rest.Usual); err == nil {
+			if c2, err := rest.Dial(ctx, address, &rest.DefaultLimits); err == nil {
 				c = c2
 			}
 			return nil
 		}
-		if o := gateway.Conclude(p, false); o.Report != nil {
+		if o := gateway.OutcomeOf(p, false); o.Report != nil {
 			f.Load = o.Report
 		}
 		return p
@@ -95,9 +95,9 @@
 	r := &Run{Took: control.Micros(time.Since(begun).Microseconds())}
 	var result control.Result
 	if err != nil {
-		result, r.Message = gateway.Broken(progress, err), err.Error()
+		result, r.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
 	} else {
-		o := gateway.Conclude(p, false)
+		o := gateway.OutcomeOf(p, false)
 		result, r.Status, r.Found = o.Result, p.Status, o.CacheStatus
 	}
 	r.Result, r.MayRun = gateway.ResultName(result), !result.ProvesNotRun()
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -19,11 +19,11 @@
 
 // The stages. In None and Partial the server never had the whole request; only None proves that it had nothing.
 const (
-	None    Progress = iota // no byte was written
-	Partial                 // some were
-	Whole                   // all were, and no byte of an answer came
-	Begun                   // an answer began
-	Done                    // the answer is whole
+	NothingWritten Progress = iota // no byte was written
+	PartlyWritten                  // some were
+	WrittenWhole                   // all were, and no byte of an answer came
+	ResponseBegun                  // an answer began
+	ResponseRead                   // the answer is whole
 )
 
 // Client is the client's side of a connection. One goroutine owns it; Abort alone may be called from others.
@@ -37,15 +37,15 @@
 }
 
 // Secure makes a connection that was dialled to an address secret and its other end known, within the context.
-type Secure func(ctx context.Context, nc net.Conn, address string) (net.Conn, error)
+type Handshake func(ctx context.Context, nc net.Conn, address string) (net.Conn, error)
 
 // Dial opens a connection in plain text.
 func Dial(ctx context.Context, address string, limits *Limits) (*Client, error) {
-	return DialSecure(ctx, address, limits, nil)
+	return DialWith(ctx, address, limits, nil)
 }
 
 // DialSecure opens a connection; with nil it is in plain text.
-func DialSecure(ctx context.Context, address string, limits *Limits, secure Secure) (*Client, error) {
+func DialWith(ctx context.Context, address string, limits *Limits, secure Handshake) (*Client, error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -92,9 +92,9 @@
 // ErrAborted is the end of an exchange that was broken by Abort; ErrTimeout that of one past its time; ErrRefused that of one
 // whose server did not believe who we are, and so never read a request on this connection.
 var (
-	ErrAborted = errors.New("aborted")
-	ErrTimeout = errors.New("timed out")
-	ErrRefused = errors.New("the server refused our certificate")
+	ErrAborted             = errors.New("aborted")
+	ErrTimeout             = errors.New("timed out")
+	ErrCertificateRejected = errors.New("the server refused our certificate")
 )
 
 // Stale tells whether the server has closed or broken an idle connection, or sent something that nobody asked for, or is not
@@ -154,14 +154,14 @@
 // after a response with Close, the connection must be closed.
 func (c *Client) Do(q *Request, deadline time.Time) (*Response, Progress, error) {
 	if c.aborted.Load() {
-		return nil, None, ErrAborted
+		return nil, NothingWritten, ErrAborted
 	}
 	c.nc.SetDeadline(deadline)
 	c.out = appendRequest(c.out[:0], q)
-	if n, err := write(c.nc, &c.out, q.Body, q.Chunk > 0); err != nil {
-		progress := Partial
+	if n, err := write(c.nc, &c.out, q.Body, q.ChunkSize > 0); err != nil {
+		progress := PartlyWritten
 		if n == 0 && !secret(c.nc) { // of a secret one it tells whole records
-			progress = None
+			progress = NothingWritten
 		}
 		if secret(c.nc) && !c.heard { // why may have come already
 			const most = 20 * time.Millisecond // it is here, or was lost
@@ -173,14 +173,14 @@
 		return nil, progress, c.why(err)
 	}
 	if _, err := c.r.Peek(1); err != nil {
-		return nil, Whole, c.why(err)
+		return nil, WrittenWhole, c.why(err)
 	}
 	c.heard = true
 	p, err := readResponse(c.r, q.Method, c.limits)
 	if err != nil {
-		return nil, Begun, c.why(err)
+		return nil, ResponseBegun, c.why(err)
 	}
-	return p, Done, nil
+	return p, ResponseRead, nil
 }
 
 func (c *Client) why(err error) error {
@@ -190,7 +190,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTimeout
 	case !c.heard && refused(err):
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrCertificateRejected, err)
 	}
 	return fmt.Errorf("exchange broken: %w", err)
 }
--- a/internal/rest/crossing_test.go
+++ b/internal/rest/crossing_test.go
@@ -23,18 +23,18 @@
 func TestWhatCameIsReadBeforeADeadlineCounts(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*readBuffer)
 	for name, passed := range map[string]func(*Limits){
-		"idle":   func(l *Limits) { l.IdleTime = time.Nanosecond },
-		"header": func(l *Limits) { l.HeaderTime = time.Nanosecond },
-		"body":   func(l *Limits) { l.BodyTime = time.Nanosecond },
+		"idle":   func(l *Limits) { l.IdleTimeout = time.Nanosecond },
+		"header": func(l *Limits) { l.HeaderTimeout = time.Nanosecond },
+		"body":   func(l *Limits) { l.BodyTimeout = time.Nanosecond },
 	} {
-		l := Usual
+		l := DefaultLimits
 		passed(&l)
 		s, nc := served(t, l)
 		io.WriteString(nc, head+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
 		nc.Write(long)
 		waits(t, s)
 		time.Sleep(10 * time.Millisecond) // for the rest of it
-		if q, err := s.Next(); err != nil || len(q.Body) != len(long) {
+		if q, err := s.ReadRequest(); err != nil || len(q.Body) != len(long) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -43,28 +43,28 @@
 // A connection that is to end soon is told so while a message comes, between two, or while one is awaited: it still gives the
 // message, and ends when nothing comes.
 func TestEndsBetweenMessages(t *testing.T) {
-	s, nc := served(t, Usual)
-	s.EndBy(time.Now()) // before anything is awaited
+	s, nc := served(t, DefaultLimits)
+	s.SetIdleDeadline(time.Now()) // before anything is awaited
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	waits(t, s)
-	if q, err := s.Next(); err != nil || q.Target != "/1" {
+	if q, err := s.ReadRequest(); err != nil || q.Target != "/1" {
 		t.Errorf("sent before: got %+v, %v", q, err)
 	}
-	if _, err := s.Next(); err != ErrIdle {
+	if _, err := s.ReadRequest(); err != ErrIdle {
 		t.Errorf("nothing sent: got %v", err)
 	}
 
-	begun, client := served(t, Usual)
+	begun, client := served(t, DefaultLimits)
 	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // it has begun
-	time.AfterFunc(50*time.Millisecond, func() { begun.EndBy(time.Now()) })
+	time.AfterFunc(50*time.Millisecond, func() { begun.SetIdleDeadline(time.Now()) })
 	time.AfterFunc(100*time.Millisecond, func() { io.WriteString(client, "Host: a\r\n\r\n") })
-	if q, err := begun.Next(); err != nil || q.Target != "/2" {
+	if q, err := begun.ReadRequest(); err != nil || q.Target != "/2" {
 		t.Errorf("begun before: got %+v, %v", q, err)
 	}
 
-	quiet, _ := served(t, Usual)
-	time.AfterFunc(50*time.Millisecond, func() { quiet.EndBy(time.Now()) })
-	if _, err := quiet.Next(); err != ErrIdle {
+	quiet, _ := served(t, DefaultLimits)
+	time.AfterFunc(50*time.Millisecond, func() { quiet.SetIdleDeadline(time.Now()) })
+	if _, err := quiet.ReadRequest(); err != ErrIdle {
 		t.Errorf("while nothing comes: got %v", err)
 	}
 }
@@ -72,16 +72,16 @@
 // The last answer on a connection is whole at a client that reads slowly and has sent more than is read: a close with
 // something unread would reset the connection, and what of the answer is on the way would be gone.
 func TestLastAnswerIsNotOvertakenByAReset(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	nc.(*net.TCPConn).SetReadBuffer(16 << 10)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	nc.Write(make([]byte, 200<<10))
-	if _, err := s.Next(); err != nil {
+	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
 	}
 	answer := bytes.Repeat([]byte("y"), 48<<10)
 	answered := make(chan error, 1)
-	go func() { answered <- s.Answer(&Response{Status: 400, Body: answer, Close: true}) }()
+	go func() { answered <- s.WriteResponse(&Response{Status: 400, Body: answer, Close: true}) }()
 	time.Sleep(300 * time.Millisecond)
 	got, err := io.ReadAll(nc)
 	if err != nil || !bytes.HasSuffix(got, answer) {
@@ -95,7 +95,7 @@
 
 // A look that a signal interrupts is made again, and not for ever.
 func TestInterruptedLook(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	io.WriteString(nc, "x")
 	waits(t, s)
 	times, calls := 0, 0
@@ -107,7 +107,7 @@
 	}
 	defer func() { recvfrom = syscall.Recvfrom }()
 	for times = range 10 {
-		if calls = 0; s.More() != (times < interruptedMost) || calls > interruptedMost {
+		if calls = 0; s.HasPending() != (times < interruptedMost) || calls > interruptedMost {
 			t.Errorf("interrupted %d times: %d calls", times, calls)
 		}
 	}
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -17,31 +17,31 @@
 
 // Limits bound what a peer can make a connection keep or wait for. Sizes are bytes; a zero time means no limit.
 type Limits struct {
-	Line       int // the first line, and each header line
-	Headers    int // header lines of a message
-	Block      int // all header lines of a message together
-	Body       int
-	HeaderTime time.Duration // from a message's first byte to the end of its header block
-	BodyTime   time.Duration // for the whole body
-	IdleTime   time.Duration // between messages
-	WriteTime  time.Duration // for one message
+	MaxLine        int // the first line, and each header line
+	MaxHeaders     int // header lines of a message
+	MaxHeaderBytes int // all header lines of a message together
+	MaxBody        int
+	HeaderTimeout  time.Duration // from a message's first byte to the end of its header block
+	BodyTimeout    time.Duration // for the whole body
+	IdleTimeout    time.Duration // between messages
+	WriteTimeout   time.Duration // for one message
 }
 
 // Usual are limits that fit a gateway of small jobs: header bounds as common servers have them, a body bound well
 // over the tensors of a forecast, times of a few round trips on a bad network.
-var Usual = Limits{Line: 8 << 10, Headers: 64, Block: 32 << 10, Body: 4 << 20, HeaderTime: 5 * time.Second,
-	BodyTime: 10 * time.Second, IdleTime: 2 * time.Minute, WriteTime: 5 * time.Second}
+var DefaultLimits = Limits{MaxLine: 8 << 10, MaxHeaders: 64, MaxHeaderBytes: 32 << 10, MaxBody: 4 << 20, HeaderTimeout: 5 * time.Second,
+	BodyTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, WriteTimeout: 5 * time.Second}
 
 // Refused is a message that is not taken; a server answers it with the status and closes the connection.
-type Refused struct {
+type MessageError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Refused) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Why) }
+func (e *MessageError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
 func refuse(status int, why string, args ...any) error {
-	return &Refused{status, fmt.Sprintf(why, args...)}
+	return &MessageError{status, fmt.Sprintf(why, args...)}
 }
 
 // Header is a message's header fields by canonical name.
@@ -49,22 +49,22 @@
 
 // Request is a whole request.
 type Request struct {
-	Method string
-	Target string
-	Header Header
-	Body   []byte
-	Close  bool      // the client wants the connection closed after the answer
-	Chunk  int       // write the body in chunks of this size; 0: with its length
-	Began  time.Time // when its first byte was here
+	Method    string
+	Target    string
+	Header    Header
+	Body      []byte
+	Close     bool      // the client wants the connection closed after the answer
+	ChunkSize int       // write the body in chunks of this size; 0: with its length
+	ArrivedAt time.Time // when its first byte was here
 }
 
 // Response is a whole response.
 type Response struct {
-	Status int
-	Header Header
-	Body   []byte
-	Close  bool // the connection ends with this answer
-	Chunk  int
+	Status    int
+	Header    Header
+	Body      []byte
+	Close     bool // the connection ends with this answer
+	ChunkSize int
 }
 
 // line reads one line that ends in CRLF, without it. The bytes hold until the next read.
@@ -120,7 +120,7 @@
 	h := make(Header, 8)
 	total := 0
 	for n := 0; ; n++ {
-		b, err := line(r, l.Line, 431)
+		b, err := line(r, l.MaxLine, 431)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -130,8 +130,8 @@
 		if len(b) == 0 {
 			return h, nil
 		}
-		if total += len(b) + 2; total > l.Block || n >= l.Headers {
-			return nil, refuse(431, "more than %d header lines or %d bytes of them", l.Headers, l.Block)
+		if total += len(b) + 2; total > l.MaxHeaderBytes || n >= l.MaxHeaders {
+			return nil, refuse(431, "more than %d header lines or %d bytes of them", l.MaxHeaders, l.MaxHeaderBytes)
 		}
 		if b[0] == ' ' || b[0] == '\t' {
 			return nil, refuse(400, "a folded header line")
@@ -191,15 +191,15 @@
 	case length == -1:
 		return chunks(r, l, room)
 	case length == -2 && toEnd:
-		b, err := io.ReadAll(io.LimitReader(r, int64(l.Body)+1))
-		if err == nil && len(b) > l.Body {
-			err = refuse(413, "a body of more than %d bytes", l.Body)
+		b, err := io.ReadAll(io.LimitReader(r, int64(l.MaxBody)+1))
+		if err == nil && len(b) > l.MaxBody {
+			err = refuse(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		return b, err
 	case length <= 0:
 		return nil, nil
-	case length > l.Body:
-		return nil, refuse(413, "a body of more than %d bytes", l.Body)
+	case length > l.MaxBody:
+		return nil, refuse(413, "a body of more than %d bytes", l.MaxBody)
 	case room != nil && !room(length):
 		return nil, refuse(503, "no room for a body of %d bytes now", length)
 	}
@@ -214,7 +214,7 @@
 func chunks(r *bufio.Reader, l *Limits, room Reserve) ([]byte, error) {
 	var whole []byte
 	for {
-		b, err := line(r, l.Line, 400)
+		b, err := line(r, l.MaxLine, 400)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -229,8 +229,8 @@
 		if n == 0 {
 			break
 		}
-		if n > l.Body-len(whole) {
-			return nil, refuse(413, "a body of more than %d bytes", l.Body)
+		if n > l.MaxBody-len(whole) {
+			return nil, refuse(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		if room != nil && !room(n) {
 			return nil, refuse(503, "no room for %d bytes more now", n)
@@ -263,9 +263,9 @@
 
 // requestHead reads a request up to its body.
 func requestHead(r *bufio.Reader, l *Limits) (q *Request, length int, err error) {
-	b, err := line(r, l.Line, 414)
+	b, err := line(r, l.MaxLine, 414)
 	if err == nil && len(b) == 0 { // RFC 9112, 2.2: one empty line before a request is passed over
-		b, err = line(r, l.Line, 414)
+		b, err = line(r, l.MaxLine, 414)
 	}
 	if err != nil {
 		return nil, 0, err
@@ -314,7 +314,7 @@
 func readResponse(r *bufio.Reader, method string, l *Limits) (*Response, error) {
 	const interim = 8 // far more than any server sends
 	for range interim {
-		b, err := line(r, l.Line, 400)
+		b, err := line(r, l.MaxLine, 400)
 		if err != nil {
 			return nil, err
 		}
@@ -360,7 +360,7 @@
 	if q.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	return appendFraming(b, q.Body, q.Chunk, q.Method == "GET" || q.Method == "HEAD")
+	return appendFraming(b, q.Body, q.ChunkSize, q.Method == "GET" || q.Method == "HEAD")
 }
 
 func appendResponse(b []byte, method string, p *Response) []byte {
@@ -374,7 +374,7 @@
 		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(p.Body)), 10)
 		return append(b, "\r\n\r\n"...)
 	}
-	return appendFraming(b, p.Body, p.Chunk, p.Status == 204)
+	return appendFraming(b, p.Body, p.ChunkSize, p.Status == 204)
 }
 
 // appendHeader writes the fields in no set order; those that frame the message are ours to write.
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -42,9 +42,9 @@
 		"empty line": {"\r\nGET /x HTTP/1.1\r\nHost: a\r\n\r\n", ""},
 		"long line":  {"GET /x HTTP/1.1\r\nHost: a\r\nLong: " + strings.Repeat("v", 5000) + "\r\n\r\n", ""},
 	} {
-		s, nc := served(t, Usual)
+		s, nc := served(t, DefaultLimits)
 		io.WriteString(nc, c.in)
-		q, err := s.Next()
+		q, err := s.ReadRequest()
 		if err != nil || string(q.Body) != c.body {
 			t.Errorf("%s: got %+v, %v", name, q, err)
 		}
@@ -53,8 +53,8 @@
 
 // What two readers could frame differently, and what is too large, is refused.
 func TestNextRefuses(t *testing.T) {
-	small := Usual
-	small.Headers, small.Body, small.Line = 4, 100, 200
+	small := DefaultLimits
+	small.MaxHeaders, small.MaxBody, small.MaxLine = 4, 100, 200
 	for name, c := range map[string]struct {
 		in     string
 		status int
@@ -92,8 +92,8 @@
 	} {
 		s, nc := served(t, small)
 		io.WriteString(nc, c.in)
-		_, err := s.Next()
-		var r *Refused
+		_, err := s.ReadRequest()
+		var r *MessageError
 		if !errors.As(err, &r) || r.Status != c.status {
 			t.Errorf("%s: got %v, want %d", name, err, c.status)
 		}
@@ -101,38 +101,38 @@
 }
 
 func TestNextTimesOutSlowParts(t *testing.T) {
-	l := Usual
-	l.HeaderTime, l.BodyTime, l.IdleTime = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
+	l := DefaultLimits
+	l.HeaderTimeout, l.BodyTimeout, l.IdleTimeout = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 	for name, in := range map[string]string{"header": "POST /x HT", "body": head + "Content-Length: 5\r\n\r\nhe"} {
 		s, nc := served(t, l)
 		io.WriteString(nc, in)
-		_, err := s.Next()
-		var r *Refused
+		_, err := s.ReadRequest()
+		var r *MessageError
 		if !errors.As(err, &r) || r.Status != 408 {
 			t.Errorf("slow %s: got %v", name, err)
 		}
 	}
 	s, _ := served(t, l)
-	if _, err := s.Next(); err != ErrIdle {
+	if _, err := s.ReadRequest(); err != ErrIdle {
 		t.Errorf("idle: got %v", err)
 	}
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: a\r\n\r\n")
 	r := bufio.NewReader(nc)
 	for _, want := range []string{"/1", "/2", "/3"} {
-		q, err := s.Next()
+		q, err := s.ReadRequest()
 		if err != nil || q.Target != want {
 			t.Fatalf("got %+v, %v", q, err)
 		}
-		_, stop := s.Watch()
+		_, stop := s.WatchClose()
 		stop()
-		if err := s.Answer(&Response{Status: 200, Body: []byte(want), Chunk: len(want) % 2}); err != nil {
+		if err := s.WriteResponse(&Response{Status: 200, Body: []byte(want), ChunkSize: len(want) % 2}); err != nil {
 			t.Fatal(err)
 		}
-		p, err := readResponse(r, q.Method, &Usual)
+		p, err := readResponse(r, q.Method, &DefaultLimits)
 		if err != nil || q.Method != "HEAD" && string(p.Body) != want || q.Method == "HEAD" && p.Header.Get("Content-Length") != "2" {
 			t.Errorf("%s: got %+v, %v", want, p, err)
 		}
@@ -140,7 +140,7 @@
 }
 
 func TestContinueIsSaidBeforeTheBody(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	io.WriteString(nc, head+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 	got := make(chan string, 1)
 	go func() {
@@ -149,28 +149,28 @@
 		got <- string(b)
 		io.WriteString(nc, "ok")
 	}()
-	q, err := s.Next()
+	q, err := s.ReadRequest()
 	if text := <-got; err != nil || text != "HTTP/1.1 100 Continue\r\n\r\n" || string(q.Body) != "ok" {
 		t.Errorf("got %q, %+v, %v", text, q, err)
 	}
 }
 
 func TestWatchSeesTheClientLeave(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := s.Next(); err != nil {
+	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
 	}
-	if s.Gone() {
+	if s.PeerClosed() {
 		t.Error("gone before it left")
 	}
-	gone, stop := s.Watch()
+	gone, stop := s.WatchClose()
 	defer stop()
 	nc.Close()
 	select {
 	case err := <-gone:
-		if err != io.EOF || !s.Gone() {
-			t.Errorf("got %v, gone %t", err, s.Gone())
+		if err != io.EOF || !s.PeerClosed() {
+			t.Errorf("got %v, gone %t", err, s.PeerClosed())
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("not seen")
@@ -178,11 +178,11 @@
 }
 
 func TestReserveBoundsBodies(t *testing.T) {
-	s, nc := served(t, Usual)
+	s, nc := served(t, DefaultLimits)
 	s.room = func(n int) bool { return n < 3 }
 	io.WriteString(nc, head+"Content-Length: 5\r\n\r\nhello")
-	_, err := s.Next()
-	var r *Refused
+	_, err := s.ReadRequest()
+	var r *MessageError
 	if !errors.As(err, &r) || r.Status != 503 {
 		t.Errorf("got %v", err)
 	}
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c, err := Dial(context.Background(), ln.Addr().String(), &Usual)
+	c, err := Dial(context.Background(), ln.Addr().String(), &DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 	for !c.Stale() {
 		time.Sleep(time.Millisecond)
 	}
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != None {
+	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != NothingWritten {
 		t.Errorf("broken before: got %d, %v", progress, err)
 	}
 
@@ -234,7 +234,7 @@
 		s.SetLinger(0)
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(q, soon()); err == nil || progress != Partial {
+	if _, progress, err := c.Do(q, soon()); err == nil || progress != PartlyWritten {
 		t.Errorf("broken while writing: got %d, %v", progress, err)
 	}
 
@@ -243,7 +243,7 @@
 		s.Read(make([]byte, 4096))
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != Whole {
+	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != WrittenWhole {
 		t.Errorf("broken after: got %d, %v", progress, err)
 	}
 
@@ -253,14 +253,14 @@
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != Begun {
+	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != ResponseBegun {
 		t.Errorf("broken in the answer: got %d, %v", progress, err)
 	}
 }
 
 func TestDoTimesOutAndAborts(t *testing.T) {
 	c, _ := peer(t)
-	if _, progress, err := c.Do(ask(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != Whole {
+	if _, progress, err := c.Do(ask(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
 		t.Errorf("got %d, %v", progress, err)
 	}
 	c, _ = peer(t)
@@ -268,7 +268,7 @@
 	if _, _, err := c.Do(ask(), soon()); err != ErrAborted {
 		t.Errorf("got %v", err)
 	}
-	if _, progress, err := c.Do(ask(), soon()); err != ErrAborted || progress != None {
+	if _, progress, err := c.Do(ask(), soon()); err != ErrAborted || progress != NothingWritten {
 		t.Errorf("after it: got %d, %v", progress, err)
 	}
 }
@@ -291,8 +291,8 @@
 		"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", head + "A : b\r\n\r\n"} {
 		f.Add([]byte(s))
 	}
-	l := Usual
-	l.Body, l.Headers = 1000, 10
+	l := DefaultLimits
+	l.MaxBody, l.MaxHeaders = 1000, 10
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), 64)
 		q, length, err := requestHead(r, &l)
@@ -308,14 +308,14 @@
 			b = append(b, q.Body...)
 		}
 		r = bufio.NewReader(bytes.NewReader(b))
-		again, length, err := requestHead(r, &Usual)
+		again, length, err := requestHead(r, &DefaultLimits)
 		if err != nil {
 			if _, ok := q.Header["Host"]; !ok {
 				return // HTTP/1.0 needs none, and is written as 1.1
 			}
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
-		if again.Body, err = body(r, length, &Usual, false, nil); err != nil || !bytes.Equal(q.Body, again.Body) || q.Target != again.Target {
+		if again.Body, err = body(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(q.Body, again.Body) || q.Target != again.Target {
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
 	})
@@ -324,10 +324,10 @@
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end"))
-	l := Usual
-	l.Body = 1000
+	l := DefaultLimits
+	l.MaxBody = 1000
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if p, err := readResponse(bufio.NewReader(bytes.NewReader(in)), "POST", &l); err == nil && len(p.Body) > l.Body {
+		if p, err := readResponse(bufio.NewReader(bytes.NewReader(in)), "POST", &l); err == nil && len(p.Body) > l.MaxBody {
 			t.Fatalf("%q: a body of %d bytes", in, len(p.Body))
 		}
 	})
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -39,7 +39,7 @@
 
 // EndBy has the connection end once no request has begun on it by a time: Next gives what had come by then, and after that
 // ErrIdle. It may be called from any goroutine, whatever the connection does.
-func (c *Conn) EndBy(at time.Time) {
+func (c *Conn) SetIdleDeadline(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endBy = at
@@ -51,7 +51,7 @@
 // await waits for the first byte of a request.
 func (c *Conn) await() error {
 	c.mu.Lock()
-	at := after(c.limits.IdleTime)
+	at := after(c.limits.IdleTimeout)
 	if !c.endBy.IsZero() && (at.IsZero() || c.endBy.Before(at)) {
 		at = c.endBy
 	}
@@ -62,12 +62,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaiting = false
-	c.in.until(after(c.limits.HeaderTime))
+	c.in.until(after(c.limits.HeaderTimeout))
 	return err
 }
 
 // More tells whether something of a further request is here already.
-func (c *Conn) More() bool {
+func (c *Conn) HasPending() bool {
 	if c.r.Buffered() > 0 {
 		return true
 	}
@@ -81,14 +81,14 @@
 // Distrusted is what Next gives where a request has begun to come from a client that was believed when it connected and is not
 // any more, or not as whom it showed itself to be. Nothing of the request was read; it is to be answered so that the client, who
 // may hold another certificate by now, can tell that.
-type Distrusted struct{ Err error }
+type PeerUntrustedError struct{ Err error }
 
-func (d *Distrusted) Error() string { return d.Err.Error() + "; connect again" }
+func (d *PeerUntrustedError) Error() string { return d.Err.Error() + "; connect again" }
 
 // Next waits for the next request and reads it whole. io.EOF tells that the client is done, ErrIdle that it was idle;
 // a *Refused is to be answered with its status, a *Distrusted as it says, and both close the connection. Other errors are the
 // connection's.
-func (c *Conn) Next() (*Request, error) {
+func (c *Conn) ReadRequest() (*Request, error) {
 	if err := c.await(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = ErrIdle
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	if err := still(c.nc); err != nil {
-		return nil, &Distrusted{err}
+		return nil, &PeerUntrustedError{err}
 	}
 	c.method = ""
 	began := c.in.came
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, slow(err, "header")
 	}
-	c.method, q.Began = q.Method, began
+	c.method, q.ArrivedAt = q.Method, began
 	if length == -2 || length == 0 {
 		return q, nil
 	}
@@ -112,15 +112,15 @@
 		if !equalFold(expect, "100-continue") {
 			return nil, refuse(417, "an expectation other than 100-continue")
 		}
-		if length > c.limits.Body { // said before the client sends it
-			return nil, refuse(413, "a body of more than %d bytes", c.limits.Body)
+		if length > c.limits.MaxBody { // said before the client sends it
+			return nil, refuse(413, "a body of more than %d bytes", c.limits.MaxBody)
 		}
-		c.nc.SetWriteDeadline(after(c.limits.WriteTime))
+		c.nc.SetWriteDeadline(after(c.limits.WriteTimeout))
 		if _, err := io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, err
 		}
 	}
-	c.in.until(after(c.limits.BodyTime))
+	c.in.until(after(c.limits.BodyTimeout))
 	if q.Body, err = body(c.r, length, c.limits, false, c.room); err != nil {
 		return nil, slow(err, "body")
 	}
@@ -158,7 +158,7 @@
 
 // Watch reports on the channel if the client closes or breaks the connection before stop is called. Requests that
 // come meanwhile are kept. Stop must be called, and returns once the watcher is gone.
-func (c *Conn) Watch() (gone <-chan error, stop func()) {
+func (c *Conn) WatchClose() (gone <-chan error, stop func()) {
 	left, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	c.in.until(time.Time{})
 	go func() {
@@ -171,7 +171,7 @@
 		}
 		again := time.NewTicker(lookEvery)
 		defer again.Stop()
-		for !c.Gone() {
+		for !c.PeerClosed() {
 			select {
 			case <-again.C:
 			case <-stopped:
@@ -188,13 +188,13 @@
 }
 
 // Gone tells whether the client has already closed or broken the connection, without waiting. It may be called from any goroutine.
-func (c *Conn) Gone() bool { return left(socket(c.nc)) }
+func (c *Conn) PeerClosed() bool { return left(socket(c.nc)) }
 
 // Answer writes the response to the request in hand.
-func (c *Conn) Answer(p *Response) error {
+func (c *Conn) WriteResponse(p *Response) error {
 	c.out = appendResponse(c.out[:0], c.method, p)
-	whole := c.method == "HEAD" || p.Chunk > 0
-	c.nc.SetWriteDeadline(after(c.limits.WriteTime))
+	whole := c.method == "HEAD" || p.ChunkSize > 0
+	c.nc.SetWriteDeadline(after(c.limits.WriteTimeout))
 	_, err := write(c.nc, &c.out, p.Body, whole)
 	if err == nil && p.Close {
 		c.linger()
