--- a/internal/loadreport/loads.go
+++ b/internal/loadreport/loads.go
@@ -11,9 +11,9 @@
 
 // Counts of one server since the last report.
 type Counts struct {
-	Issued   uint64 // executions written to it
-	Finished uint64
-	Errored  uint64 // answered with an error, refused, timed out, or broken off by the server
+	Issued   uint64 `json:"Issued"` // executions written to it
+	Finished uint64 `json:"Finished"`
+	Errored  uint64 `json:"Errored"` // answered with an error, refused, timed out, or broken off by the server
 }
 
 func (c *Counts) add(o Counts) {
@@ -24,8 +24,10 @@
 
 // Figures are what a server said of itself with its answers, summed over those that did.
 type Figures struct {
-	Answers             uint64
-	Util, Loads, Pinned float64
+	Answers uint64  `json:"Answers"`
+	Util    float64 `json:"Util"`
+	Loads   float64 `json:"Loads"`
+	Pinned  float64 `json:"Pinned"`
 }
 
 func (f *Figures) add(o Figures) {
@@ -37,8 +39,8 @@
 
 // Line is what is reported of one server.
 type Line struct {
-	Address  string
-	InFlight uint64 // now
+	Address  string `json:"Address"`
+	InFlight uint64 `json:"InFlight"` // now
 	Counts
 	Figures
 }
