--- a/cmd/hmcall/main.go
+++ b/cmd/hmcall/main.go
@@ -20,7 +20,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Router      []string      `required:"" help:"Routers, HOST:PORT; calls go round among them."`
 	Model       string        `help:"Model of a single call."`
 	Body        string        `help:"File with its KServe v2 request; - reads standard input; without, an empty one."`
@@ -82,14 +82,14 @@
 // Run makes the calls.
 func (c *cli) Run() error {
 	if (c.Model == "") == (c.Calls == "") {
-		return program.Use{Err: errors.New("either --model or --calls says what to call")}
+		return program.UsageError{Err: errors.New("either --model or --calls says what to call")}
 	}
 	if c.Timeout <= 0 || c.Concurrency < 1 {
-		return program.Use{Err: errors.New("a timeout or a concurrency below one")}
+		return program.UsageError{Err: errors.New("a timeout or a concurrency below one")}
 	}
 	lib, err := client.New(client.Options{Routers: c.Router, Connections: c.Concurrency + 1})
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	defer lib.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -98,7 +98,7 @@
 		body := empty
 		if c.Body != "" {
 			if body, err = read(c.Body); err != nil {
-				return program.Use{Err: err}
+				return program.UsageError{Err: err}
 			}
 		}
 		r := c.one(ctx, lib, call{Model: c.Model, Request: body, Mark: c.Mark, Tenant: c.Tenant})
@@ -122,7 +122,7 @@
 func (c *cli) file(ctx context.Context, lib *client.Client) error {
 	text, err := read(c.Calls)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	var calls []call
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -136,15 +136,15 @@
 		d := json.NewDecoder(bytes.NewReader(lines.Bytes()))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&x); err != nil {
-			return program.Use{Err: fmt.Errorf("%s:%d: %w", c.Calls, n, err)}
+			return program.UsageError{Err: fmt.Errorf("%s:%d: %w", c.Calls, n, err)}
 		}
 		if _, known := effects[x.Effect]; x.Model == "" || x.Effect != "" && !known || x.Timeout < 0 {
-			return program.Use{Err: fmt.Errorf("%s:%d: a call needs a model, an effect that is known and no timeout below zero", c.Calls, n)}
+			return program.UsageError{Err: fmt.Errorf("%s:%d: a call needs a model, an effect that is known and no timeout below zero", c.Calls, n)}
 		}
 		calls = append(calls, x)
 	}
 	if err := lines.Err(); err != nil {
-		return program.Use{Err: fmt.Errorf("%s: %w", c.Calls, err)}
+		return program.UsageError{Err: fmt.Errorf("%s: %w", c.Calls, err)}
 	}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -34,11 +34,11 @@
 	if e.Script != "" {
 		var err error
 		if text, err = os.ReadFile(e.Script); err != nil {
-			return program.Use{Err: err}
+			return program.UsageError{Err: err}
 		}
 	}
 	if min(e.Routers, e.Workers, e.Jobs, e.Clients, e.Threads) < 0 || e.Seeds < 1 {
-		return program.Use{Err: fmt.Errorf("a count below zero, or no day")}
+		return program.UsageError{Err: fmt.Errorf("a count below zero, or no day")}
 	}
 	if e.Threads == 0 {
 		e.Threads = runtime.GOMAXPROCS(0)
@@ -47,13 +47,13 @@
 	first := map[string][]float64{}
 	for _, arm := range e.Arms {
 		if arm != "module" && !slices.Contains(baseline.Names, arm) {
-			return program.Use{Err: fmt.Errorf("no arm is called %q", arm)}
+			return program.UsageError{Err: fmt.Errorf("no arm is called %q", arm)}
 		}
 		for seed := e.Seed; seed < e.Seed+uint64(e.Seeds); seed++ {
 			begun := time.Now()
 			res, length, err := e.one(text, arm, seed)
 			if err != nil {
-				return program.Use{Err: err}
+				return program.UsageError{Err: err}
 			}
 			took := time.Since(begun)
 			first[arm] = append(first[arm], res.InTime)
@@ -65,16 +65,16 @@
 				fmt.Println(string(b))
 			}
 			word := "kept"
-			if !res.Kept() {
+			if !res.Passed() {
 				word = "broken"
 				kept = kept && arm != "module" // a textbook policy that breaks a rule is a finding about it
 			}
 			fmt.Printf("%-12s seed %d: %s in_time=%.3f worth=%.3f jobs=%d pushed_back=%d killed=%d unanswered=%d executions=%.3f loads=%d cold_use=%.2f warm_use=%.2f hash=%016x  %.0f times real time, %d events\n",
-				arm, seed, word, res.InTime, res.Worth, res.Jobs, res.PushedBack, res.Killed, res.Unanswered, float64(res.Executions)/float64(max(1, res.Jobs)),
+				arm, seed, word, res.InTime, res.Worth, res.Requests, res.Rejected, res.Failed, res.Unanswered, float64(res.Attempts)/float64(max(1, res.Requests)),
 				res.Loads, res.ColdUse, res.WarmUse, res.Hash, length.Seconds()/took.Seconds(), res.Events)
 			for _, r := range res.Rules {
-				if r.Count > 0 {
-					fmt.Printf("    rule %d, %s: BROKEN %d times, as %s\n", r.Number, r.Name, r.Count, r.Breaches[0])
+				if r.ViolationCount > 0 {
+					fmt.Printf("    rule %d, %s: BROKEN %d times, as %s\n", r.Number, r.Name, r.ViolationCount, r.Violations[0])
 				}
 			}
 		}
--- a/cmd/hmchaos/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -54,16 +54,16 @@
 	}
 	s := f.Section("experiment")
 	a := &asked{sizes: map[string]size{}, programs: map[string]string{}}
-	if a.script = s.Text("script", ""); !filepath.IsAbs(a.script) {
+	if a.script = s.String("script", ""); !filepath.IsAbs(a.script) {
 		a.script = filepath.Join(filepath.Dir(name), a.script)
 	}
-	a.plan = experiments.Plan{Arms: s.Words("arms"), First: uint64(s.Int("first_seed", 1, 1, 1<<30)), Most: s.Int("seeds", 20, 2, 100_000),
+	a.plan = experiments.Plan{Arms: s.Strings("arms"), First: uint64(s.Int("first_seed", 1, 1, 1<<30)), Most: s.Int("seeds", 20, 2, 100_000),
 		Least: s.Int("least_seeds", 5, 2, 100_000), Indifferent: s.Float("indifferent", 0.005, 0, 1e9),
 		Measure: experiments.Measures[s.OneOf("measure", experiments.Measures[0], experiments.Measures...)]}
 	if a.text, err = os.ReadFile(a.script); err != nil {
-		s.Fault("script", "%v", err)
+		s.Errorf("script", "%v", err)
 	} else if _, err := chaostest.ReadDay(a.script, a.text); err != nil {
-		s.Fault("script", "%v", err)
+		s.Errorf("script", "%v", err)
 	}
 	for _, x := range f.Sections("size ") {
 		n := x.Name[len("size "):]
@@ -75,17 +75,17 @@
 		a.plan.Sizes, a.sizes[usualSize] = []string{usualSize}, size{}
 	}
 	for _, x := range f.Sections("arm ") {
-		p := x.Text("program", "")
-		if a.programs[x.Name[len("arm "):]] = p; program.BuildOf(p) == "" {
-			x.Fault("program", "%q can't be read", p)
+		p := x.String("program", "")
+		if a.programs[x.Name[len("arm "):]] = p; program.BuildIDOf(p) == "" {
+			x.Errorf("program", "%q can't be read", p)
 		}
 	}
 	if len(a.plan.Arms) < 2 {
-		s.Fault("arms", "fewer than two")
+		s.Errorf("arms", "fewer than two")
 	}
 	for _, arm := range a.plan.Arms {
 		if arm != "module" && arm != "undamped" && a.programs[arm] == "" && !slices.Contains(baseline.Names, arm) {
-			s.Fault("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.Names, arm)
+			s.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.Names, arm)
 		}
 	}
 	return a, f.Check()
@@ -93,9 +93,9 @@
 
 // origin names what plays an arm on which day: rows of another build or script are others.
 func (a *asked) origin(arm string) string {
-	build := program.Build()
+	build := program.BuildID()
 	if p := a.programs[arm]; p != "" {
-		build = program.BuildOf(p)
+		build = program.BuildIDOf(p)
 	}
 	return build + " " + fmt.Sprintf("%x", chaostest.DayKey(a.text)) + " " + fmt.Sprint(a.sizes)
 }
@@ -119,9 +119,9 @@
 	if err != nil {
 		return experiments.Row{}, fmt.Errorf("%s, %s, seed %d: %w", c.Size, c.Arm, c.Seed, err)
 	}
-	row := experiments.Row{Cell: c, InTime: res.InTime, Worth: res.Worth, Jobs: res.Jobs, Executions: res.Executions, Loads: res.Loads, Hash: res.Hash}
+	row := experiments.Row{Cell: c, InTime: res.InTime, Worth: res.Worth, Jobs: res.Requests, Executions: res.Attempts, Loads: res.Loads, Hash: res.Hash}
 	for _, r := range res.Rules {
-		row.Broken += r.Count
+		row.Broken += r.ViolationCount
 	}
 	return row, nil
 }
@@ -132,7 +132,7 @@
 		fmt.Sprint("--workers=", e.Workers), fmt.Sprint("--jobs=", e.Jobs), fmt.Sprint("--clients=", e.Clients), "--manners=" + e.Manners}
 	out, err := exec.CommandContext(ctx, name, args...).Output()
 	var exit *exec.ExitError
-	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == program.Found) { // a broken rule is in the result
+	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == program.ExitFailure) { // a broken rule is in the result
 		return nil, err
 	}
 	res := &chaostest.Emulated{}
@@ -150,7 +150,7 @@
 	}
 	store, err := experiments.Open(x.Rows)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	defer store.Close()
 	origins := map[string]string{}
--- a/cmd/hmchaos/main.go
+++ b/cmd/hmchaos/main.go
@@ -16,7 +16,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Load       load       `cmd:"" help:"Measure a steady stream of jobs through a router against straight to the servers, in one run."`
 	Changes    changes    `cmd:"" help:"Change the list through a pretend control plane, under load, and measure how soon the router follows."`
 	Emulate    emulate    `cmd:"" help:"Play a day in simulated time, with this build's decisions or a textbook policy's."`
@@ -66,7 +66,7 @@
 	if d.Script != "" {
 		var err error
 		if text, err = os.ReadFile(d.Script); err != nil {
-			return program.Use{Err: err}
+			return program.UsageError{Err: err}
 		}
 	}
 	script, err := chaostest.ReadDay(d.Script, text)
@@ -127,12 +127,12 @@
 		}
 	}
 	word := "kept"
-	if !res.Kept() {
+	if !res.Passed() {
 		word = "broken"
 	}
-	fmt.Printf("verdict: %s jobs=%d finished=%d pushed_back=%d killed=%d unanswered=%d in_time=%.3f worth=%.3f storms=%d\n", word, res.Jobs, res.Finished,
-		res.PushedBack, res.Killed, res.Unanswered, res.InTime, res.Worth, res.Storms)
-	if !res.Kept() && err == nil {
+	fmt.Printf("verdict: %s jobs=%d finished=%d pushed_back=%d killed=%d unanswered=%d in_time=%.3f worth=%.3f storms=%d\n", word, res.Requests, res.Succeeded,
+		res.Rejected, res.Failed, res.Unanswered, res.InTime, res.Worth, res.Storms)
+	if !res.Passed() && err == nil {
 		err = fmt.Errorf("a rule was broken")
 	}
 	return err
@@ -145,7 +145,7 @@
 		to   *int
 	}{{jobs, &d.Jobs}, {routers, &d.Routers}, {workers, &d.Workers}, {clients, &d.Clients}} {
 		if x.flag < 0 {
-			return program.Use{Err: fmt.Errorf("a count below zero")}
+			return program.UsageError{Err: fmt.Errorf("a count below zero")}
 		}
 		if x.flag > 0 {
 			*x.to = x.flag
@@ -155,10 +155,10 @@
 }
 
 func table(res *chaostest.Result) {
-	fmt.Printf("%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8.3f\n", "jobs (tries of clients)", res.Jobs,
-		"finished", res.Finished, "pushed back", res.PushedBack, "killed", res.Killed, "left by their clients", res.Left,
-		"excused: their router was halted", res.Excused, "refused as wrong", res.Other, "repeats by a router", res.Repeats,
-		"executions a job", float64(res.Executions)/float64(max(1, res.Jobs)))
+	fmt.Printf("%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8.3f\n", "jobs (tries of clients)", res.Requests,
+		"finished", res.Succeeded, "pushed back", res.Rejected, "killed", res.Failed, "left by their clients", res.Abandoned,
+		"excused: their router was halted", res.Excused, "refused as wrong", res.NotAdmitted, "repeats by a router", res.Retries,
+		"executions a job", float64(res.Attempts)/float64(max(1, res.Requests)))
 	if res.Resumed.Asked > 0 {
 		fmt.Printf("run-once jobs asked again of their restarted router: %d, finished %d, pushed back %d, killed %d\n", res.Resumed.Asked, res.Resumed.Finished,
 			res.Resumed.PushedBack, res.Resumed.Killed)
@@ -168,8 +168,8 @@
 		loads += s.Loads
 	}
 	fmt.Printf("%-40s %8d\n", "loads", loads)
-	for _, w := range res.Cold {
-		worst = max(worst, w.Share)
+	for _, w := range res.SlowStart {
+		worst = max(worst, w.BudgetUsed)
 	}
 	if worst > 0 {
 		fmt.Printf("%-40s %8.3f\n", "a cold server's worst window, of budget", worst)
@@ -183,11 +183,11 @@
 	}
 	for _, r := range res.Rules {
 		word := "kept"
-		if r.Count > 0 {
-			word = fmt.Sprintf("BROKEN %d times", r.Count)
+		if r.ViolationCount > 0 {
+			word = fmt.Sprintf("BROKEN %d times", r.ViolationCount)
 		}
 		fmt.Printf("rule %d, %-32s %8d chances  %s\n", r.Number, r.Name, r.Opportunities, word)
-		for _, b := range r.Breaches {
+		for _, b := range r.Violations {
 			fmt.Println("   ", b)
 		}
 	}
@@ -203,7 +203,7 @@
 		name = filepath.Join(filepath.Dir(self), "hollymast")
 	}
 	if _, err := os.Stat(name); err != nil {
-		return "", program.Use{Err: err}
+		return "", program.UsageError{Err: err}
 	}
 	return name, nil
 }
@@ -228,7 +228,7 @@
 		return err
 	}
 	if min(c.Number, c.Rate, c.Workers) < 1 || c.Every < time.Millisecond || c.Workers > 256 {
-		return program.Use{Err: fmt.Errorf("a count below one, over 256 workers, or less than 1ms between changes")}
+		return program.UsageError{Err: fmt.Errorf("a count below one, over 256 workers, or less than 1ms between changes")}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -238,7 +238,7 @@
 		return err
 	}
 	fmt.Println(f)
-	if !f.Kept() {
+	if !f.Passed() {
 		return fmt.Errorf("a rule was broken")
 	}
 	return nil
@@ -265,7 +265,7 @@
 		return err
 	}
 	if min(l.Connections, l.Servers, l.Functions) < 1 || l.Idle < 0 {
-		return program.Use{Err: fmt.Errorf("a count below one")}
+		return program.UsageError{Err: fmt.Errorf("a count below one")}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -14,7 +14,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Paths  []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
 	Job    uint64   `help:"The job's number, as in the router's log."`
 	Asked  string   `name:"request" help:"The request's own id."`
@@ -45,7 +45,7 @@
 func (c cli) run() error {
 	files, err := record.Files(c.Paths)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	if c.All {
 		alike, err := explain.All(files)
@@ -64,24 +64,24 @@
 	if c.Asked != "" {
 		job, err := explain.Requested(files, record.Tag(c.Key, c.Asked))
 		if err != nil {
-			return program.Use{Err: err}
+			return program.UsageError{Err: err}
 		}
 		c.Job = uint64(job)
 	}
 	if c.Job == 0 {
-		return program.Use{Err: errors.New("name a job with --job or a time with --at, or ask for --all")}
+		return program.UsageError{Err: errors.New("name a job with --job or a time with --at, or ask for --all")}
 	}
 	q := explain.Question{Job: control.RequestID(c.Job)}
 	if c.WhatIf != "" {
 		change, err := explain.ReadChange(c.WhatIf)
 		if err != nil {
-			return program.Use{Err: err}
+			return program.UsageError{Err: err}
 		}
 		q.If = &change
 	}
 	answers, err := explain.Job(files, q)
 	if errors.Is(err, record.ErrNewer) {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	if err != nil {
 		return err
--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -21,7 +21,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Path     string `arg:"" help:"The history, or a router's memory folder." type:"path"`
 	Function string `default:"*" help:"Functions whose names match, as in path.Match."`
 	Tenant   string `default:"*" help:"Tenants whose names match."`
@@ -72,7 +72,7 @@
 	}
 	ago, err := time.ParseDuration(text)
 	if err != nil || ago < 0 {
-		return 0, program.Use{Err: fmt.Errorf("%q is neither a time as 2026-12-01T06:30:00Z nor a span as 24h", text)}
+		return 0, program.UsageError{Err: fmt.Errorf("%q is neither a time as 2026-12-01T06:30:00Z nor a span as 24h", text)}
 	}
 	return now.Add(-ago).UnixMicro(), nil
 }
@@ -89,7 +89,7 @@
 	}
 	for _, glob := range []string{c.Function, c.Tenant} {
 		if _, err := path.Match(glob, ""); err != nil {
-			return nil, program.Use{Err: fmt.Errorf("%q: %w", glob, err)}
+			return nil, program.UsageError{Err: fmt.Errorf("%q: %w", glob, err)}
 		}
 	}
 	name := c.Path
@@ -129,7 +129,7 @@
 		return nil
 	})
 	if errors.Is(err, history.ErrNewer) || errors.Is(err, os.ErrNotExist) {
-		return nil, program.Use{Err: err}
+		return nil, program.UsageError{Err: err}
 	}
 	if err != nil {
 		return nil, err
--- a/cmd/hmhistory/plot.go
+++ b/cmd/hmhistory/plot.go
@@ -45,7 +45,7 @@
 // draw draws a line for each function and tenant, those with most jobs first, into a file whose ending tells its form.
 func draw(file, what string, most int, rows []history.Row) error {
 	if ending := filepath.Ext(file); ending != ".png" && ending != ".svg" {
-		return program.Use{Err: errors.New(file + " is neither .png nor .svg")}
+		return program.UsageError{Err: errors.New(file + " is neither .png nor .svg")}
 	}
 	if len(rows) == 0 {
 		return errors.New("nothing to draw: no row is in that time")
--- a/cmd/hmmodelcheck/main.go
+++ b/cmd/hmmodelcheck/main.go
@@ -20,7 +20,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Run        run        `cmd:"" help:"Explore a world breadth first; exit 1 with the shortest story where a property fails."`
 	Walk       walk       `cmd:"" help:"Walk through a world by chance, again and again."`
 	Moment     moment     `cmd:"" help:"Explore from a moment of a recorded day."`
@@ -84,11 +84,11 @@
 		Limit: us(w.Limit), Window: us(w.Window), Orders: w.Orders, Warm: w.Warm, ColdServer: w.ColdServer}
 	w.faults.add(&s)
 	if err := s.Check(); err != nil {
-		return s, nil, program.Use{Err: err}
+		return s, nil, program.UsageError{Err: err}
 	}
 	ps, ok := modelcheck.Named(w.Check)
 	if !ok {
-		return s, nil, program.Use{Err: fmt.Errorf("a property of %s is not known; hmmodelcheck properties lists them", strings.Join(w.Check, ", "))}
+		return s, nil, program.UsageError{Err: fmt.Errorf("a property of %s is not known; hmmodelcheck properties lists them", strings.Join(w.Check, ", "))}
 	}
 	return s, ps, nil
 }
@@ -179,7 +179,7 @@
 func (m moment) Run() error {
 	s, err := record.OpenSegment(m.Recording)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	defer s.Close()
 	p, err := replay.From(s.Checkpoint)
@@ -199,7 +199,7 @@
 		return err
 	}
 	if now == 0 {
-		return program.Use{Err: fmt.Errorf("turn %d is not in %s", m.Turn, m.Recording)}
+		return program.UsageError{Err: fmt.Errorf("turn %d is not in %s", m.Turn, m.Recording)}
 	}
 	c, err := p.Core.Snapshot()
 	if err != nil {
@@ -211,7 +211,7 @@
 	}
 	at, err := modelcheck.NewMoment(now, c, jobs)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	setup := at.Setup()
 	m.faults.add(&setup)
@@ -257,11 +257,11 @@
 	for _, name := range r.File {
 		b, err := os.ReadFile(name)
 		if err != nil {
-			return program.Use{Err: err}
+			return program.UsageError{Err: err}
 		}
 		s, err := modelcheck.ReadStory(b)
 		if err != nil {
-			return program.Use{Err: fmt.Errorf("%s: %w", name, err)}
+			return program.UsageError{Err: fmt.Errorf("%s: %w", name, err)}
 		}
 		switch wrong, after, err := s.Replay(&modelcheck.Real, modelcheck.Properties); {
 		case wrong != "":
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -22,7 +22,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Servers servers `cmd:"" help:"Probe servers by address, or all of a list file. Runs nothing unless told to."`
 	Router  router  `cmd:"" help:"Ask a router at its admin address: state, snapshot, record-start, record-stop."`
 }
@@ -56,7 +56,7 @@
 	if s.List != "" {
 		f, err := inifile.Load(s.List)
 		if err != nil {
-			return nil, program.Use{Err: err}
+			return nil, program.UsageError{Err: err}
 		}
 		list, err := gateway.ParseEndpoints(f)
 		if err != nil {
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(to) == 0 || s.Rate <= 0 {
-		return nil, program.Use{Err: errors.New("no server is named, or no rate")}
+		return nil, program.UsageError{Err: errors.New("no server is named, or no rate")}
 	}
 	return to, nil
 }
@@ -146,7 +146,7 @@
 		return renameio.WriteFile(r.Output, p.Body, 0o600)
 	}
 	if r.Ask == "snapshot" {
-		return program.Use{Err: errors.New("a snapshot is no text: name a file with --output")}
+		return program.UsageError{Err: errors.New("a snapshot is no text: name a file with --output")}
 	}
 	fmt.Println(string(p.Body))
 	return nil
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -17,7 +17,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Paths []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
 	From  uint64   `help:"First turn to compare."`
 	Until uint64   `help:"Last turn; 0: the end."`
@@ -42,7 +42,7 @@
 func (c cli) run() error {
 	files, err := record.Files(c.Paths)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	r := replay.Range{From: c.From, Until: c.Until, Job: control.RequestID(c.Job)}
 	if c.Show {
@@ -54,7 +54,7 @@
 	var different *replay.Difference
 	if err != nil && !errors.As(err, &different) {
 		if errors.Is(err, record.ErrNewer) {
-			err = program.Use{Err: err}
+			err = program.UsageError{Err: err}
 		}
 		return err
 	}
@@ -87,8 +87,8 @@
 	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job", strconv.FormatUint(c.Job, 10)}
 	out, err := exec.Command(c.Against, append(args, files...)...).Output()
 	var exit *exec.ExitError
-	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.Found) {
-		return program.Use{Err: fmt.Errorf("%s: %w", c.Against, err)}
+	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.ExitFailure) {
+		return program.UsageError{Err: fmt.Errorf("%s: %w", c.Against, err)}
 	}
 	theirs := ""
 	for line := range strings.Lines(string(out)) {
--- a/cmd/hollymast/main.go
+++ b/cmd/hollymast/main.go
@@ -22,7 +22,7 @@
 var example string
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Serve serve      `cmd:"" help:"Route jobs until told to stop."`
 	Check check      `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
 	On    onPlatform `cmd:"" name:"platform" help:"Route jobs on the operators' platform, as its configuration tells."`
@@ -60,7 +60,7 @@
 func read(name string) (*gateway.Config, error) {
 	f, err := inifile.Load(name)
 	if err != nil {
-		return nil, program.Use{Err: err}
+		return nil, program.UsageError{Err: err}
 	}
 	return gateway.ParseConfig(f)
 }
@@ -75,7 +75,7 @@
 		return err
 	}
 	zerolog.SetGlobalLevel(zerolog.DebugLevel)
-	log := program.Log(os.Stderr, "hollymast", "debug")
+	log := program.NewLogger(os.Stderr, "hollymast", "debug")
 	level(told)
 	g, err := gateway.New(told, log)
 	if err != nil {
@@ -93,7 +93,7 @@
 				reload(s.File, told, g, log)
 			case stopping:
 				log.Warn().Msg("told to stop again: ending at once")
-				os.Exit(program.Found)
+				os.Exit(program.ExitFailure)
 			default:
 				stopping = true
 				stop()
@@ -119,9 +119,9 @@
 // reload takes in what can change in service: the list of servers and the log level.
 func reload(name string, told *gateway.Config, g *gateway.Gateway, log zerolog.Logger) {
 	fresh, err := read(name)
-	var faults *inifile.Faults
+	var faults *inifile.ValidationError
 	if errors.As(err, &faults) {
-		log.Error().Strs("faults", faults.Lines).Msg("settings refused: the old ones stand")
+		log.Error().Strs("faults", faults.Problems).Msg("settings refused: the old ones stand")
 	} else if err != nil {
 		log.Error().Err(err).Msg("settings refused: the old ones stand")
 	} else {
--- a/cmd/hollymast/platform.go
+++ b/cmd/hollymast/platform.go
@@ -27,7 +27,7 @@
 	env := platform.Environment{Name: o.Name, Listen: o.Listen, File: o.Config}
 	told, err := platform.LoadConfigAtStart(env)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	// The scheduler needs no more threads than it has cores, and the collector a bound below that at which the platform
 	// kills: a part stays for stacks, the program itself and what the kernel holds.
@@ -35,7 +35,7 @@
 	if told.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(told.MemoryMB) << 20 * 6 / 10)
 	}
-	log := program.Log(os.Stderr, "hollymast", o.Log)
+	log := program.NewLogger(os.Stderr, "hollymast", o.Log)
 	p, err := platform.New(told, log)
 	if err != nil {
 		return err
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,7 +10,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Record string `help:"Folder in which each router's turns are recorded, for hmreplay and hmexplain." type:"path"`
 }
 
@@ -19,6 +19,6 @@
 	program.Parse(&c, "simadapter", "Runs the decision module on the simulator's wire.")
 	if err := simadapter.Run(os.Stdin, os.Stdout, c.Record); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
-		os.Exit(program.Found)
+		os.Exit(program.ExitFailure)
 	}
 }
--- a/internal/certstore/grpc.go
+++ b/internal/certstore/grpc.go
@@ -15,8 +15,8 @@
 type watched struct {
 	net.Conn
 	raw      net.Conn
-	ring     *Ring
-	standing tlspolicy.Standing
+	ring     *Store
+	standing tlspolicy.VerifiedPeer
 }
 
 func (w *watched) Close() error {
@@ -27,14 +27,14 @@
 }
 
 // Credentials are a ring's for gRPC, on either side. Connections of peers that are not believed any more are cut.
-func (r *Ring) Credentials() credentials.TransportCredentials { return &creds{ring: r} }
+func (r *Store) Credentials() credentials.TransportCredentials { return &creds{ring: r} }
 
-type creds struct{ ring *Ring }
+type creds struct{ ring *Store }
 
 // protocol is what gRPC must agree on (RFC 7540, 3.3).
 const protocol = "h2"
 
-func (c *creds) hand(ctx context.Context, nc net.Conn, side tlspolicy.Side, host string) (net.Conn, credentials.AuthInfo, error) {
+func (c *creds) hand(ctx context.Context, nc net.Conn, side tlspolicy.Role, host string) (net.Conn, credentials.AuthInfo, error) {
 	w := &watched{raw: nc, ring: c.ring}
 	config := c.ring.config(side, host, &w.standing)
 	config.NextProtos = []string{protocol}
--- a/internal/certstore/keyring.go
+++ b/internal/certstore/keyring.go
@@ -19,62 +19,62 @@
 )
 
 // Told is what one side of one kind of connection is told.
-type Told struct {
+type Config struct {
 	Certificate, Key string   // files; both empty: this side shows none
 	Authorities      string   // file; empty: the other side is not checked
-	Revoked          string   // file; empty: none are
+	RevocationLists  string   // file; empty: none are
 	Names            []string // that the other side may have; none: the host dialled, or anyone of the authorities
-	Twelve           bool     // TLS 1.2 will do
+	AllowTLS12       bool     // TLS 1.2 will do
 
-	Secrets           string // address of a secret discovery service on loopback; empty: the files
+	SecretsAddress    string // address of a secret discovery service on loopback; empty: the files
 	CertificateSecret string // names of its secrets
 	AuthoritiesSecret string
 }
 
-func (t *Told) shows() bool { return t.Certificate != "" || t.CertificateSecret != "" }
+func (t *Config) shows() bool { return t.Certificate != "" || t.CertificateSecret != "" }
 
-func (t *Told) checks() bool { return t.Authorities != "" || t.AuthoritiesSecret != "" }
+func (t *Config) checks() bool { return t.Authorities != "" || t.AuthoritiesSecret != "" }
 
 // lookEvery is how often the files are read: often enough that whoever has replaced them sees it at once, at the cost of four
 // small reads.
 const lookEvery = 250 * time.Millisecond
 
 // Ring is one side's keys. All methods may be called by any goroutine.
-type Ring struct {
-	told *Told
+type Store struct {
+	told *Config
 	now  func() control.Micros
 	note func(text string)
 
 	mu       sync.Mutex
 	identity tlspolicy.Identity
-	peers    *tlspolicy.Peers
+	peers    *tlspolicy.Verifier
 	long     map[*watched]struct{} // connections that are cut once their peer is no longer believed
-	counts   Counts
+	counts   Stats
 	chance   *rand.Rand // spreads the replacing of connections
 }
 
 // Counts are what a ring has met.
-type Counts struct {
-	Handshakes uint64
-	Refused    map[string]uint64 // peers, by reason
-	Failed     uint64            // other handshakes that came to nothing
-	Ends       control.Micros    // of the certificate in service, wall clock; 0: none
+type Stats struct {
+	Handshakes       uint64
+	RejectedPeers    map[string]uint64 // peers, by reason
+	FailedHandshakes uint64            // other handshakes that came to nothing
+	ExpiresAt        control.Micros    // of the certificate in service, wall clock; 0: none
 }
 
 // Open finds the keys. Where files are told they must be whole; secrets may come later. Errors are what is wrong with them.
-func Open(told *Told, now func() control.Micros, note func(text string)) (*Ring, error) {
-	r := &Ring{told: told, now: now, note: note, peers: tlspolicy.NewPeers(told.Names), long: map[*watched]struct{}{}, counts: Counts{Refused: map[string]uint64{}},
+func Open(told *Config, now func() control.Micros, note func(text string)) (*Store, error) {
+	r := &Store{told: told, now: now, note: note, peers: tlspolicy.NewVerifier(told.Names), long: map[*watched]struct{}{}, counts: Stats{RejectedPeers: map[string]uint64{}},
 		chance: rand.New(rand.NewPCG(uint64(now()), 1))}
-	if told.Secrets != "" {
+	if told.SecretsAddress != "" {
 		return r, nil
 	}
 	return r, r.look()
 }
 
 // look reads the files and offers them. A file that can't be read leaves all as it was.
-func (r *Ring) look() error {
+func (r *Store) look() error {
 	var texts [4][]byte
-	for i, name := range []string{r.told.Certificate, r.told.Key, r.told.Authorities, r.told.Revoked} {
+	for i, name := range []string{r.told.Certificate, r.told.Key, r.told.Authorities, r.told.RevocationLists} {
 		if name == "" {
 			continue
 		}
@@ -85,30 +85,30 @@
 	}
 	var errs []error
 	if r.told.shows() {
-		errs = append(errs, r.OfferPair(texts[0], texts[1]))
+		errs = append(errs, r.UpdateKeyPair(texts[0], texts[1]))
 	}
 	if r.told.checks() {
-		errs = append(errs, r.OfferPeers(texts[2], texts[3]))
+		errs = append(errs, r.UpdateAuthorities(texts[2], texts[3]))
 	}
 	return errors.Join(errs...)
 }
 
 // OfferPair offers a certificate chain and its key; see trust.Identity.Offer.
-func (r *Ring) OfferPair(chain, key []byte) error {
+func (r *Store) UpdateKeyPair(chain, key []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	err := r.identity.Offer(r.now(), chain, key)
+	err := r.identity.Update(r.now(), chain, key)
 	r.tell()
 	return err
 }
 
 // OfferPeers offers authorities and revoked certificates; see trust.Peers.Offer. Long connections with peers that are not
 // believed any more end.
-func (r *Ring) OfferPeers(authorities, revoked []byte) error {
+func (r *Store) UpdateAuthorities(authorities, revoked []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.peers.Version()
-	err := r.peers.Offer(r.now(), authorities, revoked)
+	err := r.peers.Update(r.now(), authorities, revoked)
 	if r.peers.Version() != before {
 		r.cut()
 	}
@@ -116,16 +116,16 @@
 	return err
 }
 
-func (r *Ring) tell() {
-	for _, n := range append(r.identity.Notes(), r.peers.Notes()...) {
+func (r *Store) tell() {
+	for _, n := range append(r.identity.LogLines(), r.peers.LogLines()...) {
 		r.note(n)
 	}
 }
 
-func (r *Ring) cut() {
+func (r *Store) cut() {
 	now := r.now()
 	for w := range r.long {
-		if err := r.peers.Still(now, &w.standing); err != nil {
+		if err := r.peers.Reverify(now, &w.standing); err != nil {
 			r.refusedLocked(err)
 			r.note("a connection is cut: " + err.Error())
 			delete(r.long, w)
@@ -135,17 +135,17 @@
 }
 
 // tick ends what is over.
-func (r *Ring) tick() {
+func (r *Store) tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.identity.Tick(r.now())
-	r.peers.Tick(r.now())
+	r.identity.Maintain(r.now())
+	r.peers.Maintain(r.now())
 	r.cut()
 	r.tell()
 }
 
 // Follow looks at the files now and again until the context ends. What can't be read is told once, until it can.
-func (r *Ring) Follow(ctx context.Context) {
+func (r *Store) Run(ctx context.Context) {
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
 	unread := ""
@@ -155,7 +155,7 @@
 			return
 		case <-t.C:
 		}
-		if r.told.Secrets == "" {
+		if r.told.SecretsAddress == "" {
 			var missing *os.PathError
 			if err := r.look(); errors.As(err, &missing) {
 				if unread != missing.Error() {
@@ -171,22 +171,22 @@
 }
 
 // Counts gives what was met so far.
-func (r *Ring) Counts() Counts {
+func (r *Store) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.counts
-	c.Ends = r.identity.Ends()
-	c.Refused = make(map[string]uint64, len(r.counts.Refused))
-	for k, v := range r.counts.Refused {
-		c.Refused[k] = v
+	c.ExpiresAt = r.identity.ExpiresAt()
+	c.RejectedPeers = make(map[string]uint64, len(r.counts.RejectedPeers))
+	for k, v := range r.counts.RejectedPeers {
+		c.RejectedPeers[k] = v
 	}
 	return c
 }
 
-func (r *Ring) refusedLocked(err error) {
-	var no *tlspolicy.Refusal
+func (r *Store) refusedLocked(err error) {
+	var no *tlspolicy.PeerError
 	if errors.As(err, &no) {
-		r.counts.Refused[no.Reason.String()]++
+		r.counts.RejectedPeers[no.Reason.String()]++
 	}
 }
 
@@ -195,15 +195,15 @@
 var errNoPair = errors.New("no certificate is in service yet")
 
 // config gives what one handshake runs by; standing gets what is found of the peer.
-func (r *Ring) config(side tlspolicy.Side, host string, standing *tlspolicy.Standing) *tls.Config {
+func (r *Store) config(side tlspolicy.Role, host string, standing *tlspolicy.VerifiedPeer) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true} // each connection is checked whole
-	if r.told.Twelve {
+	if r.told.AllowTLS12 {
 		c.MinVersion = tls.VersionTLS12
 	}
 	pair := func() (*tls.Certificate, error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if p := r.identity.Serving(); p != nil {
+		if p := r.identity.Current(); p != nil {
 			return p, nil
 		}
 		return nil, errNoPair
@@ -215,7 +215,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		got, err := r.peers.Check(r.now(), s.PeerCertificates, side, host)
+		got, err := r.peers.Verify(r.now(), s.PeerCertificates, side, host)
 		if err != nil {
 			r.refusedLocked(err)
 			return err
@@ -243,10 +243,10 @@
 }
 
 // Secure is a connection whose peer was believed.
-type Secure struct {
+type Conn struct {
 	*tls.Conn
-	ring     *Ring
-	standing tlspolicy.Standing
+	ring     *Store
+	standing tlspolicy.VerifiedPeer
 	dialled  bool
 	own      uint64 // version of the identity that it was made with
 	place    float64
@@ -254,16 +254,16 @@
 
 // Still tells whether the peer is still believed, and, where we dialled, whether we still show what we have in service: a
 // connection that stood idle may have outlived either. One goroutine at a time.
-func (s *Secure) Still() error {
+func (s *Conn) Still() error {
 	s.ring.mu.Lock()
 	defer s.ring.mu.Unlock()
-	if s.dialled && s.ring.identity.Outlived(s.ring.now(), s.own, s.place) {
+	if s.dialled && s.ring.identity.ReplaceNow(s.ring.now(), s.own, s.place) {
 		return errOutlived
 	}
 	if !s.ring.told.checks() {
 		return nil
 	}
-	err := s.ring.peers.Still(s.ring.now(), &s.standing)
+	err := s.ring.peers.Reverify(s.ring.now(), &s.standing)
 	if err != nil {
 		s.ring.refusedLocked(err)
 	}
@@ -272,21 +272,21 @@
 
 // Dialled makes a connection that we dialled secret, within the context. Errors mean that no connection stands; those of a peer
 // that is not believed are a *trust.Refusal.
-func (r *Ring) Dialled(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
+func (r *Store) ClientHandshake(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
-	s := &Secure{ring: r, dialled: true, own: r.identity.Version(), place: r.chance.Float64()}
+	s := &Conn{ring: r, dialled: true, own: r.identity.Version(), place: r.chance.Float64()}
 	r.mu.Unlock()
 	s.Conn = tls.Client(nc, r.config(tlspolicy.Server, host, &s.standing))
 	return s, r.shake(ctx, s.Conn)
 }
 
 // Accepted makes a connection that was accepted secret, within the context.
-func (r *Ring) Accepted(ctx context.Context, nc net.Conn) (net.Conn, error) {
-	s := &Secure{ring: r}
+func (r *Store) ServerHandshake(ctx context.Context, nc net.Conn) (net.Conn, error) {
+	s := &Conn{ring: r}
 	s.Conn = tls.Server(nc, r.config(tlspolicy.Client, "", &s.standing))
 	err := r.shake(ctx, s.Conn)
 	if err != nil {
@@ -305,11 +305,11 @@
 	}
 }
 
-func (r *Ring) shake(ctx context.Context, c *tls.Conn) error {
+func (r *Store) shake(ctx context.Context, c *tls.Conn) error {
 	err := c.HandshakeContext(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var no *tlspolicy.Refusal
+	var no *tlspolicy.PeerError
 	switch {
 	case err == nil:
 		r.counts.Handshakes++
@@ -317,6 +317,6 @@
 	case errors.As(err, &no):
 		return no
 	}
-	r.counts.Failed++
+	r.counts.FailedHandshakes++
 	return fmt.Errorf("no secret connection: %w", err)
 }
--- a/internal/certstore/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -32,14 +32,14 @@
 var host = authority.Asked{Names: []string{"127.0.0.1"}}
 
 // ringOf gives a ring whose keys are in files of a folder.
-func ringOf(t *testing.T, own authority.Issued, authorities, revoked []byte) (*Ring, string) {
+func ringOf(t *testing.T, own authority.Issued, authorities, revoked []byte) (*Store, string) {
 	t.Helper()
 	dir := t.TempDir()
 	put(t, dir, map[string][]byte{"cert": own.Chain, "key": own.Key, "authorities": authorities})
-	told := &Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	told := &Config{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
 	if revoked != nil {
 		put(t, dir, map[string][]byte{"revoked": revoked})
-		told.Revoked = filepath.Join(dir, "revoked")
+		told.RevocationLists = filepath.Join(dir, "revoked")
 	}
 	r, err := Open(told, now, func(text string) { t.Log(text) })
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // serve answers every request of secret connections until the test ends.
-func serve(t *testing.T, r *Ring) string {
+func serve(t *testing.T, r *Store) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 			go func() {
 				defer wg.Done()
 				defer nc.Close()
-				s, err := r.Accepted(context.Background(), nc)
+				s, err := r.ServerHandshake(context.Background(), nc)
 				if err != nil {
 					return
 				}
@@ -102,8 +102,8 @@
 	return p, err
 }
 
-func dial(r *Ring, address string) (*rest.Client, error) {
-	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, r.Dialled)
+func dial(r *Store, address string) (*rest.Client, error) {
+	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, r.ClientHandshake)
 }
 
 // A server that does not believe a client tells it so although the client has already sent its whole request, every time: it is
@@ -123,7 +123,7 @@
 		}
 		c.Close()
 	}
-	if n := server.Counts().Refused["unknown authority"]; n != 50 {
+	if n := server.Stats().RejectedPeers["unknown authority"]; n != 50 {
 		t.Errorf("%d refused", n)
 	}
 }
@@ -143,11 +143,11 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		s, err := client.Dialled(context.Background(), nc, address)
+		s, err := client.ClientHandshake(context.Background(), nc, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.(*Secure).ConnectionState().PeerCertificates[0].SerialNumber.String()
+		return s.(*Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
 	c, err := dial(client, address)
 	if err != nil {
@@ -194,7 +194,7 @@
 	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
 	address := serve(t, server)
 	own := a.Issue(host)
-	pair, err := tlspolicy.ReadPair(own.Chain, own.Key)
+	pair, err := tlspolicy.ParseKeyPair(own.Chain, own.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		t.Errorf("TLS 1.2: %v", err)
 	}
 	also, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
-	also.told.Twelve = true
+	also.told.AllowTLS12 = true
 	strict := address
 	address = serve(t, also)
 	if err := old(); err != nil {
@@ -223,7 +223,7 @@
 	if _, err := ask(c); err == nil {
 		t.Error("a plain request was answered")
 	}
-	if n := server.Counts().Failed; n != 2 {
+	if n := server.Stats().FailedHandshakes; n != 2 {
 		t.Errorf("%d failed", n)
 	}
 }
@@ -236,7 +236,7 @@
 		t.Fatal(err)
 	}
 	defer service.Stop()
-	r, err := Open(&Told{Secrets: service.Address(), CertificateSecret: "own", AuthoritiesSecret: "peers"}, now, func(string) {})
+	r, err := Open(&Config{SecretsAddress: service.Address(), CertificateSecret: "own", AuthoritiesSecret: "peers"}, now, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 	serial := func() string {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if p := r.identity.Serving(); p != nil {
+		if p := r.identity.Current(); p != nil {
 			return p.Leaf.SerialNumber.String()
 		}
 		return ""
@@ -266,7 +266,7 @@
 	known := func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.peers.Known()
+		return r.peers.HasAuthorities()
 	}
 	x, y := a.Issue(host), a.Issue(host)
 	service.SetPair("own", x.Chain, x.Key)
@@ -321,7 +321,7 @@
 	if _, err := watch.Recv(); err == nil || ctx.Err() != nil {
 		t.Errorf("the stream goes on: %v", err)
 	}
-	if n := server.Counts().Refused["revoked"]; n == 0 {
+	if n := server.Stats().RejectedPeers["revoked"]; n == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/chaostest/changes.go
+++ b/internal/chaostest/changes.go
@@ -34,7 +34,7 @@
 
 // Followed is how quickly a router followed changes that took servers away.
 type Followed struct {
-	*invariant.Verdict
+	*invariant.Report
 	Taken         int           // changes that took a server away
 	Late          int           // after which something new still came to it
 	Median, Worst time.Duration // of those: the last that came, after the change was sent; 0 of none
@@ -163,12 +163,12 @@
 		return nil, fmt.Errorf("%w %w", p.faults, ctx.Err())
 	}
 	recs := p.log.Records()
-	f = &Followed{Verdict: invariant.Judge(p.law(), recs)}
+	f = &Followed{Report: invariant.Check(p.law(), recs)}
 	if _, f.Streams, _ = plane.Counts(); c.Keys {
 		f.Keys = k.Number
 	}
 	f.Broken = p.broken
-	f.Finished = float64(f.Verdict.Finished) / float64(max(1, f.Jobs))
+	f.Finished = float64(f.Report.Succeeded) / float64(max(1, f.Requests))
 	f.follow(recs)
 	return f, nil
 }
@@ -217,7 +217,7 @@
 		default:
 			continue
 		}
-		p.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: states[i]})
+		p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: states[i]})
 		plane.Change(p.members(states))
 		if c.Cuts && chance.IntN(50) == 0 {
 			plane.Cut(chance.IntN(2) == 0)
@@ -240,14 +240,14 @@
 	}
 	for _, r := range recs {
 		switch r.Kind {
-		case invariant.Told:
-			if r.Word == "ready" {
+		case invariant.EndpointPublished:
+			if r.Detail == "ready" {
 				end(r.Server)
 			} else if _, away := since[r.Server]; !away {
 				since[r.Server] = r.At
 				f.Taken++
 			}
-		case invariant.Received, invariant.Ordered:
+		case invariant.AttemptReceived, invariant.LoadCommandReceived:
 			if _, away := since[r.Server]; away {
 				last[r.Server] = r.At
 			}
@@ -268,8 +268,8 @@
 func (f *Followed) String() string {
 	var broken []string
 	for _, r := range f.Rules {
-		if r.Count > 0 {
-			broken = append(broken, fmt.Sprintf("rule %d broken %d times (%s)", r.Number, r.Count, r.Breaches[0]))
+		if r.ViolationCount > 0 {
+			broken = append(broken, fmt.Sprintf("rule %d broken %d times (%s)", r.Number, r.ViolationCount, r.Violations[0]))
 		}
 	}
 	word := "kept"
@@ -280,5 +280,5 @@
 		word = fmt.Sprintf("%d changes of keys; %s", f.Keys, word)
 	}
 	return fmt.Sprintf("%d servers taken away, %d got something new after it: median %s, worst %s; %d jobs, %.3f finished, %d unanswered, %d client connections broken, %d streams; %s",
-		f.Taken, f.Late, f.Median, f.Worst, f.Jobs, f.Finished, f.Unanswered, f.Broken, f.Streams, word)
+		f.Taken, f.Late, f.Median, f.Worst, f.Requests, f.Finished, f.Unanswered, f.Broken, f.Streams, word)
 }
--- a/internal/chaostest/clients.go
+++ b/internal/chaostest/clients.go
@@ -84,9 +84,9 @@
 		o := p.try(ctx, c, router, n, left)
 		if sticks && !o.untaken {
 			p.resume(o.word)
-			return o.word == invariant.Finished && time.Since(begun) <= c.workload.target
+			return o.word == invariant.Succeeded && time.Since(begun) <= c.workload.target
 		}
-		if o.word == invariant.Finished {
+		if o.word == invariant.Succeeded {
 			return time.Since(begun) <= c.workload.target
 		}
 		if o.mayHaveRun && first.IsZero() {
@@ -101,9 +101,9 @@
 			router = (router + 1) % len(p.addrs)
 		case o.broken && c.workload.effect == "run-once" && p.day.remembers():
 			sticks, again = true, 50*time.Millisecond
-		case o.word == invariant.PushedBack:
+		case o.word == invariant.Rejected:
 			again = o.after
-		case o.word == invariant.Killed, o.mayHaveRun:
+		case o.word == invariant.Failed, o.mayHaveRun:
 			// Nothing is promised: only what may run twice is asked again, the rest as its window allows.
 			if c.workload.effect == "run-once" || c.workload.group == "zone" {
 				return false
@@ -136,7 +136,7 @@
 
 // try asks once.
 func (p *play) try(ctx context.Context, c call, router, n int, left time.Duration) outcome {
-	rec := invariant.Record{Job: fmt.Sprintf("%d.%d", c.number, n), Effect: itoa(c.number), Workload: c.workload.name, Router: router}
+	rec := invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, n), Effect: itoa(c.number), Workload: c.workload.name, Router: router}
 	add := func(k invariant.Kind) { rec.Kind = k; p.log.Add(rec) }
 	o := outcome{begun: time.Now()}
 	x, err := p.client[router].get(ctx)
@@ -149,7 +149,7 @@
 		Header: rest.Header{"Host": {p.addrs[router]}, "Content-Type": {"application/json"}, kserve.AttemptHeader: {itoa(n)},
 			kserve.RepeatMark: {map[bool]string{true: runOnceMark, false: "effect-"}[c.workload.effect == "run-once"] + itoa(c.number)}},
 		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[{"name":"x","shape":[2],"datatype":"FP32","data":[1,2]}]}`,
-			rec.Job, left.Microseconds(), rec.Effect)}
+			rec.Request, left.Microseconds(), rec.Effect)}
 	if c.workload.effect == "restartable" {
 		delete(q.Header, kserve.RepeatMark)
 	}
@@ -160,8 +160,8 @@
 			delete(q.Header, kserve.RepeatMark)
 		}
 	}
-	rec.Limit = p.log.Now() + left.Microseconds()
-	add(invariant.Asked)
+	rec.Deadline = p.log.Now() + left.Microseconds()
+	add(invariant.RequestSent)
 	deadline := time.Now().Add(left + 300*time.Millisecond) // beyond its time, so that a late answer is seen
 	if c.hasty {
 		deadline = time.Now().Add(left)
@@ -177,11 +177,11 @@
 		o.broken = o.mayHaveRun && !errors.Is(err, rest.ErrTimeout)
 		p.broke(err)
 		if o.untaken = !o.mayHaveRun; o.untaken {
-			add(invariant.Untaken)
+			add(invariant.RequestNotSent)
 		} else if errors.Is(err, rest.ErrTimeout) && (c.hasty || c.leaves > 0) {
-			add(invariant.LeftIt)
+			add(invariant.RequestAbandoned)
 		} else {
-			add(invariant.GaveUp)
+			add(invariant.RequestTimedOut)
 		}
 		return o
 	case res.Close:
@@ -189,20 +189,20 @@
 	default:
 		p.client[router].put(x)
 	}
-	rec.Word = invariant.Other
+	rec.Detail = invariant.NotAdmitted
 	switch answer := gjson.GetBytes(res.Body, "answer").Str; {
 	case res.Status == 200:
-		rec.Word = invariant.Finished
-		if gjson.GetBytes(res.Body, "id").Str != rec.Job {
-			p.fail(fmt.Errorf("job %s got the answer of another: %s", rec.Job, res.Body))
+		rec.Detail = invariant.Succeeded
+		if gjson.GetBytes(res.Body, "id").Str != rec.Request {
+			p.fail(fmt.Errorf("job %s got the answer of another: %s", rec.Request, res.Body))
 		}
-	case answer == invariant.PushedBack && res.Status == 503:
-		rec.Word = invariant.PushedBack
+	case answer == invariant.Rejected && res.Status == 503:
+		rec.Detail = invariant.Rejected
 		o.after = time.Duration(gjson.GetBytes(res.Body, "retry_after_us").Int()) * time.Microsecond
-	case answer == invariant.Killed && res.Status == 504:
-		rec.Word, o.mayHaveRun = invariant.Killed, true
+	case answer == invariant.Failed && res.Status == 504:
+		rec.Detail, o.mayHaveRun = invariant.Failed, true
 	}
-	o.word = rec.Word
-	add(invariant.Answered)
+	o.word = rec.Detail
+	add(invariant.ResponseReceived)
 	return o
 }
--- a/internal/chaostest/day.go
+++ b/internal/chaostest/day.go
@@ -85,7 +85,7 @@
 
 // Result is a day's end.
 type Result struct {
-	*invariant.Verdict
+	*invariant.Report
 	InTime  float64 // share of all effects that were finished within their start target
 	Records int
 	Seconds []Second
@@ -119,7 +119,7 @@
 		for _, s := range p.servers {
 			s.Stop()
 		}
-		if err == nil && res.Kept() || ctx.Err() != nil {
+		if err == nil && res.Passed() || ctx.Err() != nil {
 			os.RemoveAll(dir)
 		} else {
 			err = join(err, fmt.Sprintf("the routers' logs are kept in %s", dir))
@@ -169,8 +169,8 @@
 		return nil, err
 	}
 	recs := p.log.Records()
-	v := invariant.Judge(p.law(), recs)
-	return &Result{Verdict: v, InTime: float64(in) / float64(max(1, total)), Records: len(recs), Seconds: p.seconds(recs, v.Cold), effects: p.effects,
+	v := invariant.Check(p.law(), recs)
+	return &Result{Report: v, InTime: float64(in) / float64(max(1, total)), Records: len(recs), Seconds: p.seconds(recs, v.SlowStart), effects: p.effects,
 		Resumed: p.resumed, Renewed: p.after(recs), Over: p.over(recs), Worth: p.worth(), Storms: storms}, nil
 }
 
@@ -292,19 +292,19 @@
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 // law is what the judge is told: the same figures as the routers, and the stand-ins' own rate.
-func (p *play) law() invariant.Law {
-	l := invariant.Law{Workloads: map[string]invariant.Workload{}, Grace: grace.Microseconds(), Cold: cold.Microseconds(),
-		ColdFrom: coldFrom, Fall: fall.Microseconds(), FallMultiple: fallMultiple, Rate: rate,
-		Travel: 50_000} // as the module allows for a hop
+func (p *play) law() invariant.Config {
+	l := invariant.Config{Classes: map[string]invariant.Class{}, DrainGrace: grace.Microseconds(), SlowStartDuration: cold.Microseconds(),
+		SlowStartInitial: coldFrom, OverloadWindow: fall.Microseconds(), OverloadFactor: fallMultiple, ServerRate: rate,
+		MaxNetworkDelay: 50_000} // as the module allows for a hop
 	for i := range p.servers {
 		l.Zone, l.Cell = append(l.Zone, zone(i)), append(l.Cell, zone(i))
 	}
 	for _, w := range mix {
-		l.Workloads[w.name] = invariant.Workload{RunOnce: w.effect == "run-once", Fingerprinted: w.effect == "fingerprinted",
-			Group: w.group, Window: w.window.Microseconds()}
+		l.Classes[w.name] = invariant.Class{NonIdempotent: w.effect == "run-once", IdempotentByKey: w.effect == "fingerprinted",
+			Scope: w.group, Window: w.window.Microseconds()}
 	}
 	if p.day.Ration {
-		l.LoadWindow, l.LoadFree, l.LoadShare = loadWindow.Microseconds(), loadFree, loadShare
+		l.LoadRateWindow, l.LoadRateBase, l.LoadRatePerRequest = loadWindow.Microseconds(), loadFree, loadShare
 	}
 	return l
 }
@@ -334,7 +334,7 @@
 	}
 	for i, state := range p.states {
 		if p.told[i] != state {
-			p.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
+			p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: state})
 		}
 	}
 	p.told = slices.Clone(p.states)
@@ -629,7 +629,7 @@
 		return
 	}
 	r, halted := p.routers[t.Number], invariant.Record{Router: t.Number}
-	halted.Kind = invariant.Halted
+	halted.Kind = invariant.RouterDown
 	p.log.Add(halted)
 	switch t.Kind {
 	case "balancer_stall":
@@ -644,9 +644,9 @@
 	case "balancer_kill":
 		r.end(syscall.SIGKILL)
 		sleep(ctx, t.Lasts)
-		renewed := invariant.Record{Kind: invariant.Renewed, Router: t.Number}
+		renewed := invariant.Record{Kind: invariant.RouterRestarted, Router: t.Number}
 		if p.day.remembers() {
-			renewed.Word = invariant.Remembers
+			renewed.Detail = invariant.StateRestored
 			if err := p.change(t.Number); err != nil {
 				p.fail(err)
 				return
@@ -662,7 +662,7 @@
 		p.renewed = append(p.renewed, renewal{t.Number, p.log.Now(), time.Since(p.begun)})
 		p.mu.Unlock()
 	}
-	halted.Kind = invariant.Back
+	halted.Kind = invariant.RouterUp
 	p.log.Add(halted)
 }
 
--- a/internal/chaostest/emulated.go
+++ b/internal/chaostest/emulated.go
@@ -20,7 +20,7 @@
 
 // Emulated is a day played in simulated time.
 type Emulated struct {
-	*invariant.Verdict
+	*invariant.Report
 	InTime  float64 `json:"InTime"`
 	Worth   float64 `json:"Worth"`
 	Loads   int     `json:"Loads"`
@@ -38,7 +38,7 @@
 	for range d.Routers {
 		p.addrs = append(p.addrs, "127.0.0.1:1")
 	}
-	in, err := inifile.Read("emulated", p.settings(0))
+	in, err := inifile.Parse("emulated", p.settings(0))
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	plan.Decide = decide
 	res := simulation.Run(plan, threads)
 	p := &play{day: d, servers: make([]*fakeserver.Server, d.Workers)}
-	e := &Emulated{Verdict: invariant.Judge(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Turns}
+	e := &Emulated{Report: invariant.Check(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Turns}
 	e.ColdUse, e.WarmUse = p.use(res.Records)
 	in, worth, all := 0, 0.0, 0.0
 	for i, x := range res.Effects {
@@ -158,9 +158,9 @@
 	e.InTime, e.Worth = float64(in)/float64(max(1, len(res.Effects))), worth/max(1, all)
 	for _, r := range res.Records {
 		switch r.Kind {
-		case invariant.Loading:
+		case invariant.LoadStarted:
 			e.Loads++
-		case invariant.Ordered:
+		case invariant.LoadCommandReceived:
 			e.Orders++
 		}
 	}
@@ -179,12 +179,12 @@
 	for _, r := range recs {
 		at := r.At - first
 		switch r.Kind {
-		case invariant.Started:
+		case invariant.ServerStarted:
 			born[r.Server] = at
 			aged := float64(min(end-at, cold.Microseconds())) / 1e6
 			could[0] += rate * aged * (coldFrom + (1-coldFrom)*aged/cold.Seconds()/2)
 			could[1] -= rate * aged
-		case invariant.Began:
+		case invariant.AttemptStarted:
 			if b, started := born[r.Server]; started && at < b+cold.Microseconds() {
 				ran[0]++
 			} else {
--- a/internal/chaostest/keys.go
+++ b/internal/chaostest/keys.go
@@ -26,8 +26,8 @@
 	dir    string
 	ours   *authority.Authority
 	shown  map[string]authority.Issued
-	rings  map[string]*certstore.Ring // of the laboratory's own processes
-	Number int                        // of changes
+	rings  map[string]*certstore.Store // of the laboratory's own processes
+	Number int                         // of changes
 }
 
 // The owners whose keys the router reads; the laboratory's own are "client", "plane" and "worker N".
@@ -39,7 +39,7 @@
 
 // openKeys issues a certificate to each owner and opens the laboratory's own rings, which follow their files until the context ends.
 func openKeys(ctx context.Context, dir string, workers int) (*keys, error) {
-	k := &keys{dir: dir, ours: authority.New("laboratory"), shown: map[string]authority.Issued{}, rings: map[string]*certstore.Ring{}}
+	k := &keys{dir: dir, ours: authority.New("laboratory"), shown: map[string]authority.Issued{}, rings: map[string]*certstore.Store{}}
 	owners := []string{routerToWorkers, routerToClients, routerToPlane, "client", "plane"}
 	for i := range workers {
 		owners = append(owners, worker(i))
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		k.rings[o] = r
-		go r.Follow(ctx)
+		go r.Run(ctx)
 	}
 	return k, nil
 }
@@ -71,8 +71,8 @@
 
 func (k *keys) file(owner, name string) string { return filepath.Join(k.dir, owner, name) }
 
-func (k *keys) told(owner string) *certstore.Told {
-	return &certstore.Told{Certificate: k.file(owner, "cert"), Key: k.file(owner, "key"), Authorities: k.file(owner, "authorities"), Revoked: k.file(owner, "revoked")}
+func (k *keys) told(owner string) *certstore.Config {
+	return &certstore.Config{Certificate: k.file(owner, "cert"), Key: k.file(owner, "key"), Authorities: k.file(owner, "authorities"), RevocationLists: k.file(owner, "revoked")}
 }
 
 // settings is the router's part; of no keys there is none.
@@ -86,7 +86,7 @@
 		if kind == "xds" && !plane {
 			continue
 		}
-		fmt.Fprintf(&b, "[tls %s]\ncertificate = %s\nkey = %s\nauthorities = %s\nrevoked = %s\n", kind, t.Certificate, t.Key, t.Authorities, t.Revoked)
+		fmt.Fprintf(&b, "[tls %s]\ncertificate = %s\nkey = %s\nauthorities = %s\nrevoked = %s\n", kind, t.Certificate, t.Key, t.Authorities, t.RevocationLists)
 	}
 	return b.String()
 }
@@ -104,7 +104,7 @@
 	if k == nil {
 		return nil
 	}
-	return k.rings[owner].Dialled
+	return k.rings[owner].ClientHandshake
 }
 
 // accept makes connections secret that an owner accepts; nil: they are in plain text.
@@ -115,7 +115,7 @@
 	return func(nc net.Conn) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), rest.DefaultLimits.HeaderTimeout)
 		defer cancel()
-		return k.rings[owner].Accepted(ctx, nc)
+		return k.rings[owner].ServerHandshake(ctx, nc)
 	}
 }
 
@@ -169,14 +169,14 @@
 		case revokes && n%12 == 6: // a worker is revoked, and gets another certificate later
 			k.ours.Revoke(k.shown[worker(0)].Serial)
 			k.Number++
-			p.log.Add(invariant.Record{Kind: invariant.Told, Server: 0, Word: "gone"})
+			p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: 0, Detail: "gone"})
 			if err = os.WriteFile(k.file(routerToWorkers, "revoked"), k.ours.List(time.Now().Add(time.Hour)), 0o600); err != nil {
 				return err
 			}
 			if sleep(ctx, 2*settle) != nil {
 				return nil
 			}
-			p.log.Add(invariant.Record{Kind: invariant.Told, Server: 0, Word: "ready"})
+			p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: 0, Detail: "ready"})
 			err = k.renew(worker(0), 0)
 		case n%12 == 9: // half a change stays for a while
 			o := owners[chance.IntN(len(owners))]
--- a/internal/chaostest/lab_test.go
+++ b/internal/chaostest/lab_test.go
@@ -46,14 +46,14 @@
 		t.Fatal(err)
 	}
 	for _, r := range res.Rules {
-		t.Logf("rule %d: %d chances, broken %d times", r.Number, r.Opportunities, r.Count)
+		t.Logf("rule %d: %d chances, broken %d times", r.Number, r.Opportunities, r.ViolationCount)
 	}
 	if err != nil { // names where the logs were kept
 		_, dir, _ := strings.Cut(err.Error(), "kept in ")
 		os.RemoveAll(strings.TrimSuffix(dir, ")"))
 	}
 	for _, r := range res.Rules[1:] {
-		if r.Count == 0 {
+		if r.ViolationCount == 0 {
 			t.Errorf("rule %d, %s: %d chances, no breach found", r.Number, r.Name, r.Opportunities)
 		}
 	}
@@ -77,7 +77,7 @@
 			_, dir, _ := strings.Cut(err.Error(), "kept in ")
 			os.RemoveAll(strings.TrimSuffix(dir, ")"))
 		}
-		return res.Rules[1].Count, res.Resumed.Asked
+		return res.Rules[1].ViolationCount, res.Resumed.Asked
 	}
 	seen := 0
 	for seed := uint64(2); seed < 2+days && seen == 0; seed++ {
@@ -228,7 +228,7 @@
 			t.Fatal(err)
 		}
 		const want = uint64(0x91bc4b1fde39cb98)
-		if res.Hash != want || !res.Kept() || res.Rules[2].Opportunities == 0 || res.Rules[3].Opportunities == 0 || res.Rules[4].Opportunities == 0 {
+		if res.Hash != want || !res.Passed() || res.Rules[2].Opportunities == 0 || res.Rules[3].Opportunities == 0 || res.Rules[4].Opportunities == 0 {
 			t.Errorf("%d threads: hash %#x, rules %+v", threads, res.Hash, res.Rules[0])
 		}
 	}
@@ -237,9 +237,9 @@
 // A cold server's work counts against what it could do at its age, all else against full speed.
 func TestUseOfColdServers(t *testing.T) {
 	p := &play{day: &Day{Length: 10 * time.Second}, servers: make([]*fakeserver.Server, 2)}
-	recs := []invariant.Record{{At: 100, Kind: invariant.Told}, {At: 100 + 2_000_000, Kind: invariant.Started, Server: 1}}
+	recs := []invariant.Record{{At: 100, Kind: invariant.EndpointPublished}, {At: 100 + 2_000_000, Kind: invariant.ServerStarted, Server: 1}}
 	for i := range 100 {
-		recs = append(recs, invariant.Record{At: 100 + 3_000_000, Kind: invariant.Began, Server: i % 2})
+		recs = append(recs, invariant.Record{At: 100 + 3_000_000, Kind: invariant.AttemptStarted, Server: i % 2})
 	}
 	ofCold, ofWarm := p.use(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
 	if math.Abs(ofCold-0.5) > 0.001 || math.Abs(ofWarm-50.0/640) > 0.001 {
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -53,11 +53,11 @@
 	defer p.mu.Unlock()
 	p.resumed.Asked++
 	switch word {
-	case invariant.Finished:
+	case invariant.Succeeded:
 		p.resumed.Finished++
-	case invariant.PushedBack:
+	case invariant.Rejected:
 		p.resumed.PushedBack++
-	case invariant.Killed:
+	case invariant.Failed:
 		p.resumed.Killed++
 	}
 }
@@ -98,11 +98,11 @@
 				continue
 			}
 			switch x.Kind {
-			case invariant.Loading:
+			case invariant.LoadStarted:
 				r.Loads++
-			case invariant.Asked:
+			case invariant.RequestSent:
 				asked++
-			case invariant.Received:
+			case invariant.AttemptReceived:
 				received++
 			}
 		}
@@ -117,11 +117,11 @@
 func (p *play) over(recs []invariant.Record) int {
 	recs = slices.Clone(recs)
 	for i := range recs {
-		if recs[i].Kind == invariant.Renewed {
-			recs[i].Word = invariant.Remembers
+		if recs[i].Kind == invariant.RouterRestarted {
+			recs[i].Detail = invariant.StateRestored
 		}
 	}
-	return invariant.Judge(p.law(), recs).Rules[4].Count
+	return invariant.Check(p.law(), recs).Rules[4].ViolationCount
 }
 
 // change makes the memory of a router that is down what the day says: nothing but its journal, old by a month, or of quite another day, on which
--- a/internal/chaostest/script.go
+++ b/internal/chaostest/script.go
@@ -74,31 +74,31 @@
 	if text == nil {
 		name, text = "bad.ini", badDay
 	}
-	f, err := inifile.Read(name, text)
+	f, err := inifile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
 	s := f.Section("day")
-	d := &Day{Name: s.Text("name", name), Jobs: s.Int("jobs", 5000, 1, 10_000_000), Length: s.Span("length", 20*time.Second, time.Second, time.Hour),
+	d := &Day{Name: s.String("name", name), Jobs: s.Int("jobs", 5000, 1, 10_000_000), Length: s.Duration("length", 20*time.Second, time.Second, time.Hour),
 		Routers: s.Int("routers", 3, 1, mostEmulated), Workers: s.Int("workers", 12, 1, mostEmulated), Functions: s.Int("functions", 60, 1, 100_000),
-		Ration: s.Flag("ration", true)}
-	d.Orders = s.Flag("orders_only", false)
-	d.Manners, d.Damped = Manners[s.OneOf("manners", "usual", Manners...)], s.Flag("damp_storms", true)
+		Ration: s.Bool("ration", true)}
+	d.Orders = s.Bool("orders_only", false)
+	d.Manners, d.Damped = Manners[s.OneOf("manners", "usual", Manners...)], s.Bool("damp_storms", true)
 	d.Clients = s.Int("clients", 20, 1, 20_000)
-	d.Source, d.Keys = Sources[s.OneOf("source", "file", Sources...)], s.Flag("keys", false)
+	d.Source, d.Keys = Sources[s.OneOf("source", "file", Sources...)], s.Bool("keys", false)
 	if d.Keys && (d.Manners == "good" || d.Manners == "mixed") {
-		s.Fault("keys", "clients that behave as the library have no keys here")
+		s.Errorf("keys", "clients that behave as the library have no keys here")
 	}
 	d.Memory = Memories[s.OneOf("memory", "none", Memories...)]
 	for _, s := range f.Sections("trouble ") {
-		t := Trouble{Name: strings.TrimPrefix(s.Name, "trouble "), At: s.Span("at", 0, 0, time.Hour), Lasts: s.Span("lasts", time.Second, 0, time.Hour),
+		t := Trouble{Name: strings.TrimPrefix(s.Name, "trouble "), At: s.Duration("at", 0, 0, time.Hour), Lasts: s.Duration("lasts", time.Second, 0, time.Hour),
 			Number: s.Int("number", 0, -1, mostEmulated-1), Share: s.Float("share", 0.3, 0, 1), Times: s.Float("times", 5, 1, 1000)}
 		t.Kind = kinds[s.OneOf("kind", "", kinds...)]
 		if strings.HasPrefix(t.Kind, "plane_") && d.Source == "file" {
-			s.Fault("kind", "there is no control plane: the list comes from a file")
+			s.Errorf("kind", "there is no control plane: the list comes from a file")
 		}
 		if t.At+t.Lasts > d.Length {
-			s.Fault("lasts", "ends after the day's %s", d.Length)
+			s.Errorf("lasts", "ends after the day's %s", d.Length)
 		}
 		d.Troubles = append(d.Troubles, t)
 	}
--- a/internal/chaostest/secret.go
+++ b/internal/chaostest/secret.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	defer other.end(syscall.SIGKILL)
-	secure := k.rings["client"].Dialled
+	secure := k.rings["client"].ClientHandshake
 	p := &play{addrs: []string{address}, routers: []*process{other}, client: []*clientPool{{address: address, secure: secure}}}
 	if err := p.awaitReady(ctx, 0); err != nil {
 		return nil, err
--- a/internal/chaostest/storms.go
+++ b/internal/chaostest/storms.go
@@ -66,19 +66,19 @@
 	tries := map[int]invariant.Record{} // that were asked and have no end yet
 	var ends sync.WaitGroup
 	record := func(t client.Try) invariant.Record {
-		return invariant.Record{Job: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addrs, t.Router)}
+		return invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addrs, t.Router)}
 	}
 	_, err := p.apps[c.number%len(p.apps)].Infer(ctx, client.Call{Model: c.function, Mark: mark + itoa(c.number), Tenant: c.tenant(), Workload: w, Patience: c.patience,
 		BodyOf: func(t client.Try) []byte {
 			rec := record(t)
-			rec.Kind, rec.Limit = invariant.Asked, p.log.Now()+t.Left.Microseconds()
+			rec.Kind, rec.Deadline = invariant.RequestSent, p.log.Now()+t.Left.Microseconds()
 			mu.Lock()
 			tries[t.Number] = rec
 			mu.Unlock()
 			ends.Add(1)
 			p.log.Add(rec)
 			return fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[{"name":"x","shape":[2],"datatype":"FP32","data":[1,2]}]}`,
-				rec.Job, max(1, t.Left.Microseconds()), rec.Effect)
+				rec.Request, max(1, t.Left.Microseconds()), rec.Effect)
 		},
 		Tried: func(t client.Try, ending string) {
 			mu.Lock()
@@ -87,13 +87,13 @@
 			if !asked {
 				return
 			}
-			switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
+			switch rec.Kind, rec.Detail = invariant.ResponseReceived, ending; ending {
 			case "unsent":
-				rec.Kind, rec.Word = invariant.Untaken, ""
+				rec.Kind, rec.Detail = invariant.RequestNotSent, ""
 			case "lost":
-				rec.Kind, rec.Word = invariant.GaveUp, ""
+				rec.Kind, rec.Detail = invariant.RequestTimedOut, ""
 			case "refused":
-				rec.Word = invariant.Other
+				rec.Detail = invariant.NotAdmitted
 			}
 			p.log.Add(rec)
 			ends.Done()
@@ -116,7 +116,7 @@
 			return false
 		}
 		o := p.try(ctx, c, (c.router+n)%len(p.addrs), n, left)
-		if o.word == invariant.Finished {
+		if o.word == invariant.Succeeded {
 			return time.Since(begun) <= c.workload.target
 		}
 		if o.mayHaveRun && c.workload.effect != "restartable" {
@@ -140,7 +140,7 @@
 }
 
 // seconds gives a day second by second.
-func (p *play) seconds(recs []invariant.Record, cold []invariant.Window) []Second {
+func (p *play) seconds(recs []invariant.Record, cold []invariant.SlowStartWindow) []Second {
 	out := make([]Second, int(p.day.Length.Seconds())+1)
 	at := func(t time.Duration) *Second { return &out[min(max(0, int(t.Seconds())), len(out)-1)] }
 	for _, w := range p.effects {
@@ -163,23 +163,23 @@
 	first, open := p.first, map[string]bool{}
 	for _, c := range cold {
 		s := at(time.Duration(c.At-first) * time.Microsecond)
-		s.Cold = max(s.Cold, c.Share)
+		s.Cold = max(s.Cold, c.BudgetUsed)
 	}
 	for _, r := range recs {
 		s := at(time.Duration(r.At-first) * time.Microsecond)
 		switch {
-		case r.Kind == invariant.Asked:
+		case r.Kind == invariant.RequestSent:
 			s.Tries++
-		case r.Kind == invariant.Answered && r.Word == invariant.PushedBack:
+		case r.Kind == invariant.ResponseReceived && r.Detail == invariant.Rejected:
 			s.PushedBack++
-		case r.Kind == invariant.Loading:
+		case r.Kind == invariant.LoadStarted:
 			s.Loads++
 		}
 		switch r.Kind {
-		case invariant.Asked:
-			open[r.Job] = true
-		case invariant.Answered, invariant.GaveUp, invariant.LeftIt, invariant.Untaken:
-			delete(open, r.Job)
+		case invariant.RequestSent:
+			open[r.Request] = true
+		case invariant.ResponseReceived, invariant.RequestTimedOut, invariant.RequestAbandoned, invariant.RequestNotSent:
+			delete(open, r.Request)
 		}
 		s.Open = len(open)
 	}
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("%d: got %d %q, want %q", i, status, found, want.found)
 		}
 	}
-	if b, d := s.count(invariant.Began), s.count(invariant.Dropped); b != 5 || d != 1 {
+	if b, d := s.count(invariant.AttemptStarted), s.count(invariant.AttemptDeduplicated); b != 5 || d != 1 {
 		t.Errorf("%d ran, %d dropped", b, d)
 	}
 }
@@ -87,10 +87,10 @@
 		f             Faults
 		status, began int
 	}{{Faults{ResetEre: 1}, 0, 0}, {Faults{ResetPost: 1}, 0, 1}, {Faults{Full: true}, 503, 0}, {Faults{Slow: 3}, 200, 1}} {
-		before := s.count(invariant.Began)
+		before := s.count(invariant.AttemptStarted)
 		s.Fail(c.f)
-		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(invariant.Began)-before != c.began {
-			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(invariant.Began)-before)
+		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(invariant.AttemptStarted)-before != c.began {
+			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(invariant.AttemptStarted)-before)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for i := range 4 {
 		infer(t, s, "a", fmt.Sprint(i))
 	}
-	if s.count(invariant.FellOver) != 1 {
+	if s.count(invariant.ServerCollapsed) != 1 {
 		t.Error("it stands")
 	}
 	if status, _ := infer(t, s, "a", "9"); status != 0 {
@@ -131,7 +131,7 @@
 		status, _ := infer(t, s, "a", "1")
 		done <- status
 	}()
-	for s.count(invariant.Began) == 0 {
+	for s.count(invariant.AttemptStarted) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.Stop()
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -51,7 +51,7 @@
 	g.clients.Add(1)
 	g.asked.Add(1)
 	if !admin && g.storm != nil {
-		g.tell(func(now control.Micros) { g.storm.Connected(now) })
+		g.tell(func(now control.Micros) { g.storm.RecordConnection(now) })
 	}
 	go func() {
 		defer g.asked.Done()
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -55,8 +55,8 @@
 		t.Errorf("got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == invariant.Received {
-			t.Errorf("server got job %s", r.Job)
+		if r.Kind == invariant.AttemptReceived {
+			t.Errorf("server got job %s", r.Request)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,8 +48,8 @@
 	tape       *record.Tape   // the writer's
 	recent     recent
 	view       *xds.View // nil: ours is not served
-	tally      *loadreport.Tally
-	storm      *overload.Watch            // nil: storms are not damped
+	tally      *loadreport.Collector
+	storm      *overload.Controller       // nil: storms are not damped
 	counted    *counted                   // the tally, for others; nil: it is not reported
 	keeper     *keeper                    // nil: nothing outlasts this run
 	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
@@ -81,7 +81,7 @@
 	connect    func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
 	refresh    chan chan struct{}                                              // holds one
 	lookNow    atomic.Bool                                                     // the list is read before the next turn, however young it is
-	rings      map[string]*certstore.Ring                                      // by kind of connections
+	rings      map[string]*certstore.Store                                     // by kind of connections
 	serving    context.Context                                                 // ends with the last turn
 	distrusted sync.Map                                                        // address of a worker to what was last said of its certificate
 	links      sync.WaitGroup
@@ -131,7 +131,7 @@
 	if err := g.openRings(); err != nil {
 		return nil, err
 	}
-	g.fleet, g.tally = fleet.New(0), loadreport.NewTally(g.epoch)
+	g.fleet, g.tally = fleet.New(0), loadreport.NewCollector(g.epoch)
 	g.fleet.SetSlowStartDuration(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
 		g.counted = &counted{g: g}
@@ -141,7 +141,7 @@
 		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = overload.NewWatch(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
+		g.storm = overload.NewController(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
@@ -150,7 +150,7 @@
 		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
 		g.metrics.journal(g.keeper)
 		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
-			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
+			g.storm.Restore(g.epoch, *g.keeper.usual, g.keeper.age)
 		}
 	}
 	g.core = core.New(module, g)
@@ -292,7 +292,7 @@
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
 	if g.storm != nil {
-		g.storm.Woke(g.now(), late)
+		g.storm.RecordStall(g.now(), late)
 	}
 }
 
@@ -431,11 +431,11 @@
 		g.metrics.answered("pushed back")
 		return
 	}
-	if v := g.admitted(now, j.name, p.Class, tenant, ask); !v.Admit {
+	if v := g.admitted(now, j.name, p.Class, tenant, ask); !v.Admitted {
 		j.state.Give()
-		j.answer <- refusal("a storm of calls: "+v.Why.String(), v.StayAway, v.Why.String())
+		j.answer <- refusal("a storm of calls: "+v.Reason.String(), v.RetryAfter, v.Reason.String())
 		g.metrics.answered("pushed back")
-		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
+		g.metrics.damped.WithLabelValues(v.Reason.String()).Inc()
 		return
 	}
 	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Class)); why != "" {
@@ -517,7 +517,7 @@
 	}
 	j.executions = append(j.executions, s)
 	j.state.AttemptBegan()
-	g.tally.Chosen(g.fleet.Get(to).Address)
+	g.tally.AttemptBegan(g.fleet.Get(to).Address)
 	g.recent.add(g.clock, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
 	g.dispatch(s)
 }
@@ -586,7 +586,7 @@
 	j := s.job
 	delivery := j.state.AttemptEnded(o.Result)
 	g.metrics.executed(o.Result)
-	g.tally.Ended(g.pools[s.to].address, o.Result, o.Report)
+	g.tally.AttemptEnded(g.pools[s.to].address, o.Result, o.Report)
 	g.useExecuted(now, j, o)
 	if o.Result.ProvesNotRun() {
 		g.proved(j.kept, s.to)
@@ -602,7 +602,7 @@
 		p.Close, p.ChunkSize = false, 0
 		g.end(j, "finished", p)
 		if g.storm != nil {
-			g.storm.Answered(now)
+			g.storm.RecordAnswer(now)
 		}
 		return
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -109,7 +109,7 @@
 		states[i] = "ready"
 	}
 	f.write(states...)
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, settings+further, f.list))
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, settings+further, f.list))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 		f.t.Fatal(err)
 	}
 	for i, state := range states {
-		f.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
+		f.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: state})
 	}
 }
 
@@ -166,19 +166,19 @@
 	}
 	defer c.Close()
 	workload, _, _ := strings.Cut(function, "-")
-	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: f.log.Now() + limit.Microseconds()}
+	rec := invariant.Record{Kind: invariant.RequestSent, Request: job, Effect: job, Workload: workload, Deadline: f.log.Now() + limit.Microseconds()}
 	f.log.Add(rec)
 	p, _, err := c.Do(request(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
 		f.t.Errorf("job %s: %v", job, err)
 		return ""
 	}
-	rec.Kind, rec.Word = invariant.Answered, gjson.GetBytes(p.Body, "answer").Str
+	rec.Kind, rec.Detail = invariant.ResponseReceived, gjson.GetBytes(p.Body, "answer").Str
 	if p.Status == 200 {
-		rec.Word = invariant.Finished
+		rec.Detail = invariant.Succeeded
 	}
 	f.log.Add(rec)
-	return rec.Word
+	return rec.Detail
 }
 
 func request(job, function string, limit time.Duration) *rest.Request {
@@ -187,13 +187,13 @@
 }
 
 // judge fails the test for each breach of a rule.
-func (f *field) judge() *invariant.Verdict {
+func (f *field) judge() *invariant.Report {
 	f.t.Helper()
-	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
-		Workloads: map[string]invariant.Workload{"ticket": {RunOnce: true},
-			"booking": {Fingerprinted: true, Group: "fleet", Window: 600_000}}}, f.log.Records())
+	v := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
+		Classes: map[string]invariant.Class{"ticket": {NonIdempotent: true},
+			"booking": {IdempotentByKey: true, Scope: "fleet", Window: 600_000}}}, f.log.Records())
 	for _, r := range v.Rules {
-		for _, b := range r.Breaches {
+		for _, b := range r.Violations {
 			f.t.Errorf("rule %d: %s", r.Number, b)
 		}
 	}
@@ -208,7 +208,7 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
+			if word := f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Succeeded {
 				t.Errorf("job %d: %s", i, word)
 			}
 		}()
@@ -234,14 +234,14 @@
 			go func() {
 				defer wg.Done()
 				word := f.ask(fmt.Sprint(function, i), function, 1500*time.Millisecond)
-				if function == "ticket-1" && word == invariant.Finished {
+				if function == "ticket-1" && word == invariant.Succeeded {
 					t.Errorf("%s %d: %s from a silent server", function, i, word)
 				}
 			}()
 		}
 	}
 	wg.Wait()
-	if v := f.judge(); v.Killed == 0 || v.Executions < 21 {
+	if v := f.judge(); v.Failed == 0 || v.Attempts < 21 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -262,7 +262,7 @@
 		}()
 	}
 	wg.Wait()
-	if v := f.judge(); v.Finished == 0 || v.PushedBack == 0 {
+	if v := f.judge(); v.Succeeded == 0 || v.Rejected == 0 {
 		t.Errorf("both ends were not met: %+v", v)
 	}
 }
@@ -276,7 +276,7 @@
 		f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := f.judge(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
+	if v := f.judge(); v.Rules[2].Opportunities != 1 || v.Succeeded != 60 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -311,8 +311,8 @@
 		t.Errorf("old: got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == invariant.Received {
-			t.Errorf("server got job %s", r.Job)
+		if r.Kind == invariant.AttemptReceived {
+			t.Errorf("server got job %s", r.Request)
 		}
 	}
 }
@@ -427,8 +427,8 @@
 		}
 	}
 	for _, rec := range f.log.Records() {
-		if rec.Kind == invariant.Received {
-			t.Errorf("a server got job %q", rec.Job)
+		if rec.Kind == invariant.AttemptReceived {
+			t.Errorf("a server got job %q", rec.Request)
 		}
 	}
 }
@@ -497,7 +497,7 @@
 
 func (f *field) received(job string) (n int) {
 	for _, r := range f.log.Records() {
-		if r.Kind == invariant.Received && r.Job == job {
+		if r.Kind == invariant.AttemptReceived && r.Request == job {
 			n++
 		}
 	}
@@ -529,7 +529,7 @@
 	for range 200 {
 		f.talk()
 	}
-	if word := f.ask("busy", "forecast-1", time.Second); word != invariant.Finished {
+	if word := f.ask("busy", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Errorf("got %s", word)
 	}
 	for range 120 {
@@ -567,7 +567,7 @@
 		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
-	if v := f.judge(); v.Finished == 0 {
+	if v := f.judge(); v.Succeeded == 0 {
 		t.Errorf("got %+v", v)
 	}
 	if _, err := net.Dial("tcp", f.g.Address()); err == nil {
@@ -581,7 +581,7 @@
 		t.Fatal(err)
 	}
 	f.g.RefreshEndpoints()
-	if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+	if word := f.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Errorf("got %s", word)
 	}
 }
@@ -671,7 +671,7 @@
 
 // The module counts the ration of orders by how late one may be written: as late as any choice is.
 func TestLateIsTold(t *testing.T) {
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, settings, "workers.ini"))
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, settings, "workers.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -30,11 +30,11 @@
 	every   time.Duration
 	useKept chan struct{} // closed once the history is written for the last time
 	log     zerolog.Logger
-	usual   *overload.Usual   // of calls, in the last run; nil: not known
-	age     control.Micros    // of that
-	clock   persistence.Clock // of this life
-	last    *persistence.Kept // set before the gateway's end is told
-	lastUse *history.Taken    // so too
+	usual   *overload.Baseline // of calls, in the last run; nil: not known
+	age     control.Micros     // of that
+	clock   persistence.Clock  // of this life
+	last    *persistence.Kept  // set before the gateway's end is told
+	lastUse *history.Taken     // so too
 	failed  bool
 }
 
@@ -64,7 +64,7 @@
 		log.Warn().Msg("memory: " + line)
 	}
 	learned := &control.LearnedState{}
-	var usual *overload.Usual
+	var usual *overload.Baseline
 	var age control.Micros
 	if k := found.Kept; k != nil {
 		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.SavedAt)
@@ -177,7 +177,7 @@
 		k.Clock = &g.keeper.clock
 	}
 	if g.storm != nil {
-		usual := g.storm.Remember()
+		usual := g.storm.Baseline()
 		k.Storm = &usual
 	}
 	return k
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -44,7 +44,7 @@
 		f.t.Fatal(err)
 	}
 	if p.Status == 200 {
-		return invariant.Finished
+		return invariant.Succeeded
 	}
 	return gjson.GetBytes(p.Body, "answer").Str
 }
@@ -53,7 +53,7 @@
 func (f *field) began(job string, server int) int {
 	n := 0
 	for _, r := range f.log.Records() {
-		if r.Kind == invariant.Began && r.Job == job && (server < 0 || r.Server == server) {
+		if r.Kind == invariant.AttemptStarted && r.Request == job && (server < 0 || r.Server == server) {
 			n++
 		}
 	}
@@ -85,13 +85,13 @@
 		function, mark, want string
 		executions           int
 	}{
-		{"ticket-1", "sent", invariant.Killed, 0},
-		{"ticket-1", "proved", invariant.Finished, 1},
-		{"ticket-1", "new", invariant.Finished, 1},
-		{"ticket-1", "new", invariant.Killed, 0}, // asked again of the same life
-		{"ticket-2", "sent", invariant.Finished, 1},
-		{"booking-1", "late", invariant.PushedBack, 0}, // its window is over; no execution does harm in a window of the whole fleet
-		{"booking-1", "clock set back", invariant.PushedBack, 0},
+		{"ticket-1", "sent", invariant.Failed, 0},
+		{"ticket-1", "proved", invariant.Succeeded, 1},
+		{"ticket-1", "new", invariant.Succeeded, 1},
+		{"ticket-1", "new", invariant.Failed, 0}, // asked again of the same life
+		{"ticket-2", "sent", invariant.Succeeded, 1},
+		{"booking-1", "late", invariant.Rejected, 0}, // its window is over; no execution does harm in a window of the whole fleet
+		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
 		if got := f.askMarked(job, c.function, c.mark); got != c.want || f.began(job, -1) != c.executions {
@@ -104,7 +104,7 @@
 func TestNextLifeRecalls(t *testing.T) {
 	dir := t.TempDir()
 	first := newFieldTold(t, remembering(dir), usual(0), usual(1), usual(2))
-	if word := first.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+	if word := first.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Fatal(word)
 	}
 	other, err := New(first.g.told, zerolog.Nop())
@@ -151,7 +151,7 @@
 				t.Fatal(err)
 			}
 			f := newFieldTold(t, remembering(dir), usual(0))
-			if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+			if word := f.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
 				t.Error(word)
 			}
 		})
@@ -178,15 +178,15 @@
 		return old
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := f.askMarked("still", "ticket-1", "still"); got != invariant.PushedBack || f.began("still", -1) > 0 {
+	if got := f.askMarked("still", "ticket-1", "still"); got != invariant.Rejected || f.began("still", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, f.began("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := f.askMarked("failing", "ticket-1", "failing"); got != invariant.PushedBack || f.began("failing", -1) > 0 {
+	if got := f.askMarked("failing", "ticket-1", "failing"); got != invariant.Rejected || f.began("failing", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, f.began("failing", -1))
 	}
-	if got := f.ask("unmarked", "ticket-1", time.Second); got != invariant.Finished {
+	if got := f.ask("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
@@ -243,8 +243,8 @@
 		booking    string
 		executions int
 	}{
-		{"ahead", hour, false, invariant.Finished, 1}, {"back", -hour, false, invariant.Finished, 1}, {"by seconds", 5_000_000, false, invariant.Finished, 1},
-		{"not at all", 0, false, invariant.Finished, 1}, {"another boot", 0, true, invariant.PushedBack, 0}, {"another boot, ahead", hour, true, invariant.PushedBack, 0},
+		{"ahead", hour, false, invariant.Succeeded, 1}, {"back", -hour, false, invariant.Succeeded, 1}, {"by seconds", 5_000_000, false, invariant.Succeeded, 1},
+		{"not at all", 0, false, invariant.Succeeded, 1}, {"another boot", 0, true, invariant.Rejected, 0}, {"another boot, ahead", hour, true, invariant.Rejected, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -271,7 +271,7 @@
 				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := f.askMarked("ticket", "ticket-1", "sent"); got != invariant.Killed || f.began("ticket", -1) > 0 {
+			if got := f.askMarked("ticket", "ticket-1", "sent"); got != invariant.Failed || f.began("ticket", -1) > 0 {
 				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
 			}
 		})
@@ -290,15 +290,15 @@
 		job := fmt.Sprint("job-", i)
 		got := f.askMarked(job, "ticket-1", job)
 		switch ran := f.began(job, -1); {
-		case got == invariant.PushedBack && ran == 0:
+		case got == invariant.Rejected && ran == 0:
 			refused++
-		case got != invariant.Finished || ran != 1:
+		case got != invariant.Succeeded || ran != 1:
 			t.Errorf("%s: got %s with %d executions", job, got, ran)
 		case disk.full.Load():
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Finished {
+			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
 				t.Errorf("a job that may repeat: %s", got)
 			}
 			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
@@ -401,7 +401,7 @@
 	dir := t.TempDir()
 	f := newFieldTold(t, remembering(dir)+"[tenant laundry]\nshare = 100\n", usual(0), usual(1))
 	for i := range 30 {
-		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
+		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
 			t.Fatal(word)
 		}
 	}
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -100,7 +100,7 @@
 		if err := os.WriteFile(f.list, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for f.ask("first", "forecast-1", limit) != invariant.Finished { // the list is read, and a copy loaded
+		for f.ask("first", "forecast-1", limit) != invariant.Succeeded { // the list is read, and a copy loaded
 			time.Sleep(10 * time.Millisecond)
 		}
 		<-heard
--- a/internal/gateway/library_test.go
+++ b/internal/gateway/library_test.go
@@ -52,16 +52,16 @@
 						mu.Unlock()
 					}
 					last = x.Number
-					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
+					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
 					f.log.Add(rec)
-					return request(rec.Job, "", x.Left).Body
+					return request(rec.Request, "", x.Left).Body
 				},
 				Tried: func(_ client.Try, ending string) {
-					switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
+					switch rec.Kind, rec.Detail = invariant.ResponseReceived, ending; ending {
 					case "unsent":
-						rec.Kind = invariant.Untaken
+						rec.Kind = invariant.RequestNotSent
 					case "lost":
-						rec.Kind = invariant.GaveUp
+						rec.Kind = invariant.RequestTimedOut
 					}
 					f.log.Add(rec)
 				}})
@@ -89,5 +89,5 @@
 	if all != calls || outcomes["finished"] < calls*9/10 || repeats == 0 || repeats > calls/5 {
 		t.Errorf("%v, %d repeats", outcomes, repeats)
 	}
-	t.Logf("%v, %d repeats, %d executions", outcomes, repeats, v.Executions)
+	t.Logf("%v, %d repeats, %d executions", outcomes, repeats, v.Attempts)
 }
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -115,15 +115,15 @@
 
 // take tells the turn of a list's text, unless it is refused.
 func (g *Gateway) take(text []byte) bool {
-	f, err := inifile.Read(g.told.EndpointFile, text)
+	f, err := inifile.Parse(g.told.EndpointFile, text)
 	list := fleet.Update{Full: true}
 	if err == nil {
 		list.Endpoints, err = ParseEndpoints(f)
 	}
 	if err != nil {
-		var faults *inifile.Faults
+		var faults *inifile.ValidationError
 		if errors.As(err, &faults) {
-			g.log.Error().Strs("faults", faults.Lines).Msg("the new list is refused: the old one stands")
+			g.log.Error().Strs("faults", faults.Problems).Msg("the new list is refused: the old one stands")
 		} else {
 			g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("the new list is refused: the old one stands")
 		}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -135,7 +135,7 @@
 }
 
 func (g *Gateway) recordHead() record.Header {
-	return record.Header{Build: program.Build(), Router: g.told.Deployment.Number, Life: g.run}
+	return record.Header{Build: program.BuildID(), Router: g.told.Deployment.Number, Life: g.run}
 }
 
 var errRecording = errors.New("a recording is under way")
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -16,14 +16,14 @@
 // counted lends the turn's tally to the stream that reports it.
 type counted struct {
 	g      *Gateway
-	places atomic.Pointer[map[string]loadreport.Place]
+	places atomic.Pointer[map[string]loadreport.Locality]
 	named  atomic.Pointer[map[string]string]
 }
 
 // Take has the turn give its counts. Once the last turn is over there are none.
 func (c *counted) Take(now control.Micros) (r loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
-	c.g.afterTurn(func(control.Micros) { taken <- c.g.tally.Take(now) })
+	c.g.afterTurn(func(control.Micros) { taken <- c.g.tally.Flush(now) })
 	select {
 	case r = <-taken:
 	case <-c.g.ended:
@@ -32,7 +32,7 @@
 }
 
 // Places tells where the servers stand in the control plane's list.
-func (c *counted) Places() map[string]loadreport.Place {
+func (c *counted) Places() map[string]loadreport.Locality {
 	if p := c.places.Load(); p != nil {
 		return *p
 	}
@@ -49,10 +49,10 @@
 
 // listed takes in where servers stand now.
 func (c *counted) listed(facts []membership.Fact, services map[string]string) {
-	places := make(map[string]loadreport.Place, len(facts))
+	places := make(map[string]loadreport.Locality, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
-			places[f.Address] = loadreport.Place{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
+			places[f.Address] = loadreport.Locality{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
 		}
 	}
 	c.places.Store(&places)
@@ -76,11 +76,11 @@
 	}
 	lines, nodes := g.view.Others()
 	if lines == nil {
-		lines = []loadreport.Line{}
+		lines = []loadreport.EndpointStats{}
 	}
 	b, err := json.Marshal(struct {
 		Followers int
-		Servers   []loadreport.Line
+		Servers   []loadreport.EndpointStats
 	}{nodes, lines})
 	if err != nil {
 		return fault(500, err.Error())
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -28,7 +28,7 @@
 
 // secrets reads the sections [tls KIND].
 func (t *Config) secrets(f *inifile.File) {
-	t.TLS = map[string]*certstore.Told{}
+	t.TLS = map[string]*certstore.Config{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
 		known := false
@@ -36,44 +36,44 @@
 			known = known || k == kind
 		}
 		if !known {
-			s.Fault("", "connections are those of workers, clients, xds and view")
+			s.Errorf("", "connections are those of workers, clients, xds and view")
 			continue
 		}
-		k := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
-			Revoked: s.Text("revoked", ""), Names: s.Words("names"), Twelve: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
-		if k.Secrets = s.Text("sds", ""); k.Secrets != "" {
-			k.Secrets = address(s, "sds", "")
-			k.CertificateSecret, k.AuthoritiesSecret = s.Text("certificate_secret", ""), s.Text("authorities_secret", "")
-			if host, _, _ := net.SplitHostPort(k.Secrets); !loopback(host) {
-				s.Fault("sds", "%s is not on loopback, and keys come from it in plain text", host)
+		k := &certstore.Config{Certificate: s.String("certificate", ""), Key: s.String("key", ""), Authorities: s.String("authorities", ""),
+			RevocationLists: s.String("revoked", ""), Names: s.Strings("names"), AllowTLS12: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
+		if k.SecretsAddress = s.String("sds", ""); k.SecretsAddress != "" {
+			k.SecretsAddress = address(s, "sds", "")
+			k.CertificateSecret, k.AuthoritiesSecret = s.String("certificate_secret", ""), s.String("authorities_secret", "")
+			if host, _, _ := net.SplitHostPort(k.SecretsAddress); !loopback(host) {
+				s.Errorf("sds", "%s is not on loopback, and keys come from it in plain text", host)
 			}
-			if k.Certificate+k.Key+k.Authorities+k.Revoked != "" {
-				s.Fault("sds", "keys come from files or from a service, not from both")
+			if k.Certificate+k.Key+k.Authorities+k.RevocationLists != "" {
+				s.Errorf("sds", "keys come from files or from a service, not from both")
 			}
 		}
 		if (k.Certificate == "") != (k.Key == "") {
-			s.Fault("key", "certificate and key go together")
+			s.Errorf("key", "certificate and key go together")
 		}
-		if k.Revoked != "" && k.Authorities == "" {
-			s.Fault("revoked", "means nothing without authorities")
+		if k.RevocationLists != "" && k.Authorities == "" {
+			s.Errorf("revoked", "means nothing without authorities")
 		}
 		shows, checks := k.Certificate+k.CertificateSecret != "", k.Authorities+k.AuthoritiesSecret != ""
 		switch ours := kind == toWorkers || kind == toPlane; {
 		case !ours && !shows:
-			s.Fault("certificate", "whoever is connected to must show one")
+			s.Errorf("certificate", "whoever is connected to must show one")
 		case ours && !checks:
-			s.Fault("authorities", "without them anyone could be the other end")
+			s.Errorf("authorities", "without them anyone could be the other end")
 		}
 		if len(k.Names) > 0 && !checks {
-			s.Fault("names", "mean nothing without authorities")
+			s.Errorf("names", "mean nothing without authorities")
 		}
 		t.TLS[kind] = k
 	}
 	if t.TLS[toPlane] != nil && t.ControlPlane == "" {
-		f.Section("tls "+toPlane).Fault("", "no control plane (xds) is told")
+		f.Section("tls "+toPlane).Errorf("", "no control plane (xds) is told")
 	}
 	if t.TLS[fromViewers] != nil && t.ServeView == "" {
-		f.Section("tls "+fromViewers).Fault("", "no view is served (serve_view)")
+		f.Section("tls "+fromViewers).Errorf("", "no view is served (serve_view)")
 	}
 }
 
@@ -82,7 +82,7 @@
 
 // openRings finds the keys of all kinds of connections that are secret.
 func (g *Gateway) openRings() error {
-	g.rings = map[string]*certstore.Ring{}
+	g.rings = map[string]*certstore.Store{}
 	for _, kind := range kinds {
 		told := g.told.TLS[kind]
 		if told == nil {
@@ -104,17 +104,17 @@
 		g.listening.Add(1)
 		go func() {
 			defer g.listening.Done()
-			r.Follow(ctx)
+			r.Run(ctx)
 		}()
 		told := g.told.TLS[kind]
-		if told.Secrets == "" {
+		if told.SecretsAddress == "" {
 			continue
 		}
 		g.listening.Add(1)
 		go func() {
 			defer g.listening.Done()
 			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
-			source := xds.Source{Address: told.Secrets, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
+			source := xds.Source{Address: told.SecretsAddress, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
 			err := source.Follow(ctx, xds.NewSecrets(r, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, told.CertificateSecret, told.AuthoritiesSecret))
 			if err != nil {
 				note(err.Error())
@@ -138,7 +138,7 @@
 		return nil
 	}
 	return func(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
-		s, err := r.Dialled(ctx, nc, address)
+		s, err := r.ClientHandshake(ctx, nc, address)
 		if err == nil {
 			g.distrusted.Delete(address)
 		} else if before, _ := g.distrusted.Swap(address, err.Error()); before != err.Error() { // said once
@@ -156,7 +156,7 @@
 	}
 	ctx, cancel := context.WithTimeout(g.serving, g.told.HeaderTimeout)
 	defer cancel()
-	s, err := r.Accepted(ctx, nc)
+	s, err := r.ServerHandshake(ctx, nc)
 	if err != nil {
 		g.log.Info().Str("client", nc.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
 		nc.Close()
@@ -165,7 +165,7 @@
 }
 
 // ringMetrics tells what rings have met, by kind of connections.
-type ringMetrics map[string]*certstore.Ring
+type ringMetrics map[string]*certstore.Store
 
 var (
 	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Secret connections begun.", []string{"connections"}, nil)
@@ -183,14 +183,14 @@
 
 func (m ringMetrics) Collect(out chan<- prometheus.Metric) {
 	for kind, r := range m {
-		c := r.Counts()
+		c := r.Stats()
 		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(c.Handshakes), kind)
-		out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(c.Failed), kind, "other")
-		for reason, n := range c.Refused {
+		out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(c.FailedHandshakes), kind, "other")
+		for reason, n := range c.RejectedPeers {
 			out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), kind, reason)
 		}
-		if c.Ends > 0 {
-			out <- prometheus.MustNewConstMetric(endsDesc, prometheus.GaugeValue, float64(c.Ends)/1e6, kind)
+		if c.ExpiresAt > 0 {
+			out <- prometheus.MustNewConstMetric(endsDesc, prometheus.GaugeValue, float64(c.ExpiresAt)/1e6, kind)
 		}
 	}
 }
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -20,10 +20,10 @@
 var everywhere = authority.Asked{Names: []string{"127.0.0.1"}}
 
 // ringFor gives a ring of its own files; authorities may be nil.
-func ringFor(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
+func ringFor(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Config, *certstore.Store) {
 	t.Helper()
 	dir := t.TempDir()
-	told := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	told := &certstore.Config{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
 	for name, b := range map[string][]byte{told.Certificate: own.Chain, told.Key: own.Key, told.Authorities: authorities} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
@@ -36,8 +36,8 @@
 	return told, r
 }
 
-func accepting(r *certstore.Ring) func(nc net.Conn) (net.Conn, error) {
-	return func(nc net.Conn) (net.Conn, error) { return r.Accepted(context.Background(), nc) }
+func accepting(r *certstore.Store) func(nc net.Conn) (net.Conn, error) {
+	return func(nc net.Conn) (net.Conn, error) { return r.ServerHandshake(context.Background(), nc) }
 }
 
 // Workers that are not believed, or do not believe us, count as no connection: even run-once jobs are finished elsewhere, and
@@ -48,19 +48,19 @@
 	_, stranger := ringFor(t, theirs.Issue(everywhere), ours.Cert())
 	_, aloof := ringFor(t, ours.Issue(everywhere), theirs.Cert())
 	makes := []fakeserver.Make{usual(0), usual(1), usual(2)}
-	for i, r := range []*certstore.Ring{stranger, aloof, good} {
+	for i, r := range []*certstore.Store{stranger, aloof, good} {
 		makes[i].Secure = accepting(r)
 	}
 	toldWorkers, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	toldClients, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	f := newFieldChanged(t, "", func(t *Config) {
-		t.TLS = map[string]*certstore.Told{toWorkers: toldWorkers, fromClients: toldClients}
+		t.TLS = map[string]*certstore.Config{toWorkers: toldWorkers, fromClients: toldClients}
 	}, makes...)
 	_, client := ringFor(t, ours.Issue(everywhere), ours.Cert())
 	_, unknown := ringFor(t, theirs.Issue(everywhere), ours.Cert())
-	ask := func(r *certstore.Ring, job string) string {
+	ask := func(r *certstore.Store, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), f.g.Address(), &rest.DefaultLimits, r.Dialled)
+		c, err := rest.DialWith(context.Background(), f.g.Address(), &rest.DefaultLimits, r.ClientHandshake)
 		if err != nil {
 			return err.Error()
 		}
@@ -70,18 +70,18 @@
 			return err.Error()
 		}
 		if p.Status == 200 {
-			return invariant.Finished
+			return invariant.Succeeded
 		}
 		return string(p.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
-		if word := ask(client, job); word != invariant.Finished {
+		if word := ask(client, job); word != invariant.Succeeded {
 			t.Errorf("job %s: %s", job, word)
 		}
 	}
 	for _, r := range f.log.Records() {
-		if r.Kind == invariant.Received && r.Server != 2 {
-			t.Errorf("server %d got job %s", r.Server, r.Job)
+		if r.Kind == invariant.AttemptReceived && r.Server != 2 {
+			t.Errorf("server %d got job %s", r.Server, r.Request)
 		}
 	}
 	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
@@ -98,7 +98,7 @@
 
 // Every fault of the keys' settings is told.
 func TestKeysSettings(t *testing.T) {
-	f, err := inifile.Read("r.ini", []byte(`[router]
+	f, err := inifile.Parse("r.ini", []byte(`[router]
 list = workers.ini
 [workload any]
 [function *]
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,11 +9,11 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
+func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Decision {
 	if g.storm == nil {
-		return overload.Verdict{Admit: true}
+		return overload.Decision{Admitted: true}
 	}
-	return g.storm.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashed(ask.Mark),
+	return g.storm.Admit(now, overload.Request{Tenant: tenant, IsRetry: ask.Repeat, KeyHash: hashed(ask.Mark),
 		Function: functionID(g.told.NameKey, name), Importance: g.told.Priorities[w]})
 }
 
@@ -30,7 +30,7 @@
 	if g.storm == nil {
 		return stay
 	}
-	return g.storm.Spread(g.clock, stay, hashed(j.request.Header.Get(kserve.RepeatMark)))
+	return g.storm.RecordRejection(g.clock, stay, hashed(j.request.Header.Get(kserve.RepeatMark)))
 }
 
 // watchStorm tells operators of storms, after a turn.
@@ -39,7 +39,7 @@
 		return
 	}
 	g.metrics.storm.Set(float64(g.storm.Kind()))
-	for _, text := range g.storm.Notes() {
+	for _, text := range g.storm.LogLines() {
 		g.log.Warn().Msg("storm: " + text)
 	}
 }
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -28,9 +28,9 @@
 	EnvoyFile    string // file in Envoy's own form that lists the servers; empty: none
 	ServeView    string // address at which our view is served as a control plane does; empty: none
 	Zone         string
-	TLS          map[string]*certstore.Told // by kind of connections; none: in plain text
-	Seed         uint64                     // 0: drawn at the start
-	NameKey      string                     // keys the ids of functions; empty: they are plain hashes of the names
+	TLS          map[string]*certstore.Config // by kind of connections; none: in plain text
+	Seed         uint64                       // 0: drawn at the start
+	NameKey      string                       // keys the ids of functions; empty: they are plain hashes of the names
 	LogLevel     string
 	Deployment   control.Deployment
 	ClassNames   []string  // names, in the order of Deployment.Workloads
@@ -98,25 +98,25 @@
 
 	r := f.Section("router")
 	t.Listen = address(r, "listen", "127.0.0.1:8080")
-	t.AdminListen = r.Text("admin", "")
+	t.AdminListen = r.String("admin", "")
 	if t.AdminListen != "" {
 		t.AdminListen = address(r, "admin", "")
 	}
-	t.EndpointFile = r.Text("list", "")
-	if t.ControlPlane = r.Text("xds", ""); t.ControlPlane != "" {
+	t.EndpointFile = r.String("list", "")
+	if t.ControlPlane = r.String("xds", ""); t.ControlPlane != "" {
 		t.ControlPlane = address(r, "xds", "")
 	}
-	if t.ServeView = r.Text("serve_view", ""); t.ServeView != "" {
+	if t.ServeView = r.String("serve_view", ""); t.ServeView != "" {
 		t.ServeView = address(r, "serve_view", "")
-		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Flag("serve_view_beyond", false) && !loopback(host) {
-			r.Fault("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
+		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Bool("serve_view_beyond", false) && !loopback(host) {
+			r.Errorf("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
 	t.DeltaXDS = r.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
-	if t.LoadReports = r.Flag("load_reports", false); t.LoadReports && t.ControlPlane == "" {
-		r.Fault("load_reports", "no control plane (xds) is told")
+	if t.LoadReports = r.Bool("load_reports", false); t.LoadReports && t.ControlPlane == "" {
+		r.Errorf("load_reports", "no control plane (xds) is told")
 	}
-	t.EnvoyFile = r.Text("envoy_file", "")
+	t.EnvoyFile = r.String("envoy_file", "")
 	sources := 0
 	for _, s := range []string{t.EndpointFile, t.ControlPlane, t.EnvoyFile} {
 		if s != "" {
@@ -125,54 +125,54 @@
 	}
 	switch sources {
 	case 0:
-		r.Fault("list", "no file that lists the servers is named, no control plane (xds) and no envoy_file")
+		r.Errorf("list", "no file that lists the servers is named, no control plane (xds) and no envoy_file")
 	case 1:
 	default:
-		r.Fault("list", "servers come from one of list, xds and envoy_file")
+		r.Errorf("list", "servers come from one of list, xds and envoy_file")
 	}
-	t.Zone = r.Text("zone", "")
+	t.Zone = r.String("zone", "")
 	d.Routers = r.Int("routers", 1, 1, 1<<16)
 	d.Number = r.Int("number", 0, 0, 1<<16-1)
 	if d.Number >= d.Routers {
-		r.Fault("number", "%d, but routers are numbered from 0 and there are %d", d.Number, d.Routers)
+		r.Errorf("number", "%d, but routers are numbered from 0 and there are %d", d.Number, d.Routers)
 	}
 	t.Seed = uint64(r.Int("seed", 0, 0, 1<<62))
-	t.NameKey = r.Text("name_key", "")
+	t.NameKey = r.String("name_key", "")
 	if t.NameKey != "" && len(t.NameKey) < 16 {
-		r.Fault("name_key", "shorter than 16 bytes: names could be found by trying keys")
+		r.Errorf("name_key", "shorter than 16 bytes: names could be found by trying keys")
 	}
 	levels := []string{"debug", "info", "warn", "error"}
 	t.LogLevel = levels[r.OneOf("log", "info", levels...)]
 
 	s := f.Section("servers")
 	d.MaxAttempts = s.Int("executions", 3, 1, 16)
-	d.Tick = micros(s.Span("tick", 4*time.Millisecond, time.Microsecond, time.Second))
-	d.KeepAlive = micros(s.Span("keep_alive", time.Minute, 0, year))
-	d.LoadsOnMiss = s.Flag("loads_on_miss", true)
-	d.LoadCommands = s.Flag("orders", true)
+	d.Tick = micros(s.Duration("tick", 4*time.Millisecond, time.Microsecond, time.Second))
+	d.KeepAlive = micros(s.Duration("keep_alive", time.Minute, 0, year))
+	d.LoadsOnMiss = s.Bool("loads_on_miss", true)
+	d.LoadCommands = s.Bool("orders", true)
 	if !d.LoadsOnMiss && !d.LoadCommands {
-		s.Fault("orders", "neither jobs nor orders load what is missing: nothing would ever be loaded")
+		s.Errorf("orders", "neither jobs nor orders load what is missing: nothing would ever be loaded")
 	}
 	d.SlowStartInitial = s.Float("cold_from", 0.25, 0, 1)
-	d.SlowStartDuration = micros(s.Span("cold", 10*time.Second, 0, year))
-	d.OverloadWindow = micros(s.Span("fall", time.Second, time.Millisecond, year))
+	d.SlowStartDuration = micros(s.Duration("cold", 10*time.Second, 0, year))
+	d.OverloadWindow = micros(s.Duration("fall", time.Second, time.Millisecond, year))
 	d.OverloadFactor = s.Float("fall_multiple", 2, 0.01, 1000)
-	d.LoadRateWindow = micros(s.Span("load_window", 0, 0, year))
+	d.LoadRateWindow = micros(s.Duration("load_window", 0, 0, year))
 	d.LoadRateBase = s.Float("load_free", 0, 0, 1e6)
 	d.LoadRatePerRequest = s.Float("load_share", 0, 0, 100)
 	if d.LoadRateWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
-		s.Fault("load_window", "load_free and load_share mean nothing without it")
+		s.Errorf("load_window", "load_free and load_share mean nothing without it")
 	}
-	t.GracePeriod = s.Span("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
+	t.GracePeriod = s.Duration("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
 	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(t.GracePeriod))
-	t.LoadTimeout = s.Span("order_time", 30*time.Second, time.Millisecond, time.Hour)
+	t.LoadTimeout = s.Duration("order_time", 30*time.Second, time.Millisecond, time.Hour)
 	d.SupportsCancel = true // closing its connection calls an execution off
 
 	c := f.Section("clients")
-	d.MarksRetries = c.Flag("mark_repeats", true)
-	d.MaxRetryAfter = micros(c.Span("stay_away", 2*time.Second, 0, time.Hour))
-	t.DampOverload = c.Flag("damp_storms", true)
-	t.AnswerMargin = c.Span("answer_margin", 20*time.Millisecond, 0, time.Minute)
+	d.MarksRetries = c.Bool("mark_repeats", true)
+	d.MaxRetryAfter = micros(c.Duration("stay_away", 2*time.Second, 0, time.Hour))
+	t.DampOverload = c.Bool("damp_storms", true)
+	t.AnswerMargin = c.Duration("answer_margin", 20*time.Millisecond, 0, time.Minute)
 
 	b := f.Section("bounds")
 	t.MaxClientConns = b.Int("connections", 20_000, 1, 1<<20)
@@ -181,28 +181,28 @@
 	t.MaxBody = b.Int("body", 4<<20, 1, 1<<30)
 	t.MaxConnsPerServer = b.Int("per_server", 256, 1, 1<<16)
 	t.MaxDials = b.Int("dials", 256, 1, 1<<16)
-	t.DialTimeout = b.Span("dial_time", time.Second, time.Millisecond, time.Minute)
-	t.ServerIdleTimeout = b.Span("server_idle", 20*time.Second, time.Millisecond, time.Hour)
-	t.ClientIdleTimeout = b.Span("client_idle", 2*time.Minute, time.Millisecond, 24*time.Hour)
-	t.HeaderTimeout = b.Span("header_time", 5*time.Second, time.Millisecond, time.Hour)
-	t.BodyTimeout = b.Span("body_time", 10*time.Second, time.Millisecond, time.Hour)
-	t.EndpointFileInterval = b.Span("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
+	t.DialTimeout = b.Duration("dial_time", time.Second, time.Millisecond, time.Minute)
+	t.ServerIdleTimeout = b.Duration("server_idle", 20*time.Second, time.Millisecond, time.Hour)
+	t.ClientIdleTimeout = b.Duration("client_idle", 2*time.Minute, time.Millisecond, 24*time.Hour)
+	t.HeaderTimeout = b.Duration("header_time", 5*time.Second, time.Millisecond, time.Hour)
+	t.BodyTimeout = b.Duration("body_time", 10*time.Second, time.Millisecond, time.Hour)
+	t.EndpointFileInterval = b.Duration("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
 	if t.EndpointFileInterval > t.GracePeriod/2 {
-		b.Fault("list_every", "%s leaves too little of the grace of %s", t.EndpointFileInterval, t.GracePeriod)
+		b.Errorf("list_every", "%s leaves too little of the grace of %s", t.EndpointFileInterval, t.GracePeriod)
 	}
 
 	rec := f.Section("record")
-	t.RecordDir = rec.Text("folder", "")
+	t.RecordDir = rec.String("folder", "")
 	t.RecordBounds = record.Bounds{Segment: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), Total: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
-		Age: rec.Span("age", 10*time.Minute, time.Second, day)}
+		Age: rec.Duration("age", 10*time.Minute, time.Second, day)}
 	if t.RecordBounds.Total < 2*t.RecordBounds.Segment {
-		rec.Fault("total", "less than two segments of %d bytes", t.RecordBounds.Segment)
+		rec.Errorf("total", "less than two segments of %d bytes", t.RecordBounds.Segment)
 	}
 
 	mem := f.Section("memory")
-	t.StateDir = mem.Text("folder", "")
-	t.StateInterval = mem.Span("every", 3*time.Second, 100*time.Millisecond, time.Hour)
-	t.KeyRetention = mem.Span("marks_for", 10*time.Minute, time.Second, 7*day)
+	t.StateDir = mem.String("folder", "")
+	t.StateInterval = mem.Duration("every", 3*time.Second, 100*time.Millisecond, time.Hour)
+	t.KeyRetention = mem.Duration("marks_for", 10*time.Minute, time.Second, 7*day)
 	t.MaxKeys = mem.Int("marks_most", 1_000_000, 1, 1<<30)
 	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
 	t.JournalSync = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
@@ -224,23 +224,23 @@
 		t.ClassNames = append(t.ClassNames, strings.TrimPrefix(s.Name, "workload "))
 		t.Priorities = append(t.Priorities, s.Float("importance", 1, 0, 1e6))
 		w := control.Class{
-			LatencyObjective: micros(s.Span("start_target", time.Second, time.Millisecond, day)),
-			MaxDeadline:      micros(s.Span("time_limit", 10*time.Second, time.Millisecond, day)),
+			LatencyObjective: micros(s.Duration("start_target", time.Second, time.Millisecond, day)),
+			MaxDeadline:      micros(s.Duration("time_limit", 10*time.Second, time.Millisecond, day)),
 			ObjectivePerWork: s.Float("stretch", 0, 0, 1000),
 			Effect:           control.Effect(s.OneOf("effect", "run-once", "restartable", "fingerprinted", "run-once")),
 			Scope:            control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
-			Window:           micros(s.Span("window", 0, 0, day)),
+			Window:           micros(s.Duration("window", 0, 0, day)),
 		}
 		if w.Effect == control.IdempotentByKey && w.Window == 0 {
-			s.Fault("window", "a fingerprinted workload needs the time for which its repeats are known")
+			s.Errorf("window", "a fingerprinted workload needs the time for which its repeats are known")
 		}
 		if w.MaxDeadline < w.LatencyObjective {
-			s.Fault("time_limit", "shorter than the start target")
+			s.Errorf("time_limit", "shorter than the start target")
 		}
 		t.Deployment.Classes = append(t.Deployment.Classes, w)
 	}
 	if len(t.ClassNames) == 0 {
-		f.Section("workload").Fault("", "no section [workload NAME]")
+		f.Section("workload").Errorf("", "no section [workload NAME]")
 	}
 }
 
@@ -248,7 +248,7 @@
 	for _, s := range f.Sections("function ") {
 		p := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
 		if _, err := path.Match(p.Glob, ""); err != nil {
-			s.Fault("", "malformed pattern")
+			s.Errorf("", "malformed pattern")
 		}
 		if len(t.ClassNames) > 0 {
 			p.Class = control.ClassID(s.OneOf("workload", t.ClassNames[0], t.ClassNames...))
@@ -256,12 +256,12 @@
 			s.Has("workload")
 		}
 		p.Lanes = s.Int("lanes", 1, 1, 1<<12)
-		p.Work = micros(s.Span("work", 0, 0, time.Hour))
-		p.LoadTime = micros(s.Span("load_time", 0, 0, time.Hour))
+		p.Work = micros(s.Duration("work", 0, 0, time.Hour))
+		p.LoadTime = micros(s.Duration("load_time", 0, 0, time.Hour))
 		t.Functions = append(t.Functions, p)
 	}
 	if len(t.Functions) == 0 {
-		f.Section("function").Fault("", "no section [function PATTERN]: no name would be known")
+		f.Section("function").Errorf("", "no section [function PATTERN]: no name would be known")
 	}
 }
 
@@ -271,9 +271,9 @@
 }
 
 func address(s *inifile.Section, key, fallback string) string {
-	v := s.Text(key, fallback)
+	v := s.String(key, fallback)
 	if host, port, err := net.SplitHostPort(v); err != nil || host == "" || port == "" {
-		s.Fault(key, "%q is no address with a port", v)
+		s.Errorf(key, "%q is no address with a port", v)
 	}
 	return v
 }
@@ -283,18 +283,18 @@
 	var list []fleet.Endpoint
 	first := map[string]string{}
 	for _, s := range f.Sections("") {
-		e := fleet.Endpoint{Address: address(s, "address", ""), Zone: s.Text("zone", ""), Cell: s.Text("cell", ""),
+		e := fleet.Endpoint{Address: address(s, "address", ""), Zone: s.String("zone", ""), Cell: s.String("cell", ""),
 			Weight: s.Float("power", 1, 0.001, 1e6),
 			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
-		if born := s.Text("born", ""); born != "" {
+		if born := s.String("born", ""); born != "" {
 			at, err := time.Parse(time.RFC3339Nano, born)
 			if err != nil || at.UnixMicro() <= 0 {
-				s.Fault("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
+				s.Errorf("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
 			}
 			e.StartedAt = at.UnixMicro()
 		}
 		if other, twice := first[e.Address]; twice {
-			s.Fault("address", "also that of [%s]", other)
+			s.Errorf("address", "also that of [%s]", other)
 		}
 		first[e.Address] = s.Name
 		list = append(list, e)
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -53,7 +53,7 @@
 		if p := g.pools[s.ID]; p != nil {
 			v.InFlight = len(p.out)
 		}
-		if r, said := g.tally.Said(s.Address); said {
+		if r, said := g.tally.LastReport(s.Address); said {
 			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -56,13 +56,13 @@
 	}
 	await(3, 0, 5*time.Second)
 	both := &field{t: t, g: g, log: f.log}
-	if word := both.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+	if word := both.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Error(word)
 	}
 	// What it does there the first one learns from its reports, with what the server told of its load.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		lines, nodes := f.g.view.Others()
-		if nodes == 1 && len(lines) == 1 && lines[0].Finished == 1 && lines[0].Answers == 1 {
+		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -331,7 +331,7 @@
 			delete(g.pools, id)
 		}
 	}
-	g.tally.Forget(func(address string) bool { return g.listedThere(fleet.ID(address)) })
+	g.tally.Prune(func(address string) bool { return g.listedThere(fleet.ID(address)) })
 	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -35,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return Read(name, text)
+	return Parse(name, text)
 }
 
 // Read reads a file's text; the name is for messages.
-func Read(name string, text []byte) (*File, error) {
+func Parse(name string, text []byte) (*File, error) {
 	f := &File{Name: name, lines: map[string]int{}, used: map[string]bool{}}
 	section := ""
 	sc := bufio.NewScanner(bytes.NewReader(text))
@@ -106,7 +106,7 @@
 func (s *Section) Exists() bool { return s.sec != nil }
 
 // Fault notes that a key's value, or with an empty key the section, is wrong.
-func (s *Section) Fault(key, why string, args ...any) {
+func (s *Section) Errorf(key, why string, args ...any) {
 	at, what := s.Name, "["+s.Name+"]"
 	if key != "" {
 		at, what = s.Name+"\x00"+key, "["+s.Name+"] "+key
@@ -125,7 +125,7 @@
 }
 
 // Text gives a key's value, or the fallback.
-func (s *Section) Text(key, fallback string) string {
+func (s *Section) String(key, fallback string) string {
 	if !s.Has(key) {
 		return fallback
 	}
@@ -133,22 +133,22 @@
 }
 
 // Words gives a key's words, which stand between spaces or commas.
-func (s *Section) Words(key string) []string {
-	return strings.FieldsFunc(s.Text(key, ""), func(r rune) bool { return r == ' ' || r == ',' || r == '\t' })
+func (s *Section) Strings(key string) []string {
+	return strings.FieldsFunc(s.String(key, ""), func(r rune) bool { return r == ' ' || r == ',' || r == '\t' })
 }
 
 // OneOf gives the place of the key's value among the words.
 func (s *Section) OneOf(key, fallback string, words ...string) int {
-	i := slices.Index(words, s.Text(key, fallback))
+	i := slices.Index(words, s.String(key, fallback))
 	if i < 0 {
-		s.Fault(key, "%q is none of %s", s.Text(key, ""), strings.Join(words, ", "))
+		s.Errorf(key, "%q is none of %s", s.String(key, ""), strings.Join(words, ", "))
 		return 0
 	}
 	return i
 }
 
 // Flag gives a yes or no.
-func (s *Section) Flag(key string, fallback bool) bool {
+func (s *Section) Bool(key string, fallback bool) bool {
 	word := "no"
 	if fallback {
 		word = "yes"
@@ -161,9 +161,9 @@
 	if !s.Has(key) {
 		return fallback
 	}
-	n, err := strconv.Atoi(s.Text(key, ""))
+	n, err := strconv.Atoi(s.String(key, ""))
 	if err != nil || n < low || n > high {
-		s.Fault(key, "%q is no whole number from %d to %d", s.Text(key, ""), low, high)
+		s.Errorf(key, "%q is no whole number from %d to %d", s.String(key, ""), low, high)
 		return fallback
 	}
 	return n
@@ -174,34 +174,34 @@
 	if !s.Has(key) {
 		return fallback
 	}
-	v, err := strconv.ParseFloat(s.Text(key, ""), 64)
+	v, err := strconv.ParseFloat(s.String(key, ""), 64)
 	if err != nil || math.IsNaN(v) || v < low || v > high {
-		s.Fault(key, "%q is no number from %g to %g", s.Text(key, ""), low, high)
+		s.Errorf(key, "%q is no number from %g to %g", s.String(key, ""), low, high)
 		return fallback
 	}
 	return v
 }
 
 // Span gives a span of time, written as 250ms or 1m30s.
-func (s *Section) Span(key string, fallback, low, high time.Duration) time.Duration {
+func (s *Section) Duration(key string, fallback, low, high time.Duration) time.Duration {
 	if !s.Has(key) {
 		return fallback
 	}
-	d, err := time.ParseDuration(s.Text(key, ""))
+	d, err := time.ParseDuration(s.String(key, ""))
 	if err != nil || d < low || d > high {
-		s.Fault(key, "%q is no span of time from %s to %s", s.Text(key, ""), low, high)
+		s.Errorf(key, "%q is no span of time from %s to %s", s.String(key, ""), low, high)
 		return fallback
 	}
 	return d
 }
 
 // Faults is every fault of a file.
-type Faults struct {
-	File  string
-	Lines []string
+type ValidationError struct {
+	File     string
+	Problems []string
 }
 
-func (e *Faults) Error() string { return strings.Join(e.Lines, "\n") }
+func (e *ValidationError) Error() string { return strings.Join(e.Problems, "\n") }
 
 // Check ends the reading: what nobody asked for is unknown. It gives a *Faults with all that is wrong, or nil.
 func (f *File) Check() error {
@@ -212,18 +212,18 @@
 		s := &Section{f, sec.Name(), sec}
 		if !f.used[sec.Name()] {
 			if sec.Name() != ini.DefaultSection {
-				s.Fault("", "unknown section")
+				s.Errorf("", "unknown section")
 				continue
 			}
 			s.Name = ""
 			for _, k := range sec.KeyStrings() {
-				s.Fault(k, "stands before any section")
+				s.Errorf(k, "stands before any section")
 			}
 			continue
 		}
 		for _, k := range sec.KeyStrings() {
 			if !f.used[sec.Name()+"\x00"+k] {
-				s.Fault(k, "unknown key")
+				s.Errorf(k, "unknown key")
 			}
 		}
 	}
@@ -231,9 +231,9 @@
 		return nil
 	}
 	slices.SortStableFunc(f.faults, func(a, b fault) int { return a.line - b.line })
-	e := &Faults{File: f.Name}
+	e := &ValidationError{File: f.Name}
 	for _, x := range f.faults {
-		e.Lines = append(e.Lines, fmt.Sprintf("%s:%d: %s", f.Name, x.line, x.text))
+		e.Problems = append(e.Problems, fmt.Sprintf("%s:%d: %s", f.Name, x.line, x.text))
 	}
 	return e
 }
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestCheckTellsEveryFault(t *testing.T) {
-	f, err := Read("f.ini", []byte("stray = 1\n[a]\nn = x\nn = 2\nspan = 5\nword = c\n; comment\nextra = 1\n\n[b]\n[c]\nlate = 99\n"))
+	f, err := Parse("f.ini", []byte("stray = 1\n[a]\nn = x\nn = 2\nspan = 5\nword = c\n; comment\nextra = 1\n\n[b]\n[c]\nlate = 99\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := f.Section("a")
 	a.Int("n", 0, 0, 9)
-	a.Span("span", 0, 0, time.Minute)
+	a.Duration("span", 0, 0, time.Minute)
 	a.OneOf("word", "a", "a", "b")
 	f.Section("c").Float("late", 0, 0, 1)
-	f.Section("d").Fault("", "missing")
-	var faults *Faults
+	f.Section("d").Errorf("", "missing")
+	var faults *ValidationError
 	if err := f.Check(); !errors.As(err, &faults) {
 		t.Fatalf("got %v", err)
 	}
@@ -32,18 +32,18 @@
 		`f.ini:10: [b]: unknown section`,
 		`f.ini:12: [c] late: "99" is no number from 0 to 1`,
 	}
-	if !slices.Equal(faults.Lines, want) {
-		t.Errorf("got %q", faults.Lines)
+	if !slices.Equal(faults.Problems, want) {
+		t.Errorf("got %q", faults.Problems)
 	}
 }
 
 func TestFallbacks(t *testing.T) {
-	f, err := Read("f.ini", []byte("[a]\nn = 3\nyes = no\n"))
+	f, err := Parse("f.ini", []byte("[a]\nn = 3\nyes = no\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := f.Section("a")
-	if a.Int("n", 1, 0, 9) != 3 || a.Int("m", 1, 0, 9) != 1 || a.Flag("yes", true) || !a.Flag("other", true) || f.Section("none").Exists() {
+	if a.Int("n", 1, 0, 9) != 3 || a.Int("m", 1, 0, 9) != 1 || a.Bool("yes", true) || !a.Bool("other", true) || f.Section("none").Exists() {
 		t.Error("values or fallbacks are wrong")
 	}
 	if err := f.Check(); err != nil {
--- a/internal/invariant/log.go
+++ b/internal/invariant/log.go
@@ -13,50 +13,50 @@
 
 // The records of clients, of model servers, and of whoever runs the day.
 const (
-	Asked    Kind = iota // a client has written a job whole
-	Answered             // it has read the final answer; Word tells which
-	GaveUp               // its patience ended without one
-	LeftIt               // it left of its own will before
-	Untaken              // it could not write the job whole
+	RequestSent      Kind = iota // a client has written a job whole
+	ResponseReceived             // it has read the final answer; Word tells which
+	RequestTimedOut              // its patience ended without one
+	RequestAbandoned             // it left of its own will before
+	RequestNotSent               // it could not write the job whole
 
-	Received // a server has read an execution whole
-	Began    // it runs it
-	Ended    // it ran it to the end
-	Refused  // it promised that it did not run it
-	Dropped  // it knew the repeat and did not run it again
-	Ordered  // it has read an order to load
-	Loading  // it began a load
-	Started  // the server started, cold
-	FellOver // it was pushed over
+	AttemptReceived     // a server has read an execution whole
+	AttemptStarted      // it runs it
+	AttemptEnded        // it ran it to the end
+	AttemptRefused      // it promised that it did not run it
+	AttemptDeduplicated // it knew the repeat and did not run it again
+	LoadCommandReceived // it has read an order to load
+	LoadStarted         // it began a load
+	ServerStarted       // the server started, cold
+	ServerCollapsed     // it was pushed over
 
-	Told    // the list that routers read was written with the server's state in Word: ready, draining or gone
-	Halted  // a router was frozen, killed or told to end
-	Renewed // it is started anew, after it had ended; Word is Remembers where it has a memory of what it ordered
-	Back    // it runs again
+	EndpointPublished // the list that routers read was written with the server's state in Word: ready, draining or gone
+	RouterDown        // a router was frozen, killed or told to end
+	RouterRestarted   // it is started anew, after it had ended; Word is Remembers where it has a memory of what it ordered
+	RouterUp          // it runs again
 )
 
 // Remembers is the word of a router with a memory.
-const Remembers = "remembers"
+const StateRestored = "remembers"
 
 // The final answers.
 const (
-	Finished   = "finished"
-	PushedBack = "pushed back"
-	Killed     = "killed"
-	Other      = "other" // a refusal before the job was taken
+	Succeeded   = "finished"
+	Rejected    = "pushed back"
+	Failed      = "killed"
+	NotAdmitted = "other" // a refusal before the job was taken
 )
 
 // Record is one thing seen at one end of a wire. Times are microseconds of one monotonic clock.
 type Record struct {
 	At       int64
 	Kind     Kind
-	Job      string // one try of a client
+	Request  string // one try of a client
 	Effect   string // what its tries mean to do, once
 	Workload string
 	Server   int
 	Router   int
-	Limit    int64 // of Asked: when the client's patience ends
-	Word     string
+	Deadline int64 // of Asked: when the client's patience ends
+	Detail   string
 }
 
 // Log gathers records from many goroutines.
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -6,71 +6,71 @@
 )
 
 // Workload is what a judge knows of one.
-type Workload struct {
-	RunOnce       bool
-	Fingerprinted bool
-	Group         string // fleet, zone or cell
-	Window        int64
+type Class struct {
+	NonIdempotent   bool
+	IdempotentByKey bool
+	Scope           string // fleet, zone or cell
+	Window          int64
 }
 
 // Law is what the rules' figures were for the day, and what the judge may not know better than to a travel time.
-type Law struct {
-	Workloads    map[string]Workload
-	Zone, Cell   []string // by server
-	Grace        int64
-	Cold         int64
-	ColdFrom     float64
-	Fall         int64
-	FallMultiple float64
-	Rate         float64 // jobs a second that a warm server bears
-	LoadWindow   int64   // 0: no ration
-	LoadFree     float64
-	LoadShare    float64
-	Travel       int64 // between the ends of a wire, at most
+type Config struct {
+	Classes            map[string]Class
+	Zone, Cell         []string // by server
+	DrainGrace         int64
+	SlowStartDuration  int64
+	SlowStartInitial   float64
+	OverloadWindow     int64
+	OverloadFactor     float64
+	ServerRate         float64 // jobs a second that a warm server bears
+	LoadRateWindow     int64   // 0: no ration
+	LoadRateBase       float64
+	LoadRatePerRequest float64
+	MaxNetworkDelay    int64 // between the ends of a wire, at most
 }
 
 // Rule is the finding on one rule.
 type Rule struct {
-	Number        int      `json:"Number"`
-	Name          string   `json:"Name"`
-	Opportunities int      `json:"Opportunities"` // times that it could have been broken
-	Breaches      []string `json:"Breaches"`      // the first few
-	Count         int      `json:"Count"`         // all
+	Number         int      `json:"Number"`
+	Name           string   `json:"Name"`
+	Opportunities  int      `json:"Opportunities"` // times that it could have been broken
+	Violations     []string `json:"Breaches"`      // the first few
+	ViolationCount int      `json:"Count"`         // all
 }
 
 func (r *Rule) breach(at int64, text string, args ...any) {
-	r.Count++
-	if len(r.Breaches) < 5 {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("at %.3f s: ", float64(at)/1e6)+fmt.Sprintf(text, args...))
+	r.ViolationCount++
+	if len(r.Violations) < 5 {
+		r.Violations = append(r.Violations, fmt.Sprintf("at %.3f s: ", float64(at)/1e6)+fmt.Sprintf(text, args...))
 	}
 }
 
 // Verdict is the finding on a day.
-type Verdict struct {
-	Rules      []*Rule  `json:"Rules"`
-	Jobs       int      `json:"Jobs"`
-	Finished   int      `json:"Finished"`
-	PushedBack int      `json:"PushedBack"`
-	Killed     int      `json:"Killed"`
-	Unanswered int      `json:"Unanswered"`
-	Left       int      `json:"Left"`
-	Other      int      `json:"Other"`
-	Excused    int      `json:"Excused"` // asked of a router that was halted before their answer was due
-	Executions int      `json:"Executions"`
-	Repeats    int      `json:"Repeats"`
-	Cold       []Window `json:"Cold"` // jobs that reached servers while they were cold
+type Report struct {
+	Rules       []*Rule           `json:"Rules"`
+	Requests    int               `json:"Jobs"`
+	Succeeded   int               `json:"Finished"`
+	Rejected    int               `json:"PushedBack"`
+	Failed      int               `json:"Killed"`
+	Unanswered  int               `json:"Unanswered"`
+	Abandoned   int               `json:"Left"`
+	NotAdmitted int               `json:"Other"`
+	Excused     int               `json:"Excused"` // asked of a router that was halted before their answer was due
+	Attempts    int               `json:"Executions"`
+	Retries     int               `json:"Repeats"`
+	SlowStart   []SlowStartWindow `json:"Cold"` // jobs that reached servers while they were cold
 }
 
 // Window is how much of its budget a cold server had got when a job reached it; above 1 the fourth rule is broken.
-type Window struct {
-	At     int64   `json:"At"`
-	Server int     `json:"Server"`
-	Share  float64 `json:"Share"`
+type SlowStartWindow struct {
+	At         int64   `json:"At"`
+	Server     int     `json:"Server"`
+	BudgetUsed float64 `json:"Share"`
 }
 
 // Kept tells whether no rule was broken.
-func (v *Verdict) Kept() bool {
-	return !slices.ContainsFunc(v.Rules, func(r *Rule) bool { return r.Count > 0 })
+func (v *Report) Passed() bool {
+	return !slices.ContainsFunc(v.Rules, func(r *Rule) bool { return r.ViolationCount > 0 })
 }
 
 // try is one job as its client saw it.
@@ -87,8 +87,8 @@
 type halt struct{ from, to int64 }
 
 // Judge judges a day.
-func Judge(law Law, recs []Record) *Verdict {
-	v := &Verdict{}
+func Check(law Config, recs []Record) *Report {
+	v := &Report{}
 	for i, name := range []string{"every job one final answer in time", "no effect twice", "drains kept",
 		"cold servers not pushed over", "orders rationed"} {
 		v.Rules = append(v.Rules, &Rule{Number: i + 1, Name: name})
@@ -98,47 +98,47 @@
 	const open = int64(1) << 62
 	for _, r := range recs {
 		switch r.Kind {
-		case Halted:
+		case RouterDown:
 			halts[r.Router] = append(halts[r.Router], halt{r.At, open})
 			continue
-		case Back:
+		case RouterUp:
 			if h := halts[r.Router]; len(h) > 0 {
 				h[len(h)-1].to = r.At
 			}
 			continue
 		}
-		if r.Job == "" {
+		if r.Request == "" {
 			continue // of no job
 		}
-		t := tries[r.Job]
+		t := tries[r.Request]
 		if t == nil {
 			t = &try{}
-			tries[r.Job] = t
+			tries[r.Request] = t
 			order = append(order, t)
 		}
 		switch r.Kind {
-		case Asked:
+		case RequestSent:
 			t.asked = r
-		case Answered:
+		case ResponseReceived:
 			t.answered = r
 			t.answers++
-		case GaveUp:
+		case RequestTimedOut:
 			t.gone = r.At
-		case Untaken:
+		case RequestNotSent:
 			t.untaken = true
-		case LeftIt:
+		case RequestAbandoned:
 			t.left = true
-		case Received:
+		case AttemptReceived:
 			t.received = append(t.received, r)
-		case Began:
+		case AttemptStarted:
 			t.began = append(t.began, r)
-		case Refused, Dropped:
+		case AttemptRefused, AttemptDeduplicated:
 			t.refused = append(t.refused, r)
 		}
 	}
 	for _, t := range order {
-		if t.asked.Job == "" {
-			v.Rules[0].breach(first(t).At, "job %s reached a server but no client asked it", first(t).Job)
+		if t.asked.Request == "" {
+			v.Rules[0].breach(first(t).At, "job %s reached a server but no client asked it", first(t).Request)
 			continue
 		}
 		v.answers(law, t, halts[t.asked.Router])
@@ -160,46 +160,46 @@
 }
 
 // answers judges the first rule for one job.
-func (v *Verdict) answers(law Law, t *try, halts []halt) {
+func (v *Report) answers(law Config, t *try, halts []halt) {
 	r := v.Rules[0]
 	if t.untaken && len(t.received) == 0 && t.answers == 0 {
 		return
 	}
-	v.Jobs++
-	v.Executions += len(t.received)
-	halted := slices.ContainsFunc(halts, func(h halt) bool { return h.from < t.asked.Limit && h.to > t.asked.At })
+	v.Requests++
+	v.Attempts += len(t.received)
+	halted := slices.ContainsFunc(halts, func(h halt) bool { return h.from < t.asked.Deadline && h.to > t.asked.At })
 	switch {
 	case t.answers > 1:
-		r.breach(t.answered.At, "job %s got %d final answers", t.asked.Job, t.answers)
+		r.breach(t.answered.At, "job %s got %d final answers", t.asked.Request, t.answers)
 	case t.answers == 1:
-		switch t.answered.Word {
-		case Finished:
-			v.Finished++
+		switch t.answered.Detail {
+		case Succeeded:
+			v.Succeeded++
 			if len(t.began) == 0 && len(t.refused) == 0 {
-				r.breach(t.answered.At, "job %s is called finished but reached no server", t.asked.Job)
+				r.breach(t.answered.At, "job %s is called finished but reached no server", t.asked.Request)
 			}
-		case PushedBack:
-			v.PushedBack++
-		case Killed:
-			v.Killed++
+		case Rejected:
+			v.Rejected++
+		case Failed:
+			v.Failed++
 		default:
-			v.Other++
+			v.NotAdmitted++
 		}
-		if t.answered.At > t.asked.Limit && !halted {
-			r.breach(t.answered.At, "job %s was answered %d us after its client's time", t.asked.Job, t.answered.At-t.asked.Limit)
+		if t.answered.At > t.asked.Deadline && !halted {
+			r.breach(t.answered.At, "job %s was answered %d us after its client's time", t.asked.Request, t.answered.At-t.asked.Deadline)
 		}
 	case t.left || t.untaken:
-		v.Left++
+		v.Abandoned++
 	case halted:
 		v.Excused++
 	default:
 		v.Unanswered++
-		r.breach(t.asked.Limit, "job %s got no answer", t.asked.Job)
+		r.breach(t.asked.Deadline, "job %s got no answer", t.asked.Request)
 	}
 	if !halted {
 		r.Opportunities++
 	}
-	over := t.asked.Limit
+	over := t.asked.Deadline
 	if halted { // the router can't know how long the job had waited unread: it is over when its client goes
 		over = max(over, t.gone)
 	}
@@ -210,14 +210,14 @@
 		}
 	}
 	for _, x := range t.received {
-		if x.At > over+law.Travel {
-			r.breach(x.At, "job %s was sent to server %d after it was over", t.asked.Job, x.Server)
+		if x.At > over+law.MaxNetworkDelay {
+			r.breach(x.At, "job %s was sent to server %d after it was over", t.asked.Request, x.Server)
 		}
 	}
 }
 
 // effects judges the second rule over all tries that mean the same effect.
-func (v *Verdict) effects(law Law, tries []*try) {
+func (v *Report) effects(law Config, tries []*try) {
 	r := v.Rules[1]
 	byEffect, order := map[string][]*try{}, []string{}
 	for _, t := range tries {
@@ -230,37 +230,37 @@
 		byEffect[t.asked.Effect] = append(byEffect[t.asked.Effect], t)
 	}
 	for _, effect := range order {
-		w := law.Workloads[byEffect[effect][0].asked.Workload]
+		w := law.Classes[byEffect[effect][0].asked.Workload]
 		var began, received []Record
 		for _, t := range byEffect[effect] {
 			began, received = append(began, t.began...), append(received, t.received...)
 			if len(t.received) > 1 {
-				v.Repeats++
+				v.Retries++
 			}
-			if t.answers == 0 || t.answered.Word != PushedBack || len(t.began) == 0 {
+			if t.answers == 0 || t.answered.Detail != Rejected || len(t.began) == 0 {
 				continue
 			}
-			if w.RunOnce || w.Fingerprinted && w.Group != "fleet" {
-				r.breach(t.answered.At, "job %s was pushed back though it had run", t.asked.Job)
+			if w.NonIdempotent || w.IdempotentByKey && w.Scope != "fleet" {
+				r.breach(t.answered.At, "job %s was pushed back though it had run", t.asked.Request)
 			}
 		}
-		if !w.RunOnce && !w.Fingerprinted {
+		if !w.NonIdempotent && !w.IdempotentByKey {
 			continue
 		}
 		if len(received) > 0 {
 			r.Opportunities++
 		}
-		if w.RunOnce && len(began) > 1 {
+		if w.NonIdempotent && len(began) > 1 {
 			r.breach(began[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(began), began[0].Server, began[1].Server)
 		}
-		if w.Fingerprinted && len(began) > 0 {
+		if w.IdempotentByKey && len(began) > 0 {
 			v.fingerprinted(law, w, byEffect[effect])
 		}
 	}
 }
 
 // fingerprinted judges the executions of each job: one that may have run goes only inside its group and window.
-func (v *Verdict) fingerprinted(law Law, w Workload, tries []*try) {
+func (v *Report) fingerprinted(law Config, w Class, tries []*try) {
 	r := v.Rules[1]
 	for _, t := range tries {
 		for _, x := range t.received {
@@ -268,10 +268,10 @@
 				switch {
 				case e.At >= x.At:
 				case x.At > e.At+w.Window:
-					r.breach(x.At, "job %s was sent again %d us after it ran, past its window", t.asked.Job, x.At-e.At)
-				case w.Group == "zone" && law.Zone[x.Server] != law.Zone[e.Server],
-					w.Group == "cell" && law.Cell[x.Server] != law.Cell[e.Server]:
-					r.breach(x.At, "job %s ran on server %d and was sent to %d outside its group", t.asked.Job, e.Server, x.Server)
+					r.breach(x.At, "job %s was sent again %d us after it ran, past its window", t.asked.Request, x.At-e.At)
+				case w.Scope == "zone" && law.Zone[x.Server] != law.Zone[e.Server],
+					w.Scope == "cell" && law.Cell[x.Server] != law.Cell[e.Server]:
+					r.breach(x.At, "job %s ran on server %d and was sent to %d outside its group", t.asked.Request, e.Server, x.Server)
 				}
 			}
 		}
@@ -279,71 +279,71 @@
 }
 
 // drains judges the third rule.
-func (v *Verdict) drains(law Law, recs []Record) {
+func (v *Report) drains(law Config, recs []Record) {
 	r := v.Rules[2]
 	since := map[int]int64{}
 	for _, x := range recs {
 		switch x.Kind {
-		case Told:
-			if _, told := since[x.Server]; x.Word == "ready" {
+		case EndpointPublished:
+			if _, told := since[x.Server]; x.Detail == "ready" {
 				delete(since, x.Server)
 			} else if !told {
 				since[x.Server] = x.At
 				r.Opportunities++
 			}
-		case Received, Ordered:
-			if at, told := since[x.Server]; told && x.At > at+law.Grace {
-				r.breach(x.At, "server %d got %q %d us after it was told to take nothing new", x.Server, x.Job, x.At-at)
+		case AttemptReceived, LoadCommandReceived:
+			if at, told := since[x.Server]; told && x.At > at+law.DrainGrace {
+				r.breach(x.At, "server %d got %q %d us after it was told to take nothing new", x.Server, x.Request, x.At-at)
 			}
 		}
 	}
 }
 
 // cold judges the fourth rule: what a server got within any time of the told length, against what it bore then.
-func (v *Verdict) cold(law Law, recs []Record) {
+func (v *Report) cold(law Config, recs []Record) {
 	r := v.Rules[3]
 	born, got := map[int]int64{}, map[int][]int64{}
 	for _, x := range recs {
 		switch x.Kind {
-		case Started:
+		case ServerStarted:
 			born[x.Server], got[x.Server] = x.At, nil
 			r.Opportunities++
-		case FellOver:
+		case ServerCollapsed:
 			r.breach(x.At, "server %d fell over", x.Server)
-		case Received:
+		case AttemptReceived:
 			at, cold := born[x.Server]
-			if !cold || x.At > at+law.Cold {
+			if !cold || x.At > at+law.SlowStartDuration {
 				continue
 			}
 			ts := append(got[x.Server], x.At)
-			for ts[0] < x.At-law.Fall {
+			for ts[0] < x.At-law.OverloadWindow {
 				ts = ts[1:]
 			}
 			got[x.Server] = ts
-			has := law.ColdFrom + (1-law.ColdFrom)*float64(x.At-at)/float64(law.Cold)
-			budget := law.FallMultiple * has * law.Rate * float64(law.Fall) / 1e6
-			v.Cold = append(v.Cold, Window{x.At, x.Server, float64(len(ts)) / max(1, budget)})
+			has := law.SlowStartInitial + (1-law.SlowStartInitial)*float64(x.At-at)/float64(law.SlowStartDuration)
+			budget := law.OverloadFactor * has * law.ServerRate * float64(law.OverloadWindow) / 1e6
+			v.SlowStart = append(v.SlowStart, SlowStartWindow{x.At, x.Server, float64(len(ts)) / max(1, budget)})
 			if float64(len(ts)) > max(1, budget) {
-				r.breach(x.At, "server %d, %d us old, got %d jobs within %d us, over its %.1f", x.Server, x.At-at, len(ts), law.Fall, budget)
+				r.breach(x.At, "server %d, %d us old, got %d jobs within %d us, over its %.1f", x.Server, x.At-at, len(ts), law.OverloadWindow, budget)
 			}
 		}
 	}
 }
 
 // ration judges the fifth rule: each router's orders against the jobs that its clients gave it.
-func (v *Verdict) ration(law Law, recs []Record, halts map[int][]halt) {
+func (v *Report) ration(law Config, recs []Record, halts map[int][]halt) {
 	r := v.Rules[4]
-	if law.LoadWindow == 0 {
+	if law.LoadRateWindow == 0 {
 		return
 	}
 	orders, asked := map[int][]int64{}, map[int][]int64{}
 	for _, x := range recs {
 		switch x.Kind {
-		case Renewed: // a router without memory counts anew, from its first order on
-			if x.Word != Remembers {
+		case RouterRestarted: // a router without memory counts anew, from its first order on
+			if x.Detail != StateRestored {
 				delete(orders, x.Router)
 			}
-		case Asked:
+		case RequestSent:
 			at := x.At
 			for _, h := range halts[x.Router] { // what came meanwhile is taken once the router runs again
 				if h.from <= at && at < h.to {
@@ -351,16 +351,16 @@
 				}
 			}
 			asked[x.Router] = append(asked[x.Router], at)
-		case Ordered:
+		case LoadCommandReceived:
 			r.Opportunities++
 			within := func(ts []int64, from int64) int {
 				i, _ := slices.BinarySearch(ts, from)
 				return len(ts) - i
 			}
 			orders[x.Router] = append(orders[x.Router], x.At)
-			n := within(orders[x.Router], x.At-law.LoadWindow+law.Travel)
-			jobs := within(asked[x.Router], x.At-law.LoadWindow-law.Travel)
-			if allowed := law.LoadFree + law.LoadShare*float64(jobs); float64(n) > allowed {
+			n := within(orders[x.Router], x.At-law.LoadRateWindow+law.MaxNetworkDelay)
+			jobs := within(asked[x.Router], x.At-law.LoadRateWindow-law.MaxNetworkDelay)
+			if allowed := law.LoadRateBase + law.LoadRatePerRequest*float64(jobs); float64(n) > allowed {
 				r.breach(x.At, "router %d gave %d orders within its window, over %.1f for %d jobs", x.Router, n, allowed, jobs)
 			}
 		}
--- a/internal/loadreport/loads.go
+++ b/internal/loadreport/loads.go
@@ -11,48 +11,48 @@
 
 // Counts of one server since the last report.
 type Counts struct {
-	Issued   uint64 `json:"Issued"` // executions written to it
-	Finished uint64 `json:"Finished"`
-	Errored  uint64 `json:"Errored"` // answered with an error, refused, timed out, or broken off by the server
+	Issued    uint64 `json:"Issued"` // executions written to it
+	Succeeded uint64 `json:"Finished"`
+	Failed    uint64 `json:"Errored"` // answered with an error, refused, timed out, or broken off by the server
 }
 
 func (c *Counts) add(o Counts) {
 	c.Issued += o.Issued
-	c.Finished += o.Finished
-	c.Errored += o.Errored
+	c.Succeeded += o.Succeeded
+	c.Failed += o.Failed
 }
 
 // Figures are what a server said of itself with its answers, summed over those that did.
-type Figures struct {
-	Answers uint64  `json:"Answers"`
-	Util    float64 `json:"Util"`
-	Loads   float64 `json:"Loads"`
-	Pinned  float64 `json:"Pinned"`
+type LoadMetrics struct {
+	Reports      uint64  `json:"Answers"`
+	Utilization  float64 `json:"Util"`
+	PendingLoads float64 `json:"Loads"`
+	PinnedMemory float64 `json:"Pinned"`
 }
 
-func (f *Figures) add(o Figures) {
-	f.Answers += o.Answers
-	f.Util += o.Util
-	f.Loads += o.Loads
-	f.Pinned += o.Pinned
+func (f *LoadMetrics) add(o LoadMetrics) {
+	f.Reports += o.Reports
+	f.Utilization += o.Utilization
+	f.PendingLoads += o.PendingLoads
+	f.PinnedMemory += o.PinnedMemory
 }
 
 // Line is what is reported of one server.
-type Line struct {
+type EndpointStats struct {
 	Address  string `json:"Address"`
 	InFlight uint64 `json:"InFlight"` // now
 	Counts
-	Figures
+	LoadMetrics
 }
 
 // Report covers a time.
 type Report struct {
-	From, To control.Micros
-	Lines    []Line // by address; servers with nothing to tell have none
+	From, To  control.Micros
+	Endpoints []EndpointStats // by address; servers with nothing to tell have none
 }
 
 // Tally is one router's counting. It is for one goroutine.
-type Tally struct {
+type Collector struct {
 	from    control.Micros
 	servers map[string]*server
 	bound   int
@@ -60,7 +60,7 @@
 
 type server struct {
 	Counts
-	Figures
+	LoadMetrics
 	inFlight uint64
 	last     control.LoadReport // of itself
 	heard    bool
@@ -70,12 +70,12 @@
 const mostServers = 100_000
 
 // NewTally begins to count.
-func NewTally(now control.Micros) *Tally {
-	return &Tally{from: now, servers: map[string]*server{}, bound: mostServers}
+func NewCollector(now control.Micros) *Collector {
+	return &Collector{from: now, servers: map[string]*server{}, bound: mostServers}
 }
 
 // Chosen counts an execution that is on its way to a server.
-func (t *Tally) Chosen(address string) {
+func (t *Collector) AttemptBegan(address string) {
 	s := t.servers[address]
 	if s == nil {
 		if len(t.servers) >= t.bound {
@@ -88,7 +88,7 @@
 }
 
 // Ended counts the end of one. What was never sent was never issued. One that we called off is neither finished nor errored.
-func (t *Tally) Ended(address string, result control.Result, said *control.LoadReport) {
+func (t *Collector) AttemptEnded(address string, result control.Result, said *control.LoadReport) {
 	s := t.servers[address]
 	if s == nil || s.inFlight == 0 {
 		return // not counted when it was chosen
@@ -98,20 +98,20 @@
 	case control.NotSent:
 		return
 	case control.Succeeded:
-		s.Finished++
+		s.Succeeded++
 	case control.Cancelled:
 	default:
-		s.Errored++
+		s.Failed++
 	}
 	s.Issued++
 	if said != nil {
 		s.heard, s.last = true, *said
-		s.Figures.add(Figures{1, max(0, said.Utilization), max(0, said.PendingLoads), max(0, said.PinnedMemory)}) // below zero: it did not say
+		s.LoadMetrics.add(LoadMetrics{1, max(0, said.Utilization), max(0, said.PendingLoads), max(0, said.PinnedMemory)}) // below zero: it did not say
 	}
 }
 
 // Said gives what a server last said of itself.
-func (t *Tally) Said(address string) (r control.LoadReport, ok bool) {
+func (t *Collector) LastReport(address string) (r control.LoadReport, ok bool) {
 	s := t.servers[address]
 	if s == nil || !s.heard {
 		return r, false
@@ -120,7 +120,7 @@
 }
 
 // Forget forgets servers that are idle and not listed any more, with what was not taken of them.
-func (t *Tally) Forget(listed func(address string) bool) {
+func (t *Collector) Prune(listed func(address string) bool) {
 	for a, s := range t.servers {
 		if s.inFlight == 0 && !listed(a) {
 			delete(t.servers, a)
@@ -129,49 +129,49 @@
 }
 
 // Take gives what was counted since the last report, and begins anew.
-func (t *Tally) Take(now control.Micros) Report {
+func (t *Collector) Flush(now control.Micros) Report {
 	r := Report{From: t.from, To: now}
 	t.from = now
 	for a, s := range t.servers {
-		if s.inFlight > 0 || s.Issued > 0 || s.Answers > 0 {
-			r.Lines = append(r.Lines, Line{a, s.inFlight, s.Counts, s.Figures})
-			s.Counts, s.Figures = Counts{}, Figures{}
+		if s.inFlight > 0 || s.Issued > 0 || s.Reports > 0 {
+			r.Endpoints = append(r.Endpoints, EndpointStats{a, s.inFlight, s.Counts, s.LoadMetrics})
+			s.Counts, s.LoadMetrics = Counts{}, LoadMetrics{}
 		}
 	}
-	slices.SortFunc(r.Lines, func(a, b Line) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(r.Endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
 	return r
 }
 
 // Join adds an earlier report that was never sent to the one that follows it.
-func Join(earlier, later Report) Report {
-	if len(earlier.Lines) == 0 {
+func Merge(earlier, later Report) Report {
+	if len(earlier.Endpoints) == 0 {
 		if earlier.To > 0 {
 			later.From = earlier.From
 		}
 		return later
 	}
 	out := Report{From: earlier.From, To: later.To}
-	by := make(map[string]int, len(earlier.Lines))
-	for _, l := range earlier.Lines {
+	by := make(map[string]int, len(earlier.Endpoints))
+	for _, l := range earlier.Endpoints {
 		l.InFlight = 0 // was then
-		by[l.Address] = len(out.Lines)
-		out.Lines = append(out.Lines, l)
+		by[l.Address] = len(out.Endpoints)
+		out.Endpoints = append(out.Endpoints, l)
 	}
-	for _, l := range later.Lines {
+	for _, l := range later.Endpoints {
 		if i, both := by[l.Address]; both {
-			out.Lines[i].InFlight = l.InFlight
-			out.Lines[i].Counts.add(l.Counts)
-			out.Lines[i].Figures.add(l.Figures)
+			out.Endpoints[i].InFlight = l.InFlight
+			out.Endpoints[i].Counts.add(l.Counts)
+			out.Endpoints[i].LoadMetrics.add(l.LoadMetrics)
 			continue
 		}
-		out.Lines = append(out.Lines, l)
+		out.Endpoints = append(out.Endpoints, l)
 	}
-	slices.SortFunc(out.Lines, func(a, b Line) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(out.Endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
 	return out
 }
 
 // Place is where a server stands in a control plane's list. One that several clusters name is reported under the first.
-type Place struct {
+type Locality struct {
 	Cluster, Zone, Cell string
 	Priority            uint32
 }
@@ -184,41 +184,41 @@
 )
 
 // Asked is what a control plane wants to be told, and how often.
-type Asked struct {
-	All       bool
-	Clusters  map[string]bool
-	Every     control.Micros // 0: nothing
-	Endpoints bool           // each by itself, not only sums
+type Request struct {
+	AllClusters bool
+	Clusters    map[string]bool
+	Interval    control.Micros // 0: nothing
+	PerEndpoint bool           // each by itself, not only sums
 }
 
 // Pace decides when reports are due, on one stream after another.
-type Pace struct {
-	asked  Asked
+type Scheduler struct {
+	asked  Request
 	up     bool
 	due    control.Micros
 	unsent Report
 }
 
 // Connected begins a stream, on which nothing is asked yet.
-func (p *Pace) Connected() { p.up, p.asked, p.due = true, Asked{}, 0 }
+func (p *Scheduler) StreamOpened() { p.up, p.asked, p.due = true, Request{}, 0 }
 
 // Ask takes in what is wanted; times out of bounds are brought within. The first report is due a whole time later.
-func (p *Pace) Ask(now control.Micros, a Asked) {
-	if a.Every > 0 {
-		a.Every = min(max(a.Every, least), most)
+func (p *Scheduler) SetRequest(now control.Micros, a Request) {
+	if a.Interval > 0 {
+		a.Interval = min(max(a.Interval, least), most)
 	}
-	if p.asked = a; a.Every == 0 {
+	if p.asked = a; a.Interval == 0 {
 		p.due = 0
 		return
 	}
-	p.due = now + a.Every
+	p.due = now + a.Interval
 }
 
 // Wants tells what is asked.
-func (p *Pace) Wants() Asked { return p.asked }
+func (p *Scheduler) Request() Request { return p.asked }
 
 // Due tells when the next report is; 0: none is asked for.
-func (p *Pace) Due() control.Micros {
+func (p *Scheduler) NextAt() control.Micros {
 	if !p.up {
 		return 0
 	}
@@ -226,31 +226,33 @@
 }
 
 // Next gives the report that is due, with what was never sent before. After a stall reports are not made up for: one covers all.
-func (p *Pace) Next(now control.Micros, fresh Report) Report {
+func (p *Scheduler) NextReport(now control.Micros, fresh Report) Report {
 	for p.due <= now {
-		p.due += max(p.asked.Every, (now-p.due)/p.asked.Every*p.asked.Every)
+		p.due += max(p.asked.Interval, (now-p.due)/p.asked.Interval*p.asked.Interval)
 	}
-	p.unsent = Join(p.unsent, fresh)
+	p.unsent = Merge(p.unsent, fresh)
 	return p.unsent
 }
 
 // Sent tells that it went out.
-func (p *Pace) Sent() { p.unsent = Report{} }
+func (p *Scheduler) ReportSent() { p.unsent = Report{} }
 
 // Broken ends a stream. What was not sent waits for the next.
-func (p *Pace) Broken() { p.up = false }
+func (p *Scheduler) StreamClosed() { p.up = false }
 
 // Gathered is what others who follow us reported, each its latest.
-type Gathered struct {
+type Aggregator struct {
 	nodes map[string]Report
 	bound int
 }
 
 // NewGathered gives a bounded one.
-func NewGathered(nodes int) *Gathered { return &Gathered{nodes: map[string]Report{}, bound: nodes} }
+func NewAggregator(nodes int) *Aggregator {
+	return &Aggregator{nodes: map[string]Report{}, bound: nodes}
+}
 
 // Heard takes in a node's report. Ok is false where there are too many nodes.
-func (g *Gathered) Heard(node string, r Report) (ok bool) {
+func (g *Aggregator) Update(node string, r Report) (ok bool) {
 	if _, known := g.nodes[node]; !known && len(g.nodes) >= g.bound {
 		return false
 	}
@@ -259,26 +261,26 @@
 }
 
 // Left forgets a node.
-func (g *Gathered) Left(node string) { delete(g.nodes, node) }
+func (g *Aggregator) Remove(node string) { delete(g.nodes, node) }
 
 // Sum adds the latest reports up, by address, and tells how many nodes they come from.
-func (g *Gathered) Sum() (lines []Line, nodes int) {
-	sum := map[string]*Line{}
+func (g *Aggregator) Sum() (lines []EndpointStats, nodes int) {
+	sum := map[string]*EndpointStats{}
 	for _, r := range g.nodes {
-		for _, l := range r.Lines {
+		for _, l := range r.Endpoints {
 			s := sum[l.Address]
 			if s == nil {
-				s = &Line{Address: l.Address}
+				s = &EndpointStats{Address: l.Address}
 				sum[l.Address] = s
 			}
 			s.InFlight += l.InFlight
 			s.Counts.add(l.Counts)
-			s.Figures.add(l.Figures)
+			s.LoadMetrics.add(l.LoadMetrics)
 		}
 	}
 	for _, l := range sum {
 		lines = append(lines, *l)
 	}
-	slices.SortFunc(lines, func(a, b Line) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(lines, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
 	return lines, len(g.nodes)
 }
--- a/internal/modelserver/serving.go
+++ b/internal/modelserver/serving.go
@@ -147,7 +147,7 @@
 	s.copies, s.marks, s.recent, s.ready, s.open = map[string]*copies{}, map[string]*mark{}, nil, nil, map[uint64]func(Reply){}
 	s.running, s.waiting, s.loading = 0, 0, 0
 	if cold {
-		s.log(invariant.Record{Kind: invariant.Started, Server: s.m.Number})
+		s.log(invariant.Record{Kind: invariant.ServerStarted, Server: s.m.Number})
 	}
 }
 
@@ -225,15 +225,15 @@
 
 // Infer runs one execution, or refuses it; reply is called once, perhaps within this call, unless the server stays silent until it dies.
 func (s *Server) Infer(a Ask, reply func(Reply)) {
-	rec := invariant.Record{Server: s.m.Number, Job: a.Job, Effect: a.Effect, Router: a.Router}
+	rec := invariant.Record{Server: s.m.Number, Request: a.Job, Effect: a.Effect, Router: a.Router}
 	add := func(k invariant.Kind) { rec.Kind = k; s.log(rec) }
-	add(invariant.Received)
+	add(invariant.AttemptReceived)
 	f := s.faults
 	early, lost, post := s.happens(f.ResetEre), s.happens(f.Lost), s.happens(f.ResetPost)
 	id := s.hold(reply)
 	switch {
 	case s.pushedOver():
-		add(invariant.FellOver)
+		add(invariant.ServerCollapsed)
 		s.Kill()
 		return
 	case f.Silent:
@@ -242,13 +242,13 @@
 		s.end(id, Reply{Ending: Broken})
 		return
 	case f.Full:
-		add(invariant.Refused)
+		add(invariant.AttemptRefused)
 		s.end(id, Reply{Ending: Full, Why: "full"})
 		return
 	}
 	m, known := s.remember(a.Mark)
 	if known {
-		add(invariant.Dropped)
+		add(invariant.AttemptDeduplicated)
 		if m.ended {
 			s.end(id, Reply{Found: control.CacheHit})
 		} else {
@@ -259,7 +259,7 @@
 	r := &run{rec: rec, id: id, key: a.Mark, mark: m, slow: f.Slow, lost: lost, post: post}
 	refuse := func(e Ending, why string) {
 		s.forget(r)
-		add(invariant.Refused)
+		add(invariant.AttemptRefused)
 		s.end(id, Reply{Ending: e, Why: why})
 	}
 	c := s.copies[a.Function]
@@ -302,7 +302,7 @@
 		s.ready = s.ready[1:]
 		s.waiting--
 		s.running++
-		r.rec.Kind = invariant.Began
+		r.rec.Kind = invariant.AttemptStarted
 		s.log(r.rec)
 		s.after(s.work(r.slow), func() { s.ran(r) })
 	}
@@ -314,7 +314,7 @@
 	r.copy.lanes++
 	r.copy.busy--
 	r.copy.used = s.clock.Now()
-	r.rec.Kind = invariant.Ended
+	r.rec.Kind = invariant.AttemptEnded
 	s.log(r.rec)
 	if r.mark != nil {
 		r.mark.ended = true
@@ -429,7 +429,7 @@
 
 // load fetches copies and calls done once they stand.
 func (s *Server) load(c *copies, n int, done func()) {
-	s.log(invariant.Record{Kind: invariant.Loading, Server: s.m.Number})
+	s.log(invariant.Record{Kind: invariant.LoadStarted, Server: s.m.Number})
 	life := s.life
 	s.source.Fetch(func() {
 		if s.life != life {
@@ -449,7 +449,7 @@
 
 // Order holds as many copies as ordered, and answers when they stand.
 func (s *Server) Order(function string, n, router int, reply func(Reply)) {
-	s.log(invariant.Record{Kind: invariant.Ordered, Server: s.m.Number, Router: router})
+	s.log(invariant.Record{Kind: invariant.LoadCommandReceived, Server: s.m.Number, Router: router})
 	id := s.hold(reply)
 	if s.faults.Silent {
 		return
--- a/internal/modelserver/serving_test.go
+++ b/internal/modelserver/serving_test.go
@@ -87,7 +87,7 @@
 	}
 	began := 0
 	for _, r := range b.log {
-		if r.Kind == invariant.Began {
+		if r.Kind == invariant.AttemptStarted {
 			began++
 		}
 	}
--- a/internal/overload/storm.go
+++ b/internal/overload/storm.go
@@ -19,12 +19,12 @@
 
 // The kinds.
 const (
-	Calm    Kind = iota
-	Retries      // calls come again faster than they are answered
-	Return       // something came back: what was held meets what comes again
-	Woken        // this router stood still and finds everything at once
-	Tenant       // one tenant's calls come again, the others are calm
-	Rush         // connections are opened all at once
+	None            Kind = iota
+	RetryStorm           // calls come again faster than they are answered
+	RecoveryStorm        // something came back: what was held meets what comes again
+	AfterStall           // this router stood still and finds everything at once
+	TenantStorm          // one tenant's calls come again, the others are calm
+	ConnectionStorm      // connections are opened all at once
 )
 
 var names = [...]string{"calm", "retry wave", "return after an outage", "router woken", "one tenant", "reconnect rush"}
@@ -32,20 +32,20 @@
 func (k Kind) String() string { return names[k] }
 
 // Arrival is a call as it comes.
-type Arrival struct {
-	Tenant control.TenantID
-	Repeat bool   // its client says that it asks again
-	Mark   uint64 // of its effect, hashed; 0: none
+type Request struct {
+	Tenant  control.TenantID
+	IsRetry bool   // its client says that it asks again
+	KeyHash uint64 // of its effect, hashed; 0: none
 
 	Function   control.FunctionID
 	Importance float64 // of its workload
 }
 
 // Verdict is what is done with it.
-type Verdict struct {
-	Admit    bool
-	Why      Kind           // of a refusal
-	StayAway control.Micros // of a refusal: when to return; each is given another time
+type Decision struct {
+	Admitted   bool
+	Reason     Kind           // of a refusal
+	RetryAfter control.Micros // of a refusal: when to return; each is given another time
 }
 
 // The span of what is looked at, and of its parts: retries without a pause show within one, a second tells a wave from a burst.
@@ -60,7 +60,7 @@
 }
 
 // Watch is one router's view. It is for one goroutine.
-type Watch struct {
+type Controller struct {
 	shares  []float64 // of tenants at this router, calls a second
 	stay    control.Micros
 	chance  *rand.Rand
@@ -94,8 +94,8 @@
 
 // NewWatch begins to watch. Shares are the tenants' told shares in calls a second, of this router alone; stay is the longest pause that
 // clients heed; importances are those of the workloads.
-func NewWatch(now control.Micros, shares, importances []float64, stay control.Micros, seed uint64) *Watch {
-	return &Watch{shares: shares, gate: newGate(importances), stay: stay, chance: rand.New(rand.NewPCG(seed, 0x570)), begun: now, due: map[uint64]control.Micros{}, tenants: map[control.TenantID]*tenant{}}
+func NewController(now control.Micros, shares, importances []float64, stay control.Micros, seed uint64) *Controller {
+	return &Controller{shares: shares, gate: newGate(importances), stay: stay, chance: rand.New(rand.NewPCG(seed, 0x570)), begun: now, due: map[uint64]control.Micros{}, tenants: map[control.TenantID]*tenant{}}
 }
 
 // The conditions of a storm, over the last second.
@@ -111,7 +111,7 @@
 )
 
 // turn ends parts that are over, and decides on the storm at each end.
-func (w *Watch) turn(now control.Micros) {
+func (w *Controller) turn(now control.Micros) {
 	for n := 0; now >= w.begun+part; n++ {
 		if n > 2*parts { // nothing came for long: as if it were all past
 			w.past, w.now, w.begun = [parts]bucket{}, bucket{}, now
@@ -123,11 +123,11 @@
 		w.begun += part
 		w.learn()
 		w.judge(w.begun)
-		w.gate.move(w.kind != Calm && w.kind != Rush && w.kind != Tenant, w.pressed()) // calm tenants pay for none that storms
+		w.gate.move(w.kind != None && w.kind != ConnectionStorm && w.kind != TenantStorm, w.pressed()) // calm tenants pay for none that storms
 	}
 }
 
-func (w *Watch) second() (s bucket) {
+func (w *Controller) second() (s bucket) {
 	for _, b := range w.past {
 		s.first += b.first
 		s.repeat += b.repeat
@@ -139,9 +139,9 @@
 }
 
 // learn follows what is usual: over a minute of calm parts, and not at all in a storm, which must not become usual.
-func (w *Watch) learn() {
+func (w *Controller) learn() {
 	const minute = 600 // parts
-	if w.kind != Calm {
+	if w.kind != None {
 		return
 	}
 	s := w.second()
@@ -151,39 +151,39 @@
 }
 
 // judge decides whether there is a storm, of which kind, and whether it is over.
-func (w *Watch) judge(now control.Micros) {
+func (w *Controller) judge(now control.Micros) {
 	s := w.second()
-	kind := Calm
+	kind := None
 	calls := s.first + s.repeat
 	loud := w.loud(now)
 	switch wave := calls >= leastCalls && s.repeat >= ofRepeats*calls && calls >= overUsual*max(w.usual, s.answered); {
 	case loud || wave && w.mostly(now) >= oneTenant && len(w.tenants) > 1:
-		kind = Tenant
-	case wave && s.answered > 2*s.refused && w.kind != Calm:
-		kind = Return
+		kind = TenantStorm
+	case wave && s.answered > 2*s.refused && w.kind != None:
+		kind = RecoveryStorm
 	case wave:
-		kind = Retries
+		kind = RetryStorm
 	case s.connections >= leastRush && s.connections >= rushTimes*w.usualC && w.usualC > 0:
-		kind = Rush
+		kind = ConnectionStorm
 	}
 	switch {
-	case kind != Calm && w.kind == Calm:
+	case kind != None && w.kind == None:
 		w.begin(now, kind)
-	case kind != Calm:
-		if w.quiet = 0; kind != w.kind && w.kind != Woken {
+	case kind != None:
+		if w.quiet = 0; kind != w.kind && w.kind != AfterStall {
 			w.note("the storm is now: %s", kind)
 			w.kind = kind
 		}
-	case w.kind != Calm && w.quiet == 0:
+	case w.kind != None && w.quiet == 0:
 		w.quiet = now
-	case w.kind != Calm && now >= w.quiet+calmAfter:
+	case w.kind != None && now >= w.quiet+calmAfter:
 		w.note("the storm (%s) is over after %d ms", w.kind, (now-w.since)/1000)
-		w.kind, w.quiet = Calm, 0
+		w.kind, w.quiet = None, 0
 		clear(w.due)
 	}
 }
 
-func (w *Watch) begin(now control.Micros, kind Kind) {
+func (w *Controller) begin(now control.Micros, kind Kind) {
 	s := w.second()
 	w.kind, w.since, w.quiet = kind, now, 0
 	w.note("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, s.first, s.repeat, w.usual, s.answered)
@@ -197,13 +197,13 @@
 )
 
 // scarce tells whether capacity is short for all that comes.
-func (w *Watch) scarce() bool {
+func (w *Controller) scarce() bool {
 	s := w.lately()
 	return lacks(s.first+s.repeat, s.answered)
 }
 
 // pressed tells whether it is short for what is let in.
-func (w *Watch) pressed() bool {
+func (w *Controller) pressed() bool {
 	s := w.lately()
 	return lacks(s.admitted, s.answered)
 }
@@ -213,7 +213,7 @@
 }
 
 // lately adds up the last half second.
-func (w *Watch) lately() (s bucket) {
+func (w *Controller) lately() (s bucket) {
 	for i := range shortParts {
 		b := w.past[(w.at+parts-1-i)%parts]
 		s.first, s.repeat, s.admitted, s.answered = s.first+b.first, s.repeat+b.repeat, s.admitted+b.admitted, s.answered+b.answered
@@ -246,7 +246,7 @@
 
 // loud tells whether capacity is short while some tenants ask for far more than their told share, marked or not, and marks those. One
 // that storms is let off once it is within its share.
-func (w *Watch) loud(now control.Micros) (any bool) {
+func (w *Controller) loud(now control.Micros) (any bool) {
 	scarce := w.scarce()
 	for id, t := range w.tenants {
 		if int(id) >= len(w.shares) || len(w.tenants) < 2 {
@@ -270,7 +270,7 @@
 const burst = 0.5
 
 // within tells whether a call of a tenant that storms is within its share.
-func (w *Watch) within(now control.Micros, id control.TenantID, t *tenant) bool {
+func (w *Controller) within(now control.Micros, id control.TenantID, t *tenant) bool {
 	share := w.shares[id]
 	t.fair = min(max(1, burst*share), t.fair+share*float64(now-t.filled)/1e6)
 	t.filled = now
@@ -282,7 +282,7 @@
 }
 
 // mostly is the share of the repeats that belongs to the tenant with the most.
-func (w *Watch) mostly(now control.Micros) float64 {
+func (w *Controller) mostly(now control.Micros) float64 {
 	most, all := 0.0, 0.0
 	for _, t := range w.tenants {
 		t.fade(now)
@@ -307,7 +307,7 @@
 // mostTenants bounds those that are told apart; the rest count as one.
 const mostTenants = 1000
 
-func (w *Watch) tenant(now control.Micros, id control.TenantID) *tenant {
+func (w *Controller) tenant(now control.Micros, id control.TenantID) *tenant {
 	t := w.tenants[id]
 	if t == nil {
 		if len(w.tenants) >= mostTenants {
@@ -335,53 +335,53 @@
 )
 
 // Arrived takes in a call and decides whether it is let in.
-func (w *Watch) Arrived(now control.Micros, a Arrival) Verdict {
+func (w *Controller) Admit(now control.Micros, a Request) Decision {
 	w.turn(now)
 	v := w.admit(now, a)
-	if v.Admit {
+	if v.Admitted {
 		w.now.admitted++
 	}
 	return v
 }
 
-func (w *Watch) admit(now control.Micros, a Arrival) Verdict {
+func (w *Controller) admit(now control.Micros, a Request) Decision {
 	t := w.tenant(now, a.Tenant)
 	t.came(now, 1)
-	if a.Repeat {
+	if a.IsRetry {
 		w.now.repeat++
 		t.repeat++
 	} else {
 		w.now.first++
 		t.retries = min(tenantBurst, t.retries+ofTenant)
 	}
-	if w.kind == Tenant && t.loud && !w.within(now, a.Tenant, t) {
-		return Verdict{Why: w.kind, StayAway: w.refuse(now, w.stay, 0)}
+	if w.kind == TenantStorm && t.loud && !w.within(now, a.Tenant, t) {
+		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, 0)}
 	}
-	due, refused := w.due[a.Mark]
-	refused = refused && a.Mark != 0
+	due, refused := w.due[a.KeyHash]
+	refused = refused && a.KeyHash != 0
 	switch {
-	case w.kind == Calm || w.kind == Rush:
-		return Verdict{Admit: true}
+	case w.kind == None || w.kind == ConnectionStorm:
+		return Decision{Admitted: true}
 	case !refused && w.gate.holds(now, a.Importance, a.Function):
-		return Verdict{Why: w.kind, StayAway: w.refuse(now, w.stay, a.Mark)}
-	case !a.Repeat && !refused:
-		return Verdict{Admit: true}
+		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, a.KeyHash)}
+	case !a.IsRetry && !refused:
+		return Decision{Admitted: true}
 	case refused && now < due-early: // the time that it was given stands: to put it off would punish its next, later one
 		w.now.refused++
-		return Verdict{Why: w.kind, StayAway: due - now}
+		return Decision{Reason: w.kind, RetryAfter: due - now}
 	case refused:
-		delete(w.due, a.Mark)
-		return Verdict{Admit: true}
+		delete(w.due, a.KeyHash)
+		return Decision{Admitted: true}
 	case t.retries < 1:
-		return Verdict{Why: w.kind, StayAway: w.refuse(now, w.stay, a.Mark)}
+		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, a.KeyHash)}
 	}
 	t.retries--
-	return Verdict{Admit: true}
+	return Decision{Admitted: true}
 }
 
 // refuse gives a call a time of its own to return at, in the later half of the pause, so that those who were refused together don't
 // meet again; and keeps it.
-func (w *Watch) refuse(now, stay control.Micros, mark uint64) control.Micros {
+func (w *Controller) refuse(now, stay control.Micros, mark uint64) control.Micros {
 	w.now.refused++
 	stay = max(1, stay/2+control.Micros(w.chance.Int64N(max(1, int64(stay/2)))))
 	if mark != 0 {
@@ -400,9 +400,9 @@
 }
 
 // Spread is the pause that a refusal of the module's own carries: in a storm each gets another.
-func (w *Watch) Spread(now control.Micros, stay control.Micros, mark uint64) control.Micros {
+func (w *Controller) RecordRejection(now control.Micros, stay control.Micros, mark uint64) control.Micros {
 	w.turn(now)
-	if w.kind == Calm || stay == 0 {
+	if w.kind == None || stay == 0 {
 		w.now.refused++
 		return stay
 	}
@@ -410,58 +410,58 @@
 }
 
 // Answered takes in that a call was finished.
-func (w *Watch) Answered(now control.Micros) {
+func (w *Controller) RecordAnswer(now control.Micros) {
 	w.turn(now)
 	w.now.answered++
 }
 
 // Connected takes in a client's connection.
-func (w *Watch) Connected(now control.Micros) {
+func (w *Controller) RecordConnection(now control.Micros) {
 	w.turn(now)
 	w.now.connections++
 }
 
 // Woke takes in that this router stood still: what it finds came at another time.
-func (w *Watch) Woke(now, late control.Micros) {
+func (w *Controller) RecordStall(now, late control.Micros) {
 	if late < wokenLate {
 		return
 	}
 	w.begun, w.now = now, bucket{} // what came meanwhile is no rate
-	if w.kind == Calm {
-		w.begin(now, Woken)
+	if w.kind == None {
+		w.begin(now, AfterStall)
 	}
 }
 
 // Kind tells what is on.
-func (w *Watch) Kind() Kind { return w.kind }
+func (w *Controller) Kind() Kind { return w.kind }
 
 // Usual are the figures that outlast a router, so that one that is started in a storm knows what is usual.
-type Usual struct {
-	First       float64 `cbor:"First"` // a second
-	Connections float64 `cbor:"Connections"`
-	Storm       Kind    `cbor:"Storm"` // that was on
+type Baseline struct {
+	FirstAttempts float64 `cbor:"First"` // a second
+	Connections   float64 `cbor:"Connections"`
+	Kind          Kind    `cbor:"Storm"` // that was on
 }
 
 // Remember gives them.
-func (w *Watch) Remember() Usual { return Usual{w.usual, w.usualC, w.kind} }
+func (w *Controller) Baseline() Baseline { return Baseline{w.usual, w.usualC, w.kind} }
 
 // lately is how old a storm may be that a restarted router still takes for one: a restart takes seconds.
 const lately = control.Micros(30_000_000)
 
 // Recall takes them in at a router's start, with their age. A storm that was on lately goes on until it proves to be over.
-func (w *Watch) Recall(now control.Micros, u Usual, age control.Micros) {
-	w.usual, w.usualC, w.learned = u.First, u.Connections, 600
-	if u.Storm != Calm && age < lately {
-		w.begin(now, u.Storm)
+func (w *Controller) Restore(now control.Micros, u Baseline, age control.Micros) {
+	w.usual, w.usualC, w.learned = u.FirstAttempts, u.Connections, 600
+	if u.Kind != None && age < lately {
+		w.begin(now, u.Kind)
 	}
 }
 
-func (w *Watch) note(format string, args ...any) {
+func (w *Controller) note(format string, args ...any) {
 	w.notes = append(w.notes, fmt.Sprintf(format, args...))
 }
 
 // Notes gives what is to be told operators since the last call.
-func (w *Watch) Notes() []string {
+func (w *Controller) LogLines() []string {
 	notes := w.notes
 	w.notes = nil
 	return notes
--- a/internal/overload/storm_test.go
+++ b/internal/overload/storm_test.go
@@ -9,30 +9,30 @@
 const ms = control.Micros(1000)
 
 // stretch plays some time: so many first tries, repeats and answers a second, and gives how many of each were let in.
-func stretch(w *Watch, now, length control.Micros, first, repeat, answered int, a Arrival) (end control.Micros, firsts, repeats int) {
+func stretch(w *Controller, now, length control.Micros, first, repeat, answered int, a Request) (end control.Micros, firsts, repeats int) {
 	at := func(n int, step control.Micros) bool { return n > 0 && step%(1000/control.Micros(n)) == 0 }
 	for step := control.Micros(0); step < length/ms; step++ {
 		t := now + step*ms
-		a.Repeat = false
-		if at(first, step) && w.Arrived(t, a).Admit {
+		a.IsRetry = false
+		if at(first, step) && w.Admit(t, a).Admitted {
 			firsts++
 		}
-		a.Repeat = true
-		if at(repeat, step) && w.Arrived(t, a).Admit {
+		a.IsRetry = true
+		if at(repeat, step) && w.Admit(t, a).Admitted {
 			repeats++
 		}
 		if at(answered, step) {
-			w.Answered(t)
+			w.RecordAnswer(t)
 		}
 	}
 	return now + length, firsts, repeats
 }
 
-func calm(t *testing.T) (*Watch, control.Micros) {
+func calm(t *testing.T) (*Controller, control.Micros) {
 	t.Helper()
-	w := NewWatch(1, []float64{2000, 2000}, []float64{2, 1}, 2_000_000, 1)
-	now, firsts, _ := stretch(w, 1, 10_000*ms, 100, 2, 100, Arrival{})
-	if w.Kind() != Calm || firsts != 1000 {
+	w := NewController(1, []float64{2000, 2000}, []float64{2, 1}, 2_000_000, 1)
+	now, firsts, _ := stretch(w, 1, 10_000*ms, 100, 2, 100, Request{})
+	if w.Kind() != None || firsts != 1000 {
 		t.Fatalf("%s, %d of 1000 let in", w.Kind(), firsts)
 	}
 	return w, now
@@ -41,18 +41,18 @@
 // A wave of repeats is a storm within a second, is damped to what servers bear, and ends once it is over.
 func TestRetryWave(t *testing.T) {
 	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Arrival{})
-	if w.Kind() != Retries {
+	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
+	if w.Kind() != RetryStorm {
 		t.Fatalf("%s", w.Kind())
 	}
-	now, firsts, repeats := stretch(w, now, 5000*ms, 100, 500, 100, Arrival{})
+	now, firsts, repeats := stretch(w, now, 5000*ms, 100, 500, 100, Request{})
 	if firsts < 400 || repeats > 100 {
 		t.Errorf("%d of 500 first tries and %d of 2500 repeats let in", firsts, repeats)
 	}
-	if _, firsts, _ = stretch(w, now, 4000*ms, 100, 2, 100, Arrival{}); w.Kind() != Calm || firsts < 350 {
+	if _, firsts, _ = stretch(w, now, 4000*ms, 100, 2, 100, Request{}); w.Kind() != None || firsts < 350 {
 		t.Errorf("%s, %d of 400 let in", w.Kind(), firsts)
 	}
-	if n := len(w.Notes()); n < 2 {
+	if n := len(w.LogLines()); n < 2 {
 		t.Errorf("%d notes", n)
 	}
 }
@@ -62,7 +62,7 @@
 	w, now := calm(t)
 	for _, rate := range []int{200, 500, 1000} {
 		var firsts int
-		if now, firsts, _ = stretch(w, now, 2000*ms, rate, 10, rate, Arrival{}); w.Kind() != Calm || firsts != 2*rate {
+		if now, firsts, _ = stretch(w, now, 2000*ms, rate, 10, rate, Request{}); w.Kind() != None || firsts != 2*rate {
 			t.Errorf("%d a second: %s, %d let in", rate, w.Kind(), firsts)
 		}
 	}
@@ -74,16 +74,16 @@
 	kept, asked := 0, 0
 	for step := control.Micros(0); step < 5000; step++ {
 		at := now + step*ms
-		w.Arrived(at, Arrival{Tenant: 1, Repeat: true})
+		w.Admit(at, Request{Tenant: 1, IsRetry: true})
 		if step%10 == 0 {
 			asked++
-			if w.Arrived(at, Arrival{Tenant: 0}).Admit {
+			if w.Admit(at, Request{Tenant: 0}).Admitted {
 				kept++
 			}
-			w.Answered(at)
+			w.RecordAnswer(at)
 		}
 	}
-	if w.Kind() != Tenant || kept < asked*97/100 {
+	if w.Kind() != TenantStorm || kept < asked*97/100 {
 		t.Errorf("%s, %d of %d of the calm tenant's let in", w.Kind(), kept, asked)
 	}
 }
@@ -96,16 +96,16 @@
 	play := func(length control.Micros, loud, refused bool) (of [2]int) {
 		for step := control.Micros(0); step < length/ms; step++ {
 			at := now + step*ms
-			if loud && step%2 == 0 && w.Arrived(at, Arrival{Tenant: 1}).Admit {
+			if loud && step%2 == 0 && w.Admit(at, Request{Tenant: 1}).Admitted {
 				if of[1]++; refused && step%4 == 0 {
-					w.Spread(at, 2000*ms, 0)
+					w.RecordRejection(at, 2000*ms, 0)
 				} else {
-					w.Answered(at)
+					w.RecordAnswer(at)
 				}
 			}
-			if step%10 == 0 && w.Arrived(at, Arrival{Tenant: 0}).Admit {
+			if step%10 == 0 && w.Admit(at, Request{Tenant: 0}).Admitted {
 				of[0]++
-				w.Answered(at)
+				w.RecordAnswer(at)
 			}
 		}
 		now += length
@@ -115,11 +115,11 @@
 		t.Errorf("nothing is refused by the module: %v let in", of)
 	}
 	play(2000*ms, true, true)
-	if of := play(4000*ms, true, true); w.Kind() != Tenant || of[0] != 400 || of[1] > 130 || of[1] < 80 {
+	if of := play(4000*ms, true, true); w.Kind() != TenantStorm || of[0] != 400 || of[1] > 130 || of[1] < 80 {
 		t.Errorf("%s: %v let in", w.Kind(), of)
 	}
 	play(10_000*ms, false, false)
-	if w.Kind() != Calm || w.tenants[1].loud {
+	if w.Kind() != None || w.tenants[1].loud {
 		t.Errorf("%s goes on", w.Kind())
 	}
 }
@@ -127,18 +127,18 @@
 // Refused calls are told times that spread out, within what clients heed.
 func TestReturnsSpread(t *testing.T) {
 	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Arrival{})
+	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
 	parts := map[control.Micros]int{}
 	n := 0
 	for i := range control.Micros(400) {
-		v := w.Arrived(now+i, Arrival{Repeat: true})
-		if v.Admit {
+		v := w.Admit(now+i, Request{IsRetry: true})
+		if v.Admitted {
 			continue
 		}
-		if n++; v.StayAway <= 0 || v.StayAway > 2_000_000 || v.Why == Calm {
+		if n++; v.RetryAfter <= 0 || v.RetryAfter > 2_000_000 || v.Reason == None {
 			t.Fatalf("%+v", v)
 		}
-		parts[v.StayAway/100_000]++
+		parts[v.RetryAfter/100_000]++
 	}
 	most := 0
 	for _, c := range parts {
@@ -152,15 +152,15 @@
 // Who heeds the pause is let in, marked or not as a repeat; who comes sooner hears the same time again.
 func TestHeededPauses(t *testing.T) {
 	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Arrival{})
-	stay := w.Spread(now, 1000*ms, 5)
-	if v := w.Arrived(now+stay/2, Arrival{Repeat: true, Mark: 5}); v.Admit || v.StayAway != stay-stay/2 {
+	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
+	stay := w.RecordRejection(now, 1000*ms, 5)
+	if v := w.Admit(now+stay/2, Request{IsRetry: true, KeyHash: 5}); v.Admitted || v.RetryAfter != stay-stay/2 {
 		t.Errorf("came too soon: %+v of %d", v, stay)
 	}
-	if v := w.Arrived(now+stay/2, Arrival{Mark: 5}); v.Admit {
+	if v := w.Admit(now+stay/2, Request{KeyHash: 5}); v.Admitted {
 		t.Error("a repeat that is called none is let in")
 	}
-	if v := w.Arrived(now+stay, Arrival{Repeat: true, Mark: 5}); !v.Admit {
+	if v := w.Admit(now+stay, Request{IsRetry: true, KeyHash: 5}); !v.Admitted {
 		t.Errorf("came in time: %+v", v)
 	}
 }
@@ -168,37 +168,37 @@
 // A router that stood still, and one that is started while a storm is on, take it for one; a reconnect rush is told.
 func TestWokenRestartedAndRush(t *testing.T) {
 	w, now := calm(t)
-	w.Woke(now, 100*ms)
-	if w.Kind() != Calm {
+	w.RecordStall(now, 100*ms)
+	if w.Kind() != None {
 		t.Error("a stop that nobody notices is a storm")
 	}
-	w.Woke(now, 2000*ms)
-	if w.Kind() != Woken {
+	w.RecordStall(now, 2000*ms)
+	if w.Kind() != AfterStall {
 		t.Errorf("%s", w.Kind())
 	}
-	fresh := NewWatch(1, nil, nil, 2_000_000, 1)
-	fresh.Recall(1, w.Remember(), lately)
-	if fresh.Kind() != Calm {
+	fresh := NewController(1, nil, nil, 2_000_000, 1)
+	fresh.Restore(1, w.Baseline(), lately)
+	if fresh.Kind() != None {
 		t.Error("an old storm goes on")
 	}
-	fresh.Recall(1, w.Remember(), lately/10)
-	if fresh.Kind() != Woken || fresh.usual == 0 {
+	fresh.Restore(1, w.Baseline(), lately/10)
+	if fresh.Kind() != AfterStall || fresh.usual == 0 {
 		t.Errorf("%s, usual %g", fresh.Kind(), fresh.usual)
 	}
 	w, now = calm(t)
 	for i := range control.Micros(20_000) {
 		if i%1000 == 0 {
-			w.Connected(now + i*ms)
+			w.RecordConnection(now + i*ms)
 		}
 	}
 	now += 20_000 * ms
 	for i := range control.Micros(1000) {
 		if i%5 == 0 {
-			w.Connected(now + i*ms)
+			w.RecordConnection(now + i*ms)
 		}
 	}
-	w.Connected(now + 1100*ms)
-	if w.Kind() != Rush {
+	w.RecordConnection(now + 1100*ms)
+	if w.Kind() != ConnectionStorm {
 		t.Errorf("%s", w.Kind())
 	}
 }
@@ -207,8 +207,8 @@
 func TestStormsAreNotLearned(t *testing.T) {
 	w, now := calm(t)
 	before := w.usual
-	stretch(w, now, 60_000*ms, 300, 600, 50, Arrival{})
-	if w.Kind() == Calm || w.usual > before*1.2 {
+	stretch(w, now, 60_000*ms, 300, 600, 50, Request{})
+	if w.Kind() == None || w.usual > before*1.2 {
 		t.Errorf("%s, usual %g, before %g", w.Kind(), w.usual, before)
 	}
 }
@@ -222,17 +222,17 @@
 		let = [3]int{}
 		for step := range control.Micros(seconds) * 1000 {
 			at := now + step*ms
-			if step%5 == 0 && w.Arrived(at, Arrival{Function: control.FunctionID(step % 40), Importance: 1}).Admit {
+			if step%5 == 0 && w.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 1}).Admitted {
 				let[1]++
 			}
-			if step%5 == 1 && w.Arrived(at, Arrival{Function: control.FunctionID(step % 40), Importance: 2}).Admit {
+			if step%5 == 1 && w.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 2}).Admitted {
 				let[2]++
 			}
 			if repeats && step%2 == 0 {
-				w.Arrived(at, Arrival{Repeat: true})
+				w.Admit(at, Request{IsRetry: true})
 			}
 			if answered > 0 && step%(1000/control.Micros(answered)) == 0 {
-				w.Answered(at)
+				w.RecordAnswer(at)
 			}
 		}
 		now += control.Micros(seconds) * 1000 * ms
@@ -247,7 +247,7 @@
 	}
 	play(10, true, 100)
 	play(4, false, 400)
-	if play(1, false, 400); w.Kind() != Calm || let[1] != 200 {
+	if play(1, false, 400); w.Kind() != None || let[1] != 200 {
 		t.Errorf("after it: %s, %v of 200 let in", w.Kind(), let)
 	}
 }
--- a/internal/persistence/format.go
+++ b/internal/persistence/format.go
@@ -31,7 +31,7 @@
 	Owner      Owner                 `cbor:"Owner"`
 	Generation uint64                `cbor:"Generation"` // one more with each writing
 	Module     *control.LearnedState `cbor:"Module"`
-	Storm      *overload.Usual       `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Storm      *overload.Baseline    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
 	Clock      *Clock                `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
 }
 
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,21 +18,21 @@
 
 // Exit codes.
 const (
-	Well     = 0
-	Found    = 1 // a breach or a failure was found
-	WrongUse = 2 // the call or its input is wrong
+	ExitOK      = 0
+	ExitFailure = 1 // a breach or a failure was found
+	ExitUsage   = 2 // the call or its input is wrong
 )
 
 // Use marks an error as wrong use of the program.
-type Use struct{ Err error }
+type UsageError struct{ Err error }
 
-func (u Use) Error() string { return u.Err.Error() }
+func (u UsageError) Error() string { return u.Err.Error() }
 
 // Unwrap gives the error itself.
-func (u Use) Unwrap() error { return u.Err }
+func (u UsageError) Unwrap() error { return u.Err }
 
 // Log gives the structured log: a JSON object a line, times in whole microseconds since 1970.
-func Log(w io.Writer, name, level string) zerolog.Logger {
+func NewLogger(w io.Writer, name, level string) zerolog.Logger {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -42,7 +42,7 @@
 }
 
 // Common is what all programs understand beside their own arguments.
-type Common struct {
+type CommonFlags struct {
 	Version    kong.VersionFlag `help:"Print the build and end."`
 	Completion completion       `placeholder:"SHELL" help:"Print what switches completion on in bash, zsh or fish, and end."`
 }
@@ -67,16 +67,16 @@
 	default:
 		return fmt.Errorf("%q is none of bash, zsh, fish", shell)
 	}
-	app.Exit(Well)
+	app.Exit(ExitOK)
 	return nil
 }
 
 // Parse reads the arguments into a struct of kong's; wrong ones end the program.
 func Parse(cli any, name, about string) *kong.Context {
-	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.Vars{"version": name + " " + Build()},
+	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.Vars{"version": name + " " + BuildID()},
 		kong.Exit(func(code int) {
-			if code != Well {
-				code = WrongUse
+			if code != ExitOK {
+				code = ExitUsage
 			}
 			os.Exit(code)
 		}))
@@ -92,35 +92,35 @@
 // Exit tells an error in plain lines and ends the program with the code that fits.
 func Exit(name string, err error) {
 	if err == nil {
-		os.Exit(Well)
+		os.Exit(ExitOK)
 	}
-	var faults *inifile.Faults
+	var faults *inifile.ValidationError
 	if errors.As(err, &faults) {
-		for _, l := range faults.Lines {
+		for _, l := range faults.Problems {
 			fmt.Fprintln(os.Stderr, l)
 		}
-		os.Exit(WrongUse)
+		os.Exit(ExitUsage)
 	}
 	fmt.Fprintf(os.Stderr, "%s: %s\n", name, err)
-	var use Use
+	var use UsageError
 	if errors.As(err, &use) || errors.Is(err, os.ErrNotExist) {
-		os.Exit(WrongUse)
+		os.Exit(ExitUsage)
 	}
-	os.Exit(Found)
+	os.Exit(ExitFailure)
 }
 
 // Build identifies the program by its own bytes, so that two builds of one version can be told apart; empty where they
 // can't be read.
-func Build() string {
+func BuildID() string {
 	name, err := os.Executable()
 	if err != nil {
 		return ""
 	}
-	return BuildOf(name)
+	return BuildIDOf(name)
 }
 
 // BuildOf is the same of another program.
-func BuildOf(name string) string {
+func BuildIDOf(name string) string {
 	f, err := os.Open(name)
 	if err != nil {
 		return ""
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -17,9 +17,9 @@
 }{
 	"well":                 {nil, 0},
 	"a breach was found":   {errors.New("rule 1"), 1},
-	"wrong use":            {Use{errors.New("no such router")}, 2},
+	"wrong use":            {UsageError{errors.New("no such router")}, 2},
 	"a file is missing":    {fmt.Errorf("settings: %w", os.ErrNotExist), 2},
-	"settings with faults": {&inifile.Faults{Lines: []string{"a.ini:3: cold: no span of time"}}, 2},
+	"settings with faults": {&inifile.ValidationError{Problems: []string{"a.ini:3: cold: no span of time"}}, 2},
 }
 
 const endVariable = "PROGRAM_TEST_END"
--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -99,7 +99,7 @@
 	}
 	h.lives++
 	bounds := record.Bounds{Segment: 64 << 20, Age: time.Hour, Total: 1 << 40, Wait: true} // a day is kept whole
-	head := record.Header{Build: program.Build(), Router: int(r.number), Life: fmt.Sprintf("%d-%d", r.number, h.lives)}
+	head := record.Header{Build: program.BuildID(), Router: int(r.number), Life: fmt.Sprintf("%d-%d", r.number, h.lives)}
 	var err error
 	if r.writer, err = record.Open(h.folder, bounds, head, r.core.Snapshot, zerolog.New(os.Stderr)); err == nil {
 		r.core.SetRecorder(r.writer.Tape())
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -94,8 +94,8 @@
 	}
 	a.tries++
 	t := &try{asking: a, number: a.tries, router: router, sent: now, left: left}
-	c.node.record(invariant.Record{Kind: invariant.Asked, Job: t.name(), Effect: itoa(a.call.Number), Workload: c.w.plan.Workloads[a.call.Workload].Name,
-		Router: router, Limit: int64(now + left)})
+	c.node.record(invariant.Record{Kind: invariant.RequestSent, Request: t.name(), Effect: itoa(a.call.Number), Workload: c.w.plan.Workloads[a.call.Workload].Name,
+		Router: router, Deadline: int64(now + left)})
 	r := c.w.routers[router]
 	c.node.send(r.node, c.node.way(), func() { r.arrived(t) })
 	c.node.After(left+lateness, func() {
@@ -136,7 +136,7 @@
 // gone tells whether its client can have no use for an answer any more.
 func (t *try) gone(now control.Micros) bool { return now >= t.sent+t.left+lateness }
 
-var words = map[ending]string{finished: invariant.Finished, pushedBack: invariant.PushedBack, killed: invariant.Killed}
+var words = map[ending]string{finished: invariant.Succeeded, pushedBack: invariant.Rejected, killed: invariant.Failed}
 
 // ended takes in how a try ended, and goes on with its call.
 func (t *try) ended(e ending, advised control.Micros) {
@@ -145,13 +145,13 @@
 	}
 	t.over = true
 	c, now := t.client, t.client.node.Now()
-	rec := invariant.Record{Kind: invariant.Answered, Job: t.name(), Effect: itoa(t.call.Number), Workload: c.w.plan.Workloads[t.call.Workload].Name, Router: t.router,
-		Limit: int64(t.sent + t.left), Word: words[e]}
+	rec := invariant.Record{Kind: invariant.ResponseReceived, Request: t.name(), Effect: itoa(t.call.Number), Workload: c.w.plan.Workloads[t.call.Workload].Name, Router: t.router,
+		Deadline: int64(t.sent + t.left), Detail: words[e]}
 	switch e {
 	case unsent:
-		rec.Kind = invariant.Untaken
+		rec.Kind = invariant.RequestNotSent
 	case broken, late:
-		rec.Kind = invariant.GaveUp
+		rec.Kind = invariant.RequestTimedOut
 	}
 	c.node.record(rec)
 	if e == finished {
--- a/internal/simulation/emulate.go
+++ b/internal/simulation/emulate.go
@@ -183,8 +183,8 @@
 		b = append(b, byte(r.Kind))
 		b = binary.AppendVarint(b, int64(r.Server))
 		b = binary.AppendVarint(b, int64(r.Router))
-		b = binary.AppendVarint(b, r.Limit)
-		for _, text := range []string{r.Job, r.Effect, r.Workload, r.Word} {
+		b = binary.AppendVarint(b, r.Deadline)
+		for _, text := range []string{r.Request, r.Effect, r.Workload, r.Detail} {
 			b = append(append(b, text...), 0)
 		}
 		h.Write(b)
@@ -295,7 +295,7 @@
 	for i, l := range g.list {
 		if g.told[i] != l.State {
 			g.told[i] = l.State
-			g.node.record(invariant.Record{Kind: invariant.Told, Server: i, Word: states[l.State]})
+			g.node.record(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: states[l.State]})
 		}
 	}
 	list := slices.DeleteFunc(slices.Clone(g.list), func(l control.Endpoint) bool { return l.State == control.Removed })
@@ -334,7 +334,7 @@
 func functionID(name string) control.FunctionID { return control.FunctionID(xxhash.Sum64String(name)) }
 
 // watch gives a router its watch over storms; nil: it has none. Days here have no tenants.
-func (w *world) watch(now control.Micros, seed uint64) *overload.Watch {
+func (w *world) watch(now control.Micros, seed uint64) *overload.Controller {
 	if !w.plan.Damped {
 		return nil
 	}
@@ -342,7 +342,7 @@
 	for _, x := range w.plan.Workloads {
 		importances = append(importances, x.Importance)
 	}
-	return overload.NewWatch(now, nil, importances, w.plan.Deployment.MaxRetryAfter, seed)
+	return overload.NewController(now, nil, importances, w.plan.Deployment.MaxRetryAfter, seed)
 }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/simulation/emulate_test.go
+++ b/internal/simulation/emulate_test.go
@@ -35,9 +35,9 @@
 	return p
 }
 
-func judge(p *Plan, res *Result) *invariant.Verdict {
-	return invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Cold: int64(p.Deployment.SlowStartDuration), ColdFrom: 0.25, Fall: int64(second), FallMultiple: 2, Rate: 100,
-		Zone: make([]string, 4), Cell: make([]string, 4), Workloads: map[string]invariant.Workload{"once": {RunOnce: true}}}, res.Records)
+func judge(p *Plan, res *Result) *invariant.Report {
+	return invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, SlowStartDuration: int64(p.Deployment.SlowStartDuration), SlowStartInitial: 0.25, OverloadWindow: int64(second), OverloadFactor: 2, ServerRate: 100,
+		Zone: make([]string, 4), Cell: make([]string, 4), Classes: map[string]invariant.Class{"once": {NonIdempotent: true}}}, res.Records)
 }
 
 // The same plan gives the same records on one, two and four threads, whatever goes wrong; another seed gives others.
@@ -75,7 +75,7 @@
 		res := Run(p, 2)
 		v := judge(p, res)
 		for _, r := range v.Rules {
-			for _, b := range r.Breaches {
+			for _, b := range r.Violations {
 				t.Errorf("%s: rule %d: %s", name, r.Number, b)
 			}
 		}
@@ -84,8 +84,8 @@
 				t.Fatalf("%s: call %d never ended", name, i)
 			}
 		}
-		if v.Finished < 400 {
-			t.Errorf("%s: %d of 600 finished", name, v.Finished)
+		if v.Succeeded < 400 {
+			t.Errorf("%s: %d of 600 finished", name, v.Succeeded)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	from, to := int64(epoch+second+20_000), int64(epoch+4*second)
 	got := map[bool]int{}
 	for _, r := range res.Records {
-		if r.Kind == invariant.Received && r.At > from && r.At < to && r.Server < 2 {
+		if r.Kind == invariant.AttemptReceived && r.At > from && r.At < to && r.Server < 2 {
 			got[r.Router == 0]++
 		}
 	}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -16,7 +16,7 @@
 	node   *node
 	number int
 	core   *core.Core // nil: it is dead
-	watch  *overload.Watch
+	watch  *overload.Controller
 	life   uint64
 	thaws  control.Micros // until when it stands still
 	apart  []*Trouble     // partitions that keep servers from it
@@ -64,8 +64,8 @@
 	}
 	r.core, r.watch, r.jobs, r.open = core.New(decide, r), r.w.watch(now, seed), map[control.RequestID]*job{}, nil
 	if r.life > 0 {
-		r.node.record(invariant.Record{Kind: invariant.Renewed, Router: r.number})
-		r.node.record(invariant.Record{Kind: invariant.Back, Router: r.number})
+		r.node.record(invariant.Record{Kind: invariant.RouterRestarted, Router: r.number})
+		r.node.record(invariant.Record{Kind: invariant.RouterUp, Router: r.number})
 		r.core.UpdateEndpoints(now, control.FullUpdate, r.list)
 	}
 	r.life++
@@ -74,7 +74,7 @@
 
 // kill ends a life: connections break.
 func (r *router) kill() {
-	r.node.record(invariant.Record{Kind: invariant.Halted, Router: r.number})
+	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.core = nil
 	for _, j := range r.open {
 		if !j.given {
@@ -86,9 +86,9 @@
 
 // freeze has it stand still; what comes meanwhile waits.
 func (r *router) freeze(until control.Micros) {
-	r.node.record(invariant.Record{Kind: invariant.Halted, Router: r.number})
+	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.thaws = until
-	r.node.at(until, func() { r.node.record(invariant.Record{Kind: invariant.Back, Router: r.number}) })
+	r.node.at(until, func() { r.node.record(invariant.Record{Kind: invariant.RouterUp, Router: r.number}) })
 }
 
 // hear has something happen in a turn, once the router runs and if it still lives as it did.
@@ -108,7 +108,7 @@
 	r.turns++
 	r.core.Step(r.node.Now())
 	if r.watch != nil {
-		r.watch.Notes()
+		r.watch.LogLines()
 	}
 }
 
@@ -135,8 +135,8 @@
 		j := &job{try: t, workload: t.call.Workload}
 		f := functionID(t.call.Function)
 		if r.watch != nil {
-			if v := r.watch.Arrived(now, overload.Arrival{Repeat: t.marked(), Mark: t.mark(), Function: f, Importance: w.Importance}); !v.Admit {
-				r.answer(j, pushedBack, v.StayAway)
+			if v := r.watch.Admit(now, overload.Request{IsRetry: t.marked(), KeyHash: t.mark(), Function: f, Importance: w.Importance}); !v.Admitted {
+				r.answer(j, pushedBack, v.RetryAfter)
 				return
 			}
 		}
@@ -236,7 +236,7 @@
 		o.RequestDone = true
 		r.core.HandleOutcome(now, j.id, o)
 		if r.watch != nil {
-			r.watch.Answered(now)
+			r.watch.RecordAnswer(now)
 		}
 		r.answer(j, finished, 0)
 		return
@@ -249,7 +249,7 @@
 func (r *router) Reject(id control.RequestID, stayAway control.Micros) {
 	j := r.jobs[id]
 	if r.watch != nil {
-		stayAway = r.watch.Spread(r.node.Now(), stayAway, j.try.mark())
+		stayAway = r.watch.RecordRejection(r.node.Now(), stayAway, j.try.mark())
 	}
 	r.answer(j, pushedBack, stayAway)
 }
--- a/internal/tlspolicy/notes.go
+++ b/internal/tlspolicy/notes.go
@@ -10,7 +10,7 @@
 }
 
 // Notes gives what is to be told operators since the last call.
-func (n *notes) Notes() []string {
+func (n *notes) LogLines() []string {
 	lines := n.lines
 	n.lines = nil
 	return lines
