--- a/internal/tlspolicy/pair.go
+++ b/internal/tlspolicy/pair.go
@@ -25,7 +25,7 @@
 
 // ReadPair reads a certificate, with those that lead from it towards its authority, and its key, all PEM. Errors say in one
 // line what is wrong: what can't be read, a key of another certificate, a chain whose next certificate did not sign the last.
-func ReadPair(chain, key []byte) (*tls.Certificate, error) {
+func ParseKeyPair(chain, key []byte) (*tls.Certificate, error) {
 	pair, err := tls.X509KeyPair(chain, key)
 	if err != nil {
 		if bytes.Contains([]byte(err.Error()), []byte("does not match")) {
@@ -79,18 +79,18 @@
 }
 
 // Serving is what is in service; nil: nothing was yet.
-func (i *Identity) Serving() *tls.Certificate { return i.serving }
+func (i *Identity) Current() *tls.Certificate { return i.serving }
 
 // Version counts what came into service.
 func (i *Identity) Version() uint64 { return i.version }
 
 // Ends is when what serves stops being valid; 0: nothing serves.
-func (i *Identity) Ends() control.Micros { return i.ends }
+func (i *Identity) ExpiresAt() control.Micros { return i.ends }
 
 // Offer takes in the texts of a certificate chain and its key as they are found now. The error, if any, is why they do not come
 // into service; it is also noted, once. A pair that does not match is noted only when it is found so twice: between the
 // writing of two files that is how they look.
-func (i *Identity) Offer(now control.Micros, chain, key []byte) error {
+func (i *Identity) Update(now control.Micros, chain, key []byte) error {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d ", len(chain))
 	h.Write(chain)
@@ -101,7 +101,7 @@
 		return nil
 	}
 	i.seen = digest
-	pair, err := ReadPair(chain, key)
+	pair, err := ParseKeyPair(chain, key)
 	if errors.Is(err, errMismatch) && !again && i.serving != nil {
 		i.mismatch = true
 		return err
@@ -142,7 +142,7 @@
 
 // Outlived tells whether a connection made with an earlier version of the identity is to be replaced now. Place, between 0 and 1,
 // is the connection's own and spreads them.
-func (i *Identity) Outlived(now control.Micros, version uint64, place float64) bool {
+func (i *Identity) ReplaceNow(now control.Micros, version uint64, place float64) bool {
 	return version != i.version && now >= i.since+control.Micros(place*float64(turnover))
 }
 
@@ -151,7 +151,7 @@
 const lastPart = 0.25
 
 // Tick brings into service what has waited, and announces ends. It gives when it must be called again; 0: at the next offer.
-func (i *Identity) Tick(now control.Micros) (next control.Micros) {
+func (i *Identity) Maintain(now control.Micros) (next control.Micros) {
 	if i.waiting != nil && now >= micros(i.waiting.Leaf.NotBefore) {
 		i.serve(now, i.waiting)
 	}
--- a/internal/tlspolicy/peers.go
+++ b/internal/tlspolicy/peers.go
@@ -20,14 +20,14 @@
 
 // The reasons.
 const (
-	Nameless  Reason = iota // it showed no certificate
-	Stranger                // no authority that we trust signed it
-	Early                   // not yet valid
-	Ended                   // no longer valid
-	WrongName               // valid, but not for whom it should be
-	WrongUse                // not meant for this side of a connection
+	NoCertificate    Reason = iota // it showed no certificate
+	UnknownAuthority               // no authority that we trust signed it
+	NotYetValid                    // not yet valid
+	Expired                        // no longer valid
+	WrongName                      // valid, but not for whom it should be
+	WrongKeyUsage                  // not meant for this side of a connection
 	Revoked
-	Untrusting // we have no authorities to check it by
+	NoAuthorities // we have no authorities to check it by
 )
 
 var reasons = [...]string{"no certificate", "unknown authority", "not yet valid", "expired", "wrong name", "wrong use", "revoked", "nothing to check by"}
@@ -35,37 +35,37 @@
 func (r Reason) String() string { return reasons[r] }
 
 // Refusal is the plain line with which a peer is refused.
-type Refusal struct {
+type PeerError struct {
 	Reason Reason
 	Text   string
 }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *PeerError) Error() string { return r.Text }
 
-func refuse(r Reason, format string, args ...any) *Refusal {
-	return &Refusal{r, fmt.Sprintf(format, args...)}
+func refuse(r Reason, format string, args ...any) *PeerError {
+	return &PeerError{r, fmt.Sprintf(format, args...)}
 }
 
 // Side is whose certificate it is.
-type Side uint8
+type Role uint8
 
 // The two sides of a connection.
 const (
-	Server Side = iota
+	Server Role = iota
 	Client
 )
 
 // Standing is a peer that was believed, for as long as that holds.
-type Standing struct {
+type VerifiedPeer struct {
 	version uint64
 	until   control.Micros
 	chain   []*x509.Certificate // as shown
-	side    Side
+	side    Role
 	host    string
 }
 
 // Peers is what is believed of the other ends of connections.
-type Peers struct {
+type Verifier struct {
 	names []string // that a peer may have; none: the host that was dialled, or anyone the authorities signed
 	roots []*x509.Certificate
 	pool  *x509.CertPool
@@ -87,18 +87,18 @@
 
 // NewPeers gives what believes nobody yet. Names are those that a peer's certificate must have one of: a DNS name, perhaps with
 // * as its first label, or a URI, perhaps ending in /*.
-func NewPeers(names []string) *Peers { return &Peers{names: names} }
+func NewVerifier(names []string) *Verifier { return &Verifier{names: names} }
 
 // Version counts the changes of what is believed.
-func (p *Peers) Version() uint64 { return p.version }
+func (p *Verifier) Version() uint64 { return p.version }
 
 // Known tells whether there are authorities to check by.
-func (p *Peers) Known() bool { return len(p.roots) > 0 }
+func (p *Verifier) HasAuthorities() bool { return len(p.roots) > 0 }
 
 // Offer takes in the texts of the trusted authorities' certificates and of their lists of revoked ones (both PEM; no lists: nil)
 // as they are found now. The error, if any, says why something stays as it was; it is also noted, once. Authorities and lists
 // change together or not at all, so that no list goes unheard because its authority came too late.
-func (p *Peers) Offer(now control.Micros, authorities, revoked []byte) error {
+func (p *Verifier) Update(now control.Micros, authorities, revoked []byte) error {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d ", len(authorities))
 	h.Write(authorities)
@@ -114,7 +114,7 @@
 		lists, err = p.readLists(roots, revoked)
 	}
 	if err != nil {
-		if p.Known() {
+		if p.HasAuthorities() {
 			p.note("%v: what was trusted before stands", err)
 		}
 		return err
@@ -160,7 +160,7 @@
 // readLists reads lists of revoked certificates. A list must be signed by a trusted authority and must not be older than the one
 // in service; an authority that had a list before and is still trusted must have one again: a file emptied by accident must
 // not make a revoked certificate good.
-func (p *Peers) readLists(roots []*x509.Certificate, text []byte) ([]*list, error) {
+func (p *Verifier) readLists(roots []*x509.Certificate, text []byte) ([]*list, error) {
 	by := map[string]*list{}
 	for rest := text; ; {
 		var b *pem.Block
@@ -218,17 +218,17 @@
 
 // Check tells whether a peer is believed that showed this chain, its own certificate first; the error is a *Refusal. Host is the
 // one that was dialled; empty for a client.
-func (p *Peers) Check(now control.Micros, chain []*x509.Certificate, side Side, host string) (Standing, error) {
+func (p *Verifier) Verify(now control.Micros, chain []*x509.Certificate, side Role, host string) (VerifiedPeer, error) {
 	if len(chain) == 0 {
-		return Standing{}, refuse(Nameless, "the peer showed no certificate")
+		return VerifiedPeer{}, refuse(NoCertificate, "the peer showed no certificate")
 	}
-	if !p.Known() {
-		return Standing{}, refuse(Untrusting, "there is no trusted authority to check %s by", names(chain[0]))
+	if !p.HasAuthorities() {
+		return VerifiedPeer{}, refuse(NoAuthorities, "there is no trusted authority to check %s by", names(chain[0]))
 	}
 	leaf := chain[0]
 	for _, c := range chain { // told apart here, since x509 calls both expired
 		if from := micros(c.NotBefore); now < from {
-			return Standing{}, refuse(Early, "the certificate of %s is not valid before %s", names(c), shown(c.NotBefore))
+			return VerifiedPeer{}, refuse(NotYetValid, "the certificate of %s is not valid before %s", names(c), shown(c.NotBefore))
 		}
 	}
 	between := x509.NewCertPool()
@@ -241,13 +241,13 @@
 	}
 	ways, err := leaf.Verify(x509.VerifyOptions{Roots: p.pool, Intermediates: between, CurrentTime: wall(now), KeyUsages: []x509.ExtKeyUsage{use}})
 	if err != nil {
-		return Standing{}, refused(leaf, err)
+		return VerifiedPeer{}, refused(leaf, err)
 	}
 	if err := p.named(leaf, side, host); err != nil {
-		return Standing{}, err
+		return VerifiedPeer{}, err
 	}
-	s := Standing{version: p.version, chain: chain, side: side, host: host}
-	var revoked *Refusal
+	s := VerifiedPeer{version: p.version, chain: chain, side: side, host: host}
+	var revoked *PeerError
 	for _, way := range ways { // one way without a revoked certificate is enough; the longest-lived counts
 		if r := p.revoked(way); r != nil {
 			revoked = r
@@ -260,26 +260,26 @@
 		s.until = max(s.until, until)
 	}
 	if s.until == 0 {
-		return Standing{}, revoked
+		return VerifiedPeer{}, revoked
 	}
 	return s, nil
 }
 
-func refused(leaf *x509.Certificate, err error) *Refusal {
+func refused(leaf *x509.Certificate, err error) *PeerError {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) {
 		switch invalid.Reason {
 		case x509.Expired:
-			return refuse(Ended, "the certificate of %s ended at %s", names(invalid.Cert), shown(invalid.Cert.NotAfter))
+			return refuse(Expired, "the certificate of %s ended at %s", names(invalid.Cert), shown(invalid.Cert.NotAfter))
 		case x509.IncompatibleUsage:
-			return refuse(WrongUse, "the certificate of %s is not meant for this side of a connection", names(leaf))
+			return refuse(WrongKeyUsage, "the certificate of %s is not meant for this side of a connection", names(leaf))
 		}
 	}
-	return refuse(Stranger, "the certificate of %s: no trusted authority signed it", names(leaf))
+	return refuse(UnknownAuthority, "the certificate of %s: no trusted authority signed it", names(leaf))
 }
 
 // revoked looks for a revoked certificate on the way from a peer's own to a trusted authority's.
-func (p *Peers) revoked(way []*x509.Certificate) *Refusal {
+func (p *Verifier) revoked(way []*x509.Certificate) *PeerError {
 	for i, c := range way[:len(way)-1] {
 		for _, l := range p.lists {
 			if l.signer.Equal(way[i+1]) && l.revoked[string(c.SerialNumber.Bytes())] {
@@ -291,7 +291,7 @@
 }
 
 // named tells whether a certificate is for one of the names that are told, or without those for the host that was dialled.
-func (p *Peers) named(leaf *x509.Certificate, side Side, host string) error {
+func (p *Verifier) named(leaf *x509.Certificate, side Role, host string) error {
 	if len(p.names) == 0 {
 		if side == Client || leaf.VerifyHostname(host) == nil {
 			return nil
@@ -323,14 +323,14 @@
 }
 
 // Still tells whether a peer that was believed is believed now. It costs little while nothing changed.
-func (p *Peers) Still(now control.Micros, s *Standing) error {
+func (p *Verifier) Reverify(now control.Micros, s *VerifiedPeer) error {
 	if now >= s.until {
-		return refuse(Ended, "the certificate of %s ended while the connection stood", names(s.chain[0]))
+		return refuse(Expired, "the certificate of %s ended while the connection stood", names(s.chain[0]))
 	}
 	if s.version == p.version {
 		return nil
 	}
-	fresh, err := p.Check(now, s.chain, s.side, s.host)
+	fresh, err := p.Verify(now, s.chain, s.side, s.host)
 	if err == nil {
 		*s = fresh
 	}
@@ -339,7 +339,7 @@
 
 // Tick announces lists of revoked certificates that are out of date; they count on. It gives when it must be called again;
 // 0: at the next offer.
-func (p *Peers) Tick(now control.Micros) (next control.Micros) {
+func (p *Verifier) Maintain(now control.Micros) (next control.Micros) {
 	for _, l := range p.lists {
 		switch {
 		case l.next == 0 || l.late:
--- a/internal/tlspolicy/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -31,7 +31,7 @@
 
 func reason(t *testing.T, err error) Reason {
 	t.Helper()
-	var no *Refusal
+	var no *PeerError
 	if !errors.As(err, &no) {
 		t.Fatalf("%v is no refusal", err)
 	}
@@ -60,7 +60,7 @@
 	for name, c := range map[string]struct {
 		chain []*x509.Certificate
 		names []string
-		side  Side
+		side  Role
 		host  string
 		want  Reason
 		well  bool
@@ -70,27 +70,27 @@
 		"good client":      {chain: issue(a, authority.Asked{}), side: Client, well: true},
 		"told name":        {chain: issue(a, authority.Asked{}), names: []string{"*.workers.example"}, host: "10.0.0.1", well: true},
 		"told URI":         {chain: issue(a, authority.Asked{}), names: []string{"spiffe://example/worker/*"}, well: true},
-		"none":             {side: Client, want: Nameless},
+		"none":             {side: Client, want: NoCertificate},
 		"another host":     {chain: issue(a, authority.Asked{}), host: "127.0.0.2", want: WrongName},
 		"another name":     {chain: issue(a, authority.Asked{}), names: []string{"*.example", "w1.workers"}, host: "127.0.0.1", want: WrongName},
 		"a longer URI":     {chain: issue(a, authority.Asked{}), names: []string{"spiffe://example/work/*"}, want: WrongName},
-		"stranger":         {chain: issue(stranger, authority.Asked{}), host: "127.0.0.1", want: Stranger},
-		"early":            {chain: issue(a, authority.Asked{From: time.Now().Add(day), Until: time.Now().Add(2 * day)}), host: "127.0.0.1", want: Early},
-		"ended":            {chain: issue(a, authority.Asked{From: time.Now().Add(-2 * day), Until: time.Now().Add(-day)}), host: "127.0.0.1", want: Ended},
-		"a client's alone": {chain: issue(a, authority.Asked{Uses: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongUse},
+		"stranger":         {chain: issue(stranger, authority.Asked{}), host: "127.0.0.1", want: UnknownAuthority},
+		"early":            {chain: issue(a, authority.Asked{From: time.Now().Add(day), Until: time.Now().Add(2 * day)}), host: "127.0.0.1", want: NotYetValid},
+		"ended":            {chain: issue(a, authority.Asked{From: time.Now().Add(-2 * day), Until: time.Now().Add(-day)}), host: "127.0.0.1", want: Expired},
+		"a client's alone": {chain: issue(a, authority.Asked{Uses: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongKeyUsage},
 		"revoked":          {chain: leaf(gone), host: "127.0.0.1", want: Revoked},
 		"its signer is":    {chain: leaf(under), host: "127.0.0.1", want: Revoked},
 	} {
-		p := NewPeers(c.names)
-		if err := p.Offer(now(), a.Cert(), crl); err != nil {
+		p := NewVerifier(c.names)
+		if err := p.Update(now(), a.Cert(), crl); err != nil {
 			t.Fatal(err)
 		}
-		_, err := p.Check(now(), c.chain, c.side, c.host)
+		_, err := p.Verify(now(), c.chain, c.side, c.host)
 		if c.well != (err == nil) || err != nil && reason(t, err) != c.want {
 			t.Errorf("%s: %v, want %v (well: %v)", name, err, c.want, c.well)
 		}
 	}
-	if _, err := NewPeers(nil).Check(now(), issue(a, authority.Asked{}), Server, "127.0.0.1"); reason(t, err) != Untrusting {
+	if _, err := NewVerifier(nil).Verify(now(), issue(a, authority.Asked{}), Server, "127.0.0.1"); reason(t, err) != NoAuthorities {
 		t.Error(err)
 	}
 }
@@ -99,23 +99,23 @@
 func TestRevokedStaysRevoked(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
 	x := a.Issue(authority.Asked{Names: []string{"127.0.0.1"}})
-	p := NewPeers(nil)
+	p := NewVerifier(nil)
 	old := a.List(time.Now().Add(time.Hour))
 	offer := func(roots, lists []byte, well bool) {
 		t.Helper()
-		if err := p.Offer(now(), roots, lists); well != (err == nil) {
+		if err := p.Update(now(), roots, lists); well != (err == nil) {
 			t.Errorf("%v", err)
 		}
 	}
 	offer(a.Cert(), old, true)
-	s, err := p.Check(now(), leaf(x), Server, "127.0.0.1")
+	s, err := p.Verify(now(), leaf(x), Server, "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.Revoke(x.Serial)
 	next := a.List(time.Now().Add(time.Hour))
 	offer(a.Cert(), next, true)
-	if reason(t, p.Still(now(), &s)) != Revoked {
+	if reason(t, p.Reverify(now(), &s)) != Revoked {
 		t.Error("a connection outlives its peer's revocation")
 	}
 	version := p.Version()
@@ -125,25 +125,25 @@
 	offer(a.Cert(), append(slices.Clone(next), "-----BEGIN X509 CRL-----\nAAAA\n-----END X509 CRL-----\n"...), false)
 	offer(x.Chain, next, false) // no authority
 	offer(nil, next, false)
-	if notes := p.Notes(); p.Version() != version || len(notes) != 8 {
+	if notes := p.LogLines(); p.Version() != version || len(notes) != 8 {
 		t.Errorf("version %d after %d, notes %q", p.Version(), version, notes)
 	}
 	offer(nil, next, true) // the same again: not said twice
-	if notes := p.Notes(); len(notes) != 0 {
+	if notes := p.LogLines(); len(notes) != 0 {
 		t.Errorf("notes %q", notes)
 	}
 	offer(b.Cert(), nil, true) // an authority that is trusted no more needs no list
-	p = NewPeers(nil)
+	p = NewVerifier(nil)
 	soon := time.Now().Add(time.Minute)
 	offer(a.Cert(), a.List(soon), true)
-	if next := p.Tick(now()); next != at(soon.Truncate(time.Second)) {
+	if next := p.Maintain(now()); next != at(soon.Truncate(time.Second)) {
 		t.Errorf("the alarm is at %d", next)
 	}
-	p.Notes()
+	p.LogLines()
 	late := at(soon) + 1
-	p.Tick(late)
-	p.Tick(late)
-	if _, err := p.Check(late, leaf(x), Server, "127.0.0.1"); reason(t, err) != Revoked || len(p.Notes()) != 1 {
+	p.Maintain(late)
+	p.Maintain(late)
+	if _, err := p.Verify(late, leaf(x), Server, "127.0.0.1"); reason(t, err) != Revoked || len(p.LogLines()) != 1 {
 		t.Errorf("out of date: %v", err)
 	}
 }
@@ -154,21 +154,21 @@
 	a, b := authority.New("a"), authority.New("b")
 	until := time.Now().Add(time.Minute).Truncate(time.Second)
 	x := leaf(a.Issue(authority.Asked{Names: []string{"127.0.0.1"}, Until: until}))
-	p := NewPeers(nil)
-	p.Offer(now(), a.Cert(), nil)
-	s, err := p.Check(now(), x, Server, "127.0.0.1")
+	p := NewVerifier(nil)
+	p.Update(now(), a.Cert(), nil)
+	s, err := p.Verify(now(), x, Server, "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Offer(now(), append(a.Cert(), b.Cert()...), nil)
-	if err := p.Still(at(until)-1, &s); err != nil {
+	p.Update(now(), append(a.Cert(), b.Cert()...), nil)
+	if err := p.Reverify(at(until)-1, &s); err != nil {
 		t.Error(err)
 	}
-	if err := p.Still(at(until), &s); reason(t, err) != Ended {
+	if err := p.Reverify(at(until), &s); reason(t, err) != Expired {
 		t.Error(err)
 	}
-	p.Offer(now(), b.Cert(), nil)
-	if err := p.Still(now(), &s); reason(t, err) != Stranger {
+	p.Update(now(), b.Cert(), nil)
+	if err := p.Reverify(now(), &s); reason(t, err) != UnknownAuthority {
 		t.Error(err)
 	}
 }
@@ -178,25 +178,25 @@
 	a := authority.New("a")
 	x, y := a.Issue(authority.Asked{Names: []string{"x"}}), a.Issue(authority.Asked{Names: []string{"y"}})
 	var i Identity
-	if err := i.Offer(now(), x.Chain, y.Key); err == nil || i.Serving() != nil {
+	if err := i.Update(now(), x.Chain, y.Key); err == nil || i.Current() != nil {
 		t.Fatal("a mismatched pair serves")
 	}
-	if err := i.Offer(now(), x.Chain, x.Key); err != nil {
+	if err := i.Update(now(), x.Chain, x.Key); err != nil {
 		t.Fatal(err)
 	}
-	i.Notes()
-	if err := i.Offer(now(), y.Chain, x.Key); err == nil || len(i.Notes()) != 0 {
+	i.LogLines()
+	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.LogLines()) != 0 {
 		t.Errorf("between two writings: %v", err)
 	}
-	if err := i.Offer(now(), y.Chain, y.Key); err != nil || i.Serving().Leaf.DNSNames[0] != "y" || i.Version() != 2 {
+	if err := i.Update(now(), y.Chain, y.Key); err != nil || i.Current().Leaf.DNSNames[0] != "y" || i.Version() != 2 {
 		t.Errorf("%v, version %d", err, i.Version())
 	}
-	i.Notes()
+	i.LogLines()
 	for range 3 {
-		i.Offer(now(), x.Chain, y.Key)
+		i.Update(now(), x.Chain, y.Key)
 	}
-	i.Offer(now(), []byte("torn"), y.Key)
-	if notes := i.Notes(); len(notes) != 2 || i.Serving().Leaf.DNSNames[0] != "y" {
+	i.Update(now(), []byte("torn"), y.Key)
+	if notes := i.LogLines(); len(notes) != 2 || i.Current().Leaf.DNSNames[0] != "y" {
 		t.Errorf("notes %q", notes)
 	}
 }
@@ -210,27 +210,27 @@
 	y := a.Issue(authority.Asked{Names: []string{"y"}, From: begin.Add(10 * time.Second), Until: begin.Add(time.Hour)})
 	ended := a.Issue(authority.Asked{Names: []string{"z"}, From: begin.Add(-time.Hour), Until: begin.Add(-time.Second)})
 	var i Identity
-	i.Offer(at(begin), x.Chain, x.Key)
-	if next := i.Tick(at(begin)); next != at(begin.Add(20*time.Second)) || len(i.Notes()) != 2 { // in service; ends soon
+	i.Update(at(begin), x.Chain, x.Key)
+	if next := i.Maintain(at(begin)); next != at(begin.Add(20*time.Second)) || len(i.LogLines()) != 2 { // in service; ends soon
 		t.Errorf("the alarm is at %d", next)
 	}
-	if err := i.Offer(at(begin), ended.Chain, ended.Key); err == nil || i.Serving().Leaf.DNSNames[0] != "x" {
+	if err := i.Update(at(begin), ended.Chain, ended.Key); err == nil || i.Current().Leaf.DNSNames[0] != "x" {
 		t.Error("an ended certificate serves")
 	}
-	if err := i.Offer(at(begin), y.Chain, y.Key); err != nil || i.Serving().Leaf.DNSNames[0] != "x" {
-		t.Errorf("%v, %v serves", err, i.Serving().Leaf.DNSNames)
+	if err := i.Update(at(begin), y.Chain, y.Key); err != nil || i.Current().Leaf.DNSNames[0] != "x" {
+		t.Errorf("%v, %v serves", err, i.Current().Leaf.DNSNames)
 	}
-	if next := i.Tick(at(begin)); next != at(begin.Add(10*time.Second)) {
+	if next := i.Maintain(at(begin)); next != at(begin.Add(10*time.Second)) {
 		t.Errorf("the alarm is at %d", next)
 	}
-	i.Tick(at(begin.Add(10 * time.Second)))
-	if i.Serving().Leaf.DNSNames[0] != "y" {
+	i.Maintain(at(begin.Add(10 * time.Second)))
+	if i.Current().Leaf.DNSNames[0] != "y" {
 		t.Error("what has waited does not serve")
 	}
-	i.Notes()
-	i.Tick(at(begin.Add(time.Hour)))
-	i.Tick(at(begin.Add(2 * time.Hour)))
-	if notes := i.Notes(); len(notes) != 1 || !strings.Contains(notes[0], "ended") {
+	i.LogLines()
+	i.Maintain(at(begin.Add(time.Hour)))
+	i.Maintain(at(begin.Add(2 * time.Hour)))
+	if notes := i.LogLines(); len(notes) != 1 || !strings.Contains(notes[0], "ended") {
 		t.Errorf("%q", notes)
 	}
 }
@@ -240,13 +240,13 @@
 	a := authority.New("a")
 	x, y := a.Issue(authority.Asked{Names: []string{"x"}}), a.Issue(authority.Asked{Names: []string{"y"}})
 	var i Identity
-	i.Offer(now(), x.Chain, x.Key)
+	i.Update(now(), x.Chain, x.Key)
 	version, begin := i.Version(), now()
-	if i.Outlived(begin+turnover, version, 0) {
+	if i.ReplaceNow(begin+turnover, version, 0) {
 		t.Error("nothing changed")
 	}
-	i.Offer(begin, y.Chain, y.Key)
-	if i.Outlived(begin+turnover/2-1, version, 0.5) || !i.Outlived(begin+turnover/2, version, 0.5) || i.Outlived(begin+turnover, i.Version(), 0.5) {
+	i.Update(begin, y.Chain, y.Key)
+	if i.ReplaceNow(begin+turnover/2-1, version, 0.5) || !i.ReplaceNow(begin+turnover/2, version, 0.5) || i.ReplaceNow(begin+turnover, i.Version(), 0.5) {
 		t.Error("not at its own place")
 	}
 }
--- a/internal/xds/gather.go
+++ b/internal/xds/gather.go
@@ -20,7 +20,7 @@
 type gatherer struct {
 	lrs.UnimplementedLoadReportingServiceServer
 	mu  sync.Mutex
-	got *loadreport.Gathered
+	got *loadreport.Aggregator
 }
 
 // StreamLoadStats asks one follower for all its loads and keeps its latest until it goes.
@@ -38,7 +38,7 @@
 	}
 	defer func() {
 		g.mu.Lock()
-		g.got.Left(node)
+		g.got.Remove(node)
 		g.mu.Unlock()
 	}()
 	for {
@@ -48,7 +48,7 @@
 		}
 		r := readReport(m.GetClusterStats(), control.Micros(time.Now().UnixMicro()))
 		g.mu.Lock()
-		ok := g.got.Heard(node, r)
+		ok := g.got.Update(node, r)
 		g.mu.Unlock()
 		if !ok {
 			return status.Error(codes.ResourceExhausted, "too many report already")
@@ -57,7 +57,7 @@
 }
 
 // Others gives what those who follow the view last reported, summed by server, and how many they are.
-func (v *View) Others() (lines []loadreport.Line, nodes int) {
+func (v *View) Others() (lines []loadreport.EndpointStats, nodes int) {
 	v.gatherer.mu.Lock()
 	defer v.gatherer.mu.Unlock()
 	return v.gatherer.got.Sum()
--- a/internal/xds/reports.go
+++ b/internal/xds/reports.go
@@ -23,7 +23,7 @@
 // Counted is where reports come from.
 type Counted interface {
 	Take(now control.Micros) loadreport.Report // what was counted since the last
-	Places() map[string]loadreport.Place       // of the servers that a control plane lists
+	Places() map[string]loadreport.Locality    // of the servers that a control plane lists
 	Services() map[string]string               // the name under which a cluster's endpoints are asked for, where it is another
 }
 
@@ -31,7 +31,7 @@
 type Reports struct {
 	node    *core.Node
 	counted Counted
-	pace    loadreport.Pace
+	pace    loadreport.Scheduler
 }
 
 // NewReports gives one that reports what is counted.
@@ -42,12 +42,12 @@
 
 // Connected begins a stream.
 func (r *Reports) Connected(control.Micros) []proto.Message {
-	r.pace.Connected()
+	r.pace.StreamOpened()
 	return []proto.Message{&lrs.LoadStatsRequest{Node: r.node}}
 }
 
 // Broken ends a stream.
-func (r *Reports) Broken(control.Micros) { r.pace.Broken() }
+func (r *Reports) Broken(control.Micros) { r.pace.StreamClosed() }
 
 // Heard takes in what is asked for.
 func (r *Reports) Heard(now control.Micros, m proto.Message) []proto.Message {
@@ -55,20 +55,20 @@
 	if !ok {
 		return nil
 	}
-	a := loadreport.Asked{All: x.SendAllClusters, Clusters: map[string]bool{}, Endpoints: x.ReportEndpointGranularity}
+	a := loadreport.Request{AllClusters: x.SendAllClusters, Clusters: map[string]bool{}, PerEndpoint: x.ReportEndpointGranularity}
 	for _, c := range x.Clusters {
 		a.Clusters[c] = true
 	}
-	if i := x.GetLoadReportingInterval(); i.IsValid() && i.AsDuration() > 0 && (a.All || len(a.Clusters) > 0) {
-		a.Every = control.Micros(i.AsDuration().Microseconds())
+	if i := x.GetLoadReportingInterval(); i.IsValid() && i.AsDuration() > 0 && (a.AllClusters || len(a.Clusters) > 0) {
+		a.Interval = control.Micros(i.AsDuration().Microseconds())
 	}
-	r.pace.Ask(now, a)
+	r.pace.SetRequest(now, a)
 	return nil
 }
 
 // Tick gives when the next report is due.
 func (r *Reports) Tick(now control.Micros) control.Micros {
-	if due := r.pace.Due(); due > 0 {
+	if due := r.pace.NextAt(); due > 0 {
 		return max(due, now)
 	}
 	return 0
@@ -76,15 +76,15 @@
 
 // Speak gives the report that is due.
 func (r *Reports) Speak(now control.Micros) []proto.Message {
-	if due := r.pace.Due(); due == 0 || now < due {
+	if due := r.pace.NextAt(); due == 0 || now < due {
 		return nil
 	}
-	report := r.pace.Next(now, r.counted.Take(now))
+	report := r.pace.NextReport(now, r.counted.Take(now))
 	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusters(report)}}
 }
 
 // Spoken tells that it went out.
-func (r *Reports) Spoken() { r.pace.Sent() }
+func (r *Reports) Spoken() { r.pace.ReportSent() }
 
 // Notes has none.
 func (r *Reports) Notes() []string { return nil }
@@ -92,15 +92,15 @@
 // clusters gives a report in the protocol's form: by cluster, then by locality and priority. Servers of clusters that are not
 // asked for are left out, and so are those that no cluster names any more.
 func (r *Reports) clusters(report loadreport.Report) []*endpoint.ClusterStats {
-	asked, places, services := r.pace.Wants(), r.counted.Places(), r.counted.Services()
-	by := map[string]map[loadreport.Place][]loadreport.Line{}
-	for _, l := range report.Lines {
+	asked, places, services := r.pace.Request(), r.counted.Places(), r.counted.Services()
+	by := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
+	for _, l := range report.Endpoints {
 		at, known := places[l.Address]
-		if !known || !asked.All && !asked.Clusters[at.Cluster] {
+		if !known || !asked.AllClusters && !asked.Clusters[at.Cluster] {
 			continue
 		}
 		if by[at.Cluster] == nil {
-			by[at.Cluster] = map[loadreport.Place][]loadreport.Line{}
+			by[at.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
 		}
 		by[at.Cluster][at] = append(by[at.Cluster][at], l)
 	}
@@ -108,32 +108,32 @@
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: &durationpb.Duration{
 			Seconds: int64(report.To-report.From) / 1e6, Nanos: int32(int64(report.To-report.From) % 1e6 * 1000)}}
-		in := slices.SortedFunc(maps.Keys(by[name]), func(a, b loadreport.Place) int {
+		in := slices.SortedFunc(maps.Keys(by[name]), func(a, b loadreport.Locality) int {
 			return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
 		})
 		for _, at := range in {
-			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, locality(at, by[name][at], asked.Endpoints))
+			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, locality(at, by[name][at], asked.PerEndpoint))
 		}
 		out = append(out, c)
 	}
 	return out
 }
 
-func locality(at loadreport.Place, lines []loadreport.Line, each bool) *endpoint.UpstreamLocalityStats {
+func locality(at loadreport.Locality, lines []loadreport.EndpointStats, each bool) *endpoint.UpstreamLocalityStats {
 	s := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
-	var f loadreport.Figures
+	var f loadreport.LoadMetrics
 	for _, l := range lines {
 		s.TotalIssuedRequests += l.Issued
-		s.TotalSuccessfulRequests += l.Finished
-		s.TotalErrorRequests += l.Errored
+		s.TotalSuccessfulRequests += l.Succeeded
+		s.TotalErrorRequests += l.Failed
 		s.TotalRequestsInProgress += l.InFlight
-		f.Answers, f.Util, f.Loads, f.Pinned = f.Answers+l.Answers, f.Util+l.Util, f.Loads+l.Loads, f.Pinned+l.Pinned
+		f.Reports, f.Utilization, f.PendingLoads, f.PinnedMemory = f.Reports+l.Reports, f.Utilization+l.Utilization, f.PendingLoads+l.PendingLoads, f.PinnedMemory+l.PinnedMemory
 		a := socketAddress(l.Address)
 		if !each || a == nil {
 			continue
 		}
 		s.UpstreamEndpointStats = append(s.UpstreamEndpointStats, &endpoint.UpstreamEndpointStats{Address: a, TotalIssuedRequests: l.Issued,
-			TotalSuccessfulRequests: l.Finished, TotalErrorRequests: l.Errored, TotalRequestsInProgress: l.InFlight, LoadMetricStats: metrics(l.Figures)})
+			TotalSuccessfulRequests: l.Succeeded, TotalErrorRequests: l.Failed, TotalRequestsInProgress: l.InFlight, LoadMetricStats: metrics(l.LoadMetrics)})
 	}
 	s.LoadMetricStats = metrics(f)
 	return s
@@ -146,16 +146,16 @@
 	pinnedMetric = "named_metrics.pinned"
 )
 
-func metrics(f loadreport.Figures) []*endpoint.EndpointLoadMetricStats {
-	if f.Answers == 0 {
+func metrics(f loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
+	if f.Reports == 0 {
 		return nil
 	}
 	var out []*endpoint.EndpointLoadMetricStats
 	for _, m := range []struct {
 		name  string
 		value float64
-	}{{utilMetric, f.Util}, {loadsMetric, f.Loads}, {pinnedMetric, f.Pinned}} {
-		out = append(out, &endpoint.EndpointLoadMetricStats{MetricName: m.name, NumRequestsFinishedWithMetric: f.Answers, TotalMetricValue: m.value})
+	}{{utilMetric, f.Utilization}, {loadsMetric, f.PendingLoads}, {pinnedMetric, f.PinnedMemory}} {
+		out = append(out, &endpoint.EndpointLoadMetricStats{MetricName: m.name, NumRequestsFinishedWithMetric: f.Reports, TotalMetricValue: m.value})
 	}
 	return out
 }
@@ -181,19 +181,19 @@
 				if a == nil {
 					continue
 				}
-				line := loadreport.Line{Address: net.JoinHostPort(a.GetAddress(), strconv.FormatUint(uint64(a.GetPortValue()), 10)), InFlight: e.GetTotalRequestsInProgress(),
-					Counts: loadreport.Counts{Issued: e.GetTotalIssuedRequests(), Finished: e.GetTotalSuccessfulRequests(), Errored: e.GetTotalErrorRequests()}}
+				line := loadreport.EndpointStats{Address: net.JoinHostPort(a.GetAddress(), strconv.FormatUint(uint64(a.GetPortValue()), 10)), InFlight: e.GetTotalRequestsInProgress(),
+					Counts: loadreport.Counts{Issued: e.GetTotalIssuedRequests(), Succeeded: e.GetTotalSuccessfulRequests(), Failed: e.GetTotalErrorRequests()}}
 				for _, m := range e.GetLoadMetricStats() {
-					switch line.Answers = max(line.Answers, m.GetNumRequestsFinishedWithMetric()); m.GetMetricName() {
+					switch line.Reports = max(line.Reports, m.GetNumRequestsFinishedWithMetric()); m.GetMetricName() {
 					case utilMetric:
-						line.Util = m.GetTotalMetricValue()
+						line.Utilization = m.GetTotalMetricValue()
 					case loadsMetric:
-						line.Loads = m.GetTotalMetricValue()
+						line.PendingLoads = m.GetTotalMetricValue()
 					case pinnedMetric:
-						line.Pinned = m.GetTotalMetricValue()
+						line.PinnedMemory = m.GetTotalMetricValue()
 					}
 				}
-				r.Lines = append(r.Lines, line)
+				r.Endpoints = append(r.Endpoints, line)
 			}
 		}
 	}
--- a/internal/xds/secrets.go
+++ b/internal/xds/secrets.go
@@ -20,8 +20,8 @@
 
 // Keys is who takes in secrets. Errors say why one is not taken, and go back to the service.
 type Keys interface {
-	OfferPair(chain, key []byte) error
-	OfferPeers(authorities, revoked []byte) error
+	UpdateKeyPair(chain, key []byte) error
+	UpdateAuthorities(authorities, revoked []byte) error
 }
 
 // Secrets is the client's side of the secret discovery protocol (SDS), state of the world, for one certificate and one set of
@@ -107,7 +107,7 @@
 		if err != nil {
 			return err
 		}
-		return s.keys.OfferPair(chain, key)
+		return s.keys.UpdateKeyPair(chain, key)
 	case x.GetValidationContext() != nil:
 		c := x.GetValidationContext()
 		authorities, err := inline(c.GetTrustedCa())
@@ -120,7 +120,7 @@
 				return err
 			}
 		}
-		return s.keys.OfferPeers(authorities, revoked)
+		return s.keys.UpdateAuthorities(authorities, revoked)
 	}
 	return errors.New("neither a certificate nor a set of authorities")
 }
--- a/internal/xds/view.go
+++ b/internal/xds/view.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	v := &View{gatherer: &gatherer{got: loadreport.NewGathered(mostStreams)}, cache: cache.NewSnapshotCache(true, everyone{}, nil), address: l.Addr().String(), stop: stop, done: make(chan struct{}),
+	v := &View{gatherer: &gatherer{got: loadreport.NewAggregator(mostStreams)}, cache: cache.NewSnapshotCache(true, everyone{}, nil), address: l.Addr().String(), stop: stop, done: make(chan struct{}),
 		server: grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(mostStreams), grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleConn}),
 			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))}
 	s := server.NewServer(ctx, v.cache, nil)
