--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -43,26 +43,26 @@
 }
 
 func (c cli) run() error {
-	files, err := record.Files(c.Paths)
+	files, err := record.ExpandPaths(c.Paths)
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
 	if c.All {
-		alike, err := explain.All(files)
+		alike, err := explain.VerifyAll(files)
 		if err == nil {
 			fmt.Printf("%d decisions, all explained as they were recorded\n", alike)
 		}
 		return err
 	}
 	if c.At != 0 {
-		jobs, err := explain.Near(files, control.Micros(c.At), control.Micros(c.Span))
+		jobs, err := explain.RequestsNear(files, control.Micros(c.At), control.Micros(c.Span))
 		for _, j := range jobs {
 			fmt.Println(j)
 		}
 		return err
 	}
 	if c.Asked != "" {
-		job, err := explain.Requested(files, record.Tag(c.Key, c.Asked))
+		job, err := explain.FindRequest(files, record.Tag(c.Key, c.Asked))
 		if err != nil {
 			return program.UsageError{Err: err}
 		}
@@ -71,15 +71,15 @@
 	if c.Job == 0 {
 		return program.UsageError{Err: errors.New("name a job with --job or a time with --at, or ask for --all")}
 	}
-	q := explain.Question{Job: control.RequestID(c.Job)}
+	q := explain.Question{Request: control.RequestID(c.Job)}
 	if c.WhatIf != "" {
-		change, err := explain.ReadChange(c.WhatIf)
+		change, err := explain.ParseChange(c.WhatIf)
 		if err != nil {
 			return program.UsageError{Err: err}
 		}
-		q.If = &change
+		q.WhatIf = &change
 	}
-	answers, err := explain.Job(files, q)
+	answers, err := explain.Request(files, q)
 	if errors.Is(err, record.ErrNewer) {
 		return program.UsageError{Err: err}
 	}
--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -99,7 +99,7 @@
 	span := map[string]int64{"hour": history.Hour, "day": history.Day, "all": math.MaxInt64}[c.Step]
 	type place struct {
 		at  int64
-		who history.Who
+		who history.Subject
 	}
 	sums := map[place]*history.Row{}
 	// A row of a coarse level that began before from belongs to it in part; it is shown whole.
@@ -121,11 +121,11 @@
 		case span > 0:
 			r.At = r.At / span * span
 		}
-		at := place{r.At, r.Who}
+		at := place{r.At, r.Subject}
 		if sums[at] == nil {
-			sums[at] = &history.Row{At: r.At, Who: r.Who}
+			sums[at] = &history.Row{At: r.At, Subject: r.Subject}
 		}
-		sums[at].Merge(r.Use)
+		sums[at].Merge(r.Usage)
 		return nil
 	})
 	if errors.Is(err, history.ErrNewer) || errors.Is(err, os.ErrNotExist) {
@@ -148,8 +148,8 @@
 
 func cells(r history.Row) []string {
 	n := func(v int64) string { return strconv.FormatInt(v, 10) }
-	return []string{time.UnixMicro(r.At).UTC().Format("2006-01-02T15:04Z"), r.Function, r.Tenant, n(r.Jobs), n(r.InTime), n(r.PushedBack), n(r.Killed),
-		n(r.Executions), n(r.Loads), n(r.Quantile(0.5)), n(r.Quantile(0.9)), n(r.Quantile(0.99))}
+	return []string{time.UnixMicro(r.At).UTC().Format("2006-01-02T15:04Z"), r.Function, r.Tenant, n(r.Requests), n(r.WithinObjective), n(r.Rejected), n(r.Failed),
+		n(r.Attempts), n(r.Loads), n(r.Quantile(0.5)), n(r.Quantile(0.9)), n(r.Quantile(0.99))}
 }
 
 func (c cli) csv(rows []history.Row) error {
--- a/cmd/hmhistory/plot.go
+++ b/cmd/hmhistory/plot.go
@@ -19,11 +19,11 @@
 func shown(what string, r history.Row) float64 {
 	switch what {
 	case "in-time":
-		return float64(r.InTime) / float64(max(1, r.Jobs))
+		return float64(r.WithinObjective) / float64(max(1, r.Requests))
 	case "pushed-back":
-		return float64(r.PushedBack)
+		return float64(r.Rejected)
 	case "killed":
-		return float64(r.Killed)
+		return float64(r.Failed)
 	case "loads":
 		return float64(r.Loads)
 	case "p50":
@@ -31,7 +31,7 @@
 	case "p99":
 		return float64(r.Quantile(0.99)) / 1000
 	}
-	return float64(r.Jobs)
+	return float64(r.Requests)
 }
 
 // titles name the axes.
@@ -50,16 +50,16 @@
 	if len(rows) == 0 {
 		return errors.New("nothing to draw: no row is in that time")
 	}
-	lines, jobs := map[history.Who]plotter.XYs{}, map[history.Who]int64{}
-	var order []history.Who
+	lines, jobs := map[history.Subject]plotter.XYs{}, map[history.Subject]int64{}
+	var order []history.Subject
 	for _, r := range rows {
-		if lines[r.Who] == nil {
-			order = append(order, r.Who)
+		if lines[r.Subject] == nil {
+			order = append(order, r.Subject)
 		}
-		lines[r.Who] = append(lines[r.Who], plotter.XY{X: float64(r.At) / 1e6, Y: shown(what, r)})
-		jobs[r.Who] += r.Jobs
+		lines[r.Subject] = append(lines[r.Subject], plotter.XY{X: float64(r.At) / 1e6, Y: shown(what, r)})
+		jobs[r.Subject] += r.Requests
 	}
-	slices.SortStableFunc(order, func(a, b history.Who) int { return cmp.Compare(jobs[b], jobs[a]) })
+	slices.SortStableFunc(order, func(a, b history.Subject) int { return cmp.Compare(jobs[b], jobs[a]) })
 	p := plot.New()
 	p.Y.Label.Text, p.X.Label.Text = titles[what], "time (UTC)"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "01-02\n15:04"}
--- a/cmd/hmmodelcheck/main.go
+++ b/cmd/hmmodelcheck/main.go
@@ -182,16 +182,16 @@
 		return program.UsageError{Err: err}
 	}
 	defer s.Close()
-	p, err := replay.From(s.Checkpoint)
+	p, err := replay.NewPlayer(s.Checkpoint)
 	if err != nil {
 		return err
 	}
 	now := control.Micros(0)
-	err = s.Turns(func(n uint64, t record.Turn) error {
+	err = s.ForEachStep(func(n uint64, t record.Step) error {
 		if n > m.Turn {
 			return errThere
 		}
-		p.Turn(t)
+		p.Step(t)
 		now = t.Clock
 		return nil
 	})
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -40,13 +40,13 @@
 }
 
 func (c cli) run() error {
-	files, err := record.Files(c.Paths)
+	files, err := record.ExpandPaths(c.Paths)
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
-	r := replay.Range{From: c.From, Until: c.Until, Job: control.RequestID(c.Job)}
+	r := replay.Range{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
 	if c.Show {
-		r.Shown = func(turn uint64, clock control.Micros, d record.Deed) { fmt.Printf("%d %d %s\n", turn, clock, d) }
+		r.OnCommand = func(turn uint64, clock control.Micros, d record.Command) { fmt.Printf("%d %d %s\n", turn, clock, d) }
 	}
 	begun := time.Now()
 	a, err := replay.Play(files, r)
@@ -59,13 +59,13 @@
 		return err
 	}
 	played := time.Duration(a.Last-a.First) * time.Microsecond
-	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", a.Segments, a.Turns, a.Deeds,
+	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", a.Segments, a.Steps, a.Commands,
 		played.Round(time.Millisecond), took.Round(time.Millisecond), played.Seconds()/took.Seconds())
 	if a.Stalls > 0 {
 		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n", a.Stalls, time.Duration(a.LongestStall)*time.Microsecond)
 	}
-	if a.Lost > 0 {
-		fmt.Printf("%d turns were lost by the recording\n", a.Lost)
+	if a.LostSteps > 0 {
+		fmt.Printf("%d turns were lost by the recording\n", a.LostSteps)
 	}
 	for _, d := range a.Damaged {
 		fmt.Println(d)
--- a/internal/chaostest/lab_test.go
+++ b/internal/chaostest/lab_test.go
@@ -105,15 +105,15 @@
 		t.Fatal(err)
 	}
 	for _, r := range []string{"router-0", "router-1"} {
-		files, err := record.Segments(filepath.Join(d.Record, r))
+		files, err := record.ListSegments(filepath.Join(d.Record, r))
 		if err != nil {
 			t.Fatal(err)
 		}
 		a, err := replay.Play(files, replay.Range{})
-		if err != nil || a.Lost > 0 || a.Deeds < 500 {
+		if err != nil || a.LostSteps > 0 || a.Commands < 500 {
 			t.Errorf("%s: %+v, %v", r, a, err)
 		}
-		if n, err := explain.All(files); err != nil || n < 300 {
+		if n, err := explain.VerifyAll(files); err != nil || n < 300 {
 			t.Errorf("%s: %d explained, %v", r, n, err)
 		}
 		plantedBuild(t, files)
@@ -153,10 +153,10 @@
 	}
 	defer s.Close()
 	want, found := "", errors.New("found")
-	s.Turns(func(n uint64, turn record.Turn) error {
-		for _, d := range turn.Did {
-			if d.Verb == record.Alarm && d.Time == turn.Clock+200_000 {
-				want = fmt.Sprintf("turn %d at %d us, job 0: then %q, now %q", n, turn.Clock, d, record.Deed{Verb: record.Alarm, Time: d.Time + 1})
+	s.ForEachStep(func(n uint64, turn record.Step) error {
+		for _, d := range turn.Commands {
+			if d.Kind == record.CommandSetTimer && d.Time == turn.Clock+200_000 {
+				want = fmt.Sprintf("turn %d at %d us, job 0: then %q, now %q", n, turn.Clock, d, record.Command{Kind: record.CommandSetTimer, Time: d.Time + 1})
 				return found
 			}
 		}
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -104,7 +104,7 @@
 		if err := operate("/router/record/stop"); err != nil {
 			return m, err
 		}
-		files, err := record.Segments(folder)
+		files, err := record.ListSegments(folder)
 		if err != nil {
 			return m, err
 		}
@@ -118,7 +118,7 @@
 		took += time.Since(begun)
 		length += float64(a.Last-a.First) / 1e6
 		jobs += m.Jobs
-		sum.Lost += a.Lost
+		sum.Lost += a.LostSteps
 		return m, err
 	})
 	if err == nil {
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -127,19 +127,19 @@
 // change makes the memory of a router that is down what the day says: nothing but its journal, old by a month, or of quite another day, on which
 // copies stood elsewhere and answers came three times as fast.
 func (p *play) change(router int) error {
-	dir := persistence.Folder(p.memory(router))
+	dir := persistence.Dir(p.memory(router))
 	if p.day.Memory == "kept" {
 		return nil
 	}
 	if p.day.Memory == "limits" {
-		for _, name := range persistence.Files {
+		for _, name := range persistence.GenerationFiles {
 			if err := os.Remove(filepath.Join(string(dir), name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
 		return nil
 	}
-	for _, name := range persistence.Files {
+	for _, name := range persistence.GenerationFiles {
 		b, err := dir.Read(name)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
@@ -151,7 +151,7 @@
 		if err != nil {
 			return err
 		}
-		if m := k.Module; p.day.Memory == "old" {
+		if m := k.Learned; p.day.Memory == "old" {
 			age(m, 30*24*3600*1_000_000)
 		} else {
 			otherDay(m)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -15,30 +15,30 @@
 )
 
 // Answer is one decision about a job.
-type Answer struct {
-	File  string                `json:"File"`
-	Turn  uint64                `json:"Turn"`
-	List  List                  `json:"List"` // what the decision rests on
-	Check *control.ReplicaCheck `json:"Check"`
-	Why   control.Explanation   `json:"Why"`
-	If    string                `json:"If,omitempty"` // what was changed before it was asked again
+type Decision struct {
+	File        string                `json:"File"`
+	Step        uint64                `json:"Turn"`
+	Endpoints   EndpointList          `json:"List"` // what the decision rests on
+	Check       *control.ReplicaCheck `json:"Check"`
+	Explanation control.Explanation   `json:"Why"`
+	WhatIf      string                `json:"If,omitempty"` // what was changed before it was asked again
 }
 
 // List names the list of servers that was known: when it was heard, and how many had been heard in the recording before.
 // Heard is 0 where it came before the recording began.
-type List struct {
-	Heard   control.Micros `json:"Heard"`
-	Version int            `json:"Version"`
+type EndpointList struct {
+	ReceivedAt control.Micros `json:"Heard"`
+	Version    int            `json:"Version"`
 }
 
 // Change is something to be different before a decision is asked again.
 type Change struct {
-	What   string // drain, ready, slot or no-report
+	Kind   string // drain, ready, slot or no-report
 	Server control.ServerID
 }
 
 // ReadChange reads a change as drain=SERVER, ready=SERVER, slot=SERVER or no-report=SERVER, the server's id in hex.
-func ReadChange(text string) (Change, error) {
+func ParseChange(text string) (Change, error) {
 	what, id, ok := strings.Cut(text, "=")
 	n, err := strconv.ParseUint(id, 16, 64)
 	if !ok || err != nil {
@@ -58,7 +58,7 @@
 		if v.Endpoint.Server != c.Server {
 			continue
 		}
-		switch c.What {
+		switch c.Kind {
 		case "drain":
 			v.Endpoint.State = control.Draining
 		case "ready":
@@ -75,25 +75,25 @@
 
 // Question says which decisions are meant.
 type Question struct {
-	Job control.RequestID
-	If  *Change // asked again, at the job's first decision, with this changed
+	Request control.RequestID
+	WhatIf  *Change // asked again, at the job's first decision, with this changed
 }
 
 // Near lists the jobs that were decided about within a span round a time, in order, each once.
-func Near(files []string, at, span control.Micros) (jobs []control.RequestID, err error) {
+func RequestsNear(files []string, at, span control.Micros) (jobs []control.RequestID, err error) {
 	seen := map[control.RequestID]bool{}
 	for _, name := range files {
 		s, err := record.OpenSegment(name)
 		if err != nil {
 			return jobs, err
 		}
-		err = s.Turns(func(_ uint64, t record.Turn) error {
+		err = s.ForEachStep(func(_ uint64, t record.Step) error {
 			if t.Clock < at-span || t.Clock > at+span {
 				return nil
 			}
-			for _, d := range t.Did {
-				if d.Job != 0 && !seen[d.Job] {
-					seen[d.Job], jobs = true, append(jobs, d.Job)
+			for _, d := range t.Commands {
+				if d.Request != 0 && !seen[d.Request] {
+					seen[d.Request], jobs = true, append(jobs, d.Request)
 				}
 			}
 			return nil
@@ -107,16 +107,16 @@
 }
 
 // Requested finds a request's job by the tag of its id; the last one, where an id was used again.
-func Requested(files []string, tag uint64) (job control.RequestID, err error) {
+func FindRequest(files []string, tag uint64) (job control.RequestID, err error) {
 	for _, name := range files {
 		s, err := record.OpenSegment(name)
 		if err != nil {
 			return job, err
 		}
-		err = s.Turns(func(_ uint64, t record.Turn) error {
-			for _, n := range t.Heard {
-				if n.Arrived != nil && n.Request == tag {
-					job = n.Arrived.ID
+		err = s.ForEachStep(func(_ uint64, t record.Step) error {
+			for _, n := range t.Events {
+				if n.Added != nil && n.ClientTag == tag {
+					job = n.Added.ID
 				}
 			}
 			return nil
@@ -136,14 +136,14 @@
 var ErrNoDecision = errors.New("the recording holds no decision about this job")
 
 // Job explains all decisions about a job.
-func Job(files []string, q Question) (answers []Answer, err error) {
+func Request(files []string, q Question) (answers []Decision, err error) {
 	for _, name := range files {
 		found, err := segment(name, q)
 		if err != nil && !errors.Is(err, record.ErrDamaged) {
 			return answers, err
 		}
 		answers = append(answers, found...)
-		if q.If != nil && len(answers) > 0 {
+		if q.WhatIf != nil && len(answers) > 0 {
 			return answers[:min(2, len(answers))], nil
 		}
 	}
@@ -155,7 +155,7 @@
 
 // All plays recordings and holds every explanation against the decision that was recorded. It gives how many were alike;
 // the error names the first that was not.
-func All(files []string) (alike uint64, err error) {
+func VerifyAll(files []string) (alike uint64, err error) {
 	for _, name := range files {
 		err := func() error {
 			s, err := record.OpenSegment(name)
@@ -163,7 +163,7 @@
 				return err
 			}
 			defer s.Close()
-			p, err := replay.From(s.Checkpoint)
+			p, err := replay.NewPlayer(s.Checkpoint)
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -175,12 +175,12 @@
 			}}); err != nil {
 				return err
 			}
-			return s.Turns(func(n uint64, t record.Turn) error {
+			return s.ForEachStep(func(n uint64, t record.Step) error {
 				whys = whys[:0]
-				p.Turn(t)
+				p.Step(t)
 				i := 0
-				for _, d := range t.Did {
-					if d.Verb != record.Send && d.Verb != record.PushBack && d.Verb != record.Kill {
+				for _, d := range t.Commands {
+					if d.Kind != record.CommandForward && d.Kind != record.CommandReject && d.Kind != record.CommandFail {
 						continue
 					}
 					if i >= len(whys) || !fits(whys[i], d) {
@@ -203,23 +203,23 @@
 }
 
 // fits tells whether an explanation is of a recorded deed.
-func fits(w control.Explanation, d record.Deed) bool {
+func fits(w control.Explanation, d record.Command) bool {
 	p := w.Decision
-	switch d.Verb {
-	case record.Send:
-		return p.Action == control.Forward && w.Request == d.Job && p.Server == d.Server && p.Timeout == d.Time
-	case record.PushBack:
-		return p.Action == control.Reject && w.Request == d.Job && p.RetryAfter == d.Time
+	switch d.Kind {
+	case record.CommandForward:
+		return p.Action == control.Forward && w.Request == d.Request && p.Server == d.Server && p.Timeout == d.Time
+	case record.CommandReject:
+		return p.Action == control.Reject && w.Request == d.Request && p.RetryAfter == d.Time
 	}
-	return p.Action == control.Fail && w.Request == d.Job
+	return p.Action == control.Fail && w.Request == d.Request
 }
 
 // listener gathers what the module tells about one job.
 type listener struct {
 	job     control.RequestID
-	at      Answer
+	at      Decision
 	checks  map[control.FunctionID]control.ReplicaCheck
-	answers []Answer
+	answers []Decision
 }
 
 func (l *listener) trace() *control.Trace {
@@ -230,7 +230,7 @@
 				return
 			}
 			a := l.at
-			a.Why = w
+			a.Explanation = w
 			if c, ok := l.checks[w.Function]; ok {
 				a.Check = &c
 			}
@@ -238,36 +238,36 @@
 		}}
 }
 
-func segment(name string, q Question) ([]Answer, error) {
+func segment(name string, q Question) ([]Decision, error) {
 	s, err := record.OpenSegment(name)
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
-	p, err := replay.From(s.Checkpoint)
+	p, err := replay.NewPlayer(s.Checkpoint)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	l := &listener{job: q.Job, at: Answer{File: name}, checks: map[control.FunctionID]control.ReplicaCheck{}}
+	l := &listener{job: q.Request, at: Decision{File: name}, checks: map[control.FunctionID]control.ReplicaCheck{}}
 	if err := p.Core.SetTrace(l.trace()); err != nil {
 		return nil, err
 	}
-	err = s.Turns(func(n uint64, t record.Turn) error {
-		l.at.Turn = n
-		for _, news := range t.Heard {
-			if news.Listed != nil {
-				l.at.List = List{t.Clock, l.at.List.Version + 1}
+	err = s.ForEachStep(func(n uint64, t record.Step) error {
+		l.at.Step = n
+		for _, news := range t.Events {
+			if news.Endpoints != nil {
+				l.at.Endpoints = EndpointList{t.Clock, l.at.Endpoints.Version + 1}
 			}
 		}
 		var before *core.Snapshot
-		if q.If != nil && arrives(t, q.Job) {
+		if q.WhatIf != nil && arrives(t, q.Request) {
 			if before, err = p.Core.Snapshot(); err != nil {
 				return err
 			}
 		}
-		p.Turn(t)
+		p.Step(t)
 		if before != nil {
-			return l.again(before, t, *q.If)
+			return l.again(before, t, *q.WhatIf)
 		}
 		return nil
 	})
@@ -277,9 +277,9 @@
 	return l.answers, err
 }
 
-func arrives(t record.Turn, id control.RequestID) bool {
-	for _, n := range t.Heard {
-		if n.Arrived != nil && n.Arrived.ID == id {
+func arrives(t record.Step, id control.RequestID) bool {
+	for _, n := range t.Events {
+		if n.Added != nil && n.Added.ID == id {
 			return true
 		}
 	}
@@ -289,11 +289,11 @@
 var errAsked = errors.New("asked again")
 
 // again plays one turn a second time with something changed, and ends.
-func (l *listener) again(before *core.Snapshot, t record.Turn, c Change) error {
+func (l *listener) again(before *core.Snapshot, t record.Step, c Change) error {
 	if err := c.apply(before); err != nil {
 		return err
 	}
-	p, err := replay.From(before)
+	p, err := replay.NewPlayer(before)
 	if err != nil {
 		return err
 	}
@@ -301,9 +301,9 @@
 	if err := p.Core.SetTrace(l.trace()); err != nil {
 		return err
 	}
-	p.Turn(t)
+	p.Step(t)
 	for i := first; i < len(l.answers); i++ {
-		l.answers[i].If = fmt.Sprintf("%s=%x", c.What, c.Server)
+		l.answers[i].WhatIf = fmt.Sprintf("%s=%x", c.Kind, c.Server)
 	}
 	return errAsked
 }
@@ -311,22 +311,22 @@
 var verbs = [...]string{"nothing", "send", "hold", "push back", "kill"}
 
 // Text tells an answer in plain words.
-func (a Answer) Text() string {
-	w := a.Why
+func (a Decision) Text() string {
+	w := a.Explanation
 	var b strings.Builder
 	put := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
-	put("turn %d at %d us: %s", a.Turn, w.Now, verbs[w.Decision.Action])
+	put("turn %d at %d us: %s", a.Step, w.Now, verbs[w.Decision.Action])
 	if w.Decision.Action == control.Forward {
 		put(" to server %x", w.Decision.Server)
 	}
-	if a.If != "" {
-		put(", if %s", a.If)
+	if a.WhatIf != "" {
+		put(", if %s", a.WhatIf)
 	}
 	put("\n  because %s\n", w.Reason)
-	if a.List.Heard == 0 {
+	if a.Endpoints.ReceivedAt == 0 {
 		put("  list: as known when the recording began\n")
 	} else {
-		put("  list: number %d of the recording, heard at %d us\n", a.List.Version, a.List.Heard)
+		put("  list: number %d of the recording, heard at %d us\n", a.Endpoints.Version, a.Endpoints.ReceivedAt)
 	}
 	put("  execution time %d us, start target %d us, B %.2f, slack left %d us (margin %d us), load time %d us, held for the function %d\n",
 		w.ExecTime, w.Objective, w.B, w.Slack, w.Margin, w.LoadTime, w.Held)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,12 +22,12 @@
 	now := control.Micros(5_000_000)
 	c := core.New(control.New(now, 1, told), core.NoopExecutor{})
 	dir := t.TempDir()
-	w, err := record.Open(dir, record.Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, record.Header{Life: "a"}, c.Snapshot, zerolog.Nop())
+	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, c.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetRecorder(w.Tape())
-	w.Begin(now)
+	c.SetRecorder(w.Recorder())
+	w.BeginSegment(now)
 	list := func(second control.ServerState) {
 		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: second, Weight: 1}})
 	}
@@ -44,7 +44,7 @@
 	job(2, 8)
 	c.Step(now)
 	w.Close()
-	files, err := record.Segments(dir)
+	files, err := record.ListSegments(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,25 +54,25 @@
 func TestJobTellsWhyAndOnWhichList(t *testing.T) {
 	files := recorded(t)
 	for job, version := range map[control.RequestID]int{1: 1, 2: 2} {
-		first, err := Job(files, Question{Job: job})
+		first, err := Request(files, Question{Request: job})
 		if err != nil || len(first) != 1 {
 			t.Fatalf("job %d: %+v, %v", job, first, err)
 		}
 		a := first[0]
-		if a.List.Version != version || a.Why.Reason != "no copy stands or comes" || a.Why.Decision.Action != control.Forward || len(a.Why.Servers) != 2 {
+		if a.Endpoints.Version != version || a.Explanation.Reason != "no copy stands or comes" || a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
 			t.Errorf("job %d: %+v", job, a)
 		}
-		if barred := a.Why.Servers[1].Unusable != ""; barred != (job == 2) {
-			t.Errorf("job %d: server 2 is %q", job, a.Why.Servers[1].Unusable)
+		if barred := a.Explanation.Servers[1].Unusable != ""; barred != (job == 2) {
+			t.Errorf("job %d: server 2 is %q", job, a.Explanation.Servers[1].Unusable)
 		}
-		if text := a.Text(); !strings.Contains(text, a.Why.Reason) || !strings.Contains(text, "server 2") {
+		if text := a.Text(); !strings.Contains(text, a.Explanation.Reason) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
-		if again, err := Job(files, Question{Job: job}); err != nil || !reflect.DeepEqual(first, again) {
+		if again, err := Request(files, Question{Request: job}); err != nil || !reflect.DeepEqual(first, again) {
 			t.Errorf("another run tells otherwise: %+v, %v", again, err)
 		}
 	}
-	if _, err := Job(files, Question{Job: 3}); !errors.Is(err, ErrNoDecision) {
+	if _, err := Request(files, Question{Request: 3}); !errors.Is(err, ErrNoDecision) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -80,7 +80,7 @@
 func TestNear(t *testing.T) {
 	files := recorded(t)
 	for at, want := range map[control.Micros][]control.RequestID{5_000_000: {1}, 5_002_000: {2}, 9_000_000: nil} {
-		if jobs, err := Near(files, at, 500); err != nil || !reflect.DeepEqual(jobs, want) {
+		if jobs, err := RequestsNear(files, at, 500); err != nil || !reflect.DeepEqual(jobs, want) {
 			t.Errorf("at %d: %v, %v", at, jobs, err)
 		}
 	}
@@ -88,26 +88,26 @@
 
 func TestWhatIf(t *testing.T) {
 	files := recorded(t)
-	plain, err := Job(files, Question{Job: 2}) // by then both servers are known
-	if err != nil || plain[0].Why.Decision.Server != 1 {
+	plain, err := Request(files, Question{Request: 2}) // by then both servers are known
+	if err != nil || plain[0].Explanation.Decision.Server != 1 {
 		t.Fatalf("%+v, %v", plain, err)
 	}
 	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward, "no-report=1": control.Forward, "ready=2": control.Forward} {
-		c, err := ReadChange(change)
+		c, err := ParseChange(change)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Job(files, Question{Job: 2, If: &c})
-		if err != nil || len(got) != 2 || got[0].If != "" || got[1].If != change || got[1].Why.Decision.Action != want {
+		got, err := Request(files, Question{Request: 2, WhatIf: &c})
+		if err != nil || len(got) != 2 || got[0].WhatIf != "" || got[1].WhatIf != change || got[1].Explanation.Decision.Action != want {
 			t.Errorf("%s: %+v, %v", change, got, err)
 		}
 	}
 	c := Change{"drain", 9}
-	if _, err := Job(files, Question{Job: 2, If: &c}); err == nil {
+	if _, err := Request(files, Question{Request: 2, WhatIf: &c}); err == nil {
 		t.Error("a server that nobody knows was drained")
 	}
 	for _, text := range []string{"", "drain", "drain=", "drain=xyz", "flood=1"} {
-		if c, err := ReadChange(text); err == nil {
+		if c, err := ParseChange(text); err == nil {
 			t.Errorf("%q: got %+v", text, c)
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,8 +44,8 @@
 
 	// The turn's own; touched by no other goroutine.
 	core       *core.Core
-	writer     *record.Writer // nil: nothing is recorded
-	tape       *record.Tape   // the writer's
+	writer     *record.Writer   // nil: nothing is recorded
+	tape       *record.Recorder // the writer's
 	recent     recent
 	view       *xds.View // nil: ours is not served
 	tally      *loadreport.Collector
@@ -101,7 +101,7 @@
 	client     *rest.Conn
 	seen       atomic.Int64 // when the client was last looked at and had not gone, the router's time
 	mark       string
-	kept       persistence.Mark // for the journal
+	kept       persistence.IdempotencyKey // for the journal
 	patience   control.Micros
 	workload   control.ClassID
 	tenant     string
@@ -367,7 +367,7 @@
 	if g.keeper != nil {
 		g.keeper.last = g.kept(g.now())
 		if g.keeper.tally != nil {
-			g.keeper.lastUse = g.keeper.tally.Take()
+			g.keeper.lastUse = g.keeper.tally.Drain()
 		}
 	}
 	close(g.ended)
@@ -376,7 +376,7 @@
 		g.core.SetRecorder(nil)
 		g.tape = nil
 		g.writer.Close()
-		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
+		g.log.Info().Int64("bytes", g.writer.WrittenBytes()).Int64("lost_turns", g.writer.LostSteps()).Msg("recording ended")
 	}
 	g.closePools()
 	settled := make(chan struct{})
@@ -469,7 +469,7 @@
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
 	} else if g.tape != nil && ask.ID != "" {
-		g.tape.Asked(record.Tag(g.told.NameKey, ask.ID))
+		g.tape.SetClientTag(record.Tag(g.told.NameKey, ask.ID))
 	}
 	g.log.Debug().Uint64("job", uint64(j.id)).Str("request", ask.ID).Str("function", j.name).Msg("taken")
 }
@@ -518,25 +518,25 @@
 	j.executions = append(j.executions, s)
 	j.state.AttemptBegan()
 	g.tally.AttemptBegan(g.fleet.Get(to).Address)
-	g.recent.add(g.clock, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
+	g.recent.add(g.clock, record.Command{Kind: record.CommandForward, Request: cj.ID, Attempt: no, Server: to, Time: allow})
 	g.dispatch(s)
 }
 
 // Reject and Kill end a job.
 func (g *Gateway) Reject(id control.RequestID, stayAway control.Micros) {
-	g.recent.add(g.clock, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
+	g.recent.add(g.clock, record.Command{Kind: record.CommandReject, Request: id, Time: stayAway})
 	g.end(g.jobs[id], "pushed back", pushedBack("not now: it could not be finished in time", g.spread(g.jobs[id], stayAway)))
 }
 
 // Fail ends a job of which nothing may be promised.
 func (g *Gateway) Fail(id control.RequestID) {
-	g.recent.add(g.clock, record.Deed{Verb: record.Kill, Job: id})
+	g.recent.add(g.clock, record.Command{Kind: record.CommandFail, Request: id})
 	g.end(g.jobs[id], "killed", killed("the job may have run; its end is not known"))
 }
 
 // CancelAttempt stops waiting for an execution.
 func (g *Gateway) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	g.recent.add(g.clock, record.Deed{Verb: record.CallOff, Job: id, No: no})
+	g.recent.add(g.clock, record.Command{Kind: record.CommandCancelAttempt, Request: id, Attempt: no})
 	if j := g.jobs[id]; j != nil && int(no) < len(j.executions) {
 		j.executions[no].callOff()
 	}
@@ -548,14 +548,14 @@
 	s := g.sending(o.Server, micros(g.told.LoadTimeout))
 	s.order = o
 	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		s.round = g.keeper.Append(persistence.Entry{Kind: persistence.Ordered, At: g.clock, Server: o.Server})
+		s.round = g.keeper.Append(persistence.Entry{Kind: persistence.EntryLoadCommand, At: g.clock, Server: o.Server})
 	}
 	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.orders++
 	g.metrics.orders.Inc()
 	g.useOrdered(g.jobs[cj.ID])
-	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
+	g.recent.add(g.clock, record.Command{Kind: record.CommandLoad, Request: cj.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
 	g.dispatch(s)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -631,14 +631,14 @@
 		t.Fatal(err)
 	}
 	f.ended <- nil
-	files, err := record.Segments(dir)
+	files, err := record.ListSegments(dir)
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Deeds == 0 {
+	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Commands == 0 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if j, err := explain.Requested(files, record.Tag("", "second")); err != nil || j != 2 {
+	if j, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || j != 2 {
 		t.Errorf("the second request is job %d, %v", j, err)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -21,9 +21,9 @@
 type keeper struct {
 	store *persistence.Store
 	*persistence.Journal
-	marks   *persistence.Marks // the turn's own
-	tally   *history.Tally     // the turn's own; nil: no history
-	taken   int                // jobs since first, not yet in the journal; the turn's own
+	marks   *persistence.KeyIndex // the turn's own
+	tally   *history.Collector    // the turn's own; nil: no history
+	taken   int                   // jobs since first, not yet in the journal; the turn's own
 	first   control.Micros
 	uses    *history.Store
 	unlock  func()
@@ -33,8 +33,8 @@
 	usual   *overload.Baseline // of calls, in the last run; nil: not known
 	age     control.Micros     // of that
 	clock   persistence.Clock  // of this life
-	last    *persistence.Kept  // set before the gateway's end is told
-	lastUse *history.Taken     // so too
+	last    *persistence.State // set before the gateway's end is told
+	lastUse *history.Batch     // so too
 	failed  bool
 }
 
@@ -50,49 +50,49 @@
 func openKeeper(told *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
 	files := told.files
 	if files == nil {
-		files = persistence.System{}
+		files = persistence.OSFileSystem{}
 	}
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.Patiently(startPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
+	err := persistence.RetryTransient(startPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownAfter(err)
 	}
-	store, found := persistence.Look(persistence.Folder(told.StateDir), told.owner())
-	for _, line := range found.Told {
+	store, found := persistence.OpenStore(persistence.Dir(told.StateDir), told.owner())
+	for _, line := range found.Warnings {
 		log.Warn().Msg("memory: " + line)
 	}
 	learned := &control.LearnedState{}
 	var usual *overload.Baseline
 	var age control.Micros
-	if k := found.Kept; k != nil {
-		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.SavedAt)
-		if k.Meets(clock, now); k.Module.SavedAt > 0 {
-			age = now - k.Module.SavedAt // exactly
+	if k := found.State; k != nil {
+		learned, usual, age = k.Learned, k.Overload, max(0, now-k.Learned.SavedAt)
+		if k.Rebase(clock, now); k.Learned.SavedAt > 0 {
+			age = now - k.Learned.SavedAt // exactly
 		}
-		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Module.Functions)).
-			Int("servers", len(k.Module.Servers)).Msg("memory of an earlier run recalled")
+		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Learned.Functions)).
+			Int("servers", len(k.Learned.Servers)).Msg("memory of an earlier run recalled")
 	}
-	if !found.Write {
+	if !found.Writable {
 		unlock()
 		return nil, 0
 	}
 	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.StateInterval, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.JournalSync, Keep: micros(told.KeyRetention), Most: journalMost, Clock: clock, Now: now,
-		Failed: func(err error) {
+	journal, entries, lines, err := persistence.JournalOptions{FileSystem: files, Sync: told.JournalSync, Retention: micros(told.KeyRetention), MaxBytes: journalMost, Clock: clock, Now: now,
+		OnFailure: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
 			} else {
 				log.Info().Msg("the journal is written again")
 			}
 		},
-		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.StateDir)
+		OnWarning: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.StateDir)
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
 	if err == nil {
-		k.marks = journal.Past(entries).Recalled(learned, micros(told.KeyRetention), told.MaxKeys)
+		k.marks = journal.Recovered(entries).Apply(learned, micros(told.KeyRetention), told.MaxKeys)
 	}
 	module.ApplyLearned(now, learned)
 	if err != nil {
@@ -100,13 +100,13 @@
 		unlock()
 		return nil, unknownAfter(err)
 	}
-	if journal.Unread() {
+	if journal.Incomplete() {
 		unknown = now + micros(told.KeyRetention)
 	}
 	log.Info().Int("marks", k.marks.Len()).Int("entries", len(entries)).Msg("journal read")
 	k.Journal = journal
 	if told.MaxHistoryRows > 0 {
-		k.tally, k.useKept = history.NewTally(), make(chan struct{})
+		k.tally, k.useKept = history.NewCollector(), make(chan struct{})
 		k.uses = history.NewStore(filepath.Join(told.StateDir, HistoryFile), int64(told.MaxHistoryRows))
 	}
 	return k, unknown
@@ -118,14 +118,14 @@
 // unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
 // one that is no folder of ours never did.
 func unknownAfter(err error) control.Micros {
-	if persistence.Passing(err) {
+	if persistence.IsTransient(err) {
 		return forever
 	}
 	return 0
 }
 
 // unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) unrecorded(now control.Micros, mark persistence.Mark) string {
+func (g *Gateway) unrecorded(now control.Micros, mark persistence.IdempotencyKey) string {
 	switch {
 	case mark == 0:
 	case g.keeper != nil && g.keeper.Failing():
@@ -147,12 +147,12 @@
 	defer k.close()
 	ticker := time.NewTicker(k.every)
 	defer ticker.Stop()
-	copies := make(chan *persistence.Kept, 1)
+	copies := make(chan *persistence.State, 1)
 	for {
 		select {
 		case <-ticker.C:
 			g.afterTurn(func(now control.Micros) {
-				k.marks.Tidy(now)
+				k.marks.Prune(now)
 				select {
 				case copies <- g.kept(now):
 				default: // the disk is behind: a later copy will do
@@ -171,20 +171,20 @@
 }
 
 // kept gives what is to outlast this run.
-func (g *Gateway) kept(now control.Micros) *persistence.Kept {
-	k := &persistence.Kept{Module: g.core.LearnedState(now)}
-	if g.keeper.clock.Boot != 0 {
+func (g *Gateway) kept(now control.Micros) *persistence.State {
+	k := &persistence.State{Learned: g.core.LearnedState(now)}
+	if g.keeper.clock.BootID != 0 {
 		k.Clock = &g.keeper.clock
 	}
 	if g.storm != nil {
 		usual := g.storm.Baseline()
-		k.Storm = &usual
+		k.Overload = &usual
 	}
 	return k
 }
 
 // write writes one generation. A disk that fails is told once, and again when it is well.
-func (k *keeper) write(m *persistence.Kept) {
+func (k *keeper) write(m *persistence.State) {
 	err := k.store.Write(m)
 	switch {
 	case err != nil && !k.failed:
@@ -204,16 +204,16 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Config) mark(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
+func (t *Config) mark(function string, ask kserve.Ask, w control.ClassID) persistence.IdempotencyKey {
 	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
 		return 0
 	}
-	return persistence.Mark(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
+	return persistence.IdempotencyKey(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
 }
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlier(now control.Micros, mark persistence.Mark) []control.Attempt {
+func (g *Gateway) earlier(now control.Micros, mark persistence.IdempotencyKey) []control.Attempt {
 	if g.keeper == nil || mark == 0 {
 		return nil
 	}
@@ -236,7 +236,7 @@
 		return
 	}
 	if k.taken > 0 && now > k.first+some {
-		k.Append(persistence.Entry{Kind: persistence.Taken, At: k.first, Mark: persistence.Mark(k.taken)})
+		k.Append(persistence.Entry{Kind: persistence.EntryAdmitted, At: k.first, Key: persistence.IdempotencyKey(k.taken)})
 		k.taken = 0
 	}
 	if k.taken == 0 {
@@ -246,17 +246,17 @@
 }
 
 // enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) enter(mark persistence.Mark, to control.ServerID) *persistence.Round {
+func (g *Gateway) enter(mark persistence.IdempotencyKey, to control.ServerID) *persistence.Batch {
 	if g.keeper == nil {
 		return nil
 	}
 	var es []persistence.Entry
 	if mark != 0 {
-		g.keeper.marks.Sent(mark, persistence.Sent{Server: to, At: g.clock})
-		es = append(es, persistence.Entry{Kind: persistence.Execution, At: g.clock, Mark: mark, Server: to})
+		g.keeper.marks.Add(mark, persistence.SentAttempt{Server: to, At: g.clock})
+		es = append(es, persistence.Entry{Kind: persistence.EntryAttempt, At: g.clock, Key: mark, Server: to})
 	}
 	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.clock, g.told.Deployment.SlowStartDuration) {
-		es = append(es, persistence.Entry{Kind: persistence.ToCold, At: g.clock, Server: to})
+		es = append(es, persistence.Entry{Kind: persistence.EntrySlowStartSend, At: g.clock, Server: to})
 	}
 	if len(es) == 0 {
 		return nil
@@ -265,10 +265,10 @@
 }
 
 // proved notes that an execution did not run.
-func (g *Gateway) proved(mark persistence.Mark, to control.ServerID) {
+func (g *Gateway) proved(mark persistence.IdempotencyKey, to control.ServerID) {
 	if g.keeper != nil && mark != 0 {
-		g.keeper.marks.Unrun(mark, to)
-		g.keeper.Append(persistence.Entry{Kind: persistence.Unrun, At: g.clock, Mark: mark, Server: to})
+		g.keeper.marks.RemoveNotRun(mark, to)
+		g.keeper.Append(persistence.Entry{Kind: persistence.EntryNotRun, At: g.clock, Key: mark, Server: to})
 	}
 }
 
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -64,21 +64,21 @@
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
 	told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, mark string, w control.ClassID) persistence.Mark {
+	mark := func(function, mark string, w control.ClassID) persistence.IdempotencyKey {
 		return told.mark(function, kserve.Ask{Mark: mark}, w)
 	}
-	j, _, _, err := persistence.OpenJournal(dir, persistence.Grouped, 1<<40, 1<<30, func(error) {})
+	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := control.Micros(time.Now().UnixMicro())
 	elsewhere := fleet.ID("127.0.0.1:9")
 	j.Append(
-		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "sent", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Unrun, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "sent", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryNotRun, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now - 1_000_000, Key: mark("booking-1", "late", 1), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now + 3_600_000_000, Key: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
 	f := newFieldTold(t, remembering(dir), usual(0), usual(1))
 	for i, c := range []struct {
@@ -139,8 +139,8 @@
 func TestAnyFolderLetsTheRouterStart(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return write(dir, persistence.Files[0], "rubbish") },
-		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.Files[0]), 0o700) },
+		"rubbish":      func(dir string) error { return write(dir, persistence.GenerationFiles[0], "rubbish") },
+		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.GenerationFiles[0]), 0o700) },
 		"bad journal":  func(dir string) error { return write(dir, "journal-00000001", "rubbish") },
 		"last journal": func(dir string) error { return write(dir, "journal-99999999999999999999", "") },
 		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
@@ -193,7 +193,7 @@
 
 // fullDisk is the machine's file system, which fails while it is full.
 type fullDisk struct {
-	persistence.System
+	persistence.OSFileSystem
 	full atomic.Bool
 }
 
@@ -201,15 +201,15 @@
 	if d.full.Load() {
 		return nil, syscall.ENOSPC
 	}
-	f, err := d.System.Create(path)
+	f, err := d.OSFileSystem.Create(path)
 	return &fullFile{f, d}, err
 }
 
-func (d *fullDisk) Names(dir string) ([]string, error) {
+func (d *fullDisk) List(dir string) ([]string, error) {
 	if d.full.Load() {
 		return nil, syscall.EIO
 	}
-	return d.System.Names(dir)
+	return d.OSFileSystem.List(dir)
 }
 
 type fullFile struct {
@@ -252,16 +252,16 @@
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
-				clock.Boot++
+				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{Files: persistence.System{}, Sync: persistence.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
-				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			f := newFieldChanged(t, remembering(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
@@ -345,7 +345,7 @@
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (f *field) knownTo(t *testing.T, dir string) *persistence.Marks {
+func (f *field) knownTo(t *testing.T, dir string) *persistence.KeyIndex {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -361,27 +361,27 @@
 			t.Fatal(err)
 		}
 	}
-	j, es, _, err := persistence.OpenJournal(copied, persistence.Never, 1<<40, 1<<30, func(error) {})
+	j, es, _, err := persistence.OpenJournal(copied, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	return persistence.Recalled(&control.LearnedState{}, es, 1<<40, 1000)
+	return persistence.ApplyEntries(&control.LearnedState{}, es, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, files: &fullDisk{}}
+	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, files: &fullDisk{}}
 	disk := told.files.(*fullDisk)
 	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+		k.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	r := k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+	r := k.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
 	<-r.Done()
 	k.close()
@@ -411,19 +411,19 @@
 		t.Fatal(err)
 	}
 	f.ended <- nil
-	sums := map[string]history.Use{}
+	sums := map[string]history.Usage{}
 	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
 		u := sums[r.Function]
-		u.Merge(r.Use)
+		u.Merge(r.Usage)
 		sums[r.Function] = u
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if u := sums["forecast-1"]; u.Jobs != 30 || u.Finished != 30 || u.InTime < 25 || u.Executions < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
+	if u := sums["forecast-1"]; u.Requests != 30 || u.Succeeded != 30 || u.WithinObjective < 25 || u.Attempts < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
 		t.Errorf("got %+v", u)
 	}
-	if u := sums["forecast-2"]; u.Jobs != 1 || u.Finished != 0 {
+	if u := sums["forecast-2"]; u.Requests != 1 || u.Succeeded != 0 {
 		t.Errorf("got %+v", u)
 	}
 }
@@ -436,7 +436,7 @@
 	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
 	now := int64(1_800_000_000_000_000)
 	rows := func() []history.Row {
-		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
+		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
 	}
 	write := func() {
 		now += 10_000_000
@@ -465,7 +465,7 @@
 		write()
 	}
 	jobs := int64(0)
-	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
 	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
 		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
 	}
@@ -478,7 +478,7 @@
 	for range damagedTries {
 		write()
 	}
-	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
 		t.Errorf("%d jobs more in a new one, %v", jobs, err)
 	}
 	for range 40 {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -40,7 +40,7 @@
 			s, err := g.core.Snapshot()
 			if err == nil {
 				var b []byte
-				if b, err = record.Still(g.recordHead(), now, s); err == nil {
+				if b, err = record.SnapshotSegment(g.recordHead(), now, s); err == nil {
 					return &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {"application/octet-stream"}}, Body: b}
 				}
 			}
@@ -97,12 +97,12 @@
 type recent struct {
 	deeds [256]struct {
 		at   control.Micros
-		deed record.Deed
+		deed record.Command
 	}
 	n int
 }
 
-func (r *recent) add(at control.Micros, d record.Deed) {
+func (r *recent) add(at control.Micros, d record.Command) {
 	x := &r.deeds[r.n%len(r.deeds)]
 	x.at, x.deed = at, d
 	r.n++
@@ -135,7 +135,7 @@
 }
 
 func (g *Gateway) recordHead() record.Header {
-	return record.Header{Build: program.BuildID(), Router: g.told.Deployment.Number, Life: g.run}
+	return record.Header{Build: program.BuildID(), Router: g.told.Deployment.Number, Incarnation: g.run}
 }
 
 var errRecording = errors.New("a recording is under way")
@@ -150,15 +150,15 @@
 	}
 	head := g.recordHead()
 	if g.recordings++; g.recordings > 1 {
-		head.Life += "r" + string(rune('a'+g.recordings%26))
+		head.Incarnation += "r" + string(rune('a'+g.recordings%26))
 	}
 	w, err := record.Open(folder, g.told.RecordBounds, head, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
 	g.writer = w
-	g.tape = w.Tape()
+	g.tape = w.Recorder()
 	g.core.SetRecorder(g.tape)
-	w.Begin(now)
+	w.BeginSegment(now)
 	return nil
 }
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -44,14 +44,14 @@
 	LoadTimeout  time.Duration // for which the answer to an order to load is awaited
 
 	RecordDir    string // folder for recordings; empty: none
-	RecordBounds record.Bounds
+	RecordBounds record.Limits
 
 	StateDir       string                 // folder for what is learned; empty: none
 	files          persistence.FileSystem // of that folder; nil: the machine's
 	StateInterval  time.Duration          // between two writings
 	KeyRetention   time.Duration          // how long a client's mark of a job that may have run is known
 	MaxKeys        int                    // and how many of them
-	JournalSync    persistence.Sync
+	JournalSync    persistence.SyncPolicy
 	MaxHistoryRows int // kept at most of the history of use; 0: none
 
 	MaxClientConns       int // of clients
@@ -193,10 +193,10 @@
 
 	rec := f.Section("record")
 	t.RecordDir = rec.String("folder", "")
-	t.RecordBounds = record.Bounds{Segment: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), Total: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
-		Age: rec.Duration("age", 10*time.Minute, time.Second, day)}
-	if t.RecordBounds.Total < 2*t.RecordBounds.Segment {
-		rec.Errorf("total", "less than two segments of %d bytes", t.RecordBounds.Segment)
+	t.RecordBounds = record.Limits{SegmentBytes: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), TotalBytes: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
+		SegmentAge: rec.Duration("age", 10*time.Minute, time.Second, day)}
+	if t.RecordBounds.TotalBytes < 2*t.RecordBounds.SegmentBytes {
+		rec.Errorf("total", "less than two segments of %d bytes", t.RecordBounds.SegmentBytes)
 	}
 
 	mem := f.Section("memory")
@@ -205,7 +205,7 @@
 	t.KeyRetention = mem.Duration("marks_for", 10*time.Minute, time.Second, 7*day)
 	t.MaxKeys = mem.Int("marks_most", 1_000_000, 1, 1<<30)
 	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
-	t.JournalSync = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
+	t.JournalSync = persistence.SyncPolicy(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
 
 	t.secrets(f)
 	t.workloads(f)
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -27,11 +27,11 @@
 }
 
 // who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) who(j *job) history.Who {
+func (g *Gateway) who(j *job) history.Subject {
 	if g.told.NameKey != "" {
-		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.told.NameKey, j.name)), Tenant: j.tenant}
+		return history.Subject{Function: fmt.Sprintf("#%016x", record.Tag(g.told.NameKey, j.name)), Tenant: j.tenant}
 	}
-	return history.Who{Function: j.name, Tenant: j.tenant}
+	return history.Subject{Function: j.name, Tenant: j.tenant}
 }
 
 func (g *Gateway) counts() bool { return g.keeper != nil && g.keeper.tally != nil }
@@ -48,18 +48,18 @@
 	default:
 		verb = control.Fail
 	}
-	g.keeper.tally.Answered(g.clock, g.who(j), verb, g.clock > j.due)
+	g.keeper.tally.RequestDone(g.clock, g.who(j), verb, g.clock > j.due)
 }
 
 func (g *Gateway) useExecuted(now control.Micros, j *job, o control.Outcome) {
 	if g.counts() {
-		g.keeper.tally.Executed(now, g.who(j), o)
+		g.keeper.tally.AttemptEnded(now, g.who(j), o)
 	}
 }
 
 func (g *Gateway) useOrdered(j *job) {
 	if g.counts() {
-		g.keeper.tally.Ordered(g.clock, g.who(j))
+		g.keeper.tally.LoadCommanded(g.clock, g.who(j))
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	if o.damaged >= damagedTries {
 		o.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-		if err = o.uses.Aside(now); err == nil {
+		if err = o.uses.Quarantine(now); err == nil {
 			err = o.drain(now)
 		}
 	}
@@ -134,15 +134,15 @@
 	defer close(k.useKept)
 	ticker := time.NewTicker(useEvery)
 	defer ticker.Stop()
-	taken := make(chan *history.Taken, 1)
+	taken := make(chan *history.Batch, 1)
 	owed := useOwed{uses: k.uses, log: k.log}
-	write := func(t *history.Taken) { owed.write(t.Rows(), int64(g.now())) }
+	write := func(t *history.Batch) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
 			g.afterTurn(func(control.Micros) {
 				if len(taken) == 0 { // else the disk is behind: it stays in the tally
-					taken <- k.tally.Take()
+					taken <- k.tally.Drain()
 				}
 			})
 		case t := <-taken:
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -43,7 +43,7 @@
 	order    control.LoadCommand
 	to       control.ServerID
 	request  *rest.Request
-	round    *persistence.Round // of the journal, in which it must be before it is written; nil: none
+	round    *persistence.Batch // of the journal, in which it must be before it is written; nil: none
 	until    control.Micros     // it is not written later
 	deadline time.Time
 	ctx      context.Context
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -11,7 +11,7 @@
 
 // What routers in service have stored is read, and written in the same form.
 func TestStoredForm(t *testing.T) {
-	use := &Use{}
+	use := &Usage{}
 	golden.Fill(use)
 	golden.Check(t, "use-1.cbor", use, cbor.Marshal, cbor.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(use)); len(missing) > 0 {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -17,47 +17,47 @@
 func at(t int64) control.Micros { return control.Micros(t) }
 
 func TestRowsOfATally(t *testing.T) {
-	a, b := Who{"a", "x"}, Who{"b", ""}
-	tl := NewTally()
+	a, b := Subject{"a", "x"}, Subject{"b", ""}
+	tl := NewCollector()
 	for i := range int64(100) {
-		tl.Executed(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
-		tl.Answered(at(now), a, control.NoAction, i < 10)
-	}
-	tl.Executed(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
-	tl.Answered(at(now), a, control.Reject, true)
-	tl.Answered(at(now+Minute), b, control.Fail, true)
-	tl.Ordered(at(now+Minute), b)
-	rows := tl.Take().Rows()
-	if len(rows) != 2 || len(tl.Take().Rows()) != 0 {
+		tl.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
+		tl.RequestDone(at(now), a, control.NoAction, i < 10)
+	}
+	tl.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
+	tl.RequestDone(at(now), a, control.Reject, true)
+	tl.RequestDone(at(now+Minute), b, control.Fail, true)
+	tl.LoadCommanded(at(now+Minute), b)
+	rows := tl.Drain().Rows()
+	if len(rows) != 2 || len(tl.Drain().Rows()) != 0 {
 		t.Fatalf("got %+v", rows)
 	}
 	r := rows[0]
-	if r.At != now || r.Who != a || r.Jobs != 101 || r.Finished != 100 || r.InTime != 90 || r.PushedBack != 1 || r.Executions != 101 || r.Loads != 1 {
+	if r.At != now || r.Subject != a || r.Requests != 101 || r.Succeeded != 100 || r.WithinObjective != 90 || r.Rejected != 1 || r.Attempts != 101 || r.Loads != 1 {
 		t.Errorf("got %+v", r)
 	}
 	if p := r.Quantile(0.5); p < 49_500 || p > 51_000 {
 		t.Errorf("median %d", p)
 	}
-	if r = rows[1]; r.At != now+Minute || r.Who != b || r.Killed != 1 || r.Loads != 1 || r.Quantile(0.5) != 0 {
+	if r = rows[1]; r.At != now+Minute || r.Subject != b || r.Failed != 1 || r.Loads != 1 || r.Quantile(0.5) != 0 {
 		t.Errorf("got %+v", r)
 	}
 }
 
 // Names asked for once cost one row together, and nothing of them is lost.
 func TestRareNamesAreOneRow(t *testing.T) {
-	tl := NewTally()
+	tl := NewCollector()
 	for i := range 5000 {
-		tl.Answered(at(now), Who{fmt.Sprint("once-", i), ""}, control.NoAction, false)
+		tl.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, false)
 	}
 	for range 3 {
-		tl.Answered(at(now), Who{"often", ""}, control.NoAction, false)
+		tl.RequestDone(at(now), Subject{"often", ""}, control.NoAction, false)
 	}
-	rows := tl.Take().Rows()
+	rows := tl.Drain().Rows()
 	jobs := int64(0)
 	named := map[string]int64{}
 	for _, r := range rows {
-		jobs += r.Jobs
-		named[r.Function] = r.Jobs
+		jobs += r.Requests
+		named[r.Function] = r.Requests
 	}
 	if len(rows) != mostAtOnce+1 || jobs != 5003 || named["often"] != 3 || named[""] != 5003-mostAtOnce-2 {
 		t.Errorf("%d rows of %d jobs, %d of the rarest", len(rows), jobs, named[""])
@@ -65,16 +65,16 @@
 }
 
 func TestMergedTimesKeepTheirQuantiles(t *testing.T) {
-	tl := NewTally()
+	tl := NewCollector()
 	for i := range int64(1000) {
-		tl.Executed(at(now+i%10*Minute), Who{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
+		tl.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
 	}
-	var sum Use
-	for _, r := range tl.Take().Rows() {
-		sum.Merge(r.Use)
+	var sum Usage
+	for _, r := range tl.Drain().Rows() {
+		sum.Merge(r.Usage)
 	}
-	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Executions != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 || p99 > 100_000 {
-		t.Errorf("%d executions, median %d, p99 %d", sum.Executions, p50, p99)
+	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Attempts != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 || p99 > 100_000 {
+		t.Errorf("%d executions, median %d, p99 %d", sum.Attempts, p50, p99)
 	}
 }
 
@@ -108,8 +108,8 @@
 			var rows []Row
 			for range rapid.IntRange(0, 60).Draw(t, "rows") {
 				r := Row{At: (clock - rapid.Int64Range(0, 3*Hour).Draw(t, "ago")) / Minute * Minute,
-					Who: Who{fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "function")), ""}, Use: Use{Jobs: int64(rapid.IntRange(1, 9).Draw(t, "jobs"))}}
-				jobs += r.Jobs
+					Subject: Subject{fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "function")), ""}, Usage: Usage{Requests: int64(rapid.IntRange(1, 9).Draw(t, "jobs"))}}
+				jobs += r.Requests
 				rows = append(rows, r)
 			}
 			if err := s.Add(rows, clock); err != nil {
@@ -118,9 +118,9 @@
 		}
 		found, rows := int64(0), int64(0)
 		if err := s.Read(0, clock+1, func(l Level, r Row) error {
-			found += r.Jobs
+			found += r.Requests
 			rows++
-			if r.At%l.Span != 0 || r.At < clock-l.Keep-Day {
+			if r.At%l.Span != 0 || r.At < clock-l.Retention-Day {
 				t.Fatalf("%+v among %ss at %d", r, l.Name, clock)
 			}
 			return nil
@@ -139,7 +139,7 @@
 	name := filepath.Join(dir, "h.db")
 	var rows []Row
 	for i := range int64(2000) {
-		rows = append(rows, Row{At: now - i*Minute, Who: Who{"f", ""}, Use: Use{Jobs: 1}})
+		rows = append(rows, Row{At: now - i*Minute, Subject: Subject{"f", ""}, Usage: Usage{Requests: 1}})
 	}
 	if err := NewStore(name, 1e6).Add(rows, now); err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	read := func(name string) (n int64, err error) {
-		err = NewStore(name, 1e6).Read(0, now+1, func(_ Level, r Row) error { n += r.Jobs; return nil })
+		err = NewStore(name, 1e6).Read(0, now+1, func(_ Level, r Row) error { n += r.Requests; return nil })
 		return n, err
 	}
 	for i, damaged := range [][]byte{whole[:len(whole)/2], whole[:4096], append([]byte("rubbish"), whole[7:]...), make([]byte, 1<<15), []byte("x")} {
@@ -166,7 +166,7 @@
 			if !errors.Is(err, ErrDamaged) {
 				t.Errorf("damage %d: %v", i, err)
 			}
-			if err := s.Aside(now); err != nil {
+			if err := s.Quarantine(now); err != nil {
 				t.Fatal(err)
 			}
 			if err := s.Add(rows[:1], now); err != nil {
@@ -182,14 +182,14 @@
 // A batch that may stand in the file already counts once, and a later one with the same rows again.
 func TestBatchesCountOnce(t *testing.T) {
 	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
-	rows := []Row{{At: now, Who: Who{"f", ""}, Use: Use{Jobs: 1}}}
+	rows := []Row{{At: now, Subject: Subject{"f", ""}, Usage: Usage{Requests: 1}}}
 	for _, batch := range []uint64{5, 5, 6, 6, 0, 0} {
 		if err := s.AddOnce(rows, now, batch); err != nil {
 			t.Fatal(err)
 		}
 	}
 	jobs := int64(0)
-	if err := s.Read(0, now+1, func(_ Level, r Row) error { jobs += r.Jobs; return nil }); err != nil || jobs != 4 {
+	if err := s.Read(0, now+1, func(_ Level, r Row) error { jobs += r.Requests; return nil }); err != nil || jobs != 4 {
 		t.Errorf("%d jobs, %v", jobs, err)
 	}
 }
@@ -201,7 +201,7 @@
 		if err := os.WriteFile(s.path, make([]byte, size), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Aside(now + int64(i)); err != nil {
+		if err := s.Quarantine(now + int64(i)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(s.path); err == nil {
@@ -214,7 +214,7 @@
 	if err := os.WriteFile(s.path, make([]byte, 20000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Aside(now + 2*Day); err != nil {
+	if err := s.Quarantine(now + 2*Day); err != nil {
 		t.Fatal(err)
 	}
 	if left, _ := filepath.Glob(s.path + "*"); len(left) != 2 {
@@ -223,13 +223,13 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	tl := NewTally()
+	tl := NewCollector()
 	for i := range int64(60_000) { // a minute of 1000 jobs a second for 1000 functions
-		w := Who{fmt.Sprint("function-", i%1000), ""}
-		tl.Executed(at(now), w, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
-		tl.Answered(at(now), w, control.NoAction, false)
+		w := Subject{fmt.Sprint("function-", i%1000), ""}
+		tl.AttemptEnded(at(now), w, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
+		tl.RequestDone(at(now), w, control.NoAction, false)
 	}
-	taken := tl.Take()
+	taken := tl.Drain()
 	s := NewStore(filepath.Join(b.TempDir(), "h.db"), 1e6)
 	clock := int64(now)
 	for b.Loop() {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -86,7 +86,7 @@
 }
 
 // rowKey is a row's place: time, then function and tenant.
-func rowKey(at int64, w Who) []byte {
+func rowKey(at int64, w Subject) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(at))
 	b = append(b, w.Function...)
 	b = append(b, 0)
@@ -101,8 +101,8 @@
 	if i < 0 {
 		return r, ErrDamaged
 	}
-	r.At, r.Who = int64(binary.BigEndian.Uint64(k)), Who{string(k[8 : 8+i]), string(k[9+i:])}
-	if err := cbor.Unmarshal(v, &r.Use); err != nil {
+	r.At, r.Subject = int64(binary.BigEndian.Uint64(k)), Subject{string(k[8 : 8+i]), string(k[9+i:])}
+	if err := cbor.Unmarshal(v, &r.Usage); err != nil {
 		return r, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
 	return r, nil
@@ -156,18 +156,18 @@
 func (w *writing) merge(level int, r Row) error {
 	b := w.Bucket([]byte(Levels[level].Name))
 	b.FillPercent = 0.9 // rows come by time, so pages are filled from the front
-	k := rowKey(r.At, r.Who)
+	k := rowKey(r.At, r.Subject)
 	if was := b.Get(k); was != nil {
 		old, err := readRow(k, was)
 		if err != nil {
 			return err
 		}
-		old.Merge(r.Use)
-		r.Use = old.Use
+		old.Merge(r.Usage)
+		r.Usage = old.Usage
 	} else {
 		w.rows[level]++
 	}
-	v, err := cbor.Marshal(r.Use)
+	v, err := cbor.Marshal(r.Usage)
 	if err != nil {
 		return err
 	}
@@ -249,12 +249,12 @@
 			return 0, err
 		}
 		span := Levels[level+1].Span
-		at := key{r.At / span * span, r.Who}
+		at := key{r.At / span * span, r.Subject}
 		if sums[at] == nil {
-			sums[at] = &Row{At: at.minute, Who: r.Who}
+			sums[at] = &Row{At: at.minute, Subject: r.Subject}
 			order = append(order, at)
 		}
-		sums[at].Merge(r.Use)
+		sums[at].Merge(r.Usage)
 	}
 	for _, k := range keys {
 		if err := b.Delete(k); err != nil {
@@ -287,7 +287,7 @@
 					continue
 				}
 				c := b.Cursor()
-				for k, v := c.Seek(rowKey(max(0, from), Who{})[:8]); k != nil && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
+				for k, v := c.Seek(rowKey(max(0, from), Subject{})[:8]); k != nil && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
 					r, err := readRow(k, v)
 					if err != nil {
 						return err
@@ -307,7 +307,7 @@
 
 // Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it, but not
 // one that was only half begun, nor more than one a day: a disk that fails for long fills with none.
-func (s *Store) Aside(now int64) error {
+func (s *Store) Quarantine(now int64) error {
 	others, err := filepath.Glob(s.path + ".damaged-*")
 	if err != nil {
 		return err
--- a/internal/history/tally.go
+++ b/internal/history/tally.go
@@ -15,27 +15,27 @@
 
 // Who is what a row is about. Function is empty where a span had more functions than rows are kept for: then it is the
 // sum of the rarest.
-type Who struct {
+type Subject struct {
 	Function string
 	Tenant   string
 }
 
 // Use is what was done within a span of time.
-type Use struct {
-	Jobs       int64 `cbor:"Jobs"` // that got their answer
-	Finished   int64 `cbor:"Finished"`
-	InTime     int64 `cbor:"InTime"` // finished within their start target
-	PushedBack int64 `cbor:"PushedBack"`
-	Killed     int64 `cbor:"Killed"`
-	Executions int64 `cbor:"Executions"`
-	Loads      int64 `cbor:"Loads"` // executions that began a load, and orders
-	Times      Times `cbor:"Times"` // of executions by warm copies
+type Usage struct {
+	Requests        int64     `cbor:"Jobs"` // that got their answer
+	Succeeded       int64     `cbor:"Finished"`
+	WithinObjective int64     `cbor:"InTime"` // finished within their start target
+	Rejected        int64     `cbor:"PushedBack"`
+	Failed          int64     `cbor:"Killed"`
+	Attempts        int64     `cbor:"Executions"`
+	Loads           int64     `cbor:"Loads"` // executions that began a load, and orders
+	ExecTimes       Histogram `cbor:"Times"` // of executions by warm copies
 }
 
 // Times are execution times as an HdrHistogram's buckets: each bucket's upper bound in microseconds and how many fell into it,
 // by turns, ascending. Only buckets with something in them are kept: some hundred bytes a row. (The library's own compressed
 // form costs much garbage, and days with fifteen routers on one machine showed its bursts.)
-type Times []int64
+type Histogram []int64
 
 // The range of execution times in microseconds, and the significant digits of their buckets.
 const (
@@ -45,8 +45,8 @@
 )
 
 // Merge adds other times.
-func (t Times) Merge(u Times) Times {
-	sum := make(Times, 0, len(t)+len(u))
+func (t Histogram) Merge(u Histogram) Histogram {
+	sum := make(Histogram, 0, len(t)+len(u))
 	for len(t) > 1 || len(u) > 1 {
 		switch {
 		case len(u) < 2 || len(t) > 1 && t[0] < u[0]:
@@ -61,7 +61,7 @@
 }
 
 // Quantile gives a quantile (0 to 1) in microseconds, as the upper bound of its bucket; 0 of none.
-func (t Times) Quantile(q float64) int64 {
+func (t Histogram) Quantile(q float64) int64 {
 	total, seen := int64(0), int64(0)
 	for i := 1; i < len(t); i += 2 {
 		total += t[i]
@@ -75,39 +75,39 @@
 }
 
 // Quantile gives a quantile (0 to 1) of the execution times in microseconds; 0 of none.
-func (u Use) Quantile(q float64) int64 { return u.Times.Quantile(q) }
+func (u Usage) Quantile(q float64) int64 { return u.ExecTimes.Quantile(q) }
 
 // Merge adds another use to this one.
-func (u *Use) Merge(v Use) {
-	u.Jobs += v.Jobs
-	u.Finished += v.Finished
-	u.InTime += v.InTime
-	u.PushedBack += v.PushedBack
-	u.Killed += v.Killed
-	u.Executions += v.Executions
+func (u *Usage) Merge(v Usage) {
+	u.Requests += v.Requests
+	u.Succeeded += v.Succeeded
+	u.WithinObjective += v.WithinObjective
+	u.Rejected += v.Rejected
+	u.Failed += v.Failed
+	u.Attempts += v.Attempts
 	u.Loads += v.Loads
-	u.Times = u.Times.Merge(v.Times)
+	u.ExecTimes = u.ExecTimes.Merge(v.ExecTimes)
 }
 
 // Tally gathers what happens until it is taken. It is for one goroutine.
-type Tally struct {
+type Collector struct {
 	at map[key]*count
 }
 
 type key struct {
 	minute int64
-	who    Who
+	who    Subject
 }
 
 type count struct {
-	Use
+	Usage
 	times []control.Micros
 }
 
 // NewTally gives an empty tally.
-func NewTally() *Tally { return &Tally{at: map[key]*count{}} }
+func NewCollector() *Collector { return &Collector{at: map[key]*count{}} }
 
-func (t *Tally) count(now control.Micros, w Who) *count {
+func (t *Collector) count(now control.Micros, w Subject) *count {
 	k := key{int64(now) / Minute, w}
 	c := t.at[k]
 	if c == nil {
@@ -118,25 +118,25 @@
 }
 
 // Answered counts a job's final answer; late tells that it was finished after its start target.
-func (t *Tally) Answered(now control.Micros, w Who, word control.Action, late bool) {
+func (t *Collector) RequestDone(now control.Micros, w Subject, word control.Action, late bool) {
 	c := t.count(now, w)
-	c.Jobs++
+	c.Requests++
 	switch word {
 	case control.Reject:
-		c.PushedBack++
+		c.Rejected++
 	case control.Fail:
-		c.Killed++
+		c.Failed++
 	default:
-		if c.Finished++; !late {
-			c.InTime++
+		if c.Succeeded++; !late {
+			c.WithinObjective++
 		}
 	}
 }
 
 // Executed counts the end of an execution.
-func (t *Tally) Executed(now control.Micros, w Who, o control.Outcome) {
+func (t *Collector) AttemptEnded(now control.Micros, w Subject, o control.Outcome) {
 	c := t.count(now, w)
-	c.Executions++
+	c.Attempts++
 	if o.CacheStatus == control.CacheMiss {
 		c.Loads++
 	}
@@ -146,30 +146,30 @@
 }
 
 // Ordered counts an order to load.
-func (t *Tally) Ordered(now control.Micros, w Who) { t.count(now, w).Loads++ }
+func (t *Collector) LoadCommanded(now control.Micros, w Subject) { t.count(now, w).Loads++ }
 
 // Take empties the tally and gives its counts, for Rows: what it holds is not touched again by the tally.
-func (t *Tally) Take() *Taken {
-	taken := &Taken{t.at}
+func (t *Collector) Drain() *Batch {
+	taken := &Batch{t.at}
 	t.at = make(map[key]*count, len(t.at))
 	return taken
 }
 
 // Taken is what a tally held.
-type Taken struct{ at map[key]*count }
+type Batch struct{ at map[key]*count }
 
 // Row is the use of one function by one tenant within one span.
 type Row struct {
 	At int64 // the span's beginning, in microseconds since 1970
-	Who
-	Use
+	Subject
+	Usage
 }
 
 // mostAtOnce is how many functions and tenants of one minute get rows of their own: more would be names of one time.
 const mostAtOnce = 1024
 
 // Rows gives a row for each minute, function and tenant, by time, then name. Of a minute with too many the rarest are one.
-func (t *Taken) Rows() []Row {
+func (t *Batch) Rows() []Row {
 	rows := make([]Row, 0, len(t.at))
 	h := hdrhistogram.New(shortest, longest, digits)
 	for k, c := range t.at {
@@ -178,17 +178,17 @@
 			for _, v := range c.times {
 				h.RecordValue(int64(min(max(v, shortest), longest)))
 			}
-			c.Times = nil
+			c.ExecTimes = nil
 			for _, bar := range h.Distribution() {
 				if bar.Count > 0 {
-					c.Times = append(c.Times, bar.To, bar.Count)
+					c.ExecTimes = append(c.ExecTimes, bar.To, bar.Count)
 				}
 			}
 		}
-		rows = append(rows, Row{k.minute * Minute, k.who, c.Use})
+		rows = append(rows, Row{k.minute * Minute, k.who, c.Usage})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(b.Jobs, a.Jobs), compare(a.Who, b.Who))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(b.Requests, a.Requests), compare(a.Subject, b.Subject))
 	})
 	var out []Row
 	for len(rows) > 0 {
@@ -203,23 +203,23 @@
 			for _, r := range minute[mostAtOnce:] {
 				o := others[r.Tenant]
 				if o == nil {
-					o = &Row{At: r.At, Who: Who{Tenant: r.Tenant}}
+					o = &Row{At: r.At, Subject: Subject{Tenant: r.Tenant}}
 					others[r.Tenant] = o
 				}
-				o.Merge(r.Use)
+				o.Merge(r.Usage)
 			}
 			minute = minute[:mostAtOnce]
 			for _, o := range others {
 				minute = append(minute, *o)
 			}
 		}
-		slices.SortFunc(minute, func(a, b Row) int { return compare(a.Who, b.Who) })
+		slices.SortFunc(minute, func(a, b Row) int { return compare(a.Subject, b.Subject) })
 		out = append(out, minute...)
 	}
 	return out
 }
 
-func compare(a, b Who) int {
+func compare(a, b Subject) int {
 	return cmp.Or(strings.Compare(a.Function, b.Function), strings.Compare(a.Tenant, b.Tenant))
 }
 
@@ -232,9 +232,9 @@
 
 // Level is a step of the history: rows of one length, kept for a time.
 type Level struct {
-	Name string
-	Span int64
-	Keep int64 // after it a row is merged into the next level's, or dropped
+	Name      string
+	Span      int64
+	Retention int64 // after it a row is merged into the next level's, or dropped
 }
 
 // Levels are the history's steps, finest first. Two days of minutes show an incident and the same hour of the day before; a
@@ -248,9 +248,9 @@
 	horizons := make([]int64, len(Levels))
 	total := int64(0)
 	for i, l := range Levels {
-		horizons[i] = (now - l.Keep) / l.Span * l.Span
+		horizons[i] = (now - l.Retention) / l.Span * l.Span
 		if i+1 < len(Levels) { // whole spans of the next level
-			horizons[i] = (now - l.Keep) / Levels[i+1].Span * Levels[i+1].Span
+			horizons[i] = (now - l.Retention) / Levels[i+1].Span * Levels[i+1].Span
 		}
 		total += rows[i]
 	}
--- a/internal/persistence/clock.go
+++ b/internal/persistence/clock.go
@@ -13,7 +13,7 @@
 // Clock ties the time of a router's life to the machine's clock that counts from its boot, whatever is done to the wall clock. Two
 // lives of one boot measure spans between them by it exactly. Across a boot, or where a clock is not known, only bounds remain.
 type Clock struct {
-	Boot   uint64         `cbor:"Boot"`   // names the boot; 0: not known
+	BootID uint64         `cbor:"Boot"`   // names the boot; 0: not known
 	Offset control.Micros `cbor:"Offset"` // how far the life's time is ahead of the clock from boot
 }
 
@@ -32,38 +32,38 @@
 
 // ahead tells how far this life's time is ahead of that of an earlier one; sure is false if that can't be told.
 func (c Clock) ahead(earlier Clock) (by control.Micros, sure bool) {
-	return c.Offset - earlier.Offset, c.Boot != 0 && c.Boot == earlier.Boot
+	return c.Offset - earlier.Offset, c.BootID != 0 && c.BootID == earlier.BootID
 }
 
 // note gives entries that tell a clock, at the beginning of a file: jobs taken, none of them, which mean nothing to a reader that
 // does not know of clocks.
 func (c Clock) note() []Entry {
-	return []Entry{{Kind: Taken, Server: control.ServerID(c.Boot)}, {Kind: Taken, Server: control.ServerID(c.Offset)}}
+	return []Entry{{Kind: EntryAdmitted, Server: control.ServerID(c.BootID)}, {Kind: EntryAdmitted, Server: control.ServerID(c.Offset)}}
 }
 
 // noted reads a clock.
 func noted(es []Entry) (c Clock, is bool) {
-	if len(es) != 2 || slices.ContainsFunc(es, func(e Entry) bool { return e.Kind != Taken || e.Mark != 0 || e.At != 0 }) {
+	if len(es) != 2 || slices.ContainsFunc(es, func(e Entry) bool { return e.Kind != EntryAdmitted || e.Key != 0 || e.At != 0 }) {
 		return c, false
 	}
 	return Clock{uint64(es[0].Server), control.Micros(es[1].Server)}, true
 }
 
 // Past is what a journal tells of earlier lives, in the time of this one.
-type Past struct {
-	Entries []Entry
-	Unsure  int // of so many first ones it is known only that they were made, at the latest now
-	Now     control.Micros
+type Recovered struct {
+	Entries   []Entry
+	Uncertain int // of so many first ones it is known only that they were made, at the latest now
+	Now       control.Micros
 }
 
 // Meets brings a memory into the time of this life, now. Where only bounds remain, what limits us counts as of just now, and what
 // allows anything, or is only worth something while it is fresh, is dropped. Starts of servers are told by other clocks.
-func (k *Kept) Meets(clock Clock, now control.Micros) {
+func (k *State) Rebase(clock Clock, now control.Micros) {
 	earlier := Clock{}
 	if k.Clock != nil {
 		earlier = *k.Clock
 	}
-	m := k.Module
+	m := k.Learned
 	by, sure := clock.ahead(earlier)
 	if !sure || m.SavedAt+by > now {
 		m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -42,14 +42,14 @@
 			if !known {
 				clock = Clock{}
 			}
-			o := tested(dir, Grouped, func(error) {})
-			o.Clock, o.Now, o.Keep = clock, now, keep
+			o := tested(dir, SyncGrouped, func(error) {})
+			o.Clock, o.Now, o.Retention = clock, now, keep
 			j, es, told, err := o.Open("dir")
 			if err != nil || len(told) > 0 {
 				t.Fatal(err, told)
 			}
 			memory := &control.LearnedState{}
-			marks := j.Past(es).Recalled(memory, keep, 1e6)
+			marks := j.Recovered(es).Apply(memory, keep, 1e6)
 			colds := map[control.ServerID]control.Micros{}
 			for _, s := range memory.Servers {
 				colds[s.Server] = s.SlowStartSends[len(s.SlowStartSends)-1]
@@ -57,7 +57,7 @@
 			for i, s := range sent {
 				age := m.real - s.at
 				sure := known && s.boot == m.boot
-				may := marks.MayHaveRun(now, Mark(i+1))
+				may := marks.MayHaveRun(now, IdempotencyKey(i+1))
 				if len(may) == 0 {
 					if age < keep {
 						t.Fatalf("sent %d ago, of boot %d, is forgotten", age, s.boot)
@@ -70,7 +70,7 @@
 				if at := colds[control.ServerID(i)]; at < now-age || sure && at != now-age || at > now {
 					t.Fatalf("to a cold server %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
 				}
-				if latest := marks.sent[Mark(i+1)][0].latest; latest < now-age || sure && latest != now-age {
+				if latest := marks.sent[IdempotencyKey(i+1)][0].latest; latest < now-age || sure && latest != now-age {
 					t.Fatalf("sent %d ago, of boot %d, is remembered from %d ago", age, s.boot, now-latest)
 				}
 			}
@@ -83,7 +83,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "sendings") {
 				m.pass(control.Micros(rapid.IntRange(0, 4*minute).Draw(t, "pause")))
 				at := now + m.real - begun // the life's own time: no step reaches it
-				<-j.Append(Entry{Execution, at, Mark(len(sent) + 1), 1}, Entry{ToCold, at, 0, control.ServerID(len(sent))}, Entry{Taken, at, 1, 0}).Done()
+				<-j.Append(Entry{EntryAttempt, at, IdempotencyKey(len(sent) + 1), 1}, Entry{EntrySlowStartSend, at, 0, control.ServerID(len(sent))}, Entry{EntryAdmitted, at, 1, 0}).Done()
 				sent = append(sent, sending{m.real, m.boot})
 				m.wall += control.Micros(rapid.SampledFrom([]int{0, 0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step"))
 			}
@@ -99,14 +99,14 @@
 
 // A memory's times are brought along within a boot. Else what limits us counts as just now, and the rest is dropped.
 func TestMemoryOfAnotherClock(t *testing.T) {
-	of := func() *Kept {
+	of := func() *State {
 		k := kept(1000)
-		k.Module.LoadCommands, k.Module.Admitted, k.Module.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
-		k.Module.Servers[0].SlowStartSends, k.Module.Servers[0].StartedAt = []control.Micros{930}, 5
+		k.Learned.LoadCommands, k.Learned.Admitted, k.Learned.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
+		k.Learned.Servers[0].SlowStartSends, k.Learned.Servers[0].StartedAt = []control.Micros{930}, 5
 		k.Clock = &Clock{7, 100}
 		return k
 	}
-	read := func(k *Kept) *Kept {
+	read := func(k *State) *State {
 		t.Helper()
 		b, err := Encode(k)
 		if err == nil {
@@ -118,8 +118,8 @@
 		return k
 	}
 	k := read(of())
-	k.Meets(Clock{7, 3600e6 + 100}, 3600e6+2000) // the clock was set an hour ahead, and 1 ms has passed
-	m := k.Module
+	k.Rebase(Clock{7, 3600e6 + 100}, 3600e6+2000) // the clock was set an hour ahead, and 1 ms has passed
+	m := k.Learned
 	if m.SavedAt != 3600e6+1000 || m.LoadCommands[0] != 3600e6+900 || m.Admitted[0] != 3600e6+910 || m.Answers[0] != 3600e6+920 ||
 		m.Servers[0].SlowStartSends[0] != 3600e6+930 || m.Servers[0].StartedAt != 5 || m.Functions[0].Instances[0].LastUsed != 3600e6+1000 {
 		t.Errorf("within a boot: %+v", m)
@@ -128,9 +128,9 @@
 	unknown.Clock = nil
 	late := of()
 	late.Clock.Offset = -1e9 // it would be of a time to come
-	for name, k := range map[string]*Kept{"another boot": {Module: of().Module, Clock: &Clock{8, 100}}, "no clock": read(unknown), "to come": late} {
-		k.Meets(Clock{7, 100}, 5000)
-		if m := k.Module; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) || len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
+	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}}, "no clock": read(unknown), "to come": late} {
+		k.Rebase(Clock{7, 100}, 5000)
+		if m := k.Learned; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) || len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
@@ -141,9 +141,9 @@
 	if k, err = Decode(b); err != nil || k.Clock != nil {
 		t.Fatal(err)
 	}
-	k.Meets(Clock{7, 100}, 5000)
-	if k.Module.SavedAt != 0 || len(k.Module.Functions) < 10 {
-		t.Errorf("an older file: %+v", k.Module)
+	k.Rebase(Clock{7, 100}, 5000)
+	if k.Learned.SavedAt != 0 || len(k.Learned.Functions) < 10 {
+		t.Errorf("an older file: %+v", k.Learned)
 	}
 }
 
--- a/internal/persistence/faults_test.go
+++ b/internal/persistence/faults_test.go
@@ -97,7 +97,7 @@
 	return do(false)
 }
 
-func (d *faultDisk) Names(dir string) (names []string, err error) {
+func (d *faultDisk) List(dir string) (names []string, err error) {
 	err = d.call("list", dir, func(bool) error {
 		for name := range d.names {
 			names = append(names, strings.TrimPrefix(name, dir+"/"))
@@ -222,7 +222,7 @@
 	}
 }
 
-func (d *faultDisk) SyncFolder(dir string) error {
+func (d *faultDisk) SyncDir(dir string) error {
 	return d.call("sync folder", dir, func(bool) error {
 		bad := d.planned(dir, "sync folder")
 		for name, i := range d.names {
--- a/internal/persistence/files.go
+++ b/internal/persistence/files.go
@@ -12,12 +12,12 @@
 // FileSystem is the few calls by which this package touches a folder. Tests replace it by one that fails at any of them, or is
 // killed there.
 type FileSystem interface {
-	Names(dir string) ([]string, error) // of what is in a folder, ascending
+	List(dir string) ([]string, error) // of what is in a folder, ascending
 	Read(path string) ([]byte, error)
 	Create(path string) (File, error) // empty, whatever was there
 	Rename(from, to string) error
 	Remove(path string) error
-	SyncFolder(dir string) error
+	SyncDir(dir string) error
 }
 
 // File is one that is being written.
@@ -28,10 +28,10 @@
 }
 
 // System is the file system of the machine.
-type System struct{}
+type OSFileSystem struct{}
 
 // Names lists a folder.
-func (System) Names(dir string) ([]string, error) {
+func (OSFileSystem) List(dir string) ([]string, error) {
 	files, err := os.ReadDir(dir)
 	names := make([]string, len(files))
 	for i, f := range files {
@@ -41,10 +41,10 @@
 }
 
 // Read gives a file's bytes.
-func (System) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSFileSystem) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
 // Create begins a file.
-func (System) Create(path string) (File, error) {
+func (OSFileSystem) Create(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err // not f: a nil *os.File would be a File
@@ -53,13 +53,13 @@
 }
 
 // Rename puts a file in another's place.
-func (System) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
-func (System) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // SyncFolder brings a folder's names to the disk.
-func (System) SyncFolder(dir string) error {
+func (OSFileSystem) SyncDir(dir string) error {
 	f, err := os.Open(filepath.Clean(dir))
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	syscall.ETIMEDOUT, syscall.ESTALE}
 
 // Passing tells whether an error may be over in a moment.
-func Passing(err error) bool {
+func IsTransient(err error) bool {
 	return slices.ContainsFunc(passing, func(e syscall.Errno) bool { return errors.Is(err, e) })
 }
 
@@ -82,9 +82,9 @@
 const startTries = 8
 
 // Patiently calls f until it gives no error that may be over in a moment, and so often at most.
-func Patiently(pause time.Duration, f func() error) (err error) {
+func RetryTransient(pause time.Duration, f func() error) (err error) {
 	for i := range startTries {
-		if err = f(); !Passing(err) || i+1 == startTries {
+		if err = f(); !IsTransient(err) || i+1 == startTries {
 			break
 		}
 		time.Sleep(pause)
--- a/internal/persistence/format.go
+++ b/internal/persistence/format.go
@@ -27,11 +27,11 @@
 }
 
 // Kept is a file's content.
-type Kept struct {
+type State struct {
 	Owner      Owner                 `cbor:"Owner"`
 	Generation uint64                `cbor:"Generation"` // one more with each writing
-	Module     *control.LearnedState `cbor:"Module"`
-	Storm      *overload.Baseline    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
+	Learned    *control.LearnedState `cbor:"Module"`
+	Overload   *overload.Baseline    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
 	Clock      *Clock                `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
 }
 
@@ -45,7 +45,7 @@
 
 // Encode gives a file's bytes: magic, version, length and CRC-32C of the payload (four bytes each, big-endian), payload
 // (CBOR). The checksum covers version and length too.
-func Encode(k *Kept) ([]byte, error) {
+func Encode(k *State) ([]byte, error) {
 	payload, err := cbor.Marshal(k)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 var decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
 
 // Decode reads a file's bytes. What it gives is whole and within its ranges; else the error is ErrNewer or ErrDamaged.
-func Decode(b []byte) (*Kept, error) {
+func Decode(b []byte) (*State, error) {
 	if len(b) < len(magic)+12 || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: no memory of a router", ErrDamaged)
 	}
@@ -74,11 +74,11 @@
 	if v := binary.BigEndian.Uint32(head); v > Version { // this head is the same in all versions
 		return nil, fmt.Errorf("%w: format %d, known up to %d", ErrNewer, v, Version)
 	}
-	k := &Kept{}
+	k := &State{}
 	if err := decMode.Unmarshal(payload, k); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	if err := sound(k.Module); err != nil {
+	if err := sound(k.Learned); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
 	return k, nil
--- a/internal/persistence/golden_test.go
+++ b/internal/persistence/golden_test.go
@@ -9,15 +9,15 @@
 
 // What routers in service have stored is read, and written in the same form: memory-2 has no clock, since its routers knew of none.
 func TestStoredForm(t *testing.T) {
-	kept := &Kept{}
+	kept := &State{}
 	golden.Fill(kept)
 	former := *kept
 	former.Clock = nil
-	for name, value := range map[string]*Kept{"memory-2": &former, "memory-2-clock": kept} {
-		golden.Check(t, name, value, func(v any) ([]byte, error) { return Encode(v.(*Kept)) }, func(b []byte, v any) error {
+	for name, value := range map[string]*State{"memory-2": &former, "memory-2-clock": kept} {
+		golden.Check(t, name, value, func(v any) ([]byte, error) { return Encode(v.(*State)) }, func(b []byte, v any) error {
 			read, err := Decode(b)
 			if err == nil {
-				*v.(*Kept) = *read
+				*v.(*State) = *read
 			}
 			return err
 		})
@@ -29,10 +29,10 @@
 
 // The same of the journal, with an entry of each kind.
 func TestStoredJournal(t *testing.T) {
-	entries := make([]Entry, Taken-Execution+1)
+	entries := make([]Entry, EntryAdmitted-EntryAttempt+1)
 	for i := range entries {
 		golden.Fill(&entries[i])
-		entries[i].Kind = Execution + Kind(i)
+		entries[i].Kind = EntryAttempt + EntryKind(i)
 	}
 	golden.Check(t, "journal-1", &entries, func(v any) ([]byte, error) {
 		return appendFrame([]byte(journalMagic), *v.(*[]Entry)), nil
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -12,18 +12,18 @@
 )
 
 // Sync says when what is written is brought to the disk itself.
-type Sync int
+type SyncPolicy int
 
 // Never: what a killed process wrote is there, what a power cut meets may not be. Grouped: each write is synced, with all
 // entries that came meanwhile. Each: each entry is written and synced by itself.
 const (
-	Never Sync = iota
-	Grouped
-	Each
+	SyncNever SyncPolicy = iota
+	SyncGrouped
+	SyncEach
 )
 
 // Round is a group of entries on its way to the disk.
-type Round struct {
+type Batch struct {
 	written chan struct{}
 	done    chan struct{}
 	err     error // before done is closed
@@ -36,27 +36,27 @@
 
 // Written is closed once a killed process would leave the group behind, or it can't be kept: see Lost. What matters for
 // seconds only need not wait for more: a machine that lost its power is away for longer.
-func (r *Round) Written() <-chan struct{} { return r.written }
+func (r *Batch) Written() <-chan struct{} { return r.written }
 
 // Done is closed once the group is kept as the journal promises, or can't be: see Err.
-func (r *Round) Done() <-chan struct{} { return r.done }
+func (r *Batch) Done() <-chan struct{} { return r.done }
 
 // Err tells, once Done is closed, why the group is not kept.
-func (r *Round) Err() error { return r.err }
+func (r *Batch) Err() error { return r.err }
 
 // Lost tells, once Written is closed, that the group was not even written.
-func (r *Round) Lost() bool { return r.lost }
+func (r *Batch) Lost() bool { return r.lost }
 
-func newRound() *Round { return &Round{written: make(chan struct{}), done: make(chan struct{})} }
+func newRound() *Batch { return &Batch{written: make(chan struct{}), done: make(chan struct{})} }
 
-func (r *Round) release() {
+func (r *Batch) release() {
 	if !r.released {
 		r.released = true
 		close(r.written)
 	}
 }
 
-func (r *Round) fail(err error) {
+func (r *Batch) fail(err error) {
 	r.err = err
 	if !r.released {
 		r.lost = true
@@ -78,7 +78,7 @@
 
 	mu      sync.Mutex
 	pending []Entry
-	round   *Round
+	round   *Batch
 	owed    int // entries of rounds that are not done
 	closed  bool
 	wake    chan struct{}
@@ -91,8 +91,8 @@
 	file      *journalFile // nil: none stands
 	number    int          // the highest in use
 	newest    control.Micros
-	unwritten []*Round
-	unsynced  []*Round
+	unwritten []*Batch
+	unsynced  []*Batch
 	syncing   int          // of those unsynced, how many the sync that is under way covers
 	shadow    *journalFile // an abandoned file that alone holds rounds which were told as written
 	carried   int          // how many of the first unwritten rounds
@@ -107,16 +107,16 @@
 
 // JournalOptions tells how a journal is kept.
 type JournalOptions struct {
-	Files  FileSystem
-	Sync   Sync
-	Keep   control.Micros // how long entries matter
-	Most   int64          // bytes of all files; the oldest go
-	Full   int64          // bytes after which a next file begins; 0: the usual
-	Failed func(error)    // hears of writing that begins to fail, and nil when it is over
-	Said   func(string)   // hears what else operators should know
-	Pause  time.Duration  // the first after a failure; 0: the usual
-	Clock  Clock          // of this life; unknown: times of earlier lives are taken as they are
-	Now    control.Micros // in its time
+	FileSystem   FileSystem
+	Sync         SyncPolicy
+	Retention    control.Micros // how long entries matter
+	MaxBytes     int64          // bytes of all files; the oldest go
+	MaxFileBytes int64          // bytes after which a next file begins; 0: the usual
+	OnFailure    func(error)    // hears of writing that begins to fail, and nil when it is over
+	OnWarning    func(string)   // hears what else operators should know
+	RetryDelay   time.Duration  // the first after a failure; 0: the usual
+	Clock        Clock          // of this life; unknown: times of earlier lives are taken as they are
+	Now          control.Micros // in its time
 }
 
 const (
@@ -133,15 +133,15 @@
 
 // OpenJournal reads a folder's journals, oldest first, and begins a new one. What was told of damage is for operators.
 // Entries are kept for a time. Failed hears of writing that begins to fail, and nil when that is over.
-func OpenJournal(dir string, sync Sync, keep control.Micros, most int64, failed func(error)) (j *Journal, es []Entry, told []string, err error) {
-	return JournalOptions{Files: System{}, Sync: sync, Keep: keep, Most: most, Failed: failed, Said: func(string) {}}.Open(dir)
+func OpenJournal(dir string, sync SyncPolicy, keep control.Micros, most int64, failed func(error)) (j *Journal, es []Entry, told []string, err error) {
+	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: keep, MaxBytes: most, OnFailure: failed, OnWarning: func(string) {}}.Open(dir)
 }
 
 // Open is OpenJournal.
 func (o JournalOptions) Open(dir string) (j *Journal, es []Entry, told []string, err error) {
-	o.Full, o.Pause = cmp.Or(o.Full, fileSize), cmp.Or(o.Pause, firstPause)
+	o.MaxFileBytes, o.RetryDelay = cmp.Or(o.MaxFileBytes, fileSize), cmp.Or(o.RetryDelay, firstPause)
 	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		newest: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.Pause, retry: time.NewTimer(0)}
+		newest: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.RetryDelay, retry: time.NewTimer(0)}
 	<-j.retry.C
 	if es, told, err = j.read(); err != nil {
 		return nil, nil, told, err
@@ -161,7 +161,7 @@
 func (j *Journal) Failures() int64 { return j.failures.Load() }
 
 // Append hands over entries and gives the round in which they are written.
-func (j *Journal) Append(es ...Entry) *Round {
+func (j *Journal) Append(es ...Entry) *Batch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.closed || j.owed+len(es) > mostOwed {
@@ -256,7 +256,7 @@
 		j.trouble(err)
 		return
 	}
-	if j.Sync == Grouped && j.syncing == 0 && len(j.unsynced) > 0 {
+	if j.Sync == SyncGrouped && j.syncing == 0 && len(j.unsynced) > 0 {
 		j.syncs++
 		j.syncing = len(j.unsynced)
 		j.toSync <- j.file.File
@@ -273,7 +273,7 @@
 	for len(j.unwritten) > 0 {
 		r := j.unwritten[0]
 		// A round as old as the last stays beside it: no two files hold the same frame unless it was written again.
-		if j.file.size > j.Full && newest(r.entries) > j.file.newest {
+		if j.file.size > j.MaxFileBytes && newest(r.entries) > j.file.newest {
 			if err := j.finish(); err != nil {
 				return err
 			}
@@ -285,7 +285,7 @@
 			return err
 		}
 		j.unwritten = j.unwritten[1:]
-		if j.unsynced = append(j.unsynced, r); j.Sync != Grouped {
+		if j.unsynced = append(j.unsynced, r); j.Sync != SyncGrouped {
 			j.done(1)
 		} else {
 			r.release()
@@ -308,9 +308,9 @@
 	return at
 }
 
-func (j *Journal) write(r *Round) error {
+func (j *Journal) write(r *Batch) error {
 	part := mostInFrame
-	if j.Sync == Each {
+	if j.Sync == SyncEach {
 		part = 1
 	}
 	for in := range slices.Chunk(r.entries, part) {
@@ -320,7 +320,7 @@
 		if err != nil { // it may have left half a frame, which ends the reading: nothing may follow in this file
 			return err
 		}
-		if j.Sync == Each {
+		if j.Sync == SyncEach {
 			j.syncs++
 			if err := j.file.Sync(); err != nil {
 				return err
@@ -345,7 +345,7 @@
 }
 
 // settle takes rounds off what is owed. It comes before they are told as done: whoever waited for that may hand over as much again.
-func (j *Journal) settle(kept []*Round) {
+func (j *Journal) settle(kept []*Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range kept {
@@ -369,12 +369,12 @@
 func (j *Journal) trouble(err error) {
 	j.failures.Add(1)
 	if !j.failing.Swap(true) {
-		j.Failed(err)
+		j.OnFailure(err)
 	}
 	j.abandon()
 	j.pausing = true
 	j.retry.Reset(j.pause)
-	j.pause = min(2*j.pause, mostPauses*j.Pause)
+	j.pause = min(2*j.pause, mostPauses*j.RetryDelay)
 }
 
 // well takes in that all is kept.
@@ -382,10 +382,10 @@
 	if j.file == nil || len(j.unwritten)+len(j.unsynced) > 0 {
 		return
 	}
-	j.pause = j.Pause
+	j.pause = j.RetryDelay
 	if !j.failing.Swap(false) {
 		return
 	}
 	j.prune()
-	j.Failed(nil)
+	j.OnFailure(nil)
 }
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -65,7 +65,7 @@
 
 // discard removes a file in which nothing is owed, or notes that it couldn't be.
 func (j *Journal) discard(number int) {
-	if err := j.Files.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := j.FileSystem.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		j.strays = append(j.strays, number)
 	}
 }
@@ -98,7 +98,7 @@
 // close closes a file of which all that is promised was synced. An error then takes nothing from that.
 func (j *Journal) close(f *journalFile) {
 	if err := f.Close(); err != nil {
-		j.Said(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
+		j.OnWarning(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
 	}
 }
 
@@ -109,7 +109,7 @@
 	if err := j.reuse(number); err != nil {
 		return err
 	}
-	file, err := j.Files.Create(j.path(number))
+	file, err := j.FileSystem.Create(j.path(number))
 	if err != nil {
 		return err // if it is there all the same, the next try takes its name
 	}
@@ -132,7 +132,7 @@
 	if n == 0 {
 		return nil
 	}
-	err := j.Files.Rename(j.path(j.strays[n-1]), j.path(number))
+	err := j.FileSystem.Rename(j.path(j.strays[n-1]), j.path(number))
 	if err == nil {
 		j.strays = j.strays[:n-1]
 	} else if n == 1 {
@@ -144,18 +144,18 @@
 // head writes what a file begins with, and syncs the folder.
 func (j *Journal) head(f File) error {
 	head := []byte(journalMagic)
-	if j.Clock.Boot != 0 {
+	if j.Clock.BootID != 0 {
 		head = appendFrame(head, j.Clock.note())
 	}
 	if _, err := f.Write(head); err != nil {
 		return err
 	}
-	if j.Sync != Never { // so that a disk which fails is not taken for well
+	if j.Sync != SyncNever { // so that a disk which fails is not taken for well
 		if err := f.Sync(); err != nil {
 			return err
 		}
 	}
-	return j.Files.SyncFolder(j.dir)
+	return j.FileSystem.SyncDir(j.dir)
 }
 
 // prune removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed stays for the
@@ -172,14 +172,14 @@
 	}
 	kept := j.old[:0]
 	for _, o := range j.old {
-		if !o.empty && o.newest+j.Keep >= j.newest && total <= j.Most {
+		if !o.empty && o.newest+j.Retention >= j.newest && total <= j.MaxBytes {
 			kept = append(kept, o)
 			continue
 		}
-		if err := j.Files.Remove(filepath.Join(j.dir, o.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := j.FileSystem.Remove(filepath.Join(j.dir, o.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			if !o.told {
 				o.told = true
-				j.Said(fmt.Sprintf("%s: %v: it stays, and is tried again", o.name, err))
+				j.OnWarning(fmt.Sprintf("%s: %v: it stays, and is tried again", o.name, err))
 			}
 			kept = append(kept, o)
 			continue
--- a/internal/persistence/journal_format.go
+++ b/internal/persistence/journal_format.go
@@ -10,24 +10,24 @@
 // The form of a journal file: its entries and frames.
 
 // Kind is what an entry of the journal tells.
-type Kind uint8
+type EntryKind uint8
 
 // The kinds. Execution: a marked job was sent to a server. Unrun: it is proven that it did not run there. ToCold: a job
 // was sent to a server that is cold. Ordered: an order to load was given.
 // Taken: some jobs were taken, their number in Mark, the first of them then.
 const (
-	Execution Kind = iota + 1
-	Unrun
-	ToCold
-	Ordered
-	Taken
+	EntryAttempt EntryKind = iota + 1
+	EntryNotRun
+	EntrySlowStartSend
+	EntryLoadCommand
+	EntryAdmitted
 )
 
 // Entry is one line of the journal.
 type Entry struct {
-	Kind   Kind
+	Kind   EntryKind
 	At     control.Micros
-	Mark   Mark
+	Key    IdempotencyKey
 	Server control.ServerID
 }
 
@@ -36,14 +36,14 @@
 func appendEntry(b []byte, e Entry) []byte {
 	b = append(b, byte(e.Kind))
 	b = binary.BigEndian.AppendUint64(b, uint64(e.At))
-	b = binary.BigEndian.AppendUint64(b, uint64(e.Mark))
+	b = binary.BigEndian.AppendUint64(b, uint64(e.Key))
 	return binary.BigEndian.AppendUint64(b, uint64(e.Server))
 }
 
 func readEntry(b []byte) (Entry, bool) {
-	e := Entry{Kind(b[0]), control.Micros(binary.BigEndian.Uint64(b[1:])), Mark(binary.BigEndian.Uint64(b[9:])),
+	e := Entry{EntryKind(b[0]), control.Micros(binary.BigEndian.Uint64(b[1:])), IdempotencyKey(binary.BigEndian.Uint64(b[9:])),
 		control.ServerID(binary.BigEndian.Uint64(b[17:]))}
-	return e, e.Kind >= Execution && e.Kind <= Taken && (e.Kind != Taken || e.Mark <= many) && e.At >= 0 && e.At <= latest
+	return e, e.Kind >= EntryAttempt && e.Kind <= EntryAdmitted && (e.Kind != EntryAdmitted || e.Key <= many) && e.At >= 0 && e.At <= latest
 }
 
 // A journal file is the magic, then frames: number of entries (two bytes) and CRC-32C of that and the entries (four),
--- a/internal/persistence/journal_read.go
+++ b/internal/persistence/journal_read.go
@@ -15,7 +15,7 @@
 // read gives what all files hold, oldest first.
 func (j *Journal) read() (es []Entry, told []string, err error) {
 	var names []string
-	if err := Patiently(j.Pause, func() (err error) { names, err = j.Files.Names(j.dir); return err }); err != nil {
+	if err := RetryTransient(j.RetryDelay, func() (err error) { names, err = j.FileSystem.List(j.dir); return err }); err != nil {
 		return nil, nil, err
 	}
 	var last []frame             // of the files before
@@ -28,7 +28,7 @@
 		b, err := j.readFile(name)
 		if err != nil {
 			told = append(told, fmt.Sprintf("%s: %v: it is passed over", name, err))
-			j.unread = j.unread || Passing(err)
+			j.unread = j.unread || IsTransient(err)
 			continue
 		}
 		frames, err := readFrames(b)
@@ -81,19 +81,19 @@
 }
 
 // Past gives what was read, in the time of this life.
-func (j *Journal) Past(es []Entry) Past { return Past{es, j.unsure, j.Now} }
+func (j *Journal) Recovered(es []Entry) Recovered { return Recovered{es, j.unsure, j.Now} }
 
 // readFile reads a file, with patience for the first that fails only: a start may not take long.
 func (j *Journal) readFile(name string) (b []byte, err error) {
-	read := func() (err error) { b, err = j.Files.Read(filepath.Join(j.dir, name)); return err }
+	read := func() (err error) { b, err = j.FileSystem.Read(filepath.Join(j.dir, name)); return err }
 	if j.unread {
 		return b, read()
 	}
-	return b, Patiently(j.Pause, read)
+	return b, RetryTransient(j.RetryDelay, read)
 }
 
 // Unread tells that a file could not be read at the start: what stands in it is still owed, and not known.
-func (j *Journal) Unread() bool { return j.unread }
+func (j *Journal) Incomplete() bool { return j.unread }
 
 // again tells how many of a file's first frames stand in the files before: what was not synced in a file that was abandoned was
 // written again, frame by frame, at the beginning of the next.
@@ -115,38 +115,38 @@
 }
 
 // Recalled is Past.Recalled of entries whose times are sure.
-func Recalled(m *control.LearnedState, es []Entry, keep control.Micros, most int) *Marks {
-	return Past{Entries: es}.Recalled(m, keep, most)
+func ApplyEntries(m *control.LearnedState, es []Entry, keep control.Micros, most int) *KeyIndex {
+	return Recovered{Entries: es}.Apply(m, keep, most)
 }
 
 // Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
 // does not hold. With no memory, m is an empty one. Of entries whose time is not sure those that limit us count as of now, and those
 // that allow anything don't; what may have run lies beyond every window, and is remembered as long as if it were sent now.
-func (p Past) Recalled(m *control.LearnedState, keep control.Micros, most int) *Marks {
-	marks := NewMarks(keep, most)
+func (p Recovered) Apply(m *control.LearnedState, keep control.Micros, most int) *KeyIndex {
+	marks := NewKeyIndex(keep, most)
 	for i, e := range p.Entries {
-		unsure := i < p.Unsure
+		unsure := i < p.Uncertain
 		latest := e.At
 		if unsure {
 			latest = p.Now
 		}
 		switch e.Kind {
-		case Execution:
+		case EntryAttempt:
 			if unsure {
 				e.At = 0
 			}
-			marks.add(e.Mark, Sent{e.Server, e.At}, latest)
-		case Unrun:
-			marks.Unrun(e.Mark, e.Server)
-		case Ordered:
+			marks.add(e.Key, SentAttempt{e.Server, e.At}, latest)
+		case EntryNotRun:
+			marks.RemoveNotRun(e.Key, e.Server)
+		case EntryLoadCommand:
 			if latest > m.SavedAt {
 				m.LoadCommands = append(m.LoadCommands, latest)
 			}
-		case Taken:
+		case EntryAdmitted:
 			if !unsure && e.At > m.SavedAt && len(m.Admitted) < many {
-				m.Admitted = append(m.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Mark))...)
+				m.Admitted = append(m.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Key))...)
 			}
-		case ToCold:
+		case EntrySlowStartSend:
 			if latest <= m.SavedAt {
 				continue
 			}
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -16,12 +16,12 @@
 func entries(n int) []Entry {
 	es := make([]Entry, n)
 	for i := range es {
-		es[i] = Entry{Kind(1 + i%4), control.Micros(i), Mark(i * 7), control.ServerID(i % 5)}
+		es[i] = Entry{EntryKind(1 + i%4), control.Micros(i), IdempotencyKey(i * 7), control.ServerID(i % 5)}
 	}
 	return es
 }
 
-func open(t *testing.T, dir string, sync Sync) (*Journal, []Entry, []string) {
+func open(t *testing.T, dir string, sync SyncPolicy) (*Journal, []Entry, []string) {
 	t.Helper()
 	j, es, told, err := OpenJournal(dir, sync, 10*minute, 1<<30, func(error) {})
 	if err != nil {
@@ -68,7 +68,7 @@
 
 // What a round's end tells as kept is there for the next life.
 func TestKeptEntriesAreFound(t *testing.T) {
-	for _, sync := range []Sync{Never, Grouped, Each} {
+	for _, sync := range []SyncPolicy{SyncNever, SyncGrouped, SyncEach} {
 		dir := t.TempDir()
 		es := entries(100)
 		for life := range 3 {
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	heard := make(chan error, 10)
-	j, _, _, err := JournalOptions{Files: System{}, Sync: Grouped, Keep: 10 * minute, Most: 1 << 30, Full: 1, Failed: func(err error) { heard <- err }, Said: func(string) {}}.Open(dir)
+	j, _, _, err := JournalOptions{FileSystem: OSFileSystem{}, Sync: SyncGrouped, Retention: 10 * minute, MaxBytes: 1 << 30, MaxFileBytes: 1, OnFailure: func(err error) { heard <- err }, OnWarning: func(string) {}}.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 	if second.Err() != nil || len(heard) != 0 || j.Failing() || j.Failures() == 0 {
 		t.Errorf("%v, %d more, failing %t after %d", second.Err(), len(heard), j.Failing(), j.Failures())
 	}
-	if j, es, _ := open(t, dir, Grouped); len(es) != 2 {
+	if j, es, _ := open(t, dir, SyncGrouped); len(es) != 2 {
 		t.Errorf("%d entries", len(es))
 	} else {
 		j.Close()
@@ -138,69 +138,69 @@
 // Files go once all in them is too old, and the oldest beyond the bound of all.
 func TestOldJournalsGo(t *testing.T) {
 	dir := t.TempDir()
-	j, _, _ := open(t, dir, Never)
+	j, _, _ := open(t, dir, SyncNever)
 	full := make([]Entry, fileSize/entrySize)
 	for _, at := range []control.Micros{1, 2 * minute, 13 * minute, 14 * minute} {
 		for i := range full {
-			full[i] = Entry{Kind: Execution, At: at}
+			full[i] = Entry{Kind: EntryAttempt, At: at}
 		}
 		<-j.Append(full...).Done()
 	}
 	j.Close()
-	j, es, _ := open(t, dir, Never)
+	j, es, _ := open(t, dir, SyncNever)
 	j.Close()
 	if len(es) != 2*len(full) || es[0].At != 13*minute {
 		t.Errorf("%d entries, the first of %d", len(es), es[0].At)
 	}
-	j, _, _, err := OpenJournal(dir, Never, 10*minute, fileSize, func(error) {})
+	j, _, _, err := OpenJournal(dir, SyncNever, 10*minute, fileSize, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	if j, es, _ = open(t, dir, Never); len(es) != 0 {
+	if j, es, _ = open(t, dir, SyncNever); len(es) != 0 {
 		t.Errorf("%d entries beyond the bound", len(es))
 	}
 	j.Close()
 }
 
 func TestMarks(t *testing.T) {
-	m := NewMarks(10*minute, 3)
-	m.Sent(1, Sent{7, 100})
-	m.Sent(1, Sent{8, 200})
-	m.Sent(1, Sent{7, 300})
-	m.Unrun(1, 7) // the last one there
-	m.Unrun(2, 7)
-	if got := m.MayHaveRun(1000, 1); !slices.Equal(got, []Sent{{7, 100}, {8, 200}}) {
+	m := NewKeyIndex(10*minute, 3)
+	m.Add(1, SentAttempt{7, 100})
+	m.Add(1, SentAttempt{8, 200})
+	m.Add(1, SentAttempt{7, 300})
+	m.RemoveNotRun(1, 7) // the last one there
+	m.RemoveNotRun(2, 7)
+	if got := m.MayHaveRun(1000, 1); !slices.Equal(got, []SentAttempt{{7, 100}, {8, 200}}) {
 		t.Errorf("got %v", got)
 	}
-	if got := m.MayHaveRun(150, 1); !slices.Equal(got, []Sent{{7, 100}, {8, 0}}) { // a clock set back
+	if got := m.MayHaveRun(150, 1); !slices.Equal(got, []SentAttempt{{7, 100}, {8, 0}}) { // a clock set back
 		t.Errorf("got %v", got)
 	}
-	m.Unrun(1, 8)
-	m.Unrun(1, 7)
+	m.RemoveNotRun(1, 8)
+	m.RemoveNotRun(1, 7)
 	if got := m.MayHaveRun(1000, 1); len(got) != 0 {
 		t.Errorf("got %v", got)
 	}
 }
 
 func TestMarksAreForgotten(t *testing.T) {
-	m := NewMarks(10*minute, 3)
-	for i := range Mark(3) {
-		m.Sent(i+1, Sent{7, control.Micros(i)})
+	m := NewKeyIndex(10*minute, 3)
+	for i := range IdempotencyKey(3) {
+		m.Add(i+1, SentAttempt{7, control.Micros(i)})
 	}
-	m.Sent(1, Sent{7, 5 * minute})
-	m.Tidy(10*minute + 1) // the first was sent again since
+	m.Add(1, SentAttempt{7, 5 * minute})
+	m.Prune(10*minute + 1) // the first was sent again since
 	if m.Len() != 2 || len(m.MayHaveRun(11*minute, 1)) != 2 || len(m.MayHaveRun(11*minute, 3)) != 1 {
 		t.Errorf("%d known", m.Len())
 	}
-	for i := range Mark(5) {
-		m.Sent(i+10, Sent{7, 11 * minute})
+	for i := range IdempotencyKey(5) {
+		m.Add(i+10, SentAttempt{7, 11 * minute})
 	}
-	m.Tidy(11 * minute)
+	m.Prune(11 * minute)
 	if m.Len() != 3 || m.Dropped == 0 || len(m.MayHaveRun(11*minute, 14)) != 1 {
 		t.Errorf("%d known, %d dropped", m.Len(), m.Dropped)
 	}
-	m.Tidy(22 * minute)
+	m.Prune(22 * minute)
 	if m.Len() != 0 || len(m.order)-m.from != 0 {
 		t.Errorf("%d known, %d in order", m.Len(), len(m.order)-m.from)
 	}
@@ -209,8 +209,8 @@
 // A memory holds what was sent before it was saved; the journal adds what came after, once.
 func TestRecalledAddsWhatTheMemoryLacks(t *testing.T) {
 	m := &control.LearnedState{SavedAt: 100, LoadCommands: []control.Micros{90}, Servers: []control.LearnedServer{{Server: 5, SlowStartSends: []control.Micros{95}}}}
-	marks := Recalled(m, []Entry{{Ordered, 90, 0, 5}, {ToCold, 95, 0, 5}, {Execution, 96, 9, 5}, {Ordered, 110, 0, 5}, {ToCold, 120, 0, 5},
-		{ToCold, 130, 0, 3}, {Execution, 131, 11, 3}, {Unrun, 132, 11, 3}}, minute, 100)
+	marks := ApplyEntries(m, []Entry{{EntryLoadCommand, 90, 0, 5}, {EntrySlowStartSend, 95, 0, 5}, {EntryAttempt, 96, 9, 5}, {EntryLoadCommand, 110, 0, 5}, {EntrySlowStartSend, 120, 0, 5},
+		{EntrySlowStartSend, 130, 0, 3}, {EntryAttempt, 131, 11, 3}, {EntryNotRun, 132, 11, 3}}, minute, 100)
 	if !slices.Equal(m.LoadCommands, []control.Micros{90, 110}) || len(m.Servers) != 2 || m.Servers[0].Server != 3 ||
 		!slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{130}) || !slices.Equal(m.Servers[1].SlowStartSends, []control.Micros{95, 120}) {
 		t.Errorf("got %+v", m)
@@ -222,7 +222,7 @@
 
 // BenchmarkJournal is what a job waits for its entry, with 16 at once, and how many entries a sync holds.
 func BenchmarkJournal(b *testing.B) {
-	for name, sync := range map[string]Sync{"never": Never, "grouped": Grouped, "each": Each} {
+	for name, sync := range map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach} {
 		b.Run(name, func(b *testing.B) {
 			j, _, _, err := OpenJournal(b.TempDir(), sync, 10*minute, 1<<30, func(err error) { b.Error(err) })
 			if err != nil {
@@ -232,10 +232,10 @@
 			begun := time.Now()
 			n := 0
 			for b.Loop() {
-				rounds := make([]*Round, 16)
+				rounds := make([]*Batch, 16)
 				at := time.Now()
 				for i := range rounds {
-					rounds[i] = j.Append(Entry{Execution, 1, 1, 1})
+					rounds[i] = j.Append(Entry{EntryAttempt, 1, 1, 1})
 				}
 				for _, r := range rounds {
 					<-r.Done()
--- a/internal/persistence/kill_test.go
+++ b/internal/persistence/kill_test.go
@@ -17,7 +17,7 @@
 
 // appended is one round that a life handed over.
 type appended struct {
-	*Round
+	*Batch
 	es []Entry
 }
 
@@ -35,9 +35,9 @@
 
 // earlierLife leaves files of a life before: one whose time is over, one that counts, and one with nothing in it.
 func earlierLife(d *faultDisk) (counts []Entry) {
-	counts = []Entry{{Execution, earlierAt, 7, 1}, {Unrun, earlierAt + 1, 7, 1}}
+	counts = []Entry{{EntryAttempt, earlierAt, 7, 1}, {EntryNotRun, earlierAt + 1, 7, 1}}
 	for name, b := range map[string][]byte{
-		"journal-00000001": appendFrame([]byte(journalMagic), []Entry{{Execution, outdatedAt, 9, 1}}),
+		"journal-00000001": appendFrame([]byte(journalMagic), []Entry{{EntryAttempt, outdatedAt, 9, 1}}),
 		"journal-00000002": appendFrame([]byte(journalMagic), counts),
 		"journal-00000003": []byte(journalMagic)[:5],
 	} {
@@ -47,23 +47,23 @@
 	return counts
 }
 
-func tested(d *faultDisk, sync Sync, failed func(error)) JournalOptions {
-	return JournalOptions{Files: d, Sync: sync, Keep: 10 * minute, Most: 1 << 20, Full: 300, Failed: failed, Said: func(string) {}, Pause: time.Microsecond}
+func tested(d *faultDisk, sync SyncPolicy, failed func(error)) JournalOptions {
+	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300, OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
 // live opens a journal on a disk and hands over rounds, until all is done or it was killed. Now and again it waits for the last one.
-func live(d *faultDisk, sync Sync, rounds int) (all []appended) {
+func live(d *faultDisk, sync SyncPolicy, rounds int) (all []appended) {
 	return liveBy(d, sync, rounds, func(i int) bool { return i%4 != 3 })
 }
 
-func liveBy(d *faultDisk, sync Sync, rounds int, wait func(i int) bool) (all []appended) {
+func liveBy(d *faultDisk, sync SyncPolicy, rounds int, wait func(i int) bool) (all []appended) {
 	j, _, _, err := tested(d, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return nil
 	}
 	for i := range rounds {
 		at := control.Micros(earlierAt + 10 + i)
-		es := []Entry{{Execution, at, Mark(i + 100), 1}, {ToCold, at, 0, control.ServerID(i)}, {Taken, at, 1, 0}}[:1+i%3]
+		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)}, {EntryAdmitted, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
 		all = append(all, appended{r, es})
 		if !wait(i) { // the next comes while this one is on its way
@@ -85,7 +85,7 @@
 
 // judge checks what the next life knows after a kill or a power cut: all that was told as kept, each entry once, in its order,
 // and nothing else; and that this one can write on.
-func judge(after *faultDisk, sync Sync, cut bool, earlier []Entry, all []appended) error {
+func judge(after *faultDisk, sync SyncPolicy, cut bool, earlier []Entry, all []appended) error {
 	j, got, _, err := tested(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	var maybe []Entry
 	for _, a := range all {
 		maybe = append(maybe, a.es...)
-		if owed := closed(a.done) && a.err == nil && (!cut || sync != Never) || closed(a.written) && !a.lost && !cut; owed {
+		if owed := closed(a.done) && a.err == nil && (!cut || sync != SyncNever) || closed(a.written) && !a.lost && !cut; owed {
 			want = append(want, a.es...)
 		}
 	}
@@ -113,7 +113,7 @@
 			return fmt.Errorf("%+v was told as kept and is lost", e)
 		}
 	}
-	r := j.Append(Entry{Execution, earlierAt + 1000, 1000, 1})
+	r := j.Append(Entry{EntryAttempt, earlierAt + 1000, 1000, 1})
 	<-r.Done()
 	j.Close()
 	j, more, _, err := tested(after, sync, func(error) {}).Open("dir")
@@ -128,7 +128,7 @@
 }
 
 // afterwards judges all that may be left.
-func afterwards(d *faultDisk, sync Sync, earlier []Entry, all []appended) error {
+func afterwards(d *faultDisk, sync SyncPolicy, earlier []Entry, all []appended) error {
 	for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
 		if err := judge(d.after(left.cut, left.more), sync, left.cut, earlier, all); err != nil {
 			return fmt.Errorf("power cut %t, with what was not synced %t: %w; %s", left.cut, left.more, err, d)
@@ -137,7 +137,7 @@
 	return nil
 }
 
-var syncs = map[string]Sync{"never": Never, "grouped": Grouped, "each": Each}
+var syncs = map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach}
 
 // A kill or a power cut at each call, before, within and after it, loses nothing that was told as kept.
 func TestJournalKilledAtEachCall(t *testing.T) {
@@ -237,8 +237,8 @@
 				return fine
 			})
 			earlier := earlierLife(d)
-			all := live(d, Grouped, 12)
-			if err := afterwards(d, Grouped, earlier, all); err != nil {
+			all := live(d, SyncGrouped, 12)
+			if err := afterwards(d, SyncGrouped, earlier, all); err != nil {
 				t.Error(err)
 			}
 			for i, a := range all {
@@ -268,7 +268,7 @@
 				failing[i] = fails + fault(chance.IntN(2))
 			}
 		}
-		until, sync, waits := chance.IntN(2500), []Sync{Grouped, Each}[seed%2], 1+chance.IntN(12)
+		until, sync, waits := chance.IntN(2500), []SyncPolicy{SyncGrouped, SyncEach}[seed%2], 1+chance.IntN(12)
 		plan := func(n int, call, _ string) fault {
 			switch {
 			case call == "write" && d.bytes >= until:
@@ -301,7 +301,7 @@
 		}
 		d.err = syscall.EIO
 		earlierLife(d)
-		j, es, told, err := tested(d, Grouped, func(error) {}).Open("dir")
+		j, es, told, err := tested(d, SyncGrouped, func(error) {}).Open("dir")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -310,8 +310,8 @@
 		if lost {
 			want = 1 // that of the file before
 		}
-		if len(es) != want || j.Unread() != lost || slices.ContainsFunc(told, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
-			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(es), j.Unread(), told)
+		if len(es) != want || j.Incomplete() != lost || slices.ContainsFunc(told, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
+			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(es), j.Incomplete(), told)
 		}
 		if _, is := d.names["dir/journal-00000002"]; !is {
 			t.Error("what was not read was removed")
@@ -333,7 +333,7 @@
 						}
 						return fine
 					})
-					s, _ := Look(Folder("dir").on(d), ours)
+					s, _ := OpenStore(Dir("dir").on(d), ours)
 					told := 0
 					for mark := 1; mark <= 6 && !d.killed(); mark++ {
 						if s.Write(kept(mark)) == nil {
@@ -342,10 +342,10 @@
 					}
 					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
 						after := d.after(left.cut, left.more)
-						_, found := Look(Folder("dir").on(after), ours)
+						_, found := OpenStore(Dir("dir").on(after), ours)
 						mark, ok := 0, true
-						if found.Kept != nil {
-							mark, ok = whole(found.Kept)
+						if found.State != nil {
+							mark, ok = whole(found.State)
 						}
 						if !ok || mark < told || len(d.names) > 3 || f < killedBefore && at+long+6 < d.calls && told < 6 {
 							if bad++; bad < 5 {
@@ -370,13 +370,13 @@
 		}
 		return fine
 	})
-	b, err := Encode(&Kept{Owner: ours, Generation: 3, Module: kept(5).Module})
+	b, err := Encode(&State{Owner: ours, Generation: 3, Learned: kept(5).Learned})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.err = syscall.EIO
-	d.names["dir/"+Files[1]] = &inode{data: b}
-	if _, found := Look(Folder("dir").on(d), ours); found.Kept == nil || len(found.Told) > 0 {
+	d.names["dir/"+GenerationFiles[1]] = &inode{data: b}
+	if _, found := OpenStore(Dir("dir").on(d), ours); found.State == nil || len(found.Warnings) > 0 {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/persistence/marks.go
+++ b/internal/persistence/marks.go
@@ -5,40 +5,40 @@
 )
 
 // Mark is a client's mark of a job and its function, hidden as record.Tag does; 0 is none.
-type Mark uint64
+type IdempotencyKey uint64
 
 // Sent is one execution that may have run.
-type Sent struct {
+type SentAttempt struct {
 	Server control.ServerID
 	At     control.Micros // when it was chosen, no later than it was sent
 }
 
 // sent is one with the latest time at which it can have been: that it is remembered from.
 type sent struct {
-	Sent
+	SentAttempt
 	latest control.Micros
 }
 
 // Marks knows of which marked jobs executions may have run, so that a client's repeat is judged with what this router and
 // its earlier lives sent. It is free of I/O and clocks.
-type Marks struct {
+type KeyIndex struct {
 	keep    control.Micros
 	most    int
-	sent    map[Mark][]sent
-	order   []Mark // by their first sending
-	from    int    // of order: those before are forgotten
-	Dropped int    // marks forgotten before their time, for want of room
+	sent    map[IdempotencyKey][]sent
+	order   []IdempotencyKey // by their first sending
+	from    int              // of order: those before are forgotten
+	Dropped int              // marks forgotten before their time, for want of room
 }
 
 // NewMarks gives an index that remembers each mark for a time after its last sending, and no more than a number of them.
-func NewMarks(keep control.Micros, most int) *Marks {
-	return &Marks{keep: keep, most: most, sent: map[Mark][]sent{}}
+func NewKeyIndex(keep control.Micros, most int) *KeyIndex {
+	return &KeyIndex{keep: keep, most: most, sent: map[IdempotencyKey][]sent{}}
 }
 
 // Sent notes an execution.
-func (m *Marks) Sent(mark Mark, s Sent) { m.add(mark, s, s.At) }
+func (m *KeyIndex) Add(mark IdempotencyKey, s SentAttempt) { m.add(mark, s, s.At) }
 
-func (m *Marks) add(mark Mark, s Sent, latest control.Micros) {
+func (m *KeyIndex) add(mark IdempotencyKey, s SentAttempt, latest control.Micros) {
 	was, known := m.sent[mark]
 	if !known {
 		m.order = append(m.order, mark)
@@ -48,7 +48,7 @@
 
 // Unrun notes the proof that an execution did not run. Of several to one server the last one is meant: they come one
 // after another.
-func (m *Marks) Unrun(mark Mark, server control.ServerID) {
+func (m *KeyIndex) RemoveNotRun(mark IdempotencyKey, server control.ServerID) {
 	was := m.sent[mark]
 	for i := len(was) - 1; i >= 0; i-- {
 		if was[i].Server == server {
@@ -60,22 +60,22 @@
 
 // MayHaveRun gives the executions that may have run, first to last. One of a time still to come is of a clock set back:
 // how long ago it was can't be told, so it counts as beyond every window.
-func (m *Marks) MayHaveRun(now control.Micros, mark Mark) []Sent {
-	var out []Sent
+func (m *KeyIndex) MayHaveRun(now control.Micros, mark IdempotencyKey) []SentAttempt {
+	var out []SentAttempt
 	for _, s := range m.sent[mark] {
 		if s.At > now {
 			s.At = 0
 		}
-		out = append(out, s.Sent)
+		out = append(out, s.SentAttempt)
 	}
 	return out
 }
 
 // Len counts the marks known.
-func (m *Marks) Len() int { return len(m.sent) }
+func (m *KeyIndex) Len() int { return len(m.sent) }
 
 // Tidy forgets what is older than it is to be kept, a part with each call, and the oldest beyond the number.
-func (m *Marks) Tidy(now control.Micros) {
+func (m *KeyIndex) Prune(now control.Micros) {
 	const batch = 4096 // a call a second forgets more marks than a router takes jobs
 	for range min(batch, len(m.order)-m.from) {
 		mark := m.order[m.from]
--- a/internal/persistence/memory_test.go
+++ b/internal/persistence/memory_test.go
@@ -27,21 +27,21 @@
 const items = 4
 
 // kept is a memory in which every figure tells which one it is, so that a mixture of two would show.
-func kept(mark int) *Kept {
+func kept(mark int) *State {
 	m := &control.LearnedState{SavedAt: control.Micros(mark), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(mark)}}
 	for i := range items {
 		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(mark)})
 		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2, Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(mark)}}})
 	}
-	return &Kept{Owner: ours, Module: m}
+	return &State{Owner: ours, Learned: m}
 }
 
 // whole tells the mark of a memory, and whether all of it is of that one.
-func whole(k *Kept) (mark int, ok bool) {
-	m := k.Module.SavedAt
-	ok = len(k.Module.Servers) == items && len(k.Module.Functions) == items && k.Module.QuotaDebt[0] == m
-	for i := range k.Module.Servers {
-		ok = ok && k.Module.Servers[i].StartedAt == m && k.Module.Functions[i].Instances[0].LastUsed == m
+func whole(k *State) (mark int, ok bool) {
+	m := k.Learned.SavedAt
+	ok = len(k.Learned.Servers) == items && len(k.Learned.Functions) == items && k.Learned.QuotaDebt[0] == m
+	for i := range k.Learned.Servers {
+		ok = ok && k.Learned.Servers[i].StartedAt == m && k.Learned.Functions[i].Instances[0].LastUsed == m
 	}
 	return int(m), ok
 }
@@ -94,7 +94,7 @@
 			"more than whole": func(_, new []byte) []byte { return append(new[:len(new):len(new)], make([]byte, 1+cut)...) },
 		} {
 			d := &tornDisk{files: map[string][]byte{}}
-			s, _ := Look(d, ours)
+			s, _ := OpenStore(d, ours)
 			for mark := 1; mark <= 3; mark++ {
 				if err := s.Write(kept(mark)); err != nil {
 					t.Fatal(err)
@@ -102,11 +102,11 @@
 			}
 			d.left = left
 			s.Write(kept(4))
-			_, found := Look(d, ours)
-			if found.Kept == nil {
+			_, found := OpenStore(d, ours)
+			if found.State == nil {
 				t.Fatalf("%s at %d: nothing found", name, cut)
 			}
-			if mark, ok := whole(found.Kept); !ok || mark < 3 {
+			if mark, ok := whole(found.State); !ok || mark < 3 {
 				t.Fatalf("%s at %d: got %d, whole %t", name, cut, mark, ok)
 			}
 		}
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	k, err := Decode(b)
-	if err != nil || len(k.Module.Servers) != 4 || len(k.Module.Functions) < 10 || k.Generation == 0 {
+	if err != nil || len(k.Learned.Servers) != 4 || len(k.Learned.Functions) < 10 || k.Generation == 0 {
 		t.Errorf("got %+v, %v", k, err)
 	}
 }
@@ -154,17 +154,17 @@
 // What is not ours, or not for us, is neither used nor written over.
 func TestForeignFilesAreLeftAlone(t *testing.T) {
 	newer := sealed(Version+1, []byte{0xa0})
-	other, err := Encode(&Kept{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Module: &control.LearnedState{}})
+	other, err := Encode(&State{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := Encode(&Kept{Owner: ours, Generation: 3, Module: &control.LearnedState{}})
+	good, err := Encode(&State{Owner: ours, Generation: 3, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, b := range map[string][]byte{"newer": newer, "another router's": other} {
-		d := &tornDisk{files: map[string][]byte{Files[0]: b, Files[1]: good}}
-		if _, found := Look(d, ours); found.Kept != nil || found.Write || len(found.Told) != 1 {
+		d := &tornDisk{files: map[string][]byte{GenerationFiles[0]: b, GenerationFiles[1]: good}}
+		if _, found := OpenStore(d, ours); found.State != nil || found.Writable || len(found.Warnings) != 1 {
 			t.Errorf("%s: got %+v", name, found)
 		}
 	}
@@ -173,15 +173,15 @@
 // Another deployment's memory is not used; ours takes its place.
 func TestOtherDeploymentStartsEmpty(t *testing.T) {
 	d := &tornDisk{files: map[string][]byte{}}
-	s, _ := Look(d, Owner{Router: 1, Deployment: 8})
+	s, _ := OpenStore(d, Owner{Router: 1, Deployment: 8})
 	s.Write(kept(1))
 	s.Write(kept(2))
-	s, found := Look(d, ours)
-	if found.Kept != nil || !found.Write || len(found.Told) != 2 {
+	s, found := OpenStore(d, ours)
+	if found.State != nil || !found.Writable || len(found.Warnings) != 2 {
 		t.Errorf("got %+v", found)
 	}
 	s.Write(kept(3))
-	if _, found = Look(d, ours); found.Kept == nil || found.Kept.Module.SavedAt != 3 || found.Kept.Generation != 3 {
+	if _, found = OpenStore(d, ours); found.State == nil || found.State.Learned.SavedAt != 3 || found.State.Generation != 3 {
 		t.Errorf("got %+v", found)
 	}
 }
@@ -208,11 +208,11 @@
 	if _, err := Lock(file); err == nil {
 		t.Error("a file was taken for a folder")
 	}
-	if err := os.Mkdir(filepath.Join(dir, "made", Files[0]), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(dir, "made", GenerationFiles[0]), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s, found := Look(Folder(filepath.Join(dir, "made")), ours)
-	if found.Kept != nil || len(found.Told) != 1 {
+	s, found := OpenStore(Dir(filepath.Join(dir, "made")), ours)
+	if found.State != nil || len(found.Warnings) != 1 {
 		t.Errorf("got %+v", found)
 	}
 	if err := s.Write(kept(1)); err != nil { // the other slot
@@ -234,7 +234,7 @@
 		func(m *control.LearnedState) { m.LoadCommands = []control.Micros{-1} },
 	} {
 		k := kept(1)
-		change(k.Module)
+		change(k.Learned)
 		b, err := Encode(k)
 		if err != nil {
 			t.Fatal(err)
@@ -255,7 +255,7 @@
 				payload[rapid.IntRange(0, len(payload)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 			}
 		}
-		if k, err := Decode(sealed(Version, payload)); err == nil && sound(k.Module) != nil {
+		if k, err := Decode(sealed(Version, payload)); err == nil && sound(k.Learned) != nil {
 			t.Fatalf("got %+v", k)
 		}
 	})
@@ -269,7 +269,7 @@
 	f.Add(b[len(magic)+12:])
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		if k, err := Decode(sealed(Version, payload)); err == nil {
-			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, k.Module)
+			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, k.Learned)
 		}
 		Decode(payload)
 	})
@@ -285,19 +285,19 @@
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	s, found := Look(Folder(dir), ours)
+	s, found := OpenStore(Dir(dir), ours)
 	mark := 0
-	if found.Kept != nil {
-		mark, _ = whole(found.Kept)
+	if found.State != nil {
+		mark, _ = whole(found.State)
 	}
-	j, _, _, err := OpenJournal(dir, Grouped, 1<<40, 1<<30, func(error) {})
+	j, _, _, err := OpenJournal(dir, SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
 	for {
 		mark++
-		r := j.Append(Entry{Kind: Execution, At: control.Micros(mark), Mark: Mark(mark)})
+		r := j.Append(Entry{Kind: EntryAttempt, At: control.Micros(mark), Key: IdempotencyKey(mark)})
 		if err := s.Write(kept(mark)); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
@@ -321,7 +321,7 @@
 	chance := rand.New(rand.NewPCG(1, 2))
 	elsewhere := t.TempDir()
 	last, before := 0, 0
-	told := map[Mark]bool{}
+	told := map[IdempotencyKey]bool{}
 	for i := range kills {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "HOLLYMAST_TEST_WRITE="+dir, "TMPDIR="+elsewhere)
@@ -338,33 +338,33 @@
 			if err != nil {
 				t.Fatalf("kill %d: the writer says %q", i, lines.Text())
 			}
-			told[Mark(n)] = true
+			told[IdempotencyKey(n)] = true
 			if last = max(last, n); read+1 == after { // some generations on, at any moment of the next ones
 				time.Sleep(time.Duration(chance.IntN(3000)) * time.Microsecond)
 				cmd.Process.Kill()
 			}
 		}
 		cmd.Wait()
-		_, found := Look(Folder(dir), ours)
-		if len(found.Told) > 0 || found.Kept == nil && last > 0 {
+		_, found := OpenStore(Dir(dir), ours)
+		if len(found.Warnings) > 0 || found.State == nil && last > 0 {
 			t.Fatalf("kill %d: %+v", i, found)
 		}
-		if found.Kept != nil {
-			mark, ok := whole(found.Kept)
+		if found.State != nil {
+			mark, ok := whole(found.State)
 			if !ok || mark < last || mark > max(last, before)+1 {
 				t.Fatalf("kill %d: got %d after %d, whole %t", i, mark, last, ok)
 			}
 			before = mark // perhaps one that its writer could not yet tell of
 		}
 	}
-	j, es, _, err := OpenJournal(dir, Never, 1<<40, 1<<30, func(error) {})
+	j, es, _, err := OpenJournal(dir, SyncNever, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	in := map[Mark]bool{}
+	in := map[IdempotencyKey]bool{}
 	for _, e := range es {
-		in[e.Mark] = true
+		in[e.Key] = true
 	}
 	for mark := range told {
 		if !in[mark] {
@@ -375,7 +375,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if hidden, err := os.ReadDir(elsewhere); err != nil || len(hidden) > 0 || len(left) > len(Files)+1 {
+	if hidden, err := os.ReadDir(elsewhere); err != nil || len(hidden) > 0 || len(left) > len(GenerationFiles)+1 {
 		t.Errorf("%d kills left %d files elsewhere, and %q, %v", kills, len(hidden), left, err)
 	}
 	if last < kills {
@@ -396,7 +396,7 @@
 		}
 		m.Functions = append(m.Functions, f)
 	}
-	text, err := Encode(&Kept{Module: m})
+	text, err := Encode(&State{Learned: m})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -10,7 +10,7 @@
 )
 
 // Disk is a folder of small files.
-type Disk interface {
+type FileStore interface {
 	Read(name string) ([]byte, error) // fs.ErrNotExist where there is none
 	// Replace writes a file so that after a break it is the old or the new one, or, where the disk is worse than that,
 	// anything: the other generation is then whole.
@@ -18,10 +18,10 @@
 }
 
 // Folder is a folder of the file system.
-type Folder string
+type Dir string
 
 // Read gives a file's bytes. Longer ones than any that we write are refused.
-func (f Folder) Read(name string) ([]byte, error) {
+func (f Dir) Read(name string) ([]byte, error) {
 	const most = 1 << 30
 	path := filepath.Join(string(f), name)
 	info, err := os.Stat(path)
@@ -35,9 +35,9 @@
 }
 
 // Replace writes a file, syncs it, renames it into place and syncs the folder.
-func (f Folder) Replace(name string, b []byte) error { return f.on(System{}).Replace(name, b) }
+func (f Dir) Replace(name string, b []byte) error { return f.on(OSFileSystem{}).Replace(name, b) }
 
-func (f Folder) on(files FileSystem) folder { return folder{files, string(f)} }
+func (f Dir) on(files FileSystem) folder { return folder{files, string(f)} }
 
 // folder is a Folder on any file system.
 type folder struct {
@@ -60,7 +60,7 @@
 		f.files.Remove(fresh) // or the next writing begins it anew
 		return err
 	}
-	return f.files.SyncFolder(f.dir)
+	return f.files.SyncDir(f.dir)
 }
 
 func (f folder) write(path string, b []byte) error {
@@ -75,74 +75,74 @@
 }
 
 // Files are the two generations' names; each writing replaces the older.
-var Files = [2]string{"memory-a", "memory-b"}
+var GenerationFiles = [2]string{"memory-a", "memory-b"}
 
 // Store writes generations. It is not safe for use by several goroutines.
 type Store struct {
-	disk       Disk
-	owner      Owner
-	generation uint64
-	Bytes      int // of the last writing
+	disk         FileStore
+	owner        Owner
+	generation   uint64
+	WrittenBytes int // of the last writing
 }
 
 // Found tells what was found in a folder.
-type Found struct {
-	Kept  *Kept    // nil: nothing that may be used
-	Told  []string // what is to be said to operators
-	Write bool     // whether the folder may be written to
+type OpenResult struct {
+	State    *State   // nil: nothing that may be used
+	Warnings []string // what is to be said to operators
+	Writable bool     // whether the folder may be written to
 }
 
 // Look reads both generations and decides which counts: the newest that is whole and ours. Nothing in the folder is an
 // error: a router starts in any case. Files of a newer version or of another router are left alone, and nothing is
 // written beside them.
-func Look(disk Disk, owner Owner) (*Store, Found) {
+func OpenStore(disk FileStore, owner Owner) (*Store, OpenResult) {
 	s := &Store{disk: disk, owner: owner}
-	found := Found{Write: true}
-	for _, name := range Files {
+	found := OpenResult{Writable: true}
+	for _, name := range GenerationFiles {
 		var b []byte
-		err := Patiently(firstPause, func() (err error) { b, err = disk.Read(name); return err })
+		err := RetryTransient(firstPause, func() (err error) { b, err = disk.Read(name); return err })
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		var k *Kept
+		var k *State
 		if err == nil {
 			k, err = Decode(b)
 		}
 		switch {
 		case errors.Is(err, ErrNewer):
-			found.Write = false
-			found.Told = append(found.Told, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
+			found.Writable = false
+			found.Warnings = append(found.Warnings, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
 		case err != nil:
-			found.Told = append(found.Told, fmt.Sprintf("%s: %v: it is passed over", name, err))
+			found.Warnings = append(found.Warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
 		case k.Owner.Router != owner.Router:
-			found.Write = false
-			found.Told = append(found.Told, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, k.Owner.Router))
+			found.Writable = false
+			found.Warnings = append(found.Warnings, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, k.Owner.Router))
 		case k.Owner != owner:
-			found.Told = append(found.Told, name+" is of other workloads, tenants or name_key: it is passed over")
+			found.Warnings = append(found.Warnings, name+" is of other workloads, tenants or name_key: it is passed over")
 			s.generation = max(s.generation, k.Generation)
-		case found.Kept == nil || k.Generation > found.Kept.Generation:
-			found.Kept = k
+		case found.State == nil || k.Generation > found.State.Generation:
+			found.State = k
 		}
 	}
-	if found.Kept != nil {
-		s.generation = max(s.generation, found.Kept.Generation)
+	if found.State != nil {
+		s.generation = max(s.generation, found.State.Generation)
 	}
-	if !found.Write {
-		found.Kept = nil
+	if !found.Writable {
+		found.State = nil
 	}
 	return s, found
 }
 
 // Write writes the next generation over the older one.
-func (s *Store) Write(k *Kept) error {
+func (s *Store) Write(k *State) error {
 	s.generation++
 	k.Owner, k.Generation = s.owner, s.generation
 	b, err := Encode(k)
 	if err != nil {
 		return err
 	}
-	s.Bytes = len(b)
-	return s.disk.Replace(Files[s.generation%2], b)
+	s.WrittenBytes = len(b)
+	return s.disk.Replace(GenerationFiles[s.generation%2], b)
 }
 
 // Lock takes a folder for this process until it ends, however it ends, making the folder where there is none. The error
--- a/internal/record/cost_test.go
+++ b/internal/record/cost_test.go
@@ -8,8 +8,8 @@
 
 // BenchmarkTurns is what a job costs: two turns on the tape, and their part of a frame, which is made outside turns.
 func BenchmarkTurns(b *testing.B) {
-	var turns []Turn
-	tape := &Tape{End: func(t Turn) { turns = append(turns, t) }}
+	var turns []Step
+	tape := &Recorder{OnStep: func(t Step) { turns = append(turns, t) }}
 	report := &control.LoadReport{Utilization: 0.5}
 	clock, size := control.Micros(1_796_133_869_057_624), 0
 	j := control.Request{Function: 0x661936cc994fc, Lanes: 2}
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -30,96 +30,96 @@
 
 // Header begins a segment.
 type Header struct {
-	Version int            `cbor:"Version"`
-	Build   string         `cbor:"Build"` // of the program that wrote it
-	Router  int            `cbor:"Router"`
-	Life    string         `cbor:"Life"`    // tells one run of a router from its others
-	Segment int            `cbor:"Segment"` // within the life, from 0
-	Turn    uint64         `cbor:"Turn"`    // the first turn in it
-	Clock   control.Micros `cbor:"Clock"`   // the router's time at the checkpoint
-	Gap     uint64         `cbor:"Gap"`     // turns lost before it
+	Version     int            `cbor:"Version"`
+	Build       string         `cbor:"Build"` // of the program that wrote it
+	Router      int            `cbor:"Router"`
+	Incarnation string         `cbor:"Life"`    // tells one run of a router from its others
+	Segment     int            `cbor:"Segment"` // within the life, from 0
+	FirstStep   uint64         `cbor:"Turn"`    // the first turn in it
+	Clock       control.Micros `cbor:"Clock"`   // the router's time at the checkpoint
+	LostSteps   uint64         `cbor:"Gap"`     // turns lost before it
 }
 
 // Turn is one turn: what was heard, in order, and what was then asked of the outlet, in order.
-type Turn struct {
-	_     struct{} `cbor:",toarray"`
-	Clock control.Micros
-	Heard []News
-	Did   []Deed
+type Step struct {
+	_        struct{} `cbor:",toarray"`
+	Clock    control.Micros
+	Events   []Event
+	Commands []Command
 }
 
 // News is one thing heard; one of its parts is set.
-type News struct {
-	Arrived  *control.Request  `cbor:"1,keyasint,omitempty"`
-	Answered *control.Outcome  `cbor:"2,keyasint,omitempty"`
-	Job      control.RequestID `cbor:"3,keyasint,omitempty"` // of Answered and Left
-	Listed   *Listed           `cbor:"4,keyasint,omitempty"`
-	Left     bool              `cbor:"5,keyasint,omitempty"`
-	Loaded   *Loaded           `cbor:"6,keyasint,omitempty"`
-	Request  uint64            `cbor:"7,keyasint,omitempty"` // of Arrived: Tag of its client's id for it; 0: none
+type Event struct {
+	Added      *control.Request  `cbor:"1,keyasint,omitempty"`
+	Outcome    *control.Outcome  `cbor:"2,keyasint,omitempty"`
+	RequestID  control.RequestID `cbor:"3,keyasint,omitempty"` // of Answered and Left
+	Endpoints  *EndpointUpdate   `cbor:"4,keyasint,omitempty"`
+	Cancelled  bool              `cbor:"5,keyasint,omitempty"`
+	LoadResult *LoadResult       `cbor:"6,keyasint,omitempty"`
+	ClientTag  uint64            `cbor:"7,keyasint,omitempty"` // of Arrived: Tag of its client's id for it; 0: none
 }
 
 // Listed is a list of servers as heard.
-type Listed struct {
-	Kind control.UpdateKind `cbor:"Kind"`
-	List []control.Endpoint `cbor:"List"`
+type EndpointUpdate struct {
+	Kind      control.UpdateKind `cbor:"Kind"`
+	Endpoints []control.Endpoint `cbor:"List"`
 }
 
 // Loaded is an answer to an order.
-type Loaded struct {
+type LoadResult struct {
 	Server   control.ServerID   `cbor:"Server"`
 	Function control.FunctionID `cbor:"Function"`
 	Result   control.Result     `cbor:"Result"`
-	Took     control.Micros     `cbor:"Took"`
-	Copies   int                `cbor:"Copies"`
+	Duration control.Micros     `cbor:"Took"`
+	Replicas int                `cbor:"Copies"`
 }
 
 // What a Deed does.
 const (
-	Send uint8 = iota + 1
-	PushBack
-	Kill
-	CallOff
-	Order
-	Subscribe
-	Note
-	Alarm
+	CommandForward uint8 = iota + 1
+	CommandReject
+	CommandFail
+	CommandCancelAttempt
+	CommandLoad
+	CommandSubscribe
+	CommandLog
+	CommandSetTimer
 )
 
 var words = [...]string{"nothing", "send", "push back", "kill", "call off", "order", "subscribe", "note", "alarm"}
 
 // Deed is one thing asked of the outlet.
-type Deed struct {
-	Verb     uint8              `cbor:"1,keyasint"`
-	Job      control.RequestID  `cbor:"2,keyasint,omitempty"`
-	No       control.AttemptID  `cbor:"3,keyasint,omitempty"`
+type Command struct {
+	Kind     uint8              `cbor:"1,keyasint"`
+	Request  control.RequestID  `cbor:"2,keyasint,omitempty"`
+	Attempt  control.AttemptID  `cbor:"3,keyasint,omitempty"`
 	Server   control.ServerID   `cbor:"4,keyasint,omitempty"`
 	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // allowed, to stay away, or of the alarm
 	Function control.FunctionID `cbor:"6,keyasint,omitempty"`
-	Copies   int                `cbor:"7,keyasint,omitempty"`
+	Replicas int                `cbor:"7,keyasint,omitempty"`
 	Text     string             `cbor:"8,keyasint,omitempty"`
 }
 
 // String tells a deed in plain words.
-func (d Deed) String() string {
+func (d Command) String() string {
 	word := words[0]
-	if int(d.Verb) < len(words) {
-		word = words[d.Verb]
+	if int(d.Kind) < len(words) {
+		word = words[d.Kind]
 	}
-	switch d.Verb {
-	case Send:
-		return fmt.Sprintf("send job %d, execution %d, to server %x for at most %d us", d.Job, d.No, d.Server, d.Time)
-	case PushBack:
-		return fmt.Sprintf("push back job %d for %d us", d.Job, d.Time)
-	case Kill:
-		return fmt.Sprintf("kill job %d", d.Job)
-	case CallOff:
-		return fmt.Sprintf("call off execution %d of job %d", d.No, d.Job)
-	case Order:
-		return fmt.Sprintf("order server %x to hold %d copies of function %x for job %d", d.Server, d.Copies, d.Function, d.Job)
-	case Note:
+	switch d.Kind {
+	case CommandForward:
+		return fmt.Sprintf("send job %d, execution %d, to server %x for at most %d us", d.Request, d.Attempt, d.Server, d.Time)
+	case CommandReject:
+		return fmt.Sprintf("push back job %d for %d us", d.Request, d.Time)
+	case CommandFail:
+		return fmt.Sprintf("kill job %d", d.Request)
+	case CommandCancelAttempt:
+		return fmt.Sprintf("call off execution %d of job %d", d.Attempt, d.Request)
+	case CommandLoad:
+		return fmt.Sprintf("order server %x to hold %d copies of function %x for job %d", d.Server, d.Replicas, d.Function, d.Request)
+	case CommandLog:
 		return "note: " + d.Text
-	case Alarm:
+	case CommandSetTimer:
 		return fmt.Sprintf("wake at %d", d.Time)
 	}
 	return word
@@ -129,16 +129,16 @@
 type batch struct {
 	_     struct{} `cbor:",toarray"`
 	First uint64
-	Turns []Turn
+	Turns []Step
 }
 
 // Tape turns a core's calls into turns. It is the part of the writer and of the comparison that runs within a turn. What
 // turns hold is cut from a few large pieces: allocations of their own cost more than all else on the tape.
-type Tape struct {
-	turn     Turn
-	End      func(Turn) // takes each finished turn
-	news     []News
-	deeds    []Deed
+type Recorder struct {
+	turn     Step
+	OnStep   func(Step) // takes each finished turn
+	news     []Event
+	deeds    []Command
 	jobs     []control.Request
 	outcomes []control.Outcome
 }
@@ -166,26 +166,28 @@
 }
 
 // StepEnded ends a turn.
-func (t *Tape) StepEnded(now control.Micros) {
+func (t *Recorder) StepEnded(now control.Micros) {
 	t.turn.Clock = now
 	turn := t.turn
-	t.turn = Turn{}
-	t.End(turn)
+	t.turn = Step{}
+	t.OnStep(turn)
 }
 
-func (t *Tape) heard(n News) { t.turn.Heard = add(&t.news, t.turn.Heard, n) }
-func (t *Tape) did(d Deed)   { t.turn.Did = add(&t.deeds, t.turn.Did, d) }
+func (t *Recorder) heard(n Event) { t.turn.Events = add(&t.news, t.turn.Events, n) }
+func (t *Recorder) did(d Command) { t.turn.Commands = add(&t.deeds, t.turn.Commands, d) }
 
 // EndpointsUpdated notes a list of servers.
-func (t *Tape) EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint) {
-	t.heard(News{Listed: &Listed{kind, list}})
+func (t *Recorder) EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint) {
+	t.heard(Event{Endpoints: &EndpointUpdate{kind, list}})
 }
 
 // RequestAdded notes a new job.
-func (t *Tape) RequestAdded(job control.Request) { t.heard(News{Arrived: keep(&t.jobs, job)}) }
+func (t *Recorder) RequestAdded(job control.Request) { t.heard(Event{Added: keep(&t.jobs, job)}) }
 
 // Asked notes the client's id for the job that has just arrived, as a Tag.
-func (t *Tape) Asked(request uint64) { t.turn.Heard[len(t.turn.Heard)-1].Request = request }
+func (t *Recorder) SetClientTag(request uint64) {
+	t.turn.Events[len(t.turn.Events)-1].ClientTag = request
+}
 
 // Tag hides a text: with a key nobody without it can check a guess against the tag.
 func Tag(key, text string) uint64 {
@@ -198,49 +200,51 @@
 }
 
 // AttemptEnded notes the end of an execution.
-func (t *Tape) AttemptEnded(id control.RequestID, o control.Outcome) {
-	t.heard(News{Job: id, Answered: keep(&t.outcomes, o)})
+func (t *Recorder) AttemptEnded(id control.RequestID, o control.Outcome) {
+	t.heard(Event{RequestID: id, Outcome: keep(&t.outcomes, o)})
 }
 
 // RequestCancelled notes that a client left.
-func (t *Tape) RequestCancelled(id control.RequestID) { t.heard(News{Job: id, Left: true}) }
+func (t *Recorder) RequestCancelled(id control.RequestID) {
+	t.heard(Event{RequestID: id, Cancelled: true})
+}
 
 // LoadEnded notes the answer to an order.
-func (t *Tape) LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
-	t.heard(News{Loaded: &Loaded{s, f, result, took, copies}})
+func (t *Recorder) LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
+	t.heard(Event{LoadResult: &LoadResult{s, f, result, took, copies}})
 }
 
 // Forward and the others note what the core asked of its outlet.
-func (t *Tape) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	t.did(Deed{Verb: Send, Job: j.ID, No: no, Server: to, Time: allow})
+func (t *Recorder) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
+	t.did(Command{Kind: CommandForward, Request: j.ID, Attempt: no, Server: to, Time: allow})
 }
 
 // Reject notes a push back.
-func (t *Tape) Reject(id control.RequestID, stayAway control.Micros) {
-	t.did(Deed{Verb: PushBack, Job: id, Time: stayAway})
+func (t *Recorder) Reject(id control.RequestID, stayAway control.Micros) {
+	t.did(Command{Kind: CommandReject, Request: id, Time: stayAway})
 }
 
 // Fail notes a kill.
-func (t *Tape) Fail(id control.RequestID) { t.did(Deed{Verb: Kill, Job: id}) }
+func (t *Recorder) Fail(id control.RequestID) { t.did(Command{Kind: CommandFail, Request: id}) }
 
 // CancelAttempt notes an execution called off.
-func (t *Tape) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	t.did(Deed{Verb: CallOff, Job: id, No: no})
+func (t *Recorder) CancelAttempt(id control.RequestID, no control.AttemptID) {
+	t.did(Command{Kind: CommandCancelAttempt, Request: id, Attempt: no})
 }
 
 // Load notes an order to load.
-func (t *Tape) Load(j *control.Request, o control.LoadCommand) {
-	t.did(Deed{Verb: Order, Job: j.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
+func (t *Recorder) Load(j *control.Request, o control.LoadCommand) {
+	t.did(Command{Kind: CommandLoad, Request: j.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
 }
 
 // SubscribeEndpoints notes the wish for changes of the list.
-func (t *Tape) SubscribeEndpoints() { t.did(Deed{Verb: Subscribe}) }
+func (t *Recorder) SubscribeEndpoints() { t.did(Command{Kind: CommandSubscribe}) }
 
 // Log notes a line for the log.
-func (t *Tape) Log(text string) { t.did(Deed{Verb: Note, Text: text}) }
+func (t *Recorder) Log(text string) { t.did(Command{Kind: CommandLog, Text: text}) }
 
 // SetTimer notes the alarm.
-func (t *Tape) SetTimer(at control.Micros) { t.did(Deed{Verb: Alarm, Time: at}) }
+func (t *Recorder) SetTimer(at control.Micros) { t.did(Command{Kind: CommandSetTimer, Time: at}) }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -308,4 +312,4 @@
 	return b, nil
 }
 
-var _ core.Recorder = (*Tape)(nil)
+var _ core.Recorder = (*Recorder)(nil)
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -53,7 +53,7 @@
 
 // Turns hands each turn with its number to a function, until the segment ends, the function gives an error, or the
 // segment is damaged: then all before the damage was handed over, and the error is ErrDamaged.
-func (s *Segment) Turns(each func(number uint64, t Turn) error) error {
+func (s *Segment) ForEachStep(each func(number uint64, t Step) error) error {
 	for {
 		var b batch
 		if err := readFrame(s.r, &b); err == io.EOF {
@@ -73,7 +73,7 @@
 func (s *Segment) Close() error { return s.file.Close() }
 
 // Files lists the segments that paths name: files as they are, folders with all that is in them.
-func Files(paths []string) ([]string, error) {
+func ExpandPaths(paths []string) ([]string, error) {
 	var files []string
 	for _, p := range paths {
 		info, err := os.Stat(p)
@@ -84,7 +84,7 @@
 			files = append(files, p)
 			continue
 		}
-		in, err := Segments(p)
+		in, err := ListSegments(p)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -24,20 +24,20 @@
 // A disk that is too slow stops no turn: turns are dropped, and the next segment says how many.
 func TestSlowDiskLeavesAGapThatIsTold(t *testing.T) {
 	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, state: state, log: zerolog.Nop()} // nobody writes
-	w.Begin(1)
+	w.BeginSegment(1)
 	for i := range control.Micros(depth + 9) {
-		w.end(Turn{Clock: i})
+		w.end(Step{Clock: i})
 	}
-	if w.Lost() != 10 { // the beginning took a place too
-		t.Errorf("%d turns lost", w.Lost())
+	if w.LostSteps() != 10 { // the beginning took a place too
+		t.Errorf("%d turns lost", w.LostSteps())
 	}
 	w.queue.take(nil)
-	w.end(Turn{Clock: 99}) // there is room again
+	w.end(Step{Clock: 99}) // there is room again
 	items, _ := w.queue.take(nil)
-	if len(items) != 1 || items[0].header == nil || items[0].header.Gap != 11 || items[0].header.Turn != depth+10 || items[0].header.Clock != 99 {
+	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 || items[0].header.FirstStep != depth+10 || items[0].header.Clock != 99 {
 		t.Errorf("got %+v", items)
 	}
-	w.end(Turn{Clock: 100})
+	w.end(Step{Clock: 100})
 	if items, _ = w.queue.take(nil); len(items) != 1 || items[0].number != depth+10 {
 		t.Errorf("got %+v", items)
 	}
@@ -46,28 +46,28 @@
 // A folder that can't be written to costs the recording, not the router; once it can, recording goes on.
 func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, err := Open(dir, Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, Header{Life: "a"}, state, zerolog.Nop())
+	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, state, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	w.Begin(1)
-	for w.Lost() == 0 {
-		w.end(Turn{Clock: 2})
+	w.BeginSegment(1)
+	for w.LostSteps() == 0 {
+		w.end(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); w.Written() == 0; time.Sleep(time.Millisecond) {
-		if w.end(Turn{Clock: 3}); time.Now().After(end) {
+	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0; time.Sleep(time.Millisecond) {
+		if w.end(Step{Clock: 3}); time.Now().After(end) {
 			t.Fatal("it was not taken up again")
 		}
 	}
 	w.Close()
-	files, err := Segments(dir)
+	files, err := ListSegments(dir)
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
@@ -117,7 +117,7 @@
 // faulty opens a recording on such a disk.
 func faulty(t *testing.T, dir string, log zerolog.Logger, d *faultDisk) *Writer {
 	t.Helper()
-	w, err := open(dir, Bounds{Segment: 1 << 20, Age: time.Hour, Total: 1 << 30}, Header{Life: "a"}, state, log, d)
+	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, state, log, d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,19 +150,19 @@
 	d := &faultDisk{}
 	w := faulty(t, dir, zerolog.New(said), d)
 	d.full.Store(true)
-	w.Begin(1)
+	w.BeginSegment(1)
 	for d.tries.Load() < 12 {
-		w.end(Turn{Clock: 2})
+		w.end(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
-		if left, err := Segments(dir); err != nil || len(left) > 1 {
+		if left, err := ListSegments(dir); err != nil || len(left) > 1 {
 			t.Fatalf("%q, %v", left, err)
 		}
 	}
 	d.full.Store(false)
 	for begun := time.Now(); !strings.Contains(said.String(), "goes on") && time.Since(begun) < 10*time.Second; {
-		w.end(Turn{Clock: 3})
+		w.end(Step{Clock: 3})
 		time.Sleep(time.Millisecond)
-		if w.Lost() > 1<<20 {
+		if w.LostSteps() > 1<<20 {
 			break
 		}
 	}
@@ -170,7 +170,7 @@
 	if n, m := strings.Count(said.String(), "recording failed"), strings.Count(said.String(), "goes on"); n != 1 || m != 1 {
 		t.Errorf("said %d and %d times: %s", n, m, said.String())
 	}
-	if left, err := Segments(dir); err != nil || len(left) != 1 {
+	if left, err := ListSegments(dir); err != nil || len(left) != 1 {
 		t.Errorf("%q, %v", left, err)
 	}
 }
@@ -181,14 +181,14 @@
 	w := faulty(t, t.TempDir(), zerolog.Nop(), d)
 	d.still.Store(true)
 	begun := time.Now()
-	w.Begin(1)
+	w.BeginSegment(1)
 	for range 4 * depth {
-		w.end(Turn{Clock: 2})
+		w.end(Step{Clock: 2})
 	}
 	turns := time.Since(begun)
 	w.Close()
-	if whole := time.Since(begun); turns > closeTime || whole > 3*closeTime || w.Lost() < depth {
-		t.Errorf("%v for turns, %v in all, %d lost", turns, whole, w.Lost())
+	if whole := time.Since(begun); turns > closeTime || whole > 3*closeTime || w.LostSteps() < depth {
+		t.Errorf("%v for turns, %v in all, %d lost", turns, whole, w.LostSteps())
 	}
 	d.still.Store(false)
 	w.done.Wait()
@@ -199,33 +199,33 @@
 	d := &faultDisk{}
 	d.unmade.Store(3)
 	w := faulty(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), d)
-	w.Begin(1)
-	for end := time.Now().Add(10 * time.Second); w.Written() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		w.end(Turn{Clock: 2})
+	w.BeginSegment(1)
+	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		w.end(Step{Clock: 2})
 	}
 	w.Close()
-	if left, err := Segments(w.dir); err != nil || len(left) != 1 {
+	if left, err := ListSegments(w.dir); err != nil || len(left) != 1 {
 		t.Errorf("%q, %v", left, err)
 	}
 	name := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(name, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(name, Bounds{}, Header{}, state, zerolog.Nop()); err == nil {
+	if _, err := Open(name, Limits{}, Header{}, state, zerolog.Nop()); err == nil {
 		t.Error("a file was taken for a folder")
 	}
 }
 
 func TestTotalIsBounded(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{dir: dir, bounds: Bounds{Segment: 100, Total: 1000}, head: Header{Life: "a"}, log: zerolog.Nop()}
+	w := &Writer{dir: dir, bounds: Limits{SegmentBytes: 100, TotalBytes: 1000}, head: Header{Incarnation: "a"}, log: zerolog.Nop()}
 	for i := range 20 {
 		if err := os.WriteFile(filepath.Join(dir, string(rune('a'+i))+"-000000.rec"), make([]byte, 100), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	w.makeRoom()
-	if files, _ := Segments(dir); len(files) != 9 {
+	if files, _ := ListSegments(dir); len(files) != 9 {
 		t.Errorf("%d files are left", len(files))
 	}
 }
@@ -238,10 +238,10 @@
 	}
 	defer s.Close()
 	turns, jobs := 0, 0
-	err = s.Turns(func(_ uint64, turn Turn) error {
+	err = s.ForEachStep(func(_ uint64, turn Step) error {
 		turns++
-		for _, n := range turn.Heard {
-			if n.Arrived != nil {
+		for _, n := range turn.Events {
+			if n.Added != nil {
 				jobs++
 			}
 		}
@@ -287,7 +287,7 @@
 	}
 	size := 0
 	for b.Loop() {
-		still, err := Still(Header{}, now, s)
+		still, err := SnapshotSegment(Header{}, now, s)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/record/write.go
+++ b/internal/record/write.go
@@ -22,11 +22,11 @@
 )
 
 // Bounds limit what a recording takes on disk.
-type Bounds struct {
-	Segment int64         // bytes after which a new segment begins
-	Age     time.Duration // after which it does too
-	Total   int64         // bytes of all segments: the oldest go
-	Wait    bool          // a turn waits for the disk where time is simulated: nothing is lost
+type Limits struct {
+	SegmentBytes int64         // bytes after which a new segment begins
+	SegmentAge   time.Duration // after which it does too
+	TotalBytes   int64         // bytes of all segments: the oldest go
+	WaitForDisk  bool          // a turn waits for the disk where time is simulated: nothing is lost
 }
 
 // Writer records a core. A recording owes nothing to clients: a folder that fails, is full or stands still costs turns of it and
@@ -34,7 +34,7 @@
 // keep up, or the disk fails, turns are dropped whole, and a new segment says how many.
 type Writer struct {
 	dir    string
-	bounds Bounds
+	bounds Limits
 	head   Header
 	log    zerolog.Logger
 	state  func() (*core.Snapshot, error)
@@ -60,7 +60,7 @@
 	header     *Header
 	checkpoint *core.Snapshot
 	number     uint64
-	turn       Turn
+	turn       Step
 }
 
 // depth is how many turns may wait for the disk: a second of a busy router.
@@ -118,7 +118,7 @@
 
 // Open begins a recording in a folder. State is asked, within turns, for the core's snapshot. Errors are those of the
 // folder.
-func Open(dir string, bounds Bounds, head Header, state func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
+func Open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
 	return open(dir, bounds, head, state, log, machine{})
 }
 
@@ -146,11 +146,11 @@
 	return f, nil
 }
 
-func open(dir string, bounds Bounds, head Header, state func() (*core.Snapshot, error), log zerolog.Logger,
+func open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger,
 	disk disk) (*Writer, error) {
 	// An error that may be over in a moment keeps no router from starting: the folder is made with the first segment that can be.
 	unmade := disk.Make(dir)
-	if unmade != nil && !persistence.Passing(unmade) {
+	if unmade != nil && !persistence.IsTransient(unmade) {
 		return nil, unmade
 	}
 	w := &Writer{unmade: unmade != nil, disk: disk, pause: time.Second, dir: dir, bounds: bounds, head: head, state: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
@@ -164,17 +164,17 @@
 }
 
 // Tape gives what the core is to record to. Call Begin before the first turn.
-func (w *Writer) Tape() *Tape { return &Tape{End: w.end} }
+func (w *Writer) Recorder() *Recorder { return &Recorder{OnStep: w.end} }
 
 // Begin begins a segment with a checkpoint of the core as it stands between two turns.
-func (w *Writer) Begin(now control.Micros) {
+func (w *Writer) BeginSegment(now control.Micros) {
 	s, err := w.state()
 	if err != nil {
 		w.log.Error().Err(err).Msg("no checkpoint for the recording")
 		return
 	}
 	h := w.head
-	h.Segment, h.Turn, h.Gap = -1, w.turns, w.gap
+	h.Segment, h.FirstStep, h.LostSteps = -1, w.turns, w.gap
 	h.Clock = now
 	if w.on = w.queue.push(item{header: &h, checkpoint: s}); w.on {
 		w.gap = 0
@@ -182,11 +182,11 @@
 }
 
 // end takes a finished turn. The checkpoint of a new segment is taken at the end of the turn before its first.
-func (w *Writer) end(t Turn) {
+func (w *Writer) end(t Step) {
 	number := w.turns
 	w.turns++
 	for w.on && !w.queue.push(item{number: number, turn: t}) {
-		if w.on = w.bounds.Wait; w.on {
+		if w.on = w.bounds.WaitForDisk; w.on {
 			w.queue.signal()
 			time.Sleep(time.Millisecond)
 		}
@@ -196,15 +196,15 @@
 		w.lost.Add(1)
 	}
 	if w.fresh.CompareAndSwap(true, false) || !w.on && w.queue.length() < depth/2 {
-		w.Begin(t.Clock)
+		w.BeginSegment(t.Clock)
 	}
 }
 
 // Lost counts turns that were not recorded, Written the bytes that were.
-func (w *Writer) Lost() int64 { return w.lost.Load() }
+func (w *Writer) LostSteps() int64 { return w.lost.Load() }
 
 // Written counts the bytes written.
-func (w *Writer) Written() int64 { return w.written.Load() }
+func (w *Writer) WrittenBytes() int64 { return w.written.Load() }
 
 // Close ends the recording, with all turns that were handed over. Its Tape must not be in use any more.
 func (w *Writer) Close() {
@@ -214,7 +214,7 @@
 		defer close(ended)
 		w.done.Wait()
 	}()
-	if w.bounds.Wait {
+	if w.bounds.WaitForDisk {
 		<-ended
 		return
 	}
@@ -311,7 +311,7 @@
 				w.log.Info().Msg("recording goes on")
 				said = false
 			}
-			if s != nil && (s.size > w.bounds.Segment || time.Since(s.begun) > w.bounds.Age) {
+			if s != nil && (s.size > w.bounds.SegmentBytes || time.Since(s.begun) > w.bounds.SegmentAge) {
 				s.begun = time.Now()
 				w.fresh.Store(true)
 			}
@@ -339,7 +339,7 @@
 		}
 		w.unmade = false // one that goes later is not made again: what is mounted there may be missing
 	}
-	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.head.Life, it.header.Segment))
+	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.head.Incarnation, it.header.Segment))
 	flags := os.O_EXCL
 	if name == w.stray {
 		flags = os.O_TRUNC
@@ -381,7 +381,7 @@
 }
 
 // Still is a segment of no turns: a core's state at one moment.
-func Still(h Header, now control.Micros, s *core.Snapshot) ([]byte, error) {
+func SnapshotSegment(h Header, now control.Micros, s *core.Snapshot) ([]byte, error) {
 	h.Version, h.Clock = Version, now
 	return opening(&h, s)
 }
@@ -412,7 +412,7 @@
 
 // makeRoom removes the oldest segments beyond the bound of all.
 func (w *Writer) makeRoom() {
-	files, err := Segments(w.dir)
+	files, err := ListSegments(w.dir)
 	if err != nil {
 		return
 	}
@@ -425,7 +425,7 @@
 		}
 	}
 	for i, f := range files {
-		if total+w.bounds.Segment <= w.bounds.Total {
+		if total+w.bounds.SegmentBytes <= w.bounds.TotalBytes {
 			break
 		}
 		if os.Remove(f) == nil {
@@ -435,7 +435,7 @@
 }
 
 // Segments lists a folder's segments, oldest first: lives by the time of their first file, then by number.
-func Segments(dir string) ([]string, error) {
+func ListSegments(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -16,46 +16,46 @@
 // Player is a core that goes through recorded turns.
 type Player struct {
 	Core *core.Core
-	tape record.Tape
-	did  []record.Deed
+	tape record.Recorder
+	did  []record.Command
 }
 
 // From gives a player at a checkpoint.
-func From(s *core.Snapshot) (*Player, error) {
+func NewPlayer(s *core.Snapshot) (*Player, error) {
 	p := &Player{}
-	p.tape.End = func(t record.Turn) { p.did = t.Did }
+	p.tape.OnStep = func(t record.Step) { p.did = t.Commands }
 	var err error
 	p.Core, err = core.Restore(s, &p.tape)
 	return p, err
 }
 
 // Turn has the core hear a recorded turn and gives what it decides.
-func (p *Player) Turn(t record.Turn) []record.Deed {
-	p.Hear(t)
-	return p.Decide(t.Clock)
+func (p *Player) Step(t record.Step) []record.Command {
+	p.Apply(t)
+	return p.EndStep(t.Clock)
 }
 
 // Hear has the core hear what a turn brought; Decide must follow.
-func (p *Player) Hear(t record.Turn) {
-	for _, n := range t.Heard {
+func (p *Player) Apply(t record.Step) {
+	for _, n := range t.Events {
 		switch {
-		case n.Arrived != nil:
-			p.Core.Add(t.Clock, *n.Arrived) // one that came twice was refused then too
-		case n.Answered != nil:
-			p.Core.HandleOutcome(t.Clock, n.Job, *n.Answered)
-		case n.Listed != nil:
-			p.Core.UpdateEndpoints(t.Clock, n.Listed.Kind, n.Listed.List)
-		case n.Left:
-			p.Core.Cancel(t.Clock, n.Job)
-		case n.Loaded != nil:
-			l := n.Loaded
-			p.Core.HandleLoadResult(t.Clock, l.Server, l.Function, l.Result, l.Took, l.Copies)
+		case n.Added != nil:
+			p.Core.Add(t.Clock, *n.Added) // one that came twice was refused then too
+		case n.Outcome != nil:
+			p.Core.HandleOutcome(t.Clock, n.RequestID, *n.Outcome)
+		case n.Endpoints != nil:
+			p.Core.UpdateEndpoints(t.Clock, n.Endpoints.Kind, n.Endpoints.Endpoints)
+		case n.Cancelled:
+			p.Core.Cancel(t.Clock, n.RequestID)
+		case n.LoadResult != nil:
+			l := n.LoadResult
+			p.Core.HandleLoadResult(t.Clock, l.Server, l.Function, l.Result, l.Duration, l.Replicas)
 		}
 	}
 }
 
 // Decide ends a turn.
-func (p *Player) Decide(now control.Micros) []record.Deed {
+func (p *Player) EndStep(now control.Micros) []record.Command {
 	p.Core.Step(now)
 	p.tape.StepEnded(now)
 	return p.did
@@ -63,41 +63,41 @@
 
 // Difference is the first deed that came out otherwise.
 type Difference struct {
-	File       string
-	Turn       uint64
-	Clock      control.Micros
-	Job        control.RequestID
-	Then, Now  string // what was decided
-	Checkpoint bool   // it is no deed that differs but the state at the segment's beginning
+	File               string
+	Step               uint64
+	Clock              control.Micros
+	Request            control.RequestID
+	Recorded, Replayed string // what was decided
+	Checkpoint         bool   // it is no deed that differs but the state at the segment's beginning
 }
 
 // Error tells the difference in a line.
 func (d *Difference) Error() string {
 	if d.Checkpoint {
-		return fmt.Sprintf("%s: the state reached by replay differs from the checkpoint at turn %d", d.File, d.Turn)
+		return fmt.Sprintf("%s: the state reached by replay differs from the checkpoint at turn %d", d.File, d.Step)
 	}
-	return fmt.Sprintf("%s: turn %d at %d us, job %d: then %q, now %q", d.File, d.Turn, d.Clock, d.Job, d.Then, d.Now)
+	return fmt.Sprintf("%s: turn %d at %d us, job %d: then %q, now %q", d.File, d.Step, d.Clock, d.Request, d.Recorded, d.Replayed)
 }
 
 // Range limits what is compared. The zero value is everything.
 type Range struct {
 	From, Until uint64            // turns; Until 0: to the end
-	Job         control.RequestID // only deeds for this job; 0: all
-	Shown       func(turn uint64, clock control.Micros, d record.Deed)
+	Request     control.RequestID // only deeds for this job; 0: all
+	OnCommand   func(turn uint64, clock control.Micros, d record.Command)
 }
 
 // Account is what a replay went through.
-type Account struct {
-	Segments, Turns, Deeds uint64
-	First, Last            control.Micros // clocks
-	Lost                   uint64         // turns that recordings say they lost
-	Damaged                []string       // segments that end before they should
-	Stalls                 uint64         // turns that came over a second after the one before
-	LongestStall           control.Micros
+type Summary struct {
+	Segments, Steps, Commands uint64
+	First, Last               control.Micros // clocks
+	LostSteps                 uint64         // turns that recordings say they lost
+	Damaged                   []string       // segments that end before they should
+	Stalls                    uint64         // turns that came over a second after the one before
+	LongestStall              control.Micros
 }
 
 // Play replays segments in the order given. The error is a *Difference where decisions differ.
-func Play(files []string, r Range) (a Account, err error) {
+func Play(files []string, r Range) (a Summary, err error) {
 	var p *Player
 	var life string
 	next := uint64(0)
@@ -112,26 +112,26 @@
 			return a, err
 		}
 		a.Segments++
-		a.Lost += s.Gap
-		goesOn := p != nil && life == s.Life && next == s.Turn && s.Gap == 0
-		if goesOn && s.Turn >= r.From {
+		a.LostSteps += s.LostSteps
+		goesOn := p != nil && life == s.Incarnation && next == s.FirstStep && s.LostSteps == 0
+		if goesOn && s.FirstStep >= r.From {
 			same, err := alike(p.Core, s.Checkpoint)
 			if err != nil || !same {
 				s.Close()
 				if err == nil {
-					err = &Difference{File: name, Turn: s.Turn, Clock: s.Clock, Checkpoint: true}
+					err = &Difference{File: name, Step: s.FirstStep, Clock: s.Clock, Checkpoint: true}
 				}
 				return a, err
 			}
 		}
 		if !goesOn {
-			if p, err = From(s.Checkpoint); err != nil {
+			if p, err = NewPlayer(s.Checkpoint); err != nil {
 				s.Close()
 				return a, fmt.Errorf("%s: %w", name, err)
 			}
 		}
-		life, next = s.Life, s.Turn
-		err = s.Turns(func(number uint64, t record.Turn) error {
+		life, next = s.Incarnation, s.FirstStep
+		err = s.ForEachStep(func(number uint64, t record.Step) error {
 			if r.Until > 0 && number > r.Until {
 				return errUntil
 			}
@@ -155,35 +155,35 @@
 var errUntil = errors.New("the end that was asked for")
 
 // turn replays one turn and compares it.
-func (a *Account) turn(p *Player, r Range, file string, number uint64, t record.Turn) error {
-	if a.Turns++; a.First == 0 {
+func (a *Summary) turn(p *Player, r Range, file string, number uint64, t record.Step) error {
+	if a.Steps++; a.First == 0 {
 		a.First = t.Clock
 	} else if pause := t.Clock - a.Last; pause > 1_000_000 { // five upkeeps were due meanwhile
 		a.Stalls++
 		a.LongestStall = max(a.LongestStall, pause)
 	}
 	a.Last = t.Clock
-	now := p.Turn(t)
-	for i := range max(len(now), len(t.Did)) {
-		var x, y record.Deed
-		if i < len(t.Did) {
-			x = t.Did[i]
+	now := p.Step(t)
+	for i := range max(len(now), len(t.Commands)) {
+		var x, y record.Command
+		if i < len(t.Commands) {
+			x = t.Commands[i]
 		}
 		if i < len(now) {
 			y = now[i]
 		}
-		if number < r.From || r.Job != 0 && x.Job != r.Job && y.Job != r.Job {
+		if number < r.From || r.Request != 0 && x.Request != r.Request && y.Request != r.Request {
 			continue
 		}
-		if a.Deeds++; x != y {
-			job := x.Job
+		if a.Commands++; x != y {
+			job := x.Request
 			if job == 0 {
-				job = y.Job
+				job = y.Request
 			}
-			return &Difference{File: file, Turn: number, Clock: t.Clock, Job: job, Then: x.String(), Now: y.String()}
+			return &Difference{File: file, Step: number, Clock: t.Clock, Request: job, Recorded: x.String(), Replayed: y.String()}
 		}
-		if r.Shown != nil {
-			r.Shown(number, t.Clock, x)
+		if r.OnCommand != nil {
+			r.OnCommand(number, t.Clock, x)
 		}
 	}
 	return nil
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -74,12 +74,12 @@
 	tr := &traffic{now: 5_000_000, rand: 1}
 	tr.core = core.New(control.New(tr.now, 1, told), tr)
 	dir := t.TempDir()
-	w, err := record.Open(dir, record.Bounds{Segment: 1, Age: time.Hour, Total: 1 << 30}, record.Header{Life: "a"}, tr.core.Snapshot, zerolog.Nop())
+	w, err := record.Open(dir, record.Limits{SegmentBytes: 1, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, tr.core.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr.core.SetRecorder(w.Tape())
-	w.Begin(tr.now)
+	tr.core.SetRecorder(w.Recorder())
+	w.BeginSegment(tr.now)
 	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}})
 	tr.core.Step(tr.now)
 	for i := range turns {
@@ -89,10 +89,10 @@
 		}
 	}
 	w.Close()
-	if w.Lost() > 0 {
-		t.Fatalf("%d turns were lost", w.Lost())
+	if w.LostSteps() > 0 {
+		t.Fatalf("%d turns were lost", w.LostSteps())
 	}
-	files, err := record.Segments(dir)
+	files, err := record.ListSegments(dir)
 	if err != nil || len(files) < 3 {
 		t.Fatalf("%d segments, %v", len(files), err)
 	}
@@ -102,13 +102,13 @@
 func TestReplayDecidesTheSame(t *testing.T) {
 	files := recorded(t, 1200)
 	a, err := Play(files, Range{})
-	if err != nil || a.Turns != 1201 || a.Deeds < 500 || len(a.Damaged) > 0 {
+	if err != nil || a.Steps != 1201 || a.Commands < 500 || len(a.Damaged) > 0 {
 		t.Errorf("got %+v, %v", a, err)
 	}
-	if a, err = Play(files[1:], Range{}); err != nil || a.Turns == 0 || a.Turns >= 1201 {
+	if a, err = Play(files[1:], Range{}); err != nil || a.Steps == 0 || a.Steps >= 1201 {
 		t.Errorf("from the middle: %+v, %v", a, err)
 	}
-	if a, err = Play(files, Range{Until: 99}); err != nil || a.Turns != 100 {
+	if a, err = Play(files, Range{Until: 99}); err != nil || a.Steps != 100 {
 		t.Errorf("until: %+v, %v", a, err)
 	}
 }
@@ -122,22 +122,22 @@
 			t.Fatal(err)
 		}
 		s.Checkpoint.Balancer.Deployment.MaxRetryAfter++ // seen at a segment's first push back and no earlier
-		p, err := From(s.Checkpoint)
+		p, err := NewPlayer(s.Checkpoint)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var a Account
+		var a Summary
 		pushedBack, last := false, uint64(0)
-		err = s.Turns(func(n uint64, turn record.Turn) error {
-			for _, d := range turn.Did {
-				pushedBack = pushedBack || d.Verb == record.PushBack
+		err = s.ForEachStep(func(n uint64, turn record.Step) error {
+			for _, d := range turn.Commands {
+				pushedBack = pushedBack || d.Kind == record.CommandReject
 			}
 			last = n
 			return a.turn(p, Range{}, name, n, turn)
 		})
 		s.Close()
 		var d *Difference
-		if errors.As(err, &d) != pushedBack || pushedBack && (d.Turn != last || d.Job == 0 || d.Then == d.Now) {
+		if errors.As(err, &d) != pushedBack || pushedBack && (d.Step != last || d.Request == 0 || d.Recorded == d.Replayed) {
 			t.Errorf("got %v at turn %d; pushed back %t", err, last, pushedBack)
 		}
 		found = found || pushedBack
@@ -164,7 +164,7 @@
 			t.Fatal(err)
 		}
 		a, err := Play([]string{files[0], name, files[2]}, Range{})
-		if err != nil || len(a.Damaged) != 1 || a.Turns >= whole.Turns || a.Turns == 0 {
+		if err != nil || len(a.Damaged) != 1 || a.Steps >= whole.Steps || a.Steps == 0 {
 			t.Errorf("damage %d: %+v, %v", i, a, err)
 		}
 	}
@@ -179,7 +179,7 @@
 // A recording that an earlier build made is replayed, from its checkpoint on, to the same decisions.
 func TestStoredRecordingDecidesTheSame(t *testing.T) {
 	a, err := Play([]string{"testdata/format2.rec"}, Range{})
-	if err != nil || a.Turns != 600 || a.Deeds != 617 || len(a.Damaged) > 0 {
+	if err != nil || a.Steps != 600 || a.Commands != 617 || len(a.Damaged) > 0 {
 		t.Errorf("got %+v, %v", a, err)
 	}
 }
--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -98,12 +98,12 @@
 		return nil
 	}
 	h.lives++
-	bounds := record.Bounds{Segment: 64 << 20, Age: time.Hour, Total: 1 << 40, Wait: true} // a day is kept whole
-	head := record.Header{Build: program.BuildID(), Router: int(r.number), Life: fmt.Sprintf("%d-%d", r.number, h.lives)}
+	bounds := record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, WaitForDisk: true} // a day is kept whole
+	head := record.Header{Build: program.BuildID(), Router: int(r.number), Incarnation: fmt.Sprintf("%d-%d", r.number, h.lives)}
 	var err error
 	if r.writer, err = record.Open(h.folder, bounds, head, r.core.Snapshot, zerolog.New(os.Stderr)); err == nil {
-		r.core.SetRecorder(r.writer.Tape())
-		r.writer.Begin(h.now)
+		r.core.SetRecorder(r.writer.Recorder())
+		r.writer.BeginSegment(h.now)
 	}
 	return err
 }
--- a/internal/simadapter/drill_test.go
+++ b/internal/simadapter/drill_test.go
@@ -107,7 +107,7 @@
 	if err != nil || len(files) != 1 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Turns != 2 || a.Deeds < 2 {
+	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Steps != 2 || a.Commands < 2 {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
