--- a/client/client.go
+++ b/client/client.go
@@ -199,8 +199,8 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.o.Late))
 	defer cancel()
-	w := retry.Workload{Effect: [...]control.Effect{control.NonIdempotent, control.Idempotent, control.IdempotentByKey}[call.Workload.Effect],
-		Window: control.Micros(call.Workload.Window.Microseconds()), Remembered: call.Workload.Remembered, TwoAtOnce: call.Workload.Hedge}
+	w := retry.Class{Effect: [...]control.Effect{control.NonIdempotent, control.Idempotent, control.IdempotentByKey}[call.Workload.Effect],
+		Window: control.Micros(call.Workload.Window.Microseconds()), KeysPersisted: call.Workload.Remembered, HedgeSafe: call.Workload.Hedge}
 	if call.Workload.Narrow {
 		w.Scope = control.OneZone
 	}
@@ -209,22 +209,22 @@
 		c.marks++
 		call.Mark = c.prefix + strconv.FormatUint(c.marks, 36)
 	}
-	c.budget.Earn()
+	c.budget.Deposit()
 	c.mu.Unlock()
-	t := &tries{c: c, call: &call, state: retry.Begin(w, c.now()+control.Micros(time.Until(deadline).Microseconds())), deadline: deadline, ends: make(chan ended, 8)}
+	t := &tries{c: c, call: &call, state: retry.NewCall(w, c.now()+control.Micros(time.Until(deadline).Microseconds())), deadline: deadline, ends: make(chan ended, 8)}
 	a, failed := t.run(ctx)
 	kind := "finished"
 	if failed != nil {
 		kind = string(failed.Kind)
-		failed.Tries = t.state.Tries()
+		failed.Tries = t.state.Attempts()
 	}
 	if c.o.Hooks.Done != nil {
-		c.o.Hooks.Done(kind, t.state.Tries(), time.Since(begun))
+		c.o.Hooks.Done(kind, t.state.Attempts(), time.Since(begun))
 	}
 	if failed != nil {
 		return Answer{}, failed
 	}
-	a.Tries = t.state.Tries()
+	a.Tries = t.state.Attempts()
 	return a, nil
 }
 
@@ -242,7 +242,7 @@
 
 // ended is the end of one try.
 type ended struct {
-	ending  retry.Ending
+	ending  retry.Outcome
 	sent    control.Micros
 	router  int
 	answer  Answer
@@ -271,7 +271,7 @@
 		select {
 		case <-begin.C:
 			c.mu.Lock()
-			router := t.state.Bound()
+			router := t.state.PinnedRouter()
 			if router < 0 {
 				avoid := -1
 				if other {
@@ -279,9 +279,9 @@
 				}
 				router = c.routers.Pick(c.now(), avoid)
 			}
-			may := t.state.Sent(c.now())
-			after := c.latencies.HedgeAfter()
-			number := t.state.Tries()
+			may := t.state.BeginAttempt(c.now())
+			after := c.latencies.HedgeDelay()
+			number := t.state.Attempts()
 			c.mu.Unlock()
 			if !may {
 				if out == 0 {
@@ -296,7 +296,7 @@
 			go t.try(ctx, router, number)
 		case <-hedge.C:
 			c.mu.Lock()
-			may := t.state.Hedge(c.now(), c.budget)
+			may := t.state.AllowHedge(c.now(), c.budget)
 			c.mu.Unlock()
 			if may {
 				other = true
@@ -310,23 +310,23 @@
 				t.mu.Unlock()
 			}
 			c.mu.Lock()
-			next := t.state.After(c.now(), e.ending, e.sent, e.router, e.advised, c.budget, c.chance)
-			if e.ending == retry.Finished {
+			next := t.state.HandleOutcome(c.now(), e.ending, e.sent, e.router, e.advised, c.budget, c.chance)
+			if e.ending == retry.Succeeded {
 				c.latencies.Add(control.Micros(e.took.Microseconds()))
 			}
 			c.mu.Unlock()
-			if e.ending == retry.Finished {
+			if e.ending == retry.Succeeded {
 				return e.answer, nil
 			}
-			if e.ending == retry.Killed || e.ending == retry.Lost {
+			if e.ending == retry.Failed || e.ending == retry.Lost {
 				mayHaveRun = true
 			}
-			last, from, other = e.failed, e.router, next.Other
-			if e.ending == retry.Wrong || next.Over && out == 0 {
+			last, from, other = e.failed, e.router, next.OtherRouter
+			if e.ending == retry.Invalid || next.Done && out == 0 {
 				return Answer{}, t.outcome(last, mayHaveRun)
 			}
-			if !next.Over {
-				begin.Reset(time.Until(c.at(next.Again)))
+			if !next.Done {
+				begin.Reset(time.Until(c.at(next.RetryAt)))
 			}
 		case <-ctx.Done():
 			return Answer{}, &Failed{Kind: t.kindNow(mayHaveRun), Why: "the caller's time was up", Err: context.Cause(ctx)}
@@ -374,11 +374,11 @@
 	e := ended{router: router, sent: c.now()}
 	x, err := c.get(ctx, router)
 	if err != nil {
-		e.ending, e.failed = retry.Unsent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
+		e.ending, e.failed = retry.NotSent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
 		e.ours = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
 	} else if !t.hold(x) { // the call is over
 		c.put(router, x, true)
-		e.ending, e.failed, e.ours = retry.Unsent, &Failed{Kind: Unreached, Why: "the call is over"}, true
+		e.ending, e.failed, e.ours = retry.NotSent, &Failed{Kind: Unreached, Why: "the call is over"}, true
 	} else {
 		e.sent, e.asked = c.now(), true
 		told.Left = time.Until(t.deadline)
@@ -388,10 +388,10 @@
 	c.mu.Lock()
 	switch {
 	case e.ours:
-	case e.ending == retry.Unsent || e.ending == retry.Lost:
-		c.routers.Failed(c.now(), router)
+	case e.ending == retry.NotSent || e.ending == retry.Lost:
+		c.routers.RecordFailure(c.now(), router)
 	default:
-		c.routers.Well(router)
+		c.routers.RecordSuccess(router)
 	}
 	c.mu.Unlock()
 	if t.call.Tried != nil {
@@ -434,7 +434,7 @@
 	if left <= 0 { // the body took what was left
 		t.drop(x)
 		c.put(e.router, x, true) // the call's end may have broken it
-		e.ending, e.failed, e.ours = retry.Unsent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
+		e.ending, e.failed, e.ours = retry.NotSent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
 		return
 	}
 	h := rest.Header{"Host": {address}, "Content-Type": {"application/json"}, kserve.RepeatMark: {told.Mark}, kserve.AttemptHeader: {strconv.Itoa(told.Number)},
@@ -457,7 +457,7 @@
 		}
 		e.ending, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
 		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
-			e.ending, e.failed.Kind = retry.Unsent, Unreached
+			e.ending, e.failed.Kind = retry.NotSent, Unreached
 		}
 		return
 	}
@@ -468,15 +468,15 @@
 	e.failed = &Failed{Kind: Wrong, Status: p.Status, Why: said[0].Str}
 	switch {
 	case p.Status < 300:
-		e.ending, e.failed = retry.Finished, nil
+		e.ending, e.failed = retry.Succeeded, nil
 	case p.Status == 503 && said[1].Str == string(PushedBack):
-		e.ending, e.failed.Kind = retry.PushedBack, PushedBack
+		e.ending, e.failed.Kind = retry.Rejected, PushedBack
 		e.advised = control.Micros(said[2].Int())
 		e.failed.After = time.Duration(e.advised) * time.Microsecond
 	case p.Status >= 500: // killed, or somebody on the way who promises nothing
-		e.ending, e.failed.Kind = retry.Killed, Killed
+		e.ending, e.failed.Kind = retry.Failed, Killed
 	default:
-		e.ending = retry.Wrong
+		e.ending = retry.Invalid
 	}
 }
 
@@ -494,10 +494,10 @@
 			x.Close()
 			c.gone(router, true)
 		}
-		may, at := c.routers.MayOpen(c.now(), router)
+		may, at := c.routers.MayConnect(c.now(), router)
 		if may = may && c.open[router] < c.o.Connections; may {
 			c.open[router]++
-			c.routers.Opened(router)
+			c.routers.ConnectionOpened(router)
 		}
 		c.mu.Unlock()
 		if !may {
@@ -526,7 +526,7 @@
 		if err != nil {
 			c.mu.Lock()
 			c.open[router]--
-			c.routers.Closed(router)
+			c.routers.ConnectionClosed(router)
 			c.mu.Unlock()
 			return nil, err
 		}
@@ -541,10 +541,10 @@
 func (c *Client) gone(router int, broke bool) {
 	c.open[router]--
 	if !broke {
-		c.routers.Closed(router)
+		c.routers.ConnectionClosed(router)
 		return
 	}
-	c.routers.LostOne(c.now(), router, c.chance)
+	c.routers.ConnectionLost(c.now(), router, c.chance)
 	if c.o.Hooks.Lost != nil {
 		c.o.Hooks.Lost(c.o.Routers[router])
 	}
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -91,7 +91,7 @@
 				return ctx.Err()
 			}
 		}
-		f := probe.Server(ctx, address, probe.Ask{Patience: s.Patience, Model: s.Model, Body: []byte(s.Body)})
+		f := probe.Server(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
 		if !f.Ready || f.Run != nil && f.Run.Result != "finished" {
 			bad++
 		}
--- a/internal/certstore/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -243,8 +243,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		source := xds.Source{Address: service.Address(), Kind: xds.SecretDiscovery, Now: now, Changed: func(control.Micros) {}, Note: func(string) {}}
-		ended <- source.Follow(ctx, xds.NewSecrets(r, "router-0", "", "own", "peers"))
+		source := xds.Transport{Address: service.Address(), Service: xds.SecretDiscovery, Now: now, OnUpdate: func(control.Micros) {}, Log: func(string) {}}
+		ended <- source.Run(ctx, xds.NewSecretClient(r, "router-0", "", "own", "peers"))
 	}()
 	defer func() { stop(); <-ended }()
 	await := func(what string, f func() bool) {
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -69,38 +69,38 @@
 
 // followPlane follows a control plane in the place of a file. While nothing was heard of it the router takes no jobs.
 func (g *Gateway) followPlane(ctx context.Context) {
-	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.DeltaXDS, xds.Usual)
-	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Delta: g.told.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
-		Grace: g.told.GracePeriod, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
-		Changed: func(now control.Micros) {
-			if list, news := members.News(now); news {
+	members := membership.New(membership.DefaultBounds)
+	f := xds.NewClient(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.DeltaXDS, xds.DefaultBounds)
+	source := xds.Transport{Address: g.told.ControlPlane, Credentials: g.credentials(toPlane), Delta: g.told.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
+		Grace: g.told.GracePeriod, OnComplete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
+		OnUpdate: func(now control.Micros) {
+			if list, news := members.TakeUpdate(now); news {
 				if g.counted != nil {
-					g.counted.listed(members.Facts(), f.Services())
+					g.counted.listed(members.Servers(), f.ServiceNames())
 				}
 				g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
 			}
 		},
-		Note: func(text string) { g.log.Info().Msg("xds: " + text) }}
-	if err := source.Follow(ctx, f); err != nil {
+		Log: func(text string) { g.log.Info().Msg("xds: " + text) }}
+	if err := source.Run(ctx, f); err != nil {
 		g.log.Error().Err(err).Msg("xds: the control plane can't be followed")
 	}
 }
 
 // bootstrap gives what takes in the texts of a file in Envoy's own form, and what ends what waits there.
 func (g *Gateway) bootstrap() (take func(text []byte) bool, tick func()) {
-	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, "", g.told.Zone, false, xds.Usual)
+	members := membership.New(membership.DefaultBounds)
+	f := xds.NewClient(members, "", g.told.Zone, false, xds.DefaultBounds)
 	tell := func() {
-		for _, note := range f.Notes() {
+		for _, note := range f.TakeLogLines() {
 			g.log.Info().Msg("xds: " + note)
 		}
-		if list, news := members.News(g.now()); news {
+		if list, news := members.TakeUpdate(g.now()); news {
 			g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
 		}
 	}
 	take = func(text []byte) bool {
-		err := f.Bootstrap(g.now(), text)
+		err := f.LoadBootstrap(g.now(), text)
 		if err != nil {
 			g.log.Error().Str("file", g.told.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
 		}
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -48,7 +48,7 @@
 }
 
 // listed takes in where servers stand now.
-func (c *counted) listed(facts []membership.Fact, services map[string]string) {
+func (c *counted) listed(facts []membership.Server, services map[string]string) {
 	places := make(map[string]loadreport.Locality, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
@@ -62,9 +62,9 @@
 // report reports loads to the control plane until the context ends.
 func (g *Gateway) report(ctx context.Context) {
 	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
-		Changed: func(control.Micros) {}, Note: note}
-	if err := source.Follow(ctx, xds.NewReports(g.counted, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone)); err != nil {
+	source := xds.Transport{Address: g.told.ControlPlane, Credentials: g.credentials(toPlane), Service: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
+		OnUpdate: func(control.Micros) {}, Log: note}
+	if err := source.Run(ctx, xds.NewLoadReporter(g.counted, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone)); err != nil {
 		note(err.Error())
 	}
 }
@@ -74,7 +74,7 @@
 	if g.view == nil {
 		return fault(409, "no view is served (serve_view)")
 	}
-	lines, nodes := g.view.Others()
+	lines, nodes := g.view.ReportedLoads()
 	if lines == nil {
 		lines = []loadreport.EndpointStats{}
 	}
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -114,8 +114,8 @@
 		go func() {
 			defer g.listening.Done()
 			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
-			source := xds.Source{Address: told.SecretsAddress, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
-			err := source.Follow(ctx, xds.NewSecrets(r, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, told.CertificateSecret, told.AuthoritiesSecret))
+			source := xds.Transport{Address: told.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, OnUpdate: func(control.Micros) {}, Log: note}
+			err := source.Run(ctx, xds.NewSecretClient(r, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, told.CertificateSecret, told.AuthoritiesSecret))
 			if err != nil {
 				note(err.Error())
 			}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -16,7 +16,7 @@
 	defer g.view.Close()
 	ticker := time.NewTicker(viewEvery)
 	defer ticker.Stop()
-	copies := make(chan []xds.Seen, 1)
+	copies := make(chan []xds.ServerView, 1)
 	for {
 		select {
 		case <-ticker.C:
@@ -39,11 +39,11 @@
 }
 
 // seen gives the servers as this router sees them.
-func (g *Gateway) seen() []xds.Seen {
+func (g *Gateway) seen() []xds.ServerView {
 	suspects := g.core.EjectedServers()
-	var out []xds.Seen
+	var out []xds.ServerView
 	for _, s := range g.fleet.Servers() {
-		v := xds.Seen{Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Power: s.Endpoint.Weight, Born: s.Endpoint.StartedAt, Health: membership.Healthy}
+		v := xds.ServerView{Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Weight: s.Endpoint.Weight, StartedAt: s.Endpoint.StartedAt, Health: membership.Healthy}
 		switch {
 		case s.State == control.Draining:
 			v.Health = membership.Draining
@@ -54,7 +54,7 @@
 			v.InFlight = len(p.out)
 		}
 		if r, said := g.tally.LastReport(s.Address); said {
-			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
+			v.HasLoadReport, v.Utilization, v.PendingLoads, v.PinnedMemory = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
 	}
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -61,7 +61,7 @@
 	}
 	// What it does there the first one learns from its reports, with what the server told of its load.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		lines, nodes := f.g.view.Others()
+		lines, nodes := f.g.view.ReportedLoads()
 		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
 			break
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,44 +30,44 @@
 
 // Endpoint is what a source says of one server.
 type Endpoint struct {
-	Address  string
-	Health   Health
-	Weight   uint32 // 0: not told
-	Priority uint32
-	Zone     string
-	Cell     string
-	Born     int64 // wall clock, microseconds since 1970; 0: not told
+	Address   string
+	Health    Health
+	Weight    uint32 // 0: not told
+	Priority  uint32
+	Zone      string
+	Cell      string
+	StartedAt int64 // wall clock, microseconds since 1970; 0: not told
 }
 
 // Bounds are what is made of a suspicious source.
 type Bounds struct {
-	Share   float64        // withdrawing more than this share of the usable servers in one moment is suspicious
-	Few     int            // so many may always go
-	Hold    control.Micros // for which such servers are kept; withdrawn for longer they are believed gone
-	Flaps   int            // changes between usable and not within Calm after which a server counts as not usable
-	Calm    control.Micros // and for how long after the last change
-	Moment  control.Micros // withdrawals within it count together
-	Settle  control.Micros // and for which the last of them are kept once the others are back
-	Orphans int            // endpoints of clusters that were not yet named, at most
+	MassWithdrawalShare float64        // withdrawing more than this share of the usable servers in one moment is suspicious
+	MassWithdrawalMin   int            // so many may always go
+	HoldTime            control.Micros // for which such servers are kept; withdrawn for longer they are believed gone
+	FlapLimit           int            // changes between usable and not within Calm after which a server counts as not usable
+	StableTime          control.Micros // and for how long after the last change
+	WithdrawalWindow    control.Micros // withdrawals within it count together
+	SettleTime          control.Micros // and for which the last of them are kept once the others are back
+	MaxOrphans          int            // endpoints of clusters that were not yet named, at most
 }
 
 // Usual are bounds for a fleet of some ten to some thousand servers. Half: a rolling update takes a tenth or a quarter at a
 // time. 30 s: a control plane restarts within that. A second: one change of many servers comes in several messages.
 // 200 ms: their return does too, and what is then still missing is gone within the time that a drain allows.
-var Usual = Bounds{Share: 0.5, Few: 2, Hold: 30_000_000, Flaps: 6, Calm: 5_000_000, Moment: 1_000_000, Settle: 200_000, Orphans: 10_000}
+var DefaultBounds = Bounds{MassWithdrawalShare: 0.5, MassWithdrawalMin: 2, HoldTime: 30_000_000, FlapLimit: 6, StableTime: 5_000_000, WithdrawalWindow: 1_000_000, SettleTime: 200_000, MaxOrphans: 10_000}
 
 // Fact is what is known of one server.
-type Fact struct {
+type Server struct {
 	Endpoint
-	Clusters  []string       // that name it, ascending
-	FirstSeen control.Micros // since when it is known without a break
-	Told      control.Micros // when the source last said something new of it
-	Withdrawn control.Micros // since when no cluster names it; 0: one does
-	Held      bool           // withdrawn, but kept for now
-	Flapping  bool           // called draining for it
-	changes   []control.Micros
-	usable    bool
-	until     control.Micros // of Held
+	Clusters    []string       // that name it, ascending
+	FirstSeen   control.Micros // since when it is known without a break
+	UpdatedAt   control.Micros // when the source last said something new of it
+	WithdrawnAt control.Micros // since when no cluster names it; 0: one does
+	Held        bool           // withdrawn, but kept for now
+	Flapping    bool           // called draining for it
+	changes     []control.Micros
+	usable      bool
+	until       control.Micros // of Held
 }
 
 // cluster is what a source says of one cluster.
@@ -78,17 +78,17 @@
 }
 
 // Members is the model. It is for one goroutine.
-type Members struct {
+type Model struct {
 	bounds   Bounds
 	clusters map[string]*cluster
-	facts    map[string]*Fact // by address
-	watched  map[string]bool  // of facts: those that time changes
-	calming  map[string]bool  // clusters with more levels in use than needed
-	together bool             // what is withdrawn waits in pending
-	pending  []*Fact
+	facts    map[string]*Server // by address
+	watched  map[string]bool    // of facts: those that time changes
+	calming  map[string]bool    // clusters with more levels in use than needed
+	together bool               // what is withdrawn waits in pending
+	pending  []*Server
 	orphans  int
 	broken   control.Micros // since when the source is down; 0: it is up
-	lost     []*Fact        // usable servers withdrawn lately
+	lost     []*Server      // usable servers withdrawn lately
 	version  uint64         // of the list, one more with each change
 	given    uint64         // the version last given
 	givenAt  control.Micros
@@ -98,13 +98,13 @@
 }
 
 // New gives a model that knows nothing.
-func New(b Bounds) *Members {
-	return &Members{bounds: b, clusters: map[string]*cluster{}, facts: map[string]*Fact{}, watched: map[string]bool{}, calming: map[string]bool{},
+func New(b Bounds) *Model {
+	return &Model{bounds: b, clusters: map[string]*cluster{}, facts: map[string]*Server{}, watched: map[string]bool{}, calming: map[string]bool{},
 		stale: map[string]bool{}}
 }
 
 // Source tells whether the source is up. While it is down all stands as it last said.
-func (m *Members) Source(now control.Micros, up bool) {
+func (m *Model) Source(now control.Micros, up bool) {
 	switch {
 	case up && m.broken > 0:
 		m.note("the source of the list is back after %d us", now-m.broken)
@@ -117,12 +117,12 @@
 
 // Clusters takes in all clusters that there are. One that is left out is withdrawn with its endpoints, which are forgotten
 // only if it stays so: it may come back as it was.
-func (m *Members) Clusters(now control.Micros, names []string) {
+func (m *Model) SetClusters(now control.Micros, names []string) {
 	present := make(map[string]bool, len(names))
 	for _, name := range names {
 		present[name] = true
 	}
-	m.Together(now, func() {
+	m.Batch(now, func() {
 		for _, name := range sorted(m.clusters) {
 			if !present[name] {
 				m.RemoveCluster(now, name)
@@ -135,7 +135,7 @@
 }
 
 // AddCluster takes in that there is a cluster; its endpoints may have come before.
-func (m *Members) AddCluster(now control.Micros, name string) {
+func (m *Model) AddCluster(now control.Micros, name string) {
 	c := m.cluster(name)
 	if c.named {
 		return
@@ -146,7 +146,7 @@
 }
 
 // RemoveCluster takes in that there is no such cluster any more.
-func (m *Members) RemoveCluster(now control.Micros, name string) {
+func (m *Model) RemoveCluster(now control.Micros, name string) {
 	c := m.clusters[name]
 	if c == nil || !c.named {
 		return
@@ -157,14 +157,14 @@
 
 // Endpoints takes in all endpoints of a cluster. An address named twice counts once, with its worse health. The error
 // tells that there are more of clusters not yet named than are kept; nothing of this call is then taken.
-func (m *Members) Endpoints(now control.Micros, name string, list []Endpoint) error {
+func (m *Model) SetEndpoints(now control.Micros, name string, list []Endpoint) error {
 	c := m.clusters[name]
 	if c == nil || !c.named {
 		before := 0
 		if c != nil {
 			before = len(c.endpoints)
 		}
-		if m.orphans-before+len(list) > m.bounds.Orphans {
+		if m.orphans-before+len(list) > m.bounds.MaxOrphans {
 			return fmt.Errorf("cluster %s is not known, and there are too many endpoints of such clusters", name)
 		}
 	}
@@ -199,14 +199,14 @@
 }
 
 // Forget drops the endpoints of a cluster that never came.
-func (m *Members) Forget(name string) {
+func (m *Model) ForgetCluster(name string) {
 	if c := m.clusters[name]; c != nil && !c.named {
 		m.orphans -= len(c.endpoints)
 		delete(m.clusters, name)
 	}
 }
 
-func (m *Members) cluster(name string) *cluster {
+func (m *Model) cluster(name string) *cluster {
 	c := m.clusters[name]
 	if c == nil {
 		c = &cluster{endpoints: map[string]Endpoint{}}
@@ -230,8 +230,8 @@
 
 // settle works out some servers anew, of which one cluster said something else: from that one and those that named them
 // before, so that its cost grows with the change alone.
-func (m *Members) settle(now control.Micros, changed string, touched []string) {
-	var withdrawn []*Fact
+func (m *Model) settle(now control.Micros, changed string, touched []string) {
+	var withdrawn []*Server
 	back := false
 	for _, a := range touched {
 		m.stale[a] = true
@@ -256,29 +256,29 @@
 			if len(in) == 0 {
 				e = x
 			} else { // the first cluster by name tells all but these
-				e.Health, e.Born = worse(e.Health, x.Health), max(e.Born, x.Born)
+				e.Health, e.StartedAt = worse(e.Health, x.Health), max(e.StartedAt, x.StartedAt)
 			}
 			in = append(in, name)
 		}
 		switch {
 		case f == nil && len(in) == 0:
 		case len(in) == 0:
-			if f.Withdrawn == 0 {
-				f.Withdrawn, f.Clusters = now, nil
+			if f.WithdrawnAt == 0 {
+				f.WithdrawnAt, f.Clusters = now, nil
 				m.watched[a] = true
 				withdrawn = append(withdrawn, f)
 			}
 		case f == nil:
-			f = &Fact{Endpoint: e, Clusters: in, FirstSeen: now, Told: now, usable: e.Health.usable()}
+			f = &Server{Endpoint: e, Clusters: in, FirstSeen: now, UpdatedAt: now, usable: e.Health.usable()}
 			m.facts[a] = f
 			m.version++
 		default:
-			if f.Withdrawn > 0 || f.Endpoint != e {
+			if f.WithdrawnAt > 0 || f.Endpoint != e {
 				m.version++
-				f.Told = now
+				f.UpdatedAt = now
 			}
 			back = back || f.Held
-			f.Endpoint, f.Clusters, f.Withdrawn, f.Held = e, in, 0, false
+			f.Endpoint, f.Clusters, f.WithdrawnAt, f.Held = e, in, 0, false
 			m.changed(now, f, e.Health.usable())
 		}
 	}
@@ -294,44 +294,44 @@
 
 // mostAreBack looks, once servers that were kept are named again, whether those that still are not are few enough to have
 // been withdrawn by intent.
-func (m *Members) mostAreBack(now control.Micros) {
-	var held []*Fact
+func (m *Model) mostAreBack(now control.Micros) {
+	var held []*Server
 	there := 0
 	for _, f := range m.facts {
 		if f.Held {
 			held = append(held, f)
 		}
-		if f.Health.usable() && (f.Withdrawn == 0 || f.Held) {
+		if f.Health.usable() && (f.WithdrawnAt == 0 || f.Held) {
 			there++
 		}
 	}
-	if float64(len(held)) > m.bounds.Share*float64(there) {
+	if float64(len(held)) > m.bounds.MassWithdrawalShare*float64(there) {
 		return
 	}
 	for _, f := range held {
-		f.until = min(f.until, now+m.bounds.Settle)
+		f.until = min(f.until, now+m.bounds.SettleTime)
 	}
 }
 
 // Together takes in several things that were said in one breath: servers that one of them withdraws and another names are
 // not withdrawn, and what all of them withdraw counts as one.
-func (m *Members) Together(now control.Micros, f func()) {
+func (m *Model) Batch(now control.Micros, f func()) {
 	m.together = true
 	f()
 	m.together = false
-	fs := slices.DeleteFunc(m.pending, func(f *Fact) bool { return f.Withdrawn == 0 })
+	fs := slices.DeleteFunc(m.pending, func(f *Server) bool { return f.WithdrawnAt == 0 })
 	m.pending = nil
 	m.withdraw(now, fs)
 }
 
 // changed notes a change between usable and not, and whether there were too many.
-func (m *Members) changed(now control.Micros, f *Fact, usable bool) {
+func (m *Model) changed(now control.Micros, f *Server, usable bool) {
 	if f.usable == usable {
 		return
 	}
 	f.usable = usable
-	f.changes = append(recent(f.changes, now-m.bounds.Calm), now)
-	if len(f.changes) >= m.bounds.Flaps && !f.Flapping {
+	f.changes = append(recent(f.changes, now-m.bounds.StableTime), now)
+	if len(f.changes) >= m.bounds.FlapLimit && !f.Flapping {
 		f.Flapping = true
 		m.watched[f.Address] = true
 		m.note("server %s comes and goes: it gets nothing until it is calm", f.Address)
@@ -348,8 +348,8 @@
 
 // withdraw decides about servers that no cluster names any more. Those that could not be used anyway are gone. Of the
 // others a few at a time are gone at once; where in one moment more than the told share go, all of that moment stay.
-func (m *Members) withdraw(now control.Micros, fs []*Fact) {
-	fs = slices.DeleteFunc(fs, func(f *Fact) bool {
+func (m *Model) withdraw(now control.Micros, fs []*Server) {
+	fs = slices.DeleteFunc(fs, func(f *Server) bool {
 		if !f.Health.usable() {
 			m.drop(now, f)
 			return true
@@ -359,9 +359,9 @@
 	if len(fs) == 0 {
 		return
 	}
-	m.lost = slices.DeleteFunc(m.lost, func(f *Fact) bool { return f.Withdrawn == 0 || f.Withdrawn < now-m.bounds.Moment }) // some are back
+	m.lost = slices.DeleteFunc(m.lost, func(f *Server) bool { return f.WithdrawnAt == 0 || f.WithdrawnAt < now-m.bounds.WithdrawalWindow }) // some are back
 	m.lost = append(m.lost, fs...)
-	if len(m.lost) <= m.bounds.Few { // as it mostly is: then nothing need be counted
+	if len(m.lost) <= m.bounds.MassWithdrawalMin { // as it mostly is: then nothing need be counted
 		for _, f := range fs {
 			m.drop(now, f)
 		}
@@ -369,7 +369,7 @@
 	}
 	there := 0
 	for _, f := range m.facts {
-		if f.Health.usable() && (f.Withdrawn == 0 || f.Held || f.Withdrawn == now) {
+		if f.Health.usable() && (f.WithdrawnAt == 0 || f.Held || f.WithdrawnAt == now) {
 			there++
 		}
 	}
@@ -378,10 +378,10 @@
 			there++
 		}
 	}
-	if float64(len(m.lost)) > m.bounds.Share*float64(there) {
-		m.note("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.lost), there, m.bounds.Hold)
+	if float64(len(m.lost)) > m.bounds.MassWithdrawalShare*float64(there) {
+		m.note("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.lost), there, m.bounds.HoldTime)
 		for _, f := range fs {
-			f.Held, f.until = true, now+m.bounds.Hold
+			f.Held, f.until = true, now+m.bounds.HoldTime
 		}
 		m.version++
 		return
@@ -392,7 +392,7 @@
 }
 
 // drop has a server gone. Its fact stays for as long as it could flap.
-func (m *Members) drop(now control.Micros, f *Fact) {
+func (m *Model) drop(now control.Micros, f *Server) {
 	f.Held = false
 	m.stale[f.Address] = true
 	m.changed(now, f, false)
@@ -401,7 +401,7 @@
 
 // Tick ends what has lasted long enough: what was held is believed gone, what flapped is calm. It gives when it must be
 // called again; 0: when something changes.
-func (m *Members) Tick(now control.Micros) (next control.Micros) {
+func (m *Model) Tick(now control.Micros) (next control.Micros) {
 	wake := func(at control.Micros) {
 		if next == 0 || at < next {
 			next = at
@@ -420,7 +420,7 @@
 			}
 		}
 		if n := len(f.changes); f.Flapping && n > 0 {
-			if calm := f.changes[n-1] + m.bounds.Calm; now >= calm {
+			if calm := f.changes[n-1] + m.bounds.StableTime; now >= calm {
 				f.Flapping, f.changes = false, nil
 				m.stale[a] = true
 				m.version++
@@ -428,12 +428,12 @@
 				wake(calm)
 			}
 		}
-		if f.Withdrawn > 0 && !f.Held && !f.Flapping && now >= f.Withdrawn+m.bounds.Calm {
+		if f.WithdrawnAt > 0 && !f.Held && !f.Flapping && now >= f.WithdrawnAt+m.bounds.StableTime {
 			delete(m.facts, a)
 			delete(m.watched, a)
-		} else if f.Withdrawn > 0 && !f.Held {
-			wake(f.Withdrawn + m.bounds.Calm)
-		} else if f.Withdrawn == 0 && !f.Flapping {
+		} else if f.WithdrawnAt > 0 && !f.Held {
+			wake(f.WithdrawnAt + m.bounds.StableTime)
+		} else if f.WithdrawnAt == 0 && !f.Flapping {
 			delete(m.watched, a)
 		}
 	}
@@ -462,7 +462,7 @@
 
 // News gives what differs from the list as it was last given, the first time all of it, unless that was a moment ago; Tick then
 // tells when to ask again.
-func (m *Members) News(now control.Micros) (list fleet.Update, news bool) {
+func (m *Model) TakeUpdate(now control.Micros) (list fleet.Update, news bool) {
 	if m.version == m.given || m.givenAt > 0 && now < m.nextNews() {
 		return fleet.Update{}, false
 	}
@@ -472,7 +472,7 @@
 	return list, true
 }
 
-func (m *Members) differing() (list fleet.Update) {
+func (m *Model) differing() (list fleet.Update) {
 	if m.told == nil {
 		m.told = map[string]fleet.Endpoint{}
 		list = fleet.Update{Full: true, Endpoints: m.List()}
@@ -497,14 +497,14 @@
 	return list
 }
 
-func (m *Members) nextNews() control.Micros { return m.givenAt + pausePer*control.Micros(len(m.facts)) }
+func (m *Model) nextNews() control.Micros { return m.givenAt + pausePer*control.Micros(len(m.facts)) }
 
 // Version counts the changes of the list.
-func (m *Members) Version() uint64 { return m.version }
+func (m *Model) Version() uint64 { return m.version }
 
 // List gives the servers as the module is to be told, by address: those that are usable as ready, those that are not as
 // draining, and none that are gone.
-func (m *Members) List() []fleet.Endpoint {
+func (m *Model) List() []fleet.Endpoint {
 	list := make([]fleet.Endpoint, 0, len(m.facts))
 	for _, f := range m.facts {
 		if e, listed := m.entry(f); listed {
@@ -516,11 +516,11 @@
 }
 
 // entry gives a server as the module is to be told, where it is on the list.
-func (m *Members) entry(f *Fact) (e fleet.Endpoint, listed bool) {
-	if f == nil || f.Withdrawn > 0 && !f.Held {
+func (m *Model) entry(f *Server) (e fleet.Endpoint, listed bool) {
+	if f == nil || f.WithdrawnAt > 0 && !f.Held {
 		return fleet.Endpoint{}, false
 	}
-	e = fleet.Endpoint{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Weight: power(f.Endpoint), StartedAt: f.Born}
+	e = fleet.Endpoint{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Weight: power(f.Endpoint), StartedAt: f.StartedAt}
 	if !f.Health.usable() || f.Flapping || m.inReserve(f) {
 		e.State = control.Draining
 	}
@@ -541,8 +541,8 @@
 }
 
 // Facts gives what is known of every server, by address.
-func (m *Members) Facts() []Fact {
-	var fs []Fact
+func (m *Model) Servers() []Server {
+	var fs []Server
 	for _, a := range sorted(m.facts) {
 		f := *m.facts[a]
 		f.changes = nil
@@ -552,14 +552,14 @@
 }
 
 // Broken tells since when the source is down; 0: it is up.
-func (m *Members) Broken() control.Micros { return m.broken }
+func (m *Model) SourceDownSince() control.Micros { return m.broken }
 
-func (m *Members) note(format string, args ...any) {
+func (m *Model) note(format string, args ...any) {
 	m.notes = append(m.notes, fmt.Sprintf(format, args...))
 }
 
 // Notes gives what is to be told operators since the last call.
-func (m *Members) Notes() []string {
+func (m *Model) TakeLogLines() []string {
 	notes := m.notes
 	m.notes = nil
 	return notes
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -26,7 +26,7 @@
 }
 
 // states gives how many servers the list calls ready and draining.
-func states(m *Members) (ready, draining int) {
+func states(m *Model) (ready, draining int) {
 	for _, e := range m.List() {
 		if e.State == control.Ready {
 			ready++
@@ -37,11 +37,11 @@
 	return ready, draining
 }
 
-func known(t *testing.T, n int) *Members {
+func known(t *testing.T, n int) *Model {
 	t.Helper()
-	m := New(Usual)
-	m.Clusters(second, []string{"a"})
-	if err := m.Endpoints(second, "a", endpoints(n, Healthy)); err != nil {
+	m := New(DefaultBounds)
+	m.SetClusters(second, []string{"a"})
+	if err := m.SetEndpoints(second, "a", endpoints(n, Healthy)); err != nil {
 		t.Fatal(err)
 	}
 	if ready, _ := states(m); ready != n {
@@ -52,7 +52,7 @@
 
 func TestDrainingIsBelievedAtOnceHoweverMany(t *testing.T) {
 	m := known(t, 10)
-	m.Endpoints(2*second, "a", endpoints(10, Draining))
+	m.SetEndpoints(2*second, "a", endpoints(10, Draining))
 	if ready, draining := states(m); ready != 0 || draining != 10 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
@@ -61,7 +61,7 @@
 func TestOneWithdrawnIsGoneAtOnce(t *testing.T) {
 	m := known(t, 10)
 	for i := 9; i > 4; i-- { // one every two seconds, down to half
-		m.Endpoints(control.Micros(2*(11-i))*second, "a", endpoints(i, Healthy))
+		m.SetEndpoints(control.Micros(2*(11-i))*second, "a", endpoints(i, Healthy))
 		if ready, _ := states(m); ready != i {
 			t.Errorf("%d ready of %d", ready, i)
 		}
@@ -70,13 +70,13 @@
 
 // Half or all of the list gone in one moment, in one message or several, is held, and is as it was when it comes back.
 func TestMassWithdrawalIsHeld(t *testing.T) {
-	for name, withdraw := range map[string]func(m *Members, now control.Micros){
-		"all at once": func(m *Members, now control.Micros) { m.Endpoints(now, "a", nil) },
-		"most":        func(m *Members, now control.Micros) { m.Endpoints(now, "a", endpoints(4, Healthy)) },
-		"the cluster": func(m *Members, now control.Micros) { m.Clusters(now, nil) },
-		"some by some": func(m *Members, now control.Micros) {
-			m.Endpoints(now, "a", endpoints(5, Healthy))
-			m.Endpoints(now+1000, "a", nil)
+	for name, withdraw := range map[string]func(m *Model, now control.Micros){
+		"all at once": func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", nil) },
+		"most":        func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", endpoints(4, Healthy)) },
+		"the cluster": func(m *Model, now control.Micros) { m.SetClusters(now, nil) },
+		"some by some": func(m *Model, now control.Micros) {
+			m.SetEndpoints(now, "a", endpoints(5, Healthy))
+			m.SetEndpoints(now+1000, "a", nil)
 		},
 	} {
 		m := known(t, 10)
@@ -85,17 +85,17 @@
 		if ready != 10 && !(name == "some by some" && ready == 5) {
 			t.Errorf("%s: %d ready", name, ready)
 		}
-		if next := m.Tick(6 * second); next == 0 || next > 5*second+1000+Usual.Hold {
+		if next := m.Tick(6 * second); next == 0 || next > 5*second+1000+DefaultBounds.HoldTime {
 			t.Errorf("%s: asks to be called at %d", name, next)
 		}
-		m.Clusters(8*second, []string{"a"})
-		m.Endpoints(8*second, "a", endpoints(10, Healthy))
+		m.SetClusters(8*second, []string{"a"})
+		m.SetEndpoints(8*second, "a", endpoints(10, Healthy))
 		m.Tick(100 * second)
 		if ready, _ := states(m); ready != 10 {
 			t.Errorf("%s: %d ready after it came back", name, ready)
 		}
-		for _, f := range m.Facts() {
-			if f.Held || f.Withdrawn > 0 || name != "some by some" && f.FirstSeen != second {
+		for _, f := range m.Servers() {
+			if f.Held || f.WithdrawnAt > 0 || name != "some by some" && f.FirstSeen != second {
 				t.Errorf("%s: got %+v", name, f)
 			}
 		}
@@ -105,59 +105,59 @@
 // Once most of those that were kept are back, the others were withdrawn by intent.
 func TestTheLastOfAMassWithdrawal(t *testing.T) {
 	m := known(t, 10)
-	m.Endpoints(5*second, "a", nil)
-	m.Endpoints(8*second, "a", endpoints(4, Healthy)) // not yet
-	if m.Tick(8*second + Usual.Settle); len(m.List()) != 10 {
+	m.SetEndpoints(5*second, "a", nil)
+	m.SetEndpoints(8*second, "a", endpoints(4, Healthy)) // not yet
+	if m.Tick(8*second + DefaultBounds.SettleTime); len(m.List()) != 10 {
 		t.Errorf("%d on the list while most are missing", len(m.List()))
 	}
-	m.Endpoints(9*second, "a", endpoints(9, Healthy))
-	if next := m.Tick(9 * second); len(m.List()) != 10 || next != 9*second+Usual.Settle {
+	m.SetEndpoints(9*second, "a", endpoints(9, Healthy))
+	if next := m.Tick(9 * second); len(m.List()) != 10 || next != 9*second+DefaultBounds.SettleTime {
 		t.Errorf("%d on the list at once; to be called at %d", len(m.List()), next)
 	}
-	if m.Tick(9*second + Usual.Settle); len(m.List()) != 9 {
+	if m.Tick(9*second + DefaultBounds.SettleTime); len(m.List()) != 9 {
 		t.Errorf("%d on the list in the end", len(m.List()))
 	}
 }
 
 // Many clusters of one server each, withdrawn in one breath, are one withdrawal; a server that another names stays.
 func TestWithdrawnInOneBreath(t *testing.T) {
-	m := New(Usual)
+	m := New(DefaultBounds)
 	var names []string
-	m.Together(second, func() {
+	m.Batch(second, func() {
 		for i, e := range endpoints(10, Healthy) {
 			names = append(names, fmt.Sprint("c", i))
 			m.AddCluster(second, names[i])
-			m.Endpoints(second, names[i], []Endpoint{e})
+			m.SetEndpoints(second, names[i], []Endpoint{e})
 		}
 	})
-	m.Clusters(5*second, nil)
+	m.SetClusters(5*second, nil)
 	if ready, _ := states(m); ready != 10 {
 		t.Errorf("%d ready", ready)
 	}
-	m.Clusters(6*second, names[:1])
+	m.SetClusters(6*second, names[:1])
 	x := endpoints(1, Healthy)
-	m.Endpoints(6*second, names[0], x)
-	before := m.Facts()[0].FirstSeen
-	m.Together(7*second, func() {
-		m.Endpoints(7*second, names[0], nil)
+	m.SetEndpoints(6*second, names[0], x)
+	before := m.Servers()[0].FirstSeen
+	m.Batch(7*second, func() {
+		m.SetEndpoints(7*second, names[0], nil)
 		m.AddCluster(7*second, "other")
-		m.Endpoints(7*second, "other", x)
+		m.SetEndpoints(7*second, "other", x)
 	})
-	if f := m.Facts()[0]; f.Withdrawn > 0 || f.FirstSeen != before || !slices.Equal(f.Clusters, []string{"other"}) {
+	if f := m.Servers()[0]; f.WithdrawnAt > 0 || f.FirstSeen != before || !slices.Equal(f.Clusters, []string{"other"}) {
 		t.Errorf("got %+v", f)
 	}
 }
 
 func TestHeldServersAreBelievedGoneInTheEnd(t *testing.T) {
 	m := known(t, 10)
-	m.Endpoints(5*second, "a", nil)
-	m.Tick(5*second + Usual.Hold - 1)
+	m.SetEndpoints(5*second, "a", nil)
+	m.Tick(5*second + DefaultBounds.HoldTime - 1)
 	if ready, _ := states(m); ready != 10 {
 		t.Errorf("%d ready before its time", ready)
 	}
 	m.Source(6*second, false) // a source that is down can't take back what it said
-	m.Tick(5*second + Usual.Hold)
-	if ready, _ := states(m); ready != 10 || m.Broken() != 6*second {
+	m.Tick(5*second + DefaultBounds.HoldTime)
+	if ready, _ := states(m); ready != 10 || m.SourceDownSince() != 6*second {
 		t.Errorf("%d ready while the source is down", ready)
 	}
 	m.Source(50*second, true)
@@ -165,40 +165,40 @@
 	if ready, draining := states(m); ready+draining != 0 {
 		t.Errorf("%d ready in the end", ready)
 	}
-	if notes := strings.Join(m.Notes(), "; "); !strings.Contains(notes, "kept") || !strings.Contains(notes, "believed gone") || len(m.Notes()) > 0 {
+	if notes := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(notes, "kept") || !strings.Contains(notes, "believed gone") || len(m.TakeLogLines()) > 0 {
 		t.Errorf("told %q", notes)
 	}
 }
 
 // An endpoint in two clusters is one server: it stays while one names it, and drains where either says so.
 func TestOneServerInTwoClusters(t *testing.T) {
-	m := New(Usual)
-	m.Clusters(second, []string{"a", "b"})
+	m := New(DefaultBounds)
+	m.SetClusters(second, []string{"a", "b"})
 	x := Endpoint{Address: "10.0.0.1:80", Health: Healthy, Zone: "z"}
-	m.Endpoints(second, "b", []Endpoint{x})
+	m.SetEndpoints(second, "b", []Endpoint{x})
 	drains := x
 	drains.Health = Draining
-	m.Endpoints(2*second, "a", []Endpoint{drains})
+	m.SetEndpoints(2*second, "a", []Endpoint{drains})
 	if _, draining := states(m); draining != 1 {
 		t.Error("it does not drain")
 	}
-	m.Endpoints(3*second, "a", nil)
-	if ready, _ := states(m); ready != 1 || !slices.Equal(m.Facts()[0].Clusters, []string{"b"}) {
-		t.Errorf("got %+v", m.Facts())
+	m.SetEndpoints(3*second, "a", nil)
+	if ready, _ := states(m); ready != 1 || !slices.Equal(m.Servers()[0].Clusters, []string{"b"}) {
+		t.Errorf("got %+v", m.Servers())
 	}
-	m.Endpoints(4*second, "a", []Endpoint{x}) // it moves
-	m.Endpoints(4*second, "b", nil)
-	if ready, _ := states(m); ready != 1 || m.Facts()[0].FirstSeen != second {
-		t.Errorf("after its move: %+v", m.Facts())
+	m.SetEndpoints(4*second, "a", []Endpoint{x}) // it moves
+	m.SetEndpoints(4*second, "b", nil)
+	if ready, _ := states(m); ready != 1 || m.Servers()[0].FirstSeen != second {
+		t.Errorf("after its move: %+v", m.Servers())
 	}
 }
 
 func TestEndpointsBeforeTheirCluster(t *testing.T) {
-	m := New(Bounds{Orphans: 5})
-	if err := m.Endpoints(second, "late", endpoints(3, Healthy)); err != nil {
+	m := New(Bounds{MaxOrphans: 5})
+	if err := m.SetEndpoints(second, "late", endpoints(3, Healthy)); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.Endpoints(second, "never", endpoints(3, Healthy)); err == nil {
+	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err == nil {
 		t.Error("endpoints without bound are kept")
 	}
 	if ready, _ := states(m); ready != 0 {
@@ -208,11 +208,11 @@
 	if ready, _ := states(m); ready != 3 {
 		t.Errorf("%d ready", ready)
 	}
-	if err := m.Endpoints(second, "never", endpoints(3, Healthy)); err != nil {
+	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err != nil {
 		t.Error(err)
 	}
-	m.Forget("never")
-	if err := m.Endpoints(second, "other", endpoints(5, Healthy)); err != nil {
+	m.ForgetCluster("never")
+	if err := m.SetEndpoints(second, "other", endpoints(5, Healthy)); err != nil {
 		t.Error(err)
 	}
 }
@@ -226,24 +226,24 @@
 			es[0].Health = Unhealthy
 		}
 		now += second / 2
-		m.Endpoints(now, "a", es)
+		m.SetEndpoints(now, "a", es)
 	}
 	if ready, draining := states(m); ready != 2 || draining != 1 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
-	if next := m.Tick(now); next != now+Usual.Calm {
+	if next := m.Tick(now); next != now+DefaultBounds.StableTime {
 		t.Errorf("asks to be called at %d", next)
 	}
-	m.Tick(now + Usual.Calm)
+	m.Tick(now + DefaultBounds.StableTime)
 	if ready, _ := states(m); ready != 3 {
 		t.Errorf("%d ready once calm", ready)
 	}
 }
 
 func TestWorseHealthOfAnAddressNamedTwiceInOneCluster(t *testing.T) {
-	m := New(Usual)
+	m := New(DefaultBounds)
 	m.AddCluster(second, "a")
-	m.Endpoints(second, "a", []Endpoint{{Address: "x:1", Health: Draining}, {Address: "x:1", Health: Healthy}})
+	m.SetEndpoints(second, "a", []Endpoint{{Address: "x:1", Health: Draining}, {Address: "x:1", Health: Healthy}})
 	if ready, draining := states(m); ready != 0 || draining != 1 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
@@ -258,14 +258,14 @@
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "in") {
 					last[c] = append(last[c], Endpoint{Address: fmt.Sprint("x:", i), Health: Health(rapid.IntRange(0, 5).Draw(t, "health")),
-						Zone: fmt.Sprint("zone of ", i), Born: rapid.Int64Range(0, 3).Draw(t, "born")})
+						Zone: fmt.Sprint("zone of ", i), StartedAt: rapid.Int64Range(0, 3).Draw(t, "born")})
 				}
 			}
 		}
 		named := rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named")
 		slices.Sort(named)
-		end := func(label string) *Members {
-			m := New(Usual)
+		end := func(label string) *Model {
+			m := New(DefaultBounds)
 			now := second
 			for range rapid.IntRange(0, 20).Draw(t, label+"news before") {
 				now += control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, label+"pause"))
@@ -276,16 +276,16 @@
 				case 1:
 					m.RemoveCluster(now, c)
 				case 2:
-					m.Endpoints(now, c, endpoints(rapid.IntRange(0, 4).Draw(t, label+"some"), Healthy))
+					m.SetEndpoints(now, c, endpoints(rapid.IntRange(0, 4).Draw(t, label+"some"), Healthy))
 				case 3:
 					m.Source(now, rapid.Bool().Draw(t, label+"up"))
 				default:
 					m.Tick(now)
 				}
 			}
-			steps := []func(){func() { m.Clusters(now, named) }, func() { m.Source(now, true) }}
+			steps := []func(){func() { m.SetClusters(now, named) }, func() { m.Source(now, true) }}
 			for _, c := range named {
-				steps = append(steps, func() { m.Endpoints(now, c, last[c]) })
+				steps = append(steps, func() { m.SetEndpoints(now, c, last[c]) })
 			}
 			for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(steps)]).Draw(t, label+"order") {
 				now += 1000
@@ -314,10 +314,10 @@
 // In a break of the source no healthy server is treated as gone.
 func TestBreakKeepsHealthyServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(Usual)
+		m := New(DefaultBounds)
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
 		m.AddCluster(second, "a")
-		m.Endpoints(second, "a", endpoints(n, Healthy))
+		m.SetEndpoints(second, "a", endpoints(n, Healthy))
 		now := 10 * second
 		m.Source(now, false)
 		for range 50 {
@@ -342,10 +342,10 @@
 func BenchmarkWhole(b *testing.B) {
 	es := large(10_000)
 	for b.Loop() {
-		m := New(Usual)
+		m := New(DefaultBounds)
 		for c := range 100 {
 			m.AddCluster(second, fmt.Sprint(c))
-			m.Endpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+			m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
 		}
 		if len(m.List()) != 10_000 {
 			b.Fatal("servers are missing")
@@ -355,23 +355,23 @@
 
 func BenchmarkOne(b *testing.B) {
 	es := large(10_000)
-	m := New(Usual)
+	m := New(DefaultBounds)
 	for c := range 100 {
 		m.AddCluster(second, fmt.Sprint(c))
-		m.Endpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+		m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
 	}
 	now := second
 	for b.Loop() {
 		now += second
-		es[0].Born++
-		m.Endpoints(now, "0", es[:100])
+		es[0].StartedAt++
+		m.SetEndpoints(now, "0", es[:100])
 	}
 }
 
 // Servers of a lower priority get nothing while those above are enough, are called in at once when they are not, and are let go
 // once that has lasted; what the source says of how many it keeps spare counts.
 func TestReserveIsCalledIn(t *testing.T) {
-	m := New(Usual)
+	m := New(DefaultBounds)
 	m.AddCluster(1, "c")
 	tell := func(now control.Micros, well int) {
 		list := endpoints(10, Healthy)
@@ -383,7 +383,7 @@
 				list[i].Health = Unhealthy
 			}
 		}
-		if err := m.Endpoints(now, "c", list); err != nil {
+		if err := m.SetEndpoints(now, "c", list); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -408,12 +408,12 @@
 	tell(50, 7)
 	ready(8, "not yet calm")
 	next := m.Tick(60)
-	if next != 50+Usual.Calm {
+	if next != 50+DefaultBounds.StableTime {
 		t.Errorf("the alarm is at %d", next)
 	}
 	m.Tick(next)
 	ready(7, "calm")
-	m.Spare("c", 1)
+	m.SetOverprovisioning("c", 1)
 	tell(next+10, 6)
 	ready(7, "without spare 6 of 7 are too few")
 }
@@ -422,22 +422,22 @@
 func TestNewsComesAtAPace(t *testing.T) {
 	m := known(t, 1000)
 	given, now := 0, control.Micros(1_000_000)
-	m.News(now)
+	m.TakeUpdate(now)
 	for range 1000 {
 		now += 1000
 		list := endpoints(1000, Healthy)
 		list[0].Weight = uint32(now)
-		if err := m.Endpoints(now, "a", list); err != nil {
+		if err := m.SetEndpoints(now, "a", list); err != nil {
 			t.Fatal(err)
 		}
-		if _, news := m.News(now); news {
+		if _, news := m.TakeUpdate(now); news {
 			given++
 		}
 	}
 	if least := 400; given < least || given > 500 { // every 2 ms of 1000
 		t.Errorf("told %d times in a second", given)
 	}
-	last, news := m.News(m.Tick(now))
+	last, news := m.TakeUpdate(m.Tick(now))
 	if m.version == m.given && !news {
 		return // the last change was told at once
 	}
@@ -449,8 +449,8 @@
 // What is given as news, taken together, is the list, whatever the source says.
 func TestNewsIsAsTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bounds := Usual
-		bounds.Flaps = 2
+		bounds := DefaultBounds
+		bounds.FlapLimit = 2
 		m, now, list := New(bounds), second, map[string]fleet.Endpoint{}
 		clusters := []string{"a", "b"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -464,16 +464,16 @@
 			case 2:
 				m.Source(now, rapid.Bool().Draw(t, "up"))
 			case 3:
-				m.Clusters(now, rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named"))
+				m.SetClusters(now, rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named"))
 			case 4:
 				m.Tick(now)
 			default:
-				m.Endpoints(now, cluster, rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Endpoint {
+				m.SetEndpoints(now, cluster, rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Endpoint {
 					return Endpoint{Address: fmt.Sprint("x:", rapid.IntRange(0, 7).Draw(t, "address")), Health: Health(rapid.IntRange(0, 5).Draw(t, "health")),
 						Priority: uint32(rapid.IntRange(0, 2).Draw(t, "priority")), Weight: uint32(rapid.IntRange(0, 1).Draw(t, "weight"))}
 				}), 0, 8).Draw(t, "endpoints"))
 			}
-			news, is := m.News(now)
+			news, is := m.TakeUpdate(now)
 			if !is {
 				continue
 			}
@@ -500,19 +500,19 @@
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("news/servers=%d", servers), func(b *testing.B) {
-			es, m := large(servers), New(Usual)
+			es, m := large(servers), New(DefaultBounds)
 			for c := range servers / 100 {
 				m.AddCluster(second, fmt.Sprint(c))
-				m.Endpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+				m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
 			}
-			m.News(second)
+			m.TakeUpdate(second)
 			now := second
 			b.ReportAllocs()
 			for b.Loop() {
 				now += second
-				es[0].Born++
-				m.Endpoints(now, "0", es[:100])
-				if _, news := m.News(now); !news {
+				es[0].StartedAt++
+				m.SetEndpoints(now, "0", es[:100])
+				if _, news := m.TakeUpdate(now); !news {
 					b.Fatal("no news")
 				}
 			}
--- a/internal/membership/reserve.go
+++ b/internal/membership/reserve.go
@@ -31,11 +31,13 @@
 
 // Spare tells how many times as many servers as needed each level of a cluster has; 0: as usual. It is to be told before the
 // endpoints.
-func (m *Members) Spare(name string, times float64) { m.cluster(name).reserve.spare = times }
+func (m *Model) SetOverprovisioning(name string, times float64) {
+	m.cluster(name).reserve.spare = times
+}
 
 // weigh counts a cluster's levels anew and decides which are in use: another is called in at once, and let go when the ones
 // above were enough for a calm time, since servers that come and go at the edge would have it loaded for nothing.
-func (m *Members) weigh(now control.Micros, name string, c *cluster) {
+func (m *Model) weigh(now control.Micros, name string, c *cluster) {
 	r := &c.reserve
 	by := map[uint32]level{}
 	for _, e := range c.endpoints {
@@ -67,7 +69,7 @@
 }
 
 // levelsChanged notes that other servers of a cluster are in reserve.
-func (m *Members) levelsChanged(c *cluster) {
+func (m *Model) levelsChanged(c *cluster) {
 	m.version++
 	for a := range c.endpoints {
 		m.stale[a] = true
@@ -91,15 +93,15 @@
 }
 
 // relieve lets levels go that were not needed for a calm time.
-func (m *Members) relieve(now control.Micros, wake func(at control.Micros)) {
+func (m *Model) relieve(now control.Micros, wake func(at control.Micros)) {
 	for _, name := range sorted(m.calming) {
 		c := m.clusters[name]
 		switch {
 		case c == nil || c.reserve.fewer == 0:
 			delete(m.calming, name)
 		case m.broken > 0: // nobody could say otherwise
-		case now < c.reserve.fewer+m.bounds.Calm:
-			wake(c.reserve.fewer + m.bounds.Calm)
+		case now < c.reserve.fewer+m.bounds.StableTime:
+			wake(c.reserve.fewer + m.bounds.StableTime)
 		default:
 			r := &c.reserve
 			r.upTo, r.fewer = r.need(), 0
@@ -111,7 +113,7 @@
 }
 
 // inReserve tells whether a server is in reserve in all clusters that name it.
-func (m *Members) inReserve(f *Fact) bool {
+func (m *Model) inReserve(f *Server) bool {
 	for _, name := range f.Clusters {
 		if c := m.clusters[name]; c == nil || c.endpoints[f.Address].Priority <= c.reserve.upTo {
 			return false
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -22,38 +22,38 @@
 
 func TestProbeRunsNothingUnlessTold(t *testing.T) {
 	s, log := start(t)
-	ask := Ask{Patience: time.Second}
-	if f := Server(context.Background(), s.Address(), ask); !f.Ready || f.Run != nil || f.Load == nil || len(f.Stands) != 0 {
+	ask := Options{Timeout: time.Second}
+	if f := Server(context.Background(), s.Address(), ask); !f.Ready || f.Run != nil || f.Load == nil || len(f.Models) != 0 {
 		t.Errorf("got %+v", f)
 	}
 	if n := len(log.Records()); n != 0 {
 		t.Errorf("the server saw %d things", n)
 	}
 	ask.Model, ask.Body = "m", []byte(`{"id":"p","inputs":[]}`)
-	if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != "finished" || !f.Run.MayRun || f.Run.Status != 200 {
+	if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != "finished" || !f.Run.MayHaveRun || f.Run.Status != 200 {
 		t.Errorf("got %+v", f.Run)
 	}
 	ask.Model = ""
-	if f := Server(context.Background(), s.Address(), ask); len(f.Stands) != 1 || f.Stands[0].Name != "m" || f.Stands[0].State != "READY" {
-		t.Errorf("got %+v", f.Stands)
+	if f := Server(context.Background(), s.Address(), ask); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
+		t.Errorf("got %+v", f.Models)
 	}
 }
 
 func TestProbeConcludesAsARouterWould(t *testing.T) {
 	s, _ := start(t)
-	ask := Ask{Patience: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
+	ask := Options{Timeout: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
 	for _, c := range []struct {
 		f      fakeserver.Faults
 		result string
 		mayRun bool
 	}{{fakeserver.Faults{Full: true}, "full", false}, {fakeserver.Faults{Silent: true}, "timed out", true}, {fakeserver.Faults{ResetEre: 1}, "reset", true}} {
 		s.Fail(c.f)
-		if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != c.result || f.Run.MayRun != c.mayRun {
+		if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != c.result || f.Run.MayHaveRun != c.mayRun {
 			t.Errorf("%+v: got %+v", c.f, f.Run)
 		}
 	}
 	s.Stop()
-	if f := Server(context.Background(), s.Address(), ask); f.Ready || f.Run != nil || f.Says == "" {
+	if f := Server(context.Background(), s.Address(), ask); f.Ready || f.Run != nil || f.Problem == "" {
 		t.Errorf("gone: got %+v", f)
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -11,24 +11,24 @@
 )
 
 // Workload is what a client knows of the jobs that it asks for.
-type Workload struct {
-	Effect     control.Effect
-	Scope      control.Scope  // of a fingerprinted job
-	Window     control.Micros // for which its group knows a fingerprinted job
-	Remembered bool           // routers remember marked jobs over restarts: the one that was asked may be asked again for any
-	TwoAtOnce  bool           // two executions at once do no harm: a slow try may be hedged
+type Class struct {
+	Effect        control.Effect
+	Scope         control.Scope  // of a fingerprinted job
+	Window        control.Micros // for which its group knows a fingerprinted job
+	KeysPersisted bool           // routers remember marked jobs over restarts: the one that was asked may be asked again for any
+	HedgeSafe     bool           // two executions at once do no harm: a slow try may be hedged
 }
 
 // Ending is how one try ended, as its client can know.
-type Ending uint8
+type Outcome uint8
 
 // The endings.
 const (
-	Finished   Ending = iota
-	Wrong             // the request itself is refused: it would be again
-	PushedBack        // not now; trying again is harmless
-	Unsent            // the router never had the whole request
-	Killed            // it may have run, the router says
+	Succeeded Outcome = iota
+	Invalid           // the request itself is refused: it would be again
+	Rejected          // not now; trying again is harmless
+	NotSent           // the router never had the whole request
+	Failed            // it may have run, the router says
 	Lost              // it may have run: the connection broke or the time was up after the whole request was sent
 )
 
@@ -43,7 +43,7 @@
 
 // Call is one call with all its tries. It has one deadline.
 type Call struct {
-	Workload Workload
+	Class    Class
 	Deadline control.Micros
 	tries    int
 	first    control.Micros // when the first try that may have run was sent; 0: none may
@@ -53,19 +53,19 @@
 }
 
 // Begin begins a call.
-func Begin(w Workload, deadline control.Micros) *Call {
-	return &Call{Workload: w, Deadline: deadline, bound: -1}
+func NewCall(w Class, deadline control.Micros) *Call {
+	return &Call{Class: w, Deadline: deadline, bound: -1}
 }
 
 // Tries counts those made.
-func (c *Call) Tries() int { return c.tries }
+func (c *Call) Attempts() int { return c.tries }
 
 // Bound is the only router that may be asked; -1: any may.
-func (c *Call) Bound() int { return c.bound }
+func (c *Call) PinnedRouter() int { return c.bound }
 
 // Sent counts a try that goes out now. False means that it must not: the deadline is too near, the call is over, or repeats of what
 // may have run would no longer be known.
-func (c *Call) Sent(now control.Micros) bool {
+func (c *Call) BeginAttempt(now control.Micros) bool {
 	if c.over || now+least > c.Deadline || c.tries > 0 && c.out == 0 && !c.mayRepeat(now) {
 		return false
 	}
@@ -77,69 +77,69 @@
 // mayRepeat tells whether another try does no harm if the earlier ones ran.
 func (c *Call) mayRepeat(now control.Micros) bool {
 	switch {
-	case c.first == 0 || c.Workload.Effect == control.Idempotent || c.bound >= 0:
+	case c.first == 0 || c.Class.Effect == control.Idempotent || c.bound >= 0:
 		return true
-	case c.Workload.Effect == control.IdempotentByKey && c.Workload.Scope == control.WholeFleet:
-		return now+travel < c.first+c.Workload.Window
+	case c.Class.Effect == control.IdempotentByKey && c.Class.Scope == control.WholeFleet:
+		return now+travel < c.first+c.Class.Window
 	}
 	return false
 }
 
 // Next is what to do after a try.
-type Next struct {
-	Over  bool           // nothing: the ending stands, or other tries are still out
-	Again control.Micros // else try again then
-	Other bool           // at another router, if there is one
+type Decision struct {
+	Done        bool           // nothing: the ending stands, or other tries are still out
+	RetryAt     control.Micros // else try again then
+	OtherRouter bool           // at another router, if there is one
 }
 
 // After takes in how a try ended that was sent at some time to a router, with the pause that the router advised.
-func (c *Call) After(now control.Micros, e Ending, sent control.Micros, router int, advised control.Micros, b *Budget, chance *rand.Rand) Next {
+func (c *Call) HandleOutcome(now control.Micros, e Outcome, sent control.Micros, router int, advised control.Micros, b *Budget, chance *rand.Rand) Decision {
 	c.out--
-	if (e == Killed || e == Lost) && (c.first == 0 || sent < c.first) {
+	if (e == Failed || e == Lost) && (c.first == 0 || sent < c.first) {
 		c.first = sent
 	}
 	switch {
-	case e == Finished || e == Wrong:
+	case e == Succeeded || e == Invalid:
 		c.over = true
 	case c.over || c.out > 0 || c.tries >= mostTries:
-	case e == Lost && c.Workload.Remembered && c.Workload.Effect == control.NonIdempotent:
+	case e == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
 		c.bound = router // only it knows whether the job may run again
-		return c.again(now, Pause(c.tries, chance), false, b)
-	case c.bound >= 0 && e == Unsent: // it is not back yet
-		return c.again(now, Pause(c.tries, chance), false, b)
-	case e == PushedBack:
-		pause := Pause(c.tries, chance)
+		return c.again(now, Backoff(c.tries, chance), false, b)
+	case c.bound >= 0 && e == NotSent: // it is not back yet
+		return c.again(now, Backoff(c.tries, chance), false, b)
+	case e == Rejected:
+		pause := Backoff(c.tries, chance)
 		if advised > 0 { // all who were pushed back together heard the same: none comes sooner, all spread over as long again
 			pause = advised + control.Micros(chance.Int64N(int64(advised)))
 		}
 		return c.again(now, pause, true, b)
-	case e == Unsent && c.tries == 1:
+	case e == NotSent && c.tries == 1:
 		return c.again(now, 0, true, b) // another router may be well
-	case e == Unsent, c.mayRepeat(now):
-		return c.again(now, Pause(c.tries, chance), true, b)
+	case e == NotSent, c.mayRepeat(now):
+		return c.again(now, Backoff(c.tries, chance), true, b)
 	}
 	if c.out == 0 {
 		c.over = true
 	}
-	return Next{Over: true}
+	return Decision{Done: true}
 }
 
-func (c *Call) again(now, pause control.Micros, other bool, b *Budget) Next {
+func (c *Call) again(now, pause control.Micros, other bool, b *Budget) Decision {
 	at := now + pause
-	if at+least > c.Deadline || c.first > 0 && !c.mayRepeat(at) || !b.Spend() {
+	if at+least > c.Deadline || c.first > 0 && !c.mayRepeat(at) || !b.TryWithdraw() {
 		c.over = true
-		return Next{Over: true}
+		return Decision{Done: true}
 	}
-	return Next{Again: at, Other: other}
+	return Decision{RetryAt: at, OtherRouter: other}
 }
 
 // Hedge tells whether a second try may run beside the one that is out.
-func (c *Call) Hedge(now control.Micros, b *Budget) bool {
-	return !c.over && c.Workload.TwoAtOnce && c.Workload.Effect == control.Idempotent && c.out == 1 && c.tries == 1 && now+least <= c.Deadline && b.Spend()
+func (c *Call) AllowHedge(now control.Micros, b *Budget) bool {
+	return !c.over && c.Class.HedgeSafe && c.Class.Effect == control.Idempotent && c.out == 1 && c.tries == 1 && now+least <= c.Deadline && b.TryWithdraw()
 }
 
 // Pause is a try's backoff with full jitter: anything between nothing and a span that doubles with each try.
-func Pause(tries int, chance *rand.Rand) control.Micros {
+func Backoff(tries int, chance *rand.Rand) control.Micros {
 	return control.Micros(chance.Int64N(int64(min(longest, base<<min(tries-1, 10))) + 1))
 }
 
@@ -159,10 +159,10 @@
 func NewBudget() *Budget { return &Budget{tokens: burst} }
 
 // Earn counts a first try.
-func (b *Budget) Earn() { b.tokens = min(burst, b.tokens+earned) }
+func (b *Budget) Deposit() { b.tokens = min(burst, b.tokens+earned) }
 
 // Spend takes a retry's worth, if there is one.
-func (b *Budget) Spend() bool {
+func (b *Budget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -231,7 +231,7 @@
 // Well counts an answer from a router, whatever it says. One that goes on answering stands: what it lost was single connections, so
 // each answer makes up for a loss. Without that a steady loss of a few in a hundred, at many calls a second, looked like a mass loss,
 // and the connections that were then put off made the next one more likely.
-func (r *Routers) Well(i int) {
+func (r *Routers) RecordSuccess(i int) {
 	x := &r.rs[i]
 	x.fails, x.ejected = 0, 0
 	if len(x.lost) > 0 {
@@ -240,7 +240,7 @@
 }
 
 // Failed counts a try that got no answer. A router that fails some times in a row is left alone, longer each time.
-func (r *Routers) Failed(now control.Micros, i int) {
+func (r *Routers) RecordFailure(now control.Micros, i int) {
 	x := &r.rs[i]
 	if x.fails++; x.fails >= failsOut && now >= x.until {
 		x.until = now + min(outMost, outFirst<<min(x.ejected, 10))
@@ -250,14 +250,14 @@
 }
 
 // Opened counts a connection.
-func (r *Routers) Opened(i int) { r.rs[i].open++ }
+func (r *Routers) ConnectionOpened(i int) { r.rs[i].open++ }
 
 // Closed counts one that this side closed, or that ended while nothing was amiss.
-func (r *Routers) Closed(i int) { r.rs[i].open = max(0, r.rs[i].open-1) }
+func (r *Routers) ConnectionClosed(i int) { r.rs[i].open = max(0, r.rs[i].open-1) }
 
 // LostOne counts a connection that broke. If most break together each of them may be made anew only at a time of its own within the
 // spread, so that all clients of a router that comes back do not meet there at once.
-func (r *Routers) LostOne(now control.Micros, i int, chance *rand.Rand) {
+func (r *Routers) ConnectionLost(now control.Micros, i int, chance *rand.Rand) {
 	x := &r.rs[i]
 	x.open = max(0, x.open-1)
 	x.lost = append(x.lost, now)
@@ -278,7 +278,7 @@
 }
 
 // MayOpen tells whether a connection to a router may be made now; else when.
-func (r *Routers) MayOpen(now control.Micros, i int) (ok bool, at control.Micros) {
+func (r *Routers) MayConnect(now control.Micros, i int) (ok bool, at control.Micros) {
 	x := &r.rs[i]
 	if len(x.permits) == 0 {
 		return true, now
@@ -306,7 +306,7 @@
 const enough = 20
 
 // HedgeAfter is after how long a try is among the slowest twentieth; 0: not known.
-func (l *Latencies) HedgeAfter() control.Micros {
+func (l *Latencies) HedgeDelay() control.Micros {
 	if l.n < enough {
 		return 0
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -14,42 +14,42 @@
 func chance() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
 // tried begins a call, makes one try and gives what follows its end.
-func tried(w Workload, e Ending, now, advised control.Micros) (*Call, Next) {
-	c := Begin(w, 10*second)
-	c.Sent(second)
-	return c, c.After(now, e, second, 0, advised, NewBudget(), chance())
+func tried(w Class, e Outcome, now, advised control.Micros) (*Call, Decision) {
+	c := NewCall(w, 10*second)
+	c.BeginAttempt(second)
+	return c, c.HandleOutcome(now, e, second, 0, advised, NewBudget(), chance())
 }
 
 // What may have run is tried again only where its repeat does no harm: anywhere for restartable jobs, inside the window for
 // fingerprinted ones of the whole fleet, at the same router for run-once ones where that remembers.
 func TestWhatMayHaveRun(t *testing.T) {
-	once, restartable := Workload{Effect: control.NonIdempotent}, Workload{Effect: control.Idempotent}
-	marked := Workload{Effect: control.IdempotentByKey, Window: 2 * second}
+	once, restartable := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
+	marked := Class{Effect: control.IdempotentByKey, Window: 2 * second}
 	narrow := marked
 	narrow.Scope = control.OneZone
 	for name, c := range map[string]struct {
-		w     Workload
+		w     Class
 		now   control.Micros
 		again bool
 	}{"run-once": {once, 2 * second, false}, "restartable": {restartable, 2 * second, true}, "in its window": {marked, 2 * second, true},
 		"past its window": {marked, 3*second - 10_000, false}, "narrow": {narrow, 2 * second, false}} {
-		for _, e := range []Ending{Lost, Killed} {
+		for _, e := range []Outcome{Lost, Failed} {
 			call, next := tried(c.w, e, c.now, 0)
-			if next.Over == c.again {
+			if next.Done == c.again {
 				t.Errorf("%s, %d: %+v", name, e, next)
 			}
-			if c.again && c.w.Effect == control.IdempotentByKey && call.Sent(3*second) {
+			if c.again && c.w.Effect == control.IdempotentByKey && call.BeginAttempt(3*second) {
 				t.Errorf("%s: sent once its window is over", name)
 			}
 		}
 	}
 	kept := once
-	kept.Remembered = true
+	kept.KeysPersisted = true
 	call, next := tried(kept, Lost, 2*second, 0)
-	if next.Over || next.Other || call.Bound() != 0 {
-		t.Errorf("remembered: %+v, bound to %d", next, call.Bound())
+	if next.Done || next.OtherRouter || call.PinnedRouter() != 0 {
+		t.Errorf("remembered: %+v, bound to %d", next, call.PinnedRouter())
 	}
-	if _, next := tried(kept, Killed, 2*second, 0); !next.Over {
+	if _, next := tried(kept, Failed, 2*second, 0); !next.Done {
 		t.Errorf("the router said that it was killed: %+v", next)
 	}
 }
@@ -57,19 +57,19 @@
 // What was pushed back or never reached a router may be tried again whatever it does, after the pause that was advised and spread
 // over as long again.
 func TestHarmlessTries(t *testing.T) {
-	for _, e := range []Ending{PushedBack, Unsent} {
-		if _, next := tried(Workload{Effect: control.NonIdempotent}, e, 2*second, 0); next.Over || !next.Other {
+	for _, e := range []Outcome{Rejected, NotSent} {
+		if _, next := tried(Class{Effect: control.NonIdempotent}, e, 2*second, 0); next.Done || !next.OtherRouter {
 			t.Errorf("%d: %+v", e, next)
 		}
 	}
-	_, next := tried(Workload{}, PushedBack, 2*second, second)
-	if next.Again < 3*second || next.Again >= 4*second {
-		t.Errorf("advised a second, comes after %d us", next.Again-2*second)
+	_, next := tried(Class{}, Rejected, 2*second, second)
+	if next.RetryAt < 3*second || next.RetryAt >= 4*second {
+		t.Errorf("advised a second, comes after %d us", next.RetryAt-2*second)
 	}
-	if _, next := tried(Workload{}, PushedBack, 2*second, 20*second); !next.Over {
+	if _, next := tried(Class{}, Rejected, 2*second, 20*second); !next.Done {
 		t.Error("waits past its deadline")
 	}
-	if _, next := tried(Workload{Effect: control.Idempotent}, Wrong, 2*second, 0); !next.Over {
+	if _, next := tried(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
 		t.Error("a wrong request is sent again")
 	}
 }
@@ -78,24 +78,24 @@
 // within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Workload{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
-			Remembered: rapid.Bool().Draw(t, "remembered"), TwoAtOnce: rapid.Bool().Draw(t, "hedge")}
+		w := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
+			KeysPersisted: rapid.Bool().Draw(t, "remembered"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
 		b, x := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
 		for range calls {
-			b.Earn()
+			b.Deposit()
 			now := control.Micros(1)
 			deadline := now + control.Micros(rapid.IntRange(0, 5_000_000).Draw(t, "patience"))
-			c := Begin(w, deadline)
+			c := NewCall(w, deadline)
 			finished, ran := false, control.Micros(0)
 			for n := 0; ; n++ {
-				if !c.Sent(now) {
+				if !c.BeginAttempt(now) {
 					break
 				}
 				if now > deadline || finished || n >= mostTries {
 					t.Fatalf("try %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
-				if ran > 0 && w.Effect == control.NonIdempotent && c.Bound() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
+				if ran > 0 && w.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
 					t.Fatalf("try %d at %d after one that may have run at %d", n, now, ran)
 				}
 				if n > 0 {
@@ -103,16 +103,16 @@
 				}
 				sent := now
 				now += control.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "took"))
-				e := Ending(rapid.IntRange(0, 5).Draw(t, "ending"))
-				if (e == Killed || e == Lost) && ran == 0 {
+				e := Outcome(rapid.IntRange(0, 5).Draw(t, "ending"))
+				if (e == Failed || e == Lost) && ran == 0 {
 					ran = sent
 				}
-				finished = finished || e == Finished
-				next := c.After(now, e, sent, 0, control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised")), b, x)
-				if next.Over {
+				finished = finished || e == Succeeded
+				next := c.HandleOutcome(now, e, sent, 0, control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised")), b, x)
+				if next.Done {
 					break
 				}
-				now = max(now, next.Again)
+				now = max(now, next.RetryAt)
 			}
 		}
 		if most := burst + earned*float64(calls); float64(retries) > most {
@@ -126,21 +126,21 @@
 	const n = 200
 	r, x := NewRouters(1, 0), chance()
 	for range n {
-		r.Opened(0)
+		r.ConnectionOpened(0)
 	}
-	r.LostOne(second, 0, x)
-	if ok, _ := r.MayOpen(second, 0); !ok {
+	r.ConnectionLost(second, 0, x)
+	if ok, _ := r.MayConnect(second, 0); !ok {
 		t.Error("one lost connection waits")
 	}
 	for range n - 1 {
-		r.LostOne(10*second, 0, x)
+		r.ConnectionLost(10*second, 0, x)
 	}
 	made, most := 0, 0
 	last := control.Micros(0)
 	for now := 10 * second; now < 16*second; now += second / 10 {
 		in := 0
 		for {
-			ok, _ := r.MayOpen(now, 0)
+			ok, _ := r.MayConnect(now, 0)
 			if !ok || len(r.rs[0].permits) == 0 && made+in >= 100 {
 				break
 			}
@@ -160,19 +160,19 @@
 func TestSingleLossesAreNoMassLoss(t *testing.T) {
 	r, x := NewRouters(1, 0), rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		r.Opened(0)
+		r.ConnectionOpened(0)
 	}
 	for i := range 3000 {
 		now := second + control.Micros(i)*1000
 		if i%30 > 0 {
-			r.Well(0)
+			r.RecordSuccess(0)
 			continue
 		}
-		r.LostOne(now, 0, x)
-		if ok, _ := r.MayOpen(now, 0); !ok {
+		r.ConnectionLost(now, 0, x)
+		if ok, _ := r.MayConnect(now, 0); !ok {
 			t.Fatalf("after %d answers a connection has to wait", i)
 		}
-		r.Opened(0)
+		r.ConnectionOpened(0)
 	}
 }
 
@@ -180,7 +180,7 @@
 func TestEjection(t *testing.T) {
 	r := NewRouters(2, 0)
 	for range failsOut {
-		r.Failed(second, 0)
+		r.RecordFailure(second, 0)
 	}
 	for range 4 {
 		if r.Pick(second, -1) != 1 {
@@ -191,17 +191,17 @@
 	if r.Pick(now, 1) != 0 {
 		t.Error("it is not asked again")
 	}
-	r.Failed(now, 0)
+	r.RecordFailure(now, 0)
 	if r.rs[0].until != now+2*outFirst {
 		t.Errorf("ejected for %d us", r.rs[0].until-now)
 	}
 	for range failsOut {
-		r.Failed(now, 1)
+		r.RecordFailure(now, 1)
 	}
 	if r.Pick(now, -1) != 1 {
 		t.Error("not the one that is soonest back")
 	}
-	r.Well(0)
+	r.RecordSuccess(0)
 	if r.Pick(now+3*outFirst, 1) != 0 {
 		t.Error("an avoided router is asked although another is well")
 	}
@@ -211,12 +211,12 @@
 func TestHedges(t *testing.T) {
 	b := NewBudget()
 	for _, c := range []struct {
-		w    Workload
+		w    Class
 		want bool
-	}{{Workload{Effect: control.Idempotent, TwoAtOnce: true}, true}, {Workload{Effect: control.Idempotent}, false}, {Workload{Effect: control.NonIdempotent, TwoAtOnce: true}, false}} {
-		call := Begin(c.w, 10*second)
-		call.Sent(second)
-		if got := call.Hedge(second, b); got != c.want {
+	}{{Class{Effect: control.Idempotent, HedgeSafe: true}, true}, {Class{Effect: control.Idempotent}, false}, {Class{Effect: control.NonIdempotent, HedgeSafe: true}, false}} {
+		call := NewCall(c.w, 10*second)
+		call.BeginAttempt(second)
+		if got := call.AllowHedge(second, b); got != c.want {
 			t.Errorf("%+v: %t", c.w, got)
 		}
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -57,8 +57,8 @@
 	a := &asking{client: c, call: call, index: index, begun: c.node.Now()}
 	if !call.Rude {
 		w := c.w.plan.Workloads[call.Workload].Told
-		a.state = retry.Begin(retry.Workload{Effect: w.Effect, Scope: w.Scope, Window: w.Window}, a.begun+call.Patience)
-		c.budget.Earn()
+		a.state = retry.NewCall(retry.Class{Effect: w.Effect, Scope: w.Scope, Window: w.Window}, a.begun+call.Patience)
+		c.budget.Deposit()
 	}
 	a.next(-1)
 }
@@ -84,11 +84,11 @@
 			return
 		}
 		router = (a.call.Router + a.tries) % c.w.plan.Routers
-	case !a.state.Sent(now):
+	case !a.state.BeginAttempt(now):
 		a.done(false)
 		return
 	default:
-		if router = a.state.Bound(); router < 0 {
+		if router = a.state.PinnedRouter(); router < 0 {
 			router = c.routers.Pick(now, avoid)
 		}
 	}
@@ -167,22 +167,22 @@
 		c.node.After(rudePause, func() { t.next(-1) })
 		return
 	}
-	as := map[ending]retry.Ending{pushedBack: retry.PushedBack, killed: retry.Killed, unsent: retry.Unsent, broken: retry.Lost, late: retry.Lost}[e]
-	if as == retry.Unsent || as == retry.Lost {
-		c.routers.Failed(now, t.router)
+	as := map[ending]retry.Outcome{pushedBack: retry.Rejected, killed: retry.Failed, unsent: retry.NotSent, broken: retry.Lost, late: retry.Lost}[e]
+	if as == retry.NotSent || as == retry.Lost {
+		c.routers.RecordFailure(now, t.router)
 	} else {
-		c.routers.Well(t.router)
+		c.routers.RecordSuccess(t.router)
 	}
-	next := t.state.After(now, as, t.sent, t.router, advised, c.budget, c.node.chance)
-	if next.Over {
+	next := t.state.HandleOutcome(now, as, t.sent, t.router, advised, c.budget, c.node.chance)
+	if next.Done {
 		t.done(false)
 		return
 	}
 	avoid := -1
-	if next.Other {
+	if next.OtherRouter {
 		avoid = t.router
 	}
-	c.node.After(next.Again-now, func() { t.next(avoid) })
+	c.node.After(next.RetryAt-now, func() { t.next(avoid) })
 }
 
 // done keeps what became of the call.
--- a/internal/xds/bootstrap.go
+++ b/internal/xds/bootstrap.go
@@ -17,7 +17,7 @@
 // Bootstrap has a follower take in a file in Envoy's own form (YAML or JSON, envoy.config.bootstrap.v3.Bootstrap): the
 // clusters of its static_resources, as if a control plane had told them. Fields that are not known are passed over, as
 // Envoy's listeners and filters are. A fault leaves all as it was; the error is one line.
-func (f *Follower) Bootstrap(now control.Micros, text []byte) error {
+func (f *Client) LoadBootstrap(now control.Micros, text []byte) error {
 	json, err := yaml.YAMLToJSON(text)
 	if err != nil {
 		return fmt.Errorf("no YAML: %s", oneLine(err))
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -51,13 +51,13 @@
 			tell("ready", "ready")
 			var gate sync.Mutex
 			conns := make(chan *watchedConn, 4)
-			m := membership.New(membership.Usual)
+			m := membership.New(membership.DefaultBounds)
 			var mu sync.Mutex
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
 			var complete atomic.Int64
-			source := Source{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Note: func(string) {},
-				Complete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
+			source := Transport{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
+				OnComplete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
 					if err != nil {
@@ -67,7 +67,7 @@
 					conns <- &watchedConn{Conn: gated}
 					return gated, nil
 				},
-				Changed: func(control.Micros) {
+				OnUpdate: func(control.Micros) {
 					mu.Lock()
 					defer mu.Unlock()
 					for _, e := range m.List() {
@@ -81,7 +81,7 @@
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- source.Follow(ctx, NewFollower(m, "router-0", "a", delta, Usual)) }()
+			go func() { done <- source.Run(ctx, NewClient(m, "router-0", "a", delta, DefaultBounds)) }()
 			defer func() {
 				stop()
 				if err := <-done; err != nil {
@@ -128,7 +128,7 @@
 	up := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
-	source := Source{Address: plane.Address(), Now: now, Grace: testGrace, Note: func(string) {}, Changed: func(control.Micros) {},
+	source := Transport{Address: plane.Address(), Now: now, Grace: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			up <- time.Now()
 			mu.Lock()
@@ -141,7 +141,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- source.Follow(ctx, NewFollower(membership.New(membership.Usual), "router-0", "a", false, Usual))
+		done <- source.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", false, DefaultBounds))
 	}()
 	defer func() {
 		stop()
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -19,44 +19,44 @@
 )
 
 // Source is a control plane, and what is done with what it tells. All of its functions are called by one goroutine.
-type Source struct {
-	Address string
-	Creds   credentials.TransportCredentials // nil: plain text
-	Delta   bool
-	Kind    Kind
-	Seed    uint64 // of the waits
-	Now     func() control.Micros
-	Refresh <-chan chan struct{} // what has come is taken in before each of these is closed; may be nil
+type Transport struct {
+	Address     string
+	Credentials credentials.TransportCredentials // nil: plain text
+	Delta       bool
+	Service     Service
+	Seed        uint64 // of the waits
+	Now         func() control.Micros
+	Refresh     <-chan chan struct{} // what has come is taken in before each of these is closed; may be nil
 	// Grace is within which a change of the list must be heeded; 0: this is no list.
-	Grace   time.Duration
-	Dial    func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
-	Changed func(now control.Micros)                                    // something was taken in
-	Note    func(text string)                                           // for the log
+	Grace    time.Duration
+	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
+	OnUpdate func(now control.Micros)                                    // something was taken in
+	Log      func(text string)                                           // for the log
 	// Complete hears as of when all that the control plane had told was taken in, on a stream that it has answered; may be nil.
-	Complete func(asOf control.Micros)
+	OnComplete func(asOf control.Micros)
 }
 
 // Protocol is the client's side of one protocol, free of I/O.
 type Protocol interface {
 	Connected(now control.Micros) []proto.Message
-	Heard(now control.Micros, m proto.Message) []proto.Message
-	Broken(now control.Micros)
+	HandleResponse(now control.Micros, m proto.Message) []proto.Message
+	Disconnected(now control.Micros)
 	Tick(now control.Micros) (next control.Micros)
-	Notes() []string
+	TakeLogLines() []string
 }
 
 // speaker is a protocol that has something to say of itself, at the time that Tick gives.
-type speaker interface {
-	Speak(now control.Micros) []proto.Message
-	Spoken() // all of it was handed to the stream
+type timedSender interface {
+	TimedRequests(now control.Micros) []proto.Message
+	TimedRequestsSent() // all of it was handed to the stream
 }
 
 // Kind is which service is followed.
-type Kind uint8
+type Service uint8
 
 // The services: aggregated discovery, that of secrets, and load reporting.
 const (
-	Discovery Kind = iota
+	AggregatedDiscovery Service = iota
 	SecretDiscovery
 	LoadReporting
 )
@@ -95,8 +95,8 @@
 func (s delta) receive() (proto.Message, error) { return s.Recv() }
 
 // Follow follows a control plane until the context ends, over as many streams as it takes.
-func (s Source) Follow(ctx context.Context, f Protocol) error {
-	creds := s.Creds
+func (s Transport) Run(ctx context.Context, f Protocol) error {
+	creds := s.Credentials
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
@@ -121,13 +121,13 @@
 		if ctx.Err() != nil {
 			break
 		}
-		f.Broken(s.Now())
+		f.Disconnected(s.Now())
 		s.tell(f)
 		if asked && !answered {
 			hurryUntil = time.Now().Add(s.Grace)
 		}
 		wait := waits.NextWithin(s.longestWait(hurryUntil))
-		s.Note("the stream from " + s.Address + " ended (" + err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
+		s.Log("the stream from " + s.Address + " ended (" + err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
 		s.pause(ctx, f, wait)
 	}
 	return nil
@@ -135,7 +135,7 @@
 
 // longestWait bounds the next wait. A stream that was asked and ended with no answer is asked for again within the grace: what it
 // would have told may hold since.
-func (s Source) longestWait(hurryUntil time.Time) time.Duration {
+func (s Transport) longestWait(hurryUntil time.Time) time.Duration {
 	if time.Now().Before(hurryUntil) {
 		return s.Grace / 4
 	}
@@ -143,7 +143,7 @@
 }
 
 // pause waits, and goes on answering refreshes and the follower's own alarms.
-func (s Source) pause(ctx context.Context, f Protocol, wait time.Duration) {
+func (s Transport) pause(ctx context.Context, f Protocol, wait time.Duration) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	alarm := time.NewTimer(s.untilTick(f))
@@ -164,7 +164,7 @@
 }
 
 // untilTick has the follower end what is over, and gives how long to wait for its next alarm.
-func (s Source) untilTick(f Protocol) time.Duration {
+func (s Transport) untilTick(f Protocol) time.Duration {
 	const never = time.Hour
 	now := s.Now()
 	next := f.Tick(now)
@@ -174,27 +174,27 @@
 	return time.Duration(max(0, next-now)) * time.Microsecond
 }
 
-func (s Source) tell(f Protocol) {
-	s.Changed(s.Now())
-	for _, text := range f.Notes() {
-		s.Note(text)
+func (s Transport) tell(f Protocol) {
+	s.OnUpdate(s.Now())
+	for _, text := range f.TakeLogLines() {
+		s.Log(text)
 	}
 }
 
 // one is one stream's life. Asked tells that the first requests were sent.
-func (s Source) one(ctx context.Context, conn *grpc.ClientConn, d *dialer, f Protocol, answered func()) (asked bool, err error) {
+func (s Transport) one(ctx context.Context, conn *grpc.ClientConn, d *dialer, f Protocol, answered func()) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
 	var st stream
 	switch {
-	case s.Kind == LoadReporting:
+	case s.Service == LoadReporting:
 		c, err := lrs.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 		if err != nil {
 			return false, err
 		}
 		st = reporting{c}
-	case s.Kind == SecretDiscovery:
+	case s.Service == SecretDiscovery:
 		c, err := secrets.NewSecretDiscoveryServiceClient(conn).StreamSecrets(ctx)
 		if err != nil {
 			return false, err
@@ -241,7 +241,7 @@
 	take := func(m proto.Message) error {
 		answered()
 		level = true
-		for _, answer := range f.Heard(s.Now(), m) {
+		for _, answer := range f.HandleResponse(s.Now(), m) {
 			if err := st.send(answer); err != nil {
 				return err
 			}
@@ -267,21 +267,21 @@
 			}
 			alarm.Reset(s.untilTick(f))
 		case <-alarm.C:
-			if sp, speaks := f.(speaker); speaks {
-				for _, m := range sp.Speak(s.Now()) {
+			if sp, speaks := f.(timedSender); speaks {
+				for _, m := range sp.TimedRequests(s.Now()) {
 					if err := st.send(m); err != nil {
 						return true, err
 					}
 				}
-				sp.Spoken()
+				sp.TimedRequestsSent()
 			}
 			alarm.Reset(s.untilTick(f))
 			s.tell(f)
 		case looked := <-s.Refresh:
 			asOf := s.Now()
 			err := s.catchUp(d, heard, take)
-			if err == nil && level && s.Complete != nil {
-				s.Complete(asOf)
+			if err == nil && level && s.OnComplete != nil {
+				s.OnComplete(asOf)
 			}
 			close(looked)
 			switch {
@@ -301,7 +301,7 @@
 const settled = 2 * time.Millisecond
 
 // catchUp takes in all that has come, also what is not read from the connection yet, for a quarter of the grace at most.
-func (s Source) catchUp(d *dialer, heard <-chan proto.Message, take func(proto.Message) error) error {
+func (s Transport) catchUp(d *dialer, heard <-chan proto.Message, take func(proto.Message) error) error {
 	end := time.Now().Add(s.Grace / 4)
 	for {
 		var wait time.Duration
--- a/internal/xds/follower.go
+++ b/internal/xds/follower.go
@@ -37,7 +37,7 @@
 }
 
 // Usual are bounds far beyond a fleet of ten thousand servers.
-var Usual = Bounds{Clusters: 10_000, Endpoints: 100_000}
+var DefaultBounds = Bounds{Clusters: 10_000, Endpoints: 100_000}
 
 // warming is for how long clusters that were withdrawn stay while those that came with the same message have no endpoints
 // yet, so that servers that move between clusters are never missing (make before break). It must leave most of the time
@@ -45,8 +45,8 @@
 const warming = control.Micros(200_000)
 
 // Follower is the client's side of the protocol. A stream at a time: Connected, Heard for each message, Broken at its end.
-type Follower struct {
-	members *membership.Members
+type Client struct {
+	members *membership.Model
 	bounds  Bounds
 	node    *core.Node
 	delta   bool
@@ -61,7 +61,7 @@
 	told    map[string]bool // what was passed over, said once
 	notes   []string
 
-	Accepted, Refused int // responses
+	AcceptedResponses, RejectedResponses int // responses
 }
 
 // kind is what is known of one type of resource.
@@ -73,8 +73,8 @@
 }
 
 // NewFollower gives a follower that tells members. ID names this router to the control plane.
-func NewFollower(m *membership.Members, id, zone string, delta bool, b Bounds) *Follower {
-	return &Follower{members: m, bounds: b, delta: delta, node: &core.Node{Id: id, Cluster: "hollymast", Locality: &core.Locality{Zone: zone},
+func NewClient(m *membership.Model, id, zone string, delta bool, b Bounds) *Client {
+	return &Client{members: m, bounds: b, delta: delta, node: &core.Node{Id: id, Cluster: "hollymast", Locality: &core.Locality{Zone: zone},
 		UserAgentName: "hollymast"},
 		services: map[string]string{}, inline: map[string]bool{}, awaited: map[string]bool{}, told: map[string]bool{},
 		types: map[string]*kind{ClusterType: {versions: map[string]string{}}, EndpointType: {versions: map[string]string{}}}}
@@ -82,7 +82,7 @@
 
 // Connected begins a stream and gives its first requests: for clusters, and, where some are known from an earlier stream, for
 // their endpoints, each with what is known of them.
-func (f *Follower) Connected(now control.Micros) []proto.Message {
+func (f *Client) Connected(now control.Micros) []proto.Message {
 	f.members.Source(now, true)
 	for _, k := range f.types {
 		k.nonce = ""
@@ -95,9 +95,9 @@
 }
 
 // Services gives the name under which each cluster's endpoints are asked for.
-func (f *Follower) Services() map[string]string { return maps.Clone(f.services) }
+func (f *Client) ServiceNames() map[string]string { return maps.Clone(f.services) }
 
-func (f *Follower) first(url string) proto.Message {
+func (f *Client) first(url string) proto.Message {
 	k := f.types[url]
 	if f.delta {
 		return &discovery.DeltaDiscoveryRequest{Node: f.node, TypeUrl: url, ResourceNamesSubscribe: k.names, InitialResourceVersions: k.versions}
@@ -106,11 +106,11 @@
 }
 
 // Broken ends a stream. All stands as it was last told.
-func (f *Follower) Broken(now control.Micros) { f.members.Source(now, false) }
+func (f *Client) Disconnected(now control.Micros) { f.members.Source(now, false) }
 
 // Heard takes in a response and gives the requests that answer it: an ACK, or a NACK with the reason, then what is asked for
 // besides. What is refused changes nothing.
-func (f *Follower) Heard(now control.Micros, m proto.Message) []proto.Message {
+func (f *Client) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
 	switch r := m.(type) {
 	case *discovery.DiscoveryResponse:
 		k := f.types[r.TypeUrl]
@@ -136,18 +136,18 @@
 	return nil
 }
 
-func (f *Follower) judged(err error) *status.Status {
+func (f *Client) judged(err error) *status.Status {
 	if err == nil {
-		f.Accepted++
+		f.AcceptedResponses++
 		return nil
 	}
-	f.Refused++
+	f.RejectedResponses++
 	f.notes = append(f.notes, "the control plane's update is refused: "+err.Error())
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 }
 
 // whole takes in a state of the world: of clusters all that there are; of endpoints those that it names, whole.
-func (f *Follower) whole(now control.Micros, r *discovery.DiscoveryResponse) ([]proto.Message, error) {
+func (f *Client) whole(now control.Micros, r *discovery.DiscoveryResponse) ([]proto.Message, error) {
 	if r.TypeUrl == ClusterType {
 		cs, err := f.readClusters(r.Resources)
 		if err != nil {
@@ -169,7 +169,7 @@
 }
 
 // changes takes in what a delta says.
-func (f *Follower) changes(now control.Micros, r *discovery.DeltaDiscoveryResponse) ([]proto.Message, error) {
+func (f *Client) changes(now control.Micros, r *discovery.DeltaDiscoveryResponse) ([]proto.Message, error) {
 	k := f.types[r.TypeUrl]
 	resources := make([]*anypb.Any, len(r.Resources))
 	for i, x := range r.Resources {
@@ -219,15 +219,15 @@
 }
 
 // clustersAre takes in clusters that are there, new or not, and those that are gone, and asks for endpoints accordingly.
-func (f *Follower) clustersAre(now control.Micros, cs []known, gone []string) []proto.Message {
+func (f *Client) clustersAre(now control.Micros, cs []known, gone []string) []proto.Message {
 	slices.Sort(gone)
 	for _, c := range cs {
 		_, before := f.services[c.name]
 		f.services[c.name] = c.service
 		f.members.AddCluster(now, c.name)
 		if f.inline[c.name] = c.inline != nil; c.inline != nil {
-			f.members.Spare(c.name, c.inline.spare)
-			f.members.Endpoints(now, c.name, c.inline.endpoints)
+			f.members.SetOverprovisioning(c.name, c.inline.spare)
+			f.members.SetEndpoints(now, c.name, c.inline.endpoints)
 		} else if !before {
 			f.awaited[c.name] = true
 		}
@@ -255,7 +255,7 @@
 }
 
 // ask asks for other endpoints than before, if they are others.
-func (f *Follower) ask(names []string) []proto.Message {
+func (f *Client) ask(names []string) []proto.Message {
 	k := f.types[EndpointType]
 	if slices.Equal(names, k.names) {
 		return nil
@@ -281,13 +281,13 @@
 }
 
 // assign takes in the endpoints of services; those of one that no cluster names are kept in case it comes.
-func (f *Follower) assign(now control.Micros, as []assignment) error {
+func (f *Client) assign(now control.Micros, as []assignment) error {
 	by := make(map[string][]string, len(f.services))
 	for name, service := range f.services {
 		by[service] = append(by[service], name)
 	}
 	var refused error
-	f.members.Together(now, func() { refused = f.assignAll(now, as, by) })
+	f.members.Batch(now, func() { refused = f.assignAll(now, as, by) })
 	if refused != nil {
 		return refused
 	}
@@ -297,7 +297,7 @@
 	return nil
 }
 
-func (f *Follower) assignAll(now control.Micros, as []assignment, by map[string][]string) error {
+func (f *Client) assignAll(now control.Micros, as []assignment, by map[string][]string) error {
 	for _, a := range as {
 		names := by[a.name]
 		slices.Sort(names)
@@ -311,8 +311,8 @@
 			if f.inline[name] {
 				continue
 			}
-			f.members.Spare(name, a.spare)
-			if err := f.members.Endpoints(now, name, a.endpoints); err != nil {
+			f.members.SetOverprovisioning(name, a.spare)
+			if err := f.members.SetEndpoints(now, name, a.endpoints); err != nil {
 				return err
 			}
 			delete(f.awaited, name)
@@ -322,11 +322,11 @@
 }
 
 // release lets the clusters go that were withdrawn.
-func (f *Follower) release(now control.Micros) {
+func (f *Client) release(now control.Micros) {
 	if len(f.leaving) == 0 {
 		return
 	}
-	f.members.Together(now, func() {
+	f.members.Batch(now, func() {
 		for _, name := range f.leaving {
 			if _, back := f.services[name]; !back {
 				f.members.RemoveCluster(now, name)
@@ -337,7 +337,7 @@
 }
 
 // Tick ends what waits for too long, and gives when it must be called again; 0: when something is heard.
-func (f *Follower) Tick(now control.Micros) (next control.Micros) {
+func (f *Client) Tick(now control.Micros) (next control.Micros) {
 	if len(f.leaving) > 0 && now >= f.left+warming {
 		f.release(now)
 	}
@@ -349,14 +349,14 @@
 }
 
 // Notes gives what is to be told operators since the last call, the members' own included.
-func (f *Follower) Notes() []string {
-	notes := append(f.notes, f.members.Notes()...)
+func (f *Client) TakeLogLines() []string {
+	notes := append(f.notes, f.members.TakeLogLines()...)
 	f.notes = nil
 	return notes
 }
 
 // passOver notes, once for each, what a resource asks for that is not done here.
-func (f *Follower) passOver(format string, args ...any) {
+func (f *Client) passOver(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	const most = 1000 // distinct notes: then the control plane changes names each time
 	if !f.told[text] && len(f.told) < most {
@@ -365,7 +365,7 @@
 	}
 }
 
-func (f *Follower) readClusters(resources []*anypb.Any) ([]known, error) {
+func (f *Client) readClusters(resources []*anypb.Any) ([]known, error) {
 	if len(resources) > f.bounds.Clusters {
 		return nil, fmt.Errorf("%d clusters, over the bound of %d", len(resources), f.bounds.Clusters)
 	}
@@ -412,7 +412,7 @@
 	endpoints []membership.Endpoint
 }
 
-func (f *Follower) readAssignments(resources []*anypb.Any) ([]assignment, error) {
+func (f *Client) readAssignments(resources []*anypb.Any) ([]assignment, error) {
 	as := make([]assignment, 0, len(resources))
 	seen := make(map[string]bool, len(resources))
 	for _, any := range resources {
@@ -437,7 +437,7 @@
 	core.HealthStatus_UNHEALTHY: membership.Unhealthy, core.HealthStatus_DRAINING: membership.Draining,
 	core.HealthStatus_TIMEOUT: membership.Timeout, core.HealthStatus_DEGRADED: membership.Degraded}
 
-func (f *Follower) readAssignment(a *endpoint.ClusterLoadAssignment) (out assignment, err error) {
+func (f *Client) readAssignment(a *endpoint.ClusterLoadAssignment) (out assignment, err error) {
 	out.name = a.GetClusterName()
 	if times := a.GetPolicy().GetOverprovisioningFactor(); times != nil {
 		if times.Value < 100 {
@@ -473,7 +473,7 @@
 			}
 			out.endpoints = append(out.endpoints, membership.Endpoint{Address: fmt.Sprintf("%s:%d", host, s.GetPortValue()), Health: health,
 				Weight: e.GetLoadBalancingWeight().GetValue(), Priority: l.GetPriority(), Zone: l.GetLocality().GetZone(),
-				Cell: l.GetLocality().GetSubZone(), Born: born})
+				Cell: l.GetLocality().GetSubZone(), StartedAt: born})
 		}
 	}
 	return out, nil
--- a/internal/xds/gather.go
+++ b/internal/xds/gather.go
@@ -57,7 +57,7 @@
 }
 
 // Others gives what those who follow the view last reported, summed by server, and how many they are.
-func (v *View) Others() (lines []loadreport.EndpointStats, nodes int) {
+func (v *View) ReportedLoads() (lines []loadreport.EndpointStats, nodes int) {
 	v.gatherer.mu.Lock()
 	defer v.gatherer.mu.Unlock()
 	return v.gatherer.got.Sum()
--- a/internal/xds/reports.go
+++ b/internal/xds/reports.go
@@ -21,36 +21,36 @@
 const allClusters = "envoy.lrs.supports_send_all_clusters"
 
 // Counted is where reports come from.
-type Counted interface {
+type LoadSource interface {
 	Take(now control.Micros) loadreport.Report // what was counted since the last
 	Places() map[string]loadreport.Locality    // of the servers that a control plane lists
 	Services() map[string]string               // the name under which a cluster's endpoints are asked for, where it is another
 }
 
 // Reports is the client's side of load reporting (LRS): the control plane asks for clusters at an interval, and is told.
-type Reports struct {
+type LoadReporter struct {
 	node    *core.Node
-	counted Counted
+	counted LoadSource
 	pace    loadreport.Scheduler
 }
 
 // NewReports gives one that reports what is counted.
-func NewReports(c Counted, id, zone string) *Reports {
-	return &Reports{counted: c, node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone},
+func NewLoadReporter(c LoadSource, id, zone string) *LoadReporter {
+	return &LoadReporter{counted: c, node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone},
 		ClientFeatures: []string{allClusters}}}
 }
 
 // Connected begins a stream.
-func (r *Reports) Connected(control.Micros) []proto.Message {
+func (r *LoadReporter) Connected(control.Micros) []proto.Message {
 	r.pace.StreamOpened()
 	return []proto.Message{&lrs.LoadStatsRequest{Node: r.node}}
 }
 
 // Broken ends a stream.
-func (r *Reports) Broken(control.Micros) { r.pace.StreamClosed() }
+func (r *LoadReporter) Disconnected(control.Micros) { r.pace.StreamClosed() }
 
 // Heard takes in what is asked for.
-func (r *Reports) Heard(now control.Micros, m proto.Message) []proto.Message {
+func (r *LoadReporter) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
 	x, ok := m.(*lrs.LoadStatsResponse)
 	if !ok {
 		return nil
@@ -67,7 +67,7 @@
 }
 
 // Tick gives when the next report is due.
-func (r *Reports) Tick(now control.Micros) control.Micros {
+func (r *LoadReporter) Tick(now control.Micros) control.Micros {
 	if due := r.pace.NextAt(); due > 0 {
 		return max(due, now)
 	}
@@ -75,7 +75,7 @@
 }
 
 // Speak gives the report that is due.
-func (r *Reports) Speak(now control.Micros) []proto.Message {
+func (r *LoadReporter) TimedRequests(now control.Micros) []proto.Message {
 	if due := r.pace.NextAt(); due == 0 || now < due {
 		return nil
 	}
@@ -84,14 +84,14 @@
 }
 
 // Spoken tells that it went out.
-func (r *Reports) Spoken() { r.pace.ReportSent() }
+func (r *LoadReporter) TimedRequestsSent() { r.pace.ReportSent() }
 
 // Notes has none.
-func (r *Reports) Notes() []string { return nil }
+func (r *LoadReporter) TakeLogLines() []string { return nil }
 
 // clusters gives a report in the protocol's form: by cluster, then by locality and priority. Servers of clusters that are not
 // asked for are left out, and so are those that no cluster names any more.
-func (r *Reports) clusters(report loadreport.Report) []*endpoint.ClusterStats {
+func (r *LoadReporter) clusters(report loadreport.Report) []*endpoint.ClusterStats {
 	asked, places, services := r.pace.Request(), r.counted.Places(), r.counted.Services()
 	by := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
 	for _, l := range report.Endpoints {
--- a/internal/xds/secrets.go
+++ b/internal/xds/secrets.go
@@ -19,16 +19,16 @@
 const SecretType = "type.googleapis.com/envoy.extensions.transport_sockets.tls.v3.Secret"
 
 // Keys is who takes in secrets. Errors say why one is not taken, and go back to the service.
-type Keys interface {
+type CertificateStore interface {
 	UpdateKeyPair(chain, key []byte) error
 	UpdateAuthorities(authorities, revoked []byte) error
 }
 
 // Secrets is the client's side of the secret discovery protocol (SDS), state of the world, for one certificate and one set of
 // authorities.
-type Secrets struct {
+type SecretClient struct {
 	node    *core.Node
-	keys    Keys
+	keys    CertificateStore
 	names   []string // asked for, ascending
 	version string   // last accepted
 	notes   []string
@@ -36,25 +36,25 @@
 }
 
 // NewSecrets gives a follower that asks for secrets by name; an empty name is not asked for.
-func NewSecrets(keys Keys, id, zone string, names ...string) *Secrets {
+func NewSecretClient(keys CertificateStore, id, zone string, names ...string) *SecretClient {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	slices.Sort(names)
-	return &Secrets{keys: keys, names: slices.Compact(names), node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone}}}
+	return &SecretClient{keys: keys, names: slices.Compact(names), node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone}}}
 }
 
 // Connected begins a stream.
-func (s *Secrets) Connected(control.Micros) []proto.Message {
+func (s *SecretClient) Connected(control.Micros) []proto.Message {
 	return []proto.Message{&discovery.DiscoveryRequest{Node: s.node, TypeUrl: SecretType, ResourceNames: s.names, VersionInfo: s.version}}
 }
 
 // Broken ends a stream; what was told stands.
-func (s *Secrets) Broken(control.Micros) {}
+func (s *SecretClient) Disconnected(control.Micros) {}
 
 // Tick has nothing that waits.
-func (s *Secrets) Tick(control.Micros) control.Micros { return 0 }
+func (s *SecretClient) Tick(control.Micros) control.Micros { return 0 }
 
 // Notes gives what is to be told operators since the last call.
-func (s *Secrets) Notes() []string {
+func (s *SecretClient) TakeLogLines() []string {
 	notes := s.notes
 	s.notes = nil
 	return notes
@@ -62,7 +62,7 @@
 
 // Heard takes in a response and gives its ACK, or its NACK with the reasons. Secrets that can be taken are, whatever is wrong with
 // others beside them: a bad set of authorities must not keep a certificate from being renewed.
-func (s *Secrets) Heard(_ control.Micros, m proto.Message) []proto.Message {
+func (s *SecretClient) HandleResponse(_ control.Micros, m proto.Message) []proto.Message {
 	r, ok := m.(*discovery.DiscoveryResponse)
 	if !ok || r.TypeUrl != SecretType {
 		return nil
@@ -95,7 +95,7 @@
 	return []proto.Message{ack}
 }
 
-func (s *Secrets) take(x *secrets.Secret) error {
+func (s *SecretClient) take(x *secrets.Secret) error {
 	switch {
 	case x.GetTlsCertificate() != nil:
 		c := x.GetTlsCertificate()
--- a/internal/xds/view.go
+++ b/internal/xds/view.go
@@ -36,21 +36,21 @@
 const ViewCluster = "hollymast"
 
 // Seen is a server as a router sees it.
-type Seen struct {
-	Address             string
-	Zone                string
-	Cell                string
-	Health              membership.Health // as seen here: unhealthy where it is suspect, whatever the source says
-	Power               float64
-	Born                int64   // wall clock, microseconds since 1970; 0: long ago
-	InFlight            int     // executions and orders of this router that are out there
-	Said                bool    // the server told its load
-	Util, Loads, Pinned float64 // what it told; below zero: not that one
+type ServerView struct {
+	Address                                 string
+	Zone                                    string
+	Cell                                    string
+	Health                                  membership.Health // as seen here: unhealthy where it is suspect, whatever the source says
+	Weight                                  float64
+	StartedAt                               int64   // wall clock, microseconds since 1970; 0: long ago
+	InFlight                                int     // executions and orders of this router that are out there
+	HasLoadReport                           bool    // the server told its load
+	Utilization, PendingLoads, PinnedMemory float64 // what it told; below zero: not that one
 }
 
 // facts are what does not change with every job.
-func (s Seen) facts() Seen {
-	s.InFlight, s.Said, s.Util, s.Loads, s.Pinned = 0, false, 0, 0, 0
+func (s ServerView) facts() ServerView {
+	s.InFlight, s.HasLoadReport, s.Utilization, s.PendingLoads, s.PinnedMemory = 0, false, 0, 0, 0
 	return s
 }
 
@@ -64,7 +64,7 @@
 	stop     context.CancelFunc
 	done     chan struct{}
 	version  uint64
-	last     []Seen
+	last     []ServerView
 	figures  control.Micros // when figures were last told
 	gatherer *gatherer
 }
@@ -121,9 +121,9 @@
 // Publish has all who follow see these servers, if they are others than before. Figures that change all the time (in flight, and
 // what servers tell of their load) are told with the next change of another, else now and again: else every job would be an
 // update.
-func (v *View) Publish(now control.Micros, seen []Seen) error {
-	slices.SortFunc(seen, func(a, b Seen) int { return cmp.Compare(a.Address, b.Address) })
-	same := slices.EqualFunc(seen, v.last, func(a, b Seen) bool { return a.facts() == b.facts() })
+func (v *View) Publish(now control.Micros, seen []ServerView) error {
+	slices.SortFunc(seen, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
+	same := slices.EqualFunc(seen, v.last, func(a, b ServerView) bool { return a.facts() == b.facts() })
 	if v.version > 0 && same && (now < v.figures+figuresEvery || slices.Equal(seen, v.last)) {
 		return nil
 	}
@@ -143,7 +143,7 @@
 }
 
 // assignmentOf gives servers in the protocol's form, by locality.
-func assignmentOf(seen []Seen) *endpoint.ClusterLoadAssignment {
+func assignmentOf(seen []ServerView) *endpoint.ClusterLoadAssignment {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: ViewCluster}
 	type place struct{ zone, cell string }
 	localities := map[place]*endpoint.LocalityLbEndpoints{}
@@ -160,13 +160,13 @@
 			continue // a name without a number: it can't be told in this form
 		}
 		fields := map[string]*structpb.Value{"in_flight": structpb.NewNumberValue(float64(s.InFlight))}
-		if s.Born > 0 {
-			fields["born"] = structpb.NewStringValue(time.UnixMicro(s.Born).UTC().Format(time.RFC3339Nano))
+		if s.StartedAt > 0 {
+			fields["born"] = structpb.NewStringValue(time.UnixMicro(s.StartedAt).UTC().Format(time.RFC3339Nano))
 		}
-		e := &endpoint.LbEndpoint{HealthStatus: statuses[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Power), 1<<30))),
+		e := &endpoint.LbEndpoint{HealthStatus: statuses[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), 1<<30))),
 			Metadata:       &core.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: {Fields: fields}}},
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address}}}
-		if report, err := anypb.New(s.report()); err == nil && s.Said {
+		if report, err := anypb.New(s.report()); err == nil && s.HasLoadReport {
 			e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaKey: report}
 		}
 		l.LbEndpoints = append(l.LbEndpoints, e)
@@ -178,9 +178,9 @@
 const orcaKey = "hollymast.load"
 
 // report gives what a server told of its load in ORCA's form. What it did not tell is left out.
-func (s Seen) report() *orca.OrcaLoadReport {
-	r := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Util), NamedMetrics: map[string]float64{}}
-	for name, v := range map[string]float64{"loads": s.Loads, "pinned": s.Pinned} {
+func (s ServerView) report() *orca.OrcaLoadReport {
+	r := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
+	for name, v := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
 		if v >= 0 {
 			r.NamedMetrics[name] = v
 		}
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -43,12 +43,12 @@
 				t.Fatal(err)
 			}
 			s := &scene{t: t, plane: plane}
-			m := membership.New(membership.Usual)
-			fo := NewFollower(m, "router-0", "a", delta, Usual)
+			m := membership.New(membership.DefaultBounds)
+			fo := NewClient(m, "router-0", "a", delta, DefaultBounds)
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go func() {
-				done <- Source{Address: plane.Address(), Delta: delta, Now: now, Changed: func(control.Micros) {
+				done <- Transport{Address: plane.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					s.changed++
@@ -60,11 +60,11 @@
 						}
 					}
 					s.fewest = min(s.fewest, ready)
-				}, Note: func(text string) {
+				}, Log: func(text string) {
 					s.mu.Lock()
 					s.notes = append(s.notes, text)
 					s.mu.Unlock()
-				}}.Follow(ctx, fo)
+				}}.Run(ctx, fo)
 			}()
 			defer plane.Stop()
 			defer func() {
@@ -287,64 +287,64 @@
 }
 
 func TestWhatIsPassedOverIsTold(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Usual)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	f.Connected(1)
-	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
+	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
 		fakeserver.Any(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
 		fakeserver.Any(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
 			LoadAssignment: fakeserver.Assignment("ring", members(healthy))})}})
-	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
+	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
 		fakeserver.Any(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
-	notes := strings.Join(f.Notes(), "\n")
-	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.Refused > 0 {
+	notes := strings.Join(f.TakeLogLines(), "\n")
+	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.RejectedResponses > 0 {
 		t.Errorf("got %+v, %s", list, notes)
 	}
 }
 
 func TestBoundsOfWhatIsAccepted(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
 	many := []*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
 		fakeserver.Any(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
-	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
-	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
-	f.Heard(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.Any(fakeserver.Assignment("a", members(healthy, healthy, healthy)))}})
-	if f.Refused != 2 || f.Accepted != 1 || len(f.members.List()) != 0 {
-		t.Errorf("%d refused, %d accepted", f.Refused, f.Accepted)
+	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
+	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
+	f.HandleResponse(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.Any(fakeserver.Assignment("a", members(healthy, healthy, healthy)))}})
+	if f.RejectedResponses != 2 || f.AcceptedResponses != 1 || len(f.members.List()) != 0 {
+		t.Errorf("%d refused, %d accepted", f.RejectedResponses, f.AcceptedResponses)
 	}
 }
 
 // A NACK repeats the last accepted version and the refused nonce; an ACK has the new ones; a new stream begins with what is known.
 func TestVersionsAndNonces(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Usual)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	first := f.Connected(1)[0].(*discovery.DiscoveryRequest)
 	if first.VersionInfo != "" || first.ResponseNonce != "" || first.Node.GetId() != "r" || len(first.ResourceNames) > 0 {
 		t.Errorf("first: %+v", first)
 	}
 	one := fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
-	out := f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
+	out := f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
 	ack, eds := out[0].(*discovery.DiscoveryRequest), out[1].(*discovery.DiscoveryRequest)
 	if ack.VersionInfo != "7" || ack.ResponseNonce != "n1" || ack.ErrorDetail != nil || eds.TypeUrl != EndpointType || !slices.Equal(eds.ResourceNames, []string{"a"}) {
 		t.Errorf("got %+v, %+v", ack, eds)
 	}
-	nack := f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "8", Nonce: "n2", Resources: []*anypb.Any{one, one}})[0].(*discovery.DiscoveryRequest)
+	nack := f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "8", Nonce: "n2", Resources: []*anypb.Any{one, one}})[0].(*discovery.DiscoveryRequest)
 	if nack.VersionInfo != "7" || nack.ResponseNonce != "n2" || nack.ErrorDetail == nil {
 		t.Errorf("got %+v", nack)
 	}
-	f.Broken(4)
+	f.Disconnected(4)
 	again := f.Connected(5)
 	if c, e := again[0].(*discovery.DiscoveryRequest), again[1].(*discovery.DiscoveryRequest); c.VersionInfo != "7" || c.ResponseNonce != "" || !slices.Equal(e.ResourceNames, []string{"a"}) {
 		t.Errorf("again: %+v, %+v", c, e)
 	}
-	d := NewFollower(membership.New(membership.Usual), "r", "", true, Usual)
+	d := NewClient(membership.New(membership.DefaultBounds), "r", "", true, DefaultBounds)
 	d.Connected(1)
-	d.Heard(2, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n1", Resources: []*discovery.Resource{{Name: "a", Version: "3", Resource: one}}})
-	d.Broken(3)
+	d.HandleResponse(2, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n1", Resources: []*discovery.Resource{{Name: "a", Version: "3", Resource: one}}})
+	d.Disconnected(3)
 	if r := d.Connected(4)[0].(*discovery.DeltaDiscoveryRequest); r.InitialResourceVersions["a"] != "3" {
 		t.Errorf("delta again: %+v", r)
 	}
-	d.Heard(5, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n2", RemovedResources: []string{"a"}})
-	d.Broken(6)
+	d.HandleResponse(5, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n2", RemovedResources: []string{"a"}})
+	d.Disconnected(6)
 	if r := d.Connected(7)[0].(*discovery.DeltaDiscoveryRequest); len(r.InitialResourceVersions) > 0 {
 		t.Errorf("removed, but known: %+v", r)
 	}
@@ -371,17 +371,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := []Seen{{Address: "127.0.0.1:80", Zone: "a", Cell: "a1", Power: 2, Born: 1_796_133_869_057_624, Health: membership.Healthy},
-			{Address: "127.0.0.2:80", Zone: "b", Power: 1, Health: membership.Unhealthy}, {Address: "127.0.0.3:80", Power: 1, Health: membership.Draining}}
+		seen := []ServerView{{Address: "127.0.0.1:80", Zone: "a", Cell: "a1", Weight: 2, StartedAt: 1_796_133_869_057_624, Health: membership.Healthy},
+			{Address: "127.0.0.2:80", Zone: "b", Weight: 1, Health: membership.Unhealthy}, {Address: "127.0.0.3:80", Weight: 1, Health: membership.Draining}}
 		if err := v.Publish(1, seen); err != nil {
 			t.Fatal(err)
 		}
-		m := membership.New(membership.Usual)
+		m := membership.New(membership.DefaultBounds)
 		ctx, stop := context.WithCancel(context.Background())
-		facts := make(chan []membership.Fact, 100)
+		facts := make(chan []membership.Server, 100)
 		done := make(chan error, 1)
 		go func() {
-			done <- Source{Address: v.Address(), Delta: delta, Now: now, Changed: func(control.Micros) { facts <- m.Facts() }, Note: func(string) {}}.Follow(ctx, NewFollower(m, "r", "", delta, Usual))
+			done <- Transport{Address: v.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", delta, DefaultBounds))
 		}()
 		await := func(want []membership.Endpoint) {
 			t.Helper()
@@ -391,7 +391,7 @@
 				case fs := <-facts:
 					got = got[:0]
 					for _, f := range fs {
-						if f.Withdrawn == 0 {
+						if f.WithdrawnAt == 0 {
 							got = append(got, f.Endpoint)
 						}
 					}
@@ -400,7 +400,7 @@
 				}
 			}
 		}
-		want := []membership.Endpoint{{Address: "127.0.0.1:80", Health: membership.Healthy, Weight: 200, Zone: "a", Cell: "a1", Born: seen[0].Born},
+		want := []membership.Endpoint{{Address: "127.0.0.1:80", Health: membership.Healthy, Weight: 200, Zone: "a", Cell: "a1", StartedAt: seen[0].StartedAt},
 			{Address: "127.0.0.2:80", Health: membership.Unhealthy, Weight: 100, Zone: "b"}, {Address: "127.0.0.3:80", Health: membership.Draining, Weight: 100}}
 		await(want)
 		again := slices.Clone(seen)
@@ -423,8 +423,8 @@
 }
 
 func TestBootstrapInEnvoysForm(t *testing.T) {
-	m := membership.New(membership.Usual)
-	f := NewFollower(m, "", "", false, Usual)
+	m := membership.New(membership.DefaultBounds)
+	f := NewClient(m, "", "", false, DefaultBounds)
 	text := `
 node: {id: x, cluster: home}
 static_resources:
@@ -445,7 +445,7 @@
         - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: 9002}}}
           health_status: DRAINING
 `
-	if err := f.Bootstrap(1, []byte(text)); err != nil {
+	if err := f.LoadBootstrap(1, []byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	list := m.List()
@@ -454,7 +454,7 @@
 		t.Errorf("got %+v", list)
 	}
 	for _, bad := range []string{"a: [", "static_resources: 7", "node: {}", strings.Replace(text, "port_value: 9001", "port_value: 0", 1)} {
-		if err := f.Bootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := f.LoadBootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q: got %v", bad, err)
 		}
 	}
