--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -24,7 +24,7 @@
 // scene is a follower of a pretend control plane over real streams.
 type scene struct {
 	t       *testing.T
-	plane   *fakeserver.Plane
+	plane   *fakeserver.ControlPlane
 	mu      sync.Mutex
 	list    map[string]control.ServerState
 	fewest  int // servers ready at any change since it was set
@@ -38,7 +38,7 @@
 func both(t *testing.T, f func(t *testing.T, s *scene)) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			plane, err := fakeserver.NewPlane()
+			plane, err := fakeserver.NewControlPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -113,10 +113,10 @@
 	return false
 }
 
-func members(states ...core.HealthStatus) []fakeserver.Member {
-	var ms []fakeserver.Member
+func members(states ...core.HealthStatus) []fakeserver.Endpoint {
+	var ms []fakeserver.Endpoint
 	for i, h := range states {
-		ms = append(ms, fakeserver.Member{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
+		ms = append(ms, fakeserver.Endpoint{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
 	}
 	return ms
 }
@@ -124,8 +124,8 @@
 const healthy, draining = core.HealthStatus_HEALTHY, core.HealthStatus_DRAINING
 
 // tell has the plane tell one cluster.
-func (s *scene) tell(name string, ms []fakeserver.Member) {
-	s.plane.Change(func(cs map[string][]fakeserver.Member) { cs[name] = ms })
+func (s *scene) tell(name string, ms []fakeserver.Endpoint) {
+	s.plane.Update(func(cs map[string][]fakeserver.Endpoint) { cs[name] = ms })
 }
 
 func TestClustersThenEndpointsThenChanges(t *testing.T) {
@@ -134,9 +134,9 @@
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, draining, healthy))
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Change(func(cs map[string][]fakeserver.Member) { delete(cs, "two") })
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) { delete(cs, "two") })
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if acks, streams, nacks := s.plane.Counts(); acks < 5 || streams != 1 || len(nacks) > 0 {
 			t.Errorf("%d acks on %d streams, nacks %q", acks, streams, nacks)
@@ -146,25 +146,25 @@
 
 // What is bad is refused whole with its reason and changes nothing; the next good one is taken.
 func TestBadUpdatesAreRefused(t *testing.T) {
-	bad := fakeserver.Assignment("one", members(healthy))
+	bad := fakeserver.LoadAssignment("one", members(healthy))
 	bad.Endpoints[0].LbEndpoints[0].GetEndpoint().Address.GetSocketAddress().PortSpecifier = &core.SocketAddress_PortValue{PortValue: 0}
-	twice := fakeserver.Any(fakeserver.Assignment("one", members(draining)))
-	born := fakeserver.Assignment("one", []fakeserver.Member{{Address: "127.0.0.1:80", Born: "yesterday"}})
+	twice := fakeserver.PackAny(fakeserver.LoadAssignment("one", members(draining)))
+	born := fakeserver.LoadAssignment("one", []fakeserver.Endpoint{{Address: "127.0.0.1:80", StartedAt: "yesterday"}})
 	for i, c := range []struct {
 		resources []*anypb.Any
 		why       string
-	}{{[]*anypb.Any{fakeserver.Any(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
-		{[]*anypb.Any{fakeserver.Any(born)}, "no time"}, {[]*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "x"})}, "can't be read"},
+	}{{[]*anypb.Any{fakeserver.PackAny(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
+		{[]*anypb.Any{fakeserver.PackAny(born)}, "no time"}, {[]*anypb.Any{fakeserver.PackAny(&cluster.Cluster{Name: "x"})}, "can't be read"},
 		{[]*anypb.Any{{TypeUrl: EndpointType, Value: []byte{1, 2, 3}}}, "can't be read"}} {
 		both(t, func(t *testing.T, s *scene) {
 			s.tell("one", members(healthy, healthy))
 			s.await("127.0.0.1:80", "127.0.0.2:80")
-			s.plane.Send(&discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "bad", Nonce: "bad", Resources: c.resources})
+			s.plane.SendRaw(&discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "bad", Nonce: "bad", Resources: c.resources})
 			d := &discovery.DeltaDiscoveryResponse{TypeUrl: EndpointType, Nonce: "bad"}
 			for _, r := range c.resources {
 				d.Resources = append(d.Resources, &discovery.Resource{Name: "one", Version: "bad", Resource: r})
 			}
-			s.plane.Send(d)
+			s.plane.SendRaw(d)
 			if !s.noted("refused") {
 				t.Fatalf("case %d: not refused", i)
 			}
@@ -186,19 +186,19 @@
 func TestStreamCut(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Stall(true)
-		s.plane.Change(func(cs map[string][]fakeserver.Member) {
+		s.plane.SetStalled(true)
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 			delete(cs, "two")
 			cs["one"] = members(healthy, draining, healthy)
 		})
-		s.plane.Cut(true)
+		s.plane.DropStreams(true)
 		if !s.noted("ended") {
 			t.Fatal("the cut was not told")
 		}
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Stall(false)
+		s.plane.SetStalled(false)
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if !s.noted("is back after") {
 			t.Error("its return was not told")
@@ -232,13 +232,13 @@
 
 func TestEndpointsThatNeverCome(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
-		s.plane.Hide("two", true)
+		s.plane.SetHidden("two", true)
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, healthy, draining))
 		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80")
-		s.plane.Hide("two", false)
+		s.plane.SetHidden("two", false)
 		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80", "127.0.0.9:80")
 	})
 }
@@ -252,7 +252,7 @@
 		s.fewest = 2
 		s.mu.Unlock()
 		for i := range 5 {
-			s.plane.Change(func(cs map[string][]fakeserver.Member) {
+			s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 				clear(cs)
 				cs[fmt.Sprint("new", i)] = members(healthy, healthy)
 			})
@@ -271,11 +271,11 @@
 func TestWarmingEnds(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("old", members(healthy))
-		s.tell("stays", []fakeserver.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("stays", []fakeserver.Endpoint{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.8:80", "127.0.0.9:80")
-		s.plane.Hide("new", true)
+		s.plane.SetHidden("new", true)
 		begun := time.Now()
-		s.plane.Change(func(cs map[string][]fakeserver.Member) {
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 			delete(cs, "old")
 			cs["new"] = members(healthy)
 		})
@@ -290,11 +290,11 @@
 	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	f.Connected(1)
 	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
-		fakeserver.Any(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
-		fakeserver.Any(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
-			LoadAssignment: fakeserver.Assignment("ring", members(healthy))})}})
+		fakeserver.PackAny(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
+		fakeserver.PackAny(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
+			LoadAssignment: fakeserver.LoadAssignment("ring", members(healthy))})}})
 	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
-		fakeserver.Any(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
+		fakeserver.PackAny(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
 	notes := strings.Join(f.TakeLogLines(), "\n")
 	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.RejectedResponses > 0 {
 		t.Errorf("got %+v, %s", list, notes)
@@ -304,11 +304,11 @@
 func TestBoundsOfWhatIsAccepted(t *testing.T) {
 	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
-	many := []*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
-		fakeserver.Any(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
+	many := []*anypb.Any{fakeserver.PackAny(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
+		fakeserver.PackAny(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
 	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
 	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
-	f.HandleResponse(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.Any(fakeserver.Assignment("a", members(healthy, healthy, healthy)))}})
+	f.HandleResponse(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.PackAny(fakeserver.LoadAssignment("a", members(healthy, healthy, healthy)))}})
 	if f.RejectedResponses != 2 || f.AcceptedResponses != 1 || len(f.members.List()) != 0 {
 		t.Errorf("%d refused, %d accepted", f.RejectedResponses, f.AcceptedResponses)
 	}
@@ -321,7 +321,7 @@
 	if first.VersionInfo != "" || first.ResponseNonce != "" || first.Node.GetId() != "r" || len(first.ResourceNames) > 0 {
 		t.Errorf("first: %+v", first)
 	}
-	one := fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
+	one := fakeserver.PackAny(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
 	out := f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
 	ack, eds := out[0].(*discovery.DiscoveryRequest), out[1].(*discovery.DiscoveryRequest)
 	if ack.VersionInfo != "7" || ack.ResponseNonce != "n1" || ack.ErrorDetail != nil || eds.TypeUrl != EndpointType || !slices.Equal(eds.ResourceNames, []string{"a"}) {
