--- a/internal/chaostest/day.go
+++ b/internal/chaostest/day.go
@@ -86,15 +86,15 @@
 // Result is a day's end.
 type Result struct {
 	*invariant.Report
-	InTime  float64 // share of all effects that were finished within their start target
-	Records int
-	Seconds []Second
+	InTime  float64  `json:"InTime"` // share of all effects that were finished within their start target
+	Records int      `json:"Records"`
+	Seconds []Second `json:"Seconds"`
 	effects []wish
-	Resumed resumed   // run-once jobs that clients asked their restarted router for again
-	Renewed []Renewed // what followed each restart of a router
-	Worth   float64   // as InTime, each effect counted with its workload's importance
-	Storms  int       // that routers told of
-	Over    int       // orders over the ration, were those of a router's earlier lives counted for all
+	Resumed resumed   `json:"Resumed"` // run-once jobs that clients asked their restarted router for again
+	Renewed []Renewed `json:"Renewed"` // what followed each restart of a router
+	Worth   float64   `json:"Worth"`   // as InTime, each effect counted with its workload's importance
+	Storms  int       `json:"Storms"`  // that routers told of
+	Over    int       `json:"Over"`    // orders over the ration, were those of a router's earlier lives counted for all
 }
 
 // Run plays a day with routers of the named program. Everything that it starts has ended when it returns.
--- a/internal/chaostest/output_test.go
+++ b/internal/chaostest/output_test.go
@@ -10,10 +10,11 @@
 
 // Scripts read this JSON: its names stay.
 func TestJSONForm(t *testing.T) {
-	value := &Emulated{}
-	golden.Fill(value)
-	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
-		t.Errorf("told under the name of a field: %q", missing)
+	for name, value := range map[string]any{"output-1.json": &Emulated{}, "day-1.json": &Result{}} {
+		golden.Fill(value)
+		golden.Check(t, name, value, json.Marshal, json.Unmarshal)
+		if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+			t.Errorf("told under the name of a field: %q", missing)
+		}
 	}
 }
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -46,7 +46,12 @@
 }
 
 // resumed counts the run-once jobs that clients asked their restarted router for again, by its answer.
-type resumed struct{ Asked, Finished, PushedBack, Killed int }
+type resumed struct {
+	Asked      int `json:"Asked"`
+	Finished   int `json:"Finished"`
+	PushedBack int `json:"PushedBack"`
+	Killed     int `json:"Killed"`
+}
 
 func (p *play) resume(word string) {
 	p.mu.Lock()
@@ -71,12 +76,12 @@
 
 // Renewed is what followed a router's restart, within ten seconds.
 type Renewed struct {
-	Router     int
-	At         time.Duration
-	Effects    int     // asked of it by clients of its own
-	InTime     float64 // the share of them that came within their start target
-	Loads      int     // that began on all servers
-	Executions float64 // a job, of all routers
+	Router     int           `json:"Router"`
+	At         time.Duration `json:"At"`
+	Effects    int           `json:"Effects"`    // asked of it by clients of its own
+	InTime     float64       `json:"InTime"`     // the share of them that came within their start target
+	Loads      int           `json:"Loads"`      // that began on all servers
+	Executions float64       `json:"Executions"` // a job, of all routers
 }
 
 func (p *play) after(recs []invariant.Record) []Renewed {
--- a/internal/chaostest/storms.go
+++ b/internal/chaostest/storms.go
@@ -131,12 +131,17 @@
 
 // Second is what happened to the effects that clients asked for within one second of a day.
 type Second struct {
-	Effects, Well            int
-	Marked, MarkedWell       int // fingerprinted ones
-	Tries, PushedBack, Loads int
-	Calm, CalmWell           int     // of tenants that don't storm
-	Open                     int     // tries without an answer at its end
-	Cold                     float64 // the largest share of its budget that a cold server had got
+	Effects    int     `json:"Effects"`
+	Well       int     `json:"Well"`
+	Marked     int     `json:"Marked"` // fingerprinted ones
+	MarkedWell int     `json:"MarkedWell"`
+	Tries      int     `json:"Tries"`
+	PushedBack int     `json:"PushedBack"`
+	Loads      int     `json:"Loads"`
+	Calm       int     `json:"Calm"` // of tenants that don't storm
+	CalmWell   int     `json:"CalmWell"`
+	Open       int     `json:"Open"` // tries without an answer at its end
+	Cold       float64 `json:"Cold"` // the largest share of its budget that a cold server had got
 }
 
 // seconds gives a day second by second.
