--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/program"
 )
 
-type emulate struct {
+type emulateCmd struct {
 	Script   string   `help:"Script of the day (INI); without, the built-in bad day." type:"path"`
 	Seeds    int      `default:"1" help:"Days, of seeds from --seed on."`
 	Seed     uint64   `default:"1" help:"The first seed."`
@@ -29,7 +29,7 @@
 	JSON     bool     `name:"json" help:"Print each day as JSON."`
 }
 
-func (e emulate) Run() error {
+func (e emulateCmd) Run() error {
 	var text []byte
 	if e.Script != "" {
 		var err error
@@ -70,8 +70,8 @@
 				kept = kept && arm != "module" // a textbook policy that breaks a rule is a finding about it
 			}
 			fmt.Printf("%-12s seed %d: %s in_time=%.3f worth=%.3f jobs=%d pushed_back=%d killed=%d unanswered=%d executions=%.3f loads=%d cold_use=%.2f warm_use=%.2f hash=%016x  %.0f times real time, %d events\n",
-				arm, seed, word, res.InTime, res.Worth, res.Requests, res.Rejected, res.Failed, res.Unanswered, float64(res.Attempts)/float64(max(1, res.Requests)),
-				res.Loads, res.ColdUse, res.WarmUse, res.Hash, length.Seconds()/took.Seconds(), res.Events)
+				arm, seed, word, res.InTime, res.WeightedInTime, res.Requests, res.Rejected, res.Failed, res.Unanswered, float64(res.Attempts)/float64(max(1, res.Requests)),
+				res.Loads, res.SlowStartUtilization, res.Utilization, res.Hash, length.Seconds()/took.Seconds(), res.Events)
 			for _, r := range res.Rules {
 				if r.ViolationCount > 0 {
 					fmt.Printf("    rule %d, %s: BROKEN %d times, as %s\n", r.Number, r.Name, r.ViolationCount, r.Violations[0])
@@ -87,29 +87,29 @@
 }
 
 // one plays one day.
-func (e emulate) one(text []byte, arm string, seed uint64) (*chaostest.Emulated, time.Duration, error) {
-	d, err := chaostest.ReadDay(e.Script, text)
+func (e emulateCmd) one(text []byte, arm string, seed uint64) (*chaostest.SimulationResult, time.Duration, error) {
+	d, err := chaostest.ParseScenario(e.Script, text)
 	if err != nil {
 		return nil, 0, err
 	}
-	d.Seed, d.Damped = seed, d.Damped && !e.Undamped
-	if err := resize(d, e.Jobs, e.Routers, e.Workers, e.Clients); err != nil {
+	d.Seed, d.DampOverload = seed, d.DampOverload && !e.Undamped
+	if err := overrideSizes(d, e.Jobs, e.Routers, e.Workers, e.Clients); err != nil {
 		return nil, 0, err
 	}
 	if e.Manners != "" {
-		d.Manners = e.Manners
+		d.ClientBehavior = e.Manners
 	}
-	var res *chaostest.Emulated
+	var res *chaostest.SimulationResult
 	if arm == "module" {
-		res, err = chaostest.Emulate(d, e.Threads, nil)
+		res, err = chaostest.Simulate(d, e.Threads, nil)
 	} else {
-		res, err = chaostest.Emulate(d, e.Threads, baseline.New(baseline.Policy(slices.Index(baseline.Names, arm))))
+		res, err = chaostest.Simulate(d, e.Threads, baseline.NewFactory(baseline.Policy(slices.Index(baseline.Names, arm))))
 	}
 	return res, d.Length, err
 }
 
 // compare tells how the first arm fares against each other one on the same days: the mean of the differences, with its error.
-func (e emulate) compare(in map[string][]float64) {
+func (e emulateCmd) compare(in map[string][]float64) {
 	for _, arm := range e.Arms[1:] {
 		n, sum, squares := float64(e.Seeds), 0.0, 0.0
 		for i, x := range in[e.Arms[0]] {
--- a/cmd/hmchaos/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -24,55 +24,55 @@
 	"hollymast/internal/program"
 )
 
-type experiment struct {
+type experimentCmd struct {
 	File  string `arg:"" help:"What is asked (INI)." type:"path"`
 	Rows  string `help:"File that keeps what was played; without, FILE.rows." type:"path"`
 	Quiet bool   `help:"No progress."`
 }
 
 // asked is an experiment's file.
-type asked struct {
-	plan     experiments.Plan
-	script   string
-	text     []byte
-	sizes    map[string]size
-	programs map[string]string // arms that are other builds
+type experimentSpec struct {
+	plan         experiments.Plan
+	script       string
+	scenarioText []byte
+	sizes        map[string]scenarioSize
+	programs     map[string]string // arms that are other builds
 }
 
 // size is what of a day's script is replaced.
-type size struct {
+type scenarioSize struct {
 	routers, workers, jobs, clients int
 	manners                         string
 }
 
-const usualSize = "as told" // where the file has no section for a size
+const defaultSizeName = "as told" // where the file has no section for a size
 
-func readExperiment(name string) (*asked, error) {
+func readSpec(name string) (*experimentSpec, error) {
 	f, err := inifile.Load(name)
 	if err != nil {
 		return nil, err
 	}
 	s := f.Section("experiment")
-	a := &asked{sizes: map[string]size{}, programs: map[string]string{}}
+	a := &experimentSpec{sizes: map[string]scenarioSize{}, programs: map[string]string{}}
 	if a.script = s.String("script", ""); !filepath.IsAbs(a.script) {
 		a.script = filepath.Join(filepath.Dir(name), a.script)
 	}
-	a.plan = experiments.Plan{Arms: s.Strings("arms"), First: uint64(s.Int("first_seed", 1, 1, 1<<30)), Most: s.Int("seeds", 20, 2, 100_000),
-		Least: s.Int("least_seeds", 5, 2, 100_000), Indifferent: s.Float("indifferent", 0.005, 0, 1e9),
+	a.plan = experiments.Plan{Arms: s.Strings("arms"), FirstSeed: uint64(s.Int("first_seed", 1, 1, 1<<30)), MaxSeeds: s.Int("seeds", 20, 2, 100_000),
+		MinSeeds: s.Int("least_seeds", 5, 2, 100_000), Tolerance: s.Float("indifferent", 0.005, 0, 1e9),
 		Measure: experiments.Measures[s.OneOf("measure", experiments.Measures[0], experiments.Measures...)]}
-	if a.text, err = os.ReadFile(a.script); err != nil {
+	if a.scenarioText, err = os.ReadFile(a.script); err != nil {
 		s.Errorf("script", "%v", err)
-	} else if _, err := chaostest.ReadDay(a.script, a.text); err != nil {
+	} else if _, err := chaostest.ParseScenario(a.script, a.scenarioText); err != nil {
 		s.Errorf("script", "%v", err)
 	}
 	for _, x := range f.Sections("size ") {
 		n := x.Name[len("size "):]
 		a.plan.Sizes = append(a.plan.Sizes, n)
-		a.sizes[n] = size{x.Int("routers", 0, 0, 5000), x.Int("workers", 0, 0, 5000), x.Int("jobs", 0, 0, 10_000_000), x.Int("clients", 0, 0, 20_000),
-			append([]string{""}, chaostest.Manners...)[x.OneOf("manners", "", append([]string{""}, chaostest.Manners...)...)]}
+		a.sizes[n] = scenarioSize{x.Int("routers", 0, 0, 5000), x.Int("workers", 0, 0, 5000), x.Int("jobs", 0, 0, 10_000_000), x.Int("clients", 0, 0, 20_000),
+			append([]string{""}, chaostest.ClientBehaviors...)[x.OneOf("manners", "", append([]string{""}, chaostest.ClientBehaviors...)...)]}
 	}
 	if len(a.plan.Sizes) == 0 {
-		a.plan.Sizes, a.sizes[usualSize] = []string{usualSize}, size{}
+		a.plan.Sizes, a.sizes[defaultSizeName] = []string{defaultSizeName}, scenarioSize{}
 	}
 	for _, x := range f.Sections("arm ") {
 		p := x.String("program", "")
@@ -92,20 +92,20 @@
 }
 
 // origin names what plays an arm on which day: rows of another build or script are others.
-func (a *asked) origin(arm string) string {
+func (a *experimentSpec) origin(arm string) string {
 	build := program.BuildID()
 	if p := a.programs[arm]; p != "" {
 		build = program.BuildIDOf(p)
 	}
-	return build + " " + fmt.Sprintf("%x", chaostest.DayKey(a.text)) + " " + fmt.Sprint(a.sizes)
+	return build + " " + fmt.Sprintf("%x", chaostest.ScenarioHash(a.scenarioText)) + " " + fmt.Sprint(a.sizes)
 }
 
 // play plays one day on one thread.
-func (a *asked) play(ctx context.Context, c experiments.Cell) (experiments.Row, error) {
+func (a *experimentSpec) play(ctx context.Context, c experiments.Trial) (experiments.Result, error) {
 	z := a.sizes[c.Size]
-	e := emulate{Script: a.script, Seed: c.Seed, Seeds: 1, Threads: 1, Routers: z.routers, Workers: z.workers, Jobs: z.jobs, Clients: z.clients, Manners: z.manners,
+	e := emulateCmd{Script: a.script, Seed: c.Seed, Seeds: 1, Threads: 1, Routers: z.routers, Workers: z.workers, Jobs: z.jobs, Clients: z.clients, Manners: z.manners,
 		Undamped: c.Arm == "undamped"}
-	var res *chaostest.Emulated
+	var res *chaostest.SimulationResult
 	var err error
 	if p := a.programs[c.Arm]; p != "" {
 		res, err = e.elsewhere(ctx, p)
@@ -114,20 +114,20 @@
 		if arm == "undamped" {
 			arm = "module"
 		}
-		res, _, err = e.one(a.text, arm, c.Seed)
+		res, _, err = e.one(a.scenarioText, arm, c.Seed)
 	}
 	if err != nil {
-		return experiments.Row{}, fmt.Errorf("%s, %s, seed %d: %w", c.Size, c.Arm, c.Seed, err)
+		return experiments.Result{}, fmt.Errorf("%s, %s, seed %d: %w", c.Size, c.Arm, c.Seed, err)
 	}
-	row := experiments.Row{Cell: c, InTime: res.InTime, Worth: res.Worth, Jobs: res.Requests, Executions: res.Attempts, Loads: res.Loads, Hash: res.Hash}
+	row := experiments.Result{Trial: c, InTime: res.InTime, WeightedInTime: res.WeightedInTime, Requests: res.Requests, Attempts: res.Attempts, Loads: res.Loads, Hash: res.Hash}
 	for _, r := range res.Rules {
-		row.Broken += r.ViolationCount
+		row.Violations += r.ViolationCount
 	}
 	return row, nil
 }
 
 // elsewhere has another build of hmchaos play a day.
-func (e emulate) elsewhere(ctx context.Context, name string) (*chaostest.Emulated, error) {
+func (e emulateCmd) elsewhere(ctx context.Context, name string) (*chaostest.SimulationResult, error) {
 	args := []string{"emulate", "--json", "--threads=1", "--script=" + e.Script, fmt.Sprint("--seed=", e.Seed), fmt.Sprint("--routers=", e.Routers),
 		fmt.Sprint("--workers=", e.Workers), fmt.Sprint("--jobs=", e.Jobs), fmt.Sprint("--clients=", e.Clients), "--manners=" + e.Manners}
 	out, err := exec.CommandContext(ctx, name, args...).Output()
@@ -135,13 +135,13 @@
 	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == program.ExitFailure) { // a broken rule is in the result
 		return nil, err
 	}
-	res := &chaostest.Emulated{}
+	res := &chaostest.SimulationResult{}
 	line, _, _ := bytes.Cut(out, []byte("\n"))
 	return res, json.Unmarshal(line, res)
 }
 
-func (x experiment) Run() error {
-	a, err := readExperiment(x.File)
+func (x experimentCmd) Run() error {
+	a, err := readSpec(x.File)
 	if err != nil {
 		return err
 	}
@@ -157,11 +157,11 @@
 	for _, arm := range a.plan.Arms {
 		origins[arm] = a.origin(arm)
 	}
-	var there []experiments.Row
-	for i := range a.plan.Most {
+	var there []experiments.Result
+	for i := range a.plan.MaxSeeds {
 		for _, z := range a.plan.Sizes {
 			for _, arm := range a.plan.Arms {
-				if r, ok := store.Get(origins[arm], experiments.Cell{Size: z, Arm: arm, Seed: a.plan.First + uint64(i)}); ok {
+				if r, ok := store.Get(origins[arm], experiments.Trial{Size: z, Arm: arm, Seed: a.plan.FirstSeed + uint64(i)}); ok {
 					there = append(there, r)
 				}
 			}
@@ -184,12 +184,12 @@
 }
 
 // playAll plays what is left, a day a core, and keeps each as it ends.
-func (x experiment) playAll(ctx context.Context, a *asked, state *experiments.State, store *experiments.Store, origins map[string]string) error {
+func (x experimentCmd) playAll(ctx context.Context, a *experimentSpec, state *experiments.Experiment, store *experiments.Store, origins map[string]string) error {
 	var mu sync.Mutex
 	var first error
-	bar := progressbar.DefaultSilent(int64(state.Left()))
+	bar := progressbar.DefaultSilent(int64(state.Remaining()))
 	if !x.Quiet {
-		bar = progressbar.Default(int64(state.Left()), "days")
+		bar = progressbar.Default(int64(state.Remaining()), "days")
 	}
 	done := 0
 	var wg sync.WaitGroup
@@ -213,7 +213,7 @@
 				} else if err == nil {
 					state.Add(row)
 					done++
-					bar.ChangeMax(done + state.Left())
+					bar.ChangeMax(done + state.Remaining())
 					bar.Set(done)
 				}
 				mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // tell prints what was found, and counts the breaches of the first arm.
-func (a *asked) tell(state *experiments.State) (broken int) {
+func (a *experimentSpec) tell(state *experiments.Experiment) (broken int) {
 	for _, z := range a.plan.Sizes {
 		for _, arm := range a.plan.Arms {
 			mean, days := state.Mean(z, arm)
@@ -239,10 +239,10 @@
 			word = f.Verdict + " than " + f.Arm
 		}
 		note := ""
-		if f.Broken > 0 {
-			note = fmt.Sprintf("; %s broke rules %d times", f.Arm, f.Broken)
+		if f.Violations > 0 {
+			note = fmt.Sprintf("; %s broke rules %d times", f.Arm, f.Violations)
 		}
 		fmt.Printf("%-12s %s less %-14s %+.4f, 95 %% from %+.4f to %+.4f, %d seeds: %s%s\n", f.Size, a.plan.Arms[0], f.Arm, f.Mean, f.Low, f.High, f.Seeds, word, note)
 	}
-	return state.Broken(a.plan.Arms[0])
+	return state.Violations(a.plan.Arms[0])
 }
--- a/cmd/hmchaos/main.go
+++ b/cmd/hmchaos/main.go
@@ -17,11 +17,11 @@
 
 type cli struct {
 	program.CommonFlags
-	Load       load       `cmd:"" help:"Measure a steady stream of jobs through a router against straight to the servers, in one run."`
-	Changes    changes    `cmd:"" help:"Change the list through a pretend control plane, under load, and measure how soon the router follows."`
-	Emulate    emulate    `cmd:"" help:"Play a day in simulated time, with this build's decisions or a textbook policy's."`
-	Experiment experiment `cmd:"" help:"Play many days in simulated time and hold arms against each other, as a file says."`
-	Day        day        `cmd:"" help:"Play a scripted bad day and judge the five rules from what crossed the sockets."`
+	Load       loadCmd       `cmd:"" help:"Measure a steady stream of jobs through a router against straight to the servers, in one run."`
+	Changes    changesCmd    `cmd:"" help:"Change the list through a pretend control plane, under load, and measure how soon the router follows."`
+	Emulate    emulateCmd    `cmd:"" help:"Play a day in simulated time, with this build's decisions or a textbook policy's."`
+	Experiment experimentCmd `cmd:"" help:"Play many days in simulated time and hold arms against each other, as a file says."`
+	Day        dayCmd        `cmd:"" help:"Play a scripted bad day and judge the five rules from what crossed the sockets."`
 }
 
 func main() {
@@ -42,7 +42,7 @@
 	program.Exit("hmchaos", ctx.Run())
 }
 
-type day struct {
+type dayCmd struct {
 	Seed     uint64        `default:"1" help:"Seed of the day."`
 	Jobs     int           `help:"Jobs; 0: as the script says."`
 	Routers  int           `help:"Routers; 0: as the script says."`
@@ -61,7 +61,7 @@
 	Most     time.Duration `default:"10m" help:"End the day after this time, whatever happens."`
 }
 
-func (d day) Run() error {
+func (d dayCmd) Run() error {
 	var text []byte
 	if d.Script != "" {
 		var err error
@@ -69,23 +69,23 @@
 			return program.UsageError{Err: err}
 		}
 	}
-	script, err := chaostest.ReadDay(d.Script, text)
+	script, err := chaostest.ParseScenario(d.Script, text)
 	if err != nil {
 		return err
 	}
-	script.Seed, script.Record = d.Seed, d.Record
-	script.Orders = script.Orders || d.Orders || d.Script == "" && d.Seed%2 == 0
+	script.Seed, script.RecordDir = d.Seed, d.Record
+	script.LoadCommandsOnly = script.LoadCommandsOnly || d.Orders || d.Script == "" && d.Seed%2 == 0
 	if d.Memory != "" {
-		script.Memory = d.Memory
+		script.RouterState = d.Memory
 	}
-	if err := resize(script, d.Jobs, d.Routers, d.Workers, d.Clients); err != nil {
+	if err := overrideSizes(script, d.Jobs, d.Routers, d.Workers, d.Clients); err != nil {
 		return err
 	}
 	if d.Manners != "" {
-		script.Manners = d.Manners
+		script.ClientBehavior = d.Manners
 	}
-	script.Within = d.Within
-	script.Damped = script.Damped && !d.Undamped
+	script.TenantWithinQuota = d.Within
+	script.DampOverload = script.DampOverload && !d.Undamped
 	router, err := routerProgram(d.Router)
 	if err != nil {
 		return err
@@ -105,15 +105,15 @@
 		}
 		fmt.Println(string(b))
 	} else {
-		table(res)
+		printResult(res)
 	}
-	for _, t := range script.Troubles {
+	for _, t := range script.Faults {
 		if t.Kind == "one_tenant" {
-			meanwhile, otherwise := res.Calm(t)
+			meanwhile, otherwise := res.OtherTenantsInTime(t)
 			fmt.Printf("calm tenants in time %.3f while one storms, %.3f otherwise\n", meanwhile, otherwise)
 		}
-		if t.Kind == "origin_stopped" || t.Kind == "balancer_kill" && t.Number < 0 {
-			usual, after := chaostest.Recovery(res.Seconds, t.At, t.At+t.Lasts)
+		if t.Kind == "origin_stopped" || t.Kind == "balancer_kill" && t.Target < 0 {
+			usual, after := chaostest.Recovery(res.Seconds, t.At, t.At+t.Duration)
 			again := "after " + after.String()
 			if after < 0 {
 				again = "not before the day's end"
@@ -131,7 +131,7 @@
 		word = "broken"
 	}
 	fmt.Printf("verdict: %s jobs=%d finished=%d pushed_back=%d killed=%d unanswered=%d in_time=%.3f worth=%.3f storms=%d\n", word, res.Requests, res.Succeeded,
-		res.Rejected, res.Failed, res.Unanswered, res.InTime, res.Worth, res.Storms)
+		res.Rejected, res.Failed, res.Unanswered, res.InTime, res.WeightedInTime, res.Overloads)
 	if !res.Passed() && err == nil {
 		err = fmt.Errorf("a rule was broken")
 	}
@@ -139,11 +139,11 @@
 }
 
 // resize replaces a script's counts by those of flags; 0 leaves one as it is.
-func resize(d *chaostest.Day, jobs, routers, workers, clients int) error {
+func overrideSizes(d *chaostest.Scenario, jobs, routers, workers, clients int) error {
 	for _, x := range []struct {
 		flag int
 		to   *int
-	}{{jobs, &d.Jobs}, {routers, &d.Routers}, {workers, &d.Workers}, {clients, &d.Clients}} {
+	}{{jobs, &d.Requests}, {routers, &d.Routers}, {workers, &d.Workers}, {clients, &d.LibraryClients}} {
 		if x.flag < 0 {
 			return program.UsageError{Err: fmt.Errorf("a count below zero")}
 		}
@@ -154,14 +154,14 @@
 	return nil
 }
 
-func table(res *chaostest.Result) {
+func printResult(res *chaostest.Result) {
 	fmt.Printf("%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8d\n%-40s %8.3f\n", "jobs (tries of clients)", res.Requests,
 		"finished", res.Succeeded, "pushed back", res.Rejected, "killed", res.Failed, "left by their clients", res.Abandoned,
 		"excused: their router was halted", res.Excused, "refused as wrong", res.NotAdmitted, "repeats by a router", res.Retries,
 		"executions a job", float64(res.Attempts)/float64(max(1, res.Requests)))
-	if res.Resumed.Asked > 0 {
-		fmt.Printf("run-once jobs asked again of their restarted router: %d, finished %d, pushed back %d, killed %d\n", res.Resumed.Asked, res.Resumed.Finished,
-			res.Resumed.PushedBack, res.Resumed.Killed)
+	if res.RestartRetries.Sent > 0 {
+		fmt.Printf("run-once jobs asked again of their restarted router: %d, finished %d, pushed back %d, killed %d\n", res.RestartRetries.Sent, res.RestartRetries.Succeeded,
+			res.RestartRetries.Rejected, res.RestartRetries.Failed)
 	}
 	loads, worst := 0, 0.0
 	for _, s := range res.Seconds {
@@ -174,12 +174,12 @@
 	if worst > 0 {
 		fmt.Printf("%-40s %8.3f\n", "a cold server's worst window, of budget", worst)
 	}
-	if len(res.Renewed) > 0 {
-		fmt.Printf("orders over the ration, if those before a restart count: %d\n", res.Over)
+	if len(res.Restarts) > 0 {
+		fmt.Printf("orders over the ration, if those before a restart count: %d\n", res.ExcessLoadCommands)
 	}
-	for _, r := range res.Renewed {
+	for _, r := range res.Restarts {
 		fmt.Printf("router %d back at %s: in the next 10 s in time %.3f of %d, loads %d, executions a job %.3f\n", r.Router, r.At.Round(time.Millisecond), r.InTime,
-			r.Effects, r.Loads, r.Executions)
+			r.Effects, r.Loads, r.AttemptsPerRequest)
 	}
 	for _, r := range res.Rules {
 		word := "kept"
@@ -208,7 +208,7 @@
 	return name, nil
 }
 
-type changes struct {
+type changesCmd struct {
 	Seed    uint64        `default:"1" help:"Seed of the changes."`
 	Number  int           `default:"1000" help:"Changes."`
 	Every   time.Duration `default:"20ms" help:"Between two of them, on average."`
@@ -222,7 +222,7 @@
 	Router  string        `help:"The router's program; without, hollymast beside this one." type:"path"`
 }
 
-func (c changes) Run() error {
+func (c changesCmd) Run() error {
 	router, err := routerProgram(c.Router)
 	if err != nil {
 		return err
@@ -232,8 +232,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	f, err := chaostest.PlayChanges(ctx, chaostest.Changes{Seed: c.Seed, Number: c.Number, Every: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
-		Cuts: c.Cuts, Loses: c.Loses, Keys: c.Keys, Delay: c.Delay}, router)
+	f, err := chaostest.RunChurn(ctx, chaostest.Churn{Seed: c.Seed, Changes: c.Number, Interval: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
+		CutStreams: c.Cuts, LoseEndpoints: c.Loses, TLS: c.Keys, PublishDelay: c.Delay}, router)
 	if err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 	return nil
 }
 
-type load struct {
+type loadCmd struct {
 	Rates       []int         `default:"1000" help:"Jobs a second; several are measured one after another."`
 	Length      time.Duration `default:"10s" help:"Of each stream."`
 	Connections int           `default:"64" help:"Client connections."`
@@ -259,7 +259,7 @@
 	Router      string        `help:"The router's program; without, hollymast beside this one." type:"path"`
 }
 
-func (l load) Run() error {
+func (l loadCmd) Run() error {
 	router, err := routerProgram(l.Router)
 	if err != nil {
 		return err
@@ -271,21 +271,21 @@
 	defer stop()
 	fmt.Printf("%-20s %8s %8s %8s %8s %8s %8s %10s %10s\n", "path", "asked/s", "kept/s", "failed", "p50 us", "p99 us", "p99.9 us", "CPU us/job", "memory KB")
 	for _, rate := range l.Rates {
-		measured, err := chaostest.MeasureLoad(ctx, chaostest.Load{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
-			Functions: l.Functions, Idle: l.Idle, Bytes: l.Bytes, Strangers: l.Strangers, Recording: l.Recording, TLS: l.TLS, Memory: l.Memory}, router)
+		measured, err := chaostest.RunLoadTest(ctx, chaostest.LoadTest{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
+			Functions: l.Functions, IdleConnections: l.Idle, TensorBytes: l.Bytes, UnknownFunctions: l.Strangers, RecordingPairs: l.Recording, TLSTriples: l.TLS, PersistencePairs: l.Memory}, router)
 		if err != nil {
 			return err
 		}
 		for _, m := range measured {
-			fmt.Printf("%-20s %8d %8.0f %8d %8d %8d %8d %10.1f %10d\n", m.Path, rate, m.Achieved, m.Failed, m.P50, m.P99, m.P999, m.CPU, m.Memory)
-			if m.Recorded > 0 {
-				fmt.Printf("  recorded %.1f bytes a job, %d turns lost, replayed alike %.0f times as fast\n", m.Recorded, m.Lost, m.Replayed)
+			fmt.Printf("%-20s %8d %8.0f %8d %8d %8d %8d %10.1f %10d\n", m.Path, rate, m.Throughput, m.Failed, m.P50, m.P99, m.P999, m.CPUPerRequest, m.MemoryKB)
+			if m.RecordedBytes > 0 {
+				fmt.Printf("  recorded %.1f bytes a job, %d turns lost, replayed alike %.0f times as fast\n", m.RecordedBytes, m.LostSteps, m.ReplaySpeed)
 			}
 			if m.Note != "" {
 				fmt.Println("  " + m.Note)
 			}
 			for _, r := range m.Ratios {
-				fmt.Printf("  with over without, %-9s median %.3f, quartiles %.3f to %.3f\n", r.Of, r.Median, r.Lower, r.Upper)
+				fmt.Printf("  with over without, %-9s median %.3f, quartiles %.3f to %.3f\n", r.Quantity, r.Median, r.Lower, r.Upper)
 			}
 		}
 	}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -18,39 +18,39 @@
 
 // The policies.
 const (
-	Random      Policy = iota // any server
-	Least                     // the one with the fewest of ours outstanding
-	PowerOfTwo                // the lesser of two drawn by chance (Mitzenmacher, 2001)
-	BoundedHash               // the function's server by rendezvous hash, the next where that has over 5/4 of the mean (Mirrokni et al., 2018)
-	FirstMiss                 // the least outstanding of those believed to hold the function; a random one where none does
+	Random        Policy = iota // any server
+	LeastRequests               // the one with the fewest of ours outstanding
+	TwoChoices                  // the lesser of two drawn by chance (Mitzenmacher, 2001)
+	BoundedHash                 // the function's server by rendezvous hash, the next where that has over 5/4 of the mean (Mirrokni et al., 2018)
+	LoadedFirst                 // the least outstanding of those believed to hold the function; a random one where none does
 )
 
 // Names are the policies' names, by their numbers.
 var Names = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
 // New gives what makes a router's decisions by a policy.
-func New(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Policy {
+func NewFactory(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Policy {
 	return func(_ control.Micros, seed uint64, d control.Deployment) core.Policy {
-		return &decider{policy: p, told: d, chance: rand.New(rand.NewPCG(seed, uint64(p))), out: map[control.ServerID]int{},
-			holds: map[control.FunctionID]map[control.ServerID]bool{}}
+		return &balancer{policy: p, deployment: d, random: rand.New(rand.NewPCG(seed, uint64(p))), inFlight: map[control.ServerID]int{},
+			loaded: map[control.FunctionID]map[control.ServerID]bool{}}
 	}
 }
 
-type decider struct {
-	policy  Policy
-	told    control.Deployment
-	chance  *rand.Rand
-	servers []control.Endpoint // ready ones, by id
-	out     map[control.ServerID]int
-	all     int // of out
-	holds   map[control.FunctionID]map[control.ServerID]bool
+type balancer struct {
+	policy        Policy
+	deployment    control.Deployment
+	random        *rand.Rand
+	servers       []control.Endpoint // ready ones, by id
+	inFlight      map[control.ServerID]int
+	totalInFlight int // of out
+	loaded        map[control.FunctionID]map[control.ServerID]bool
 }
 
 // checkEvery is when a job that no server could be had for is asked about again.
-const checkEvery = control.Micros(50_000)
+const recheckInterval = control.Micros(50_000)
 
 // UpdateEndpoints takes in the list.
-func (d *decider) UpdateEndpoints(_ control.Micros, kind control.UpdateKind, list []control.Endpoint) {
+func (d *balancer) UpdateEndpoints(_ control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	if kind == control.FailedUpdate {
 		return
 	}
@@ -72,11 +72,13 @@
 }
 
 // Rank is the order of arrival.
-func (d *decider) Rank(_ control.Micros, j *control.Request) control.Micros { return j.ArrivedAt }
+func (d *balancer) Rank(_ control.Micros, j *control.Request) control.Micros { return j.ArrivedAt }
 
 // candidates are the servers that may have a job: warm ones, else cold ones.
-func (d *decider) candidates(now control.Micros) []control.Endpoint {
-	warm := slices.DeleteFunc(slices.Clone(d.servers), func(s control.Endpoint) bool { return s.StartedAt > 0 && now < s.StartedAt+d.told.SlowStartDuration })
+func (d *balancer) candidates(now control.Micros) []control.Endpoint {
+	warm := slices.DeleteFunc(slices.Clone(d.servers), func(s control.Endpoint) bool {
+		return s.StartedAt > 0 && now < s.StartedAt+d.deployment.SlowStartDuration
+	})
 	if len(warm) > 0 {
 		return warm
 	}
@@ -84,43 +86,43 @@
 }
 
 // Route answers where to send a job.
-func (d *decider) Route(now control.Micros, j *control.Request) control.Decision {
-	w := d.told.Classes[j.Class]
+func (d *balancer) Route(now control.Micros, j *control.Request) control.Decision {
+	w := d.deployment.Classes[j.Class]
 	for _, e := range j.Attempts {
 		if !e.Done {
 			return control.Decision{Action: control.NoAction}
 		}
 		if e.MayHaveRun && w.Effect != control.Idempotent {
 			if w.Effect == control.IdempotentByKey && w.Scope == control.WholeFleet {
-				return control.Decision{Action: control.Reject, RetryAfter: d.told.MaxRetryAfter}
+				return control.Decision{Action: control.Reject, RetryAfter: d.deployment.MaxRetryAfter}
 			}
 			return control.Decision{Action: control.Fail}
 		}
 	}
-	last := j.Deadline - 4*d.told.Tick
-	if now >= last || len(j.Attempts) >= d.told.MaxAttempts {
-		return control.Decision{Action: control.Reject, RetryAfter: d.told.MaxRetryAfter}
+	last := j.Deadline - 4*d.deployment.Tick
+	if now >= last || len(j.Attempts) >= d.deployment.MaxAttempts {
+		return control.Decision{Action: control.Reject, RetryAfter: d.deployment.MaxRetryAfter}
 	}
 	cs := d.candidates(now)
 	if len(cs) == 0 {
-		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(last, now+checkEvery)}
+		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(last, now+recheckInterval)}
 	}
 	s := d.pick(cs, j)
 	j.Attempts = append(j.Attempts, control.Attempt{Server: s.Server, Zone: s.Zone, Cell: s.Cell, SentAt: now, MayHaveRun: true})
-	d.out[s.Server]++
-	d.all++
+	d.inFlight[s.Server]++
+	d.totalInFlight++
 	return control.Decision{Action: control.Forward, Server: s.Server, Timeout: j.Deadline - now}
 }
 
-func (d *decider) pick(cs []control.Endpoint, j *control.Request) control.Endpoint {
-	any := func() control.Endpoint { return cs[d.chance.IntN(len(cs))] }
+func (d *balancer) pick(cs []control.Endpoint, j *control.Request) control.Endpoint {
+	any := func() control.Endpoint { return cs[d.random.IntN(len(cs))] }
 	switch d.policy {
-	case Least:
+	case LeastRequests:
 		return d.least(cs)
-	case PowerOfTwo:
+	case TwoChoices:
 		return d.least([]control.Endpoint{any(), any()})
 	case BoundedHash:
-		bound := 1 + 5*(d.all+1)/(4*len(cs))
+		bound := 1 + 5*(d.totalInFlight+1)/(4*len(cs))
 		slices.SortFunc(cs, func(a, b control.Endpoint) int {
 			if weight(j.Function, a.Server) > weight(j.Function, b.Server) {
 				return -1
@@ -128,35 +130,35 @@
 			return 1
 		})
 		for _, s := range cs {
-			if d.out[s.Server] < bound {
+			if d.inFlight[s.Server] < bound {
 				return s
 			}
 		}
 		return cs[0]
-	case FirstMiss:
-		held := slices.DeleteFunc(slices.Clone(cs), func(s control.Endpoint) bool { return !d.holds[j.Function][s.Server] })
+	case LoadedFirst:
+		held := slices.DeleteFunc(slices.Clone(cs), func(s control.Endpoint) bool { return !d.loaded[j.Function][s.Server] })
 		if len(held) > 0 {
 			return d.least(held)
 		}
 		s := any()
-		if d.holds[j.Function] == nil {
-			d.holds[j.Function] = map[control.ServerID]bool{}
+		if d.loaded[j.Function] == nil {
+			d.loaded[j.Function] = map[control.ServerID]bool{}
 		}
-		d.holds[j.Function][s.Server] = true
+		d.loaded[j.Function][s.Server] = true
 		return s
 	}
 	return any()
 }
 
 // least is the one with the fewest of ours outstanding; of several any.
-func (d *decider) least(cs []control.Endpoint) control.Endpoint {
+func (d *balancer) least(cs []control.Endpoint) control.Endpoint {
 	best, ties := cs[0], 0
 	for _, s := range cs {
 		switch {
-		case d.out[s.Server] < d.out[best.Server]:
+		case d.inFlight[s.Server] < d.inFlight[best.Server]:
 			best, ties = s, 1
-		case d.out[s.Server] == d.out[best.Server]:
-			if ties++; d.chance.IntN(ties) == 0 {
+		case d.inFlight[s.Server] == d.inFlight[best.Server]:
+			if ties++; d.random.IntN(ties) == 0 {
 				best = s
 			}
 		}
@@ -173,37 +175,37 @@
 }
 
 // HandleOutcome takes in how an execution ended.
-func (d *decider) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
+func (d *balancer) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
 	e := &j.Attempts[o.Attempt]
 	e.Done, e.MayHaveRun = true, !o.Result.ProvesNotRun()
-	d.out[o.Server]--
-	d.all--
+	d.inFlight[o.Server]--
+	d.totalInFlight--
 	switch o.Result {
 	case control.Succeeded:
 	case control.ConnectionReset, control.ConnectFailed:
-		for _, held := range d.holds {
+		for _, held := range d.loaded {
 			delete(held, o.Server)
 		}
 	default:
-		delete(d.holds[j.Function], o.Server)
+		delete(d.loaded[j.Function], o.Server)
 	}
 	if o.RequestDone {
 		return control.Decision{Action: control.NoAction}
 	}
 	if o.Result == control.Overloaded { // at once again would only ask all of them in turn
-		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(j.Deadline-4*d.told.Tick, now+checkEvery)}
+		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(j.Deadline-4*d.deployment.Tick, now+recheckInterval)}
 	}
 	return d.Route(now, j)
 }
 
 // Cancel does nothing.
-func (d *decider) Cancel(control.Micros, *control.Request) {}
+func (d *balancer) Cancel(control.Micros, *control.Request) {}
 
 // HandleLoadResult does nothing: these policies give no orders.
-func (d *decider) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
+func (d *balancer) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
 }
 
 // Maintain asks for nothing.
-func (d *decider) Maintain(now control.Micros) control.Maintenance {
+func (d *balancer) Maintain(now control.Micros) control.Maintenance {
 	return control.Maintenance{Next: now + 1_000_000}
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -10,7 +10,7 @@
 const second = control.Micros(1_000_000)
 
 func decide(p Policy, effect control.Effect) core.Policy {
-	d := New(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
+	d := NewFactory(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
 		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Effect: effect}}})
 	d.UpdateEndpoints(second, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
 		{Server: 4, State: control.Ready, StartedAt: second}})
@@ -39,7 +39,7 @@
 // What may have run is sent again only if it is restartable.
 func TestNothingRunsTwice(t *testing.T) {
 	for effect, want := range map[control.Effect]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
-		d, j := decide(Least, effect), job(1)
+		d, j := decide(LeastRequests, effect), job(1)
 		p := d.Route(2*second, j)
 		if got := d.HandleOutcome(2*second, j, control.Outcome{Server: p.Server, Result: control.ConnectionReset}); got.Action != want {
 			t.Errorf("%d: %+v", effect, got)
@@ -56,16 +56,16 @@
 		}
 		return of
 	}
-	if of := count(Least); of[1] != 50 {
+	if of := count(LeastRequests); of[1] != 50 {
 		t.Errorf("least: %v", of)
 	}
-	if of := count(FirstMiss); of[1] != 100 && of[2] != 100 {
+	if of := count(LoadedFirst); of[1] != 100 && of[2] != 100 {
 		t.Errorf("first-miss: %v", of)
 	}
 	if of := count(BoundedHash); max(of[1], of[2]) > 64 || max(of[1], of[2]) < 51 {
 		t.Errorf("bounded-hash: %v", of)
 	}
-	if of := count(PowerOfTwo); max(of[1], of[2]) > 60 {
+	if of := count(TwoChoices); max(of[1], of[2]) > 60 {
 		t.Errorf("two-choices: %v", of)
 	}
 }
--- a/internal/chaostest/changes.go
+++ b/internal/chaostest/changes.go
@@ -19,33 +19,33 @@
 )
 
 // Changes is a stream of changes of the list, told by a pretend control plane to one router under load.
-type Changes struct {
-	Seed    uint64
-	Number  int
-	Every   time.Duration // on average, between two changes
-	Rate    int           // jobs a second
-	Workers int
-	Delta   bool
-	Cuts    bool          // streams are cut now and again
-	Loses   bool          // a third and two thirds on, all of the list and half of it are lost for three seconds, by a fault
-	Keys    bool          // all connections are secret, and keys change meanwhile
-	Delay   time.Duration // planted: the control plane says everything later
+type Churn struct {
+	Seed          uint64
+	Changes       int
+	Interval      time.Duration // on average, between two changes
+	Rate          int           // jobs a second
+	Workers       int
+	Delta         bool
+	CutStreams    bool          // streams are cut now and again
+	LoseEndpoints bool          // a third and two thirds on, all of the list and half of it are lost for three seconds, by a fault
+	TLS           bool          // all connections are secret, and keys change meanwhile
+	PublishDelay  time.Duration // planted: the control plane says everything later
 }
 
 // Followed is how quickly a router followed changes that took servers away.
-type Followed struct {
+type ChurnResult struct {
 	*invariant.Report
-	Taken         int           // changes that took a server away
-	Late          int           // after which something new still came to it
-	Median, Worst time.Duration // of those: the last that came, after the change was sent; 0 of none
-	Finished      float64       // share of jobs
-	Streams       int
-	Keys          int // changes of keys
-	Broken        int // client connections that ended without an answer
+	RemovedServers     int           // changes that took a server away
+	LateServers        int           // after which something new still came to it
+	Median, Max        time.Duration // of those: the last that came, after the change was sent; 0 of none
+	SuccessRate        float64       // share of jobs
+	Streams            int
+	CertificateChanges int // changes of keys
+	BrokenConnections  int // client connections that ended without an answer
 }
 
 // members gives the control plane's view: two clusters that share the servers between them.
-func (p *play) members(states []string) func(map[string][]fakeserver.Endpoint) {
+func (p *harness) clusterMembers(states []string) func(map[string][]fakeserver.Endpoint) {
 	return func(clusters map[string][]fakeserver.Endpoint) {
 		clusters["even"], clusters["odd"] = nil, nil
 		for i, s := range p.servers {
@@ -66,24 +66,24 @@
 }
 
 // PlayChanges plays them with a router of the named program.
-func PlayChanges(ctx context.Context, c Changes, program string) (f *Followed, err error) {
+func RunChurn(ctx context.Context, c Churn, program string) (f *ChurnResult, err error) {
 	dir, err := os.MkdirTemp("", "hmchaos-changes-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	length := time.Duration(c.Number) * c.Every
-	d := &Day{Seed: c.Seed, Jobs: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: 12}
-	p := &play{day: d, dir: dir, bin: program, log: invariant.NewLog(), store: fakeserver.NewStore(5*time.Millisecond, 8)}
+	length := time.Duration(c.Changes) * c.Interval
+	d := &Scenario{Seed: c.Seed, Requests: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: 12}
+	p := &harness{scenario: d, dir: dir, program: program, log: invariant.NewLog(), store: fakeserver.NewStore(5*time.Millisecond, 8)}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var k *keys
-	if c.Keys {
-		if k, err = openKeys(ctx, filepath.Join(dir, "keys"), c.Workers); err != nil {
+	var k *certificates
+	if c.TLS {
+		if k, err = issueCertificates(ctx, filepath.Join(dir, "keys"), c.Workers); err != nil {
 			return nil, err
 		}
 	}
-	plane, err := fakeserver.NewControlPlane(k.planeOptions()...)
+	plane, err := fakeserver.NewControlPlane(k.controlPlaneOptions()...)
 	if err != nil {
 		return nil, err
 	}
@@ -95,97 +95,97 @@
 	}()
 	states := make([]string, c.Workers)
 	for i := range c.Workers {
-		s := fakeserver.New(fakeserver.Config{Number: i, MaxReplicas: 60, Lanes: lanes, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 100, LoadTime: 10 * time.Millisecond, MaxLoads: 8,
-			DedupWindow: 5 * time.Second, KeepAlive: keepAlive, Seed: c.Seed, Handshake: k.accept(worker(i))}, p.store, p.log)
+		s := fakeserver.New(fakeserver.Config{Number: i, MaxReplicas: 60, Lanes: serverLanes, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 100, LoadTime: 10 * time.Millisecond, MaxLoads: 8,
+			DedupWindow: 5 * time.Second, KeepAlive: keepAlive, Seed: c.Seed, Handshake: k.serverSecurity(workerName(i))}, p.store, p.log)
 		if err := s.Start(false); err != nil {
 			return nil, err
 		}
 		p.servers, states[i] = append(p.servers, s), "ready"
 	}
-	plane.Update(p.members(states))
-	plane.SetDelay(c.Delay)
+	plane.Update(p.clusterMembers(states))
+	plane.SetDelay(c.PublishDelay)
 	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	p.addrs, p.client = []string{address}, []*clientPool{{address: address, secure: k.dial("client")}}
-	p.plane, p.keys, d.Source = plane, k, "xds"
+	p.addresses, p.pools = []string{address}, []*clientPool{{address: address, secure: k.clientSecurity("client")}}
+	p.controlPlane, p.certificates, d.EndpointSource = plane, k, "xds"
 	if c.Delta {
-		d.Source = "delta"
+		d.EndpointSource = "delta"
 	}
-	r := &process{file: filepath.Join(dir, "router-0.ini")}
-	if err := os.WriteFile(r.file, p.settings(0), 0o600); err != nil {
+	r := &routerProcess{configFile: filepath.Join(dir, "router-0.ini")}
+	if err := os.WriteFile(r.configFile, p.routerConfig(0), 0o600); err != nil {
 		return nil, err
 	}
 	if err := r.start(program, dir); err != nil {
 		return nil, err
 	}
-	defer r.end(syscall.SIGKILL)
-	p.routers = []*process{r}
+	defer r.stop(syscall.SIGKILL)
+	p.routers = []*routerProcess{r}
 	if err := p.awaitReady(ctx, 0); err != nil {
 		return nil, err
 	}
-	p.begun = time.Now()
+	p.startedAt = time.Now()
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		p.change1000(ctx, c, plane, states)
+		p.applyChanges(ctx, c, plane, states)
 	}()
 	changing := sync.WaitGroup{}
 	keysCtx, keysStop := context.WithCancel(ctx)
 	defer keysStop()
-	if c.Keys {
+	if c.TLS {
 		changing.Go(func() {
-			if err := p.changeKeys(keysCtx, k, c.Seed, true); err != nil && ctx.Err() == nil {
-				p.fail(err)
+			if err := p.rotateCertificates(keysCtx, k, c.Seed, true); err != nil && ctx.Err() == nil {
+				p.recordError(err)
 			}
 		})
 	}
 	for _, call := range d.schedule() {
-		if p.until(ctx, call.at) != nil {
+		if p.waitUntil(ctx, call.at) != nil {
 			break
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p.effect(ctx, call)
+			p.perform(ctx, call)
 		}()
 	}
 	wg.Wait()
 	keysStop()
 	changing.Wait()
-	p.client[0].close()
-	if err := r.end(syscall.SIGTERM); err != nil {
+	p.pools[0].close()
+	if err := r.stop(syscall.SIGTERM); err != nil {
 		return nil, err
 	}
-	if p.faults != nil || ctx.Err() != nil {
-		return nil, fmt.Errorf("%w %w", p.faults, ctx.Err())
+	if p.err != nil || ctx.Err() != nil {
+		return nil, fmt.Errorf("%w %w", p.err, ctx.Err())
 	}
 	recs := p.log.Records()
-	f = &Followed{Report: invariant.Check(p.law(), recs)}
-	if _, f.Streams, _ = plane.Counts(); c.Keys {
-		f.Keys = k.Number
+	f = &ChurnResult{Report: invariant.Check(p.invariantConfig(), recs)}
+	if _, f.Streams, _ = plane.Counts(); c.TLS {
+		f.CertificateChanges = k.changes
 	}
-	f.Broken = p.broken
-	f.Finished = float64(f.Report.Succeeded) / float64(max(1, f.Requests))
-	f.follow(recs)
+	f.BrokenConnections = p.brokenConnections
+	f.SuccessRate = float64(f.Report.Succeeded) / float64(max(1, f.Requests))
+	f.measureDelays(recs)
 	return f, nil
 }
 
 // change1000 makes the changes: a server drains, is withdrawn or comes back. Two thirds of the servers stay ready.
-func (p *play) change1000(ctx context.Context, c Changes, plane *fakeserver.ControlPlane, states []string) {
+func (p *harness) applyChanges(ctx context.Context, c Churn, plane *fakeserver.ControlPlane, states []string) {
 	chance := rand.New(rand.NewPCG(c.Seed, 2))
 	away := map[int]time.Duration{} // since when
-	for n := range c.Number {
-		if p.until(ctx, time.Duration(n)*c.Every+time.Duration(chance.Int64N(int64(c.Every)))) != nil {
+	for n := range c.Changes {
+		if p.waitUntil(ctx, time.Duration(n)*c.Interval+time.Duration(chance.Int64N(int64(c.Interval)))) != nil {
 			return
 		}
 		const least = 700 * time.Millisecond // long enough that what comes after the grace is seen
-		at := time.Since(p.begun)
-		if c.Loses && (n == c.Number/3 || n == 2*c.Number/3) {
+		at := time.Since(p.startedAt)
+		if c.LoseEndpoints && (n == c.Changes/3 || n == 2*c.Changes/3) {
 			plane.Update(func(clusters map[string][]fakeserver.Endpoint) {
-				if n == c.Number/3 {
+				if n == c.Changes/3 {
 					clear(clusters)
 				} else {
 					delete(clusters, "odd")
@@ -194,10 +194,10 @@
 			if sleep(ctx, 3*time.Second) != nil {
 				return
 			}
-			plane.Update(p.members(states))
+			plane.Update(p.clusterMembers(states))
 		}
 		i := chance.IntN(len(states))
-		if c.Keys && i == 0 { // its keys take it away
+		if c.TLS && i == 0 { // its keys take it away
 			continue
 		}
 		for k := range states { // one that was away for long comes first
@@ -218,15 +218,15 @@
 			continue
 		}
 		p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: states[i]})
-		plane.Update(p.members(states))
-		if c.Cuts && chance.IntN(50) == 0 {
+		plane.Update(p.clusterMembers(states))
+		if c.CutStreams && chance.IntN(50) == 0 {
 			plane.DropStreams(chance.IntN(2) == 0)
 		}
 	}
 }
 
 // follow works out how late the last new thing came to each server that was taken away.
-func (f *Followed) follow(recs []invariant.Record) {
+func (f *ChurnResult) measureDelays(recs []invariant.Record) {
 	since, last := map[int]int64{}, map[int]int64{}
 	var lates []int64
 	end := func(server int) {
@@ -245,7 +245,7 @@
 				end(r.Server)
 			} else if _, away := since[r.Server]; !away {
 				since[r.Server] = r.At
-				f.Taken++
+				f.RemovedServers++
 			}
 		case invariant.AttemptReceived, invariant.LoadCommandReceived:
 			if _, away := since[r.Server]; away {
@@ -259,13 +259,13 @@
 		}
 	}
 	slices.Sort(lates)
-	if f.Late = len(lates); f.Late > 0 {
-		f.Median, f.Worst = time.Duration(lates[f.Late/2])*time.Microsecond, time.Duration(lates[f.Late-1])*time.Microsecond
+	if f.LateServers = len(lates); f.LateServers > 0 {
+		f.Median, f.Max = time.Duration(lates[f.LateServers/2])*time.Microsecond, time.Duration(lates[f.LateServers-1])*time.Microsecond
 	}
 }
 
 // String tells the result in a line.
-func (f *Followed) String() string {
+func (f *ChurnResult) String() string {
 	var broken []string
 	for _, r := range f.Rules {
 		if r.ViolationCount > 0 {
@@ -276,9 +276,9 @@
 	if len(broken) > 0 {
 		word = strings.Join(broken, "; ")
 	}
-	if f.Keys > 0 {
-		word = fmt.Sprintf("%d changes of keys; %s", f.Keys, word)
+	if f.CertificateChanges > 0 {
+		word = fmt.Sprintf("%d changes of keys; %s", f.CertificateChanges, word)
 	}
 	return fmt.Sprintf("%d servers taken away, %d got something new after it: median %s, worst %s; %d jobs, %.3f finished, %d unanswered, %d client connections broken, %d streams; %s",
-		f.Taken, f.Late, f.Median, f.Worst, f.Requests, f.Finished, f.Unanswered, f.Broken, f.Streams, word)
+		f.RemovedServers, f.LateServers, f.Median, f.Max, f.Requests, f.SuccessRate, f.Unanswered, f.BrokenConnections, f.Streams, word)
 }
--- a/internal/chaostest/emulated.go
+++ b/internal/chaostest/emulated.go
@@ -19,26 +19,26 @@
 )
 
 // Emulated is a day played in simulated time.
-type Emulated struct {
+type SimulationResult struct {
 	*invariant.Report
-	InTime  float64 `json:"InTime"`
-	Worth   float64 `json:"Worth"`
-	Loads   int     `json:"Loads"`
-	Orders  int     `json:"Orders"`
-	ColdUse float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
-	WarmUse float64 `json:"WarmUse"` // the same of all servers while they were warm
-	Hash    uint64  `json:"Hash"`
-	Events  int     `json:"Events"`
-	Turns   int     `json:"Turns"`
+	InTime               float64 `json:"InTime"`
+	WeightedInTime       float64 `json:"Worth"`
+	Loads                int     `json:"Loads"`
+	LoadCommands         int     `json:"Orders"`
+	SlowStartUtilization float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
+	Utilization          float64 `json:"WarmUse"` // the same of all servers while they were warm
+	Hash                 uint64  `json:"Hash"`
+	Events               int     `json:"Events"`
+	Steps                int     `json:"Turns"`
 }
 
 // Plan gives a day as the emulator plays it: the same calls, servers and settings as on sockets. An error names what is only there.
-func (d *Day) Plan() (*simulation.Plan, error) {
-	p := &play{day: d}
+func (d *Scenario) SimulationPlan() (*simulation.Plan, error) {
+	p := &harness{scenario: d}
 	for range d.Routers {
-		p.addrs = append(p.addrs, "127.0.0.1:1")
+		p.addresses = append(p.addresses, "127.0.0.1:1")
 	}
-	in, err := inifile.Parse("emulated", p.settings(0))
+	in, err := inifile.Parse("emulated", p.routerConfig(0))
 	if err != nil {
 		return nil, err
 	}
@@ -46,11 +46,11 @@
 	if err != nil {
 		return nil, err
 	}
-	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, LanesPerRequest: lanes, FetchTime: control.Micros(storeFetch.Microseconds()),
-		ConcurrentFetches: storeAtOnce, Clients: d.Clients, Duration: control.Micros(d.Length.Microseconds()), AnswerMargin: control.Micros(told.AnswerMargin.Microseconds()),
-		OverloadProtection: d.Damped, EndpointPollInterval: control.Micros(told.EndpointFileInterval.Microseconds())}
+	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
+		ConcurrentFetches: storeConcurrency, Clients: d.LibraryClients, Duration: control.Micros(d.Length.Microseconds()), AnswerMargin: control.Micros(told.AnswerMargin.Microseconds()),
+		OverloadProtection: d.DampOverload, EndpointPollInterval: control.Micros(told.EndpointFileInterval.Microseconds())}
 	for i := range d.Workers {
-		plan.Servers = append(plan.Servers, p.make(i).ModelConfig())
+		plan.Servers = append(plan.Servers, p.serverOptions(i).ModelConfig())
 		plan.ServerZones = append(plan.ServerZones, control.ZoneID(i%3))
 	}
 	for i := range d.Routers {
@@ -60,12 +60,12 @@
 		plan.Classes = append(plan.Classes, simulation.Class{Name: told.ClassNames[i], Spec: w, Importance: told.Priorities[i]})
 	}
 	for _, c := range d.schedule() {
-		rude := d.Manners == "bad" || d.Manners == "mixed" && c.number%2 == 1 || c.loud
+		rude := d.ClientBehavior == "bad" || d.ClientBehavior == "mixed" && c.number%2 == 1 || c.noisyTenant
 		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Class: slices.Index(told.ClassNames, c.workload.name),
-			Function: c.function, Timeout: control.Micros(c.patience.Microseconds()), RetriesBlindly: rude, FirstRouter: c.router})
+			Function: c.function, Timeout: control.Micros(c.timeout.Microseconds()), RetriesBlindly: rude, FirstRouter: c.router})
 	}
-	for _, t := range d.Troubles {
-		x, err := d.emulated(t)
+	for _, t := range d.Faults {
+		x, err := d.simulatedFaults(t)
 		if err != nil {
 			return nil, err
 		}
@@ -75,13 +75,13 @@
 }
 
 // emulated gives a trouble as the emulator has it; none where the calls have it already.
-func (d *Day) emulated(t Trouble) ([]simulation.Incident, error) {
-	x := simulation.Incident{At: control.Micros(t.At.Microseconds()), Duration: control.Micros(t.Lasts.Microseconds()), Targets: []int{t.Number}}
+func (d *Scenario) simulatedFaults(t Fault) ([]simulation.Incident, error) {
+	x := simulation.Incident{At: control.Micros(t.At.Microseconds()), Duration: control.Micros(t.Duration.Microseconds()), Targets: []int{t.Target}}
 	of := d.Workers
 	if strings.HasPrefix(t.Kind, "balancer") {
 		of = d.Routers
 	}
-	if t.Number < 0 {
+	if t.Target < 0 {
 		x.Targets = nil
 		for i := range of {
 			x.Targets = append(x.Targets, i)
@@ -114,7 +114,7 @@
 		var xs []simulation.Incident
 		x.Kind, x.Duration = simulation.ServerFault, x.Duration/steps
 		for i := range steps {
-			x.Faults = modelserver.Faults{Slowdown: 1 + (t.Times-1)*float64(i+1)/steps}
+			x.Faults = modelserver.Faults{Slowdown: 1 + (t.Factor-1)*float64(i+1)/steps}
 			xs = append(xs, x)
 			x.At += x.Duration
 		}
@@ -124,7 +124,7 @@
 	case "deploy":
 		return one(simulation.ServerDeploy)
 	case "origin_slow":
-		x.StoreSlowdown = t.Times
+		x.StoreSlowdown = t.Factor
 		return one(simulation.StoreDegraded)
 	case "origin_stopped":
 		x.StoreClosed = true
@@ -140,19 +140,19 @@
 }
 
 // Emulate plays a day in simulated time, with the module's decisions or a baseline's.
-func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*Emulated, error) {
-	plan, err := d.Plan()
+func Simulate(d *Scenario, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*SimulationResult, error) {
+	plan, err := d.SimulationPlan()
 	if err != nil {
 		return nil, err
 	}
-	if decide != nil && d.Orders {
+	if decide != nil && d.LoadCommandsOnly {
 		return nil, errors.New("only orders load on this day, and textbook policies give none")
 	}
 	plan.NewPolicy = decide
 	res := simulation.Run(plan, threads)
-	p := &play{day: d, servers: make([]*fakeserver.Server, d.Workers)}
-	e := &Emulated{Report: invariant.Check(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Steps}
-	e.ColdUse, e.WarmUse = p.use(res.Records)
+	p := &harness{scenario: d, servers: make([]*fakeserver.Server, d.Workers)}
+	e := &SimulationResult{Report: invariant.Check(p.invariantConfig(), res.Records), Hash: res.Hash, Events: res.Events, Steps: res.Steps}
+	e.SlowStartUtilization, e.Utilization = p.utilization(res.Records)
 	in, worth, all := 0, 0.0, 0.0
 	for i, x := range res.Outcomes {
 		importance := plan.Classes[plan.Calls[i].Class].Importance
@@ -161,37 +161,37 @@
 			worth += importance
 		}
 	}
-	e.InTime, e.Worth = float64(in)/float64(max(1, len(res.Outcomes))), worth/max(1, all)
+	e.InTime, e.WeightedInTime = float64(in)/float64(max(1, len(res.Outcomes))), worth/max(1, all)
 	for _, r := range res.Records {
 		switch r.Kind {
 		case invariant.LoadStarted:
 			e.Loads++
 		case invariant.LoadCommandReceived:
-			e.Orders++
+			e.LoadCommands++
 		}
 	}
 	return e, nil
 }
 
 // use gives which part of what they could run cold and warm servers ran.
-func (p *play) use(recs []invariant.Record) (ofCold, ofWarm float64) {
-	end := p.day.Length.Microseconds()
+func (p *harness) utilization(recs []invariant.Record) (ofCold, ofWarm float64) {
+	end := p.scenario.Length.Microseconds()
 	var first int64
 	if len(recs) > 0 {
 		first = recs[0].At
 	}
 	born := map[int]int64{}
-	ran, could := [2]float64{}, [2]float64{0, rate * float64(end) / 1e6 * float64(len(p.servers))}
+	ran, could := [2]float64{}, [2]float64{0, serverRate * float64(end) / 1e6 * float64(len(p.servers))}
 	for _, r := range recs {
 		at := r.At - first
 		switch r.Kind {
 		case invariant.ServerStarted:
 			born[r.Server] = at
-			aged := float64(min(end-at, cold.Microseconds())) / 1e6
-			could[0] += rate * aged * (coldFrom + (1-coldFrom)*aged/cold.Seconds()/2)
-			could[1] -= rate * aged
+			aged := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6
+			could[0] += serverRate * aged * (slowStartInitial + (1-slowStartInitial)*aged/slowStartDuration.Seconds()/2)
+			could[1] -= serverRate * aged
 		case invariant.AttemptStarted:
-			if b, started := born[r.Server]; started && at < b+cold.Microseconds() {
+			if b, started := born[r.Server]; started && at < b+slowStartDuration.Microseconds() {
 				ran[0]++
 			} else {
 				ran[1]++
@@ -202,4 +202,4 @@
 }
 
 // DayKey tells scripts of days apart.
-func DayKey(text []byte) uint64 { return xxhash.Sum64(text) }
+func ScenarioHash(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/chaostest/keys.go
+++ b/internal/chaostest/keys.go
@@ -22,12 +22,12 @@
 )
 
 // keys are the certificates of a play whose connections are all secret, each owner's in a folder of its own.
-type keys struct {
-	dir    string
-	ours   *authority.Authority
-	shown  map[string]authority.Certificate
-	rings  map[string]*certstore.Store // of the laboratory's own processes
-	Number int                         // of changes
+type certificates struct {
+	dir       string
+	authority *authority.Authority
+	issued    map[string]authority.Certificate
+	stores    map[string]*certstore.Store // of the laboratory's own processes
+	changes   int                         // of changes
 }
 
 // The owners whose keys the router reads; the laboratory's own are "client", "plane" and "worker N".
@@ -38,11 +38,11 @@
 )
 
 // openKeys issues a certificate to each owner and opens the laboratory's own rings, which follow their files until the context ends.
-func openKeys(ctx context.Context, dir string, workers int) (*keys, error) {
-	k := &keys{dir: dir, ours: authority.New("laboratory"), shown: map[string]authority.Certificate{}, rings: map[string]*certstore.Store{}}
+func issueCertificates(ctx context.Context, dir string, workers int) (*certificates, error) {
+	k := &certificates{dir: dir, authority: authority.New("laboratory"), issued: map[string]authority.Certificate{}, stores: map[string]*certstore.Store{}}
 	owners := []string{routerToWorkers, routerToClients, routerToPlane, "client", "plane"}
 	for i := range workers {
-		owners = append(owners, worker(i))
+		owners = append(owners, workerName(i))
 	}
 	for _, o := range owners {
 		if err := os.MkdirAll(filepath.Join(dir, o), 0o700); err != nil {
@@ -51,38 +51,38 @@
 		if err := k.renew(o, 0); err != nil {
 			return nil, err
 		}
-		if err := k.trust(o, k.ours.CertificatePEM()); err != nil {
+		if err := k.writeAuthorities(o, k.authority.CertificatePEM()); err != nil {
 			return nil, err
 		}
 		if strings.HasPrefix(o, "router-") {
 			continue
 		}
-		r, err := certstore.Open(k.told(o), func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, func(string) {})
+		r, err := certstore.Open(k.storeConfig(o), func() control.Micros { return control.Micros(time.Now().UnixMicro()) }, func(string) {})
 		if err != nil {
 			return nil, err
 		}
-		k.rings[o] = r
+		k.stores[o] = r
 		go r.Run(ctx)
 	}
 	return k, nil
 }
 
-func worker(i int) string { return fmt.Sprintf("worker-%d", i) }
+func workerName(i int) string { return fmt.Sprintf("worker-%d", i) }
 
-func (k *keys) file(owner, name string) string { return filepath.Join(k.dir, owner, name) }
+func (k *certificates) file(owner, name string) string { return filepath.Join(k.dir, owner, name) }
 
-func (k *keys) told(owner string) *certstore.Config {
+func (k *certificates) storeConfig(owner string) *certstore.Config {
 	return &certstore.Config{Certificate: k.file(owner, "cert"), Key: k.file(owner, "key"), Authorities: k.file(owner, "authorities"), RevocationLists: k.file(owner, "revoked")}
 }
 
 // settings is the router's part; of no keys there is none.
-func (k *keys) settings(plane bool) string {
+func (k *certificates) routerConfig(plane bool) string {
 	if k == nil {
 		return ""
 	}
 	var b bytes.Buffer
 	for _, x := range [][2]string{{"workers", routerToWorkers}, {"clients", routerToClients}, {"xds", routerToPlane}} {
-		kind, t := x[0], k.told(x[1])
+		kind, t := x[0], k.storeConfig(x[1])
 		if kind == "xds" && !plane {
 			continue
 		}
@@ -92,38 +92,38 @@
 }
 
 // planeOptions are those of the pretend control plane.
-func (k *keys) planeOptions() []grpc.ServerOption {
+func (k *certificates) controlPlaneOptions() []grpc.ServerOption {
 	if k == nil {
 		return nil
 	}
-	return []grpc.ServerOption{grpc.Creds(k.rings["plane"].Credentials())}
+	return []grpc.ServerOption{grpc.Creds(k.stores["plane"].Credentials())}
 }
 
 // dial makes connections secret that an owner dials; nil: they are in plain text.
-func (k *keys) dial(owner string) rest.Handshake {
+func (k *certificates) clientSecurity(owner string) rest.Handshake {
 	if k == nil {
 		return nil
 	}
-	return k.rings[owner].ClientHandshake
+	return k.stores[owner].ClientHandshake
 }
 
 // accept makes connections secret that an owner accepts; nil: they are in plain text.
-func (k *keys) accept(owner string) func(nc net.Conn) (net.Conn, error) {
+func (k *certificates) serverSecurity(owner string) func(nc net.Conn) (net.Conn, error) {
 	if k == nil {
 		return nil
 	}
 	return func(nc net.Conn) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), rest.DefaultLimits.HeaderTimeout)
 		defer cancel()
-		return k.rings[owner].ServerHandshake(ctx, nc)
+		return k.stores[owner].ServerHandshake(ctx, nc)
 	}
 }
 
 // renew writes a new certificate and its key as careless operators do: one file after the other, in place.
-func (k *keys) renew(owner string, between time.Duration) error {
-	x := k.ours.Issue(authority.Request{Names: []string{"127.0.0.1", owner + ".laboratory.example"}})
-	k.shown[owner] = x
-	k.Number++
+func (k *certificates) renew(owner string, between time.Duration) error {
+	x := k.authority.Issue(authority.Request{Names: []string{"127.0.0.1", owner + ".laboratory.example"}})
+	k.issued[owner] = x
+	k.changes++
 	if err := os.WriteFile(k.file(owner, "cert"), x.Chain, 0o600); err != nil {
 		return err
 	}
@@ -132,23 +132,23 @@
 }
 
 // trust writes whom an owner believes.
-func (k *keys) trust(owner string, authorities []byte) error {
-	k.Number++
+func (k *certificates) writeAuthorities(owner string, authorities []byte) error {
+	k.changes++
 	if err := os.WriteFile(k.file(owner, "authorities"), authorities, 0o600); err != nil {
 		return err
 	}
-	return os.WriteFile(k.file(owner, "revoked"), k.ours.RevocationList(time.Now().Add(time.Hour)), 0o600)
+	return os.WriteFile(k.file(owner, "revoked"), k.authority.RevocationList(time.Now().Add(time.Hour)), 0o600)
 }
 
 // settle is longer than whoever follows files takes to see them.
-const settle = 700 * time.Millisecond
+const reloadTime = 700 * time.Millisecond
 
 // changeKeys changes keys until the context ends: renewals, halves that stay for a while, a worker that is revoked and comes
 // back, and now and again another authority for all. Worker 0 is the one that is revoked, if any is to be.
-func (p *play) changeKeys(ctx context.Context, k *keys, seed uint64, revokes bool) error {
+func (p *harness) rotateCertificates(ctx context.Context, k *certificates, seed uint64, revokes bool) error {
 	chance := rand.New(rand.NewPCG(seed, 3))
 	var owners []string
-	for o := range k.shown {
+	for o := range k.issued {
 		owners = append(owners, o)
 	}
 	slices.Sort(owners)
@@ -158,7 +158,7 @@
 				return err
 			}
 		}
-		return sleep(ctx, settle)
+		return sleep(ctx, reloadTime)
 	}
 	for n := 1; ctx.Err() == nil; n++ {
 		if sleep(ctx, time.Duration(100+chance.IntN(200))*time.Millisecond) != nil {
@@ -167,25 +167,25 @@
 		var err error
 		switch {
 		case revokes && n%12 == 6: // a worker is revoked, and gets another certificate later
-			k.ours.Revoke(k.shown[worker(0)].Serial)
-			k.Number++
+			k.authority.Revoke(k.issued[workerName(0)].Serial)
+			k.changes++
 			p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: 0, Detail: "gone"})
-			if err = os.WriteFile(k.file(routerToWorkers, "revoked"), k.ours.RevocationList(time.Now().Add(time.Hour)), 0o600); err != nil {
+			if err = os.WriteFile(k.file(routerToWorkers, "revoked"), k.authority.RevocationList(time.Now().Add(time.Hour)), 0o600); err != nil {
 				return err
 			}
-			if sleep(ctx, 2*settle) != nil {
+			if sleep(ctx, 2*reloadTime) != nil {
 				return nil
 			}
 			p.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: 0, Detail: "ready"})
-			err = k.renew(worker(0), 0)
+			err = k.renew(workerName(0), 0)
 		case n%12 == 9: // half a change stays for a while
 			o := owners[chance.IntN(len(owners))]
-			err = k.renew(o, settle)
+			err = k.renew(o, reloadTime)
 		case n%24 == 0: // another authority, by way of both
-			old, fresh := k.ours, authority.New("laboratory, later")
+			old, fresh := k.authority, authority.New("laboratory, later")
 			both := append(old.CertificatePEM(), fresh.CertificatePEM()...)
 			lists := append(old.RevocationList(time.Now().Add(time.Hour)), fresh.RevocationList(time.Now().Add(time.Hour))...)
-			k.ours = fresh
+			k.authority = fresh
 			for _, step := range []func(o string) error{
 				func(o string) error {
 					if err := os.WriteFile(k.file(o, "authorities"), both, 0o600); err != nil {
@@ -194,7 +194,7 @@
 					return os.WriteFile(k.file(o, "revoked"), lists, 0o600)
 				},
 				func(o string) error { return k.renew(o, 0) },
-				func(o string) error { return k.trust(o, fresh.CertificatePEM()) },
+				func(o string) error { return k.writeAuthorities(o, fresh.CertificatePEM()) },
 			} {
 				if err = each(step); err != nil {
 					break
--- a/internal/chaostest/lab_test.go
+++ b/internal/chaostest/lab_test.go
@@ -33,14 +33,14 @@
 // Routers that are told wrong things break rules on the wire, and the judge must find each. Rule 1 can't be broken by
 // settings; its planted breaches are the auditor's own tests.
 func TestMistoldRoutersAreFound(t *testing.T) {
-	d := &Day{Seed: 1, Jobs: 2400, Length: 6 * time.Second, Routers: 2, Workers: 4, Functions: 5, Ration: true, Orders: true,
-		mistold: []string{"effect = run-once", "effect = restartable", "cold = 4s", "cold = 1ms", "start_target = 400ms", "start_target = 3s", "start_target = 300ms", "start_target = 3s",
+	d := &Scenario{Seed: 1, Requests: 2400, Length: 6 * time.Second, Routers: 2, Workers: 4, Functions: 5, LimitLoadRate: true, LoadCommandsOnly: true,
+		configOverrides: []string{"effect = run-once", "effect = restartable", "cold = 4s", "cold = 1ms", "start_target = 400ms", "start_target = 3s", "start_target = 300ms", "start_target = 3s",
 			"load_free = 6", "load_free = 600", "grace = 500ms", "grace = 10s",
 			"[workload forecast]", "[bounds]\nlist_every = 2s\n[workload forecast]"},
-		Troubles: []Trouble{{Kind: "reset_after", At: time.Second, Lasts: time.Second, Number: 0, Share: 0.5},
-			{Kind: "deploy", At: 500 * time.Millisecond, Lasts: 1500 * time.Millisecond, Number: 1},
-			{Kind: "crash", At: 2500 * time.Millisecond, Lasts: 300 * time.Millisecond, Number: -1},
-			{Kind: "crash", At: 4200 * time.Millisecond, Lasts: 300 * time.Millisecond, Number: -1}}}
+		Faults: []Fault{{Kind: "reset_after", At: time.Second, Duration: time.Second, Target: 0, Share: 0.5},
+			{Kind: "deploy", At: 500 * time.Millisecond, Duration: 1500 * time.Millisecond, Target: 1},
+			{Kind: "crash", At: 2500 * time.Millisecond, Duration: 300 * time.Millisecond, Target: -1},
+			{Kind: "crash", At: 4200 * time.Millisecond, Duration: 300 * time.Millisecond, Target: -1}}}
 	res, err := Run(context.Background(), d, router(t))
 	if res == nil {
 		t.Fatal(err)
@@ -65,10 +65,10 @@
 	const days = 8 // one in five or so of the days without memory has no job run twice on a full machine
 	program := router(t)
 	play := func(seed uint64, told ...string) (twice, asked int) {
-		d := &Day{Seed: seed, Jobs: 900, Length: 5 * time.Second, Routers: 2, Workers: 6, Functions: 4, Memory: "kept", mistold: told,
-			Troubles: []Trouble{{Kind: "ageing", At: 500 * time.Millisecond, Lasts: 3 * time.Second, Number: -1, Times: 6},
-				{Kind: "balancer_kill", At: 2 * time.Second, Lasts: 100 * time.Millisecond, Number: 0},
-				{Kind: "balancer_kill", At: 3 * time.Second, Lasts: 100 * time.Millisecond, Number: 1}}}
+		d := &Scenario{Seed: seed, Requests: 900, Length: 5 * time.Second, Routers: 2, Workers: 6, Functions: 4, RouterState: "kept", configOverrides: told,
+			Faults: []Fault{{Kind: "ageing", At: 500 * time.Millisecond, Duration: 3 * time.Second, Target: -1, Factor: 6},
+				{Kind: "balancer_kill", At: 2 * time.Second, Duration: 100 * time.Millisecond, Target: 0},
+				{Kind: "balancer_kill", At: 3 * time.Second, Duration: 100 * time.Millisecond, Target: 1}}}
 		res, err := Run(context.Background(), d, program)
 		if res == nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 			_, dir, _ := strings.Cut(err.Error(), "kept in ")
 			os.RemoveAll(strings.TrimSuffix(dir, ")"))
 		}
-		return res.Rules[1].ViolationCount, res.Resumed.Asked
+		return res.Rules[1].ViolationCount, res.RestartRetries.Sent
 	}
 	seen := 0
 	for seed := uint64(2); seed < 2+days && seen == 0; seed++ {
@@ -97,15 +97,15 @@
 
 // What a real router decided on a bad day, replay and explanation decide too.
 func TestRecordedDayIsReplayedAndExplainedAlike(t *testing.T) {
-	d := &Day{Seed: 3, Jobs: 1200, Length: 4 * time.Second, Routers: 2, Workers: 6, Functions: 8, Ration: true, Record: t.TempDir(), Memory: "kept",
-		Troubles: []Trouble{{Kind: "hang", At: 500 * time.Millisecond, Lasts: time.Second, Number: 1},
-			{Kind: "crash", At: time.Second, Lasts: 500 * time.Millisecond, Number: 2},
-			{Kind: "balancer_kill", At: 2 * time.Second, Lasts: 200 * time.Millisecond, Number: 1}}}
+	d := &Scenario{Seed: 3, Requests: 1200, Length: 4 * time.Second, Routers: 2, Workers: 6, Functions: 8, LimitLoadRate: true, RecordDir: t.TempDir(), RouterState: "kept",
+		Faults: []Fault{{Kind: "hang", At: 500 * time.Millisecond, Duration: time.Second, Target: 1},
+			{Kind: "crash", At: time.Second, Duration: 500 * time.Millisecond, Target: 2},
+			{Kind: "balancer_kill", At: 2 * time.Second, Duration: 200 * time.Millisecond, Target: 1}}}
 	if _, err := Run(context.Background(), d, router(t)); err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range []string{"router-0", "router-1"} {
-		files, err := record.ListSegments(filepath.Join(d.Record, r))
+		files, err := record.ListSegments(filepath.Join(d.RecordDir, r))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,15 +174,15 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	begun := time.Now()
-	_, err := Run(ctx, &Day{Seed: 1, Jobs: 100000, Length: time.Minute, Routers: 1, Workers: 2, Functions: 5}, program)
+	_, err := Run(ctx, &Scenario{Seed: 1, Requests: 100000, Length: time.Minute, Routers: 1, Workers: 2, Functions: 5}, program)
 	if err == nil || time.Since(begun) > 5*time.Second {
 		t.Errorf("got %v after %s", err, time.Since(begun))
 	}
 }
 
 func TestScheduleFollowsTheSeed(t *testing.T) {
-	d := &Day{Seed: 1, Jobs: 100, Length: time.Second, Routers: 3, Functions: 9,
-		Troubles: []Trouble{{Kind: "hot_key", Name: "x", Lasts: time.Second, Share: 1}}}
+	d := &Scenario{Seed: 1, Requests: 100, Length: time.Second, Routers: 3, Functions: 9,
+		Faults: []Fault{{Kind: "hot_key", Name: "x", Duration: time.Second, Share: 1}}}
 	a, b := d.schedule(), d.schedule()
 	d.Seed = 2
 	c := d.schedule()
@@ -201,11 +201,11 @@
 }
 
 func TestReadDayTellsFaults(t *testing.T) {
-	_, err := ReadDay("d.ini", []byte("[day]\njobs = 0\n[trouble x]\nkind = flood\nat = 19s\nlasts = 5s\n"))
+	_, err := ParseScenario("d.ini", []byte("[day]\njobs = 0\n[trouble x]\nkind = flood\nat = 19s\nlasts = 5s\n"))
 	if err == nil || strings.Count(err.Error(), "\n") != 2 {
 		t.Errorf("got %v", err)
 	}
-	if _, err := ReadDay("", nil); err != nil {
+	if _, err := ParseScenario("", nil); err != nil {
 		t.Errorf("the built-in day: %v", err)
 	}
 }
@@ -218,12 +218,12 @@
 		t.Fatal(err)
 	}
 	for _, threads := range []int{1, 4} {
-		d, err := ReadDay("short.ini", text)
+		d, err := ParseScenario("short.ini", text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.Seed = 1
-		res, err := Emulate(d, threads, nil)
+		res, err := Simulate(d, threads, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -236,12 +236,12 @@
 
 // A cold server's work counts against what it could do at its age, all else against full speed.
 func TestUseOfColdServers(t *testing.T) {
-	p := &play{day: &Day{Length: 10 * time.Second}, servers: make([]*fakeserver.Server, 2)}
+	p := &harness{scenario: &Scenario{Length: 10 * time.Second}, servers: make([]*fakeserver.Server, 2)}
 	recs := []invariant.Record{{At: 100, Kind: invariant.EndpointPublished}, {At: 100 + 2_000_000, Kind: invariant.ServerStarted, Server: 1}}
 	for i := range 100 {
 		recs = append(recs, invariant.Record{At: 100 + 3_000_000, Kind: invariant.AttemptStarted, Server: i % 2})
 	}
-	ofCold, ofWarm := p.use(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
+	ofCold, ofWarm := p.utilization(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
 	if math.Abs(ofCold-0.5) > 0.001 || math.Abs(ofWarm-50.0/640) > 0.001 {
 		t.Errorf("cold %.4f, warm %.4f", ofCold, ofWarm)
 	}
@@ -249,7 +249,7 @@
 
 // What one machine does not bear is refused before anything is started.
 func TestLargeDaysAreEmulatedOnly(t *testing.T) {
-	if _, err := Run(context.Background(), &Day{Routers: mostRouters + 1, Workers: 1, Length: time.Second}, "/none"); err == nil || !strings.Contains(err.Error(), "emulate") {
+	if _, err := Run(context.Background(), &Scenario{Routers: maxRouters + 1, Workers: 1, Length: time.Second}, "/none"); err == nil || !strings.Contains(err.Error(), "emulate") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/chaostest/load.go
+++ b/internal/chaostest/load.go
@@ -24,50 +24,50 @@
 )
 
 // Load is a steady stream of jobs of no work, through one router and straight to the same servers.
-type Load struct {
-	Rate        int // jobs a second
-	Length      time.Duration
-	Connections int
-	Servers     int
-	Functions   int
-	Idle        int    // further client connections that do nothing
-	Bytes       int    // of tensors a job
-	prefix      string // of functions' names
-	secure      rest.Handshake
-	Recording   int // pairs of streams, one while the router records and one while it does not
-	Memory      int // pairs of streams, one through a further router that has a memory
-	TLS         int // triples of streams: in plain text, over TLS, and over TLS while keys change
-	Strangers   int // distinct functions that no server has, asked for before the stream is measured a second time
+type LoadTest struct {
+	Rate             int // jobs a second
+	Length           time.Duration
+	Connections      int
+	Servers          int
+	Functions        int
+	IdleConnections  int    // further client connections that do nothing
+	TensorBytes      int    // of tensors a job
+	functionPrefix   string // of functions' names
+	secure           rest.Handshake
+	RecordingPairs   int // pairs of streams, one while the router records and one while it does not
+	PersistencePairs int // pairs of streams, one through a further router that has a memory
+	TLSTriples       int // triples of streams: in plain text, over TLS, and over TLS while keys change
+	UnknownFunctions int // distinct functions that no server has, asked for before the stream is measured a second time
 }
 
 // Measured is what one stream met. Times are microseconds from when each job was due, if its connection was still busy
 // then, so that a stall counts for all jobs that it kept waiting; else from its sending.
-type Measured struct {
-	Path           string
-	Jobs, Failed   int64
-	P50, P99, P999 int64
-	CPU            float64 // microseconds of the router's processor time a job
-	Memory         int64   // kilobytes resident in the router at the end
-	Achieved       float64 // jobs a second that were kept up
-	Recorded       float64 // bytes a job on disk
-	Lost           uint64  // turns that the recording lost
-	Replayed       float64 // how many times as fast as it was recorded
-	Ratios         []Ratio // with over without, within pairs
-	Note           string
+type LoadResult struct {
+	Path             string
+	Requests, Failed int64
+	P50, P99, P999   int64
+	CPUPerRequest    float64 // microseconds of the router's processor time a job
+	MemoryKB         int64   // kilobytes resident in the router at the end
+	Throughput       float64 // jobs a second that were kept up
+	RecordedBytes    float64 // bytes a job on disk
+	LostSteps        uint64  // turns that the recording lost
+	ReplaySpeed      float64 // how many times as fast as it was recorded
+	Ratios           []Ratio // with over without, within pairs
+	Note             string
 }
 
 // Ratio is a quantity's quartiles over pairs.
 type Ratio struct {
-	Of                   string
+	Quantity             string
 	Lower, Median, Upper float64
 }
 
 // pairs measures streams in pairs, one with something on and one without, so that whatever else changes on the machine meets
 // both alike; which of the two comes first alternates.
-func pairs(n int, stretch func(on bool, pair int) (Measured, error)) ([]Ratio, error) {
+func measurePairs(n int, stretch func(on bool, pair int) (LoadResult, error)) ([]Ratio, error) {
 	var cpu, p50, p99 []float64
 	for pair := range n {
-		var with, without Measured
+		var with, without LoadResult
 		for half := range 2 {
 			on := half == pair%2
 			m, err := stretch(on, pair)
@@ -80,22 +80,22 @@
 				without = m
 			}
 		}
-		cpu = append(cpu, with.CPU/without.CPU)
+		cpu = append(cpu, with.CPUPerRequest/without.CPUPerRequest)
 		p50, p99 = append(p50, float64(with.P50)/float64(without.P50)), append(p99, float64(with.P99)/float64(without.P99))
 	}
 	return []Ratio{quartiles("CPU a job", cpu), quartiles("p50", p50), quartiles("p99", p99)}, nil
 }
 
 // recorded measures pairs, one of each while the router records, and replays what it recorded.
-func recorded(load Load, through func() (Measured, error), operate func(target string) error, dir string) (sum Measured, err error) {
+func measureRecording(load LoadTest, through func() (LoadResult, error), operate func(target string) error, dir string) (sum LoadResult, err error) {
 	jobs, size, took, length := int64(0), int64(0), time.Duration(0), 0.0
-	sum.Ratios, err = pairs(load.Recording, func(on bool, pair int) (Measured, error) {
+	sum.Ratios, err = measurePairs(load.RecordingPairs, func(on bool, pair int) (LoadResult, error) {
 		if !on {
 			return through()
 		}
 		folder := filepath.Join(dir, strconv.Itoa(pair))
 		if err := operate("/router/record/start?folder=" + folder); err != nil {
-			return Measured{}, err
+			return LoadResult{}, err
 		}
 		m, err := through()
 		if err != nil {
@@ -117,12 +117,12 @@
 		a, err := replay.Play(files, replay.Range{})
 		took += time.Since(begun)
 		length += float64(a.Last-a.First) / 1e6
-		jobs += m.Jobs
-		sum.Lost += a.LostSteps
+		jobs += m.Requests
+		sum.LostSteps += a.LostSteps
 		return m, err
 	})
 	if err == nil {
-		sum.Recorded, sum.Replayed = float64(size)/float64(max(1, jobs)), length/took.Seconds()
+		sum.RecordedBytes, sum.ReplaySpeed = float64(size)/float64(max(1, jobs)), length/took.Seconds()
 	}
 	return sum, err
 }
@@ -134,10 +134,10 @@
 }
 
 // strangers begins the names of functions that no server has.
-const strangers = "/strangers-"
+const unknownPrefix = "/strangers-"
 
 // echo is a server that answers every job at once. It is kept apart from the stand-ins so that only wires are measured.
-func echo(ctx context.Context, secure func(net.Conn) (net.Conn, error)) (string, error) {
+func startEchoServer(ctx context.Context, secure func(net.Conn) (net.Conn, error)) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -170,7 +170,7 @@
 						return
 					}
 					p := answer
-					if strings.Contains(q.Target, strangers) {
+					if strings.Contains(q.Target, unknownPrefix) {
 						p = &rest.Response{Status: 404, Header: rest.Header{}, Body: kserve.Fault{Error: "no such model"}.Body()}
 					}
 					if c.WriteResponse(p) != nil {
@@ -184,7 +184,7 @@
 }
 
 // MeasureLoad runs the stream straight and through a router of the named program, in one run.
-func MeasureLoad(ctx context.Context, load Load, program string) (measured []Measured, err error) {
+func RunLoadTest(ctx context.Context, load LoadTest, program string) (measured []LoadResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "hmchaos-load-")
@@ -195,7 +195,7 @@
 	var servers []string
 	var list bytes.Buffer
 	for i := range load.Servers {
-		a, err := echo(ctx, nil)
+		a, err := startEchoServer(ctx, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &process{file: filepath.Join(dir, "router.ini")}
+	r := &routerProcess{configFile: filepath.Join(dir, "router.ini")}
 	settings := fmt.Sprintf(`[router]
 listen = %s
 admin = %s
@@ -227,7 +227,7 @@
 workload = any
 lanes = 1024
 `, address, admin, filepath.Join(dir, "workers.ini"))
-	for name, text := range map[string]string{r.file: settings, filepath.Join(dir, "workers.ini"): list.String()} {
+	for name, text := range map[string]string{r.configFile: settings, filepath.Join(dir, "workers.ini"): list.String()} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
@@ -235,18 +235,18 @@
 	if err := r.start(program, dir); err != nil {
 		return nil, err
 	}
-	defer r.end(syscall.SIGKILL)
-	p := &play{addrs: []string{address}, routers: []*process{r}, client: []*clientPool{{address: address}}}
+	defer r.stop(syscall.SIGKILL)
+	p := &harness{addresses: []string{address}, routers: []*routerProcess{r}, pools: []*clientPool{{address: address}}}
 	if err := p.awaitReady(ctx, 0); err != nil {
 		return nil, err
 	}
-	idle := make([]net.Conn, 0, load.Idle)
+	idle := make([]net.Conn, 0, load.IdleConnections)
 	defer func() {
 		for _, nc := range idle {
 			nc.Close()
 		}
 	}()
-	for range load.Idle {
+	for range load.IdleConnections {
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			return nil, err
@@ -255,58 +255,58 @@
 	}
 	warm := load
 	warm.Length, warm.Rate = time.Second, min(load.Rate, 1000)
-	if _, err := stream(ctx, warm, []string{address}); err != nil {
+	if _, err := runStream(ctx, warm, []string{address}); err != nil {
 		return nil, err
 	}
-	straight, err := stream(ctx, load, servers)
+	straight, err := runStream(ctx, load, servers)
 	if err != nil {
 		return nil, err
 	}
 	straight.Path = "straight"
 	pid := r.cmd.Process.Pid
-	throughAt := func(path string, load Load, address string, pid int) (Measured, error) {
-		m, err := costing(ctx, path, load, address, pid)
+	throughAt := func(path string, load LoadTest, address string, pid int) (LoadResult, error) {
+		m, err := measureThrough(ctx, path, load, address, pid)
 		measured = append(measured, m)
 		return m, err
 	}
-	through := func(path string, load Load) (Measured, error) { return throughAt(path, load, address, pid) }
+	through := func(path string, load LoadTest) (LoadResult, error) { return throughAt(path, load, address, pid) }
 	measured = append(measured, straight)
 	if _, err := through("through the router", load); err != nil {
 		return nil, err
 	}
-	if load.Recording > 0 {
-		m, err := recorded(load, func() (Measured, error) { return through("router", load) }, func(target string) error {
-			return operate(ctx, admin, target)
+	if load.RecordingPairs > 0 {
+		m, err := measureRecording(load, func() (LoadResult, error) { return through("router", load) }, func(target string) error {
+			return callAdmin(ctx, admin, target)
 		}, filepath.Join(dir, "recording"))
 		if err != nil {
 			return nil, err
 		}
 		last := &measured[len(measured)-1]
-		last.Recorded, last.Lost, last.Replayed, last.Ratios = m.Recorded, m.Lost, m.Replayed, m.Ratios
+		last.RecordedBytes, last.LostSteps, last.ReplaySpeed, last.Ratios = m.RecordedBytes, m.LostSteps, m.ReplaySpeed, m.Ratios
 	}
-	if load.Memory > 0 {
-		other := &process{number: 1, file: filepath.Join(dir, "remembering.ini")}
+	if load.PersistencePairs > 0 {
+		other := &routerProcess{number: 1, configFile: filepath.Join(dir, "remembering.ini")}
 		beside, err := freeAddress()
 		if err != nil {
 			return nil, err
 		}
 		text := strings.Replace(settings, address, beside, 1) + fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(dir, "memory"))
 		text = strings.Replace(text, "admin = "+admin+"\n", "", 1)
-		if err := os.WriteFile(other.file, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(other.configFile, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
 		if err := other.start(program, dir); err != nil {
 			return nil, err
 		}
-		defer other.end(syscall.SIGKILL)
-		p.addrs, p.routers, p.client = append(p.addrs, beside), append(p.routers, other), append(p.client, &clientPool{address: beside})
+		defer other.stop(syscall.SIGKILL)
+		p.addresses, p.routers, p.pools = append(p.addresses, beside), append(p.routers, other), append(p.pools, &clientPool{address: beside})
 		if err := p.awaitReady(ctx, 1); err != nil {
 			return nil, err
 		}
-		if _, err := stream(ctx, warm, []string{beside}); err != nil {
+		if _, err := runStream(ctx, warm, []string{beside}); err != nil {
 			return nil, err
 		}
-		ratios, err := pairs(load.Memory, func(on bool, _ int) (Measured, error) {
+		ratios, err := measurePairs(load.PersistencePairs, func(on bool, _ int) (LoadResult, error) {
 			if !on {
 				return through("router", load)
 			}
@@ -317,17 +317,17 @@
 		}
 		measured[len(measured)-1].Ratios = ratios
 	}
-	if load.TLS > 0 {
+	if load.TLSTriples > 0 {
 		more, err := measureTLS(ctx, load, program, dir, settings, address, pid)
 		measured = append(measured, more...)
 		if err != nil {
 			return nil, err
 		}
 	}
-	if load.Strangers > 0 {
+	if load.UnknownFunctions > 0 {
 		alien := load
-		alien.prefix, alien.Functions = strangers[1:], load.Strangers
-		alien.Length = time.Duration(float64(load.Strangers) / float64(load.Rate) * float64(time.Second))
+		alien.functionPrefix, alien.Functions = unknownPrefix[1:], load.UnknownFunctions
+		alien.Length = time.Duration(float64(load.UnknownFunctions) / float64(load.Rate) * float64(time.Second))
 		if _, err := through("strangers", alien); err != nil {
 			return nil, err
 		}
@@ -335,20 +335,20 @@
 			return nil, err
 		}
 	}
-	return measured, r.end(syscall.SIGTERM)
+	return measured, r.stop(syscall.SIGTERM)
 }
 
 // costing measures one stream through a router, with what it costs its process.
-func costing(ctx context.Context, path string, load Load, address string, pid int) (Measured, error) {
+func measureThrough(ctx context.Context, path string, load LoadTest, address string, pid int) (LoadResult, error) {
 	before := cpuTime(pid)
-	m, err := stream(ctx, load, []string{address})
-	m.Path, m.Memory = path, resident(pid)
-	m.CPU = float64((cpuTime(pid) - before).Microseconds()) / float64(max(1, m.Jobs))
+	m, err := runStream(ctx, load, []string{address})
+	m.Path, m.MemoryKB = path, residentKB(pid)
+	m.CPUPerRequest = float64((cpuTime(pid) - before).Microseconds()) / float64(max(1, m.Requests))
 	return m, err
 }
 
 // operate asks a router something at its admin address.
-func operate(ctx context.Context, admin, target string) error {
+func callAdmin(ctx context.Context, admin, target string) error {
 	c, err := rest.Dial(ctx, admin, &rest.DefaultLimits)
 	if err != nil {
 		return err
@@ -362,13 +362,13 @@
 }
 
 // stream sends a steady stream of jobs to addresses in turn.
-func stream(ctx context.Context, load Load, addresses []string) (Measured, error) {
+func runStream(ctx context.Context, load LoadTest, addresses []string) (LoadResult, error) {
 	total := int64(float64(load.Rate) * load.Length.Seconds())
 	var next, failed atomic.Int64
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	tensors := strings.Repeat("1,", max(0, load.Bytes/2)) + "1"
+	tensors := strings.Repeat("1,", max(0, load.TensorBytes/2)) + "1"
 	var firstErr error
 	var connected sync.WaitGroup
 	connected.Add(load.Connections)
@@ -399,7 +399,7 @@
 					time.Sleep(d)
 					due = time.Now() // a late waking is ours, not the path's
 				}
-				q := &rest.Request{Method: "POST", Target: "/v2/models/" + load.prefix + "f" + strconv.FormatInt(i%int64(load.Functions), 10) + "/infer",
+				q := &rest.Request{Method: "POST", Target: "/v2/models/" + load.functionPrefix + "f" + strconv.FormatInt(i%int64(load.Functions), 10) + "/infer",
 					Header: rest.Header{"Host": {"load"}, "Content-Type": {"application/json"}},
 					Body:   []byte(`{"id":"1","parameters":{"timeout":10000000},"inputs":[{"name":"x","shape":[1],"datatype":"FP32","data":[` + tensors + `]}]}`)}
 				p, _, err := c.Do(q, time.Now().Add(20*time.Second))
@@ -424,8 +424,8 @@
 	begun = time.Now()
 	close(start)
 	wg.Wait()
-	return Measured{Jobs: all.TotalCount(), Failed: failed.Load(), P50: all.ValueAtQuantile(50), P99: all.ValueAtQuantile(99),
-		P999: all.ValueAtQuantile(99.9), Achieved: float64(all.TotalCount()) / time.Since(begun).Seconds()}, firstErr
+	return LoadResult{Requests: all.TotalCount(), Failed: failed.Load(), P50: all.ValueAtQuantile(50), P99: all.ValueAtQuantile(99),
+		P999: all.ValueAtQuantile(99.9), Throughput: float64(all.TotalCount()) / time.Since(begun).Seconds()}, firstErr
 }
 
 // cpuTime is a process's time on processors, from /proc/PID/stat (proc(5): fields 14 and 15, in ticks of 10 ms).
@@ -444,7 +444,7 @@
 }
 
 // resident is a process's resident memory in kilobytes.
-func resident(pid int) int64 {
+func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/internal/chaostest/output_test.go
+++ b/internal/chaostest/output_test.go
@@ -10,7 +10,7 @@
 
 // Scripts read this JSON: its names stay.
 func TestJSONForm(t *testing.T) {
-	for name, value := range map[string]any{"output-1.json": &Emulated{}, "day-1.json": &Result{}} {
+	for name, value := range map[string]any{"output-1.json": &SimulationResult{}, "day-1.json": &Result{}} {
 		golden.Fill(value)
 		golden.Check(t, name, value, json.Marshal, json.Unmarshal)
 		if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -15,91 +15,91 @@
 )
 
 // runOnceMark begins the marks of run-once jobs, which no server remembers: only routers can keep them from running twice.
-const runOnceMark = "once-"
+const nonIdempotentKeyPrefix = "once-"
 
-func (d *Day) remembers() bool { return d.Memory != "" && d.Memory != "none" }
+func (d *Scenario) keepsRouterState() bool { return d.RouterState != "" && d.RouterState != "none" }
 
 // memory is a router's folder; with the recordings, where there are some, so that it can be looked at after the day.
-func (p *play) memory(router int) string {
-	return filepath.Join(cmp.Or(p.day.Record, p.dir), "memory-"+itoa(router))
+func (p *harness) stateDir(router int) string {
+	return filepath.Join(cmp.Or(p.scenario.RecordDir, p.dir), "memory-"+itoa(router))
 }
 
 // wish is one effect that a client wanted, and whether it came in time.
-type wish struct {
-	router int
-	at     time.Duration
-	well   bool
-	effect string
-	worth  float64
-	loud   bool
+type effectOutcome struct {
+	router      int
+	at          time.Duration
+	inTime      bool
+	effect      string
+	importance  float64
+	noisyTenant bool
 }
 
 // worth gives the importance of the effects that came in time, of all that was asked for.
-func (p *play) worth() float64 {
+func (p *harness) weightedInTime() float64 {
 	in, all := 0.0, 0.0
-	for _, w := range p.effects {
-		if all += w.worth; w.well {
-			in += w.worth
+	for _, w := range p.outcomes {
+		if all += w.importance; w.inTime {
+			in += w.importance
 		}
 	}
 	return in / max(1, all)
 }
 
 // resumed counts the run-once jobs that clients asked their restarted router for again, by its answer.
-type resumed struct {
-	Asked      int `json:"Asked"`
-	Finished   int `json:"Finished"`
-	PushedBack int `json:"PushedBack"`
-	Killed     int `json:"Killed"`
+type RestartRetries struct {
+	Sent      int `json:"Asked"`
+	Succeeded int `json:"Finished"`
+	Rejected  int `json:"PushedBack"`
+	Failed    int `json:"Killed"`
 }
 
-func (p *play) resume(word string) {
+func (p *harness) countRestartRetry(word string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.resumed.Asked++
+	p.restartRetries.Sent++
 	switch word {
 	case invariant.Succeeded:
-		p.resumed.Finished++
+		p.restartRetries.Succeeded++
 	case invariant.Rejected:
-		p.resumed.PushedBack++
+		p.restartRetries.Rejected++
 	case invariant.Failed:
-		p.resumed.Killed++
+		p.restartRetries.Failed++
 	}
 }
 
 // renewal is a router's return: by the log's clock, and by the day's.
-type renewal struct {
-	router int
-	log    int64
-	at     time.Duration
+type restartEvent struct {
+	router  int
+	logTime int64
+	at      time.Duration
 }
 
 // Renewed is what followed a router's restart, within ten seconds.
-type Renewed struct {
-	Router     int           `json:"Router"`
-	At         time.Duration `json:"At"`
-	Effects    int           `json:"Effects"`    // asked of it by clients of its own
-	InTime     float64       `json:"InTime"`     // the share of them that came within their start target
-	Loads      int           `json:"Loads"`      // that began on all servers
-	Executions float64       `json:"Executions"` // a job, of all routers
+type Restart struct {
+	Router             int           `json:"Router"`
+	At                 time.Duration `json:"At"`
+	Effects            int           `json:"Effects"`    // asked of it by clients of its own
+	InTime             float64       `json:"InTime"`     // the share of them that came within their start target
+	Loads              int           `json:"Loads"`      // that began on all servers
+	AttemptsPerRequest float64       `json:"Executions"` // a job, of all routers
 }
 
-func (p *play) after(recs []invariant.Record) []Renewed {
+func (p *harness) afterRestarts(recs []invariant.Record) []Restart {
 	const span = 10 * time.Second
-	var rs []Renewed
-	for _, n := range p.renewed {
-		r := Renewed{Router: n.router, At: n.at}
+	var rs []Restart
+	for _, n := range p.restarts {
+		r := Restart{Router: n.router, At: n.at}
 		well := 0
-		for _, w := range p.effects {
+		for _, w := range p.outcomes {
 			if w.router == n.router && w.at >= n.at && w.at < n.at+span {
-				if r.Effects++; w.well {
+				if r.Effects++; w.inTime {
 					well++
 				}
 			}
 		}
 		asked, received := 0, 0
 		for _, x := range recs {
-			if x.At < n.log || x.At >= n.log+span.Microseconds() {
+			if x.At < n.logTime || x.At >= n.logTime+span.Microseconds() {
 				continue
 			}
 			switch x.Kind {
@@ -111,7 +111,7 @@
 				received++
 			}
 		}
-		r.InTime, r.Executions = float64(well)/float64(max(1, r.Effects)), float64(received)/float64(max(1, asked))
+		r.InTime, r.AttemptsPerRequest = float64(well)/float64(max(1, r.Effects)), float64(received)/float64(max(1, asked))
 		rs = append(rs, r)
 	}
 	return rs
@@ -119,24 +119,24 @@
 
 // over counts the orders that routers gave beyond their ration if what they ordered before a restart counts, whether they
 // remembered it or not.
-func (p *play) over(recs []invariant.Record) int {
+func (p *harness) excessLoadCommands(recs []invariant.Record) int {
 	recs = slices.Clone(recs)
 	for i := range recs {
 		if recs[i].Kind == invariant.RouterRestarted {
 			recs[i].Detail = invariant.StateRestored
 		}
 	}
-	return invariant.Check(p.law(), recs).Rules[4].ViolationCount
+	return invariant.Check(p.invariantConfig(), recs).Rules[4].ViolationCount
 }
 
 // change makes the memory of a router that is down what the day says: nothing but its journal, old by a month, or of quite another day, on which
 // copies stood elsewhere and answers came three times as fast.
-func (p *play) change(router int) error {
-	dir := persistence.Dir(p.memory(router))
-	if p.day.Memory == "kept" {
+func (p *harness) alterState(router int) error {
+	dir := persistence.Dir(p.stateDir(router))
+	if p.scenario.RouterState == "kept" {
 		return nil
 	}
-	if p.day.Memory == "limits" {
+	if p.scenario.RouterState == "limits" {
 		for _, name := range persistence.GenerationFiles {
 			if err := os.Remove(filepath.Join(string(dir), name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
@@ -156,10 +156,10 @@
 		if err != nil {
 			return err
 		}
-		if m := k.Learned; p.day.Memory == "old" {
-			age(m, 30*24*3600*1_000_000)
+		if m := k.Learned; p.scenario.RouterState == "old" {
+			ageState(m, 30*24*3600*1_000_000)
 		} else {
-			otherDay(m)
+			disarrangeState(m)
 		}
 		if b, err = persistence.Encode(k); err != nil {
 			return err
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func age(m *control.LearnedState, by control.Micros) {
+func ageState(m *control.LearnedState, by control.Micros) {
 	back := func(ts ...*control.Micros) {
 		for _, t := range ts {
 			*t = max(0, *t-by)
@@ -198,7 +198,7 @@
 	}
 }
 
-func otherDay(m *control.LearnedState) {
+func disarrangeState(m *control.LearnedState) {
 	m.Answers = slices.Concat(m.Answers, m.Answers, m.Answers)
 	slices.Sort(m.Answers)
 	place := map[control.ServerID]int{}
--- a/internal/chaostest/secret.go
+++ b/internal/chaostest/secret.go
@@ -15,20 +15,20 @@
 )
 
 // keysEvery is how often keys change in the third stream of each triple: far oftener than anyone renews.
-const keysEvery = 500 * time.Millisecond
+const rotationInterval = 500 * time.Millisecond
 
 // measureTLS measures triples of streams: through the router in plain text, through another over TLS on both its sides, and the
 // same while its keys change. It also measures what a new connection costs.
-func measureTLS(ctx context.Context, load Load, program, dir, settings, plain string, pid int) (measured []Measured, err error) {
+func measureTLS(ctx context.Context, load LoadTest, program, dir, settings, plain string, pid int) (measured []LoadResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k, err := openKeys(ctx, filepath.Join(dir, "keys"), 1)
+	k, err := issueCertificates(ctx, filepath.Join(dir, "keys"), 1)
 	if err != nil {
 		return nil, err
 	}
 	var list bytes.Buffer
 	for i := range load.Servers {
-		a, err := echo(ctx, k.accept(worker(0)))
+		a, err := startEchoServer(ctx, k.serverSecurity(workerName(0)))
 		if err != nil {
 			return nil, err
 		}
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	other := &process{number: 2, file: filepath.Join(dir, "secret.ini")}
+	other := &routerProcess{number: 2, configFile: filepath.Join(dir, "secret.ini")}
 	text := strings.Replace(settings, plain, address, 1)
 	for _, line := range strings.Split(settings, "\n") {
 		switch {
@@ -48,8 +48,8 @@
 			text = strings.Replace(text, line, "list = "+filepath.Join(dir, "secret-workers.ini"), 1)
 		}
 	}
-	text += k.settings(false)
-	if err := os.WriteFile(other.file, []byte(text), 0o600); err != nil {
+	text += k.routerConfig(false)
+	if err := os.WriteFile(other.configFile, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(filepath.Join(dir, "secret-workers.ini"), list.Bytes(), 0o600); err != nil {
@@ -58,25 +58,25 @@
 	if err := other.start(program, dir); err != nil {
 		return nil, err
 	}
-	defer other.end(syscall.SIGKILL)
-	secure := k.rings["client"].ClientHandshake
-	p := &play{addrs: []string{address}, routers: []*process{other}, client: []*clientPool{{address: address, secure: secure}}}
+	defer other.stop(syscall.SIGKILL)
+	secure := k.stores["client"].ClientHandshake
+	p := &harness{addresses: []string{address}, routers: []*routerProcess{other}, pools: []*clientPool{{address: address, secure: secure}}}
 	if err := p.awaitReady(ctx, 0); err != nil {
 		return nil, err
 	}
 	secret := load
 	secret.secure = secure
-	one := func(path string, load Load, address string, pid int) (Measured, error) {
-		m, err := costing(ctx, path, load, address, pid)
+	one := func(path string, load LoadTest, address string, pid int) (LoadResult, error) {
+		m, err := measureThrough(ctx, path, load, address, pid)
 		measured = append(measured, m)
 		return m, err
 	}
-	changing := func(path string) (Measured, error) {
+	changing := func(path string) (LoadResult, error) {
 		stop, stopped := context.WithCancel(ctx)
 		done := make(chan error, 1)
 		go func() {
-			for sleep(stop, keysEvery) == nil {
-				for _, o := range []string{routerToWorkers, routerToClients, worker(0), "client"} {
+			for sleep(stop, rotationInterval) == nil {
+				for _, o := range []string{routerToWorkers, routerToClients, workerName(0), "client"} {
 					if err := k.renew(o, time.Millisecond); err != nil {
 						done <- err
 						return
@@ -92,11 +92,11 @@
 		}
 		return m, err
 	}
-	if _, err := stream(ctx, Load{Rate: min(load.Rate, 1000), Length: time.Second, Connections: load.Connections, Functions: load.Functions, secure: secure},
+	if _, err := runStream(ctx, LoadTest{Rate: min(load.Rate, 1000), Length: time.Second, Connections: load.Connections, Functions: load.Functions, secure: secure},
 		[]string{address}); err != nil {
 		return nil, err
 	}
-	ratios, err := pairs(load.TLS, func(on bool, _ int) (Measured, error) {
+	ratios, err := measurePairs(load.TLSTriples, func(on bool, _ int) (LoadResult, error) {
 		if !on {
 			return one("router, plain", load, plain, pid)
 		}
@@ -106,7 +106,7 @@
 		return measured, err
 	}
 	measured[len(measured)-1].Ratios = ratios
-	ratios, err = pairs(load.TLS, func(on bool, _ int) (Measured, error) {
+	ratios, err = measurePairs(load.TLSTriples, func(on bool, _ int) (LoadResult, error) {
 		if !on {
 			return one("router, TLS", secret, address, other.cmd.Process.Pid)
 		}
@@ -117,12 +117,12 @@
 	}
 	last := &measured[len(measured)-1]
 	last.Ratios = ratios
-	last.Note, err = connecting(ctx, plain, address, secure, pid, other.cmd.Process.Pid)
+	last.Note, err = measureConnecting(ctx, plain, address, secure, pid, other.cmd.Process.Pid)
 	return measured, err
 }
 
 // connecting measures new connections, each with one request that the router answers itself, in plain text and over TLS by turns.
-func connecting(ctx context.Context, plain, address string, secure rest.Handshake, plainPid, pid int) (string, error) {
+func measureConnecting(ctx context.Context, plain, address string, secure rest.Handshake, plainPid, pid int) (string, error) {
 	const times = 500
 	var took [2][]time.Duration
 	before := [2]time.Duration{cpuTime(plainPid), cpuTime(pid)}
--- a/internal/chaostest/storms.go
+++ b/internal/chaostest/storms.go
@@ -20,55 +20,55 @@
 
 // Manners are how a day's clients behave: as those of days always did; as the client library does; asking again at once and unmarked
 // until their patience ends; or half of them so and half as the library.
-var Manners = []string{"usual", "good", "bad", "mixed"}
+var ClientBehaviors = []string{"usual", "good", "bad", "mixed"}
 
 // openApps gives a day's well-behaved clients, which are the client library's. Many have few connections each.
-func (p *play) openApps() error {
-	n := p.day.Clients
-	if p.day.Manners != "good" && p.day.Manners != "mixed" {
+func (p *harness) openLibraryClients() error {
+	n := p.scenario.LibraryClients
+	if p.scenario.ClientBehavior != "good" && p.scenario.ClientBehavior != "mixed" {
 		return nil
 	}
 	const connections = 6400 // of all of them to one router: what a router's bound of clients holds with those that behave badly
 	for i := range n {
-		x, err := client.New(client.Options{Routers: p.addrs, Connections: min(64, max(1, connections/n)), Seed: p.day.Seed*100_000 + uint64(i) + 1,
+		x, err := client.New(client.Options{Routers: p.addresses, Connections: min(64, max(1, connections/n)), Seed: p.scenario.Seed*100_000 + uint64(i) + 1,
 			Late: 300 * time.Millisecond}) // so that a late answer is seen
 		if err != nil {
 			return err
 		}
-		p.apps = append(p.apps, x)
+		p.libraryClients = append(p.libraryClients, x)
 	}
 	return nil
 }
 
 // mannered has one client get its effect as its manners are; ok is false where it has the day's usual ones.
-func (p *play) mannered(ctx context.Context, c call) (well, ok bool) {
-	switch m := p.day.Manners; {
-	case c.loud:
-		return p.rude(ctx, c), true
+func (p *harness) performAs(ctx context.Context, c call) (well, ok bool) {
+	switch m := p.scenario.ClientBehavior; {
+	case c.noisyTenant:
+		return p.performAggressively(ctx, c), true
 	case m == "good" || m == "mixed" && c.number%2 == 0:
-		return p.polite(ctx, c), true
+		return p.performWithLibrary(ctx, c), true
 	case m == "bad" || m == "mixed":
-		return p.rude(ctx, c), true
+		return p.performAggressively(ctx, c), true
 	}
 	return false, false
 }
 
 // polite gets an effect through the client library. It notes each try as it crosses the socket.
-func (p *play) polite(ctx context.Context, c call) bool {
+func (p *harness) performWithLibrary(ctx context.Context, c call) bool {
 	begun := time.Now()
 	w := client.Workload{Effect: map[string]client.Effect{"restartable": client.Restartable, "fingerprinted": client.Fingerprinted, "run-once": client.RunOnce}[c.workload.effect],
-		Narrow: c.workload.group != "" && c.workload.group != "fleet", Window: c.workload.window}
+		Narrow: c.workload.scope != "" && c.workload.scope != "fleet", Window: c.workload.window}
 	mark := "effect-"
 	if c.workload.effect == "run-once" {
-		mark = runOnceMark
+		mark = nonIdempotentKeyPrefix
 	}
 	var mu sync.Mutex
 	tries := map[int]invariant.Record{} // that were asked and have no end yet
 	var ends sync.WaitGroup
 	record := func(t client.Try) invariant.Record {
-		return invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addrs, t.Router)}
+		return invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, t.Number), Effect: itoa(c.number), Workload: c.workload.name, Router: slices.Index(p.addresses, t.Router)}
 	}
-	_, err := p.apps[c.number%len(p.apps)].Infer(ctx, client.Call{Model: c.function, Mark: mark + itoa(c.number), Tenant: c.tenant(), Workload: w, Patience: c.patience,
+	_, err := p.libraryClients[c.number%len(p.libraryClients)].Infer(ctx, client.Call{Model: c.function, Mark: mark + itoa(c.number), Tenant: c.tenant(), Workload: w, Patience: c.timeout,
 		BodyOf: func(t client.Try) []byte {
 			rec := record(t)
 			rec.Kind, rec.Deadline = invariant.RequestSent, p.log.Now()+t.Left.Microseconds()
@@ -98,26 +98,26 @@
 			p.log.Add(rec)
 			ends.Done()
 		}})
-	well := err == nil && time.Since(begun) <= c.workload.target
+	well := err == nil && time.Since(begun) <= c.workload.latencyObjective
 	ends.Wait()
 	return well
 }
 
 // rude asks again at once, at any router, as a first try, until its patience ends. What may have run it leaves alone unless it may run
 // twice, or the judge would blame the routers for it.
-func (p *play) rude(ctx context.Context, c call) bool {
+func (p *harness) performAggressively(ctx context.Context, c call) bool {
 	const most = 200                    // tries: bounded, and more than patience allows
 	const least = 50 * time.Millisecond // left: with six thousand tries a second a full machine keeps an answer given at once for up to 25 ms
 	begun := time.Now()
-	c.unmarked = true
+	c.omitRetryHeaders = true
 	for n := 1; n <= most; n++ {
-		left := c.patience - time.Since(begun)
+		left := c.timeout - time.Since(begun)
 		if left < least || ctx.Err() != nil {
 			return false
 		}
-		o := p.try(ctx, c, (c.router+n)%len(p.addrs), n, left)
-		if o.word == invariant.Succeeded {
-			return time.Since(begun) <= c.workload.target
+		o := p.send(ctx, c, (c.router+n)%len(p.addresses), n, left)
+		if o.answer == invariant.Succeeded {
+			return time.Since(begun) <= c.workload.latencyObjective
 		}
 		if o.mayHaveRun && c.workload.effect != "restartable" {
 			return false
@@ -131,52 +131,52 @@
 
 // Second is what happened to the effects that clients asked for within one second of a day.
 type Second struct {
-	Effects    int     `json:"Effects"`
-	Well       int     `json:"Well"`
-	Marked     int     `json:"Marked"` // fingerprinted ones
-	MarkedWell int     `json:"MarkedWell"`
-	Tries      int     `json:"Tries"`
-	PushedBack int     `json:"PushedBack"`
-	Loads      int     `json:"Loads"`
-	Calm       int     `json:"Calm"` // of tenants that don't storm
-	CalmWell   int     `json:"CalmWell"`
-	Open       int     `json:"Open"` // tries without an answer at its end
-	Cold       float64 `json:"Cold"` // the largest share of its budget that a cold server had got
+	Effects             int     `json:"Effects"`
+	InTime              int     `json:"Well"`
+	Keyed               int     `json:"Marked"` // fingerprinted ones
+	KeyedInTime         int     `json:"MarkedWell"`
+	Requests            int     `json:"Tries"`
+	Rejected            int     `json:"PushedBack"`
+	Loads               int     `json:"Loads"`
+	OtherTenants        int     `json:"Calm"` // of tenants that don't storm
+	OtherTenantsInTime  int     `json:"CalmWell"`
+	Outstanding         int     `json:"Open"` // tries without an answer at its end
+	SlowStartBudgetUsed float64 `json:"Cold"` // the largest share of its budget that a cold server had got
 }
 
 // seconds gives a day second by second.
-func (p *play) seconds(recs []invariant.Record, cold []invariant.SlowStartWindow) []Second {
-	out := make([]Second, int(p.day.Length.Seconds())+1)
+func (p *harness) seconds(recs []invariant.Record, cold []invariant.SlowStartWindow) []Second {
+	out := make([]Second, int(p.scenario.Length.Seconds())+1)
 	at := func(t time.Duration) *Second { return &out[min(max(0, int(t.Seconds())), len(out)-1)] }
-	for _, w := range p.effects {
+	for _, w := range p.outcomes {
 		s := at(w.at)
 		s.Effects++
-		if w.well {
-			s.Well++
+		if w.inTime {
+			s.InTime++
 		}
 		if w.effect == "fingerprinted" {
-			if s.Marked++; w.well {
-				s.MarkedWell++
+			if s.Keyed++; w.inTime {
+				s.KeyedInTime++
 			}
 		}
-		if !w.loud {
-			if s.Calm++; w.well {
-				s.CalmWell++
+		if !w.noisyTenant {
+			if s.OtherTenants++; w.inTime {
+				s.OtherTenantsInTime++
 			}
 		}
 	}
-	first, open := p.first, map[string]bool{}
+	first, open := p.logStart, map[string]bool{}
 	for _, c := range cold {
 		s := at(time.Duration(c.At-first) * time.Microsecond)
-		s.Cold = max(s.Cold, c.BudgetUsed)
+		s.SlowStartBudgetUsed = max(s.SlowStartBudgetUsed, c.BudgetUsed)
 	}
 	for _, r := range recs {
 		s := at(time.Duration(r.At-first) * time.Microsecond)
 		switch {
 		case r.Kind == invariant.RequestSent:
-			s.Tries++
+			s.Requests++
 		case r.Kind == invariant.ResponseReceived && r.Detail == invariant.Rejected:
-			s.PushedBack++
+			s.Rejected++
 		case r.Kind == invariant.LoadStarted:
 			s.Loads++
 		}
@@ -186,7 +186,7 @@
 		case invariant.ResponseReceived, invariant.RequestTimedOut, invariant.RequestAbandoned, invariant.RequestNotSent:
 			delete(open, r.Request)
 		}
-		s.Open = len(open)
+		s.Outstanding = len(open)
 	}
 	return out
 }
@@ -198,17 +198,17 @@
 	n, well := 0, 0
 	for i, s := range seconds {
 		if i > 0 && i < int(before.Seconds()) {
-			n, well = n+s.Marked, well+s.MarkedWell
+			n, well = n+s.Keyed, well+s.KeyedInTime
 		}
 	}
 	usual = float64(well) / float64(max(1, n))
 	row := 0
 	for i := int(since.Seconds()); i < len(seconds); i++ {
 		s := seconds[i]
-		if s.Marked == 0 {
+		if s.Keyed == 0 {
 			continue
 		}
-		if row++; float64(s.MarkedWell) < within*usual*float64(s.Marked) {
+		if row++; float64(s.KeyedInTime) < within*usual*float64(s.Keyed) {
 			row = 0
 		}
 		if row == in {
@@ -219,7 +219,7 @@
 }
 
 // storms counts the storms that routers told of in their logs.
-func (p *play) storms() (n int, err error) {
+func (p *harness) countOverloads() (n int, err error) {
 	for _, r := range p.routers {
 		text, err := os.ReadFile(r.logName(p.dir))
 		if err != nil {
@@ -231,17 +231,17 @@
 }
 
 // Calm gives the share in time of the effects of all tenants but the one that storms, while it does and at all other times.
-func (r *Result) Calm(t Trouble) (meanwhile, otherwise float64) {
+func (r *Result) OtherTenantsInTime(t Fault) (meanwhile, otherwise float64) {
 	var n, well [2]int
-	for _, w := range r.effects {
-		if w.loud {
+	for _, w := range r.outcomes {
+		if w.noisyTenant {
 			continue
 		}
 		k := 0
-		if w.at >= t.At && w.at < t.At+t.Lasts {
+		if w.at >= t.At && w.at < t.At+t.Duration {
 			k = 1
 		}
-		if n[k]++; w.well {
+		if n[k]++; w.inTime {
 			well[k]++
 		}
 	}
@@ -254,7 +254,7 @@
 	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = title, "s", "a second"
 	top := 0.0
 	for _, s := range seconds {
-		top = max(top, float64(s.Tries))
+		top = max(top, float64(s.Requests))
 	}
 	pl.Legend.Top, pl.Legend.Left = true, true
 	pl.Y.Max = 1.4 * top // room for the legend
@@ -266,13 +266,13 @@
 		of    func(s Second) float64
 		color color.Color
 	}{
-		{"tries", func(s Second) float64 { return float64(s.Tries) }, color.RGBA{120, 120, 120, 255}},
+		{"tries", func(s Second) float64 { return float64(s.Requests) }, color.RGBA{120, 120, 120, 255}},
 		{"effects wanted", func(s Second) float64 { return float64(s.Effects) }, color.RGBA{0, 0, 0, 255}},
-		{"pushed back", func(s Second) float64 { return float64(s.PushedBack) }, color.RGBA{200, 60, 40, 255}},
+		{"pushed back", func(s Second) float64 { return float64(s.Rejected) }, color.RGBA{200, 60, 40, 255}},
 		{"loads", func(s Second) float64 { return float64(s.Loads) }, color.RGBA{40, 120, 200, 255}},
-		{"without an answer yet", func(s Second) float64 { return float64(s.Open) }, color.RGBA{150, 80, 170, 255}},
-		{fmt.Sprintf("new hosts' worst window (budget = %.0f)", top), func(s Second) float64 { return top * s.Cold }, color.RGBA{230, 150, 30, 255}},
-		{fmt.Sprintf("in time (1 = %.0f)", top), func(s Second) float64 { return top * float64(s.Well) / float64(max(1, s.Effects)) }, color.RGBA{30, 150, 60, 255}},
+		{"without an answer yet", func(s Second) float64 { return float64(s.Outstanding) }, color.RGBA{150, 80, 170, 255}},
+		{fmt.Sprintf("new hosts' worst window (budget = %.0f)", top), func(s Second) float64 { return top * s.SlowStartBudgetUsed }, color.RGBA{230, 150, 30, 255}},
+		{fmt.Sprintf("in time (1 = %.0f)", top), func(s Second) float64 { return top * float64(s.InTime) / float64(max(1, s.Effects)) }, color.RGBA{30, 150, 60, 255}},
 	} {
 		var xy plotter.XYs
 		for i, s := range seconds {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -7,12 +7,12 @@
 )
 
 // played runs an experiment in which the other arms fall short by so much on average, with noise that pairs share and some they don't.
-func played(p Plan, short map[string]float64, alone float64) (*State, int) {
+func played(p Plan, short map[string]float64, alone float64) (*Experiment, int) {
 	s, n := New(p, nil), 0
 	for c, ok := s.Next(); ok; c, ok = s.Next() {
 		shared := rand.New(rand.NewPCG(c.Seed, 1)).NormFloat64() * 0.1
 		own := rand.New(rand.NewPCG(c.Seed, uint64(len(c.Arm)))).NormFloat64() * alone
-		s.Add(Row{Cell: c, InTime: 0.8 + shared + own - short[c.Arm]})
+		s.Add(Result{Trial: c, InTime: 0.8 + shared + own - short[c.Arm]})
 		n++
 	}
 	return s, n
@@ -20,7 +20,7 @@
 
 // A difference far smaller than the noise that days share is found, early; one that is none is told alike; the rest goes to the end.
 func TestPairedDifferences(t *testing.T) {
-	p := Plan{Sizes: []string{"s"}, Arms: []string{"base", "worse", "alike!", "unclear?"}, First: 1, Most: 40, Least: 5, Indifferent: 0.005}
+	p := Plan{Sizes: []string{"s"}, Arms: []string{"base", "worse", "alike!", "unclear?"}, FirstSeed: 1, MaxSeeds: 40, MinSeeds: 5, Tolerance: 0.005}
 	s, n := played(p, map[string]float64{"worse": 0.03, "unclear?": 0.004}, 0.01)
 	fs := s.Findings()
 	if fs[0].Verdict != "more" || fs[0].Seeds > 10 || fs[0].Low > 0.03 || fs[0].High < 0.03 {
@@ -29,17 +29,17 @@
 	if fs[1].Verdict != "alike" || fs[1].Low > 0 || fs[1].High < 0 {
 		t.Errorf("alike: %+v", fs[1])
 	}
-	if n >= 4*40 || s.Left() > 0 {
-		t.Errorf("%d days were played, %d are left", n, s.Left())
+	if n >= 4*40 || s.Remaining() > 0 {
+		t.Errorf("%d days were played, %d are left", n, s.Remaining())
 	}
 }
 
 // The order in which days end changes no finding, and a run that begins with another's rows plays only what is missing.
 func TestOrderAndResumption(t *testing.T) {
-	p := Plan{Sizes: []string{"s", "t"}, Arms: []string{"base", "worse"}, First: 7, Most: 12, Least: 3, Indifferent: 0.001}
+	p := Plan{Sizes: []string{"s", "t"}, Arms: []string{"base", "worse"}, FirstSeed: 7, MaxSeeds: 12, MinSeeds: 3, Tolerance: 0.001}
 	in, n := played(p, map[string]float64{"worse": 0.02}, 0.01)
-	var rows []Row
-	for _, r := range in.rows {
+	var rows []Result
+	for _, r := range in.results {
 		rows = append(rows, r)
 	}
 	again := New(p, nil)
@@ -55,7 +55,7 @@
 	half := New(p, rows[:n/2])
 	left := 0
 	for c, ok := half.Next(); ok; c, ok = half.Next() {
-		half.Add(in.rows[c])
+		half.Add(in.results[c])
 		left++
 	}
 	if left > n-n/2 {
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Row{Cell: Cell{"s", "a", 3}, InTime: 0.5, Hash: 1 << 63}
+	r := Result{Trial: Trial{"s", "a", 3}, InTime: 0.5, Hash: 1 << 63}
 	if err := s.Put("one", r); err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if got, ok := s.Get("one", r.Cell); !ok || got != r {
+	if got, ok := s.Get("one", r.Trial); !ok || got != r {
 		t.Errorf("%+v, %t", got, ok)
 	}
-	for _, other := range []Cell{{"s", "a", 4}, {"s", "b", 3}} {
+	for _, other := range []Trial{{"s", "a", 4}, {"s", "b", 3}} {
 		if _, ok := s.Get("one", other); ok {
 			t.Errorf("%+v is there", other)
 		}
 	}
-	if _, ok := s.Get("two", r.Cell); ok {
+	if _, ok := s.Get("two", r.Trial); ok {
 		t.Error("another build's row is taken for this one's")
 	}
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -11,7 +11,7 @@
 
 // Rows that earlier builds stored are read, and written in the same form.
 func TestStoredForm(t *testing.T) {
-	row := &Row{}
+	row := &Result{}
 	golden.Fill(row)
 	golden.Check(t, "row-1.cbor", row, cbor.Marshal, cbor.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(row)); len(missing) > 0 {
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -29,24 +29,24 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // key names a row: origin stands for what played it and on which day.
-func key(origin string, c Cell) []byte {
+func key(origin string, c Trial) []byte {
 	return fmt.Appendf(nil, "%s\x00%s\x00%s\x00%020d", origin, c.Size, c.Arm, c.Seed)
 }
 
 // Put keeps a row; it is on disk when this returns.
-func (s *Store) Put(origin string, r Row) error {
+func (s *Store) Put(origin string, r Result) error {
 	b, err := cbor.Marshal(r)
 	if err != nil {
 		return err
 	}
-	return s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucket).Put(key(origin, r.Cell), b) })
+	return s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucket).Put(key(origin, r.Trial), b) })
 }
 
 // Get gives a row. One that can't be read counts as none: its day is played again.
-func (s *Store) Get(origin string, c Cell) (r Row, ok bool) {
+func (s *Store) Get(origin string, c Trial) (r Result, ok bool) {
 	s.db.View(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucket).Get(key(origin, c))
-		ok = b != nil && cbor.Unmarshal(b, &r) == nil && r.Cell == c
+		ok = b != nil && cbor.Unmarshal(b, &r) == nil && r.Trial == c
 		return nil
 	})
 	return r, ok
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -17,14 +17,14 @@
 
 // File is an INI file under reading. Values are taken with the methods of its sections; what is wrong is gathered.
 type File struct {
-	Name   string
-	file   *ini.File
-	lines  map[string]int // of "section" and "section\x00key"
-	used   map[string]bool
-	faults []fault
+	Name     string
+	file     *ini.File
+	lines    map[string]int // of "section" and "section\x00key"
+	used     map[string]bool
+	problems []problem
 }
 
-type fault struct {
+type problem struct {
 	line int
 	text string
 }
@@ -50,12 +50,12 @@
 			continue
 		case s[0] == '[' && strings.HasSuffix(s, "]"):
 			section = strings.TrimSpace(s[1 : len(s)-1])
-			f.place(n, section, "section "+section)
+			f.recordLine(n, section, "section "+section)
 			continue
 		}
 		if i := strings.IndexAny(s, "=:"); i > 0 {
 			key := strings.TrimSpace(s[:i])
-			f.place(n, section+"\x00"+key, key)
+			f.recordLine(n, section+"\x00"+key, key)
 		}
 	}
 	var err error
@@ -66,9 +66,9 @@
 	return f, nil
 }
 
-func (f *File) place(line int, at, what string) {
+func (f *File) recordLine(line int, at, what string) {
 	if first, twice := f.lines[at]; twice {
-		f.faults = append(f.faults, fault{line, fmt.Sprintf("%s stands twice, first at line %d", what, first)})
+		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s stands twice, first at line %d", what, first)})
 		return
 	}
 	f.lines[at] = line
@@ -115,7 +115,7 @@
 	if line == 0 {
 		line = s.f.lines[s.Name]
 	}
-	s.f.faults = append(s.f.faults, fault{line, what + ": " + fmt.Sprintf(why, args...)})
+	s.f.problems = append(s.f.problems, problem{line, what + ": " + fmt.Sprintf(why, args...)})
 }
 
 // Has tells whether a key is given, and marks it as known.
@@ -227,12 +227,12 @@
 			}
 		}
 	}
-	if len(f.faults) == 0 {
+	if len(f.problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b fault) int { return a.line - b.line })
+	slices.SortStableFunc(f.problems, func(a, b problem) int { return a.line - b.line })
 	e := &ValidationError{File: f.Name}
-	for _, x := range f.faults {
+	for _, x := range f.problems {
 		e.Problems = append(e.Problems, fmt.Sprintf("%s:%d: %s", f.Name, x.line, x.text))
 	}
 	return e
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -38,7 +38,7 @@
 	ViolationCount int      `json:"Count"`         // all
 }
 
-func (r *Rule) breach(at int64, text string, args ...any) {
+func (r *Rule) violation(at int64, text string, args ...any) {
 	r.ViolationCount++
 	if len(r.Violations) < 5 {
 		r.Violations = append(r.Violations, fmt.Sprintf("at %.3f s: ", float64(at)/1e6)+fmt.Sprintf(text, args...))
@@ -74,17 +74,17 @@
 }
 
 // try is one job as its client saw it.
-type try struct {
-	asked, answered Record
-	answers         int
-	left, untaken   bool
-	gone            int64 // when its client gave up
-	received, began []Record
-	refused         []Record
+type request struct {
+	sent, response     Record
+	responses          int
+	abandoned, notSent bool
+	timedOutAt         int64 // when its client gave up
+	received, began    []Record
+	refused            []Record
 }
 
 // halt is a time in which a router did not run.
-type halt struct{ from, to int64 }
+type downtime struct{ from, to int64 }
 
 // Judge judges a day.
 func Check(law Config, recs []Record) *Report {
@@ -93,13 +93,13 @@
 		"cold servers not pushed over", "orders rationed"} {
 		v.Rules = append(v.Rules, &Rule{Number: i + 1, Name: name})
 	}
-	tries, order := map[string]*try{}, []*try{}
-	halts := map[int][]halt{}
+	tries, order := map[string]*request{}, []*request{}
+	halts := map[int][]downtime{}
 	const open = int64(1) << 62
 	for _, r := range recs {
 		switch r.Kind {
 		case RouterDown:
-			halts[r.Router] = append(halts[r.Router], halt{r.At, open})
+			halts[r.Router] = append(halts[r.Router], downtime{r.At, open})
 			continue
 		case RouterUp:
 			if h := halts[r.Router]; len(h) > 0 {
@@ -112,22 +112,22 @@
 		}
 		t := tries[r.Request]
 		if t == nil {
-			t = &try{}
+			t = &request{}
 			tries[r.Request] = t
 			order = append(order, t)
 		}
 		switch r.Kind {
 		case RequestSent:
-			t.asked = r
+			t.sent = r
 		case ResponseReceived:
-			t.answered = r
-			t.answers++
+			t.response = r
+			t.responses++
 		case RequestTimedOut:
-			t.gone = r.At
+			t.timedOutAt = r.At
 		case RequestNotSent:
-			t.untaken = true
+			t.notSent = true
 		case RequestAbandoned:
-			t.left = true
+			t.abandoned = true
 		case AttemptReceived:
 			t.received = append(t.received, r)
 		case AttemptStarted:
@@ -137,46 +137,46 @@
 		}
 	}
 	for _, t := range order {
-		if t.asked.Request == "" {
-			v.Rules[0].breach(first(t).At, "job %s reached a server but no client asked it", first(t).Request)
+		if t.sent.Request == "" {
+			v.Rules[0].violation(firstAttemptRecord(t).At, "job %s reached a server but no client asked it", firstAttemptRecord(t).Request)
 			continue
 		}
-		v.answers(law, t, halts[t.asked.Router])
+		v.checkResponses(law, t, halts[t.sent.Router])
 	}
-	v.effects(law, order)
-	v.drains(law, recs)
-	v.cold(law, recs)
-	v.ration(law, recs, halts)
+	v.checkEffects(law, order)
+	v.checkDrains(law, recs)
+	v.checkSlowStart(law, recs)
+	v.checkLoadRate(law, recs, halts)
 	return v
 }
 
-func first(t *try) Record {
+func firstAttemptRecord(t *request) Record {
 	for _, rs := range [][]Record{t.received, t.began, t.refused} {
 		if len(rs) > 0 {
 			return rs[0]
 		}
 	}
-	return t.answered
+	return t.response
 }
 
 // answers judges the first rule for one job.
-func (v *Report) answers(law Config, t *try, halts []halt) {
+func (v *Report) checkResponses(law Config, t *request, halts []downtime) {
 	r := v.Rules[0]
-	if t.untaken && len(t.received) == 0 && t.answers == 0 {
+	if t.notSent && len(t.received) == 0 && t.responses == 0 {
 		return
 	}
 	v.Requests++
 	v.Attempts += len(t.received)
-	halted := slices.ContainsFunc(halts, func(h halt) bool { return h.from < t.asked.Deadline && h.to > t.asked.At })
+	halted := slices.ContainsFunc(halts, func(h downtime) bool { return h.from < t.sent.Deadline && h.to > t.sent.At })
 	switch {
-	case t.answers > 1:
-		r.breach(t.answered.At, "job %s got %d final answers", t.asked.Request, t.answers)
-	case t.answers == 1:
-		switch t.answered.Detail {
+	case t.responses > 1:
+		r.violation(t.response.At, "job %s got %d final answers", t.sent.Request, t.responses)
+	case t.responses == 1:
+		switch t.response.Detail {
 		case Succeeded:
 			v.Succeeded++
 			if len(t.began) == 0 && len(t.refused) == 0 {
-				r.breach(t.answered.At, "job %s is called finished but reached no server", t.asked.Request)
+				r.violation(t.response.At, "job %s is called finished but reached no server", t.sent.Request)
 			}
 		case Rejected:
 			v.Rejected++
@@ -185,63 +185,63 @@
 		default:
 			v.NotAdmitted++
 		}
-		if t.answered.At > t.asked.Deadline && !halted {
-			r.breach(t.answered.At, "job %s was answered %d us after its client's time", t.asked.Request, t.answered.At-t.asked.Deadline)
+		if t.response.At > t.sent.Deadline && !halted {
+			r.violation(t.response.At, "job %s was answered %d us after its client's time", t.sent.Request, t.response.At-t.sent.Deadline)
 		}
-	case t.left || t.untaken:
+	case t.abandoned || t.notSent:
 		v.Abandoned++
 	case halted:
 		v.Excused++
 	default:
 		v.Unanswered++
-		r.breach(t.asked.Deadline, "job %s got no answer", t.asked.Request)
+		r.violation(t.sent.Deadline, "job %s got no answer", t.sent.Request)
 	}
 	if !halted {
 		r.Opportunities++
 	}
-	over := t.asked.Deadline
+	over := t.sent.Deadline
 	if halted { // the router can't know how long the job had waited unread: it is over when its client goes
-		over = max(over, t.gone)
+		over = max(over, t.timedOutAt)
 	}
-	if t.answers > 0 {
-		over = min(over, t.answered.At)
+	if t.responses > 0 {
+		over = min(over, t.response.At)
 		if halted {
-			over = t.answered.At
+			over = t.response.At
 		}
 	}
 	for _, x := range t.received {
 		if x.At > over+law.MaxNetworkDelay {
-			r.breach(x.At, "job %s was sent to server %d after it was over", t.asked.Request, x.Server)
+			r.violation(x.At, "job %s was sent to server %d after it was over", t.sent.Request, x.Server)
 		}
 	}
 }
 
 // effects judges the second rule over all tries that mean the same effect.
-func (v *Report) effects(law Config, tries []*try) {
+func (v *Report) checkEffects(law Config, tries []*request) {
 	r := v.Rules[1]
-	byEffect, order := map[string][]*try{}, []string{}
+	byEffect, order := map[string][]*request{}, []string{}
 	for _, t := range tries {
-		if t.asked.Effect == "" {
+		if t.sent.Effect == "" {
 			continue
 		}
-		if byEffect[t.asked.Effect] == nil {
-			order = append(order, t.asked.Effect)
+		if byEffect[t.sent.Effect] == nil {
+			order = append(order, t.sent.Effect)
 		}
-		byEffect[t.asked.Effect] = append(byEffect[t.asked.Effect], t)
+		byEffect[t.sent.Effect] = append(byEffect[t.sent.Effect], t)
 	}
 	for _, effect := range order {
-		w := law.Classes[byEffect[effect][0].asked.Workload]
+		w := law.Classes[byEffect[effect][0].sent.Workload]
 		var began, received []Record
 		for _, t := range byEffect[effect] {
 			began, received = append(began, t.began...), append(received, t.received...)
 			if len(t.received) > 1 {
 				v.Retries++
 			}
-			if t.answers == 0 || t.answered.Detail != Rejected || len(t.began) == 0 {
+			if t.responses == 0 || t.response.Detail != Rejected || len(t.began) == 0 {
 				continue
 			}
 			if w.NonIdempotent || w.IdempotentByKey && w.Scope != "fleet" {
-				r.breach(t.answered.At, "job %s was pushed back though it had run", t.asked.Request)
+				r.violation(t.response.At, "job %s was pushed back though it had run", t.sent.Request)
 			}
 		}
 		if !w.NonIdempotent && !w.IdempotentByKey {
@@ -251,16 +251,16 @@
 			r.Opportunities++
 		}
 		if w.NonIdempotent && len(began) > 1 {
-			r.breach(began[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(began), began[0].Server, began[1].Server)
+			r.violation(began[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(began), began[0].Server, began[1].Server)
 		}
 		if w.IdempotentByKey && len(began) > 0 {
-			v.fingerprinted(law, w, byEffect[effect])
+			v.checkIdempotentByKey(law, w, byEffect[effect])
 		}
 	}
 }
 
 // fingerprinted judges the executions of each job: one that may have run goes only inside its group and window.
-func (v *Report) fingerprinted(law Config, w Class, tries []*try) {
+func (v *Report) checkIdempotentByKey(law Config, w Class, tries []*request) {
 	r := v.Rules[1]
 	for _, t := range tries {
 		for _, x := range t.received {
@@ -268,10 +268,10 @@
 				switch {
 				case e.At >= x.At:
 				case x.At > e.At+w.Window:
-					r.breach(x.At, "job %s was sent again %d us after it ran, past its window", t.asked.Request, x.At-e.At)
+					r.violation(x.At, "job %s was sent again %d us after it ran, past its window", t.sent.Request, x.At-e.At)
 				case w.Scope == "zone" && law.Zone[x.Server] != law.Zone[e.Server],
 					w.Scope == "cell" && law.Cell[x.Server] != law.Cell[e.Server]:
-					r.breach(x.At, "job %s ran on server %d and was sent to %d outside its group", t.asked.Request, e.Server, x.Server)
+					r.violation(x.At, "job %s ran on server %d and was sent to %d outside its group", t.sent.Request, e.Server, x.Server)
 				}
 			}
 		}
@@ -279,7 +279,7 @@
 }
 
 // drains judges the third rule.
-func (v *Report) drains(law Config, recs []Record) {
+func (v *Report) checkDrains(law Config, recs []Record) {
 	r := v.Rules[2]
 	since := map[int]int64{}
 	for _, x := range recs {
@@ -293,14 +293,14 @@
 			}
 		case AttemptReceived, LoadCommandReceived:
 			if at, told := since[x.Server]; told && x.At > at+law.DrainGrace {
-				r.breach(x.At, "server %d got %q %d us after it was told to take nothing new", x.Server, x.Request, x.At-at)
+				r.violation(x.At, "server %d got %q %d us after it was told to take nothing new", x.Server, x.Request, x.At-at)
 			}
 		}
 	}
 }
 
 // cold judges the fourth rule: what a server got within any time of the told length, against what it bore then.
-func (v *Report) cold(law Config, recs []Record) {
+func (v *Report) checkSlowStart(law Config, recs []Record) {
 	r := v.Rules[3]
 	born, got := map[int]int64{}, map[int][]int64{}
 	for _, x := range recs {
@@ -309,7 +309,7 @@
 			born[x.Server], got[x.Server] = x.At, nil
 			r.Opportunities++
 		case ServerCollapsed:
-			r.breach(x.At, "server %d fell over", x.Server)
+			r.violation(x.At, "server %d fell over", x.Server)
 		case AttemptReceived:
 			at, cold := born[x.Server]
 			if !cold || x.At > at+law.SlowStartDuration {
@@ -324,14 +324,14 @@
 			budget := law.OverloadFactor * has * law.ServerRate * float64(law.OverloadWindow) / 1e6
 			v.SlowStart = append(v.SlowStart, SlowStartWindow{x.At, x.Server, float64(len(ts)) / max(1, budget)})
 			if float64(len(ts)) > max(1, budget) {
-				r.breach(x.At, "server %d, %d us old, got %d jobs within %d us, over its %.1f", x.Server, x.At-at, len(ts), law.OverloadWindow, budget)
+				r.violation(x.At, "server %d, %d us old, got %d jobs within %d us, over its %.1f", x.Server, x.At-at, len(ts), law.OverloadWindow, budget)
 			}
 		}
 	}
 }
 
 // ration judges the fifth rule: each router's orders against the jobs that its clients gave it.
-func (v *Report) ration(law Config, recs []Record, halts map[int][]halt) {
+func (v *Report) checkLoadRate(law Config, recs []Record, halts map[int][]downtime) {
 	r := v.Rules[4]
 	if law.LoadRateWindow == 0 {
 		return
@@ -361,7 +361,7 @@
 			n := within(orders[x.Router], x.At-law.LoadRateWindow+law.MaxNetworkDelay)
 			jobs := within(asked[x.Router], x.At-law.LoadRateWindow-law.MaxNetworkDelay)
 			if allowed := law.LoadRateBase + law.LoadRatePerRequest*float64(jobs); float64(n) > allowed {
-				r.breach(x.At, "router %d gave %d orders within its window, over %.1f for %d jobs", x.Router, n, allowed, jobs)
+				r.violation(x.At, "router %d gave %d orders within its window, over %.1f for %d jobs", x.Router, n, allowed, jobs)
 			}
 		}
 	}
