--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -13,7 +13,7 @@
 )
 
 // answers reads n answers and tells their first lines.
-func answers(r *bufio.Reader, n int) (lines []string, err error) {
+func readStatusLines(r *bufio.Reader, n int) (lines []string, err error) {
 	for range n {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -41,26 +41,26 @@
 // Requests that were sent ahead of the stop are answered, each on its turn, and so is one that comes on an open connection
 // some time after it; then the connection ends.
 func TestStopAnswersWhatWasSentAhead(t *testing.T) {
-	m := usual(0)
+	m := serverOptions(0)
 	m.ExecutionTime = 100 * time.Millisecond
-	f := newField(t, m)
-	ahead, r := f.talk()
-	io.WriteString(ahead, text("a", "forecast-1")+text("b", "forecast-1")+text("c", "forecast-1"))
-	for f.inHand() == 0 {
+	tg := newTestGateway(t, m)
+	ahead, r := tg.dialClient()
+	io.WriteString(ahead, inferText("a", "forecast-1")+inferText("b", "forecast-1")+inferText("c", "forecast-1"))
+	for tg.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	open, later := f.talk()
+	open, later := tg.dialClient()
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := answers(later, 1); err != nil {
+	if _, err := readStatusLines(later, 1); err != nil {
 		t.Fatal(err)
 	}
-	f.stop()
-	if lines, err := answers(r, 3); err != nil {
+	tg.stop()
+	if lines, err := readStatusLines(r, 3); err != nil {
 		t.Errorf("sent ahead: got %q, %v", lines, err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	io.WriteString(open, text("d", "forecast-1"))
-	if lines, err := answers(later, 1); err != nil || lines[0] != "HTTP/1.1 503 Service Unavailable" {
+	io.WriteString(open, inferText("d", "forecast-1"))
+	if lines, err := readStatusLines(later, 1); err != nil || lines[0] != "HTTP/1.1 503 Service Unavailable" {
 		t.Errorf("sent later: got %q, %v", lines, err)
 	}
 	for name, r := range map[string]*bufio.Reader{"ahead": r, "later": later} {
@@ -73,21 +73,21 @@
 // Connections that the kernel has accepted when the router stops are answered, also where the time for that has passed in a
 // standstill, and where no job is in hand.
 func TestStopAnswersWaitingConnections(t *testing.T) {
-	f := newField(t)
-	l, err := listen("127.0.0.1:0")
+	tg := newTestGateway(t)
+	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nc, err := net.Dial("tcp", l.Addr().String())
+	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	io.WriteString(nc, text("1", "forecast-1"))
+	defer conn.Close()
+	io.WriteString(conn, inferText("1", "forecast-1"))
 	l.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
-	f.g.accept(l, false)
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	if lines, err := answers(bufio.NewReader(nc), 1); err != nil {
+	tg.gateway.accept(l, false)
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	if lines, err := readStatusLines(bufio.NewReader(conn), 1); err != nil {
 		t.Errorf("got %q, %v", lines, err)
 	}
 	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -96,20 +96,20 @@
 }
 
 func TestStopWithManyNewConnections(t *testing.T) {
-	f := newField(t)
+	tg := newTestGateway(t)
 	var rs []*bufio.Reader
 	for i := range 100 {
-		nc, r := f.talk()
+		conn, r := tg.dialClient()
 		if i%2 == 0 { // the others send a little later
-			io.WriteString(nc, text("1", "forecast-1"))
+			io.WriteString(conn, inferText("1", "forecast-1"))
 		} else {
-			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(nc, text("1", "forecast-1")) })
+			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(conn, inferText("1", "forecast-1")) })
 		}
 		rs = append(rs, r)
 	}
-	f.stop()
+	tg.stop()
 	for i, r := range rs {
-		if _, err := answers(r, 1); err != nil {
+		if _, err := readStatusLines(r, 1); err != nil {
 			t.Errorf("connection %d: %v", i, err)
 		}
 	}
@@ -119,13 +119,13 @@
 // connection its end, before the router may be killed.
 func TestStopTimes(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
-		told := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
+		config := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
-		s := told.stopTimes()
-		if s.held < 600*time.Millisecond || s.answered < s.held || s.closed <= s.answered || s.closed >= killed {
+		s := config.shutdownTimes()
+		if s.readUntil < 600*time.Millisecond || s.answerBy < s.readUntil || s.closeBy <= s.answerBy || s.closeBy >= killed {
 			t.Errorf("%v: %+v", longest, s)
 		}
-		if longest <= deadlineMost && s.answered < longest+100*time.Millisecond {
+		if longest <= maxCountedDeadline && s.answerBy < longest+100*time.Millisecond {
 			t.Errorf("%v: a job is cut short: %+v", longest, s)
 		}
 	}
@@ -133,19 +133,19 @@
 
 // A job that would take longer than a stopping router has left gets its answer all the same.
 func TestStopAnswersLongJobs(t *testing.T) {
-	f := newField(t, usual(0))
-	f.servers[0].SetFaults(fakeserver.Faults{Silent: true})
-	nc, r := f.talk()
-	io.WriteString(nc, text("1", "ticket-1"))
-	for f.received("1") == 0 {
+	tg := newTestGateway(t, serverOptions(0))
+	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+	conn, r := tg.dialClient()
+	io.WriteString(conn, inferText("1", "ticket-1"))
+	for tg.received("1") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.g.tell(f.g.answerAll)
+	tg.gateway.post(tg.gateway.answerOpen)
 	began := time.Now()
-	if lines, err := answers(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
+	if lines, err := readStatusLines(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
 	}
-	for f.inHand() > 0 {
+	for tg.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -25,34 +25,34 @@
 )
 
 // remembering is the section for a folder.
-func remembering(dir string) string {
+func stateSection(dir string) string {
 	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
 }
 
 // askMarked sends a job with a client's mark and gives the answer's word.
-func (f *field) askMarked(job, function, mark string) string {
-	f.t.Helper()
-	c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
+func (tg *testGateway) callWithKey(job, function, key string) string {
+	tg.t.Helper()
+	client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
-		f.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	defer c.Close()
-	q := request(job, function, time.Second)
-	q.Header[kserve.RepeatMark] = []string{mark}
-	p, _, err := c.Do(q, time.Now().Add(2*time.Second))
+	defer client.Close()
+	msg := inferRequest(job, function, time.Second)
+	msg.Header[kserve.RepeatMark] = []string{key}
+	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 	if err != nil {
-		f.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	if p.Status == 200 {
+	if resp.Status == 200 {
 		return invariant.Succeeded
 	}
-	return gjson.GetBytes(p.Body, "answer").Str
+	return gjson.GetBytes(resp.Body, "answer").Str
 }
 
 // began counts the executions of a job on a server, or on all for -1.
-func (f *field) began(job string, server int) int {
+func (tg *testGateway) attemptsBegun(job string, server int) int {
 	n := 0
-	for _, r := range f.log.Records() {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptStarted && r.Request == job && (server < 0 || r.Server == server) {
 			n++
 		}
@@ -63,9 +63,9 @@
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
-	told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, mark string, w control.ClassID) persistence.IdempotencyKey {
-		return told.mark(function, kserve.Ask{Mark: mark}, w)
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
+		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -80,7 +80,7 @@
 		persistence.Entry{Kind: persistence.EntryAttempt, At: now - 1_000_000, Key: mark("booking-1", "late", 1), Server: elsewhere},
 		persistence.Entry{Kind: persistence.EntryAttempt, At: now + 3_600_000_000, Key: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
-	f := newFieldTold(t, remembering(dir), usual(0), usual(1))
+	tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
 	for i, c := range []struct {
 		function, mark, want string
 		executions           int
@@ -94,8 +94,8 @@
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := f.askMarked(job, c.function, c.mark); got != c.want || f.began(job, -1) != c.executions {
-			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, f.began(job, -1), c.want, c.executions)
+		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.executions {
+			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, tg.attemptsBegun(job, -1), c.want, c.executions)
 		}
 	}
 }
@@ -103,15 +103,15 @@
 // The next life finds copies where they stand, and its own file.
 func TestNextLifeRecalls(t *testing.T) {
 	dir := t.TempDir()
-	first := newFieldTold(t, remembering(dir), usual(0), usual(1), usual(2))
-	if word := first.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
+	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
+	if word := first.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Fatal(word)
 	}
-	other, err := New(first.g.told, zerolog.Nop())
+	other, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if other.keeper != nil { // two routers on one folder: the second goes without
+	if other.state != nil { // two routers on one folder: the second goes without
 		t.Error("a second router has the folder too")
 	}
 	other.closeListeners()
@@ -120,12 +120,12 @@
 		t.Fatal(err)
 	}
 	first.ended <- nil
-	next, err := New(first.g.told, zerolog.Nop())
+	next, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.closeListeners()
-	defer next.keeper.close()
+	defer next.state.close()
 	s, err := next.core.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -139,10 +139,10 @@
 func TestAnyFolderLetsTheRouterStart(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return write(dir, persistence.GenerationFiles[0], "rubbish") },
+		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.GenerationFiles[0], "rubbish") },
 		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.GenerationFiles[0]), 0o700) },
-		"bad journal":  func(dir string) error { return write(dir, "journal-00000001", "rubbish") },
-		"last journal": func(dir string) error { return write(dir, "journal-99999999999999999999", "") },
+		"bad journal":  func(dir string) error { return writeStateFile(dir, "journal-00000001", "rubbish") },
+		"last journal": func(dir string) error { return writeStateFile(dir, "journal-99999999999999999999", "") },
 		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -150,15 +150,15 @@
 			if err := prepare(dir); err != nil {
 				t.Fatal(err)
 			}
-			f := newFieldTold(t, remembering(dir), usual(0))
-			if word := f.ask("1", "forecast-1", time.Second); word != invariant.Succeeded {
+			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
+			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
 				t.Error(word)
 			}
 		})
 	}
 }
 
-func write(dir, name, text string) error {
+func writeStateFile(dir, name, text string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -167,26 +167,26 @@
 
 // A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
-	f := newFieldTold(t, remembering(filepath.Join(t.TempDir(), "m")), usual(0))
+	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
 	set := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
-		f.g.tell(func(control.Micros) {
-			old, f.g.keeper.Journal = f.g.keeper.Journal, j
+		tg.gateway.post(func(control.Micros) {
+			old, tg.gateway.state.Journal = tg.gateway.state.Journal, j
 			close(done)
 		})
 		<-done
 		return old
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := f.askMarked("still", "ticket-1", "still"); got != invariant.Rejected || f.began("still", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.began("still", -1))
+	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsBegun("still", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := f.askMarked("failing", "ticket-1", "failing"); got != invariant.Rejected || f.began("failing", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.began("failing", -1))
+	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsBegun("failing", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("failing", -1))
 	}
-	if got := f.ask("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
+	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
@@ -248,7 +248,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
@@ -260,19 +260,19 @@
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
-			f := newFieldChanged(t, remembering(dir), func(t *Config) {
+			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
 				t.Deployment.Classes[booking.Class].Window = 60_000_000
-			}, usual(0), usual(1))
-			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
-				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
+			}, serverOptions(0), serverOptions(1))
+			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, tg.attemptsBegun("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := f.askMarked("ticket", "ticket-1", "sent"); got != invariant.Failed || f.began("ticket", -1) > 0 {
-				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
+			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Failed || tg.attemptsBegun("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, tg.attemptsBegun("ticket", -1))
 			}
 		})
 	}
@@ -283,13 +283,13 @@
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
-	f := newFieldChanged(t, remembering(dir), func(t *Config) { t.files = disk }, usual(0), usual(1))
+	tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) { c.fileSystem = disk }, serverOptions(0), serverOptions(1))
 	refused := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
 		job := fmt.Sprint("job-", i)
-		got := f.askMarked(job, "ticket-1", job)
-		switch ran := f.began(job, -1); {
+		got := tg.callWithKey(job, "ticket-1", job)
+		switch ran := tg.attemptsBegun(job, -1); {
 		case got == invariant.Rejected && ran == 0:
 			refused++
 		case got != invariant.Succeeded || ran != 1:
@@ -298,32 +298,32 @@
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
+			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
 				t.Errorf("a job that may repeat: %s", got)
 			}
-			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
+			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			q := request(job, "ticket-1", time.Second)
-			q.Header[kserve.RepeatMark] = []string{job + " again"}
-			p, _, err := c.Do(q, time.Now().Add(2*time.Second))
-			if c.Close(); err != nil || p.Status != 503 || p.Header["Retry-After"] == nil {
-				t.Errorf("%+v, %v", p, err)
+			msg := inferRequest(job, "ticket-1", time.Second)
+			msg.Header[kserve.RepeatMark] = []string{job + " again"}
+			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
+			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
+				t.Errorf("%+v, %v", resp, err)
 			}
 		}
 		if i%10 == 9 {
-			known := f.knownTo(t, dir)
+			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if f.began(job, -1) > 0 && len(known.MayHaveRun(f.g.now(), f.g.told.mark("ticket-1", kserve.Ask{Mark: job}, f.ticket()))) == 0 {
+				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
 					t.Errorf("%s ran, and a next life would not know", job)
 				}
 			}
 		}
 		if i%20 == 19 { // until it is tried again
 			disk.full.Store(false)
-			for end := time.Now().Add(10 * time.Second); f.g.keeper.Failing() && time.Now().Before(end); {
+			for end := time.Now().Add(10 * time.Second); tg.gateway.state.Failing() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -331,7 +331,7 @@
 	if refused < 25 {
 		t.Errorf("%d were pushed back", refused)
 	}
-	text := string(f.g.metrics.page().Body)
+	text := string(tg.gateway.metrics.response().Body)
 	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
 		if !strings.Contains(text, "hollymast_"+name+" ") || strings.Contains(text, "hollymast_"+name+" 0\n") {
 			t.Errorf("%s does not count", name)
@@ -339,13 +339,13 @@
 	}
 }
 
-func (f *field) ticket() control.ClassID {
-	p, _ := f.g.told.Match("ticket-1")
-	return p.Class
+func (tg *testGateway) ticketClass() control.ClassID {
+	pattern, _ := tg.gateway.config.Match("ticket-1")
+	return pattern.Class
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (f *field) knownTo(t *testing.T, dir string) *persistence.KeyIndex {
+func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.KeyIndex {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -361,56 +361,56 @@
 			t.Fatal(err)
 		}
 	}
-	j, es, _, err := persistence.OpenJournal(copied, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
+	j, entries, _, err := persistence.OpenJournal(copied, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	return persistence.ApplyEntries(&control.LearnedState{}, es, 1<<40, 1000)
+	return persistence.ApplyEntries(&control.LearnedState{}, entries, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, files: &fullDisk{}}
-	disk := told.files.(*fullDisk)
-	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, fileSystem: &fullDisk{}}
+	disk := config.fileSystem.(*fullDisk)
+	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		k.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
+		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	r := k.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
+	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
 	<-r.Done()
-	k.close()
+	keeper.close()
 	if n, m := strings.Count(said.String(), "the journal can't be written"), strings.Count(said.String(), "the journal is written again"); n != 1 || m != 1 || unknown != 0 {
 		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
 	}
 	disk.full.Store(true)
-	k, unknown = openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
-	g := &Gateway{told: told, keeper: k, unknown: unknown}
-	if k != nil || g.unrecorded(1e15, 1) == "" || g.unrecorded(1e15, 0) != "" {
-		t.Errorf("%v, unknown until %d", k, unknown)
+	keeper, unknown = openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	g := &Gateway{config: config, state: keeper, keysUnknownUntil: unknown}
+	if keeper != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
+		t.Errorf("%v, unknown until %d", keeper, unknown)
 	}
 }
 
 // A router that ends leaves its history, each job counted once.
 func TestHistoryOfUse(t *testing.T) {
 	dir := t.TempDir()
-	f := newFieldTold(t, remembering(dir)+"[tenant laundry]\nshare = 100\n", usual(0), usual(1))
+	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
 	for i := range 30 {
-		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
+		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
 			t.Fatal(word)
 		}
 	}
-	f.ask("late", "forecast-2", 5*time.Millisecond)
-	f.stop()
-	if err := <-f.ended; err != nil {
+	tg.call("late", "forecast-2", 5*time.Millisecond)
+	tg.stop()
+	if err := <-tg.ended; err != nil {
 		t.Fatal(err)
 	}
-	f.ended <- nil
+	tg.ended <- nil
 	sums := map[string]history.Usage{}
 	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
 		u := sums[r.Function]
@@ -433,7 +433,7 @@
 func TestHistoryOnAFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), HistoryFile)
 	var said strings.Builder
-	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
 	now := int64(1_800_000_000_000_000)
 	rows := func() []history.Row {
 		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
@@ -465,7 +465,7 @@
 		write()
 	}
 	jobs := int64(0)
-	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
+	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
 	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
 		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
 	}
@@ -478,13 +478,13 @@
 	for range damagedTries {
 		write()
 	}
-	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
 		t.Errorf("%d jobs more in a new one, %v", jobs, err)
 	}
 	for range 40 {
-		o.batches = append(o.batches, useBatch{1, make([]history.Row, 1000)})
+		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
 	}
-	if o.bound(); len(o.batches) > mostOwedRows/1000 {
+	if o.dropOldest(); len(o.batches) > maxQueuedRows/1000 {
 		t.Errorf("%d batches wait", len(o.batches))
 	}
 }
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -14,25 +14,25 @@
 )
 
 // counted lends the turn's tally to the stream that reports it.
-type counted struct {
-	g      *Gateway
-	places atomic.Pointer[map[string]loadreport.Locality]
-	named  atomic.Pointer[map[string]string]
+type loadReporter struct {
+	gateway  *Gateway
+	places   atomic.Pointer[map[string]loadreport.Locality]
+	services atomic.Pointer[map[string]string]
 }
 
 // Take has the turn give its counts. Once the last turn is over there are none.
-func (c *counted) Take(now control.Micros) (r loadreport.Report) {
+func (c *loadReporter) Take(now control.Micros) (r loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
-	c.g.afterTurn(func(control.Micros) { taken <- c.g.tally.Flush(now) })
+	c.gateway.afterStep(func(control.Micros) { taken <- c.gateway.loadTally.Flush(now) })
 	select {
 	case r = <-taken:
-	case <-c.g.ended:
+	case <-c.gateway.loopEnded:
 	}
 	return r
 }
 
 // Places tells where the servers stand in the control plane's list.
-func (c *counted) Places() map[string]loadreport.Locality {
+func (c *loadReporter) Places() map[string]loadreport.Locality {
 	if p := c.places.Load(); p != nil {
 		return *p
 	}
@@ -40,15 +40,15 @@
 }
 
 // Services tells under which names clusters' endpoints are asked for.
-func (c *counted) Services() map[string]string {
-	if p := c.named.Load(); p != nil {
+func (c *loadReporter) Services() map[string]string {
+	if p := c.services.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
 // listed takes in where servers stand now.
-func (c *counted) listed(facts []membership.Server, services map[string]string) {
+func (c *loadReporter) update(facts []membership.Server, services map[string]string) {
 	places := make(map[string]loadreport.Locality, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
@@ -56,23 +56,23 @@
 		}
 	}
 	c.places.Store(&places)
-	c.named.Store(&services)
+	c.services.Store(&services)
 }
 
 // report reports loads to the control plane until the context ends.
-func (g *Gateway) report(ctx context.Context) {
+func (g *Gateway) reportLoads(ctx context.Context) {
 	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Transport{Address: g.told.ControlPlane, Credentials: g.credentials(toPlane), Service: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
+	source := xds.Transport{Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Service: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
 		OnUpdate: func(control.Micros) {}, Log: note}
-	if err := source.Run(ctx, xds.NewLoadReporter(g.counted, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone)); err != nil {
+	if err := source.Run(ctx, xds.NewLoadReporter(g.loadReporter, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone)); err != nil {
 		note(err.Error())
 	}
 }
 
 // others answers what those who follow our view report.
-func (g *Gateway) others() *rest.Response {
+func (g *Gateway) followersReports() *rest.Response {
 	if g.view == nil {
-		return fault(409, "no view is served (serve_view)")
+		return errorResponse(409, "no view is served (serve_view)")
 	}
 	lines, nodes := g.view.ReportedLoads()
 	if lines == nil {
@@ -83,7 +83,7 @@
 		Servers   []loadreport.EndpointStats
 	}{nodes, lines})
 	if err != nil {
-		return fault(500, err.Error())
+		return errorResponse(500, err.Error())
 	}
-	return object(200, b)
+	return jsonResponse(200, b)
 }
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -17,10 +17,10 @@
 	"hollymast/internal/rest"
 )
 
-var everywhere = authority.Request{Names: []string{"127.0.0.1"}}
+var localhostNames = authority.Request{Names: []string{"127.0.0.1"}}
 
 // ringFor gives a ring of its own files; authorities may be nil.
-func ringFor(t *testing.T, own authority.Certificate, authorities []byte) (*certstore.Config, *certstore.Store) {
+func testCertStore(t *testing.T, own authority.Certificate, authorities []byte) (*certstore.Config, *certstore.Store) {
 	t.Helper()
 	dir := t.TempDir()
 	told := &certstore.Config{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
@@ -29,57 +29,57 @@
 			t.Fatal(err)
 		}
 	}
-	r, err := certstore.Open(told, wall, func(string) {})
+	r, err := certstore.Open(told, wallClock, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return told, r
 }
 
-func accepting(r *certstore.Store) func(nc net.Conn) (net.Conn, error) {
-	return func(nc net.Conn) (net.Conn, error) { return r.ServerHandshake(context.Background(), nc) }
+func serverSide(r *certstore.Store) func(conn net.Conn) (net.Conn, error) {
+	return func(conn net.Conn) (net.Conn, error) { return r.ServerHandshake(context.Background(), conn) }
 }
 
 // Workers that are not believed, or do not believe us, count as no connection: even run-once jobs are finished elsewhere, and
 // nothing runs at them. Clients that show no good certificate are refused.
 func TestPeersThatAreNotBelieved(t *testing.T) {
 	ours, theirs := authority.New("ours"), authority.New("theirs")
-	_, good := ringFor(t, ours.Issue(everywhere), ours.CertificatePEM())
-	_, stranger := ringFor(t, theirs.Issue(everywhere), ours.CertificatePEM())
-	_, aloof := ringFor(t, ours.Issue(everywhere), theirs.CertificatePEM())
-	makes := []fakeserver.Config{usual(0), usual(1), usual(2)}
+	_, good := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
+	_, aloof := testCertStore(t, ours.Issue(localhostNames), theirs.CertificatePEM())
+	makes := []fakeserver.Config{serverOptions(0), serverOptions(1), serverOptions(2)}
 	for i, r := range []*certstore.Store{stranger, aloof, good} {
-		makes[i].Handshake = accepting(r)
+		makes[i].Handshake = serverSide(r)
 	}
-	toldWorkers, _ := ringFor(t, ours.Issue(everywhere), ours.CertificatePEM())
-	toldClients, _ := ringFor(t, ours.Issue(everywhere), ours.CertificatePEM())
-	f := newFieldChanged(t, "", func(t *Config) {
-		t.TLS = map[string]*certstore.Config{toWorkers: toldWorkers, fromClients: toldClients}
+	toldWorkers, _ := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	toldClients, _ := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	tg := newTestGatewayConfigured(t, "", func(c *Config) {
+		c.TLS = map[string]*certstore.Config{serverConnections: toldWorkers, clientConnections: toldClients}
 	}, makes...)
-	_, client := ringFor(t, ours.Issue(everywhere), ours.CertificatePEM())
-	_, unknown := ringFor(t, theirs.Issue(everywhere), ours.CertificatePEM())
+	_, client := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
 	ask := func(r *certstore.Store, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), f.g.Address(), &rest.DefaultLimits, r.ClientHandshake)
+		c, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, r.ClientHandshake)
 		if err != nil {
 			return err.Error()
 		}
 		defer c.Close()
-		p, _, err := c.Do(request(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
+		resp, _, err := c.Do(inferRequest(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
 		if err != nil {
 			return err.Error()
 		}
-		if p.Status == 200 {
+		if resp.Status == 200 {
 			return invariant.Succeeded
 		}
-		return string(p.Body)
+		return string(resp.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
 		if word := ask(client, job); word != invariant.Succeeded {
 			t.Errorf("job %s: %s", job, word)
 		}
 	}
-	for _, r := range f.log.Records() {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived && r.Server != 2 {
 			t.Errorf("server %d got job %s", r.Server, r.Request)
 		}
@@ -87,7 +87,7 @@
 	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
 		t.Errorf("a client of another authority: %s", word)
 	}
-	text := string(f.g.metrics.page().Body)
+	text := string(tg.gateway.metrics.response().Body)
 	for _, want := range []string{`executions_total{result="no connection"}`, `tls_refused_total{connections="clients",reason="unknown authority"} 1`,
 		`tls_refused_total{connections="workers",reason="unknown authority"}`, `tls_certificate_ends_seconds{connections="workers"}`} {
 		if !strings.Contains(text, want) {
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,37 +9,37 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Decision {
-	if g.storm == nil {
+func (g *Gateway) admit(now control.Micros, name string, class control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Decision {
+	if g.overload == nil {
 		return overload.Decision{Admitted: true}
 	}
-	return g.storm.Admit(now, overload.Request{Tenant: tenant, IsRetry: ask.Repeat, KeyHash: hashed(ask.Mark),
-		Function: functionID(g.told.NameKey, name), Importance: g.told.Priorities[w]})
+	return g.overload.Admit(now, overload.Request{Tenant: tenant, IsRetry: ask.Repeat, KeyHash: hashKey(ask.Mark),
+		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[class]})
 }
 
 // hashed names a client's mark; 0: it gave none.
-func hashed(mark string) uint64 {
-	if mark == "" {
+func hashKey(key string) uint64 {
+	if key == "" {
 		return 0
 	}
-	return max(1, xxhash.Sum64String(mark))
+	return max(1, xxhash.Sum64String(key))
 }
 
 // spread gives the pause that a refusal of the module's carries to its client.
-func (g *Gateway) spread(j *job, stay control.Micros) control.Micros {
-	if g.storm == nil {
-		return stay
+func (g *Gateway) spreadRetryAfter(req *request, retryAfter control.Micros) control.Micros {
+	if g.overload == nil {
+		return retryAfter
 	}
-	return g.storm.RecordRejection(g.clock, stay, hashed(j.request.Header.Get(kserve.RepeatMark)))
+	return g.overload.RecordRejection(g.stepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
 }
 
 // watchStorm tells operators of storms, after a turn.
-func (g *Gateway) watchStorm() {
-	if g.storm == nil {
+func (g *Gateway) logOverload() {
+	if g.overload == nil {
 		return
 	}
-	g.metrics.storm.Set(float64(g.storm.Kind()))
-	for _, text := range g.storm.LogLines() {
+	g.metrics.overloadKind.Set(float64(g.overload.Kind()))
+	for _, text := range g.overload.LogLines() {
 		g.log.Warn().Msg("storm: " + text)
 	}
 }
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -47,7 +47,7 @@
 	RecordBounds record.Limits
 
 	StateDir       string                 // folder for what is learned; empty: none
-	files          persistence.FileSystem // of that folder; nil: the machine's
+	fileSystem     persistence.FileSystem // of that folder; nil: the machine's
 	StateInterval  time.Duration          // between two writings
 	KeyRetention   time.Duration          // how long a client's mark of a job that may have run is known
 	MaxKeys        int                    // and how many of them
@@ -78,10 +78,10 @@
 }
 
 // Match finds what is told of a function; ok is false where no pattern matches.
-func (t *Config) Match(name string) (Pattern, bool) {
-	for _, p := range t.Functions {
-		if hit, _ := path.Match(p.Glob, name); hit {
-			return p, true
+func (c *Config) Match(name string) (Pattern, bool) {
+	for _, pattern := range c.Functions {
+		if hit, _ := path.Match(pattern.Glob, name); hit {
+			return pattern, true
 		}
 	}
 	return Pattern{}, false
@@ -97,18 +97,18 @@
 	d := &t.Deployment
 
 	r := f.Section("router")
-	t.Listen = address(r, "listen", "127.0.0.1:8080")
+	t.Listen = parseAddress(r, "listen", "127.0.0.1:8080")
 	t.AdminListen = r.String("admin", "")
 	if t.AdminListen != "" {
-		t.AdminListen = address(r, "admin", "")
+		t.AdminListen = parseAddress(r, "admin", "")
 	}
 	t.EndpointFile = r.String("list", "")
 	if t.ControlPlane = r.String("xds", ""); t.ControlPlane != "" {
-		t.ControlPlane = address(r, "xds", "")
+		t.ControlPlane = parseAddress(r, "xds", "")
 	}
 	if t.ServeView = r.String("serve_view", ""); t.ServeView != "" {
-		t.ServeView = address(r, "serve_view", "")
-		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Bool("serve_view_beyond", false) && !loopback(host) {
+		t.ServeView = parseAddress(r, "serve_view", "")
+		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Bool("serve_view_beyond", false) && !isLoopback(host) {
 			r.Errorf("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
@@ -207,9 +207,9 @@
 	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
 	t.JournalSync = persistence.SyncPolicy(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
 
-	t.secrets(f)
-	t.workloads(f)
-	t.patterns(f)
+	t.parseTLS(f)
+	t.parseClasses(f)
+	t.parsePatterns(f)
 	for _, s := range f.Sections("tenant ") {
 		t.Tenants[strings.TrimPrefix(s.Name, "tenant ")] = control.TenantID(len(d.Quotas))
 		t.TenantNames = append(t.TenantNames, strings.TrimPrefix(s.Name, "tenant "))
@@ -218,12 +218,12 @@
 	return t, f.Check()
 }
 
-func (t *Config) workloads(f *inifile.File) {
+func (c *Config) parseClasses(f *inifile.File) {
 	const day = 24 * time.Hour
 	for _, s := range f.Sections("workload ") {
-		t.ClassNames = append(t.ClassNames, strings.TrimPrefix(s.Name, "workload "))
-		t.Priorities = append(t.Priorities, s.Float("importance", 1, 0, 1e6))
-		w := control.Class{
+		c.ClassNames = append(c.ClassNames, strings.TrimPrefix(s.Name, "workload "))
+		c.Priorities = append(c.Priorities, s.Float("importance", 1, 0, 1e6))
+		class := control.Class{
 			LatencyObjective: micros(s.Duration("start_target", time.Second, time.Millisecond, day)),
 			MaxDeadline:      micros(s.Duration("time_limit", 10*time.Second, time.Millisecond, day)),
 			ObjectivePerWork: s.Float("stretch", 0, 0, 1000),
@@ -231,46 +231,46 @@
 			Scope:            control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
 			Window:           micros(s.Duration("window", 0, 0, day)),
 		}
-		if w.Effect == control.IdempotentByKey && w.Window == 0 {
+		if class.Effect == control.IdempotentByKey && class.Window == 0 {
 			s.Errorf("window", "a fingerprinted workload needs the time for which its repeats are known")
 		}
-		if w.MaxDeadline < w.LatencyObjective {
+		if class.MaxDeadline < class.LatencyObjective {
 			s.Errorf("time_limit", "shorter than the start target")
 		}
-		t.Deployment.Classes = append(t.Deployment.Classes, w)
+		c.Deployment.Classes = append(c.Deployment.Classes, class)
 	}
-	if len(t.ClassNames) == 0 {
+	if len(c.ClassNames) == 0 {
 		f.Section("workload").Errorf("", "no section [workload NAME]")
 	}
 }
 
-func (t *Config) patterns(f *inifile.File) {
+func (c *Config) parsePatterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
-		p := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
-		if _, err := path.Match(p.Glob, ""); err != nil {
+		pattern := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
+		if _, err := path.Match(pattern.Glob, ""); err != nil {
 			s.Errorf("", "malformed pattern")
 		}
-		if len(t.ClassNames) > 0 {
-			p.Class = control.ClassID(s.OneOf("workload", t.ClassNames[0], t.ClassNames...))
+		if len(c.ClassNames) > 0 {
+			pattern.Class = control.ClassID(s.OneOf("workload", c.ClassNames[0], c.ClassNames...))
 		} else {
 			s.Has("workload")
 		}
-		p.Lanes = s.Int("lanes", 1, 1, 1<<12)
-		p.Work = micros(s.Duration("work", 0, 0, time.Hour))
-		p.LoadTime = micros(s.Duration("load_time", 0, 0, time.Hour))
-		t.Functions = append(t.Functions, p)
+		pattern.Lanes = s.Int("lanes", 1, 1, 1<<12)
+		pattern.Work = micros(s.Duration("work", 0, 0, time.Hour))
+		pattern.LoadTime = micros(s.Duration("load_time", 0, 0, time.Hour))
+		c.Functions = append(c.Functions, pattern)
 	}
-	if len(t.Functions) == 0 {
+	if len(c.Functions) == 0 {
 		f.Section("function").Errorf("", "no section [function PATTERN]: no name would be known")
 	}
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func address(s *inifile.Section, key, fallback string) string {
+func parseAddress(s *inifile.Section, key, fallback string) string {
 	v := s.String(key, fallback)
 	if host, port, err := net.SplitHostPort(v); err != nil || host == "" || port == "" {
 		s.Errorf(key, "%q is no address with a port", v)
@@ -283,7 +283,7 @@
 	var list []fleet.Endpoint
 	first := map[string]string{}
 	for _, s := range f.Sections("") {
-		e := fleet.Endpoint{Address: address(s, "address", ""), Zone: s.String("zone", ""), Cell: s.String("cell", ""),
+		e := fleet.Endpoint{Address: parseAddress(s, "address", ""), Zone: s.String("zone", ""), Cell: s.String("cell", ""),
 			Weight: s.Float("power", 1, 0.001, 1e6),
 			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
 		if born := s.String("born", ""); born != "" {
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -16,28 +16,28 @@
 const HistoryFile = "history.db"
 
 // useEvery is how often the history is written: what a killed router loses of it.
-const useEvery = 10 * time.Second
+const historyInterval = 10 * time.Second
 
 // tenantName gives a tenant's name; empty of one that no share is told for.
-func (t *Config) tenantName(id control.TenantID) string {
-	if int(id) < len(t.TenantNames) {
-		return t.TenantNames[id]
+func (c *Config) tenantName(id control.TenantID) string {
+	if int(id) < len(c.TenantNames) {
+		return c.TenantNames[id]
 	}
 	return ""
 }
 
 // who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) who(j *job) history.Subject {
-	if g.told.NameKey != "" {
-		return history.Subject{Function: fmt.Sprintf("#%016x", record.Tag(g.told.NameKey, j.name)), Tenant: j.tenant}
+func (g *Gateway) historyKey(req *request) history.Subject {
+	if g.config.NameKey != "" {
+		return history.Subject{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function)), Tenant: req.tenant}
 	}
-	return history.Subject{Function: j.name, Tenant: j.tenant}
+	return history.Subject{Function: req.function, Tenant: req.tenant}
 }
 
-func (g *Gateway) counts() bool { return g.keeper != nil && g.keeper.tally != nil }
+func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
 
-func (g *Gateway) useAnswered(j *job, word string) {
-	if !g.counts() {
+func (g *Gateway) historyAnswered(req *request, word string) {
+	if !g.keepsHistory() {
 		return
 	}
 	verb := control.NoAction
@@ -48,112 +48,112 @@
 	default:
 		verb = control.Fail
 	}
-	g.keeper.tally.RequestDone(g.clock, g.who(j), verb, g.clock > j.due)
+	g.state.historyTally.RequestDone(g.stepTime, g.historyKey(req), verb, g.stepTime > req.objectiveAt)
 }
 
-func (g *Gateway) useExecuted(now control.Micros, j *job, o control.Outcome) {
-	if g.counts() {
-		g.keeper.tally.AttemptEnded(now, g.who(j), o)
+func (g *Gateway) historyAttempt(now control.Micros, req *request, outcome control.Outcome) {
+	if g.keepsHistory() {
+		g.state.historyTally.AttemptEnded(now, g.historyKey(req), outcome)
 	}
 }
 
-func (g *Gateway) useOrdered(j *job) {
-	if g.counts() {
-		g.keeper.tally.LoadCommanded(g.clock, g.who(j))
+func (g *Gateway) historyLoadCommand(req *request) {
+	if g.keepsHistory() {
+		g.state.historyTally.LoadCommanded(g.stepTime, g.historyKey(req))
 	}
 }
 
 // useOwed is what the history lacks, while it can't be written.
-type useOwed struct {
-	uses    *history.Store
-	log     zerolog.Logger
-	batches []useBatch
-	damaged int // tries in a row that found it so
-	failed  bool
+type historyWriter struct {
+	store        *history.Store
+	log          zerolog.Logger
+	batches      []historyBatch
+	damagedCount int // tries in a row that found it so
+	failed       bool
 }
 
-type useBatch struct {
+type historyBatch struct {
 	number uint64
 	rows   []history.Row
 }
 
 const (
 	// mostOwedRows is some 16 minutes of as many functions as have rows of their own: 8 MB.
-	mostOwedRows = 1 << 14
+	maxQueuedRows = 1 << 14
 	// damagedTries is how often a file has to be found damaged, ten seconds apart, before it is set aside: a disk that can't read
 	// for a moment looks the same.
 	damagedTries = 3
 )
 
 // write adds rows, those first that could not be written before.
-func (o *useOwed) write(rows []history.Row, now int64) {
-	o.batches = append(o.batches, useBatch{uint64(now), rows})
-	err := o.drain(now)
-	if o.damaged++; !errors.Is(err, history.ErrDamaged) {
-		o.damaged = 0
+func (w *historyWriter) write(rows []history.Row, now int64) {
+	w.batches = append(w.batches, historyBatch{uint64(now), rows})
+	err := w.drain(now)
+	if w.damagedCount++; !errors.Is(err, history.ErrDamaged) {
+		w.damagedCount = 0
 	}
-	if o.damaged >= damagedTries {
-		o.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-		if err = o.uses.Quarantine(now); err == nil {
-			err = o.drain(now)
+	if w.damagedCount >= damagedTries {
+		w.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
+		if err = w.store.Quarantine(now); err == nil {
+			err = w.drain(now)
 		}
 	}
 	switch {
-	case err != nil && !o.failed:
-		o.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
-	case err == nil && o.failed:
-		o.log.Info().Msg("the history is written again")
+	case err != nil && !w.failed:
+		w.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
+	case err == nil && w.failed:
+		w.log.Info().Msg("the history is written again")
 	}
-	o.failed = err != nil
-	o.bound()
+	w.failed = err != nil
+	w.dropOldest()
 }
 
-func (o *useOwed) drain(now int64) error {
-	for len(o.batches) > 0 {
-		if err := o.uses.AddOnce(o.batches[0].rows, now, o.batches[0].number); err != nil {
+func (w *historyWriter) drain(now int64) error {
+	for len(w.batches) > 0 {
+		if err := w.store.AddOnce(w.batches[0].rows, now, w.batches[0].number); err != nil {
 			return err
 		}
-		o.batches = o.batches[1:]
+		w.batches = w.batches[1:]
 	}
 	return nil
 }
 
 // bound drops the oldest beyond what may wait: the history owes nobody an answer.
-func (o *useOwed) bound() {
+func (w *historyWriter) dropOldest() {
 	n := 0
-	for i := len(o.batches) - 1; i >= 0; i-- {
-		if n += len(o.batches[i].rows); n > mostOwedRows {
-			o.batches = o.batches[i+1:]
+	for i := len(w.batches) - 1; i >= 0; i-- {
+		if n += len(w.batches[i].rows); n > maxQueuedRows {
+			w.batches = w.batches[i+1:]
 			return
 		}
 	}
 }
 
 // keepUse writes the history now and again until the gateway has ended, and then once more.
-func (k *keeper) keepUse(g *Gateway) {
-	defer close(k.useKept)
-	ticker := time.NewTicker(useEvery)
+func (keeper *stateKeeper) runHistory(g *Gateway) {
+	defer close(keeper.historyClosed)
+	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
 	taken := make(chan *history.Batch, 1)
-	owed := useOwed{uses: k.uses, log: k.log}
+	owed := historyWriter{store: keeper.history, log: keeper.log}
 	write := func(t *history.Batch) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
-			g.afterTurn(func(control.Micros) {
+			g.afterStep(func(control.Micros) {
 				if len(taken) == 0 { // else the disk is behind: it stays in the tally
-					taken <- k.tally.Drain()
+					taken <- keeper.historyTally.Drain()
 				}
 			})
 		case t := <-taken:
 			write(t)
-		case <-g.ended:
+		case <-g.loopEnded:
 			select {
 			case t := <-taken:
 				write(t)
 			default:
 			}
-			write(k.lastUse)
+			write(keeper.finalHistory)
 			return
 		}
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -9,12 +9,12 @@
 )
 
 // viewEvery is how often what we see is looked at: several times within the grace of those who follow us.
-const viewEvery = 50 * time.Millisecond
+const viewInterval = 50 * time.Millisecond
 
 // publish serves what this router sees until it has ended: copied between two turns, told outside them.
-func (g *Gateway) publish() {
+func (g *Gateway) publishView() {
 	defer g.view.Close()
-	ticker := time.NewTicker(viewEvery)
+	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
 	copies := make(chan []xds.ServerView, 1)
 	for {
@@ -23,23 +23,23 @@
 			if !g.ready.Load() {
 				continue // no list was heard: an empty view would have followers drop all
 			}
-			g.afterTurn(func(now control.Micros) {
+			g.afterStep(func(now control.Micros) {
 				if len(copies) == 0 {
-					copies <- g.seen()
+					copies <- g.viewServers()
 				}
 			})
 		case seen := <-copies:
 			if err := g.view.Publish(g.now(), seen); err != nil {
 				g.log.Error().Err(err).Msg("our view can't be served")
 			}
-		case <-g.ended:
+		case <-g.loopEnded:
 			return
 		}
 	}
 }
 
 // seen gives the servers as this router sees them.
-func (g *Gateway) seen() []xds.ServerView {
+func (g *Gateway) viewServers() []xds.ServerView {
 	suspects := g.core.EjectedServers()
 	var out []xds.ServerView
 	for _, s := range g.fleet.Servers() {
@@ -50,10 +50,10 @@
 		case suspects[s.ID]:
 			v.Health = membership.Unhealthy
 		}
-		if p := g.pools[s.ID]; p != nil {
-			v.InFlight = len(p.out)
+		if pool := g.pools[s.ID]; pool != nil {
+			v.InFlight = len(pool.open)
 		}
-		if r, said := g.tally.LastReport(s.Address); said {
+		if r, said := g.loadTally.LastReport(s.Address); said {
 			v.HasLoadReport, v.Utilization, v.PendingLoads, v.PinnedMemory = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -19,190 +19,190 @@
 )
 
 // pool is the connections to one server. The turn owns it.
-type pool struct {
+type serverPool struct {
 	id      control.ServerID
 	address string
 	conns   attempt.Connections
-	idle    []*link // the last used at the end
-	out     map[*sending]struct{}
+	idle    []*serverConn // the last used at the end
+	open    map[*serverCall]struct{}
 }
 
 // link is one connection to a server; a goroutine of its own owns it.
-type link struct {
-	g       *Gateway
-	address string
-	work    chan *sending // holds one
-	since   control.Micros
-	client  atomic.Pointer[rest.Client]
+type serverConn struct {
+	gateway   *Gateway
+	address   string
+	calls     chan *serverCall // holds one
+	idleSince control.Micros
+	client    atomic.Pointer[rest.Client]
 }
 
 // sending is one execution or order on its way.
-type sending struct {
-	job      *job // nil of an order
-	no       control.AttemptID
-	order    control.LoadCommand
-	to       control.ServerID
-	request  *rest.Request
-	round    *persistence.Batch // of the journal, in which it must be before it is written; nil: none
-	until    control.Micros     // it is not written later
-	deadline time.Time
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stage    atomic.Int32 // an attempt.Stage
-	link     *link
-	state    attempt.Progress // the turn's
+type serverCall struct {
+	request      *request // nil of an order
+	attempt      control.AttemptID
+	load         control.LoadCommand
+	to           control.ServerID
+	message      *rest.Request
+	journalRound *persistence.Batch // of the journal, in which it must be before it is written; nil: none
+	writeBefore  control.Micros     // it is not written later
+	deadline     time.Time
+	ctx          context.Context
+	cancel       context.CancelFunc
+	stage        atomic.Int32 // an attempt.Stage
+	conn         *serverConn
+	progress     attempt.Progress // the turn's
 }
 
-func (g *Gateway) sending(to control.ServerID, allow control.Micros) *sending {
-	s := &sending{to: to, until: attempt.WriteUntil(g.listAsOf, micros(g.told.GracePeriod)), deadline: g.started.Add(span(g.clock + allow - g.epoch))}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
-	return s
+func (g *Gateway) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+	call := &serverCall{to: to, writeBefore: attempt.WriteUntil(g.endpointsAsOf, micros(g.config.GracePeriod)), deadline: g.startedAt.Add(duration(g.stepTime + timeout - g.epoch))}
+	call.ctx, call.cancel = context.WithCancel(context.Background())
+	return call
 }
 
 // withdraw takes back what is not yet being written; what is goes on.
-func (s *sending) withdraw() bool {
-	if !attempt.Transition(&s.stage, attempt.Stage.Withdraw) {
+func (call *serverCall) withdraw() bool {
+	if !attempt.Transition(&call.stage, attempt.Stage.Withdraw) {
 		return false
 	}
-	s.cancel()
+	call.cancel()
 	return true
 }
 
 // callOff also breaks off what was written.
-func (s *sending) callOff() {
-	if s.state.Cancel() && !s.withdraw() && s.link != nil {
-		if c := s.link.client.Load(); c != nil {
-			c.Abort()
+func (call *serverCall) abandon() {
+	if call.progress.Cancel() && !call.withdraw() && call.conn != nil {
+		if client := call.conn.client.Load(); client != nil {
+			client.Abort()
 		}
 	}
 }
 
 // dispatch hands a sending to an idle connection, or opens one.
-func (g *Gateway) dispatch(s *sending) {
-	p := g.pools[s.to]
-	if p == nil {
-		p = &pool{id: s.to, address: g.fleet.Get(s.to).Address, out: map[*sending]struct{}{}}
-		g.pools[s.to] = p
+func (g *Gateway) dispatch(call *serverCall) {
+	pool := g.pools[call.to]
+	if pool == nil {
+		pool = &serverPool{id: call.to, address: g.fleet.Get(call.to).Address, open: map[*serverCall]struct{}{}}
+		g.pools[call.to] = pool
 	}
-	p.out[s] = struct{}{}
-	s.request.Header["Host"] = []string{p.address}
-	s.request.Header["Via"] = append(s.request.Header["Via"][:len(s.request.Header["Via"]):len(s.request.Header["Via"])], g.via)
-	switch p.conns.Acquire(g.told.MaxConnsPerServer) {
+	pool.open[call] = struct{}{}
+	call.message.Header["Host"] = []string{pool.address}
+	call.message.Header["Via"] = append(call.message.Header["Via"][:len(call.message.Header["Via"]):len(call.message.Header["Via"])], g.via)
+	switch pool.conns.Acquire(g.config.MaxConnsPerServer) {
 	case attempt.Reuse:
-		n := len(p.idle)
-		s.link = p.idle[n-1]
-		p.idle = p.idle[:n-1]
+		n := len(pool.idle)
+		call.conn = pool.idle[n-1]
+		pool.idle = pool.idle[:n-1]
 	case attempt.OpenNew:
-		s.link = &link{g: g, address: p.address, work: make(chan *sending, 1)}
-		g.links.Add(1)
-		go s.link.serve()
+		call.conn = &serverConn{gateway: g, address: pool.address, calls: make(chan *serverCall, 1)}
+		g.serverConns.Add(1)
+		go call.conn.run()
 	case attempt.NoneLeft: // never sent; told in the next turn, since this one is still asking
-		g.tell(func(now control.Micros) { g.over(now, s, exchange{result: control.NotSent}, false) })
+		g.post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}, false) })
 		return
 	}
-	s.link.work <- s
+	call.conn.calls <- call
 }
 
 // exchange is what came of a sending.
-type exchange struct {
+type callResult struct {
 	result   control.Result
 	response *rest.Response
-	took     time.Duration
+	duration time.Duration
 }
 
-func (l *link) serve() {
-	defer l.g.links.Done()
-	for s := range l.work {
-		e := l.carry(s)
-		s.cancel()
-		open := l.client.Load() != nil
-		l.g.tell(func(now control.Micros) { l.g.over(now, s, e, open) })
+func (sc *serverConn) run() {
+	defer sc.gateway.serverConns.Done()
+	for call := range sc.calls {
+		result := sc.exchange(call)
+		call.cancel()
+		open := sc.client.Load() != nil
+		sc.gateway.post(func(now control.Micros) { sc.gateway.callEnded(now, call, result, open) })
 		if !open {
 			return
 		}
 	}
-	if c := l.client.Load(); c != nil {
-		c.Close()
+	if client := sc.client.Load(); client != nil {
+		client.Close()
 	}
 }
 
 // carry does one exchange. The connection is kept only where it may be used again.
-func (l *link) carry(s *sending) (e exchange) {
+func (sc *serverConn) exchange(call *serverCall) (result callResult) {
 	begun := time.Now()
-	defer func() { e.took = time.Since(begun) }()
-	c := l.client.Load()
-	if c != nil && c.Stale() { // closed while it was idle: nothing of this job was on it
-		c.Close()
-		c = nil
-		l.client.Store(nil)
+	defer func() { result.duration = time.Since(begun) }()
+	client := sc.client.Load()
+	if client != nil && client.Stale() { // closed while it was idle: nothing of this job was on it
+		client.Close()
+		client = nil
+		sc.client.Store(nil)
 	}
-	if c == nil {
+	if client == nil {
 		var err error
-		if c, err = l.dial(s); err != nil {
-			return exchange{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
+		if client, err = sc.dial(call); err != nil {
+			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
 		}
-		l.client.Store(c)
+		sc.client.Store(client)
 	}
-	kept := s.kept(l.g.now()) && l.g.wanted(s.job) && s.tellsLeft()
-	if !attempt.Transition(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
-		return st.Write(kept, l.g.now(), s.until)
+	kept := call.awaitJournal(sc.gateway.now()) && sc.gateway.clientWaits(call.request) && call.stateTimeLeft()
+	if !attempt.Transition(&call.stage, func(st attempt.Stage) (attempt.Stage, bool) {
+		return st.Write(kept, sc.gateway.now(), call.writeBefore)
 	}) {
-		return exchange{result: control.NotSent}
+		return callResult{result: control.NotSent}
 	}
-	p, progress, err := c.Do(s.request, s.deadline)
-	if err == nil && !p.Close {
-		return exchange{result: resultOf(p, s.job == nil), response: p}
+	resp, progress, err := client.Do(call.message, call.deadline)
+	if err == nil && !resp.Close {
+		return callResult{result: responseResult(resp, call.request == nil), response: resp}
 	}
-	c.Close()
-	l.client.Store(nil)
+	client.Close()
+	sc.client.Store(nil)
 	if err == nil {
-		return exchange{result: resultOf(p, s.job == nil), response: p}
+		return callResult{result: responseResult(resp, call.request == nil), response: resp}
 	}
-	return exchange{result: BrokenExchangeResult(progress, err)}
+	return callResult{result: BrokenExchangeResult(progress, err)}
 }
 
 // wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
 // unread in the socket, as after a stop of the process.
-func (g *Gateway) wanted(j *job) bool {
+func (g *Gateway) clientWaits(req *request) bool {
 	now := g.now()
-	if j == nil || !attempt.MustCheckClient(now-control.Micros(j.seen.Load())) {
+	if req == nil || !attempt.MustCheckClient(now-control.Micros(req.clientCheckedAt.Load())) {
 		return true
 	}
-	if j.client.PeerClosed() {
-		g.tell(func(now control.Micros) { g.left(now, j) })
+	if req.client.PeerClosed() {
+		g.post(func(now control.Micros) { g.handleClientClosed(now, req) })
 		return false
 	}
-	j.seen.Store(int64(now))
+	req.clientCheckedAt.Store(int64(now))
 	return true
 }
 
 // tellsLeft has an execution tell how long it is waited for; no tells that it has no time left. Guards against a figure from when
 // it was chosen: a dial, the journal or a stop of the process may have taken much of it.
-func (s *sending) tellsLeft() bool {
-	left := time.Until(s.deadline).Milliseconds()
-	if s.job != nil {
-		s.request.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
+func (call *serverCall) stateTimeLeft() bool {
+	left := time.Until(call.deadline).Milliseconds()
+	if call.request != nil {
+		call.message.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
 	}
 	return left > 0
 }
 
 var errWithdrawn = errors.New("withdrawn")
 
-func (l *link) dial(s *sending) (*rest.Client, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, min(l.g.told.DialTimeout, time.Until(s.deadline)))
+func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
+	ctx, cancel := context.WithTimeout(call.ctx, min(sc.gateway.config.DialTimeout, time.Until(call.deadline)))
 	defer cancel()
 	select {
-	case l.g.dials <- struct{}{}:
-		defer func() { <-l.g.dials }()
+	case sc.gateway.dialing <- struct{}{}:
+		defer func() { <-sc.gateway.dialing }()
 	case <-ctx.Done():
 		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
 	}
 	var before error // why the try before failed, through no fault of the server's
-	for pause := dialPause; ; pause = min(2*pause, dialPauseMost) {
-		c, err := l.g.connect(ctx, l.address)
+	for pause := dialPause; ; pause = min(2*pause, maxDialPause) {
+		client, err := sc.gateway.dial(ctx, sc.address)
 		switch {
 		case err == nil:
-			return c, nil
+			return client, nil
 		case rest.LocalFailure(err), rest.TransientFailure(err):
 		case rest.LocalFailure(before) && os.IsTimeout(err):
 			return nil, before // the server had but the rest of the time
@@ -220,61 +220,61 @@
 
 // A dial that failed for a moment is tried again after dialPause, doubled up to dialPauseMost: such a moment may be a packet's.
 const (
-	dialPause     = 2 * time.Millisecond
-	dialPauseMost = 50 * time.Millisecond
+	dialPause    = 2 * time.Millisecond
+	maxDialPause = 50 * time.Millisecond
 )
 
 // workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
-var workerLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
+var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
 
 // over takes in the end of a sending, and its link back if it can be used again.
-func (g *Gateway) over(now control.Micros, s *sending, e exchange, open bool) {
-	p := g.pools[s.to]
-	delete(p.out, s)
-	s.state.End()
-	if s.link != nil {
-		switch keep := p.conns.Release(open, g.listedThere(s.to)); {
+func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, open bool) {
+	pool := g.pools[call.to]
+	delete(pool.open, call)
+	call.progress.End()
+	if call.conn != nil {
+		switch keep := pool.conns.Release(open, g.isListed(call.to)); {
 		case keep:
-			s.link.since = now
-			p.idle = append(p.idle, s.link)
+			call.conn.idleSince = now
+			pool.idle = append(pool.idle, call.conn)
 		case open:
-			close(s.link.work)
+			close(call.conn.calls)
 		}
 	}
-	if s.job == nil {
+	if call.request == nil {
 		copies := -1
-		if e.response != nil {
-			copies = kserve.Copies(e.response.Body)
+		if result.response != nil {
+			copies = kserve.Copies(result.response.Body)
 		}
-		if e.result == control.Succeeded && copies < 0 {
-			copies = s.order.Replicas // an answer that tells no number has done what was asked
+		if result.result == control.Succeeded && copies < 0 {
+			copies = call.load.Replicas // an answer that tells no number has done what was asked
 		}
-		g.ordered(now, s, e.result, micros(e.took), copies)
+		g.loadCommandEnded(now, call, result.result, micros(result.duration), copies)
 		return
 	}
-	o := control.Outcome{Result: e.result}
-	if e.response != nil {
-		o = OutcomeOf(e.response, false)
+	outcome := control.Outcome{Result: result.result}
+	if result.response != nil {
+		outcome = OutcomeOf(result.response, false)
 	}
-	o.Attempt, o.Server, o.Duration = s.no, s.to, micros(e.took)
-	g.executed(now, s, o, e.response)
+	outcome.Attempt, outcome.Server, outcome.Duration = call.attempt, call.to, micros(result.duration)
+	g.attemptEnded(now, call, outcome, result.response)
 }
 
-func (g *Gateway) listedThere(id control.ServerID) bool {
+func (g *Gateway) isListed(id control.ServerID) bool {
 	s := g.fleet.Get(id)
 	return s != nil && s.State != control.Removed
 }
 
 // execution is the request of one execution: the client's own, with what is ours to say.
-func (g *Gateway) execution(j *job, no control.AttemptID) *rest.Request {
-	h := forwarded(j.request.Header)
-	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(no) + 1)}
-	h[kserve.RepeatMark] = []string{j.mark}
-	return &rest.Request{Method: "POST", Target: j.call.Target(), Header: h, Body: j.request.Body}
+func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
+	h := forwardedHeader(req.message.Header)
+	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
+	h[kserve.RepeatMark] = []string{req.idempotencyKey}
+	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: h, Body: req.message.Body}
 }
 
 // forwarded copies the fields that are meant for the other end, without those for one connection (RFC 9110, 7.6.1).
-func forwarded(h rest.Header) rest.Header {
+func forwardedHeader(h rest.Header) rest.Header {
 	to := make(rest.Header, len(h)+3)
 	for k, v := range h {
 		switch k {
@@ -294,49 +294,49 @@
 
 // withdrawFrom takes back all that is not yet being written to a server that takes nothing new.
 func (g *Gateway) withdrawFrom(id control.ServerID) {
-	p := g.pools[id]
-	if p == nil {
+	pool := g.pools[id]
+	if pool == nil {
 		return
 	}
-	for s := range p.out { // their outcomes come in the order of their own goroutines anyway
-		s.withdraw()
+	for call := range pool.open { // their outcomes come in the order of their own goroutines anyway
+		call.withdraw()
 	}
-	g.closeIdle(p, func(*link) bool { return true })
+	g.closeIdle(pool, func(*serverConn) bool { return true })
 }
 
-func (g *Gateway) closeIdle(p *pool, which func(*link) bool) {
-	kept := p.idle[:0]
-	for _, l := range p.idle {
-		if which(l) {
-			close(l.work)
-			p.conns.CloseIdle()
+func (g *Gateway) closeIdle(pool *serverPool, which func(*serverConn) bool) {
+	kept := pool.idle[:0]
+	for _, sc := range pool.idle {
+		if which(sc) {
+			close(sc.calls)
+			pool.conns.CloseIdle()
 		} else {
-			kept = append(kept, l)
+			kept = append(kept, sc)
 		}
 	}
-	clear(p.idle[len(kept):])
-	p.idle = kept
+	clear(pool.idle[len(kept):])
+	pool.idle = kept
 }
 
 // prune closes connections that were idle for long, and forgets pools and servers that are gone.
 func (g *Gateway) prune(now control.Micros) {
 	const every = 1_000_000 // idle times are many seconds
-	if now < g.pruned+every {
+	if now < g.prunedAt+every {
 		return
 	}
-	g.pruned = now
-	for id, p := range g.pools {
-		g.closeIdle(p, func(l *link) bool { return now-l.since > micros(g.told.ServerIdleTimeout) })
-		if p.conns.All == 0 && len(p.out) == 0 && !g.listedThere(id) {
+	g.prunedAt = now
+	for id, pool := range g.pools {
+		g.closeIdle(pool, func(sc *serverConn) bool { return now-sc.idleSince > micros(g.config.ServerIdleTimeout) })
+		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
 			delete(g.pools, id)
 		}
 	}
-	g.tally.Prune(func(address string) bool { return g.listedThere(fleet.ID(address)) })
+	g.loadTally.Prune(func(address string) bool { return g.isListed(fleet.ID(address)) })
 	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
 func (g *Gateway) closePools() {
-	for _, p := range g.pools {
-		g.closeIdle(p, func(*link) bool { return true })
+	for _, pool := range g.pools {
+		g.closeIdle(pool, func(*serverConn) bool { return true })
 	}
 }
