--- a/internal/chaostest/changes.go
+++ b/internal/chaostest/churn.go
@@ -12,8 +12,6 @@
 	"syscall"
 	"time"
 
-	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
-
 	"hollymast/internal/fakeserver"
 	"hollymast/internal/invariant"
 )
@@ -44,27 +42,6 @@
 	BrokenConnections  int // client connections that ended without an answer
 }
 
-// members gives the control plane's view: two clusters that share the servers between them.
-func (p *harness) clusterMembers(states []string) func(map[string][]fakeserver.Endpoint) {
-	return func(clusters map[string][]fakeserver.Endpoint) {
-		clusters["even"], clusters["odd"] = nil, nil
-		for i, s := range p.servers {
-			m := fakeserver.Endpoint{Address: s.Address(), Zone: zone(i), Cell: zone(i), Health: core.HealthStatus_HEALTHY}
-			if born, cold := s.StartedAt(); cold {
-				m.StartedAt = born.UTC().Format(time.RFC3339Nano)
-			}
-			switch states[i] {
-			case "draining":
-				m.Health = core.HealthStatus_DRAINING
-			case "gone":
-				continue
-			}
-			name := []string{"even", "odd"}[i%2]
-			clusters[name] = append(clusters[name], m)
-		}
-	}
-}
-
 // PlayChanges plays them with a router of the named program.
 func RunChurn(ctx context.Context, c Churn, program string) (f *ChurnResult, err error) {
 	dir, err := os.MkdirTemp("", "hmchaos-changes-")
