--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -26,13 +26,13 @@
 func (s Stage) Withdraw() (next Stage, ok bool) { return Withdrawn, s == Chosen }
 
 // Write begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
-// old (WriteUntil): a later list may forbid the server. Kept is true if the journal holds what it must hold
-// before the first byte.
+// old (WriteUntil): a later list may forbid the server. allowed is false if the client no longer waits, or the
+// journal does not hold what it must hold before the first byte.
 func (s Stage) Write(allowed bool, now, until control.Micros) (next Stage, ok bool) {
 	return Writing, s == Chosen && allowed && now <= until
 }
 
-// Step makes a transition of a stage that the event loop and a connection share; it returns false if the stage
+// Transition makes a transition of a stage that the event loop and a connection share; it returns false if the stage
 // does not allow it.
 func Transition(shared *atomic.Int32, transition func(Stage) (next Stage, ok bool)) bool {
 	for {
@@ -58,18 +58,18 @@
 
 // Cancel stops waiting for it. Act is true if there is something to stop: withdraw it if it is not being
 // written, else abort it. After its end nothing may be stopped, since its connection may carry another.
-func (s *Progress) Cancel() (act bool) {
-	if s.Cancelled || s.Ended {
+func (p *Progress) Cancel() (act bool) {
+	if p.Cancelled || p.Ended {
 		return false
 	}
-	s.Cancelled = true
+	p.Cancelled = true
 	return true
 }
 
 // End handles its end; first is false if it was handled before.
-func (s *Progress) End() (first bool) {
-	first = !s.Ended
-	s.Ended = true
+func (p *Progress) End() (first bool) {
+	first = !p.Ended
+	p.Ended = true
 	return first
 }
 
@@ -195,7 +195,7 @@
 // CloseIdle counts an idle connection as closed.
 func (c *Connections) CloseIdle() { c.Idle--; c.All-- }
 
-// KeyedRetryFreshness bounds, in microseconds, the way of a further attempt with an idempotency key to its
+// MaxKeyedRetryDelay bounds, in microseconds, the way of a further attempt with an idempotency key to its
 // server: half of what the balancer allows for it (control.mayRetry), so that the servers that share the key
 // still remember the earlier attempt.
 const MaxKeyedRetryDelay = control.Micros(25_000)
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -30,5 +30,5 @@
 	return wait/2 + time.Duration(b.random.Int64N(int64(wait/2)+1))
 }
 
-// Well resets the wait to the first after a success.
+// Reset resets the wait to the first after a success.
 func (b *Backoff) Reset() { b.next = b.first }
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -19,14 +19,14 @@
 type ID uint64
 
 const (
-	markFromRouter = 76
-	markFromServer = 108
+	magicToServer = 76
+	magicToRouter = 108
 
 	headLength = 16
 	checkBytes = 4
 
 	codeRequest = 65
-	codeGiveUp  = 66
+	codeCancel  = 66
 	codeLoad    = 69
 
 	codeOK      = 97
@@ -75,7 +75,7 @@
 }
 
 // CancelFrame returns the frame that cancels an attempt.
-func CancelFrame(id ID) []byte { return frame(codeGiveUp, id, "", nil) }
+func CancelFrame(id ID) []byte { return frame(codeCancel, id, "", nil) }
 
 // LoadFrame returns the frame of a load command for a number of replicas; with 0 it only asks how many there
 // are.
@@ -86,7 +86,7 @@
 // frame returns a frame: header, fields, body and the CRC-32 of the latter two.
 func frame(code byte, id ID, fields string, body []byte) []byte {
 	b := make([]byte, 0, headLength+len(fields)+len(body)+checkBytes)
-	b = append(b, markFromRouter, code)
+	b = append(b, magicToServer, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, uint64(id))
@@ -132,7 +132,7 @@
 	if _, err := io.ReadFull(r, head[:1]); err != nil {
 		return nil, err
 	}
-	if head[0] != markFromServer {
+	if head[0] != magicToRouter {
 		return nil, ErrMagic
 	}
 	if _, err := io.ReadFull(r, head[1:]); err != nil {
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -14,7 +14,7 @@
 
 // answer returns a server's frame.
 func answer(code byte, id uint64, fields string, body []byte) []byte {
-	b := []byte{markFromServer, code}
+	b := []byte{magicToRouter, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
@@ -31,7 +31,7 @@
 		Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
 	want := answer(codeRequest, uint64(a.ID), fields, a.Body)
-	want[0] = markFromRouter
+	want[0] = magicToServer
 	if got := a.Frame(); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
@@ -39,7 +39,7 @@
 
 func TestOrderFrame(t *testing.T) {
 	want := answer(codeLoad, 5, "thing=00000000000000ff,pods=2", nil)
-	want[0] = markFromRouter
+	want[0] = magicToServer
 	if got := LoadFrame(5, 0xff, 2); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -16,8 +16,8 @@
 // is read by it or by whoever needs the endpoint list now (CatchUp), under one lock.
 type Client struct {
 	grace          time.Duration // within which a change of the list must take effect
-	updated        func(fleet.Update)
-	note           func(text string, err error)
+	onUpdate       func(fleet.Update)
+	report         func(text string, err error)
 	addressChanged chan struct{} // capacity 1: the address changed
 	backoff        *backoff.Backoff
 
@@ -31,35 +31,35 @@
 	address string
 	state   State
 	watch   *watch // nil: not connected
-	// complete is the last time of which it is known that the state holds all that the server had sent by then.
-	complete time.Time
+	// completeAsOf is the last time of which it is known that the state holds all that the server had sent by then.
+	completeAsOf time.Time
 }
 
-// NewClient returns a client that goes on from a state. Updated is called with each change, in their order, with
-// a lock held: it must not block or call the client. Note is called with what went wrong.
-func NewClient(state State, address string, grace time.Duration, seed uint64, updated func(fleet.Update),
-	note func(string, error)) *Client {
+// NewClient returns a client that goes on from a state. onUpdate is called with each change, in their order,
+// with a lock held: it must not block or call the client. report is called with what went wrong.
+func NewClient(state State, address string, grace time.Duration, seed uint64, onUpdate func(fleet.Update),
+	report func(string, error)) *Client {
 	return &Client{
 		state:          state,
 		address:        address,
 		grace:          grace,
-		updated:        updated,
-		note:           note,
+		onUpdate:       onUpdate,
+		report:         report,
 		addressChanged: make(chan struct{}, 1),
 		started:        make(chan struct{}),
-		backoff:        backoff.New(seed, pauseFirst, pauseMost),
+		backoff:        backoff.New(seed, minBackoff, maxBackoff),
 	}
 }
 
 const (
-	// silence is how long nothing may arrive before the connection counts as broken. A message comes each second:
+	// silenceTimeout is how long nothing may arrive before the connection counts as broken. A message comes each second:
 	// one and a half without leaves time to reconnect well within the 4 s after which all counts as listed.
-	silence = 1500 * time.Millisecond
-	// dialTime bounds connecting, a few round trips, well within the 2 s after a break.
-	dialTime = 500 * time.Millisecond
-	// pauseFirst and pauseMost bound the backoff between two failed attempts: with a dial that hangs the longest
+	silenceTimeout = 1500 * time.Millisecond
+	// dialTimeout bounds connecting, a few round trips, well within the 2 s after a break.
+	dialTimeout = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff between two failed attempts: with a dial that hangs the longest
 	// stays within the 2 s after a break.
-	pauseFirst, pauseMost = 20 * time.Millisecond, time.Second
+	minBackoff, maxBackoff = 20 * time.Millisecond, time.Second
 )
 
 // SetAddress makes the client go on at another address. The old connection is read until the new one is
@@ -88,7 +88,7 @@
 	if w := c.watch; w != nil {
 		if w.readAll(c) == nil {
 			c.noteComplete(w)
-			return w.complete
+			return w.completeAsOf
 		}
 	}
 	return time.Now()
@@ -100,13 +100,13 @@
 func (c *Client) CompleteAsOf() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.complete
+	return c.completeAsOf
 }
 
 // noteComplete records that all that has arrived on a watch was read. The lock is held.
 func (c *Client) noteComplete(w *watch) {
 	if c.state.UpToDate() && len(w.unread) == 0 && !w.skipping {
-		c.complete = w.complete
+		c.completeAsOf = w.completeAsOf
 	}
 }
 
@@ -114,7 +114,7 @@
 // answered, has had its time to, or can't be reached.
 func (c *Client) Started() <-chan struct{} { return c.started }
 
-func (c *Client) start() { c.startOnce.Do(func() { close(c.started) }) }
+func (c *Client) markStarted() { c.startOnce.Do(func() { close(c.started) }) }
 
 // Run keeps the state up to date until the context ends. It is called once.
 func (c *Client) Run(ctx context.Context) {
@@ -130,18 +130,18 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.start()
-		c.note("asking the notice board again", err)
+		c.markStarted()
+		c.report("asking the notice board again", err)
 		if errors.Is(err, errAddressChanged) {
 			c.backoff.Reset()
-			c.takeAddressChange()
+			c.clearAddressChanged()
 			continue
 		}
-		if c.Revision() > revision || time.Since(began) >= silence { // the connection was of use
+		if c.Revision() > revision || time.Since(began) >= silenceTimeout { // the connection was of use
 			c.backoff.Reset()
 		}
 		select {
-		case <-time.After(c.backoff.NextWithin(c.withinUrgency(pauseMost))):
+		case <-time.After(c.backoff.NextWithin(c.limitWait(maxBackoff))):
 		case <-c.addressChanged:
 			c.backoff.Reset()
 		case <-ctx.Done():
@@ -163,9 +163,9 @@
 	return c.state.UpToDate()
 }
 
-// withinUrgency bounds a wait. While it is urgent a pause and a dial take a quarter of the grace each at most;
-// the other half is for the answer and the way to the model server (attempt.EndpointsFresh).
-func (c *Client) withinUrgency(usual time.Duration) time.Duration {
+// limitWait bounds a wait. While a watch is urgent, a pause and a dial take a quarter of the grace each at most;
+// the other half is for the answer and the way to the model server (attempt.MaxEndpointsAge).
+func (c *Client) limitWait(usual time.Duration) time.Duration {
 	if time.Now().Before(c.urgentUntil) {
 		return min(usual, c.grace/4)
 	}
@@ -177,7 +177,7 @@
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
-	dialer := net.Dialer{Timeout: c.withinUrgency(dialTime)}
+	dialer := net.Dialer{Timeout: c.limitWait(dialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 	}
 	if c.watch != nil {
 		c.watch.readAll(c)
-		c.drop(c.watch)
+		c.closeWatch(c.watch)
 	}
 	w, err := newWatch(conn, address, c.state.Revision())
 	if err != nil {
@@ -211,12 +211,12 @@
 	})
 	defer unblock()
 	// A server with nothing new says so only with its next heartbeat.
-	answerTime := time.AfterFunc(c.grace/4, c.start)
+	answerTime := time.AfterFunc(c.grace/4, c.markStarted)
 	defer answerTime.Stop()
 	for {
 		err := w.wait(func(fd uintptr) error { return c.readReady(ctx, w, fd) })
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			err = c.lookAgain(ctx, w)
+			err = c.readAfterDeadline(ctx, w)
 		}
 		if errors.Is(err, errAddressChanged) {
 			return err
@@ -238,7 +238,7 @@
 		return err
 	}
 	c.noteComplete(w)
-	w.conn.SetReadDeadline(w.lastLine.Add(silence))
+	w.conn.SetReadDeadline(w.lastLine.Add(silenceTimeout))
 	return nil
 }
 
@@ -254,17 +254,17 @@
 	return nil
 }
 
-// takeAddressChange clears the signal of an address change that is being acted on.
-func (c *Client) takeAddressChange() {
+// clearAddressChanged clears the signal of an address change that is being acted on.
+func (c *Client) clearAddressChanged() {
 	select {
 	case <-c.addressChanged:
 	default:
 	}
 }
 
-// lookAgain reads once more after the deadline of a watch has passed. It guards against a deadline that passed
-// while this process was stopped: what arrived meanwhile is read before the silence counts.
-func (c *Client) lookAgain(ctx context.Context, w *watch) error {
+// readAfterDeadline reads once more after the deadline of a watch has passed. It guards against a deadline that passed
+// while this process was stalled: what arrived meanwhile is read before the silence counts.
+func (c *Client) readAfterDeadline(ctx context.Context, w *watch) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.stopReason(ctx, w); err != nil {
@@ -273,10 +273,10 @@
 	if err := w.readAll(c); err != nil {
 		return err
 	}
-	if time.Since(w.lastLine) >= silence {
+	if time.Since(w.lastLine) >= silenceTimeout {
 		return errSilent
 	}
-	w.conn.SetReadDeadline(w.lastLine.Add(silence))
+	w.conn.SetReadDeadline(w.lastLine.Add(silenceTimeout))
 	return nil
 }
 
@@ -286,12 +286,12 @@
 	if err != nil {
 		return err
 	}
-	c.start()
+	c.markStarted()
 	switch effect {
 	case EndpointsChanged:
-		c.updated(c.state.Update())
+		c.onUpdate(c.state.Update())
 	case Resubscribe:
-		return errMissing
+		return errEventMissing
 	}
 	return nil
 }
@@ -304,12 +304,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	err = w.end(err)
-	c.drop(w)
+	c.closeWatch(w)
 	return err
 }
 
-// drop closes a watch. The lock is held. Only Run's goroutine calls it, while it isn't reading (CatchUp says why).
-func (c *Client) drop(w *watch) {
+// closeWatch closes a watch. The lock is held. Only Run's goroutine calls it, while it isn't reading (CatchUp says why).
+func (c *Client) closeWatch(w *watch) {
 	w.end(net.ErrClosed)
 	w.conn.Close()
 	if c.watch == w {
@@ -321,6 +321,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.watch != nil {
-		c.drop(c.watch)
+		c.closeWatch(c.watch)
 	}
 }
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -46,7 +46,7 @@
 	StartedAtMS int64   `json:"boot_ms"`
 }
 
-var states = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Removed}
+var serverStates = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Removed}
 
 // State is the endpoint list as received so far. Its zero value is empty. It is not safe for concurrent use.
 type State struct {
@@ -170,7 +170,7 @@
 			delete(s.servers, t.UID)
 			continue
 		}
-		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Endpoint, State: states[t.State], Zone: t.Zone,
+		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Endpoint, State: serverStates[t.State], Zone: t.Zone,
 			Cell: strconv.Itoa(t.Cell), Weight: t.Weight, StartedAt: t.StartedAtMS * 1000}
 	}
 	if full {
@@ -200,7 +200,7 @@
 // check returns an error if any part of the update can't be used: then none of it is.
 func (u *UpdateMessage) check() error {
 	for _, t := range u.Targets {
-		if _, ok := states[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Endpoint == "" {
+		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Endpoint == "" {
 			return fmt.Errorf("notice board: server %q at %q in state %q", t.UID, t.Endpoint, t.State)
 		}
 		if t.StartedAtMS < 0 || t.StartedAtMS > math.MaxInt64/1000 {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,14 +13,14 @@
 // watch is one connection on which a discovery server sends events. It is read without blocking, by whoever
 // holds the client's lock.
 type watch struct {
-	conn     net.Conn
-	raw      syscall.RawConn
-	unread   []byte // read from the connection, but no complete line yet
-	address  string
-	lastLine time.Time // when a line was complete, or the subscription was sent
-	skipping bool      // to the end of a line that is too long
-	complete time.Time // as of when all that had arrived was read
-	ended    error     // why nothing more is read
+	conn         net.Conn
+	raw          syscall.RawConn
+	unread       []byte // read from the connection, but no complete line yet
+	address      string
+	lastLine     time.Time // when a line was complete, or the subscription was sent
+	skipping     bool      // to the end of a line that is too long
+	completeAsOf time.Time // as of when all that had arrived was read
+	ended        error     // why nothing more is read
 }
 
 const (
@@ -33,16 +33,16 @@
 	maxAtOnce = maxLine
 )
 
-// interruptedMost bounds how often a read that a signal interrupts is repeated at once: signals come a few a
+// maxInterruptions bounds how often a read that a signal interrupts is repeated at once: signals come a few a
 // second at most.
-const interruptedMost = 8
+const maxInterruptions = 8
 
 var read = syscall.Read // replaced by tests
 
 // Why a watch ends.
 var (
 	errLineTooLong    = errors.New("a line without an end")
-	errMissing        = errors.New("an event is missing")
+	errEventMissing   = errors.New("an event is missing")
 	errSilent         = errors.New("silent")
 	errAddressChanged = errors.New("turned to another address")
 )
@@ -63,16 +63,16 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.SetWriteDeadline(time.Now().Add(dialTime))
+	conn.SetWriteDeadline(time.Now().Add(dialTimeout))
 	if _, err := fmt.Fprintf(conn, "watch %d\n", revision); err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	return &watch{conn: conn, raw: raw, address: address, lastLine: now, complete: now}, nil
+	return &watch{conn: conn, raw: raw, address: address, lastLine: now, completeAsOf: now}, nil
 }
 
 // readAll reads all that has arrived and passes on each complete line, until there is nothing more or the
-// connection ends. It reads the descriptor itself: a deadline that passed while the process was stopped must not
+// connection ends. It reads the descriptor itself: a deadline that passed while the process was stalled must not
 // hide what has arrived.
 func (w *watch) readAll(to events) error {
 	var err error
@@ -102,11 +102,11 @@
 	for total := 0; total < maxAtOnce; {
 		n, err := read(int(fd), part[:])
 		switch {
-		case errors.Is(err, syscall.EINTR) && interrupted < interruptedMost:
+		case errors.Is(err, syscall.EINTR) && interrupted < maxInterruptions:
 			interrupted++
 			continue
 		case errors.Is(err, syscall.EAGAIN):
-			w.complete = began
+			w.completeAsOf = began
 			return nil
 		case err != nil:
 			return err
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -20,9 +20,9 @@
 		}
 		w := &watch{}
 		err := w.drain(0, nil)
-		ok := times <= interruptedMost
-		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.complete.IsZero() == ok ||
-			calls > interruptedMost+1 {
+		ok := times <= maxInterruptions
+		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.completeAsOf.IsZero() == ok ||
+			calls > maxInterruptions+1 {
 			t.Errorf("interrupted %d times: %v after %d calls", times, err, calls)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -88,10 +88,10 @@
 // lists without a start time has run for long, whenever it is first listed.
 func (f *Fleet) UseSourceClock() { f.sourceClock = true }
 
-// SlowStart sets the duration of slow start.
+// SetSlowStartDuration sets the duration of slow start.
 func (f *Fleet) SetSlowStartDuration(duration control.Micros) { f.slowStart = duration }
 
-// CompleteAsOf sets the time as of which the list is complete: it holds all that its source had sent by then. It
+// SetCompleteAsOf sets the time as of which the list is complete: it holds all that its source had sent by then. It
 // is called after the updates that were sent by then.
 func (f *Fleet) SetCompleteAsOf(asOf control.Micros) { f.completeAsOf = max(f.completeAsOf, asOf) }
 
@@ -254,9 +254,9 @@
 // Prune drops servers that left the list long ago and for which keep returns false. A server that comes back
 // before that with the start time that it had is known not to need slow start.
 func (f *Fleet) Prune(now control.Micros, keep func(control.ServerID) bool) {
-	const long = 600_000_000 // 10 minutes, as long as the balancer keeps them
+	const retention = 600_000_000 // 10 minutes, as long as the balancer keeps them
 	due := 0
-	for due < len(f.removed) && now > f.removed[due].at+long {
+	for due < len(f.removed) && now > f.removed[due].at+retention {
 		due++
 	}
 	if due == 0 {
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -106,7 +106,7 @@
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
 	if f, err := r.readMessage(m); f != nil {
-		var stream *broken
+		var stream *streamError
 		if errors.As(err, &stream) {
 			return nil, stream.err
 		}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return unreadable("body: " + err.Error()), err
 	}
-	if text := m.Request.read(method, fields); text != "" {
+	if text := m.Request.setFields(method, fields); text != "" {
 		return &Fault{Text: text}, nil // the message was read to its end: what follows can be read
 	}
 	m.Request.Body = body
@@ -194,16 +194,16 @@
 	return nil, nil
 }
 
-// broken marks an error of the stream itself.
-type broken struct{ err error }
+// streamError marks an error of the stream itself.
+type streamError struct{ err error }
 
-func (b *broken) Error() string { return b.err.Error() }
+func (b *streamError) Error() string { return b.err.Error() }
 
 // code returns the code of the next value without consuming it.
 func (r *Reader) code() (byte, error) {
 	c, err := r.dec.PeekCode()
 	if err != nil {
-		return 0, &broken{err}
+		return 0, &streamError{err}
 	}
 	return c, nil
 }
@@ -219,7 +219,7 @@
 	}
 	n, err := read()
 	if err != nil {
-		return 0, &broken{err}
+		return 0, &streamError{err}
 	}
 	return n, nil
 }
@@ -241,7 +241,7 @@
 	}
 	n, err := r.dec.DecodeInt64()
 	if err != nil {
-		return 0, &broken{err}
+		return 0, &streamError{err}
 	}
 	if n < 0 || n > limit { // a number beyond int64 is decoded as negative
 		return 0, errors.New("number out of range")
@@ -260,7 +260,7 @@
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r.in, b); err != nil {
-		return nil, &broken{err}
+		return nil, &streamError{err}
 	}
 	return b, nil
 }
@@ -294,8 +294,8 @@
 	return fields, nil
 }
 
-// read sets the request from the fields of a call; fault is what is wrong with them, or empty.
-func (r *Request) read(method string, fields map[string]string) (fault string) {
+// setFields sets the request from the fields of a call; fault is what is wrong with them, or empty.
+func (r *Request) setFields(method string, fields map[string]string) (fault string) {
 	r.Class, r.Tenant, r.Function, r.IdempotencyKey = method, fields["project"], fields["lookup"], fields["replay"]
 	id, err := strconv.ParseUint(fields["ref"], 16, 64)
 	if err != nil || !isHex(fields["ref"], 16) {
@@ -308,7 +308,7 @@
 	if r.IdempotencyKey != "" && !isHex(r.IdempotencyKey, 32) {
 		return "replay: 32 hex digits expected"
 	}
-	timeout, ok := figure(fields["allow"])
+	timeout, ok := parseDecimal(fields["allow"])
 	if !ok || timeout <= 0 {
 		return "allow: a time in milliseconds expected"
 	}
@@ -324,7 +324,7 @@
 			continue
 		}
 		name, value, _ := strings.Cut(pair, ":")
-		v, ok := figure(value)
+		v, ok := parseDecimal(value)
 		if !ok || v <= 0 {
 			return "spec: a positive figure expected"
 		}
@@ -351,8 +351,8 @@
 	return err == nil
 }
 
-// figure reads a plain decimal number: no sign, no exponent, no name such as NaN, and of at most 20 characters.
-func figure(s string) (float64, bool) {
+// parseDecimal parses a plain decimal number: no sign, no exponent, no name such as NaN, and of at most 20 characters.
+func parseDecimal(s string) (float64, bool) {
 	const maxLength = 20
 	if s == "" || len(s) > maxLength || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -370,7 +370,7 @@
 
 // Success returns the response with a server's body.
 func Success(number uint32, body []byte) []byte {
-	return answer(number, len(body), func(e *msgpack.Encoder) {
+	return response(number, len(body), func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
 		e.EncodeBytes(body)
@@ -381,20 +381,22 @@
 // Rejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
 func Rejection(number uint32, retryAfter control.Micros) []byte {
 	if retryAfter <= 0 {
-		return refusal(number, wireRejected)
+		return errorResponse(number, wireRejected)
 	}
-	return refusal(number, wireRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
+	return errorResponse(number, wireRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
 }
 
 // Failure returns the response of a failed request, which may have run.
-func Failure(number uint32) []byte { return refusal(number, wireFailed) }
+func Failure(number uint32) []byte { return errorResponse(number, wireFailed) }
 
 // Invalid returns the response to an invalid message, with the reason.
-func Invalid(number uint32, reason string) []byte { return refusal(number, wireInvalid, "why", reason) }
+func Invalid(number uint32, reason string) []byte {
+	return errorResponse(number, wireInvalid, "why", reason)
+}
 
 // Health returns the response to a health check.
 func Health(number uint32, healthy bool) []byte {
-	return answer(number, 0, func(e *msgpack.Encoder) {
+	return response(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
 		e.EncodeBool(healthy)
@@ -402,9 +404,9 @@
 	})
 }
 
-// refusal returns a response without a result: a word, and names and values in turn.
-func refusal(number uint32, word string, fields ...string) []byte {
-	return answer(number, 0, func(e *msgpack.Encoder) {
+// errorResponse returns a response without a result: a word, and names and values in turn.
+func errorResponse(number uint32, word string, fields ...string) []byte {
+	return response(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeArrayLen(2)
 		e.EncodeString(word)
 		e.EncodeMapLen(len(fields) / 2)
@@ -415,8 +417,8 @@
 	})
 }
 
-// answer writes a response to memory, so that no write fails.
-func answer(number uint32, size int, rest func(*msgpack.Encoder)) []byte {
+// response encodes a response to memory, so that no write fails.
+func response(number uint32, size int, rest func(*msgpack.Encoder)) []byte {
 	var b bytes.Buffer
 	b.Grow(size + 64)
 	e := msgpack.GetEncoder()
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -76,7 +76,7 @@
 func TestFigures(t *testing.T) {
 	for s, want := range map[string]bool{"1500": true, "0.5": true, "": false, "-1": false, "1e9": false, "Inf": false,
 		"NaN": false, "0x10": false, "1.2.3": false, "99999999999999999999": false, " 1": false} {
-		if _, ok := figure(s); ok != want {
+		if _, ok := parseDecimal(s); ok != want {
 			t.Errorf("%q: %v", s, ok)
 		}
 	}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -16,34 +16,34 @@
 // clientConn is one client connection. Its goroutine reads, and it alone decides that nothing more is read: a request
 // was either read before that, or never. The event loop answers through the write queue.
 type clientConn struct {
-	router        *Router
-	conn          net.Conn
-	in            *deadlineReader
-	tracked       *trackedConn
-	writes        writeQueue
-	mu            sync.Mutex
-	open          map[uint32]*request // by message number
-	lastNumber    uint32              // the largest so far
-	healthChecks  int                 // health checks not answered yet
-	awaiting      bool                // the reader waits between messages
-	closing       bool                // it closes as soon as nothing is open
-	aborting      bool                // it closes even amid a message
-	readUntil     time.Time           // only what is pending is read later; zero: no bound
-	faults        int
-	rejected      bool                       // it is read only to be rejected, and does not count towards the limit
-	refusal       func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
-	unanswered    bool                       // the reader's: the request it handles has no answer yet, and is not open
-	sentMessage   atomic.Bool                // a whole message was read
-	idleSince     atomic.Int64               // since when nothing is open, on the router's clock
-	drainTime     time.Duration              // how long input is read after all is written
-	closed        chan struct{}              // closed once the descriptor is free
-	draining      atomic.Bool                // all is written; input is only read and dropped
-	closedNow     atomic.Bool
-	closeNowAsked chan struct{} // closed to end the draining
+	router            *Router
+	conn              net.Conn
+	in                *deadlineReader
+	tracked           *trackedConn
+	writes            writeQueue
+	mu                sync.Mutex
+	open              map[uint32]*request // by message number
+	lastNumber        uint32              // the largest so far
+	healthChecks      int                 // health checks not answered yet
+	awaiting          bool                // the reader waits between messages
+	closing           bool                // it closes as soon as nothing is open
+	aborting          bool                // it closes even amid a message
+	readUntil         time.Time           // only what is pending is read later; zero: no bound
+	faults            int
+	rejected          bool                       // it is read only to be rejected, and does not count towards the limit
+	refusal           func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
+	unanswered        bool                       // the reader's: the request it handles has no answer yet, and is not open
+	sentMessage       atomic.Bool                // a whole message was read
+	idleSince         atomic.Int64               // since when nothing is open, on the router's clock
+	drainTime         time.Duration              // how long input is read after all is written
+	closed            chan struct{}              // closed once the descriptor is free
+	draining          atomic.Bool                // all is written; input is only read and dropped
+	closedNow         atomic.Bool
+	closeNowRequested chan struct{} // closed to end the draining
 }
 
-// hasLeft reports whether the client no longer waits for a request's answer.
-func (c *clientConn) hasLeft(req *request) bool {
+// hasAbandoned reports whether the client no longer waits for a request's answer.
+func (c *clientConn) hasAbandoned(req *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[req.number] != req
@@ -52,7 +52,7 @@
 // closeNow closes a connection at once that only drains.
 func (c *clientConn) closeNow() {
 	if c.draining.Load() && c.closedNow.CompareAndSwap(false, true) {
-		close(c.closeNowAsked)
+		close(c.closeNowRequested)
 		c.writes.close()
 	}
 }
@@ -230,7 +230,7 @@
 	case msgrpc.HealthCheck:
 		c.handleHealthCheck(m.Number)
 	case msgrpc.Cancel:
-		c.handleForget(m.Number)
+		c.handleCancellation(m.Number)
 	case msgrpc.Call:
 		c.unanswered = true
 		c.handleCall(m)
@@ -300,7 +300,7 @@
 	}
 	req := &request{
 		id: m.Request.ID, number: m.Number, client: c, message: m.Request,
-		readAt: c.router.now(), cameAt: c.came(),
+		readAt: c.router.now(), arrivedAt: c.arrivalTime(),
 	}
 	if why := c.router.validate(&m.Request, req); why != "" {
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: why})
@@ -335,9 +335,9 @@
 	c.router.queue.Post(func(now control.Micros) { c.router.handleRequest(now, req) })
 }
 
-// handleForget cancels a request. No attempt of it is written from here on, whenever the event loop handles the
+// handleCancellation cancels a request. No attempt of it is written from here on, whenever the event loop handles the
 // cancellation.
-func (c *clientConn) handleForget(number uint32) {
+func (c *clientConn) handleCancellation(number uint32) {
 	c.mu.Lock()
 	req := c.open[number]
 	if req != nil {
@@ -393,7 +393,7 @@
 	c.conn.SetReadDeadline(until)
 	if _, err := io.CopyN(io.Discard, c.conn, maxInTransit); err == nil {
 		select {
-		case <-c.closeNowAsked:
+		case <-c.closeNowRequested:
 		case <-time.After(time.Until(until)):
 		}
 	}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -49,8 +49,8 @@
 	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times what closing a
 	// connection takes.
 	descriptorWait = 50 * time.Millisecond
-	// acceptAgain is the first pause before a failed accept is retried, doubled up to descriptorWait while it fails.
-	acceptAgain = time.Millisecond
+	// minAcceptPause is the first pause before a failed accept is retried, doubled up to descriptorWait while it fails.
+	minAcceptPause = time.Millisecond
 )
 
 // listener is what accept uses of a listening socket.
@@ -65,7 +65,7 @@
 // before it is accepted.
 func (r *Router) accept(l listener) {
 	defer l.Close()
-	pause, checked, until := acceptAgain, false, time.Time{}
+	pause, checked, until := minAcceptPause, false, time.Time{}
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -94,7 +94,7 @@
 			pause = min(2*pause, descriptorWait)
 			continue
 		}
-		pause, checked = acceptAgain, false
+		pause, checked = minAcceptPause, false
 		if !r.hasRoom() {
 			r.countAnomaly("client refused: too many connections")
 			r.rejectConn(conn)
@@ -138,7 +138,7 @@
 	c := &clientConn{
 		router: r, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked,
 		open: map[uint32]*request{}, drainTime: drainAfterIdle,
-		closed: make(chan struct{}), closeNowAsked: make(chan struct{}),
+		closed: make(chan struct{}), closeNowRequested: make(chan struct{}),
 	}
 	c.writes.maxQueuedBytes, c.writes.conn, c.writes.written = maxUnreadByClient, conn, make(chan struct{})
 	c.idleSince.Store(int64(r.now()))
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -82,7 +82,7 @@
 // LoadConfigAtStart is LoadConfig for a process's start, which may find the file half written: it retries for
 // configWriteTime.
 func LoadConfigAtStart(env Environment) (*Config, error) {
-	for begin := time.Now(); ; time.Sleep(firstReread) {
+	for begin := time.Now(); ; time.Sleep(minRereadPause) {
 		c, err := LoadConfig(env)
 		var syntax *json.SyntaxError
 		if !errors.As(err, &syntax) || time.Since(begin) > configWriteTime {
@@ -106,10 +106,10 @@
 		return nil, err
 	}
 	deployment.MaxCommandDelay = attempt.MaxEndpointsAge(control.Micros(boot.Contract.StopSending))
-	const plenty = 20_000 // what the settings allow a router to hold open
+	const defaultSockets = 20_000 // what the settings allow a router to hold open
 	c := &Config{
 		Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
-		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, plenty),
+		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, defaultSockets),
 		DiscoveryAddress: doc.Board, History: doc.Known,
 		Deployment: deployment, classes: map[string]control.ClassID{}, tenants: map[string]control.TenantID{},
 		reportFields: boot.Report.Fields, connectTimeout: control.Micros(boot.Ceilings.ConnectTimeout),
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -12,15 +12,15 @@
 // guards against a deadline that passed while this process was stalled or had no processor: what has arrived by then
 // is read, all of it, before the deadline counts.
 type deadlineReader struct {
-	conn        net.Conn
-	lookedAgain bool // nothing was pending after the deadline
-	finished    bool // nothing is read from the connection any more, only what remains
-	remaining   []byte
+	conn      net.Conn
+	rechecked bool // nothing was pending after the deadline
+	finished  bool // nothing is read from the connection any more, only what remains
+	remaining []byte
 }
 
 // setDeadline sets the deadline of later reads; zero: none.
 func (d *deadlineReader) setDeadline(at time.Time) {
-	d.lookedAgain = false
+	d.rechecked = false
 	d.conn.SetReadDeadline(at)
 }
 
@@ -47,9 +47,9 @@
 		return n, nil
 	}
 	n, err := d.conn.Read(b)
-	if n == 0 && !d.lookedAgain && errors.Is(err, os.ErrDeadlineExceeded) {
+	if n == 0 && !d.rechecked && errors.Is(err, os.ErrDeadlineExceeded) {
 		n, err = d.readPending(b)
-		d.lookedAgain = n == 0
+		d.rechecked = n == 0
 	}
 	return n, err
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	told.Listen = before.Addr().String()
-	gone := time.AfterFunc(5*firstReread, func() { before.Close() })
+	gone := time.AfterFunc(5*minRereadPause, func() { before.Close() })
 	defer gone.Stop()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,9 +9,9 @@
 // Reload applies a changed configuration: the address of the discovery service. Everything else needs a restart.
 func (r *Router) Reload(config *Config) { r.discovery.SetAddress(config.DiscoveryAddress) }
 
-// firstReread and longestReread bound the pause between two attempts to read a configuration: at first about as long
+// minRereadPause and maxRereadPause bound the pause between two attempts to read a configuration: at first about as long
 // as a file takes to be written, then doubled, for one that stays broken.
-const firstReread, longestReread = 20 * time.Millisecond, time.Second
+const minRereadPause, maxRereadPause = 20 * time.Millisecond, time.Second
 
 // ReloadOn reloads the configuration at each signal, until ctx ends. While it can't be read, as when it is half
 // written, the old one stays in force and reading is retried.
@@ -22,7 +22,7 @@
 			return
 		case <-signals:
 		}
-		for pause, lastError := firstReread, ""; ; pause = min(2*pause, longestReread) {
+		for pause, lastError := minRereadPause, ""; ; pause = min(2*pause, maxRereadPause) {
 			config, err := LoadConfig(env)
 			if err == nil {
 				r.Reload(config)
@@ -37,7 +37,7 @@
 			case <-ctx.Done():
 				return
 			case <-signals:
-				pause = firstReread / 2
+				pause = minRereadPause / 2
 			case <-time.After(pause):
 			}
 		}
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -16,7 +16,7 @@
 	client    *clientConn
 	message   msgrpc.Request
 	readAt    control.Micros // when its last byte was read
-	cameAt    control.Micros // when it may have arrived: before readAt where the process stalled
+	arrivedAt control.Micros // when it may have arrived: before readAt where the process stalled
 	abandoned atomic.Bool    // its client has cancelled or closed: no attempt begins
 	class     control.ClassID
 	tenant    control.TenantID
@@ -30,7 +30,7 @@
 
 // handleRequest hands a request to the core, unless its client has left or the router is stopping.
 func (r *Router) handleRequest(now control.Micros, req *request) {
-	if req.client.hasLeft(req) {
+	if req.client.hasAbandoned(req) {
 		return // before this step
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
@@ -108,7 +108,7 @@
 	}
 	req.attempts = append(req.attempts, call)
 	req.answer.AttemptBegan()
-	call.clientDeadline = min(call.deadline, req.cameAt+req.message.Timeout-networkDelay)
+	call.clientDeadline = min(call.deadline, req.arrivedAt+req.message.Timeout-networkDelay)
 	call.writeBefore = min(call.writeBefore, call.clientDeadline)
 	call.message = &binframe.Attempt{
 		ID: call.id, Class: req.message.Class, Function: req.message.Function,
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -128,7 +128,7 @@
 
 // listenAt listens on a TCP address, and retries for up to listenFor while the error may be temporary.
 func listenAt(address string) (net.Listener, error) {
-	for begin := time.Now(); ; time.Sleep(firstReread) {
+	for begin := time.Now(); ; time.Sleep(minRereadPause) {
 		l, err := net.Listen("tcp", address)
 		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
 			syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
@@ -225,16 +225,16 @@
 // is a hundredth of the shortest latency objective.
 const minStepInterval = 3_000
 
-// readersCatchUp is for how long connections' readers run after a stall before the step that may time out attempts:
+// postStallReadTime is for how long connections' readers run after a stall before the step that may time out attempts:
 // their answers may have come during the stall. Reading what is pending on some hundred connections takes less.
-const readersCatchUp = 10 * time.Millisecond
+const postStallReadTime = 10 * time.Millisecond
 
 // awaitStep keeps steps apart, so that events that come close together share one.
 func (r *Router) awaitStep() {
 	now := r.now()
 	if r.timerAt > 0 && attempt.Stalled(now-r.timerAt, r.config.grace) {
 		r.countAnomaly("the router stood still")
-		time.Sleep(readersCatchUp)
+		time.Sleep(postStallReadTime)
 		return
 	}
 	least := max(minStepInterval, r.config.Deployment.Tick)
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -112,15 +112,15 @@
 	write: syscall.Write,
 }
 
-// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
+// minDialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
 // failure may last no longer than one packet.
-const dialPause = 2 * time.Millisecond
+const minDialPause = 2 * time.Millisecond
 
 // dial connects. Temporary failures are retried until the connect timeout; where descriptors are short, idle client
 // connections are closed meanwhile.
 func (sc *serverConn) dial() (net.Conn, error) {
 	var previous error // why the last dial failed, where the server is not to blame
-	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
+	for pause := minDialPause; ; pause = min(2*pause, descriptorWait) {
 		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
 		switch {
 		case err == nil:
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -35,9 +35,9 @@
 	d.lastRan = now
 }
 
-// cameSince returns the earliest time at which a message read at now may have arrived; now itself where there was no
+// earliestArrival returns the earliest time at which a message read at now may have arrived; now itself where there was no
 // stall.
-func (d *stallDetector) cameSince(now control.Micros) control.Micros {
+func (d *stallDetector) earliestArrival(now control.Micros) control.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -64,10 +64,10 @@
 	}
 }
 
-// came returns when the message that was just read may have arrived: the earliest possible time, after a stall.
-func (c *clientConn) came() control.Micros {
+// arrivalTime returns when the message that was just read may have arrived: the earliest possible time, after a stall.
+func (c *clientConn) arrivalTime() control.Micros {
 	now := c.router.now()
-	since := c.router.stalls.cameSince(now)
+	since := c.router.stalls.earliestArrival(now)
 	if since < now {
 		c.router.countAnomaly("a request may have come long before it was read")
 		since = max(since, c.router.micros(c.tracked.emptiedAt())) // not before its reader last found nothing pending
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -100,9 +100,9 @@
 }
 
 // noteRead records a read of n bytes, of most, that began at began. The lock is held.
-func (t *trackedConn) noteRead(began time.Time, n, most int) {
+func (t *trackedConn) noteRead(began time.Time, n, size int) {
 	t.allProcessed = false
-	if t.emptyReadAt = began; n == most {
+	if t.emptyReadAt = began; n == size {
 		t.emptyReadAt = time.Time{}
 	}
 }
@@ -142,12 +142,12 @@
 	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// interruptions bounds how often a call interrupted by a signal is retried at once; one or two come in a row.
-const interruptions = 100
+// maxInterruptions bounds how often a call interrupted by a signal is retried at once; one or two come in a row.
+const maxInterruptions = 100
 
 // retryInterrupted retries a call that returns EINTR. It returns no negative count.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
-	for range interruptions {
+	for range maxInterruptions {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
 			break
 		}
