--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"fmt"
 	"slices"
 )
 
@@ -22,7 +21,7 @@
 		f.waiting = f.held > 0
 		return !f.waiting
 	})
-	m.Cancellations, m.LogLines, b.cancellations, b.logLines = b.cancellations, b.logLines, nil, nil
+	m.Cancellations, m.ServerEvents, b.cancellations, b.serverEvents = b.cancellations, b.serverEvents, nil, nil
 	return m
 }
 
@@ -86,8 +85,3 @@
 // maintenanceInterval is the time between calls of Maintain. It allows for several replica checks within a load time
 // and within a latency objective.
 const maintenanceInterval = 200_000
-
-// logf queues a log line, which Maintain returns.
-func (b *Balancer) logf(format string, args ...any) {
-	b.logLines = append(b.logLines, fmt.Sprintf(format, args...))
-}
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, s := range silent {
-		b.eject(now, s, "owes answers")
+		b.eject(now, s, AnswersOverdue)
 		for _, a := range s.inFlight {
 			b.cancelAttempt(a.request, a.attempt)
 		}
@@ -35,9 +35,9 @@
 }
 
 // eject marks a server as ejected and schedules its next probe request.
-func (b *Balancer) eject(now Micros, s *server, reason string) {
+func (b *Balancer) eject(now Micros, s *server, cause EjectionCause) {
 	if !s.ejected {
-		b.logf("server %x is suspect: %s", s.Server, reason)
+		b.serverEvents = append(b.serverEvents, ServerEvent{s.Server, ServerEjected, cause})
 	}
 	s.ejected, s.ejections = true, s.ejections+1
 	s.probeAt = now + b.probeInterval(s)
@@ -49,7 +49,7 @@
 	s.lastAnswer, s.connectionFailures = now, 0
 	if s.ejected {
 		s.ejected, s.ejections = false, 0
-		b.logf("server %x answers again", s.Server)
+		b.serverEvents = append(b.serverEvents, ServerEvent{Server: s.Server, Kind: ServerReadmitted})
 	}
 }
 
@@ -58,7 +58,7 @@
 // network.
 func (b *Balancer) connectionFailed(now Micros, s *server) {
 	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(b.latencies.since(0), 0.5) {
-		b.eject(now, s, "connections fail")
+		b.eject(now, s, ConnectionsFail)
 		b.dropInstances(s, now)
 	}
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -60,7 +60,7 @@
 		f.waiting = f.held > 0
 		return !f.waiting
 	})
-	up.Cancellations, up.LogLines, r.cancellations, r.logLines = r.cancellations, r.logLines, nil, nil
+	up.Cancellations, up.ServerEvents, r.cancellations, r.serverEvents = r.cancellations, r.serverEvents, nil, nil
 	return up
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, s := range silent {
-		r.eject(now, s, "owes answers")
+		r.eject(now, s, AnswersOverdue)
 		for _, fl := range s.inFlight {
 			r.cancelAttempt(fl.request, fl.attempt)
 		}
@@ -332,7 +332,7 @@
 			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
 		}
 	}
-	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.FreshFor, a.LogLines, a.Cancellations)
+	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.FreshFor, a.ServerEvents, a.Cancellations)
 }
 
 func (d *days) listed(kind UpdateKind, list []Endpoint) {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -22,7 +22,7 @@
 	LoadCommands  []Micros           `json:"Orders"`
 	Admitted      []Micros           `json:"Taken"`
 	Cancellations []Cancellation     `json:"Recalls"`
-	LogLines      []string           `json:"Notes"`
+	ServerEvents  []string           `json:"Notes"` // ServerEvent.String
 	Answers       []Micros           `json:"Answers"`
 	AnswerRate    float64            `json:"Rate"`
 	FreshFor      Micros             `json:"Fresh"`
@@ -191,7 +191,7 @@
 		LoadCommands:  slices.Clone(b.loadCommands),
 		Admitted:      slices.Clone(b.admitted),
 		Cancellations: slices.Clone(b.cancellations),
-		LogLines:      slices.Clone(b.logLines),
+		ServerEvents:  convertAll(b.serverEvents, ServerEvent.String),
 		Answers:       slices.Clone(b.answers),
 		AnswerRate:    b.answerRate,
 		FreshFor:      b.freshFor,
@@ -277,7 +277,6 @@
 		loadCommands:  slices.Clone(s.LoadCommands),
 		admitted:      slices.Clone(s.Admitted),
 		cancellations: slices.Clone(s.Cancellations),
-		logLines:      slices.Clone(s.LogLines),
 		answers:       slices.Clone(s.Answers),
 		answerRate:    s.AnswerRate,
 		freshFor:      s.FreshFor,
@@ -303,10 +302,25 @@
 	if r.waiting, err = r.functionsAt(s.Waiting); err != nil {
 		return nil, err
 	}
+	if r.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
+		return nil, err
+	}
 	r.rebuildIndex()
 	return r, nil
 }
 
+func parseServerEvents(texts []string) ([]ServerEvent, error) {
+	var events []ServerEvent
+	for _, text := range texts {
+		event, err := ParseServerEvent(text)
+		if err != nil {
+			return nil, fmt.Errorf("snapshot: %w", err)
+		}
+		events = append(events, event)
+	}
+	return events, nil
+}
+
 func (b *Balancer) restoreServers(from []ServerSnapshot, requests map[RequestID]*Request) error {
 	for i, v := range from {
 		if i > 0 && from[i-1].Endpoint.Server >= v.Endpoint.Server {
--- a/control/types.go
+++ b/control/types.go
@@ -181,5 +181,5 @@
 	Next               Micros
 	Cancellations      []Cancellation
 	SubscribeEndpoints bool
-	LogLines           []string
+	ServerEvents       []ServerEvent
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -139,8 +139,8 @@
 	if maintenance.SubscribeEndpoints {
 		c.executor.SubscribeEndpoints()
 	}
-	for _, text := range maintenance.LogLines {
-		c.executor.Log(text)
+	for _, event := range maintenance.ServerEvents {
+		c.executor.LogServerEvent(event)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -63,7 +63,7 @@
 }
 func (w *callLog) Load(r *control.Request, o control.LoadCommand) { w.put("order for %d", r.ID) }
 func (w *callLog) SubscribeEndpoints()                            { w.put("subscribe") }
-func (w *callLog) Log(text string)                                { w.put("note %s", text) }
+func (w *callLog) LogServerEvent(event control.ServerEvent)       { w.put("note %v", event) }
 func (w *callLog) SetTimer(at control.Micros)                     { w.put("alarm %d", at) }
 func (w *callLog) takeCalls() (asked []string)                    { asked, w.asked = w.asked, nil; return }
 
@@ -78,7 +78,7 @@
 		2: {Action: control.Reject, RetryAfter: 9},
 		3: {Action: control.Fail}},
 		maintenance: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}},
-			SubscribeEndpoints: true, LogLines: []string{"n"}}}
+			SubscribeEndpoints: true, ServerEvents: []control.ServerEvent{{Server: 1, Kind: control.ServerReadmitted}}}}
 	c, w := newCore(s)
 	for id, deadline := range map[control.RequestID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
 		if err := c.Add(100, control.Request{ID: id, Deadline: deadline}); err != nil {
@@ -89,7 +89,7 @@
 		t.Error("an id came twice")
 	}
 	c.Step(100)
-	want := []string{"call off 8.1", "subscribe", "note n", "kill 3", "push back 2 for 9", "order for 1",
+	want := []string{"call off 8.1", "subscribe", "note server 1 answers again", "kill 3", "push back 2 for 9", "order for 1",
 		"send 1.0 to 7", "alarm 150"}
 	if got := w.takeCalls(); !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
--- a/internal/core/executor.go
+++ b/internal/core/executor.go
@@ -16,8 +16,8 @@
 	Load(r *control.Request, command control.LoadCommand)
 	// SubscribeEndpoints asks discovery for changes of the endpoint list.
 	SubscribeEndpoints()
-	// Log writes a log line.
-	Log(text string)
+	// LogServerEvent logs a change in a server's health.
+	LogServerEvent(event control.ServerEvent)
 	// SetTimer asks for a step at a time at the latest; a later call replaces an earlier one that has passed or
 	// is later.
 	SetTimer(at control.Micros)
@@ -44,8 +44,8 @@
 // SubscribeEndpoints does nothing.
 func (NoopExecutor) SubscribeEndpoints() {}
 
-// Log does nothing.
-func (NoopExecutor) Log(string) {}
+// LogServerEvent does nothing.
+func (NoopExecutor) LogServerEvent(control.ServerEvent) {}
 
 // SetTimer does nothing.
 func (NoopExecutor) SetTimer(control.Micros) {}
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -61,9 +61,9 @@
 	e.executor.SubscribeEndpoints()
 }
 
-func (e recordingExecutor) Log(text string) {
-	e.recorder.Log(text)
-	e.executor.Log(text)
+func (e recordingExecutor) LogServerEvent(event control.ServerEvent) {
+	e.recorder.LogServerEvent(event)
+	e.executor.LogServerEvent(event)
 }
 
 func (e recordingExecutor) SetTimer(at control.Micros) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -10,7 +10,6 @@
 	"math/rand/v2"
 	"net"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -562,17 +561,13 @@
 // SubscribeEndpoints has the list looked at; it is followed in any case.
 func (g *Gateway) SubscribeEndpoints() {}
 
-// Log writes a line in the log, with the address of the server that it names by its id.
-func (g *Gateway) Log(text string) {
+// LogServerEvent logs that a server was ejected or readmitted.
+func (g *Gateway) LogServerEvent(event control.ServerEvent) {
 	e := g.log.Info()
-	if words := strings.Fields(text); len(words) > 1 && words[0] == "server" {
-		if id, err := strconv.ParseUint(words[1], 16, 64); err == nil {
-			if s := g.fleet.Get(control.ServerID(id)); s != nil {
-				e = e.Str("server", s.Address)
-			}
-		}
+	if s := g.fleet.Get(event.Server); s != nil {
+		e = e.Str("server", s.Address)
 	}
-	e.Msg(text)
+	e.Msg(event.LogMessage())
 }
 
 // SetTimer sets the one timer.
--- a/internal/modelcheck/steps.go
+++ b/internal/modelcheck/steps.go
@@ -240,7 +240,7 @@
 
 func (o *outlet) SubscribeEndpoints() {}
 
-func (o *outlet) Log(string) {}
+func (o *outlet) LogServerEvent(control.ServerEvent) {}
 
 func (o *outlet) SetTimer(at control.Micros) { o.w.Routers[o.router].Alarm = at }
 
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -279,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	s.Balancer.LogLines = nil // for the log alone
+	s.Balancer.ServerEvents = nil // for the log alone
 	w.Routers[i].core = s
 	b, err := cbor.Marshal(s)
 	if err != nil {
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -11,8 +11,10 @@
 	"hollymast/internal/msgrpc"
 )
 
-// Log logs a text of the core's.
-func (r *Router) Log(text string) { r.log.Info().Msg(text) }
+// LogServerEvent logs that a server was ejected or readmitted.
+func (r *Router) LogServerEvent(event control.ServerEvent) {
+	r.log.Info().Str("server", fmt.Sprintf("%x", event.Server)).Msg(event.LogMessage())
+}
 
 // countAnomaly counts an anomaly for the next state log line: one line for all, so that a flood of faults does not
 // flood the log.
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -122,7 +122,7 @@
 			mended.Store(true)
 			c.call(2, "again", "allow", "3000")
 			c.expect("2: body 2")
-			if text := noted.String(); strings.Contains(text, "is suspect") {
+			if text := noted.String(); strings.Contains(text, "server ejected") {
 				t.Error(text)
 			}
 		})
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -236,8 +236,10 @@
 // SubscribeEndpoints notes the wish for changes of the list.
 func (t *Tape) SubscribeEndpoints() { t.did(Deed{Verb: Subscribe}) }
 
-// Log notes a line for the log.
-func (t *Tape) Log(text string) { t.did(Deed{Verb: Note, Text: text}) }
+// LogServerEvent notes a change in a server's health.
+func (t *Tape) LogServerEvent(event control.ServerEvent) {
+	t.did(Deed{Verb: Note, Text: event.String()})
+}
 
 // SetTimer notes the alarm.
 func (t *Tape) SetTimer(at control.Micros) { t.did(Deed{Verb: Alarm, Time: at}) }
--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -157,7 +157,7 @@
 
 func (r *router) SubscribeEndpoints() { r.start().Watch(true) }
 
-func (r *router) Log(text string) { r.start().Record(text) }
+func (r *router) LogServerEvent(event control.ServerEvent) { r.start().Record(event.String()) }
 
 func (r *router) SetTimer(at control.Micros) { r.start().Remind(uint64(at), 0) }
 
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -304,7 +304,7 @@
 func (r *router) SubscribeEndpoints() {}
 
 // Log does nothing.
-func (r *router) Log(string) {}
+func (r *router) LogServerEvent(control.ServerEvent) {}
 
 // SetTimer sets the one timer.
 func (r *router) SetTimer(at control.Micros) {
