--- a/internal/certstore/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -29,17 +29,17 @@
 
 func now() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
-var host = authority.Asked{Names: []string{"127.0.0.1"}}
+var host = authority.Request{Names: []string{"127.0.0.1"}}
 
 // ringOf gives a ring whose keys are in files of a folder.
-func ringOf(t *testing.T, own authority.Issued, authorities, revoked []byte) (*Ring, string) {
+func ringOf(t *testing.T, own authority.Certificate, authorities, revoked []byte) (*Store, string) {
 	t.Helper()
 	dir := t.TempDir()
 	put(t, dir, map[string][]byte{"cert": own.Chain, "key": own.Key, "authorities": authorities})
-	told := &Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	told := &Config{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
 	if revoked != nil {
 		put(t, dir, map[string][]byte{"revoked": revoked})
-		told.Revoked = filepath.Join(dir, "revoked")
+		told.RevocationLists = filepath.Join(dir, "revoked")
 	}
 	r, err := Open(told, now, func(text string) { t.Log(text) })
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // serve answers every request of secret connections until the test ends.
-func serve(t *testing.T, r *Ring) string {
+func serve(t *testing.T, r *Store) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 			go func() {
 				defer wg.Done()
 				defer nc.Close()
-				s, err := r.Accepted(context.Background(), nc)
+				s, err := r.ServerHandshake(context.Background(), nc)
 				if err != nil {
 					return
 				}
@@ -102,16 +102,16 @@
 	return p, err
 }
 
-func dial(r *Ring, address string) (*rest.Client, error) {
-	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, r.Dialled)
+func dial(r *Store, address string) (*rest.Client, error) {
+	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, r.ClientHandshake)
 }
 
 // A server that does not believe a client tells it so although the client has already sent its whole request, every time: it is
 // proved that no request was read.
 func TestRefusedClientLearnsIt(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
-	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
-	client, _ := ringOf(t, b.Issue(host), a.Cert(), nil)
+	server, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
+	client, _ := ringOf(t, b.Issue(host), a.CertificatePEM(), nil)
 	address := serve(t, server)
 	for range 50 {
 		c, err := dial(client, address)
@@ -123,7 +123,7 @@
 		}
 		c.Close()
 	}
-	if n := server.Counts().Refused["unknown authority"]; n != 50 {
+	if n := server.Stats().RejectedPeers["unknown authority"]; n != 50 {
 		t.Errorf("%d refused", n)
 	}
 }
@@ -133,8 +133,8 @@
 func TestKeysChangeInService(t *testing.T) {
 	a := authority.New("a")
 	old, fresh, peer := a.Issue(host), a.Issue(host), a.Issue(host)
-	server, dir := ringOf(t, old, a.Cert(), a.List(time.Now().Add(time.Hour)))
-	client, _ := ringOf(t, peer, a.Cert(), nil)
+	server, dir := ringOf(t, old, a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
+	client, _ := ringOf(t, peer, a.CertificatePEM(), nil)
 	address := serve(t, server)
 	shown := func() string {
 		t.Helper()
@@ -143,11 +143,11 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		s, err := client.Dialled(context.Background(), nc, address)
+		s, err := client.ClientHandshake(context.Background(), nc, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.(*Secure).ConnectionState().PeerCertificates[0].SerialNumber.String()
+		return s.(*Conn).ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
 	c, err := dial(client, address)
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 	put(t, dir, map[string][]byte{"key": fresh.Key})
 	a.Revoke(peer.Serial)
-	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
+	put(t, dir, map[string][]byte{"revoked": a.RevocationList(time.Now().Add(time.Hour))})
 	if err := server.look(); err != nil {
 		t.Fatal(err)
 	}
@@ -191,10 +191,10 @@
 // TLS 1.2 is refused unless it was asked for; a peer that speaks no TLS gets no connection.
 func TestOldAndPlainPeers(t *testing.T) {
 	a := authority.New("a")
-	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
+	server, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
 	address := serve(t, server)
 	own := a.Issue(host)
-	pair, err := tlspolicy.ReadPair(own.Chain, own.Key)
+	pair, err := tlspolicy.ParseKeyPair(own.Chain, own.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,8 +208,8 @@
 	if err := old(); err == nil || !strings.Contains(err.Error(), "version") {
 		t.Errorf("TLS 1.2: %v", err)
 	}
-	also, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
-	also.told.Twelve = true
+	also, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
+	also.told.AllowTLS12 = true
 	strict := address
 	address = serve(t, also)
 	if err := old(); err != nil {
@@ -223,7 +223,7 @@
 	if _, err := ask(c); err == nil {
 		t.Error("a plain request was answered")
 	}
-	if n := server.Counts().Failed; n != 2 {
+	if n := server.Stats().FailedHandshakes; n != 2 {
 		t.Errorf("%d failed", n)
 	}
 }
@@ -231,20 +231,20 @@
 // Secrets come from a service, change there, and are refused there where they are bad.
 func TestSecretsFromAService(t *testing.T) {
 	a := authority.New("a")
-	service, err := fakeserver.NewSecrets()
+	service, err := fakeserver.NewSecretService()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer service.Stop()
-	r, err := Open(&Told{Secrets: service.Address(), CertificateSecret: "own", AuthoritiesSecret: "peers"}, now, func(string) {})
+	r, err := Open(&Config{SecretsAddress: service.Address(), CertificateSecret: "own", AuthoritiesSecret: "peers"}, now, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		source := xds.Source{Address: service.Address(), Kind: xds.SecretDiscovery, Now: now, Changed: func(control.Micros) {}, Note: func(string) {}}
-		ended <- source.Follow(ctx, xds.NewSecrets(r, "router-0", "", "own", "peers"))
+		source := xds.Transport{Address: service.Address(), Service: xds.SecretDiscovery, Now: now, OnUpdate: func(control.Micros) {}, Log: func(string) {}}
+		ended <- source.Run(ctx, xds.NewSecretClient(r, "router-0", "", "own", "peers"))
 	}()
 	defer func() { stop(); <-ended }()
 	await := func(what string, f func() bool) {
@@ -258,7 +258,7 @@
 	serial := func() string {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if p := r.identity.Serving(); p != nil {
+		if p := r.identity.Current(); p != nil {
 			return p.Leaf.SerialNumber.String()
 		}
 		return ""
@@ -266,19 +266,19 @@
 	known := func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.peers.Known()
+		return r.peers.HasAuthorities()
 	}
 	x, y := a.Issue(host), a.Issue(host)
-	service.SetPair("own", x.Chain, x.Key)
-	service.SetPeers("peers", a.Cert(), a.List(time.Now().Add(time.Hour)))
+	service.SetCertificate("own", x.Chain, x.Key)
+	service.SetValidation("peers", a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
 	await("the first pair", func() bool { return serial() == x.Serial.String() })
 	await("the first authorities", known) // they come by a resource of their own
-	service.SetPeers("peers", nil, nil)
+	service.SetValidation("peers", nil, nil)
 	await("a NACK", func() bool {
 		_, nacks := service.Counts()
 		return len(nacks) == 1 && strings.Contains(nacks[0], "peers")
 	})
-	service.SetPair("own", y.Chain, y.Key) // taken, whatever is wrong with the other
+	service.SetCertificate("own", y.Chain, y.Key) // taken, whatever is wrong with the other
 	await("the second pair", func() bool { return serial() == y.Serial.String() })
 	if !known() {
 		t.Error("bad authorities took the place of good ones")
@@ -289,8 +289,8 @@
 func TestLongConnectionsAreCut(t *testing.T) {
 	a := authority.New("a")
 	peer := a.Issue(host)
-	server, dir := ringOf(t, a.Issue(host), a.Cert(), a.List(time.Now().Add(time.Hour)))
-	client, _ := ringOf(t, peer, a.Cert(), nil)
+	server, dir := ringOf(t, a.Issue(host), a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
+	client, _ := ringOf(t, peer, a.CertificatePEM(), nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -314,14 +314,14 @@
 		t.Fatal(err)
 	}
 	a.Revoke(peer.Serial)
-	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
+	put(t, dir, map[string][]byte{"revoked": a.RevocationList(time.Now().Add(time.Hour))})
 	if err := server.look(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := watch.Recv(); err == nil || ctx.Err() != nil {
 		t.Errorf("the stream goes on: %v", err)
 	}
-	if n := server.Counts().Refused["revoked"]; n == 0 {
+	if n := server.Stats().RejectedPeers["revoked"]; n == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/chaostest/emulated.go
+++ b/internal/chaostest/emulated.go
@@ -19,26 +19,26 @@
 )
 
 // Emulated is a day played in simulated time.
-type Emulated struct {
-	*invariant.Verdict
-	InTime  float64 `json:"InTime"`
-	Worth   float64 `json:"Worth"`
-	Loads   int     `json:"Loads"`
-	Orders  int     `json:"Orders"`
-	ColdUse float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
-	WarmUse float64 `json:"WarmUse"` // the same of all servers while they were warm
-	Hash    uint64  `json:"Hash"`
-	Events  int     `json:"Events"`
-	Turns   int     `json:"Turns"`
+type SimulationResult struct {
+	*invariant.Report
+	InTime               float64 `json:"InTime"`
+	WeightedInTime       float64 `json:"Worth"`
+	Loads                int     `json:"Loads"`
+	LoadCommands         int     `json:"Orders"`
+	SlowStartUtilization float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
+	Utilization          float64 `json:"WarmUse"` // the same of all servers while they were warm
+	Hash                 uint64  `json:"Hash"`
+	Events               int     `json:"Events"`
+	Steps                int     `json:"Turns"`
 }
 
 // Plan gives a day as the emulator plays it: the same calls, servers and settings as on sockets. An error names what is only there.
-func (d *Day) Plan() (*simulation.Plan, error) {
-	p := &play{day: d}
+func (d *Scenario) SimulationPlan() (*simulation.Plan, error) {
+	p := &harness{scenario: d}
 	for range d.Routers {
-		p.addrs = append(p.addrs, "127.0.0.1:1")
+		p.addresses = append(p.addresses, "127.0.0.1:1")
 	}
-	in, err := inifile.Read("emulated", p.settings(0))
+	in, err := inifile.Parse("emulated", p.routerConfig(0))
 	if err != nil {
 		return nil, err
 	}
@@ -46,146 +46,152 @@
 	if err != nil {
 		return nil, err
 	}
-	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, Lanes: lanes, Fetch: control.Micros(storeFetch.Microseconds()),
-		AtOnce: storeAtOnce, Clients: d.Clients, Length: control.Micros(d.Length.Microseconds()), Margin: control.Micros(told.AnswerMargin.Microseconds()),
-		Damped: d.Damped, ListEvery: control.Micros(told.EndpointFileInterval.Microseconds())}
+	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
+		ConcurrentFetches: storeConcurrency, Clients: d.LibraryClients, Duration: control.Micros(d.Length.Microseconds()), AnswerMargin: control.Micros(told.AnswerMargin.Microseconds()),
+		OverloadProtection: d.DampOverload, EndpointPollInterval: control.Micros(told.EndpointFileInterval.Microseconds())}
 	for i := range d.Workers {
-		plan.Servers = append(plan.Servers, p.make(i).Model())
-		plan.Zones = append(plan.Zones, control.ZoneID(i%3))
+		plan.Servers = append(plan.Servers, p.serverOptions(i).ModelConfig())
+		plan.ServerZones = append(plan.ServerZones, control.ZoneID(i%3))
 	}
 	for i := range d.Routers {
-		plan.RouterZone = append(plan.RouterZone, control.ZoneID(i%3))
+		plan.RouterZones = append(plan.RouterZones, control.ZoneID(i%3))
 	}
 	for i, w := range told.Deployment.Classes {
-		plan.Workloads = append(plan.Workloads, simulation.Workload{Name: told.ClassNames[i], Told: w, Importance: told.Priorities[i]})
+		plan.Classes = append(plan.Classes, simulation.Class{Name: told.ClassNames[i], Spec: w, Importance: told.Priorities[i]})
 	}
 	for _, c := range d.schedule() {
-		rude := d.Manners == "bad" || d.Manners == "mixed" && c.number%2 == 1 || c.loud
-		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Workload: slices.Index(told.ClassNames, c.workload.name),
-			Function: c.function, Patience: control.Micros(c.patience.Microseconds()), Rude: rude, Router: c.router})
+		rude := d.ClientBehavior == "bad" || d.ClientBehavior == "mixed" && c.number%2 == 1 || c.noisyTenant
+		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Class: slices.Index(told.ClassNames, c.workload.name),
+			Function: c.function, Timeout: control.Micros(c.timeout.Microseconds()), RetriesBlindly: rude, FirstRouter: c.router})
 	}
-	for _, t := range d.Troubles {
-		x, err := d.emulated(t)
+	for _, t := range d.Faults {
+		x, err := d.simulatedFaults(t)
 		if err != nil {
 			return nil, err
 		}
-		plan.Troubles = append(plan.Troubles, x...)
+		plan.Incidents = append(plan.Incidents, x...)
 	}
 	return plan, nil
 }
 
 // emulated gives a trouble as the emulator has it; none where the calls have it already.
-func (d *Day) emulated(t Trouble) ([]simulation.Trouble, error) {
-	x := simulation.Trouble{At: control.Micros(t.At.Microseconds()), Lasts: control.Micros(t.Lasts.Microseconds()), Which: []int{t.Number}}
+func (d *Scenario) simulatedFaults(t Fault) ([]simulation.Incident, error) {
+	x := simulation.Incident{At: control.Micros(t.At.Microseconds()), Duration: control.Micros(t.Duration.Microseconds()), Targets: []int{t.Target}}
 	of := d.Workers
 	if strings.HasPrefix(t.Kind, "balancer") {
 		of = d.Routers
 	}
-	if t.Number < 0 {
-		x.Which = nil
+	if t.Target < 0 {
+		x.Targets = nil
 		for i := range of {
-			x.Which = append(x.Which, i)
+			x.Targets = append(x.Targets, i)
 		}
 	}
-	x.Which = slices.DeleteFunc(x.Which, func(i int) bool { return i >= of })
-	one := func(k simulation.Kind) ([]simulation.Trouble, error) { x.Kind = k; return []simulation.Trouble{x}, nil }
-	fault := func(f fakeserver.Faults) ([]simulation.Trouble, error) { x.Fault = f; return one(simulation.Fault) }
+	x.Targets = slices.DeleteFunc(x.Targets, func(i int) bool { return i >= of })
+	one := func(k simulation.IncidentKind) ([]simulation.Incident, error) {
+		x.Kind = k
+		return []simulation.Incident{x}, nil
+	}
+	fault := func(f fakeserver.Faults) ([]simulation.Incident, error) {
+		x.Faults = f
+		return one(simulation.ServerFault)
+	}
 	switch t.Kind {
 	case "hot_key", "scan", "rise", "give_up":
 		return nil, nil
 	case "hang":
 		return fault(modelserver.Faults{Silent: true})
 	case "answer_lost":
-		return fault(modelserver.Faults{Lost: t.Share})
+		return fault(modelserver.Faults{LostAnswers: t.Share})
 	case "reset_before":
-		return fault(modelserver.Faults{ResetEre: t.Share})
+		return fault(modelserver.Faults{ResetBefore: t.Share})
 	case "reset_after":
-		return fault(modelserver.Faults{ResetPost: t.Share})
+		return fault(modelserver.Faults{ResetAfter: t.Share})
 	case "refuse":
-		return fault(modelserver.Faults{Full: true})
+		return fault(modelserver.Faults{Overloaded: true})
 	case "ageing":
 		const steps = 5
-		var xs []simulation.Trouble
-		x.Kind, x.Lasts = simulation.Fault, x.Lasts/steps
+		var xs []simulation.Incident
+		x.Kind, x.Duration = simulation.ServerFault, x.Duration/steps
 		for i := range steps {
-			x.Fault = modelserver.Faults{Slow: 1 + (t.Times-1)*float64(i+1)/steps}
+			x.Faults = modelserver.Faults{Slowdown: 1 + (t.Factor-1)*float64(i+1)/steps}
 			xs = append(xs, x)
-			x.At += x.Lasts
+			x.At += x.Duration
 		}
 		return xs, nil
 	case "crash", "vanish":
-		return one(simulation.Crash)
+		return one(simulation.ServerCrash)
 	case "deploy":
-		return one(simulation.Deploy)
+		return one(simulation.ServerDeploy)
 	case "origin_slow":
-		x.Slow = t.Times
-		return one(simulation.Store)
+		x.StoreSlowdown = t.Factor
+		return one(simulation.StoreDegraded)
 	case "origin_stopped":
-		x.Close = true
-		return one(simulation.Store)
+		x.StoreClosed = true
+		return one(simulation.StoreDegraded)
 	case "discovery_stale":
-		return one(simulation.Stale)
+		return one(simulation.StaleEndpoints)
 	case "balancer_stall":
-		return one(simulation.Freeze)
+		return one(simulation.RouterStall)
 	case "balancer_kill", "balancer_roll":
-		return one(simulation.KillRouters)
+		return one(simulation.RouterCrash)
 	}
 	return nil, fmt.Errorf("trouble %s: %s is played on sockets only", t.Name, t.Kind)
 }
 
 // Emulate plays a day in simulated time, with the module's decisions or a baseline's.
-func Emulate(d *Day, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*Emulated, error) {
-	plan, err := d.Plan()
+func Simulate(d *Scenario, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*SimulationResult, error) {
+	plan, err := d.SimulationPlan()
 	if err != nil {
 		return nil, err
 	}
-	if decide != nil && d.Orders {
+	if decide != nil && d.LoadCommandsOnly {
 		return nil, errors.New("only orders load on this day, and textbook policies give none")
 	}
-	plan.Decide = decide
+	plan.NewPolicy = decide
 	res := simulation.Run(plan, threads)
-	p := &play{day: d, servers: make([]*fakeserver.Server, d.Workers)}
-	e := &Emulated{Verdict: invariant.Judge(p.law(), res.Records), Hash: res.Hash, Events: res.Events, Turns: res.Turns}
-	e.ColdUse, e.WarmUse = p.use(res.Records)
+	p := &harness{scenario: d, servers: make([]*fakeserver.Server, d.Workers)}
+	e := &SimulationResult{Report: invariant.Check(p.invariantConfig(), res.Records), Hash: res.Hash, Events: res.Events, Steps: res.Steps}
+	e.SlowStartUtilization, e.Utilization = p.utilization(res.Records)
 	in, worth, all := 0, 0.0, 0.0
-	for i, x := range res.Effects {
-		importance := plan.Workloads[plan.Calls[i].Workload].Importance
-		if all += importance; x.Well {
+	for i, x := range res.Outcomes {
+		importance := plan.Classes[plan.Calls[i].Class].Importance
+		if all += importance; x.InTime {
 			in++
 			worth += importance
 		}
 	}
-	e.InTime, e.Worth = float64(in)/float64(max(1, len(res.Effects))), worth/max(1, all)
+	e.InTime, e.WeightedInTime = float64(in)/float64(max(1, len(res.Outcomes))), worth/max(1, all)
 	for _, r := range res.Records {
 		switch r.Kind {
-		case invariant.Loading:
+		case invariant.LoadStarted:
 			e.Loads++
-		case invariant.Ordered:
-			e.Orders++
+		case invariant.LoadCommandReceived:
+			e.LoadCommands++
 		}
 	}
 	return e, nil
 }
 
 // use gives which part of what they could run cold and warm servers ran.
-func (p *play) use(recs []invariant.Record) (ofCold, ofWarm float64) {
-	end := p.day.Length.Microseconds()
+func (p *harness) utilization(recs []invariant.Record) (ofCold, ofWarm float64) {
+	end := p.scenario.Length.Microseconds()
 	var first int64
 	if len(recs) > 0 {
 		first = recs[0].At
 	}
 	born := map[int]int64{}
-	ran, could := [2]float64{}, [2]float64{0, rate * float64(end) / 1e6 * float64(len(p.servers))}
+	ran, could := [2]float64{}, [2]float64{0, serverRate * float64(end) / 1e6 * float64(len(p.servers))}
 	for _, r := range recs {
 		at := r.At - first
 		switch r.Kind {
-		case invariant.Started:
+		case invariant.ServerStarted:
 			born[r.Server] = at
-			aged := float64(min(end-at, cold.Microseconds())) / 1e6
-			could[0] += rate * aged * (coldFrom + (1-coldFrom)*aged/cold.Seconds()/2)
-			could[1] -= rate * aged
-		case invariant.Began:
-			if b, started := born[r.Server]; started && at < b+cold.Microseconds() {
+			aged := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6
+			could[0] += serverRate * aged * (slowStartInitial + (1-slowStartInitial)*aged/slowStartDuration.Seconds()/2)
+			could[1] -= serverRate * aged
+		case invariant.AttemptStarted:
+			if b, started := born[r.Server]; started && at < b+slowStartDuration.Microseconds() {
 				ran[0]++
 			} else {
 				ran[1]++
@@ -196,4 +202,4 @@
 }
 
 // DayKey tells scripts of days apart.
-func DayKey(text []byte) uint64 { return xxhash.Sum64(text) }
+func ScenarioHash(text []byte) uint64 { return xxhash.Sum64(text) }
