--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -157,7 +157,7 @@
 
 func (r *router) SubscribeEndpoints() { r.start().SubscribeEndpoints(true) }
 
-func (r *router) Log(text string) { r.start().Log(text) }
+func (r *router) LogServerEvent(event control.ServerEvent) { r.start().Log(event.String()) }
 
 func (r *router) SetTimer(at control.Micros) { r.start().SetTimer(uint64(at), 0) }
 
