--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -17,7 +17,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Paths []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
 	From  uint64   `help:"First turn to compare."`
 	Until uint64   `help:"Last turn; 0: the end."`
@@ -40,13 +40,13 @@
 }
 
 func (c cli) run() error {
-	files, err := record.Files(c.Paths)
+	files, err := record.ExpandPaths(c.Paths)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
-	r := replay.Range{From: c.From, Until: c.Until, Job: control.RequestID(c.Job)}
+	r := replay.Range{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
 	if c.Show {
-		r.Shown = func(turn uint64, clock control.Micros, d record.Deed) { fmt.Printf("%d %d %s\n", turn, clock, d) }
+		r.OnCommand = func(turn uint64, clock control.Micros, d record.Command) { fmt.Printf("%d %d %s\n", turn, clock, d) }
 	}
 	begun := time.Now()
 	a, err := replay.Play(files, r)
@@ -54,18 +54,18 @@
 	var different *replay.Difference
 	if err != nil && !errors.As(err, &different) {
 		if errors.Is(err, record.ErrNewer) {
-			err = program.Use{Err: err}
+			err = program.UsageError{Err: err}
 		}
 		return err
 	}
 	played := time.Duration(a.Last-a.First) * time.Microsecond
-	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", a.Segments, a.Turns, a.Deeds,
+	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", a.Segments, a.Steps, a.Commands,
 		played.Round(time.Millisecond), took.Round(time.Millisecond), played.Seconds()/took.Seconds())
 	if a.Stalls > 0 {
 		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n", a.Stalls, time.Duration(a.LongestStall)*time.Microsecond)
 	}
-	if a.Lost > 0 {
-		fmt.Printf("%d turns were lost by the recording\n", a.Lost)
+	if a.LostSteps > 0 {
+		fmt.Printf("%d turns were lost by the recording\n", a.LostSteps)
 	}
 	for _, d := range a.Damaged {
 		fmt.Println(d)
@@ -87,8 +87,8 @@
 	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job", strconv.FormatUint(c.Job, 10)}
 	out, err := exec.Command(c.Against, append(args, files...)...).Output()
 	var exit *exec.ExitError
-	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.Found) {
-		return program.Use{Err: fmt.Errorf("%s: %w", c.Against, err)}
+	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.ExitFailure) {
+		return program.UsageError{Err: fmt.Errorf("%s: %w", c.Against, err)}
 	}
 	theirs := ""
 	for line := range strings.Lines(string(out)) {
