--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -12,7 +12,7 @@
 // Conclude tells what a server's answer to an execution, or to an order, means to the module. The router and the probe
 // read answers with this, so they cannot disagree.
 func OutcomeOf(p *rest.Response, order bool) control.Outcome {
-	o := control.Outcome{Result: resultOf(p, order), CacheStatus: foundOf(p)}
+	o := control.Outcome{Result: responseResult(p, order), CacheStatus: cacheStatusOf(p)}
 	if l, ok := kserve.ReadLoad(p.Header); ok {
 		o.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
 	}
@@ -21,7 +21,7 @@
 
 // resultOf names what a server's answer means. 429 and 503 promise that the job did not run, 404 that its function
 // was not there; other refusals of what the client asked are the function's own answer and pass to the client.
-func resultOf(p *rest.Response, order bool) control.Result {
+func responseResult(p *rest.Response, order bool) control.Result {
 	switch {
 	case p.Status == 429 || p.Status == 503:
 		return control.Overloaded
@@ -33,7 +33,7 @@
 	return control.Succeeded
 }
 
-func foundOf(p *rest.Response) control.CacheStatus {
+func cacheStatusOf(p *rest.Response) control.CacheStatus {
 	switch kserve.Found(p.Header, p.Body) {
 	case "warm":
 		return control.CacheHit
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -13,7 +13,7 @@
 )
 
 // answers reads n answers and tells their first lines.
-func answers(r *bufio.Reader, n int) (lines []string, err error) {
+func readStatusLines(r *bufio.Reader, n int) (lines []string, err error) {
 	for range n {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -41,26 +41,26 @@
 // Requests that were sent ahead of the stop are answered, each on its turn, and so is one that comes on an open connection
 // some time after it; then the connection ends.
 func TestStopAnswersWhatWasSentAhead(t *testing.T) {
-	m := usual(0)
+	m := serverOptions(0)
 	m.Work = 100 * time.Millisecond
-	f := newField(t, m)
-	ahead, r := f.talk()
-	io.WriteString(ahead, text("a", "forecast-1")+text("b", "forecast-1")+text("c", "forecast-1"))
-	for f.inHand() == 0 {
+	f := newTestGateway(t, m)
+	ahead, r := f.dialClient()
+	io.WriteString(ahead, inferText("a", "forecast-1")+inferText("b", "forecast-1")+inferText("c", "forecast-1"))
+	for f.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	open, later := f.talk()
+	open, later := f.dialClient()
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := answers(later, 1); err != nil {
+	if _, err := readStatusLines(later, 1); err != nil {
 		t.Fatal(err)
 	}
 	f.stop()
-	if lines, err := answers(r, 3); err != nil {
+	if lines, err := readStatusLines(r, 3); err != nil {
 		t.Errorf("sent ahead: got %q, %v", lines, err)
 	}
 	time.Sleep(200 * time.Millisecond)
-	io.WriteString(open, text("d", "forecast-1"))
-	if lines, err := answers(later, 1); err != nil || lines[0] != "HTTP/1.1 503 Service Unavailable" {
+	io.WriteString(open, inferText("d", "forecast-1"))
+	if lines, err := readStatusLines(later, 1); err != nil || lines[0] != "HTTP/1.1 503 Service Unavailable" {
 		t.Errorf("sent later: got %q, %v", lines, err)
 	}
 	for name, r := range map[string]*bufio.Reader{"ahead": r, "later": later} {
@@ -73,8 +73,8 @@
 // Connections that the kernel has accepted when the router stops are answered, also where the time for that has passed in a
 // standstill, and where no job is in hand.
 func TestStopAnswersWaitingConnections(t *testing.T) {
-	f := newField(t)
-	l, err := listen("127.0.0.1:0")
+	f := newTestGateway(t)
+	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, text("1", "forecast-1"))
+	io.WriteString(nc, inferText("1", "forecast-1"))
 	l.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
-	f.g.accept(l, false)
+	f.gateway.accept(l, false)
 	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	if lines, err := answers(bufio.NewReader(nc), 1); err != nil {
+	if lines, err := readStatusLines(bufio.NewReader(nc), 1); err != nil {
 		t.Errorf("got %q, %v", lines, err)
 	}
 	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -96,20 +96,20 @@
 }
 
 func TestStopWithManyNewConnections(t *testing.T) {
-	f := newField(t)
+	f := newTestGateway(t)
 	var rs []*bufio.Reader
 	for i := range 100 {
-		nc, r := f.talk()
+		nc, r := f.dialClient()
 		if i%2 == 0 { // the others send a little later
-			io.WriteString(nc, text("1", "forecast-1"))
+			io.WriteString(nc, inferText("1", "forecast-1"))
 		} else {
-			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(nc, text("1", "forecast-1")) })
+			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(nc, inferText("1", "forecast-1")) })
 		}
 		rs = append(rs, r)
 	}
 	f.stop()
 	for i, r := range rs {
-		if _, err := answers(r, 1); err != nil {
+		if _, err := readStatusLines(r, 1); err != nil {
 			t.Errorf("connection %d: %v", i, err)
 		}
 	}
@@ -121,11 +121,11 @@
 	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
 		told := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
-		s := told.stopTimes()
-		if s.held < 600*time.Millisecond || s.answered < s.held || s.closed <= s.answered || s.closed >= killed {
+		s := told.shutdownTimes()
+		if s.readUntil < 600*time.Millisecond || s.answerBy < s.readUntil || s.closeBy <= s.answerBy || s.closeBy >= killed {
 			t.Errorf("%v: %+v", longest, s)
 		}
-		if longest <= deadlineMost && s.answered < longest+100*time.Millisecond {
+		if longest <= maxCountedDeadline && s.answerBy < longest+100*time.Millisecond {
 			t.Errorf("%v: a job is cut short: %+v", longest, s)
 		}
 	}
@@ -133,19 +133,19 @@
 
 // A job that would take longer than a stopping router has left gets its answer all the same.
 func TestStopAnswersLongJobs(t *testing.T) {
-	f := newField(t, usual(0))
+	f := newTestGateway(t, serverOptions(0))
 	f.servers[0].Fail(fakeserver.Faults{Silent: true})
-	nc, r := f.talk()
-	io.WriteString(nc, text("1", "ticket-1"))
+	nc, r := f.dialClient()
+	io.WriteString(nc, inferText("1", "ticket-1"))
 	for f.received("1") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.g.tell(f.g.answerAll)
+	f.gateway.post(f.gateway.answerOpen)
 	began := time.Now()
-	if lines, err := answers(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
+	if lines, err := readStatusLines(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
 	}
-	for f.inHand() > 0 {
+	for f.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -16,25 +16,25 @@
 )
 
 // failed is a system call's error as the standard library gives it.
-func failed(call string, errno syscall.Errno) error {
+func sysCallError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
 // What a failed dial means to the module: what is ours is never a sign about the server, what may be the way's only where it lasts.
 func TestFailedDials(t *testing.T) {
 	const ours, way, server = control.NotSent, control.ConnectFailed, control.Result(255)
-	f := newFieldChanged(t, "", func(t *Config) { t.DialTimeout = 40 * time.Millisecond })
-	address, _ := listens(t, new(atomic.Int64))
-	connect := f.g.connect
+	f := newTestGatewayConfigured(t, "", func(t *Config) { t.DialTimeout = 40 * time.Millisecond })
+	address, _ := recordingServer(t, new(atomic.Int64))
+	connect := f.gateway.dial
 	for errno, lasting := range map[syscall.Errno]control.Result{syscall.EMFILE: ours, syscall.ENFILE: ours, syscall.ENOBUFS: ours,
 		syscall.ENOMEM: ours, syscall.EADDRNOTAVAIL: ours, syscall.EINTR: ours, syscall.EAGAIN: ours, syscall.ENETUNREACH: way,
 		syscall.EHOSTUNREACH: way, syscall.ENETDOWN: way, syscall.ECONNABORTED: way, syscall.ECONNREFUSED: server, syscall.ECONNRESET: server,
 		syscall.ETIMEDOUT: server} {
 		for name, times := range map[string]int{"once": 1, "always": 1 << 20} {
 			tries := 0
-			f.g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
+			f.gateway.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 				if tries++; tries <= times {
-					return nil, failed("connect", errno)
+					return nil, sysCallError("connect", errno)
 				}
 				return connect(ctx, address)
 			}
@@ -45,8 +45,8 @@
 			case times > 1:
 				want = lasting
 			}
-			s := f.sendingNow(address, time.Second)
-			if e := (&link{g: f.g, address: address}).carry(s); e.result != want {
+			s := f.newCall(address, time.Second)
+			if e := (&serverConn{gateway: f.gateway, address: address}).exchange(s); e.result != want {
 				t.Errorf("%v %s: got %v, want %v", errno, name, e.result, want)
 			}
 			s.cancel()
@@ -63,7 +63,7 @@
 		syscall.ENETUNREACH: control.ConnectionReset, syscall.ECONNRESET: control.ConnectionReset, syscall.EPIPE: control.ConnectionReset,
 		syscall.ENOBUFS: control.Failed, syscall.ENOMEM: control.Failed} {
 		for progress := rest.NothingWritten; progress < rest.ResponseRead; progress++ {
-			got := BrokenExchangeResult(progress, fmt.Errorf("exchange broken: %w", failed("read", errno)))
+			got := BrokenExchangeResult(progress, fmt.Errorf("exchange broken: %w", sysCallError("read", errno)))
 			if progress == rest.NothingWritten && got != control.NotSent || progress > rest.NothingWritten && got != want {
 				t.Errorf("%v at %d: got %v", errno, progress, got)
 			}
@@ -72,37 +72,37 @@
 }
 
 // faulty fails some accepts before each that it takes.
-type faulty struct {
+type failingListener struct {
 	net.Listener
 	errs []syscall.Errno
 }
 
-func (l *faulty) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.errs) > 0 {
 		errno := l.errs[0]
 		l.errs = l.errs[1:]
-		return nil, failed("accept", errno)
+		return nil, sysCallError("accept", errno)
 	}
 	return l.Listener.Accept()
 }
 
 // A failed accept closes nobody, and the next connections are served, whatever the error and however often it comes.
 func TestFailedAccepts(t *testing.T) {
-	f := newField(t, usual(0))
-	open, r := f.talk()
+	f := newTestGateway(t, serverOptions(0))
+	open, r := f.dialClient()
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
 		for _, times := range []int{1, 5} {
-			l, err := listen("127.0.0.1:0")
+			l, err := listenTCP("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			fails := &faulty{Listener: l}
+			fails := &failingListener{Listener: l}
 			for range times {
 				fails.errs = append(fails.errs, errno)
 			}
 			ended := make(chan bool)
-			go func() { defer close(ended); f.g.accept(fails, false) }()
+			go func() { defer close(ended); f.gateway.accept(fails, false) }()
 			nc, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -118,7 +118,7 @@
 		}
 	}
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-	if _, err := answers(r, 1); err != nil {
+	if _, err := readStatusLines(r, 1); err != nil {
 		t.Errorf("the connection that was open: %v", err)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,81 +34,81 @@
 
 // Gateway is one router.
 type Gateway struct {
-	told    *Config
-	log     zerolog.Logger
-	started time.Time
-	epoch   control.Micros // the router's time at its start
-	run     string         // tells marks that we make from those of other runs
-	via     string         // names this router to servers (RFC 9110, 7.6.3)
-	metrics *metrics
+	config      *Config
+	log         zerolog.Logger
+	startedAt   time.Time
+	epoch       control.Micros // the router's time at its start
+	incarnation string         // tells marks that we make from those of other runs
+	via         string         // names this router to servers (RFC 9110, 7.6.3)
+	metrics     *metrics
 
 	// The turn's own; touched by no other goroutine.
-	core       *core.Core
-	writer     *record.Writer // nil: nothing is recorded
-	tape       *record.Tape   // the writer's
-	recent     recent
-	view       *xds.View // nil: ours is not served
-	tally      *loadreport.Tally
-	storm      *overload.Watch            // nil: storms are not damped
-	counted    *counted                   // the tally, for others; nil: it is not reported
-	keeper     *keeper                    // nil: nothing outlasts this run
-	unknown    control.Micros             // until when an earlier life's marked jobs may be owed and are not known
-	between    []func(now control.Micros) // to be called after the turn
-	clock      control.Micros             // of the turn under way
-	listAsOf   control.Micros             // as of when the list that this turn chooses from was complete
-	looking    chan struct{}              // closed when the look that was asked for has ended; nil: none is awaited
-	recordings int
-	fleet      *fleet.Fleet
-	jobs       map[control.RequestID]*job
-	last       control.RequestID
-	pools      map[control.ServerID]*pool
-	timer      *time.Timer
-	due        control.Micros // when the timer fires
-	pruned     control.Micros
-	stopping   bool
-	orders     int // without an answer
+	core             *core.Core
+	recordWriter     *record.Writer // nil: nothing is recorded
+	recorder         *record.Tape   // the writer's
+	decisions        decisionLog
+	view             *xds.View // nil: ours is not served
+	loadTally        *loadreport.Tally
+	overload         *overload.Watch            // nil: storms are not damped
+	loadReporter     *loadReporter              // the tally, for others; nil: it is not reported
+	state            *stateKeeper               // nil: nothing outlasts this run
+	keysUnknownUntil control.Micros             // until when an earlier life's marked jobs may be owed and are not known
+	afterStepFuncs   []func(now control.Micros) // to be called after the turn
+	stepTime         control.Micros             // of the turn under way
+	endpointsAsOf    control.Micros             // as of when the list that this turn chooses from was complete
+	pendingRead      chan struct{}              // closed when the look that was asked for has ended; nil: none is awaited
+	recordingCount   int
+	fleet            *fleet.Fleet
+	requests         map[control.RequestID]*request
+	lastID           control.RequestID
+	pools            map[control.ServerID]*serverPool
+	timer            *time.Timer
+	timerAt          control.Micros // when the timer fires
+	prunedAt         control.Micros
+	stopping         bool
+	openLoadCommands int // without an answer
 	// complete is the last time of which it is known that the list was complete; 0: none is.
-	complete control.Micros
+	endpointsCompleteAsOf control.Micros
 
 	// Shared.
-	listWhole  atomic.Int64 // complete, as whoever follows the list's source knows it
-	box        *eventqueue.Queue
-	bytes      atomic.Int64 // of bodies in hand
-	clients    atomic.Int64 // connections
-	ready      atomic.Bool  // a list was read, and we take jobs
-	stopTold   atomic.Int64 // the router's time at which it was; 0: not
-	dials      chan struct{}
-	connect    func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
-	refresh    chan chan struct{}                                              // holds one
-	lookNow    atomic.Bool                                                     // the list is read before the next turn, however young it is
-	rings      map[string]*certstore.Ring                                      // by kind of connections
-	serving    context.Context                                                 // ends with the last turn
-	distrusted sync.Map                                                        // address of a worker to what was last said of its certificate
-	links      sync.WaitGroup
-	asked      sync.WaitGroup // client connections
-	listeners  []net.Listener
-	listening  sync.WaitGroup
-	conns      sync.Map // of *rest.Conn
-	ended      chan struct{}
+	sourceCompleteAsOf atomic.Int64 // complete, as whoever follows the list's source knows it
+	queue              *eventqueue.Queue
+	bodyBytes          atomic.Int64 // of bodies in hand
+	clientCount        atomic.Int64 // connections
+	ready              atomic.Bool  // a list was read, and we take jobs
+	stopRequestedAt    atomic.Int64 // the router's time at which it was; 0: not
+	dialing            chan struct{}
+	dial               func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
+	sourceReads        chan chan struct{}                                              // holds one
+	readRequested      atomic.Bool                                                     // the list is read before the next turn, however young it is
+	certStores         map[string]*certstore.Ring                                      // by kind of connections
+	serveContext       context.Context                                                 // ends with the last turn
+	lastTLSErrors      sync.Map                                                        // address of a worker to what was last said of its certificate
+	serverConns        sync.WaitGroup
+	clientReaders      sync.WaitGroup // client connections
+	listeners          []net.Listener
+	background         sync.WaitGroup
+	clientConns        sync.Map // of *rest.Conn
+	loopEnded          chan struct{}
 }
 
 // job is a job as its client's connection and its executions see it.
-type job struct {
-	id         control.RequestID
-	name       string // of the function
-	call       kserve.Call
-	request    *rest.Request
-	client     *rest.Conn
-	seen       atomic.Int64 // when the client was last looked at and had not gone, the router's time
-	mark       string
-	kept       persistence.Mark // for the journal
-	patience   control.Micros
-	workload   control.ClassID
-	tenant     string
-	due        control.Micros      // its start target
-	answer     chan *rest.Response // holds one
-	state      attempt.FinalAnswer
-	executions []*sending
+type request struct {
+	id              control.RequestID
+	function        string // of the function
+	call            kserve.Call
+	message         *rest.Request
+	client          *rest.Conn
+	clientCheckedAt atomic.Int64 // when the client was last looked at and had not gone, the router's time
+	idempotencyKey  string
+	journalKey      persistence.Mark // for the journal
+	deadline        control.Micros
+	class           control.ClassID
+	tenant          string
+	objectiveAt     control.Micros      // its start target
+	response        chan *rest.Response // holds one
+	answer          attempt.FinalAnswer
+	attempts        []*serverCall
 }
 
 // New opens the router's listeners. Errors are those of listening.
@@ -117,40 +117,40 @@
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	g := &Gateway{told: told, log: log, started: time.Now(), box: eventqueue.New(),
-		jobs: map[control.RequestID]*job{}, pools: map[control.ServerID]*pool{}, dials: make(chan struct{}, told.MaxDials),
-		refresh: make(chan chan struct{}, 1), ended: make(chan struct{}), metrics: newMetrics(told)}
+	g := &Gateway{config: told, log: log, startedAt: time.Now(), queue: eventqueue.New(),
+		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{}, dialing: make(chan struct{}, told.MaxDials),
+		sourceReads: make(chan chan struct{}, 1), loopEnded: make(chan struct{}), metrics: newMetrics(told)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
 	// whatever is done to that clock.
-	g.epoch = control.Micros(g.started.UnixMicro())
-	g.connect = func(ctx context.Context, address string) (*rest.Client, error) {
-		return rest.DialWith(ctx, address, &workerLimits, g.secure())
+	g.epoch = control.Micros(g.startedAt.UnixMicro())
+	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
+		return rest.DialWith(ctx, address, &serverLimits, g.serverHandshake())
 	}
-	g.run = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
+	g.incarnation = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
-	if err := g.openRings(); err != nil {
+	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
-	g.fleet, g.tally = fleet.New(0), loadreport.NewTally(g.epoch)
+	g.fleet, g.loadTally = fleet.New(0), loadreport.NewTally(g.epoch)
 	g.fleet.SetSlowStartDuration(told.Deployment.SlowStartDuration)
 	if told.LoadReports {
-		g.counted = &counted{g: g}
+		g.loadReporter = &loadReporter{gateway: g}
 	}
 	if told.DampOverload {
 		shares := make([]float64, len(told.Deployment.Quotas))
 		for i, s := range told.Deployment.Quotas {
 			shares[i] = s / float64(told.Deployment.Routers)
 		}
-		g.storm = overload.NewWatch(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
+		g.overload = overload.NewWatch(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := told.Deployment
 	deployment.Zone = g.fleet.Zone(told.Zone)
 	module := control.New(g.epoch, seed, deployment)
 	if told.StateDir != "" {
-		g.keeper, g.unknown = openKeeper(told, g.now(), module, log)
-		g.metrics.journal(g.keeper)
-		if g.keeper != nil && g.keeper.usual != nil && g.storm != nil {
-			g.storm.Recall(g.epoch, *g.keeper.usual, g.keeper.age)
+		g.state, g.keysUnknownUntil = openStateKeeper(told, g.now(), module, log)
+		g.metrics.registerJournal(g.state)
+		if g.state != nil && g.state.usualLoad != nil && g.overload != nil {
+			g.overload.Recall(g.epoch, *g.state.usualLoad, g.state.usualLoadAge)
 		}
 	}
 	g.core = core.New(module, g)
@@ -158,26 +158,26 @@
 		if address == "" {
 			continue
 		}
-		l, err := listen(address)
+		l, err := listenTCP(address)
 		if err != nil {
 			g.closeListeners()
-			g.keeper.close()
+			g.state.close()
 			return nil, err
 		}
 		g.listeners = append(g.listeners, l)
 	}
 	if told.ServeView != "" {
 		var err error
-		if g.view, err = xds.NewView(told.ServeView, g.credentials(fromViewers)); err != nil {
+		if g.view, err = xds.NewView(told.ServeView, g.credentials(viewConnections)); err != nil {
 			g.closeListeners()
-			g.keeper.close()
+			g.state.close()
 			return nil, err
 		}
 	}
 	if told.RecordDir != "" {
 		if err := g.startRecording(g.epoch, told.RecordDir); err != nil {
 			g.closeListeners()
-			g.keeper.close()
+			g.state.close()
 			if g.view != nil {
 				g.view.Close()
 			}
@@ -199,58 +199,58 @@
 }
 
 // span is a time of the module's as the standard library has it.
-func span(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-func (g *Gateway) now() control.Micros { return g.epoch + micros(time.Since(g.started)) }
+func (g *Gateway) now() control.Micros { return g.epoch + micros(time.Since(g.startedAt)) }
 
 // tell has f called in the next turn.
-func (g *Gateway) tell(f func(now control.Micros)) { g.box.Post(f) }
+func (g *Gateway) post(f func(now control.Micros)) { g.queue.Post(f) }
 
 // Serve routes until the context ends; then it stops taking jobs, gives each one in hand its answer within its own
 // limits, and returns. A nil error means that none was left.
 func (g *Gateway) Serve(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
-	g.serving = serving
-	g.followRings(serving)
-	if g.counted != nil {
-		g.listening.Add(1)
+	g.serveContext = serving
+	g.watchCertStores(serving)
+	if g.loadReporter != nil {
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
-			g.report(serving)
+			defer g.background.Done()
+			g.reportLoads(serving)
 		}()
 	}
 	for i, l := range g.listeners {
-		g.listening.Add(1)
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
+			defer g.background.Done()
 			g.accept(l, i > 0)
 		}()
 	}
-	g.listening.Add(1)
+	g.background.Add(1)
 	go func() {
-		defer g.listening.Done()
-		g.follow(serving)
+		defer g.background.Done()
+		g.followEndpoints(serving)
 	}()
-	if g.keeper != nil {
-		g.listening.Add(1)
+	if g.state != nil {
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
-			g.keeper.keep(g)
+			defer g.background.Done()
+			g.state.run(g)
 		}()
-		if g.keeper.tally != nil {
-			g.listening.Add(1)
+		if g.state.historyTally != nil {
+			g.background.Add(1)
 			go func() {
-				defer g.listening.Done()
-				g.keeper.keepUse(g)
+				defer g.background.Done()
+				g.state.runHistory(g)
 			}()
 		}
 	}
 	if g.view != nil {
-		g.listening.Add(1)
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
-			g.publish()
+			defer g.background.Done()
+			g.publishView()
 		}()
 	}
 	g.timer = time.NewTimer(time.Hour)
@@ -258,136 +258,136 @@
 	done := ctx.Done()
 	var last <-chan time.Time // when all jobs are to have their answers
 	var batch []func(control.Micros)
-	g.turn(g.now(), nil)
+	g.step(g.now(), nil)
 	for {
 		select {
-		case <-g.box.Ready():
+		case <-g.queue.Ready():
 		case <-g.timer.C:
 		case <-done:
 			done = nil
 			g.beginStop()
-			last = time.After(g.told.stopTimes().answered)
+			last = time.After(g.config.shutdownTimes().answerBy)
 		case <-last:
-			g.tell(g.answerAll)
+			g.post(g.answerOpen)
 		}
-		g.noteStop(g.now() - g.due)
-		g.catchUp()
-		batch = g.box.Drain(batch)
-		g.turn(g.now(), batch)
-		if g.stopping && len(g.jobs) == 0 {
-			if g.orders == 0 {
+		g.logStall(g.now() - g.timerAt)
+		g.readEndpoints()
+		batch = g.queue.Drain(batch)
+		g.step(g.now(), batch)
+		if g.stopping && len(g.requests) == 0 {
+			if g.openLoadCommands == 0 {
 				break
 			}
-			g.dropOrders()
+			g.cancelLoadCommands()
 		}
 	}
 	g.log.Info().Msg("no job is left in hand")
-	return g.finish(stop)
+	return g.closeAll(stop)
 }
 
 // noteStop tells of a time in which this process was stopped.
-func (g *Gateway) noteStop(late control.Micros) {
-	if !attempt.Stalled(late, micros(g.told.GracePeriod)) {
+func (g *Gateway) logStall(late control.Micros) {
+	if !attempt.Stalled(late, micros(g.config.GracePeriod)) {
 		return
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
-	if g.storm != nil {
-		g.storm.Woke(g.now(), late)
+	if g.overload != nil {
+		g.overload.Woke(g.now(), late)
 	}
 }
 
 // catchUp has all that the list's source told taken in by the turn that comes next.
-func (g *Gateway) catchUp() {
+func (g *Gateway) readEndpoints() {
 	asOf := g.now()
-	if g.lookNow.Swap(false) || attempt.MustReadEndpoints(asOf-g.listAsOf, micros(g.told.GracePeriod)) {
-		g.look()
-		g.listAsOf = asOf
+	if g.readRequested.Swap(false) || attempt.MustReadEndpoints(asOf-g.endpointsAsOf, micros(g.config.GracePeriod)) {
+		g.awaitSourceRead()
+		g.endpointsAsOf = asOf
 	}
-	g.complete = control.Micros(g.listWhole.Load()) // before the batch is taken: it holds all told by then
+	g.endpointsCompleteAsOf = control.Micros(g.sourceCompleteAsOf.Load()) // before the batch is taken: it holds all told by then
 }
 
 // look waits until the list's source was looked at. A source that gives no word for a quarter of the grace counts as one that
 // can't be reached: the router goes on with what it knows, and waits for no other look before that one has ended.
-func (g *Gateway) look() {
-	if g.looking != nil {
+func (g *Gateway) awaitSourceRead() {
+	if g.pendingRead != nil {
 		select {
-		case <-g.looking:
+		case <-g.pendingRead:
 		default:
 			return
 		}
 	}
-	g.looking = make(chan struct{})
-	g.refresh <- g.looking // has room: the look before has ended
-	timer := time.NewTimer(g.told.GracePeriod / 4)
+	g.pendingRead = make(chan struct{})
+	g.sourceReads <- g.pendingRead // has room: the look before has ended
+	timer := time.NewTimer(g.config.GracePeriod / 4)
 	defer timer.Stop()
 	select {
-	case <-g.looking:
+	case <-g.pendingRead:
 	case <-timer.C:
 	}
 }
 
-func (g *Gateway) turn(now control.Micros, heard []func(control.Micros)) {
+func (g *Gateway) step(now control.Micros, heard []func(control.Micros)) {
 	begun := time.Now()
-	g.clock = now
+	g.stepTime = now
 	for _, f := range heard {
 		f(now)
 	}
-	g.fleet.SetCompleteAsOf(g.complete)
+	g.fleet.SetCompleteAsOf(g.endpointsCompleteAsOf)
 	g.core.Step(now)
-	for _, f := range g.between {
+	for _, f := range g.afterStepFuncs {
 		f(now)
 	}
-	clear(g.between)
-	g.between = g.between[:0]
+	clear(g.afterStepFuncs)
+	g.afterStepFuncs = g.afterStepFuncs[:0]
 	g.prune(now)
-	g.watchStorm()
-	g.metrics.turn.Observe(time.Since(begun).Seconds())
-	g.metrics.inHand.Set(float64(len(g.jobs)))
+	g.logOverload()
+	g.metrics.stepSeconds.Observe(time.Since(begun).Seconds())
+	g.metrics.inFlight.Set(float64(len(g.requests)))
 	g.metrics.held.Set(float64(g.core.Held()))
 }
 
 // Refresh has the list read again at once.
 func (g *Gateway) RefreshEndpoints() {
-	g.lookNow.Store(true)
-	g.tell(func(control.Micros) {})
+	g.readRequested.Store(true)
+	g.post(func(control.Micros) {})
 }
 
 // dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
-func (g *Gateway) dropOrders() {
+func (g *Gateway) cancelLoadCommands() {
 	for _, p := range g.pools {
-		for s := range p.out {
-			if s.job == nil {
-				s.callOff()
+		for s := range p.open {
+			if s.request == nil {
+				s.abandon()
 			}
 		}
 	}
 }
 
-func (g *Gateway) finish(stop context.CancelFunc) error {
-	if g.keeper != nil {
-		g.keeper.last = g.kept(g.now())
-		if g.keeper.tally != nil {
-			g.keeper.lastUse = g.keeper.tally.Take()
+func (g *Gateway) closeAll(stop context.CancelFunc) error {
+	if g.state != nil {
+		g.state.finalState = g.learnedState(g.now())
+		if g.state.historyTally != nil {
+			g.state.finalHistory = g.state.historyTally.Take()
 		}
 	}
-	close(g.ended)
+	close(g.loopEnded)
 	stop()
-	if g.writer != nil {
+	if g.recordWriter != nil {
 		g.core.SetRecorder(nil)
-		g.tape = nil
-		g.writer.Close()
-		g.log.Info().Int64("bytes", g.writer.Written()).Int64("lost_turns", g.writer.Lost()).Msg("recording ended")
+		g.recorder = nil
+		g.recordWriter.Close()
+		g.log.Info().Int64("bytes", g.recordWriter.Written()).Int64("lost_turns", g.recordWriter.Lost()).Msg("recording ended")
 	}
 	g.closePools()
 	settled := make(chan struct{})
 	go func() {
-		g.listening.Wait()
-		g.asked.Wait()
-		g.links.Wait()
+		g.background.Wait()
+		g.clientReaders.Wait()
+		g.serverConns.Wait()
 		close(settled)
 	}()
 	// Answers are written; only those who may still ask are left, and slow readers.
-	timer := time.NewTimer(time.Until(g.sinceStop(g.told.stopTimes().closed)))
+	timer := time.NewTimer(time.Until(g.afterStop(g.config.shutdownTimes().closeBy)))
 	defer timer.Stop()
 	select {
 	case <-settled:
@@ -395,7 +395,7 @@
 	case <-timer.C:
 	}
 	n := 0
-	g.conns.Range(func(c, _ any) bool {
+	g.clientConns.Range(func(c, _ any) bool {
 		n++
 		c.(*rest.Conn).Close()
 		return true
@@ -420,142 +420,142 @@
 }
 
 // arrived takes a job in hand, or pushes it back at once beyond the bounds.
-func (g *Gateway) arrived(now control.Micros, j *job, p Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
-	if g.stopping || len(g.jobs) >= g.told.MaxRequests {
+func (g *Gateway) handleRequest(now control.Micros, j *request, p Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
+	if g.stopping || len(g.requests) >= g.config.MaxRequests {
 		why := "too many jobs are in hand"
 		if g.stopping {
 			why = "this router is stopping"
 		}
-		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
-		g.metrics.answered("pushed back")
+		j.answer.Give()
+		j.response <- rejection(why, g.config.Deployment.MaxRetryAfter)
+		g.metrics.countAnswer("pushed back")
 		return
 	}
-	if v := g.admitted(now, j.name, p.Class, tenant, ask); !v.Admit {
-		j.state.Give()
-		j.answer <- refusal("a storm of calls: "+v.Why.String(), v.StayAway, v.Why.String())
-		g.metrics.answered("pushed back")
-		g.metrics.damped.WithLabelValues(v.Why.String()).Inc()
+	if v := g.admit(now, j.function, p.Class, tenant, ask); !v.Admit {
+		j.answer.Give()
+		j.response <- overloadRejection("a storm of calls: "+v.Why.String(), v.StayAway, v.Why.String())
+		g.metrics.countAnswer("pushed back")
+		g.metrics.overloadRejections.WithLabelValues(v.Why.String()).Inc()
 		return
 	}
-	if why := g.unrecorded(now, g.told.mark(j.name, ask, p.Class)); why != "" {
-		j.state.Give()
-		j.answer <- pushedBack(why, g.told.Deployment.MaxRetryAfter)
-		g.metrics.answered("pushed back")
-		g.metrics.unrecorded.Inc()
+	if why := g.journalRefusal(now, g.config.journalKey(j.function, ask, p.Class)); why != "" {
+		j.answer.Give()
+		j.response <- rejection(why, g.config.Deployment.MaxRetryAfter)
+		g.metrics.countAnswer("pushed back")
+		g.metrics.journalRejections.Inc()
 		return
 	}
-	w := g.told.Deployment.Classes[p.Class]
+	w := g.config.Deployment.Classes[p.Class]
 	limit := w.MaxDeadline
 	if ask.Timeout > 0 {
 		limit = min(limit, control.Micros(ask.Timeout))
 	}
-	g.last++
-	j.id, j.workload = g.last, p.Class
+	g.lastID++
+	j.id, j.class = g.lastID, p.Class
 	begun := now - age
-	j.due = begun + w.LatencyObjective
-	j.patience = begun + limit - micros(g.told.AnswerMargin)
-	if j.mark = ask.Mark; j.mark == "" {
-		j.mark = g.run + "-" + strconv.FormatUint(uint64(j.id), 36)
-	}
-	g.jobs[j.id] = j
-	j.kept = g.told.mark(j.name, ask, p.Class)
-	g.took(now)
-	earlier := g.earlier(now, j.kept)
-	j.executions = make([]*sending, len(earlier))
+	j.objectiveAt = begun + w.LatencyObjective
+	j.deadline = begun + limit - micros(g.config.AnswerMargin)
+	if j.idempotencyKey = ask.Mark; j.idempotencyKey == "" {
+		j.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(j.id), 36)
+	}
+	g.requests[j.id] = j
+	j.journalKey = g.config.journalKey(j.function, ask, p.Class)
+	g.countAdmitted(now)
+	earlier := g.earlierAttempts(now, j.journalKey)
+	j.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{Attempts: earlier,
-		ID: j.id, Class: p.Class, Tenant: tenant, Function: functionID(g.told.NameKey, j.name),
-		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.patience), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
+		ID: j.id, Class: p.Class, Tenant: tenant, Function: functionID(g.config.NameKey, j.function),
+		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.deadline), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
-	} else if g.tape != nil && ask.ID != "" {
-		g.tape.Asked(record.Tag(g.told.NameKey, ask.ID))
+	} else if g.recorder != nil && ask.ID != "" {
+		g.recorder.Asked(record.Tag(g.config.NameKey, ask.ID))
 	}
-	g.log.Debug().Uint64("job", uint64(j.id)).Str("request", ask.ID).Str("function", j.name).Msg("taken")
+	g.log.Debug().Uint64("job", uint64(j.id)).Str("request", ask.ID).Str("function", j.function).Msg("taken")
 }
 
 // end gives a job its one final answer.
-func (g *Gateway) end(j *job, word string, p *rest.Response) {
-	if !j.state.Give() {
+func (g *Gateway) finish(j *request, word string, p *rest.Response) {
+	if !j.answer.Give() {
 		return
 	}
-	for _, s := range j.executions { // nothing is sent for a job that has its answer: the module's recall comes with its next upkeep
+	for _, s := range j.attempts { // nothing is sent for a job that has its answer: the module's recall comes with its next upkeep
 		if s != nil {
 			s.withdraw()
 		}
 	}
-	j.answer <- p
-	g.metrics.answered(word)
-	g.useAnswered(j, word)
-	g.log.Debug().Uint64("job", uint64(j.id)).Str("answer", word).Int("executions", len(j.executions)).Msg("answered")
+	j.response <- p
+	g.metrics.countAnswer(word)
+	g.historyAnswered(j, word)
+	g.log.Debug().Uint64("job", uint64(j.id)).Str("answer", word).Int("executions", len(j.attempts)).Msg("answered")
 	g.release(j)
 }
 
 // release forgets a job that has its answer and no execution out.
-func (g *Gateway) release(j *job) {
-	if j.state.Done() {
-		delete(g.jobs, j.id)
+func (g *Gateway) release(j *request) {
+	if j.answer.Done() {
+		delete(g.requests, j.id)
 	}
 }
 
 // left takes in that a job's client is gone. Its answer is still due: a client that closed only its own side reads it.
-func (g *Gateway) left(now control.Micros, j *job) {
-	if j.state.Given {
+func (g *Gateway) handleClientClosed(now control.Micros, j *request) {
+	if j.answer.Given {
 		return
 	}
 	g.core.Cancel(now, j.id)
-	g.end(j, "left", killed("the client closed its side of the connection"))
+	g.finish(j, "left", failure("the client closed its side of the connection"))
 }
 
 // Forward starts an execution.
 func (g *Gateway) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	j := g.jobs[cj.ID]
-	s := g.sending(to, allow)
-	s.job, s.no, s.request, s.round = j, no, g.execution(j, no), g.enter(j.kept, to)
-	if no > 0 && g.told.Deployment.Classes[j.workload].Effect == control.IdempotentByKey {
-		s.until = min(s.until, g.clock+attempt.MaxKeyedRetryDelay)
-	}
-	j.executions = append(j.executions, s)
-	j.state.AttemptBegan()
-	g.tally.Chosen(g.fleet.Get(to).Address)
-	g.recent.add(g.clock, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
+	j := g.requests[cj.ID]
+	s := g.newCall(to, allow)
+	s.request, s.attempt, s.message, s.journalRound = j, no, g.attemptMessage(j, no), g.journalAttempt(j.journalKey, to)
+	if no > 0 && g.config.Deployment.Classes[j.class].Effect == control.IdempotentByKey {
+		s.writeBefore = min(s.writeBefore, g.stepTime+attempt.MaxKeyedRetryDelay)
+	}
+	j.attempts = append(j.attempts, s)
+	j.answer.AttemptBegan()
+	g.loadTally.Chosen(g.fleet.Get(to).Address)
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
 	g.dispatch(s)
 }
 
 // Reject and Kill end a job.
 func (g *Gateway) Reject(id control.RequestID, stayAway control.Micros) {
-	g.recent.add(g.clock, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
-	g.end(g.jobs[id], "pushed back", pushedBack("not now: it could not be finished in time", g.spread(g.jobs[id], stayAway)))
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
+	g.finish(g.requests[id], "pushed back", rejection("not now: it could not be finished in time", g.spreadRetryAfter(g.requests[id], stayAway)))
 }
 
 // Fail ends a job of which nothing may be promised.
 func (g *Gateway) Fail(id control.RequestID) {
-	g.recent.add(g.clock, record.Deed{Verb: record.Kill, Job: id})
-	g.end(g.jobs[id], "killed", killed("the job may have run; its end is not known"))
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.Kill, Job: id})
+	g.finish(g.requests[id], "killed", failure("the job may have run; its end is not known"))
 }
 
 // CancelAttempt stops waiting for an execution.
 func (g *Gateway) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	g.recent.add(g.clock, record.Deed{Verb: record.CallOff, Job: id, No: no})
-	if j := g.jobs[id]; j != nil && int(no) < len(j.executions) {
-		j.executions[no].callOff()
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.CallOff, Job: id, No: no})
+	if j := g.requests[id]; j != nil && int(no) < len(j.attempts) {
+		j.attempts[no].abandon()
 	}
 }
 
 // Load orders copies of a job's function.
 func (g *Gateway) Load(cj *control.Request, o control.LoadCommand) {
-	name := g.jobs[cj.ID].name
-	s := g.sending(o.Server, micros(g.told.LoadTimeout))
-	s.order = o
-	if g.keeper != nil && g.told.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		s.round = g.keeper.Append(persistence.Entry{Kind: persistence.Ordered, At: g.clock, Server: o.Server})
+	name := g.requests[cj.ID].function
+	s := g.newCall(o.Server, micros(g.config.LoadTimeout))
+	s.load = o
+	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
+		s.journalRound = g.state.Append(persistence.Entry{Kind: persistence.Ordered, At: g.stepTime, Server: o.Server})
 	}
-	s.request = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
+	s.message = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
-	g.orders++
-	g.metrics.orders.Inc()
-	g.useOrdered(g.jobs[cj.ID])
-	g.recent.add(g.clock, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
+	g.openLoadCommands++
+	g.metrics.loadCommands.Inc()
+	g.historyLoadCommand(g.requests[cj.ID])
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
 	g.dispatch(s)
 }
 
@@ -577,19 +577,19 @@
 
 // SetTimer sets the one timer.
 func (g *Gateway) SetTimer(at control.Micros) {
-	g.due = at
+	g.timerAt = at
 	g.timer.Reset(time.Duration(max(0, at-g.now())) * time.Microsecond)
 }
 
 // executed takes in the end of an execution.
-func (g *Gateway) executed(now control.Micros, s *sending, o control.Outcome, p *rest.Response) {
-	j := s.job
-	delivery := j.state.AttemptEnded(o.Result)
-	g.metrics.executed(o.Result)
-	g.tally.Ended(g.pools[s.to].address, o.Result, o.Report)
-	g.useExecuted(now, j, o)
+func (g *Gateway) attemptEnded(now control.Micros, s *serverCall, o control.Outcome, p *rest.Response) {
+	j := s.request
+	delivery := j.answer.AttemptEnded(o.Result)
+	g.metrics.countAttempt(o.Result)
+	g.loadTally.Ended(g.pools[s.to].address, o.Result, o.Report)
+	g.historyAttempt(now, j, o)
 	if o.Result.ProvesNotRun() {
-		g.proved(j.kept, s.to)
+		g.journalNotRun(j.journalKey, s.to)
 	}
 	if o.CacheStatus == control.CacheMiss {
 		g.metrics.loads.Inc()
@@ -597,26 +597,26 @@
 	if delivery == attempt.Deliver {
 		o.RequestDone = true
 		g.core.HandleOutcome(now, j.id, o)
-		j.due += control.Micros(g.told.Deployment.Classes[j.workload].ObjectivePerWork * float64(o.Duration))
-		p.Header = forwarded(p.Header)
+		j.objectiveAt += control.Micros(g.config.Deployment.Classes[j.class].ObjectivePerWork * float64(o.Duration))
+		p.Header = forwardedHeader(p.Header)
 		p.Close, p.ChunkSize = false, 0
-		g.end(j, "finished", p)
-		if g.storm != nil {
-			g.storm.Answered(now)
+		g.finish(j, "finished", p)
+		if g.overload != nil {
+			g.overload.Answered(now)
 		}
 		return
 	}
 	if delivery == attempt.Drop {
-		g.metrics.late.Inc() // its job has its answer: the late one is dropped
+		g.metrics.lateAnswers.Inc() // its job has its answer: the late one is dropped
 	}
 	g.core.HandleOutcome(now, j.id, o)
 	g.release(j)
 }
 
 // ordered takes in the answer to an order.
-func (g *Gateway) ordered(now control.Micros, s *sending, result control.Result, took control.Micros, copies int) {
-	g.orders--
-	g.core.HandleLoadResult(now, s.order.Server, s.order.Function, result, took, copies)
+func (g *Gateway) loadCommandEnded(now control.Micros, s *serverCall, result control.Result, took control.Micros, copies int) {
+	g.openLoadCommands--
+	g.core.HandleLoadResult(now, s.load.Server, s.load.Function, result, took, copies)
 }
 
-var errNoList = errors.New("no list of servers could be read yet")
+var errNoEndpoints = errors.New("no list of servers could be read yet")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const settings = `
+const testSettings = `
 [router]
 listen = 127.0.0.1:0
 admin = 127.0.0.1:0
@@ -68,36 +68,36 @@
 `
 
 // field is a gateway with stand-ins round it.
-type field struct {
-	t       *testing.T
-	g       *Gateway
-	log     *invariant.Log
-	servers []*fakeserver.Server
-	list    string
-	stop    context.CancelFunc
-	ended   chan error
+type testGateway struct {
+	t            *testing.T
+	gateway      *Gateway
+	log          *invariant.Log
+	servers      []*fakeserver.Server
+	endpointFile string
+	stop         context.CancelFunc
+	ended        chan error
 }
 
-func usual(n int) fakeserver.Make {
+func serverOptions(n int) fakeserver.Make {
 	return fakeserver.Make{Number: n, Copies: 20, Lanes: 2, Cores: 4, Work: 10 * time.Millisecond, Queue: 50, Load: 5 * time.Millisecond,
 		Loads: 4, Window: 600 * time.Millisecond, Cold: time.Second, ColdFrom: 0.25, Fall: time.Second, FallOver: 1e6, Seed: 1}
 }
 
-func newField(t *testing.T, makes ...fakeserver.Make) *field {
+func newTestGateway(t *testing.T, makes ...fakeserver.Make) *testGateway {
 	t.Helper()
-	return newFieldTold(t, "", makes...)
+	return newTestGatewayWith(t, "", makes...)
 }
 
 // newFieldTold gives a gateway with further settings.
-func newFieldTold(t *testing.T, further string, makes ...fakeserver.Make) *field {
+func newTestGatewayWith(t *testing.T, further string, makes ...fakeserver.Make) *testGateway {
 	t.Helper()
-	return newFieldChanged(t, further, func(*Config) {}, makes...)
+	return newTestGatewayConfigured(t, further, func(*Config) {}, makes...)
 }
 
 // newFieldChanged gives one whose told values are changed besides.
-func newFieldChanged(t *testing.T, further string, change func(*Config), makes ...fakeserver.Make) *field {
+func newTestGatewayConfigured(t *testing.T, further string, change func(*Config), makes ...fakeserver.Make) *testGateway {
 	t.Helper()
-	f := &field{t: t, log: invariant.NewLog(), list: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
+	f := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
 	states := make([]string, len(makes))
 	for i, m := range makes {
@@ -108,8 +108,8 @@
 		f.servers = append(f.servers, s)
 		states[i] = "ready"
 	}
-	f.write(states...)
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, settings+further, f.list))
+	f.writeEndpoints(states...)
+	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings+further, f.endpointFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,12 +118,12 @@
 		t.Fatal(err)
 	}
 	change(told)
-	if f.g, err = New(told, zerolog.Nop()); err != nil {
+	if f.gateway, err = New(told, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
-	go func() { f.ended <- f.g.Serve(ctx) }()
+	go func() { f.ended <- f.gateway.Serve(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		for _, s := range f.servers {
@@ -133,22 +133,22 @@
 			t.Error(err)
 		}
 	})
-	for !f.g.ready.Load() {
+	for !f.gateway.ready.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	return f
 }
 
 // write writes the list with the servers' states and tells the log.
-func (f *field) write(states ...string) {
+func (f *testGateway) writeEndpoints(states ...string) {
 	var b strings.Builder
 	for i, state := range states {
 		fmt.Fprintf(&b, "[%d]\naddress = %s\nstate = %s\n", i, f.servers[i].Address(), state)
 	}
-	if err := os.WriteFile(f.list+".new", []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile(f.endpointFile+".new", []byte(b.String()), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	if err := os.Rename(f.list+".new", f.list); err != nil {
+	if err := os.Rename(f.endpointFile+".new", f.endpointFile); err != nil {
 		f.t.Fatal(err)
 	}
 	for i, state := range states {
@@ -157,9 +157,9 @@
 }
 
 // ask sends one job and notes both ends of it; the answer's word comes back.
-func (f *field) ask(job, function string, limit time.Duration) string {
+func (f *testGateway) call(job, function string, limit time.Duration) string {
 	ctx := context.Background()
-	c, err := rest.Dial(ctx, f.g.Address(), &rest.DefaultLimits)
+	c, err := rest.Dial(ctx, f.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
 		f.t.Error(err)
 		return ""
@@ -168,7 +168,7 @@
 	workload, _, _ := strings.Cut(function, "-")
 	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: f.log.Now() + limit.Microseconds()}
 	f.log.Add(rec)
-	p, _, err := c.Do(request(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
+	p, _, err := c.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
 		f.t.Errorf("job %s: %v", job, err)
 		return ""
@@ -181,13 +181,13 @@
 	return rec.Word
 }
 
-func request(job, function string, limit time.Duration) *rest.Request {
+func inferRequest(job, function string, limit time.Duration) *rest.Request {
 	return &rest.Request{Method: "POST", Target: "/v2/models/" + function + "/infer", Header: rest.Header{"Host": {"test"}},
 		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[]}`, job, limit.Microseconds(), job)}
 }
 
 // judge fails the test for each breach of a rule.
-func (f *field) judge() *invariant.Verdict {
+func (f *testGateway) checkRules() *invariant.Verdict {
 	f.t.Helper()
 	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
 		Workloads: map[string]invariant.Workload{"ticket": {RunOnce: true},
@@ -201,28 +201,28 @@
 }
 
 func TestJobsAreFinished(t *testing.T) {
-	f := newField(t, usual(0), usual(1))
+	f := newTestGateway(t, serverOptions(0), serverOptions(1))
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
+			if word := f.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
 				t.Errorf("job %d: %s", i, word)
 			}
 		}()
 	}
 	wg.Wait()
-	f.judge()
+	f.checkRules()
 }
 
 // A server that accepts and never replies: the fingerprinted job is answered once and in time, and is not sent again
 // past its window; the run-once job is killed, never pushed back.
 func TestSilentServers(t *testing.T) {
-	f := newField(t, usual(0), usual(1))
+	f := newTestGateway(t, serverOptions(0), serverOptions(1))
 	for i := range 20 { // the module learns what is usual
-		f.ask(fmt.Sprint("w", i), "forecast-1", time.Second)
+		f.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range f.servers {
 		s.Fail(fakeserver.Faults{Silent: true})
@@ -233,7 +233,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				word := f.ask(fmt.Sprint(function, i), function, 1500*time.Millisecond)
+				word := f.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
 				if function == "ticket-1" && word == invariant.Finished {
 					t.Errorf("%s %d: %s from a silent server", function, i, word)
 				}
@@ -241,73 +241,73 @@
 		}
 	}
 	wg.Wait()
-	if v := f.judge(); v.Killed == 0 || v.Executions < 21 {
+	if v := f.checkRules(); v.Killed == 0 || v.Executions < 21 {
 		t.Errorf("got %+v", v)
 	}
 }
 
 // Answers and time limits that meet within a millisecond leave one answer each.
 func TestReplyMeetsTheTimeLimit(t *testing.T) {
-	m := usual(0)
+	m := serverOptions(0)
 	m.Work, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
-	f := newFieldTold(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
-	f.ask("first", "forecast-1", 2*time.Second)
+	f := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
+	f.call("first", "forecast-1", 2*time.Second)
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			// Work lasts 30 to 70 ms; 200 ms are kept free for the answer's way.
-			f.ask(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
+			f.call(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
 		}()
 	}
 	wg.Wait()
-	if v := f.judge(); v.Finished == 0 || v.PushedBack == 0 {
+	if v := f.checkRules(); v.Finished == 0 || v.PushedBack == 0 {
 		t.Errorf("both ends were not met: %+v", v)
 	}
 }
 
 func TestDrainedServerGetsNothing(t *testing.T) {
-	f := newField(t, usual(0), usual(1))
+	f := newTestGateway(t, serverOptions(0), serverOptions(1))
 	for i := range 60 {
 		if i == 20 {
-			f.write("draining", "ready")
+			f.writeEndpoints("draining", "ready")
 		}
-		f.ask(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
+		f.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := f.judge(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
+	if v := f.checkRules(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
 		t.Errorf("got %+v", v)
 	}
 }
 
 // carried runs one sending over a link by hand.
-func (f *field) carried(s *sending) exchange {
-	l := &link{g: f.g, address: f.servers[0].Address()}
+func (f *testGateway) exchange(s *serverCall) callResult {
+	l := &serverConn{gateway: f.gateway, address: f.servers[0].Address()}
 	defer func() {
 		if c := l.client.Load(); c != nil {
 			c.Close()
 		}
 		s.cancel()
 	}()
-	return l.carry(s)
+	return l.exchange(s)
 }
 
 // A drain notice between choosing and writing, and a choice whose list grew old while the process was stopped.
 func TestWithdrawnAndOldChoicesAreNeverSent(t *testing.T) {
-	f := newField(t, usual(0))
-	s := f.g.sending(1, 1_000_000)
-	s.request = request("1", "forecast-1", time.Second)
+	f := newTestGateway(t, serverOptions(0))
+	s := f.gateway.newCall(1, 1_000_000)
+	s.message = inferRequest("1", "forecast-1", time.Second)
 	if !s.withdraw() {
 		t.Error("could not be withdrawn")
 	}
-	if e := f.carried(s); e.result != control.NotSent {
+	if e := f.exchange(s); e.result != control.NotSent {
 		t.Errorf("withdrawn: got %v", e.result)
 	}
-	s = f.g.sending(1, 1_000_000)
-	s.request = request("2", "forecast-1", time.Second)
-	s.until -= micros(f.g.told.GracePeriod)
-	if e := f.carried(s); e.result != control.NotSent {
+	s = f.gateway.newCall(1, 1_000_000)
+	s.message = inferRequest("2", "forecast-1", time.Second)
+	s.writeBefore -= micros(f.gateway.config.GracePeriod)
+	if e := f.exchange(s); e.result != control.NotSent {
 		t.Errorf("old: got %v", e.result)
 	}
 	for _, r := range f.log.Records() {
@@ -318,7 +318,7 @@
 }
 
 // raw is a model server written out by hand: it gives each connection to a function.
-func raw(t *testing.T, f func(n int, nc *net.TCPConn)) string {
+func listenRaw(t *testing.T, f func(n int, nc *net.TCPConn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -346,9 +346,9 @@
 
 // Connections closed while idle prove nothing ran; those closed once the job was on them don't.
 func TestIdleConnectionIsClosed(t *testing.T) {
-	f := newField(t)
+	f := newTestGateway(t)
 	closed := make(chan struct{}, 8)
-	address := raw(t, func(n int, nc *net.TCPConn) {
+	address := listenRaw(t, func(n int, nc *net.TCPConn) {
 		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 		if _, err := c.ReadRequest(); err != nil {
 			return
@@ -361,11 +361,11 @@
 		nc.Close()
 		closed <- struct{}{}
 	})
-	l := &link{g: f.g, address: address}
+	l := &serverConn{gateway: f.gateway, address: address}
 	for i, want := range []control.Result{control.Succeeded, control.ConnectionReset, control.Succeeded} {
-		s := f.g.sending(1, 1_000_000)
-		s.request = request("1", "forecast-1", time.Second)
-		if e := l.carry(s); e.result != want {
+		s := f.gateway.newCall(1, 1_000_000)
+		s.message = inferRequest("1", "forecast-1", time.Second)
+		if e := l.exchange(s); e.result != want {
 			t.Errorf("exchange %d: got %v, want %v", i, e.result, want)
 		}
 		s.cancel()
@@ -382,18 +382,18 @@
 }
 
 func TestRefusedConnectionIsNoConnection(t *testing.T) {
-	f := newField(t, usual(0))
+	f := newTestGateway(t, serverOptions(0))
 	f.servers[0].Stop()
-	s := f.g.sending(1, 1_000_000)
-	s.request = request("1", "forecast-1", time.Second)
-	if e := f.carried(s); e.result != control.ConnectFailed {
+	s := f.gateway.newCall(1, 1_000_000)
+	s.message = inferRequest("1", "forecast-1", time.Second)
+	if e := f.exchange(s); e.result != control.ConnectFailed {
 		t.Errorf("got %v", e.result)
 	}
 }
 
 // talk opens a raw client connection.
-func (f *field) talk() (net.Conn, *bufio.Reader) {
-	nc, err := net.Dial("tcp", f.g.Address())
+func (f *testGateway) dialClient() (net.Conn, *bufio.Reader) {
+	nc, err := net.Dial("tcp", f.gateway.Address())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -402,14 +402,14 @@
 	return nc, bufio.NewReader(nc)
 }
 
-func text(job, function string) string {
+func inferText(job, function string) string {
 	body := fmt.Sprintf(`{"id":%q,"inputs":[]}`, job)
 	return fmt.Sprintf("POST /v2/models/%s/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", function, len(body), body)
 }
 
 func TestBadClients(t *testing.T) {
-	f := newField(t, usual(0))
-	half := text("h", "forecast-1")
+	f := newTestGateway(t, serverOptions(0))
+	half := inferText("h", "forecast-1")
 	for name, c := range map[string]struct{ in, want string }{
 		"half a body":     {half[:len(half)-3], "HTTP/1.1 408"},
 		"slow header":     {half[:20], "HTTP/1.1 408"},
@@ -417,10 +417,10 @@
 		"no JSON":         {strings.Replace(half, `{"id"`, `["id"`, 1), "HTTP/1.1 400"},
 		"no such call":    {"GET /v3 HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
 		"wrong method":    {"GET /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 405"},
-		"unknown to us":   {text("u", "unheard-1"), "HTTP/1.1 404"},
+		"unknown to us":   {inferText("u", "unheard-1"), "HTTP/1.1 404"},
 		"load by clients": {"POST /v2/repository/models/forecast-1/load HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
 	} {
-		nc, r := f.talk()
+		nc, r := f.dialClient()
 		io.WriteString(nc, c.in)
 		if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, c.want) {
 			t.Errorf("%s: got %q, %v", name, line, err)
@@ -435,11 +435,11 @@
 
 // A client that closes its own side gets its one answer at once; one that leaves has its execution called off.
 func TestClientLeaves(t *testing.T) {
-	f := newField(t, usual(0))
-	f.ask("first", "forecast-1", time.Second)
+	f := newTestGateway(t, serverOptions(0))
+	f.call("first", "forecast-1", time.Second)
 	f.servers[0].Fail(fakeserver.Faults{Silent: true})
-	nc, r := f.talk()
-	io.WriteString(nc, text("half", "ticket-1"))
+	nc, r := f.dialClient()
+	io.WriteString(nc, inferText("half", "ticket-1"))
 	for f.received("half") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -450,7 +450,7 @@
 		t.Errorf("got %q, %v after %s", line, err, time.Since(begun))
 	}
 	for left := 1; left > 0; time.Sleep(time.Millisecond) { // no job stays in hand, though its server is silent
-		if left = f.inHand(); time.Since(begun) > 900*time.Millisecond {
+		if left = f.inFlight(); time.Since(begun) > 900*time.Millisecond {
 			t.Fatal("the execution was not called off before its limit")
 		}
 	}
@@ -459,29 +459,29 @@
 // inHand counts the jobs that the gateway has in hand.
 // Nothing is written for a job whose client left while a connection was still being opened (found by hmmodelcheck).
 func TestClientLeavesBeforeItsJobIsWritten(t *testing.T) {
-	f := newFieldChanged(t, "", func(t *Config) { t.MaxDials = 1 }, usual(0))
-	f.g.dials <- struct{}{} // somebody else dials
-	nc, _ := f.talk()
-	if _, err := nc.Write([]byte(text("1", "ticket-1"))); err != nil {
+	f := newTestGatewayConfigured(t, "", func(t *Config) { t.MaxDials = 1 }, serverOptions(0))
+	f.gateway.dialing <- struct{}{} // somebody else dials
+	nc, _ := f.dialClient()
+	if _, err := nc.Write([]byte(inferText("1", "ticket-1"))); err != nil {
 		t.Fatal(err)
 	}
-	for f.inHand() == 0 {
+	for f.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	nc.Close()
 	for given := false; !given; time.Sleep(time.Millisecond) {
 		done := make(chan bool)
-		f.g.tell(func(control.Micros) {
+		f.gateway.post(func(control.Micros) {
 			given := true
-			for _, j := range f.g.jobs {
-				given = given && j.state.Given
+			for _, j := range f.gateway.requests {
+				given = given && j.answer.Given
 			}
 			done <- given
 		})
 		given = <-done
 	}
-	<-f.g.dials
-	for f.inHand() > 0 {
+	<-f.gateway.dialing
+	for f.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if n := f.received("1"); n > 0 {
@@ -489,13 +489,13 @@
 	}
 }
 
-func (f *field) inHand() int {
+func (f *testGateway) inFlight() int {
 	counted := make(chan int, 1)
-	f.g.tell(func(control.Micros) { counted <- len(f.g.jobs) })
+	f.gateway.post(func(control.Micros) { counted <- len(f.gateway.requests) })
 	return <-counted
 }
 
-func (f *field) received(job string) (n int) {
+func (f *testGateway) received(job string) (n int) {
 	for _, r := range f.log.Records() {
 		if r.Kind == invariant.Received && r.Job == job {
 			n++
@@ -505,9 +505,9 @@
 }
 
 func TestPipelinedJobs(t *testing.T) {
-	f := newField(t, usual(0))
-	nc, r := f.talk()
-	io.WriteString(nc, text("a", "forecast-1")+text("b", "forecast-2")+text("c", "forecast-1"))
+	f := newTestGateway(t, serverOptions(0))
+	nc, r := f.dialClient()
+	io.WriteString(nc, inferText("a", "forecast-1")+inferText("b", "forecast-2")+inferText("c", "forecast-1"))
 	for _, want := range []string{"a", "b", "c"} {
 		for blank := false; !blank; {
 			line, err := r.ReadString('\n')
@@ -525,17 +525,17 @@
 }
 
 func TestIdleClientsAndBounds(t *testing.T) {
-	f := newField(t, usual(0))
+	f := newTestGateway(t, serverOptions(0))
 	for range 200 {
-		f.talk()
+		f.dialClient()
 	}
-	if word := f.ask("busy", "forecast-1", time.Second); word != invariant.Finished {
+	if word := f.call("busy", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 	for range 120 {
-		f.talk()
+		f.dialClient()
 	}
-	nc, r := f.talk()
+	nc, r := f.dialClient()
 	defer nc.Close()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 503") {
 		t.Errorf("beyond the bound: got %q, %v", line, err)
@@ -544,44 +544,44 @@
 
 // Told to stop, it answers all that it holds and takes nothing more.
 func TestStopAnswersAll(t *testing.T) {
-	m := usual(0)
+	m := serverOptions(0)
 	m.Work = 100 * time.Millisecond
-	f := newField(t, m)
+	f := newTestGateway(t, m)
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if word := f.ask(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
+			if word := f.call(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
 				t.Errorf("job %d got no answer", i)
 			}
 		}()
 	}
-	for f.inHand() < 8 {
+	for f.inFlight() < 8 {
 		time.Sleep(time.Millisecond)
 	}
-	late, r := f.talk() // accepted by the kernel at least
-	io.WriteString(late, text("late", "ticket-1"))
+	late, r := f.dialClient() // accepted by the kernel at least
+	io.WriteString(late, inferText("late", "ticket-1"))
 	f.stop()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 ") {
 		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
-	if v := f.judge(); v.Finished == 0 {
+	if v := f.checkRules(); v.Finished == 0 {
 		t.Errorf("got %+v", v)
 	}
-	if _, err := net.Dial("tcp", f.g.Address()); err == nil {
+	if _, err := net.Dial("tcp", f.gateway.Address()); err == nil {
 		t.Error("it still listens")
 	}
 }
 
 func TestBadListIsRefused(t *testing.T) {
-	f := newField(t, usual(0))
-	if err := os.WriteFile(f.list, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
+	f := newTestGateway(t, serverOptions(0))
+	if err := os.WriteFile(f.endpointFile, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.g.RefreshEndpoints()
-	if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+	f.gateway.RefreshEndpoints()
+	if word := f.call("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 }
@@ -601,15 +601,15 @@
 
 // Operators see the state, and start and end a recording, while jobs go on.
 func TestOperatorsAddress(t *testing.T) {
-	f := newField(t, usual(0))
-	f.ask("1", "forecast-1", time.Second)
+	f := newTestGateway(t, serverOptions(0))
+	f.call("1", "forecast-1", time.Second)
 	dir := filepath.Join(t.TempDir(), "rec")
 	for _, c := range []struct {
 		method, target string
 		status         int
 	}{{"GET", "/router/state", 200}, {"GET", "/router/snapshot", 200}, {"POST", "/router/record/stop", 409},
 		{"POST", "/router/record/start?folder=" + dir, 200}, {"POST", "/router/record/start?folder=" + dir, 409}, {"POST", "/router/nothing", 404}} {
-		c2, err := rest.Dial(context.Background(), f.g.AdminAddress(), &rest.DefaultLimits)
+		c2, err := rest.Dial(context.Background(), f.gateway.AdminAddress(), &rest.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -625,7 +625,7 @@
 			t.Errorf("the first decision: %q", last)
 		}
 	}
-	f.ask("second", "forecast-1", time.Second)
+	f.call("second", "forecast-1", time.Second)
 	f.stop()
 	if err := <-f.ended; err != nil {
 		t.Fatal(err)
@@ -663,7 +663,7 @@
 }
 
 func TestForwardedLeavesOutOneConnectionsFields(t *testing.T) {
-	h := forwarded(rest.Header{"Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Te": {"x"}, "A": {"b"}, kserve.HeaderLength: {"3"}})
+	h := forwardedHeader(rest.Header{"Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Te": {"x"}, "A": {"b"}, kserve.HeaderLength: {"3"}})
 	if len(h) != 2 || h.Get("A") != "b" || h.Get(kserve.HeaderLength) != "3" {
 		t.Errorf("got %v", h)
 	}
@@ -671,7 +671,7 @@
 
 // The module counts the ration of orders by how late one may be written: as late as any choice is.
 func TestLateIsTold(t *testing.T) {
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, settings, "workers.ini"))
+	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -18,28 +18,28 @@
 )
 
 // keeper writes what the module has learned to a folder: copied between two turns, encoded and written outside them.
-type keeper struct {
+type stateKeeper struct {
 	store *persistence.Store
 	*persistence.Journal
-	marks   *persistence.Marks // the turn's own
-	tally   *history.Tally     // the turn's own; nil: no history
-	taken   int                // jobs since first, not yet in the journal; the turn's own
-	first   control.Micros
-	uses    *history.Store
-	unlock  func()
-	every   time.Duration
-	useKept chan struct{} // closed once the history is written for the last time
-	log     zerolog.Logger
-	usual   *overload.Usual   // of calls, in the last run; nil: not known
-	age     control.Micros    // of that
-	clock   persistence.Clock // of this life
-	last    *persistence.Kept // set before the gateway's end is told
-	lastUse *history.Taken    // so too
-	failed  bool
+	keys          *persistence.Marks // the turn's own
+	historyTally  *history.Tally     // the turn's own; nil: no history
+	admitted      int                // jobs since first, not yet in the journal; the turn's own
+	admittedSince control.Micros
+	history       *history.Store
+	unlock        func()
+	interval      time.Duration
+	historyClosed chan struct{} // closed once the history is written for the last time
+	log           zerolog.Logger
+	usualLoad     *overload.Usual   // of calls, in the last run; nil: not known
+	usualLoadAge  control.Micros    // of that
+	clock         persistence.Clock // of this life
+	finalState    *persistence.Kept // set before the gateway's end is told
+	finalHistory  *history.Taken    // so too
+	failed        bool
 }
 
 // journalMost bounds a journal's files: with the usual marks_for and marks_most the bound of marks comes first.
-const journalMost = 256 << 20
+const maxJournalBytes = 256 << 20
 
 // forever is a time that no router sees.
 const forever = control.Micros(1) << 60
@@ -47,17 +47,17 @@
 // openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
 // router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
 // life sent may be owed and is not known, since the folder failed.
-func openKeeper(told *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *keeper, unknown control.Micros) {
-	files := told.files
+func openStateKeeper(told *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *stateKeeper, unknown control.Micros) {
+	files := told.fileSystem
 	if files == nil {
 		files = persistence.System{}
 	}
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.Patiently(startPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
+	err := persistence.Patiently(openRetryPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
-		return nil, unknownAfter(err)
+		return nil, unknownUntil(err)
 	}
 	store, found := persistence.Look(persistence.Folder(told.StateDir), told.owner())
 	for _, line := range found.Told {
@@ -78,8 +78,8 @@
 		unlock()
 		return nil, 0
 	}
-	k = &keeper{usual: usual, age: age, clock: clock, store: store, unlock: unlock, every: told.StateInterval, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.JournalSync, Keep: micros(told.KeyRetention), Most: journalMost, Clock: clock, Now: now,
+	k = &stateKeeper{usualLoad: usual, usualLoadAge: age, clock: clock, store: store, unlock: unlock, interval: told.StateInterval, log: log}
+	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.JournalSync, Keep: micros(told.KeyRetention), Most: maxJournalBytes, Clock: clock, Now: now,
 		Failed: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
@@ -92,32 +92,32 @@
 		log.Warn().Msg("memory: " + line)
 	}
 	if err == nil {
-		k.marks = journal.Past(entries).Recalled(learned, micros(told.KeyRetention), told.MaxKeys)
+		k.keys = journal.Past(entries).Recalled(learned, micros(told.KeyRetention), told.MaxKeys)
 	}
 	module.ApplyLearned(now, learned)
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
 		unlock()
-		return nil, unknownAfter(err)
+		return nil, unknownUntil(err)
 	}
 	if journal.Unread() {
 		unknown = now + micros(told.KeyRetention)
 	}
-	log.Info().Int("marks", k.marks.Len()).Int("entries", len(entries)).Msg("journal read")
+	log.Info().Int("marks", k.keys.Len()).Int("entries", len(entries)).Msg("journal read")
 	k.Journal = journal
 	if told.MaxHistoryRows > 0 {
-		k.tally, k.useKept = history.NewTally(), make(chan struct{})
-		k.uses = history.NewStore(filepath.Join(told.StateDir, HistoryFile), int64(told.MaxHistoryRows))
+		k.historyTally, k.historyClosed = history.NewTally(), make(chan struct{})
+		k.history = history.NewStore(filepath.Join(told.StateDir, HistoryFile), int64(told.MaxHistoryRows))
 	}
 	return k, unknown
 }
 
 // startPause is the first between tries to open a folder.
-const startPause = 5 * time.Millisecond
+const openRetryPause = 5 * time.Millisecond
 
 // unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
 // one that is no folder of ours never did.
-func unknownAfter(err error) control.Micros {
+func unknownUntil(err error) control.Micros {
 	if persistence.Passing(err) {
 		return forever
 	}
@@ -125,12 +125,12 @@
 }
 
 // unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) unrecorded(now control.Micros, mark persistence.Mark) string {
+func (g *Gateway) journalRefusal(now control.Micros, mark persistence.Mark) string {
 	switch {
 	case mark == 0:
-	case g.keeper != nil && g.keeper.Failing():
+	case g.state != nil && g.state.Failing():
 		return "the journal can't be written, and what is sent must be known after a restart"
-	case now < g.unknown:
+	case now < g.keysUnknownUntil:
 		return "the journal could not be read, and what was sent before the restart is not known"
 	}
 	return ""
@@ -143,27 +143,27 @@
 }
 
 // keep writes now and again until the gateway has ended, and then once more.
-func (k *keeper) keep(g *Gateway) {
+func (k *stateKeeper) run(g *Gateway) {
 	defer k.close()
-	ticker := time.NewTicker(k.every)
+	ticker := time.NewTicker(k.interval)
 	defer ticker.Stop()
 	copies := make(chan *persistence.Kept, 1)
 	for {
 		select {
 		case <-ticker.C:
-			g.afterTurn(func(now control.Micros) {
-				k.marks.Tidy(now)
+			g.afterStep(func(now control.Micros) {
+				k.keys.Tidy(now)
 				select {
-				case copies <- g.kept(now):
+				case copies <- g.learnedState(now):
 				default: // the disk is behind: a later copy will do
 				}
 			})
 		case m := <-copies:
 			k.write(m)
-		case <-g.ended:
-			k.write(k.last)
-			if k.tally != nil {
-				<-k.useKept // in the same folder, which is still ours
+		case <-g.loopEnded:
+			k.write(k.finalState)
+			if k.historyTally != nil {
+				<-k.historyClosed // in the same folder, which is still ours
 			}
 			return
 		}
@@ -171,20 +171,20 @@
 }
 
 // kept gives what is to outlast this run.
-func (g *Gateway) kept(now control.Micros) *persistence.Kept {
+func (g *Gateway) learnedState(now control.Micros) *persistence.Kept {
 	k := &persistence.Kept{Module: g.core.LearnedState(now)}
-	if g.keeper.clock.Boot != 0 {
-		k.Clock = &g.keeper.clock
+	if g.state.clock.Boot != 0 {
+		k.Clock = &g.state.clock
 	}
-	if g.storm != nil {
-		usual := g.storm.Remember()
+	if g.overload != nil {
+		usual := g.overload.Remember()
 		k.Storm = &usual
 	}
 	return k
 }
 
 // write writes one generation. A disk that fails is told once, and again when it is well.
-func (k *keeper) write(m *persistence.Kept) {
+func (k *stateKeeper) write(m *persistence.Kept) {
 	err := k.store.Write(m)
 	switch {
 	case err != nil && !k.failed:
@@ -196,7 +196,7 @@
 }
 
 // close ends the journal and lets the folder go; of no keeper it does nothing.
-func (k *keeper) close() {
+func (k *stateKeeper) close() {
 	if k != nil {
 		k.Journal.Close()
 		k.unlock()
@@ -204,7 +204,7 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Config) mark(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
+func (t *Config) journalKey(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
 	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
 		return 0
 	}
@@ -213,12 +213,12 @@
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlier(now control.Micros, mark persistence.Mark) []control.Attempt {
-	if g.keeper == nil || mark == 0 {
+func (g *Gateway) earlierAttempts(now control.Micros, mark persistence.Mark) []control.Attempt {
+	if g.state == nil || mark == 0 {
 		return nil
 	}
 	var es []control.Attempt
-	for _, s := range g.keeper.marks.MayHaveRun(now, mark) {
+	for _, s := range g.state.keys.MayHaveRun(now, mark) {
 		e := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
 		if to := g.fleet.Get(s.Server); to != nil {
 			e.Zone, e.Cell = to.Zone, to.Cell
@@ -229,72 +229,72 @@
 }
 
 // took counts a job taken, for the ration of orders. The journal learns of them some at a time.
-func (g *Gateway) took(now control.Micros) {
+func (g *Gateway) countAdmitted(now control.Micros) {
 	const some = 200_000 // a small part of a ration's window
-	k := g.keeper
-	if k == nil || g.told.Deployment.LoadRateWindow == 0 {
+	k := g.state
+	if k == nil || g.config.Deployment.LoadRateWindow == 0 {
 		return
 	}
-	if k.taken > 0 && now > k.first+some {
-		k.Append(persistence.Entry{Kind: persistence.Taken, At: k.first, Mark: persistence.Mark(k.taken)})
-		k.taken = 0
+	if k.admitted > 0 && now > k.admittedSince+some {
+		k.Append(persistence.Entry{Kind: persistence.Taken, At: k.admittedSince, Mark: persistence.Mark(k.admitted)})
+		k.admitted = 0
 	}
-	if k.taken == 0 {
-		k.first = now
+	if k.admitted == 0 {
+		k.admittedSince = now
 	}
-	k.taken++
+	k.admitted++
 }
 
 // enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) enter(mark persistence.Mark, to control.ServerID) *persistence.Round {
-	if g.keeper == nil {
+func (g *Gateway) journalAttempt(mark persistence.Mark, to control.ServerID) *persistence.Round {
+	if g.state == nil {
 		return nil
 	}
 	var es []persistence.Entry
 	if mark != 0 {
-		g.keeper.marks.Sent(mark, persistence.Sent{Server: to, At: g.clock})
-		es = append(es, persistence.Entry{Kind: persistence.Execution, At: g.clock, Mark: mark, Server: to})
+		g.state.keys.Sent(mark, persistence.Sent{Server: to, At: g.stepTime})
+		es = append(es, persistence.Entry{Kind: persistence.Execution, At: g.stepTime, Mark: mark, Server: to})
 	}
-	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.clock, g.told.Deployment.SlowStartDuration) {
-		es = append(es, persistence.Entry{Kind: persistence.ToCold, At: g.clock, Server: to})
+	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.stepTime, g.config.Deployment.SlowStartDuration) {
+		es = append(es, persistence.Entry{Kind: persistence.ToCold, At: g.stepTime, Server: to})
 	}
 	if len(es) == 0 {
 		return nil
 	}
-	return g.keeper.Append(es...)
+	return g.state.Append(es...)
 }
 
 // proved notes that an execution did not run.
-func (g *Gateway) proved(mark persistence.Mark, to control.ServerID) {
-	if g.keeper != nil && mark != 0 {
-		g.keeper.marks.Unrun(mark, to)
-		g.keeper.Append(persistence.Entry{Kind: persistence.Unrun, At: g.clock, Mark: mark, Server: to})
+func (g *Gateway) journalNotRun(mark persistence.Mark, to control.ServerID) {
+	if g.state != nil && mark != 0 {
+		g.state.keys.Unrun(mark, to)
+		g.state.Append(persistence.Entry{Kind: persistence.Unrun, At: g.stepTime, Mark: mark, Server: to})
 	}
 }
 
 // kept waits until a sending is in the journal: a marked job on the disk itself, what counts for seconds with the kernel. While the
 // journal fails it waits too, since what goes out unrecorded is not known after a kill. False tells that it was withdrawn
 // meanwhile, that the disk stood still or failed for too long, or that too much waits for it.
-func (s *sending) kept(now control.Micros) bool {
-	if s.round == nil {
+func (s *serverCall) awaitJournal(now control.Micros) bool {
+	if s.journalRound == nil {
 		return true
 	}
 	// A disk that stands still: then the list is too old too, or the job's time is up.
-	wait := attempt.JournalWait(now, s.until, micros(time.Until(s.deadline)))
-	timer := time.NewTimer(span(wait))
+	wait := attempt.JournalWait(now, s.writeBefore, micros(time.Until(s.deadline)))
+	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
-	if s.job != nil && s.job.kept != 0 {
+	if s.request != nil && s.request.journalKey != 0 {
 		select {
-		case <-s.round.Done():
-			return s.round.Err() == nil
+		case <-s.journalRound.Done():
+			return s.journalRound.Err() == nil
 		case <-timer.C:
 		case <-s.ctx.Done():
 		}
 		return false
 	}
 	select {
-	case <-s.round.Written():
-		return !s.round.Lost()
+	case <-s.journalRound.Written():
+		return !s.journalRound.Lost()
 	case <-timer.C:
 	case <-s.ctx.Done():
 	}
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -25,19 +25,19 @@
 )
 
 // remembering is the section for a folder.
-func remembering(dir string) string {
+func stateSection(dir string) string {
 	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
 }
 
 // askMarked sends a job with a client's mark and gives the answer's word.
-func (f *field) askMarked(job, function, mark string) string {
+func (f *testGateway) callWithKey(job, function, mark string) string {
 	f.t.Helper()
-	c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
+	c, err := rest.Dial(context.Background(), f.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	defer c.Close()
-	q := request(job, function, time.Second)
+	q := inferRequest(job, function, time.Second)
 	q.Header[kserve.RepeatMark] = []string{mark}
 	p, _, err := c.Do(q, time.Now().Add(2*time.Second))
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // began counts the executions of a job on a server, or on all for -1.
-func (f *field) began(job string, server int) int {
+func (f *testGateway) attemptsBegun(job string, server int) int {
 	n := 0
 	for _, r := range f.log.Records() {
 		if r.Kind == invariant.Began && r.Job == job && (server < 0 || r.Server == server) {
@@ -65,7 +65,7 @@
 	dir := t.TempDir()
 	told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 	mark := func(function, mark string, w control.ClassID) persistence.Mark {
-		return told.mark(function, kserve.Ask{Mark: mark}, w)
+		return told.journalKey(function, kserve.Ask{Mark: mark}, w)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.Grouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -80,7 +80,7 @@
 		persistence.Entry{Kind: persistence.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
 		persistence.Entry{Kind: persistence.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
-	f := newFieldTold(t, remembering(dir), usual(0), usual(1))
+	f := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
 	for i, c := range []struct {
 		function, mark, want string
 		executions           int
@@ -94,8 +94,8 @@
 		{"booking-1", "clock set back", invariant.PushedBack, 0},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := f.askMarked(job, c.function, c.mark); got != c.want || f.began(job, -1) != c.executions {
-			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, f.began(job, -1), c.want, c.executions)
+		if got := f.callWithKey(job, c.function, c.mark); got != c.want || f.attemptsBegun(job, -1) != c.executions {
+			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, f.attemptsBegun(job, -1), c.want, c.executions)
 		}
 	}
 }
@@ -103,15 +103,15 @@
 // The next life finds copies where they stand, and its own file.
 func TestNextLifeRecalls(t *testing.T) {
 	dir := t.TempDir()
-	first := newFieldTold(t, remembering(dir), usual(0), usual(1), usual(2))
-	if word := first.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
+	if word := first.call("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Fatal(word)
 	}
-	other, err := New(first.g.told, zerolog.Nop())
+	other, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if other.keeper != nil { // two routers on one folder: the second goes without
+	if other.state != nil { // two routers on one folder: the second goes without
 		t.Error("a second router has the folder too")
 	}
 	other.closeListeners()
@@ -120,12 +120,12 @@
 		t.Fatal(err)
 	}
 	first.ended <- nil
-	next, err := New(first.g.told, zerolog.Nop())
+	next, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.closeListeners()
-	defer next.keeper.close()
+	defer next.state.close()
 	s, err := next.core.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -139,10 +139,10 @@
 func TestAnyFolderLetsTheRouterStart(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return write(dir, persistence.Files[0], "rubbish") },
+		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.Files[0], "rubbish") },
 		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.Files[0]), 0o700) },
-		"bad journal":  func(dir string) error { return write(dir, "journal-00000001", "rubbish") },
-		"last journal": func(dir string) error { return write(dir, "journal-99999999999999999999", "") },
+		"bad journal":  func(dir string) error { return writeStateFile(dir, "journal-00000001", "rubbish") },
+		"last journal": func(dir string) error { return writeStateFile(dir, "journal-99999999999999999999", "") },
 		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -150,15 +150,15 @@
 			if err := prepare(dir); err != nil {
 				t.Fatal(err)
 			}
-			f := newFieldTold(t, remembering(dir), usual(0))
-			if word := f.ask("1", "forecast-1", time.Second); word != invariant.Finished {
+			f := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
+			if word := f.call("1", "forecast-1", time.Second); word != invariant.Finished {
 				t.Error(word)
 			}
 		})
 	}
 }
 
-func write(dir, name, text string) error {
+func writeStateFile(dir, name, text string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -167,26 +167,26 @@
 
 // A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
-	f := newFieldTold(t, remembering(filepath.Join(t.TempDir(), "m")), usual(0))
+	f := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
 	set := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
-		f.g.tell(func(control.Micros) {
-			old, f.g.keeper.Journal = f.g.keeper.Journal, j
+		f.gateway.post(func(control.Micros) {
+			old, f.gateway.state.Journal = f.gateway.state.Journal, j
 			close(done)
 		})
 		<-done
 		return old
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := f.askMarked("still", "ticket-1", "still"); got != invariant.PushedBack || f.began("still", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.began("still", -1))
+	if got := f.callWithKey("still", "ticket-1", "still"); got != invariant.PushedBack || f.attemptsBegun("still", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, f.attemptsBegun("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := f.askMarked("failing", "ticket-1", "failing"); got != invariant.PushedBack || f.began("failing", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.began("failing", -1))
+	if got := f.callWithKey("failing", "ticket-1", "failing"); got != invariant.PushedBack || f.attemptsBegun("failing", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, f.attemptsBegun("failing", -1))
 	}
-	if got := f.ask("unmarked", "ticket-1", time.Second); got != invariant.Finished {
+	if got := f.call("unmarked", "ticket-1", time.Second); got != invariant.Finished {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
@@ -260,19 +260,19 @@
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.mark("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
-			f := newFieldChanged(t, remembering(dir), func(t *Config) {
+			f := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
 				t.Deployment.Classes[booking.Class].Window = 60_000_000
-			}, usual(0), usual(1))
-			if got := f.askMarked("booking", "booking-1", "sent"); got != c.booking || f.began("booking", -1) != c.executions {
-				t.Errorf("booking: got %s with %d executions", got, f.began("booking", -1))
+			}, serverOptions(0), serverOptions(1))
+			if got := f.callWithKey("booking", "booking-1", "sent"); got != c.booking || f.attemptsBegun("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, f.attemptsBegun("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := f.askMarked("ticket", "ticket-1", "sent"); got != invariant.Killed || f.began("ticket", -1) > 0 {
-				t.Errorf("ticket: got %s with %d executions", got, f.began("ticket", -1))
+			if got := f.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Killed || f.attemptsBegun("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, f.attemptsBegun("ticket", -1))
 			}
 		})
 	}
@@ -283,13 +283,13 @@
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
-	f := newFieldChanged(t, remembering(dir), func(t *Config) { t.files = disk }, usual(0), usual(1))
+	f := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) { t.fileSystem = disk }, serverOptions(0), serverOptions(1))
 	refused := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
 		job := fmt.Sprint("job-", i)
-		got := f.askMarked(job, "ticket-1", job)
-		switch ran := f.began(job, -1); {
+		got := f.callWithKey(job, "ticket-1", job)
+		switch ran := f.attemptsBegun(job, -1); {
 		case got == invariant.PushedBack && ran == 0:
 			refused++
 		case got != invariant.Finished || ran != 1:
@@ -298,14 +298,14 @@
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := f.ask(job+" other", "forecast-1", time.Second); got != invariant.Finished {
+			if got := f.call(job+" other", "forecast-1", time.Second); got != invariant.Finished {
 				t.Errorf("a job that may repeat: %s", got)
 			}
-			c, err := rest.Dial(context.Background(), f.g.Address(), &rest.DefaultLimits)
+			c, err := rest.Dial(context.Background(), f.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			q := request(job, "ticket-1", time.Second)
+			q := inferRequest(job, "ticket-1", time.Second)
 			q.Header[kserve.RepeatMark] = []string{job + " again"}
 			p, _, err := c.Do(q, time.Now().Add(2*time.Second))
 			if c.Close(); err != nil || p.Status != 503 || p.Header["Retry-After"] == nil {
@@ -313,17 +313,17 @@
 			}
 		}
 		if i%10 == 9 {
-			known := f.knownTo(t, dir)
+			known := f.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if f.began(job, -1) > 0 && len(known.MayHaveRun(f.g.now(), f.g.told.mark("ticket-1", kserve.Ask{Mark: job}, f.ticket()))) == 0 {
+				if f.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(f.gateway.now(), f.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, f.ticketClass()))) == 0 {
 					t.Errorf("%s ran, and a next life would not know", job)
 				}
 			}
 		}
 		if i%20 == 19 { // until it is tried again
 			disk.full.Store(false)
-			for end := time.Now().Add(10 * time.Second); f.g.keeper.Failing() && time.Now().Before(end); {
+			for end := time.Now().Add(10 * time.Second); f.gateway.state.Failing() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -331,7 +331,7 @@
 	if refused < 25 {
 		t.Errorf("%d were pushed back", refused)
 	}
-	text := string(f.g.metrics.page().Body)
+	text := string(f.gateway.metrics.response().Body)
 	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
 		if !strings.Contains(text, "hollymast_"+name+" ") || strings.Contains(text, "hollymast_"+name+" 0\n") {
 			t.Errorf("%s does not count", name)
@@ -339,13 +339,13 @@
 	}
 }
 
-func (f *field) ticket() control.ClassID {
-	p, _ := f.g.told.Match("ticket-1")
+func (f *testGateway) ticketClass() control.ClassID {
+	p, _ := f.gateway.config.Match("ticket-1")
 	return p.Class
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (f *field) knownTo(t *testing.T, dir string) *persistence.Marks {
+func (f *testGateway) keysInJournal(t *testing.T, dir string) *persistence.Marks {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -373,9 +373,9 @@
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, files: &fullDisk{}}
-	disk := told.files.(*fullDisk)
-	k, unknown := openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, fileSystem: &fullDisk{}}
+	disk := told.fileSystem.(*fullDisk)
+	k, unknown := openStateKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
 		k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
@@ -389,9 +389,9 @@
 		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
 	}
 	disk.full.Store(true)
-	k, unknown = openKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
-	g := &Gateway{told: told, keeper: k, unknown: unknown}
-	if k != nil || g.unrecorded(1e15, 1) == "" || g.unrecorded(1e15, 0) != "" {
+	k, unknown = openStateKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	g := &Gateway{config: told, state: k, keysUnknownUntil: unknown}
+	if k != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
 		t.Errorf("%v, unknown until %d", k, unknown)
 	}
 }
@@ -399,13 +399,13 @@
 // A router that ends leaves its history, each job counted once.
 func TestHistoryOfUse(t *testing.T) {
 	dir := t.TempDir()
-	f := newFieldTold(t, remembering(dir)+"[tenant laundry]\nshare = 100\n", usual(0), usual(1))
+	f := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
 	for i := range 30 {
-		if word := f.ask(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
+		if word := f.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
 			t.Fatal(word)
 		}
 	}
-	f.ask("late", "forecast-2", 5*time.Millisecond)
+	f.call("late", "forecast-2", 5*time.Millisecond)
 	f.stop()
 	if err := <-f.ended; err != nil {
 		t.Fatal(err)
@@ -433,7 +433,7 @@
 func TestHistoryOnAFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), HistoryFile)
 	var said strings.Builder
-	o := useOwed{uses: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
 	now := int64(1_800_000_000_000_000)
 	rows := func() []history.Row {
 		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
@@ -465,7 +465,7 @@
 		write()
 	}
 	jobs := int64(0)
-	err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
 	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
 		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
 	}
@@ -478,13 +478,13 @@
 	for range damagedTries {
 		write()
 	}
-	if err := o.uses.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
 		t.Errorf("%d jobs more in a new one, %v", jobs, err)
 	}
 	for range 40 {
-		o.batches = append(o.batches, useBatch{1, make([]history.Row, 1000)})
+		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
 	}
-	if o.bound(); len(o.batches) > mostOwedRows/1000 {
+	if o.dropOldest(); len(o.batches) > maxQueuedRows/1000 {
 		t.Errorf("%d batches wait", len(o.batches))
 	}
 }
--- a/internal/gateway/library_test.go
+++ b/internal/gateway/library_test.go
@@ -17,11 +17,11 @@
 // The client library against this router, while servers lose answers, break connections and refuse: each call has one outcome at its
 // caller and in its time, tries are counted and keep their mark, none goes out past the deadline or past a window, and the rules hold.
 func TestClientLibraryUnderFaults(t *testing.T) {
-	f := newFieldTold(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", usual(0), usual(1), usual(2))
+	f := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
 	for i, s := range f.servers {
 		s.Fail(fakeserver.Faults{Lost: 0.02, ResetPost: 0.05, ResetEre: 0.05, Full: i == 2})
 	}
-	lib, err := client.New(client.Options{Routers: []string{f.g.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
+	lib, err := client.New(client.Options{Routers: []string{f.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 					last = x.Number
 					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
 					f.log.Add(rec)
-					return request(rec.Job, "", x.Left).Body
+					return inferRequest(rec.Job, "", x.Left).Body
 				},
 				Tried: func(_ client.Try, ending string) {
 					switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
@@ -81,7 +81,7 @@
 		})
 	}
 	wg.Wait()
-	v := f.judge()
+	v := f.checkRules()
 	all := 0
 	for _, n := range outcomes {
 		all += n
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -18,17 +18,17 @@
 
 // follow looks at the list's file now and again, and when asked. A bad file is refused with its reasons and the old
 // list stays.
-func (g *Gateway) follow(ctx context.Context) {
-	if g.told.ControlPlane != "" {
-		g.followPlane(ctx)
+func (g *Gateway) followEndpoints(ctx context.Context) {
+	if g.config.ControlPlane != "" {
+		g.followControlPlane(ctx)
 		return
 	}
-	file, take, tick := g.told.EndpointFile, g.take, func() {}
-	if g.told.EnvoyFile != "" {
-		file = g.told.EnvoyFile
-		take, tick = g.bootstrap()
+	file, take, tick := g.config.EndpointFile, g.readEndpointFile, func() {}
+	if g.config.EnvoyFile != "" {
+		file = g.config.EnvoyFile
+		take, tick = g.envoyFileReader()
 	}
-	ticker := time.NewTicker(g.told.EndpointFileInterval)
+	ticker := time.NewTicker(g.config.EndpointFileInterval)
 	defer ticker.Stop()
 	var seen []byte
 	missing, taken := false, false
@@ -46,13 +46,13 @@
 		}
 		tick()
 		if err == nil && taken {
-			g.listWhole.Store(int64(looked))
+			g.sourceCompleteAsOf.Store(int64(looked))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case looked := <-g.refresh:
+		case looked := <-g.sourceReads:
 			asOf := g.now()
 			text, err := os.ReadFile(file)
 			if err == nil && !bytes.Equal(text, seen) {
@@ -60,7 +60,7 @@
 				taken = take(text)
 			}
 			if err == nil && taken {
-				g.listWhole.Store(int64(asOf))
+				g.sourceCompleteAsOf.Store(int64(asOf))
 			}
 			close(looked)
 		}
@@ -68,17 +68,17 @@
 }
 
 // followPlane follows a control plane in the place of a file. While nothing was heard of it the router takes no jobs.
-func (g *Gateway) followPlane(ctx context.Context) {
+func (g *Gateway) followControlPlane(ctx context.Context) {
 	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, g.told.DeltaXDS, xds.Usual)
-	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Delta: g.told.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.refresh,
-		Grace: g.told.GracePeriod, Complete: func(asOf control.Micros) { g.listWhole.Store(int64(asOf)) },
+	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, g.config.DeltaXDS, xds.Usual)
+	source := xds.Source{Address: g.config.ControlPlane, Creds: g.credentials(xdsConnections), Delta: g.config.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.sourceReads,
+		Grace: g.config.GracePeriod, Complete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
 		Changed: func(now control.Micros) {
 			if list, news := members.News(now); news {
-				if g.counted != nil {
-					g.counted.listed(members.Facts(), f.Services())
+				if g.loadReporter != nil {
+					g.loadReporter.update(members.Facts(), f.Services())
 				}
-				g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
+				g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, list) })
 			}
 		},
 		Note: func(text string) { g.log.Info().Msg("xds: " + text) }}
@@ -88,21 +88,21 @@
 }
 
 // bootstrap gives what takes in the texts of a file in Envoy's own form, and what ends what waits there.
-func (g *Gateway) bootstrap() (take func(text []byte) bool, tick func()) {
+func (g *Gateway) envoyFileReader() (take func(text []byte) bool, tick func()) {
 	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, "", g.told.Zone, false, xds.Usual)
+	f := xds.NewFollower(members, "", g.config.Zone, false, xds.Usual)
 	tell := func() {
 		for _, note := range f.Notes() {
 			g.log.Info().Msg("xds: " + note)
 		}
 		if list, news := members.News(g.now()); news {
-			g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
+			g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, list) })
 		}
 	}
 	take = func(text []byte) bool {
 		err := f.Bootstrap(g.now(), text)
 		if err != nil {
-			g.log.Error().Str("file", g.told.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
+			g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
 		}
 		tell()
 		return err == nil
@@ -114,8 +114,8 @@
 }
 
 // take tells the turn of a list's text, unless it is refused.
-func (g *Gateway) take(text []byte) bool {
-	f, err := inifile.Read(g.told.EndpointFile, text)
+func (g *Gateway) readEndpointFile(text []byte) bool {
+	f, err := inifile.Read(g.config.EndpointFile, text)
 	list := fleet.Update{Full: true}
 	if err == nil {
 		list.Endpoints, err = ParseEndpoints(f)
@@ -129,23 +129,23 @@
 		}
 		return false
 	}
-	g.box.PostEndpoints(func(now control.Micros) { g.listed(now, list) })
+	g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, list) })
 	return true
 }
 
 // listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
-func (g *Gateway) listed(now control.Micros, told fleet.Update) {
+func (g *Gateway) handleUpdate(now control.Micros, told fleet.Update) {
 	if told.Full {
 		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.FullUpdate(now, told.Endpoints))
 		for id := range g.pools {
-			g.relist(id)
+			g.refreshPool(id)
 		}
 	} else {
 		changed := g.fleet.IncrementalUpdate(now, told.Endpoints)
 		g.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 		for _, l := range changed {
 			if g.pools[l.Server] != nil {
-				g.relist(l.Server)
+				g.refreshPool(l.Server)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // relist takes back what is on its way to a server, if it takes nothing new.
-func (g *Gateway) relist(id control.ServerID) {
+func (g *Gateway) refreshPool(id control.ServerID) {
 	if s := g.fleet.Get(id); s == nil || s.State != control.Ready {
 		g.withdrawFrom(id)
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,16 +12,16 @@
 )
 
 type metrics struct {
-	registry              *prometheus.Registry
-	answers, executions   *prometheus.CounterVec
-	inHand, held, servers prometheus.Gauge
-	orders, loads         prometheus.Counter
-	late, turnedAway      prometheus.Counter
-	turn                  prometheus.Histogram
-	damped                *prometheus.CounterVec
-	unrecorded            prometheus.Counter
-	storm                 prometheus.Gauge
-	byResult              [control.NotLoaded + 1]prometheus.Counter
+	registry                   *prometheus.Registry
+	answers, attempts          *prometheus.CounterVec
+	inFlight, held, servers    prometheus.Gauge
+	loadCommands, loads        prometheus.Counter
+	lateAnswers, connsRejected prometheus.Counter
+	stepSeconds                prometheus.Histogram
+	overloadRejections         *prometheus.CounterVec
+	journalRejections          prometheus.Counter
+	overloadKind               prometheus.Gauge
+	attemptsByResult           [control.NotLoaded + 1]prometheus.Counter
 }
 
 var resultNames = [...]string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled",
@@ -37,32 +37,32 @@
 	m := &metrics{registry: prometheus.NewRegistry(),
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_jobs_total",
 			Help: "Jobs by their final answer."}, []string{"answer"}),
-		executions: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_executions_total",
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_executions_total",
 			Help: "Executions by how they ended."}, []string{"result"}),
-		inHand:  gauge("jobs_in_hand", "Jobs in hand, those included whose executions are still out."),
-		held:    gauge("jobs_held", "Jobs that wait here for a copy."),
-		servers: gauge("servers_ready", "Servers that the list calls ready."),
-		orders:  count("orders_total", "Orders to load."),
-		loads:   count("loads_total", "Executions that began a load."),
-		damped: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_storm_refused_total",
+		inFlight:     gauge("jobs_in_hand", "Jobs in hand, those included whose executions are still out."),
+		held:         gauge("jobs_held", "Jobs that wait here for a copy."),
+		servers:      gauge("servers_ready", "Servers that the list calls ready."),
+		loadCommands: count("orders_total", "Orders to load."),
+		loads:        count("loads_total", "Executions that began a load."),
+		overloadRejections: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_storm_refused_total",
 			Help: "Jobs pushed back in a storm, by its kind."}, []string{"kind"}),
-		storm:      gauge("storm", "The storm that is on: 0 none, 1 retry wave, 2 return, 3 woken, 4 one tenant, 5 reconnect rush."),
-		late:       count("late_answers_total", "Answers dropped because their job had its final answer."),
-		unrecorded: count("journal_refused_total", "Jobs pushed back because the journal can't keep what a restart must know of them."),
-		turnedAway: count("connections_turned_away_total", "Client connections beyond the bound."),
-		turn: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "hollymast_turn_seconds", Help: "Time of a turn.",
+		overloadKind:      gauge("storm", "The storm that is on: 0 none, 1 retry wave, 2 return, 3 woken, 4 one tenant, 5 reconnect rush."),
+		lateAnswers:       count("late_answers_total", "Answers dropped because their job had its final answer."),
+		journalRejections: count("journal_refused_total", "Jobs pushed back because the journal can't keep what a restart must know of them."),
+		connsRejected:     count("connections_turned_away_total", "Client connections beyond the bound."),
+		stepSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "hollymast_turn_seconds", Help: "Time of a turn.",
 			Buckets: prometheus.ExponentialBuckets(10e-6, 2, 14)}), // 10 us to 80 ms
 	}
-	m.registry.MustRegister(m.answers, m.executions, m.inHand, m.held, m.servers, m.orders, m.loads, m.late, m.turnedAway, m.turn, m.damped, m.storm, m.unrecorded,
+	m.registry.MustRegister(m.answers, m.attempts, m.inFlight, m.held, m.servers, m.loadCommands, m.loads, m.lateAnswers, m.connsRejected, m.stepSeconds, m.overloadRejections, m.overloadKind, m.journalRejections,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	for r := range m.byResult {
-		m.byResult[r] = m.executions.WithLabelValues(resultNames[r])
+	for r := range m.attemptsByResult {
+		m.attemptsByResult[r] = m.attempts.WithLabelValues(resultNames[r])
 	}
 	return m
 }
 
 // journal counts what fails of a router's journal.
-func (m *metrics) journal(k *keeper) {
+func (m *metrics) registerJournal(k *stateKeeper) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "hollymast_journal_failures_total",
 		Help: "Writes and syncs of the journal that failed."}, func() float64 {
 		if k == nil {
@@ -72,22 +72,22 @@
 	}))
 }
 
-func (m *metrics) answered(word string) { m.answers.WithLabelValues(word).Inc() }
+func (m *metrics) countAnswer(word string) { m.answers.WithLabelValues(word).Inc() }
 
-func (m *metrics) executed(r control.Result) { m.byResult[r].Inc() }
+func (m *metrics) countAttempt(r control.Result) { m.attemptsByResult[r].Inc() }
 
 // page is the metrics in Prometheus' text form.
-func (m *metrics) page() *rest.Response {
+func (m *metrics) response() *rest.Response {
 	families, err := m.registry.Gather()
 	if err != nil {
-		return fault(500, err.Error())
+		return errorResponse(500, err.Error())
 	}
 	var b bytes.Buffer
 	format := expfmt.NewFormat(expfmt.TypeTextPlain)
 	enc := expfmt.NewEncoder(&b, format)
 	for _, f := range families {
 		if err := enc.Encode(f); err != nil {
-			return fault(500, err.Error())
+			return errorResponse(500, err.Error())
 		}
 	}
 	return &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {string(format)}}, Body: b.Bytes()}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -20,69 +20,69 @@
 //	GET  /router/loads                     what routers that follow our view report of servers, as JSON
 //	POST /router/record/start?folder=DIR   begins a recording, by default in the folder of the settings
 //	POST /router/record/stop               ends it
-func (g *Gateway) operate(q *rest.Request) *rest.Response {
+func (g *Gateway) serveAdmin(q *rest.Request) *rest.Response {
 	path, query, _ := strings.Cut(strings.TrimPrefix(q.Target, "/router/"), "?")
 	switch {
 	case q.Method == "GET" && path == "state":
-		return g.within(func(control.Micros) *rest.Response {
+		return g.inLoop(func(control.Micros) *rest.Response {
 			s, err := g.core.Snapshot()
 			if err != nil {
-				return fault(500, err.Error())
+				return errorResponse(500, err.Error())
 			}
-			b, err := json.Marshal(operatorsView{s, g.recent.list()})
+			b, err := json.Marshal(adminState{s, g.decisions.list()})
 			if err != nil {
-				return fault(500, err.Error())
+				return errorResponse(500, err.Error())
 			}
-			return object(200, b)
+			return jsonResponse(200, b)
 		})
 	case q.Method == "GET" && path == "snapshot":
-		return g.within(func(now control.Micros) *rest.Response {
+		return g.inLoop(func(now control.Micros) *rest.Response {
 			s, err := g.core.Snapshot()
 			if err == nil {
 				var b []byte
-				if b, err = record.Still(g.recordHead(), now, s); err == nil {
+				if b, err = record.Still(g.recordHeader(), now, s); err == nil {
 					return &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {"application/octet-stream"}}, Body: b}
 				}
 			}
-			return fault(500, err.Error())
+			return errorResponse(500, err.Error())
 		})
 	case q.Method == "GET" && path == "loads":
-		return g.others()
+		return g.followersReports()
 	case q.Method == "POST" && path == "record/start":
 		values, err := url.ParseQuery(query)
 		if err != nil {
-			return fault(400, "the query can't be read")
+			return errorResponse(400, "the query can't be read")
 		}
 		folder := values.Get("folder")
 		if folder == "" {
-			folder = g.told.RecordDir
+			folder = g.config.RecordDir
 		}
-		return g.within(func(now control.Micros) *rest.Response {
+		return g.inLoop(func(now control.Micros) *rest.Response {
 			if err := g.startRecording(now, folder); err != nil {
-				return fault(409, err.Error())
+				return errorResponse(409, err.Error())
 			}
-			return object(200, []byte(`{"recording":true}`))
+			return jsonResponse(200, []byte(`{"recording":true}`))
 		})
 	case q.Method == "POST" && path == "record/stop":
 		var ended *record.Writer
-		p := g.within(func(control.Micros) *rest.Response {
-			if g.writer == nil {
-				return fault(409, "nothing is being recorded")
+		p := g.inLoop(func(control.Micros) *rest.Response {
+			if g.recordWriter == nil {
+				return errorResponse(409, "nothing is being recorded")
 			}
 			g.core.SetRecorder(nil)
-			ended, g.writer, g.tape = g.writer, nil, nil
-			return object(200, []byte(`{"recording":false}`))
+			ended, g.recordWriter, g.recorder = g.recordWriter, nil, nil
+			return jsonResponse(200, []byte(`{"recording":false}`))
 		})
 		if ended != nil {
 			ended.Close() // waits for the disk, so not within the turn
 		}
 		return p
 	}
-	return fault(404, "no such call: "+q.Target)
+	return errorResponse(404, "no such call: "+q.Target)
 }
 
 // operatorsView is what /router/state tells.
-type operatorsView struct {
+type adminState struct {
 	*core.Snapshot
 	Last []decision `json:"Last"` // oldest first
 }
@@ -94,71 +94,71 @@
 }
 
 // recent keeps the last deeds: as many as fill some screens.
-type recent struct {
-	deeds [256]struct {
+type decisionLog struct {
+	entries [256]struct {
 		at   control.Micros
 		deed record.Deed
 	}
 	n int
 }
 
-func (r *recent) add(at control.Micros, d record.Deed) {
-	x := &r.deeds[r.n%len(r.deeds)]
+func (r *decisionLog) add(at control.Micros, d record.Deed) {
+	x := &r.entries[r.n%len(r.entries)]
 	x.at, x.deed = at, d
 	r.n++
 }
 
-func (r *recent) list() []decision {
+func (r *decisionLog) list() []decision {
 	var ds []decision
-	for i := max(0, r.n-len(r.deeds)); i < r.n; i++ {
-		x := &r.deeds[i%len(r.deeds)]
+	for i := max(0, r.n-len(r.entries)); i < r.n; i++ {
+		x := &r.entries[i%len(r.entries)]
 		ds = append(ds, decision{x.at, x.deed.String()})
 	}
 	return ds
 }
 
 // within runs a function between two turns and waits for it.
-func (g *Gateway) within(f func(now control.Micros) *rest.Response) *rest.Response {
+func (g *Gateway) inLoop(f func(now control.Micros) *rest.Response) *rest.Response {
 	done := make(chan *rest.Response, 1)
-	g.afterTurn(func(now control.Micros) { done <- f(now) })
+	g.afterStep(func(now control.Micros) { done <- f(now) })
 	select {
 	case p := <-done:
 		return p
-	case <-g.ended:
-		return fault(503, "this router is stopping")
+	case <-g.loopEnded:
+		return errorResponse(503, "this router is stopping")
 	}
 }
 
 // afterTurn has a function called right after the next turn, when no news waits for its decisions.
-func (g *Gateway) afterTurn(f func(now control.Micros)) {
-	g.tell(func(control.Micros) { g.between = append(g.between, f) })
+func (g *Gateway) afterStep(f func(now control.Micros)) {
+	g.post(func(control.Micros) { g.afterStepFuncs = append(g.afterStepFuncs, f) })
 }
 
-func (g *Gateway) recordHead() record.Header {
-	return record.Header{Build: program.Build(), Router: g.told.Deployment.Number, Life: g.run}
+func (g *Gateway) recordHeader() record.Header {
+	return record.Header{Build: program.Build(), Router: g.config.Deployment.Number, Life: g.incarnation}
 }
 
 var errRecording = errors.New("a recording is under way")
 
 // startRecording begins a recording in a folder. To open the folder may wait for a disk, once, at an operator's word.
 func (g *Gateway) startRecording(now control.Micros, folder string) error {
-	if g.writer != nil {
+	if g.recordWriter != nil {
 		return errRecording
 	}
 	if folder == "" {
 		return errors.New("no folder is named, here or in the settings")
 	}
-	head := g.recordHead()
-	if g.recordings++; g.recordings > 1 {
-		head.Life += "r" + string(rune('a'+g.recordings%26))
+	head := g.recordHeader()
+	if g.recordingCount++; g.recordingCount > 1 {
+		head.Life += "r" + string(rune('a'+g.recordingCount%26))
 	}
-	w, err := record.Open(folder, g.told.RecordBounds, head, g.core.Snapshot, g.log)
+	w, err := record.Open(folder, g.config.RecordBounds, head, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
-	g.writer = w
-	g.tape = w.Tape()
-	g.core.SetRecorder(g.tape)
+	g.recordWriter = w
+	g.recorder = w.Tape()
+	g.core.SetRecorder(g.recorder)
 	w.Begin(now)
 	return nil
 }
--- a/internal/gateway/output_test.go
+++ b/internal/gateway/output_test.go
@@ -10,7 +10,7 @@
 
 // What /router/state tells is read by scripts: its names stay.
 func TestJSONForm(t *testing.T) {
-	view := &operatorsView{}
+	view := &adminState{}
 	golden.Fill(view)
 	golden.Check(t, "output-1.json", view, json.Marshal, json.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(view)); len(missing) > 0 {
--- a/internal/gateway/pins_test.go
+++ b/internal/gateway/pins_test.go
@@ -41,8 +41,8 @@
 // Dashboards and alerts name metrics and labels: these stay.
 func TestMetricNames(t *testing.T) {
 	m := newMetrics(&Config{})
-	m.answered("finished")
-	m.damped.WithLabelValues("x").Inc()
+	m.countAnswer("finished")
+	m.overloadRejections.WithLabelValues("x").Inc()
 	families, err := m.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -14,25 +14,25 @@
 )
 
 // counted lends the turn's tally to the stream that reports it.
-type counted struct {
-	g      *Gateway
-	places atomic.Pointer[map[string]loadreport.Place]
-	named  atomic.Pointer[map[string]string]
+type loadReporter struct {
+	gateway  *Gateway
+	places   atomic.Pointer[map[string]loadreport.Place]
+	services atomic.Pointer[map[string]string]
 }
 
 // Take has the turn give its counts. Once the last turn is over there are none.
-func (c *counted) Take(now control.Micros) (r loadreport.Report) {
+func (c *loadReporter) Take(now control.Micros) (r loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
-	c.g.afterTurn(func(control.Micros) { taken <- c.g.tally.Take(now) })
+	c.gateway.afterStep(func(control.Micros) { taken <- c.gateway.loadTally.Take(now) })
 	select {
 	case r = <-taken:
-	case <-c.g.ended:
+	case <-c.gateway.loopEnded:
 	}
 	return r
 }
 
 // Places tells where the servers stand in the control plane's list.
-func (c *counted) Places() map[string]loadreport.Place {
+func (c *loadReporter) Places() map[string]loadreport.Place {
 	if p := c.places.Load(); p != nil {
 		return *p
 	}
@@ -40,15 +40,15 @@
 }
 
 // Services tells under which names clusters' endpoints are asked for.
-func (c *counted) Services() map[string]string {
-	if p := c.named.Load(); p != nil {
+func (c *loadReporter) Services() map[string]string {
+	if p := c.services.Load(); p != nil {
 		return *p
 	}
 	return nil
 }
 
 // listed takes in where servers stand now.
-func (c *counted) listed(facts []membership.Fact, services map[string]string) {
+func (c *loadReporter) update(facts []membership.Fact, services map[string]string) {
 	places := make(map[string]loadreport.Place, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
@@ -56,23 +56,23 @@
 		}
 	}
 	c.places.Store(&places)
-	c.named.Store(&services)
+	c.services.Store(&services)
 }
 
 // report reports loads to the control plane until the context ends.
-func (g *Gateway) report(ctx context.Context) {
+func (g *Gateway) reportLoads(ctx context.Context) {
 	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Source{Address: g.told.ControlPlane, Creds: g.credentials(toPlane), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
+	source := xds.Source{Address: g.config.ControlPlane, Creds: g.credentials(xdsConnections), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
 		Changed: func(control.Micros) {}, Note: note}
-	if err := source.Follow(ctx, xds.NewReports(g.counted, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone)); err != nil {
+	if err := source.Follow(ctx, xds.NewReports(g.loadReporter, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone)); err != nil {
 		note(err.Error())
 	}
 }
 
 // others answers what those who follow our view report.
-func (g *Gateway) others() *rest.Response {
+func (g *Gateway) followersReports() *rest.Response {
 	if g.view == nil {
-		return fault(409, "no view is served (serve_view)")
+		return errorResponse(409, "no view is served (serve_view)")
 	}
 	lines, nodes := g.view.Others()
 	if lines == nil {
@@ -83,7 +83,7 @@
 		Servers   []loadreport.Line
 	}{nodes, lines})
 	if err != nil {
-		return fault(500, err.Error())
+		return errorResponse(500, err.Error())
 	}
-	return object(200, b)
+	return jsonResponse(200, b)
 }
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -18,21 +18,21 @@
 
 // Kinds of connections that may be secret, by the names of their settings.
 const (
-	toWorkers   = "workers"
-	fromClients = "clients"
-	toPlane     = "xds"
-	fromViewers = "view"
+	serverConnections = "workers"
+	clientConnections = "clients"
+	xdsConnections    = "xds"
+	viewConnections   = "view"
 )
 
-var kinds = []string{toWorkers, fromClients, toPlane, fromViewers}
+var connectionKinds = []string{serverConnections, clientConnections, xdsConnections, viewConnections}
 
 // secrets reads the sections [tls KIND].
-func (t *Config) secrets(f *inifile.File) {
+func (t *Config) parseTLS(f *inifile.File) {
 	t.TLS = map[string]*certstore.Told{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
 		known := false
-		for _, k := range kinds {
+		for _, k := range connectionKinds {
 			known = known || k == kind
 		}
 		if !known {
@@ -42,9 +42,9 @@
 		k := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
 			Revoked: s.Text("revoked", ""), Names: s.Words("names"), Twelve: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
 		if k.Secrets = s.Text("sds", ""); k.Secrets != "" {
-			k.Secrets = address(s, "sds", "")
+			k.Secrets = parseAddress(s, "sds", "")
 			k.CertificateSecret, k.AuthoritiesSecret = s.Text("certificate_secret", ""), s.Text("authorities_secret", "")
-			if host, _, _ := net.SplitHostPort(k.Secrets); !loopback(host) {
+			if host, _, _ := net.SplitHostPort(k.Secrets); !isLoopback(host) {
 				s.Fault("sds", "%s is not on loopback, and keys come from it in plain text", host)
 			}
 			if k.Certificate+k.Key+k.Authorities+k.Revoked != "" {
@@ -58,7 +58,7 @@
 			s.Fault("revoked", "means nothing without authorities")
 		}
 		shows, checks := k.Certificate+k.CertificateSecret != "", k.Authorities+k.AuthoritiesSecret != ""
-		switch ours := kind == toWorkers || kind == toPlane; {
+		switch ours := kind == serverConnections || kind == xdsConnections; {
 		case !ours && !shows:
 			s.Fault("certificate", "whoever is connected to must show one")
 		case ours && !checks:
@@ -69,53 +69,53 @@
 		}
 		t.TLS[kind] = k
 	}
-	if t.TLS[toPlane] != nil && t.ControlPlane == "" {
-		f.Section("tls "+toPlane).Fault("", "no control plane (xds) is told")
+	if t.TLS[xdsConnections] != nil && t.ControlPlane == "" {
+		f.Section("tls "+xdsConnections).Fault("", "no control plane (xds) is told")
 	}
-	if t.TLS[fromViewers] != nil && t.ServeView == "" {
-		f.Section("tls "+fromViewers).Fault("", "no view is served (serve_view)")
+	if t.TLS[viewConnections] != nil && t.ServeView == "" {
+		f.Section("tls "+viewConnections).Fault("", "no view is served (serve_view)")
 	}
 }
 
 // wall is the time that certificates tell theirs by.
-func wall() control.Micros { return control.Micros(time.Now().UnixMicro()) }
+func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
 // openRings finds the keys of all kinds of connections that are secret.
-func (g *Gateway) openRings() error {
-	g.rings = map[string]*certstore.Ring{}
-	for _, kind := range kinds {
-		told := g.told.TLS[kind]
+func (g *Gateway) openCertStores() error {
+	g.certStores = map[string]*certstore.Ring{}
+	for _, kind := range connectionKinds {
+		told := g.config.TLS[kind]
 		if told == nil {
 			continue
 		}
-		r, err := certstore.Open(told, wall, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
+		r, err := certstore.Open(told, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
 		if err != nil {
 			return fmt.Errorf("[tls %s]: %w", kind, err)
 		}
-		g.rings[kind] = r
+		g.certStores[kind] = r
 	}
-	g.metrics.registry.MustRegister(ringMetrics(g.rings))
+	g.metrics.registry.MustRegister(certMetrics(g.certStores))
 	return nil
 }
 
 // followRings has the keys change in service until the context ends.
-func (g *Gateway) followRings(ctx context.Context) {
-	for kind, r := range g.rings {
-		g.listening.Add(1)
+func (g *Gateway) watchCertStores(ctx context.Context) {
+	for kind, r := range g.certStores {
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
+			defer g.background.Done()
 			r.Follow(ctx)
 		}()
-		told := g.told.TLS[kind]
+		told := g.config.TLS[kind]
 		if told.Secrets == "" {
 			continue
 		}
-		g.listening.Add(1)
+		g.background.Add(1)
 		go func() {
-			defer g.listening.Done()
+			defer g.background.Done()
 			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
 			source := xds.Source{Address: told.Secrets, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
-			err := source.Follow(ctx, xds.NewSecrets(r, fmt.Sprintf("hollymast-%d", g.told.Deployment.Number), g.told.Zone, told.CertificateSecret, told.AuthoritiesSecret))
+			err := source.Follow(ctx, xds.NewSecrets(r, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, told.CertificateSecret, told.AuthoritiesSecret))
 			if err != nil {
 				note(err.Error())
 			}
@@ -125,23 +125,23 @@
 
 // credentials are those of a kind of gRPC connections; nil: in plain text.
 func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
-	if r := g.rings[kind]; r != nil {
+	if r := g.certStores[kind]; r != nil {
 		return r.Credentials()
 	}
 	return nil
 }
 
 // secure makes connections to workers secret where that is told; nil: they are in plain text.
-func (g *Gateway) secure() rest.Handshake {
-	r := g.rings[toWorkers]
+func (g *Gateway) serverHandshake() rest.Handshake {
+	r := g.certStores[serverConnections]
 	if r == nil {
 		return nil
 	}
 	return func(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 		s, err := r.Dialled(ctx, nc, address)
 		if err == nil {
-			g.distrusted.Delete(address)
-		} else if before, _ := g.distrusted.Swap(address, err.Error()); before != err.Error() { // said once
+			g.lastTLSErrors.Delete(address)
+		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() { // said once
 			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("no connection to this server")
 		}
 		return s, err
@@ -149,12 +149,12 @@
 }
 
 // welcome makes a client's connection secret where that is told. A handshake takes no longer than a header may.
-func (g *Gateway) welcome(nc net.Conn) (net.Conn, error) {
-	r := g.rings[fromClients]
+func (g *Gateway) clientHandshake(nc net.Conn) (net.Conn, error) {
+	r := g.certStores[clientConnections]
 	if r == nil {
 		return nc, nil
 	}
-	ctx, cancel := context.WithTimeout(g.serving, g.told.HeaderTimeout)
+	ctx, cancel := context.WithTimeout(g.serveContext, g.config.HeaderTimeout)
 	defer cancel()
 	s, err := r.Accepted(ctx, nc)
 	if err != nil {
@@ -165,32 +165,32 @@
 }
 
 // ringMetrics tells what rings have met, by kind of connections.
-type ringMetrics map[string]*certstore.Ring
+type certMetrics map[string]*certstore.Ring
 
 var (
 	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Secret connections begun.", []string{"connections"}, nil)
-	refusedDesc    = prometheus.NewDesc("hollymast_tls_refused_total", "Peers that were not believed, and handshakes that failed otherwise.",
+	rejectedDesc   = prometheus.NewDesc("hollymast_tls_refused_total", "Peers that were not believed, and handshakes that failed otherwise.",
 		[]string{"connections", "reason"}, nil)
-	endsDesc = prometheus.NewDesc("hollymast_tls_certificate_ends_seconds", "When the certificate in service ends, in Unix time.",
+	expiryDesc = prometheus.NewDesc("hollymast_tls_certificate_ends_seconds", "When the certificate in service ends, in Unix time.",
 		[]string{"connections"}, nil)
 )
 
-func (m ringMetrics) Describe(out chan<- *prometheus.Desc) {
+func (m certMetrics) Describe(out chan<- *prometheus.Desc) {
 	out <- handshakesDesc
-	out <- refusedDesc
-	out <- endsDesc
+	out <- rejectedDesc
+	out <- expiryDesc
 }
 
-func (m ringMetrics) Collect(out chan<- prometheus.Metric) {
+func (m certMetrics) Collect(out chan<- prometheus.Metric) {
 	for kind, r := range m {
 		c := r.Counts()
 		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(c.Handshakes), kind)
-		out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(c.Failed), kind, "other")
+		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(c.Failed), kind, "other")
 		for reason, n := range c.Refused {
-			out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), kind, reason)
+			out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(n), kind, reason)
 		}
 		if c.Ends > 0 {
-			out <- prometheus.MustNewConstMetric(endsDesc, prometheus.GaugeValue, float64(c.Ends)/1e6, kind)
+			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(c.Ends)/1e6, kind)
 		}
 	}
 }
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -17,10 +17,10 @@
 	"hollymast/internal/rest"
 )
 
-var everywhere = authority.Asked{Names: []string{"127.0.0.1"}}
+var localhostNames = authority.Asked{Names: []string{"127.0.0.1"}}
 
 // ringFor gives a ring of its own files; authorities may be nil.
-func ringFor(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
+func testCertStore(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
 	t.Helper()
 	dir := t.TempDir()
 	told := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
@@ -29,14 +29,14 @@
 			t.Fatal(err)
 		}
 	}
-	r, err := certstore.Open(told, wall, func(string) {})
+	r, err := certstore.Open(told, wallClock, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return told, r
 }
 
-func accepting(r *certstore.Ring) func(nc net.Conn) (net.Conn, error) {
+func serverSide(r *certstore.Ring) func(nc net.Conn) (net.Conn, error) {
 	return func(nc net.Conn) (net.Conn, error) { return r.Accepted(context.Background(), nc) }
 }
 
@@ -44,28 +44,28 @@
 // nothing runs at them. Clients that show no good certificate are refused.
 func TestPeersThatAreNotBelieved(t *testing.T) {
 	ours, theirs := authority.New("ours"), authority.New("theirs")
-	_, good := ringFor(t, ours.Issue(everywhere), ours.Cert())
-	_, stranger := ringFor(t, theirs.Issue(everywhere), ours.Cert())
-	_, aloof := ringFor(t, ours.Issue(everywhere), theirs.Cert())
-	makes := []fakeserver.Make{usual(0), usual(1), usual(2)}
+	_, good := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
+	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
+	_, aloof := testCertStore(t, ours.Issue(localhostNames), theirs.Cert())
+	makes := []fakeserver.Make{serverOptions(0), serverOptions(1), serverOptions(2)}
 	for i, r := range []*certstore.Ring{stranger, aloof, good} {
-		makes[i].Secure = accepting(r)
+		makes[i].Secure = serverSide(r)
 	}
-	toldWorkers, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
-	toldClients, _ := ringFor(t, ours.Issue(everywhere), ours.Cert())
-	f := newFieldChanged(t, "", func(t *Config) {
-		t.TLS = map[string]*certstore.Told{toWorkers: toldWorkers, fromClients: toldClients}
+	toldWorkers, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
+	toldClients, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
+	f := newTestGatewayConfigured(t, "", func(t *Config) {
+		t.TLS = map[string]*certstore.Told{serverConnections: toldWorkers, clientConnections: toldClients}
 	}, makes...)
-	_, client := ringFor(t, ours.Issue(everywhere), ours.Cert())
-	_, unknown := ringFor(t, theirs.Issue(everywhere), ours.Cert())
+	_, client := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
+	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
 	ask := func(r *certstore.Ring, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), f.g.Address(), &rest.DefaultLimits, r.Dialled)
+		c, err := rest.DialWith(context.Background(), f.gateway.Address(), &rest.DefaultLimits, r.Dialled)
 		if err != nil {
 			return err.Error()
 		}
 		defer c.Close()
-		p, _, err := c.Do(request(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
+		p, _, err := c.Do(inferRequest(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
 		if err != nil {
 			return err.Error()
 		}
@@ -87,7 +87,7 @@
 	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
 		t.Errorf("a client of another authority: %s", word)
 	}
-	text := string(f.g.metrics.page().Body)
+	text := string(f.gateway.metrics.response().Body)
 	for _, want := range []string{`executions_total{result="no connection"}`, `tls_refused_total{connections="clients",reason="unknown authority"} 1`,
 		`tls_refused_total{connections="workers",reason="unknown authority"}`, `tls_certificate_ends_seconds{connections="workers"}`} {
 		if !strings.Contains(text, want) {
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -16,72 +16,72 @@
 // What a stopping router may rely on: SIGKILL comes no sooner after SIGTERM than the deployment's longest deadline, counted as
 // deadlineMost at most, and killAfter. Requests keep coming on open connections; all its times follow from these.
 const (
-	deadlineMost = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killAfter          = 700 * time.Millisecond
 	// lastAnswers is kept free before the kill for answers that are due at the last moment, half of it for their way out: some
 	// hundred writes on a small part of a core.
-	lastAnswers = 100 * time.Millisecond
+	answerBeforeKill = 100 * time.Millisecond
 	// lastAccepts is for how long a stopping router takes connections, to push back what they ask: several times what it takes
 	// to accept all that wait. Later ones are refused, which proves that nothing ran.
-	lastAccepts = 20 * time.Millisecond
+	acceptConnectionsFor = 20 * time.Millisecond
 )
 
 // stopTimes are a stopping router's, from when it was told to stop.
-type stopTimes struct {
-	held     time.Duration // until when a request is awaited on an open connection, to push it back
-	answered time.Duration // when each job has its answer, however long it would take
-	closed   time.Duration // when clients that don't read or go are closed
+type shutdownTimes struct {
+	readUntil time.Duration // until when a request is awaited on an open connection, to push it back
+	answerBy  time.Duration // when each job has its answer, however long it would take
+	closeBy   time.Duration // when clients that don't read or go are closed
 }
 
 // stopTimes gives the times that follow from the longest time limit.
-func (t *Config) stopTimes() stopTimes {
+func (t *Config) shutdownTimes() shutdownTimes {
 	longest := control.Micros(0)
 	for _, w := range t.Deployment.Classes {
 		longest = max(longest, w.MaxDeadline)
 	}
-	killed := min(span(longest), deadlineMost) + killAfter
-	return stopTimes{held: killAfter - lastAnswers, answered: killed - lastAnswers, closed: killed - lastAnswers/2}
+	killed := min(duration(longest), maxCountedDeadline) + killAfter
+	return shutdownTimes{readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2}
 }
 
-func (g *Gateway) isStopping() bool { return g.stopTold.Load() != 0 }
+func (g *Gateway) isStopping() bool { return g.stopRequestedAt.Load() != 0 }
 
 // sinceStop gives when so much of the stop will be over.
-func (g *Gateway) sinceStop(d time.Duration) time.Time {
-	return g.started.Add(span(control.Micros(g.stopTold.Load())-g.epoch) + d)
+func (g *Gateway) afterStop(d time.Duration) time.Time {
+	return g.startedAt.Add(duration(control.Micros(g.stopRequestedAt.Load())-g.epoch) + d)
 }
 
 func (g *Gateway) beginStop() {
 	g.stopping = true
 	g.ready.Store(false)
-	g.stopTold.Store(int64(g.now()))
-	times := g.told.stopTimes()
-	g.log.Info().Int("jobs", len(g.jobs)).Dur("at_most_ms", times.closed).Msg("stopping: no new jobs are taken")
+	g.stopRequestedAt.Store(int64(g.now()))
+	times := g.config.shutdownTimes()
+	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new jobs are taken")
 	for _, l := range g.listeners {
-		l.(*net.TCPListener).SetDeadline(time.Now().Add(lastAccepts))
+		l.(*net.TCPListener).SetDeadline(time.Now().Add(acceptConnectionsFor))
 	}
-	g.conns.Range(func(c, _ any) bool {
-		c.(*rest.Conn).SetIdleDeadline(g.sinceStop(times.held))
+	g.clientConns.Range(func(c, _ any) bool {
+		c.(*rest.Conn).SetIdleDeadline(g.afterStop(times.readUntil))
 		return true
 	})
 }
 
 // answerAll gives each job in hand the answer that promises nothing: the process may be killed before its own time is up.
-func (g *Gateway) answerAll(now control.Micros) {
+func (g *Gateway) answerOpen(now control.Micros) {
 	var ids []control.RequestID
-	for id := range g.jobs {
+	for id := range g.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if j := g.jobs[id]; !j.state.Given {
+		if j := g.requests[id]; !j.answer.Given {
 			g.core.Cancel(now, id)
-			g.end(j, "killed", killed("this router is stopping"))
+			g.finish(j, "killed", failure("this router is stopping"))
 		}
 	}
 }
 
 // listen opens a listener of plain TCP: closeAccepting needs a filter, which Linux does not have for Multipath TCP.
-func listen(address string) (net.Listener, error) {
+func listenTCP(address string) (net.Listener, error) {
 	var plain net.ListenConfig
 	plain.SetMultipathTCP(false)
 	return plain.Listen(context.Background(), "tcp", address)
@@ -90,7 +90,7 @@
 // closeAccepting closes a listener and gives the connections that the kernel has accepted by then. Guards against the reset that a
 // close makes of each of these: whoever connected may have written a request already. So no connection begins any more before
 // the last look; one that would is told by the closed listener, on its next try, that nobody listens.
-func closeAccepting(l net.Listener) (conns []net.Conn) {
+func drainListener(l net.Listener) (conns []net.Conn) {
 	defer l.Close()
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
@@ -102,7 +102,7 @@
 	}
 	const most = 1 << 13 // a full queue, with those among them that have gone
 	raw.Control(func(fd uintptr) {
-		unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: uint16(len(noSYN)), Filter: &noSYN[0]})
+		unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]})
 		for range most {
 			n, _, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err == unix.EINTR || err == unix.ECONNABORTED {
@@ -122,7 +122,7 @@
 }
 
 // noSYN drops packets that begin a connection: it loads the byte of flags in the TCP header and tests it for SYN.
-var noSYN = []unix.SockFilter{
+var dropSYN = []unix.SockFilter{
 	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: 13},
 	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: 0x02, Jf: 1},
 	{Code: unix.BPF_RET | unix.BPF_K, K: 0},
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,16 +9,16 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admitted(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
-	if g.storm == nil {
+func (g *Gateway) admit(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
+	if g.overload == nil {
 		return overload.Verdict{Admit: true}
 	}
-	return g.storm.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashed(ask.Mark),
-		Function: functionID(g.told.NameKey, name), Importance: g.told.Priorities[w]})
+	return g.overload.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashKey(ask.Mark),
+		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[w]})
 }
 
 // hashed names a client's mark; 0: it gave none.
-func hashed(mark string) uint64 {
+func hashKey(mark string) uint64 {
 	if mark == "" {
 		return 0
 	}
@@ -26,20 +26,20 @@
 }
 
 // spread gives the pause that a refusal of the module's carries to its client.
-func (g *Gateway) spread(j *job, stay control.Micros) control.Micros {
-	if g.storm == nil {
+func (g *Gateway) spreadRetryAfter(j *request, stay control.Micros) control.Micros {
+	if g.overload == nil {
 		return stay
 	}
-	return g.storm.Spread(g.clock, stay, hashed(j.request.Header.Get(kserve.RepeatMark)))
+	return g.overload.Spread(g.stepTime, stay, hashKey(j.message.Header.Get(kserve.RepeatMark)))
 }
 
 // watchStorm tells operators of storms, after a turn.
-func (g *Gateway) watchStorm() {
-	if g.storm == nil {
+func (g *Gateway) logOverload() {
+	if g.overload == nil {
 		return
 	}
-	g.metrics.storm.Set(float64(g.storm.Kind()))
-	for _, text := range g.storm.Notes() {
+	g.metrics.overloadKind.Set(float64(g.overload.Kind()))
+	for _, text := range g.overload.Notes() {
 		g.log.Warn().Msg("storm: " + text)
 	}
 }
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -47,7 +47,7 @@
 	RecordBounds record.Bounds
 
 	StateDir       string                 // folder for what is learned; empty: none
-	files          persistence.FileSystem // of that folder; nil: the machine's
+	fileSystem     persistence.FileSystem // of that folder; nil: the machine's
 	StateInterval  time.Duration          // between two writings
 	KeyRetention   time.Duration          // how long a client's mark of a job that may have run is known
 	MaxKeys        int                    // and how many of them
@@ -97,18 +97,18 @@
 	d := &t.Deployment
 
 	r := f.Section("router")
-	t.Listen = address(r, "listen", "127.0.0.1:8080")
+	t.Listen = parseAddress(r, "listen", "127.0.0.1:8080")
 	t.AdminListen = r.Text("admin", "")
 	if t.AdminListen != "" {
-		t.AdminListen = address(r, "admin", "")
+		t.AdminListen = parseAddress(r, "admin", "")
 	}
 	t.EndpointFile = r.Text("list", "")
 	if t.ControlPlane = r.Text("xds", ""); t.ControlPlane != "" {
-		t.ControlPlane = address(r, "xds", "")
+		t.ControlPlane = parseAddress(r, "xds", "")
 	}
 	if t.ServeView = r.Text("serve_view", ""); t.ServeView != "" {
-		t.ServeView = address(r, "serve_view", "")
-		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Flag("serve_view_beyond", false) && !loopback(host) {
+		t.ServeView = parseAddress(r, "serve_view", "")
+		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Flag("serve_view_beyond", false) && !isLoopback(host) {
 			r.Fault("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
@@ -207,9 +207,9 @@
 	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
 	t.JournalSync = persistence.Sync(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
 
-	t.secrets(f)
-	t.workloads(f)
-	t.patterns(f)
+	t.parseTLS(f)
+	t.parseClasses(f)
+	t.parsePatterns(f)
 	for _, s := range f.Sections("tenant ") {
 		t.Tenants[strings.TrimPrefix(s.Name, "tenant ")] = control.TenantID(len(d.Quotas))
 		t.TenantNames = append(t.TenantNames, strings.TrimPrefix(s.Name, "tenant "))
@@ -218,7 +218,7 @@
 	return t, f.Check()
 }
 
-func (t *Config) workloads(f *inifile.File) {
+func (t *Config) parseClasses(f *inifile.File) {
 	const day = 24 * time.Hour
 	for _, s := range f.Sections("workload ") {
 		t.ClassNames = append(t.ClassNames, strings.TrimPrefix(s.Name, "workload "))
@@ -244,7 +244,7 @@
 	}
 }
 
-func (t *Config) patterns(f *inifile.File) {
+func (t *Config) parsePatterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
 		p := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
 		if _, err := path.Match(p.Glob, ""); err != nil {
@@ -265,12 +265,12 @@
 	}
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func address(s *inifile.Section, key, fallback string) string {
+func parseAddress(s *inifile.Section, key, fallback string) string {
 	v := s.Text(key, fallback)
 	if host, port, err := net.SplitHostPort(v); err != nil || host == "" || port == "" {
 		s.Fault(key, "%q is no address with a port", v)
@@ -283,7 +283,7 @@
 	var list []fleet.Endpoint
 	first := map[string]string{}
 	for _, s := range f.Sections("") {
-		e := fleet.Endpoint{Address: address(s, "address", ""), Zone: s.Text("zone", ""), Cell: s.Text("cell", ""),
+		e := fleet.Endpoint{Address: parseAddress(s, "address", ""), Zone: s.Text("zone", ""), Cell: s.Text("cell", ""),
 			Weight: s.Float("power", 1, 0.001, 1e6),
 			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
 		if born := s.Text("born", ""); born != "" {
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -16,7 +16,7 @@
 const HistoryFile = "history.db"
 
 // useEvery is how often the history is written: what a killed router loses of it.
-const useEvery = 10 * time.Second
+const historyInterval = 10 * time.Second
 
 // tenantName gives a tenant's name; empty of one that no share is told for.
 func (t *Config) tenantName(id control.TenantID) string {
@@ -27,17 +27,17 @@
 }
 
 // who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) who(j *job) history.Who {
-	if g.told.NameKey != "" {
-		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.told.NameKey, j.name)), Tenant: j.tenant}
+func (g *Gateway) historyKey(j *request) history.Who {
+	if g.config.NameKey != "" {
+		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, j.function)), Tenant: j.tenant}
 	}
-	return history.Who{Function: j.name, Tenant: j.tenant}
+	return history.Who{Function: j.function, Tenant: j.tenant}
 }
 
-func (g *Gateway) counts() bool { return g.keeper != nil && g.keeper.tally != nil }
+func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
 
-func (g *Gateway) useAnswered(j *job, word string) {
-	if !g.counts() {
+func (g *Gateway) historyAnswered(j *request, word string) {
+	if !g.keepsHistory() {
 		return
 	}
 	verb := control.NoAction
@@ -48,53 +48,53 @@
 	default:
 		verb = control.Fail
 	}
-	g.keeper.tally.Answered(g.clock, g.who(j), verb, g.clock > j.due)
+	g.state.historyTally.Answered(g.stepTime, g.historyKey(j), verb, g.stepTime > j.objectiveAt)
 }
 
-func (g *Gateway) useExecuted(now control.Micros, j *job, o control.Outcome) {
-	if g.counts() {
-		g.keeper.tally.Executed(now, g.who(j), o)
+func (g *Gateway) historyAttempt(now control.Micros, j *request, o control.Outcome) {
+	if g.keepsHistory() {
+		g.state.historyTally.Executed(now, g.historyKey(j), o)
 	}
 }
 
-func (g *Gateway) useOrdered(j *job) {
-	if g.counts() {
-		g.keeper.tally.Ordered(g.clock, g.who(j))
+func (g *Gateway) historyLoadCommand(j *request) {
+	if g.keepsHistory() {
+		g.state.historyTally.Ordered(g.stepTime, g.historyKey(j))
 	}
 }
 
 // useOwed is what the history lacks, while it can't be written.
-type useOwed struct {
-	uses    *history.Store
-	log     zerolog.Logger
-	batches []useBatch
-	damaged int // tries in a row that found it so
-	failed  bool
+type historyWriter struct {
+	store        *history.Store
+	log          zerolog.Logger
+	batches      []historyBatch
+	damagedCount int // tries in a row that found it so
+	failed       bool
 }
 
-type useBatch struct {
+type historyBatch struct {
 	number uint64
 	rows   []history.Row
 }
 
 const (
 	// mostOwedRows is some 16 minutes of as many functions as have rows of their own: 8 MB.
-	mostOwedRows = 1 << 14
+	maxQueuedRows = 1 << 14
 	// damagedTries is how often a file has to be found damaged, ten seconds apart, before it is set aside: a disk that can't read
 	// for a moment looks the same.
 	damagedTries = 3
 )
 
 // write adds rows, those first that could not be written before.
-func (o *useOwed) write(rows []history.Row, now int64) {
-	o.batches = append(o.batches, useBatch{uint64(now), rows})
+func (o *historyWriter) write(rows []history.Row, now int64) {
+	o.batches = append(o.batches, historyBatch{uint64(now), rows})
 	err := o.drain(now)
-	if o.damaged++; !errors.Is(err, history.ErrDamaged) {
-		o.damaged = 0
+	if o.damagedCount++; !errors.Is(err, history.ErrDamaged) {
+		o.damagedCount = 0
 	}
-	if o.damaged >= damagedTries {
+	if o.damagedCount >= damagedTries {
 		o.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-		if err = o.uses.Aside(now); err == nil {
+		if err = o.store.Aside(now); err == nil {
 			err = o.drain(now)
 		}
 	}
@@ -105,12 +105,12 @@
 		o.log.Info().Msg("the history is written again")
 	}
 	o.failed = err != nil
-	o.bound()
+	o.dropOldest()
 }
 
-func (o *useOwed) drain(now int64) error {
+func (o *historyWriter) drain(now int64) error {
 	for len(o.batches) > 0 {
-		if err := o.uses.AddOnce(o.batches[0].rows, now, o.batches[0].number); err != nil {
+		if err := o.store.AddOnce(o.batches[0].rows, now, o.batches[0].number); err != nil {
 			return err
 		}
 		o.batches = o.batches[1:]
@@ -119,10 +119,10 @@
 }
 
 // bound drops the oldest beyond what may wait: the history owes nobody an answer.
-func (o *useOwed) bound() {
+func (o *historyWriter) dropOldest() {
 	n := 0
 	for i := len(o.batches) - 1; i >= 0; i-- {
-		if n += len(o.batches[i].rows); n > mostOwedRows {
+		if n += len(o.batches[i].rows); n > maxQueuedRows {
 			o.batches = o.batches[i+1:]
 			return
 		}
@@ -130,30 +130,30 @@
 }
 
 // keepUse writes the history now and again until the gateway has ended, and then once more.
-func (k *keeper) keepUse(g *Gateway) {
-	defer close(k.useKept)
-	ticker := time.NewTicker(useEvery)
+func (k *stateKeeper) runHistory(g *Gateway) {
+	defer close(k.historyClosed)
+	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
 	taken := make(chan *history.Taken, 1)
-	owed := useOwed{uses: k.uses, log: k.log}
+	owed := historyWriter{store: k.history, log: k.log}
 	write := func(t *history.Taken) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
-			g.afterTurn(func(control.Micros) {
+			g.afterStep(func(control.Micros) {
 				if len(taken) == 0 { // else the disk is behind: it stays in the tally
-					taken <- k.tally.Take()
+					taken <- k.historyTally.Take()
 				}
 			})
 		case t := <-taken:
 			write(t)
-		case <-g.ended:
+		case <-g.loopEnded:
 			select {
 			case t := <-taken:
 				write(t)
 			default:
 			}
-			write(k.lastUse)
+			write(k.finalHistory)
 			return
 		}
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -9,12 +9,12 @@
 )
 
 // viewEvery is how often what we see is looked at: several times within the grace of those who follow us.
-const viewEvery = 50 * time.Millisecond
+const viewInterval = 50 * time.Millisecond
 
 // publish serves what this router sees until it has ended: copied between two turns, told outside them.
-func (g *Gateway) publish() {
+func (g *Gateway) publishView() {
 	defer g.view.Close()
-	ticker := time.NewTicker(viewEvery)
+	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
 	copies := make(chan []xds.Seen, 1)
 	for {
@@ -23,23 +23,23 @@
 			if !g.ready.Load() {
 				continue // no list was heard: an empty view would have followers drop all
 			}
-			g.afterTurn(func(now control.Micros) {
+			g.afterStep(func(now control.Micros) {
 				if len(copies) == 0 {
-					copies <- g.seen()
+					copies <- g.viewServers()
 				}
 			})
 		case seen := <-copies:
 			if err := g.view.Publish(g.now(), seen); err != nil {
 				g.log.Error().Err(err).Msg("our view can't be served")
 			}
-		case <-g.ended:
+		case <-g.loopEnded:
 			return
 		}
 	}
 }
 
 // seen gives the servers as this router sees them.
-func (g *Gateway) seen() []xds.Seen {
+func (g *Gateway) viewServers() []xds.Seen {
 	suspects := g.core.EjectedServers()
 	var out []xds.Seen
 	for _, s := range g.fleet.Servers() {
@@ -51,9 +51,9 @@
 			v.Health = membership.Unhealthy
 		}
 		if p := g.pools[s.ID]; p != nil {
-			v.InFlight = len(p.out)
+			v.InFlight = len(p.open)
 		}
-		if r, said := g.tally.Said(s.Address); said {
+		if r, said := g.loadTally.Said(s.Address); said {
 			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
 		}
 		out = append(out, v)
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -28,12 +28,12 @@
 
 // Client is the client's side of a connection. One goroutine owns it; Abort alone may be called from others.
 type Client struct {
-	nc      net.Conn
-	r       *bufio.Reader
-	limits  *Limits
-	out     []byte
-	heard   bool // something came on this connection
-	aborted atomic.Bool
+	conn        net.Conn
+	reader      *bufio.Reader
+	limits      *Limits
+	writeBuffer []byte
+	answered    bool // something came on this connection
+	aborted     atomic.Bool
 }
 
 // Secure makes a connection that was dialled to an address secret and its other end known, within the context.
@@ -58,25 +58,25 @@
 			return nil, err
 		}
 	}
-	return &Client{nc: nc, r: bufio.NewReaderSize(nc, readBuffer), limits: limits}, nil
+	return &Client{conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), limits: limits}, nil
 }
 
 // Close closes the connection.
-func (c *Client) Close() error { return socket(c.nc).Close() }
+func (c *Client) Close() error { return socketOf(c.conn).Close() }
 
 // socket is the connection beneath a secret one. It is what is closed: a secret connection's own goodbye may wait for a peer
 // that reads nothing, and says nothing that lengths don't.
-func socket(nc net.Conn) net.Conn {
+func socketOf(nc net.Conn) net.Conn {
 	if s, ok := nc.(interface{ NetConn() net.Conn }); ok {
 		return s.NetConn()
 	}
 	return nc
 }
 
-func secret(nc net.Conn) bool { return socket(nc) != nc }
+func isTLS(nc net.Conn) bool { return socketOf(nc) != nc }
 
 // still tells whether the other end of a secret connection is still believed.
-func still(nc net.Conn) error {
+func checkPeer(nc net.Conn) error {
 	if s, ok := nc.(interface{ Still() error }); ok {
 		return s.Still()
 	}
@@ -100,34 +100,34 @@
 // Stale tells whether the server has closed or broken an idle connection, or sent something that nobody asked for, or is not
 // believed any more. It does not wait; on a secret connection it reads what belongs to secrecy alone.
 func (c *Client) Stale() bool {
-	if c.r.Buffered() > 0 || still(c.nc) != nil {
+	if c.reader.Buffered() > 0 || checkPeer(c.conn) != nil {
 		return true
 	}
-	if quiet(socket(c.nc)) {
+	if isQuiet(socketOf(c.conn)) {
 		return false
 	}
-	if !secret(c.nc) {
+	if !isTLS(c.conn) {
 		return true
 	}
 	const most = time.Millisecond // it is there already
-	c.nc.SetReadDeadline(time.Now().Add(most))
-	_, err := c.r.Peek(1)
+	c.conn.SetReadDeadline(time.Now().Add(most))
+	_, err := c.reader.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // quiet tells whether a connection is open at both ends and has brought nothing that was not read.
-func quiet(nc net.Conn) bool {
-	e, ok := glance(nc)
+func isQuiet(nc net.Conn) bool {
+	e, ok := peekSocket(nc)
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
 // interruptedMost is how often a call that a signal interrupts is made again: signals come some a second at most.
-const interruptedMost = 8
+const maxInterrupted = 8
 
 var recvfrom = syscall.Recvfrom // tests have it fail
 
 // glance looks at a connection's next byte without taking it or waiting; ok is false at its end.
-func glance(nc net.Conn) (e syscall.Errno, ok bool) {
+func peekSocket(nc net.Conn) (e syscall.Errno, ok bool) {
 	sc, is := nc.(syscall.Conn)
 	if !is {
 		return syscall.EAGAIN, true // no socket: nothing can be seen
@@ -139,7 +139,7 @@
 	n := 0
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		for range interruptedMost {
+		for range maxInterrupted {
 			var got error
 			n, _, got = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			if e, _ = got.(syscall.Errno); e != syscall.EINTR {
@@ -156,54 +156,54 @@
 	if c.aborted.Load() {
 		return nil, NothingWritten, ErrAborted
 	}
-	c.nc.SetDeadline(deadline)
-	c.out = appendRequest(c.out[:0], q)
-	if n, err := write(c.nc, &c.out, q.Body, q.ChunkSize > 0); err != nil {
+	c.conn.SetDeadline(deadline)
+	c.writeBuffer = appendRequest(c.writeBuffer[:0], q)
+	if n, err := writeMessage(c.conn, &c.writeBuffer, q.Body, q.ChunkSize > 0); err != nil {
 		progress := PartlyWritten
-		if n == 0 && !secret(c.nc) { // of a secret one it tells whole records
+		if n == 0 && !isTLS(c.conn) { // of a secret one it tells whole records
 			progress = NothingWritten
 		}
-		if secret(c.nc) && !c.heard { // why may have come already
+		if isTLS(c.conn) && !c.answered { // why may have come already
 			const most = 20 * time.Millisecond // it is here, or was lost
-			c.nc.SetReadDeadline(time.Now().Add(most))
-			if _, other := c.r.Peek(1); refused(other) {
+			c.conn.SetReadDeadline(time.Now().Add(most))
+			if _, other := c.reader.Peek(1); isCertificateRejection(other) {
 				err = other
 			}
 		}
-		return nil, progress, c.why(err)
+		return nil, progress, c.exchangeError(err)
 	}
-	if _, err := c.r.Peek(1); err != nil {
-		return nil, WrittenWhole, c.why(err)
+	if _, err := c.reader.Peek(1); err != nil {
+		return nil, WrittenWhole, c.exchangeError(err)
 	}
-	c.heard = true
-	p, err := readResponse(c.r, q.Method, c.limits)
+	c.answered = true
+	p, err := readResponse(c.reader, q.Method, c.limits)
 	if err != nil {
-		return nil, ResponseBegun, c.why(err)
+		return nil, ResponseBegun, c.exchangeError(err)
 	}
 	return p, ResponseRead, nil
 }
 
-func (c *Client) why(err error) error {
+func (c *Client) exchangeError(err error) error {
 	switch {
 	case c.aborted.Load():
 		return ErrAborted
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTimeout
-	case !c.heard && refused(err):
+	case !c.answered && isCertificateRejection(err):
 		return fmt.Errorf("%w: %w", ErrCertificateRejected, err)
 	}
 	return fmt.Errorf("exchange broken: %w", err)
 }
 
 // refusals are the alerts with which a server refuses a client that it does not believe (RFC 8446, section 6.2).
-var refusals = []tls.AlertError{42, 43, 44, 45, 46, 48, 49, 116}
+var certificateAlerts = []tls.AlertError{42, 43, 44, 45, 46, 48, 49, 116}
 
 // refused tells whether the other end broke a connection off because it does not believe us. In TLS 1.3 a client learns it only
 // with the first answer. The alert proves that no request was read: its server had not finished the handshake.
-func refused(err error) bool {
+func isCertificateRejection(err error) bool {
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "remote error" || op.Err == nil {
 		return false
 	}
-	return slices.ContainsFunc(refusals, func(a tls.AlertError) bool { return op.Err.Error() == a.Error() })
+	return slices.ContainsFunc(certificateAlerts, func(a tls.AlertError) bool { return op.Err.Error() == a.Error() })
 }
--- a/internal/rest/crossing_test.go
+++ b/internal/rest/crossing_test.go
@@ -10,9 +10,9 @@
 )
 
 // waits returns once bytes have come on a server's connection.
-func waits(t *testing.T, s *Conn) {
+func awaitData(t *testing.T, s *Conn) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); quiet(socket(s.nc)); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); isQuiet(socketOf(s.conn)); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing came")
 		}
@@ -29,10 +29,10 @@
 	} {
 		l := DefaultLimits
 		passed(&l)
-		s, nc := served(t, l)
-		io.WriteString(nc, head+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
+		s, nc := testConn(t, l)
+		io.WriteString(nc, requestHead+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
 		nc.Write(long)
-		waits(t, s)
+		awaitData(t, s)
 		time.Sleep(10 * time.Millisecond) // for the rest of it
 		if q, err := s.ReadRequest(); err != nil || len(q.Body) != len(long) {
 			t.Errorf("%s: got %v", name, err)
@@ -43,10 +43,10 @@
 // A connection that is to end soon is told so while a message comes, between two, or while one is awaited: it still gives the
 // message, and ends when nothing comes.
 func TestEndsBetweenMessages(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
+	s, nc := testConn(t, DefaultLimits)
 	s.SetIdleDeadline(time.Now()) // before anything is awaited
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
-	waits(t, s)
+	awaitData(t, s)
 	if q, err := s.ReadRequest(); err != nil || q.Target != "/1" {
 		t.Errorf("sent before: got %+v, %v", q, err)
 	}
@@ -54,7 +54,7 @@
 		t.Errorf("nothing sent: got %v", err)
 	}
 
-	begun, client := served(t, DefaultLimits)
+	begun, client := testConn(t, DefaultLimits)
 	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // it has begun
 	time.AfterFunc(50*time.Millisecond, func() { begun.SetIdleDeadline(time.Now()) })
 	time.AfterFunc(100*time.Millisecond, func() { io.WriteString(client, "Host: a\r\n\r\n") })
@@ -62,7 +62,7 @@
 		t.Errorf("begun before: got %+v, %v", q, err)
 	}
 
-	quiet, _ := served(t, DefaultLimits)
+	quiet, _ := testConn(t, DefaultLimits)
 	time.AfterFunc(50*time.Millisecond, func() { quiet.SetIdleDeadline(time.Now()) })
 	if _, err := quiet.ReadRequest(); err != ErrIdle {
 		t.Errorf("while nothing comes: got %v", err)
@@ -72,7 +72,7 @@
 // The last answer on a connection is whole at a client that reads slowly and has sent more than is read: a close with
 // something unread would reset the connection, and what of the answer is on the way would be gone.
 func TestLastAnswerIsNotOvertakenByAReset(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
+	s, nc := testConn(t, DefaultLimits)
 	nc.(*net.TCPConn).SetReadBuffer(16 << 10)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	nc.Write(make([]byte, 200<<10))
@@ -95,9 +95,9 @@
 
 // A look that a signal interrupts is made again, and not for ever.
 func TestInterruptedLook(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
+	s, nc := testConn(t, DefaultLimits)
 	io.WriteString(nc, "x")
-	waits(t, s)
+	awaitData(t, s)
 	times, calls := 0, 0
 	recvfrom = func(fd int, b []byte, flags int) (int, syscall.Sockaddr, error) {
 		if calls++; calls <= times {
@@ -107,7 +107,7 @@
 	}
 	defer func() { recvfrom = syscall.Recvfrom }()
 	for times = range 10 {
-		if calls = 0; s.HasPending() != (times < interruptedMost) || calls > interruptedMost {
+		if calls = 0; s.HasPending() != (times < maxInterrupted) || calls > maxInterrupted {
 			t.Errorf("interrupted %d times: %d calls", times, calls)
 		}
 	}
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -40,7 +40,7 @@
 
 func (e *MessageError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-func refuse(status int, why string, args ...any) error {
+func messageError(status int, why string, args ...any) error {
 	return &MessageError{status, fmt.Sprintf(why, args...)}
 }
 
@@ -68,7 +68,7 @@
 }
 
 // line reads one line that ends in CRLF, without it. The bytes hold until the next read.
-func line(r *bufio.Reader, most int, status int) ([]byte, error) {
+func readLine(r *bufio.Reader, most int, status int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		whole := append([]byte(nil), b...)
@@ -79,7 +79,7 @@
 		b = whole
 	}
 	if len(b) > most {
-		return nil, refuse(status, "a line of more than %d bytes", most)
+		return nil, messageError(status, "a line of more than %d bytes", most)
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
@@ -88,12 +88,12 @@
 		return nil, err
 	}
 	if len(b) < 2 || b[len(b)-2] != '\r' {
-		return nil, refuse(400, "a line that does not end in CRLF")
+		return nil, messageError(400, "a line that does not end in CRLF")
 	}
 	b = b[:len(b)-2]
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return nil, refuse(400, "a control character in a line")
+			return nil, messageError(400, "a control character in a line")
 		}
 	}
 	return b, nil
@@ -116,11 +116,11 @@
 }
 
 // block reads header lines up to the empty one.
-func block(r *bufio.Reader, l *Limits) (Header, error) {
+func readHeader(r *bufio.Reader, l *Limits) (Header, error) {
 	h := make(Header, 8)
 	total := 0
 	for n := 0; ; n++ {
-		b, err := line(r, l.MaxLine, 431)
+		b, err := readLine(r, l.MaxLine, 431)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -131,14 +131,14 @@
 			return h, nil
 		}
 		if total += len(b) + 2; total > l.MaxHeaderBytes || n >= l.MaxHeaders {
-			return nil, refuse(431, "more than %d header lines or %d bytes of them", l.MaxHeaders, l.MaxHeaderBytes)
+			return nil, messageError(431, "more than %d header lines or %d bytes of them", l.MaxHeaders, l.MaxHeaderBytes)
 		}
 		if b[0] == ' ' || b[0] == '\t' {
-			return nil, refuse(400, "a folded header line")
+			return nil, messageError(400, "a folded header line")
 		}
 		name, value, ok := bytes.Cut(b, []byte{':'})
 		if !ok || !isToken(name) {
-			return nil, refuse(400, "a header name that is no token")
+			return nil, messageError(400, "a header name that is no token")
 		}
 		key := textproto.CanonicalMIMEHeaderKey(string(name))
 		h[key] = append(h[key], string(textproto.TrimBytes(value)))
@@ -146,38 +146,38 @@
 }
 
 // framing tells how a message's body is delimited: its length, or -1 for chunks, or -2 for neither.
-func framing(h Header, http10 bool) (int, error) {
+func bodyLength(h Header, http10 bool) (int, error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	switch {
 	case len(lengths) > 0 && len(codings) > 0:
-		return 0, refuse(400, "both Content-Length and Transfer-Encoding")
+		return 0, messageError(400, "both Content-Length and Transfer-Encoding")
 	case len(codings) > 0 && http10:
-		return 0, refuse(400, "Transfer-Encoding in HTTP/1.0")
+		return 0, messageError(400, "Transfer-Encoding in HTTP/1.0")
 	case len(codings) > 1 || len(codings) == 1 && !strings.EqualFold(codings[0], "chunked"):
-		return 0, refuse(501, "a transfer coding other than chunked")
+		return 0, messageError(501, "a transfer coding other than chunked")
 	case len(codings) == 1:
 		return -1, nil
 	case len(lengths) > 1:
-		return 0, refuse(400, "more than one Content-Length")
+		return 0, messageError(400, "more than one Content-Length")
 	case len(lengths) == 1:
-		return number(lengths[0], 10, 18)
+		return parseNumber(lengths[0], 10, 18)
 	}
 	return -2, nil
 }
 
 // number reads digits alone: no sign, no space, not so many that it could overflow.
-func number(s string, base, most int) (int, error) {
+func parseNumber(s string, base, most int) (int, error) {
 	if len(s) == 0 || len(s) > most {
-		return 0, refuse(400, "a length of %d digits", len(s))
+		return 0, messageError(400, "a length of %d digits", len(s))
 	}
 	for _, c := range []byte(s) {
 		if !(c >= '0' && c <= '9' || base == 16 && (c|0x20 >= 'a' && c|0x20 <= 'f')) {
-			return 0, refuse(400, "a length that is no number")
+			return 0, messageError(400, "a length that is no number")
 		}
 	}
 	n, err := strconv.ParseInt(s, base, 64)
 	if err != nil {
-		return 0, refuse(400, "a length out of range")
+		return 0, messageError(400, "a length out of range")
 	}
 	return int(n), nil
 }
@@ -186,22 +186,22 @@
 type Reserve func(bytes int) bool
 
 // body reads a body of a length (-1: chunks, -2: none, or to the end of the connection).
-func body(r *bufio.Reader, length int, l *Limits, toEnd bool, room Reserve) ([]byte, error) {
+func readBody(r *bufio.Reader, length int, l *Limits, toEnd bool, room Reserve) ([]byte, error) {
 	switch {
 	case length == -1:
-		return chunks(r, l, room)
+		return readChunks(r, l, room)
 	case length == -2 && toEnd:
 		b, err := io.ReadAll(io.LimitReader(r, int64(l.MaxBody)+1))
 		if err == nil && len(b) > l.MaxBody {
-			err = refuse(413, "a body of more than %d bytes", l.MaxBody)
+			err = messageError(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		return b, err
 	case length <= 0:
 		return nil, nil
 	case length > l.MaxBody:
-		return nil, refuse(413, "a body of more than %d bytes", l.MaxBody)
+		return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
 	case room != nil && !room(length):
-		return nil, refuse(503, "no room for a body of %d bytes now", length)
+		return nil, messageError(503, "no room for a body of %d bytes now", length)
 	}
 	b := make([]byte, length)
 	_, err := io.ReadFull(r, b)
@@ -211,10 +211,10 @@
 	return b, err
 }
 
-func chunks(r *bufio.Reader, l *Limits, room Reserve) ([]byte, error) {
+func readChunks(r *bufio.Reader, l *Limits, room Reserve) ([]byte, error) {
 	var whole []byte
 	for {
-		b, err := line(r, l.MaxLine, 400)
+		b, err := readLine(r, l.MaxLine, 400)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -222,7 +222,7 @@
 			return nil, err
 		}
 		size, _, _ := bytes.Cut(b, []byte{';'}) // extensions mean nothing here
-		n, err := number(string(size), 16, 15)
+		n, err := parseNumber(string(size), 16, 15)
 		if err != nil {
 			return nil, err
 		}
@@ -230,10 +230,10 @@
 			break
 		}
 		if n > l.MaxBody-len(whole) {
-			return nil, refuse(413, "a body of more than %d bytes", l.MaxBody)
+			return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		if room != nil && !room(n) {
-			return nil, refuse(503, "no room for %d bytes more now", n)
+			return nil, messageError(503, "no room for %d bytes more now", n)
 		}
 		at := len(whole)
 		whole = append(whole, make([]byte, n)...)
@@ -248,24 +248,24 @@
 			return nil, err
 		}
 		if end != [2]byte{'\r', '\n'} {
-			return nil, refuse(400, "a chunk that does not end in CRLF")
+			return nil, messageError(400, "a chunk that does not end in CRLF")
 		}
 	}
-	trailer, err := block(r, l)
+	trailer, err := readHeader(r, l)
 	if err != nil {
 		return nil, err
 	}
 	if trailer["Content-Length"] != nil || trailer["Transfer-Encoding"] != nil {
-		return nil, refuse(400, "framing in a trailer")
+		return nil, messageError(400, "framing in a trailer")
 	}
 	return whole, nil
 }
 
 // requestHead reads a request up to its body.
-func requestHead(r *bufio.Reader, l *Limits) (q *Request, length int, err error) {
-	b, err := line(r, l.MaxLine, 414)
+func readRequestHead(r *bufio.Reader, l *Limits) (q *Request, length int, err error) {
+	b, err := readLine(r, l.MaxLine, 414)
 	if err == nil && len(b) == 0 { // RFC 9112, 2.2: one empty line before a request is passed over
-		b, err = line(r, l.MaxLine, 414)
+		b, err = readLine(r, l.MaxLine, 414)
 	}
 	if err != nil {
 		return nil, 0, err
@@ -275,28 +275,28 @@
 	http10 := string(version) == "HTTP/1.0"
 	switch {
 	case !isToken(method) || len(target) == 0 || bytes.IndexByte(target, '\t') >= 0:
-		return nil, 0, refuse(400, "a malformed request line")
+		return nil, 0, messageError(400, "a malformed request line")
 	case !http10 && string(version) != "HTTP/1.1":
 		if bytes.HasPrefix(version, []byte("HTTP/")) {
-			return nil, 0, refuse(505, "a version other than HTTP/1.0 and HTTP/1.1")
+			return nil, 0, messageError(505, "a version other than HTTP/1.0 and HTTP/1.1")
 		}
-		return nil, 0, refuse(400, "a malformed request line")
+		return nil, 0, messageError(400, "a malformed request line")
 	}
 	q = &Request{Method: string(method), Target: string(target)}
-	if q.Header, err = block(r, l); err != nil {
+	if q.Header, err = readHeader(r, l); err != nil {
 		return nil, 0, err
 	}
 	if hosts := len(q.Header["Host"]); hosts > 1 || hosts == 0 && !http10 {
-		return nil, 0, refuse(400, "%d Host headers", hosts)
+		return nil, 0, messageError(400, "%d Host headers", hosts)
 	}
-	if length, err = framing(q.Header, http10); err != nil {
+	if length, err = bodyLength(q.Header, http10); err != nil {
 		return nil, 0, err
 	}
-	q.Close = closes(q.Header, http10)
+	q.Close = wantsClose(q.Header, http10)
 	return q, length, nil
 }
 
-func closes(h Header, http10 bool) bool {
+func wantsClose(h Header, http10 bool) bool {
 	for _, v := range h["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
 			switch strings.ToLower(strings.TrimSpace(part)) {
@@ -314,7 +314,7 @@
 func readResponse(r *bufio.Reader, method string, l *Limits) (*Response, error) {
 	const interim = 8 // far more than any server sends
 	for range interim {
-		b, err := line(r, l.MaxLine, 400)
+		b, err := readLine(r, l.MaxLine, 400)
 		if err != nil {
 			return nil, err
 		}
@@ -322,35 +322,35 @@
 		code, _, _ := bytes.Cut(rest, []byte{' '})
 		http10 := string(version) == "HTTP/1.0"
 		if !http10 && string(version) != "HTTP/1.1" || len(code) != 3 {
-			return nil, refuse(400, "a malformed status line")
+			return nil, messageError(400, "a malformed status line")
 		}
-		status, err := number(string(code), 10, 3)
+		status, err := parseNumber(string(code), 10, 3)
 		if err != nil {
 			return nil, err
 		}
 		p := &Response{Status: status}
-		if p.Header, err = block(r, l); err != nil {
+		if p.Header, err = readHeader(r, l); err != nil {
 			return nil, err
 		}
 		if status >= 100 && status < 200 {
 			if status == 101 {
-				return nil, refuse(400, "a switch of protocols that nobody asked for")
+				return nil, messageError(400, "a switch of protocols that nobody asked for")
 			}
 			continue
 		}
-		length, err := framing(p.Header, http10)
+		length, err := bodyLength(p.Header, http10)
 		if err != nil {
 			return nil, err
 		}
-		p.Close = closes(p.Header, http10)
+		p.Close = wantsClose(p.Header, http10)
 		if method == "HEAD" || status == 204 || status == 304 {
 			return p, nil
 		}
 		p.Close = p.Close || length == -2
-		p.Body, err = body(r, length, l, true, nil)
+		p.Body, err = readBody(r, length, l, true, nil)
 		return p, err
 	}
-	return nil, refuse(400, "more than %d interim responses", interim)
+	return nil, messageError(400, "more than %d interim responses", interim)
 }
 
 // AppendRequest appends the request's header block, its body left out unless it goes in chunks.
@@ -365,7 +365,7 @@
 
 func appendResponse(b []byte, method string, p *Response) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(p.Status), 10)
-	b = append(append(append(b, ' '), reasons[p.Status]...), "\r\n"...)
+	b = append(append(append(b, ' '), reasonPhrases[p.Status]...), "\r\n"...)
 	b = appendHeader(b, p.Header)
 	if p.Close {
 		b = append(b, "Connection: close\r\n"...)
@@ -409,7 +409,7 @@
 	return append(b, "0\r\n\r\n"...)
 }
 
-var reasons = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 414: "URI Too Long", 417: "Expectation Failed",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 499: "Client Closed Request",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -13,7 +13,7 @@
 )
 
 // served gives a server's connection and the client's raw end of it.
-func served(t testing.TB, l Limits) (*Conn, net.Conn) {
+func testConn(t testing.TB, l Limits) (*Conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,17 +32,17 @@
 	return NewConn(sc, &l, nil), nc
 }
 
-const head = "POST /x HTTP/1.1\r\nHost: a\r\n"
+const requestHead = "POST /x HTTP/1.1\r\nHost: a\r\n"
 
 func TestNextReadsBodies(t *testing.T) {
 	for name, c := range map[string]struct{ in, body string }{
-		"length":     {head + "Content-Length: 5\r\n\r\nhello", "hello"},
-		"chunks":     {head + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: 1\r\n\r\n", "hello"},
+		"length":     {requestHead + "Content-Length: 5\r\n\r\nhello", "hello"},
+		"chunks":     {requestHead + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: 1\r\n\r\n", "hello"},
 		"none":       {"GET /x HTTP/1.1\r\nHost: a\r\n\r\n", ""},
 		"empty line": {"\r\nGET /x HTTP/1.1\r\nHost: a\r\n\r\n", ""},
 		"long line":  {"GET /x HTTP/1.1\r\nHost: a\r\nLong: " + strings.Repeat("v", 5000) + "\r\n\r\n", ""},
 	} {
-		s, nc := served(t, DefaultLimits)
+		s, nc := testConn(t, DefaultLimits)
 		io.WriteString(nc, c.in)
 		q, err := s.ReadRequest()
 		if err != nil || string(q.Body) != c.body {
@@ -59,38 +59,38 @@
 		in     string
 		status int
 	}{
-		"length and coding":  {head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		"two lengths":        {head + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", 400},
-		"list of lengths":    {head + "Content-Length: 5, 5\r\n\r\nhello", 400},
-		"fold":               {head + "A: b\r\n c\r\n\r\n", 400},
-		"bare LF":            {head + "A: b\n\r\n", 400},
-		"bare CR":            {head + "A: b\rc\r\n\r\n", 400},
-		"CR in a name":       {head + "A\r: b\r\n\r\n", 400},
-		"NUL":                {head + "A: b\x00\r\n\r\n", 400},
-		"space before colon": {head + "A : b\r\n\r\n", 400},
-		"plus sign":          {head + "Content-Length: +5\r\n\r\nhello", 400},
-		"minus sign":         {head + "Content-Length: -5\r\n\r\nhello", 400},
-		"hex length":         {head + "Content-Length: 0x5\r\n\r\nhello", 400},
-		"empty length":       {head + "Content-Length:\r\n\r\n", 400},
-		"huge length":        {head + "Content-Length: 99999999999999999999\r\n\r\n", 400},
-		"chunk overflow":     {head + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 400},
-		"chunk sign":         {head + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400},
-		"chunk without end":  {head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcX\r\n", 400},
-		"framing in trailer": {head + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n", 400},
-		"other coding":       {head + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		"length and coding":  {requestHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		"two lengths":        {requestHead + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", 400},
+		"list of lengths":    {requestHead + "Content-Length: 5, 5\r\n\r\nhello", 400},
+		"fold":               {requestHead + "A: b\r\n c\r\n\r\n", 400},
+		"bare LF":            {requestHead + "A: b\n\r\n", 400},
+		"bare CR":            {requestHead + "A: b\rc\r\n\r\n", 400},
+		"CR in a name":       {requestHead + "A\r: b\r\n\r\n", 400},
+		"NUL":                {requestHead + "A: b\x00\r\n\r\n", 400},
+		"space before colon": {requestHead + "A : b\r\n\r\n", 400},
+		"plus sign":          {requestHead + "Content-Length: +5\r\n\r\nhello", 400},
+		"minus sign":         {requestHead + "Content-Length: -5\r\n\r\nhello", 400},
+		"hex length":         {requestHead + "Content-Length: 0x5\r\n\r\nhello", 400},
+		"empty length":       {requestHead + "Content-Length:\r\n\r\n", 400},
+		"huge length":        {requestHead + "Content-Length: 99999999999999999999\r\n\r\n", 400},
+		"chunk overflow":     {requestHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n", 400},
+		"chunk sign":         {requestHead + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400},
+		"chunk without end":  {requestHead + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcX\r\n", 400},
+		"framing in trailer": {requestHead + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n", 400},
+		"other coding":       {requestHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
 		"coding in 1.0":      {"POST /x HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 		"no host":            {"GET /x HTTP/1.1\r\n\r\n", 400},
-		"two hosts":          {head + "Host: b\r\n\r\n", 400},
+		"two hosts":          {requestHead + "Host: b\r\n\r\n", 400},
 		"version":            {"GET /x HTTP/2.0\r\nHost: a\r\n\r\n", 505},
 		"two spaces":         {"GET  /x HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"many headers":       {head + strings.Repeat("A: b\r\n", 9) + "\r\n", 431},
-		"long header":        {head + "A: " + strings.Repeat("b", 300) + "\r\n\r\n", 431},
+		"many headers":       {requestHead + strings.Repeat("A: b\r\n", 9) + "\r\n", 431},
+		"long header":        {requestHead + "A: " + strings.Repeat("b", 300) + "\r\n\r\n", 431},
 		"long target":        {"GET /" + strings.Repeat("b", 300) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414},
-		"large body":         {head + "Content-Length: 101\r\n\r\n", 413},
-		"large chunks":       {head + "Transfer-Encoding: chunked\r\n\r\n65\r\n", 413},
-		"expectation":        {head + "Content-Length: 1\r\nExpect: wonders\r\n\r\n", 417},
+		"large body":         {requestHead + "Content-Length: 101\r\n\r\n", 413},
+		"large chunks":       {requestHead + "Transfer-Encoding: chunked\r\n\r\n65\r\n", 413},
+		"expectation":        {requestHead + "Content-Length: 1\r\nExpect: wonders\r\n\r\n", 417},
 	} {
-		s, nc := served(t, small)
+		s, nc := testConn(t, small)
 		io.WriteString(nc, c.in)
 		_, err := s.ReadRequest()
 		var r *MessageError
@@ -103,8 +103,8 @@
 func TestNextTimesOutSlowParts(t *testing.T) {
 	l := DefaultLimits
 	l.HeaderTimeout, l.BodyTimeout, l.IdleTimeout = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
-	for name, in := range map[string]string{"header": "POST /x HT", "body": head + "Content-Length: 5\r\n\r\nhe"} {
-		s, nc := served(t, l)
+	for name, in := range map[string]string{"header": "POST /x HT", "body": requestHead + "Content-Length: 5\r\n\r\nhe"} {
+		s, nc := testConn(t, l)
 		io.WriteString(nc, in)
 		_, err := s.ReadRequest()
 		var r *MessageError
@@ -112,14 +112,14 @@
 			t.Errorf("slow %s: got %v", name, err)
 		}
 	}
-	s, _ := served(t, l)
+	s, _ := testConn(t, l)
 	if _, err := s.ReadRequest(); err != ErrIdle {
 		t.Errorf("idle: got %v", err)
 	}
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
+	s, nc := testConn(t, DefaultLimits)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: a\r\n\r\n")
 	r := bufio.NewReader(nc)
 	for _, want := range []string{"/1", "/2", "/3"} {
@@ -140,8 +140,8 @@
 }
 
 func TestContinueIsSaidBeforeTheBody(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
-	io.WriteString(nc, head+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
+	s, nc := testConn(t, DefaultLimits)
+	io.WriteString(nc, requestHead+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 	got := make(chan string, 1)
 	go func() {
 		b := make([]byte, 25)
@@ -156,7 +156,7 @@
 }
 
 func TestWatchSeesTheClientLeave(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
+	s, nc := testConn(t, DefaultLimits)
 	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
@@ -178,9 +178,9 @@
 }
 
 func TestReserveBoundsBodies(t *testing.T) {
-	s, nc := served(t, DefaultLimits)
-	s.room = func(n int) bool { return n < 3 }
-	io.WriteString(nc, head+"Content-Length: 5\r\n\r\nhello")
+	s, nc := testConn(t, DefaultLimits)
+	s.reserve = func(n int) bool { return n < 3 }
+	io.WriteString(nc, requestHead+"Content-Length: 5\r\n\r\nhello")
 	_, err := s.ReadRequest()
 	var r *MessageError
 	if !errors.As(err, &r) || r.Status != 503 {
@@ -189,7 +189,7 @@
 }
 
 // peer is a server's raw end; the client is dialled to it.
-func peer(t *testing.T) (*Client, *net.TCPConn) {
+func testClient(t *testing.T) (*Client, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,73 +208,73 @@
 	return c, sc.(*net.TCPConn)
 }
 
-func ask() *Request {
+func testRequest() *Request {
 	return &Request{Method: "POST", Target: "/x", Header: Header{"Host": {"a"}}, Body: []byte("hello")}
 }
 
-func soon() time.Time { return time.Now().Add(5 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
 // Rule 2 rests on how far an exchange had got.
 func TestDoTellsProgress(t *testing.T) {
-	c, s := peer(t)
+	c, s := testClient(t)
 	s.SetLinger(0)
 	s.Close()
 	for !c.Stale() {
 		time.Sleep(time.Millisecond)
 	}
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != NothingWritten {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
 		t.Errorf("broken before: got %d, %v", progress, err)
 	}
 
-	c, s = peer(t)
-	q := ask()
+	c, s = testClient(t)
+	q := testRequest()
 	q.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the sockets hold
 	go func(s *net.TCPConn) {
 		io.ReadFull(s, make([]byte, 1000))
 		s.SetLinger(0)
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(q, soon()); err == nil || progress != PartlyWritten {
+	if _, progress, err := c.Do(q, testDeadline()); err == nil || progress != PartlyWritten {
 		t.Errorf("broken while writing: got %d, %v", progress, err)
 	}
 
-	c, s = peer(t)
+	c, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != WrittenWhole {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
 		t.Errorf("broken after: got %d, %v", progress, err)
 	}
 
-	c, s = peer(t)
+	c, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(ask(), soon()); err == nil || progress != ResponseBegun {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
 		t.Errorf("broken in the answer: got %d, %v", progress, err)
 	}
 }
 
 func TestDoTimesOutAndAborts(t *testing.T) {
-	c, _ := peer(t)
-	if _, progress, err := c.Do(ask(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
+	c, _ := testClient(t)
+	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
 		t.Errorf("got %d, %v", progress, err)
 	}
-	c, _ = peer(t)
+	c, _ = testClient(t)
 	time.AfterFunc(30*time.Millisecond, c.Abort)
-	if _, _, err := c.Do(ask(), soon()); err != ErrAborted {
+	if _, _, err := c.Do(testRequest(), testDeadline()); err != ErrAborted {
 		t.Errorf("got %v", err)
 	}
-	if _, progress, err := c.Do(ask(), soon()); err != ErrAborted || progress != NothingWritten {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
 		t.Errorf("after it: got %d, %v", progress, err)
 	}
 }
 
 func TestStale(t *testing.T) {
-	c, s := peer(t)
+	c, s := testClient(t)
 	if c.Stale() {
 		t.Error("a quiet connection is called stale")
 	}
@@ -287,19 +287,19 @@
 }
 
 func FuzzRequest(f *testing.F) {
-	for _, s := range []string{head + "Content-Length: 5\r\n\r\nhello", head + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\n",
-		"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", head + "A : b\r\n\r\n"} {
+	for _, s := range []string{requestHead + "Content-Length: 5\r\n\r\nhello", requestHead + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\n",
+		"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", requestHead + "A : b\r\n\r\n"} {
 		f.Add([]byte(s))
 	}
 	l := DefaultLimits
 	l.MaxBody, l.MaxHeaders = 1000, 10
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), 64)
-		q, length, err := requestHead(r, &l)
+		q, length, err := readRequestHead(r, &l)
 		if err != nil {
 			return
 		}
-		if q.Body, err = body(r, length, &l, false, nil); err != nil {
+		if q.Body, err = readBody(r, length, &l, false, nil); err != nil {
 			return
 		}
 		// What was taken must be written and read again as the same message, or someone could frame it differently.
@@ -308,14 +308,14 @@
 			b = append(b, q.Body...)
 		}
 		r = bufio.NewReader(bytes.NewReader(b))
-		again, length, err := requestHead(r, &DefaultLimits)
+		again, length, err := readRequestHead(r, &DefaultLimits)
 		if err != nil {
 			if _, ok := q.Header["Host"]; !ok {
 				return // HTTP/1.0 needs none, and is written as 1.1
 			}
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
-		if again.Body, err = body(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(q.Body, again.Body) || q.Target != again.Target {
+		if again.Body, err = readBody(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(q.Body, again.Body) || q.Target != again.Target {
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
 	})
