--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -15,63 +15,63 @@
 
 // Conn is the server's side of a connection. One goroutine owns it.
 type Conn struct {
-	nc     net.Conn
-	in     *looking
-	r      *bufio.Reader
-	limits *Limits
-	room   Reserve
-	out    []byte
-	method string // of the request in hand
-
-	mu       sync.Mutex
-	awaiting bool      // the first byte of a request is
-	endBy    time.Time // zero: no end was told
+	conn        net.Conn
+	deadlines   *deadlineReader
+	reader      *bufio.Reader
+	limits      *Limits
+	reserve     Reserve
+	writeBuffer []byte
+	method      string // of the request in hand
+
+	mu              sync.Mutex
+	awaitingRequest bool      // the first byte of a request is
+	idleDeadline    time.Time // zero: no end was told
 }
 
 // NewConn serves a connection; room may be nil.
 func NewConn(nc net.Conn, limits *Limits, room Reserve) *Conn {
-	in := &looking{nc: nc}
-	return &Conn{nc: nc, in: in, r: bufio.NewReaderSize(in, readBuffer), limits: limits, room: room}
+	in := &deadlineReader{conn: nc}
+	return &Conn{conn: nc, deadlines: in, reader: bufio.NewReaderSize(in, readBuffer), limits: limits, reserve: room}
 }
 
 // Close closes the connection; it may be called from any goroutine.
-func (c *Conn) Close() error { return socket(c.nc).Close() }
+func (c *Conn) Close() error { return socketOf(c.conn).Close() }
 
 // EndBy has the connection end once no request has begun on it by a time: Next gives what had come by then, and after that
 // ErrIdle. It may be called from any goroutine, whatever the connection does.
 func (c *Conn) SetIdleDeadline(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endBy = at
-	if c.awaiting {
-		c.in.until(at)
+	c.idleDeadline = at
+	if c.awaitingRequest {
+		c.deadlines.setDeadline(at)
 	}
 }
 
 // await waits for the first byte of a request.
-func (c *Conn) await() error {
+func (c *Conn) awaitRequest() error {
 	c.mu.Lock()
-	at := after(c.limits.IdleTimeout)
-	if !c.endBy.IsZero() && (at.IsZero() || c.endBy.Before(at)) {
-		at = c.endBy
+	at := deadlineAfter(c.limits.IdleTimeout)
+	if !c.idleDeadline.IsZero() && (at.IsZero() || c.idleDeadline.Before(at)) {
+		at = c.idleDeadline
 	}
-	c.awaiting = true
-	c.in.until(at)
+	c.awaitingRequest = true
+	c.deadlines.setDeadline(at)
 	c.mu.Unlock()
-	_, err := c.r.Peek(1)
+	_, err := c.reader.Peek(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaiting = false
-	c.in.until(after(c.limits.HeaderTimeout))
+	c.awaitingRequest = false
+	c.deadlines.setDeadline(deadlineAfter(c.limits.HeaderTimeout))
 	return err
 }
 
 // More tells whether something of a further request is here already.
 func (c *Conn) HasPending() bool {
-	if c.r.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		return true
 	}
-	e, ok := glance(socket(c.nc))
+	e, ok := peekSocket(socketOf(c.conn))
 	return ok && e == 0
 }
 
@@ -89,20 +89,20 @@
 // a *Refused is to be answered with its status, a *Distrusted as it says, and both close the connection. Other errors are the
 // connection's.
 func (c *Conn) ReadRequest() (*Request, error) {
-	if err := c.await(); err != nil {
+	if err := c.awaitRequest(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = ErrIdle
 		}
 		return nil, err
 	}
-	if err := still(c.nc); err != nil {
+	if err := checkPeer(c.conn); err != nil {
 		return nil, &PeerUntrustedError{err}
 	}
 	c.method = ""
-	began := c.in.came
-	q, length, err := requestHead(c.r, c.limits)
+	began := c.deadlines.receivedAt
+	q, length, err := readRequestHead(c.reader, c.limits)
 	if err != nil {
-		return nil, slow(err, "header")
+		return nil, timeoutError(err, "header")
 	}
 	c.method, q.ArrivedAt = q.Method, began
 	if length == -2 || length == 0 {
@@ -110,19 +110,19 @@
 	}
 	if expect := q.Header.Get("Expect"); expect != "" {
 		if !equalFold(expect, "100-continue") {
-			return nil, refuse(417, "an expectation other than 100-continue")
+			return nil, messageError(417, "an expectation other than 100-continue")
 		}
 		if length > c.limits.MaxBody { // said before the client sends it
-			return nil, refuse(413, "a body of more than %d bytes", c.limits.MaxBody)
+			return nil, messageError(413, "a body of more than %d bytes", c.limits.MaxBody)
 		}
-		c.nc.SetWriteDeadline(after(c.limits.WriteTimeout))
-		if _, err := io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
+		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, err
 		}
 	}
-	c.in.until(after(c.limits.BodyTimeout))
-	if q.Body, err = body(c.r, length, c.limits, false, c.room); err != nil {
-		return nil, slow(err, "body")
+	c.deadlines.setDeadline(deadlineAfter(c.limits.BodyTimeout))
+	if q.Body, err = readBody(c.reader, length, c.limits, false, c.reserve); err != nil {
+		return nil, timeoutError(err, "body")
 	}
 	return q, nil
 }
@@ -139,14 +139,14 @@
 	return true
 }
 
-func slow(err error, part string) error {
+func timeoutError(err error, part string) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return refuse(408, "the %s came too slowly", part)
+		return messageError(408, "the %s came too slowly", part)
 	}
 	return err
 }
 
-func after(d time.Duration) time.Time {
+func deadlineAfter(d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
 	}
@@ -154,22 +154,22 @@
 }
 
 // lookEvery is how often a close is looked for behind requests that were sent ahead, where no read can see it.
-const lookEvery = 20 * time.Millisecond
+const closePollInterval = 20 * time.Millisecond
 
 // Watch reports on the channel if the client closes or breaks the connection before stop is called. Requests that
 // come meanwhile are kept. Stop must be called, and returns once the watcher is gone.
 func (c *Conn) WatchClose() (gone <-chan error, stop func()) {
 	left, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
-	c.in.until(time.Time{})
+	c.deadlines.setDeadline(time.Time{})
 	go func() {
 		defer close(ended)
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				left <- err
 			}
 			return
 		}
-		again := time.NewTicker(lookEvery)
+		again := time.NewTicker(closePollInterval)
 		defer again.Stop()
 		for !c.PeerClosed() {
 			select {
@@ -182,22 +182,22 @@
 	}()
 	return left, func() {
 		close(stopped)
-		c.in.cut()
+		c.deadlines.interrupt()
 		<-ended
 	}
 }
 
 // Gone tells whether the client has already closed or broken the connection, without waiting. It may be called from any goroutine.
-func (c *Conn) PeerClosed() bool { return left(socket(c.nc)) }
+func (c *Conn) PeerClosed() bool { return peerClosed(socketOf(c.conn)) }
 
 // Answer writes the response to the request in hand.
 func (c *Conn) WriteResponse(p *Response) error {
-	c.out = appendResponse(c.out[:0], c.method, p)
+	c.writeBuffer = appendResponse(c.writeBuffer[:0], c.method, p)
 	whole := c.method == "HEAD" || p.ChunkSize > 0
-	c.nc.SetWriteDeadline(after(c.limits.WriteTimeout))
-	_, err := write(c.nc, &c.out, p.Body, whole)
+	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
+	_, err := writeMessage(c.conn, &c.writeBuffer, p.Body, whole)
 	if err == nil && p.Close {
-		c.linger()
+		c.drain()
 	}
 	return err
 }
@@ -205,21 +205,21 @@
 // A connection is read on after its last answer until the client closes too, within these bounds: the time is several round
 // trips, the bytes are several times what a usual client has on its way.
 const (
-	lingerTime = 500 * time.Millisecond
-	lingerMost = 256 << 10
+	drainTime     = 500 * time.Millisecond
+	maxDrainBytes = 256 << 10
 )
 
 // linger closes a connection so that an answer just written is not lost to a reset for bytes that nobody read. Beyond the bound
 // on bytes nothing is read, so that a flood costs nothing, and the close waits all the same.
-func (c *Conn) linger() {
-	if s, ok := c.nc.(interface{ CloseWrite() error }); ok && secret(c.nc) {
+func (c *Conn) drain() {
+	if s, ok := c.conn.(interface{ CloseWrite() error }); ok && isTLS(c.conn) {
 		s.CloseWrite()
 	}
-	nc := socket(c.nc)
+	nc := socketOf(c.conn)
 	if t, ok := nc.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		until := time.Now().Add(lingerTime)
+		until := time.Now().Add(drainTime)
 		nc.SetReadDeadline(until)
-		if _, err := io.CopyN(io.Discard, nc, lingerMost); err == nil {
+		if _, err := io.CopyN(io.Discard, nc, maxDrainBytes); err == nil {
 			time.Sleep(time.Until(until))
 		}
 	}
@@ -227,7 +227,7 @@
 }
 
 // write sends a header block and a body in one write where that costs little.
-func write(nc net.Conn, head *[]byte, body []byte, whole bool) (int64, error) {
+func writeMessage(nc net.Conn, head *[]byte, body []byte, whole bool) (int64, error) {
 	const small = 16 << 10 // to copy is cheaper than a vectored write
 	if whole || len(body) <= small {
 		if !whole {
