--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -18,13 +18,13 @@
 // accept serves a listener until it is closed.
 func (g *Gateway) accept(l net.Listener, admin bool) {
 	for {
-		nc, err := l.Accept()
+		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) { // this router stops
-			for _, nc := range drainListener(l) {
-				g.serveClient(nc, admin)
+			for _, conn := range drainListener(l) {
+				g.serveClient(conn, admin)
 			}
 			return
 		}
@@ -33,19 +33,19 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		g.serveClient(nc, admin)
+		g.serveClient(conn, admin)
 	}
 }
 
 // welcomed serves a connection that was accepted.
-func (g *Gateway) serveClient(nc net.Conn, admin bool) {
+func (g *Gateway) serveClient(conn net.Conn, admin bool) {
 	if !admin && g.clientCount.Load() >= int64(g.config.MaxClientConns) {
 		g.metrics.connsRejected.Inc()
 		if g.certStores[clientConnections] != nil {
-			nc.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
+			conn.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
 			return
 		}
-		go rejectConn(nc, g.config.Deployment.MaxRetryAfter)
+		go rejectConn(conn, g.config.Deployment.MaxRetryAfter)
 		return
 	}
 	g.clientCount.Add(1)
@@ -58,32 +58,32 @@
 		defer g.clientCount.Add(-1)
 		if !admin {
 			var err error
-			if nc, err = g.clientHandshake(nc); err != nil {
+			if conn, err = g.clientHandshake(conn); err != nil {
 				return
 			}
 		}
-		g.readLoop(nc, admin)
+		g.readLoop(conn, admin)
 	}()
 }
 
 // turnAway answers a connection beyond the bound before it has asked for anything: nothing was taken, so trying again
 // is harmless.
-func rejectConn(nc net.Conn, stayAway control.Micros) {
+func rejectConn(conn net.Conn, retryAfter control.Micros) {
 	limits := rest.Limits{WriteTimeout: time.Second}
-	c := rest.NewConn(nc, &limits, nil)
-	p := rejection("too many connections", stayAway)
-	p.Close = true
-	c.WriteResponse(p)
-	c.Close()
+	client := rest.NewConn(conn, &limits, nil)
+	resp := rejection("too many connections", retryAfter)
+	resp.Close = true
+	client.WriteResponse(resp)
+	client.Close()
 }
 
 // converse answers one connection's requests, each in its turn.
-func (g *Gateway) readLoop(nc net.Conn, admin bool) {
+func (g *Gateway) readLoop(conn net.Conn, admin bool) {
 	limits := rest.DefaultLimits
 	limits.MaxBody, limits.IdleTimeout = g.config.MaxBody, g.config.ClientIdleTimeout
 	limits.HeaderTimeout, limits.BodyTimeout = g.config.HeaderTimeout, g.config.BodyTimeout
 	reserved := 0
-	c := rest.NewConn(nc, &limits, func(n int) bool {
+	client := rest.NewConn(conn, &limits, func(n int) bool {
 		if g.bodyBytes.Add(int64(n)) > int64(g.config.MaxBodyBytes) {
 			g.bodyBytes.Add(int64(-n))
 			return false
@@ -94,59 +94,59 @@
 	free := func() { g.bodyBytes.Add(int64(-reserved)); reserved = 0 }
 	defer func() {
 		free()
-		g.clientConns.Delete(c)
-		c.Close()
+		g.clientConns.Delete(client)
+		client.Close()
 	}()
-	g.clientConns.Store(c, nil)
+	g.clientConns.Store(client, nil)
 	held := g.config.shutdownTimes().readUntil
 	if g.isStopping() {
-		c.SetIdleDeadline(g.afterStop(held))
+		client.SetIdleDeadline(g.afterStop(held))
 	}
 	for {
-		q, err := c.ReadRequest()
+		msg, err := client.ReadRequest()
 		if err != nil {
 			var distrusted *rest.PeerUntrustedError
 			if errors.As(err, &distrusted) {
-				p := rejection(distrusted.Error(), 0)
-				p.Close = true
-				c.WriteResponse(p)
+				resp := rejection(distrusted.Error(), 0)
+				resp.Close = true
+				client.WriteResponse(resp)
 			}
 			var refused *rest.MessageError
 			if errors.As(err, &refused) {
-				p := errorResponse(refused.Status, refused.Reason)
+				resp := errorResponse(refused.Status, refused.Reason)
 				if refused.Status == 503 {
-					p = rejection(refused.Reason, g.config.Deployment.MaxRetryAfter)
+					resp = rejection(refused.Reason, g.config.Deployment.MaxRetryAfter)
 				}
-				p.Close = true
-				c.WriteResponse(p)
+				resp.Close = true
+				client.WriteResponse(resp)
 			}
 			return
 		}
-		p, left := g.respond(c, q, admin)
+		resp, left := g.respond(client, msg, admin)
 		free()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.More = (left || state.Stopping) && c.HasPending() && (!state.Stopping || time.Now().Before(g.afterStop(held)))
-		p.Close = state.CloseAfter(p.Close, q.Close, left)
-		if c.WriteResponse(p) != nil || p.Close {
+		state.More = (left || state.Stopping) && client.HasPending() && (!state.Stopping || time.Now().Before(g.afterStop(held)))
+		resp.Close = state.CloseAfter(resp.Close, msg.Close, left)
+		if client.WriteResponse(resp) != nil || resp.Close {
 			return
 		}
 	}
 }
 
 // respond answers one request; left tells that its client has closed its side.
-func (g *Gateway) respond(c *rest.Conn, q *rest.Request, admin bool) (p *rest.Response, left bool) {
-	if admin && strings.HasPrefix(q.Target, "/metrics") {
+func (g *Gateway) respond(client *rest.Conn, msg *rest.Request, admin bool) (resp *rest.Response, left bool) {
+	if admin && strings.HasPrefix(msg.Target, "/metrics") {
 		return g.metrics.response(), false
 	}
-	if admin && strings.HasPrefix(q.Target, "/router/") {
-		return g.serveAdmin(q), false
+	if admin && strings.HasPrefix(msg.Target, "/router/") {
+		return g.serveAdmin(msg), false
 	}
-	call, err := kserve.ReadTarget(q.Method, q.Target)
+	call, err := kserve.ReadTarget(msg.Method, msg.Target)
 	switch {
 	case errors.Is(err, kserve.ErrMethod):
 		return errorResponse(405, err.Error()), false
 	case err != nil:
-		return errorResponse(404, "no such call: "+q.Target), false
+		return errorResponse(404, "no such call: "+msg.Target), false
 	}
 	pattern, known := g.config.Match(call.Model)
 	switch call.Kind {
@@ -176,57 +176,57 @@
 	if admin {
 		return errorResponse(404, "jobs are taken at the other address"), false
 	}
-	return g.infer(c, q, call, pattern)
+	return g.infer(client, msg, call, pattern)
 }
 
 const tenantHeader = "X-Tenant"
 
 // infer takes a job and waits for its one answer.
-func (g *Gateway) infer(c *rest.Conn, q *rest.Request, call kserve.Call, pattern Pattern) (*rest.Response, bool) {
-	ask, err := kserve.ReadInfer(q.Header, q.Body)
+func (g *Gateway) infer(client *rest.Conn, msg *rest.Request, call kserve.Call, pattern Pattern) (*rest.Response, bool) {
+	ask, err := kserve.ReadInfer(msg.Header, msg.Body)
 	if err != nil {
 		return errorResponse(400, err.Error()), false
 	}
 	if !g.ready.Load() {
-		why := errNoEndpoints.Error()
+		reason := errNoEndpoints.Error()
 		if g.isStopping() {
-			why = "this router is stopping"
+			reason = "this router is stopping"
 		}
-		return rejection(why, g.config.Deployment.MaxRetryAfter), false
+		return rejection(reason, g.config.Deployment.MaxRetryAfter), false
 	}
 	seen := g.now()
-	if c.PeerClosed() { // after a stall of this process, say: its time may be long over
+	if client.PeerClosed() { // after a stall of this process, say: its time may be long over
 		return rejection("the client closed its side of the connection", 0), true
 	}
-	tenant, ok := g.config.Tenants[q.Header.Get(tenantHeader)]
+	tenant, ok := g.config.Tenants[msg.Header.Get(tenantHeader)]
 	if !ok {
 		tenant = control.TenantID(len(g.config.Deployment.Quotas)) // of no told share
 	}
-	j := &request{function: call.Model, tenant: g.config.tenantName(tenant), call: call, message: q, client: c, response: make(chan *rest.Response, 1)}
-	j.clientCheckedAt.Store(int64(seen))
+	req := &request{function: call.Model, tenant: g.config.tenantName(tenant), call: call, message: msg, client: client, response: make(chan *rest.Response, 1)}
+	req.clientCheckedAt.Store(int64(seen))
 	g.post(func(now control.Micros) {
-		g.handleRequest(now, j, pattern, tenant, ask, micros(time.Since(q.ArrivedAt)))
+		g.handleRequest(now, req, pattern, tenant, ask, micros(time.Since(msg.ArrivedAt)))
 	})
-	gone, stop := c.WatchClose()
+	gone, stop := client.WatchClose()
 	left := false
 	select {
-	case p := <-j.response:
+	case resp := <-req.response:
 		stop()
-		return p, false
+		return resp, false
 	case <-gone:
 		left = true
-		g.post(func(now control.Micros) { g.handleClientClosed(now, j) })
+		g.post(func(now control.Micros) { g.handleClientClosed(now, req) })
 	case <-g.loopEnded:
 	}
 	stop()
 	select {
-	case p := <-j.response:
-		return p, left
+	case resp := <-req.response:
+		return resp, left
 	case <-g.loopEnded:
 	}
 	select { // the last turn is over: what has no answer now was never taken
-	case p := <-j.response:
-		return p, left
+	case resp := <-req.response:
+		return resp, left
 	default:
 		return rejection("this router is stopping", g.config.Deployment.MaxRetryAfter), left
 	}
@@ -236,25 +236,25 @@
 	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"}}, Body: body}
 }
 
-func errorResponse(status int, why string) *rest.Response {
-	return jsonResponse(status, kserve.Fault{Error: why}.Body())
+func errorResponse(status int, reason string) *rest.Response {
+	return jsonResponse(status, kserve.Fault{Error: reason}.Body())
 }
 
 // pushedBack is the answer that promises that trying again is harmless.
-func rejection(why string, stayAway control.Micros) *rest.Response {
-	return overloadRejection(why, stayAway, "")
+func rejection(reason string, retryAfter control.Micros) *rest.Response {
+	return overloadRejection(reason, retryAfter, "")
 }
 
 // refusal is one that names the kind of storm that it is for.
-func overloadRejection(why string, stayAway control.Micros, kind string) *rest.Response {
-	p := jsonResponse(503, kserve.Fault{Error: why, Answer: "pushed back", Storm: kind, RetryAfter: int64(stayAway)}.Body())
-	if stayAway > 0 {
-		p.Header["Retry-After"] = []string{strconv.FormatInt((int64(stayAway)+999_999)/1_000_000, 10)}
+func overloadRejection(reason string, retryAfter control.Micros, kind string) *rest.Response {
+	resp := jsonResponse(503, kserve.Fault{Error: reason, Answer: "pushed back", Storm: kind, RetryAfter: int64(retryAfter)}.Body())
+	if retryAfter > 0 {
+		resp.Header["Retry-After"] = []string{strconv.FormatInt((int64(retryAfter)+999_999)/1_000_000, 10)}
 	}
-	return p
+	return resp
 }
 
 // killed is the answer that promises nothing.
-func failure(why string) *rest.Response {
-	return jsonResponse(504, kserve.Fault{Error: why, Answer: "killed"}.Body())
+func failure(reason string) *rest.Response {
+	return jsonResponse(504, kserve.Fault{Error: reason, Answer: "killed"}.Body())
 }
--- a/internal/gateway/conclude.go
+++ b/internal/gateway/conclude.go
@@ -11,30 +11,30 @@
 
 // Conclude tells what a server's answer to an execution, or to an order, means to the module. The router and the probe
 // read answers with this, so they cannot disagree.
-func OutcomeOf(p *rest.Response, order bool) control.Outcome {
-	o := control.Outcome{Result: responseResult(p, order), CacheStatus: cacheStatusOf(p)}
-	if l, ok := kserve.ReadLoad(p.Header); ok {
-		o.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
+func OutcomeOf(resp *rest.Response, order bool) control.Outcome {
+	outcome := control.Outcome{Result: responseResult(resp, order), CacheStatus: cacheStatusOf(resp)}
+	if l, ok := kserve.ReadLoad(resp.Header); ok {
+		outcome.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
 	}
-	return o
+	return outcome
 }
 
 // resultOf names what a server's answer means. 429 and 503 promise that the job did not run, 404 that its function
 // was not there; other refusals of what the client asked are the function's own answer and pass to the client.
-func responseResult(p *rest.Response, order bool) control.Result {
+func responseResult(resp *rest.Response, order bool) control.Result {
 	switch {
-	case p.Status == 429 || p.Status == 503:
+	case resp.Status == 429 || resp.Status == 503:
 		return control.Overloaded
-	case p.Status == 404:
+	case resp.Status == 404:
 		return control.NotLoaded
-	case p.Status >= 500 || p.Status == 408 || order && p.Status >= 300:
+	case resp.Status >= 500 || resp.Status == 408 || order && resp.Status >= 300:
 		return control.Failed
 	}
 	return control.Succeeded
 }
 
-func cacheStatusOf(p *rest.Response) control.CacheStatus {
-	switch kserve.Found(p.Header, p.Body) {
+func cacheStatusOf(resp *rest.Response) control.CacheStatus {
+	switch kserve.Found(resp.Header, resp.Body) {
 	case "warm":
 		return control.CacheHit
 	case "began":
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -43,18 +43,18 @@
 func TestStopAnswersWhatWasSentAhead(t *testing.T) {
 	m := serverOptions(0)
 	m.Work = 100 * time.Millisecond
-	f := newTestGateway(t, m)
-	ahead, r := f.dialClient()
+	tg := newTestGateway(t, m)
+	ahead, r := tg.dialClient()
 	io.WriteString(ahead, inferText("a", "forecast-1")+inferText("b", "forecast-1")+inferText("c", "forecast-1"))
-	for f.inFlight() == 0 {
+	for tg.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	open, later := f.dialClient()
+	open, later := tg.dialClient()
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := readStatusLines(later, 1); err != nil {
 		t.Fatal(err)
 	}
-	f.stop()
+	tg.stop()
 	if lines, err := readStatusLines(r, 3); err != nil {
 		t.Errorf("sent ahead: got %q, %v", lines, err)
 	}
@@ -73,21 +73,21 @@
 // Connections that the kernel has accepted when the router stops are answered, also where the time for that has passed in a
 // standstill, and where no job is in hand.
 func TestStopAnswersWaitingConnections(t *testing.T) {
-	f := newTestGateway(t)
+	tg := newTestGateway(t)
 	l, err := listenTCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nc, err := net.Dial("tcp", l.Addr().String())
+	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	io.WriteString(nc, inferText("1", "forecast-1"))
+	defer conn.Close()
+	io.WriteString(conn, inferText("1", "forecast-1"))
 	l.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
-	f.gateway.accept(l, false)
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	if lines, err := readStatusLines(bufio.NewReader(nc), 1); err != nil {
+	tg.gateway.accept(l, false)
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	if lines, err := readStatusLines(bufio.NewReader(conn), 1); err != nil {
 		t.Errorf("got %q, %v", lines, err)
 	}
 	if _, err := net.Dial("tcp", l.Addr().String()); err == nil {
@@ -96,18 +96,18 @@
 }
 
 func TestStopWithManyNewConnections(t *testing.T) {
-	f := newTestGateway(t)
+	tg := newTestGateway(t)
 	var rs []*bufio.Reader
 	for i := range 100 {
-		nc, r := f.dialClient()
+		conn, r := tg.dialClient()
 		if i%2 == 0 { // the others send a little later
-			io.WriteString(nc, inferText("1", "forecast-1"))
+			io.WriteString(conn, inferText("1", "forecast-1"))
 		} else {
-			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(nc, inferText("1", "forecast-1")) })
+			time.AfterFunc(30*time.Millisecond, func() { io.WriteString(conn, inferText("1", "forecast-1")) })
 		}
 		rs = append(rs, r)
 	}
-	f.stop()
+	tg.stop()
 	for i, r := range rs {
 		if _, err := readStatusLines(r, 1); err != nil {
 			t.Errorf("connection %d: %v", i, err)
@@ -119,9 +119,9 @@
 // connection its end, before the router may be killed.
 func TestStopTimes(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
-		told := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
+		config := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
-		s := told.shutdownTimes()
+		s := config.shutdownTimes()
 		if s.readUntil < 600*time.Millisecond || s.answerBy < s.readUntil || s.closeBy <= s.answerBy || s.closeBy >= killed {
 			t.Errorf("%v: %+v", longest, s)
 		}
@@ -133,19 +133,19 @@
 
 // A job that would take longer than a stopping router has left gets its answer all the same.
 func TestStopAnswersLongJobs(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	f.servers[0].Fail(fakeserver.Faults{Silent: true})
-	nc, r := f.dialClient()
-	io.WriteString(nc, inferText("1", "ticket-1"))
-	for f.received("1") == 0 {
+	tg := newTestGateway(t, serverOptions(0))
+	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	conn, r := tg.dialClient()
+	io.WriteString(conn, inferText("1", "ticket-1"))
+	for tg.received("1") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	f.gateway.post(f.gateway.answerOpen)
+	tg.gateway.post(tg.gateway.answerOpen)
 	began := time.Now()
 	if lines, err := readStatusLines(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
 	}
-	for f.inFlight() > 0 {
+	for tg.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -23,16 +23,16 @@
 // What a failed dial means to the module: what is ours is never a sign about the server, what may be the way's only where it lasts.
 func TestFailedDials(t *testing.T) {
 	const ours, way, server = control.NotSent, control.ConnectFailed, control.Result(255)
-	f := newTestGatewayConfigured(t, "", func(t *Config) { t.DialTimeout = 40 * time.Millisecond })
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.DialTimeout = 40 * time.Millisecond })
 	address, _ := recordingServer(t, new(atomic.Int64))
-	connect := f.gateway.dial
+	connect := tg.gateway.dial
 	for errno, lasting := range map[syscall.Errno]control.Result{syscall.EMFILE: ours, syscall.ENFILE: ours, syscall.ENOBUFS: ours,
 		syscall.ENOMEM: ours, syscall.EADDRNOTAVAIL: ours, syscall.EINTR: ours, syscall.EAGAIN: ours, syscall.ENETUNREACH: way,
 		syscall.EHOSTUNREACH: way, syscall.ENETDOWN: way, syscall.ECONNABORTED: way, syscall.ECONNREFUSED: server, syscall.ECONNRESET: server,
 		syscall.ETIMEDOUT: server} {
 		for name, times := range map[string]int{"once": 1, "always": 1 << 20} {
 			tries := 0
-			f.gateway.dial = func(ctx context.Context, address string) (*rest.Client, error) {
+			tg.gateway.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 				if tries++; tries <= times {
 					return nil, sysCallError("connect", errno)
 				}
@@ -45,11 +45,11 @@
 			case times > 1:
 				want = lasting
 			}
-			s := f.newCall(address, time.Second)
-			if e := (&serverConn{gateway: f.gateway, address: address}).exchange(s); e.result != want {
-				t.Errorf("%v %s: got %v, want %v", errno, name, e.result, want)
+			call := tg.newCall(address, time.Second)
+			if result := (&serverConn{gateway: tg.gateway, address: address}).exchange(call); result.result != want {
+				t.Errorf("%v %s: got %v, want %v", errno, name, result.result, want)
 			}
-			s.cancel()
+			call.cancel()
 			if tries > 20 {
 				t.Errorf("%v %s: %d tries", errno, name, tries)
 			}
@@ -88,8 +88,8 @@
 
 // A failed accept closes nobody, and the next connections are served, whatever the error and however often it comes.
 func TestFailedAccepts(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	open, r := f.dialClient()
+	tg := newTestGateway(t, serverOptions(0))
+	open, r := tg.dialClient()
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
 		for _, times := range []int{1, 5} {
@@ -102,17 +102,17 @@
 				fails.errs = append(fails.errs, errno)
 			}
 			ended := make(chan bool)
-			go func() { defer close(ended); f.gateway.accept(fails, false) }()
-			nc, err := net.Dial("tcp", l.Addr().String())
+			go func() { defer close(ended); tg.gateway.accept(fails, false) }()
+			conn, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			nc.SetDeadline(time.Now().Add(5 * time.Second))
-			io.WriteString(nc, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
-			if _, err := io.ReadFull(nc, make([]byte, 15)); err != nil {
+			conn.SetDeadline(time.Now().Add(5 * time.Second))
+			io.WriteString(conn, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
+			if _, err := io.ReadFull(conn, make([]byte, 15)); err != nil {
 				t.Errorf("%v %d times: %v", errno, times, err)
 			}
-			nc.Close()
+			conn.Close()
 			l.Close()
 			<-ended
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -112,49 +112,49 @@
 }
 
 // New opens the router's listeners. Errors are those of listening.
-func New(told *Config, log zerolog.Logger) (*Gateway, error) {
-	seed := told.Seed
+func New(config *Config, log zerolog.Logger) (*Gateway, error) {
+	seed := config.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	g := &Gateway{config: told, log: log, startedAt: time.Now(), queue: eventqueue.New(),
-		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{}, dialing: make(chan struct{}, told.MaxDials),
-		sourceReads: make(chan chan struct{}, 1), loopEnded: make(chan struct{}), metrics: newMetrics(told)}
+	g := &Gateway{config: config, log: log, startedAt: time.Now(), queue: eventqueue.New(),
+		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{}, dialing: make(chan struct{}, config.MaxDials),
+		sourceReads: make(chan chan struct{}, 1), loopEnded: make(chan struct{}), metrics: newMetrics(config)}
 	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
 	// whatever is done to that clock.
 	g.epoch = control.Micros(g.startedAt.UnixMicro())
 	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 		return rest.DialWith(ctx, address, &serverLimits, g.serverHandshake())
 	}
-	g.incarnation = fmt.Sprintf("%x-%x", told.Deployment.Number, g.epoch)
-	g.via = fmt.Sprintf("1.1 hollymast-%d", told.Deployment.Number)
+	g.incarnation = fmt.Sprintf("%x-%x", config.Deployment.Number, g.epoch)
+	g.via = fmt.Sprintf("1.1 hollymast-%d", config.Deployment.Number)
 	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
 	g.fleet, g.loadTally = fleet.New(0), loadreport.NewTally(g.epoch)
-	g.fleet.SetSlowStartDuration(told.Deployment.SlowStartDuration)
-	if told.LoadReports {
+	g.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
+	if config.LoadReports {
 		g.loadReporter = &loadReporter{gateway: g}
 	}
-	if told.DampOverload {
-		shares := make([]float64, len(told.Deployment.Quotas))
-		for i, s := range told.Deployment.Quotas {
-			shares[i] = s / float64(told.Deployment.Routers)
+	if config.DampOverload {
+		shares := make([]float64, len(config.Deployment.Quotas))
+		for i, s := range config.Deployment.Quotas {
+			shares[i] = s / float64(config.Deployment.Routers)
 		}
-		g.overload = overload.NewWatch(g.epoch, shares, told.Priorities, told.Deployment.MaxRetryAfter, seed)
+		g.overload = overload.NewWatch(g.epoch, shares, config.Priorities, config.Deployment.MaxRetryAfter, seed)
 	}
-	deployment := told.Deployment
-	deployment.Zone = g.fleet.Zone(told.Zone)
+	deployment := config.Deployment
+	deployment.Zone = g.fleet.Zone(config.Zone)
 	module := control.New(g.epoch, seed, deployment)
-	if told.StateDir != "" {
-		g.state, g.keysUnknownUntil = openStateKeeper(told, g.now(), module, log)
+	if config.StateDir != "" {
+		g.state, g.keysUnknownUntil = openStateKeeper(config, g.now(), module, log)
 		g.metrics.registerJournal(g.state)
 		if g.state != nil && g.state.usualLoad != nil && g.overload != nil {
 			g.overload.Recall(g.epoch, *g.state.usualLoad, g.state.usualLoadAge)
 		}
 	}
 	g.core = core.New(module, g)
-	for _, address := range []string{told.Listen, told.AdminListen} {
+	for _, address := range []string{config.Listen, config.AdminListen} {
 		if address == "" {
 			continue
 		}
@@ -166,16 +166,16 @@
 		}
 		g.listeners = append(g.listeners, l)
 	}
-	if told.ServeView != "" {
+	if config.ServeView != "" {
 		var err error
-		if g.view, err = xds.NewView(told.ServeView, g.credentials(viewConnections)); err != nil {
+		if g.view, err = xds.NewView(config.ServeView, g.credentials(viewConnections)); err != nil {
 			g.closeListeners()
 			g.state.close()
 			return nil, err
 		}
 	}
-	if told.RecordDir != "" {
-		if err := g.startRecording(g.epoch, told.RecordDir); err != nil {
+	if config.RecordDir != "" {
+		if err := g.startRecording(g.epoch, config.RecordDir); err != nil {
 			g.closeListeners()
 			g.state.close()
 			if g.view != nil {
@@ -326,10 +326,10 @@
 	}
 }
 
-func (g *Gateway) step(now control.Micros, heard []func(control.Micros)) {
+func (g *Gateway) step(now control.Micros, events []func(control.Micros)) {
 	begun := time.Now()
 	g.stepTime = now
-	for _, f := range heard {
+	for _, f := range events {
 		f(now)
 	}
 	g.fleet.SetCompleteAsOf(g.endpointsCompleteAsOf)
@@ -354,10 +354,10 @@
 
 // dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
 func (g *Gateway) cancelLoadCommands() {
-	for _, p := range g.pools {
-		for s := range p.open {
-			if s.request == nil {
-				s.abandon()
+	for _, pool := range g.pools {
+		for call := range pool.open {
+			if call.request == nil {
+				call.abandon()
 			}
 		}
 	}
@@ -420,112 +420,112 @@
 }
 
 // arrived takes a job in hand, or pushes it back at once beyond the bounds.
-func (g *Gateway) handleRequest(now control.Micros, j *request, p Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
+func (g *Gateway) handleRequest(now control.Micros, req *request, pattern Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
 	if g.stopping || len(g.requests) >= g.config.MaxRequests {
-		why := "too many jobs are in hand"
+		reason := "too many jobs are in hand"
 		if g.stopping {
-			why = "this router is stopping"
+			reason = "this router is stopping"
 		}
-		j.answer.Give()
-		j.response <- rejection(why, g.config.Deployment.MaxRetryAfter)
+		req.answer.Give()
+		req.response <- rejection(reason, g.config.Deployment.MaxRetryAfter)
 		g.metrics.countAnswer("pushed back")
 		return
 	}
-	if v := g.admit(now, j.function, p.Class, tenant, ask); !v.Admit {
-		j.answer.Give()
-		j.response <- overloadRejection("a storm of calls: "+v.Why.String(), v.StayAway, v.Why.String())
+	if verdict := g.admit(now, req.function, pattern.Class, tenant, ask); !verdict.Admit {
+		req.answer.Give()
+		req.response <- overloadRejection("a storm of calls: "+verdict.Why.String(), verdict.StayAway, verdict.Why.String())
 		g.metrics.countAnswer("pushed back")
-		g.metrics.overloadRejections.WithLabelValues(v.Why.String()).Inc()
+		g.metrics.overloadRejections.WithLabelValues(verdict.Why.String()).Inc()
 		return
 	}
-	if why := g.journalRefusal(now, g.config.journalKey(j.function, ask, p.Class)); why != "" {
-		j.answer.Give()
-		j.response <- rejection(why, g.config.Deployment.MaxRetryAfter)
+	if reason := g.journalRefusal(now, g.config.journalKey(req.function, ask, pattern.Class)); reason != "" {
+		req.answer.Give()
+		req.response <- rejection(reason, g.config.Deployment.MaxRetryAfter)
 		g.metrics.countAnswer("pushed back")
 		g.metrics.journalRejections.Inc()
 		return
 	}
-	w := g.config.Deployment.Classes[p.Class]
-	limit := w.MaxDeadline
+	class := g.config.Deployment.Classes[pattern.Class]
+	limit := class.MaxDeadline
 	if ask.Timeout > 0 {
 		limit = min(limit, control.Micros(ask.Timeout))
 	}
 	g.lastID++
-	j.id, j.class = g.lastID, p.Class
+	req.id, req.class = g.lastID, pattern.Class
 	begun := now - age
-	j.objectiveAt = begun + w.LatencyObjective
-	j.deadline = begun + limit - micros(g.config.AnswerMargin)
-	if j.idempotencyKey = ask.Mark; j.idempotencyKey == "" {
-		j.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(j.id), 36)
+	req.objectiveAt = begun + class.LatencyObjective
+	req.deadline = begun + limit - micros(g.config.AnswerMargin)
+	if req.idempotencyKey = ask.Mark; req.idempotencyKey == "" {
+		req.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(req.id), 36)
 	}
-	g.requests[j.id] = j
-	j.journalKey = g.config.journalKey(j.function, ask, p.Class)
+	g.requests[req.id] = req
+	req.journalKey = g.config.journalKey(req.function, ask, pattern.Class)
 	g.countAdmitted(now)
-	earlier := g.earlierAttempts(now, j.journalKey)
-	j.attempts = make([]*serverCall, len(earlier))
+	earlier := g.earlierAttempts(now, req.journalKey)
+	req.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{Attempts: earlier,
-		ID: j.id, Class: p.Class, Tenant: tenant, Function: functionID(g.config.NameKey, j.function),
-		Lanes: p.Lanes, Work: p.Work, LoadTime: p.LoadTime, ArrivedAt: begun, Deadline: max(now, j.deadline), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
+		ID: req.id, Class: pattern.Class, Tenant: tenant, Function: functionID(g.config.NameKey, req.function),
+		Lanes: pattern.Lanes, Work: pattern.Work, LoadTime: pattern.LoadTime, ArrivedAt: begun, Deadline: max(now, req.deadline), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
 	} else if g.recorder != nil && ask.ID != "" {
 		g.recorder.Asked(record.Tag(g.config.NameKey, ask.ID))
 	}
-	g.log.Debug().Uint64("job", uint64(j.id)).Str("request", ask.ID).Str("function", j.function).Msg("taken")
+	g.log.Debug().Uint64("job", uint64(req.id)).Str("request", ask.ID).Str("function", req.function).Msg("taken")
 }
 
 // end gives a job its one final answer.
-func (g *Gateway) finish(j *request, word string, p *rest.Response) {
-	if !j.answer.Give() {
+func (g *Gateway) finish(req *request, word string, resp *rest.Response) {
+	if !req.answer.Give() {
 		return
 	}
-	for _, s := range j.attempts { // nothing is sent for a job that has its answer: the module's recall comes with its next upkeep
-		if s != nil {
-			s.withdraw()
+	for _, call := range req.attempts { // nothing is sent for a job that has its answer: the module's recall comes with its next upkeep
+		if call != nil {
+			call.withdraw()
 		}
 	}
-	j.response <- p
+	req.response <- resp
 	g.metrics.countAnswer(word)
-	g.historyAnswered(j, word)
-	g.log.Debug().Uint64("job", uint64(j.id)).Str("answer", word).Int("executions", len(j.attempts)).Msg("answered")
-	g.release(j)
+	g.historyAnswered(req, word)
+	g.log.Debug().Uint64("job", uint64(req.id)).Str("answer", word).Int("executions", len(req.attempts)).Msg("answered")
+	g.release(req)
 }
 
 // release forgets a job that has its answer and no execution out.
-func (g *Gateway) release(j *request) {
-	if j.answer.Done() {
-		delete(g.requests, j.id)
+func (g *Gateway) release(req *request) {
+	if req.answer.Done() {
+		delete(g.requests, req.id)
 	}
 }
 
 // left takes in that a job's client is gone. Its answer is still due: a client that closed only its own side reads it.
-func (g *Gateway) handleClientClosed(now control.Micros, j *request) {
-	if j.answer.Given {
+func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
+	if req.answer.Given {
 		return
 	}
-	g.core.Cancel(now, j.id)
-	g.finish(j, "left", failure("the client closed its side of the connection"))
+	g.core.Cancel(now, req.id)
+	g.finish(req, "left", failure("the client closed its side of the connection"))
 }
 
 // Forward starts an execution.
-func (g *Gateway) Forward(cj *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	j := g.requests[cj.ID]
-	s := g.newCall(to, allow)
-	s.request, s.attempt, s.message, s.journalRound = j, no, g.attemptMessage(j, no), g.journalAttempt(j.journalKey, to)
-	if no > 0 && g.config.Deployment.Classes[j.class].Effect == control.IdempotentByKey {
-		s.writeBefore = min(s.writeBefore, g.stepTime+attempt.MaxKeyedRetryDelay)
-	}
-	j.attempts = append(j.attempts, s)
-	j.answer.AttemptBegan()
+func (g *Gateway) Forward(coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros) {
+	req := g.requests[coreReq.ID]
+	call := g.newCall(to, timeout)
+	call.request, call.attempt, call.message, call.journalRound = req, attemptID, g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
+	if attemptID > 0 && g.config.Deployment.Classes[req.class].Effect == control.IdempotentByKey {
+		call.writeBefore = min(call.writeBefore, g.stepTime+attempt.MaxKeyedRetryDelay)
+	}
+	req.attempts = append(req.attempts, call)
+	req.answer.AttemptBegan()
 	g.loadTally.Chosen(g.fleet.Get(to).Address)
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.Send, Job: cj.ID, No: no, Server: to, Time: allow})
-	g.dispatch(s)
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.Send, Job: coreReq.ID, No: attemptID, Server: to, Time: timeout})
+	g.dispatch(call)
 }
 
 // Reject and Kill end a job.
-func (g *Gateway) Reject(id control.RequestID, stayAway control.Micros) {
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.PushBack, Job: id, Time: stayAway})
-	g.finish(g.requests[id], "pushed back", rejection("not now: it could not be finished in time", g.spreadRetryAfter(g.requests[id], stayAway)))
+func (g *Gateway) Reject(id control.RequestID, retryAfter control.Micros) {
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.PushBack, Job: id, Time: retryAfter})
+	g.finish(g.requests[id], "pushed back", rejection("not now: it could not be finished in time", g.spreadRetryAfter(g.requests[id], retryAfter)))
 }
 
 // Fail ends a job of which nothing may be promised.
@@ -535,28 +535,28 @@
 }
 
 // CancelAttempt stops waiting for an execution.
-func (g *Gateway) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.CallOff, Job: id, No: no})
-	if j := g.requests[id]; j != nil && int(no) < len(j.attempts) {
-		j.attempts[no].abandon()
+func (g *Gateway) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.CallOff, Job: id, No: attemptID})
+	if req := g.requests[id]; req != nil && int(attemptID) < len(req.attempts) {
+		req.attempts[attemptID].abandon()
 	}
 }
 
 // Load orders copies of a job's function.
-func (g *Gateway) Load(cj *control.Request, o control.LoadCommand) {
-	name := g.requests[cj.ID].function
-	s := g.newCall(o.Server, micros(g.config.LoadTimeout))
-	s.load = o
+func (g *Gateway) Load(coreReq *control.Request, o control.LoadCommand) {
+	name := g.requests[coreReq.ID].function
+	call := g.newCall(o.Server, micros(g.config.LoadTimeout))
+	call.load = o
 	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		s.journalRound = g.state.Append(persistence.Entry{Kind: persistence.Ordered, At: g.stepTime, Server: o.Server})
+		call.journalRound = g.state.Append(persistence.Entry{Kind: persistence.Ordered, At: g.stepTime, Server: o.Server})
 	}
-	s.message = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
+	call.message = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.openLoadCommands++
 	g.metrics.loadCommands.Inc()
-	g.historyLoadCommand(g.requests[cj.ID])
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.Order, Job: cj.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
-	g.dispatch(s)
+	g.historyLoadCommand(g.requests[coreReq.ID])
+	g.decisions.add(g.stepTime, record.Deed{Verb: record.Order, Job: coreReq.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
+	g.dispatch(call)
 }
 
 // SubscribeEndpoints has the list looked at; it is followed in any case.
@@ -564,15 +564,15 @@
 
 // Log writes a line in the log, with the address of the server that it names by its id.
 func (g *Gateway) Log(text string) {
-	e := g.log.Info()
+	event := g.log.Info()
 	if words := strings.Fields(text); len(words) > 1 && words[0] == "server" {
 		if id, err := strconv.ParseUint(words[1], 16, 64); err == nil {
 			if s := g.fleet.Get(control.ServerID(id)); s != nil {
-				e = e.Str("server", s.Address)
+				event = event.Str("server", s.Address)
 			}
 		}
 	}
-	e.Msg(text)
+	event.Msg(text)
 }
 
 // SetTimer sets the one timer.
@@ -582,25 +582,25 @@
 }
 
 // executed takes in the end of an execution.
-func (g *Gateway) attemptEnded(now control.Micros, s *serverCall, o control.Outcome, p *rest.Response) {
-	j := s.request
-	delivery := j.answer.AttemptEnded(o.Result)
-	g.metrics.countAttempt(o.Result)
-	g.loadTally.Ended(g.pools[s.to].address, o.Result, o.Report)
-	g.historyAttempt(now, j, o)
-	if o.Result.ProvesNotRun() {
-		g.journalNotRun(j.journalKey, s.to)
-	}
-	if o.CacheStatus == control.CacheMiss {
+func (g *Gateway) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, resp *rest.Response) {
+	req := call.request
+	delivery := req.answer.AttemptEnded(outcome.Result)
+	g.metrics.countAttempt(outcome.Result)
+	g.loadTally.Ended(g.pools[call.to].address, outcome.Result, outcome.Report)
+	g.historyAttempt(now, req, outcome)
+	if outcome.Result.ProvesNotRun() {
+		g.journalNotRun(req.journalKey, call.to)
+	}
+	if outcome.CacheStatus == control.CacheMiss {
 		g.metrics.loads.Inc()
 	}
 	if delivery == attempt.Deliver {
-		o.RequestDone = true
-		g.core.HandleOutcome(now, j.id, o)
-		j.objectiveAt += control.Micros(g.config.Deployment.Classes[j.class].ObjectivePerWork * float64(o.Duration))
-		p.Header = forwardedHeader(p.Header)
-		p.Close, p.ChunkSize = false, 0
-		g.finish(j, "finished", p)
+		outcome.RequestDone = true
+		g.core.HandleOutcome(now, req.id, outcome)
+		req.objectiveAt += control.Micros(g.config.Deployment.Classes[req.class].ObjectivePerWork * float64(outcome.Duration))
+		resp.Header = forwardedHeader(resp.Header)
+		resp.Close, resp.ChunkSize = false, 0
+		g.finish(req, "finished", resp)
 		if g.overload != nil {
 			g.overload.Answered(now)
 		}
@@ -609,14 +609,14 @@
 	if delivery == attempt.Drop {
 		g.metrics.lateAnswers.Inc() // its job has its answer: the late one is dropped
 	}
-	g.core.HandleOutcome(now, j.id, o)
-	g.release(j)
+	g.core.HandleOutcome(now, req.id, outcome)
+	g.release(req)
 }
 
 // ordered takes in the answer to an order.
-func (g *Gateway) loadCommandEnded(now control.Micros, s *serverCall, result control.Result, took control.Micros, copies int) {
+func (g *Gateway) loadCommandEnded(now control.Micros, call *serverCall, result control.Result, took control.Micros, copies int) {
 	g.openLoadCommands--
-	g.core.HandleLoadResult(now, s.load.Server, s.load.Function, result, took, copies)
+	g.core.HandleLoadResult(now, call.load.Server, call.load.Function, result, took, copies)
 }
 
 var errNoEndpoints = errors.New("no list of servers could be read yet")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -97,87 +97,87 @@
 // newFieldChanged gives one whose told values are changed besides.
 func newTestGatewayConfigured(t *testing.T, further string, change func(*Config), makes ...fakeserver.Make) *testGateway {
 	t.Helper()
-	f := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
+	tg := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
 	states := make([]string, len(makes))
 	for i, m := range makes {
-		s := fakeserver.New(m, store, f.log)
+		s := fakeserver.New(m, store, tg.log)
 		if err := s.Start(false); err != nil {
 			t.Fatal(err)
 		}
-		f.servers = append(f.servers, s)
+		tg.servers = append(tg.servers, s)
 		states[i] = "ready"
 	}
-	f.writeEndpoints(states...)
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings+further, f.endpointFile))
+	tg.writeEndpoints(states...)
+	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings+further, tg.endpointFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := ParseConfig(in)
+	config, err := ParseConfig(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	change(told)
-	if f.gateway, err = New(told, zerolog.Nop()); err != nil {
+	change(config)
+	if tg.gateway, err = New(config, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	f.stop = stop
-	go func() { f.ended <- f.gateway.Serve(ctx) }()
+	tg.stop = stop
+	go func() { tg.ended <- tg.gateway.Serve(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		for _, s := range f.servers {
+		for _, s := range tg.servers {
 			s.Stop()
 		}
-		if err := <-f.ended; err != nil {
+		if err := <-tg.ended; err != nil {
 			t.Error(err)
 		}
 	})
-	for !f.gateway.ready.Load() {
+	for !tg.gateway.ready.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	return f
+	return tg
 }
 
 // write writes the list with the servers' states and tells the log.
-func (f *testGateway) writeEndpoints(states ...string) {
+func (tg *testGateway) writeEndpoints(states ...string) {
 	var b strings.Builder
 	for i, state := range states {
-		fmt.Fprintf(&b, "[%d]\naddress = %s\nstate = %s\n", i, f.servers[i].Address(), state)
+		fmt.Fprintf(&b, "[%d]\naddress = %s\nstate = %s\n", i, tg.servers[i].Address(), state)
 	}
-	if err := os.WriteFile(f.endpointFile+".new", []byte(b.String()), 0o600); err != nil {
-		f.t.Fatal(err)
+	if err := os.WriteFile(tg.endpointFile+".new", []byte(b.String()), 0o600); err != nil {
+		tg.t.Fatal(err)
 	}
-	if err := os.Rename(f.endpointFile+".new", f.endpointFile); err != nil {
-		f.t.Fatal(err)
+	if err := os.Rename(tg.endpointFile+".new", tg.endpointFile); err != nil {
+		tg.t.Fatal(err)
 	}
 	for i, state := range states {
-		f.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
+		tg.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
 	}
 }
 
 // ask sends one job and notes both ends of it; the answer's word comes back.
-func (f *testGateway) call(job, function string, limit time.Duration) string {
+func (tg *testGateway) call(job, function string, limit time.Duration) string {
 	ctx := context.Background()
-	c, err := rest.Dial(ctx, f.gateway.Address(), &rest.DefaultLimits)
+	client, err := rest.Dial(ctx, tg.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
-		f.t.Error(err)
+		tg.t.Error(err)
 		return ""
 	}
-	defer c.Close()
+	defer client.Close()
 	workload, _, _ := strings.Cut(function, "-")
-	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: f.log.Now() + limit.Microseconds()}
-	f.log.Add(rec)
-	p, _, err := c.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
+	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: tg.log.Now() + limit.Microseconds()}
+	tg.log.Add(rec)
+	resp, _, err := client.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
-		f.t.Errorf("job %s: %v", job, err)
+		tg.t.Errorf("job %s: %v", job, err)
 		return ""
 	}
-	rec.Kind, rec.Word = invariant.Answered, gjson.GetBytes(p.Body, "answer").Str
-	if p.Status == 200 {
+	rec.Kind, rec.Word = invariant.Answered, gjson.GetBytes(resp.Body, "answer").Str
+	if resp.Status == 200 {
 		rec.Word = invariant.Finished
 	}
-	f.log.Add(rec)
+	tg.log.Add(rec)
 	return rec.Word
 }
 
@@ -187,44 +187,44 @@
 }
 
 // judge fails the test for each breach of a rule.
-func (f *testGateway) checkRules() *invariant.Verdict {
-	f.t.Helper()
-	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(f.servers)), Cell: make([]string, len(f.servers)),
+func (tg *testGateway) checkRules() *invariant.Verdict {
+	tg.t.Helper()
+	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
 		Workloads: map[string]invariant.Workload{"ticket": {RunOnce: true},
-			"booking": {Fingerprinted: true, Group: "fleet", Window: 600_000}}}, f.log.Records())
+			"booking": {Fingerprinted: true, Group: "fleet", Window: 600_000}}}, tg.log.Records())
 	for _, r := range v.Rules {
 		for _, b := range r.Breaches {
-			f.t.Errorf("rule %d: %s", r.Number, b)
+			tg.t.Errorf("rule %d: %s", r.Number, b)
 		}
 	}
 	return v
 }
 
 func TestJobsAreFinished(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0), serverOptions(1))
+	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := f.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
+			if word := tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
 				t.Errorf("job %d: %s", i, word)
 			}
 		}()
 	}
 	wg.Wait()
-	f.checkRules()
+	tg.checkRules()
 }
 
 // A server that accepts and never replies: the fingerprinted job is answered once and in time, and is not sent again
 // past its window; the run-once job is killed, never pushed back.
 func TestSilentServers(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0), serverOptions(1))
+	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
 	for i := range 20 { // the module learns what is usual
-		f.call(fmt.Sprint("w", i), "forecast-1", time.Second)
+		tg.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
-	for _, s := range f.servers {
+	for _, s := range tg.servers {
 		s.Fail(fakeserver.Faults{Silent: true})
 	}
 	var wg sync.WaitGroup
@@ -233,7 +233,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				word := f.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
+				word := tg.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
 				if function == "ticket-1" && word == invariant.Finished {
 					t.Errorf("%s %d: %s from a silent server", function, i, word)
 				}
@@ -241,7 +241,7 @@
 		}
 	}
 	wg.Wait()
-	if v := f.checkRules(); v.Killed == 0 || v.Executions < 21 {
+	if v := tg.checkRules(); v.Killed == 0 || v.Executions < 21 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -250,67 +250,67 @@
 func TestReplyMeetsTheTimeLimit(t *testing.T) {
 	m := serverOptions(0)
 	m.Work, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
-	f := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
-	f.call("first", "forecast-1", 2*time.Second)
+	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
+	tg.call("first", "forecast-1", 2*time.Second)
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			// Work lasts 30 to 70 ms; 200 ms are kept free for the answer's way.
-			f.call(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
+			tg.call(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
 		}()
 	}
 	wg.Wait()
-	if v := f.checkRules(); v.Finished == 0 || v.PushedBack == 0 {
+	if v := tg.checkRules(); v.Finished == 0 || v.PushedBack == 0 {
 		t.Errorf("both ends were not met: %+v", v)
 	}
 }
 
 func TestDrainedServerGetsNothing(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0), serverOptions(1))
+	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
 	for i := range 60 {
 		if i == 20 {
-			f.writeEndpoints("draining", "ready")
+			tg.writeEndpoints("draining", "ready")
 		}
-		f.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
+		tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := f.checkRules(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
+	if v := tg.checkRules(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
 		t.Errorf("got %+v", v)
 	}
 }
 
 // carried runs one sending over a link by hand.
-func (f *testGateway) exchange(s *serverCall) callResult {
-	l := &serverConn{gateway: f.gateway, address: f.servers[0].Address()}
+func (tg *testGateway) exchange(call *serverCall) callResult {
+	sc := &serverConn{gateway: tg.gateway, address: tg.servers[0].Address()}
 	defer func() {
-		if c := l.client.Load(); c != nil {
-			c.Close()
+		if client := sc.client.Load(); client != nil {
+			client.Close()
 		}
-		s.cancel()
+		call.cancel()
 	}()
-	return l.exchange(s)
+	return sc.exchange(call)
 }
 
 // A drain notice between choosing and writing, and a choice whose list grew old while the process was stopped.
 func TestWithdrawnAndOldChoicesAreNeverSent(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	s := f.gateway.newCall(1, 1_000_000)
-	s.message = inferRequest("1", "forecast-1", time.Second)
-	if !s.withdraw() {
+	tg := newTestGateway(t, serverOptions(0))
+	call := tg.gateway.newCall(1, 1_000_000)
+	call.message = inferRequest("1", "forecast-1", time.Second)
+	if !call.withdraw() {
 		t.Error("could not be withdrawn")
 	}
-	if e := f.exchange(s); e.result != control.NotSent {
-		t.Errorf("withdrawn: got %v", e.result)
+	if result := tg.exchange(call); result.result != control.NotSent {
+		t.Errorf("withdrawn: got %v", result.result)
 	}
-	s = f.gateway.newCall(1, 1_000_000)
-	s.message = inferRequest("2", "forecast-1", time.Second)
-	s.writeBefore -= micros(f.gateway.config.GracePeriod)
-	if e := f.exchange(s); e.result != control.NotSent {
-		t.Errorf("old: got %v", e.result)
+	call = tg.gateway.newCall(1, 1_000_000)
+	call.message = inferRequest("2", "forecast-1", time.Second)
+	call.writeBefore -= micros(tg.gateway.config.GracePeriod)
+	if result := tg.exchange(call); result.result != control.NotSent {
+		t.Errorf("old: got %v", result.result)
 	}
-	for _, r := range f.log.Records() {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.Received {
 			t.Errorf("server got job %s", r.Job)
 		}
@@ -328,15 +328,15 @@
 	go func() {
 		defer wg.Done()
 		for n := 0; ; n++ {
-			nc, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				defer nc.Close()
-				f(n, nc.(*net.TCPConn))
+				defer conn.Close()
+				f(n, conn.(*net.TCPConn))
 			}()
 		}
 	}()
@@ -346,60 +346,60 @@
 
 // Connections closed while idle prove nothing ran; those closed once the job was on them don't.
 func TestIdleConnectionIsClosed(t *testing.T) {
-	f := newTestGateway(t)
+	tg := newTestGateway(t)
 	closed := make(chan struct{}, 8)
 	address := listenRaw(t, func(n int, nc *net.TCPConn) {
-		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
-		if _, err := c.ReadRequest(); err != nil {
+		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
+		if _, err := client.ReadRequest(); err != nil {
 			return
 		}
 		if n == 1 { // reads the job, and is gone
 			nc.SetLinger(0)
 			return
 		}
-		c.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`)})
+		client.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`)})
 		nc.Close()
 		closed <- struct{}{}
 	})
-	l := &serverConn{gateway: f.gateway, address: address}
+	sc := &serverConn{gateway: tg.gateway, address: address}
 	for i, want := range []control.Result{control.Succeeded, control.ConnectionReset, control.Succeeded} {
-		s := f.gateway.newCall(1, 1_000_000)
-		s.message = inferRequest("1", "forecast-1", time.Second)
-		if e := l.exchange(s); e.result != want {
-			t.Errorf("exchange %d: got %v, want %v", i, e.result, want)
+		call := tg.gateway.newCall(1, 1_000_000)
+		call.message = inferRequest("1", "forecast-1", time.Second)
+		if result := sc.exchange(call); result.result != want {
+			t.Errorf("exchange %d: got %v, want %v", i, result.result, want)
 		}
-		s.cancel()
+		call.cancel()
 		if want == control.Succeeded {
 			<-closed
-			for c := l.client.Load(); c != nil && !c.Stale(); {
+			for client := sc.client.Load(); client != nil && !client.Stale(); {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
-	if c := l.client.Load(); c != nil {
-		c.Close()
+	if client := sc.client.Load(); client != nil {
+		client.Close()
 	}
 }
 
 func TestRefusedConnectionIsNoConnection(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	f.servers[0].Stop()
-	s := f.gateway.newCall(1, 1_000_000)
-	s.message = inferRequest("1", "forecast-1", time.Second)
-	if e := f.exchange(s); e.result != control.ConnectFailed {
-		t.Errorf("got %v", e.result)
+	tg := newTestGateway(t, serverOptions(0))
+	tg.servers[0].Stop()
+	call := tg.gateway.newCall(1, 1_000_000)
+	call.message = inferRequest("1", "forecast-1", time.Second)
+	if result := tg.exchange(call); result.result != control.ConnectFailed {
+		t.Errorf("got %v", result.result)
 	}
 }
 
 // talk opens a raw client connection.
-func (f *testGateway) dialClient() (net.Conn, *bufio.Reader) {
-	nc, err := net.Dial("tcp", f.gateway.Address())
+func (tg *testGateway) dialClient() (net.Conn, *bufio.Reader) {
+	conn, err := net.Dial("tcp", tg.gateway.Address())
 	if err != nil {
-		f.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	return nc, bufio.NewReader(nc)
+	tg.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return conn, bufio.NewReader(conn)
 }
 
 func inferText(job, function string) string {
@@ -408,7 +408,7 @@
 }
 
 func TestBadClients(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverOptions(0))
 	half := inferText("h", "forecast-1")
 	for name, c := range map[string]struct{ in, want string }{
 		"half a body":     {half[:len(half)-3], "HTTP/1.1 408"},
@@ -420,13 +420,13 @@
 		"unknown to us":   {inferText("u", "unheard-1"), "HTTP/1.1 404"},
 		"load by clients": {"POST /v2/repository/models/forecast-1/load HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
 	} {
-		nc, r := f.dialClient()
-		io.WriteString(nc, c.in)
+		conn, r := tg.dialClient()
+		io.WriteString(conn, c.in)
 		if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, c.want) {
 			t.Errorf("%s: got %q, %v", name, line, err)
 		}
 	}
-	for _, rec := range f.log.Records() {
+	for _, rec := range tg.log.Records() {
 		if rec.Kind == invariant.Received {
 			t.Errorf("a server got job %q", rec.Job)
 		}
@@ -435,22 +435,22 @@
 
 // A client that closes its own side gets its one answer at once; one that leaves has its execution called off.
 func TestClientLeaves(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	f.call("first", "forecast-1", time.Second)
-	f.servers[0].Fail(fakeserver.Faults{Silent: true})
-	nc, r := f.dialClient()
-	io.WriteString(nc, inferText("half", "ticket-1"))
-	for f.received("half") == 0 {
+	tg := newTestGateway(t, serverOptions(0))
+	tg.call("first", "forecast-1", time.Second)
+	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	conn, r := tg.dialClient()
+	io.WriteString(conn, inferText("half", "ticket-1"))
+	for tg.received("half") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	begun := time.Now()
-	nc.(*net.TCPConn).CloseWrite()
+	conn.(*net.TCPConn).CloseWrite()
 	line, err := r.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "HTTP/1.1 504") || time.Since(begun) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %s", line, err, time.Since(begun))
 	}
 	for left := 1; left > 0; time.Sleep(time.Millisecond) { // no job stays in hand, though its server is silent
-		if left = f.inFlight(); time.Since(begun) > 900*time.Millisecond {
+		if left = tg.inFlight(); time.Since(begun) > 900*time.Millisecond {
 			t.Fatal("the execution was not called off before its limit")
 		}
 	}
@@ -459,44 +459,44 @@
 // inHand counts the jobs that the gateway has in hand.
 // Nothing is written for a job whose client left while a connection was still being opened (found by hmmodelcheck).
 func TestClientLeavesBeforeItsJobIsWritten(t *testing.T) {
-	f := newTestGatewayConfigured(t, "", func(t *Config) { t.MaxDials = 1 }, serverOptions(0))
-	f.gateway.dialing <- struct{}{} // somebody else dials
-	nc, _ := f.dialClient()
-	if _, err := nc.Write([]byte(inferText("1", "ticket-1"))); err != nil {
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 }, serverOptions(0))
+	tg.gateway.dialing <- struct{}{} // somebody else dials
+	conn, _ := tg.dialClient()
+	if _, err := conn.Write([]byte(inferText("1", "ticket-1"))); err != nil {
 		t.Fatal(err)
 	}
-	for f.inFlight() == 0 {
+	for tg.inFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	nc.Close()
+	conn.Close()
 	for given := false; !given; time.Sleep(time.Millisecond) {
 		done := make(chan bool)
-		f.gateway.post(func(control.Micros) {
+		tg.gateway.post(func(control.Micros) {
 			given := true
-			for _, j := range f.gateway.requests {
-				given = given && j.answer.Given
+			for _, req := range tg.gateway.requests {
+				given = given && req.answer.Given
 			}
 			done <- given
 		})
 		given = <-done
 	}
-	<-f.gateway.dialing
-	for f.inFlight() > 0 {
+	<-tg.gateway.dialing
+	for tg.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if n := f.received("1"); n > 0 {
+	if n := tg.received("1"); n > 0 {
 		t.Errorf("written %d times", n)
 	}
 }
 
-func (f *testGateway) inFlight() int {
+func (tg *testGateway) inFlight() int {
 	counted := make(chan int, 1)
-	f.gateway.post(func(control.Micros) { counted <- len(f.gateway.requests) })
+	tg.gateway.post(func(control.Micros) { counted <- len(tg.gateway.requests) })
 	return <-counted
 }
 
-func (f *testGateway) received(job string) (n int) {
-	for _, r := range f.log.Records() {
+func (tg *testGateway) received(job string) (n int) {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.Received && r.Job == job {
 			n++
 		}
@@ -505,9 +505,9 @@
 }
 
 func TestPipelinedJobs(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	nc, r := f.dialClient()
-	io.WriteString(nc, inferText("a", "forecast-1")+inferText("b", "forecast-2")+inferText("c", "forecast-1"))
+	tg := newTestGateway(t, serverOptions(0))
+	conn, r := tg.dialClient()
+	io.WriteString(conn, inferText("a", "forecast-1")+inferText("b", "forecast-2")+inferText("c", "forecast-1"))
 	for _, want := range []string{"a", "b", "c"} {
 		for blank := false; !blank; {
 			line, err := r.ReadString('\n')
@@ -525,18 +525,18 @@
 }
 
 func TestIdleClientsAndBounds(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverOptions(0))
 	for range 200 {
-		f.dialClient()
+		tg.dialClient()
 	}
-	if word := f.call("busy", "forecast-1", time.Second); word != invariant.Finished {
+	if word := tg.call("busy", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 	for range 120 {
-		f.dialClient()
+		tg.dialClient()
 	}
-	nc, r := f.dialClient()
-	defer nc.Close()
+	conn, r := tg.dialClient()
+	defer conn.Close()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 503") {
 		t.Errorf("beyond the bound: got %q, %v", line, err)
 	}
@@ -546,42 +546,42 @@
 func TestStopAnswersAll(t *testing.T) {
 	m := serverOptions(0)
 	m.Work = 100 * time.Millisecond
-	f := newTestGateway(t, m)
+	tg := newTestGateway(t, m)
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if word := f.call(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
+			if word := tg.call(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
 				t.Errorf("job %d got no answer", i)
 			}
 		}()
 	}
-	for f.inFlight() < 8 {
+	for tg.inFlight() < 8 {
 		time.Sleep(time.Millisecond)
 	}
-	late, r := f.dialClient() // accepted by the kernel at least
+	late, r := tg.dialClient() // accepted by the kernel at least
 	io.WriteString(late, inferText("late", "ticket-1"))
-	f.stop()
+	tg.stop()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 ") {
 		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
-	if v := f.checkRules(); v.Finished == 0 {
+	if v := tg.checkRules(); v.Finished == 0 {
 		t.Errorf("got %+v", v)
 	}
-	if _, err := net.Dial("tcp", f.gateway.Address()); err == nil {
+	if _, err := net.Dial("tcp", tg.gateway.Address()); err == nil {
 		t.Error("it still listens")
 	}
 }
 
 func TestBadListIsRefused(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	if err := os.WriteFile(f.endpointFile, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
+	tg := newTestGateway(t, serverOptions(0))
+	if err := os.WriteFile(tg.endpointFile, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f.gateway.RefreshEndpoints()
-	if word := f.call("1", "forecast-1", time.Second); word != invariant.Finished {
+	tg.gateway.RefreshEndpoints()
+	if word := tg.call("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Errorf("got %s", word)
 	}
 }
@@ -601,36 +601,36 @@
 
 // Operators see the state, and start and end a recording, while jobs go on.
 func TestOperatorsAddress(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	f.call("1", "forecast-1", time.Second)
+	tg := newTestGateway(t, serverOptions(0))
+	tg.call("1", "forecast-1", time.Second)
 	dir := filepath.Join(t.TempDir(), "rec")
 	for _, c := range []struct {
 		method, target string
 		status         int
 	}{{"GET", "/router/state", 200}, {"GET", "/router/snapshot", 200}, {"POST", "/router/record/stop", 409},
 		{"POST", "/router/record/start?folder=" + dir, 200}, {"POST", "/router/record/start?folder=" + dir, 409}, {"POST", "/router/nothing", 404}} {
-		c2, err := rest.Dial(context.Background(), f.gateway.AdminAddress(), &rest.DefaultLimits)
+		c2, err := rest.Dial(context.Background(), tg.gateway.AdminAddress(), &rest.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, _, err := c2.Do(&rest.Request{Method: c.method, Target: c.target, Header: rest.Header{"Host": {"a"}}}, time.Now().Add(5*time.Second))
+		resp, _, err := c2.Do(&rest.Request{Method: c.method, Target: c.target, Header: rest.Header{"Host": {"a"}}}, time.Now().Add(5*time.Second))
 		c2.Close()
-		if err != nil || p.Status != c.status {
-			t.Fatalf("%s: %+v, %v", c.target, p, err)
+		if err != nil || resp.Status != c.status {
+			t.Fatalf("%s: %+v, %v", c.target, resp, err)
 		}
-		if strings.HasSuffix(c.target, "state") && gjson.GetBytes(p.Body, "Module.Servers.0.Listing.State").Int() != int64(control.Ready) {
-			t.Errorf("got %s", p.Body)
+		if strings.HasSuffix(c.target, "state") && gjson.GetBytes(resp.Body, "Module.Servers.0.Listing.State").Int() != int64(control.Ready) {
+			t.Errorf("got %s", resp.Body)
 		}
-		if last := gjson.GetBytes(p.Body, "Last.0.Decision").String(); strings.HasSuffix(c.target, "state") && !strings.HasPrefix(last, "send job 1, execution 0") {
+		if last := gjson.GetBytes(resp.Body, "Last.0.Decision").String(); strings.HasSuffix(c.target, "state") && !strings.HasPrefix(last, "send job 1, execution 0") {
 			t.Errorf("the first decision: %q", last)
 		}
 	}
-	f.call("second", "forecast-1", time.Second)
-	f.stop()
-	if err := <-f.ended; err != nil {
+	tg.call("second", "forecast-1", time.Second)
+	tg.stop()
+	if err := <-tg.ended; err != nil {
 		t.Fatal(err)
 	}
-	f.ended <- nil
+	tg.ended <- nil
 	files, err := record.Segments(dir)
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
@@ -675,11 +675,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := ParseConfig(in)
+	config, err := ParseConfig(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if late := attempt.MaxEndpointsAge(micros(told.GracePeriod)); told.Deployment.MaxCommandDelay != late || late == 0 {
-		t.Errorf("told %d of %d", told.Deployment.MaxCommandDelay, late)
+	if late := attempt.MaxEndpointsAge(micros(config.GracePeriod)); config.Deployment.MaxCommandDelay != late || late == 0 {
+		t.Errorf("told %d of %d", config.Deployment.MaxCommandDelay, late)
 	}
 }
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -47,19 +47,19 @@
 // openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
 // router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
 // life sent may be owed and is not known, since the folder failed.
-func openStateKeeper(told *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (k *stateKeeper, unknown control.Micros) {
-	files := told.fileSystem
+func openStateKeeper(config *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (keeper *stateKeeper, unknown control.Micros) {
+	files := config.fileSystem
 	if files == nil {
 		files = persistence.System{}
 	}
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.Patiently(openRetryPause, func() (err error) { unlock, err = persistence.Lock(told.StateDir); return err })
+	err := persistence.Patiently(openRetryPause, func() (err error) { unlock, err = persistence.Lock(config.StateDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownUntil(err)
 	}
-	store, found := persistence.Look(persistence.Folder(told.StateDir), told.owner())
+	store, found := persistence.Look(persistence.Folder(config.StateDir), config.owner())
 	for _, line := range found.Told {
 		log.Warn().Msg("memory: " + line)
 	}
@@ -78,8 +78,8 @@
 		unlock()
 		return nil, 0
 	}
-	k = &stateKeeper{usualLoad: usual, usualLoadAge: age, clock: clock, store: store, unlock: unlock, interval: told.StateInterval, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: told.JournalSync, Keep: micros(told.KeyRetention), Most: maxJournalBytes, Clock: clock, Now: now,
+	keeper = &stateKeeper{usualLoad: usual, usualLoadAge: age, clock: clock, store: store, unlock: unlock, interval: config.StateInterval, log: log}
+	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: config.JournalSync, Keep: micros(config.KeyRetention), Most: maxJournalBytes, Clock: clock, Now: now,
 		Failed: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
@@ -87,12 +87,12 @@
 				log.Info().Msg("the journal is written again")
 			}
 		},
-		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(told.StateDir)
+		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(config.StateDir)
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
 	if err == nil {
-		k.keys = journal.Past(entries).Recalled(learned, micros(told.KeyRetention), told.MaxKeys)
+		keeper.keys = journal.Past(entries).Recalled(learned, micros(config.KeyRetention), config.MaxKeys)
 	}
 	module.ApplyLearned(now, learned)
 	if err != nil {
@@ -101,15 +101,15 @@
 		return nil, unknownUntil(err)
 	}
 	if journal.Unread() {
-		unknown = now + micros(told.KeyRetention)
+		unknown = now + micros(config.KeyRetention)
 	}
-	log.Info().Int("marks", k.keys.Len()).Int("entries", len(entries)).Msg("journal read")
-	k.Journal = journal
-	if told.MaxHistoryRows > 0 {
-		k.historyTally, k.historyClosed = history.NewTally(), make(chan struct{})
-		k.history = history.NewStore(filepath.Join(told.StateDir, HistoryFile), int64(told.MaxHistoryRows))
+	log.Info().Int("marks", keeper.keys.Len()).Int("entries", len(entries)).Msg("journal read")
+	keeper.Journal = journal
+	if config.MaxHistoryRows > 0 {
+		keeper.historyTally, keeper.historyClosed = history.NewTally(), make(chan struct{})
+		keeper.history = history.NewStore(filepath.Join(config.StateDir, HistoryFile), int64(config.MaxHistoryRows))
 	}
-	return k, unknown
+	return keeper, unknown
 }
 
 // startPause is the first between tries to open a folder.
@@ -125,9 +125,9 @@
 }
 
 // unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) journalRefusal(now control.Micros, mark persistence.Mark) string {
+func (g *Gateway) journalRefusal(now control.Micros, key persistence.Mark) string {
 	switch {
-	case mark == 0:
+	case key == 0:
 	case g.state != nil && g.state.Failing():
 		return "the journal can't be written, and what is sent must be known after a restart"
 	case now < g.keysUnknownUntil:
@@ -137,33 +137,33 @@
 }
 
 // owner names this router and what the ids in its memory hang on.
-func (t *Config) owner() persistence.Owner {
-	names := slices.Concat([]string{"workloads"}, t.ClassNames, []string{"tenants"}, t.TenantNames)
-	return persistence.Owner{Router: t.Deployment.Number, Deployment: record.Tag(t.NameKey, strings.Join(names, "\n"))}
+func (c *Config) owner() persistence.Owner {
+	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
+	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
 }
 
 // keep writes now and again until the gateway has ended, and then once more.
-func (k *stateKeeper) run(g *Gateway) {
-	defer k.close()
-	ticker := time.NewTicker(k.interval)
+func (keeper *stateKeeper) run(g *Gateway) {
+	defer keeper.close()
+	ticker := time.NewTicker(keeper.interval)
 	defer ticker.Stop()
 	copies := make(chan *persistence.Kept, 1)
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(now control.Micros) {
-				k.keys.Tidy(now)
+				keeper.keys.Tidy(now)
 				select {
 				case copies <- g.learnedState(now):
 				default: // the disk is behind: a later copy will do
 				}
 			})
-		case m := <-copies:
-			k.write(m)
+		case learned := <-copies:
+			keeper.write(learned)
 		case <-g.loopEnded:
-			k.write(k.finalState)
-			if k.historyTally != nil {
-				<-k.historyClosed // in the same folder, which is still ours
+			keeper.write(keeper.finalState)
+			if keeper.historyTally != nil {
+				<-keeper.historyClosed // in the same folder, which is still ours
 			}
 			return
 		}
@@ -172,131 +172,131 @@
 
 // kept gives what is to outlast this run.
 func (g *Gateway) learnedState(now control.Micros) *persistence.Kept {
-	k := &persistence.Kept{Module: g.core.LearnedState(now)}
+	learned := &persistence.Kept{Module: g.core.LearnedState(now)}
 	if g.state.clock.Boot != 0 {
-		k.Clock = &g.state.clock
+		learned.Clock = &g.state.clock
 	}
 	if g.overload != nil {
 		usual := g.overload.Remember()
-		k.Storm = &usual
+		learned.Storm = &usual
 	}
-	return k
+	return learned
 }
 
 // write writes one generation. A disk that fails is told once, and again when it is well.
-func (k *stateKeeper) write(m *persistence.Kept) {
-	err := k.store.Write(m)
+func (keeper *stateKeeper) write(learned *persistence.Kept) {
+	err := keeper.store.Write(learned)
 	switch {
-	case err != nil && !k.failed:
-		k.log.Error().Err(err).Msg("memory can't be written: the last one stands; each further try is made in silence")
-	case err == nil && k.failed:
-		k.log.Info().Msg("memory is written again")
+	case err != nil && !keeper.failed:
+		keeper.log.Error().Err(err).Msg("memory can't be written: the last one stands; each further try is made in silence")
+	case err == nil && keeper.failed:
+		keeper.log.Info().Msg("memory is written again")
 	}
-	k.failed = err != nil
+	keeper.failed = err != nil
 }
 
 // close ends the journal and lets the folder go; of no keeper it does nothing.
-func (k *stateKeeper) close() {
-	if k != nil {
-		k.Journal.Close()
-		k.unlock()
+func (keeper *stateKeeper) close() {
+	if keeper != nil {
+		keeper.Journal.Close()
+		keeper.unlock()
 	}
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (t *Config) journalKey(function string, ask kserve.Ask, w control.ClassID) persistence.Mark {
-	if ask.Mark == "" || t.Deployment.Classes[w].Effect == control.Idempotent {
+func (c *Config) journalKey(function string, ask kserve.Ask, class control.ClassID) persistence.Mark {
+	if ask.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
 		return 0
 	}
-	return persistence.Mark(record.Tag(t.NameKey, function+"\n"+ask.Mark) | 1)
+	return persistence.Mark(record.Tag(c.NameKey, function+"\n"+ask.Mark) | 1)
 }
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlierAttempts(now control.Micros, mark persistence.Mark) []control.Attempt {
-	if g.state == nil || mark == 0 {
+func (g *Gateway) earlierAttempts(now control.Micros, key persistence.Mark) []control.Attempt {
+	if g.state == nil || key == 0 {
 		return nil
 	}
-	var es []control.Attempt
-	for _, s := range g.state.keys.MayHaveRun(now, mark) {
-		e := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
+	var attempts []control.Attempt
+	for _, s := range g.state.keys.MayHaveRun(now, key) {
+		earlier := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
 		if to := g.fleet.Get(s.Server); to != nil {
-			e.Zone, e.Cell = to.Zone, to.Cell
+			earlier.Zone, earlier.Cell = to.Zone, to.Cell
 		}
-		es = append(es, e)
+		attempts = append(attempts, earlier)
 	}
-	return slices.Clip(es)
+	return slices.Clip(attempts)
 }
 
 // took counts a job taken, for the ration of orders. The journal learns of them some at a time.
 func (g *Gateway) countAdmitted(now control.Micros) {
 	const some = 200_000 // a small part of a ration's window
-	k := g.state
-	if k == nil || g.config.Deployment.LoadRateWindow == 0 {
+	keeper := g.state
+	if keeper == nil || g.config.Deployment.LoadRateWindow == 0 {
 		return
 	}
-	if k.admitted > 0 && now > k.admittedSince+some {
-		k.Append(persistence.Entry{Kind: persistence.Taken, At: k.admittedSince, Mark: persistence.Mark(k.admitted)})
-		k.admitted = 0
+	if keeper.admitted > 0 && now > keeper.admittedSince+some {
+		keeper.Append(persistence.Entry{Kind: persistence.Taken, At: keeper.admittedSince, Mark: persistence.Mark(keeper.admitted)})
+		keeper.admitted = 0
 	}
-	if k.admitted == 0 {
-		k.admittedSince = now
+	if keeper.admitted == 0 {
+		keeper.admittedSince = now
 	}
-	k.admitted++
+	keeper.admitted++
 }
 
 // enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) journalAttempt(mark persistence.Mark, to control.ServerID) *persistence.Round {
+func (g *Gateway) journalAttempt(key persistence.Mark, to control.ServerID) *persistence.Round {
 	if g.state == nil {
 		return nil
 	}
-	var es []persistence.Entry
-	if mark != 0 {
-		g.state.keys.Sent(mark, persistence.Sent{Server: to, At: g.stepTime})
-		es = append(es, persistence.Entry{Kind: persistence.Execution, At: g.stepTime, Mark: mark, Server: to})
+	var entries []persistence.Entry
+	if key != 0 {
+		g.state.keys.Sent(key, persistence.Sent{Server: to, At: g.stepTime})
+		entries = append(entries, persistence.Entry{Kind: persistence.Execution, At: g.stepTime, Mark: key, Server: to})
 	}
 	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.stepTime, g.config.Deployment.SlowStartDuration) {
-		es = append(es, persistence.Entry{Kind: persistence.ToCold, At: g.stepTime, Server: to})
+		entries = append(entries, persistence.Entry{Kind: persistence.ToCold, At: g.stepTime, Server: to})
 	}
-	if len(es) == 0 {
+	if len(entries) == 0 {
 		return nil
 	}
-	return g.state.Append(es...)
+	return g.state.Append(entries...)
 }
 
 // proved notes that an execution did not run.
-func (g *Gateway) journalNotRun(mark persistence.Mark, to control.ServerID) {
-	if g.state != nil && mark != 0 {
-		g.state.keys.Unrun(mark, to)
-		g.state.Append(persistence.Entry{Kind: persistence.Unrun, At: g.stepTime, Mark: mark, Server: to})
+func (g *Gateway) journalNotRun(key persistence.Mark, to control.ServerID) {
+	if g.state != nil && key != 0 {
+		g.state.keys.Unrun(key, to)
+		g.state.Append(persistence.Entry{Kind: persistence.Unrun, At: g.stepTime, Mark: key, Server: to})
 	}
 }
 
 // kept waits until a sending is in the journal: a marked job on the disk itself, what counts for seconds with the kernel. While the
 // journal fails it waits too, since what goes out unrecorded is not known after a kill. False tells that it was withdrawn
 // meanwhile, that the disk stood still or failed for too long, or that too much waits for it.
-func (s *serverCall) awaitJournal(now control.Micros) bool {
-	if s.journalRound == nil {
+func (call *serverCall) awaitJournal(now control.Micros) bool {
+	if call.journalRound == nil {
 		return true
 	}
 	// A disk that stands still: then the list is too old too, or the job's time is up.
-	wait := attempt.JournalWait(now, s.writeBefore, micros(time.Until(s.deadline)))
+	wait := attempt.JournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
 	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
-	if s.request != nil && s.request.journalKey != 0 {
+	if call.request != nil && call.request.journalKey != 0 {
 		select {
-		case <-s.journalRound.Done():
-			return s.journalRound.Err() == nil
+		case <-call.journalRound.Done():
+			return call.journalRound.Err() == nil
 		case <-timer.C:
-		case <-s.ctx.Done():
+		case <-call.ctx.Done():
 		}
 		return false
 	}
 	select {
-	case <-s.journalRound.Written():
-		return !s.journalRound.Lost()
+	case <-call.journalRound.Written():
+		return !call.journalRound.Lost()
 	case <-timer.C:
-	case <-s.ctx.Done():
+	case <-call.ctx.Done():
 	}
 	return false
 }
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -30,29 +30,29 @@
 }
 
 // askMarked sends a job with a client's mark and gives the answer's word.
-func (f *testGateway) callWithKey(job, function, mark string) string {
-	f.t.Helper()
-	c, err := rest.Dial(context.Background(), f.gateway.Address(), &rest.DefaultLimits)
+func (tg *testGateway) callWithKey(job, function, key string) string {
+	tg.t.Helper()
+	client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
-		f.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	defer c.Close()
-	q := inferRequest(job, function, time.Second)
-	q.Header[kserve.RepeatMark] = []string{mark}
-	p, _, err := c.Do(q, time.Now().Add(2*time.Second))
+	defer client.Close()
+	msg := inferRequest(job, function, time.Second)
+	msg.Header[kserve.RepeatMark] = []string{key}
+	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 	if err != nil {
-		f.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	if p.Status == 200 {
+	if resp.Status == 200 {
 		return invariant.Finished
 	}
-	return gjson.GetBytes(p.Body, "answer").Str
+	return gjson.GetBytes(resp.Body, "answer").Str
 }
 
 // began counts the executions of a job on a server, or on all for -1.
-func (f *testGateway) attemptsBegun(job string, server int) int {
+func (tg *testGateway) attemptsBegun(job string, server int) int {
 	n := 0
-	for _, r := range f.log.Records() {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.Began && r.Job == job && (server < 0 || r.Server == server) {
 			n++
 		}
@@ -63,9 +63,9 @@
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
-	told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, mark string, w control.ClassID) persistence.Mark {
-		return told.journalKey(function, kserve.Ask{Mark: mark}, w)
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	mark := func(function, key string, class control.ClassID) persistence.Mark {
+		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.Grouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -80,7 +80,7 @@
 		persistence.Entry{Kind: persistence.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
 		persistence.Entry{Kind: persistence.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
-	f := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
+	tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
 	for i, c := range []struct {
 		function, mark, want string
 		executions           int
@@ -94,8 +94,8 @@
 		{"booking-1", "clock set back", invariant.PushedBack, 0},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := f.callWithKey(job, c.function, c.mark); got != c.want || f.attemptsBegun(job, -1) != c.executions {
-			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, f.attemptsBegun(job, -1), c.want, c.executions)
+		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.executions {
+			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, tg.attemptsBegun(job, -1), c.want, c.executions)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 			if err := prepare(dir); err != nil {
 				t.Fatal(err)
 			}
-			f := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
-			if word := f.call("1", "forecast-1", time.Second); word != invariant.Finished {
+			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
+			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Finished {
 				t.Error(word)
 			}
 		})
@@ -167,26 +167,26 @@
 
 // A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
-	f := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
+	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
 	set := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
-		f.gateway.post(func(control.Micros) {
-			old, f.gateway.state.Journal = f.gateway.state.Journal, j
+		tg.gateway.post(func(control.Micros) {
+			old, tg.gateway.state.Journal = tg.gateway.state.Journal, j
 			close(done)
 		})
 		<-done
 		return old
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := f.callWithKey("still", "ticket-1", "still"); got != invariant.PushedBack || f.attemptsBegun("still", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.attemptsBegun("still", -1))
+	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.PushedBack || tg.attemptsBegun("still", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := f.callWithKey("failing", "ticket-1", "failing"); got != invariant.PushedBack || f.attemptsBegun("failing", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, f.attemptsBegun("failing", -1))
+	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.PushedBack || tg.attemptsBegun("failing", -1) > 0 {
+		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("failing", -1))
 	}
-	if got := f.call("unmarked", "ticket-1", time.Second); got != invariant.Finished {
+	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Finished {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
@@ -248,7 +248,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			told := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
@@ -260,19 +260,19 @@
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.Execution, At: now, Mark: told.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.Execution, At: now, Mark: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
-			f := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
+			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
 				t.Deployment.Classes[booking.Class].Window = 60_000_000
 			}, serverOptions(0), serverOptions(1))
-			if got := f.callWithKey("booking", "booking-1", "sent"); got != c.booking || f.attemptsBegun("booking", -1) != c.executions {
-				t.Errorf("booking: got %s with %d executions", got, f.attemptsBegun("booking", -1))
+			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.executions {
+				t.Errorf("booking: got %s with %d executions", got, tg.attemptsBegun("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := f.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Killed || f.attemptsBegun("ticket", -1) > 0 {
-				t.Errorf("ticket: got %s with %d executions", got, f.attemptsBegun("ticket", -1))
+			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Killed || tg.attemptsBegun("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d executions", got, tg.attemptsBegun("ticket", -1))
 			}
 		})
 	}
@@ -283,13 +283,13 @@
 func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
-	f := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) { t.fileSystem = disk }, serverOptions(0), serverOptions(1))
+	tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) { c.fileSystem = disk }, serverOptions(0), serverOptions(1))
 	refused := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
 		job := fmt.Sprint("job-", i)
-		got := f.callWithKey(job, "ticket-1", job)
-		switch ran := f.attemptsBegun(job, -1); {
+		got := tg.callWithKey(job, "ticket-1", job)
+		switch ran := tg.attemptsBegun(job, -1); {
 		case got == invariant.PushedBack && ran == 0:
 			refused++
 		case got != invariant.Finished || ran != 1:
@@ -298,32 +298,32 @@
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := f.call(job+" other", "forecast-1", time.Second); got != invariant.Finished {
+			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Finished {
 				t.Errorf("a job that may repeat: %s", got)
 			}
-			c, err := rest.Dial(context.Background(), f.gateway.Address(), &rest.DefaultLimits)
+			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			q := inferRequest(job, "ticket-1", time.Second)
-			q.Header[kserve.RepeatMark] = []string{job + " again"}
-			p, _, err := c.Do(q, time.Now().Add(2*time.Second))
-			if c.Close(); err != nil || p.Status != 503 || p.Header["Retry-After"] == nil {
-				t.Errorf("%+v, %v", p, err)
+			msg := inferRequest(job, "ticket-1", time.Second)
+			msg.Header[kserve.RepeatMark] = []string{job + " again"}
+			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
+			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
+				t.Errorf("%+v, %v", resp, err)
 			}
 		}
 		if i%10 == 9 {
-			known := f.keysInJournal(t, dir)
+			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if f.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(f.gateway.now(), f.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, f.ticketClass()))) == 0 {
+				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
 					t.Errorf("%s ran, and a next life would not know", job)
 				}
 			}
 		}
 		if i%20 == 19 { // until it is tried again
 			disk.full.Store(false)
-			for end := time.Now().Add(10 * time.Second); f.gateway.state.Failing() && time.Now().Before(end); {
+			for end := time.Now().Add(10 * time.Second); tg.gateway.state.Failing() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -331,7 +331,7 @@
 	if refused < 25 {
 		t.Errorf("%d were pushed back", refused)
 	}
-	text := string(f.gateway.metrics.response().Body)
+	text := string(tg.gateway.metrics.response().Body)
 	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
 		if !strings.Contains(text, "hollymast_"+name+" ") || strings.Contains(text, "hollymast_"+name+" 0\n") {
 			t.Errorf("%s does not count", name)
@@ -339,13 +339,13 @@
 	}
 }
 
-func (f *testGateway) ticketClass() control.ClassID {
-	p, _ := f.gateway.config.Match("ticket-1")
-	return p.Class
+func (tg *testGateway) ticketClass() control.ClassID {
+	pattern, _ := tg.gateway.config.Match("ticket-1")
+	return pattern.Class
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (f *testGateway) keysInJournal(t *testing.T, dir string) *persistence.Marks {
+func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.Marks {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -361,70 +361,70 @@
 			t.Fatal(err)
 		}
 	}
-	j, es, _, err := persistence.OpenJournal(copied, persistence.Never, 1<<40, 1<<30, func(error) {})
+	j, entries, _, err := persistence.OpenJournal(copied, persistence.Never, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	return persistence.Recalled(&control.LearnedState{}, es, 1<<40, 1000)
+	return persistence.Recalled(&control.LearnedState{}, entries, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	told := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, fileSystem: &fullDisk{}}
-	disk := told.fileSystem.(*fullDisk)
-	k, unknown := openStateKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, fileSystem: &fullDisk{}}
+	disk := config.fileSystem.(*fullDisk)
+	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+		keeper.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	r := k.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+	r := keeper.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
 	disk.full.Store(false)
 	<-r.Done()
-	k.close()
+	keeper.close()
 	if n, m := strings.Count(said.String(), "the journal can't be written"), strings.Count(said.String(), "the journal is written again"); n != 1 || m != 1 || unknown != 0 {
 		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
 	}
 	disk.full.Store(true)
-	k, unknown = openStateKeeper(told, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
-	g := &Gateway{config: told, state: k, keysUnknownUntil: unknown}
-	if k != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
-		t.Errorf("%v, unknown until %d", k, unknown)
+	keeper, unknown = openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	g := &Gateway{config: config, state: keeper, keysUnknownUntil: unknown}
+	if keeper != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
+		t.Errorf("%v, unknown until %d", keeper, unknown)
 	}
 }
 
 // A router that ends leaves its history, each job counted once.
 func TestHistoryOfUse(t *testing.T) {
 	dir := t.TempDir()
-	f := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
+	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
 	for i := range 30 {
-		if word := f.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
+		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
 			t.Fatal(word)
 		}
 	}
-	f.call("late", "forecast-2", 5*time.Millisecond)
-	f.stop()
-	if err := <-f.ended; err != nil {
+	tg.call("late", "forecast-2", 5*time.Millisecond)
+	tg.stop()
+	if err := <-tg.ended; err != nil {
 		t.Fatal(err)
 	}
-	f.ended <- nil
+	tg.ended <- nil
 	sums := map[string]history.Use{}
 	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
-		u := sums[r.Function]
-		u.Merge(r.Use)
-		sums[r.Function] = u
+		use := sums[r.Function]
+		use.Merge(r.Use)
+		sums[r.Function] = use
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if u := sums["forecast-1"]; u.Jobs != 30 || u.Finished != 30 || u.InTime < 25 || u.Executions < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
-		t.Errorf("got %+v", u)
+	if use := sums["forecast-1"]; use.Jobs != 30 || use.Finished != 30 || use.InTime < 25 || use.Executions < 30 || use.Loads != 1 || use.Quantile(0.5) < 5000 {
+		t.Errorf("got %+v", use)
 	}
-	if u := sums["forecast-2"]; u.Jobs != 1 || u.Finished != 0 {
-		t.Errorf("got %+v", u)
+	if use := sums["forecast-2"]; use.Jobs != 1 || use.Finished != 0 {
+		t.Errorf("got %+v", use)
 	}
 }
 
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -33,56 +33,56 @@
 func recordingServer(t *testing.T, slow *atomic.Int64) (address string, heard chan statedTimeout) {
 	heard = make(chan statedTimeout, 64)
 	return listenRaw(t, func(_ int, nc *net.TCPConn) {
-		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
-		q, err := c.ReadRequest()
+		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
+		msg, err := client.ReadRequest()
 		if err != nil {
 			return
 		}
-		if strings.HasSuffix(q.Target, "/infer") { // else it is an order to load
-			ms, _ := strconv.Atoi(q.Header.Get(kserve.TimeoutHeader))
+		if strings.HasSuffix(msg.Target, "/infer") { // else it is an order to load
+			ms, _ := strconv.Atoi(msg.Header.Get(kserve.TimeoutHeader))
 			heard <- statedTimeout{time.Now(), time.Duration(ms) * time.Millisecond}
 			time.Sleep(time.Duration(slow.Swap(0)))
 		}
-		c.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
+		client.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
 	}), heard
 }
 
 // However late the first byte goes out, the server is told what is left then.
 func TestServersAreToldWhatIsLeft(t *testing.T) {
-	f := newTestGatewayConfigured(t, "", func(t *Config) { t.MaxDials = 1 })
-	f.gateway.dialing <- struct{}{} // somebody else dials
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 })
+	tg.gateway.dialing <- struct{}{} // somebody else dials
 	address, heard := recordingServer(t, new(atomic.Int64))
-	s := f.newCall(address, time.Second)
-	time.AfterFunc(500*time.Millisecond, func() { <-f.gateway.dialing })
-	l := &serverConn{gateway: f.gateway, address: address}
-	if e := l.exchange(s); e.result != control.Succeeded {
-		t.Fatalf("got %v", e.result)
+	call := tg.newCall(address, time.Second)
+	time.AfterFunc(500*time.Millisecond, func() { <-tg.gateway.dialing })
+	sc := &serverConn{gateway: tg.gateway, address: address}
+	if result := sc.exchange(call); result.result != control.Succeeded {
+		t.Fatalf("got %v", result.result)
 	}
-	s.cancel()
-	if h := <-heard; h.timeout > s.deadline.Sub(h.receivedAt)+timeoutTolerance || h.timeout < 100*time.Millisecond {
-		t.Errorf("told %v with %v left", h.timeout, s.deadline.Sub(h.receivedAt))
+	call.cancel()
+	if h := <-heard; h.timeout > call.deadline.Sub(h.receivedAt)+timeoutTolerance || h.timeout < 100*time.Millisecond {
+		t.Errorf("told %v with %v left", h.timeout, call.deadline.Sub(h.receivedAt))
 	}
 }
 
 // sendingNow gives an execution that is chosen in the next turn, by a list that stays fresh.
-func (f *testGateway) newCall(address string, allow time.Duration) *serverCall {
+func (tg *testGateway) newCall(address string, allow time.Duration) *serverCall {
 	chosen := make(chan *serverCall)
-	f.gateway.post(func(control.Micros) { chosen <- f.gateway.newCall(fleet.ID(address), micros(allow)) })
-	s := <-chosen
-	s.writeBefore += micros(time.Hour)
-	j := &request{message: inferRequest("1", "forecast-1", allow), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
-	j.clientCheckedAt.Store(int64(f.gateway.now() + micros(time.Hour)))
-	s.request, s.message = j, f.gateway.attemptMessage(j, 0)
-	return s
+	tg.gateway.post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(allow)) })
+	call := <-chosen
+	call.writeBefore += micros(time.Hour)
+	req := &request{message: inferRequest("1", "forecast-1", allow), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
+	req.clientCheckedAt.Store(int64(tg.gateway.now() + micros(time.Hour)))
+	call.request, call.message = req, tg.gateway.attemptMessage(req, 0)
+	return call
 }
 
 // A stop of the process between a turn's clock and its choice costs the execution its time.
 func TestTimeCountsFromTheTurnsClock(t *testing.T) {
-	f := newTestGateway(t)
+	tg := newTestGateway(t)
 	s := make(chan *serverCall)
-	f.gateway.post(func(now control.Micros) {
-		f.gateway.stepTime = now - 700_000
-		s <- f.gateway.newCall(1, 1_000_000)
+	tg.gateway.post(func(now control.Micros) {
+		tg.gateway.stepTime = now - 700_000
+		s <- tg.gateway.newCall(1, 1_000_000)
 	})
 	if left := time.Until((<-s).deadline); left > 300*time.Millisecond {
 		t.Errorf("%v are left of 300ms", left)
@@ -95,12 +95,12 @@
 	const limit, late = time.Second, 400 * time.Millisecond
 	for name, ahead := range map[string]int{"read late": 0, "sent ahead": 1} {
 		var slow atomic.Int64
-		f := newTestGatewayConfigured(t, "", func(t *Config) { t.Deployment.Classes[0].LatencyObjective = micros(limit) })
+		tg := newTestGatewayConfigured(t, "", func(c *Config) { c.Deployment.Classes[0].LatencyObjective = micros(limit) })
 		address, heard := recordingServer(t, &slow)
-		if err := os.WriteFile(f.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
+		if err := os.WriteFile(tg.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for f.call("first", "forecast-1", limit) != invariant.Finished { // the list is read, and a copy loaded
+		for tg.call("first", "forecast-1", limit) != invariant.Finished { // the list is read, and a copy loaded
 			time.Sleep(10 * time.Millisecond)
 		}
 		<-heard
@@ -110,20 +110,20 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		nc, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer conn.Close()
 		body := inferRequest("1", "forecast-1", limit).Body
 		began := time.Now()
 		for range ahead + 1 {
-			fmt.Fprintf(nc, "POST /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+			fmt.Fprintf(conn, "POST /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 		if ahead == 0 {
 			time.Sleep(late)
 		}
-		go f.gateway.accept(l, false)
+		go tg.gateway.accept(l, false)
 		var h statedTimeout
 		for range ahead + 1 {
 			select {
@@ -155,14 +155,14 @@
 			nc.Close()
 		}, control.NotSent},
 	} {
-		f := newTestGateway(t)
+		tg := newTestGateway(t)
 		address, _ := recordingServer(t, new(atomic.Int64))
-		s := f.newCall(address, time.Second)
+		call := tg.newCall(address, time.Second)
 		l, err := listenTCP("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,21 +170,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
-		s.request.clientCheckedAt.Store(int64(f.gateway.now() - attempt.MaxClientCheckAge - 1))
-		s.request.response, s.request.id = make(chan *rest.Response, 1), 1
-		s.request.answer.Give() // the turn has it answered
-		c.leave(nc.(*net.TCPConn))
+		call.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
+		call.request.clientCheckedAt.Store(int64(tg.gateway.now() - attempt.MaxClientCheckAge - 1))
+		call.request.response, call.request.id = make(chan *rest.Response, 1), 1
+		call.request.answer.Give() // the turn has it answered
+		c.leave(conn.(*net.TCPConn))
 		time.Sleep(10 * time.Millisecond)
-		to := &serverConn{gateway: f.gateway, address: address}
-		if e := to.exchange(s); e.result != c.result {
-			t.Errorf("%s: got %v", name, e.result)
+		to := &serverConn{gateway: tg.gateway, address: address}
+		if result := to.exchange(call); result.result != c.result {
+			t.Errorf("%s: got %v", name, result.result)
 		}
 		if x := to.client.Load(); x != nil {
 			x.Close()
 		}
-		s.cancel()
-		for _, x := range []io.Closer{l, nc, accepted} {
+		call.cancel()
+		for _, x := range []io.Closer{l, conn, accepted} {
 			x.Close()
 		}
 	}
@@ -192,21 +192,21 @@
 
 // A client that sends a request ahead and closes behind it is seen to be gone: its execution is called off.
 func TestCloseBehindARequestIsSeen(t *testing.T) {
-	f := newTestGateway(t, serverOptions(0))
-	f.call("first", "forecast-1", time.Second)
-	f.servers[0].Fail(fakeserver.Faults{Silent: true})
-	nc, _ := f.dialClient()
-	io.WriteString(nc, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
-	for f.received("1") == 0 {
+	tg := newTestGateway(t, serverOptions(0))
+	tg.call("first", "forecast-1", time.Second)
+	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	conn, _ := tg.dialClient()
+	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
+	for tg.received("1") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	nc.Close()
+	conn.Close()
 	closed := time.Now()
-	for f.inFlight() > 0 {
+	for tg.inFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if late := time.Since(closed); late > 500*time.Millisecond || f.received("2") > 0 {
-		t.Errorf("over after %v; the second was sent %d times", late, f.received("2"))
+	if late := time.Since(closed); late > 500*time.Millisecond || tg.received("2") > 0 {
+		t.Errorf("over after %v; the second was sent %d times", late, tg.received("2"))
 	}
 }
 
@@ -214,10 +214,10 @@
 func TestHalfClosedClientHasAllItsAnswers(t *testing.T) {
 	m := serverOptions(0)
 	m.Work = 100 * time.Millisecond
-	f := newTestGateway(t, m)
-	nc, r := f.dialClient()
-	io.WriteString(nc, inferText("1", "ticket-1")+inferText("2", "ticket-1")+inferText("3", "ticket-1"))
-	nc.(*net.TCPConn).CloseWrite()
+	tg := newTestGateway(t, m)
+	conn, r := tg.dialClient()
+	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1")+inferText("3", "ticket-1"))
+	conn.(*net.TCPConn).CloseWrite()
 	if lines, err := readStatusLines(r, 3); err != nil {
 		t.Errorf("got %q, %v", lines, err)
 	}
--- a/internal/gateway/library_test.go
+++ b/internal/gateway/library_test.go
@@ -17,11 +17,11 @@
 // The client library against this router, while servers lose answers, break connections and refuse: each call has one outcome at its
 // caller and in its time, tries are counted and keep their mark, none goes out past the deadline or past a window, and the rules hold.
 func TestClientLibraryUnderFaults(t *testing.T) {
-	f := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
-	for i, s := range f.servers {
+	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
+	for i, s := range tg.servers {
 		s.Fail(fakeserver.Faults{Lost: 0.02, ResetPost: 0.05, ResetEre: 0.05, Full: i == 2})
 	}
-	lib, err := client.New(client.Options{Routers: []string{f.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
+	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,11 +39,11 @@
 		name, patience := names[i%3], time.Duration(300+chance.IntN(700))*time.Millisecond
 		wg.Go(func() {
 			defer func() { <-places }()
-			mark, last, begun := fmt.Sprint("m", i), 0, time.Now()
-			rec := invariant.Record{Effect: mark, Workload: name}
-			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: mark, Patience: patience, Workload: workloads[name],
+			key, last, begun := fmt.Sprint("m", i), 0, time.Now()
+			rec := invariant.Record{Effect: key, Workload: name}
+			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: key, Patience: patience, Workload: workloads[name],
 				BodyOf: func(x client.Try) []byte {
-					if x.Number <= last || x.Mark != mark || x.Left <= 0 || x.Left > patience {
+					if x.Number <= last || x.Mark != key || x.Left <= 0 || x.Left > patience {
 						t.Errorf("call %d: try %+v after try %d", i, x, last)
 					}
 					if x.Number > 1 {
@@ -52,8 +52,8 @@
 						mu.Unlock()
 					}
 					last = x.Number
-					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), f.log.Now()+x.Left.Microseconds()
-					f.log.Add(rec)
+					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
+					tg.log.Add(rec)
 					return inferRequest(rec.Job, "", x.Left).Body
 				},
 				Tried: func(_ client.Try, ending string) {
@@ -63,7 +63,7 @@
 					case "lost":
 						rec.Kind = invariant.GaveUp
 					}
-					f.log.Add(rec)
+					tg.log.Add(rec)
 				}})
 			kind := "finished"
 			var failed *client.Failed
@@ -81,7 +81,7 @@
 		})
 	}
 	wg.Wait()
-	v := f.checkRules()
+	v := tg.checkRules()
 	all := 0
 	for _, n := range outcomes {
 		all += n
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -134,14 +134,14 @@
 }
 
 // listed passes on what a list tells, all or what changed, and takes back what is on its way to servers that take nothing new.
-func (g *Gateway) handleUpdate(now control.Micros, told fleet.Update) {
-	if told.Full {
-		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.FullUpdate(now, told.Endpoints))
+func (g *Gateway) handleUpdate(now control.Micros, update fleet.Update) {
+	if update.Full {
+		g.core.UpdateEndpoints(now, control.FullUpdate, g.fleet.FullUpdate(now, update.Endpoints))
 		for id := range g.pools {
 			g.refreshPool(id)
 		}
 	} else {
-		changed := g.fleet.IncrementalUpdate(now, told.Endpoints)
+		changed := g.fleet.IncrementalUpdate(now, update.Endpoints)
 		g.core.UpdateEndpoints(now, control.IncrementalUpdate, changed)
 		for _, l := range changed {
 			if g.pools[l.Server] != nil {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -27,7 +27,7 @@
 var resultNames = [...]string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled",
 	"never sent", "missing"}
 
-func newMetrics(told *Config) *metrics {
+func newMetrics(config *Config) *metrics {
 	count := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: "hollymast_" + name, Help: help})
 	}
@@ -62,13 +62,13 @@
 }
 
 // journal counts what fails of a router's journal.
-func (m *metrics) registerJournal(k *stateKeeper) {
+func (m *metrics) registerJournal(keeper *stateKeeper) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "hollymast_journal_failures_total",
 		Help: "Writes and syncs of the journal that failed."}, func() float64 {
-		if k == nil {
+		if keeper == nil {
 			return 0
 		}
-		return float64(k.Failures())
+		return float64(keeper.Failures())
 	}))
 }
 
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -20,10 +20,10 @@
 //	GET  /router/loads                     what routers that follow our view report of servers, as JSON
 //	POST /router/record/start?folder=DIR   begins a recording, by default in the folder of the settings
 //	POST /router/record/stop               ends it
-func (g *Gateway) serveAdmin(q *rest.Request) *rest.Response {
-	path, query, _ := strings.Cut(strings.TrimPrefix(q.Target, "/router/"), "?")
+func (g *Gateway) serveAdmin(msg *rest.Request) *rest.Response {
+	path, query, _ := strings.Cut(strings.TrimPrefix(msg.Target, "/router/"), "?")
 	switch {
-	case q.Method == "GET" && path == "state":
+	case msg.Method == "GET" && path == "state":
 		return g.inLoop(func(control.Micros) *rest.Response {
 			s, err := g.core.Snapshot()
 			if err != nil {
@@ -35,7 +35,7 @@
 			}
 			return jsonResponse(200, b)
 		})
-	case q.Method == "GET" && path == "snapshot":
+	case msg.Method == "GET" && path == "snapshot":
 		return g.inLoop(func(now control.Micros) *rest.Response {
 			s, err := g.core.Snapshot()
 			if err == nil {
@@ -46,9 +46,9 @@
 			}
 			return errorResponse(500, err.Error())
 		})
-	case q.Method == "GET" && path == "loads":
+	case msg.Method == "GET" && path == "loads":
 		return g.followersReports()
-	case q.Method == "POST" && path == "record/start":
+	case msg.Method == "POST" && path == "record/start":
 		values, err := url.ParseQuery(query)
 		if err != nil {
 			return errorResponse(400, "the query can't be read")
@@ -63,9 +63,9 @@
 			}
 			return jsonResponse(200, []byte(`{"recording":true}`))
 		})
-	case q.Method == "POST" && path == "record/stop":
+	case msg.Method == "POST" && path == "record/stop":
 		var ended *record.Writer
-		p := g.inLoop(func(control.Micros) *rest.Response {
+		resp := g.inLoop(func(control.Micros) *rest.Response {
 			if g.recordWriter == nil {
 				return errorResponse(409, "nothing is being recorded")
 			}
@@ -76,9 +76,9 @@
 		if ended != nil {
 			ended.Close() // waits for the disk, so not within the turn
 		}
-		return p
+		return resp
 	}
-	return errorResponse(404, "no such call: "+q.Target)
+	return errorResponse(404, "no such call: "+msg.Target)
 }
 
 // operatorsView is what /router/state tells.
@@ -102,19 +102,19 @@
 	n int
 }
 
-func (r *decisionLog) add(at control.Micros, d record.Deed) {
+func (r *decisionLog) add(at control.Micros, entry record.Deed) {
 	x := &r.entries[r.n%len(r.entries)]
-	x.at, x.deed = at, d
+	x.at, x.deed = at, entry
 	r.n++
 }
 
 func (r *decisionLog) list() []decision {
-	var ds []decision
+	var decisions []decision
 	for i := max(0, r.n-len(r.entries)); i < r.n; i++ {
 		x := &r.entries[i%len(r.entries)]
-		ds = append(ds, decision{x.at, x.deed.String()})
+		decisions = append(decisions, decision{x.at, x.deed.String()})
 	}
-	return ds
+	return decisions
 }
 
 // within runs a function between two turns and waits for it.
@@ -122,8 +122,8 @@
 	done := make(chan *rest.Response, 1)
 	g.afterStep(func(now control.Micros) { done <- f(now) })
 	select {
-	case p := <-done:
-		return p
+	case resp := <-done:
+		return resp
 	case <-g.loopEnded:
 		return errorResponse(503, "this router is stopping")
 	}
@@ -148,17 +148,17 @@
 	if folder == "" {
 		return errors.New("no folder is named, here or in the settings")
 	}
-	head := g.recordHeader()
+	header := g.recordHeader()
 	if g.recordingCount++; g.recordingCount > 1 {
-		head.Life += "r" + string(rune('a'+g.recordingCount%26))
+		header.Life += "r" + string(rune('a'+g.recordingCount%26))
 	}
-	w, err := record.Open(folder, g.config.RecordBounds, head, g.core.Snapshot, g.log)
+	writer, err := record.Open(folder, g.config.RecordBounds, header, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
-	g.recordWriter = w
-	g.recorder = w.Tape()
+	g.recordWriter = writer
+	g.recorder = writer.Tape()
 	g.core.SetRecorder(g.recorder)
-	w.Begin(now)
+	writer.Begin(now)
 	return nil
 }
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -27,8 +27,8 @@
 var connectionKinds = []string{serverConnections, clientConnections, xdsConnections, viewConnections}
 
 // secrets reads the sections [tls KIND].
-func (t *Config) parseTLS(f *inifile.File) {
-	t.TLS = map[string]*certstore.Told{}
+func (c *Config) parseTLS(f *inifile.File) {
+	c.TLS = map[string]*certstore.Told{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
 		known := false
@@ -39,40 +39,40 @@
 			s.Fault("", "connections are those of workers, clients, xds and view")
 			continue
 		}
-		k := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
+		settings := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
 			Revoked: s.Text("revoked", ""), Names: s.Words("names"), Twelve: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
-		if k.Secrets = s.Text("sds", ""); k.Secrets != "" {
-			k.Secrets = parseAddress(s, "sds", "")
-			k.CertificateSecret, k.AuthoritiesSecret = s.Text("certificate_secret", ""), s.Text("authorities_secret", "")
-			if host, _, _ := net.SplitHostPort(k.Secrets); !isLoopback(host) {
+		if settings.Secrets = s.Text("sds", ""); settings.Secrets != "" {
+			settings.Secrets = parseAddress(s, "sds", "")
+			settings.CertificateSecret, settings.AuthoritiesSecret = s.Text("certificate_secret", ""), s.Text("authorities_secret", "")
+			if host, _, _ := net.SplitHostPort(settings.Secrets); !isLoopback(host) {
 				s.Fault("sds", "%s is not on loopback, and keys come from it in plain text", host)
 			}
-			if k.Certificate+k.Key+k.Authorities+k.Revoked != "" {
+			if settings.Certificate+settings.Key+settings.Authorities+settings.Revoked != "" {
 				s.Fault("sds", "keys come from files or from a service, not from both")
 			}
 		}
-		if (k.Certificate == "") != (k.Key == "") {
+		if (settings.Certificate == "") != (settings.Key == "") {
 			s.Fault("key", "certificate and key go together")
 		}
-		if k.Revoked != "" && k.Authorities == "" {
+		if settings.Revoked != "" && settings.Authorities == "" {
 			s.Fault("revoked", "means nothing without authorities")
 		}
-		shows, checks := k.Certificate+k.CertificateSecret != "", k.Authorities+k.AuthoritiesSecret != ""
+		shows, checks := settings.Certificate+settings.CertificateSecret != "", settings.Authorities+settings.AuthoritiesSecret != ""
 		switch ours := kind == serverConnections || kind == xdsConnections; {
 		case !ours && !shows:
 			s.Fault("certificate", "whoever is connected to must show one")
 		case ours && !checks:
 			s.Fault("authorities", "without them anyone could be the other end")
 		}
-		if len(k.Names) > 0 && !checks {
+		if len(settings.Names) > 0 && !checks {
 			s.Fault("names", "mean nothing without authorities")
 		}
-		t.TLS[kind] = k
+		c.TLS[kind] = settings
 	}
-	if t.TLS[xdsConnections] != nil && t.ControlPlane == "" {
+	if c.TLS[xdsConnections] != nil && c.ControlPlane == "" {
 		f.Section("tls "+xdsConnections).Fault("", "no control plane (xds) is told")
 	}
-	if t.TLS[viewConnections] != nil && t.ServeView == "" {
+	if c.TLS[viewConnections] != nil && c.ServeView == "" {
 		f.Section("tls "+viewConnections).Fault("", "no view is served (serve_view)")
 	}
 }
@@ -84,15 +84,15 @@
 func (g *Gateway) openCertStores() error {
 	g.certStores = map[string]*certstore.Ring{}
 	for _, kind := range connectionKinds {
-		told := g.config.TLS[kind]
-		if told == nil {
+		settings := g.config.TLS[kind]
+		if settings == nil {
 			continue
 		}
-		r, err := certstore.Open(told, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
+		store, err := certstore.Open(settings, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
 		if err != nil {
 			return fmt.Errorf("[tls %s]: %w", kind, err)
 		}
-		g.certStores[kind] = r
+		g.certStores[kind] = store
 	}
 	g.metrics.registry.MustRegister(certMetrics(g.certStores))
 	return nil
@@ -100,22 +100,22 @@
 
 // followRings has the keys change in service until the context ends.
 func (g *Gateway) watchCertStores(ctx context.Context) {
-	for kind, r := range g.certStores {
+	for kind, store := range g.certStores {
 		g.background.Add(1)
 		go func() {
 			defer g.background.Done()
-			r.Follow(ctx)
+			store.Follow(ctx)
 		}()
-		told := g.config.TLS[kind]
-		if told.Secrets == "" {
+		settings := g.config.TLS[kind]
+		if settings.Secrets == "" {
 			continue
 		}
 		g.background.Add(1)
 		go func() {
 			defer g.background.Done()
 			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
-			source := xds.Source{Address: told.Secrets, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
-			err := source.Follow(ctx, xds.NewSecrets(r, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, told.CertificateSecret, told.AuthoritiesSecret))
+			source := xds.Source{Address: settings.Secrets, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
+			err := source.Follow(ctx, xds.NewSecrets(store, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, settings.CertificateSecret, settings.AuthoritiesSecret))
 			if err != nil {
 				note(err.Error())
 			}
@@ -125,20 +125,20 @@
 
 // credentials are those of a kind of gRPC connections; nil: in plain text.
 func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
-	if r := g.certStores[kind]; r != nil {
-		return r.Credentials()
+	if store := g.certStores[kind]; store != nil {
+		return store.Credentials()
 	}
 	return nil
 }
 
 // secure makes connections to workers secret where that is told; nil: they are in plain text.
 func (g *Gateway) serverHandshake() rest.Handshake {
-	r := g.certStores[serverConnections]
-	if r == nil {
+	store := g.certStores[serverConnections]
+	if store == nil {
 		return nil
 	}
-	return func(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
-		s, err := r.Dialled(ctx, nc, address)
+	return func(ctx context.Context, conn net.Conn, address string) (net.Conn, error) {
+		s, err := store.Dialled(ctx, conn, address)
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
 		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() { // said once
@@ -149,17 +149,17 @@
 }
 
 // welcome makes a client's connection secret where that is told. A handshake takes no longer than a header may.
-func (g *Gateway) clientHandshake(nc net.Conn) (net.Conn, error) {
-	r := g.certStores[clientConnections]
-	if r == nil {
-		return nc, nil
+func (g *Gateway) clientHandshake(conn net.Conn) (net.Conn, error) {
+	store := g.certStores[clientConnections]
+	if store == nil {
+		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(g.serveContext, g.config.HeaderTimeout)
 	defer cancel()
-	s, err := r.Accepted(ctx, nc)
+	s, err := store.Accepted(ctx, conn)
 	if err != nil {
-		g.log.Info().Str("client", nc.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
-		nc.Close()
+		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
+		conn.Close()
 	}
 	return s, err
 }
@@ -182,8 +182,8 @@
 }
 
 func (m certMetrics) Collect(out chan<- prometheus.Metric) {
-	for kind, r := range m {
-		c := r.Counts()
+	for kind, store := range m {
+		c := store.Counts()
 		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(c.Handshakes), kind)
 		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(c.Failed), kind, "other")
 		for reason, n := range c.Refused {
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -23,21 +23,21 @@
 func testCertStore(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
 	t.Helper()
 	dir := t.TempDir()
-	told := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
-	for name, b := range map[string][]byte{told.Certificate: own.Chain, told.Key: own.Key, told.Authorities: authorities} {
+	settings := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	for name, b := range map[string][]byte{settings.Certificate: own.Chain, settings.Key: own.Key, settings.Authorities: authorities} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := certstore.Open(told, wallClock, func(string) {})
+	store, err := certstore.Open(settings, wallClock, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return told, r
+	return settings, store
 }
 
-func serverSide(r *certstore.Ring) func(nc net.Conn) (net.Conn, error) {
-	return func(nc net.Conn) (net.Conn, error) { return r.Accepted(context.Background(), nc) }
+func serverSide(store *certstore.Ring) func(conn net.Conn) (net.Conn, error) {
+	return func(conn net.Conn) (net.Conn, error) { return store.Accepted(context.Background(), conn) }
 }
 
 // Workers that are not believed, or do not believe us, count as no connection: even run-once jobs are finished elsewhere, and
@@ -48,38 +48,38 @@
 	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
 	_, aloof := testCertStore(t, ours.Issue(localhostNames), theirs.Cert())
 	makes := []fakeserver.Make{serverOptions(0), serverOptions(1), serverOptions(2)}
-	for i, r := range []*certstore.Ring{stranger, aloof, good} {
-		makes[i].Secure = serverSide(r)
+	for i, store := range []*certstore.Ring{stranger, aloof, good} {
+		makes[i].Secure = serverSide(store)
 	}
 	toldWorkers, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
 	toldClients, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
-	f := newTestGatewayConfigured(t, "", func(t *Config) {
-		t.TLS = map[string]*certstore.Told{serverConnections: toldWorkers, clientConnections: toldClients}
+	tg := newTestGatewayConfigured(t, "", func(c *Config) {
+		c.TLS = map[string]*certstore.Told{serverConnections: toldWorkers, clientConnections: toldClients}
 	}, makes...)
 	_, client := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
 	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
-	ask := func(r *certstore.Ring, job string) string {
+	ask := func(store *certstore.Ring, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), f.gateway.Address(), &rest.DefaultLimits, r.Dialled)
+		c, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, store.Dialled)
 		if err != nil {
 			return err.Error()
 		}
 		defer c.Close()
-		p, _, err := c.Do(inferRequest(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
+		resp, _, err := c.Do(inferRequest(job, "ticket-"+job, 2*time.Second), time.Now().Add(5*time.Second))
 		if err != nil {
 			return err.Error()
 		}
-		if p.Status == 200 {
+		if resp.Status == 200 {
 			return invariant.Finished
 		}
-		return string(p.Body)
+		return string(resp.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
 		if word := ask(client, job); word != invariant.Finished {
 			t.Errorf("job %s: %s", job, word)
 		}
 	}
-	for _, r := range f.log.Records() {
+	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.Received && r.Server != 2 {
 			t.Errorf("server %d got job %s", r.Server, r.Job)
 		}
@@ -87,7 +87,7 @@
 	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
 		t.Errorf("a client of another authority: %s", word)
 	}
-	text := string(f.gateway.metrics.response().Body)
+	text := string(tg.gateway.metrics.response().Body)
 	for _, want := range []string{`executions_total{result="no connection"}`, `tls_refused_total{connections="clients",reason="unknown authority"} 1`,
 		`tls_refused_total{connections="workers",reason="unknown authority"}`, `tls_certificate_ends_seconds{connections="workers"}`} {
 		if !strings.Contains(text, want) {
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -34,10 +34,10 @@
 }
 
 // stopTimes gives the times that follow from the longest time limit.
-func (t *Config) shutdownTimes() shutdownTimes {
+func (c *Config) shutdownTimes() shutdownTimes {
 	longest := control.Micros(0)
-	for _, w := range t.Deployment.Classes {
-		longest = max(longest, w.MaxDeadline)
+	for _, class := range c.Deployment.Classes {
+		longest = max(longest, class.MaxDeadline)
 	}
 	killed := min(duration(longest), maxCountedDeadline) + killAfter
 	return shutdownTimes{readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2}
@@ -73,9 +73,9 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if j := g.requests[id]; !j.answer.Given {
+		if req := g.requests[id]; !req.answer.Given {
 			g.core.Cancel(now, id)
-			g.finish(j, "killed", failure("this router is stopping"))
+			g.finish(req, "killed", failure("this router is stopping"))
 		}
 	}
 }
@@ -112,8 +112,8 @@
 				return
 			}
 			file := os.NewFile(uintptr(n), "client")
-			if nc, err := net.FileConn(file); err == nil {
-				conns = append(conns, nc)
+			if conn, err := net.FileConn(file); err == nil {
+				conns = append(conns, conn)
 			}
 			file.Close()
 		}
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,28 +9,28 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admit(now control.Micros, name string, w control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
+func (g *Gateway) admit(now control.Micros, name string, class control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
 	if g.overload == nil {
 		return overload.Verdict{Admit: true}
 	}
 	return g.overload.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashKey(ask.Mark),
-		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[w]})
+		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[class]})
 }
 
 // hashed names a client's mark; 0: it gave none.
-func hashKey(mark string) uint64 {
-	if mark == "" {
+func hashKey(key string) uint64 {
+	if key == "" {
 		return 0
 	}
-	return max(1, xxhash.Sum64String(mark))
+	return max(1, xxhash.Sum64String(key))
 }
 
 // spread gives the pause that a refusal of the module's carries to its client.
-func (g *Gateway) spreadRetryAfter(j *request, stay control.Micros) control.Micros {
+func (g *Gateway) spreadRetryAfter(req *request, retryAfter control.Micros) control.Micros {
 	if g.overload == nil {
-		return stay
+		return retryAfter
 	}
-	return g.overload.Spread(g.stepTime, stay, hashKey(j.message.Header.Get(kserve.RepeatMark)))
+	return g.overload.Spread(g.stepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
 }
 
 // watchStorm tells operators of storms, after a turn.
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -78,10 +78,10 @@
 }
 
 // Match finds what is told of a function; ok is false where no pattern matches.
-func (t *Config) Match(name string) (Pattern, bool) {
-	for _, p := range t.Functions {
-		if hit, _ := path.Match(p.Glob, name); hit {
-			return p, true
+func (c *Config) Match(name string) (Pattern, bool) {
+	for _, pattern := range c.Functions {
+		if hit, _ := path.Match(pattern.Glob, name); hit {
+			return pattern, true
 		}
 	}
 	return Pattern{}, false
@@ -218,12 +218,12 @@
 	return t, f.Check()
 }
 
-func (t *Config) parseClasses(f *inifile.File) {
+func (c *Config) parseClasses(f *inifile.File) {
 	const day = 24 * time.Hour
 	for _, s := range f.Sections("workload ") {
-		t.ClassNames = append(t.ClassNames, strings.TrimPrefix(s.Name, "workload "))
-		t.Priorities = append(t.Priorities, s.Float("importance", 1, 0, 1e6))
-		w := control.Class{
+		c.ClassNames = append(c.ClassNames, strings.TrimPrefix(s.Name, "workload "))
+		c.Priorities = append(c.Priorities, s.Float("importance", 1, 0, 1e6))
+		class := control.Class{
 			LatencyObjective: micros(s.Span("start_target", time.Second, time.Millisecond, day)),
 			MaxDeadline:      micros(s.Span("time_limit", 10*time.Second, time.Millisecond, day)),
 			ObjectivePerWork: s.Float("stretch", 0, 0, 1000),
@@ -231,36 +231,36 @@
 			Scope:            control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
 			Window:           micros(s.Span("window", 0, 0, day)),
 		}
-		if w.Effect == control.IdempotentByKey && w.Window == 0 {
+		if class.Effect == control.IdempotentByKey && class.Window == 0 {
 			s.Fault("window", "a fingerprinted workload needs the time for which its repeats are known")
 		}
-		if w.MaxDeadline < w.LatencyObjective {
+		if class.MaxDeadline < class.LatencyObjective {
 			s.Fault("time_limit", "shorter than the start target")
 		}
-		t.Deployment.Classes = append(t.Deployment.Classes, w)
+		c.Deployment.Classes = append(c.Deployment.Classes, class)
 	}
-	if len(t.ClassNames) == 0 {
+	if len(c.ClassNames) == 0 {
 		f.Section("workload").Fault("", "no section [workload NAME]")
 	}
 }
 
-func (t *Config) parsePatterns(f *inifile.File) {
+func (c *Config) parsePatterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
-		p := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
-		if _, err := path.Match(p.Glob, ""); err != nil {
+		pattern := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
+		if _, err := path.Match(pattern.Glob, ""); err != nil {
 			s.Fault("", "malformed pattern")
 		}
-		if len(t.ClassNames) > 0 {
-			p.Class = control.ClassID(s.OneOf("workload", t.ClassNames[0], t.ClassNames...))
+		if len(c.ClassNames) > 0 {
+			pattern.Class = control.ClassID(s.OneOf("workload", c.ClassNames[0], c.ClassNames...))
 		} else {
 			s.Has("workload")
 		}
-		p.Lanes = s.Int("lanes", 1, 1, 1<<12)
-		p.Work = micros(s.Span("work", 0, 0, time.Hour))
-		p.LoadTime = micros(s.Span("load_time", 0, 0, time.Hour))
-		t.Functions = append(t.Functions, p)
+		pattern.Lanes = s.Int("lanes", 1, 1, 1<<12)
+		pattern.Work = micros(s.Span("work", 0, 0, time.Hour))
+		pattern.LoadTime = micros(s.Span("load_time", 0, 0, time.Hour))
+		c.Functions = append(c.Functions, pattern)
 	}
-	if len(t.Functions) == 0 {
+	if len(c.Functions) == 0 {
 		f.Section("function").Fault("", "no section [function PATTERN]: no name would be known")
 	}
 }
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -19,24 +19,24 @@
 const historyInterval = 10 * time.Second
 
 // tenantName gives a tenant's name; empty of one that no share is told for.
-func (t *Config) tenantName(id control.TenantID) string {
-	if int(id) < len(t.TenantNames) {
-		return t.TenantNames[id]
+func (c *Config) tenantName(id control.TenantID) string {
+	if int(id) < len(c.TenantNames) {
+		return c.TenantNames[id]
 	}
 	return ""
 }
 
 // who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) historyKey(j *request) history.Who {
+func (g *Gateway) historyKey(req *request) history.Who {
 	if g.config.NameKey != "" {
-		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, j.function)), Tenant: j.tenant}
+		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function)), Tenant: req.tenant}
 	}
-	return history.Who{Function: j.function, Tenant: j.tenant}
+	return history.Who{Function: req.function, Tenant: req.tenant}
 }
 
 func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
 
-func (g *Gateway) historyAnswered(j *request, word string) {
+func (g *Gateway) historyAnswered(req *request, word string) {
 	if !g.keepsHistory() {
 		return
 	}
@@ -48,18 +48,18 @@
 	default:
 		verb = control.Fail
 	}
-	g.state.historyTally.Answered(g.stepTime, g.historyKey(j), verb, g.stepTime > j.objectiveAt)
+	g.state.historyTally.Answered(g.stepTime, g.historyKey(req), verb, g.stepTime > req.objectiveAt)
 }
 
-func (g *Gateway) historyAttempt(now control.Micros, j *request, o control.Outcome) {
+func (g *Gateway) historyAttempt(now control.Micros, req *request, outcome control.Outcome) {
 	if g.keepsHistory() {
-		g.state.historyTally.Executed(now, g.historyKey(j), o)
+		g.state.historyTally.Executed(now, g.historyKey(req), outcome)
 	}
 }
 
-func (g *Gateway) historyLoadCommand(j *request) {
+func (g *Gateway) historyLoadCommand(req *request) {
 	if g.keepsHistory() {
-		g.state.historyTally.Ordered(g.stepTime, g.historyKey(j))
+		g.state.historyTally.Ordered(g.stepTime, g.historyKey(req))
 	}
 }
 
@@ -86,63 +86,63 @@
 )
 
 // write adds rows, those first that could not be written before.
-func (o *historyWriter) write(rows []history.Row, now int64) {
-	o.batches = append(o.batches, historyBatch{uint64(now), rows})
-	err := o.drain(now)
-	if o.damagedCount++; !errors.Is(err, history.ErrDamaged) {
-		o.damagedCount = 0
+func (w *historyWriter) write(rows []history.Row, now int64) {
+	w.batches = append(w.batches, historyBatch{uint64(now), rows})
+	err := w.drain(now)
+	if w.damagedCount++; !errors.Is(err, history.ErrDamaged) {
+		w.damagedCount = 0
 	}
-	if o.damagedCount >= damagedTries {
-		o.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-		if err = o.store.Aside(now); err == nil {
-			err = o.drain(now)
+	if w.damagedCount >= damagedTries {
+		w.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
+		if err = w.store.Aside(now); err == nil {
+			err = w.drain(now)
 		}
 	}
 	switch {
-	case err != nil && !o.failed:
-		o.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
-	case err == nil && o.failed:
-		o.log.Info().Msg("the history is written again")
+	case err != nil && !w.failed:
+		w.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
+	case err == nil && w.failed:
+		w.log.Info().Msg("the history is written again")
 	}
-	o.failed = err != nil
-	o.dropOldest()
+	w.failed = err != nil
+	w.dropOldest()
 }
 
-func (o *historyWriter) drain(now int64) error {
-	for len(o.batches) > 0 {
-		if err := o.store.AddOnce(o.batches[0].rows, now, o.batches[0].number); err != nil {
+func (w *historyWriter) drain(now int64) error {
+	for len(w.batches) > 0 {
+		if err := w.store.AddOnce(w.batches[0].rows, now, w.batches[0].number); err != nil {
 			return err
 		}
-		o.batches = o.batches[1:]
+		w.batches = w.batches[1:]
 	}
 	return nil
 }
 
 // bound drops the oldest beyond what may wait: the history owes nobody an answer.
-func (o *historyWriter) dropOldest() {
+func (w *historyWriter) dropOldest() {
 	n := 0
-	for i := len(o.batches) - 1; i >= 0; i-- {
-		if n += len(o.batches[i].rows); n > maxQueuedRows {
-			o.batches = o.batches[i+1:]
+	for i := len(w.batches) - 1; i >= 0; i-- {
+		if n += len(w.batches[i].rows); n > maxQueuedRows {
+			w.batches = w.batches[i+1:]
 			return
 		}
 	}
 }
 
 // keepUse writes the history now and again until the gateway has ended, and then once more.
-func (k *stateKeeper) runHistory(g *Gateway) {
-	defer close(k.historyClosed)
+func (keeper *stateKeeper) runHistory(g *Gateway) {
+	defer close(keeper.historyClosed)
 	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
 	taken := make(chan *history.Taken, 1)
-	owed := historyWriter{store: k.history, log: k.log}
+	owed := historyWriter{store: keeper.history, log: keeper.log}
 	write := func(t *history.Taken) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(control.Micros) {
 				if len(taken) == 0 { // else the disk is behind: it stays in the tally
-					taken <- k.historyTally.Take()
+					taken <- keeper.historyTally.Take()
 				}
 			})
 		case t := <-taken:
@@ -153,7 +153,7 @@
 				write(t)
 			default:
 			}
-			write(k.finalHistory)
+			write(keeper.finalHistory)
 			return
 		}
 	}
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -50,8 +50,8 @@
 		case suspects[s.ID]:
 			v.Health = membership.Unhealthy
 		}
-		if p := g.pools[s.ID]; p != nil {
-			v.InFlight = len(p.open)
+		if pool := g.pools[s.ID]; pool != nil {
+			v.InFlight = len(pool.open)
 		}
 		if r, said := g.loadTally.Said(s.Address); said {
 			v.Said, v.Util, v.Loads, v.Pinned = true, r.Utilization, r.PendingLoads, r.PinnedMemory
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -13,10 +13,10 @@
 
 // A second router that follows the first one's view has its list, its drains and what it suspects.
 func TestSecondRouterFollowsTheView(t *testing.T) {
-	f := newTestGatewayConfigured(t, "", func(t *Config) { t.ServeView = "127.0.0.1:0" }, serverOptions(0), serverOptions(1), serverOptions(2))
-	told := *f.gateway.config
-	told.ControlPlane, told.ServeView, told.AdminListen, told.LoadReports = f.gateway.view.Address(), "", "", true
-	g, err := New(&told, zerolog.Nop())
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.ServeView = "127.0.0.1:0" }, serverOptions(0), serverOptions(1), serverOptions(2))
+	config := *tg.gateway.config
+	config.ControlPlane, config.ServeView, config.AdminListen, config.LoadReports = tg.gateway.view.Address(), "", "", true
+	g, err := New(&config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,13 +55,13 @@
 		t.Fatalf("the second router sees %d ready and %d draining, want %d and %d", r, d, ready, draining)
 	}
 	await(3, 0, 5*time.Second)
-	both := &testGateway{t: t, gateway: g, log: f.log}
+	both := &testGateway{t: t, gateway: g, log: tg.log}
 	if word := both.call("1", "forecast-1", time.Second); word != invariant.Finished {
 		t.Error(word)
 	}
 	// What it does there the first one learns from its reports, with what the server told of its load.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		lines, nodes := f.gateway.view.Others()
+		lines, nodes := tg.gateway.view.Others()
 		if nodes == 1 && len(lines) == 1 && lines[0].Finished == 1 && lines[0].Answers == 1 {
 			break
 		}
@@ -69,13 +69,13 @@
 			t.Fatalf("%d followers report %+v", nodes, lines)
 		}
 	}
-	f.writeEndpoints("ready", "draining", "ready")
+	tg.writeEndpoints("ready", "draining", "ready")
 	begun := time.Now()
 	await(2, 1, 5*time.Second)
 	t.Logf("a drain reached the second router after %s", time.Since(begun))
-	f.servers[2].Stop()
+	tg.servers[2].Stop()
 	for i := range 20 { // the first router finds out that a server is dead; it drains for the second
-		f.call(string(rune('a'+i)), "forecast-"+string(rune('a'+i)), 400*time.Millisecond)
+		tg.call(string(rune('a'+i)), "forecast-"+string(rune('a'+i)), 400*time.Millisecond)
 	}
 	await(1, 2, 3*time.Second)
 }
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -53,54 +53,54 @@
 	progress     attempt.Progress // the turn's
 }
 
-func (g *Gateway) newCall(to control.ServerID, allow control.Micros) *serverCall {
-	s := &serverCall{to: to, writeBefore: attempt.WriteUntil(g.endpointsAsOf, micros(g.config.GracePeriod)), deadline: g.startedAt.Add(duration(g.stepTime + allow - g.epoch))}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
-	return s
+func (g *Gateway) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+	call := &serverCall{to: to, writeBefore: attempt.WriteUntil(g.endpointsAsOf, micros(g.config.GracePeriod)), deadline: g.startedAt.Add(duration(g.stepTime + timeout - g.epoch))}
+	call.ctx, call.cancel = context.WithCancel(context.Background())
+	return call
 }
 
 // withdraw takes back what is not yet being written; what is goes on.
-func (s *serverCall) withdraw() bool {
-	if !attempt.Transition(&s.stage, attempt.Stage.Withdraw) {
+func (call *serverCall) withdraw() bool {
+	if !attempt.Transition(&call.stage, attempt.Stage.Withdraw) {
 		return false
 	}
-	s.cancel()
+	call.cancel()
 	return true
 }
 
 // callOff also breaks off what was written.
-func (s *serverCall) abandon() {
-	if s.progress.Cancel() && !s.withdraw() && s.conn != nil {
-		if c := s.conn.client.Load(); c != nil {
-			c.Abort()
+func (call *serverCall) abandon() {
+	if call.progress.Cancel() && !call.withdraw() && call.conn != nil {
+		if client := call.conn.client.Load(); client != nil {
+			client.Abort()
 		}
 	}
 }
 
 // dispatch hands a sending to an idle connection, or opens one.
-func (g *Gateway) dispatch(s *serverCall) {
-	p := g.pools[s.to]
-	if p == nil {
-		p = &serverPool{id: s.to, address: g.fleet.Get(s.to).Address, open: map[*serverCall]struct{}{}}
-		g.pools[s.to] = p
+func (g *Gateway) dispatch(call *serverCall) {
+	pool := g.pools[call.to]
+	if pool == nil {
+		pool = &serverPool{id: call.to, address: g.fleet.Get(call.to).Address, open: map[*serverCall]struct{}{}}
+		g.pools[call.to] = pool
 	}
-	p.open[s] = struct{}{}
-	s.message.Header["Host"] = []string{p.address}
-	s.message.Header["Via"] = append(s.message.Header["Via"][:len(s.message.Header["Via"]):len(s.message.Header["Via"])], g.via)
-	switch p.conns.Acquire(g.config.MaxConnsPerServer) {
+	pool.open[call] = struct{}{}
+	call.message.Header["Host"] = []string{pool.address}
+	call.message.Header["Via"] = append(call.message.Header["Via"][:len(call.message.Header["Via"]):len(call.message.Header["Via"])], g.via)
+	switch pool.conns.Acquire(g.config.MaxConnsPerServer) {
 	case attempt.Reuse:
-		n := len(p.idle)
-		s.conn = p.idle[n-1]
-		p.idle = p.idle[:n-1]
+		n := len(pool.idle)
+		call.conn = pool.idle[n-1]
+		pool.idle = pool.idle[:n-1]
 	case attempt.OpenNew:
-		s.conn = &serverConn{gateway: g, address: p.address, calls: make(chan *serverCall, 1)}
+		call.conn = &serverConn{gateway: g, address: pool.address, calls: make(chan *serverCall, 1)}
 		g.serverConns.Add(1)
-		go s.conn.run()
+		go call.conn.run()
 	case attempt.NoneLeft: // never sent; told in the next turn, since this one is still asking
-		g.post(func(now control.Micros) { g.callEnded(now, s, callResult{result: control.NotSent}, false) })
+		g.post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}, false) })
 		return
 	}
-	s.conn.calls <- s
+	call.conn.calls <- call
 }
 
 // exchange is what came of a sending.
@@ -110,99 +110,99 @@
 	duration time.Duration
 }
 
-func (l *serverConn) run() {
-	defer l.gateway.serverConns.Done()
-	for s := range l.calls {
-		e := l.exchange(s)
-		s.cancel()
-		open := l.client.Load() != nil
-		l.gateway.post(func(now control.Micros) { l.gateway.callEnded(now, s, e, open) })
+func (sc *serverConn) run() {
+	defer sc.gateway.serverConns.Done()
+	for call := range sc.calls {
+		result := sc.exchange(call)
+		call.cancel()
+		open := sc.client.Load() != nil
+		sc.gateway.post(func(now control.Micros) { sc.gateway.callEnded(now, call, result, open) })
 		if !open {
 			return
 		}
 	}
-	if c := l.client.Load(); c != nil {
-		c.Close()
+	if client := sc.client.Load(); client != nil {
+		client.Close()
 	}
 }
 
 // carry does one exchange. The connection is kept only where it may be used again.
-func (l *serverConn) exchange(s *serverCall) (e callResult) {
+func (sc *serverConn) exchange(call *serverCall) (result callResult) {
 	begun := time.Now()
-	defer func() { e.duration = time.Since(begun) }()
-	c := l.client.Load()
-	if c != nil && c.Stale() { // closed while it was idle: nothing of this job was on it
-		c.Close()
-		c = nil
-		l.client.Store(nil)
+	defer func() { result.duration = time.Since(begun) }()
+	client := sc.client.Load()
+	if client != nil && client.Stale() { // closed while it was idle: nothing of this job was on it
+		client.Close()
+		client = nil
+		sc.client.Store(nil)
 	}
-	if c == nil {
+	if client == nil {
 		var err error
-		if c, err = l.dial(s); err != nil {
-			return callResult{result: attempt.UndialledResult(attempt.Stage(s.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
+		if client, err = sc.dial(call); err != nil {
+			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
 		}
-		l.client.Store(c)
+		sc.client.Store(client)
 	}
-	kept := s.awaitJournal(l.gateway.now()) && l.gateway.clientWaits(s.request) && s.stateTimeLeft()
-	if !attempt.Transition(&s.stage, func(st attempt.Stage) (attempt.Stage, bool) {
-		return st.Write(kept, l.gateway.now(), s.writeBefore)
+	kept := call.awaitJournal(sc.gateway.now()) && sc.gateway.clientWaits(call.request) && call.stateTimeLeft()
+	if !attempt.Transition(&call.stage, func(st attempt.Stage) (attempt.Stage, bool) {
+		return st.Write(kept, sc.gateway.now(), call.writeBefore)
 	}) {
 		return callResult{result: control.NotSent}
 	}
-	p, progress, err := c.Do(s.message, s.deadline)
-	if err == nil && !p.Close {
-		return callResult{result: responseResult(p, s.request == nil), response: p}
+	resp, progress, err := client.Do(call.message, call.deadline)
+	if err == nil && !resp.Close {
+		return callResult{result: responseResult(resp, call.request == nil), response: resp}
 	}
-	c.Close()
-	l.client.Store(nil)
+	client.Close()
+	sc.client.Store(nil)
 	if err == nil {
-		return callResult{result: responseResult(p, s.request == nil), response: p}
+		return callResult{result: responseResult(resp, call.request == nil), response: resp}
 	}
 	return callResult{result: BrokenExchangeResult(progress, err)}
 }
 
 // wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
 // unread in the socket, as after a stop of the process.
-func (g *Gateway) clientWaits(j *request) bool {
+func (g *Gateway) clientWaits(req *request) bool {
 	now := g.now()
-	if j == nil || !attempt.MustCheckClient(now-control.Micros(j.clientCheckedAt.Load())) {
+	if req == nil || !attempt.MustCheckClient(now-control.Micros(req.clientCheckedAt.Load())) {
 		return true
 	}
-	if j.client.PeerClosed() {
-		g.post(func(now control.Micros) { g.handleClientClosed(now, j) })
+	if req.client.PeerClosed() {
+		g.post(func(now control.Micros) { g.handleClientClosed(now, req) })
 		return false
 	}
-	j.clientCheckedAt.Store(int64(now))
+	req.clientCheckedAt.Store(int64(now))
 	return true
 }
 
 // tellsLeft has an execution tell how long it is waited for; no tells that it has no time left. Guards against a figure from when
 // it was chosen: a dial, the journal or a stop of the process may have taken much of it.
-func (s *serverCall) stateTimeLeft() bool {
-	left := time.Until(s.deadline).Milliseconds()
-	if s.request != nil {
-		s.message.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
+func (call *serverCall) stateTimeLeft() bool {
+	left := time.Until(call.deadline).Milliseconds()
+	if call.request != nil {
+		call.message.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
 	}
 	return left > 0
 }
 
 var errWithdrawn = errors.New("withdrawn")
 
-func (l *serverConn) dial(s *serverCall) (*rest.Client, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, min(l.gateway.config.DialTimeout, time.Until(s.deadline)))
+func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
+	ctx, cancel := context.WithTimeout(call.ctx, min(sc.gateway.config.DialTimeout, time.Until(call.deadline)))
 	defer cancel()
 	select {
-	case l.gateway.dialing <- struct{}{}:
-		defer func() { <-l.gateway.dialing }()
+	case sc.gateway.dialing <- struct{}{}:
+		defer func() { <-sc.gateway.dialing }()
 	case <-ctx.Done():
 		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
 	}
 	var before error // why the try before failed, through no fault of the server's
 	for pause := dialPause; ; pause = min(2*pause, maxDialPause) {
-		c, err := l.gateway.dial(ctx, l.address)
+		client, err := sc.gateway.dial(ctx, sc.address)
 		switch {
 		case err == nil:
-			return c, nil
+			return client, nil
 		case rest.LocalFailure(err), rest.TransientFailure(err):
 		case rest.LocalFailure(before) && os.IsTimeout(err):
 			return nil, before // the server had but the rest of the time
@@ -228,36 +228,36 @@
 var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
 
 // over takes in the end of a sending, and its link back if it can be used again.
-func (g *Gateway) callEnded(now control.Micros, s *serverCall, e callResult, open bool) {
-	p := g.pools[s.to]
-	delete(p.open, s)
-	s.progress.End()
-	if s.conn != nil {
-		switch keep := p.conns.Release(open, g.isListed(s.to)); {
+func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, open bool) {
+	pool := g.pools[call.to]
+	delete(pool.open, call)
+	call.progress.End()
+	if call.conn != nil {
+		switch keep := pool.conns.Release(open, g.isListed(call.to)); {
 		case keep:
-			s.conn.idleSince = now
-			p.idle = append(p.idle, s.conn)
+			call.conn.idleSince = now
+			pool.idle = append(pool.idle, call.conn)
 		case open:
-			close(s.conn.calls)
+			close(call.conn.calls)
 		}
 	}
-	if s.request == nil {
+	if call.request == nil {
 		copies := -1
-		if e.response != nil {
-			copies = kserve.Copies(e.response.Body)
+		if result.response != nil {
+			copies = kserve.Copies(result.response.Body)
 		}
-		if e.result == control.Succeeded && copies < 0 {
-			copies = s.load.Replicas // an answer that tells no number has done what was asked
+		if result.result == control.Succeeded && copies < 0 {
+			copies = call.load.Replicas // an answer that tells no number has done what was asked
 		}
-		g.loadCommandEnded(now, s, e.result, micros(e.duration), copies)
+		g.loadCommandEnded(now, call, result.result, micros(result.duration), copies)
 		return
 	}
-	o := control.Outcome{Result: e.result}
-	if e.response != nil {
-		o = OutcomeOf(e.response, false)
+	outcome := control.Outcome{Result: result.result}
+	if result.response != nil {
+		outcome = OutcomeOf(result.response, false)
 	}
-	o.Attempt, o.Server, o.Duration = s.attempt, s.to, micros(e.duration)
-	g.attemptEnded(now, s, o, e.response)
+	outcome.Attempt, outcome.Server, outcome.Duration = call.attempt, call.to, micros(result.duration)
+	g.attemptEnded(now, call, outcome, result.response)
 }
 
 func (g *Gateway) isListed(id control.ServerID) bool {
@@ -266,11 +266,11 @@
 }
 
 // execution is the request of one execution: the client's own, with what is ours to say.
-func (g *Gateway) attemptMessage(j *request, no control.AttemptID) *rest.Request {
-	h := forwardedHeader(j.message.Header)
-	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(no) + 1)}
-	h[kserve.RepeatMark] = []string{j.idempotencyKey}
-	return &rest.Request{Method: "POST", Target: j.call.Target(), Header: h, Body: j.message.Body}
+func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
+	h := forwardedHeader(req.message.Header)
+	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
+	h[kserve.RepeatMark] = []string{req.idempotencyKey}
+	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: h, Body: req.message.Body}
 }
 
 // forwarded copies the fields that are meant for the other end, without those for one connection (RFC 9110, 7.6.1).
@@ -294,28 +294,28 @@
 
 // withdrawFrom takes back all that is not yet being written to a server that takes nothing new.
 func (g *Gateway) withdrawFrom(id control.ServerID) {
-	p := g.pools[id]
-	if p == nil {
+	pool := g.pools[id]
+	if pool == nil {
 		return
 	}
-	for s := range p.open { // their outcomes come in the order of their own goroutines anyway
-		s.withdraw()
+	for call := range pool.open { // their outcomes come in the order of their own goroutines anyway
+		call.withdraw()
 	}
-	g.closeIdle(p, func(*serverConn) bool { return true })
+	g.closeIdle(pool, func(*serverConn) bool { return true })
 }
 
-func (g *Gateway) closeIdle(p *serverPool, which func(*serverConn) bool) {
-	kept := p.idle[:0]
-	for _, l := range p.idle {
-		if which(l) {
-			close(l.calls)
-			p.conns.CloseIdle()
+func (g *Gateway) closeIdle(pool *serverPool, which func(*serverConn) bool) {
+	kept := pool.idle[:0]
+	for _, sc := range pool.idle {
+		if which(sc) {
+			close(sc.calls)
+			pool.conns.CloseIdle()
 		} else {
-			kept = append(kept, l)
+			kept = append(kept, sc)
 		}
 	}
-	clear(p.idle[len(kept):])
-	p.idle = kept
+	clear(pool.idle[len(kept):])
+	pool.idle = kept
 }
 
 // prune closes connections that were idle for long, and forgets pools and servers that are gone.
@@ -325,9 +325,9 @@
 		return
 	}
 	g.prunedAt = now
-	for id, p := range g.pools {
-		g.closeIdle(p, func(l *serverConn) bool { return now-l.idleSince > micros(g.config.ServerIdleTimeout) })
-		if p.conns.All == 0 && len(p.open) == 0 && !g.isListed(id) {
+	for id, pool := range g.pools {
+		g.closeIdle(pool, func(sc *serverConn) bool { return now-sc.idleSince > micros(g.config.ServerIdleTimeout) })
+		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
 			delete(g.pools, id)
 		}
 	}
@@ -336,7 +336,7 @@
 }
 
 func (g *Gateway) closePools() {
-	for _, p := range g.pools {
-		g.closeIdle(p, func(*serverConn) bool { return true })
+	for _, pool := range g.pools {
+		g.closeIdle(pool, func(*serverConn) bool { return true })
 	}
 }
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -37,7 +37,7 @@
 }
 
 // Secure makes a connection that was dialled to an address secret and its other end known, within the context.
-type Handshake func(ctx context.Context, nc net.Conn, address string) (net.Conn, error)
+type Handshake func(ctx context.Context, conn net.Conn, address string) (net.Conn, error)
 
 // Dial opens a connection in plain text.
 func Dial(ctx context.Context, address string, limits *Limits) (*Client, error) {
@@ -47,46 +47,46 @@
 // DialSecure opens a connection; with nil it is in plain text.
 func DialWith(ctx context.Context, address string, limits *Limits, secure Handshake) (*Client, error) {
 	var d net.Dialer
-	nc, err := d.DialContext(ctx, "tcp", address)
+	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	if secure != nil {
-		plain := nc
-		if nc, err = secure(ctx, plain, address); err != nil {
+		plain := conn
+		if conn, err = secure(ctx, plain, address); err != nil {
 			plain.Close()
 			return nil, err
 		}
 	}
-	return &Client{conn: nc, reader: bufio.NewReaderSize(nc, readBuffer), limits: limits}, nil
+	return &Client{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), limits: limits}, nil
 }
 
 // Close closes the connection.
-func (c *Client) Close() error { return socketOf(c.conn).Close() }
+func (client *Client) Close() error { return socketOf(client.conn).Close() }
 
 // socket is the connection beneath a secret one. It is what is closed: a secret connection's own goodbye may wait for a peer
 // that reads nothing, and says nothing that lengths don't.
-func socketOf(nc net.Conn) net.Conn {
-	if s, ok := nc.(interface{ NetConn() net.Conn }); ok {
+func socketOf(conn net.Conn) net.Conn {
+	if s, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		return s.NetConn()
 	}
-	return nc
+	return conn
 }
 
-func isTLS(nc net.Conn) bool { return socketOf(nc) != nc }
+func isTLS(conn net.Conn) bool { return socketOf(conn) != conn }
 
 // still tells whether the other end of a secret connection is still believed.
-func checkPeer(nc net.Conn) error {
-	if s, ok := nc.(interface{ Still() error }); ok {
+func checkPeer(conn net.Conn) error {
+	if s, ok := conn.(interface{ Still() error }); ok {
 		return s.Still()
 	}
 	return nil
 }
 
 // Abort breaks the exchange under way, if any, and all later ones: they end with ErrAborted.
-func (c *Client) Abort() {
-	c.aborted.Store(true)
-	c.Close()
+func (client *Client) Abort() {
+	client.aborted.Store(true)
+	client.Close()
 }
 
 // ErrAborted is the end of an exchange that was broken by Abort; ErrTimeout that of one past its time; ErrRefused that of one
@@ -99,25 +99,25 @@
 
 // Stale tells whether the server has closed or broken an idle connection, or sent something that nobody asked for, or is not
 // believed any more. It does not wait; on a secret connection it reads what belongs to secrecy alone.
-func (c *Client) Stale() bool {
-	if c.reader.Buffered() > 0 || checkPeer(c.conn) != nil {
+func (client *Client) Stale() bool {
+	if client.reader.Buffered() > 0 || checkPeer(client.conn) != nil {
 		return true
 	}
-	if isQuiet(socketOf(c.conn)) {
+	if isQuiet(socketOf(client.conn)) {
 		return false
 	}
-	if !isTLS(c.conn) {
+	if !isTLS(client.conn) {
 		return true
 	}
 	const most = time.Millisecond // it is there already
-	c.conn.SetReadDeadline(time.Now().Add(most))
-	_, err := c.reader.Peek(1)
+	client.conn.SetReadDeadline(time.Now().Add(most))
+	_, err := client.reader.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // quiet tells whether a connection is open at both ends and has brought nothing that was not read.
-func isQuiet(nc net.Conn) bool {
-	e, ok := peekSocket(nc)
+func isQuiet(conn net.Conn) bool {
+	e, ok := peekSocket(conn)
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
@@ -127,8 +127,8 @@
 var recvfrom = syscall.Recvfrom // tests have it fail
 
 // glance looks at a connection's next byte without taking it or waiting; ok is false at its end.
-func peekSocket(nc net.Conn) (e syscall.Errno, ok bool) {
-	sc, is := nc.(syscall.Conn)
+func peekSocket(conn net.Conn) (e syscall.Errno, ok bool) {
+	sc, is := conn.(syscall.Conn)
 	if !is {
 		return syscall.EAGAIN, true // no socket: nothing can be seen
 	}
@@ -152,44 +152,44 @@
 
 // Do sends a request and reads the response, both by the deadline. Progress is told with every error; after one, and
 // after a response with Close, the connection must be closed.
-func (c *Client) Do(q *Request, deadline time.Time) (*Response, Progress, error) {
-	if c.aborted.Load() {
+func (client *Client) Do(req *Request, deadline time.Time) (*Response, Progress, error) {
+	if client.aborted.Load() {
 		return nil, NothingWritten, ErrAborted
 	}
-	c.conn.SetDeadline(deadline)
-	c.writeBuffer = appendRequest(c.writeBuffer[:0], q)
-	if n, err := writeMessage(c.conn, &c.writeBuffer, q.Body, q.ChunkSize > 0); err != nil {
+	client.conn.SetDeadline(deadline)
+	client.writeBuffer = appendRequest(client.writeBuffer[:0], req)
+	if n, err := writeMessage(client.conn, &client.writeBuffer, req.Body, req.ChunkSize > 0); err != nil {
 		progress := PartlyWritten
-		if n == 0 && !isTLS(c.conn) { // of a secret one it tells whole records
+		if n == 0 && !isTLS(client.conn) { // of a secret one it tells whole records
 			progress = NothingWritten
 		}
-		if isTLS(c.conn) && !c.answered { // why may have come already
+		if isTLS(client.conn) && !client.answered { // why may have come already
 			const most = 20 * time.Millisecond // it is here, or was lost
-			c.conn.SetReadDeadline(time.Now().Add(most))
-			if _, other := c.reader.Peek(1); isCertificateRejection(other) {
+			client.conn.SetReadDeadline(time.Now().Add(most))
+			if _, other := client.reader.Peek(1); isCertificateRejection(other) {
 				err = other
 			}
 		}
-		return nil, progress, c.exchangeError(err)
+		return nil, progress, client.exchangeError(err)
 	}
-	if _, err := c.reader.Peek(1); err != nil {
-		return nil, WrittenWhole, c.exchangeError(err)
+	if _, err := client.reader.Peek(1); err != nil {
+		return nil, WrittenWhole, client.exchangeError(err)
 	}
-	c.answered = true
-	p, err := readResponse(c.reader, q.Method, c.limits)
+	client.answered = true
+	resp, err := readResponse(client.reader, req.Method, client.limits)
 	if err != nil {
-		return nil, ResponseBegun, c.exchangeError(err)
+		return nil, ResponseBegun, client.exchangeError(err)
 	}
-	return p, ResponseRead, nil
+	return resp, ResponseRead, nil
 }
 
-func (c *Client) exchangeError(err error) error {
+func (client *Client) exchangeError(err error) error {
 	switch {
-	case c.aborted.Load():
+	case client.aborted.Load():
 		return ErrAborted
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTimeout
-	case !c.answered && isCertificateRejection(err):
+	case !client.answered && isCertificateRejection(err):
 		return fmt.Errorf("%w: %w", ErrCertificateRejected, err)
 	}
 	return fmt.Errorf("exchange broken: %w", err)
--- a/internal/rest/crossing_test.go
+++ b/internal/rest/crossing_test.go
@@ -29,12 +29,12 @@
 	} {
 		l := DefaultLimits
 		passed(&l)
-		s, nc := testConn(t, l)
-		io.WriteString(nc, requestHead+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
-		nc.Write(long)
+		s, conn := testConn(t, l)
+		io.WriteString(conn, requestHead+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
+		conn.Write(long)
 		awaitData(t, s)
 		time.Sleep(10 * time.Millisecond) // for the rest of it
-		if q, err := s.ReadRequest(); err != nil || len(q.Body) != len(long) {
+		if req, err := s.ReadRequest(); err != nil || len(req.Body) != len(long) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -43,12 +43,12 @@
 // A connection that is to end soon is told so while a message comes, between two, or while one is awaited: it still gives the
 // message, and ends when nothing comes.
 func TestEndsBetweenMessages(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
+	s, conn := testConn(t, DefaultLimits)
 	s.SetIdleDeadline(time.Now()) // before anything is awaited
-	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	awaitData(t, s)
-	if q, err := s.ReadRequest(); err != nil || q.Target != "/1" {
-		t.Errorf("sent before: got %+v, %v", q, err)
+	if req, err := s.ReadRequest(); err != nil || req.Target != "/1" {
+		t.Errorf("sent before: got %+v, %v", req, err)
 	}
 	if _, err := s.ReadRequest(); err != ErrIdle {
 		t.Errorf("nothing sent: got %v", err)
@@ -58,8 +58,8 @@
 	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // it has begun
 	time.AfterFunc(50*time.Millisecond, func() { begun.SetIdleDeadline(time.Now()) })
 	time.AfterFunc(100*time.Millisecond, func() { io.WriteString(client, "Host: a\r\n\r\n") })
-	if q, err := begun.ReadRequest(); err != nil || q.Target != "/2" {
-		t.Errorf("begun before: got %+v, %v", q, err)
+	if req, err := begun.ReadRequest(); err != nil || req.Target != "/2" {
+		t.Errorf("begun before: got %+v, %v", req, err)
 	}
 
 	quiet, _ := testConn(t, DefaultLimits)
@@ -72,10 +72,10 @@
 // The last answer on a connection is whole at a client that reads slowly and has sent more than is read: a close with
 // something unread would reset the connection, and what of the answer is on the way would be gone.
 func TestLastAnswerIsNotOvertakenByAReset(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
-	nc.(*net.TCPConn).SetReadBuffer(16 << 10)
-	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
-	nc.Write(make([]byte, 200<<10))
+	s, conn := testConn(t, DefaultLimits)
+	conn.(*net.TCPConn).SetReadBuffer(16 << 10)
+	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	conn.Write(make([]byte, 200<<10))
 	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	answered := make(chan error, 1)
 	go func() { answered <- s.WriteResponse(&Response{Status: 400, Body: answer, Close: true}) }()
 	time.Sleep(300 * time.Millisecond)
-	got, err := io.ReadAll(nc)
+	got, err := io.ReadAll(conn)
 	if err != nil || !bytes.HasSuffix(got, answer) {
 		t.Errorf("%d bytes of over %d, %v", len(got), len(answer), err)
 	}
-	nc.Close()
+	conn.Close()
 	if err := <-answered; err != nil {
 		t.Error(err)
 	}
@@ -95,8 +95,8 @@
 
 // A look that a signal interrupts is made again, and not for ever.
 func TestInterruptedLook(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
-	io.WriteString(nc, "x")
+	s, conn := testConn(t, DefaultLimits)
+	io.WriteString(conn, "x")
 	awaitData(t, s)
 	times, calls := 0, 0
 	recvfrom = func(fd int, b []byte, flags int) (int, syscall.Sockaddr, error) {
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -40,8 +40,8 @@
 
 func (e *MessageError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-func messageError(status int, why string, args ...any) error {
-	return &MessageError{status, fmt.Sprintf(why, args...)}
+func messageError(status int, reason string, args ...any) error {
+	return &MessageError{status, fmt.Sprintf(reason, args...)}
 }
 
 // Header is a message's header fields by canonical name.
@@ -262,7 +262,7 @@
 }
 
 // requestHead reads a request up to its body.
-func readRequestHead(r *bufio.Reader, l *Limits) (q *Request, length int, err error) {
+func readRequestHead(r *bufio.Reader, l *Limits) (req *Request, length int, err error) {
 	b, err := readLine(r, l.MaxLine, 414)
 	if err == nil && len(b) == 0 { // RFC 9112, 2.2: one empty line before a request is passed over
 		b, err = readLine(r, l.MaxLine, 414)
@@ -282,18 +282,18 @@
 		}
 		return nil, 0, messageError(400, "a malformed request line")
 	}
-	q = &Request{Method: string(method), Target: string(target)}
-	if q.Header, err = readHeader(r, l); err != nil {
+	req = &Request{Method: string(method), Target: string(target)}
+	if req.Header, err = readHeader(r, l); err != nil {
 		return nil, 0, err
 	}
-	if hosts := len(q.Header["Host"]); hosts > 1 || hosts == 0 && !http10 {
+	if hosts := len(req.Header["Host"]); hosts > 1 || hosts == 0 && !http10 {
 		return nil, 0, messageError(400, "%d Host headers", hosts)
 	}
-	if length, err = bodyLength(q.Header, http10); err != nil {
+	if length, err = bodyLength(req.Header, http10); err != nil {
 		return nil, 0, err
 	}
-	q.Close = wantsClose(q.Header, http10)
-	return q, length, nil
+	req.Close = wantsClose(req.Header, http10)
+	return req, length, nil
 }
 
 func wantsClose(h Header, http10 bool) bool {
@@ -328,8 +328,8 @@
 		if err != nil {
 			return nil, err
 		}
-		p := &Response{Status: status}
-		if p.Header, err = readHeader(r, l); err != nil {
+		resp := &Response{Status: status}
+		if resp.Header, err = readHeader(r, l); err != nil {
 			return nil, err
 		}
 		if status >= 100 && status < 200 {
@@ -338,43 +338,43 @@
 			}
 			continue
 		}
-		length, err := bodyLength(p.Header, http10)
+		length, err := bodyLength(resp.Header, http10)
 		if err != nil {
 			return nil, err
 		}
-		p.Close = wantsClose(p.Header, http10)
+		resp.Close = wantsClose(resp.Header, http10)
 		if method == "HEAD" || status == 204 || status == 304 {
-			return p, nil
+			return resp, nil
 		}
-		p.Close = p.Close || length == -2
-		p.Body, err = readBody(r, length, l, true, nil)
-		return p, err
+		resp.Close = resp.Close || length == -2
+		resp.Body, err = readBody(r, length, l, true, nil)
+		return resp, err
 	}
 	return nil, messageError(400, "more than %d interim responses", interim)
 }
 
 // AppendRequest appends the request's header block, its body left out unless it goes in chunks.
-func appendRequest(b []byte, q *Request) []byte {
-	b = append(append(append(append(b, q.Method...), ' '), q.Target...), " HTTP/1.1\r\n"...)
-	b = appendHeader(b, q.Header)
-	if q.Close {
+func appendRequest(b []byte, req *Request) []byte {
+	b = append(append(append(append(b, req.Method...), ' '), req.Target...), " HTTP/1.1\r\n"...)
+	b = appendHeader(b, req.Header)
+	if req.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	return appendFraming(b, q.Body, q.ChunkSize, q.Method == "GET" || q.Method == "HEAD")
+	return appendFraming(b, req.Body, req.ChunkSize, req.Method == "GET" || req.Method == "HEAD")
 }
 
-func appendResponse(b []byte, method string, p *Response) []byte {
-	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(p.Status), 10)
-	b = append(append(append(b, ' '), reasonPhrases[p.Status]...), "\r\n"...)
-	b = appendHeader(b, p.Header)
-	if p.Close {
+func appendResponse(b []byte, method string, resp *Response) []byte {
+	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(resp.Status), 10)
+	b = append(append(append(b, ' '), reasonPhrases[resp.Status]...), "\r\n"...)
+	b = appendHeader(b, resp.Header)
+	if resp.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	if method == "HEAD" {
-		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(p.Body)), 10)
+		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(resp.Body)), 10)
 		return append(b, "\r\n\r\n"...)
 	}
-	return appendFraming(b, p.Body, p.ChunkSize, p.Status == 204)
+	return appendFraming(b, resp.Body, resp.ChunkSize, resp.Status == 204)
 }
 
 // appendHeader writes the fields in no set order; those that frame the message are ours to write.
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
+	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close(); sc.Close() })
-	return NewConn(sc, &l, nil), nc
+	t.Cleanup(func() { conn.Close(); sc.Close() })
+	return NewConn(sc, &l, nil), conn
 }
 
 const requestHead = "POST /x HTTP/1.1\r\nHost: a\r\n"
@@ -42,11 +42,11 @@
 		"empty line": {"\r\nGET /x HTTP/1.1\r\nHost: a\r\n\r\n", ""},
 		"long line":  {"GET /x HTTP/1.1\r\nHost: a\r\nLong: " + strings.Repeat("v", 5000) + "\r\n\r\n", ""},
 	} {
-		s, nc := testConn(t, DefaultLimits)
-		io.WriteString(nc, c.in)
-		q, err := s.ReadRequest()
-		if err != nil || string(q.Body) != c.body {
-			t.Errorf("%s: got %+v, %v", name, q, err)
+		s, conn := testConn(t, DefaultLimits)
+		io.WriteString(conn, c.in)
+		req, err := s.ReadRequest()
+		if err != nil || string(req.Body) != c.body {
+			t.Errorf("%s: got %+v, %v", name, req, err)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 		"large chunks":       {requestHead + "Transfer-Encoding: chunked\r\n\r\n65\r\n", 413},
 		"expectation":        {requestHead + "Content-Length: 1\r\nExpect: wonders\r\n\r\n", 417},
 	} {
-		s, nc := testConn(t, small)
-		io.WriteString(nc, c.in)
+		s, conn := testConn(t, small)
+		io.WriteString(conn, c.in)
 		_, err := s.ReadRequest()
 		var r *MessageError
 		if !errors.As(err, &r) || r.Status != c.status {
@@ -104,8 +104,8 @@
 	l := DefaultLimits
 	l.HeaderTimeout, l.BodyTimeout, l.IdleTimeout = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 	for name, in := range map[string]string{"header": "POST /x HT", "body": requestHead + "Content-Length: 5\r\n\r\nhe"} {
-		s, nc := testConn(t, l)
-		io.WriteString(nc, in)
+		s, conn := testConn(t, l)
+		io.WriteString(conn, in)
 		_, err := s.ReadRequest()
 		var r *MessageError
 		if !errors.As(err, &r) || r.Status != 408 {
@@ -119,45 +119,45 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
-	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: a\r\n\r\n")
-	r := bufio.NewReader(nc)
+	s, conn := testConn(t, DefaultLimits)
+	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: a\r\n\r\n")
+	r := bufio.NewReader(conn)
 	for _, want := range []string{"/1", "/2", "/3"} {
-		q, err := s.ReadRequest()
-		if err != nil || q.Target != want {
-			t.Fatalf("got %+v, %v", q, err)
+		req, err := s.ReadRequest()
+		if err != nil || req.Target != want {
+			t.Fatalf("got %+v, %v", req, err)
 		}
 		_, stop := s.WatchClose()
 		stop()
 		if err := s.WriteResponse(&Response{Status: 200, Body: []byte(want), ChunkSize: len(want) % 2}); err != nil {
 			t.Fatal(err)
 		}
-		p, err := readResponse(r, q.Method, &DefaultLimits)
-		if err != nil || q.Method != "HEAD" && string(p.Body) != want || q.Method == "HEAD" && p.Header.Get("Content-Length") != "2" {
-			t.Errorf("%s: got %+v, %v", want, p, err)
+		resp, err := readResponse(r, req.Method, &DefaultLimits)
+		if err != nil || req.Method != "HEAD" && string(resp.Body) != want || req.Method == "HEAD" && resp.Header.Get("Content-Length") != "2" {
+			t.Errorf("%s: got %+v, %v", want, resp, err)
 		}
 	}
 }
 
 func TestContinueIsSaidBeforeTheBody(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
-	io.WriteString(nc, requestHead+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
+	s, conn := testConn(t, DefaultLimits)
+	io.WriteString(conn, requestHead+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 	got := make(chan string, 1)
 	go func() {
 		b := make([]byte, 25)
-		io.ReadFull(nc, b)
+		io.ReadFull(conn, b)
 		got <- string(b)
-		io.WriteString(nc, "ok")
+		io.WriteString(conn, "ok")
 	}()
-	q, err := s.ReadRequest()
-	if text := <-got; err != nil || text != "HTTP/1.1 100 Continue\r\n\r\n" || string(q.Body) != "ok" {
-		t.Errorf("got %q, %+v, %v", text, q, err)
+	req, err := s.ReadRequest()
+	if text := <-got; err != nil || text != "HTTP/1.1 100 Continue\r\n\r\n" || string(req.Body) != "ok" {
+		t.Errorf("got %q, %+v, %v", text, req, err)
 	}
 }
 
 func TestWatchSeesTheClientLeave(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
-	io.WriteString(nc, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	s, conn := testConn(t, DefaultLimits)
+	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 	}
 	gone, stop := s.WatchClose()
 	defer stop()
-	nc.Close()
+	conn.Close()
 	select {
 	case err := <-gone:
 		if err != io.EOF || !s.PeerClosed() {
@@ -178,9 +178,9 @@
 }
 
 func TestReserveBoundsBodies(t *testing.T) {
-	s, nc := testConn(t, DefaultLimits)
+	s, conn := testConn(t, DefaultLimits)
 	s.reserve = func(n int) bool { return n < 3 }
-	io.WriteString(nc, requestHead+"Content-Length: 5\r\n\r\nhello")
+	io.WriteString(conn, requestHead+"Content-Length: 5\r\n\r\nhello")
 	_, err := s.ReadRequest()
 	var r *MessageError
 	if !errors.As(err, &r) || r.Status != 503 {
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c, err := Dial(context.Background(), ln.Addr().String(), &DefaultLimits)
+	client, err := Dial(context.Background(), ln.Addr().String(), &DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,8 +204,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); sc.Close() })
-	return c, sc.(*net.TCPConn)
+	t.Cleanup(func() { client.Close(); sc.Close() })
+	return client, sc.(*net.TCPConn)
 }
 
 func testRequest() *Request {
@@ -216,70 +216,70 @@
 
 // Rule 2 rests on how far an exchange had got.
 func TestDoTellsProgress(t *testing.T) {
-	c, s := testClient(t)
+	client, s := testClient(t)
 	s.SetLinger(0)
 	s.Close()
-	for !c.Stale() {
+	for !client.Stale() {
 		time.Sleep(time.Millisecond)
 	}
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
+	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
 		t.Errorf("broken before: got %d, %v", progress, err)
 	}
 
-	c, s = testClient(t)
-	q := testRequest()
-	q.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the sockets hold
+	client, s = testClient(t)
+	req := testRequest()
+	req.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the sockets hold
 	go func(s *net.TCPConn) {
 		io.ReadFull(s, make([]byte, 1000))
 		s.SetLinger(0)
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(q, testDeadline()); err == nil || progress != PartlyWritten {
+	if _, progress, err := client.Do(req, testDeadline()); err == nil || progress != PartlyWritten {
 		t.Errorf("broken while writing: got %d, %v", progress, err)
 	}
 
-	c, s = testClient(t)
+	client, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
+	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
 		t.Errorf("broken after: got %d, %v", progress, err)
 	}
 
-	c, s = testClient(t)
+	client, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
+	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
 		t.Errorf("broken in the answer: got %d, %v", progress, err)
 	}
 }
 
 func TestDoTimesOutAndAborts(t *testing.T) {
-	c, _ := testClient(t)
-	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
+	client, _ := testClient(t)
+	if _, progress, err := client.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
 		t.Errorf("got %d, %v", progress, err)
 	}
-	c, _ = testClient(t)
-	time.AfterFunc(30*time.Millisecond, c.Abort)
-	if _, _, err := c.Do(testRequest(), testDeadline()); err != ErrAborted {
+	client, _ = testClient(t)
+	time.AfterFunc(30*time.Millisecond, client.Abort)
+	if _, _, err := client.Do(testRequest(), testDeadline()); err != ErrAborted {
 		t.Errorf("got %v", err)
 	}
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
+	if _, progress, err := client.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
 		t.Errorf("after it: got %d, %v", progress, err)
 	}
 }
 
 func TestStale(t *testing.T) {
-	c, s := testClient(t)
-	if c.Stale() {
+	client, s := testClient(t)
+	if client.Stale() {
 		t.Error("a quiet connection is called stale")
 	}
 	io.WriteString(s, "x")
-	for end := time.Now().Add(5 * time.Second); !c.Stale(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !client.Stale(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("bytes that nobody asked for were not seen")
 		}
@@ -295,27 +295,27 @@
 	l.MaxBody, l.MaxHeaders = 1000, 10
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), 64)
-		q, length, err := readRequestHead(r, &l)
+		req, length, err := readRequestHead(r, &l)
 		if err != nil {
 			return
 		}
-		if q.Body, err = readBody(r, length, &l, false, nil); err != nil {
+		if req.Body, err = readBody(r, length, &l, false, nil); err != nil {
 			return
 		}
 		// What was taken must be written and read again as the same message, or someone could frame it differently.
-		b := appendRequest(nil, q)
+		b := appendRequest(nil, req)
 		if !bytes.Contains(b, []byte("chunked")) {
-			b = append(b, q.Body...)
+			b = append(b, req.Body...)
 		}
 		r = bufio.NewReader(bytes.NewReader(b))
 		again, length, err := readRequestHead(r, &DefaultLimits)
 		if err != nil {
-			if _, ok := q.Header["Host"]; !ok {
+			if _, ok := req.Header["Host"]; !ok {
 				return // HTTP/1.0 needs none, and is written as 1.1
 			}
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
-		if again.Body, err = readBody(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(q.Body, again.Body) || q.Target != again.Target {
+		if again.Body, err = readBody(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(req.Body, again.Body) || req.Target != again.Target {
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
 	})
@@ -327,8 +327,8 @@
 	l := DefaultLimits
 	l.MaxBody = 1000
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if p, err := readResponse(bufio.NewReader(bytes.NewReader(in)), "POST", &l); err == nil && len(p.Body) > l.MaxBody {
-			t.Fatalf("%q: a body of %d bytes", in, len(p.Body))
+		if resp, err := readResponse(bufio.NewReader(bytes.NewReader(in)), "POST", &l); err == nil && len(resp.Body) > l.MaxBody {
+			t.Fatalf("%q: a body of %d bytes", in, len(resp.Body))
 		}
 	})
 }
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -29,49 +29,49 @@
 }
 
 // NewConn serves a connection; room may be nil.
-func NewConn(nc net.Conn, limits *Limits, room Reserve) *Conn {
-	in := &deadlineReader{conn: nc}
-	return &Conn{conn: nc, deadlines: in, reader: bufio.NewReaderSize(in, readBuffer), limits: limits, reserve: room}
+func NewConn(conn net.Conn, limits *Limits, room Reserve) *Conn {
+	in := &deadlineReader{conn: conn}
+	return &Conn{conn: conn, deadlines: in, reader: bufio.NewReaderSize(in, readBuffer), limits: limits, reserve: room}
 }
 
 // Close closes the connection; it may be called from any goroutine.
-func (c *Conn) Close() error { return socketOf(c.conn).Close() }
+func (client *Conn) Close() error { return socketOf(client.conn).Close() }
 
 // EndBy has the connection end once no request has begun on it by a time: Next gives what had come by then, and after that
 // ErrIdle. It may be called from any goroutine, whatever the connection does.
-func (c *Conn) SetIdleDeadline(at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.idleDeadline = at
-	if c.awaitingRequest {
-		c.deadlines.setDeadline(at)
+func (client *Conn) SetIdleDeadline(at time.Time) {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.idleDeadline = at
+	if client.awaitingRequest {
+		client.deadlines.setDeadline(at)
 	}
 }
 
 // await waits for the first byte of a request.
-func (c *Conn) awaitRequest() error {
-	c.mu.Lock()
-	at := deadlineAfter(c.limits.IdleTimeout)
-	if !c.idleDeadline.IsZero() && (at.IsZero() || c.idleDeadline.Before(at)) {
-		at = c.idleDeadline
-	}
-	c.awaitingRequest = true
-	c.deadlines.setDeadline(at)
-	c.mu.Unlock()
-	_, err := c.reader.Peek(1)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.awaitingRequest = false
-	c.deadlines.setDeadline(deadlineAfter(c.limits.HeaderTimeout))
+func (client *Conn) awaitRequest() error {
+	client.mu.Lock()
+	at := deadlineAfter(client.limits.IdleTimeout)
+	if !client.idleDeadline.IsZero() && (at.IsZero() || client.idleDeadline.Before(at)) {
+		at = client.idleDeadline
+	}
+	client.awaitingRequest = true
+	client.deadlines.setDeadline(at)
+	client.mu.Unlock()
+	_, err := client.reader.Peek(1)
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	client.awaitingRequest = false
+	client.deadlines.setDeadline(deadlineAfter(client.limits.HeaderTimeout))
 	return err
 }
 
 // More tells whether something of a further request is here already.
-func (c *Conn) HasPending() bool {
-	if c.reader.Buffered() > 0 {
+func (client *Conn) HasPending() bool {
+	if client.reader.Buffered() > 0 {
 		return true
 	}
-	e, ok := peekSocket(socketOf(c.conn))
+	e, ok := peekSocket(socketOf(client.conn))
 	return ok && e == 0
 }
 
@@ -88,43 +88,43 @@
 // Next waits for the next request and reads it whole. io.EOF tells that the client is done, ErrIdle that it was idle;
 // a *Refused is to be answered with its status, a *Distrusted as it says, and both close the connection. Other errors are the
 // connection's.
-func (c *Conn) ReadRequest() (*Request, error) {
-	if err := c.awaitRequest(); err != nil {
+func (client *Conn) ReadRequest() (*Request, error) {
+	if err := client.awaitRequest(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			err = ErrIdle
 		}
 		return nil, err
 	}
-	if err := checkPeer(c.conn); err != nil {
+	if err := checkPeer(client.conn); err != nil {
 		return nil, &PeerUntrustedError{err}
 	}
-	c.method = ""
-	began := c.deadlines.receivedAt
-	q, length, err := readRequestHead(c.reader, c.limits)
+	client.method = ""
+	began := client.deadlines.receivedAt
+	req, length, err := readRequestHead(client.reader, client.limits)
 	if err != nil {
 		return nil, timeoutError(err, "header")
 	}
-	c.method, q.ArrivedAt = q.Method, began
+	client.method, req.ArrivedAt = req.Method, began
 	if length == -2 || length == 0 {
-		return q, nil
+		return req, nil
 	}
-	if expect := q.Header.Get("Expect"); expect != "" {
+	if expect := req.Header.Get("Expect"); expect != "" {
 		if !equalFold(expect, "100-continue") {
 			return nil, messageError(417, "an expectation other than 100-continue")
 		}
-		if length > c.limits.MaxBody { // said before the client sends it
-			return nil, messageError(413, "a body of more than %d bytes", c.limits.MaxBody)
+		if length > client.limits.MaxBody { // said before the client sends it
+			return nil, messageError(413, "a body of more than %d bytes", client.limits.MaxBody)
 		}
-		c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
-		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		client.conn.SetWriteDeadline(deadlineAfter(client.limits.WriteTimeout))
+		if _, err := io.WriteString(client.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, err
 		}
 	}
-	c.deadlines.setDeadline(deadlineAfter(c.limits.BodyTimeout))
-	if q.Body, err = readBody(c.reader, length, c.limits, false, c.reserve); err != nil {
+	client.deadlines.setDeadline(deadlineAfter(client.limits.BodyTimeout))
+	if req.Body, err = readBody(client.reader, length, client.limits, false, client.reserve); err != nil {
 		return nil, timeoutError(err, "body")
 	}
-	return q, nil
+	return req, nil
 }
 
 func equalFold(a, b string) bool {
@@ -158,12 +158,12 @@
 
 // Watch reports on the channel if the client closes or breaks the connection before stop is called. Requests that
 // come meanwhile are kept. Stop must be called, and returns once the watcher is gone.
-func (c *Conn) WatchClose() (gone <-chan error, stop func()) {
+func (client *Conn) WatchClose() (gone <-chan error, stop func()) {
 	left, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
-	c.deadlines.setDeadline(time.Time{})
+	client.deadlines.setDeadline(time.Time{})
 	go func() {
 		defer close(ended)
-		if _, err := c.reader.Peek(1); err != nil {
+		if _, err := client.reader.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
 				left <- err
 			}
@@ -171,7 +171,7 @@
 		}
 		again := time.NewTicker(closePollInterval)
 		defer again.Stop()
-		for !c.PeerClosed() {
+		for !client.PeerClosed() {
 			select {
 			case <-again.C:
 			case <-stopped:
@@ -182,22 +182,22 @@
 	}()
 	return left, func() {
 		close(stopped)
-		c.deadlines.interrupt()
+		client.deadlines.interrupt()
 		<-ended
 	}
 }
 
 // Gone tells whether the client has already closed or broken the connection, without waiting. It may be called from any goroutine.
-func (c *Conn) PeerClosed() bool { return peerClosed(socketOf(c.conn)) }
+func (client *Conn) PeerClosed() bool { return peerClosed(socketOf(client.conn)) }
 
 // Answer writes the response to the request in hand.
-func (c *Conn) WriteResponse(p *Response) error {
-	c.writeBuffer = appendResponse(c.writeBuffer[:0], c.method, p)
-	whole := c.method == "HEAD" || p.ChunkSize > 0
-	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
-	_, err := writeMessage(c.conn, &c.writeBuffer, p.Body, whole)
-	if err == nil && p.Close {
-		c.drain()
+func (client *Conn) WriteResponse(resp *Response) error {
+	client.writeBuffer = appendResponse(client.writeBuffer[:0], client.method, resp)
+	whole := client.method == "HEAD" || resp.ChunkSize > 0
+	client.conn.SetWriteDeadline(deadlineAfter(client.limits.WriteTimeout))
+	_, err := writeMessage(client.conn, &client.writeBuffer, resp.Body, whole)
+	if err == nil && resp.Close {
+		client.drain()
 	}
 	return err
 }
@@ -211,34 +211,34 @@
 
 // linger closes a connection so that an answer just written is not lost to a reset for bytes that nobody read. Beyond the bound
 // on bytes nothing is read, so that a flood costs nothing, and the close waits all the same.
-func (c *Conn) drain() {
-	if s, ok := c.conn.(interface{ CloseWrite() error }); ok && isTLS(c.conn) {
+func (client *Conn) drain() {
+	if s, ok := client.conn.(interface{ CloseWrite() error }); ok && isTLS(client.conn) {
 		s.CloseWrite()
 	}
-	nc := socketOf(c.conn)
-	if t, ok := nc.(*net.TCPConn); ok && t.CloseWrite() == nil {
+	conn := socketOf(client.conn)
+	if t, ok := conn.(*net.TCPConn); ok && t.CloseWrite() == nil {
 		until := time.Now().Add(drainTime)
-		nc.SetReadDeadline(until)
-		if _, err := io.CopyN(io.Discard, nc, maxDrainBytes); err == nil {
+		conn.SetReadDeadline(until)
+		if _, err := io.CopyN(io.Discard, conn, maxDrainBytes); err == nil {
 			time.Sleep(time.Until(until))
 		}
 	}
-	nc.Close()
+	conn.Close()
 }
 
 // write sends a header block and a body in one write where that costs little.
-func writeMessage(nc net.Conn, head *[]byte, body []byte, whole bool) (int64, error) {
+func writeMessage(conn net.Conn, head *[]byte, body []byte, whole bool) (int64, error) {
 	const small = 16 << 10 // to copy is cheaper than a vectored write
 	if whole || len(body) <= small {
 		if !whole {
 			*head = append(*head, body...)
 		}
-		n, err := nc.Write(*head)
+		n, err := conn.Write(*head)
 		if cap(*head) > 4*small {
 			*head = nil
 		}
 		return int64(n), err
 	}
 	parts := net.Buffers{*head, body}
-	return parts.WriteTo(nc)
+	return parts.WriteTo(conn)
 }
--- a/internal/rest/state.go
+++ b/internal/rest/state.go
@@ -12,9 +12,9 @@
 // and may be made from any goroutine.
 
 // unread is how long ago the last bytes came, to a millisecond; 0 where it can't be told.
-func sinceLastData(nc net.Conn) time.Duration {
+func sinceLastData(conn net.Conn) time.Duration {
 	ago := time.Duration(0)
-	control(nc, func(fd int) {
+	control(conn, func(fd int) {
 		if i, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			ago = time.Duration(i.Last_data_recv) * time.Millisecond
 		}
@@ -23,9 +23,9 @@
 }
 
 // left tells whether the other end has closed its side of a connection, or broken it, also behind bytes that nobody has read yet.
-func peerClosed(nc net.Conn) bool {
+func peerClosed(conn net.Conn) bool {
 	state := 0
-	ok := control(nc, func(fd int) {
+	ok := control(conn, func(fd int) {
 		if v, err := unix.GetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			state = v & 0xff // the first field
 		}
@@ -35,8 +35,8 @@
 }
 
 // look has a connection's descriptor looked at; no tells that it has none, or is closed.
-func control(nc net.Conn, at func(fd int)) (ok bool) {
-	sc, is := nc.(syscall.Conn)
+func control(conn net.Conn, at func(fd int)) (ok bool) {
+	sc, is := conn.(syscall.Conn)
 	if !is {
 		return false
 	}
