--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -51,7 +51,7 @@
 	g.clientCount.Add(1)
 	g.clientReaders.Add(1)
 	if !admin && g.overload != nil {
-		g.post(func(now control.Micros) { g.overload.Connected(now) })
+		g.post(func(now control.Micros) { g.overload.RecordConnection(now) })
 	}
 	go func() {
 		defer g.clientReaders.Done()
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -42,7 +42,7 @@
 // some time after it; then the connection ends.
 func TestStopAnswersWhatWasSentAhead(t *testing.T) {
 	m := serverOptions(0)
-	m.Work = 100 * time.Millisecond
+	m.ExecutionTime = 100 * time.Millisecond
 	tg := newTestGateway(t, m)
 	ahead, r := tg.dialClient()
 	io.WriteString(ahead, inferText("a", "forecast-1")+inferText("b", "forecast-1")+inferText("c", "forecast-1"))
@@ -134,7 +134,7 @@
 // A job that would take longer than a stopping router has left gets its answer all the same.
 func TestStopAnswersLongJobs(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
-	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1"))
 	for tg.received("1") == 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,12 +44,12 @@
 
 	// The turn's own; touched by no other goroutine.
 	core             *core.Core
-	recordWriter     *record.Writer // nil: nothing is recorded
-	recorder         *record.Tape   // the writer's
+	recordWriter     *record.Writer   // nil: nothing is recorded
+	recorder         *record.Recorder // the writer's
 	decisions        decisionLog
 	view             *xds.View // nil: ours is not served
-	loadTally        *loadreport.Tally
-	overload         *overload.Watch            // nil: storms are not damped
+	loadTally        *loadreport.Collector
+	overload         *overload.Controller       // nil: storms are not damped
 	loadReporter     *loadReporter              // the tally, for others; nil: it is not reported
 	state            *stateKeeper               // nil: nothing outlasts this run
 	keysUnknownUntil control.Micros             // until when an earlier life's marked jobs may be owed and are not known
@@ -81,7 +81,7 @@
 	dial               func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
 	sourceReads        chan chan struct{}                                              // holds one
 	readRequested      atomic.Bool                                                     // the list is read before the next turn, however young it is
-	certStores         map[string]*certstore.Ring                                      // by kind of connections
+	certStores         map[string]*certstore.Store                                     // by kind of connections
 	serveContext       context.Context                                                 // ends with the last turn
 	lastTLSErrors      sync.Map                                                        // address of a worker to what was last said of its certificate
 	serverConns        sync.WaitGroup
@@ -101,7 +101,7 @@
 	client          *rest.Conn
 	clientCheckedAt atomic.Int64 // when the client was last looked at and had not gone, the router's time
 	idempotencyKey  string
-	journalKey      persistence.Mark // for the journal
+	journalKey      persistence.IdempotencyKey // for the journal
 	deadline        control.Micros
 	class           control.ClassID
 	tenant          string
@@ -131,7 +131,7 @@
 	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
-	g.fleet, g.loadTally = fleet.New(0), loadreport.NewTally(g.epoch)
+	g.fleet, g.loadTally = fleet.New(0), loadreport.NewCollector(g.epoch)
 	g.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
 	if config.LoadReports {
 		g.loadReporter = &loadReporter{gateway: g}
@@ -141,7 +141,7 @@
 		for i, s := range config.Deployment.Quotas {
 			shares[i] = s / float64(config.Deployment.Routers)
 		}
-		g.overload = overload.NewWatch(g.epoch, shares, config.Priorities, config.Deployment.MaxRetryAfter, seed)
+		g.overload = overload.NewController(g.epoch, shares, config.Priorities, config.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := config.Deployment
 	deployment.Zone = g.fleet.Zone(config.Zone)
@@ -150,7 +150,7 @@
 		g.state, g.keysUnknownUntil = openStateKeeper(config, g.now(), module, log)
 		g.metrics.registerJournal(g.state)
 		if g.state != nil && g.state.usualLoad != nil && g.overload != nil {
-			g.overload.Recall(g.epoch, *g.state.usualLoad, g.state.usualLoadAge)
+			g.overload.Restore(g.epoch, *g.state.usualLoad, g.state.usualLoadAge)
 		}
 	}
 	g.core = core.New(module, g)
@@ -292,7 +292,7 @@
 	}
 	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
 	if g.overload != nil {
-		g.overload.Woke(g.now(), late)
+		g.overload.RecordStall(g.now(), late)
 	}
 }
 
@@ -367,7 +367,7 @@
 	if g.state != nil {
 		g.state.finalState = g.learnedState(g.now())
 		if g.state.historyTally != nil {
-			g.state.finalHistory = g.state.historyTally.Take()
+			g.state.finalHistory = g.state.historyTally.Drain()
 		}
 	}
 	close(g.loopEnded)
@@ -376,7 +376,7 @@
 		g.core.SetRecorder(nil)
 		g.recorder = nil
 		g.recordWriter.Close()
-		g.log.Info().Int64("bytes", g.recordWriter.Written()).Int64("lost_turns", g.recordWriter.Lost()).Msg("recording ended")
+		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
 	}
 	g.closePools()
 	settled := make(chan struct{})
@@ -431,11 +431,11 @@
 		g.metrics.countAnswer("pushed back")
 		return
 	}
-	if verdict := g.admit(now, req.function, pattern.Class, tenant, ask); !verdict.Admit {
+	if v := g.admit(now, req.function, pattern.Class, tenant, ask); !v.Admitted {
 		req.answer.Give()
-		req.response <- overloadRejection("a storm of calls: "+verdict.Why.String(), verdict.StayAway, verdict.Why.String())
+		req.response <- overloadRejection("a storm of calls: "+v.Reason.String(), v.RetryAfter, v.Reason.String())
 		g.metrics.countAnswer("pushed back")
-		g.metrics.overloadRejections.WithLabelValues(verdict.Why.String()).Inc()
+		g.metrics.overloadRejections.WithLabelValues(v.Reason.String()).Inc()
 		return
 	}
 	if reason := g.journalRefusal(now, g.config.journalKey(req.function, ask, pattern.Class)); reason != "" {
@@ -469,7 +469,7 @@
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
 	} else if g.recorder != nil && ask.ID != "" {
-		g.recorder.Asked(record.Tag(g.config.NameKey, ask.ID))
+		g.recorder.SetClientTag(record.Tag(g.config.NameKey, ask.ID))
 	}
 	g.log.Debug().Uint64("job", uint64(req.id)).Str("request", ask.ID).Str("function", req.function).Msg("taken")
 }
@@ -517,26 +517,26 @@
 	}
 	req.attempts = append(req.attempts, call)
 	req.answer.AttemptBegan()
-	g.loadTally.Chosen(g.fleet.Get(to).Address)
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.Send, Job: coreReq.ID, No: attemptID, Server: to, Time: timeout})
+	g.loadTally.AttemptBegan(g.fleet.Get(to).Address)
+	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandForward, Request: coreReq.ID, Attempt: attemptID, Server: to, Time: timeout})
 	g.dispatch(call)
 }
 
 // Reject and Kill end a job.
 func (g *Gateway) Reject(id control.RequestID, retryAfter control.Micros) {
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.PushBack, Job: id, Time: retryAfter})
+	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandReject, Request: id, Time: retryAfter})
 	g.finish(g.requests[id], "pushed back", rejection("not now: it could not be finished in time", g.spreadRetryAfter(g.requests[id], retryAfter)))
 }
 
 // Fail ends a job of which nothing may be promised.
 func (g *Gateway) Fail(id control.RequestID) {
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.Kill, Job: id})
+	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandFail, Request: id})
 	g.finish(g.requests[id], "killed", failure("the job may have run; its end is not known"))
 }
 
 // CancelAttempt stops waiting for an execution.
 func (g *Gateway) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.CallOff, Job: id, No: attemptID})
+	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandCancelAttempt, Request: id, Attempt: attemptID})
 	if req := g.requests[id]; req != nil && int(attemptID) < len(req.attempts) {
 		req.attempts[attemptID].abandon()
 	}
@@ -548,14 +548,14 @@
 	call := g.newCall(o.Server, micros(g.config.LoadTimeout))
 	call.load = o
 	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		call.journalRound = g.state.Append(persistence.Entry{Kind: persistence.Ordered, At: g.stepTime, Server: o.Server})
+		call.journalRound = g.state.Append(persistence.Entry{Kind: persistence.EntryLoadCommand, At: g.stepTime, Server: o.Server})
 	}
 	call.message = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.openLoadCommands++
 	g.metrics.loadCommands.Inc()
 	g.historyLoadCommand(g.requests[coreReq.ID])
-	g.decisions.add(g.stepTime, record.Deed{Verb: record.Order, Job: coreReq.ID, Server: o.Server, Function: o.Function, Copies: o.Replicas})
+	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandLoad, Request: coreReq.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
 	g.dispatch(call)
 }
 
@@ -586,7 +586,7 @@
 	req := call.request
 	delivery := req.answer.AttemptEnded(outcome.Result)
 	g.metrics.countAttempt(outcome.Result)
-	g.loadTally.Ended(g.pools[call.to].address, outcome.Result, outcome.Report)
+	g.loadTally.AttemptEnded(g.pools[call.to].address, outcome.Result, outcome.Report)
 	g.historyAttempt(now, req, outcome)
 	if outcome.Result.ProvesNotRun() {
 		g.journalNotRun(req.journalKey, call.to)
@@ -602,7 +602,7 @@
 		resp.Close, resp.ChunkSize = false, 0
 		g.finish(req, "finished", resp)
 		if g.overload != nil {
-			g.overload.Answered(now)
+			g.overload.RecordAnswer(now)
 		}
 		return
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -78,24 +78,24 @@
 	ended        chan error
 }
 
-func serverOptions(n int) fakeserver.Make {
-	return fakeserver.Make{Number: n, Copies: 20, Lanes: 2, Cores: 4, Work: 10 * time.Millisecond, Queue: 50, Load: 5 * time.Millisecond,
-		Loads: 4, Window: 600 * time.Millisecond, Cold: time.Second, ColdFrom: 0.25, Fall: time.Second, FallOver: 1e6, Seed: 1}
+func serverOptions(n int) fakeserver.Config {
+	return fakeserver.Config{Number: n, MaxReplicas: 20, Lanes: 2, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 50, LoadTime: 5 * time.Millisecond,
+		MaxLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
 }
 
-func newTestGateway(t *testing.T, makes ...fakeserver.Make) *testGateway {
+func newTestGateway(t *testing.T, makes ...fakeserver.Config) *testGateway {
 	t.Helper()
 	return newTestGatewayWith(t, "", makes...)
 }
 
 // newFieldTold gives a gateway with further settings.
-func newTestGatewayWith(t *testing.T, further string, makes ...fakeserver.Make) *testGateway {
+func newTestGatewayWith(t *testing.T, further string, makes ...fakeserver.Config) *testGateway {
 	t.Helper()
 	return newTestGatewayConfigured(t, further, func(*Config) {}, makes...)
 }
 
 // newFieldChanged gives one whose told values are changed besides.
-func newTestGatewayConfigured(t *testing.T, further string, change func(*Config), makes ...fakeserver.Make) *testGateway {
+func newTestGatewayConfigured(t *testing.T, further string, change func(*Config), makes ...fakeserver.Config) *testGateway {
 	t.Helper()
 	tg := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
@@ -109,7 +109,7 @@
 		states[i] = "ready"
 	}
 	tg.writeEndpoints(states...)
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings+further, tg.endpointFile))
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings+further, tg.endpointFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 		tg.t.Fatal(err)
 	}
 	for i, state := range states {
-		tg.log.Add(invariant.Record{Kind: invariant.Told, Server: i, Word: state})
+		tg.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: state})
 	}
 }
 
@@ -166,19 +166,19 @@
 	}
 	defer client.Close()
 	workload, _, _ := strings.Cut(function, "-")
-	rec := invariant.Record{Kind: invariant.Asked, Job: job, Effect: job, Workload: workload, Limit: tg.log.Now() + limit.Microseconds()}
+	rec := invariant.Record{Kind: invariant.RequestSent, Request: job, Effect: job, Workload: workload, Deadline: tg.log.Now() + limit.Microseconds()}
 	tg.log.Add(rec)
 	resp, _, err := client.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
 		tg.t.Errorf("job %s: %v", job, err)
 		return ""
 	}
-	rec.Kind, rec.Word = invariant.Answered, gjson.GetBytes(resp.Body, "answer").Str
+	rec.Kind, rec.Detail = invariant.ResponseReceived, gjson.GetBytes(resp.Body, "answer").Str
 	if resp.Status == 200 {
-		rec.Word = invariant.Finished
+		rec.Detail = invariant.Succeeded
 	}
 	tg.log.Add(rec)
-	return rec.Word
+	return rec.Detail
 }
 
 func inferRequest(job, function string, limit time.Duration) *rest.Request {
@@ -187,13 +187,13 @@
 }
 
 // judge fails the test for each breach of a rule.
-func (tg *testGateway) checkRules() *invariant.Verdict {
+func (tg *testGateway) checkRules() *invariant.Report {
 	tg.t.Helper()
-	v := invariant.Judge(invariant.Law{Grace: 500_000, Travel: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
-		Workloads: map[string]invariant.Workload{"ticket": {RunOnce: true},
-			"booking": {Fingerprinted: true, Group: "fleet", Window: 600_000}}}, tg.log.Records())
+	v := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
+		Classes: map[string]invariant.Class{"ticket": {NonIdempotent: true},
+			"booking": {IdempotentByKey: true, Scope: "fleet", Window: 600_000}}}, tg.log.Records())
 	for _, r := range v.Rules {
-		for _, b := range r.Breaches {
+		for _, b := range r.Violations {
 			tg.t.Errorf("rule %d: %s", r.Number, b)
 		}
 	}
@@ -208,7 +208,7 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Finished {
+			if word := tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Succeeded {
 				t.Errorf("job %d: %s", i, word)
 			}
 		}()
@@ -225,7 +225,7 @@
 		tg.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range tg.servers {
-		s.Fail(fakeserver.Faults{Silent: true})
+		s.SetFaults(fakeserver.Faults{Silent: true})
 	}
 	var wg sync.WaitGroup
 	for i := range 10 {
@@ -234,14 +234,14 @@
 			go func() {
 				defer wg.Done()
 				word := tg.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
-				if function == "ticket-1" && word == invariant.Finished {
+				if function == "ticket-1" && word == invariant.Succeeded {
 					t.Errorf("%s %d: %s from a silent server", function, i, word)
 				}
 			}()
 		}
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Killed == 0 || v.Executions < 21 {
+	if v := tg.checkRules(); v.Failed == 0 || v.Attempts < 21 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -249,7 +249,7 @@
 // Answers and time limits that meet within a millisecond leave one answer each.
 func TestReplyMeetsTheTimeLimit(t *testing.T) {
 	m := serverOptions(0)
-	m.Work, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
+	m.ExecutionTime, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
 	tg.call("first", "forecast-1", 2*time.Second)
 	var wg sync.WaitGroup
@@ -262,7 +262,7 @@
 		}()
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Finished == 0 || v.PushedBack == 0 {
+	if v := tg.checkRules(); v.Succeeded == 0 || v.Rejected == 0 {
 		t.Errorf("both ends were not met: %+v", v)
 	}
 }
@@ -276,7 +276,7 @@
 		tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := tg.checkRules(); v.Rules[2].Opportunities != 1 || v.Finished != 60 {
+	if v := tg.checkRules(); v.Rules[2].Opportunities != 1 || v.Succeeded != 60 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -311,8 +311,8 @@
 		t.Errorf("old: got %v", result.result)
 	}
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.Received {
-			t.Errorf("server got job %s", r.Job)
+		if r.Kind == invariant.AttemptReceived {
+			t.Errorf("server got job %s", r.Request)
 		}
 	}
 }
@@ -427,8 +427,8 @@
 		}
 	}
 	for _, rec := range tg.log.Records() {
-		if rec.Kind == invariant.Received {
-			t.Errorf("a server got job %q", rec.Job)
+		if rec.Kind == invariant.AttemptReceived {
+			t.Errorf("a server got job %q", rec.Request)
 		}
 	}
 }
@@ -437,7 +437,7 @@
 func TestClientLeaves(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
 	for tg.received("half") == 0 {
@@ -497,7 +497,7 @@
 
 func (tg *testGateway) received(job string) (n int) {
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.Received && r.Job == job {
+		if r.Kind == invariant.AttemptReceived && r.Request == job {
 			n++
 		}
 	}
@@ -529,7 +529,7 @@
 	for range 200 {
 		tg.dialClient()
 	}
-	if word := tg.call("busy", "forecast-1", time.Second); word != invariant.Finished {
+	if word := tg.call("busy", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Errorf("got %s", word)
 	}
 	for range 120 {
@@ -545,7 +545,7 @@
 // Told to stop, it answers all that it holds and takes nothing more.
 func TestStopAnswersAll(t *testing.T) {
 	m := serverOptions(0)
-	m.Work = 100 * time.Millisecond
+	m.ExecutionTime = 100 * time.Millisecond
 	tg := newTestGateway(t, m)
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -567,7 +567,7 @@
 		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Finished == 0 {
+	if v := tg.checkRules(); v.Succeeded == 0 {
 		t.Errorf("got %+v", v)
 	}
 	if _, err := net.Dial("tcp", tg.gateway.Address()); err == nil {
@@ -581,7 +581,7 @@
 		t.Fatal(err)
 	}
 	tg.gateway.RefreshEndpoints()
-	if word := tg.call("1", "forecast-1", time.Second); word != invariant.Finished {
+	if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Errorf("got %s", word)
 	}
 }
@@ -631,14 +631,14 @@
 		t.Fatal(err)
 	}
 	tg.ended <- nil
-	files, err := record.Segments(dir)
+	files, err := record.ListSegments(dir)
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Deeds == 0 {
+	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Commands == 0 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if j, err := explain.Requested(files, record.Tag("", "second")); err != nil || j != 2 {
+	if j, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || j != 2 {
 		t.Errorf("the second request is job %d, %v", j, err)
 	}
 }
@@ -671,7 +671,7 @@
 
 // The module counts the ration of orders by how late one may be written: as late as any choice is.
 func TestLateIsTold(t *testing.T) {
-	in, err := inifile.Read("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/keeper.go
+++ b/internal/gateway/keeper.go
@@ -21,20 +21,20 @@
 type stateKeeper struct {
 	store *persistence.Store
 	*persistence.Journal
-	keys          *persistence.Marks // the turn's own
-	historyTally  *history.Tally     // the turn's own; nil: no history
-	admitted      int                // jobs since first, not yet in the journal; the turn's own
+	keys          *persistence.KeyIndex // the turn's own
+	historyTally  *history.Collector    // the turn's own; nil: no history
+	admitted      int                   // jobs since first, not yet in the journal; the turn's own
 	admittedSince control.Micros
 	history       *history.Store
 	unlock        func()
 	interval      time.Duration
 	historyClosed chan struct{} // closed once the history is written for the last time
 	log           zerolog.Logger
-	usualLoad     *overload.Usual   // of calls, in the last run; nil: not known
-	usualLoadAge  control.Micros    // of that
-	clock         persistence.Clock // of this life
-	finalState    *persistence.Kept // set before the gateway's end is told
-	finalHistory  *history.Taken    // so too
+	usualLoad     *overload.Baseline // of calls, in the last run; nil: not known
+	usualLoadAge  control.Micros     // of that
+	clock         persistence.Clock  // of this life
+	finalState    *persistence.State // set before the gateway's end is told
+	finalHistory  *history.Batch     // so too
 	failed        bool
 }
 
@@ -50,49 +50,49 @@
 func openStateKeeper(config *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (keeper *stateKeeper, unknown control.Micros) {
 	files := config.fileSystem
 	if files == nil {
-		files = persistence.System{}
+		files = persistence.OSFileSystem{}
 	}
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.Patiently(openRetryPause, func() (err error) { unlock, err = persistence.Lock(config.StateDir); return err })
+	err := persistence.RetryTransient(openRetryPause, func() (err error) { unlock, err = persistence.Lock(config.StateDir); return err })
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownUntil(err)
 	}
-	store, found := persistence.Look(persistence.Folder(config.StateDir), config.owner())
-	for _, line := range found.Told {
+	store, found := persistence.OpenStore(persistence.Dir(config.StateDir), config.owner())
+	for _, line := range found.Warnings {
 		log.Warn().Msg("memory: " + line)
 	}
 	learned := &control.LearnedState{}
-	var usual *overload.Usual
+	var usual *overload.Baseline
 	var age control.Micros
-	if k := found.Kept; k != nil {
-		learned, usual, age = k.Module, k.Storm, max(0, now-k.Module.SavedAt)
-		if k.Meets(clock, now); k.Module.SavedAt > 0 {
-			age = now - k.Module.SavedAt // exactly
+	if k := found.State; k != nil {
+		learned, usual, age = k.Learned, k.Overload, max(0, now-k.Learned.SavedAt)
+		if k.Rebase(clock, now); k.Learned.SavedAt > 0 {
+			age = now - k.Learned.SavedAt // exactly
 		}
-		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Module.Functions)).
-			Int("servers", len(k.Module.Servers)).Msg("memory of an earlier run recalled")
+		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Learned.Functions)).
+			Int("servers", len(k.Learned.Servers)).Msg("memory of an earlier run recalled")
 	}
-	if !found.Write {
+	if !found.Writable {
 		unlock()
 		return nil, 0
 	}
 	keeper = &stateKeeper{usualLoad: usual, usualLoadAge: age, clock: clock, store: store, unlock: unlock, interval: config.StateInterval, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{Files: files, Sync: config.JournalSync, Keep: micros(config.KeyRetention), Most: maxJournalBytes, Clock: clock, Now: now,
-		Failed: func(err error) {
+	journal, entries, lines, err := persistence.JournalOptions{FileSystem: files, Sync: config.JournalSync, Retention: micros(config.KeyRetention), MaxBytes: maxJournalBytes, Clock: clock, Now: now,
+		OnFailure: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
 			} else {
 				log.Info().Msg("the journal is written again")
 			}
 		},
-		Said: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(config.StateDir)
+		OnWarning: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(config.StateDir)
 	for _, line := range lines {
 		log.Warn().Msg("memory: " + line)
 	}
 	if err == nil {
-		keeper.keys = journal.Past(entries).Recalled(learned, micros(config.KeyRetention), config.MaxKeys)
+		keeper.keys = journal.Recovered(entries).Apply(learned, micros(config.KeyRetention), config.MaxKeys)
 	}
 	module.ApplyLearned(now, learned)
 	if err != nil {
@@ -100,13 +100,13 @@
 		unlock()
 		return nil, unknownUntil(err)
 	}
-	if journal.Unread() {
+	if journal.Incomplete() {
 		unknown = now + micros(config.KeyRetention)
 	}
 	log.Info().Int("marks", keeper.keys.Len()).Int("entries", len(entries)).Msg("journal read")
 	keeper.Journal = journal
 	if config.MaxHistoryRows > 0 {
-		keeper.historyTally, keeper.historyClosed = history.NewTally(), make(chan struct{})
+		keeper.historyTally, keeper.historyClosed = history.NewCollector(), make(chan struct{})
 		keeper.history = history.NewStore(filepath.Join(config.StateDir, HistoryFile), int64(config.MaxHistoryRows))
 	}
 	return keeper, unknown
@@ -118,16 +118,16 @@
 // unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
 // one that is no folder of ours never did.
 func unknownUntil(err error) control.Micros {
-	if persistence.Passing(err) {
+	if persistence.IsTransient(err) {
 		return forever
 	}
 	return 0
 }
 
 // unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) journalRefusal(now control.Micros, key persistence.Mark) string {
+func (g *Gateway) journalRefusal(now control.Micros, mark persistence.IdempotencyKey) string {
 	switch {
-	case key == 0:
+	case mark == 0:
 	case g.state != nil && g.state.Failing():
 		return "the journal can't be written, and what is sent must be known after a restart"
 	case now < g.keysUnknownUntil:
@@ -147,19 +147,19 @@
 	defer keeper.close()
 	ticker := time.NewTicker(keeper.interval)
 	defer ticker.Stop()
-	copies := make(chan *persistence.Kept, 1)
+	copies := make(chan *persistence.State, 1)
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(now control.Micros) {
-				keeper.keys.Tidy(now)
+				keeper.keys.Prune(now)
 				select {
 				case copies <- g.learnedState(now):
 				default: // the disk is behind: a later copy will do
 				}
 			})
-		case learned := <-copies:
-			keeper.write(learned)
+		case m := <-copies:
+			keeper.write(m)
 		case <-g.loopEnded:
 			keeper.write(keeper.finalState)
 			if keeper.historyTally != nil {
@@ -171,21 +171,21 @@
 }
 
 // kept gives what is to outlast this run.
-func (g *Gateway) learnedState(now control.Micros) *persistence.Kept {
-	learned := &persistence.Kept{Module: g.core.LearnedState(now)}
-	if g.state.clock.Boot != 0 {
-		learned.Clock = &g.state.clock
+func (g *Gateway) learnedState(now control.Micros) *persistence.State {
+	k := &persistence.State{Learned: g.core.LearnedState(now)}
+	if g.state.clock.BootID != 0 {
+		k.Clock = &g.state.clock
 	}
 	if g.overload != nil {
-		usual := g.overload.Remember()
-		learned.Storm = &usual
+		usual := g.overload.Baseline()
+		k.Overload = &usual
 	}
-	return learned
+	return k
 }
 
 // write writes one generation. A disk that fails is told once, and again when it is well.
-func (keeper *stateKeeper) write(learned *persistence.Kept) {
-	err := keeper.store.Write(learned)
+func (keeper *stateKeeper) write(m *persistence.State) {
+	err := keeper.store.Write(m)
 	switch {
 	case err != nil && !keeper.failed:
 		keeper.log.Error().Err(err).Msg("memory can't be written: the last one stands; each further try is made in silence")
@@ -204,21 +204,21 @@
 }
 
 // mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (c *Config) journalKey(function string, ask kserve.Ask, class control.ClassID) persistence.Mark {
+func (c *Config) journalKey(function string, ask kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
 	if ask.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
 		return 0
 	}
-	return persistence.Mark(record.Tag(c.NameKey, function+"\n"+ask.Mark) | 1)
+	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+ask.Mark) | 1)
 }
 
 // earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
 // known its zone and cell are none that any server has.
-func (g *Gateway) earlierAttempts(now control.Micros, key persistence.Mark) []control.Attempt {
-	if g.state == nil || key == 0 {
+func (g *Gateway) earlierAttempts(now control.Micros, mark persistence.IdempotencyKey) []control.Attempt {
+	if g.state == nil || mark == 0 {
 		return nil
 	}
 	var attempts []control.Attempt
-	for _, s := range g.state.keys.MayHaveRun(now, key) {
+	for _, s := range g.state.keys.MayHaveRun(now, mark) {
 		earlier := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
 		if to := g.fleet.Get(s.Server); to != nil {
 			earlier.Zone, earlier.Cell = to.Zone, to.Cell
@@ -236,7 +236,7 @@
 		return
 	}
 	if keeper.admitted > 0 && now > keeper.admittedSince+some {
-		keeper.Append(persistence.Entry{Kind: persistence.Taken, At: keeper.admittedSince, Mark: persistence.Mark(keeper.admitted)})
+		keeper.Append(persistence.Entry{Kind: persistence.EntryAdmitted, At: keeper.admittedSince, Key: persistence.IdempotencyKey(keeper.admitted)})
 		keeper.admitted = 0
 	}
 	if keeper.admitted == 0 {
@@ -246,17 +246,17 @@
 }
 
 // enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) journalAttempt(key persistence.Mark, to control.ServerID) *persistence.Round {
+func (g *Gateway) journalAttempt(mark persistence.IdempotencyKey, to control.ServerID) *persistence.Batch {
 	if g.state == nil {
 		return nil
 	}
 	var entries []persistence.Entry
-	if key != 0 {
-		g.state.keys.Sent(key, persistence.Sent{Server: to, At: g.stepTime})
-		entries = append(entries, persistence.Entry{Kind: persistence.Execution, At: g.stepTime, Mark: key, Server: to})
+	if mark != 0 {
+		g.state.keys.Add(mark, persistence.SentAttempt{Server: to, At: g.stepTime})
+		entries = append(entries, persistence.Entry{Kind: persistence.EntryAttempt, At: g.stepTime, Key: mark, Server: to})
 	}
 	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.stepTime, g.config.Deployment.SlowStartDuration) {
-		entries = append(entries, persistence.Entry{Kind: persistence.ToCold, At: g.stepTime, Server: to})
+		entries = append(entries, persistence.Entry{Kind: persistence.EntrySlowStartSend, At: g.stepTime, Server: to})
 	}
 	if len(entries) == 0 {
 		return nil
@@ -265,10 +265,10 @@
 }
 
 // proved notes that an execution did not run.
-func (g *Gateway) journalNotRun(key persistence.Mark, to control.ServerID) {
-	if g.state != nil && key != 0 {
-		g.state.keys.Unrun(key, to)
-		g.state.Append(persistence.Entry{Kind: persistence.Unrun, At: g.stepTime, Mark: key, Server: to})
+func (g *Gateway) journalNotRun(mark persistence.IdempotencyKey, to control.ServerID) {
+	if g.state != nil && mark != 0 {
+		g.state.keys.RemoveNotRun(mark, to)
+		g.state.Append(persistence.Entry{Kind: persistence.EntryNotRun, At: g.stepTime, Key: mark, Server: to})
 	}
 }
 
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/keeper_test.go
@@ -44,7 +44,7 @@
 		tg.t.Fatal(err)
 	}
 	if resp.Status == 200 {
-		return invariant.Finished
+		return invariant.Succeeded
 	}
 	return gjson.GetBytes(resp.Body, "answer").Str
 }
@@ -53,7 +53,7 @@
 func (tg *testGateway) attemptsBegun(job string, server int) int {
 	n := 0
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.Began && r.Job == job && (server < 0 || r.Server == server) {
+		if r.Kind == invariant.AttemptStarted && r.Request == job && (server < 0 || r.Server == server) {
 			n++
 		}
 	}
@@ -64,34 +64,34 @@
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
 	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, key string, class control.ClassID) persistence.Mark {
+	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
 		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
-	j, _, _, err := persistence.OpenJournal(dir, persistence.Grouped, 1<<40, 1<<30, func(error) {})
+	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := control.Micros(time.Now().UnixMicro())
 	elsewhere := fleet.ID("127.0.0.1:9")
 	j.Append(
-		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "sent", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Unrun, At: now, Mark: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now - 1_000_000, Mark: mark("booking-1", "late", 1), Server: elsewhere},
-		persistence.Entry{Kind: persistence.Execution, At: now + 3_600_000_000, Mark: mark("booking-1", "clock set back", 1), Server: elsewhere})
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "sent", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryNotRun, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now - 1_000_000, Key: mark("booking-1", "late", 1), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now + 3_600_000_000, Key: mark("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
 	tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
 	for i, c := range []struct {
 		function, mark, want string
 		executions           int
 	}{
-		{"ticket-1", "sent", invariant.Killed, 0},
-		{"ticket-1", "proved", invariant.Finished, 1},
-		{"ticket-1", "new", invariant.Finished, 1},
-		{"ticket-1", "new", invariant.Killed, 0}, // asked again of the same life
-		{"ticket-2", "sent", invariant.Finished, 1},
-		{"booking-1", "late", invariant.PushedBack, 0}, // its window is over; no execution does harm in a window of the whole fleet
-		{"booking-1", "clock set back", invariant.PushedBack, 0},
+		{"ticket-1", "sent", invariant.Failed, 0},
+		{"ticket-1", "proved", invariant.Succeeded, 1},
+		{"ticket-1", "new", invariant.Succeeded, 1},
+		{"ticket-1", "new", invariant.Failed, 0}, // asked again of the same life
+		{"ticket-2", "sent", invariant.Succeeded, 1},
+		{"booking-1", "late", invariant.Rejected, 0}, // its window is over; no execution does harm in a window of the whole fleet
+		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
 		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.executions {
@@ -104,7 +104,7 @@
 func TestNextLifeRecalls(t *testing.T) {
 	dir := t.TempDir()
 	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
-	if word := first.call("1", "forecast-1", time.Second); word != invariant.Finished {
+	if word := first.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
 		t.Fatal(word)
 	}
 	other, err := New(first.gateway.config, zerolog.Nop())
@@ -139,8 +139,8 @@
 func TestAnyFolderLetsTheRouterStart(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.Files[0], "rubbish") },
-		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.Files[0]), 0o700) },
+		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.GenerationFiles[0], "rubbish") },
+		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.GenerationFiles[0]), 0o700) },
 		"bad journal":  func(dir string) error { return writeStateFile(dir, "journal-00000001", "rubbish") },
 		"last journal": func(dir string) error { return writeStateFile(dir, "journal-99999999999999999999", "") },
 		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
@@ -151,7 +151,7 @@
 				t.Fatal(err)
 			}
 			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
-			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Finished {
+			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
 				t.Error(word)
 			}
 		})
@@ -178,22 +178,22 @@
 		return old
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.PushedBack || tg.attemptsBegun("still", -1) > 0 {
+	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsBegun("still", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("still", -1))
 	}
 	set(old)
 	old.Close()
-	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.PushedBack || tg.attemptsBegun("failing", -1) > 0 {
+	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsBegun("failing", -1) > 0 {
 		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("failing", -1))
 	}
-	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Finished {
+	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
 
 // fullDisk is the machine's file system, which fails while it is full.
 type fullDisk struct {
-	persistence.System
+	persistence.OSFileSystem
 	full atomic.Bool
 }
 
@@ -201,15 +201,15 @@
 	if d.full.Load() {
 		return nil, syscall.ENOSPC
 	}
-	f, err := d.System.Create(path)
+	f, err := d.OSFileSystem.Create(path)
 	return &fullFile{f, d}, err
 }
 
-func (d *fullDisk) Names(dir string) ([]string, error) {
+func (d *fullDisk) List(dir string) ([]string, error) {
 	if d.full.Load() {
 		return nil, syscall.EIO
 	}
-	return d.System.Names(dir)
+	return d.OSFileSystem.List(dir)
 }
 
 type fullFile struct {
@@ -243,8 +243,8 @@
 		booking    string
 		executions int
 	}{
-		{"ahead", hour, false, invariant.Finished, 1}, {"back", -hour, false, invariant.Finished, 1}, {"by seconds", 5_000_000, false, invariant.Finished, 1},
-		{"not at all", 0, false, invariant.Finished, 1}, {"another boot", 0, true, invariant.PushedBack, 0}, {"another boot, ahead", hour, true, invariant.PushedBack, 0},
+		{"ahead", hour, false, invariant.Succeeded, 1}, {"back", -hour, false, invariant.Succeeded, 1}, {"by seconds", 5_000_000, false, invariant.Succeeded, 1},
+		{"not at all", 0, false, invariant.Succeeded, 1}, {"another boot", 0, true, invariant.Rejected, 0}, {"another boot, ahead", hour, true, invariant.Rejected, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -252,16 +252,16 @@
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
-				clock.Boot++
+				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{Files: persistence.System{}, Sync: persistence.Grouped, Keep: 1 << 40, Most: 1 << 30, Failed: func(error) {},
-				Said: func(string) {}, Clock: clock, Now: now}.Open(dir)
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.Execution, At: now, Mark: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.Execution, At: now, Mark: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
@@ -271,7 +271,7 @@
 				t.Errorf("booking: got %s with %d executions", got, tg.attemptsBegun("booking", -1))
 			}
 			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
-			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Killed || tg.attemptsBegun("ticket", -1) > 0 {
+			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Failed || tg.attemptsBegun("ticket", -1) > 0 {
 				t.Errorf("ticket: got %s with %d executions", got, tg.attemptsBegun("ticket", -1))
 			}
 		})
@@ -290,15 +290,15 @@
 		job := fmt.Sprint("job-", i)
 		got := tg.callWithKey(job, "ticket-1", job)
 		switch ran := tg.attemptsBegun(job, -1); {
-		case got == invariant.PushedBack && ran == 0:
+		case got == invariant.Rejected && ran == 0:
 			refused++
-		case got != invariant.Finished || ran != 1:
+		case got != invariant.Succeeded || ran != 1:
 			t.Errorf("%s: got %s with %d executions", job, got, ran)
 		case disk.full.Load():
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Finished {
+			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
 				t.Errorf("a job that may repeat: %s", got)
 			}
 			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
@@ -345,7 +345,7 @@
 }
 
 // knownTo gives what a life that begins now would know of marks, were this one killed.
-func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.Marks {
+func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.KeyIndex {
 	t.Helper()
 	copied := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
@@ -361,27 +361,27 @@
 			t.Fatal(err)
 		}
 	}
-	j, entries, _, err := persistence.OpenJournal(copied, persistence.Never, 1<<40, 1<<30, func(error) {})
+	j, entries, _, err := persistence.OpenJournal(copied, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	return persistence.Recalled(&control.LearnedState{}, entries, 1<<40, 1000)
+	return persistence.ApplyEntries(&control.LearnedState{}, entries, 1<<40, 1000)
 }
 
 // What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
 // earlier life may have run.
 func TestFolderThatFailsAtAStart(t *testing.T) {
 	var said strings.Builder
-	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.Grouped, fileSystem: &fullDisk{}}
+	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, fileSystem: &fullDisk{}}
 	disk := config.fileSystem.(*fullDisk)
 	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		keeper.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	r := keeper.Append(persistence.Entry{Kind: persistence.Execution, At: 1e15, Mark: 1})
+	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
 	<-r.Done()
 	keeper.close()
@@ -401,7 +401,7 @@
 	dir := t.TempDir()
 	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
 	for i := range 30 {
-		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Finished {
+		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
 			t.Fatal(word)
 		}
 	}
@@ -411,20 +411,20 @@
 		t.Fatal(err)
 	}
 	tg.ended <- nil
-	sums := map[string]history.Use{}
+	sums := map[string]history.Usage{}
 	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
-		use := sums[r.Function]
-		use.Merge(r.Use)
-		sums[r.Function] = use
+		u := sums[r.Function]
+		u.Merge(r.Usage)
+		sums[r.Function] = u
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if use := sums["forecast-1"]; use.Jobs != 30 || use.Finished != 30 || use.InTime < 25 || use.Executions < 30 || use.Loads != 1 || use.Quantile(0.5) < 5000 {
-		t.Errorf("got %+v", use)
+	if u := sums["forecast-1"]; u.Requests != 30 || u.Succeeded != 30 || u.WithinObjective < 25 || u.Attempts < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
+		t.Errorf("got %+v", u)
 	}
-	if use := sums["forecast-2"]; use.Jobs != 1 || use.Finished != 0 {
-		t.Errorf("got %+v", use)
+	if u := sums["forecast-2"]; u.Requests != 1 || u.Succeeded != 0 {
+		t.Errorf("got %+v", u)
 	}
 }
 
@@ -436,7 +436,7 @@
 	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
 	now := int64(1_800_000_000_000_000)
 	rows := func() []history.Row {
-		return []history.Row{{At: now / history.Minute * history.Minute, Who: history.Who{Function: "f"}, Use: history.Use{Jobs: 1}}}
+		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
 	}
 	write := func() {
 		now += 10_000_000
@@ -465,7 +465,7 @@
 		write()
 	}
 	jobs := int64(0)
-	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Jobs; return nil })
+	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
 	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
 		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
 	}
@@ -478,7 +478,7 @@
 	for range damagedTries {
 		write()
 	}
-	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Jobs; return nil }); err != nil || jobs != 1+damagedTries {
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
 		t.Errorf("%d jobs more in a new one, %v", jobs, err)
 	}
 	for range 40 {
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -100,7 +100,7 @@
 		if err := os.WriteFile(tg.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for tg.call("first", "forecast-1", limit) != invariant.Finished { // the list is read, and a copy loaded
+		for tg.call("first", "forecast-1", limit) != invariant.Succeeded { // the list is read, and a copy loaded
 			time.Sleep(10 * time.Millisecond)
 		}
 		<-heard
@@ -194,7 +194,7 @@
 func TestCloseBehindARequestIsSeen(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].Fail(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, _ := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
 	for tg.received("1") == 0 {
@@ -213,7 +213,7 @@
 // A client that sends several requests and closes its side has an answer to each.
 func TestHalfClosedClientHasAllItsAnswers(t *testing.T) {
 	m := serverOptions(0)
-	m.Work = 100 * time.Millisecond
+	m.ExecutionTime = 100 * time.Millisecond
 	tg := newTestGateway(t, m)
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1")+inferText("3", "ticket-1"))
--- a/internal/gateway/library_test.go
+++ b/internal/gateway/library_test.go
@@ -19,7 +19,7 @@
 func TestClientLibraryUnderFaults(t *testing.T) {
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
 	for i, s := range tg.servers {
-		s.Fail(fakeserver.Faults{Lost: 0.02, ResetPost: 0.05, ResetEre: 0.05, Full: i == 2})
+		s.SetFaults(fakeserver.Faults{LostAnswers: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
 	}
 	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
@@ -52,16 +52,16 @@
 						mu.Unlock()
 					}
 					last = x.Number
-					rec.Kind, rec.Job, rec.Limit = invariant.Asked, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
+					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
 					tg.log.Add(rec)
-					return inferRequest(rec.Job, "", x.Left).Body
+					return inferRequest(rec.Request, "", x.Left).Body
 				},
 				Tried: func(_ client.Try, ending string) {
-					switch rec.Kind, rec.Word = invariant.Answered, ending; ending {
+					switch rec.Kind, rec.Detail = invariant.ResponseReceived, ending; ending {
 					case "unsent":
-						rec.Kind = invariant.Untaken
+						rec.Kind = invariant.RequestNotSent
 					case "lost":
-						rec.Kind = invariant.GaveUp
+						rec.Kind = invariant.RequestTimedOut
 					}
 					tg.log.Add(rec)
 				}})
@@ -89,5 +89,5 @@
 	if all != calls || outcomes["finished"] < calls*9/10 || repeats == 0 || repeats > calls/5 {
 		t.Errorf("%v, %d repeats", outcomes, repeats)
 	}
-	t.Logf("%v, %d repeats, %d executions", outcomes, repeats, v.Executions)
+	t.Logf("%v, %d repeats, %d executions", outcomes, repeats, v.Attempts)
 }
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -69,38 +69,38 @@
 
 // followPlane follows a control plane in the place of a file. While nothing was heard of it the router takes no jobs.
 func (g *Gateway) followControlPlane(ctx context.Context) {
-	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, g.config.DeltaXDS, xds.Usual)
-	source := xds.Source{Address: g.config.ControlPlane, Creds: g.credentials(xdsConnections), Delta: g.config.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.sourceReads,
-		Grace: g.config.GracePeriod, Complete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
-		Changed: func(now control.Micros) {
-			if list, news := members.News(now); news {
+	members := membership.New(membership.DefaultBounds)
+	f := xds.NewClient(members, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, g.config.DeltaXDS, xds.DefaultBounds)
+	source := xds.Transport{Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Delta: g.config.DeltaXDS, Seed: uint64(g.epoch), Now: g.now, Refresh: g.sourceReads,
+		Grace: g.config.GracePeriod, OnComplete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
+		OnUpdate: func(now control.Micros) {
+			if list, news := members.TakeUpdate(now); news {
 				if g.loadReporter != nil {
-					g.loadReporter.update(members.Facts(), f.Services())
+					g.loadReporter.update(members.Servers(), f.ServiceNames())
 				}
 				g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, list) })
 			}
 		},
-		Note: func(text string) { g.log.Info().Msg("xds: " + text) }}
-	if err := source.Follow(ctx, f); err != nil {
+		Log: func(text string) { g.log.Info().Msg("xds: " + text) }}
+	if err := source.Run(ctx, f); err != nil {
 		g.log.Error().Err(err).Msg("xds: the control plane can't be followed")
 	}
 }
 
 // bootstrap gives what takes in the texts of a file in Envoy's own form, and what ends what waits there.
 func (g *Gateway) envoyFileReader() (take func(text []byte) bool, tick func()) {
-	members := membership.New(membership.Usual)
-	f := xds.NewFollower(members, "", g.config.Zone, false, xds.Usual)
+	members := membership.New(membership.DefaultBounds)
+	f := xds.NewClient(members, "", g.config.Zone, false, xds.DefaultBounds)
 	tell := func() {
-		for _, note := range f.Notes() {
+		for _, note := range f.TakeLogLines() {
 			g.log.Info().Msg("xds: " + note)
 		}
-		if list, news := members.News(g.now()); news {
+		if list, news := members.TakeUpdate(g.now()); news {
 			g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, list) })
 		}
 	}
 	take = func(text []byte) bool {
-		err := f.Bootstrap(g.now(), text)
+		err := f.LoadBootstrap(g.now(), text)
 		if err != nil {
 			g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
 		}
@@ -115,15 +115,15 @@
 
 // take tells the turn of a list's text, unless it is refused.
 func (g *Gateway) readEndpointFile(text []byte) bool {
-	f, err := inifile.Read(g.config.EndpointFile, text)
+	f, err := inifile.Parse(g.config.EndpointFile, text)
 	list := fleet.Update{Full: true}
 	if err == nil {
 		list.Endpoints, err = ParseEndpoints(f)
 	}
 	if err != nil {
-		var faults *inifile.Faults
+		var faults *inifile.ValidationError
 		if errors.As(err, &faults) {
-			g.log.Error().Strs("faults", faults.Lines).Msg("the new list is refused: the old one stands")
+			g.log.Error().Strs("faults", faults.Problems).Msg("the new list is refused: the old one stands")
 		} else {
 			g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("the new list is refused: the old one stands")
 		}
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -40,7 +40,7 @@
 			s, err := g.core.Snapshot()
 			if err == nil {
 				var b []byte
-				if b, err = record.Still(g.recordHeader(), now, s); err == nil {
+				if b, err = record.SnapshotSegment(g.recordHeader(), now, s); err == nil {
 					return &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {"application/octet-stream"}}, Body: b}
 				}
 			}
@@ -97,14 +97,14 @@
 type decisionLog struct {
 	entries [256]struct {
 		at   control.Micros
-		deed record.Deed
+		deed record.Command
 	}
 	n int
 }
 
-func (r *decisionLog) add(at control.Micros, entry record.Deed) {
+func (r *decisionLog) add(at control.Micros, d record.Command) {
 	x := &r.entries[r.n%len(r.entries)]
-	x.at, x.deed = at, entry
+	x.at, x.deed = at, d
 	r.n++
 }
 
@@ -135,7 +135,7 @@
 }
 
 func (g *Gateway) recordHeader() record.Header {
-	return record.Header{Build: program.Build(), Router: g.config.Deployment.Number, Life: g.incarnation}
+	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.Number, Incarnation: g.incarnation}
 }
 
 var errRecording = errors.New("a recording is under way")
@@ -150,15 +150,15 @@
 	}
 	header := g.recordHeader()
 	if g.recordingCount++; g.recordingCount > 1 {
-		header.Life += "r" + string(rune('a'+g.recordingCount%26))
+		header.Incarnation += "r" + string(rune('a'+g.recordingCount%26))
 	}
 	writer, err := record.Open(folder, g.config.RecordBounds, header, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
 	g.recordWriter = writer
-	g.recorder = writer.Tape()
+	g.recorder = writer.Recorder()
 	g.core.SetRecorder(g.recorder)
-	writer.Begin(now)
+	writer.BeginSegment(now)
 	return nil
 }
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -16,14 +16,14 @@
 // counted lends the turn's tally to the stream that reports it.
 type loadReporter struct {
 	gateway  *Gateway
-	places   atomic.Pointer[map[string]loadreport.Place]
+	places   atomic.Pointer[map[string]loadreport.Locality]
 	services atomic.Pointer[map[string]string]
 }
 
 // Take has the turn give its counts. Once the last turn is over there are none.
 func (c *loadReporter) Take(now control.Micros) (r loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
-	c.gateway.afterStep(func(control.Micros) { taken <- c.gateway.loadTally.Take(now) })
+	c.gateway.afterStep(func(control.Micros) { taken <- c.gateway.loadTally.Flush(now) })
 	select {
 	case r = <-taken:
 	case <-c.gateway.loopEnded:
@@ -32,7 +32,7 @@
 }
 
 // Places tells where the servers stand in the control plane's list.
-func (c *loadReporter) Places() map[string]loadreport.Place {
+func (c *loadReporter) Places() map[string]loadreport.Locality {
 	if p := c.places.Load(); p != nil {
 		return *p
 	}
@@ -48,11 +48,11 @@
 }
 
 // listed takes in where servers stand now.
-func (c *loadReporter) update(facts []membership.Fact, services map[string]string) {
-	places := make(map[string]loadreport.Place, len(facts))
+func (c *loadReporter) update(facts []membership.Server, services map[string]string) {
+	places := make(map[string]loadreport.Locality, len(facts))
 	for _, f := range facts {
 		if len(f.Clusters) > 0 {
-			places[f.Address] = loadreport.Place{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
+			places[f.Address] = loadreport.Locality{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
 		}
 	}
 	c.places.Store(&places)
@@ -62,9 +62,9 @@
 // report reports loads to the control plane until the context ends.
 func (g *Gateway) reportLoads(ctx context.Context) {
 	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Source{Address: g.config.ControlPlane, Creds: g.credentials(xdsConnections), Kind: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
-		Changed: func(control.Micros) {}, Note: note}
-	if err := source.Follow(ctx, xds.NewReports(g.loadReporter, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone)); err != nil {
+	source := xds.Transport{Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Service: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
+		OnUpdate: func(control.Micros) {}, Log: note}
+	if err := source.Run(ctx, xds.NewLoadReporter(g.loadReporter, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone)); err != nil {
 		note(err.Error())
 	}
 }
@@ -74,13 +74,13 @@
 	if g.view == nil {
 		return errorResponse(409, "no view is served (serve_view)")
 	}
-	lines, nodes := g.view.Others()
+	lines, nodes := g.view.ReportedLoads()
 	if lines == nil {
-		lines = []loadreport.Line{}
+		lines = []loadreport.EndpointStats{}
 	}
 	b, err := json.Marshal(struct {
 		Followers int
-		Servers   []loadreport.Line
+		Servers   []loadreport.EndpointStats
 	}{nodes, lines})
 	if err != nil {
 		return errorResponse(500, err.Error())
--- a/internal/gateway/rings.go
+++ b/internal/gateway/rings.go
@@ -28,7 +28,7 @@
 
 // secrets reads the sections [tls KIND].
 func (c *Config) parseTLS(f *inifile.File) {
-	c.TLS = map[string]*certstore.Told{}
+	c.TLS = map[string]*certstore.Config{}
 	for _, s := range f.Sections("tls ") {
 		kind := s.Name[len("tls "):]
 		known := false
@@ -36,44 +36,44 @@
 			known = known || k == kind
 		}
 		if !known {
-			s.Fault("", "connections are those of workers, clients, xds and view")
+			s.Errorf("", "connections are those of workers, clients, xds and view")
 			continue
 		}
-		settings := &certstore.Told{Certificate: s.Text("certificate", ""), Key: s.Text("key", ""), Authorities: s.Text("authorities", ""),
-			Revoked: s.Text("revoked", ""), Names: s.Words("names"), Twelve: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
-		if settings.Secrets = s.Text("sds", ""); settings.Secrets != "" {
-			settings.Secrets = parseAddress(s, "sds", "")
-			settings.CertificateSecret, settings.AuthoritiesSecret = s.Text("certificate_secret", ""), s.Text("authorities_secret", "")
-			if host, _, _ := net.SplitHostPort(settings.Secrets); !isLoopback(host) {
-				s.Fault("sds", "%s is not on loopback, and keys come from it in plain text", host)
+		k := &certstore.Config{Certificate: s.String("certificate", ""), Key: s.String("key", ""), Authorities: s.String("authorities", ""),
+			RevocationLists: s.String("revoked", ""), Names: s.Strings("names"), AllowTLS12: s.OneOf("oldest", "1.3", "1.2", "1.3") == 0}
+		if k.SecretsAddress = s.String("sds", ""); k.SecretsAddress != "" {
+			k.SecretsAddress = parseAddress(s, "sds", "")
+			k.CertificateSecret, k.AuthoritiesSecret = s.String("certificate_secret", ""), s.String("authorities_secret", "")
+			if host, _, _ := net.SplitHostPort(k.SecretsAddress); !isLoopback(host) {
+				s.Errorf("sds", "%s is not on loopback, and keys come from it in plain text", host)
 			}
-			if settings.Certificate+settings.Key+settings.Authorities+settings.Revoked != "" {
-				s.Fault("sds", "keys come from files or from a service, not from both")
+			if k.Certificate+k.Key+k.Authorities+k.RevocationLists != "" {
+				s.Errorf("sds", "keys come from files or from a service, not from both")
 			}
 		}
-		if (settings.Certificate == "") != (settings.Key == "") {
-			s.Fault("key", "certificate and key go together")
+		if (k.Certificate == "") != (k.Key == "") {
+			s.Errorf("key", "certificate and key go together")
 		}
-		if settings.Revoked != "" && settings.Authorities == "" {
-			s.Fault("revoked", "means nothing without authorities")
+		if k.RevocationLists != "" && k.Authorities == "" {
+			s.Errorf("revoked", "means nothing without authorities")
 		}
-		shows, checks := settings.Certificate+settings.CertificateSecret != "", settings.Authorities+settings.AuthoritiesSecret != ""
+		shows, checks := k.Certificate+k.CertificateSecret != "", k.Authorities+k.AuthoritiesSecret != ""
 		switch ours := kind == serverConnections || kind == xdsConnections; {
 		case !ours && !shows:
-			s.Fault("certificate", "whoever is connected to must show one")
+			s.Errorf("certificate", "whoever is connected to must show one")
 		case ours && !checks:
-			s.Fault("authorities", "without them anyone could be the other end")
+			s.Errorf("authorities", "without them anyone could be the other end")
 		}
-		if len(settings.Names) > 0 && !checks {
-			s.Fault("names", "mean nothing without authorities")
+		if len(k.Names) > 0 && !checks {
+			s.Errorf("names", "mean nothing without authorities")
 		}
-		c.TLS[kind] = settings
+		c.TLS[kind] = k
 	}
 	if c.TLS[xdsConnections] != nil && c.ControlPlane == "" {
-		f.Section("tls "+xdsConnections).Fault("", "no control plane (xds) is told")
+		f.Section("tls "+xdsConnections).Errorf("", "no control plane (xds) is told")
 	}
 	if c.TLS[viewConnections] != nil && c.ServeView == "" {
-		f.Section("tls "+viewConnections).Fault("", "no view is served (serve_view)")
+		f.Section("tls "+viewConnections).Errorf("", "no view is served (serve_view)")
 	}
 }
 
@@ -82,17 +82,17 @@
 
 // openRings finds the keys of all kinds of connections that are secret.
 func (g *Gateway) openCertStores() error {
-	g.certStores = map[string]*certstore.Ring{}
+	g.certStores = map[string]*certstore.Store{}
 	for _, kind := range connectionKinds {
-		settings := g.config.TLS[kind]
-		if settings == nil {
+		told := g.config.TLS[kind]
+		if told == nil {
 			continue
 		}
-		store, err := certstore.Open(settings, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
+		r, err := certstore.Open(told, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
 		if err != nil {
 			return fmt.Errorf("[tls %s]: %w", kind, err)
 		}
-		g.certStores[kind] = store
+		g.certStores[kind] = r
 	}
 	g.metrics.registry.MustRegister(certMetrics(g.certStores))
 	return nil
@@ -100,22 +100,22 @@
 
 // followRings has the keys change in service until the context ends.
 func (g *Gateway) watchCertStores(ctx context.Context) {
-	for kind, store := range g.certStores {
+	for kind, r := range g.certStores {
 		g.background.Add(1)
 		go func() {
 			defer g.background.Done()
-			store.Follow(ctx)
+			r.Run(ctx)
 		}()
-		settings := g.config.TLS[kind]
-		if settings.Secrets == "" {
+		told := g.config.TLS[kind]
+		if told.SecretsAddress == "" {
 			continue
 		}
 		g.background.Add(1)
 		go func() {
 			defer g.background.Done()
 			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
-			source := xds.Source{Address: settings.Secrets, Kind: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, Changed: func(control.Micros) {}, Note: note}
-			err := source.Follow(ctx, xds.NewSecrets(store, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, settings.CertificateSecret, settings.AuthoritiesSecret))
+			source := xds.Transport{Address: told.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, OnUpdate: func(control.Micros) {}, Log: note}
+			err := source.Run(ctx, xds.NewSecretClient(r, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, told.CertificateSecret, told.AuthoritiesSecret))
 			if err != nil {
 				note(err.Error())
 			}
@@ -125,20 +125,20 @@
 
 // credentials are those of a kind of gRPC connections; nil: in plain text.
 func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
-	if store := g.certStores[kind]; store != nil {
-		return store.Credentials()
+	if r := g.certStores[kind]; r != nil {
+		return r.Credentials()
 	}
 	return nil
 }
 
 // secure makes connections to workers secret where that is told; nil: they are in plain text.
 func (g *Gateway) serverHandshake() rest.Handshake {
-	store := g.certStores[serverConnections]
-	if store == nil {
+	r := g.certStores[serverConnections]
+	if r == nil {
 		return nil
 	}
 	return func(ctx context.Context, conn net.Conn, address string) (net.Conn, error) {
-		s, err := store.Dialled(ctx, conn, address)
+		s, err := r.ClientHandshake(ctx, conn, address)
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
 		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() { // said once
@@ -150,13 +150,13 @@
 
 // welcome makes a client's connection secret where that is told. A handshake takes no longer than a header may.
 func (g *Gateway) clientHandshake(conn net.Conn) (net.Conn, error) {
-	store := g.certStores[clientConnections]
-	if store == nil {
+	r := g.certStores[clientConnections]
+	if r == nil {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(g.serveContext, g.config.HeaderTimeout)
 	defer cancel()
-	s, err := store.Accepted(ctx, conn)
+	s, err := r.ServerHandshake(ctx, conn)
 	if err != nil {
 		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
 		conn.Close()
@@ -165,7 +165,7 @@
 }
 
 // ringMetrics tells what rings have met, by kind of connections.
-type certMetrics map[string]*certstore.Ring
+type certMetrics map[string]*certstore.Store
 
 var (
 	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Secret connections begun.", []string{"connections"}, nil)
@@ -182,15 +182,15 @@
 }
 
 func (m certMetrics) Collect(out chan<- prometheus.Metric) {
-	for kind, store := range m {
-		c := store.Counts()
+	for kind, r := range m {
+		c := r.Stats()
 		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(c.Handshakes), kind)
-		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(c.Failed), kind, "other")
-		for reason, n := range c.Refused {
+		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(c.FailedHandshakes), kind, "other")
+		for reason, n := range c.RejectedPeers {
 			out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(n), kind, reason)
 		}
-		if c.Ends > 0 {
-			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(c.Ends)/1e6, kind)
+		if c.ExpiresAt > 0 {
+			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(c.ExpiresAt)/1e6, kind)
 		}
 	}
 }
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/rings_test.go
@@ -17,50 +17,50 @@
 	"hollymast/internal/rest"
 )
 
-var localhostNames = authority.Asked{Names: []string{"127.0.0.1"}}
+var localhostNames = authority.Request{Names: []string{"127.0.0.1"}}
 
 // ringFor gives a ring of its own files; authorities may be nil.
-func testCertStore(t *testing.T, own authority.Issued, authorities []byte) (*certstore.Told, *certstore.Ring) {
+func testCertStore(t *testing.T, own authority.Certificate, authorities []byte) (*certstore.Config, *certstore.Store) {
 	t.Helper()
 	dir := t.TempDir()
-	settings := &certstore.Told{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
-	for name, b := range map[string][]byte{settings.Certificate: own.Chain, settings.Key: own.Key, settings.Authorities: authorities} {
+	told := &certstore.Config{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), Authorities: filepath.Join(dir, "authorities")}
+	for name, b := range map[string][]byte{told.Certificate: own.Chain, told.Key: own.Key, told.Authorities: authorities} {
 		if err := os.WriteFile(name, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	store, err := certstore.Open(settings, wallClock, func(string) {})
+	r, err := certstore.Open(told, wallClock, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return settings, store
+	return told, r
 }
 
-func serverSide(store *certstore.Ring) func(conn net.Conn) (net.Conn, error) {
-	return func(conn net.Conn) (net.Conn, error) { return store.Accepted(context.Background(), conn) }
+func serverSide(r *certstore.Store) func(conn net.Conn) (net.Conn, error) {
+	return func(conn net.Conn) (net.Conn, error) { return r.ServerHandshake(context.Background(), conn) }
 }
 
 // Workers that are not believed, or do not believe us, count as no connection: even run-once jobs are finished elsewhere, and
 // nothing runs at them. Clients that show no good certificate are refused.
 func TestPeersThatAreNotBelieved(t *testing.T) {
 	ours, theirs := authority.New("ours"), authority.New("theirs")
-	_, good := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
-	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
-	_, aloof := testCertStore(t, ours.Issue(localhostNames), theirs.Cert())
-	makes := []fakeserver.Make{serverOptions(0), serverOptions(1), serverOptions(2)}
-	for i, store := range []*certstore.Ring{stranger, aloof, good} {
-		makes[i].Secure = serverSide(store)
+	_, good := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
+	_, aloof := testCertStore(t, ours.Issue(localhostNames), theirs.CertificatePEM())
+	makes := []fakeserver.Config{serverOptions(0), serverOptions(1), serverOptions(2)}
+	for i, r := range []*certstore.Store{stranger, aloof, good} {
+		makes[i].Handshake = serverSide(r)
 	}
-	toldWorkers, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
-	toldClients, _ := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
+	toldWorkers, _ := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	toldClients, _ := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
 	tg := newTestGatewayConfigured(t, "", func(c *Config) {
-		c.TLS = map[string]*certstore.Told{serverConnections: toldWorkers, clientConnections: toldClients}
+		c.TLS = map[string]*certstore.Config{serverConnections: toldWorkers, clientConnections: toldClients}
 	}, makes...)
-	_, client := testCertStore(t, ours.Issue(localhostNames), ours.Cert())
-	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.Cert())
-	ask := func(store *certstore.Ring, job string) string {
+	_, client := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
+	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
+	ask := func(r *certstore.Store, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, store.Dialled)
+		c, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, r.ClientHandshake)
 		if err != nil {
 			return err.Error()
 		}
@@ -70,18 +70,18 @@
 			return err.Error()
 		}
 		if resp.Status == 200 {
-			return invariant.Finished
+			return invariant.Succeeded
 		}
 		return string(resp.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
-		if word := ask(client, job); word != invariant.Finished {
+		if word := ask(client, job); word != invariant.Succeeded {
 			t.Errorf("job %s: %s", job, word)
 		}
 	}
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.Received && r.Server != 2 {
-			t.Errorf("server %d got job %s", r.Server, r.Job)
+		if r.Kind == invariant.AttemptReceived && r.Server != 2 {
+			t.Errorf("server %d got job %s", r.Server, r.Request)
 		}
 	}
 	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
@@ -98,7 +98,7 @@
 
 // Every fault of the keys' settings is told.
 func TestKeysSettings(t *testing.T) {
-	f, err := inifile.Read("r.ini", []byte(`[router]
+	f, err := inifile.Parse("r.ini", []byte(`[router]
 list = workers.ini
 [workload any]
 [function *]
--- a/internal/gateway/storms.go
+++ b/internal/gateway/storms.go
@@ -9,11 +9,11 @@
 )
 
 // admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admit(now control.Micros, name string, class control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Verdict {
+func (g *Gateway) admit(now control.Micros, name string, class control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Decision {
 	if g.overload == nil {
-		return overload.Verdict{Admit: true}
+		return overload.Decision{Admitted: true}
 	}
-	return g.overload.Arrived(now, overload.Arrival{Tenant: tenant, Repeat: ask.Repeat, Mark: hashKey(ask.Mark),
+	return g.overload.Admit(now, overload.Request{Tenant: tenant, IsRetry: ask.Repeat, KeyHash: hashKey(ask.Mark),
 		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[class]})
 }
 
@@ -30,7 +30,7 @@
 	if g.overload == nil {
 		return retryAfter
 	}
-	return g.overload.Spread(g.stepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
+	return g.overload.RecordRejection(g.stepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
 }
 
 // watchStorm tells operators of storms, after a turn.
@@ -39,7 +39,7 @@
 		return
 	}
 	g.metrics.overloadKind.Set(float64(g.overload.Kind()))
-	for _, text := range g.overload.Notes() {
+	for _, text := range g.overload.LogLines() {
 		g.log.Warn().Msg("storm: " + text)
 	}
 }
--- a/internal/gateway/use.go
+++ b/internal/gateway/use.go
@@ -27,11 +27,11 @@
 }
 
 // who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) historyKey(req *request) history.Who {
+func (g *Gateway) historyKey(req *request) history.Subject {
 	if g.config.NameKey != "" {
-		return history.Who{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function)), Tenant: req.tenant}
+		return history.Subject{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function)), Tenant: req.tenant}
 	}
-	return history.Who{Function: req.function, Tenant: req.tenant}
+	return history.Subject{Function: req.function, Tenant: req.tenant}
 }
 
 func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
@@ -48,18 +48,18 @@
 	default:
 		verb = control.Fail
 	}
-	g.state.historyTally.Answered(g.stepTime, g.historyKey(req), verb, g.stepTime > req.objectiveAt)
+	g.state.historyTally.RequestDone(g.stepTime, g.historyKey(req), verb, g.stepTime > req.objectiveAt)
 }
 
 func (g *Gateway) historyAttempt(now control.Micros, req *request, outcome control.Outcome) {
 	if g.keepsHistory() {
-		g.state.historyTally.Executed(now, g.historyKey(req), outcome)
+		g.state.historyTally.AttemptEnded(now, g.historyKey(req), outcome)
 	}
 }
 
 func (g *Gateway) historyLoadCommand(req *request) {
 	if g.keepsHistory() {
-		g.state.historyTally.Ordered(g.stepTime, g.historyKey(req))
+		g.state.historyTally.LoadCommanded(g.stepTime, g.historyKey(req))
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	if w.damagedCount >= damagedTries {
 		w.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
-		if err = w.store.Aside(now); err == nil {
+		if err = w.store.Quarantine(now); err == nil {
 			err = w.drain(now)
 		}
 	}
@@ -134,15 +134,15 @@
 	defer close(keeper.historyClosed)
 	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
-	taken := make(chan *history.Taken, 1)
+	taken := make(chan *history.Batch, 1)
 	owed := historyWriter{store: keeper.history, log: keeper.log}
-	write := func(t *history.Taken) { owed.write(t.Rows(), int64(g.now())) }
+	write := func(t *history.Batch) { owed.write(t.Rows(), int64(g.now())) }
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(control.Micros) {
 				if len(taken) == 0 { // else the disk is behind: it stays in the tally
-					taken <- keeper.historyTally.Take()
+					taken <- keeper.historyTally.Drain()
 				}
 			})
 		case t := <-taken:
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -43,7 +43,7 @@
 	load         control.LoadCommand
 	to           control.ServerID
 	message      *rest.Request
-	journalRound *persistence.Round // of the journal, in which it must be before it is written; nil: none
+	journalRound *persistence.Batch // of the journal, in which it must be before it is written; nil: none
 	writeBefore  control.Micros     // it is not written later
 	deadline     time.Time
 	ctx          context.Context
@@ -331,7 +331,7 @@
 			delete(g.pools, id)
 		}
 	}
-	g.loadTally.Forget(func(address string) bool { return g.isListed(fleet.ID(address)) })
+	g.loadTally.Prune(func(address string) bool { return g.isListed(fleet.ID(address)) })
 	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -62,7 +62,7 @@
 }
 
 // Close closes the connection.
-func (client *Client) Close() error { return socketOf(client.conn).Close() }
+func (c *Client) Close() error { return socketOf(c.conn).Close() }
 
 // socket is the connection beneath a secret one. It is what is closed: a secret connection's own goodbye may wait for a peer
 // that reads nothing, and says nothing that lengths don't.
@@ -84,9 +84,9 @@
 }
 
 // Abort breaks the exchange under way, if any, and all later ones: they end with ErrAborted.
-func (client *Client) Abort() {
-	client.aborted.Store(true)
-	client.Close()
+func (c *Client) Abort() {
+	c.aborted.Store(true)
+	c.Close()
 }
 
 // ErrAborted is the end of an exchange that was broken by Abort; ErrTimeout that of one past its time; ErrRefused that of one
@@ -99,19 +99,19 @@
 
 // Stale tells whether the server has closed or broken an idle connection, or sent something that nobody asked for, or is not
 // believed any more. It does not wait; on a secret connection it reads what belongs to secrecy alone.
-func (client *Client) Stale() bool {
-	if client.reader.Buffered() > 0 || checkPeer(client.conn) != nil {
+func (c *Client) Stale() bool {
+	if c.reader.Buffered() > 0 || checkPeer(c.conn) != nil {
 		return true
 	}
-	if isQuiet(socketOf(client.conn)) {
+	if isQuiet(socketOf(c.conn)) {
 		return false
 	}
-	if !isTLS(client.conn) {
+	if !isTLS(c.conn) {
 		return true
 	}
 	const most = time.Millisecond // it is there already
-	client.conn.SetReadDeadline(time.Now().Add(most))
-	_, err := client.reader.Peek(1)
+	c.conn.SetReadDeadline(time.Now().Add(most))
+	_, err := c.reader.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -152,44 +152,44 @@
 
 // Do sends a request and reads the response, both by the deadline. Progress is told with every error; after one, and
 // after a response with Close, the connection must be closed.
-func (client *Client) Do(req *Request, deadline time.Time) (*Response, Progress, error) {
-	if client.aborted.Load() {
+func (c *Client) Do(req *Request, deadline time.Time) (*Response, Progress, error) {
+	if c.aborted.Load() {
 		return nil, NothingWritten, ErrAborted
 	}
-	client.conn.SetDeadline(deadline)
-	client.writeBuffer = appendRequest(client.writeBuffer[:0], req)
-	if n, err := writeMessage(client.conn, &client.writeBuffer, req.Body, req.ChunkSize > 0); err != nil {
+	c.conn.SetDeadline(deadline)
+	c.writeBuffer = appendRequest(c.writeBuffer[:0], req)
+	if n, err := writeMessage(c.conn, &c.writeBuffer, req.Body, req.ChunkSize > 0); err != nil {
 		progress := PartlyWritten
-		if n == 0 && !isTLS(client.conn) { // of a secret one it tells whole records
+		if n == 0 && !isTLS(c.conn) { // of a secret one it tells whole records
 			progress = NothingWritten
 		}
-		if isTLS(client.conn) && !client.answered { // why may have come already
+		if isTLS(c.conn) && !c.answered { // why may have come already
 			const most = 20 * time.Millisecond // it is here, or was lost
-			client.conn.SetReadDeadline(time.Now().Add(most))
-			if _, other := client.reader.Peek(1); isCertificateRejection(other) {
+			c.conn.SetReadDeadline(time.Now().Add(most))
+			if _, other := c.reader.Peek(1); isCertificateRejection(other) {
 				err = other
 			}
 		}
-		return nil, progress, client.exchangeError(err)
+		return nil, progress, c.exchangeError(err)
 	}
-	if _, err := client.reader.Peek(1); err != nil {
-		return nil, WrittenWhole, client.exchangeError(err)
+	if _, err := c.reader.Peek(1); err != nil {
+		return nil, WrittenWhole, c.exchangeError(err)
 	}
-	client.answered = true
-	resp, err := readResponse(client.reader, req.Method, client.limits)
+	c.answered = true
+	resp, err := readResponse(c.reader, req.Method, c.limits)
 	if err != nil {
-		return nil, ResponseBegun, client.exchangeError(err)
+		return nil, ResponseBegun, c.exchangeError(err)
 	}
 	return resp, ResponseRead, nil
 }
 
-func (client *Client) exchangeError(err error) error {
+func (c *Client) exchangeError(err error) error {
 	switch {
-	case client.aborted.Load():
+	case c.aborted.Load():
 		return ErrAborted
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return ErrTimeout
-	case !client.answered && isCertificateRejection(err):
+	case !c.answered && isCertificateRejection(err):
 		return fmt.Errorf("%w: %w", ErrCertificateRejected, err)
 	}
 	return fmt.Errorf("exchange broken: %w", err)
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	client, err := Dial(context.Background(), ln.Addr().String(), &DefaultLimits)
+	c, err := Dial(context.Background(), ln.Addr().String(), &DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,8 +204,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { client.Close(); sc.Close() })
-	return client, sc.(*net.TCPConn)
+	t.Cleanup(func() { c.Close(); sc.Close() })
+	return c, sc.(*net.TCPConn)
 }
 
 func testRequest() *Request {
@@ -216,17 +216,17 @@
 
 // Rule 2 rests on how far an exchange had got.
 func TestDoTellsProgress(t *testing.T) {
-	client, s := testClient(t)
+	c, s := testClient(t)
 	s.SetLinger(0)
 	s.Close()
-	for !client.Stale() {
+	for !c.Stale() {
 		time.Sleep(time.Millisecond)
 	}
-	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
 		t.Errorf("broken before: got %d, %v", progress, err)
 	}
 
-	client, s = testClient(t)
+	c, s = testClient(t)
 	req := testRequest()
 	req.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the sockets hold
 	go func(s *net.TCPConn) {
@@ -234,52 +234,52 @@
 		s.SetLinger(0)
 		s.Close()
 	}(s)
-	if _, progress, err := client.Do(req, testDeadline()); err == nil || progress != PartlyWritten {
+	if _, progress, err := c.Do(req, testDeadline()); err == nil || progress != PartlyWritten {
 		t.Errorf("broken while writing: got %d, %v", progress, err)
 	}
 
-	client, s = testClient(t)
+	c, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		s.Close()
 	}(s)
-	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
 		t.Errorf("broken after: got %d, %v", progress, err)
 	}
 
-	client, s = testClient(t)
+	c, s = testClient(t)
 	go func(s *net.TCPConn) {
 		s.Read(make([]byte, 4096))
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		s.Close()
 	}(s)
-	if _, progress, err := client.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
 		t.Errorf("broken in the answer: got %d, %v", progress, err)
 	}
 }
 
 func TestDoTimesOutAndAborts(t *testing.T) {
-	client, _ := testClient(t)
-	if _, progress, err := client.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
+	c, _ := testClient(t)
+	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
 		t.Errorf("got %d, %v", progress, err)
 	}
-	client, _ = testClient(t)
-	time.AfterFunc(30*time.Millisecond, client.Abort)
-	if _, _, err := client.Do(testRequest(), testDeadline()); err != ErrAborted {
+	c, _ = testClient(t)
+	time.AfterFunc(30*time.Millisecond, c.Abort)
+	if _, _, err := c.Do(testRequest(), testDeadline()); err != ErrAborted {
 		t.Errorf("got %v", err)
 	}
-	if _, progress, err := client.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
 		t.Errorf("after it: got %d, %v", progress, err)
 	}
 }
 
 func TestStale(t *testing.T) {
-	client, s := testClient(t)
-	if client.Stale() {
+	c, s := testClient(t)
+	if c.Stale() {
 		t.Error("a quiet connection is called stale")
 	}
 	io.WriteString(s, "x")
-	for end := time.Now().Add(5 * time.Second); !client.Stale(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !c.Stale(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("bytes that nobody asked for were not seen")
 		}
--- a/internal/xds/xds_test.go
+++ b/internal/xds/xds_test.go
@@ -24,7 +24,7 @@
 // scene is a follower of a pretend control plane over real streams.
 type scene struct {
 	t       *testing.T
-	plane   *fakeserver.Plane
+	plane   *fakeserver.ControlPlane
 	mu      sync.Mutex
 	list    map[string]control.ServerState
 	fewest  int // servers ready at any change since it was set
@@ -38,17 +38,17 @@
 func both(t *testing.T, f func(t *testing.T, s *scene)) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			plane, err := fakeserver.NewPlane()
+			plane, err := fakeserver.NewControlPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
 			s := &scene{t: t, plane: plane}
-			m := membership.New(membership.Usual)
-			fo := NewFollower(m, "router-0", "a", delta, Usual)
+			m := membership.New(membership.DefaultBounds)
+			fo := NewClient(m, "router-0", "a", delta, DefaultBounds)
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go func() {
-				done <- Source{Address: plane.Address(), Delta: delta, Now: now, Changed: func(control.Micros) {
+				done <- Transport{Address: plane.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					s.changed++
@@ -60,11 +60,11 @@
 						}
 					}
 					s.fewest = min(s.fewest, ready)
-				}, Note: func(text string) {
+				}, Log: func(text string) {
 					s.mu.Lock()
 					s.notes = append(s.notes, text)
 					s.mu.Unlock()
-				}}.Follow(ctx, fo)
+				}}.Run(ctx, fo)
 			}()
 			defer plane.Stop()
 			defer func() {
@@ -113,10 +113,10 @@
 	return false
 }
 
-func members(states ...core.HealthStatus) []fakeserver.Member {
-	var ms []fakeserver.Member
+func members(states ...core.HealthStatus) []fakeserver.Endpoint {
+	var ms []fakeserver.Endpoint
 	for i, h := range states {
-		ms = append(ms, fakeserver.Member{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
+		ms = append(ms, fakeserver.Endpoint{Address: fmt.Sprintf("127.0.0.%d:80", i+1), Health: h, Zone: "a", Cell: "a1"})
 	}
 	return ms
 }
@@ -124,8 +124,8 @@
 const healthy, draining = core.HealthStatus_HEALTHY, core.HealthStatus_DRAINING
 
 // tell has the plane tell one cluster.
-func (s *scene) tell(name string, ms []fakeserver.Member) {
-	s.plane.Change(func(cs map[string][]fakeserver.Member) { cs[name] = ms })
+func (s *scene) tell(name string, ms []fakeserver.Endpoint) {
+	s.plane.Update(func(cs map[string][]fakeserver.Endpoint) { cs[name] = ms })
 }
 
 func TestClustersThenEndpointsThenChanges(t *testing.T) {
@@ -134,9 +134,9 @@
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, draining, healthy))
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Change(func(cs map[string][]fakeserver.Member) { delete(cs, "two") })
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) { delete(cs, "two") })
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if acks, streams, nacks := s.plane.Counts(); acks < 5 || streams != 1 || len(nacks) > 0 {
 			t.Errorf("%d acks on %d streams, nacks %q", acks, streams, nacks)
@@ -146,25 +146,25 @@
 
 // What is bad is refused whole with its reason and changes nothing; the next good one is taken.
 func TestBadUpdatesAreRefused(t *testing.T) {
-	bad := fakeserver.Assignment("one", members(healthy))
+	bad := fakeserver.LoadAssignment("one", members(healthy))
 	bad.Endpoints[0].LbEndpoints[0].GetEndpoint().Address.GetSocketAddress().PortSpecifier = &core.SocketAddress_PortValue{PortValue: 0}
-	twice := fakeserver.Any(fakeserver.Assignment("one", members(draining)))
-	born := fakeserver.Assignment("one", []fakeserver.Member{{Address: "127.0.0.1:80", Born: "yesterday"}})
+	twice := fakeserver.PackAny(fakeserver.LoadAssignment("one", members(draining)))
+	born := fakeserver.LoadAssignment("one", []fakeserver.Endpoint{{Address: "127.0.0.1:80", StartedAt: "yesterday"}})
 	for i, c := range []struct {
 		resources []*anypb.Any
 		why       string
-	}{{[]*anypb.Any{fakeserver.Any(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
-		{[]*anypb.Any{fakeserver.Any(born)}, "no time"}, {[]*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "x"})}, "can't be read"},
+	}{{[]*anypb.Any{fakeserver.PackAny(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
+		{[]*anypb.Any{fakeserver.PackAny(born)}, "no time"}, {[]*anypb.Any{fakeserver.PackAny(&cluster.Cluster{Name: "x"})}, "can't be read"},
 		{[]*anypb.Any{{TypeUrl: EndpointType, Value: []byte{1, 2, 3}}}, "can't be read"}} {
 		both(t, func(t *testing.T, s *scene) {
 			s.tell("one", members(healthy, healthy))
 			s.await("127.0.0.1:80", "127.0.0.2:80")
-			s.plane.Send(&discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "bad", Nonce: "bad", Resources: c.resources})
+			s.plane.SendRaw(&discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "bad", Nonce: "bad", Resources: c.resources})
 			d := &discovery.DeltaDiscoveryResponse{TypeUrl: EndpointType, Nonce: "bad"}
 			for _, r := range c.resources {
 				d.Resources = append(d.Resources, &discovery.Resource{Name: "one", Version: "bad", Resource: r})
 			}
-			s.plane.Send(d)
+			s.plane.SendRaw(d)
 			if !s.noted("refused") {
 				t.Fatalf("case %d: not refused", i)
 			}
@@ -186,19 +186,19 @@
 func TestStreamCut(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Stall(true)
-		s.plane.Change(func(cs map[string][]fakeserver.Member) {
+		s.plane.SetStalled(true)
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 			delete(cs, "two")
 			cs["one"] = members(healthy, draining, healthy)
 		})
-		s.plane.Cut(true)
+		s.plane.DropStreams(true)
 		if !s.noted("ended") {
 			t.Fatal("the cut was not told")
 		}
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
-		s.plane.Stall(false)
+		s.plane.SetStalled(false)
 		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if !s.noted("is back after") {
 			t.Error("its return was not told")
@@ -232,13 +232,13 @@
 
 func TestEndpointsThatNeverCome(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
-		s.plane.Hide("two", true)
+		s.plane.SetHidden("two", true)
 		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("two", []fakeserver.Endpoint{{Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.tell("one", members(healthy, healthy, draining))
 		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80")
-		s.plane.Hide("two", false)
+		s.plane.SetHidden("two", false)
 		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80", "127.0.0.9:80")
 	})
 }
@@ -252,7 +252,7 @@
 		s.fewest = 2
 		s.mu.Unlock()
 		for i := range 5 {
-			s.plane.Change(func(cs map[string][]fakeserver.Member) {
+			s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 				clear(cs)
 				cs[fmt.Sprint("new", i)] = members(healthy, healthy)
 			})
@@ -271,11 +271,11 @@
 func TestWarmingEnds(t *testing.T) {
 	both(t, func(t *testing.T, s *scene) {
 		s.tell("old", members(healthy))
-		s.tell("stays", []fakeserver.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
+		s.tell("stays", []fakeserver.Endpoint{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
 		s.await("127.0.0.1:80", "127.0.0.8:80", "127.0.0.9:80")
-		s.plane.Hide("new", true)
+		s.plane.SetHidden("new", true)
 		begun := time.Now()
-		s.plane.Change(func(cs map[string][]fakeserver.Member) {
+		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 			delete(cs, "old")
 			cs["new"] = members(healthy)
 		})
@@ -287,64 +287,64 @@
 }
 
 func TestWhatIsPassedOverIsTold(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Usual)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	f.Connected(1)
-	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
-		fakeserver.Any(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
-		fakeserver.Any(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
-			LoadAssignment: fakeserver.Assignment("ring", members(healthy))})}})
-	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
-		fakeserver.Any(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
-	notes := strings.Join(f.Notes(), "\n")
-	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.Refused > 0 {
+	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
+		fakeserver.PackAny(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
+		fakeserver.PackAny(&cluster.Cluster{Name: "ring", LbPolicy: cluster.Cluster_RING_HASH, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STATIC},
+			LoadAssignment: fakeserver.LoadAssignment("ring", members(healthy))})}})
+	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "1", Nonce: "2", Resources: []*anypb.Any{
+		fakeserver.PackAny(&endpoint.ClusterLoadAssignment{ClusterName: "ring"})}})
+	notes := strings.Join(f.TakeLogLines(), "\n")
+	if list := f.members.List(); len(list) != 1 || !strings.Contains(notes, "STRICT_DNS") || !strings.Contains(notes, "balancing policy") || f.RejectedResponses > 0 {
 		t.Errorf("got %+v, %s", list, notes)
 	}
 }
 
 func TestBoundsOfWhatIsAccepted(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
-	many := []*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
-		fakeserver.Any(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
-	f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
-	f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
-	f.Heard(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.Any(fakeserver.Assignment("a", members(healthy, healthy, healthy)))}})
-	if f.Refused != 2 || f.Accepted != 1 || len(f.members.List()) != 0 {
-		t.Errorf("%d refused, %d accepted", f.Refused, f.Accepted)
+	many := []*anypb.Any{fakeserver.PackAny(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
+		fakeserver.PackAny(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
+	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "1", Resources: many})
+	f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, Nonce: "2", Resources: many[:1]})
+	f.HandleResponse(4, &discovery.DiscoveryResponse{TypeUrl: EndpointType, Nonce: "3", Resources: []*anypb.Any{fakeserver.PackAny(fakeserver.LoadAssignment("a", members(healthy, healthy, healthy)))}})
+	if f.RejectedResponses != 2 || f.AcceptedResponses != 1 || len(f.members.List()) != 0 {
+		t.Errorf("%d refused, %d accepted", f.RejectedResponses, f.AcceptedResponses)
 	}
 }
 
 // A NACK repeats the last accepted version and the refused nonce; an ACK has the new ones; a new stream begins with what is known.
 func TestVersionsAndNonces(t *testing.T) {
-	f := NewFollower(membership.New(membership.Usual), "r", "", false, Usual)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	first := f.Connected(1)[0].(*discovery.DiscoveryRequest)
 	if first.VersionInfo != "" || first.ResponseNonce != "" || first.Node.GetId() != "r" || len(first.ResourceNames) > 0 {
 		t.Errorf("first: %+v", first)
 	}
-	one := fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
-	out := f.Heard(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
+	one := fakeserver.PackAny(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})
+	out := f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "7", Nonce: "n1", Resources: []*anypb.Any{one}})
 	ack, eds := out[0].(*discovery.DiscoveryRequest), out[1].(*discovery.DiscoveryRequest)
 	if ack.VersionInfo != "7" || ack.ResponseNonce != "n1" || ack.ErrorDetail != nil || eds.TypeUrl != EndpointType || !slices.Equal(eds.ResourceNames, []string{"a"}) {
 		t.Errorf("got %+v, %+v", ack, eds)
 	}
-	nack := f.Heard(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "8", Nonce: "n2", Resources: []*anypb.Any{one, one}})[0].(*discovery.DiscoveryRequest)
+	nack := f.HandleResponse(3, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "8", Nonce: "n2", Resources: []*anypb.Any{one, one}})[0].(*discovery.DiscoveryRequest)
 	if nack.VersionInfo != "7" || nack.ResponseNonce != "n2" || nack.ErrorDetail == nil {
 		t.Errorf("got %+v", nack)
 	}
-	f.Broken(4)
+	f.Disconnected(4)
 	again := f.Connected(5)
 	if c, e := again[0].(*discovery.DiscoveryRequest), again[1].(*discovery.DiscoveryRequest); c.VersionInfo != "7" || c.ResponseNonce != "" || !slices.Equal(e.ResourceNames, []string{"a"}) {
 		t.Errorf("again: %+v, %+v", c, e)
 	}
-	d := NewFollower(membership.New(membership.Usual), "r", "", true, Usual)
+	d := NewClient(membership.New(membership.DefaultBounds), "r", "", true, DefaultBounds)
 	d.Connected(1)
-	d.Heard(2, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n1", Resources: []*discovery.Resource{{Name: "a", Version: "3", Resource: one}}})
-	d.Broken(3)
+	d.HandleResponse(2, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n1", Resources: []*discovery.Resource{{Name: "a", Version: "3", Resource: one}}})
+	d.Disconnected(3)
 	if r := d.Connected(4)[0].(*discovery.DeltaDiscoveryRequest); r.InitialResourceVersions["a"] != "3" {
 		t.Errorf("delta again: %+v", r)
 	}
-	d.Heard(5, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n2", RemovedResources: []string{"a"}})
-	d.Broken(6)
+	d.HandleResponse(5, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n2", RemovedResources: []string{"a"}})
+	d.Disconnected(6)
 	if r := d.Connected(7)[0].(*discovery.DeltaDiscoveryRequest); len(r.InitialResourceVersions) > 0 {
 		t.Errorf("removed, but known: %+v", r)
 	}
@@ -371,17 +371,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen := []Seen{{Address: "127.0.0.1:80", Zone: "a", Cell: "a1", Power: 2, Born: 1_796_133_869_057_624, Health: membership.Healthy},
-			{Address: "127.0.0.2:80", Zone: "b", Power: 1, Health: membership.Unhealthy}, {Address: "127.0.0.3:80", Power: 1, Health: membership.Draining}}
+		seen := []ServerView{{Address: "127.0.0.1:80", Zone: "a", Cell: "a1", Weight: 2, StartedAt: 1_796_133_869_057_624, Health: membership.Healthy},
+			{Address: "127.0.0.2:80", Zone: "b", Weight: 1, Health: membership.Unhealthy}, {Address: "127.0.0.3:80", Weight: 1, Health: membership.Draining}}
 		if err := v.Publish(1, seen); err != nil {
 			t.Fatal(err)
 		}
-		m := membership.New(membership.Usual)
+		m := membership.New(membership.DefaultBounds)
 		ctx, stop := context.WithCancel(context.Background())
-		facts := make(chan []membership.Fact, 100)
+		facts := make(chan []membership.Server, 100)
 		done := make(chan error, 1)
 		go func() {
-			done <- Source{Address: v.Address(), Delta: delta, Now: now, Changed: func(control.Micros) { facts <- m.Facts() }, Note: func(string) {}}.Follow(ctx, NewFollower(m, "r", "", delta, Usual))
+			done <- Transport{Address: v.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", delta, DefaultBounds))
 		}()
 		await := func(want []membership.Endpoint) {
 			t.Helper()
@@ -391,7 +391,7 @@
 				case fs := <-facts:
 					got = got[:0]
 					for _, f := range fs {
-						if f.Withdrawn == 0 {
+						if f.WithdrawnAt == 0 {
 							got = append(got, f.Endpoint)
 						}
 					}
@@ -400,7 +400,7 @@
 				}
 			}
 		}
-		want := []membership.Endpoint{{Address: "127.0.0.1:80", Health: membership.Healthy, Weight: 200, Zone: "a", Cell: "a1", Born: seen[0].Born},
+		want := []membership.Endpoint{{Address: "127.0.0.1:80", Health: membership.Healthy, Weight: 200, Zone: "a", Cell: "a1", StartedAt: seen[0].StartedAt},
 			{Address: "127.0.0.2:80", Health: membership.Unhealthy, Weight: 100, Zone: "b"}, {Address: "127.0.0.3:80", Health: membership.Draining, Weight: 100}}
 		await(want)
 		again := slices.Clone(seen)
@@ -423,8 +423,8 @@
 }
 
 func TestBootstrapInEnvoysForm(t *testing.T) {
-	m := membership.New(membership.Usual)
-	f := NewFollower(m, "", "", false, Usual)
+	m := membership.New(membership.DefaultBounds)
+	f := NewClient(m, "", "", false, DefaultBounds)
 	text := `
 node: {id: x, cluster: home}
 static_resources:
@@ -445,7 +445,7 @@
         - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: 9002}}}
           health_status: DRAINING
 `
-	if err := f.Bootstrap(1, []byte(text)); err != nil {
+	if err := f.LoadBootstrap(1, []byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	list := m.List()
@@ -454,7 +454,7 @@
 		t.Errorf("got %+v", list)
 	}
 	for _, bad := range []string{"a: [", "static_resources: 7", "node: {}", strings.Replace(text, "port_value: 9001", "port_value: 0", 1)} {
-		if err := f.Bootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := f.LoadBootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q: got %v", bad, err)
 		}
 	}
