--- a/internal/gateway/operators.go
+++ b/internal/gateway/admin.go
@@ -2,13 +2,11 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"net/url"
 	"strings"
 
 	"hollymast/control"
 	"hollymast/internal/core"
-	"hollymast/internal/program"
 	"hollymast/internal/record"
 	"hollymast/internal/rest"
 )
@@ -87,36 +85,6 @@
 	Last []decision `json:"Last"` // oldest first
 }
 
-// decision is one thing that the core asked for.
-type decision struct {
-	At       control.Micros `json:"At"`
-	Decision string         `json:"Decision"`
-}
-
-// recent keeps the last deeds: as many as fill some screens.
-type decisionLog struct {
-	entries [256]struct {
-		at   control.Micros
-		deed record.Command
-	}
-	n int
-}
-
-func (r *decisionLog) add(at control.Micros, d record.Command) {
-	x := &r.entries[r.n%len(r.entries)]
-	x.at, x.deed = at, d
-	r.n++
-}
-
-func (r *decisionLog) list() []decision {
-	var decisions []decision
-	for i := max(0, r.n-len(r.entries)); i < r.n; i++ {
-		x := &r.entries[i%len(r.entries)]
-		decisions = append(decisions, decision{x.at, x.deed.String()})
-	}
-	return decisions
-}
-
 // within runs a function between two turns and waits for it.
 func (g *Gateway) inLoop(f func(now control.Micros) *rest.Response) *rest.Response {
 	done := make(chan *rest.Response, 1)
@@ -128,37 +96,3 @@
 		return errorResponse(503, "this router is stopping")
 	}
 }
-
-// afterTurn has a function called right after the next turn, when no news waits for its decisions.
-func (g *Gateway) afterStep(f func(now control.Micros)) {
-	g.post(func(control.Micros) { g.afterStepFuncs = append(g.afterStepFuncs, f) })
-}
-
-func (g *Gateway) recordHeader() record.Header {
-	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.Number, Incarnation: g.incarnation}
-}
-
-var errRecording = errors.New("a recording is under way")
-
-// startRecording begins a recording in a folder. To open the folder may wait for a disk, once, at an operator's word.
-func (g *Gateway) startRecording(now control.Micros, folder string) error {
-	if g.recordWriter != nil {
-		return errRecording
-	}
-	if folder == "" {
-		return errors.New("no folder is named, here or in the settings")
-	}
-	header := g.recordHeader()
-	if g.recordingCount++; g.recordingCount > 1 {
-		header.Incarnation += "r" + string(rune('a'+g.recordingCount%26))
-	}
-	writer, err := record.Open(folder, g.config.RecordBounds, header, g.core.Snapshot, g.log)
-	if err != nil {
-		return err
-	}
-	g.recordWriter = writer
-	g.recorder = writer.Recorder()
-	g.core.SetRecorder(g.recorder)
-	writer.BeginSegment(now)
-	return nil
-}
--- a/internal/gateway/told.go
+++ b/internal/gateway/config.go
@@ -10,7 +10,6 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/certstore"
-	"hollymast/internal/fleet"
 	"hollymast/internal/inifile"
 	"hollymast/internal/persistence"
 	"hollymast/internal/record"
@@ -87,8 +86,6 @@
 	return Pattern{}, false
 }
 
-func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
-
 // ReadTold reads a router's settings. A *inifile.Faults names every fault with file, line and key.
 func ParseConfig(f *inifile.File) (*Config, error) {
 	const day = 24 * time.Hour
@@ -278,30 +275,6 @@
 	return v
 }
 
-// ReadList reads a list of servers: a section for each, with its address, state, zone, cell, power and start.
-func ParseEndpoints(f *inifile.File) ([]fleet.Endpoint, error) {
-	var list []fleet.Endpoint
-	first := map[string]string{}
-	for _, s := range f.Sections("") {
-		e := fleet.Endpoint{Address: parseAddress(s, "address", ""), Zone: s.String("zone", ""), Cell: s.String("cell", ""),
-			Weight: s.Float("power", 1, 0.001, 1e6),
-			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
-		if born := s.String("born", ""); born != "" {
-			at, err := time.Parse(time.RFC3339Nano, born)
-			if err != nil || at.UnixMicro() <= 0 {
-				s.Errorf("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
-			}
-			e.StartedAt = at.UnixMicro()
-		}
-		if other, twice := first[e.Address]; twice {
-			s.Errorf("address", "also that of [%s]", other)
-		}
-		first[e.Address] = s.Name
-		list = append(list, e)
-	}
-	return list, f.Check()
-}
-
 // NeedRestart names the parts of the settings that differ and can't change in service: all but the log level.
 func ChangesNeedingRestart(old, fresh *Config) []string {
 	var names []string
--- /dev/null
+++ b/internal/gateway/config_test.go
@@ -0,0 +1,51 @@
+package gateway
+
+import (
+	"fmt"
+	"hollymast/internal/attempt"
+	"hollymast/internal/inifile"
+	"strings"
+	"testing"
+)
+
+// The module counts the ration of orders by how late one may be written: as late as any choice is.
+func TestLateIsTold(t *testing.T) {
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := ParseConfig(in)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if late := attempt.MaxEndpointsAge(micros(config.GracePeriod)); config.Deployment.MaxCommandDelay != late || late == 0 {
+		t.Errorf("told %d of %d", config.Deployment.MaxCommandDelay, late)
+	}
+}
+
+// Every fault of the keys' settings is told.
+func TestKeysSettings(t *testing.T) {
+	f, err := inifile.Parse("r.ini", []byte(`[router]
+list = workers.ini
+[workload any]
+[function *]
+[tls workers]
+certificate = a
+[tls clients]
+authorities = b
+sds = 10.0.0.1:1
+[tls xds]
+authorities = a
+[tls others]
+authorities = a
+`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = ParseConfig(f)
+	for _, want := range []string{"r.ini:5: [tls workers] key:", "r.ini:5: [tls workers] authorities:", "[tls clients] certificate:", "[tls clients] sds: 10.0.0.1", "[tls clients] sds: keys come", "[tls xds]", "[tls others]"} {
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%v lacks %q", err, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/gateway/deadline_test.go
@@ -0,0 +1,92 @@
+package gateway
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/invariant"
+)
+
+// However late the first byte goes out, the server is told what is left then.
+func TestServersAreToldWhatIsLeft(t *testing.T) {
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 })
+	tg.gateway.dialing <- struct{}{} // somebody else dials
+	address, heard := recordingServer(t, new(atomic.Int64))
+	call := tg.newCall(address, time.Second)
+	time.AfterFunc(500*time.Millisecond, func() { <-tg.gateway.dialing })
+	sc := &serverConn{gateway: tg.gateway, address: address}
+	if result := sc.exchange(call); result.result != control.Succeeded {
+		t.Fatalf("got %v", result.result)
+	}
+	call.cancel()
+	if h := <-heard; h.timeout > call.deadline.Sub(h.receivedAt)+timeoutTolerance || h.timeout < 100*time.Millisecond {
+		t.Errorf("told %v with %v left", h.timeout, call.deadline.Sub(h.receivedAt))
+	}
+}
+
+// A stop of the process between a turn's clock and its choice costs the execution its time.
+func TestTimeCountsFromTheTurnsClock(t *testing.T) {
+	tg := newTestGateway(t)
+	s := make(chan *serverCall)
+	tg.gateway.post(func(now control.Micros) {
+		tg.gateway.stepTime = now - 700_000
+		s <- tg.gateway.newCall(1, 1_000_000)
+	})
+	if left := time.Until((<-s).deadline); left > 300*time.Millisecond {
+		t.Errorf("%v are left of 300ms", left)
+	}
+}
+
+// A request's time counts from when it came, not from when it was read: after a stop of the process, or behind another one that
+// was sent ahead.
+func TestTimeCountsFromWhenARequestCame(t *testing.T) {
+	const limit, late = time.Second, 400 * time.Millisecond
+	for name, ahead := range map[string]int{"read late": 0, "sent ahead": 1} {
+		var slow atomic.Int64
+		tg := newTestGatewayConfigured(t, "", func(c *Config) { c.Deployment.Classes[0].LatencyObjective = micros(limit) })
+		address, heard := recordingServer(t, &slow)
+		if err := os.WriteFile(tg.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		for tg.call("first", "forecast-1", limit) != invariant.Succeeded { // the list is read, and a copy loaded
+			time.Sleep(10 * time.Millisecond)
+		}
+		<-heard
+		slow.Store(int64(ahead) * int64(late))
+		l, err := listenTCP("127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		body := inferRequest("1", "forecast-1", limit).Body
+		began := time.Now()
+		for range ahead + 1 {
+			fmt.Fprintf(conn, "POST /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		}
+		if ahead == 0 {
+			time.Sleep(late)
+		}
+		go tg.gateway.accept(l, false)
+		var h statedTimeout
+		for range ahead + 1 {
+			select {
+			case h = <-heard:
+			case <-time.After(5 * time.Second):
+				t.Fatalf("%s: not sent", name)
+			}
+		}
+		if left := limit - h.receivedAt.Sub(began); h.timeout > left+timeoutTolerance || h.timeout < left-timeoutTolerance {
+			t.Errorf("%s: told %v with %v left", name, h.timeout, left)
+		}
+	}
+}
--- a/internal/gateway/lists.go
+++ b/internal/gateway/endpoints.go
@@ -163,3 +163,38 @@
 		g.withdrawFrom(id)
 	}
 }
+
+// Refresh has the list read again at once.
+func (g *Gateway) RefreshEndpoints() {
+	g.readRequested.Store(true)
+	g.post(func(control.Micros) {})
+}
+
+// SubscribeEndpoints has the list looked at; it is followed in any case.
+func (g *Gateway) SubscribeEndpoints() {}
+
+var errNoEndpoints = errors.New("no list of servers could be read yet")
+
+// ReadList reads a list of servers: a section for each, with its address, state, zone, cell, power and start.
+func ParseEndpoints(f *inifile.File) ([]fleet.Endpoint, error) {
+	var list []fleet.Endpoint
+	first := map[string]string{}
+	for _, s := range f.Sections("") {
+		e := fleet.Endpoint{Address: parseAddress(s, "address", ""), Zone: s.String("zone", ""), Cell: s.String("cell", ""),
+			Weight: s.Float("power", 1, 0.001, 1e6),
+			State:  control.ServerState(1 + s.OneOf("state", "ready", "draining", "ready"))}
+		if born := s.String("born", ""); born != "" {
+			at, err := time.Parse(time.RFC3339Nano, born)
+			if err != nil || at.UnixMicro() <= 0 {
+				s.Errorf("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
+			}
+			e.StartedAt = at.UnixMicro()
+		}
+		if other, twice := first[e.Address]; twice {
+			s.Errorf("address", "also that of [%s]", other)
+		}
+		first[e.Address] = s.Name
+		list = append(list, e)
+	}
+	return list, f.Check()
+}
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -159,3 +159,28 @@
 		}
 	}
 }
+
+func TestDrainedServerGetsNothing(t *testing.T) {
+	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
+	for i := range 60 {
+		if i == 20 {
+			tg.writeEndpoints("draining", "ready")
+		}
+		tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
+		time.Sleep(10 * time.Millisecond)
+	}
+	if v := tg.checkRules(); v.Rules[2].Opportunities != 1 || v.Succeeded != 60 {
+		t.Errorf("got %+v", v)
+	}
+}
+
+func TestBadListIsRefused(t *testing.T) {
+	tg := newTestGateway(t, serverOptions(0))
+	if err := os.WriteFile(tg.endpointFile, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	tg.gateway.RefreshEndpoints()
+	if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
+		t.Errorf("got %s", word)
+	}
+}
--- /dev/null
+++ b/internal/gateway/history_test.go
@@ -0,0 +1,107 @@
+package gateway
+
+import (
+	"fmt"
+	"hollymast/internal/history"
+	"hollymast/internal/invariant"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// A router that ends leaves its history, each job counted once.
+func TestHistoryOfUse(t *testing.T) {
+	dir := t.TempDir()
+	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
+	for i := range 30 {
+		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
+			t.Fatal(word)
+		}
+	}
+	tg.call("late", "forecast-2", 5*time.Millisecond)
+	tg.stop()
+	if err := <-tg.ended; err != nil {
+		t.Fatal(err)
+	}
+	tg.ended <- nil
+	sums := map[string]history.Usage{}
+	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
+		u := sums[r.Function]
+		u.Merge(r.Usage)
+		sums[r.Function] = u
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if u := sums["forecast-1"]; u.Requests != 30 || u.Succeeded != 30 || u.WithinObjective < 25 || u.Attempts < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
+		t.Errorf("got %+v", u)
+	}
+	if u := sums["forecast-2"]; u.Requests != 1 || u.Succeeded != 0 {
+		t.Errorf("got %+v", u)
+	}
+}
+
+// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
+// is not set aside.
+func TestHistoryOnAFailingDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), HistoryFile)
+	var said strings.Builder
+	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	now := int64(1_800_000_000_000_000)
+	rows := func() []history.Row {
+		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
+	}
+	write := func() {
+		now += 10_000_000
+		o.write(rows(), now)
+	}
+	write()
+	for _, bad := range []func() error{
+		func() error { return os.Mkdir(path, 0o700) },
+		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
+	} {
+		if err := os.Rename(path, path+".well"); err != nil {
+			t.Fatal(err)
+		}
+		if err := bad(); err != nil {
+			t.Fatal(err)
+		}
+		for range damagedTries - 1 {
+			write()
+		}
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(path+".well", path); err != nil {
+			t.Fatal(err)
+		}
+		write()
+	}
+	jobs := int64(0)
+	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
+	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
+		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
+	}
+	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
+		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	}
+	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for range damagedTries {
+		write()
+	}
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
+		t.Errorf("%d jobs more in a new one, %v", jobs, err)
+	}
+	for range 40 {
+		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
+	}
+	if o.dropOldest(); len(o.batches) > maxQueuedRows/1000 {
+		t.Errorf("%d batches wait", len(o.batches))
+	}
+}
--- a/internal/gateway/keeper_test.go
+++ b/internal/gateway/journal_test.go
@@ -3,9 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"hollymast/control"
+	"hollymast/internal/fleet"
+	"hollymast/internal/invariant"
+	"hollymast/internal/persistence"
+	"hollymast/internal/rest"
+	"hollymast/kserve"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -13,53 +18,8 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/tidwall/gjson"
-
-	"hollymast/control"
-	"hollymast/internal/fleet"
-	"hollymast/internal/history"
-	"hollymast/internal/invariant"
-	"hollymast/internal/persistence"
-	"hollymast/internal/rest"
-	"hollymast/kserve"
 )
 
-// remembering is the section for a folder.
-func stateSection(dir string) string {
-	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
-}
-
-// askMarked sends a job with a client's mark and gives the answer's word.
-func (tg *testGateway) callWithKey(job, function, key string) string {
-	tg.t.Helper()
-	client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
-	if err != nil {
-		tg.t.Fatal(err)
-	}
-	defer client.Close()
-	msg := inferRequest(job, function, time.Second)
-	msg.Header[kserve.RepeatMark] = []string{key}
-	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
-	if err != nil {
-		tg.t.Fatal(err)
-	}
-	if resp.Status == 200 {
-		return invariant.Succeeded
-	}
-	return gjson.GetBytes(resp.Body, "answer").Str
-}
-
-// began counts the executions of a job on a server, or on all for -1.
-func (tg *testGateway) attemptsBegun(job string, server int) int {
-	n := 0
-	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.AttemptStarted && r.Request == job && (server < 0 || r.Server == server) {
-			n++
-		}
-	}
-	return n
-}
-
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
 func TestRepeatsAfterARestart(t *testing.T) {
 	dir := t.TempDir()
@@ -100,71 +60,6 @@
 	}
 }
 
-// The next life finds copies where they stand, and its own file.
-func TestNextLifeRecalls(t *testing.T) {
-	dir := t.TempDir()
-	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
-	if word := first.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Fatal(word)
-	}
-	other, err := New(first.gateway.config, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	if other.state != nil { // two routers on one folder: the second goes without
-		t.Error("a second router has the folder too")
-	}
-	other.closeListeners()
-	first.stop()
-	if err := <-first.ended; err != nil {
-		t.Fatal(err)
-	}
-	first.ended <- nil
-	next, err := New(first.gateway.config, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer next.closeListeners()
-	defer next.state.close()
-	s, err := next.core.Snapshot()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(s.Balancer.Functions) != 1 || !slices.ContainsFunc(s.Balancer.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Replicas == 1 && in.InFlight == 0 }) {
-		t.Errorf("got %+v", s.Balancer.Functions)
-	}
-}
-
-// No state of the folder keeps a router from serving.
-func TestAnyFolderLetsTheRouterStart(t *testing.T) {
-	for name, prepare := range map[string]func(dir string) error{
-		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
-		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.GenerationFiles[0], "rubbish") },
-		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.GenerationFiles[0]), 0o700) },
-		"bad journal":  func(dir string) error { return writeStateFile(dir, "journal-00000001", "rubbish") },
-		"last journal": func(dir string) error { return writeStateFile(dir, "journal-99999999999999999999", "") },
-		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
-	} {
-		t.Run(name, func(t *testing.T) {
-			dir := filepath.Join(t.TempDir(), "m")
-			if err := prepare(dir); err != nil {
-				t.Fatal(err)
-			}
-			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
-			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-				t.Error(word)
-			}
-		})
-	}
-}
-
-func writeStateFile(dir, name, text string) error {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
-	}
-	return os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)
-}
-
 // A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
 func TestJobsWithoutAJournal(t *testing.T) {
 	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
@@ -395,96 +290,3 @@
 		t.Errorf("%v, unknown until %d", keeper, unknown)
 	}
 }
-
-// A router that ends leaves its history, each job counted once.
-func TestHistoryOfUse(t *testing.T) {
-	dir := t.TempDir()
-	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
-	for i := range 30 {
-		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
-			t.Fatal(word)
-		}
-	}
-	tg.call("late", "forecast-2", 5*time.Millisecond)
-	tg.stop()
-	if err := <-tg.ended; err != nil {
-		t.Fatal(err)
-	}
-	tg.ended <- nil
-	sums := map[string]history.Usage{}
-	if err := history.NewStore(filepath.Join(dir, HistoryFile), 0).Read(0, 1<<60, func(_ history.Level, r history.Row) error {
-		u := sums[r.Function]
-		u.Merge(r.Usage)
-		sums[r.Function] = u
-		return nil
-	}); err != nil {
-		t.Fatal(err)
-	}
-	if u := sums["forecast-1"]; u.Requests != 30 || u.Succeeded != 30 || u.WithinObjective < 25 || u.Attempts < 30 || u.Loads != 1 || u.Quantile(0.5) < 5000 {
-		t.Errorf("got %+v", u)
-	}
-	if u := sums["forecast-2"]; u.Requests != 1 || u.Succeeded != 0 {
-		t.Errorf("got %+v", u)
-	}
-}
-
-// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
-// is not set aside.
-func TestHistoryOnAFailingDisk(t *testing.T) {
-	path := filepath.Join(t.TempDir(), HistoryFile)
-	var said strings.Builder
-	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
-	now := int64(1_800_000_000_000_000)
-	rows := func() []history.Row {
-		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
-	}
-	write := func() {
-		now += 10_000_000
-		o.write(rows(), now)
-	}
-	write()
-	for _, bad := range []func() error{
-		func() error { return os.Mkdir(path, 0o700) },
-		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
-	} {
-		if err := os.Rename(path, path+".well"); err != nil {
-			t.Fatal(err)
-		}
-		if err := bad(); err != nil {
-			t.Fatal(err)
-		}
-		for range damagedTries - 1 {
-			write()
-		}
-		if err := os.Remove(path); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(path+".well", path); err != nil {
-			t.Fatal(err)
-		}
-		write()
-	}
-	jobs := int64(0)
-	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
-	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
-		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
-	}
-	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
-		t.Errorf("said %d and %d times: %s", n, m, said.String())
-	}
-	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	for range damagedTries {
-		write()
-	}
-	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
-		t.Errorf("%d jobs more in a new one, %v", jobs, err)
-	}
-	for range 40 {
-		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
-	}
-	if o.dropOldest(); len(o.batches) > maxQueuedRows/1000 {
-		t.Errorf("%d batches wait", len(o.batches))
-	}
-}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/servercall.go
@@ -2,40 +2,18 @@
 
 import (
 	"context"
-	"errors"
-	"net/textproto"
-	"os"
-	"strconv"
-	"strings"
-	"sync/atomic"
-	"time"
-
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"hollymast/internal/fleet"
 	"hollymast/internal/persistence"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
+	"net/textproto"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
 )
 
-// pool is the connections to one server. The turn owns it.
-type serverPool struct {
-	id      control.ServerID
-	address string
-	conns   attempt.Connections
-	idle    []*serverConn // the last used at the end
-	open    map[*serverCall]struct{}
-}
-
-// link is one connection to a server; a goroutine of its own owns it.
-type serverConn struct {
-	gateway   *Gateway
-	address   string
-	calls     chan *serverCall // holds one
-	idleSince control.Micros
-	client    atomic.Pointer[rest.Client]
-}
-
 // sending is one execution or order on its way.
 type serverCall struct {
 	request      *request // nil of an order
@@ -110,57 +88,6 @@
 	duration time.Duration
 }
 
-func (sc *serverConn) run() {
-	defer sc.gateway.serverConns.Done()
-	for call := range sc.calls {
-		result := sc.exchange(call)
-		call.cancel()
-		open := sc.client.Load() != nil
-		sc.gateway.post(func(now control.Micros) { sc.gateway.callEnded(now, call, result, open) })
-		if !open {
-			return
-		}
-	}
-	if client := sc.client.Load(); client != nil {
-		client.Close()
-	}
-}
-
-// carry does one exchange. The connection is kept only where it may be used again.
-func (sc *serverConn) exchange(call *serverCall) (result callResult) {
-	begun := time.Now()
-	defer func() { result.duration = time.Since(begun) }()
-	client := sc.client.Load()
-	if client != nil && client.Stale() { // closed while it was idle: nothing of this job was on it
-		client.Close()
-		client = nil
-		sc.client.Store(nil)
-	}
-	if client == nil {
-		var err error
-		if client, err = sc.dial(call); err != nil {
-			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
-		}
-		sc.client.Store(client)
-	}
-	kept := call.awaitJournal(sc.gateway.now()) && sc.gateway.clientWaits(call.request) && call.stateTimeLeft()
-	if !attempt.Transition(&call.stage, func(st attempt.Stage) (attempt.Stage, bool) {
-		return st.Write(kept, sc.gateway.now(), call.writeBefore)
-	}) {
-		return callResult{result: control.NotSent}
-	}
-	resp, progress, err := client.Do(call.message, call.deadline)
-	if err == nil && !resp.Close {
-		return callResult{result: responseResult(resp, call.request == nil), response: resp}
-	}
-	client.Close()
-	sc.client.Store(nil)
-	if err == nil {
-		return callResult{result: responseResult(resp, call.request == nil), response: resp}
-	}
-	return callResult{result: BrokenExchangeResult(progress, err)}
-}
-
 // wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
 // unread in the socket, as after a stop of the process.
 func (g *Gateway) clientWaits(req *request) bool {
@@ -186,47 +113,6 @@
 	return left > 0
 }
 
-var errWithdrawn = errors.New("withdrawn")
-
-func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
-	ctx, cancel := context.WithTimeout(call.ctx, min(sc.gateway.config.DialTimeout, time.Until(call.deadline)))
-	defer cancel()
-	select {
-	case sc.gateway.dialing <- struct{}{}:
-		defer func() { <-sc.gateway.dialing }()
-	case <-ctx.Done():
-		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
-	}
-	var before error // why the try before failed, through no fault of the server's
-	for pause := dialPause; ; pause = min(2*pause, maxDialPause) {
-		client, err := sc.gateway.dial(ctx, sc.address)
-		switch {
-		case err == nil:
-			return client, nil
-		case rest.LocalFailure(err), rest.TransientFailure(err):
-		case rest.LocalFailure(before) && os.IsTimeout(err):
-			return nil, before // the server had but the rest of the time
-		default:
-			return nil, err
-		}
-		before = err
-		select {
-		case <-ctx.Done():
-			return nil, err
-		case <-time.After(pause):
-		}
-	}
-}
-
-// A dial that failed for a moment is tried again after dialPause, doubled up to dialPauseMost: such a moment may be a packet's.
-const (
-	dialPause    = 2 * time.Millisecond
-	maxDialPause = 50 * time.Millisecond
-)
-
-// workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
-var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
-
 // over takes in the end of a sending, and its link back if it can be used again.
 func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, open bool) {
 	pool := g.pools[call.to]
@@ -260,11 +146,6 @@
 	g.attemptEnded(now, call, outcome, result.response)
 }
 
-func (g *Gateway) isListed(id control.ServerID) bool {
-	s := g.fleet.Get(id)
-	return s != nil && s.State != control.Removed
-}
-
 // execution is the request of one execution: the client's own, with what is ours to say.
 func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
 	h := forwardedHeader(req.message.Header)
@@ -291,52 +172,3 @@
 	}
 	return to
 }
-
-// withdrawFrom takes back all that is not yet being written to a server that takes nothing new.
-func (g *Gateway) withdrawFrom(id control.ServerID) {
-	pool := g.pools[id]
-	if pool == nil {
-		return
-	}
-	for call := range pool.open { // their outcomes come in the order of their own goroutines anyway
-		call.withdraw()
-	}
-	g.closeIdle(pool, func(*serverConn) bool { return true })
-}
-
-func (g *Gateway) closeIdle(pool *serverPool, which func(*serverConn) bool) {
-	kept := pool.idle[:0]
-	for _, sc := range pool.idle {
-		if which(sc) {
-			close(sc.calls)
-			pool.conns.CloseIdle()
-		} else {
-			kept = append(kept, sc)
-		}
-	}
-	clear(pool.idle[len(kept):])
-	pool.idle = kept
-}
-
-// prune closes connections that were idle for long, and forgets pools and servers that are gone.
-func (g *Gateway) prune(now control.Micros) {
-	const every = 1_000_000 // idle times are many seconds
-	if now < g.prunedAt+every {
-		return
-	}
-	g.prunedAt = now
-	for id, pool := range g.pools {
-		g.closeIdle(pool, func(sc *serverConn) bool { return now-sc.idleSince > micros(g.config.ServerIdleTimeout) })
-		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
-			delete(g.pools, id)
-		}
-	}
-	g.loadTally.Prune(func(address string) bool { return g.isListed(fleet.ID(address)) })
-	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
-}
-
-func (g *Gateway) closePools() {
-	for _, pool := range g.pools {
-		g.closeIdle(pool, func(*serverConn) bool { return true })
-	}
-}
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/shutdown.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"net"
-	"os"
 	"slices"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"hollymast/control"
 	"hollymast/internal/rest"
 )
@@ -80,51 +77,57 @@
 	}
 }
 
-// listen opens a listener of plain TCP: closeAccepting needs a filter, which Linux does not have for Multipath TCP.
-func listenTCP(address string) (net.Listener, error) {
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false)
-	return plain.Listen(context.Background(), "tcp", address)
+// dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
+func (g *Gateway) cancelLoadCommands() {
+	for _, pool := range g.pools {
+		for call := range pool.open {
+			if call.request == nil {
+				call.abandon()
+			}
+		}
+	}
 }
 
-// closeAccepting closes a listener and gives the connections that the kernel has accepted by then. Guards against the reset that a
-// close makes of each of these: whoever connected may have written a request already. So no connection begins any more before
-// the last look; one that would is told by the closed listener, on its next try, that nobody listens.
-func drainListener(l net.Listener) (conns []net.Conn) {
-	defer l.Close()
-	tcp, ok := l.(*net.TCPListener)
-	if !ok {
-		return nil
+func (g *Gateway) closeAll(stop context.CancelFunc) error {
+	if g.state != nil {
+		g.state.finalState = g.learnedState(g.now())
+		if g.state.historyTally != nil {
+			g.state.finalHistory = g.state.historyTally.Drain()
+		}
 	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
+	close(g.loopEnded)
+	stop()
+	if g.recordWriter != nil {
+		g.core.SetRecorder(nil)
+		g.recorder = nil
+		g.recordWriter.Close()
+		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
+	}
+	g.closePools()
+	settled := make(chan struct{})
+	go func() {
+		g.background.Wait()
+		g.clientReaders.Wait()
+		g.serverConns.Wait()
+		close(settled)
+	}()
+	// Answers are written; only those who may still ask are left, and slow readers.
+	timer := time.NewTimer(time.Until(g.afterStop(g.config.shutdownTimes().closeBy)))
+	defer timer.Stop()
+	select {
+	case <-settled:
 		return nil
+	case <-timer.C:
 	}
-	const most = 1 << 13 // a full queue, with those among them that have gone
-	raw.Control(func(fd uintptr) {
-		unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]})
-		for range most {
-			n, _, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-			if err == unix.EINTR || err == unix.ECONNABORTED {
-				continue
-			}
-			if err != nil {
-				return
-			}
-			file := os.NewFile(uintptr(n), "client")
-			if conn, err := net.FileConn(file); err == nil {
-				conns = append(conns, conn)
-			}
-			file.Close()
-		}
+	n := 0
+	g.clientConns.Range(func(c, _ any) bool {
+		n++
+		c.(*rest.Conn).Close()
+		return true
 	})
-	return conns
-}
-
-// noSYN drops packets that begin a connection: it loads the byte of flags in the TCP header and tests it for SYN.
-var dropSYN = []unix.SockFilter{
-	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: 13},
-	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: 0x02, Jf: 1},
-	{Code: unix.BPF_RET | unix.BPF_K, K: 0},
-	{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 30}, // the whole packet
+	<-settled
+	if n > 0 {
+		g.log.Warn().Int("connections", n).Msg("closed on clients that did not read or go")
+	}
+	return nil
 }
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bufio"
+	"fmt"
 	"io"
 	"net"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -12,32 +14,6 @@
 	"hollymast/internal/fakeserver"
 )
 
-// answers reads n answers and tells their first lines.
-func readStatusLines(r *bufio.Reader, n int) (lines []string, err error) {
-	for range n {
-		line, err := r.ReadString('\n')
-		if err != nil {
-			return lines, err
-		}
-		lines = append(lines, strings.TrimSpace(line))
-		length := 0
-		for line != "\r\n" {
-			if line, err = r.ReadString('\n'); err != nil {
-				return lines, err
-			}
-			if name, value, ok := strings.Cut(strings.TrimSpace(line), ": "); ok && name == "Content-Length" {
-				for _, digit := range value {
-					length = 10*length + int(digit-'0')
-				}
-			}
-		}
-		if _, err := r.Discard(length); err != nil {
-			return lines, err
-		}
-	}
-	return lines, nil
-}
-
 // Requests that were sent ahead of the stop are answered, each on its turn, and so is one that comes on an open connection
 // some time after it; then the connection ends.
 func TestStopAnswersWhatWasSentAhead(t *testing.T) {
@@ -149,3 +125,36 @@
 		time.Sleep(time.Millisecond)
 	}
 }
+
+// Told to stop, it answers all that it holds and takes nothing more.
+func TestStopAnswersAll(t *testing.T) {
+	m := serverOptions(0)
+	m.ExecutionTime = 100 * time.Millisecond
+	tg := newTestGateway(t, m)
+	var wg sync.WaitGroup
+	for i := range 8 {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			if word := tg.call(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
+				t.Errorf("job %d got no answer", i)
+			}
+		}()
+	}
+	for tg.inFlight() < 8 {
+		time.Sleep(time.Millisecond)
+	}
+	late, r := tg.dialClient() // accepted by the kernel at least
+	io.WriteString(late, inferText("late", "ticket-1"))
+	tg.stop()
+	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 ") {
+		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
+	}
+	wg.Wait()
+	if v := tg.checkRules(); v.Succeeded == 0 {
+		t.Errorf("got %+v", v)
+	}
+	if _, err := net.Dial("tcp", tg.gateway.Address()); err == nil {
+		t.Error("it still listens")
+	}
+}
--- /dev/null
+++ b/internal/gateway/state_test.go
@@ -0,0 +1,86 @@
+package gateway
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"hollymast/control"
+	"hollymast/internal/invariant"
+	"hollymast/internal/persistence"
+)
+
+// remembering is the section for a folder.
+func stateSection(dir string) string {
+	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
+}
+
+// The next life finds copies where they stand, and its own file.
+func TestNextLifeRecalls(t *testing.T) {
+	dir := t.TempDir()
+	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
+	if word := first.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
+		t.Fatal(word)
+	}
+	other, err := New(first.gateway.config, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if other.state != nil { // two routers on one folder: the second goes without
+		t.Error("a second router has the folder too")
+	}
+	other.closeListeners()
+	first.stop()
+	if err := <-first.ended; err != nil {
+		t.Fatal(err)
+	}
+	first.ended <- nil
+	next, err := New(first.gateway.config, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer next.closeListeners()
+	defer next.state.close()
+	s, err := next.core.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(s.Balancer.Functions) != 1 || !slices.ContainsFunc(s.Balancer.Functions[0].Instances, func(in control.InstanceSnapshot) bool { return in.Replicas == 1 && in.InFlight == 0 }) {
+		t.Errorf("got %+v", s.Balancer.Functions)
+	}
+}
+
+// No state of the folder keeps a router from serving.
+func TestAnyFolderLetsTheRouterStart(t *testing.T) {
+	for name, prepare := range map[string]func(dir string) error{
+		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
+		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.GenerationFiles[0], "rubbish") },
+		"a folder":     func(dir string) error { return os.MkdirAll(filepath.Join(dir, persistence.GenerationFiles[0]), 0o700) },
+		"bad journal":  func(dir string) error { return writeStateFile(dir, "journal-00000001", "rubbish") },
+		"last journal": func(dir string) error { return writeStateFile(dir, "journal-99999999999999999999", "") },
+		"lock":         func(dir string) error { return os.MkdirAll(filepath.Join(dir, "lock"), 0o700) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), "m")
+			if err := prepare(dir); err != nil {
+				t.Fatal(err)
+			}
+			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
+			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
+				t.Error(word)
+			}
+		})
+	}
+}
+
+func writeStateFile(dir, name, text string) error {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)
+}
--- a/internal/gateway/rings_test.go
+++ b/internal/gateway/tls_test.go
@@ -12,7 +12,6 @@
 	"hollymast/internal/certstore"
 	"hollymast/internal/fakeserver"
 	"hollymast/internal/fakeserver/authority"
-	"hollymast/internal/inifile"
 	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
 )
@@ -95,30 +94,3 @@
 		}
 	}
 }
-
-// Every fault of the keys' settings is told.
-func TestKeysSettings(t *testing.T) {
-	f, err := inifile.Parse("r.ini", []byte(`[router]
-list = workers.ini
-[workload any]
-[function *]
-[tls workers]
-certificate = a
-[tls clients]
-authorities = b
-sds = 10.0.0.1:1
-[tls xds]
-authorities = a
-[tls others]
-authorities = a
-`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, err = ParseConfig(f)
-	for _, want := range []string{"r.ini:5: [tls workers] key:", "r.ini:5: [tls workers] authorities:", "[tls clients] certificate:", "[tls clients] sds: 10.0.0.1", "[tls clients] sds: keys come", "[tls xds]", "[tls others]"} {
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v lacks %q", err, want)
-		}
-	}
-}
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -3,14 +3,11 @@
 import (
 	"bufio"
 	"context"
-	"crypto/tls"
 	"errors"
 	"fmt"
 	"net"
 	"os"
-	"slices"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
@@ -64,25 +61,6 @@
 // Close closes the connection.
 func (c *Client) Close() error { return socketOf(c.conn).Close() }
 
-// socket is the connection beneath a secret one. It is what is closed: a secret connection's own goodbye may wait for a peer
-// that reads nothing, and says nothing that lengths don't.
-func socketOf(conn net.Conn) net.Conn {
-	if s, ok := conn.(interface{ NetConn() net.Conn }); ok {
-		return s.NetConn()
-	}
-	return conn
-}
-
-func isTLS(conn net.Conn) bool { return socketOf(conn) != conn }
-
-// still tells whether the other end of a secret connection is still believed.
-func checkPeer(conn net.Conn) error {
-	if s, ok := conn.(interface{ Still() error }); ok {
-		return s.Still()
-	}
-	return nil
-}
-
 // Abort breaks the exchange under way, if any, and all later ones: they end with ErrAborted.
 func (c *Client) Abort() {
 	c.aborted.Store(true)
@@ -115,41 +93,6 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// quiet tells whether a connection is open at both ends and has brought nothing that was not read.
-func isQuiet(conn net.Conn) bool {
-	e, ok := peekSocket(conn)
-	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
-}
-
-// interruptedMost is how often a call that a signal interrupts is made again: signals come some a second at most.
-const maxInterrupted = 8
-
-var recvfrom = syscall.Recvfrom // tests have it fail
-
-// glance looks at a connection's next byte without taking it or waiting; ok is false at its end.
-func peekSocket(conn net.Conn) (e syscall.Errno, ok bool) {
-	sc, is := conn.(syscall.Conn)
-	if !is {
-		return syscall.EAGAIN, true // no socket: nothing can be seen
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return 0, false
-	}
-	n := 0
-	err = raw.Control(func(fd uintptr) {
-		var b [1]byte
-		for range maxInterrupted {
-			var got error
-			n, _, got = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if e, _ = got.(syscall.Errno); e != syscall.EINTR {
-				break
-			}
-		}
-	})
-	return e, err == nil && (e != 0 || n > 0)
-}
-
 // Do sends a request and reads the response, both by the deadline. Progress is told with every error; after one, and
 // after a response with Close, the connection must be closed.
 func (c *Client) Do(req *Request, deadline time.Time) (*Response, Progress, error) {
@@ -194,16 +137,3 @@
 	}
 	return fmt.Errorf("exchange broken: %w", err)
 }
-
-// refusals are the alerts with which a server refuses a client that it does not believe (RFC 8446, section 6.2).
-var certificateAlerts = []tls.AlertError{42, 43, 44, 45, 46, 48, 49, 116}
-
-// refused tells whether the other end broke a connection off because it does not believe us. In TLS 1.3 a client learns it only
-// with the first answer. The alert proves that no request was read: its server had not finished the handshake.
-func isCertificateRejection(err error) bool {
-	var op *net.OpError
-	if !errors.As(err, &op) || op.Op != "remote error" || op.Err == nil {
-		return false
-	}
-	return slices.ContainsFunc(certificateAlerts, func(a tls.AlertError) bool { return op.Err.Error() == a.Error() })
-}
