--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -8,8 +8,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -183,15 +181,11 @@
 // tell has f called in the next turn.
 func (g *Gateway) post(f func(now control.Micros)) { g.queue.Post(f) }
 
-// Log writes a line in the log, with the address of the server that it names by its id.
-func (g *Gateway) Log(text string) {
-	event := g.log.Info()
-	if words := strings.Fields(text); len(words) > 1 && words[0] == "server" {
-		if id, err := strconv.ParseUint(words[1], 16, 64); err == nil {
-			if s := g.fleet.Get(control.ServerID(id)); s != nil {
-				event = event.Str("server", s.Address)
-			}
-		}
+// LogServerEvent logs that a server was ejected or readmitted.
+func (g *Gateway) LogServerEvent(event control.ServerEvent) {
+	logEvent := g.log.Info()
+	if s := g.fleet.Get(event.Server); s != nil {
+		logEvent = logEvent.Str("server", s.Address)
 	}
-	event.Msg(text)
+	logEvent.Msg(event.LogMessage())
 }
