--- a/internal/simadapter/drill.go
+++ b/internal/simadapter/drill.go
@@ -41,7 +41,7 @@
 		if err != nil {
 			return err
 		}
-		reply = simproto.AppendFrame(reply, batch, parts)
+		reply = simproto.EncodeFrame(reply, batch, parts)
 		if _, err := w.Write(reply); err != nil {
 			return err
 		}
@@ -155,7 +155,7 @@
 	r.start().Load(address(o.Server), uint64(o.Function), uint8(o.Replicas))
 }
 
-func (r *router) SubscribeEndpoints() { r.start().SubscribeEndpoints(true) }
+func (r *router) SubscribeEndpoints() { r.start().SubscribeEndpoints() }
 
 func (r *router) Log(text string) { r.start().Log(text) }
 
--- a/internal/simproto/bootinfo.go
+++ b/internal/simproto/bootinfo.go
@@ -2,10 +2,12 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 )
 
-// BootInfo is the start settings' JSON, as far as any caller reads it. Unknown keys are passed over.
+// BootInfo is the start settings' JSON, as far as any caller reads it; unknown keys are ignored. Fields are named after their keys.
+// Times are in microseconds.
 type BootInfo struct {
 	Balancers int `json:"balancers"`
 	Ceilings  struct {
@@ -68,14 +70,17 @@
 	Zones []string `json:"zones"`
 }
 
-// ReadBootInfo reads the start settings.
+// errIncomplete is the error of start settings that no router can run by.
+var errIncomplete = errors.New("no classes, or no count of balancers")
+
+// ReadBootInfo reads the start settings. It checks only what every caller needs.
 func ReadBootInfo(text []byte) (*BootInfo, error) {
-	var b BootInfo
-	if err := json.Unmarshal(text, &b); err != nil {
+	var info BootInfo
+	if err := json.Unmarshal(text, &info); err != nil {
 		return nil, fmt.Errorf("start settings: %w", err)
 	}
-	if len(b.Classes) == 0 || b.Balancers < 1 {
-		return nil, fmt.Errorf("start settings: no classes, or no count of balancers")
+	if len(info.Classes) == 0 || info.Balancers < 1 {
+		return nil, fmt.Errorf("start settings: %w", errIncomplete)
 	}
-	return &b, nil
+	return &info, nil
 }
--- /dev/null
+++ b/internal/simproto/reader.go
@@ -0,0 +1,60 @@
+package simproto
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// recordReader reads fields one after another; a read past the end sets truncated and yields zeros.
+type recordReader struct {
+	buf       []byte
+	at        int
+	truncated bool
+}
+
+// maxFixed is the length of the longest field of fixed size.
+const maxFixed = 8
+
+var zeros [maxFixed]byte
+
+// next returns the next n bytes of the frame itself, nil where fewer are left.
+func (r *recordReader) next(n int) []byte {
+	if n < 0 || r.at+n > len(r.buf) {
+		r.truncated = true
+		r.at = len(r.buf)
+		return nil
+	}
+	b := r.buf[r.at : r.at+n]
+	r.at += n
+	return b
+}
+
+func (r *recordReader) fixed(n int) []byte {
+	if b := r.next(n); b != nil {
+		return b
+	}
+	return zeros[:n]
+}
+
+func (r *recordReader) uint8() uint8       { return r.fixed(1)[0] }
+func (r *recordReader) uint16() uint16     { return binary.BigEndian.Uint16(r.fixed(2)) }
+func (r *recordReader) uint32() uint32     { return binary.BigEndian.Uint32(r.fixed(4)) }
+func (r *recordReader) uint64() uint64     { return binary.BigEndian.Uint64(r.fixed(8)) }
+func (r *recordReader) float32() float32   { return math.Float32frombits(r.uint32()) }
+func (r *recordReader) server() ServerAddr { return ServerAddr(r.fixed(len(ServerAddr{}))) }
+
+// bytes returns a copy of the next n bytes: the frame's buffer is used again.
+func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.next(n)...) }
+
+// floats reads a count of one byte and as many numbers.
+func (r *recordReader) floats() []float32 {
+	n := int(r.uint8())
+	if n == 0 {
+		return nil
+	}
+	values := make([]float32, n)
+	for i := range values {
+		values[i] = r.float32()
+	}
+	return values
+}
