--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs the decision module on the simulator's wire: standard input to standard output.
+// Command simadapter runs the balancer on the simulator's frames, from standard input to standard output.
 package main
 
 import (
@@ -11,12 +11,12 @@
 
 type cli struct {
 	program.CommonFlags
-	Record string `help:"Folder in which each router's turns are recorded, for hmreplay and hmexplain." type:"path"`
+	Record string `help:"Folder in which each router's steps are recorded, for hmreplay and hmexplain." type:"path"`
 }
 
 func main() {
 	var c cli
-	program.Parse(&c, "simadapter", "Runs the decision module on the simulator's wire.")
+	program.Parse(&c, "simadapter", "Runs the balancer on the simulator's frames.")
 	if err := simadapter.Run(os.Stdin, os.Stdout, c.Record); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(program.ExitFailure)
--- /dev/null
+++ b/internal/simadapter/adapter.go
@@ -0,0 +1,81 @@
+// Package simadapter hosts routers behind the simulator's frames: it turns records into calls on each router's core, and
+// what the core asks for into commands. It decides nothing.
+package simadapter
+
+import (
+	"bufio"
+	"errors"
+	"io"
+
+	"hollymast/control"
+	"hollymast/internal/simproto"
+)
+
+// bufferBytes is the size of the buffers round input and output: most batches fit.
+const bufferBytes = 1 << 16
+
+// Run answers batches until the input ends. With a recording folder it records each router's steps there, as a gateway does.
+// Its errors are those of reading, of writing and of records that no simulator sends; a panic of the decision code is no
+// error but is reported to the simulator.
+func Run(in io.Reader, out io.Writer, recordDir string) error {
+	h := &host{routers: map[uint32]*router{}, recordDir: recordDir}
+	defer h.closeRecordings()
+	r, w := bufio.NewReaderSize(in, bufferBytes), bufio.NewWriterSize(out, bufferBytes)
+	var frame, answer []byte
+	for {
+		var err error
+		if frame, err = simproto.ReadFrame(r, frame); errors.Is(err, io.EOF) {
+			return nil
+		} else if err != nil {
+			return err
+		}
+		batch, clock := simproto.ReadHeader(frame)
+		parts, err := h.runBatch(frame, control.Micros(clock))
+		if err != nil {
+			return err
+		}
+		answer = simproto.EncodeFrame(answer, batch, parts)
+		if _, err := w.Write(answer); err != nil {
+			return err
+		}
+		if err := w.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+// host holds the routers of this process; they share nothing but the frame they are read from.
+type host struct {
+	routers    map[uint32]*router
+	recordDir  string    // empty: nothing is recorded
+	recordings int       // begun so far
+	active     []*router // routers with a record in this batch, in the order of their first one
+	current    *router   // the one that the next records belong to
+	now        control.Micros
+}
+
+// runBatch handles a batch's records and then takes one step of each router that had one.
+func (h *host) runBatch(frame []byte, now control.Micros) ([]*simproto.Commands, error) {
+	h.active, h.current, h.now = h.active[:0], nil, now
+	if err := simproto.Decode(frame, h); err != nil {
+		return nil, err
+	}
+	var parts []*simproto.Commands
+	for _, r := range h.active {
+		r.runProtected(func() { r.core.Step(now) })
+		if r.failure != "" {
+			parts = append(parts, r.output())
+			r.commands.ReportFailure(r.failure)
+		} else if r.commands != nil {
+			parts = append(parts, r.commands)
+		}
+		r.commands, r.active = nil, false
+	}
+	return parts, nil
+}
+
+func (h *host) closeRecordings() {
+	for _, r := range h.routers {
+		r.closeRecording()
+	}
+}
