--- a/internal/simadapter/router.go
+++ b/internal/simadapter/router.go
@@ -71,8 +71,8 @@
 // SubscribeEndpoints asks for the changes of the endpoint list.
 func (r *router) SubscribeEndpoints() { r.output().SubscribeEndpoints() }
 
-// Log writes a line for the simulator's report.
-func (r *router) Log(text string) { r.output().Log(text) }
+// LogServerEvent writes a line for the simulator's report.
+func (r *router) LogServerEvent(event control.ServerEvent) { r.output().Log(event.String()) }
 
 // SetTimer asks for a record at an instant, which leads to a step.
 func (r *router) SetTimer(at control.Micros) { r.output().SetTimer(uint64(at), 0) }
