--- a/control/routing.go
+++ b/control/routing.go
@@ -96,7 +96,7 @@
 // decide makes Route's decision.
 func (b *Balancer) decide(now Micros, f *function, req *Request) Decision {
 	if slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return !a.Done }) {
-		return b.explain(Decision{Action: NoAction}, "an execution is out")
+		return b.explain(Decision{Action: NoAction}, reasonAttemptInFlight)
 	}
 	t := b.timing(now, f, req)
 	if b.trace != nil {
@@ -110,7 +110,7 @@
 	if f.blockedAt == now && t.slack >= t.margin && len(req.Attempts) == 0 {
 		// A request with less slack found no instance in this event-loop iteration. Skipping the rest bounds the
 		// work of an iteration with many held requests.
-		return b.explain(hold, "another job for its function found no place in this turn")
+		return b.explain(hold, reasonFunctionBlocked)
 	}
 	if inst := b.fullestInstance(now, f, req); inst != nil {
 		return b.forwardOrShed(now, f, req, inst, t)
@@ -118,37 +118,37 @@
 	if f.loadsDue > 0 {
 		if s := b.loadTarget(now, f, req, additionalReplica); s != nil {
 			f.loadsDue--
-			return b.explain(b.startLoad(now, f, req, s), "the last check asked for another copy")
+			return b.explain(b.startLoad(now, f, req, s), reasonReplicaDue)
 		}
 	}
 	loaded, loading := b.replicaState(now, f)
 	if loaded && t.slack < t.margin && !loading {
 		b.noteShed(now, t.total, f) // guards against the same overload as forwardOrShed
-		return b.explain(b.giveUp(req), "its copies are there and full, and it has no slack")
+		return b.explain(b.giveUp(req), reasonReplicasFull)
 	}
 	if !loaded && !loading {
 		if s := b.loadTarget(now, f, req, firstReplica); s != nil {
-			return b.explain(b.startLoad(now, f, req, s), "no copy stands or comes")
+			return b.explain(b.startLoad(now, f, req, s), reasonNoReplica)
 		}
 	}
 	f.blockedAt = now
-	return b.explain(hold, "it waits for a copy")
+	return b.explain(hold, reasonAwaitsReplica)
 }
 
 // endReason tells why a request gets no further attempt; it is empty if the request may have one.
-func (b *Balancer) endReason(now Micros, req *Request, t timing) string {
+func (b *Balancer) endReason(now Micros, req *Request, t timing) Reason {
 	attempts := len(req.Attempts)
 	switch {
 	case attempts > 0 && t.slack < 0: // a retry would add to the load that made it late
-		return "it ran once and has no slack left"
+		return reasonRetryTooLate
 	case req.overQuota:
-		return "it is beyond its tenant's share, or shed"
+		return reasonOverQuota
 	case now >= t.latestStart:
-		return "it can't end within its client's patience"
+		return reasonDeadlineTooClose
 	case attempts >= b.deployment.MaxAttempts:
-		return "it had all its executions"
+		return reasonNoAttemptsLeft
 	case !b.mayRetry(now, req, nil):
-		return "an earlier execution may have run"
+		return reasonMayHaveRun
 	}
 	return ""
 }
@@ -160,11 +160,11 @@
 	s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*t.total/1000
 	if b.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
 		f.delays.add(now, t.total)
-		return b.explain(b.giveUp(req), "the queue at its instance would make it late")
+		return b.explain(b.giveUp(req), reasonQueueTooLong)
 	}
 	d := b.forward(now, f, req, inst)
 	inst.lastUsed = max(inst.lastUsed, now)
-	return b.explain(d, "the fullest instance with room")
+	return b.explain(d, reasonFullestInstance)
 }
 
 // replicaState reports whether a function has replicas on usable servers that are loaded, and some that are loading.
@@ -179,7 +179,7 @@
 }
 
 // explain records the reason for a decision if a trace is attached.
-func (b *Balancer) explain(d Decision, reason string) Decision {
+func (b *Balancer) explain(d Decision, reason Reason) Decision {
 	if b.trace != nil {
 		b.trace.explanation.Reason = reason
 	}
@@ -262,19 +262,19 @@
 }
 
 // unusableReason tells why a request may not go to a server; it is empty if the request may.
-func (b *Balancer) unusableReason(now Micros, s *server, req *Request) string {
+func (b *Balancer) unusableReason(now Micros, s *server, req *Request) UnusableReason {
 	switch {
 	case s.State != Ready:
-		return "drains or is gone"
+		return unusableNotReady
 	case now < s.backoffUntil:
-		return "refused lately"
+		return unusableBackoff
 	// An ejected server without replicas gets probe requests, or it would stay ejected.
 	case s.ejected && now < s.probeAt:
-		return "is suspect, and no trial is due"
+		return unusableEjected
 	case !b.mayRetry(now, req, s):
-		return "is outside the job's group or window"
+		return unusableNoRetry
 	case !b.withinSlowStartBudget(now, s):
-		return "is cold, and its budget is used up"
+		return unusableSlowStart
 	}
 	return ""
 }
--- a/control/trace.go
+++ b/control/trace.go
@@ -27,31 +27,31 @@
 	Held        int          `json:"Held"`     // requests held for the function
 	LoadsDue    int          `json:"Due"`      // loads that the last replica check asked for
 	Servers     []ServerView `json:"Servers"`
-	Reason      string       `json:"Ended"` // the condition that decided
+	Reason      Reason       `json:"Ended"` // the condition that decided
 	Decision    Decision     `json:"Placement"`
 }
 
 // ServerView is what was believed of one server, and of the function's replicas there.
 type ServerView struct {
-	Server           ServerID    `json:"Server"`
-	State            ServerState `json:"State"`
-	Unusable         string      `json:"Barred"` // why the request can't go there; empty if it can
-	Known            bool        `json:"Here"`   // there is an entry for the function's replicas there
-	Loaded           bool        `json:"Warm"`
-	LoadingNow       bool        `json:"Coming"` // a load is running
-	Replicas         int         `json:"Copies"`
-	Loading          int         `json:"Loading"`
-	InFlight         int         `json:"Out"`   // attempts of this router there, for the function
-	Slots            int         `json:"Slots"` // that the instance offers this router
-	ConcurrencyLimit float64     `json:"Window"`
-	Running          int         `json:"Busy"` // attempts of this router that execute there, for any function
-	Ejected          bool        `json:"Suspect"`
-	Overloaded       bool        `json:"Shunned"`
-	PendingLoads     int         `json:"Waiting"` // functions of this router that load there, see server.pendingLoads
-	SlowStart        bool        `json:"Cold"`
-	FreeShare        float64     `json:"Room"` // free fraction of the concurrency limit
-	Report           LoadReport  `json:"Report"`
-	ReportAge        Micros      `json:"Fresh"` // negative: no report
+	Server           ServerID       `json:"Server"`
+	State            ServerState    `json:"State"`
+	Unusable         UnusableReason `json:"Barred"`
+	Known            bool           `json:"Here"` // there is an entry for the function's replicas there
+	Loaded           bool           `json:"Warm"`
+	LoadingNow       bool           `json:"Coming"` // a load is running
+	Replicas         int            `json:"Copies"`
+	Loading          int            `json:"Loading"`
+	InFlight         int            `json:"Out"`   // attempts of this router there, for the function
+	Slots            int            `json:"Slots"` // that the instance offers this router
+	ConcurrencyLimit float64        `json:"Window"`
+	Running          int            `json:"Busy"` // attempts of this router that execute there, for any function
+	Ejected          bool           `json:"Suspect"`
+	Overloaded       bool           `json:"Shunned"`
+	PendingLoads     int            `json:"Waiting"` // functions of this router that load there, see server.pendingLoads
+	SlowStart        bool           `json:"Cold"`
+	FreeShare        float64        `json:"Room"` // free fraction of the concurrency limit
+	Report           LoadReport     `json:"Report"`
+	ReportAge        Micros         `json:"Fresh"` // negative: no report
 }
 
 // ReplicaCheck is the design's test whether a function needs more replicas: it does if Delay has reached Slack and
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -7,22 +7,22 @@
 
 // A trace gives the condition that decided, and a view of each server.
 func TestTraceGivesReason(t *testing.T) {
-	for want, c := range map[string]struct {
+	for want, c := range map[Reason]struct {
 		action Action
 		change func(r *Balancer, req *Request)
 	}{
-		"the fullest instance with room": {Forward, func(r *Balancer, req *Request) { stands(r, 1, 0) }},
-		"no copy stands or comes":        {Forward, func(r *Balancer, req *Request) {}},
-		"an execution is out":            {NoAction, func(r *Balancer, req *Request) { req.Attempts = []Attempt{{}} }},
-		"it had all its executions": {Reject, func(r *Balancer, req *Request) {
+		"the fullest instance with room":  {Forward, func(r *Balancer, req *Request) { stands(r, 1, 0) }},
+		"no replica is loaded or loading": {Forward, func(r *Balancer, req *Request) {}},
+		"an attempt is in flight":         {NoAction, func(r *Balancer, req *Request) { req.Attempts = []Attempt{{}} }},
+		"it had all its attempts": {Reject, func(r *Balancer, req *Request) {
 			req.Attempts = []Attempt{{Done: true}, {Done: true}, {Done: true}}
 		}},
-		"it can't end within its client's patience": {Reject, func(r *Balancer, req *Request) { req.Deadline = at + 1000 }},
-		"an earlier execution may have run": {Fail, func(r *Balancer, req *Request) {
+		"it can't end before its deadline": {Reject, func(r *Balancer, req *Request) { req.Deadline = at + 1000 }},
+		"an earlier attempt may have run": {Fail, func(r *Balancer, req *Request) {
 			r.deployment.Classes[0].Effect = NonIdempotent
 			req.Attempts = []Attempt{{Done: true, MayHaveRun: true}}
 		}},
-		"it waits for a copy": {Hold, func(r *Balancer, req *Request) {
+		"it waits for a replica": {Hold, func(r *Balancer, req *Request) {
 			for _, s := range r.servers {
 				s.State = Draining
 			}
@@ -51,12 +51,12 @@
 	var got Explanation
 	r.SetTrace(&Trace{OnDecision: func(e Explanation) { got = e }})
 	r.Route(at, newJob(1))
-	for i, want := range []string{
+	for i, want := range []UnusableReason{
 		"",
-		"drains or is gone",
-		"is suspect, and no trial is due",
-		"refused lately",
-		"is cold, and its budget is used up",
+		"draining or removed",
+		"ejected, and no probe request is due",
+		"rejected a request or failed lately",
+		"in slow start, and its budget is used up",
 	} {
 		if view := got.Servers[i]; view.Unusable != want || view.Known != (i == 0) {
 			t.Errorf("server %d: got %+v, want %q", i+1, view, want)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -348,7 +348,7 @@
 		for _, x := range []struct {
 			is   bool
 			word string
-		}{{s.Ejected, "suspect"}, {s.Overloaded, "shunned"}, {s.SlowStart, "cold"}, {s.Unusable != "", "barred: " + s.Unusable}} {
+		}{{s.Ejected, "suspect"}, {s.Overloaded, "shunned"}, {s.SlowStart, "cold"}, {s.Unusable != "", "unusable: " + string(s.Unusable)}} {
 			if x.is {
 				put("; %s", x.word)
 			}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("job %d: %+v, %v", job, first, err)
 		}
 		a := first[0]
-		if a.Endpoints.Version != version || a.Explanation.Reason != "no copy stands or comes" || a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
+		if a.Endpoints.Version != version || a.Explanation.Reason != "no replica is loaded or loading" || a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
 			t.Errorf("job %d: %+v", job, a)
 		}
 		if barred := a.Explanation.Servers[1].Unusable != ""; barred != (job == 2) {
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -75,7 +75,7 @@
 			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
 			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
 		}
-		r.log.Trace().Str("why", explanation.Reason).
+		r.log.Trace().Str("why", string(explanation.Reason)).
 			Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
 			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).
 			Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
