--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -65,7 +65,7 @@
 		if barred := a.Explanation.Servers[1].Unusable != ""; barred != (job == 2) {
 			t.Errorf("job %d: server 2 is %q", job, a.Explanation.Servers[1].Unusable)
 		}
-		if text := a.Text(); !strings.Contains(text, a.Explanation.Reason) || !strings.Contains(text, "server 2") {
+		if text := a.Text(); !strings.Contains(text, string(a.Explanation.Reason)) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
 		if again, err := Request(files, Question{Request: job}); err != nil || !reflect.DeepEqual(first, again) {
