--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -74,7 +74,7 @@
 		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
 	}
 	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
-	client := router.waitWell()
+	client := router.waitReady()
 	chance := rand.New(rand.NewPCG(1, 2))
 	u.measure(t, router.command.Process.Pid)
 	u.start = u.cpu
--- a/cmd/hollymast/main.go
+++ b/cmd/hollymast/main.go
@@ -21,16 +21,16 @@
 //go:embed example.ini
 var example string
 
-type cli struct {
+type commandLine struct {
 	program.CommonFlags
-	Serve serve      `cmd:"" help:"Route jobs until told to stop."`
-	Check check      `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
-	On    onPlatform `cmd:"" name:"platform" help:"Route jobs on the operators' platform, as its configuration tells."`
-	Show  showing    `cmd:"" name:"example" help:"Print a commented settings file."`
+	Serve serveCommand    `cmd:"" help:"Route jobs until told to stop."`
+	Check checkCommand    `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
+	On    platformCommand `cmd:"" name:"platform" help:"Route jobs on the operators' platform, as its configuration tells."`
+	Show  exampleCommand  `cmd:"" name:"example" help:"Print a commented settings file."`
 }
 
 func main() {
-	var c cli
+	var c commandLine
 	ctx := program.Parse(&c, "hollymast", `Routes KServe v2 calls to workers that load functions on demand.
 
 Examples:
@@ -41,23 +41,23 @@
 	program.Exit("hollymast", ctx.Run())
 }
 
-type showing struct{}
+type exampleCommand struct{}
 
-func (showing) Run() error {
+func (exampleCommand) Run() error {
 	fmt.Print(example)
 	return nil
 }
 
-type check struct {
+type checkCommand struct {
 	File string `arg:"" help:"Settings file (INI)."`
 }
 
-func (c check) Run() error {
-	_, err := read(c.File)
+func (c checkCommand) Run() error {
+	_, err := loadConfig(c.File)
 	return err
 }
 
-func read(name string) (*gateway.Config, error) {
+func loadConfig(name string) (*gateway.Config, error) {
 	f, err := inifile.Load(name)
 	if err != nil {
 		return nil, program.UsageError{Err: err}
@@ -65,18 +65,18 @@
 	return gateway.ParseConfig(f)
 }
 
-type serve struct {
+type serveCommand struct {
 	File string `arg:"" help:"Settings file (INI)."`
 }
 
-func (s serve) Run() error {
-	told, err := read(s.File)
+func (s serveCommand) Run() error {
+	told, err := loadConfig(s.File)
 	if err != nil {
 		return err
 	}
 	zerolog.SetGlobalLevel(zerolog.DebugLevel)
 	log := program.NewLogger(os.Stderr, "hollymast", "debug")
-	level(told)
+	setLogLevel(told)
 	g, err := gateway.New(told, log)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 	return g.Serve(ctx)
 }
 
-func level(told *gateway.Config) {
+func setLogLevel(told *gateway.Config) {
 	if l, err := zerolog.ParseLevel(told.LogLevel); err == nil {
 		zerolog.SetGlobalLevel(l)
 	}
@@ -118,14 +118,14 @@
 
 // reload takes in what can change in service: the list of servers and the log level.
 func reload(name string, told *gateway.Config, g *gateway.Gateway, log zerolog.Logger) {
-	fresh, err := read(name)
+	fresh, err := loadConfig(name)
 	var faults *inifile.ValidationError
 	if errors.As(err, &faults) {
 		log.Error().Strs("faults", faults.Problems).Msg("settings refused: the old ones stand")
 	} else if err != nil {
 		log.Error().Err(err).Msg("settings refused: the old ones stand")
 	} else {
-		level(fresh)
+		setLogLevel(fresh)
 		if rest := gateway.ChangesNeedingRestart(told, fresh); len(rest) > 0 {
 			log.Warn().Strs("changed", rest).Msg("these need a restart; the old ones stand")
 		}
--- a/cmd/hollymast/platform.go
+++ b/cmd/hollymast/platform.go
@@ -12,14 +12,14 @@
 	"hollymast/internal/program"
 )
 
-type onPlatform struct {
+type platformCommand struct {
 	Name   string `help:"This router's name." env:"BALANCER_NAME"`
 	Listen string `help:"Where clients connect." env:"BALANCER_LISTEN"`
 	Config string `help:"The platform's configuration (JSON)." env:"BALANCER_CONFIG" required:""`
 	Log    string `help:"Log level: debug tells of each execution, trace also why jobs are turned away." default:"info" enum:"trace,debug,info,warn,error"`
 }
 
-func (o onPlatform) Run() error {
+func (o platformCommand) Run() error {
 	// Before all else: either may come at any time. Each has its own, so that none is lost behind others.
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/hollymast/platform_test.go
+++ b/cmd/hollymast/platform_test.go
@@ -12,13 +12,13 @@
 )
 
 // asRouter, where it is set, has the test program run as the router itself.
-const asRouter = "HOLLYMAST_TEST_ARGS"
+const routerArgsEnv = "HOLLYMAST_TEST_ARGS"
 
 // builtRouter, where it is set, is a router that was built, to run in the place of the test program.
-const builtRouter = "HOLLYMAST_TEST_ROUTER"
+const routerBinaryEnv = "HOLLYMAST_TEST_ROUTER"
 
 func TestMain(m *testing.M) {
-	if args := os.Getenv(asRouter); args != "" {
+	if args := os.Getenv(routerArgsEnv); args != "" {
 		os.Args = append(os.Args[:1], strings.Fields(args)...)
 		main()
 	}
@@ -27,7 +27,7 @@
 
 // An order to stop that comes while a new configuration is read, for however long, is obeyed.
 func TestStopCrossesAReload(t *testing.T) {
-	text := platformtest.Deployment{Grace: drainGrace}.Configuration("127.0.0.1:1")
+	text := platformtest.Deployment{Grace: gracePeriod}.Configuration("127.0.0.1:1")
 	router := startRouter(t, text)
 	name := router.file
 	// From now on the file is a pipe, and reading it takes until somebody writes.
--- a/cmd/hollymast/shutdown_test.go
+++ b/cmd/hollymast/shutdown_test.go
@@ -18,10 +18,10 @@
 )
 
 // crosses is how long before a close a request may be sent that its client sends again elsewhere.
-const crosses = 50 * time.Millisecond
+const resendWindow = 50 * time.Millisecond
 
 // pushing is a client's connection on which requests go out at a steady pace, whatever is answered, until it is closed.
-type pushing struct {
+type steadyClient struct {
 	mu       sync.Mutex
 	sent     map[uint64]time.Time
 	answered map[uint64]int
@@ -30,10 +30,10 @@
 }
 
 // push sends at that pace until the router closes the connection, or the process that held it ended.
-func push(conn net.Conn, first uint64, allow, pace time.Duration) *pushing {
-	p := &pushing{sent: map[uint64]time.Time{}, answered: map[uint64]int{}}
+func sendSteadily(conn net.Conn, first uint64, allow, pace time.Duration) *steadyClient {
+	p := &steadyClient{sent: map[uint64]time.Time{}, answered: map[uint64]int{}}
 	var both sync.WaitGroup
-	both.Go(func() { p.hear(conn) })
+	both.Go(func() { p.readAnswers(conn) })
 	for number := uint64(1); ; number++ {
 		text, err := msgpack.Marshal([]any{0, number, "again", []any{map[string]string{"ref": fmt.Sprintf("%016x", first+number),
 			"allow": fmt.Sprint(allow.Milliseconds()), "project": "acme", "lookup": fmt.Sprintf("%016x", 1+number%4),
@@ -57,7 +57,7 @@
 	return p
 }
 
-func (p *pushing) hear(conn net.Conn) {
+func (p *steadyClient) readAnswers(conn net.Conn) {
 	answers := msgpack.NewDecoder(conn)
 	for {
 		answer, err := answers.DecodeSlice()
@@ -78,9 +78,9 @@
 }
 
 // lost counts the requests that got no answer, or two, but for those that are sent again. None is after the kill.
-func (p *pushing) lost(killed time.Time) (lost int) {
+func (p *steadyClient) lost(killed time.Time) (lost int) {
 	for number, at := range p.sent {
-		again := p.closed.Before(killed) && p.closed.Sub(at) <= crosses
+		again := p.closed.Before(killed) && p.closed.Sub(at) <= resendWindow
 		if n := p.answered[number]; n > 1 || n == 0 && !again {
 			lost++
 		}
@@ -89,7 +89,7 @@
 }
 
 // waited gives how long each thread of a process has waited for a processor, as the kernel counts it.
-func waited(process int) map[string]time.Duration {
+func schedulerWaits(process int) map[string]time.Duration {
 	threads := map[string]time.Duration{}
 	names, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is well formed
 	for _, name := range names {
@@ -106,21 +106,21 @@
 }
 
 // longestWait gives the most that a thread of a process has waited since; those that began later have waited from 0.
-func longestWait(process int, since map[string]time.Duration) (longest time.Duration) {
-	for name, waits := range waited(process) {
+func longestSchedulerWait(process int, since map[string]time.Duration) (longest time.Duration) {
+	for name, waits := range schedulerWaits(process) {
 		longest = max(longest, waits-since[name])
 	}
 	return longest
 }
 
 // outcome is what became of the requests of one stop.
-type outcome struct {
+type stopOutcome struct {
 	sent, served, lost int
 	starved            time.Duration // the most that a thread of the router waited for a processor in the last steps of its stop
 }
 
 // mostStarved is what a router on a machine with room for it waits at most: a stop with more shows the machine, and is played again.
-const mostStarved = 20 * time.Millisecond
+const maxSchedulerWait = 20 * time.Millisecond
 
 // TestKilledRouterOwesNothing guards against requests that the earliest kill after SIGTERM finds unanswered: clients go on sending
 // on open connections until then, and the shorter the deadlines, the sooner it comes.
@@ -138,7 +138,7 @@
 				defer func() { <-room }()
 				const plays = 5
 				got := killAfterStop(t, c.deadline, silent)
-				for play := 1; play < plays && got.starved > mostStarved; play++ {
+				for play := 1; play < plays && got.starved > maxSchedulerWait; play++ {
 					t.Logf("a thread of the router waited %v for a processor: played again", got.starved)
 					got = killAfterStop(t, c.deadline, silent)
 				}
@@ -155,7 +155,7 @@
 }
 
 // killAfterStop stops a router, with clients that go on sending, and kills it at the earliest time.
-func killAfterStop(t *testing.T, deadline time.Duration, silent bool) (got outcome) {
+func killAfterStop(t *testing.T, deadline time.Duration, silent bool) (got stopOutcome) {
 	const (
 		connections = 4
 		comeFor     = 400 * time.Millisecond // new connections after SIGTERM
@@ -167,21 +167,21 @@
 	server := platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	router := startRouter(t, platformtest.Deployment{Grace: drainGrace, Deadline: deadline}.Configuration(plane.Address(), events...))
-	router.waitWell()
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod, Deadline: deadline}.Configuration(plane.Address(), events...))
+	router.waitReady()
 	if silent {
 		server.Hold()
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var clients []*pushing
+	var clients []*steadyClient
 	begin := func(nth uint64) bool {
 		conn, err := net.Dial("tcp", router.address)
 		if err != nil {
 			return false
 		}
 		all.Go(func() {
-			p := push(conn, nth<<32, deadline, pace)
+			p := sendSteadily(conn, nth<<32, deadline, pace)
 			mu.Lock()
 			defer mu.Unlock()
 			clients = append(clients, p)
@@ -202,9 +202,9 @@
 	}
 	kill := told.Add(spared + min(deadline, countsMost))
 	time.Sleep(time.Until(kill.Add(-lastSteps)))
-	waits := waited(router.command.Process.Pid)
+	waits := schedulerWaits(router.command.Process.Pid)
 	time.Sleep(time.Until(kill))
-	got.starved = longestWait(router.command.Process.Pid, waits)
+	got.starved = longestSchedulerWait(router.command.Process.Pid, waits)
 	killed := time.Now()
 	if err := router.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		t.Fatal(err)
--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/standstill_test.go
@@ -36,8 +36,8 @@
 		t.Fatal(err)
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), asRouter+"=platform", "BALANCER_CONFIG="+name)
-	if built := os.Getenv(builtRouter); built != "" {
+	command.Env = append(os.Environ(), routerArgsEnv+"=platform", "BALANCER_CONFIG="+name)
+	if built := os.Getenv(routerBinaryEnv); built != "" {
 		command.Path, command.Args = built, []string{built, "platform"}
 	}
 	log, err := command.StderrPipe()
@@ -73,7 +73,7 @@
 }
 
 // stop stops the process and returns once the kernel says that it stands.
-func (r *routerProcess) stop() {
+func (r *routerProcess) suspend() {
 	r.t.Helper()
 	r.signal(syscall.SIGSTOP)
 	for range 1000 {
@@ -89,7 +89,7 @@
 	r.t.Fatal("the process does not stop")
 }
 
-func (r *routerProcess) goOn() {
+func (r *routerProcess) resume() {
 	r.t.Helper()
 	r.signal(syscall.SIGCONT)
 }
@@ -102,7 +102,7 @@
 }
 
 // configure replaces its configuration.
-func (r *routerProcess) configure(text string) {
+func (r *routerProcess) writeConfig(text string) {
 	r.t.Helper()
 	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
@@ -110,7 +110,7 @@
 }
 
 // waitWell waits until the router says that it is well.
-func (r *routerProcess) waitWell() *platformtest.Client {
+func (r *routerProcess) waitReady() *platformtest.Client {
 	r.t.Helper()
 	c := platformtest.Dial(r.t, r.address)
 	for range 1000 {
@@ -124,15 +124,15 @@
 }
 
 const (
-	drainGrace = 500 * time.Millisecond
-	drainSlack = 50 * time.Millisecond // every time limit is this much longer on sockets
+	gracePeriod = 500 * time.Millisecond
+	socketSlack = 50 * time.Millisecond // every time limit is this much longer on sockets
 )
 
 // checkNoneAfter fails the test for each frame that came later than the grace after a drain.
-func checkNoneAfter(t *testing.T, s *platformtest.ModelServer, told time.Time, grace time.Duration) {
+func checkNoFramesAfter(t *testing.T, s *platformtest.ModelServer, told time.Time, grace time.Duration) {
 	t.Helper()
 	for _, frame := range s.Received() {
-		if late := frame.At.Sub(told) - grace - drainSlack; late > 0 {
+		if late := frame.At.Sub(told) - grace - socketSlack; late > 0 {
 			t.Errorf("a frame of code %d begins %v after the grace", frame.Code, late.Round(time.Millisecond))
 		}
 	}
@@ -154,8 +154,8 @@
 			drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
-			client := router.waitWell()
+			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
+			client := router.waitReady()
 			ref := uint64(0)
 			callAll := func(client *platformtest.Client) {
 				for f := range uint64(functions) {
@@ -184,7 +184,7 @@
 			if c.busy { // what is under way when the process stops
 				callAll(others[1])
 			}
-			router.stop()
+			router.suspend()
 			told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 			joins := platformtest.NewModelServer(t) // further events behind it, the last one another drain
 			plane.Publish(platformtest.Event(4, "s-2", joins.Address(), "ready"))
@@ -192,7 +192,7 @@
 			callAll(others[0])
 			callAll(others[2])
 			time.Sleep(c.stopped)
-			router.goOn()
+			router.resume()
 			answerAll(others[0])
 			answerAll(others[2])
 			if c.busy {
@@ -200,8 +200,8 @@
 			}
 			callAll(client) // and what comes afterwards
 			answerAll(client)
-			checkNoneAfter(t, drains, told, drainGrace)
-			if n := len(joins.Received()); n > 0 && c.stopped > drainGrace+drainSlack {
+			checkNoFramesAfter(t, drains, told, gracePeriod)
+			if n := len(joins.Received()); n > 0 && c.stopped > gracePeriod+socketSlack {
 				t.Errorf("%d frames went to a server that came and drained during the stop", n)
 			}
 		})
@@ -218,8 +218,8 @@
 			server := platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
-			client := router.waitWell()
+			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
+			client := router.waitReady()
 			client.Call(1, 1) // its copy stands from now on
 			if !client.Answer() {
 				t.Fatal("a request was not served")
@@ -230,10 +230,10 @@
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // what has come of the answer is read
-			router.stop()
+			router.suspend()
 			server.Release()
 			time.Sleep(1600 * time.Millisecond) // beyond the time that such an execution and an answer in pieces are given
-			router.goOn()
+			router.resume()
 			if !client.Answer() {
 				t.Error("a request was not served")
 			}
@@ -252,8 +252,8 @@
 	old := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	answer := make(chan bool)
 	fresh := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, events...)
-	router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(old.Address(), events...))
-	client := router.waitWell()
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(old.Address(), events...))
+	client := router.waitReady()
 	const functions = 12
 	callAll := func(first uint64) {
 		for f := range uint64(functions) {
@@ -269,23 +269,23 @@
 	if len(drains.Received()) == 0 {
 		t.Fatal("the server that is to drain was never used")
 	}
-	router.stop()
+	router.suspend()
 	told := old.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining")) // the last that the old address tells
 	fresh.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
-	router.configure(platformtest.Deployment{Grace: drainGrace}.Configuration(fresh.Address(), events...))
+	router.writeConfig(platformtest.Deployment{Grace: gracePeriod}.Configuration(fresh.Address(), events...))
 	router.signal(syscall.SIGHUP)
-	time.Sleep(drainGrace + drainSlack)
-	router.goOn()
+	time.Sleep(gracePeriod + socketSlack)
+	router.resume()
 	callAll(101)
 	close(answer)
-	checkNoneAfter(t, drains, told, drainGrace)
+	checkNoFramesAfter(t, drains, told, gracePeriod)
 	if len(fresh.Subscriptions()) == 0 {
 		t.Error("the new address was not asked")
 	}
 }
 
 // runInPieces lets a process run for a part of each period only, as on a share of a core, until it is told to end.
-func (r *routerProcess) runInPieces(runs, period time.Duration) (end func()) {
+func (r *routerProcess) throttle(runs, period time.Duration) (end func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -323,7 +323,7 @@
 	}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), events...))
-	client := router.waitWell()
+	client := router.waitReady()
 	served, ref := 0, uint64(0)
 	callAll := func() {
 		for f := range uint64(functions) {
@@ -341,7 +341,7 @@
 		flood := platformtest.Dial(t, router.address)
 		t.Cleanup(flood.Flood())
 	}
-	end := router.runInPieces(25*time.Millisecond, 100*time.Millisecond)
+	end := router.throttle(25*time.Millisecond, 100*time.Millisecond)
 	told := make([]time.Time, servers-1)
 	for i := range told {
 		callAll()
@@ -352,7 +352,7 @@
 	}
 	end()
 	for i, at := range told {
-		checkNoneAfter(t, fakes[i], at, grace)
+		checkNoFramesAfter(t, fakes[i], at, grace)
 	}
 	if served < int(ref)*9/10 {
 		t.Errorf("%d of %d requests were served", served, ref)
@@ -366,9 +366,9 @@
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	deployment := platformtest.Deployment{Grace: drainGrace, LoadsOnCommandOnly: true}
+	deployment := platformtest.Deployment{Grace: gracePeriod, LoadsOnCommandOnly: true}
 	router := startRouter(t, deployment.Configuration(plane.Address(), events...))
-	client := router.waitWell()
+	client := router.waitReady()
 	callAll := func(first uint64) {
 		for f := range uint64(functions) {
 			client.Call(first+f, first+f)
@@ -386,13 +386,13 @@
 	if drains.LoadCommands() == 0 || stays.LoadCommands() == 0 {
 		t.Fatalf("%d and %d orders: both servers should get some", drains.LoadCommands(), stays.LoadCommands())
 	}
-	router.stop()
+	router.suspend()
 	told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 	callAll(101)
 	time.Sleep(1600 * time.Millisecond)
-	router.goOn()
+	router.resume()
 	answerAll()
-	checkNoneAfter(t, drains, told, drainGrace)
+	checkNoFramesAfter(t, drains, told, gracePeriod)
 }
 
 // A request that comes while the process is stopped is read late. The deadline that its server is told is still at most what the
@@ -406,7 +406,7 @@
 			known := platformtest.Event(1, "s-0", server.Address(), "ready")
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
 			router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), known))
-			clients := []*platformtest.Client{router.waitWell(), platformtest.Dial(t, router.address)}
+			clients := []*platformtest.Client{router.waitReady(), platformtest.Dial(t, router.address)}
 			clients[0].Call(1, 1)
 			if !clients[0].Answer() {
 				t.Fatal("not served")
@@ -415,13 +415,13 @@
 				return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.AttemptCode })
 			}
 			before := len(requests())
-			router.stop()
+			router.suspend()
 			asked := time.Now()
 			for i, c := range append(clients, platformtest.Dial(t, router.address)) { // the last is accepted afterwards
 				c.Call(uint64(i+2), 1)
 			}
 			time.Sleep(stopped)
-			router.goOn()
+			router.resume()
 			checked := 0
 			until := time.Now().Add(4 * time.Second)
 			for checked < len(clients)+1 && time.Now().Before(until) {
--- a/cmd/hollymast/stop_test.go
+++ b/cmd/hollymast/stop_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), asRouter+"=serve "+name)
+	command.Env = append(os.Environ(), routerArgsEnv+"=serve "+name)
 	log, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -78,19 +78,19 @@
 }
 
 // asker is a client with one open connection that goes on sending.
-type asker struct {
+type openClient struct {
 	address    string
-	every      time.Duration
+	pause      time.Duration
 	answered   int
 	unanswered []string
 }
 
-func (a *asker) ask(until func() bool) {
+func (a *openClient) run(until func() bool) {
 	for until() {
 		c, err := rest.Dial(context.Background(), a.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				time.Sleep(a.every)
+				time.Sleep(a.pause)
 			}
 			continue
 		}
@@ -107,7 +107,7 @@
 			if err != nil || p.Close {
 				break
 			}
-			time.Sleep(a.every)
+			time.Sleep(a.pause)
 		}
 		c.Close()
 	}
@@ -130,11 +130,11 @@
 	for range 4 {
 		address, process := startGateway(t, fmt.Sprintf(shortDeadlines, list))
 		var over atomic.Bool
-		askers := make([]asker, 48)
+		askers := make([]openClient, 48)
 		var wg sync.WaitGroup
 		for i := range askers {
-			askers[i] = asker{address: address, every: time.Duration(1+7*i) * time.Millisecond}
-			wg.Go(func() { askers[i].ask(func() bool { return !over.Load() }) })
+			askers[i] = openClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
+			wg.Go(func() { askers[i].run(func() bool { return !over.Load() }) })
 		}
 		time.Sleep(400 * time.Millisecond)
 		process.Signal(syscall.SIGTERM)
@@ -145,7 +145,7 @@
 		for i := range askers {
 			answered += askers[i].answered
 			for _, text := range askers[i].unanswered {
-				t.Errorf("client that asks every %v: no answer %s", askers[i].every, text)
+				t.Errorf("client that asks every %v: no answer %s", askers[i].pause, text)
 			}
 		}
 	}
--- a/internal/certstore/keyring.go
+++ b/internal/certstore/keyring.go
@@ -31,26 +31,26 @@
 	AuthoritiesSecret string
 }
 
-func (t *Config) shows() bool { return t.Certificate != "" || t.CertificateSecret != "" }
+func (t *Config) hasCertificate() bool { return t.Certificate != "" || t.CertificateSecret != "" }
 
-func (t *Config) checks() bool { return t.Authorities != "" || t.AuthoritiesSecret != "" }
+func (t *Config) verifiesPeer() bool { return t.Authorities != "" || t.AuthoritiesSecret != "" }
 
 // lookEvery is how often the files are read: often enough that whoever has replaced them sees it at once, at the cost of four
 // small reads.
-const lookEvery = 250 * time.Millisecond
+const pollInterval = 250 * time.Millisecond
 
 // Ring is one side's keys. All methods may be called by any goroutine.
 type Store struct {
-	told *Config
-	now  func() control.Micros
-	note func(text string)
+	config *Config
+	now    func() control.Micros
+	log    func(text string)
 
 	mu       sync.Mutex
 	identity tlspolicy.Identity
-	peers    *tlspolicy.Verifier
-	long     map[*watched]struct{} // connections that are cut once their peer is no longer believed
-	counts   Stats
-	chance   *rand.Rand // spreads the replacing of connections
+	verifier *tlspolicy.Verifier
+	tracked  map[*trackedConn]struct{} // connections that are cut once their peer is no longer believed
+	stats    Stats
+	random   *rand.Rand // spreads the replacing of connections
 }
 
 // Counts are what a ring has met.
@@ -63,18 +63,18 @@
 
 // Open finds the keys. Where files are told they must be whole; secrets may come later. Errors are what is wrong with them.
 func Open(told *Config, now func() control.Micros, note func(text string)) (*Store, error) {
-	r := &Store{told: told, now: now, note: note, peers: tlspolicy.NewVerifier(told.Names), long: map[*watched]struct{}{}, counts: Stats{RejectedPeers: map[string]uint64{}},
-		chance: rand.New(rand.NewPCG(uint64(now()), 1))}
+	r := &Store{config: told, now: now, log: note, verifier: tlspolicy.NewVerifier(told.Names), tracked: map[*trackedConn]struct{}{}, stats: Stats{RejectedPeers: map[string]uint64{}},
+		random: rand.New(rand.NewPCG(uint64(now()), 1))}
 	if told.SecretsAddress != "" {
 		return r, nil
 	}
-	return r, r.look()
+	return r, r.reload()
 }
 
 // look reads the files and offers them. A file that can't be read leaves all as it was.
-func (r *Store) look() error {
+func (r *Store) reload() error {
 	var texts [4][]byte
-	for i, name := range []string{r.told.Certificate, r.told.Key, r.told.Authorities, r.told.RevocationLists} {
+	for i, name := range []string{r.config.Certificate, r.config.Key, r.config.Authorities, r.config.RevocationLists} {
 		if name == "" {
 			continue
 		}
@@ -84,10 +84,10 @@
 		}
 	}
 	var errs []error
-	if r.told.shows() {
+	if r.config.hasCertificate() {
 		errs = append(errs, r.UpdateKeyPair(texts[0], texts[1]))
 	}
-	if r.told.checks() {
+	if r.config.verifiesPeer() {
 		errs = append(errs, r.UpdateAuthorities(texts[2], texts[3]))
 	}
 	return errors.Join(errs...)
@@ -98,7 +98,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	err := r.identity.Update(r.now(), chain, key)
-	r.tell()
+	r.flushLog()
 	return err
 }
 
@@ -107,46 +107,46 @@
 func (r *Store) UpdateAuthorities(authorities, revoked []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.peers.Version()
-	err := r.peers.Update(r.now(), authorities, revoked)
-	if r.peers.Version() != before {
-		r.cut()
+	before := r.verifier.Version()
+	err := r.verifier.Update(r.now(), authorities, revoked)
+	if r.verifier.Version() != before {
+		r.closeUntrusted()
 	}
-	r.tell()
+	r.flushLog()
 	return err
 }
 
-func (r *Store) tell() {
-	for _, n := range append(r.identity.LogLines(), r.peers.LogLines()...) {
-		r.note(n)
+func (r *Store) flushLog() {
+	for _, n := range append(r.identity.LogLines(), r.verifier.LogLines()...) {
+		r.log(n)
 	}
 }
 
-func (r *Store) cut() {
+func (r *Store) closeUntrusted() {
 	now := r.now()
-	for w := range r.long {
-		if err := r.peers.Reverify(now, &w.standing); err != nil {
-			r.refusedLocked(err)
-			r.note("a connection is cut: " + err.Error())
-			delete(r.long, w)
+	for w := range r.tracked {
+		if err := r.verifier.Reverify(now, &w.peer); err != nil {
+			r.countRejectedLocked(err)
+			r.log("a connection is cut: " + err.Error())
+			delete(r.tracked, w)
 			w.raw.Close() // not the secret one, whose goodbye may wait
 		}
 	}
 }
 
 // tick ends what is over.
-func (r *Store) tick() {
+func (r *Store) maintain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.identity.Maintain(r.now())
-	r.peers.Maintain(r.now())
-	r.cut()
-	r.tell()
+	r.verifier.Maintain(r.now())
+	r.closeUntrusted()
+	r.flushLog()
 }
 
 // Follow looks at the files now and again until the context ends. What can't be read is told once, until it can.
 func (r *Store) Run(ctx context.Context) {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	unread := ""
 	for {
@@ -155,18 +155,18 @@
 			return
 		case <-t.C:
 		}
-		if r.told.SecretsAddress == "" {
+		if r.config.SecretsAddress == "" {
 			var missing *os.PathError
-			if err := r.look(); errors.As(err, &missing) {
+			if err := r.reload(); errors.As(err, &missing) {
 				if unread != missing.Error() {
 					unread = missing.Error()
-					r.note(unread + ": what was read before stands")
+					r.log(unread + ": what was read before stands")
 				}
 			} else {
 				unread = ""
 			}
 		}
-		r.tick()
+		r.maintain()
 	}
 }
 
@@ -174,30 +174,30 @@
 func (r *Store) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.counts
+	c := r.stats
 	c.ExpiresAt = r.identity.ExpiresAt()
-	c.RejectedPeers = make(map[string]uint64, len(r.counts.RejectedPeers))
-	for k, v := range r.counts.RejectedPeers {
+	c.RejectedPeers = make(map[string]uint64, len(r.stats.RejectedPeers))
+	for k, v := range r.stats.RejectedPeers {
 		c.RejectedPeers[k] = v
 	}
 	return c
 }
 
-func (r *Store) refusedLocked(err error) {
+func (r *Store) countRejectedLocked(err error) {
 	var no *tlspolicy.PeerError
 	if errors.As(err, &no) {
-		r.counts.RejectedPeers[no.Reason.String()]++
+		r.stats.RejectedPeers[no.Reason.String()]++
 	}
 }
 
-var errOutlived = errors.New("another certificate of ours is in service")
+var errCertificateReplaced = errors.New("another certificate of ours is in service")
 
-var errNoPair = errors.New("no certificate is in service yet")
+var errNoCertificate = errors.New("no certificate is in service yet")
 
 // config gives what one handshake runs by; standing gets what is found of the peer.
-func (r *Store) config(side tlspolicy.Role, host string, standing *tlspolicy.VerifiedPeer) *tls.Config {
+func (r *Store) tlsConfig(side tlspolicy.Role, host string, standing *tlspolicy.VerifiedPeer) *tls.Config {
 	c := &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true} // each connection is checked whole
-	if r.told.AllowTLS12 {
+	if r.config.AllowTLS12 {
 		c.MinVersion = tls.VersionTLS12
 	}
 	pair := func() (*tls.Certificate, error) {
@@ -206,18 +206,18 @@
 		if p := r.identity.Current(); p != nil {
 			return p, nil
 		}
-		return nil, errNoPair
+		return nil, errNoCertificate
 	}
 	// Ours is the whole check, so that names, revocation and reasons are the same for all kinds of connections.
 	verify := func(s tls.ConnectionState) error {
-		if !r.told.checks() {
+		if !r.config.verifiesPeer() {
 			return nil
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		got, err := r.peers.Verify(r.now(), s.PeerCertificates, side, host)
+		got, err := r.verifier.Verify(r.now(), s.PeerCertificates, side, host)
 		if err != nil {
-			r.refusedLocked(err)
+			r.countRejectedLocked(err)
 			return err
 		}
 		*standing = got
@@ -228,7 +228,7 @@
 		c.InsecureSkipVerify = true
 		c.ServerName = host
 		c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			if !r.told.shows() {
+			if !r.config.hasCertificate() {
 				return &tls.Certificate{}, nil
 			}
 			return pair()
@@ -236,7 +236,7 @@
 		return c
 	}
 	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair() }
-	if r.told.checks() {
+	if r.config.verifiesPeer() {
 		c.ClientAuth = tls.RequestClientCert // its absence is refused by the check, in our words
 	}
 	return c
@@ -245,27 +245,27 @@
 // Secure is a connection whose peer was believed.
 type Conn struct {
 	*tls.Conn
-	ring     *Store
-	standing tlspolicy.VerifiedPeer
-	dialled  bool
-	own      uint64 // version of the identity that it was made with
-	place    float64
+	store           *Store
+	peer            tlspolicy.VerifiedPeer
+	isClient        bool
+	identityVersion uint64 // version of the identity that it was made with
+	replaceAt       float64
 }
 
 // Still tells whether the peer is still believed, and, where we dialled, whether we still show what we have in service: a
 // connection that stood idle may have outlived either. One goroutine at a time.
 func (s *Conn) Still() error {
-	s.ring.mu.Lock()
-	defer s.ring.mu.Unlock()
-	if s.dialled && s.ring.identity.ReplaceNow(s.ring.now(), s.own, s.place) {
-		return errOutlived
+	s.store.mu.Lock()
+	defer s.store.mu.Unlock()
+	if s.isClient && s.store.identity.ReplaceNow(s.store.now(), s.identityVersion, s.replaceAt) {
+		return errCertificateReplaced
 	}
-	if !s.ring.told.checks() {
+	if !s.store.config.verifiesPeer() {
 		return nil
 	}
-	err := s.ring.peers.Reverify(s.ring.now(), &s.standing)
+	err := s.store.verifier.Reverify(s.store.now(), &s.peer)
 	if err != nil {
-		s.ring.refusedLocked(err)
+		s.store.countRejectedLocked(err)
 	}
 	return err
 }
@@ -278,26 +278,26 @@
 		return nil, err
 	}
 	r.mu.Lock()
-	s := &Conn{ring: r, dialled: true, own: r.identity.Version(), place: r.chance.Float64()}
+	s := &Conn{store: r, isClient: true, identityVersion: r.identity.Version(), replaceAt: r.random.Float64()}
 	r.mu.Unlock()
-	s.Conn = tls.Client(nc, r.config(tlspolicy.Server, host, &s.standing))
-	return s, r.shake(ctx, s.Conn)
+	s.Conn = tls.Client(nc, r.tlsConfig(tlspolicy.Server, host, &s.peer))
+	return s, r.handshake(ctx, s.Conn)
 }
 
 // Accepted makes a connection that was accepted secret, within the context.
 func (r *Store) ServerHandshake(ctx context.Context, nc net.Conn) (net.Conn, error) {
-	s := &Conn{ring: r}
-	s.Conn = tls.Server(nc, r.config(tlspolicy.Client, "", &s.standing))
-	err := r.shake(ctx, s.Conn)
+	s := &Conn{store: r}
+	s.Conn = tls.Server(nc, r.tlsConfig(tlspolicy.Client, "", &s.peer))
+	err := r.handshake(ctx, s.Conn)
 	if err != nil {
-		linger(nc)
+		drainAfterReject(nc)
 	}
 	return s, err
 }
 
 // linger has the other end read why it was refused before the connection goes: what it has sent already would else have the
 // kernel reset it, and the alert with it.
-func linger(nc net.Conn) {
+func drainAfterReject(nc net.Conn) {
 	const most = 200 * time.Millisecond // several round trips
 	if t, ok := nc.(*net.TCPConn); ok && t.CloseWrite() == nil {
 		nc.SetReadDeadline(time.Now().Add(most))
@@ -305,18 +305,18 @@
 	}
 }
 
-func (r *Store) shake(ctx context.Context, c *tls.Conn) error {
+func (r *Store) handshake(ctx context.Context, c *tls.Conn) error {
 	err := c.HandshakeContext(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var no *tlspolicy.PeerError
 	switch {
 	case err == nil:
-		r.counts.Handshakes++
+		r.stats.Handshakes++
 		return nil
 	case errors.As(err, &no):
 		return no
 	}
-	r.counts.FailedHandshakes++
+	r.stats.FailedHandshakes++
 	return fmt.Errorf("no secret connection: %w", err)
 }
--- a/internal/certstore/keyring_test.go
+++ b/internal/certstore/keyring_test.go
@@ -165,22 +165,22 @@
 	}
 	well()
 	put(t, dir, map[string][]byte{"cert": fresh.Chain})
-	if err := server.look(); err == nil || shown() != old.Serial.String() {
+	if err := server.reload(); err == nil || shown() != old.Serial.String() {
 		t.Errorf("half a change: %v", err)
 	}
 	put(t, dir, map[string][]byte{"key": fresh.Key})
-	if err := server.look(); err != nil || shown() != fresh.Serial.String() {
+	if err := server.reload(); err != nil || shown() != fresh.Serial.String() {
 		t.Errorf("%v: %s is shown", err, shown())
 	}
 	well()
 	os.Remove(filepath.Join(dir, "key"))
-	if err := server.look(); err == nil || shown() != fresh.Serial.String() {
+	if err := server.reload(); err == nil || shown() != fresh.Serial.String() {
 		t.Errorf("no key: %v", err)
 	}
 	put(t, dir, map[string][]byte{"key": fresh.Key})
 	a.Revoke(peer.Serial)
 	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
-	if err := server.look(); err != nil {
+	if err := server.reload(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ask(c); err == nil {
@@ -209,7 +209,7 @@
 		t.Errorf("TLS 1.2: %v", err)
 	}
 	also, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
-	also.told.AllowTLS12 = true
+	also.config.AllowTLS12 = true
 	strict := address
 	address = serve(t, also)
 	if err := old(); err != nil {
@@ -266,7 +266,7 @@
 	known := func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.peers.HasAuthorities()
+		return r.verifier.HasAuthorities()
 	}
 	x, y := a.Issue(host), a.Issue(host)
 	service.SetPair("own", x.Chain, x.Key)
@@ -315,7 +315,7 @@
 	}
 	a.Revoke(peer.Serial)
 	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
-	if err := server.look(); err != nil {
+	if err := server.reload(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := watch.Recv(); err == nil || ctx.Err() != nil {
--- a/internal/loadreport/loads.go
+++ b/internal/loadreport/loads.go
@@ -53,35 +53,35 @@
 
 // Tally is one router's counting. It is for one goroutine.
 type Collector struct {
-	from    control.Micros
-	servers map[string]*server
-	bound   int
+	since      control.Micros
+	servers    map[string]*serverStats
+	maxServers int
 }
 
-type server struct {
+type serverStats struct {
 	Counts
 	LoadMetrics
-	inFlight uint64
-	last     control.LoadReport // of itself
-	heard    bool
+	inFlight   uint64
+	lastReport control.LoadReport // of itself
+	reported   bool
 }
 
 // mostServers bounds the servers counted at once: more than a list may name would only be addresses that come and go.
-const mostServers = 100_000
+const maxServers = 100_000
 
 // NewTally begins to count.
 func NewCollector(now control.Micros) *Collector {
-	return &Collector{from: now, servers: map[string]*server{}, bound: mostServers}
+	return &Collector{since: now, servers: map[string]*serverStats{}, maxServers: maxServers}
 }
 
 // Chosen counts an execution that is on its way to a server.
 func (t *Collector) AttemptBegan(address string) {
 	s := t.servers[address]
 	if s == nil {
-		if len(t.servers) >= t.bound {
+		if len(t.servers) >= t.maxServers {
 			return // its end is not counted either
 		}
-		s = &server{}
+		s = &serverStats{}
 		t.servers[address] = s
 	}
 	s.inFlight++
@@ -105,7 +105,7 @@
 	}
 	s.Issued++
 	if said != nil {
-		s.heard, s.last = true, *said
+		s.reported, s.lastReport = true, *said
 		s.LoadMetrics.add(LoadMetrics{1, max(0, said.Utilization), max(0, said.PendingLoads), max(0, said.PinnedMemory)}) // below zero: it did not say
 	}
 }
@@ -113,10 +113,10 @@
 // Said gives what a server last said of itself.
 func (t *Collector) LastReport(address string) (r control.LoadReport, ok bool) {
 	s := t.servers[address]
-	if s == nil || !s.heard {
+	if s == nil || !s.reported {
 		return r, false
 	}
-	return s.last, true
+	return s.lastReport, true
 }
 
 // Forget forgets servers that are idle and not listed any more, with what was not taken of them.
@@ -130,8 +130,8 @@
 
 // Take gives what was counted since the last report, and begins anew.
 func (t *Collector) Flush(now control.Micros) Report {
-	r := Report{From: t.from, To: now}
-	t.from = now
+	r := Report{From: t.since, To: now}
+	t.since = now
 	for a, s := range t.servers {
 		if s.inFlight > 0 || s.Issued > 0 || s.Reports > 0 {
 			r.Endpoints = append(r.Endpoints, EndpointStats{a, s.inFlight, s.Counts, s.LoadMetrics})
@@ -179,8 +179,8 @@
 // Bounds of the time between two reports that a control plane may ask for: under the least reports would cost more than they tell,
 // over the most they are as good as none.
 const (
-	least = control.Micros(100_000)
-	most  = control.Micros(3600_000_000)
+	minInterval = control.Micros(100_000)
+	maxInterval = control.Micros(3600_000_000)
 )
 
 // Asked is what a control plane wants to be told, and how often.
@@ -193,42 +193,42 @@
 
 // Pace decides when reports are due, on one stream after another.
 type Scheduler struct {
-	asked  Request
-	up     bool
-	due    control.Micros
-	unsent Report
+	request Request
+	open    bool
+	nextAt  control.Micros
+	unsent  Report
 }
 
 // Connected begins a stream, on which nothing is asked yet.
-func (p *Scheduler) StreamOpened() { p.up, p.asked, p.due = true, Request{}, 0 }
+func (p *Scheduler) StreamOpened() { p.open, p.request, p.nextAt = true, Request{}, 0 }
 
 // Ask takes in what is wanted; times out of bounds are brought within. The first report is due a whole time later.
 func (p *Scheduler) SetRequest(now control.Micros, a Request) {
 	if a.Interval > 0 {
-		a.Interval = min(max(a.Interval, least), most)
+		a.Interval = min(max(a.Interval, minInterval), maxInterval)
 	}
-	if p.asked = a; a.Interval == 0 {
-		p.due = 0
+	if p.request = a; a.Interval == 0 {
+		p.nextAt = 0
 		return
 	}
-	p.due = now + a.Interval
+	p.nextAt = now + a.Interval
 }
 
 // Wants tells what is asked.
-func (p *Scheduler) Request() Request { return p.asked }
+func (p *Scheduler) Request() Request { return p.request }
 
 // Due tells when the next report is; 0: none is asked for.
 func (p *Scheduler) NextAt() control.Micros {
-	if !p.up {
+	if !p.open {
 		return 0
 	}
-	return p.due
+	return p.nextAt
 }
 
 // Next gives the report that is due, with what was never sent before. After a stall reports are not made up for: one covers all.
 func (p *Scheduler) NextReport(now control.Micros, fresh Report) Report {
-	for p.due <= now {
-		p.due += max(p.asked.Interval, (now-p.due)/p.asked.Interval*p.asked.Interval)
+	for p.nextAt <= now {
+		p.nextAt += max(p.request.Interval, (now-p.nextAt)/p.request.Interval*p.request.Interval)
 	}
 	p.unsent = Merge(p.unsent, fresh)
 	return p.unsent
@@ -238,22 +238,22 @@
 func (p *Scheduler) ReportSent() { p.unsent = Report{} }
 
 // Broken ends a stream. What was not sent waits for the next.
-func (p *Scheduler) StreamClosed() { p.up = false }
+func (p *Scheduler) StreamClosed() { p.open = false }
 
 // Gathered is what others who follow us reported, each its latest.
 type Aggregator struct {
-	nodes map[string]Report
-	bound int
+	nodes    map[string]Report
+	maxNodes int
 }
 
 // NewGathered gives a bounded one.
 func NewAggregator(nodes int) *Aggregator {
-	return &Aggregator{nodes: map[string]Report{}, bound: nodes}
+	return &Aggregator{nodes: map[string]Report{}, maxNodes: nodes}
 }
 
 // Heard takes in a node's report. Ok is false where there are too many nodes.
 func (g *Aggregator) Update(node string, r Report) (ok bool) {
-	if _, known := g.nodes[node]; !known && len(g.nodes) >= g.bound {
+	if _, known := g.nodes[node]; !known && len(g.nodes) >= g.maxNodes {
 		return false
 	}
 	g.nodes[node] = r
--- a/internal/loadreport/loads_test.go
+++ b/internal/loadreport/loads_test.go
@@ -85,15 +85,15 @@
 		t.Error("due before anything was asked")
 	}
 	p.SetRequest(1000, Request{AllClusters: true, Interval: 1})
-	if p.NextAt() != 1000+least {
+	if p.NextAt() != 1000+minInterval {
 		t.Errorf("due at %d", p.NextAt())
 	}
-	p.NextReport(1000+least+5, Report{})
-	if p.NextAt() != 1000+2*least {
+	p.NextReport(1000+minInterval+5, Report{})
+	if p.NextAt() != 1000+2*minInterval {
 		t.Errorf("the second is due at %d", p.NextAt())
 	}
-	p.NextReport(1000+7*least+5, Report{})
-	if p.NextAt() != 1000+8*least {
+	p.NextReport(1000+7*minInterval+5, Report{})
+	if p.NextAt() != 1000+8*minInterval {
 		t.Errorf("after a stall due at %d", p.NextAt())
 	}
 	p.SetRequest(0, Request{AllClusters: true})
--- a/internal/overload/storm.go
+++ b/internal/overload/storm.go
@@ -27,9 +27,9 @@
 	ConnectionStorm      // connections are opened all at once
 )
 
-var names = [...]string{"calm", "retry wave", "return after an outage", "router woken", "one tenant", "reconnect rush"}
+var kindNames = [...]string{"calm", "retry wave", "return after an outage", "router woken", "one tenant", "reconnect rush"}
 
-func (k Kind) String() string { return names[k] }
+func (k Kind) String() string { return kindNames[k] }
 
 // Arrival is a call as it comes.
 type Request struct {
@@ -50,173 +50,173 @@
 
 // The span of what is looked at, and of its parts: retries without a pause show within one, a second tells a wave from a burst.
 const (
-	part  = control.Micros(100_000)
-	parts = 10
+	interval  = control.Micros(100_000)
+	intervals = 10
 )
 
 // bucket counts what came within a part.
-type bucket struct {
-	first, repeat, admitted, answered, refused, connections float64
+type counters struct {
+	firstAttempts, retries, admitted, answered, rejected, connections float64
 }
 
 // Watch is one router's view. It is for one goroutine.
 type Controller struct {
-	shares  []float64 // of tenants at this router, calls a second
-	stay    control.Micros
-	chance  *rand.Rand
-	now     bucket
-	begun   control.Micros // of the part under way
-	past    [parts]bucket
-	at      int
-	learned int     // parts that usual figures rest on, up to a minute of them
-	usual   float64 // first tries a second
-	usualC  float64 // connections a second
-	kind    Kind
-	since   control.Micros
-	quiet   control.Micros            // since when nothing speaks for a storm; 0: something does
-	due     map[uint64]control.Micros // when refused calls may return, by their marks
-	tenants map[control.TenantID]*tenant
-	notes   []string
-	gate    gate
+	quotas              []float64 // of tenants at this router, calls a second
+	maxRetryAfter       control.Micros
+	random              *rand.Rand
+	current             counters
+	currentSince        control.Micros // of the part under way
+	past                [intervals]counters
+	oldest              int
+	baselineIntervals   int     // parts that usual figures rest on, up to a minute of them
+	baselineAttempts    float64 // first tries a second
+	baselineConnections float64 // connections a second
+	kind                Kind
+	since               control.Micros
+	quietSince          control.Micros            // since when nothing speaks for a storm; 0: something does
+	returnAt            map[uint64]control.Micros // when refused calls may return, by their marks
+	tenants             map[control.TenantID]*tenantState
+	logLines            []string
+	shedder             shedder
 }
 
 // tenant is what is known of one.
-type tenant struct {
-	repeat  float64 // repeats of the last seconds, fading
-	faded   control.Micros
-	calls   [shortParts]float64 // of the last parts, the one under way among them
-	part    control.Micros      // the number of that one
-	retries float64             // its budget of repeats in a storm
-	loud    bool                // it storms
-	fair    float64             // calls of its share that may come in
-	filled  control.Micros
+type tenantState struct {
+	retries     float64 // repeats of the last seconds, fading
+	decayedAt   control.Micros
+	requests    [shortageIntervals]float64 // of the last parts, the one under way among them
+	interval    control.Micros             // the number of that one
+	retryTokens float64                    // its budget of repeats in a storm
+	overQuota   bool                       // it storms
+	quotaTokens float64                    // calls of its share that may come in
+	refilledAt  control.Micros
 }
 
 // NewWatch begins to watch. Shares are the tenants' told shares in calls a second, of this router alone; stay is the longest pause that
 // clients heed; importances are those of the workloads.
-func NewController(now control.Micros, shares, importances []float64, stay control.Micros, seed uint64) *Controller {
-	return &Controller{shares: shares, gate: newGate(importances), stay: stay, chance: rand.New(rand.NewPCG(seed, 0x570)), begun: now, due: map[uint64]control.Micros{}, tenants: map[control.TenantID]*tenant{}}
+func NewController(now control.Micros, quotas, priorities []float64, maxRetryAfter control.Micros, seed uint64) *Controller {
+	return &Controller{quotas: quotas, shedder: newShedder(priorities), maxRetryAfter: maxRetryAfter, random: rand.New(rand.NewPCG(seed, 0x570)), currentSince: now, returnAt: map[uint64]control.Micros{}, tenants: map[control.TenantID]*tenantState{}}
 }
 
 // The conditions of a storm, over the last second.
 const (
-	leastCalls = 30.0 // fewer are nobody's storm
-	ofRepeats  = 0.35 // share of repeats: with three tries a call and all well it is a few hundredths
-	overUsual  = 1.5  // times the usual first tries, all calls together
-	rushTimes  = 5.0  // times the usual connections
-	leastRush  = 50.0
-	oneTenant  = 0.6 // share of the repeats that are one tenant's
-	calmAfter  = control.Micros(2_000_000)
-	wokenLate  = control.Micros(500_000) // a stop that clients notice
+	minRequests      = 30.0 // fewer are nobody's storm
+	minRetryShare    = 0.35 // share of repeats: with three tries a call and all well it is a few hundredths
+	baselineFactor   = 1.5  // times the usual first tries, all calls together
+	connectionFactor = 5.0  // times the usual connections
+	minConnections   = 50.0
+	dominantShare    = 0.6 // share of the repeats that are one tenant's
+	quietPeriod      = control.Micros(2_000_000)
+	minStall         = control.Micros(500_000) // a stop that clients notice
 )
 
 // turn ends parts that are over, and decides on the storm at each end.
-func (w *Controller) turn(now control.Micros) {
-	for n := 0; now >= w.begun+part; n++ {
-		if n > 2*parts { // nothing came for long: as if it were all past
-			w.past, w.now, w.begun = [parts]bucket{}, bucket{}, now
+func (w *Controller) advance(now control.Micros) {
+	for n := 0; now >= w.currentSince+interval; n++ {
+		if n > 2*intervals { // nothing came for long: as if it were all past
+			w.past, w.current, w.currentSince = [intervals]counters{}, counters{}, now
 			break
 		}
-		w.past[w.at] = w.now
-		w.at = (w.at + 1) % parts
-		w.now = bucket{}
-		w.begun += part
-		w.learn()
-		w.judge(w.begun)
-		w.gate.move(w.kind != None && w.kind != ConnectionStorm && w.kind != TenantStorm, w.pressed()) // calm tenants pay for none that storms
+		w.past[w.oldest] = w.current
+		w.oldest = (w.oldest + 1) % intervals
+		w.current = counters{}
+		w.currentSince += interval
+		w.updateBaseline()
+		w.classify(w.currentSince)
+		w.shedder.move(w.kind != None && w.kind != ConnectionStorm && w.kind != TenantStorm, w.admittedTooMuch()) // calm tenants pay for none that storms
 	}
 }
 
-func (w *Controller) second() (s bucket) {
+func (w *Controller) lastSecond() (s counters) {
 	for _, b := range w.past {
-		s.first += b.first
-		s.repeat += b.repeat
+		s.firstAttempts += b.firstAttempts
+		s.retries += b.retries
 		s.answered += b.answered
-		s.refused += b.refused
+		s.rejected += b.rejected
 		s.connections += b.connections
 	}
 	return s
 }
 
 // learn follows what is usual: over a minute of calm parts, and not at all in a storm, which must not become usual.
-func (w *Controller) learn() {
+func (w *Controller) updateBaseline() {
 	const minute = 600 // parts
 	if w.kind != None {
 		return
 	}
-	s := w.second()
-	w.learned = min(w.learned+1, minute)
-	w.usual += (s.first - w.usual) / float64(w.learned)
-	w.usualC += (s.connections - w.usualC) / float64(w.learned)
+	s := w.lastSecond()
+	w.baselineIntervals = min(w.baselineIntervals+1, minute)
+	w.baselineAttempts += (s.firstAttempts - w.baselineAttempts) / float64(w.baselineIntervals)
+	w.baselineConnections += (s.connections - w.baselineConnections) / float64(w.baselineIntervals)
 }
 
 // judge decides whether there is a storm, of which kind, and whether it is over.
-func (w *Controller) judge(now control.Micros) {
-	s := w.second()
+func (w *Controller) classify(now control.Micros) {
+	s := w.lastSecond()
 	kind := None
-	calls := s.first + s.repeat
-	loud := w.loud(now)
-	switch wave := calls >= leastCalls && s.repeat >= ofRepeats*calls && calls >= overUsual*max(w.usual, s.answered); {
-	case loud || wave && w.mostly(now) >= oneTenant && len(w.tenants) > 1:
+	calls := s.firstAttempts + s.retries
+	loud := w.updateOverQuota(now)
+	switch wave := calls >= minRequests && s.retries >= minRetryShare*calls && calls >= baselineFactor*max(w.baselineAttempts, s.answered); {
+	case loud || wave && w.dominantTenant(now) >= dominantShare && len(w.tenants) > 1:
 		kind = TenantStorm
-	case wave && s.answered > 2*s.refused && w.kind != None:
+	case wave && s.answered > 2*s.rejected && w.kind != None:
 		kind = RecoveryStorm
 	case wave:
 		kind = RetryStorm
-	case s.connections >= leastRush && s.connections >= rushTimes*w.usualC && w.usualC > 0:
+	case s.connections >= minConnections && s.connections >= connectionFactor*w.baselineConnections && w.baselineConnections > 0:
 		kind = ConnectionStorm
 	}
 	switch {
 	case kind != None && w.kind == None:
-		w.begin(now, kind)
+		w.enter(now, kind)
 	case kind != None:
-		if w.quiet = 0; kind != w.kind && w.kind != AfterStall {
-			w.note("the storm is now: %s", kind)
+		if w.quietSince = 0; kind != w.kind && w.kind != AfterStall {
+			w.logf("the storm is now: %s", kind)
 			w.kind = kind
 		}
-	case w.kind != None && w.quiet == 0:
-		w.quiet = now
-	case w.kind != None && now >= w.quiet+calmAfter:
-		w.note("the storm (%s) is over after %d ms", w.kind, (now-w.since)/1000)
-		w.kind, w.quiet = None, 0
-		clear(w.due)
+	case w.kind != None && w.quietSince == 0:
+		w.quietSince = now
+	case w.kind != None && now >= w.quietSince+quietPeriod:
+		w.logf("the storm (%s) is over after %d ms", w.kind, (now-w.since)/1000)
+		w.kind, w.quietSince = None, 0
+		clear(w.returnAt)
 	}
 }
 
-func (w *Controller) begin(now control.Micros, kind Kind) {
-	s := w.second()
-	w.kind, w.since, w.quiet = kind, now, 0
-	w.note("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, s.first, s.repeat, w.usual, s.answered)
+func (w *Controller) enter(now control.Micros, kind Kind) {
+	s := w.lastSecond()
+	w.kind, w.since, w.quietSince = kind, now, 0
+	w.logf("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, s.firstAttempts, s.retries, w.baselineAttempts, s.answered)
 }
 
 // Where this part of the calls of the last half second is refused or piles up here, capacity is short, and shares count. Refusals alone
 // come only once a job could not be in time, when all that came meanwhile is in hand already.
 const (
-	short      = 0.2
-	shortParts = 5
+	shortageShare     = 0.2
+	shortageIntervals = 5
 )
 
 // scarce tells whether capacity is short for all that comes.
-func (w *Controller) scarce() bool {
-	s := w.lately()
-	return lacks(s.first+s.repeat, s.answered)
+func (w *Controller) capacityShort() bool {
+	s := w.lastHalfSecond()
+	return unanswered(s.firstAttempts+s.retries, s.answered)
 }
 
 // pressed tells whether it is short for what is let in.
-func (w *Controller) pressed() bool {
-	s := w.lately()
-	return lacks(s.admitted, s.answered)
+func (w *Controller) admittedTooMuch() bool {
+	s := w.lastHalfSecond()
+	return unanswered(s.admitted, s.answered)
 }
 
-func lacks(calls, answered float64) bool {
-	return calls >= leastCalls*shortParts/parts && calls-answered >= short*calls
+func unanswered(calls, answered float64) bool {
+	return calls >= minRequests*shortageIntervals/intervals && calls-answered >= shortageShare*calls
 }
 
 // lately adds up the last half second.
-func (w *Controller) lately() (s bucket) {
-	for i := range shortParts {
-		b := w.past[(w.at+parts-1-i)%parts]
-		s.first, s.repeat, s.admitted, s.answered = s.first+b.first, s.repeat+b.repeat, s.admitted+b.admitted, s.answered+b.answered
+func (w *Controller) lastHalfSecond() (s counters) {
+	for i := range shortageIntervals {
+		b := w.past[(w.oldest+intervals-1-i)%intervals]
+		s.firstAttempts, s.retries, s.admitted, s.answered = s.firstAttempts+b.firstAttempts, s.retries+b.retries, s.admitted+b.admitted, s.answered+b.answered
 	}
 	return s
 }
@@ -224,21 +224,21 @@
 // beyond is how far over its share a tenant is that storms, and deviations by how many of a count's deviations more: twice is more than a
 // usual day's ups and downs, three deviations more than those of half a second.
 const (
-	beyond     = 2.0
-	deviations = 3.0
+	quotaFactor     = 2.0
+	quotaDeviations = 3.0
 )
 
 // came counts a call of a tenant and gives how many came within the last parts.
-func (t *tenant) came(now control.Micros, calls float64) (sum float64) {
-	for n := now / part; t.part < n; t.part++ {
-		if t.part < n-shortParts {
-			t.part = n - shortParts - 1
-			clear(t.calls[:])
+func (t *tenantState) count(now control.Micros, calls float64) (sum float64) {
+	for n := now / interval; t.interval < n; t.interval++ {
+		if t.interval < n-shortageIntervals {
+			t.interval = n - shortageIntervals - 1
+			clear(t.requests[:])
 		}
-		t.calls[(t.part+1)%shortParts] = 0
+		t.requests[(t.interval+1)%shortageIntervals] = 0
 	}
-	t.calls[t.part%shortParts] += calls
-	for _, c := range t.calls {
+	t.requests[t.interval%shortageIntervals] += calls
+	for _, c := range t.requests {
 		sum += c
 	}
 	return sum
@@ -246,47 +246,47 @@
 
 // loud tells whether capacity is short while some tenants ask for far more than their told share, marked or not, and marks those. One
 // that storms is let off once it is within its share.
-func (w *Controller) loud(now control.Micros) (any bool) {
-	scarce := w.scarce()
+func (w *Controller) updateOverQuota(now control.Micros) (any bool) {
+	scarce := w.capacityShort()
 	for id, t := range w.tenants {
-		if int(id) >= len(w.shares) || len(w.tenants) < 2 {
+		if int(id) >= len(w.quotas) || len(w.tenants) < 2 {
 			continue
 		}
-		came, usual := t.came(now, 0), w.shares[id]*shortParts/parts
+		came, usual := t.count(now, 0), w.quotas[id]*shortageIntervals/intervals
 		switch {
-		case scarce && came > beyond*usual+deviations*math.Sqrt(usual):
-			if !t.loud {
-				t.loud, t.fair, t.filled = true, burst*w.shares[id], now
+		case scarce && came > quotaFactor*usual+quotaDeviations*math.Sqrt(usual):
+			if !t.overQuota {
+				t.overQuota, t.quotaTokens, t.refilledAt = true, quotaBurst*w.quotas[id], now
 			}
 		case came <= usual:
-			t.loud = false
+			t.overQuota = false
 		}
-		any = any || t.loud
+		any = any || t.overQuota
 	}
 	return any
 }
 
 // burst is for how many seconds of its share the calls of a tenant that storms may come at once.
-const burst = 0.5
+const quotaBurst = 0.5
 
 // within tells whether a call of a tenant that storms is within its share.
-func (w *Controller) within(now control.Micros, id control.TenantID, t *tenant) bool {
-	share := w.shares[id]
-	t.fair = min(max(1, burst*share), t.fair+share*float64(now-t.filled)/1e6)
-	t.filled = now
-	if t.fair < 1 {
+func (w *Controller) takeQuotaToken(now control.Micros, id control.TenantID, t *tenantState) bool {
+	share := w.quotas[id]
+	t.quotaTokens = min(max(1, quotaBurst*share), t.quotaTokens+share*float64(now-t.refilledAt)/1e6)
+	t.refilledAt = now
+	if t.quotaTokens < 1 {
 		return false
 	}
-	t.fair--
+	t.quotaTokens--
 	return true
 }
 
 // mostly is the share of the repeats that belongs to the tenant with the most.
-func (w *Controller) mostly(now control.Micros) float64 {
+func (w *Controller) dominantTenant(now control.Micros) float64 {
 	most, all := 0.0, 0.0
 	for _, t := range w.tenants {
-		t.fade(now)
-		most, all = max(most, t.repeat), all+t.repeat
+		t.decay(now)
+		most, all = max(most, t.retries), all+t.retries
 	}
 	if all == 0 {
 		return 0
@@ -295,31 +295,31 @@
 }
 
 // fade halves a tenant's repeats each second.
-func (t *tenant) fade(now control.Micros) {
-	for ; now-t.faded >= 1_000_000; t.faded += 1_000_000 {
-		if t.repeat /= 2; t.repeat < 0.01 {
-			t.repeat, t.faded = 0, now
+func (t *tenantState) decay(now control.Micros) {
+	for ; now-t.decayedAt >= 1_000_000; t.decayedAt += 1_000_000 {
+		if t.retries /= 2; t.retries < 0.01 {
+			t.retries, t.decayedAt = 0, now
 			return
 		}
 	}
 }
 
 // mostTenants bounds those that are told apart; the rest count as one.
-const mostTenants = 1000
+const maxTenants = 1000
 
-func (w *Controller) tenant(now control.Micros, id control.TenantID) *tenant {
+func (w *Controller) tenant(now control.Micros, id control.TenantID) *tenantState {
 	t := w.tenants[id]
 	if t == nil {
-		if len(w.tenants) >= mostTenants {
+		if len(w.tenants) >= maxTenants {
 			id = ^control.TenantID(0)
 			if t = w.tenants[id]; t != nil {
 				return t
 			}
 		}
-		t = &tenant{faded: now, retries: tenantBurst}
+		t = &tenantState{decayedAt: now, retryTokens: maxRetryTokens}
 		w.tenants[id] = t
 	}
-	t.fade(now)
+	t.decay(now)
 	return t
 }
 
@@ -328,72 +328,72 @@
 // heeded their pause are let in too. What comes again without a pause, or without a mark by which that could be told, has a tenth of
 // its tenant's first tries.
 const (
-	ofTenant    = 0.1
-	tenantBurst = 5.0
-	early       = control.Micros(50_000) // clients' clocks and ways differ by less
-	mostMarks   = 100_000                // some 4 MB; more refused calls than that are not told apart
+	retryTokensPerRequest = 0.1
+	maxRetryTokens        = 5.0
+	earlyTolerance        = control.Micros(50_000) // clients' clocks and ways differ by less
+	maxKeys               = 100_000                // some 4 MB; more refused calls than that are not told apart
 )
 
 // Arrived takes in a call and decides whether it is let in.
 func (w *Controller) Admit(now control.Micros, a Request) Decision {
-	w.turn(now)
-	v := w.admit(now, a)
+	w.advance(now)
+	v := w.decide(now, a)
 	if v.Admitted {
-		w.now.admitted++
+		w.current.admitted++
 	}
 	return v
 }
 
-func (w *Controller) admit(now control.Micros, a Request) Decision {
+func (w *Controller) decide(now control.Micros, a Request) Decision {
 	t := w.tenant(now, a.Tenant)
-	t.came(now, 1)
+	t.count(now, 1)
 	if a.IsRetry {
-		w.now.repeat++
-		t.repeat++
+		w.current.retries++
+		t.retries++
 	} else {
-		w.now.first++
-		t.retries = min(tenantBurst, t.retries+ofTenant)
+		w.current.firstAttempts++
+		t.retryTokens = min(maxRetryTokens, t.retryTokens+retryTokensPerRequest)
 	}
-	if w.kind == TenantStorm && t.loud && !w.within(now, a.Tenant, t) {
-		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, 0)}
+	if w.kind == TenantStorm && t.overQuota && !w.takeQuotaToken(now, a.Tenant, t) {
+		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, 0)}
 	}
-	due, refused := w.due[a.KeyHash]
+	due, refused := w.returnAt[a.KeyHash]
 	refused = refused && a.KeyHash != 0
 	switch {
 	case w.kind == None || w.kind == ConnectionStorm:
 		return Decision{Admitted: true}
-	case !refused && w.gate.holds(now, a.Importance, a.Function):
-		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, a.KeyHash)}
+	case !refused && w.shedder.sheds(now, a.Importance, a.Function):
+		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, a.KeyHash)}
 	case !a.IsRetry && !refused:
 		return Decision{Admitted: true}
-	case refused && now < due-early: // the time that it was given stands: to put it off would punish its next, later one
-		w.now.refused++
+	case refused && now < due-earlyTolerance: // the time that it was given stands: to put it off would punish its next, later one
+		w.current.rejected++
 		return Decision{Reason: w.kind, RetryAfter: due - now}
 	case refused:
-		delete(w.due, a.KeyHash)
+		delete(w.returnAt, a.KeyHash)
 		return Decision{Admitted: true}
-	case t.retries < 1:
-		return Decision{Reason: w.kind, RetryAfter: w.refuse(now, w.stay, a.KeyHash)}
+	case t.retryTokens < 1:
+		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, a.KeyHash)}
 	}
-	t.retries--
+	t.retryTokens--
 	return Decision{Admitted: true}
 }
 
 // refuse gives a call a time of its own to return at, in the later half of the pause, so that those who were refused together don't
 // meet again; and keeps it.
-func (w *Controller) refuse(now, stay control.Micros, mark uint64) control.Micros {
-	w.now.refused++
-	stay = max(1, stay/2+control.Micros(w.chance.Int64N(max(1, int64(stay/2)))))
+func (w *Controller) reject(now, stay control.Micros, mark uint64) control.Micros {
+	w.current.rejected++
+	stay = max(1, stay/2+control.Micros(w.random.Int64N(max(1, int64(stay/2)))))
 	if mark != 0 {
-		if len(w.due) >= mostMarks {
-			for m, at := range w.due {
+		if len(w.returnAt) >= maxKeys {
+			for m, at := range w.returnAt {
 				if at < now {
-					delete(w.due, m)
+					delete(w.returnAt, m)
 				}
 			}
 		}
-		if len(w.due) < mostMarks {
-			w.due[mark] = now + stay
+		if len(w.returnAt) < maxKeys {
+			w.returnAt[mark] = now + stay
 		}
 	}
 	return stay
@@ -401,34 +401,34 @@
 
 // Spread is the pause that a refusal of the module's own carries: in a storm each gets another.
 func (w *Controller) RecordRejection(now control.Micros, stay control.Micros, mark uint64) control.Micros {
-	w.turn(now)
+	w.advance(now)
 	if w.kind == None || stay == 0 {
-		w.now.refused++
+		w.current.rejected++
 		return stay
 	}
-	return w.refuse(now, stay, mark)
+	return w.reject(now, stay, mark)
 }
 
 // Answered takes in that a call was finished.
 func (w *Controller) RecordAnswer(now control.Micros) {
-	w.turn(now)
-	w.now.answered++
+	w.advance(now)
+	w.current.answered++
 }
 
 // Connected takes in a client's connection.
 func (w *Controller) RecordConnection(now control.Micros) {
-	w.turn(now)
-	w.now.connections++
+	w.advance(now)
+	w.current.connections++
 }
 
 // Woke takes in that this router stood still: what it finds came at another time.
 func (w *Controller) RecordStall(now, late control.Micros) {
-	if late < wokenLate {
+	if late < minStall {
 		return
 	}
-	w.begun, w.now = now, bucket{} // what came meanwhile is no rate
+	w.currentSince, w.current = now, counters{} // what came meanwhile is no rate
 	if w.kind == None {
-		w.begin(now, AfterStall)
+		w.enter(now, AfterStall)
 	}
 }
 
@@ -443,26 +443,28 @@
 }
 
 // Remember gives them.
-func (w *Controller) Baseline() Baseline { return Baseline{w.usual, w.usualC, w.kind} }
+func (w *Controller) Baseline() Baseline {
+	return Baseline{w.baselineAttempts, w.baselineConnections, w.kind}
+}
 
 // lately is how old a storm may be that a restarted router still takes for one: a restart takes seconds.
-const lately = control.Micros(30_000_000)
+const maxRestoreAge = control.Micros(30_000_000)
 
 // Recall takes them in at a router's start, with their age. A storm that was on lately goes on until it proves to be over.
 func (w *Controller) Restore(now control.Micros, u Baseline, age control.Micros) {
-	w.usual, w.usualC, w.learned = u.FirstAttempts, u.Connections, 600
-	if u.Kind != None && age < lately {
-		w.begin(now, u.Kind)
+	w.baselineAttempts, w.baselineConnections, w.baselineIntervals = u.FirstAttempts, u.Connections, 600
+	if u.Kind != None && age < maxRestoreAge {
+		w.enter(now, u.Kind)
 	}
 }
 
-func (w *Controller) note(format string, args ...any) {
-	w.notes = append(w.notes, fmt.Sprintf(format, args...))
+func (w *Controller) logf(format string, args ...any) {
+	w.logLines = append(w.logLines, fmt.Sprintf(format, args...))
 }
 
 // Notes gives what is to be told operators since the last call.
 func (w *Controller) LogLines() []string {
-	notes := w.notes
-	w.notes = nil
+	notes := w.logLines
+	w.logLines = nil
 	return notes
 }
--- a/internal/overload/storm_test.go
+++ b/internal/overload/storm_test.go
@@ -92,7 +92,7 @@
 // the others lose nothing, and it is let off once it is calm. Without shortage nobody's share counts.
 func TestTenantBeyondItsShare(t *testing.T) {
 	w, now := calm(t)
-	w.shares = []float64{200, 20}
+	w.quotas = []float64{200, 20}
 	play := func(length control.Micros, loud, refused bool) (of [2]int) {
 		for step := control.Micros(0); step < length/ms; step++ {
 			at := now + step*ms
@@ -119,7 +119,7 @@
 		t.Errorf("%s: %v let in", w.Kind(), of)
 	}
 	play(10_000*ms, false, false)
-	if w.Kind() != None || w.tenants[1].loud {
+	if w.Kind() != None || w.tenants[1].overQuota {
 		t.Errorf("%s goes on", w.Kind())
 	}
 }
@@ -177,13 +177,13 @@
 		t.Errorf("%s", w.Kind())
 	}
 	fresh := NewController(1, nil, nil, 2_000_000, 1)
-	fresh.Restore(1, w.Baseline(), lately)
+	fresh.Restore(1, w.Baseline(), maxRestoreAge)
 	if fresh.Kind() != None {
 		t.Error("an old storm goes on")
 	}
-	fresh.Restore(1, w.Baseline(), lately/10)
-	if fresh.Kind() != AfterStall || fresh.usual == 0 {
-		t.Errorf("%s, usual %g", fresh.Kind(), fresh.usual)
+	fresh.Restore(1, w.Baseline(), maxRestoreAge/10)
+	if fresh.Kind() != AfterStall || fresh.baselineAttempts == 0 {
+		t.Errorf("%s, usual %g", fresh.Kind(), fresh.baselineAttempts)
 	}
 	w, now = calm(t)
 	for i := range control.Micros(20_000) {
@@ -206,10 +206,10 @@
 // A storm does not become usual.
 func TestStormsAreNotLearned(t *testing.T) {
 	w, now := calm(t)
-	before := w.usual
+	before := w.baselineAttempts
 	stretch(w, now, 60_000*ms, 300, 600, 50, Request{})
-	if w.Kind() == None || w.usual > before*1.2 {
-		t.Errorf("%s, usual %g, before %g", w.Kind(), w.usual, before)
+	if w.Kind() == None || w.baselineAttempts > before*1.2 {
+		t.Errorf("%s, usual %g, before %g", w.Kind(), w.baselineAttempts, before)
 	}
 }
 
@@ -242,8 +242,8 @@
 		t.Errorf("pressed: %v let in of 2000 each", let)
 	}
 	play(6, true, 500)
-	if play(1, true, 500); w.gate.height > 0 || let[1] != 200 {
-		t.Errorf("answered again: %v of 200 let in, the gate stands at %g", let, w.gate.height)
+	if play(1, true, 500); w.shedder.level > 0 || let[1] != 200 {
+		t.Errorf("answered again: %v of 200 let in, the gate stands at %g", let, w.shedder.level)
 	}
 	play(10, true, 100)
 	play(4, false, 400)
@@ -255,13 +255,13 @@
 // What is held back hangs on the function and the turn alone, so a call that comes again at once meets the same answer, and every
 // function has turns in which it is let in.
 func TestFunctionsAreHeldBackInTurns(t *testing.T) {
-	g := newGate([]float64{1, 3, 1})
-	g.height = 1
+	g := newShedder([]float64{1, 3, 1})
+	g.level = 1
 	for f := control.FunctionID(0); f < 50; f++ {
 		held := 0
 		for turn := range control.Micros(100) {
-			one := g.holds(turn*turnOf, 1, f)
-			if one != g.holds(turn*turnOf+turnOf-1, 1, f) || g.holds(turn*turnOf, 3, f) {
+			one := g.sheds(turn*rotationPeriod, 1, f)
+			if one != g.sheds(turn*rotationPeriod+rotationPeriod-1, 1, f) || g.sheds(turn*rotationPeriod, 3, f) {
 				t.Fatal("not the same within a turn, or the most important is held back")
 			}
 			if one {
--- a/internal/tlspolicy/pair.go
+++ b/internal/tlspolicy/pair.go
@@ -16,12 +16,12 @@
 )
 
 // wall is a time in the form that x509 wants.
-func wall(at control.Micros) time.Time { return time.UnixMicro(int64(at)).UTC() }
+func timeOf(at control.Micros) time.Time { return time.UnixMicro(int64(at)).UTC() }
 
-func micros(t time.Time) control.Micros { return control.Micros(t.UnixMicro()) }
+func microsOf(t time.Time) control.Micros { return control.Micros(t.UnixMicro()) }
 
 // shown is a time as operators read it.
-func shown(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05 UTC") }
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05 UTC") }
 
 // ReadPair reads a certificate, with those that lead from it towards its authority, and its key, all PEM. Errors say in one
 // line what is wrong: what can't be read, a key of another certificate, a chain whose next certificate did not sign the last.
@@ -29,7 +29,7 @@
 	pair, err := tls.X509KeyPair(chain, key)
 	if err != nil {
 		if bytes.Contains([]byte(err.Error()), []byte("does not match")) {
-			return nil, errMismatch
+			return nil, errKeyMismatch
 		}
 		return nil, fmt.Errorf("the certificate or its key can't be read: %w", err)
 	}
@@ -50,14 +50,14 @@
 	return &pair, nil
 }
 
-var errMismatch = errors.New("the key is not that of the certificate")
+var errKeyMismatch = errors.New("the key is not that of the certificate")
 
 // ends is when the first certificate of a pair's chain ends.
-func ends(p *tls.Certificate) control.Micros {
-	end := micros(p.Leaf.NotAfter)
+func chainExpiry(p *tls.Certificate) control.Micros {
+	end := microsOf(p.Leaf.NotAfter)
 	for _, der := range p.Certificate[1:] {
 		if c, err := x509.ParseCertificate(der); err == nil { // read before
-			end = min(end, micros(c.NotAfter))
+			end = min(end, microsOf(c.NotAfter))
 		}
 	}
 	return end
@@ -66,26 +66,26 @@
 // Identity is the certificate and key by which one side of connections is known. What is offered comes into service when it is
 // whole, matches and is valid; until then what was in service stays.
 type Identity struct {
-	serving  *tls.Certificate
-	ends     control.Micros // of what serves
-	waiting  *tls.Certificate
-	seen     [sha256.Size]byte // of the last offer
-	mismatch bool              // the last offer did not match, and nothing was said yet
-	warned   bool
-	expired  bool
-	notes
-	version uint64
-	since   control.Micros // when what serves came into service
+	current    *tls.Certificate
+	expiresAt  control.Micros // of what serves
+	pending    *tls.Certificate
+	lastDigest [sha256.Size]byte // of the last offer
+	mismatched bool              // the last offer did not match, and nothing was said yet
+	warned     bool
+	expired    bool
+	logBuffer
+	version      uint64
+	currentSince control.Micros // when what serves came into service
 }
 
 // Serving is what is in service; nil: nothing was yet.
-func (i *Identity) Current() *tls.Certificate { return i.serving }
+func (i *Identity) Current() *tls.Certificate { return i.current }
 
 // Version counts what came into service.
 func (i *Identity) Version() uint64 { return i.version }
 
 // Ends is when what serves stops being valid; 0: nothing serves.
-func (i *Identity) ExpiresAt() control.Micros { return i.ends }
+func (i *Identity) ExpiresAt() control.Micros { return i.expiresAt }
 
 // Offer takes in the texts of a certificate chain and its key as they are found now. The error, if any, is why they do not come
 // into service; it is also noted, once. A pair that does not match is noted only when it is found so twice: between the
@@ -96,86 +96,86 @@
 	h.Write(chain)
 	h.Write(key)
 	digest := [sha256.Size]byte(h.Sum(nil))
-	again := digest == i.seen
-	if again && !i.mismatch {
+	again := digest == i.lastDigest
+	if again && !i.mismatched {
 		return nil
 	}
-	i.seen = digest
+	i.lastDigest = digest
 	pair, err := ParseKeyPair(chain, key)
-	if errors.Is(err, errMismatch) && !again && i.serving != nil {
-		i.mismatch = true
+	if errors.Is(err, errKeyMismatch) && !again && i.current != nil {
+		i.mismatched = true
 		return err
 	}
-	i.mismatch = false
-	if err == nil && i.serving != nil && bytes.Equal(pair.Certificate[0], i.serving.Certificate[0]) {
-		i.waiting = nil // back to what serves
+	i.mismatched = false
+	if err == nil && i.current != nil && bytes.Equal(pair.Certificate[0], i.current.Certificate[0]) {
+		i.pending = nil // back to what serves
 		return nil
 	}
-	if err == nil && now >= ends(pair) {
-		err = fmt.Errorf("the certificate ended at %s", shown(wall(ends(pair))))
+	if err == nil && now >= chainExpiry(pair) {
+		err = fmt.Errorf("the certificate ended at %s", formatTime(timeOf(chainExpiry(pair))))
 	}
 	if err != nil {
-		if i.serving != nil {
-			i.note("%v: the old pair stays in service", err)
+		if i.current != nil {
+			i.logf("%v: the old pair stays in service", err)
 		}
 		return err
 	}
-	if from := micros(pair.Leaf.NotBefore); now < from {
-		i.waiting = pair
-		i.note("the certificate of %s is not valid before %s and waits until then", names(pair.Leaf), shown(pair.Leaf.NotBefore))
+	if from := microsOf(pair.Leaf.NotBefore); now < from {
+		i.pending = pair
+		i.logf("the certificate of %s is not valid before %s and waits until then", subjectNames(pair.Leaf), formatTime(pair.Leaf.NotBefore))
 		return nil
 	}
-	i.serve(now, pair)
+	i.activate(now, pair)
 	return nil
 }
 
-func (i *Identity) serve(now control.Micros, p *tls.Certificate) {
-	i.serving, i.waiting, i.ends = p, nil, ends(p)
-	i.warned, i.expired, i.since = false, false, now
+func (i *Identity) activate(now control.Micros, p *tls.Certificate) {
+	i.current, i.pending, i.expiresAt = p, nil, chainExpiry(p)
+	i.warned, i.expired, i.currentSince = false, false, now
 	i.version++
-	i.note("the certificate of %s, number %x, is in service until %s", names(p.Leaf), p.Leaf.SerialNumber, shown(wall(i.ends)))
+	i.logf("the certificate of %s, number %x, is in service until %s", subjectNames(p.Leaf), p.Leaf.SerialNumber, formatTime(timeOf(i.expiresAt)))
 }
 
 // turnover is the time within which connections that show an earlier certificate are replaced as they fall idle: short against
 // the time for which authorities are usually trusted beside their successors, long enough that thousands of handshakes spread out.
-const turnover = control.Micros(5_000_000)
+const replacementPeriod = control.Micros(5_000_000)
 
 // Outlived tells whether a connection made with an earlier version of the identity is to be replaced now. Place, between 0 and 1,
 // is the connection's own and spreads them.
 func (i *Identity) ReplaceNow(now control.Micros, version uint64, place float64) bool {
-	return version != i.version && now >= i.since+control.Micros(place*float64(turnover))
+	return version != i.version && now >= i.currentSince+control.Micros(place*float64(replacementPeriod))
 }
 
 // lastPart is the share of a certificate's life at whose start its end is announced: whoever renews at the usual two thirds has
 // failed to by then.
-const lastPart = 0.25
+const expiryWarningShare = 0.25
 
 // Tick brings into service what has waited, and announces ends. It gives when it must be called again; 0: at the next offer.
 func (i *Identity) Maintain(now control.Micros) (next control.Micros) {
-	if i.waiting != nil && now >= micros(i.waiting.Leaf.NotBefore) {
-		i.serve(now, i.waiting)
+	if i.pending != nil && now >= microsOf(i.pending.Leaf.NotBefore) {
+		i.activate(now, i.pending)
 	}
 	at := func(t control.Micros) {
 		if t > now && (next == 0 || t < next) {
 			next = t
 		}
 	}
-	if i.waiting != nil {
-		at(micros(i.waiting.Leaf.NotBefore))
+	if i.pending != nil {
+		at(microsOf(i.pending.Leaf.NotBefore))
 	}
-	if i.serving == nil {
+	if i.current == nil {
 		return next
 	}
-	warn := i.ends - control.Micros(lastPart*float64(i.ends-micros(i.serving.Leaf.NotBefore)))
+	warn := i.expiresAt - control.Micros(expiryWarningShare*float64(i.expiresAt-microsOf(i.current.Leaf.NotBefore)))
 	switch {
-	case now >= i.ends && !i.expired:
+	case now >= i.expiresAt && !i.expired:
 		i.expired = true
-		i.note("the certificate of %s ended at %s: peers refuse it until another is given", names(i.serving.Leaf), shown(wall(i.ends)))
-	case now >= warn && now < i.ends && !i.warned:
+		i.logf("the certificate of %s ended at %s: peers refuse it until another is given", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
+	case now >= warn && now < i.expiresAt && !i.warned:
 		i.warned = true
-		i.note("the certificate of %s ends at %s and no other was given", names(i.serving.Leaf), shown(wall(i.ends)))
+		i.logf("the certificate of %s ends at %s and no other was given", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
 	}
 	at(warn)
-	at(i.ends)
+	at(i.expiresAt)
 	return next
 }
--- a/internal/tlspolicy/peers.go
+++ b/internal/tlspolicy/peers.go
@@ -30,9 +30,9 @@
 	NoAuthorities // we have no authorities to check it by
 )
 
-var reasons = [...]string{"no certificate", "unknown authority", "not yet valid", "expired", "wrong name", "wrong use", "revoked", "nothing to check by"}
+var reasonNames = [...]string{"no certificate", "unknown authority", "not yet valid", "expired", "wrong name", "wrong use", "revoked", "nothing to check by"}
 
-func (r Reason) String() string { return reasons[r] }
+func (r Reason) String() string { return reasonNames[r] }
 
 // Refusal is the plain line with which a peer is refused.
 type PeerError struct {
@@ -42,7 +42,7 @@
 
 func (r *PeerError) Error() string { return r.Text }
 
-func refuse(r Reason, format string, args ...any) *PeerError {
+func reject(r Reason, format string, args ...any) *PeerError {
 	return &PeerError{r, fmt.Sprintf(format, args...)}
 }
 
@@ -57,32 +57,32 @@
 
 // Standing is a peer that was believed, for as long as that holds.
 type VerifiedPeer struct {
-	version uint64
-	until   control.Micros
-	chain   []*x509.Certificate // as shown
-	side    Role
-	host    string
+	version   uint64
+	expiresAt control.Micros
+	chain     []*x509.Certificate // as shown
+	role      Role
+	host      string
 }
 
 // Peers is what is believed of the other ends of connections.
 type Verifier struct {
-	names []string // that a peer may have; none: the host that was dialled, or anyone the authorities signed
-	roots []*x509.Certificate
-	pool  *x509.CertPool
-	lists []*list // by issuer, ascending
-	seen  [sha256.Size]byte
-	notes
+	names       []string // that a peer may have; none: the host that was dialled, or anyone the authorities signed
+	roots       []*x509.Certificate
+	pool        *x509.CertPool
+	revocations []*revocationList // by issuer, ascending
+	lastDigest  [sha256.Size]byte
+	logBuffer
 	version uint64
 }
 
 // list is an authority's list of revoked certificates.
-type list struct {
-	issuer  string // raw subject
-	signer  *x509.Certificate
-	number  *big.Int
-	next    control.Micros // when the authority promised another; 0: it did not
-	revoked map[string]bool
-	late    bool // said
+type revocationList struct {
+	issuer     string // raw subject
+	signer     *x509.Certificate
+	number     *big.Int
+	nextUpdate control.Micros // when the authority promised another; 0: it did not
+	revoked    map[string]bool
+	overdue    bool // said
 }
 
 // NewPeers gives what believes nobody yet. Names are those that a peer's certificate must have one of: a DNS name, perhaps with
@@ -104,22 +104,22 @@
 	h.Write(authorities)
 	h.Write(revoked)
 	digest := [sha256.Size]byte(h.Sum(nil))
-	if digest == p.seen {
+	if digest == p.lastDigest {
 		return nil
 	}
-	p.seen = digest
-	roots, err := readRoots(authorities)
-	var lists []*list
+	p.lastDigest = digest
+	roots, err := parseAuthorities(authorities)
+	var lists []*revocationList
 	if err == nil {
-		lists, err = p.readLists(roots, revoked)
+		lists, err = p.parseRevocations(roots, revoked)
 	}
 	if err != nil {
 		if p.HasAuthorities() {
-			p.note("%v: what was trusted before stands", err)
+			p.logf("%v: what was trusted before stands", err)
 		}
 		return err
 	}
-	p.roots, p.lists, p.pool = roots, lists, x509.NewCertPool()
+	p.roots, p.revocations, p.pool = roots, lists, x509.NewCertPool()
 	for _, r := range roots {
 		p.pool.AddCert(r)
 	}
@@ -128,11 +128,11 @@
 	for _, l := range lists {
 		n += len(l.revoked)
 	}
-	p.note("%d authorities are trusted, %d certificates are revoked", len(roots), n)
+	p.logf("%d authorities are trusted, %d certificates are revoked", len(roots), n)
 	return nil
 }
 
-func readRoots(text []byte) ([]*x509.Certificate, error) {
+func parseAuthorities(text []byte) ([]*x509.Certificate, error) {
 	var roots []*x509.Certificate
 	for rest := text; ; {
 		var b *pem.Block
@@ -147,7 +147,7 @@
 			return nil, fmt.Errorf("an authority's certificate can't be read: %w", err)
 		}
 		if !c.BasicConstraintsValid || !c.IsCA {
-			return nil, fmt.Errorf("the certificate of %s among the authorities is none's", names(c))
+			return nil, fmt.Errorf("the certificate of %s among the authorities is none's", subjectNames(c))
 		}
 		roots = append(roots, c)
 	}
@@ -160,8 +160,8 @@
 // readLists reads lists of revoked certificates. A list must be signed by a trusted authority and must not be older than the one
 // in service; an authority that had a list before and is still trusted must have one again: a file emptied by accident must
 // not make a revoked certificate good.
-func (p *Verifier) readLists(roots []*x509.Certificate, text []byte) ([]*list, error) {
-	by := map[string]*list{}
+func (p *Verifier) parseRevocations(roots []*x509.Certificate, text []byte) ([]*revocationList, error) {
+	by := map[string]*revocationList{}
 	for rest := text; ; {
 		var b *pem.Block
 		if b, rest = pem.Decode(rest); b == nil {
@@ -185,12 +185,12 @@
 		if i < 0 {
 			return nil, fmt.Errorf("the list of revoked certificates of %s is signed by no trusted authority", r.Issuer)
 		}
-		l := &list{issuer: string(r.RawIssuer), signer: roots[i], number: r.Number, revoked: make(map[string]bool, len(r.RevokedCertificateEntries))}
+		l := &revocationList{issuer: string(r.RawIssuer), signer: roots[i], number: r.Number, revoked: make(map[string]bool, len(r.RevokedCertificateEntries))}
 		if l.number == nil {
 			l.number = new(big.Int)
 		}
 		if !r.NextUpdate.IsZero() {
-			l.next = micros(r.NextUpdate)
+			l.nextUpdate = microsOf(r.NextUpdate)
 		}
 		for _, e := range r.RevokedCertificateEntries {
 			l.revoked[string(e.SerialNumber.Bytes())] = true
@@ -199,7 +199,7 @@
 			by[l.issuer] = l
 		}
 	}
-	for _, old := range p.lists {
+	for _, old := range p.revocations {
 		trusted := slices.ContainsFunc(roots, func(c *x509.Certificate) bool { return c.Equal(old.signer) })
 		switch l := by[old.issuer]; {
 		case trusted && l == nil:
@@ -208,11 +208,11 @@
 			return nil, fmt.Errorf("the list of revoked certificates of %s has number %v, older than %v", old.signer.Subject, l.number, old.number)
 		}
 	}
-	var lists []*list
+	var lists []*revocationList
 	for _, l := range by {
 		lists = append(lists, l)
 	}
-	slices.SortFunc(lists, func(a, b *list) int { return strings.Compare(a.issuer, b.issuer) })
+	slices.SortFunc(lists, func(a, b *revocationList) int { return strings.Compare(a.issuer, b.issuer) })
 	return lists, nil
 }
 
@@ -220,15 +220,15 @@
 // one that was dialled; empty for a client.
 func (p *Verifier) Verify(now control.Micros, chain []*x509.Certificate, side Role, host string) (VerifiedPeer, error) {
 	if len(chain) == 0 {
-		return VerifiedPeer{}, refuse(NoCertificate, "the peer showed no certificate")
+		return VerifiedPeer{}, reject(NoCertificate, "the peer showed no certificate")
 	}
 	if !p.HasAuthorities() {
-		return VerifiedPeer{}, refuse(NoAuthorities, "there is no trusted authority to check %s by", names(chain[0]))
+		return VerifiedPeer{}, reject(NoAuthorities, "there is no trusted authority to check %s by", subjectNames(chain[0]))
 	}
 	leaf := chain[0]
 	for _, c := range chain { // told apart here, since x509 calls both expired
-		if from := micros(c.NotBefore); now < from {
-			return VerifiedPeer{}, refuse(NotYetValid, "the certificate of %s is not valid before %s", names(c), shown(c.NotBefore))
+		if from := microsOf(c.NotBefore); now < from {
+			return VerifiedPeer{}, reject(NotYetValid, "the certificate of %s is not valid before %s", subjectNames(c), formatTime(c.NotBefore))
 		}
 	}
 	between := x509.NewCertPool()
@@ -239,51 +239,51 @@
 	if side == Client {
 		use = x509.ExtKeyUsageClientAuth
 	}
-	ways, err := leaf.Verify(x509.VerifyOptions{Roots: p.pool, Intermediates: between, CurrentTime: wall(now), KeyUsages: []x509.ExtKeyUsage{use}})
+	ways, err := leaf.Verify(x509.VerifyOptions{Roots: p.pool, Intermediates: between, CurrentTime: timeOf(now), KeyUsages: []x509.ExtKeyUsage{use}})
 	if err != nil {
-		return VerifiedPeer{}, refused(leaf, err)
+		return VerifiedPeer{}, chainError(leaf, err)
 	}
-	if err := p.named(leaf, side, host); err != nil {
+	if err := p.checkName(leaf, side, host); err != nil {
 		return VerifiedPeer{}, err
 	}
-	s := VerifiedPeer{version: p.version, chain: chain, side: side, host: host}
+	s := VerifiedPeer{version: p.version, chain: chain, role: side, host: host}
 	var revoked *PeerError
 	for _, way := range ways { // one way without a revoked certificate is enough; the longest-lived counts
-		if r := p.revoked(way); r != nil {
+		if r := p.checkRevoked(way); r != nil {
 			revoked = r
 			continue
 		}
-		until := micros(way[0].NotAfter)
+		until := microsOf(way[0].NotAfter)
 		for _, c := range way {
-			until = min(until, micros(c.NotAfter))
+			until = min(until, microsOf(c.NotAfter))
 		}
-		s.until = max(s.until, until)
+		s.expiresAt = max(s.expiresAt, until)
 	}
-	if s.until == 0 {
+	if s.expiresAt == 0 {
 		return VerifiedPeer{}, revoked
 	}
 	return s, nil
 }
 
-func refused(leaf *x509.Certificate, err error) *PeerError {
+func chainError(leaf *x509.Certificate, err error) *PeerError {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) {
 		switch invalid.Reason {
 		case x509.Expired:
-			return refuse(Expired, "the certificate of %s ended at %s", names(invalid.Cert), shown(invalid.Cert.NotAfter))
+			return reject(Expired, "the certificate of %s ended at %s", subjectNames(invalid.Cert), formatTime(invalid.Cert.NotAfter))
 		case x509.IncompatibleUsage:
-			return refuse(WrongKeyUsage, "the certificate of %s is not meant for this side of a connection", names(leaf))
+			return reject(WrongKeyUsage, "the certificate of %s is not meant for this side of a connection", subjectNames(leaf))
 		}
 	}
-	return refuse(UnknownAuthority, "the certificate of %s: no trusted authority signed it", names(leaf))
+	return reject(UnknownAuthority, "the certificate of %s: no trusted authority signed it", subjectNames(leaf))
 }
 
 // revoked looks for a revoked certificate on the way from a peer's own to a trusted authority's.
-func (p *Verifier) revoked(way []*x509.Certificate) *PeerError {
+func (p *Verifier) checkRevoked(way []*x509.Certificate) *PeerError {
 	for i, c := range way[:len(way)-1] {
-		for _, l := range p.lists {
+		for _, l := range p.revocations {
 			if l.signer.Equal(way[i+1]) && l.revoked[string(c.SerialNumber.Bytes())] {
-				return refuse(Revoked, "the certificate of %s, number %x, is revoked", names(c), c.SerialNumber)
+				return reject(Revoked, "the certificate of %s, number %x, is revoked", subjectNames(c), c.SerialNumber)
 			}
 		}
 	}
@@ -291,16 +291,16 @@
 }
 
 // named tells whether a certificate is for one of the names that are told, or without those for the host that was dialled.
-func (p *Verifier) named(leaf *x509.Certificate, side Role, host string) error {
+func (p *Verifier) checkName(leaf *x509.Certificate, side Role, host string) error {
 	if len(p.names) == 0 {
 		if side == Client || leaf.VerifyHostname(host) == nil {
 			return nil
 		}
-		return refuse(WrongName, "the certificate is of %s, not of %s", names(leaf), host)
+		return reject(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), host)
 	}
 	for _, name := range p.names {
 		for _, d := range leaf.DNSNames {
-			if matches(strings.ToLower(name), strings.ToLower(d)) {
+			if matchesDNSName(strings.ToLower(name), strings.ToLower(d)) {
 				return nil
 			}
 		}
@@ -310,11 +310,11 @@
 			}
 		}
 	}
-	return refuse(WrongName, "the certificate is of %s, not of %s", names(leaf), strings.Join(p.names, " or "))
+	return reject(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), strings.Join(p.names, " or "))
 }
 
 // matches compares a told DNS name with a certificate's; * stands for the whole first label, in the told one alone.
-func matches(told, name string) bool {
+func matchesDNSName(told, name string) bool {
 	if rest, any := strings.CutPrefix(told, "*."); any {
 		label, after, found := strings.Cut(name, ".")
 		return found && label != "" && label != "*" && after == rest
@@ -324,13 +324,13 @@
 
 // Still tells whether a peer that was believed is believed now. It costs little while nothing changed.
 func (p *Verifier) Reverify(now control.Micros, s *VerifiedPeer) error {
-	if now >= s.until {
-		return refuse(Expired, "the certificate of %s ended while the connection stood", names(s.chain[0]))
+	if now >= s.expiresAt {
+		return reject(Expired, "the certificate of %s ended while the connection stood", subjectNames(s.chain[0]))
 	}
 	if s.version == p.version {
 		return nil
 	}
-	fresh, err := p.Verify(now, s.chain, s.side, s.host)
+	fresh, err := p.Verify(now, s.chain, s.role, s.host)
 	if err == nil {
 		*s = fresh
 	}
@@ -340,21 +340,21 @@
 // Tick announces lists of revoked certificates that are out of date; they count on. It gives when it must be called again;
 // 0: at the next offer.
 func (p *Verifier) Maintain(now control.Micros) (next control.Micros) {
-	for _, l := range p.lists {
+	for _, l := range p.revocations {
 		switch {
-		case l.next == 0 || l.late:
-		case now >= l.next:
-			l.late = true
-			p.note("the list of revoked certificates of %s should have been replaced by %s; it counts on", l.signer.Subject, shown(wall(l.next)))
-		case next == 0 || l.next < next:
-			next = l.next
+		case l.nextUpdate == 0 || l.overdue:
+		case now >= l.nextUpdate:
+			l.overdue = true
+			p.logf("the list of revoked certificates of %s should have been replaced by %s; it counts on", l.signer.Subject, formatTime(timeOf(l.nextUpdate)))
+		case next == 0 || l.nextUpdate < next:
+			next = l.nextUpdate
 		}
 	}
 	return next
 }
 
 // names tells whose certificate it is.
-func names(c *x509.Certificate) string {
+func subjectNames(c *x509.Certificate) string {
 	var all []string
 	all = append(all, c.DNSNames...)
 	for _, u := range c.URIs {
--- a/internal/tlspolicy/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -13,7 +13,7 @@
 	"hollymast/internal/fakeserver/authority"
 )
 
-func at(t time.Time) control.Micros { return micros(t) }
+func at(t time.Time) control.Micros { return microsOf(t) }
 
 func now() control.Micros { return at(time.Now()) }
 
@@ -242,11 +242,11 @@
 	var i Identity
 	i.Update(now(), x.Chain, x.Key)
 	version, begin := i.Version(), now()
-	if i.ReplaceNow(begin+turnover, version, 0) {
+	if i.ReplaceNow(begin+replacementPeriod, version, 0) {
 		t.Error("nothing changed")
 	}
 	i.Update(begin, y.Chain, y.Key)
-	if i.ReplaceNow(begin+turnover/2-1, version, 0.5) || !i.ReplaceNow(begin+turnover/2, version, 0.5) || i.ReplaceNow(begin+turnover, i.Version(), 0.5) {
+	if i.ReplaceNow(begin+replacementPeriod/2-1, version, 0.5) || !i.ReplaceNow(begin+replacementPeriod/2, version, 0.5) || i.ReplaceNow(begin+replacementPeriod, i.Version(), 0.5) {
 		t.Error("not at its own place")
 	}
 }
