--- a/cmd/hollymast/platform_test.go
+++ b/cmd/hollymast/platform_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"os"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -11,20 +10,6 @@
 	"hollymast/internal/platformtest"
 )
 
-// asRouter, where it is set, has the test program run as the router itself.
-const routerArgsEnv = "HOLLYMAST_TEST_ARGS"
-
-// builtRouter, where it is set, is a router that was built, to run in the place of the test program.
-const routerBinaryEnv = "HOLLYMAST_TEST_ROUTER"
-
-func TestMain(m *testing.M) {
-	if args := os.Getenv(routerArgsEnv); args != "" {
-		os.Args = append(os.Args[:1], strings.Fields(args)...)
-		main()
-	}
-	os.Exit(m.Run())
-}
-
 // An order to stop that comes while a new configuration is read, for however long, is obeyed.
 func TestStopCrossesAReload(t *testing.T) {
 	text := platformtest.Deployment{Grace: gracePeriod}.Configuration("127.0.0.1:1")
--- a/internal/certstore/grpc.go
+++ b/internal/certstore/credentials.go
@@ -11,21 +11,6 @@
 	"hollymast/internal/tlspolicy"
 )
 
-// watched is a connection that stands for long, on which nobody asks whether its peer is still believed.
-type trackedConn struct {
-	net.Conn
-	raw   net.Conn
-	store *Store
-	peer  tlspolicy.VerifiedPeer
-}
-
-func (w *trackedConn) Close() error {
-	w.store.mu.Lock()
-	delete(w.store.tracked, w)
-	w.store.mu.Unlock()
-	return w.Conn.Close()
-}
-
 // Credentials are a ring's for gRPC, on either side. Connections of peers that are not believed any more are cut.
 func (r *Store) Credentials() credentials.TransportCredentials {
 	return &transportCredentials{store: r}
--- /dev/null
+++ b/internal/certstore/credentials_test.go
@@ -0,0 +1,54 @@
+package certstore
+
+import (
+	"context"
+	"hollymast/internal/fakeserver/authority"
+	"net"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/health"
+	"google.golang.org/grpc/health/grpc_health_v1"
+)
+
+// A gRPC connection whose peer's certificate is revoked is cut, although nobody asks on it.
+func TestLongConnectionsAreCut(t *testing.T) {
+	a := authority.New("a")
+	peer := a.Issue(host)
+	server, dir := ringOf(t, a.Issue(host), a.Cert(), a.List(time.Now().Add(time.Hour)))
+	client, _ := ringOf(t, peer, a.Cert(), nil)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := grpc.NewServer(grpc.Creds(server.Credentials()))
+	grpc_health_v1.RegisterHealthServer(s, health.NewServer())
+	go s.Serve(l)
+	defer s.Stop()
+	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(client.Credentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	watch, err := grpc_health_v1.NewHealthClient(conn).Watch(ctx, &grpc_health_v1.HealthCheckRequest{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := watch.Recv(); err != nil {
+		t.Fatal(err)
+	}
+	a.Revoke(peer.Serial)
+	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
+	if err := server.reload(); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := watch.Recv(); err == nil || ctx.Err() != nil {
+		t.Errorf("the stream goes on: %v", err)
+	}
+	if n := server.Stats().RejectedPeers["revoked"]; n == 0 {
+		t.Error("not counted")
+	}
+}
--- a/internal/loadreport/loads_test.go
+++ b/internal/loadreport/collector_test.go
@@ -1,7 +1,6 @@
 package loadreport
 
 import (
-	"encoding/json"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -76,32 +75,6 @@
 	})
 }
 
-// A report is due a whole time after it was asked for, then at steady times; a stall is not made up for; absurd times are
-// brought within bounds, and nothing is due where nothing is asked.
-func TestPace(t *testing.T) {
-	p := &Scheduler{}
-	p.StreamOpened()
-	if p.NextAt() != 0 {
-		t.Error("due before anything was asked")
-	}
-	p.SetRequest(1000, Request{AllClusters: true, Interval: 1})
-	if p.NextAt() != 1000+minInterval {
-		t.Errorf("due at %d", p.NextAt())
-	}
-	p.NextReport(1000+minInterval+5, Report{})
-	if p.NextAt() != 1000+2*minInterval {
-		t.Errorf("the second is due at %d", p.NextAt())
-	}
-	p.NextReport(1000+7*minInterval+5, Report{})
-	if p.NextAt() != 1000+8*minInterval {
-		t.Errorf("after a stall due at %d", p.NextAt())
-	}
-	p.SetRequest(0, Request{AllClusters: true})
-	if p.NextAt() != 0 {
-		t.Error("due although nothing is asked any more")
-	}
-}
-
 // What servers said of themselves is kept until they are forgotten; what they did not say counts as nothing in sums.
 func TestFigures(t *testing.T) {
 	tally := NewCollector(0)
@@ -120,35 +93,3 @@
 		t.Error("a forgotten server still speaks")
 	}
 }
-
-// Many nodes are summed, each by its latest report, and one too many is refused.
-func TestGathered(t *testing.T) {
-	g := NewAggregator(2)
-	line := func(n uint64) Report {
-		return Report{Endpoints: []EndpointStats{{Address: "a:1", InFlight: n, Counts: Counts{Issued: 10 * n}}}}
-	}
-	g.Update("x", line(9))
-	g.Update("x", line(1))
-	if !g.Update("y", line(2)) || g.Update("z", line(4)) {
-		t.Error("the bound on nodes")
-	}
-	if lines, nodes := g.Sum(); nodes != 2 || len(lines) != 1 || lines[0].InFlight != 3 || lines[0].Issued != 30 {
-		t.Errorf("%+v of %d", lines, nodes)
-	}
-	g.Remove("y")
-	if lines, _ := g.Sum(); lines[0].InFlight != 1 {
-		t.Errorf("%+v", lines)
-	}
-}
-
-// The operators' endpoint of load reports writes these names: a renamed field keeps the name that it has there.
-func TestEndpointStatsInJSON(t *testing.T) {
-	b, err := json.Marshal(EndpointStats{"a:1", 2, Counts{3, 4, 5}, LoadMetrics{6, 0.5, 1.5, 0.25}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	const want = `{"Address":"a:1","InFlight":2,"Issued":3,"Finished":4,"Errored":5,"Answers":6,"Util":0.5,"Loads":1.5,"Pinned":0.25}`
-	if string(b) != want {
-		t.Errorf("%s, want %s", b, want)
-	}
-}
