--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -4,105 +4,121 @@
 	"hollymast/control"
 )
 
-// What is let in while a storm lasts. First tries are: what comes first is demand, and only demand that the module sees has copies
-// loaded; to let in no more than servers answered just now starved a fleet that had to load (docs/overload.md). Repeats of clients that
-// heeded their pause are let in too. What comes again without a pause, or without a mark by which that could be told, has a tenth of
-// its tenant's first tries.
+// Admission during an overload. First attempts are admitted: they are demand, and package control loads instances only for demand that it
+// sees (to admit no more than servers had just answered starved a fleet that had to load: docs/overload.md). Retries after the pause that
+// they were given are admitted too. Retries without a pause, or without an idempotency key to tell that by, have a budget of a tenth of
+// their tenant's first attempts.
 const (
 	retryTokensPerRequest = 0.1
 	maxRetryTokens        = 5.0
-	earlyTolerance        = control.Micros(50_000) // clients' clocks and ways differ by less
-	maxKeys               = 100_000                // some 4 MB; more refused calls than that are not told apart
+	earlyTolerance        = control.Micros(50_000) // more than clients' clocks and the network differ by
+	maxKeys               = 100_000                // some 4 MB; rejected requests beyond that are not told apart
 )
 
-// Arrival is a call as it comes.
+// Request is a request on arrival.
 type Request struct {
-	Tenant  control.TenantID
-	IsRetry bool   // its client says that it asks again
-	KeyHash uint64 // of its effect, hashed; 0: none
-
+	Tenant     control.TenantID
+	IsRetry    bool   // as its client says
+	KeyHash    uint64 // hash of its idempotency key; 0: it has none
 	Function   control.FunctionID
-	Importance float64 // of its workload
+	Importance float64 // of its class
 }
 
-// Verdict is what is done with it.
+// Decision says whether a request is admitted.
 type Decision struct {
 	Admitted   bool
-	Reason     Kind           // of a refusal
-	RetryAfter control.Micros // of a refusal: when to return; each is given another time
+	Reason     Kind           // of a rejection
+	RetryAfter control.Micros // of a rejection: the pause before the next attempt, different for each request
 }
 
-// Arrived takes in a call and decides whether it is let in.
-func (w *Controller) Admit(now control.Micros, a Request) Decision {
-	w.advance(now)
-	v := w.decide(now, a)
-	if v.Admitted {
-		w.current.admitted++
+// Admit counts a request and decides whether it is admitted.
+func (c *Controller) Admit(now control.Micros, r Request) Decision {
+	c.advance(now)
+	d := c.decide(now, r)
+	if d.Admitted {
+		c.window.current.admitted++
 	}
-	return v
+	return d
 }
 
-func (w *Controller) decide(now control.Micros, a Request) Decision {
-	t := w.tenant(now, a.Tenant)
-	t.count(now, 1)
-	if a.IsRetry {
-		w.current.retries++
-		t.retries++
-	} else {
-		w.current.firstAttempts++
-		t.retryTokens = min(maxRetryTokens, t.retryTokens+retryTokensPerRequest)
-	}
-	if w.kind == TenantStorm && t.overQuota && !w.takeQuotaToken(now, a.Tenant, t) {
-		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, 0)}
+func (c *Controller) decide(now control.Micros, r Request) Decision {
+	t := c.tenant(now, r.Tenant)
+	c.count(now, r, t)
+	if c.kind == TenantStorm && t.overQuota && !c.takeQuotaToken(now, r.Tenant, t) {
+		return c.reject(now, 0)
 	}
-	due, refused := w.returnAt[a.KeyHash]
-	refused = refused && a.KeyHash != 0
+	returnAt, rejectedBefore := c.returnAt[r.KeyHash]
+	rejectedBefore = rejectedBefore && r.KeyHash != 0
 	switch {
-	case w.kind == None || w.kind == ConnectionStorm:
+	case c.kind == None || c.kind == ConnectionStorm:
 		return Decision{Admitted: true}
-	case !refused && w.shedder.sheds(now, a.Importance, a.Function):
-		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, a.KeyHash)}
-	case !a.IsRetry && !refused:
+	case !rejectedBefore && c.shedder.sheds(now, r.Importance, r.Function):
+		return c.reject(now, r.KeyHash)
+	case !r.IsRetry && !rejectedBefore:
 		return Decision{Admitted: true}
-	case refused && now < due-earlyTolerance: // the time that it was given stands: to put it off would punish its next, later one
-		w.current.rejected++
-		return Decision{Reason: w.kind, RetryAfter: due - now}
-	case refused:
-		delete(w.returnAt, a.KeyHash)
+	case rejectedBefore && now < returnAt-earlyTolerance:
+		// The time that it was given stands: to put it off would punish the next attempt, which will be in time.
+		c.window.current.rejected++
+		return Decision{Reason: c.kind, RetryAfter: returnAt - now}
+	case rejectedBefore:
+		delete(c.returnAt, r.KeyHash)
 		return Decision{Admitted: true}
 	case t.retryTokens < 1:
-		return Decision{Reason: w.kind, RetryAfter: w.reject(now, w.maxRetryAfter, a.KeyHash)}
+		return c.reject(now, r.KeyHash)
 	}
 	t.retryTokens--
 	return Decision{Admitted: true}
 }
 
-// refuse gives a call a time of its own to return at, in the later half of the pause, so that those who were refused together don't
-// meet again; and keeps it.
-func (w *Controller) reject(now, stay control.Micros, mark uint64) control.Micros {
-	w.current.rejected++
-	stay = max(1, stay/2+control.Micros(w.random.Int64N(max(1, int64(stay/2)))))
-	if mark != 0 {
-		if len(w.returnAt) >= maxKeys {
-			for m, at := range w.returnAt {
-				if at < now {
-					delete(w.returnAt, m)
-				}
-			}
-		}
-		if len(w.returnAt) < maxKeys {
-			w.returnAt[mark] = now + stay
-		}
+// count counts a request on arrival. A first attempt adds to its tenant's retry budget.
+func (c *Controller) count(now control.Micros, r Request, t *tenantState) {
+	t.countRequest(now)
+	if r.IsRetry {
+		c.window.current.retries++
+		t.retries++
+		return
 	}
-	return stay
+	c.window.current.firstAttempts++
+	t.retryTokens = min(maxRetryTokens, t.retryTokens+retryTokensPerRequest)
+}
+
+func (c *Controller) reject(now control.Micros, keyHash uint64) Decision {
+	return Decision{Reason: c.kind, RetryAfter: c.assignRetryAfter(now, c.maxRetryAfter, keyHash)}
 }
 
-// Spread is the pause that a refusal of the module's own carries: in a storm each gets another.
-func (w *Controller) RecordRejection(now control.Micros, stay control.Micros, mark uint64) control.Micros {
-	w.advance(now)
-	if w.kind == None || stay == 0 {
-		w.current.rejected++
-		return stay
+// RecordRejection counts a rejection by package control, with its pause, and returns the pause that the client is given: in an overload a
+// different one for each request.
+func (c *Controller) RecordRejection(now, retryAfter control.Micros, keyHash uint64) control.Micros {
+	c.advance(now)
+	if c.kind == None || retryAfter == 0 {
+		c.window.current.rejected++
+		return retryAfter
+	}
+	return c.assignRetryAfter(now, retryAfter, keyHash)
+}
+
+// assignRetryAfter counts a rejection and draws its pause from the later half of the longest one, so that requests that were rejected
+// together don't return together. The time is remembered for requests with an idempotency key.
+func (c *Controller) assignRetryAfter(now, longest control.Micros, keyHash uint64) control.Micros {
+	c.window.current.rejected++
+	pause := max(1, longest/2+control.Micros(c.random.Int64N(max(1, int64(longest/2)))))
+	if keyHash == 0 {
+		return pause
+	}
+	if len(c.returnAt) >= maxKeys {
+		c.pruneReturns(now)
+	}
+	if len(c.returnAt) < maxKeys {
+		c.returnAt[keyHash] = now + pause
+	}
+	return pause
+}
+
+// pruneReturns forgets the rejected requests whose time to return has passed.
+func (c *Controller) pruneReturns(now control.Micros) {
+	for keyHash, at := range c.returnAt {
+		if at < now {
+			delete(c.returnAt, keyHash)
+		}
 	}
-	return w.reject(now, stay, mark)
 }
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -1,47 +1,49 @@
 package overload
 
 import (
-	"hollymast/control"
 	"testing"
+
+	"hollymast/control"
 )
 
-// Refused calls are told times that spread out, within what clients heed.
-func TestReturnsSpread(t *testing.T) {
-	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
-	parts := map[control.Micros]int{}
-	n := 0
+// Rejected requests are given pauses that spread out, within what clients heed.
+func TestPausesSpread(t *testing.T) {
+	c, now := newCalmController(t)
+	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
+	byTenth := map[control.Micros]int{} // of a second
+	rejected := 0
 	for i := range control.Micros(400) {
-		v := w.Admit(now+i, Request{IsRetry: true})
-		if v.Admitted {
+		d := c.Admit(now+i, Request{IsRetry: true})
+		if d.Admitted {
 			continue
 		}
-		if n++; v.RetryAfter <= 0 || v.RetryAfter > 2_000_000 || v.Reason == None {
-			t.Fatalf("%+v", v)
+		if rejected++; d.RetryAfter <= 0 || d.RetryAfter > 2_000_000 || d.Reason == None {
+			t.Fatalf("%+v", d)
 		}
-		parts[v.RetryAfter/100_000]++
+		byTenth[d.RetryAfter/100_000]++
 	}
 	most := 0
-	for _, c := range parts {
-		most = max(most, c)
+	for _, n := range byTenth {
+		most = max(most, n)
 	}
-	if n < 300 || most > n/4 || len(parts) < 10 {
-		t.Errorf("%d refused, %d within one tenth of a second, %d tenths", n, most, len(parts))
+	if rejected < 300 || most > rejected/4 || len(byTenth) < 10 {
+		t.Errorf("%d rejected, %d within one tenth of a second, %d tenths", rejected, most, len(byTenth))
 	}
 }
 
-// Who heeds the pause is let in, marked or not as a repeat; who comes sooner hears the same time again.
-func TestHeededPauses(t *testing.T) {
-	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
-	stay := w.RecordRejection(now, 1000*ms, 5)
-	if v := w.Admit(now+stay/2, Request{IsRetry: true, KeyHash: 5}); v.Admitted || v.RetryAfter != stay-stay/2 {
-		t.Errorf("came too soon: %+v of %d", v, stay)
+// A retry after its pause is admitted; one that comes too early, marked as a retry or not, is given the same time again.
+func TestPauseIsHonoured(t *testing.T) {
+	c, now := newCalmController(t)
+	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
+	const key = 5
+	pause := c.RecordRejection(now, 1000*ms, key)
+	if d := c.Admit(now+pause/2, Request{IsRetry: true, KeyHash: key}); d.Admitted || d.RetryAfter != pause-pause/2 {
+		t.Errorf("too early: %+v, pause %d", d, pause)
 	}
-	if v := w.Admit(now+stay/2, Request{KeyHash: 5}); v.Admitted {
-		t.Error("a repeat that is called none is let in")
+	if d := c.Admit(now+pause/2, Request{KeyHash: key}); d.Admitted {
+		t.Error("a retry that is not marked as one is admitted too early")
 	}
-	if v := w.Admit(now+stay, Request{IsRetry: true, KeyHash: 5}); !v.Admitted {
-		t.Errorf("came in time: %+v", v)
+	if d := c.Admit(now+pause, Request{IsRetry: true, KeyHash: key}); !d.Admitted {
+		t.Errorf("in time: %+v", d)
 	}
 }
--- a/internal/overload/baseline.go
+++ b/internal/overload/baseline.go
@@ -4,37 +4,50 @@
 	"hollymast/control"
 )
 
-// Usual are the figures that outlast a router, so that one that is started in a storm knows what is usual.
-type Baseline struct {
-	FirstAttempts float64 `cbor:"First"` // a second
-	Connections   float64 `cbor:"Connections"`
-	Kind          Kind    `cbor:"Storm"` // that was on
-}
+// baselineIntervals is the time over which the baseline is averaged: a minute.
+const baselineIntervals = 600
 
-// Remember gives them.
-func (w *Controller) Baseline() Baseline {
-	return Baseline{w.baselineAttempts, w.baselineConnections, w.kind}
+// baseline is the usual traffic, a mean over the last minute without overload.
+type baseline struct {
+	firstAttempts float64 // per second
+	connections   float64 // per second
+	intervals     int     // that the mean rests on, baselineIntervals at most
 }
 
-// lately is how old a storm may be that a restarted router still takes for one: a restart takes seconds.
-const maxRestoreAge = control.Micros(30_000_000)
+func (b *baseline) update(second counters) {
+	b.intervals = min(b.intervals+1, baselineIntervals)
+	b.firstAttempts += (second.firstAttempts - b.firstAttempts) / float64(b.intervals)
+	b.connections += (second.connections - b.connections) / float64(b.intervals)
+}
 
-// Recall takes them in at a router's start, with their age. A storm that was on lately goes on until it proves to be over.
-func (w *Controller) Restore(now control.Micros, u Baseline, age control.Micros) {
-	w.baselineAttempts, w.baselineConnections, w.baselineIntervals = u.FirstAttempts, u.Connections, 600
-	if u.Kind != None && age < maxRestoreAge {
-		w.enter(now, u.Kind)
+// updateBaseline takes in the last second. An overload is not learned: it must not become usual.
+func (c *Controller) updateBaseline() {
+	if c.kind == None {
+		c.baseline.update(c.window.lastSecond())
 	}
 }
 
-// learn follows what is usual: over a minute of calm parts, and not at all in a storm, which must not become usual.
-func (w *Controller) updateBaseline() {
-	const minute = 600 // parts
-	if w.kind != None {
-		return
+// Baseline is what outlasts a restart, so that a router that starts during an overload knows the usual traffic. It is stored: the tags
+// must not change.
+type Baseline struct {
+	FirstAttempts float64 `cbor:"First"`       // per second
+	Connections   float64 `cbor:"Connections"` // per second
+	Kind          Kind    `cbor:"Storm"`       // of the overload at the time
+}
+
+// Baseline returns what Restore takes.
+func (c *Controller) Baseline() Baseline {
+	return Baseline{FirstAttempts: c.baseline.firstAttempts, Connections: c.baseline.connections, Kind: c.kind}
+}
+
+// maxRestoreAge is the age up to which a stored overload is taken for one that still goes on: a restart takes seconds.
+const maxRestoreAge = control.Micros(30_000_000)
+
+// Restore sets the baseline at a router's start; age is the time since it was stored. A recent overload goes on until its conditions no
+// longer hold.
+func (c *Controller) Restore(now control.Micros, stored Baseline, age control.Micros) {
+	c.baseline = baseline{firstAttempts: stored.FirstAttempts, connections: stored.Connections, intervals: baselineIntervals}
+	if stored.Kind != None && age < maxRestoreAge {
+		c.enter(now, stored.Kind)
 	}
-	s := w.lastSecond()
-	w.baselineIntervals = min(w.baselineIntervals+1, minute)
-	w.baselineAttempts += (s.firstAttempts - w.baselineAttempts) / float64(w.baselineIntervals)
-	w.baselineConnections += (s.connections - w.baselineConnections) / float64(w.baselineIntervals)
 }
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -1,9 +1,9 @@
-// Package overload sees a storm of calls as it forms, tells its kind, and damps it: which calls are let in while it lasts, and when
-// those that are not should return. It is free of I/O and clocks; chance comes from a seeded generator. What becomes of a job that is
-// let in is the module's, here as ever.
+// Package overload detects overloads that clients make worse by retrying, tells their kind, and controls admission while they last: which
+// requests are admitted, and when the rejected ones should return. It is free of I/O and clocks; randomness comes from a seeded
+// generator. What becomes of an admitted request is decided by package control.
 //
-// A storm is not demand that rises: first tries alone never make one. It is made of calls that come again because earlier ones
-// came to nothing, all at the same time.
+// Growing demand is no overload of this sort: first attempts alone never make one. It takes retries of requests that failed, all at the
+// same time.
 package overload
 
 import (
@@ -13,83 +13,102 @@
 	"hollymast/control"
 )
 
-// Watch is one router's view. It is for one goroutine.
+// Controller is one router's admission control. It is not safe for concurrent use.
 type Controller struct {
-	quotas              []float64 // of tenants at this router, calls a second
-	maxRetryAfter       control.Micros
-	random              *rand.Rand
-	current             counters
-	currentSince        control.Micros // of the part under way
-	past                [intervals]counters
-	oldest              int
-	baselineIntervals   int     // parts that usual figures rest on, up to a minute of them
-	baselineAttempts    float64 // first tries a second
-	baselineConnections float64 // connections a second
-	kind                Kind
-	since               control.Micros
-	quietSince          control.Micros            // since when nothing speaks for a storm; 0: something does
-	returnAt            map[uint64]control.Micros // when refused calls may return, by their marks
-	tenants             map[control.TenantID]*tenantState
-	logLines            []string
-	shedder             shedder
+	quotas        []float64 // of tenants at this router, requests per second
+	maxRetryAfter control.Micros
+	random        *rand.Rand
+	window        window
+	baseline      baseline
+
+	kind       Kind
+	since      control.Micros // when the overload began
+	quietSince control.Micros // since when no condition of an overload holds; 0: one holds, or there is no overload
+
+	returnAt map[uint64]control.Micros // when rejected requests may return, by the hash of their idempotency key
+	tenants  map[control.TenantID]*tenantState
+	shedder  shedder
+	logLines []string
 }
 
-// NewWatch begins to watch. Shares are the tenants' told shares in calls a second, of this router alone; stay is the longest pause that
-// clients heed; importances are those of the workloads.
+// NewController returns a controller that has no baseline yet. Quotas are the tenants' requests per second at this router alone,
+// priorities those of all classes, and maxRetryAfter is the longest pause that clients heed.
 func NewController(now control.Micros, quotas, priorities []float64, maxRetryAfter control.Micros, seed uint64) *Controller {
-	return &Controller{quotas: quotas, shedder: newShedder(priorities), maxRetryAfter: maxRetryAfter, random: rand.New(rand.NewPCG(seed, 0x570)), currentSince: now, returnAt: map[uint64]control.Micros{}, tenants: map[control.TenantID]*tenantState{}}
+	const stream = 0x570 // the generator's second seed: overload's numbers differ from those of others with the same seed
+	return &Controller{
+		quotas:        quotas,
+		maxRetryAfter: maxRetryAfter,
+		random:        rand.New(rand.NewPCG(seed, stream)),
+		window:        window{currentSince: now},
+		returnAt:      map[uint64]control.Micros{},
+		tenants:       map[control.TenantID]*tenantState{},
+		shedder:       newShedder(priorities),
+	}
 }
 
-// turn ends parts that are over, and decides on the storm at each end.
-func (w *Controller) advance(now control.Micros) {
-	for n := 0; now >= w.currentSince+interval; n++ {
-		if n > 2*intervals { // nothing came for long: as if it were all past
-			w.past, w.current, w.currentSince = [intervals]counters{}, counters{}, now
+// advance ends the intervals that are over, and looks for an overload at the end of each.
+func (c *Controller) advance(now control.Micros) {
+	for n := 0; now >= c.window.currentSince+interval; n++ {
+		if n > maxCatchUp {
+			c.window.clear(now)
 			break
 		}
-		w.past[w.oldest] = w.current
-		w.oldest = (w.oldest + 1) % intervals
-		w.current = counters{}
-		w.currentSince += interval
-		w.updateBaseline()
-		w.classify(w.currentSince)
-		w.shedder.move(w.kind != None && w.kind != ConnectionStorm && w.kind != TenantStorm, w.admittedTooMuch()) // calm tenants pay for none that storms
+		c.window.rotate()
+		c.updateBaseline()
+		c.classify(c.window.currentSince)
+		c.updateShedder()
 	}
 }
 
-// Answered takes in that a call was finished.
-func (w *Controller) RecordAnswer(now control.Micros) {
-	w.advance(now)
-	w.current.answered++
+// updateShedder sets how much the shedder holds back in the next interval. It holds back nothing in an overload that is one tenant's, for
+// which the others must not pay, nor in one that is made of connections.
+func (c *Controller) updateShedder() {
+	switch {
+	case c.kind == None || c.kind == ConnectionStorm || c.kind == TenantStorm:
+		c.shedder.reset()
+	case c.window.admittedTooMuch():
+		c.shedder.raise()
+	default:
+		c.shedder.lower()
+	}
 }
 
-// Connected takes in a client's connection.
-func (w *Controller) RecordConnection(now control.Micros) {
-	w.advance(now)
-	w.current.connections++
+// RecordAnswer counts a request that was answered with success.
+func (c *Controller) RecordAnswer(now control.Micros) {
+	c.advance(now)
+	c.window.current.answered++
 }
 
-// Woke takes in that this router stood still: what it finds came at another time.
-func (w *Controller) RecordStall(now, late control.Micros) {
-	if late < minStall {
+// RecordConnection counts a connection that a client opened.
+func (c *Controller) RecordConnection(now control.Micros) {
+	c.advance(now)
+	c.window.current.connections++
+}
+
+// minStall is the shortest stall that clients notice.
+const minStall = control.Micros(500_000)
+
+// RecordStall handles a stall of this process, which has just ended. Events that came meanwhile are no rate and are not counted.
+func (c *Controller) RecordStall(now, duration control.Micros) {
+	if duration < minStall {
 		return
 	}
-	w.currentSince, w.current = now, counters{} // what came meanwhile is no rate
-	if w.kind == None {
-		w.enter(now, AfterStall)
+	c.window.restartInterval(now)
+	if c.kind == None {
+		c.enter(now, AfterStall)
 	}
 }
 
-// Kind tells what is on.
-func (w *Controller) Kind() Kind { return w.kind }
+// Kind returns the kind of the current overload.
+func (c *Controller) Kind() Kind { return c.kind }
 
-func (w *Controller) logf(format string, args ...any) {
-	w.logLines = append(w.logLines, fmt.Sprintf(format, args...))
+func (c *Controller) logf(format string, args ...any) {
+	c.logLines = append(c.logLines, fmt.Sprintf(format, args...))
 }
 
-// Notes gives what is to be told operators since the last call.
-func (w *Controller) LogLines() []string {
-	notes := w.logLines
-	w.logLines = nil
-	return notes
+// LogLines returns the log lines since the last call.
+func (c *Controller) LogLines() []string {
+	lines := c.logLines
+	c.logLines = nil
+	return lines
 }
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -8,100 +8,102 @@
 
 const ms = control.Micros(1000)
 
-// stretch plays some time: so many first tries, repeats and answers a second, and gives how many of each were let in.
-func stretch(w *Controller, now, length control.Micros, first, repeat, answered int, a Request) (end control.Micros, firsts, repeats int) {
-	at := func(n int, step control.Micros) bool { return n > 0 && step%(1000/control.Micros(n)) == 0 }
-	for step := control.Micros(0); step < length/ms; step++ {
-		t := now + step*ms
-		a.IsRetry = false
-		if at(first, step) && w.Admit(t, a).Admitted {
-			firsts++
+// traffic is what simulate plays, per second.
+type traffic struct{ firstAttempts, retries, answers int }
+
+// admitted counts what a controller admitted.
+type admitted struct{ firstAttempts, retries int }
+
+// simulate plays traffic of one tenant for some time, and returns the time at its end.
+func simulate(c *Controller, now, duration control.Micros, rates traffic) (end control.Micros, got admitted) {
+	happens := func(perSecond int, step control.Micros) bool {
+		return perSecond > 0 && step%(1000/control.Micros(perSecond)) == 0
+	}
+	for step := range duration / ms {
+		at := now + step*ms
+		if happens(rates.firstAttempts, step) && c.Admit(at, Request{}).Admitted {
+			got.firstAttempts++
 		}
-		a.IsRetry = true
-		if at(repeat, step) && w.Admit(t, a).Admitted {
-			repeats++
+		if happens(rates.retries, step) && c.Admit(at, Request{IsRetry: true}).Admitted {
+			got.retries++
 		}
-		if at(answered, step) {
-			w.RecordAnswer(t)
+		if happens(rates.answers, step) {
+			c.RecordAnswer(at)
 		}
 	}
-	return now + length, firsts, repeats
+	return now + duration, got
 }
 
-func calm(t *testing.T) (*Controller, control.Micros) {
+// newCalmController returns a controller after ten seconds of usual traffic.
+func newCalmController(t *testing.T) (*Controller, control.Micros) {
 	t.Helper()
-	w := NewController(1, []float64{2000, 2000}, []float64{2, 1}, 2_000_000, 1)
-	now, firsts, _ := stretch(w, 1, 10_000*ms, 100, 2, 100, Request{})
-	if w.Kind() != None || firsts != 1000 {
-		t.Fatalf("%s, %d of 1000 let in", w.Kind(), firsts)
+	c := NewController(1, []float64{2000, 2000}, []float64{2, 1}, 2_000_000, 1)
+	now, got := simulate(c, 1, 10_000*ms, traffic{100, 2, 100})
+	if c.Kind() != None || got.firstAttempts != 1000 {
+		t.Fatalf("%s, %d of 1000 admitted", c.Kind(), got.firstAttempts)
 	}
-	return w, now
+	return c, now
 }
 
-// A wave of repeats is a storm within a second, is damped to what servers bear, and ends once it is over.
-func TestRetryWave(t *testing.T) {
-	w, now := calm(t)
-	now, _, _ = stretch(w, now, 1000*ms, 100, 500, 0, Request{})
-	if w.Kind() != RetryStorm {
-		t.Fatalf("%s", w.Kind())
+// A retry storm is detected within a second, is damped to what servers bear, and ends with its retries.
+func TestRetryStorm(t *testing.T) {
+	c, now := newCalmController(t)
+	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
+	if c.Kind() != RetryStorm {
+		t.Fatalf("%s", c.Kind())
 	}
-	now, firsts, repeats := stretch(w, now, 5000*ms, 100, 500, 100, Request{})
-	if firsts < 400 || repeats > 100 {
-		t.Errorf("%d of 500 first tries and %d of 2500 repeats let in", firsts, repeats)
+	now, got := simulate(c, now, 5000*ms, traffic{100, 500, 100})
+	if got.firstAttempts < 400 || got.retries > 100 {
+		t.Errorf("%d of 500 first attempts and %d of 2500 retries admitted", got.firstAttempts, got.retries)
 	}
-	if _, firsts, _ = stretch(w, now, 4000*ms, 100, 2, 100, Request{}); w.Kind() != None || firsts < 350 {
-		t.Errorf("%s, %d of 400 let in", w.Kind(), firsts)
+	if _, got = simulate(c, now, 4000*ms, traffic{100, 2, 100}); c.Kind() != None || got.firstAttempts < 350 {
+		t.Errorf("%s, %d of 400 admitted", c.Kind(), got.firstAttempts)
 	}
-	if n := len(w.LogLines()); n < 2 {
-		t.Errorf("%d notes", n)
+	if n := len(c.LogLines()); n < 2 {
+		t.Errorf("%d log lines", n)
 	}
 }
 
-// Demand that rises is no storm, however much, and nothing of it is refused.
-func TestRealDemandIsNotDamped(t *testing.T) {
-	w, now := calm(t)
+// Demand that grows, however much, is no overload, and all of it is admitted.
+func TestGrowingDemandIsAdmitted(t *testing.T) {
+	c, now := newCalmController(t)
 	for _, rate := range []int{200, 500, 1000} {
-		var firsts int
-		if now, firsts, _ = stretch(w, now, 2000*ms, rate, 10, rate, Request{}); w.Kind() != None || firsts != 2*rate {
-			t.Errorf("%d a second: %s, %d let in", rate, w.Kind(), firsts)
+		var got admitted
+		if now, got = simulate(c, now, 2000*ms, traffic{rate, 10, rate}); c.Kind() != None || got.firstAttempts != 2*rate {
+			t.Errorf("%d a second: %s, %d admitted", rate, c.Kind(), got.firstAttempts)
 		}
 	}
 }
 
-// A router that stood still, and one that is started while a storm is on, take it for one; a reconnect rush is told.
-func TestWokenRestartedAndRush(t *testing.T) {
-	w, now := calm(t)
-	w.RecordStall(now, 100*ms)
-	if w.Kind() != None {
-		t.Error("a stop that nobody notices is a storm")
-	}
-	w.RecordStall(now, 2000*ms)
-	if w.Kind() != AfterStall {
-		t.Errorf("%s", w.Kind())
+// A long stall counts as an overload, a short one doesn't.
+func TestStall(t *testing.T) {
+	c, now := newCalmController(t)
+	c.RecordStall(now, 100*ms)
+	if c.Kind() != None {
+		t.Error("a stall that nobody notices is an overload")
 	}
-	fresh := NewController(1, nil, nil, 2_000_000, 1)
-	fresh.Restore(1, w.Baseline(), maxRestoreAge)
-	if fresh.Kind() != None {
-		t.Error("an old storm goes on")
+	c.RecordStall(now, 2000*ms)
+	if c.Kind() != AfterStall {
+		t.Errorf("%s", c.Kind())
 	}
-	fresh.Restore(1, w.Baseline(), maxRestoreAge/10)
-	if fresh.Kind() != AfterStall || fresh.baselineAttempts == 0 {
-		t.Errorf("%s, usual %g", fresh.Kind(), fresh.baselineAttempts)
-	}
-	w, now = calm(t)
+}
+
+// Connections that are opened all at once are an overload, compared with the usual number.
+func TestConnectionStorm(t *testing.T) {
+	c, now := newCalmController(t)
 	for i := range control.Micros(20_000) {
 		if i%1000 == 0 {
-			w.RecordConnection(now + i*ms)
+			c.RecordConnection(now + i*ms)
 		}
 	}
 	now += 20_000 * ms
 	for i := range control.Micros(1000) {
 		if i%5 == 0 {
-			w.RecordConnection(now + i*ms)
+			c.RecordConnection(now + i*ms)
 		}
 	}
-	w.RecordConnection(now + 1100*ms)
-	if w.Kind() != ConnectionStorm {
-		t.Errorf("%s", w.Kind())
+	c.RecordConnection(now + 1100*ms)
+	if c.Kind() != ConnectionStorm {
+		t.Errorf("%s", c.Kind())
 	}
 }
--- a/internal/overload/detection.go
+++ b/internal/overload/detection.go
@@ -4,53 +4,65 @@
 	"hollymast/control"
 )
 
-// The conditions of a storm, over the last second.
+// The conditions of an overload, over the last second.
 const (
-	minRequests      = 30.0 // fewer are nobody's storm
-	minRetryShare    = 0.35 // share of repeats: with three tries a call and all well it is a few hundredths
-	baselineFactor   = 1.5  // times the usual first tries, all calls together
-	connectionFactor = 5.0  // times the usual connections
-	minConnections   = 50.0
-	dominantShare    = 0.6 // share of the repeats that are one tenant's
-	quietPeriod      = control.Micros(2_000_000)
-	minStall         = control.Micros(500_000) // a stop that clients notice
+	minRequests      = 30.0 // with fewer there is nothing to be overloaded by
+	minRetryShare    = 0.35 // of requests; with three attempts each and no fault it is a few hundredths
+	baselineFactor   = 1.5  // all requests to the usual first attempts, or to the answers
+	minConnections   = 50.0 // opened
+	connectionFactor = 5.0  // connections opened to the usual ones
+	dominantShare    = 0.6  // of the retries that one tenant makes, to be the only cause
+	recoveryFactor   = 2.0  // answers to rejections, to be a recovery
 )
 
-// judge decides whether there is a storm, of which kind, and whether it is over.
-func (w *Controller) classify(now control.Micros) {
-	s := w.lastSecond()
-	kind := None
-	calls := s.firstAttempts + s.retries
-	loud := w.updateOverQuota(now)
-	switch wave := calls >= minRequests && s.retries >= minRetryShare*calls && calls >= baselineFactor*max(w.baselineAttempts, s.answered); {
-	case loud || wave && w.dominantTenant(now) >= dominantShare && len(w.tenants) > 1:
-		kind = TenantStorm
-	case wave && s.answered > 2*s.rejected && w.kind != None:
-		kind = RecoveryStorm
-	case wave:
-		kind = RetryStorm
-	case s.connections >= minConnections && s.connections >= connectionFactor*w.baselineConnections && w.baselineConnections > 0:
-		kind = ConnectionStorm
-	}
+// quietPeriod is how long no condition may hold before an overload has ended: longer than clients pause between two attempts.
+const quietPeriod = control.Micros(2_000_000)
+
+// classify begins an overload, changes its kind, or ends it.
+func (c *Controller) classify(now control.Micros) {
+	kind := c.detect(now)
 	switch {
-	case kind != None && w.kind == None:
-		w.enter(now, kind)
+	case kind != None && c.kind == None:
+		c.enter(now, kind)
 	case kind != None:
-		if w.quietSince = 0; kind != w.kind && w.kind != AfterStall {
-			w.logf("the storm is now: %s", kind)
-			w.kind = kind
+		c.quietSince = 0
+		if kind != c.kind && c.kind != AfterStall {
+			c.logf("the storm is now: %s", kind)
+			c.kind = kind
 		}
-	case w.kind != None && w.quietSince == 0:
-		w.quietSince = now
-	case w.kind != None && now >= w.quietSince+quietPeriod:
-		w.logf("the storm (%s) is over after %d ms", w.kind, (now-w.since)/1000)
-		w.kind, w.quietSince = None, 0
-		clear(w.returnAt)
+	case c.kind != None && c.quietSince == 0:
+		c.quietSince = now
+	case c.kind != None && now >= c.quietSince+quietPeriod:
+		c.logf("the storm (%s) is over after %d ms", c.kind, (now-c.since)/1000)
+		c.kind, c.quietSince = None, 0
+		clear(c.returnAt)
+	}
+}
+
+// detect returns the kind of overload whose conditions hold now.
+func (c *Controller) detect(now control.Micros) Kind {
+	sum := c.window.lastSecond()
+	requests := sum.requests()
+	overQuota := c.updateOverQuota(now)
+	retrying := requests >= minRequests && sum.retries >= minRetryShare*requests &&
+		requests >= baselineFactor*max(c.baseline.firstAttempts, sum.answered)
+	switch {
+	case overQuota || retrying && c.dominantRetryShare(now) >= dominantShare && len(c.tenants) > 1:
+		return TenantStorm
+	case retrying && sum.answered > recoveryFactor*sum.rejected && c.kind != None:
+		return RecoveryStorm
+	case retrying:
+		return RetryStorm
+	case sum.connections >= minConnections && sum.connections >= connectionFactor*c.baseline.connections && c.baseline.connections > 0:
+		return ConnectionStorm
 	}
+	return None
 }
 
-func (w *Controller) enter(now control.Micros, kind Kind) {
-	s := w.lastSecond()
-	w.kind, w.since, w.quietSince = kind, now, 0
-	w.logf("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, s.firstAttempts, s.retries, w.baselineAttempts, s.answered)
+// enter begins an overload.
+func (c *Controller) enter(now control.Micros, kind Kind) {
+	sum := c.window.lastSecond()
+	c.kind, c.since, c.quietSince = kind, now, 0
+	c.logf("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, sum.firstAttempts,
+		sum.retries, c.baseline.firstAttempts, sum.answered)
 }
--- a/internal/overload/kind.go
+++ b/internal/overload/kind.go
@@ -1,18 +1,20 @@
 package overload
 
-// Kind is what kind of storm it is.
+// Kind says what an overload is made of. Its numbers are stored and exported as a metric: they must not change.
 type Kind uint8
 
-// The kinds.
+// The kinds of overload.
 const (
 	None            Kind = iota
-	RetryStorm           // calls come again faster than they are answered
-	RecoveryStorm        // something came back: what was held meets what comes again
-	AfterStall           // this router stood still and finds everything at once
-	TenantStorm          // one tenant's calls come again, the others are calm
-	ConnectionStorm      // connections are opened all at once
+	RetryStorm           // requests are retried faster than they are answered
+	RecoveryStorm        // capacity is back: requests that were held meet retries
+	AfterStall           // this process was stalled and finds everything that came meanwhile at once
+	TenantStorm          // one tenant retries or exceeds its quota, the others don't
+	ConnectionStorm      // clients open connections all at once
 )
 
+// kindNames are metric labels and part of what clients are answered: they must not change.
 var kindNames = [...]string{"calm", "retry wave", "return after an outage", "router woken", "one tenant", "reconnect rush"}
 
+// String returns the kind's name in logs, metrics and responses.
 func (k Kind) String() string { return kindNames[k] }
--- a/internal/overload/shedder.go
+++ b/internal/overload/shedder.go
@@ -9,46 +9,44 @@
 	"hollymast/control"
 )
 
-// gate holds back the least important work while a storm keeps what is let in from being answered. The most important work is never
-// held back here.
+// shedder sheds load by priority: it holds back the least important functions while too much of what is admitted stays unanswered. The
+// highest priority is never held back.
 type shedder struct {
-	priorities []float64 // the importances told, ascending, each once
-	level      float64   // classes below it are held back, the one that it stands in by the part of it below
+	priorities []float64 // ascending, each once
+	level      float64   // priorities of a lower rank are held back; the one at it, by the fraction
 }
 
-// How the gate moves, in classes a part, and what of a class that is held back is let in all the same. It rises within a second a
-// class, about as fast as a wave does, and sinks slower, so that it finds a level instead of swinging. A quarter keeps copies of what
-// is held back loaded somewhere.
+// The steps of the level, in ranks per interval. It rises by a rank a second, about as fast as a storm, and falls more slowly, so that it
+// settles instead of oscillating.
 const (
-	raiseStep     = 0.1
-	lowerStep     = 0.03
-	admittedShare = 0.25
+	raiseStep = 0.1
+	lowerStep = 0.03
 )
 
-// turnOf is for how long the same functions of a class are held back: a few loads' time, and longer than a client's pauses, so that to
-// ask again does not help. To choose functions and not calls means that fewer copies do more of the work.
+// admittedShare of the functions of a priority that is held back are admitted nevertheless: that keeps instances of them loaded.
+const admittedShare = 0.25
+
+// rotationPeriod is how long the same functions are held back: as long as a few loads take, and longer than clients pause, so that an
+// immediate retry meets the same answer. Functions are chosen, not requests, so that fewer instances do more of the work.
 const rotationPeriod = control.Micros(2_000_000)
 
 func newShedder(priorities []float64) shedder {
-	classes := slices.Clone(priorities)
-	slices.Sort(classes)
-	return shedder{priorities: slices.Compact(classes)}
+	sorted := slices.Clone(priorities)
+	slices.Sort(sorted)
+	return shedder{priorities: slices.Compact(sorted)}
 }
 
-// move raises or lowers the gate by a part's finding.
-func (g *shedder) move(stormy, pressed bool) {
-	switch top := float64(max(0, len(g.priorities)-1)); {
-	case !stormy:
-		g.level = 0
-	case pressed:
-		g.level = min(top, g.level+raiseStep)
-	default:
-		g.level = max(0, g.level-lowerStep)
-	}
+func (s *shedder) reset() { s.level = 0 }
+
+func (s *shedder) raise() {
+	highest := float64(max(0, len(s.priorities)-1))
+	s.level = min(highest, s.level+raiseStep)
 }
 
-// holds tells whether a call for a function is held back now. All routers hold back the same functions at about the same time, since
-// the choice hangs on nothing else: what is let in finds its copies.
+func (s *shedder) lower() { s.level = max(0, s.level-lowerStep) }
+
+// sheds reports whether requests for a function are held back now. The choice depends on the function and the time alone, so that all
+// routers hold back the same functions at about the same time, and what is admitted finds its instances loaded.
 func (s *shedder) sheds(now control.Micros, priority float64, function control.FunctionID) bool {
 	rank, _ := slices.BinarySearch(s.priorities, priority)
 	share := min(1, s.level-float64(rank)) * (1 - admittedShare)
--- a/internal/overload/shedder_test.go
+++ b/internal/overload/shedder_test.go
@@ -1,67 +1,77 @@
 package overload
 
 import (
-	"hollymast/control"
 	"testing"
+
+	"hollymast/control"
 )
 
-// In a storm in which what is let in is not answered the least important work gives way, by function and turn, and keeps a part; the
-// most important is never held back. Once what is let in is answered it comes back, and after the storm all of it at once.
-func TestLeastImportantGivesWay(t *testing.T) {
-	w, now := calm(t)
-	var let [3]int
-	play := func(seconds int, repeats bool, answered int) {
-		let = [3]int{}
-		for step := range control.Micros(seconds) * 1000 {
-			at := now + step*ms
-			if step%5 == 0 && w.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 1}).Admitted {
-				let[1]++
-			}
-			if step%5 == 1 && w.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 2}).Admitted {
-				let[2]++
-			}
-			if repeats && step%2 == 0 {
-				w.Admit(at, Request{IsRetry: true})
-			}
-			if answered > 0 && step%(1000/control.Micros(answered)) == 0 {
-				w.RecordAnswer(at)
-			}
+// simulatePriorities plays 200 requests a second of each of two priorities, for 40 functions, beside the retries and answers of the
+// rates, and returns how many of the low and the high priority were admitted.
+func simulatePriorities(c *Controller, now control.Micros, seconds, retries, answers int) (end control.Micros, low, high int) {
+	for step := range control.Micros(seconds) * 1000 {
+		at := now + step*ms
+		if step%5 == 0 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 1}).Admitted {
+			low++
+		}
+		if step%5 == 1 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 2}).Admitted {
+			high++
+		}
+		if retries > 0 && step%(1000/control.Micros(retries)) == 0 {
+			c.Admit(at, Request{IsRetry: true})
+		}
+		if answers > 0 && step%(1000/control.Micros(answers)) == 0 {
+			c.RecordAnswer(at)
 		}
-		now += control.Micros(seconds) * 1000 * ms
 	}
-	play(3, true, 100)
-	if play(10, true, 100); let[2] != 2000 || let[1] < 100 || let[1] > 1000 {
-		t.Errorf("pressed: %v let in of 2000 each", let)
+	return now + control.Micros(seconds)*1000*ms, low, high
+}
+
+// While too much of what is admitted stays unanswered the low priority is held back, but for a part; the high one never is. The low one is
+// admitted again once answers come, and all of it after the overload.
+func TestLowPriorityIsShed(t *testing.T) {
+	const (
+		retrying = 500 // retries a second
+		calm     = 0
+	)
+	c, now := newCalmController(t)
+	now, _, _ = simulatePriorities(c, now, 3, retrying, 100)
+	now, low, high := simulatePriorities(c, now, 10, retrying, 100)
+	if high != 2000 || low < 100 || low > 1000 {
+		t.Errorf("few answers: %d low and %d high of 2000 each admitted", low, high)
 	}
-	play(6, true, 500)
-	if play(1, true, 500); w.shedder.level > 0 || let[1] != 200 {
-		t.Errorf("answered again: %v of 200 let in, the gate stands at %g", let, w.shedder.level)
+	now, _, _ = simulatePriorities(c, now, 6, retrying, 500)
+	now, low, _ = simulatePriorities(c, now, 1, retrying, 500)
+	if c.shedder.level > 0 || low != 200 {
+		t.Errorf("answers again: %d low of 200 admitted, level %g", low, c.shedder.level)
 	}
-	play(10, true, 100)
-	play(4, false, 400)
-	if play(1, false, 400); w.Kind() != None || let[1] != 200 {
-		t.Errorf("after it: %s, %v of 200 let in", w.Kind(), let)
+	now, _, _ = simulatePriorities(c, now, 10, retrying, 100)
+	now, _, _ = simulatePriorities(c, now, 4, calm, 400)
+	_, low, _ = simulatePriorities(c, now, 1, calm, 400)
+	if c.Kind() != None || low != 200 {
+		t.Errorf("afterwards: %s, %d low of 200 admitted", c.Kind(), low)
 	}
 }
 
-// What is held back hangs on the function and the turn alone, so a call that comes again at once meets the same answer, and every
-// function has turns in which it is let in.
-func TestFunctionsAreHeldBackInTurns(t *testing.T) {
-	g := newShedder([]float64{1, 3, 1})
-	g.level = 1
-	for f := control.FunctionID(0); f < 50; f++ {
-		held := 0
-		for turn := range control.Micros(100) {
-			one := g.sheds(turn*rotationPeriod, 1, f)
-			if one != g.sheds(turn*rotationPeriod+rotationPeriod-1, 1, f) || g.sheds(turn*rotationPeriod, 3, f) {
-				t.Fatal("not the same within a turn, or the most important is held back")
+// The choice depends on the function and the time alone, so an immediate retry meets the same answer, and each function is admitted at
+// times.
+func TestShedFunctionsRotate(t *testing.T) {
+	s := newShedder([]float64{1, 3, 1})
+	s.level = 1
+	for f := range control.FunctionID(50) {
+		shed := 0
+		for rotation := range control.Micros(100) {
+			begin := rotation * rotationPeriod
+			sheds := s.sheds(begin, 1, f)
+			if sheds != s.sheds(begin+rotationPeriod-1, 1, f) || s.sheds(begin, 3, f) {
+				t.Fatal("not the same within a rotation, or the highest priority is held back")
 			}
-			if one {
-				held++
+			if sheds {
+				shed++
 			}
 		}
-		if held < 55 || held > 92 { // three quarters are meant
-			t.Errorf("function %d is held back in %d turns of 100", f, held)
+		if shed < 55 || shed > 92 { // three quarters are meant
+			t.Errorf("function %d is held back in %d rotations of 100", f, shed)
 		}
 	}
 }
--- a/internal/overload/tenants.go
+++ b/internal/overload/tenants.go
@@ -1,31 +1,95 @@
 package overload
 
 import (
-	"hollymast/control"
 	"math"
+
+	"hollymast/control"
 )
 
-// tenant is what is known of one.
+// maxTenants bounds the tenants that are counted apart; all others share one state.
+const maxTenants = 1000
+
+// otherTenants is the key of the state that tenants beyond maxTenants share.
+const otherTenants = ^control.TenantID(0)
+
+// tenantState is what is known of one tenant.
 type tenantState struct {
-	retries     float64 // repeats of the last seconds, fading
-	decayedAt   control.Micros
-	requests    [shortageIntervals]float64 // of the last parts, the one under way among them
-	interval    control.Micros             // the number of that one
-	retryTokens float64                    // its budget of repeats in a storm
-	overQuota   bool                       // it storms
-	quotaTokens float64                    // calls of its share that may come in
+	retries   float64 // recent ones, halved each second
+	decayedAt control.Micros
+
+	requests [shortageIntervals]float64 // by interval, the one under way among them
+	interval control.Micros             // number of the one under way
+
+	retryTokens float64 // retry budget in an overload
+
+	overQuota   bool
+	quotaTokens float64 // requests that it may still make while over quota
 	refilledAt  control.Micros
 }
 
-// beyond is how far over its share a tenant is that storms, and deviations by how many of a count's deviations more: twice is more than a
-// usual day's ups and downs, three deviations more than those of half a second.
+// tenant returns a tenant's state, which it creates at the tenant's first request.
+func (c *Controller) tenant(now control.Micros, id control.TenantID) *tenantState {
+	t := c.tenants[id]
+	if t == nil {
+		if len(c.tenants) >= maxTenants {
+			id = otherTenants
+			if t = c.tenants[id]; t != nil {
+				return t
+			}
+		}
+		t = &tenantState{decayedAt: now, retryTokens: maxRetryTokens}
+		c.tenants[id] = t
+	}
+	t.decay(now)
+	return t
+}
+
+// Below minRetries the retries of a tenant count as none.
 const (
-	quotaFactor     = 2.0
-	quotaDeviations = 3.0
+	retryHalfLife = control.Micros(1_000_000)
+	minRetries    = 0.01
 )
 
-// came counts a call of a tenant and gives how many came within the last parts.
-func (t *tenantState) count(now control.Micros, calls float64) (sum float64) {
+// decay halves the tenant's retries for each second that has passed.
+func (t *tenantState) decay(now control.Micros) {
+	for ; now-t.decayedAt >= retryHalfLife; t.decayedAt += retryHalfLife {
+		if t.retries /= 2; t.retries < minRetries {
+			t.retries, t.decayedAt = 0, now
+			return
+		}
+	}
+}
+
+// dominantRetryShare is the share of the recent retries that the tenant with the most of them made.
+func (c *Controller) dominantRetryShare(now control.Micros) float64 {
+	most, all := 0.0, 0.0
+	for _, t := range c.tenants {
+		t.decay(now)
+		most, all = max(most, t.retries), all+t.retries
+	}
+	if all == 0 {
+		return 0
+	}
+	return most / all
+}
+
+// countRequest counts a request.
+func (t *tenantState) countRequest(now control.Micros) {
+	t.advance(now)
+	t.requests[t.interval%shortageIntervals]++
+}
+
+// recentRequests returns the number of requests in the last half second, with the interval under way.
+func (t *tenantState) recentRequests(now control.Micros) (sum float64) {
+	t.advance(now)
+	for _, n := range t.requests {
+		sum += n
+	}
+	return sum
+}
+
+// advance clears the counters of intervals that have passed.
+func (t *tenantState) advance(now control.Micros) {
 	for n := now / interval; t.interval < n; t.interval++ {
 		if t.interval < n-shortageIntervals {
 			t.interval = n - shortageIntervals - 1
@@ -33,42 +97,44 @@
 		}
 		t.requests[(t.interval+1)%shortageIntervals] = 0
 	}
-	t.requests[t.interval%shortageIntervals] += calls
-	for _, c := range t.requests {
-		sum += c
-	}
-	return sum
 }
 
-// loud tells whether capacity is short while some tenants ask for far more than their told share, marked or not, and marks those. One
-// that storms is let off once it is within its share.
-func (w *Controller) updateOverQuota(now control.Micros) (any bool) {
-	scarce := w.capacityShort()
-	for id, t := range w.tenants {
-		if int(id) >= len(w.quotas) || len(w.tenants) < 2 {
+// A tenant is over quota at twice its quota, which is more than a usual day's ups and downs, and three standard deviations of a Poisson
+// count, which is more than the chance of half a second.
+const (
+	quotaFactor     = 2.0
+	quotaDeviations = 3.0
+)
+
+// updateOverQuota marks the tenants that ask for far more than their quota while capacity is short, whether or not their requests are
+// marked as retries, and reports whether there are any. A tenant is no longer over quota once it is within it.
+func (c *Controller) updateOverQuota(now control.Micros) bool {
+	short, found := c.window.capacityShort(), false
+	for id, t := range c.tenants {
+		if int(id) >= len(c.quotas) || len(c.tenants) < 2 {
 			continue
 		}
-		came, usual := t.count(now, 0), w.quotas[id]*shortageIntervals/intervals
+		requests, quota := t.recentRequests(now), c.quotas[id]*shortageIntervals/intervals
 		switch {
-		case scarce && came > quotaFactor*usual+quotaDeviations*math.Sqrt(usual):
+		case short && requests > quotaFactor*quota+quotaDeviations*math.Sqrt(quota):
 			if !t.overQuota {
-				t.overQuota, t.quotaTokens, t.refilledAt = true, quotaBurst*w.quotas[id], now
+				t.overQuota, t.quotaTokens, t.refilledAt = true, quotaBurst*c.quotas[id], now
 			}
-		case came <= usual:
+		case requests <= quota:
 			t.overQuota = false
 		}
-		any = any || t.overQuota
+		found = found || t.overQuota
 	}
-	return any
+	return found
 }
 
-// burst is for how many seconds of its share the calls of a tenant that storms may come at once.
+// quotaBurst is the quota, in seconds of it, that a tenant over quota may use at once.
 const quotaBurst = 0.5
 
-// within tells whether a call of a tenant that storms is within its share.
-func (w *Controller) takeQuotaToken(now control.Micros, id control.TenantID, t *tenantState) bool {
-	share := w.quotas[id]
-	t.quotaTokens = min(max(1, quotaBurst*share), t.quotaTokens+share*float64(now-t.refilledAt)/1e6)
+// takeQuotaToken reports whether a request of a tenant over quota is within the quota, and charges it.
+func (c *Controller) takeQuotaToken(now control.Micros, id control.TenantID, t *tenantState) bool {
+	quota := c.quotas[id]
+	t.quotaTokens = min(max(1, quotaBurst*quota), t.quotaTokens+quota*float64(now-t.refilledAt)/1e6)
 	t.refilledAt = now
 	if t.quotaTokens < 1 {
 		return false
@@ -76,45 +142,3 @@
 	t.quotaTokens--
 	return true
 }
-
-// mostly is the share of the repeats that belongs to the tenant with the most.
-func (w *Controller) dominantTenant(now control.Micros) float64 {
-	most, all := 0.0, 0.0
-	for _, t := range w.tenants {
-		t.decay(now)
-		most, all = max(most, t.retries), all+t.retries
-	}
-	if all == 0 {
-		return 0
-	}
-	return most / all
-}
-
-// fade halves a tenant's repeats each second.
-func (t *tenantState) decay(now control.Micros) {
-	for ; now-t.decayedAt >= 1_000_000; t.decayedAt += 1_000_000 {
-		if t.retries /= 2; t.retries < 0.01 {
-			t.retries, t.decayedAt = 0, now
-			return
-		}
-	}
-}
-
-// mostTenants bounds those that are told apart; the rest count as one.
-const maxTenants = 1000
-
-func (w *Controller) tenant(now control.Micros, id control.TenantID) *tenantState {
-	t := w.tenants[id]
-	if t == nil {
-		if len(w.tenants) >= maxTenants {
-			id = ^control.TenantID(0)
-			if t = w.tenants[id]; t != nil {
-				return t
-			}
-		}
-		t = &tenantState{decayedAt: now, retryTokens: maxRetryTokens}
-		w.tenants[id] = t
-	}
-	t.decay(now)
-	return t
-}
--- a/internal/overload/tenants_test.go
+++ b/internal/overload/tenants_test.go
@@ -1,62 +1,75 @@
 package overload
 
 import (
-	"hollymast/control"
 	"testing"
+
+	"hollymast/control"
 )
 
-// While one tenant storms the others lose nothing.
-func TestOneTenantStorms(t *testing.T) {
-	w, now := calm(t)
-	kept, asked := 0, 0
-	for step := control.Micros(0); step < 5000; step++ {
+// While one tenant retries the others lose nothing.
+func TestRetriesOfOneTenant(t *testing.T) {
+	c, now := newCalmController(t)
+	admitted, requests := 0, 0
+	for step := range control.Micros(5000) {
 		at := now + step*ms
-		w.Admit(at, Request{Tenant: 1, IsRetry: true})
+		c.Admit(at, Request{Tenant: 1, IsRetry: true})
 		if step%10 == 0 {
-			asked++
-			if w.Admit(at, Request{Tenant: 0}).Admitted {
-				kept++
+			requests++
+			if c.Admit(at, Request{Tenant: 0}).Admitted {
+				admitted++
 			}
-			w.RecordAnswer(at)
+			c.RecordAnswer(at)
 		}
 	}
-	if w.Kind() != TenantStorm || kept < asked*97/100 {
-		t.Errorf("%s, %d of %d of the calm tenant's let in", w.Kind(), kept, asked)
+	if c.Kind() != TenantStorm || admitted < requests*97/100 {
+		t.Errorf("%s, %d of %d requests of the other tenant admitted", c.Kind(), admitted, requests)
 	}
 }
 
-// A tenant that asks for far more than its share while capacity is short has its share, though all its calls look like first tries;
-// the others lose nothing, and it is let off once it is calm. Without shortage nobody's share counts.
-func TestTenantBeyondItsShare(t *testing.T) {
-	w, now := calm(t)
-	w.quotas = []float64{200, 20}
-	play := func(length control.Micros, loud, refused bool) (of [2]int) {
-		for step := control.Micros(0); step < length/ms; step++ {
-			at := now + step*ms
-			if loud && step%2 == 0 && w.Admit(at, Request{Tenant: 1}).Admitted {
-				if of[1]++; refused && step%4 == 0 {
-					w.RecordRejection(at, 2000*ms, 0)
-				} else {
-					w.RecordAnswer(at)
-				}
-			}
-			if step%10 == 0 && w.Admit(at, Request{Tenant: 0}).Admitted {
-				of[0]++
-				w.RecordAnswer(at)
+// tenantLoad is what the second tenant does, beside the first one's hundred requests a second.
+type tenantLoad int
+
+const (
+	idle     tenantLoad = iota
+	served              // 500 requests a second, all of them answered
+	rejected            // as many, half of them rejected
+)
+
+// simulateTenants plays the traffic of two tenants, and returns how many requests of each were admitted.
+func simulateTenants(c *Controller, now, duration control.Micros, second tenantLoad) (end control.Micros, admitted [2]int) {
+	for step := range duration / ms {
+		at := now + step*ms
+		if second != idle && step%2 == 0 && c.Admit(at, Request{Tenant: 1}).Admitted {
+			if admitted[1]++; second == rejected && step%4 == 0 {
+				c.RecordRejection(at, 2000*ms, 0)
+			} else {
+				c.RecordAnswer(at)
 			}
 		}
-		now += length
-		return of
+		if step%10 == 0 && c.Admit(at, Request{Tenant: 0}).Admitted {
+			admitted[0]++
+			c.RecordAnswer(at)
+		}
 	}
-	if of := play(3000*ms, true, false); of != [2]int{300, 1500} {
-		t.Errorf("nothing is refused by the module: %v let in", of)
+	return now + duration, admitted
+}
+
+// A tenant that asks for far more than its quota while capacity is short gets its quota, though all its requests look like first
+// attempts; the others lose nothing, and it is over quota no longer once it is within it. Without shortage no quota counts.
+func TestTenantOverQuota(t *testing.T) {
+	c, now := newCalmController(t)
+	c.quotas = []float64{200, 20}
+	now, admitted := simulateTenants(c, now, 3000*ms, served)
+	if admitted != [2]int{300, 1500} {
+		t.Errorf("without shortage %v admitted", admitted)
 	}
-	play(2000*ms, true, true)
-	if of := play(4000*ms, true, true); w.Kind() != TenantStorm || of[0] != 400 || of[1] > 130 || of[1] < 80 {
-		t.Errorf("%s: %v let in", w.Kind(), of)
+	now, _ = simulateTenants(c, now, 2000*ms, rejected)
+	now, admitted = simulateTenants(c, now, 4000*ms, rejected)
+	if c.Kind() != TenantStorm || admitted[0] != 400 || admitted[1] > 130 || admitted[1] < 80 {
+		t.Errorf("%s: %v admitted", c.Kind(), admitted)
 	}
-	play(10_000*ms, false, false)
-	if w.Kind() != None || w.tenants[1].overQuota {
-		t.Errorf("%s goes on", w.Kind())
+	simulateTenants(c, now, 10_000*ms, idle)
+	if c.Kind() != None || c.tenants[1].overQuota {
+		t.Errorf("%s goes on", c.Kind())
 	}
 }
--- /dev/null
+++ b/internal/overload/window.go
@@ -0,0 +1,94 @@
+package overload
+
+import (
+	"hollymast/control"
+)
+
+// The window of observation and its intervals: retries without a pause show within one interval, and a second tells a storm from a
+// burst.
+const (
+	interval  = control.Micros(100_000)
+	intervals = 10
+)
+
+// maxCatchUp is the number of intervals without any event after which the window is cleared instead of advanced one by one.
+const maxCatchUp = 2 * intervals
+
+// Capacity is short where at least this share of the last half second's requests was rejected or is still unanswered. Rejections alone
+// would show it too late: they begin only when a request can't meet its deadline, with everything that came before it already queued.
+const (
+	shortageShare     = 0.2
+	shortageIntervals = 5
+)
+
+// counters count the events of an interval.
+type counters struct {
+	firstAttempts, retries, admitted, answered, rejected, connections float64
+}
+
+// requests is the number of requests that arrived.
+func (c *counters) requests() float64 { return c.firstAttempts + c.retries }
+
+// window counts the events of the last second and of the interval under way.
+type window struct {
+	past         [intervals]counters
+	oldest       int // index into past
+	current      counters
+	currentSince control.Micros
+}
+
+// rotate ends the current interval.
+func (w *window) rotate() {
+	w.past[w.oldest] = w.current
+	w.oldest = (w.oldest + 1) % intervals
+	w.current = counters{}
+	w.currentSince += interval
+}
+
+// clear forgets all events.
+func (w *window) clear(now control.Micros) { *w = window{currentSince: now} }
+
+// restartInterval forgets the events of the interval under way and begins it anew.
+func (w *window) restartInterval(now control.Micros) {
+	w.currentSince, w.current = now, counters{}
+}
+
+// lastSecond sums the last second, without the interval under way. Admitted requests are not summed.
+func (w *window) lastSecond() (sum counters) {
+	for _, c := range w.past {
+		sum.firstAttempts += c.firstAttempts
+		sum.retries += c.retries
+		sum.answered += c.answered
+		sum.rejected += c.rejected
+		sum.connections += c.connections
+	}
+	return sum
+}
+
+// lastHalfSecond sums the requests and answers of the last half second, without the interval under way.
+func (w *window) lastHalfSecond() (sum counters) {
+	for i := range shortageIntervals {
+		c := w.past[(w.oldest+intervals-1-i)%intervals]
+		sum.firstAttempts += c.firstAttempts
+		sum.retries += c.retries
+		sum.admitted += c.admitted
+		sum.answered += c.answered
+	}
+	return sum
+}
+
+// capacityShort reports whether too many of the requests that arrived are unanswered.
+func (w *window) capacityShort() bool {
+	sum := w.lastHalfSecond()
+	return tooManyUnanswered(sum.requests(), sum.answered)
+}
+
+// admittedTooMuch reports whether too many of the requests that were admitted are unanswered.
+func (w *window) admittedTooMuch() bool {
+	sum := w.lastHalfSecond()
+	return tooManyUnanswered(sum.admitted, sum.answered)
+}
+
+func tooManyUnanswered(requests, answered float64) bool {
+	return requests >= minRequests*shortageIntervals/intervals && requests-answered >= shortageShare*requests
+}
