--- a/internal/overload/detection.go
+++ b/internal/overload/detection.go
@@ -27,13 +27,13 @@
 	case kind != None:
 		c.quietSince = 0
 		if kind != c.kind && c.kind != AfterStall {
-			c.logf("the storm is now: %s", kind)
+			c.logf("the storm changed to: %s", kind)
 			c.kind = kind
 		}
 	case c.kind != None && c.quietSince == 0:
 		c.quietSince = now
 	case c.kind != None && now >= c.quietSince+quietPeriod:
-		c.logf("the storm (%s) is over after %d ms", c.kind, (now-c.since)/1000)
+		c.logf("the storm (%s) ended after %d ms", c.kind, (now-c.since)/1000)
 		c.kind, c.quietSince = None, 0
 		clear(c.returnAt)
 	}
@@ -63,6 +63,6 @@
 func (c *Controller) enter(now control.Micros, kind Kind) {
 	sum := c.window.lastSecond()
 	c.kind, c.since, c.quietSince = kind, now, 0
-	c.logf("a storm: %s; %.0f first tries and %.0f repeats in the last second, usual are %.0f; %.0f were answered", kind, sum.firstAttempts,
+	c.logf("a storm: %s; %.0f first attempts and %.0f retries in the last second, baseline %.0f; %.0f answered", kind, sum.firstAttempts,
 		sum.retries, c.baseline.firstAttempts, sum.answered)
 }
