--- a/internal/loadreport/aggregator.go
+++ b/internal/loadreport/aggregator.go
@@ -1,51 +1,45 @@
 package loadreport
 
-import (
-	"cmp"
-	"slices"
-)
-
-// Gathered is what others who follow us reported, each its latest.
+// Aggregator sums the latest reports of several nodes. It is not safe for concurrent use.
 type Aggregator struct {
-	nodes    map[string]Report
+	nodes    map[string]Report // each one's latest
 	maxNodes int
 }
 
-// NewGathered gives a bounded one.
-func NewAggregator(nodes int) *Aggregator {
-	return &Aggregator{nodes: map[string]Report{}, maxNodes: nodes}
+// NewAggregator returns an aggregator of at most that many nodes.
+func NewAggregator(maxNodes int) *Aggregator {
+	return &Aggregator{nodes: map[string]Report{}, maxNodes: maxNodes}
 }
 
-// Heard takes in a node's report. Ok is false where there are too many nodes.
-func (g *Aggregator) Update(node string, r Report) (ok bool) {
-	if _, known := g.nodes[node]; !known && len(g.nodes) >= g.maxNodes {
+// Update sets a node's latest report. It returns false where there are too many nodes.
+func (a *Aggregator) Update(node string, r Report) bool {
+	if _, known := a.nodes[node]; !known && len(a.nodes) >= a.maxNodes {
 		return false
 	}
-	g.nodes[node] = r
+	a.nodes[node] = r
 	return true
 }
 
-// Left forgets a node.
-func (g *Aggregator) Remove(node string) { delete(g.nodes, node) }
+// Remove forgets a node.
+func (a *Aggregator) Remove(node string) { delete(a.nodes, node) }
 
-// Sum adds the latest reports up, by address, and tells how many nodes they come from.
-func (g *Aggregator) Sum() (lines []EndpointStats, nodes int) {
-	sum := map[string]*EndpointStats{}
-	for _, r := range g.nodes {
-		for _, l := range r.Endpoints {
-			s := sum[l.Address]
-			if s == nil {
-				s = &EndpointStats{Address: l.Address}
-				sum[l.Address] = s
+// Sum adds up the latest reports by address, and returns the number of nodes that they come from.
+func (a *Aggregator) Sum() (endpoints []EndpointStats, nodes int) {
+	sums := map[string]*EndpointStats{}
+	for _, r := range a.nodes {
+		for _, s := range r.Endpoints {
+			sum := sums[s.Address]
+			if sum == nil {
+				sum = &EndpointStats{Address: s.Address}
+				sums[s.Address] = sum
 			}
-			s.InFlight += l.InFlight
-			s.Counts.add(l.Counts)
-			s.LoadMetrics.add(l.LoadMetrics)
+			sum.InFlight += s.InFlight
+			sum.add(s)
 		}
 	}
-	for _, l := range sum {
-		lines = append(lines, *l)
+	for _, sum := range sums {
+		endpoints = append(endpoints, *sum)
 	}
-	slices.SortFunc(lines, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
-	return lines, len(g.nodes)
+	sortByAddress(endpoints)
+	return endpoints, len(a.nodes)
 }
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -1,55 +1,54 @@
-// Package loadreport counts what a router did to each server and what it heard of that server's load, for reports to a control plane.
-// It is free of I/O and clocks. Counts are told once: what was not sent goes into the next report.
+// Package loadreport counts what a router did to each server, and what the servers reported of their load, for load reports to a control
+// plane (Envoy's LRS). It is free of I/O and clocks. Each event is reported once: what could not be sent goes into the next report.
 package loadreport
 
 import (
-	"cmp"
-	"slices"
-
 	"hollymast/control"
 )
 
-// Tally is one router's counting. It is for one goroutine.
+// defaultMaxServers bounds the servers that are counted: no endpoint list may name as many, so more would be addresses that come and go.
+const defaultMaxServers = 100_000
+
+// Collector counts one router's attempts. It is not safe for concurrent use.
 type Collector struct {
-	since      control.Micros
+	since      control.Micros // end of the last report
 	servers    map[string]*serverStats
 	maxServers int
 }
 
+// serverStats is what was counted of a server since the last report, and its state.
 type serverStats struct {
 	Counts
 	LoadMetrics
 	inFlight   uint64
-	lastReport control.LoadReport // of itself
-	reported   bool
+	lastReport control.LoadReport
+	reported   bool // whether there is a lastReport
 }
 
-// mostServers bounds the servers counted at once: more than a list may name would only be addresses that come and go.
-const maxServers = 100_000
-
-// NewTally begins to count.
+// NewCollector returns a collector whose first report begins now.
 func NewCollector(now control.Micros) *Collector {
-	return &Collector{since: now, servers: map[string]*serverStats{}, maxServers: maxServers}
+	return &Collector{since: now, servers: map[string]*serverStats{}, maxServers: defaultMaxServers}
 }
 
-// Chosen counts an execution that is on its way to a server.
-func (t *Collector) AttemptBegan(address string) {
-	s := t.servers[address]
+// AttemptBegan counts an attempt that was assigned to a server.
+func (c *Collector) AttemptBegan(address string) {
+	s := c.servers[address]
 	if s == nil {
-		if len(t.servers) >= t.maxServers {
+		if len(c.servers) >= c.maxServers {
 			return // its end is not counted either
 		}
 		s = &serverStats{}
-		t.servers[address] = s
+		c.servers[address] = s
 	}
 	s.inFlight++
 }
 
-// Ended counts the end of one. What was never sent was never issued. One that we called off is neither finished nor errored.
-func (t *Collector) AttemptEnded(address string, result control.Result, said *control.LoadReport) {
-	s := t.servers[address]
+// AttemptEnded counts the end of an attempt. One that was never sent was not issued; one that we cancelled neither succeeded nor failed.
+// The load report is nil where the server gave none.
+func (c *Collector) AttemptEnded(address string, result control.Result, load *control.LoadReport) {
+	s := c.servers[address]
 	if s == nil || s.inFlight == 0 {
-		return // not counted when it was chosen
+		return // its beginning was not counted
 	}
 	s.inFlight--
 	switch result {
@@ -62,40 +61,46 @@
 		s.Failed++
 	}
 	s.Issued++
-	if said != nil {
-		s.reported, s.lastReport = true, *said
-		s.LoadMetrics.add(LoadMetrics{1, max(0, said.Utilization), max(0, said.PendingLoads), max(0, said.PinnedMemory)}) // below zero: it did not say
+	if load == nil {
+		return
 	}
+	s.lastReport, s.reported = *load, true
+	s.LoadMetrics.add(LoadMetrics{ // a figure below 0 was not reported
+		Reports:      1,
+		Utilization:  max(0, load.Utilization),
+		PendingLoads: max(0, load.PendingLoads),
+		PinnedMemory: max(0, load.PinnedMemory),
+	})
 }
 
-// Said gives what a server last said of itself.
-func (t *Collector) LastReport(address string) (r control.LoadReport, ok bool) {
-	s := t.servers[address]
+// LastReport returns the last load report of a server; ok is false where it gave none.
+func (c *Collector) LastReport(address string) (r control.LoadReport, ok bool) {
+	s := c.servers[address]
 	if s == nil || !s.reported {
 		return r, false
 	}
 	return s.lastReport, true
 }
 
-// Forget forgets servers that are idle and not listed any more, with what was not taken of them.
-func (t *Collector) Prune(listed func(address string) bool) {
-	for a, s := range t.servers {
-		if s.inFlight == 0 && !listed(a) {
-			delete(t.servers, a)
+// Prune drops the servers that are idle and no longer listed, with what was counted of them since the last report.
+func (c *Collector) Prune(listed func(address string) bool) {
+	for address, s := range c.servers {
+		if s.inFlight == 0 && !listed(address) {
+			delete(c.servers, address)
 		}
 	}
 }
 
-// Take gives what was counted since the last report, and begins anew.
-func (t *Collector) Flush(now control.Micros) Report {
-	r := Report{From: t.since, To: now}
-	t.since = now
-	for a, s := range t.servers {
+// Flush returns what was counted since the last report, and begins the next one.
+func (c *Collector) Flush(now control.Micros) Report {
+	r := Report{From: c.since, To: now}
+	c.since = now
+	for address, s := range c.servers {
 		if s.inFlight > 0 || s.Issued > 0 || s.Reports > 0 {
-			r.Endpoints = append(r.Endpoints, EndpointStats{a, s.inFlight, s.Counts, s.LoadMetrics})
+			r.Endpoints = append(r.Endpoints, EndpointStats{Address: address, InFlight: s.inFlight, Counts: s.Counts, LoadMetrics: s.LoadMetrics})
 			s.Counts, s.LoadMetrics = Counts{}, LoadMetrics{}
 		}
 	}
-	slices.SortFunc(r.Endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
+	sortByAddress(r.Endpoints)
 	return r
 }
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -2,53 +2,66 @@
 
 import (
 	"cmp"
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
-// Counts of one server since the last report.
+// The tags of the following types are the names in the operators' JSON: they must not change.
+
+// Counts are a server's attempts in the time of a report.
 type Counts struct {
-	Issued    uint64 `json:"Issued"` // executions written to it
+	Issued    uint64 `json:"Issued"` // sent to it
 	Succeeded uint64 `json:"Finished"`
-	Failed    uint64 `json:"Errored"` // answered with an error, refused, timed out, or broken off by the server
+	Failed    uint64 `json:"Errored"` // answered with an error, rejected, timed out, or broken off by the server
 }
 
-func (c *Counts) add(o Counts) {
-	c.Issued += o.Issued
-	c.Succeeded += o.Succeeded
-	c.Failed += o.Failed
+func (c *Counts) add(other Counts) {
+	c.Issued += other.Issued
+	c.Succeeded += other.Succeeded
+	c.Failed += other.Failed
 }
 
-// Figures are what a server said of itself with its answers, summed over those that did.
+// LoadMetrics are sums of the load reports that a server gave with its answers.
 type LoadMetrics struct {
-	Reports      uint64  `json:"Answers"`
+	Reports      uint64  `json:"Answers"` // summands
 	Utilization  float64 `json:"Util"`
 	PendingLoads float64 `json:"Loads"`
 	PinnedMemory float64 `json:"Pinned"`
 }
 
-func (f *LoadMetrics) add(o LoadMetrics) {
-	f.Reports += o.Reports
-	f.Utilization += o.Utilization
-	f.PendingLoads += o.PendingLoads
-	f.PinnedMemory += o.PinnedMemory
+func (m *LoadMetrics) add(other LoadMetrics) {
+	m.Reports += other.Reports
+	m.Utilization += other.Utilization
+	m.PendingLoads += other.PendingLoads
+	m.PinnedMemory += other.PinnedMemory
 }
 
-// Line is what is reported of one server.
+// EndpointStats are a server's part of a report.
 type EndpointStats struct {
 	Address  string `json:"Address"`
-	InFlight uint64 `json:"InFlight"` // now
+	InFlight uint64 `json:"InFlight"` // at the report's end
 	Counts
 	LoadMetrics
 }
 
-// Report covers a time.
+// add adds the other's counts and metrics, not its attempts in flight.
+func (s *EndpointStats) add(other EndpointStats) {
+	s.Counts.add(other.Counts)
+	s.LoadMetrics.add(other.LoadMetrics)
+}
+
+func sortByAddress(endpoints []EndpointStats) {
+	slices.SortFunc(endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
+}
+
+// Report is what happened in a time.
 type Report struct {
 	From, To  control.Micros
-	Endpoints []EndpointStats // by address; servers with nothing to tell have none
+	Endpoints []EndpointStats // by address; those of which there is nothing to report are left out
 }
 
-// Join adds an earlier report that was never sent to the one that follows it.
+// Merge adds a report that was never sent to the one that follows it.
 func Merge(earlier, later Report) Report {
 	if len(earlier.Endpoints) == 0 {
 		if earlier.To > 0 {
@@ -56,27 +69,26 @@
 		}
 		return later
 	}
-	out := Report{From: earlier.From, To: later.To}
-	by := make(map[string]int, len(earlier.Endpoints))
-	for _, l := range earlier.Endpoints {
-		l.InFlight = 0 // was then
-		by[l.Address] = len(out.Endpoints)
-		out.Endpoints = append(out.Endpoints, l)
+	merged := Report{From: earlier.From, To: later.To}
+	index := make(map[string]int, len(earlier.Endpoints))
+	for _, s := range earlier.Endpoints {
+		s.InFlight = 0 // they were in flight then
+		index[s.Address] = len(merged.Endpoints)
+		merged.Endpoints = append(merged.Endpoints, s)
 	}
-	for _, l := range later.Endpoints {
-		if i, both := by[l.Address]; both {
-			out.Endpoints[i].InFlight = l.InFlight
-			out.Endpoints[i].Counts.add(l.Counts)
-			out.Endpoints[i].LoadMetrics.add(l.LoadMetrics)
+	for _, s := range later.Endpoints {
+		if i, both := index[s.Address]; both {
+			merged.Endpoints[i].InFlight = s.InFlight
+			merged.Endpoints[i].add(s)
 			continue
 		}
-		out.Endpoints = append(out.Endpoints, l)
+		merged.Endpoints = append(merged.Endpoints, s)
 	}
-	slices.SortFunc(out.Endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
-	return out
+	sortByAddress(merged.Endpoints)
+	return merged
 }
 
-// Place is where a server stands in a control plane's list. One that several clusters name is reported under the first.
+// Locality is a server's place in a control plane's endpoint list. A server that several clusters name is reported under the first.
 type Locality struct {
 	Cluster, Zone, Cell string
 	Priority            uint32
--- a/internal/loadreport/scheduler.go
+++ b/internal/loadreport/scheduler.go
@@ -4,22 +4,22 @@
 	"hollymast/control"
 )
 
-// Bounds of the time between two reports that a control plane may ask for: under the least reports would cost more than they tell,
-// over the most they are as good as none.
+// Bounds of the interval that a control plane may request: more frequent reports cost more than they tell, rarer ones are as good as
+// none.
 const (
 	minInterval = control.Micros(100_000)
 	maxInterval = control.Micros(3600_000_000)
 )
 
-// Asked is what a control plane wants to be told, and how often.
+// Request is what a control plane wants reported.
 type Request struct {
 	AllClusters bool
 	Clusters    map[string]bool
-	Interval    control.Micros // 0: nothing
-	PerEndpoint bool           // each by itself, not only sums
+	Interval    control.Micros // 0: no reports
+	PerEndpoint bool           // each endpoint, not only sums
 }
 
-// Pace decides when reports are due, on one stream after another.
+// Scheduler decides when reports are due, on one stream after another.
 type Scheduler struct {
 	request Request
 	open    bool
@@ -27,43 +27,43 @@
 	unsent  Report
 }
 
-// Connected begins a stream, on which nothing is asked yet.
-func (p *Scheduler) StreamOpened() { p.open, p.request, p.nextAt = true, Request{}, 0 }
+// StreamOpened begins a stream, on which nothing is requested yet.
+func (s *Scheduler) StreamOpened() { s.open, s.request, s.nextAt = true, Request{}, 0 }
 
-// Ask takes in what is wanted; times out of bounds are brought within. The first report is due a whole time later.
-func (p *Scheduler) SetRequest(now control.Micros, a Request) {
-	if a.Interval > 0 {
-		a.Interval = min(max(a.Interval, minInterval), maxInterval)
+// SetRequest takes in what is requested, with the interval brought within bounds. The first report is due a whole interval later.
+func (s *Scheduler) SetRequest(now control.Micros, r Request) {
+	if r.Interval > 0 {
+		r.Interval = min(max(r.Interval, minInterval), maxInterval)
 	}
-	if p.request = a; a.Interval == 0 {
-		p.nextAt = 0
-		return
+	s.request, s.nextAt = r, 0
+	if r.Interval != 0 {
+		s.nextAt = now + r.Interval
 	}
-	p.nextAt = now + a.Interval
 }
 
-// Wants tells what is asked.
-func (p *Scheduler) Request() Request { return p.request }
+// Request returns what is requested.
+func (s *Scheduler) Request() Request { return s.request }
 
-// Due tells when the next report is; 0: none is asked for.
-func (p *Scheduler) NextAt() control.Micros {
-	if !p.open {
+// NextAt returns when the next report is due; 0: none is requested.
+func (s *Scheduler) NextAt() control.Micros {
+	if !s.open {
 		return 0
 	}
-	return p.nextAt
+	return s.nextAt
 }
 
-// Next gives the report that is due, with what was never sent before. After a stall reports are not made up for: one covers all.
-func (p *Scheduler) NextReport(now control.Micros, fresh Report) Report {
-	for p.nextAt <= now {
-		p.nextAt += max(p.request.Interval, (now-p.nextAt)/p.request.Interval*p.request.Interval)
+// NextReport returns the report that is due: what was collected now and what was never sent before. Intervals that were missed, as in a
+// stall, are not made up for: one report covers them. An interval must be requested.
+func (s *Scheduler) NextReport(now control.Micros, collected Report) Report {
+	for s.nextAt <= now {
+		s.nextAt += max(s.request.Interval, (now-s.nextAt)/s.request.Interval*s.request.Interval)
 	}
-	p.unsent = Merge(p.unsent, fresh)
-	return p.unsent
+	s.unsent = Merge(s.unsent, collected)
+	return s.unsent
 }
 
-// Sent tells that it went out.
-func (p *Scheduler) ReportSent() { p.unsent = Report{} }
+// ReportSent says that the last report was sent.
+func (s *Scheduler) ReportSent() { s.unsent = Report{} }
 
-// Broken ends a stream. What was not sent waits for the next.
-func (p *Scheduler) StreamClosed() { p.open = false }
+// StreamClosed ends a stream. What was not sent is sent on the next.
+func (s *Scheduler) StreamClosed() { s.open = false }
