--- a/internal/certstore/credentials_test.go
+++ b/internal/certstore/credentials_test.go
@@ -16,8 +16,8 @@
 func TestLongConnectionsAreCut(t *testing.T) {
 	a := authority.New("a")
 	peer := a.Issue(host)
-	server, dir := ringOf(t, a.Issue(host), a.Cert(), a.List(time.Now().Add(time.Hour)))
-	client, _ := ringOf(t, peer, a.Cert(), nil)
+	server, dir := ringOf(t, a.Issue(host), a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
+	client, _ := ringOf(t, peer, a.CertificatePEM(), nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	a.Revoke(peer.Serial)
-	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
+	put(t, dir, map[string][]byte{"revoked": a.RevocationList(time.Now().Add(time.Hour))})
 	if err := server.reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/certstore/handshake_test.go
+++ b/internal/certstore/handshake_test.go
@@ -15,8 +15,8 @@
 // proved that no request was read.
 func TestRefusedClientLearnsIt(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
-	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
-	client, _ := ringOf(t, b.Issue(host), a.Cert(), nil)
+	server, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
+	client, _ := ringOf(t, b.Issue(host), a.CertificatePEM(), nil)
 	address := serve(t, server)
 	for range 50 {
 		c, err := dial(client, address)
@@ -36,7 +36,7 @@
 // TLS 1.2 is refused unless it was asked for; a peer that speaks no TLS gets no connection.
 func TestOldAndPlainPeers(t *testing.T) {
 	a := authority.New("a")
-	server, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
+	server, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
 	address := serve(t, server)
 	own := a.Issue(host)
 	pair, err := tlspolicy.ParseKeyPair(own.Chain, own.Key)
@@ -53,7 +53,7 @@
 	if err := old(); err == nil || !strings.Contains(err.Error(), "version") {
 		t.Errorf("TLS 1.2: %v", err)
 	}
-	also, _ := ringOf(t, a.Issue(host), a.Cert(), nil)
+	also, _ := ringOf(t, a.Issue(host), a.CertificatePEM(), nil)
 	also.config.AllowTLS12 = true
 	strict := address
 	address = serve(t, also)
--- a/internal/certstore/secrets_test.go
+++ b/internal/certstore/secrets_test.go
@@ -14,7 +14,7 @@
 // Secrets come from a service, change there, and are refused there where they are bad.
 func TestSecretsFromAService(t *testing.T) {
 	a := authority.New("a")
-	service, err := fakeserver.NewSecrets()
+	service, err := fakeserver.NewSecretService()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,8 +26,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		source := xds.Source{Address: service.Address(), Kind: xds.SecretDiscovery, Now: now, Changed: func(control.Micros) {}, Note: func(string) {}}
-		ended <- source.Follow(ctx, xds.NewSecrets(r, "router-0", "", "own", "peers"))
+		source := xds.Transport{Address: service.Address(), Service: xds.SecretDiscovery, Now: now, OnUpdate: func(control.Micros) {}, Log: func(string) {}}
+		ended <- source.Run(ctx, xds.NewSecretClient(r, "router-0", "", "own", "peers"))
 	}()
 	defer func() { stop(); <-ended }()
 	await := func(what string, f func() bool) {
@@ -52,16 +52,16 @@
 		return r.verifier.HasAuthorities()
 	}
 	x, y := a.Issue(host), a.Issue(host)
-	service.SetPair("own", x.Chain, x.Key)
-	service.SetPeers("peers", a.Cert(), a.List(time.Now().Add(time.Hour)))
+	service.SetCertificate("own", x.Chain, x.Key)
+	service.SetValidation("peers", a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
 	await("the first pair", func() bool { return serial() == x.Serial.String() })
 	await("the first authorities", known) // they come by a resource of their own
-	service.SetPeers("peers", nil, nil)
+	service.SetValidation("peers", nil, nil)
 	await("a NACK", func() bool {
 		_, nacks := service.Counts()
 		return len(nacks) == 1 && strings.Contains(nacks[0], "peers")
 	})
-	service.SetPair("own", y.Chain, y.Key) // taken, whatever is wrong with the other
+	service.SetCertificate("own", y.Chain, y.Key) // taken, whatever is wrong with the other
 	await("the second pair", func() bool { return serial() == y.Serial.String() })
 	if !known() {
 		t.Error("bad authorities took the place of good ones")
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -20,10 +20,10 @@
 
 func now() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
-var host = authority.Asked{Names: []string{"127.0.0.1"}}
+var host = authority.Request{Names: []string{"127.0.0.1"}}
 
 // ringOf gives a ring whose keys are in files of a folder.
-func ringOf(t *testing.T, own authority.Issued, authorities, revoked []byte) (*Store, string) {
+func ringOf(t *testing.T, own authority.Certificate, authorities, revoked []byte) (*Store, string) {
 	t.Helper()
 	dir := t.TempDir()
 	put(t, dir, map[string][]byte{"cert": own.Chain, "key": own.Key, "authorities": authorities})
@@ -102,8 +102,8 @@
 func TestKeysChangeInService(t *testing.T) {
 	a := authority.New("a")
 	old, fresh, peer := a.Issue(host), a.Issue(host), a.Issue(host)
-	server, dir := ringOf(t, old, a.Cert(), a.List(time.Now().Add(time.Hour)))
-	client, _ := ringOf(t, peer, a.Cert(), nil)
+	server, dir := ringOf(t, old, a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
+	client, _ := ringOf(t, peer, a.CertificatePEM(), nil)
 	address := serve(t, server)
 	shown := func() string {
 		t.Helper()
@@ -148,7 +148,7 @@
 	}
 	put(t, dir, map[string][]byte{"key": fresh.Key})
 	a.Revoke(peer.Serial)
-	put(t, dir, map[string][]byte{"revoked": a.List(time.Now().Add(time.Hour))})
+	put(t, dir, map[string][]byte{"revoked": a.RevocationList(time.Now().Add(time.Hour))})
 	if err := server.reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/pins_test.go
+++ b/internal/gateway/pins_test.go
@@ -26,8 +26,8 @@
 		"servers":  d.MaxAttempts == 4 && d.SlowStartInitial == 0.3 && d.SlowStartDuration == 11_000_000 && d.LoadRateBase == 5 && got.GracePeriod == 600*time.Millisecond,
 		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.DampOverload && got.AnswerMargin == 21*time.Millisecond,
 		"bounds":   got.MaxClientConns == 20001 && got.MaxConnsPerServer == 257 && got.DialTimeout == 2*time.Second && got.BodyTimeout == 11*time.Second,
-		"record":   got.RecordDir == "rec" && got.RecordBounds.Segment == 67108865 && got.RecordBounds.Age == 11*time.Minute,
-		"memory":   got.StateDir == "memory" && got.KeyRetention == 11*time.Minute && got.JournalSync == persistence.Each && got.MaxHistoryRows == 200001,
+		"record":   got.RecordDir == "rec" && got.RecordBounds.SegmentBytes == 67108865 && got.RecordBounds.SegmentAge == 11*time.Minute,
+		"memory":   got.StateDir == "memory" && got.KeyRetention == 11*time.Minute && got.JournalSync == persistence.SyncEach && got.MaxHistoryRows == 200001,
 		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerWork: 1.5, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 6_000_000},
 		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
@@ -41,8 +41,8 @@
 // Dashboards and alerts name metrics and labels: these stay.
 func TestMetricNames(t *testing.T) {
 	m := newMetrics(&Config{})
-	m.answered("finished")
-	m.damped.WithLabelValues("x").Inc()
+	m.countAnswer("finished")
+	m.overloadRejections.WithLabelValues("x").Inc()
 	families, err := m.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -10,7 +10,7 @@
 // Of two files that are written one after the other neither half comes into service, and only one that stays so is told.
 func TestMismatchedPairStays(t *testing.T) {
 	a := authority.New("a")
-	x, y := a.Issue(authority.Asked{Names: []string{"x"}}), a.Issue(authority.Asked{Names: []string{"y"}})
+	x, y := a.Issue(authority.Request{Names: []string{"x"}}), a.Issue(authority.Request{Names: []string{"y"}})
 	var i Identity
 	if err := i.Update(now(), x.Chain, y.Key); err == nil || i.Current() != nil {
 		t.Fatal("a mismatched pair serves")
@@ -40,9 +40,9 @@
 func TestCertificatesTimes(t *testing.T) {
 	a := authority.New("a")
 	begin := time.Now().Truncate(time.Second)
-	x := a.Issue(authority.Asked{Names: []string{"x"}, From: begin.Add(-80 * time.Second), Until: begin.Add(20 * time.Second)})
-	y := a.Issue(authority.Asked{Names: []string{"y"}, From: begin.Add(10 * time.Second), Until: begin.Add(time.Hour)})
-	ended := a.Issue(authority.Asked{Names: []string{"z"}, From: begin.Add(-time.Hour), Until: begin.Add(-time.Second)})
+	x := a.Issue(authority.Request{Names: []string{"x"}, NotBefore: begin.Add(-80 * time.Second), NotAfter: begin.Add(20 * time.Second)})
+	y := a.Issue(authority.Request{Names: []string{"y"}, NotBefore: begin.Add(10 * time.Second), NotAfter: begin.Add(time.Hour)})
+	ended := a.Issue(authority.Request{Names: []string{"z"}, NotBefore: begin.Add(-time.Hour), NotAfter: begin.Add(-time.Second)})
 	var i Identity
 	i.Update(at(begin), x.Chain, x.Key)
 	if next := i.Maintain(at(begin)); next != at(begin.Add(20*time.Second)) || len(i.LogLines()) != 2 { // in service; ends soon
@@ -72,7 +72,7 @@
 // Connections that show an earlier certificate are replaced one after another, all within the turnover.
 func TestConnectionsTurnOver(t *testing.T) {
 	a := authority.New("a")
-	x, y := a.Issue(authority.Asked{Names: []string{"x"}}), a.Issue(authority.Asked{Names: []string{"y"}})
+	x, y := a.Issue(authority.Request{Names: []string{"x"}}), a.Issue(authority.Request{Names: []string{"y"}})
 	var i Identity
 	i.Update(now(), x.Chain, x.Key)
 	version, begin := i.Version(), now()
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -32,13 +32,13 @@
 func TestLookCrossesAnUnreadChange(t *testing.T) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
-			plane, err := fakeserver.NewPlane()
+			plane, err := fakeserver.NewControlPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer plane.Stop()
 			tell := func(states ...string) {
-				plane.Change(func(cs map[string][]fakeserver.Member) {
+				plane.Update(func(cs map[string][]fakeserver.Endpoint) {
 					ms := members(healthy, healthy)
 					for i, s := range states {
 						if s == "draining" {
@@ -51,13 +51,13 @@
 			tell("ready", "ready")
 			var gate sync.Mutex
 			conns := make(chan *watchedConn, 4)
-			m := membership.New(membership.Usual)
+			m := membership.New(membership.DefaultBounds)
 			var mu sync.Mutex
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
 			var complete atomic.Int64
-			source := Source{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Note: func(string) {},
-				Complete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
+			source := Transport{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
+				OnComplete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
 					if err != nil {
@@ -67,7 +67,7 @@
 					conns <- &watchedConn{Conn: gated}
 					return gated, nil
 				},
-				Changed: func(control.Micros) {
+				OnUpdate: func(control.Micros) {
 					mu.Lock()
 					defer mu.Unlock()
 					for _, e := range m.List() {
@@ -81,7 +81,7 @@
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- source.Follow(ctx, NewFollower(m, "router-0", "a", delta, Usual)) }()
+			go func() { done <- source.Run(ctx, NewClient(m, "router-0", "a", delta, DefaultBounds)) }()
 			defer func() {
 				stop()
 				if err := <-done; err != nil {
@@ -119,16 +119,16 @@
 // A control plane that breaks off before it has answered is asked again within half the grace, however long it was down before;
 // one that can't be reached is asked less and less often.
 func TestBreakBeforeTheAnswer(t *testing.T) {
-	plane, err := fakeserver.NewPlane()
+	plane, err := fakeserver.NewControlPlane()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer plane.Stop()
-	plane.Stall(true) // it says nothing, and then cuts
+	plane.SetStalled(true) // it says nothing, and then cuts
 	up := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
-	source := Source{Address: plane.Address(), Now: now, Grace: testGrace, Note: func(string) {}, Changed: func(control.Micros) {},
+	source := Transport{Address: plane.Address(), Now: now, Grace: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			up <- time.Now()
 			mu.Lock()
@@ -141,7 +141,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- source.Follow(ctx, NewFollower(membership.New(membership.Usual), "router-0", "a", false, Usual))
+		done <- source.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", false, DefaultBounds))
 	}()
 	defer func() {
 		stop()
@@ -162,7 +162,7 @@
 	mu.Unlock()
 	platformtest.WaitFor(t, "a stream", func() bool { _, streams, _ := plane.Counts(); return streams == 1 })
 	began := time.Now()
-	plane.Cut(false)
+	plane.DropStreams(false)
 	platformtest.WaitFor(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
 	const slack = 100 * time.Millisecond
 	if took := time.Since(began); took > testGrace/2+slack {
