--- a/cmd/hollymast/main.go
+++ b/cmd/hollymast/main.go
@@ -2,35 +2,25 @@
 package main
 
 import (
-	"context"
 	_ "embed"
-	"errors"
 	"fmt"
-	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
 
-	"github.com/rs/zerolog"
-
-	"hollymast/internal/gateway"
-	"hollymast/internal/inifile"
 	"hollymast/internal/program"
 )
 
 //go:embed example.ini
 var example string
 
-type cli struct {
+type commandLine struct {
 	program.CommonFlags
-	Serve serve      `cmd:"" help:"Route jobs until told to stop."`
-	Check check      `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
-	On    onPlatform `cmd:"" name:"platform" help:"Route jobs on the operators' platform, as its configuration tells."`
-	Show  showing    `cmd:"" name:"example" help:"Print a commented settings file."`
+	Serve serveCommand    `cmd:"" help:"Route jobs until told to stop."`
+	Check checkCommand    `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
+	On    platformCommand `cmd:"" name:"platform" help:"Route jobs on the operators' platform, as its configuration tells."`
+	Show  exampleCommand  `cmd:"" name:"example" help:"Print a commented settings file."`
 }
 
 func main() {
-	var c cli
+	var c commandLine
 	ctx := program.Parse(&c, "hollymast", `Routes KServe v2 calls to workers that load functions on demand.
 
 Examples:
@@ -41,95 +31,9 @@
 	program.Exit("hollymast", ctx.Run())
 }
 
-type showing struct{}
+type exampleCommand struct{}
 
-func (showing) Run() error {
+func (exampleCommand) Run() error {
 	fmt.Print(example)
 	return nil
 }
-
-type check struct {
-	File string `arg:"" help:"Settings file (INI)."`
-}
-
-func (c check) Run() error {
-	_, err := read(c.File)
-	return err
-}
-
-func read(name string) (*gateway.Config, error) {
-	f, err := inifile.Load(name)
-	if err != nil {
-		return nil, program.UsageError{Err: err}
-	}
-	return gateway.ParseConfig(f)
-}
-
-type serve struct {
-	File string `arg:"" help:"Settings file (INI)."`
-}
-
-func (s serve) Run() error {
-	told, err := read(s.File)
-	if err != nil {
-		return err
-	}
-	zerolog.SetGlobalLevel(zerolog.DebugLevel)
-	log := program.NewLogger(os.Stderr, "hollymast", "debug")
-	level(told)
-	g, err := gateway.New(told, log)
-	if err != nil {
-		return err
-	}
-	signals := make(chan os.Signal, 4)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	go func() {
-		stopping := false
-		for sig := range signals {
-			switch {
-			case sig == syscall.SIGHUP:
-				reload(s.File, told, g, log)
-			case stopping:
-				log.Warn().Msg("told to stop again: ending at once")
-				os.Exit(program.ExitFailure)
-			default:
-				stopping = true
-				stop()
-			}
-		}
-	}()
-	if os.Getenv("GOGC") == "" {
-		// The heap is small and jobs are short: four times the garbage costs some 15 MB and took p99 at 15000 jobs/s from
-		// 1.7 to 1.0 ms.
-		debug.SetGCPercent(400)
-	}
-	log.Info().Str("listen", g.Address()).Str("admin", g.AdminAddress()).Int("number", told.Deployment.Number).
-		Int("routers", told.Deployment.Routers).Msg("serving")
-	return g.Serve(ctx)
-}
-
-func level(told *gateway.Config) {
-	if l, err := zerolog.ParseLevel(told.LogLevel); err == nil {
-		zerolog.SetGlobalLevel(l)
-	}
-}
-
-// reload takes in what can change in service: the list of servers and the log level.
-func reload(name string, told *gateway.Config, g *gateway.Gateway, log zerolog.Logger) {
-	fresh, err := read(name)
-	var faults *inifile.ValidationError
-	if errors.As(err, &faults) {
-		log.Error().Strs("faults", faults.Problems).Msg("settings refused: the old ones stand")
-	} else if err != nil {
-		log.Error().Err(err).Msg("settings refused: the old ones stand")
-	} else {
-		level(fresh)
-		if rest := gateway.ChangesNeedingRestart(told, fresh); len(rest) > 0 {
-			log.Warn().Strs("changed", rest).Msg("these need a restart; the old ones stand")
-		}
-	}
-	g.RefreshEndpoints()
-	log.Info().Msg("reloaded")
-}
