--- a/cmd/hollymast/standstill_test.go
+++ b/cmd/hollymast/stall_test.go
@@ -1,13 +1,8 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
 	"fmt"
 	"net"
-	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"syscall"
@@ -18,121 +13,16 @@
 	"hollymast/internal/platformtest"
 )
 
-// routerProcess is a router in a process of its own.
-type routerProcess struct {
-	t       *testing.T
-	command *exec.Cmd
-	file    string // its configuration
-	address string
-	ended   chan struct{} // closed once it has ended
-	err     error         // how; read after that
-}
-
-// startRouter starts the router with a configuration; it is killed at the test's end.
-func startRouter(t *testing.T, configuration string) *routerProcess {
-	t.Helper()
-	name := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(name, []byte(configuration), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), asRouter+"=platform", "BALANCER_CONFIG="+name)
-	if built := os.Getenv(builtRouter); built != "" {
-		command.Path, command.Args = built, []string{built, "platform"}
-	}
-	log, err := command.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := command.Start(); err != nil {
-		t.Fatal(err)
-	}
-	r := &routerProcess{t: t, command: command, file: name, ended: make(chan struct{})}
-	lines := bufio.NewScanner(log)
-	for r.address == "" {
-		if !lines.Scan() {
-			t.Fatalf("it does not serve: %v", command.Wait())
-		}
-		var line struct{ Message, Listen string }
-		if json.Unmarshal(lines.Bytes(), &line); line.Message == "serving" {
-			r.address = line.Listen
-		}
-	}
-	go func() {
-		defer close(r.ended)
-		for lines.Scan() { // its log is read to the end
-		}
-		r.err = command.Wait()
-	}()
-	t.Cleanup(func() {
-		command.Process.Signal(syscall.SIGCONT)
-		command.Process.Kill()
-		<-r.ended
-	})
-	return r
-}
-
-// stop stops the process and returns once the kernel says that it stands.
-func (r *routerProcess) stop() {
-	r.t.Helper()
-	r.signal(syscall.SIGSTOP)
-	for range 1000 {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.command.Process.Pid))
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		if _, state, _ := strings.Cut(string(text), ") "); strings.HasPrefix(state, "T") {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	r.t.Fatal("the process does not stop")
-}
-
-func (r *routerProcess) goOn() {
-	r.t.Helper()
-	r.signal(syscall.SIGCONT)
-}
-
-func (r *routerProcess) signal(s syscall.Signal) {
-	r.t.Helper()
-	if err := r.command.Process.Signal(s); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-// configure replaces its configuration.
-func (r *routerProcess) configure(text string) {
-	r.t.Helper()
-	if err := os.WriteFile(r.file, []byte(text), 0o600); err != nil {
-		r.t.Fatal(err)
-	}
-}
-
-// waitWell waits until the router says that it is well.
-func (r *routerProcess) waitWell() *platformtest.Client {
-	r.t.Helper()
-	c := platformtest.Dial(r.t, r.address)
-	for range 1000 {
-		if c.Healthy() {
-			return c
-		}
-		time.Sleep(5 * time.Millisecond)
-	}
-	r.t.Fatal("the router does not get well")
-	return nil
-}
-
 const (
-	drainGrace = 500 * time.Millisecond
-	drainSlack = 50 * time.Millisecond // every time limit is this much longer on sockets
+	gracePeriod = 500 * time.Millisecond
+	socketSlack = 50 * time.Millisecond // every time limit is this much longer on sockets
 )
 
 // checkNoneAfter fails the test for each frame that came later than the grace after a drain.
-func checkNoneAfter(t *testing.T, s *platformtest.ModelServer, told time.Time, grace time.Duration) {
+func checkNoFramesAfter(t *testing.T, s *platformtest.ModelServer, told time.Time, grace time.Duration) {
 	t.Helper()
 	for _, frame := range s.Received() {
-		if late := frame.At.Sub(told) - grace - drainSlack; late > 0 {
+		if late := frame.At.Sub(told) - grace - socketSlack; late > 0 {
 			t.Errorf("a frame of code %d begins %v after the grace", frame.Code, late.Round(time.Millisecond))
 		}
 	}
@@ -154,8 +44,8 @@
 			drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
-			client := router.waitWell()
+			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
+			client := router.waitReady()
 			ref := uint64(0)
 			callAll := func(client *platformtest.Client) {
 				for f := range uint64(functions) {
@@ -184,7 +74,7 @@
 			if c.busy { // what is under way when the process stops
 				callAll(others[1])
 			}
-			router.stop()
+			router.suspend()
 			told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 			joins := platformtest.NewModelServer(t) // further events behind it, the last one another drain
 			plane.Publish(platformtest.Event(4, "s-2", joins.Address(), "ready"))
@@ -192,7 +82,7 @@
 			callAll(others[0])
 			callAll(others[2])
 			time.Sleep(c.stopped)
-			router.goOn()
+			router.resume()
 			answerAll(others[0])
 			answerAll(others[2])
 			if c.busy {
@@ -200,8 +90,8 @@
 			}
 			callAll(client) // and what comes afterwards
 			answerAll(client)
-			checkNoneAfter(t, drains, told, drainGrace)
-			if n := len(joins.Received()); n > 0 && c.stopped > drainGrace+drainSlack {
+			checkNoFramesAfter(t, drains, told, gracePeriod)
+			if n := len(joins.Received()); n > 0 && c.stopped > gracePeriod+socketSlack {
 				t.Errorf("%d frames went to a server that came and drained during the stop", n)
 			}
 		})
@@ -218,8 +108,8 @@
 			server := platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-			router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(plane.Address(), events...))
-			client := router.waitWell()
+			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
+			client := router.waitReady()
 			client.Call(1, 1) // its copy stands from now on
 			if !client.Answer() {
 				t.Fatal("a request was not served")
@@ -230,10 +120,10 @@
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(20 * time.Millisecond) // what has come of the answer is read
-			router.stop()
+			router.suspend()
 			server.Release()
 			time.Sleep(1600 * time.Millisecond) // beyond the time that such an execution and an answer in pieces are given
-			router.goOn()
+			router.resume()
 			if !client.Answer() {
 				t.Error("a request was not served")
 			}
@@ -252,8 +142,8 @@
 	old := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	answer := make(chan bool)
 	fresh := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, events...)
-	router := startRouter(t, platformtest.Deployment{Grace: drainGrace}.Configuration(old.Address(), events...))
-	client := router.waitWell()
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(old.Address(), events...))
+	client := router.waitReady()
 	const functions = 12
 	callAll := func(first uint64) {
 		for f := range uint64(functions) {
@@ -269,43 +159,21 @@
 	if len(drains.Received()) == 0 {
 		t.Fatal("the server that is to drain was never used")
 	}
-	router.stop()
+	router.suspend()
 	told := old.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining")) // the last that the old address tells
 	fresh.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
-	router.configure(platformtest.Deployment{Grace: drainGrace}.Configuration(fresh.Address(), events...))
+	router.writeConfig(platformtest.Deployment{Grace: gracePeriod}.Configuration(fresh.Address(), events...))
 	router.signal(syscall.SIGHUP)
-	time.Sleep(drainGrace + drainSlack)
-	router.goOn()
+	time.Sleep(gracePeriod + socketSlack)
+	router.resume()
 	callAll(101)
 	close(answer)
-	checkNoneAfter(t, drains, told, drainGrace)
+	checkNoFramesAfter(t, drains, told, gracePeriod)
 	if len(fresh.Subscriptions()) == 0 {
 		t.Error("the new address was not asked")
 	}
 }
 
-// runInPieces lets a process run for a part of each period only, as on a share of a core, until it is told to end.
-func (r *routerProcess) runInPieces(runs, period time.Duration) (end func()) {
-	done, ended := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(ended)
-		for {
-			r.command.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(period - runs)
-			r.command.Process.Signal(syscall.SIGCONT)
-			select {
-			case <-time.After(runs):
-			case <-done:
-				return
-			}
-		}
-	}()
-	return func() {
-		close(done)
-		<-ended
-	}
-}
-
 // TestQuarterOfACoreKeepsShortGrace guards against choices that grow old on a small share of a core while clients flood the
 // router: one server after another drains.
 func TestQuarterOfACoreKeepsShortGrace(t *testing.T) {
@@ -323,7 +191,7 @@
 	}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	router := startRouter(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), events...))
-	client := router.waitWell()
+	client := router.waitReady()
 	served, ref := 0, uint64(0)
 	callAll := func() {
 		for f := range uint64(functions) {
@@ -341,7 +209,7 @@
 		flood := platformtest.Dial(t, router.address)
 		t.Cleanup(flood.Flood())
 	}
-	end := router.runInPieces(25*time.Millisecond, 100*time.Millisecond)
+	end := router.throttle(25*time.Millisecond, 100*time.Millisecond)
 	told := make([]time.Time, servers-1)
 	for i := range told {
 		callAll()
@@ -352,7 +220,7 @@
 	}
 	end()
 	for i, at := range told {
-		checkNoneAfter(t, fakes[i], at, grace)
+		checkNoFramesAfter(t, fakes[i], at, grace)
 	}
 	if served < int(ref)*9/10 {
 		t.Errorf("%d of %d requests were served", served, ref)
@@ -366,9 +234,9 @@
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready"), platformtest.Event(2, "s-1", stays.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	deployment := platformtest.Deployment{Grace: drainGrace, LoadsOnCommandOnly: true}
+	deployment := platformtest.Deployment{Grace: gracePeriod, LoadsOnCommandOnly: true}
 	router := startRouter(t, deployment.Configuration(plane.Address(), events...))
-	client := router.waitWell()
+	client := router.waitReady()
 	callAll := func(first uint64) {
 		for f := range uint64(functions) {
 			client.Call(first+f, first+f)
@@ -386,13 +254,13 @@
 	if drains.LoadCommands() == 0 || stays.LoadCommands() == 0 {
 		t.Fatalf("%d and %d orders: both servers should get some", drains.LoadCommands(), stays.LoadCommands())
 	}
-	router.stop()
+	router.suspend()
 	told := plane.Publish(platformtest.Event(3, "s-0", drains.Address(), "draining"))
 	callAll(101)
 	time.Sleep(1600 * time.Millisecond)
-	router.goOn()
+	router.resume()
 	answerAll()
-	checkNoneAfter(t, drains, told, drainGrace)
+	checkNoFramesAfter(t, drains, told, gracePeriod)
 }
 
 // A request that comes while the process is stopped is read late. The deadline that its server is told is still at most what the
@@ -406,7 +274,7 @@
 			known := platformtest.Event(1, "s-0", server.Address(), "ready")
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
 			router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), known))
-			clients := []*platformtest.Client{router.waitWell(), platformtest.Dial(t, router.address)}
+			clients := []*platformtest.Client{router.waitReady(), platformtest.Dial(t, router.address)}
 			clients[0].Call(1, 1)
 			if !clients[0].Answer() {
 				t.Fatal("not served")
@@ -415,13 +283,13 @@
 				return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.AttemptCode })
 			}
 			before := len(requests())
-			router.stop()
+			router.suspend()
 			asked := time.Now()
 			for i, c := range append(clients, platformtest.Dial(t, router.address)) { // the last is accepted afterwards
 				c.Call(uint64(i+2), 1)
 			}
 			time.Sleep(stopped)
-			router.goOn()
+			router.resume()
 			checked := 0
 			until := time.Now().Add(4 * time.Second)
 			for checked < len(clients)+1 && time.Now().Before(until) {
