--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -89,7 +89,7 @@
 			end = control.ConnectionReset
 			if why := corruptionOf(err); why != "" {
 				end = control.Failed // the server answers, but unreadably
-				r.countAnomaly("spoilt answer: " + why)
+				r.countAnomaly("corrupt answer: " + why)
 			} else if localFailure(err) {
 				end = control.Failed // may have run; says nothing about the server
 			}
@@ -112,15 +112,15 @@
 	write: syscall.Write,
 }
 
-// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
+// minDialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
 // failure may last no longer than one packet.
-const dialPause = 2 * time.Millisecond
+const minDialPause = 2 * time.Millisecond
 
 // dial connects. Temporary failures are retried until the connect timeout; where descriptors are short, idle client
 // connections are closed meanwhile.
 func (sc *serverConn) dial() (net.Conn, error) {
 	var previous error // why the last dial failed, where the server is not to blame
-	for pause := dialPause; ; pause = min(2*pause, descriptorWait) {
+	for pause := minDialPause; ; pause = min(2*pause, descriptorWait) {
 		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
 		switch {
 		case err == nil:
@@ -138,7 +138,7 @@
 				continue
 			}
 		} else {
-			sc.router.countAnomaly("a dial failed for a moment")
+			sc.router.countAnomaly("temporary dial failure")
 		}
 		select {
 		case <-sc.dialing.Done():
@@ -164,7 +164,7 @@
 // corruptionOf returns what made an answer unreadable, or the empty string where the connection itself ended.
 func corruptionOf(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return "stopped short"
+		return "incomplete"
 	}
 	for _, known := range []error{binframe.ErrMagic, binframe.ErrCode, binframe.ErrLength, binframe.ErrChecksum} {
 		if errors.Is(err, known) {
