--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,4 +1,4 @@
-// Package inifile reads INI files so that every fault can be told with its file, line and key, all at once.
+// Package inifile reads INI files and reports every error in one at once, each with its file, line and key.
 package inifile
 
 import (
@@ -12,21 +12,25 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is an INI file under reading. Values are taken with the methods of its sections; what is wrong is gathered.
+// File is a parsed INI file. Values are read with the methods of its sections, which collect what is wrong with them; Check
+// reports it.
 type File struct {
 	Name     string
-	file     *ini.File
-	lines    map[string]int // of "section" and "section\x00key"
-	used     map[string]bool
+	ini      *ini.File
+	lines    map[position]int // of sections and keys, from 1
+	read     map[position]bool
 	problems []problem
 }
 
+// position names a section, or a key if there is one.
+type position struct{ section, key string }
+
 type problem struct {
 	line int
 	text string
 }
 
-// Load reads a file.
+// Load reads and parses a file.
 func Load(name string) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -35,35 +39,41 @@
 	return Parse(name, text)
 }
 
-// Read reads a file's text; the name is for messages.
+// Parse parses a file's text; the name is for messages. The error is about the syntax only: what else is wrong is reported by
+// Check.
 func Parse(name string, text []byte) (*File, error) {
-	f := &File{Name: name, lines: map[string]int{}, used: map[string]bool{}}
-	section := ""
-	sc := bufio.NewScanner(bytes.NewReader(text))
-	for n := 1; sc.Scan(); n++ {
-		s := strings.TrimSpace(sc.Text())
-		switch {
-		case s == "" || s[0] == '#' || s[0] == ';':
-			continue
-		case s[0] == '[' && strings.HasSuffix(s, "]"):
-			section = strings.TrimSpace(s[1 : len(s)-1])
-			f.recordLine(n, section, "section "+section)
-			continue
-		}
-		if i := strings.IndexAny(s, "=:"); i > 0 {
-			key := strings.TrimSpace(s[:i])
-			f.recordLine(n, section+"\x00"+key, key)
-		}
-	}
+	f := &File{Name: name, lines: map[position]int{}, read: map[position]bool{}}
+	f.scanLines(text)
 	var err error
-	f.file, err = ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreInlineComment: true, Insensitive: false}, text)
+	f.ini, err = ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreInlineComment: true, Insensitive: false}, text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return f, nil
 }
 
-func (f *File) recordLine(line int, at, what string) {
+// scanLines notes where sections and keys are, which the INI library doesn't tell, and reports those that appear twice, which it
+// merges.
+func (f *File) scanLines(text []byte) {
+	section := ""
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	for n := 1; lines.Scan(); n++ {
+		line := strings.TrimSpace(lines.Text())
+		switch {
+		case line == "" || line[0] == '#' || line[0] == ';':
+		case line[0] == '[' && strings.HasSuffix(line, "]"):
+			section = strings.TrimSpace(line[1 : len(line)-1])
+			f.addLine(n, position{section: section}, "section "+section)
+		default:
+			if i := strings.IndexAny(line, "=:"); i > 0 {
+				key := strings.TrimSpace(line[:i])
+				f.addLine(n, position{section, key}, key)
+			}
+		}
+	}
+}
+
+func (f *File) addLine(line int, at position, what string) {
 	if first, twice := f.lines[at]; twice {
 		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s stands twice, first at line %d", what, first)})
 		return
@@ -71,66 +81,67 @@
 	f.lines[at] = line
 }
 
-// Section gives a section by name; one that is missing has no keys.
+// Section gives a section by name. One that isn't in the file has no keys.
 func (f *File) Section(name string) *Section {
-	f.used[name] = true
-	sec, err := f.file.GetSection(name)
+	f.read[position{section: name}] = true
+	section, err := f.ini.GetSection(name)
 	if err != nil {
-		sec = nil
+		section = nil
 	}
-	return &Section{f, name, sec}
+	return &Section{file: f, Name: name, ini: section}
 }
 
-// Sections gives, in the file's order, the sections whose names begin with a prefix; Name keeps the prefix.
+// Sections gives the sections whose names begin with a prefix, in the order of the file. Their names include the prefix.
 func (f *File) Sections(prefix string) []*Section {
-	var ss []*Section
-	for _, sec := range f.file.Sections() {
-		if strings.HasPrefix(sec.Name(), prefix) && sec.Name() != ini.DefaultSection {
-			ss = append(ss, f.Section(sec.Name()))
+	var sections []*Section
+	for _, section := range f.ini.Sections() {
+		if strings.HasPrefix(section.Name(), prefix) && section.Name() != ini.DefaultSection {
+			sections = append(sections, f.Section(section.Name()))
 		}
 	}
-	return ss
+	return sections
 }
 
-// Faults is every fault of a file.
+// ValidationError is everything that is wrong with a file.
 type ValidationError struct {
 	File     string
-	Problems []string
+	Problems []string // each with its file and line, in the order of lines
 }
 
 func (e *ValidationError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Check ends the reading: what nobody asked for is unknown. It gives a *Faults with all that is wrong, or nil.
+// Check ends the reading: sections and keys that nobody has read are unknown. It returns a *ValidationError, or nil.
 func (f *File) Check() error {
-	for _, sec := range f.file.Sections() {
-		if sec.Name() == ini.DefaultSection && len(sec.Keys()) == 0 {
-			continue
-		}
-		s := &Section{f, sec.Name(), sec}
-		if !f.used[sec.Name()] {
-			if sec.Name() != ini.DefaultSection {
-				s.Errorf("", "unknown section")
-				continue
-			}
-			s.Name = ""
-			for _, k := range sec.KeyStrings() {
-				s.Errorf(k, "stands before any section")
-			}
-			continue
-		}
-		for _, k := range sec.KeyStrings() {
-			if !f.used[sec.Name()+"\x00"+k] {
-				s.Errorf(k, "unknown key")
-			}
-		}
+	for _, section := range f.ini.Sections() {
+		f.checkSection(&Section{file: f, Name: section.Name(), ini: section})
 	}
 	if len(f.problems) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(f.problems, func(a, b problem) int { return a.line - b.line })
 	e := &ValidationError{File: f.Name}
-	for _, x := range f.problems {
-		e.Problems = append(e.Problems, fmt.Sprintf("%s:%d: %s", f.Name, x.line, x.text))
+	for _, p := range f.problems {
+		e.Problems = append(e.Problems, fmt.Sprintf("%s:%d: %s", f.Name, p.line, p.text))
 	}
 	return e
 }
+
+func (f *File) checkSection(s *Section) {
+	keys := s.ini.KeyStrings()
+	switch {
+	case s.Name == ini.DefaultSection && len(keys) == 0:
+	case f.read[position{section: s.Name}]:
+		for _, key := range keys {
+			if !f.read[position{s.Name, key}] {
+				s.Errorf(key, "unknown key")
+			}
+		}
+	case s.Name == ini.DefaultSection:
+		s.Name = "" // as in f.lines
+		for _, key := range keys {
+			s.Errorf(key, "stands before any section")
+		}
+	default:
+		s.Errorf("", "unknown section")
+	}
+}
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -11,49 +11,50 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section is one section of a file.
+// Section is one section of a file. Its methods give the fallback for a key that isn't in the file; for a value that is wrong
+// they report it to Check, and give the fallback unless they say otherwise.
 type Section struct {
-	f    *File
 	Name string
-	sec  *ini.Section
+	file *File
+	ini  *ini.Section // nil: it isn't in the file
 }
 
-// Exists tells whether the section stands in the file.
-func (s *Section) Exists() bool { return s.sec != nil }
+// Exists reports whether the section is in the file.
+func (s *Section) Exists() bool { return s.ini != nil }
 
-// Fault notes that a key's value, or with an empty key the section, is wrong.
-func (s *Section) Errorf(key, why string, args ...any) {
-	at, what := s.Name, "["+s.Name+"]"
+// Errorf reports that a key's value is wrong, or the section if the key is empty.
+func (s *Section) Errorf(key, format string, args ...any) {
+	what := "[" + s.Name + "]"
 	if key != "" {
-		at, what = s.Name+"\x00"+key, "["+s.Name+"] "+key
+		what += " " + key
 	}
-	line := s.f.lines[at]
-	if line == 0 {
-		line = s.f.lines[s.Name]
+	line := s.file.lines[position{s.Name, key}]
+	if line == 0 { // the key isn't in the file
+		line = s.file.lines[position{section: s.Name}]
 	}
-	s.f.problems = append(s.f.problems, problem{line, what + ": " + fmt.Sprintf(why, args...)})
+	s.file.problems = append(s.file.problems, problem{line, what + ": " + fmt.Sprintf(format, args...)})
 }
 
-// Has tells whether a key is given, and marks it as known.
+// Has reports whether a key is in the file; either way the key is a known one.
 func (s *Section) Has(key string) bool {
-	s.f.used[s.Name+"\x00"+key] = true
-	return s.sec != nil && s.sec.HasKey(key)
+	s.file.read[position{s.Name, key}] = true
+	return s.ini != nil && s.ini.HasKey(key)
 }
 
-// Text gives a key's value, or the fallback.
+// String gives a key's value.
 func (s *Section) String(key, fallback string) string {
 	if !s.Has(key) {
 		return fallback
 	}
-	return s.sec.Key(key).String()
+	return s.ini.Key(key).String()
 }
 
-// Words gives a key's words, which stand between spaces or commas.
+// Strings gives the words of a key's value, which are separated by spaces, tabs or commas.
 func (s *Section) Strings(key string) []string {
 	return strings.FieldsFunc(s.String(key, ""), func(r rune) bool { return r == ' ' || r == ',' || r == '\t' })
 }
 
-// OneOf gives the place of the key's value among the words.
+// OneOf gives the index of a key's value among the words, 0 for a wrong one.
 func (s *Section) OneOf(key, fallback string, words ...string) int {
 	i := slices.Index(words, s.String(key, fallback))
 	if i < 0 {
@@ -63,7 +64,16 @@
 	return i
 }
 
-// Flag gives a yes or no.
+// OneOf gives a key's value, which has to be one of some; the first of them for a wrong one.
+func OneOf[T ~string](s *Section, key string, fallback T, values ...T) T {
+	words := make([]string, len(values))
+	for i, v := range values {
+		words[i] = string(v)
+	}
+	return values[s.OneOf(key, string(fallback), words...)]
+}
+
+// Bool gives a key's value, which is yes or no; no for a wrong one.
 func (s *Section) Bool(key string, fallback bool) bool {
 	word := "no"
 	if fallback {
@@ -72,7 +82,7 @@
 	return s.OneOf(key, word, "no", "yes") == 1
 }
 
-// Int gives a whole number from low to high.
+// Int gives a key's value, a whole number from low to high.
 func (s *Section) Int(key string, fallback, low, high int) int {
 	if !s.Has(key) {
 		return fallback
@@ -85,7 +95,7 @@
 	return n
 }
 
-// Float gives a number from low to high.
+// Float gives a key's value, a number from low to high.
 func (s *Section) Float(key string, fallback, low, high float64) float64 {
 	if !s.Has(key) {
 		return fallback
@@ -98,7 +108,7 @@
 	return v
 }
 
-// Span gives a span of time, written as 250ms or 1m30s.
+// Duration gives a key's value, a duration from low to high as time.ParseDuration reads it.
 func (s *Section) Duration(key string, fallback, low, high time.Duration) time.Duration {
 	if !s.Has(key) {
 		return fallback
