--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -1,21 +1,22 @@
 package invariant
 
-// drains judges the third rule.
-func (v *Report) checkDrains(law Config, recs []Record) {
-	r := v.Rules[2]
-	since := map[int]int64{}
-	for _, x := range recs {
-		switch x.Kind {
+// checkDrains checks RuleDrain.
+func (r *Report) checkDrains(config Config, records []Record) {
+	rule := r.Rules[RuleDrain]
+	drainingSince := map[int]int64{} // servers that drain or are withdrawn
+	for _, record := range records {
+		since, draining := drainingSince[record.Server]
+		switch record.Kind {
 		case EndpointPublished:
-			if _, told := since[x.Server]; x.Detail == "ready" {
-				delete(since, x.Server)
-			} else if !told {
-				since[x.Server] = x.At
-				r.Opportunities++
+			if record.Detail == EndpointReady {
+				delete(drainingSince, record.Server)
+			} else if !draining {
+				drainingSince[record.Server] = record.At
+				rule.Opportunities++
 			}
 		case AttemptReceived, LoadCommandReceived:
-			if at, told := since[x.Server]; told && x.At > at+law.DrainGrace {
-				r.violation(x.At, "server %d got %q %d us after it was told to take nothing new", x.Server, x.Request, x.At-at)
+			if draining && record.At > since+config.DrainGrace {
+				rule.addViolation(record.At, "server %d got %q %d us after it was told to take nothing new", record.Server, record.Request, record.At-since)
 			}
 		}
 	}
--- a/internal/invariant/effects.go
+++ b/internal/invariant/effects.go
@@ -1,62 +1,69 @@
 package invariant
 
-// effects judges the second rule over all tries that mean the same effect.
-func (v *Report) checkEffects(law Config, tries []*request) {
-	r := v.Rules[1]
+// checkEffects checks RuleEffects over all requests that are for the same effect.
+func (r *Report) checkEffects(config Config, requests []*request) {
 	byEffect, order := map[string][]*request{}, []string{}
-	for _, t := range tries {
-		if t.sent.Effect == "" {
+	for _, q := range requests {
+		effect := q.sent.Effect
+		if effect == "" {
 			continue
 		}
-		if byEffect[t.sent.Effect] == nil {
-			order = append(order, t.sent.Effect)
+		if byEffect[effect] == nil {
+			order = append(order, effect)
 		}
-		byEffect[t.sent.Effect] = append(byEffect[t.sent.Effect], t)
+		byEffect[effect] = append(byEffect[effect], q)
 	}
 	for _, effect := range order {
-		w := law.Classes[byEffect[effect][0].sent.Workload]
-		var began, received []Record
-		for _, t := range byEffect[effect] {
-			began, received = append(began, t.began...), append(received, t.received...)
-			if len(t.received) > 1 {
-				v.Retries++
-			}
-			if t.responses == 0 || t.response.Detail != Rejected || len(t.began) == 0 {
-				continue
-			}
-			if w.NonIdempotent || w.IdempotentByKey && w.Scope != "fleet" {
-				r.violation(t.response.At, "job %s was pushed back though it had run", t.sent.Request)
-			}
+		r.checkEffect(config, effect, byEffect[effect])
+	}
+}
+
+// checkEffect checks RuleEffects for one effect.
+func (r *Report) checkEffect(config Config, effect string, requests []*request) {
+	rule, class := r.Rules[RuleEffects], config.Classes[requests[0].sent.Workload]
+	var started []Record
+	received := 0
+	for _, q := range requests {
+		started, received = append(started, q.started...), received+len(q.received)
+		if len(q.received) > 1 {
+			r.Retries++
 		}
-		if !w.NonIdempotent && !w.IdempotentByKey {
+		if q.responses == 0 || q.response.Detail != Rejected || len(q.started) == 0 {
 			continue
 		}
-		if len(received) > 0 {
-			r.Opportunities++
+		if class.NonIdempotent || class.IdempotentByKey && class.Scope != scopeFleet {
+			rule.addViolation(q.response.At, "job %s was pushed back though it had run", q.sent.Request)
 		}
-		if w.NonIdempotent && len(began) > 1 {
-			r.violation(began[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(began), began[0].Server, began[1].Server)
-		}
-		if w.IdempotentByKey && len(began) > 0 {
-			v.checkIdempotentByKey(law, w, byEffect[effect])
+	}
+	if !class.NonIdempotent && !class.IdempotentByKey {
+		return
+	}
+	if received > 0 {
+		rule.Opportunities++
+	}
+	if class.NonIdempotent && len(started) > 1 {
+		rule.addViolation(started[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(started), started[0].Server, started[1].Server)
+	}
+	if class.IdempotentByKey {
+		for _, q := range requests {
+			r.checkIdempotentByKey(config, class, q)
 		}
 	}
 }
 
-// fingerprinted judges the executions of each job: one that may have run goes only inside its group and window.
-func (v *Report) checkIdempotentByKey(law Config, w Class, tries []*request) {
-	r := v.Rules[1]
-	for _, t := range tries {
-		for _, x := range t.received {
-			for _, e := range t.began {
-				switch {
-				case e.At >= x.At:
-				case x.At > e.At+w.Window:
-					r.violation(x.At, "job %s was sent again %d us after it ran, past its window", t.sent.Request, x.At-e.At)
-				case w.Scope == "zone" && law.Zone[x.Server] != law.Zone[e.Server],
-					w.Scope == "cell" && law.Cell[x.Server] != law.Cell[e.Server]:
-					r.violation(x.At, "job %s ran on server %d and was sent to %d outside its group", t.sent.Request, e.Server, x.Server)
-				}
+// checkIdempotentByKey checks the attempts of one request: after one that ran, others go only to servers that share its key, while
+// they remember it.
+func (r *Report) checkIdempotentByKey(config Config, class Class, q *request) {
+	rule := r.Rules[RuleEffects]
+	for _, attempt := range q.received {
+		for _, ran := range q.started {
+			switch {
+			case ran.At >= attempt.At:
+			case attempt.At > ran.At+class.Window:
+				rule.addViolation(attempt.At, "job %s was sent again %d us after it ran, past its window", q.sent.Request, attempt.At-ran.At)
+			case class.Scope == scopeZone && config.Zone[attempt.Server] != config.Zone[ran.Server],
+				class.Scope == scopeCell && config.Cell[attempt.Server] != config.Cell[ran.Server]:
+				rule.addViolation(attempt.At, "job %s ran on server %d and was sent to %d outside its group", q.sent.Request, ran.Server, attempt.Server)
 			}
 		}
 	}
--- a/internal/invariant/log.go
+++ b/internal/invariant/log.go
@@ -1,37 +1,38 @@
 package invariant
 
 import (
+	"cmp"
 	"slices"
 	"sync"
 	"time"
 )
 
-// Log gathers records from many goroutines.
+// Log collects records from many goroutines.
 type Log struct {
-	base time.Time
-	mu   sync.Mutex
-	recs []Record
+	start   time.Time
+	mu      sync.Mutex
+	records []Record
 }
 
-// NewLog gives an empty log whose time 0 is now.
-func NewLog() *Log { return &Log{base: time.Now()} }
+// NewLog returns an empty log whose time starts at 0.
+func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is the log's time.
-func (l *Log) Now() int64 { return time.Since(l.base).Microseconds() }
+// Now is the log's time in microseconds.
+func (l *Log) Now() int64 { return time.Since(l.start).Microseconds() }
 
-// Add stamps a record and keeps it.
+// Add sets a record's time to now and keeps the record.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	r.At = l.Now()
-	l.recs = append(l.recs, r)
-	l.mu.Unlock()
+	l.records = append(l.records, r)
 }
 
-// Records gives all records in the order of their times.
+// Records returns all records, in the order of their times.
 func (l *Log) Records() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rs := slices.Clone(l.recs)
-	slices.SortStableFunc(rs, func(a, b Record) int { return int(a.At - b.At) })
-	return rs
+	records := slices.Clone(l.records)
+	slices.SortStableFunc(records, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
+	return records
 }
--- a/internal/invariant/record.go
+++ b/internal/invariant/record.go
@@ -1,54 +1,65 @@
-// Package invariant judges the five rules from what crossed the sockets: records taken by clients and model servers at
-// their ends of the wire. It knows neither the gateway nor its core, and takes no router's word for anything.
 package invariant
 
-// Kind is what a record tells.
+// Kind is what a record is about.
 type Kind uint8
 
-// The records of clients, of model servers, and of whoever runs the day.
+// The kinds of record. Simulations hash their numbers: the order stays.
 const (
-	RequestSent      Kind = iota // a client has written a job whole
-	ResponseReceived             // it has read the final answer; Word tells which
-	RequestTimedOut              // its patience ended without one
-	RequestAbandoned             // it left of its own will before
-	RequestNotSent               // it could not write the job whole
-
-	AttemptReceived     // a server has read an execution whole
-	AttemptStarted      // it runs it
-	AttemptEnded        // it ran it to the end
-	AttemptRefused      // it promised that it did not run it
-	AttemptDeduplicated // it knew the repeat and did not run it again
-	LoadCommandReceived // it has read an order to load
-	LoadStarted         // it began a load
-	ServerStarted       // the server started, cold
-	ServerCollapsed     // it was pushed over
-
-	EndpointPublished // the list that routers read was written with the server's state in Word: ready, draining or gone
-	RouterDown        // a router was frozen, killed or told to end
-	RouterRestarted   // it is started anew, after it had ended; Word is Remembers where it has a memory of what it ordered
-	RouterUp          // it runs again
+	// Of clients.
+
+	RequestSent      Kind = iota // a client has written a request whole
+	ResponseReceived             // it has read the final answer, which Detail names
+	RequestTimedOut              // its deadline passed without an answer
+	RequestAbandoned             // it gave the request up before
+	RequestNotSent               // it couldn't write the request whole
+
+	// Of model servers.
+
+	AttemptReceived     // a server has read a request whole
+	AttemptStarted      // it runs the request
+	AttemptEnded        // it has run the request to the end
+	AttemptRefused      // it promised that it has not run the request
+	AttemptDeduplicated // it knew the idempotency key and didn't run the request again
+	LoadCommandReceived // it has read a load command
+	LoadStarted         // it has begun a load
+	ServerStarted       // it has started, and is in slow start
+	ServerCollapsed     // it got more requests in slow start than it can bear
+
+	// Of whoever injects faults.
+
+	EndpointPublished // the endpoint list that routers read has changed; Detail is the server's state
+	RouterDown        // a router was stopped, killed or told to shut down
+	RouterRestarted   // a router was started again; Detail is StateRestored if it restores its load commands
+	RouterUp          // a router runs again
 )
 
-// Remembers is the word of a router with a memory.
+// StateRestored is the detail of a restart by which a router restores how many load commands it has sent.
 const StateRestored = "remembers"
 
-// The final answers.
+// The states of a server in the endpoint list.
+const (
+	EndpointReady    = "ready"
+	EndpointDraining = "draining"
+	EndpointGone     = "gone"
+)
+
+// The final answers to a request. Rejected and Failed are also in the bodies of responses.
 const (
 	Succeeded   = "finished"
 	Rejected    = "pushed back"
 	Failed      = "killed"
-	NotAdmitted = "other" // a refusal before the job was taken
+	NotAdmitted = "other" // it was refused before it was admitted
 )
 
-// Record is one thing seen at one end of a wire. Times are microseconds of one monotonic clock.
+// Record is one thing seen at one end of a connection. Times are microseconds of one monotonic clock.
 type Record struct {
 	At       int64
 	Kind     Kind
-	Request  string // one try of a client
-	Effect   string // what its tries mean to do, once
+	Request  string // its identifier; retries by the client have others
+	Effect   string // the operation that the request and its retries are for: to be done once
 	Workload string
 	Server   int
 	Router   int
-	Deadline int64 // of Asked: when the client's patience ends
+	Deadline int64 // of RequestSent
 	Detail   string
 }
--- a/internal/invariant/responses.go
+++ b/internal/invariant/responses.go
@@ -1,62 +1,68 @@
 package invariant
 
-import (
-	"slices"
-)
-
-// answers judges the first rule for one job.
-func (v *Report) checkResponses(law Config, t *request, halts []downtime) {
-	r := v.Rules[0]
-	if t.notSent && len(t.received) == 0 && t.responses == 0 {
+// checkResponses checks RuleResponses for one request.
+func (r *Report) checkResponses(config Config, q *request, downtimes []downtime) {
+	if q.notSent && len(q.received) == 0 && q.responses == 0 {
 		return
 	}
-	v.Requests++
-	v.Attempts += len(t.received)
-	halted := slices.ContainsFunc(halts, func(h downtime) bool { return h.from < t.sent.Deadline && h.to > t.sent.At })
+	rule := r.Rules[RuleResponses]
+	r.Requests++
+	r.Attempts += len(q.received)
+	down := wasDown(downtimes, q.sent.At, q.sent.Deadline)
+	if !down {
+		rule.Opportunities++
+	}
 	switch {
-	case t.responses > 1:
-		r.violation(t.response.At, "job %s got %d final answers", t.sent.Request, t.responses)
-	case t.responses == 1:
-		switch t.response.Detail {
-		case Succeeded:
-			v.Succeeded++
-			if len(t.began) == 0 && len(t.refused) == 0 {
-				r.violation(t.response.At, "job %s is called finished but reached no server", t.sent.Request)
-			}
-		case Rejected:
-			v.Rejected++
-		case Failed:
-			v.Failed++
-		default:
-			v.NotAdmitted++
-		}
-		if t.response.At > t.sent.Deadline && !halted {
-			r.violation(t.response.At, "job %s was answered %d us after its client's time", t.sent.Request, t.response.At-t.sent.Deadline)
+	case q.responses > 1:
+		rule.addViolation(q.response.At, "job %s got %d final answers", q.sent.Request, q.responses)
+	case q.responses == 1:
+		r.countResponse(q)
+		if q.response.At > q.sent.Deadline && !down {
+			rule.addViolation(q.response.At, "job %s was answered %d us after its client's time", q.sent.Request, q.response.At-q.sent.Deadline)
 		}
-	case t.abandoned || t.notSent:
-		v.Abandoned++
-	case halted:
-		v.Excused++
+	case q.abandoned || q.notSent:
+		r.Abandoned++
+	case down:
+		r.Excused++
 	default:
-		v.Unanswered++
-		r.violation(t.sent.Deadline, "job %s got no answer", t.sent.Request)
+		r.Unanswered++
+		rule.addViolation(q.sent.Deadline, "job %s got no answer", q.sent.Request)
 	}
-	if !halted {
-		r.Opportunities++
-	}
-	over := t.sent.Deadline
-	if halted { // the router can't know how long the job had waited unread: it is over when its client goes
-		over = max(over, t.timedOutAt)
-	}
-	if t.responses > 0 {
-		over = min(over, t.response.At)
-		if halted {
-			over = t.response.At
+	end := q.end(down)
+	for _, attempt := range q.received {
+		if attempt.At > end+config.MaxNetworkDelay {
+			rule.addViolation(attempt.At, "job %s was sent to server %d after it was over", q.sent.Request, attempt.Server)
 		}
 	}
-	for _, x := range t.received {
-		if x.At > over+law.MaxNetworkDelay {
-			r.violation(x.At, "job %s was sent to server %d after it was over", t.sent.Request, x.Server)
+}
+
+// countResponse counts a request with one answer. A success has to come from a server.
+func (r *Report) countResponse(q *request) {
+	switch q.response.Detail {
+	case Succeeded:
+		r.Succeeded++
+		if len(q.started) == 0 && len(q.refused) == 0 {
+			r.Rules[RuleResponses].addViolation(q.response.At, "job %s is called finished but reached no server", q.sent.Request)
 		}
+	case Rejected:
+		r.Rejected++
+	case Failed:
+		r.Failed++
+	default:
+		r.NotAdmitted++
+	}
+}
+
+// end is when the request was over: no attempt may follow. A router that was down can't know for how long the request had waited
+// unread: for it the request is over when the client is gone or has its answer.
+func (q *request) end(routerWasDown bool) int64 {
+	switch {
+	case q.responses > 0 && routerWasDown:
+		return q.response.At
+	case q.responses > 0:
+		return min(q.sent.Deadline, q.response.At)
+	case routerWasDown:
+		return max(q.sent.Deadline, q.timedOutAt)
 	}
+	return q.sent.Deadline
 }
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -1,32 +1,40 @@
 package invariant
 
-// cold judges the fourth rule: what a server got within any time of the told length, against what it bore then.
-func (v *Report) checkSlowStart(law Config, recs []Record) {
-	r := v.Rules[3]
-	born, got := map[int]int64{}, map[int][]int64{}
-	for _, x := range recs {
-		switch x.Kind {
+// checkSlowStart checks RuleSlowStart: what a server got within each overload window, against what it bore at the end of that.
+func (r *Report) checkSlowStart(config Config, records []Record) {
+	rule := r.Rules[RuleSlowStart]
+	startedAt := map[int]int64{}
+	window := map[int][]int64{} // when the attempts of the last overload window reached a server
+	for _, record := range records {
+		server, at := record.Server, record.At
+		switch record.Kind {
 		case ServerStarted:
-			born[x.Server], got[x.Server] = x.At, nil
-			r.Opportunities++
+			startedAt[server], window[server] = at, nil
+			rule.Opportunities++
 		case ServerCollapsed:
-			r.violation(x.At, "server %d fell over", x.Server)
+			rule.addViolation(at, "server %d fell over", server)
 		case AttemptReceived:
-			at, cold := born[x.Server]
-			if !cold || x.At > at+law.SlowStartDuration {
+			started, restarted := startedAt[server]
+			if !restarted || at > started+config.SlowStartDuration {
 				continue
 			}
-			ts := append(got[x.Server], x.At)
-			for ts[0] < x.At-law.OverloadWindow {
-				ts = ts[1:]
+			times := append(window[server], at)
+			for times[0] < at-config.OverloadWindow {
+				times = times[1:]
 			}
-			got[x.Server] = ts
-			has := law.SlowStartInitial + (1-law.SlowStartInitial)*float64(x.At-at)/float64(law.SlowStartDuration)
-			budget := law.OverloadFactor * has * law.ServerRate * float64(law.OverloadWindow) / 1e6
-			v.SlowStart = append(v.SlowStart, SlowStartWindow{x.At, x.Server, float64(len(ts)) / max(1, budget)})
-			if float64(len(ts)) > max(1, budget) {
-				r.violation(x.At, "server %d, %d us old, got %d jobs within %d us, over its %.1f", x.Server, x.At-at, len(ts), law.OverloadWindow, budget)
+			window[server] = times
+			age, got := at-started, float64(len(times))
+			budget := config.slowStartBudget(age)
+			r.SlowStart = append(r.SlowStart, SlowStartWindow{at, server, got / max(1, budget)})
+			if got > max(1, budget) {
+				rule.addViolation(at, "server %d, %d us old, got %d jobs within %d us, over its %.1f", server, age, len(times), config.OverloadWindow, budget)
 			}
 		}
 	}
 }
+
+// slowStartBudget is how many requests a server of an age in slow start may get within an overload window. One is always allowed.
+func (c *Config) slowStartBudget(age int64) float64 {
+	weight := c.SlowStartInitial + (1-c.SlowStartInitial)*float64(age)/float64(c.SlowStartDuration)
+	return c.OverloadFactor * weight * c.ServerRate * float64(c.OverloadWindow) / 1e6
+}
