--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,34 +1,42 @@
-// Package baseline holds textbook policies, for a laboratory to hold the module against. No program that serves uses it. Each keeps the
-// rules in the plainest way: nothing is sent to a server that is not ready or still cold while others stand, and what may have run is
-// sent again only if it is restartable.
+// Package baseline has textbook policies to compare the balancer with. No service uses it. Each policy keeps the invariants in the
+// simplest way: it sends nothing to a server that isn't ready or is in slow start, and repeats a request that may have run only
+// if it is idempotent.
 package baseline
 
 import (
+	"cmp"
 	"math/rand/v2"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"hollymast/control"
 	"hollymast/internal/core"
 )
 
-// Policy is how a server is chosen for a job.
+// Policy is how a server is chosen for a request.
 type Policy uint8
 
 // The policies.
 const (
 	Random        Policy = iota // any server
-	LeastRequests               // the one with the fewest of ours outstanding
-	TwoChoices                  // the lesser of two drawn by chance (Mitzenmacher, 2001)
-	BoundedHash                 // the function's server by rendezvous hash, the next where that has over 5/4 of the mean (Mirrokni et al., 2018)
-	LoadedFirst                 // the least outstanding of those believed to hold the function; a random one where none does
+	LeastRequests               // the one with the fewest requests in flight
+	TwoChoices                  // the better of two drawn at random (Mitzenmacher, 2001)
+	BoundedHash                 // the function's server by rendezvous hashing, or the next if that one is over the bound (Mirrokni et al., 2018)
+	LoadedFirst                 // the one with the fewest requests in flight of those believed to have loaded the function; a random one if there are none
 )
 
 // Names are the policies' names, by their numbers.
 var Names = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
-// New gives what makes a router's decisions by a policy.
+// recheckInterval is after how long a request that no server could be found for is decided again.
+const recheckInterval = control.Micros(50_000)
+
+// lastTicks is how many clock ticks before its deadline a request is rejected: it couldn't be answered in time.
+const lastTicks = 4
+
+// maintenanceInterval is as good as never: these policies have no maintenance.
+const maintenanceInterval = control.Micros(1_000_000)
+
+// NewFactory returns what makes a router's policy.
 func NewFactory(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Policy {
 	return func(_ control.Micros, seed uint64, d control.Deployment) core.Policy {
 		return &balancer{policy: p, deployment: d, random: rand.New(rand.NewPCG(seed, uint64(p))), inFlight: map[control.ServerID]int{},
@@ -36,176 +44,113 @@
 	}
 }
 
+// balancer decides by one of the policies.
 type balancer struct {
 	policy        Policy
 	deployment    control.Deployment
 	random        *rand.Rand
-	servers       []control.Endpoint // ready ones, by id
+	servers       []control.Endpoint // that are ready, by identifier
 	inFlight      map[control.ServerID]int
-	totalInFlight int // of out
-	loaded        map[control.FunctionID]map[control.ServerID]bool
+	totalInFlight int
+	loaded        map[control.FunctionID]map[control.ServerID]bool // as LoadedFirst believes
 }
 
-// checkEvery is when a job that no server could be had for is asked about again.
-const recheckInterval = control.Micros(50_000)
-
-// UpdateEndpoints takes in the list.
-func (d *balancer) UpdateEndpoints(_ control.Micros, kind control.UpdateKind, list []control.Endpoint) {
+// UpdateEndpoints implements core.Policy.
+func (b *balancer) UpdateEndpoints(_ control.Micros, kind control.UpdateKind, endpoints []control.Endpoint) {
 	if kind == control.FailedUpdate {
 		return
 	}
 	if kind != control.IncrementalUpdate {
-		d.servers = nil
+		b.servers = nil
 	}
-	for _, l := range list {
-		d.servers = slices.DeleteFunc(d.servers, func(s control.Endpoint) bool { return s.Server == l.Server })
-		if l.State == control.Ready {
-			d.servers = append(d.servers, l)
+	for _, e := range endpoints {
+		b.servers = slices.DeleteFunc(b.servers, func(s control.Endpoint) bool { return s.Server == e.Server })
+		if e.State == control.Ready {
+			b.servers = append(b.servers, e)
 		}
 	}
-	slices.SortFunc(d.servers, func(a, b control.Endpoint) int {
-		if a.Server < b.Server {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(b.servers, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
 }
 
-// Rank is the order of arrival.
-func (d *balancer) Rank(_ control.Micros, j *control.Request) control.Micros { return j.ArrivedAt }
+// Rank implements core.Policy: requests are decided in the order of their arrival.
+func (b *balancer) Rank(_ control.Micros, r *control.Request) control.Micros { return r.ArrivedAt }
 
-// candidates are the servers that may have a job: warm ones, else cold ones.
-func (d *balancer) candidates(now control.Micros) []control.Endpoint {
-	warm := slices.DeleteFunc(slices.Clone(d.servers), func(s control.Endpoint) bool {
-		return s.StartedAt > 0 && now < s.StartedAt+d.deployment.SlowStartDuration
+// candidates are the servers that may get a request. Those in slow start get none: policies that count nothing would overload them.
+func (b *balancer) candidates(now control.Micros) []control.Endpoint {
+	return slices.DeleteFunc(slices.Clone(b.servers), func(s control.Endpoint) bool {
+		return s.StartedAt > 0 && now < s.StartedAt+b.deployment.SlowStartDuration
 	})
-	if len(warm) > 0 {
-		return warm
-	}
-	return nil // cold ones would be pushed over by policies that count nothing
 }
 
-// Route answers where to send a job.
-func (d *balancer) Route(now control.Micros, j *control.Request) control.Decision {
-	w := d.deployment.Classes[j.Class]
-	for _, e := range j.Attempts {
-		if !e.Done {
+// Route implements core.Policy.
+func (b *balancer) Route(now control.Micros, r *control.Request) control.Decision {
+	reject := control.Decision{Action: control.Reject, RetryAfter: b.deployment.MaxRetryAfter}
+	class := b.deployment.Classes[r.Class]
+	for _, a := range r.Attempts {
+		switch {
+		case !a.Done:
 			return control.Decision{Action: control.NoAction}
-		}
-		if e.MayHaveRun && w.Effect != control.Idempotent {
-			if w.Effect == control.IdempotentByKey && w.Scope == control.WholeFleet {
-				return control.Decision{Action: control.Reject, RetryAfter: d.deployment.MaxRetryAfter}
-			}
+		case !a.MayHaveRun || class.Effect == control.Idempotent:
+		case class.Effect == control.IdempotentByKey && class.Scope == control.WholeFleet:
+			return reject // the client may repeat it anywhere
+		default:
 			return control.Decision{Action: control.Fail}
 		}
 	}
-	last := j.Deadline - 4*d.deployment.Tick
-	if now >= last || len(j.Attempts) >= d.deployment.MaxAttempts {
-		return control.Decision{Action: control.Reject, RetryAfter: d.deployment.MaxRetryAfter}
+	if now >= b.latestStart(r) || len(r.Attempts) >= b.deployment.MaxAttempts {
+		return reject
 	}
-	cs := d.candidates(now)
-	if len(cs) == 0 {
-		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(last, now+recheckInterval)}
+	candidates := b.candidates(now)
+	if len(candidates) == 0 {
+		return b.hold(now, r)
 	}
-	s := d.pick(cs, j)
-	j.Attempts = append(j.Attempts, control.Attempt{Server: s.Server, Zone: s.Zone, Cell: s.Cell, SentAt: now, MayHaveRun: true})
-	d.inFlight[s.Server]++
-	d.totalInFlight++
-	return control.Decision{Action: control.Forward, Server: s.Server, Timeout: j.Deadline - now}
+	s := b.pick(candidates, r)
+	r.Attempts = append(r.Attempts, control.Attempt{Server: s.Server, Zone: s.Zone, Cell: s.Cell, SentAt: now, MayHaveRun: true})
+	b.inFlight[s.Server]++
+	b.totalInFlight++
+	return control.Decision{Action: control.Forward, Server: s.Server, Timeout: r.Deadline - now}
 }
 
-func (d *balancer) pick(cs []control.Endpoint, j *control.Request) control.Endpoint {
-	any := func() control.Endpoint { return cs[d.random.IntN(len(cs))] }
-	switch d.policy {
-	case LeastRequests:
-		return d.least(cs)
-	case TwoChoices:
-		return d.least([]control.Endpoint{any(), any()})
-	case BoundedHash:
-		bound := 1 + 5*(d.totalInFlight+1)/(4*len(cs))
-		slices.SortFunc(cs, func(a, b control.Endpoint) int {
-			if weight(j.Function, a.Server) > weight(j.Function, b.Server) {
-				return -1
-			}
-			return 1
-		})
-		for _, s := range cs {
-			if d.inFlight[s.Server] < bound {
-				return s
-			}
-		}
-		return cs[0]
-	case LoadedFirst:
-		held := slices.DeleteFunc(slices.Clone(cs), func(s control.Endpoint) bool { return !d.loaded[j.Function][s.Server] })
-		if len(held) > 0 {
-			return d.least(held)
-		}
-		s := any()
-		if d.loaded[j.Function] == nil {
-			d.loaded[j.Function] = map[control.ServerID]bool{}
-		}
-		d.loaded[j.Function][s.Server] = true
-		return s
-	}
-	return any()
+func (b *balancer) latestStart(r *control.Request) control.Micros {
+	return r.Deadline - lastTicks*b.deployment.Tick
 }
 
-// least is the one with the fewest of ours outstanding; of several any.
-func (d *balancer) least(cs []control.Endpoint) control.Endpoint {
-	best, ties := cs[0], 0
-	for _, s := range cs {
-		switch {
-		case d.inFlight[s.Server] < d.inFlight[best.Server]:
-			best, ties = s, 1
-		case d.inFlight[s.Server] == d.inFlight[best.Server]:
-			if ties++; d.random.IntN(ties) == 0 {
-				best = s
-			}
-		}
-	}
-	return best
-}
-
-func weight(f control.FunctionID, s control.ServerID) uint64 {
-	var b [16]byte
-	for i := range 8 {
-		b[i], b[8+i] = byte(uint64(f)>>(8*i)), byte(uint64(s)>>(8*i))
-	}
-	return xxhash.Sum64(b[:])
+func (b *balancer) hold(now control.Micros, r *control.Request) control.Decision {
+	return control.Decision{Action: control.Hold, Rank: r.ArrivedAt, RecheckAt: min(b.latestStart(r), now+recheckInterval)}
 }
 
-// HandleOutcome takes in how an execution ended.
-func (d *balancer) HandleOutcome(now control.Micros, j *control.Request, o control.Outcome) control.Decision {
-	e := &j.Attempts[o.Attempt]
-	e.Done, e.MayHaveRun = true, !o.Result.ProvesNotRun()
-	d.inFlight[o.Server]--
-	d.totalInFlight--
+// HandleOutcome implements core.Policy.
+func (b *balancer) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+	attempt := &r.Attempts[o.Attempt]
+	attempt.Done, attempt.MayHaveRun = true, !o.Result.ProvesNotRun()
+	b.inFlight[o.Server]--
+	b.totalInFlight--
 	switch o.Result {
 	case control.Succeeded:
 	case control.ConnectionReset, control.ConnectFailed:
-		for _, held := range d.loaded {
-			delete(held, o.Server)
+		for _, servers := range b.loaded {
+			delete(servers, o.Server)
 		}
 	default:
-		delete(d.loaded[j.Function], o.Server)
+		delete(b.loaded[r.Function], o.Server)
 	}
 	if o.RequestDone {
 		return control.Decision{Action: control.NoAction}
 	}
-	if o.Result == control.Overloaded { // at once again would only ask all of them in turn
-		return control.Decision{Action: control.Hold, Rank: j.ArrivedAt, RecheckAt: min(j.Deadline-4*d.deployment.Tick, now+recheckInterval)}
+	if o.Result == control.Overloaded { // another attempt at once would only go to one overloaded server after another
+		return b.hold(now, r)
 	}
-	return d.Route(now, j)
+	return b.Route(now, r)
 }
 
-// Cancel does nothing.
-func (d *balancer) Cancel(control.Micros, *control.Request) {}
+// Cancel implements core.Policy. There is nothing to forget.
+func (b *balancer) Cancel(control.Micros, *control.Request) {}
 
-// HandleLoadResult does nothing: these policies give no orders.
-func (d *balancer) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
+// HandleLoadResult implements core.Policy. These policies send no load commands.
+func (b *balancer) HandleLoadResult(control.Micros, control.ServerID, control.FunctionID, control.Result, control.Micros, int) {
 }
 
-// Maintain asks for nothing.
-func (d *balancer) Maintain(now control.Micros) control.Maintenance {
-	return control.Maintenance{Next: now + 1_000_000}
+// Maintain implements core.Policy.
+func (b *balancer) Maintain(now control.Micros) control.Maintenance {
+	return control.Maintenance{Next: now + maintenanceInterval}
 }
