--- a/internal/program/buildid.go
+++ b/internal/program/buildid.go
@@ -7,8 +7,10 @@
 	"os"
 )
 
-// Build identifies the program by its own bytes, so that two builds of one version can be told apart; empty where they
-// can't be read.
+// buildIDSize is how many bytes of the hash identify a build.
+const buildIDSize = 8
+
+// BuildID identifies the running program by its bytes, so that two builds of one version differ. It is empty if they can't be read.
 func BuildID() string {
 	name, err := os.Executable()
 	if err != nil {
@@ -17,7 +19,7 @@
 	return BuildIDOf(name)
 }
 
-// BuildOf is the same of another program.
+// BuildIDOf identifies a program by its file.
 func BuildIDOf(name string) string {
 	f, err := os.Open(name)
 	if err != nil {
@@ -28,5 +30,5 @@
 	if _, err := io.Copy(h, f); err != nil {
 		return ""
 	}
-	return hex.EncodeToString(h.Sum(nil)[:8])
+	return hex.EncodeToString(h.Sum(nil)[:buildIDSize])
 }
--- a/internal/program/exit.go
+++ b/internal/program/exit.go
@@ -3,40 +3,42 @@
 import (
 	"errors"
 	"fmt"
-	"hollymast/internal/inifile"
 	"os"
+
+	"hollymast/internal/inifile"
 )
 
 // Exit codes.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // a breach or a failure was found
-	ExitUsage   = 2 // the call or its input is wrong
+	ExitFailure = 1 // the program has failed, or has found a violation
+	ExitUsage   = 2 // the arguments or a file that they name are wrong
 )
 
-// Use marks an error as wrong use of the program.
+// UsageError marks an error in the arguments of a program, or in a file that they name.
 type UsageError struct{ Err error }
 
-func (u UsageError) Error() string { return u.Err.Error() }
+func (e UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the error itself.
-func (u UsageError) Unwrap() error { return u.Err }
+// Unwrap returns the error itself.
+func (e UsageError) Unwrap() error { return e.Err }
 
-// Exit tells an error in plain lines and ends the program with the code that fits.
-func Exit(name string, err error) {
-	if err == nil {
+// Exit ends the program with the exit code that an error stands for, after printing it. Every problem of a configuration file is
+// printed on a line of its own.
+func Exit(program string, err error) {
+	var invalid *inifile.ValidationError
+	var usage UsageError
+	switch {
+	case err == nil:
 		os.Exit(ExitOK)
-	}
-	var faults *inifile.ValidationError
-	if errors.As(err, &faults) {
-		for _, l := range faults.Problems {
-			fmt.Fprintln(os.Stderr, l)
+	case errors.As(err, &invalid):
+		for _, problem := range invalid.Problems {
+			fmt.Fprintln(os.Stderr, problem)
 		}
 		os.Exit(ExitUsage)
 	}
-	fmt.Fprintf(os.Stderr, "%s: %s\n", name, err)
-	var use UsageError
-	if errors.As(err, &use) || errors.Is(err, os.ErrNotExist) {
+	fmt.Fprintf(os.Stderr, "%s: %s\n", program, err)
+	if errors.As(err, &usage) || errors.Is(err, os.ErrNotExist) {
 		os.Exit(ExitUsage)
 	}
 	os.Exit(ExitFailure)
--- a/internal/program/flags.go
+++ b/internal/program/flags.go
@@ -8,29 +8,29 @@
 	kongcompletion "github.com/jotaen/kong-completion"
 )
 
-// Common is what all programs understand beside their own arguments.
+// CommonFlags are the flags of all programs.
 type CommonFlags struct {
 	Version    kong.VersionFlag `help:"Print the build and end."`
 	Completion completion       `placeholder:"SHELL" help:"Print what switches completion on in bash, zsh or fish, and end."`
 }
 
-// completion is a flag that tells a shell to ask the program itself what may follow.
+// completion is the flag that prints a shell's completion script. The scripts have the shell ask the program itself.
 type completion string
 
-// BeforeReset prints the lines for the shell; it comes before required arguments are looked for.
+// BeforeReset prints the script and ends the program. It is called before required arguments are checked.
 func (completion) BeforeReset(app *kong.Kong, ctx *kong.Context, trace *kong.Path) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	shell := fmt.Sprint(ctx.FlagValue(trace.Flag))
-	switch shell {
+	name := app.Model.Name
+	switch shell := fmt.Sprint(ctx.FlagValue(trace.Flag)); shell {
 	case "bash":
-		fmt.Fprintf(app.Stdout, "complete -C %q %s\n", self, app.Model.Name)
+		fmt.Fprintf(app.Stdout, "complete -C %q %s\n", self, name)
 	case "zsh":
-		fmt.Fprintf(app.Stdout, "autoload -U +X bashcompinit && bashcompinit\ncomplete -C %q %s\n", self, app.Model.Name)
+		fmt.Fprintf(app.Stdout, "autoload -U +X bashcompinit && bashcompinit\ncomplete -C %q %s\n", self, name)
 	case "fish":
-		fmt.Fprintf(app.Stdout, "complete -c %s -f -a '(env COMP_LINE=(commandline -cp) %q)'\n", app.Model.Name, self)
+		fmt.Fprintf(app.Stdout, "complete -c %s -f -a '(env COMP_LINE=(commandline -cp) %q)'\n", name, self)
 	default:
 		return fmt.Errorf("%q is none of bash, zsh, fish", shell)
 	}
@@ -38,9 +38,10 @@
 	return nil
 }
 
-// Parse reads the arguments into a struct of kong's; wrong ones end the program.
-func Parse(cli any, name, about string) *kong.Context {
-	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.Vars{"version": name + " " + BuildID()},
+// Parse parses the arguments into a struct as kong wants it, and ends the program if they are wrong or if a shell asks for a
+// completion.
+func Parse(cli any, program, description string) *kong.Context {
+	parser, err := kong.New(cli, kong.Name(program), kong.Description(description), kong.Vars{"version": program + " " + BuildID()},
 		kong.Exit(func(code int) {
 			if code != ExitOK {
 				code = ExitUsage
@@ -48,9 +49,9 @@
 			os.Exit(code)
 		}))
 	if err != nil {
-		panic(err) // the struct itself is wrong
+		panic(err) // the struct's tags are wrong
 	}
-	kongcompletion.Register(parser) // answers and ends where a shell asks
+	kongcompletion.Register(parser)
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	return ctx
