--- a/cmd/hmchaos/changes.go
+++ b/cmd/hmchaos/changes.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"context"
+	"errors"
 	"fmt"
+	"time"
+
 	"hollymast/internal/chaostest"
 	"hollymast/internal/program"
-	"os"
-	"os/signal"
-	"syscall"
-	"time"
 )
 
 type changesCmd struct {
@@ -25,24 +23,32 @@
 	Router  string        `help:"The router's program; without, hollymast beside this one." type:"path"`
 }
 
+const (
+	maxChangesWorkers  = 256 // listeners on loopback
+	minChangesInterval = time.Millisecond
+)
+
+var errWrongChanges = errors.New("a count below one, over 256 workers, or less than 1ms between changes")
+
+// Run makes the changes, prints how soon the router followed, and ends with an error if an invariant was violated.
 func (c changesCmd) Run() error {
 	router, err := routerProgram(c.Router)
 	if err != nil {
 		return err
 	}
-	if min(c.Number, c.Rate, c.Workers) < 1 || c.Every < time.Millisecond || c.Workers > 256 {
-		return program.UsageError{Err: fmt.Errorf("a count below one, over 256 workers, or less than 1ms between changes")}
+	if min(c.Number, c.Rate, c.Workers) < 1 || c.Every < minChangesInterval || c.Workers > maxChangesWorkers {
+		return program.UsageError{Err: errWrongChanges}
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := untilInterrupted()
 	defer stop()
-	f, err := chaostest.RunChurn(ctx, chaostest.Churn{Seed: c.Seed, Changes: c.Number, Interval: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
+	result, err := chaostest.RunChurn(ctx, chaostest.Churn{Seed: c.Seed, Changes: c.Number, Interval: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
 		CutStreams: c.Cuts, LoseEndpoints: c.Loses, TLS: c.Keys, PublishDelay: c.Delay}, router)
 	if err != nil {
 		return err
 	}
-	fmt.Println(f)
-	if !f.Passed() {
-		return fmt.Errorf("a rule was broken")
+	fmt.Println(result)
+	if !result.Passed() {
+		return errViolation
 	}
 	return nil
 }
--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -2,9 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
-	"os"
 	"runtime"
 	"slices"
 	"time"
@@ -29,98 +29,108 @@
 	JSON     bool     `name:"json" help:"Print each day as JSON."`
 }
 
+// The arms that aren't baselines: this build's decisions, and the same without its damping of overload.
+const (
+	moduleArm   = "module"
+	undampedArm = "undamped"
+)
+
+var errWrongCount = errors.New("a count below zero, or no day")
+
+// Run runs the scenario with each arm and seed, prints the results and ends with an error if this build's decisions violated an
+// invariant. A baseline that does so is a finding about the baseline.
 func (e emulateCmd) Run() error {
-	var text []byte
-	if e.Script != "" {
-		var err error
-		if text, err = os.ReadFile(e.Script); err != nil {
-			return program.UsageError{Err: err}
-		}
+	text, err := readScript(e.Script)
+	if err != nil {
+		return err
 	}
 	if min(e.Routers, e.Workers, e.Jobs, e.Clients, e.Threads) < 0 || e.Seeds < 1 {
-		return program.UsageError{Err: fmt.Errorf("a count below zero, or no day")}
+		return program.UsageError{Err: errWrongCount}
 	}
 	if e.Threads == 0 {
 		e.Threads = runtime.GOMAXPROCS(0)
 	}
-	kept := true
-	first := map[string][]float64{}
+	violated := false
+	inTime := map[string][]float64{} // by arm, of the seeds in order
 	for _, arm := range e.Arms {
-		if arm != "module" && !slices.Contains(baseline.Names, arm) {
+		if arm != moduleArm && !slices.Contains(baseline.Names, arm) {
 			return program.UsageError{Err: fmt.Errorf("no arm is called %q", arm)}
 		}
 		for seed := e.Seed; seed < e.Seed+uint64(e.Seeds); seed++ {
-			begun := time.Now()
-			res, length, err := e.one(text, arm, seed)
+			result, err := e.runAndPrint(text, arm, seed)
 			if err != nil {
-				return program.UsageError{Err: err}
-			}
-			took := time.Since(begun)
-			first[arm] = append(first[arm], res.InTime)
-			if e.JSON {
-				b, err := json.Marshal(res)
-				if err != nil {
-					return err
-				}
-				fmt.Println(string(b))
-			}
-			word := "kept"
-			if !res.Passed() {
-				word = "broken"
-				kept = kept && arm != "module" // a textbook policy that breaks a rule is a finding about it
-			}
-			fmt.Printf("%-12s seed %d: %s in_time=%.3f worth=%.3f jobs=%d pushed_back=%d killed=%d unanswered=%d executions=%.3f loads=%d cold_use=%.2f warm_use=%.2f hash=%016x  %.0f times real time, %d events\n",
-				arm, seed, word, res.InTime, res.WeightedInTime, res.Requests, res.Rejected, res.Failed, res.Unanswered, float64(res.Attempts)/float64(max(1, res.Requests)),
-				res.Loads, res.SlowStartUtilization, res.Utilization, res.Hash, length.Seconds()/took.Seconds(), res.Events)
-			for _, r := range res.Rules {
-				if r.ViolationCount > 0 {
-					fmt.Printf("    rule %d, %s: BROKEN %d times, as %s\n", r.Number, r.Name, r.ViolationCount, r.Violations[0])
-				}
+				return err
 			}
+			inTime[arm] = append(inTime[arm], result.InTime)
+			violated = violated || arm == moduleArm && !result.Passed()
 		}
 	}
-	e.compare(first)
-	if !kept {
-		return fmt.Errorf("a rule was broken")
+	e.compare(inTime)
+	if violated {
+		return errViolation
 	}
 	return nil
 }
 
-// one plays one day.
-func (e emulateCmd) one(text []byte, arm string, seed uint64) (*chaostest.SimulationResult, time.Duration, error) {
-	d, err := chaostest.ParseScenario(e.Script, text)
+// runAndPrint runs the scenario once and prints the result.
+func (e emulateCmd) runAndPrint(text []byte, arm string, seed uint64) (*chaostest.SimulationResult, error) {
+	startedAt := time.Now()
+	result, length, err := e.simulate(text, arm, seed)
 	if err != nil {
-		return nil, 0, err
+		return nil, program.UsageError{Err: err}
 	}
-	d.Seed, d.DampOverload = seed, d.DampOverload && !e.Undamped
-	if err := overrideSizes(d, e.Jobs, e.Routers, e.Workers, e.Clients); err != nil {
+	took := time.Since(startedAt)
+	if e.JSON {
+		b, err := json.Marshal(result)
+		if err != nil {
+			return nil, err
+		}
+		fmt.Println(string(b))
+	}
+	fmt.Printf("%-12s seed %d: %s in_time=%.3f worth=%.3f jobs=%d pushed_back=%d killed=%d unanswered=%d executions=%.3f loads=%d cold_use=%.2f warm_use=%.2f hash=%016x  %.0f times real time, %d events\n",
+		arm, seed, verdict(result.Passed()), result.InTime, result.WeightedInTime, result.Requests, result.Rejected, result.Failed, result.Unanswered,
+		perRequest(result.Attempts, result.Requests), result.Loads, result.SlowStartUtilization, result.Utilization, result.Hash,
+		length.Seconds()/took.Seconds(), result.Events)
+	for _, rule := range result.Rules {
+		if rule.ViolationCount > 0 {
+			fmt.Printf("    rule %d, %s: BROKEN %d times, as %s\n", rule.Number, rule.Name, rule.ViolationCount, rule.Violations[0])
+		}
+	}
+	return result, nil
+}
+
+// simulate runs the scenario once. It also gives the scenario's length.
+func (e emulateCmd) simulate(text []byte, arm string, seed uint64) (*chaostest.SimulationResult, time.Duration, error) {
+	s, err := chaostest.ParseScenario(e.Script, text)
+	if err != nil {
 		return nil, 0, err
 	}
-	if e.Manners != "" {
-		d.ClientBehavior = e.Manners
+	s.Seed, s.DampOverload = seed, s.DampOverload && !e.Undamped
+	o := overrides{requests: e.Jobs, routers: e.Routers, workers: e.Workers, clients: e.Clients, behavior: chaostest.ClientBehavior(e.Manners)}
+	if err := o.apply(s); err != nil {
+		return nil, 0, err
 	}
-	var res *chaostest.SimulationResult
-	if arm == "module" {
-		res, err = chaostest.Simulate(d, e.Threads, nil)
-	} else {
-		res, err = chaostest.Simulate(d, e.Threads, baseline.NewFactory(baseline.Policy(slices.Index(baseline.Names, arm))))
+	var newPolicy chaostest.PolicyFactory // nil: the balancer
+	if arm != moduleArm {
+		newPolicy = baseline.NewFactory(baseline.Policy(slices.Index(baseline.Names, arm)))
 	}
-	return res, d.Length, err
+	result, err := chaostest.Simulate(s, e.Threads, newPolicy)
+	return result, s.Length, err
 }
 
-// compare tells how the first arm fares against each other one on the same days: the mean of the differences, with its error.
-func (e emulateCmd) compare(in map[string][]float64) {
+// compare prints how the first arm fares against each other one with the same seeds: the mean of the differences, and its
+// standard error.
+func (e emulateCmd) compare(inTime map[string][]float64) {
 	for _, arm := range e.Arms[1:] {
 		n, sum, squares := float64(e.Seeds), 0.0, 0.0
-		for i, x := range in[e.Arms[0]] {
-			d := x - in[arm][i]
+		for i, first := range inTime[e.Arms[0]] {
+			d := first - inTime[arm][i]
 			sum, squares = sum+d, squares+d*d
 		}
-		mean := sum / n
-		spread := 0.0
+		mean, standardError := sum/n, 0.0
 		if n > 1 {
-			spread = math.Sqrt(max(0, squares-n*mean*mean) / (n - 1) / n)
+			standardError = math.Sqrt(max(0, squares-n*mean*mean) / (n - 1) / n)
 		}
-		fmt.Printf("in time, %s less %s: %+.3f, standard error %.3f, over %d days\n", e.Arms[0], arm, mean, spread, e.Seeds)
+		fmt.Printf("in time, %s less %s: %+.3f, standard error %.3f, over %d days\n", e.Arms[0], arm, mean, standardError, e.Seeds)
 	}
 }
--- a/cmd/hmchaos/load.go
+++ b/cmd/hmchaos/load.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"context"
+	"errors"
 	"fmt"
+	"time"
+
 	"hollymast/internal/chaostest"
 	"hollymast/internal/program"
-	"os"
-	"os/signal"
-	"syscall"
-	"time"
 )
 
 type loadCmd struct {
@@ -26,35 +24,43 @@
 	Router      string        `help:"The router's program; without, hollymast beside this one." type:"path"`
 }
 
+var errNoCount = errors.New("a count below one")
+
+// Run measures the stream at each rate and prints what each path showed.
 func (l loadCmd) Run() error {
 	router, err := routerProgram(l.Router)
 	if err != nil {
 		return err
 	}
 	if min(l.Connections, l.Servers, l.Functions) < 1 || l.Idle < 0 {
-		return program.UsageError{Err: fmt.Errorf("a count below one")}
+		return program.UsageError{Err: errNoCount}
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := untilInterrupted()
 	defer stop()
 	fmt.Printf("%-20s %8s %8s %8s %8s %8s %8s %10s %10s\n", "path", "asked/s", "kept/s", "failed", "p50 us", "p99 us", "p99.9 us", "CPU us/job", "memory KB")
 	for _, rate := range l.Rates {
-		measured, err := chaostest.RunLoadTest(ctx, chaostest.LoadTest{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
-			Functions: l.Functions, IdleConnections: l.Idle, TensorBytes: l.Bytes, UnknownFunctions: l.Strangers, RecordingPairs: l.Recording, TLSTriples: l.TLS, PersistencePairs: l.Memory}, router)
+		results, err := chaostest.RunLoadTest(ctx, chaostest.LoadTest{Rate: rate, Length: l.Length, Connections: l.Connections, Servers: l.Servers,
+			Functions: l.Functions, IdleConnections: l.Idle, TensorBytes: l.Bytes, UnknownFunctions: l.Strangers, RecordingPairs: l.Recording,
+			TLSTriples: l.TLS, PersistencePairs: l.Memory}, router)
 		if err != nil {
 			return err
 		}
-		for _, m := range measured {
-			fmt.Printf("%-20s %8d %8.0f %8d %8d %8d %8d %10.1f %10d\n", m.Path, rate, m.Throughput, m.Failed, m.P50, m.P99, m.P999, m.CPUPerRequest, m.MemoryKB)
-			if m.RecordedBytes > 0 {
-				fmt.Printf("  recorded %.1f bytes a job, %d turns lost, replayed alike %.0f times as fast\n", m.RecordedBytes, m.LostSteps, m.ReplaySpeed)
-			}
-			if m.Note != "" {
-				fmt.Println("  " + m.Note)
-			}
-			for _, r := range m.Ratios {
-				fmt.Printf("  with over without, %-9s median %.3f, quartiles %.3f to %.3f\n", r.Quantity, r.Median, r.Lower, r.Upper)
-			}
+		for _, r := range results {
+			printLoad(rate, r)
 		}
 	}
 	return nil
 }
+
+func printLoad(rate int, r chaostest.LoadResult) {
+	fmt.Printf("%-20s %8d %8.0f %8d %8d %8d %8d %10.1f %10d\n", r.Path, rate, r.Throughput, r.Failed, r.P50, r.P99, r.P999, r.CPUPerRequest, r.MemoryKB)
+	if r.RecordedBytes > 0 {
+		fmt.Printf("  recorded %.1f bytes a job, %d turns lost, replayed alike %.0f times as fast\n", r.RecordedBytes, r.LostSteps, r.ReplaySpeed)
+	}
+	if r.Note != "" {
+		fmt.Println("  " + r.Note)
+	}
+	for _, ratio := range r.Ratios {
+		fmt.Printf("  with over without, %-9s median %.3f, quartiles %.3f to %.3f\n", ratio.Quantity, ratio.Median, ratio.Lower, ratio.Upper)
+	}
+}
--- a/cmd/hmchaos/main.go
+++ b/cmd/hmchaos/main.go
@@ -1,7 +1,14 @@
-// Command hmchaos is the laboratory: it plays days against real routers on loopback and judges them.
+// Command hmchaos tests routers under load and faults: real processes on loopback, or simulated ones. It checks the invariants
+// and measures.
 package main
 
 import (
+	"context"
+	"errors"
+	"os"
+	"os/signal"
+	"syscall"
+
 	"hollymast/internal/program"
 )
 
@@ -14,6 +21,9 @@
 	Day        dayCmd        `cmd:"" help:"Play a scripted bad day and judge the five rules from what crossed the sockets."`
 }
 
+// errViolation ends a command whose report already says which invariants were violated.
+var errViolation = errors.New("a rule was broken")
+
 func main() {
 	var c cli
 	ctx := program.Parse(&c, "hmchaos", `The laboratory of hollymast.
@@ -31,3 +41,8 @@
   hmchaos load --rates 1000,10000 --recording 8`)
 	program.Exit("hmchaos", ctx.Run())
 }
+
+// untilInterrupted returns a context that ends with SIGINT or SIGTERM.
+func untilInterrupted() (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+}
--- a/cmd/hmchaos/router.go
+++ b/cmd/hmchaos/router.go
@@ -1,12 +1,13 @@
 package main
 
 import (
-	"hollymast/internal/program"
 	"os"
 	"path/filepath"
+
+	"hollymast/internal/program"
 )
 
-// routerProgram finds the router's program: the one named, else hollymast beside this one.
+// routerProgram gives the file of the router's program: the named one, or hollymast beside this program.
 func routerProgram(name string) (string, error) {
 	if name == "" {
 		self, err := os.Executable()
--- a/cmd/hmchaos/spec.go
+++ b/cmd/hmchaos/spec.go
@@ -2,82 +2,110 @@
 
 import (
 	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
 	"hollymast/internal/baseline"
 	"hollymast/internal/chaostest"
-	experiments "hollymast/internal/experiment"
+	"hollymast/internal/experiment"
 	"hollymast/internal/inifile"
 	"hollymast/internal/program"
-	"os"
-	"path/filepath"
-	"slices"
 )
 
-// asked is an experiment's file.
+// experimentSpec is what an experiment's file says.
 type experimentSpec struct {
-	plan         experiments.Plan
+	plan         experiment.Plan
 	script       string
 	scenarioText []byte
-	sizes        map[string]scenarioSize
-	programs     map[string]string // arms that are other builds
+	sizes        map[string]overrides // of the scenario
+	programs     map[string]string    // other builds of this program, by arm
 }
 
-// size is what of a day's script is replaced.
-type scenarioSize struct {
-	routers, workers, jobs, clients int
-	manners                         string
-}
+const (
+	sizeSectionPrefix = "size "
+	armSectionPrefix  = "arm "
+	defaultSizeName   = "as told" // the scenario's own size, where the file has no section for one
+)
 
-const defaultSizeName = "as told" // where the file has no section for a size
+// Upper bounds of a size.
+const (
+	maxProcesses = 5000 // routers, or workers
+	maxRequests  = 10_000_000
+	maxClients   = 20_000
+)
 
+// readSpec reads an experiment's file.
 func readSpec(name string) (*experimentSpec, error) {
-	f, err := inifile.Load(name)
+	file, err := inifile.Load(name)
 	if err != nil {
 		return nil, err
 	}
-	s := f.Section("experiment")
-	a := &experimentSpec{sizes: map[string]scenarioSize{}, programs: map[string]string{}}
-	if a.script = s.String("script", ""); !filepath.IsAbs(a.script) {
-		a.script = filepath.Join(filepath.Dir(name), a.script)
+	section := file.Section("experiment")
+	spec := &experimentSpec{sizes: map[string]overrides{}, programs: map[string]string{}}
+	spec.plan = experiment.Plan{
+		Arms:      section.Strings("arms"),
+		FirstSeed: uint64(section.Int("first_seed", 1, 1, 1<<30)),
+		MaxSeeds:  section.Int("seeds", 20, 2, 100_000),
+		MinSeeds:  section.Int("least_seeds", 5, 2, 100_000),
+		Tolerance: section.Float("indifferent", 0.005, 0, 1e9),
+		Measure:   inifile.OneOf(section, "measure", experiment.MeasureInTime, experiment.Measures...),
 	}
-	a.plan = experiments.Plan{Arms: s.Strings("arms"), FirstSeed: uint64(s.Int("first_seed", 1, 1, 1<<30)), MaxSeeds: s.Int("seeds", 20, 2, 100_000),
-		MinSeeds: s.Int("least_seeds", 5, 2, 100_000), Tolerance: s.Float("indifferent", 0.005, 0, 1e9),
-		Measure: experiments.Measures[s.OneOf("measure", experiments.Measures[0], experiments.Measures...)]}
-	if a.scenarioText, err = os.ReadFile(a.script); err != nil {
-		s.Errorf("script", "%v", err)
-	} else if _, err := chaostest.ParseScenario(a.script, a.scenarioText); err != nil {
-		s.Errorf("script", "%v", err)
+	if spec.script = section.String("script", ""); !filepath.IsAbs(spec.script) {
+		spec.script = filepath.Join(filepath.Dir(name), spec.script)
 	}
-	for _, x := range f.Sections("size ") {
-		n := x.Name[len("size "):]
-		a.plan.Sizes = append(a.plan.Sizes, n)
-		a.sizes[n] = scenarioSize{x.Int("routers", 0, 0, 5000), x.Int("workers", 0, 0, 5000), x.Int("jobs", 0, 0, 10_000_000), x.Int("clients", 0, 0, 20_000),
-			append([]string{""}, chaostest.ClientBehaviors...)[x.OneOf("manners", "", append([]string{""}, chaostest.ClientBehaviors...)...)]}
+	if spec.scenarioText, err = os.ReadFile(spec.script); err != nil {
+		section.Errorf("script", "%v", err)
+	} else if _, err := chaostest.ParseScenario(spec.script, spec.scenarioText); err != nil {
+		section.Errorf("script", "%v", err)
+	}
+	spec.readSizes(file)
+	spec.readArms(file, section)
+	return spec, file.Check()
+}
+
+func (spec *experimentSpec) readSizes(file *inifile.File) {
+	behaviors := append([]chaostest.ClientBehavior{""}, chaostest.ClientBehaviors...)
+	for _, section := range file.Sections(sizeSectionPrefix) {
+		name := strings.TrimPrefix(section.Name, sizeSectionPrefix)
+		spec.plan.Sizes = append(spec.plan.Sizes, name)
+		spec.sizes[name] = overrides{
+			routers:  section.Int("routers", 0, 0, maxProcesses),
+			workers:  section.Int("workers", 0, 0, maxProcesses),
+			requests: section.Int("jobs", 0, 0, maxRequests),
+			clients:  section.Int("clients", 0, 0, maxClients),
+			behavior: inifile.OneOf(section, "manners", "", behaviors...),
+		}
 	}
-	if len(a.plan.Sizes) == 0 {
-		a.plan.Sizes, a.sizes[defaultSizeName] = []string{defaultSizeName}, scenarioSize{}
+	if len(spec.plan.Sizes) == 0 {
+		spec.plan.Sizes, spec.sizes[defaultSizeName] = []string{defaultSizeName}, overrides{}
 	}
-	for _, x := range f.Sections("arm ") {
-		p := x.String("program", "")
-		if a.programs[x.Name[len("arm "):]] = p; program.BuildIDOf(p) == "" {
-			x.Errorf("program", "%q can't be read", p)
+}
+
+func (spec *experimentSpec) readArms(file *inifile.File, main *inifile.Section) {
+	for _, section := range file.Sections(armSectionPrefix) {
+		name := section.String("program", "")
+		if program.BuildIDOf(name) == "" {
+			section.Errorf("program", "%q can't be read", name)
 		}
+		spec.programs[strings.TrimPrefix(section.Name, armSectionPrefix)] = name
 	}
-	if len(a.plan.Arms) < 2 {
-		s.Errorf("arms", "fewer than two")
+	if len(spec.plan.Arms) < 2 {
+		main.Errorf("arms", "fewer than two")
 	}
-	for _, arm := range a.plan.Arms {
-		if arm != "module" && arm != "undamped" && a.programs[arm] == "" && !slices.Contains(baseline.Names, arm) {
-			s.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.Names, arm)
+	for _, arm := range spec.plan.Arms {
+		if arm != moduleArm && arm != undampedArm && spec.programs[arm] == "" && !slices.Contains(baseline.Names, arm) {
+			main.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.Names, arm)
 		}
 	}
-	return a, f.Check()
 }
 
-// origin names what plays an arm on which day: rows of another build or script are others.
-func (a *experimentSpec) origin(arm string) string {
+// origin identifies what an arm's results depend on beside the trial: the build, the scenario and the sizes.
+func (spec *experimentSpec) origin(arm string) string {
 	build := program.BuildID()
-	if p := a.programs[arm]; p != "" {
-		build = program.BuildIDOf(p)
+	if name := spec.programs[arm]; name != "" {
+		build = program.BuildIDOf(name)
 	}
-	return build + " " + fmt.Sprintf("%x", chaostest.ScenarioHash(a.scenarioText)) + " " + fmt.Sprint(a.sizes)
+	return build + " " + fmt.Sprintf("%x", chaostest.ScenarioHash(spec.scenarioText)) + " " + fmt.Sprint(spec.sizes)
 }
--- a/internal/chaostest/chaostest_test.go
+++ b/internal/chaostest/chaostest_test.go
@@ -241,9 +241,9 @@
 	for i := range 100 {
 		recs = append(recs, invariant.Record{At: 100 + 3_000_000, Kind: invariant.AttemptStarted, Server: i % 2})
 	}
-	ofCold, ofWarm := p.utilization(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
-	if math.Abs(ofCold-0.5) > 0.001 || math.Abs(ofWarm-50.0/640) > 0.001 {
-		t.Errorf("cold %.4f, warm %.4f", ofCold, ofWarm)
+	use := p.utilization(recs) // 4 s from a quarter to all of 40 a second; 16 s at 40
+	if math.Abs(use.slowStart-0.5) > 0.001 || math.Abs(use.usual-50.0/640) > 0.001 {
+		t.Errorf("slow start %.4f, otherwise %.4f", use.slowStart, use.usual)
 	}
 }
 
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -3,58 +3,66 @@
 import (
 	"bytes"
 	"fmt"
-	"hollymast/internal/fakeserver"
-	"hollymast/internal/invariant"
 	"path/filepath"
 	"slices"
 	"strings"
 	"time"
+
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
+)
+
+// The fake servers, and what routers are told about them: together about twice the capacity that the usual load needs, with
+// loads that take far longer than requests.
+const (
+	serverCores       = 2
+	serverLanes       = 2
+	executionTime     = 50 * time.Millisecond
+	serverRate        = float64(serverCores) * float64(time.Second/executionTime) // requests per second, after slow start
+	serverQueue       = 40
+	maxReplicas       = 40
+	loadTime          = 150 * time.Millisecond
+	maxLoads          = 4 // at once, per server
+	dedupWindow       = 5 * time.Second
+	keepAlive         = 5 * time.Second
+	slowStartDuration = 4 * time.Second
+	slowStartInitial  = 0.25 // of serverRate
+	overloadWindow    = time.Second
+	overloadFactor    = 2.0
+	drainGrace        = 500 * time.Millisecond
+	storeFetchTime    = 25 * time.Millisecond
+	storeConcurrency  = 8
 )
 
-// The servers of a day: about twice the demand of a usual day, with loads far longer than jobs.
+// The limit on each router's load commands: loadRateBase, and loadRatePerRequest more for each request, in loadRateWindow.
 const (
-	serverCores        = 2
-	serverLanes        = 2
-	workTime           = 50 * time.Millisecond
-	serverRate         = float64(serverCores) * float64(time.Second/workTime) // jobs a second that a warm server bears
-	slowStartDuration  = 4 * time.Second
-	slowStartInitial   = 0.25
-	overloadWindow     = time.Second
-	overloadFactor     = 2.0
-	keepAlive          = 5 * time.Second
-	drainGrace         = 500 * time.Millisecond
 	loadRateWindow     = 4 * time.Second
 	loadRateBase       = 6
 	loadRatePerRequest = 0.05
-	storeFetchTime     = 25 * time.Millisecond
-	storeConcurrency   = 8
 )
 
-// make gives what a server of the day is made like.
-func (p *harness) serverOptions(i int) fakeserver.Config {
-	return fakeserver.Config{Number: i, MaxReplicas: 40, Lanes: serverLanes, Cores: serverCores, ExecutionTime: workTime, QueueLimit: 40,
-		LoadTime: 150 * time.Millisecond, MaxLoads: 4, LoadCommandsOnly: p.scenario.LoadCommandsOnly, DedupWindow: 5 * time.Second, KeepAlive: keepAlive, SlowStartDuration: slowStartDuration, SlowStartInitial: slowStartInitial, OverloadWindow: overloadWindow,
-		OverloadRate: serverRate * overloadFactor, Seed: p.scenario.Seed, NoDedupPrefix: nonIdempotentKeyPrefix}
+// maxNetworkDelay bounds the time between the two ends of a connection, as the balancer allows for one.
+const maxNetworkDelay = 50 * time.Millisecond
+
+// zone gives the zone of a server or router. Each zone has one cell of the same name.
+func zone(i int) string { return string(rune('a' + i%zones)) }
+
+const zones = 3
+
+func (h *harness) serverConfig(i int) fakeserver.Config {
+	return fakeserver.Config{Number: i, MaxReplicas: maxReplicas, Lanes: serverLanes, Cores: serverCores, ExecutionTime: executionTime, QueueLimit: serverQueue,
+		LoadTime: loadTime, MaxLoads: maxLoads, LoadCommandsOnly: h.scenario.LoadCommandsOnly, DedupWindow: dedupWindow, KeepAlive: keepAlive,
+		SlowStartDuration: slowStartDuration, SlowStartInitial: slowStartInitial, OverloadWindow: overloadWindow,
+		OverloadRate: serverRate * overloadFactor, Seed: h.scenario.Seed, NoDedupPrefix: nonIdempotentKeyPrefix}
 }
 
-// settings writes one router's file.
-func (p *harness) routerConfig(i int) []byte {
+// endpointsFile is the file that routers read the endpoint list from, unless there is a control plane.
+func (h *harness) endpointsFile() string { return filepath.Join(h.dir, "workers.ini") }
+
+// routerConfig gives a router's configuration file.
+func (h *harness) routerConfig(i int) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "[router]\nlisten = %s\nnumber = %d\nrouters = %d\nzone = %s\nlist = %s\nseed = %d\nlog = info\n", p.addresses[i], i,
-		p.scenario.Routers, zone(i), filepath.Join(p.dir, "workers.ini"), p.scenario.Seed*64+uint64(i)+1)
-	fmt.Fprintf(&b, "[servers]\nkeep_alive = %s\ncold_from = %g\ncold = %s\nfall = %s\nfall_multiple = %g\ngrace = %s\n", keepAlive, slowStartInitial, slowStartDuration, overloadWindow, overloadFactor, drainGrace)
-	if p.scenario.LoadCommandsOnly {
-		b.WriteString("loads_on_miss = no\n")
-	}
-	if p.scenario.LimitLoadRate {
-		fmt.Fprintf(&b, "load_window = %s\nload_free = %d\nload_share = %g\n", loadRateWindow, loadRateBase, loadRatePerRequest)
-	}
-	if p.scenario.RecordDir != "" {
-		fmt.Fprintf(&b, "[record]\nfolder = %s\nsegment = 1000000\nage = 5s\n", filepath.Join(p.scenario.RecordDir, fmt.Sprintf("router-%d", i)))
-	}
-	if p.scenario.keepsRouterState() {
-		fmt.Fprintf(&b, "[memory]\nfolder = %s\nevery = 1s\nmarks_for = 1m\n", p.stateDir(i))
-	}
+	h.writeRouterSections(&b, i)
 	for _, w := range workloadMix {
 		fmt.Fprintf(&b, "[workload %s]\nstart_target = %s\ntime_limit = %s\nimportance = %g\neffect = %s\n", w.name, w.latencyObjective, w.maxDeadline, w.importance, w.effect)
 		if w.window > 0 {
@@ -62,37 +70,59 @@
 		}
 		fmt.Fprintf(&b, "[function %s-*]\nworkload = %s\nlanes = %d\n", w.name, w.name, serverLanes)
 	}
-	if slices.ContainsFunc(p.scenario.Faults, func(t Fault) bool { return t.Kind == "one_tenant" }) {
-		fmt.Fprintf(&b, "[tenant calm]\nshare = %d\n[tenant loud]\nshare = %d\n", p.scenario.Requests/max(1, int(p.scenario.Length.Seconds())), noisyTenantQuota)
+	if slices.ContainsFunc(h.scenario.Faults, func(f Fault) bool { return f.Kind == FaultOneTenant }) {
+		perSecond := h.scenario.Requests / max(1, int(h.scenario.Length.Seconds()))
+		fmt.Fprintf(&b, "[tenant %s]\nshare = %d\n[tenant %s]\nshare = %d\n", usualTenant, perSecond, noisyTenant, noisyTenantQuota)
 	}
-	if !p.scenario.DampOverload {
+	if !h.scenario.DampOverload {
 		b.WriteString("[clients]\ndamp_storms = no\n")
 	}
-	b.WriteString(p.certificates.routerConfig(p.controlPlane != nil))
-	text := strings.NewReplacer(p.scenario.configOverrides...).Replace(b.String())
-	if p.controlPlane != nil {
-		text = strings.Replace(text, "list = "+filepath.Join(p.dir, "workers.ini"), "xds = "+p.controlPlane.Address()+"\nxds_variant = "+
-			map[string]string{"xds": "sotw", "delta": "delta"}[p.scenario.EndpointSource], 1)
+	b.WriteString(h.certificates.routerConfig())
+	if h.controlPlane != nil {
+		b.WriteString(h.certificates.controlPlaneConfig())
+	}
+	text := strings.NewReplacer(h.scenario.configOverrides...).Replace(b.String())
+	if h.controlPlane != nil {
+		variant := map[EndpointSource]string{SourceXDS: "sotw", SourceXDSDelta: "delta"}[h.scenario.EndpointSource]
+		text = strings.Replace(text, "list = "+h.endpointsFile(), "xds = "+h.controlPlane.Address()+"\nxds_variant = "+variant, 1)
 	}
 	return []byte(text)
 }
 
-func zone(i int) string { return string(rune('a' + i%3)) }
+// writeRouterSections writes the sections on the router itself and on the servers.
+func (h *harness) writeRouterSections(b *bytes.Buffer, i int) {
+	fmt.Fprintf(b, "[router]\nlisten = %s\nnumber = %d\nrouters = %d\nzone = %s\nlist = %s\nseed = %d\nlog = info\n", h.addresses[i], i,
+		h.scenario.Routers, zone(i), h.endpointsFile(), h.scenario.Seed*maxRouters+uint64(i)+1)
+	fmt.Fprintf(b, "[servers]\nkeep_alive = %s\ncold_from = %g\ncold = %s\nfall = %s\nfall_multiple = %g\ngrace = %s\n", keepAlive, slowStartInitial, slowStartDuration,
+		overloadWindow, overloadFactor, drainGrace)
+	if h.scenario.LoadCommandsOnly {
+		b.WriteString("loads_on_miss = no\n")
+	}
+	if h.scenario.LimitLoadRate {
+		fmt.Fprintf(b, "load_window = %s\nload_free = %d\nload_share = %g\n", loadRateWindow, loadRateBase, loadRatePerRequest)
+	}
+	if h.scenario.RecordDir != "" {
+		fmt.Fprintf(b, "[record]\nfolder = %s\nsegment = 1000000\nage = 5s\n", filepath.Join(h.scenario.RecordDir, fmt.Sprintf("router-%d", i)))
+	}
+	if h.scenario.keepsRouterState() {
+		fmt.Fprintf(b, "[memory]\nfolder = %s\nevery = 1s\nmarks_for = 1m\n", h.stateDir(i))
+	}
+}
 
-// law is what the judge is told: the same figures as the routers, and the stand-ins' own rate.
-func (p *harness) invariantConfig() invariant.Config {
-	l := invariant.Config{Classes: map[string]invariant.Class{}, DrainGrace: drainGrace.Microseconds(), SlowStartDuration: slowStartDuration.Microseconds(),
+// invariantConfig gives the check the same figures as routers have, and the fake servers' own rate.
+func (h *harness) invariantConfig() invariant.Config {
+	c := invariant.Config{Classes: map[string]invariant.Class{}, DrainGrace: drainGrace.Microseconds(), SlowStartDuration: slowStartDuration.Microseconds(),
 		SlowStartInitial: slowStartInitial, OverloadWindow: overloadWindow.Microseconds(), OverloadFactor: overloadFactor, ServerRate: serverRate,
-		MaxNetworkDelay: 50_000} // as the module allows for a hop
-	for i := range p.servers {
-		l.Zone, l.Cell = append(l.Zone, zone(i)), append(l.Cell, zone(i))
+		MaxNetworkDelay: maxNetworkDelay.Microseconds()}
+	for i := range h.servers {
+		c.Zone, c.Cell = append(c.Zone, zone(i)), append(c.Cell, zone(i))
 	}
 	for _, w := range workloadMix {
-		l.Classes[w.name] = invariant.Class{NonIdempotent: w.effect == "run-once", IdempotentByKey: w.effect == "fingerprinted",
+		c.Classes[w.name] = invariant.Class{NonIdempotent: w.effect == effectNonIdempotent, IdempotentByKey: w.effect == effectIdempotentByKey,
 			Scope: w.scope, Window: w.window.Microseconds()}
 	}
-	if p.scenario.LimitLoadRate {
-		l.LoadRateWindow, l.LoadRateBase, l.LoadRatePerRequest = loadRateWindow.Microseconds(), loadRateBase, loadRatePerRequest
+	if h.scenario.LimitLoadRate {
+		c.LoadRateWindow, c.LoadRateBase, c.LoadRatePerRequest = loadRateWindow.Microseconds(), loadRateBase, loadRatePerRequest
 	}
-	return l
+	return c
 }
--- a/internal/chaostest/echo.go
+++ b/internal/chaostest/echo.go
@@ -2,58 +2,70 @@
 
 import (
 	"context"
-	"hollymast/internal/rest"
-	"hollymast/kserve"
 	"net"
+	"net/http"
 	"strings"
+	"sync"
+
+	"hollymast/internal/rest"
+	"hollymast/kserve"
 )
 
-// strangers begins the names of functions that no server has.
-const unknownPrefix = "/strangers-"
+// unknownPrefix begins the names of functions that no server has.
+const unknownPrefix = "strangers-"
+
+// echoServers answer every request at once. They are simpler than the fake servers, so that a load test measures the router.
+type echoServers struct {
+	running sync.WaitGroup // their goroutines
+}
 
-// echo is a server that answers every job at once. It is kept apart from the stand-ins so that only wires are measured.
-func startEchoServer(ctx context.Context, secure func(net.Conn) (net.Conn, error)) (string, error) {
+// start starts a server that runs until the context ends; see wait. A nil secure stands for no TLS.
+func (e *echoServers) start(ctx context.Context, secure func(net.Conn) (net.Conn, error)) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	go func() {
-		<-ctx.Done()
-		l.Close()
-	}()
-	go func() {
+	context.AfterFunc(ctx, func() { l.Close() })
+	e.running.Go(func() {
 		for {
-			nc, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer nc.Close()
-				stop := context.AfterFunc(ctx, func() { nc.Close() })
-				defer stop()
-				if secure != nil {
-					if nc, err = secure(nc); err != nil {
-						return
-					}
-				}
-				c := rest.NewConn(nc, &rest.DefaultLimits, nil)
-				answer := &rest.Response{Status: 200, Header: rest.Header{"Content-Type": {"application/json"}},
-					Body: []byte(`{"model_name":"m","parameters":{"found":"warm"},"outputs":[]}`)}
-				for {
-					q, err := c.ReadRequest()
-					if err != nil {
-						return
-					}
-					p := answer
-					if strings.Contains(q.Target, unknownPrefix) {
-						p = &rest.Response{Status: 404, Header: rest.Header{}, Body: kserve.Fault{Error: "no such model"}.Body()}
-					}
-					if c.WriteResponse(p) != nil {
-						return
-					}
-				}
-			}()
+			e.running.Go(func() { serveEcho(ctx, conn, secure) })
 		}
-	}()
+	})
 	return l.Addr().String(), nil
 }
+
+// wait waits until all servers have ended, after their context has.
+func (e *echoServers) wait() { e.running.Wait() }
+
+// serveEcho answers the requests of one connection.
+func serveEcho(ctx context.Context, conn net.Conn, secure func(net.Conn) (net.Conn, error)) {
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	if secure != nil {
+		var err error
+		if conn, err = secure(conn); err != nil {
+			return
+		}
+	}
+	c := rest.NewConn(conn, &rest.DefaultLimits, nil)
+	success := &rest.Response{Status: http.StatusOK, Header: rest.Header{"Content-Type": {"application/json"}},
+		Body: []byte(`{"model_name":"m","parameters":{"found":"warm"},"outputs":[]}`)}
+	notFound := &rest.Response{Status: http.StatusNotFound, Header: rest.Header{}, Body: kserve.Fault{Error: "no such model"}.Body()}
+	for {
+		q, err := c.ReadRequest()
+		if err != nil {
+			return
+		}
+		response := success
+		if strings.Contains(q.Target, "/"+unknownPrefix) {
+			response = notFound
+		}
+		if c.WriteResponse(response) != nil {
+			return
+		}
+	}
+}
--- a/internal/chaostest/faults.go
+++ b/internal/chaostest/faults.go
@@ -3,216 +3,176 @@
 import (
 	"context"
 	"fmt"
-	"hollymast/internal/fakeserver"
-	"hollymast/internal/invariant"
-	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
 )
 
-// trouble makes one trouble and ends it.
-func (p *harness) injectFault(ctx context.Context, t Fault) {
-	which := []int{t.Target}
-	if t.Target < 0 {
-		which = nil
-		for i := range p.servers {
-			which = append(which, i)
+// injectFault injects a fault and returns when it is over.
+func (h *harness) injectFault(ctx context.Context, f Fault) {
+	switch f.Kind {
+	case FaultOriginSlow:
+		h.store.Degrade(f.Factor, false)
+		sleep(ctx, f.Duration)
+		h.store.Degrade(1, false)
+	case FaultOriginStopped:
+		h.store.Degrade(1, true)
+		sleep(ctx, f.Duration)
+		h.store.Degrade(1, false)
+	case FaultDiscoveryStale:
+		h.holdPublishing(func() { sleep(ctx, f.Duration) })
+	case FaultControlPlaneLost, FaultControlPlaneHalf, FaultControlPlaneCut, FaultControlPlaneStall:
+		h.injectControlPlaneFault(ctx, f)
+	case FaultCrash, FaultVanish, FaultDeploy:
+		h.injectServerRestart(ctx, f)
+	case FaultRouterStall, FaultRouterRoll, FaultRouterKill:
+		var wg sync.WaitGroup
+		for _, router := range f.targets(len(h.routers)) {
+			wg.Go(func() { h.injectRouterFault(ctx, f, router) })
 		}
+		wg.Wait()
+	case FaultRise: // is in the schedule alone
+	default:
+		h.injectServerFault(ctx, f)
 	}
-	if !strings.HasPrefix(t.Kind, "balancer") {
-		which = slices.DeleteFunc(which, func(i int) bool { return i >= len(p.servers) })
-	}
-	faults := func(f fakeserver.Faults) {
-		for _, i := range which {
-			p.servers[i].SetFaults(f)
-		}
+}
+
+// setServerFaults sets how some servers misbehave.
+func (h *harness) setServerFaults(servers []int, faults fakeserver.Faults) {
+	for _, i := range servers {
+		h.servers[i].SetFaults(faults)
 	}
-	switch t.Kind {
-	case "hang":
-		faults(fakeserver.Faults{Silent: true})
-	case "pauses":
-		for end := time.Now().Add(t.Duration); time.Now().Before(end) && ctx.Err() == nil; {
-			faults(fakeserver.Faults{Slowdown: 10})
-			sleep(ctx, 200*time.Millisecond)
-			faults(fakeserver.Faults{})
-			sleep(ctx, 600*time.Millisecond)
-		}
-		return
-	case "answer_lost":
-		faults(fakeserver.Faults{LostAnswers: t.Share})
-	case "reset_before":
-		faults(fakeserver.Faults{ResetBefore: t.Share})
-	case "reset_after":
-		faults(fakeserver.Faults{ResetAfter: t.Share})
-	case "refuse":
-		faults(fakeserver.Faults{Overloaded: true})
-	case "ageing":
-		for step := range 5 {
-			faults(fakeserver.Faults{Slowdown: 1 + (t.Factor-1)*float64(step+1)/5})
-			sleep(ctx, t.Duration/5)
-		}
-	case "origin_slow":
-		p.store.Degrade(t.Factor, false)
-		sleep(ctx, t.Duration)
-		p.store.Degrade(1, false)
-		return
-	case "origin_stopped":
-		p.store.Degrade(1, true)
-		sleep(ctx, t.Duration)
-		p.store.Degrade(1, false)
-		return
-	case "discovery_stale":
-		p.mu.Lock()
-		p.publishHolds++
-		p.mu.Unlock()
-		sleep(ctx, t.Duration)
-		p.mu.Lock()
-		p.publishHolds--
-		p.mu.Unlock()
-		p.publish()
-		return
-	case "plane_lost", "plane_half", "plane_cut", "plane_silent":
-		p.injectControlPlaneFault(ctx, t)
-		return
-	case "crash":
-		for _, i := range which {
-			p.servers[i].Stop()
+}
+
+// Steps of the faults in which servers are slow.
+const (
+	pauseSlowdown = 10
+	pauseLength   = 200 * time.Millisecond
+	pauseInterval = 600 * time.Millisecond // from the end of a pause to the next
+	ageingSteps   = 5
+)
+
+// injectServerFault has servers misbehave for a time. Faults that are in the schedule have the targets behave well afterwards
+// and do nothing else.
+func (h *harness) injectServerFault(ctx context.Context, f Fault) {
+	servers := f.targets(len(h.servers))
+	switch f.Kind {
+	case FaultPauses:
+		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; {
+			h.setServerFaults(servers, fakeserver.Faults{Slowdown: pauseSlowdown})
+			sleep(ctx, pauseLength)
+			h.setServerFaults(servers, fakeserver.Faults{})
+			sleep(ctx, pauseInterval)
 		}
-		sleep(ctx, t.Duration)
-		p.restartServers(ctx, which)
 		return
-	case "vanish":
-		faults(fakeserver.Faults{Silent: true})
-		sleep(ctx, t.Duration)
-		for _, i := range which {
-			p.servers[i].Stop()
+	case FaultAgeing:
+		for step := range ageingSteps {
+			h.setServerFaults(servers, fakeserver.Faults{Slowdown: 1 + (f.Factor-1)*float64(step+1)/ageingSteps})
+			sleep(ctx, f.Duration/ageingSteps)
 		}
-		p.restartServers(ctx, which)
+		h.setServerFaults(servers, fakeserver.Faults{})
 		return
-	case "deploy":
-		for _, i := range which {
-			p.setState(i, "draining")
-		}
-		sleep(ctx, t.Duration)
-		for _, i := range which {
-			p.setState(i, "gone")
-			p.servers[i].Stop()
-		}
-		p.restartServers(ctx, which)
-		return
-	case "rise": // the schedule has it
-		return
-	case "balancer_stall", "balancer_roll", "balancer_kill":
-		which := []int{t.Target}
-		if t.Target < 0 {
-			which = nil
-			for i := range p.routers {
-				which = append(which, i)
-			}
+	case FaultHang:
+		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+	case FaultAnswerLost:
+		h.setServerFaults(servers, fakeserver.Faults{LostAnswers: f.Share})
+	case FaultResetBefore:
+		h.setServerFaults(servers, fakeserver.Faults{ResetBefore: f.Share})
+	case FaultResetAfter:
+		h.setServerFaults(servers, fakeserver.Faults{ResetAfter: f.Share})
+	case FaultRefuse:
+		h.setServerFaults(servers, fakeserver.Faults{Overloaded: true})
+	}
+	sleep(ctx, f.Duration)
+	h.setServerFaults(servers, fakeserver.Faults{})
+}
+
+// injectServerRestart stops servers in one way or another and restarts them.
+func (h *harness) injectServerRestart(ctx context.Context, f Fault) {
+	servers := f.targets(len(h.servers))
+	switch f.Kind {
+	case FaultCrash:
+		h.stopServers(servers)
+		sleep(ctx, f.Duration)
+	case FaultVanish:
+		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+		sleep(ctx, f.Duration)
+		h.stopServers(servers)
+	case FaultDeploy:
+		for _, i := range servers {
+			h.setState(i, invariant.EndpointDraining)
 		}
-		var wg sync.WaitGroup
-		for _, i := range which {
-			one := t
-			one.Target = i
-			wg.Go(func() { p.injectRouterFault(ctx, one) })
+		sleep(ctx, f.Duration)
+		for _, i := range servers {
+			h.setState(i, invariant.EndpointGone)
+			h.servers[i].Stop()
 		}
-		wg.Wait()
-		return
 	}
-	if t.Kind != "ageing" {
-		sleep(ctx, t.Duration)
-	}
-	faults(fakeserver.Faults{})
+	h.restartServers(servers)
 }
 
-// planeTrouble breaks the control plane: all of its list or half of it is lost by a fault, its streams are cut again and again,
-// or it says nothing. What really happens to servers meanwhile it tells afterwards.
-func (p *harness) injectControlPlaneFault(ctx context.Context, t Fault) {
-	hold := func(by int) {
-		p.mu.Lock()
-		p.publishHolds += by
-		p.mu.Unlock()
-	}
-	switch t.Kind {
-	case "plane_lost", "plane_half":
-		hold(1)
-		p.controlPlane.Update(func(clusters map[string][]fakeserver.Endpoint) {
-			if t.Kind == "plane_lost" {
-				clear(clusters)
-			} else {
-				delete(clusters, "odd")
-			}
-		})
-		sleep(ctx, t.Duration)
-		hold(-1)
-		p.publish()
-	case "plane_cut":
-		for end := time.Now().Add(t.Duration); time.Now().Before(end) && ctx.Err() == nil; {
-			p.controlPlane.DropStreams(true)
-			sleep(ctx, 300*time.Millisecond)
-		}
-	case "plane_silent": // while it is, nothing that it should say happens
-		hold(1)
-		p.controlPlane.SetStalled(true)
-		sleep(ctx, t.Duration)
-		p.controlPlane.SetStalled(false)
-		hold(-1)
-		p.publish()
+func (h *harness) stopServers(servers []int) {
+	for _, i := range servers {
+		h.servers[i].Stop()
 	}
 }
 
-// revive starts dead servers, cold and empty, and has the list tell it a little later.
-func (p *harness) restartServers(ctx context.Context, which []int) {
-	for _, i := range which {
-		if err := p.servers[i].Start(true); err != nil {
-			p.recordError(fmt.Errorf("server %d could not start again: %w", i, err))
+// restartServers starts stopped servers, in slow start and without loaded functions, and publishes them afterwards.
+func (h *harness) restartServers(servers []int) {
+	for _, i := range servers {
+		if err := h.servers[i].Start(true); err != nil {
+			h.recordError(fmt.Errorf("server %d could not start again: %w", i, err))
 		}
 	}
-	for _, i := range which {
-		p.setState(i, "ready")
+	for _, i := range servers {
+		h.setState(i, invariant.EndpointReady)
 	}
 }
 
-func (p *harness) injectRouterFault(ctx context.Context, t Fault) {
-	if t.Target < 0 || t.Target >= len(p.routers) {
-		return
-	}
-	r, halted := p.routers[t.Target], invariant.Record{Router: t.Target}
-	halted.Kind = invariant.RouterDown
-	p.log.Add(halted)
-	switch t.Kind {
-	case "balancer_stall":
+// injectRouterFault stalls a router, or restarts it.
+func (h *harness) injectRouterFault(ctx context.Context, f Fault, router int) {
+	r := h.routers[router]
+	h.log.Add(invariant.Record{Kind: invariant.RouterDown, Router: router})
+	switch f.Kind {
+	case FaultRouterStall:
 		r.signal(syscall.SIGSTOP)
-		sleep(ctx, t.Duration)
+		sleep(ctx, f.Duration)
 		r.signal(syscall.SIGCONT)
-	case "balancer_roll":
-		if err := r.stop(syscall.SIGTERM); err != nil {
-			p.recordError(fmt.Errorf("router %d did not end well when told to: %w", t.Target, err))
-		}
-		fallthrough
-	case "balancer_kill":
-		r.stop(syscall.SIGKILL)
-		sleep(ctx, t.Duration)
-		renewed := invariant.Record{Kind: invariant.RouterRestarted, Router: t.Target}
-		if p.scenario.keepsRouterState() {
-			renewed.Detail = invariant.StateRestored
-			if err := p.alterState(t.Target); err != nil {
-				p.recordError(err)
-				return
+	case FaultRouterRoll, FaultRouterKill:
+		if f.Kind == FaultRouterRoll {
+			if err := r.stop(syscall.SIGTERM); err != nil {
+				h.recordError(fmt.Errorf("router %d did not end well when told to: %w", router, err))
 			}
 		}
-		p.log.Add(renewed)
-		if err := r.start(p.program, p.dir); err != nil {
-			p.recordError(err)
+		r.stop(syscall.SIGKILL)
+		sleep(ctx, f.Duration)
+		if err := h.restartRouter(ctx, router); err != nil {
+			h.recordError(err)
 			return
 		}
-		p.awaitReady(ctx, t.Target)
-		p.mu.Lock()
-		p.restarts = append(p.restarts, restartEvent{t.Target, p.log.Now(), time.Since(p.startedAt)})
-		p.mu.Unlock()
 	}
-	halted.Kind = invariant.RouterUp
-	p.log.Add(halted)
+	h.log.Add(invariant.Record{Kind: invariant.RouterUp, Router: router})
+}
+
+// restartRouter starts a stopped router with the persisted state that the scenario wants, and waits until it is ready.
+func (h *harness) restartRouter(ctx context.Context, router int) error {
+	record := invariant.Record{Kind: invariant.RouterRestarted, Router: router}
+	if h.scenario.keepsRouterState() {
+		record.Detail = invariant.StateRestored
+		if err := h.alterState(router); err != nil {
+			return err
+		}
+	}
+	h.log.Add(record)
+	if err := h.routers[router].start(h.program); err != nil {
+		return err
+	}
+	h.routers[router].awaitReady(ctx)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.restarts = append(h.restarts, restart{router, h.log.Now(), time.Since(h.startedAt)})
+	return nil
 }
--- a/internal/chaostest/harness.go
+++ b/internal/chaostest/harness.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strconv"
 	"sync"
+	"syscall"
 	"time"
 
 	"hollymast/client"
@@ -16,137 +16,148 @@
 	"hollymast/internal/rest"
 )
 
-func itoa(n int) string { return strconv.Itoa(n) }
-
-// play is a day under way.
+// harness owns the processes, servers and clients of one run.
 type harness struct {
 	scenario       *Scenario
-	dir            string
-	program        string
+	dir            string // of configuration files, logs, certificates and persisted state
+	program        string // the router's
 	log            *invariant.Log
 	store          *fakeserver.Store
-	controlPlane   *fakeserver.ControlPlane // nil: the list is a file
-	certificates   *certificates            // nil: connections are in plain text
+	controlPlane   *fakeserver.ControlPlane // nil: the endpoint list is a file
+	certificates   *certificates            // nil: no TLS
 	servers        []*fakeserver.Server
 	routers        []*routerProcess
-	addresses      []string
+	addresses      []string // of routers
 	pools          []*clientPool
-	outcomes       []effectOutcome
-	restartRetries RestartRetries
-	restarts       []restartEvent
+	libraryClients []*client.Client
 	startedAt      time.Time
-	logStart       int64            // of the log, when the day began
-	libraryClients []*client.Client // of clients that behave as the library
+	logStart       int64 // time of the log at startedAt
 
-	mu                sync.Mutex
-	states            []string // as the list is to tell them
-	published         []string // as it does
-	publishHolds      int      // troubles that keep the list from being written
-	err               error
-	brokenConnections int // client connections that ended without an answer, but for lack of time
+	mu                sync.Mutex // guards what is below
+	states            []string   // of servers, as the endpoint list is to have them
+	published         []string   // of servers, as the endpoint list has them
+	publishHolds      int        // faults that keep the endpoint list from being published
+	outcomes          []outcome
+	restarts          []restart
+	restartRetries    RestartRetries
+	brokenConnections int   // client connections that ended without an answer, timeouts aside
+	err               error // the first
 }
 
-func (p *harness) recordError(err error) {
-	p.mu.Lock()
-	if p.err == nil {
-		p.err = err
+// recordError keeps the first error that made the run worthless.
+func (h *harness) recordError(err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.err == nil {
+		h.err = err
 	}
-	p.mu.Unlock()
 }
 
-// broke counts a client's connection that ended without an answer.
-func (p *harness) countBrokenConnection(err error) {
+// countBrokenConnection counts a client connection that ended without an answer, unless the client's time was up.
+func (h *harness) countBrokenConnection(err error) {
 	if errors.Is(err, rest.ErrTimeout) {
 		return
 	}
-	p.mu.Lock()
-	p.brokenConnections++
-	p.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.brokenConnections++
 }
 
-func (p *harness) startAll(ctx context.Context) error {
-	d := p.scenario
-	for i := range d.Workers {
-		m := p.serverOptions(i)
-		m.Handshake = p.certificates.serverSecurity(workerName(i))
-		s := fakeserver.New(m, p.store, p.log)
-		if err := s.Start(false); err != nil {
-			return err
-		}
-		p.servers = append(p.servers, s)
-		p.states = append(p.states, "ready")
-	}
-	p.published = make([]string, d.Workers)
-	p.publish()
-	for i := range d.Routers {
-		r := &routerProcess{number: i}
-		p.routers = append(p.routers, r)
-		addr, err := freeAddress()
-		if err != nil {
-			return err
-		}
-		p.addresses = append(p.addresses, addr)
-		p.pools = append(p.pools, &clientPool{address: addr, secure: p.certificates.clientSecurity("client")})
-		r.configFile = filepath.Join(p.dir, fmt.Sprintf("router-%d.ini", i))
-		if err := os.WriteFile(r.configFile, p.routerConfig(i), 0o600); err != nil {
+// startAll starts servers, then routers, and returns when all routers are ready.
+func (h *harness) startAll(ctx context.Context) error {
+	for i := range h.scenario.Workers {
+		if err := h.startServer(h.serverConfig(i)); err != nil {
 			return err
 		}
-		if err := r.start(p.program, p.dir); err != nil {
+	}
+	h.published = make([]string, h.scenario.Workers)
+	h.publish()
+	for i := range h.scenario.Routers {
+		if err := h.startRouter(i); err != nil {
 			return err
 		}
 	}
-	for i := range p.routers {
-		if err := p.awaitReady(ctx, i); err != nil {
+	for _, r := range h.routers {
+		if err := r.awaitReady(ctx); err != nil {
 			return err
 		}
 	}
-	return p.openLibraryClients()
+	return h.openLibraryClients()
 }
 
-// run plays calls and troubles and counts the effects finished in time.
-func (p *harness) drive(ctx context.Context) (in, total int) {
-	p.startedAt, p.logStart = time.Now(), p.log.Now()
+func (h *harness) startServer(config fakeserver.Config) error {
+	config.Handshake = h.certificates.serverSecurity(workerName(config.Number))
+	server := fakeserver.New(config, h.store, h.log)
+	if err := server.Start(false); err != nil {
+		return err
+	}
+	h.servers = append(h.servers, server)
+	h.states = append(h.states, invariant.EndpointReady)
+	return nil
+}
+
+func (h *harness) startRouter(i int) error {
+	address, err := freeAddress()
+	if err != nil {
+		return err
+	}
+	secure := h.certificates.clientSecurity(clientOwner)
+	r := &routerProcess{number: i, address: address, secure: secure, configFile: filepath.Join(h.dir, fmt.Sprintf("router-%d.ini", i)),
+		logName: filepath.Join(h.dir, fmt.Sprintf("router-%d.log", i))}
+	h.routers = append(h.routers, r)
+	h.addresses = append(h.addresses, address)
+	h.pools = append(h.pools, &clientPool{address: address, secure: secure})
+	if err := os.WriteFile(r.configFile, h.routerConfig(i), 0o600); err != nil {
+		return err
+	}
+	return r.start(h.program)
+}
+
+// stopAll ends whatever startAll has started.
+func (h *harness) stopAll() {
+	for _, r := range h.routers {
+		r.stop(syscall.SIGKILL)
+	}
+	if h.controlPlane != nil {
+		h.controlPlane.Stop()
+	}
+	for _, s := range h.servers {
+		s.Stop()
+	}
+}
+
+// drive makes the calls and injects the faults of the scenario, and returns when all of them are over.
+func (h *harness) drive(ctx context.Context) {
+	h.startedAt, h.logStart = time.Now(), h.log.Now()
 	var wg sync.WaitGroup
-	for _, t := range p.scenario.Faults {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if p.waitUntil(ctx, t.At) == nil {
-				p.injectFault(ctx, t)
+	for _, f := range h.scenario.Faults {
+		wg.Go(func() {
+			if h.waitUntil(ctx, f.At) == nil {
+				h.injectFault(ctx, f)
 			}
-		}()
+		})
 	}
-	var mu sync.Mutex
-	for _, c := range p.scenario.schedule() {
-		if p.waitUntil(ctx, c.at) != nil {
+	for _, c := range h.scenario.schedule() {
+		if h.waitUntil(ctx, c.at) != nil {
 			break
 		}
-		total++
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			well := p.perform(ctx, c)
-			mu.Lock()
-			defer mu.Unlock()
-			if p.outcomes = append(p.outcomes, effectOutcome{c.router, c.at, well, c.workload.effect, c.workload.importance, c.noisyTenant || c.limitedTenant}); well {
-				in++
-			}
-		}()
+		wg.Go(func() { h.recordOutcome(c, h.perform(ctx, c)) })
 	}
 	wg.Wait()
-	for _, c := range p.pools {
-		c.close()
+	for _, p := range h.pools {
+		p.close()
 	}
-	for _, x := range p.libraryClients {
-		x.Close()
+	for _, c := range h.libraryClients {
+		c.Close()
 	}
-	return in, total
 }
 
-func (p *harness) waitUntil(ctx context.Context, at time.Duration) error {
-	return sleep(ctx, at-time.Since(p.startedAt))
+// waitUntil waits for a time since the start of the run.
+func (h *harness) waitUntil(ctx context.Context, at time.Duration) error {
+	return sleep(ctx, at-time.Since(h.startedAt))
 }
 
+// sleep waits, or returns early with the context's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/chaostest/loadrecording.go
+++ b/internal/chaostest/loadrecording.go
@@ -1,51 +1,71 @@
 package chaostest
 
 import (
-	"hollymast/internal/record"
-	"hollymast/internal/replay"
+	"context"
 	"os"
 	"path/filepath"
 	"strconv"
 	"time"
+
+	"hollymast/internal/record"
+	"hollymast/internal/replay"
 )
 
-// recorded measures pairs, one of each while the router records, and replays what it recorded.
-func measureRecording(load LoadTest, through func() (LoadResult, error), operate func(target string) error, dir string) (sum LoadResult, err error) {
-	jobs, size, took, length := int64(0), int64(0), time.Duration(0), 0.0
-	sum.Ratios, err = measurePairs(load.RecordingPairs, func(on bool, pair int) (LoadResult, error) {
-		if !on {
-			return through()
-		}
-		folder := filepath.Join(dir, strconv.Itoa(pair))
-		if err := operate("/router/record/start?folder=" + folder); err != nil {
+// recordingCost sums up what recordings took.
+type recordingCost struct {
+	requests   int64
+	bytes      int64
+	recorded   float64 // seconds
+	replayTime time.Duration
+	lostSteps  uint64
+}
+
+// measureRecording measures pairs, one of each while the router records, and replays what it has recorded.
+func (run *loadRun) measureRecording(ctx context.Context) error {
+	var cost recordingCost
+	ratios, err := measurePairs(run.RecordingPairs, func(pair int) (LoadResult, error) {
+		dir := filepath.Join(run.dir, "recording", strconv.Itoa(pair))
+		if err := callAdmin(ctx, run.admin, "/router/record/start?folder="+dir); err != nil {
 			return LoadResult{}, err
 		}
-		m, err := through()
+		result, err := run.measure(ctx, "router", run.LoadTest, run.plain)
 		if err != nil {
-			return m, err
+			return result, err
 		}
-		if err := operate("/router/record/stop"); err != nil {
-			return m, err
+		if err := callAdmin(ctx, run.admin, "/router/record/stop"); err != nil {
+			return result, err
 		}
-		files, err := record.ListSegments(folder)
-		if err != nil {
-			return m, err
-		}
-		for _, f := range files {
-			if info, err := os.Stat(f); err == nil {
-				size += info.Size()
-			}
-		}
-		begun := time.Now()
-		a, err := replay.Play(files, replay.Range{})
-		took += time.Since(begun)
-		length += float64(a.Last-a.First) / 1e6
-		jobs += m.Requests
-		sum.LostSteps += a.LostSteps
-		return m, err
+		cost.requests += result.Requests
+		return result, cost.replay(dir)
+	}, func(int) (LoadResult, error) {
+		return run.measure(ctx, "router", run.LoadTest, run.plain)
 	})
-	if err == nil {
-		sum.RecordedBytes, sum.ReplaySpeed = float64(size)/float64(max(1, jobs)), length/took.Seconds()
+	if err != nil {
+		return err
+	}
+	last := run.lastResult()
+	last.RecordedBytes = float64(cost.bytes) / float64(max(1, cost.requests))
+	last.LostSteps = cost.lostSteps
+	last.ReplaySpeed = cost.recorded / cost.replayTime.Seconds()
+	last.Ratios = ratios
+	return nil
+}
+
+// replay replays the recording in a directory.
+func (c *recordingCost) replay(dir string) error {
+	files, err := record.ListSegments(dir)
+	if err != nil {
+		return err
+	}
+	for _, f := range files {
+		if info, err := os.Stat(f); err == nil {
+			c.bytes += info.Size()
+		}
 	}
-	return sum, err
+	startedAt := time.Now()
+	result, err := replay.Play(files, replay.Range{})
+	c.replayTime += time.Since(startedAt)
+	c.recorded += float64(result.Last-result.First) / 1e6
+	c.lostSteps += result.LostSteps
+	return err
 }
--- a/internal/chaostest/loadtest.go
+++ b/internal/chaostest/loadtest.go
@@ -5,222 +5,303 @@
 	"context"
 	"fmt"
 	"net"
+	"net/http"
 	"os"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"time"
 
 	"hollymast/internal/rest"
 )
 
-// Load is a steady stream of jobs of no work, through one router and straight to the same servers.
+// LoadTest is a steady stream of requests that take servers no time, through one router and straight to the same servers.
 type LoadTest struct {
-	Rate             int // jobs a second
+	Rate             int // requests per second
 	Length           time.Duration
 	Connections      int
 	Servers          int
 	Functions        int
-	IdleConnections  int    // further client connections that do nothing
-	TensorBytes      int    // of tensors a job
-	functionPrefix   string // of functions' names
-	secure           rest.Handshake
-	RecordingPairs   int // pairs of streams, one while the router records and one while it does not
-	PersistencePairs int // pairs of streams, one through a further router that has a memory
-	TLSTriples       int // triples of streams: in plain text, over TLS, and over TLS while keys change
-	UnknownFunctions int // distinct functions that no server has, asked for before the stream is measured a second time
-}
-
-// Measured is what one stream met. Times are microseconds from when each job was due, if its connection was still busy
-// then, so that a stall counts for all jobs that it kept waiting; else from its sending.
+	IdleConnections  int // further client connections, without requests
+	TensorBytes      int // per request
+	RecordingPairs   int // pairs of streams, one of each while the router records
+	PersistencePairs int // pairs of streams, one of each through a router that persists its state
+	TLSTriples       int // triples of streams: without TLS, with TLS, and with TLS while certificates are rotated
+	UnknownFunctions int // distinct functions that no server has, requested before the stream is measured once more
+
+	functionPrefix string         // of the functions' names
+	secure         rest.Handshake // nil: no TLS
+}
+
+// LoadResult is what one stream showed. Latencies are microseconds from the time when a request was due if its connection was
+// still busy then, so that a stall counts for all requests that it delayed; from its sending otherwise.
 type LoadResult struct {
 	Path             string
 	Requests, Failed int64
 	P50, P99, P999   int64
-	CPUPerRequest    float64 // microseconds of the router's processor time a job
-	MemoryKB         int64   // kilobytes resident in the router at the end
-	Throughput       float64 // jobs a second that were kept up
-	RecordedBytes    float64 // bytes a job on disk
-	LostSteps        uint64  // turns that the recording lost
-	ReplaySpeed      float64 // how many times as fast as it was recorded
-	Ratios           []Ratio // with over without, within pairs
+	CPUPerRequest    float64 // microseconds of the router's processor time
+	MemoryKB         int64   // resident in the router at the end
+	Throughput       float64 // requests per second that were achieved
+	RecordedBytes    float64 // per request
+	LostSteps        uint64  // event-loop steps that the recording lost
+	ReplaySpeed      float64 // in multiples of the speed at which it was recorded
+	Ratios           []Ratio // with something switched on, over without it
 	Note             string
 }
 
-// MeasureLoad runs the stream straight and through a router of the named program, in one run.
-func RunLoadTest(ctx context.Context, load LoadTest, program string) (measured []LoadResult, err error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
+// A stream of this length and, at most, this rate comes before the measured ones.
+const (
+	warmUpTime = time.Second
+	warmUpRate = 1000 // requests per second
+)
+
+// loadRun is a load test under way.
+type loadRun struct {
+	LoadTest
+	dir     string
+	program string
+	admin   string           // address of the plain router's admin interface
+	plain   *routerProcess   // the router that most streams go through
+	routers []*routerProcess // all that were started
+	echo    echoServers
+	results []LoadResult
+}
+
+// RunLoadTest measures the streams of a load test, with routers of the named program. Everything that it starts has ended when
+// it returns.
+func RunLoadTest(ctx context.Context, test LoadTest, program string) ([]LoadResult, error) {
 	dir, err := os.MkdirTemp("", "hmchaos-load-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	var servers []string
-	var list bytes.Buffer
-	for i := range load.Servers {
-		a, err := startEchoServer(ctx, nil)
-		if err != nil {
-			return nil, err
+	run := &loadRun{LoadTest: test, dir: dir, program: program}
+	ctx, cancel := context.WithCancel(ctx)
+	defer func() {
+		cancel()
+		run.echo.wait()
+	}()
+	defer func() {
+		for _, r := range run.routers {
+			r.stop(syscall.SIGKILL)
 		}
-		servers = append(servers, a)
-		fmt.Fprintf(&list, "[%d]\naddress = %s\n", i, a)
-	}
-	address, err := freeAddress()
+	}()
+	servers, err := run.startServers(ctx, run.endpointsFile(), nil)
 	if err != nil {
 		return nil, err
 	}
-	admin, err := freeAddress()
-	if err != nil {
+	if err := run.startPlain(ctx); err != nil {
 		return nil, err
 	}
-	r := &routerProcess{configFile: filepath.Join(dir, "router.ini")}
-	settings := fmt.Sprintf(`[router]
-listen = %s
-admin = %s
-list = %s
-log = warn
-[servers]
-orders = no
-[bounds]
-per_server = 4096
-[workload any]
-start_target = 1s
-effect = restartable
-[function *]
-workload = any
-lanes = 1024
-`, address, admin, filepath.Join(dir, "workers.ini"))
-	for name, text := range map[string]string{r.configFile: settings, filepath.Join(dir, "workers.ini"): list.String()} {
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
-			return nil, err
-		}
-	}
-	if err := r.start(program, dir); err != nil {
+	idle, err := openIdleConnections(run.plain.address, test.IdleConnections)
+	defer closeAll(idle)
+	if err != nil {
 		return nil, err
 	}
-	defer r.stop(syscall.SIGKILL)
-	p := &harness{addresses: []string{address}, routers: []*routerProcess{r}, pools: []*clientPool{{address: address}}}
-	if err := p.awaitReady(ctx, 0); err != nil {
+	if err := run.measureAll(ctx, servers); err != nil {
 		return nil, err
 	}
-	idle := make([]net.Conn, 0, load.IdleConnections)
-	defer func() {
-		for _, nc := range idle {
-			nc.Close()
+	return run.results, run.plain.stop(syscall.SIGTERM)
+}
+
+// measureAll measures the stream straight and through the router, and then whatever else the test asks for.
+func (run *loadRun) measureAll(ctx context.Context, servers []string) error {
+	if err := run.warmUp(ctx, run.plain); err != nil {
+		return err
+	}
+	straight, err := runStream(ctx, run.LoadTest, servers)
+	if err != nil {
+		return err
+	}
+	straight.Path = "straight"
+	run.results = append(run.results, straight)
+	if _, err := run.measure(ctx, "through the router", run.LoadTest, run.plain); err != nil {
+		return err
+	}
+	for _, part := range []struct {
+		wanted  int
+		measure func(context.Context) error
+	}{
+		{run.RecordingPairs, run.measureRecording},
+		{run.PersistencePairs, run.measurePersistence},
+		{run.TLSTriples, run.measureTLS},
+		{run.UnknownFunctions, run.measureUnknownFunctions},
+	} {
+		if part.wanted <= 0 {
+			continue
 		}
-	}()
-	for range load.IdleConnections {
-		nc, err := net.Dial("tcp", address)
+		if err := part.measure(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// measure measures one stream through a router, with what it costs the router's process.
+func (run *loadRun) measure(ctx context.Context, path string, test LoadTest, router *routerProcess) (LoadResult, error) {
+	pid := router.pid()
+	before := cpuTime(pid)
+	test.secure = router.secure
+	result, err := runStream(ctx, test, []string{router.address})
+	result.Path, result.MemoryKB = path, residentKB(pid)
+	result.CPUPerRequest = float64((cpuTime(pid) - before).Microseconds()) / float64(max(1, result.Requests))
+	run.results = append(run.results, result)
+	return result, err
+}
+
+// warmUp sends a short stream through a router, which isn't measured.
+func (run *loadRun) warmUp(ctx context.Context, router *routerProcess) error {
+	test := run.LoadTest
+	test.Length, test.Rate, test.secure = warmUpTime, min(run.Rate, warmUpRate), router.secure
+	_, err := runStream(ctx, test, []string{router.address})
+	return err
+}
+
+// lastResult is the stream that was measured last.
+func (run *loadRun) lastResult() *LoadResult { return &run.results[len(run.results)-1] }
+
+// measurePersistence measures pairs, one of each through a further router that persists its state. That one runs until the test
+// ends, as idle as the other is meanwhile.
+func (run *loadRun) measurePersistence(ctx context.Context) error {
+	config := loadRouterConfig{name: "remembering", number: 1, endpoints: run.endpointsFile(),
+		extra: fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(run.dir, "memory"))}
+	router, err := run.startRouter(ctx, config)
+	if err != nil {
+		return err
+	}
+	if err := run.warmUp(ctx, router); err != nil {
+		return err
+	}
+	ratios, err := measurePairs(run.PersistencePairs, func(int) (LoadResult, error) {
+		return run.measure(ctx, "router, memory", run.LoadTest, router)
+	}, func(int) (LoadResult, error) {
+		return run.measure(ctx, "router", run.LoadTest, run.plain)
+	})
+	if err != nil {
+		return err
+	}
+	run.lastResult().Ratios = ratios
+	return nil
+}
+
+// measureUnknownFunctions has functions requested that no server has, and measures the stream again.
+func (run *loadRun) measureUnknownFunctions(ctx context.Context) error {
+	unknown := run.LoadTest
+	unknown.functionPrefix, unknown.Functions = unknownPrefix, run.UnknownFunctions
+	unknown.Length = time.Duration(float64(run.UnknownFunctions) / float64(run.Rate) * float64(time.Second))
+	if _, err := run.measure(ctx, "strangers", unknown, run.plain); err != nil {
+		return err
+	}
+	_, err := run.measure(ctx, "router, after them", run.LoadTest, run.plain)
+	return err
+}
+
+// endpointsFile has the endpoint list of all routers that reach servers without TLS.
+func (run *loadRun) endpointsFile() string { return filepath.Join(run.dir, "workers.ini") }
+
+// startServers starts echo servers and writes their endpoint list.
+func (run *loadRun) startServers(ctx context.Context, file string, secure func(net.Conn) (net.Conn, error)) (addresses []string, err error) {
+	var list bytes.Buffer
+	for i := range run.Servers {
+		address, err := run.echo.start(ctx, secure)
 		if err != nil {
 			return nil, err
 		}
-		idle = append(idle, nc)
+		addresses = append(addresses, address)
+		fmt.Fprintf(&list, "[%d]\naddress = %s\n", i, address)
 	}
-	warm := load
-	warm.Length, warm.Rate = time.Second, min(load.Rate, 1000)
-	if _, err := runStream(ctx, warm, []string{address}); err != nil {
-		return nil, err
+	return addresses, os.WriteFile(file, list.Bytes(), 0o600)
+}
+
+func (run *loadRun) startPlain(ctx context.Context) (err error) {
+	if run.admin, err = freeAddress(); err != nil {
+		return err
 	}
-	straight, err := runStream(ctx, load, servers)
+	run.plain, err = run.startRouter(ctx, loadRouterConfig{name: "router", endpoints: run.endpointsFile(), admin: run.admin})
+	return err
+}
+
+// loadRouterConfig is what differs between the routers of a load test.
+type loadRouterConfig struct {
+	name      string // of its files
+	number    int    // in messages
+	endpoints string // file
+	admin     string // address; empty: none
+	extra     string // further sections
+	secure    rest.Handshake
+}
+
+// startRouter starts a router and waits until it is ready.
+func (run *loadRun) startRouter(ctx context.Context, config loadRouterConfig) (*routerProcess, error) {
+	address, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	straight.Path = "straight"
-	pid := r.cmd.Process.Pid
-	throughAt := func(path string, load LoadTest, address string, pid int) (LoadResult, error) {
-		m, err := measureThrough(ctx, path, load, address, pid)
-		measured = append(measured, m)
-		return m, err
-	}
-	through := func(path string, load LoadTest) (LoadResult, error) { return throughAt(path, load, address, pid) }
-	measured = append(measured, straight)
-	if _, err := through("through the router", load); err != nil {
+	r := &routerProcess{number: config.number, address: address, secure: config.secure, configFile: filepath.Join(run.dir, config.name+".ini"),
+		logName: filepath.Join(run.dir, config.name+".log")}
+	if err := os.WriteFile(r.configFile, config.file(address), 0o600); err != nil {
 		return nil, err
 	}
-	if load.RecordingPairs > 0 {
-		m, err := measureRecording(load, func() (LoadResult, error) { return through("router", load) }, func(target string) error {
-			return callAdmin(ctx, admin, target)
-		}, filepath.Join(dir, "recording"))
-		if err != nil {
-			return nil, err
-		}
-		last := &measured[len(measured)-1]
-		last.RecordedBytes, last.LostSteps, last.ReplaySpeed, last.Ratios = m.RecordedBytes, m.LostSteps, m.ReplaySpeed, m.Ratios
+	if err := r.start(run.program); err != nil {
+		return nil, err
 	}
-	if load.PersistencePairs > 0 {
-		other := &routerProcess{number: 1, configFile: filepath.Join(dir, "remembering.ini")}
-		beside, err := freeAddress()
-		if err != nil {
-			return nil, err
-		}
-		text := strings.Replace(settings, address, beside, 1) + fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(dir, "memory"))
-		text = strings.Replace(text, "admin = "+admin+"\n", "", 1)
-		if err := os.WriteFile(other.configFile, []byte(text), 0o600); err != nil {
-			return nil, err
-		}
-		if err := other.start(program, dir); err != nil {
-			return nil, err
-		}
-		defer other.stop(syscall.SIGKILL)
-		p.addresses, p.routers, p.pools = append(p.addresses, beside), append(p.routers, other), append(p.pools, &clientPool{address: beside})
-		if err := p.awaitReady(ctx, 1); err != nil {
-			return nil, err
-		}
-		if _, err := runStream(ctx, warm, []string{beside}); err != nil {
-			return nil, err
-		}
-		ratios, err := measurePairs(load.PersistencePairs, func(on bool, _ int) (LoadResult, error) {
-			if !on {
-				return through("router", load)
-			}
-			return throughAt("router, memory", load, beside, other.cmd.Process.Pid)
-		})
-		if err != nil {
-			return nil, err
-		}
-		measured[len(measured)-1].Ratios = ratios
+	run.routers = append(run.routers, r)
+	return r, r.awaitReady(ctx)
+}
+
+// file gives the router's configuration file. Its bounds are beyond what the streams need.
+func (config loadRouterConfig) file(address string) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "[router]\nlisten = %s\n", address)
+	if config.admin != "" {
+		fmt.Fprintf(&b, "admin = %s\n", config.admin)
 	}
-	if load.TLSTriples > 0 {
-		more, err := measureTLS(ctx, load, program, dir, settings, address, pid)
-		measured = append(measured, more...)
+	fmt.Fprintf(&b, `list = %s
+log = warn
+[servers]
+orders = no
+[bounds]
+per_server = 4096
+[workload any]
+start_target = 1s
+effect = restartable
+[function *]
+workload = any
+lanes = 1024
+`, config.endpoints)
+	b.WriteString(config.extra)
+	return b.Bytes()
+}
+
+func openIdleConnections(address string, n int) ([]net.Conn, error) {
+	idle := make([]net.Conn, 0, n)
+	for range n {
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
-			return nil, err
+			return idle, err
 		}
+		idle = append(idle, conn)
 	}
-	if load.UnknownFunctions > 0 {
-		alien := load
-		alien.functionPrefix, alien.Functions = unknownPrefix[1:], load.UnknownFunctions
-		alien.Length = time.Duration(float64(load.UnknownFunctions) / float64(load.Rate) * float64(time.Second))
-		if _, err := through("strangers", alien); err != nil {
-			return nil, err
-		}
-		if _, err := through("router, after them", load); err != nil {
-			return nil, err
-		}
-	}
-	return measured, r.stop(syscall.SIGTERM)
+	return idle, nil
 }
 
-// costing measures one stream through a router, with what it costs its process.
-func measureThrough(ctx context.Context, path string, load LoadTest, address string, pid int) (LoadResult, error) {
-	before := cpuTime(pid)
-	m, err := runStream(ctx, load, []string{address})
-	m.Path, m.MemoryKB = path, residentKB(pid)
-	m.CPUPerRequest = float64((cpuTime(pid) - before).Microseconds()) / float64(max(1, m.Requests))
-	return m, err
+func closeAll(conns []net.Conn) {
+	for _, conn := range conns {
+		conn.Close()
+	}
 }
 
-// operate asks a router something at its admin address.
+const adminTimeout = 10 * time.Second
+
+// callAdmin makes a request to a router's admin interface.
 func callAdmin(ctx context.Context, admin, target string) error {
 	c, err := rest.Dial(ctx, admin, &rest.DefaultLimits)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	p, _, err := c.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {admin}}}, time.Now().Add(10*time.Second))
-	if err == nil && p.Status != 200 {
-		err = fmt.Errorf("the router answers %d: %s", p.Status, p.Body)
+	res, _, err := c.Do(&rest.Request{Method: http.MethodPost, Target: target, Header: rest.Header{"Host": {admin}}}, time.Now().Add(adminTimeout))
+	if err == nil && res.Status != http.StatusOK {
+		err = fmt.Errorf("the router answers %d: %s", res.Status, res.Body)
 	}
 	return err
 }
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -1,154 +1,139 @@
 package chaostest
 
 import (
-	"bytes"
 	"context"
 	"fmt"
-	"os"
+	"net/http"
 	"path/filepath"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
 	"hollymast/internal/rest"
 )
 
-// keysEvery is how often keys change in the third stream of each triple: far oftener than anyone renews.
+// rotationInterval is between two renewals of all certificates in the third stream of each triple: far more often than anybody
+// renews them.
 const rotationInterval = 500 * time.Millisecond
 
-// measureTLS measures triples of streams: through the router in plain text, through another over TLS on both its sides, and the
-// same while its keys change. It also measures what a new connection costs.
-func measureTLS(ctx context.Context, load LoadTest, program, dir, settings, plain string, pid int) (measured []LoadResult, err error) {
+// measureTLS measures triples of streams: through the plain router, through another one with TLS on both its sides, and the same
+// while certificates are rotated. It also measures what opening a connection costs.
+func (run *loadRun) measureTLS(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	k, err := issueCertificates(ctx, filepath.Join(dir, "keys"), 1)
+	certificates, err := issueCertificates(ctx, filepath.Join(run.dir, "keys"), 1)
 	if err != nil {
-		return nil, err
-	}
-	var list bytes.Buffer
-	for i := range load.Servers {
-		a, err := startEchoServer(ctx, k.serverSecurity(workerName(0)))
-		if err != nil {
-			return nil, err
-		}
-		fmt.Fprintf(&list, "[%d]\naddress = %s\n", i, a)
+		return err
 	}
-	address, err := freeAddress()
+	defer func() {
+		cancel()
+		certificates.wait()
+	}()
+	router, err := run.startTLS(ctx, certificates)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	other := &routerProcess{number: 2, configFile: filepath.Join(dir, "secret.ini")}
-	text := strings.Replace(settings, plain, address, 1)
-	for _, line := range strings.Split(settings, "\n") {
-		switch {
-		case strings.HasPrefix(line, "admin ="):
-			text = strings.Replace(text, line+"\n", "", 1)
-		case strings.HasPrefix(line, "list ="):
-			text = strings.Replace(text, line, "list = "+filepath.Join(dir, "secret-workers.ini"), 1)
-		}
+	defer router.stop(syscall.SIGKILL)
+	if err := run.warmUp(ctx, router); err != nil {
+		return err
 	}
-	text += k.routerConfig(false)
-	if err := os.WriteFile(other.configFile, []byte(text), 0o600); err != nil {
-		return nil, err
+	plain := func(int) (LoadResult, error) { return run.measure(ctx, "router, plain", run.LoadTest, run.plain) }
+	withTLS := func(int) (LoadResult, error) { return run.measure(ctx, "router, TLS", run.LoadTest, router) }
+	rotating := func(int) (LoadResult, error) { return run.measureRotating(ctx, certificates, router) }
+	ratios, err := measurePairs(run.TLSTriples, withTLS, plain)
+	if err != nil {
+		return err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "secret-workers.ini"), list.Bytes(), 0o600); err != nil {
-		return nil, err
+	run.lastResult().Ratios = ratios
+	if ratios, err = measurePairs(run.TLSTriples, rotating, withTLS); err != nil {
+		return err
 	}
-	if err := other.start(program, dir); err != nil {
+	run.lastResult().Ratios = ratios
+	run.lastResult().Note, err = measureConnecting(ctx, run.plain, router)
+	return err
+}
+
+// startTLS starts a router and echo servers with TLS between all of them.
+func (run *loadRun) startTLS(ctx context.Context, certificates *certificates) (*routerProcess, error) {
+	endpoints := filepath.Join(run.dir, "secret-workers.ini")
+	if _, err := run.startServers(ctx, endpoints, certificates.serverSecurity(workerName(0))); err != nil {
 		return nil, err
 	}
-	defer other.stop(syscall.SIGKILL)
-	secure := k.stores["client"].ClientHandshake
-	p := &harness{addresses: []string{address}, routers: []*routerProcess{other}, pools: []*clientPool{{address: address, secure: secure}}}
-	if err := p.awaitReady(ctx, 0); err != nil {
-		return nil, err
+	return run.startRouter(ctx, loadRouterConfig{name: "secret", endpoints: endpoints, extra: certificates.routerConfig(),
+		secure: certificates.clientSecurity(clientOwner)})
+}
+
+// measureRotating measures a stream while certificates are rotated.
+func (run *loadRun) measureRotating(ctx context.Context, certificates *certificates, router *routerProcess) (LoadResult, error) {
+	rotationCtx, stopRotation := context.WithCancel(ctx)
+	rotated := make(chan error, 1)
+	go func() { rotated <- renewAll(rotationCtx, certificates) }()
+	result, err := run.measure(ctx, "router, keys change", run.LoadTest, router)
+	stopRotation()
+	if rotationErr := <-rotated; err == nil {
+		err = rotationErr
 	}
-	secret := load
-	secret.secure = secure
-	one := func(path string, load LoadTest, address string, pid int) (LoadResult, error) {
-		m, err := measureThrough(ctx, path, load, address, pid)
-		measured = append(measured, m)
-		return m, err
+	return result, err
+}
+
+// renewAll renews the certificates of all connections of a load test again and again until the context ends.
+func renewAll(ctx context.Context, certificates *certificates) error {
+	for sleep(ctx, rotationInterval) == nil {
+		for _, owner := range []string{routerToWorkers, routerToClients, workerName(0), clientOwner} {
+			if err := certificates.renew(owner, time.Millisecond); err != nil {
+				return err
+			}
+		}
 	}
-	changing := func(path string) (LoadResult, error) {
-		stop, stopped := context.WithCancel(ctx)
-		done := make(chan error, 1)
-		go func() {
-			for sleep(stop, rotationInterval) == nil {
-				for _, o := range []string{routerToWorkers, routerToClients, workerName(0), "client"} {
-					if err := k.renew(o, time.Millisecond); err != nil {
-						done <- err
-						return
-					}
-				}
+	return nil
+}
+
+const (
+	connectRounds  = 500
+	connectTimeout = time.Second
+)
+
+// connectCost is what connections to a router cost.
+type connectCost struct {
+	router *routerProcess
+	times  []time.Duration // one for each connection with its request
+	cpu    time.Duration   // of the router, for each connection
+}
+
+// measureConnecting measures new connections, each with one request that the router answers itself: without and with TLS by turns.
+func measureConnecting(ctx context.Context, plain, withTLS *routerProcess) (note string, err error) {
+	costs := []*connectCost{{router: plain}, {router: withTLS}}
+	before := []time.Duration{cpuTime(plain.pid()), cpuTime(withTLS.pid())}
+	for range connectRounds {
+		for _, c := range costs {
+			if err := c.connect(ctx); err != nil {
+				return "", err
 			}
-			done <- nil
-		}()
-		m, err := one(path, secret, address, other.cmd.Process.Pid)
-		stopped()
-		if kerr := <-done; err == nil {
-			err = kerr
 		}
-		return m, err
 	}
-	if _, err := runStream(ctx, LoadTest{Rate: min(load.Rate, 1000), Length: time.Second, Connections: load.Connections, Functions: load.Functions, secure: secure},
-		[]string{address}); err != nil {
-		return nil, err
+	for i, c := range costs {
+		c.cpu = (cpuTime(c.router.pid()) - before[i]) / connectRounds
+		slices.Sort(c.times)
 	}
-	ratios, err := measurePairs(load.TLSTriples, func(on bool, _ int) (LoadResult, error) {
-		if !on {
-			return one("router, plain", load, plain, pid)
-		}
-		return one("router, TLS", secret, address, other.cmd.Process.Pid)
-	})
+	return fmt.Sprintf("a connection with one request: plain %s; TLS %s", costs[0], costs[1]), nil
+}
+
+func (c *connectCost) connect(ctx context.Context) error {
+	startedAt := time.Now()
+	conn, err := rest.DialWith(ctx, c.router.address, &rest.DefaultLimits, c.router.secure)
 	if err != nil {
-		return measured, err
+		return err
 	}
-	measured[len(measured)-1].Ratios = ratios
-	ratios, err = measurePairs(load.TLSTriples, func(on bool, _ int) (LoadResult, error) {
-		if !on {
-			return one("router, TLS", secret, address, other.cmd.Process.Pid)
-		}
-		return changing("router, keys change")
-	})
+	_, _, err = conn.Do(&rest.Request{Method: http.MethodGet, Target: "/v2/health/live", Header: rest.Header{"Host": {hostHeader}}}, time.Now().Add(connectTimeout))
+	conn.Close()
 	if err != nil {
-		return measured, err
+		return err
 	}
-	last := &measured[len(measured)-1]
-	last.Ratios = ratios
-	last.Note, err = measureConnecting(ctx, plain, address, secure, pid, other.cmd.Process.Pid)
-	return measured, err
+	c.times = append(c.times, time.Since(startedAt))
+	return nil
 }
 
-// connecting measures new connections, each with one request that the router answers itself, in plain text and over TLS by turns.
-func measureConnecting(ctx context.Context, plain, address string, secure rest.Handshake, plainPid, pid int) (string, error) {
-	const times = 500
-	var took [2][]time.Duration
-	before := [2]time.Duration{cpuTime(plainPid), cpuTime(pid)}
-	for range times {
-		for i, to := range []string{plain, address} {
-			begun := time.Now()
-			s := secure
-			if i == 0 {
-				s = nil
-			}
-			c, err := rest.DialWith(ctx, to, &rest.DefaultLimits, s)
-			if err != nil {
-				return "", err
-			}
-			_, _, err = c.Do(&rest.Request{Method: "GET", Target: "/v2/health/live", Header: rest.Header{"Host": {"lab"}}}, time.Now().Add(time.Second))
-			c.Close()
-			if err != nil {
-				return "", err
-			}
-			took[i] = append(took[i], time.Since(begun))
-		}
-	}
-	after := [2]time.Duration{cpuTime(plainPid), cpuTime(pid)}
-	for i := range took {
-		slices.Sort(took[i])
-	}
-	return fmt.Sprintf("a connection with one request: plain median %s p99 %s, router's CPU %s; TLS median %s p99 %s, router's CPU %s", took[0][times/2], took[0][times*99/100],
-		(after[0]-before[0])/times, took[1][times/2], took[1][times*99/100], (after[1]-before[1])/times), nil
+// String gives the cost once all times are there and sorted.
+func (c *connectCost) String() string {
+	return fmt.Sprintf("median %s p99 %s, router's CPU %s", c.times[connectRounds/2], c.times[connectRounds*99/100], c.cpu)
 }
--- a/internal/chaostest/pairs.go
+++ b/internal/chaostest/pairs.go
@@ -1,41 +1,46 @@
 package chaostest
 
-import (
-	"slices"
-)
+import "slices"
 
-// Ratio is a quantity's quartiles over pairs.
+// Ratio gives the quartiles of a quantity's ratio over pairs of streams.
 type Ratio struct {
 	Quantity             string
 	Lower, Median, Upper float64
 }
 
-// pairs measures streams in pairs, one with something on and one without, so that whatever else changes on the machine meets
-// both alike; which of the two comes first alternates.
-func measurePairs(n int, stretch func(on bool, pair int) (LoadResult, error)) ([]Ratio, error) {
+// measurePairs measures streams in pairs, one with something switched on and one without it, so that whatever else changes on
+// the machine meets both alike. Which of the two comes first alternates. The functions get the number of the pair.
+func measurePairs(n int, with, without func(pair int) (LoadResult, error)) ([]Ratio, error) {
 	var cpu, p50, p99 []float64
 	for pair := range n {
-		var with, without LoadResult
-		for half := range 2 {
-			on := half == pair%2
-			m, err := stretch(on, pair)
-			if err != nil {
-				return nil, err
-			}
-			if on {
-				with = m
-			} else {
-				without = m
-			}
+		var on, off LoadResult
+		var err error
+		if pair%2 == 0 {
+			on, off, err = measurePair(pair, with, without)
+		} else {
+			off, on, err = measurePair(pair, without, with)
 		}
-		cpu = append(cpu, with.CPUPerRequest/without.CPUPerRequest)
-		p50, p99 = append(p50, float64(with.P50)/float64(without.P50)), append(p99, float64(with.P99)/float64(without.P99))
+		if err != nil {
+			return nil, err
+		}
+		cpu = append(cpu, on.CPUPerRequest/off.CPUPerRequest)
+		p50 = append(p50, float64(on.P50)/float64(off.P50))
+		p99 = append(p99, float64(on.P99)/float64(off.P99))
 	}
 	return []Ratio{quartiles("CPU a job", cpu), quartiles("p50", p50), quartiles("p99", p99)}, nil
 }
 
-func quartiles(of string, xs []float64) Ratio {
-	slices.Sort(xs)
-	at := func(q float64) float64 { return xs[int(q*float64(len(xs)-1)+0.5)] }
-	return Ratio{of, at(0.25), at(0.5), at(0.75)}
+func measurePair(pair int, first, second func(pair int) (LoadResult, error)) (a, b LoadResult, err error) {
+	if a, err = first(pair); err != nil {
+		return a, b, err
+	}
+	b, err = second(pair)
+	return a, b, err
+}
+
+// quartiles sorts the values.
+func quartiles(quantity string, values []float64) Ratio {
+	slices.Sort(values)
+	at := func(q float64) float64 { return values[int(q*float64(len(values)-1)+0.5)] }
+	return Ratio{quantity, at(0.25), at(0.5), at(0.75)}
 }
--- a/internal/chaostest/pool.go
+++ b/internal/chaostest/pool.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"hollymast/internal/rest"
 	"net"
 	"sync"
 	"time"
+
+	"hollymast/internal/rest"
 )
 
-// freeAddress finds a port on loopback that is free just now.
+// freeAddress finds a loopback address whose port is free now.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -18,42 +19,52 @@
 	return l.Addr().String(), nil
 }
 
-// clientPool keeps connections to one router.
+// clientPool keeps idle client connections to one router.
 type clientPool struct {
 	address string
-	secure  rest.Handshake // nil: in plain text
+	secure  rest.Handshake // nil: no TLS
 	mu      sync.Mutex
 	idle    []*rest.Client
 }
 
-func (c *clientPool) get(ctx context.Context) (*rest.Client, error) {
-	c.mu.Lock()
-	for len(c.idle) > 0 {
-		x := c.idle[len(c.idle)-1]
-		c.idle = c.idle[:len(c.idle)-1]
-		if !x.Stale() {
-			c.mu.Unlock()
-			return x, nil
-		}
-		x.Close()
+const dialTimeout = time.Second
+
+// get gives an idle connection, or dials.
+func (p *clientPool) get(ctx context.Context) (*rest.Client, error) {
+	if c := p.takeIdle(); c != nil {
+		return c, nil
 	}
-	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return rest.DialWith(ctx, c.address, &rest.DefaultLimits, c.secure)
+	return rest.DialWith(ctx, p.address, &rest.DefaultLimits, p.secure)
+}
+
+// takeIdle gives the idle connection that was used last, or nil. It closes those that the router has closed.
+func (p *clientPool) takeIdle() *rest.Client {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(p.idle) > 0 {
+		c := p.idle[len(p.idle)-1]
+		p.idle = p.idle[:len(p.idle)-1]
+		if !c.Stale() {
+			return c
+		}
+		c.Close()
+	}
+	return nil
 }
 
-func (c *clientPool) put(x *rest.Client) {
-	c.mu.Lock()
-	c.idle = append(c.idle, x)
-	c.mu.Unlock()
+func (p *clientPool) put(c *rest.Client) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle = append(p.idle, c)
 }
 
-func (c *clientPool) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, x := range c.idle {
-		x.Close()
+func (p *clientPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle {
+		c.Close()
 	}
-	c.idle = nil
+	p.idle = nil
 }
--- a/internal/chaostest/procstat.go
+++ b/internal/chaostest/procstat.go
@@ -9,29 +9,36 @@
 	"time"
 )
 
-// cpuTime is a process's time on processors, from /proc/PID/stat (proc(5): fields 14 and 15, in ticks of 10 ms).
+// clockTick is the unit of times in /proc/PID/stat.
+const clockTick = 10 * time.Millisecond
+
+// cpuTime gives a process's time on processors: fields 14 and 15 of /proc/PID/stat, see proc(5). It is 0 if they can't be read.
 func cpuTime(pid int) time.Duration {
+	const user, system = 14 - 3, 15 - 3 // counted from the first field after the name
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
-	if len(fields) < 13 {
+	if len(fields) <= system {
 		return 0
 	}
-	user, _ := strconv.ParseInt(fields[11], 10, 64)
-	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond
+	ticks := int64(0)
+	for _, field := range []string{fields[user], fields[system]} {
+		n, _ := strconv.ParseInt(field, 10, 64)
+		ticks += n
+	}
+	return time.Duration(ticks) * clockTick
 }
 
-// resident is a process's resident memory in kilobytes.
+// residentKB gives a process's resident memory in kilobytes, 0 if it can't be read.
 func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(text), "VmRSS:")
-	fields := strings.Fields(rest)
+	_, after, _ := strings.Cut(string(text), "VmRSS:")
+	fields := strings.Fields(after)
 	if len(fields) == 0 {
 		return 0
 	}
--- a/internal/chaostest/requests.go
+++ b/internal/chaostest/requests.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
+	"strconv"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -13,144 +15,114 @@
 	"hollymast/kserve"
 )
 
-// effect has one client get its effect, with further tries where its workload and the answers allow them; it tells
-// whether it was finished within the start target.
-func (p *harness) perform(ctx context.Context, c call) bool {
-	if well, ok := p.performAs(ctx, c); ok {
-		return well
-	}
-	const tries = 3
-	begun := time.Now()
-	router := c.router
-	var first time.Time // of a try that may have run
-	sticks := false     // only the router that was asked knows whether it may run again
-	for n := 1; n <= tries || sticks; n++ {
-		left := c.timeout - time.Since(begun)
-		if left < 20*time.Millisecond || ctx.Err() != nil {
-			return false
-		}
-		o := p.send(ctx, c, router, n, left)
-		if sticks && !o.notSent {
-			p.countRestartRetry(o.answer)
-			return o.answer == invariant.Succeeded && time.Since(begun) <= c.workload.latencyObjective
-		}
-		if o.answer == invariant.Succeeded {
-			return time.Since(begun) <= c.workload.latencyObjective
-		}
-		if o.mayHaveRun && first.IsZero() {
-			first = o.sentAt
-		}
-		again := time.Duration(0)
-		switch {
-		case c.abandonAfter > 0:
-			return false
-		case o.notSent && sticks: // not yet back
-		case o.notSent:
-			router = (router + 1) % len(p.addresses)
-		case o.connectionBroken && c.workload.effect == "run-once" && p.scenario.keepsRouterState():
-			sticks, again = true, 50*time.Millisecond
-		case o.answer == invariant.Rejected:
-			again = o.retryAfter
-		case o.answer == invariant.Failed, o.mayHaveRun:
-			// Nothing is promised: only what may run twice is asked again, the rest as its window allows.
-			if c.workload.effect == "run-once" || c.workload.scope == "zone" {
-				return false
-			}
-			if c.workload.effect == "fingerprinted" && time.Since(first)+left > c.workload.window {
-				return false
-			}
-			router = (router + 1) % len(p.addresses)
-		default:
-			return false
-		}
-		if c.impatient {
-			again = 0
-		}
-		if sleep(ctx, again) != nil {
-			return false
-		}
-	}
-	return false
-}
+// lateAnswerTime is for how long clients still read an answer after their deadline, so that a late one is seen.
+const lateAnswerTime = 300 * time.Millisecond
 
+// retryPause is before a retry after a connection couldn't be opened or broke.
+const retryPause = 50 * time.Millisecond
+
+// response is what a request came to.
 type response struct {
-	answer           string
-	notSent          bool // it was provably never asked
-	mayHaveRun       bool
-	connectionBroken bool // its connection broke: the router died, say
-	sentAt           time.Time
-	retryAfter       time.Duration
+	answer           string        // one of the final answers of package invariant; empty: there is none
+	notSent          bool          // the request has certainly not reached a router
+	mayHaveRun       bool          // the request may have run
+	connectionBroken bool          // the connection ended before an answer, as when the router dies
+	retryAfter       time.Duration // of a rejection
 }
 
-// try asks once.
-func (p *harness) send(ctx context.Context, c call, router, n int, left time.Duration) response {
-	rec := invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, n), Effect: itoa(c.number), Workload: c.workload.name, Router: router}
-	add := func(k invariant.Kind) { rec.Kind = k; p.log.Add(rec) }
-	o := response{sentAt: time.Now()}
-	x, err := p.pools[router].get(ctx)
+// send makes one request for a call to a router: the n-th of the call, with a timeout.
+func (h *harness) send(ctx context.Context, c call, router, n int, timeout time.Duration) response {
+	conn, err := h.pools[router].get(ctx)
 	if err != nil {
-		sleep(ctx, 50*time.Millisecond)
-		o.notSent = true
-		return o
+		sleep(ctx, retryPause)
+		return response{notSent: true}
 	}
-	q := &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.Infer, Model: c.function}.Target(),
-		Header: rest.Header{"Host": {p.addresses[router]}, "Content-Type": {"application/json"}, kserve.AttemptHeader: {itoa(n)},
-			kserve.RepeatMark: {map[bool]string{true: nonIdempotentKeyPrefix, false: "effect-"}[c.workload.effect == "run-once"] + itoa(c.number)}},
-		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[{"name":"x","shape":[2],"datatype":"FP32","data":[1,2]}]}`,
-			rec.Request, left.Microseconds(), rec.Effect)}
-	if c.workload.effect == "restartable" {
-		delete(q.Header, kserve.RepeatMark)
+	record := h.requestRecord(c, router, n)
+	record.Kind, record.Deadline = invariant.RequestSent, h.log.Now()+timeout.Microseconds()
+	h.log.Add(record)
+	res, progress, err := conn.Do(h.request(c, record, n, timeout), c.readDeadline(timeout))
+	if err != nil {
+		conn.Close()
+		h.countBrokenConnection(err)
+		var r response
+		r, record.Kind = failedResponse(c, progress, err)
+		h.log.Add(record)
+		return r
 	}
-	q.Header["X-Tenant"] = []string{c.tenant()}
-	if c.omitRetryHeaders {
-		delete(q.Header, kserve.AttemptHeader)
-		if c.workload.effect != "fingerprinted" {
-			delete(q.Header, kserve.RepeatMark)
-		}
+	if res.Close {
+		conn.Close()
+	} else {
+		h.pools[router].put(conn)
 	}
-	rec.Deadline = p.log.Now() + left.Microseconds()
-	add(invariant.RequestSent)
-	deadline := time.Now().Add(left + 300*time.Millisecond) // beyond its time, so that a late answer is seen
-	if c.impatient {
-		deadline = time.Now().Add(left)
+	if res.Status == http.StatusOK && gjson.GetBytes(res.Body, "id").Str != record.Request {
+		h.recordError(fmt.Errorf("job %s got the answer of another: %s", record.Request, res.Body))
 	}
-	if c.abandonAfter > 0 {
-		deadline = time.Now().Add(min(left, c.abandonAfter))
+	r := parseResponse(res)
+	record.Kind, record.Detail = invariant.ResponseReceived, r.answer
+	h.log.Add(record)
+	return r
+}
+
+// requestRecord gives the record of the n-th request of a call, but for what happened to it.
+func (h *harness) requestRecord(c call, router, n int) invariant.Record {
+	return invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, n), Effect: strconv.Itoa(c.number), Workload: c.workload.name, Router: router}
+}
+
+// readDeadline is until when the client reads an answer.
+func (c *call) readDeadline(timeout time.Duration) time.Time {
+	switch now := time.Now(); {
+	case c.abandonAfter > 0:
+		return now.Add(min(timeout, c.abandonAfter))
+	case c.impatient:
+		return now.Add(timeout)
+	default:
+		return now.Add(timeout + lateAnswerTime)
 	}
-	res, progress, err := x.Do(q, deadline)
+}
+
+// request gives the n-th request of a call.
+func (h *harness) request(c call, record invariant.Record, n int, timeout time.Duration) *rest.Request {
+	header := rest.Header{"Host": {h.addresses[record.Router]}, "Content-Type": {"application/json"}, "X-Tenant": {c.tenant()}}
+	if !c.omitRetryHeaders {
+		header[kserve.AttemptHeader] = []string{strconv.Itoa(n)}
+	}
+	if c.workload.effect == effectIdempotentByKey || c.workload.effect == effectNonIdempotent && !c.omitRetryHeaders {
+		header[kserve.RepeatMark] = []string{c.workload.keyPrefix() + strconv.Itoa(c.number)}
+	}
+	return &rest.Request{Method: http.MethodPost, Target: kserve.Call{Kind: kserve.Infer, Model: c.function}.Target(), Header: header,
+		Body: requestBody(record, timeout)}
+}
+
+// requestBody gives the body of a request: the fake servers log its number and its effect.
+func requestBody(record invariant.Record, timeout time.Duration) []byte {
+	return fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[{"name":"x","shape":[2],"datatype":"FP32","data":[1,2]}]}`,
+		record.Request, timeout.Microseconds(), record.Effect)
+}
+
+// failedResponse gives what an exchange without an answer means.
+func failedResponse(c call, progress rest.Progress, err error) (response, invariant.Kind) {
+	r := response{mayHaveRun: progress >= rest.WrittenWhole}
+	r.notSent = !r.mayHaveRun
+	timedOut := errors.Is(err, rest.ErrTimeout)
+	r.connectionBroken = r.mayHaveRun && !timedOut
 	switch {
-	case err != nil:
-		x.Close()
-		o.mayHaveRun = progress >= rest.WrittenWhole
-		o.connectionBroken = o.mayHaveRun && !errors.Is(err, rest.ErrTimeout)
-		p.countBrokenConnection(err)
-		if o.notSent = !o.mayHaveRun; o.notSent {
-			add(invariant.RequestNotSent)
-		} else if errors.Is(err, rest.ErrTimeout) && (c.impatient || c.abandonAfter > 0) {
-			add(invariant.RequestAbandoned)
-		} else {
-			add(invariant.RequestTimedOut)
-		}
-		return o
-	case res.Close:
-		x.Close()
-	default:
-		p.pools[router].put(x)
+	case r.notSent:
+		return r, invariant.RequestNotSent
+	case timedOut && (c.impatient || c.abandonAfter > 0):
+		return r, invariant.RequestAbandoned
 	}
-	rec.Detail = invariant.NotAdmitted
+	return r, invariant.RequestTimedOut
+}
+
+// parseResponse gives what an answer means.
+func parseResponse(res *rest.Response) response {
 	switch answer := gjson.GetBytes(res.Body, "answer").Str; {
-	case res.Status == 200:
-		rec.Detail = invariant.Succeeded
-		if gjson.GetBytes(res.Body, "id").Str != rec.Request {
-			p.recordError(fmt.Errorf("job %s got the answer of another: %s", rec.Request, res.Body))
-		}
-	case answer == invariant.Rejected && res.Status == 503:
-		rec.Detail = invariant.Rejected
-		o.retryAfter = time.Duration(gjson.GetBytes(res.Body, "retry_after_us").Int()) * time.Microsecond
-	case answer == invariant.Failed && res.Status == 504:
-		rec.Detail, o.mayHaveRun = invariant.Failed, true
+	case res.Status == http.StatusOK:
+		return response{answer: invariant.Succeeded}
+	case answer == invariant.Rejected && res.Status == http.StatusServiceUnavailable:
+		return response{answer: invariant.Rejected, retryAfter: time.Duration(gjson.GetBytes(res.Body, "retry_after_us").Int()) * time.Microsecond}
+	case answer == invariant.Failed && res.Status == http.StatusGatewayTimeout:
+		return response{answer: invariant.Failed, mayHaveRun: true}
 	}
-	o.answer = rec.Detail
-	add(invariant.ResponseReceived)
-	return o
+	return response{answer: invariant.NotAdmitted}
 }
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -7,7 +7,7 @@
 	"hollymast/internal/invariant"
 )
 
-// resumed counts the run-once jobs that clients asked their restarted router for again, by its answer.
+// RestartRetries counts the non-idempotent requests that clients sent again to their restarted router, by response.
 type RestartRetries struct {
 	Sent      int `json:"Asked"`
 	Succeeded int `json:"Finished"`
@@ -15,78 +15,80 @@
 	Failed    int `json:"Killed"`
 }
 
-func (p *harness) countRestartRetry(word string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.restartRetries.Sent++
-	switch word {
+func (h *harness) countRestartRetry(answer string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.restartRetries.Sent++
+	switch answer {
 	case invariant.Succeeded:
-		p.restartRetries.Succeeded++
+		h.restartRetries.Succeeded++
 	case invariant.Rejected:
-		p.restartRetries.Rejected++
+		h.restartRetries.Rejected++
 	case invariant.Failed:
-		p.restartRetries.Failed++
+		h.restartRetries.Failed++
 	}
 }
 
-// renewal is a router's return: by the log's clock, and by the day's.
-type restartEvent struct {
+// restart is when a restarted router was ready.
+type restart struct {
 	router  int
 	logTime int64
-	at      time.Duration
+	at      time.Duration // since the start of the run
 }
 
-// Renewed is what followed a router's restart, within ten seconds.
+// Restart is what followed a router's restart, within afterRestart.
 type Restart struct {
 	Router             int           `json:"Router"`
-	At                 time.Duration `json:"At"`
-	Effects            int           `json:"Effects"`    // asked of it by clients of its own
-	InTime             float64       `json:"InTime"`     // the share of them that came within their start target
+	At                 time.Duration `json:"At"`         // since the start of the run
+	Calls              int           `json:"Effects"`    // that asked this router first
+	InTime             float64       `json:"InTime"`     // the share of them that succeeded within their latency objective
 	Loads              int           `json:"Loads"`      // that began on all servers
-	AttemptsPerRequest float64       `json:"Executions"` // a job, of all routers
+	AttemptsPerRequest float64       `json:"Executions"` // of all routers
 }
 
-func (p *harness) afterRestarts(recs []invariant.Record) []Restart {
-	const span = 10 * time.Second
-	var rs []Restart
-	for _, n := range p.restarts {
-		r := Restart{Router: n.router, At: n.at}
-		well := 0
-		for _, w := range p.outcomes {
-			if w.router == n.router && w.at >= n.at && w.at < n.at+span {
-				if r.Effects++; w.inTime {
-					well++
+const afterRestart = 10 * time.Second
+
+// afterRestarts gives what followed each restart.
+func (h *harness) afterRestarts(records []invariant.Record) []Restart {
+	var all []Restart
+	for _, event := range h.restarts {
+		r := Restart{Router: event.router, At: event.at}
+		inTime := 0
+		for _, o := range h.outcomes {
+			if o.router == event.router && o.at >= event.at && o.at < event.at+afterRestart {
+				if r.Calls++; o.inTime {
+					inTime++
 				}
 			}
 		}
-		asked, received := 0, 0
-		for _, x := range recs {
-			if x.At < n.logTime || x.At >= n.logTime+span.Microseconds() {
+		requests, attempts := 0, 0
+		for _, record := range records {
+			if record.At < event.logTime || record.At >= event.logTime+afterRestart.Microseconds() {
 				continue
 			}
-			switch x.Kind {
+			switch record.Kind {
 			case invariant.LoadStarted:
 				r.Loads++
 			case invariant.RequestSent:
-				asked++
+				requests++
 			case invariant.AttemptReceived:
-				received++
+				attempts++
 			}
 		}
-		r.InTime, r.AttemptsPerRequest = float64(well)/float64(max(1, r.Effects)), float64(received)/float64(max(1, asked))
-		rs = append(rs, r)
+		r.InTime, r.AttemptsPerRequest = share(inTime, r.Calls), share(attempts, requests)
+		all = append(all, r)
 	}
-	return rs
+	return all
 }
 
-// over counts the orders that routers gave beyond their ration if what they ordered before a restart counts, whether they
-// remembered it or not.
-func (p *harness) excessLoadCommands(recs []invariant.Record) int {
-	recs = slices.Clone(recs)
-	for i := range recs {
-		if recs[i].Kind == invariant.RouterRestarted {
-			recs[i].Detail = invariant.StateRestored
+// excessLoadCommands counts the load commands beyond the limit if those from before a restart count, whether the router has
+// persisted them or not.
+func (h *harness) excessLoadCommands(records []invariant.Record) int {
+	records = slices.Clone(records)
+	for i := range records {
+		if records[i].Kind == invariant.RouterRestarted {
+			records[i].Detail = invariant.StateRestored
 		}
 	}
-	return invariant.Check(p.invariantConfig(), recs).Rules[4].ViolationCount
+	return invariant.Check(h.invariantConfig(), records).Rules[invariant.RuleLoadRate].ViolationCount
 }
--- a/internal/chaostest/routerprocess.go
+++ b/internal/chaostest/routerprocess.go
@@ -2,53 +2,55 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
-	"hollymast/internal/rest"
+	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
+
+	"hollymast/internal/rest"
 )
 
-// process is one router.
+// routerProcess is one router. It can be started again after it has exited.
 type routerProcess struct {
 	number     int
+	address    string
+	secure     rest.Handshake // of its clients; nil: no TLS
 	configFile string
-	mu         sync.Mutex
-	cmd        *exec.Cmd
-	exited     chan struct{}
-	exitErr    error
-	logFile    *os.File
-}
+	logName    string // of the file that its output is appended to
 
-func (r *routerProcess) logName(dir string) string {
-	return filepath.Join(dir, fmt.Sprintf("router-%d.log", r.number))
+	mu      sync.Mutex
+	cmd     *exec.Cmd     // nil: never started
+	exited  chan struct{} // closed when cmd has exited
+	exitErr error         // of cmd, once it has exited
 }
 
-func (r *routerProcess) start(bin, dir string) error {
-	var err error
-	if r.logFile, err = os.OpenFile(r.logName(dir), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
+// start starts the router's program. The process is killed if this one dies.
+func (r *routerProcess) start(program string) error {
+	log, err := os.OpenFile(r.logName, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
 		return err
 	}
-	cmd := exec.Command(bin, "serve", r.configFile)
-	cmd.Stdout, cmd.Stderr = r.logFile, r.logFile
+	cmd := exec.Command(program, "serve", r.configFile)
+	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	r.mu.Lock()
-	r.cmd, r.exited = cmd, ended
+	r.cmd, r.exited = cmd, exited
 	r.mu.Unlock()
-	go func() {
+	go func() { // ends with the process
 		err := cmd.Wait()
 		r.mu.Lock()
 		r.exitErr = err
 		r.mu.Unlock()
-		r.logFile.Close()
-		close(ended)
+		log.Close()
+		close(exited)
 	}()
 	return nil
 }
@@ -61,55 +63,82 @@
 	}
 }
 
-// end sends a signal and waits for the process; after ten seconds it is killed.
+// pid is the identifier of a router that was started.
+func (r *routerProcess) pid() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.cmd.Process.Pid
+}
+
+// shutdownTimeout is how long a router may take to shut down: longer than any request's deadline.
+const shutdownTimeout = 10 * time.Second
+
+var errShutdownTimeout = errors.New("it had to be killed")
+
+// stop sends a signal and waits until the process has exited; one that takes too long is killed. The error is how the process
+// exited, but none for a process that had exited before or was to be killed.
 func (r *routerProcess) stop(s syscall.Signal) error {
 	r.mu.Lock()
-	ended := r.exited
+	exited := r.exited
 	r.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return nil
 	}
 	select {
-	case <-ended:
+	case <-exited:
 		return nil
 	default:
 	}
 	r.signal(s)
 	select {
-	case <-ended:
-	case <-time.After(10 * time.Second): // longer than any job's limit
+	case <-exited:
+	case <-time.After(shutdownTimeout):
 		r.signal(syscall.SIGKILL)
-		<-ended
-		return fmt.Errorf("it had to be killed")
+		<-exited
+		return errShutdownTimeout
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
 	if s == syscall.SIGKILL {
 		return nil
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return r.exitErr
 }
 
-// awaitReady waits until a router says that it takes jobs.
-func (p *harness) awaitReady(ctx context.Context, i int) error {
-	const most = 10 * time.Second
-	for end := time.Now().Add(most); time.Now().Before(end); {
-		c, err := rest.DialWith(ctx, p.addresses[i], &rest.DefaultLimits, p.pools[i].secure)
-		if err == nil {
-			res, _, err := c.Do(&rest.Request{Method: "GET", Target: "/v2/health/ready", Header: rest.Header{"Host": {"lab"}}}, time.Now().Add(time.Second))
-			c.Close()
-			if err == nil && res.Status == 200 {
-				return nil
-			}
+// Bounds of the wait for a router that starts.
+const (
+	readyTimeout      = 10 * time.Second
+	readyInterval     = 10 * time.Millisecond
+	readyProbeTimeout = time.Second
+)
+
+// awaitReady waits until the router's readiness probe succeeds.
+func (r *routerProcess) awaitReady(ctx context.Context) error {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
+		if probeReady(ctx, r.address, r.secure) {
+			return nil
 		}
 		select {
-		case <-p.routers[i].exited:
-			return fmt.Errorf("router %d ended before it was ready", i)
+		case <-r.exited:
+			return fmt.Errorf("router %d ended before it was ready", r.number)
 		default:
 		}
-		if err := sleep(ctx, 10*time.Millisecond); err != nil {
+		if err := sleep(ctx, readyInterval); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("router %d was not ready within %s", i, most)
+	return fmt.Errorf("router %d was not ready within %s", r.number, readyTimeout)
 }
+
+func probeReady(ctx context.Context, address string, secure rest.Handshake) bool {
+	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, secure)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	res, _, err := c.Do(&rest.Request{Method: http.MethodGet, Target: "/v2/health/ready", Header: rest.Header{"Host": {hostHeader}}}, time.Now().Add(readyProbeTimeout))
+	return err == nil && res.Status == http.StatusOK
+}
+
+// hostHeader is the Host header of probes.
+const hostHeader = "lab"
--- a/internal/chaostest/routerstate.go
+++ b/internal/chaostest/routerstate.go
@@ -3,39 +3,46 @@
 import (
 	"cmp"
 	"errors"
-	"hollymast/control"
-	"hollymast/internal/persistence"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
-)
-
-// runOnceMark begins the marks of run-once jobs, which no server remembers: only routers can keep them from running twice.
-const nonIdempotentKeyPrefix = "once-"
+	"strconv"
+	"time"
 
-func (d *Scenario) keepsRouterState() bool { return d.RouterState != "" && d.RouterState != "none" }
+	"hollymast/control"
+	"hollymast/internal/persistence"
+)
 
-// memory is a router's folder; with the recordings, where there are some, so that it can be looked at after the day.
-func (p *harness) stateDir(router int) string {
-	return filepath.Join(cmp.Or(p.scenario.RecordDir, p.dir), "memory-"+itoa(router))
+// stateDir is the directory of a router's persisted state: with the recordings, where there are some, so that it is still
+// there after the run.
+func (h *harness) stateDir(router int) string {
+	return filepath.Join(cmp.Or(h.scenario.RecordDir, h.dir), "memory-"+strconv.Itoa(router))
 }
 
-// change makes the memory of a router that is down what the day says: nothing but its journal, old by a month, or of quite another day, on which
-// copies stood elsewhere and answers came three times as fast.
-func (p *harness) alterState(router int) error {
-	dir := persistence.Dir(p.stateDir(router))
-	if p.scenario.RouterState == "kept" {
-		return nil
-	}
-	if p.scenario.RouterState == "limits" {
+// alterState makes the persisted state of a stopped router what the scenario wants.
+func (h *harness) alterState(router int) error {
+	dir := persistence.Dir(h.stateDir(router))
+	switch h.scenario.RouterState {
+	case StateLimits:
 		for _, name := range persistence.GenerationFiles {
 			if err := os.Remove(filepath.Join(string(dir), name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
-		return nil
+	case StateOld:
+		return rewriteState(dir, func(s *control.LearnedState) { ageState(s, stateAge) })
+	case StateOther:
+		return rewriteState(dir, disarrangeState)
 	}
+	return nil
+}
+
+// stateAge is far beyond the time for which anything that was learned is of use.
+const stateAge = control.Micros(30 * 24 * time.Hour / time.Microsecond)
+
+// rewriteState changes each generation of a persisted state.
+func rewriteState(dir persistence.Dir, change func(*control.LearnedState)) error {
 	for _, name := range persistence.GenerationFiles {
 		b, err := dir.Read(name)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -44,16 +51,12 @@
 		if err != nil {
 			return err
 		}
-		k, err := persistence.Decode(b)
+		state, err := persistence.Decode(b)
 		if err != nil {
 			return err
 		}
-		if m := k.Learned; p.scenario.RouterState == "old" {
-			ageState(m, 30*24*3600*1_000_000)
-		} else {
-			disarrangeState(m)
-		}
-		if b, err = persistence.Encode(k); err != nil {
+		change(state.Learned)
+		if b, err = persistence.Encode(state); err != nil {
 			return err
 		}
 		if err := dir.Replace(name, b); err != nil {
@@ -63,44 +66,46 @@
 	return nil
 }
 
-func ageState(m *control.LearnedState, by control.Micros) {
-	back := func(ts ...*control.Micros) {
-		for _, t := range ts {
-			*t = max(0, *t-by)
-		}
-	}
-	all := func(ts []control.Micros) {
-		for i := range ts {
-			back(&ts[i])
+// ageState moves all times of a state into the past.
+func ageState(s *control.LearnedState, by control.Micros) {
+	age := func(t *control.Micros) { *t = max(0, *t-by) }
+	ageAll := func(times []control.Micros) {
+		for i := range times {
+			age(&times[i])
 		}
 	}
-	back(&m.SavedAt, &m.StartedAt)
-	for _, ts := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
-		all(ts)
+	age(&s.SavedAt)
+	age(&s.StartedAt)
+	for _, times := range [][]control.Micros{s.QuotaDebt, s.LoadCommands, s.Admitted, s.Answers} {
+		ageAll(times)
 	}
-	for i := range m.Servers {
-		back(&m.Servers[i].StartedAt)
-		all(m.Servers[i].SlowStartSends)
+	for i := range s.Servers {
+		age(&s.Servers[i].StartedAt)
+		ageAll(s.Servers[i].SlowStartSends)
 	}
-	for i := range m.Functions {
-		f := &m.Functions[i]
-		for j := range f.Instances {
-			back(&f.Instances[j].LastUsed, &f.Instances[j].LoadingSince)
+	for i := range s.Functions {
+		instances := s.Functions[i].Instances
+		for j := range instances {
+			age(&instances[j].LastUsed)
+			age(&instances[j].LoadingSince)
 		}
 	}
 }
 
-func disarrangeState(m *control.LearnedState) {
-	m.Answers = slices.Concat(m.Answers, m.Answers, m.Answers)
-	slices.Sort(m.Answers)
-	place := map[control.ServerID]int{}
-	for i, s := range m.Servers {
-		place[s.Server] = i
+// disarrangeState makes a state one that was learned elsewhere: answers came three times as fast, and functions were loaded on
+// other servers.
+func disarrangeState(s *control.LearnedState) {
+	const shift = 5 // servers
+	s.Answers = slices.Concat(s.Answers, s.Answers, s.Answers)
+	slices.Sort(s.Answers)
+	index := map[control.ServerID]int{}
+	for i, server := range s.Servers {
+		index[server.Server] = i
 	}
-	for i := range m.Functions {
-		f := &m.Functions[i]
-		for j := range f.Instances {
-			f.Instances[j].Server = m.Servers[(place[f.Instances[j].Server]+5)%len(m.Servers)].Server
+	for i := range s.Functions {
+		instances := s.Functions[i].Instances
+		for j := range instances {
+			instances[j].Server = s.Servers[(index[instances[j].Server]+shift)%len(s.Servers)].Server
 		}
 	}
 }
--- a/internal/chaostest/scenario.go
+++ b/internal/chaostest/scenario.go
@@ -1,5 +1,3 @@
-// Package chaostest plays days: real router processes, stand-ins and clients on loopback, with scripted troubles, judged by
-// what crossed the sockets.
 package chaostest
 
 import (
@@ -13,91 +11,144 @@
 //go:embed bad.ini
 var defaultScenario []byte
 
-// Day is what is played.
+// Scenario describes one run: the load, the processes, and the faults that are injected.
 type Scenario struct {
 	Name              string
 	Seed              uint64
-	Requests          int
+	Requests          int // operations that clients want; retries come on top
 	Length            time.Duration
 	Routers           int
 	Workers           int
 	Functions         int
-	LimitLoadRate     bool
-	LoadCommandsOnly  bool // only orders load
+	LimitLoadRate     bool // routers have a limit on their load commands
+	LoadCommandsOnly  bool // servers load on command only, never on a cache miss
 	Faults            []Fault
-	EndpointSource    string   // of the list: one of Sources
-	TLS               bool     // all connections are secret, and certificates are renewed meanwhile
-	ClientBehavior    string   // of clients: one of Manners
-	LibraryClients    int      // that behave as the library; each has connections, marks and a budget of its own
-	DampOverload      bool     // routers damp storms
-	TenantWithinQuota bool     // the tenant of a trouble one_tenant keeps to its share: what the others have then is what a storm is held against
-	RouterState       string   // what routers remember after a restart: one of Memories
-	RecordDir         string   // folder for the routers' recordings, one in it for each; empty: none
-	configOverrides   []string // pairs of settings and what routers are told instead: plants breaches
+	EndpointSource    EndpointSource
+	TLS               bool // all connections use TLS, and certificates are rotated during the run
+	ClientBehavior    ClientBehavior
+	LibraryClients    int  // clients of the client library; each has its own connections, keys and retry budget
+	DampOverload      bool // routers dampen retry storms
+	TenantWithinQuota bool // the noisy tenant of a one_tenant fault stays within its quota: the baseline for a run in which it doesn't
+	RouterState       RouterState
+	RecordDir         string   // parent of the routers' recording directories; empty: nothing is recorded
+	configOverrides   []string // pairs of old and new text in the routers' configuration: misconfigures them, to test the checks
 }
 
-// Trouble is something that goes wrong for a time.
-type Fault struct {
-	Name     string
-	Kind     string
-	At       time.Duration
-	Duration time.Duration
-	Target   int     // of the server or router; -1: all
-	Share    float64 // of jobs, where the kind has one
-	Factor   float64 // how much slower
-}
+// EndpointSource is where routers read the endpoint list from.
+type EndpointSource string
+
+// The endpoint sources. Both xDS variants use a fake control plane.
+const (
+	SourceFile     EndpointSource = "file"
+	SourceXDS      EndpointSource = "xds"   // state of the world
+	SourceXDSDelta EndpointSource = "delta" // incremental
+)
+
+// EndpointSources lists all endpoint sources.
+var EndpointSources = []EndpointSource{SourceFile, SourceXDS, SourceXDSDelta}
+
+// ClientBehavior is how clients retry.
+type ClientBehavior string
 
-// The kinds, in the words of a bench day's troubles, and those of single connections.
-var faultKinds = []string{"hang", "crash", "vanish", "pauses", "answer_lost", "origin_slow", "origin_stopped", "hot_key", "scan",
-	"discovery_stale", "deploy", "give_up", "retry_abuse", "balancer_stall", "balancer_roll", "balancer_kill", "ageing",
-	"reset_before", "reset_after", "refuse", "one_tenant", "rise", "plane_lost", "plane_half", "plane_cut", "plane_silent"}
+// The client behaviors.
+const (
+	ClientsUsual ClientBehavior = "usual" // retry as their class and the response allow, three times at most
+	ClientsGood  ClientBehavior = "good"  // use the client library
+	ClientsBad   ClientBehavior = "bad"   // retry almost at once, without retry headers, until their deadline
+	ClientsMixed ClientBehavior = "mixed" // half good, half bad
+)
+
+// ClientBehaviors lists all client behaviors.
+var ClientBehaviors = []ClientBehavior{ClientsUsual, ClientsGood, ClientsBad, ClientsMixed}
 
-// Sources are where routers have the list from: a file, or a pretend control plane in either variant.
-var EndpointSources = []string{"file", "xds", "delta"}
+// RouterState is what a restarted router finds of its persisted state.
+type RouterState string
+
+// The router states.
+const (
+	StateNone   RouterState = "none"   // nothing is persisted
+	StateLimits RouterState = "limits" // only the journal of attempts, which rate limits are restored from
+	StateKept   RouterState = "kept"   // everything
+	StateOld    RouterState = "old"    // everything, as if it had been written a month ago
+	StateOther  RouterState = "other"  // everything, learned under quite different load
+)
 
-// Memories are what routers of a day may remember: nothing; what they sent, and so what limits them, alone; all; that as if a month ago; what was learned on
-// quite another day.
-var RouterStates = []string{"none", "limits", "kept", "old", "other"}
+// RouterStates lists all router states.
+var RouterStates = []RouterState{StateNone, StateLimits, StateKept, StateOld, StateOther}
 
-// What one machine bears as processes and listeners on loopback, and what the emulator's memory does.
+// Bounds of a scenario: what one machine can run as processes and listeners on loopback, and what a simulation fits into memory.
 const (
 	maxRouters   = 64
 	maxWorkers   = 256
 	maxSimulated = 5000
 )
 
-// ReadDay reads a day's script; nil text means the built-in bad day. Flags may change its size afterwards.
+// ParseScenario parses a scenario (INI); a nil text stands for the built-in one. Every error in the text is reported at once,
+// as an *inifile.ValidationError.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	if text == nil {
 		name, text = "bad.ini", defaultScenario
 	}
-	f, err := inifile.Parse(name, text)
+	file, err := inifile.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	s := f.Section("day")
-	d := &Scenario{Name: s.String("name", name), Requests: s.Int("jobs", 5000, 1, 10_000_000), Length: s.Duration("length", 20*time.Second, time.Second, time.Hour),
-		Routers: s.Int("routers", 3, 1, maxSimulated), Workers: s.Int("workers", 12, 1, maxSimulated), Functions: s.Int("functions", 60, 1, 100_000),
-		LimitLoadRate: s.Bool("ration", true)}
-	d.LoadCommandsOnly = s.Bool("orders_only", false)
-	d.ClientBehavior, d.DampOverload = ClientBehaviors[s.OneOf("manners", "usual", ClientBehaviors...)], s.Bool("damp_storms", true)
-	d.LibraryClients = s.Int("clients", 20, 1, 20_000)
-	d.EndpointSource, d.TLS = EndpointSources[s.OneOf("source", "file", EndpointSources...)], s.Bool("keys", false)
-	if d.TLS && (d.ClientBehavior == "good" || d.ClientBehavior == "mixed") {
-		s.Errorf("keys", "clients that behave as the library have no keys here")
+	section := file.Section("day")
+	s := &Scenario{
+		Name:             section.String("name", name),
+		Requests:         section.Int("jobs", 5000, 1, 10_000_000),
+		Length:           section.Duration("length", 20*time.Second, time.Second, time.Hour),
+		Routers:          section.Int("routers", 3, 1, maxSimulated),
+		Workers:          section.Int("workers", 12, 1, maxSimulated),
+		Functions:        section.Int("functions", 60, 1, 100_000),
+		LimitLoadRate:    section.Bool("ration", true),
+		LoadCommandsOnly: section.Bool("orders_only", false),
+		ClientBehavior:   inifile.OneOf(section, "manners", ClientsUsual, ClientBehaviors...),
+		DampOverload:     section.Bool("damp_storms", true),
+		LibraryClients:   section.Int("clients", 20, 1, 20_000),
+		EndpointSource:   inifile.OneOf(section, "source", SourceFile, EndpointSources...),
+		TLS:              section.Bool("keys", false),
+		RouterState:      inifile.OneOf(section, "memory", StateNone, RouterStates...),
 	}
-	d.RouterState = RouterStates[s.OneOf("memory", "none", RouterStates...)]
-	for _, s := range f.Sections("trouble ") {
-		t := Fault{Name: strings.TrimPrefix(s.Name, "trouble "), At: s.Duration("at", 0, 0, time.Hour), Duration: s.Duration("lasts", time.Second, 0, time.Hour),
-			Target: s.Int("number", 0, -1, maxSimulated-1), Share: s.Float("share", 0.3, 0, 1), Factor: s.Float("times", 5, 1, 1000)}
-		t.Kind = faultKinds[s.OneOf("kind", "", faultKinds...)]
-		if strings.HasPrefix(t.Kind, "plane_") && d.EndpointSource == "file" {
-			s.Errorf("kind", "there is no control plane: the list comes from a file")
-		}
-		if t.At+t.Duration > d.Length {
-			s.Errorf("lasts", "ends after the day's %s", d.Length)
-		}
-		d.Faults = append(d.Faults, t)
+	if s.TLS && s.usesLibrary() {
+		section.Errorf("keys", "clients that behave as the library have no keys here")
 	}
-	return d, f.Check()
+	for _, section := range file.Sections(faultSectionPrefix) {
+		s.Faults = append(s.Faults, s.parseFault(section))
+	}
+	return s, file.Check()
+}
+
+const faultSectionPrefix = "trouble "
+
+func (s *Scenario) parseFault(section *inifile.Section) Fault {
+	f := Fault{
+		Name:     strings.TrimPrefix(section.Name, faultSectionPrefix),
+		At:       section.Duration("at", 0, 0, time.Hour),
+		Duration: section.Duration("lasts", time.Second, 0, time.Hour),
+		Target:   section.Int("number", 0, AllTargets, maxSimulated-1),
+		Share:    section.Float("share", 0.3, 0, 1),
+		Factor:   section.Float("times", 5, 1, 1000),
+		Kind:     inifile.OneOf(section, "kind", "", faultKinds...),
+	}
+	if f.Kind.needsControlPlane() && s.EndpointSource == SourceFile {
+		section.Errorf("kind", "there is no control plane: the list comes from a file")
+	}
+	if f.At+f.Duration > s.Length {
+		section.Errorf("lasts", "ends after the day's %s", s.Length)
+	}
+	return f
+}
+
+// usesLibrary reports whether some clients use the client library.
+func (s *Scenario) usesLibrary() bool {
+	return s.ClientBehavior == ClientsGood || s.ClientBehavior == ClientsMixed
 }
+
+// usesControlPlane reports whether the endpoint list comes from a fake control plane.
+func (s *Scenario) usesControlPlane() bool {
+	return s.EndpointSource == SourceXDS || s.EndpointSource == SourceXDSDelta
+}
+
+// keepsRouterState reports whether routers persist their state.
+func (s *Scenario) keepsRouterState() bool { return s.RouterState != "" && s.RouterState != StateNone }
--- a/internal/chaostest/schedule.go
+++ b/internal/chaostest/schedule.go
@@ -2,103 +2,127 @@
 
 import (
 	"cmp"
-	_ "embed"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"time"
 )
 
-// call is one effect that a client wants.
+// call is one operation that a client wants; it may take several requests.
 type call struct {
-	at               time.Duration
-	router           int
+	at               time.Duration // since the start of the run
+	router           int           // that is asked first
 	workload         *workload
 	function         string
 	timeout          time.Duration
 	number           int
-	impatient        bool // leaves early and asks again at once
-	abandonAfter     time.Duration
-	omitRetryHeaders bool // its further tries look like first ones
-	noisyTenant      bool // of the one tenant that storms
-	suppressed       bool // not made, so that its tenant keeps to its share
-	limitedTenant    bool // of that tenant, while it keeps to its share
+	impatient        bool          // gives up at its deadline, without reading a late answer, and retries at once
+	abandonAfter     time.Duration // the client closes its connection then; 0: never
+	omitRetryHeaders bool          // retries look like first requests
+	noisyTenant      bool          // of the noisy tenant, which retries without pause
+	limitedTenant    bool          // of the noisy tenant, while it stays within its quota
+	suppressed       bool          // not made, so that the noisy tenant stays within its quota
 }
 
-// tenant is whose call it is.
 func (c *call) tenant() string {
 	if c.noisyTenant || c.limitedTenant {
-		return "loud"
+		return noisyTenant
 	}
-	return "calm"
+	return usualTenant
 }
 
-// schedule draws the day's calls: the same for the same seed.
-func (d *Scenario) schedule() []call {
-	chance := rand.New(rand.NewPCG(d.Seed, 1))
-	calls := make([]call, d.Requests)
-	at := 0.0
-	for i := range calls {
-		at += chance.ExpFloat64()
-		calls[i] = call{at: time.Duration(at * float64(time.Second)), number: i, router: chance.IntN(d.Routers)}
-	}
-	scale := float64(d.Length) / (at * float64(time.Second))
-	for i := range calls {
-		calls[i].at = time.Duration(float64(calls[i].at) * scale)
-	}
-	calls = d.addSurges(calls, chance)
-	zipf := rand.NewZipf(chance, 1.2, 4, uint64(d.Functions-1))
+// Shape of the load. Function popularity is Zipf's, steep enough that a few functions have most of the requests.
+const (
+	zipfExponent = 1.2
+	zipfOffset   = 4
+
+	minTimeoutShare = 0.5   // of the workload's longest deadline
+	abandonShare    = 0.005 // of clients
+	maxAbandonAfter = 0.2   // seconds
+)
+
+// schedule draws the calls of the run, in order of time. It is the same for the same seed: the order of the draws from the
+// generator is part of that.
+func (s *Scenario) schedule() []call {
+	random := rand.New(rand.NewPCG(s.Seed, 1))
+	calls := s.addSurges(s.arrivals(random), random)
+	zipf := rand.NewZipf(random, zipfExponent, zipfOffset, uint64(s.Functions-1))
 	for i := range calls {
 		c := &calls[i]
-		u := chance.Float64()
-		for k := range workloadMix {
-			if c.workload = &workloadMix[k]; u < workloadMix[k].share {
-				break
-			}
-			u -= workloadMix[k].share
+		c.draw(random, zipf)
+		hit, abandon := random.Float64(), random.Float64()
+		if abandon < abandonShare {
+			c.abandonAfter = time.Duration(random.Float64() * maxAbandonAfter * float64(time.Second))
 		}
-		f := zipf.Uint64()
-		c.function = c.workload.name + "-" + itoa(int(f))
-		c.timeout = time.Duration((0.5 + 0.5*chance.Float64()) * float64(c.workload.maxDeadline))
-		hit, leaves := chance.Float64(), chance.Float64()
-		if leaves < 0.005 { // some clients go at any time
-			c.abandonAfter = time.Duration(chance.Float64() * 0.2 * float64(time.Second))
-		}
-		for _, t := range d.Faults {
-			if c.at < t.At || c.at >= t.At+t.Duration || hit >= t.Share {
-				continue
-			}
-			switch t.Kind {
-			case "hot_key":
-				c.workload, c.function = &workloadMix[0], "forecast-hot-"+t.Name
-			case "scan":
-				c.workload, c.function = &workloadMix[0], "forecast-once-"+itoa(c.number)
-			case "give_up":
-				c.timeout = c.workload.latencyObjective
-			case "one_tenant":
-				c.noisyTenant = true
-				if d.TenantWithinQuota {
-					c.noisyTenant, c.suppressed = false, hit >= noisyTenantQuota/(float64(d.Requests)/d.Length.Seconds())
-					c.limitedTenant = true
-				}
-			case "retry_abuse":
-				c.timeout, c.impatient = c.workload.latencyObjective/2, true
+		for _, f := range s.Faults {
+			if f.active(c.at) && hit < f.Share {
+				s.applyFault(c, f, hit)
 			}
 		}
 	}
 	return slices.DeleteFunc(calls, func(c call) bool { return c.suppressed })
 }
 
-// risen adds the calls of times in which demand rises: first tries, as many more as the trouble's multiple says.
-func (d *Scenario) addSurges(calls []call, chance *rand.Rand) []call {
-	for _, t := range d.Faults {
-		if t.Kind != "rise" {
+// arrivals draws a Poisson process and scales it to the length of the run.
+func (s *Scenario) arrivals(random *rand.Rand) []call {
+	calls := make([]call, s.Requests)
+	at := 0.0 // in seconds
+	for i := range calls {
+		at += random.ExpFloat64()
+		calls[i] = call{at: time.Duration(at * float64(time.Second)), number: i, router: random.IntN(s.Routers)}
+	}
+	scale := float64(s.Length) / (at * float64(time.Second))
+	for i := range calls {
+		calls[i].at = time.Duration(float64(calls[i].at) * scale)
+	}
+	return calls
+}
+
+// addSurges adds the calls of faults in which demand rises.
+func (s *Scenario) addSurges(calls []call, random *rand.Rand) []call {
+	for _, f := range s.Faults {
+		if f.Kind != FaultRise {
 			continue
 		}
-		more := (t.Factor - 1) * float64(d.Requests) * t.Duration.Seconds() / d.Length.Seconds()
+		more := (f.Factor - 1) * float64(s.Requests) * f.Duration.Seconds() / s.Length.Seconds()
 		for range int(more) {
-			calls = append(calls, call{at: t.At + time.Duration(chance.Float64()*float64(t.Duration)), number: len(calls), router: chance.IntN(d.Routers)})
+			calls = append(calls, call{at: f.At + time.Duration(random.Float64()*float64(f.Duration)), number: len(calls), router: random.IntN(s.Routers)})
 		}
 	}
 	slices.SortStableFunc(calls, func(a, b call) int { return cmp.Compare(a.at, b.at) })
 	return calls
 }
+
+// draw draws a call's workload, function and timeout.
+func (c *call) draw(random *rand.Rand, zipf *rand.Zipf) {
+	u := random.Float64()
+	for i := range workloadMix {
+		if c.workload = &workloadMix[i]; u < workloadMix[i].share {
+			break
+		}
+		u -= workloadMix[i].share
+	}
+	c.function = c.workload.name + "-" + strconv.FormatUint(zipf.Uint64(), 10)
+	c.timeout = time.Duration((minTimeoutShare + (1-minTimeoutShare)*random.Float64()) * float64(c.workload.maxDeadline))
+}
+
+// applyFault changes a call that a fault has hit; hit is what was drawn for that, below the fault's share.
+func (s *Scenario) applyFault(c *call, f Fault, hit float64) {
+	switch f.Kind {
+	case FaultHotKey:
+		c.workload, c.function = &workloadMix[0], workloadMix[0].name+"-hot-"+f.Name
+	case FaultScan:
+		c.workload, c.function = &workloadMix[0], workloadMix[0].name+"-once-"+strconv.Itoa(c.number)
+	case FaultGiveUp:
+		c.timeout = c.workload.latencyObjective
+	case FaultRetryAbuse:
+		c.timeout, c.impatient = c.workload.latencyObjective/2, true
+	case FaultOneTenant:
+		if !s.TenantWithinQuota {
+			c.noisyTenant = true
+			return
+		}
+		c.noisyTenant, c.limitedTenant = false, true
+		c.suppressed = hit >= noisyTenantQuota/(float64(s.Requests)/s.Length.Seconds())
+	}
+}
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"slices"
-	"strings"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -14,192 +13,202 @@
 	"hollymast/internal/gateway"
 	"hollymast/internal/inifile"
 	"hollymast/internal/invariant"
-	"hollymast/internal/modelserver"
 	"hollymast/internal/simulation"
 )
 
-// Emulated is a day played in simulated time.
+// SimulationResult is what a simulated run showed. Its JSON form is read by scripts and by other builds: the names in the tags
+// stay.
 type SimulationResult struct {
 	*invariant.Report
-	InTime               float64 `json:"InTime"`
-	WeightedInTime       float64 `json:"Worth"`
+	InTime               float64 `json:"InTime"` // share of calls that succeeded within their latency objective
+	WeightedInTime       float64 `json:"Worth"`  // as InTime, each call weighted with its workload's importance
 	Loads                int     `json:"Loads"`
 	LoadCommands         int     `json:"Orders"`
-	SlowStartUtilization float64 `json:"ColdUse"` // jobs that cold servers ran, of what they could in that time
-	Utilization          float64 `json:"WarmUse"` // the same of all servers while they were warm
-	Hash                 uint64  `json:"Hash"`
+	SlowStartUtilization float64 `json:"ColdUse"` // requests that servers ran in slow start, as a share of what they could have run
+	Utilization          float64 `json:"WarmUse"` // the same after slow start
+	Hash                 uint64  `json:"Hash"`    // of all records: equal runs have equal hashes
 	Events               int     `json:"Events"`
 	Steps                int     `json:"Turns"`
 }
 
-// Plan gives a day as the emulator plays it: the same calls, servers and settings as on sockets. An error names what is only there.
-func (d *Scenario) SimulationPlan() (*simulation.Plan, error) {
-	p := &harness{scenario: d}
-	for range d.Routers {
-		p.addresses = append(p.addresses, "127.0.0.1:1")
+// PolicyFactory makes the policy of a router, such as a baseline.
+type PolicyFactory = func(now control.Micros, seed uint64, d control.Deployment) core.Policy
+
+// errNoLoadCommands is why a scenario can't be simulated with a baseline.
+var errNoLoadCommands = errors.New("only orders load on this day, and textbook policies give none")
+
+// Simulate runs a scenario in simulated time, with the balancer's decisions (a nil factory) or those of another policy. The
+// number of threads doesn't change the result.
+func Simulate(s *Scenario, threads int, newPolicy PolicyFactory) (*SimulationResult, error) {
+	plan, err := s.SimulationPlan()
+	if err != nil {
+		return nil, err
+	}
+	if newPolicy != nil && s.LoadCommandsOnly {
+		return nil, errNoLoadCommands
+	}
+	plan.NewPolicy = newPolicy
+	run := simulation.Run(plan, threads)
+	h := &harness{scenario: s, servers: make([]*fakeserver.Server, s.Workers)}
+	r := &SimulationResult{Report: invariant.Check(h.invariantConfig(), run.Records), Hash: run.Hash, Events: run.Events, Steps: run.Steps}
+	use := h.utilization(run.Records)
+	r.SlowStartUtilization, r.Utilization = use.slowStart, use.usual
+	r.addOutcomes(plan, run.Outcomes)
+	for _, record := range run.Records {
+		switch record.Kind {
+		case invariant.LoadStarted:
+			r.Loads++
+		case invariant.LoadCommandReceived:
+			r.LoadCommands++
+		}
+	}
+	return r, nil
+}
+
+func (r *SimulationResult) addOutcomes(plan *simulation.Plan, outcomes []simulation.CallOutcome) {
+	inTime, weightInTime, weight := 0, 0.0, 0.0
+	for i, o := range outcomes {
+		importance := plan.Classes[plan.Calls[i].Class].Importance
+		if weight += importance; o.InTime {
+			inTime++
+			weightInTime += importance
+		}
 	}
-	in, err := inifile.Parse("emulated", p.routerConfig(0))
+	r.InTime, r.WeightedInTime = share(inTime, len(outcomes)), weightInTime/max(1, weight)
+}
+
+// SimulationPlan gives the scenario as the simulation runs it: with the same calls, servers and settings as on sockets. An
+// error names a fault that can't be simulated.
+func (s *Scenario) SimulationPlan() (*simulation.Plan, error) {
+	h := &harness{scenario: s}
+	for range s.Routers {
+		h.addresses = append(h.addresses, "127.0.0.1:1") // stands in the configuration only
+	}
+	file, err := inifile.Parse("emulated", h.routerConfig(0))
 	if err != nil {
 		return nil, err
 	}
-	told, err := gateway.ParseConfig(in)
+	config, err := gateway.ParseConfig(file)
 	if err != nil {
 		return nil, err
 	}
-	plan := &simulation.Plan{Seed: d.Seed, Routers: d.Routers, Deployment: told.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
-		ConcurrentFetches: storeConcurrency, Clients: d.LibraryClients, Duration: control.Micros(d.Length.Microseconds()), AnswerMargin: control.Micros(told.AnswerMargin.Microseconds()),
-		OverloadProtection: d.DampOverload, EndpointPollInterval: control.Micros(told.EndpointFileInterval.Microseconds())}
-	for i := range d.Workers {
-		plan.Servers = append(plan.Servers, p.serverOptions(i).ModelConfig())
-		plan.ServerZones = append(plan.ServerZones, control.ZoneID(i%3))
+	plan := &simulation.Plan{Seed: s.Seed, Routers: s.Routers, Deployment: config.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
+		ConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
+		OverloadProtection: s.DampOverload, EndpointPollInterval: control.Micros(config.EndpointFileInterval.Microseconds())}
+	for i := range s.Workers {
+		plan.Servers = append(plan.Servers, h.serverConfig(i).ModelConfig())
+		plan.ServerZones = append(plan.ServerZones, control.ZoneID(i%zones))
 	}
-	for i := range d.Routers {
-		plan.RouterZones = append(plan.RouterZones, control.ZoneID(i%3))
+	for i := range s.Routers {
+		plan.RouterZones = append(plan.RouterZones, control.ZoneID(i%zones))
 	}
-	for i, w := range told.Deployment.Classes {
-		plan.Classes = append(plan.Classes, simulation.Class{Name: told.ClassNames[i], Spec: w, Importance: told.Priorities[i]})
+	for i, class := range config.Deployment.Classes {
+		plan.Classes = append(plan.Classes, simulation.Class{Name: config.ClassNames[i], Spec: class, Importance: config.Priorities[i]})
 	}
-	for _, c := range d.schedule() {
-		rude := d.ClientBehavior == "bad" || d.ClientBehavior == "mixed" && c.number%2 == 1 || c.noisyTenant
-		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Class: slices.Index(told.ClassNames, c.workload.name),
-			Function: c.function, Timeout: control.Micros(c.timeout.Microseconds()), RetriesBlindly: rude, FirstRouter: c.router})
+	for _, c := range s.schedule() {
+		plan.Calls = append(plan.Calls, simulation.Call{At: control.Micros(c.at.Microseconds()), Number: c.number, Class: slices.Index(config.ClassNames, c.workload.name),
+			Function: c.function, Timeout: control.Micros(c.timeout.Microseconds()), RetriesBlindly: s.retriesBlindly(&c), FirstRouter: c.router})
 	}
-	for _, t := range d.Faults {
-		x, err := d.simulatedFaults(t)
+	for _, f := range s.Faults {
+		incidents, err := s.incidents(f)
 		if err != nil {
 			return nil, err
 		}
-		plan.Incidents = append(plan.Incidents, x...)
+		plan.Incidents = append(plan.Incidents, incidents...)
 	}
 	return plan, nil
 }
 
-// emulated gives a trouble as the emulator has it; none where the calls have it already.
-func (d *Scenario) simulatedFaults(t Fault) ([]simulation.Incident, error) {
-	x := simulation.Incident{At: control.Micros(t.At.Microseconds()), Duration: control.Micros(t.Duration.Microseconds()), Targets: []int{t.Target}}
-	of := d.Workers
-	if strings.HasPrefix(t.Kind, "balancer") {
-		of = d.Routers
-	}
-	if t.Target < 0 {
-		x.Targets = nil
-		for i := range of {
-			x.Targets = append(x.Targets, i)
-		}
-	}
-	x.Targets = slices.DeleteFunc(x.Targets, func(i int) bool { return i >= of })
-	one := func(k simulation.IncidentKind) ([]simulation.Incident, error) {
-		x.Kind = k
-		return []simulation.Incident{x}, nil
-	}
-	fault := func(f fakeserver.Faults) ([]simulation.Incident, error) {
-		x.Faults = f
-		return one(simulation.ServerFault)
-	}
-	switch t.Kind {
-	case "hot_key", "scan", "rise", "give_up":
+// retriesBlindly reports whether a call's client retries at once, at any router and without retry headers.
+func (s *Scenario) retriesBlindly(c *call) bool {
+	return c.noisyTenant || s.ClientBehavior == ClientsBad || s.ClientBehavior == ClientsMixed && c.number%2 == 1
+}
+
+// incidents gives a fault as the simulation has it; none if it is in the calls already.
+func (s *Scenario) incidents(f Fault) ([]simulation.Incident, error) {
+	count := s.Workers
+	if f.Kind.affectsRouters() {
+		count = s.Routers
+	}
+	incident := simulation.Incident{At: control.Micros(f.At.Microseconds()), Duration: control.Micros(f.Duration.Microseconds()), Targets: f.targets(count)}
+	switch f.Kind {
+	case FaultHotKey, FaultScan, FaultRise, FaultGiveUp:
 		return nil, nil
-	case "hang":
-		return fault(modelserver.Faults{Silent: true})
-	case "answer_lost":
-		return fault(modelserver.Faults{LostAnswers: t.Share})
-	case "reset_before":
-		return fault(modelserver.Faults{ResetBefore: t.Share})
-	case "reset_after":
-		return fault(modelserver.Faults{ResetAfter: t.Share})
-	case "refuse":
-		return fault(modelserver.Faults{Overloaded: true})
-	case "ageing":
-		const steps = 5
-		var xs []simulation.Incident
-		x.Kind, x.Duration = simulation.ServerFault, x.Duration/steps
-		for i := range steps {
-			x.Faults = modelserver.Faults{Slowdown: 1 + (t.Factor-1)*float64(i+1)/steps}
-			xs = append(xs, x)
-			x.At += x.Duration
-		}
-		return xs, nil
-	case "crash", "vanish":
-		return one(simulation.ServerCrash)
-	case "deploy":
-		return one(simulation.ServerDeploy)
-	case "origin_slow":
-		x.StoreSlowdown = t.Factor
-		return one(simulation.StoreDegraded)
-	case "origin_stopped":
-		x.StoreClosed = true
-		return one(simulation.StoreDegraded)
-	case "discovery_stale":
-		return one(simulation.StaleEndpoints)
-	case "balancer_stall":
-		return one(simulation.RouterStall)
-	case "balancer_kill", "balancer_roll":
-		return one(simulation.RouterCrash)
-	}
-	return nil, fmt.Errorf("trouble %s: %s is played on sockets only", t.Name, t.Kind)
+	case FaultAgeing:
+		return ageingIncidents(incident, f.Factor), nil
+	case FaultHang:
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Silent: true}
+	case FaultAnswerLost:
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostAnswers: f.Share}
+	case FaultResetBefore:
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetBefore: f.Share}
+	case FaultResetAfter:
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetAfter: f.Share}
+	case FaultRefuse:
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Overloaded: true}
+	case FaultCrash, FaultVanish:
+		incident.Kind = simulation.ServerCrash
+	case FaultDeploy:
+		incident.Kind = simulation.ServerDeploy
+	case FaultOriginSlow:
+		incident.Kind, incident.StoreSlowdown = simulation.StoreDegraded, f.Factor
+	case FaultOriginStopped:
+		incident.Kind, incident.StoreClosed = simulation.StoreDegraded, true
+	case FaultDiscoveryStale:
+		incident.Kind = simulation.StaleEndpoints
+	case FaultRouterStall:
+		incident.Kind = simulation.RouterStall
+	case FaultRouterKill, FaultRouterRoll:
+		incident.Kind = simulation.RouterCrash
+	default:
+		return nil, fmt.Errorf("trouble %s: %s is played on sockets only", f.Name, f.Kind)
+	}
+	return []simulation.Incident{incident}, nil
 }
 
-// Emulate plays a day in simulated time, with the module's decisions or a baseline's.
-func Simulate(d *Scenario, threads int, decide func(now control.Micros, seed uint64, d control.Deployment) core.Policy) (*SimulationResult, error) {
-	plan, err := d.SimulationPlan()
-	if err != nil {
-		return nil, err
-	}
-	if decide != nil && d.LoadCommandsOnly {
-		return nil, errors.New("only orders load on this day, and textbook policies give none")
-	}
-	plan.NewPolicy = decide
-	res := simulation.Run(plan, threads)
-	p := &harness{scenario: d, servers: make([]*fakeserver.Server, d.Workers)}
-	e := &SimulationResult{Report: invariant.Check(p.invariantConfig(), res.Records), Hash: res.Hash, Events: res.Events, Steps: res.Steps}
-	e.SlowStartUtilization, e.Utilization = p.utilization(res.Records)
-	in, worth, all := 0, 0.0, 0.0
-	for i, x := range res.Outcomes {
-		importance := plan.Classes[plan.Calls[i].Class].Importance
-		if all += importance; x.InTime {
-			in++
-			worth += importance
-		}
-	}
-	e.InTime, e.WeightedInTime = float64(in)/float64(max(1, len(res.Outcomes))), worth/max(1, all)
-	for _, r := range res.Records {
-		switch r.Kind {
-		case invariant.LoadStarted:
-			e.Loads++
-		case invariant.LoadCommandReceived:
-			e.LoadCommands++
-		}
-	}
-	return e, nil
+// ageingIncidents gives one incident for each step in which servers get slower, up to a factor.
+func ageingIncidents(incident simulation.Incident, factor float64) []simulation.Incident {
+	var steps []simulation.Incident
+	incident.Kind, incident.Duration = simulation.ServerFault, incident.Duration/ageingSteps
+	for i := range ageingSteps {
+		incident.Faults = fakeserver.Faults{Slowdown: 1 + (factor-1)*float64(i+1)/ageingSteps}
+		steps = append(steps, incident)
+		incident.At += incident.Duration
+	}
+	return steps
 }
 
-// use gives which part of what they could run cold and warm servers ran.
-func (p *harness) utilization(recs []invariant.Record) (ofCold, ofWarm float64) {
-	end := p.scenario.Length.Microseconds()
+// utilization is what servers have run, as a share of what they could have run.
+type utilization struct{ slowStart, usual float64 }
+
+// utilization measures it: a server in slow start can run what is expected at its age, any other one the full rate.
+func (h *harness) utilization(records []invariant.Record) utilization {
+	type work struct{ run, capacity float64 } // in requests
+	end := h.scenario.Length.Microseconds()
+	slowStart, usual := work{}, work{capacity: serverRate * float64(end) / 1e6 * float64(len(h.servers))}
 	var first int64
-	if len(recs) > 0 {
-		first = recs[0].At
+	if len(records) > 0 {
+		first = records[0].At
 	}
-	born := map[int]int64{}
-	ran, could := [2]float64{}, [2]float64{0, serverRate * float64(end) / 1e6 * float64(len(p.servers))}
-	for _, r := range recs {
+	startedAt := map[int]int64{}
+	for _, r := range records {
 		at := r.At - first
 		switch r.Kind {
 		case invariant.ServerStarted:
-			born[r.Server] = at
-			aged := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6
-			could[0] += serverRate * aged * (slowStartInitial + (1-slowStartInitial)*aged/slowStartDuration.Seconds()/2)
-			could[1] -= serverRate * aged
+			startedAt[r.Server] = at
+			age := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6 // seconds in slow start until the end
+			slowStart.capacity += serverRate * age * (slowStartInitial + (1-slowStartInitial)*age/slowStartDuration.Seconds()/2)
+			usual.capacity -= serverRate * age
 		case invariant.AttemptStarted:
-			if b, started := born[r.Server]; started && at < b+slowStartDuration.Microseconds() {
-				ran[0]++
+			if started, restarted := startedAt[r.Server]; restarted && at < started+slowStartDuration.Microseconds() {
+				slowStart.run++
 			} else {
-				ran[1]++
+				usual.run++
 			}
 		}
 	}
-	return ran[0] / max(1, could[0]), ran[1] / max(1, could[1])
+	return utilization{slowStart.run / max(1, slowStart.capacity), usual.run / max(1, usual.capacity)}
 }
 
-// DayKey tells scripts of days apart.
+// ScenarioHash identifies the text of a scenario.
 func ScenarioHash(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/chaostest/stream.go
+++ b/internal/chaostest/stream.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"hollymast/internal/rest"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
@@ -10,71 +10,109 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"hollymast/internal/rest"
+)
+
+// Latencies are kept from one microsecond to a minute, to three significant digits.
+const (
+	maxLatency    = 60_000_000 // microseconds
+	latencyDigits = 3
 )
 
-// stream sends a steady stream of jobs to addresses in turn.
-func runStream(ctx context.Context, load LoadTest, addresses []string) (LoadResult, error) {
-	total := int64(float64(load.Rate) * load.Length.Seconds())
-	var next, failed atomic.Int64
+// streamTimeout is how long a client waits for a response: longer than the request's own timeout.
+const streamTimeout = 20 * time.Second
+
+// stream is a steady stream of requests under way. Its connections share it: each takes the next request that is due.
+type stream struct {
+	test      LoadTest
+	addresses []string // connections go to them in rotation
+	body      []byte   // of each request
+	total     int64    // requests
+	ready     sync.WaitGroup
+	start     chan struct{} // closed once all connections are open: the stream doesn't include what that costs
+	startedAt time.Time     // set before start is closed
+	next      atomic.Int64  // request
+	failed    atomic.Int64
+
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram
+	err       error // of a connection that couldn't be opened
+}
+
+// runStream sends the stream of a test and returns what it showed.
+func runStream(ctx context.Context, test LoadTest, addresses []string) (LoadResult, error) {
+	tensors := strings.Repeat("1,", max(0, test.TensorBytes/2)) + "1"
+	s := &stream{test: test, addresses: addresses, total: int64(float64(test.Rate) * test.Length.Seconds()), start: make(chan struct{}), latencies: newHistogram(),
+		body: []byte(`{"id":"1","parameters":{"timeout":10000000},"inputs":[{"name":"x","shape":[1],"datatype":"FP32","data":[` + tensors + `]}]}`)}
 	var wg sync.WaitGroup
-	var mu sync.Mutex
-	all := hdrhistogram.New(1, 60_000_000, 3)
-	tensors := strings.Repeat("1,", max(0, load.TensorBytes/2)) + "1"
-	var firstErr error
-	var connected sync.WaitGroup
-	connected.Add(load.Connections)
-	var begun time.Time
-	start := make(chan struct{}) // closed once all are connected: what that costs is measured by itself
-	for n := range load.Connections {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			h := hdrhistogram.New(1, 60_000_000, 3)
-			c, err := rest.DialWith(ctx, addresses[n%len(addresses)], &rest.DefaultLimits, load.secure)
-			connected.Done()
-			<-start
-			if err != nil {
-				mu.Lock()
-				firstErr = err
-				mu.Unlock()
-				return
-			}
-			defer func() { c.Close() }()
-			for ctx.Err() == nil {
-				i := next.Add(1) - 1
-				if i >= total {
-					break
-				}
-				due := begun.Add(time.Duration(float64(i) / float64(load.Rate) * float64(time.Second)))
-				if d := time.Until(due); d > 0 {
-					time.Sleep(d)
-					due = time.Now() // a late waking is ours, not the path's
-				}
-				q := &rest.Request{Method: "POST", Target: "/v2/models/" + load.functionPrefix + "f" + strconv.FormatInt(i%int64(load.Functions), 10) + "/infer",
-					Header: rest.Header{"Host": {"load"}, "Content-Type": {"application/json"}},
-					Body:   []byte(`{"id":"1","parameters":{"timeout":10000000},"inputs":[{"name":"x","shape":[1],"datatype":"FP32","data":[` + tensors + `]}]}`)}
-				p, _, err := c.Do(q, time.Now().Add(20*time.Second))
-				if err != nil || p.Status != 200 {
-					failed.Add(1)
-				}
-				if err != nil {
-					c.Close()
-					if c, err = rest.DialWith(ctx, addresses[n%len(addresses)], &rest.DefaultLimits, load.secure); err != nil {
-						return
-					}
-					continue
-				}
-				h.RecordValue(max(1, time.Since(due).Microseconds()))
-			}
-			mu.Lock()
-			all.Merge(h)
-			mu.Unlock()
-		}()
+	s.ready.Add(test.Connections)
+	for n := range test.Connections {
+		wg.Go(func() { s.runConnection(ctx, addresses[n%len(addresses)]) })
 	}
-	connected.Wait()
-	begun = time.Now()
-	close(start)
+	s.ready.Wait()
+	s.startedAt = time.Now()
+	close(s.start)
 	wg.Wait()
-	return LoadResult{Requests: all.TotalCount(), Failed: failed.Load(), P50: all.ValueAtQuantile(50), P99: all.ValueAtQuantile(99),
-		P999: all.ValueAtQuantile(99.9), Throughput: float64(all.TotalCount()) / time.Since(begun).Seconds()}, firstErr
+	requests := s.latencies.TotalCount()
+	return LoadResult{Requests: requests, Failed: s.failed.Load(), P50: s.latencies.ValueAtQuantile(50), P99: s.latencies.ValueAtQuantile(99),
+		P999: s.latencies.ValueAtQuantile(99.9), Throughput: float64(requests) / time.Since(s.startedAt).Seconds()}, s.err
+}
+
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, latencyDigits) }
+
+// runConnection sends requests over one connection at a time until all are sent. It opens another one after an error.
+func (s *stream) runConnection(ctx context.Context, address string) {
+	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+	s.ready.Done()
+	<-s.start
+	if err != nil {
+		s.mu.Lock()
+		s.err = err
+		s.mu.Unlock()
+		return
+	}
+	defer func() { c.Close() }()
+	latencies := newHistogram()
+	for ctx.Err() == nil {
+		n := s.next.Add(1) - 1
+		if n >= s.total {
+			break
+		}
+		due := s.awaitDue(n)
+		res, _, err := c.Do(s.request(n), time.Now().Add(streamTimeout))
+		if err != nil || res.Status != http.StatusOK {
+			s.failed.Add(1)
+		}
+		if err == nil {
+			latencies.RecordValue(max(1, time.Since(due).Microseconds()))
+			continue
+		}
+		c.Close()
+		another, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+		if err != nil {
+			return
+		}
+		c = another
+	}
+	s.mu.Lock()
+	s.latencies.Merge(latencies)
+	s.mu.Unlock()
+}
+
+// awaitDue waits until a request is due, and gives the time from which its latency counts. A late wake-up of this process isn't
+// counted as latency.
+func (s *stream) awaitDue(n int64) time.Time {
+	due := s.startedAt.Add(time.Duration(float64(n) / float64(s.test.Rate) * float64(time.Second)))
+	if d := time.Until(due); d > 0 {
+		time.Sleep(d)
+		return time.Now()
+	}
+	return due
+}
+
+func (s *stream) request(n int64) *rest.Request {
+	function := s.test.functionPrefix + "f" + strconv.FormatInt(n%int64(s.test.Functions), 10)
+	return &rest.Request{Method: http.MethodPost, Target: "/v2/models/" + function + "/infer",
+		Header: rest.Header{"Host": {"load"}, "Content-Type": {"application/json"}}, Body: s.body}
 }
--- a/internal/chaostest/timeline.go
+++ b/internal/chaostest/timeline.go
@@ -1,95 +1,114 @@
 package chaostest
 
 import (
-	"hollymast/internal/invariant"
 	"time"
+
+	"hollymast/internal/invariant"
 )
 
-// Second is what happened to the effects that clients asked for within one second of a day.
+// Second is what happened in one second of a run. Calls count in the second in which they began.
 type Second struct {
-	Effects             int     `json:"Effects"`
-	InTime              int     `json:"Well"`
-	Keyed               int     `json:"Marked"` // fingerprinted ones
-	KeyedInTime         int     `json:"MarkedWell"`
+	Calls               int     `json:"Effects"`
+	InTime              int     `json:"Well"`       // of the calls
+	Keyed               int     `json:"Marked"`     // calls that are idempotent by key
+	KeyedInTime         int     `json:"MarkedWell"` // of these
 	Requests            int     `json:"Tries"`
-	Rejected            int     `json:"PushedBack"`
+	Rejected            int     `json:"PushedBack"` // requests
 	Loads               int     `json:"Loads"`
-	OtherTenants        int     `json:"Calm"` // of tenants that don't storm
-	OtherTenantsInTime  int     `json:"CalmWell"`
-	Outstanding         int     `json:"Open"` // tries without an answer at its end
-	SlowStartBudgetUsed float64 `json:"Cold"` // the largest share of its budget that a cold server had got
+	OtherTenants        int     `json:"Calm"`     // calls of all tenants but the noisy one
+	OtherTenantsInTime  int     `json:"CalmWell"` // of these
+	Outstanding         int     `json:"Open"`     // requests without an answer at the end of the second
+	SlowStartBudgetUsed float64 `json:"Cold"`     // the largest share of its budget that a server in slow start had got
 }
 
-// seconds gives a day second by second.
-func (p *harness) seconds(recs []invariant.Record, cold []invariant.SlowStartWindow) []Second {
-	out := make([]Second, int(p.scenario.Length.Seconds())+1)
-	at := func(t time.Duration) *Second { return &out[min(max(0, int(t.Seconds())), len(out)-1)] }
-	for _, w := range p.outcomes {
-		s := at(w.at)
-		s.Effects++
-		if w.inTime {
-			s.InTime++
-		}
-		if w.effect == "fingerprinted" {
-			if s.Keyed++; w.inTime {
-				s.KeyedInTime++
-			}
-		}
-		if !w.noisyTenant {
-			if s.OtherTenants++; w.inTime {
-				s.OtherTenantsInTime++
-			}
-		}
+// seconds gives the run second by second.
+func (h *harness) seconds(records []invariant.Record, slowStart []invariant.SlowStartWindow) []Second {
+	seconds := make([]Second, int(h.scenario.Length.Seconds())+1)
+	at := func(t time.Duration) *Second { return &seconds[min(max(0, int(t.Seconds())), len(seconds)-1)] }
+	atLogTime := func(t int64) *Second { return at(time.Duration(t-h.logStart) * time.Microsecond) }
+	for _, o := range h.outcomes {
+		at(o.at).addOutcome(o)
 	}
-	first, open := p.logStart, map[string]bool{}
-	for _, c := range cold {
-		s := at(time.Duration(c.At-first) * time.Microsecond)
-		s.SlowStartBudgetUsed = max(s.SlowStartBudgetUsed, c.BudgetUsed)
+	for _, w := range slowStart {
+		s := atLogTime(w.At)
+		s.SlowStartBudgetUsed = max(s.SlowStartBudgetUsed, w.BudgetUsed)
 	}
-	for _, r := range recs {
-		s := at(time.Duration(r.At-first) * time.Microsecond)
-		switch {
-		case r.Kind == invariant.RequestSent:
-			s.Requests++
-		case r.Kind == invariant.ResponseReceived && r.Detail == invariant.Rejected:
-			s.Rejected++
-		case r.Kind == invariant.LoadStarted:
-			s.Loads++
-		}
+	outstanding := map[string]bool{}
+	for _, r := range records {
+		s := atLogTime(r.At)
 		switch r.Kind {
 		case invariant.RequestSent:
-			open[r.Request] = true
-		case invariant.ResponseReceived, invariant.RequestTimedOut, invariant.RequestAbandoned, invariant.RequestNotSent:
-			delete(open, r.Request)
+			s.Requests++
+			outstanding[r.Request] = true
+		case invariant.ResponseReceived:
+			if r.Detail == invariant.Rejected {
+				s.Rejected++
+			}
+			delete(outstanding, r.Request)
+		case invariant.RequestTimedOut, invariant.RequestAbandoned, invariant.RequestNotSent:
+			delete(outstanding, r.Request)
+		case invariant.LoadStarted:
+			s.Loads++
 		}
-		s.Outstanding = len(open)
+		s.Outstanding = len(outstanding)
 	}
-	return out
+	return seconds
 }
 
-// Recovery tells after how long since a moment of a day three seconds in a row have fingerprinted work in time within 5 % of what it
-// was before another moment; below zero: never.
-func Recovery(seconds []Second, before, since time.Duration) (usual float64, after time.Duration) {
-	const in, within = 3, 0.95
-	n, well := 0, 0
+func (s *Second) addOutcome(o outcome) {
+	inTime := 0
+	if o.inTime {
+		inTime = 1
+	}
+	s.Calls++
+	s.InTime += inTime
+	if o.effect == effectIdempotentByKey {
+		s.Keyed++
+		s.KeyedInTime += inTime
+	}
+	if !o.noisyTenant {
+		s.OtherTenants++
+		s.OtherTenantsInTime += inTime
+	}
+}
+
+// Recovery is how calls that are idempotent by key fared after a fault.
+type Recovery struct {
+	Usual     float64       // share in time before the fault
+	Recovered bool          // the share got back to nearly that
+	After     time.Duration // from the end of the fault, if it did
+}
+
+// Recovery counts as complete with the first of several seconds in a row in which nearly the usual share is in time.
+const (
+	recoverySeconds = 3
+	recoveryShare   = 0.95 // of the usual share
+)
+
+// MeasureRecovery tells how soon the share of calls in time recovered from a fault. The first second of the run doesn't count
+// as usual, and seconds without such calls are passed over.
+func MeasureRecovery(seconds []Second, f Fault) Recovery {
+	calls, inTime := 0, 0
 	for i, s := range seconds {
-		if i > 0 && i < int(before.Seconds()) {
-			n, well = n+s.Keyed, well+s.KeyedInTime
+		if i > 0 && i < int(f.At.Seconds()) {
+			calls, inTime = calls+s.Keyed, inTime+s.KeyedInTime
 		}
 	}
-	usual = float64(well) / float64(max(1, n))
-	row := 0
-	for i := int(since.Seconds()); i < len(seconds); i++ {
+	r := Recovery{Usual: share(inTime, calls)}
+	end := f.At + f.Duration
+	inRow := 0
+	for i := int(end.Seconds()); i < len(seconds); i++ {
 		s := seconds[i]
 		if s.Keyed == 0 {
 			continue
 		}
-		if row++; float64(s.KeyedInTime) < within*usual*float64(s.Keyed) {
-			row = 0
+		if inRow++; float64(s.KeyedInTime) < recoveryShare*r.Usual*float64(s.Keyed) {
+			inRow = 0
 		}
-		if row == in {
-			return usual, time.Duration(i-in+1)*time.Second - since
+		if inRow == recoverySeconds {
+			r.Recovered, r.After = true, time.Duration(i-recoverySeconds+1)*time.Second-end
+			break
 		}
 	}
-	return usual, -1
+	return r
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,69 +1,74 @@
-// Package experiment decides which days of an experiment are still to be played, and what the played ones show: paired differences
-// between arms on the same calls and troubles, with intervals, and an end once they tell enough. It is free of I/O; Store keeps rows.
 package experiment
 
-import (
-	"slices"
-)
+import "slices"
 
-// State is an experiment under way.
+// pair is the comparison of the first arm with another one, at one size.
+type pair struct{ size, arm string }
+
+// Experiment is an experiment under way. It isn't safe for concurrent use.
 type Experiment struct {
 	plan         Plan
 	results      map[Trial]Result
 	started      map[Trial]bool
-	decidedAfter map[[2]string]int // seeds after which a pair was decided, by size and arm
+	decidedAfter map[pair]int // number of seeds after which a pair was decided
 }
 
-// New begins an experiment with the rows that are there already.
-func New(p Plan, rows []Result) *Experiment {
-	s := &Experiment{plan: p, results: map[Trial]Result{}, started: map[Trial]bool{}, decidedAfter: map[[2]string]int{}}
-	for _, r := range rows {
-		s.results[r.Trial] = r
+// New begins an experiment with the results that are there already. The plan has at least one arm.
+func New(p Plan, results []Result) *Experiment {
+	e := &Experiment{plan: p, results: map[Trial]Result{}, started: map[Trial]bool{}, decidedAfter: map[pair]int{}}
+	for _, r := range results {
+		e.results[r.Trial] = r
 	}
 	for _, size := range p.Sizes {
 		for _, arm := range p.Arms[1:] {
-			s.decide(size, arm)
+			e.decide(pair{size, arm})
 		}
 	}
-	return s
+	return e
+}
+
+// trial gives the trial with the i-th seed.
+func (e *Experiment) trial(size, arm string, i int) Trial {
+	return Trial{size, arm, e.plan.FirstSeed + uint64(i)}
 }
 
-// Next gives a day to play; false: none is left that could change a finding. Days are given seed by seed, so that what is there at any
-// time is as complete as can be.
-func (s *Experiment) Next() (Trial, bool) {
-	for i := range s.plan.MaxSeeds {
-		for _, size := range s.plan.Sizes {
-			for n, arm := range s.plan.Arms {
-				c := Trial{size, arm, s.plan.FirstSeed + uint64(i)}
-				if _, played := s.results[c]; played || s.started[c] || !s.needed(size, n, i) {
+// Next gives a trial to be run; false: none is left that could change a finding. Trials are given seed by seed, so that the
+// results are as complete as can be at any time.
+func (e *Experiment) Next() (Trial, bool) {
+	for i := range e.plan.MaxSeeds {
+		for _, size := range e.plan.Sizes {
+			for _, arm := range e.plan.Arms {
+				t := e.trial(size, arm, i)
+				if _, done := e.results[t]; done || e.started[t] || !e.needed(size, arm, i) {
 					continue
 				}
-				s.started[c] = true
-				return c, true
+				e.started[t] = true
+				return t, true
 			}
 		}
 	}
 	return Trial{}, false
 }
 
-// wanted tells whether a seed's day of an arm can still change a finding; the first arm's can while any other's can.
-func (s *Experiment) needed(size string, arm, seed int) bool {
-	open := func(arm string) bool {
-		end, decided := s.decidedAfter[[2]string{size, arm}]
-		return !decided || seed < end
+// needed reports whether an arm's trial with the i-th seed can still change a finding. One of the first arm can while that of any
+// other arm can.
+func (e *Experiment) needed(size, arm string, i int) bool {
+	undecided := func(arm string) bool {
+		end, decided := e.decidedAfter[pair{size, arm}]
+		return !decided || i < end
 	}
-	if arm > 0 {
-		return open(s.plan.Arms[arm])
+	if arm != e.plan.Arms[0] {
+		return undecided(arm)
 	}
-	return len(s.plan.Arms) == 1 || slices.ContainsFunc(s.plan.Arms[1:], open)
+	return len(e.plan.Arms) == 1 || slices.ContainsFunc(e.plan.Arms[1:], undecided)
 }
 
-// Left counts the days that would still be played if nothing more were decided.
-func (s *Experiment) Remaining() (n int) {
-	for i := range s.plan.MaxSeeds {
-		for _, size := range s.plan.Sizes {
-			for arm, name := range s.plan.Arms {
-				if _, played := s.results[Trial{size, name, s.plan.FirstSeed + uint64(i)}]; !played && s.needed(size, arm, i) {
+// Remaining counts the trials without a result that would still be run if no further pair were decided.
+func (e *Experiment) Remaining() (n int) {
+	for i := range e.plan.MaxSeeds {
+		for _, size := range e.plan.Sizes {
+			for _, arm := range e.plan.Arms {
+				if _, done := e.results[e.trial(size, arm, i)]; !done && e.needed(size, arm, i) {
 					n++
 				}
 			}
@@ -72,12 +77,12 @@
 	return n
 }
 
-// Add takes in a played day.
-func (s *Experiment) Add(r Result) {
-	s.results[r.Trial] = r
-	for _, arm := range s.plan.Arms[1:] {
-		if r.Arm == arm || r.Arm == s.plan.Arms[0] {
-			s.decide(r.Size, arm)
+// Add adds the result of a trial.
+func (e *Experiment) Add(r Result) {
+	e.results[r.Trial] = r
+	for _, arm := range e.plan.Arms[1:] {
+		if r.Arm == arm || r.Arm == e.plan.Arms[0] {
+			e.decide(pair{r.Size, arm})
 		}
 	}
 }
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -7,113 +7,134 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// differences gives the first arm less another, seed by seed, as far as both were played without a gap: which days end first hangs on
-// the machine, and findings must not.
-func (s *Experiment) differences(size, arm string) (ds []float64) {
-	for i := range s.plan.MaxSeeds {
-		a, there := s.results[Trial{size, s.plan.Arms[0], s.plan.FirstSeed + uint64(i)}]
-		b, too := s.results[Trial{size, arm, s.plan.FirstSeed + uint64(i)}]
-		if !there || !too {
+// Verdict is how the first arm compares with another one.
+type Verdict string
+
+// The verdicts. A pair is alike if the interval of its difference is within the plan's tolerance.
+const (
+	Undecided Verdict = ""
+	Alike     Verdict = "alike"
+	More      Verdict = "more"
+	Less      Verdict = "less"
+)
+
+// interval is a confidence interval.
+type interval struct{ low, high float64 }
+
+// differences gives the first arm less the other one, seed by seed up to the first gap: which trials end first depends on the
+// machine, and findings must not.
+func (e *Experiment) differences(p pair) (all []float64) {
+	for i := range e.plan.MaxSeeds {
+		first, done := e.results[e.trial(p.size, e.plan.Arms[0], i)]
+		other, otherDone := e.results[e.trial(p.size, p.arm, i)]
+		if !done || !otherDone {
 			break
 		}
-		ds = append(ds, a.value(s.plan.Measure)-b.value(s.plan.Measure))
+		all = append(all, first.value(e.plan.Measure)-other.value(e.plan.Measure))
 	}
-	return ds
+	return all
 }
 
-// decide looks after each further seed whether a pair is told apart, or told to be alike.
-func (s *Experiment) decide(size, arm string) {
-	key := [2]string{size, arm}
-	if _, decided := s.decidedAfter[key]; decided {
+// decide decides a pair after the first seed that allows it.
+func (e *Experiment) decide(p pair) {
+	if _, decided := e.decidedAfter[p]; decided {
 		return
 	}
-	ds := s.differences(size, arm)
-	for n := max(2, s.plan.MinSeeds); n <= len(ds); n++ {
-		if low, high := s.interval(size, arm, ds[:n]); s.verdict(low, high) != "" {
-			s.decidedAfter[key] = n
+	differences := e.differences(p)
+	for n := max(2, e.plan.MinSeeds); n <= len(differences); n++ {
+		if e.verdict(bootstrap(p, differences[:n])) != Undecided {
+			e.decidedAfter[p] = n
 			return
 		}
 	}
 }
 
-// verdict is empty while an interval tells nothing.
-func (s *Experiment) verdict(low, high float64) string {
-	switch i := s.plan.Tolerance; {
-	case low > -i && high < i:
-		return "alike"
-	case low > 0:
-		return "more"
-	case high < 0:
-		return "less"
+func (e *Experiment) verdict(i interval) Verdict {
+	switch tolerance := e.plan.Tolerance; {
+	case i.low > -tolerance && i.high < tolerance:
+		return Alike
+	case i.low > 0:
+		return More
+	case i.high < 0:
+		return Less
 	}
-	return ""
+	return Undecided
 }
 
-// interval is the bootstrap's 95 % for the mean, by percentiles; its chance is drawn from the pair's name, so that it is the same each time.
-func (s *Experiment) interval(size, arm string, ds []float64) (low, high float64) {
-	const resamples = 2000 // the ends move by a few hundredths of the interval's width
-	chance := rand.New(rand.NewPCG(xxhash.Sum64String(size), xxhash.Sum64String(arm)))
+// resamples is the number of the bootstrap's samples: with so many, the ends of an interval vary by a few hundredths of its width.
+const resamples = 2000
+
+// bootstrap gives the 95 % interval of the mean, by percentiles. Its random numbers depend on the pair's name only, so that the
+// interval is the same each time.
+func bootstrap(p pair, differences []float64) interval {
+	random := rand.New(rand.NewPCG(xxhash.Sum64String(p.size), xxhash.Sum64String(p.arm)))
 	means := make([]float64, resamples)
 	for i := range means {
-		for range ds {
-			means[i] += ds[chance.IntN(len(ds))]
+		for range differences {
+			means[i] += differences[random.IntN(len(differences))]
 		}
-		means[i] /= float64(len(ds))
+		means[i] /= float64(len(differences))
 	}
 	slices.Sort(means)
-	return means[len(means)*25/1000], means[len(means)*975/1000]
+	return interval{means[resamples*25/1000], means[resamples*975/1000]}
 }
 
-// Finding is what a pair of arms showed: the first arm less the other.
+// Finding is what a pair of arms showed: the first arm less the other one.
 type Finding struct {
-	Size, Arm       string
-	Seeds           int
-	Mean, Low, High float64
-	Verdict         string // more, less, alike; empty: not told apart
-	Violations      int    // breaches of rules by the other arm, on all its days
+	Size, Arm  string
+	Seeds      int
+	Mean       float64
+	Low, High  float64 // the 95 % interval of the mean
+	Verdict    Verdict
+	Violations int // of invariants by the other arm, in all its trials
+}
+
+// Findings gives a finding on each pair. One that was decided rests on the seeds up to then.
+func (e *Experiment) Findings() []Finding {
+	var findings []Finding
+	for _, size := range e.plan.Sizes {
+		for _, arm := range e.plan.Arms[1:] {
+			findings = append(findings, e.finding(pair{size, arm}))
+		}
+	}
+	return findings
 }
 
-// Findings gives what is there so far. A pair that was decided rests on the days until then.
-func (s *Experiment) Findings() (fs []Finding) {
-	for _, size := range s.plan.Sizes {
-		for _, arm := range s.plan.Arms[1:] {
-			ds := s.differences(size, arm)
-			if end, decided := s.decidedAfter[[2]string{size, arm}]; decided {
-				ds = ds[:end]
-			}
-			f := Finding{Size: size, Arm: arm, Seeds: len(ds)}
-			for _, d := range ds {
-				f.Mean += d / float64(len(ds))
-			}
-			if len(ds) > 1 {
-				f.Low, f.High = s.interval(size, arm, ds)
-				f.Verdict = s.verdict(f.Low, f.High)
-			}
-			for c, r := range s.results {
-				if c.Size == size && c.Arm == arm {
-					f.Violations += r.Violations
-				}
-			}
-			fs = append(fs, f)
+func (e *Experiment) finding(p pair) Finding {
+	differences := e.differences(p)
+	if end, decided := e.decidedAfter[p]; decided {
+		differences = differences[:end]
+	}
+	f := Finding{Size: p.size, Arm: p.arm, Seeds: len(differences)}
+	for _, d := range differences {
+		f.Mean += d / float64(len(differences))
+	}
+	if len(differences) > 1 {
+		i := bootstrap(p, differences)
+		f.Low, f.High, f.Verdict = i.low, i.high, e.verdict(i)
+	}
+	for t, r := range e.results {
+		if t.Size == p.size && t.Arm == p.arm {
+			f.Violations += r.Violations
 		}
 	}
-	return fs
+	return f
 }
 
-// Mean is one arm's figure over its days so far.
-func (s *Experiment) Mean(size, arm string) (mean float64, days int) {
-	for i := range s.plan.MaxSeeds {
-		if r, played := s.results[Trial{size, arm, s.plan.FirstSeed + uint64(i)}]; played {
-			mean, days = mean+r.value(s.plan.Measure), days+1
+// Mean gives an arm's mean over its trials so far, and their number.
+func (e *Experiment) Mean(size, arm string) (mean float64, trials int) {
+	for i := range e.plan.MaxSeeds {
+		if r, done := e.results[e.trial(size, arm, i)]; done {
+			mean, trials = mean+r.value(e.plan.Measure), trials+1
 		}
 	}
-	return mean / float64(max(1, days)), days
+	return mean / float64(max(1, trials)), trials
 }
 
-// Broken counts an arm's breaches of rules, over all sizes.
-func (s *Experiment) Violations(arm string) (n int) {
-	for c, r := range s.results {
-		if c.Arm == arm {
+// Violations counts an arm's violations of invariants, over all sizes.
+func (e *Experiment) Violations(arm string) (n int) {
+	for t, r := range e.results {
+		if t.Arm == arm {
 			n += r.Violations
 		}
 	}
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -1,6 +1,7 @@
 package experiment
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -8,32 +9,39 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Store keeps rows in a file, so that runs add up and resume. Rows of another build, or of a day whose script differs, are other rows.
+// Store keeps results in a file, so that an interrupted experiment resumes and a longer one adds to it. Results are stored by their
+// origin: the build and the scenario that they are of.
 type Store struct{ db *bolt.DB }
 
 var bucket = []byte("rows 1") // with the format's version
 
-// Open opens or makes a store. An error tells that the file is none, or that another experiment has it open.
+// lockTimeout is how long Open waits for another experiment to close the file.
+const lockTimeout = time.Second
+
+// Open opens a store, or creates one. It fails if the file is no store, or if another experiment has it open.
 func Open(path string) (*Store, error) {
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: time.Second})
-	if err == nil {
-		err = db.Update(func(tx *bolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
-	}
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
+	err = db.Update(func(tx *bolt.Tx) error {
+		_, err := tx.CreateBucketIfNotExists(bucket)
+		return err
+	})
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, errors.Join(err, db.Close()))
+	}
 	return &Store{db}, nil
 }
 
-// Close closes it.
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// key names a row: origin stands for what played it and on which day.
-func key(origin string, c Trial) []byte {
-	return fmt.Appendf(nil, "%s\x00%s\x00%s\x00%020d", origin, c.Size, c.Arm, c.Seed)
+func key(origin string, t Trial) []byte {
+	return fmt.Appendf(nil, "%s\x00%s\x00%s\x00%020d", origin, t.Size, t.Arm, t.Seed)
 }
 
-// Put keeps a row; it is on disk when this returns.
+// Put stores a result; it is on disk when Put returns.
 func (s *Store) Put(origin string, r Result) error {
 	b, err := cbor.Marshal(r)
 	if err != nil {
@@ -42,11 +50,11 @@
 	return s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucket).Put(key(origin, r.Trial), b) })
 }
 
-// Get gives a row. One that can't be read counts as none: its day is played again.
-func (s *Store) Get(origin string, c Trial) (r Result, ok bool) {
+// Get gives a stored result. One that can't be decoded counts as missing: its trial is run again.
+func (s *Store) Get(origin string, t Trial) (r Result, ok bool) {
 	s.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(bucket).Get(key(origin, c))
-		ok = b != nil && cbor.Unmarshal(b, &r) == nil && r.Trial == c
+		b := tx.Bucket(bucket).Get(key(origin, t))
+		ok = b != nil && cbor.Unmarshal(b, &r) == nil && r.Trial == t
 		return nil
 	})
 	return r, ok
