--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -9,7 +9,7 @@
 
 const second = control.Micros(1_000_000)
 
-func decide(p Policy, effect control.Effect) core.Policy {
+func newBalancer(p Policy, effect control.Effect) core.Policy {
 	d := NewFactory(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
 		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Effect: effect}}})
 	d.UpdateEndpoints(second, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
@@ -17,29 +17,29 @@
 	return d
 }
 
-func job(id control.RequestID) *control.Request {
+func newRequest(id control.RequestID) *control.Request {
 	return &control.Request{ID: id, Function: 7, ArrivedAt: second, Deadline: 4 * second}
 }
 
-// No policy sends to a server that drains or is cold, and none sends in vain once a job can't end in time.
-func TestOnlySoundServers(t *testing.T) {
+// No policy sends to a server that drains or is in slow start, and none sends a request that can't end in time.
+func TestOnlyReadyServers(t *testing.T) {
 	for p := range Names {
-		d := decide(Policy(p), control.Idempotent)
+		d := newBalancer(Policy(p), control.Idempotent)
 		for i := range 200 {
-			if got := d.Route(2*second, job(control.RequestID(i))); got.Action != control.Forward || got.Server > 2 {
+			if got := d.Route(2*second, newRequest(control.RequestID(i))); got.Action != control.Forward || got.Server > 2 {
 				t.Fatalf("%s: %+v", Names[p], got)
 			}
 		}
-		if got := d.Route(4*second-5_000, job(999)); got.Action != control.Reject {
+		if got := d.Route(4*second-5_000, newRequest(999)); got.Action != control.Reject {
 			t.Errorf("%s: %+v", Names[p], got)
 		}
 	}
 }
 
-// What may have run is sent again only if it is restartable.
+// What may have run is sent again only if it is idempotent.
 func TestNothingRunsTwice(t *testing.T) {
 	for effect, want := range map[control.Effect]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
-		d, j := decide(LeastRequests, effect), job(1)
+		d, j := newBalancer(LeastRequests, effect), newRequest(1)
 		p := d.Route(2*second, j)
 		if got := d.HandleOutcome(2*second, j, control.Outcome{Server: p.Server, Result: control.ConnectionReset}); got.Action != want {
 			t.Errorf("%d: %+v", effect, got)
@@ -47,12 +47,12 @@
 	}
 }
 
-// Each policy chooses as its name says.
+// Each policy chooses by its own rule.
 func TestChoices(t *testing.T) {
 	count := func(p Policy) (of [5]int) {
-		d := decide(p, control.Idempotent)
+		d := newBalancer(p, control.Idempotent)
 		for i := range 100 {
-			of[d.Route(2*second, job(control.RequestID(i))).Server]++
+			of[d.Route(2*second, newRequest(control.RequestID(i))).Server]++
 		}
 		return of
 	}
--- a/internal/chaostest/output_test.go
+++ b/internal/chaostest/output_test.go
@@ -14,7 +14,7 @@
 		golden.Fill(value)
 		golden.Check(t, name, value, json.Marshal, json.Unmarshal)
 		if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
-			t.Errorf("told under the name of a field: %q", missing)
+			t.Errorf("encoded under the name of a field: %q", missing)
 		}
 	}
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// played runs an experiment in which the other arms fall short by so much on average, with noise that pairs share and some they don't.
-func played(p Plan, short map[string]float64, alone float64) (*Experiment, int) {
+// run runs an experiment in which the other arms are worse by so much on average. Trials of one seed share some noise, and each
+// has some of its own. It also returns the number of trials.
+func run(p Plan, worseBy map[string]float64, noise float64) (*Experiment, int) {
 	s, n := New(p, nil), 0
 	for c, ok := s.Next(); ok; c, ok = s.Next() {
 		shared := rand.New(rand.NewPCG(c.Seed, 1)).NormFloat64() * 0.1
-		own := rand.New(rand.NewPCG(c.Seed, uint64(len(c.Arm)))).NormFloat64() * alone
-		s.Add(Result{Trial: c, InTime: 0.8 + shared + own - short[c.Arm]})
+		own := rand.New(rand.NewPCG(c.Seed, uint64(len(c.Arm)))).NormFloat64() * noise
+		s.Add(Result{Trial: c, InTime: 0.8 + shared + own - worseBy[c.Arm]})
 		n++
 	}
 	return s, n
 }
 
-// A difference far smaller than the noise that days share is found, early; one that is none is told alike; the rest goes to the end.
+// A difference far smaller than the noise that trials share is found early, and so is that there is none; other pairs need all seeds.
 func TestPairedDifferences(t *testing.T) {
 	p := Plan{Sizes: []string{"s"}, Arms: []string{"base", "worse", "alike!", "unclear?"}, FirstSeed: 1, MaxSeeds: 40, MinSeeds: 5, Tolerance: 0.005}
-	s, n := played(p, map[string]float64{"worse": 0.03, "unclear?": 0.004}, 0.01)
+	s, n := run(p, map[string]float64{"worse": 0.03, "unclear?": 0.004}, 0.01)
 	fs := s.Findings()
 	if fs[0].Verdict != "more" || fs[0].Seeds > 10 || fs[0].Low > 0.03 || fs[0].High < 0.03 {
 		t.Errorf("worse: %+v", fs[0])
@@ -30,14 +31,14 @@
 		t.Errorf("alike: %+v", fs[1])
 	}
 	if n >= 4*40 || s.Remaining() > 0 {
-		t.Errorf("%d days were played, %d are left", n, s.Remaining())
+		t.Errorf("%d trials were run, %d remain", n, s.Remaining())
 	}
 }
 
-// The order in which days end changes no finding, and a run that begins with another's rows plays only what is missing.
+// The order in which trials end changes no finding, and an experiment that begins with results runs only what is missing.
 func TestOrderAndResumption(t *testing.T) {
 	p := Plan{Sizes: []string{"s", "t"}, Arms: []string{"base", "worse"}, FirstSeed: 7, MaxSeeds: 12, MinSeeds: 3, Tolerance: 0.001}
-	in, n := played(p, map[string]float64{"worse": 0.02}, 0.01)
+	in, n := run(p, map[string]float64{"worse": 0.02}, 0.01)
 	var rows []Result
 	for _, r := range in.results {
 		rows = append(rows, r)
@@ -59,11 +60,11 @@
 		left++
 	}
 	if left > n-n/2 {
-		t.Errorf("%d days were played again of %d", left-(n-n/2), n)
+		t.Errorf("%d of %d trials were run again", left-(n-n/2), n)
 	}
 }
 
-func TestStoreKeepsRowsByOrigin(t *testing.T) {
+func TestStoreKeepsResultsByOrigin(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rows")
 	s, err := Open(path)
 	if err != nil {
@@ -90,6 +91,6 @@
 		}
 	}
 	if _, ok := s.Get("two", r.Trial); ok {
-		t.Error("another build's row is taken for this one's")
+		t.Error("another build's result is taken for this one's")
 	}
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -9,12 +9,12 @@
 	"hollymast/internal/golden"
 )
 
-// Rows that earlier builds stored are read, and written in the same form.
+// Results that earlier builds stored are read, and written in the same form.
 func TestStoredForm(t *testing.T) {
-	row := &Result{}
-	golden.Fill(row)
-	golden.Check(t, "row-1.cbor", row, cbor.Marshal, cbor.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(row)); len(missing) > 0 {
+	result := &Result{}
+	golden.Fill(result)
+	golden.Check(t, "row-1.cbor", result, cbor.Marshal, cbor.Unmarshal)
+	if missing := golden.Untagged(reflect.TypeOf(result)); len(missing) > 0 {
 		t.Errorf("stored under the name of a field: %q", missing)
 	}
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -15,11 +15,11 @@
 	err  error
 	code int
 }{
-	"well":                 {nil, 0},
-	"a breach was found":   {errors.New("rule 1"), 1},
-	"wrong use":            {UsageError{errors.New("no such router")}, 2},
-	"a file is missing":    {fmt.Errorf("settings: %w", os.ErrNotExist), 2},
-	"settings with faults": {&inifile.ValidationError{Problems: []string{"a.ini:3: cold: no span of time"}}, 2},
+	"success":               {nil, 0},
+	"failure":               {errors.New("rule 1"), 1},
+	"usage error":           {UsageError{errors.New("no such router")}, 2},
+	"missing file":          {fmt.Errorf("settings: %w", os.ErrNotExist), 2},
+	"invalid configuration": {&inifile.ValidationError{Problems: []string{"a.ini:3: cold: no span of time"}}, 2},
 }
 
 const endVariable = "PROGRAM_TEST_END"
