--- a/internal/gateway/admin_test.go
+++ b/internal/gateway/admin_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
+	"github.com/tidwall/gjson"
+
 	"hollymast/control"
 	"hollymast/internal/explain"
 	"hollymast/internal/golden"
 	"hollymast/internal/record"
 	"hollymast/internal/replay"
 	"hollymast/internal/rest"
-
-	"github.com/tidwall/gjson"
 )
 
 // What /router/state tells is read by scripts: its names stay.
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -3,77 +3,107 @@
 import (
 	"errors"
 	"fmt"
+	"net"
+	"strings"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
-	"net"
-	"strings"
-	"time"
 )
 
-// converse answers one connection's requests, each in its turn.
-func (g *Gateway) readLoop(conn net.Conn, admin bool) {
-	limits := rest.DefaultLimits
-	limits.MaxBody, limits.IdleTimeout = g.config.MaxBody, g.config.ClientIdleTimeout
-	limits.HeaderTimeout, limits.BodyTimeout = g.config.HeaderTimeout, g.config.BodyTimeout
-	reserved := 0
-	client := rest.NewConn(conn, &limits, func(n int) bool {
-		if g.bodyBytes.Add(int64(n)) > int64(g.config.MaxBodyBytes) {
-			g.bodyBytes.Add(int64(-n))
-			return false
-		}
-		reserved += n
-		return true
-	})
-	free := func() { g.bodyBytes.Add(int64(-reserved)); reserved = 0 }
+// clientConn is one connection from a client. The goroutine that reads it owns it.
+type clientConn struct {
+	gateway  *Gateway
+	role     listenerRole
+	limits   rest.Limits
+	conn     *rest.Conn
+	reserved int // bytes of the request body in memory, counted in Gateway.bodyBytes
+}
+
+// newClientConn returns the state of a client connection.
+func (g *Gateway) newClientConn(conn net.Conn, role listenerRole) *clientConn {
+	c := &clientConn{gateway: g, role: role, limits: rest.DefaultLimits}
+	c.limits.MaxBody, c.limits.IdleTimeout = g.config.MaxBody, g.config.ClientIdleTimeout
+	c.limits.HeaderTimeout, c.limits.BodyTimeout = g.config.HeaderTimeout, g.config.BodyTimeout
+	c.conn = rest.NewConn(conn, &c.limits, c.reserve)
+	return c
+}
+
+// reserve counts bytes of a request body; false if all bodies in memory would exceed the limit.
+func (c *clientConn) reserve(bytes int) bool {
+	if c.gateway.bodyBytes.Add(int64(bytes)) > int64(c.gateway.config.MaxBodyBytes) {
+		c.gateway.bodyBytes.Add(int64(-bytes))
+		return false
+	}
+	c.reserved += bytes
+	return true
+}
+
+// freeBody gives back what reserve has counted.
+func (c *clientConn) freeBody() {
+	c.gateway.bodyBytes.Add(int64(-c.reserved))
+	c.reserved = 0
+}
+
+// readLoop reads requests and answers them, one after another, until the connection ends.
+func (c *clientConn) readLoop() {
+	g := c.gateway
 	defer func() {
-		free()
-		g.clientConns.Delete(client)
-		client.Close()
+		c.freeBody()
+		g.clientConns.Delete(c.conn)
+		c.conn.Close()
 	}()
-	g.clientConns.Store(client, nil)
-	held := g.config.shutdownTimes().readUntil
-	if g.isStopping() {
-		client.SetIdleDeadline(g.afterStop(held))
+	g.clientConns.Store(c.conn, nil)
+	readUntil := g.config.shutdownTimes().readUntil
+	if g.isStopping() { // it may have begun after beginStop has set the deadline of all others
+		c.conn.SetIdleDeadline(g.afterStop(readUntil))
 	}
 	for {
-		msg, err := client.ReadRequest()
+		msg, err := c.conn.ReadRequest()
 		if err != nil {
-			var distrusted *rest.PeerUntrustedError
-			if errors.As(err, &distrusted) {
-				resp := rejection(distrusted.Error(), 0)
-				resp.Close = true
-				client.WriteResponse(resp)
-			}
-			var refused *rest.MessageError
-			if errors.As(err, &refused) {
-				resp := errorResponse(refused.Status, refused.Reason)
-				if refused.Status == 503 {
-					resp = rejection(refused.Reason, g.config.Deployment.MaxRetryAfter)
-				}
-				resp.Close = true
-				client.WriteResponse(resp)
-			}
+			c.respondToUnread(err)
 			return
 		}
-		resp, left := g.respond(client, msg, admin)
-		free()
+		resp, clientClosed := c.respond(msg)
+		c.freeBody()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.More = (left || state.Stopping) && client.HasPending() && (!state.Stopping || time.Now().Before(g.afterStop(held)))
-		resp.Close = state.CloseAfter(resp.Close, msg.Close, left)
-		if client.WriteResponse(resp) != nil || resp.Close {
+		state.More = (clientClosed || state.Stopping) && c.conn.HasPending() &&
+			(!state.Stopping || time.Now().Before(g.afterStop(readUntil)))
+		resp.Close = state.CloseAfter(resp.Close, msg.Close, clientClosed)
+		if c.conn.WriteResponse(resp) != nil || resp.Close {
 			return
 		}
 	}
 }
 
-// respond answers one request; left tells that its client has closed its side.
-func (g *Gateway) respond(client *rest.Conn, msg *rest.Request, admin bool) (resp *rest.Response, left bool) {
-	if admin && strings.HasPrefix(msg.Target, "/metrics") {
+// respondToUnread answers a request that could not be read, where its client can still be answered.
+func (c *clientConn) respondToUnread(err error) {
+	var resp *rest.Response
+	var untrusted *rest.PeerUntrustedError
+	var invalid *rest.MessageError
+	switch {
+	case errors.As(err, &untrusted):
+		resp = rejection(untrusted.Error(), 0)
+	case errors.As(err, &invalid) && invalid.Status == 503:
+		resp = rejection(invalid.Reason, c.gateway.config.Deployment.MaxRetryAfter)
+	case errors.As(err, &invalid):
+		resp = errorResponse(invalid.Status, invalid.Reason)
+	default:
+		return
+	}
+	resp.Close = true
+	c.conn.WriteResponse(resp)
+}
+
+// respond returns the response to one request, and whether its client has closed its side.
+func (c *clientConn) respond(msg *rest.Request) (resp *rest.Response, clientClosed bool) {
+	g := c.gateway
+	if c.role == adminListener && strings.HasPrefix(msg.Target, "/metrics") {
 		return g.metrics.response(), false
 	}
-	if admin && strings.HasPrefix(msg.Target, "/router/") {
+	if c.role == adminListener && strings.HasPrefix(msg.Target, "/router/") {
 		return g.serveAdmin(msg), false
 	}
 	call, err := kserve.ReadTarget(msg.Method, msg.Target)
@@ -84,85 +114,102 @@
 		return errorResponse(404, "no such call: "+msg.Target), false
 	}
 	pattern, known := g.config.Match(call.Model)
+	if call.Kind != kserve.Infer {
+		return g.serveMetadata(call, known), false
+	}
+	if !known {
+		return errorResponse(404, "no workload is told for "+call.Model), false
+	}
+	if c.role == adminListener {
+		return errorResponse(404, "jobs are taken at the other address"), false
+	}
+	return c.infer(msg, call, pattern)
+}
+
+// serveMetadata answers the calls of KServe's protocol that concern no server.
+func (g *Gateway) serveMetadata(call kserve.Call, known bool) *rest.Response {
 	switch call.Kind {
 	case kserve.ServerLive:
-		return jsonResponse(200, []byte(`{"live":true}`)), false
+		return jsonResponse(200, []byte(`{"live":true}`))
 	case kserve.ServerReady:
 		if !g.ready.Load() {
-			return jsonResponse(503, []byte(`{"ready":false}`)), false
+			return jsonResponse(503, []byte(`{"ready":false}`))
 		}
-		return jsonResponse(200, []byte(`{"ready":true}`)), false
+		return jsonResponse(200, []byte(`{"ready":true}`))
 	case kserve.ServerMetadata:
-		return jsonResponse(200, []byte(`{"name":"hollymast","version":"2","extensions":["binary_tensor_data"]}`)), false
+		return jsonResponse(200, []byte(`{"name":"hollymast","version":"2","extensions":["binary_tensor_data"]}`))
 	case kserve.ModelReady, kserve.ModelMetadata:
 		if !known {
-			return errorResponse(404, "no workload is told for "+call.Model), false
+			return errorResponse(404, "no workload is told for "+call.Model)
 		}
 		if call.Kind == kserve.ModelMetadata {
-			return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"platform":"hollymast","inputs":[],"outputs":[]}`, call.Model)), false
+			return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"platform":"hollymast","inputs":[],"outputs":[]}`, call.Model))
 		}
-		return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"ready":%t}`, call.Model, g.ready.Load())), false
-	case kserve.RepositoryIndex, kserve.RepositoryLoad, kserve.RepositoryUnload:
-		return errorResponse(405, "copies are loaded as jobs need them, not by clients"), false
+		return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"ready":%t}`, call.Model, g.ready.Load()))
 	}
-	if !known {
-		return errorResponse(404, "no workload is told for "+call.Model), false
-	}
-	if admin {
-		return errorResponse(404, "jobs are taken at the other address"), false
-	}
-	return g.infer(client, msg, call, pattern)
+	return errorResponse(405, "copies are loaded as jobs need them, not by clients")
 }
 
+// tenantHeader names the tenant of a request.
 const tenantHeader = "X-Tenant"
 
-// infer takes a job and waits for its one answer.
-func (g *Gateway) infer(client *rest.Conn, msg *rest.Request, call kserve.Call, pattern Pattern) (*rest.Response, bool) {
-	ask, err := kserve.ReadInfer(msg.Header, msg.Body)
+// reasonClientClosed is the error text for a client that has closed its side.
+const reasonClientClosed = "the client closed its side of the connection"
+
+// infer posts a request to the event loop and waits for its one answer.
+func (c *clientConn) infer(msg *rest.Request, call kserve.Call, pattern Pattern) (resp *rest.Response, clientClosed bool) {
+	g := c.gateway
+	params, err := kserve.ReadInfer(msg.Header, msg.Body)
 	if err != nil {
 		return errorResponse(400, err.Error()), false
 	}
 	if !g.ready.Load() {
 		reason := errNoEndpoints.Error()
 		if g.isStopping() {
-			reason = "this router is stopping"
+			reason = reasonStopping
 		}
 		return rejection(reason, g.config.Deployment.MaxRetryAfter), false
 	}
-	seen := g.now()
-	if client.PeerClosed() { // after a stall of this process, say: its time may be long over
-		return rejection("the client closed its side of the connection", 0), true
+	checkedAt := g.now()
+	if c.conn.PeerClosed() { // it may have closed long ago, if this process was stalled
+		return rejection(reasonClientClosed, 0), true
 	}
 	tenant, ok := g.config.Tenants[msg.Header.Get(tenantHeader)]
 	if !ok {
-		tenant = control.TenantID(len(g.config.Deployment.Quotas)) // of no told share
-	}
-	req := &request{function: call.Model, tenant: g.config.tenantName(tenant), call: call, message: msg, client: client, response: make(chan *rest.Response, 1)}
-	req.clientCheckedAt.Store(int64(seen))
-	g.post(func(now control.Micros) {
-		g.handleRequest(now, req, pattern, tenant, ask, micros(time.Since(msg.ArrivedAt)))
-	})
-	gone, stop := client.WatchClose()
-	left := false
+		tenant = control.TenantID(len(g.config.Deployment.Quotas)) // without a quota
+	}
+	req := &request{
+		function: call.Model, call: call, message: msg, params: params, pattern: pattern, tenant: tenant, client: c.conn,
+		response: make(chan *rest.Response, 1),
+	}
+	req.clientCheckedAt.Store(int64(checkedAt))
+	g.post(func(now control.Micros) { g.handleRequest(now, req) })
+	return c.awaitAnswer(req)
+}
+
+// awaitAnswer waits for a request's answer, and watches the client meanwhile.
+func (c *clientConn) awaitAnswer(req *request) (resp *rest.Response, clientClosed bool) {
+	g := c.gateway
+	closed, stopWatching := c.conn.WatchClose()
 	select {
 	case resp := <-req.response:
-		stop()
+		stopWatching()
 		return resp, false
-	case <-gone:
-		left = true
+	case <-closed:
+		clientClosed = true
 		g.post(func(now control.Micros) { g.handleClientClosed(now, req) })
 	case <-g.loopEnded:
 	}
-	stop()
+	stopWatching()
 	select {
 	case resp := <-req.response:
-		return resp, left
+		return resp, clientClosed
 	case <-g.loopEnded:
 	}
-	select { // the last turn is over: what has no answer now was never taken
+	select { // the last step is over: what has no answer now never reached the core
 	case resp := <-req.response:
-		return resp, left
+		return resp, clientClosed
 	default:
-		return rejection("this router is stopping", g.config.Deployment.MaxRetryAfter), left
+		return rejection(reasonStopping, g.config.Deployment.MaxRetryAfter), clientClosed
 	}
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -1,11 +1,6 @@
 package gateway
 
 import (
-	"hollymast/control"
-	"hollymast/internal/attempt"
-	"hollymast/internal/fakeserver"
-	"hollymast/internal/invariant"
-	"hollymast/internal/rest"
 	"io"
 	"net"
 	"strings"
@@ -14,6 +9,12 @@
 	"time"
 
 	"github.com/tidwall/gjson"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
+	"hollymast/internal/rest"
 )
 
 func TestBadClients(t *testing.T) {
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"errors"
 	"net"
 	"os"
@@ -10,64 +11,69 @@
 	"hollymast/internal/rest"
 )
 
-// accept serves a listener until it is closed.
-func (g *Gateway) accept(l net.Listener, admin bool) {
+// acceptRetryPause is the pause after a failed accept: it guards against a busy loop while the process is out of
+// descriptors, until connections end.
+const acceptRetryPause = 10 * time.Millisecond
+
+// rejectWriteTimeout bounds the write of a response to a connection beyond the limit.
+const rejectWriteTimeout = time.Second
+
+// accept serves a listener until it closes, or its deadline passes: then it serves the connections that wait, and closes
+// it. No other error ends it.
+func (g *Gateway) accept(ctx context.Context, l net.Listener, role listenerRole) {
 	for {
 		conn, err := l.Accept()
-		if errors.Is(err, net.ErrClosed) {
+		switch {
+		case errors.Is(err, net.ErrClosed):
 			return
-		}
-		if errors.Is(err, os.ErrDeadlineExceeded) { // this router stops
+		case errors.Is(err, os.ErrDeadlineExceeded): // this router stops
 			for _, conn := range drainListener(l) {
-				g.serveClient(conn, admin)
+				g.serveClient(ctx, conn, role)
 			}
 			return
-		}
-		if err != nil { // out of descriptors, say: connections will end
+		case err != nil:
 			g.log.Warn().Err(err).Msg("a connection could not be accepted")
-			time.Sleep(10 * time.Millisecond)
-			continue
+			time.Sleep(acceptRetryPause)
+		default:
+			g.serveClient(ctx, conn, role)
 		}
-		g.serveClient(conn, admin)
 	}
 }
 
-// welcomed serves a connection that was accepted.
-func (g *Gateway) serveClient(conn net.Conn, admin bool) {
-	if !admin && g.clientCount.Load() >= int64(g.config.MaxClientConns) {
+// serveClient starts to read a client connection; beyond the limit it rejects it. ctx bounds its TLS handshake.
+func (g *Gateway) serveClient(ctx context.Context, conn net.Conn, role listenerRole) {
+	if role == clientListener && g.clientCount.Load() >= int64(g.config.MaxClientConns) {
 		g.metrics.connsRejected.Inc()
 		if g.certStores[clientConnections] != nil {
-			conn.Close() // a handshake would cost more than it may: no connection stands, and nothing was taken
+			conn.Close() // nothing was accepted; a handshake would cost more than the limit allows
 			return
 		}
 		go rejectConn(conn, g.config.Deployment.MaxRetryAfter)
 		return
 	}
 	g.clientCount.Add(1)
-	g.clientReaders.Add(1)
-	if !admin && g.overload != nil {
+	if role == clientListener && g.overload != nil {
 		g.post(func(now control.Micros) { g.overload.RecordConnection(now) })
 	}
-	go func() {
-		defer g.clientReaders.Done()
+	g.clientReaders.Go(func() {
 		defer g.clientCount.Add(-1)
-		if !admin {
+		if role == clientListener {
 			var err error
-			if conn, err = g.clientHandshake(conn); err != nil {
+			if conn, err = g.clientHandshake(ctx, conn); err != nil {
 				return
 			}
 		}
-		g.readLoop(conn, admin)
-	}()
+		g.newClientConn(conn, role).readLoop()
+	})
 }
 
-// turnAway answers a connection beyond the bound before it has asked for anything: nothing was taken, so trying again
-// is harmless.
+// rejectConn answers a connection beyond the limit before it has sent anything: nothing was accepted, so its client may
+// retry.
 func rejectConn(conn net.Conn, retryAfter control.Micros) {
-	limits := rest.Limits{WriteTimeout: time.Second}
+	limits := rest.Limits{WriteTimeout: rejectWriteTimeout}
 	client := rest.NewConn(conn, &limits, nil)
+	defer client.Close()
 	resp := rejection("too many connections", retryAfter)
 	resp.Close = true
 	client.WriteResponse(resp)
-	client.Close()
 }
--- a/internal/gateway/compatibility_test.go
+++ b/internal/gateway/compatibility_test.go
@@ -40,7 +40,7 @@
 
 // Dashboards and alerts name metrics and labels: these stay.
 func TestMetricNames(t *testing.T) {
-	m := newMetrics(&Config{})
+	m := newMetrics()
 	m.countAnswer("finished")
 	m.overloadRejections.WithLabelValues("x").Inc()
 	families, err := m.registry.Gather()
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -15,59 +15,63 @@
 	"hollymast/internal/record"
 )
 
-// Told is all that a router is told at its start.
+// Config is a gateway's configuration. ParseConfig reads it from an INI file; docs/running.md describes the keys.
 type Config struct {
-	Listen       string
-	AdminListen  string // address of health and metrics; empty: none
-	EndpointFile string // file that lists the servers
-	ControlPlane string // address of the control plane that does; empty: the file
-	DeltaXDS     bool   // it is asked for changes alone
-	DampOverload bool   // are damped
-	LoadReports  bool   // are sent to it where it asks
-	EnvoyFile    string // file in Envoy's own form that lists the servers; empty: none
-	ServeView    string // address at which our view is served as a control plane does; empty: none
-	Zone         string
-	TLS          map[string]*certstore.Config // by kind of connections; none: in plain text
-	Seed         uint64                       // 0: drawn at the start
-	NameKey      string                       // keys the ids of functions; empty: they are plain hashes of the names
-	LogLevel     string
+	Listen      string
+	AdminListen string // of metrics, health and the operators' calls; empty: none
+	LogLevel    string
+	Zone        string
+	Seed        uint64 // 0: drawn at the start
+	NameKey     string // keys the functions' ids; empty: they are plain hashes of the names
+
+	// The source of endpoints: one of the three.
+	EndpointFile string // in this router's own form
+	EnvoyFile    string // in Envoy's bootstrap form
+	ControlPlane string // address of an xDS control plane
+	DeltaXDS     bool   // the control plane is asked for incremental updates
+	LoadReports  bool   // are streamed to the control plane when it asks for them
+	ServeView    string // address that this router's view is served at, in xDS; empty: none
+
+	TLS map[string]*certstore.Config // by kind of connection; plain text where there is none
+
 	Deployment   control.Deployment
-	ClassNames   []string  // names, in the order of Deployment.Workloads
-	Priorities   []float64 // of each; in storms the least important give way first
+	ClassNames   []string  // in the order of Deployment.Classes
+	Priorities   []float64 // of the classes; in an overload the lowest is rejected first
 	Tenants      map[string]control.TenantID
-	TenantNames  []string  // by id
-	Functions    []Pattern // the first that matches a name counts
+	TenantNames  []string // by id
+	Functions    []Pattern
+	DampOverload bool
 
-	GracePeriod  time.Duration // within which nothing new may still go to a server told to drain
-	AnswerMargin time.Duration // an answer's way to the client: kept free at the end of its time
-	LoadTimeout  time.Duration // for which the answer to an order to load is awaited
+	GracePeriod  time.Duration // for which new requests may still go to a server after it is listed as draining
+	AnswerMargin time.Duration // the part of a request's deadline that is kept free for its answer's way to the client
+	LoadTimeout  time.Duration // of load commands
 
 	RecordDir    string // folder for recordings; empty: none
 	RecordBounds record.Limits
 
-	StateDir       string                 // folder for what is learned; empty: none
-	fileSystem     persistence.FileSystem // of that folder; nil: the machine's
-	StateInterval  time.Duration          // between two writings
-	KeyRetention   time.Duration          // how long a client's mark of a job that may have run is known
-	MaxKeys        int                    // and how many of them
+	StateDir       string                 // folder for learned state; empty: none
+	fileSystem     persistence.FileSystem // of StateDir; nil: the operating system's
+	StateInterval  time.Duration          // between two writes
+	KeyRetention   time.Duration          // for which the idempotency key of a request that may have run is known
+	MaxKeys        int                    // idempotency keys that are known
 	JournalSync    persistence.SyncPolicy
-	MaxHistoryRows int // kept at most of the history of use; 0: none
+	MaxHistoryRows int // 0: no history
 
-	MaxClientConns       int // of clients
-	MaxRequests          int // in hand
-	MaxBodyBytes         int // of bodies in hand
-	MaxBody              int // of one body
-	MaxConnsPerServer    int // connections to one server
-	MaxDials             int // under way at once
+	MaxClientConns       int
+	MaxRequests          int // in flight
+	MaxBodyBytes         int // of all request bodies in memory
+	MaxBody              int // of one request, in bytes
+	MaxConnsPerServer    int
+	MaxDials             int // at once
 	ServerIdleTimeout    time.Duration
 	ClientIdleTimeout    time.Duration
-	EndpointFileInterval time.Duration
+	EndpointFileInterval time.Duration // between two reads of the endpoint file
 	DialTimeout          time.Duration
 	HeaderTimeout        time.Duration
 	BodyTimeout          time.Duration
 }
 
-// Pattern says what is known beforehand of the functions whose names match it.
+// Pattern is what is known beforehand of the functions whose names match it.
 type Pattern struct {
 	Glob     string // as in path.Match
 	Class    control.ClassID
@@ -76,8 +80,8 @@
 	LoadTime control.Micros
 }
 
-// Match finds what is told of a function; ok is false where no pattern matches.
-func (c *Config) Match(name string) (Pattern, bool) {
+// Match returns the first pattern that matches a function's name; ok is false if none does.
+func (c *Config) Match(name string) (pattern Pattern, ok bool) {
 	for _, pattern := range c.Functions {
 		if hit, _ := path.Match(pattern.Glob, name); hit {
 			return pattern, true
@@ -86,62 +90,93 @@
 	return Pattern{}, false
 }
 
-// ReadTold reads a router's settings. A *inifile.Faults names every fault with file, line and key.
+// Bounds of durations in the configuration: they only catch mistakes.
+const (
+	day  = 24 * time.Hour
+	year = 365 * day
+)
+
+// ParseConfig reads and validates a configuration. An *inifile.ValidationError names every problem with file, line and
+// key.
 func ParseConfig(f *inifile.File) (*Config, error) {
-	const day = 24 * time.Hour
-	const year = 365 * day
-	t := &Config{Tenants: map[string]control.TenantID{}}
-	d := &t.Deployment
+	c := &Config{Tenants: map[string]control.TenantID{}}
+	c.parseRouter(f.Section("router"))
+	c.parseServers(f.Section("servers"))
+	c.parseClients(f.Section("clients"))
+	c.parseBounds(f.Section("bounds"))
+	c.parseRecord(f.Section("record"))
+	c.parseMemory(f.Section("memory"))
+	c.parseTLS(f)
+	c.parseClasses(f)
+	c.parsePatterns(f)
+	for _, s := range f.Sections("tenant ") {
+		name := strings.TrimPrefix(s.Name, "tenant ")
+		c.Tenants[name] = control.TenantID(len(c.Deployment.Quotas))
+		c.TenantNames = append(c.TenantNames, name)
+		c.Deployment.Quotas = append(c.Deployment.Quotas, s.Float("share", 1, 0, 1e9))
+	}
+	return c, f.Check()
+}
+
+// minNameKey is the least length of a name key, in bytes: shorter ones could be found by trial.
+const minNameKey = 16
 
-	r := f.Section("router")
-	t.Listen = parseAddress(r, "listen", "127.0.0.1:8080")
-	t.AdminListen = r.String("admin", "")
-	if t.AdminListen != "" {
-		t.AdminListen = parseAddress(r, "admin", "")
+// parseRouter reads the section [router].
+func (c *Config) parseRouter(s *inifile.Section) {
+	d := &c.Deployment
+	c.Listen = parseAddress(s, "listen", "127.0.0.1:8080")
+	if c.AdminListen = s.String("admin", ""); c.AdminListen != "" {
+		c.AdminListen = parseAddress(s, "admin", "")
+	}
+	c.parseEndpointSource(s)
+	c.Zone = s.String("zone", "")
+	d.Routers = s.Int("routers", 1, 1, 1<<16)
+	d.Number = s.Int("number", 0, 0, 1<<16-1)
+	if d.Number >= d.Routers {
+		s.Errorf("number", "%d, but routers are numbered from 0 and there are %d", d.Number, d.Routers)
 	}
-	t.EndpointFile = r.String("list", "")
-	if t.ControlPlane = r.String("xds", ""); t.ControlPlane != "" {
-		t.ControlPlane = parseAddress(r, "xds", "")
+	c.Seed = uint64(s.Int("seed", 0, 0, 1<<62))
+	if c.NameKey = s.String("name_key", ""); c.NameKey != "" && len(c.NameKey) < minNameKey {
+		s.Errorf("name_key", "shorter than %d bytes: names could be found by trying keys", minNameKey)
+	}
+	levels := []string{"debug", "info", "warn", "error"}
+	c.LogLevel = levels[s.OneOf("log", "info", levels...)]
+}
+
+// parseEndpointSource reads where endpoints come from, and where they are served.
+func (c *Config) parseEndpointSource(s *inifile.Section) {
+	c.EndpointFile = s.String("list", "")
+	if c.ControlPlane = s.String("xds", ""); c.ControlPlane != "" {
+		c.ControlPlane = parseAddress(s, "xds", "")
 	}
-	if t.ServeView = r.String("serve_view", ""); t.ServeView != "" {
-		t.ServeView = parseAddress(r, "serve_view", "")
-		if host, _, _ := net.SplitHostPort(t.ServeView); !r.Bool("serve_view_beyond", false) && !isLoopback(host) {
-			r.Errorf("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
+	if c.ServeView = s.String("serve_view", ""); c.ServeView != "" {
+		c.ServeView = parseAddress(s, "serve_view", "")
+		if host, _, _ := net.SplitHostPort(c.ServeView); !s.Bool("serve_view_beyond", false) && !isLoopback(host) {
+			s.Errorf("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
-	t.DeltaXDS = r.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
-	if t.LoadReports = r.Bool("load_reports", false); t.LoadReports && t.ControlPlane == "" {
-		r.Errorf("load_reports", "no control plane (xds) is told")
+	c.DeltaXDS = s.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
+	if c.LoadReports = s.Bool("load_reports", false); c.LoadReports && c.ControlPlane == "" {
+		s.Errorf("load_reports", "no control plane (xds) is told")
 	}
-	t.EnvoyFile = r.String("envoy_file", "")
+	c.EnvoyFile = s.String("envoy_file", "")
 	sources := 0
-	for _, s := range []string{t.EndpointFile, t.ControlPlane, t.EnvoyFile} {
-		if s != "" {
+	for _, source := range []string{c.EndpointFile, c.ControlPlane, c.EnvoyFile} {
+		if source != "" {
 			sources++
 		}
 	}
-	switch sources {
-	case 0:
-		r.Errorf("list", "no file that lists the servers is named, no control plane (xds) and no envoy_file")
-	case 1:
-	default:
-		r.Errorf("list", "servers come from one of list, xds and envoy_file")
-	}
-	t.Zone = r.String("zone", "")
-	d.Routers = r.Int("routers", 1, 1, 1<<16)
-	d.Number = r.Int("number", 0, 0, 1<<16-1)
-	if d.Number >= d.Routers {
-		r.Errorf("number", "%d, but routers are numbered from 0 and there are %d", d.Number, d.Routers)
-	}
-	t.Seed = uint64(r.Int("seed", 0, 0, 1<<62))
-	t.NameKey = r.String("name_key", "")
-	if t.NameKey != "" && len(t.NameKey) < 16 {
-		r.Errorf("name_key", "shorter than 16 bytes: names could be found by trying keys")
+	switch {
+	case sources == 0:
+		s.Errorf("list", "no file that lists the servers is named, no control plane (xds) and no envoy_file")
+	case sources > 1:
+		s.Errorf("list", "servers come from one of list, xds and envoy_file")
 	}
-	levels := []string{"debug", "info", "warn", "error"}
-	t.LogLevel = levels[r.OneOf("log", "info", levels...)]
+}
 
-	s := f.Section("servers")
+// parseServers reads the section [servers].
+func (c *Config) parseServers(s *inifile.Section) {
+	d := &c.Deployment
 	d.MaxAttempts = s.Int("executions", 3, 1, 16)
 	d.Tick = micros(s.Duration("tick", 4*time.Millisecond, time.Microsecond, time.Second))
 	d.KeepAlive = micros(s.Duration("keep_alive", time.Minute, 0, year))
@@ -160,63 +195,64 @@
 	if d.LoadRateWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
 		s.Errorf("load_window", "load_free and load_share mean nothing without it")
 	}
-	t.GracePeriod = s.Duration("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
-	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(t.GracePeriod))
-	t.LoadTimeout = s.Duration("order_time", 30*time.Second, time.Millisecond, time.Hour)
-	d.SupportsCancel = true // closing its connection calls an execution off
+	c.GracePeriod = s.Duration("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
+	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(c.GracePeriod))
+	c.LoadTimeout = s.Duration("order_time", 30*time.Second, time.Millisecond, time.Hour)
+	d.SupportsCancel = true // an attempt is cancelled by closing its connection
+}
 
-	c := f.Section("clients")
-	d.MarksRetries = c.Bool("mark_repeats", true)
-	d.MaxRetryAfter = micros(c.Duration("stay_away", 2*time.Second, 0, time.Hour))
-	t.DampOverload = c.Bool("damp_storms", true)
-	t.AnswerMargin = c.Duration("answer_margin", 20*time.Millisecond, 0, time.Minute)
+// parseClients reads the section [clients].
+func (c *Config) parseClients(s *inifile.Section) {
+	c.Deployment.MarksRetries = s.Bool("mark_repeats", true)
+	c.Deployment.MaxRetryAfter = micros(s.Duration("stay_away", 2*time.Second, 0, time.Hour))
+	c.DampOverload = s.Bool("damp_storms", true)
+	c.AnswerMargin = s.Duration("answer_margin", 20*time.Millisecond, 0, time.Minute)
+}
 
-	b := f.Section("bounds")
-	t.MaxClientConns = b.Int("connections", 20_000, 1, 1<<20)
-	t.MaxRequests = b.Int("jobs", 10_000, 1, 1<<20)
-	t.MaxBodyBytes = b.Int("bytes", 1<<30, 1<<10, 1<<40)
-	t.MaxBody = b.Int("body", 4<<20, 1, 1<<30)
-	t.MaxConnsPerServer = b.Int("per_server", 256, 1, 1<<16)
-	t.MaxDials = b.Int("dials", 256, 1, 1<<16)
-	t.DialTimeout = b.Duration("dial_time", time.Second, time.Millisecond, time.Minute)
-	t.ServerIdleTimeout = b.Duration("server_idle", 20*time.Second, time.Millisecond, time.Hour)
-	t.ClientIdleTimeout = b.Duration("client_idle", 2*time.Minute, time.Millisecond, 24*time.Hour)
-	t.HeaderTimeout = b.Duration("header_time", 5*time.Second, time.Millisecond, time.Hour)
-	t.BodyTimeout = b.Duration("body_time", 10*time.Second, time.Millisecond, time.Hour)
-	t.EndpointFileInterval = b.Duration("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
-	if t.EndpointFileInterval > t.GracePeriod/2 {
-		b.Errorf("list_every", "%s leaves too little of the grace of %s", t.EndpointFileInterval, t.GracePeriod)
+// parseBounds reads the section [bounds].
+func (c *Config) parseBounds(s *inifile.Section) {
+	c.MaxClientConns = s.Int("connections", 20_000, 1, 1<<20)
+	c.MaxRequests = s.Int("jobs", 10_000, 1, 1<<20)
+	c.MaxBodyBytes = s.Int("bytes", 1<<30, 1<<10, 1<<40)
+	c.MaxBody = s.Int("body", 4<<20, 1, 1<<30)
+	c.MaxConnsPerServer = s.Int("per_server", 256, 1, 1<<16)
+	c.MaxDials = s.Int("dials", 256, 1, 1<<16)
+	c.DialTimeout = s.Duration("dial_time", time.Second, time.Millisecond, time.Minute)
+	c.ServerIdleTimeout = s.Duration("server_idle", 20*time.Second, time.Millisecond, time.Hour)
+	c.ClientIdleTimeout = s.Duration("client_idle", 2*time.Minute, time.Millisecond, day)
+	c.HeaderTimeout = s.Duration("header_time", 5*time.Second, time.Millisecond, time.Hour)
+	c.BodyTimeout = s.Duration("body_time", 10*time.Second, time.Millisecond, time.Hour)
+	c.EndpointFileInterval = s.Duration("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
+	if c.EndpointFileInterval > c.GracePeriod/2 {
+		s.Errorf("list_every", "%s leaves too little of the grace of %s", c.EndpointFileInterval, c.GracePeriod)
 	}
+}
 
-	rec := f.Section("record")
-	t.RecordDir = rec.String("folder", "")
-	t.RecordBounds = record.Limits{SegmentBytes: int64(rec.Int("segment", 64<<20, 1<<10, 1<<40)), TotalBytes: int64(rec.Int("total", 1<<30, 1<<10, 1<<50)),
-		SegmentAge: rec.Duration("age", 10*time.Minute, time.Second, day)}
-	if t.RecordBounds.TotalBytes < 2*t.RecordBounds.SegmentBytes {
-		rec.Errorf("total", "less than two segments of %d bytes", t.RecordBounds.SegmentBytes)
+// parseRecord reads the section [record].
+func (c *Config) parseRecord(s *inifile.Section) {
+	c.RecordDir = s.String("folder", "")
+	c.RecordBounds = record.Limits{
+		SegmentBytes: int64(s.Int("segment", 64<<20, 1<<10, 1<<40)),
+		TotalBytes:   int64(s.Int("total", 1<<30, 1<<10, 1<<50)),
+		SegmentAge:   s.Duration("age", 10*time.Minute, time.Second, day),
 	}
-
-	mem := f.Section("memory")
-	t.StateDir = mem.String("folder", "")
-	t.StateInterval = mem.Duration("every", 3*time.Second, 100*time.Millisecond, time.Hour)
-	t.KeyRetention = mem.Duration("marks_for", 10*time.Minute, time.Second, 7*day)
-	t.MaxKeys = mem.Int("marks_most", 1_000_000, 1, 1<<30)
-	t.MaxHistoryRows = mem.Int("history_rows", 200_000, 0, 1<<30)
-	t.JournalSync = persistence.SyncPolicy(mem.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
-
-	t.parseTLS(f)
-	t.parseClasses(f)
-	t.parsePatterns(f)
-	for _, s := range f.Sections("tenant ") {
-		t.Tenants[strings.TrimPrefix(s.Name, "tenant ")] = control.TenantID(len(d.Quotas))
-		t.TenantNames = append(t.TenantNames, strings.TrimPrefix(s.Name, "tenant "))
-		d.Quotas = append(d.Quotas, s.Float("share", 1, 0, 1e9))
+	if c.RecordBounds.TotalBytes < 2*c.RecordBounds.SegmentBytes {
+		s.Errorf("total", "less than two segments of %d bytes", c.RecordBounds.SegmentBytes)
 	}
-	return t, f.Check()
 }
 
+// parseMemory reads the section [memory].
+func (c *Config) parseMemory(s *inifile.Section) {
+	c.StateDir = s.String("folder", "")
+	c.StateInterval = s.Duration("every", 3*time.Second, 100*time.Millisecond, time.Hour)
+	c.KeyRetention = s.Duration("marks_for", 10*time.Minute, time.Second, 7*day)
+	c.MaxKeys = s.Int("marks_most", 1_000_000, 1, 1<<30)
+	c.MaxHistoryRows = s.Int("history_rows", 200_000, 0, 1<<30)
+	c.JournalSync = persistence.SyncPolicy(s.OneOf("journal_sync", "grouped", "never", "grouped", "each"))
+}
+
+// parseClasses reads the sections [workload NAME].
 func (c *Config) parseClasses(f *inifile.File) {
-	const day = 24 * time.Hour
 	for _, s := range f.Sections("workload ") {
 		c.ClassNames = append(c.ClassNames, strings.TrimPrefix(s.Name, "workload "))
 		c.Priorities = append(c.Priorities, s.Float("importance", 1, 0, 1e6))
@@ -241,6 +277,7 @@
 	}
 }
 
+// parsePatterns reads the sections [function PATTERN].
 func (c *Config) parsePatterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
 		pattern := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
@@ -262,25 +299,29 @@
 	}
 }
 
+// isLoopback reports whether a host is this machine.
 func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
+// parseAddress reads an address with a host and a port.
 func parseAddress(s *inifile.Section, key, fallback string) string {
-	v := s.String(key, fallback)
-	if host, port, err := net.SplitHostPort(v); err != nil || host == "" || port == "" {
-		s.Errorf(key, "%q is no address with a port", v)
+	value := s.String(key, fallback)
+	if host, port, err := net.SplitHostPort(value); err != nil || host == "" || port == "" {
+		s.Errorf(key, "%q is no address with a port", value)
 	}
-	return v
+	return value
 }
 
-// NeedRestart names the parts of the settings that differ and can't change in service: all but the log level.
-func ChangesNeedingRestart(old, fresh *Config) []string {
+// ChangesNeedingRestart returns the fields of the configuration that differ and can't change while the gateway runs: all but the
+// log level.
+func ChangesNeedingRestart(old, changed *Config) []string {
 	var names []string
-	a, b := reflect.ValueOf(*old), reflect.ValueOf(*fresh)
+	a, b := reflect.ValueOf(*old), reflect.ValueOf(*changed)
 	for i := range a.NumField() {
-		if name := a.Type().Field(i).Name; name != "LogLevel" && !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
+		name := a.Type().Field(i).Name
+		if name != "LogLevel" && !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
 			names = append(names, name)
 		}
 	}
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"hollymast/internal/attempt"
-	"hollymast/internal/inifile"
 	"strings"
 	"testing"
+
+	"hollymast/internal/attempt"
+	"hollymast/internal/inifile"
 )
 
 // The module counts the ration of orders by how late one may be written: as late as any choice is.
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -76,7 +76,7 @@
 		if ahead == 0 {
 			time.Sleep(late)
 		}
-		go tg.gateway.accept(l, false)
+		go tg.gateway.accept(t.Context(), l, clientListener)
 		var h statedTimeout
 		for range ahead + 1 {
 			select {
--- a/internal/gateway/decisionlog.go
+++ b/internal/gateway/decisionlog.go
@@ -5,32 +5,34 @@
 	"hollymast/internal/record"
 )
 
-// decision is one thing that the core asked for.
+// decision is one decision of the core, as /router/state shows it.
 type decision struct {
 	At       control.Micros `json:"At"`
 	Decision string         `json:"Decision"`
 }
 
-// recent keeps the last deeds: as many as fill some screens.
+// decisionLog holds the latest decisions: as many as fill some screens.
 type decisionLog struct {
 	entries [256]struct {
-		at   control.Micros
-		deed record.Command
+		at      control.Micros
+		command record.Command
 	}
-	n int
+	count int // of all that were added
 }
 
-func (r *decisionLog) add(at control.Micros, d record.Command) {
-	x := &r.entries[r.n%len(r.entries)]
-	x.at, x.deed = at, d
-	r.n++
+// add adds a decision, in place of the oldest one.
+func (l *decisionLog) add(at control.Micros, command record.Command) {
+	entry := &l.entries[l.count%len(l.entries)]
+	entry.at, entry.command = at, command
+	l.count++
 }
 
-func (r *decisionLog) list() []decision {
+// list returns the decisions, oldest first.
+func (l *decisionLog) list() []decision {
 	var decisions []decision
-	for i := max(0, r.n-len(r.entries)); i < r.n; i++ {
-		x := &r.entries[i%len(r.entries)]
-		decisions = append(decisions, decision{x.at, x.deed.String()})
+	for i := max(0, l.count-len(l.entries)); i < l.count; i++ {
+		entry := &l.entries[i%len(l.entries)]
+		decisions = append(decisions, decision{entry.at, entry.command.String()})
 	}
 	return decisions
 }
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -2,73 +2,66 @@
 
 import (
 	"context"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/attempt"
-	"time"
 )
 
-// Serve routes until the context ends; then it stops taking jobs, gives each one in hand its answer within its own
-// limits, and returns. A nil error means that none was left.
+// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts no more requests, answers every
+// request in flight, and returns once each connection has ended. The error is nil.
 func (g *Gateway) Serve(ctx context.Context) error {
-	serving, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	g.serveContext = serving
-	g.watchCertStores(serving)
+	g.startBackground(background)
+	g.timer = time.NewTimer(time.Hour)
+	defer g.timer.Stop()
+	g.runEventLoop(ctx.Done())
+	g.log.Info().Msg("no job is left in hand")
+	g.closeAll(stop)
+	return nil
+}
+
+// startBackground starts the goroutines that feed the event loop and store what it learns. They end with ctx, or after
+// the last step.
+func (g *Gateway) startBackground(ctx context.Context) {
+	g.watchCertStores(ctx)
 	if g.loadReporter != nil {
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			g.reportLoads(serving)
-		}()
+		g.background.Go(func() { g.reportLoads(ctx) })
 	}
 	for i, l := range g.listeners {
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			g.accept(l, i > 0)
-		}()
+		role := clientListener
+		if i > 0 {
+			role = adminListener
+		}
+		g.background.Go(func() { g.accept(ctx, l, role) })
 	}
-	g.background.Add(1)
-	go func() {
-		defer g.background.Done()
-		g.followEndpoints(serving)
-	}()
+	g.background.Go(func() { g.followEndpoints(ctx) })
 	if g.state != nil {
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			g.state.run(g)
-		}()
+		g.background.Go(func() { g.state.run(g) })
 		if g.state.historyTally != nil {
-			g.background.Add(1)
-			go func() {
-				defer g.background.Done()
-				g.state.runHistory(g)
-			}()
+			g.background.Go(func() { g.state.runHistory(g) })
 		}
 	}
 	if g.view != nil {
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			g.publishView()
-		}()
+		g.background.Go(g.publishView)
 	}
-	g.timer = time.NewTimer(time.Hour)
-	defer g.timer.Stop()
-	done := ctx.Done()
-	var last <-chan time.Time // when all jobs are to have their answers
+}
+
+// runEventLoop runs the event loop until the gateway was asked to stop and nothing is in flight.
+func (g *Gateway) runEventLoop(stopRequested <-chan struct{}) {
+	var answerDue <-chan time.Time // when every request is to have its answer
 	var batch []func(control.Micros)
 	g.step(g.now(), nil)
 	for {
 		select {
 		case <-g.queue.Ready():
 		case <-g.timer.C:
-		case <-done:
-			done = nil
+		case <-stopRequested:
+			stopRequested = nil
 			g.beginStop()
-			last = time.After(g.config.shutdownTimes().answerBy)
-		case <-last:
+			answerDue = time.After(g.config.shutdownTimes().answerBy)
+		case <-answerDue:
 			g.post(g.answerOpen)
 		}
 		g.logStall(g.now() - g.timerAt)
@@ -77,16 +70,14 @@
 		g.step(g.now(), batch)
 		if g.stopping && len(g.requests) == 0 {
 			if g.openLoadCommands == 0 {
-				break
+				return
 			}
 			g.cancelLoadCommands()
 		}
 	}
-	g.log.Info().Msg("no job is left in hand")
-	return g.closeAll(stop)
 }
 
-// noteStop tells of a time in which this process was stopped.
+// logStall logs a time in which this process was stalled. late is by how much a step comes after its timer.
 func (g *Gateway) logStall(late control.Micros) {
 	if !attempt.Stalled(late, micros(g.config.GracePeriod)) {
 		return
@@ -97,18 +88,21 @@
 	}
 }
 
-// catchUp has all that the list's source told taken in by the turn that comes next.
+// readEndpoints makes the next step handle everything that the endpoints' source has announced. It runs before the event
+// batch is taken: wherever the process stalls, the step's choices are no newer than its endpoint list.
 func (g *Gateway) readEndpoints() {
 	asOf := g.now()
 	if g.readRequested.Swap(false) || attempt.MustReadEndpoints(asOf-g.endpointsAsOf, micros(g.config.GracePeriod)) {
 		g.awaitSourceRead()
 		g.endpointsAsOf = asOf
 	}
-	g.endpointsCompleteAsOf = control.Micros(g.sourceCompleteAsOf.Load()) // before the batch is taken: it holds all told by then
+	// Read before the batch is taken, which so holds everything up to then.
+	g.endpointsCompleteAsOf = control.Micros(g.sourceCompleteAsOf.Load())
 }
 
-// look waits until the list's source was looked at. A source that gives no word for a quarter of the grace counts as one that
-// can't be reached: the router goes on with what it knows, and waits for no other look before that one has ended.
+// awaitSourceRead waits until the endpoints' source was read. A source that does not answer within a quarter of the
+// grace period counts as unreachable: the router goes on with the list that it has, and requests no other read before
+// that one has ended.
 func (g *Gateway) awaitSourceRead() {
 	if g.pendingRead != nil {
 		select {
@@ -118,7 +112,7 @@
 		}
 	}
 	g.pendingRead = make(chan struct{})
-	g.sourceReads <- g.pendingRead // has room: the look before has ended
+	g.sourceReads <- g.pendingRead // has room: the read before has ended
 	timer := time.NewTimer(g.config.GracePeriod / 4)
 	defer timer.Stop()
 	select {
@@ -127,6 +121,7 @@
 	}
 }
 
+// step handles a batch of events and lets the core decide on them.
 func (g *Gateway) step(now control.Micros, events []func(control.Micros)) {
 	begun := time.Now()
 	g.stepTime = now
@@ -147,13 +142,13 @@
 	g.metrics.held.Set(float64(g.core.Held()))
 }
 
-// afterTurn has a function called right after the next turn, when no news waits for its decisions.
+// afterStep has a function called right after the next step, when no event waits for the core's decision.
 func (g *Gateway) afterStep(f func(now control.Micros)) {
 	g.post(func(control.Micros) { g.afterStepFuncs = append(g.afterStepFuncs, f) })
 }
 
-// SetTimer sets the one timer.
+// SetTimer sets the one timer, replacing its time.
 func (g *Gateway) SetTimer(at control.Micros) {
 	g.timerAt = at
-	g.timer.Reset(time.Duration(max(0, at-g.now())) * time.Microsecond)
+	g.timer.Reset(duration(max(0, at-g.now())))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway sets client and worker connections round one core. One goroutine owns the core, takes its turns and
-// carries out what it asks; connections have goroutines of their own, which feed it and are fed by it. Nothing that
-// may wait happens within a turn.
+// Package gateway is a router as a KServe v2 REST service: it connects client connections, server connections and the
+// sources of endpoints to one core. One goroutine runs the event loop: it owns the core and carries out what the core
+// decides. Each connection has a goroutine of its own, which posts events to the loop. Nothing in an event-loop step
+// blocks, and no decision is taken in this package.
 package gateway
 
 import (
@@ -26,77 +27,84 @@
 	"hollymast/internal/xds"
 )
 
-// Gateway is one router.
+// Gateway is one router process: its listeners, its connections and its event loop. Create it with New, run it with
+// Serve.
 type Gateway struct {
 	config      *Config
 	log         zerolog.Logger
 	startedAt   time.Time
-	epoch       control.Micros // the router's time at its start
-	incarnation string         // tells marks that we make from those of other runs
-	via         string         // names this router to servers (RFC 9110, 7.6.3)
+	epoch       control.Micros // the router's clock at its start: Unix time, monotonic from then on
+	incarnation string         // tells idempotency keys that this process makes from those of others
+	via         string         // names this router to servers (RFC 9110, section 7.6.3)
 	metrics     *metrics
 
-	// The turn's own; touched by no other goroutine.
+	// Owned by the event loop; no other goroutine touches these.
 	core             *core.Core
-	recordWriter     *record.Writer   // nil: nothing is recorded
-	recorder         *record.Recorder // the writer's
-	decisions        decisionLog
-	view             *xds.View // nil: ours is not served
-	loadTally        *loadreport.Collector
-	overload         *overload.Controller       // nil: storms are not damped
-	loadReporter     *loadReporter              // the tally, for others; nil: it is not reported
-	state            *stateKeeper               // nil: nothing outlasts this run
-	keysUnknownUntil control.Micros             // until when an earlier life's marked jobs may be owed and are not known
-	afterStepFuncs   []func(now control.Micros) // to be called after the turn
-	stepTime         control.Micros             // of the turn under way
-	endpointsAsOf    control.Micros             // as of when the list that this turn chooses from was complete
-	pendingRead      chan struct{}              // closed when the look that was asked for has ended; nil: none is awaited
-	recordingCount   int
 	fleet            *fleet.Fleet
 	requests         map[control.RequestID]*request
 	lastID           control.RequestID
 	pools            map[control.ServerID]*serverPool
+	openLoadCommands int // not answered yet
 	timer            *time.Timer
-	timerAt          control.Micros // when the timer fires
-	prunedAt         control.Micros
-	stopping         bool
-	openLoadCommands int // without an answer
-	// complete is the last time of which it is known that the list was complete; 0: none is.
+	timerAt          control.Micros             // when the timer fires
+	prunedAt         control.Micros             // when idle connections and removed servers were last looked for
+	stepTime         control.Micros             // of this step, or of the last one
+	afterStepFuncs   []func(now control.Micros) // to be called after this step
+	endpointsAsOf    control.Micros             // when the endpoint list that this step chooses from was complete
+	pendingRead      chan struct{}              // closed when the requested read of the endpoints' source has ended; nil: none yet
+	// endpointsCompleteAsOf is the latest time for which the endpoint list is known to be complete; 0: none.
 	endpointsCompleteAsOf control.Micros
+	stopping              bool
+	recordWriter          *record.Writer   // nil: nothing is recorded
+	recorder              *record.Recorder // of recordWriter
+	recordingCount        int
+	decisions             decisionLog
+	loadTally             *loadreport.Collector
+	overload              *overload.Controller // nil: overload is not damped
+	state                 *stateKeeper         // nil: nothing outlasts this process
+	// keysUnknownUntil is until when attempts that an earlier incarnation began may be running and are not known.
+	keysUnknownUntil control.Micros
 
-	// Shared.
-	sourceCompleteAsOf atomic.Int64 // complete, as whoever follows the list's source knows it
+	// Shared with other goroutines.
 	queue              *eventqueue.Queue
-	bodyBytes          atomic.Int64 // of bodies in hand
-	clientCount        atomic.Int64 // connections
-	ready              atomic.Bool  // a list was read, and we take jobs
-	stopRequestedAt    atomic.Int64 // the router's time at which it was; 0: not
+	sourceCompleteAsOf atomic.Int64 // endpointsCompleteAsOf, as the reader of the endpoints' source knows it
+	sourceReads        chan chan struct{}
+	readRequested      atomic.Bool // the endpoints' source is read before the next step, however fresh the list is
+	ready              atomic.Bool // an endpoint list was read, and requests are accepted
+	stopRequestedAt    atomic.Int64
+	bodyBytes          atomic.Int64 // of the request bodies in memory
+	clientCount        atomic.Int64 // client connections
+	clientConns        sync.Map     // of *rest.Conn
 	dialing            chan struct{}
-	dial               func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests have it fail
-	sourceReads        chan chan struct{}                                              // holds one
-	readRequested      atomic.Bool                                                     // the list is read before the next turn, however young it is
-	certStores         map[string]*certstore.Store                                     // by kind of connections
-	serveContext       context.Context                                                 // ends with the last turn
-	lastTLSErrors      sync.Map                                                        // address of a worker to what was last said of its certificate
-	serverConns        sync.WaitGroup
-	clientReaders      sync.WaitGroup // client connections
-	listeners          []net.Listener
-	background         sync.WaitGroup
-	clientConns        sync.Map // of *rest.Conn
-	loopEnded          chan struct{}
+	dial               func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests replace it
+	certStores         map[string]*certstore.Store                                     // by kind of connection
+	lastTLSErrors      sync.Map                                                        // by server address
+	loadReporter       *loadReporter                                                   // nil: loads are not reported to a control plane
+	view               *xds.View                                                       // nil: this router's view is not served
+	listeners          []net.Listener                                                  // clients', then the admin listener if there is one
+	loopEnded          chan struct{}                                                   // closed after the last step
+
+	background    sync.WaitGroup // goroutines that run as long as the event loop
+	clientReaders sync.WaitGroup // one for each client connection
+	serverConns   sync.WaitGroup // one for each server connection
 }
 
-// New opens the router's listeners. Errors are those of listening.
+// New returns a gateway for a configuration, with its listeners open. It fails when an address can't be listened on,
+// when a certificate can't be read, or when a recording can't be started. A folder for learned state that can't be used
+// is logged, and the gateway runs without.
 func New(config *Config, log zerolog.Logger) (*Gateway, error) {
 	seed := config.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	g := &Gateway{config: config, log: log, startedAt: time.Now(), queue: eventqueue.New(),
-		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{}, dialing: make(chan struct{}, config.MaxDials),
-		sourceReads: make(chan chan struct{}, 1), loopEnded: make(chan struct{}), metrics: newMetrics(config)}
-	// Lists tell starts by the wall clock, and a memory its times, so the router's time begins there; from then on it is monotonic,
-	// whatever is done to that clock.
+	g := &Gateway{
+		config: config, log: log, startedAt: time.Now(), queue: eventqueue.New(),
+		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
+		dialing: make(chan struct{}, config.MaxDials), sourceReads: make(chan chan struct{}, 1),
+		loopEnded: make(chan struct{}), metrics: newMetrics(),
+	}
+	// Endpoint lists and stored state carry Unix times, so the router's clock begins there; from then on it is monotonic,
+	// whatever happens to the wall clock.
 	g.epoch = control.Micros(g.startedAt.UnixMicro())
 	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 		return rest.DialWith(ctx, address, &serverLimits, g.serverHandshake())
@@ -106,66 +114,79 @@
 	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
+	g.newCore(seed)
+	if err := g.open(); err != nil {
+		g.abandonStart()
+		return nil, err
+	}
+	return g, nil
+}
+
+// newCore creates the core and what it is fed with, and restores what an earlier incarnation has learned.
+func (g *Gateway) newCore(seed uint64) {
+	config := g.config
 	g.fleet, g.loadTally = fleet.New(0), loadreport.NewCollector(g.epoch)
 	g.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
 	if config.LoadReports {
 		g.loadReporter = &loadReporter{gateway: g}
 	}
 	if config.DampOverload {
-		shares := make([]float64, len(config.Deployment.Quotas))
-		for i, s := range config.Deployment.Quotas {
-			shares[i] = s / float64(config.Deployment.Routers)
+		quotas := make([]float64, len(config.Deployment.Quotas))
+		for i, quota := range config.Deployment.Quotas {
+			quotas[i] = quota / float64(config.Deployment.Routers)
 		}
-		g.overload = overload.NewController(g.epoch, shares, config.Priorities, config.Deployment.MaxRetryAfter, seed)
+		g.overload = overload.NewController(g.epoch, quotas, config.Priorities, config.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := config.Deployment
 	deployment.Zone = g.fleet.Zone(config.Zone)
-	module := control.New(g.epoch, seed, deployment)
+	balancer := control.New(g.epoch, seed, deployment)
 	if config.StateDir != "" {
-		g.state, g.keysUnknownUntil = openStateKeeper(config, g.now(), module, log)
+		g.state, g.keysUnknownUntil = openStateKeeper(config, g.now(), balancer, g.log)
 		g.metrics.registerJournal(g.state)
 		if g.state != nil && g.state.usualLoad != nil && g.overload != nil {
 			g.overload.Restore(g.epoch, *g.state.usualLoad, g.state.usualLoadAge)
 		}
 	}
-	g.core = core.New(module, g)
-	for _, address := range []string{config.Listen, config.AdminListen} {
+	g.core = core.New(balancer, g)
+}
+
+// open opens what New may fail at.
+func (g *Gateway) open() error {
+	for _, address := range []string{g.config.Listen, g.config.AdminListen} {
 		if address == "" {
 			continue
 		}
 		l, err := listenTCP(address)
 		if err != nil {
-			g.closeListeners()
-			g.state.close()
-			return nil, err
+			return err
 		}
 		g.listeners = append(g.listeners, l)
 	}
-	if config.ServeView != "" {
+	if g.config.ServeView != "" {
 		var err error
-		if g.view, err = xds.NewView(config.ServeView, g.credentials(viewConnections)); err != nil {
-			g.closeListeners()
-			g.state.close()
-			return nil, err
+		if g.view, err = xds.NewView(g.config.ServeView, g.credentials(viewConnections)); err != nil {
+			return err
 		}
 	}
-	if config.RecordDir != "" {
-		if err := g.startRecording(g.epoch, config.RecordDir); err != nil {
-			g.closeListeners()
-			g.state.close()
-			if g.view != nil {
-				g.view.Close()
-			}
-			return nil, err
-		}
+	if g.config.RecordDir != "" {
+		return g.startRecording(g.epoch, g.config.RecordDir)
 	}
-	return g, nil
+	return nil
 }
 
-// Address is where clients are listened to; useful where port 0 was told.
+// abandonStart closes what a start that failed has opened.
+func (g *Gateway) abandonStart() {
+	g.closeListeners()
+	g.state.close()
+	if g.view != nil {
+		g.view.Close()
+	}
+}
+
+// Address returns the address that clients connect to.
 func (g *Gateway) Address() string { return g.listeners[0].Addr().String() }
 
-// AdminAddress is where health and metrics are told; empty without.
+// AdminAddress returns the address of health, metrics and the operators' calls; empty without one.
 func (g *Gateway) AdminAddress() string {
 	if len(g.listeners) < 2 {
 		return ""
@@ -173,12 +194,16 @@
 	return g.listeners[1].Addr().String()
 }
 
-// span is a time of the module's as the standard library has it.
+// duration converts microseconds to a time.Duration.
 func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
+// micros converts a time.Duration to microseconds.
+func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
+
+// now returns the current time on the router's clock.
 func (g *Gateway) now() control.Micros { return g.epoch + micros(time.Since(g.startedAt)) }
 
-// tell has f called in the next turn.
+// post has f called in the next step.
 func (g *Gateway) post(f func(now control.Micros)) { g.queue.Post(f) }
 
 // LogServerEvent logs that a server was ejected or readmitted.
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -9,13 +9,13 @@
 	"hollymast/internal/record"
 )
 
-// HistoryFile is the history's name in the folder of a router's memory.
+// HistoryFile is the name of the history's file in the folder of learned state.
 const HistoryFile = "history.db"
 
-// useEvery is how often the history is written: what a killed router loses of it.
+// historyInterval is how often the history is written: what a killed router loses of it.
 const historyInterval = 10 * time.Second
 
-// tenantName gives a tenant's name; empty of one that no share is told for.
+// tenantName returns a tenant's name; empty for one without a quota.
 func (c *Config) tenantName(id control.TenantID) string {
 	if int(id) < len(c.TenantNames) {
 		return c.TenantNames[id]
@@ -23,39 +23,44 @@
 	return ""
 }
 
-// who names a job's function and tenant for the history; with a name_key the function only by its id.
-func (g *Gateway) historyKey(req *request) history.Subject {
+// historySubject returns the function and tenant that the history counts a request for; with a name key, the function
+// only by its id.
+func (g *Gateway) historySubject(req *request) history.Subject {
+	subject := history.Subject{Function: req.function, Tenant: g.config.tenantName(req.tenant)}
 	if g.config.NameKey != "" {
-		return history.Subject{Function: fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function)), Tenant: req.tenant}
+		subject.Function = fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function))
 	}
-	return history.Subject{Function: req.function, Tenant: req.tenant}
+	return subject
 }
 
+// keepsHistory reports whether a history is kept.
 func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
 
-func (g *Gateway) historyAnswered(req *request, word string) {
+// historyAnswered counts a request's final answer.
+func (g *Gateway) historyAnswered(req *request, answer finalAnswer) {
 	if !g.keepsHistory() {
 		return
 	}
-	verb := control.NoAction
-	switch word {
-	case "finished":
-	case "pushed back":
-		verb = control.Reject
-	default:
-		verb = control.Fail
+	action := control.Fail
+	switch answer {
+	case answerFinished:
+		action = control.NoAction
+	case answerRejected:
+		action = control.Reject
 	}
-	g.state.historyTally.RequestDone(g.stepTime, g.historyKey(req), verb, g.stepTime > req.objectiveAt)
+	g.state.historyTally.RequestDone(g.stepTime, g.historySubject(req), action, g.stepTime > req.objectiveAt)
 }
 
+// historyAttempt counts the end of an attempt.
 func (g *Gateway) historyAttempt(now control.Micros, req *request, outcome control.Outcome) {
 	if g.keepsHistory() {
-		g.state.historyTally.AttemptEnded(now, g.historyKey(req), outcome)
+		g.state.historyTally.AttemptEnded(now, g.historySubject(req), outcome)
 	}
 }
 
+// historyLoadCommand counts a load command for a request's function.
 func (g *Gateway) historyLoadCommand(req *request) {
 	if g.keepsHistory() {
-		g.state.historyTally.LoadCommanded(g.stepTime, g.historyKey(req))
+		g.state.historyTally.LoadCommanded(g.stepTime, g.historySubject(req))
 	}
 }
--- a/internal/gateway/history_test.go
+++ b/internal/gateway/history_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"hollymast/internal/history"
-	"hollymast/internal/invariant"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,6 +9,9 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"hollymast/internal/history"
+	"hollymast/internal/invariant"
 )
 
 // A router that ends leaves its history, each job counted once.
@@ -70,7 +71,7 @@
 		if err := bad(); err != nil {
 			t.Fatal(err)
 		}
-		for range damagedTries - 1 {
+		for range maxDamagedWrites - 1 {
 			write()
 		}
 		if err := os.Remove(path); err != nil {
@@ -83,7 +84,7 @@
 	}
 	jobs := int64(0)
 	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
-	if want := int64(1 + 2*damagedTries); err != nil || jobs != want || len(o.batches) != 0 {
+	if want := int64(1 + 2*maxDamagedWrites); err != nil || jobs != want || len(o.batches) != 0 {
 		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
 	}
 	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
@@ -92,10 +93,10 @@
 	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range damagedTries {
+	for range maxDamagedWrites {
 		write()
 	}
-	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+damagedTries {
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+maxDamagedWrites {
 		t.Errorf("%d jobs more in a new one, %v", jobs, err)
 	}
 	for range 40 {
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -1,19 +1,21 @@
 package gateway
 
 import (
+	"slices"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/persistence"
 	"hollymast/internal/record"
 	"hollymast/kserve"
-	"slices"
-	"time"
 )
 
-// unrecorded tells why a marked job can't be taken: nobody could tell its repeat from a new one. Empty if it can.
-func (g *Gateway) journalRefusal(now control.Micros, mark persistence.IdempotencyKey) string {
+// journalRefusal returns why a request with a journal key can't be accepted, or the empty string: a retry of it could
+// not be told from a new request.
+func (g *Gateway) journalRefusal(now control.Micros, key persistence.IdempotencyKey) string {
 	switch {
-	case mark == 0:
+	case key == 0:
 	case g.state != nil && g.state.Failing():
 		return "the journal can't be written, and what is sent must be known after a restart"
 	case now < g.keysUnknownUntil:
@@ -22,40 +24,50 @@
 	return ""
 }
 
-// mark names a client's job for the journal; 0 where a repeat of it does no harm, or could not be told for one.
-func (c *Config) journalKey(function string, ask kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
-	if ask.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
+// journalKey returns the journal's key for a client's request; 0 if a retry of it is harmless, or could not be told for
+// one.
+func (c *Config) journalKey(function string, params kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
+	if params.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
 		return 0
 	}
-	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+ask.Mark) | 1)
+	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
 }
 
-// earlier gives the executions that may have run of a client's job, in the module's words. Where a server is no longer
-// known its zone and cell are none that any server has.
-func (g *Gateway) earlierAttempts(now control.Micros, mark persistence.IdempotencyKey) []control.Attempt {
-	if g.state == nil || mark == 0 {
+// unknownPlace is the zone and cell of an earlier attempt whose server is not known any more: those of no server.
+const unknownPlace = 1<<16 - 1
+
+// earlierAttempts returns the attempts of a request that may have run, as far as the journal knows.
+func (g *Gateway) earlierAttempts(now control.Micros, key persistence.IdempotencyKey) []control.Attempt {
+	if g.state == nil || key == 0 {
 		return nil
 	}
 	var attempts []control.Attempt
-	for _, s := range g.state.keys.MayHaveRun(now, mark) {
-		earlier := control.Attempt{Server: s.Server, Zone: 1<<16 - 1, Cell: 1<<16 - 1, SentAt: s.At, Done: true, MayHaveRun: true}
-		if to := g.fleet.Get(s.Server); to != nil {
-			earlier.Zone, earlier.Cell = to.Zone, to.Cell
+	for _, sent := range g.state.keys.MayHaveRun(now, key) {
+		earlier := control.Attempt{
+			Server: sent.Server, Zone: unknownPlace, Cell: unknownPlace, SentAt: sent.At, Done: true, MayHaveRun: true,
+		}
+		if server := g.fleet.Get(sent.Server); server != nil {
+			earlier.Zone, earlier.Cell = server.Zone, server.Cell
 		}
 		attempts = append(attempts, earlier)
 	}
 	return slices.Clip(attempts)
 }
 
-// took counts a job taken, for the ration of orders. The journal learns of them some at a time.
+// admittedInterval is for how long admitted requests are counted together before the journal learns of them, in
+// microseconds: a small part of the load rate's window.
+const admittedInterval = 200_000
+
+// countAdmitted counts an admitted request for the limit on load commands, which must outlast a restart.
 func (g *Gateway) countAdmitted(now control.Micros) {
-	const some = 200_000 // a small part of a ration's window
 	keeper := g.state
 	if keeper == nil || g.config.Deployment.LoadRateWindow == 0 {
 		return
 	}
-	if keeper.admitted > 0 && now > keeper.admittedSince+some {
-		keeper.Append(persistence.Entry{Kind: persistence.EntryAdmitted, At: keeper.admittedSince, Key: persistence.IdempotencyKey(keeper.admitted)})
+	if keeper.admitted > 0 && now > keeper.admittedSince+admittedInterval {
+		keeper.Append(persistence.Entry{
+			Kind: persistence.EntryAdmitted, At: keeper.admittedSince, Key: persistence.IdempotencyKey(keeper.admitted),
+		})
 		keeper.admitted = 0
 	}
 	if keeper.admitted == 0 {
@@ -64,15 +76,16 @@
 	keeper.admitted++
 }
 
-// enter puts an execution in the journal where a later life must know of it, and gives what its writing must wait for.
-func (g *Gateway) journalAttempt(mark persistence.IdempotencyKey, to control.ServerID) *persistence.Batch {
+// journalAttempt writes an attempt to the journal if a restarted router must know of it, and returns the batch that its
+// first byte must wait for, or nil.
+func (g *Gateway) journalAttempt(key persistence.IdempotencyKey, to control.ServerID) *persistence.Batch {
 	if g.state == nil {
 		return nil
 	}
 	var entries []persistence.Entry
-	if mark != 0 {
-		g.state.keys.Add(mark, persistence.SentAttempt{Server: to, At: g.stepTime})
-		entries = append(entries, persistence.Entry{Kind: persistence.EntryAttempt, At: g.stepTime, Key: mark, Server: to})
+	if key != 0 {
+		g.state.keys.Add(key, persistence.SentAttempt{Server: to, At: g.stepTime})
+		entries = append(entries, persistence.Entry{Kind: persistence.EntryAttempt, At: g.stepTime, Key: key, Server: to})
 	}
 	if s := g.fleet.Get(to); s != nil && s.InSlowStart(g.stepTime, g.config.Deployment.SlowStartDuration) {
 		entries = append(entries, persistence.Entry{Kind: persistence.EntrySlowStartSend, At: g.stepTime, Server: to})
@@ -83,37 +96,34 @@
 	return g.state.Append(entries...)
 }
 
-// proved notes that an execution did not run.
-func (g *Gateway) journalNotRun(mark persistence.IdempotencyKey, to control.ServerID) {
-	if g.state != nil && mark != 0 {
-		g.state.keys.RemoveNotRun(mark, to)
-		g.state.Append(persistence.Entry{Kind: persistence.EntryNotRun, At: g.stepTime, Key: mark, Server: to})
+// journalNotRun writes to the journal that an attempt did not run.
+func (g *Gateway) journalNotRun(key persistence.IdempotencyKey, to control.ServerID) {
+	if g.state != nil && key != 0 {
+		g.state.keys.RemoveNotRun(key, to)
+		g.state.Append(persistence.Entry{Kind: persistence.EntryNotRun, At: g.stepTime, Key: key, Server: to})
 	}
 }
 
-// kept waits until a sending is in the journal: a marked job on the disk itself, what counts for seconds with the kernel. While the
-// journal fails it waits too, since what goes out unrecorded is not known after a kill. False tells that it was withdrawn
-// meanwhile, that the disk stood still or failed for too long, or that too much waits for it.
+// awaitJournal waits until the journal holds a call: an attempt with a key on the disk itself, what counts for seconds
+// only with the kernel. It waits also while the journal fails, since what is sent without it is not known after a kill.
+// It returns false if the call was withdrawn meanwhile, if the disk stalled or failed for too long, or if too much waits
+// for it.
 func (call *serverCall) awaitJournal(now control.Micros) bool {
-	if call.journalRound == nil {
+	batch := call.journalBatch
+	if batch == nil {
 		return true
 	}
-	// A disk that stands still: then the list is too old too, or the job's time is up.
+	// A disk that stalls for longer: then the endpoint list is too old as well, or the deadline has passed.
 	wait := attempt.JournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
 	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
+	stored, ok := batch.Written(), func() bool { return !batch.Lost() }
 	if call.request != nil && call.request.journalKey != 0 {
-		select {
-		case <-call.journalRound.Done():
-			return call.journalRound.Err() == nil
-		case <-timer.C:
-		case <-call.ctx.Done():
-		}
-		return false
+		stored, ok = batch.Done(), func() bool { return batch.Err() == nil }
 	}
 	select {
-	case <-call.journalRound.Written():
-		return !call.journalRound.Lost()
+	case <-stored:
+		return ok()
 	case <-timer.C:
 	case <-call.ctx.Done():
 	}
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -3,12 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"hollymast/control"
-	"hollymast/internal/fleet"
-	"hollymast/internal/invariant"
-	"hollymast/internal/persistence"
-	"hollymast/internal/rest"
-	"hollymast/kserve"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,6 +12,13 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"hollymast/control"
+	"hollymast/internal/fleet"
+	"hollymast/internal/invariant"
+	"hollymast/internal/persistence"
+	"hollymast/internal/rest"
+	"hollymast/kserve"
 )
 
 // What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"sync/atomic"
 
 	"hollymast/control"
@@ -13,77 +12,82 @@
 	"hollymast/internal/xds"
 )
 
-// counted lends the turn's tally to the stream that reports it.
+// loadReporter is the source of the load reports that are streamed to a control plane (xds.LoadSource).
 type loadReporter struct {
 	gateway  *Gateway
 	places   atomic.Pointer[map[string]loadreport.Locality]
 	services atomic.Pointer[map[string]string]
 }
 
-// Take has the turn give its counts. Once the last turn is over there are none.
-func (c *loadReporter) Take(now control.Micros) (r loadreport.Report) {
+// Take takes the counts since the last call from the event loop. After the last step there are none.
+func (r *loadReporter) Take(now control.Micros) (report loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
-	c.gateway.afterStep(func(control.Micros) { taken <- c.gateway.loadTally.Flush(now) })
+	r.gateway.afterStep(func(control.Micros) { taken <- r.gateway.loadTally.Flush(now) })
 	select {
-	case r = <-taken:
-	case <-c.gateway.loopEnded:
+	case report = <-taken:
+	case <-r.gateway.loopEnded:
 	}
-	return r
+	return report
 }
 
-// Places tells where the servers stand in the control plane's list.
-func (c *loadReporter) Places() map[string]loadreport.Locality {
-	if p := c.places.Load(); p != nil {
-		return *p
+// Places returns the servers' places in the control plane's list, by address.
+func (r *loadReporter) Places() map[string]loadreport.Locality {
+	if places := r.places.Load(); places != nil {
+		return *places
 	}
 	return nil
 }
 
-// Services tells under which names clusters' endpoints are asked for.
-func (c *loadReporter) Services() map[string]string {
-	if p := c.services.Load(); p != nil {
-		return *p
+// Services returns the service names of clusters.
+func (r *loadReporter) Services() map[string]string {
+	if services := r.services.Load(); services != nil {
+		return *services
 	}
 	return nil
 }
 
-// listed takes in where servers stand now.
-func (c *loadReporter) update(facts []membership.Server, services map[string]string) {
-	places := make(map[string]loadreport.Locality, len(facts))
-	for _, f := range facts {
-		if len(f.Clusters) > 0 {
-			places[f.Address] = loadreport.Locality{Cluster: f.Clusters[0], Zone: f.Zone, Cell: f.Cell, Priority: f.Priority}
+// update replaces the servers' places and the service names.
+func (r *loadReporter) update(servers []membership.Server, services map[string]string) {
+	places := make(map[string]loadreport.Locality, len(servers))
+	for _, s := range servers {
+		if len(s.Clusters) > 0 {
+			places[s.Address] = loadreport.Locality{Cluster: s.Clusters[0], Zone: s.Zone, Cell: s.Cell, Priority: s.Priority}
 		}
 	}
-	c.places.Store(&places)
-	c.services.Store(&services)
+	r.places.Store(&places)
+	r.services.Store(&services)
 }
 
-// report reports loads to the control plane until the context ends.
+// reportLoads streams load reports to the control plane until ctx ends.
 func (g *Gateway) reportLoads(ctx context.Context) {
-	note := func(text string) { g.log.Info().Msg("load reports: " + text) }
-	source := xds.Transport{Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Service: xds.LoadReporting, Seed: uint64(g.epoch) + 1, Now: g.now,
-		OnUpdate: func(control.Micros) {}, Log: note}
-	if err := source.Run(ctx, xds.NewLoadReporter(g.loadReporter, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone)); err != nil {
-		note(err.Error())
+	log := func(text string) { g.log.Info().Msg("load reports: " + text) }
+	transport := xds.Transport{
+		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Service: xds.LoadReporting,
+		Seed: uint64(g.epoch) + 1, Now: g.now, OnUpdate: func(control.Micros) {}, Log: log,
 	}
+	if err := transport.Run(ctx, xds.NewLoadReporter(g.loadReporter, g.nodeID(), g.config.Zone)); err != nil {
+		log(err.Error())
+	}
+}
+
+// followersLoads is the answer of /router/loads.
+type followersLoads struct {
+	Followers int                        `json:"Followers"`
+	Servers   []loadreport.EndpointStats `json:"Servers"`
 }
 
-// others answers what those who follow our view report.
-func (g *Gateway) followersReports() *rest.Response {
+// serveFollowersLoads answers with the loads that followers of this router's view report.
+func (g *Gateway) serveFollowersLoads() *rest.Response {
 	if g.view == nil {
 		return errorResponse(409, "no view is served (serve_view)")
 	}
-	lines, nodes := g.view.ReportedLoads()
-	if lines == nil {
-		lines = []loadreport.EndpointStats{}
+	stats, followers := g.view.ReportedLoads()
+	if stats == nil {
+		stats = []loadreport.EndpointStats{}
 	}
-	b, err := json.Marshal(struct {
-		Followers int
-		Servers   []loadreport.EndpointStats
-	}{nodes, lines})
+	body, err := json.Marshal(followersLoads{Followers: followers, Servers: stats})
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
-	return jsonResponse(200, b)
+	return jsonResponse(200, body)
 }
--- a/internal/gateway/metrics_tls.go
+++ b/internal/gateway/metrics_tls.go
@@ -1,12 +1,12 @@
 package gateway
 
 import (
-	"hollymast/internal/certstore"
-
 	"github.com/prometheus/client_golang/prometheus"
+
+	"hollymast/internal/certstore"
 )
 
-// ringMetrics tells what rings have met, by kind of connections.
+// certMetrics collects the counts of certificate stores, by kind of connection.
 type certMetrics map[string]*certstore.Store
 
 var (
@@ -17,22 +17,24 @@
 		[]string{"connections"}, nil)
 )
 
+// Describe is part of prometheus.Collector.
 func (m certMetrics) Describe(out chan<- *prometheus.Desc) {
 	out <- handshakesDesc
 	out <- rejectedDesc
 	out <- expiryDesc
 }
 
+// Collect is part of prometheus.Collector.
 func (m certMetrics) Collect(out chan<- prometheus.Metric) {
-	for kind, r := range m {
-		c := r.Stats()
-		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(c.Handshakes), kind)
-		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(c.FailedHandshakes), kind, "other")
-		for reason, n := range c.RejectedPeers {
+	for kind, store := range m {
+		stats := store.Stats()
+		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(stats.Handshakes), kind)
+		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(stats.FailedHandshakes), kind, "other")
+		for reason, n := range stats.RejectedPeers {
 			out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(n), kind, reason)
 		}
-		if c.ExpiresAt > 0 {
-			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(c.ExpiresAt)/1e6, kind)
+		if stats.ExpiresAt > 0 {
+			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(stats.ExpiresAt)/1e6, kind)
 		}
 	}
 }
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -9,30 +9,41 @@
 	"hollymast/kserve"
 )
 
-// Conclude tells what a server's answer to an execution, or to an order, means to the module. The router and the probe
-// read answers with this, so they cannot disagree.
-func OutcomeOf(resp *rest.Response, order bool) control.Outcome {
-	outcome := control.Outcome{Result: responseResult(resp, order), CacheStatus: cacheStatusOf(resp)}
-	if l, ok := kserve.ReadLoad(resp.Header); ok {
-		outcome.Report = &control.LoadReport{Utilization: l.Util, PendingLoads: l.Loads, PinnedMemory: l.Pinned}
+// OutcomeOf returns what a server's response to an attempt means to the balancer. The router and the probe (internal/probe)
+// both read responses with it, so that they can't disagree.
+func OutcomeOf(resp *rest.Response) control.Outcome {
+	outcome := control.Outcome{Result: attemptResult(resp), CacheStatus: cacheStatusOf(resp)}
+	if load, ok := kserve.ReadLoad(resp.Header); ok {
+		outcome.Report = &control.LoadReport{Utilization: load.Util, PendingLoads: load.Loads, PinnedMemory: load.Pinned}
 	}
 	return outcome
 }
 
-// resultOf names what a server's answer means. 429 and 503 promise that the job did not run, 404 that its function
-// was not there; other refusals of what the client asked are the function's own answer and pass to the client.
-func responseResult(resp *rest.Response, order bool) control.Result {
+// attemptResult returns the result of an attempt. 429 and 503 promise that the request did not run, 404 that its
+// function was not loaded; any other rejection of what the client asked for is the function's own answer, which goes to
+// the client.
+func attemptResult(resp *rest.Response) control.Result {
 	switch {
 	case resp.Status == 429 || resp.Status == 503:
 		return control.Overloaded
 	case resp.Status == 404:
 		return control.NotLoaded
-	case resp.Status >= 500 || resp.Status == 408 || order && resp.Status >= 300:
+	case resp.Status >= 500 || resp.Status == 408:
 		return control.Failed
 	}
 	return control.Succeeded
 }
 
+// loadResult returns the result of a load command: only a 2xx status is a success.
+func loadResult(resp *rest.Response) control.Result {
+	result := attemptResult(resp)
+	if result == control.Succeeded && resp.Status >= 300 {
+		return control.Failed
+	}
+	return result
+}
+
+// cacheStatusOf returns whether the function was loaded when an attempt came, as the server states it.
 func cacheStatusOf(resp *rest.Response) control.CacheStatus {
 	switch kserve.Found(resp.Header, resp.Body) {
 	case "warm":
@@ -47,22 +58,28 @@
 	return control.CacheUnknown
 }
 
-// Broken tells what a broken exchange means to the module, by how far it had got.
+// BrokenExchangeResult returns the result of an exchange that ended with an error, by how far it had got.
 func BrokenExchangeResult(progress rest.Progress, err error) control.Result {
-	why := attempt.ByPeer
+	reason := attempt.ByPeer
 	switch {
 	case errors.Is(err, rest.ErrCertificateRejected):
-		why = attempt.ByAuthentication
+		reason = attempt.ByAuthentication
 	case errors.Is(err, rest.ErrAborted):
-		why = attempt.ByUs
+		reason = attempt.ByUs
 	case errors.Is(err, rest.ErrTimeout):
-		why = attempt.ByDeadline
+		reason = attempt.ByDeadline
 	}
-	if progress > rest.NothingWritten && why == attempt.ByPeer && rest.LocalFailure(err) {
-		return control.Failed // may have run; says nothing of the server
+	written := progress > rest.NothingWritten
+	if written && reason == attempt.ByPeer && rest.LocalFailure(err) {
+		return control.Failed // may have run; says nothing about the server
 	}
-	return attempt.BrokenResult(progress > rest.NothingWritten, why)
+	return attempt.BrokenResult(written, reason)
 }
 
-// ResultName is a result in our words.
-func ResultName(r control.Result) string { return resultNames[r] }
+// ResultName returns a result's name: a metric's label value, which dashboards name.
+func ResultName(result control.Result) string { return resultNames[result] }
+
+// resultNames are the results' names, by control.Result.
+var resultNames = [...]string{
+	"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled", "never sent", "missing",
+}
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -1,20 +1,28 @@
 package gateway
 
 import (
+	"testing"
+
 	"hollymast/control"
 	"hollymast/internal/rest"
-	"testing"
 )
 
-func TestResults(t *testing.T) {
-	for _, c := range []struct {
-		order  bool
-		status int
-		want   control.Result
-	}{{false, 200, control.Succeeded}, {false, 400, control.Succeeded}, {false, 503, control.Overloaded}, {false, 429, control.Overloaded},
-		{false, 404, control.NotLoaded}, {false, 500, control.Failed}, {true, 400, control.Failed}, {true, 200, control.Succeeded}} {
-		if got := OutcomeOf(&rest.Response{Status: c.status}, c.order); got.Result != c.want {
-			t.Errorf("%d: got %v, want %v", c.status, got.Result, c.want)
+func TestResultsOfStatuses(t *testing.T) {
+	for status, want := range map[int]struct{ attempt, load control.Result }{
+		200: {control.Succeeded, control.Succeeded},
+		400: {control.Succeeded, control.Failed},
+		404: {control.NotLoaded, control.NotLoaded},
+		408: {control.Failed, control.Failed},
+		429: {control.Overloaded, control.Overloaded},
+		500: {control.Failed, control.Failed},
+		503: {control.Overloaded, control.Overloaded},
+	} {
+		resp := &rest.Response{Status: status}
+		if got := OutcomeOf(resp).Result; got != want.attempt {
+			t.Errorf("%d: attempt: got %v, want %v", status, got, want.attempt)
+		}
+		if got := loadResult(resp); got != want.load {
+			t.Errorf("%d: load command: got %v, want %v", status, got, want.load)
 		}
 	}
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -8,16 +8,18 @@
 	"hollymast/kserve"
 )
 
-// admitted asks whether a job is let in; where storms are not damped all are.
-func (g *Gateway) admit(now control.Micros, name string, class control.ClassID, tenant control.TenantID, ask kserve.Ask) overload.Decision {
+// admit decides whether a request is admitted in an overload. Where overload is not damped, all are.
+func (g *Gateway) admit(now control.Micros, req *request) overload.Decision {
 	if g.overload == nil {
 		return overload.Decision{Admitted: true}
 	}
-	return g.overload.Admit(now, overload.Request{Tenant: tenant, IsRetry: ask.Repeat, KeyHash: hashKey(ask.Mark),
-		Function: functionID(g.config.NameKey, name), Importance: g.config.Priorities[class]})
+	return g.overload.Admit(now, overload.Request{
+		Tenant: req.tenant, IsRetry: req.params.Repeat, KeyHash: hashKey(req.params.Mark),
+		Function: functionID(g.config.NameKey, req.function), Importance: g.config.Priorities[req.pattern.Class],
+	})
 }
 
-// hashed names a client's mark; 0: it gave none.
+// hashKey returns the hash of a client's idempotency key; 0 for none.
 func hashKey(key string) uint64 {
 	if key == "" {
 		return 0
@@ -25,7 +27,7 @@
 	return max(1, xxhash.Sum64String(key))
 }
 
-// spread gives the pause that a refusal of the module's carries to its client.
+// spreadRetryAfter returns the pause that a client whose request the core rejects is told, spread in an overload.
 func (g *Gateway) spreadRetryAfter(req *request, retryAfter control.Micros) control.Micros {
 	if g.overload == nil {
 		return retryAfter
@@ -33,13 +35,13 @@
 	return g.overload.RecordRejection(g.stepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
 }
 
-// watchStorm tells operators of storms, after a turn.
+// logOverload logs what the overload controller has noticed in a step.
 func (g *Gateway) logOverload() {
 	if g.overload == nil {
 		return
 	}
 	g.metrics.overloadKind.Set(float64(g.overload.Kind()))
-	for _, text := range g.overload.LogLines() {
-		g.log.Warn().Msg("storm: " + text)
+	for _, line := range g.overload.LogLines() {
+		g.log.Warn().Msg("storm: " + line)
 	}
 }
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -2,36 +2,53 @@
 
 import (
 	"errors"
+
 	"hollymast/control"
 	"hollymast/internal/program"
 	"hollymast/internal/record"
 )
 
+// Errors of startRecording: texts of the admin address.
+var (
+	errRecording   = errors.New("a recording is under way")
+	errNoRecordDir = errors.New("no folder is named, here or in the settings")
+)
+
+// recordHeader returns the header of this process's recordings.
 func (g *Gateway) recordHeader() record.Header {
 	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.Number, Incarnation: g.incarnation}
 }
 
-var errRecording = errors.New("a recording is under way")
-
-// startRecording begins a recording in a folder. To open the folder may wait for a disk, once, at an operator's word.
-func (g *Gateway) startRecording(now control.Micros, folder string) error {
+// startRecording starts a recording in a folder. It may wait for the disk within a step: once, when an operator asks for
+// it.
+func (g *Gateway) startRecording(now control.Micros, dir string) error {
 	if g.recordWriter != nil {
 		return errRecording
 	}
-	if folder == "" {
-		return errors.New("no folder is named, here or in the settings")
+	if dir == "" {
+		return errNoRecordDir
 	}
 	header := g.recordHeader()
 	if g.recordingCount++; g.recordingCount > 1 {
 		header.Incarnation += "r" + string(rune('a'+g.recordingCount%26))
 	}
-	writer, err := record.Open(folder, g.config.RecordBounds, header, g.core.Snapshot, g.log)
+	writer, err := record.Open(dir, g.config.RecordBounds, header, g.core.Snapshot, g.log)
 	if err != nil {
 		return err
 	}
-	g.recordWriter = writer
-	g.recorder = writer.Recorder()
+	g.recordWriter, g.recorder = writer, writer.Recorder()
 	g.core.SetRecorder(g.recorder)
 	writer.BeginSegment(now)
 	return nil
 }
+
+// stopRecording ends the recording, if any, and returns its writer for the caller to close outside the step: that waits
+// for the disk.
+func (g *Gateway) stopRecording() *record.Writer {
+	writer := g.recordWriter
+	if writer != nil {
+		g.core.SetRecorder(nil)
+		g.recordWriter, g.recorder = nil, nil
+	}
+	return writer
+}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -1,158 +1,189 @@
 package gateway
 
 import (
+	"strconv"
+	"sync/atomic"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/persistence"
 	"hollymast/internal/record"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
-	"strconv"
-	"sync/atomic"
-	"time"
 )
 
-// job is a job as its client's connection and its executions see it.
+// request is a client's request as its connection and its attempts see it. Its connection's goroutine fills the first
+// part; from then on the event loop owns it, except clientCheckedAt.
 type request struct {
-	id              control.RequestID
-	function        string // of the function
-	call            kserve.Call
-	message         *rest.Request
-	client          *rest.Conn
-	clientCheckedAt atomic.Int64 // when the client was last looked at and had not gone, the router's time
-	idempotencyKey  string
-	journalKey      persistence.IdempotencyKey // for the journal
-	deadline        control.Micros
-	class           control.ClassID
-	tenant          string
-	objectiveAt     control.Micros      // its start target
-	response        chan *rest.Response // holds one
-	answer          attempt.FinalAnswer
-	attempts        []*serverCall
+	function string
+	call     kserve.Call
+	message  *rest.Request
+	params   kserve.Ask
+	pattern  Pattern
+	tenant   control.TenantID
+	client   *rest.Conn
+	response chan *rest.Response // holds one: the final answer
+	// clientCheckedAt is when the client was last seen not to have closed its side, on the router's clock.
+	clientCheckedAt atomic.Int64
+
+	id             control.RequestID
+	idempotencyKey string
+	journalKey     persistence.IdempotencyKey // 0: the journal need not know of its attempts
+	objectiveAt    control.Micros             // when it is to be answered by its class's latency objective
+	answer         attempt.FinalAnswer
+	attempts       []*serverCall // nil: an attempt of an earlier incarnation
 }
 
-// functionID is the same in every router, since all share one order of servers for a function. With a key, which all
-// routers must be told alike, nobody without it can check guessed names against the ids in a recording.
+// finalAnswer is how a request ended, as metrics and the history count it.
+type finalAnswer string
+
+// The final answers: label values of a metric, which dashboards name.
+const (
+	answerFinished finalAnswer = "finished"
+	answerRejected finalAnswer = "pushed back" // may be repeated anywhere
+	answerFailed   finalAnswer = "killed"      // may have run
+	answerLeft     finalAnswer = "left"        // its client has closed its side
+)
+
+// reasonStopping is the error text of what a stopping router does not accept.
+const reasonStopping = "this router is stopping"
+
+// functionID returns a function's id. It is the same in every router, since all share one order of servers for a
+// function. With a key, which all routers must be configured with alike, nobody without it can check guessed names
+// against the ids in a recording.
 func functionID(key, name string) control.FunctionID {
 	return control.FunctionID(record.Tag(key, name))
 }
 
-// arrived takes a job in hand, or pushes it back at once beyond the bounds.
-func (g *Gateway) handleRequest(now control.Micros, req *request, pattern Pattern, tenant control.TenantID, ask kserve.Ask, age control.Micros) {
-	if g.stopping || len(g.requests) >= g.config.MaxRequests {
-		reason := "too many jobs are in hand"
-		if g.stopping {
-			reason = "this router is stopping"
-		}
-		req.answer.Give()
-		req.response <- rejection(reason, g.config.Deployment.MaxRetryAfter)
-		g.metrics.countAnswer("pushed back")
-		return
-	}
-	if v := g.admit(now, req.function, pattern.Class, tenant, ask); !v.Admitted {
+// handleRequest hands a request to the core, or rejects it.
+func (g *Gateway) handleRequest(now control.Micros, req *request) {
+	key := g.config.journalKey(req.function, req.params, req.pattern.Class)
+	if resp := g.rejectionOf(now, req, key); resp != nil {
 		req.answer.Give()
-		req.response <- overloadRejection("a storm of calls: "+v.Reason.String(), v.RetryAfter, v.Reason.String())
-		g.metrics.countAnswer("pushed back")
-		g.metrics.overloadRejections.WithLabelValues(v.Reason.String()).Inc()
+		req.response <- resp
+		g.metrics.countAnswer(answerRejected)
 		return
 	}
-	if reason := g.journalRefusal(now, g.config.journalKey(req.function, ask, pattern.Class)); reason != "" {
-		req.answer.Give()
-		req.response <- rejection(reason, g.config.Deployment.MaxRetryAfter)
-		g.metrics.countAnswer("pushed back")
-		g.metrics.journalRejections.Inc()
-		return
-	}
-	class := g.config.Deployment.Classes[pattern.Class]
-	limit := class.MaxDeadline
-	if ask.Timeout > 0 {
-		limit = min(limit, control.Micros(ask.Timeout))
+	class := g.config.Deployment.Classes[req.pattern.Class]
+	timeout := class.MaxDeadline
+	if req.params.Timeout > 0 {
+		timeout = min(timeout, control.Micros(req.params.Timeout))
 	}
 	g.lastID++
-	req.id, req.class = g.lastID, pattern.Class
-	begun := now - age
-	req.objectiveAt = begun + class.LatencyObjective
-	req.deadline = begun + limit - micros(g.config.AnswerMargin)
-	if req.idempotencyKey = ask.Mark; req.idempotencyKey == "" {
+	req.id, req.journalKey = g.lastID, key
+	arrivedAt := now - micros(time.Since(req.message.ArrivedAt))
+	req.objectiveAt = arrivedAt + class.LatencyObjective
+	if req.idempotencyKey = req.params.Mark; req.idempotencyKey == "" {
 		req.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(req.id), 36)
 	}
 	g.requests[req.id] = req
-	req.journalKey = g.config.journalKey(req.function, ask, pattern.Class)
 	g.countAdmitted(now)
 	earlier := g.earlierAttempts(now, req.journalKey)
 	req.attempts = make([]*serverCall, len(earlier))
-	err := g.core.Add(now, control.Request{Attempts: earlier,
-		ID: req.id, Class: pattern.Class, Tenant: tenant, Function: functionID(g.config.NameKey, req.function),
-		Lanes: pattern.Lanes, Work: pattern.Work, LoadTime: pattern.LoadTime, ArrivedAt: begun, Deadline: max(now, req.deadline), IsRetry: ask.Repeat, RetriesUnmarked: !ask.Counts})
+	err := g.core.Add(now, control.Request{
+		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
+		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
+		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
+		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
+	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("job not taken")
-	} else if g.recorder != nil && ask.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, ask.ID))
+	} else if g.recorder != nil && req.params.ID != "" {
+		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+	}
+	g.log.Debug().Uint64("job", uint64(req.id)).Str("request", req.params.ID).Str("function", req.function).Msg("taken")
+}
+
+// rejectionOf returns the response to a request that is not accepted, or nil.
+func (g *Gateway) rejectionOf(now control.Micros, req *request, key persistence.IdempotencyKey) *rest.Response {
+	if g.stopping {
+		return rejection(reasonStopping, g.config.Deployment.MaxRetryAfter)
+	}
+	if len(g.requests) >= g.config.MaxRequests {
+		return rejection("too many jobs are in hand", g.config.Deployment.MaxRetryAfter)
 	}
-	g.log.Debug().Uint64("job", uint64(req.id)).Str("request", ask.ID).Str("function", req.function).Msg("taken")
+	if decision := g.admit(now, req); !decision.Admitted {
+		reason := decision.Reason.String()
+		g.metrics.overloadRejections.WithLabelValues(reason).Inc()
+		return overloadRejection("a storm of calls: "+reason, decision.RetryAfter, reason)
+	}
+	if reason := g.journalRefusal(now, key); reason != "" {
+		g.metrics.journalRejections.Inc()
+		return rejection(reason, g.config.Deployment.MaxRetryAfter)
+	}
+	return nil
 }
 
-// end gives a job its one final answer.
-func (g *Gateway) finish(req *request, word string, resp *rest.Response) {
+// finish gives a request its one final answer and withdraws what of it is not written yet.
+func (g *Gateway) finish(req *request, answer finalAnswer, resp *rest.Response) {
 	if !req.answer.Give() {
 		return
 	}
-	for _, call := range req.attempts { // nothing is sent for a job that has its answer: the module's recall comes with its next upkeep
+	for _, call := range req.attempts { // an answered request is not sent any more
 		if call != nil {
 			call.withdraw()
 		}
 	}
 	req.response <- resp
-	g.metrics.countAnswer(word)
-	g.historyAnswered(req, word)
-	g.log.Debug().Uint64("job", uint64(req.id)).Str("answer", word).Int("executions", len(req.attempts)).Msg("answered")
+	g.metrics.countAnswer(answer)
+	g.historyAnswered(req, answer)
+	g.log.Debug().Uint64("job", uint64(req.id)).Str("answer", string(answer)).Int("executions", len(req.attempts)).Msg("answered")
 	g.release(req)
 }
 
-// release forgets a job that has its answer and no execution out.
+// release forgets a request that is answered and has no attempt in flight.
 func (g *Gateway) release(req *request) {
 	if req.answer.Done() {
 		delete(g.requests, req.id)
 	}
 }
 
-// left takes in that a job's client is gone. Its answer is still due: a client that closed only its own side reads it.
+// handleClientClosed ends a request whose client has closed its side. The answer is still written: a client that closed
+// only its own side reads it.
 func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
 	if req.answer.Given {
 		return
 	}
 	g.core.Cancel(now, req.id)
-	g.finish(req, "left", failure("the client closed its side of the connection"))
+	g.finish(req, answerLeft, failure(reasonClientClosed))
 }
 
-// Forward starts an execution.
-func (g *Gateway) Forward(coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros) {
+// Forward starts an attempt of a request on a server, to end within timeout. It is part of core.Executor, as are
+// Reject, Fail, CancelAttempt, Load, SubscribeEndpoints, LogServerEvent and SetTimer; the core calls them within a step.
+func (g *Gateway) Forward(
+	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
+) {
 	req := g.requests[coreReq.ID]
 	call := g.newCall(to, timeout)
-	call.request, call.attempt, call.message, call.journalRound = req, attemptID, g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
-	if attemptID > 0 && g.config.Deployment.Classes[req.class].Effect == control.IdempotentByKey {
+	call.request, call.attempt = req, attemptID
+	call.message, call.journalBatch = g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
+	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Effect == control.IdempotentByKey {
 		call.writeBefore = min(call.writeBefore, g.stepTime+attempt.MaxKeyedRetryDelay)
 	}
 	req.attempts = append(req.attempts, call)
 	req.answer.AttemptBegan()
 	g.loadTally.AttemptBegan(g.fleet.Get(to).Address)
-	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandForward, Request: coreReq.ID, Attempt: attemptID, Server: to, Time: timeout})
+	g.decisions.add(g.stepTime, record.Command{
+		Kind: record.CommandForward, Request: coreReq.ID, Attempt: attemptID, Server: to, Time: timeout,
+	})
 	g.dispatch(call)
 }
 
-// Reject and Kill end a job.
+// Reject ends a request that did not run; its client may retry after retryAfter.
 func (g *Gateway) Reject(id control.RequestID, retryAfter control.Micros) {
 	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandReject, Request: id, Time: retryAfter})
-	g.finish(g.requests[id], "pushed back", rejection("not now: it could not be finished in time", g.spreadRetryAfter(g.requests[id], retryAfter)))
+	req := g.requests[id]
+	g.finish(req, answerRejected, rejection("not now: it could not be finished in time", g.spreadRetryAfter(req, retryAfter)))
 }
 
-// Fail ends a job of which nothing may be promised.
+// Fail ends a request that may have run and must not be repeated.
 func (g *Gateway) Fail(id control.RequestID) {
 	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandFail, Request: id})
-	g.finish(g.requests[id], "killed", failure("the job may have run; its end is not known"))
+	g.finish(g.requests[id], answerFailed, failure("the job may have run; its end is not known"))
 }
 
-// CancelAttempt stops waiting for an execution.
+// CancelAttempt stops waiting for an attempt.
 func (g *Gateway) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
 	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandCancelAttempt, Request: id, Attempt: attemptID})
 	if req := g.requests[id]; req != nil && int(attemptID) < len(req.attempts) {
@@ -160,24 +191,28 @@
 	}
 }
 
-// Load orders copies of a job's function.
-func (g *Gateway) Load(coreReq *control.Request, o control.LoadCommand) {
-	name := g.requests[coreReq.ID].function
-	call := g.newCall(o.Server, micros(g.config.LoadTimeout))
-	call.load = o
-	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a ration nothing is owed
-		call.journalRound = g.state.Append(persistence.Entry{Kind: persistence.EntryLoadCommand, At: g.stepTime, Server: o.Server})
+// Load sends a load command for a request's function to a server.
+func (g *Gateway) Load(coreReq *control.Request, command control.LoadCommand) {
+	req := g.requests[coreReq.ID]
+	call := g.newCall(command.Server, micros(g.config.LoadTimeout))
+	call.load = command
+	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a rate limit a restart need not know of it
+		call.journalBatch = g.state.Append(persistence.Entry{Kind: persistence.EntryLoadCommand, At: g.stepTime, Server: command.Server})
+	}
+	call.message = &rest.Request{
+		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(command.Replicas),
 	}
-	call.message = &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: name}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(o.Replicas)}
 	g.openLoadCommands++
 	g.metrics.loadCommands.Inc()
-	g.historyLoadCommand(g.requests[coreReq.ID])
-	g.decisions.add(g.stepTime, record.Command{Kind: record.CommandLoad, Request: coreReq.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
+	g.historyLoadCommand(req)
+	g.decisions.add(g.stepTime, record.Command{
+		Kind: record.CommandLoad, Request: coreReq.ID, Server: command.Server, Function: command.Function, Replicas: command.Replicas,
+	})
 	g.dispatch(call)
 }
 
-// executed takes in the end of an execution.
+// attemptEnded reports an attempt's outcome to the core, and delivers its response where that is final.
 func (g *Gateway) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, resp *rest.Response) {
 	req := call.request
 	delivery := req.answer.AttemptEnded(outcome.Result)
@@ -193,26 +228,19 @@
 	if delivery == attempt.Deliver {
 		outcome.RequestDone = true
 		g.core.HandleOutcome(now, req.id, outcome)
-		req.objectiveAt += control.Micros(g.config.Deployment.Classes[req.class].ObjectivePerWork * float64(outcome.Duration))
+		class := g.config.Deployment.Classes[req.pattern.Class]
+		req.objectiveAt += control.Micros(class.ObjectivePerWork * float64(outcome.Duration))
 		resp.Header = forwardedHeader(resp.Header)
 		resp.Close, resp.ChunkSize = false, 0
-		g.finish(req, "finished", resp)
+		g.finish(req, answerFinished, resp)
 		if g.overload != nil {
 			g.overload.RecordAnswer(now)
 		}
 		return
 	}
 	if delivery == attempt.Drop {
-		g.metrics.lateAnswers.Inc() // its job has its answer: the late one is dropped
+		g.metrics.lateAnswers.Inc()
 	}
 	g.core.HandleOutcome(now, req.id, outcome)
 	g.release(req)
 }
-
-// ordered takes in the answer to an order.
-func (g *Gateway) loadCommandEnded(now control.Micros, call *serverCall, result control.Result, took control.Micros, copies int) {
-	g.openLoadCommands--
-	g.core.HandleLoadResult(now, call.load.Server, call.load.Function, result, took, copies)
-}
-
-func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -1,35 +1,39 @@
 package gateway
 
 import (
+	"strconv"
+
 	"hollymast/control"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
-	"strconv"
 )
 
+// jsonResponse returns a response with a JSON body.
 func jsonResponse(status int, body []byte) *rest.Response {
 	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"}}, Body: body}
 }
 
+// errorResponse returns a response to what is not a request for the core.
 func errorResponse(status int, reason string) *rest.Response {
 	return jsonResponse(status, kserve.Fault{Error: reason}.Body())
 }
 
-// pushedBack is the answer that promises that trying again is harmless.
+// rejection returns the response to a request that did not run; its client may retry after retryAfter.
 func rejection(reason string, retryAfter control.Micros) *rest.Response {
 	return overloadRejection(reason, retryAfter, "")
 }
 
-// refusal is one that names the kind of storm that it is for.
+// overloadRejection returns a rejection that names the kind of overload.
 func overloadRejection(reason string, retryAfter control.Micros, kind string) *rest.Response {
 	resp := jsonResponse(503, kserve.Fault{Error: reason, Answer: "pushed back", Storm: kind, RetryAfter: int64(retryAfter)}.Body())
 	if retryAfter > 0 {
-		resp.Header["Retry-After"] = []string{strconv.FormatInt((int64(retryAfter)+999_999)/1_000_000, 10)}
+		seconds := (int64(retryAfter) + 999_999) / 1_000_000 // rounded up
+		resp.Header["Retry-After"] = []string{strconv.FormatInt(seconds, 10)}
 	}
 	return resp
 }
 
-// killed is the answer that promises nothing.
+// failure returns the response to a request that may have run and must not be repeated.
 func failure(reason string) *rest.Response {
 	return jsonResponse(504, kserve.Fault{Error: reason, Answer: "killed"}.Body())
 }
--- a/internal/gateway/server_faults_test.go
+++ b/internal/gateway/server_faults_test.go
@@ -102,7 +102,7 @@
 				fails.errs = append(fails.errs, errno)
 			}
 			ended := make(chan bool)
-			go func() { defer close(ended); tg.gateway.accept(fails, false) }()
+			go func() { defer close(ended); tg.gateway.accept(t.Context(), fails, clientListener) }()
 			conn, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -2,42 +2,50 @@
 
 import (
 	"context"
-	"hollymast/control"
-	"hollymast/internal/attempt"
-	"hollymast/internal/persistence"
-	"hollymast/internal/rest"
-	"hollymast/kserve"
 	"net/textproto"
+	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/persistence"
+	"hollymast/internal/rest"
+	"hollymast/kserve"
 )
 
-// sending is one execution or order on its way.
+// serverCall is one attempt or load command sent to a server. The event loop creates it and handles its end; in between
+// the goroutine of its connection uses it.
 type serverCall struct {
-	request      *request // nil of an order
+	request      *request // nil: a load command
 	attempt      control.AttemptID
 	load         control.LoadCommand
 	to           control.ServerID
 	message      *rest.Request
-	journalRound *persistence.Batch // of the journal, in which it must be before it is written; nil: none
-	writeBefore  control.Micros     // it is not written later
-	deadline     time.Time
-	ctx          context.Context
+	journalBatch *persistence.Batch // must be in the journal before the first byte is written; nil: nothing
+	writeBefore  control.Micros     // its first byte is not written later
+	deadline     time.Time          // its response is not awaited longer
+	ctx          context.Context    // ends when it is withdrawn, and at its end
 	cancel       context.CancelFunc
-	stage        atomic.Int32 // an attempt.Stage
-	conn         *serverConn
-	progress     attempt.Progress // the turn's
+	stage        atomic.Int32     // an attempt.Stage
+	conn         *serverConn      // nil: none was available
+	progress     attempt.Progress // the event loop's
 }
 
+// newCall returns a call chosen in this step, to end within timeout, that must not be written later than its endpoint
+// list allows.
 func (g *Gateway) newCall(to control.ServerID, timeout control.Micros) *serverCall {
-	call := &serverCall{to: to, writeBefore: attempt.WriteUntil(g.endpointsAsOf, micros(g.config.GracePeriod)), deadline: g.startedAt.Add(duration(g.stepTime + timeout - g.epoch))}
+	call := &serverCall{
+		to: to, writeBefore: attempt.WriteUntil(g.endpointsAsOf, micros(g.config.GracePeriod)),
+		deadline: g.startedAt.Add(duration(g.stepTime + timeout - g.epoch)),
+	}
 	call.ctx, call.cancel = context.WithCancel(context.Background())
 	return call
 }
 
-// withdraw takes back what is not yet being written; what is goes on.
+// withdraw withdraws a call that is not being written yet, and reports whether it did: it will never be written.
 func (call *serverCall) withdraw() bool {
 	if !attempt.Transition(&call.stage, attempt.Stage.Withdraw) {
 		return false
@@ -46,7 +54,7 @@
 	return true
 }
 
-// callOff also breaks off what was written.
+// abandon stops waiting for a call. What is written ends with its connection.
 func (call *serverCall) abandon() {
 	if call.progress.Cancel() && !call.withdraw() && call.conn != nil {
 		if client := call.conn.client.Load(); client != nil {
@@ -55,41 +63,37 @@
 	}
 }
 
-// dispatch hands a sending to an idle connection, or opens one.
+// dispatch hands a call to an idle connection, or to a new one.
 func (g *Gateway) dispatch(call *serverCall) {
-	pool := g.pools[call.to]
-	if pool == nil {
-		pool = &serverPool{id: call.to, address: g.fleet.Get(call.to).Address, open: map[*serverCall]struct{}{}}
-		g.pools[call.to] = pool
-	}
+	pool := g.poolOf(call.to)
 	pool.open[call] = struct{}{}
-	call.message.Header["Host"] = []string{pool.address}
-	call.message.Header["Via"] = append(call.message.Header["Via"][:len(call.message.Header["Via"]):len(call.message.Header["Via"])], g.via)
+	header := call.message.Header
+	header["Host"] = []string{pool.address}
+	header["Via"] = append(slices.Clip(header["Via"]), g.via) // the client's own header shares the array
 	switch pool.conns.Acquire(g.config.MaxConnsPerServer) {
 	case attempt.Reuse:
-		n := len(pool.idle)
-		call.conn = pool.idle[n-1]
-		pool.idle = pool.idle[:n-1]
+		last := len(pool.idle) - 1
+		call.conn = pool.idle[last]
+		pool.idle = pool.idle[:last]
 	case attempt.OpenNew:
 		call.conn = &serverConn{gateway: g, address: pool.address, calls: make(chan *serverCall, 1)}
-		g.serverConns.Add(1)
-		go call.conn.run()
-	case attempt.NoneLeft: // never sent; told in the next turn, since this one is still asking
+		g.serverConns.Go(call.conn.run)
+	case attempt.NoneLeft: // reported in the next step, since the core is still deciding in this one
 		g.post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}, false) })
 		return
 	}
 	call.conn.calls <- call
 }
 
-// exchange is what came of a sending.
+// callResult is how a call ended.
 type callResult struct {
 	result   control.Result
-	response *rest.Response
+	response *rest.Response // nil: none was read
 	duration time.Duration
 }
 
-// wanted tells whether the client of a job still waits. Guards against an execution that begins while its client's close lies
-// unread in the socket, as after a stop of the process.
+// clientWaits reports whether the client of a request, if there is one, still waits. It guards against an attempt that
+// begins while its client's close is unread in the socket, as after a stall of this process.
 func (g *Gateway) clientWaits(req *request) bool {
 	now := g.now()
 	if req == nil || !attempt.MustCheckClient(now-control.Micros(req.clientCheckedAt.Load())) {
@@ -103,8 +107,8 @@
 	return true
 }
 
-// tellsLeft has an execution tell how long it is waited for; no tells that it has no time left. Guards against a figure from when
-// it was chosen: a dial, the journal or a stop of the process may have taken much of it.
+// stateTimeLeft has an attempt state the time that is left as of now, and reports whether any is. It guards against a
+// timeout from when the attempt was chosen: a dial, the journal or a stall of the process may have taken much of it.
 func (call *serverCall) stateTimeLeft() bool {
 	left := time.Until(call.deadline).Milliseconds()
 	if call.request != nil {
@@ -113,62 +117,71 @@
 	return left > 0
 }
 
-// over takes in the end of a sending, and its link back if it can be used again.
-func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, open bool) {
+// callEnded handles the end of a call. connOpen tells whether its connection can be used again.
+func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, connOpen bool) {
 	pool := g.pools[call.to]
 	delete(pool.open, call)
 	call.progress.End()
 	if call.conn != nil {
-		switch keep := pool.conns.Release(open, g.isListed(call.to)); {
+		switch keep := pool.conns.Release(connOpen, g.isListed(call.to)); {
 		case keep:
 			call.conn.idleSince = now
 			pool.idle = append(pool.idle, call.conn)
-		case open:
+		case connOpen:
 			close(call.conn.calls)
 		}
 	}
 	if call.request == nil {
-		copies := -1
-		if result.response != nil {
-			copies = kserve.Copies(result.response.Body)
-		}
-		if result.result == control.Succeeded && copies < 0 {
-			copies = call.load.Replicas // an answer that tells no number has done what was asked
-		}
-		g.loadCommandEnded(now, call, result.result, micros(result.duration), copies)
+		g.loadCommandEnded(now, call, result)
 		return
 	}
 	outcome := control.Outcome{Result: result.result}
 	if result.response != nil {
-		outcome = OutcomeOf(result.response, false)
+		outcome = OutcomeOf(result.response)
 	}
 	outcome.Attempt, outcome.Server, outcome.Duration = call.attempt, call.to, micros(result.duration)
 	g.attemptEnded(now, call, outcome, result.response)
 }
 
-// execution is the request of one execution: the client's own, with what is ours to say.
+// loadCommandEnded reports the result of a load command to the core.
+func (g *Gateway) loadCommandEnded(now control.Micros, call *serverCall, result callResult) {
+	g.openLoadCommands--
+	replicas := -1
+	if result.response != nil {
+		replicas = kserve.Copies(result.response.Body)
+	}
+	if result.result == control.Succeeded && replicas < 0 {
+		replicas = call.load.Replicas // a response without a number: all replicas that were asked for
+	}
+	g.core.HandleLoadResult(now, call.load.Server, call.load.Function, result.result, micros(result.duration), replicas)
+}
+
+// attemptMessage returns the HTTP request of an attempt: the client's own, with the attempt's number and the
+// idempotency key.
 func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
-	h := forwardedHeader(req.message.Header)
-	h[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
-	h[kserve.RepeatMark] = []string{req.idempotencyKey}
-	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: h, Body: req.message.Body}
+	header := forwardedHeader(req.message.Header)
+	header[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
+	header[kserve.RepeatMark] = []string{req.idempotencyKey}
+	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: header, Body: req.message.Body}
 }
 
-// forwarded copies the fields that are meant for the other end, without those for one connection (RFC 9110, 7.6.1).
-func forwardedHeader(h rest.Header) rest.Header {
-	to := make(rest.Header, len(h)+3)
-	for k, v := range h {
-		switch k {
+// forwardedHeader returns the fields that are meant for the other end, without those for one connection (RFC 9110,
+// section 7.6.1).
+func forwardedHeader(header rest.Header) rest.Header {
+	const own = 3 // fields that the caller may add
+	forwarded := make(rest.Header, len(header)+own)
+	for name, values := range header {
+		switch name {
 		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 			"Content-Length", "Expect":
 			continue
 		}
-		to[k] = v
+		forwarded[name] = values
 	}
-	for _, fields := range h["Connection"] {
+	for _, fields := range header["Connection"] {
 		for name := range strings.SplitSeq(fields, ",") {
-			delete(to, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
+			delete(forwarded, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
 		}
 	}
-	return to
+	return forwarded
 }
--- a/internal/gateway/serverconn.go
+++ b/internal/gateway/serverconn.go
@@ -12,17 +12,21 @@
 	"hollymast/internal/rest"
 )
 
-// link is one connection to a server; a goroutine of its own owns it.
+// serverConn is one connection to a server. A goroutine of its own owns it, and carries one call at a time.
 type serverConn struct {
 	gateway   *Gateway
 	address   string
-	calls     chan *serverCall // holds one
-	idleSince control.Micros
-	client    atomic.Pointer[rest.Client]
+	calls     chan *serverCall            // holds one; closed by the event loop when no more come
+	idleSince control.Micros              // the event loop's
+	client    atomic.Pointer[rest.Client] // nil: not connected
 }
 
+// serverLimits bound responses. Servers are trusted more than clients: their headers may be larger, and their bodies of
+// any size that fits.
+var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
+
+// run carries calls until none come, or the connection breaks.
 func (sc *serverConn) run() {
-	defer sc.gateway.serverConns.Done()
 	for call := range sc.calls {
 		result := sc.exchange(call)
 		call.cancel()
@@ -37,65 +41,87 @@
 	}
 }
 
-// carry does one exchange. The connection is kept only where it may be used again.
-func (sc *serverConn) exchange(call *serverCall) (result callResult) {
+// exchange carries one call, and measures its duration.
+func (sc *serverConn) exchange(call *serverCall) callResult {
 	begun := time.Now()
-	defer func() { result.duration = time.Since(begun) }()
+	result := sc.send(call)
+	result.duration = time.Since(begun)
+	return result
+}
+
+// send connects if need be, makes the last check before the first byte, writes the call and reads its response. The
+// connection stays open only where it can be used again.
+func (sc *serverConn) send(call *serverCall) callResult {
+	g := sc.gateway
 	client := sc.client.Load()
-	if client != nil && client.Stale() { // closed while it was idle: nothing of this job was on it
-		client.Close()
+	if client != nil && client.Stale() { // closed while it was idle: nothing of this call was on it
+		sc.close(client)
 		client = nil
-		sc.client.Store(nil)
 	}
 	if client == nil {
 		var err error
 		if client, err = sc.dial(call); err != nil {
-			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), errors.Is(err, errWithdrawn) || rest.LocalFailure(err))}
+			local := errors.Is(err, errNotDialled) || rest.LocalFailure(err)
+			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), local)}
 		}
 		sc.client.Store(client)
 	}
-	kept := call.awaitJournal(sc.gateway.now()) && sc.gateway.clientWaits(call.request) && call.stateTimeLeft()
-	if !attempt.Transition(&call.stage, func(st attempt.Stage) (attempt.Stage, bool) {
-		return st.Write(kept, sc.gateway.now(), call.writeBefore)
+	allowed := call.awaitJournal(g.now()) && g.clientWaits(call.request) && call.stateTimeLeft()
+	if !attempt.Transition(&call.stage, func(stage attempt.Stage) (attempt.Stage, bool) {
+		return stage.Write(allowed, g.now(), call.writeBefore)
 	}) {
 		return callResult{result: control.NotSent}
 	}
 	resp, progress, err := client.Do(call.message, call.deadline)
-	if err == nil && !resp.Close {
-		return callResult{result: responseResult(resp, call.request == nil), response: resp}
+	if err != nil || resp.Close {
+		sc.close(client)
+	}
+	switch {
+	case err != nil:
+		return callResult{result: BrokenExchangeResult(progress, err)}
+	case call.request == nil:
+		return callResult{result: loadResult(resp), response: resp}
 	}
+	return callResult{result: attemptResult(resp), response: resp}
+}
+
+// close closes a connection that can't be used again.
+func (sc *serverConn) close(client *rest.Client) {
 	client.Close()
 	sc.client.Store(nil)
-	if err == nil {
-		return callResult{result: responseResult(resp, call.request == nil), response: resp}
-	}
-	return callResult{result: BrokenExchangeResult(progress, err)}
 }
 
-var errWithdrawn = errors.New("withdrawn")
+// errNotDialled tells that a call ended while it waited to dial: nothing is known about the server.
+var errNotDialled = errors.New("withdrawn")
 
+// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to maxDialPause: such a
+// failure may last no longer than one packet.
+const dialPause, maxDialPause = 2 * time.Millisecond, 50 * time.Millisecond
+
+// dial connects, as soon as one more connection may be dialled. Temporary failures are retried until the dial timeout.
 func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
-	ctx, cancel := context.WithTimeout(call.ctx, min(sc.gateway.config.DialTimeout, time.Until(call.deadline)))
+	g := sc.gateway
+	ctx, cancel := context.WithTimeout(call.ctx, min(g.config.DialTimeout, time.Until(call.deadline)))
 	defer cancel()
 	select {
-	case sc.gateway.dialing <- struct{}{}:
-		defer func() { <-sc.gateway.dialing }()
+	case g.dialing <- struct{}{}:
+		defer func() { <-g.dialing }()
 	case <-ctx.Done():
-		return nil, errWithdrawn // waited for its turn to dial: nothing is known of the server
+		return nil, errNotDialled
 	}
-	var before error // why the try before failed, through no fault of the server's
+	var previous error // why the last dial failed, where the server is not to blame
 	for pause := dialPause; ; pause = min(2*pause, maxDialPause) {
-		client, err := sc.gateway.dial(ctx, sc.address)
+		client, err := g.dial(ctx, sc.address)
 		switch {
 		case err == nil:
 			return client, nil
 		case rest.LocalFailure(err), rest.TransientFailure(err):
-		case rest.LocalFailure(before) && os.IsTimeout(err):
-			return nil, before // the server had but the rest of the time
+		case rest.LocalFailure(previous) && os.IsTimeout(err):
+			return nil, previous // the server only had what was left of the timeout
 		default:
 			return nil, err
 		}
-		before = err
+		previous = err
 		select {
 		case <-ctx.Done():
 			return nil, err
@@ -103,12 +129,3 @@
 		}
 	}
 }
-
-// A dial that failed for a moment is tried again after dialPause, doubled up to dialPauseMost: such a moment may be a packet's.
-const (
-	dialPause    = 2 * time.Millisecond
-	maxDialPause = 50 * time.Millisecond
-)
-
-// workerLimits bound answers: servers are ours, so their headers may be larger and their bodies any size that fits.
-var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
--- a/internal/gateway/serverconn_test.go
+++ b/internal/gateway/serverconn_test.go
@@ -1,13 +1,14 @@
 package gateway
 
 import (
+	"net"
+	"testing"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/invariant"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
-	"net"
-	"testing"
-	"time"
 )
 
 // A drain notice between choosing and writing, and a choice whose list grew old while the process was stopped.
--- a/internal/gateway/serverpool.go
+++ b/internal/gateway/serverpool.go
@@ -6,36 +6,50 @@
 	"hollymast/internal/fleet"
 )
 
-// pool is the connections to one server. The turn owns it.
+// serverPool holds the connections to one server. The event loop owns it.
 type serverPool struct {
 	id      control.ServerID
 	address string
 	conns   attempt.Connections
-	idle    []*serverConn // the last used at the end
-	open    map[*serverCall]struct{}
+	idle    []*serverConn            // most recently used last
+	open    map[*serverCall]struct{} // calls that have not ended
 }
 
+// poolOf returns the pool of a known server, and creates it if need be.
+func (g *Gateway) poolOf(id control.ServerID) *serverPool {
+	pool := g.pools[id]
+	if pool == nil {
+		pool = &serverPool{id: id, address: g.fleet.Get(id).Address, open: map[*serverCall]struct{}{}}
+		g.pools[id] = pool
+	}
+	return pool
+}
+
+// isListed reports whether a server is in the endpoint list, in whatever state.
 func (g *Gateway) isListed(id control.ServerID) bool {
 	s := g.fleet.Get(id)
 	return s != nil && s.State != control.Removed
 }
 
-// withdrawFrom takes back all that is not yet being written to a server that takes nothing new.
-func (g *Gateway) withdrawFrom(id control.ServerID) {
-	pool := g.pools[id]
-	if pool == nil {
-		return
-	}
-	for call := range pool.open { // their outcomes come in the order of their own goroutines anyway
+// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and closes its idle
+// connections. The calls' ends come from the goroutines of their connections.
+func (g *Gateway) withdrawFrom(pool *serverPool) {
+	for call := range pool.open {
 		call.withdraw()
 	}
-	g.closeIdle(pool, func(*serverConn) bool { return true })
+	pool.closeIdle()
 }
 
-func (g *Gateway) closeIdle(pool *serverPool, which func(*serverConn) bool) {
+// closeIdle closes all idle connections.
+func (pool *serverPool) closeIdle() {
+	pool.closeIdleIf(func(*serverConn) bool { return true })
+}
+
+// closeIdleIf closes the idle connections that are selected.
+func (pool *serverPool) closeIdleIf(selected func(*serverConn) bool) {
 	kept := pool.idle[:0]
 	for _, sc := range pool.idle {
-		if which(sc) {
+		if selected(sc) {
 			close(sc.calls)
 			pool.conns.CloseIdle()
 		} else {
@@ -46,15 +60,20 @@
 	pool.idle = kept
 }
 
-// prune closes connections that were idle for long, and forgets pools and servers that are gone.
+// pruneInterval is how often idle connections and removed servers are looked for, in microseconds: idle timeouts are
+// many seconds.
+const pruneInterval = 1_000_000
+
+// prune closes connections that have been idle for longer than the timeout, and forgets removed servers whose
+// connections have ended.
 func (g *Gateway) prune(now control.Micros) {
-	const every = 1_000_000 // idle times are many seconds
-	if now < g.prunedAt+every {
+	if now < g.prunedAt+pruneInterval {
 		return
 	}
 	g.prunedAt = now
+	idleTimeout := micros(g.config.ServerIdleTimeout)
 	for id, pool := range g.pools {
-		g.closeIdle(pool, func(sc *serverConn) bool { return now-sc.idleSince > micros(g.config.ServerIdleTimeout) })
+		pool.closeIdleIf(func(sc *serverConn) bool { return now-sc.idleSince > idleTimeout })
 		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
 			delete(g.pools, id)
 		}
@@ -63,8 +82,9 @@
 	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
+// closePools closes all idle server connections.
 func (g *Gateway) closePools() {
 	for _, pool := range g.pools {
-		g.closeIdle(pool, func(*serverConn) bool { return true })
+		pool.closeIdle()
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"net"
 	"slices"
 	"time"
@@ -10,43 +11,48 @@
 	"hollymast/internal/rest"
 )
 
-// What a stopping router may rely on: SIGKILL comes no sooner after SIGTERM than the deployment's longest deadline, counted as
-// deadlineMost at most, and killAfter. Requests keep coming on open connections; all its times follow from these.
+// A stopping router is killed no sooner than killAfter plus the longest configured deadline, of which at most
+// maxCountedDeadline counts, after it was asked to stop. Requests keep coming on open connections. All its times follow
+// from these.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killAfter          = 700 * time.Millisecond
-	// lastAnswers is kept free before the kill for answers that are due at the last moment, half of it for their way out: some
-	// hundred writes on a small part of a core.
+	// answerBeforeKill is kept free before the kill for answers that are due at the last moment, half of it for their way
+	// out: some hundred writes on a small part of a core.
 	answerBeforeKill = 100 * time.Millisecond
-	// lastAccepts is for how long a stopping router takes connections, to push back what they ask: several times what it takes
-	// to accept all that wait. Later ones are refused, which proves that nothing ran.
+	// acceptConnectionsFor is for how long a stopping router accepts connections, to reject what they send: several times
+	// what it takes to accept all that wait. Later ones are refused by the kernel, which proves that nothing ran.
 	acceptConnectionsFor = 20 * time.Millisecond
 )
 
-// stopTimes are a stopping router's, from when it was told to stop.
+// shutdownTimes are the times of a graceful shutdown, counted from the request to stop.
 type shutdownTimes struct {
-	readUntil time.Duration // until when a request is awaited on an open connection, to push it back
-	answerBy  time.Duration // when each job has its answer, however long it would take
-	closeBy   time.Duration // when clients that don't read or go are closed
+	readUntil time.Duration // until when requests are read from open connections, to reject them
+	answerBy  time.Duration // when each request has its answer, however long it would take
+	closeBy   time.Duration // when client connections that are still open are closed
 }
 
-// stopTimes gives the times that follow from the longest time limit.
+// shutdownTimes returns the times that follow from the longest configured deadline.
 func (c *Config) shutdownTimes() shutdownTimes {
 	longest := control.Micros(0)
 	for _, class := range c.Deployment.Classes {
 		longest = max(longest, class.MaxDeadline)
 	}
 	killed := min(duration(longest), maxCountedDeadline) + killAfter
-	return shutdownTimes{readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2}
+	return shutdownTimes{
+		readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2,
+	}
 }
 
+// isStopping reports whether the gateway was asked to stop. It may be called from any goroutine.
 func (g *Gateway) isStopping() bool { return g.stopRequestedAt.Load() != 0 }
 
-// sinceStop gives when so much of the stop will be over.
+// afterStop returns the time that lies d after the request to stop.
 func (g *Gateway) afterStop(d time.Duration) time.Time {
 	return g.startedAt.Add(duration(control.Micros(g.stopRequestedAt.Load())-g.epoch) + d)
 }
 
+// beginStop marks the gateway as stopping: it accepts connections for acceptConnectionsFor more, and no requests.
 func (g *Gateway) beginStop() {
 	g.stopping = true
 	g.ready.Store(false)
@@ -62,22 +68,17 @@
 	})
 }
 
-// answerAll gives each job in hand the answer that promises nothing: the process may be killed before its own time is up.
+// answerOpen fails every request in flight: the kill would leave it without an answer.
 func (g *Gateway) answerOpen(now control.Micros) {
-	var ids []control.RequestID
-	for id := range g.requests {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
-	for _, id := range ids {
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		if req := g.requests[id]; !req.answer.Given {
 			g.core.Cancel(now, id)
-			g.finish(req, "killed", failure("this router is stopping"))
+			g.finish(req, answerFailed, failure(reasonStopping))
 		}
 	}
 }
 
-// dropOrders stops waiting for answers to orders: with no job in hand they serve nobody here.
+// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they serve nobody here.
 func (g *Gateway) cancelLoadCommands() {
 	for _, pool := range g.pools {
 		for call := range pool.open {
@@ -88,7 +89,9 @@
 	}
 }
 
-func (g *Gateway) closeAll(stop context.CancelFunc) error {
+// closeAll ends everything after the last step: what goes on in the background, the recording, and all connections.
+// Clients that have read their answers close by themselves; those that have not by closeBy are closed.
+func (g *Gateway) closeAll(stopBackground context.CancelFunc) {
 	if g.state != nil {
 		g.state.finalState = g.learnedState(g.now())
 		if g.state.historyTally != nil {
@@ -96,7 +99,7 @@
 		}
 	}
 	close(g.loopEnded)
-	stop()
+	stopBackground()
 	if g.recordWriter != nil {
 		g.core.SetRecorder(nil)
 		g.recorder = nil
@@ -104,30 +107,28 @@
 		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
 	}
 	g.closePools()
-	settled := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		g.background.Wait()
 		g.clientReaders.Wait()
 		g.serverConns.Wait()
-		close(settled)
+		close(ended)
 	}()
-	// Answers are written; only those who may still ask are left, and slow readers.
 	timer := time.NewTimer(time.Until(g.afterStop(g.config.shutdownTimes().closeBy)))
 	defer timer.Stop()
 	select {
-	case <-settled:
-		return nil
+	case <-ended:
+		return
 	case <-timer.C:
 	}
-	n := 0
+	closed := 0
 	g.clientConns.Range(func(c, _ any) bool {
-		n++
+		closed++
 		c.(*rest.Conn).Close()
 		return true
 	})
-	<-settled
-	if n > 0 {
-		g.log.Warn().Int("connections", n).Msg("closed on clients that did not read or go")
+	<-ended
+	if closed > 0 {
+		g.log.Warn().Int("connections", closed).Msg("closed on clients that did not read or go")
 	}
-	return nil
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -61,7 +61,7 @@
 	defer conn.Close()
 	io.WriteString(conn, inferText("1", "forecast-1"))
 	l.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
-	tg.gateway.accept(l, false)
+	tg.gateway.accept(t.Context(), l, clientListener)
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	if lines, err := readStatusLines(bufio.NewReader(conn), 1); err != nil {
 		t.Errorf("got %q, %v", lines, err)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -15,44 +15,55 @@
 	"hollymast/internal/record"
 )
 
-// keeper writes what the module has learned to a folder: copied between two turns, encoded and written outside them.
+// stateKeeper writes what the router has learned to a folder: copied between two steps, encoded and written outside
+// them. docs/persistence.md describes the folder.
 type stateKeeper struct {
-	store *persistence.Store
 	*persistence.Journal
-	keys          *persistence.KeyIndex // the turn's own
-	historyTally  *history.Collector    // the turn's own; nil: no history
-	admitted      int                   // jobs since first, not yet in the journal; the turn's own
+	store    *persistence.Store
+	history  *history.Store
+	unlock   func()
+	interval time.Duration
+	log      zerolog.Logger
+	clock    persistence.Clock // of this incarnation
+	failed   bool              // the last write did
+
+	usualLoad    *overload.Baseline // of the last incarnation; nil: not known
+	usualLoadAge control.Micros
+
+	// Owned by the event loop.
+	keys          *persistence.KeyIndex
+	historyTally  *history.Collector // nil: no history is kept
+	admitted      int                // requests since admittedSince that the journal does not know of
 	admittedSince control.Micros
-	history       *history.Store
-	unlock        func()
-	interval      time.Duration
-	historyClosed chan struct{} // closed once the history is written for the last time
-	log           zerolog.Logger
-	usualLoad     *overload.Baseline // of calls, in the last run; nil: not known
-	usualLoadAge  control.Micros     // of that
-	clock         persistence.Clock  // of this life
-	finalState    *persistence.State // set before the gateway's end is told
-	finalHistory  *history.Batch     // so too
-	failed        bool
+
+	// Set by the event loop before loopEnded is closed.
+	finalState   *persistence.State
+	finalHistory *history.Batch
+
+	historyClosed chan struct{} // closed after the last write of the history
 }
 
-// journalMost bounds a journal's files: with the usual marks_for and marks_most the bound of marks comes first.
+// maxJournalBytes bounds the journal's files. With the default configuration, the limit on keys comes first.
 const maxJournalBytes = 256 << 20
 
-// forever is a time that no router sees.
+// openRetryPause is the first pause before opening the folder is retried.
+const openRetryPause = 5 * time.Millisecond
+
+// forever is a time that no router reaches.
 const forever = control.Micros(1) << 60
 
-// openKeeper looks at the folder and has the module recall what is found. Nothing in it, and nothing about it, keeps a
-// router from starting: it then runs without and says so; nil where nothing may be written. Unknown is until when what an earlier
-// life sent may be owed and is not known, since the folder failed.
-func openStateKeeper(config *Config, now control.Micros, module *control.Balancer, log zerolog.Logger) (keeper *stateKeeper, unknown control.Micros) {
-	files := config.fileSystem
-	if files == nil {
-		files = persistence.OSFileSystem{}
-	}
+// openStateKeeper opens the folder of learned state and applies what it holds to the balancer. Whatever is wrong with the
+// folder, the router starts: it then runs without one, logs that, and keeper is nil. keysUnknownUntil is until when
+// attempts that an earlier incarnation began may be running and are not known, because the folder failed.
+func openStateKeeper(
+	config *Config, now control.Micros, balancer *control.Balancer, log zerolog.Logger,
+) (keeper *stateKeeper, keysUnknownUntil control.Micros) {
 	clock := persistence.ReadClock(now)
 	var unlock func()
-	err := persistence.RetryTransient(openRetryPause, func() (err error) { unlock, err = persistence.Lock(config.StateDir); return err })
+	err := persistence.RetryTransient(openRetryPause, func() (err error) {
+		unlock, err = persistence.Lock(config.StateDir)
+		return err
+	})
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
 		return nil, unknownUntil(err)
@@ -61,60 +72,76 @@
 	for _, line := range found.Warnings {
 		log.Warn().Msg("memory: " + line)
 	}
-	learned := &control.LearnedState{}
-	var usual *overload.Baseline
-	var age control.Micros
-	if k := found.State; k != nil {
-		learned, usual, age = k.Learned, k.Overload, max(0, now-k.Learned.SavedAt)
-		if k.Rebase(clock, now); k.Learned.SavedAt > 0 {
-			age = now - k.Learned.SavedAt // exactly
-		}
-		log.Info().Uint64("generation", k.Generation).Int64("age_us", int64(age)).Int("functions", len(k.Learned.Functions)).
-			Int("servers", len(k.Learned.Servers)).Msg("memory of an earlier run recalled")
-	}
+	keeper = &stateKeeper{store: store, unlock: unlock, interval: config.StateInterval, log: log, clock: clock}
+	learned := keeper.restore(found.State, now)
 	if !found.Writable {
 		unlock()
 		return nil, 0
 	}
-	keeper = &stateKeeper{usualLoad: usual, usualLoadAge: age, clock: clock, store: store, unlock: unlock, interval: config.StateInterval, log: log}
-	journal, entries, lines, err := persistence.JournalOptions{FileSystem: files, Sync: config.JournalSync, Retention: micros(config.KeyRetention), MaxBytes: maxJournalBytes, Clock: clock, Now: now,
-		OnFailure: func(err error) {
-			if err != nil {
-				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
-			} else {
-				log.Info().Msg("the journal is written again")
-			}
-		},
-		OnWarning: func(line string) { log.Warn().Msg("journal: " + line) }}.Open(config.StateDir)
-	for _, line := range lines {
-		log.Warn().Msg("memory: " + line)
-	}
+	entries, err := keeper.openJournal(config, now)
 	if err == nil {
-		keeper.keys = journal.Recovered(entries).Apply(learned, micros(config.KeyRetention), config.MaxKeys)
+		keeper.keys = keeper.Recovered(entries).Apply(learned, micros(config.KeyRetention), config.MaxKeys)
 	}
-	module.ApplyLearned(now, learned)
+	balancer.ApplyLearned(now, learned)
 	if err != nil {
 		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
 		unlock()
 		return nil, unknownUntil(err)
 	}
-	if journal.Incomplete() {
-		unknown = now + micros(config.KeyRetention)
+	if keeper.Incomplete() {
+		keysUnknownUntil = now + micros(config.KeyRetention)
 	}
 	log.Info().Int("marks", keeper.keys.Len()).Int("entries", len(entries)).Msg("journal read")
-	keeper.Journal = journal
 	if config.MaxHistoryRows > 0 {
 		keeper.historyTally, keeper.historyClosed = history.NewCollector(), make(chan struct{})
 		keeper.history = history.NewStore(filepath.Join(config.StateDir, HistoryFile), int64(config.MaxHistoryRows))
 	}
-	return keeper, unknown
+	return keeper, keysUnknownUntil
 }
 
-// startPause is the first between tries to open a folder.
-const openRetryPause = 5 * time.Millisecond
+// restore returns what an earlier incarnation has learned, in this one's time; saved may be nil.
+func (keeper *stateKeeper) restore(saved *persistence.State, now control.Micros) *control.LearnedState {
+	if saved == nil {
+		return &control.LearnedState{}
+	}
+	learned := saved.Learned
+	keeper.usualLoad, keeper.usualLoadAge = saved.Overload, max(0, now-learned.SavedAt)
+	if saved.Rebase(keeper.clock, now); learned.SavedAt > 0 {
+		keeper.usualLoadAge = now - learned.SavedAt // by the clock that counts from boot
+	}
+	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.usualLoadAge)).
+		Int("functions", len(learned.Functions)).Int("servers", len(learned.Servers)).Msg("memory of an earlier run recalled")
+	return learned
+}
+
+// openJournal opens the journal and returns its entries.
+func (keeper *stateKeeper) openJournal(config *Config, now control.Micros) ([]persistence.Entry, error) {
+	log := keeper.log
+	options := persistence.JournalOptions{
+		FileSystem: config.fileSystem, Sync: config.JournalSync, Retention: micros(config.KeyRetention),
+		MaxBytes: maxJournalBytes, Clock: keeper.clock, Now: now,
+		OnFailure: func(err error) {
+			if err != nil {
+				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
+			} else {
+				log.Info().Msg("the journal is written again")
+			}
+		},
+		OnWarning: func(line string) { log.Warn().Msg("journal: " + line) },
+	}
+	if options.FileSystem == nil {
+		options.FileSystem = persistence.OSFileSystem{}
+	}
+	journal, entries, warnings, err := options.Open(config.StateDir)
+	for _, line := range warnings {
+		log.Warn().Msg("memory: " + line)
+	}
+	keeper.Journal = journal
+	return entries, err
+}
 
-// unknownAfter tells until when what is owed is not known, after a folder could not be opened: one that failed holds it still, and
-// one that is no folder of ours never did.
+// unknownUntil returns until when earlier attempts are not known, after a folder could not be opened: one that failed
+// still holds them, and one that never was such a folder holds none.
 func unknownUntil(err error) control.Micros {
 	if persistence.IsTransient(err) {
 		return forever
@@ -122,13 +149,13 @@
 	return 0
 }
 
-// owner names this router and what the ids in its memory hang on.
+// owner names this router, and the configuration that the ids in its learned state depend on.
 func (c *Config) owner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
 	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
 }
 
-// keep writes now and again until the gateway has ended, and then once more.
+// run writes the learned state at an interval until the last step, and then once more.
 func (keeper *stateKeeper) run(g *Gateway) {
 	defer keeper.close()
 	ticker := time.NewTicker(keeper.interval)
@@ -144,34 +171,34 @@
 				default: // the disk is behind: a later copy will do
 				}
 			})
-		case m := <-copies:
-			keeper.write(m)
+		case state := <-copies:
+			keeper.write(state)
 		case <-g.loopEnded:
 			keeper.write(keeper.finalState)
 			if keeper.historyTally != nil {
-				<-keeper.historyClosed // in the same folder, which is still ours
+				<-keeper.historyClosed // it is in the same folder, which is still locked
 			}
 			return
 		}
 	}
 }
 
-// kept gives what is to outlast this run.
+// learnedState returns a copy of what is to outlast this incarnation.
 func (g *Gateway) learnedState(now control.Micros) *persistence.State {
-	k := &persistence.State{Learned: g.core.LearnedState(now)}
+	state := &persistence.State{Learned: g.core.LearnedState(now)}
 	if g.state.clock.BootID != 0 {
-		k.Clock = &g.state.clock
+		state.Clock = &g.state.clock
 	}
 	if g.overload != nil {
 		usual := g.overload.Baseline()
-		k.Overload = &usual
+		state.Overload = &usual
 	}
-	return k
+	return state
 }
 
-// write writes one generation. A disk that fails is told once, and again when it is well.
-func (keeper *stateKeeper) write(m *persistence.State) {
-	err := keeper.store.Write(m)
+// write writes one generation. It logs when a disk begins to fail and when it works again, not each failure.
+func (keeper *stateKeeper) write(state *persistence.State) {
+	err := keeper.store.Write(state)
 	switch {
 	case err != nil && !keeper.failed:
 		keeper.log.Error().Err(err).Msg("memory can't be written: the last one stands; each further try is made in silence")
@@ -181,7 +208,7 @@
 	keeper.failed = err != nil
 }
 
-// close ends the journal and lets the folder go; of no keeper it does nothing.
+// close closes the journal and unlocks the folder; a nil keeper has none.
 func (keeper *stateKeeper) close() {
 	if keeper != nil {
 		keeper.Journal.Close()
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -4,13 +4,6 @@
 	"bufio"
 	"context"
 	"fmt"
-	"hollymast/control"
-	"hollymast/internal/fakeserver"
-	"hollymast/internal/fleet"
-	"hollymast/internal/inifile"
-	"hollymast/internal/invariant"
-	"hollymast/internal/rest"
-	"hollymast/kserve"
 	"net"
 	"os"
 	"path/filepath"
@@ -24,6 +17,14 @@
 	"github.com/rs/zerolog"
 	"github.com/tidwall/gjson"
 	"go.uber.org/goleak"
+
+	"hollymast/control"
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/fleet"
+	"hollymast/internal/inifile"
+	"hollymast/internal/invariant"
+	"hollymast/internal/rest"
+	"hollymast/kserve"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/gateway/tls.go
+++ b/internal/gateway/tls.go
@@ -14,89 +14,91 @@
 	"hollymast/internal/xds"
 )
 
-// wall is the time that certificates tell theirs by.
+// wallClock returns the time that certificates are valid by.
 func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
-// openRings finds the keys of all kinds of connections that are secret.
+// openCertStores loads the certificates of all kinds of connections that use TLS.
 func (g *Gateway) openCertStores() error {
 	g.certStores = map[string]*certstore.Store{}
 	for _, kind := range connectionKinds {
-		told := g.config.TLS[kind]
-		if told == nil {
+		config := g.config.TLS[kind]
+		if config == nil {
 			continue
 		}
-		r, err := certstore.Open(told, wallClock, func(text string) { g.log.Info().Str("connections", kind).Msg("tls: " + text) })
+		store, err := certstore.Open(config, wallClock, func(text string) {
+			g.log.Info().Str("connections", kind).Msg("tls: " + text)
+		})
 		if err != nil {
 			return fmt.Errorf("[tls %s]: %w", kind, err)
 		}
-		g.certStores[kind] = r
+		g.certStores[kind] = store
 	}
 	g.metrics.registry.MustRegister(certMetrics(g.certStores))
 	return nil
 }
 
-// followRings has the keys change in service until the context ends.
+// watchCertStores has the certificates reloaded as they change, until ctx ends.
 func (g *Gateway) watchCertStores(ctx context.Context) {
-	for kind, r := range g.certStores {
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			r.Run(ctx)
-		}()
-		told := g.config.TLS[kind]
-		if told.SecretsAddress == "" {
-			continue
+	for kind, store := range g.certStores {
+		g.background.Go(func() { store.Run(ctx) })
+		if config := g.config.TLS[kind]; config.SecretsAddress != "" {
+			g.background.Go(func() { g.followSecrets(ctx, kind, store, config) })
 		}
-		g.background.Add(1)
-		go func() {
-			defer g.background.Done()
-			note := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
-			source := xds.Transport{Address: told.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now, OnUpdate: func(control.Micros) {}, Log: note}
-			err := source.Run(ctx, xds.NewSecretClient(r, fmt.Sprintf("hollymast-%d", g.config.Deployment.Number), g.config.Zone, told.CertificateSecret, told.AuthoritiesSecret))
-			if err != nil {
-				note(err.Error())
-			}
-		}()
 	}
 }
 
-// credentials are those of a kind of gRPC connections; nil: in plain text.
+// followSecrets takes a store's certificates from a secret discovery service until ctx ends.
+func (g *Gateway) followSecrets(ctx context.Context, kind string, store *certstore.Store, config *certstore.Config) {
+	log := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
+	transport := xds.Transport{
+		Address: config.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now,
+		OnUpdate: func(control.Micros) {}, Log: log,
+	}
+	client := xds.NewSecretClient(store, g.nodeID(), g.config.Zone, config.CertificateSecret, config.AuthoritiesSecret)
+	if err := transport.Run(ctx, client); err != nil {
+		log(err.Error())
+	}
+}
+
+// credentials returns the credentials of a kind of gRPC connections; nil for plain text.
 func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
-	if r := g.certStores[kind]; r != nil {
-		return r.Credentials()
+	if store := g.certStores[kind]; store != nil {
+		return store.Credentials()
 	}
 	return nil
 }
 
-// secure makes connections to workers secret where that is told; nil: they are in plain text.
+// serverHandshake returns the TLS handshake of connections to servers; nil for plain text. Each distinct error of a
+// server is logged once.
 func (g *Gateway) serverHandshake() rest.Handshake {
-	r := g.certStores[serverConnections]
-	if r == nil {
+	store := g.certStores[serverConnections]
+	if store == nil {
 		return nil
 	}
 	return func(ctx context.Context, conn net.Conn, address string) (net.Conn, error) {
-		s, err := r.ClientHandshake(ctx, conn, address)
+		secured, err := store.ClientHandshake(ctx, conn, address)
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
-		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() { // said once
+		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() {
 			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("no connection to this server")
 		}
-		return s, err
+		return secured, err
 	}
 }
 
-// welcome makes a client's connection secret where that is told. A handshake takes no longer than a header may.
-func (g *Gateway) clientHandshake(conn net.Conn) (net.Conn, error) {
-	r := g.certStores[clientConnections]
-	if r == nil {
+// clientHandshake makes the TLS handshake of a client's connection, if clients use TLS, within the header timeout. It
+// closes the connection if that fails.
+func (g *Gateway) clientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
+	store := g.certStores[clientConnections]
+	if store == nil {
 		return conn, nil
 	}
-	ctx, cancel := context.WithTimeout(g.serveContext, g.config.HeaderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, g.config.HeaderTimeout)
 	defer cancel()
-	s, err := r.ServerHandshake(ctx, conn)
+	secured, err := store.ServerHandshake(ctx, conn)
 	if err != nil {
 		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
 		conn.Close()
 	}
-	return s, err
+	return secured, err
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -8,10 +8,10 @@
 	"hollymast/internal/xds"
 )
 
-// viewEvery is how often what we see is looked at: several times within the grace of those who follow us.
+// viewInterval is how often this router's view is published: several times within the grace period of its followers.
 const viewInterval = 50 * time.Millisecond
 
-// publish serves what this router sees until it has ended: copied between two turns, told outside them.
+// publishView publishes this router's view until the last step. It is copied between two steps and encoded outside them.
 func (g *Gateway) publishView() {
 	defer g.view.Close()
 	ticker := time.NewTicker(viewInterval)
@@ -21,15 +21,15 @@
 		select {
 		case <-ticker.C:
 			if !g.ready.Load() {
-				continue // no list was heard: an empty view would have followers drop all
+				continue // without an endpoint list yet: followers of an empty view would drop all servers
 			}
-			g.afterStep(func(now control.Micros) {
+			g.afterStep(func(control.Micros) {
 				if len(copies) == 0 {
 					copies <- g.viewServers()
 				}
 			})
-		case seen := <-copies:
-			if err := g.view.Publish(g.now(), seen); err != nil {
+		case servers := <-copies:
+			if err := g.view.Publish(g.now(), servers); err != nil {
 				g.log.Error().Err(err).Msg("our view can't be served")
 			}
 		case <-g.loopEnded:
@@ -38,25 +38,29 @@
 	}
 }
 
-// seen gives the servers as this router sees them.
+// viewServers returns the servers as this router sees them.
 func (g *Gateway) viewServers() []xds.ServerView {
-	suspects := g.core.EjectedServers()
-	var out []xds.ServerView
+	ejected := g.core.EjectedServers()
+	var servers []xds.ServerView
 	for _, s := range g.fleet.Servers() {
-		v := xds.ServerView{Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Weight: s.Endpoint.Weight, StartedAt: s.Endpoint.StartedAt, Health: membership.Healthy}
+		server := xds.ServerView{
+			Address: s.Address, Zone: s.Endpoint.Zone, Cell: s.Endpoint.Cell, Weight: s.Endpoint.Weight,
+			StartedAt: s.Endpoint.StartedAt, Health: membership.Healthy,
+		}
 		switch {
 		case s.State == control.Draining:
-			v.Health = membership.Draining
-		case suspects[s.ID]:
-			v.Health = membership.Unhealthy
+			server.Health = membership.Draining
+		case ejected[s.ID]:
+			server.Health = membership.Unhealthy
 		}
 		if pool := g.pools[s.ID]; pool != nil {
-			v.InFlight = len(pool.open)
+			server.InFlight = len(pool.open)
 		}
-		if r, said := g.loadTally.LastReport(s.Address); said {
-			v.HasLoadReport, v.Utilization, v.PendingLoads, v.PinnedMemory = true, r.Utilization, r.PendingLoads, r.PinnedMemory
+		if report, ok := g.loadTally.LastReport(s.Address); ok {
+			server.HasLoadReport, server.Utilization = true, report.Utilization
+			server.PendingLoads, server.PinnedMemory = report.PendingLoads, report.PinnedMemory
 		}
-		out = append(out, v)
+		servers = append(servers, server)
 	}
-	return out
+	return servers
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -64,7 +64,7 @@
 			}
 			return nil
 		}
-		if o := gateway.OutcomeOf(p, false); o.Report != nil {
+		if o := gateway.OutcomeOf(p); o.Report != nil {
 			f.Load = o.Report
 		}
 		return p
@@ -97,7 +97,7 @@
 	if err != nil {
 		result, r.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
 	} else {
-		o := gateway.OutcomeOf(p, false)
+		o := gateway.OutcomeOf(p)
 		result, r.Status, r.CacheStatus = o.Result, p.Status, o.CacheStatus
 	}
 	r.Result, r.MayHaveRun = gateway.ResultName(result), !result.ProvesNotRun()
