--- a/internal/fakeserver/standin.go
+++ b/internal/fakeserver/standin.go
@@ -144,7 +144,7 @@
 }
 
 // Start listens; a cold server begins with the told share of its capacity.
-func (s *Server) Start(cold bool) error {
+func (s *Server) Start(mode modelserver.StartMode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, err := net.Listen("tcp", cmpOr(s.address, "127.0.0.1:0"))
@@ -154,7 +154,7 @@
 	s.listener, s.address = l, l.Addr().String()
 	s.life, s.die = context.WithCancel(context.Background())
 	s.conns, s.born = map[net.Conn]bool{}, time.Now()
-	s.model.Start(cold)
+	s.model.Start(mode)
 	s.wg.Add(1)
 	life := s.life
 	go func() {
@@ -221,8 +221,8 @@
 func (s *Server) StartedAt() (at time.Time, cold bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, cold = s.model.StartedAt()
-	return s.born, cold
+	_, mode := s.model.StartedAt()
+	return s.born, mode == modelserver.SlowStart
 }
 
 // Fail sets its ways of failing.
@@ -338,13 +338,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := []kserve.Standing{}
-	names, loaded := s.model.Functions()
-	for i, name := range names {
+	for _, f := range s.model.Functions() {
 		state := "LOADING"
-		if loaded[i] {
+		if f.Loaded {
 			state = "READY"
 		}
-		list = append(list, kserve.Standing{Name: name, State: state})
+		list = append(list, kserve.Standing{Name: f.Name, State: state})
 	}
 	b, _ := json.Marshal(list) // plain strings: can't fail
 	return b
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -9,6 +9,7 @@
 	"github.com/tidwall/gjson"
 
 	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -18,7 +19,7 @@
 		DedupWindow: time.Second, SlowStartDuration: time.Minute, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1000}
 	change(&m)
 	s := New(m, NewStore(time.Millisecond, 2), invariant.NewLog())
-	if err := s.Start(cold); err != nil {
+	if err := s.Start(modelserver.StartMode(cold)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
--- a/internal/modelserver/store.go
+++ b/internal/modelserver/store.go
@@ -5,29 +5,29 @@
 // Store is the one source of all functions. It serves some fetches at once, the others wait in the order in which they came; each
 // takes its time, multiplied while the store is slow. While it is closed none ends.
 type Store struct {
-	clock  Clock
-	take   control.Micros // of one fetch with nothing in the way
-	free   int
-	slow   float64
-	closed bool
-	queue  []func() // waiting for a place
-	kept   []func() // have one, and wait for the store to open
+	clock     Clock
+	fetchTime control.Micros // of one fetch of a store that is not slow
+	free      int            // fetches that it can begin to serve
+	slowdown  float64
+	closed    bool
+	queue     []func() // fetches that are not served yet
+	stopped   []func() // fetches that are served and wait for the store to open
 }
 
-// NewStore gives an open store that serves atOnce fetches at once.
-func NewStore(clock Clock, take control.Micros, atOnce int) *Store {
-	return &Store{clock: clock, take: take, free: atOnce, slow: 1}
+// NewStore returns an open store that serves some fetches at once.
+func NewStore(clock Clock, fetchTime control.Micros, concurrent int) *Store {
+	return &Store{clock: clock, fetchTime: fetchTime, free: concurrent, slowdown: 1}
 }
 
-// Set changes its speed, from the next fetch to begin, and opens or closes it.
-func (s *Store) Degrade(slow float64, closed bool) {
-	s.slow, s.closed = slow, closed
+// Degrade multiplies the time of fetches from the next one to begin, and closes or opens the store.
+func (s *Store) Degrade(slowdown float64, closed bool) {
+	s.slowdown, s.closed = slowdown, closed
 	if closed {
 		return
 	}
-	kept := s.kept
-	s.kept = nil
-	for _, done := range kept {
+	stopped := s.stopped
+	s.stopped = nil
+	for _, done := range stopped {
 		s.serve(done)
 	}
 }
@@ -44,10 +44,10 @@
 
 func (s *Store) serve(done func()) {
 	if s.closed {
-		s.kept = append(s.kept, done)
+		s.stopped = append(s.stopped, done)
 		return
 	}
-	s.clock.After(control.Micros(float64(s.take)*s.slow), func() {
+	s.clock.After(control.Micros(float64(s.fetchTime)*s.slowdown), func() {
 		done()
 		if len(s.queue) == 0 {
 			s.free++
--- a/internal/simulation/emulate.go
+++ b/internal/simulation/emulate.go
@@ -150,7 +150,7 @@
 	}
 	w.ground.begin()
 	for _, s := range w.servers {
-		s.model.Start(false)
+		s.model.Start(modelserver.FullCapacity)
 	}
 	for _, r := range w.routers {
 		r.start()
@@ -225,7 +225,7 @@
 		}
 	}
 	back := func() {
-		servers(to, func(s *server) { s.model.Start(true) })
+		servers(to, func(s *server) { s.model.Start(modelserver.SlowStart) })
 		list(to, func(i int) { w.ground.ready(i, to) })
 	}
 	switch t.Kind {
