--- a/internal/modelserver/modelserver_test.go
+++ b/internal/modelserver/modelserver_test.go
@@ -131,3 +131,12 @@
 		t.Errorf("%v, %v stand, %d loads", s.responses, functions, s.loading)
 	}
 }
+
+// A load command for no replicas of a function that the server doesn't hold asks for nothing and is answered.
+func TestLoadOfNoReplicas(t *testing.T) {
+	s := newTestServer(func(*Config) {})
+	s.Load("a", 0, 0, s.respond)
+	if !slices.Equal(s.results(), []Result{Succeeded}) || s.responses[0].Replicas != 0 || len(s.Functions()) != 0 {
+		t.Errorf("%+v, %v", s.responses, s.Functions())
+	}
+}
--- a/internal/modelserver/replicas.go
+++ b/internal/modelserver/replicas.go
@@ -28,12 +28,12 @@
 	if s.faults.Silent {
 		return
 	}
-	r, held := s.functions[function], 0
+	r, held, loaded := s.functions[function], 0, 0
 	if r != nil {
-		held = r.total()
+		held, loaded = r.total(), r.loaded
 	}
 	if count <= held {
-		s.end(exchange, Response{Replicas: r.loaded})
+		s.end(exchange, Response{Replicas: loaded})
 		return
 	}
 	if r = s.reserve(function, count-held); r == nil {
