--- a/internal/persistence/clock.go
+++ b/internal/persistence/clock.go
@@ -31,18 +31,18 @@
 }
 
 // ahead tells how far this life's time is ahead of that of an earlier one; sure is false if that can't be told.
-func (c Clock) ahead(earlier Clock) (by control.Micros, sure bool) {
+func (c Clock) aheadOf(earlier Clock) (by control.Micros, sure bool) {
 	return c.Offset - earlier.Offset, c.BootID != 0 && c.BootID == earlier.BootID
 }
 
 // note gives entries that tell a clock, at the beginning of a file: jobs taken, none of them, which mean nothing to a reader that
 // does not know of clocks.
-func (c Clock) note() []Entry {
+func (c Clock) entries() []Entry {
 	return []Entry{{Kind: EntryAdmitted, Server: control.ServerID(c.BootID)}, {Kind: EntryAdmitted, Server: control.ServerID(c.Offset)}}
 }
 
 // noted reads a clock.
-func noted(es []Entry) (c Clock, is bool) {
+func readClockEntries(es []Entry) (c Clock, is bool) {
 	if len(es) != 2 || slices.ContainsFunc(es, func(e Entry) bool { return e.Kind != EntryAdmitted || e.Key != 0 || e.At != 0 }) {
 		return c, false
 	}
@@ -64,7 +64,7 @@
 		earlier = *k.Clock
 	}
 	m := k.Learned
-	by, sure := clock.ahead(earlier)
+	by, sure := clock.aheadOf(earlier)
 	if !sure || m.SavedAt+by > now {
 		m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
 		m.LoadCommands = slices.Repeat([]control.Micros{now}, len(m.LoadCommands))
--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -11,26 +11,26 @@
 )
 
 // machine is a machine with a wall clock that may be stepped beside a real one that goes on.
-type machine struct {
+type testMachine struct {
 	real, wall control.Micros
 	boot       uint64
 	booted     control.Micros
 }
 
 // starts gives a life's time at its start, and its clock: from then on its time goes with the real one.
-func (m *machine) starts() (now control.Micros, c Clock) {
+func (m *testMachine) start() (now control.Micros, c Clock) {
 	return m.wall, Clock{m.boot, m.wall - (m.real - m.booted)}
 }
 
-func (m *machine) pass(t control.Micros) { m.real += t; m.wall += t }
+func (m *testMachine) pass(t control.Micros) { m.real += t; m.wall += t }
 
 // Through lives, boots and steps of the wall clock nothing that was sent counts as younger than it is for a window, as older for what
 // is remembered and for rations, and within a boot both are exact. What allows orders counts only where its time is sure.
-func TestTimesOfEarlierLives(t *testing.T) {
+func TestTimesOfEarlierIncarnations(t *testing.T) {
 	const keep = 10 * minute
 	rapid.Check(t, func(t *rapid.T) {
-		dir := newFaultDisk(func(int, string, string) fault { return fine })
-		m := &machine{real: 1000 * minute, wall: 1e15, boot: 1}
+		dir := newFaultFS(func(int, string, string) fault { return noFault })
+		m := &testMachine{real: 1000 * minute, wall: 1e15, boot: 1}
 		known := rapid.Bool().Draw(t, "clocks are known")
 		type sending struct {
 			at   control.Micros // real
@@ -38,11 +38,11 @@
 		}
 		var sent []sending
 		for range rapid.IntRange(2, 5).Draw(t, "lives") {
-			now, clock := m.starts()
+			now, clock := m.start()
 			if !known {
 				clock = Clock{}
 			}
-			o := tested(dir, SyncGrouped, func(error) {})
+			o := testOptions(dir, SyncGrouped, func(error) {})
 			o.Clock, o.Now, o.Retention = clock, now, keep
 			j, es, told, err := o.Open("dir")
 			if err != nil || len(told) > 0 {
@@ -70,7 +70,7 @@
 				if at := colds[control.ServerID(i)]; at < now-age || sure && at != now-age || at > now {
 					t.Fatalf("to a cold server %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
 				}
-				if latest := marks.sent[IdempotencyKey(i+1)][0].latest; latest < now-age || sure && latest != now-age {
+				if latest := marks.attempts[IdempotencyKey(i+1)][0].latestAt; latest < now-age || sure && latest != now-age {
 					t.Fatalf("sent %d ago, of boot %d, is remembered from %d ago", age, s.boot, now-latest)
 				}
 			}
@@ -98,9 +98,9 @@
 }
 
 // A memory's times are brought along within a boot. Else what limits us counts as just now, and the rest is dropped.
-func TestMemoryOfAnotherClock(t *testing.T) {
+func TestStateOfAnotherClock(t *testing.T) {
 	of := func() *State {
-		k := kept(1000)
+		k := testState(1000)
 		k.Learned.LoadCommands, k.Learned.Admitted, k.Learned.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
 		k.Learned.Servers[0].SlowStartSends, k.Learned.Servers[0].StartedAt = []control.Micros{930}, 5
 		k.Clock = &Clock{7, 100}
@@ -150,11 +150,11 @@
 // The machine's clock goes on with real time, and names the same boot each time.
 func TestReadClock(t *testing.T) {
 	a, b := ReadClock(1e15), ReadClock(1e15+3600e6)
-	if by, sure := b.ahead(a); !sure || by < 3599e6 || by > 3600e6 {
+	if by, sure := b.aheadOf(a); !sure || by < 3599e6 || by > 3600e6 {
 		t.Errorf("ahead by %d, sure %t", by, sure)
 	}
-	if es := a.note(); true {
-		if c, is := noted(es); !is || c != a {
+	if es := a.entries(); true {
+		if c, is := readClockEntries(es); !is || c != a {
 			t.Errorf("noted %+v", c)
 		}
 	}
--- a/internal/persistence/faults_test.go
+++ b/internal/persistence/faults_test.go
@@ -18,9 +18,9 @@
 type fault int
 
 const (
-	fine fault = iota
-	fails
-	half // a write of half its bytes, or a call that was carried out and yet fails
+	noFault fault = iota
+	failsBefore
+	failsHalfway // a write of half its bytes, or a call that was carried out and yet fails
 	killedBefore
 	killedHalf
 	killedAfter
@@ -28,42 +28,42 @@
 
 // state tells of a byte whether a power cut leaves it. A byte that a failed sync met is lost: the kernel counts its page as clean,
 // and no later sync writes it.
-type state byte
+type byteState byte
 
 const (
-	dirty state = iota
-	safe
+	dirty byteState = iota
+	durable
 	lost
 )
 
 type inode struct {
 	data   []byte
-	states []state
+	states []byteState
 }
 
 // faultDisk is a file system in memory that fails or is killed at chosen calls. It tells what a new life finds: after a kill all that
 // was written, after a power cut what was synced and any part of the rest.
-type faultDisk struct {
-	mu     sync.Mutex
-	names  map[string]*inode
-	synced map[string]*inode // names that a power cut leaves; a nil one is lost to failed syncs of the folder
-	gone   map[string]*inode // removed, and the folder not synced since: a power cut may bring them back
-	calls  int
-	bytes  int
-	most   int // files at any time
-	plan   func(n int, call, name string) fault
-	err    error
-	dead   chan struct{} // closed once killed
+type faultFS struct {
+	mu       sync.Mutex
+	names    map[string]*inode
+	synced   map[string]*inode // names that a power cut leaves; a nil one is lost to failed syncs of the folder
+	removed  map[string]*inode // removed, and the folder not synced since: a power cut may bring them back
+	calls    int
+	bytes    int
+	maxFiles int // files at any time
+	plan     func(n int, call, name string) fault
+	err      error
+	crashed  chan struct{} // closed once killed
 }
 
-func newFaultDisk(plan func(n int, call, name string) fault) *faultDisk {
-	return &faultDisk{names: map[string]*inode{}, synced: map[string]*inode{}, gone: map[string]*inode{}, plan: plan,
-		err: syscall.ENOSPC, dead: make(chan struct{})}
+func newFaultFS(plan func(n int, call, name string) fault) *faultFS {
+	return &faultFS{names: map[string]*inode{}, synced: map[string]*inode{}, removed: map[string]*inode{}, plan: plan,
+		err: syscall.ENOSPC, crashed: make(chan struct{})}
 }
 
-func (d *faultDisk) killed() bool {
+func (d *faultFS) isKilled() bool {
 	select {
-	case <-d.dead:
+	case <-d.crashed:
 		return true
 	default:
 		return false
@@ -71,33 +71,33 @@
 }
 
 // call plays one call; do carries it out, or half of it.
-func (d *faultDisk) call(call, name string, do func(half bool) error) error {
+func (d *faultFS) call(call, name string, do func(half bool) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.killed() {
+	if d.isKilled() {
 		return errKilled
 	}
 	d.calls++
 	switch f := d.plan(d.calls, call, filepath.Base(name)); f {
-	case fails:
+	case failsBefore:
 		if call == "sync" || call == "sync folder" {
 			do(false)
 		}
 		return d.err
-	case half:
+	case failsHalfway:
 		do(true)
 		return d.err
 	case killedBefore, killedHalf, killedAfter:
 		if f != killedBefore {
 			do(f == killedHalf)
 		}
-		close(d.dead)
+		close(d.crashed)
 		return errKilled
 	}
 	return do(false)
 }
 
-func (d *faultDisk) List(dir string) (names []string, err error) {
+func (d *faultFS) List(dir string) (names []string, err error) {
 	err = d.call("list", dir, func(bool) error {
 		for name := range d.names {
 			names = append(names, strings.TrimPrefix(name, dir+"/"))
@@ -108,7 +108,7 @@
 	return names, err
 }
 
-func (d *faultDisk) Read(name string) (b []byte, err error) {
+func (d *faultFS) Read(name string) (b []byte, err error) {
 	err = d.call("read", name, func(bool) error {
 		i := d.names[name]
 		if i == nil {
@@ -122,11 +122,11 @@
 
 type faultFile struct {
 	*inode
-	d    *faultDisk
+	d    *faultFS
 	name string
 }
 
-func (d *faultDisk) Create(name string) (File, error) {
+func (d *faultFS) Create(name string) (File, error) {
 	f := &faultFile{d: d, name: name}
 	err := d.call("create", name, func(bool) error {
 		if f.inode = d.names[name]; f.inode == nil {
@@ -134,7 +134,7 @@
 			d.names[name] = f.inode
 		}
 		f.data, f.states = nil, nil
-		d.most = max(d.most, len(d.names))
+		d.maxFiles = max(d.maxFiles, len(d.names))
 		return nil
 	})
 	if err != nil {
@@ -149,7 +149,7 @@
 			n /= 2
 		}
 		f.data = append(f.data, b[:n]...)
-		f.states = append(f.states, make([]state, n)...)
+		f.states = append(f.states, make([]byteState, n)...)
 		f.d.bytes += n
 		return nil
 	})
@@ -158,8 +158,8 @@
 
 func (f *faultFile) Sync() error {
 	return f.d.call("sync", f.name, func(bool) error {
-		to := safe
-		if f.d.planned(f.name, "sync") {
+		to := durable
+		if f.d.fails(f.name, "sync") {
 			to = lost
 		}
 		for i, s := range f.states {
@@ -172,31 +172,31 @@
 }
 
 // planned tells whether the call under way fails.
-func (d *faultDisk) planned(name, call string) bool {
+func (d *faultFS) fails(name, call string) bool {
 	f := d.plan(d.calls, call, filepath.Base(name))
-	return f == fails || f == half || f == killedHalf
+	return f == failsBefore || f == failsHalfway || f == killedHalf
 }
 
 func (f *faultFile) Close() error {
 	return f.d.call("close", f.name, func(bool) error { return nil })
 }
 
-func (d *faultDisk) Rename(from, to string) error {
+func (d *faultFS) Rename(from, to string) error {
 	return d.call("rename", to, func(bool) error {
 		if d.names[from] == nil { // a removal that was told as failed had happened
 			return fs.ErrNotExist
 		}
 		if was := d.synced[to]; was != nil {
-			d.gone[to] = was
+			d.removed[to] = was
 		}
-		d.forget(to)
+		d.dropLostName(to)
 		d.names[to] = d.names[from]
 		d.unlink(from)
 		return nil
 	})
 }
 
-func (d *faultDisk) Remove(name string) error {
+func (d *faultFS) Remove(name string) error {
 	return d.call("remove", name, func(bool) error {
 		if d.names[name] == nil {
 			return fs.ErrNotExist
@@ -207,24 +207,24 @@
 }
 
 // unlink takes a name away, which a power cut may bring back.
-func (d *faultDisk) unlink(name string) {
+func (d *faultFS) unlink(name string) {
 	if was := d.synced[name]; was != nil {
-		d.gone[name] = was
+		d.removed[name] = was
 	}
-	d.forget(name)
+	d.dropLostName(name)
 	delete(d.names, name)
 }
 
 // forget makes a lost name one that the next sync of the folder brings to the disk: it changes again.
-func (d *faultDisk) forget(name string) {
+func (d *faultFS) dropLostName(name string) {
 	if d.synced[name] == nil {
 		delete(d.synced, name)
 	}
 }
 
-func (d *faultDisk) SyncDir(dir string) error {
+func (d *faultFS) SyncDir(dir string) error {
 	return d.call("sync folder", dir, func(bool) error {
-		bad := d.planned(dir, "sync folder")
+		bad := d.fails(dir, "sync folder")
 		for name, i := range d.names {
 			if _, known := d.synced[name]; !known || !bad && d.synced[name] != nil {
 				if d.synced[name] = i; bad {
@@ -233,7 +233,7 @@
 			}
 		}
 		if !bad {
-			clear(d.gone)
+			clear(d.removed)
 			maps.DeleteFunc(d.synced, func(name string, _ *inode) bool { return d.names[name] == nil })
 		}
 		return nil
@@ -242,21 +242,21 @@
 
 // after gives what the next life finds. The power's cut leaves of bytes that were never synced none, or all but those lost; of
 // names removed and not synced none, or all.
-func (d *faultDisk) after(cut, more bool) *faultDisk {
+func (d *faultFS) afterCrash(cut, more bool) *faultFS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	next := newFaultDisk(func(int, string, string) fault { return fine })
+	next := newFaultFS(func(int, string, string) fault { return noFault })
 	names := maps.Clone(d.names)
 	if cut {
 		if !more {
 			names = map[string]*inode{}
 			for name, i := range d.synced {
-				if i != nil && (d.names[name] != nil || d.gone[name] != nil) {
+				if i != nil && (d.names[name] != nil || d.removed[name] != nil) {
 					names[name] = i
 				}
 			}
 		}
-		maps.Copy(names, d.gone)
+		maps.Copy(names, d.removed)
 	}
 	for name, i := range names {
 		b := slices.Clone(i.data)
@@ -271,13 +271,13 @@
 		if cut && !more {
 			b = b[:end]
 		}
-		copied := &inode{data: b, states: slices.Repeat([]state{safe}, len(b))}
+		copied := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
 		next.names[name], next.synced[name] = copied, copied
 	}
 	return next
 }
 
-func (d *faultDisk) String() string {
+func (d *faultFS) String() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
 		fmt.Fprintf(&b, "%s %d ", filepath.Base(name), len(d.names[name].data))
--- a/internal/persistence/format.go
+++ b/internal/persistence/format.go
@@ -59,7 +59,7 @@
 }
 
 // limits of what a file may make a reader allocate: many times the largest fleet and names that a router keeps.
-var decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
+var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
 
 // Decode reads a file's bytes. What it gives is whole and within its ranges; else the error is ErrNewer or ErrDamaged.
 func Decode(b []byte) (*State, error) {
@@ -75,10 +75,10 @@
 		return nil, fmt.Errorf("%w: format %d, known up to %d", ErrNewer, v, Version)
 	}
 	k := &State{}
-	if err := decMode.Unmarshal(payload, k); err != nil {
+	if err := decodeMode.Unmarshal(payload, k); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	if err := sound(k.Learned); err != nil {
+	if err := validate(k.Learned); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
 	return k, nil
@@ -86,17 +86,17 @@
 
 // The ranges of values; what lies outside was written by no router.
 const (
-	latest = control.Micros(1) << 60 // some 36 000 years
-	many   = 1 << 20                 // copies, loads, lanes, setbacks
+	maxTime  = control.Micros(1) << 60 // some 36 000 years
+	maxCount = 1 << 20                 // copies, loads, lanes, setbacks
 )
 
-func sound(m *control.LearnedState) error {
+func validate(m *control.LearnedState) error {
 	if m == nil {
 		return errors.New("nothing in it")
 	}
 	in := func(ts ...control.Micros) bool {
 		for _, t := range ts {
-			if t < 0 || t > latest {
+			if t < 0 || t > maxTime {
 				return false
 			}
 		}
@@ -104,7 +104,7 @@
 	}
 	few := func(ns ...int) bool {
 		for _, n := range ns {
-			if n < 0 || n > many {
+			if n < 0 || n > maxCount {
 				return false
 			}
 		}
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -47,7 +47,7 @@
 // Lost tells, once Written is closed, that the group was not even written.
 func (r *Batch) Lost() bool { return r.lost }
 
-func newRound() *Batch { return &Batch{written: make(chan struct{}), done: make(chan struct{})} }
+func newBatch() *Batch { return &Batch{written: make(chan struct{}), done: make(chan struct{})} }
 
 func (r *Batch) release() {
 	if !r.released {
@@ -71,38 +71,38 @@
 	JournalOptions
 	dir string
 
-	unread   bool // a file, at the start
-	unsure   int
-	failing  atomic.Bool
-	failures atomic.Int64
+	incomplete bool // a file, at the start
+	uncertain  int
+	failing    atomic.Bool
+	failures   atomic.Int64
 
-	mu      sync.Mutex
-	pending []Entry
-	round   *Batch
-	owed    int // entries of rounds that are not done
-	closed  bool
-	wake    chan struct{}
-	ended   chan struct{}
+	mu          sync.Mutex
+	pending     []Entry
+	batch       *Batch
+	outstanding int // entries of rounds that are not done
+	closed      bool
+	wake        chan struct{}
+	stopped     chan struct{}
 
 	toSync chan File // holds one
 	synced chan error
 
 	// The writer's own. Rounds go from unwritten to unsynced to done; when a file is abandoned those unsynced go back.
-	file      *journalFile // nil: none stands
-	number    int          // the highest in use
-	newest    control.Micros
-	unwritten []*Batch
-	unsynced  []*Batch
-	syncing   int          // of those unsynced, how many the sync that is under way covers
-	shadow    *journalFile // an abandoned file that alone holds rounds which were told as written
-	carried   int          // how many of the first unwritten rounds
-	strays    []int        // numbers of files with nothing owed in them that couldn't be removed
-	old       []oldFile
-	pausing   bool // after a failure
-	pause     time.Duration
-	retry     *time.Timer
-	syncs     int
-	buf       []byte
+	file           *journalFile // nil: none stands
+	lastNumber     int          // the highest in use
+	newestAt       control.Micros
+	unwritten      []*Batch
+	unsynced       []*Batch
+	syncingBatches int          // of those unsynced, how many the sync that is under way covers
+	abandoned      *journalFile // an abandoned file that alone holds rounds which were told as written
+	rewriting      int          // how many of the first unwritten rounds
+	leftovers      []int        // numbers of files with nothing owed in them that couldn't be removed
+	closedFiles    []closedFile
+	backingOff     bool // after a failure
+	nextDelay      time.Duration
+	retryTimer     *time.Timer
+	syncCount      int
+	buf            []byte
 }
 
 // JournalOptions tells how a journal is kept.
@@ -121,14 +121,14 @@
 
 const (
 	// fileSize is when a next file begins: some 160 000 entries, read in a few milliseconds.
-	fileSize = 4 << 20
+	defaultFileBytes = 4 << 20
 	// mostOwed bounds the entries that wait for the disk: beyond it rounds fail at once. A file that fails for a minute would
 	// else take memory without end. It is more than a router of 10 000 jobs a second gives in the seconds a sync may take.
-	mostOwed = 1 << 18
+	maxOutstanding = 1 << 18
 	// A failing disk is tried again after a pause, each twice the one before up to a second, so that what fails for a moment
 	// costs no job its time, and what fails for an hour costs nothing.
-	firstPause = 5 * time.Millisecond
-	mostPauses = 200 // of the first
+	initialRetryDelay   = 5 * time.Millisecond
+	maxRetryDelayFactor = 200 // of the first
 )
 
 // OpenJournal reads a folder's journals, oldest first, and begins a new one. What was told of damage is for operators.
@@ -139,15 +139,15 @@
 
 // Open is OpenJournal.
 func (o JournalOptions) Open(dir string) (j *Journal, es []Entry, told []string, err error) {
-	o.MaxFileBytes, o.RetryDelay = cmp.Or(o.MaxFileBytes, fileSize), cmp.Or(o.RetryDelay, firstPause)
-	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), ended: make(chan struct{}),
-		newest: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), pause: o.RetryDelay, retry: time.NewTimer(0)}
-	<-j.retry.C
-	if es, told, err = j.read(); err != nil {
+	o.MaxFileBytes, o.RetryDelay = cmp.Or(o.MaxFileBytes, defaultFileBytes), cmp.Or(o.RetryDelay, initialRetryDelay)
+	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), stopped: make(chan struct{}),
+		newestAt: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), nextDelay: o.RetryDelay, retryTimer: time.NewTimer(0)}
+	<-j.retryTimer.C
+	if es, told, err = j.readFiles(); err != nil {
 		return nil, nil, told, err
 	}
-	if err := j.begin(); err != nil {
-		j.trouble(err) // it is tried again, and nothing is done before it stands
+	if err := j.beginFile(); err != nil {
+		j.handleFailure(err) // it is tried again, and nothing is done before it stands
 	}
 	go j.run()
 	go j.syncFiles()
@@ -164,21 +164,21 @@
 func (j *Journal) Append(es ...Entry) *Batch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.closed || j.owed+len(es) > mostOwed {
-		r := newRound()
+	if j.closed || j.outstanding+len(es) > maxOutstanding {
+		r := newBatch()
 		r.fail(errors.New("the journal is closed, or too much waits for it"))
 		return r
 	}
-	if j.round == nil {
-		j.round = newRound()
+	if j.batch == nil {
+		j.batch = newBatch()
 		select {
 		case j.wake <- struct{}{}:
 		default:
 		}
 	}
 	j.pending = append(j.pending, es...)
-	j.owed += len(es)
-	return j.round
+	j.outstanding += len(es)
+	return j.batch
 }
 
 // Close writes what is pending and ends. What can't be written then fails.
@@ -190,27 +190,27 @@
 	case j.wake <- struct{}{}:
 	default:
 	}
-	<-j.ended
+	<-j.stopped
 }
 
 func (j *Journal) run() {
-	defer close(j.ended)
+	defer close(j.stopped)
 	defer close(j.toSync)
 	for {
 		select {
 		case <-j.wake:
 		case err := <-j.synced:
-			j.syncEnded(err)
-		case <-j.retry.C:
-			j.pausing = false
+			j.handleSyncResult(err)
+		case <-j.retryTimer.C:
+			j.backingOff = false
 		}
 		closed := j.takePending()
 		if closed {
-			j.last()
+			j.flushAndStop()
 			return
 		}
-		if !j.pausing {
-			j.bring()
+		if !j.backingOff {
+			j.flush()
 		}
 	}
 }
@@ -218,29 +218,29 @@
 func (j *Journal) takePending() (closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if r := j.round; r != nil {
+	if r := j.batch; r != nil {
 		r.entries = j.pending
 		j.unwritten = append(j.unwritten, r)
-		j.pending, j.round = nil, nil
+		j.pending, j.batch = nil, nil
 	}
 	return j.closed
 }
 
 // last brings what is left to the disk, trying each step that fails once more.
-func (j *Journal) last() {
+func (j *Journal) flushAndStop() {
 	for range 2 {
-		j.bring()
-		if j.syncing > 0 {
-			j.syncEnded(<-j.synced)
+		j.flush()
+		if j.syncingBatches > 0 {
+			j.handleSyncResult(<-j.synced)
 		}
 	}
 	for _, r := range slices.Concat(j.unsynced, j.unwritten) {
 		r.fail(errors.New("the journal was closed while it could not be written"))
 	}
 	if j.file != nil {
-		j.close(j.file)
+		j.closeFile(j.file)
 	}
-	j.retry.Stop()
+	j.retryTimer.Stop()
 }
 
 // syncFiles syncs files beside what goes on being written.
@@ -251,65 +251,65 @@
 }
 
 // bring writes what is unwritten and has it synced where that is promised.
-func (j *Journal) bring() {
+func (j *Journal) flush() {
 	if err := j.writeAll(); err != nil {
-		j.trouble(err)
+		j.handleFailure(err)
 		return
 	}
-	if j.Sync == SyncGrouped && j.syncing == 0 && len(j.unsynced) > 0 {
-		j.syncs++
-		j.syncing = len(j.unsynced)
+	if j.Sync == SyncGrouped && j.syncingBatches == 0 && len(j.unsynced) > 0 {
+		j.syncCount++
+		j.syncingBatches = len(j.unsynced)
 		j.toSync <- j.file.File
 	}
-	j.well()
+	j.handleRecovery()
 }
 
 func (j *Journal) writeAll() error {
 	if j.file == nil {
-		if err := j.begin(); err != nil {
+		if err := j.beginFile(); err != nil {
 			return err
 		}
 	}
 	for len(j.unwritten) > 0 {
 		r := j.unwritten[0]
 		// A round as old as the last stays beside it: no two files hold the same frame unless it was written again.
-		if j.file.size > j.MaxFileBytes && newest(r.entries) > j.file.newest {
-			if err := j.finish(); err != nil {
+		if j.file.size > j.MaxFileBytes && newestTime(r.entries) > j.file.newestAt {
+			if err := j.finishFile(); err != nil {
 				return err
 			}
-			if err := j.begin(); err != nil {
+			if err := j.beginFile(); err != nil {
 				return err
 			}
 		}
-		if err := j.write(r); err != nil {
+		if err := j.writeBatch(r); err != nil {
 			return err
 		}
 		j.unwritten = j.unwritten[1:]
 		if j.unsynced = append(j.unsynced, r); j.Sync != SyncGrouped {
-			j.done(1)
+			j.completeBatches(1)
 		} else {
 			r.release()
 		}
-		if j.carried > 0 {
-			if j.carried--; j.carried == 0 { // this file holds them all
-				shadow := j.shadow
-				j.shadow = nil
-				j.discard(shadow.number)
+		if j.rewriting > 0 {
+			if j.rewriting--; j.rewriting == 0 { // this file holds them all
+				shadow := j.abandoned
+				j.abandoned = nil
+				j.removeFile(shadow.number)
 			}
 		}
 	}
 	return nil
 }
 
-func newest(es []Entry) (at control.Micros) {
+func newestTime(es []Entry) (at control.Micros) {
 	for _, e := range es {
 		at = max(at, e.At)
 	}
 	return at
 }
 
-func (j *Journal) write(r *Batch) error {
-	part := mostInFrame
+func (j *Journal) writeBatch(r *Batch) error {
+	part := maxFrameEntries
 	if j.Sync == SyncEach {
 		part = 1
 	}
@@ -321,23 +321,23 @@
 			return err
 		}
 		if j.Sync == SyncEach {
-			j.syncs++
+			j.syncCount++
 			if err := j.file.Sync(); err != nil {
 				return err
 			}
 		}
 	}
-	j.file.newest = max(j.file.newest, newest(r.entries))
-	j.newest = max(j.newest, j.file.newest)
+	j.file.newestAt = max(j.file.newestAt, newestTime(r.entries))
+	j.newestAt = max(j.newestAt, j.file.newestAt)
 	return nil
 }
 
 // done ends the first rounds of those unsynced.
-func (j *Journal) done(n int) {
+func (j *Journal) completeBatches(n int) {
 	kept := j.unsynced[:n]
 	j.unsynced = j.unsynced[n:]
-	j.file.kept = true
-	j.settle(kept)
+	j.file.holdsDone = true
+	j.reduceOutstanding(kept)
 	for _, r := range kept {
 		r.release()
 		close(r.done)
@@ -345,47 +345,47 @@
 }
 
 // settle takes rounds off what is owed. It comes before they are told as done: whoever waited for that may hand over as much again.
-func (j *Journal) settle(kept []*Batch) {
+func (j *Journal) reduceOutstanding(kept []*Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range kept {
-		j.owed -= len(r.entries)
+		j.outstanding -= len(r.entries)
 	}
 }
 
-func (j *Journal) syncEnded(err error) {
-	n := j.syncing
-	j.syncing = 0
+func (j *Journal) handleSyncResult(err error) {
+	n := j.syncingBatches
+	j.syncingBatches = 0
 	if err != nil {
-		j.trouble(err)
+		j.handleFailure(err)
 		return
 	}
-	j.done(n)
-	j.well()
+	j.completeBatches(n)
+	j.handleRecovery()
 }
 
 // trouble takes in that writing failed. After a failed sync the kernel may count the pages as clean, so that a later success
 // proves nothing; after a failed write half a frame may stand there. Either way the file is abandoned.
-func (j *Journal) trouble(err error) {
+func (j *Journal) handleFailure(err error) {
 	j.failures.Add(1)
 	if !j.failing.Swap(true) {
 		j.OnFailure(err)
 	}
-	j.abandon()
-	j.pausing = true
-	j.retry.Reset(j.pause)
-	j.pause = min(2*j.pause, mostPauses*j.RetryDelay)
+	j.abandonFile()
+	j.backingOff = true
+	j.retryTimer.Reset(j.nextDelay)
+	j.nextDelay = min(2*j.nextDelay, maxRetryDelayFactor*j.RetryDelay)
 }
 
 // well takes in that all is kept.
-func (j *Journal) well() {
+func (j *Journal) handleRecovery() {
 	if j.file == nil || len(j.unwritten)+len(j.unsynced) > 0 {
 		return
 	}
-	j.pause = j.RetryDelay
+	j.nextDelay = j.RetryDelay
 	if !j.failing.Swap(false) {
 		return
 	}
-	j.prune()
+	j.pruneFiles()
 	j.OnFailure(nil)
 }
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -14,33 +14,33 @@
 // journalFile is a file that is being written.
 type journalFile struct {
 	File
-	number int
-	size   int64
-	newest control.Micros
-	kept   bool // it holds rounds that are done
+	number    int
+	size      int64
+	newestAt  control.Micros
+	holdsDone bool // it holds rounds that are done
 }
 
 // oldFile is one that is not written any more.
-type oldFile struct {
-	name   string
-	size   int64
-	newest control.Micros
-	empty  bool // nothing in it is owed
-	told   bool // that it can't be removed
+type closedFile struct {
+	name            string
+	size            int64
+	newestAt        control.Micros
+	empty           bool // nothing in it is owed
+	removalReported bool // that it can't be removed
 }
 
 func journalName(number int) string { return fmt.Sprintf("journal-%08d", number) }
 
 // abandon gives the file up. What was not synced in it is written to the next one.
-func (j *Journal) abandon() {
+func (j *Journal) abandonFile() {
 	f := j.file
 	if f == nil {
 		return
 	}
-	if j.syncing > 0 {
-		n := j.syncing
-		if j.syncing = 0; <-j.synced == nil {
-			j.done(n)
+	if j.syncingBatches > 0 {
+		n := j.syncingBatches
+		if j.syncingBatches = 0; <-j.synced == nil {
+			j.completeBatches(n)
 		}
 	}
 	j.file = nil
@@ -48,93 +48,93 @@
 	back := len(j.unsynced)
 	j.unwritten, j.unsynced = slices.Concat(j.unsynced, j.unwritten), nil
 	switch {
-	case j.shadow != nil:
-		if j.carried += back; f.kept {
-			j.old = append(j.old, oldFile{name: journalName(f.number), size: f.size, newest: f.newest})
+	case j.abandoned != nil:
+		if j.rewriting += back; f.holdsDone {
+			j.closedFiles = append(j.closedFiles, closedFile{name: journalName(f.number), size: f.size, newestAt: f.newestAt})
 		} else {
-			j.discard(f.number)
+			j.removeFile(f.number)
 		}
-	case f.kept:
-		j.old = append(j.old, oldFile{name: journalName(f.number), size: f.size, newest: f.newest})
+	case f.holdsDone:
+		j.closedFiles = append(j.closedFiles, closedFile{name: journalName(f.number), size: f.size, newestAt: f.newestAt})
 	case back > 0:
-		j.shadow, j.carried = f, back
+		j.abandoned, j.rewriting = f, back
 	default:
-		j.discard(f.number)
+		j.removeFile(f.number)
 	}
 }
 
 // discard removes a file in which nothing is owed, or notes that it couldn't be.
-func (j *Journal) discard(number int) {
+func (j *Journal) removeFile(number int) {
 	if err := j.FileSystem.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		j.strays = append(j.strays, number)
+		j.leftovers = append(j.leftovers, number)
 	}
 }
 
 func (j *Journal) path(number int) string { return filepath.Join(j.dir, journalName(number)) }
 
 // finish ends a full file.
-func (j *Journal) finish() error {
-	if j.syncing > 0 {
-		n := j.syncing
-		j.syncing = 0
+func (j *Journal) finishFile() error {
+	if j.syncingBatches > 0 {
+		n := j.syncingBatches
+		j.syncingBatches = 0
 		if err := <-j.synced; err != nil {
 			return err
 		}
-		j.done(n)
+		j.completeBatches(n)
 	}
 	if len(j.unsynced) > 0 {
-		j.syncs++
+		j.syncCount++
 		if err := j.file.Sync(); err != nil {
 			return err
 		}
-		j.done(len(j.unsynced))
+		j.completeBatches(len(j.unsynced))
 	}
-	j.close(j.file)
-	j.old = append(j.old, oldFile{name: journalName(j.file.number), size: j.file.size, newest: j.file.newest})
+	j.closeFile(j.file)
+	j.closedFiles = append(j.closedFiles, closedFile{name: journalName(j.file.number), size: j.file.size, newestAt: j.file.newestAt})
 	j.file = nil
 	return nil
 }
 
 // close closes a file of which all that is promised was synced. An error then takes nothing from that.
-func (j *Journal) close(f *journalFile) {
+func (j *Journal) closeFile(f *journalFile) {
 	if err := f.Close(); err != nil {
 		j.OnWarning(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
 	}
 }
 
 // begin begins a file. One that can't be begun is removed.
-func (j *Journal) begin() error {
-	j.prune()
-	number := j.number + 1
-	if err := j.reuse(number); err != nil {
+func (j *Journal) beginFile() error {
+	j.pruneFiles()
+	number := j.lastNumber + 1
+	if err := j.reuseLeftover(number); err != nil {
 		return err
 	}
 	file, err := j.FileSystem.Create(j.path(number))
 	if err != nil {
 		return err // if it is there all the same, the next try takes its name
 	}
-	if err := j.head(file); err != nil {
+	if err := j.writeHeader(file); err != nil {
 		file.Close()
-		if j.discard(number); slices.Contains(j.strays, number) {
-			j.number = number // its name may be lost to the failed sync for good: never used again
+		if j.removeFile(number); slices.Contains(j.leftovers, number) {
+			j.lastNumber = number // its name may be lost to the failed sync for good: never used again
 		}
 		return err
 	}
-	j.number = number
+	j.lastNumber = number
 	j.file = &journalFile{File: file, number: number, size: int64(len(journalMagic))}
 	return nil
 }
 
 // reuse gives a stray the name of the file that is to begin. Guards against a folder that fails for long: in it no more than
 // two strays stand, and one of them only while neither can be renamed.
-func (j *Journal) reuse(number int) error {
-	n := len(j.strays)
+func (j *Journal) reuseLeftover(number int) error {
+	n := len(j.leftovers)
 	if n == 0 {
 		return nil
 	}
-	err := j.FileSystem.Rename(j.path(j.strays[n-1]), j.path(number))
+	err := j.FileSystem.Rename(j.path(j.leftovers[n-1]), j.path(number))
 	if err == nil {
-		j.strays = j.strays[:n-1]
+		j.leftovers = j.leftovers[:n-1]
 	} else if n == 1 {
 		return nil
 	}
@@ -142,10 +142,10 @@
 }
 
 // head writes what a file begins with, and syncs the folder.
-func (j *Journal) head(f File) error {
+func (j *Journal) writeHeader(f File) error {
 	head := []byte(journalMagic)
 	if j.Clock.BootID != 0 {
-		head = appendFrame(head, j.Clock.note())
+		head = appendFrame(head, j.Clock.entries())
 	}
 	if _, err := f.Write(head); err != nil {
 		return err
@@ -160,25 +160,25 @@
 
 // prune removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed stays for the
 // next time, and keeps nothing from going on.
-func (j *Journal) prune() {
-	strays := j.strays
-	j.strays = nil
+func (j *Journal) pruneFiles() {
+	strays := j.leftovers
+	j.leftovers = nil
 	for _, number := range strays {
-		j.discard(number)
+		j.removeFile(number)
 	}
 	total := int64(0)
-	for _, o := range j.old {
+	for _, o := range j.closedFiles {
 		total += o.size
 	}
-	kept := j.old[:0]
-	for _, o := range j.old {
-		if !o.empty && o.newest+j.Retention >= j.newest && total <= j.MaxBytes {
+	kept := j.closedFiles[:0]
+	for _, o := range j.closedFiles {
+		if !o.empty && o.newestAt+j.Retention >= j.newestAt && total <= j.MaxBytes {
 			kept = append(kept, o)
 			continue
 		}
 		if err := j.FileSystem.Remove(filepath.Join(j.dir, o.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			if !o.told {
-				o.told = true
+			if !o.removalReported {
+				o.removalReported = true
 				j.OnWarning(fmt.Sprintf("%s: %v: it stays, and is tried again", o.name, err))
 			}
 			kept = append(kept, o)
@@ -186,5 +186,5 @@
 		}
 		total -= o.size
 	}
-	j.old = kept
+	j.closedFiles = kept
 }
--- a/internal/persistence/journal_format.go
+++ b/internal/persistence/journal_format.go
@@ -31,7 +31,7 @@
 	Server control.ServerID
 }
 
-const entrySize = 1 + 3*8
+const entryBytes = 1 + 3*8
 
 func appendEntry(b []byte, e Entry) []byte {
 	b = append(b, byte(e.Kind))
@@ -43,15 +43,15 @@
 func readEntry(b []byte) (Entry, bool) {
 	e := Entry{EntryKind(b[0]), control.Micros(binary.BigEndian.Uint64(b[1:])), IdempotencyKey(binary.BigEndian.Uint64(b[9:])),
 		control.ServerID(binary.BigEndian.Uint64(b[17:]))}
-	return e, e.Kind >= EntryAttempt && e.Kind <= EntryAdmitted && (e.Kind != EntryAdmitted || e.Key <= many) && e.At >= 0 && e.At <= latest
+	return e, e.Kind >= EntryAttempt && e.Kind <= EntryAdmitted && (e.Kind != EntryAdmitted || e.Key <= maxCount) && e.At >= 0 && e.At <= maxTime
 }
 
 // A journal file is the magic, then frames: number of entries (two bytes) and CRC-32C of that and the entries (four),
 // both big-endian, then the entries.
 const (
-	journalMagic = "hollymast journal 1\n"
-	frameHead    = 6
-	mostInFrame  = 1 << 12
+	journalMagic     = "hollymast journal 1\n"
+	frameHeaderBytes = 6
+	maxFrameEntries  = 1 << 12
 )
 
 func appendFrame(b []byte, es []Entry) []byte {
@@ -60,7 +60,7 @@
 	for _, e := range es {
 		b = appendEntry(b, e)
 	}
-	sum := crc32.Update(crc32.Checksum(b[at:at+2], castagnoli), castagnoli, b[at+frameHead:])
+	sum := crc32.Update(crc32.Checksum(b[at:at+2], castagnoli), castagnoli, b[at+frameHeaderBytes:])
 	binary.BigEndian.PutUint32(b[at+2:], sum)
 	return b
 }
@@ -85,24 +85,24 @@
 		return nil, fmt.Errorf("%w: no journal", ErrDamaged)
 	}
 	for b = b[len(journalMagic):]; len(b) > 0; {
-		if len(b) < frameHead {
+		if len(b) < frameHeaderBytes {
 			return frames, ErrDamaged
 		}
-		n := int(binary.BigEndian.Uint16(b)) * entrySize
-		if n == 0 || n > len(b)-frameHead ||
-			crc32.Update(crc32.Checksum(b[:2], castagnoli), castagnoli, b[frameHead:frameHead+n]) != binary.BigEndian.Uint32(b[2:]) {
+		n := int(binary.BigEndian.Uint16(b)) * entryBytes
+		if n == 0 || n > len(b)-frameHeaderBytes ||
+			crc32.Update(crc32.Checksum(b[:2], castagnoli), castagnoli, b[frameHeaderBytes:frameHeaderBytes+n]) != binary.BigEndian.Uint32(b[2:]) {
 			return frames, ErrDamaged
 		}
-		es := make([]Entry, 0, n/entrySize)
-		for at := frameHead; at < frameHead+n; at += entrySize {
+		es := make([]Entry, 0, n/entryBytes)
+		for at := frameHeaderBytes; at < frameHeaderBytes+n; at += entryBytes {
 			e, ok := readEntry(b[at:])
 			if !ok {
 				return frames, ErrDamaged
 			}
 			es = append(es, e)
 		}
-		frames = append(frames, frame{b[:frameHead+n], es})
-		b = b[frameHead+n:]
+		frames = append(frames, frame{b[:frameHeaderBytes+n], es})
+		b = b[frameHeaderBytes+n:]
 	}
 	return frames, nil
 }
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -13,7 +13,7 @@
 const minute = 60_000_000
 
 // entries gives n lines of all kinds.
-func entries(n int) []Entry {
+func testEntries(n int) []Entry {
 	es := make([]Entry, n)
 	for i := range es {
 		es[i] = Entry{EntryKind(1 + i%4), control.Micros(i), IdempotencyKey(i * 7), control.ServerID(i % 5)}
@@ -21,7 +21,7 @@
 	return es
 }
 
-func open(t *testing.T, dir string, sync SyncPolicy) (*Journal, []Entry, []string) {
+func openJournal(t *testing.T, dir string, sync SyncPolicy) (*Journal, []Entry, []string) {
 	t.Helper()
 	j, es, told, err := OpenJournal(dir, sync, 10*minute, 1<<30, func(error) {})
 	if err != nil {
@@ -32,7 +32,7 @@
 
 // A damaged journal gives what stands before the damage and nothing else.
 func TestJournalIsReadUpToItsDamage(t *testing.T) {
-	es := entries(12)
+	es := testEntries(12)
 	b := []byte(journalMagic)
 	var ends []int
 	for _, in := range [][]Entry{es[:1], es[1:5], es[5:12]} {
@@ -67,12 +67,12 @@
 }
 
 // What a round's end tells as kept is there for the next life.
-func TestKeptEntriesAreFound(t *testing.T) {
+func TestDurableEntriesAreRead(t *testing.T) {
 	for _, sync := range []SyncPolicy{SyncNever, SyncGrouped, SyncEach} {
 		dir := t.TempDir()
-		es := entries(100)
+		es := testEntries(100)
 		for life := range 3 {
-			j, got, told := open(t, dir, sync)
+			j, got, told := openJournal(t, dir, sync)
 			if !slices.Equal(got, es[:30*life]) || len(told) > 0 {
 				t.Fatalf("life %d: got %d entries, %q", life, len(got), told)
 			}
@@ -103,12 +103,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := j.Append(entries(1)...)
+	first := j.Append(testEntries(1)...)
 	<-first.Done()
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	second := j.Append(entries(2)...) // any file is full: another is to be begun
+	second := j.Append(testEntries(2)...) // any file is full: another is to be begun
 	if err := <-heard; err == nil || !j.Failing() {
 		t.Error("nothing was said")
 	}
@@ -128,7 +128,7 @@
 	if second.Err() != nil || len(heard) != 0 || j.Failing() || j.Failures() == 0 {
 		t.Errorf("%v, %d more, failing %t after %d", second.Err(), len(heard), j.Failing(), j.Failures())
 	}
-	if j, es, _ := open(t, dir, SyncGrouped); len(es) != 2 {
+	if j, es, _ := openJournal(t, dir, SyncGrouped); len(es) != 2 {
 		t.Errorf("%d entries", len(es))
 	} else {
 		j.Close()
@@ -136,10 +136,10 @@
 }
 
 // Files go once all in them is too old, and the oldest beyond the bound of all.
-func TestOldJournalsGo(t *testing.T) {
+func TestOldFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
-	j, _, _ := open(t, dir, SyncNever)
-	full := make([]Entry, fileSize/entrySize)
+	j, _, _ := openJournal(t, dir, SyncNever)
+	full := make([]Entry, defaultFileBytes/entryBytes)
 	for _, at := range []control.Micros{1, 2 * minute, 13 * minute, 14 * minute} {
 		for i := range full {
 			full[i] = Entry{Kind: EntryAttempt, At: at}
@@ -147,23 +147,23 @@
 		<-j.Append(full...).Done()
 	}
 	j.Close()
-	j, es, _ := open(t, dir, SyncNever)
+	j, es, _ := openJournal(t, dir, SyncNever)
 	j.Close()
 	if len(es) != 2*len(full) || es[0].At != 13*minute {
 		t.Errorf("%d entries, the first of %d", len(es), es[0].At)
 	}
-	j, _, _, err := OpenJournal(dir, SyncNever, 10*minute, fileSize, func(error) {})
+	j, _, _, err := OpenJournal(dir, SyncNever, 10*minute, defaultFileBytes, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Close()
-	if j, es, _ = open(t, dir, SyncNever); len(es) != 0 {
+	if j, es, _ = openJournal(t, dir, SyncNever); len(es) != 0 {
 		t.Errorf("%d entries beyond the bound", len(es))
 	}
 	j.Close()
 }
 
-func TestMarks(t *testing.T) {
+func TestKeyIndex(t *testing.T) {
 	m := NewKeyIndex(10*minute, 3)
 	m.Add(1, SentAttempt{7, 100})
 	m.Add(1, SentAttempt{8, 200})
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestMarksAreForgotten(t *testing.T) {
+func TestKeyIndexPrunes(t *testing.T) {
 	m := NewKeyIndex(10*minute, 3)
 	for i := range IdempotencyKey(3) {
 		m.Add(i+1, SentAttempt{7, control.Micros(i)})
@@ -201,13 +201,13 @@
 		t.Errorf("%d known, %d dropped", m.Len(), m.Dropped)
 	}
 	m.Prune(22 * minute)
-	if m.Len() != 0 || len(m.order)-m.from != 0 {
-		t.Errorf("%d known, %d in order", m.Len(), len(m.order)-m.from)
+	if m.Len() != 0 || len(m.order)-m.first != 0 {
+		t.Errorf("%d known, %d in order", m.Len(), len(m.order)-m.first)
 	}
 }
 
 // A memory holds what was sent before it was saved; the journal adds what came after, once.
-func TestRecalledAddsWhatTheMemoryLacks(t *testing.T) {
+func TestApplyAddsWhatTheStateLacks(t *testing.T) {
 	m := &control.LearnedState{SavedAt: 100, LoadCommands: []control.Micros{90}, Servers: []control.LearnedServer{{Server: 5, SlowStartSends: []control.Micros{95}}}}
 	marks := ApplyEntries(m, []Entry{{EntryLoadCommand, 90, 0, 5}, {EntrySlowStartSend, 95, 0, 5}, {EntryAttempt, 96, 9, 5}, {EntryLoadCommand, 110, 0, 5}, {EntrySlowStartSend, 120, 0, 5},
 		{EntrySlowStartSend, 130, 0, 3}, {EntryAttempt, 131, 11, 3}, {EntryNotRun, 132, 11, 3}}, minute, 100)
@@ -246,8 +246,8 @@
 			b.ReportMetric(float64(n)/time.Since(begun).Seconds(), "entries/s")
 			b.ReportMetric(float64(waited.Microseconds())/float64(n/16), "us/wait")
 			j.Close()
-			if j.syncs > 0 {
-				b.ReportMetric(float64(n)/float64(j.syncs), "entries/sync")
+			if j.syncCount > 0 {
+				b.ReportMetric(float64(n)/float64(j.syncCount), "entries/sync")
 			}
 		})
 	}
--- a/internal/persistence/kill_test.go
+++ b/internal/persistence/kill_test.go
@@ -16,13 +16,13 @@
 )
 
 // appended is one round that a life handed over.
-type appended struct {
+type appendedBatch struct {
 	*Batch
-	es []Entry
+	entries []Entry
 }
 
 // closed tells of a channel.
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -34,30 +34,30 @@
 const earlierAt, outdatedAt = 100 * minute, 10 * minute
 
 // earlierLife leaves files of a life before: one whose time is over, one that counts, and one with nothing in it.
-func earlierLife(d *faultDisk) (counts []Entry) {
+func writeEarlierFiles(d *faultFS) (counts []Entry) {
 	counts = []Entry{{EntryAttempt, earlierAt, 7, 1}, {EntryNotRun, earlierAt + 1, 7, 1}}
 	for name, b := range map[string][]byte{
 		"journal-00000001": appendFrame([]byte(journalMagic), []Entry{{EntryAttempt, outdatedAt, 9, 1}}),
 		"journal-00000002": appendFrame([]byte(journalMagic), counts),
 		"journal-00000003": []byte(journalMagic)[:5],
 	} {
-		i := &inode{data: b, states: slices.Repeat([]state{safe}, len(b))}
+		i := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
 		d.names["dir/"+name], d.synced["dir/"+name] = i, i
 	}
 	return counts
 }
 
-func tested(d *faultDisk, sync SyncPolicy, failed func(error)) JournalOptions {
+func testOptions(d *faultFS, sync SyncPolicy, failed func(error)) JournalOptions {
 	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300, OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
 // live opens a journal on a disk and hands over rounds, until all is done or it was killed. Now and again it waits for the last one.
-func live(d *faultDisk, sync SyncPolicy, rounds int) (all []appended) {
-	return liveBy(d, sync, rounds, func(i int) bool { return i%4 != 3 })
+func appendBatches(d *faultFS, sync SyncPolicy, rounds int) (all []appendedBatch) {
+	return appendBatchesWaiting(d, sync, rounds, func(i int) bool { return i%4 != 3 })
 }
 
-func liveBy(d *faultDisk, sync SyncPolicy, rounds int, wait func(i int) bool) (all []appended) {
-	j, _, _, err := tested(d, sync, func(error) {}).Open("dir")
+func appendBatchesWaiting(d *faultFS, sync SyncPolicy, rounds int, wait func(i int) bool) (all []appendedBatch) {
+	j, _, _, err := testOptions(d, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return nil
 	}
@@ -65,7 +65,7 @@
 		at := control.Micros(earlierAt + 10 + i)
 		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)}, {EntryAdmitted, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
-		all = append(all, appended{r, es})
+		all = append(all, appendedBatch{r, es})
 		if !wait(i) { // the next comes while this one is on its way
 			if i%2 == 0 {
 				runtime.Gosched() // or is of the same round
@@ -74,7 +74,7 @@
 		}
 		select {
 		case <-r.Done():
-		case <-d.dead:
+		case <-d.crashed:
 		case <-time.After(20 * time.Second):
 			panic(fmt.Sprintf("a round never ended: %+v, %s", j, d))
 		}
@@ -85,8 +85,8 @@
 
 // judge checks what the next life knows after a kill or a power cut: all that was told as kept, each entry once, in its order,
 // and nothing else; and that this one can write on.
-func judge(after *faultDisk, sync SyncPolicy, cut bool, earlier []Entry, all []appended) error {
-	j, got, _, err := tested(after, sync, func(error) {}).Open("dir")
+func checkRecovery(after *faultFS, sync SyncPolicy, cut bool, earlier []Entry, all []appendedBatch) error {
+	j, got, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
 	}
@@ -94,9 +94,9 @@
 	want := slices.Clone(earlier)
 	var maybe []Entry
 	for _, a := range all {
-		maybe = append(maybe, a.es...)
-		if owed := closed(a.done) && a.err == nil && (!cut || sync != SyncNever) || closed(a.written) && !a.lost && !cut; owed {
-			want = append(want, a.es...)
+		maybe = append(maybe, a.entries...)
+		if owed := isClosed(a.done) && a.err == nil && (!cut || sync != SyncNever) || isClosed(a.written) && !a.lost && !cut; owed {
+			want = append(want, a.entries...)
 		}
 	}
 	maybe = slices.Concat(earlier, maybe)
@@ -116,7 +116,7 @@
 	r := j.Append(Entry{EntryAttempt, earlierAt + 1000, 1000, 1})
 	<-r.Done()
 	j.Close()
-	j, more, _, err := tested(after, sync, func(error) {}).Open("dir")
+	j, more, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
 	}
@@ -128,34 +128,34 @@
 }
 
 // afterwards judges all that may be left.
-func afterwards(d *faultDisk, sync SyncPolicy, earlier []Entry, all []appended) error {
+func checkRecoveries(d *faultFS, sync SyncPolicy, earlier []Entry, all []appendedBatch) error {
 	for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-		if err := judge(d.after(left.cut, left.more), sync, left.cut, earlier, all); err != nil {
+		if err := checkRecovery(d.afterCrash(left.cut, left.more), sync, left.cut, earlier, all); err != nil {
 			return fmt.Errorf("power cut %t, with what was not synced %t: %w; %s", left.cut, left.more, err, d)
 		}
 	}
 	return nil
 }
 
-var syncs = map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach}
+var syncPolicies = map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach}
 
 // A kill or a power cut at each call, before, within and after it, loses nothing that was told as kept.
 func TestJournalKilledAtEachCall(t *testing.T) {
-	for name, sync := range syncs {
+	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
 			bad := 0
 			for at, more := 1, true; more; at++ {
 				for _, f := range []fault{killedBefore, killedHalf, killedAfter} {
-					d := newFaultDisk(func(n int, _, _ string) fault {
+					d := newFaultFS(func(n int, _, _ string) fault {
 						if n == at {
 							return f
 						}
-						return fine
+						return noFault
 					})
-					earlier := earlierLife(d)
-					all := live(d, sync, 12)
-					more = d.killed()
-					if err := afterwards(d, sync, earlier, all); err != nil {
+					earlier := writeEarlierFiles(d)
+					all := appendBatches(d, sync, 12)
+					more = d.isKilled()
+					if err := checkRecoveries(d, sync, earlier, all); err != nil {
 						if bad++; bad < 5 {
 							t.Errorf("killed at call %d (%d): %v", at, f, err)
 						}
@@ -172,30 +172,30 @@
 // Each call fails once, for a while, with all of its kind or each second time, wholly or half carried out; then the life ends by a
 // kill or a power cut. Nothing told as kept is lost, all rounds end, and no more than one stray is left.
 func TestJournalWithEachCallFailing(t *testing.T) {
-	for name, sync := range syncs {
+	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
 			bad, runs := 0, 0
 			for _, kind := range []string{"", "create", "write", "sync", "remove", "sync folder", "close", "rename"} {
 				for _, long := range []int{1, 3, 40} {
-					for _, f := range []fault{fails, half} {
+					for _, f := range []fault{failsBefore, failsHalfway} {
 						for at := 1; at < 60; at += min(long, 4) {
-							d := newFaultDisk(func(n int, call, _ string) fault {
+							d := newFaultFS(func(n int, call, _ string) fault {
 								if n >= at && n < at+long && (kind == "" && call != "list" && call != "read" || call == kind) {
 									return f
 								}
-								return fine
+								return noFault
 							})
 							d.err = []error{syscall.ENOSPC, syscall.EIO}[at%2]
-							earlier := earlierLife(d)
-							all := live(d, sync, 12)
+							earlier := writeEarlierFiles(d)
+							all := appendBatches(d, sync, 12)
 							runs++
-							err := afterwards(d, sync, earlier, all)
+							err := checkRecoveries(d, sync, earlier, all)
 							for i, a := range all {
-								if err == nil && (!closed(a.done) || a.err != nil) && i < len(all)-1 {
+								if err == nil && (!isClosed(a.done) || a.err != nil) && i < len(all)-1 {
 									err = fmt.Errorf("round %d: %v", i, a.err)
 								}
 							}
-							if left := strays(d); err == nil && left > 1 && at+long < d.calls {
+							if left := emptyFiles(d); err == nil && left > 1 && at+long < d.calls {
 								err = fmt.Errorf("%d strays: %s", left, d)
 							}
 							if err != nil {
@@ -215,7 +215,7 @@
 }
 
 // strays counts files with no entry in them.
-func strays(d *faultDisk) (n int) {
+func emptyFiles(d *faultFS) (n int) {
 	for _, i := range d.names {
 		if es, _ := ReadJournal(i.data); len(es) == 0 {
 			n++
@@ -225,29 +225,29 @@
 }
 
 // However long a folder fails, in whatever way, it never holds more than one stray beside the file that is tried.
-func TestFailingMinutesLeaveNoStrays(t *testing.T) {
+func TestLongFailuresLeaveNoEmptyFiles(t *testing.T) {
 	for _, kinds := range []string{"create", "write", "sync", "sync folder", "write remove", "sync remove", "sync folder remove",
 		"sync remove rename", "write remove rename", "sync folder remove rename"} {
 		t.Run(kinds, func(t *testing.T) {
 			const long = 600
-			d := newFaultDisk(func(n int, call, _ string) fault {
+			d := newFaultFS(func(n int, call, _ string) fault {
 				if n > 20 && n < 20+long && slices.Contains(strings.Fields(strings.Replace(kinds, "sync folder", "folder", 1)), strings.Replace(call, "sync folder", "folder", 1)) {
-					return fails
+					return failsBefore
 				}
-				return fine
+				return noFault
 			})
-			earlier := earlierLife(d)
-			all := live(d, SyncGrouped, 12)
-			if err := afterwards(d, SyncGrouped, earlier, all); err != nil {
+			earlier := writeEarlierFiles(d)
+			all := appendBatches(d, SyncGrouped, 12)
+			if err := checkRecoveries(d, SyncGrouped, earlier, all); err != nil {
 				t.Error(err)
 			}
 			for i, a := range all {
-				if !closed(a.done) || a.err != nil {
+				if !isClosed(a.done) || a.err != nil {
 					t.Errorf("round %d: %v", i, a.err)
 				}
 			}
-			if n := strays(d); d.calls < 20+long || n > 1 || d.most > 12 {
-				t.Errorf("%d calls; %d strays, %d files at once: %s", d.calls, n, d.most, d)
+			if n := emptyFiles(d); d.calls < 20+long || n > 1 || d.maxFiles > 12 {
+				t.Errorf("%d calls; %d strays, %d files at once: %s", d.calls, n, d.maxFiles, d)
 			}
 		})
 	}
@@ -261,11 +261,11 @@
 	}
 	for seed := range lives {
 		chance := rand.New(rand.NewPCG(seed, 3))
-		var d *faultDisk
+		var d *faultFS
 		failing := make([]fault, 2000)
 		for i := range failing {
 			if chance.IntN(5) == 0 {
-				failing[i] = fails + fault(chance.IntN(2))
+				failing[i] = failsBefore + fault(chance.IntN(2))
 			}
 		}
 		until, sync, waits := chance.IntN(2500), []SyncPolicy{SyncGrouped, SyncEach}[seed%2], 1+chance.IntN(12)
@@ -276,32 +276,32 @@
 			case n < len(failing) && (call == "sync" || seed%4 > 1 && call != "list" && call != "read"):
 				return failing[n]
 			}
-			return fine
+			return noFault
 		}
-		d = newFaultDisk(plan)
-		earlier := earlierLife(d)
-		all := liveBy(d, sync, 30, func(i int) bool { return i%waits == 0 })
-		if err := afterwards(d, sync, earlier, all); err != nil {
+		d = newFaultFS(plan)
+		earlier := writeEarlierFiles(d)
+		all := appendBatchesWaiting(d, sync, 30, func(i int) bool { return i%waits == 0 })
+		if err := checkRecoveries(d, sync, earlier, all); err != nil {
 			t.Fatalf("seed %d, killed after %d bytes: %v", seed, until, err)
 		}
 	}
 }
 
 // A file that can't be read for a moment at a start is read; one that can't for longer is passed over, which is told.
-func TestJournalThatCannotBeReadAtAStart(t *testing.T) {
-	for times, want := range map[int]int{0: 3, 1: 3, startTries - 1: 3, startTries + 3: 0} {
+func TestJournalThatCannotBeReadAtStart(t *testing.T) {
+	for times, want := range map[int]int{0: 3, 1: 3, startAttempts - 1: 3, startAttempts + 3: 0} {
 		failed := 0
-		d := newFaultDisk(nil)
+		d := newFaultFS(nil)
 		d.plan = func(_ int, call, name string) fault {
 			if call == "read" && name == "journal-00000002" && failed < times {
 				failed++
-				return fails
+				return failsBefore
 			}
-			return fine
+			return noFault
 		}
 		d.err = syscall.EIO
-		earlierLife(d)
-		j, es, told, err := tested(d, SyncGrouped, func(error) {}).Open("dir")
+		writeEarlierFiles(d)
+		j, es, told, err := testOptions(d, SyncGrouped, func(error) {}).Open("dir")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -321,31 +321,31 @@
 
 // A kill or power cut at each call of writing the memory, and each call failing for a while, leave the last generation that was
 // told as written, or a later one, whole; and one stray at most.
-func TestMemoryFileWithEachCallFailing(t *testing.T) {
+func TestStoreWithEachCallFailing(t *testing.T) {
 	bad := 0
 	for at := 1; at < 45; at++ {
 		for _, long := range []int{1, 9} {
-			for _, f := range []fault{fails, half, killedBefore, killedHalf, killedAfter} {
+			for _, f := range []fault{failsBefore, failsHalfway, killedBefore, killedHalf, killedAfter} {
 				for _, sparing := range []string{"", "remove", "rename"} { // calls that do not fail
-					d := newFaultDisk(func(n int, call, _ string) fault {
+					d := newFaultFS(func(n int, call, _ string) fault {
 						if n >= at && n < at+long && call != sparing && call != "read" {
 							return f
 						}
-						return fine
+						return noFault
 					})
-					s, _ := OpenStore(Dir("dir").on(d), ours)
+					s, _ := OpenStore(Dir("dir").withFileSystem(d), testOwner)
 					told := 0
-					for mark := 1; mark <= 6 && !d.killed(); mark++ {
-						if s.Write(kept(mark)) == nil {
+					for mark := 1; mark <= 6 && !d.isKilled(); mark++ {
+						if s.Write(testState(mark)) == nil {
 							told = mark
 						}
 					}
 					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-						after := d.after(left.cut, left.more)
-						_, found := OpenStore(Dir("dir").on(after), ours)
+						after := d.afterCrash(left.cut, left.more)
+						_, found := OpenStore(Dir("dir").withFileSystem(after), testOwner)
 						mark, ok := 0, true
 						if found.State != nil {
-							mark, ok = whole(found.State)
+							mark, ok = stateVersion(found.State)
 						}
 						if !ok || mark < told || len(d.names) > 3 || f < killedBefore && at+long+6 < d.calls && told < 6 {
 							if bad++; bad < 5 {
@@ -363,20 +363,20 @@
 }
 
 // A memory that can't be read for a moment at a start is read.
-func TestMemoryThatCannotBeReadAtAStart(t *testing.T) {
-	d := newFaultDisk(func(n int, call, _ string) fault {
+func TestStoreThatCannotBeReadAtStart(t *testing.T) {
+	d := newFaultFS(func(n int, call, _ string) fault {
 		if call == "read" && n < 20 && n%3 > 0 {
-			return fails
+			return failsBefore
 		}
-		return fine
+		return noFault
 	})
-	b, err := Encode(&State{Owner: ours, Generation: 3, Learned: kept(5).Learned})
+	b, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: testState(5).Learned})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.err = syscall.EIO
 	d.names["dir/"+GenerationFiles[1]] = &inode{data: b}
-	if _, found := OpenStore(Dir("dir").on(d), ours); found.State == nil || len(found.Warnings) > 0 {
+	if _, found := OpenStore(Dir("dir").withFileSystem(d), testOwner); found.State == nil || len(found.Warnings) > 0 {
 		t.Errorf("%+v", found)
 	}
 }
--- a/internal/persistence/memory_test.go
+++ b/internal/persistence/memory_test.go
@@ -21,25 +21,25 @@
 	"hollymast/control"
 )
 
-var ours = Owner{Router: 1, Deployment: 7}
+var testOwner = Owner{Router: 1, Deployment: 7}
 
 // items is how many servers and functions a test memory holds: few, since every cut of it is tried.
-const items = 4
+const testItems = 4
 
 // kept is a memory in which every figure tells which one it is, so that a mixture of two would show.
-func kept(mark int) *State {
+func testState(mark int) *State {
 	m := &control.LearnedState{SavedAt: control.Micros(mark), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(mark)}}
-	for i := range items {
+	for i := range testItems {
 		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(mark)})
 		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2, Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(mark)}}})
 	}
-	return &State{Owner: ours, Learned: m}
+	return &State{Owner: testOwner, Learned: m}
 }
 
 // whole tells the mark of a memory, and whether all of it is of that one.
-func whole(k *State) (mark int, ok bool) {
+func stateVersion(k *State) (mark int, ok bool) {
 	m := k.Learned.SavedAt
-	ok = len(k.Learned.Servers) == items && len(k.Learned.Functions) == items && k.Learned.QuotaDebt[0] == m
+	ok = len(k.Learned.Servers) == testItems && len(k.Learned.Functions) == testItems && k.Learned.QuotaDebt[0] == m
 	for i := range k.Learned.Servers {
 		ok = ok && k.Learned.Servers[i].StartedAt == m && k.Learned.Functions[i].Instances[0].LastUsed == m
 	}
@@ -47,24 +47,24 @@
 }
 
 // tornDisk breaks off in the middle of a writing, in all ways that a file system which reorders what was not synced may.
-type tornDisk struct {
-	files map[string][]byte
-	left  func(old, new []byte) []byte // what is left of the file being replaced; nil: all goes well
+type tornStore struct {
+	files   map[string][]byte
+	remains func(old, new []byte) []byte // what is left of the file being replaced; nil: all goes well
 }
 
-func (d *tornDisk) Read(name string) ([]byte, error) {
+func (d *tornStore) Read(name string) ([]byte, error) {
 	if b, ok := d.files[name]; ok {
 		return b, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (d *tornDisk) Replace(name string, b []byte) error {
-	if d.left == nil {
+func (d *tornStore) Replace(name string, b []byte) error {
+	if d.remains == nil {
 		d.files[name] = b
 		return nil
 	}
-	if d.files[name] = d.left(d.files[name], b); d.files[name] == nil {
+	if d.files[name] = d.remains(d.files[name], b); d.files[name] == nil {
 		delete(d.files, name)
 	}
 	return errors.New("power cut")
@@ -72,7 +72,7 @@
 
 // Whatever is left of a writing that was cut at any point, the last whole generation is found.
 func TestTornWrites(t *testing.T) {
-	full, err := Encode(kept(4))
+	full, err := Encode(testState(4))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,20 +93,20 @@
 			},
 			"more than whole": func(_, new []byte) []byte { return append(new[:len(new):len(new)], make([]byte, 1+cut)...) },
 		} {
-			d := &tornDisk{files: map[string][]byte{}}
-			s, _ := OpenStore(d, ours)
+			d := &tornStore{files: map[string][]byte{}}
+			s, _ := OpenStore(d, testOwner)
 			for mark := 1; mark <= 3; mark++ {
-				if err := s.Write(kept(mark)); err != nil {
+				if err := s.Write(testState(mark)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			d.left = left
-			s.Write(kept(4))
-			_, found := OpenStore(d, ours)
+			d.remains = left
+			s.Write(testState(4))
+			_, found := OpenStore(d, testOwner)
 			if found.State == nil {
 				t.Fatalf("%s at %d: nothing found", name, cut)
 			}
-			if mark, ok := whole(found.State); !ok || mark < 3 {
+			if mark, ok := stateVersion(found.State); !ok || mark < 3 {
 				t.Fatalf("%s at %d: got %d, whole %t", name, cut, mark, ok)
 			}
 		}
@@ -126,7 +126,7 @@
 }
 
 func TestFlippedBitsAreFound(t *testing.T) {
-	b, err := Encode(kept(1))
+	b, err := Encode(testState(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 }
 
 // sealed gives a file of any version and payload with a true checksum.
-func sealed(version uint32, payload []byte) []byte {
+func withChecksum(version uint32, payload []byte) []byte {
 	b := append([]byte(magic), make([]byte, 12)...)
 	head := b[len(magic):]
 	binary.BigEndian.PutUint32(head, version)
@@ -153,18 +153,18 @@
 
 // What is not ours, or not for us, is neither used nor written over.
 func TestForeignFilesAreLeftAlone(t *testing.T) {
-	newer := sealed(Version+1, []byte{0xa0})
+	newer := withChecksum(Version+1, []byte{0xa0})
 	other, err := Encode(&State{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := Encode(&State{Owner: ours, Generation: 3, Learned: &control.LearnedState{}})
+	good, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, b := range map[string][]byte{"newer": newer, "another router's": other} {
-		d := &tornDisk{files: map[string][]byte{GenerationFiles[0]: b, GenerationFiles[1]: good}}
-		if _, found := OpenStore(d, ours); found.State != nil || found.Writable || len(found.Warnings) != 1 {
+		d := &tornStore{files: map[string][]byte{GenerationFiles[0]: b, GenerationFiles[1]: good}}
+		if _, found := OpenStore(d, testOwner); found.State != nil || found.Writable || len(found.Warnings) != 1 {
 			t.Errorf("%s: got %+v", name, found)
 		}
 	}
@@ -172,21 +172,21 @@
 
 // Another deployment's memory is not used; ours takes its place.
 func TestOtherDeploymentStartsEmpty(t *testing.T) {
-	d := &tornDisk{files: map[string][]byte{}}
+	d := &tornStore{files: map[string][]byte{}}
 	s, _ := OpenStore(d, Owner{Router: 1, Deployment: 8})
-	s.Write(kept(1))
-	s.Write(kept(2))
-	s, found := OpenStore(d, ours)
+	s.Write(testState(1))
+	s.Write(testState(2))
+	s, found := OpenStore(d, testOwner)
 	if found.State != nil || !found.Writable || len(found.Warnings) != 2 {
 		t.Errorf("got %+v", found)
 	}
-	s.Write(kept(3))
-	if _, found = OpenStore(d, ours); found.State == nil || found.State.Learned.SavedAt != 3 || found.State.Generation != 3 {
+	s.Write(testState(3))
+	if _, found = OpenStore(d, testOwner); found.State == nil || found.State.Learned.SavedAt != 3 || found.State.Generation != 3 {
 		t.Errorf("got %+v", found)
 	}
 }
 
-func TestUnusableFolders(t *testing.T) {
+func TestUnusableDirectories(t *testing.T) {
 	dir := t.TempDir()
 	unlock, err := Lock(filepath.Join(dir, "made"))
 	if err != nil {
@@ -211,14 +211,14 @@
 	if err := os.Mkdir(filepath.Join(dir, "made", GenerationFiles[0]), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s, found := OpenStore(Dir(filepath.Join(dir, "made")), ours)
+	s, found := OpenStore(Dir(filepath.Join(dir, "made")), testOwner)
 	if found.State != nil || len(found.Warnings) != 1 {
 		t.Errorf("got %+v", found)
 	}
-	if err := s.Write(kept(1)); err != nil { // the other slot
+	if err := s.Write(testState(1)); err != nil { // the other slot
 		t.Error(err)
 	}
-	if err := s.Write(kept(2)); err == nil {
+	if err := s.Write(testState(2)); err == nil {
 		t.Error("a folder was replaced by a file")
 	}
 }
@@ -233,7 +233,7 @@
 		func(m *control.LearnedState) { m.Functions[3].Instances[0].Replicas = -1 },
 		func(m *control.LearnedState) { m.LoadCommands = []control.Micros{-1} },
 	} {
-		k := kept(1)
+		k := testState(1)
 		change(k.Learned)
 		b, err := Encode(k)
 		if err != nil {
@@ -249,26 +249,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		if rapid.Bool().Draw(t, "part of a true one") {
-			b, _ := Encode(kept(rapid.IntRange(0, 9).Draw(t, "mark")))
+			b, _ := Encode(testState(rapid.IntRange(0, 9).Draw(t, "mark")))
 			payload = b[len(magic)+12:]
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
 				payload[rapid.IntRange(0, len(payload)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 			}
 		}
-		if k, err := Decode(sealed(Version, payload)); err == nil && sound(k.Learned) != nil {
+		if k, err := Decode(withChecksum(Version, payload)); err == nil && validate(k.Learned) != nil {
 			t.Fatalf("got %+v", k)
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	b, err := Encode(kept(1))
+	b, err := Encode(testState(1))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b[len(magic)+12:])
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		if k, err := Decode(sealed(Version, payload)); err == nil {
+		if k, err := Decode(withChecksum(Version, payload)); err == nil {
 			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, k.Learned)
 		}
 		Decode(payload)
@@ -285,10 +285,10 @@
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	s, found := OpenStore(Dir(dir), ours)
+	s, found := OpenStore(Dir(dir), testOwner)
 	mark := 0
 	if found.State != nil {
-		mark, _ = whole(found.State)
+		mark, _ = stateVersion(found.State)
 	}
 	j, _, _, err := OpenJournal(dir, SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -298,7 +298,7 @@
 	for {
 		mark++
 		r := j.Append(Entry{Kind: EntryAttempt, At: control.Micros(mark), Key: IdempotencyKey(mark)})
-		if err := s.Write(kept(mark)); err != nil {
+		if err := s.Write(testState(mark)); err != nil {
 			fmt.Println(err)
 			os.Exit(1)
 		}
@@ -345,12 +345,12 @@
 			}
 		}
 		cmd.Wait()
-		_, found := OpenStore(Dir(dir), ours)
+		_, found := OpenStore(Dir(dir), testOwner)
 		if len(found.Warnings) > 0 || found.State == nil && last > 0 {
 			t.Fatalf("kill %d: %+v", i, found)
 		}
 		if found.State != nil {
-			mark, ok := whole(found.State)
+			mark, ok := stateVersion(found.State)
 			if !ok || mark < last || mark > max(last, before)+1 {
 				t.Fatalf("kill %d: got %d after %d, whole %t", i, mark, last, ok)
 			}
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -35,36 +35,40 @@
 }
 
 // Replace writes a file, syncs it, renames it into place and syncs the folder.
-func (f Dir) Replace(name string, b []byte) error { return f.on(OSFileSystem{}).Replace(name, b) }
+func (f Dir) Replace(name string, b []byte) error {
+	return f.withFileSystem(OSFileSystem{}).Replace(name, b)
+}
 
-func (f Dir) on(files FileSystem) folder { return folder{files, string(f)} }
+func (f Dir) withFileSystem(files FileSystem) dirStore { return dirStore{files, string(f)} }
 
 // folder is a Folder on any file system.
-type folder struct {
-	files FileSystem
-	dir   string
+type dirStore struct {
+	fileSystem FileSystem
+	dir        string
 }
 
-func (f folder) Read(name string) ([]byte, error) { return f.files.Read(filepath.Join(f.dir, name)) }
+func (f dirStore) Read(name string) ([]byte, error) {
+	return f.fileSystem.Read(filepath.Join(f.dir, name))
+}
 
 // newFile is what a file is called until it is whole. The name is always the same, so that kills and failing writes leave one at most.
-const newFile = "memory-new"
+const temporaryFile = "memory-new"
 
-func (f folder) Replace(name string, b []byte) error {
-	fresh := filepath.Join(f.dir, newFile)
+func (f dirStore) Replace(name string, b []byte) error {
+	fresh := filepath.Join(f.dir, temporaryFile)
 	err := f.write(fresh, b)
 	if err == nil {
-		err = f.files.Rename(fresh, filepath.Join(f.dir, name))
+		err = f.fileSystem.Rename(fresh, filepath.Join(f.dir, name))
 	}
 	if err != nil {
-		f.files.Remove(fresh) // or the next writing begins it anew
+		f.fileSystem.Remove(fresh) // or the next writing begins it anew
 		return err
 	}
-	return f.files.SyncDir(f.dir)
+	return f.fileSystem.SyncDir(f.dir)
 }
 
-func (f folder) write(path string, b []byte) error {
-	file, err := f.files.Create(path)
+func (f dirStore) write(path string, b []byte) error {
+	file, err := f.fileSystem.Create(path)
 	if err != nil {
 		return err
 	}
@@ -100,7 +104,7 @@
 	found := OpenResult{Writable: true}
 	for _, name := range GenerationFiles {
 		var b []byte
-		err := RetryTransient(firstPause, func() (err error) { b, err = disk.Read(name); return err })
+		err := RetryTransient(initialRetryDelay, func() (err error) { b, err = disk.Read(name); return err })
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
