--- a/internal/persistence/files.go
+++ b/internal/persistence/filesystem.go
@@ -1,12 +1,8 @@
 package persistence
 
 import (
-	"errors"
 	"os"
 	"path/filepath"
-	"slices"
-	"syscall"
-	"time"
 )
 
 // FileSystem is the few calls by which this package touches a folder. Tests replace it by one that fails at any of them, or is
@@ -67,28 +63,3 @@
 	defer f.Close() // it was only read
 	return f.Sync()
 }
-
-// passing are the errors of a folder that may be over in a moment. What others tell is how it was set up.
-var transientErrors = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EINTR,
-	syscall.ETIMEDOUT, syscall.ESTALE}
-
-// Passing tells whether an error may be over in a moment.
-func IsTransient(err error) bool {
-	return slices.ContainsFunc(transientErrors, func(e syscall.Errno) bool { return errors.Is(err, e) })
-}
-
-// startTries is how often a start tries what fails for a moment: with a pause that doubles from 5 ms, 0.6 s in all, a small part of
-// what a router may take to be ready.
-const startAttempts = 8
-
-// Patiently calls f until it gives no error that may be over in a moment, and so often at most.
-func RetryTransient(pause time.Duration, f func() error) (err error) {
-	for i := range startAttempts {
-		if err = f(); !IsTransient(err) || i+1 == startAttempts {
-			break
-		}
-		time.Sleep(pause)
-		pause *= 2
-	}
-	return err
-}
--- a/internal/persistence/journal_format.go
+++ b/internal/persistence/journal_encoding.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
+
 	"hollymast/control"
 )
 
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"fmt"
-	"hollymast/control"
 	"io/fs"
 	"path/filepath"
 	"slices"
+
+	"hollymast/control"
 )
 
 // The files that a journal writes: begun, ended, abandoned and removed.
