--- a/internal/persistence/batch.go
+++ b/internal/persistence/batch.go
@@ -1,44 +1,44 @@
 package persistence
 
-// Round is a group of entries on its way to the disk.
+// Batch is a group of entries on its way to the disk. Entries that are appended while another batch is written share one.
 type Batch struct {
 	written chan struct{}
 	done    chan struct{}
-	err     error // before done is closed
-	lost    bool  // before written is closed
+	err     error // set before done is closed
+	lost    bool  // set before written is closed
 
-	// The writer's own.
+	// The writer goroutine's own.
 	entries  []Entry
 	released bool // written is closed
 }
 
-func newBatch() *Batch { return &Batch{written: make(chan struct{}), done: make(chan struct{})} }
+// Written is closed once the batch would survive the process, or can't be written (see Lost). It is enough for what matters for seconds
+// only, since a machine that loses its power is away for longer.
+func (b *Batch) Written() <-chan struct{} { return b.written }
 
-// Written is closed once a killed process would leave the group behind, or it can't be kept: see Lost. What matters for
-// seconds only need not wait for more: a machine that lost its power is away for longer.
-func (r *Batch) Written() <-chan struct{} { return r.written }
+// Done is closed once the batch is as durable as the journal's sync policy promises, or can't be (see Err).
+func (b *Batch) Done() <-chan struct{} { return b.done }
 
-// Done is closed once the group is kept as the journal promises, or can't be: see Err.
-func (r *Batch) Done() <-chan struct{} { return r.done }
+// Err returns, once Done is closed, why the batch is not durable. It is ErrClosed or ErrOverflow.
+func (b *Batch) Err() error { return b.err }
 
-// Err tells, once Done is closed, why the group is not kept.
-func (r *Batch) Err() error { return r.err }
+// Lost reports, once Written is closed, that the batch was not even written.
+func (b *Batch) Lost() bool { return b.lost }
 
-// Lost tells, once Written is closed, that the group was not even written.
-func (r *Batch) Lost() bool { return r.lost }
+func newBatch() *Batch { return &Batch{written: make(chan struct{}), done: make(chan struct{})} }
 
-func (r *Batch) release() {
-	if !r.released {
-		r.released = true
-		close(r.written)
+func (b *Batch) release() {
+	if !b.released {
+		b.released = true
+		close(b.written)
 	}
 }
 
-func (r *Batch) fail(err error) {
-	r.err = err
-	if !r.released {
-		r.lost = true
+func (b *Batch) fail(err error) {
+	b.err = err
+	if !b.released {
+		b.lost = true
 	}
-	r.release()
-	close(r.done)
+	b.release()
+	close(b.done)
 }
--- a/internal/persistence/encoding.go
+++ b/internal/persistence/encoding.go
@@ -8,51 +8,59 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-const magic = "hollymast memory\n"
+// A state file is the magic, a header of three big-endian words (version, length of the payload, checksum), and the payload.
+const (
+	magic       = "hollymast memory\n"
+	headerBytes = 12
+)
 
-// Version is the format's. Newer files are left alone; older ones are read. Format 1 held more, which is
-// passed over.
+// Version is the state file's format. A newer file is left alone, an older one is read. Format 1 has more fields, which are ignored.
 const Version = 2
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode gives a file's bytes: magic, version, length and CRC-32C of the payload (four bytes each, big-endian), payload
-// (CBOR). The checksum covers version and length too.
-func Encode(k *State) ([]byte, error) {
-	payload, err := cbor.Marshal(k)
+// checksum is the CRC-32C of the header's version and length, and of the payload.
+func checksum(header, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header[:8], castagnoli), castagnoli, payload)
+}
+
+// Encode returns the bytes of a state file. The payload is CBOR.
+func Encode(state *State) ([]byte, error) {
+	payload, err := cbor.Marshal(state)
 	if err != nil {
 		return nil, err
 	}
-	b := append([]byte(magic), make([]byte, 12)...)
-	head := b[len(magic):]
-	binary.BigEndian.PutUint32(head, Version)
-	binary.BigEndian.PutUint32(head[4:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(head[8:], crc32.Update(crc32.Checksum(head[:8], castagnoli), castagnoli, payload))
+	b := append([]byte(magic), make([]byte, headerBytes)...)
+	header := b[len(magic):]
+	binary.BigEndian.PutUint32(header, Version)
+	binary.BigEndian.PutUint32(header[4:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(header[8:], checksum(header, payload))
 	return append(b, payload...), nil
 }
 
-// limits of what a file may make a reader allocate: many times the largest fleet and names that a router keeps.
+// decodeMode limits what a file can make a reader allocate: to many times the largest fleet and number of names that a gateway keeps.
 var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
 
-// Decode reads a file's bytes. What it gives is whole and within its ranges; else the error is ErrNewer or ErrDamaged.
+// Decode reads a state file's bytes. The state returned is complete and its values are within their ranges; else the error is
+// ErrNewer or ErrDamaged.
 func Decode(b []byte) (*State, error) {
-	if len(b) < len(magic)+12 || string(b[:len(magic)]) != magic {
+	if len(b) < len(magic)+headerBytes || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: no memory of a router", ErrDamaged)
 	}
-	head, payload := b[len(magic):len(magic)+12], b[len(magic)+12:]
-	if uint64(binary.BigEndian.Uint32(head[4:])) != uint64(len(payload)) ||
-		binary.BigEndian.Uint32(head[8:]) != crc32.Update(crc32.Checksum(head[:8], castagnoli), castagnoli, payload) {
+	header, payload := b[len(magic):len(magic)+headerBytes], b[len(magic)+headerBytes:]
+	if uint64(binary.BigEndian.Uint32(header[4:])) != uint64(len(payload)) ||
+		binary.BigEndian.Uint32(header[8:]) != checksum(header, payload) {
 		return nil, ErrDamaged
 	}
-	if v := binary.BigEndian.Uint32(head); v > Version { // this head is the same in all versions
+	if v := binary.BigEndian.Uint32(header); v > Version { // the header is the same in all versions
 		return nil, fmt.Errorf("%w: format %d, known up to %d", ErrNewer, v, Version)
 	}
-	k := &State{}
-	if err := decodeMode.Unmarshal(payload, k); err != nil {
+	state := &State{}
+	if err := decodeMode.Unmarshal(payload, state); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	if err := validate(k.Learned); err != nil {
+	if err := validate(state.Learned); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
-	return k, nil
+	return state, nil
 }
--- a/internal/persistence/filesystem.go
+++ b/internal/persistence/filesystem.go
@@ -5,28 +5,28 @@
 	"path/filepath"
 )
 
-// FileSystem is the few calls by which this package touches a folder. Tests replace it by one that fails at any of them, or is
-// killed there.
+// FileSystem is what this package needs of a file system. Tests replace it by one in which any call fails or is the last one before
+// a crash.
 type FileSystem interface {
-	List(dir string) ([]string, error) // of what is in a folder, ascending
+	List(dir string) ([]string, error) // names in a directory, ascending
 	Read(path string) ([]byte, error)
-	Create(path string) (File, error) // empty, whatever was there
+	Create(path string) (File, error) // for writing; a file that is there is truncated
 	Rename(from, to string) error
 	Remove(path string) error
-	SyncDir(dir string) error
+	SyncDir(dir string) error // makes the names in a directory durable
 }
 
-// File is one that is being written.
+// File is a file that is open for writing.
 type File interface {
 	Write(b []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// System is the file system of the machine.
+// OSFileSystem is the machine's FileSystem.
 type OSFileSystem struct{}
 
-// Names lists a folder.
+// List returns the names in a directory, ascending.
 func (OSFileSystem) List(dir string) ([]string, error) {
 	files, err := os.ReadDir(dir)
 	names := make([]string, len(files))
@@ -36,25 +36,25 @@
 	return names, err
 }
 
-// Read gives a file's bytes.
+// Read returns a file's bytes.
 func (OSFileSystem) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Create begins a file.
+// Create opens a file for writing, empty.
 func (OSFileSystem) Create(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, err // not f: a nil *os.File would be a File
+		return nil, err // not f: a nil *os.File in an interface is not nil
 	}
 	return f, nil
 }
 
-// Rename puts a file in another's place.
+// Rename replaces a file by another.
 func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// SyncFolder brings a folder's names to the disk.
+// SyncDir makes the names in a directory durable.
 func (OSFileSystem) SyncDir(dir string) error {
 	f, err := os.Open(filepath.Clean(dir))
 	if err != nil {
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -10,141 +10,137 @@
 	"hollymast/control"
 )
 
-// Sync says when what is written is brought to the disk itself.
+// SyncPolicy says when entries are synced to the disk.
 type SyncPolicy int
 
-// Never: what a killed process wrote is there, what a power cut meets may not be. Grouped: each write is synced, with all
-// entries that came meanwhile. Each: each entry is written and synced by itself.
+// With SyncNever entries survive the process, but perhaps not a power cut. With SyncGrouped each write is synced, together with all
+// entries that came during the one before. With SyncEach every entry is written and synced by itself.
 const (
 	SyncNever SyncPolicy = iota
 	SyncGrouped
 	SyncEach
 )
 
-// Journal appends entries to files. What is appended is not kept before its round is done; a goroutine of its own writes,
-// so that no turn waits for a disk. While the disk fails rounds wait and are tried again; none is dropped but at the end.
+// Errors of a Batch.
+var (
+	// ErrClosed says that the journal was closed before the batch could be written.
+	ErrClosed = errors.New("the journal was closed while it could not be written")
+	// ErrOverflow says that the journal takes no entries: it is closed, or too many wait.
+	ErrOverflow = errors.New("the journal is closed, or too much waits for it")
+)
+
+// Journal appends entries to files. A goroutine of its own writes, so that no step of the event loop waits for a disk: what is appended
+// is durable once its batch is done. While the disk fails, batches wait and are written again; none is dropped before Close.
 type Journal struct {
 	JournalOptions
 	dir string
 
-	incomplete bool // a file, at the start
-	uncertain  int
-	failing    atomic.Bool
-	failures   atomic.Int64
+	// What was found at the start.
+	incomplete bool // a file could not be read
+	uncertain  int  // how many of the first entries read have no known time
+
+	failing  atomic.Bool
+	failures atomic.Int64
 
 	mu          sync.Mutex
-	pending     []Entry
-	batch       *Batch
-	outstanding int // entries of rounds that are not done
+	pending     []Entry // of batch
+	batch       *Batch  // the one that Append adds to; nil: none
+	outstanding int     // entries of batches that are not done
 	closed      bool
-	wake        chan struct{}
-	stopped     chan struct{}
-
-	toSync chan File // holds one
-	synced chan error
-
-	// The writer's own. Rounds go from unwritten to unsynced to done; when a file is abandoned those unsynced go back.
-	file           *journalFile // nil: none stands
-	lastNumber     int          // the highest in use
-	newestAt       control.Micros
-	unwritten      []*Batch
-	unsynced       []*Batch
-	syncingBatches int          // of those unsynced, how many the sync that is under way covers
-	abandoned      *journalFile // an abandoned file that alone holds rounds which were told as written
-	rewriting      int          // how many of the first unwritten rounds
-	leftovers      []int        // numbers of files with nothing owed in them that couldn't be removed
-	closedFiles    []closedFile
-	backingOff     bool // after a failure
-	nextDelay      time.Duration
-	retryTimer     *time.Timer
-	syncCount      int
-	buf            []byte
+
+	wake    chan struct{} // holds one
+	stopped chan struct{} // closed when the writer goroutine has ended
+
+	writerState
 }
 
-// JournalOptions tells how a journal is kept.
+// JournalOptions configures a journal.
 type JournalOptions struct {
 	FileSystem   FileSystem
 	Sync         SyncPolicy
 	Retention    control.Micros // how long entries matter
-	MaxBytes     int64          // bytes of all files; the oldest go
-	MaxFileBytes int64          // bytes after which a next file begins; 0: the usual
-	OnFailure    func(error)    // hears of writing that begins to fail, and nil when it is over
-	OnWarning    func(string)   // hears what else operators should know
-	RetryDelay   time.Duration  // the first after a failure; 0: the usual
-	Clock        Clock          // of this life; unknown: times of earlier lives are taken as they are
-	Now          control.Micros // in its time
+	MaxBytes     int64          // size of all files; beyond it the oldest are removed
+	MaxFileBytes int64          // size at which the next file begins; 0: defaultFileBytes
+	OnFailure    func(error)    // called when writing begins to fail, and with nil when it works again
+	OnWarning    func(string)   // called with what else operators should know
+	RetryDelay   time.Duration  // the first after a failure; 0: initialRetryDelay
+	Clock        Clock          // of this incarnation; the zero Clock: unknown, times of earlier ones are uncertain
+	Now          control.Micros // in this incarnation's time; 0: unknown
 }
 
 const (
-	// fileSize is when a next file begins: some 160 000 entries, read in a few milliseconds.
+	// defaultFileBytes holds some 160 000 entries, which are read in a few milliseconds.
 	defaultFileBytes = 4 << 20
-	// mostOwed bounds the entries that wait for the disk: beyond it rounds fail at once. A file that fails for a minute would
-	// else take memory without end. It is more than a router of 10 000 jobs a second gives in the seconds a sync may take.
+	// maxOutstanding bounds the entries that wait for the disk. Beyond it batches fail at once, or a disk that fails for a minute would
+	// take memory without end. It is more than a gateway of 10 000 requests a second appends in the seconds a sync may take.
 	maxOutstanding = 1 << 18
-	// A failing disk is tried again after a pause, each twice the one before up to a second, so that what fails for a moment
-	// costs no job its time, and what fails for an hour costs nothing.
+	// initialRetryDelay is the first delay after a failure. It doubles with each, up to maxRetryDelayFactor times the first (a second):
+	// what fails for a moment costs no request its time, and what fails for an hour costs no processor time.
 	initialRetryDelay   = 5 * time.Millisecond
-	maxRetryDelayFactor = 200 // of the first
+	maxRetryDelayFactor = 200
 )
 
-// OpenJournal reads a folder's journals, oldest first, and begins a new one. What was told of damage is for operators.
-// Entries are kept for a time. Failed hears of writing that begins to fail, and nil when that is over.
-func OpenJournal(dir string, sync SyncPolicy, keep control.Micros, most int64, failed func(error)) (j *Journal, es []Entry, told []string, err error) {
-	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: keep, MaxBytes: most, OnFailure: failed, OnWarning: func(string) {}}.Open(dir)
+// OpenJournal opens a journal on the machine's file system. See JournalOptions.Open.
+func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onFailure func(error)) (j *Journal, entries []Entry, warnings []string, err error) {
+	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: retention, MaxBytes: maxBytes, OnFailure: onFailure, OnWarning: func(string) {}}.Open(dir)
 }
 
-// Open is OpenJournal.
-func (o JournalOptions) Open(dir string) (j *Journal, es []Entry, told []string, err error) {
+// Open reads a directory's journal files, oldest first, and begins a new one. It returns the entries that were read and warnings about
+// damage, for operators. The error is that of listing the directory; a file that can't be begun is tried again later, and no batch is
+// done before. The caller must Close the journal.
+func (o JournalOptions) Open(dir string) (j *Journal, entries []Entry, warnings []string, err error) {
 	o.MaxFileBytes, o.RetryDelay = cmp.Or(o.MaxFileBytes, defaultFileBytes), cmp.Or(o.RetryDelay, initialRetryDelay)
-	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), stopped: make(chan struct{}),
-		newestAt: o.Now, toSync: make(chan File, 1), synced: make(chan error, 1), nextDelay: o.RetryDelay, retryTimer: time.NewTimer(0)}
-	<-j.retryTimer.C
-	if es, told, err = j.readFiles(); err != nil {
-		return nil, nil, told, err
+	j = &Journal{JournalOptions: o, dir: dir, wake: make(chan struct{}, 1), stopped: make(chan struct{}), writerState: newWriterState(o)}
+	if entries, warnings, err = j.readFiles(); err != nil {
+		return nil, nil, warnings, err
 	}
 	if err := j.beginFile(); err != nil {
-		j.handleFailure(err) // it is tried again, and nothing is done before it stands
+		j.handleFailure(err)
 	}
 	go j.run()
 	go j.syncFiles()
-	return j, es, told, nil
+	return j, entries, warnings, nil
 }
 
-// Failing tells whether the last writing failed: what is handed over waits.
+// Failing reports whether the last write failed: what is appended waits.
 func (j *Journal) Failing() bool { return j.failing.Load() }
 
-// Failures counts the writings that failed.
+// Failures returns the number of writes that failed.
 func (j *Journal) Failures() int64 { return j.failures.Load() }
 
-// Append hands over entries and gives the round in which they are written.
-func (j *Journal) Append(es ...Entry) *Batch {
+// Incomplete reports that a file could not be read at the start: what it holds still counts and is not known.
+func (j *Journal) Incomplete() bool { return j.incomplete }
+
+// Append hands over entries and returns the batch in which they are written. It doesn't block.
+func (j *Journal) Append(entries ...Entry) *Batch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.closed || j.outstanding+len(es) > maxOutstanding {
-		r := newBatch()
-		r.fail(errors.New("the journal is closed, or too much waits for it"))
-		return r
+	if j.closed || j.outstanding+len(entries) > maxOutstanding {
+		b := newBatch()
+		b.fail(ErrOverflow)
+		return b
 	}
 	if j.batch == nil {
 		j.batch = newBatch()
-		select {
-		case j.wake <- struct{}{}:
-		default:
-		}
+		j.wakeWriter()
 	}
-	j.pending = append(j.pending, es...)
-	j.outstanding += len(es)
+	j.pending = append(j.pending, entries...)
+	j.outstanding += len(entries)
 	return j.batch
 }
 
-// Close writes what is pending and ends. What can't be written then fails.
+// Close writes what is pending and waits for the writer's end. What can't be written then fails with ErrClosed.
 func (j *Journal) Close() {
 	j.mu.Lock()
 	j.closed = true
 	j.mu.Unlock()
+	j.wakeWriter()
+	<-j.stopped
+}
+
+func (j *Journal) wakeWriter() {
 	select {
 	case j.wake <- struct{}{}:
 	default:
 	}
-	<-j.stopped
 }
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -10,29 +10,33 @@
 	"hollymast/control"
 )
 
-// The files that a journal writes: begun, ended, abandoned and removed.
-
-// journalFile is a file that is being written.
+// journalFile is the file that is being written.
 type journalFile struct {
 	File
 	number    int
 	size      int64
-	newestAt  control.Micros
-	holdsDone bool // it holds rounds that are done
+	newestAt  control.Micros // time of its newest entry
+	holdsDone bool           // batches in it are done
 }
 
-// oldFile is one that is not written any more.
+// closedFile is a file that is not written to any more.
 type closedFile struct {
 	name            string
 	size            int64
-	newestAt        control.Micros
-	empty           bool // nothing in it is owed
-	removalReported bool // that it can't be removed
+	newestAt        control.Micros // time of its newest entry
+	empty           bool           // nothing in it is of use
+	removalReported bool           // operators know that it can't be removed
+}
+
+func (f *journalFile) closed() closedFile {
+	return closedFile{name: journalName(f.number), size: f.size, newestAt: f.newestAt}
 }
 
 func journalName(number int) string { return fmt.Sprintf("journal-%08d", number) }
 
-// abandon gives the file up. What was not synced in it is written to the next one.
+func (j *Journal) path(number int) string { return filepath.Join(j.dir, journalName(number)) }
+
+// abandonFile gives the open file up. What was not synced in it is written again to the next one.
 func (j *Journal) abandonFile() {
 	f := j.file
 	if f == nil {
@@ -45,35 +49,30 @@
 		}
 	}
 	j.file = nil
-	f.Close() // whatever it says: the file counts for nothing that was not synced
+	f.Close() // its error doesn't matter: what was not synced is written again
 	back := len(j.unsynced)
 	j.unwritten, j.unsynced = slices.Concat(j.unsynced, j.unwritten), nil
+	if j.abandoned != nil {
+		j.rewriting += back
+	}
 	switch {
-	case j.abandoned != nil:
-		if j.rewriting += back; f.holdsDone {
-			j.closedFiles = append(j.closedFiles, closedFile{name: journalName(f.number), size: f.size, newestAt: f.newestAt})
-		} else {
-			j.removeFile(f.number)
-		}
 	case f.holdsDone:
-		j.closedFiles = append(j.closedFiles, closedFile{name: journalName(f.number), size: f.size, newestAt: f.newestAt})
-	case back > 0:
+		j.closedFiles = append(j.closedFiles, f.closed())
+	case j.abandoned == nil && back > 0:
 		j.abandoned, j.rewriting = f, back
 	default:
 		j.removeFile(f.number)
 	}
 }
 
-// discard removes a file in which nothing is owed, or notes that it couldn't be.
+// removeFile removes a file that holds nothing of use, or notes that it couldn't be removed.
 func (j *Journal) removeFile(number int) {
 	if err := j.FileSystem.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		j.leftovers = append(j.leftovers, number)
 	}
 }
 
-func (j *Journal) path(number int) string { return filepath.Join(j.dir, journalName(number)) }
-
-// finish ends a full file.
+// finishFile syncs and closes a full file.
 func (j *Journal) finishFile() error {
 	if j.syncingBatches > 0 {
 		n := j.syncingBatches
@@ -91,19 +90,19 @@
 		j.completeBatches(len(j.unsynced))
 	}
 	j.closeFile(j.file)
-	j.closedFiles = append(j.closedFiles, closedFile{name: journalName(j.file.number), size: j.file.size, newestAt: j.file.newestAt})
+	j.closedFiles = append(j.closedFiles, j.file.closed())
 	j.file = nil
 	return nil
 }
 
-// close closes a file of which all that is promised was synced. An error then takes nothing from that.
+// closeFile closes a file in which all that was promised is synced. An error takes nothing from that and is only reported.
 func (j *Journal) closeFile(f *journalFile) {
 	if err := f.Close(); err != nil {
 		j.OnWarning(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
 	}
 }
 
-// begin begins a file. One that can't be begun is removed.
+// beginFile begins the next file. One whose beginning can't be written is removed.
 func (j *Journal) beginFile() error {
 	j.pruneFiles()
 	number := j.lastNumber + 1
@@ -112,12 +111,12 @@
 	}
 	file, err := j.FileSystem.Create(j.path(number))
 	if err != nil {
-		return err // if it is there all the same, the next try takes its name
+		return err // if the file is there all the same, the next call truncates it
 	}
 	if err := j.writeHeader(file); err != nil {
 		file.Close()
 		if j.removeFile(number); slices.Contains(j.leftovers, number) {
-			j.lastNumber = number // its name may be lost to the failed sync for good: never used again
+			j.lastNumber = number // the failed sync may have lost its name for good: it is never used again
 		}
 		return err
 	}
@@ -126,8 +125,8 @@
 	return nil
 }
 
-// reuse gives a stray the name of the file that is to begin. Guards against a folder that fails for long: in it no more than
-// two strays stand, and one of them only while neither can be renamed.
+// reuseLeftover renames a file that couldn't be removed to the one that is to begin. It guards against a directory that fails for long
+// filling with files: no more than two of them are left, and the second only while neither can be renamed.
 func (j *Journal) reuseLeftover(number int) error {
 	n := len(j.leftovers)
 	if n == 0 {
@@ -142,16 +141,16 @@
 	return err
 }
 
-// head writes what a file begins with, and syncs the folder.
+// writeHeader writes the beginning of a file, and syncs the directory.
 func (j *Journal) writeHeader(f File) error {
-	head := []byte(journalMagic)
+	header := []byte(journalMagic)
 	if j.Clock.BootID != 0 {
-		head = appendFrame(head, j.Clock.entries())
+		header = appendFrame(header, j.Clock.entries())
 	}
-	if _, err := f.Write(head); err != nil {
+	if _, err := f.Write(header); err != nil {
 		return err
 	}
-	if j.Sync != SyncNever { // so that a disk which fails is not taken for well
+	if j.Sync != SyncNever { // so that a disk whose syncs fail is not taken for one that works
 		if err := f.Sync(); err != nil {
 			return err
 		}
@@ -159,33 +158,33 @@
 	return j.FileSystem.SyncDir(j.dir)
 }
 
-// prune removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed stays for the
-// next time, and keeps nothing from going on.
+// pruneFiles removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed is tried again the
+// next time and stops nothing.
 func (j *Journal) pruneFiles() {
-	strays := j.leftovers
+	leftovers := j.leftovers
 	j.leftovers = nil
-	for _, number := range strays {
+	for _, number := range leftovers {
 		j.removeFile(number)
 	}
 	total := int64(0)
-	for _, o := range j.closedFiles {
-		total += o.size
+	for _, f := range j.closedFiles {
+		total += f.size
 	}
-	kept := j.closedFiles[:0]
-	for _, o := range j.closedFiles {
-		if !o.empty && o.newestAt+j.Retention >= j.newestAt && total <= j.MaxBytes {
-			kept = append(kept, o)
+	remaining := j.closedFiles[:0]
+	for _, f := range j.closedFiles {
+		if !f.empty && f.newestAt+j.Retention >= j.newestAt && total <= j.MaxBytes {
+			remaining = append(remaining, f)
 			continue
 		}
-		if err := j.FileSystem.Remove(filepath.Join(j.dir, o.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			if !o.removalReported {
-				o.removalReported = true
-				j.OnWarning(fmt.Sprintf("%s: %v: it stays, and is tried again", o.name, err))
+		if err := j.FileSystem.Remove(filepath.Join(j.dir, f.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			if !f.removalReported {
+				f.removalReported = true
+				j.OnWarning(fmt.Sprintf("%s: %v: it stays, and is tried again", f.name, err))
 			}
-			kept = append(kept, o)
+			remaining = append(remaining, f)
 			continue
 		}
-		total -= o.size
+		total -= f.size
 	}
-	j.closedFiles = kept
+	j.closedFiles = remaining
 }
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -1,12 +1,45 @@
 package persistence
 
 import (
-	"errors"
 	"slices"
+	"time"
 
 	"hollymast/control"
 )
 
+// writerState belongs to the journal's writer goroutine, after Open. Batches go from unwritten to unsynced to done; when a file is
+// abandoned those unsynced go back.
+type writerState struct {
+	file       *journalFile   // nil: none is open
+	lastNumber int            // the highest file number in use
+	newestAt   control.Micros // time of the newest entry in any file
+
+	unwritten      []*Batch
+	unsynced       []*Batch
+	syncingBatches int // how many of the first unsynced batches the sync under way covers
+
+	abandoned   *journalFile // a file given up that alone holds batches reported as written; nil: none
+	rewriting   int          // how many of the first unwritten batches those are
+	leftovers   []int        // numbers of files that hold nothing of use and could not be removed
+	closedFiles []closedFile
+
+	backingOff bool // after a failure, until retryTimer fires
+	nextDelay  time.Duration
+	retryTimer *time.Timer
+
+	toSync    chan File // holds one
+	synced    chan error
+	syncCount int
+	buf       []byte
+}
+
+func newWriterState(o JournalOptions) writerState {
+	s := writerState{newestAt: o.Now, nextDelay: o.RetryDelay, retryTimer: time.NewTimer(0), toSync: make(chan File, 1), synced: make(chan error, 1)}
+	<-s.retryTimer.C
+	return s
+}
+
+// run is the writer goroutine.
 func (j *Journal) run() {
 	defer close(j.stopped)
 	defer close(j.toSync)
@@ -29,18 +62,25 @@
 	}
 }
 
+// syncFiles is the goroutine that syncs files while the writer goes on. It ends with the writer, which closes toSync.
+func (j *Journal) syncFiles() {
+	for f := range j.toSync {
+		j.synced <- f.Sync()
+	}
+}
+
 func (j *Journal) takePending() (closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if r := j.batch; r != nil {
-		r.entries = j.pending
-		j.unwritten = append(j.unwritten, r)
+	if b := j.batch; b != nil {
+		b.entries = j.pending
+		j.unwritten = append(j.unwritten, b)
 		j.pending, j.batch = nil, nil
 	}
 	return j.closed
 }
 
-// last brings what is left to the disk, trying each step that fails once more.
+// flushAndStop writes what is left. Each step that fails is tried once more.
 func (j *Journal) flushAndStop() {
 	for range 2 {
 		j.flush()
@@ -48,8 +88,8 @@
 			j.handleSyncResult(<-j.synced)
 		}
 	}
-	for _, r := range slices.Concat(j.unsynced, j.unwritten) {
-		r.fail(errors.New("the journal was closed while it could not be written"))
+	for _, b := range slices.Concat(j.unsynced, j.unwritten) {
+		b.fail(ErrClosed)
 	}
 	if j.file != nil {
 		j.closeFile(j.file)
@@ -57,14 +97,7 @@
 	j.retryTimer.Stop()
 }
 
-// syncFiles syncs files beside what goes on being written.
-func (j *Journal) syncFiles() {
-	for f := range j.toSync {
-		j.synced <- f.Sync()
-	}
-}
-
-// bring writes what is unwritten and has it synced where that is promised.
+// flush writes what is unwritten, and has it synced where the policy says so.
 func (j *Journal) flush() {
 	if err := j.writeAll(); err != nil {
 		j.handleFailure(err)
@@ -85,53 +118,65 @@
 		}
 	}
 	for len(j.unwritten) > 0 {
-		r := j.unwritten[0]
-		// A round as old as the last stays beside it: no two files hold the same frame unless it was written again.
-		if j.file.size > j.MaxFileBytes && newestTime(r.entries) > j.file.newestAt {
-			if err := j.finishFile(); err != nil {
-				return err
-			}
-			if err := j.beginFile(); err != nil {
-				return err
-			}
+		b := j.unwritten[0]
+		if err := j.rotate(b); err != nil {
+			return err
 		}
-		if err := j.writeBatch(r); err != nil {
+		if err := j.writeBatch(b); err != nil {
 			return err
 		}
 		j.unwritten = j.unwritten[1:]
-		if j.unsynced = append(j.unsynced, r); j.Sync != SyncGrouped {
+		if j.unsynced = append(j.unsynced, b); j.Sync != SyncGrouped {
 			j.completeBatches(1)
 		} else {
-			r.release()
-		}
-		if j.rewriting > 0 {
-			if j.rewriting--; j.rewriting == 0 { // this file holds them all
-				shadow := j.abandoned
-				j.abandoned = nil
-				j.removeFile(shadow.number)
-			}
+			b.release()
 		}
+		j.releaseAbandoned()
 	}
 	return nil
 }
 
-func newestTime(es []Entry) (at control.Micros) {
-	for _, e := range es {
+// rotate begins another file before a batch if this one is full. A batch as old as the last one goes into the same file: two files hold
+// an equal frame only if it was written again, which the reader relies on.
+func (j *Journal) rotate(next *Batch) error {
+	if j.file.size <= j.MaxFileBytes || newestTime(next.entries) <= j.file.newestAt {
+		return nil
+	}
+	if err := j.finishFile(); err != nil {
+		return err
+	}
+	return j.beginFile()
+}
+
+// releaseAbandoned removes the abandoned file once the present one holds all that it alone held.
+func (j *Journal) releaseAbandoned() {
+	if j.rewriting == 0 {
+		return
+	}
+	if j.rewriting--; j.rewriting == 0 {
+		abandoned := j.abandoned
+		j.abandoned = nil
+		j.removeFile(abandoned.number)
+	}
+}
+
+func newestTime(entries []Entry) (at control.Micros) {
+	for _, e := range entries {
 		at = max(at, e.At)
 	}
 	return at
 }
 
-func (j *Journal) writeBatch(r *Batch) error {
-	part := maxFrameEntries
+func (j *Journal) writeBatch(b *Batch) error {
+	chunk := maxFrameEntries
 	if j.Sync == SyncEach {
-		part = 1
+		chunk = 1
 	}
-	for in := range slices.Chunk(r.entries, part) {
-		j.buf = appendFrame(j.buf[:0], in)
+	for entries := range slices.Chunk(b.entries, chunk) {
+		j.buf = appendFrame(j.buf[:0], entries)
 		n, err := j.file.Write(j.buf)
 		j.file.size += int64(n)
-		if err != nil { // it may have left half a frame, which ends the reading: nothing may follow in this file
+		if err != nil { // it may have left half a frame, at which reading ends: nothing may follow in this file
 			return err
 		}
 		if j.Sync == SyncEach {
@@ -141,29 +186,30 @@
 			}
 		}
 	}
-	j.file.newestAt = max(j.file.newestAt, newestTime(r.entries))
+	j.file.newestAt = max(j.file.newestAt, newestTime(b.entries))
 	j.newestAt = max(j.newestAt, j.file.newestAt)
 	return nil
 }
 
-// done ends the first rounds of those unsynced.
+// completeBatches ends the first n unsynced batches as done.
 func (j *Journal) completeBatches(n int) {
-	kept := j.unsynced[:n]
+	batches := j.unsynced[:n]
 	j.unsynced = j.unsynced[n:]
 	j.file.holdsDone = true
-	j.reduceOutstanding(kept)
-	for _, r := range kept {
-		r.release()
-		close(r.done)
+	j.reduceOutstanding(batches)
+	for _, b := range batches {
+		b.release()
+		close(b.done)
 	}
 }
 
-// settle takes rounds off what is owed. It comes before they are told as done: whoever waited for that may hand over as much again.
-func (j *Journal) reduceOutstanding(kept []*Batch) {
+// reduceOutstanding subtracts batches from what is outstanding. It comes before they are done: who waited for that may append as much
+// again.
+func (j *Journal) reduceOutstanding(batches []*Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, r := range kept {
-		j.outstanding -= len(r.entries)
+	for _, b := range batches {
+		j.outstanding -= len(b.entries)
 	}
 }
 
@@ -178,8 +224,8 @@
 	j.handleRecovery()
 }
 
-// trouble takes in that writing failed. After a failed sync the kernel may count the pages as clean, so that a later success
-// proves nothing; after a failed write half a frame may stand there. Either way the file is abandoned.
+// handleFailure abandons the file and backs off. After a failed sync the kernel may count the pages as clean, so that a later success
+// proves nothing; after a failed write the file may end in half a frame.
 func (j *Journal) handleFailure(err error) {
 	j.failures.Add(1)
 	if !j.failing.Swap(true) {
@@ -191,7 +237,7 @@
 	j.nextDelay = min(2*j.nextDelay, maxRetryDelayFactor*j.RetryDelay)
 }
 
-// well takes in that all is kept.
+// handleRecovery ends a failure once nothing is left to be written or synced.
 func (j *Journal) handleRecovery() {
 	if j.file == nil || len(j.unwritten)+len(j.unsynced) > 0 {
 		return
--- a/internal/persistence/key_index.go
+++ b/internal/persistence/key_index.go
@@ -4,98 +4,100 @@
 	"hollymast/control"
 )
 
-// Mark is a client's mark of a job and its function, hidden as record.Tag does; 0 is none.
+// IdempotencyKey is the hash of a client's idempotency key and its function, as of record.Tag; 0 is none.
 type IdempotencyKey uint64
 
-// Sent is one execution that may have run.
+// SentAttempt is an attempt that may have run.
 type SentAttempt struct {
 	Server control.ServerID
 	At     control.Micros // when it was chosen, no later than it was sent
 }
 
-// sent is one with the latest time at which it can have been: that it is remembered from.
+// indexedAttempt is an attempt with the latest time at which it can have been sent, from which it is remembered.
 type indexedAttempt struct {
 	SentAttempt
 	latestAt control.Micros
 }
 
-// Marks knows of which marked jobs executions may have run, so that a client's repeat is judged with what this router and
-// its earlier lives sent. It is free of I/O and clocks.
+// KeyIndex knows which attempts of keyed requests may have run, so that a client's retry is judged by what this incarnation and
+// earlier ones sent. It does no I/O, reads no clock, and is not safe for use by several goroutines.
 type KeyIndex struct {
 	retention control.Micros
 	maxKeys   int
 	attempts  map[IdempotencyKey][]indexedAttempt
-	order     []IdempotencyKey // by their first sending
-	first     int              // of order: those before are forgotten
-	Dropped   int              // marks forgotten before their time, for want of room
+	order     []IdempotencyKey // by their first attempt
+	first     int              // index in order; the keys before it are forgotten
+	Dropped   int              // keys forgotten before their time, at the bound
 }
 
-// NewMarks gives an index that remembers each mark for a time after its last sending, and no more than a number of them.
-func NewKeyIndex(keep control.Micros, most int) *KeyIndex {
-	return &KeyIndex{retention: keep, maxKeys: most, attempts: map[IdempotencyKey][]indexedAttempt{}}
+// NewKeyIndex returns an index that remembers each key for a time after its last attempt, and no more than a number of keys.
+func NewKeyIndex(retention control.Micros, maxKeys int) *KeyIndex {
+	return &KeyIndex{retention: retention, maxKeys: maxKeys, attempts: map[IdempotencyKey][]indexedAttempt{}}
 }
 
-// Sent notes an execution.
-func (m *KeyIndex) Add(mark IdempotencyKey, s SentAttempt) { m.add(mark, s, s.At) }
+// Add adds an attempt.
+func (x *KeyIndex) Add(key IdempotencyKey, a SentAttempt) { x.add(key, a, a.At) }
 
-func (m *KeyIndex) add(mark IdempotencyKey, s SentAttempt, latest control.Micros) {
-	was, known := m.attempts[mark]
+func (x *KeyIndex) add(key IdempotencyKey, a SentAttempt, latestAt control.Micros) {
+	attempts, known := x.attempts[key]
 	if !known {
-		m.order = append(m.order, mark)
+		x.order = append(x.order, key)
 	}
-	m.attempts[mark] = append(was, indexedAttempt{s, latest})
+	x.attempts[key] = append(attempts, indexedAttempt{a, latestAt})
 }
 
-// Unrun notes the proof that an execution did not run. Of several to one server the last one is meant: they come one
-// after another.
-func (m *KeyIndex) RemoveNotRun(mark IdempotencyKey, server control.ServerID) {
-	was := m.attempts[mark]
-	for i := len(was) - 1; i >= 0; i-- {
-		if was[i].Server == server {
-			m.attempts[mark] = append(was[:i:i], was[i+1:]...)
+// RemoveNotRun removes an attempt that is proven not to have run. Of several to one server it is the last one, since they are made
+// one after another.
+func (x *KeyIndex) RemoveNotRun(key IdempotencyKey, server control.ServerID) {
+	attempts := x.attempts[key]
+	for i := len(attempts) - 1; i >= 0; i-- {
+		if attempts[i].Server == server {
+			x.attempts[key] = append(attempts[:i:i], attempts[i+1:]...)
 			return
 		}
 	}
 }
 
-// MayHaveRun gives the executions that may have run, first to last. One of a time still to come is of a clock set back:
-// how long ago it was can't be told, so it counts as beyond every window.
-func (m *KeyIndex) MayHaveRun(now control.Micros, mark IdempotencyKey) []SentAttempt {
-	var out []SentAttempt
-	for _, s := range m.attempts[mark] {
-		if s.At > now {
-			s.At = 0
+// MayHaveRun returns a key's attempts that may have run, first to last. An attempt in the future is of a clock that was set back. How
+// long ago it was can't be told, so it counts as beyond every retry window.
+func (x *KeyIndex) MayHaveRun(now control.Micros, key IdempotencyKey) []SentAttempt {
+	var attempts []SentAttempt
+	for _, a := range x.attempts[key] {
+		if a.At > now {
+			a.At = 0
 		}
-		out = append(out, s.SentAttempt)
+		attempts = append(attempts, a.SentAttempt)
 	}
-	return out
+	return attempts
 }
 
-// Len counts the marks known.
-func (m *KeyIndex) Len() int { return len(m.attempts) }
+// Len returns the number of keys known.
+func (x *KeyIndex) Len() int { return len(x.attempts) }
 
-// Tidy forgets what is older than it is to be kept, a part with each call, and the oldest beyond the number.
-func (m *KeyIndex) Prune(now control.Micros) {
-	const batch = 4096 // a call a second forgets more marks than a router takes jobs
-	for range min(batch, len(m.order)-m.first) {
-		mark := m.order[m.first]
-		was := m.attempts[mark]
-		if n := len(was); n > 0 && now < was[n-1].latestAt+m.retention {
-			if len(m.attempts) <= m.maxKeys {
-				if now >= was[0].latestAt+m.retention { // sent again since: it goes to the end
-					m.order = append(m.order, mark)
-					m.first++
+// pruneBatch is how many keys a call of Prune looks at: called once a second, it forgets more than a gateway admits.
+const pruneBatch = 4096
+
+// Prune forgets keys that are older than the retention, a part of them with each call, and the oldest beyond the bound.
+func (x *KeyIndex) Prune(now control.Micros) {
+	for range min(pruneBatch, len(x.order)-x.first) {
+		key := x.order[x.first]
+		attempts := x.attempts[key]
+		if n := len(attempts); n > 0 && now < attempts[n-1].latestAt+x.retention {
+			if len(x.attempts) <= x.maxKeys {
+				if now >= attempts[0].latestAt+x.retention { // there was another attempt since: the key moves to the end
+					x.order = append(x.order, key)
+					x.first++
 					continue
 				}
 				break
 			}
-			m.Dropped++
+			x.Dropped++
 		}
-		delete(m.attempts, mark)
-		m.first++
+		delete(x.attempts, key)
+		x.first++
 	}
-	if m.first > len(m.order)/2 {
-		m.order = append(m.order[:0:0], m.order[m.first:]...)
-		m.first = 0
+	if x.first > len(x.order)/2 {
+		x.order = append(x.order[:0:0], x.order[x.first:]...)
+		x.first = 0
 	}
 }
--- a/internal/persistence/rebase.go
+++ b/internal/persistence/rebase.go
@@ -6,43 +6,51 @@
 	"hollymast/control"
 )
 
-// Meets brings a memory into the time of this life, now. Where only bounds remain, what limits us counts as of just now, and what
-// allows anything, or is only worth something while it is fresh, is dropped. Starts of servers are told by other clocks.
-func (k *State) Rebase(clock Clock, now control.Micros) {
+// Rebase converts a state's times to those of this incarnation, whose time is now. Where the two clocks can't be compared, what limits
+// us counts as of now, and what permits something, or is worth something only while it is fresh, is dropped. When a server started is
+// told by other clocks and stays.
+func (s *State) Rebase(clock Clock, now control.Micros) {
 	earlier := Clock{}
-	if k.Clock != nil {
-		earlier = *k.Clock
+	if s.Clock != nil {
+		earlier = *s.Clock
 	}
-	m := k.Learned
-	by, sure := clock.aheadOf(earlier)
-	if !sure || m.SavedAt+by > now {
-		m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
-		m.LoadCommands = slices.Repeat([]control.Micros{now}, len(m.LoadCommands))
-		for i := range m.Servers {
-			m.Servers[i].SlowStartSends = slices.Repeat([]control.Micros{now}, len(m.Servers[i].SlowStartSends))
-		}
+	offset, known := clock.aheadOf(earlier)
+	if !known || s.Learned.SavedAt+offset > now {
+		forgetTimes(s.Learned, now)
 		return
 	}
-	move := func(ts ...*control.Micros) {
-		for _, t := range ts {
-			*t = max(0, *t+by)
-		}
+	shiftTimes(s.Learned, offset)
+}
+
+// forgetTimes has a state's limits count as of now and drops what depends on a known time.
+func forgetTimes(m *control.LearnedState, now control.Micros) {
+	m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
+	m.LoadCommands = slices.Repeat([]control.Micros{now}, len(m.LoadCommands))
+	for i := range m.Servers {
+		m.Servers[i].SlowStartSends = slices.Repeat([]control.Micros{now}, len(m.Servers[i].SlowStartSends))
 	}
-	all := func(ts []control.Micros) {
-		for i := range ts {
-			move(&ts[i])
+}
+
+// shiftTimes adds an offset to each time; one from before this clock's zero becomes 0.
+func shiftTimes(m *control.LearnedState, offset control.Micros) {
+	shift := func(t *control.Micros) { *t = max(0, *t+offset) }
+	shiftAll := func(times []control.Micros) {
+		for i := range times {
+			shift(&times[i])
 		}
 	}
-	move(&m.SavedAt, &m.StartedAt)
-	for _, ts := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
-		all(ts)
+	shift(&m.SavedAt)
+	shift(&m.StartedAt)
+	for _, times := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
+		shiftAll(times)
 	}
 	for i := range m.Servers {
-		all(m.Servers[i].SlowStartSends)
+		shiftAll(m.Servers[i].SlowStartSends)
 	}
 	for _, f := range m.Functions {
 		for i := range f.Instances {
-			move(&f.Instances[i].LastUsed, &f.Instances[i].LoadingSince)
+			shift(&f.Instances[i].LastUsed)
+			shift(&f.Instances[i].LoadingSince)
 		}
 	}
 }
--- a/internal/persistence/recovery.go
+++ b/internal/persistence/recovery.go
@@ -7,60 +7,65 @@
 	"hollymast/control"
 )
 
-// Past is what a journal tells of earlier lives, in the time of this one.
+// Recovered is what the journals of earlier incarnations hold, in this incarnation's time.
 type Recovered struct {
 	Entries   []Entry
-	Uncertain int // of so many first ones it is known only that they were made, at the latest now
+	Uncertain int // how many of the first entries have no known time: they were made now at the latest
 	Now       control.Micros
 }
 
-// Recalled works what a journal tells into a memory: jobs sent to cold servers and orders of after it was saved, which it
-// does not hold. With no memory, m is an empty one. Of entries whose time is not sure those that limit us count as of now, and those
-// that allow anything don't; what may have run lies beyond every window, and is remembered as long as if it were sent now.
-func (p Recovered) Apply(m *control.LearnedState, keep control.Micros, most int) *KeyIndex {
-	marks := NewKeyIndex(keep, most)
-	for i, e := range p.Entries {
-		unsure := i < p.Uncertain
+// Recovered returns entries that were read at the start, with what is known of their times.
+func (j *Journal) Recovered(entries []Entry) Recovered { return Recovered{entries, j.uncertain, j.Now} }
+
+// ApplyEntries is Recovered.Apply of entries whose times are known.
+func ApplyEntries(state *control.LearnedState, entries []Entry, retention control.Micros, maxKeys int) *KeyIndex {
+	return Recovered{Entries: entries}.Apply(state, retention, maxKeys)
+}
+
+// Apply adds to a learned state what was sent after it was saved: attempts to servers in slow start, load commands and admitted
+// requests. Where there is no saved state, it takes an empty one. The index returned knows the attempts of keyed requests.
+//
+// Of entries whose time is unknown, those that limit us count as of now and those that permit something are dropped. An attempt
+// that may have run is beyond every retry window, and is remembered as long as if it were sent now.
+func (r Recovered) Apply(state *control.LearnedState, retention control.Micros, maxKeys int) *KeyIndex {
+	index := NewKeyIndex(retention, maxKeys)
+	for i, e := range r.Entries {
+		uncertain := i < r.Uncertain
 		latest := e.At
-		if unsure {
-			latest = p.Now
+		if uncertain {
+			latest = r.Now
 		}
 		switch e.Kind {
 		case EntryAttempt:
-			if unsure {
+			if uncertain {
 				e.At = 0
 			}
-			marks.add(e.Key, SentAttempt{e.Server, e.At}, latest)
+			index.add(e.Key, SentAttempt{e.Server, e.At}, latest)
 		case EntryNotRun:
-			marks.RemoveNotRun(e.Key, e.Server)
+			index.RemoveNotRun(e.Key, e.Server)
 		case EntryLoadCommand:
-			if latest > m.SavedAt {
-				m.LoadCommands = append(m.LoadCommands, latest)
+			if latest > state.SavedAt {
+				state.LoadCommands = append(state.LoadCommands, latest)
 			}
 		case EntryAdmitted:
-			if !unsure && e.At > m.SavedAt && len(m.Admitted) < maxCount {
-				m.Admitted = append(m.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Key))...)
+			if !uncertain && e.At > state.SavedAt && len(state.Admitted) < maxCount {
+				state.Admitted = append(state.Admitted, slices.Repeat([]control.Micros{e.At}, int(e.Key))...)
 			}
 		case EntrySlowStartSend:
-			if latest <= m.SavedAt {
-				continue
+			if latest > state.SavedAt {
+				addSlowStartSend(state, e.Server, latest)
 			}
-			i, known := slices.BinarySearchFunc(m.Servers, e.Server, func(s control.LearnedServer, id control.ServerID) int {
-				return cmp.Compare(s.Server, id)
-			})
-			if !known {
-				m.Servers = slices.Insert(m.Servers, i, control.LearnedServer{Server: e.Server})
-			}
-			m.Servers[i].SlowStartSends = append(m.Servers[i].SlowStartSends, latest)
 		}
 	}
-	return marks
+	return index
 }
 
-// Recalled is Past.Recalled of entries whose times are sure.
-func ApplyEntries(m *control.LearnedState, es []Entry, keep control.Micros, most int) *KeyIndex {
-	return Recovered{Entries: es}.Apply(m, keep, most)
+func addSlowStartSend(state *control.LearnedState, server control.ServerID, at control.Micros) {
+	i, known := slices.BinarySearchFunc(state.Servers, server, func(s control.LearnedServer, id control.ServerID) int {
+		return cmp.Compare(s.Server, id)
+	})
+	if !known {
+		state.Servers = slices.Insert(state.Servers, i, control.LearnedServer{Server: server})
+	}
+	state.Servers[i].SlowStartSends = append(state.Servers[i].SlowStartSends, at)
 }
-
-// Past gives what was read, in the time of this life.
-func (j *Journal) Recovered(es []Entry) Recovered { return Recovered{es, j.uncertain, j.Now} }
--- a/internal/persistence/state.go
+++ b/internal/persistence/state.go
@@ -1,5 +1,3 @@
-// Package persistence keeps what a router learned, and what it owes, where a folder outlasts it: a file of learned figures in
-// two generations, and a journal of what was sent that a later life must still count.
 package persistence
 
 import (
@@ -9,22 +7,22 @@
 	"hollymast/internal/overload"
 )
 
-// Owner tells whose memory a file is.
+// Owner identifies the gateway that wrote a file.
 type Owner struct {
 	Router     int    `cbor:"Router"`
-	Deployment uint64 `cbor:"Deployment"` // of what the ids in it hang on
+	Deployment uint64 `cbor:"Deployment"` // hash of the names that the ids in the file refer to
 }
 
-// Kept is a file's content.
+// State is the content of a state file.
 type State struct {
 	Owner      Owner                 `cbor:"Owner"`
-	Generation uint64                `cbor:"Generation"` // one more with each writing
+	Generation uint64                `cbor:"Generation"` // increases by one with each write
 	Learned    *control.LearnedState `cbor:"Module"`
-	Overload   *overload.Baseline    `cbor:"Storm,omitempty"` // what is usual of calls, and the storm that was on; nil: not watched
-	Clock      *Clock                `cbor:"Clock,omitempty"` // of the life that wrote it; nil: not known
+	Overload   *overload.Baseline    `cbor:"Storm,omitempty"` // usual load and the overload under way; nil: not watched
+	Clock      *Clock                `cbor:"Clock,omitempty"` // of the incarnation that wrote the file; nil: unknown
 }
 
-// Errors of Decode.
+// Errors of Decode and ReadJournal.
 var (
 	ErrNewer   = errors.New("written by a newer version")
 	ErrDamaged = errors.New("damaged or cut short")
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -6,73 +6,77 @@
 	"io/fs"
 )
 
-// Files are the two generations' names; each writing replaces the older.
+// GenerationFiles are the names of the two generations. Each write replaces the older.
 var GenerationFiles = [2]string{"memory-a", "memory-b"}
 
-// Store writes generations. It is not safe for use by several goroutines.
+// Store writes generations of a state. It is not safe for use by several goroutines.
 type Store struct {
-	disk         FileStore
+	files        FileStore
 	owner        Owner
 	generation   uint64
-	WrittenBytes int // of the last writing
+	WrittenBytes int // size of the last write
 }
 
-// Found tells what was found in a folder.
+// OpenResult is what was found in a directory.
 type OpenResult struct {
-	State    *State   // nil: nothing that may be used
-	Warnings []string // what is to be said to operators
-	Writable bool     // whether the folder may be written to
+	State    *State   // nil: none that may be used
+	Warnings []string // for operators
+	Writable bool     // whether the directory may be written to
 }
 
-// Look reads both generations and decides which counts: the newest that is whole and ours. Nothing in the folder is an
-// error: a router starts in any case. Files of a newer version or of another router are left alone, and nothing is
-// written beside them.
-func OpenStore(disk FileStore, owner Owner) (*Store, OpenResult) {
-	s := &Store{disk: disk, owner: owner}
-	found := OpenResult{Writable: true}
+// OpenStore reads both generations and takes the newest that is intact and of this owner. Nothing in the directory is an error, since
+// a gateway starts in any case. Files of a newer version or of another gateway are left alone, and nothing is written beside them.
+func OpenStore(files FileStore, owner Owner) (*Store, OpenResult) {
+	s := &Store{files: files, owner: owner}
+	result := OpenResult{Writable: true}
 	for _, name := range GenerationFiles {
-		var b []byte
-		err := RetryTransient(initialRetryDelay, func() (err error) { b, err = disk.Read(name); return err })
-		if errors.Is(err, fs.ErrNotExist) {
-			continue
-		}
-		var k *State
-		if err == nil {
-			k, err = Decode(b)
-		}
-		switch {
-		case errors.Is(err, ErrNewer):
-			found.Writable = false
-			found.Warnings = append(found.Warnings, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
-		case err != nil:
-			found.Warnings = append(found.Warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
-		case k.Owner.Router != owner.Router:
-			found.Writable = false
-			found.Warnings = append(found.Warnings, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, k.Owner.Router))
-		case k.Owner != owner:
-			found.Warnings = append(found.Warnings, name+" is of other workloads, tenants or name_key: it is passed over")
-			s.generation = max(s.generation, k.Generation)
-		case found.State == nil || k.Generation > found.State.Generation:
-			found.State = k
-		}
+		s.readGeneration(name, &result)
 	}
-	if found.State != nil {
-		s.generation = max(s.generation, found.State.Generation)
+	if result.State != nil {
+		s.generation = max(s.generation, result.State.Generation)
 	}
-	if !found.Writable {
-		found.State = nil
+	if !result.Writable {
+		result.State = nil
 	}
-	return s, found
+	return s, result
 }
 
-// Write writes the next generation over the older one.
-func (s *Store) Write(k *State) error {
+// readGeneration reads a file and adds what it holds to the result.
+func (s *Store) readGeneration(name string, result *OpenResult) {
+	var b []byte
+	err := RetryTransient(initialRetryDelay, func() (err error) { b, err = s.files.Read(name); return err })
+	if errors.Is(err, fs.ErrNotExist) {
+		return
+	}
+	var state *State
+	if err == nil {
+		state, err = Decode(b)
+	}
+	switch {
+	case errors.Is(err, ErrNewer):
+		result.Writable = false
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
+	case err != nil:
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
+	case state.Owner.Router != s.owner.Router:
+		result.Writable = false
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, state.Owner.Router))
+	case state.Owner != s.owner:
+		result.Warnings = append(result.Warnings, name+" is of other workloads, tenants or name_key: it is passed over")
+		s.generation = max(s.generation, state.Generation)
+	case result.State == nil || state.Generation > result.State.Generation:
+		result.State = state
+	}
+}
+
+// Write writes the next generation over the older one. It sets the state's owner and generation.
+func (s *Store) Write(state *State) error {
 	s.generation++
-	k.Owner, k.Generation = s.owner, s.generation
-	b, err := Encode(k)
+	state.Owner, state.Generation = s.owner, s.generation
+	b, err := Encode(state)
 	if err != nil {
 		return err
 	}
 	s.WrittenBytes = len(b)
-	return s.disk.Replace(GenerationFiles[s.generation%2], b)
+	return s.files.Replace(GenerationFiles[s.generation%2], b)
 }
