--- a/internal/persistence/crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -52,16 +52,16 @@
 }
 
 // live opens a journal on a disk and hands over rounds, until all is done or it was killed. Now and again it waits for the last one.
-func appendBatches(d *faultFS, sync SyncPolicy, rounds int) (all []appendedBatch) {
-	return appendBatchesWaiting(d, sync, rounds, func(i int) bool { return i%4 != 3 })
+func appendBatches(d *faultFS, sync SyncPolicy, count int) (all []appendedBatch) {
+	return appendBatchesWaiting(d, sync, count, func(i int) bool { return i%4 != 3 })
 }
 
-func appendBatchesWaiting(d *faultFS, sync SyncPolicy, rounds int, wait func(i int) bool) (all []appendedBatch) {
+func appendBatchesWaiting(d *faultFS, sync SyncPolicy, count int, wait func(i int) bool) (all []appendedBatch) {
 	j, _, _, err := testOptions(d, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return nil
 	}
-	for i := range rounds {
+	for i := range count {
 		at := control.Micros(earlierAt + 10 + i)
 		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)}, {EntryAdmitted, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
@@ -85,7 +85,7 @@
 
 // judge checks what the next life knows after a kill or a power cut: all that was told as kept, each entry once, in its order,
 // and nothing else; and that this one can write on.
-func checkRecovery(after *faultFS, sync SyncPolicy, cut bool, earlier []Entry, all []appendedBatch) error {
+func checkRecovery(after *faultFS, sync SyncPolicy, cut bool, earlier []Entry, batches []appendedBatch) error {
 	j, got, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 	got = slices.DeleteFunc(got, func(e Entry) bool { return e.At <= outdatedAt })
 	want := slices.Clone(earlier)
 	var maybe []Entry
-	for _, a := range all {
+	for _, a := range batches {
 		maybe = append(maybe, a.entries...)
 		if owed := isClosed(a.done) && a.err == nil && (!cut || sync != SyncNever) || isClosed(a.written) && !a.lost && !cut; owed {
 			want = append(want, a.entries...)
@@ -128,9 +128,9 @@
 }
 
 // afterwards judges all that may be left.
-func checkRecoveries(d *faultFS, sync SyncPolicy, earlier []Entry, all []appendedBatch) error {
+func checkRecoveries(d *faultFS, sync SyncPolicy, earlier []Entry, batches []appendedBatch) error {
 	for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-		if err := checkRecovery(d.afterCrash(left.cut, left.more), sync, left.cut, earlier, all); err != nil {
+		if err := checkRecovery(d.afterCrash(left.cut, left.more), sync, left.cut, earlier, batches); err != nil {
 			return fmt.Errorf("power cut %t, with what was not synced %t: %w; %s", left.cut, left.more, err, d)
 		}
 	}
@@ -255,11 +255,11 @@
 
 // Kills at chosen bytes of what is written, with syncs, and in each second life any calls, that fail by chance before them.
 func TestJournalKilledAtChosenBytes(t *testing.T) {
-	lives := uint64(500)
+	runs := uint64(500)
 	if n, err := strconv.ParseUint(os.Getenv("HOLLYMAST_KILLS"), 10, 64); err == nil {
-		lives = n
+		runs = n
 	}
-	for seed := range lives {
+	for seed := range runs {
 		chance := rand.New(rand.NewPCG(seed, 3))
 		var d *faultFS
 		failing := make([]fault, 2000)
@@ -301,7 +301,7 @@
 		}
 		d.err = syscall.EIO
 		writeEarlierFiles(d)
-		j, es, told, err := testOptions(d, SyncGrouped, func(error) {}).Open("dir")
+		j, entries, warnings, err := testOptions(d, SyncGrouped, func(error) {}).Open("dir")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -310,73 +310,11 @@
 		if lost {
 			want = 1 // that of the file before
 		}
-		if len(es) != want || j.Incomplete() != lost || slices.ContainsFunc(told, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
-			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(es), j.Incomplete(), told)
+		if len(entries) != want || j.Incomplete() != lost || slices.ContainsFunc(warnings, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
+			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(entries), j.Incomplete(), warnings)
 		}
 		if _, is := d.names["dir/journal-00000002"]; !is {
 			t.Error("what was not read was removed")
 		}
 	}
 }
-
-// A kill or power cut at each call of writing the memory, and each call failing for a while, leave the last generation that was
-// told as written, or a later one, whole; and one stray at most.
-func TestStoreWithEachCallFailing(t *testing.T) {
-	bad := 0
-	for at := 1; at < 45; at++ {
-		for _, long := range []int{1, 9} {
-			for _, f := range []fault{failsBefore, failsHalfway, killedBefore, killedHalf, killedAfter} {
-				for _, sparing := range []string{"", "remove", "rename"} { // calls that do not fail
-					d := newFaultFS(func(n int, call, _ string) fault {
-						if n >= at && n < at+long && call != sparing && call != "read" {
-							return f
-						}
-						return noFault
-					})
-					s, _ := OpenStore(Dir("dir").withFileSystem(d), testOwner)
-					told := 0
-					for mark := 1; mark <= 6 && !d.isKilled(); mark++ {
-						if s.Write(testState(mark)) == nil {
-							told = mark
-						}
-					}
-					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-						after := d.afterCrash(left.cut, left.more)
-						_, found := OpenStore(Dir("dir").withFileSystem(after), testOwner)
-						mark, ok := 0, true
-						if found.State != nil {
-							mark, ok = stateVersion(found.State)
-						}
-						if !ok || mark < told || len(d.names) > 3 || f < killedBefore && at+long+6 < d.calls && told < 6 {
-							if bad++; bad < 5 {
-								t.Errorf("call %d, %d times (%d, but %q), power cut %t, %t: got %d, told %d; %s", at, long, f, sparing, left.cut, left.more, mark, told, d)
-							}
-						}
-					}
-				}
-			}
-		}
-	}
-	if bad > 0 {
-		t.Errorf("%d cases failed", bad)
-	}
-}
-
-// A memory that can't be read for a moment at a start is read.
-func TestStoreThatCannotBeReadAtStart(t *testing.T) {
-	d := newFaultFS(func(n int, call, _ string) fault {
-		if call == "read" && n < 20 && n%3 > 0 {
-			return failsBefore
-		}
-		return noFault
-	})
-	b, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: testState(5).Learned})
-	if err != nil {
-		t.Fatal(err)
-	}
-	d.err = syscall.EIO
-	d.names["dir/"+GenerationFiles[1]] = &inode{data: b}
-	if _, found := OpenStore(Dir("dir").withFileSystem(d), testOwner); found.State == nil || len(found.Warnings) > 0 {
-		t.Errorf("%+v", found)
-	}
-}
--- /dev/null
+++ b/internal/persistence/store_crash_test.go
@@ -0,0 +1,68 @@
+package persistence
+
+import (
+	"syscall"
+	"testing"
+)
+
+// A kill or power cut at each call of writing the memory, and each call failing for a while, leave the last generation that was
+// told as written, or a later one, whole; and one stray at most.
+func TestStoreWithEachCallFailing(t *testing.T) {
+	bad := 0
+	for at := 1; at < 45; at++ {
+		for _, long := range []int{1, 9} {
+			for _, f := range []fault{failsBefore, failsHalfway, killedBefore, killedHalf, killedAfter} {
+				for _, sparing := range []string{"", "remove", "rename"} { // calls that do not fail
+					disk := newFaultFS(func(n int, call, _ string) fault {
+						if n >= at && n < at+long && call != sparing && call != "read" {
+							return f
+						}
+						return noFault
+					})
+					store, _ := OpenStore(Dir("dir").withFileSystem(disk), testOwner)
+					written := 0
+					for version := 1; version <= 6 && !disk.isKilled(); version++ {
+						if store.Write(testState(version)) == nil {
+							written = version
+						}
+					}
+					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
+						after := disk.afterCrash(left.cut, left.more)
+						_, result := OpenStore(Dir("dir").withFileSystem(after), testOwner)
+						version, ok := 0, true
+						if result.State != nil {
+							version, ok = stateVersion(result.State)
+						}
+						if !ok || version < written || len(disk.names) > 3 || f < killedBefore && at+long+6 < disk.calls && written < 6 {
+							if bad++; bad < 5 {
+								t.Errorf("call %d, %d times (%d, but %q), power cut %t, %t: got %d, told %d; %s", at, long, f, sparing, left.cut, left.more, version, written, disk)
+							}
+						}
+					}
+				}
+			}
+		}
+	}
+	if bad > 0 {
+		t.Errorf("%d cases failed", bad)
+	}
+}
+
+// A memory that can't be read for a moment at a start is read.
+func TestStoreThatCannotBeReadAtStart(t *testing.T) {
+	disk := newFaultFS(func(n int, call, _ string) fault {
+		if call == "read" && n < 20 && n%3 > 0 {
+			return failsBefore
+		}
+		return noFault
+	})
+	b, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: testState(5).Learned})
+	if err != nil {
+		t.Fatal(err)
+	}
+	disk.err = syscall.EIO
+	disk.names["dir/"+GenerationFiles[1]] = &inode{data: b}
+	if _, result := OpenStore(Dir("dir").withFileSystem(disk), testOwner); result.State == nil || len(result.Warnings) > 0 {
+		t.Errorf("%+v", result)
+	}
+}
