--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -9,22 +9,22 @@
 	"hollymast/control"
 )
 
-// machine is a machine with a wall clock that may be stepped beside a real one that goes on.
+// testMachine has a wall clock that may be stepped, and real time.
 type testMachine struct {
 	real, wall control.Micros
 	boot       uint64
 	booted     control.Micros
 }
 
-// starts gives a life's time at its start, and its clock: from then on its time goes with the real one.
+// start returns an incarnation's time at its start, and its clock. From then on its time goes with real time.
 func (m *testMachine) start() (now control.Micros, c Clock) {
 	return m.wall, Clock{m.boot, m.wall - (m.real - m.booted)}
 }
 
 func (m *testMachine) pass(t control.Micros) { m.real += t; m.wall += t }
 
-// Through lives, boots and steps of the wall clock nothing that was sent counts as younger than it is for a window, as older for what
-// is remembered and for rations, and within a boot both are exact. What allows orders counts only where its time is sure.
+// Through restarts, boots and steps of the wall clock no attempt counts as more recent than it is for a retry window, nor as older for
+// retention and limits, and within a boot both are exact. Admitted requests count only where their time is known.
 func TestTimesOfEarlierIncarnations(t *testing.T) {
 	const retention = 10 * minute
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,7 +67,7 @@
 					t.Fatalf("sent %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
 				}
 				if at := slowStartSends[control.ServerID(i)]; at < now-age || certain && at != now-age || at > now {
-					t.Fatalf("to a cold server %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
+					t.Fatalf("to a server in slow start %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
 				}
 				if latest := index.attempts[IdempotencyKey(i+1)][0].latestAt; latest < now-age || certain && latest != now-age {
 					t.Fatalf("sent %d ago, of boot %d, is remembered from %d ago", age, s.boot, now-latest)
@@ -75,13 +75,13 @@
 			}
 			for _, at := range state.Admitted {
 				if !slices.ContainsFunc(sent, func(s sending) bool { return s.boot == m.boot && at == now-(m.real-s.at) }) {
-					t.Fatalf("taken at %d", at-now)
+					t.Fatalf("admitted at %d", at-now)
 				}
 			}
 			begun := m.real
 			for range rapid.IntRange(1, 3).Draw(t, "sendings") {
 				m.pass(control.Micros(rapid.IntRange(0, 4*minute).Draw(t, "pause")))
-				at := now + m.real - begun // the life's own time: no step reaches it
+				at := now + m.real - begun // the incarnation's own time: no step reaches it
 				<-j.Append(Entry{EntryAttempt, at, IdempotencyKey(len(sent) + 1), 1}, Entry{EntrySlowStartSend, at, 0, control.ServerID(len(sent))}, Entry{EntryAdmitted, at, 1, 0}).Done()
 				sent = append(sent, sending{m.real, m.boot})
 				m.wall += control.Micros(rapid.SampledFrom([]int{0, 0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step"))
@@ -102,9 +102,7 @@
 	if by, sure := b.aheadOf(a); !sure || by < 3599e6 || by > 3600e6 {
 		t.Errorf("ahead by %d, sure %t", by, sure)
 	}
-	if es := a.entries(); true {
-		if c, is := readClockEntries(es); !is || c != a {
-			t.Errorf("noted %+v", c)
-		}
+	if c, ok := readClockEntries(a.entries()); !ok || c != a {
+		t.Errorf("read as %+v", c)
 	}
 }
--- a/internal/persistence/encoding_test.go
+++ b/internal/persistence/encoding_test.go
@@ -12,7 +12,7 @@
 	"hollymast/control"
 )
 
-// A file of the format before, by the build that wrote it, is read.
+// A file of the older format, by a build that wrote it, is read.
 func TestOlderFormatIsRead(t *testing.T) {
 	b, err := os.ReadFile("testdata/format1")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// sealed gives a file of any version and payload with a true checksum.
+// withChecksum returns a file of any version and payload with a right checksum.
 func withChecksum(version uint32, payload []byte) []byte {
 	b := append([]byte(magic), make([]byte, 12)...)
 	head := b[len(magic):]
@@ -50,7 +50,7 @@
 	return append(b, payload...)
 }
 
-// Values out of their ranges are no memory, whatever the checksum says.
+// Values out of their ranges are refused, whatever the checksum says.
 func TestValuesOutOfRange(t *testing.T) {
 	for i, change := range []func(m *control.LearnedState){
 		func(m *control.LearnedState) { m.SavedAt = -1 },
@@ -75,7 +75,7 @@
 func TestArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
-		if rapid.Bool().Draw(t, "part of a true one") {
+		if rapid.Bool().Draw(t, "changed from a valid one") {
 			b, _ := Encode(testState(rapid.IntRange(0, 9).Draw(t, "mark")))
 			payload = b[len(magic)+12:]
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
@@ -102,7 +102,7 @@
 	})
 }
 
-// BenchmarkDecode reads what a router with 80 servers and 10 000 functions wrote.
+// BenchmarkDecode reads the state of a gateway with 80 servers and 10 000 functions.
 func BenchmarkDecode(b *testing.B) {
 	m := &control.LearnedState{SavedAt: 1_796_133_869_057_624}
 	for i := range 80 {
--- a/internal/persistence/faultfs_test.go
+++ b/internal/persistence/faultfs_test.go
@@ -14,20 +14,21 @@
 
 var errKilled = errors.New("killed")
 
-// The ways in which one call goes wrong. Killed: nothing happens from then on, after none, half or all of the call.
+// fault is the way in which a call goes wrong. After a kill nothing is carried out any more; the call itself is not, by half or
+// wholly.
 type fault int
 
 const (
 	noFault fault = iota
 	failsBefore
-	failsHalfway // a write of half its bytes, or a call that was carried out and yet fails
+	failsHalfway // writes half of its bytes; other calls are carried out and yet fail
 	killedBefore
 	killedHalf
 	killedAfter
 )
 
-// state tells of a byte whether a power cut leaves it. A byte that a failed sync met is lost: the kernel counts its page as clean,
-// and no later sync writes it.
+// byteState says whether a byte survives a power cut. A byte that was dirty in a failed sync is lost: the kernel counts its page as
+// clean, and no later sync writes it.
 type byteState byte
 
 const (
@@ -41,16 +42,23 @@
 	states []byteState
 }
 
-// faultDisk is a file system in memory that fails or is killed at chosen calls. It tells what a new life finds: after a kill all that
-// was written, after a power cut what was synced and any part of the rest.
+// crash is how an incarnation ends: by a kill, after which all that was written is there, or by a power cut.
+type crash struct {
+	powerCut         bool
+	unsyncedSurvives bool // of a power cut: what was not synced is there, but for bytes lost to failed syncs
+}
+
+var crashes = []crash{{}, {powerCut: true}, {powerCut: true, unsyncedSurvives: true}}
+
+// faultFS is a file system in memory that fails or is killed at chosen calls, and knows what the next incarnation finds.
 type faultFS struct {
 	mu       sync.Mutex
 	names    map[string]*inode
-	synced   map[string]*inode // names that a power cut leaves; a nil one is lost to failed syncs of the folder
-	removed  map[string]*inode // removed, and the folder not synced since: a power cut may bring them back
+	synced   map[string]*inode // names that survive a power cut; nil: the name is lost to a failed sync of the directory
+	removed  map[string]*inode // removed, with no sync of the directory since: a power cut may bring them back
 	calls    int
 	bytes    int
-	maxFiles int // files at any time
+	maxFiles int // the most at any time
 	plan     func(n int, call, name string) fault
 	err      error
 	crashed  chan struct{} // closed once killed
@@ -70,7 +78,7 @@
 	}
 }
 
-// call plays one call; do carries it out, or half of it.
+// call makes one call, with the fault that is planned for it; do carries it out, or half of it.
 func (d *faultFS) call(call, name string, do func(half bool) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +179,7 @@
 	})
 }
 
-// planned tells whether the call under way fails.
+// fails reports whether the call under way fails.
 func (d *faultFS) fails(name, call string) bool {
 	f := d.plan(d.calls, call, filepath.Base(name))
 	return f == failsBefore || f == failsHalfway || f == killedHalf
@@ -183,7 +191,7 @@
 
 func (d *faultFS) Rename(from, to string) error {
 	return d.call("rename", to, func(bool) error {
-		if d.names[from] == nil { // a removal that was told as failed had happened
+		if d.names[from] == nil { // a removal that was reported as failed had happened
 			return fs.ErrNotExist
 		}
 		if was := d.synced[to]; was != nil {
@@ -206,7 +214,7 @@
 	})
 }
 
-// unlink takes a name away, which a power cut may bring back.
+// unlink removes a name, which a power cut may bring back.
 func (d *faultFS) unlink(name string) {
 	if was := d.synced[name]; was != nil {
 		d.removed[name] = was
@@ -215,7 +223,7 @@
 	delete(d.names, name)
 }
 
-// forget makes a lost name one that the next sync of the folder brings to the disk: it changes again.
+// dropLostName is called when a name changes: if it was lost, the next sync of the directory makes it durable again.
 func (d *faultFS) dropLostName(name string) {
 	if d.synced[name] == nil {
 		delete(d.synced, name)
@@ -240,15 +248,14 @@
 	})
 }
 
-// after gives what the next life finds. The power's cut leaves of bytes that were never synced none, or all but those lost; of
-// names removed and not synced none, or all.
-func (d *faultFS) afterCrash(cut, more bool) *faultFS {
+// afterCrash returns what the next incarnation finds.
+func (d *faultFS) afterCrash(c crash) *faultFS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := newFaultFS(func(int, string, string) fault { return noFault })
 	names := maps.Clone(d.names)
-	if cut {
-		if !more {
+	if c.powerCut {
+		if !c.unsyncedSurvives {
 			names = map[string]*inode{}
 			for name, i := range d.synced {
 				if i != nil && (d.names[name] != nil || d.removed[name] != nil) {
@@ -262,13 +269,13 @@
 		b := slices.Clone(i.data)
 		end := 0
 		for at, s := range i.states {
-			if cut && (s == lost || s == dirty && !more) {
+			if c.powerCut && (s == lost || s == dirty && !c.unsyncedSurvives) {
 				b[at] = 0
 			} else {
 				end = at + 1
 			}
 		}
-		if cut && !more {
+		if c.powerCut && !c.unsyncedSurvives {
 			b = b[:end]
 		}
 		copied := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -15,13 +15,13 @@
 	"hollymast/control"
 )
 
-// appended is one round that a life handed over.
+// appendedBatch is a batch with the entries that were appended.
 type appendedBatch struct {
 	*Batch
 	entries []Entry
 }
 
-// closed tells of a channel.
+// isClosed reports whether a channel is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -33,7 +33,8 @@
 
 const earlierAt, outdatedAt = 100 * minute, 10 * minute
 
-// earlierLife leaves files of a life before: one whose time is over, one that counts, and one with nothing in it.
+// writeEarlierFiles writes files of an earlier incarnation: one that is too old, one whose entries count, and one that is cut off in
+// its magic.
 func writeEarlierFiles(d *faultFS) (counts []Entry) {
 	counts = []Entry{{EntryAttempt, earlierAt, 7, 1}, {EntryNotRun, earlierAt + 1, 7, 1}}
 	for name, b := range map[string][]byte{
@@ -51,7 +52,7 @@
 	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300, OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
-// live opens a journal on a disk and hands over rounds, until all is done or it was killed. Now and again it waits for the last one.
+// appendBatches opens a journal and appends to it, until all is done or the file system is killed. Now and again it waits for a batch.
 func appendBatches(d *faultFS, sync SyncPolicy, count int) (all []appendedBatch) {
 	return appendBatchesWaiting(d, sync, count, func(i int) bool { return i%4 != 3 })
 }
@@ -66,9 +67,9 @@
 		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)}, {EntryAdmitted, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
 		all = append(all, appendedBatch{r, es})
-		if !wait(i) { // the next comes while this one is on its way
+		if !wait(i) { // the next entries come while these are on their way
 			if i%2 == 0 {
-				runtime.Gosched() // or is of the same round
+				runtime.Gosched() // else they are of the same batch
 			}
 			continue
 		}
@@ -76,16 +77,16 @@
 		case <-r.Done():
 		case <-d.crashed:
 		case <-time.After(20 * time.Second):
-			panic(fmt.Sprintf("a round never ended: %+v, %s", j, d))
+			panic(fmt.Sprintf("a batch never ended: %+v, %s", j, d))
 		}
 	}
 	j.Close()
 	return all
 }
 
-// judge checks what the next life knows after a kill or a power cut: all that was told as kept, each entry once, in its order,
-// and nothing else; and that this one can write on.
-func checkRecovery(after *faultFS, sync SyncPolicy, cut bool, earlier []Entry, batches []appendedBatch) error {
+// checkRecovery checks what the next incarnation reads after a kill or a power cut: all that was reported as durable, each entry once,
+// in its order, and nothing else; and that it can append.
+func checkRecovery(after *faultFS, sync SyncPolicy, c crash, earlier []Entry, batches []appendedBatch) error {
 	j, got, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
@@ -95,7 +96,7 @@
 	var maybe []Entry
 	for _, a := range batches {
 		maybe = append(maybe, a.entries...)
-		if owed := isClosed(a.done) && a.err == nil && (!cut || sync != SyncNever) || isClosed(a.written) && !a.lost && !cut; owed {
+		if owed := isClosed(a.done) && a.err == nil && (!c.powerCut || sync != SyncNever) || isClosed(a.written) && !a.lost && !c.powerCut; owed {
 			want = append(want, a.entries...)
 		}
 	}
@@ -110,7 +111,7 @@
 	}
 	for _, e := range want {
 		if !slices.Contains(got, e) {
-			return fmt.Errorf("%+v was told as kept and is lost", e)
+			return fmt.Errorf("%+v was reported as durable and is lost", e)
 		}
 	}
 	r := j.Append(Entry{EntryAttempt, earlierAt + 1000, 1000, 1})
@@ -127,11 +128,11 @@
 	return nil
 }
 
-// afterwards judges all that may be left.
+// checkRecoveries checks the recovery from each crash.
 func checkRecoveries(d *faultFS, sync SyncPolicy, earlier []Entry, batches []appendedBatch) error {
-	for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-		if err := checkRecovery(d.afterCrash(left.cut, left.more), sync, left.cut, earlier, batches); err != nil {
-			return fmt.Errorf("power cut %t, with what was not synced %t: %w; %s", left.cut, left.more, err, d)
+	for _, c := range crashes {
+		if err := checkRecovery(d.afterCrash(c), sync, c, earlier, batches); err != nil {
+			return fmt.Errorf("%+v: %w; %s", c, err, d)
 		}
 	}
 	return nil
@@ -139,7 +140,7 @@
 
 var syncPolicies = map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach}
 
-// A kill or a power cut at each call, before, within and after it, loses nothing that was told as kept.
+// A kill or a power cut at each call, before, within and after it, loses nothing that was reported as durable.
 func TestJournalKilledAtEachCall(t *testing.T) {
 	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
@@ -169,8 +170,8 @@
 	}
 }
 
-// Each call fails once, for a while, with all of its kind or each second time, wholly or half carried out; then the life ends by a
-// kill or a power cut. Nothing told as kept is lost, all rounds end, and no more than one stray is left.
+// Each call fails once or for a while, alone or with all of its kind, carried out not at all or by half; then the incarnation ends by a
+// kill or a power cut. Nothing reported as durable is lost, all batches end, and no more than one file without entries is left.
 func TestJournalWithEachCallFailing(t *testing.T) {
 	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
@@ -192,11 +193,11 @@
 							err := checkRecoveries(d, sync, earlier, all)
 							for i, a := range all {
 								if err == nil && (!isClosed(a.done) || a.err != nil) && i < len(all)-1 {
-									err = fmt.Errorf("round %d: %v", i, a.err)
+									err = fmt.Errorf("batch %d: %v", i, a.err)
 								}
 							}
 							if left := emptyFiles(d); err == nil && left > 1 && at+long < d.calls {
-								err = fmt.Errorf("%d strays: %s", left, d)
+								err = fmt.Errorf("%d files without entries: %s", left, d)
 							}
 							if err != nil {
 								if bad++; bad < 5 {
@@ -214,7 +215,7 @@
 	}
 }
 
-// strays counts files with no entry in them.
+// emptyFiles counts the files without entries.
 func emptyFiles(d *faultFS) (n int) {
 	for _, i := range d.names {
 		if es, _ := ReadJournal(i.data); len(es) == 0 {
@@ -224,7 +225,7 @@
 	return n
 }
 
-// However long a folder fails, in whatever way, it never holds more than one stray beside the file that is tried.
+// However long a directory fails, in whatever way, it never holds more than one file without entries beside the one being begun.
 func TestLongFailuresLeaveNoEmptyFiles(t *testing.T) {
 	for _, kinds := range []string{"create", "write", "sync", "sync folder", "write remove", "sync remove", "sync folder remove",
 		"sync remove rename", "write remove rename", "sync folder remove rename"} {
@@ -243,17 +244,17 @@
 			}
 			for i, a := range all {
 				if !isClosed(a.done) || a.err != nil {
-					t.Errorf("round %d: %v", i, a.err)
+					t.Errorf("batch %d: %v", i, a.err)
 				}
 			}
 			if n := emptyFiles(d); d.calls < 20+long || n > 1 || d.maxFiles > 12 {
-				t.Errorf("%d calls; %d strays, %d files at once: %s", d.calls, n, d.maxFiles, d)
+				t.Errorf("%d calls; %d files without entries, %d files at once: %s", d.calls, n, d.maxFiles, d)
 			}
 		})
 	}
 }
 
-// Kills at chosen bytes of what is written, with syncs, and in each second life any calls, that fail by chance before them.
+// Kills at random bytes of what is written. Before them syncs fail at random, and in half of the runs any other call too.
 func TestJournalKilledAtChosenBytes(t *testing.T) {
 	runs := uint64(500)
 	if n, err := strconv.ParseUint(os.Getenv("HOLLYMAST_KILLS"), 10, 64); err == nil {
@@ -287,7 +288,7 @@
 	}
 }
 
-// A file that can't be read for a moment at a start is read; one that can't for longer is passed over, which is told.
+// A file that can't be read for a moment at a start is read. One that can't be read for longer is passed over, with a warning.
 func TestJournalThatCannotBeReadAtStart(t *testing.T) {
 	for times, want := range map[int]int{0: 3, 1: 3, startAttempts - 1: 3, startAttempts + 3: 0} {
 		failed := 0
@@ -308,10 +309,10 @@
 		j.Close()
 		lost := want == 0
 		if lost {
-			want = 1 // that of the file before
+			want = 1 // the entry of the file before
 		}
 		if len(entries) != want || j.Incomplete() != lost || slices.ContainsFunc(warnings, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
-			t.Errorf("after %d failures: %d entries, unread %t, %q", times, len(entries), j.Incomplete(), warnings)
+			t.Errorf("after %d failures: %d entries, incomplete %t, %q", times, len(entries), j.Incomplete(), warnings)
 		}
 		if _, is := d.names["dir/journal-00000002"]; !is {
 			t.Error("what was not read was removed")
--- a/internal/persistence/journal_encoding_test.go
+++ b/internal/persistence/journal_encoding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A damaged journal gives what stands before the damage and nothing else.
+// A damaged journal is read up to the damage and no further.
 func TestJournalIsReadUpToItsDamage(t *testing.T) {
 	es := testEntries(12)
 	b := []byte(journalMagic)
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -1,6 +1,7 @@
 package persistence
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,7 +13,7 @@
 
 const minute = 60_000_000
 
-// entries gives n lines of all kinds.
+// testEntries returns n entries of several kinds.
 func testEntries(n int) []Entry {
 	es := make([]Entry, n)
 	for i := range es {
@@ -30,7 +31,7 @@
 	return j, es, warnings
 }
 
-// What a round's end tells as kept is there for the next life.
+// What a batch reports as durable is there for the next incarnation.
 func TestDurableEntriesAreRead(t *testing.T) {
 	for _, sync := range []SyncPolicy{SyncNever, SyncGrouped, SyncEach} {
 		dir := t.TempDir()
@@ -38,7 +39,7 @@
 		for incarnation := range 3 {
 			j, got, warnings := openJournal(t, dir, sync)
 			if !slices.Equal(got, es[:30*incarnation]) || len(warnings) > 0 {
-				t.Fatalf("life %d: got %d entries, %q", incarnation, len(got), warnings)
+				t.Fatalf("incarnation %d: got %d entries, %q", incarnation, len(got), warnings)
 			}
 			for i := range 3 {
 				at := 30*incarnation + 10*i
@@ -49,14 +50,14 @@
 				}
 			}
 			j.Close()
-			if r := j.Append(es[0]); r.Err() == nil {
-				t.Error("a closed journal took an entry")
+			if b := j.Append(es[0]); !errors.Is(b.Err(), ErrOverflow) {
+				t.Errorf("a closed journal took an entry: %v", b.Err())
 			}
 		}
 	}
 }
 
-// A disk that fails keeps rounds waiting, says so once, and once it is well all are kept and that is said.
+// While a disk fails batches wait and that is reported once; when it works again all are written and that is reported.
 func TestJournalOnAFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "j")
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -72,14 +73,16 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	second := j.Append(testEntries(2)...) // any file is full: another is to be begun
+	second := j.Append(testEntries(2)...) // with MaxFileBytes of 1 another file begins
 	if err := <-failures; err == nil || !j.Failing() {
-		t.Error("nothing was said")
+		t.Error("no failure was reported")
 	}
-	select {
-	case <-second.Done():
-		t.Error("kept where there is no folder")
-	case <-time.After(50 * time.Millisecond):
+	for j.Failures() < 5 { // each is a write that was tried again
+		select {
+		case <-second.Done():
+			t.Fatal("written where there is no directory")
+		case <-time.After(time.Millisecond):
+		}
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -99,7 +102,7 @@
 	}
 }
 
-// Files go once all in them is too old, and the oldest beyond the bound of all.
+// Files are removed once all their entries are too old, and the oldest beyond the bound of all.
 func TestOldFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, SyncNever)
@@ -127,7 +130,7 @@
 	j.Close()
 }
 
-// BenchmarkJournal is what a job waits for its entry, with 16 at once, and how many entries a sync holds.
+// BenchmarkJournal measures how long 16 concurrent requests wait for their entries, and how many entries a sync covers.
 func BenchmarkJournal(b *testing.B) {
 	for name, sync := range map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/persistence/process_test.go
+++ b/internal/persistence/process_test.go
@@ -15,7 +15,7 @@
 	"hollymast/control"
 )
 
-// A process that writes without end, for TestKilledWriters.
+// TestMain runs the tests, or, in a process started by TestKilledWriters, writes until it is killed.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("HOLLYMAST_TEST_WRITE")
 	if dir == "" {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Writers killed at random moments leave a whole generation, no older than the last that they told of, and a journal with
-// all that they called kept.
+// Writers killed at random moments leave an intact generation, no older than the last that they reported, and a journal with all that
+// they reported as durable.
 func TestKilledWriters(t *testing.T) {
 	kills := 50
 	if n, err := strconv.Atoi(os.Getenv("HOLLYMAST_KILLS")); err == nil {
@@ -94,7 +94,7 @@
 			if !ok || version < last || version > max(last, before)+1 {
 				t.Fatalf("kill %d: got %d after %d, whole %t", i, version, last, ok)
 			}
-			before = version // perhaps one that its writer could not yet tell of
+			before = version // perhaps one that its writer could not report any more
 		}
 	}
 	journal, entries, _, err := OpenJournal(dir, SyncNever, 1<<40, 1<<30, func(error) {})
@@ -119,6 +119,6 @@
 		t.Errorf("%d kills left %d files elsewhere, and %q, %v", kills, len(hidden), left, err)
 	}
 	if last < kills {
-		t.Errorf("only %d generations in %d lives", last, kills)
+		t.Errorf("only %d generations in %d processes", last, kills)
 	}
 }
--- a/internal/persistence/rebase_test.go
+++ b/internal/persistence/rebase_test.go
@@ -8,7 +8,7 @@
 	"hollymast/control"
 )
 
-// A memory's times are brought along within a boot. Else what limits us counts as just now, and the rest is dropped.
+// A state's times are converted within a boot. Else what limits us counts as of now, and the rest is dropped.
 func TestStateOfAnotherClock(t *testing.T) {
 	of := func() *State {
 		k := testState(1000)
@@ -38,8 +38,8 @@
 	unknown := of()
 	unknown.Clock = nil
 	late := of()
-	late.Clock.Offset = -1e9 // it would be of a time to come
-	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}}, "no clock": read(unknown), "to come": late} {
+	late.Clock.Offset = -1e9 // the state would be of the future
+	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}}, "no clock": read(unknown), "of the future": late} {
 		k.Rebase(Clock{7, 100}, 5000)
 		if m := k.Learned; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) || len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
 			t.Errorf("%s: %+v", name, m)
--- a/internal/persistence/recovery_test.go
+++ b/internal/persistence/recovery_test.go
@@ -7,7 +7,7 @@
 	"hollymast/control"
 )
 
-// A memory holds what was sent before it was saved; the journal adds what came after, once.
+// A state holds what was sent before it was saved; the journal adds what came after, once.
 func TestApplyAddsWhatTheStateLacks(t *testing.T) {
 	state := &control.LearnedState{SavedAt: 100, LoadCommands: []control.Micros{90}, Servers: []control.LearnedServer{{Server: 5, SlowStartSends: []control.Micros{95}}}}
 	index := ApplyEntries(state, []Entry{{EntryLoadCommand, 90, 0, 5}, {EntrySlowStartSend, 95, 0, 5}, {EntryAttempt, 96, 9, 5}, {EntryLoadCommand, 110, 0, 5}, {EntrySlowStartSend, 120, 0, 5},
@@ -17,6 +17,6 @@
 		t.Errorf("got %+v", state)
 	}
 	if len(index.MayHaveRun(200, 9)) != 1 || len(index.MayHaveRun(200, 11)) != 0 {
-		t.Error("marks are not as journalled")
+		t.Error("the index is not as the journal says")
 	}
 }
--- a/internal/persistence/store_crash_test.go
+++ b/internal/persistence/store_crash_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A kill or power cut at each call of writing the memory, and each call failing for a while, leave the last generation that was
-// told as written, or a later one, whole; and one stray at most.
+// After a kill or a power cut at each call of writing the state, or with each call failing for a while, the last generation that was
+// reported as written, or a later one, is intact, and one temporary file is left at most.
 func TestStoreWithEachCallFailing(t *testing.T) {
 	bad := 0
 	for at := 1; at < 45; at++ {
@@ -26,8 +26,8 @@
 							written = version
 						}
 					}
-					for _, left := range []struct{ cut, more bool }{{}, {true, false}, {true, true}} {
-						after := disk.afterCrash(left.cut, left.more)
+					for _, c := range crashes {
+						after := disk.afterCrash(c)
 						_, result := OpenStore(Dir("dir").withFileSystem(after), testOwner)
 						version, ok := 0, true
 						if result.State != nil {
@@ -35,7 +35,7 @@
 						}
 						if !ok || version < written || len(disk.names) > 3 || f < killedBefore && at+long+6 < disk.calls && written < 6 {
 							if bad++; bad < 5 {
-								t.Errorf("call %d, %d times (%d, but %q), power cut %t, %t: got %d, told %d; %s", at, long, f, sparing, left.cut, left.more, version, written, disk)
+								t.Errorf("call %d, %d times (%d, but %q), %+v: got %d, written %d; %s", at, long, f, sparing, c, version, written, disk)
 							}
 						}
 					}
@@ -48,7 +48,7 @@
 	}
 }
 
-// A memory that can't be read for a moment at a start is read.
+// A state that can't be read for a moment at a start is read.
 func TestStoreThatCannotBeReadAtStart(t *testing.T) {
 	disk := newFaultFS(func(n int, call, _ string) fault {
 		if call == "read" && n < 20 && n%3 > 0 {
--- a/internal/persistence/store_test.go
+++ b/internal/persistence/store_test.go
@@ -10,10 +10,10 @@
 
 var testOwner = Owner{Router: 1, Deployment: 7}
 
-// items is how many servers and functions a test memory holds: few, since every cut of it is tried.
+// testItems is how many servers and functions a test state holds: few, since it is cut at every byte.
 const testItems = 4
 
-// kept is a memory in which every figure tells which one it is, so that a mixture of two would show.
+// testState returns a state in which every figure is its version, so that a mixture of two would show.
 func testState(version int) *State {
 	m := &control.LearnedState{SavedAt: control.Micros(version), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(version)}}
 	for i := range testItems {
@@ -23,7 +23,7 @@
 	return &State{Owner: testOwner, Learned: m}
 }
 
-// whole tells the mark of a memory, and whether all of it is of that one.
+// stateVersion returns the version of a test state, and whether all of it is of that version.
 func stateVersion(state *State) (version int, ok bool) {
 	m := state.Learned.SavedAt
 	ok = len(state.Learned.Servers) == testItems && len(state.Learned.Functions) == testItems && state.Learned.QuotaDebt[0] == m
@@ -33,10 +33,10 @@
 	return int(m), ok
 }
 
-// tornDisk breaks off in the middle of a writing, in all ways that a file system which reorders what was not synced may.
+// tornStore breaks off within a write, in all ways in which a file system may that reorders what was not synced.
 type tornStore struct {
 	files   map[string][]byte
-	remains func(old, new []byte) []byte // what is left of the file being replaced; nil: all goes well
+	remains func(old, new []byte) []byte // of the file being replaced; nil: the write succeeds
 }
 
 func (d *tornStore) Read(name string) ([]byte, error) {
@@ -57,7 +57,7 @@
 	return errors.New("power cut")
 }
 
-// Whatever is left of a writing that was cut at any point, the last whole generation is found.
+// Whatever is left of a write that was cut off at any point, the last intact generation is found.
 func TestTornWrites(t *testing.T) {
 	full, err := Encode(testState(4))
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Another deployment's memory is not used; ours takes its place.
+// The state of another deployment is not used, and is replaced by ours.
 func TestOtherDeploymentStartsEmpty(t *testing.T) {
 	d := &tornStore{files: map[string][]byte{}}
 	s, _ := OpenStore(d, Owner{Router: 1, Deployment: 8})
--- a/internal/persistence/stored_form_test.go
+++ b/internal/persistence/stored_form_test.go
@@ -7,7 +7,7 @@
 	"hollymast/internal/golden"
 )
 
-// What routers in service have stored is read, and written in the same form: memory-2 has no clock, since its routers knew of none.
+// What gateways in service have stored is read, and written in the same form. memory-2 is by one that knew of no clock.
 func TestStoredForm(t *testing.T) {
 	kept := &State{}
 	golden.Fill(kept)
@@ -27,7 +27,7 @@
 	}
 }
 
-// The same of the journal, with an entry of each kind.
+// The journal's stored form, with an entry of each kind.
 func TestStoredJournal(t *testing.T) {
 	entries := make([]Entry, EntryAdmitted-EntryAttempt+1)
 	for i := range entries {
