--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.verifier.Version()
-	err := r.verifier.Update(r.now(), authorities, revoked)
+	err := r.verifier.Update(authorities, revoked)
 	if r.verifier.Version() != before {
 		r.closeUntrusted()
 	}
--- a/internal/tlspolicy/logbuffer.go
+++ b/internal/tlspolicy/logbuffer.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// notes are lines for operators that nobody has taken yet.
+// logBuffer holds log lines until they are taken.
 type logBuffer struct{ lines []string }
 
-func (n *logBuffer) logf(format string, args ...any) {
-	n.lines = append(n.lines, fmt.Sprintf(format, args...))
+func (b *logBuffer) logf(format string, args ...any) {
+	b.lines = append(b.lines, fmt.Sprintf(format, args...))
 }
 
-// Notes gives what is to be told operators since the last call.
-func (n *logBuffer) LogLines() []string {
-	lines := n.lines
-	n.lines = nil
+// LogLines returns the log lines since the last call.
+func (b *logBuffer) LogLines() []string {
+	lines := b.lines
+	b.lines = nil
 	return lines
 }
--- a/internal/tlspolicy/peererror.go
+++ b/internal/tlspolicy/peererror.go
@@ -6,46 +6,49 @@
 	"fmt"
 )
 
-// Reason is why a peer is refused.
+// Reason is why a peer is rejected.
 type Reason uint8
 
 // The reasons.
 const (
-	NoCertificate    Reason = iota // it showed no certificate
-	UnknownAuthority               // no authority that we trust signed it
-	NotYetValid                    // not yet valid
-	Expired                        // no longer valid
-	WrongName                      // valid, but not for whom it should be
-	WrongKeyUsage                  // not meant for this side of a connection
+	NoCertificate    Reason = iota // it presented none
+	UnknownAuthority               // no trusted authority signed its certificate
+	NotYetValid
+	Expired
+	WrongName     // valid, but not for the peer that was expected
+	WrongKeyUsage // not meant for its side of a connection
 	Revoked
-	NoAuthorities // we have no authorities to check it by
+	NoAuthorities // we have no authorities to verify it by
 )
 
+// reasonNames are metric labels: they must not change.
 var reasonNames = [...]string{"no certificate", "unknown authority", "not yet valid", "expired", "wrong name", "wrong use", "revoked", "nothing to check by"}
 
+// String returns the reason's name in metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Refusal is the plain line with which a peer is refused.
+// PeerError is the error with which a peer is rejected.
 type PeerError struct {
 	Reason Reason
-	Text   string
+	Text   string // one line
 }
 
-func (r *PeerError) Error() string { return r.Text }
+func (e *PeerError) Error() string { return e.Text }
 
-func reject(r Reason, format string, args ...any) *PeerError {
-	return &PeerError{r, fmt.Sprintf(format, args...)}
+func newPeerError(r Reason, format string, args ...any) *PeerError {
+	return &PeerError{Reason: r, Text: fmt.Sprintf(format, args...)}
 }
 
+// chainError turns an error of package x509 into one with a reason.
 func chainError(leaf *x509.Certificate, err error) *PeerError {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) {
 		switch invalid.Reason {
 		case x509.Expired:
-			return reject(Expired, "the certificate of %s ended at %s", subjectNames(invalid.Cert), formatTime(invalid.Cert.NotAfter))
+			return newPeerError(Expired, "the certificate of %s ended at %s", subjectNames(invalid.Cert), formatTime(invalid.Cert.NotAfter))
 		case x509.IncompatibleUsage:
-			return reject(WrongKeyUsage, "the certificate of %s is not meant for this side of a connection", subjectNames(leaf))
+			return newPeerError(WrongKeyUsage, "the certificate of %s is not meant for this side of a connection", subjectNames(leaf))
 		}
 	}
-	return reject(UnknownAuthority, "the certificate of %s: no trusted authority signed it", subjectNames(leaf))
+	return newPeerError(UnknownAuthority, "the certificate of %s: no trusted authority signed it", subjectNames(leaf))
 }
--- a/internal/tlspolicy/peername.go
+++ b/internal/tlspolicy/peername.go
@@ -4,57 +4,68 @@
 	"crypto/x509"
 	"fmt"
 	"net"
+	"net/url"
 	"strings"
 )
 
-// named tells whether a certificate is for one of the names that are told, or without those for the host that was dialled.
-func (p *Verifier) checkName(leaf *x509.Certificate, side Role, host string) error {
-	if len(p.names) == 0 {
-		if side == Client || leaf.VerifyHostname(host) == nil {
+// checkName checks that a certificate has one of the accepted names or, without those, is for the host that was dialled.
+func (v *Verifier) checkName(leaf *x509.Certificate, role Role, host string) error {
+	if len(v.names) == 0 {
+		if role == Client || leaf.VerifyHostname(host) == nil {
 			return nil
 		}
-		return reject(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), host)
+		return newPeerError(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), host)
 	}
-	for _, name := range p.names {
-		for _, d := range leaf.DNSNames {
-			if matchesDNSName(strings.ToLower(name), strings.ToLower(d)) {
+	for _, pattern := range v.names {
+		for _, name := range leaf.DNSNames {
+			if matchesDNSName(strings.ToLower(pattern), strings.ToLower(name)) {
 				return nil
 			}
 		}
-		for _, u := range leaf.URIs {
-			if under, all := strings.CutSuffix(name, "/*"); name == u.String() || all && strings.HasPrefix(u.String(), under+"/") {
+		for _, uri := range leaf.URIs {
+			if matchesURI(pattern, uri) {
 				return nil
 			}
 		}
 	}
-	return reject(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), strings.Join(p.names, " or "))
+	return newPeerError(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), strings.Join(v.names, " or "))
 }
 
-// matches compares a told DNS name with a certificate's; * stands for the whole first label, in the told one alone.
-func matchesDNSName(told, name string) bool {
-	if rest, any := strings.CutPrefix(told, "*."); any {
-		label, after, found := strings.Cut(name, ".")
-		return found && label != "" && label != "*" && after == rest
+// matchesDNSName matches a certificate's name. A pattern's first label may be *, which stands for exactly one label; a * in the
+// certificate's name stands for nothing, so that a wildcard certificate is not taken for any of its names.
+func matchesDNSName(pattern, name string) bool {
+	if parent, wildcard := strings.CutPrefix(pattern, "*."); wildcard {
+		label, rest, found := strings.Cut(name, ".")
+		return found && label != "" && label != "*" && rest == parent
 	}
-	return told == name
+	return pattern == name
 }
 
-// names tells whose certificate it is.
+// matchesURI matches a certificate's URI. A pattern may end in /*, which stands for any path below.
+func matchesURI(pattern string, uri *url.URL) bool {
+	name := uri.String()
+	prefix, wildcard := strings.CutSuffix(pattern, "/*")
+	return pattern == name || wildcard && strings.HasPrefix(name, prefix+"/")
+}
+
+// maxNames bounds the names of a certificate in a log line.
+const maxNames = 4
+
+// subjectNames returns the names that a certificate is for, or its subject if it has none.
 func subjectNames(c *x509.Certificate) string {
-	var all []string
-	all = append(all, c.DNSNames...)
-	for _, u := range c.URIs {
-		all = append(all, u.String())
+	var names []string
+	names = append(names, c.DNSNames...)
+	for _, uri := range c.URIs {
+		names = append(names, uri.String())
 	}
 	for _, ip := range c.IPAddresses {
-		all = append(all, net.IP(ip).String())
+		names = append(names, net.IP(ip).String())
 	}
-	if len(all) == 0 {
+	if len(names) == 0 {
 		return fmt.Sprintf("%q", c.Subject.String())
 	}
-	const most = 4 // one line
-	if len(all) > most {
-		all = append(all[:most], "others")
+	if len(names) > maxNames {
+		names = append(names[:maxNames], "others")
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(names, ", ")
 }
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -2,107 +2,121 @@
 
 import (
 	"bytes"
+	"cmp"
 	"crypto/x509"
 	"encoding/pem"
 	"fmt"
-	"hollymast/control"
+	"maps"
 	"math/big"
 	"slices"
 	"strings"
+
+	"hollymast/control"
 )
 
-// list is an authority's list of revoked certificates.
+// revocationList is an authority's certificate revocation list (CRL, RFC 5280).
 type revocationList struct {
 	issuer     string // raw subject
 	signer     *x509.Certificate
 	number     *big.Int
-	nextUpdate control.Micros // when the authority promised another; 0: it did not
-	revoked    map[string]bool
-	overdue    bool // said
+	nextUpdate control.Micros  // when the authority promised the next one; 0: it did not
+	revoked    map[string]bool // by the bytes of the serial number
+	overdue    bool            // logged
 }
 
-// readLists reads lists of revoked certificates. A list must be signed by a trusted authority and must not be older than the one
-// in service; an authority that had a list before and is still trusted must have one again: a file emptied by accident must
-// not make a revoked certificate good.
-func (p *Verifier) parseRevocations(roots []*x509.Certificate, text []byte) ([]*revocationList, error) {
-	by := map[string]*revocationList{}
-	for rest := text; ; {
-		var b *pem.Block
-		if b, rest = pem.Decode(rest); b == nil {
-			break
+// parseRevocationLists parses CRLs (PEM), and returns the latest of each issuer, in the order of issuers.
+func parseRevocationLists(authorities []*x509.Certificate, text []byte) ([]*revocationList, error) {
+	byIssuer := map[string]*revocationList{}
+	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
+		if block.Type != "X509 CRL" {
+			return nil, fmt.Errorf("the file of revoked certificates holds a %s", strings.ToLower(block.Type))
 		}
-		if b.Type != "X509 CRL" {
-			return nil, fmt.Errorf("the file of revoked certificates holds a %s", strings.ToLower(b.Type))
-		}
-		r, err := x509.ParseRevocationList(b.Bytes)
+		list, err := parseRevocationList(authorities, block.Bytes)
 		if err != nil {
-			return nil, fmt.Errorf("a list of revoked certificates can't be read: %w", err)
-		}
-		for _, e := range r.Extensions {
-			if e.Critical { // a delta, or one for some certificates alone
-				return nil, fmt.Errorf("the list of revoked certificates of %s is of a kind that is not followed (%v)", r.Issuer, e.Id)
-			}
+			return nil, err
 		}
-		i := slices.IndexFunc(roots, func(c *x509.Certificate) bool {
-			return bytes.Equal(c.RawSubject, r.RawIssuer) && r.CheckSignatureFrom(c) == nil
-		})
-		if i < 0 {
-			return nil, fmt.Errorf("the list of revoked certificates of %s is signed by no trusted authority", r.Issuer)
-		}
-		l := &revocationList{issuer: string(r.RawIssuer), signer: roots[i], number: r.Number, revoked: make(map[string]bool, len(r.RevokedCertificateEntries))}
-		if l.number == nil {
-			l.number = new(big.Int)
+		if other := byIssuer[list.issuer]; other == nil || other.number.Cmp(list.number) < 0 {
+			byIssuer[list.issuer] = list
 		}
-		if !r.NextUpdate.IsZero() {
-			l.nextUpdate = microsOf(r.NextUpdate)
+	}
+	return slices.SortedFunc(maps.Values(byIssuer), func(a, b *revocationList) int { return cmp.Compare(a.issuer, b.issuer) }), nil
+}
+
+// parseRevocationList parses a CRL (DER), which a trusted authority must have signed.
+func parseRevocationList(authorities []*x509.Certificate, der []byte) (*revocationList, error) {
+	crl, err := x509.ParseRevocationList(der)
+	if err != nil {
+		return nil, fmt.Errorf("a list of revoked certificates can't be read: %w", err)
+	}
+	for _, e := range crl.Extensions {
+		if e.Critical { // a delta CRL, or one with a limited scope
+			return nil, fmt.Errorf("the list of revoked certificates of %s is of a kind that is not followed (%v)", crl.Issuer, e.Id)
 		}
-		for _, e := range r.RevokedCertificateEntries {
-			l.revoked[string(e.SerialNumber.Bytes())] = true
+	}
+	signer := slices.IndexFunc(authorities, func(c *x509.Certificate) bool {
+		return bytes.Equal(c.RawSubject, crl.RawIssuer) && crl.CheckSignatureFrom(c) == nil
+	})
+	if signer < 0 {
+		return nil, fmt.Errorf("the list of revoked certificates of %s is signed by no trusted authority", crl.Issuer)
+	}
+	list := &revocationList{
+		issuer:  string(crl.RawIssuer),
+		signer:  authorities[signer],
+		number:  crl.Number,
+		revoked: make(map[string]bool, len(crl.RevokedCertificateEntries)),
+	}
+	if list.number == nil {
+		list.number = new(big.Int)
+	}
+	if !crl.NextUpdate.IsZero() {
+		list.nextUpdate = microsOf(crl.NextUpdate)
+	}
+	for _, e := range crl.RevokedCertificateEntries {
+		list.revoked[string(e.SerialNumber.Bytes())] = true
+	}
+	return list, nil
+}
+
+// checkNoRevocationLost checks that each authority that had a CRL and is still trusted has one again, not an older one: a file emptied or
+// restored by accident must not make a revoked certificate good.
+func (v *Verifier) checkNoRevocationLost(authorities []*x509.Certificate, lists []*revocationList) error {
+	for _, old := range v.revocations {
+		if !slices.ContainsFunc(authorities, old.signer.Equal) {
+			continue
 		}
-		if other := by[l.issuer]; other == nil || other.number.Cmp(l.number) < 0 {
-			by[l.issuer] = l
+		i := slices.IndexFunc(lists, func(l *revocationList) bool { return l.issuer == old.issuer })
+		if i < 0 {
+			return fmt.Errorf("the list of revoked certificates of %s is missing", old.signer.Subject)
 		}
-	}
-	for _, old := range p.revocations {
-		trusted := slices.ContainsFunc(roots, func(c *x509.Certificate) bool { return c.Equal(old.signer) })
-		switch l := by[old.issuer]; {
-		case trusted && l == nil:
-			return nil, fmt.Errorf("the list of revoked certificates of %s is missing", old.signer.Subject)
-		case trusted && l.number.Cmp(old.number) < 0:
-			return nil, fmt.Errorf("the list of revoked certificates of %s has number %v, older than %v", old.signer.Subject, l.number, old.number)
+		if lists[i].number.Cmp(old.number) < 0 {
+			return fmt.Errorf("the list of revoked certificates of %s has number %v, older than %v", old.signer.Subject, lists[i].number, old.number)
 		}
 	}
-	var lists []*revocationList
-	for _, l := range by {
-		lists = append(lists, l)
-	}
-	slices.SortFunc(lists, func(a, b *revocationList) int { return strings.Compare(a.issuer, b.issuer) })
-	return lists, nil
+	return nil
 }
 
-// revoked looks for a revoked certificate on the way from a peer's own to a trusted authority's.
-func (p *Verifier) checkRevoked(way []*x509.Certificate) *PeerError {
-	for i, c := range way[:len(way)-1] {
-		for _, l := range p.revocations {
-			if l.signer.Equal(way[i+1]) && l.revoked[string(c.SerialNumber.Bytes())] {
-				return reject(Revoked, "the certificate of %s, number %x, is revoked", subjectNames(c), c.SerialNumber)
+// checkRevoked checks that no certificate of a verified path is revoked by the authority after it.
+func (v *Verifier) checkRevoked(path []*x509.Certificate) *PeerError {
+	for i, c := range path[:len(path)-1] {
+		for _, list := range v.revocations {
+			if list.signer.Equal(path[i+1]) && list.revoked[string(c.SerialNumber.Bytes())] {
+				return newPeerError(Revoked, "the certificate of %s, number %x, is revoked", subjectNames(c), c.SerialNumber)
 			}
 		}
 	}
 	return nil
 }
 
-// Tick announces lists of revoked certificates that are out of date; they count on. It gives when it must be called again;
-// 0: at the next offer.
-func (p *Verifier) Maintain(now control.Micros) (next control.Micros) {
-	for _, l := range p.revocations {
+// Maintain logs CRLs that are out of date; they stay in use. It returns when it must be called again; 0: after the next update.
+func (v *Verifier) Maintain(now control.Micros) (next control.Micros) {
+	for _, list := range v.revocations {
 		switch {
-		case l.nextUpdate == 0 || l.overdue:
-		case now >= l.nextUpdate:
-			l.overdue = true
-			p.logf("the list of revoked certificates of %s should have been replaced by %s; it counts on", l.signer.Subject, formatTime(timeOf(l.nextUpdate)))
-		case next == 0 || l.nextUpdate < next:
-			next = l.nextUpdate
+		case list.nextUpdate == 0 || list.overdue:
+		case now >= list.nextUpdate:
+			list.overdue = true
+			v.logf("the list of revoked certificates of %s should have been replaced by %s; it counts on", list.signer.Subject, formatTime(timeOf(list.nextUpdate)))
+		case next == 0 || list.nextUpdate < next:
+			next = list.nextUpdate
 		}
 	}
 	return next
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -1,61 +1,83 @@
 package tlspolicy
 
 import (
-	"hollymast/internal/fakeserver/authority"
 	"slices"
 	"testing"
 	"time"
+
+	"hollymast/internal/fakeserver/authority"
 )
 
-// A list of revoked certificates that is missing, older, a stranger's or unreadable changes nothing; one out of date counts on.
-func TestRevokedStaysRevoked(t *testing.T) {
+// A CRL that is missing, older, another authority's or unreadable changes nothing.
+func TestRevocationIsNotLost(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
-	x := a.Issue(authority.Request{Names: []string{"127.0.0.1"}})
-	p := NewVerifier(nil)
-	old := a.RevocationList(time.Now().Add(time.Hour))
-	offer := func(roots, lists []byte, well bool) {
-		t.Helper()
-		if err := p.Update(now(), roots, lists); well != (err == nil) {
-			t.Errorf("%v", err)
-		}
+	issued := a.Issue(authority.Request{Names: []string{"127.0.0.1"}})
+	v := NewVerifier(nil)
+	before := a.RevocationList(time.Now().Add(time.Hour))
+	if err := v.Update(a.CertificatePEM(), before); err != nil {
+		t.Fatal(err)
 	}
-	offer(a.CertificatePEM(), old, true)
-	s, err := p.Verify(now(), leaf(x), Server, "127.0.0.1")
+	peer, err := v.Verify(now(), parse(t, issued), Server, "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Revoke(x.Serial)
-	next := a.RevocationList(time.Now().Add(time.Hour))
-	offer(a.CertificatePEM(), next, true)
-	if reason(t, p.Reverify(now(), &s)) != Revoked {
+	a.Revoke(issued.Serial)
+	current := a.RevocationList(time.Now().Add(time.Hour))
+	if err := v.Update(a.CertificatePEM(), current); err != nil {
+		t.Error(err)
+	}
+	if reasonOf(t, v.Reverify(now(), &peer)) != Revoked {
 		t.Error("a connection outlives its peer's revocation")
 	}
-	version := p.Version()
-	offer(a.CertificatePEM(), nil, false)
-	offer(a.CertificatePEM(), old, false)
-	offer(a.CertificatePEM(), b.RevocationList(time.Now().Add(time.Hour)), false)
-	offer(a.CertificatePEM(), append(slices.Clone(next), "-----BEGIN X509 CRL-----\nAAAA\n-----END X509 CRL-----\n"...), false)
-	offer(x.Chain, next, false) // no authority
-	offer(nil, next, false)
-	if notes := p.LogLines(); p.Version() != version || len(notes) != 8 {
-		t.Errorf("version %d after %d, notes %q", p.Version(), version, notes)
-	}
-	offer(nil, next, true) // the same again: not said twice
-	if notes := p.LogLines(); len(notes) != 0 {
-		t.Errorf("notes %q", notes)
-	}
-	offer(b.CertificatePEM(), nil, true) // an authority that is trusted no more needs no list
-	p = NewVerifier(nil)
-	soon := time.Now().Add(time.Minute)
-	offer(a.CertificatePEM(), a.RevocationList(soon), true)
-	if next := p.Maintain(now()); next != at(soon.Truncate(time.Second)) {
-		t.Errorf("the alarm is at %d", next)
-	}
-	p.LogLines()
-	late := at(soon) + 1
-	p.Maintain(late)
-	p.Maintain(late)
-	if _, err := p.Verify(late, leaf(x), Server, "127.0.0.1"); reason(t, err) != Revoked || len(p.LogLines()) != 1 {
+	version := v.Version()
+	unreadable := append(slices.Clone(current), "-----BEGIN X509 CRL-----\nAAAA\n-----END X509 CRL-----\n"...)
+	for _, c := range []struct {
+		what              string
+		authorities, crls []byte
+	}{
+		{"no CRL", a.CertificatePEM(), nil},
+		{"an older CRL", a.CertificatePEM(), before},
+		{"another authority's CRL", a.CertificatePEM(), b.RevocationList(time.Now().Add(time.Hour))},
+		{"an unreadable CRL", a.CertificatePEM(), unreadable},
+		{"no authority's certificate", issued.Chain, current},
+		{"no authority", nil, current},
+	} {
+		if err := v.Update(c.authorities, c.crls); err == nil {
+			t.Errorf("%s is taken in", c.what)
+		}
+	}
+	if lines := v.LogLines(); v.Version() != version || len(lines) != 8 { // two updates and six errors
+		t.Errorf("version %d after %d, log lines %q", v.Version(), version, lines)
+	}
+	if err := v.Update(nil, current); err != nil {
+		t.Errorf("a repeated update: %v", err)
+	}
+	if lines := v.LogLines(); len(lines) != 0 {
+		t.Errorf("a repeated update is logged: %q", lines)
+	}
+	if err := v.Update(b.CertificatePEM(), nil); err != nil {
+		t.Errorf("an authority that is trusted no more needs no CRL: %v", err)
+	}
+}
+
+// A CRL that is out of date stays in use, and is logged once.
+func TestOverdueRevocationList(t *testing.T) {
+	a := authority.New("a")
+	issued := a.Issue(authority.Request{Names: []string{"127.0.0.1"}})
+	a.Revoke(issued.Serial)
+	v := NewVerifier(nil)
+	nextUpdate := time.Now().Add(time.Minute)
+	if err := v.Update(a.CertificatePEM(), a.RevocationList(nextUpdate)); err != nil {
+		t.Error(err)
+	}
+	if next := v.Maintain(now()); next != microsOf(nextUpdate.Truncate(time.Second)) {
+		t.Errorf("next at %d", next)
+	}
+	v.LogLines()
+	late := microsOf(nextUpdate) + 1
+	v.Maintain(late)
+	v.Maintain(late)
+	if _, err := v.Verify(late, parse(t, issued), Server, "127.0.0.1"); reasonOf(t, err) != Revoked || len(v.LogLines()) != 1 {
 		t.Errorf("out of date: %v", err)
 	}
 }
--- a/internal/tlspolicy/verifier.go
+++ b/internal/tlspolicy/verifier.go
@@ -1,7 +1,6 @@
 package tlspolicy
 
 import (
-	"crypto/sha256"
 	"crypto/x509"
 	"encoding/pem"
 	"errors"
@@ -11,167 +10,188 @@
 	"hollymast/control"
 )
 
-// Side is whose certificate it is.
+// Role is a side of a connection.
 type Role uint8
 
-// The two sides of a connection.
+// The roles.
 const (
 	Server Role = iota
 	Client
 )
 
-// Standing is a peer that was believed, for as long as that holds.
-type VerifiedPeer struct {
-	version   uint64
-	expiresAt control.Micros
-	chain     []*x509.Certificate // as shown
-	role      Role
-	host      string
-}
-
-// Peers is what is believed of the other ends of connections.
+// Verifier decides which peers are trusted. It is not safe for concurrent use.
 type Verifier struct {
-	names       []string // that a peer may have; none: the host that was dialled, or anyone the authorities signed
-	roots       []*x509.Certificate
-	pool        *x509.CertPool
+	names       []string // patterns, one of which a peer's certificate must match; none: the host that was dialled, or any name
+	authorities []*x509.Certificate
+	pool        *x509.CertPool    // of the authorities
 	revocations []*revocationList // by issuer, ascending
-	lastDigest  [sha256.Size]byte
+	version     uint64
+	lastDigest  digest // of the last update
 	logBuffer
-	version uint64
 }
 
-// NewPeers gives what believes nobody yet. Names are those that a peer's certificate must have one of: a DNS name, perhaps with
-// * as its first label, or a URI, perhaps ending in /*.
+// NewVerifier returns a verifier that trusts nobody yet. A peer's certificate must match one of the names: a DNS name, whose first label
+// may be *, or a URI, which may end in /*. Without names a server's must be for the host that was dialled, a client's may have any.
 func NewVerifier(names []string) *Verifier { return &Verifier{names: names} }
 
-// Version counts the changes of what is believed.
-func (p *Verifier) Version() uint64 { return p.version }
-
-// Known tells whether there are authorities to check by.
-func (p *Verifier) HasAuthorities() bool { return len(p.roots) > 0 }
-
-// Offer takes in the texts of the trusted authorities' certificates and of their lists of revoked ones (both PEM; no lists: nil)
-// as they are found now. The error, if any, says why something stays as it was; it is also noted, once. Authorities and lists
-// change together or not at all, so that no list goes unheard because its authority came too late.
-func (p *Verifier) Update(now control.Micros, authorities, revoked []byte) error {
-	h := sha256.New()
-	fmt.Fprintf(h, "%d ", len(authorities))
-	h.Write(authorities)
-	h.Write(revoked)
-	digest := [sha256.Size]byte(h.Sum(nil))
-	if digest == p.lastDigest {
+// Version counts the changes of what is trusted.
+func (v *Verifier) Version() uint64 { return v.version }
+
+// HasAuthorities reports whether there are authorities to verify by.
+func (v *Verifier) HasAuthorities() bool { return len(v.authorities) > 0 }
+
+// Update takes the certificates of the trusted authorities and their CRLs (both PEM; nil: no CRLs) as they are now. The error says why all
+// stays as it was; it is logged as well, once, and a repeated update returns none. Authorities and CRLs change together or not at all, so
+// that no CRL is ignored because its authority came too late.
+func (v *Verifier) Update(authorities, revoked []byte) error {
+	d := digestOf(authorities, revoked)
+	if d == v.lastDigest {
 		return nil
 	}
-	p.lastDigest = digest
-	roots, err := parseAuthorities(authorities)
-	var lists []*revocationList
-	if err == nil {
-		lists, err = p.parseRevocations(roots, revoked)
+	v.lastDigest = d
+	if err := v.replace(authorities, revoked); err != nil {
+		if v.HasAuthorities() {
+			v.logf("%v: what was trusted before stands", err)
+		}
+		return err
 	}
+	revocations := 0
+	for _, list := range v.revocations {
+		revocations += len(list.revoked)
+	}
+	v.logf("%d authorities are trusted, %d certificates are revoked", len(v.authorities), revocations)
+	return nil
+}
+
+func (v *Verifier) replace(authoritiesPEM, revokedPEM []byte) error {
+	authorities, err := parseAuthorities(authoritiesPEM)
 	if err != nil {
-		if p.HasAuthorities() {
-			p.logf("%v: what was trusted before stands", err)
-		}
 		return err
 	}
-	p.roots, p.revocations, p.pool = roots, lists, x509.NewCertPool()
-	for _, r := range roots {
-		p.pool.AddCert(r)
+	lists, err := parseRevocationLists(authorities, revokedPEM)
+	if err != nil {
+		return err
+	}
+	if err := v.checkNoRevocationLost(authorities, lists); err != nil {
+		return err
 	}
-	p.version++
-	n := 0
-	for _, l := range lists {
-		n += len(l.revoked)
+	v.authorities, v.revocations, v.pool = authorities, lists, x509.NewCertPool()
+	for _, c := range authorities {
+		v.pool.AddCert(c)
 	}
-	p.logf("%d authorities are trusted, %d certificates are revoked", len(roots), n)
+	v.version++
 	return nil
 }
 
 func parseAuthorities(text []byte) ([]*x509.Certificate, error) {
-	var roots []*x509.Certificate
-	for rest := text; ; {
-		var b *pem.Block
-		if b, rest = pem.Decode(rest); b == nil {
-			break
+	var authorities []*x509.Certificate
+	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
+		if block.Type != "CERTIFICATE" {
+			return nil, fmt.Errorf("the file of authorities holds a %s", strings.ToLower(block.Type))
 		}
-		if b.Type != "CERTIFICATE" {
-			return nil, fmt.Errorf("the file of authorities holds a %s", strings.ToLower(b.Type))
-		}
-		c, err := x509.ParseCertificate(b.Bytes)
+		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("an authority's certificate can't be read: %w", err)
 		}
 		if !c.BasicConstraintsValid || !c.IsCA {
 			return nil, fmt.Errorf("the certificate of %s among the authorities is none's", subjectNames(c))
 		}
-		roots = append(roots, c)
+		authorities = append(authorities, c)
 	}
-	if len(roots) == 0 {
+	if len(authorities) == 0 {
 		return nil, errors.New("no authority is named")
 	}
-	return roots, nil
+	return authorities, nil
+}
+
+// VerifiedPeer is a peer that was trusted when it connected; see Reverify.
+type VerifiedPeer struct {
+	version   uint64 // of the verifier
+	expiresAt control.Micros
+	chain     []*x509.Certificate // as presented
+	role      Role
+	host      string
 }
 
-// Check tells whether a peer is believed that showed this chain, its own certificate first; the error is a *Refusal. Host is the
-// one that was dialled; empty for a client.
-func (p *Verifier) Verify(now control.Micros, chain []*x509.Certificate, side Role, host string) (VerifiedPeer, error) {
+// Verify decides whether a peer that presented this chain, its own certificate first, is trusted; its errors are *PeerError. Role is the
+// peer's, and host the one that was dialled, empty for a client.
+func (v *Verifier) Verify(now control.Micros, chain []*x509.Certificate, role Role, host string) (VerifiedPeer, error) {
 	if len(chain) == 0 {
-		return VerifiedPeer{}, reject(NoCertificate, "the peer showed no certificate")
-	}
-	if !p.HasAuthorities() {
-		return VerifiedPeer{}, reject(NoAuthorities, "there is no trusted authority to check %s by", subjectNames(chain[0]))
+		return VerifiedPeer{}, newPeerError(NoCertificate, "the peer showed no certificate")
 	}
 	leaf := chain[0]
-	for _, c := range chain { // told apart here, since x509 calls both expired
-		if from := microsOf(c.NotBefore); now < from {
-			return VerifiedPeer{}, reject(NotYetValid, "the certificate of %s is not valid before %s", subjectNames(c), formatTime(c.NotBefore))
-		}
-	}
-	between := x509.NewCertPool()
-	for _, c := range chain[1:] {
-		between.AddCert(c)
+	if !v.HasAuthorities() {
+		return VerifiedPeer{}, newPeerError(NoAuthorities, "there is no trusted authority to check %s by", subjectNames(leaf))
 	}
-	use := x509.ExtKeyUsageServerAuth
-	if side == Client {
-		use = x509.ExtKeyUsageClientAuth
+	for _, c := range chain { // checked here, since x509 calls this expired too
+		if now < microsOf(c.NotBefore) {
+			return VerifiedPeer{}, newPeerError(NotYetValid, "the certificate of %s is not valid before %s", subjectNames(c), formatTime(c.NotBefore))
+		}
 	}
-	ways, err := leaf.Verify(x509.VerifyOptions{Roots: p.pool, Intermediates: between, CurrentTime: timeOf(now), KeyUsages: []x509.ExtKeyUsage{use}})
+	paths, err := leaf.Verify(v.verifyOptions(now, chain[1:], role))
 	if err != nil {
 		return VerifiedPeer{}, chainError(leaf, err)
 	}
-	if err := p.checkName(leaf, side, host); err != nil {
+	if err := v.checkName(leaf, role, host); err != nil {
+		return VerifiedPeer{}, err
+	}
+	expiresAt, err := v.lastExpiry(paths)
+	if err != nil {
 		return VerifiedPeer{}, err
 	}
-	s := VerifiedPeer{version: p.version, chain: chain, role: side, host: host}
+	return VerifiedPeer{version: v.version, expiresAt: expiresAt, chain: chain, role: role, host: host}, nil
+}
+
+func (v *Verifier) verifyOptions(now control.Micros, intermediates []*x509.Certificate, role Role) x509.VerifyOptions {
+	pool := x509.NewCertPool()
+	for _, c := range intermediates {
+		pool.AddCert(c)
+	}
+	usage := x509.ExtKeyUsageServerAuth
+	if role == Client {
+		usage = x509.ExtKeyUsageClientAuth
+	}
+	return x509.VerifyOptions{Roots: v.pool, Intermediates: pool, CurrentTime: timeOf(now), KeyUsages: []x509.ExtKeyUsage{usage}}
+}
+
+// lastExpiry returns when the last of the paths without a revoked certificate expires: one is enough. The error is that of a revoked
+// certificate, where each path has one.
+func (v *Verifier) lastExpiry(paths [][]*x509.Certificate) (control.Micros, error) {
+	var last control.Micros
 	var revoked *PeerError
-	for _, way := range ways { // one way without a revoked certificate is enough; the longest-lived counts
-		if r := p.checkRevoked(way); r != nil {
-			revoked = r
+	for _, path := range paths {
+		if err := v.checkRevoked(path); err != nil {
+			revoked = err
 			continue
 		}
-		until := microsOf(way[0].NotAfter)
-		for _, c := range way {
-			until = min(until, microsOf(c.NotAfter))
-		}
-		s.expiresAt = max(s.expiresAt, until)
+		last = max(last, pathExpiry(path))
+	}
+	if last == 0 {
+		return 0, revoked
 	}
-	if s.expiresAt == 0 {
-		return VerifiedPeer{}, revoked
+	return last, nil
+}
+
+// pathExpiry returns when the first certificate of a path expires.
+func pathExpiry(path []*x509.Certificate) control.Micros {
+	expiry := microsOf(path[0].NotAfter)
+	for _, c := range path {
+		expiry = min(expiry, microsOf(c.NotAfter))
 	}
-	return s, nil
+	return expiry
 }
 
-// Still tells whether a peer that was believed is believed now. It costs little while nothing changed.
-func (p *Verifier) Reverify(now control.Micros, s *VerifiedPeer) error {
-	if now >= s.expiresAt {
-		return reject(Expired, "the certificate of %s ended while the connection stood", subjectNames(s.chain[0]))
+// Reverify checks that a peer is still trusted; its errors are *PeerError. It costs little while nothing has changed.
+func (v *Verifier) Reverify(now control.Micros, peer *VerifiedPeer) error {
+	if now >= peer.expiresAt {
+		return newPeerError(Expired, "the certificate of %s ended while the connection stood", subjectNames(peer.chain[0]))
 	}
-	if s.version == p.version {
+	if peer.version == v.version {
 		return nil
 	}
-	fresh, err := p.Verify(now, s.chain, s.role, s.host)
+	verified, err := v.Verify(now, peer.chain, peer.role, peer.host)
 	if err == nil {
-		*s = fresh
+		*peer = verified
 	}
 	return err
 }
--- a/internal/tlspolicy/verifier_test.go
+++ b/internal/tlspolicy/verifier_test.go
@@ -12,109 +12,117 @@
 	"hollymast/internal/fakeserver/authority"
 )
 
-func at(t time.Time) control.Micros { return microsOf(t) }
+const day = 24 * time.Hour
 
-func now() control.Micros { return at(time.Now()) }
+func now() control.Micros { return microsOf(time.Now()) }
 
-func leaf(i authority.Certificate) []*x509.Certificate {
+// parse returns the certificates of an issued chain.
+func parse(t *testing.T, c authority.Certificate) []*x509.Certificate {
+	t.Helper()
 	var chain []*x509.Certificate
-	for b, rest := pem.Decode(i.Chain); b != nil; b, rest = pem.Decode(rest) {
-		c, err := x509.ParseCertificate(b.Bytes)
+	for block, rest := pem.Decode(c.Chain); block != nil; block, rest = pem.Decode(rest) {
+		parsed, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			panic(err)
+			t.Fatal(err)
 		}
-		chain = append(chain, c)
+		chain = append(chain, parsed)
 	}
 	return chain
 }
 
-func reason(t *testing.T, err error) Reason {
+// reasonOf returns the reason of an error of the verifier, which must be one line.
+func reasonOf(t *testing.T, err error) Reason {
 	t.Helper()
-	var no *PeerError
-	if !errors.As(err, &no) {
-		t.Fatalf("%v is no refusal", err)
+	var peerError *PeerError
+	if !errors.As(err, &peerError) {
+		t.Fatalf("%v is no PeerError", err)
 	}
-	if strings.ContainsAny(no.Text, "\n") || no.Text == "" {
-		t.Errorf("%q is not one plain line", no.Text)
+	if strings.ContainsAny(peerError.Text, "\n") || peerError.Text == "" {
+		t.Errorf("%q is not one plain line", peerError.Text)
 	}
-	return no.Reason
+	return peerError.Reason
 }
 
-// Every way in which a peer can be wrong is refused for its own reason.
-func TestPeersAreRefused(t *testing.T) {
-	a, stranger := authority.New("ours"), authority.New("theirs")
-	middle := a.Intermediate("middle")
-	day := 24 * time.Hour
-	issue := func(a *authority.Authority, q authority.Request) []*x509.Certificate {
-		if q.Names == nil {
-			q.Names = []string{"127.0.0.1", "w1.workers.example", "spiffe://example/worker/1"}
+// Each way in which a peer can be wrong is rejected for its own reason.
+func TestVerify(t *testing.T) {
+	ours, others := authority.New("ours"), authority.New("theirs")
+	intermediate := ours.Intermediate("middle")
+	issue := func(by *authority.Authority, request authority.Request) []*x509.Certificate {
+		if request.Names == nil {
+			request.Names = []string{"127.0.0.1", "w1.workers.example", "spiffe://example/worker/1"}
 		}
-		return leaf(a.Issue(q))
+		return parse(t, by.Issue(request))
 	}
-	gone, goneMiddle := a.Issue(authority.Request{Names: []string{"127.0.0.1"}}), a.Intermediate("gone")
-	a.Revoke(gone.Serial)
-	under := goneMiddle.Issue(authority.Request{Names: []string{"127.0.0.1"}})
-	a.Revoke(leaf(under)[1].SerialNumber)
-	crl := a.RevocationList(time.Now().Add(day))
+	revoked, revokedIntermediate := ours.Issue(authority.Request{Names: []string{"127.0.0.1"}}), ours.Intermediate("gone")
+	ours.Revoke(revoked.Serial)
+	underRevoked := revokedIntermediate.Issue(authority.Request{Names: []string{"127.0.0.1"}})
+	ours.Revoke(parse(t, underRevoked)[1].SerialNumber)
+	crl := ours.RevocationList(time.Now().Add(day))
 	for name, c := range map[string]struct {
-		chain []*x509.Certificate
-		names []string
-		side  Role
-		host  string
-		want  Reason
-		well  bool
+		chain   []*x509.Certificate
+		names   []string
+		role    Role
+		host    string
+		want    Reason // unless trusted
+		trusted bool
 	}{
-		"good server":      {chain: issue(a, authority.Request{}), host: "127.0.0.1", well: true},
-		"by a middle one":  {chain: issue(middle, authority.Request{}), host: "127.0.0.1", well: true},
-		"good client":      {chain: issue(a, authority.Request{}), side: Client, well: true},
-		"told name":        {chain: issue(a, authority.Request{}), names: []string{"*.workers.example"}, host: "10.0.0.1", well: true},
-		"told URI":         {chain: issue(a, authority.Request{}), names: []string{"spiffe://example/worker/*"}, well: true},
-		"none":             {side: Client, want: NoCertificate},
-		"another host":     {chain: issue(a, authority.Request{}), host: "127.0.0.2", want: WrongName},
-		"another name":     {chain: issue(a, authority.Request{}), names: []string{"*.example", "w1.workers"}, host: "127.0.0.1", want: WrongName},
-		"a longer URI":     {chain: issue(a, authority.Request{}), names: []string{"spiffe://example/work/*"}, want: WrongName},
-		"stranger":         {chain: issue(stranger, authority.Request{}), host: "127.0.0.1", want: UnknownAuthority},
-		"early":            {chain: issue(a, authority.Request{NotBefore: time.Now().Add(day), NotAfter: time.Now().Add(2 * day)}), host: "127.0.0.1", want: NotYetValid},
-		"ended":            {chain: issue(a, authority.Request{NotBefore: time.Now().Add(-2 * day), NotAfter: time.Now().Add(-day)}), host: "127.0.0.1", want: Expired},
-		"a client's alone": {chain: issue(a, authority.Request{Uses: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongKeyUsage},
-		"revoked":          {chain: leaf(gone), host: "127.0.0.1", want: Revoked},
-		"its signer is":    {chain: leaf(under), host: "127.0.0.1", want: Revoked},
+		"server":               {chain: issue(ours, authority.Request{}), host: "127.0.0.1", trusted: true},
+		"intermediate":         {chain: issue(intermediate, authority.Request{}), host: "127.0.0.1", trusted: true},
+		"client":               {chain: issue(ours, authority.Request{}), role: Client, trusted: true},
+		"accepted name":        {chain: issue(ours, authority.Request{}), names: []string{"*.workers.example"}, host: "10.0.0.1", trusted: true},
+		"accepted URI":         {chain: issue(ours, authority.Request{}), names: []string{"spiffe://example/worker/*"}, trusted: true},
+		"none":                 {role: Client, want: NoCertificate},
+		"another host":         {chain: issue(ours, authority.Request{}), host: "127.0.0.2", want: WrongName},
+		"another name":         {chain: issue(ours, authority.Request{}), names: []string{"*.example", "w1.workers"}, host: "127.0.0.1", want: WrongName},
+		"a longer URI":         {chain: issue(ours, authority.Request{}), names: []string{"spiffe://example/work/*"}, want: WrongName},
+		"another authority":    {chain: issue(others, authority.Request{}), host: "127.0.0.1", want: UnknownAuthority},
+		"not yet valid":        {chain: issue(ours, authority.Request{NotBefore: time.Now().Add(day), NotAfter: time.Now().Add(2 * day)}), host: "127.0.0.1", want: NotYetValid},
+		"expired":              {chain: issue(ours, authority.Request{NotBefore: time.Now().Add(-2 * day), NotAfter: time.Now().Add(-day)}), host: "127.0.0.1", want: Expired},
+		"for clients alone":    {chain: issue(ours, authority.Request{Uses: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongKeyUsage},
+		"revoked":              {chain: parse(t, revoked), host: "127.0.0.1", want: Revoked},
+		"revoked intermediate": {chain: parse(t, underRevoked), host: "127.0.0.1", want: Revoked},
 	} {
-		p := NewVerifier(c.names)
-		if err := p.Update(now(), a.CertificatePEM(), crl); err != nil {
+		v := NewVerifier(c.names)
+		if err := v.Update(ours.CertificatePEM(), crl); err != nil {
 			t.Fatal(err)
 		}
-		_, err := p.Verify(now(), c.chain, c.side, c.host)
-		if c.well != (err == nil) || err != nil && reason(t, err) != c.want {
-			t.Errorf("%s: %v, want %v (well: %v)", name, err, c.want, c.well)
+		_, err := v.Verify(now(), c.chain, c.role, c.host)
+		if c.trusted != (err == nil) || err != nil && reasonOf(t, err) != c.want {
+			t.Errorf("%s: %v, want %v (trusted: %v)", name, err, c.want, c.trusted)
 		}
 	}
-	if _, err := NewVerifier(nil).Verify(now(), issue(a, authority.Request{}), Server, "127.0.0.1"); reason(t, err) != NoAuthorities {
+	if _, err := NewVerifier(nil).Verify(now(), issue(ours, authority.Request{}), Server, "127.0.0.1"); reasonOf(t, err) != NoAuthorities {
 		t.Error(err)
 	}
 }
 
-// What was believed is believed no longer once it has ended, or its authority is trusted no more, and still is where another
-// way leads to one that is.
-func TestStandingEnds(t *testing.T) {
+// A peer is trusted no longer once its certificate has expired or its authority is trusted no more; another authority beside its own
+// changes nothing.
+func TestReverify(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
-	until := time.Now().Add(time.Minute).Truncate(time.Second)
-	x := leaf(a.Issue(authority.Request{Names: []string{"127.0.0.1"}, NotAfter: until}))
-	p := NewVerifier(nil)
-	p.Update(now(), a.CertificatePEM(), nil)
-	s, err := p.Verify(now(), x, Server, "127.0.0.1")
+	expiry := time.Now().Add(time.Minute).Truncate(time.Second)
+	chain := parse(t, a.Issue(authority.Request{Names: []string{"127.0.0.1"}, NotAfter: expiry}))
+	v := NewVerifier(nil)
+	if err := v.Update(a.CertificatePEM(), nil); err != nil {
+		t.Fatal(err)
+	}
+	peer, err := v.Verify(now(), chain, Server, "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Update(now(), append(a.CertificatePEM(), b.CertificatePEM()...), nil)
-	if err := p.Reverify(at(until)-1, &s); err != nil {
+	if err := v.Update(append(a.CertificatePEM(), b.CertificatePEM()...), nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := v.Reverify(microsOf(expiry)-1, &peer); err != nil {
 		t.Error(err)
 	}
-	if err := p.Reverify(at(until), &s); reason(t, err) != Expired {
+	if err := v.Reverify(microsOf(expiry), &peer); reasonOf(t, err) != Expired {
 		t.Error(err)
 	}
-	p.Update(now(), b.CertificatePEM(), nil)
-	if err := p.Reverify(now(), &s); reason(t, err) != UnknownAuthority {
+	if err := v.Update(b.CertificatePEM(), nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := v.Reverify(now(), &peer); reasonOf(t, err) != UnknownAuthority {
 		t.Error(err)
 	}
 }
