--- a/internal/certstore/trackedconn.go
+++ b/internal/certstore/trackedconn.go
@@ -36,7 +36,7 @@
 	for c := range s.tracked {
 		if err := s.verifier.Reverify(now, &c.peer); err != nil {
 			s.countRejectedLocked(err)
-			s.log("a connection is cut: " + err.Error())
+			s.log("a connection is closed: " + err.Error())
 			delete(s.tracked, c)
 			c.raw.Close() // the TLS connection's Close may wait to write its alert
 		}
--- a/internal/tlspolicy/verifier.go
+++ b/internal/tlspolicy/verifier.go
@@ -94,7 +94,7 @@
 			return nil, fmt.Errorf("an authority's certificate can't be read: %w", err)
 		}
 		if !c.BasicConstraintsValid || !c.IsCA {
-			return nil, fmt.Errorf("the certificate of %s among the authorities is none's", subjectNames(c))
+			return nil, fmt.Errorf("the certificate of %s among the authorities is not an authority's", subjectNames(c))
 		}
 		authorities = append(authorities, c)
 	}
