--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -240,8 +240,10 @@
 // SubscribeEndpoints notes the wish for changes of the list.
 func (t *Recorder) SubscribeEndpoints() { t.did(Command{Kind: CommandSubscribe}) }
 
-// Log notes a line for the log.
-func (t *Recorder) Log(text string) { t.did(Command{Kind: CommandLog, Text: text}) }
+// LogServerEvent notes a change in a server's health.
+func (t *Recorder) LogServerEvent(event control.ServerEvent) {
+	t.did(Command{Kind: CommandLog, Text: event.String()})
+}
 
 // SetTimer notes the alarm.
 func (t *Recorder) SetTimer(at control.Micros) { t.did(Command{Kind: CommandSetTimer, Time: at}) }
