--- /dev/null
+++ b/internal/tlspolicy/logbuffer.go
@@ -0,0 +1,17 @@
+package tlspolicy
+
+import "fmt"
+
+// logBuffer holds log lines until they are taken.
+type logBuffer struct{ lines []string }
+
+func (b *logBuffer) logf(format string, args ...any) {
+	b.lines = append(b.lines, fmt.Sprintf(format, args...))
+}
+
+// LogLines returns the log lines since the last call.
+func (b *logBuffer) LogLines() []string {
+	lines := b.lines
+	b.lines = nil
+	return lines
+}
