--- a/internal/gateway/tls.go
+++ b/internal/gateway/tls.go
@@ -14,6 +14,9 @@
 	"hollymast/internal/xds"
 )
 
+// The certificates of connections are checked again after the handshake.
+var _ rest.PeerChecker = (*certstore.Conn)(nil)
+
 // wallClock returns the time that certificates are valid by.
 func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
--- a/internal/rest/body.go
+++ b/internal/rest/body.go
@@ -8,7 +8,13 @@
 	"strings"
 )
 
-// framing tells how a message's body is delimited: its length, or -1 for chunks, or -2 for neither.
+// Values of bodyLength for a body whose length the header does not state.
+const (
+	chunkedLength = -1 // the body is in chunks
+	noLength      = -2 // there is no body, or it ends with the connection
+)
+
+// bodyLength returns the length of a message's body in bytes, chunkedLength or noLength.
 func bodyLength(h Header, http10 bool) (int, error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	switch {
@@ -19,16 +25,16 @@
 	case len(codings) > 1 || len(codings) == 1 && !strings.EqualFold(codings[0], "chunked"):
 		return 0, messageError(501, "a transfer coding other than chunked")
 	case len(codings) == 1:
-		return -1, nil
+		return chunkedLength, nil
 	case len(lengths) > 1:
 		return 0, messageError(400, "more than one Content-Length")
 	case len(lengths) == 1:
 		return parseNumber(lengths[0], 10, 18)
 	}
-	return -2, nil
+	return noLength, nil
 }
 
-// number reads digits alone: no sign, no space, not so many that it could overflow.
+// parseNumber parses at most so many digits, with no sign or space.
 func parseNumber(s string, base, most int) (int, error) {
 	if len(s) == 0 || len(s) > most {
 		return 0, messageError(400, "a length of %d digits", len(s))
@@ -45,25 +51,19 @@
 	return int(n), nil
 }
 
-// Reserve is asked before body bytes are taken into memory; a false answer refuses the message with 503.
+// Reserve is called before bytes of a body are read into memory; if it returns false, the message is rejected with 503.
 type Reserve func(bytes int) bool
 
-// body reads a body of a length (-1: chunks, -2: none, or to the end of the connection).
-func readBody(r *bufio.Reader, length int, l *Limits, toEnd bool, room Reserve) ([]byte, error) {
+// readBody reads a body of a length that bodyLength found; with noLength there is none. reserve may be nil.
+func readBody(r *bufio.Reader, length int, l *Limits, reserve Reserve) ([]byte, error) {
 	switch {
-	case length == -1:
-		return readChunks(r, l, room)
-	case length == -2 && toEnd:
-		b, err := io.ReadAll(io.LimitReader(r, int64(l.MaxBody)+1))
-		if err == nil && len(b) > l.MaxBody {
-			err = messageError(413, "a body of more than %d bytes", l.MaxBody)
-		}
-		return b, err
+	case length == chunkedLength:
+		return readChunks(r, l, reserve)
 	case length <= 0:
 		return nil, nil
 	case length > l.MaxBody:
 		return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
-	case room != nil && !room(length):
+	case reserve != nil && !reserve(length):
 		return nil, messageError(503, "no room for a body of %d bytes now", length)
 	}
 	b := make([]byte, length)
@@ -74,34 +74,36 @@
 	return b, err
 }
 
-func readChunks(r *bufio.Reader, l *Limits, room Reserve) ([]byte, error) {
+// readToEnd reads a body that ends with the connection.
+func readToEnd(r *bufio.Reader, l *Limits) ([]byte, error) {
+	b, err := io.ReadAll(io.LimitReader(r, int64(l.MaxBody)+1))
+	if err == nil && len(b) > l.MaxBody {
+		err = messageError(413, "a body of more than %d bytes", l.MaxBody)
+	}
+	return b, err
+}
+
+// readChunks reads a body in chunks, with its trailer.
+func readChunks(r *bufio.Reader, l *Limits, reserve Reserve) ([]byte, error) {
 	var whole []byte
 	for {
-		b, err := readLine(r, l.MaxLine, 400)
-		if err == io.EOF {
-			err = io.ErrUnexpectedEOF
-		}
+		size, err := readChunkSize(r, l)
 		if err != nil {
 			return nil, err
 		}
-		size, _, _ := bytes.Cut(b, []byte{';'}) // extensions mean nothing here
-		n, err := parseNumber(string(size), 16, 15)
-		if err != nil {
-			return nil, err
-		}
-		if n == 0 {
+		if size == 0 {
 			break
 		}
-		if n > l.MaxBody-len(whole) {
+		if size > l.MaxBody-len(whole) {
 			return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
 		}
-		if room != nil && !room(n) {
-			return nil, messageError(503, "no room for %d bytes more now", n)
+		if reserve != nil && !reserve(size) {
+			return nil, messageError(503, "no room for %d bytes more now", size)
 		}
-		at := len(whole)
-		whole = append(whole, make([]byte, n)...)
+		begin := len(whole)
+		whole = append(whole, make([]byte, size)...)
 		var end [2]byte
-		if _, err = io.ReadFull(r, whole[at:]); err == nil {
+		if _, err = io.ReadFull(r, whole[begin:]); err == nil {
 			_, err = io.ReadFull(r, end[:])
 		}
 		if err == io.EOF {
@@ -123,3 +125,16 @@
 	}
 	return whole, nil
 }
+
+// readChunkSize reads the line before a chunk. Extensions are ignored.
+func readChunkSize(r *bufio.Reader, l *Limits) (int, error) {
+	b, err := readLine(r, l.MaxLine, 400)
+	if err == io.EOF {
+		err = io.ErrUnexpectedEOF
+	}
+	if err != nil {
+		return 0, err
+	}
+	size, _, _ := bytes.Cut(b, []byte{';'})
+	return parseNumber(string(size), 16, 15)
+}
--- a/internal/rest/connclose_test.go
+++ b/internal/rest/connclose_test.go
@@ -2,25 +2,28 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
-// waits returns once bytes have come on a server's connection.
-func awaitData(t *testing.T, s *Conn) {
+// awaitBytes waits until n bytes have arrived on a server's connection and were not read.
+func awaitBytes(t *testing.T, s *Conn, n int) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); isQuiet(socketOf(s.conn)); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("nothing came")
-		}
-	}
+	waitUntil(t, "bytes arrive", func() bool {
+		arrived := 0
+		ok := control(s.conn, func(fd int) { arrived, _ = unix.IoctlGetInt(fd, unix.TIOCINQ) })
+		return ok && arrived >= n
+	})
 }
 
-// A deadline that passed while the process stood still does not hide what had come: it is read first.
-func TestWhatCameIsReadBeforeADeadlineCounts(t *testing.T) {
+// A deadline that passed while the process was stalled does not hide what had arrived: that is read first.
+func TestPendingBytesAreReadAtDeadline(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*readBuffer)
 	for name, passed := range map[string]func(*Limits){
 		"idle":   func(l *Limits) { l.IdleTimeout = time.Nanosecond },
@@ -30,27 +33,28 @@
 		l := DefaultLimits
 		passed(&l)
 		s, conn := testConn(t, l)
-		io.WriteString(conn, requestHead+"Long: "+string(long[:5000])+"\r\nContent-Length: 6144\r\n\r\n")
+		head := requestHead + "Long: " + string(long[:5000]) + "\r\nContent-Length: 6144\r\n\r\n"
+		io.WriteString(conn, head)
 		conn.Write(long)
-		awaitData(t, s)
-		time.Sleep(10 * time.Millisecond) // for the rest of it
+		awaitBytes(t, s, len(head)+len(long))
 		if req, err := s.ReadRequest(); err != nil || len(req.Body) != len(long) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 }
 
-// A connection that is to end soon is told so while a message comes, between two, or while one is awaited: it still gives the
-// message, and ends when nothing comes.
-func TestEndsBetweenMessages(t *testing.T) {
+// An idle deadline is set while a message arrives, between two, or while one is awaited: the message is still read, and
+// the connection is idle when nothing arrives.
+func TestSetIdleDeadline(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	s.SetIdleDeadline(time.Now()) // before anything is awaited
-	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
-	awaitData(t, s)
+	const first = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
+	io.WriteString(conn, first)
+	awaitBytes(t, s, len(first))
 	if req, err := s.ReadRequest(); err != nil || req.Target != "/1" {
 		t.Errorf("sent before: got %+v, %v", req, err)
 	}
-	if _, err := s.ReadRequest(); err != ErrIdle {
+	if _, err := s.ReadRequest(); !errors.Is(err, ErrIdle) {
 		t.Errorf("nothing sent: got %v", err)
 	}
 
@@ -64,14 +68,14 @@
 
 	quiet, _ := testConn(t, DefaultLimits)
 	time.AfterFunc(50*time.Millisecond, func() { quiet.SetIdleDeadline(time.Now()) })
-	if _, err := quiet.ReadRequest(); err != ErrIdle {
+	if _, err := quiet.ReadRequest(); !errors.Is(err, ErrIdle) {
 		t.Errorf("while nothing comes: got %v", err)
 	}
 }
 
-// The last answer on a connection is whole at a client that reads slowly and has sent more than is read: a close with
-// something unread would reset the connection, and what of the answer is on the way would be gone.
-func TestLastAnswerIsNotOvertakenByAReset(t *testing.T) {
+// The last response on a connection is complete at a client that reads slowly and has sent more than is read: closing with
+// unread bytes would reset the connection and lose the part of the response that is in transit.
+func TestLastResponseIsNotLostToReset(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	conn.(*net.TCPConn).SetReadBuffer(16 << 10)
 	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -82,7 +86,7 @@
 	answer := bytes.Repeat([]byte("y"), 48<<10)
 	answered := make(chan error, 1)
 	go func() { answered <- s.WriteResponse(&Response{Status: 400, Body: answer, Close: true}) }()
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond) // the client reads slowly
 	got, err := io.ReadAll(conn)
 	if err != nil || !bytes.HasSuffix(got, answer) {
 		t.Errorf("%d bytes of over %d, %v", len(got), len(answer), err)
@@ -93,11 +97,11 @@
 	}
 }
 
-// A look that a signal interrupts is made again, and not for ever.
-func TestInterruptedLook(t *testing.T) {
+// A system call that a signal interrupts is retried, and not for ever.
+func TestInterruptedPeek(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	io.WriteString(conn, "x")
-	awaitData(t, s)
+	awaitBytes(t, s, 1)
 	times, calls := 0, 0
 	recvfrom = func(fd int, b []byte, flags int) (int, syscall.Sockaddr, error) {
 		if calls++; calls <= times {
--- a/internal/rest/deadlinereader.go
+++ b/internal/rest/deadlinereader.go
@@ -8,47 +8,49 @@
 	"time"
 )
 
-// looking reads from a connection with a deadline. Guards against a deadline that passed while this process stood still:
-// what had come by then is read before the deadline counts, once for each.
+// deadlineReader reads from a connection with a deadline. It guards against a deadline that passed while this process was
+// stalled: what had arrived by then is read before the deadline counts, once for each deadline.
 type deadlineReader struct {
 	conn        net.Conn
-	readPending atomic.Bool
-	receivedAt  time.Time // when what was read last was here
+	readPending atomic.Bool // what was pending at the deadline was read
+	receivedAt  time.Time   // when the bytes of the last read had arrived
 }
 
-// lastLook is for how long bytes that are here are read once a deadline has passed: they are read at once, but the rest of a
-// message may have to be copied, or of a secret record may still be on its way.
+// lastReadTime is for how long pending bytes are read after a deadline: they are read at once, but the rest of a message
+// may have to be copied, or that of a TLS record may be in transit.
 const lastReadTime = 50 * time.Millisecond
 
-func (l *deadlineReader) setDeadline(at time.Time) {
-	l.readPending.Store(false)
-	l.conn.SetReadDeadline(at)
+// setDeadline sets the deadline of reads; zero means none.
+func (r *deadlineReader) setDeadline(at time.Time) {
+	r.readPending.Store(false)
+	r.conn.SetReadDeadline(at)
 }
 
-// cut ends a read that waits, without a last look.
-func (l *deadlineReader) interrupt() {
-	l.readPending.Store(true)
-	l.conn.SetReadDeadline(time.Unix(1, 0))
+// interrupt ends a blocked read, without reading what is pending.
+func (r *deadlineReader) interrupt() {
+	r.readPending.Store(true)
+	r.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-func (l *deadlineReader) Read(b []byte) (int, error) {
-	n, err := l.read(b)
-	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || l.readPending.Swap(true) {
+// Read is part of io.Reader.
+func (r *deadlineReader) Read(b []byte) (int, error) {
+	n, err := r.read(b)
+	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.readPending.Swap(true) {
 		return n, err
 	}
-	if e, ok := peekSocket(socketOf(l.conn)); !ok || e != 0 {
+	if e, ok := peekSocket(socketOf(r.conn)); !ok || e != 0 {
 		return n, err
 	}
-	l.conn.SetReadDeadline(time.Now().Add(lastReadTime))
-	return l.read(b)
+	r.conn.SetReadDeadline(time.Now().Add(lastReadTime))
+	return r.read(b)
 }
 
-// read notes when what it gives was here. Guards against a client's time that begins when it is read: while the process stood
-// still, that may be long after.
-func (l *deadlineReader) read(b []byte) (int, error) {
-	n, err := l.conn.Read(b)
+// read records when the bytes that it returns had arrived. It guards against a request's deadline that begins when the
+// request is read: after a stall of this process that may be long after it arrived.
+func (r *deadlineReader) read(b []byte) (int, error) {
+	n, err := r.conn.Read(b)
 	if n > 0 {
-		l.receivedAt = time.Now().Add(-sinceLastData(socketOf(l.conn)))
+		r.receivedAt = time.Now().Add(-sinceLastData(socketOf(r.conn)))
 	}
 	return n, err
 }
--- a/internal/rest/drain.go
+++ b/internal/rest/drain.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A connection is read on after its last answer until the client closes too, within these bounds: the time is several round
-// trips, the bytes are several times what a usual client has on its way.
+// After its last response a connection is read until the client closes it too, within these bounds: the time is several
+// round trips, the bytes are several times what a usual client has in transit.
 const (
 	drainTime     = 500 * time.Millisecond
 	maxDrainBytes = 256 << 10
 )
 
-// linger closes a connection so that an answer just written is not lost to a reset for bytes that nobody read. Beyond the bound
-// on bytes nothing is read, so that a flood costs nothing, and the close waits all the same.
+// drain closes a connection. It guards against losing the response just written to the reset that unread bytes cause.
+// Beyond maxDrainBytes nothing is read, so that a flood costs nothing, and the close still waits for drainTime.
 func (c *Conn) drain() {
 	if s, ok := c.conn.(interface{ CloseWrite() error }); ok && isTLS(c.conn) {
 		s.CloseWrite()
--- a/internal/rest/message.go
+++ b/internal/rest/message.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limits bound what a peer can make a connection keep or wait for. Sizes are bytes; a zero time means no limit.
+// Limits bound what a peer can make a connection store or wait for. Sizes are bytes; a zero timeout means none.
 type Limits struct {
 	MaxLine        int // the first line, and each header line
 	MaxHeaders     int // header lines of a message
@@ -18,24 +18,29 @@
 	WriteTimeout   time.Duration // for one message
 }
 
-// Usual are limits that fit a gateway of small jobs: header bounds as common servers have them, a body bound well
-// over the tensors of a forecast, times of a few round trips on a bad network.
-var DefaultLimits = Limits{MaxLine: 8 << 10, MaxHeaders: 64, MaxHeaderBytes: 32 << 10, MaxBody: 4 << 20, HeaderTimeout: 5 * time.Second,
-	BodyTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, WriteTimeout: 5 * time.Second}
+// DefaultLimits fit a gateway of small requests: headers as common servers bound them, bodies well over the tensors of a
+// forecast, timeouts of a few round trips on a bad network.
+var DefaultLimits = Limits{
+	MaxLine: 8 << 10, MaxHeaders: 64, MaxHeaderBytes: 32 << 10, MaxBody: 4 << 20,
+	HeaderTimeout: 5 * time.Second, BodyTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, WriteTimeout: 5 * time.Second,
+}
 
-// Refused is a message that is not taken; a server answers it with the status and closes the connection.
+// MessageError is the error of a message that is invalid or too large. A server answers it with the status and closes the
+// connection.
 type MessageError struct {
 	Status int
 	Reason string
 }
 
+// Error is part of error.
 func (e *MessageError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
+// messageError returns a *MessageError with a formatted reason.
 func messageError(status int, reason string, args ...any) error {
 	return &MessageError{status, fmt.Sprintf(reason, args...)}
 }
 
-// Header is a message's header fields by canonical name.
+// Header holds a message's header fields by canonical name.
 type Header = textproto.MIMEHeader
 
 // Request is a whole request.
@@ -44,9 +49,9 @@
 	Target    string
 	Header    Header
 	Body      []byte
-	Close     bool      // the client wants the connection closed after the answer
+	Close     bool      // the client asks to close the connection after the response
 	ChunkSize int       // write the body in chunks of this size; 0: with its length
-	ArrivedAt time.Time // when its first byte was here
+	ArrivedAt time.Time // when its first byte had arrived
 }
 
 // Response is a whole response.
@@ -54,6 +59,6 @@
 	Status    int
 	Header    Header
 	Body      []byte
-	Close     bool // the connection ends with this answer
-	ChunkSize int
+	Close     bool // the connection closes after this response
+	ChunkSize int  // as in Request
 }
--- a/internal/rest/neterrors.go
+++ b/internal/rest/neterrors.go
@@ -8,23 +8,25 @@
 	"syscall"
 )
 
-// Ours tells of a fault that is this machine's, and no sign about the other end.
+// LocalFailure reports whether an error is this machine's shortage, and says nothing about the peer.
 func LocalFailure(err error) bool {
 	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(one error) bool { return errors.Is(err, one) })
+		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
 }
 
-// Momentary tells of a fault of the way that may be over in a moment. One that lasts is a sign about the other end.
+// TransientFailure reports whether an error is a network fault that may pass at once. A lasting one counts against the
+// peer.
 func TransientFailure(err error) bool {
 	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
 		errors.Is(err, syscall.ECONNABORTED)
 }
 
-// refusals are the alerts with which a server refuses a client that it does not believe (RFC 8446, section 6.2).
+// certificateAlerts are the alerts with which a server rejects a client's certificate (RFC 8446, section 6.2).
 var certificateAlerts = []tls.AlertError{42, 43, 44, 45, 46, 48, 49, 116}
 
-// refused tells whether the other end broke a connection off because it does not believe us. In TLS 1.3 a client learns it only
-// with the first answer. The alert proves that no request was read: its server had not finished the handshake.
+// isCertificateRejection reports whether the server has closed a connection because it rejects the client's certificate.
+// In TLS 1.3 a client learns that only with the first read. The alert proves that no request was read: the server had not
+// finished the handshake.
 func isCertificateRejection(err error) bool {
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != "remote error" || op.Err == nil {
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -1,6 +1,6 @@
-// Package rest is HTTP/1.1 (RFC 9112) for short exchanges with whole bodies, on net, bufio and net/textproto. It is
-// strict where two readers could frame a message differently, bounded in all that a peer can make it keep, and it
-// tells how far a failed exchange had got, since whether a job may be sent again depends on that.
+// Package rest is HTTP/1.1 (RFC 9112) for short exchanges with whole bodies, on net, bufio and net/textproto. It rejects
+// what two readers could frame differently, bounds all that a peer can make it store, and reports how far a failed
+// exchange had got, since that decides whether a request may be repeated.
 package rest
 
 import (
@@ -12,7 +12,8 @@
 	"strings"
 )
 
-// line reads one line that ends in CRLF, without it. The bytes hold until the next read.
+// readLine reads one line that ends in CRLF, without that. The bytes are valid until the next read. A longer line is a
+// *MessageError with the given status.
 func readLine(r *bufio.Reader, most int, status int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -51,6 +52,7 @@
 	return t
 }()
 
+// isToken reports whether b is a token of RFC 9110, section 5.6.2.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenChar[c] {
@@ -60,7 +62,7 @@
 	return len(b) > 0
 }
 
-// block reads header lines up to the empty one.
+// readHeader reads header lines up to the empty one.
 func readHeader(r *bufio.Reader, l *Limits) (Header, error) {
 	h := make(Header, 8)
 	total := 0
@@ -90,7 +92,7 @@
 	}
 }
 
-// requestHead reads a request up to its body.
+// readRequestHead reads a request up to its body, and returns the length that bodyLength found.
 func readRequestHead(r *bufio.Reader, l *Limits) (req *Request, length int, err error) {
 	b, err := readLine(r, l.MaxLine, 414)
 	if err == nil && len(b) == 0 { // RFC 9112, 2.2: one empty line before a request is passed over
@@ -125,6 +127,7 @@
 	return req, length, nil
 }
 
+// wantsClose reports whether a message asks to close the connection after it.
 func wantsClose(h Header, http10 bool) bool {
 	for _, v := range h["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
@@ -139,10 +142,12 @@
 	return http10
 }
 
-// readResponse reads the response to a request of a method. Interim responses are passed over.
+// maxInterim is how many interim responses (status 1xx) are skipped: far more than any server sends.
+const maxInterim = 8
+
+// readResponse reads the response to a request with a method, and skips interim responses.
 func readResponse(r *bufio.Reader, method string, l *Limits) (*Response, error) {
-	const interim = 8 // far more than any server sends
-	for range interim {
+	for range maxInterim {
 		b, err := readLine(r, l.MaxLine, 400)
 		if err != nil {
 			return nil, err
@@ -175,9 +180,13 @@
 		if method == "HEAD" || status == 204 || status == 304 {
 			return resp, nil
 		}
-		resp.Close = resp.Close || length == -2
-		resp.Body, err = readBody(r, length, l, true, nil)
+		if length == noLength {
+			resp.Close = true
+			resp.Body, err = readToEnd(r, l)
+			return resp, err
+		}
+		resp.Body, err = readBody(r, length, l, nil)
 		return resp, err
 	}
-	return nil, messageError(400, "more than %d interim responses", interim)
+	return nil, messageError(400, "more than %d interim responses", maxInterim)
 }
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// served gives a server's connection and the client's raw end of it.
+// testConn returns a server's connection and the client's raw end of it.
 func testConn(t testing.TB, l Limits) (*Conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,9 +32,19 @@
 	return NewConn(sc, &l, nil), conn
 }
 
+// waitUntil polls a condition until it holds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
 const requestHead = "POST /x HTTP/1.1\r\nHost: a\r\n"
 
-func TestNextReadsBodies(t *testing.T) {
+func TestReadRequestBodies(t *testing.T) {
 	for name, c := range map[string]struct{ in, body string }{
 		"length":     {requestHead + "Content-Length: 5\r\n\r\nhello", "hello"},
 		"chunks":     {requestHead + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nT: 1\r\n\r\n", "hello"},
@@ -51,8 +61,8 @@
 	}
 }
 
-// What two readers could frame differently, and what is too large, is refused.
-func TestNextRefuses(t *testing.T) {
+// What two readers could frame differently, and what is too large, is rejected.
+func TestReadRequestRejects(t *testing.T) {
 	small := DefaultLimits
 	small.MaxHeaders, small.MaxBody, small.MaxLine = 4, 100, 200
 	for name, c := range map[string]struct {
@@ -100,7 +110,7 @@
 	}
 }
 
-func TestNextTimesOutSlowParts(t *testing.T) {
+func TestReadRequestTimeouts(t *testing.T) {
 	l := DefaultLimits
 	l.HeaderTimeout, l.BodyTimeout, l.IdleTimeout = 50*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond
 	for name, in := range map[string]string{"header": "POST /x HT", "body": requestHead + "Content-Length: 5\r\n\r\nhe"} {
@@ -113,7 +123,7 @@
 		}
 	}
 	s, _ := testConn(t, l)
-	if _, err := s.ReadRequest(); err != ErrIdle {
+	if _, err := s.ReadRequest(); !errors.Is(err, ErrIdle) {
 		t.Errorf("idle: got %v", err)
 	}
 }
@@ -139,7 +149,7 @@
 	}
 }
 
-func TestContinueIsSaidBeforeTheBody(t *testing.T) {
+func TestContinueIsSentBeforeBody(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	io.WriteString(conn, requestHead+"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 	got := make(chan string, 1)
@@ -155,22 +165,22 @@
 	}
 }
 
-func TestWatchSeesTheClientLeave(t *testing.T) {
+func TestWatchClose(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	io.WriteString(conn, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := s.ReadRequest(); err != nil {
 		t.Fatal(err)
 	}
 	if s.PeerClosed() {
-		t.Error("gone before it left")
+		t.Error("closed before the client has closed it")
 	}
-	gone, stop := s.WatchClose()
+	closed, stop := s.WatchClose()
 	defer stop()
 	conn.Close()
 	select {
-	case err := <-gone:
+	case err := <-closed:
 		if err != io.EOF || !s.PeerClosed() {
-			t.Errorf("got %v, gone %t", err, s.PeerClosed())
+			t.Errorf("got %v, closed %t", err, s.PeerClosed())
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("not seen")
@@ -188,7 +198,7 @@
 	}
 }
 
-// peer is a server's raw end; the client is dialled to it.
+// testClient returns a client and the server's raw end of its connection.
 func testClient(t *testing.T) (*Client, *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,14 +224,12 @@
 
 func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
-// Rule 2 rests on how far an exchange had got.
-func TestDoTellsProgress(t *testing.T) {
+// Whether a request may be repeated depends on how far its exchange had got.
+func TestDoReportsProgress(t *testing.T) {
 	c, s := testClient(t)
 	s.SetLinger(0)
 	s.Close()
-	for !c.Stale() {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "the close is seen", c.Stale)
 	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
 		t.Errorf("broken before: got %d, %v", progress, err)
 	}
@@ -258,17 +266,17 @@
 	}
 }
 
-func TestDoTimesOutAndAborts(t *testing.T) {
+func TestDoTimeoutAndAbort(t *testing.T) {
 	c, _ := testClient(t)
-	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); err != ErrTimeout || progress != WrittenWhole {
+	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); !errors.Is(err, ErrTimeout) || progress != WrittenWhole {
 		t.Errorf("got %d, %v", progress, err)
 	}
 	c, _ = testClient(t)
 	time.AfterFunc(30*time.Millisecond, c.Abort)
-	if _, _, err := c.Do(testRequest(), testDeadline()); err != ErrAborted {
+	if _, _, err := c.Do(testRequest(), testDeadline()); !errors.Is(err, ErrAborted) {
 		t.Errorf("got %v", err)
 	}
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err != ErrAborted || progress != NothingWritten {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); !errors.Is(err, ErrAborted) || progress != NothingWritten {
 		t.Errorf("after it: got %d, %v", progress, err)
 	}
 }
@@ -279,11 +287,7 @@
 		t.Error("a quiet connection is called stale")
 	}
 	io.WriteString(s, "x")
-	for end := time.Now().Add(5 * time.Second); !c.Stale(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("bytes that nobody asked for were not seen")
-		}
-	}
+	waitUntil(t, "bytes without a request are seen", c.Stale)
 }
 
 func FuzzRequest(f *testing.F) {
@@ -299,10 +303,10 @@
 		if err != nil {
 			return
 		}
-		if req.Body, err = readBody(r, length, &l, false, nil); err != nil {
+		if req.Body, err = readBody(r, length, &l, nil); err != nil {
 			return
 		}
-		// What was taken must be written and read again as the same message, or someone could frame it differently.
+		// A message that was read must be the same when it is written and read again, or someone could frame it differently.
 		b := appendRequest(nil, req)
 		if !bytes.Contains(b, []byte("chunked")) {
 			b = append(b, req.Body...)
@@ -315,7 +319,7 @@
 			}
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
-		if again.Body, err = readBody(r, length, &DefaultLimits, false, nil); err != nil || !bytes.Equal(req.Body, again.Body) || req.Target != again.Target {
+		if again.Body, err = readBody(r, length, &DefaultLimits, nil); err != nil || !bytes.Equal(req.Body, again.Body) || req.Target != again.Target {
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
 	})
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -6,14 +6,15 @@
 	"io"
 	"net"
 	"os"
+	"strings"
 	"sync"
 	"time"
 )
 
-// readBuffer is small, since most connections are idle most of the time; longer lines are put together.
+// readBuffer is small, since most connections are idle most of the time; longer lines are assembled from parts.
 const readBuffer = 2 << 10
 
-// Conn is the server's side of a connection. One goroutine owns it.
+// Conn is the server's side of a connection. One goroutine owns it; the methods that others may call say so.
 type Conn struct {
 	conn        net.Conn
 	deadlines   *deadlineReader
@@ -21,24 +22,26 @@
 	limits      *Limits
 	reserve     Reserve
 	writeBuffer []byte
-	method      string // of the request in hand
+	method      string // of the request that is to be answered
 
 	mu              sync.Mutex
-	awaitingRequest bool      // the first byte of a request is
-	idleDeadline    time.Time // zero: no end was told
+	awaitingRequest bool      // a read waits for the first byte of a request
+	idleDeadline    time.Time // zero: none
 }
 
-// NewConn serves a connection; room may be nil.
-func NewConn(conn net.Conn, limits *Limits, room Reserve) *Conn {
-	in := &deadlineReader{conn: conn}
-	return &Conn{conn: conn, deadlines: in, reader: bufio.NewReaderSize(in, readBuffer), limits: limits, reserve: room}
+// NewConn returns the server's side of a connection; reserve may be nil.
+func NewConn(conn net.Conn, limits *Limits, reserve Reserve) *Conn {
+	deadlines := &deadlineReader{conn: conn}
+	return &Conn{
+		conn: conn, deadlines: deadlines, reader: bufio.NewReaderSize(deadlines, readBuffer), limits: limits, reserve: reserve,
+	}
 }
 
-// Close closes the connection; it may be called from any goroutine.
+// Close closes the connection. It may be called from any goroutine.
 func (c *Conn) Close() error { return socketOf(c.conn).Close() }
 
-// EndBy has the connection end once no request has begun on it by a time: Next gives what had come by then, and after that
-// ErrIdle. It may be called from any goroutine, whatever the connection does.
+// SetIdleDeadline sets the time after which no new request is awaited: ReadRequest returns those that had arrived by then,
+// and after that ErrIdle. It may be called from any goroutine, at any time.
 func (c *Conn) SetIdleDeadline(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +51,7 @@
 	}
 }
 
-// await waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request, and starts the header timeout.
 func (c *Conn) awaitRequest() error {
 	c.mu.Lock()
 	at := deadlineAfter(c.limits.IdleTimeout)
@@ -66,7 +69,7 @@
 	return err
 }
 
-// More tells whether something of a further request is here already.
+// HasPending reports whether a part of a further request has arrived already.
 func (c *Conn) HasPending() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -75,19 +78,23 @@
 	return ok && e == 0
 }
 
-// ErrIdle is what Next gives for a connection on which no request began in time.
+// ErrIdle is the error of ReadRequest when no request began within the idle timeout.
 var ErrIdle = errors.New("idle for too long")
 
-// Distrusted is what Next gives where a request has begun to come from a client that was believed when it connected and is not
-// any more, or not as whom it showed itself to be. Nothing of the request was read; it is to be answered so that the client, who
-// may hold another certificate by now, can tell that.
+// PeerUntrustedError is the error of ReadRequest for a client whose certificate was valid when it connected and is not any
+// more. Nothing of the request was read. It is to be answered, since the client may hold another certificate by now and
+// should connect again.
 type PeerUntrustedError struct{ Err error }
 
-func (d *PeerUntrustedError) Error() string { return d.Err.Error() + "; connect again" }
+// Error is part of error.
+func (e *PeerUntrustedError) Error() string { return e.Err.Error() + "; connect again" }
+
+// Unwrap returns why the certificate is not valid.
+func (e *PeerUntrustedError) Unwrap() error { return e.Err }
 
-// Next waits for the next request and reads it whole. io.EOF tells that the client is done, ErrIdle that it was idle;
-// a *Refused is to be answered with its status, a *Distrusted as it says, and both close the connection. Other errors are the
-// connection's.
+// ReadRequest waits for the next request and reads it whole. The error is io.EOF when the client has closed its side, and
+// ErrIdle when it was idle for too long; a *MessageError or a *PeerUntrustedError is to be answered before the connection
+// is closed; any other error is the connection's.
 func (c *Conn) ReadRequest() (*Request, error) {
 	if err := c.awaitRequest(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -99,46 +106,42 @@
 		return nil, &PeerUntrustedError{err}
 	}
 	c.method = ""
-	began := c.deadlines.receivedAt
+	arrivedAt := c.deadlines.receivedAt
 	req, length, err := readRequestHead(c.reader, c.limits)
 	if err != nil {
 		return nil, timeoutError(err, "header")
 	}
-	c.method, req.ArrivedAt = req.Method, began
-	if length == -2 || length == 0 {
+	c.method, req.ArrivedAt = req.Method, arrivedAt
+	if length == noLength || length == 0 {
 		return req, nil
 	}
-	if expect := req.Header.Get("Expect"); expect != "" {
-		if !equalFold(expect, "100-continue") {
-			return nil, messageError(417, "an expectation other than 100-continue")
-		}
-		if length > c.limits.MaxBody { // said before the client sends it
-			return nil, messageError(413, "a body of more than %d bytes", c.limits.MaxBody)
-		}
-		c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
-		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, err
-		}
+	if err := c.sendContinue(req, length); err != nil {
+		return nil, err
 	}
 	c.deadlines.setDeadline(deadlineAfter(c.limits.BodyTimeout))
-	if req.Body, err = readBody(c.reader, length, c.limits, false, c.reserve); err != nil {
+	if req.Body, err = readBody(c.reader, length, c.limits, c.reserve); err != nil {
 		return nil, timeoutError(err, "body")
 	}
 	return req, nil
 }
 
-func equalFold(a, b string) bool {
-	if len(a) != len(b) {
-		return false
+// sendContinue has a client send its body, if it waits to be asked for it. A body that is too large is rejected before.
+func (c *Conn) sendContinue(req *Request, length int) error {
+	expect := req.Header.Get("Expect")
+	switch {
+	case expect == "":
+		return nil
+	case !strings.EqualFold(expect, "100-continue"):
+		return messageError(417, "an expectation other than 100-continue")
+	case length > c.limits.MaxBody:
+		return messageError(413, "a body of more than %d bytes", c.limits.MaxBody)
 	}
-	for i := range len(a) {
-		if a[i]|0x20 != b[i]|0x20 {
-			return false
-		}
-	}
-	return true
+	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
+	_, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n")
+	return err
 }
 
+// timeoutError returns the *MessageError of a message whose part came too slowly, or another error unchanged.
 func timeoutError(err error, part string) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return messageError(408, "the %s came too slowly", part)
@@ -146,6 +149,7 @@
 	return err
 }
 
+// deadlineAfter returns the deadline of a timeout that begins now; zero for none.
 func deadlineAfter(d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
@@ -153,49 +157,54 @@
 	return time.Now().Add(d)
 }
 
-// lookEvery is how often a close is looked for behind requests that were sent ahead, where no read can see it.
+// closePollInterval is how often WatchClose looks for a close behind pipelined requests, where no read can see it.
 const closePollInterval = 20 * time.Millisecond
 
-// Watch reports on the channel if the client closes or breaks the connection before stop is called. Requests that
-// come meanwhile are kept. Stop must be called, and returns once the watcher is gone.
-func (c *Conn) WatchClose() (gone <-chan error, stop func()) {
-	left, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
+// WatchClose reports on the channel if the client closes or resets the connection before stop is called. Requests that
+// arrive meanwhile stay buffered. Stop must be called, and returns once the watching goroutine has ended.
+func (c *Conn) WatchClose() (closed <-chan error, stop func()) {
+	report, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	c.deadlines.setDeadline(time.Time{})
 	go func() {
 		defer close(ended)
 		if _, err := c.reader.Peek(1); err != nil {
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				left <- err
+				report <- err
 			}
 			return
 		}
-		again := time.NewTicker(closePollInterval)
-		defer again.Stop()
+		ticker := time.NewTicker(closePollInterval)
+		defer ticker.Stop()
 		for !c.PeerClosed() {
 			select {
-			case <-again.C:
+			case <-ticker.C:
 			case <-stopped:
 				return
 			}
 		}
-		left <- io.EOF
+		report <- io.EOF
 	}()
-	return left, func() {
+	return report, func() {
 		close(stopped)
 		c.deadlines.interrupt()
 		<-ended
 	}
 }
 
-// Gone tells whether the client has already closed or broken the connection, without waiting. It may be called from any goroutine.
+// PeerClosed reports whether the client has closed or reset the connection. It does not block, and may be called from any
+// goroutine.
 func (c *Conn) PeerClosed() bool { return peerClosed(socketOf(c.conn)) }
 
-// Answer writes the response to the request in hand.
+// WriteResponse writes the response to the request that ReadRequest has returned last. One with Close closes the
+// connection, once the client has had time to read it.
 func (c *Conn) WriteResponse(resp *Response) error {
 	c.writeBuffer = appendResponse(c.writeBuffer[:0], c.method, resp)
-	whole := c.method == "HEAD" || resp.ChunkSize > 0
+	body := resp.Body
+	if c.method == "HEAD" || resp.ChunkSize > 0 {
+		body = nil // there is none, or appendResponse has written it
+	}
 	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
-	_, err := writeMessage(c.conn, &c.writeBuffer, resp.Body, whole)
+	_, err := writeMessage(c.conn, &c.writeBuffer, body)
 	if err == nil && resp.Close {
 		c.drain()
 	}
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// What the kernel knows of a connection and a read does not tell. Each look is one system call that takes nothing and never waits,
-// and may be made from any goroutine.
+// The functions of this file return what the kernel knows of a connection and a read does not tell. Each makes one system
+// call that consumes nothing and does not block, and may be called from any goroutine.
 
-// unread is how long ago the last bytes came, to a millisecond; 0 where it can't be told.
+// sinceLastData returns how long ago the last bytes arrived, to a millisecond; 0 if that is not known.
 func sinceLastData(conn net.Conn) time.Duration {
 	ago := time.Duration(0)
 	control(conn, func(fd int) {
@@ -22,7 +22,7 @@
 	return ago
 }
 
-// left tells whether the other end has closed its side of a connection, or broken it, also behind bytes that nobody has read yet.
+// peerClosed reports whether the peer has closed its side of a connection, or reset it, also behind unread bytes.
 func peerClosed(conn net.Conn) bool {
 	state := 0
 	ok := control(conn, func(fd int) {
@@ -34,18 +34,18 @@
 	return ok && state != 0 && state != established
 }
 
-// look has a connection's descriptor looked at; no tells that it has none, or is closed.
-func control(conn net.Conn, at func(fd int)) (ok bool) {
-	sc, is := conn.(syscall.Conn)
-	if !is {
+// control calls f with a connection's descriptor; ok is false if it has none, or is closed.
+func control(conn net.Conn, f func(fd int)) (ok bool) {
+	socket, isSocket := conn.(syscall.Conn)
+	if !isSocket {
 		return false
 	}
-	raw, err := sc.SyscallConn()
-	return err == nil && raw.Control(func(fd uintptr) { at(int(fd)) }) == nil
+	raw, err := socket.SyscallConn()
+	return err == nil && raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// socket is the connection beneath a secret one. It is what is closed: a secret connection's own goodbye may wait for a peer
-// that reads nothing, and says nothing that lengths don't.
+// socketOf returns the connection beneath a TLS connection. It is what is closed: the TLS close may block on a peer that
+// does not read, and the messages' lengths already tell where they end.
 func socketOf(conn net.Conn) net.Conn {
 	if s, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		return s.NetConn()
@@ -53,34 +53,42 @@
 	return conn
 }
 
+// isTLS reports whether a connection uses TLS.
 func isTLS(conn net.Conn) bool { return socketOf(conn) != conn }
 
-// still tells whether the other end of a secret connection is still believed.
+// checkPeer returns why the peer's certificate, which was valid at the handshake, is not valid any more.
 func checkPeer(conn net.Conn) error {
-	if s, ok := conn.(interface{ Still() error }); ok {
-		return s.Still()
+	if checker, ok := conn.(PeerChecker); ok {
+		return checker.Still()
 	}
 	return nil
 }
 
-// quiet tells whether a connection is open at both ends and has brought nothing that was not read.
+// PeerChecker is a TLS connection whose peer's certificate can be checked again after the handshake.
+type PeerChecker interface {
+	// Still returns why the certificate is not valid any more, or nil.
+	Still() error
+}
+
+// isQuiet reports whether a connection is open on both sides and has nothing to read.
 func isQuiet(conn net.Conn) bool {
 	e, ok := peekSocket(conn)
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
-// interruptedMost is how often a call that a signal interrupts is made again: signals come some a second at most.
+// maxInterrupted is how often a system call that a signal interrupts is made: signals come a few per second at most.
 const maxInterrupted = 8
 
-var recvfrom = syscall.Recvfrom // tests have it fail
+var recvfrom = syscall.Recvfrom // tests replace it
 
-// glance looks at a connection's next byte without taking it or waiting; ok is false at its end.
-func peekSocket(conn net.Conn) (e syscall.Errno, ok bool) {
-	sc, is := conn.(syscall.Conn)
-	if !is {
+// peekSocket peeks at a connection's next byte without blocking. errno is 0 if there is one, EAGAIN if there is none yet;
+// ok is false at the end of the connection.
+func peekSocket(conn net.Conn) (errno syscall.Errno, ok bool) {
+	socket, isSocket := conn.(syscall.Conn)
+	if !isSocket {
 		return syscall.EAGAIN, true // no socket: nothing can be seen
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return 0, false
 	}
@@ -90,10 +98,10 @@
 		for range maxInterrupted {
 			var got error
 			n, _, got = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if e, _ = got.(syscall.Errno); e != syscall.EINTR {
+			if errno, _ = got.(syscall.Errno); errno != syscall.EINTR {
 				break
 			}
 		}
 	})
-	return e, err == nil && (e != 0 || n > 0)
+	return errno, err == nil && (errno != 0 || n > 0)
 }
