--- a/internal/record/cost_test.go
+++ b/internal/record/cost_test.go
@@ -7,7 +7,7 @@
 )
 
 // BenchmarkTurns is what a job costs: two turns on the tape, and their part of a frame, which is made outside turns.
-func BenchmarkTurns(b *testing.B) {
+func BenchmarkSteps(b *testing.B) {
 	var turns []Step
 	tape := &Recorder{OnStep: func(t Step) { turns = append(turns, t) }}
 	report := &control.LoadReport{Utilization: 0.5}
@@ -23,7 +23,7 @@
 		tape.AttemptEnded(j.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
 		tape.StepEnded(clock + 211)
 		if len(turns) >= 200 { // 100 ms at 1000 jobs a second
-			frame, err := appendFrame(nil, batch{First: 1, Turns: turns})
+			frame, err := appendFrame(nil, stepBatch{First: 1, Steps: turns})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/record/format.go
+++ b/internal/record/format.go
@@ -86,7 +86,7 @@
 	CommandSetTimer
 )
 
-var words = [...]string{"nothing", "send", "push back", "kill", "call off", "order", "subscribe", "note", "alarm"}
+var commandNames = [...]string{"nothing", "send", "push back", "kill", "call off", "order", "subscribe", "note", "alarm"}
 
 // Deed is one thing asked of the outlet.
 type Command struct {
@@ -102,9 +102,9 @@
 
 // String tells a deed in plain words.
 func (d Command) String() string {
-	word := words[0]
-	if int(d.Kind) < len(words) {
-		word = words[d.Kind]
+	word := commandNames[0]
+	if int(d.Kind) < len(commandNames) {
+		word = commandNames[d.Kind]
 	}
 	switch d.Kind {
 	case CommandForward:
@@ -126,39 +126,39 @@
 }
 
 // batch is the payload of a frame of turns.
-type batch struct {
+type stepBatch struct {
 	_     struct{} `cbor:",toarray"`
 	First uint64
-	Turns []Step
+	Steps []Step
 }
 
 // Tape turns a core's calls into turns. It is the part of the writer and of the comparison that runs within a turn. What
 // turns hold is cut from a few large pieces: allocations of their own cost more than all else on the tape.
 type Recorder struct {
-	turn     Step
+	step     Step
 	OnStep   func(Step) // takes each finished turn
-	news     []Event
-	deeds    []Command
-	jobs     []control.Request
+	events   []Event
+	commands []Command
+	requests []control.Request
 	outcomes []control.Outcome
 }
 
 // piece is how many of a kind are allocated at once: a few hundred turns.
-const piece = 256
+const chunkLen = 256
 
 // keep puts v at the end of a piece, or of a new one, and gives its place.
-func keep[T any](p *[]T, v T) *T {
+func place[T any](p *[]T, v T) *T {
 	if len(*p) == cap(*p) {
-		*p = make([]T, 0, piece)
+		*p = make([]T, 0, chunkLen)
 	}
 	*p = append(*p, v)
 	return &(*p)[len(*p)-1]
 }
 
 // add lengthens a list that stands at the end of a piece; where the piece is full the list moves to a new one.
-func add[T any](p *[]T, list []T, v T) []T {
+func extend[T any](p *[]T, list []T, v T) []T {
 	if len(*p) == cap(*p) {
-		*p = append(make([]T, 0, max(piece, 2*len(list))), list...)
+		*p = append(make([]T, 0, max(chunkLen, 2*len(list))), list...)
 		list = *p
 	}
 	*p = append(*p, v)
@@ -167,26 +167,28 @@
 
 // StepEnded ends a turn.
 func (t *Recorder) StepEnded(now control.Micros) {
-	t.turn.Clock = now
-	turn := t.turn
-	t.turn = Step{}
+	t.step.Clock = now
+	turn := t.step
+	t.step = Step{}
 	t.OnStep(turn)
 }
 
-func (t *Recorder) heard(n Event) { t.turn.Events = add(&t.news, t.turn.Events, n) }
-func (t *Recorder) did(d Command) { t.turn.Commands = add(&t.deeds, t.turn.Commands, d) }
+func (t *Recorder) addEvent(n Event)     { t.step.Events = extend(&t.events, t.step.Events, n) }
+func (t *Recorder) addCommand(d Command) { t.step.Commands = extend(&t.commands, t.step.Commands, d) }
 
 // EndpointsUpdated notes a list of servers.
 func (t *Recorder) EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint) {
-	t.heard(Event{Endpoints: &EndpointUpdate{kind, list}})
+	t.addEvent(Event{Endpoints: &EndpointUpdate{kind, list}})
 }
 
 // RequestAdded notes a new job.
-func (t *Recorder) RequestAdded(job control.Request) { t.heard(Event{Added: keep(&t.jobs, job)}) }
+func (t *Recorder) RequestAdded(job control.Request) {
+	t.addEvent(Event{Added: place(&t.requests, job)})
+}
 
 // Asked notes the client's id for the job that has just arrived, as a Tag.
 func (t *Recorder) SetClientTag(request uint64) {
-	t.turn.Events[len(t.turn.Events)-1].ClientTag = request
+	t.step.Events[len(t.step.Events)-1].ClientTag = request
 }
 
 // Tag hides a text: with a key nobody without it can check a guess against the tag.
@@ -201,52 +203,54 @@
 
 // AttemptEnded notes the end of an execution.
 func (t *Recorder) AttemptEnded(id control.RequestID, o control.Outcome) {
-	t.heard(Event{RequestID: id, Outcome: keep(&t.outcomes, o)})
+	t.addEvent(Event{RequestID: id, Outcome: place(&t.outcomes, o)})
 }
 
 // RequestCancelled notes that a client left.
 func (t *Recorder) RequestCancelled(id control.RequestID) {
-	t.heard(Event{RequestID: id, Cancelled: true})
+	t.addEvent(Event{RequestID: id, Cancelled: true})
 }
 
 // LoadEnded notes the answer to an order.
 func (t *Recorder) LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
-	t.heard(Event{LoadResult: &LoadResult{s, f, result, took, copies}})
+	t.addEvent(Event{LoadResult: &LoadResult{s, f, result, took, copies}})
 }
 
 // Forward and the others note what the core asked of its outlet.
 func (t *Recorder) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	t.did(Command{Kind: CommandForward, Request: j.ID, Attempt: no, Server: to, Time: allow})
+	t.addCommand(Command{Kind: CommandForward, Request: j.ID, Attempt: no, Server: to, Time: allow})
 }
 
 // Reject notes a push back.
 func (t *Recorder) Reject(id control.RequestID, stayAway control.Micros) {
-	t.did(Command{Kind: CommandReject, Request: id, Time: stayAway})
+	t.addCommand(Command{Kind: CommandReject, Request: id, Time: stayAway})
 }
 
 // Fail notes a kill.
-func (t *Recorder) Fail(id control.RequestID) { t.did(Command{Kind: CommandFail, Request: id}) }
+func (t *Recorder) Fail(id control.RequestID) { t.addCommand(Command{Kind: CommandFail, Request: id}) }
 
 // CancelAttempt notes an execution called off.
 func (t *Recorder) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	t.did(Command{Kind: CommandCancelAttempt, Request: id, Attempt: no})
+	t.addCommand(Command{Kind: CommandCancelAttempt, Request: id, Attempt: no})
 }
 
 // Load notes an order to load.
 func (t *Recorder) Load(j *control.Request, o control.LoadCommand) {
-	t.did(Command{Kind: CommandLoad, Request: j.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
+	t.addCommand(Command{Kind: CommandLoad, Request: j.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
 }
 
 // SubscribeEndpoints notes the wish for changes of the list.
-func (t *Recorder) SubscribeEndpoints() { t.did(Command{Kind: CommandSubscribe}) }
+func (t *Recorder) SubscribeEndpoints() { t.addCommand(Command{Kind: CommandSubscribe}) }
 
 // LogServerEvent notes a change in a server's health.
 func (t *Recorder) LogServerEvent(event control.ServerEvent) {
-	t.did(Command{Kind: CommandLog, Text: event.String()})
+	t.addCommand(Command{Kind: CommandLog, Text: event.String()})
 }
 
 // SetTimer notes the alarm.
-func (t *Recorder) SetTimer(at control.Micros) { t.did(Command{Kind: CommandSetTimer, Time: at}) }
+func (t *Recorder) SetTimer(at control.Micros) {
+	t.addCommand(Command{Kind: CommandSetTimer, Time: at})
+}
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -274,7 +278,7 @@
 // ErrDamaged is the end of what can be read of a segment, where more should follow.
 var ErrDamaged = errors.New("damaged or cut short")
 
-var decMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 24, MaxMapPairs: 1 << 20}.DecMode()
+var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 24, MaxMapPairs: 1 << 20}.DecMode()
 
 // readFrame reads a frame into v; io.EOF tells of an orderly end.
 func readFrame(r io.Reader, v any) error {
@@ -289,7 +293,7 @@
 		return ErrDamaged
 	}
 	payload := make([]byte, 0, min(n, 1<<20)) // a broken length costs no more than what follows it
-	payload, err := appendAll(payload, r, int(n))
+	payload, err := readBytes(payload, r, int(n))
 	if err != nil || crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(head[4:]) {
 		return ErrDamaged
 	}
@@ -297,13 +301,13 @@
 	if err != nil {
 		return ErrDamaged
 	}
-	if err := decMode.Unmarshal(plain, v); err != nil {
+	if err := decodeMode.Unmarshal(plain, v); err != nil {
 		return fmt.Errorf("%w: %v", ErrDamaged, err)
 	}
 	return nil
 }
 
-func appendAll(b []byte, r io.Reader, n int) ([]byte, error) {
+func readBytes(b []byte, r io.Reader, n int) ([]byte, error) {
 	for len(b) < n {
 		at := len(b)
 		b = append(b, make([]byte, min(n-at, 1<<20))...)
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -55,13 +55,13 @@
 // segment is damaged: then all before the damage was handed over, and the error is ErrDamaged.
 func (s *Segment) ForEachStep(each func(number uint64, t Step) error) error {
 	for {
-		var b batch
+		var b stepBatch
 		if err := readFrame(s.r, &b); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: %w", s.File, err)
 		}
-		for i, t := range b.Turns {
+		for i, t := range b.Steps {
 			if err := each(b.First+uint64(i), t); err != nil {
 				return err
 			}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,28 +17,28 @@
 	"hollymast/internal/core"
 )
 
-func state() (*core.Snapshot, error) {
+func emptySnapshot() (*core.Snapshot, error) {
 	return &core.Snapshot{Balancer: &control.Snapshot{}}, nil
 }
 
 // A disk that is too slow stops no turn: turns are dropped, and the next segment says how many.
-func TestSlowDiskLeavesAGapThatIsTold(t *testing.T) {
-	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, state: state, log: zerolog.Nop()} // nobody writes
+func TestSlowDiskLosesStepsAndReportsThem(t *testing.T) {
+	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, snapshot: emptySnapshot, log: zerolog.Nop()} // nobody writes
 	w.BeginSegment(1)
-	for i := range control.Micros(depth + 9) {
-		w.end(Step{Clock: i})
+	for i := range control.Micros(queueDepth + 9) {
+		w.endStep(Step{Clock: i})
 	}
 	if w.LostSteps() != 10 { // the beginning took a place too
 		t.Errorf("%d turns lost", w.LostSteps())
 	}
-	w.queue.take(nil)
-	w.end(Step{Clock: 99}) // there is room again
-	items, _ := w.queue.take(nil)
-	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 || items[0].header.FirstStep != depth+10 || items[0].header.Clock != 99 {
+	w.queue.drain(nil)
+	w.endStep(Step{Clock: 99}) // there is room again
+	items, _ := w.queue.drain(nil)
+	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 || items[0].header.FirstStep != queueDepth+10 || items[0].header.Clock != 99 {
 		t.Errorf("got %+v", items)
 	}
-	w.end(Step{Clock: 100})
-	if items, _ = w.queue.take(nil); len(items) != 1 || items[0].number != depth+10 {
+	w.endStep(Step{Clock: 100})
+	if items, _ = w.queue.drain(nil); len(items) != 1 || items[0].number != queueDepth+10 {
 		t.Errorf("got %+v", items)
 	}
 }
@@ -46,7 +46,7 @@
 // A folder that can't be written to costs the recording, not the router; once it can, recording goes on.
 func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, state, zerolog.Nop())
+	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,14 +55,14 @@
 	}
 	w.BeginSegment(1)
 	for w.LostSteps() == 0 {
-		w.end(Step{Clock: 2})
+		w.endStep(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0; time.Sleep(time.Millisecond) {
-		if w.end(Step{Clock: 3}); time.Now().After(end) {
+		if w.endStep(Step{Clock: 3}); time.Now().After(end) {
 			t.Fatal("it was not taken up again")
 		}
 	}
@@ -80,21 +80,21 @@
 
 // faultDisk is a disk that is full, stands still, or can't make a folder so many times.
 type faultDisk struct {
-	machine
-	full, still   atomic.Bool
-	tries, unmade atomic.Int64
+	osDisk
+	full, stalled         atomic.Bool
+	creates, makeFailures atomic.Int64
 }
 
-func (d *faultDisk) Make(dir string) error {
-	if d.unmade.Add(-1) >= 0 {
+func (d *faultDisk) MakeDir(dir string) error {
+	if d.makeFailures.Add(-1) >= 0 {
 		return syscall.EIO
 	}
-	return d.machine.Make(dir)
+	return d.osDisk.MakeDir(dir)
 }
 
 func (d *faultDisk) Create(name string, flags int) (file, error) {
-	d.tries.Add(1)
-	f, err := d.machine.Create(name, flags)
+	d.creates.Add(1)
+	f, err := d.osDisk.Create(name, flags)
 	return fullFile{f, d}, err
 }
 
@@ -104,7 +104,7 @@
 }
 
 func (f fullFile) Write(b []byte) (int, error) {
-	for f.d.still.Load() {
+	for f.d.stalled.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if f.d.full.Load() {
@@ -115,44 +115,44 @@
 }
 
 // faulty opens a recording on such a disk.
-func faulty(t *testing.T, dir string, log zerolog.Logger, d *faultDisk) *Writer {
+func openOnFaultDisk(t *testing.T, dir string, log zerolog.Logger, d *faultDisk) *Writer {
 	t.Helper()
-	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, state, log, d)
+	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, log, d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.pause = time.Millisecond // before anything is handed to its goroutine
+	w.retryDelay = time.Millisecond // before anything is handed to its goroutine
 	return w
 }
 
 // saying is a log that is read while it is written.
-type saying struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (s *saying) Write(b []byte) (int, error) {
+func (s *logBuffer) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(b)
 }
 
-func (s *saying) String() string {
+func (s *logBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String()
 }
 
 // However long a folder is full, no segments of nothing pile up; it is said once, and once it is over.
-func TestFullFolder(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	said := &saying{}
+	said := &logBuffer{}
 	d := &faultDisk{}
-	w := faulty(t, dir, zerolog.New(said), d)
+	w := openOnFaultDisk(t, dir, zerolog.New(said), d)
 	d.full.Store(true)
 	w.BeginSegment(1)
-	for d.tries.Load() < 12 {
-		w.end(Step{Clock: 2})
+	for d.creates.Load() < 12 {
+		w.endStep(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
 		if left, err := ListSegments(dir); err != nil || len(left) > 1 {
 			t.Fatalf("%q, %v", left, err)
@@ -160,7 +160,7 @@
 	}
 	d.full.Store(false)
 	for begun := time.Now(); !strings.Contains(said.String(), "goes on") && time.Since(begun) < 10*time.Second; {
-		w.end(Step{Clock: 3})
+		w.endStep(Step{Clock: 3})
 		time.Sleep(time.Millisecond)
 		if w.LostSteps() > 1<<20 {
 			break
@@ -176,32 +176,32 @@
 }
 
 // A disk that stands still keeps neither a turn nor a router's end waiting.
-func TestDiskThatStandsStill(t *testing.T) {
+func TestStalledDisk(t *testing.T) {
 	d := &faultDisk{}
-	w := faulty(t, t.TempDir(), zerolog.Nop(), d)
-	d.still.Store(true)
+	w := openOnFaultDisk(t, t.TempDir(), zerolog.Nop(), d)
+	d.stalled.Store(true)
 	begun := time.Now()
 	w.BeginSegment(1)
-	for range 4 * depth {
-		w.end(Step{Clock: 2})
+	for range 4 * queueDepth {
+		w.endStep(Step{Clock: 2})
 	}
 	turns := time.Since(begun)
 	w.Close()
-	if whole := time.Since(begun); turns > closeTime || whole > 3*closeTime || w.LostSteps() < depth {
+	if whole := time.Since(begun); turns > closeTimeout || whole > 3*closeTimeout || w.LostSteps() < queueDepth {
 		t.Errorf("%v for turns, %v in all, %d lost", turns, whole, w.LostSteps())
 	}
-	d.still.Store(false)
-	w.done.Wait()
+	d.stalled.Store(false)
+	w.wg.Wait()
 }
 
 // A folder that can't be made for a moment keeps no router from starting, and is made later; one that can't be for good does.
-func TestFolderThatCannotBeMade(t *testing.T) {
+func TestDirectoryThatCannotBeMade(t *testing.T) {
 	d := &faultDisk{}
-	d.unmade.Store(3)
-	w := faulty(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), d)
+	d.makeFailures.Store(3)
+	w := openOnFaultDisk(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), d)
 	w.BeginSegment(1)
 	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		w.end(Step{Clock: 2})
+		w.endStep(Step{Clock: 2})
 	}
 	w.Close()
 	if left, err := ListSegments(w.dir); err != nil || len(left) != 1 {
@@ -211,20 +211,20 @@
 	if err := os.WriteFile(name, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(name, Limits{}, Header{}, state, zerolog.Nop()); err == nil {
+	if _, err := Open(name, Limits{}, Header{}, emptySnapshot, zerolog.Nop()); err == nil {
 		t.Error("a file was taken for a folder")
 	}
 }
 
-func TestTotalIsBounded(t *testing.T) {
+func TestOldestSegmentsAreRemoved(t *testing.T) {
 	dir := t.TempDir()
-	w := &Writer{dir: dir, bounds: Limits{SegmentBytes: 100, TotalBytes: 1000}, head: Header{Incarnation: "a"}, log: zerolog.Nop()}
+	w := &Writer{dir: dir, limits: Limits{SegmentBytes: 100, TotalBytes: 1000}, header: Header{Incarnation: "a"}, log: zerolog.Nop()}
 	for i := range 20 {
 		if err := os.WriteFile(filepath.Join(dir, string(rune('a'+i))+"-000000.rec"), make([]byte, 100), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.makeRoom()
+	w.pruneSegments()
 	if files, _ := ListSegments(dir); len(files) != 9 {
 		t.Errorf("%d files are left", len(files))
 	}
@@ -237,18 +237,18 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	turns, jobs := 0, 0
-	err = s.ForEachStep(func(_ uint64, turn Step) error {
-		turns++
-		for _, n := range turn.Events {
+	steps, requests := 0, 0
+	err = s.ForEachStep(func(_ uint64, step Step) error {
+		steps++
+		for _, n := range step.Events {
 			if n.Added != nil {
-				jobs++
+				requests++
 			}
 		}
 		return nil
 	})
-	if err != nil || s.Version != 1 || turns != 314 || jobs != 151 {
-		t.Errorf("format %d, %d turns, %d jobs, %v", s.Version, turns, jobs, err)
+	if err != nil || s.Version != 1 || steps != 314 || requests != 151 {
+		t.Errorf("format %d, %d turns, %d jobs, %v", s.Version, steps, requests, err)
 	}
 }
 
--- a/internal/record/write.go
+++ b/internal/record/write.go
@@ -33,23 +33,23 @@
 // nothing else. Its Tape runs in the turn and only hands over; a goroutine of its own writes. Where that can't
 // keep up, or the disk fails, turns are dropped whole, and a new segment says how many.
 type Writer struct {
-	dir    string
-	bounds Limits
-	head   Header
-	log    zerolog.Logger
-	state  func() (*core.Snapshot, error)
-	queue  queue
-	done   sync.WaitGroup
-	fresh  atomic.Bool // the goroutine wants a new segment
-	disk   disk
-	unmade bool          // the folder could not be made yet
-	pause  time.Duration // between tries of a folder that fails
-	stray  string        // the goroutine's own: a segment of nothing that couldn't be removed
+	dir           string
+	limits        Limits
+	header        Header
+	log           zerolog.Logger
+	snapshot      func() (*core.Snapshot, error)
+	queue         queue
+	wg            sync.WaitGroup
+	segmentWanted atomic.Bool // the goroutine wants a new segment
+	disk          disk
+	dirMissing    bool          // the folder could not be made yet
+	retryDelay    time.Duration // between tries of a folder that fails
+	leftover      string        // the goroutine's own: a segment of nothing that couldn't be removed
 
 	// The turn's own.
-	turns uint64
-	gap   uint64 // turns dropped since the last that was handed over
-	on    bool   // a segment was begun and nothing was dropped since
+	steps            uint64
+	lostSinceSegment uint64 // turns dropped since the last that was handed over
+	recording        bool   // a segment was begun and nothing was dropped since
 
 	written atomic.Int64
 	lost    atomic.Int64
@@ -60,11 +60,11 @@
 	header     *Header
 	checkpoint *core.Snapshot
 	number     uint64
-	turn       Step
+	step       Step
 }
 
 // depth is how many turns may wait for the disk: a second of a busy router.
-const depth = 8192
+const queueDepth = 8192
 
 // queue hands items from the turn to the goroutine that writes. It wakes that one seldom: a wake-up for each turn cost
 // more than all else of the recording.
@@ -79,10 +79,10 @@
 func (q *queue) push(it item) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.items) >= depth {
+	if len(q.items) >= queueDepth {
 		return false
 	}
-	if q.items = append(q.items, it); len(q.items) == depth/2 {
+	if q.items = append(q.items, it); len(q.items) == queueDepth/2 {
 		q.signal()
 	}
 	return true
@@ -102,7 +102,7 @@
 }
 
 // take gives all items and whether more may come.
-func (q *queue) take(room []item) (items []item, closed bool) {
+func (q *queue) drain(room []item) (items []item, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items, q.items = q.items, room[:0]
@@ -119,7 +119,7 @@
 // Open begins a recording in a folder. State is asked, within turns, for the core's snapshot. Errors are those of the
 // folder.
 func Open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
-	return open(dir, bounds, head, state, log, machine{})
+	return open(dir, bounds, head, state, log, osDisk{})
 }
 
 // file is a segment's.
@@ -130,15 +130,15 @@
 
 // disk is what a recording needs of a file system; tests have one that fails.
 type disk interface {
-	Make(dir string) error
+	MakeDir(dir string) error
 	Create(name string, flags int) (file, error)
 }
 
-type machine struct{}
+type osDisk struct{}
 
-func (machine) Make(dir string) error { return os.MkdirAll(dir, 0o700) }
+func (osDisk) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-func (machine) Create(name string, flags int) (file, error) {
+func (osDisk) Create(name string, flags int) (file, error) {
 	f, err := os.OpenFile(name, flags|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err // not f: a nil *os.File would be a file
@@ -149,53 +149,53 @@
 func open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger,
 	disk disk) (*Writer, error) {
 	// An error that may be over in a moment keeps no router from starting: the folder is made with the first segment that can be.
-	unmade := disk.Make(dir)
+	unmade := disk.MakeDir(dir)
 	if unmade != nil && !persistence.IsTransient(unmade) {
 		return nil, unmade
 	}
-	w := &Writer{unmade: unmade != nil, disk: disk, pause: time.Second, dir: dir, bounds: bounds, head: head, state: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
-	w.head.Version = Version
-	w.done.Add(1)
+	w := &Writer{dirMissing: unmade != nil, disk: disk, retryDelay: time.Second, dir: dir, limits: bounds, header: head, snapshot: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
+	w.header.Version = Version
+	w.wg.Add(1)
 	go func() {
-		defer w.done.Done()
-		w.write()
+		defer w.wg.Done()
+		w.run()
 	}()
 	return w, nil
 }
 
 // Tape gives what the core is to record to. Call Begin before the first turn.
-func (w *Writer) Recorder() *Recorder { return &Recorder{OnStep: w.end} }
+func (w *Writer) Recorder() *Recorder { return &Recorder{OnStep: w.endStep} }
 
 // Begin begins a segment with a checkpoint of the core as it stands between two turns.
 func (w *Writer) BeginSegment(now control.Micros) {
-	s, err := w.state()
+	s, err := w.snapshot()
 	if err != nil {
 		w.log.Error().Err(err).Msg("no checkpoint for the recording")
 		return
 	}
-	h := w.head
-	h.Segment, h.FirstStep, h.LostSteps = -1, w.turns, w.gap
+	h := w.header
+	h.Segment, h.FirstStep, h.LostSteps = -1, w.steps, w.lostSinceSegment
 	h.Clock = now
-	if w.on = w.queue.push(item{header: &h, checkpoint: s}); w.on {
-		w.gap = 0
+	if w.recording = w.queue.push(item{header: &h, checkpoint: s}); w.recording {
+		w.lostSinceSegment = 0
 	}
 }
 
 // end takes a finished turn. The checkpoint of a new segment is taken at the end of the turn before its first.
-func (w *Writer) end(t Step) {
-	number := w.turns
-	w.turns++
-	for w.on && !w.queue.push(item{number: number, turn: t}) {
-		if w.on = w.bounds.WaitForDisk; w.on {
+func (w *Writer) endStep(t Step) {
+	number := w.steps
+	w.steps++
+	for w.recording && !w.queue.push(item{number: number, step: t}) {
+		if w.recording = w.limits.WaitForDisk; w.recording {
 			w.queue.signal()
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if !w.on {
-		w.gap++
+	if !w.recording {
+		w.lostSinceSegment++
 		w.lost.Add(1)
 	}
-	if w.fresh.CompareAndSwap(true, false) || !w.on && w.queue.length() < depth/2 {
+	if w.segmentWanted.CompareAndSwap(true, false) || !w.recording && w.queue.length() < queueDepth/2 {
 		w.BeginSegment(t.Clock)
 	}
 }
@@ -212,13 +212,13 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		w.done.Wait()
+		w.wg.Wait()
 	}()
-	if w.bounds.WaitForDisk {
+	if w.limits.WaitForDisk {
 		<-ended
 		return
 	}
-	timer := time.NewTimer(closeTime)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-ended:
@@ -228,20 +228,20 @@
 }
 
 // closeTime bounds what a disk that stands still costs a router that ends. A second of turns is written in far less.
-const closeTime = 2 * time.Second
+const closeTimeout = 2 * time.Second
 
 // segment is the file being written.
 type segment struct {
-	file  file
-	name  string
-	some  bool // turns are in it
-	size  int64
-	begun time.Time
-	turns batch
+	file     file
+	name     string
+	hasSteps bool // turns are in it
+	size     int64
+	begunAt  time.Time
+	batch    stepBatch
 }
 
 // write is the goroutine that writes.
-func (w *Writer) write() {
+func (w *Writer) run() {
 	var s *segment // nil: the last one failed, or none was begun
 	var failed time.Time
 	number, said := 0, false
@@ -256,8 +256,8 @@
 			said = true
 			if s != nil {
 				s.file.Close() // it failed: whatever else does
-				if !s.some {
-					w.discard(s.name)
+				if !s.hasSteps {
+					w.removeSegment(s.name)
 					number-- // the next one takes its name
 				}
 			}
@@ -269,15 +269,15 @@
 		case <-w.queue.wake:
 		case <-flush.C:
 		}
-		items, closed := w.queue.take(room)
+		items, closed := w.queue.drain(room)
 		for _, it := range items {
 			if it.header != nil {
 				if s != nil {
-					check(w.finish(s))
+					check(w.finishSegment(s))
 				}
 				it.header.Segment = number
 				var err error
-				if s, err = w.begin(it); err == nil {
+				if s, err = w.createSegment(it); err == nil {
 					number++
 				}
 				check(err)
@@ -287,12 +287,12 @@
 				w.lost.Add(1)
 				continue
 			}
-			if len(s.turns.Turns) == 0 {
-				s.turns.First = it.number
+			if len(s.batch.Steps) == 0 {
+				s.batch.First = it.number
 			}
-			s.turns.Turns = append(s.turns.Turns, it.turn)
+			s.batch.Steps = append(s.batch.Steps, it.step)
 			const full = 512 // turns in a frame: enough for zstd to find what repeats
-			if len(s.turns.Turns) >= full {
+			if len(s.batch.Steps) >= full {
 				check(w.flush(s))
 				runtime.Gosched() // a burst of frames would keep a processor from turns for milliseconds
 			}
@@ -301,29 +301,29 @@
 		room = items
 		switch {
 		case closed && s != nil:
-			check(w.finish(s))
+			check(w.finishSegment(s))
 			return
 		case closed:
 			return
 		case s != nil:
 			check(w.flush(s))
-			if said && s != nil && s.some {
+			if said && s != nil && s.hasSteps {
 				w.log.Info().Msg("recording goes on")
 				said = false
 			}
-			if s != nil && (s.size > w.bounds.SegmentBytes || time.Since(s.begun) > w.bounds.SegmentAge) {
-				s.begun = time.Now()
-				w.fresh.Store(true)
+			if s != nil && (s.size > w.limits.SegmentBytes || time.Since(s.begunAt) > w.limits.SegmentAge) {
+				s.begunAt = time.Now()
+				w.segmentWanted.Store(true)
 			}
-		case !failed.IsZero() && time.Since(failed) > w.pause:
+		case !failed.IsZero() && time.Since(failed) > w.retryDelay:
 			failed = time.Now()
-			w.fresh.Store(true)
+			w.segmentWanted.Store(true)
 		}
 	}
 }
 
 // finish ends a segment.
-func (w *Writer) finish(s *segment) error {
+func (w *Writer) finishSegment(s *segment) error {
 	if err := w.flush(s); err != nil {
 		return err
 	}
@@ -331,31 +331,31 @@
 }
 
 // begin opens a segment's file and writes its head.
-func (w *Writer) begin(it item) (*segment, error) {
-	w.makeRoom()
-	if w.unmade {
-		if err := w.disk.Make(w.dir); err != nil {
+func (w *Writer) createSegment(it item) (*segment, error) {
+	w.pruneSegments()
+	if w.dirMissing {
+		if err := w.disk.MakeDir(w.dir); err != nil {
 			return nil, err
 		}
-		w.unmade = false // one that goes later is not made again: what is mounted there may be missing
+		w.dirMissing = false // one that goes later is not made again: what is mounted there may be missing
 	}
-	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.head.Incarnation, it.header.Segment))
+	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.header.Incarnation, it.header.Segment))
 	flags := os.O_EXCL
-	if name == w.stray {
+	if name == w.leftover {
 		flags = os.O_TRUNC
 	}
 	file, err := w.disk.Create(name, flags)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{file: file, name: name, begun: time.Now()}
-	b, err := opening(it.header, it.checkpoint)
+	s := &segment{file: file, name: name, begunAt: time.Now()}
+	b, err := segmentStart(it.header, it.checkpoint)
 	if err == nil {
-		err = w.put(s, b)
+		err = w.writeBytes(s, b)
 	}
 	if err != nil {
 		file.Close()
-		w.discard(name)
+		w.removeSegment(name)
 		return nil, err
 	}
 	return s, nil
@@ -363,14 +363,14 @@
 
 // discard removes a segment in which nothing stands. One that can't be removed is written over by the next try: a folder that fails
 // for long fills with none.
-func (w *Writer) discard(name string) {
+func (w *Writer) removeSegment(name string) {
 	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		w.stray = name
+		w.leftover = name
 	}
 }
 
 // opening is a segment's beginning.
-func opening(h *Header, s *core.Snapshot) (b []byte, err error) {
+func segmentStart(h *Header, s *core.Snapshot) (b []byte, err error) {
 	b = []byte(magic)
 	for _, v := range []any{h, s} {
 		if b, err = appendFrame(b, v); err != nil {
@@ -383,10 +383,10 @@
 // Still is a segment of no turns: a core's state at one moment.
 func SnapshotSegment(h Header, now control.Micros, s *core.Snapshot) ([]byte, error) {
 	h.Version, h.Clock = Version, now
-	return opening(&h, s)
+	return segmentStart(&h, s)
 }
 
-func (w *Writer) put(s *segment, b []byte) error {
+func (w *Writer) writeBytes(s *segment, b []byte) error {
 	n, err := s.file.Write(b)
 	s.size += int64(n)
 	w.written.Add(int64(n))
@@ -394,24 +394,24 @@
 }
 
 func (w *Writer) flush(s *segment) error {
-	if len(s.turns.Turns) == 0 {
+	if len(s.batch.Steps) == 0 {
 		return nil
 	}
-	b, err := appendFrame(nil, s.turns)
+	b, err := appendFrame(nil, s.batch)
 	if err != nil {
 		return err
 	}
-	clear(s.turns.Turns)
-	s.turns.Turns = s.turns.Turns[:0]
-	if err := w.put(s, b); err != nil {
+	clear(s.batch.Steps)
+	s.batch.Steps = s.batch.Steps[:0]
+	if err := w.writeBytes(s, b); err != nil {
 		return err
 	}
-	s.some = true
+	s.hasSteps = true
 	return nil
 }
 
 // makeRoom removes the oldest segments beyond the bound of all.
-func (w *Writer) makeRoom() {
+func (w *Writer) pruneSegments() {
 	files, err := ListSegments(w.dir)
 	if err != nil {
 		return
@@ -425,7 +425,7 @@
 		}
 	}
 	for i, f := range files {
-		if total+w.bounds.SegmentBytes <= w.bounds.TotalBytes {
+		if total+w.limits.SegmentBytes <= w.limits.TotalBytes {
 			break
 		}
 		if os.Remove(f) == nil {
