--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -10,9 +9,6 @@
 	"hollymast/internal/core"
 )
 
-// ErrNewer tells of a recording by a later version of this program.
-var ErrNewer = errors.New("written by a newer version")
-
 // Segment is a segment's beginning.
 type Segment struct {
 	Header
@@ -71,27 +67,3 @@
 
 // Close closes the file.
 func (s *Segment) Close() error { return s.file.Close() }
-
-// Files lists the segments that paths name: files as they are, folders with all that is in them.
-func ExpandPaths(paths []string) ([]string, error) {
-	var files []string
-	for _, p := range paths {
-		info, err := os.Stat(p)
-		if err != nil {
-			return nil, err
-		}
-		if !info.IsDir() {
-			files = append(files, p)
-			continue
-		}
-		in, err := ListSegments(p)
-		if err != nil {
-			return nil, err
-		}
-		if len(in) == 0 {
-			return nil, fmt.Errorf("%s: no recordings there", p)
-		}
-		files = append(files, in...)
-	}
-	return files, nil
-}
--- a/internal/record/record_test.go
+++ b/internal/record/writer_test.go
@@ -1,7 +1,6 @@
 package record
 
 import (
-	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -216,56 +215,6 @@
 	}
 }
 
-func TestOldestSegmentsAreRemoved(t *testing.T) {
-	dir := t.TempDir()
-	w := &Writer{dir: dir, limits: Limits{SegmentBytes: 100, TotalBytes: 1000}, header: Header{Incarnation: "a"}, log: zerolog.Nop()}
-	for i := range 20 {
-		if err := os.WriteFile(filepath.Join(dir, string(rune('a'+i))+"-000000.rec"), make([]byte, 100), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	w.pruneSegments()
-	if files, _ := ListSegments(dir); len(files) != 9 {
-		t.Errorf("%d files are left", len(files))
-	}
-}
-
-// A recording of the format before, by the build that wrote it, is read.
-func TestOlderFormatIsRead(t *testing.T) {
-	s, err := OpenSegment("testdata/format1.rec")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	steps, requests := 0, 0
-	err = s.ForEachStep(func(_ uint64, step Step) error {
-		steps++
-		for _, n := range step.Events {
-			if n.Added != nil {
-				requests++
-			}
-		}
-		return nil
-	})
-	if err != nil || s.Version != 1 || steps != 314 || requests != 151 {
-		t.Errorf("format %d, %d turns, %d jobs, %v", s.Version, steps, requests, err)
-	}
-}
-
-func TestNewerVersionIsRefused(t *testing.T) {
-	b, err := appendFrame([]byte(magic), Header{Version: Version + 1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	name := filepath.Join(t.TempDir(), "n.rec")
-	if err := os.WriteFile(name, b, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := OpenSegment(name); !errors.Is(err, ErrNewer) {
-		t.Errorf("got %v", err)
-	}
-}
-
 // BenchmarkCheckpoint is a segment's beginning at 80 servers and 1000 functions; it is made outside turns.
 func BenchmarkCheckpoint(b *testing.B) {
 	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
