--- a/internal/record/command.go
+++ b/internal/record/command.go
@@ -6,9 +6,12 @@
 	"hollymast/control"
 )
 
-// What a Deed does.
+// CommandKind is what a Command does.
+type CommandKind uint8
+
+// The kinds of commands. Their numbers are stored.
 const (
-	CommandForward uint8 = iota + 1
+	CommandForward CommandKind = iota + 1
 	CommandReject
 	CommandFail
 	CommandCancelAttempt
@@ -18,41 +21,41 @@
 	CommandSetTimer
 )
 
+// commandNames are the names by kind, as the tools print them.
 var commandNames = [...]string{"nothing", "send", "push back", "kill", "call off", "order", "subscribe", "note", "alarm"}
 
-// Deed is one thing asked of the outlet.
+// Command is something that the core had its executor do.
 type Command struct {
-	Kind     uint8              `cbor:"1,keyasint"`
+	Kind     CommandKind        `cbor:"1,keyasint"`
 	Request  control.RequestID  `cbor:"2,keyasint,omitempty"`
 	Attempt  control.AttemptID  `cbor:"3,keyasint,omitempty"`
 	Server   control.ServerID   `cbor:"4,keyasint,omitempty"`
-	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // allowed, to stay away, or of the alarm
+	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // timeout of an attempt, retry-after of a rejection, or time of the timer
 	Function control.FunctionID `cbor:"6,keyasint,omitempty"`
 	Replicas int                `cbor:"7,keyasint,omitempty"`
 	Text     string             `cbor:"8,keyasint,omitempty"`
 }
 
-// String tells a deed in plain words.
-func (d Command) String() string {
-	word := commandNames[0]
-	if int(d.Kind) < len(commandNames) {
-		word = commandNames[d.Kind]
-	}
-	switch d.Kind {
+// String describes a command in the words that the tools have always printed: scripts compare them.
+func (c Command) String() string {
+	switch c.Kind {
 	case CommandForward:
-		return fmt.Sprintf("send job %d, execution %d, to server %x for at most %d us", d.Request, d.Attempt, d.Server, d.Time)
+		return fmt.Sprintf("send job %d, execution %d, to server %x for at most %d us", c.Request, c.Attempt, c.Server, c.Time)
 	case CommandReject:
-		return fmt.Sprintf("push back job %d for %d us", d.Request, d.Time)
+		return fmt.Sprintf("push back job %d for %d us", c.Request, c.Time)
 	case CommandFail:
-		return fmt.Sprintf("kill job %d", d.Request)
+		return fmt.Sprintf("kill job %d", c.Request)
 	case CommandCancelAttempt:
-		return fmt.Sprintf("call off execution %d of job %d", d.Attempt, d.Request)
+		return fmt.Sprintf("call off execution %d of job %d", c.Attempt, c.Request)
 	case CommandLoad:
-		return fmt.Sprintf("order server %x to hold %d copies of function %x for job %d", d.Server, d.Replicas, d.Function, d.Request)
+		return fmt.Sprintf("order server %x to hold %d copies of function %x for job %d", c.Server, c.Replicas, c.Function, c.Request)
 	case CommandLog:
-		return "note: " + d.Text
+		return "note: " + c.Text
 	case CommandSetTimer:
-		return fmt.Sprintf("wake at %d", d.Time)
+		return fmt.Sprintf("wake at %d", c.Time)
+	}
+	if int(c.Kind) < len(commandNames) {
+		return commandNames[c.Kind]
 	}
-	return word
+	return commandNames[0]
 }
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -13,13 +13,27 @@
 
 const magic = "hollymast recording\n"
 
-// Version is the format's. A reader refuses newer ones and reads all older ones. Format 1 has no Requests.
+// Version is the format's. A reader refuses newer ones and reads all older ones. Format 1 has no client tags.
 const Version = 2
 
+// Errors of reading.
+var (
+	// ErrDamaged says that a segment can't be read further, where more should follow.
+	ErrDamaged = errors.New("damaged or cut short")
+	// ErrNewer says that a later version of this program wrote the segment.
+	ErrNewer = errors.New("written by a newer version")
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// maxFrame bounds what a broken length can make a reader allocate: a checkpoint of many thousand functions fits.
-const maxFrame = 256 << 20
+const (
+	// maxFrame bounds a frame, compressed or not: a checkpoint of many thousand functions fits.
+	maxFrame = 256 << 20
+	// readChunk is how much is allocated at a time while a frame is read, so that a damaged length costs no more than what follows it.
+	readChunk = 1 << 20
+	// frameHeaderBytes is the size of a frame's length and checksum.
+	frameHeaderBytes = 8
+)
 
 // encoder and decoder are safe for use by several goroutines through EncodeAll and DecodeAll.
 var (
@@ -39,26 +53,23 @@
 	return append(b, payload...), nil
 }
 
-// ErrDamaged is the end of what can be read of a segment, where more should follow.
-var ErrDamaged = errors.New("damaged or cut short")
-
+// decodeMode limits what a damaged frame can make a reader allocate.
 var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 24, MaxMapPairs: 1 << 20}.DecMode()
 
-// readFrame reads a frame into v; io.EOF tells of an orderly end.
+// readFrame reads a frame into v. The error is io.EOF at the regular end of a segment, else ErrDamaged.
 func readFrame(r io.Reader, v any) error {
-	var head [8]byte
-	if _, err := io.ReadFull(r, head[:]); err == io.EOF {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
 		return io.EOF
 	} else if err != nil {
 		return ErrDamaged
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(header[:])
 	if n > maxFrame {
 		return ErrDamaged
 	}
-	payload := make([]byte, 0, min(n, 1<<20)) // a broken length costs no more than what follows it
-	payload, err := readBytes(payload, r, int(n))
-	if err != nil || crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(head[4:]) {
+	payload, err := readBytes(r, int(n))
+	if err != nil || crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
 		return ErrDamaged
 	}
 	plain, err := decoder.DecodeAll(payload, nil)
@@ -71,10 +82,11 @@
 	return nil
 }
 
-func readBytes(b []byte, r io.Reader, n int) ([]byte, error) {
+func readBytes(r io.Reader, n int) ([]byte, error) {
+	b := make([]byte, 0, min(n, readChunk))
 	for len(b) < n {
 		at := len(b)
-		b = append(b, make([]byte, min(n-at, 1<<20))...)
+		b = append(b, make([]byte, min(n-at, readChunk))...)
 		if _, err := io.ReadFull(r, b[at:]); err != nil {
 			return nil, err
 		}
@@ -82,12 +94,9 @@
 	return b, nil
 }
 
-// batch is the payload of a frame of turns.
+// stepBatch is the payload of a frame of steps.
 type stepBatch struct {
 	_     struct{} `cbor:",toarray"`
 	First uint64
 	Steps []Step
 }
-
-// ErrNewer tells of a recording by a later version of this program.
-var ErrNewer = errors.New("written by a newer version")
--- a/internal/record/list.go
+++ b/internal/record/list.go
@@ -10,7 +10,11 @@
 	"time"
 )
 
-// Files lists the segments that paths name: files as they are, folders with all that is in them.
+// segmentSuffix ends the names of segments. Before it stand the incarnation and the segment's number.
+const segmentSuffix = ".rec"
+
+// ExpandPaths returns the segments that paths name: files as they are, directories with all segments in them. A directory without
+// segments is an error.
 func ExpandPaths(paths []string) ([]string, error) {
 	var files []string
 	for _, p := range paths {
@@ -22,55 +26,55 @@
 			files = append(files, p)
 			continue
 		}
-		in, err := ListSegments(p)
+		segments, err := ListSegments(p)
 		if err != nil {
 			return nil, err
 		}
-		if len(in) == 0 {
+		if len(segments) == 0 {
 			return nil, fmt.Errorf("%s: no recordings there", p)
 		}
-		files = append(files, in...)
+		files = append(files, segments...)
 	}
 	return files, nil
 }
 
-// Segments lists a folder's segments, oldest first: lives by the time of their first file, then by number.
+// ListSegments returns a directory's segments, oldest first: incarnations by the time of their first file, then by number.
 func ListSegments(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	type found struct {
-		name, life string
+	type segmentFile struct {
+		name, incarnation string
 	}
-	var fs []found
-	begun := map[string]time.Time{}
+	var files []segmentFile
+	begunAt := map[string]time.Time{} // by incarnation
 	for _, e := range entries {
-		name, ok := strings.CutSuffix(e.Name(), ".rec")
+		name, ok := strings.CutSuffix(e.Name(), segmentSuffix)
 		if !ok || e.IsDir() {
 			continue
 		}
-		life := name[:max(0, strings.LastIndexByte(name, '-'))]
+		incarnation := name[:max(0, strings.LastIndexByte(name, '-'))]
 		info, err := e.Info()
 		if err != nil {
 			continue
 		}
-		if at, known := begun[life]; !known || info.ModTime().Before(at) {
-			begun[life] = info.ModTime()
+		if at, known := begunAt[incarnation]; !known || info.ModTime().Before(at) {
+			begunAt[incarnation] = info.ModTime()
 		}
-		fs = append(fs, found{e.Name(), life})
+		files = append(files, segmentFile{e.Name(), incarnation})
 	}
-	slices.SortFunc(fs, func(a, b found) int {
-		return cmp.Or(begun[a.life].Compare(begun[b.life]), cmp.Compare(a.name, b.name))
+	slices.SortFunc(files, func(a, b segmentFile) int {
+		return cmp.Or(begunAt[a.incarnation].Compare(begunAt[b.incarnation]), cmp.Compare(a.name, b.name))
 	})
-	names := make([]string, len(fs))
-	for i, f := range fs {
-		names[i] = filepath.Join(dir, f.name)
+	paths := make([]string, len(files))
+	for i, f := range files {
+		paths[i] = filepath.Join(dir, f.name)
 	}
-	return names, nil
+	return paths, nil
 }
 
-// makeRoom removes the oldest segments beyond the bound of all.
+// pruneSegments removes the oldest segments, so that another one fits within the bound of all.
 func (w *Writer) pruneSegments() {
 	files, err := ListSegments(w.dir)
 	if err != nil {
--- a/internal/record/queue.go
+++ b/internal/record/queue.go
@@ -6,27 +6,27 @@
 	"hollymast/internal/core"
 )
 
-// item is a segment's beginning, or a turn.
+// item is the beginning of a segment, or a step.
 type item struct {
-	header     *Header
+	header     *Header // nil: a step
 	checkpoint *core.Snapshot
 	number     uint64
 	step       Step
 }
 
-// depth is how many turns may wait for the disk: a second of a busy router.
+// queueDepth is how many steps may wait for the disk: a second of a busy router.
 const queueDepth = 8192
 
-// queue hands items from the turn to the goroutine that writes. It wakes that one seldom: a wake-up for each turn cost
-// more than all else of the recording.
+// queue hands items from the event loop to the writer goroutine. It wakes that one only when it is half full, since a wake-up for each
+// step cost more than all else of the recording.
 type queue struct {
 	mu     sync.Mutex
 	items  []item
 	closed bool
-	wake   chan struct{}
+	wake   chan struct{} // holds one
 }
 
-// push gives false where the queue is full.
+// push adds an item; it reports whether there was room.
 func (q *queue) push(it item) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -52,11 +52,11 @@
 	return len(q.items)
 }
 
-// take gives all items and whether more may come.
-func (q *queue) drain(room []item) (items []item, closed bool) {
+// drain returns all items, and whether the queue is closed: then none follow. The queue takes over a buffer for the next ones.
+func (q *queue) drain(buffer []item) (items []item, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	items, q.items = q.items, room[:0]
+	items, q.items = q.items, buffer[:0]
 	return items, q.closed
 }
 
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -9,7 +10,7 @@
 	"hollymast/internal/core"
 )
 
-// Segment is a segment's beginning.
+// Segment is a segment that is being read. The caller must Close it.
 type Segment struct {
 	Header
 	File       string
@@ -18,7 +19,7 @@
 	r          *bufio.Reader
 }
 
-// OpenSegment reads a segment's beginning. Errors name the file and what is wrong with it.
+// OpenSegment opens a segment and reads its header and checkpoint. The error is ErrNewer, ErrDamaged or another, and names the file.
 func OpenSegment(name string) (s *Segment, err error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -47,12 +48,12 @@
 	return s, nil
 }
 
-// Turns hands each turn with its number to a function, until the segment ends, the function gives an error, or the
-// segment is damaged: then all before the damage was handed over, and the error is ErrDamaged.
+// ForEachStep calls a function with each step and its number, until the segment ends, the function returns an error, or the segment is
+// damaged. Then the error is ErrDamaged, and the function was called with all steps before the damage.
 func (s *Segment) ForEachStep(each func(number uint64, t Step) error) error {
 	for {
 		var b stepBatch
-		if err := readFrame(s.r, &b); err == io.EOF {
+		if err := readFrame(s.r, &b); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: %w", s.File, err)
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -2,115 +2,117 @@
 
 import (
 	"hollymast/control"
+	"hollymast/internal/core"
 )
 
-// Tape turns a core's calls into turns. It is the part of the writer and of the comparison that runs within a turn. What
-// turns hold is cut from a few large pieces: allocations of their own cost more than all else on the tape.
+// Recorder turns a core's calls into Steps, within the step of the event loop. It serves the writer, and the comparison at replay. The
+// lists in steps are cut from a few large chunks: allocations of their own would cost more than the rest of the recorder.
 type Recorder struct {
 	step     Step
-	OnStep   func(Step) // takes each finished turn
+	OnStep   func(Step) // called with each step that has ended
 	events   []Event
 	commands []Command
 	requests []control.Request
 	outcomes []control.Outcome
 }
 
-// piece is how many of a kind are allocated at once: a few hundred turns.
+var _ core.Recorder = (*Recorder)(nil)
+
+// chunkLen is how many elements are allocated at once: enough for a few hundred steps.
 const chunkLen = 256
 
-// keep puts v at the end of a piece, or of a new one, and gives its place.
-func place[T any](p *[]T, v T) *T {
-	if len(*p) == cap(*p) {
-		*p = make([]T, 0, chunkLen)
+// place puts v at the end of a chunk, or of a new one, and returns where it is.
+func place[T any](chunk *[]T, v T) *T {
+	if len(*chunk) == cap(*chunk) {
+		*chunk = make([]T, 0, chunkLen)
 	}
-	*p = append(*p, v)
-	return &(*p)[len(*p)-1]
+	*chunk = append(*chunk, v)
+	return &(*chunk)[len(*chunk)-1]
 }
 
-// add lengthens a list that stands at the end of a piece; where the piece is full the list moves to a new one.
-func extend[T any](p *[]T, list []T, v T) []T {
-	if len(*p) == cap(*p) {
-		*p = append(make([]T, 0, max(chunkLen, 2*len(list))), list...)
-		list = *p
+// extend appends to a list that is the end of a chunk. Where the chunk is full the list moves to a new one.
+func extend[T any](chunk *[]T, list []T, v T) []T {
+	if len(*chunk) == cap(*chunk) {
+		*chunk = append(make([]T, 0, max(chunkLen, 2*len(list))), list...)
+		list = *chunk
 	}
-	*p = append(*p, v)
-	return (*p)[len(*p)-len(list)-1:]
+	*chunk = append(*chunk, v)
+	return (*chunk)[len(*chunk)-len(list)-1:]
 }
 
-// StepEnded ends a turn.
-func (t *Recorder) StepEnded(now control.Micros) {
-	t.step.Clock = now
-	turn := t.step
-	t.step = Step{}
-	t.OnStep(turn)
+// StepEnded ends a step and hands it to OnStep.
+func (r *Recorder) StepEnded(now control.Micros) {
+	r.step.Clock = now
+	step := r.step
+	r.step = Step{}
+	r.OnStep(step)
 }
 
-func (t *Recorder) addEvent(n Event) { t.step.Events = extend(&t.events, t.step.Events, n) }
-
-func (t *Recorder) addCommand(d Command) { t.step.Commands = extend(&t.commands, t.step.Commands, d) }
+func (r *Recorder) addEvent(e Event)     { r.step.Events = extend(&r.events, r.step.Events, e) }
+func (r *Recorder) addCommand(c Command) { r.step.Commands = extend(&r.commands, r.step.Commands, c) }
 
-// EndpointsUpdated notes a list of servers.
-func (t *Recorder) EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint) {
-	t.addEvent(Event{Endpoints: &EndpointUpdate{kind, list}})
+// EndpointsUpdated records an update of the endpoint list.
+func (r *Recorder) EndpointsUpdated(kind control.UpdateKind, endpoints []control.Endpoint) {
+	r.addEvent(Event{Endpoints: &EndpointUpdate{kind, endpoints}})
 }
 
-// RequestAdded notes a new job.
-func (t *Recorder) RequestAdded(job control.Request) {
-	t.addEvent(Event{Added: place(&t.requests, job)})
+// RequestAdded records a new request.
+func (r *Recorder) RequestAdded(request control.Request) {
+	r.addEvent(Event{Added: place(&r.requests, request)})
 }
 
-// Asked notes the client's id for the job that has just arrived, as a Tag.
-func (t *Recorder) SetClientTag(request uint64) {
-	t.step.Events[len(t.step.Events)-1].ClientTag = request
+// SetClientTag records the Tag of the client's own id for the request that was added last.
+func (r *Recorder) SetClientTag(tag uint64) {
+	r.step.Events[len(r.step.Events)-1].ClientTag = tag
 }
 
-// AttemptEnded notes the end of an execution.
-func (t *Recorder) AttemptEnded(id control.RequestID, o control.Outcome) {
-	t.addEvent(Event{RequestID: id, Outcome: place(&t.outcomes, o)})
+// AttemptEnded records the end of an attempt.
+func (r *Recorder) AttemptEnded(id control.RequestID, o control.Outcome) {
+	r.addEvent(Event{RequestID: id, Outcome: place(&r.outcomes, o)})
 }
 
-// RequestCancelled notes that a client left.
-func (t *Recorder) RequestCancelled(id control.RequestID) {
-	t.addEvent(Event{RequestID: id, Cancelled: true})
+// RequestCancelled records that a client left.
+func (r *Recorder) RequestCancelled(id control.RequestID) {
+	r.addEvent(Event{RequestID: id, Cancelled: true})
 }
 
-// LoadEnded notes the answer to an order.
-func (t *Recorder) LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, copies int) {
-	t.addEvent(Event{LoadResult: &LoadResult{s, f, result, took, copies}})
+// LoadEnded records the answer to a load command.
+func (r *Recorder) LoadEnded(server control.ServerID, function control.FunctionID, result control.Result, duration control.Micros, replicas int) {
+	r.addEvent(Event{LoadResult: &LoadResult{server, function, result, duration, replicas}})
 }
 
-// Forward and the others note what the core asked of its outlet.
-func (t *Recorder) Forward(j *control.Request, no control.AttemptID, to control.ServerID, allow control.Micros) {
-	t.addCommand(Command{Kind: CommandForward, Request: j.ID, Attempt: no, Server: to, Time: allow})
+// Forward records an attempt that is sent.
+func (r *Recorder) Forward(request *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
+	r.addCommand(Command{Kind: CommandForward, Request: request.ID, Attempt: attempt, Server: to, Time: timeout})
 }
 
-// Reject notes a push back.
-func (t *Recorder) Reject(id control.RequestID, stayAway control.Micros) {
-	t.addCommand(Command{Kind: CommandReject, Request: id, Time: stayAway})
+// Reject records a rejection.
+func (r *Recorder) Reject(id control.RequestID, retryAfter control.Micros) {
+	r.addCommand(Command{Kind: CommandReject, Request: id, Time: retryAfter})
 }
 
-// Fail notes a kill.
-func (t *Recorder) Fail(id control.RequestID) { t.addCommand(Command{Kind: CommandFail, Request: id}) }
+// Fail records a final failure.
+func (r *Recorder) Fail(id control.RequestID) { r.addCommand(Command{Kind: CommandFail, Request: id}) }
 
-// CancelAttempt notes an execution called off.
-func (t *Recorder) CancelAttempt(id control.RequestID, no control.AttemptID) {
-	t.addCommand(Command{Kind: CommandCancelAttempt, Request: id, Attempt: no})
+// CancelAttempt records that an attempt is cancelled.
+func (r *Recorder) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
+	r.addCommand(Command{Kind: CommandCancelAttempt, Request: id, Attempt: attempt})
 }
 
-// Load notes an order to load.
-func (t *Recorder) Load(j *control.Request, o control.LoadCommand) {
-	t.addCommand(Command{Kind: CommandLoad, Request: j.ID, Server: o.Server, Function: o.Function, Replicas: o.Replicas})
+// Load records a load command.
+func (r *Recorder) Load(request *control.Request, l control.LoadCommand) {
+	r.addCommand(Command{Kind: CommandLoad, Request: request.ID, Server: l.Server, Function: l.Function, Replicas: l.Replicas})
 }
 
-// SubscribeEndpoints notes the wish for changes of the list.
-func (t *Recorder) SubscribeEndpoints() { t.addCommand(Command{Kind: CommandSubscribe}) }
+// SubscribeEndpoints records a subscription to endpoint updates.
+func (r *Recorder) SubscribeEndpoints() { r.addCommand(Command{Kind: CommandSubscribe}) }
 
-// LogServerEvent notes a change in a server's health.
-func (t *Recorder) LogServerEvent(event control.ServerEvent) {
-	t.addCommand(Command{Kind: CommandLog, Text: event.String()})
+// LogServerEvent records a change in a server's health.
+func (r *Recorder) LogServerEvent(event control.ServerEvent) {
+	r.addCommand(Command{Kind: CommandLog, Text: event.String()})
 }
 
-// SetTimer notes the alarm.
-func (t *Recorder) SetTimer(at control.Micros) {
-	t.addCommand(Command{Kind: CommandSetTimer, Time: at})
+// SetTimer records the time at which the core asks for its next step.
+func (r *Recorder) SetTimer(at control.Micros) {
+	r.addCommand(Command{Kind: CommandSetTimer, Time: at})
 }
--- a/internal/record/segment_writer.go
+++ b/internal/record/segment_writer.go
@@ -13,99 +13,138 @@
 	"hollymast/internal/core"
 )
 
-// segment is the file being written.
+const (
+	// flushInterval is how often queued steps are written: how much a killed router loses of a recording.
+	flushInterval = 100 * time.Millisecond
+	// maxFrameSteps is the number of steps in a frame: enough for zstd to find what repeats.
+	maxFrameSteps = 512
+)
+
+// segment is the segment that is being written.
 type segment struct {
 	file     file
 	name     string
-	hasSteps bool // turns are in it
+	hasSteps bool // steps are written to it
 	size     int64
 	begunAt  time.Time
-	batch    stepBatch
+	batch    stepBatch // not written yet
 }
 
-// write is the goroutine that writes.
+// segmentWriter is the state of the writer goroutine.
+type segmentWriter struct {
+	*Writer
+	current  *segment // nil: none was begun, or the last one failed
+	number   int      // of the next segment
+	failing  bool     // a failure is logged, and not its end
+	failedAt time.Time
+	buffer   []item
+}
+
+// run is the writer goroutine. It ends when the queue is closed and all that was queued is written.
 func (w *Writer) run() {
-	var s *segment // nil: the last one failed, or none was begun
-	var failed time.Time
-	number, said := 0, false
-	var room []item
-	flush := time.NewTicker(100 * time.Millisecond) // how much a killed router loses
+	s := &segmentWriter{Writer: w}
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
-	check := func(err error) {
-		if err != nil {
-			if !said {
-				w.log.Error().Err(err).Msg("recording failed: turns are lost until a new segment can be begun")
-			}
-			said = true
-			if s != nil {
-				s.file.Close() // it failed: whatever else does
-				if !s.hasSteps {
-					w.removeSegment(s.name)
-					number-- // the next one takes its name
-				}
-			}
-			s, failed = nil, time.Now()
-		}
-	}
 	for {
 		select {
 		case <-w.queue.wake:
 		case <-flush.C:
 		}
-		items, closed := w.queue.drain(room)
-		for _, it := range items {
-			if it.header != nil {
-				if s != nil {
-					check(w.finishSegment(s))
-				}
-				it.header.Segment = number
-				var err error
-				if s, err = w.createSegment(it); err == nil {
-					number++
-				}
-				check(err)
-				continue
-			}
-			if s == nil { // what comes for a segment that failed is lost
-				w.lost.Add(1)
-				continue
-			}
-			if len(s.batch.Steps) == 0 {
-				s.batch.First = it.number
-			}
-			s.batch.Steps = append(s.batch.Steps, it.step)
-			const full = 512 // turns in a frame: enough for zstd to find what repeats
-			if len(s.batch.Steps) >= full {
-				check(w.flush(s))
-				runtime.Gosched() // a burst of frames would keep a processor from turns for milliseconds
-			}
-		}
-		clear(items)
-		room = items
+		closed := s.writeQueued()
 		switch {
-		case closed && s != nil:
-			check(w.finishSegment(s))
+		case closed && s.current != nil:
+			s.handleError(w.finishSegment(s.current))
 			return
 		case closed:
 			return
-		case s != nil:
-			check(w.flush(s))
-			if said && s != nil && s.hasSteps {
-				w.log.Info().Msg("recording goes on")
-				said = false
-			}
-			if s != nil && (s.size > w.limits.SegmentBytes || time.Since(s.begunAt) > w.limits.SegmentAge) {
-				s.begunAt = time.Now()
-				w.segmentWanted.Store(true)
-			}
-		case !failed.IsZero() && time.Since(failed) > w.retryDelay:
-			failed = time.Now()
+		case s.current != nil:
+			s.flushCurrent()
+		case !s.failedAt.IsZero() && time.Since(s.failedAt) > w.retryDelay:
+			s.failedAt = time.Now()
 			w.segmentWanted.Store(true)
 		}
 	}
 }
 
-// finish ends a segment.
+// writeQueued writes what is queued but for an incomplete frame, and reports whether the queue is closed.
+func (s *segmentWriter) writeQueued() (closed bool) {
+	items, closed := s.queue.drain(s.buffer)
+	for _, it := range items {
+		if it.header != nil {
+			s.nextSegment(it)
+		} else {
+			s.addStep(it)
+		}
+	}
+	clear(items)
+	s.buffer = items
+	return closed
+}
+
+func (s *segmentWriter) nextSegment(it item) {
+	if s.current != nil {
+		s.handleError(s.finishSegment(s.current))
+	}
+	it.header.Segment = s.number
+	var err error
+	if s.current, err = s.createSegment(it); err == nil {
+		s.number++
+	}
+	s.handleError(err)
+}
+
+func (s *segmentWriter) addStep(it item) {
+	if s.current == nil { // its segment failed
+		s.lost.Add(1)
+		return
+	}
+	batch := &s.current.batch
+	if len(batch.Steps) == 0 {
+		batch.First = it.number
+	}
+	batch.Steps = append(batch.Steps, it.step)
+	if len(batch.Steps) >= maxFrameSteps {
+		s.handleError(s.flush(s.current))
+		runtime.Gosched() // a burst of frames would keep a processor from the event loop for milliseconds
+	}
+}
+
+// flushCurrent writes an incomplete frame, and asks for the next segment where this one is full or old.
+func (s *segmentWriter) flushCurrent() {
+	s.handleError(s.flush(s.current))
+	if s.current == nil {
+		return
+	}
+	if s.failing && s.current.hasSteps {
+		s.log.Info().Msg("recording goes on")
+		s.failing = false
+	}
+	if s.current.size > s.limits.SegmentBytes || time.Since(s.current.begunAt) > s.limits.SegmentAge {
+		s.current.begunAt = time.Now()
+		s.segmentWanted.Store(true)
+	}
+}
+
+// handleError gives the current segment up. A failure is logged once until it is over.
+func (s *segmentWriter) handleError(err error) {
+	if err == nil {
+		return
+	}
+	if !s.failing {
+		s.log.Error().Err(err).Msg("recording failed: turns are lost until a new segment can be begun")
+	}
+	s.failing = true
+	if s.current != nil {
+		s.current.file.Close() // a write failed already
+		if !s.current.hasSteps {
+			s.removeSegment(s.current.name)
+			s.number-- // the next one takes its name
+		}
+	}
+	s.current, s.failedAt = nil, time.Now()
+}
+
+// finishSegment writes an incomplete frame and closes the file.
 func (w *Writer) finishSegment(s *segment) error {
 	if err := w.flush(s); err != nil {
 		return err
@@ -113,16 +152,16 @@
 	return s.file.Close()
 }
 
-// begin opens a segment's file and writes its head.
+// createSegment creates a segment's file and writes its header and checkpoint.
 func (w *Writer) createSegment(it item) (*segment, error) {
 	w.pruneSegments()
 	if w.dirMissing {
 		if err := w.disk.MakeDir(w.dir); err != nil {
 			return nil, err
 		}
-		w.dirMissing = false // one that goes later is not made again: what is mounted there may be missing
+		w.dirMissing = false // a directory that vanishes later is not made again: what is mounted there may be missing
 	}
-	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d.rec", w.header.Incarnation, it.header.Segment))
+	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d%s", w.header.Incarnation, it.header.Segment, segmentSuffix))
 	flags := os.O_EXCL
 	if name == w.leftover {
 		flags = os.O_TRUNC
@@ -144,38 +183,15 @@
 	return s, nil
 }
 
-// discard removes a segment in which nothing stands. One that can't be removed is written over by the next try: a folder that fails
-// for long fills with none.
+// removeSegment removes a segment without steps. One that can't be removed is overwritten by the next one. It guards against a directory
+// that fails for long filling with files.
 func (w *Writer) removeSegment(name string) {
 	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		w.leftover = name
 	}
 }
 
-// opening is a segment's beginning.
-func segmentStart(h *Header, s *core.Snapshot) (b []byte, err error) {
-	b = []byte(magic)
-	for _, v := range []any{h, s} {
-		if b, err = appendFrame(b, v); err != nil {
-			return nil, err
-		}
-	}
-	return b, nil
-}
-
-// Still is a segment of no turns: a core's state at one moment.
-func SnapshotSegment(h Header, now control.Micros, s *core.Snapshot) ([]byte, error) {
-	h.Version, h.Clock = Version, now
-	return segmentStart(&h, s)
-}
-
-func (w *Writer) writeBytes(s *segment, b []byte) error {
-	n, err := s.file.Write(b)
-	s.size += int64(n)
-	w.written.Add(int64(n))
-	return err
-}
-
+// flush writes an incomplete frame.
 func (w *Writer) flush(s *segment) error {
 	if len(s.batch.Steps) == 0 {
 		return nil
@@ -192,3 +208,27 @@
 	s.hasSteps = true
 	return nil
 }
+
+func (w *Writer) writeBytes(s *segment, b []byte) error {
+	n, err := s.file.Write(b)
+	s.size += int64(n)
+	w.written.Add(int64(n))
+	return err
+}
+
+// segmentStart encodes the magic, the header and the checkpoint of a segment.
+func segmentStart(header *Header, checkpoint *core.Snapshot) (b []byte, err error) {
+	b = []byte(magic)
+	for _, v := range []any{header, checkpoint} {
+		if b, err = appendFrame(b, v); err != nil {
+			return nil, err
+		}
+	}
+	return b, nil
+}
+
+// SnapshotSegment encodes a segment without steps: a core's state at one moment.
+func SnapshotSegment(header Header, now control.Micros, checkpoint *core.Snapshot) ([]byte, error) {
+	header.Version, header.Clock = Version, now
+	return segmentStart(&header, checkpoint)
+}
--- a/internal/record/tag.go
+++ b/internal/record/tag.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tag hides a text: with a key nobody without it can check a guess against the tag.
+// Tag hashes a text, such as a name or a client's id. With a key it is an HMAC, so that nobody without the key can check a guess against
+// it.
 func Tag(key, text string) uint64 {
 	if key == "" {
 		return xxhash.Sum64String(text)
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -1,14 +1,7 @@
-// Package record writes what a core heard and decided to segment files, and reads them back. A segment begins with a
-// header and a checkpoint of the whole state, so a replay can begin at any of them.
-//
-// A segment is the magic bytes, then frames: length and CRC-32C of the payload (four bytes each, big-endian), then the
-// payload, CBOR compressed with zstd. The first frame is a Header, the second a core.Snapshot, the others are Turns.
-// No body is ever recorded, and functions and tenants only by their ids.
 package record
 
 import (
 	"hollymast/control"
-	"hollymast/internal/core"
 )
 
 // Header begins a segment.
@@ -16,14 +9,14 @@
 	Version     int            `cbor:"Version"`
 	Build       string         `cbor:"Build"` // of the program that wrote it
 	Router      int            `cbor:"Router"`
-	Incarnation string         `cbor:"Life"`    // tells one run of a router from its others
-	Segment     int            `cbor:"Segment"` // within the life, from 0
-	FirstStep   uint64         `cbor:"Turn"`    // the first turn in it
+	Incarnation string         `cbor:"Life"`    // identifies one run of a router
+	Segment     int            `cbor:"Segment"` // number within the incarnation, from 0
+	FirstStep   uint64         `cbor:"Turn"`    // number of the first step in it
 	Clock       control.Micros `cbor:"Clock"`   // the router's time at the checkpoint
-	LostSteps   uint64         `cbor:"Gap"`     // turns lost before it
+	LostSteps   uint64         `cbor:"Gap"`     // steps lost before it
 }
 
-// Turn is one turn: what was heard, in order, and what was then asked of the outlet, in order.
+// Step is a step of the event loop: its events, and then the commands that the core gave, each in order.
 type Step struct {
 	_        struct{} `cbor:",toarray"`
 	Clock    control.Micros
@@ -31,24 +24,24 @@
 	Commands []Command
 }
 
-// News is one thing heard; one of its parts is set.
+// Event is an event that the core handled. One of its parts is set.
 type Event struct {
 	Added      *control.Request  `cbor:"1,keyasint,omitempty"`
 	Outcome    *control.Outcome  `cbor:"2,keyasint,omitempty"`
-	RequestID  control.RequestID `cbor:"3,keyasint,omitempty"` // of Answered and Left
+	RequestID  control.RequestID `cbor:"3,keyasint,omitempty"` // of Outcome and Cancelled
 	Endpoints  *EndpointUpdate   `cbor:"4,keyasint,omitempty"`
 	Cancelled  bool              `cbor:"5,keyasint,omitempty"`
 	LoadResult *LoadResult       `cbor:"6,keyasint,omitempty"`
-	ClientTag  uint64            `cbor:"7,keyasint,omitempty"` // of Arrived: Tag of its client's id for it; 0: none
+	ClientTag  uint64            `cbor:"7,keyasint,omitempty"` // of Added: Tag of the client's own id for the request; 0: none
 }
 
-// Listed is a list of servers as heard.
+// EndpointUpdate is an update of the endpoint list.
 type EndpointUpdate struct {
 	Kind      control.UpdateKind `cbor:"Kind"`
 	Endpoints []control.Endpoint `cbor:"List"`
 }
 
-// Loaded is an answer to an order.
+// LoadResult is a server's answer to a load command.
 type LoadResult struct {
 	Server   control.ServerID   `cbor:"Server"`
 	Function control.FunctionID `cbor:"Function"`
@@ -56,5 +49,3 @@
 	Duration control.Micros     `cbor:"Took"`
 	Replicas int                `cbor:"Copies"`
 }
-
-var _ core.Recorder = (*Recorder)(nil)
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -12,54 +12,65 @@
 	"hollymast/internal/persistence"
 )
 
-// Bounds limit what a recording takes on disk.
+// Limits bound what a recording takes on disk.
 type Limits struct {
-	SegmentBytes int64         // bytes after which a new segment begins
-	SegmentAge   time.Duration // after which it does too
-	TotalBytes   int64         // bytes of all segments: the oldest go
-	WaitForDisk  bool          // a turn waits for the disk where time is simulated: nothing is lost
+	SegmentBytes int64         // size after which the next segment begins
+	SegmentAge   time.Duration // age after which it does too
+	TotalBytes   int64         // size of all segments; beyond it the oldest are removed
+	WaitForDisk  bool          // for simulated time: a step waits for the disk, so that no step is lost
 }
 
-// Writer records a core. A recording owes nothing to clients: a folder that fails, is full or stands still costs turns of it and
-// nothing else. Its Tape runs in the turn and only hands over; a goroutine of its own writes. Where that can't
-// keep up, or the disk fails, turns are dropped whole, and a new segment says how many.
+const (
+	// closeTimeout bounds what a stalled disk costs a router that shuts down. A second of steps is written in far less.
+	closeTimeout = 2 * time.Second
+	// segmentRetryDelay is the pause between segments that can't be begun: short beside an outage, and rare enough to cost nothing.
+	segmentRetryDelay = time.Second
+	// diskWaitInterval is the pause between attempts to queue a step where WaitForDisk is set.
+	diskWaitInterval = time.Millisecond
+)
+
+// Writer records a core. A recording owes nothing to clients: where a disk fails, is full or stalls, steps of the recording are lost and
+// nothing else happens. The Recorder runs within the step and only queues; a goroutine writes. Where that can't keep up, or the disk
+// fails, whole steps are dropped, and the next segment says how many.
 type Writer struct {
-	dir           string
-	limits        Limits
-	header        Header
-	log           zerolog.Logger
-	snapshot      func() (*core.Snapshot, error)
+	dir      string
+	limits   Limits
+	header   Header // of each segment
+	log      zerolog.Logger
+	snapshot func() (*core.Snapshot, error)
+	disk     disk
+
 	queue         queue
-	wg            sync.WaitGroup
-	segmentWanted atomic.Bool // the goroutine wants a new segment
-	disk          disk
-	dirMissing    bool          // the folder could not be made yet
-	retryDelay    time.Duration // between tries of a folder that fails
-	leftover      string        // the goroutine's own: a segment of nothing that couldn't be removed
-
-	// The turn's own.
+	wg            sync.WaitGroup // the writer goroutine
+	segmentWanted atomic.Bool    // by the writer goroutine
+	written       atomic.Int64
+	lost          atomic.Int64
+
+	// The event loop's own.
 	steps            uint64
-	lostSinceSegment uint64 // turns dropped since the last that was handed over
+	lostSinceSegment uint64 // steps dropped since the last one that was queued
 	recording        bool   // a segment was begun and nothing was dropped since
 
-	written atomic.Int64
-	lost    atomic.Int64
+	// The writer goroutine's own.
+	dirMissing bool          // the directory could not be made yet
+	retryDelay time.Duration // between segments that can't be begun
+	leftover   string        // a segment without steps that couldn't be removed
 }
 
-// Open begins a recording in a folder. State is asked, within turns, for the core's snapshot. Errors are those of the
-// folder.
-func Open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
-	return open(dir, bounds, head, state, log, osDisk{})
+// Open begins a recording in a directory, and makes the directory. Snapshot is called within steps for the core's state. The error is
+// that of making the directory, unless it is transient. The caller must call BeginSegment before the first step, and Close.
+func Open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
+	return open(dir, limits, header, snapshot, log, osDisk{})
 }
 
-func open(dir string, bounds Limits, head Header, state func() (*core.Snapshot, error), log zerolog.Logger,
-	disk disk) (*Writer, error) {
-	// An error that may be over in a moment keeps no router from starting: the folder is made with the first segment that can be.
-	unmade := disk.MakeDir(dir)
-	if unmade != nil && !persistence.IsTransient(unmade) {
-		return nil, unmade
+func open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger, disk disk) (*Writer, error) {
+	// A transient error keeps no router from starting: the directory is made with the first segment for which it can be.
+	dirErr := disk.MakeDir(dir)
+	if dirErr != nil && !persistence.IsTransient(dirErr) {
+		return nil, dirErr
 	}
-	w := &Writer{dirMissing: unmade != nil, disk: disk, retryDelay: time.Second, dir: dir, limits: bounds, header: head, snapshot: state, log: log, queue: queue{wake: make(chan struct{}, 1)}}
+	w := &Writer{dir: dir, limits: limits, header: header, log: log, snapshot: snapshot, disk: disk, queue: queue{wake: make(chan struct{}, 1)},
+		dirMissing: dirErr != nil, retryDelay: segmentRetryDelay}
 	w.header.Version = Version
 	w.wg.Add(1)
 	go func() {
@@ -69,32 +80,32 @@
 	return w, nil
 }
 
-// Tape gives what the core is to record to. Call Begin before the first turn.
+// Recorder returns what the core is to record to.
 func (w *Writer) Recorder() *Recorder { return &Recorder{OnStep: w.endStep} }
 
-// Begin begins a segment with a checkpoint of the core as it stands between two turns.
+// BeginSegment begins a segment with a checkpoint of the core as it is between two steps.
 func (w *Writer) BeginSegment(now control.Micros) {
-	s, err := w.snapshot()
+	checkpoint, err := w.snapshot()
 	if err != nil {
 		w.log.Error().Err(err).Msg("no checkpoint for the recording")
 		return
 	}
 	h := w.header
-	h.Segment, h.FirstStep, h.LostSteps = -1, w.steps, w.lostSinceSegment
+	h.Segment, h.FirstStep, h.LostSteps = -1, w.steps, w.lostSinceSegment // the writer goroutine sets the number
 	h.Clock = now
-	if w.recording = w.queue.push(item{header: &h, checkpoint: s}); w.recording {
+	if w.recording = w.queue.push(item{header: &h, checkpoint: checkpoint}); w.recording {
 		w.lostSinceSegment = 0
 	}
 }
 
-// end takes a finished turn. The checkpoint of a new segment is taken at the end of the turn before its first.
-func (w *Writer) endStep(t Step) {
+// endStep queues a step. The checkpoint of a new segment is taken at the end of the step before its first.
+func (w *Writer) endStep(step Step) {
 	number := w.steps
 	w.steps++
-	for w.recording && !w.queue.push(item{number: number, step: t}) {
+	for w.recording && !w.queue.push(item{number: number, step: step}) {
 		if w.recording = w.limits.WaitForDisk; w.recording {
 			w.queue.signal()
-			time.Sleep(time.Millisecond)
+			time.Sleep(diskWaitInterval)
 		}
 	}
 	if !w.recording {
@@ -102,17 +113,18 @@
 		w.lost.Add(1)
 	}
 	if w.segmentWanted.CompareAndSwap(true, false) || !w.recording && w.queue.length() < queueDepth/2 {
-		w.BeginSegment(t.Clock)
+		w.BeginSegment(step.Clock)
 	}
 }
 
-// Lost counts turns that were not recorded, Written the bytes that were.
+// LostSteps returns the number of steps that were not recorded.
 func (w *Writer) LostSteps() int64 { return w.lost.Load() }
 
-// Written counts the bytes written.
+// WrittenBytes returns the number of bytes written.
 func (w *Writer) WrittenBytes() int64 { return w.written.Load() }
 
-// Close ends the recording, with all turns that were handed over. Its Tape must not be in use any more.
+// Close ends the recording and waits until all queued steps are written; without WaitForDisk for closeTimeout at most. The Recorder
+// must not be in use any more.
 func (w *Writer) Close() {
 	w.queue.close()
 	ended := make(chan struct{})
@@ -132,6 +144,3 @@
 		w.log.Warn().Msg("the recording's disk stands still: its last turns are lost")
 	}
 }
-
-// closeTime bounds what a disk that stands still costs a router that ends. A second of turns is written in far less.
-const closeTimeout = 2 * time.Second
