--- a/internal/record/read_test.go
+++ b/internal/record/read_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A recording of the format before, by the build that wrote it, is read.
+// A recording of the older format, by a build that wrote it, is read.
 func TestOlderFormatIsRead(t *testing.T) {
 	s, err := OpenSegment("testdata/format1.rec")
 	if err != nil {
@@ -25,7 +25,7 @@
 		return nil
 	})
 	if err != nil || s.Version != 1 || steps != 314 || requests != 151 {
-		t.Errorf("format %d, %d turns, %d jobs, %v", s.Version, steps, requests, err)
+		t.Errorf("format %d, %d steps, %d requests, %v", s.Version, steps, requests, err)
 	}
 }
 
--- a/internal/record/recorder_test.go
+++ b/internal/record/recorder_test.go
@@ -6,30 +6,30 @@
 	"hollymast/control"
 )
 
-// BenchmarkTurns is what a job costs: two turns on the tape, and their part of a frame, which is made outside turns.
+// BenchmarkSteps measures what a request costs: two steps in the recorder, and their part of a frame, which the writer goroutine makes.
 func BenchmarkSteps(b *testing.B) {
-	var turns []Step
-	tape := &Recorder{OnStep: func(t Step) { turns = append(turns, t) }}
+	var steps []Step
+	recorder := &Recorder{OnStep: func(t Step) { steps = append(steps, t) }}
 	report := &control.LoadReport{Utilization: 0.5}
 	clock, size := control.Micros(1_796_133_869_057_624), 0
-	j := control.Request{Function: 0x661936cc994fc, Lanes: 2}
+	request := control.Request{Function: 0x661936cc994fc, Lanes: 2}
 	for b.Loop() {
-		j.ID++
+		request.ID++
 		clock += 431
-		j.ArrivedAt, j.Deadline = clock, clock+2_000_000
-		tape.RequestAdded(j)
-		tape.Forward(&j, 0, 0x7f0000019a7b, 2_000_000)
-		tape.StepEnded(clock)
-		tape.AttemptEnded(j.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
-		tape.StepEnded(clock + 211)
-		if len(turns) >= 200 { // 100 ms at 1000 jobs a second
-			frame, err := appendFrame(nil, stepBatch{First: 1, Steps: turns})
+		request.ArrivedAt, request.Deadline = clock, clock+2_000_000
+		recorder.RequestAdded(request)
+		recorder.Forward(&request, 0, 0x7f0000019a7b, 2_000_000)
+		recorder.StepEnded(clock)
+		recorder.AttemptEnded(request.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
+		recorder.StepEnded(clock + 211)
+		if len(steps) >= 200 { // 100 ms at 1000 requests a second
+			frame, err := appendFrame(nil, stepBatch{First: 1, Steps: steps})
 			if err != nil {
 				b.Fatal(err)
 			}
 			size += len(frame)
-			turns = turns[:0]
+			steps = steps[:0]
 		}
 	}
-	b.ReportMetric(float64(size)/float64(b.N), "bytes/job")
+	b.ReportMetric(float64(size)/float64(b.N), "bytes/request")
 }
--- a/internal/record/stored_form_test.go
+++ b/internal/record/stored_form_test.go
@@ -10,8 +10,8 @@
 	"hollymast/internal/golden"
 )
 
-// What routers in service have recorded is read, and written in the same form: each kind of frame, with all of its fields set. The
-// bytes are those before compression.
+// What routers in service have recorded is read, and written in the same form: each kind of frame with all of its fields set, before
+// compression.
 func TestStoredForm(t *testing.T) {
 	for name, value := range map[string]any{"header-2.cbor": &Header{}, "checkpoint-2.cbor": &core.Snapshot{}, "turns-2.cbor": &stepBatch{}} {
 		golden.Fill(value)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -20,15 +20,15 @@
 	return &core.Snapshot{Balancer: &control.Snapshot{}}, nil
 }
 
-// A disk that is too slow stops no turn: turns are dropped, and the next segment says how many.
+// A disk that is too slow delays no step: steps are dropped, and the next segment says how many.
 func TestSlowDiskLosesStepsAndReportsThem(t *testing.T) {
-	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, snapshot: emptySnapshot, log: zerolog.Nop()} // nobody writes
+	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, snapshot: emptySnapshot, log: zerolog.Nop()} // there is no writer goroutine
 	w.BeginSegment(1)
 	for i := range control.Micros(queueDepth + 9) {
 		w.endStep(Step{Clock: i})
 	}
-	if w.LostSteps() != 10 { // the beginning took a place too
-		t.Errorf("%d turns lost", w.LostSteps())
+	if w.LostSteps() != 10 { // the header took a place too
+		t.Errorf("%d steps lost", w.LostSteps())
 	}
 	w.queue.drain(nil)
 	w.endStep(Step{Clock: 99}) // there is room again
@@ -42,7 +42,7 @@
 	}
 }
 
-// A folder that can't be written to costs the recording, not the router; once it can, recording goes on.
+// A directory that can't be written to costs steps of the recording; once it can, recording resumes.
 func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
 	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, zerolog.Nop())
@@ -62,7 +62,7 @@
 	}
 	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0; time.Sleep(time.Millisecond) {
 		if w.endStep(Step{Clock: 3}); time.Now().After(end) {
-			t.Fatal("it was not taken up again")
+			t.Fatal("recording was not resumed")
 		}
 	}
 	w.Close()
@@ -77,7 +77,7 @@
 	}
 }
 
-// faultDisk is a disk that is full, stands still, or can't make a folder so many times.
+// faultDisk is a disk that is full, stalls, or fails to make a directory so many times.
 type faultDisk struct {
 	osDisk
 	full, stalled         atomic.Bool
@@ -99,32 +99,32 @@
 
 type fullFile struct {
 	file
-	d *faultDisk
+	disk *faultDisk
 }
 
 func (f fullFile) Write(b []byte) (int, error) {
-	for f.d.stalled.Load() {
+	for f.disk.stalled.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	if f.d.full.Load() {
+	if f.disk.full.Load() {
 		n, _ := f.file.Write(b[:len(b)/2])
 		return n, syscall.ENOSPC
 	}
 	return f.file.Write(b)
 }
 
-// faulty opens a recording on such a disk.
-func openOnFaultDisk(t *testing.T, dir string, log zerolog.Logger, d *faultDisk) *Writer {
+// openOnFaultDisk opens a recording on such a disk.
+func openOnFaultDisk(t *testing.T, dir string, log zerolog.Logger, disk *faultDisk) *Writer {
 	t.Helper()
-	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, log, d)
+	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, log, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.retryDelay = time.Millisecond // before anything is handed to its goroutine
+	w.retryDelay = time.Millisecond // before anything is queued for its goroutine
 	return w
 }
 
-// saying is a log that is read while it is written.
+// logBuffer is a log that is read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -142,23 +142,23 @@
 	return s.text.String()
 }
 
-// However long a folder is full, no segments of nothing pile up; it is said once, and once it is over.
+// However long a disk is full, segments without steps don't pile up. The failure is logged once, and its end once.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	said := &logBuffer{}
-	d := &faultDisk{}
-	w := openOnFaultDisk(t, dir, zerolog.New(said), d)
-	d.full.Store(true)
+	log := &logBuffer{}
+	disk := &faultDisk{}
+	w := openOnFaultDisk(t, dir, zerolog.New(log), disk)
+	disk.full.Store(true)
 	w.BeginSegment(1)
-	for d.creates.Load() < 12 {
+	for disk.creates.Load() < 12 {
 		w.endStep(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
 		if left, err := ListSegments(dir); err != nil || len(left) > 1 {
 			t.Fatalf("%q, %v", left, err)
 		}
 	}
-	d.full.Store(false)
-	for begun := time.Now(); !strings.Contains(said.String(), "goes on") && time.Since(begun) < 10*time.Second; {
+	disk.full.Store(false)
+	for begun := time.Now(); !strings.Contains(log.String(), "goes on") && time.Since(begun) < 10*time.Second; {
 		w.endStep(Step{Clock: 3})
 		time.Sleep(time.Millisecond)
 		if w.LostSteps() > 1<<20 {
@@ -166,38 +166,38 @@
 		}
 	}
 	w.Close()
-	if n, m := strings.Count(said.String(), "recording failed"), strings.Count(said.String(), "goes on"); n != 1 || m != 1 {
-		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	if n, m := strings.Count(log.String(), "recording failed"), strings.Count(log.String(), "goes on"); n != 1 || m != 1 {
+		t.Errorf("logged %d and %d times: %s", n, m, log.String())
 	}
 	if left, err := ListSegments(dir); err != nil || len(left) != 1 {
 		t.Errorf("%q, %v", left, err)
 	}
 }
 
-// A disk that stands still keeps neither a turn nor a router's end waiting.
+// A stalled disk delays neither a step nor a shutdown.
 func TestStalledDisk(t *testing.T) {
-	d := &faultDisk{}
-	w := openOnFaultDisk(t, t.TempDir(), zerolog.Nop(), d)
-	d.stalled.Store(true)
+	disk := &faultDisk{}
+	w := openOnFaultDisk(t, t.TempDir(), zerolog.Nop(), disk)
+	disk.stalled.Store(true)
 	begun := time.Now()
 	w.BeginSegment(1)
 	for range 4 * queueDepth {
 		w.endStep(Step{Clock: 2})
 	}
-	turns := time.Since(begun)
+	steps := time.Since(begun)
 	w.Close()
-	if whole := time.Since(begun); turns > closeTimeout || whole > 3*closeTimeout || w.LostSteps() < queueDepth {
-		t.Errorf("%v for turns, %v in all, %d lost", turns, whole, w.LostSteps())
+	if total := time.Since(begun); steps > closeTimeout || total > 3*closeTimeout || w.LostSteps() < queueDepth {
+		t.Errorf("%v for steps, %v in all, %d lost", steps, total, w.LostSteps())
 	}
-	d.stalled.Store(false)
+	disk.stalled.Store(false)
 	w.wg.Wait()
 }
 
-// A folder that can't be made for a moment keeps no router from starting, and is made later; one that can't be for good does.
+// A directory that can't be made for a moment keeps no router from starting, and is made later; one that can't be made at all does.
 func TestDirectoryThatCannotBeMade(t *testing.T) {
-	d := &faultDisk{}
-	d.makeFailures.Store(3)
-	w := openOnFaultDisk(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), d)
+	disk := &faultDisk{}
+	disk.makeFailures.Store(3)
+	w := openOnFaultDisk(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), disk)
 	w.BeginSegment(1)
 	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		w.endStep(Step{Clock: 2})
@@ -211,21 +211,21 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(name, Limits{}, Header{}, emptySnapshot, zerolog.Nop()); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("a file was taken for a directory")
 	}
 }
 
-// BenchmarkCheckpoint is a segment's beginning at 80 servers and 1000 functions; it is made outside turns.
+// BenchmarkCheckpoint encodes the beginning of a segment with 80 servers and 1000 functions, which the writer goroutine does.
 func BenchmarkCheckpoint(b *testing.B) {
-	told := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
+	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	now := control.Micros(1_000_000_000)
-	c := core.New(control.New(now, 1, told), core.NoopExecutor{})
-	list := make([]control.Endpoint, 80)
-	for i := range list {
-		list[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
+	c := core.New(control.New(now, 1, deployment), core.NoopExecutor{})
+	endpoints := make([]control.Endpoint, 80)
+	for i := range endpoints {
+		endpoints[i] = control.Endpoint{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1}
 	}
-	c.UpdateEndpoints(now, control.FullUpdate, list)
+	c.UpdateEndpoints(now, control.FullUpdate, endpoints)
 	for i := range control.RequestID(1000) {
 		c.Add(now, control.Request{ID: i, Function: control.FunctionID(i), Lanes: 1, ArrivedAt: now, Deadline: now + 1<<50})
 	}
@@ -236,11 +236,11 @@
 	}
 	size := 0
 	for b.Loop() {
-		still, err := SnapshotSegment(Header{}, now, s)
+		segment, err := SnapshotSegment(Header{}, now, s)
 		if err != nil {
 			b.Fatal(err)
 		}
-		size = len(still)
+		size = len(segment)
 	}
 	b.ReportMetric(float64(size), "bytes")
 }
