--- a/internal/record/segment_writer.go
+++ b/internal/record/segment_writer.go
@@ -116,7 +116,7 @@
 		return
 	}
 	if s.failing && s.current.hasSteps {
-		s.log.Info().Msg("recording goes on")
+		s.log.Info().Msg("recording resumed")
 		s.failing = false
 	}
 	if s.current.size > s.limits.SegmentBytes || time.Since(s.current.begunAt) > s.limits.SegmentAge {
@@ -131,7 +131,7 @@
 		return
 	}
 	if !s.failing {
-		s.log.Error().Err(err).Msg("recording failed: turns are lost until a new segment can be begun")
+		s.log.Error().Err(err).Msg("recording failed: steps are lost until a new segment can be begun")
 	}
 	s.failing = true
 	if s.current != nil {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -141,6 +141,6 @@
 	select {
 	case <-ended:
 	case <-timer.C:
-		w.log.Warn().Msg("the recording's disk stands still: its last turns are lost")
+		w.log.Warn().Msg("recording's disk stalled: its last steps are lost")
 	}
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -158,7 +158,7 @@
 		}
 	}
 	disk.full.Store(false)
-	for begun := time.Now(); !strings.Contains(log.String(), "goes on") && time.Since(begun) < 10*time.Second; {
+	for begun := time.Now(); !strings.Contains(log.String(), "recording resumed") && time.Since(begun) < 10*time.Second; {
 		w.endStep(Step{Clock: 3})
 		time.Sleep(time.Millisecond)
 		if w.LostSteps() > 1<<20 {
@@ -166,7 +166,7 @@
 		}
 	}
 	w.Close()
-	if n, m := strings.Count(log.String(), "recording failed"), strings.Count(log.String(), "goes on"); n != 1 || m != 1 {
+	if n, m := strings.Count(log.String(), "recording failed"), strings.Count(log.String(), "recording resumed"); n != 1 || m != 1 {
 		t.Errorf("logged %d and %d times: %s", n, m, log.String())
 	}
 	if left, err := ListSegments(dir); err != nil || len(left) != 1 {
