--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -71,7 +71,7 @@
 	listed         bool        // named in the latest full list or in an update since
 	lastListed     Micros      // when it was last in the list, if it no longer is
 	weight         float64     // as the index has it: 0 if the server is not ready
-	questionable   bool        // is in index.questionable
+	impaired       bool        // is in index.impaired
 	present        bool        // as the index has it: not removed
 	functions      []*function // those with an entry for this server in their instances, by id
 	lastAnswer     Micros      // last response, or when it became known
--- a/control/index.go
+++ b/control/index.go
@@ -17,7 +17,7 @@
 	inSlowStart []*server
 	busy        []*server // with attempts in flight, by ID
 
-	questionable []*server // may be ejected or backed off; in any order
+	impaired []*server // may be ejected or backed off; in any order
 
 	maxWeight      float64    // no ready server has a larger weight
 	totalWeight    float64    // of all ready servers, approximately
@@ -43,24 +43,24 @@
 	if i, found := slices.BinarySearch(idx.notReady, s.Server); found {
 		idx.notReady = slices.Delete(idx.notReady, i, i+1)
 	}
-	if s.questionable {
-		idx.dropQuestionable(func(other *server) bool { return other == s })
+	if s.impaired {
+		idx.dropImpaired(func(other *server) bool { return other == s })
 	}
 }
 
-// markQuestionable notes that a server may be ejected or backed off.
-func (idx *index) markQuestionable(s *server) {
-	if !s.questionable {
-		s.questionable, idx.questionable = true, append(idx.questionable, s)
+// markImpaired notes that a server may be ejected or backed off.
+func (idx *index) markImpaired(s *server) {
+	if !s.impaired {
+		s.impaired, idx.impaired = true, append(idx.impaired, s)
 	}
 }
 
-// dropQuestionable drops the servers for which isTrusted is true: they are no longer ejected or backed off.
-func (idx *index) dropQuestionable(isTrusted func(s *server) bool) {
-	idx.questionable = slices.DeleteFunc(idx.questionable, func(s *server) bool {
-		trusted := isTrusted(s)
-		s.questionable = !trusted
-		return trusted
+// dropImpaired drops the servers for which recovered is true: they are no longer ejected or backed off.
+func (idx *index) dropImpaired(recovered func(s *server) bool) {
+	idx.impaired = slices.DeleteFunc(idx.impaired, func(s *server) bool {
+		isRecovered := recovered(s)
+		s.impaired = !isRecovered
+		return isRecovered
 	})
 }
 
@@ -151,7 +151,7 @@
 func (b *Balancer) rebuildIndex() {
 	b.index = index{}
 	for _, s := range b.servers {
-		s.weight, s.present, s.questionable, s.functions = 0, false, false, nil
+		s.weight, s.present, s.impaired, s.functions = 0, false, false, nil
 		b.index.ids = append(b.index.ids, s.Server)
 		if s.State != Removed {
 			b.index.listedAt = max(b.index.listedAt, s.lastListed)
@@ -163,7 +163,7 @@
 			b.index.busy = append(b.index.busy, s)
 		}
 		if s.ejected || s.backoffUntil > 0 {
-			b.index.markQuestionable(s)
+			b.index.markImpaired(s)
 		}
 	}
 	for _, f := range b.functionOrder {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -41,7 +41,7 @@
 	}
 	s.ejected, s.ejections = true, s.ejections+1
 	s.probeAt = now + b.probeInterval(s)
-	b.index.markQuestionable(s)
+	b.index.markImpaired(s)
 }
 
 // answered records an answer from a server, which ends its ejection.
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -313,7 +313,7 @@
 			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers[i])
 		}
 	}
-	for _, s := range append(slices.Clone(got.questionable), got.inSlowStart...) {
+	for _, s := range append(slices.Clone(got.impaired), got.inSlowStart...) {
 		if i, known := d.r.find(s.Server); !known || d.r.servers[i] != s {
 			d.t.Fatalf("server %x at %d is forgotten, and not", s.Server, d.now)
 		}
@@ -454,7 +454,7 @@
 	case 4:
 		s.concurrencyLimit = float64(s.running) + 0.1
 	}
-	d.r.index.markQuestionable(s)
+	d.r.index.markImpaired(s)
 }
 
 func (d *days) step() {
@@ -558,7 +558,7 @@
 		case 5:
 			s.slowStartSends = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
 		}
-		r.index.markQuestionable(s)
+		r.index.markImpaired(s)
 	}
 }
 
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -226,17 +226,17 @@
 }
 
 // usableCount counts the servers that a request that isn't restricted to a group may go to: all ready ones except
-// some that are questionable or in slow start.
+// some that are impaired or in slow start.
 func (b *Balancer) usableCount(now Micros, req *Request) int {
 	idx := &b.index
 	n := len(idx.ids) - len(idx.notReady)
-	for _, s := range idx.questionable {
+	for _, s := range idx.impaired {
 		if s.State == Ready && !b.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
 	for _, s := range idx.inSlowStart {
-		if !s.questionable && !b.usableUnchanged(now, s, req) {
+		if !s.impaired && !b.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
@@ -269,22 +269,22 @@
 func partitionLowest(cs []candidate, n int) {
 	for n > 0 && n < len(cs) {
 		pivot := cs[len(cs)/2].key
-		i, req := 0, len(cs)-1
-		for i <= req {
+		i, j := 0, len(cs)-1
+		for i <= j {
 			for cs[i].key < pivot {
 				i++
 			}
-			for cs[req].key > pivot {
-				req--
+			for cs[j].key > pivot {
+				j--
 			}
-			if i <= req {
-				cs[i], cs[req] = cs[req], cs[i]
-				i, req = i+1, req-1
+			if i <= j {
+				cs[i], cs[j] = cs[j], cs[i]
+				i, j = i+1, j-1
 			}
 		}
 		switch { // everything between j and i equals the pivot
-		case n <= req+1:
-			cs = cs[:req+1]
+		case n <= j+1:
+			cs = cs[:j+1]
 		case n >= i:
 			cs, n = cs[i:], n-i
 		default:
--- a/control/retries.go
+++ b/control/retries.go
@@ -82,7 +82,7 @@
 		inst.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
 	}
 	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
-	b.index.markQuestionable(s)
+	b.index.markImpaired(s)
 	b.adaptConcurrencyLimit(now, s, 1000)
 }
 
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -13,7 +13,7 @@
 		elsewhere       string // fields of the state that the snapshot represents differently or leaves out
 	}{
 		{Balancer{}, Snapshot{}, "functionOrder candidates index trace"},      // Functions are in that order; candidates is scratch space, the index is rebuilt, a trace belongs to a tool
-		{server{}, ServerSnapshot{}, "weight present questionable functions"}, // derived, with the index
+		{server{}, ServerSnapshot{}, "weight present impaired functions"}, // derived, with the index
 		{inFlightAttempt{}, InFlightSnapshot{}, ""},
 		{function{}, FunctionSnapshot{}, "ranking"}, // derived, with the index
 		{instance{}, InstanceSnapshot{}, ""},
