--- a/control/balancer.go
+++ b/control/balancer.go
@@ -30,6 +30,7 @@
 	admitted      []Micros    // requests admitted within the load-rate window
 	cancellations []Cancellation
 	candidates    []candidate // scratch space, reused between decisions
+	deviations    []deviation // scratch space, too
 	logLines      []string
 	answers       []Micros // recent answers, from all servers
 	answerRate    float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -56,8 +56,8 @@
 }
 
 // BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a function never seen
-// before, a busy function, and servers in slow start may cost more in a larger fleet: see buildRanking,
-// nearestHomes and totalCapacity.
+// before, one that becomes busy, and servers in slow start may cost more in a larger fleet: see buildRanking,
+// buildHomes and totalCapacity.
 func BenchmarkFleetSize(b *testing.B) {
 	const known = 256 // functions in rotation, so that none gets more than its share
 	for _, c := range []struct {
--- /dev/null
+++ b/control/homes.go
@@ -0,0 +1,211 @@
+package control
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// homeSet is the part of a function's order of ready servers in which its homes are found: all with a static key (see
+// ranking) below a bound. Each server is in it twice: by its key in the order that all routers share, which tells
+// whether it is a home, and by its key in this router's order of the homes. Home sets exist for functions that had
+// several homes when a request for them needed a load. They are derived from the endpoint list and never stored.
+type homeSet struct {
+	keys    []float64   // static keys in the shared order, ascending
+	entries []homeEntry // by ownKey
+	bound   float64     // no ready server outside the set has a lower static key
+	size    int         // servers expected below the bound when the set was built; 0: not built
+	seen    int         // changes of the endpoint list applied so far
+}
+
+// homeEntry is a server with its static keys.
+type homeEntry struct {
+	id     ServerID
+	key    float64 // in the shared order
+	ownKey float64 // in this router's order
+}
+
+func (b *Balancer) homeEntry(f *function, id ServerID, weight float64) homeEntry {
+	return homeEntry{id, rankKey(uint64(f.id), id, weight), rankKey(b.ownOrder(f), id, weight)}
+}
+
+// ownOrder returns the seed of this router's order of a function's homes.
+func (b *Balancer) ownOrder(f *function) uint64 {
+	return hash(uint64(f.id), uint64(b.deployment.Number)+1)
+}
+
+func byOwnKey(a, b homeEntry) int {
+	return cmp.Or(cmp.Compare(a.ownKey, b.ownKey), cmp.Compare(a.id, b.id))
+}
+
+func (hs *homeSet) add(e homeEntry) {
+	if e.key >= hs.bound {
+		return
+	}
+	i, _ := slices.BinarySearch(hs.keys, e.key)
+	hs.keys = slices.Insert(hs.keys, i, e.key)
+	i, _ = slices.BinarySearchFunc(hs.entries, e, byOwnKey)
+	hs.entries = slices.Insert(hs.entries, i, e)
+}
+
+func (hs *homeSet) remove(e homeEntry) {
+	if e.key >= hs.bound {
+		return
+	}
+	if i, found := slices.BinarySearch(hs.keys, e.key); found {
+		hs.keys = slices.Delete(hs.keys, i, i+1)
+	}
+	if i, found := slices.BinarySearchFunc(hs.entries, e, byOwnKey); found {
+		hs.entries = slices.Delete(hs.entries, i, i+1)
+	}
+}
+
+// buildHomes builds a function's home set from all servers, with about size of them.
+func (b *Balancer) buildHomes(f *function, size int) {
+	hs, idx := &f.homes, &b.index
+	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: idx.keyBound(size), size: size, seen: idx.changeCount()}
+	maxDistance := idx.hashBound(hs.bound)
+	for i, id := range idx.ids {
+		weight := b.servers[i].weight
+		if ^hash(uint64(f.id), uint64(id)) > maxDistance || weight == 0 {
+			continue
+		}
+		if e := b.homeEntry(f, id, weight); e.key < hs.bound {
+			hs.keys, hs.entries = append(hs.keys, e.key), append(hs.entries, e)
+		}
+	}
+	slices.Sort(hs.keys)
+	slices.SortFunc(hs.entries, byOwnKey)
+}
+
+// currentHomes returns a function's home set with all changes of the endpoint list applied. It is built if there is
+// none, or if it was built for far more or for fewer servers than are needed now.
+func (b *Balancer) currentHomes(f *function, need int) *homeSet {
+	const maxExcess = 16 // a walk finds every maxExcess-th server to be a home, and needs two
+	hs, idx := &f.homes, &b.index
+	if hs.size == 0 || hs.seen < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
+		hs.size < need && !math.IsInf(hs.bound, 1) {
+		b.buildHomes(f, 2*need)
+		return hs
+	}
+	maxDistance := idx.hashBound(hs.bound)
+	for _, c := range idx.changes[hs.seen-idx.droppedChanges:] {
+		if ^hash(uint64(f.id), uint64(c.server)) > maxDistance {
+			continue
+		}
+		if c.from > 0 {
+			hs.remove(b.homeEntry(f, c.server, c.from))
+		}
+		if c.to > 0 {
+			hs.add(b.homeEntry(f, c.server, c.to))
+		}
+	}
+	hs.seen = idx.changeCount()
+	return hs
+}
+
+// firstTwoHomes returns the first two servers that a load may go to, in loadTarget's order, from the home set of a
+// function with several homes. The result is false if the set doesn't determine them. The cost doesn't depend on the
+// number of servers, except for those that are impaired or in slow start.
+func (b *Balancer) firstTwoHomes(now Micros, f *function, req *Request) ([]candidate, bool) {
+	if !b.weightsOnlyLowered() || b.restrictedToGroup(req) {
+		return nil, false
+	}
+	usable := b.usableCount(now, req)
+	homes := b.homeCount(f, usable)
+	if homes < 2 {
+		return b.firstTwoByRanking(now, f, req)
+	}
+	need := (homes + homes/4 + 2*rankingLength) * b.index.readyCount() / usable
+	hs := b.currentHomes(f, need)
+	b.findDeviations(now, f, req)
+	if b.countBelow(hs, hs.bound) < homes && hs.size < 4*need {
+		b.buildHomes(f, 8*need) // slow start raises keys a few times
+		b.findDeviations(now, f, req)
+	}
+	if b.countBelow(hs, hs.bound) < homes {
+		return nil, false
+	}
+	return b.walkHomes(now, f, req, homes), true
+}
+
+// walkHomes returns the first two homes, of which the home set must contain all. It walks the static order: as in
+// walkRanking, the first static key that can't beat the candidates ends it.
+func (b *Balancer) walkHomes(now Micros, f *function, req *Request, homes int) []candidate {
+	hs, firstTwo := &f.homes, b.candidates[:0]
+	for _, e := range hs.entries {
+		if len(firstTwo) == 2 && e.ownKey >= firstTwo[1].key {
+			break
+		}
+		i, _ := b.find(e.id)
+		s := b.servers[i]
+		if !b.usableUnchanged(now, s, req) {
+			continue
+		}
+		c, key := candidate{s, e.ownKey, b.weight(now, s)}, e.key
+		if c.weight != s.weight {
+			c.key, key = rankKey(b.ownOrder(f), e.id, c.weight), rankKey(uint64(f.id), e.id, c.weight)
+		}
+		if isHome := b.countBelow(hs, key) < homes; isHome {
+			firstTwo = insertFirstTwo(firstTwo, c)
+		}
+	}
+	b.candidates = firstTwo
+	return firstTwo
+}
+
+// insertFirstTwo inserts a candidate in order into a list of the first two.
+func insertFirstTwo(firstTwo []candidate, c candidate) []candidate {
+	if len(firstTwo) == 2 {
+		if c.key >= firstTwo[1].key {
+			return firstTwo
+		}
+		firstTwo = firstTwo[:1]
+	}
+	if firstTwo = append(firstTwo, c); len(firstTwo) == 2 && firstTwo[1].key < firstTwo[0].key {
+		firstTwo[0], firstTwo[1] = firstTwo[1], firstTwo[0]
+	}
+	return firstTwo
+}
+
+// deviation is a server whose present key in a function's order isn't its static one.
+type deviation struct {
+	static  float64
+	present float64 // infinite for a server that can't be used
+}
+
+// findDeviations finds the deviations of servers in a function's home set.
+func (b *Balancer) findDeviations(now Micros, f *function, req *Request) {
+	b.deviations = b.deviations[:0]
+	maxDistance := b.index.hashBound(f.homes.bound)
+	for s := range b.index.unusual {
+		if ^hash(uint64(f.id), uint64(s.Server)) > maxDistance || s.weight == 0 {
+			continue
+		}
+		d := deviation{rankKey(uint64(f.id), s.Server, s.weight), math.Inf(1)}
+		if d.static >= f.homes.bound {
+			continue
+		}
+		if b.usableUnchanged(now, s, req) {
+			d.present = rankKey(uint64(f.id), s.Server, b.weight(now, s))
+		}
+		if d.present != d.static {
+			b.deviations = append(b.deviations, d)
+		}
+	}
+}
+
+// countBelow returns how many usable servers have a present key below the given one. Above the home set's bound it
+// may leave some out, but still returns no less than at the bound.
+func (b *Balancer) countBelow(hs *homeSet, key float64) int {
+	n, _ := slices.BinarySearch(hs.keys, key)
+	for _, d := range b.deviations {
+		if d.static < key {
+			n--
+		}
+		if d.present < key {
+			n++
+		}
+	}
+	return n
+}
--- a/control/index.go
+++ b/control/index.go
@@ -17,14 +17,24 @@
 	inSlowStart []*server
 	busy        []*server // with attempts in flight, by ID
 
-	impaired []*server // may be ejected or backed off; in any order
+	// May be ejected, backed off, or have its weight lowered by what is known of its load; in any order.
+	impaired []*server
 
-	maxWeight      float64    // no ready server has a larger weight
-	totalWeight    float64    // of all ready servers, approximately
-	changes        []ServerID // the latest servers that were added, removed or changed their weight
-	droppedChanges int        // number of changes before those
+	maxWeight      float64        // no ready server has a larger weight
+	totalWeight    float64        // of all ready servers, approximately
+	changes        []weightChange // the latest
+	droppedChanges int            // number of changes before those
 }
 
+// weightChange is a change of a server's static weight, which is 0 while the server isn't ready.
+type weightChange struct {
+	server   ServerID
+	from, to float64
+}
+
+// readyCount returns the number of ready servers.
+func (idx *index) readyCount() int { return len(idx.ids) - len(idx.notReady) }
+
 func byID(a, b *server) int { return cmp.Compare(a.Server, b.Server) }
 
 func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
@@ -48,14 +58,23 @@
 	}
 }
 
-// markImpaired notes that a server may be ejected or backed off.
+// markImpaired notes that a server may be ejected, backed off, or of lowered weight. It stays marked at least until the
+// next maintenance.
 func (idx *index) markImpaired(s *server) {
 	if !s.impaired {
 		s.impaired, idx.impaired = true, append(idx.impaired, s)
 	}
 }
 
-// dropImpaired drops the servers for which recovered is true: they are no longer ejected or backed off.
+// noteLoad marks a server as impaired if its load may lower its weight. It must be called after each change of what
+// is known of the load, except for a lower one.
+func (idx *index) noteLoad(now Micros, s *server) {
+	if !s.impaired && s.mayHaveLowWeight(now) {
+		idx.markImpaired(s)
+	}
+}
+
+// dropImpaired drops the servers for which recovered is true.
 func (idx *index) dropImpaired(recovered func(s *server) bool) {
 	idx.impaired = slices.DeleteFunc(idx.impaired, func(s *server) bool {
 		isRecovered := recovered(s)
@@ -64,6 +83,21 @@
 	})
 }
 
+// unusual calls yield for each server that may be impaired or in slow start, until it returns false. All other ready
+// servers are usable, and of unchanged weight.
+func (idx *index) unusual(yield func(s *server) bool) {
+	for _, s := range idx.impaired {
+		if !yield(s) {
+			return
+		}
+	}
+	for _, s := range idx.inSlowStart {
+		if !s.impaired && !yield(s) {
+			return
+		}
+	}
+}
+
 // insertSorted returns a sorted list with s inserted, if it isn't in it already.
 func insertSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
 	i, found := slices.BinarySearchFunc(list, s, compare)
@@ -108,8 +142,8 @@
 	}
 	if weight != s.weight {
 		idx.maxWeight, idx.totalWeight = max(idx.maxWeight, weight), idx.totalWeight+weight-s.weight
+		idx.noteChange(weightChange{s.Server, s.weight, weight})
 		s.weight = weight
-		idx.noteChange(s.Server)
 	}
 	if s.State == Ready && b.capacity(idx.listedAt, s) != 1 {
 		idx.inSlowStart = insertSorted(idx.inSlowStart, s, byID)
@@ -119,15 +153,18 @@
 }
 
 // noteChange records a change that rankings have to apply.
-func (idx *index) noteChange(id ServerID) {
+func (idx *index) noteChange(c weightChange) {
 	const maxKept = 256 // applying more costs a ranking as much as scanning a few thousand servers
 	if len(idx.changes) == 2*maxKept {
 		idx.droppedChanges += maxKept
 		idx.changes = append(idx.changes[:0], idx.changes[maxKept:]...)
 	}
-	idx.changes = append(idx.changes, id)
+	idx.changes = append(idx.changes, c)
 }
 
+// changeCount returns the number of changes ever noted.
+func (idx *index) changeCount() int { return idx.droppedChanges + len(idx.changes) }
+
 // seek returns the index of the first ID not below id. The search starts at from, which must not be beyond that
 // index; the closer it is, the cheaper the search.
 func seek(ids []ServerID, from int, id ServerID) int {
@@ -162,12 +199,10 @@
 		if len(s.inFlight) > 0 {
 			b.index.busy = append(b.index.busy, s)
 		}
-		if s.ejected || s.backoffUntil > 0 {
-			b.index.markImpaired(s)
-		}
+		b.index.markImpaired(s) // the next maintenance drops those that aren't
 	}
 	for _, f := range b.functionOrder {
-		f.ranking = ranking{}
+		f.ranking, f.homes = ranking{}, homeSet{}
 		for _, inst := range f.instances {
 			inst.server.addFunction(f)
 		}
--- a/control/instances.go
+++ b/control/instances.go
@@ -23,6 +23,7 @@
 	heldSince   Micros // since when at least one request has been held
 	blockedAt   Micros // when a request for it last found no instance
 	ranking     ranking
+	homes       homeSet
 }
 
 // instance is the set of a function's replicas on one server, as far as this router believes.
--- a/control/loading.go
+++ b/control/loading.go
@@ -33,8 +33,12 @@
 			!(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	cs, ranked := []candidate(nil), false
-	if b.deployment.Routers > 1 && b.homeCount(f, len(b.index.ids)-len(b.index.notReady)) == 1 {
+	switch {
+	case b.deployment.Routers == 1: // all candidates count
+	case b.homeCount(f, b.index.readyCount()) == 1:
 		cs, ranked = b.firstTwoByRanking(now, f, req)
+	default:
+		cs, ranked = b.firstTwoHomes(now, f, req)
 	}
 	if !ranked {
 		if b.deployment.Routers == 1 && !slices.ContainsFunc(b.servers, func(s *server) bool {
@@ -81,15 +85,15 @@
 
 // candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
 func (b *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
-	cs, n := b.nearestHomes(now, f, req)
+	cs := b.allCandidates(now, f, req)
 	near := cs
 	if b.deployment.Routers > 1 {
 		near = cs[:min(len(cs), 2)]
 	}
-	homes := cs[:n]
+	homes := cs[:b.homeCount(f, len(cs))]
 	partitionLowest(cs, len(homes))
 	for i, c := range homes {
-		homes[i].key = rankKey(hash(uint64(f.id), uint64(b.deployment.Number)+1), c.server.Server, c.weight)
+		homes[i].key = rankKey(b.ownOrder(f), c.server.Server, c.weight)
 	}
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
 	if len(near) <= len(homes) {
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -30,7 +30,7 @@
 func (b *Balancer) prune(now Micros) {
 	b.pruneFunctions(now)
 	b.pruneServers(now)
-	b.index.dropImpaired(func(s *server) bool { return !s.ejected && now >= s.backoffUntil })
+	b.index.dropImpaired(func(s *server) bool { return !s.ejected && now >= s.backoffUntil && !s.mayHaveLowWeight(now) })
 }
 
 // pruneFunctions forgets idle functions, if many are known. Each call checks the next batch.
--- a/control/overload.go
+++ b/control/overload.go
@@ -28,12 +28,34 @@
 // queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
 // there then don't count as capacity to wait for either.
 func (b *Balancer) overloaded(now Micros, s *server) bool {
+	return b.freshFor > rareAnswers &&
+		(s.reportsOverload(now, b.freshFor) || s.queueing.mean(now-b.freshFor) > maxQueueing)
+}
+
+// maxQueueing is the queueing delay, in thousandths of the requests' slack, above which a server is overloaded: a
+// quarter of the slack, which performed better than two fifths.
+const maxQueueing = 250
+
+// reportsOverload reports whether a server's load report, if it is no older than freshFor, says that it is overloaded.
+func (s *server) reportsOverload(now, freshFor Micros) bool {
 	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
 	// at once. Lower bounds brought no gain.
-	reported := s.reportedAt > 0 && now < s.reportedAt+b.freshFor &&
+	return s.reportedAt > 0 && now < s.reportedAt+freshFor &&
 		(s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
-	// 250: a quarter of the slack, which performed better than two fifths.
-	return b.freshFor > rareAnswers && (reported || s.queueing.mean(now-b.freshFor) > 250)
+}
+
+// mayHaveLowWeight reports whether the load of a server lowers its weight, or may do so later without a further event:
+// the mean of its queueing samples changes as the older ones expire.
+func (s *server) mayHaveLowWeight(now Micros) bool {
+	if s.crowded() || s.reportsOverload(now, maxFreshFor) {
+		return true
+	}
+	for i, v := range s.queueing.v {
+		if v > maxQueueing && s.queueing.at[i] >= now-maxFreshFor {
+			return true
+		}
+	}
+	return false
 }
 
 // mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all
@@ -64,9 +86,12 @@
 	servers := b.totalCapacity(now)
 	observed := min(window, max(window/10, now-b.startedAt)) // shorter if the router just started
 	b.answerRate = float64(len(b.answers)) * 1e6 / float64(observed) / max(1, servers)
-	b.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
+	b.freshFor = Micros(min(maxFreshFor, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
 }
 
+// maxFreshFor is the longest time that an observation of a server stays valid.
+const maxFreshFor = 8_000_000
+
 // rareAnswers is the interval between a server's answers from which on they are too rare for its concurrency limit to
 // adapt: a few times the age of a load report.
 const rareAnswers = 2_000_000
@@ -79,6 +104,9 @@
 	return max(0, 1-float64(s.running)/s.concurrencyLimit)
 }
 
+// crowded reports whether less than a quarter of a server's concurrency limit is free.
+func (s *server) crowded() bool { return s.freeShare() < 0.25 }
+
 // rejectionBackoff is the base of the exponential backoff after a rejection. Doubled, it is about the time in which a
 // busy server completes a request.
 const rejectionBackoff = 25_000
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -366,6 +366,10 @@
 		d.outcomes[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
 	}
 	d.checkUsableCount(req)
+	d.checkUnusual(req)
+	if d.r.deployment.Routers > 1 {
+		d.checkHomes(f, req)
+	}
 	d.checkEqual(reference, "a load's server")
 	if after := d.r.Snapshot(); !reflect.DeepEqual(before, after) {
 		d.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", d.now, differ(before, after), differ(after, before))
@@ -562,22 +566,86 @@
 	}
 }
 
-// checkNearestHomes compares nearestHomes' bounded search with a scan of all servers.
-func (d *days) checkNearestHomes(f *function, req *Request) {
+// checkHomes compares the first two homes by the function's home set with those by a scan of all servers, and the set
+// itself with the static keys of all servers. It reports whether the set was asked and sufficient.
+func (d *days) checkHomes(f *function, req *Request) bool {
 	d.t.Helper()
-	look, homes := d.r.nearestHomes(d.now, f, req)
-	look = slices.Clone(look)
-	all := d.r.candidatesWithin(d.now, f, req, math.Inf(1))
-	want := d.r.homeCount(f, len(all))
-	need := max(want, min(2, len(all)))
-	if homes != want || len(look) < need {
-		d.t.Fatalf("%d homes of %d servers at %d, want %d of %d", homes, len(look), d.now, want, len(all))
+	all := slices.Clone(d.r.allCandidates(d.now, f, req))
+	homes := d.r.homeCount(f, len(all))
+	if homes < 2 {
+		return false
 	}
+	got, sufficient := d.r.firstTwoHomes(d.now, f, req)
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
-	slices.SortFunc(look, byKey)
 	slices.SortFunc(all, byKey)
-	if !slices.Equal(look[:need], all[:need]) {
-		d.t.Fatalf("the first %d of %d servers at %d: got %+v, want %+v", need, len(all), d.now, look[:need], all[:need])
+	want := all[:homes]
+	for i, c := range want {
+		own := hash(uint64(f.id), uint64(d.r.deployment.Number)+1)
+		want[i].key = -math.Log(uniform(own, uint64(c.server.Server))) / c.weight
+	}
+	slices.SortFunc(want, byKey)
+	if sufficient && !slices.Equal(got, want[:2]) {
+		d.t.Fatalf("function %x at %d: the first two of %d homes: got %+v, want %+v", f.id, d.now, homes, got, want[:2])
+	}
+	if f.homes.seen == d.r.index.changeCount() {
+		d.checkHomeSet(f)
+	}
+	return sufficient
+}
+
+// checkHomeSet compares a function's home set with the static keys of all ready servers.
+func (d *days) checkHomeSet(f *function) {
+	d.t.Helper()
+	var keys []float64
+	var entries []homeEntry
+	for _, s := range d.r.servers {
+		if s.State != Ready {
+			continue
+		}
+		e := homeEntry{s.Server, rankKey(uint64(f.id), s.Server, max(0.1, s.Weight)),
+			rankKey(hash(uint64(f.id), uint64(d.r.deployment.Number)+1), s.Server, max(0.1, s.Weight))}
+		if e.key < f.homes.bound {
+			keys, entries = append(keys, e.key), append(entries, e)
+		}
+	}
+	slices.Sort(keys)
+	slices.SortFunc(entries, func(a, b homeEntry) int { return cmp.Compare(a.ownKey, b.ownKey) })
+	if !slices.Equal(f.homes.keys, keys) || !slices.Equal(f.homes.entries, entries) {
+		d.t.Fatalf("function %x at %d: got home set %+v, want %v and %+v", f.id, d.now, f.homes, keys, entries)
+	}
+}
+
+// checkUnusual checks that a server that can't be used, or whose weight is lowered, is marked as impaired or in slow
+// start.
+func (d *days) checkUnusual(req *Request) {
+	d.t.Helper()
+	if d.r.restrictedToGroup(req) || d.r.deployment.Routers == 1 {
+		return
+	}
+	marked := slices.Collect(d.r.index.unusual)
+	for _, s := range d.r.servers {
+		if s.State == Ready && !slices.Contains(marked, s) &&
+			(!d.r.usableUnchanged(d.now, s, req) || d.r.weight(d.now, s) != s.weight) {
+			d.t.Fatalf("server %x at %d is not marked: %+v", s.Server, d.now, s)
+		}
+	}
+	ids := convertAll(marked, func(s *server) ServerID { return s.Server })
+	slices.Sort(ids)
+	if len(slices.Compact(ids)) != len(marked) {
+		d.t.Fatalf("servers at %d are marked twice", d.now)
+	}
+}
+
+// A restarted server that still runs earlier attempts is crowded once it has a limit again.
+func TestNewLimitMarksCrowdedServer(t *testing.T) {
+	r := fleet(deployment(), 1)
+	inst := stands(r, 1, 0)
+	r.index.dropImpaired(func(*server) bool { return true })
+	inst.server.running = 50
+	r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, Weight: 1, StartedAt: 1}})
+	if r.slots(at, inst, r.functions[7], 1); !inst.server.crowded() || !inst.server.impaired {
+		t.Errorf("a server with a limit of %v and %d attempts: crowded %t, marked %t", inst.server.concurrencyLimit,
+			inst.server.running, inst.server.crowded(), inst.server.impaired)
 	}
 }
 
@@ -596,8 +664,9 @@
 	}
 }
 
-// rankingCounts counts decisions by whether the ranking was sufficient, fell short, or was not asked for a busy function.
-type rankingCounts struct{ sufficient, short, hot int }
+// rankingCounts counts decisions by whether the ranking, or for a busy function the home set, was sufficient or fell
+// short.
+type rankingCounts struct{ sufficient, short, hot, homesSufficient, homesShort int }
 
 // compareLoadTarget compares where a load for a random request goes with the reference implementation's choice.
 func (d *days) compareLoadTarget(seed uint64, round int, counts *rankingCounts) {
@@ -609,8 +678,9 @@
 	f := r.function(req)
 	f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
 	d.checkUsableCount(req)
+	d.checkUnusual(req)
 	if d.chanceOf(0.3) {
-		d.checkNearestHomes(f, req)
+		d.checkHomes(f, req)
 		d.checkRanking(f)
 	}
 	purpose := firstReplica
@@ -624,6 +694,11 @@
 	}
 	if f.recent > 1 {
 		counts.hot++
+		if d.checkHomes(f, req) {
+			counts.homesSufficient++
+		} else {
+			counts.homesShort++
+		}
 	} else if two, known := r.firstTwoByRanking(d.now, f, req); known && len(two) > 0 {
 		counts.sufficient++
 	} else {
@@ -689,9 +764,8 @@
 			}
 		}
 	}
-	if counts.sufficient < 2000 || counts.short < 500 || counts.hot < 2000 {
-		t.Errorf("the ranking told %d times and fell short %d times, and %d times it could not tell: the days are too much alike",
-			counts.sufficient, counts.short, counts.hot)
+	if counts.sufficient < 2000 || counts.short < 500 || counts.hot < 2000 || counts.homesSufficient < 2000 || counts.homesShort < 500 {
+		t.Errorf("the cases are too much alike: %+v", counts)
 	}
 }
 
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -95,7 +95,7 @@
 
 // keyBound returns a key below which about n ready servers are expected.
 func (idx *index) keyBound(n int) float64 {
-	ready := float64(len(idx.ids) - len(idx.notReady))
+	ready := float64(idx.readyCount())
 	if share := float64(n) / ready; share < 1 {
 		return -math.Log(1-share) * ready / idx.totalWeight
 	}
@@ -109,7 +109,8 @@
 		b.buildRanking(f)
 	} else {
 		maxDistance := idx.hashBound(rk.bound)
-		for _, id := range idx.changes[rk.seen-idx.droppedChanges:] {
+		for _, c := range idx.changes[rk.seen-idx.droppedChanges:] {
+			id := c.server
 			if i := slices.IndexFunc(rk.entries, func(e rankingEntry) bool { return e.id == id }); i >= 0 {
 				rk.entries = slices.Delete(rk.entries, i, i+1)
 			}
@@ -121,7 +122,7 @@
 			}
 		}
 	}
-	rk.seen = idx.droppedChanges + len(idx.changes)
+	rk.seen = idx.changeCount()
 	return rk
 }
 
@@ -136,7 +137,7 @@
 	// Servers that left the endpoint list have shortened the ranking.
 	if !ok && len(rk.entries) < rankingLength && !math.IsInf(rk.bound, 1) {
 		b.buildRanking(f)
-		rk.seen = b.index.droppedChanges + len(b.index.changes)
+		rk.seen = b.index.changeCount()
 		firstTwo, ok = b.walkRanking(now, f, req, rk)
 	}
 	return firstTwo, ok
@@ -157,15 +158,7 @@
 		if c.weight != s.weight {
 			c.key = rankKey(uint64(f.id), e.id, c.weight)
 		}
-		if len(firstTwo) == 2 && c.key >= firstTwo[1].key {
-			continue
-		}
-		if len(firstTwo) == 2 {
-			firstTwo = firstTwo[:1]
-		}
-		if firstTwo = append(firstTwo, c); len(firstTwo) == 2 && firstTwo[1].key < firstTwo[0].key {
-			firstTwo[0], firstTwo[1] = firstTwo[1], firstTwo[0]
-		}
+		firstTwo = insertFirstTwo(firstTwo, c)
 	}
 	b.candidates = firstTwo
 	return firstTwo, math.IsInf(rk.bound, 1) || len(firstTwo) == 2 && rk.bound >= firstTwo[1].key
@@ -177,42 +170,15 @@
 	return b.deployment.SlowStartInitial <= 1 && b.deployment.SlowStartDuration > 0 && b.index.maxWeight < math.Inf(1)
 }
 
-// nearestHomes returns servers that a load may go to, in any order, and the function's number of homes. The homes
-// and the first two candidates are among them. With several routers it first looks only as far as it expects to
-// find slightly more than it needs.
-func (b *Balancer) nearestHomes(now Micros, f *function, req *Request) ([]candidate, int) {
-	if b.deployment.Routers > 1 && b.weightsOnlyLowered() && !b.restrictedToGroup(req) {
-		usable := b.usableCount(now, req)
-		homes := b.homeCount(f, usable)
-		need := max(homes, min(2, usable))
-		ready := len(b.index.ids) - len(b.index.notReady)
-		likely := (need + need/4 + 2*rankingLength) * ready / max(1, usable)
-		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
-			if cs := b.candidatesWithin(now, f, req, b.index.keyBound(n)); len(cs) >= need {
-				return cs, homes
-			}
-		}
-	}
-	cs := b.candidatesWithin(now, f, req, math.Inf(1))
-	return cs, b.homeCount(f, len(cs))
-}
-
-// candidatesWithin returns all servers that a load may go to whose key is below bound.
-func (b *Balancer) candidatesWithin(now Micros, f *function, req *Request, bound float64) []candidate {
-	cs, idx := b.candidates[:0], &b.index
-	maxDistance := idx.hashBound(bound)
-	for i, id := range idx.ids {
-		if ^hash(uint64(f.id), uint64(id)) > maxDistance {
-			continue
-		}
-		s := b.servers[i]
+// allCandidates returns all servers that a load may go to, in any order. It scans all servers.
+func (b *Balancer) allCandidates(now Micros, f *function, req *Request) []candidate {
+	cs := b.candidates[:0]
+	for _, s := range b.servers {
 		if s.weight == 0 || !b.usableUnchanged(now, s, req) {
 			continue
 		}
 		weight := b.weight(now, s)
-		if key := rankKey(uint64(f.id), id, weight); !(key >= bound) { // keeps a key that is NaN
-			cs = append(cs, candidate{s, key, weight})
-		}
+		cs = append(cs, candidate{s, rankKey(uint64(f.id), s.Server, weight), weight})
 	}
 	b.candidates = cs
 	return cs
@@ -229,17 +195,12 @@
 // some that are impaired or in slow start.
 func (b *Balancer) usableCount(now Micros, req *Request) int {
 	idx := &b.index
-	n := len(idx.ids) - len(idx.notReady)
-	for _, s := range idx.impaired {
+	n := idx.readyCount()
+	for s := range idx.unusual {
 		if s.State == Ready && !b.usableUnchanged(now, s, req) {
 			n--
 		}
 	}
-	for _, s := range idx.inSlowStart {
-		if !s.impaired && !b.usableUnchanged(now, s, req) {
-			n--
-		}
-	}
 	return n
 }
 
@@ -259,7 +220,7 @@
 		// What we know of a server is recent and tells how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
-	} else if s.freeShare() < 0.25 || b.overloaded(now, s) {
+	} else if s.crowded() || b.overloaded(now, s) {
 		weight *= 0.01 // moves it to the end, in the same order
 	}
 	return max(0.001, weight)
--- a/control/retries.go
+++ b/control/retries.go
@@ -71,6 +71,7 @@
 	case o.Result == Succeeded:
 		b.recordSuccess(now, f, inst, req, o)
 	}
+	b.index.noteLoad(now, s)
 }
 
 // recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
--- a/control/routing.go
+++ b/control/routing.go
@@ -47,7 +47,11 @@
 	const window = 128
 	b.recent = append(b.recent, f)
 	if f.recent++; len(b.recent) > window {
-		b.recent[0].recent, b.recent = b.recent[0].recent-1, b.recent[1:]
+		oldest := b.recent[0]
+		if oldest.recent--; oldest.recent == 0 {
+			oldest.homes = homeSet{} // bounds the memory of all home sets
+		}
+		b.recent = b.recent[1:]
 	}
 	if b.deployment.LoadRateWindow > 0 {
 		b.admitted = append(b.admitted, now)
@@ -236,6 +240,7 @@
 	if s.concurrencyLimit == 0 {
 		// The initial limit is what one instance offers.
 		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(b.deployment.Routers))
+		b.index.noteLoad(now, s)
 	}
 	if b.overloaded(now, s) {
 		return 0
@@ -250,6 +255,7 @@
 		MayHaveRun: true, toLoaded: loaded})
 	if loaded {
 		s.running++
+		b.index.noteLoad(now, s)
 	}
 	s.inFlight = append(s.inFlight, inFlightAttempt{req, AttemptID(len(req.Attempts) - 1), now, loaded})
 	b.index.busy = insertSorted(b.index.busy, s, byID)
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -12,10 +12,10 @@
 		state, snapshot any
 		elsewhere       string // fields of the state that the snapshot represents differently or leaves out
 	}{
-		{Balancer{}, Snapshot{}, "functionOrder candidates index trace"},      // Functions are in that order; candidates is scratch space, the index is rebuilt, a trace belongs to a tool
-		{server{}, ServerSnapshot{}, "weight present impaired functions"}, // derived, with the index
+		{Balancer{}, Snapshot{}, "functionOrder candidates deviations index trace"}, // Functions are in that order; candidates and deviations are scratch space, the index is rebuilt, a trace belongs to a tool
+		{server{}, ServerSnapshot{}, "weight present impaired functions"},           // derived, with the index
 		{inFlightAttempt{}, InFlightSnapshot{}, ""},
-		{function{}, FunctionSnapshot{}, "ranking"}, // derived, with the index
+		{function{}, FunctionSnapshot{}, "ranking homes"}, // derived, with the index
 		{instance{}, InstanceSnapshot{}, ""},
 		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes Work LoadTime ArrivedAt Deadline IsRetry RetriesUnmarked"}, // in RequestSnapshot.Request
 		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                 // in AttemptSnapshot.Attempt
