--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -21,7 +21,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Path     string `arg:"" help:"The history, or a router's memory folder." type:"path"`
 	Function string `default:"*" help:"Functions whose names match, as in path.Match."`
 	Tenant   string `default:"*" help:"Tenants whose names match."`
@@ -72,7 +72,7 @@
 	}
 	ago, err := time.ParseDuration(text)
 	if err != nil || ago < 0 {
-		return 0, program.Use{Err: fmt.Errorf("%q is neither a time as 2026-12-01T06:30:00Z nor a span as 24h", text)}
+		return 0, program.UsageError{Err: fmt.Errorf("%q is neither a time as 2026-12-01T06:30:00Z nor a span as 24h", text)}
 	}
 	return now.Add(-ago).UnixMicro(), nil
 }
@@ -89,7 +89,7 @@
 	}
 	for _, glob := range []string{c.Function, c.Tenant} {
 		if _, err := path.Match(glob, ""); err != nil {
-			return nil, program.Use{Err: fmt.Errorf("%q: %w", glob, err)}
+			return nil, program.UsageError{Err: fmt.Errorf("%q: %w", glob, err)}
 		}
 	}
 	name := c.Path
@@ -99,7 +99,7 @@
 	span := map[string]int64{"hour": history.Hour, "day": history.Day, "all": math.MaxInt64}[c.Step]
 	type place struct {
 		at  int64
-		who history.Who
+		who history.Subject
 	}
 	sums := map[place]*history.Row{}
 	// A row of a coarse level that began before from belongs to it in part; it is shown whole.
@@ -121,15 +121,15 @@
 		case span > 0:
 			r.At = r.At / span * span
 		}
-		at := place{r.At, r.Who}
+		at := place{r.At, r.Subject}
 		if sums[at] == nil {
-			sums[at] = &history.Row{At: r.At, Who: r.Who}
+			sums[at] = &history.Row{At: r.At, Subject: r.Subject}
 		}
-		sums[at].Merge(r.Use)
+		sums[at].Merge(r.Usage)
 		return nil
 	})
 	if errors.Is(err, history.ErrNewer) || errors.Is(err, os.ErrNotExist) {
-		return nil, program.Use{Err: err}
+		return nil, program.UsageError{Err: err}
 	}
 	if err != nil {
 		return nil, err
@@ -148,8 +148,8 @@
 
 func cells(r history.Row) []string {
 	n := func(v int64) string { return strconv.FormatInt(v, 10) }
-	return []string{time.UnixMicro(r.At).UTC().Format("2006-01-02T15:04Z"), r.Function, r.Tenant, n(r.Jobs), n(r.InTime), n(r.PushedBack), n(r.Killed),
-		n(r.Executions), n(r.Loads), n(r.Quantile(0.5)), n(r.Quantile(0.9)), n(r.Quantile(0.99))}
+	return []string{time.UnixMicro(r.At).UTC().Format("2006-01-02T15:04Z"), r.Function, r.Tenant, n(r.Requests), n(r.WithinObjective), n(r.Rejected), n(r.Failed),
+		n(r.Attempts), n(r.Loads), n(r.Quantile(0.5)), n(r.Quantile(0.9)), n(r.Quantile(0.99))}
 }
 
 func (c cli) csv(rows []history.Row) error {
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -22,7 +22,7 @@
 )
 
 type cli struct {
-	program.Common
+	program.CommonFlags
 	Servers servers `cmd:"" help:"Probe servers by address, or all of a list file. Runs nothing unless told to."`
 	Router  router  `cmd:"" help:"Ask a router at its admin address: state, snapshot, record-start, record-stop."`
 }
@@ -56,9 +56,9 @@
 	if s.List != "" {
 		f, err := inifile.Load(s.List)
 		if err != nil {
-			return nil, program.Use{Err: err}
+			return nil, program.UsageError{Err: err}
 		}
-		list, err := gateway.ReadList(f)
+		list, err := gateway.ParseEndpoints(f)
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(to) == 0 || s.Rate <= 0 {
-		return nil, program.Use{Err: errors.New("no server is named, or no rate")}
+		return nil, program.UsageError{Err: errors.New("no server is named, or no rate")}
 	}
 	return to, nil
 }
@@ -91,7 +91,7 @@
 				return ctx.Err()
 			}
 		}
-		f := probe.Server(ctx, address, probe.Ask{Patience: s.Patience, Model: s.Model, Body: []byte(s.Body)})
+		f := probe.Server(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
 		if !f.Ready || f.Run != nil && f.Run.Result != "finished" {
 			bad++
 		}
@@ -128,8 +128,8 @@
 	const patience = 10 * time.Second // a state of many thousand functions takes a part of one
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	limits := rest.Usual
-	limits.Body = 1 << 30
+	limits := rest.DefaultLimits
+	limits.MaxBody = 1 << 30
 	c, err := rest.Dial(ctx, r.Address, &limits)
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 		return renameio.WriteFile(r.Output, p.Body, 0o600)
 	}
 	if r.Ask == "snapshot" {
-		return program.Use{Err: errors.New("a snapshot is no text: name a file with --output")}
+		return program.UsageError{Err: errors.New("a snapshot is no text: name a file with --output")}
 	}
 	fmt.Println(string(p.Body))
 	return nil
--- a/cmd/hollymast/stop_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), asRouter+"=serve "+name)
+	command.Env = append(os.Environ(), routerArgsEnv+"=serve "+name)
 	log, err := command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -78,19 +78,19 @@
 }
 
 // asker is a client with one open connection that goes on sending.
-type asker struct {
+type openClient struct {
 	address    string
-	every      time.Duration
+	pause      time.Duration
 	answered   int
 	unanswered []string
 }
 
-func (a *asker) ask(until func() bool) {
+func (a *openClient) run(until func() bool) {
 	for until() {
-		c, err := rest.Dial(context.Background(), a.address, &rest.Usual)
+		c, err := rest.Dial(context.Background(), a.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				time.Sleep(a.every)
+				time.Sleep(a.pause)
 			}
 			continue
 		}
@@ -100,14 +100,14 @@
 			switch {
 			case err == nil:
 				a.answered++
-			case progress < rest.Whole:
+			case progress < rest.WrittenWhole:
 			default:
 				a.unanswered = append(a.unanswered, fmt.Sprintf("after %v: %v", time.Since(sent).Round(time.Millisecond), err))
 			}
 			if err != nil || p.Close {
 				break
 			}
-			time.Sleep(a.every)
+			time.Sleep(a.pause)
 		}
 		c.Close()
 	}
@@ -116,8 +116,8 @@
 // Told to stop with deadlines of 50 ms, the router may be killed 0.75 s later. Clients go on sending on open connections until
 // then, quick ones and slow ones: each request has its answer.
 func TestStopWithShortDeadlines(t *testing.T) {
-	server := fakeserver.New(fakeserver.Make{Copies: 20, Lanes: 20, Cores: 8, Work: 5 * time.Millisecond, Queue: 200, Load: time.Millisecond, Loads: 8,
-		FallOver: 1e6, Fall: time.Second, Seed: 1}, fakeserver.NewStore(time.Millisecond, 8), invariant.NewLog())
+	server := fakeserver.New(fakeserver.Config{MaxReplicas: 20, Lanes: 20, Cores: 8, ExecutionTime: 5 * time.Millisecond, QueueLimit: 200, LoadTime: time.Millisecond, MaxLoads: 8,
+		OverloadRate: 1e6, OverloadWindow: time.Second, Seed: 1}, fakeserver.NewStore(time.Millisecond, 8), invariant.NewLog())
 	if err := server.Start(false); err != nil {
 		t.Fatal(err)
 	}
@@ -130,11 +130,11 @@
 	for range 4 {
 		address, process := startGateway(t, fmt.Sprintf(shortDeadlines, list))
 		var over atomic.Bool
-		askers := make([]asker, 48)
+		askers := make([]openClient, 48)
 		var wg sync.WaitGroup
 		for i := range askers {
-			askers[i] = asker{address: address, every: time.Duration(1+7*i) * time.Millisecond}
-			wg.Go(func() { askers[i].ask(func() bool { return !over.Load() }) })
+			askers[i] = openClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
+			wg.Go(func() { askers[i].run(func() bool { return !over.Load() }) })
 		}
 		time.Sleep(400 * time.Millisecond)
 		process.Signal(syscall.SIGTERM)
@@ -145,7 +145,7 @@
 		for i := range askers {
 			answered += askers[i].answered
 			for _, text := range askers[i].unanswered {
-				t.Errorf("client that asks every %v: no answer %s", askers[i].every, text)
+				t.Errorf("client that asks every %v: no answer %s", askers[i].pause, text)
 			}
 		}
 	}
--- a/cmd/hollymast/platform.go
+++ b/cmd/hollymast/platform.go
@@ -12,14 +12,14 @@
 	"hollymast/internal/program"
 )
 
-type onPlatform struct {
+type platformCommand struct {
 	Name   string `help:"This router's name." env:"BALANCER_NAME"`
 	Listen string `help:"Where clients connect." env:"BALANCER_LISTEN"`
 	Config string `help:"The platform's configuration (JSON)." env:"BALANCER_CONFIG" required:""`
 	Log    string `help:"Log level: debug tells of each execution, trace also why jobs are turned away." default:"info" enum:"trace,debug,info,warn,error"`
 }
 
-func (o onPlatform) Run() error {
+func (o platformCommand) Run() error {
 	// Before all else: either may come at any time. Each has its own, so that none is lost behind others.
 	ends, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
@@ -27,7 +27,7 @@
 	env := platform.Environment{Name: o.Name, Listen: o.Listen, File: o.Config}
 	told, err := platform.LoadConfigAtStart(env)
 	if err != nil {
-		return program.Use{Err: err}
+		return program.UsageError{Err: err}
 	}
 	// The scheduler needs no more threads than it has cores, and the collector a bound below that at which the platform
 	// kills: a part stays for stacks, the program itself and what the kernel holds.
@@ -35,7 +35,7 @@
 	if told.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(told.MemoryMB) << 20 * 6 / 10)
 	}
-	log := program.Log(os.Stderr, "hollymast", o.Log)
+	log := program.NewLogger(os.Stderr, "hollymast", o.Log)
 	p, err := platform.New(told, log)
 	if err != nil {
 		return err
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -31,7 +31,7 @@
 	cancellations []Cancellation
 	candidates    []candidate // scratch space, reused between decisions
 	deviations    []deviation // scratch space, too
-	logLines      []string
+	serverEvents  []ServerEvent
 	answers       []Micros // recent answers, from all servers
 	answerRate    float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
 	freshFor      Micros
--- a/internal/fakeserver/standin_test.go
+++ b/internal/fakeserver/standin_test.go
@@ -9,16 +9,17 @@
 	"github.com/tidwall/gjson"
 
 	"hollymast/internal/invariant"
+	"hollymast/internal/modelserver"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
 
-func start(t *testing.T, cold bool, change func(*Make)) *Server {
-	m := Make{Copies: 2, Lanes: 1, Cores: 4, Work: 5 * time.Millisecond, Queue: 8, Load: 20 * time.Millisecond, Loads: 2,
-		Window: time.Second, Cold: time.Minute, ColdFrom: 0.25, Fall: time.Second, FallOver: 1000}
+func start(t *testing.T, cold bool, change func(*Config)) *Server {
+	m := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxLoads: 2,
+		DedupWindow: time.Second, SlowStartDuration: time.Minute, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1000}
 	change(&m)
 	s := New(m, NewStore(time.Millisecond, 2), invariant.NewLog())
-	if err := s.Start(cold); err != nil {
+	if err := s.Start(modelserver.StartMode(cold)); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Stop)
@@ -27,7 +28,7 @@
 
 // post sends one request; the status is 0 where the connection broke.
 func post(t *testing.T, s *Server, target, mark, body string) (int, string) {
-	c, err := rest.Dial(context.Background(), s.Address(), &rest.Usual)
+	c, err := rest.Dial(context.Background(), s.Address(), &rest.DefaultLimits)
 	if err != nil {
 		return 0, ""
 	}
@@ -55,21 +56,21 @@
 }
 
 func TestLoadsRepeatsAndMemory(t *testing.T) {
-	s := start(t, false, func(*Make) {})
+	s := start(t, false, func(*Config) {})
 	for i, want := range []struct{ model, mark, found string }{{"a", "1", "began"}, {"a", "2", "warm"}, {"a", "1", "warm"}, {"b", "3", "began"},
 		{"c", "4", "began"}, {"a", "5", "began"}} { // two copies fit: a had made way
 		if status, found := infer(t, s, want.model, want.mark); status != 200 || found != want.found {
 			t.Errorf("%d: got %d %q, want %q", i, status, found, want.found)
 		}
 	}
-	if b, d := s.count(invariant.Began), s.count(invariant.Dropped); b != 5 || d != 1 {
+	if b, d := s.count(invariant.AttemptStarted), s.count(invariant.AttemptDeduplicated); b != 5 || d != 1 {
 		t.Errorf("%d ran, %d dropped", b, d)
 	}
 }
 
 // A copy that was used just now stays, and what would need its room is refused.
 func TestIdleCopiesStayTheirTime(t *testing.T) {
-	s := start(t, false, func(m *Make) { m.KeepAlive = time.Minute })
+	s := start(t, false, func(m *Config) { m.KeepAlive = time.Minute })
 	for i, c := range []struct {
 		model  string
 		status int
@@ -81,26 +82,26 @@
 }
 
 func TestFaults(t *testing.T) {
-	s := start(t, false, func(*Make) {})
+	s := start(t, false, func(*Config) {})
 	infer(t, s, "a", "0")
 	for i, c := range []struct {
 		f             Faults
 		status, began int
-	}{{Faults{ResetEre: 1}, 0, 0}, {Faults{ResetPost: 1}, 0, 1}, {Faults{Full: true}, 503, 0}, {Faults{Slow: 3}, 200, 1}} {
-		before := s.count(invariant.Began)
-		s.Fail(c.f)
-		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(invariant.Began)-before != c.began {
-			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(invariant.Began)-before)
+	}{{Faults{ResetBefore: 1}, 0, 0}, {Faults{ResetAfter: 1}, 0, 1}, {Faults{Overloaded: true}, 503, 0}, {Faults{Slowdown: 3}, 200, 1}} {
+		before := s.count(invariant.AttemptStarted)
+		s.SetFaults(c.f)
+		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || s.count(invariant.AttemptStarted)-before != c.began {
+			t.Errorf("%+v: got %d, %d ran", c.f, status, s.count(invariant.AttemptStarted)-before)
 		}
 	}
 }
 
 func TestColdServerFallsOver(t *testing.T) {
-	s := start(t, true, func(m *Make) { m.FallOver = 12 }) // 3 a second at its start
+	s := start(t, true, func(m *Config) { m.OverloadRate = 12 }) // 3 a second at its start
 	for i := range 4 {
 		infer(t, s, "a", fmt.Sprint(i))
 	}
-	if s.count(invariant.FellOver) != 1 {
+	if s.count(invariant.ServerCollapsed) != 1 {
 		t.Error("it stands")
 	}
 	if status, _ := infer(t, s, "a", "9"); status != 0 {
@@ -109,7 +110,7 @@
 }
 
 func TestOrders(t *testing.T) {
-	s := start(t, false, func(m *Make) { m.OrdersOnly = true })
+	s := start(t, false, func(m *Config) { m.LoadCommandsOnly = true })
 	if status, _ := infer(t, s, "a", "1"); status != 404 {
 		t.Errorf("missing: got %d", status)
 	}
@@ -125,13 +126,13 @@
 }
 
 func TestStopBreaksAndForgets(t *testing.T) {
-	s := start(t, false, func(m *Make) { m.Work = time.Minute })
+	s := start(t, false, func(m *Config) { m.ExecutionTime = time.Minute })
 	done := make(chan int)
 	go func() {
 		status, _ := infer(t, s, "a", "1")
 		done <- status
 	}()
-	for s.count(invariant.Began) == 0 {
+	for s.count(invariant.AttemptStarted) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.Stop()
--- /dev/null
+++ b/internal/gateway/eventloop.go
@@ -0,0 +1,154 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/attempt"
+)
+
+// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts no more requests, answers every
+// request in flight, and returns once each connection has ended. The error is nil.
+func (g *Gateway) Serve(ctx context.Context) error {
+	background, stop := context.WithCancel(context.Background())
+	defer stop()
+	g.startBackground(background)
+	g.timer = time.NewTimer(time.Hour)
+	defer g.timer.Stop()
+	g.runEventLoop(ctx.Done())
+	g.log.Info().Msg("no job is left in hand")
+	g.closeAll(stop)
+	return nil
+}
+
+// startBackground starts the goroutines that feed the event loop and store what it learns. They end with ctx, or after
+// the last step.
+func (g *Gateway) startBackground(ctx context.Context) {
+	g.watchCertStores(ctx)
+	if g.loadReporter != nil {
+		g.background.Go(func() { g.reportLoads(ctx) })
+	}
+	for i, l := range g.listeners {
+		role := clientListener
+		if i > 0 {
+			role = adminListener
+		}
+		g.background.Go(func() { g.accept(ctx, l, role) })
+	}
+	g.background.Go(func() { g.followEndpoints(ctx) })
+	if g.state != nil {
+		g.background.Go(func() { g.state.run(g) })
+		if g.state.historyTally != nil {
+			g.background.Go(func() { g.state.runHistory(g) })
+		}
+	}
+	if g.view != nil {
+		g.background.Go(g.publishView)
+	}
+}
+
+// runEventLoop runs the event loop until the gateway was asked to stop and nothing is in flight.
+func (g *Gateway) runEventLoop(stopRequested <-chan struct{}) {
+	var answerDue <-chan time.Time // when every request is to have its answer
+	var batch []func(control.Micros)
+	g.step(g.now(), nil)
+	for {
+		select {
+		case <-g.queue.Ready():
+		case <-g.timer.C:
+		case <-stopRequested:
+			stopRequested = nil
+			g.beginStop()
+			answerDue = time.After(g.config.shutdownTimes().answerBy)
+		case <-answerDue:
+			g.post(g.answerOpen)
+		}
+		g.logStall(g.now() - g.timerAt)
+		g.readEndpoints()
+		batch = g.queue.Drain(batch)
+		g.step(g.now(), batch)
+		if g.stopping && len(g.requests) == 0 {
+			if g.openLoadCommands == 0 {
+				return
+			}
+			g.cancelLoadCommands()
+		}
+	}
+}
+
+// logStall logs a time in which this process was stalled. late is by how much a step comes after its timer.
+func (g *Gateway) logStall(late control.Micros) {
+	if !attempt.Stalled(late, micros(g.config.GracePeriod)) {
+		return
+	}
+	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
+	if g.overload != nil {
+		g.overload.RecordStall(g.now(), late)
+	}
+}
+
+// readEndpoints makes the next step handle everything that the endpoints' source has announced. It runs before the event
+// batch is taken: wherever the process stalls, the step's choices are no newer than its endpoint list.
+func (g *Gateway) readEndpoints() {
+	asOf := g.now()
+	if g.readRequested.Swap(false) || attempt.MustReadEndpoints(asOf-g.endpointsAsOf, micros(g.config.GracePeriod)) {
+		g.awaitSourceRead()
+		g.endpointsAsOf = asOf
+	}
+	// Read before the batch is taken, which so holds everything up to then.
+	g.endpointsCompleteAsOf = control.Micros(g.sourceCompleteAsOf.Load())
+}
+
+// awaitSourceRead waits until the endpoints' source was read. A source that does not answer within a quarter of the
+// grace period counts as unreachable: the router goes on with the list that it has, and requests no other read before
+// that one has ended.
+func (g *Gateway) awaitSourceRead() {
+	if g.pendingRead != nil {
+		select {
+		case <-g.pendingRead:
+		default:
+			return
+		}
+	}
+	g.pendingRead = make(chan struct{})
+	g.sourceReads <- g.pendingRead // has room: the read before has ended
+	timer := time.NewTimer(g.config.GracePeriod / 4)
+	defer timer.Stop()
+	select {
+	case <-g.pendingRead:
+	case <-timer.C:
+	}
+}
+
+// step handles a batch of events and lets the core decide on them.
+func (g *Gateway) step(now control.Micros, events []func(control.Micros)) {
+	begun := time.Now()
+	g.stepTime = now
+	for _, f := range events {
+		f(now)
+	}
+	g.fleet.SetCompleteAsOf(g.endpointsCompleteAsOf)
+	g.core.Step(now)
+	for _, f := range g.afterStepFuncs {
+		f(now)
+	}
+	clear(g.afterStepFuncs)
+	g.afterStepFuncs = g.afterStepFuncs[:0]
+	g.prune(now)
+	g.logOverload()
+	g.metrics.stepSeconds.Observe(time.Since(begun).Seconds())
+	g.metrics.inFlight.Set(float64(len(g.requests)))
+	g.metrics.held.Set(float64(g.core.Held()))
+}
+
+// afterStep has a function called right after the next step, when no event waits for the core's decision.
+func (g *Gateway) afterStep(f func(now control.Micros)) {
+	g.post(func(control.Micros) { g.afterStepFuncs = append(g.afterStepFuncs, f) })
+}
+
+// SetTimer sets the one timer, replacing its time.
+func (g *Gateway) SetTimer(at control.Micros) {
+	g.timerAt = at
+	g.timer.Reset(duration(max(0, at-g.now())))
+}
--- /dev/null
+++ b/internal/gateway/shutdown.go
@@ -0,0 +1,134 @@
+package gateway
+
+import (
+	"context"
+	"maps"
+	"net"
+	"slices"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/rest"
+)
+
+// A stopping router is killed no sooner than killAfter plus the longest configured deadline, of which at most
+// maxCountedDeadline counts, after it was asked to stop. Requests keep coming on open connections. All its times follow
+// from these.
+const (
+	maxCountedDeadline = 3 * time.Second
+	killAfter          = 700 * time.Millisecond
+	// answerBeforeKill is kept free before the kill for answers that are due at the last moment, half of it for their way
+	// out: some hundred writes on a small part of a core.
+	answerBeforeKill = 100 * time.Millisecond
+	// acceptConnectionsFor is for how long a stopping router accepts connections, to reject what they send: several times
+	// what it takes to accept all that wait. Later ones are refused by the kernel, which proves that nothing ran.
+	acceptConnectionsFor = 20 * time.Millisecond
+)
+
+// shutdownTimes are the times of a graceful shutdown, counted from the request to stop.
+type shutdownTimes struct {
+	readUntil time.Duration // until when requests are read from open connections, to reject them
+	answerBy  time.Duration // when each request has its answer, however long it would take
+	closeBy   time.Duration // when client connections that are still open are closed
+}
+
+// shutdownTimes returns the times that follow from the longest configured deadline.
+func (c *Config) shutdownTimes() shutdownTimes {
+	longest := control.Micros(0)
+	for _, class := range c.Deployment.Classes {
+		longest = max(longest, class.MaxDeadline)
+	}
+	killed := min(duration(longest), maxCountedDeadline) + killAfter
+	return shutdownTimes{
+		readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2,
+	}
+}
+
+// isStopping reports whether the gateway was asked to stop. It may be called from any goroutine.
+func (g *Gateway) isStopping() bool { return g.stopRequestedAt.Load() != 0 }
+
+// afterStop returns the time that lies d after the request to stop.
+func (g *Gateway) afterStop(d time.Duration) time.Time {
+	return g.startedAt.Add(duration(control.Micros(g.stopRequestedAt.Load())-g.epoch) + d)
+}
+
+// beginStop marks the gateway as stopping: it accepts connections for acceptConnectionsFor more, and no requests.
+func (g *Gateway) beginStop() {
+	g.stopping = true
+	g.ready.Store(false)
+	g.stopRequestedAt.Store(int64(g.now()))
+	times := g.config.shutdownTimes()
+	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new jobs are taken")
+	for _, l := range g.listeners {
+		l.(*net.TCPListener).SetDeadline(time.Now().Add(acceptConnectionsFor))
+	}
+	g.clientConns.Range(func(c, _ any) bool {
+		c.(*rest.Conn).SetIdleDeadline(g.afterStop(times.readUntil))
+		return true
+	})
+}
+
+// answerOpen fails every request in flight: the kill would leave it without an answer.
+func (g *Gateway) answerOpen(now control.Micros) {
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		if req := g.requests[id]; !req.answer.Given {
+			g.core.Cancel(now, id)
+			g.finish(req, answerFailed, failure(reasonStopping))
+		}
+	}
+}
+
+// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they serve nobody here.
+func (g *Gateway) cancelLoadCommands() {
+	for _, pool := range g.pools {
+		for call := range pool.open {
+			if call.request == nil {
+				call.abandon()
+			}
+		}
+	}
+}
+
+// closeAll ends everything after the last step: what goes on in the background, the recording, and all connections.
+// Clients that have read their answers close by themselves; those that have not by closeBy are closed.
+func (g *Gateway) closeAll(stopBackground context.CancelFunc) {
+	if g.state != nil {
+		g.state.finalState = g.learnedState(g.now())
+		if g.state.historyTally != nil {
+			g.state.finalHistory = g.state.historyTally.Drain()
+		}
+	}
+	close(g.loopEnded)
+	stopBackground()
+	if g.recordWriter != nil {
+		g.core.SetRecorder(nil)
+		g.recorder = nil
+		g.recordWriter.Close()
+		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
+	}
+	g.closePools()
+	ended := make(chan struct{})
+	go func() {
+		g.background.Wait()
+		g.clientReaders.Wait()
+		g.serverConns.Wait()
+		close(ended)
+	}()
+	timer := time.NewTimer(time.Until(g.afterStop(g.config.shutdownTimes().closeBy)))
+	defer timer.Stop()
+	select {
+	case <-ended:
+		return
+	case <-timer.C:
+	}
+	closed := 0
+	g.clientConns.Range(func(c, _ any) bool {
+		closed++
+		c.(*rest.Conn).Close()
+		return true
+	})
+	<-ended
+	if closed > 0 {
+		g.log.Warn().Int("connections", closed).Msg("closed on clients that did not read or go")
+	}
+}
--- /dev/null
+++ b/internal/gateway/tls.go
@@ -0,0 +1,104 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"time"
+
+	"google.golang.org/grpc/credentials"
+
+	"hollymast/control"
+	"hollymast/internal/certstore"
+	"hollymast/internal/rest"
+	"hollymast/internal/xds"
+)
+
+// wallClock returns the time that certificates are valid by.
+func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
+
+// openCertStores loads the certificates of all kinds of connections that use TLS.
+func (g *Gateway) openCertStores() error {
+	g.certStores = map[string]*certstore.Store{}
+	for _, kind := range connectionKinds {
+		config := g.config.TLS[kind]
+		if config == nil {
+			continue
+		}
+		store, err := certstore.Open(config, wallClock, func(text string) {
+			g.log.Info().Str("connections", kind).Msg("tls: " + text)
+		})
+		if err != nil {
+			return fmt.Errorf("[tls %s]: %w", kind, err)
+		}
+		g.certStores[kind] = store
+	}
+	g.metrics.registry.MustRegister(certMetrics(g.certStores))
+	return nil
+}
+
+// watchCertStores has the certificates reloaded as they change, until ctx ends.
+func (g *Gateway) watchCertStores(ctx context.Context) {
+	for kind, store := range g.certStores {
+		g.background.Go(func() { store.Run(ctx) })
+		if config := g.config.TLS[kind]; config.SecretsAddress != "" {
+			g.background.Go(func() { g.followSecrets(ctx, kind, store, config) })
+		}
+	}
+}
+
+// followSecrets takes a store's certificates from a secret discovery service until ctx ends.
+func (g *Gateway) followSecrets(ctx context.Context, kind string, store *certstore.Store, config *certstore.Config) {
+	log := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
+	transport := xds.Transport{
+		Address: config.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now,
+		OnUpdate: func(control.Micros) {}, Log: log,
+	}
+	client := xds.NewSecretClient(store, g.nodeID(), g.config.Zone, config.CertificateSecret, config.AuthoritiesSecret)
+	if err := transport.Run(ctx, client); err != nil {
+		log(err.Error())
+	}
+}
+
+// credentials returns the credentials of a kind of gRPC connections; nil for plain text.
+func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
+	if store := g.certStores[kind]; store != nil {
+		return store.Credentials()
+	}
+	return nil
+}
+
+// serverHandshake returns the TLS handshake of connections to servers; nil for plain text. Each distinct error of a
+// server is logged once.
+func (g *Gateway) serverHandshake() rest.Handshake {
+	store := g.certStores[serverConnections]
+	if store == nil {
+		return nil
+	}
+	return func(ctx context.Context, conn net.Conn, address string) (net.Conn, error) {
+		secured, err := store.ClientHandshake(ctx, conn, address)
+		if err == nil {
+			g.lastTLSErrors.Delete(address)
+		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() {
+			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("no connection to this server")
+		}
+		return secured, err
+	}
+}
+
+// clientHandshake makes the TLS handshake of a client's connection, if clients use TLS, within the header timeout. It
+// closes the connection if that fails.
+func (g *Gateway) clientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
+	store := g.certStores[clientConnections]
+	if store == nil {
+		return conn, nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, g.config.HeaderTimeout)
+	defer cancel()
+	secured, err := store.ServerHandshake(ctx, conn)
+	if err != nil {
+		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
+		conn.Close()
+	}
+	return secured, err
+}
--- a/internal/invariant/log.go
+++ b/internal/invariant/log.go
@@ -1,5 +1,3 @@
-// Package invariant judges the five rules from what crossed the sockets: records taken by clients and model servers at
-// their ends of the wire. It knows neither the gateway nor its core, and takes no router's word for anything.
 package invariant
 
 import (
@@ -8,57 +6,6 @@
 	"time"
 )
 
-// Kind is what a record tells.
-type Kind uint8
-
-// The records of clients, of model servers, and of whoever runs the day.
-const (
-	Asked    Kind = iota // a client has written a job whole
-	Answered             // it has read the final answer; Word tells which
-	GaveUp               // its patience ended without one
-	LeftIt               // it left of its own will before
-	Untaken              // it could not write the job whole
-
-	Received // a server has read an execution whole
-	Began    // it runs it
-	Ended    // it ran it to the end
-	Refused  // it promised that it did not run it
-	Dropped  // it knew the repeat and did not run it again
-	Ordered  // it has read an order to load
-	Loading  // it began a load
-	Started  // the server started, cold
-	FellOver // it was pushed over
-
-	Told    // the list that routers read was written with the server's state in Word: ready, draining or gone
-	Halted  // a router was frozen, killed or told to end
-	Renewed // it is started anew, after it had ended; Word is Remembers where it has a memory of what it ordered
-	Back    // it runs again
-)
-
-// Remembers is the word of a router with a memory.
-const Remembers = "remembers"
-
-// The final answers.
-const (
-	Finished   = "finished"
-	PushedBack = "pushed back"
-	Killed     = "killed"
-	Other      = "other" // a refusal before the job was taken
-)
-
-// Record is one thing seen at one end of a wire. Times are microseconds of one monotonic clock.
-type Record struct {
-	At       int64
-	Kind     Kind
-	Job      string // one try of a client
-	Effect   string // what its tries mean to do, once
-	Workload string
-	Server   int
-	Router   int
-	Limit    int64 // of Asked: when the client's patience ends
-	Word     string
-}
-
 // Log gathers records from many goroutines.
 type Log struct {
 	base time.Time
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -4,163 +4,79 @@
 	"errors"
 	"fmt"
 	"io/fs"
-	"os"
-	"path/filepath"
-	"syscall"
 )
 
-// Disk is a folder of small files.
-type Disk interface {
-	Read(name string) ([]byte, error) // fs.ErrNotExist where there is none
-	// Replace writes a file so that after a break it is the old or the new one, or, where the disk is worse than that,
-	// anything: the other generation is then whole.
-	Replace(name string, b []byte) error
-}
-
-// Folder is a folder of the file system.
-type Folder string
+// GenerationFiles are the names of the two generations. Each write replaces the older.
+var GenerationFiles = [2]string{"memory-a", "memory-b"}
 
-// Read gives a file's bytes. Longer ones than any that we write are refused.
-func (f Folder) Read(name string) ([]byte, error) {
-	const most = 1 << 30
-	path := filepath.Join(string(f), name)
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if info.Size() > most || !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s is no file of ours", path)
-	}
-	return os.ReadFile(path)
+// Store writes generations of a state. It is not safe for use by several goroutines.
+type Store struct {
+	files        FileStore
+	owner        Owner
+	generation   uint64
+	WrittenBytes int // size of the last write
 }
 
-// Replace writes a file, syncs it, renames it into place and syncs the folder.
-func (f Folder) Replace(name string, b []byte) error { return f.on(System{}).Replace(name, b) }
-
-func (f Folder) on(files FileSystem) folder { return folder{files, string(f)} }
-
-// folder is a Folder on any file system.
-type folder struct {
-	files FileSystem
-	dir   string
+// OpenResult is what was found in a directory.
+type OpenResult struct {
+	State    *State   // nil: none that may be used
+	Warnings []string // for operators
+	Writable bool     // whether the directory may be written to
 }
 
-func (f folder) Read(name string) ([]byte, error) { return f.files.Read(filepath.Join(f.dir, name)) }
-
-// newFile is what a file is called until it is whole. The name is always the same, so that kills and failing writes leave one at most.
-const newFile = "memory-new"
-
-func (f folder) Replace(name string, b []byte) error {
-	fresh := filepath.Join(f.dir, newFile)
-	err := f.write(fresh, b)
-	if err == nil {
-		err = f.files.Rename(fresh, filepath.Join(f.dir, name))
+// OpenStore reads both generations and takes the newest that is intact and of this owner. Nothing in the directory is an error, since
+// a gateway starts in any case. Files of a newer version or of another gateway are left alone, and nothing is written beside them.
+func OpenStore(files FileStore, owner Owner) (*Store, OpenResult) {
+	s := &Store{files: files, owner: owner}
+	result := OpenResult{Writable: true}
+	for _, name := range GenerationFiles {
+		s.readGeneration(name, &result)
 	}
-	if err != nil {
-		f.files.Remove(fresh) // or the next writing begins it anew
-		return err
+	if result.State != nil {
+		s.generation = max(s.generation, result.State.Generation)
 	}
-	return f.files.SyncFolder(f.dir)
-}
-
-func (f folder) write(path string, b []byte) error {
-	file, err := f.files.Create(path)
-	if err != nil {
-		return err
-	}
-	if _, err = file.Write(b); err == nil {
-		err = file.Sync()
+	if !result.Writable {
+		result.State = nil
 	}
-	return errors.Join(err, file.Close())
-}
-
-// Files are the two generations' names; each writing replaces the older.
-var Files = [2]string{"memory-a", "memory-b"}
-
-// Store writes generations. It is not safe for use by several goroutines.
-type Store struct {
-	disk       Disk
-	owner      Owner
-	generation uint64
-	Bytes      int // of the last writing
-}
-
-// Found tells what was found in a folder.
-type Found struct {
-	Kept  *Kept    // nil: nothing that may be used
-	Told  []string // what is to be said to operators
-	Write bool     // whether the folder may be written to
+	return s, result
 }
 
-// Look reads both generations and decides which counts: the newest that is whole and ours. Nothing in the folder is an
-// error: a router starts in any case. Files of a newer version or of another router are left alone, and nothing is
-// written beside them.
-func Look(disk Disk, owner Owner) (*Store, Found) {
-	s := &Store{disk: disk, owner: owner}
-	found := Found{Write: true}
-	for _, name := range Files {
-		var b []byte
-		err := Patiently(firstPause, func() (err error) { b, err = disk.Read(name); return err })
-		if errors.Is(err, fs.ErrNotExist) {
-			continue
-		}
-		var k *Kept
-		if err == nil {
-			k, err = Decode(b)
-		}
-		switch {
-		case errors.Is(err, ErrNewer):
-			found.Write = false
-			found.Told = append(found.Told, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
-		case err != nil:
-			found.Told = append(found.Told, fmt.Sprintf("%s: %v: it is passed over", name, err))
-		case k.Owner.Router != owner.Router:
-			found.Write = false
-			found.Told = append(found.Told, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, k.Owner.Router))
-		case k.Owner != owner:
-			found.Told = append(found.Told, name+" is of other workloads, tenants or name_key: it is passed over")
-			s.generation = max(s.generation, k.Generation)
-		case found.Kept == nil || k.Generation > found.Kept.Generation:
-			found.Kept = k
-		}
+// readGeneration reads a file and adds what it holds to the result.
+func (s *Store) readGeneration(name string, result *OpenResult) {
+	var b []byte
+	err := RetryTransient(initialRetryDelay, func() (err error) { b, err = s.files.Read(name); return err })
+	if errors.Is(err, fs.ErrNotExist) {
+		return
 	}
-	if found.Kept != nil {
-		s.generation = max(s.generation, found.Kept.Generation)
+	var state *State
+	if err == nil {
+		state, err = Decode(b)
 	}
-	if !found.Write {
-		found.Kept = nil
+	switch {
+	case errors.Is(err, ErrNewer):
+		result.Writable = false
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
+	case err != nil:
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
+	case state.Owner.Router != s.owner.Router:
+		result.Writable = false
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, state.Owner.Router))
+	case state.Owner != s.owner:
+		result.Warnings = append(result.Warnings, name+" is of other workloads, tenants or name_key: it is passed over")
+		s.generation = max(s.generation, state.Generation)
+	case result.State == nil || state.Generation > result.State.Generation:
+		result.State = state
 	}
-	return s, found
 }
 
-// Write writes the next generation over the older one.
-func (s *Store) Write(k *Kept) error {
+// Write writes the next generation over the older one. It sets the state's owner and generation.
+func (s *Store) Write(state *State) error {
 	s.generation++
-	k.Owner, k.Generation = s.owner, s.generation
-	b, err := Encode(k)
+	state.Owner, state.Generation = s.owner, s.generation
+	b, err := Encode(state)
 	if err != nil {
 		return err
 	}
-	s.Bytes = len(b)
-	return s.disk.Replace(Files[s.generation%2], b)
-}
-
-// Lock takes a folder for this process until it ends, however it ends, making the folder where there is none. The error
-// tells that another has it, or that it can't be written to.
-func Lock(dir string) (unlock func(), err error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, err
-	}
-	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, err
-	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = fmt.Errorf("%s is another router's", dir)
-		}
-		return nil, err
-	}
-	return func() { f.Close() }, nil
+	s.WrittenBytes = len(b)
+	return s.files.Replace(GenerationFiles[s.generation%2], b)
 }
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -40,7 +40,7 @@
 // crossing returns a client of a router, and the router's end of its connection.
 func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *clientConn) {
 	t.Helper()
-	ours, theirs := platformtest.Connected(t)
+	ours, theirs := platformtest.ConnPair(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
 	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
 	return c, r.serveClient(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
@@ -60,7 +60,7 @@
 // until waits for what another goroutine is about to do.
 func until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	platformtest.Until(t, what, done)
+	platformtest.WaitFor(t, what, done)
 }
 
 // A request that comes as its idle connection is about to close is read before, and served.
@@ -322,7 +322,7 @@
 	all.Go(func() { p.ReloadOn(ctx, signals, env) })
 	t.Cleanup(func() { stop(); all.Wait() })
 	signals <- syscall.SIGHUP
-	for !strings.Contains(<-log, "configuration refused") {
+	for !strings.Contains(<-log, "invalid configuration") {
 	}
 	if err := os.WriteFile(env.File, []byte(whole), 0o600); err != nil {
 		t.Fatal(err)
@@ -388,7 +388,7 @@
 	until(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.anomalies["fault of our own reading a client"] == 1
+		return r.anomalies["panic reading a client"] == 1
 	})
 }
 
@@ -406,7 +406,7 @@
 	until(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.anomalies["fault of our own reading a server"] == 1
+		return r.anomalies["panic reading a server"] == 1
 	})
 	c.call(2, "again")
 	c.expect("2: body 2")
