--- a/internal/gateway/admin_test.go
+++ b/internal/gateway/admin_test.go
@@ -19,8 +19,8 @@
 	"hollymast/internal/rest"
 )
 
-// What /router/state tells is read by scripts: its names stay.
-func TestJSONForm(t *testing.T) {
+// Scripts read /router/state: its names stay the same.
+func TestStateJSON(t *testing.T) {
 	view := &adminState{}
 	golden.Fill(view)
 	golden.Check(t, "output-1.json", view, json.Marshal, json.Unmarshal)
@@ -29,8 +29,8 @@
 	}
 }
 
-// Operators see the state, and start and end a recording, while jobs go on.
-func TestOperatorsAddress(t *testing.T) {
+// Operators read the state, and start and stop a recording, while requests are served.
+func TestAdminCalls(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("1", "forecast-1", time.Second)
 	dir := filepath.Join(t.TempDir(), "rec")
@@ -69,6 +69,6 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	if j, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || j != 2 {
-		t.Errorf("the second request is job %d, %v", j, err)
+		t.Errorf("the second request is request %d, %v", j, err)
 	}
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -17,7 +17,7 @@
 	"hollymast/internal/rest"
 )
 
-func TestBadClients(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	half := inferText("h", "forecast-1")
 	for name, c := range map[string]struct{ in, want string }{
@@ -27,7 +27,7 @@
 		"no JSON":         {strings.Replace(half, `{"id"`, `["id"`, 1), "HTTP/1.1 400"},
 		"no such call":    {"GET /v3 HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
 		"wrong method":    {"GET /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 405"},
-		"unknown to us":   {inferText("u", "unheard-1"), "HTTP/1.1 404"},
+		"unknown model":   {inferText("u", "unheard-1"), "HTTP/1.1 404"},
 		"load by clients": {"POST /v2/repository/models/forecast-1/load HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
 	} {
 		conn, r := tg.dialClient()
@@ -38,68 +38,60 @@
 	}
 	for _, rec := range tg.log.Records() {
 		if rec.Kind == invariant.AttemptReceived {
-			t.Errorf("a server got job %q", rec.Request)
+			t.Errorf("a the server got request %q", rec.Request)
 		}
 	}
 }
 
-// A client that closes its own side gets its one answer at once; one that leaves has its execution called off.
-func TestClientLeaves(t *testing.T) {
+// A client that closes its own side gets its one answer at once, and its attempt is cancelled.
+func TestClientCloses(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
 	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
-	for tg.received("half") == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "the server has the attempt", func() bool { return tg.received("half") > 0 })
 	begun := time.Now()
 	conn.(*net.TCPConn).CloseWrite()
 	line, err := r.ReadString('\n')
 	if err != nil || !strings.HasPrefix(line, "HTTP/1.1 504") || time.Since(begun) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %s", line, err, time.Since(begun))
 	}
-	for left := 1; left > 0; time.Sleep(time.Millisecond) { // no job stays in hand, though its server is silent
-		if left = tg.inFlight(); time.Since(begun) > 900*time.Millisecond {
-			t.Fatal("the execution was not called off before its limit")
-		}
+	waitUntil(t, "no request is in flight, though the server is silent", func() bool { return tg.inFlight() == 0 })
+	if took := time.Since(begun); took > 900*time.Millisecond {
+		t.Errorf("the attempt was not cancelled before its deadline, but after %s", took)
 	}
 }
 
-// inHand counts the jobs that the gateway has in hand.
-// Nothing is written for a job whose client left while a connection was still being opened (found by hmmodelcheck).
-func TestClientLeavesBeforeItsJobIsWritten(t *testing.T) {
+// Nothing is written for a request whose client closes while a connection is still being dialled (found by hmmodelcheck).
+func TestClientClosesBeforeFirstByte(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 }, serverOptions(0))
-	tg.gateway.dialing <- struct{}{} // somebody else dials
+	tg.gateway.dialing <- struct{}{} // another connection dials
 	conn, _ := tg.dialClient()
 	if _, err := conn.Write([]byte(inferText("1", "ticket-1"))); err != nil {
 		t.Fatal(err)
 	}
-	for tg.inFlight() == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "a request is in flight", func() bool { return tg.inFlight() > 0 })
 	conn.Close()
-	for given := false; !given; time.Sleep(time.Millisecond) {
-		done := make(chan bool)
+	waitUntil(t, "the request is answered", func() bool {
+		answered := make(chan bool)
 		tg.gateway.post(func(control.Micros) {
-			given := true
+			all := true
 			for _, req := range tg.gateway.requests {
-				given = given && req.answer.Given
+				all = all && req.answer.Given
 			}
-			done <- given
+			answered <- all
 		})
-		given = <-done
-	}
+		return <-answered
+	})
 	<-tg.gateway.dialing
-	for tg.inFlight() > 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
 	if n := tg.received("1"); n > 0 {
 		t.Errorf("written %d times", n)
 	}
 }
 
-func TestPipelinedJobs(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("a", "forecast-1")+inferText("b", "forecast-2")+inferText("c", "forecast-1"))
@@ -119,13 +111,13 @@
 	}
 }
 
-func TestIdleClientsAndBounds(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	for range 200 {
 		tg.dialClient()
 	}
-	if word := tg.call("busy", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Errorf("got %s", word)
+	if answer := tg.call("busy", "forecast-1", time.Second); answer != invariant.Succeeded {
+		t.Errorf("got %s", answer)
 	}
 	for range 120 {
 		tg.dialClient()
@@ -133,26 +125,28 @@
 	conn, r := tg.dialClient()
 	defer conn.Close()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 503") {
-		t.Errorf("beyond the bound: got %q, %v", line, err)
+		t.Errorf("beyond the limit: got %q, %v", line, err)
 	}
 }
 
-// An execution is not written once its client has closed, though nobody has read the close: it may be half closed, or reset, or
-// closed behind a request that was sent ahead.
-func TestNothingIsWrittenForAClientThatHasGone(t *testing.T) {
+// An attempt is not written once its client has closed, even if the close was not read yet: half closed, reset, or closed
+// behind a pipelined request.
+func TestNothingIsWrittenForClosedClient(t *testing.T) {
 	for name, c := range map[string]struct {
-		leave  func(nc *net.TCPConn)
-		result control.Result
+		client  func(conn *net.TCPConn)
+		arrived func(conn *rest.Conn) bool // at the gateway
+		result  control.Result
 	}{
-		"stays":       {func(*net.TCPConn) {}, control.Succeeded},
-		"sends ahead": {func(nc *net.TCPConn) { io.WriteString(nc, inferText("2", "forecast-1")) }, control.Succeeded},
-		"closes":      {func(nc *net.TCPConn) { nc.Close() }, control.NotSent},
-		"half closes": {func(nc *net.TCPConn) { nc.CloseWrite() }, control.NotSent},
-		"resets":      {func(nc *net.TCPConn) { nc.SetLinger(0); nc.Close() }, control.NotSent},
-		"closes behind a request": {func(nc *net.TCPConn) {
-			io.WriteString(nc, inferText("2", "forecast-1"))
-			nc.Close()
-		}, control.NotSent},
+		"stays": {func(*net.TCPConn) {}, func(*rest.Conn) bool { return true }, control.Succeeded},
+		"pipelines a request": {func(conn *net.TCPConn) { io.WriteString(conn, inferText("2", "forecast-1")) },
+			(*rest.Conn).HasPending, control.Succeeded},
+		"closes":      {func(conn *net.TCPConn) { conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
+		"half closes": {func(conn *net.TCPConn) { conn.CloseWrite() }, (*rest.Conn).PeerClosed, control.NotSent},
+		"resets":      {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
+		"closes behind a request": {func(conn *net.TCPConn) {
+			io.WriteString(conn, inferText("2", "forecast-1"))
+			conn.Close()
+		}, (*rest.Conn).PeerClosed, control.NotSent},
 	} {
 		tg := newTestGateway(t)
 		address, _ := recordingServer(t, new(atomic.Int64))
@@ -172,45 +166,41 @@
 		call.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
 		call.request.clientCheckedAt.Store(int64(tg.gateway.now() - attempt.MaxClientCheckAge - 1))
 		call.request.response, call.request.id = make(chan *rest.Response, 1), 1
-		call.request.answer.Give() // the turn has it answered
-		c.leave(conn.(*net.TCPConn))
-		time.Sleep(10 * time.Millisecond)
-		to := &serverConn{gateway: tg.gateway, address: address}
-		if result := to.exchange(call); result.result != c.result {
+		call.request.answer.Give() // the event loop need not answer it
+		c.client(conn.(*net.TCPConn))
+		waitUntil(t, "what the client does has arrived", func() bool { return c.arrived(call.request.client) })
+		sc := &serverConn{gateway: tg.gateway, address: address}
+		if result := sc.exchange(call); result.result != c.result {
 			t.Errorf("%s: got %v", name, result.result)
 		}
-		if x := to.client.Load(); x != nil {
-			x.Close()
+		if client := sc.client.Load(); client != nil {
+			client.Close()
 		}
 		call.cancel()
-		for _, x := range []io.Closer{l, conn, accepted} {
-			x.Close()
+		for _, c := range []io.Closer{l, conn, accepted} {
+			c.Close()
 		}
 	}
 }
 
-// A client that sends a request ahead and closes behind it is seen to be gone: its execution is called off.
-func TestCloseBehindARequestIsSeen(t *testing.T) {
+// A close behind a pipelined request is seen: the attempt is cancelled.
+func TestCloseBehindPipelinedRequest(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
 	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, _ := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
-	for tg.received("1") == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
 	conn.Close()
 	closed := time.Now()
-	for tg.inFlight() > 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
 	if late := time.Since(closed); late > 500*time.Millisecond || tg.received("2") > 0 {
 		t.Errorf("over after %v; the second was sent %d times", late, tg.received("2"))
 	}
 }
 
-// A client that sends several requests and closes its side has an answer to each.
-func TestHalfClosedClientHasAllItsAnswers(t *testing.T) {
+// A client that sends several requests and closes its side gets an answer to each.
+func TestHalfClosedClientGetsAllAnswers(t *testing.T) {
 	m := serverOptions(0)
 	m.ExecutionTime = 100 * time.Millisecond
 	tg := newTestGateway(t, m)
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -14,8 +14,9 @@
 	"hollymast/internal/invariant"
 )
 
-// The client library against this router, while servers lose answers, break connections and refuse: each call has one outcome at its
-// caller and in its time, tries are counted and keep their mark, none goes out past the deadline or past a window, and the rules hold.
+// The client library against this router, while servers lose responses, reset connections and reject: each call has one
+// outcome within its deadline, attempts are counted and keep their key, none is sent after the deadline or the window, and
+// the rules hold.
 func TestClientLibraryUnderFaults(t *testing.T) {
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
 	for i, s := range tg.servers {
@@ -89,5 +90,5 @@
 	if all != calls || outcomes["finished"] < calls*9/10 || repeats == 0 || repeats > calls/5 {
 		t.Errorf("%v, %d repeats", outcomes, repeats)
 	}
-	t.Logf("%v, %d repeats, %d executions", outcomes, repeats, v.Attempts)
+	t.Logf("%v, %d repeats, %d attempts", outcomes, repeats, v.Attempts)
 }
--- a/internal/gateway/compatibility_test.go
+++ b/internal/gateway/compatibility_test.go
@@ -10,8 +10,8 @@
 	"hollymast/internal/persistence"
 )
 
-// Settings of routers in service stay valid, key by key, and mean what they meant.
-func TestStoredSettingsAreTaken(t *testing.T) {
+// Settings of deployed routers stay valid, key by key, and keep their meaning.
+func TestSettingsStayValid(t *testing.T) {
 	f, err := inifile.Load("testdata/settings-1.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Dashboards and alerts name metrics and labels: these stay.
+// Dashboards and alerts name metrics and labels: these stay the same.
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	m.countAnswer("finished")
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -9,8 +9,8 @@
 	"hollymast/internal/inifile"
 )
 
-// The module counts the ration of orders by how late one may be written: as late as any choice is.
-func TestLateIsTold(t *testing.T) {
+// The balancer allows for how late a load command may be written: as late as any call.
+func TestMaxCommandDelay(t *testing.T) {
 	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
 	if err != nil {
 		t.Fatal(err)
@@ -20,12 +20,12 @@
 		t.Fatal(err)
 	}
 	if late := attempt.MaxEndpointsAge(micros(config.GracePeriod)); config.Deployment.MaxCommandDelay != late || late == 0 {
-		t.Errorf("told %d of %d", config.Deployment.MaxCommandDelay, late)
+		t.Errorf("is %d of %d", config.Deployment.MaxCommandDelay, late)
 	}
 }
 
-// Every fault of the keys' settings is told.
-func TestKeysSettings(t *testing.T) {
+// Every problem of the TLS sections is reported.
+func TestInvalidTLSSections(t *testing.T) {
 	f, err := inifile.Parse("r.ini", []byte(`[router]
 list = workers.ini
 [workload any]
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -12,11 +12,11 @@
 	"hollymast/internal/invariant"
 )
 
-// However late the first byte goes out, the server is told what is left then.
-func TestServersAreToldWhatIsLeft(t *testing.T) {
+// However late the first byte is written, the attempt states the time that is left then.
+func TestAttemptStatesTimeLeft(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 })
-	tg.gateway.dialing <- struct{}{} // somebody else dials
-	address, heard := recordingServer(t, new(atomic.Int64))
+	tg.gateway.dialing <- struct{}{} // another connection dials
+	address, attempts := recordingServer(t, new(atomic.Int64))
 	call := tg.newCall(address, time.Second)
 	time.AfterFunc(500*time.Millisecond, func() { <-tg.gateway.dialing })
 	sc := &serverConn{gateway: tg.gateway, address: address}
@@ -24,13 +24,13 @@
 		t.Fatalf("got %v", result.result)
 	}
 	call.cancel()
-	if h := <-heard; h.timeout > call.deadline.Sub(h.receivedAt)+timeoutTolerance || h.timeout < 100*time.Millisecond {
-		t.Errorf("told %v with %v left", h.timeout, call.deadline.Sub(h.receivedAt))
+	if h := <-attempts; h.timeout > call.deadline.Sub(h.receivedAt)+timeoutTolerance || h.timeout < 100*time.Millisecond {
+		t.Errorf("stated %v with %v left", h.timeout, call.deadline.Sub(h.receivedAt))
 	}
 }
 
-// A stop of the process between a turn's clock and its choice costs the execution its time.
-func TestTimeCountsFromTheTurnsClock(t *testing.T) {
+// A stall between a step's clock and its choice counts against the attempt's deadline.
+func TestDeadlineCountsFromStepTime(t *testing.T) {
 	tg := newTestGateway(t)
 	s := make(chan *serverCall)
 	tg.gateway.post(func(now control.Micros) {
@@ -42,21 +42,21 @@
 	}
 }
 
-// A request's time counts from when it came, not from when it was read: after a stop of the process, or behind another one that
-// was sent ahead.
-func TestTimeCountsFromWhenARequestCame(t *testing.T) {
+// A request's deadline counts from its arrival, not from when it was read: after a stall of the process, or behind another
+// pipelined request.
+func TestDeadlineCountsFromArrival(t *testing.T) {
 	const limit, late = time.Second, 400 * time.Millisecond
-	for name, ahead := range map[string]int{"read late": 0, "sent ahead": 1} {
+	for name, ahead := range map[string]int{"read late": 0, "pipelined": 1} {
 		var slow atomic.Int64
 		tg := newTestGatewayConfigured(t, "", func(c *Config) { c.Deployment.Classes[0].LatencyObjective = micros(limit) })
-		address, heard := recordingServer(t, &slow)
+		address, attempts := recordingServer(t, &slow)
 		if err := os.WriteFile(tg.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for tg.call("first", "forecast-1", limit) != invariant.Succeeded { // the list is read, and a copy loaded
+		for tg.call("first", "forecast-1", limit) != invariant.Succeeded { // the endpoints are read, and the function loaded
 			time.Sleep(10 * time.Millisecond)
 		}
-		<-heard
+		<-attempts
 		slow.Store(int64(ahead) * int64(late))
 		l, err := listenTCP("127.0.0.1:0")
 		if err != nil {
@@ -80,13 +80,13 @@
 		var h statedTimeout
 		for range ahead + 1 {
 			select {
-			case h = <-heard:
+			case h = <-attempts:
 			case <-time.After(5 * time.Second):
 				t.Fatalf("%s: not sent", name)
 			}
 		}
 		if left := limit - h.receivedAt.Sub(began); h.timeout > left+timeoutTolerance || h.timeout < left-timeoutTolerance {
-			t.Errorf("%s: told %v with %v left", name, h.timeout, left)
+			t.Errorf("%s: stated %v with %v left", name, h.timeout, left)
 		}
 	}
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -13,15 +13,15 @@
 	"hollymast/internal/invariant"
 )
 
-// rarely has the list's file looked at only where a turn asks for it.
+// rareEndpointReads has the endpoint file read only when a step requires it.
 func rareEndpointReads(c *Config) { c.EndpointFileInterval = time.Hour }
 
-// A turn reads the list before it chooses, however long the next look would be off, and whether an alarm was missed or not.
-func TestTurnReadsTheListFirst(t *testing.T) {
+// A step reads the endpoints before it chooses, however far off the next regular read is.
+func TestStepReadsEndpointsFirst(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", rareEndpointReads, serverOptions(0), serverOptions(1))
 	for i := range 2 {
-		if word := tg.call(string(rune('a'+i)), "forecast-1", time.Second); word != "finished" {
-			t.Fatalf("got %q", word)
+		if answer := tg.call(string(rune('a'+i)), "forecast-1", time.Second); answer != "finished" {
+			t.Fatalf("got %q", answer)
 		}
 	}
 	used := 0
@@ -41,8 +41,8 @@
 	}
 }
 
-// A stop between the look at the list and the turn's choices makes these no younger than their list.
-func TestStopBetweenListAndChoice(t *testing.T) {
+// A stall between the read of the endpoints and the step's choices makes these no newer than their endpoint list.
+func TestStallBetweenReadAndChoice(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	s := make(chan *serverCall)
 	tg.gateway.post(func(now control.Micros) {
@@ -56,16 +56,17 @@
 	}
 	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived {
-			t.Errorf("server got job %s", r.Request)
+			t.Errorf("the server got request %s", r.Request)
 		}
 	}
 }
 
-// A source of the list that gives no word holds turns up once, for a quarter of the grace, and the router serves on.
-func TestListThatGivesNoWord(t *testing.T) {
+// A source of endpoints that does not answer delays steps once, for a quarter of the grace period; then the router serves
+// on.
+func TestUnresponsiveEndpointSource(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", rareEndpointReads, serverOptions(0))
-	if word := tg.call("1", "forecast-1", time.Second); word != "finished" {
-		t.Fatalf("got %q", word)
+	if answer := tg.call("1", "forecast-1", time.Second); answer != "finished" {
+		t.Fatalf("got %q", answer)
 	}
 	// From now on the list is a pipe, and a look lasts until somebody writes.
 	if err := os.Remove(tg.endpointFile); err != nil {
@@ -84,19 +85,19 @@
 	})
 	began := time.Now()
 	for i := range 5 {
-		if word := tg.call(string(rune('a'+i)), "forecast-1", time.Second); word != "finished" {
-			t.Errorf("got %q", word)
+		if answer := tg.call(string(rune('a'+i)), "forecast-1", time.Second); answer != "finished" {
+			t.Errorf("got %q", answer)
 		}
 		time.Sleep(tg.gateway.config.GracePeriod / 4)
 	}
 	if took := time.Since(began); took > 5*tg.gateway.config.GracePeriod {
-		t.Errorf("five jobs took %v", took)
+		t.Errorf("five requests took %v", took)
 	}
 }
 
-// A server that is told to have started an hour ago, as after a step of the clock, began after the list was last looked at without
-// it, however long that list had stood.
-func TestStartIsBoundedByTheLastLook(t *testing.T) {
+// A server that is listed as started an hour ago, as after a step of its clock, started after the endpoints were last read
+// without it, however long that list was in force.
+func TestStartIsBoundedByLastRead(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", rareEndpointReads, serverOptions(0), serverOptions(1))
 	look := func() (asOf control.Micros) {
 		asOf = tg.gateway.now()
@@ -129,8 +130,8 @@
 	}
 }
 
-// What is on its way to a server that drains or goes is taken back, whether the list tells all servers or what changed.
-func TestNewsTakesBackWhatIsOnItsWay(t *testing.T) {
+// Calls to a server that drains or is removed are withdrawn, by a full update and by an incremental one.
+func TestUpdateWithdrawsCalls(t *testing.T) {
 	const address, other = "127.0.0.1:1", "127.0.0.1:2"
 	id := fleet.ID(address)
 	for name, news := range map[string]fleet.Update{
@@ -174,13 +175,13 @@
 	}
 }
 
-func TestBadListIsRefused(t *testing.T) {
+func TestInvalidEndpointFile(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	if err := os.WriteFile(tg.endpointFile, []byte("[x]\naddress = nowhere\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tg.gateway.RefreshEndpoints()
-	if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Errorf("got %s", word)
+	if answer := tg.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+		t.Errorf("got %s", answer)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,7 +11,7 @@
 	"hollymast/internal/invariant"
 )
 
-func TestJobsAreFinished(t *testing.T) {
+func TestRequestsSucceed(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
 	var wg sync.WaitGroup
 	for i := range 200 {
@@ -19,8 +19,8 @@
 		go func() {
 			defer wg.Done()
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			if word := tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); word != invariant.Succeeded {
-				t.Errorf("job %d: %s", i, word)
+			if answer := tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%5), 2*time.Second); answer != invariant.Succeeded {
+				t.Errorf("request %d: %s", i, answer)
 			}
 		}()
 	}
@@ -28,11 +28,11 @@
 	tg.checkRules()
 }
 
-// A server that accepts and never replies: the fingerprinted job is answered once and in time, and is not sent again
-// past its window; the run-once job is killed, never pushed back.
+// Servers accept requests and never respond: a request with an idempotency key is answered once and in time, and is not
+// retried after its window; one that must not be repeated fails, and is never rejected.
 func TestSilentServers(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
-	for i := range 20 { // the module learns what is usual
+	for i := range 20 { // the balancer learns the usual times
 		tg.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range tg.servers {
@@ -44,9 +44,9 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				word := tg.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
-				if function == "ticket-1" && word == invariant.Succeeded {
-					t.Errorf("%s %d: %s from a silent server", function, i, word)
+				answer := tg.call(fmt.Sprint(function, i), function, 1500*time.Millisecond)
+				if function == "ticket-1" && answer == invariant.Succeeded {
+					t.Errorf("%s %d: %s from a silent server", function, i, answer)
 				}
 			}()
 		}
@@ -57,24 +57,24 @@
 	}
 }
 
-// Answers and time limits that meet within a millisecond leave one answer each.
-func TestReplyMeetsTheTimeLimit(t *testing.T) {
+// Responses and deadlines that meet within a millisecond leave one answer each.
+func TestResponseMeetsDeadline(t *testing.T) {
 	m := serverOptions(0)
 	m.ExecutionTime, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
-	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that a full machine's delays are not taken for ours
+	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that the delays of a busy machine do not count
 	tg.call("first", "forecast-1", 2*time.Second)
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// Work lasts 30 to 70 ms; 200 ms are kept free for the answer's way.
+			// Execution takes 30 to 70 ms; 200 ms are kept free for the answer's way.
 			tg.call(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
 		}()
 	}
 	wg.Wait()
 	if v := tg.checkRules(); v.Succeeded == 0 || v.Rejected == 0 {
-		t.Errorf("both ends were not met: %+v", v)
+		t.Errorf("not both outcomes occurred: %+v", v)
 	}
 }
 
--- a/internal/gateway/history_test.go
+++ b/internal/gateway/history_test.go
@@ -14,13 +14,13 @@
 	"hollymast/internal/invariant"
 )
 
-// A router that ends leaves its history, each job counted once.
-func TestHistoryOfUse(t *testing.T) {
+// A router that stops has written its history, each request counted once.
+func TestHistory(t *testing.T) {
 	dir := t.TempDir()
 	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
 	for i := range 30 {
-		if word := tg.call(fmt.Sprint(i), "forecast-1", time.Second); word != invariant.Succeeded {
-			t.Fatal(word)
+		if answer := tg.call(fmt.Sprint(i), "forecast-1", time.Second); answer != invariant.Succeeded {
+			t.Fatal(answer)
 		}
 	}
 	tg.call("late", "forecast-2", 5*time.Millisecond)
@@ -46,9 +46,9 @@
 	}
 }
 
-// What could not be written to the history for a while is written once it can, each job once; a file that looks damaged for a moment
-// is not set aside.
-func TestHistoryOnAFailingDisk(t *testing.T) {
+// What could not be written to the history for a while is written once it can be, each request once; a file that looks
+// damaged for a moment is not set aside.
+func TestHistoryOnFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), HistoryFile)
 	var said strings.Builder
 	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
@@ -82,10 +82,10 @@
 		}
 		write()
 	}
-	jobs := int64(0)
-	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs += r.Requests; return nil })
-	if want := int64(1 + 2*maxDamagedWrites); err != nil || jobs != want || len(o.batches) != 0 {
-		t.Errorf("%d jobs of %d, %d batches wait, %v", jobs, want, len(o.batches), err)
+	requests := int64(0)
+	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests += r.Requests; return nil })
+	if want := int64(1 + 2*maxDamagedWrites); err != nil || requests != want || len(o.batches) != 0 {
+		t.Errorf("%d requests of %d, %d batches wait, %v", requests, want, len(o.batches), err)
 	}
 	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
 		t.Errorf("said %d and %d times: %s", n, m, said.String())
@@ -96,8 +96,8 @@
 	for range maxDamagedWrites {
 		write()
 	}
-	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { jobs -= r.Requests; return nil }); err != nil || jobs != 1+maxDamagedWrites {
-		t.Errorf("%d jobs more in a new one, %v", jobs, err)
+	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests -= r.Requests; return nil }); err != nil || requests != 1+maxDamagedWrites {
+		t.Errorf("%d requests more in a new one, %v", requests, err)
 	}
 	for range 40 {
 		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -21,8 +22,8 @@
 	"hollymast/kserve"
 )
 
-// What an earlier life sent is judged as if this one had: a journal stands in for the life that was killed.
-func TestRepeatsAfterARestart(t *testing.T) {
+// The attempts of an earlier incarnation count as if this one had begun them: a journal stands for the one that was killed.
+func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
@@ -44,7 +45,7 @@
 	tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
 	for i, c := range []struct {
 		function, mark, want string
-		executions           int
+		attempts             int
 	}{
 		{"ticket-1", "sent", invariant.Failed, 0},
 		{"ticket-1", "proved", invariant.Succeeded, 1},
@@ -55,14 +56,14 @@
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.executions {
-			t.Errorf("%s, %s: got %s with %d executions, want %s with %d", c.function, c.mark, got, tg.attemptsBegun(job, -1), c.want, c.executions)
+		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.attempts {
+			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsBegun(job, -1), c.want, c.attempts)
 		}
 	}
 }
 
-// A marked job is pushed back, and runs nowhere, where its journal stands still or has ended.
-func TestJobsWithoutAJournal(t *testing.T) {
+// A request with a key is rejected, and runs nowhere, while the journal stalls or after it was closed.
+func TestRequestsWithoutJournal(t *testing.T) {
 	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
 	set := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
@@ -75,19 +76,19 @@
 	}
 	old := set(&persistence.Journal{}) // no round of it ever ends
 	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsBegun("still", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("still", -1))
+		t.Errorf("got %s with %d attempts", got, tg.attemptsBegun("still", -1))
 	}
 	set(old)
 	old.Close()
 	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsBegun("failing", -1) > 0 {
-		t.Errorf("got %s with %d executions", got, tg.attemptsBegun("failing", -1))
+		t.Errorf("got %s with %d attempts", got, tg.attemptsBegun("failing", -1))
 	}
 	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
 		t.Errorf("unmarked: got %s", got)
 	}
 }
 
-// fullDisk is the machine's file system, which fails while it is full.
+// fullDisk is the operating system's file system, which fails while it is full.
 type fullDisk struct {
 	persistence.OSFileSystem
 	full atomic.Bool
@@ -128,16 +129,17 @@
 	return f.File.Sync()
 }
 
-// The wall clock was stepped between two lives, in one boot: a run-once job that may have run stays known for its time, and a
-// fingerprinted one's window is that of real time. What another boot sent lies beyond every window, and is known as well.
-func TestRepeatsAfterTheClockWasStepped(t *testing.T) {
+// The wall clock is stepped between two incarnations, in one boot: a request that must not be repeated and may have run
+// stays known for its time, and the window of one with an idempotency key is one of real time. What was sent before another
+// boot lies beyond every window, and is known as well.
+func TestRetriesAfterClockStep(t *testing.T) {
 	const hour = 3_600_000_000
 	for _, c := range []struct {
-		name       string
-		step       control.Micros // of the wall clock since
-		boot       bool           // again since
-		booking    string
-		executions int
+		name     string
+		step     control.Micros // of the wall clock since
+		boot     bool           // again since
+		booking  string
+		attempts int
 	}{
 		{"ahead", hour, false, invariant.Succeeded, 1}, {"back", -hour, false, invariant.Succeeded, 1}, {"by seconds", 5_000_000, false, invariant.Succeeded, 1},
 		{"not at all", 0, false, invariant.Succeeded, 1}, {"another boot", 0, true, invariant.Rejected, 0}, {"another boot, ahead", hour, true, invariant.Rejected, 0},
@@ -163,20 +165,25 @@
 				booking, _ := t.Match("booking-1")
 				t.Deployment.Classes[booking.Class].Window = 60_000_000
 			}, serverOptions(0), serverOptions(1))
-			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.executions {
-				t.Errorf("booking: got %s with %d executions", got, tg.attemptsBegun("booking", -1))
+			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
+				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsBegun("booking", -1))
 			}
-			time.Sleep(300 * time.Millisecond) // some rounds of forgetting
+			waitUntil(t, "keys were pruned and the state written, once for each of its files", func() bool {
+				return !slices.ContainsFunc(persistence.GenerationFiles[:], func(name string) bool {
+					_, err := os.Stat(filepath.Join(dir, name))
+					return err != nil
+				})
+			})
 			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Failed || tg.attemptsBegun("ticket", -1) > 0 {
-				t.Errorf("ticket: got %s with %d executions", got, tg.attemptsBegun("ticket", -1))
+				t.Errorf("ticket: got %s with %d attempts", got, tg.attemptsBegun("ticket", -1))
 			}
 		})
 	}
 }
 
-// While the folder fails a marked job that may not repeat is pushed back with the time to come again, others are served, and once
-// it is well all are. What ran is known to the next life at any moment, and both metrics count.
-func TestMarkedJobsWhileTheFolderFails(t *testing.T) {
+// While the folder fails, a request that must not be repeated is rejected with a time to retry after, and others are
+// served; once the folder works, all are. What ran is known to the next incarnation at any moment, and both metrics count.
+func TestRequestsWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
 	tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) { c.fileSystem = disk }, serverOptions(0), serverOptions(1))
@@ -189,13 +196,13 @@
 		case got == invariant.Rejected && ran == 0:
 			refused++
 		case got != invariant.Succeeded || ran != 1:
-			t.Errorf("%s: got %s with %d executions", job, got, ran)
+			t.Errorf("%s: got %s with %d attempts", job, got, ran)
 		case disk.full.Load():
 			t.Errorf("%s: ran unrecorded", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
 			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
-				t.Errorf("a job that may repeat: %s", got)
+				t.Errorf("a request that may repeat: %s", got)
 			}
 			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
@@ -213,19 +220,17 @@
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
 				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
-					t.Errorf("%s ran, and a next life would not know", job)
+					t.Errorf("%s ran, and a next incarnation would not know", job)
 				}
 			}
 		}
 		if i%20 == 19 { // until it is tried again
 			disk.full.Store(false)
-			for end := time.Now().Add(10 * time.Second); tg.gateway.state.Failing() && time.Now().Before(end); {
-				time.Sleep(time.Millisecond)
-			}
+			waitUntil(t, "the journal is written again", func() bool { return !tg.gateway.state.Failing() })
 		}
 	}
 	if refused < 25 {
-		t.Errorf("%d were pushed back", refused)
+		t.Errorf("%d were rejected", refused)
 	}
 	text := string(tg.gateway.metrics.response().Body)
 	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
@@ -235,12 +240,13 @@
 	}
 }
 
+// ticketClass returns the class of requests that must not be repeated.
 func (tg *testGateway) ticketClass() control.ClassID {
 	pattern, _ := tg.gateway.config.Match("ticket-1")
 	return pattern.Class
 }
 
-// knownTo gives what a life that begins now would know of marks, were this one killed.
+// keysInJournal returns the keys that another incarnation would know if this one were killed now.
 func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.KeyIndex {
 	t.Helper()
 	copied := t.TempDir()
@@ -265,17 +271,18 @@
 	return persistence.ApplyEntries(&control.LearnedState{}, entries, 1<<40, 1000)
 }
 
-// What a failing folder is said of is its beginning and its end, once each. A folder that fails at a start is no reason to run what an
-// earlier life may have run.
-func TestFolderThatFailsAtAStart(t *testing.T) {
+// A failing folder is logged when it begins to fail and when it works again, once each. One that fails at the start is no
+// reason to run what an earlier incarnation may have run.
+func TestFolderFailsAtStart(t *testing.T) {
 	var said strings.Builder
 	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, fileSystem: &fullDisk{}}
 	disk := config.fileSystem.(*fullDisk)
 	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
+		failures := keeper.Failures()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
-		time.Sleep(20 * time.Millisecond)
+		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
 	}
 	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
--- a/internal/gateway/server_faults_test.go
+++ b/internal/gateway/server_faults_test.go
@@ -15,12 +15,13 @@
 	"hollymast/internal/rest"
 )
 
-// failed is a system call's error as the standard library gives it.
+// sysCallError returns a system call's error as the standard library does.
 func sysCallError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// What a failed dial means to the module: what is ours is never a sign about the server, what may be the way's only where it lasts.
+// A dial that fails through a local shortage never counts against the server, and one that fails in the network only if
+// that lasts.
 func TestFailedDials(t *testing.T) {
 	const ours, way, server = control.NotSent, control.ConnectFailed, control.Result(255)
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.DialTimeout = 40 * time.Millisecond })
@@ -57,7 +58,7 @@
 	}
 }
 
-// What a failed read or write of an open connection means: nothing ran only where no byte was written.
+// A failed read or write proves that nothing ran only if no byte was written.
 func TestFailedExchanges(t *testing.T) {
 	for errno, want := range map[syscall.Errno]control.Result{syscall.ETIMEDOUT: control.ConnectionReset, syscall.EHOSTUNREACH: control.ConnectionReset,
 		syscall.ENETUNREACH: control.ConnectionReset, syscall.ECONNRESET: control.ConnectionReset, syscall.EPIPE: control.ConnectionReset,
@@ -71,7 +72,7 @@
 	}
 }
 
-// faulty fails some accepts before each that it takes.
+// failingListener fails some accepts before the others.
 type failingListener struct {
 	net.Listener
 	errs []syscall.Errno
@@ -86,7 +87,7 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept closes nobody, and the next connections are served, whatever the error and however often it comes.
+// A failed accept closes no connection, and the next ones are served, whatever the error and however often it occurs.
 func TestFailedAccepts(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	open, r := tg.dialClient()
--- a/internal/gateway/serverconn_test.go
+++ b/internal/gateway/serverconn_test.go
@@ -11,8 +11,9 @@
 	"hollymast/kserve"
 )
 
-// A drain notice between choosing and writing, and a choice whose list grew old while the process was stopped.
-func TestWithdrawnAndOldChoicesAreNeverSent(t *testing.T) {
+// Not sent are a call that a drain has withdrawn, and one whose endpoint list has grown too old while the process was
+// stalled.
+func TestWithdrawnAndStaleCallsAreNotSent(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	call := tg.gateway.newCall(1, 1_000_000)
 	call.message = inferRequest("1", "forecast-1", time.Second)
@@ -30,13 +31,14 @@
 	}
 	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived {
-			t.Errorf("server got job %s", r.Request)
+			t.Errorf("the server got request %s", r.Request)
 		}
 	}
 }
 
-// Connections closed while idle prove nothing ran; those closed once the job was on them don't.
-func TestIdleConnectionIsClosed(t *testing.T) {
+// A connection that was closed while idle proves that nothing ran; one that is closed after the request was written does
+// not.
+func TestServerClosesConnection(t *testing.T) {
 	tg := newTestGateway(t)
 	closed := make(chan struct{}, 8)
 	address := listenRaw(t, func(n int, nc *net.TCPConn) {
@@ -44,7 +46,7 @@
 		if _, err := client.ReadRequest(); err != nil {
 			return
 		}
-		if n == 1 { // reads the job, and is gone
+		if n == 1 { // reads the request, and resets
 			nc.SetLinger(0)
 			return
 		}
@@ -62,8 +64,8 @@
 		call.cancel()
 		if want == control.Succeeded {
 			<-closed
-			for client := sc.client.Load(); client != nil && !client.Stale(); {
-				time.Sleep(time.Millisecond)
+			if client := sc.client.Load(); client != nil {
+				waitUntil(t, "the close has arrived", client.Stale)
 			}
 		}
 	}
@@ -72,7 +74,7 @@
 	}
 }
 
-func TestRefusedConnectionIsNoConnection(t *testing.T) {
+func TestRefusedConnection(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.servers[0].Stop()
 	call := tg.gateway.newCall(1, 1_000_000)
@@ -82,7 +84,7 @@
 	}
 }
 
-func TestForwardedLeavesOutOneConnectionsFields(t *testing.T) {
+func TestForwardedHeaderOmitsHopByHopFields(t *testing.T) {
 	h := forwardedHeader(rest.Header{"Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Te": {"x"}, "A": {"b"}, kserve.HeaderLength: {"3"}})
 	if len(h) != 2 || h.Get("A") != "b" || h.Get(kserve.HeaderLength) != "3" {
 		t.Errorf("got %v", h)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,17 +14,15 @@
 	"hollymast/internal/fakeserver"
 )
 
-// Requests that were sent ahead of the stop are answered, each on its turn, and so is one that comes on an open connection
-// some time after it; then the connection ends.
-func TestStopAnswersWhatWasSentAhead(t *testing.T) {
+// Requests that were pipelined before the stop are answered in order, and so is one that arrives on an open connection some
+// time after it; then the connection ends.
+func TestStopAnswersPipelinedRequests(t *testing.T) {
 	m := serverOptions(0)
 	m.ExecutionTime = 100 * time.Millisecond
 	tg := newTestGateway(t, m)
 	ahead, r := tg.dialClient()
 	io.WriteString(ahead, inferText("a", "forecast-1")+inferText("b", "forecast-1")+inferText("c", "forecast-1"))
-	for tg.inFlight() == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "a request is in flight", func() bool { return tg.inFlight() > 0 })
 	open, later := tg.dialClient()
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := readStatusLines(later, 1); err != nil {
@@ -46,8 +44,8 @@
 	}
 }
 
-// Connections that the kernel has accepted when the router stops are answered, also where the time for that has passed in a
-// standstill, and where no job is in hand.
+// Connections that the kernel has accepted when the router stops are answered, also if the time for that has passed in a
+// stall, and if no request is in flight.
 func TestStopAnswersWaitingConnections(t *testing.T) {
 	tg := newTestGateway(t)
 	l, err := listenTCP("127.0.0.1:0")
@@ -91,9 +89,9 @@
 	}
 }
 
-// A stopping router's times: requests are awaited for as long as they keep coming, and each job has its answer, and each
-// connection its end, before the router may be killed.
-func TestStopTimes(t *testing.T) {
+// Requests are read for as long as they keep coming, and each has its answer, and each connection its end, before the
+// router may be killed.
+func TestShutdownTimes(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 50 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Hour} {
 		config := Config{Deployment: control.Deployment{Classes: []control.Class{{MaxDeadline: 1000}, {MaxDeadline: micros(longest)}}}}
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
@@ -102,31 +100,27 @@
 			t.Errorf("%v: %+v", longest, s)
 		}
 		if longest <= maxCountedDeadline && s.answerBy < longest+100*time.Millisecond {
-			t.Errorf("%v: a job is cut short: %+v", longest, s)
+			t.Errorf("%v: a request is cut short: %+v", longest, s)
 		}
 	}
 }
 
-// A job that would take longer than a stopping router has left gets its answer all the same.
-func TestStopAnswersLongJobs(t *testing.T) {
+// A request that would take longer than a stopping router has left is answered before the kill.
+func TestStopAnswersLongRequests(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1"))
-	for tg.received("1") == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
 	tg.gateway.post(tg.gateway.answerOpen)
 	began := time.Now()
 	if lines, err := readStatusLines(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
 		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
 	}
-	for tg.inFlight() > 0 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
 }
 
-// Told to stop, it answers all that it holds and takes nothing more.
+// A stopping router answers all that it has accepted, and accepts nothing more.
 func TestStopAnswersAll(t *testing.T) {
 	m := serverOptions(0)
 	m.ExecutionTime = 100 * time.Millisecond
@@ -136,19 +130,17 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if word := tg.call(fmt.Sprint(i), "ticket-1", time.Second); word == "" {
-				t.Errorf("job %d got no answer", i)
+			if answer := tg.call(fmt.Sprint(i), "ticket-1", time.Second); answer == "" {
+				t.Errorf("request %d got no answer", i)
 			}
 		}()
 	}
-	for tg.inFlight() < 8 {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "eight requests are in flight", func() bool { return tg.inFlight() == 8 })
 	late, r := tg.dialClient() // accepted by the kernel at least
 	io.WriteString(late, inferText("late", "ticket-1"))
 	tg.stop()
 	if line, err := r.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 ") {
-		t.Errorf("a job that came just before the stop: got %q, %v", line, err)
+		t.Errorf("a request that came just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
 	if v := tg.checkRules(); v.Succeeded == 0 {
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -15,17 +15,17 @@
 	"hollymast/internal/persistence"
 )
 
-// remembering is the section for a folder.
+// stateSection returns the section of settings for a folder.
 func stateSection(dir string) string {
 	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
 }
 
-// The next life finds copies where they stand, and its own file.
-func TestNextLifeRecalls(t *testing.T) {
+// The next incarnation knows where functions are loaded, from the file that this one has written.
+func TestLearnedStateOutlastsRestart(t *testing.T) {
 	dir := t.TempDir()
 	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
-	if word := first.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Fatal(word)
+	if answer := first.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+		t.Fatal(answer)
 	}
 	other, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// No state of the folder keeps a router from serving.
-func TestAnyFolderLetsTheRouterStart(t *testing.T) {
+// Whatever is wrong with the folder, the router serves.
+func TestStartWithUnusableFolder(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
 		"rubbish":      func(dir string) error { return writeStateFile(dir, persistence.GenerationFiles[0], "rubbish") },
@@ -71,8 +71,8 @@
 				t.Fatal(err)
 			}
 			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
-			if word := tg.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-				t.Error(word)
+			if answer := tg.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+				t.Error(answer)
 			}
 		})
 	}
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -65,7 +65,7 @@
 lanes = 2
 `
 
-// field is a gateway with stand-ins round it.
+// testGateway is a running gateway with fake servers, and a log of all that happens at both.
 type testGateway struct {
 	t            *testing.T
 	gateway      *Gateway
@@ -76,29 +76,31 @@
 	ended        chan error
 }
 
+// serverOptions returns the options of a fake server with a number.
 func serverOptions(n int) fakeserver.Config {
 	return fakeserver.Config{Number: n, MaxReplicas: 20, Lanes: 2, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 50, LoadTime: 5 * time.Millisecond,
 		MaxLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
 }
 
-func newTestGateway(t *testing.T, makes ...fakeserver.Config) *testGateway {
+// newTestGateway starts a gateway with fake servers, which the test's end stops.
+func newTestGateway(t *testing.T, servers ...fakeserver.Config) *testGateway {
 	t.Helper()
-	return newTestGatewayWith(t, "", makes...)
+	return newTestGatewayWith(t, "", servers...)
 }
 
-// newFieldTold gives a gateway with further settings.
-func newTestGatewayWith(t *testing.T, further string, makes ...fakeserver.Config) *testGateway {
+// newTestGatewayWith starts one with further sections of settings.
+func newTestGatewayWith(t *testing.T, sections string, servers ...fakeserver.Config) *testGateway {
 	t.Helper()
-	return newTestGatewayConfigured(t, further, func(*Config) {}, makes...)
+	return newTestGatewayConfigured(t, sections, func(*Config) {}, servers...)
 }
 
-// newFieldChanged gives one whose told values are changed besides.
-func newTestGatewayConfigured(t *testing.T, further string, change func(*Config), makes ...fakeserver.Config) *testGateway {
+// newTestGatewayConfigured starts one whose configuration is changed besides.
+func newTestGatewayConfigured(t *testing.T, sections string, change func(*Config), servers ...fakeserver.Config) *testGateway {
 	t.Helper()
 	tg := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
-	states := make([]string, len(makes))
-	for i, m := range makes {
+	states := make([]string, len(servers))
+	for i, m := range servers {
 		s := fakeserver.New(m, store, tg.log)
 		if err := s.Start(false); err != nil {
 			t.Fatal(err)
@@ -107,7 +109,7 @@
 		states[i] = "ready"
 	}
 	tg.writeEndpoints(states...)
-	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings+further, tg.endpointFile))
+	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings+sections, tg.endpointFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,13 +133,21 @@
 			t.Error(err)
 		}
 	})
-	for !tg.gateway.ready.Load() {
-		time.Sleep(time.Millisecond)
-	}
+	waitUntil(t, "the endpoints are read", func() bool { return tg.gateway.ready.Load() })
 	return tg
 }
 
-// write writes the list with the servers' states and tells the log.
+// waitUntil polls a condition until it holds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain until %s", what)
+		}
+	}
+}
+
+// writeEndpoints writes the endpoint file with the servers' states, and logs them.
 func (tg *testGateway) writeEndpoints(states ...string) {
 	var b strings.Builder
 	for i, state := range states {
@@ -154,7 +164,7 @@
 	}
 }
 
-// ask sends one job and notes both ends of it; the answer's word comes back.
+// call sends one request, logs it and its response, and returns how it was answered.
 func (tg *testGateway) call(job, function string, limit time.Duration) string {
 	ctx := context.Background()
 	client, err := rest.Dial(ctx, tg.gateway.Address(), &rest.DefaultLimits)
@@ -168,7 +178,7 @@
 	tg.log.Add(rec)
 	resp, _, err := client.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
 	if err != nil {
-		tg.t.Errorf("job %s: %v", job, err)
+		tg.t.Errorf("request %s: %v", job, err)
 		return ""
 	}
 	rec.Kind, rec.Detail = invariant.ResponseReceived, gjson.GetBytes(resp.Body, "answer").Str
@@ -179,12 +189,13 @@
 	return rec.Detail
 }
 
+// inferRequest returns an inference request with an id and a timeout.
 func inferRequest(job, function string, limit time.Duration) *rest.Request {
 	return &rest.Request{Method: "POST", Target: "/v2/models/" + function + "/infer", Header: rest.Header{"Host": {"test"}},
 		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[]}`, job, limit.Microseconds(), job)}
 }
 
-// judge fails the test for each breach of a rule.
+// checkRules fails the test for each violation of a rule that the log shows.
 func (tg *testGateway) checkRules() *invariant.Report {
 	tg.t.Helper()
 	v := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
@@ -198,7 +209,7 @@
 	return v
 }
 
-// carried runs one sending over a link by hand.
+// exchange carries one call on a new connection to the first server.
 func (tg *testGateway) exchange(call *serverCall) callResult {
 	sc := &serverConn{gateway: tg.gateway, address: tg.servers[0].Address()}
 	defer func() {
@@ -210,7 +221,7 @@
 	return sc.exchange(call)
 }
 
-// raw is a model server written out by hand: it gives each connection to a function.
+// listenRaw starts a server that hands each connection, with its number, to a function.
 func listenRaw(t *testing.T, f func(n int, nc *net.TCPConn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -237,7 +248,7 @@
 	return ln.Addr().String()
 }
 
-// talk opens a raw client connection.
+// dialClient opens a raw client connection.
 func (tg *testGateway) dialClient() (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", tg.gateway.Address())
 	if err != nil {
@@ -248,17 +259,20 @@
 	return conn, bufio.NewReader(conn)
 }
 
+// inferText returns an inference request as bytes.
 func inferText(job, function string) string {
 	body := fmt.Sprintf(`{"id":%q,"inputs":[]}`, job)
 	return fmt.Sprintf("POST /v2/models/%s/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", function, len(body), body)
 }
 
+// inFlight returns how many requests the gateway has in flight.
 func (tg *testGateway) inFlight() int {
 	counted := make(chan int, 1)
 	tg.gateway.post(func(control.Micros) { counted <- len(tg.gateway.requests) })
 	return <-counted
 }
 
+// received returns how many attempts of a request the servers have received.
 func (tg *testGateway) received(job string) (n int) {
 	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived && r.Request == job {
@@ -268,7 +282,7 @@
 	return n
 }
 
-// answers reads n answers and tells their first lines.
+// readStatusLines reads n responses and returns their status lines.
 func readStatusLines(r *bufio.Reader, n int) (lines []string, err error) {
 	for range n {
 		line, err := r.ReadString('\n')
@@ -294,7 +308,7 @@
 	return lines, nil
 }
 
-// askMarked sends a job with a client's mark and gives the answer's word.
+// callWithKey sends a request with an idempotency key and returns how it was answered.
 func (tg *testGateway) callWithKey(job, function, key string) string {
 	tg.t.Helper()
 	client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
@@ -314,7 +328,7 @@
 	return gjson.GetBytes(resp.Body, "answer").Str
 }
 
-// began counts the executions of a job on a server, or on all for -1.
+// attemptsBegun returns how many attempts of a request a server has begun to execute, or all servers for -1.
 func (tg *testGateway) attemptsBegun(job string, server int) int {
 	n := 0
 	for _, r := range tg.log.Records() {
@@ -325,41 +339,42 @@
 	return n
 }
 
-// sendingNow gives an execution that is chosen in the next turn, by a list that stays fresh.
-func (tg *testGateway) newCall(address string, allow time.Duration) *serverCall {
+// newCall returns an attempt that is chosen in the next step, from an endpoint list that stays fresh.
+func (tg *testGateway) newCall(address string, timeout time.Duration) *serverCall {
 	chosen := make(chan *serverCall)
-	tg.gateway.post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(allow)) })
+	tg.gateway.post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(timeout)) })
 	call := <-chosen
 	call.writeBefore += micros(time.Hour)
-	req := &request{message: inferRequest("1", "forecast-1", allow), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
+	req := &request{message: inferRequest("1", "forecast-1", timeout), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
 	req.clientCheckedAt.Store(int64(tg.gateway.now() + micros(time.Hour)))
 	call.request, call.message = req, tg.gateway.attemptMessage(req, 0)
 	return call
 }
 
-// slack is by how much the time that a server is told may exceed what its client has left.
+// timeoutTolerance is by how much the timeout that an attempt states may differ from what its client has left.
 const timeoutTolerance = 150 * time.Millisecond
 
-// toldLeft is a server's end of an exchange: when its request was whole, and the time that it told.
+// statedTimeout is an attempt as a server receives it: when, and with which timeout.
 type statedTimeout struct {
 	receivedAt time.Time
 	timeout    time.Duration
 }
 
-// listens gives a server that notes what it is told, and takes its time for one request.
-func recordingServer(t *testing.T, slow *atomic.Int64) (address string, heard chan statedTimeout) {
-	heard = make(chan statedTimeout, 64)
+// recordingServer starts a server that reports the attempts that it receives, and takes its time for the next one if slow
+// is set.
+func recordingServer(t *testing.T, slow *atomic.Int64) (address string, attempts chan statedTimeout) {
+	attempts = make(chan statedTimeout, 64)
 	return listenRaw(t, func(_ int, nc *net.TCPConn) {
 		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
 		msg, err := client.ReadRequest()
 		if err != nil {
 			return
 		}
-		if strings.HasSuffix(msg.Target, "/infer") { // else it is an order to load
+		if strings.HasSuffix(msg.Target, "/infer") { // else it is a load command
 			ms, _ := strconv.Atoi(msg.Header.Get(kserve.TimeoutHeader))
-			heard <- statedTimeout{time.Now(), time.Duration(ms) * time.Millisecond}
+			attempts <- statedTimeout{time.Now(), time.Duration(ms) * time.Millisecond}
 			time.Sleep(time.Duration(slow.Swap(0)))
 		}
 		client.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
-	}), heard
+	}), attempts
 }
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -18,7 +18,7 @@
 
 var localhostNames = authority.Request{Names: []string{"127.0.0.1"}}
 
-// ringFor gives a ring of its own files; authorities may be nil.
+// testCertStore returns a certificate store with files of its own; authorities may be nil.
 func testCertStore(t *testing.T, own authority.Certificate, authorities []byte) (*certstore.Config, *certstore.Store) {
 	t.Helper()
 	dir := t.TempDir()
@@ -35,13 +35,14 @@
 	return told, r
 }
 
+// serverSide returns the handshake of a server with a store.
 func serverSide(r *certstore.Store) func(conn net.Conn) (net.Conn, error) {
 	return func(conn net.Conn) (net.Conn, error) { return r.ServerHandshake(context.Background(), conn) }
 }
 
-// Workers that are not believed, or do not believe us, count as no connection: even run-once jobs are finished elsewhere, and
-// nothing runs at them. Clients that show no good certificate are refused.
-func TestPeersThatAreNotBelieved(t *testing.T) {
+// Servers with an untrusted certificate, and those that do not trust the gateway's, count as unreachable: even requests that
+// must not be repeated succeed elsewhere, and nothing runs at them. Clients without a valid certificate are rejected.
+func TestUntrustedPeers(t *testing.T) {
 	ours, theirs := authority.New("ours"), authority.New("theirs")
 	_, good := testCertStore(t, ours.Issue(localhostNames), ours.CertificatePEM())
 	_, stranger := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
@@ -74,17 +75,17 @@
 		return string(resp.Body)
 	}
 	for _, job := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} { // the functions' orders of servers differ
-		if word := ask(client, job); word != invariant.Succeeded {
-			t.Errorf("job %s: %s", job, word)
+		if answer := ask(client, job); answer != invariant.Succeeded {
+			t.Errorf("request %s: %s", job, answer)
 		}
 	}
 	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived && r.Server != 2 {
-			t.Errorf("server %d got job %s", r.Server, r.Request)
+			t.Errorf("server %d got request %s", r.Server, r.Request)
 		}
 	}
-	if word := ask(unknown, "9"); !strings.Contains(word, rest.ErrCertificateRejected.Error()) {
-		t.Errorf("a client of another authority: %s", word)
+	if answer := ask(unknown, "9"); !strings.Contains(answer, rest.ErrCertificateRejected.Error()) {
+		t.Errorf("a client of another authority: %s", answer)
 	}
 	text := string(tg.gateway.metrics.response().Body)
 	for _, want := range []string{`executions_total{result="no connection"}`, `tls_refused_total{connections="clients",reason="unknown authority"} 1`,
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -11,8 +11,8 @@
 	"hollymast/internal/invariant"
 )
 
-// A second router that follows the first one's view has its list, its drains and what it suspects.
-func TestSecondRouterFollowsTheView(t *testing.T) {
+// A router that follows another's view has its endpoints, drains and ejections.
+func TestRouterFollowsView(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.ServeView = "127.0.0.1:0" }, serverOptions(0), serverOptions(1), serverOptions(2))
 	config := *tg.gateway.config
 	config.ControlPlane, config.ServeView, config.AdminListen, config.LoadReports = tg.gateway.view.Address(), "", "", true
@@ -56,8 +56,8 @@
 	}
 	await(3, 0, 5*time.Second)
 	both := &testGateway{t: t, gateway: g, log: tg.log}
-	if word := both.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Error(word)
+	if answer := both.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+		t.Error(answer)
 	}
 	// What it does there the first one learns from its reports, with what the server told of its load.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
