--- a/internal/fakeserver/authority/authority.go
+++ b/internal/fakeserver/authority/authority.go
@@ -1,5 +1,5 @@
-// Package authority is a small certificate authority for tests and for days in the laboratory: what it signs is as real as any,
-// and its keys live no longer than the process.
+// Package authority is a small certificate authority for tests and for the chaos tester. Its certificates are as valid as any; its keys
+// are in memory only.
 package authority
 
 import (
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// Authority signs certificates and lists of revoked ones.
+// Authority signs certificates and revocation lists.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -30,38 +30,40 @@
 	revoked []x509.RevocationListEntry
 }
 
-// Issued is a certificate with its key, PEM.
+// Certificate is a certificate with its key.
 type Certificate struct {
-	Chain, Key []byte
+	Chain, Key []byte // PEM
 	Serial     *big.Int
 	Leaf       *x509.Certificate
 }
 
-// Asked is what a certificate is asked for.
+// Request is what a certificate is to be valid for.
 type Request struct {
 	Names               []string // DNS names, IP addresses, URIs
 	NotBefore, NotAfter time.Time
 	Uses                []x509.ExtKeyUsage // none: both sides of a connection
 }
 
-// far is how long an authority lives: longer than any test.
-const far = 10 * 365 * 24 * time.Hour
+// authorityValidity is for how long an authority is valid, before and after now: longer than any test.
+const authorityValidity = 10 * 365 * 24 * time.Hour
 
-// New gives an authority, signed by itself.
-func New(name string) *Authority { return sign(name, nil) }
+// New returns a self-signed authority.
+func New(name string) *Authority { return newAuthority(name, nil) }
 
-// Below gives an authority that this one signed.
-func (a *Authority) Intermediate(name string) *Authority { return sign(name, a) }
+// Intermediate returns an authority that this one signed.
+func (a *Authority) Intermediate(name string) *Authority { return newAuthority(name, a) }
 
-func sign(name string, above *Authority) *Authority {
+// newAuthority returns an authority signed by its parent; nil: by itself.
+func newAuthority(name string, issuer *Authority) *Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must(err)
-	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-far), NotAfter: time.Now().Add(far),
+	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name},
+		NotBefore: time.Now().Add(-authorityValidity), NotAfter: time.Now().Add(authorityValidity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	parent, signer := t, key
-	if above != nil {
-		parent, signer = above.cert, above.key
-		t.SerialNumber = above.next()
+	if issuer != nil {
+		parent, signer = issuer.cert, issuer.key
+		t.SerialNumber = issuer.nextSerial()
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, signer)
 	must(err)
@@ -72,40 +74,46 @@
 
 func must(err error) {
 	if err != nil {
-		panic(err) // our own templates and a working source of chance
+		panic(err) // our own templates, and a random source that works
 	}
 }
 
-func (a *Authority) next() *big.Int {
+func (a *Authority) nextSerial() *big.Int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.serial++
 	return big.NewInt(a.serial)
 }
 
-// Cert is the authority's own certificate, PEM.
-func (a *Authority) CertificatePEM() []byte { return block("CERTIFICATE", a.cert.Raw) }
+// CertificatePEM is the authority's own certificate, PEM.
+func (a *Authority) CertificatePEM() []byte { return encodePEM("CERTIFICATE", a.cert.Raw) }
 
-func block(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// Issue signs a certificate for a new key. Without times it is valid from an hour ago for a day.
-func (a *Authority) Issue(q Request) Certificate {
+// The validity of certificates whose request names no times: from before now, for clocks that differ, until after any test.
+const (
+	defaultValidBefore = time.Hour
+	defaultValidAfter  = 24 * time.Hour
+)
+
+// Issue signs a certificate for a new key.
+func (a *Authority) Issue(request Request) Certificate {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must(err)
-	if q.NotBefore.IsZero() {
-		q.NotBefore = time.Now().Add(-time.Hour)
+	if request.NotBefore.IsZero() {
+		request.NotBefore = time.Now().Add(-defaultValidBefore)
 	}
-	if q.NotAfter.IsZero() {
-		q.NotAfter = time.Now().Add(24 * time.Hour)
+	if request.NotAfter.IsZero() {
+		request.NotAfter = time.Now().Add(defaultValidAfter)
 	}
-	if q.Uses == nil {
-		q.Uses = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	if request.Uses == nil {
+		request.Uses = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	}
-	t := &x509.Certificate{SerialNumber: a.next(), NotBefore: q.NotBefore, NotAfter: q.NotAfter, KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: q.Uses,
-		Subject: pkix.Name{CommonName: "issued"}}
-	for _, n := range q.Names {
+	t := &x509.Certificate{SerialNumber: a.nextSerial(), NotBefore: request.NotBefore, NotAfter: request.NotAfter,
+		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: request.Uses, Subject: pkix.Name{CommonName: "issued"}}
+	for _, n := range request.Names {
 		if ip := net.ParseIP(n); ip != nil {
 			t.IPAddresses = append(t.IPAddresses, ip)
 		} else if u, err := url.Parse(n); err == nil && strings.Contains(n, "://") {
@@ -120,14 +128,14 @@
 	must(err)
 	k, err := x509.MarshalPKCS8PrivateKey(key)
 	must(err)
-	chain := block("CERTIFICATE", der)
+	chain := encodePEM("CERTIFICATE", der)
 	if !bytes.Equal(a.cert.RawSubject, a.cert.RawIssuer) {
 		chain = append(chain, a.CertificatePEM()...)
 	}
-	return Certificate{chain, block("PRIVATE KEY", k), t.SerialNumber, leaf}
+	return Certificate{chain, encodePEM("PRIVATE KEY", k), t.SerialNumber, leaf}
 }
 
-// Revoke puts certificates on the lists signed from now on.
+// Revoke puts certificates on the revocation lists signed from now on.
 func (a *Authority) Revoke(serials ...*big.Int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,7 +144,7 @@
 	}
 }
 
-// List signs a list of what is revoked, PEM, to be replaced by the given time.
+// RevocationList signs a list of what is revoked, PEM, to be replaced by the given time.
 func (a *Authority) RevocationList(next time.Time) []byte {
 	a.mu.Lock()
 	a.lists++
@@ -144,5 +152,5 @@
 	a.mu.Unlock()
 	der, err := x509.CreateRevocationList(rand.Reader, t, a.cert, a.key)
 	must(err)
-	return block("X509 CRL", der)
+	return encodePEM("X509 CRL", der)
 }
--- /dev/null
+++ b/internal/fakeserver/resources.go
@@ -0,0 +1,76 @@
+package fakeserver
+
+import (
+	"net"
+	"strconv"
+
+	cluster "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+	"google.golang.org/protobuf/types/known/structpb"
+)
+
+// The type URLs of resources.
+const (
+	typePrefix  = "type.googleapis.com/"
+	clusterURL  = typePrefix + "envoy.config.cluster.v3.Cluster"
+	endpointURL = typePrefix + "envoy.config.endpoint.v3.ClusterLoadAssignment"
+	secretURL   = typePrefix + "envoy.extensions.transport_sockets.tls.v3.Secret"
+)
+
+// resourceTypes are in the order in which they are sent: clusters before their endpoints.
+var resourceTypes = [...]string{clusterURL, endpointURL}
+
+// resources returns the resources of a type by name.
+func (p *ControlPlane) resources(url string) map[string]*anypb.Any {
+	resources := map[string]*anypb.Any{}
+	for name, endpoints := range p.clusters {
+		switch {
+		case url == clusterURL:
+			resources[name] = PackAny(edsCluster(name))
+		case !p.hidden[name]:
+			resources[name] = PackAny(LoadAssignment(name, endpoints))
+		}
+	}
+	return resources
+}
+
+func edsCluster(name string) *cluster.Cluster {
+	ads := &core.ConfigSource{ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}
+	return &cluster.Cluster{Name: name, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
+		EdsClusterConfig: &cluster.Cluster_EdsClusterConfig{EdsConfig: ads}}
+}
+
+// PackAny packs a message.
+func PackAny(m proto.Message) *anypb.Any {
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		panic(err) // our own message
+	}
+	return &anypb.Any{TypeUrl: typePrefix + string(m.ProtoReflect().Descriptor().FullName()), Value: b}
+}
+
+// LoadAssignment returns a cluster's endpoints in the protocol's form, a locality each.
+func LoadAssignment(name string, endpoints []Endpoint) *endpoint.ClusterLoadAssignment {
+	assignment := &endpoint.ClusterLoadAssignment{ClusterName: name}
+	for _, e := range endpoints {
+		assignment.Endpoints = append(assignment.Endpoints, &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: e.Zone, SubZone: e.Cell},
+			LbEndpoints: []*endpoint.LbEndpoint{lbEndpoint(e)}})
+	}
+	return assignment
+}
+
+func lbEndpoint(e Endpoint) *endpoint.LbEndpoint {
+	host, port, _ := net.SplitHostPort(e.Address)
+	number, _ := strconv.Atoi(port)
+	address := &core.SocketAddress{Address: host, PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(number)}}
+	lb := &endpoint.LbEndpoint{HealthStatus: e.Health, HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{
+		Address: &core.Address{Address: &core.Address_SocketAddress{SocketAddress: address}}}}}
+	if e.StartedAt != "" {
+		fields := map[string]*structpb.Value{"born": structpb.NewStringValue(e.StartedAt)}
+		lb.Metadata = &core.Metadata{FilterMetadata: map[string]*structpb.Struct{"hollymast": {Fields: fields}}}
+	}
+	return lb
+}
