--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -10,10 +10,7 @@
 	"hollymast/internal/core"
 )
 
-// ErrNewer tells of a recording by a later version of this program.
-var ErrNewer = errors.New("written by a newer version")
-
-// Segment is a segment's beginning.
+// Segment is a segment that is being read. The caller must Close it.
 type Segment struct {
 	Header
 	File       string
@@ -22,7 +19,7 @@
 	r          *bufio.Reader
 }
 
-// OpenSegment reads a segment's beginning. Errors name the file and what is wrong with it.
+// OpenSegment opens a segment and reads its header and checkpoint. The error is ErrNewer, ErrDamaged or another, and names the file.
 func OpenSegment(name string) (s *Segment, err error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -51,17 +48,17 @@
 	return s, nil
 }
 
-// Turns hands each turn with its number to a function, until the segment ends, the function gives an error, or the
-// segment is damaged: then all before the damage was handed over, and the error is ErrDamaged.
+// ForEachStep calls a function with each step and its number, until the segment ends, the function returns an error, or the segment is
+// damaged. Then the error is ErrDamaged, and the function was called with all steps before the damage.
 func (s *Segment) ForEachStep(each func(number uint64, t Step) error) error {
 	for {
-		var b batch
-		if err := readFrame(s.r, &b); err == io.EOF {
+		var b stepBatch
+		if err := readFrame(s.r, &b); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: %w", s.File, err)
 		}
-		for i, t := range b.Turns {
+		for i, t := range b.Steps {
 			if err := each(b.First+uint64(i), t); err != nil {
 				return err
 			}
@@ -71,27 +68,3 @@
 
 // Close closes the file.
 func (s *Segment) Close() error { return s.file.Close() }
-
-// Files lists the segments that paths name: files as they are, folders with all that is in them.
-func ExpandPaths(paths []string) ([]string, error) {
-	var files []string
-	for _, p := range paths {
-		info, err := os.Stat(p)
-		if err != nil {
-			return nil, err
-		}
-		if !info.IsDir() {
-			files = append(files, p)
-			continue
-		}
-		in, err := ListSegments(p)
-		if err != nil {
-			return nil, err
-		}
-		if len(in) == 0 {
-			return nil, fmt.Errorf("%s: no recordings there", p)
-		}
-		files = append(files, in...)
-	}
-	return files, nil
-}
