--- a/cmd/hollymast/deploy_test.go
+++ b/cmd/hollymast/deploy_test.go
@@ -18,8 +18,8 @@
 	Run   string `toml:"run"`
 }
 
-// TestDeployedRouterIsLinkedAgainstLibc guards against a build that the operators' bench can't load its library into: it
-// builds as the deploy file says, in a copy of the sources, and reads what 'run' starts.
+// TestDeployedRouterIsLinkedAgainstLibc guards against a build that the operators' bench can't load its library into: it builds as the
+// deploy file says, in a copy of the sources, and inspects the binary that 'run' starts.
 func TestDeployedRouterIsLinkedAgainstLibc(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var deploy deployFile
--- a/cmd/hollymast/platform_shutdown_test.go
+++ b/cmd/hollymast/platform_shutdown_test.go
@@ -17,78 +17,79 @@
 	"hollymast/internal/platformtest"
 )
 
-// crosses is how long before a close a request may be sent that its client sends again elsewhere.
+// resendWindow is how long before a close a request may be sent that its client then sends again elsewhere.
 const resendWindow = 50 * time.Millisecond
 
-// pushing is a client's connection on which requests go out at a steady pace, whatever is answered, until it is closed.
+// steadyClient sends requests on one connection at a steady pace, whatever is answered, until the connection is closed.
 type steadyClient struct {
 	mu       sync.Mutex
-	sent     map[uint64]time.Time
-	answered map[uint64]int
-	served   int
-	closed   time.Time
+	sentAt   map[uint64]time.Time // by number of the request
+	answers  map[uint64]int       // likewise
+	served   int                  // answered with success
+	closedAt time.Time
 }
 
-// push sends at that pace until the router closes the connection, or the process that held it ended.
-func sendSteadily(conn net.Conn, first uint64, allow, pace time.Duration) *steadyClient {
-	p := &steadyClient{sent: map[uint64]time.Time{}, answered: map[uint64]int{}}
-	var both sync.WaitGroup
-	both.Go(func() { p.readAnswers(conn) })
+// sendSteadily sends with a pause between two requests until the router closes the connection or its process has ended.
+func sendSteadily(conn net.Conn, firstRef uint64, timeout, pause time.Duration) *steadyClient {
+	c := &steadyClient{sentAt: map[uint64]time.Time{}, answers: map[uint64]int{}}
+	var reader sync.WaitGroup
+	reader.Go(func() { c.readAnswers(conn) })
 	for number := uint64(1); ; number++ {
-		text, err := msgpack.Marshal([]any{0, number, "again", []any{map[string]string{"ref": fmt.Sprintf("%016x", first+number),
-			"allow": fmt.Sprint(allow.Milliseconds()), "project": "acme", "lookup": fmt.Sprintf("%016x", 1+number%4),
+		text, err := msgpack.Marshal([]any{0, number, "again", []any{map[string]string{"ref": fmt.Sprintf("%016x", firstRef+number),
+			"allow": fmt.Sprint(timeout.Milliseconds()), "project": "acme", "lookup": fmt.Sprintf("%016x", 1+number%4),
 			"spec": "memory_mb:512;lanes:2"}, []byte("body")}})
 		if err != nil {
 			panic(err) // plain values
 		}
-		p.mu.Lock()
-		gone := !p.closed.IsZero()
-		if !gone {
-			p.sent[number] = time.Now()
+		c.mu.Lock()
+		closed := !c.closedAt.IsZero()
+		if !closed {
+			c.sentAt[number] = time.Now()
 		}
-		p.mu.Unlock()
-		if _, err = conn.Write(text); gone || err != nil {
+		c.mu.Unlock()
+		if _, err = conn.Write(text); closed || err != nil {
 			break
 		}
-		time.Sleep(pace)
+		time.Sleep(pause)
 	}
-	both.Wait()
+	reader.Wait()
 	conn.Close()
-	return p
+	return c
 }
 
-func (p *steadyClient) readAnswers(conn net.Conn) {
+// readAnswers counts answers until the connection is closed.
+func (c *steadyClient) readAnswers(conn net.Conn) {
 	answers := msgpack.NewDecoder(conn)
 	for {
 		answer, err := answers.DecodeSlice()
-		p.mu.Lock()
+		c.mu.Lock()
 		if err != nil {
-			p.closed = time.Now()
-			p.mu.Unlock()
+			c.closedAt = time.Now()
+			c.mu.Unlock()
 			return
 		}
 		var number uint64
 		fmt.Sscan(fmt.Sprint(answer[1]), &number)
-		p.answered[number]++
+		c.answers[number]++
 		if answer[2] == nil {
-			p.served++
+			c.served++
 		}
-		p.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
-// lost counts the requests that got no answer, or two, but for those that are sent again. None is after the kill.
-func (p *steadyClient) lost(killed time.Time) (lost int) {
-	for number, at := range p.sent {
-		again := p.closed.Before(killed) && p.closed.Sub(at) <= resendWindow
-		if n := p.answered[number]; n > 1 || n == 0 && !again {
+// lost counts the requests that got no answer, or two, but for those that the client sends again elsewhere, which it does not after a kill.
+func (c *steadyClient) lost(killedAt time.Time) (lost int) {
+	for number, sentAt := range c.sentAt {
+		resent := c.closedAt.Before(killedAt) && c.closedAt.Sub(sentAt) <= resendWindow
+		if n := c.answers[number]; n > 1 || n == 0 && !resent {
 			lost++
 		}
 	}
 	return lost
 }
 
-// waited gives how long each thread of a process has waited for a processor, as the kernel counts it.
+// schedulerWaits returns how long each thread of a process has waited for a processor, as the kernel counts it.
 func schedulerWaits(process int) map[string]time.Duration {
 	threads := map[string]time.Duration{}
 	names, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is well formed
@@ -105,7 +106,7 @@
 	return threads
 }
 
-// longestWait gives the most that a thread of a process has waited since; those that began later have waited from 0.
+// longestSchedulerWait returns the longest time that a thread of a process has waited since then; threads that began later count from 0.
 func longestSchedulerWait(process int, since map[string]time.Duration) (longest time.Duration) {
 	for name, waits := range schedulerWaits(process) {
 		longest = max(longest, waits-since[name])
@@ -113,19 +114,23 @@
 	return longest
 }
 
-// outcome is what became of the requests of one stop.
+// stopOutcome is what became of the requests of one shutdown.
 type stopOutcome struct {
 	sent, served, lost int
-	starved            time.Duration // the most that a thread of the router waited for a processor in the last steps of its stop
+	starved            time.Duration // the longest time that a thread of the router waited for a processor in the last steps
 }
 
-// mostStarved is what a router on a machine with room for it waits at most: a stop with more shows the machine, and is played again.
-const maxSchedulerWait = 20 * time.Millisecond
+// A shutdown in which a thread of the router waited longer than maxSchedulerWait for a processor shows that the machine is busy, and is
+// repeated.
+const (
+	maxSchedulerWait = 20 * time.Millisecond
+	maxRuns          = 5
+)
 
-// TestKilledRouterOwesNothing guards against requests that the earliest kill after SIGTERM finds unanswered: clients go on sending
-// on open connections until then, and the shorter the deadlines, the sooner it comes.
-func TestKilledRouterOwesNothing(t *testing.T) {
-	room := make(chan struct{}, 6) // stops at a time: each keeps a core busy for parts of a second
+// TestShutdownBeforeKill guards against requests that the earliest kill after SIGTERM finds unanswered: clients go on sending on open
+// connections until then, and the shorter the deadlines, the sooner it comes.
+func TestShutdownBeforeKill(t *testing.T) {
+	running := make(chan struct{}, 6) // shutdowns at a time: each keeps a core busy for parts of a second
 	for _, c := range []struct {
 		deadline time.Duration
 		stops    int
@@ -134,12 +139,11 @@
 			silent := stop%2 == 1
 			t.Run(fmt.Sprintf("%v silent=%t", c.deadline, silent), func(t *testing.T) {
 				t.Parallel()
-				room <- struct{}{}
-				defer func() { <-room }()
-				const plays = 5
+				running <- struct{}{}
+				defer func() { <-running }()
 				got := killAfterStop(t, c.deadline, silent)
-				for play := 1; play < plays && got.starved > maxSchedulerWait; play++ {
-					t.Logf("a thread of the router waited %v for a processor: played again", got.starved)
+				for run := 1; run < maxRuns && got.starved > maxSchedulerWait; run++ {
+					t.Logf("a thread of the router waited %v for a processor: repeated", got.starved)
 					got = killAfterStop(t, c.deadline, silent)
 				}
 				t.Logf("%+v", got)
@@ -154,15 +158,18 @@
 	}
 }
 
-// killAfterStop stops a router, with clients that go on sending, and kills it at the earliest time.
+// killAfterStop stops a router with SIGTERM while clients go on sending, and kills it at the earliest time.
 func killAfterStop(t *testing.T, deadline time.Duration, silent bool) (got stopOutcome) {
 	const (
-		connections = 4
-		comeFor     = 400 * time.Millisecond // new connections after SIGTERM
-		spared      = 700 * time.Millisecond // and the longest deadline, of which
-		countsMost  = 3 * time.Second
-		pace        = 10 * time.Millisecond
-		lastSteps   = 150 * time.Millisecond // before the kill: in them a router closes what it has
+		connections   = 4
+		trafficBefore = 200 * time.Millisecond
+		connectFor    = 400 * time.Millisecond // new connections after SIGTERM
+		connectEvery  = 100 * time.Millisecond
+		killSlack     = 700 * time.Millisecond // the kill comes that long after SIGTERM and the longest deadline,
+		maxDeadline   = 3 * time.Second        // which counts as no more than this
+		pause         = 10 * time.Millisecond
+		lastSteps     = 150 * time.Millisecond // before the kill: in them a router closes what it has
+		refsPerConn   = 32                     // bits
 	)
 	server := platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
@@ -175,43 +182,47 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var clients []*steadyClient
-	begin := func(nth uint64) bool {
+	connect := func(nth uint64) error {
 		conn, err := net.Dial("tcp", router.address)
 		if err != nil {
-			return false
+			return err
 		}
 		all.Go(func() {
-			p := sendSteadily(conn, nth<<32, deadline, pace)
+			c := sendSteadily(conn, nth<<refsPerConn, deadline, pause)
 			mu.Lock()
 			defer mu.Unlock()
-			clients = append(clients, p)
+			clients = append(clients, c)
 		})
-		return true
+		return nil
 	}
 	for n := range uint64(connections) {
-		begin(n)
+		if err := connect(n); err != nil {
+			t.Errorf("no connection: %v", err)
+		}
 	}
-	time.Sleep(200 * time.Millisecond)
-	told := time.Now()
+	time.Sleep(trafficBefore)
+	stoppedAt := time.Now()
 	router.signal(syscall.SIGTERM)
-	for n := uint64(connections); time.Since(told) < comeFor; n++ {
-		if !begin(n) {
-			t.Errorf("no new connection %v after SIGTERM", time.Since(told))
+	for n := uint64(connections); time.Since(stoppedAt) < connectFor; n++ {
+		if err := connect(n); err != nil {
+			t.Errorf("no new connection %v after SIGTERM: %v", time.Since(stoppedAt), err)
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(connectEvery)
 	}
-	kill := told.Add(spared + min(deadline, countsMost))
-	time.Sleep(time.Until(kill.Add(-lastSteps)))
+	killAt := stoppedAt.Add(killSlack + min(deadline, maxDeadline))
+	time.Sleep(time.Until(killAt.Add(-lastSteps)))
 	waits := schedulerWaits(router.command.Process.Pid)
-	time.Sleep(time.Until(kill))
+	time.Sleep(time.Until(killAt))
 	got.starved = longestSchedulerWait(router.command.Process.Pid, waits)
-	killed := time.Now()
+	killedAt := time.Now()
 	if err := router.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		t.Fatal(err)
 	}
 	all.Wait()
-	for _, p := range clients {
-		got.sent, got.served, got.lost = got.sent+len(p.sent), got.served+p.served, got.lost+p.lost(killed)
+	for _, c := range clients {
+		got.sent += len(c.sentAt)
+		got.served += c.served
+		got.lost += c.lost(killedAt)
 	}
 	return got
 }
--- a/cmd/hollymast/platform_test.go
+++ b/cmd/hollymast/platform_test.go
@@ -10,8 +10,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// An order to stop that comes while a new configuration is read, for however long, is obeyed.
-func TestStopCrossesAReload(t *testing.T) {
+// TestStopDuringReload guards against a SIGTERM that is lost, or waits, while a new configuration is read, however long that takes.
+func TestStopDuringReload(t *testing.T) {
 	text := platformtest.Deployment{Grace: gracePeriod}.Configuration("127.0.0.1:1")
 	router := startRouter(t, text)
 	name := router.file
@@ -36,6 +36,6 @@
 			t.Error(router.err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it goes on")
+		t.Error("the router goes on")
 	}
 }
