--- a/cmd/hollymast/main.go
+++ b/cmd/hollymast/main.go
@@ -13,9 +13,9 @@
 
 type commandLine struct {
 	program.CommonFlags
-	Serve    serveCommand    `cmd:"" help:"Route jobs until told to stop."`
-	Check    checkCommand    `cmd:"" help:"Tell all that is wrong with a settings file, and do nothing else."`
-	Platform platformCommand `cmd:"" help:"Route jobs on the operators' platform, as its configuration tells."`
+	Serve    serveCommand    `cmd:"" help:"Route requests until a signal ends it."`
+	Check    checkCommand    `cmd:"" help:"Report all that is wrong with a settings file, and do nothing else."`
+	Platform platformCommand `cmd:"" help:"Route requests on the operators' platform, by its configuration."`
 	Example  exampleCommand  `cmd:"" help:"Print a commented settings file."`
 }
 
--- a/cmd/hollymast/platform.go
+++ b/cmd/hollymast/platform.go
@@ -16,7 +16,7 @@
 	Name   string `help:"This router's name." env:"BALANCER_NAME"`
 	Listen string `help:"Where clients connect." env:"BALANCER_LISTEN"`
 	Config string `help:"The platform's configuration (JSON)." env:"BALANCER_CONFIG" required:""`
-	Log    string `help:"Log level: debug tells of each execution, trace also why jobs are turned away." default:"info" enum:"trace,debug,info,warn,error"`
+	Log    string `help:"Log level: debug logs each attempt, trace also why requests are rejected." default:"info" enum:"trace,debug,info,warn,error"`
 }
 
 // Run serves until a signal ends it.
--- a/cmd/hollymast/serve.go
+++ b/cmd/hollymast/serve.go
@@ -61,7 +61,7 @@
 		case s == syscall.SIGHUP:
 			reload()
 		case stopping:
-			log.Warn().Msg("told to stop again: ending at once")
+			log.Warn().Msg("second signal to stop: exiting at once")
 			os.Exit(program.ExitFailure)
 		default:
 			stopping = true
@@ -84,13 +84,13 @@
 	var invalid *inifile.ValidationError
 	switch {
 	case errors.As(err, &invalid):
-		log.Error().Strs("faults", invalid.Problems).Msg("settings refused: the old ones stand")
+		log.Error().Strs("faults", invalid.Problems).Msg("settings rejected: the old ones stay in effect")
 	case err != nil:
-		log.Error().Err(err).Msg("settings refused: the old ones stand")
+		log.Error().Err(err).Msg("settings rejected: the old ones stay in effect")
 	default:
 		setLogLevel(changed)
 		if settings := gateway.ChangesNeedingRestart(config, changed); len(settings) > 0 {
-			log.Warn().Strs("changed", settings).Msg("these need a restart; the old ones stand")
+			log.Warn().Strs("changed", settings).Msg("these settings need a restart: the old ones stay in effect")
 		}
 	}
 	g.RefreshEndpoints()
