--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -16,19 +16,19 @@
 
 func at(t int64) control.Micros { return control.Micros(t) }
 
-func TestRowsOfATally(t *testing.T) {
+func TestRows(t *testing.T) {
 	a, b := Subject{"a", "x"}, Subject{"b", ""}
-	tl := NewCollector()
+	collector := NewCollector()
 	for i := range int64(100) {
-		tl.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
-		tl.RequestDone(at(now), a, control.NoAction, i < 10)
-	}
-	tl.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
-	tl.RequestDone(at(now), a, control.Reject, true)
-	tl.RequestDone(at(now+Minute), b, control.Fail, true)
-	tl.LoadCommanded(at(now+Minute), b)
-	rows := tl.Drain().Rows()
-	if len(rows) != 2 || len(tl.Drain().Rows()) != 0 {
+		collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
+		collector.RequestDone(at(now), a, control.NoAction, i < 10)
+	}
+	collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
+	collector.RequestDone(at(now), a, control.Reject, true)
+	collector.RequestDone(at(now+Minute), b, control.Fail, true)
+	collector.LoadCommanded(at(now+Minute), b)
+	rows := collector.Drain().Rows()
+	if len(rows) != 2 || len(collector.Drain().Rows()) != 0 {
 		t.Fatalf("got %+v", rows)
 	}
 	r := rows[0]
@@ -44,33 +44,33 @@
 }
 
 // Names asked for once cost one row together, and nothing of them is lost.
-func TestRareNamesAreOneRow(t *testing.T) {
-	tl := NewCollector()
+func TestRareSubjectsShareARow(t *testing.T) {
+	collector := NewCollector()
 	for i := range 5000 {
-		tl.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, false)
+		collector.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, false)
 	}
 	for range 3 {
-		tl.RequestDone(at(now), Subject{"often", ""}, control.NoAction, false)
+		collector.RequestDone(at(now), Subject{"often", ""}, control.NoAction, false)
 	}
-	rows := tl.Drain().Rows()
-	jobs := int64(0)
+	rows := collector.Drain().Rows()
+	requests := int64(0)
 	named := map[string]int64{}
 	for _, r := range rows {
-		jobs += r.Requests
+		requests += r.Requests
 		named[r.Function] = r.Requests
 	}
-	if len(rows) != mostAtOnce+1 || jobs != 5003 || named["often"] != 3 || named[""] != 5003-mostAtOnce-2 {
-		t.Errorf("%d rows of %d jobs, %d of the rarest", len(rows), jobs, named[""])
+	if len(rows) != maxSubjects+1 || requests != 5003 || named["often"] != 3 || named[""] != 5003-maxSubjects-2 {
+		t.Errorf("%d rows of %d jobs, %d of the rarest", len(rows), requests, named[""])
 	}
 }
 
-func TestMergedTimesKeepTheirQuantiles(t *testing.T) {
-	tl := NewCollector()
+func TestMergedHistogramsKeepTheirQuantiles(t *testing.T) {
+	collector := NewCollector()
 	for i := range int64(1000) {
-		tl.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
+		collector.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
 	}
 	var sum Usage
-	for _, r := range tl.Drain().Rows() {
+	for _, r := range collector.Drain().Rows() {
 		sum.Merge(r.Usage)
 	}
 	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Attempts != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 || p99 > 100_000 {
@@ -96,20 +96,20 @@
 }
 
 // Whatever comes in whatever order, the sums stay, the bound of rows holds and rows stand in their levels.
-func TestStoreKeepsSums(t *testing.T) {
+func TestStorePreservesSums(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n++
 		s := NewStore(filepath.Join(dir, fmt.Sprint(n)), int64(rapid.IntRange(200, 2000).Draw(t, "most")))
-		jobs, clock := int64(0), now
+		requests, clock := int64(0), now
 		for range rapid.IntRange(1, 8).Draw(t, "writings") {
 			clock += rapid.Int64Range(0, 20*Day).Draw(t, "pause")
 			var rows []Row
 			for range rapid.IntRange(0, 60).Draw(t, "rows") {
 				r := Row{At: (clock - rapid.Int64Range(0, 3*Hour).Draw(t, "ago")) / Minute * Minute,
 					Subject: Subject{fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "function")), ""}, Usage: Usage{Requests: int64(rapid.IntRange(1, 9).Draw(t, "jobs"))}}
-				jobs += r.Requests
+				requests += r.Requests
 				rows = append(rows, r)
 			}
 			if err := s.Add(rows, clock); err != nil {
@@ -127,8 +127,8 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if found != jobs || rows > s.most {
-			t.Fatalf("%d jobs of %d in %d rows of %d", found, jobs, rows, s.most)
+		if found != requests || rows > s.maxRows {
+			t.Fatalf("%d jobs of %d in %d rows of %d", found, requests, rows, s.maxRows)
 		}
 	})
 }
@@ -188,14 +188,14 @@
 			t.Fatal(err)
 		}
 	}
-	jobs := int64(0)
-	if err := s.Read(0, now+1, func(_ Level, r Row) error { jobs += r.Requests; return nil }); err != nil || jobs != 4 {
-		t.Errorf("%d jobs, %v", jobs, err)
+	requests := int64(0)
+	if err := s.Read(0, now+1, func(_ Level, r Row) error { requests += r.Requests; return nil }); err != nil || requests != 4 {
+		t.Errorf("%d jobs, %v", requests, err)
 	}
 }
 
 // However often a file is found damaged, one a day is kept, and none that was only half begun.
-func TestDamagedFilesDoNotPileUp(t *testing.T) {
+func TestQuarantinedFilesDoNotPileUp(t *testing.T) {
 	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
 	for i, size := range []int{20000, 0, 4096, 16384, 20000, 100000} {
 		if err := os.WriteFile(s.path, make([]byte, size), 0o600); err != nil {
@@ -223,17 +223,17 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	tl := NewCollector()
+	collector := NewCollector()
 	for i := range int64(60_000) { // a minute of 1000 jobs a second for 1000 functions
-		w := Subject{fmt.Sprint("function-", i%1000), ""}
-		tl.AttemptEnded(at(now), w, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
-		tl.RequestDone(at(now), w, control.NoAction, false)
+		subject := Subject{fmt.Sprint("function-", i%1000), ""}
+		collector.AttemptEnded(at(now), subject, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
+		collector.RequestDone(at(now), subject, control.NoAction, false)
 	}
-	taken := tl.Drain()
+	batch := collector.Drain()
 	s := NewStore(filepath.Join(b.TempDir(), "h.db"), 1e6)
 	clock := int64(now)
 	for b.Loop() {
-		rows := taken.Rows()
+		rows := batch.Rows()
 		for i := range rows {
 			rows[i].At = clock
 		}
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -22,8 +22,8 @@
 // Store is a file of rows. It is open only while something is written or read, so that hmhistory can read beside a
 // router; each writing is one transaction, so a break leaves the rows before or after it.
 type Store struct {
-	path string
-	most int64 // rows
+	path    string
+	maxRows int64 // rows
 }
 
 // NewStore gives a store in a file, bounded to a number of rows.
@@ -45,10 +45,10 @@
 )
 
 // lockTime is how long another's writing or reading is awaited: a reader of a full file takes a second or two.
-const lockTime = 5 * time.Second
+const lockTimeout = 5 * time.Second
 
 // opened calls f with the file open. A damaged file gives ErrDamaged, whatever its pages hold.
-func (s *Store) opened(readOnly bool, f func(*bolt.DB) error) (err error) {
+func (s *Store) withDB(readOnly bool, f func(*bolt.DB) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file faults where it is mapped
 	var db *bolt.DB
 	defer func() {
@@ -62,7 +62,7 @@
 			}()
 		}
 	}()
-	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTime, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
+	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
 	var path *fs.PathError
 	switch {
 	case err == nil:
@@ -74,7 +74,7 @@
 	return f(db)
 }
 
-func version(tx *bolt.Tx) error {
+func checkVersion(tx *bolt.Tx) error {
 	b := tx.Bucket(metaBucket)
 	if b == nil {
 		return fmt.Errorf("%w: no history", ErrDamaged)
@@ -109,7 +109,7 @@
 }
 
 // writing is one transaction, with how many rows each level holds: to count them would read the whole file.
-type writing struct {
+type transaction struct {
 	*bolt.Tx
 	rows []int64
 }
@@ -117,8 +117,8 @@
 func countKey(level int) []byte { return []byte("rows " + Levels[level].Name) }
 
 // begin makes what a file lacks and reads the counts.
-func begin(tx *bolt.Tx) (*writing, error) {
-	w := &writing{tx, make([]int64, len(Levels))}
+func beginTransaction(tx *bolt.Tx) (*transaction, error) {
+	w := &transaction{tx, make([]int64, len(Levels))}
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
 		var err error
@@ -128,7 +128,7 @@
 		if err := meta.Put(versionKey, binary.BigEndian.AppendUint32(nil, Version)); err != nil {
 			return nil, err
 		}
-	} else if err := version(tx); err != nil {
+	} else if err := checkVersion(tx); err != nil {
 		return nil, err
 	}
 	for i, l := range Levels {
@@ -143,7 +143,7 @@
 }
 
 // end writes the counts.
-func (w *writing) end() error {
+func (w *transaction) writeCounts() error {
 	for i, n := range w.rows {
 		if err := w.Bucket(metaBucket).Put(countKey(i), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
 			return err
@@ -153,7 +153,7 @@
 }
 
 // merge adds a row to what stands in its place.
-func (w *writing) merge(level int, r Row) error {
+func (w *transaction) merge(level int, r Row) error {
 	b := w.Bucket([]byte(Levels[level].Name))
 	b.FillPercent = 0.9 // rows come by time, so pages are filled from the front
 	k := rowKey(r.At, r.Subject)
@@ -180,9 +180,9 @@
 // AddOnce adds rows that were perhaps added before: a writing that failed at its end may stand in the file. The batch's number
 // tells, unless it is 0; it is to be tried again before another batch.
 func (s *Store) AddOnce(rows []Row, now int64, batch uint64) error {
-	return s.opened(false, func(db *bolt.DB) error {
+	return s.withDB(false, func(db *bolt.DB) error {
 		return db.Update(func(tx *bolt.Tx) error {
-			w, err := begin(tx)
+			w, err := beginTransaction(tx)
 			if err != nil {
 				return err
 			}
@@ -201,16 +201,16 @@
 					return err
 				}
 			}
-			if err := w.compact(now, s.most); err != nil {
+			if err := w.compact(now, s.maxRows); err != nil {
 				return err
 			}
-			return w.end()
+			return w.writeCounts()
 		})
 	})
 }
 
 // compact moves rows up the levels as Horizons decides, until no more need to go.
-func (w *writing) compact(now, most int64) error {
+func (w *transaction) compact(now, most int64) error {
 	for {
 		oldest := make([]int64, len(Levels))
 		for i, l := range Levels {
@@ -220,7 +220,7 @@
 		}
 		moved := false
 		for i, until := range Horizons(now, w.rows, oldest, most) {
-			n, err := w.move(i, until)
+			n, err := w.moveRows(i, until)
 			if err != nil {
 				return err
 			}
@@ -233,12 +233,12 @@
 }
 
 // move merges a level's rows of before a time into the next level; the last one's are dropped.
-func (w *writing) move(level int, until int64) (moved int, err error) {
+func (w *transaction) moveRows(level int, until int64) (moved int, err error) {
 	b := w.Bucket([]byte(Levels[level].Name))
 	c := b.Cursor()
 	var keys [][]byte
-	sums := map[key]*Row{}
-	var order []key
+	sums := map[rowID]*Row{}
+	var order []rowID
 	for k, v := c.First(); len(k) >= 8 && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
 		keys = append(keys, bytes.Clone(k))
 		if level+1 == len(Levels) {
@@ -249,9 +249,9 @@
 			return 0, err
 		}
 		span := Levels[level+1].Span
-		at := key{r.At / span * span, r.Subject}
+		at := rowID{r.At / span * span, r.Subject}
 		if sums[at] == nil {
-			sums[at] = &Row{At: at.minute, Subject: r.Subject}
+			sums[at] = &Row{At: at.at, Subject: r.Subject}
 			order = append(order, at)
 		}
 		sums[at].Merge(r.Usage)
@@ -276,9 +276,9 @@
 	if _, err := os.Stat(s.path); err != nil {
 		return err
 	}
-	return s.opened(true, func(db *bolt.DB) error {
+	return s.withDB(true, func(db *bolt.DB) error {
 		return db.View(func(tx *bolt.Tx) error {
-			if err := version(tx); err != nil {
+			if err := checkVersion(tx); err != nil {
 				return err
 			}
 			for i := len(Levels) - 1; i >= 0; i-- {
@@ -303,7 +303,7 @@
 }
 
 // half is the size under which a file never held a row: that of its four first pages, the least that a system has.
-const half = 4*4096 + 1
+const maxEmptyFile = 4*4096 + 1
 
 // Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it, but not
 // one that was only half begun, nor more than one a day: a disk that fails for long fills with none.
@@ -316,7 +316,7 @@
 		at, err := strconv.ParseInt(name[strings.LastIndexByte(name, '-')+1:], 10, 64)
 		return err == nil && now-at < Day
 	})
-	if info, statErr := os.Stat(s.path); lately || statErr == nil && info.Size() < half {
+	if info, statErr := os.Stat(s.path); lately || statErr == nil && info.Size() < maxEmptyFile {
 		err = os.Remove(s.path)
 	} else {
 		err = os.Rename(s.path, fmt.Sprintf("%s.damaged-%d", s.path, now))
--- a/internal/history/tally.go
+++ b/internal/history/tally.go
@@ -39,9 +39,9 @@
 
 // The range of execution times in microseconds, and the significant digits of their buckets.
 const (
-	shortest = 1
-	longest  = 24 * 3600 * 1_000_000
-	digits   = 2
+	minExecTime       = 1
+	maxExecTime       = 24 * 3600 * 1_000_000
+	significantDigits = 2
 )
 
 // Merge adds other times.
@@ -91,35 +91,35 @@
 
 // Tally gathers what happens until it is taken. It is for one goroutine.
 type Collector struct {
-	at map[key]*count
+	byRow map[rowID]*counts
 }
 
-type key struct {
-	minute int64
-	who    Subject
+type rowID struct {
+	at      int64
+	subject Subject
 }
 
-type count struct {
+type counts struct {
 	Usage
-	times []control.Micros
+	execTimes []control.Micros
 }
 
 // NewTally gives an empty tally.
-func NewCollector() *Collector { return &Collector{at: map[key]*count{}} }
+func NewCollector() *Collector { return &Collector{byRow: map[rowID]*counts{}} }
 
-func (t *Collector) count(now control.Micros, w Subject) *count {
-	k := key{int64(now) / Minute, w}
-	c := t.at[k]
+func (t *Collector) countsOf(now control.Micros, w Subject) *counts {
+	k := rowID{int64(now) / Minute, w}
+	c := t.byRow[k]
 	if c == nil {
-		c = &count{}
-		t.at[k] = c
+		c = &counts{}
+		t.byRow[k] = c
 	}
 	return c
 }
 
 // Answered counts a job's final answer; late tells that it was finished after its start target.
 func (t *Collector) RequestDone(now control.Micros, w Subject, word control.Action, late bool) {
-	c := t.count(now, w)
+	c := t.countsOf(now, w)
 	c.Requests++
 	switch word {
 	case control.Reject:
@@ -135,28 +135,28 @@
 
 // Executed counts the end of an execution.
 func (t *Collector) AttemptEnded(now control.Micros, w Subject, o control.Outcome) {
-	c := t.count(now, w)
+	c := t.countsOf(now, w)
 	c.Attempts++
 	if o.CacheStatus == control.CacheMiss {
 		c.Loads++
 	}
 	if o.Result == control.Succeeded && o.CacheStatus == control.CacheHit {
-		c.times = append(c.times, o.Duration)
+		c.execTimes = append(c.execTimes, o.Duration)
 	}
 }
 
 // Ordered counts an order to load.
-func (t *Collector) LoadCommanded(now control.Micros, w Subject) { t.count(now, w).Loads++ }
+func (t *Collector) LoadCommanded(now control.Micros, w Subject) { t.countsOf(now, w).Loads++ }
 
 // Take empties the tally and gives its counts, for Rows: what it holds is not touched again by the tally.
 func (t *Collector) Drain() *Batch {
-	taken := &Batch{t.at}
-	t.at = make(map[key]*count, len(t.at))
+	taken := &Batch{t.byRow}
+	t.byRow = make(map[rowID]*counts, len(t.byRow))
 	return taken
 }
 
 // Taken is what a tally held.
-type Batch struct{ at map[key]*count }
+type Batch struct{ byRow map[rowID]*counts }
 
 // Row is the use of one function by one tenant within one span.
 type Row struct {
@@ -166,17 +166,17 @@
 }
 
 // mostAtOnce is how many functions and tenants of one minute get rows of their own: more would be names of one time.
-const mostAtOnce = 1024
+const maxSubjects = 1024
 
 // Rows gives a row for each minute, function and tenant, by time, then name. Of a minute with too many the rarest are one.
 func (t *Batch) Rows() []Row {
-	rows := make([]Row, 0, len(t.at))
-	h := hdrhistogram.New(shortest, longest, digits)
-	for k, c := range t.at {
-		if len(c.times) > 0 {
+	rows := make([]Row, 0, len(t.byRow))
+	h := hdrhistogram.New(minExecTime, maxExecTime, significantDigits)
+	for k, c := range t.byRow {
+		if len(c.execTimes) > 0 {
 			h.Reset()
-			for _, v := range c.times {
-				h.RecordValue(int64(min(max(v, shortest), longest)))
+			for _, v := range c.execTimes {
+				h.RecordValue(int64(min(max(v, minExecTime), maxExecTime)))
 			}
 			c.ExecTimes = nil
 			for _, bar := range h.Distribution() {
@@ -185,10 +185,10 @@
 				}
 			}
 		}
-		rows = append(rows, Row{k.minute * Minute, k.who, c.Usage})
+		rows = append(rows, Row{k.at * Minute, k.subject, c.Usage})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(b.Requests, a.Requests), compare(a.Subject, b.Subject))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(b.Requests, a.Requests), compareSubjects(a.Subject, b.Subject))
 	})
 	var out []Row
 	for len(rows) > 0 {
@@ -198,9 +198,9 @@
 		}
 		minute := rows[:n]
 		rows = rows[n:]
-		if n > mostAtOnce {
+		if n > maxSubjects {
 			others := map[string]*Row{}
-			for _, r := range minute[mostAtOnce:] {
+			for _, r := range minute[maxSubjects:] {
 				o := others[r.Tenant]
 				if o == nil {
 					o = &Row{At: r.At, Subject: Subject{Tenant: r.Tenant}}
@@ -208,18 +208,18 @@
 				}
 				o.Merge(r.Usage)
 			}
-			minute = minute[:mostAtOnce]
+			minute = minute[:maxSubjects]
 			for _, o := range others {
 				minute = append(minute, *o)
 			}
 		}
-		slices.SortFunc(minute, func(a, b Row) int { return compare(a.Subject, b.Subject) })
+		slices.SortFunc(minute, func(a, b Row) int { return compareSubjects(a.Subject, b.Subject) })
 		out = append(out, minute...)
 	}
 	return out
 }
 
-func compare(a, b Subject) int {
+func compareSubjects(a, b Subject) int {
 	return cmp.Or(strings.Compare(a.Function, b.Function), strings.Compare(a.Tenant, b.Tenant))
 }
 
