--- /dev/null
+++ b/internal/history/quarantine_test.go
@@ -0,0 +1,35 @@
+package history
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// However often a file is found damaged, one a day is kept, and none that was only half begun.
+func TestQuarantinedFilesDoNotPileUp(t *testing.T) {
+	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
+	for i, size := range []int{20000, 0, 4096, 16384, 20000, 100000} {
+		if err := os.WriteFile(s.path, make([]byte, size), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Quarantine(now + int64(i)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := os.Stat(s.path); err == nil {
+			t.Error("it still stands")
+		}
+		if left, _ := filepath.Glob(s.path + "*"); len(left) != 1 {
+			t.Errorf("after %d: %q", i, left)
+		}
+	}
+	if err := os.WriteFile(s.path, make([]byte, 20000), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Quarantine(now + 2*Day); err != nil {
+		t.Fatal(err)
+	}
+	if left, _ := filepath.Glob(s.path + "*"); len(left) != 2 {
+		t.Errorf("a day later: %q", left)
+	}
+}
