--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -4,130 +4,139 @@
 	"cmp"
 	"slices"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"hollymast/control"
 )
 
-// Tally gathers what happens until it is taken. It is for one goroutine.
+// Collector counts usage until it is drained. It is not safe for use by several goroutines.
 type Collector struct {
 	byRow map[rowID]*counts
 }
 
+// rowID identifies a row of a level.
 type rowID struct {
-	at      int64
+	at      int64 // the span's beginning, in microseconds since 1970
 	subject Subject
 }
 
+// counts is the usage of a row, with execution times that are not in a histogram yet.
 type counts struct {
 	Usage
 	execTimes []control.Micros
 }
 
-// NewTally gives an empty tally.
+// NewCollector returns an empty collector.
 func NewCollector() *Collector { return &Collector{byRow: map[rowID]*counts{}} }
 
-func (t *Collector) countsOf(now control.Micros, w Subject) *counts {
-	k := rowID{int64(now) / Minute, w}
-	c := t.byRow[k]
-	if c == nil {
-		c = &counts{}
-		t.byRow[k] = c
+func (c *Collector) countsOf(now control.Micros, subject Subject) *counts {
+	id := rowID{int64(now) / Minute * Minute, subject}
+	n := c.byRow[id]
+	if n == nil {
+		n = &counts{}
+		c.byRow[id] = n
 	}
-	return c
+	return n
 }
 
-// Answered counts a job's final answer; late tells that it was finished after its start target.
-func (t *Collector) RequestDone(now control.Micros, w Subject, word control.Action, late bool) {
-	c := t.countsOf(now, w)
-	c.Requests++
-	switch word {
+// Lateness says whether a request ended after its latency objective.
+type Lateness bool
+
+// The values of Lateness.
+const (
+	OnTime Lateness = false
+	Late   Lateness = true
+)
+
+// RequestDone counts a request's final answer: Reject, Fail, or any other action for a success. Lateness counts only of a success.
+func (c *Collector) RequestDone(now control.Micros, subject Subject, action control.Action, lateness Lateness) {
+	n := c.countsOf(now, subject)
+	n.Requests++
+	switch action {
 	case control.Reject:
-		c.Rejected++
+		n.Rejected++
 	case control.Fail:
-		c.Failed++
+		n.Failed++
 	default:
-		if c.Succeeded++; !late {
-			c.WithinObjective++
+		if n.Succeeded++; lateness == OnTime {
+			n.WithinObjective++
 		}
 	}
 }
 
-// Executed counts the end of an execution.
-func (t *Collector) AttemptEnded(now control.Micros, w Subject, o control.Outcome) {
-	c := t.countsOf(now, w)
-	c.Attempts++
+// AttemptEnded counts the end of an attempt.
+func (c *Collector) AttemptEnded(now control.Micros, subject Subject, o control.Outcome) {
+	n := c.countsOf(now, subject)
+	n.Attempts++
 	if o.CacheStatus == control.CacheMiss {
-		c.Loads++
+		n.Loads++
 	}
 	if o.Result == control.Succeeded && o.CacheStatus == control.CacheHit {
-		c.execTimes = append(c.execTimes, o.Duration)
+		n.execTimes = append(n.execTimes, o.Duration)
 	}
 }
 
-// Ordered counts an order to load.
-func (t *Collector) LoadCommanded(now control.Micros, w Subject) { t.countsOf(now, w).Loads++ }
+// LoadCommanded counts a load command.
+func (c *Collector) LoadCommanded(now control.Micros, subject Subject) {
+	c.countsOf(now, subject).Loads++
+}
 
-// Take empties the tally and gives its counts, for Rows: what it holds is not touched again by the tally.
-func (t *Collector) Drain() *Batch {
-	taken := &Batch{t.byRow}
-	t.byRow = make(map[rowID]*counts, len(t.byRow))
-	return taken
+// Drain empties the collector and returns what it held. The batch shares nothing with the collector, so another goroutine can use it.
+func (c *Collector) Drain() *Batch {
+	batch := &Batch{c.byRow}
+	c.byRow = make(map[rowID]*counts, len(c.byRow))
+	return batch
 }
 
-// Taken is what a tally held.
+// Batch is what a Collector held.
 type Batch struct{ byRow map[rowID]*counts }
 
-// mostAtOnce is how many functions and tenants of one minute get rows of their own: more would be names of one time.
+// maxSubjects is how many subjects of one minute get rows of their own. More are names that are asked for once.
 const maxSubjects = 1024
 
-// Rows gives a row for each minute, function and tenant, by time, then name. Of a minute with too many the rarest are one.
-func (t *Batch) Rows() []Row {
-	rows := make([]Row, 0, len(t.byRow))
-	h := hdrhistogram.New(minExecTime, maxExecTime, significantDigits)
-	for k, c := range t.byRow {
-		if len(c.execTimes) > 0 {
-			h.Reset()
-			for _, v := range c.execTimes {
-				h.RecordValue(int64(min(max(v, minExecTime), maxExecTime)))
-			}
-			c.ExecTimes = nil
-			for _, bar := range h.Distribution() {
-				if bar.Count > 0 {
-					c.ExecTimes = append(c.ExecTimes, bar.To, bar.Count)
-				}
-			}
+// Rows returns a row for each minute and subject, by time, then subject. In a minute with more than maxSubjects the rarest share a row
+// for each tenant.
+func (b *Batch) Rows() []Row {
+	rows := make([]Row, 0, len(b.byRow))
+	recorder := newRecorder()
+	for id, n := range b.byRow {
+		if len(n.execTimes) > 0 {
+			n.ExecTimes = newHistogram(recorder, n.execTimes)
 		}
-		rows = append(rows, Row{k.at * Minute, k.subject, c.Usage})
+		rows = append(rows, Row{id.at, id.subject, n.Usage})
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(b.Requests, a.Requests), compareSubjects(a.Subject, b.Subject))
 	})
-	var out []Row
+	var result []Row
 	for len(rows) > 0 {
 		n := 1
 		for n < len(rows) && rows[n].At == rows[0].At {
 			n++
 		}
-		minute := rows[:n]
+		minute := sumRarest(rows[:n])
 		rows = rows[n:]
-		if n > maxSubjects {
-			others := map[string]*Row{}
-			for _, r := range minute[maxSubjects:] {
-				o := others[r.Tenant]
-				if o == nil {
-					o = &Row{At: r.At, Subject: Subject{Tenant: r.Tenant}}
-					others[r.Tenant] = o
-				}
-				o.Merge(r.Usage)
-			}
-			minute = minute[:maxSubjects]
-			for _, o := range others {
-				minute = append(minute, *o)
-			}
-		}
 		slices.SortFunc(minute, func(a, b Row) int { return compareSubjects(a.Subject, b.Subject) })
-		out = append(out, minute...)
+		result = append(result, minute...)
+	}
+	return result
+}
+
+// sumRarest sums the rows of a minute, which come by falling number of requests, that are beyond maxSubjects.
+func sumRarest(minute []Row) []Row {
+	if len(minute) <= maxSubjects {
+		return minute
+	}
+	others := map[string]*Row{} // by tenant
+	for _, r := range minute[maxSubjects:] {
+		sum := others[r.Tenant]
+		if sum == nil {
+			sum = &Row{At: r.At, Subject: Subject{Tenant: r.Tenant}}
+			others[r.Tenant] = sum
+		}
+		sum.Merge(r.Usage)
+	}
+	minute = minute[:maxSubjects]
+	for _, sum := range others {
+		minute = append(minute, *sum)
 	}
-	return out
+	return minute
 }
--- a/internal/history/quarantine.go
+++ b/internal/history/quarantine.go
@@ -11,24 +11,27 @@
 	"strings"
 )
 
-// half is the size under which a file never held a row: that of its four first pages, the least that a system has.
+// maxEmptyFile is the size under which a file never held a row: its first four pages, at the smallest page size of any system.
 const maxEmptyFile = 4*4096 + 1
 
-// Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it, but not
-// one that was only half begun, nor more than one a day: a disk that fails for long fills with none.
+// quarantineSuffix is followed by the time in microseconds since 1970.
+const quarantineSuffix = ".damaged-"
+
+// Quarantine renames a damaged file, so that a new one can begin and the old one can be examined. A file that never held a row is
+// removed, and so is a second one within a day. It guards against a disk that fails for long filling with files.
 func (s *Store) Quarantine(now int64) error {
-	others, err := filepath.Glob(s.path + ".damaged-*")
+	quarantined, err := filepath.Glob(s.path + quarantineSuffix + "*")
 	if err != nil {
 		return err
 	}
-	lately := slices.ContainsFunc(others, func(name string) bool {
+	recent := slices.ContainsFunc(quarantined, func(name string) bool {
 		at, err := strconv.ParseInt(name[strings.LastIndexByte(name, '-')+1:], 10, 64)
 		return err == nil && now-at < Day
 	})
-	if info, statErr := os.Stat(s.path); lately || statErr == nil && info.Size() < maxEmptyFile {
+	if info, statErr := os.Stat(s.path); recent || statErr == nil && info.Size() < maxEmptyFile {
 		err = os.Remove(s.path)
 	} else {
-		err = os.Rename(s.path, fmt.Sprintf("%s.damaged-%d", s.path, now))
+		err = os.Rename(s.path, fmt.Sprintf("%s%s%d", s.path, quarantineSuffix, now))
 	}
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
--- a/internal/history/transaction.go
+++ b/internal/history/transaction.go
@@ -8,17 +8,15 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// writing is one transaction, with how many rows each level holds: to count them would read the whole file.
+// transaction is one write to the file. It carries how many rows each level holds, since counting them would read the whole file.
 type transaction struct {
 	*bolt.Tx
 	rows []int64
 }
 
-func countKey(level int) []byte { return []byte("rows " + Levels[level].Name) }
-
-// begin makes what a file lacks and reads the counts.
+// beginTransaction creates the buckets that a file lacks and reads the counts.
 func beginTransaction(tx *bolt.Tx) (*transaction, error) {
-	w := &transaction{tx, make([]int64, len(Levels))}
+	t := &transaction{tx, make([]int64, len(Levels))}
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
 		var err error
@@ -35,57 +33,70 @@
 		if _, err := tx.CreateBucketIfNotExists([]byte(l.Name)); err != nil {
 			return nil, err
 		}
-		if b := meta.Get(countKey(i)); len(b) == 8 {
-			w.rows[i] = int64(binary.BigEndian.Uint64(b))
+		if b := meta.Get(rowCountKey(i)); len(b) == 8 {
+			t.rows[i] = int64(binary.BigEndian.Uint64(b))
 		}
 	}
-	return w, nil
+	return t, nil
 }
 
-// end writes the counts.
-func (w *transaction) writeCounts() error {
-	for i, n := range w.rows {
-		if err := w.Bucket(metaBucket).Put(countKey(i), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
+// writeCounts writes the counts back.
+func (t *transaction) writeCounts() error {
+	for i, n := range t.rows {
+		if err := t.Bucket(metaBucket).Put(rowCountKey(i), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// merge adds a row to what stands in its place.
-func (w *transaction) merge(level int, r Row) error {
-	b := w.Bucket([]byte(Levels[level].Name))
-	b.FillPercent = 0.9 // rows come by time, so pages are filled from the front
-	k := rowKey(r.At, r.Subject)
-	if was := b.Get(k); was != nil {
-		old, err := readRow(k, was)
+// claimBatch notes a batch's number as that of the last one; it reports false if it is already.
+func (t *transaction) claimBatch(batch uint64) (bool, error) {
+	number := binary.BigEndian.AppendUint64(nil, batch)
+	meta := t.Bucket(metaBucket)
+	if bytes.Equal(meta.Get(batchKey), number) {
+		return false, nil
+	}
+	return true, meta.Put(batchKey, number)
+}
+
+// fillPercent is how full pages are made before they are split: rows come in the order of time, so little is inserted later.
+const fillPercent = 0.9
+
+// merge adds a row to the one with its key.
+func (t *transaction) merge(level int, r Row) error {
+	bucket := t.Bucket([]byte(Levels[level].Name))
+	bucket.FillPercent = fillPercent
+	key := rowKey(r.At, r.Subject)
+	if stored := bucket.Get(key); stored != nil {
+		old, err := readRow(key, stored)
 		if err != nil {
 			return err
 		}
 		old.Merge(r.Usage)
 		r.Usage = old.Usage
 	} else {
-		w.rows[level]++
+		t.rows[level]++
 	}
-	v, err := cbor.Marshal(r.Usage)
+	value, err := cbor.Marshal(r.Usage)
 	if err != nil {
 		return err
 	}
-	return b.Put(k, v)
+	return bucket.Put(key, value)
 }
 
-// compact moves rows up the levels as Horizons decides, until no more need to go.
-func (w *transaction) compact(now, most int64) error {
+// compact moves rows to coarser levels as Horizons decides, until none is left to be moved.
+func (t *transaction) compact(now, maxRows int64) error {
 	for {
 		oldest := make([]int64, len(Levels))
 		for i, l := range Levels {
-			if k, _ := w.Bucket([]byte(l.Name)).Cursor().First(); len(k) >= 8 {
-				oldest[i] = int64(binary.BigEndian.Uint64(k))
+			if key, _ := t.Bucket([]byte(l.Name)).Cursor().First(); len(key) >= timeBytes {
+				oldest[i] = keyTime(key)
 			}
 		}
 		moved := false
-		for i, until := range Horizons(now, w.rows, oldest, most) {
-			n, err := w.moveRows(i, until)
+		for i, horizon := range Horizons(now, t.rows, oldest, maxRows) {
+			n, err := t.moveRows(i, horizon)
 			if err != nil {
 				return err
 			}
@@ -97,38 +108,38 @@
 	}
 }
 
-// move merges a level's rows of before a time into the next level; the last one's are dropped.
-func (w *transaction) moveRows(level int, until int64) (moved int, err error) {
-	b := w.Bucket([]byte(Levels[level].Name))
-	c := b.Cursor()
+// moveRows merges a level's rows of before a time into the next level, and returns their number. Those of the last level are dropped.
+func (t *transaction) moveRows(level int, before int64) (moved int, err error) {
+	bucket := t.Bucket([]byte(Levels[level].Name))
+	cursor := bucket.Cursor()
 	var keys [][]byte
 	sums := map[rowID]*Row{}
 	var order []rowID
-	for k, v := c.First(); len(k) >= 8 && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
-		keys = append(keys, bytes.Clone(k))
+	for key, value := cursor.First(); len(key) >= timeBytes && keyTime(key) < before; key, value = cursor.Next() {
+		keys = append(keys, bytes.Clone(key))
 		if level+1 == len(Levels) {
 			continue
 		}
-		r, err := readRow(k, v)
+		r, err := readRow(key, value)
 		if err != nil {
 			return 0, err
 		}
 		span := Levels[level+1].Span
-		at := rowID{r.At / span * span, r.Subject}
-		if sums[at] == nil {
-			sums[at] = &Row{At: at.at, Subject: r.Subject}
-			order = append(order, at)
+		id := rowID{r.At / span * span, r.Subject}
+		if sums[id] == nil {
+			sums[id] = &Row{At: id.at, Subject: r.Subject}
+			order = append(order, id)
 		}
-		sums[at].Merge(r.Usage)
+		sums[id].Merge(r.Usage)
 	}
-	for _, k := range keys {
-		if err := b.Delete(k); err != nil {
+	for _, key := range keys {
+		if err := bucket.Delete(key); err != nil {
 			return 0, err
 		}
 	}
-	w.rows[level] -= int64(len(keys))
-	for _, at := range order {
-		if err := w.merge(level+1, *sums[at]); err != nil {
+	t.rows[level] -= int64(len(keys))
+	for _, id := range order {
+		if err := t.merge(level+1, *sums[id]); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/history/usage.go
+++ b/internal/history/usage.go
@@ -1,6 +1,3 @@
-// Package history keeps what functions were used for: jobs, loads, answers in time and execution times, by function,
-// tenant and time, for months, in little room. Tallies and the rules of what is kept how long are free of I/O; Store
-// keeps rows in a file.
 package history
 
 import (
@@ -8,29 +5,33 @@
 	"strings"
 )
 
-// Who is what a row is about. Function is empty where a span had more functions than rows are kept for: then it is the
-// sum of the rarest.
+// Subject is what a row is about. Function is empty in the row that sums the rarest of a minute with more functions than get rows of
+// their own.
 type Subject struct {
 	Function string
 	Tenant   string
 }
 
-// Use is what was done within a span of time.
+func compareSubjects(a, b Subject) int {
+	return cmp.Or(strings.Compare(a.Function, b.Function), strings.Compare(a.Tenant, b.Tenant))
+}
+
+// Usage is what was done within a span of time.
 type Usage struct {
-	Requests        int64     `cbor:"Jobs"` // that got their answer
+	Requests        int64     `cbor:"Jobs"` // that got their final answer
 	Succeeded       int64     `cbor:"Finished"`
-	WithinObjective int64     `cbor:"InTime"` // finished within their start target
+	WithinObjective int64     `cbor:"InTime"` // succeeded within their latency objective
 	Rejected        int64     `cbor:"PushedBack"`
 	Failed          int64     `cbor:"Killed"`
 	Attempts        int64     `cbor:"Executions"`
-	Loads           int64     `cbor:"Loads"` // executions that began a load, and orders
-	ExecTimes       Histogram `cbor:"Times"` // of executions by warm copies
+	Loads           int64     `cbor:"Loads"` // load commands, and attempts that began a load
+	ExecTimes       Histogram `cbor:"Times"` // of attempts at loaded instances
 }
 
-// Quantile gives a quantile (0 to 1) of the execution times in microseconds; 0 of none.
+// Quantile returns a quantile (0 to 1) of the execution times in microseconds; 0 if there are none.
 func (u Usage) Quantile(q float64) int64 { return u.ExecTimes.Quantile(q) }
 
-// Merge adds another use to this one.
+// Merge adds another usage to this one.
 func (u *Usage) Merge(v Usage) {
 	u.Requests += v.Requests
 	u.Succeeded += v.Succeeded
@@ -42,13 +43,9 @@
 	u.ExecTimes = u.ExecTimes.Merge(v.ExecTimes)
 }
 
-// Row is the use of one function by one tenant within one span.
+// Row is the usage of one function by one tenant within one span.
 type Row struct {
 	At int64 // the span's beginning, in microseconds since 1970
 	Subject
 	Usage
 }
-
-func compareSubjects(a, b Subject) int {
-	return cmp.Or(strings.Compare(a.Function, b.Function), strings.Compare(a.Tenant, b.Tenant))
-}
