--- a/internal/history/collector_test.go
+++ b/internal/history/collector_test.go
@@ -12,11 +12,11 @@
 	collector := NewCollector()
 	for i := range int64(100) {
 		collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
-		collector.RequestDone(at(now), a, control.NoAction, i < 10)
+		collector.RequestDone(at(now), a, control.NoAction, i < 10) // the first ten are late
 	}
 	collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
-	collector.RequestDone(at(now), a, control.Reject, true)
-	collector.RequestDone(at(now+Minute), b, control.Fail, true)
+	collector.RequestDone(at(now), a, control.Reject, Late)
+	collector.RequestDone(at(now+Minute), b, control.Fail, Late)
 	collector.LoadCommanded(at(now+Minute), b)
 	rows := collector.Drain().Rows()
 	if len(rows) != 2 || len(collector.Drain().Rows()) != 0 {
@@ -34,14 +34,14 @@
 	}
 }
 
-// Names asked for once cost one row together, and nothing of them is lost.
+// Functions asked for once share one row, and nothing of them is lost.
 func TestRareSubjectsShareARow(t *testing.T) {
 	collector := NewCollector()
 	for i := range 5000 {
-		collector.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, false)
+		collector.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, OnTime)
 	}
 	for range 3 {
-		collector.RequestDone(at(now), Subject{"often", ""}, control.NoAction, false)
+		collector.RequestDone(at(now), Subject{"often", ""}, control.NoAction, OnTime)
 	}
 	rows := collector.Drain().Rows()
 	requests := int64(0)
@@ -51,7 +51,7 @@
 		named[r.Function] = r.Requests
 	}
 	if len(rows) != maxSubjects+1 || requests != 5003 || named["often"] != 3 || named[""] != 5003-maxSubjects-2 {
-		t.Errorf("%d rows of %d jobs, %d of the rarest", len(rows), requests, named[""])
+		t.Errorf("%d rows of %d requests, %d of the rarest", len(rows), requests, named[""])
 	}
 }
 
@@ -65,6 +65,6 @@
 		sum.Merge(r.Usage)
 	}
 	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Attempts != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 || p99 > 100_000 {
-		t.Errorf("%d executions, median %d, p99 %d", sum.Attempts, p50, p99)
+		t.Errorf("%d attempts, median %d, p99 %d", sum.Attempts, p50, p99)
 	}
 }
--- a/internal/history/quarantine_test.go
+++ b/internal/history/quarantine_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// However often a file is found damaged, one a day is kept, and none that was only half begun.
+// However often a file is found damaged, one a day is kept, and none that never held a row.
 func TestQuarantinedFilesDoNotPileUp(t *testing.T) {
 	s := NewStore(filepath.Join(t.TempDir(), "h.db"), 1e6)
 	for i, size := range []int{20000, 0, 4096, 16384, 20000, 100000} {
@@ -17,10 +17,10 @@
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(s.path); err == nil {
-			t.Error("it still stands")
+			t.Error("it is still there")
 		}
 		if left, _ := filepath.Glob(s.path + "*"); len(left) != 1 {
-			t.Errorf("after %d: %q", i, left)
+			t.Errorf("after file %d: %q", i, left)
 		}
 	}
 	if err := os.WriteFile(s.path, make([]byte, 20000), 0o600); err != nil {
