--- /dev/null
+++ b/cmd/hmhistory/output.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"encoding/csv"
+	"fmt"
+	"os"
+	"strconv"
+	"text/tabwriter"
+	"time"
+
+	"hollymast/internal/history"
+)
+
+// columns are the names of the columns, which scripts read.
+var columns = []string{"time", "function", "tenant", "jobs", "in time", "pushed back", "killed", "executions", "loads", "p50 us", "p90 us", "p99 us"}
+
+// rowTimeFormat is a row's time, in UTC and to the minute.
+const rowTimeFormat = "2006-01-02T15:04Z"
+
+func cells(r history.Row) []string {
+	n := func(v int64) string { return strconv.FormatInt(v, 10) }
+	return []string{time.UnixMicro(r.At).UTC().Format(rowTimeFormat), r.Function, r.Tenant, n(r.Requests), n(r.WithinObjective), n(r.Rejected),
+		n(r.Failed), n(r.Attempts), n(r.Loads), n(r.Quantile(0.5)), n(r.Quantile(0.9)), n(r.Quantile(0.99))}
+}
+
+// lines returns the columns' names and the cells of each row.
+func lines(rows []history.Row) [][]string {
+	lines := [][]string{columns}
+	for _, r := range rows {
+		lines = append(lines, cells(r))
+	}
+	return lines
+}
+
+func writeCSV(rows []history.Row) error {
+	return csv.NewWriter(os.Stdout).WriteAll(lines(rows))
+}
+
+func writeTable(rows []history.Row) error {
+	w := tabwriter.NewWriter(os.Stdout, 0, 1, 2, ' ', tabwriter.AlignRight)
+	for _, line := range lines(rows) {
+		for _, cell := range line {
+			fmt.Fprintf(w, "%s\t", cell)
+		}
+		fmt.Fprintln(w)
+	}
+	return w.Flush()
+}
