--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -32,7 +32,7 @@
 			}
 			return
 		case err != nil:
-			g.log.Warn().Err(err).Msg("a connection could not be accepted")
+			g.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(acceptRetryPause)
 		default:
 			g.serveClient(ctx, conn, role)
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -33,6 +33,6 @@
 		Log: func(text string) { g.log.Info().Msg("xds: " + text) },
 	}
 	if err := transport.Run(ctx, client); err != nil {
-		g.log.Error().Err(err).Msg("xds: the control plane can't be followed")
+		g.log.Error().Err(err).Msg("xds: connection to the control plane can't be set up")
 	}
 }
--- a/internal/gateway/endpointfile.go
+++ b/internal/gateway/endpointfile.go
@@ -70,7 +70,7 @@
 	switch {
 	case err != nil && !w.missing:
 		w.missing = true
-		w.gateway.log.Error().Err(err).Msg("the list of servers can't be read: the old one stands")
+		w.gateway.log.Error().Err(err).Msg("endpoint file can't be read: the old list stays in force")
 	case err == nil && (w.text == nil || w.missing || !bytes.Equal(text, w.text)):
 		w.missing = false
 		w.text, w.valid = text, w.parser.parse(text)
@@ -111,9 +111,9 @@
 	var invalid *inifile.ValidationError
 	switch {
 	case errors.As(err, &invalid):
-		g.log.Error().Strs("faults", invalid.Problems).Msg("the new list is refused: the old one stands")
+		g.log.Error().Strs("faults", invalid.Problems).Msg("invalid endpoint file: the old list stays in force")
 	case err != nil:
-		g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("the new list is refused: the old one stands")
+		g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("invalid endpoint file: the old list stays in force")
 	default:
 		g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
 	}
@@ -138,7 +138,7 @@
 	g := p.gateway
 	err := p.client.LoadBootstrap(g.now(), text)
 	if err != nil {
-		g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("the new list is refused: the old one stands")
+		g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("invalid endpoint file: the old list stays in force")
 	}
 	p.post()
 	return err == nil
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -31,7 +31,7 @@
 	if !g.stopping {
 		g.ready.Store(true)
 	}
-	g.log.Info().Int("servers", servers).Int("ready", ready).Msg("list of servers taken")
+	g.log.Info().Int("servers", servers).Int("ready", ready).Msg("endpoint list applied")
 }
 
 // refreshPool withdraws what is not written yet to a server that is not ready any more.
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -17,7 +17,7 @@
 	g.timer = time.NewTimer(time.Hour)
 	defer g.timer.Stop()
 	g.runEventLoop(ctx.Done())
-	g.log.Info().Msg("no job is left in hand")
+	g.log.Info().Msg("no request is in flight any more")
 	g.closeAll(stop)
 	return nil
 }
@@ -82,7 +82,7 @@
 	if !attempt.Stalled(late, micros(g.config.GracePeriod)) {
 		return
 	}
-	g.log.Warn().Int64("late_us", int64(late)).Msg("the router stood still")
+	g.log.Warn().Int64("late_us", int64(late)).Msg("the process was stalled")
 	if g.overload != nil {
 		g.overload.RecordStall(g.now(), late)
 	}
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -41,16 +41,16 @@
 		w.damagedCount = 0
 	}
 	if w.damagedCount >= maxDamagedWrites {
-		w.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
+		w.log.Error().Err(err).Msg("history file is damaged: set aside, a new one is begun")
 		if err = w.store.Quarantine(now); err == nil {
 			err = w.drain(now)
 		}
 	}
 	switch {
 	case err != nil && !w.failed:
-		w.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
+		w.log.Error().Err(err).Msg("history can't be written: retried, further failures are not logged")
 	case err == nil && w.failed:
-		w.log.Info().Msg("the history is written again")
+		w.log.Info().Msg("history is written again")
 	}
 	w.failed = err != nil
 	w.dropOldest()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -58,7 +58,7 @@
 	g.ready.Store(false)
 	g.stopRequestedAt.Store(int64(g.now()))
 	times := g.config.shutdownTimes()
-	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new jobs are taken")
+	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new requests are accepted")
 	for _, l := range g.listeners {
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(acceptConnectionsFor))
 	}
@@ -129,6 +129,6 @@
 	})
 	<-ended
 	if closed > 0 {
-		g.log.Warn().Int("connections", closed).Msg("closed on clients that did not read or go")
+		g.log.Warn().Int("connections", closed).Msg("closed client connections that were still open")
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -65,12 +65,12 @@
 		return err
 	})
 	if err != nil {
-		log.Error().Err(err).Msg("no memory: the folder can't be used; nothing is kept")
+		log.Error().Err(err).Msg("no learned state: the folder can't be used, nothing is stored")
 		return nil, unknownUntil(err)
 	}
 	store, found := persistence.OpenStore(persistence.Dir(config.StateDir), config.owner())
 	for _, line := range found.Warnings {
-		log.Warn().Msg("memory: " + line)
+		log.Warn().Msg("learned state: " + line)
 	}
 	keeper = &stateKeeper{store: store, unlock: unlock, interval: config.StateInterval, log: log, clock: clock}
 	learned := keeper.restore(found.State, now)
@@ -84,7 +84,7 @@
 	}
 	balancer.ApplyLearned(now, learned)
 	if err != nil {
-		log.Error().Err(err).Msg("no memory: no journal can be read; nothing is kept")
+		log.Error().Err(err).Msg("no learned state: the journal can't be read, nothing is stored")
 		unlock()
 		return nil, unknownUntil(err)
 	}
@@ -110,7 +110,7 @@
 		keeper.usualLoadAge = now - learned.SavedAt // by the clock that counts from boot
 	}
 	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.usualLoadAge)).
-		Int("functions", len(learned.Functions)).Int("servers", len(learned.Servers)).Msg("memory of an earlier run recalled")
+		Int("functions", len(learned.Functions)).Int("servers", len(learned.Servers)).Msg("learned state restored")
 	return learned
 }
 
@@ -122,9 +122,9 @@
 		MaxBytes: maxJournalBytes, Clock: keeper.clock, Now: now,
 		OnFailure: func(err error) {
 			if err != nil {
-				log.Error().Err(err).Msg("the journal can't be written: what must be known after a restart is not sent until it can")
+				log.Error().Err(err).Msg("journal can't be written: attempts that a restart must know of wait until it can")
 			} else {
-				log.Info().Msg("the journal is written again")
+				log.Info().Msg("journal is written again")
 			}
 		},
 		OnWarning: func(line string) { log.Warn().Msg("journal: " + line) },
@@ -134,7 +134,7 @@
 	}
 	journal, entries, warnings, err := options.Open(config.StateDir)
 	for _, line := range warnings {
-		log.Warn().Msg("memory: " + line)
+		log.Warn().Msg("learned state: " + line)
 	}
 	keeper.Journal = journal
 	return entries, err
@@ -201,9 +201,9 @@
 	err := keeper.store.Write(state)
 	switch {
 	case err != nil && !keeper.failed:
-		keeper.log.Error().Err(err).Msg("memory can't be written: the last one stands; each further try is made in silence")
+		keeper.log.Error().Err(err).Msg("learned state can't be written: the last one stays, retried, further failures are not logged")
 	case err == nil && keeper.failed:
-		keeper.log.Info().Msg("memory is written again")
+		keeper.log.Info().Msg("learned state is written again")
 	}
 	keeper.failed = err != nil
 }
--- a/internal/gateway/tls.go
+++ b/internal/gateway/tls.go
@@ -83,7 +83,7 @@
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
 		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() {
-			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("no connection to this server")
+			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("TLS handshake with a server failed")
 		}
 		return secured, err
 	}
@@ -100,7 +100,7 @@
 	defer cancel()
 	secured, err := store.ServerHandshake(ctx, conn)
 	if err != nil {
-		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
+		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("TLS handshake with a client failed")
 		conn.Close()
 	}
 	return secured, err
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -30,7 +30,7 @@
 			})
 		case servers := <-copies:
 			if err := g.view.Publish(g.now(), servers); err != nil {
-				g.log.Error().Err(err).Msg("our view can't be served")
+				g.log.Error().Err(err).Msg("view can't be published")
 			}
 		case <-g.loopEnded:
 			return
