--- a/internal/certstore/conn.go
+++ b/internal/certstore/conn.go
@@ -21,9 +21,9 @@
 	replacePosition float64 // in the replacement period, from 0 to 1
 }
 
-// Still checks that the peer is still trusted and, on a client's connection, that our certificate is still in service: neither may be so
+// CheckPeer checks that the peer is still trusted and, on a client's connection, that our certificate is still in service: neither may be so
 // after the connection was idle. It must not be called concurrently.
-func (c *Conn) Still() error {
+func (c *Conn) CheckPeer() error {
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -17,6 +17,9 @@
 	"hollymast/internal/rest"
 )
 
+// Package rest checks peers by this method where a connection has it: without it none would be checked, silently.
+var _ rest.PeerChecker = (*Conn)(nil)
+
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func now() control.Micros { return control.Micros(time.Now().UnixMicro()) }
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -59,15 +59,15 @@
 // checkPeer returns why the peer's certificate, which was valid at the handshake, is not valid any more.
 func checkPeer(conn net.Conn) error {
 	if checker, ok := conn.(PeerChecker); ok {
-		return checker.Still()
+		return checker.CheckPeer()
 	}
 	return nil
 }
 
 // PeerChecker is a TLS connection whose peer's certificate can be checked again after the handshake.
 type PeerChecker interface {
-	// Still returns why the certificate is not valid any more, or nil.
-	Still() error
+	// CheckPeer returns why the certificate is not valid any more, or nil.
+	CheckPeer() error
 }
 
 // isQuiet reports whether a connection is open on both sides and has nothing to read.
