--- a/client/client.go
+++ b/client/client.go
@@ -123,19 +123,19 @@
 
 // Client keeps connections to routers. It may be used by many goroutines.
 type Client struct {
-	o       Options
-	started time.Time
-	prefix  string
-
-	mu        sync.Mutex
-	chance    *rand.Rand
-	budget    *retry.Budget
-	routers   *retry.Routers
-	latencies retry.Latencies
-	idle      [][]*rest.Client
-	open      []int
-	marks     uint64
-	closed    bool
+	options   Options
+	started   time.Time
+	keyPrefix string
+
+	mu         sync.Mutex
+	random     *rand.Rand
+	budget     *retry.Budget
+	routers    *retry.Routers
+	latencies  retry.Latencies
+	idle       [][]*rest.Client
+	open       []int
+	keysIssued uint64
+	closed     bool
 }
 
 // New gives a client that has no connection yet. Errors tell what is wrong with the options.
@@ -157,10 +157,10 @@
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
-	c := &Client{o: o, started: time.Now(), chance: rand.New(rand.NewPCG(o.Seed, 0)), budget: retry.NewBudget(), idle: make([][]*rest.Client, len(o.Routers)),
+	c := &Client{options: o, started: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 0)), budget: retry.NewBudget(), idle: make([][]*rest.Client, len(o.Routers)),
 		open: make([]int, len(o.Routers))}
-	c.prefix = strconv.FormatUint(c.chance.Uint64(), 36) + "-"
-	c.routers = retry.NewRouters(len(o.Routers), c.chance.IntN(len(o.Routers)))
+	c.keyPrefix = strconv.FormatUint(c.random.Uint64(), 36) + "-"
+	c.routers = retry.NewRouters(len(o.Routers), c.random.IntN(len(o.Routers)))
 	return c, nil
 }
 
@@ -191,13 +191,13 @@
 	deadline, told := ctx.Deadline()
 	if patience := call.Patience; patience > 0 || !told {
 		if patience == 0 {
-			patience = c.o.Patience
+			patience = c.options.Patience
 		}
 		if at := begun.Add(patience); !told || at.Before(deadline) {
 			deadline = at
 		}
 	}
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.o.Late))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.options.Late))
 	defer cancel()
 	w := retry.Class{Effect: [...]control.Effect{control.NonIdempotent, control.Idempotent, control.IdempotentByKey}[call.Workload.Effect],
 		Window: control.Micros(call.Workload.Window.Microseconds()), KeysPersisted: call.Workload.Remembered, HedgeSafe: call.Workload.Hedge}
@@ -206,57 +206,57 @@
 	}
 	c.mu.Lock()
 	if call.Mark == "" {
-		c.marks++
-		call.Mark = c.prefix + strconv.FormatUint(c.marks, 36)
+		c.keysIssued++
+		call.Mark = c.keyPrefix + strconv.FormatUint(c.keysIssued, 36)
 	}
 	c.budget.Deposit()
 	c.mu.Unlock()
-	t := &tries{c: c, call: &call, state: retry.NewCall(w, c.now()+control.Micros(time.Until(deadline).Microseconds())), deadline: deadline, ends: make(chan ended, 8)}
+	t := &callState{client: c, call: &call, retry: retry.NewCall(w, c.now()+control.Micros(time.Until(deadline).Microseconds())), deadline: deadline, results: make(chan attemptResult, 8)}
 	a, failed := t.run(ctx)
 	kind := "finished"
 	if failed != nil {
 		kind = string(failed.Kind)
-		failed.Tries = t.state.Attempts()
+		failed.Tries = t.retry.Attempts()
 	}
-	if c.o.Hooks.Done != nil {
-		c.o.Hooks.Done(kind, t.state.Attempts(), time.Since(begun))
+	if c.options.Hooks.Done != nil {
+		c.options.Hooks.Done(kind, t.retry.Attempts(), time.Since(begun))
 	}
 	if failed != nil {
 		return Answer{}, failed
 	}
-	a.Tries = t.state.Attempts()
+	a.Tries = t.retry.Attempts()
 	return a, nil
 }
 
 // tries is one call under way.
-type tries struct {
-	c        *Client
-	call     *Call
-	state    *retry.Call // under the client's lock
-	deadline time.Time
-	ends     chan ended
-	out      map[*rest.Client]bool
-	asked    int // tries that had a connection and whose end was not heard yet
-	mu       sync.Mutex
+type callState struct {
+	client    *Client
+	call      *Call
+	retry     *retry.Call // under the client's lock
+	deadline  time.Time
+	results   chan attemptResult
+	open      map[*rest.Client]bool
+	connected int // tries that had a connection and whose end was not heard yet
+	mu        sync.Mutex
 }
 
 // ended is the end of one try.
-type ended struct {
-	ending  retry.Outcome
-	sent    control.Micros
-	router  int
-	answer  Answer
-	failed  *Failed
-	advised control.Micros
-	took    time.Duration
-	asked   bool // it had a connection
-	ours    bool // how it ended says nothing of the router
+type attemptResult struct {
+	outcome   retry.Outcome
+	sentAt    control.Micros
+	router    int
+	answer    Answer
+	failed    *Failed
+	advised   control.Micros
+	duration  time.Duration
+	connected bool // it had a connection
+	local     bool // how it ended says nothing of the router
 }
 
 // run makes tries until the call has its outcome.
-func (t *tries) run(ctx context.Context) (Answer, *Failed) {
-	c := t.c
-	t.out = map[*rest.Client]bool{}
+func (t *callState) run(ctx context.Context) (Answer, *Failed) {
+	c := t.client
+	t.open = map[*rest.Client]bool{}
 	defer t.abort() // a slower try beside the answer, or all where the caller gave up
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -271,7 +271,7 @@
 		select {
 		case <-begin.C:
 			c.mu.Lock()
-			router := t.state.PinnedRouter()
+			router := t.retry.PinnedRouter()
 			if router < 0 {
 				avoid := -1
 				if other {
@@ -279,9 +279,9 @@
 				}
 				router = c.routers.Pick(c.now(), avoid)
 			}
-			may := t.state.BeginAttempt(c.now())
+			may := t.retry.BeginAttempt(c.now())
 			after := c.latencies.HedgeDelay()
-			number := t.state.Attempts()
+			number := t.retry.Attempts()
 			c.mu.Unlock()
 			if !may {
 				if out == 0 {
@@ -293,49 +293,49 @@
 			if after > 0 && number == 1 && t.call.Workload.Hedge {
 				hedge.Reset(time.Duration(after) * time.Microsecond)
 			}
-			go t.try(ctx, router, number)
+			go t.attempt(ctx, router, number)
 		case <-hedge.C:
 			c.mu.Lock()
-			may := t.state.AllowHedge(c.now(), c.budget)
+			may := t.retry.AllowHedge(c.now(), c.budget)
 			c.mu.Unlock()
 			if may {
 				other = true
 				begin.Reset(0)
 			}
-		case e := <-t.ends:
+		case e := <-t.results:
 			out--
-			if e.asked {
+			if e.connected {
 				t.mu.Lock()
-				t.asked--
+				t.connected--
 				t.mu.Unlock()
 			}
 			c.mu.Lock()
-			next := t.state.HandleOutcome(c.now(), e.ending, e.sent, e.router, e.advised, c.budget, c.chance)
-			if e.ending == retry.Succeeded {
-				c.latencies.Add(control.Micros(e.took.Microseconds()))
+			next := t.retry.HandleOutcome(c.now(), e.outcome, e.sentAt, e.router, e.advised, c.budget, c.random)
+			if e.outcome == retry.Succeeded {
+				c.latencies.Add(control.Micros(e.duration.Microseconds()))
 			}
 			c.mu.Unlock()
-			if e.ending == retry.Succeeded {
+			if e.outcome == retry.Succeeded {
 				return e.answer, nil
 			}
-			if e.ending == retry.Failed || e.ending == retry.Lost {
+			if e.outcome == retry.Failed || e.outcome == retry.Lost {
 				mayHaveRun = true
 			}
 			last, from, other = e.failed, e.router, next.OtherRouter
-			if e.ending == retry.Invalid || next.Done && out == 0 {
+			if e.outcome == retry.Invalid || next.Done && out == 0 {
 				return Answer{}, t.outcome(last, mayHaveRun)
 			}
 			if !next.Done {
 				begin.Reset(time.Until(c.at(next.RetryAt)))
 			}
 		case <-ctx.Done():
-			return Answer{}, &Failed{Kind: t.kindNow(mayHaveRun), Why: "the caller's time was up", Err: context.Cause(ctx)}
+			return Answer{}, &Failed{Kind: t.kindOnTimeout(mayHaveRun), Why: "the caller's time was up", Err: context.Cause(ctx)}
 		}
 	}
 }
 
 // outcome gives a failed call's outcome: what may have run is never called harmless, whatever the last try met.
-func (t *tries) outcome(last *Failed, mayHaveRun bool) *Failed {
+func (t *callState) outcome(last *Failed, mayHaveRun bool) *Failed {
 	if mayHaveRun && (last.Kind == Unreached || last.Kind == PushedBack && t.call.Workload.Effect == RunOnce) {
 		last.Kind = Unknown
 	}
@@ -343,98 +343,98 @@
 }
 
 // kindNow is the kind of a call that its caller gave up: a try that still waits for a connection has not run.
-func (t *tries) kindNow(mayHaveRun bool) Kind {
+func (t *callState) kindOnTimeout(mayHaveRun bool) Kind {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if mayHaveRun || t.asked > 0 {
+	if mayHaveRun || t.connected > 0 {
 		return Unknown
 	}
 	return Unreached
 }
 
 // abort breaks off what is still out, which has the router see its client go.
-func (t *tries) abort() {
+func (t *callState) abort() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for x := range t.out {
+	for x := range t.open {
 		x.Abort()
 	}
-	t.out = nil
+	t.open = nil
 }
 
 // try makes one try.
-func (t *tries) try(ctx context.Context, router, number int) {
-	c, hooks := t.c, &t.c.o.Hooks
-	address := c.o.Routers[router]
+func (t *callState) attempt(ctx context.Context, router, number int) {
+	c, hooks := t.client, &t.client.options.Hooks
+	address := c.options.Routers[router]
 	begun := time.Now()
 	told := Try{Mark: t.call.Mark, Number: number, Router: address, Left: time.Until(t.deadline)}
 	if hooks.Try != nil {
 		hooks.Try(told)
 	}
-	e := ended{router: router, sent: c.now()}
-	x, err := c.get(ctx, router)
+	e := attemptResult{router: router, sentAt: c.now()}
+	x, err := c.acquire(ctx, router)
 	if err != nil {
-		e.ending, e.failed = retry.NotSent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
-		e.ours = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
-	} else if !t.hold(x) { // the call is over
-		c.put(router, x, true)
-		e.ending, e.failed, e.ours = retry.NotSent, &Failed{Kind: Unreached, Why: "the call is over"}, true
+		e.outcome, e.failed = retry.NotSent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
+		e.local = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
+	} else if !t.register(x) { // the call is over
+		c.release(router, x, true)
+		e.outcome, e.failed, e.local = retry.NotSent, &Failed{Kind: Unreached, Why: "the call is over"}, true
 	} else {
-		e.sent, e.asked = c.now(), true
+		e.sentAt, e.connected = c.now(), true
 		told.Left = time.Until(t.deadline)
 		t.exchange(x, told, &e)
 	}
-	e.took = time.Since(begun)
+	e.duration = time.Since(begun)
 	c.mu.Lock()
 	switch {
-	case e.ours:
-	case e.ending == retry.NotSent || e.ending == retry.Lost:
+	case e.local:
+	case e.outcome == retry.NotSent || e.outcome == retry.Lost:
 		c.routers.RecordFailure(c.now(), router)
 	default:
 		c.routers.RecordSuccess(router)
 	}
 	c.mu.Unlock()
 	if t.call.Tried != nil {
-		t.call.Tried(told, endings[e.ending])
+		t.call.Tried(told, outcomeNames[e.outcome])
 	}
 	if hooks.Tried != nil {
-		hooks.Tried(told, endings[e.ending], e.took)
+		hooks.Tried(told, outcomeNames[e.outcome], e.duration)
 	}
-	t.ends <- e // holds all tries of a call
+	t.results <- e // holds all tries of a call
 }
 
-var endings = [...]string{"finished", "refused", "pushed back", "unsent", "killed", "lost"}
+var outcomeNames = [...]string{"finished", "refused", "pushed back", "unsent", "killed", "lost"}
 
 // hold takes a connection for a try; false: the call is over, or its patience ended while the try waited for the connection.
-func (t *tries) hold(x *rest.Client) bool {
+func (t *callState) register(x *rest.Client) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.out == nil || !time.Now().Before(t.deadline) {
+	if t.open == nil || !time.Now().Before(t.deadline) {
 		return false
 	}
-	t.out[x] = true
-	t.asked++
+	t.open[x] = true
+	t.connected++
 	return true
 }
 
-func (t *tries) drop(x *rest.Client) {
+func (t *callState) unregister(x *rest.Client) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.out, x)
+	delete(t.open, x)
 }
 
 // exchange sends a try on a connection and reads what came of it.
-func (t *tries) exchange(x *rest.Client, told Try, e *ended) {
-	c := t.c
+func (t *callState) exchange(x *rest.Client, told Try, e *attemptResult) {
+	c := t.client
 	address, body := told.Router, t.call.Body
 	if t.call.BodyOf != nil {
 		body = t.call.BodyOf(told)
 	}
 	left := time.Until(t.deadline).Milliseconds()
 	if left <= 0 { // the body took what was left
-		t.drop(x)
-		c.put(e.router, x, true) // the call's end may have broken it
-		e.ending, e.failed, e.ours = retry.NotSent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
+		t.unregister(x)
+		c.release(e.router, x, true) // the call's end may have broken it
+		e.outcome, e.failed, e.local = retry.NotSent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
 		return
 	}
 	h := rest.Header{"Host": {address}, "Content-Type": {"application/json"}, kserve.RepeatMark: {told.Mark}, kserve.AttemptHeader: {strconv.Itoa(told.Number)},
@@ -447,60 +447,60 @@
 		h["X-Tenant"] = []string{t.call.Tenant}
 	}
 	q := &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.Infer, Model: t.call.Model, Version: t.call.Version}.Target(), Header: h, Body: body}
-	p, progress, err := x.Do(q, t.deadline.Add(c.o.Late))
-	t.drop(x)
+	p, progress, err := x.Do(q, t.deadline.Add(c.options.Late))
+	t.unregister(x)
 	if err != nil {
-		if e.ours = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err); e.ours { // given up, by the caller or for another try's answer
-			c.put(e.router, x, true)
+		if e.local = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err); e.local { // given up, by the caller or for another try's answer
+			c.release(e.router, x, true)
 		} else {
-			c.lose(e.router, x)
+			c.discard(e.router, x)
 		}
-		e.ending, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
+		e.outcome, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
 		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
-			e.ending, e.failed.Kind = retry.NotSent, Unreached
+			e.outcome, e.failed.Kind = retry.NotSent, Unreached
 		}
 		return
 	}
-	c.put(e.router, x, p.Close)
+	c.release(e.router, x, p.Close)
 	e.answer = Answer{Status: p.Status, Body: p.Body, Router: address}
 	e.answer.Header, _ = strconv.Atoi(p.Header.Get(kserve.HeaderLength))
 	said := gjson.GetManyBytes(p.Body, "error", "answer", "retry_after_us")
 	e.failed = &Failed{Kind: Wrong, Status: p.Status, Why: said[0].Str}
 	switch {
 	case p.Status < 300:
-		e.ending, e.failed = retry.Succeeded, nil
+		e.outcome, e.failed = retry.Succeeded, nil
 	case p.Status == 503 && said[1].Str == string(PushedBack):
-		e.ending, e.failed.Kind = retry.Rejected, PushedBack
+		e.outcome, e.failed.Kind = retry.Rejected, PushedBack
 		e.advised = control.Micros(said[2].Int())
 		e.failed.After = time.Duration(e.advised) * time.Microsecond
 	case p.Status >= 500: // killed, or somebody on the way who promises nothing
-		e.ending, e.failed.Kind = retry.Failed, Killed
+		e.outcome, e.failed.Kind = retry.Failed, Killed
 	default:
-		e.ending = retry.Invalid
+		e.outcome = retry.Invalid
 	}
 }
 
 // get gives a connection to a router: an idle one, or a new one as soon as one may be made.
-func (c *Client) get(ctx context.Context, router int) (*rest.Client, error) {
+func (c *Client) acquire(ctx context.Context, router int) (*rest.Client, error) {
 	for {
 		c.mu.Lock()
 		for n := len(c.idle[router]); n > 0; n = len(c.idle[router]) {
-			x := c.idle[router][n-1]
+			conn := c.idle[router][n-1]
 			c.idle[router] = c.idle[router][:n-1]
-			if !x.Stale() {
+			if !conn.Stale() {
 				c.mu.Unlock()
-				return x, nil
+				return conn, nil
 			}
-			x.Close()
-			c.gone(router, true)
+			conn.Close()
+			c.connectionEnded(router, true)
 		}
-		may, at := c.routers.MayConnect(c.now(), router)
-		if may = may && c.open[router] < c.o.Connections; may {
+		allowed, at := c.routers.MayConnect(c.now(), router)
+		if allowed = allowed && c.open[router] < c.options.Connections; allowed {
 			c.open[router]++
 			c.routers.ConnectionOpened(router)
 		}
 		c.mu.Unlock()
-		if !may {
+		if !allowed {
 			wait := max(time.Millisecond, time.Until(c.at(at)))
 			t := time.NewTimer(wait)
 			select {
@@ -512,9 +512,9 @@
 			}
 		}
 		var secure rest.Handshake
-		if c.o.TLS != nil {
+		if c.options.TLS != nil {
 			secure = func(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
-				config := c.o.TLS.Clone()
+				config := c.options.TLS.Clone()
 				if config.ServerName == "" {
 					config.ServerName, _, _ = net.SplitHostPort(address)
 				}
@@ -522,7 +522,7 @@
 				return s, s.HandshakeContext(ctx)
 			}
 		}
-		x, err := rest.DialWith(ctx, c.o.Routers[router], &rest.DefaultLimits, secure)
+		conn, err := rest.DialWith(ctx, c.options.Routers[router], &rest.DefaultLimits, secure)
 		if err != nil {
 			c.mu.Lock()
 			c.open[router]--
@@ -530,42 +530,42 @@
 			c.mu.Unlock()
 			return nil, err
 		}
-		if c.o.Hooks.Connected != nil {
-			c.o.Hooks.Connected(c.o.Routers[router])
+		if c.options.Hooks.Connected != nil {
+			c.options.Hooks.Connected(c.options.Routers[router])
 		}
-		return x, nil
+		return conn, nil
 	}
 }
 
 // gone counts a connection that is no more; the lock is held.
-func (c *Client) gone(router int, broke bool) {
+func (c *Client) connectionEnded(router int, broke bool) {
 	c.open[router]--
 	if !broke {
 		c.routers.ConnectionClosed(router)
 		return
 	}
-	c.routers.ConnectionLost(c.now(), router, c.chance)
-	if c.o.Hooks.Lost != nil {
-		c.o.Hooks.Lost(c.o.Routers[router])
+	c.routers.ConnectionLost(c.now(), router, c.random)
+	if c.options.Hooks.Lost != nil {
+		c.options.Hooks.Lost(c.options.Routers[router])
 	}
 }
 
 // put keeps a connection for the next call, unless it ends.
-func (c *Client) put(router int, x *rest.Client, ends bool) {
+func (c *Client) release(router int, x *rest.Client, ends bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ends || c.closed {
 		x.Close()
-		c.gone(router, false)
+		c.connectionEnded(router, false)
 		return
 	}
 	c.idle[router] = append(c.idle[router], x)
 }
 
 // lose closes a connection that broke.
-func (c *Client) lose(router int, x *rest.Client) {
+func (c *Client) discard(router int, x *rest.Client) {
 	x.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone(router, true)
+	c.connectionEnded(router, true)
 }
--- a/cmd/hmcall/main.go
+++ b/cmd/hmcall/main.go
@@ -77,7 +77,7 @@
 
 var effects = map[string]client.Effect{"run-once": client.RunOnce, "restartable": client.Restartable, "fingerprinted": client.Fingerprinted}
 
-var empty = []byte(`{"inputs":[]}`)
+var emptyRequest = []byte(`{"inputs":[]}`)
 
 // Run makes the calls.
 func (c *cli) Run() error {
@@ -87,31 +87,31 @@
 	if c.Timeout <= 0 || c.Concurrency < 1 {
 		return program.UsageError{Err: errors.New("a timeout or a concurrency below one")}
 	}
-	lib, err := client.New(client.Options{Routers: c.Router, Connections: c.Concurrency + 1})
+	library, err := client.New(client.Options{Routers: c.Router, Connections: c.Concurrency + 1})
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
-	defer lib.Close()
+	defer library.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.Model != "" {
-		body := empty
+		body := emptyRequest
 		if c.Body != "" {
-			if body, err = read(c.Body); err != nil {
+			if body, err = readInput(c.Body); err != nil {
 				return program.UsageError{Err: err}
 			}
 		}
-		r := c.one(ctx, lib, call{Model: c.Model, Request: body, Mark: c.Mark, Tenant: c.Tenant})
+		r := c.infer(ctx, library, call{Model: c.Model, Request: body, Mark: c.Mark, Tenant: c.Tenant})
 		c.print(os.Stdout, r)
 		if r.Outcome != "finished" {
 			return errors.New(r.Outcome + ": " + r.Why)
 		}
 		return nil
 	}
-	return c.file(ctx, lib)
+	return c.runFile(ctx, library)
 }
 
-func read(name string) ([]byte, error) {
+func readInput(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
 	}
@@ -119,8 +119,8 @@
 }
 
 // file makes the calls of a file, and prints their results in the order in which they end.
-func (c *cli) file(ctx context.Context, lib *client.Client) error {
-	text, err := read(c.Calls)
+func (c *cli) runFile(ctx context.Context, library *client.Client) error {
+	text, err := readInput(c.Calls)
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
@@ -158,9 +158,9 @@
 		wg.Go(func() {
 			defer func() { <-places }()
 			if x.Request == nil {
-				x.Request = empty
+				x.Request = emptyRequest
 			}
-			r := c.one(ctx, lib, x)
+			r := c.infer(ctx, library, x)
 			r.Line = i + 1
 			mu.Lock()
 			defer mu.Unlock()
@@ -176,7 +176,7 @@
 	return ctx.Err()
 }
 
-func (c *cli) one(ctx context.Context, lib *client.Client, x call) result {
+func (c *cli) infer(ctx context.Context, library *client.Client, x call) result {
 	effect, timeout := c.Effect, c.Timeout
 	if x.Effect != "" {
 		effect = x.Effect
@@ -190,7 +190,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	begun := time.Now()
-	a, err := lib.Infer(ctx, client.Call{Model: x.Model, Body: x.Request, Mark: x.Mark, Tenant: x.Tenant, Workload: client.Workload{Effect: effects[effect],
+	a, err := library.Infer(ctx, client.Call{Model: x.Model, Body: x.Request, Mark: x.Mark, Tenant: x.Tenant, Workload: client.Workload{Effect: effects[effect],
 		Narrow: c.Narrow, Window: c.Window, Remembered: c.Remembered, Hedge: c.Hedge}})
 	r := result{Model: x.Model, Outcome: "finished", Status: a.Status, Tries: a.Tries, Router: a.Router, Took: time.Since(begun).Microseconds(), Answer: a.Body}
 	var failed *client.Failed
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -23,8 +23,8 @@
 
 type cli struct {
 	program.CommonFlags
-	Servers servers `cmd:"" help:"Probe servers by address, or all of a list file. Runs nothing unless told to."`
-	Router  router  `cmd:"" help:"Ask a router at its admin address: state, snapshot, record-start, record-stop."`
+	Servers serversCommand `cmd:"" help:"Probe servers by address, or all of a list file. Runs nothing unless told to."`
+	Router  routerCommand  `cmd:"" help:"Ask a router at its admin address: state, snapshot, record-start, record-stop."`
 }
 
 func main() {
@@ -41,7 +41,7 @@
 	program.Exit("hmprobe", ctx.Run())
 }
 
-type servers struct {
+type serversCommand struct {
 	Addresses []string      `arg:"" optional:"" help:"Addresses of servers."`
 	List      string        `help:"List of servers (INI) to probe as well." type:"path"`
 	Rate      float64       `default:"10" help:"Servers a second, at most."`
@@ -51,7 +51,7 @@
 	JSON      bool          `name:"json" help:"Print a JSON object for each server."`
 }
 
-func (s servers) addresses() ([]string, error) {
+func (s serversCommand) addresses() ([]string, error) {
 	to := s.Addresses
 	if s.List != "" {
 		f, err := inifile.Load(s.List)
@@ -73,7 +73,7 @@
 }
 
 // Run probes each server in turn; a server that is not ready is a failure found.
-func (s servers) Run() error {
+func (s serversCommand) Run() error {
 	addresses, err := s.addresses()
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return nil
 }
 
-type router struct {
+type routerCommand struct {
 	Address string `arg:"" help:"The router's admin address."`
 	Ask     string `arg:"" enum:"state,snapshot,record-start,record-stop" help:"state, snapshot, record-start or record-stop."`
 	Folder  string `help:"Folder of the recording, as the router sees it." type:"path"`
@@ -117,7 +117,7 @@
 }
 
 // Run asks the router and prints its answer.
-func (r router) Run() error {
+func (r routerCommand) Run() error {
 	q := &rest.Request{Method: "GET", Target: "/router/" + r.Ask, Header: rest.Header{"Host": {r.Address}}}
 	switch r.Ask {
 	case "record-start":
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -65,53 +65,53 @@
 	WithdrawnAt control.Micros // since when no cluster names it; 0: one does
 	Held        bool           // withdrawn, but kept for now
 	Flapping    bool           // called draining for it
-	changes     []control.Micros
+	transitions []control.Micros
 	usable      bool
-	until       control.Micros // of Held
+	heldUntil   control.Micros // of Held
 }
 
 // cluster is what a source says of one cluster.
 type cluster struct {
-	named     bool // else only its endpoints came so far
-	endpoints map[string]Endpoint
-	reserve   reserve
+	announced  bool // else only its endpoints came so far
+	endpoints  map[string]Endpoint
+	priorities priorities
 }
 
 // Members is the model. It is for one goroutine.
 type Model struct {
-	bounds   Bounds
-	clusters map[string]*cluster
-	facts    map[string]*Server // by address
-	watched  map[string]bool    // of facts: those that time changes
-	calming  map[string]bool    // clusters with more levels in use than needed
-	together bool               // what is withdrawn waits in pending
-	pending  []*Server
-	orphans  int
-	broken   control.Micros // since when the source is down; 0: it is up
-	lost     []*Server      // usable servers withdrawn lately
-	version  uint64         // of the list, one more with each change
-	given    uint64         // the version last given
-	givenAt  control.Micros
-	told     map[string]fleet.Endpoint // as last given; nil: nothing was
-	stale    map[string]bool           // addresses whose entry may differ from that
-	notes    []string
+	bounds            Bounds
+	clusters          map[string]*cluster
+	servers           map[string]*Server // by address
+	timed             map[string]bool    // of facts: those that time changes
+	releasing         map[string]bool    // clusters with more levels in use than needed
+	batching          bool               // what is withdrawn waits in pending
+	batchWithdrawn    []*Server
+	orphanEndpoints   int
+	sourceDownSince   control.Micros // since when the source is down; 0: it is up
+	recentlyWithdrawn []*Server      // usable servers withdrawn lately
+	version           uint64         // of the list, one more with each change
+	takenVersion      uint64         // the version last given
+	takenAt           control.Micros
+	published         map[string]fleet.Endpoint // as last given; nil: nothing was
+	dirty             map[string]bool           // addresses whose entry may differ from that
+	logLines          []string
 }
 
 // New gives a model that knows nothing.
 func New(b Bounds) *Model {
-	return &Model{bounds: b, clusters: map[string]*cluster{}, facts: map[string]*Server{}, watched: map[string]bool{}, calming: map[string]bool{},
-		stale: map[string]bool{}}
+	return &Model{bounds: b, clusters: map[string]*cluster{}, servers: map[string]*Server{}, timed: map[string]bool{}, releasing: map[string]bool{},
+		dirty: map[string]bool{}}
 }
 
 // Source tells whether the source is up. While it is down all stands as it last said.
 func (m *Model) Source(now control.Micros, up bool) {
 	switch {
-	case up && m.broken > 0:
-		m.note("the source of the list is back after %d us", now-m.broken)
-		m.broken = 0
-	case !up && m.broken == 0:
-		m.note("the source of the list is down: the list stands as it was")
-		m.broken = now
+	case up && m.sourceDownSince > 0:
+		m.logf("the source of the list is back after %d us", now-m.sourceDownSince)
+		m.sourceDownSince = 0
+	case !up && m.sourceDownSince == 0:
+		m.logf("the source of the list is down: the list stands as it was")
+		m.sourceDownSince = now
 	}
 }
 
@@ -123,7 +123,7 @@
 		present[name] = true
 	}
 	m.Batch(now, func() {
-		for _, name := range sorted(m.clusters) {
+		for _, name := range sortedKeys(m.clusters) {
 			if !present[name] {
 				m.RemoveCluster(now, name)
 			}
@@ -137,34 +137,34 @@
 // AddCluster takes in that there is a cluster; its endpoints may have come before.
 func (m *Model) AddCluster(now control.Micros, name string) {
 	c := m.cluster(name)
-	if c.named {
+	if c.announced {
 		return
 	}
-	c.named = true
-	m.orphans -= len(c.endpoints)
-	m.settle(now, name, sorted(c.endpoints))
+	c.announced = true
+	m.orphanEndpoints -= len(c.endpoints)
+	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
 // RemoveCluster takes in that there is no such cluster any more.
 func (m *Model) RemoveCluster(now control.Micros, name string) {
 	c := m.clusters[name]
-	if c == nil || !c.named {
+	if c == nil || !c.announced {
 		return
 	}
 	delete(m.clusters, name)
-	m.settle(now, name, sorted(c.endpoints))
+	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
 // Endpoints takes in all endpoints of a cluster. An address named twice counts once, with its worse health. The error
 // tells that there are more of clusters not yet named than are kept; nothing of this call is then taken.
 func (m *Model) SetEndpoints(now control.Micros, name string, list []Endpoint) error {
 	c := m.clusters[name]
-	if c == nil || !c.named {
+	if c == nil || !c.announced {
 		before := 0
 		if c != nil {
 			before = len(c.endpoints)
 		}
-		if m.orphans-before+len(list) > m.bounds.MaxOrphans {
+		if m.orphanEndpoints-before+len(list) > m.bounds.MaxOrphans {
 			return fmt.Errorf("cluster %s is not known, and there are too many endpoints of such clusters", name)
 		}
 	}
@@ -177,9 +177,9 @@
 		}
 		c.endpoints[e.Address] = e
 	}
-	m.weigh(now, name, c)
-	if !c.named {
-		m.orphans += len(c.endpoints) - len(old)
+	m.updatePriorities(now, name, c)
+	if !c.announced {
+		m.orphanEndpoints += len(c.endpoints) - len(old)
 		return nil
 	}
 	var touched []string
@@ -194,14 +194,14 @@
 		}
 	}
 	slices.Sort(touched)
-	m.settle(now, name, touched)
+	m.reconcile(now, name, touched)
 	return nil
 }
 
 // Forget drops the endpoints of a cluster that never came.
 func (m *Model) ForgetCluster(name string) {
-	if c := m.clusters[name]; c != nil && !c.named {
-		m.orphans -= len(c.endpoints)
+	if c := m.clusters[name]; c != nil && !c.announced {
+		m.orphanEndpoints -= len(c.endpoints)
 		delete(m.clusters, name)
 	}
 }
@@ -216,240 +216,240 @@
 }
 
 // badness orders healths: what one cluster calls draining takes nothing new, whatever another says.
-var badness = [...]int{Healthy: 0, Unknown: 1, Degraded: 2, Timeout: 3, Unhealthy: 4, Draining: 5}
+var severity = [...]int{Healthy: 0, Unknown: 1, Degraded: 2, Timeout: 3, Unhealthy: 4, Draining: 5}
 
 func worse(a, b Health) Health {
-	if badness[b] > badness[a] {
+	if severity[b] > severity[a] {
 		return b
 	}
 	return a
 }
 
 // usable tells whether jobs may go to an endpoint by what its source says.
-func (h Health) usable() bool { return badness[h] < badness[Timeout] }
+func (h Health) usable() bool { return severity[h] < severity[Timeout] }
 
 // settle works out some servers anew, of which one cluster said something else: from that one and those that named them
 // before, so that its cost grows with the change alone.
-func (m *Model) settle(now control.Micros, changed string, touched []string) {
+func (m *Model) reconcile(now control.Micros, clusterName string, addresses []string) {
 	var withdrawn []*Server
-	back := false
-	for _, a := range touched {
-		m.stale[a] = true
-		f := m.facts[a]
-		names := []string{changed}
-		if f != nil {
-			names = append(names, f.Clusters...)
+	heldReturned := false
+	for _, address := range addresses {
+		m.dirty[address] = true
+		server := m.servers[address]
+		names := []string{clusterName}
+		if server != nil {
+			names = append(names, server.Clusters...)
 			slices.Sort(names)
 			names = slices.Compact(names)
 		}
-		var e Endpoint
-		var in []string
+		var merged Endpoint
+		var naming []string
 		for _, name := range names {
 			c := m.clusters[name]
-			if c == nil || !c.named {
+			if c == nil || !c.announced {
 				continue
 			}
-			x, there := c.endpoints[a]
-			if !there {
+			endpoint, named := c.endpoints[address]
+			if !named {
 				continue
 			}
-			if len(in) == 0 {
-				e = x
+			if len(naming) == 0 {
+				merged = endpoint
 			} else { // the first cluster by name tells all but these
-				e.Health, e.StartedAt = worse(e.Health, x.Health), max(e.StartedAt, x.StartedAt)
+				merged.Health, merged.StartedAt = worse(merged.Health, endpoint.Health), max(merged.StartedAt, endpoint.StartedAt)
 			}
-			in = append(in, name)
+			naming = append(naming, name)
 		}
 		switch {
-		case f == nil && len(in) == 0:
-		case len(in) == 0:
-			if f.WithdrawnAt == 0 {
-				f.WithdrawnAt, f.Clusters = now, nil
-				m.watched[a] = true
-				withdrawn = append(withdrawn, f)
+		case server == nil && len(naming) == 0:
+		case len(naming) == 0:
+			if server.WithdrawnAt == 0 {
+				server.WithdrawnAt, server.Clusters = now, nil
+				m.timed[address] = true
+				withdrawn = append(withdrawn, server)
 			}
-		case f == nil:
-			f = &Server{Endpoint: e, Clusters: in, FirstSeen: now, UpdatedAt: now, usable: e.Health.usable()}
-			m.facts[a] = f
+		case server == nil:
+			server = &Server{Endpoint: merged, Clusters: naming, FirstSeen: now, UpdatedAt: now, usable: merged.Health.usable()}
+			m.servers[address] = server
 			m.version++
 		default:
-			if f.WithdrawnAt > 0 || f.Endpoint != e {
+			if server.WithdrawnAt > 0 || server.Endpoint != merged {
 				m.version++
-				f.UpdatedAt = now
+				server.UpdatedAt = now
 			}
-			back = back || f.Held
-			f.Endpoint, f.Clusters, f.WithdrawnAt, f.Held = e, in, 0, false
-			m.changed(now, f, e.Health.usable())
+			heldReturned = heldReturned || server.Held
+			server.Endpoint, server.Clusters, server.WithdrawnAt, server.Held = merged, naming, 0, false
+			m.recordUsability(now, server, merged.Health.usable())
 		}
 	}
-	if back {
-		m.mostAreBack(now)
+	if heldReturned {
+		m.shortenHold(now)
 	}
-	if m.together {
-		m.pending = append(m.pending, withdrawn...)
+	if m.batching {
+		m.batchWithdrawn = append(m.batchWithdrawn, withdrawn...)
 	} else {
-		m.withdraw(now, withdrawn)
+		m.judgeWithdrawals(now, withdrawn)
 	}
 }
 
 // mostAreBack looks, once servers that were kept are named again, whether those that still are not are few enough to have
 // been withdrawn by intent.
-func (m *Model) mostAreBack(now control.Micros) {
+func (m *Model) shortenHold(now control.Micros) {
 	var held []*Server
-	there := 0
-	for _, f := range m.facts {
-		if f.Held {
-			held = append(held, f)
+	usable := 0
+	for _, server := range m.servers {
+		if server.Held {
+			held = append(held, server)
 		}
-		if f.Health.usable() && (f.WithdrawnAt == 0 || f.Held) {
-			there++
+		if server.Health.usable() && (server.WithdrawnAt == 0 || server.Held) {
+			usable++
 		}
 	}
-	if float64(len(held)) > m.bounds.MassWithdrawalShare*float64(there) {
+	if float64(len(held)) > m.bounds.MassWithdrawalShare*float64(usable) {
 		return
 	}
-	for _, f := range held {
-		f.until = min(f.until, now+m.bounds.SettleTime)
+	for _, server := range held {
+		server.heldUntil = min(server.heldUntil, now+m.bounds.SettleTime)
 	}
 }
 
 // Together takes in several things that were said in one breath: servers that one of them withdraws and another names are
 // not withdrawn, and what all of them withdraw counts as one.
-func (m *Model) Batch(now control.Micros, f func()) {
-	m.together = true
-	f()
-	m.together = false
-	fs := slices.DeleteFunc(m.pending, func(f *Server) bool { return f.WithdrawnAt == 0 })
-	m.pending = nil
-	m.withdraw(now, fs)
+func (m *Model) Batch(now control.Micros, apply func()) {
+	m.batching = true
+	apply()
+	m.batching = false
+	withdrawn := slices.DeleteFunc(m.batchWithdrawn, func(apply *Server) bool { return apply.WithdrawnAt == 0 })
+	m.batchWithdrawn = nil
+	m.judgeWithdrawals(now, withdrawn)
 }
 
 // changed notes a change between usable and not, and whether there were too many.
-func (m *Model) changed(now control.Micros, f *Server, usable bool) {
-	if f.usable == usable {
+func (m *Model) recordUsability(now control.Micros, server *Server, usable bool) {
+	if server.usable == usable {
 		return
 	}
-	f.usable = usable
-	f.changes = append(recent(f.changes, now-m.bounds.StableTime), now)
-	if len(f.changes) >= m.bounds.FlapLimit && !f.Flapping {
-		f.Flapping = true
-		m.watched[f.Address] = true
-		m.note("server %s comes and goes: it gets nothing until it is calm", f.Address)
+	server.usable = usable
+	server.transitions = append(notBefore(server.transitions, now-m.bounds.StableTime), now)
+	if len(server.transitions) >= m.bounds.FlapLimit && !server.Flapping {
+		server.Flapping = true
+		m.timed[server.Address] = true
+		m.logf("server %s comes and goes: it gets nothing until it is calm", server.Address)
 	}
 }
 
-func recent(ts []control.Micros, from control.Micros) []control.Micros {
+func notBefore(times []control.Micros, from control.Micros) []control.Micros {
 	i := 0
-	for i < len(ts) && ts[i] < from {
+	for i < len(times) && times[i] < from {
 		i++
 	}
-	return ts[i:]
+	return times[i:]
 }
 
 // withdraw decides about servers that no cluster names any more. Those that could not be used anyway are gone. Of the
 // others a few at a time are gone at once; where in one moment more than the told share go, all of that moment stay.
-func (m *Model) withdraw(now control.Micros, fs []*Server) {
-	fs = slices.DeleteFunc(fs, func(f *Server) bool {
+func (m *Model) judgeWithdrawals(now control.Micros, withdrawn []*Server) {
+	withdrawn = slices.DeleteFunc(withdrawn, func(f *Server) bool {
 		if !f.Health.usable() {
-			m.drop(now, f)
+			m.remove(now, f)
 			return true
 		}
 		return false
 	})
-	if len(fs) == 0 {
+	if len(withdrawn) == 0 {
 		return
 	}
-	m.lost = slices.DeleteFunc(m.lost, func(f *Server) bool { return f.WithdrawnAt == 0 || f.WithdrawnAt < now-m.bounds.WithdrawalWindow }) // some are back
-	m.lost = append(m.lost, fs...)
-	if len(m.lost) <= m.bounds.MassWithdrawalMin { // as it mostly is: then nothing need be counted
-		for _, f := range fs {
-			m.drop(now, f)
+	m.recentlyWithdrawn = slices.DeleteFunc(m.recentlyWithdrawn, func(f *Server) bool { return f.WithdrawnAt == 0 || f.WithdrawnAt < now-m.bounds.WithdrawalWindow }) // some are back
+	m.recentlyWithdrawn = append(m.recentlyWithdrawn, withdrawn...)
+	if len(m.recentlyWithdrawn) <= m.bounds.MassWithdrawalMin { // as it mostly is: then nothing need be counted
+		for _, f := range withdrawn {
+			m.remove(now, f)
 		}
 		return
 	}
-	there := 0
-	for _, f := range m.facts {
+	before := 0
+	for _, f := range m.servers {
 		if f.Health.usable() && (f.WithdrawnAt == 0 || f.Held || f.WithdrawnAt == now) {
-			there++
+			before++
 		}
 	}
-	for _, f := range m.lost { // as many as there were before this moment
-		if !f.Held && !slices.Contains(fs, f) {
-			there++
+	for _, f := range m.recentlyWithdrawn { // as many as there were before this moment
+		if !f.Held && !slices.Contains(withdrawn, f) {
+			before++
 		}
 	}
-	if float64(len(m.lost)) > m.bounds.MassWithdrawalShare*float64(there) {
-		m.note("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.lost), there, m.bounds.HoldTime)
-		for _, f := range fs {
-			f.Held, f.until = true, now+m.bounds.HoldTime
+	if float64(len(m.recentlyWithdrawn)) > m.bounds.MassWithdrawalShare*float64(before) {
+		m.logf("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
+		for _, f := range withdrawn {
+			f.Held, f.heldUntil = true, now+m.bounds.HoldTime
 		}
 		m.version++
 		return
 	}
-	for _, f := range fs {
-		m.drop(now, f)
+	for _, f := range withdrawn {
+		m.remove(now, f)
 	}
 }
 
 // drop has a server gone. Its fact stays for as long as it could flap.
-func (m *Model) drop(now control.Micros, f *Server) {
-	f.Held = false
-	m.stale[f.Address] = true
-	m.changed(now, f, false)
+func (m *Model) remove(now control.Micros, server *Server) {
+	server.Held = false
+	m.dirty[server.Address] = true
+	m.recordUsability(now, server, false)
 	m.version++
 }
 
 // Tick ends what has lasted long enough: what was held is believed gone, what flapped is calm. It gives when it must be
 // called again; 0: when something changes.
 func (m *Model) Tick(now control.Micros) (next control.Micros) {
-	wake := func(at control.Micros) {
+	wakeAt := func(at control.Micros) {
 		if next == 0 || at < next {
 			next = at
 		}
 	}
-	held := 0
-	for _, a := range sorted(m.watched) {
-		f := m.facts[a]
+	expired := 0
+	for _, address := range sortedKeys(m.timed) {
+		server := m.servers[address]
 		// A source that is down can't take back what it said: the time counts only while it is up.
-		if f.Held && m.broken == 0 {
-			if now >= f.until {
-				m.drop(now, f)
-				held++
+		if server.Held && m.sourceDownSince == 0 {
+			if now >= server.heldUntil {
+				m.remove(now, server)
+				expired++
 			} else {
-				wake(f.until)
+				wakeAt(server.heldUntil)
 			}
 		}
-		if n := len(f.changes); f.Flapping && n > 0 {
-			if calm := f.changes[n-1] + m.bounds.StableTime; now >= calm {
-				f.Flapping, f.changes = false, nil
-				m.stale[a] = true
+		if n := len(server.transitions); server.Flapping && n > 0 {
+			if stableAt := server.transitions[n-1] + m.bounds.StableTime; now >= stableAt {
+				server.Flapping, server.transitions = false, nil
+				m.dirty[address] = true
 				m.version++
 			} else {
-				wake(calm)
+				wakeAt(stableAt)
 			}
 		}
-		if f.WithdrawnAt > 0 && !f.Held && !f.Flapping && now >= f.WithdrawnAt+m.bounds.StableTime {
-			delete(m.facts, a)
-			delete(m.watched, a)
-		} else if f.WithdrawnAt > 0 && !f.Held {
-			wake(f.WithdrawnAt + m.bounds.StableTime)
-		} else if f.WithdrawnAt == 0 && !f.Flapping {
-			delete(m.watched, a)
+		if server.WithdrawnAt > 0 && !server.Held && !server.Flapping && now >= server.WithdrawnAt+m.bounds.StableTime {
+			delete(m.servers, address)
+			delete(m.timed, address)
+		} else if server.WithdrawnAt > 0 && !server.Held {
+			wakeAt(server.WithdrawnAt + m.bounds.StableTime)
+		} else if server.WithdrawnAt == 0 && !server.Flapping {
+			delete(m.timed, address)
 		}
 	}
-	m.relieve(now, wake)
-	if m.version != m.given && m.givenAt > 0 {
-		wake(max(now, m.nextNews()))
+	m.releasePriorities(now, wakeAt)
+	if m.version != m.takenVersion && m.takenAt > 0 {
+		wakeAt(max(now, m.nextUpdateAt()))
 	}
-	if held > 0 {
-		m.note("%d servers stayed withdrawn: they are believed gone", held)
+	if expired > 0 {
+		m.logf("%d servers stayed withdrawn: they are believed gone", expired)
 	}
 	return next
 }
 
-func sorted[T any](by map[string]T) []string {
-	keys := make([]string, 0, len(by))
-	for k := range by {
+func sortedKeys[T any](byKey map[string]T) []string {
+	keys := make([]string, 0, len(byKey))
+	for k := range byKey {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
@@ -458,38 +458,38 @@
 
 // pausePer is the pause between two tellings of the list, for each server on it: to tell one takes some 0.5 us a server, so a
 // source that changes all the time costs at most a quarter of a processor, and 10 000 servers wait no longer than 20 ms.
-const pausePer = control.Micros(2)
+const updatePausePerServer = control.Micros(2)
 
 // News gives what differs from the list as it was last given, the first time all of it, unless that was a moment ago; Tick then
 // tells when to ask again.
-func (m *Model) TakeUpdate(now control.Micros) (list fleet.Update, news bool) {
-	if m.version == m.given || m.givenAt > 0 && now < m.nextNews() {
+func (m *Model) TakeUpdate(now control.Micros) (update fleet.Update, changed bool) {
+	if m.version == m.takenVersion || m.takenAt > 0 && now < m.nextUpdateAt() {
 		return fleet.Update{}, false
 	}
-	m.given, m.givenAt = m.version, now
-	list = m.differing()
-	clear(m.stale)
-	return list, true
+	m.takenVersion, m.takenAt = m.version, now
+	update = m.changedEndpoints()
+	clear(m.dirty)
+	return update, true
 }
 
-func (m *Model) differing() (list fleet.Update) {
-	if m.told == nil {
-		m.told = map[string]fleet.Endpoint{}
+func (m *Model) changedEndpoints() (list fleet.Update) {
+	if m.published == nil {
+		m.published = map[string]fleet.Endpoint{}
 		list = fleet.Update{Full: true, Endpoints: m.List()}
 		for _, e := range list.Endpoints {
-			m.told[e.Address] = e
+			m.published[e.Address] = e
 		}
 		return list
 	}
-	for _, a := range sorted(m.stale) {
-		was, known := m.told[a]
-		is, listed := m.entry(m.facts[a])
+	for _, address := range sortedKeys(m.dirty) {
+		was, known := m.published[address]
+		is, listed := m.listed(m.servers[address])
 		switch {
 		case listed && is != was:
-			m.told[a] = is
+			m.published[address] = is
 			list.Endpoints = append(list.Endpoints, is)
 		case !listed && known:
-			delete(m.told, a)
+			delete(m.published, address)
 			was.State = control.Removed
 			list.Endpoints = append(list.Endpoints, was)
 		}
@@ -497,7 +497,9 @@
 	return list
 }
 
-func (m *Model) nextNews() control.Micros { return m.givenAt + pausePer*control.Micros(len(m.facts)) }
+func (m *Model) nextUpdateAt() control.Micros {
+	return m.takenAt + updatePausePerServer*control.Micros(len(m.servers))
+}
 
 // Version counts the changes of the list.
 func (m *Model) Version() uint64 { return m.version }
@@ -505,9 +507,9 @@
 // List gives the servers as the module is to be told, by address: those that are usable as ready, those that are not as
 // draining, and none that are gone.
 func (m *Model) List() []fleet.Endpoint {
-	list := make([]fleet.Endpoint, 0, len(m.facts))
-	for _, f := range m.facts {
-		if e, listed := m.entry(f); listed {
+	list := make([]fleet.Endpoint, 0, len(m.servers))
+	for _, f := range m.servers {
+		if e, listed := m.listed(f); listed {
 			list = append(list, e)
 		}
 	}
@@ -516,51 +518,51 @@
 }
 
 // entry gives a server as the module is to be told, where it is on the list.
-func (m *Model) entry(f *Server) (e fleet.Endpoint, listed bool) {
-	if f == nil || f.WithdrawnAt > 0 && !f.Held {
+func (m *Model) listed(server *Server) (endpoint fleet.Endpoint, ok bool) {
+	if server == nil || server.WithdrawnAt > 0 && !server.Held {
 		return fleet.Endpoint{}, false
 	}
-	e = fleet.Endpoint{Address: f.Address, State: control.Ready, Zone: f.Zone, Cell: f.Cell, Weight: power(f.Endpoint), StartedAt: f.StartedAt}
-	if !f.Health.usable() || f.Flapping || m.inReserve(f) {
-		e.State = control.Draining
+	endpoint = fleet.Endpoint{Address: server.Address, State: control.Ready, Zone: server.Zone, Cell: server.Cell, Weight: weight(server.Endpoint), StartedAt: server.StartedAt}
+	if !server.Health.usable() || server.Flapping || m.inReserve(server) {
+		endpoint.State = control.Draining
 	}
-	return e, true
+	return endpoint, true
 }
 
 // power is a server's share of work by its weight. Envoy's weights are relative; hundred is commonly meant for one whole. A
 // degraded endpoint is to get little while others are well.
-func power(e Endpoint) float64 {
-	p := 1.0
-	if e.Weight > 0 {
-		p = float64(e.Weight) / 100
+func weight(endpoint Endpoint) float64 {
+	weight := 1.0
+	if endpoint.Weight > 0 {
+		weight = float64(endpoint.Weight) / 100
 	}
-	if e.Health == Degraded {
-		p /= 10
+	if endpoint.Health == Degraded {
+		weight /= 10
 	}
-	return min(max(p, 0.001), 1e6)
+	return min(max(weight, 0.001), 1e6)
 }
 
 // Facts gives what is known of every server, by address.
 func (m *Model) Servers() []Server {
-	var fs []Server
-	for _, a := range sorted(m.facts) {
-		f := *m.facts[a]
-		f.changes = nil
-		fs = append(fs, f)
+	var servers []Server
+	for _, a := range sortedKeys(m.servers) {
+		f := *m.servers[a]
+		f.transitions = nil
+		servers = append(servers, f)
 	}
-	return fs
+	return servers
 }
 
 // Broken tells since when the source is down; 0: it is up.
-func (m *Model) SourceDownSince() control.Micros { return m.broken }
+func (m *Model) SourceDownSince() control.Micros { return m.sourceDownSince }
 
-func (m *Model) note(format string, args ...any) {
-	m.notes = append(m.notes, fmt.Sprintf(format, args...))
+func (m *Model) logf(format string, args ...any) {
+	m.logLines = append(m.logLines, fmt.Sprintf(format, args...))
 }
 
 // Notes gives what is to be told operators since the last call.
 func (m *Model) TakeLogLines() []string {
-	notes := m.notes
-	m.notes = nil
+	notes := m.logLines
+	m.logLines = nil
 	return notes
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -438,7 +438,7 @@
 		t.Errorf("told %d times in a second", given)
 	}
 	last, news := m.TakeUpdate(m.Tick(now))
-	if m.version == m.given && !news {
+	if m.version == m.takenVersion && !news {
 		return // the last change was told at once
 	}
 	if !news || last.Endpoints[0].Weight != float64(uint32(now))/100 {
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -44,64 +44,64 @@
 // Server probes one server. It runs nothing unless a model is named.
 func Server(ctx context.Context, address string, ask Options) Finding {
 	f := Finding{Address: address}
-	begun := time.Now()
-	dialling, cancel := context.WithTimeout(ctx, ask.Timeout)
+	started := time.Now()
+	dialCtx, cancel := context.WithTimeout(ctx, ask.Timeout)
 	defer cancel()
-	c, err := rest.Dial(dialling, address, &rest.DefaultLimits)
+	conn, err := rest.Dial(dialCtx, address, &rest.DefaultLimits)
 	if err != nil {
 		f.Problem = "no connection: " + err.Error()
 		return f
 	}
-	defer func() { c.Close() }()
+	defer func() { conn.Close() }()
 	call := func(kind kserve.Kind, method string) *rest.Response {
-		p, progress, err := c.Do(&rest.Request{Method: method, Target: kserve.Call{Kind: kind}.Target(), Header: rest.Header{"Host": {address}}},
+		response, progress, err := conn.Do(&rest.Request{Method: method, Target: kserve.Call{Kind: kind}.Target(), Header: rest.Header{"Host": {address}}},
 			time.Now().Add(ask.Timeout))
 		if err != nil {
 			f.Problem = strings.TrimPrefix(f.Problem+"; ", "; ") + gateway.ResultName(gateway.BrokenExchangeResult(progress, err)) + ": " + err.Error()
-			c.Close()
+			conn.Close()
 			if c2, err := rest.Dial(ctx, address, &rest.DefaultLimits); err == nil {
-				c = c2
+				conn = c2
 			}
 			return nil
 		}
-		if o := gateway.OutcomeOf(p, false); o.Report != nil {
+		if o := gateway.OutcomeOf(response, false); o.Report != nil {
 			f.Load = o.Report
 		}
-		return p
+		return response
 	}
-	if p := call(kserve.ServerReady, "GET"); p != nil {
-		f.Ready = p.Status == 200
+	if response := call(kserve.ServerReady, "GET"); response != nil {
+		f.Ready = response.Status == 200
 		if !f.Ready {
-			f.Problem = fmt.Sprintf("status %d", p.Status)
+			f.Problem = fmt.Sprintf("status %d", response.Status)
 		}
 	}
-	f.Duration = control.Micros(time.Since(begun).Microseconds())
-	if p := call(kserve.RepositoryIndex, "POST"); p != nil && p.Status == 200 {
-		if f.Models, err = kserve.ReadIndex(p.Body); err != nil {
+	f.Duration = control.Micros(time.Since(started).Microseconds())
+	if response := call(kserve.RepositoryIndex, "POST"); response != nil && response.Status == 200 {
+		if f.Models, err = kserve.ReadIndex(response.Body); err != nil {
 			f.Problem = "its index can't be read: " + err.Error()
 		}
 	}
 	if ask.Model != "" {
-		f.Run = run(c, address, ask)
+		f.Run = runModel(conn, address, ask)
 	}
 	return f
 }
 
 // run runs one job.
-func run(c *rest.Client, address string, ask Options) *Run {
-	begun := time.Now()
-	p, progress, err := c.Do(&rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.Infer, Model: ask.Model}.Target(),
+func runModel(conn *rest.Client, address string, ask Options) *Run {
+	started := time.Now()
+	response, progress, err := conn.Do(&rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.Infer, Model: ask.Model}.Target(),
 		Header: rest.Header{"Host": {address}, "Content-Type": {"application/json"}}, Body: ask.Body}, time.Now().Add(ask.Timeout))
-	r := &Run{Duration: control.Micros(time.Since(begun).Microseconds())}
+	run := &Run{Duration: control.Micros(time.Since(started).Microseconds())}
 	var result control.Result
 	if err != nil {
-		result, r.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
+		result, run.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
 	} else {
-		o := gateway.OutcomeOf(p, false)
-		result, r.Status, r.CacheStatus = o.Result, p.Status, o.CacheStatus
+		o := gateway.OutcomeOf(response, false)
+		result, run.Status, run.CacheStatus = o.Result, response.Status, o.CacheStatus
 	}
-	r.Result, r.MayHaveRun = gateway.ResultName(result), !result.ProvesNotRun()
-	return r
+	run.Result, run.MayHaveRun = gateway.ResultName(result), !result.ProvesNotRun()
+	return run
 }
 
 // Text tells a finding in plain words.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -34,53 +34,53 @@
 
 // The bounds of a call. Four tries give nearly all that tries can give; fifty milliseconds is a few times a usual job's way.
 const (
-	mostTries = 4
-	base      = control.Micros(50_000)    // of the backoff, doubled with each try
-	longest   = control.Micros(2_000_000) // of the backoff
-	least     = control.Micros(20_000)    // left of the deadline, below which a try can't be answered
-	travel    = control.Micros(50_000)    // far longer than any hop on the way to a server
+	maxAttempts  = 4
+	backoffBase  = control.Micros(50_000)    // of the backoff, doubled with each try
+	backoffMax   = control.Micros(2_000_000) // of the backoff
+	minRemaining = control.Micros(20_000)    // left of the deadline, below which a try can't be answered
+	maxTransit   = control.Micros(50_000)    // far longer than any hop on the way to a server
 )
 
 // Call is one call with all its tries. It has one deadline.
 type Call struct {
-	Class    Class
-	Deadline control.Micros
-	tries    int
-	first    control.Micros // when the first try that may have run was sent; 0: none may
-	bound    int            // the router that alone may be asked again; -1: any
-	out      int
-	over     bool
+	Class           Class
+	Deadline        control.Micros
+	attempts        int
+	firstMayHaveRun control.Micros // when the first try that may have run was sent; 0: none may
+	pinnedRouter    int            // the router that alone may be asked again; -1: any
+	inFlight        int
+	done            bool
 }
 
 // Begin begins a call.
-func NewCall(w Class, deadline control.Micros) *Call {
-	return &Call{Class: w, Deadline: deadline, bound: -1}
+func NewCall(class Class, deadline control.Micros) *Call {
+	return &Call{Class: class, Deadline: deadline, pinnedRouter: -1}
 }
 
 // Tries counts those made.
-func (c *Call) Attempts() int { return c.tries }
+func (c *Call) Attempts() int { return c.attempts }
 
 // Bound is the only router that may be asked; -1: any may.
-func (c *Call) PinnedRouter() int { return c.bound }
+func (c *Call) PinnedRouter() int { return c.pinnedRouter }
 
 // Sent counts a try that goes out now. False means that it must not: the deadline is too near, the call is over, or repeats of what
 // may have run would no longer be known.
 func (c *Call) BeginAttempt(now control.Micros) bool {
-	if c.over || now+least > c.Deadline || c.tries > 0 && c.out == 0 && !c.mayRepeat(now) {
+	if c.done || now+minRemaining > c.Deadline || c.attempts > 0 && c.inFlight == 0 && !c.mayRetry(now) {
 		return false
 	}
-	c.tries++
-	c.out++
+	c.attempts++
+	c.inFlight++
 	return true
 }
 
 // mayRepeat tells whether another try does no harm if the earlier ones ran.
-func (c *Call) mayRepeat(now control.Micros) bool {
+func (c *Call) mayRetry(now control.Micros) bool {
 	switch {
-	case c.first == 0 || c.Class.Effect == control.Idempotent || c.bound >= 0:
+	case c.firstMayHaveRun == 0 || c.Class.Effect == control.Idempotent || c.pinnedRouter >= 0:
 		return true
 	case c.Class.Effect == control.IdempotentByKey && c.Class.Scope == control.WholeFleet:
-		return now+travel < c.first+c.Class.Window
+		return now+maxTransit < c.firstMayHaveRun+c.Class.Window
 	}
 	return false
 }
@@ -93,54 +93,54 @@
 }
 
 // After takes in how a try ended that was sent at some time to a router, with the pause that the router advised.
-func (c *Call) HandleOutcome(now control.Micros, e Outcome, sent control.Micros, router int, advised control.Micros, b *Budget, chance *rand.Rand) Decision {
-	c.out--
-	if (e == Failed || e == Lost) && (c.first == 0 || sent < c.first) {
-		c.first = sent
+func (c *Call) HandleOutcome(now control.Micros, outcome Outcome, sentAt control.Micros, router int, advised control.Micros, budget *Budget, random *rand.Rand) Decision {
+	c.inFlight--
+	if (outcome == Failed || outcome == Lost) && (c.firstMayHaveRun == 0 || sentAt < c.firstMayHaveRun) {
+		c.firstMayHaveRun = sentAt
 	}
 	switch {
-	case e == Succeeded || e == Invalid:
-		c.over = true
-	case c.over || c.out > 0 || c.tries >= mostTries:
-	case e == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
-		c.bound = router // only it knows whether the job may run again
-		return c.again(now, Backoff(c.tries, chance), false, b)
-	case c.bound >= 0 && e == NotSent: // it is not back yet
-		return c.again(now, Backoff(c.tries, chance), false, b)
-	case e == Rejected:
-		pause := Backoff(c.tries, chance)
+	case outcome == Succeeded || outcome == Invalid:
+		c.done = true
+	case c.done || c.inFlight > 0 || c.attempts >= maxAttempts:
+	case outcome == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
+		c.pinnedRouter = router // only it knows whether the job may run again
+		return c.retry(now, Backoff(c.attempts, random), false, budget)
+	case c.pinnedRouter >= 0 && outcome == NotSent: // it is not back yet
+		return c.retry(now, Backoff(c.attempts, random), false, budget)
+	case outcome == Rejected:
+		delay := Backoff(c.attempts, random)
 		if advised > 0 { // all who were pushed back together heard the same: none comes sooner, all spread over as long again
-			pause = advised + control.Micros(chance.Int64N(int64(advised)))
+			delay = advised + control.Micros(random.Int64N(int64(advised)))
 		}
-		return c.again(now, pause, true, b)
-	case e == NotSent && c.tries == 1:
-		return c.again(now, 0, true, b) // another router may be well
-	case e == NotSent, c.mayRepeat(now):
-		return c.again(now, Backoff(c.tries, chance), true, b)
+		return c.retry(now, delay, true, budget)
+	case outcome == NotSent && c.attempts == 1:
+		return c.retry(now, 0, true, budget) // another router may be well
+	case outcome == NotSent, c.mayRetry(now):
+		return c.retry(now, Backoff(c.attempts, random), true, budget)
 	}
-	if c.out == 0 {
-		c.over = true
+	if c.inFlight == 0 {
+		c.done = true
 	}
 	return Decision{Done: true}
 }
 
-func (c *Call) again(now, pause control.Micros, other bool, b *Budget) Decision {
-	at := now + pause
-	if at+least > c.Deadline || c.first > 0 && !c.mayRepeat(at) || !b.TryWithdraw() {
-		c.over = true
+func (c *Call) retry(now, delay control.Micros, other bool, budget *Budget) Decision {
+	at := now + delay
+	if at+minRemaining > c.Deadline || c.firstMayHaveRun > 0 && !c.mayRetry(at) || !budget.TryWithdraw() {
+		c.done = true
 		return Decision{Done: true}
 	}
 	return Decision{RetryAt: at, OtherRouter: other}
 }
 
 // Hedge tells whether a second try may run beside the one that is out.
-func (c *Call) AllowHedge(now control.Micros, b *Budget) bool {
-	return !c.over && c.Class.HedgeSafe && c.Class.Effect == control.Idempotent && c.out == 1 && c.tries == 1 && now+least <= c.Deadline && b.TryWithdraw()
+func (c *Call) AllowHedge(now control.Micros, budget *Budget) bool {
+	return !c.done && c.Class.HedgeSafe && c.Class.Effect == control.Idempotent && c.inFlight == 1 && c.attempts == 1 && now+minRemaining <= c.Deadline && budget.TryWithdraw()
 }
 
 // Pause is a try's backoff with full jitter: anything between nothing and a span that doubles with each try.
-func Backoff(tries int, chance *rand.Rand) control.Micros {
-	return control.Micros(chance.Int64N(int64(min(longest, base<<min(tries-1, 10))) + 1))
+func Backoff(attempts int, random *rand.Rand) control.Micros {
+	return control.Micros(random.Int64N(int64(min(backoffMax, backoffBase<<min(attempts-1, 10))) + 1))
 }
 
 // Budget keeps retries a small part of calls, whatever goes wrong: each call earns a part of a retry. It begins with a few, so that
@@ -151,15 +151,15 @@
 
 // The budget's figures: a tenth more load is what retries may add in the worst case; ten stand for a burst.
 const (
-	earned = 0.1
-	burst  = 10.0
+	depositPerCall = 0.1
+	maxTokens      = 10.0
 )
 
 // NewBudget gives a full one.
-func NewBudget() *Budget { return &Budget{tokens: burst} }
+func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
 // Earn counts a first try.
-func (b *Budget) Deposit() { b.tokens = min(burst, b.tokens+earned) }
+func (b *Budget) Deposit() { b.tokens = min(maxTokens, b.tokens+depositPerCall) }
 
 // Spend takes a retry's worth, if there is one.
 func (b *Budget) TryWithdraw() bool {
@@ -172,49 +172,49 @@
 
 // Routers are those that a client may ask, and what it has seen of them.
 type Routers struct {
-	rs   []router
-	next int
+	routers []router
+	next    int
 }
 
 type router struct {
-	fails   int // in a row
-	ejected int // times in a row
-	until   control.Micros
-	lost    []control.Micros // connections lost lately
-	open    int
-	permits []control.Micros // when lost connections may be made anew, ascending
+	failures     int // in a row
+	ejections    int // times in a row
+	ejectedUntil control.Micros
+	recentLosses []control.Micros // connections lost lately
+	connections  int
+	reconnectAt  []control.Micros // when lost connections may be made anew, ascending
 }
 
 // Bounds of ejection: three failures in a row are hardly chance; a second is a router's restart, half a minute an outage.
 const (
-	failsOut = 3
-	outFirst = control.Micros(1_000_000)
-	outMost  = control.Micros(30_000_000)
+	ejectionThreshold = 3
+	ejectionBase      = control.Micros(1_000_000)
+	ejectionMax       = control.Micros(30_000_000)
 )
 
 // Bounds of a mass loss: half of the connections, and over two, within a second, are lost together; spread is the time over which
 // they come back.
 const (
-	massWithin = control.Micros(1_000_000)
-	massLeast  = 3
-	spread     = control.Micros(5_000_000)
+	massLossWindow  = control.Micros(1_000_000)
+	massLossMin     = 3
+	reconnectSpread = control.Micros(5_000_000)
 )
 
 // NewRouters gives n routers, of which a client begins anywhere.
 func NewRouters(n, begin int) *Routers {
-	return &Routers{rs: make([]router, n), next: begin % max(1, n)}
+	return &Routers{routers: make([]router, n), next: begin % max(1, n)}
 }
 
 // Pick gives the router for a try: the next in turn that is not ejected and is not the one to avoid, if there is such; else the
 // next that is not ejected, else the one whose ejection ends first.
 func (r *Routers) Pick(now control.Micros, avoid int) int {
-	best, soonest := -1, 0
-	for k := range r.rs {
-		i := (r.next + k) % len(r.rs)
-		if r.rs[i].until < r.rs[soonest].until {
-			soonest = i
+	best, firstBack := -1, 0
+	for k := range r.routers {
+		i := (r.next + k) % len(r.routers)
+		if r.routers[i].ejectedUntil < r.routers[firstBack].ejectedUntil {
+			firstBack = i
 		}
-		if now < r.rs[i].until || i == avoid && len(r.rs) > 1 && best >= 0 {
+		if now < r.routers[i].ejectedUntil || i == avoid && len(r.routers) > 1 && best >= 0 {
 			continue
 		}
 		if best < 0 || best == avoid {
@@ -222,9 +222,9 @@
 		}
 	}
 	if best < 0 {
-		best = soonest
+		best = firstBack
 	}
-	r.next = (best + 1) % len(r.rs)
+	r.next = (best + 1) % len(r.routers)
 	return best
 }
 
@@ -232,85 +232,87 @@
 // each answer makes up for a loss. Without that a steady loss of a few in a hundred, at many calls a second, looked like a mass loss,
 // and the connections that were then put off made the next one more likely.
 func (r *Routers) RecordSuccess(i int) {
-	x := &r.rs[i]
-	x.fails, x.ejected = 0, 0
-	if len(x.lost) > 0 {
-		x.lost = x.lost[1:]
+	x := &r.routers[i]
+	x.failures, x.ejections = 0, 0
+	if len(x.recentLosses) > 0 {
+		x.recentLosses = x.recentLosses[1:]
 	}
 }
 
 // Failed counts a try that got no answer. A router that fails some times in a row is left alone, longer each time.
 func (r *Routers) RecordFailure(now control.Micros, i int) {
-	x := &r.rs[i]
-	if x.fails++; x.fails >= failsOut && now >= x.until {
-		x.until = now + min(outMost, outFirst<<min(x.ejected, 10))
-		x.ejected++
-		x.fails = failsOut - 1 // its next failure is enough
+	x := &r.routers[i]
+	if x.failures++; x.failures >= ejectionThreshold && now >= x.ejectedUntil {
+		x.ejectedUntil = now + min(ejectionMax, ejectionBase<<min(x.ejections, 10))
+		x.ejections++
+		x.failures = ejectionThreshold - 1 // its next failure is enough
 	}
 }
 
 // Opened counts a connection.
-func (r *Routers) ConnectionOpened(i int) { r.rs[i].open++ }
+func (r *Routers) ConnectionOpened(i int) { r.routers[i].connections++ }
 
 // Closed counts one that this side closed, or that ended while nothing was amiss.
-func (r *Routers) ConnectionClosed(i int) { r.rs[i].open = max(0, r.rs[i].open-1) }
+func (r *Routers) ConnectionClosed(i int) {
+	r.routers[i].connections = max(0, r.routers[i].connections-1)
+}
 
 // LostOne counts a connection that broke. If most break together each of them may be made anew only at a time of its own within the
 // spread, so that all clients of a router that comes back do not meet there at once.
-func (r *Routers) ConnectionLost(now control.Micros, i int, chance *rand.Rand) {
-	x := &r.rs[i]
-	x.open = max(0, x.open-1)
-	x.lost = append(x.lost, now)
-	for len(x.lost) > 0 && x.lost[0] < now-massWithin {
-		x.lost = x.lost[1:]
+func (r *Routers) ConnectionLost(now control.Micros, i int, random *rand.Rand) {
+	x := &r.routers[i]
+	x.connections = max(0, x.connections-1)
+	x.recentLosses = append(x.recentLosses, now)
+	for len(x.recentLosses) > 0 && x.recentLosses[0] < now-massLossWindow {
+		x.recentLosses = x.recentLosses[1:]
 	}
-	n := len(x.lost)
+	n := len(x.recentLosses)
 	switch {
-	case n < massLeast || n < x.open:
-	case len(x.permits) == 0: // found out just now: it holds for those before it too
+	case n < massLossMin || n < x.connections:
+	case len(x.reconnectAt) == 0: // found out just now: it holds for those before it too
 		for range n {
-			x.permits = append(x.permits, now+control.Micros(chance.Int64N(int64(spread))))
+			x.reconnectAt = append(x.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
 		}
 	default:
-		x.permits = append(x.permits, now+control.Micros(chance.Int64N(int64(spread))))
+		x.reconnectAt = append(x.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
 	}
-	slices.Sort(x.permits)
+	slices.Sort(x.reconnectAt)
 }
 
 // MayOpen tells whether a connection to a router may be made now; else when.
 func (r *Routers) MayConnect(now control.Micros, i int) (ok bool, at control.Micros) {
-	x := &r.rs[i]
-	if len(x.permits) == 0 {
+	x := &r.routers[i]
+	if len(x.reconnectAt) == 0 {
 		return true, now
 	}
-	if now >= x.permits[0] {
-		x.permits = x.permits[1:]
+	if now >= x.reconnectAt[0] {
+		x.reconnectAt = x.reconnectAt[1:]
 		return true, now
 	}
-	return false, x.permits[0]
+	return false, x.reconnectAt[0]
 }
 
 // Latencies keeps the last answers' times, for hedging.
 type Latencies struct {
-	last [64]control.Micros
-	n    int
+	last  [64]control.Micros
+	count int
 }
 
 // Add keeps one.
 func (l *Latencies) Add(t control.Micros) {
-	l.last[l.n%len(l.last)] = t
-	l.n++
+	l.last[l.count%len(l.last)] = t
+	l.count++
 }
 
 // enough answers tell a tail.
-const enough = 20
+const minSamples = 20
 
 // HedgeAfter is after how long a try is among the slowest twentieth; 0: not known.
 func (l *Latencies) HedgeDelay() control.Micros {
-	if l.n < enough {
+	if l.count < minSamples {
 		return 0
 	}
-	ts := slices.Clone(l.last[:min(l.n, len(l.last))])
+	ts := slices.Clone(l.last[:min(l.count, len(l.last))])
 	slices.Sort(ts)
 	return max(1, ts[len(ts)*95/100])
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -92,7 +92,7 @@
 				if !c.BeginAttempt(now) {
 					break
 				}
-				if now > deadline || finished || n >= mostTries {
+				if now > deadline || finished || n >= maxAttempts {
 					t.Fatalf("try %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
 				if ran > 0 && w.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
@@ -115,7 +115,7 @@
 				now = max(now, next.RetryAt)
 			}
 		}
-		if most := burst + earned*float64(calls); float64(retries) > most {
+		if most := maxTokens + depositPerCall*float64(calls); float64(retries) > most {
 			t.Fatalf("%d retries of %d calls", retries, calls)
 		}
 	})
@@ -141,7 +141,7 @@
 		in := 0
 		for {
 			ok, _ := r.MayConnect(now, 0)
-			if !ok || len(r.rs[0].permits) == 0 && made+in >= 100 {
+			if !ok || len(r.routers[0].reconnectAt) == 0 && made+in >= 100 {
 				break
 			}
 			in++
@@ -179,7 +179,7 @@
 // A router that fails three times in a row is left alone, longer each time; where all are, the one that is soonest back is asked.
 func TestEjection(t *testing.T) {
 	r := NewRouters(2, 0)
-	for range failsOut {
+	for range ejectionThreshold {
 		r.RecordFailure(second, 0)
 	}
 	for range 4 {
@@ -187,22 +187,22 @@
 			t.Error("an ejected router is asked")
 		}
 	}
-	now := second + outFirst
+	now := second + ejectionBase
 	if r.Pick(now, 1) != 0 {
 		t.Error("it is not asked again")
 	}
 	r.RecordFailure(now, 0)
-	if r.rs[0].until != now+2*outFirst {
-		t.Errorf("ejected for %d us", r.rs[0].until-now)
+	if r.routers[0].ejectedUntil != now+2*ejectionBase {
+		t.Errorf("ejected for %d us", r.routers[0].ejectedUntil-now)
 	}
-	for range failsOut {
+	for range ejectionThreshold {
 		r.RecordFailure(now, 1)
 	}
 	if r.Pick(now, -1) != 1 {
 		t.Error("not the one that is soonest back")
 	}
 	r.RecordSuccess(0)
-	if r.Pick(now+3*outFirst, 1) != 0 {
+	if r.Pick(now+3*ejectionBase, 1) != 0 {
 		t.Error("an avoided router is asked although another is well")
 	}
 }
@@ -220,7 +220,7 @@
 			t.Errorf("%+v: %t", c.w, got)
 		}
 	}
-	if b.tokens != burst-1 {
+	if b.tokens != maxTokens-1 {
 		t.Errorf("%g tokens", b.tokens)
 	}
 }
--- a/internal/xds/bootstrap.go
+++ b/internal/xds/bootstrap.go
@@ -38,7 +38,7 @@
 		r.Resources = append(r.Resources, any)
 	}
 	f.members.Source(now, true)
-	if _, err := f.whole(now, r); err != nil {
+	if _, err := f.applyFull(now, r); err != nil {
 		return err
 	}
 	return nil
--- a/internal/xds/drain_test.go
+++ b/internal/xds/drain_test.go
@@ -50,7 +50,7 @@
 			}
 			tell("ready", "ready")
 			var gate sync.Mutex
-			conns := make(chan *watchedConn, 4)
+			conns := make(chan *trackedConn, 4)
 			m := membership.New(membership.DefaultBounds)
 			var mu sync.Mutex
 			list := map[string]control.ServerState{}
@@ -64,7 +64,7 @@
 						return nil, err
 					}
 					gated := gatedConn{TCPConn: c.(*net.TCPConn), mu: &gate}
-					conns <- &watchedConn{Conn: gated}
+					conns <- &trackedConn{Conn: gated}
 					return gated, nil
 				},
 				OnUpdate: func(control.Micros) {
--- a/internal/xds/follow.go
+++ b/internal/xds/follow.go
@@ -62,7 +62,7 @@
 )
 
 // largest is the largest message taken: ten thousand endpoints with metadata are some 2 MB.
-const largest = 64 << 20
+const maxMessageSize = 64 << 20
 
 // stream is either variant of the protocol.
 type stream interface {
@@ -70,42 +70,42 @@
 	receive() (proto.Message, error)
 }
 
-type sotw struct {
+type fullStream struct {
 	discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient // that of secrets is the same
 }
 
-func (s sotw) send(m proto.Message) error { return s.Send(m.(*discovery.DiscoveryRequest)) }
+func (s fullStream) send(m proto.Message) error { return s.Send(m.(*discovery.DiscoveryRequest)) }
 
-func (s sotw) receive() (proto.Message, error) { return s.Recv() }
+func (s fullStream) receive() (proto.Message, error) { return s.Recv() }
 
-type reporting struct {
+type loadStatsStream struct {
 	lrs.LoadReportingService_StreamLoadStatsClient
 }
 
-func (r reporting) send(m proto.Message) error { return r.Send(m.(*lrs.LoadStatsRequest)) }
+func (r loadStatsStream) send(m proto.Message) error { return r.Send(m.(*lrs.LoadStatsRequest)) }
 
-func (r reporting) receive() (proto.Message, error) { return r.Recv() }
+func (r loadStatsStream) receive() (proto.Message, error) { return r.Recv() }
 
-type delta struct {
+type deltaStream struct {
 	discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
 
-func (s delta) send(m proto.Message) error { return s.Send(m.(*discovery.DeltaDiscoveryRequest)) }
+func (s deltaStream) send(m proto.Message) error { return s.Send(m.(*discovery.DeltaDiscoveryRequest)) }
 
-func (s delta) receive() (proto.Message, error) { return s.Recv() }
+func (s deltaStream) receive() (proto.Message, error) { return s.Recv() }
 
 // Follow follows a control plane until the context ends, over as many streams as it takes.
-func (s Transport) Run(ctx context.Context, f Protocol) error {
+func (s Transport) Run(ctx context.Context, protocol Protocol) error {
 	creds := s.Credentials
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	d := &dialer{dial: s.Dial}
-	if d.dial == nil {
-		d.dial = dialTCP
+	dialer := &dialer{dial: s.Dial}
+	if dialer.dial == nil {
+		dialer.dial = dialTCP
 	}
-	conn, err := grpc.NewClient("passthrough:///"+s.Address, grpc.WithTransportCredentials(creds), grpc.WithContextDialer(d.connect),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(largest)),
+	conn, err := grpc.NewClient("passthrough:///"+s.Address, grpc.WithTransportCredentials(creds), grpc.WithContextDialer(dialer.connect),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 		// A control plane that is silent without a word is found out within this time.
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second, PermitWithoutStream: true}))
 	if err != nil {
@@ -113,76 +113,76 @@
 	}
 	defer conn.Close()
 	waits := NewBackoff(s.Seed)
-	var hurryUntil time.Time
+	var urgentUntil time.Time
 	for ctx.Err() == nil {
 		conn.ResetConnectBackoff() // the waits between tries are ours
 		answered := false
-		asked, err := s.one(ctx, conn, d, f, func() { answered = true; waits.Reset() })
+		requested, err := s.runStream(ctx, conn, dialer, protocol, func() { answered = true; waits.Reset() })
 		if ctx.Err() != nil {
 			break
 		}
-		f.Disconnected(s.Now())
-		s.tell(f)
-		if asked && !answered {
-			hurryUntil = time.Now().Add(s.Grace)
+		protocol.Disconnected(s.Now())
+		s.notify(protocol)
+		if requested && !answered {
+			urgentUntil = time.Now().Add(s.Grace)
 		}
-		wait := waits.NextWithin(s.longestWait(hurryUntil))
+		wait := waits.NextWithin(s.maxWait(urgentUntil))
 		s.Log("the stream from " + s.Address + " ended (" + err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
-		s.pause(ctx, f, wait)
+		s.wait(ctx, protocol, wait)
 	}
 	return nil
 }
 
 // longestWait bounds the next wait. A stream that was asked and ended with no answer is asked for again within the grace: what it
 // would have told may hold since.
-func (s Transport) longestWait(hurryUntil time.Time) time.Duration {
-	if time.Now().Before(hurryUntil) {
+func (s Transport) maxWait(urgentUntil time.Time) time.Duration {
+	if time.Now().Before(urgentUntil) {
 		return s.Grace / 4
 	}
-	return longestWait
+	return maxBackoff
 }
 
 // pause waits, and goes on answering refreshes and the follower's own alarms.
-func (s Transport) pause(ctx context.Context, f Protocol, wait time.Duration) {
-	end := time.NewTimer(wait)
+func (s Transport) wait(ctx context.Context, protocol Protocol, duration time.Duration) {
+	end := time.NewTimer(duration)
 	defer end.Stop()
-	alarm := time.NewTimer(s.untilTick(f))
-	defer alarm.Stop()
+	timer := time.NewTimer(s.tick(protocol))
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-end.C:
 			return
-		case <-alarm.C:
-			alarm.Reset(s.untilTick(f))
-			s.tell(f)
-		case looked := <-s.Refresh:
-			close(looked)
+		case <-timer.C:
+			timer.Reset(s.tick(protocol))
+			s.notify(protocol)
+		case done := <-s.Refresh:
+			close(done)
 		}
 	}
 }
 
 // untilTick has the follower end what is over, and gives how long to wait for its next alarm.
-func (s Transport) untilTick(f Protocol) time.Duration {
+func (s Transport) tick(protocol Protocol) time.Duration {
 	const never = time.Hour
 	now := s.Now()
-	next := f.Tick(now)
+	next := protocol.Tick(now)
 	if next == 0 {
 		return never
 	}
 	return time.Duration(max(0, next-now)) * time.Microsecond
 }
 
-func (s Transport) tell(f Protocol) {
+func (s Transport) notify(protocol Protocol) {
 	s.OnUpdate(s.Now())
-	for _, text := range f.TakeLogLines() {
+	for _, text := range protocol.TakeLogLines() {
 		s.Log(text)
 	}
 }
 
 // one is one stream's life. Asked tells that the first requests were sent.
-func (s Transport) one(ctx context.Context, conn *grpc.ClientConn, d *dialer, f Protocol, answered func()) (asked bool, err error) {
+func (s Transport) runStream(ctx context.Context, conn *grpc.ClientConn, d *dialer, f Protocol, answered func()) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
@@ -193,25 +193,25 @@
 		if err != nil {
 			return false, err
 		}
-		st = reporting{c}
+		st = loadStatsStream{c}
 	case s.Service == SecretDiscovery:
 		c, err := secrets.NewSecretDiscoveryServiceClient(conn).StreamSecrets(ctx)
 		if err != nil {
 			return false, err
 		}
-		st = sotw{c}
+		st = fullStream{c}
 	case s.Delta:
 		c, err := client.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return false, err
 		}
-		st = delta{c}
+		st = deltaStream{c}
 	default:
 		c, err := client.StreamAggregatedResources(ctx)
 		if err != nil {
 			return false, err
 		}
-		st = sotw{c}
+		st = fullStream{c}
 	}
 	for _, m := range f.Connected(s.Now()) {
 		if err := st.send(m); err != nil {
@@ -246,7 +246,7 @@
 				return err
 			}
 		}
-		s.tell(f)
+		s.notify(f)
 		return nil
 	}
 	defer func() { // the receiver ends with the context
@@ -254,7 +254,7 @@
 		for range heard {
 		}
 	}()
-	alarm := time.NewTimer(s.untilTick(f))
+	alarm := time.NewTimer(s.tick(f))
 	defer alarm.Stop()
 	for {
 		select {
@@ -265,7 +265,7 @@
 			if err := take(m); err != nil {
 				return true, err
 			}
-			alarm.Reset(s.untilTick(f))
+			alarm.Reset(s.tick(f))
 		case <-alarm.C:
 			if sp, speaks := f.(timedSender); speaks {
 				for _, m := range sp.TimedRequests(s.Now()) {
@@ -275,8 +275,8 @@
 				}
 				sp.TimedRequestsSent()
 			}
-			alarm.Reset(s.untilTick(f))
-			s.tell(f)
+			alarm.Reset(s.tick(f))
+			s.notify(f)
 		case looked := <-s.Refresh:
 			asOf := s.Now()
 			err := s.catchUp(d, heard, take)
@@ -285,7 +285,7 @@
 			}
 			close(looked)
 			switch {
-			case errors.Is(err, errClosed):
+			case errors.Is(err, errStreamEnded):
 				return true, <-ended
 			case err != nil:
 				return true, err
@@ -295,25 +295,25 @@
 }
 
 // errClosed tells that a stream gave its last message.
-var errClosed = errors.New("the stream has ended")
+var errStreamEnded = errors.New("the stream has ended")
 
 // settled is how long after the last byte was read its message may take to come out of the stream: some goroutines' turns.
-const settled = 2 * time.Millisecond
+const deliveryTime = 2 * time.Millisecond
 
 // catchUp takes in all that has come, also what is not read from the connection yet, for a quarter of the grace at most.
-func (s Transport) catchUp(d *dialer, heard <-chan proto.Message, take func(proto.Message) error) error {
-	end := time.Now().Add(s.Grace / 4)
+func (s Transport) catchUp(dialer *dialer, received <-chan proto.Message, handle func(proto.Message) error) error {
+	deadline := time.Now().Add(s.Grace / 4)
 	for {
 		var wait time.Duration
-		if !d.settled() && time.Now().Before(end) {
-			wait = settled
+		if !dialer.settled() && time.Now().Before(deadline) {
+			wait = deliveryTime
 		}
-		m, err := next(heard, wait)
+		m, err := nextMessage(received, wait)
 		switch {
 		case err != nil:
 			return err
 		case m != nil:
-			if err := take(m); err != nil {
+			if err := handle(m); err != nil {
 				return err
 			}
 		case wait == 0:
@@ -323,26 +323,26 @@
 }
 
 // next gives the next message, or nil where none comes within a time.
-func next(heard <-chan proto.Message, wait time.Duration) (proto.Message, error) {
+func nextMessage(received <-chan proto.Message, wait time.Duration) (proto.Message, error) {
 	select { // what is there comes before the time
-	case m, open := <-heard:
-		return m, closedUnless(open)
+	case m, open := <-received:
+		return m, endedUnless(open)
 	default:
 	}
 	if wait == 0 {
 		return nil, nil
 	}
 	select {
-	case m, open := <-heard:
-		return m, closedUnless(open)
+	case m, open := <-received:
+		return m, endedUnless(open)
 	case <-time.After(wait):
 		return nil, nil
 	}
 }
 
-func closedUnless(open bool) error {
+func endedUnless(open bool) error {
 	if open {
 		return nil
 	}
-	return errClosed
+	return errStreamEnded
 }
--- a/internal/xds/gather.go
+++ b/internal/xds/gather.go
@@ -14,17 +14,17 @@
 )
 
 // gatherEvery is how often those who follow our view are asked for their loads: as often as somebody looks at a page.
-const gatherEvery = time.Second
+const reportInterval = time.Second
 
 // gatherer is the server's side of load reporting.
-type gatherer struct {
+type loadServer struct {
 	lrs.UnimplementedLoadReportingServiceServer
-	mu  sync.Mutex
-	got *loadreport.Aggregator
+	mu      sync.Mutex
+	reports *loadreport.Aggregator
 }
 
 // StreamLoadStats asks one follower for all its loads and keeps its latest until it goes.
-func (g *gatherer) StreamLoadStats(st lrs.LoadReportingService_StreamLoadStatsServer) error {
+func (g *loadServer) StreamLoadStats(st lrs.LoadReportingService_StreamLoadStatsServer) error {
 	first, err := st.Recv()
 	if err != nil {
 		return err
@@ -33,12 +33,12 @@
 	if node == "" {
 		return status.Error(codes.InvalidArgument, "a node without an id")
 	}
-	if err := st.Send(&lrs.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true, LoadReportingInterval: durationpb.New(gatherEvery)}); err != nil {
+	if err := st.Send(&lrs.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true, LoadReportingInterval: durationpb.New(reportInterval)}); err != nil {
 		return err
 	}
 	defer func() {
 		g.mu.Lock()
-		g.got.Remove(node)
+		g.reports.Remove(node)
 		g.mu.Unlock()
 	}()
 	for {
@@ -46,9 +46,9 @@
 		if err != nil {
 			return err
 		}
-		r := readReport(m.GetClusterStats(), control.Micros(time.Now().UnixMicro()))
+		r := parseReport(m.GetClusterStats(), control.Micros(time.Now().UnixMicro()))
 		g.mu.Lock()
-		ok := g.got.Update(node, r)
+		ok := g.reports.Update(node, r)
 		g.mu.Unlock()
 		if !ok {
 			return status.Error(codes.ResourceExhausted, "too many report already")
@@ -58,7 +58,7 @@
 
 // Others gives what those who follow the view last reported, summed by server, and how many they are.
 func (v *View) ReportedLoads() (lines []loadreport.EndpointStats, nodes int) {
-	v.gatherer.mu.Lock()
-	defer v.gatherer.mu.Unlock()
-	return v.gatherer.got.Sum()
+	v.loadServer.mu.Lock()
+	defer v.loadServer.mu.Unlock()
+	return v.loadServer.reports.Sum()
 }
--- a/internal/xds/metadata.go
+++ b/internal/xds/metadata.go
@@ -11,7 +11,7 @@
 const metadataKey = "hollymast"
 
 // readBorn gives an endpoint's start in microseconds since 1970; 0 where it is not told.
-func readBorn(m *core.Metadata) (int64, error) {
+func parseStartedAt(m *core.Metadata) (int64, error) {
 	v := m.GetFilterMetadata()[metadataKey].GetFields()["born"]
 	if v == nil {
 		return 0, nil
--- a/internal/xds/reports.go
+++ b/internal/xds/reports.go
@@ -29,14 +29,14 @@
 
 // Reports is the client's side of load reporting (LRS): the control plane asks for clusters at an interval, and is told.
 type LoadReporter struct {
-	node    *core.Node
-	counted LoadSource
-	pace    loadreport.Scheduler
+	node   *core.Node
+	source LoadSource
+	pace   loadreport.Scheduler
 }
 
 // NewReports gives one that reports what is counted.
 func NewLoadReporter(c LoadSource, id, zone string) *LoadReporter {
-	return &LoadReporter{counted: c, node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone},
+	return &LoadReporter{source: c, node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone},
 		ClientFeatures: []string{allClusters}}}
 }
 
@@ -79,8 +79,8 @@
 	if due := r.pace.NextAt(); due == 0 || now < due {
 		return nil
 	}
-	report := r.pace.NextReport(now, r.counted.Take(now))
-	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusters(report)}}
+	report := r.pace.NextReport(now, r.source.Take(now))
+	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusterStats(report)}}
 }
 
 // Spoken tells that it went out.
@@ -91,8 +91,8 @@
 
 // clusters gives a report in the protocol's form: by cluster, then by locality and priority. Servers of clusters that are not
 // asked for are left out, and so are those that no cluster names any more.
-func (r *LoadReporter) clusters(report loadreport.Report) []*endpoint.ClusterStats {
-	asked, places, services := r.pace.Request(), r.counted.Places(), r.counted.Services()
+func (r *LoadReporter) clusterStats(report loadreport.Report) []*endpoint.ClusterStats {
+	asked, places, services := r.pace.Request(), r.source.Places(), r.source.Services()
 	by := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
 	for _, l := range report.Endpoints {
 		at, known := places[l.Address]
@@ -112,14 +112,14 @@
 			return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
 		})
 		for _, at := range in {
-			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, locality(at, by[name][at], asked.PerEndpoint))
+			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, localityStats(at, by[name][at], asked.PerEndpoint))
 		}
 		out = append(out, c)
 	}
 	return out
 }
 
-func locality(at loadreport.Locality, lines []loadreport.EndpointStats, each bool) *endpoint.UpstreamLocalityStats {
+func localityStats(at loadreport.Locality, lines []loadreport.EndpointStats, each bool) *endpoint.UpstreamLocalityStats {
 	s := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
 	var f loadreport.LoadMetrics
 	for _, l := range lines {
@@ -133,9 +133,9 @@
 			continue
 		}
 		s.UpstreamEndpointStats = append(s.UpstreamEndpointStats, &endpoint.UpstreamEndpointStats{Address: a, TotalIssuedRequests: l.Issued,
-			TotalSuccessfulRequests: l.Succeeded, TotalErrorRequests: l.Failed, TotalRequestsInProgress: l.InFlight, LoadMetricStats: metrics(l.LoadMetrics)})
+			TotalSuccessfulRequests: l.Succeeded, TotalErrorRequests: l.Failed, TotalRequestsInProgress: l.InFlight, LoadMetricStats: loadMetrics(l.LoadMetrics)})
 	}
-	s.LoadMetricStats = metrics(f)
+	s.LoadMetricStats = loadMetrics(f)
 	return s
 }
 
@@ -146,7 +146,7 @@
 	pinnedMetric = "named_metrics.pinned"
 )
 
-func metrics(f loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
+func loadMetrics(f loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
 	if f.Reports == 0 {
 		return nil
 	}
@@ -172,7 +172,7 @@
 }
 
 // readReport reads what a follower tells of servers, of endpoints alone: sums can't be added to those of others by server.
-func readReport(cs []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
+func parseReport(cs []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
 	r := loadreport.Report{To: now}
 	for _, c := range cs {
 		for _, l := range c.GetUpstreamLocalityStats() {
--- a/internal/xds/secrets.go
+++ b/internal/xds/secrets.go
@@ -27,19 +27,19 @@
 // Secrets is the client's side of the secret discovery protocol (SDS), state of the world, for one certificate and one set of
 // authorities.
 type SecretClient struct {
-	node    *core.Node
-	keys    CertificateStore
-	names   []string // asked for, ascending
-	version string   // last accepted
-	notes   []string
-	said    string
+	node          *core.Node
+	store         CertificateStore
+	names         []string // asked for, ascending
+	version       string   // last accepted
+	notes         []string
+	lastRejection string
 }
 
 // NewSecrets gives a follower that asks for secrets by name; an empty name is not asked for.
 func NewSecretClient(keys CertificateStore, id, zone string, names ...string) *SecretClient {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	slices.Sort(names)
-	return &SecretClient{keys: keys, names: slices.Compact(names), node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone}}}
+	return &SecretClient{store: keys, names: slices.Compact(names), node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone}}}
 }
 
 // Connected begins a stream.
@@ -77,56 +77,56 @@
 		if !slices.Contains(s.names, x.Name) {
 			continue // never asked for
 		}
-		if err := s.take(x); err != nil {
+		if err := s.offer(x); err != nil {
 			errs = append(errs, fmt.Errorf("secret %s: %w", x.Name, err))
 		}
 	}
 	ack := &discovery.DiscoveryRequest{TypeUrl: SecretType, ResponseNonce: r.Nonce, ResourceNames: s.names}
 	if err := errors.Join(errs...); err != nil {
 		ack.ErrorDetail = &status.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
-		if s.said != err.Error() {
-			s.said = err.Error()
+		if s.lastRejection != err.Error() {
+			s.lastRejection = err.Error()
 			s.notes = append(s.notes, "secrets are refused: "+err.Error())
 		}
 	} else {
-		s.version, s.said = r.VersionInfo, ""
+		s.version, s.lastRejection = r.VersionInfo, ""
 	}
 	ack.VersionInfo = s.version
 	return []proto.Message{ack}
 }
 
-func (s *SecretClient) take(x *secrets.Secret) error {
+func (s *SecretClient) offer(x *secrets.Secret) error {
 	switch {
 	case x.GetTlsCertificate() != nil:
 		c := x.GetTlsCertificate()
-		chain, err := inline(c.GetCertificateChain())
+		chain, err := inlineBytes(c.GetCertificateChain())
 		if err != nil {
 			return err
 		}
-		key, err := inline(c.GetPrivateKey())
+		key, err := inlineBytes(c.GetPrivateKey())
 		if err != nil {
 			return err
 		}
-		return s.keys.UpdateKeyPair(chain, key)
+		return s.store.UpdateKeyPair(chain, key)
 	case x.GetValidationContext() != nil:
 		c := x.GetValidationContext()
-		authorities, err := inline(c.GetTrustedCa())
+		authorities, err := inlineBytes(c.GetTrustedCa())
 		if err != nil {
 			return err
 		}
 		var revoked []byte
 		if c.GetCrl() != nil {
-			if revoked, err = inline(c.GetCrl()); err != nil {
+			if revoked, err = inlineBytes(c.GetCrl()); err != nil {
 				return err
 			}
 		}
-		return s.keys.UpdateAuthorities(authorities, revoked)
+		return s.store.UpdateAuthorities(authorities, revoked)
 	}
 	return errors.New("neither a certificate nor a set of authorities")
 }
 
 // inline gives a source's own bytes. Files that it names may be another machine's.
-func inline(d *core.DataSource) ([]byte, error) {
+func inlineBytes(d *core.DataSource) ([]byte, error) {
 	switch x := d.GetSpecifier().(type) {
 	case *core.DataSource_InlineBytes:
 		return x.InlineBytes, nil
--- a/internal/xds/unread.go
+++ b/internal/xds/unread.go
@@ -9,24 +9,24 @@
 )
 
 // watchedConn is a connection to a control plane of which it can be told whether all that came was read.
-type watchedConn struct {
+type trackedConn struct {
 	net.Conn
-	reading atomic.Bool               // the reader has taken all that it was given before, and asks for more
-	last    atomic.Pointer[time.Time] // when it was given something last; nil: never
+	reading  atomic.Bool               // the reader has taken all that it was given before, and asks for more
+	lastRead atomic.Pointer[time.Time] // when it was given something last; nil: never
 }
 
 // Read notes that its reader is done with what it got before.
-func (c *watchedConn) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
 	now := time.Now()
-	c.last.Store(&now)
+	c.lastRead.Store(&now)
 	c.reading.Store(false)
 	return n, err
 }
 
 // unread tells whether something has come that its reader has not taken. Where that can't be found out it says no.
-func (c *watchedConn) unread() bool {
+func (c *trackedConn) unread() bool {
 	if !c.reading.Load() {
 		return true
 	}
@@ -47,8 +47,8 @@
 
 // dialer dials a control plane and keeps the connection that stands.
 type dialer struct {
-	dial  func(ctx context.Context, address string) (net.Conn, error)
-	stand atomic.Pointer[watchedConn]
+	dial    func(ctx context.Context, address string) (net.Conn, error)
+	current atomic.Pointer[trackedConn]
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -60,17 +60,17 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &watchedConn{Conn: conn}
-	d.stand.Store(c)
+	c := &trackedConn{Conn: conn}
+	d.current.Store(c)
 	return c, nil
 }
 
 // settled tells whether all that came was read, and long enough ago to have come out of its stream.
 func (d *dialer) settled() bool {
-	c := d.stand.Load()
+	c := d.current.Load()
 	if c == nil {
 		return true
 	}
-	last := c.last.Load()
-	return !c.unread() && (last == nil || time.Since(*last) >= settled)
+	last := c.lastRead.Load()
+	return !c.unread() && (last == nil || time.Since(*last) >= deliveryTime)
 }
--- a/internal/xds/view.go
+++ b/internal/xds/view.go
@@ -49,7 +49,7 @@
 }
 
 // facts are what does not change with every job.
-func (s ServerView) facts() ServerView {
+func (s ServerView) withoutLoad() ServerView {
 	s.InFlight, s.HasLoadReport, s.Utilization, s.PendingLoads, s.PinnedMemory = 0, false, 0, 0, 0
 	return s
 }
@@ -58,26 +58,26 @@
 // CDS and EDS of their own, in both variants, so that
 // another installation or a second router can follow it.
 type View struct {
-	cache    cache.SnapshotCache
-	server   *grpc.Server
-	address  string
-	stop     context.CancelFunc
-	done     chan struct{}
-	version  uint64
-	last     []ServerView
-	figures  control.Micros // when figures were last told
-	gatherer *gatherer
+	cache            cache.SnapshotCache
+	server           *grpc.Server
+	address          string
+	stop             context.CancelFunc
+	done             chan struct{}
+	version          uint64
+	published        []ServerView
+	loadsPublishedAt control.Micros // when figures were last told
+	loadServer       *loadServer
 }
 
 // everyone has all who ask see the same.
-type everyone struct{}
+type sameForAll struct{}
 
-func (everyone) ID(*core.Node) string { return ViewCluster }
+func (sameForAll) ID(*core.Node) string { return ViewCluster }
 
 // Bounds of those who follow: a few installations each with some routers.
 const (
-	mostStreams = 64
-	idleConn    = 5 * time.Minute
+	maxStreams  = 64
+	idleTimeout = 5 * time.Minute
 )
 
 // NewView begins to serve at an address; without credentials in plain text. Errors are those of listening.
@@ -90,14 +90,14 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	v := &View{gatherer: &gatherer{got: loadreport.NewAggregator(mostStreams)}, cache: cache.NewSnapshotCache(true, everyone{}, nil), address: l.Addr().String(), stop: stop, done: make(chan struct{}),
-		server: grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(mostStreams), grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleConn}),
+	v := &View{loadServer: &loadServer{reports: loadreport.NewAggregator(maxStreams)}, cache: cache.NewSnapshotCache(true, sameForAll{}, nil), address: l.Addr().String(), stop: stop, done: make(chan struct{}),
+		server: grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(maxStreams), grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
 			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))}
 	s := server.NewServer(ctx, v.cache, nil)
 	discovery.RegisterAggregatedDiscoveryServiceServer(v.server, s)
 	clusters.RegisterClusterDiscoveryServiceServer(v.server, s)
 	endpoints.RegisterEndpointDiscoveryServiceServer(v.server, s)
-	lrs.RegisterLoadReportingServiceServer(v.server, v.gatherer)
+	lrs.RegisterLoadReportingServiceServer(v.server, v.loadServer)
 	go func() {
 		defer close(v.done)
 		v.server.Serve(l)
@@ -116,20 +116,20 @@
 }
 
 // figuresEvery is how often figures that change with every job are told by themselves: a second, as monitoring has it.
-const figuresEvery = control.Micros(1_000_000)
+const loadPublishInterval = control.Micros(1_000_000)
 
 // Publish has all who follow see these servers, if they are others than before. Figures that change all the time (in flight, and
 // what servers tell of their load) are told with the next change of another, else now and again: else every job would be an
 // update.
-func (v *View) Publish(now control.Micros, seen []ServerView) error {
-	slices.SortFunc(seen, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
-	same := slices.EqualFunc(seen, v.last, func(a, b ServerView) bool { return a.facts() == b.facts() })
-	if v.version > 0 && same && (now < v.figures+figuresEvery || slices.Equal(seen, v.last)) {
+func (v *View) Publish(now control.Micros, servers []ServerView) error {
+	slices.SortFunc(servers, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
+	same := slices.EqualFunc(servers, v.published, func(a, b ServerView) bool { return a.withoutLoad() == b.withoutLoad() })
+	if v.version > 0 && same && (now < v.loadsPublishedAt+loadPublishInterval || slices.Equal(servers, v.published)) {
 		return nil
 	}
-	v.last, v.figures = seen, now
+	v.published, v.loadsPublishedAt = servers, now
 	v.version++
-	s, err := cache.NewSnapshot(strconv.FormatUint(v.version, 10), map[string][]types.Resource{ClusterType: {viewCluster()}, EndpointType: {assignmentOf(seen)}})
+	s, err := cache.NewSnapshot(strconv.FormatUint(v.version, 10), map[string][]types.Resource{ClusterType: {viewCluster()}, EndpointType: {assignmentOf(servers)}})
 	if err != nil {
 		return err
 	}
@@ -143,11 +143,11 @@
 }
 
 // assignmentOf gives servers in the protocol's form, by locality.
-func assignmentOf(seen []ServerView) *endpoint.ClusterLoadAssignment {
+func assignmentOf(servers []ServerView) *endpoint.ClusterLoadAssignment {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: ViewCluster}
 	type place struct{ zone, cell string }
 	localities := map[place]*endpoint.LocalityLbEndpoints{}
-	for _, s := range seen {
+	for _, s := range servers {
 		at := place{s.Zone, s.Cell}
 		l := localities[at]
 		if l == nil {
@@ -163,11 +163,11 @@
 		if s.StartedAt > 0 {
 			fields["born"] = structpb.NewStringValue(time.UnixMicro(s.StartedAt).UTC().Format(time.RFC3339Nano))
 		}
-		e := &endpoint.LbEndpoint{HealthStatus: statuses[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), 1<<30))),
+		e := &endpoint.LbEndpoint{HealthStatus: statusOf[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), 1<<30))),
 			Metadata:       &core.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: {Fields: fields}}},
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address}}}
-		if report, err := anypb.New(s.report()); err == nil && s.HasLoadReport {
-			e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaKey: report}
+		if report, err := anypb.New(s.orcaReport()); err == nil && s.HasLoadReport {
+			e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaMetadataKey: report}
 		}
 		l.LbEndpoints = append(l.LbEndpoints, e)
 	}
@@ -175,10 +175,10 @@
 }
 
 // orcaKey is where a follower finds a server's load.
-const orcaKey = "hollymast.load"
+const orcaMetadataKey = "hollymast.load"
 
 // report gives what a server told of its load in ORCA's form. What it did not tell is left out.
-func (s ServerView) report() *orca.OrcaLoadReport {
+func (s ServerView) orcaReport() *orca.OrcaLoadReport {
 	r := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
 	for name, v := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
 		if v >= 0 {
@@ -189,9 +189,9 @@
 }
 
 // statuses is healths the other way.
-var statuses = func() map[membership.Health]core.HealthStatus {
+var statusOf = func() map[membership.Health]core.HealthStatus {
 	m := map[membership.Health]core.HealthStatus{}
-	for s, h := range healths {
+	for s, h := range healthOf {
 		m[h] = s
 	}
 	return m
