--- a/internal/membership/bounds.go
+++ b/internal/membership/bounds.go
@@ -1,22 +1,41 @@
 package membership
 
-import (
-	"hollymast/control"
-)
+import "hollymast/control"
 
-// Bounds are what is made of a suspicious source.
+// Bounds limit what a source of endpoints can make of the endpoint list in a short time.
 type Bounds struct {
-	MassWithdrawalShare float64        // withdrawing more than this share of the usable servers in one moment is suspicious
-	MassWithdrawalMin   int            // so many may always go
-	HoldTime            control.Micros // for which such servers are kept; withdrawn for longer they are believed gone
-	FlapLimit           int            // changes between usable and not within Calm after which a server counts as not usable
-	StableTime          control.Micros // and for how long after the last change
-	WithdrawalWindow    control.Micros // withdrawals within it count together
-	SettleTime          control.Micros // and for which the last of them are kept once the others are back
-	MaxOrphans          int            // endpoints of clusters that were not yet named, at most
+	// MassWithdrawalShare is the share of the usable servers above which withdrawals within WithdrawalWindow are held.
+	MassWithdrawalShare float64
+	// MassWithdrawalMin is how many servers may be withdrawn within WithdrawalWindow whatever their share.
+	MassWithdrawalMin int
+	// WithdrawalWindow is the time within which withdrawals count together.
+	WithdrawalWindow control.Micros
+	// HoldTime is how long servers of a mass withdrawal stay listed. Servers withdrawn for longer are removed.
+	HoldTime control.Micros
+	// SettleTime is how long the rest of a mass withdrawal stays listed once most of its servers are back.
+	SettleTime control.Micros
+	// FlapLimit is the number of changes between usable and not usable within StableTime from which a server is flapping: it
+	// is listed as draining until it is stable.
+	FlapLimit int
+	// StableTime is how long a flapping server must not change to be stable.
+	StableTime control.Micros
+	// MaxOrphans bounds the endpoints kept for clusters that the source has not announced.
+	MaxOrphans int
 }
 
-// Usual are bounds for a fleet of some ten to some thousand servers. Half: a rolling update takes a tenth or a quarter at a
-// time. 30 s: a control plane restarts within that. A second: one change of many servers comes in several messages.
-// 200 ms: their return does too, and what is then still missing is gone within the time that a drain allows.
-var DefaultBounds = Bounds{MassWithdrawalShare: 0.5, MassWithdrawalMin: 2, HoldTime: 30_000_000, FlapLimit: 6, StableTime: 5_000_000, WithdrawalWindow: 1_000_000, SettleTime: 200_000, MaxOrphans: 10_000}
+// DefaultBounds suit a fleet of some ten to some thousand servers.
+//   - Half of the servers: a rolling update takes a tenth or a quarter at a time.
+//   - A hold of 30 s: a control plane restarts within that.
+//   - A window of 1 s: one change of many servers comes in several messages.
+//   - A settle time of 200 ms: their return comes in several messages too, and what is still missing then is removed
+//     within the grace that a drain allows.
+var DefaultBounds = Bounds{
+	MassWithdrawalShare: 0.5,
+	MassWithdrawalMin:   2,
+	WithdrawalWindow:    1_000_000,
+	HoldTime:            30_000_000,
+	SettleTime:          200_000,
+	FlapLimit:           6,
+	StableTime:          5_000_000,
+	MaxOrphans:          10_000,
+}
--- a/internal/membership/clusters.go
+++ b/internal/membership/clusters.go
@@ -2,19 +2,19 @@
 
 import (
 	"fmt"
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
 // cluster is what a source says of one cluster.
 type cluster struct {
-	announced  bool // else only its endpoints came so far
+	announced  bool // false: only its endpoints have come so far
 	endpoints  map[string]Endpoint
 	priorities priorities
 }
 
-// Clusters takes in all clusters that there are. One that is left out is withdrawn with its endpoints, which are forgotten
-// only if it stays so: it may come back as it was.
+// SetClusters sets all clusters that there are. One that is left out is withdrawn with its endpoints.
 func (m *Model) SetClusters(now control.Micros, names []string) {
 	present := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -32,7 +32,7 @@
 	})
 }
 
-// AddCluster takes in that there is a cluster; its endpoints may have come before.
+// AddCluster announces a cluster; its endpoints may have come before.
 func (m *Model) AddCluster(now control.Micros, name string) {
 	c := m.cluster(name)
 	if c.announced {
@@ -43,7 +43,7 @@
 	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
-// RemoveCluster takes in that there is no such cluster any more.
+// RemoveCluster withdraws a cluster with its endpoints.
 func (m *Model) RemoveCluster(now control.Micros, name string) {
 	c := m.clusters[name]
 	if c == nil || !c.announced {
@@ -53,50 +53,64 @@
 	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
-// Endpoints takes in all endpoints of a cluster. An address named twice counts once, with its worse health. The error
-// tells that there are more of clusters not yet named than are kept; nothing of this call is then taken.
+// SetEndpoints sets all endpoints of a cluster. An address listed twice counts once, with its worse health. Endpoints of a
+// cluster that was not announced are kept in case it is, since sources may send them first; the error says that there are
+// more of those than the bounds allow, and that the call changed nothing.
 func (m *Model) SetEndpoints(now control.Micros, name string, list []Endpoint) error {
-	c := m.clusters[name]
-	if c == nil || !c.announced {
-		before := 0
-		if c != nil {
-			before = len(c.endpoints)
-		}
-		if m.orphanEndpoints-before+len(list) > m.bounds.MaxOrphans {
-			return fmt.Errorf("cluster %s is not known, and there are too many endpoints of such clusters", name)
-		}
+	if err := m.checkOrphans(name, len(list)); err != nil {
+		return err
 	}
-	c = m.cluster(name)
+	c := m.cluster(name)
 	old := c.endpoints
 	c.endpoints = make(map[string]Endpoint, len(list))
-	for _, e := range list {
-		if was, twice := c.endpoints[e.Address]; twice {
-			e.Health = worse(was.Health, e.Health)
+	for _, endpoint := range list {
+		if other, twice := c.endpoints[endpoint.Address]; twice {
+			endpoint.Health = worse(other.Health, endpoint.Health)
 		}
-		c.endpoints[e.Address] = e
+		c.endpoints[endpoint.Address] = endpoint
 	}
 	m.updatePriorities(now, name, c)
 	if !c.announced {
 		m.orphanEndpoints += len(c.endpoints) - len(old)
 		return nil
 	}
-	var touched []string
-	for a := range old {
-		if _, still := c.endpoints[a]; !still {
-			touched = append(touched, a)
+	m.reconcile(now, name, changedAddresses(old, c.endpoints))
+	return nil
+}
+
+// checkOrphans guards against a source that names endpoints of ever new clusters.
+func (m *Model) checkOrphans(name string, endpoints int) error {
+	before := 0
+	if c := m.clusters[name]; c != nil {
+		if c.announced {
+			return nil
+		}
+		before = len(c.endpoints)
+	}
+	if m.orphanEndpoints-before+endpoints > m.bounds.MaxOrphans {
+		return fmt.Errorf("cluster %s is not known, and there are too many endpoints of such clusters", name)
+	}
+	return nil
+}
+
+// changedAddresses returns the addresses that were added, removed or changed, ascending.
+func changedAddresses(old, current map[string]Endpoint) []string {
+	var changed []string
+	for address := range old {
+		if _, still := current[address]; !still {
+			changed = append(changed, address)
 		}
 	}
-	for a, e := range c.endpoints {
-		if was, known := old[a]; !known || was != e {
-			touched = append(touched, a)
+	for address, endpoint := range current {
+		if before, known := old[address]; !known || before != endpoint {
+			changed = append(changed, address)
 		}
 	}
-	slices.Sort(touched)
-	m.reconcile(now, name, touched)
-	return nil
+	slices.Sort(changed)
+	return changed
 }
 
-// Forget drops the endpoints of a cluster that never came.
+// ForgetCluster drops the endpoints of a cluster that was never announced.
 func (m *Model) ForgetCluster(name string) {
 	if c := m.clusters[name]; c != nil && !c.announced {
 		m.orphanEndpoints -= len(c.endpoints)
@@ -104,6 +118,7 @@
 	}
 }
 
+// cluster returns a cluster by its name, a new one where there is none.
 func (m *Model) cluster(name string) *cluster {
 	c := m.clusters[name]
 	if c == nil {
--- a/internal/membership/endpoint.go
+++ b/internal/membership/endpoint.go
@@ -1,9 +1,9 @@
 package membership
 
-// Health is what a source says of an endpoint, in the words of Envoy's core.HealthStatus.
+// Health is what a source says of an endpoint, in the terms of Envoy's core.HealthStatus.
 type Health uint8
 
-// Healths. Unknown counts as healthy, as it does for Envoy; a degraded endpoint works, though worse.
+// The health states. Unknown counts as healthy, as it does for Envoy; a degraded endpoint works, at a lower weight.
 const (
 	Unknown Health = iota
 	Healthy
@@ -17,14 +17,14 @@
 type Endpoint struct {
 	Address   string
 	Health    Health
-	Weight    uint32 // 0: not told
-	Priority  uint32
+	Weight    uint32 // relative; 0: not given
+	Priority  uint32 // a greater number is a lower priority
 	Zone      string
 	Cell      string
-	StartedAt int64 // wall clock, microseconds since 1970; 0: not told
+	StartedAt int64 // wall clock, microseconds since 1970; 0: not given
 }
 
-// badness orders healths: what one cluster calls draining takes nothing new, whatever another says.
+// severity orders the health states: an endpoint that one cluster calls draining gets nothing new, whatever another says.
 var severity = [...]int{Healthy: 0, Unknown: 1, Degraded: 2, Timeout: 3, Unhealthy: 4, Draining: 5}
 
 func worse(a, b Health) Health {
@@ -34,18 +34,26 @@
 	return a
 }
 
-// usable tells whether jobs may go to an endpoint by what its source says.
+// usable reports whether requests may go to an endpoint of this health.
 func (h Health) usable() bool { return severity[h] < severity[Timeout] }
 
-// power is a server's share of work by its weight. Envoy's weights are relative; hundred is commonly meant for one whole. A
-// degraded endpoint is to get little while others are well.
+const (
+	// fullWeight is the weight that commonly stands for one whole server, since Envoy's weights are relative.
+	fullWeight = 100
+	// degradedDivisor leaves a degraded endpoint a small part of the requests while others are healthy.
+	degradedDivisor = 10
+	// minWeight and maxWeight keep any weight that a source can send within what the balancer reckons with.
+	minWeight, maxWeight = 0.001, 1e6
+)
+
+// weight returns a server's relative share of the requests.
 func weight(endpoint Endpoint) float64 {
 	weight := 1.0
 	if endpoint.Weight > 0 {
-		weight = float64(endpoint.Weight) / 100
+		weight = float64(endpoint.Weight) / fullWeight
 	}
 	if endpoint.Health == Degraded {
-		weight /= 10
+		weight /= degradedDivisor
 	}
-	return min(max(weight, 0.001), 1e6)
+	return min(max(weight, minWeight), maxWeight)
 }
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -1,10 +1,9 @@
 package membership
 
-import (
-	"hollymast/control"
-)
+import "hollymast/control"
 
-// changed notes a change between usable and not, and whether there were too many.
+// recordUsability records a change between usable and not usable, and marks the server as flapping at too many of them: a
+// server that comes and goes finishes no request.
 func (m *Model) recordUsability(now control.Micros, server *Server, usable bool) {
 	if server.usable == usable {
 		return
@@ -18,6 +17,7 @@
 	}
 }
 
+// notBefore returns those of ascending times that are not before a time.
 func notBefore(times []control.Micros, from control.Micros) []control.Micros {
 	i := 0
 	for i < len(times) && times[i] < from {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,101 +1,109 @@
-// Package membership keeps one model of which servers there are, from whatever source tells of them, and decides what a
-// broken or suspicious source means. It is free of I/O and clocks; times are the router's.
+// Package membership keeps one model of the servers of a fleet, whatever source lists them, and decides what a failing or
+// suspicious source means for the endpoint list. It is free of I/O and clocks; times are the router's.
 //
-// What a source says and what is made of it are kept apart. A server that the source calls draining is draining at once.
-// One that it no longer names is withdrawn: alone it is gone at once; together with most of the others it is kept for a
+// What a source says and what follows from it are kept apart. A server that the source calls draining drains at once. One
+// that it no longer names is withdrawn: alone it is removed at once; together with most of the others it is held for a
 // while, since a source that loses most servers in one moment is more often broken than right.
 package membership
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 
 	"hollymast/control"
 	"hollymast/internal/fleet"
 )
 
-// Fact is what is known of one server.
+// Server is what is known of one server.
 type Server struct {
-	Endpoint
+	Endpoint                   // of all clusters that name it, merged
 	Clusters    []string       // that name it, ascending
 	FirstSeen   control.Micros // since when it is known without a break
 	UpdatedAt   control.Micros // when the source last said something new of it
 	WithdrawnAt control.Micros // since when no cluster names it; 0: one does
-	Held        bool           // withdrawn, but kept for now
-	Flapping    bool           // called draining for it
-	transitions []control.Micros
-	usable      bool
+	Held        bool           // withdrawn, but listed for now
+	Flapping    bool           // listed as draining because of it
 	heldUntil   control.Micros // of Held
+	usable      bool           // by its health, when last recorded
+	transitions []control.Micros
 }
 
-// Members is the model. It is for one goroutine.
+// Model is the state of a fleet's membership. It is not safe for concurrent use.
 type Model struct {
-	bounds            Bounds
-	clusters          map[string]*cluster
-	servers           map[string]*Server // by address
-	timed             map[string]bool    // of facts: those that time changes
-	releasing         map[string]bool    // clusters with more levels in use than needed
-	batching          bool               // what is withdrawn waits in pending
+	bounds   Bounds
+	clusters map[string]*cluster
+	servers  map[string]*Server // by address
+	timed    map[string]bool    // addresses of the servers that Tick may change
+	logLines []string
+
+	sourceDownSince control.Micros  // 0: the source is up
+	orphanEndpoints int             // of clusters that were not announced
+	releasing       map[string]bool // clusters with more priorities in use than required
+
+	recentlyWithdrawn []*Server // usable servers withdrawn within the window
+	batching          bool      // withdrawals wait in batchWithdrawn
 	batchWithdrawn    []*Server
-	orphanEndpoints   int
-	sourceDownSince   control.Micros // since when the source is down; 0: it is up
-	recentlyWithdrawn []*Server      // usable servers withdrawn lately
-	version           uint64         // of the list, one more with each change
-	takenVersion      uint64         // the version last given
-	takenAt           control.Micros
-	published         map[string]fleet.Endpoint // as last given; nil: nothing was
-	dirty             map[string]bool           // addresses whose entry may differ from that
-	logLines          []string
+
+	version      uint64 // of the endpoint list, one more with each change
+	takenVersion uint64 // of the last update taken
+	takenAt      control.Micros
+	published    map[string]fleet.Endpoint // by the updates taken so far; nil: none was
+	dirty        map[string]bool           // addresses whose endpoint may differ from the one published
 }
 
-// New gives a model that knows nothing.
-func New(b Bounds) *Model {
-	return &Model{bounds: b, clusters: map[string]*cluster{}, servers: map[string]*Server{}, timed: map[string]bool{}, releasing: map[string]bool{},
-		dirty: map[string]bool{}}
+// New returns a model that knows nothing.
+func New(bounds Bounds) *Model {
+	return &Model{
+		bounds:    bounds,
+		clusters:  map[string]*cluster{},
+		servers:   map[string]*Server{},
+		timed:     map[string]bool{},
+		releasing: map[string]bool{},
+		dirty:     map[string]bool{},
+	}
 }
 
-// Source tells whether the source is up. While it is down all stands as it last said.
-func (m *Model) Source(now control.Micros, up bool) {
-	switch {
-	case up && m.sourceDownSince > 0:
+// SourceUp records that the source can be reached.
+func (m *Model) SourceUp(now control.Micros) {
+	if m.sourceDownSince > 0 {
 		m.logf("the source of the list is back after %d us", now-m.sourceDownSince)
 		m.sourceDownSince = 0
-	case !up && m.sourceDownSince == 0:
-		m.logf("the source of the list is down: the list stands as it was")
-		m.sourceDownSince = now
 	}
 }
 
-func sortedKeys[T any](byKey map[string]T) []string {
-	keys := make([]string, 0, len(byKey))
-	for k := range byKey {
-		keys = append(keys, k)
+// SourceDown records that the source can't be reached. The list stays as the source last had it until it is back.
+func (m *Model) SourceDown(now control.Micros) {
+	if m.sourceDownSince == 0 {
+		m.logf("the source of the list is down: the list stands as it was")
+		m.sourceDownSince = now
 	}
-	slices.Sort(keys)
-	return keys
 }
 
-// Facts gives what is known of every server, by address.
+// SourceDownSince returns since when the source is down; 0: it is up.
+func (m *Model) SourceDownSince() control.Micros { return m.sourceDownSince }
+
+// Servers returns what is known of every server, by address.
 func (m *Model) Servers() []Server {
 	var servers []Server
-	for _, a := range sortedKeys(m.servers) {
-		f := *m.servers[a]
-		f.transitions = nil
-		servers = append(servers, f)
+	for _, address := range sortedKeys(m.servers) {
+		server := *m.servers[address]
+		server.transitions = nil
+		servers = append(servers, server)
 	}
 	return servers
 }
 
-// Broken tells since when the source is down; 0: it is up.
-func (m *Model) SourceDownSince() control.Micros { return m.sourceDownSince }
-
 func (m *Model) logf(format string, args ...any) {
 	m.logLines = append(m.logLines, fmt.Sprintf(format, args...))
 }
 
-// Notes gives what is to be told operators since the last call.
+// TakeLogLines returns the lines to log since the last call.
 func (m *Model) TakeLogLines() []string {
-	notes := m.logLines
+	lines := m.logLines
 	m.logLines = nil
-	return notes
+	return lines
 }
+
+// sortedKeys makes the order in which servers and clusters are visited independent of Go's maps.
+func sortedKeys[T any](byKey map[string]T) []string { return slices.Sorted(maps.Keys(byKey)) }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -25,7 +25,16 @@
 	return es
 }
 
-// states gives how many servers the list calls ready and draining.
+// setSource records a drawn state of the source.
+func setSource(m *Model, now control.Micros, up bool) {
+	if up {
+		m.SourceUp(now)
+	} else {
+		m.SourceDown(now)
+	}
+}
+
+// states counts the ready and the draining servers of the endpoint list.
 func states(m *Model) (ready, draining int) {
 	for _, e := range m.List() {
 		if e.State == control.Ready {
@@ -37,7 +46,8 @@
 	return ready, draining
 }
 
-func known(t *testing.T, n int) *Model {
+// listed returns a model of one cluster, "a", with n healthy servers.
+func listed(t *testing.T, n int) *Model {
 	t.Helper()
 	m := New(DefaultBounds)
 	m.SetClusters(second, []string{"a"})
@@ -50,16 +60,16 @@
 	return m
 }
 
-func TestDrainingIsBelievedAtOnceHoweverMany(t *testing.T) {
-	m := known(t, 10)
+func TestDrainingAppliesAtOnceHoweverMany(t *testing.T) {
+	m := listed(t, 10)
 	m.SetEndpoints(2*second, "a", endpoints(10, Draining))
 	if ready, draining := states(m); ready != 0 || draining != 10 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
 }
 
-func TestOneWithdrawnIsGoneAtOnce(t *testing.T) {
-	m := known(t, 10)
+func TestSingleWithdrawalRemovesAtOnce(t *testing.T) {
+	m := listed(t, 10)
 	for i := 9; i > 4; i-- { // one every two seconds, down to half
 		m.SetEndpoints(control.Micros(2*(11-i))*second, "a", endpoints(i, Healthy))
 		if ready, _ := states(m); ready != i {
@@ -68,7 +78,7 @@
 	}
 }
 
-// Half or all of the list gone in one moment, in one message or several, is held, and is as it was when it comes back.
+// Half or all of the servers withdrawn at once, in one message or several, are held, and unchanged when they are listed again.
 func TestMassWithdrawalIsHeld(t *testing.T) {
 	for name, withdraw := range map[string]func(m *Model, now control.Micros){
 		"all at once": func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", nil) },
@@ -79,14 +89,14 @@
 			m.SetEndpoints(now+1000, "a", nil)
 		},
 	} {
-		m := known(t, 10)
+		m := listed(t, 10)
 		withdraw(m, 5*second)
 		ready, _ := states(m)
 		if ready != 10 && !(name == "some by some" && ready == 5) {
 			t.Errorf("%s: %d ready", name, ready)
 		}
 		if next := m.Tick(6 * second); next == 0 || next > 5*second+1000+DefaultBounds.HoldTime {
-			t.Errorf("%s: asks to be called at %d", name, next)
+			t.Errorf("%s: next call at %d", name, next)
 		}
 		m.SetClusters(8*second, []string{"a"})
 		m.SetEndpoints(8*second, "a", endpoints(10, Healthy))
@@ -102,9 +112,9 @@
 	}
 }
 
-// Once most of those that were kept are back, the others were withdrawn by intent.
-func TestTheLastOfAMassWithdrawal(t *testing.T) {
-	m := known(t, 10)
+// Once most of the held servers are back, the others were withdrawn by intent.
+func TestRestOfMassWithdrawalIsRemovedOnceSettled(t *testing.T) {
+	m := listed(t, 10)
 	m.SetEndpoints(5*second, "a", nil)
 	m.SetEndpoints(8*second, "a", endpoints(4, Healthy)) // not yet
 	if m.Tick(8*second + DefaultBounds.SettleTime); len(m.List()) != 10 {
@@ -112,15 +122,15 @@
 	}
 	m.SetEndpoints(9*second, "a", endpoints(9, Healthy))
 	if next := m.Tick(9 * second); len(m.List()) != 10 || next != 9*second+DefaultBounds.SettleTime {
-		t.Errorf("%d on the list at once; to be called at %d", len(m.List()), next)
+		t.Errorf("%d on the list at once; next call at %d", len(m.List()), next)
 	}
 	if m.Tick(9*second + DefaultBounds.SettleTime); len(m.List()) != 9 {
 		t.Errorf("%d on the list in the end", len(m.List()))
 	}
 }
 
-// Many clusters of one server each, withdrawn in one breath, are one withdrawal; a server that another names stays.
-func TestWithdrawnInOneBreath(t *testing.T) {
+// Many clusters of one server each, withdrawn in one message, are one withdrawal; a server that another cluster names stays.
+func TestBatchCountsAsOneWithdrawal(t *testing.T) {
 	m := New(DefaultBounds)
 	var names []string
 	m.Batch(second, func() {
@@ -148,25 +158,25 @@
 	}
 }
 
-func TestHeldServersAreBelievedGoneInTheEnd(t *testing.T) {
-	m := known(t, 10)
+func TestHeldServersAreRemovedAfterHold(t *testing.T) {
+	m := listed(t, 10)
 	m.SetEndpoints(5*second, "a", nil)
 	m.Tick(5*second + DefaultBounds.HoldTime - 1)
 	if ready, _ := states(m); ready != 10 {
 		t.Errorf("%d ready before its time", ready)
 	}
-	m.Source(6*second, false) // a source that is down can't take back what it said
+	m.SourceDown(6 * second) // holds don't end meanwhile: the source can't list the servers again
 	m.Tick(5*second + DefaultBounds.HoldTime)
 	if ready, _ := states(m); ready != 10 || m.SourceDownSince() != 6*second {
 		t.Errorf("%d ready while the source is down", ready)
 	}
-	m.Source(50*second, true)
+	m.SourceUp(50 * second)
 	m.Tick(50 * second)
 	if ready, draining := states(m); ready+draining != 0 {
 		t.Errorf("%d ready in the end", ready)
 	}
 	if notes := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(notes, "kept") || !strings.Contains(notes, "believed gone") || len(m.TakeLogLines()) > 0 {
-		t.Errorf("told %q", notes)
+		t.Errorf("logged %q", notes)
 	}
 }
 
@@ -199,7 +209,7 @@
 		t.Fatal(err)
 	}
 	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err == nil {
-		t.Error("endpoints without bound are kept")
+		t.Error("endpoints beyond the bound are kept")
 	}
 	if ready, _ := states(m); ready != 0 {
 		t.Errorf("%d ready with no cluster", ready)
@@ -217,8 +227,8 @@
 	}
 }
 
-func TestFlappingServerGetsNothingUntilCalm(t *testing.T) {
-	m := known(t, 3)
+func TestFlappingServerDrainsUntilStable(t *testing.T) {
+	m := listed(t, 3)
 	now := 2 * second
 	for i := range 6 {
 		es := endpoints(3, Healthy)
@@ -232,11 +242,11 @@
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
 	if next := m.Tick(now); next != now+DefaultBounds.StableTime {
-		t.Errorf("asks to be called at %d", next)
+		t.Errorf("next call at %d", next)
 	}
 	m.Tick(now + DefaultBounds.StableTime)
 	if ready, _ := states(m); ready != 3 {
-		t.Errorf("%d ready once calm", ready)
+		t.Errorf("%d ready once stable", ready)
 	}
 }
 
@@ -249,7 +259,7 @@
 	}
 }
 
-// Any order of arrival ends in the same list, once all has arrived and is calm.
+// Any order of arrival ends in the same list, once all has arrived and is stable.
 func TestOrderOfArrivalDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clusters := []string{"a", "b", "c"}
@@ -267,7 +277,7 @@
 		end := func(label string) *Model {
 			m := New(DefaultBounds)
 			now := second
-			for range rapid.IntRange(0, 20).Draw(t, label+"news before") {
+			for range rapid.IntRange(0, 20).Draw(t, label+"changes before") {
 				now += control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, label+"pause"))
 				c := rapid.SampledFrom(clusters).Draw(t, label+"cluster")
 				switch rapid.IntRange(0, 4).Draw(t, label+"what") {
@@ -278,12 +288,12 @@
 				case 2:
 					m.SetEndpoints(now, c, endpoints(rapid.IntRange(0, 4).Draw(t, label+"some"), Healthy))
 				case 3:
-					m.Source(now, rapid.Bool().Draw(t, label+"up"))
+					setSource(m, now, rapid.Bool().Draw(t, label+"up"))
 				default:
 					m.Tick(now)
 				}
 			}
-			steps := []func(){func() { m.SetClusters(now, named) }, func() { m.Source(now, true) }}
+			steps := []func(){func() { m.SetClusters(now, named) }, func() { m.SourceUp(now) }}
 			for _, c := range named {
 				steps = append(steps, func() { m.SetEndpoints(now, c, last[c]) })
 			}
@@ -311,15 +321,15 @@
 	})
 }
 
-// In a break of the source no healthy server is treated as gone.
-func TestBreakKeepsHealthyServers(t *testing.T) {
+// While the source is down no healthy server is removed.
+func TestSourceDownKeepsHealthyServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultBounds)
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
 		m.AddCluster(second, "a")
 		m.SetEndpoints(second, "a", endpoints(n, Healthy))
 		now := 10 * second
-		m.Source(now, false)
+		m.SourceDown(now)
 		for range 50 {
 			now += control.Micros(rapid.Int64Range(1, 100_000_000).Draw(t, "pause"))
 			m.Tick(now)
@@ -338,8 +348,8 @@
 	return es
 }
 
-// BenchmarkWhole is a whole update of 10 000 endpoints in 100 clusters, list included; BenchmarkOne one endpoint's change.
-func BenchmarkWhole(b *testing.B) {
+// BenchmarkFullList builds the list of 10 000 endpoints in 100 clusters from nothing.
+func BenchmarkFullList(b *testing.B) {
 	es := large(10_000)
 	for b.Loop() {
 		m := New(DefaultBounds)
@@ -353,7 +363,8 @@
 	}
 }
 
-func BenchmarkOne(b *testing.B) {
+// BenchmarkOneEndpoint changes one endpoint of 10 000.
+func BenchmarkOneEndpoint(b *testing.B) {
 	es := large(10_000)
 	m := New(DefaultBounds)
 	for c := range 100 {
@@ -368,18 +379,18 @@
 	}
 }
 
-// Servers of a lower priority get nothing while those above are enough, are called in at once when they are not, and are let go
-// once that has lasted; what the source says of how many it keeps spare counts.
-func TestReserveIsCalledIn(t *testing.T) {
+// Servers of a lower priority get nothing while those above are enough, are activated at once when they are not, and released
+// once those above were enough for the stable time. The source's overprovisioning factor counts.
+func TestLowerPriorityIsActivated(t *testing.T) {
 	m := New(DefaultBounds)
 	m.AddCluster(1, "c")
-	tell := func(now control.Micros, well int) {
+	update := func(now control.Micros, healthy int) {
 		list := endpoints(10, Healthy)
 		for i := range list {
 			switch {
 			case i >= 7:
 				list[i].Priority = uint32(i - 6) // one each at 1, 2 and 3
-			case i >= well:
+			case i >= healthy:
 				list[i].Health = Unhealthy
 			}
 		}
@@ -393,35 +404,35 @@
 			t.Errorf("%s: %d ready, want %d", why, n, want)
 		}
 	}
-	tell(10, 7)
-	ready(7, "all of the first level are well")
-	tell(20, 5)
+	update(10, 7)
+	ready(7, "all of the first level are healthy")
+	update(20, 5)
 	ready(5, "5 of 7 are enough with 1.4 spare")
 	version := m.Version()
-	tell(30, 4)
+	update(30, 4)
 	ready(5, "4 of 7 and one of the second level")
 	if m.Version() == version {
-		t.Error("the list is not told anew")
+		t.Error("the list has the same version")
 	}
-	tell(40, 0)
+	update(40, 0)
 	ready(1, "none of the first level: one of the second is that level's whole")
-	tell(50, 7)
-	ready(8, "not yet calm")
+	update(50, 7)
+	ready(8, "not yet stable")
 	next := m.Tick(60)
 	if next != 50+DefaultBounds.StableTime {
-		t.Errorf("the alarm is at %d", next)
+		t.Errorf("the timer is at %d", next)
 	}
 	m.Tick(next)
-	ready(7, "calm")
+	ready(7, "stable")
 	m.SetOverprovisioning("c", 1)
-	tell(next+10, 6)
-	ready(7, "without spare 6 of 7 are too few")
+	update(next+10, 6)
+	ready(7, "without overprovisioning 6 of 7 are too few")
 }
 
-// A source that changes one server all the time has the list told at a pace, and its last state is told in the end.
-func TestNewsComesAtAPace(t *testing.T) {
-	m := known(t, 1000)
-	given, now := 0, control.Micros(1_000_000)
+// A source that changes one server all the time gets paced updates, and the last of them has its last state.
+func TestUpdatesArePaced(t *testing.T) {
+	m := listed(t, 1000)
+	updates, now := 0, control.Micros(1_000_000)
 	m.TakeUpdate(now)
 	for range 1000 {
 		now += 1000
@@ -430,24 +441,24 @@
 		if err := m.SetEndpoints(now, "a", list); err != nil {
 			t.Fatal(err)
 		}
-		if _, news := m.TakeUpdate(now); news {
-			given++
+		if _, changed := m.TakeUpdate(now); changed {
+			updates++
 		}
 	}
-	if least := 400; given < least || given > 500 { // every 2 ms of 1000
-		t.Errorf("told %d times in a second", given)
+	if least := 400; updates < least || updates > 500 { // one each 2 ms
+		t.Errorf("%d updates in a second", updates)
 	}
-	last, news := m.TakeUpdate(m.Tick(now))
-	if m.version == m.takenVersion && !news {
-		return // the last change was told at once
+	last, changed := m.TakeUpdate(m.Tick(now))
+	if m.version == m.takenVersion && !changed {
+		return // the last change was in an update at once
 	}
-	if !news || last.Endpoints[0].Weight != float64(uint32(now))/100 {
-		t.Errorf("the last change is not told: %t %+v", news, last)
+	if !changed || last.Endpoints[0].Weight != float64(uint32(now))/100 {
+		t.Errorf("the last change is missing: %t %+v", changed, last)
 	}
 }
 
-// What is given as news, taken together, is the list, whatever the source says.
-func TestNewsIsAsTheList(t *testing.T) {
+// All updates taken together are the list, whatever the source says.
+func TestUpdatesAddUpToList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := DefaultBounds
 		bounds.FlapLimit = 2
@@ -462,7 +473,7 @@
 			case 1:
 				m.RemoveCluster(now, cluster)
 			case 2:
-				m.Source(now, rapid.Bool().Draw(t, "up"))
+				setSource(m, now, rapid.Bool().Draw(t, "up"))
 			case 3:
 				m.SetClusters(now, rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named"))
 			case 4:
@@ -473,16 +484,16 @@
 						Priority: uint32(rapid.IntRange(0, 2).Draw(t, "priority")), Weight: uint32(rapid.IntRange(0, 1).Draw(t, "weight"))}
 				}), 0, 8).Draw(t, "endpoints"))
 			}
-			news, is := m.TakeUpdate(now)
-			if !is {
+			update, changed := m.TakeUpdate(now)
+			if !changed {
 				continue
 			}
-			if news.Full {
+			if update.Full {
 				clear(list)
 			}
-			for _, e := range news.Endpoints {
+			for _, e := range update.Endpoints {
 				if e == list[e.Address] {
-					t.Fatalf("%+v is no news", e)
+					t.Fatalf("%+v is no change", e)
 				}
 				if list[e.Address] = e; e.State == control.Removed {
 					delete(list, e.Address)
@@ -490,13 +501,13 @@
 			}
 			got := slices.SortedFunc(maps.Values(list), func(a, b fleet.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 			if want := m.List(); !slices.Equal(got, want) {
-				t.Fatalf("by news %+v, the list is %+v", got, want)
+				t.Fatalf("by updates %+v, the list is %+v", got, want)
 			}
 		}
 	})
 }
 
-// BenchmarkFleetSize is an update of one of the clusters of 100 servers that make up a fleet, and the news of it.
+// BenchmarkFleetSize changes one server in a fleet of clusters of 100 servers, and takes the update.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("news/servers=%d", servers), func(b *testing.B) {
@@ -512,8 +523,8 @@
 				now += second
 				es[0].StartedAt++
 				m.SetEndpoints(now, "0", es[:100])
-				if _, news := m.TakeUpdate(now); !news {
-					b.Fatal("no news")
+				if _, changed := m.TakeUpdate(now); !changed {
+					b.Fatal("no update")
 				}
 			}
 		})
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -1,62 +1,44 @@
 package membership
 
 import (
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
-// settle works out some servers anew, of which one cluster said something else: from that one and those that named them
-// before, so that its cost grows with the change alone.
-func (m *Model) reconcile(now control.Micros, clusterName string, addresses []string) {
+// Batch applies changes that belong together: a server that one of them withdraws and another names is not withdrawn, and
+// all that they withdraw counts as one withdrawal.
+func (m *Model) Batch(now control.Micros, apply func()) {
+	m.batching = true
+	apply()
+	m.batching = false
+	withdrawn := slices.DeleteFunc(m.batchWithdrawn, func(server *Server) bool { return server.WithdrawnAt == 0 })
+	m.batchWithdrawn = nil
+	m.judgeWithdrawals(now, withdrawn)
+}
+
+// reconcile recomputes the servers at the given addresses, whose endpoints changed in one cluster. It looks at that cluster
+// and at those that named them before, so that its cost grows with the change alone.
+func (m *Model) reconcile(now control.Micros, changedCluster string, addresses []string) {
 	var withdrawn []*Server
 	heldReturned := false
 	for _, address := range addresses {
 		m.dirty[address] = true
 		server := m.servers[address]
-		names := []string{clusterName}
-		if server != nil {
-			names = append(names, server.Clusters...)
-			slices.Sort(names)
-			names = slices.Compact(names)
-		}
-		var merged Endpoint
-		var naming []string
-		for _, name := range names {
-			c := m.clusters[name]
-			if c == nil || !c.announced {
-				continue
-			}
-			endpoint, named := c.endpoints[address]
-			if !named {
-				continue
-			}
-			if len(naming) == 0 {
-				merged = endpoint
-			} else { // the first cluster by name tells all but these
-				merged.Health, merged.StartedAt = worse(merged.Health, endpoint.Health), max(merged.StartedAt, endpoint.StartedAt)
-			}
-			naming = append(naming, name)
-		}
+		endpoint, clusters := m.merge(address, server, changedCluster)
 		switch {
-		case server == nil && len(naming) == 0:
-		case len(naming) == 0:
-			if server.WithdrawnAt == 0 {
+		case len(clusters) == 0:
+			if server != nil && server.WithdrawnAt == 0 {
 				server.WithdrawnAt, server.Clusters = now, nil
 				m.timed[address] = true
 				withdrawn = append(withdrawn, server)
 			}
 		case server == nil:
-			server = &Server{Endpoint: merged, Clusters: naming, FirstSeen: now, UpdatedAt: now, usable: merged.Health.usable()}
-			m.servers[address] = server
+			m.servers[address] = &Server{Endpoint: endpoint, Clusters: clusters, FirstSeen: now, UpdatedAt: now, usable: endpoint.Health.usable()}
 			m.version++
 		default:
-			if server.WithdrawnAt > 0 || server.Endpoint != merged {
-				m.version++
-				server.UpdatedAt = now
-			}
 			heldReturned = heldReturned || server.Held
-			server.Endpoint, server.Clusters, server.WithdrawnAt, server.Held = merged, naming, 0, false
-			m.recordUsability(now, server, merged.Health.usable())
+			m.update(now, server, endpoint, clusters)
 		}
 	}
 	if heldReturned {
@@ -69,13 +51,42 @@
 	}
 }
 
-// Together takes in several things that were said in one breath: servers that one of them withdraws and another names are
-// not withdrawn, and what all of them withdraw counts as one.
-func (m *Model) Batch(now control.Micros, apply func()) {
-	m.batching = true
-	apply()
-	m.batching = false
-	withdrawn := slices.DeleteFunc(m.batchWithdrawn, func(apply *Server) bool { return apply.WithdrawnAt == 0 })
-	m.batchWithdrawn = nil
-	m.judgeWithdrawals(now, withdrawn)
+// merge returns what the announced clusters say of an address, and the names of those that list it, ascending. The first
+// of them decides all but the health, which is the worst of all, and the start, which is the latest.
+func (m *Model) merge(address string, server *Server, changedCluster string) (merged Endpoint, clusters []string) {
+	candidates := []string{changedCluster}
+	if server != nil {
+		candidates = append(candidates, server.Clusters...)
+		slices.Sort(candidates)
+		candidates = slices.Compact(candidates)
+	}
+	for _, name := range candidates {
+		c := m.clusters[name]
+		if c == nil || !c.announced {
+			continue
+		}
+		endpoint, listed := c.endpoints[address]
+		if !listed {
+			continue
+		}
+		if len(clusters) == 0 {
+			merged = endpoint
+		} else {
+			merged.Health = worse(merged.Health, endpoint.Health)
+			merged.StartedAt = max(merged.StartedAt, endpoint.StartedAt)
+		}
+		clusters = append(clusters, name)
+	}
+	return merged, clusters
+}
+
+// update sets what the source says of a known server that at least one cluster lists.
+func (m *Model) update(now control.Micros, server *Server, endpoint Endpoint, clusters []string) {
+	if server.WithdrawnAt > 0 || server.Endpoint != endpoint {
+		m.version++
+		server.UpdatedAt = now
+	}
+	server.Endpoint, server.Clusters = endpoint, clusters
+	server.WithdrawnAt, server.Held = 0, false
+	m.recordUsability(now, server, endpoint.Health.usable())
 }
--- a/internal/membership/withdrawal.go
+++ b/internal/membership/withdrawal.go
@@ -1,16 +1,18 @@
 package membership
 
 import (
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
-// withdraw decides about servers that no cluster names any more. Those that could not be used anyway are gone. Of the
-// others a few at a time are gone at once; where in one moment more than the told share go, all of that moment stay.
+// judgeWithdrawals decides on servers that no cluster names any more. Those that were not usable are removed. Of the others
+// a few at a time are removed at once; where more than the bounded share of the fleet is withdrawn within the window, the
+// new ones are held. It guards against a source that loses its servers by a fault of its own.
 func (m *Model) judgeWithdrawals(now control.Micros, withdrawn []*Server) {
-	withdrawn = slices.DeleteFunc(withdrawn, func(f *Server) bool {
-		if !f.Health.usable() {
-			m.remove(now, f)
+	withdrawn = slices.DeleteFunc(withdrawn, func(server *Server) bool {
+		if !server.Health.usable() {
+			m.remove(now, server)
 			return true
 		}
 		return false
@@ -18,40 +20,45 @@
 	if len(withdrawn) == 0 {
 		return
 	}
-	m.recentlyWithdrawn = slices.DeleteFunc(m.recentlyWithdrawn, func(f *Server) bool { return f.WithdrawnAt == 0 || f.WithdrawnAt < now-m.bounds.WithdrawalWindow }) // some are back
+	m.recentlyWithdrawn = slices.DeleteFunc(m.recentlyWithdrawn, func(server *Server) bool {
+		returned := server.WithdrawnAt == 0
+		return returned || server.WithdrawnAt < now-m.bounds.WithdrawalWindow
+	})
 	m.recentlyWithdrawn = append(m.recentlyWithdrawn, withdrawn...)
-	if len(m.recentlyWithdrawn) <= m.bounds.MassWithdrawalMin { // as it mostly is: then nothing need be counted
-		for _, f := range withdrawn {
-			m.remove(now, f)
-		}
+	if len(m.recentlyWithdrawn) <= m.bounds.MassWithdrawalMin { // the usual case, without a look at all servers
+		m.removeAll(now, withdrawn)
 		return
 	}
-	before := 0
-	for _, f := range m.servers {
-		if f.Health.usable() && (f.WithdrawnAt == 0 || f.Held || f.WithdrawnAt == now) {
-			before++
-		}
+	before := m.usableBefore(now, withdrawn)
+	if float64(len(m.recentlyWithdrawn)) <= m.bounds.MassWithdrawalShare*float64(before) {
+		m.removeAll(now, withdrawn)
+		return
 	}
-	for _, f := range m.recentlyWithdrawn { // as many as there were before this moment
-		if !f.Held && !slices.Contains(withdrawn, f) {
-			before++
-		}
+	m.logf("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
+	for _, server := range withdrawn {
+		server.Held, server.heldUntil = true, now+m.bounds.HoldTime
 	}
-	if float64(len(m.recentlyWithdrawn)) > m.bounds.MassWithdrawalShare*float64(before) {
-		m.logf("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
-		for _, f := range withdrawn {
-			f.Held, f.heldUntil = true, now+m.bounds.HoldTime
+	m.version++
+}
+
+// usableBefore counts the usable servers as there were before the withdrawals of the window, the new ones included.
+func (m *Model) usableBefore(now control.Micros, withdrawn []*Server) int {
+	count := 0
+	for _, server := range m.servers {
+		if server.Health.usable() && (server.WithdrawnAt == 0 || server.Held || server.WithdrawnAt == now) {
+			count++
 		}
-		m.version++
-		return
 	}
-	for _, f := range withdrawn {
-		m.remove(now, f)
+	for _, server := range m.recentlyWithdrawn {
+		if !server.Held && !slices.Contains(withdrawn, server) {
+			count++
+		}
 	}
+	return count
 }
 
-// mostAreBack looks, once servers that were kept are named again, whether those that still are not are few enough to have
-// been withdrawn by intent.
+// shortenHold is called when held servers are listed again. Once most of them are, the others were withdrawn by intent, and
+// their hold is cut to the settle time.
 func (m *Model) shortenHold(now control.Micros) {
 	var held []*Server
 	usable := 0
@@ -71,7 +78,13 @@
 	}
 }
 
-// drop has a server gone. Its fact stays for as long as it could flap.
+func (m *Model) removeAll(now control.Micros, servers []*Server) {
+	for _, server := range servers {
+		m.remove(now, server)
+	}
+}
+
+// remove takes a server off the list. What is known of it stays for as long as its return could count as flapping.
 func (m *Model) remove(now control.Micros, server *Server) {
 	server.Held = false
 	m.dirty[server.Address] = true
--- a/internal/xds/bootstrap.go
+++ b/internal/xds/bootstrap.go
@@ -37,7 +37,7 @@
 		}
 		r.Resources = append(r.Resources, any)
 	}
-	f.members.Source(now, true)
+	f.members.SourceUp(now)
 	if _, err := f.applyFull(now, r); err != nil {
 		return err
 	}
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -73,7 +73,7 @@
 // Connected begins a stream and gives its first requests: for clusters, and, where some are known from an earlier stream, for
 // their endpoints, each with what is known of them.
 func (f *Client) Connected(now control.Micros) []proto.Message {
-	f.members.Source(now, true)
+	f.members.SourceUp(now)
 	for _, k := range f.resourceTypes {
 		k.nonce = ""
 	}
@@ -96,7 +96,7 @@
 }
 
 // Broken ends a stream. All stands as it was last told.
-func (f *Client) Disconnected(now control.Micros) { f.members.Source(now, false) }
+func (f *Client) Disconnected(now control.Micros) { f.members.SourceDown(now) }
 
 // Heard takes in a response and gives the requests that answer it: an ACK, or a NACK with the reason, then what is asked for
 // besides. What is refused changes nothing.
