--- a/internal/xds/assignments.go
+++ b/internal/xds/assignments.go
@@ -1,46 +1,47 @@
 package xds
 
 import (
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
-// assign takes in the endpoints of services; those of one that no cluster names are kept in case it comes.
-func (f *Client) updateAssignments(now control.Micros, assignments []assignment) error {
-	byService := make(map[string][]string, len(f.serviceNames))
-	for name, service := range f.serviceNames {
+// updateAssignments applies the endpoints of services. Those of a service that no cluster names are kept in case one comes.
+func (c *Client) updateAssignments(now control.Micros, assignments []assignment) error {
+	byService := make(map[string][]string, len(c.serviceNames))
+	for name, service := range c.serviceNames {
 		byService[service] = append(byService[service], name)
 	}
-	var rejected error
-	f.members.Batch(now, func() { rejected = f.applyAssignments(now, assignments, byService) })
-	if rejected != nil {
-		return rejected
+	var err error
+	c.members.Batch(now, func() { err = c.applyAssignments(now, assignments, byService) })
+	if err != nil {
+		return err
 	}
-	if len(f.awaitedClusters) == 0 {
-		f.releaseClusters(now)
+	if len(c.awaitedClusters) == 0 {
+		c.releaseClusters(now)
 	}
 	return nil
 }
 
-func (f *Client) applyAssignments(now control.Micros, assignments []assignment, byService map[string][]string) error {
+func (c *Client) applyAssignments(now control.Micros, assignments []assignment, byService map[string][]string) error {
 	for _, a := range assignments {
 		names := byService[a.name]
 		slices.Sort(names)
 		if len(names) == 0 {
-			if slices.Contains(f.leavingClusters, a.name) {
-				continue // it goes as a whole, once what comes in its place is there
+			if slices.Contains(c.leavingClusters, a.name) {
+				continue // the cluster is removed as a whole, once those that replace it have endpoints
 			}
 			names = []string{a.name}
 		}
 		for _, name := range names {
-			if f.inlined[name] {
+			if c.inlined[name] {
 				continue
 			}
-			f.members.SetOverprovisioning(name, a.overprovisioning)
-			if err := f.members.SetEndpoints(now, name, a.endpoints); err != nil {
+			c.members.SetOverprovisioning(name, a.overprovisioning)
+			if err := c.members.SetEndpoints(now, name, a.endpoints); err != nil {
 				return err
 			}
-			delete(f.awaitedClusters, name)
+			delete(c.awaitedClusters, name)
 		}
 	}
 	return nil
--- a/internal/xds/bootstrap.go
+++ b/internal/xds/bootstrap.go
@@ -14,10 +14,10 @@
 	"hollymast/control"
 )
 
-// Bootstrap has a follower take in a file in Envoy's own form (YAML or JSON, envoy.config.bootstrap.v3.Bootstrap): the
-// clusters of its static_resources, as if a control plane had told them. Fields that are not known are passed over, as
-// Envoy's listeners and filters are. A fault leaves all as it was; the error is one line.
-func (f *Client) LoadBootstrap(now control.Micros, text []byte) error {
+// LoadBootstrap applies the clusters in the static_resources of an Envoy bootstrap (YAML or JSON,
+// envoy.config.bootstrap.v3.Bootstrap), as if a control plane had sent them. Unknown fields are ignored, as are Envoy's
+// listeners and filters. An error is one line long, and nothing has changed then.
+func (c *Client) LoadBootstrap(now control.Micros, text []byte) error {
 	json, err := yaml.YAMLToJSON(text)
 	if err != nil {
 		return fmt.Errorf("no YAML: %s", oneLine(err))
@@ -30,18 +30,16 @@
 		return errors.New("no static_resources in it")
 	}
 	r := &discovery.DiscoveryResponse{TypeUrl: ClusterType}
-	for _, c := range b.GetStaticResources().GetClusters() {
-		any, err := anypb.New(c)
+	for _, cluster := range b.GetStaticResources().GetClusters() {
+		resource, err := anypb.New(cluster)
 		if err != nil {
 			return err
 		}
-		r.Resources = append(r.Resources, any)
+		r.Resources = append(r.Resources, resource)
 	}
-	f.members.SourceUp(now)
-	if _, err := f.applyFull(now, r); err != nil {
-		return err
-	}
-	return nil
+	c.members.SourceUp(now)
+	_, err = c.applyFull(now, r)
+	return err
 }
 
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
--- a/internal/xds/catchup.go
+++ b/internal/xds/catchup.go
@@ -7,26 +7,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// errClosed tells that a stream gave its last message.
+// errStreamEnded says that a stream has delivered its last message.
 var errStreamEnded = errors.New("the stream has ended")
 
-// settled is how long after the last byte was read its message may take to come out of the stream: some goroutines' turns.
+// deliveryTime is how long after the last byte was read its message may take to come out of the stream: some switches
+// between gRPC's goroutines.
 const deliveryTime = 2 * time.Millisecond
 
-// catchUp takes in all that has come, also what is not read from the connection yet, for a quarter of the grace at most.
-func (s Transport) catchUp(dialer *dialer, received <-chan proto.Message, handle func(proto.Message) error) error {
-	deadline := time.Now().Add(s.Grace / 4)
+// catchUp handles all that has arrived, also what is not read from the connection yet, within a quarter of the grace. It
+// guards against a decision on an endpoint list that a change has already reached, as after a stall of the process.
+func (s *session) catchUp() error {
+	deadline := time.Now().Add(s.transport.Grace / 4)
 	for {
 		var wait time.Duration
-		if !dialer.settled() && time.Now().Before(deadline) {
+		if !s.dialer.settled() && time.Now().Before(deadline) {
 			wait = deliveryTime
 		}
-		m, err := nextMessage(received, wait)
+		m, err := nextMessage(s.received, wait)
 		switch {
 		case err != nil:
 			return err
 		case m != nil:
-			if err := handle(m); err != nil {
+			if err := s.handle(m); err != nil {
 				return err
 			}
 		case wait == 0:
@@ -35,9 +37,9 @@
 	}
 }
 
-// next gives the next message, or nil where none comes within a time.
+// nextMessage returns the next message, or nil where none comes within the wait. The error is errStreamEnded.
 func nextMessage(received <-chan proto.Message, wait time.Duration) (proto.Message, error) {
-	select { // what is there comes before the time
+	select { // a message that is there comes before the timer, however late this goroutine runs
 	case m, open := <-received:
 		return m, endedUnless(open)
 	default:
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -1,232 +1,135 @@
-// Package xds follows a control plane by Envoy's discovery protocol: aggregated discovery (ADS) of clusters (CDS) and
-// endpoints (EDS), state of the world or delta. Follower is the protocol itself, free of I/O and clocks; Follow carries its
-// messages over gRPC.
 package xds
 
 import (
 	"fmt"
 	"maps"
-	"slices"
 
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-	status "google.golang.org/genproto/googleapis/rpc/status"
-	"google.golang.org/grpc/codes"
 	"google.golang.org/protobuf/proto"
-	"google.golang.org/protobuf/types/known/anypb"
 
 	"hollymast/control"
 	"hollymast/internal/membership"
 )
 
-// The types of resources, by their URLs.
+// The type URLs of the resources.
 const (
 	ClusterType  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	EndpointType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-// Bounds limit what is accepted of a control plane; more is refused with a NACK.
+// Bounds limit what is accepted from a control plane; more is rejected with a NACK.
 type Bounds struct {
 	Clusters  int
 	Endpoints int // of one cluster
 }
 
-// Usual are bounds far beyond a fleet of ten thousand servers.
+// DefaultBounds are far beyond a fleet of ten thousand servers.
 var DefaultBounds = Bounds{Clusters: 10_000, Endpoints: 100_000}
 
-// Follower is the client's side of the protocol. A stream at a time: Connected, Heard for each message, Broken at its end.
+// Client is the client's side of aggregated discovery; it implements Protocol.
 type Client struct {
 	members *membership.Model
 	bounds  Bounds
 	node    *core.Node
 	delta   bool
 
-	serviceNames  map[string]string // the name under which each cluster's endpoints are asked for
-	inlined       map[string]bool   // clusters that carry their endpoints
-	resourceTypes map[string]*typeState
+	serviceNames  map[string]string     // the name under which each cluster's endpoints are subscribed to
+	inlined       map[string]bool       // clusters that carry their endpoints
+	resourceTypes map[string]*typeState // by type URL
 
-	leavingClusters []string // clusters withdrawn that stay for now
+	leavingClusters []string // withdrawn, but kept while awaitedClusters have no endpoints
 	leavingSince    control.Micros
-	awaitedClusters map[string]bool // clusters that came with that message and have no endpoints yet
-	logged          map[string]bool // what was passed over, said once
-	logLines        []string
+	awaitedClusters map[string]bool // new clusters that have no endpoints yet
 
-	AcceptedResponses, RejectedResponses int // responses
+	logged   map[string]bool // by logOnce
+	logLines []string
+
+	AcceptedResponses, RejectedResponses int
 }
 
-// kind is what is known of one type of resource.
+// typeState is the state of the protocol for one type of resource.
 type typeState struct {
-	version  string            // state of the world: last accepted
+	version  string            // state of the world: the last accepted
 	nonce    string            // of the last response on this stream
-	names    []string          // asked for, ascending; of clusters none: all
-	versions map[string]string // delta: of each resource
-}
-
-// NewFollower gives a follower that tells members. ID names this router to the control plane.
-func NewClient(m *membership.Model, id, zone string, delta bool, b Bounds) *Client {
-	return &Client{members: m, bounds: b, delta: delta, node: &core.Node{Id: id, Cluster: "hollymast", Locality: &core.Locality{Zone: zone},
-		UserAgentName: "hollymast"},
-		serviceNames: map[string]string{}, inlined: map[string]bool{}, awaitedClusters: map[string]bool{}, logged: map[string]bool{},
-		resourceTypes: map[string]*typeState{ClusterType: {versions: map[string]string{}}, EndpointType: {versions: map[string]string{}}}}
+	names    []string          // subscribed to, ascending; of clusters none: all
+	versions map[string]string // incremental: of each resource
 }
 
-// Connected begins a stream and gives its first requests: for clusters, and, where some are known from an earlier stream, for
-// their endpoints, each with what is known of them.
-func (f *Client) Connected(now control.Micros) []proto.Message {
-	f.members.SourceUp(now)
-	for _, k := range f.resourceTypes {
-		k.nonce = ""
+// NewClient returns a client that keeps members up to date. ID and zone introduce this router to the control plane; delta
+// chooses the incremental variant, and has to be the Transport's.
+func NewClient(members *membership.Model, id, zone string, delta bool, bounds Bounds) *Client {
+	return &Client{
+		members:         members,
+		bounds:          bounds,
+		node:            newNode(id, zone),
+		delta:           delta,
+		serviceNames:    map[string]string{},
+		inlined:         map[string]bool{},
+		awaitedClusters: map[string]bool{},
+		logged:          map[string]bool{},
+		resourceTypes: map[string]*typeState{
+			ClusterType:  {versions: map[string]string{}},
+			EndpointType: {versions: map[string]string{}},
+		},
 	}
-	out := []proto.Message{f.initialRequest(ClusterType)}
-	if len(f.resourceTypes[EndpointType].names) > 0 {
-		out = append(out, f.initialRequest(EndpointType))
-	}
-	return out
 }
 
-// Services gives the name under which each cluster's endpoints are asked for.
-func (f *Client) ServiceNames() map[string]string { return maps.Clone(f.serviceNames) }
-
-func (f *Client) initialRequest(url string) proto.Message {
-	k := f.resourceTypes[url]
-	if f.delta {
-		return &discovery.DeltaDiscoveryRequest{Node: f.node, TypeUrl: url, ResourceNamesSubscribe: k.names, InitialResourceVersions: k.versions}
+// Connected starts a stream and returns its first requests: for clusters and, where some are known from an earlier stream,
+// for their endpoints, each with the versions known.
+func (c *Client) Connected(now control.Micros) []proto.Message {
+	c.members.SourceUp(now)
+	for _, state := range c.resourceTypes {
+		state.nonce = ""
 	}
-	return &discovery.DiscoveryRequest{Node: f.node, TypeUrl: url, ResourceNames: k.names, VersionInfo: k.version}
-}
-
-// Broken ends a stream. All stands as it was last told.
-func (f *Client) Disconnected(now control.Micros) { f.members.SourceDown(now) }
-
-// Heard takes in a response and gives the requests that answer it: an ACK, or a NACK with the reason, then what is asked for
-// besides. What is refused changes nothing.
-func (f *Client) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
-	switch r := m.(type) {
-	case *discovery.DiscoveryResponse:
-		k := f.resourceTypes[r.TypeUrl]
-		if k == nil {
-			return nil // of a type that was never asked for
-		}
-		k.nonce = r.Nonce
-		more, err := f.applyFull(now, r)
-		if err == nil {
-			k.version = r.VersionInfo
-		}
-		return append([]proto.Message{&discovery.DiscoveryRequest{TypeUrl: r.TypeUrl, VersionInfo: k.version, ResponseNonce: r.Nonce,
-			ResourceNames: k.names, ErrorDetail: f.errorDetail(err)}}, more...)
-	case *discovery.DeltaDiscoveryResponse:
-		k := f.resourceTypes[r.TypeUrl]
-		if k == nil {
-			return nil
-		}
-		k.nonce = r.Nonce
-		more, err := f.applyIncremental(now, r)
-		return append([]proto.Message{&discovery.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, ErrorDetail: f.errorDetail(err)}}, more...)
+	out := []proto.Message{c.initialRequest(ClusterType)}
+	if len(c.resourceTypes[EndpointType].names) > 0 {
+		out = append(out, c.initialRequest(EndpointType))
 	}
-	return nil
+	return out
 }
 
-func (f *Client) errorDetail(err error) *status.Status {
-	if err == nil {
-		f.AcceptedResponses++
-		return nil
+func (c *Client) initialRequest(url string) proto.Message {
+	state := c.resourceTypes[url]
+	if c.delta {
+		return &discovery.DeltaDiscoveryRequest{Node: c.node, TypeUrl: url, ResourceNamesSubscribe: state.names, InitialResourceVersions: state.versions}
 	}
-	f.RejectedResponses++
-	f.logLines = append(f.logLines, "the control plane's update is refused: "+err.Error())
-	return &status.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
+	return &discovery.DiscoveryRequest{Node: c.node, TypeUrl: url, ResourceNames: state.names, VersionInfo: state.version}
 }
 
-// whole takes in a state of the world: of clusters all that there are; of endpoints those that it names, whole.
-func (f *Client) applyFull(now control.Micros, r *discovery.DiscoveryResponse) ([]proto.Message, error) {
-	if r.TypeUrl == ClusterType {
-		clusters, err := f.parseClusters(r.Resources)
-		if err != nil {
-			return nil, err
-		}
-		var removed []string
-		for name := range f.serviceNames {
-			if !slices.ContainsFunc(clusters, func(c parsedCluster) bool { return c.name == name }) {
-				removed = append(removed, name)
-			}
-		}
-		return f.updateClusters(now, clusters, removed), nil
-	}
-	assignments, err := f.parseAssignments(r.Resources)
-	if err != nil {
-		return nil, err
-	}
-	return nil, f.updateAssignments(now, assignments)
-}
+// Disconnected ends a stream. The endpoint list stays as it is.
+func (c *Client) Disconnected(now control.Micros) { c.members.SourceDown(now) }
 
-// changes takes in what a delta says.
-func (f *Client) applyIncremental(now control.Micros, r *discovery.DeltaDiscoveryResponse) ([]proto.Message, error) {
-	state := f.resourceTypes[r.TypeUrl]
-	resources := make([]*anypb.Any, len(r.Resources))
-	for i, x := range r.Resources {
-		resources[i] = x.Resource
-	}
-	var more []proto.Message
-	if r.TypeUrl == ClusterType {
-		clusters, err := f.parseClusters(resources)
-		if err != nil {
-			return nil, err
-		}
-		if n := len(f.serviceNames) + len(clusters); n > 2*f.bounds.Clusters {
-			return nil, fmt.Errorf("%d clusters, over the bound of %d", n, f.bounds.Clusters)
-		}
-		var removed []string
-		for _, name := range r.RemovedResources {
-			if _, there := f.serviceNames[name]; there {
-				removed = append(removed, name)
-			}
-		}
-		more = f.updateClusters(now, clusters, removed)
-	} else {
-		assignments, err := f.parseAssignments(resources)
-		if err != nil {
-			return nil, err
-		}
-		for _, name := range r.RemovedResources {
-			assignments = append(assignments, assignment{name: name})
-		}
-		if err := f.updateAssignments(now, assignments); err != nil {
-			return nil, err
-		}
-	}
-	for _, x := range r.Resources {
-		state.versions[x.Name] = x.Version
-	}
-	for _, name := range r.RemovedResources {
-		delete(state.versions, name)
-	}
-	return more, nil
-}
+// ServiceNames returns the name under which each cluster's endpoints are subscribed to, by cluster.
+func (c *Client) ServiceNames() map[string]string { return maps.Clone(c.serviceNames) }
 
-// Tick ends what waits for too long, and gives when it must be called again; 0: when something is heard.
-func (f *Client) Tick(now control.Micros) (next control.Micros) {
-	if len(f.leavingClusters) > 0 && now >= f.leavingSince+warmingTime {
-		f.releaseClusters(now)
+// Tick applies what is due, here and in the members, and returns when it must be called again; 0: after the next message.
+func (c *Client) Tick(now control.Micros) (next control.Micros) {
+	if len(c.leavingClusters) > 0 && now >= c.leavingSince+warmingTime {
+		c.releaseClusters(now)
 	}
-	next = f.members.Tick(now)
-	if len(f.leavingClusters) > 0 && (next == 0 || f.leavingSince+warmingTime < next) {
-		next = f.leavingSince + warmingTime
+	next = c.members.Tick(now)
+	if len(c.leavingClusters) > 0 && (next == 0 || c.leavingSince+warmingTime < next) {
+		next = c.leavingSince + warmingTime
 	}
 	return next
 }
 
-// Notes gives what is to be told operators since the last call, the members' own included.
-func (f *Client) TakeLogLines() []string {
-	notes := append(f.logLines, f.members.TakeLogLines()...)
-	f.logLines = nil
-	return notes
+// TakeLogLines returns the lines to log since the last call, the members' included.
+func (c *Client) TakeLogLines() []string {
+	lines := append(c.logLines, c.members.TakeLogLines()...)
+	c.logLines = nil
+	return lines
 }
 
-// passOver notes, once for each, what a resource asks for that is not done here.
-func (f *Client) logOnce(format string, args ...any) {
+// maxLoggedOnce bounds the distinct lines of logOnce, against a control plane that changes names each time.
+const maxLoggedOnce = 1000
+
+// logOnce logs, once for each text, what a resource asks for that is not supported.
+func (c *Client) logOnce(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	const most = 1000 // distinct notes: then the control plane changes names each time
-	if !f.logged[text] && len(f.logged) < most {
-		f.logged[text] = true
-		f.logLines = append(f.logLines, text)
+	if !c.logged[text] && len(c.logged) < maxLoggedOnce {
+		c.logged[text] = true
+		c.logLines = append(c.logLines, text)
 	}
 }
--- a/internal/xds/clusters.go
+++ b/internal/xds/clusters.go
@@ -1,66 +1,74 @@
 package xds
 
 import (
-	"hollymast/control"
 	"slices"
 
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
+
+	"hollymast/control"
 )
 
-// warming is for how long clusters that were withdrawn stay while those that came with the same message have no endpoints
-// yet, so that servers that move between clusters are never missing (make before break). It must leave most of the time
-// within which nothing new may go to a withdrawn server.
+// warmingTime is how long withdrawn clusters stay while those that came with the same message have no endpoints yet, so that
+// servers that move between clusters are never missing (make before break). It must leave most of the time within which
+// nothing new may go to a withdrawn server.
 const warmingTime = control.Micros(200_000)
 
-// clustersAre takes in clusters that are there, new or not, and those that are gone, and asks for endpoints accordingly.
-func (f *Client) updateClusters(now control.Micros, clusters []parsedCluster, removed []string) []proto.Message {
+// updateClusters applies clusters that are listed, new or not, and those that were removed, and returns the requests for the
+// endpoints that this makes necessary.
+func (c *Client) updateClusters(now control.Micros, clusters []parsedCluster, removed []string) []proto.Message {
 	slices.Sort(removed)
-	for _, c := range clusters {
-		_, before := f.serviceNames[c.name]
-		f.serviceNames[c.name] = c.service
-		f.members.AddCluster(now, c.name)
-		if f.inlined[c.name] = c.inline != nil; c.inline != nil {
-			f.members.SetOverprovisioning(c.name, c.inline.overprovisioning)
-			f.members.SetEndpoints(now, c.name, c.inline.endpoints)
-		} else if !before {
-			f.awaitedClusters[c.name] = true
+	for _, cluster := range clusters {
+		_, known := c.serviceNames[cluster.name]
+		c.serviceNames[cluster.name] = cluster.service
+		c.members.AddCluster(now, cluster.name)
+		c.inlined[cluster.name] = cluster.inline != nil
+		if cluster.inline != nil {
+			c.members.SetOverprovisioning(cluster.name, cluster.inline.overprovisioning)
+			c.members.SetEndpoints(now, cluster.name, cluster.inline.endpoints) // of an announced cluster: can't fail
+		} else if !known {
+			c.awaitedClusters[cluster.name] = true
 		}
 	}
 	for _, name := range removed {
-		delete(f.serviceNames, name)
-		delete(f.inlined, name)
-		delete(f.awaitedClusters, name)
+		delete(c.serviceNames, name)
+		delete(c.inlined, name)
+		delete(c.awaitedClusters, name)
 	}
-	if len(f.leavingClusters) == 0 {
-		f.leavingSince = now
+	if len(c.leavingClusters) == 0 {
+		c.leavingSince = now
 	}
-	f.leavingClusters = append(f.leavingClusters, removed...)
-	if len(f.awaitedClusters) == 0 {
-		f.releaseClusters(now)
+	c.leavingClusters = append(c.leavingClusters, removed...)
+	if len(c.awaitedClusters) == 0 {
+		c.releaseClusters(now)
 	}
-	var names []string
-	for name, service := range f.serviceNames {
-		if !f.inlined[name] {
-			names = append(names, service)
+	return c.subscribeEndpoints(c.subscribedServices())
+}
+
+// subscribedServices returns the services whose endpoints no cluster carries, ascending.
+func (c *Client) subscribedServices() []string {
+	var services []string
+	for name, service := range c.serviceNames {
+		if !c.inlined[name] {
+			services = append(services, service)
 		}
 	}
-	slices.Sort(names)
-	return f.subscribeEndpoints(slices.Compact(names))
+	slices.Sort(services)
+	return slices.Compact(services)
 }
 
-// ask asks for other endpoints than before, if they are others.
-func (f *Client) subscribeEndpoints(names []string) []proto.Message {
-	state := f.resourceTypes[EndpointType]
+// subscribeEndpoints returns the requests that change the subscription to endpoints to the given names.
+func (c *Client) subscribeEndpoints(names []string) []proto.Message {
+	state := c.resourceTypes[EndpointType]
 	if slices.Equal(names, state.names) {
 		return nil
 	}
 	old := state.names
 	state.names = names
-	if !f.delta {
-		return []proto.Message{&discovery.DiscoveryRequest{Node: f.node, TypeUrl: EndpointType, ResourceNames: names, VersionInfo: state.version, ResponseNonce: state.nonce}}
+	if !c.delta {
+		return []proto.Message{&discovery.DiscoveryRequest{Node: c.node, TypeUrl: EndpointType, ResourceNames: names, VersionInfo: state.version, ResponseNonce: state.nonce}}
 	}
-	r := &discovery.DeltaDiscoveryRequest{Node: f.node, TypeUrl: EndpointType}
+	r := &discovery.DeltaDiscoveryRequest{Node: c.node, TypeUrl: EndpointType}
 	for _, name := range names {
 		if _, found := slices.BinarySearch(old, name); !found {
 			r.ResourceNamesSubscribe = append(r.ResourceNamesSubscribe, name)
@@ -75,17 +83,17 @@
 	return []proto.Message{r}
 }
 
-// release lets the clusters go that were withdrawn.
-func (f *Client) releaseClusters(now control.Micros) {
-	if len(f.leavingClusters) == 0 {
+// releaseClusters removes the withdrawn clusters that have not come back.
+func (c *Client) releaseClusters(now control.Micros) {
+	if len(c.leavingClusters) == 0 {
 		return
 	}
-	f.members.Batch(now, func() {
-		for _, name := range f.leavingClusters {
-			if _, back := f.serviceNames[name]; !back {
-				f.members.RemoveCluster(now, name)
+	c.members.Batch(now, func() {
+		for _, name := range c.leavingClusters {
+			if _, back := c.serviceNames[name]; !back {
+				c.members.RemoveCluster(now, name)
 			}
 		}
 	})
-	f.leavingClusters = nil
+	c.leavingClusters = nil
 }
--- a/internal/xds/loadreporter.go
+++ b/internal/xds/loadreporter.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"maps"
 	"slices"
+	"time"
 
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
@@ -15,104 +16,107 @@
 	"hollymast/internal/loadreport"
 )
 
-// allClusters tells a control plane that it may ask for all clusters at once.
-const allClusters = "envoy.lrs.supports_send_all_clusters"
+// supportsAllClusters is the client feature by which a control plane may ask for all clusters at once.
+const supportsAllClusters = "envoy.lrs.supports_send_all_clusters"
 
-// Counted is where reports come from.
+// LoadSource is where reports come from.
 type LoadSource interface {
-	Take(now control.Micros) loadreport.Report // what was counted since the last
-	Places() map[string]loadreport.Locality    // of the servers that a control plane lists
-	Services() map[string]string               // the name under which a cluster's endpoints are asked for, where it is another
+	Take(now control.Micros) loadreport.Report // what was counted since the last one
+	Places() map[string]loadreport.Locality    // of the servers that a control plane lists, by address
+	Services() map[string]string               // the name under which a cluster's endpoints are subscribed to, by cluster
 }
 
-// Reports is the client's side of load reporting (LRS): the control plane asks for clusters at an interval, and is told.
+// LoadReporter is the client's side of load reporting (LRS): the control plane chooses clusters and an interval. It implements
+// Protocol.
 type LoadReporter struct {
-	node   *core.Node
-	source LoadSource
-	pace   loadreport.Scheduler
+	node      *core.Node
+	source    LoadSource
+	scheduler loadreport.Scheduler
 }
 
-// NewReports gives one that reports what is counted.
-func NewLoadReporter(c LoadSource, id, zone string) *LoadReporter {
-	return &LoadReporter{source: c, node: &core.Node{Id: id, Cluster: "hollymast", UserAgentName: "hollymast", Locality: &core.Locality{Zone: zone},
-		ClientFeatures: []string{allClusters}}}
+// NewLoadReporter returns a reporter of what the source counts.
+func NewLoadReporter(source LoadSource, id, zone string) *LoadReporter {
+	node := newNode(id, zone)
+	node.ClientFeatures = []string{supportsAllClusters}
+	return &LoadReporter{source: source, node: node}
 }
 
-// Connected begins a stream.
+// Connected starts a stream.
 func (r *LoadReporter) Connected(control.Micros) []proto.Message {
-	r.pace.StreamOpened()
+	r.scheduler.StreamOpened()
 	return []proto.Message{&lrs.LoadStatsRequest{Node: r.node}}
 }
 
-// Broken ends a stream.
-func (r *LoadReporter) Disconnected(control.Micros) { r.pace.StreamClosed() }
+// Disconnected ends a stream.
+func (r *LoadReporter) Disconnected(control.Micros) { r.scheduler.StreamClosed() }
 
-// Heard takes in what is asked for.
+// HandleResponse applies what the control plane asks for.
 func (r *LoadReporter) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
-	x, ok := m.(*lrs.LoadStatsResponse)
+	response, ok := m.(*lrs.LoadStatsResponse)
 	if !ok {
 		return nil
 	}
-	a := loadreport.Request{AllClusters: x.SendAllClusters, Clusters: map[string]bool{}, PerEndpoint: x.ReportEndpointGranularity}
-	for _, c := range x.Clusters {
-		a.Clusters[c] = true
+	request := loadreport.Request{AllClusters: response.SendAllClusters, Clusters: map[string]bool{}, PerEndpoint: response.ReportEndpointGranularity}
+	for _, c := range response.Clusters {
+		request.Clusters[c] = true
 	}
-	if i := x.GetLoadReportingInterval(); i.IsValid() && i.AsDuration() > 0 && (a.AllClusters || len(a.Clusters) > 0) {
-		a.Interval = control.Micros(i.AsDuration().Microseconds())
+	if i := response.GetLoadReportingInterval(); i.IsValid() && i.AsDuration() > 0 && (request.AllClusters || len(request.Clusters) > 0) {
+		request.Interval = control.Micros(i.AsDuration().Microseconds())
 	}
-	r.pace.SetRequest(now, a)
+	r.scheduler.SetRequest(now, request)
 	return nil
 }
 
-// Tick gives when the next report is due.
+// Tick returns when the next report is due; 0: none is.
 func (r *LoadReporter) Tick(now control.Micros) control.Micros {
-	if due := r.pace.NextAt(); due > 0 {
+	if due := r.scheduler.NextAt(); due > 0 {
 		return max(due, now)
 	}
 	return 0
 }
 
-// Speak gives the report that is due.
+// TimedRequests returns the report, if it is due.
 func (r *LoadReporter) TimedRequests(now control.Micros) []proto.Message {
-	if due := r.pace.NextAt(); due == 0 || now < due {
+	if due := r.scheduler.NextAt(); due == 0 || now < due {
 		return nil
 	}
-	report := r.pace.NextReport(now, r.source.Take(now))
+	report := r.scheduler.NextReport(now, r.source.Take(now))
 	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusterStats(report)}}
 }
 
-// Spoken tells that it went out.
-func (r *LoadReporter) TimedRequestsSent() { r.pace.ReportSent() }
+// TimedRequestsSent records that the report was sent: until then its counts stay for the next one.
+func (r *LoadReporter) TimedRequestsSent() { r.scheduler.ReportSent() }
 
-// Notes has none.
+// TakeLogLines returns nothing: the reporter has nothing to log.
 func (r *LoadReporter) TakeLogLines() []string { return nil }
 
-// clusters gives a report in the protocol's form: by cluster, then by locality and priority. Servers of clusters that are not
-// asked for are left out, and so are those that no cluster names any more.
+// clusterStats returns a report in the protocol's form: by cluster, then by priority and locality. Servers of clusters that
+// are not asked for are left out, and so are those that no cluster names any more.
 func (r *LoadReporter) clusterStats(report loadreport.Report) []*endpoint.ClusterStats {
-	asked, places, services := r.pace.Request(), r.source.Places(), r.source.Services()
-	by := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
-	for _, l := range report.Endpoints {
-		at, known := places[l.Address]
-		if !known || !asked.AllClusters && !asked.Clusters[at.Cluster] {
+	request, localities, services := r.scheduler.Request(), r.source.Places(), r.source.Services()
+	byCluster := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
+	for _, stats := range report.Endpoints {
+		at, listed := localities[stats.Address]
+		if !listed || !request.AllClusters && !request.Clusters[at.Cluster] {
 			continue
 		}
-		if by[at.Cluster] == nil {
-			by[at.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
+		if byCluster[at.Cluster] == nil {
+			byCluster[at.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
 		}
-		by[at.Cluster][at] = append(by[at.Cluster][at], l)
+		byCluster[at.Cluster][at] = append(byCluster[at.Cluster][at], stats)
 	}
+	interval := durationpb.New(time.Duration(report.To-report.From) * time.Microsecond)
 	var out []*endpoint.ClusterStats
-	for _, name := range slices.Sorted(maps.Keys(by)) {
-		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: &durationpb.Duration{
-			Seconds: int64(report.To-report.From) / 1e6, Nanos: int32(int64(report.To-report.From) % 1e6 * 1000)}}
-		in := slices.SortedFunc(maps.Keys(by[name]), func(a, b loadreport.Locality) int {
-			return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
-		})
-		for _, at := range in {
-			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, localityStats(at, by[name][at], asked.PerEndpoint))
+	for _, name := range slices.Sorted(maps.Keys(byCluster)) {
+		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: interval}
+		for _, at := range slices.SortedFunc(maps.Keys(byCluster[name]), compareLocalities) {
+			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, localityStats(at, byCluster[name][at], request.PerEndpoint))
 		}
 		out = append(out, c)
 	}
 	return out
 }
+
+func compareLocalities(a, b loadreport.Locality) int {
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
+}
--- a/internal/xds/loadserver.go
+++ b/internal/xds/loadserver.go
@@ -13,19 +13,19 @@
 	"hollymast/internal/loadreport"
 )
 
-// gatherEvery is how often those who follow our view are asked for their loads: as often as somebody looks at a page.
+// reportInterval is how often those who follow the view report: as often as somebody looks at a page.
 const reportInterval = time.Second
 
-// gatherer is the server's side of load reporting.
+// loadServer is the server's side of load reporting.
 type loadServer struct {
 	lrs.UnimplementedLoadReportingServiceServer
 	mu      sync.Mutex
 	reports *loadreport.Aggregator
 }
 
-// StreamLoadStats asks one follower for all its loads and keeps its latest until it goes.
-func (g *loadServer) StreamLoadStats(st lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := st.Recv()
+// StreamLoadStats asks a node for the loads of all its servers, and keeps its latest report until the stream ends.
+func (s *loadServer) StreamLoadStats(stream lrs.LoadReportingService_StreamLoadStatsServer) error {
+	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
@@ -33,31 +33,33 @@
 	if node == "" {
 		return status.Error(codes.InvalidArgument, "a node without an id")
 	}
-	if err := st.Send(&lrs.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true, LoadReportingInterval: durationpb.New(reportInterval)}); err != nil {
+	err = stream.Send(&lrs.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
+		LoadReportingInterval: durationpb.New(reportInterval)})
+	if err != nil {
 		return err
 	}
 	defer func() {
-		g.mu.Lock()
-		g.reports.Remove(node)
-		g.mu.Unlock()
+		s.mu.Lock()
+		s.reports.Remove(node)
+		s.mu.Unlock()
 	}()
 	for {
-		m, err := st.Recv()
+		m, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		r := parseReport(m.GetClusterStats(), control.Micros(time.Now().UnixMicro()))
-		g.mu.Lock()
-		ok := g.reports.Update(node, r)
-		g.mu.Unlock()
+		report := parseReport(m.GetClusterStats(), control.Micros(time.Now().UnixMicro()))
+		s.mu.Lock()
+		ok := s.reports.Update(node, report)
+		s.mu.Unlock()
 		if !ok {
 			return status.Error(codes.ResourceExhausted, "too many report already")
 		}
 	}
 }
 
-// Others gives what those who follow the view last reported, summed by server, and how many they are.
-func (v *View) ReportedLoads() (lines []loadreport.EndpointStats, nodes int) {
+// ReportedLoads returns what those who follow the view last reported, summed by server, and how many nodes they are.
+func (v *View) ReportedLoads() (loads []loadreport.EndpointStats, nodes int) {
 	v.loadServer.mu.Lock()
 	defer v.loadServer.mu.Unlock()
 	return v.loadServer.reports.Sum()
--- a/internal/xds/loadstats.go
+++ b/internal/xds/loadstats.go
@@ -10,83 +10,102 @@
 	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 )
 
-// The names of a server's figures, as ORCA has its named metrics. Those of utilisation are its own.
+// The names of the load metrics: ORCA's own for utilization, its form of named metrics for the others.
 const (
-	utilMetric   = "cpu_utilization"
-	loadsMetric  = "named_metrics.loads"
-	pinnedMetric = "named_metrics.pinned"
+	utilizationMetric = "cpu_utilization"
+	loadsMetric       = "named_metrics.loads"
+	pinnedMetric      = "named_metrics.pinned"
 )
 
-func localityStats(at loadreport.Locality, lines []loadreport.EndpointStats, each bool) *endpoint.UpstreamLocalityStats {
-	s := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
-	var f loadreport.LoadMetrics
-	for _, l := range lines {
-		s.TotalIssuedRequests += l.Issued
-		s.TotalSuccessfulRequests += l.Succeeded
-		s.TotalErrorRequests += l.Failed
-		s.TotalRequestsInProgress += l.InFlight
-		f.Reports, f.Utilization, f.PendingLoads, f.PinnedMemory = f.Reports+l.Reports, f.Utilization+l.Utilization, f.PendingLoads+l.PendingLoads, f.PinnedMemory+l.PinnedMemory
-		a := socketAddress(l.Address)
-		if !each || a == nil {
+// localityStats sums the servers of a locality. With perEndpoint it lists each of them too.
+func localityStats(at loadreport.Locality, servers []loadreport.EndpointStats, perEndpoint bool) *endpoint.UpstreamLocalityStats {
+	sum := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
+	var metrics loadreport.LoadMetrics
+	for _, server := range servers {
+		sum.TotalIssuedRequests += server.Issued
+		sum.TotalSuccessfulRequests += server.Succeeded
+		sum.TotalErrorRequests += server.Failed
+		sum.TotalRequestsInProgress += server.InFlight
+		metrics.Reports += server.Reports
+		metrics.Utilization += server.Utilization
+		metrics.PendingLoads += server.PendingLoads
+		metrics.PinnedMemory += server.PinnedMemory
+		address := socketAddress(server.Address)
+		if !perEndpoint || address == nil {
 			continue
 		}
-		s.UpstreamEndpointStats = append(s.UpstreamEndpointStats, &endpoint.UpstreamEndpointStats{Address: a, TotalIssuedRequests: l.Issued,
-			TotalSuccessfulRequests: l.Succeeded, TotalErrorRequests: l.Failed, TotalRequestsInProgress: l.InFlight, LoadMetricStats: loadMetrics(l.LoadMetrics)})
+		sum.UpstreamEndpointStats = append(sum.UpstreamEndpointStats, &endpoint.UpstreamEndpointStats{
+			Address:                 address,
+			TotalIssuedRequests:     server.Issued,
+			TotalSuccessfulRequests: server.Succeeded,
+			TotalErrorRequests:      server.Failed,
+			TotalRequestsInProgress: server.InFlight,
+			LoadMetricStats:         loadMetrics(server.LoadMetrics),
+		})
 	}
-	s.LoadMetricStats = loadMetrics(f)
-	return s
+	sum.LoadMetricStats = loadMetrics(metrics)
+	return sum
 }
 
-func loadMetrics(f loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
-	if f.Reports == 0 {
+func loadMetrics(metrics loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
+	if metrics.Reports == 0 {
 		return nil
 	}
-	var out []*endpoint.EndpointLoadMetricStats
-	for _, m := range []struct {
-		name  string
-		value float64
-	}{{utilMetric, f.Utilization}, {loadsMetric, f.PendingLoads}, {pinnedMetric, f.PinnedMemory}} {
-		out = append(out, &endpoint.EndpointLoadMetricStats{MetricName: m.name, NumRequestsFinishedWithMetric: f.Reports, TotalMetricValue: m.value})
+	stats := func(name string, total float64) *endpoint.EndpointLoadMetricStats {
+		return &endpoint.EndpointLoadMetricStats{MetricName: name, NumRequestsFinishedWithMetric: metrics.Reports, TotalMetricValue: total}
 	}
-	return out
+	return []*endpoint.EndpointLoadMetricStats{stats(utilizationMetric, metrics.Utilization), stats(loadsMetric, metrics.PendingLoads),
+		stats(pinnedMetric, metrics.PinnedMemory)}
 }
 
-// readReport reads what a follower tells of servers, of endpoints alone: sums can't be added to those of others by server.
-func parseReport(cs []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
-	r := loadreport.Report{To: now}
-	for _, c := range cs {
-		for _, l := range c.GetUpstreamLocalityStats() {
-			for _, e := range l.GetUpstreamEndpointStats() {
-				a := e.GetAddress().GetSocketAddress()
-				if a == nil {
-					continue
+// parseReport reads a node's report, of its servers alone: the sums of localities can't be added to those of other nodes by
+// server.
+func parseReport(clusters []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
+	report := loadreport.Report{To: now}
+	for _, cluster := range clusters {
+		for _, locality := range cluster.GetUpstreamLocalityStats() {
+			for _, stats := range locality.GetUpstreamEndpointStats() {
+				if stats.GetAddress().GetSocketAddress() != nil {
+					report.Endpoints = append(report.Endpoints, parseEndpointStats(stats))
 				}
-				line := loadreport.EndpointStats{Address: net.JoinHostPort(a.GetAddress(), strconv.FormatUint(uint64(a.GetPortValue()), 10)), InFlight: e.GetTotalRequestsInProgress(),
-					Counts: loadreport.Counts{Issued: e.GetTotalIssuedRequests(), Succeeded: e.GetTotalSuccessfulRequests(), Failed: e.GetTotalErrorRequests()}}
-				for _, m := range e.GetLoadMetricStats() {
-					switch line.Reports = max(line.Reports, m.GetNumRequestsFinishedWithMetric()); m.GetMetricName() {
-					case utilMetric:
-						line.Utilization = m.GetTotalMetricValue()
-					case loadsMetric:
-						line.PendingLoads = m.GetTotalMetricValue()
-					case pinnedMetric:
-						line.PinnedMemory = m.GetTotalMetricValue()
-					}
-				}
-				r.Endpoints = append(r.Endpoints, line)
 			}
 		}
 	}
-	return r
+	return report
+}
+
+func parseEndpointStats(stats *endpoint.UpstreamEndpointStats) loadreport.EndpointStats {
+	socket := stats.GetAddress().GetSocketAddress()
+	read := loadreport.EndpointStats{
+		Address:  net.JoinHostPort(socket.GetAddress(), strconv.FormatUint(uint64(socket.GetPortValue()), 10)),
+		InFlight: stats.GetTotalRequestsInProgress(),
+		Counts: loadreport.Counts{
+			Issued:    stats.GetTotalIssuedRequests(),
+			Succeeded: stats.GetTotalSuccessfulRequests(),
+			Failed:    stats.GetTotalErrorRequests(),
+		},
+	}
+	for _, metric := range stats.GetLoadMetricStats() {
+		read.Reports = max(read.Reports, metric.GetNumRequestsFinishedWithMetric())
+		switch metric.GetMetricName() {
+		case utilizationMetric:
+			read.Utilization = metric.GetTotalMetricValue()
+		case loadsMetric:
+			read.PendingLoads = metric.GetTotalMetricValue()
+		case pinnedMetric:
+			read.PinnedMemory = metric.GetTotalMetricValue()
+		}
+	}
+	return read
 }
 
-// socketAddress gives an address in the protocol's form; nil: it has no number for a port.
+// socketAddress returns an address in the protocol's form; nil: its port is no number.
 func socketAddress(address string) *core.Address {
 	host, port, err := net.SplitHostPort(address)
-	n, perr := strconv.ParseUint(port, 10, 16)
-	if err != nil || perr != nil {
+	number, portErr := strconv.ParseUint(port, 10, 16)
+	if err != nil || portErr != nil {
 		return nil
 	}
 	return &core.Address{Address: &core.Address_SocketAddress{SocketAddress: &core.SocketAddress{Address: host,
-		PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(n)}}}}
+		PortSpecifier: &core.SocketAddress_PortValue{PortValue: uint32(number)}}}}
 }
--- a/internal/xds/metadata.go
+++ b/internal/xds/metadata.go
@@ -7,10 +7,10 @@
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 )
 
-// metadataKey is under which an endpoint's metadata tell what Envoy's own fields don't: born, its start as in RFC 3339.
+// metadataKey is the key of an endpoint's metadata for what Envoy's own fields have no place for: born, its start in RFC 3339.
 const metadataKey = "hollymast"
 
-// readBorn gives an endpoint's start in microseconds since 1970; 0 where it is not told.
+// parseStartedAt returns an endpoint's start in microseconds since 1970; 0: not given.
 func parseStartedAt(m *core.Metadata) (int64, error) {
 	v := m.GetFilterMetadata()[metadataKey].GetFields()["born"]
 	if v == nil {
--- a/internal/xds/parse.go
+++ b/internal/xds/parse.go
@@ -4,131 +4,170 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"hollymast/internal/membership"
 	"strings"
 
 	cluster "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"google.golang.org/protobuf/types/known/anypb"
+
+	"hollymast/internal/membership"
 )
 
-// known is a cluster as read.
+// parsedCluster is what matters of a cluster.
 type parsedCluster struct {
-	name, service string
-	inline        *assignment
+	name    string
+	service string      // the name under which its endpoints are subscribed to
+	inline  *assignment // the endpoints of a static cluster; nil: it is not one
 }
 
-func (f *Client) parseClusters(resources []*anypb.Any) ([]parsedCluster, error) {
-	if len(resources) > f.bounds.Clusters {
-		return nil, fmt.Errorf("%d clusters, over the bound of %d", len(resources), f.bounds.Clusters)
+// parseClusters validates clusters. Those of types that are not supported are left out and logged.
+func (c *Client) parseClusters(resources []*anypb.Any) ([]parsedCluster, error) {
+	if len(resources) > c.bounds.Clusters {
+		return nil, fmt.Errorf("%d clusters, over the bound of %d", len(resources), c.bounds.Clusters)
 	}
 	clusters := make([]parsedCluster, 0, len(resources))
 	seen := make(map[string]bool, len(resources))
-	for _, any := range resources {
-		c := &cluster.Cluster{}
-		if err := any.UnmarshalTo(c); err != nil {
+	for _, resource := range resources {
+		message := &cluster.Cluster{}
+		if err := resource.UnmarshalTo(message); err != nil {
 			return nil, fmt.Errorf("a cluster can't be read: %w", err)
 		}
-		if c.Name == "" || seen[c.Name] {
-			return nil, fmt.Errorf("cluster %q: no name, or named twice", c.Name)
+		if message.Name == "" || seen[message.Name] {
+			return nil, fmt.Errorf("cluster %q: no name, or named twice", message.Name)
 		}
-		seen[c.Name] = true
-		parsed := parsedCluster{name: c.Name, service: cmp.Or(c.GetEdsClusterConfig().GetServiceName(), c.Name)}
-		switch c.GetType() {
-		case cluster.Cluster_EDS:
-			if _, ads := c.GetEdsClusterConfig().GetEdsConfig().GetConfigSourceSpecifier().(*core.ConfigSource_Ads); !ads &&
-				c.GetEdsClusterConfig().GetEdsConfig() != nil {
-				f.logOnce("cluster %s: its endpoints are asked for on the same stream, whatever source it names", c.Name)
-			}
-		case cluster.Cluster_STATIC:
-			a, err := f.parseAssignment(c.GetLoadAssignment())
-			if err != nil {
-				return nil, fmt.Errorf("cluster %s: %w", c.Name, err)
-			}
-			parsed.inline = &a
-		default:
-			f.logOnce("cluster %s: of type %s, which is not followed", c.Name, c.GetType())
-			continue
+		seen[message.Name] = true
+		parsed, supported, err := c.parseCluster(message)
+		if err != nil {
+			return nil, fmt.Errorf("cluster %s: %w", message.Name, err)
 		}
-		if c.GetLbPolicy() != cluster.Cluster_ROUND_ROBIN || c.GetLoadBalancingPolicy() != nil {
-			f.logOnce("cluster %s: its balancing policy is passed over; jobs go where copies are loaded", c.Name)
+		if supported {
+			clusters = append(clusters, parsed)
 		}
-		clusters = append(clusters, parsed)
 	}
 	return clusters, nil
 }
 
+func (c *Client) parseCluster(message *cluster.Cluster) (parsed parsedCluster, supported bool, err error) {
+	parsed = parsedCluster{name: message.Name, service: cmp.Or(message.GetEdsClusterConfig().GetServiceName(), message.Name)}
+	switch message.GetType() {
+	case cluster.Cluster_EDS:
+		source := message.GetEdsClusterConfig().GetEdsConfig()
+		if _, ads := source.GetConfigSourceSpecifier().(*core.ConfigSource_Ads); source != nil && !ads {
+			c.logOnce("cluster %s: its endpoints are asked for on the same stream, whatever source it names", message.Name)
+		}
+	case cluster.Cluster_STATIC:
+		inline, err := c.parseAssignment(message.GetLoadAssignment())
+		if err != nil {
+			return parsed, false, err
+		}
+		parsed.inline = &inline
+	default:
+		c.logOnce("cluster %s: of type %s, which is not followed", message.Name, message.GetType())
+		return parsed, false, nil
+	}
+	if message.GetLbPolicy() != cluster.Cluster_ROUND_ROBIN || message.GetLoadBalancingPolicy() != nil {
+		c.logOnce("cluster %s: its balancing policy is passed over; jobs go where copies are loaded", message.Name)
+	}
+	return parsed, true, nil
+}
+
 // assignment is the endpoints of one service.
 type assignment struct {
 	name             string
-	overprovisioning float64 // 0: not told
+	overprovisioning float64 // a factor; 0: not given
 	endpoints        []membership.Endpoint
 }
 
-func (f *Client) parseAssignments(resources []*anypb.Any) ([]assignment, error) {
+// parseAssignments validates assignments.
+func (c *Client) parseAssignments(resources []*anypb.Any) ([]assignment, error) {
 	assignments := make([]assignment, 0, len(resources))
 	seen := make(map[string]bool, len(resources))
-	for _, any := range resources {
-		a := &endpoint.ClusterLoadAssignment{}
-		if err := any.UnmarshalTo(a); err != nil {
+	for _, resource := range resources {
+		message := &endpoint.ClusterLoadAssignment{}
+		if err := resource.UnmarshalTo(message); err != nil {
 			return nil, fmt.Errorf("an assignment can't be read: %w", err)
 		}
-		if a.ClusterName == "" || seen[a.ClusterName] {
-			return nil, fmt.Errorf("assignment %q: no name, or named twice", a.ClusterName)
+		if message.ClusterName == "" || seen[message.ClusterName] {
+			return nil, fmt.Errorf("assignment %q: no name, or named twice", message.ClusterName)
 		}
-		seen[a.ClusterName] = true
-		parsed, err := f.parseAssignment(a)
+		seen[message.ClusterName] = true
+		parsed, err := c.parseAssignment(message)
 		if err != nil {
-			return nil, fmt.Errorf("assignment %s: %w", a.ClusterName, err)
+			return nil, fmt.Errorf("assignment %s: %w", message.ClusterName, err)
 		}
 		assignments = append(assignments, parsed)
 	}
 	return assignments, nil
 }
 
-func (f *Client) parseAssignment(a *endpoint.ClusterLoadAssignment) (out assignment, err error) {
-	out.name = a.GetClusterName()
-	if factor := a.GetPolicy().GetOverprovisioningFactor(); factor != nil {
-		if factor.Value < 100 {
-			return out, errors.New("an overprovisioning factor below 100 %")
+// minOverprovisioning, in percent: with less a priority would not be enough with all its servers usable.
+const minOverprovisioning = 100
+
+func (c *Client) parseAssignment(message *endpoint.ClusterLoadAssignment) (parsed assignment, err error) {
+	parsed.name = message.GetClusterName()
+	if factor := message.GetPolicy().GetOverprovisioningFactor(); factor != nil {
+		if factor.Value < minOverprovisioning {
+			return parsed, errors.New("an overprovisioning factor below 100 %")
 		}
-		out.overprovisioning = float64(factor.Value) / 100
+		parsed.overprovisioning = float64(factor.Value) / 100
 	}
-	for _, d := range a.GetPolicy().GetDropOverloads() {
-		if d.GetDropPercentage().GetNumerator() > 0 {
-			f.logOnce("assignment %s: drop_overloads %q is passed over; jobs are pushed back where they can't be in time", out.name, d.GetCategory())
+	for _, drop := range message.GetPolicy().GetDropOverloads() {
+		if drop.GetDropPercentage().GetNumerator() > 0 {
+			c.logOnce("assignment %s: drop_overloads %q is passed over; jobs are pushed back where they can't be in time", parsed.name, drop.GetCategory())
 		}
 	}
-	for _, l := range a.GetEndpoints() {
-		if len(out.endpoints)+len(l.GetLbEndpoints()) > f.bounds.Endpoints {
-			return out, fmt.Errorf("over %d endpoints", f.bounds.Endpoints)
+	for _, locality := range message.GetEndpoints() {
+		if len(parsed.endpoints)+len(locality.GetLbEndpoints()) > c.bounds.Endpoints {
+			return parsed, fmt.Errorf("over %d endpoints", c.bounds.Endpoints)
 		}
-		for _, e := range l.GetLbEndpoints() {
-			s := e.GetEndpoint().GetAddress().GetSocketAddress()
-			if s == nil || s.GetAddress() == "" || s.GetPortValue() == 0 || s.GetPortValue() > 65535 {
-				return out, errors.New("an endpoint has no address with a port")
-			}
-			health, known := healthOf[e.GetHealthStatus()]
-			if !known {
-				f.logOnce("assignment %s: health status %d is not known and counts as unknown", out.name, e.GetHealthStatus())
-			}
-			host := s.GetAddress()
-			if strings.Contains(host, ":") {
-				host = "[" + host + "]"
-			}
-			startedAt, err := parseStartedAt(e.GetMetadata())
+		for _, e := range locality.GetLbEndpoints() {
+			read, err := c.parseEndpoint(parsed.name, locality, e)
 			if err != nil {
-				return out, err
+				return parsed, err
 			}
-			out.endpoints = append(out.endpoints, membership.Endpoint{Address: fmt.Sprintf("%s:%d", host, s.GetPortValue()), Health: health,
-				Weight: e.GetLoadBalancingWeight().GetValue(), Priority: l.GetPriority(), Zone: l.GetLocality().GetZone(),
-				Cell: l.GetLocality().GetSubZone(), StartedAt: startedAt})
+			parsed.endpoints = append(parsed.endpoints, read)
 		}
 	}
-	return out, nil
+	return parsed, nil
 }
 
-var healthOf = map[core.HealthStatus]membership.Health{core.HealthStatus_UNKNOWN: membership.Unknown, core.HealthStatus_HEALTHY: membership.Healthy,
-	core.HealthStatus_UNHEALTHY: membership.Unhealthy, core.HealthStatus_DRAINING: membership.Draining,
-	core.HealthStatus_TIMEOUT: membership.Timeout, core.HealthStatus_DEGRADED: membership.Degraded}
+const maxPort = 65535
+
+func (c *Client) parseEndpoint(assignment string, locality *endpoint.LocalityLbEndpoints, e *endpoint.LbEndpoint) (membership.Endpoint, error) {
+	socket := e.GetEndpoint().GetAddress().GetSocketAddress()
+	if socket == nil || socket.GetAddress() == "" || socket.GetPortValue() == 0 || socket.GetPortValue() > maxPort {
+		return membership.Endpoint{}, errors.New("an endpoint has no address with a port")
+	}
+	health, known := healthOf[e.GetHealthStatus()]
+	if !known {
+		c.logOnce("assignment %s: health status %d is not known and counts as unknown", assignment, e.GetHealthStatus())
+	}
+	host := socket.GetAddress()
+	if strings.Contains(host, ":") { // IPv6
+		host = "[" + host + "]"
+	}
+	startedAt, err := parseStartedAt(e.GetMetadata())
+	if err != nil {
+		return membership.Endpoint{}, err
+	}
+	return membership.Endpoint{
+		Address:   fmt.Sprintf("%s:%d", host, socket.GetPortValue()),
+		Health:    health,
+		Weight:    e.GetLoadBalancingWeight().GetValue(),
+		Priority:  locality.GetPriority(),
+		Zone:      locality.GetLocality().GetZone(),
+		Cell:      locality.GetLocality().GetSubZone(),
+		StartedAt: startedAt,
+	}, nil
+}
+
+// healthOf maps Envoy's health status; statusOf is its opposite.
+var healthOf = map[core.HealthStatus]membership.Health{
+	core.HealthStatus_UNKNOWN:   membership.Unknown,
+	core.HealthStatus_HEALTHY:   membership.Healthy,
+	core.HealthStatus_UNHEALTHY: membership.Unhealthy,
+	core.HealthStatus_DRAINING:  membership.Draining,
+	core.HealthStatus_TIMEOUT:   membership.Timeout,
+	core.HealthStatus_DEGRADED:  membership.Degraded,
+}
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"time"
 
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	lrs "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
@@ -12,33 +10,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kind is which service is followed.
+// Service is a service of a control plane.
 type Service uint8
 
-// The services: aggregated discovery, that of secrets, and load reporting.
+// The services.
 const (
-	AggregatedDiscovery Service = iota
-	SecretDiscovery
-	LoadReporting
+	AggregatedDiscovery Service = iota // ADS
+	SecretDiscovery                    // SDS
+	LoadReporting                      // LRS
 )
 
-// largest is the largest message taken: ten thousand endpoints with metadata are some 2 MB.
-const maxMessageSize = 64 << 20
-
-// stream is either variant of the protocol.
+// stream hides which service and variant a stream belongs to.
 type stream interface {
 	send(proto.Message) error
 	receive() (proto.Message, error)
 }
 
+// fullStream is the state-of-the-world variant, of aggregated discovery and of secrets alike.
 type fullStream struct {
-	discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient // that of secrets is the same
+	discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 }
 
 func (s fullStream) send(m proto.Message) error { return s.Send(m.(*discovery.DiscoveryRequest)) }
 
 func (s fullStream) receive() (proto.Message, error) { return s.Recv() }
 
+// deltaStream is the incremental variant.
 type deltaStream struct {
 	discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
@@ -51,119 +48,24 @@
 	lrs.LoadReportingService_StreamLoadStatsClient
 }
 
-func (r loadStatsStream) send(m proto.Message) error { return r.Send(m.(*lrs.LoadStatsRequest)) }
+func (s loadStatsStream) send(m proto.Message) error { return s.Send(m.(*lrs.LoadStatsRequest)) }
 
-func (r loadStatsStream) receive() (proto.Message, error) { return r.Recv() }
+func (s loadStatsStream) receive() (proto.Message, error) { return s.Recv() }
 
-// one is one stream's life. Asked tells that the first requests were sent.
-func (s Transport) runStream(ctx context.Context, conn *grpc.ClientConn, d *dialer, f Protocol, answered func()) (asked bool, err error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	client := discovery.NewAggregatedDiscoveryServiceClient(conn)
-	var st stream
+// openStream opens a stream of the transport's service. It lasts until the context ends.
+func (t Transport) openStream(ctx context.Context, conn *grpc.ClientConn) (stream, error) {
 	switch {
-	case s.Service == LoadReporting:
-		c, err := lrs.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
-		if err != nil {
-			return false, err
-		}
-		st = loadStatsStream{c}
-	case s.Service == SecretDiscovery:
-		c, err := secrets.NewSecretDiscoveryServiceClient(conn).StreamSecrets(ctx)
-		if err != nil {
-			return false, err
-		}
-		st = fullStream{c}
-	case s.Delta:
-		c, err := client.DeltaAggregatedResources(ctx)
-		if err != nil {
-			return false, err
-		}
-		st = deltaStream{c}
+	case t.Service == LoadReporting:
+		s, err := lrs.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
+		return loadStatsStream{s}, err
+	case t.Service == SecretDiscovery:
+		s, err := secrets.NewSecretDiscoveryServiceClient(conn).StreamSecrets(ctx)
+		return fullStream{s}, err
+	case t.Delta:
+		s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
+		return deltaStream{s}, err
 	default:
-		c, err := client.StreamAggregatedResources(ctx)
-		if err != nil {
-			return false, err
-		}
-		st = fullStream{c}
-	}
-	for _, m := range f.Connected(s.Now()) {
-		if err := st.send(m); err != nil {
-			return false, err
-		}
-	}
-	heard := make(chan proto.Message, 64)
-	ended := make(chan error, 1)
-	go func() {
-		for {
-			m, err := st.receive()
-			if err != nil {
-				ended <- err
-				close(heard)
-				return
-			}
-			select {
-			case heard <- m:
-			case <-ctx.Done():
-				ended <- ctx.Err()
-				close(heard)
-				return
-			}
-		}
-	}()
-	level := false
-	take := func(m proto.Message) error {
-		answered()
-		level = true
-		for _, answer := range f.HandleResponse(s.Now(), m) {
-			if err := st.send(answer); err != nil {
-				return err
-			}
-		}
-		s.notify(f)
-		return nil
-	}
-	defer func() { // the receiver ends with the context
-		cancel()
-		for range heard {
-		}
-	}()
-	alarm := time.NewTimer(s.tick(f))
-	defer alarm.Stop()
-	for {
-		select {
-		case m, open := <-heard:
-			if !open {
-				return true, <-ended
-			}
-			if err := take(m); err != nil {
-				return true, err
-			}
-			alarm.Reset(s.tick(f))
-		case <-alarm.C:
-			if sp, speaks := f.(timedSender); speaks {
-				for _, m := range sp.TimedRequests(s.Now()) {
-					if err := st.send(m); err != nil {
-						return true, err
-					}
-				}
-				sp.TimedRequestsSent()
-			}
-			alarm.Reset(s.tick(f))
-			s.notify(f)
-		case looked := <-s.Refresh:
-			asOf := s.Now()
-			err := s.catchUp(d, heard, take)
-			if err == nil && level && s.OnComplete != nil {
-				s.OnComplete(asOf)
-			}
-			close(looked)
-			switch {
-			case errors.Is(err, errStreamEnded):
-				return true, <-ended
-			case err != nil:
-				return true, err
-			}
-		}
+		s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(ctx)
+		return fullStream{s}, err
 	}
 }
--- a/internal/xds/trackedconn.go
+++ b/internal/xds/trackedconn.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// watchedConn is a connection to a control plane of which it can be told whether all that came was read.
+// trackedConn is a connection that knows whether all that has arrived on it was read.
 type trackedConn struct {
 	net.Conn
-	reading  atomic.Bool               // the reader has taken all that it was given before, and asks for more
-	lastRead atomic.Pointer[time.Time] // when it was given something last; nil: never
+	reading  atomic.Bool               // the reader has processed what it was given before, and asks for more
+	lastRead atomic.Pointer[time.Time] // when it was last given something; nil: never
 }
 
-// Read notes that its reader is done with what it got before.
+// Read records that its reader has processed what it was given before.
 func (c *trackedConn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
@@ -25,7 +25,7 @@
 	return n, err
 }
 
-// unread tells whether something has come that its reader has not taken. Where that can't be found out it says no.
+// unread reports whether something has arrived that the reader has not processed. It reports false where it can't know.
 func (c *trackedConn) unread() bool {
 	if !c.reading.Load() {
 		return true
@@ -45,10 +45,10 @@
 	return n > 0
 }
 
-// dialer dials a control plane and keeps the connection that stands.
+// dialer dials a control plane and keeps hold of the latest connection.
 type dialer struct {
 	dial    func(ctx context.Context, address string) (net.Conn, error)
-	current atomic.Pointer[trackedConn]
+	current atomic.Pointer[trackedConn] // nil: none yet
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -65,12 +65,12 @@
 	return c, nil
 }
 
-// settled tells whether all that came was read, and long enough ago to have come out of its stream.
+// settled reports whether all that has arrived was read, and long enough ago to have come out of its stream.
 func (d *dialer) settled() bool {
 	c := d.current.Load()
 	if c == nil {
 		return true
 	}
-	last := c.lastRead.Load()
-	return !c.unread() && (last == nil || time.Since(*last) >= deliveryTime)
+	lastRead := c.lastRead.Load()
+	return !c.unread() && (lastRead == nil || time.Since(*lastRead) >= deliveryTime)
 }
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -13,77 +13,96 @@
 	"hollymast/control"
 )
 
-// Source is a control plane, and what is done with what it tells. All of its functions are called by one goroutine.
+// Transport carries a Protocol's messages to and from a control plane over gRPC. One goroutine (Run) calls the functions.
 type Transport struct {
 	Address     string
 	Credentials credentials.TransportCredentials // nil: plain text
-	Delta       bool
 	Service     Service
-	Seed        uint64 // of the waits
+	Delta       bool   // the incremental variant of aggregated discovery
+	Seed        uint64 // of the random part of the backoff
 	Now         func() control.Micros
-	Refresh     <-chan chan struct{} // what has come is taken in before each of these is closed; may be nil
-	// Grace is within which a change of the list must be heeded; 0: this is no list.
-	Grace    time.Duration
-	Dial     func(ctx context.Context, address string) (net.Conn, error) // nil: over TCP
-	OnUpdate func(now control.Micros)                                    // something was taken in
-	Log      func(text string)                                           // for the log
-	// Complete hears as of when all that the control plane had told was taken in, on a stream that it has answered; may be nil.
+	// Refresh asks for all that has arrived to be handled; the channel received is closed once it is. It may be nil.
+	Refresh <-chan chan struct{}
+	// Grace is the time within which a change of the endpoint list must take effect; 0: the resources are no list.
+	Grace time.Duration
+	// Dial opens a connection; nil: over TCP.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
+	// OnUpdate is called after each call of the protocol that may have changed something.
+	OnUpdate func(now control.Micros)
+	// OnComplete is called with the time as of which all that the control plane had sent was handled, on a stream that it
+	// has answered. It may be nil.
 	OnComplete func(asOf control.Micros)
+	Log        func(text string)
 }
 
-// Follow follows a control plane until the context ends, over as many streams as it takes.
-func (s Transport) Run(ctx context.Context, protocol Protocol) error {
-	creds := s.Credentials
-	if creds == nil {
-		creds = insecure.NewCredentials()
-	}
-	dialer := &dialer{dial: s.Dial}
+const (
+	// maxMessageSize is far above ten thousand endpoints with metadata, which are some 2 MB.
+	maxMessageSize = 64 << 20
+	// pingAfter and pingTimeout bound how long a connection that broke without a sign goes unnoticed.
+	pingAfter, pingTimeout = 10 * time.Second, 3 * time.Second
+)
+
+// Run keeps a stream to the control plane, with backoff between attempts, until the context ends. The error says that the
+// address or the credentials can't be used.
+func (t Transport) Run(ctx context.Context, protocol Protocol) error {
+	dialer := &dialer{dial: t.Dial}
 	if dialer.dial == nil {
 		dialer.dial = dialTCP
 	}
-	conn, err := grpc.NewClient("passthrough:///"+s.Address, grpc.WithTransportCredentials(creds), grpc.WithContextDialer(dialer.connect),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
-		// A control plane that is silent without a word is found out within this time.
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 3 * time.Second, PermitWithoutStream: true}))
+	conn, err := t.newConn(dialer)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	waits := NewBackoff(s.Seed)
+	backoff := NewBackoff(t.Seed)
 	var urgentUntil time.Time
 	for ctx.Err() == nil {
-		conn.ResetConnectBackoff() // the waits between tries are ours
-		answered := false
-		requested, err := s.runStream(ctx, conn, dialer, protocol, func() { answered = true; waits.Reset() })
+		conn.ResetConnectBackoff() // the backoff is ours, not gRPC's
+		end := t.runStream(ctx, conn, dialer, protocol)
 		if ctx.Err() != nil {
 			break
 		}
-		protocol.Disconnected(s.Now())
-		s.notify(protocol)
-		if requested && !answered {
-			urgentUntil = time.Now().Add(s.Grace)
+		protocol.Disconnected(t.Now())
+		t.notify(protocol)
+		switch {
+		case end.answered:
+			backoff.Reset()
+		case end.requested:
+			urgentUntil = time.Now().Add(t.Grace)
 		}
-		wait := waits.NextWithin(s.maxWait(urgentUntil))
-		s.Log("the stream from " + s.Address + " ended (" + err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
-		s.wait(ctx, protocol, wait)
+		wait := backoff.NextWithin(t.maxWait(urgentUntil))
+		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
+		t.wait(ctx, protocol, wait)
 	}
 	return nil
 }
 
-// longestWait bounds the next wait. A stream that was asked and ended with no answer is asked for again within the grace: what it
-// would have told may hold since.
-func (s Transport) maxWait(urgentUntil time.Time) time.Duration {
+func (t Transport) newConn(dialer *dialer) (*grpc.ClientConn, error) {
+	creds := t.Credentials
+	if creds == nil {
+		creds = insecure.NewCredentials()
+	}
+	return grpc.NewClient("passthrough:///"+t.Address,
+		grpc.WithTransportCredentials(creds),
+		grpc.WithContextDialer(dialer.connect),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout, PermitWithoutStream: true}))
+}
+
+// maxWait bounds the next wait. After a stream that had its requests and ended without an answer, the next attempt is well
+// within the grace: what that stream would have sent may be in force since.
+func (t Transport) maxWait(urgentUntil time.Time) time.Duration {
 	if time.Now().Before(urgentUntil) {
-		return s.Grace / 4
+		return t.Grace / 4
 	}
 	return maxBackoff
 }
 
-// pause waits, and goes on answering refreshes and the follower's own alarms.
-func (s Transport) wait(ctx context.Context, protocol Protocol, duration time.Duration) {
+// wait waits, and meanwhile serves the protocol's timer and refreshes: without a stream nothing has arrived.
+func (t Transport) wait(ctx context.Context, protocol Protocol, duration time.Duration) {
 	end := time.NewTimer(duration)
 	defer end.Stop()
-	timer := time.NewTimer(s.tick(protocol))
+	timer := time.NewTimer(t.tick(protocol))
 	defer timer.Stop()
 	for {
 		select {
@@ -92,18 +111,18 @@
 		case <-end.C:
 			return
 		case <-timer.C:
-			timer.Reset(s.tick(protocol))
-			s.notify(protocol)
-		case done := <-s.Refresh:
+			timer.Reset(t.tick(protocol))
+			t.notify(protocol)
+		case done := <-t.Refresh:
 			close(done)
 		}
 	}
 }
 
-// untilTick has the follower end what is over, and gives how long to wait for its next alarm.
-func (s Transport) tick(protocol Protocol) time.Duration {
-	const never = time.Hour
-	now := s.Now()
+// tick calls the protocol's Tick and returns how long to wait until the next call.
+func (t Transport) tick(protocol Protocol) time.Duration {
+	const never = time.Hour // the next message sets the timer anew
+	now := t.Now()
 	next := protocol.Tick(now)
 	if next == 0 {
 		return never
@@ -111,9 +130,10 @@
 	return time.Duration(max(0, next-now)) * time.Microsecond
 }
 
-func (s Transport) notify(protocol Protocol) {
-	s.OnUpdate(s.Now())
-	for _, text := range protocol.TakeLogLines() {
-		s.Log(text)
+// notify reports a possible change and logs what the protocol has to say.
+func (t Transport) notify(protocol Protocol) {
+	t.OnUpdate(t.Now())
+	for _, line := range protocol.TakeLogLines() {
+		t.Log(line)
 	}
 }
--- a/internal/xds/viewmessages.go
+++ b/internal/xds/viewmessages.go
@@ -19,57 +19,65 @@
 			ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}}}
 }
 
-// assignmentOf gives servers in the protocol's form, by locality.
+// assignmentOf returns servers in the protocol's form, by locality. An address whose port is no number has no place there.
 func assignmentOf(servers []ServerView) *endpoint.ClusterLoadAssignment {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: ViewCluster}
 	type place struct{ zone, cell string }
 	localities := map[place]*endpoint.LocalityLbEndpoints{}
 	for _, s := range servers {
 		at := place{s.Zone, s.Cell}
-		l := localities[at]
-		if l == nil {
-			l = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: s.Zone, SubZone: s.Cell}}
-			localities[at] = l
-			a.Endpoints = append(a.Endpoints, l)
+		locality := localities[at]
+		if locality == nil {
+			locality = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: s.Zone, SubZone: s.Cell}}
+			localities[at] = locality
+			a.Endpoints = append(a.Endpoints, locality)
 		}
-		address := socketAddress(s.Address)
-		if address == nil {
-			continue // a name without a number: it can't be told in this form
+		if address := socketAddress(s.Address); address != nil {
+			locality.LbEndpoints = append(locality.LbEndpoints, s.lbEndpoint(address))
 		}
-		fields := map[string]*structpb.Value{"in_flight": structpb.NewNumberValue(float64(s.InFlight))}
-		if s.StartedAt > 0 {
-			fields["born"] = structpb.NewStringValue(time.UnixMicro(s.StartedAt).UTC().Format(time.RFC3339Nano))
-		}
-		e := &endpoint.LbEndpoint{HealthStatus: statusOf[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), 1<<30))),
-			Metadata:       &core.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: {Fields: fields}}},
-			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address}}}
-		if report, err := anypb.New(s.orcaReport()); err == nil && s.HasLoadReport {
-			e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaMetadataKey: report}
-		}
-		l.LbEndpoints = append(l.LbEndpoints, e)
 	}
 	return a
 }
 
-// orcaKey is where a follower finds a server's load.
+// maxEnvoyWeight keeps a weight far below the 32 bits of Envoy's, also in the sum of many.
+const maxEnvoyWeight = 1 << 30
+
+func (s ServerView) lbEndpoint(address *core.Address) *endpoint.LbEndpoint {
+	fields := map[string]*structpb.Value{"in_flight": structpb.NewNumberValue(float64(s.InFlight))}
+	if s.StartedAt > 0 {
+		fields["born"] = structpb.NewStringValue(time.UnixMicro(s.StartedAt).UTC().Format(time.RFC3339Nano))
+	}
+	e := &endpoint.LbEndpoint{
+		HealthStatus:        statusOf[s.Health],
+		LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), maxEnvoyWeight))),
+		Metadata:            &core.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: {Fields: fields}}},
+		HostIdentifier:      &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address}},
+	}
+	if report, err := anypb.New(s.orcaReport()); err == nil && s.HasLoadReport {
+		e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaMetadataKey: report}
+	}
+	return e
+}
+
+// orcaMetadataKey is the key of an endpoint's metadata for the server's load report.
 const orcaMetadataKey = "hollymast.load"
 
-// report gives what a server told of its load in ORCA's form. What it did not tell is left out.
+// orcaReport returns the server's load in ORCA's form. What it did not report is left out.
 func (s ServerView) orcaReport() *orca.OrcaLoadReport {
-	r := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
-	for name, v := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
-		if v >= 0 {
-			r.NamedMetrics[name] = v
+	report := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
+	for name, value := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
+		if value >= 0 {
+			report.NamedMetrics[name] = value
 		}
 	}
-	return r
+	return report
 }
 
-// statuses is healths the other way.
+// statusOf maps a health to Envoy's health status, the opposite of healthOf.
 var statusOf = func() map[membership.Health]core.HealthStatus {
-	m := map[membership.Health]core.HealthStatus{}
-	for s, h := range healthOf {
-		m[h] = s
+	statuses := make(map[membership.Health]core.HealthStatus, len(healthOf))
+	for status, health := range healthOf {
+		statuses[health] = status
 	}
-	return m
+	return statuses
 }()
