--- a/internal/xds/backoff_test.go
+++ b/internal/xds/backoff_test.go
@@ -9,11 +9,11 @@
 	for i := range 20 {
 		span := min(maxBackoff, firstBackoff<<min(i, 10))
 		if w := b.Next(); w < span/2 || w > span {
-			t.Errorf("try %d: %s of %s", i, w, span)
+			t.Errorf("attempt %d: %s of %s", i, w, span)
 		}
 	}
 	b.Reset()
 	if w := b.Next(); w > firstBackoff {
-		t.Errorf("after it was well: %s", w)
+		t.Errorf("after the reset: %s", w)
 	}
 }
--- a/internal/xds/bootstrap_test.go
+++ b/internal/xds/bootstrap_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestBootstrapInEnvoysForm(t *testing.T) {
+func TestLoadBootstrap(t *testing.T) {
 	m := membership.New(membership.DefaultBounds)
 	f := NewClient(m, "", "", false, DefaultBounds)
 	text := `
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -18,30 +18,30 @@
 	"hollymast/control"
 	"hollymast/internal/fakeserver"
 	"hollymast/internal/membership"
+	"hollymast/internal/platformtest"
 )
 
-// scene is a follower of a pretend control plane over real streams.
-type scene struct {
-	t       *testing.T
-	plane   *fakeserver.Plane
-	mu      sync.Mutex
-	list    map[string]control.ServerState
-	fewest  int // servers ready at any change since it was set
-	notes   []string
-	changed int
+// fixture is a client of a fake control plane over real streams.
+type fixture struct {
+	t      *testing.T
+	plane  *fakeserver.Plane
+	mu     sync.Mutex
+	list   map[string]control.ServerState
+	fewest int // ready servers at any update since it was set
+	logged []string
 }
 
 func now() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
-// begin begins to follow; each of the variants is one test.
-func both(t *testing.T, f func(t *testing.T, s *scene)) {
+// forBothVariants runs a test with each variant of the protocol.
+func forBothVariants(t *testing.T, f func(t *testing.T, s *fixture)) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
 			plane, err := fakeserver.NewPlane()
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &scene{t: t, plane: plane}
+			s := &fixture{t: t, plane: plane}
 			m := membership.New(membership.DefaultBounds)
 			fo := NewClient(m, "router-0", "a", delta, DefaultBounds)
 			ctx, stop := context.WithCancel(context.Background())
@@ -50,7 +50,6 @@
 				done <- Transport{Address: plane.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
-					s.changed++
 					s.list = map[string]control.ServerState{}
 					ready := 0
 					for _, e := range m.List() {
@@ -61,7 +60,7 @@
 					s.fewest = min(s.fewest, ready)
 				}, Log: func(text string) {
 					s.mu.Lock()
-					s.notes = append(s.notes, text)
+					s.logged = append(s.logged, text)
 					s.mu.Unlock()
 				}}.Run(ctx, fo)
 			}()
@@ -77,8 +76,8 @@
 	}
 }
 
-// await waits until the list is as told: addresses, those that drain with a minus before them.
-func (s *scene) await(want ...string) {
+// waitForList waits until the list has these addresses, those that drain with a minus before them.
+func (s *fixture) waitForList(want ...string) {
 	s.t.Helper()
 	var got []string
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -100,10 +99,11 @@
 	s.t.Fatalf("the list is %q, want %q", got, want)
 }
 
-func (s *scene) noted(part string) bool {
+// waitForLog reports whether a line with a part was logged, within 5 s.
+func (s *fixture) waitForLog(part string) bool {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		found := slices.ContainsFunc(s.notes, func(n string) bool { return strings.Contains(n, part) })
+		found := slices.ContainsFunc(s.logged, func(n string) bool { return strings.Contains(n, part) })
 		s.mu.Unlock()
 		if found {
 			return true
@@ -122,29 +122,29 @@
 
 const healthy, draining = core.HealthStatus_HEALTHY, core.HealthStatus_DRAINING
 
-// tell has the plane tell one cluster.
-func (s *scene) tell(name string, ms []fakeserver.Member) {
+// publish has the control plane list one cluster with these endpoints.
+func (s *fixture) publish(name string, ms []fakeserver.Member) {
 	s.plane.Change(func(cs map[string][]fakeserver.Member) { cs[name] = ms })
 }
 
 func TestClustersThenEndpointsThenChanges(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
-		s.tell("one", members(healthy, healthy, healthy))
-		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
-		s.tell("one", members(healthy, draining, healthy))
-		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
-		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
+	forBothVariants(t, func(t *testing.T, s *fixture) {
+		s.publish("one", members(healthy, healthy, healthy))
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
+		s.publish("one", members(healthy, draining, healthy))
+		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
+		s.publish("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: core.HealthStatus_UNKNOWN}})
+		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
 		s.plane.Change(func(cs map[string][]fakeserver.Member) { delete(cs, "two") })
-		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
+		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
 		if acks, streams, nacks := s.plane.Counts(); acks < 5 || streams != 1 || len(nacks) > 0 {
 			t.Errorf("%d acks on %d streams, nacks %q", acks, streams, nacks)
 		}
 	})
 }
 
-// What is bad is refused whole with its reason and changes nothing; the next good one is taken.
-func TestBadUpdatesAreRefused(t *testing.T) {
+// An invalid update is rejected as a whole with its reason and changes nothing; the next valid one is applied.
+func TestInvalidUpdatesAreRejected(t *testing.T) {
 	bad := fakeserver.Assignment("one", members(healthy))
 	bad.Endpoints[0].LbEndpoints[0].GetEndpoint().Address.GetSocketAddress().PortSpecifier = &core.SocketAddress_PortValue{PortValue: 0}
 	twice := fakeserver.Any(fakeserver.Assignment("one", members(draining)))
@@ -155,98 +155,102 @@
 	}{{[]*anypb.Any{fakeserver.Any(bad)}, "no address with a port"}, {[]*anypb.Any{twice, twice}, "named twice"},
 		{[]*anypb.Any{fakeserver.Any(born)}, "no time"}, {[]*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "x"})}, "can't be read"},
 		{[]*anypb.Any{{TypeUrl: EndpointType, Value: []byte{1, 2, 3}}}, "can't be read"}} {
-		both(t, func(t *testing.T, s *scene) {
-			s.tell("one", members(healthy, healthy))
-			s.await("127.0.0.1:80", "127.0.0.2:80")
+		forBothVariants(t, func(t *testing.T, s *fixture) {
+			s.publish("one", members(healthy, healthy))
+			s.waitForList("127.0.0.1:80", "127.0.0.2:80")
 			s.plane.Send(&discovery.DiscoveryResponse{TypeUrl: EndpointType, VersionInfo: "bad", Nonce: "bad", Resources: c.resources})
 			d := &discovery.DeltaDiscoveryResponse{TypeUrl: EndpointType, Nonce: "bad"}
 			for _, r := range c.resources {
 				d.Resources = append(d.Resources, &discovery.Resource{Name: "one", Version: "bad", Resource: r})
 			}
 			s.plane.Send(d)
-			if !s.noted("refused") {
-				t.Fatalf("case %d: not refused", i)
+			if !s.waitForLog("refused") {
+				t.Fatalf("case %d: not rejected", i)
 			}
-			if _, _, nacks := s.plane.Counts(); len(nacks) != 1 || !strings.Contains(nacks[0], c.why) {
-				time.Sleep(20 * time.Millisecond)
-				if _, _, nacks = s.plane.Counts(); len(nacks) != 1 || !strings.Contains(nacks[0], c.why) {
-					t.Errorf("case %d: nacks %q, want %q", i, nacks, c.why)
-				}
+			var nacks []string
+			platformtest.WaitFor(t, "the NACK", func() bool {
+				_, _, nacks = s.plane.Counts()
+				return len(nacks) > 0
+			})
+			if len(nacks) != 1 || !strings.Contains(nacks[0], c.why) {
+				t.Errorf("case %d: nacks %q, want %q", i, nacks, c.why)
 			}
-			s.await("127.0.0.1:80", "127.0.0.2:80")
-			s.tell("one", members(healthy, draining))
-			s.await("127.0.0.1:80", "-127.0.0.2:80")
+			s.waitForList("127.0.0.1:80", "127.0.0.2:80")
+			s.publish("one", members(healthy, draining))
+			s.waitForList("127.0.0.1:80", "-127.0.0.2:80")
 		})
 	}
 }
 
-// A stream that is cut changes nothing; after it all is taken up again, also from a server whose versions went back, and what
-// was withdrawn meanwhile goes.
-func TestStreamCut(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
-		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
-		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
+// A stream that breaks changes nothing. The next one brings the list up to date, also from a control plane whose versions went
+// back, and without what was withdrawn meanwhile.
+func TestBrokenStreamChangesNothing(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, s *fixture) {
+		s.publish("one", members(healthy, healthy, healthy))
+		s.publish("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
 		s.plane.Stall(true)
 		s.plane.Change(func(cs map[string][]fakeserver.Member) {
 			delete(cs, "two")
 			cs["one"] = members(healthy, draining, healthy)
 		})
 		s.plane.Cut(true)
-		if !s.noted("ended") {
-			t.Fatal("the cut was not told")
+		if !s.waitForLog("ended") {
+			t.Fatal("the break was not logged")
 		}
-		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
 		s.plane.Stall(false)
-		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		if !s.noted("is back after") {
-			t.Error("its return was not told")
+		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
+		if !s.waitForLog("is back after") {
+			t.Error("the return was not logged")
 		}
 	})
 }
 
 // A thousand updates of one endpoint within a second end in its last state, on one stream, without any of the others touched.
 func TestManyUpdatesOfOneEndpoint(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
-		s.tell("one", members(healthy, healthy, healthy))
-		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
+	forBothVariants(t, func(t *testing.T, s *fixture) {
+		s.publish("one", members(healthy, healthy, healthy))
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
 		s.mu.Lock()
 		s.fewest = 3
 		s.mu.Unlock()
 		for i := range 1000 {
 			ms := members(healthy, healthy, healthy)
-			ms[1].Weight = uint32(i + 1)
-			s.tell("one", ms)
+			ms[1].Cell = fmt.Sprint("cell ", i)
+			s.publish("one", ms)
 			time.Sleep(500 * time.Microsecond)
 		}
 		ms := members(healthy, healthy, healthy)
 		ms[1].Health = draining
-		s.tell("one", ms)
-		s.await("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
+		s.publish("one", ms)
+		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
+		s.mu.Lock()
+		defer s.mu.Unlock()
 		if _, streams, nacks := s.plane.Counts(); streams != 1 || len(nacks) > 0 || s.fewest < 2 {
 			t.Errorf("%d streams, refused %q, %d ready at the fewest", streams, nacks, s.fewest)
 		}
 	})
 }
 
-func TestEndpointsThatNeverCome(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
+func TestMissingEndpointsBlockNothingElse(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, s *fixture) {
 		s.plane.Hide("two", true)
-		s.tell("one", members(healthy, healthy, healthy))
-		s.tell("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
-		s.await("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
-		s.tell("one", members(healthy, healthy, draining))
-		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80")
+		s.publish("one", members(healthy, healthy, healthy))
+		s.publish("two", []fakeserver.Member{{Address: "127.0.0.9:80", Health: healthy}})
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "127.0.0.3:80")
+		s.publish("one", members(healthy, healthy, draining))
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80")
 		s.plane.Hide("two", false)
-		s.await("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80", "127.0.0.9:80")
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80", "-127.0.0.3:80", "127.0.0.9:80")
 	})
 }
 
-// Servers that move from one cluster to another are never missing on the way.
+// Servers that move from one cluster to another are never missing meanwhile.
 func TestMakeBeforeBreak(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
-		s.tell("old", members(healthy, healthy))
-		s.await("127.0.0.1:80", "127.0.0.2:80")
+	forBothVariants(t, func(t *testing.T, s *fixture) {
+		s.publish("old", members(healthy, healthy))
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80")
 		s.mu.Lock()
 		s.fewest = 2
 		s.mu.Unlock()
@@ -257,7 +261,7 @@
 			})
 			time.Sleep(10 * time.Millisecond)
 		}
-		s.await("127.0.0.1:80", "127.0.0.2:80")
+		s.waitForList("127.0.0.1:80", "127.0.0.2:80")
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.fewest < 2 {
@@ -266,26 +270,26 @@
 	})
 }
 
-// Clusters withdrawn go although those that came with them never get endpoints.
+// Withdrawn clusters are removed although those that came with them never get endpoints.
 func TestWarmingEnds(t *testing.T) {
-	both(t, func(t *testing.T, s *scene) {
-		s.tell("old", members(healthy))
-		s.tell("stays", []fakeserver.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
-		s.await("127.0.0.1:80", "127.0.0.8:80", "127.0.0.9:80")
+	forBothVariants(t, func(t *testing.T, s *fixture) {
+		s.publish("old", members(healthy))
+		s.publish("stays", []fakeserver.Member{{Address: "127.0.0.8:80", Health: healthy}, {Address: "127.0.0.9:80", Health: healthy}})
+		s.waitForList("127.0.0.1:80", "127.0.0.8:80", "127.0.0.9:80")
 		s.plane.Hide("new", true)
 		begun := time.Now()
 		s.plane.Change(func(cs map[string][]fakeserver.Member) {
 			delete(cs, "old")
 			cs["new"] = members(healthy)
 		})
-		s.await("127.0.0.8:80", "127.0.0.9:80")
+		s.waitForList("127.0.0.8:80", "127.0.0.9:80")
 		if took := time.Since(begun); took > 3*time.Second {
 			t.Errorf("it stayed for %s", took)
 		}
 	})
 }
 
-func TestWhatIsPassedOverIsTold(t *testing.T) {
+func TestUnsupportedFeaturesAreLogged(t *testing.T) {
 	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
 	f.Connected(1)
 	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
@@ -300,7 +304,7 @@
 	}
 }
 
-func TestBoundsOfWhatIsAccepted(t *testing.T) {
+func TestBounds(t *testing.T) {
 	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
 	many := []*anypb.Any{fakeserver.Any(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -1,10 +1,13 @@
 package xds
 
 import (
+	"bytes"
 	"context"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -16,20 +19,42 @@
 
 const testGrace = 2 * time.Second
 
-// gatedConn is a connection whose reader can be held up, as that of a process that was stopped.
+// readGate holds up the reader of a connection, as that of a process that was stopped.
+type readGate struct {
+	mu      sync.Mutex   // locked: nothing is read
+	waiting atomic.Int32 // readers that wait for mu
+}
+
 type gatedConn struct {
 	*net.TCPConn
-	mu *sync.Mutex // held: nothing is read
+	gate *readGate
 }
 
 func (c gatedConn) Read(b []byte) (int, error) {
-	c.mu.Lock()
-	c.mu.Unlock() //lint:ignore SA2001 nothing is guarded: a held lock holds the read up
+	c.gate.waiting.Add(1)
+	c.gate.mu.Lock()
+	c.gate.waiting.Add(-1) // with the lock held: a reader that is seen waiting by who has locked the gate has not passed it
+	c.gate.mu.Unlock()
 	return c.TCPConn.Read(b)
 }
 
-// A look at the list takes in what has come though nobody has read it from the connection yet.
-func TestLookCrossesAnUnreadChange(t *testing.T) {
+// holdsUnread reports whether text is among the bytes that have arrived and were not read. It needs them uncompressed, as
+// gRPC sends them unless told otherwise.
+func (c gatedConn) holdsUnread(t *testing.T, text string) bool {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	buffer := make([]byte, 64<<10)
+	n := 0
+	raw.Control(func(fd uintptr) {
+		n, _, _ = syscall.Recvfrom(int(fd), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return bytes.Contains(buffer[:max(n, 0)], []byte(text))
+}
+
+// A refresh handles what has arrived though nobody has read it from the connection yet.
+func TestRefreshHandlesUnreadChange(t *testing.T) {
 	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
 		t.Run(name, func(t *testing.T) {
 			plane, err := fakeserver.NewPlane()
@@ -37,34 +62,31 @@
 				t.Fatal(err)
 			}
 			defer plane.Stop()
-			tell := func(states ...string) {
+			publish := func(first fakeserver.Member) {
 				plane.Change(func(cs map[string][]fakeserver.Member) {
 					ms := members(healthy, healthy)
-					for i, s := range states {
-						if s == "draining" {
-							ms[i].Health = draining
-						}
-					}
+					first.Address = ms[0].Address
+					ms[0] = first
 					cs["c"] = ms
 				})
 			}
-			tell("ready", "ready")
-			var gate sync.Mutex
-			conns := make(chan *trackedConn, 4)
+			publish(fakeserver.Member{Health: healthy})
+			var gate readGate
+			conns := make(chan gatedConn, 4)
 			m := membership.New(membership.DefaultBounds)
 			var mu sync.Mutex
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
 			var complete atomic.Int64
-			source := Transport{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
+			transport := Transport{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
 				OnComplete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
 					if err != nil {
 						return nil, err
 					}
-					gated := gatedConn{TCPConn: c.(*net.TCPConn), mu: &gate}
-					conns <- &trackedConn{Conn: gated}
+					gated := gatedConn{TCPConn: c.(*net.TCPConn), gate: &gate}
+					conns <- gated
 					return gated, nil
 				},
 				OnUpdate: func(control.Micros) {
@@ -81,7 +103,7 @@
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- source.Run(ctx, NewClient(m, "router-0", "a", delta, DefaultBounds)) }()
+			go func() { done <- transport.Run(ctx, NewClient(m, "router-0", "a", delta, DefaultBounds)) }()
 			defer func() {
 				stop()
 				if err := <-done; err != nil {
@@ -90,27 +112,37 @@
 			}()
 			platformtest.WaitFor(t, "the first list", func() bool { return state() == control.Ready })
 			conn := <-conns
-			conn.reading.Store(true)
-			gate.Lock()
-			// A read that is under way takes one message more than the gate allows: it is given one that says nothing new.
-			tell("ready", "ready")
-			time.Sleep(50 * time.Millisecond)
-			tell("draining", "ready")
-			platformtest.WaitFor(t, "the change is in the socket", conn.unread)
-			looked, asked := make(chan struct{}), now()
-			refresh <- looked
+			gate.mu.Lock()
+			// A read that has passed the gate takes what comes next: updates are sent until the reader waits at the gate.
+			updates := 0
+			platformtest.WaitFor(t, "the reader at the gate", func() bool {
+				if gate.waiting.Load() > 0 {
+					return true
+				}
+				updates++
+				publish(fakeserver.Member{Health: healthy, Cell: fmt.Sprint("cell ", updates)})
+				return false
+			})
+			const marker = "cell-of-the-draining-server"
+			publish(fakeserver.Member{Health: draining, Cell: marker})
+			platformtest.WaitFor(t, "the change is in the socket", func() bool { return conn.holdsUnread(t, marker) })
+			if got := state(); got != control.Ready {
+				t.Errorf("before the refresh the server is in state %d", got)
+			}
+			refreshed, requestedAt := make(chan struct{}), now()
+			refresh <- refreshed
 			select {
-			case <-looked:
-				t.Error("the look ended before what had come was read")
+			case <-refreshed:
+				t.Error("the refresh ended before what had arrived was read")
 			case <-time.After(20 * time.Millisecond):
 			}
-			gate.Unlock()
-			<-looked
+			gate.mu.Unlock()
+			<-refreshed
 			if got := state(); got != control.Draining {
-				t.Errorf("after the look the server is in state %d", got)
+				t.Errorf("after the refresh the server is in state %d", got)
 			}
-			if got := control.Micros(complete.Load()); got < asked {
-				t.Errorf("complete as of %v before the look", asked-got)
+			if got := control.Micros(complete.Load()); got < requestedAt {
+				t.Errorf("complete as of %v before the refresh", requestedAt-got)
 			}
 		})
 	}
@@ -118,7 +150,7 @@
 
 // A control plane that breaks off before it has answered is asked again within half the grace, however long it was down before;
 // one that can't be reached is asked less and less often.
-func TestBreakBeforeTheAnswer(t *testing.T) {
+func TestUnansweredStreamIsRetriedWithinGrace(t *testing.T) {
 	plane, err := fakeserver.NewPlane()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/xds/view_test.go
+++ b/internal/xds/view_test.go
@@ -10,7 +10,7 @@
 )
 
 // What one router sees another reads alike, by either variant.
-func TestViewIsFollowed(t *testing.T) {
+func TestClientFollowsView(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		v, err := NewView("127.0.0.1:0", nil)
 		if err != nil {
