--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,24 +1,25 @@
 package retry
 
-// Budget keeps retries a small part of calls, whatever goes wrong: each call earns a part of a retry. It begins with a few, so that
-// a client of few calls may retry at all.
+// Budget keeps retries a small part of calls, whatever goes wrong: each call earns a part of a retry. It begins full, so that
+// a client of few calls may retry at all. It is not safe for concurrent use.
 type Budget struct {
-	tokens float64
+	tokens float64 // one a retry
 }
 
-// The budget's figures: a tenth more load is what retries may add in the worst case; ten stand for a burst.
 const (
+	// depositPerCall is the share of further load that retries may add in the worst case.
 	depositPerCall = 0.1
-	maxTokens      = 10.0
+	// maxTokens is what a burst of failures may use.
+	maxTokens = 10.0
 )
 
-// NewBudget gives a full one.
+// NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
-// Earn counts a first try.
+// Deposit adds what a call earns.
 func (b *Budget) Deposit() { b.tokens = min(maxTokens, b.tokens+depositPerCall) }
 
-// Spend takes a retry's worth, if there is one.
+// TryWithdraw takes a token for a retry and reports whether there was one.
 func (b *Budget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/retry/latencies.go
+++ b/internal/retry/latencies.go
@@ -1,31 +1,35 @@
 package retry
 
 import (
-	"hollymast/control"
 	"slices"
+
+	"hollymast/control"
 )
 
-// Latencies keeps the last answers' times, for hedging.
+// Latencies holds how long the last successful attempts took.
 type Latencies struct {
-	last  [64]control.Micros
-	count int
+	last  [64]control.Micros // a ring
+	count int                // of all that were added
 }
 
-// Add keeps one.
-func (l *Latencies) Add(t control.Micros) {
-	l.last[l.count%len(l.last)] = t
+// minSamples is how many latencies it takes to know their tail.
+const minSamples = 20
+
+// hedgePercentile leaves the slowest twentieth of the attempts to be hedged.
+const hedgePercentile = 95
+
+// Add adds a latency.
+func (l *Latencies) Add(latency control.Micros) {
+	l.last[l.count%len(l.last)] = latency
 	l.count++
 }
 
-// enough answers tell a tail.
-const minSamples = 20
-
-// HedgeAfter is after how long a try is among the slowest twentieth; 0: not known.
+// HedgeDelay returns after how long an attempt is slow enough to be hedged; 0: not known yet.
 func (l *Latencies) HedgeDelay() control.Micros {
 	if l.count < minSamples {
 		return 0
 	}
-	ts := slices.Clone(l.last[:min(l.count, len(l.last))])
-	slices.Sort(ts)
-	return max(1, ts[len(ts)*95/100])
+	sorted := slices.Clone(l.last[:min(l.count, len(l.last))])
+	slices.Sort(sorted)
+	return max(1, sorted[len(sorted)*hedgePercentile/100])
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides how a client behaves: whether a call may be tried again, when and where, whether a second try may run
-// beside the first, which routers are left alone for a while, and when lost connections may be made anew. It is free of I/O and
-// clocks; chance comes from a seeded generator that is given to it.
+// Package retry decides how a client behaves: whether a call may be retried, when and where, whether it may be hedged, which
+// routers are ejected for a while, and when lost connections may be made again. It is free of I/O and clocks; all randomness
+// comes from a seeded generator that the caller hands in.
 package retry
 
 import (
@@ -9,63 +9,68 @@
 	"hollymast/control"
 )
 
-// Workload is what a client knows of the jobs that it asks for.
+// Class is what a client knows of its requests.
 type Class struct {
-	Effect        control.Effect
-	Scope         control.Scope  // of a fingerprinted job
-	Window        control.Micros // for which its group knows a fingerprinted job
-	KeysPersisted bool           // routers remember marked jobs over restarts: the one that was asked may be asked again for any
-	HedgeSafe     bool           // two executions at once do no harm: a slow try may be hedged
+	Effect control.Effect
+	// Scope and Window are those of IdempotentByKey: the servers that recognize a key, and for how long.
+	Scope         control.Scope
+	Window        control.Micros
+	KeysPersisted bool // a router recognizes keys across its restarts: it may get the same request again, whatever its effect
+	HedgeSafe     bool // two attempts at once do no harm
 }
 
-// Ending is how one try ended, as its client can know.
+// Outcome is how an attempt ended, as far as its client can know.
 type Outcome uint8
 
-// The endings.
+// The outcomes.
 const (
 	Succeeded Outcome = iota
-	Invalid           // the request itself is refused: it would be again
-	Rejected          // not now; trying again is harmless
+	Invalid           // the request itself was rejected, and would be again
+	Rejected          // not now; a retry does no harm
 	NotSent           // the router never had the whole request
 	Failed            // it may have run, the router says
-	Lost              // it may have run: the connection broke or the time was up after the whole request was sent
+	Lost              // it may have run: the connection broke, or the time was up, after the whole request was sent
 )
 
-// The bounds of a call. Four tries give nearly all that tries can give; fifty milliseconds is a few times a usual job's way.
 const (
-	maxAttempts  = 4
-	backoffBase  = control.Micros(50_000)    // of the backoff, doubled with each try
-	backoffMax   = control.Micros(2_000_000) // of the backoff
-	minRemaining = control.Micros(20_000)    // left of the deadline, below which a try can't be answered
-	maxTransit   = control.Micros(50_000)    // far longer than any hop on the way to a server
+	// maxAttempts bounds the attempts of a call. Four give nearly all that retries can give.
+	maxAttempts = 4
+	// backoffBase is some times as long as a usual request takes. It doubles with each attempt, up to backoffMax.
+	backoffBase = control.Micros(50_000)
+	backoffMax  = control.Micros(2_000_000)
+	// minRemaining is the time to the deadline below which an attempt can't be answered.
+	minRemaining = control.Micros(20_000)
+	// maxTransit is far longer than any hop on the way to a server.
+	maxTransit = control.Micros(50_000)
 )
 
-// Call is one call with all its tries. It has one deadline.
+// Call is a call with all its attempts. They share one deadline. It is not safe for concurrent use.
 type Call struct {
 	Class           Class
 	Deadline        control.Micros
 	attempts        int
-	firstMayHaveRun control.Micros // when the first try that may have run was sent; 0: none may
-	pinnedRouter    int            // the router that alone may be asked again; -1: any
+	firstMayHaveRun control.Micros // when the first attempt that may have run was sent; 0: none may have
+	pinnedRouter    int            // the only router that may be asked again; -1: any may
 	inFlight        int
 	done            bool
 }
 
-// Begin begins a call.
+// NewCall returns a call without an attempt.
 func NewCall(class Class, deadline control.Micros) *Call {
 	return &Call{Class: class, Deadline: deadline, pinnedRouter: -1}
 }
 
-// Tries counts those made.
+// Attempts returns the number of attempts begun.
 func (c *Call) Attempts() int { return c.attempts }
 
-// Bound is the only router that may be asked; -1: any may.
+// PinnedRouter returns the only router that may be asked; -1: any may.
 func (c *Call) PinnedRouter() int { return c.pinnedRouter }
 
-// Sent counts a try that goes out now. False means that it must not: the deadline is too near, the call is over, or repeats of what
-// may have run would no longer be known.
+// BeginAttempt counts an attempt that is sent now. It returns false where none may be: the deadline is too near, the call is
+// done, or a repetition of what may have run would not be recognized any more.
 func (c *Call) BeginAttempt(now control.Micros) bool {
-	if c.done || now+minRemaining > c.Deadline || c.attempts > 0 && c.inFlight == 0 && !c.mayRetry(now) {
+	isRetry := c.attempts > 0 && c.inFlight == 0
+	if c.done || now+minRemaining > c.Deadline || isRetry && !c.mayRetry(now) {
 		return false
 	}
 	c.attempts++
@@ -73,7 +78,7 @@
 	return true
 }
 
-// mayRepeat tells whether another try does no harm if the earlier ones ran.
+// mayRetry reports whether a further attempt does no harm if the earlier ones ran.
 func (c *Call) mayRetry(now control.Micros) bool {
 	switch {
 	case c.firstMayHaveRun == 0 || c.Class.Effect == control.Idempotent || c.pinnedRouter >= 0:
@@ -84,14 +89,15 @@
 	return false
 }
 
-// Next is what to do after a try.
+// Decision is what to do after an attempt.
 type Decision struct {
-	Done        bool           // nothing: the ending stands, or other tries are still out
-	RetryAt     control.Micros // else try again then
+	Done        bool           // nothing: the outcome stands, or other attempts are in flight
+	RetryAt     control.Micros // otherwise retry then
 	OtherRouter bool           // at another router, if there is one
 }
 
-// After takes in how a try ended that was sent at some time to a router, with the pause that the router advised.
+// HandleOutcome records how an attempt ended that was sent at a time to a router, and decides what follows. Advised is the
+// pause that the router asked for; 0: none.
 func (c *Call) HandleOutcome(now control.Micros, outcome Outcome, sentAt control.Micros, router int, advised control.Micros, budget *Budget, random *rand.Rand) Decision {
 	c.inFlight--
 	if (outcome == Failed || outcome == Lost) && (c.firstMayHaveRun == 0 || sentAt < c.firstMayHaveRun) {
@@ -102,20 +108,16 @@
 		c.done = true
 	case c.done || c.inFlight > 0 || c.attempts >= maxAttempts:
 	case outcome == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
-		c.pinnedRouter = router // only it knows whether the job may run again
-		return c.retry(now, Backoff(c.attempts, random), false, budget)
-	case c.pinnedRouter >= 0 && outcome == NotSent: // it is not back yet
-		return c.retry(now, Backoff(c.attempts, random), false, budget)
+		c.pinnedRouter = router // it alone knows whether the request may run again
+		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
+	case c.pinnedRouter >= 0 && outcome == NotSent: // the pinned router is not back yet
+		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case outcome == Rejected:
-		delay := Backoff(c.attempts, random)
-		if advised > 0 { // all who were pushed back together heard the same: none comes sooner, all spread over as long again
-			delay = advised + control.Micros(random.Int64N(int64(advised)))
-		}
-		return c.retry(now, delay, true, budget)
-	case outcome == NotSent && c.attempts == 1:
-		return c.retry(now, 0, true, budget) // another router may be well
+		return c.retry(Decision{RetryAt: now + rejectionPause(c.attempts, advised, random), OtherRouter: true}, budget)
+	case outcome == NotSent && c.attempts == 1: // another router may be up
+		return c.retry(Decision{RetryAt: now, OtherRouter: true}, budget)
 	case outcome == NotSent, c.mayRetry(now):
-		return c.retry(now, Backoff(c.attempts, random), true, budget)
+		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random), OtherRouter: true}, budget)
 	}
 	if c.inFlight == 0 {
 		c.done = true
@@ -123,21 +125,37 @@
 	return Decision{Done: true}
 }
 
-func (c *Call) retry(now, delay control.Micros, other bool, budget *Budget) Decision {
-	at := now + delay
+// rejectionPause returns the pause after a rejection. All who were rejected together got the same advice: none comes sooner
+// than advised, and they spread over as long again. The backoff is drawn in any case, so that what later draws give doesn't
+// depend on the advice.
+func rejectionPause(attempts int, advised control.Micros, random *rand.Rand) control.Micros {
+	pause := Backoff(attempts, random)
+	if advised > 0 {
+		pause = advised + control.Micros(random.Int64N(int64(advised)))
+	}
+	return pause
+}
+
+// retry returns the decision if its retry is in time, does no harm and has a token; otherwise the call is done.
+func (c *Call) retry(decision Decision, budget *Budget) Decision {
+	at := decision.RetryAt
 	if at+minRemaining > c.Deadline || c.firstMayHaveRun > 0 && !c.mayRetry(at) || !budget.TryWithdraw() {
 		c.done = true
 		return Decision{Done: true}
 	}
-	return Decision{RetryAt: at, OtherRouter: other}
+	return decision
 }
 
-// Hedge tells whether a second try may run beside the one that is out.
+// AllowHedge reports whether a second attempt may run beside the one in flight. It takes a token for it.
 func (c *Call) AllowHedge(now control.Micros, budget *Budget) bool {
-	return !c.done && c.Class.HedgeSafe && c.Class.Effect == control.Idempotent && c.inFlight == 1 && c.attempts == 1 && now+minRemaining <= c.Deadline && budget.TryWithdraw()
+	safe := c.Class.HedgeSafe && c.Class.Effect == control.Idempotent
+	firstInFlight := c.inFlight == 1 && c.attempts == 1
+	return safe && !c.done && firstInFlight && now+minRemaining <= c.Deadline && budget.TryWithdraw()
 }
 
-// Pause is a try's backoff with full jitter: anything between nothing and a span that doubles with each try.
+// Backoff returns the pause before the next attempt with full jitter: a random time up to a limit that doubles with each
+// attempt.
 func Backoff(attempts int, random *rand.Rand) control.Micros {
-	return control.Micros(random.Int64N(int64(min(backoffMax, backoffBase<<min(attempts-1, 10))) + 1))
+	limit := min(backoffMax, backoffBase<<min(attempts-1, maxDoublings))
+	return control.Micros(random.Int64N(int64(limit) + 1))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -11,30 +11,30 @@
 
 const second = control.Micros(1_000_000)
 
-func chance() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// tried begins a call, makes one try and gives what follows its end.
-func tried(w Class, e Outcome, now, advised control.Micros) (*Call, Decision) {
+// afterFirst makes the first attempt of a call and returns what its outcome leads to.
+func afterFirst(w Class, e Outcome, now, advised control.Micros) (*Call, Decision) {
 	c := NewCall(w, 10*second)
 	c.BeginAttempt(second)
-	return c, c.HandleOutcome(now, e, second, 0, advised, NewBudget(), chance())
+	return c, c.HandleOutcome(now, e, second, 0, advised, NewBudget(), newRandom())
 }
 
-// What may have run is tried again only where its repeat does no harm: anywhere for restartable jobs, inside the window for
-// fingerprinted ones of the whole fleet, at the same router for run-once ones where that remembers.
-func TestWhatMayHaveRun(t *testing.T) {
-	once, restartable := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
-	marked := Class{Effect: control.IdempotentByKey, Window: 2 * second}
-	narrow := marked
+// What may have run is retried only where that does no harm: anywhere for idempotent requests, within the window for those
+// idempotent by key in the whole fleet, at the same router for non-idempotent ones if it persists keys.
+func TestRetryOfWhatMayHaveRun(t *testing.T) {
+	nonIdempotent, idempotent := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
+	byKey := Class{Effect: control.IdempotentByKey, Window: 2 * second}
+	narrow := byKey
 	narrow.Scope = control.OneZone
 	for name, c := range map[string]struct {
 		w     Class
 		now   control.Micros
 		again bool
-	}{"run-once": {once, 2 * second, false}, "restartable": {restartable, 2 * second, true}, "in its window": {marked, 2 * second, true},
-		"past its window": {marked, 3*second - 10_000, false}, "narrow": {narrow, 2 * second, false}} {
+	}{"non-idempotent": {nonIdempotent, 2 * second, false}, "idempotent": {idempotent, 2 * second, true}, "in its window": {byKey, 2 * second, true},
+		"past its window": {byKey, 3*second - 10_000, false}, "narrow": {narrow, 2 * second, false}} {
 		for _, e := range []Outcome{Lost, Failed} {
-			call, next := tried(c.w, e, c.now, 0)
+			call, next := afterFirst(c.w, e, c.now, 0)
 			if next.Done == c.again {
 				t.Errorf("%s, %d: %+v", name, e, next)
 			}
@@ -43,49 +43,49 @@
 			}
 		}
 	}
-	kept := once
-	kept.KeysPersisted = true
-	call, next := tried(kept, Lost, 2*second, 0)
+	persisted := nonIdempotent
+	persisted.KeysPersisted = true
+	call, next := afterFirst(persisted, Lost, 2*second, 0)
 	if next.Done || next.OtherRouter || call.PinnedRouter() != 0 {
-		t.Errorf("remembered: %+v, bound to %d", next, call.PinnedRouter())
+		t.Errorf("persisted: %+v, pinned to %d", next, call.PinnedRouter())
 	}
-	if _, next := tried(kept, Failed, 2*second, 0); !next.Done {
-		t.Errorf("the router said that it was killed: %+v", next)
+	if _, next := afterFirst(persisted, Failed, 2*second, 0); !next.Done {
+		t.Errorf("the router said that it failed: %+v", next)
 	}
 }
 
-// What was pushed back or never reached a router may be tried again whatever it does, after the pause that was advised and spread
-// over as long again.
-func TestHarmlessTries(t *testing.T) {
+// What was rejected or never reached a router may be retried whatever it does, after the advised pause and spread over as long
+// again.
+func TestRetryOfWhatDidNotRun(t *testing.T) {
 	for _, e := range []Outcome{Rejected, NotSent} {
-		if _, next := tried(Class{Effect: control.NonIdempotent}, e, 2*second, 0); next.Done || !next.OtherRouter {
+		if _, next := afterFirst(Class{Effect: control.NonIdempotent}, e, 2*second, 0); next.Done || !next.OtherRouter {
 			t.Errorf("%d: %+v", e, next)
 		}
 	}
-	_, next := tried(Class{}, Rejected, 2*second, second)
+	_, next := afterFirst(Class{}, Rejected, 2*second, second)
 	if next.RetryAt < 3*second || next.RetryAt >= 4*second {
 		t.Errorf("advised a second, comes after %d us", next.RetryAt-2*second)
 	}
-	if _, next := tried(Class{}, Rejected, 2*second, 20*second); !next.Done {
+	if _, next := afterFirst(Class{}, Rejected, 2*second, 20*second); !next.Done {
 		t.Error("waits past its deadline")
 	}
-	if _, next := tried(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
-		t.Error("a wrong request is sent again")
+	if _, next := afterFirst(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
+		t.Error("an invalid request is retried")
 	}
 }
 
-// However calls go, no try is sent past the deadline, after an answer, beyond the bound, or where it could do harm, and retries stay
-// within the budget.
+// However calls go, no attempt begins past the deadline, after an answer, beyond the bound, or where it could do harm, and
+// retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
-			KeysPersisted: rapid.Bool().Draw(t, "remembered"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
+			KeysPersisted: rapid.Bool().Draw(t, "persisted"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
 		b, x := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
 		for range calls {
 			b.Deposit()
 			now := control.Micros(1)
-			deadline := now + control.Micros(rapid.IntRange(0, 5_000_000).Draw(t, "patience"))
+			deadline := now + control.Micros(rapid.IntRange(0, 5_000_000).Draw(t, "deadline"))
 			c := NewCall(w, deadline)
 			finished, ran := false, control.Micros(0)
 			for n := 0; ; n++ {
@@ -93,17 +93,17 @@
 					break
 				}
 				if now > deadline || finished || n >= maxAttempts {
-					t.Fatalf("try %d at %d, deadline %d, finished %t", n, now, deadline, finished)
+					t.Fatalf("attempt %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
 				if ran > 0 && w.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
-					t.Fatalf("try %d at %d after one that may have run at %d", n, now, ran)
+					t.Fatalf("attempt %d at %d after one that may have run at %d", n, now, ran)
 				}
 				if n > 0 {
 					retries++
 				}
 				sent := now
 				now += control.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "took"))
-				e := Outcome(rapid.IntRange(0, 5).Draw(t, "ending"))
+				e := Outcome(rapid.IntRange(0, 5).Draw(t, "outcome"))
 				if (e == Failed || e == Lost) && ran == 0 {
 					ran = sent
 				}
@@ -121,10 +121,10 @@
 	})
 }
 
-// Connections that are lost together are made anew over five seconds, each at a time of its own; single ones at once.
+// Connections that are lost together are made again over five seconds, each at a time of its own; single ones at once.
 func TestReconnectsSpread(t *testing.T) {
 	const n = 200
-	r, x := NewRouters(1, 0), chance()
+	r, x := NewRouters(1, 0), newRandom()
 	for range n {
 		r.ConnectionOpened(0)
 	}
@@ -152,11 +152,11 @@
 		most = max(most, in)
 	}
 	if made < 95 || most > 15 || last < 14*second {
-		t.Errorf("%d made anew, %d at most in a tenth of a second, the last after %d us", made, most, last-10*second)
+		t.Errorf("%d made again, %d at most in a tenth of a second, the last after %d us", made, most, last-10*second)
 	}
 }
 
-// A router that loses a connection in thirty while it answers the others has lost none together: all may be made anew at once.
+// A router that loses a connection in thirty while it answers the others has no mass loss: all may be made again at once.
 func TestSingleLossesAreNoMassLoss(t *testing.T) {
 	r, x := NewRouters(1, 0), rand.New(rand.NewPCG(1, 1))
 	for range 20 {
@@ -176,7 +176,7 @@
 	}
 }
 
-// A router that fails three times in a row is left alone, longer each time; where all are, the one that is soonest back is asked.
+// A router that fails three times in a row is ejected, for longer each time; where all are, the first to be back is asked.
 func TestEjection(t *testing.T) {
 	r := NewRouters(2, 0)
 	for range ejectionThreshold {
@@ -199,15 +199,15 @@
 		r.RecordFailure(now, 1)
 	}
 	if r.Pick(now, -1) != 1 {
-		t.Error("not the one that is soonest back")
+		t.Error("not the first to be back")
 	}
 	r.RecordSuccess(0)
 	if r.Pick(now+3*ejectionBase, 1) != 0 {
-		t.Error("an avoided router is asked although another is well")
+		t.Error("an avoided router is asked although another is up")
 	}
 }
 
-// A hedge is for restartable jobs that may run twice at once, and costs a retry's worth.
+// A hedge is for idempotent requests that may run twice at once, and takes a token.
 func TestHedges(t *testing.T) {
 	b := NewBudget()
 	for _, c := range []struct {
--- a/internal/retry/routers.go
+++ b/internal/retry/routers.go
@@ -1,48 +1,51 @@
 package retry
 
 import (
-	"hollymast/control"
 	"math/rand/v2"
 	"slices"
+
+	"hollymast/control"
 )
 
-// Routers are those that a client may ask, and what it has seen of them.
+// Routers is what a client has seen of the routers that it may ask, which go by their index. It is not safe for concurrent
+// use.
 type Routers struct {
 	routers []router
-	next    int
+	next    int // where the next Pick begins
 }
 
 type router struct {
 	failures     int // in a row
-	ejections    int // times in a row
+	ejections    int // in a row
 	ejectedUntil control.Micros
-	recentLosses []control.Micros // connections lost lately
 	connections  int
-	reconnectAt  []control.Micros // when lost connections may be made anew, ascending
+	recentLosses []control.Micros // when connections broke, within massLossWindow
+	reconnectAt  []control.Micros // when lost connections may be made again, ascending
 }
 
-// Bounds of ejection: three failures in a row are hardly chance; a second is a router's restart, half a minute an outage.
+// Bounds of ejection: three failures in a row are hardly chance. A second is a router's restart, half a minute an outage.
 const (
 	ejectionThreshold = 3
-	ejectionBase      = control.Micros(1_000_000)
+	ejectionBase      = control.Micros(1_000_000) // doubled with each ejection in a row
 	ejectionMax       = control.Micros(30_000_000)
+	maxDoublings      = 10 // keeps the shift within 64 bits
 )
 
-// Bounds of a mass loss: half of the connections, and over two, within a second, are lost together; spread is the time over which
-// they come back.
+// Connections are lost together if they are at least massLossMin, and half of all, within massLossWindow. They are made again
+// over reconnectSpread.
 const (
 	massLossWindow  = control.Micros(1_000_000)
 	massLossMin     = 3
 	reconnectSpread = control.Micros(5_000_000)
 )
 
-// NewRouters gives n routers, of which a client begins anywhere.
+// NewRouters returns n routers. The first Pick begins at an index, by which clients differ.
 func NewRouters(n, begin int) *Routers {
 	return &Routers{routers: make([]router, n), next: begin % max(1, n)}
 }
 
-// Pick gives the router for a try: the next in turn that is not ejected and is not the one to avoid, if there is such; else the
-// next that is not ejected, else the one whose ejection ends first.
+// Pick returns the router for an attempt: the next in turn that is not ejected and not the one to avoid, if there is such a
+// one; otherwise the next that is not ejected; otherwise the one whose ejection ends first. Avoid may be -1.
 func (r *Routers) Pick(now control.Micros, avoid int) int {
 	best, firstBack := -1, 0
 	for k := range r.routers {
@@ -64,9 +67,9 @@
 	return best
 }
 
-// Well counts an answer from a router, whatever it says. One that goes on answering stands: what it lost was single connections, so
-// each answer makes up for a loss. Without that a steady loss of a few in a hundred, at many calls a second, looked like a mass loss,
-// and the connections that were then put off made the next one more likely.
+// RecordSuccess records an answer from a router, whatever it says. A router that goes on answering is up, and lost single
+// connections only: each answer makes up for a loss. Otherwise a steady loss of a few in a hundred would look like a mass
+// loss at many calls a second, and the connections put off for it would make the next one more likely.
 func (r *Routers) RecordSuccess(i int) {
 	x := &r.routers[i]
 	x.failures, x.ejections = 0, 0
@@ -75,47 +78,53 @@
 	}
 }
 
-// Failed counts a try that got no answer. A router that fails some times in a row is left alone, longer each time.
+// RecordFailure records an attempt without an answer. A router that fails several times in a row is ejected, for longer each
+// time.
 func (r *Routers) RecordFailure(now control.Micros, i int) {
 	x := &r.routers[i]
 	if x.failures++; x.failures >= ejectionThreshold && now >= x.ejectedUntil {
-		x.ejectedUntil = now + min(ejectionMax, ejectionBase<<min(x.ejections, 10))
+		x.ejectedUntil = now + min(ejectionMax, ejectionBase<<min(x.ejections, maxDoublings))
 		x.ejections++
-		x.failures = ejectionThreshold - 1 // its next failure is enough
+		x.failures = ejectionThreshold - 1 // the next failure ejects it again
 	}
 }
 
-// Opened counts a connection.
+// ConnectionOpened counts a connection to a router.
 func (r *Routers) ConnectionOpened(i int) { r.routers[i].connections++ }
 
-// Closed counts one that this side closed, or that ended while nothing was amiss.
+// ConnectionClosed counts a connection that this side closed, or that was never established.
 func (r *Routers) ConnectionClosed(i int) {
 	r.routers[i].connections = max(0, r.routers[i].connections-1)
 }
 
-// LostOne counts a connection that broke. If most break together each of them may be made anew only at a time of its own within the
-// spread, so that all clients of a router that comes back do not meet there at once.
+// ConnectionLost counts a connection that broke. If many break together, each may be made again only at a random time within
+// the spread: otherwise all clients of a router that restarts would reconnect in one moment.
 func (r *Routers) ConnectionLost(now control.Micros, i int, random *rand.Rand) {
 	x := &r.routers[i]
 	x.connections = max(0, x.connections-1)
-	x.recentLosses = append(x.recentLosses, now)
-	for len(x.recentLosses) > 0 && x.recentLosses[0] < now-massLossWindow {
-		x.recentLosses = x.recentLosses[1:]
+	x.recentLosses = append(notBefore(x.recentLosses, now-massLossWindow), now)
+	losses := len(x.recentLosses)
+	if losses < massLossMin || losses < x.connections {
+		return
 	}
-	n := len(x.recentLosses)
-	switch {
-	case n < massLossMin || n < x.connections:
-	case len(x.reconnectAt) == 0: // found out just now: it holds for those before it too
-		for range n {
-			x.reconnectAt = append(x.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
-		}
-	default:
+	if len(x.reconnectAt) > 0 {
+		losses = 1 // those before it have their times
+	}
+	for range losses {
 		x.reconnectAt = append(x.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
 	}
 	slices.Sort(x.reconnectAt)
 }
 
-// MayOpen tells whether a connection to a router may be made now; else when.
+// notBefore returns those of ascending times that are not before a time.
+func notBefore(times []control.Micros, from control.Micros) []control.Micros {
+	for len(times) > 0 && times[0] < from {
+		times = times[1:]
+	}
+	return times
+}
+
+// MayConnect reports whether a connection to a router may be made now; otherwise it returns from when.
 func (r *Routers) MayConnect(now control.Micros, i int) (ok bool, at control.Micros) {
 	x := &r.routers[i]
 	if len(x.reconnectAt) == 0 {
