--- a/internal/certstore/credentials_test.go
+++ b/internal/certstore/credentials_test.go
@@ -11,6 +11,7 @@
 	"google.golang.org/grpc/health/grpc_health_v1"
 
 	"hollymast/internal/fakeserver/authority"
+	"hollymast/internal/tlspolicy"
 )
 
 // A gRPC connection is closed once its peer's certificate is revoked, although there is no request on it.
@@ -49,7 +50,7 @@
 	if _, err := watch.Recv(); err == nil || ctx.Err() != nil {
 		t.Errorf("the stream goes on: %v", err)
 	}
-	if n := server.Stats().RejectedPeers["revoked"]; n == 0 {
+	if n := server.Stats().RejectedPeers[tlspolicy.Revoked]; n == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/certstore/handshake.go
+++ b/internal/certstore/handshake.go
@@ -62,12 +62,12 @@
 	var rejected *tlspolicy.PeerError
 	switch {
 	case err == nil:
-		s.stats.handshakes++
+		s.stats.Handshakes++
 		return nil
 	case errors.As(err, &rejected): // counted by verify
 		return rejected
 	}
-	s.stats.failedHandshakes++
+	s.stats.FailedHandshakes++
 	return fmt.Errorf("no secret connection: %w", err)
 }
 
--- a/internal/certstore/handshake_test.go
+++ b/internal/certstore/handshake_test.go
@@ -29,7 +29,7 @@
 		}
 		c.Close()
 	}
-	if n := server.Stats().RejectedPeers["unknown authority"]; n != 50 {
+	if n := server.Stats().RejectedPeers[tlspolicy.UnknownAuthority]; n != 50 {
 		t.Errorf("%d rejected", n)
 	}
 }
--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -28,8 +28,8 @@
 	identity tlspolicy.Identity
 	verifier *tlspolicy.Verifier
 	tracked  map[*trackedConn]struct{} // connections that are closed once their peer is no longer trusted
-	stats    counters
-	random   *rand.Rand // spreads the replacement of connections
+	stats    Stats                     // but for ExpiresAt
+	random   *rand.Rand                // spreads the replacement of connections
 }
 
 // Open returns a store with the contents of the configured files; its error says what is wrong with them. A store with a secret discovery
@@ -41,7 +41,7 @@
 		log:      log,
 		verifier: tlspolicy.NewVerifier(config.Names),
 		tracked:  map[*trackedConn]struct{}{},
-		stats:    counters{rejected: map[tlspolicy.Reason]uint64{}},
+		stats:    Stats{RejectedPeers: map[tlspolicy.Reason]uint64{}},
 		random:   rand.New(rand.NewPCG(uint64(now()), 1)),
 	}
 	if config.SecretsAddress != "" {
--- a/internal/gateway/metrics_tls.go
+++ b/internal/gateway/metrics_tls.go
@@ -31,7 +31,7 @@
 		out <- prometheus.MustNewConstMetric(handshakesDesc, prometheus.CounterValue, float64(stats.Handshakes), kind)
 		out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(stats.FailedHandshakes), kind, "other")
 		for reason, n := range stats.RejectedPeers {
-			out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(n), kind, reason)
+			out <- prometheus.MustNewConstMetric(rejectedDesc, prometheus.CounterValue, float64(n), kind, reason.String())
 		}
 		if stats.ExpiresAt > 0 {
 			out <- prometheus.MustNewConstMetric(expiryDesc, prometheus.GaugeValue, float64(stats.ExpiresAt)/1e6, kind)
