--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -1,197 +1,116 @@
 package simulation
 
 import (
+	"strconv"
+
 	"hollymast/control"
-	"hollymast/internal/invariant"
 	"hollymast/internal/retry"
 )
 
-// ending is how a try ended.
-type ending uint8
-
-const (
-	finished ending = iota
-	pushedBack
-	killed
-	unsent // its router was not there
-	broken // its connection broke after it was sent
-	late   // its client's patience ended
-)
-
-// client is one program that makes calls: well-behaved ones decide with the client library's package.
+// client is one program that makes calls. Clients that behave decide with package retry, as the client library does.
 type client struct {
-	w       *world
-	node    *node
-	budget  *retry.Budget
-	routers *retry.Routers
-	effects []CallOutcome
+	world    *world
+	node     *node
+	budget   *retry.Budget
+	routers  *retry.Routers
+	outcomes []CallOutcome
 }
 
-func newClient(w *world, i int) *client {
-	c := &client{w: w, node: w.engine.node(w.plan.Seed), budget: retry.NewBudget()}
-	c.routers = retry.NewRouters(w.plan.Routers, c.node.chance.IntN(w.plan.Routers))
+func newClient(w *world) *client {
+	c := &client{world: w, node: w.engine.newNode(w.plan.Seed), budget: retry.NewBudget()}
+	c.routers = retry.NewRouters(w.plan.Routers, c.node.random.IntN(w.plan.Routers))
 	return c
 }
 
-// asking is a call under way.
-type asking struct {
-	client *client
-	call   *Call
-	index  int
-	begun  control.Micros
-	state  *retry.Call // nil: it is rude
-	tries  int
-}
-
-// try is one sending of a call.
-type try struct {
-	*asking
-	number int
-	router int
-	sent   control.Micros
-	left   control.Micros // of its client's patience
-	over   bool
+// call is a call in progress.
+type call struct {
+	*Call
+	client   *client
+	class    *Class
+	index    int // into Plan.Calls
+	begunAt  control.Micros
+	retries  *retry.Call // nil: it retries blindly
+	attempts int
 }
 
-func (c *client) begin(index int, call *Call) {
-	a := &asking{client: c, call: call, index: index, begun: c.node.Now()}
-	if !call.RetriesBlindly {
-		w := c.w.plan.Classes[call.Class].Spec
-		a.state = retry.NewCall(retry.Class{Effect: w.Effect, Scope: w.Scope, Window: w.Window}, a.begun+call.Timeout)
+func (c *client) begin(index int, planned *Call) {
+	l := &call{Call: planned, client: c, class: &c.world.plan.Classes[planned.Class], index: index, begunAt: c.node.Now()}
+	if !planned.RetriesBlindly {
+		spec := l.class.Spec
+		l.retries = retry.NewCall(retry.Class{Effect: spec.Effect, Scope: spec.Scope, Window: spec.Window}, l.begunAt+planned.Timeout)
 		c.budget.Deposit()
 	}
-	a.next(-1)
+	l.attempt(noRouter)
 }
 
-// mostRude bounds the tries of a rude client: more than its patience allows.
-const mostRude = 200
+// noRouter stands for a router's number where there is none.
+const noRouter = -1
 
-// A rude program's own loop, and the patience below which it asks no more, both as the laboratory's on sockets.
+// The loop of a client that retries blindly, the same as the chaos tester's on sockets: its pause, the time left below which it
+// gives up, and the bound on its requests, more than any timeout allows.
 const (
-	rudePause = control.Micros(50_000)
-	rudeLeast = control.Micros(50_000)
+	blindRetryPause   = control.Micros(50_000)
+	blindRetryMinLeft = control.Micros(50_000)
+	maxBlindAttempts  = 200
 )
 
-// next makes the next try, at another router than one where that is worth it.
-func (a *asking) next(avoid int) {
-	c, now := a.client, a.client.node.Now()
-	left := a.begun + a.call.Timeout - now
+// attempt sends the next request, to another router than one where that may help, or ends the call.
+func (l *call) attempt(avoid int) {
+	c, now := l.client, l.client.node.Now()
+	left := l.begunAt + l.Timeout - now
 	router := 0
 	switch {
-	case a.state == nil:
-		if left < rudeLeast || a.tries >= mostRude {
-			a.done(false)
+	case l.retries == nil:
+		if left < blindRetryMinLeft || l.attempts >= maxBlindAttempts {
+			l.end(false)
 			return
 		}
-		router = (a.call.FirstRouter + a.tries) % c.w.plan.Routers
-	case !a.state.BeginAttempt(now):
-		a.done(false)
+		router = (l.FirstRouter + l.attempts) % c.world.plan.Routers
+	case !l.retries.BeginAttempt(now):
+		l.end(false)
 		return
 	default:
-		if router = a.state.PinnedRouter(); router < 0 {
+		if router = l.retries.PinnedRouter(); router < 0 {
 			router = c.routers.Pick(now, avoid)
 		}
 	}
-	a.tries++
-	t := &try{asking: a, number: a.tries, router: router, sent: now, left: left}
-	c.node.record(invariant.Record{Kind: invariant.RequestSent, Request: t.name(), Effect: itoa(a.call.Number), Workload: c.w.plan.Classes[a.call.Class].Name,
-		Router: router, Deadline: int64(now + left)})
-	r := c.w.routers[router]
-	c.node.send(r.node, c.node.way(), func() { r.arrived(t) })
-	c.node.After(left+lateness, func() {
-		if !t.over {
-			t.ended(late, 0)
-			c.node.send(r.node, c.node.way(), func() { r.clientLeft(t) })
-		}
-	})
+	l.attempts++
+	request := &clientRequest{call: l, number: l.attempts, router: router, sentAt: now, timeout: left}
+	request.send()
 }
 
-func (t *try) name() string { return itoa(t.call.Number) + "." + itoa(t.number) }
-
-// marked tells whether the router hears that this is a repeat.
-func (t *try) marked() bool { return t.state != nil && t.number > 1 }
-
-// mark is the effect's, as routers know it; 0: none.
-func (t *try) mark() uint64 {
-	if t.state == nil {
-		return 0
+// end notes what became of the call.
+func (l *call) end(succeeded bool) {
+	now := l.client.node.Now()
+	outcome := CallOutcome{Call: l.index, Attempts: l.attempts}
+	if succeeded {
+		outcome.FinishedAt = now
+		outcome.InTime = now-l.begunAt <= l.class.Spec.LatencyObjective
 	}
-	return uint64(t.call.Number) + 1
+	l.client.outcomes = append(l.client.outcomes, outcome)
 }
 
-// key is the mark as servers know it. Those of run-once jobs are not known to any.
-func (t *try) key() string {
-	switch w := t.client.w.plan.Classes[t.call.Class].Spec; {
-	case w.Effect == control.NonIdempotent:
-		return NonIdempotentKeyPrefix + itoa(t.call.Number)
-	case t.state == nil && w.Effect != control.IdempotentByKey:
-		return ""
+// effectName is the call's effect in the records.
+func (l *call) effectName() string { return strconv.Itoa(l.Number) }
+
+// keyHash is the call's idempotency key as routers know it; 0: none.
+func (l *call) keyHash() uint64 {
+	if l.retries == nil {
+		return 0
 	}
-	return "effect-" + itoa(t.call.Number)
+	return uint64(l.Number) + 1
 }
 
-// OnceMark begins the marks of run-once jobs.
+// NonIdempotentKeyPrefix begins the keys of non-idempotent calls. No server knows such a key, so a wrong retry runs twice and is seen.
 const NonIdempotentKeyPrefix = "once-"
 
-// gone tells whether its client can have no use for an answer any more.
-func (t *try) gone(now control.Micros) bool { return now >= t.sent+t.left+lateness }
-
-var words = map[ending]string{finished: invariant.Succeeded, pushedBack: invariant.Rejected, killed: invariant.Failed}
-
-// ended takes in how a try ended, and goes on with its call.
-func (t *try) ended(e ending, advised control.Micros) {
-	if t.over {
-		return
-	}
-	t.over = true
-	c, now := t.client, t.client.node.Now()
-	rec := invariant.Record{Kind: invariant.ResponseReceived, Request: t.name(), Effect: itoa(t.call.Number), Workload: c.w.plan.Classes[t.call.Class].Name, Router: t.router,
-		Deadline: int64(t.sent + t.left), Detail: words[e]}
-	switch e {
-	case unsent:
-		rec.Kind = invariant.RequestNotSent
-	case broken, late:
-		rec.Kind = invariant.RequestTimedOut
-	}
-	c.node.record(rec)
-	if e == finished {
-		t.done(true)
-		return
-	}
-	if t.state == nil {
-		restartable := c.w.plan.Classes[t.call.Class].Spec.Effect == control.Idempotent
-		if mayHaveRun := e == killed || e == broken || e == late; mayHaveRun && !restartable {
-			t.done(false)
-			return
-		}
-		c.node.After(rudePause, func() { t.next(-1) })
-		return
-	}
-	as := map[ending]retry.Outcome{pushedBack: retry.Rejected, killed: retry.Failed, unsent: retry.NotSent, broken: retry.Lost, late: retry.Lost}[e]
-	if as == retry.NotSent || as == retry.Lost {
-		c.routers.RecordFailure(now, t.router)
-	} else {
-		c.routers.RecordSuccess(t.router)
-	}
-	next := t.state.HandleOutcome(now, as, t.sent, t.router, advised, c.budget, c.node.chance)
-	if next.Done {
-		t.done(false)
-		return
-	}
-	avoid := -1
-	if next.OtherRouter {
-		avoid = t.router
-	}
-	c.node.After(next.RetryAt-now, func() { t.next(avoid) })
-}
-
-// done keeps what became of the call.
-func (a *asking) done(finished bool) {
-	now := a.client.node.Now()
-	e := CallOutcome{Call: a.index, Attempts: a.tries}
-	if finished {
-		e.FinishedAt = now
-		e.InTime = now-a.begun <= a.client.w.plan.Classes[a.call.Class].Spec.LatencyObjective
+// idempotencyKey is the call's idempotency key as servers know it; empty: none.
+func (l *call) idempotencyKey() string {
+	switch effect := l.class.Spec.Effect; {
+	case effect == control.NonIdempotent:
+		return NonIdempotentKeyPrefix + l.effectName()
+	case l.retries == nil && effect != control.IdempotentByKey:
+		return ""
 	}
-	a.client.effects = append(a.client.effects, e)
+	return "effect-" + l.effectName()
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -1,180 +1,125 @@
 package simulation
 
 import (
-	"container/heap"
-	"math/rand/v2"
 	"sync"
 
 	"hollymast/control"
-	"hollymast/internal/invariant"
 )
 
-// event is something that happens to one node. Events of a node are ordered by time, then by the node that they come from, then by
-// that node's count: nothing of it hangs on which thread ran what first, so a tie ends alike whatever the number of threads.
-type event struct {
-	at       control.Micros
-	to, from int
-	count    uint64
-	do       func()
-}
-
-func (e *event) before(o *event) bool {
-	switch {
-	case e.at != o.at:
-		return e.at < o.at
-	case e.to != o.to:
-		return e.to < o.to
-	case e.from != o.from:
-		return e.from < o.from
-	}
-	return e.count < o.count
-}
-
-type queue []event
-
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].before(&q[j]) }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	old := *q
-	e := old[len(old)-1]
-	old[len(old)-1] = event{}
-	*q = old[:len(old)-1]
-	return e
-}
-
-// node is one thing that lives in simulated time and shares no state with others: it hears of them by messages alone.
-type node struct {
-	e      *engine
-	id     int
-	shard  *shard
-	count  uint64
-	chance *rand.Rand
-	log    []invariant.Record
+// engine runs nodes in windows no longer than the least delay of a message: within one, nothing that a node does can reach
+// another, so shards run side by side.
+type engine struct {
+	minDelay control.Micros
+	nodes    []*node
+	shards   []*shard
 }
 
-// shard is the part of the nodes that one thread runs, with what is still to happen to them.
+// shard is the nodes that one thread runs, with their events.
 type shard struct {
-	queue queue
-	now   control.Micros
-	out   [][]event // to other shards, by their number
-	ran   int
+	queue  eventQueue
+	now    control.Micros
+	outbox [][]event // to other shards, by their number, until the window ends
+	events int       // that have happened
 }
 
-// engine runs nodes in windows no longer than the least time that a message takes: within one, nothing that a node does can reach
-// another, so shards run side by side.
-type engine struct {
-	least  control.Micros
-	nodes  []*node
-	shards []*shard
-}
-
-func newEngine(threads int, least control.Micros) *engine {
-	e := &engine{least: least}
+func newEngine(threads int, minDelay control.Micros) *engine {
+	e := &engine{minDelay: minDelay}
 	for range threads {
-		e.shards = append(e.shards, &shard{out: make([][]event, threads)})
+		e.shards = append(e.shards, &shard{outbox: make([][]event, threads)})
 	}
 	return e
 }
 
-// node adds one. They are dealt to shards in turn, since nodes of a kind, which are alike in work, follow each other.
-func (e *engine) node(seed uint64) *node {
-	n := &node{e: e, id: len(e.nodes), shard: e.shards[len(e.nodes)%len(e.shards)]}
-	n.chance = rand.New(rand.NewPCG(seed, uint64(n.id)+1))
-	e.nodes = append(e.nodes, n)
-	return n
-}
-
-// Now is the node's time.
-func (n *node) Now() control.Micros { return n.shard.now }
-
-// After has something happen to the node itself.
-func (n *node) After(d control.Micros, f func()) { n.at(n.Now()+max(0, d), f) }
-
-// at is After with a time; before the run it may be called from outside.
-func (n *node) at(t control.Micros, f func()) {
-	n.count++
-	heap.Push(&n.shard.queue, event{t, n.id, n.id, n.count, f})
+// run runs all events before a time and returns how many there were. Nothing may be scheduled from outside meanwhile.
+func (e *engine) run(until control.Micros) (events int) {
+	others := startWorkers(e.shards[1:])
+	for {
+		first, any := e.firstEvent(until)
+		if !any {
+			break
+		}
+		end := min(until, first+e.minDelay)
+		others.begin(end)
+		e.shards[0].runWindow(end)
+		others.wait()
+		e.exchange()
+	}
+	others.stop()
+	for _, s := range e.shards {
+		events += s.events
+	}
+	return events
 }
 
-// send has something happen to another node after a way's time, which is never below the engine's least.
-func (n *node) send(to *node, way control.Micros, f func()) {
-	n.count++
-	x := event{n.Now() + max(n.e.least, way), to.id, n.id, n.count, f}
-	if to.shard == n.shard {
-		heap.Push(&n.shard.queue, x)
-		return
-	}
-	for i, s := range n.e.shards {
-		if s == to.shard {
-			n.shard.out[i] = append(n.shard.out[i], x)
+// firstEvent returns the time of the first event before a time.
+func (e *engine) firstEvent(until control.Micros) (first control.Micros, any bool) {
+	first = until
+	for _, s := range e.shards {
+		if len(s.queue) > 0 && s.queue[0].at < first {
+			first, any = s.queue[0].at, true
 		}
 	}
+	return first, any
 }
 
-// record notes something at this node's end of a wire.
-func (n *node) record(r invariant.Record) {
-	r.At = int64(n.Now())
-	n.log = append(n.log, r)
+// exchange delivers what shards have sent each other in a window.
+func (e *engine) exchange() {
+	for _, s := range e.shards {
+		for i, sent := range s.outbox {
+			for _, x := range sent {
+				e.shards[i].queue.push(x)
+			}
+			clear(sent)
+			s.outbox[i] = sent[:0]
+		}
+	}
 }
 
-// window runs what happens to a shard's nodes before a time.
-func (s *shard) window(end control.Micros) {
+// runWindow runs a shard's events before a time.
+func (s *shard) runWindow(end control.Micros) {
 	for len(s.queue) > 0 && s.queue[0].at < end {
-		x := heap.Pop(&s.queue).(event)
+		x := s.queue.pop()
 		s.now = x.at
-		s.ran++
-		x.do()
+		s.events++
+		x.run()
 	}
 }
 
-// run plays until a time, or until nothing is left to happen.
-func (e *engine) run(until control.Micros) (events int) {
-	ends := make([]chan control.Micros, len(e.shards))
-	var wg, threads sync.WaitGroup
-	for i := 1; i < len(e.shards); i++ {
-		ends[i] = make(chan control.Micros)
-		threads.Go(func() {
-			for end := range ends[i] {
-				e.shards[i].window(end)
-				wg.Done()
+// workers are goroutines that run a shard each, window by window.
+type workers struct {
+	windows []chan control.Micros
+	window  sync.WaitGroup // those that are in a window
+	running sync.WaitGroup // the goroutines
+}
+
+func startWorkers(shards []*shard) *workers {
+	w := &workers{}
+	for _, s := range shards {
+		ends := make(chan control.Micros)
+		w.windows = append(w.windows, ends)
+		w.running.Go(func() {
+			for end := range ends {
+				s.runWindow(end)
+				w.window.Done()
 			}
 		})
 	}
-	for {
-		first, any := until, false
-		for _, s := range e.shards {
-			if len(s.queue) > 0 && s.queue[0].at < first {
-				first, any = s.queue[0].at, true
-			}
-		}
-		if !any {
-			break
-		}
-		end := min(until, first+e.least)
-		wg.Add(len(e.shards) - 1)
-		for i := 1; i < len(e.shards); i++ {
-			ends[i] <- end
-		}
-		e.shards[0].window(end)
-		wg.Wait()
-		for _, s := range e.shards {
-			for i, xs := range s.out {
-				for _, x := range xs {
-					heap.Push(&e.shards[i].queue, x)
-				}
-				clear(xs)
-				s.out[i] = xs[:0]
-			}
-		}
-	}
-	for i := 1; i < len(e.shards); i++ {
-		close(ends[i])
+	return w
+}
+
+func (w *workers) begin(end control.Micros) {
+	w.window.Add(len(w.windows))
+	for _, ends := range w.windows {
+		ends <- end
 	}
-	threads.Wait()
-	for _, s := range e.shards {
-		events += s.ran
+}
+
+func (w *workers) wait() { w.window.Wait() }
+
+// stop ends the goroutines and waits for them.
+func (w *workers) stop() {
+	for _, ends := range w.windows {
+		close(ends)
 	}
-	return events
+	w.running.Wait()
 }
--- /dev/null
+++ b/internal/simulation/event.go
@@ -0,0 +1,56 @@
+package simulation
+
+import (
+	"container/heap"
+
+	"hollymast/control"
+)
+
+// event is something that happens to one node. A node's events are ordered by time, then by the node that they come from, then by
+// that node's count: nothing of it depends on which thread ran what first, so simultaneous events have the same order whatever
+// the number of threads.
+type event struct {
+	at       control.Micros
+	to, from int // ids of nodes
+	count    uint64
+	run      func()
+}
+
+func (e *event) before(o *event) bool {
+	switch {
+	case e.at != o.at:
+		return e.at < o.at
+	case e.to != o.to:
+		return e.to < o.to
+	case e.from != o.from:
+		return e.from < o.from
+	}
+	return e.count < o.count
+}
+
+// eventQueue is a heap: the first event is at index 0.
+type eventQueue []event
+
+func (q *eventQueue) push(e event) { heap.Push(q, e) }
+func (q *eventQueue) pop() event   { return heap.Pop(q).(event) }
+
+// Len is part of heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less is part of heap.Interface.
+func (q eventQueue) Less(i, j int) bool { return q[i].before(&q[j]) }
+
+// Swap is part of heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push is part of heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop is part of heap.Interface.
+func (q *eventQueue) Pop() any {
+	old := *q
+	e := old[len(old)-1]
+	old[len(old)-1] = event{} // lets go of what its function holds
+	*q = old[:len(old)-1]
+	return e
+}
--- /dev/null
+++ b/internal/simulation/servercall.go
@@ -0,0 +1,111 @@
+package simulation
+
+import (
+	"hollymast/control"
+	"hollymast/internal/modelserver"
+)
+
+// serverCall is an attempt or a load command on its way to a server.
+type serverCall struct {
+	server  int
+	begunAt control.Micros
+	ended   bool
+}
+
+// callResults are what a server's results mean to the core.
+var callResults = map[modelserver.Result]control.Result{modelserver.Succeeded: control.Succeeded, modelserver.Overloaded: control.Overloaded,
+	modelserver.NotLoaded: control.NotLoaded, modelserver.ConnectionReset: control.ConnectionReset}
+
+// noReplicas tells the core that the answer to a load command, if any, named no number of replicas.
+const noReplicas = -1
+
+// exchange sends something to a server and has end called with its response, or with what came instead; perhaps more than once.
+func (r *router) exchange(call *serverCall, timeout control.Micros, send func(*modelserver.Server, func(modelserver.Response)),
+	end func(control.Result, modelserver.Response)) {
+	none := modelserver.Response{Replicas: noReplicas}
+	r.node.After(timeout, func() { end(control.TimedOut, none) })
+	if !r.reaches(call.server) {
+		r.node.After(min(dialTimeout, timeout), func() { end(control.ConnectFailed, none) })
+		return
+	}
+	s := r.world.servers[call.server]
+	r.node.send(s.node, r.node.delay(), func() {
+		reply := func(result control.Result, response modelserver.Response) {
+			s.node.send(r.node, s.node.delay(), func() { end(result, response) })
+		}
+		if !s.model.Alive() {
+			reply(control.ConnectFailed, none)
+			return
+		}
+		send(s.model, func(response modelserver.Response) { reply(callResults[response.Result], response) })
+	})
+}
+
+// Forward starts an attempt.
+func (r *router) Forward(added *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
+	q, incarnation := r.requests[added.ID], r.incarnation
+	call := &serverCall{server: serverIndex(to), begunAt: r.node.Now()}
+	q.calls = append(q.calls, call)
+	q.inFlight++
+	sent := modelserver.Request{ID: q.client.name(), Effect: q.client.effectName(), Router: r.number, Function: q.client.Function,
+		IdempotencyKey: q.client.idempotencyKey()}
+	r.exchange(call, timeout,
+		func(s *modelserver.Server, respond func(modelserver.Response)) { s.Infer(sent, respond) },
+		func(result control.Result, response modelserver.Response) {
+			r.post(incarnation, func(now control.Micros) { r.endAttempt(now, q, attempt, result, response) })
+		})
+}
+
+// endAttempt takes in the end of an attempt; only the first one counts.
+func (r *router) endAttempt(now control.Micros, q *request, attempt control.AttemptID, result control.Result, response modelserver.Response) {
+	call := q.calls[attempt]
+	if call.ended {
+		return
+	}
+	call.ended = true
+	q.inFlight--
+	outcome := control.Outcome{Attempt: attempt, Server: serverID(call.server), Result: result, CacheStatus: response.CacheStatus, Duration: now - call.begunAt}
+	if result == control.Succeeded || result == control.Overloaded || result == control.NotLoaded {
+		outcome.Report = &response.LoadReport
+	}
+	if result == control.Succeeded && !q.answered {
+		outcome.RequestDone = true
+		r.core.HandleOutcome(now, q.id, outcome)
+		if r.overload != nil {
+			r.overload.RecordAnswer(now)
+		}
+		r.answer(q, succeeded, 0)
+		return
+	}
+	r.core.HandleOutcome(now, q.id, outcome)
+	r.release(q)
+}
+
+// CancelAttempt stops waiting for an attempt; its outcome comes in a step of its own.
+func (r *router) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
+	q, incarnation := r.requests[id], r.incarnation
+	if q == nil || int(attempt) >= len(q.calls) {
+		return
+	}
+	r.node.After(0, func() {
+		r.post(incarnation, func(now control.Micros) { r.endAttempt(now, q, attempt, control.Cancelled, modelserver.Response{}) })
+	})
+}
+
+// Load sends a load command for a request's function.
+func (r *router) Load(added *control.Request, command control.LoadCommand) {
+	function, incarnation := r.requests[added.ID].client.Function, r.incarnation
+	call := &serverCall{server: serverIndex(command.Server), begunAt: r.node.Now()}
+	r.exchange(call, loadTimeout,
+		func(s *modelserver.Server, respond func(modelserver.Response)) {
+			s.Load(function, command.Replicas, r.number, respond)
+		},
+		func(result control.Result, response modelserver.Response) {
+			r.post(incarnation, func(now control.Micros) {
+				if !call.ended {
+					call.ended = true
+					r.core.HandleLoadResult(now, command.Server, command.Function, result, now-call.begunAt, response.Replicas)
+				}
+			})
+		})
+}
--- a/internal/simulation/emulate_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,12 +11,12 @@
 
 const second = control.Micros(1_000_000)
 
-// small is a plan of a few routers and servers, with calls at an even pace.
-func small(calls int, troubles ...Incident) *Plan {
+// smallPlan is a plan of a few routers and servers, with calls at an even pace.
+func smallPlan(calls int, incidents ...Incident) *Plan {
 	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, ConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
 		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.Idempotent}},
 			{Name: "once", Importance: 2, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.NonIdempotent}}},
-		Incidents: troubles}
+		Incidents: incidents}
 	p.Deployment = control.Deployment{Tick: 4_000, MaxAttempts: 3, MaxRetryAfter: 2 * second, SupportsCancel: true, MarksRetries: true, SlowStartInitial: 0.25, SlowStartDuration: 2 * second,
 		OverloadWindow: second, OverloadFactor: 2, KeepAlive: 5 * second, LoadCommands: true, LoadsOnMiss: true}
 	for _, w := range p.Classes {
@@ -40,30 +40,30 @@
 		Zone: make([]string, 4), Cell: make([]string, 4), Classes: map[string]invariant.Class{"once": {NonIdempotent: true}}}, res.Records)
 }
 
-// The same plan gives the same records on one, two and four threads, whatever goes wrong; another seed gives others.
+// The same plan gives the same records on one, two and four threads, whatever incidents there are; another seed gives others.
 func TestThreadsChangeNothing(t *testing.T) {
-	troubles := []Incident{{Kind: ServerCrash, At: second, Duration: second / 2, Targets: []int{0, 1}}, {Kind: RouterStall, At: 2 * second, Duration: second, Targets: []int{1}},
+	incidents := []Incident{{Kind: ServerCrash, At: second, Duration: second / 2, Targets: []int{0, 1}}, {Kind: RouterStall, At: 2 * second, Duration: second, Targets: []int{1}},
 		{Kind: RouterCrash, At: 3 * second, Duration: second / 2, Targets: []int{0, 2}}, {Kind: StoreDegraded, At: second, Duration: second, StoreClosed: true},
 		{Kind: NetworkPartition, At: 4 * second, Duration: second, Targets: []int{0}, Unreachable: []int{2, 3}}, {Kind: ServerDeploy, At: 4 * second, Duration: second, Targets: []int{3}}}
 	hashes := map[uint64]bool{}
 	for _, threads := range []int{1, 2, 4} {
-		res := Run(small(900, troubles...), threads)
+		res := Run(smallPlan(900, incidents...), threads)
 		if hashes[res.Hash] = true; len(res.Records) < 2000 || res.Events < 5000 {
 			t.Errorf("%d records, %d events", len(res.Records), res.Events)
 		}
 	}
 	if len(hashes) != 1 {
-		t.Errorf("%d ways to play one plan", len(hashes))
+		t.Errorf("%d different days of one plan", len(hashes))
 	}
-	p := small(900, troubles...)
+	p := smallPlan(900, incidents...)
 	p.Seed = 2
 	if res := Run(p, 1); hashes[res.Hash] {
-		t.Error("another seed plays the same")
+		t.Error("another seed gives the same day")
 	}
 }
 
-// Rules are kept and every call has its end, under each trouble alone.
-func TestRulesUnderEachTrouble(t *testing.T) {
+// The rules hold and every call ends, under each kind of incident alone.
+func TestRulesUnderEachIncident(t *testing.T) {
 	for name, x := range map[string]Incident{
 		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
 		"reset": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
@@ -71,7 +71,7 @@
 		"partition": {Kind: NetworkPartition, Targets: []int{0, 1}, Unreachable: []int{0, 1}},
 	} {
 		x.At, x.Duration = 2*second, second
-		p := small(600, x)
+		p := smallPlan(600, x)
 		res := Run(p, 2)
 		v := judge(p, res)
 		for _, r := range v.Rules {
@@ -90,9 +90,9 @@
 	}
 }
 
-// A router that is cut off from some servers serves through the others, and its jobs never reach those; the rest of the routers go on.
+// A router that is partitioned from some servers uses the others, and its requests never reach those; the other routers go on.
 func TestPartition(t *testing.T) {
-	res := Run(small(600, Incident{Kind: NetworkPartition, At: second, Duration: 3 * second, Targets: []int{0}, Unreachable: []int{0, 1}}), 2)
+	res := Run(smallPlan(600, Incident{Kind: NetworkPartition, At: second, Duration: 3 * second, Targets: []int{0}, Unreachable: []int{0, 1}}), 2)
 	from, to := int64(epoch+second+20_000), int64(epoch+4*second)
 	got := map[bool]int{}
 	for _, r := range res.Records {
@@ -101,17 +101,17 @@
 		}
 	}
 	if got[true] != 0 || got[false] == 0 {
-		t.Errorf("the servers got %d jobs of the router that is cut off, and %d of others", got[true], got[false])
+		t.Errorf("the servers got %d requests of the partitioned router, and %d of others", got[true], got[false])
 	}
 }
 
-// Ties end by node and count, not by the order in which they were put in.
-func TestTies(t *testing.T) {
+// Simultaneous events are ordered by node and count, not by the order in which they were scheduled.
+func TestOrderOfSimultaneousEvents(t *testing.T) {
 	for _, threads := range []int{1, 3} {
-		e := newEngine(threads, leastWay)
+		e := newEngine(threads, minDelay)
 		var nodes []*node
 		for range 4 {
-			nodes = append(nodes, e.node(1))
+			nodes = append(nodes, e.newNode(1))
 		}
 		var got []int
 		for _, i := range []int{3, 1, 2} {
