--- a/client/attempts.go
+++ b/client/attempts.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"hollymast/control"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 	"hollymast/internal/retry"
 	"sync"
@@ -157,7 +158,7 @@
 	x, err := c.acquire(ctx, router)
 	if err != nil {
 		e.outcome, e.failed = retry.NotSent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
-		e.local = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
+		e.local = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	} else if !t.register(x) { // the call is over
 		c.release(router, x, true)
 		e.outcome, e.failed, e.local = retry.NotSent, &Failed{Kind: Unreached, Why: "the call is over"}, true
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"hollymast/control"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 	"hollymast/internal/retry"
 	"hollymast/kserve"
@@ -39,7 +40,7 @@
 	p, progress, err := x.Do(q, t.deadline.Add(c.options.Late))
 	t.unregister(x)
 	if err != nil {
-		if e.local = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err); e.local { // given up, by the caller or for another try's answer
+		if e.local = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err); e.local { // given up, by the caller or for another try's answer
 			c.release(e.router, x, true)
 		} else {
 			c.discard(e.router, x)
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -5,6 +5,7 @@
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 	"hollymast/kserve"
 )
@@ -70,7 +71,7 @@
 		reason = attempt.ByDeadline
 	}
 	written := progress > rest.NothingWritten
-	if written && reason == attempt.ByPeer && rest.LocalFailure(err) {
+	if written && reason == attempt.ByPeer && netfail.IsLocal(err) {
 		return control.Failed // may have run; says nothing about the server
 	}
 	return attempt.BrokenResult(written, reason)
--- a/internal/gateway/serverconn.go
+++ b/internal/gateway/serverconn.go
@@ -3,12 +3,12 @@
 import (
 	"context"
 	"errors"
-	"os"
 	"sync/atomic"
 	"time"
 
 	"hollymast/control"
 	"hollymast/internal/attempt"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 )
 
@@ -61,7 +61,7 @@
 	if client == nil {
 		var err error
 		if client, err = sc.dial(call); err != nil {
-			local := errors.Is(err, errNotDialled) || rest.LocalFailure(err)
+			local := errors.Is(err, errNotDialled) || netfail.IsLocal(err)
 			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), local)}
 		}
 		sc.client.Store(client)
@@ -94,11 +94,8 @@
 // errNotDialled tells that a call ended while it waited to dial: nothing is known about the server.
 var errNotDialled = errors.New("withdrawn")
 
-// dialPause is the first pause before a dial that failed temporarily is retried, doubled up to maxDialPause: such a
-// failure may last no longer than one packet.
-const dialPause, maxDialPause = 2 * time.Millisecond, 50 * time.Millisecond
-
-// dial connects, as soon as one more connection may be dialled. Temporary failures are retried until the dial timeout.
+// dial connects, as soon as one more connection may be dialled. Failures that say nothing about the server are retried until
+// the dial timeout.
 func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
 	g := sc.gateway
 	ctx, cancel := context.WithTimeout(call.ctx, min(g.config.DialTimeout, time.Until(call.deadline)))
@@ -109,23 +106,6 @@
 	case <-ctx.Done():
 		return nil, errNotDialled
 	}
-	var previous error // why the last dial failed, where the server is not to blame
-	for pause := dialPause; ; pause = min(2*pause, maxDialPause) {
-		client, err := g.dial(ctx, sc.address)
-		switch {
-		case err == nil:
-			return client, nil
-		case rest.LocalFailure(err), rest.TransientFailure(err):
-		case rest.LocalFailure(previous) && os.IsTimeout(err):
-			return nil, previous // the server only had what was left of the timeout
-		default:
-			return nil, err
-		}
-		previous = err
-		select {
-		case <-ctx.Done():
-			return nil, err
-		case <-time.After(pause):
-		}
-	}
+	return netfail.Dial(ctx, func() (*rest.Client, error) { return g.dial(ctx, sc.address) },
+		func(error) netfail.RetryPause { return netfail.AfterPause })
 }
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -7,7 +7,6 @@
 	"errors"
 	"net"
 	"os"
-	"slices"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -15,6 +14,7 @@
 	"hollymast/control"
 	"hollymast/internal/attempt"
 	"hollymast/internal/binframe"
+	"hollymast/internal/netfail"
 )
 
 // serverConn is one connection to a server. The event loop owns all but the write queue and partialWrite; a goroutine
@@ -71,7 +71,7 @@
 	conn, err := sc.dial()
 	if err != nil {
 		end = control.ConnectFailed
-		if localFailure(err) || errors.Is(err, context.Canceled) {
+		if netfail.IsLocal(err) || errors.Is(err, context.Canceled) {
 			end = control.NotSent // says nothing about the server
 		} else {
 			r.countAnomaly("no connection to a server")
@@ -90,7 +90,7 @@
 			if why := corruptionOf(err); why != "" {
 				end = control.Failed // the server answers, but unreadably
 				r.countAnomaly("corrupt answer: " + why)
-			} else if localFailure(err) {
+			} else if netfail.IsLocal(err) {
 				end = control.Failed // may have run; says nothing about the server
 			}
 			return
@@ -112,53 +112,22 @@
 	write: syscall.Write,
 }
 
-// minDialPause is the first pause before a dial that failed temporarily is retried, doubled up to descriptorWait: such a
-// failure may last no longer than one packet.
-const minDialPause = 2 * time.Millisecond
-
-// dial connects. Temporary failures are retried until the connect timeout; where descriptors are short, idle client
-// connections are closed meanwhile.
+// dial connects. Failures that say nothing about the server are retried until the connect timeout; where descriptors are
+// short, idle client connections are closed meanwhile.
 func (sc *serverConn) dial() (net.Conn, error) {
-	var previous error // why the last dial failed, where the server is not to blame
-	for pause := minDialPause; ; pause = min(2*pause, descriptorWait) {
-		conn, err := sc.router.calls.dial(sc.dialing, sc.pool.address)
-		switch {
-		case err == nil:
-			return conn, nil
-		case localFailure(err), transient(err):
-		case localFailure(previous) && os.IsTimeout(err):
-			return nil, previous // the server only had what was left of the timeout
-		default:
-			return nil, err
-		}
-		previous = err
-		if errors.Is(err, syscall.EMFILE) {
-			sc.router.countAnomaly("out of descriptors for a server")
-			if sc.router.makeRoom(1) {
-				continue
+	r := sc.router
+	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.calls.dial(sc.dialing, sc.pool.address) },
+		func(err error) netfail.RetryPause {
+			if !errors.Is(err, syscall.EMFILE) {
+				r.countAnomaly("temporary dial failure")
+				return netfail.AfterPause
 			}
-		} else {
-			sc.router.countAnomaly("temporary dial failure")
-		}
-		select {
-		case <-sc.dialing.Done():
-			return nil, err
-		case <-time.After(pause):
-		}
-	}
-}
-
-// localFailure reports whether an error is this machine's shortage, and says nothing about the server.
-func localFailure(err error) bool {
-	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
-}
-
-// transient reports whether an error is a network fault that may pass at once. A lasting one counts against the
-// server.
-func transient(err error) bool {
-	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
-		errors.Is(err, syscall.ECONNABORTED)
+			r.countAnomaly("out of descriptors for a server")
+			if r.makeRoom(1) {
+				return netfail.AtOnce
+			}
+			return netfail.AfterPause
+		})
 }
 
 // corruptionOf returns what made an answer unreadable, or the empty string where the connection itself ended.
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -8,6 +8,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"hollymast/internal/netfail"
 )
 
 // writeQueue writes frames to one connection; adding one does not block. Its goroutine lives only while there is
@@ -212,7 +214,7 @@
 			}
 			writeErr = nil
 			withdrawn := frame.begin(write)
-			retry = !withdrawn && (!attempted || n == 0 && localFailure(writeErr))
+			retry = !withdrawn && (!attempted || n == 0 && netfail.IsLocal(writeErr))
 			return withdrawn || room
 		})
 		if !retry || err != nil {
--- a/internal/rest/neterrors.go
+++ b/internal/rest/neterrors.go
@@ -5,22 +5,8 @@
 	"errors"
 	"net"
 	"slices"
-	"syscall"
 )
 
-// LocalFailure reports whether an error is this machine's shortage, and says nothing about the peer.
-func LocalFailure(err error) bool {
-	return slices.ContainsFunc([]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-		syscall.EADDRNOTAVAIL, syscall.EINTR, syscall.EAGAIN}, func(errno error) bool { return errors.Is(err, errno) })
-}
-
-// TransientFailure reports whether an error is a network fault that may pass at once. A lasting one counts against the
-// peer.
-func TransientFailure(err error) bool {
-	return errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETDOWN) ||
-		errors.Is(err, syscall.ECONNABORTED)
-}
-
 // certificateAlerts are the alerts with which a server rejects a client's certificate (RFC 8446, section 6.2).
 var certificateAlerts = []tls.AlertError{42, 43, 44, 45, 46, 48, 49, 116}
 
