--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,8 +1,8 @@
-// Package replay plays recordings through the core and compares what it decides now with what was decided then.
 package replay
 
 import (
 	"bytes"
+	"cmp"
 	"errors"
 	"fmt"
 
@@ -13,197 +13,160 @@
 	"hollymast/internal/record"
 )
 
-// Player is a core that goes through recorded turns.
-type Player struct {
-	Core *core.Core
-	tape record.Recorder
-	did  []record.Command
-}
-
-// From gives a player at a checkpoint.
-func NewPlayer(s *core.Snapshot) (*Player, error) {
-	p := &Player{}
-	p.tape.OnStep = func(t record.Step) { p.did = t.Commands }
-	var err error
-	p.Core, err = core.Restore(s, &p.tape)
-	return p, err
+// Range limits what is compared. The zero value is everything.
+type Range struct {
+	From, Until uint64            // first and last step; Until 0: to the end
+	Request     control.RequestID // compare only commands for this request; 0: for all
+	OnCommand   func(step uint64, clock control.Micros, c record.Command)
 }
 
-// Turn has the core hear a recorded turn and gives what it decides.
-func (p *Player) Step(t record.Step) []record.Command {
-	p.Apply(t)
-	return p.EndStep(t.Clock)
+// Summary is what a replay went through.
+type Summary struct {
+	Segments, Steps, Commands uint64
+	First, Last               control.Micros // clocks of the first and last step
+	LostSteps                 uint64         // steps that the recordings say they lost
+	Damaged                   []string       // errors of segments that end before they should
+	Stalls                    uint64         // steps that came more than stallThreshold after the one before
+	LongestStall              control.Micros
 }
 
-// Hear has the core hear what a turn brought; Decide must follow.
-func (p *Player) Apply(t record.Step) {
-	for _, n := range t.Events {
-		switch {
-		case n.Added != nil:
-			p.Core.Add(t.Clock, *n.Added) // one that came twice was refused then too
-		case n.Outcome != nil:
-			p.Core.HandleOutcome(t.Clock, n.RequestID, *n.Outcome)
-		case n.Endpoints != nil:
-			p.Core.UpdateEndpoints(t.Clock, n.Endpoints.Kind, n.Endpoints.Endpoints)
-		case n.Cancelled:
-			p.Core.Cancel(t.Clock, n.RequestID)
-		case n.LoadResult != nil:
-			l := n.LoadResult
-			p.Core.HandleLoadResult(t.Clock, l.Server, l.Function, l.Result, l.Duration, l.Replicas)
+// stallThreshold is the time between two steps after which a router counts as stalled: five times its maintenance was due.
+const stallThreshold control.Micros = 1_000_000
+
+// Play replays segments in the given order. The error is a *Difference where commands differ; the summary covers what was played.
+func Play(files []string, r Range) (Summary, error) {
+	p := playback{limits: r}
+	for _, file := range files {
+		if err := p.playFile(file); errors.Is(err, errEndOfRange) {
+			break
+		} else if err != nil {
+			return p.summary, err
 		}
 	}
+	return p.summary, nil
 }
 
-// Decide ends a turn.
-func (p *Player) EndStep(now control.Micros) []record.Command {
-	p.Core.Step(now)
-	p.tape.StepEnded(now)
-	return p.did
-}
+var errEndOfRange = errors.New("the end that was asked for")
 
-// Difference is the first deed that came out otherwise.
-type Difference struct {
-	File               string
-	Step               uint64
-	Clock              control.Micros
-	Request            control.RequestID
-	Recorded, Replayed string // what was decided
-	Checkpoint         bool   // it is no deed that differs but the state at the segment's beginning
+// playback is the state of Play between segments.
+type playback struct {
+	limits      Range
+	summary     Summary
+	player      *Player // nil: the next segment begins at its checkpoint
+	incarnation string
+	next        uint64 // number of the player's next step
 }
 
-// Error tells the difference in a line.
-func (d *Difference) Error() string {
-	if d.Checkpoint {
-		return fmt.Sprintf("%s: the state reached by replay differs from the checkpoint at turn %d", d.File, d.Step)
+// playFile plays a segment. A damaged one is played up to the damage.
+func (p *playback) playFile(file string) error {
+	err := p.playSegment(file)
+	if errors.Is(err, record.ErrDamaged) { // a router that is killed during a write leaves one
+		p.summary.Damaged = append(p.summary.Damaged, err.Error())
+		p.player = nil
+		return nil
 	}
-	return fmt.Sprintf("%s: turn %d at %d us, job %d: then %q, now %q", d.File, d.Step, d.Clock, d.Request, d.Recorded, d.Replayed)
+	return err
 }
 
-// Range limits what is compared. The zero value is everything.
-type Range struct {
-	From, Until uint64            // turns; Until 0: to the end
-	Request     control.RequestID // only deeds for this job; 0: all
-	OnCommand   func(turn uint64, clock control.Micros, d record.Command)
-}
-
-// Account is what a replay went through.
-type Summary struct {
-	Segments, Steps, Commands uint64
-	First, Last               control.Micros // clocks
-	LostSteps                 uint64         // turns that recordings say they lost
-	Damaged                   []string       // segments that end before they should
-	Stalls                    uint64         // turns that came over a second after the one before
-	LongestStall              control.Micros
+func (p *playback) playSegment(file string) error {
+	s, err := record.OpenSegment(file)
+	if err != nil {
+		return err
+	}
+	defer s.Close()
+	p.summary.Segments++
+	p.summary.LostSteps += s.LostSteps
+	if err := p.enter(s); err != nil {
+		return err
+	}
+	return s.ForEachStep(func(number uint64, step record.Step) error {
+		if p.limits.Until > 0 && number > p.limits.Until {
+			return errEndOfRange
+		}
+		p.next = number + 1
+		return p.summary.playStep(p.player, p.limits, file, number, step)
+	})
 }
 
-// Play replays segments in the order given. The error is a *Difference where decisions differ.
-func Play(files []string, r Range) (a Summary, err error) {
-	var p *Player
-	var life string
-	next := uint64(0)
-	for _, name := range files {
-		s, err := record.OpenSegment(name)
-		if err != nil {
-			if errors.Is(err, record.ErrDamaged) { // a router killed in mid-write leaves one
-				a.Damaged = append(a.Damaged, err.Error())
-				p = nil
-				continue
-			}
-			return a, err
-		}
-		a.Segments++
-		a.LostSteps += s.LostSteps
-		goesOn := p != nil && life == s.Incarnation && next == s.FirstStep && s.LostSteps == 0
-		if goesOn && s.FirstStep >= r.From {
-			same, err := alike(p.Core, s.Checkpoint)
-			if err != nil || !same {
-				s.Close()
-				if err == nil {
-					err = &Difference{File: name, Step: s.FirstStep, Clock: s.Clock, Checkpoint: true}
-				}
-				return a, err
-			}
-		}
-		if !goesOn {
-			if p, err = NewPlayer(s.Checkpoint); err != nil {
-				s.Close()
-				return a, fmt.Errorf("%s: %w", name, err)
-			}
-		}
-		life, next = s.Incarnation, s.FirstStep
-		err = s.ForEachStep(func(number uint64, t record.Step) error {
-			if r.Until > 0 && number > r.Until {
-				return errUntil
-			}
-			next = number + 1
-			return a.turn(p, r, name, number, t)
-		})
-		s.Close()
-		switch {
-		case errors.Is(err, errUntil):
-			return a, nil
-		case errors.Is(err, record.ErrDamaged):
-			a.Damaged = append(a.Damaged, err.Error())
-			p = nil
-		case err != nil:
-			return a, err
+// enter brings the player to the beginning of a segment. If the segment follows the one before, the state reached has to be that of its
+// checkpoint; else the player begins there.
+func (p *playback) enter(s *record.Segment) error {
+	follows := p.player != nil && p.incarnation == s.Incarnation && p.next == s.FirstStep && s.LostSteps == 0
+	p.incarnation, p.next = s.Incarnation, s.FirstStep
+	if !follows {
+		var err error
+		if p.player, err = NewPlayer(s.Checkpoint); err != nil {
+			return fmt.Errorf("%s: %w", s.File, err)
 		}
+		return nil
+	}
+	if s.FirstStep < p.limits.From {
+		return nil
+	}
+	same, err := sameState(p.player.Core, s.Checkpoint)
+	if err == nil && !same {
+		err = &Difference{File: s.File, Step: s.FirstStep, Clock: s.Clock, Checkpoint: true}
 	}
-	return a, nil
+	return err
 }
 
-var errUntil = errors.New("the end that was asked for")
-
-// turn replays one turn and compares it.
-func (a *Summary) turn(p *Player, r Range, file string, number uint64, t record.Step) error {
-	if a.Steps++; a.First == 0 {
-		a.First = t.Clock
-	} else if pause := t.Clock - a.Last; pause > 1_000_000 { // five upkeeps were due meanwhile
-		a.Stalls++
-		a.LongestStall = max(a.LongestStall, pause)
-	}
-	a.Last = t.Clock
-	now := p.Step(t)
-	for i := range max(len(now), len(t.Commands)) {
-		var x, y record.Command
-		if i < len(t.Commands) {
-			x = t.Commands[i]
-		}
-		if i < len(now) {
-			y = now[i]
-		}
-		if number < r.From || r.Request != 0 && x.Request != r.Request && y.Request != r.Request {
+// playStep replays a step and compares its commands.
+func (s *Summary) playStep(p *Player, r Range, file string, number uint64, step record.Step) error {
+	s.addStep(step.Clock)
+	replayed := p.Step(step)
+	for i := range max(len(replayed), len(step.Commands)) {
+		was, is := commandAt(step.Commands, i), commandAt(replayed, i)
+		if number < r.From || r.Request != 0 && was.Request != r.Request && is.Request != r.Request {
 			continue
 		}
-		if a.Commands++; x != y {
-			job := x.Request
-			if job == 0 {
-				job = y.Request
-			}
-			return &Difference{File: file, Step: number, Clock: t.Clock, Request: job, Recorded: x.String(), Replayed: y.String()}
+		if s.Commands++; was != is {
+			return &Difference{File: file, Step: number, Clock: step.Clock, Request: cmp.Or(was.Request, is.Request),
+				Recorded: was.String(), Replayed: is.String()}
 		}
 		if r.OnCommand != nil {
-			r.OnCommand(number, t.Clock, x)
+			r.OnCommand(number, step.Clock, was)
 		}
 	}
 	return nil
 }
 
-// alike tells whether a core stands where a checkpoint says.
-func alike(c *core.Core, checkpoint *core.Snapshot) (bool, error) {
-	then, err := core.Restore(checkpoint, nil)
+// addStep counts a step, and a stall before it.
+func (s *Summary) addStep(clock control.Micros) {
+	if s.Steps++; s.First == 0 {
+		s.First = clock
+	} else if pause := clock - s.Last; pause > stallThreshold {
+		s.Stalls++
+		s.LongestStall = max(s.LongestStall, pause)
+	}
+	s.Last = clock
+}
+
+// commandAt returns a command, or the zero command beyond the end.
+func commandAt(commands []record.Command, i int) (c record.Command) {
+	if i < len(commands) {
+		c = commands[i]
+	}
+	return c
+}
+
+// sameState reports whether a core's state is that of a checkpoint.
+func sameState(c *core.Core, checkpoint *core.Snapshot) (bool, error) {
+	restored, err := core.Restore(checkpoint, nil)
 	if err != nil {
 		return false, err
 	}
-	var encoded [2][]byte
-	for i, c := range []*core.Core{c, then} {
-		s, err := c.Snapshot()
-		if err != nil {
-			return false, err
-		}
-		if encoded[i], err = cbor.Marshal(s); err != nil {
-			return false, err
-		}
+	reached, err := encodeState(c)
+	if err != nil {
+		return false, err
+	}
+	recorded, err := encodeState(restored)
+	return bytes.Equal(reached, recorded), err
+}
+
+func encodeState(c *core.Core) ([]byte, error) {
+	s, err := c.Snapshot()
+	if err != nil {
+		return nil, err
 	}
-	return bytes.Equal(encoded[0], encoded[1]), nil
+	return cbor.Marshal(s)
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -14,20 +14,20 @@
 	"hollymast/internal/record"
 )
 
-// traffic drives a recorded core: jobs come, run for a while on some server, and end in all ways.
+// traffic drives a recorded core: requests come, run for a while on some server, and end in all ways.
 type traffic struct {
 	core.NoopExecutor
-	core *core.Core
-	now  control.Micros
-	rand uint64
-	out  []flight
-	last control.RequestID
+	core     *core.Core
+	now      control.Micros
+	rand     uint64
+	inFlight []flight
+	last     control.RequestID
 }
 
 type flight struct {
-	job    control.RequestID
-	no     control.AttemptID
-	server control.ServerID
+	request control.RequestID
+	attempt control.AttemptID
+	server  control.ServerID
 }
 
 func (t *traffic) below(n uint64) uint64 { // SplitMix64's step
@@ -36,28 +36,28 @@
 	return (x ^ x>>27) % n
 }
 
-func (t *traffic) Forward(j *control.Request, no control.AttemptID, to control.ServerID, _ control.Micros) {
-	t.out = append(t.out, flight{j.ID, no, to})
+func (t *traffic) Forward(request *control.Request, attempt control.AttemptID, to control.ServerID, _ control.Micros) {
+	t.inFlight = append(t.inFlight, flight{request.ID, attempt, to})
 }
 
-func (t *traffic) turn() {
+func (t *traffic) step() {
 	t.now += control.Micros(1 + t.below(8000))
 	for range t.below(3) {
 		t.last++
 		t.core.Add(t.now, control.Request{ID: t.last, Class: control.ClassID(t.below(2)), Function: control.FunctionID(t.below(9)), Lanes: 2,
 			ArrivedAt: t.now, Deadline: t.now + 2_000_000})
 	}
-	for len(t.out) > 8 {
-		i := t.below(uint64(len(t.out)))
-		x := t.out[i]
-		t.out[i] = t.out[len(t.out)-1]
-		t.out = t.out[:len(t.out)-1]
-		o := control.Outcome{Attempt: x.no, Server: x.server, Duration: control.Micros(10_000 + t.below(40_000)), Report: &control.LoadReport{Utilization: 0.5}}
+	for len(t.inFlight) > 8 {
+		i := t.below(uint64(len(t.inFlight)))
+		x := t.inFlight[i]
+		t.inFlight[i] = t.inFlight[len(t.inFlight)-1]
+		t.inFlight = t.inFlight[:len(t.inFlight)-1]
+		o := control.Outcome{Attempt: x.attempt, Server: x.server, Duration: control.Micros(10_000 + t.below(40_000)), Report: &control.LoadReport{Utilization: 0.5}}
 		if t.below(5) == 0 {
 			o.Result = control.Result(t.below(9))
 		}
 		o.RequestDone = o.Result == control.Succeeded
-		t.core.HandleOutcome(t.now, x.job, o)
+		t.core.HandleOutcome(t.now, x.request, o)
 	}
 	if t.below(50) == 0 {
 		t.core.Cancel(t.now, t.last-control.RequestID(t.below(5)))
@@ -65,14 +65,14 @@
 	t.core.Step(t.now)
 }
 
-// recorded records some turns into segments of few turns and gives the files.
-func recorded(t *testing.T, turns int) []string {
+// recorded records some steps into several segments and returns the files.
+func recordSteps(t *testing.T, steps int) []string {
 	t.Helper()
-	told := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, OverloadWindow: 1_000_000, OverloadFactor: 2,
+	deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, OverloadWindow: 1_000_000, OverloadFactor: 2,
 		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
 			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Effect: control.NonIdempotent}}}
 	tr := &traffic{now: 5_000_000, rand: 1}
-	tr.core = core.New(control.New(tr.now, 1, told), tr)
+	tr.core = core.New(control.New(tr.now, 1, deployment), tr)
 	dir := t.TempDir()
 	w, err := record.Open(dir, record.Limits{SegmentBytes: 1, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, tr.core.Snapshot, zerolog.Nop())
 	if err != nil {
@@ -82,15 +82,15 @@
 	w.BeginSegment(tr.now)
 	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}})
 	tr.core.Step(tr.now)
-	for i := range turns {
-		tr.turn()
-		if i%(turns/3) == 0 {
-			time.Sleep(250 * time.Millisecond) // lets the writer ask for another segment
+	for i := range steps {
+		tr.step()
+		if i%(steps/3) == 0 { // the writer wants another segment once it has written this one's beginning
+			awaitStep(t, dir, uint64(i)+1)
 		}
 	}
 	w.Close()
 	if w.LostSteps() > 0 {
-		t.Fatalf("%d turns were lost", w.LostSteps())
+		t.Fatalf("%d steps were lost", w.LostSteps())
 	}
 	files, err := record.ListSegments(dir)
 	if err != nil || len(files) < 3 {
@@ -99,8 +99,34 @@
 	return files
 }
 
+// awaitStep waits until a step is written.
+func awaitStep(t *testing.T, dir string, number uint64) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); lastStep(dir) < number; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("step %d is not written", number)
+		}
+	}
+}
+
+// lastStep returns the number of the last step that is written in a directory.
+func lastStep(dir string) (last uint64) {
+	files, err := record.ListSegments(dir)
+	if err != nil || len(files) == 0 {
+		return 0
+	}
+	s, err := record.OpenSegment(files[len(files)-1])
+	if err != nil { // it is being written
+		return 0
+	}
+	defer s.Close()
+	last = max(s.FirstStep, 1) - 1 // a segment begins once the one before is written
+	s.ForEachStep(func(number uint64, _ record.Step) error { last = number; return nil })
+	return last
+}
+
 func TestReplayDecidesTheSame(t *testing.T) {
-	files := recorded(t, 1200)
+	files := recordSteps(t, 1200)
 	a, err := Play(files, Range{})
 	if err != nil || a.Steps != 1201 || a.Commands < 500 || len(a.Damaged) > 0 {
 		t.Errorf("got %+v, %v", a, err)
@@ -113,42 +139,42 @@
 	}
 }
 
-// A build that decides otherwise is found: here one constant that it was told differs.
+// A build that decides otherwise is found: here one value of its configuration differs.
 func TestPlantedDifferenceIsFound(t *testing.T) {
 	found := false
-	for _, name := range recorded(t, 1200) {
+	for _, name := range recordSteps(t, 1200) {
 		s, err := record.OpenSegment(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Checkpoint.Balancer.Deployment.MaxRetryAfter++ // seen at a segment's first push back and no earlier
+		s.Checkpoint.Balancer.Deployment.MaxRetryAfter++ // shows at a segment's first rejection and no earlier
 		p, err := NewPlayer(s.Checkpoint)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var a Summary
-		pushedBack, last := false, uint64(0)
-		err = s.ForEachStep(func(n uint64, turn record.Step) error {
-			for _, d := range turn.Commands {
-				pushedBack = pushedBack || d.Kind == record.CommandReject
+		rejected, last := false, uint64(0)
+		err = s.ForEachStep(func(n uint64, step record.Step) error {
+			for _, d := range step.Commands {
+				rejected = rejected || d.Kind == record.CommandReject
 			}
 			last = n
-			return a.turn(p, Range{}, name, n, turn)
+			return a.playStep(p, Range{}, name, n, step)
 		})
 		s.Close()
 		var d *Difference
-		if errors.As(err, &d) != pushedBack || pushedBack && (d.Step != last || d.Request == 0 || d.Recorded == d.Replayed) {
-			t.Errorf("got %v at turn %d; pushed back %t", err, last, pushedBack)
+		if errors.As(err, &d) != rejected || rejected && (d.Step != last || d.Request == 0 || d.Recorded == d.Replayed) {
+			t.Errorf("got %v at step %d; rejected %t", err, last, rejected)
 		}
-		found = found || pushedBack
+		found = found || rejected
 	}
 	if !found {
-		t.Error("no job was ever pushed back")
+		t.Error("no request was ever rejected")
 	}
 }
 
 func TestDamage(t *testing.T) {
-	files := recorded(t, 1200)
+	files := recordSteps(t, 1200)
 	text, err := os.ReadFile(files[1])
 	if err != nil {
 		t.Fatal(err)
