--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -2,12 +2,8 @@
 package main
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
-	"os/exec"
-	"strconv"
-	"strings"
 	"time"
 
 	"hollymast/control"
@@ -46,64 +42,41 @@
 	}
 	r := replay.Range{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
 	if c.Show {
-		r.OnCommand = func(turn uint64, clock control.Micros, d record.Command) { fmt.Printf("%d %d %s\n", turn, clock, d) }
+		r.OnCommand = func(step uint64, clock control.Micros, c record.Command) { fmt.Printf("%d %d %s\n", step, clock, c) }
 	}
 	begun := time.Now()
-	a, err := replay.Play(files, r)
-	took := time.Since(begun)
-	var different *replay.Difference
-	if err != nil && !errors.As(err, &different) {
+	summary, err := replay.Play(files, r)
+	duration := time.Since(begun)
+	var difference *replay.Difference
+	if err != nil && !errors.As(err, &difference) {
 		if errors.Is(err, record.ErrNewer) {
 			err = program.UsageError{Err: err}
 		}
 		return err
 	}
-	played := time.Duration(a.Last-a.First) * time.Microsecond
-	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", a.Segments, a.Steps, a.Commands,
-		played.Round(time.Millisecond), took.Round(time.Millisecond), played.Seconds()/took.Seconds())
-	if a.Stalls > 0 {
-		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n", a.Stalls, time.Duration(a.LongestStall)*time.Microsecond)
-	}
-	if a.LostSteps > 0 {
-		fmt.Printf("%d turns were lost by the recording\n", a.LostSteps)
-	}
-	for _, d := range a.Damaged {
-		fmt.Println(d)
-	}
+	printSummary(summary, duration)
 	if c.Against != "" {
-		return c.against(files, different)
+		return c.compareBuild(files, difference)
 	}
-	if different != nil {
-		fmt.Println(different)
+	if difference != nil {
+		fmt.Println(difference)
 		return errors.New("decisions differ")
 	}
 	fmt.Println("all decisions are the same")
 	return nil
 }
 
-// against has another build play the same segments. Both are held against the recording, so they decide alike if they
-// first leave it with the same decision, or neither does.
-func (c cli) against(files []string, ours *replay.Difference) error {
-	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job", strconv.FormatUint(c.Job, 10)}
-	out, err := exec.Command(c.Against, append(args, files...)...).Output()
-	var exit *exec.ExitError
-	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.ExitFailure) {
-		return program.UsageError{Err: fmt.Errorf("%s: %w", c.Against, err)}
-	}
-	theirs := ""
-	for line := range strings.Lines(string(out)) {
-		if strings.Contains(line, ", now ") || strings.Contains(line, "differs from the checkpoint") {
-			theirs = strings.TrimSpace(line)
-		}
+func printSummary(s replay.Summary, duration time.Duration) {
+	played := time.Duration(s.Last-s.First) * time.Microsecond
+	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", s.Segments, s.Steps, s.Commands,
+		played.Round(time.Millisecond), duration.Round(time.Millisecond), played.Seconds()/duration.Seconds())
+	if s.Stalls > 0 {
+		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n", s.Stalls, time.Duration(s.LongestStall)*time.Microsecond)
 	}
-	mine := ""
-	if ours != nil {
-		mine = ours.Error()
+	if s.LostSteps > 0 {
+		fmt.Printf("%d turns were lost by the recording\n", s.LostSteps)
 	}
-	if mine == theirs {
-		fmt.Println("both builds decide the same")
-		return nil
+	for _, damage := range s.Damaged {
+		fmt.Println(damage)
 	}
-	fmt.Printf("this build:  %s\nother build: %s\n", cmp.Or(mine, "as recorded"), cmp.Or(theirs, "as recorded"))
-	return errors.New("the builds differ")
 }
