--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -1,4 +1,4 @@
-// Command hmexplain tells why a router decided as it did about one job, from a recording.
+// Command hmexplain says why a router decided as it did about a request, from a recording.
 package main
 
 import (
@@ -15,15 +15,15 @@
 
 type cli struct {
 	program.CommonFlags
-	Paths  []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
-	Job    uint64   `help:"The job's number, as in the router's log."`
-	Asked  string   `name:"request" help:"The request's own id."`
-	Key    string   `name:"name-key" help:"The router's name_key, for --request, if it was told one."`
-	At     int64    `help:"List the jobs decided about near a time, in microseconds since 1970 as in the log."`
-	Span   int64    `default:"100000" help:"How near, in microseconds."`
-	All    bool     `help:"Hold every explanation against the decision that was recorded, and print how many were alike."`
-	WhatIf string   `name:"what-if" help:"Ask the first decision again with one thing changed: drain, ready, slot or no-report, then = and a server's id in hex."`
-	JSON   bool     `name:"json" help:"Print JSON."`
+	Paths    []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
+	Request  uint64   `name:"job" help:"The job's number, as in the router's log."`
+	ClientID string   `name:"request" help:"The request's own id."`
+	NameKey  string   `name:"name-key" help:"The router's name_key, for --request, if it was told one."`
+	At       int64    `help:"List the jobs decided about near a time, in microseconds since 1970 as in the log."`
+	Span     int64    `default:"100000" help:"How near, in microseconds."`
+	All      bool     `help:"Hold every explanation against the decision that was recorded, and print how many were alike."`
+	WhatIf   string   `name:"what-if" help:"Ask the first decision again with one thing changed: drain, ready, slot or no-report, then = and a server's id in hex."`
+	JSON     bool     `name:"json" help:"Print JSON."`
 }
 
 func main() {
@@ -47,39 +47,58 @@
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
-	if c.All {
-		alike, err := explain.VerifyAll(files)
-		if err == nil {
-			fmt.Printf("%d decisions, all explained as they were recorded\n", alike)
-		}
-		return err
+	switch {
+	case c.All:
+		return verifyAll(files)
+	case c.At != 0:
+		return c.listRequests(files)
 	}
-	if c.At != 0 {
-		jobs, err := explain.RequestsNear(files, control.Micros(c.At), control.Micros(c.Span))
-		for _, j := range jobs {
-			fmt.Println(j)
-		}
-		return err
+	return c.explain(files)
+}
+
+func verifyAll(files []string) error {
+	agreeing, err := explain.VerifyAll(files)
+	if err == nil {
+		fmt.Printf("%d decisions, all explained as they were recorded\n", agreeing)
 	}
-	if c.Asked != "" {
-		job, err := explain.FindRequest(files, record.Tag(c.Key, c.Asked))
-		if err != nil {
-			return program.UsageError{Err: err}
+	return err
+}
+
+func (c cli) listRequests(files []string) error {
+	requests, err := explain.RequestsNear(files, control.Micros(c.At), control.Micros(c.Span))
+	for _, id := range requests {
+		fmt.Println(id)
+	}
+	return err
+}
+
+// question returns what the arguments ask.
+func (c cli) question(files []string) (q explain.Question, err error) {
+	q.Request = control.RequestID(c.Request)
+	if c.ClientID != "" {
+		if q.Request, err = explain.FindRequest(files, record.Tag(c.NameKey, c.ClientID)); err != nil {
+			return q, err
 		}
-		c.Job = uint64(job)
 	}
-	if c.Job == 0 {
-		return program.UsageError{Err: errors.New("name a job with --job or a time with --at, or ask for --all")}
+	if q.Request == 0 {
+		return q, errors.New("name a job with --job or a time with --at, or ask for --all")
 	}
-	q := explain.Question{Request: control.RequestID(c.Job)}
 	if c.WhatIf != "" {
 		change, err := explain.ParseChange(c.WhatIf)
 		if err != nil {
-			return program.UsageError{Err: err}
+			return q, err
 		}
 		q.WhatIf = &change
 	}
-	answers, err := explain.Request(files, q)
+	return q, nil
+}
+
+func (c cli) explain(files []string) error {
+	q, err := c.question(files)
+	if err != nil {
+		return program.UsageError{Err: err}
+	}
+	decisions, err := explain.Request(files, q)
 	if errors.Is(err, record.ErrNewer) {
 		return program.UsageError{Err: err}
 	}
@@ -87,10 +106,10 @@
 		return err
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(answers)
+		return json.NewEncoder(os.Stdout).Encode(decisions)
 	}
-	for _, a := range answers {
-		fmt.Print(a.Text())
+	for _, d := range decisions {
+		fmt.Print(d.Text())
 	}
 	return nil
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,13 +14,14 @@
 	"hollymast/internal/record"
 )
 
-// recorded is a router that hears a list of two servers, places job 1, hears that server 2 drains, and places job 2.
-func recorded(t *testing.T) []string {
+// recordDecisions records a router that gets a list of two servers, routes request 1, gets to know that server 2 drains, and routes
+// request 2.
+func recordDecisions(t *testing.T) []string {
 	t.Helper()
-	told := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
+	deployment := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000}}}
 	now := control.Micros(5_000_000)
-	c := core.New(control.New(now, 1, told), core.NoopExecutor{})
+	c := core.New(control.New(now, 1, deployment), core.NoopExecutor{})
 	dir := t.TempDir()
 	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, c.Snapshot, zerolog.Nop())
 	if err != nil {
@@ -28,20 +29,20 @@
 	}
 	c.SetRecorder(w.Recorder())
 	w.BeginSegment(now)
-	list := func(second control.ServerState) {
+	update := func(second control.ServerState) {
 		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: second, Weight: 1}})
 	}
-	job := func(id control.RequestID, f control.FunctionID) {
+	add := func(id control.RequestID, f control.FunctionID) {
 		c.Add(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
 	}
-	list(control.Ready)
-	job(1, 7)
+	update(control.Ready)
+	add(1, 7)
 	c.Step(now)
 	now += 1000
-	list(control.Draining)
+	update(control.Draining)
 	c.Step(now)
 	now += 1000
-	job(2, 8)
+	add(2, 8)
 	c.Step(now)
 	w.Close()
 	files, err := record.ListSegments(dir)
@@ -51,25 +52,25 @@
 	return files
 }
 
-func TestJobTellsWhyAndOnWhichList(t *testing.T) {
-	files := recorded(t)
-	for job, version := range map[control.RequestID]int{1: 1, 2: 2} {
-		first, err := Request(files, Question{Request: job})
+func TestRequestNamesReasonAndEndpointList(t *testing.T) {
+	files := recordDecisions(t)
+	for request, version := range map[control.RequestID]int{1: 1, 2: 2} {
+		first, err := Request(files, Question{Request: request})
 		if err != nil || len(first) != 1 {
-			t.Fatalf("job %d: %+v, %v", job, first, err)
+			t.Fatalf("request %d: %+v, %v", request, first, err)
 		}
 		a := first[0]
 		if a.Endpoints.Version != version || a.Explanation.Reason != "no replica is loaded or loading" || a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
-			t.Errorf("job %d: %+v", job, a)
+			t.Errorf("request %d: %+v", request, a)
 		}
-		if barred := a.Explanation.Servers[1].Unusable != ""; barred != (job == 2) {
-			t.Errorf("job %d: server 2 is %q", job, a.Explanation.Servers[1].Unusable)
+		if unusable := a.Explanation.Servers[1].Unusable != ""; unusable != (request == 2) {
+			t.Errorf("request %d: server 2 is %q", request, a.Explanation.Servers[1].Unusable)
 		}
 		if text := a.Text(); !strings.Contains(text, string(a.Explanation.Reason)) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
-		if again, err := Request(files, Question{Request: job}); err != nil || !reflect.DeepEqual(first, again) {
-			t.Errorf("another run tells otherwise: %+v, %v", again, err)
+		if again, err := Request(files, Question{Request: request}); err != nil || !reflect.DeepEqual(first, again) {
+			t.Errorf("another run explains it otherwise: %+v, %v", again, err)
 		}
 	}
 	if _, err := Request(files, Question{Request: 3}); !errors.Is(err, ErrNoDecision) {
@@ -77,17 +78,17 @@
 	}
 }
 
-func TestNear(t *testing.T) {
-	files := recorded(t)
+func TestRequestsNear(t *testing.T) {
+	files := recordDecisions(t)
 	for at, want := range map[control.Micros][]control.RequestID{5_000_000: {1}, 5_002_000: {2}, 9_000_000: nil} {
-		if jobs, err := RequestsNear(files, at, 500); err != nil || !reflect.DeepEqual(jobs, want) {
-			t.Errorf("at %d: %v, %v", at, jobs, err)
+		if requests, err := RequestsNear(files, at, 500); err != nil || !reflect.DeepEqual(requests, want) {
+			t.Errorf("at %d: %v, %v", at, requests, err)
 		}
 	}
 }
 
 func TestWhatIf(t *testing.T) {
-	files := recorded(t)
+	files := recordDecisions(t)
 	plain, err := Request(files, Question{Request: 2}) // by then both servers are known
 	if err != nil || plain[0].Explanation.Decision.Server != 1 {
 		t.Fatalf("%+v, %v", plain, err)
@@ -102,9 +103,9 @@
 			t.Errorf("%s: %+v, %v", change, got, err)
 		}
 	}
-	c := Change{"drain", 9}
+	c := Change{Drain, 9}
 	if _, err := Request(files, Question{Request: 2, WhatIf: &c}); err == nil {
-		t.Error("a server that nobody knows was drained")
+		t.Error("an unknown server was drained")
 	}
 	for _, text := range []string{"", "drain", "drain=", "drain=xyz", "flood=1"} {
 		if c, err := ParseChange(text); err == nil {
