--- /dev/null
+++ b/internal/xds/loadreporter.go
@@ -0,0 +1,122 @@
+package xds
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	lrs "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"hollymast/control"
+	"hollymast/internal/loadreport"
+)
+
+// supportsAllClusters is the client feature by which a control plane may ask for all clusters at once.
+const supportsAllClusters = "envoy.lrs.supports_send_all_clusters"
+
+// LoadSource is where reports come from.
+type LoadSource interface {
+	Take(now control.Micros) loadreport.Report // what was counted since the last one
+	Places() map[string]loadreport.Locality    // of the servers that a control plane lists, by address
+	Services() map[string]string               // the name under which a cluster's endpoints are subscribed to, by cluster
+}
+
+// LoadReporter is the client's side of load reporting (LRS): the control plane chooses clusters and an interval. It implements
+// Protocol.
+type LoadReporter struct {
+	node      *core.Node
+	source    LoadSource
+	scheduler loadreport.Scheduler
+}
+
+// NewLoadReporter returns a reporter of what the source counts.
+func NewLoadReporter(source LoadSource, id, zone string) *LoadReporter {
+	node := newNode(id, zone)
+	node.ClientFeatures = []string{supportsAllClusters}
+	return &LoadReporter{source: source, node: node}
+}
+
+// Connected starts a stream.
+func (r *LoadReporter) Connected(control.Micros) []proto.Message {
+	r.scheduler.StreamOpened()
+	return []proto.Message{&lrs.LoadStatsRequest{Node: r.node}}
+}
+
+// Disconnected ends a stream.
+func (r *LoadReporter) Disconnected(control.Micros) { r.scheduler.StreamClosed() }
+
+// HandleResponse applies what the control plane asks for.
+func (r *LoadReporter) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
+	response, ok := m.(*lrs.LoadStatsResponse)
+	if !ok {
+		return nil
+	}
+	request := loadreport.Request{AllClusters: response.SendAllClusters, Clusters: map[string]bool{}, PerEndpoint: response.ReportEndpointGranularity}
+	for _, c := range response.Clusters {
+		request.Clusters[c] = true
+	}
+	if i := response.GetLoadReportingInterval(); i.IsValid() && i.AsDuration() > 0 && (request.AllClusters || len(request.Clusters) > 0) {
+		request.Interval = control.Micros(i.AsDuration().Microseconds())
+	}
+	r.scheduler.SetRequest(now, request)
+	return nil
+}
+
+// Tick returns when the next report is due; 0: none is.
+func (r *LoadReporter) Tick(now control.Micros) control.Micros {
+	if due := r.scheduler.NextAt(); due > 0 {
+		return max(due, now)
+	}
+	return 0
+}
+
+// TimedRequests returns the report, if it is due.
+func (r *LoadReporter) TimedRequests(now control.Micros) []proto.Message {
+	if due := r.scheduler.NextAt(); due == 0 || now < due {
+		return nil
+	}
+	report := r.scheduler.NextReport(now, r.source.Take(now))
+	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusterStats(report)}}
+}
+
+// TimedRequestsSent records that the report was sent: until then its counts stay for the next one.
+func (r *LoadReporter) TimedRequestsSent() { r.scheduler.ReportSent() }
+
+// TakeLogLines returns nothing: the reporter has nothing to log.
+func (r *LoadReporter) TakeLogLines() []string { return nil }
+
+// clusterStats returns a report in the protocol's form: by cluster, then by priority and locality. Servers of clusters that
+// are not asked for are left out, and so are those that no cluster names any more.
+func (r *LoadReporter) clusterStats(report loadreport.Report) []*endpoint.ClusterStats {
+	request, localities, services := r.scheduler.Request(), r.source.Places(), r.source.Services()
+	byCluster := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
+	for _, stats := range report.Endpoints {
+		at, listed := localities[stats.Address]
+		if !listed || !request.AllClusters && !request.Clusters[at.Cluster] {
+			continue
+		}
+		if byCluster[at.Cluster] == nil {
+			byCluster[at.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
+		}
+		byCluster[at.Cluster][at] = append(byCluster[at.Cluster][at], stats)
+	}
+	interval := durationpb.New(time.Duration(report.To-report.From) * time.Microsecond)
+	var out []*endpoint.ClusterStats
+	for _, name := range slices.Sorted(maps.Keys(byCluster)) {
+		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: interval}
+		for _, at := range slices.SortedFunc(maps.Keys(byCluster[name]), compareLocalities) {
+			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, localityStats(at, byCluster[name][at], request.PerEndpoint))
+		}
+		out = append(out, c)
+	}
+	return out
+}
+
+func compareLocalities(a, b loadreport.Locality) int {
+	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Cell, b.Cell))
+}
--- a/internal/xds/view.go
+++ b/internal/xds/view.go
@@ -8,10 +8,7 @@
 	"strconv"
 	"time"
 
-	orca "github.com/cncf/xds/go/xds/data/orca/v3"
-	cluster "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
-	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	clusters "github.com/envoyproxy/go-control-plane/envoy/service/cluster/v3"
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	endpoints "github.com/envoyproxy/go-control-plane/envoy/service/endpoint/v3"
@@ -23,176 +20,123 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
-	"google.golang.org/protobuf/types/known/anypb"
-	"google.golang.org/protobuf/types/known/structpb"
-	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"hollymast/control"
 	"hollymast/internal/loadreport"
 	"hollymast/internal/membership"
 )
 
-// ViewCluster is the name of the one cluster that a router's view holds.
+// ViewCluster is the name of the one cluster of a router's view.
 const ViewCluster = "hollymast"
 
-// Seen is a server as a router sees it.
+// ServerView is a server as a router sees it.
 type ServerView struct {
-	Address                                 string
-	Zone                                    string
-	Cell                                    string
-	Health                                  membership.Health // as seen here: unhealthy where it is suspect, whatever the source says
-	Weight                                  float64
-	StartedAt                               int64   // wall clock, microseconds since 1970; 0: long ago
-	InFlight                                int     // executions and orders of this router that are out there
-	HasLoadReport                           bool    // the server told its load
-	Utilization, PendingLoads, PinnedMemory float64 // what it told; below zero: not that one
+	Address       string
+	Zone          string
+	Cell          string
+	Health        membership.Health // as seen here: unhealthy where it is ejected, whatever the source says
+	Weight        float64
+	StartedAt     int64 // wall clock, microseconds since 1970; 0: long ago
+	InFlight      int   // attempts and load commands of this router that are not answered
+	HasLoadReport bool
+	// The load that the server reported, each as control.LoadReport has it; below zero: not reported.
+	Utilization, PendingLoads, PinnedMemory float64
 }
 
-// facts are what does not change with every job.
-func (s ServerView) facts() ServerView {
+// withoutLoad returns the server without what changes at every request.
+func (s ServerView) withoutLoad() ServerView {
 	s.InFlight, s.HasLoadReport, s.Utilization, s.PendingLoads, s.PinnedMemory = 0, false, 0, 0, 0
 	return s
 }
 
-// View offers what a router sees as a control plane does: one cluster and its endpoints, by ADS, and by
-// CDS and EDS of their own, in both variants, so that
-// another installation or a second router can follow it.
+// View serves what a router sees, as a control plane does: one cluster and its endpoints, by ADS and by CDS and EDS of their
+// own, in both variants, so that another installation or a second router can follow it. It also takes load reports from those
+// who follow it. Publish must not be called concurrently.
 type View struct {
-	cache    cache.SnapshotCache
-	server   *grpc.Server
-	address  string
-	stop     context.CancelFunc
-	done     chan struct{}
-	version  uint64
-	last     []ServerView
-	figures  control.Micros // when figures were last told
-	gatherer *gatherer
+	cache            cache.SnapshotCache
+	server           *grpc.Server
+	address          string
+	stop             context.CancelFunc
+	done             chan struct{} // closed when the server has ended
+	version          uint64
+	published        []ServerView
+	loadsPublishedAt control.Micros
+	loadServer       *loadServer
 }
 
-// everyone has all who ask see the same.
-type everyone struct{}
+// sameForAll gives all nodes the same snapshot.
+type sameForAll struct{}
 
-func (everyone) ID(*core.Node) string { return ViewCluster }
+func (sameForAll) ID(*core.Node) string { return ViewCluster }
 
-// Bounds of those who follow: a few installations each with some routers.
+// Bounds of those who follow: a few installations, each with some routers.
 const (
-	mostStreams = 64
-	idleConn    = 5 * time.Minute
+	maxStreams  = 64
+	idleTimeout = 5 * time.Minute
+	// minPingInterval is half the interval at which a Transport pings.
+	minPingInterval = pingAfter / 2
 )
 
-// NewView begins to serve at an address; without credentials in plain text. Errors are those of listening.
+// NewView starts to serve at an address; without credentials in plain text. Errors are those of listening.
 func NewView(address string, creds credentials.TransportCredentials) (*View, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	v := &View{gatherer: &gatherer{got: loadreport.NewAggregator(mostStreams)}, cache: cache.NewSnapshotCache(true, everyone{}, nil), address: l.Addr().String(), stop: stop, done: make(chan struct{}),
-		server: grpc.NewServer(grpc.Creds(creds), grpc.MaxConcurrentStreams(mostStreams), grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleConn}),
-			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))}
+	v := &View{
+		cache:      cache.NewSnapshotCache(true, sameForAll{}, nil),
+		address:    listener.Addr().String(),
+		stop:       stop,
+		done:       make(chan struct{}),
+		loadServer: &loadServer{reports: loadreport.NewAggregator(maxStreams)},
+		server: grpc.NewServer(
+			grpc.Creds(creds),
+			grpc.MaxConcurrentStreams(maxStreams),
+			grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
+			grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true})),
+	}
 	s := server.NewServer(ctx, v.cache, nil)
 	discovery.RegisterAggregatedDiscoveryServiceServer(v.server, s)
 	clusters.RegisterClusterDiscoveryServiceServer(v.server, s)
 	endpoints.RegisterEndpointDiscoveryServiceServer(v.server, s)
-	lrs.RegisterLoadReportingServiceServer(v.server, v.gatherer)
+	lrs.RegisterLoadReportingServiceServer(v.server, v.loadServer)
 	go func() {
 		defer close(v.done)
-		v.server.Serve(l)
+		v.server.Serve(listener)
 	}()
 	return v, nil
 }
 
-// Address is where it is served.
+// Address returns where the view is served.
 func (v *View) Address() string { return v.address }
 
-// Close ends it and all who follow.
+// Close ends the server and all its streams.
 func (v *View) Close() {
 	v.stop()
 	v.server.Stop()
 	<-v.done
 }
 
-// figuresEvery is how often figures that change with every job are told by themselves: a second, as monitoring has it.
-const figuresEvery = control.Micros(1_000_000)
+// loadPublishInterval is how often a change of loads alone makes a new version: a second, as monitoring has it.
+const loadPublishInterval = control.Micros(1_000_000)
 
-// Publish has all who follow see these servers, if they are others than before. Figures that change all the time (in flight, and
-// what servers tell of their load) are told with the next change of another, else now and again: else every job would be an
-// update.
-func (v *View) Publish(now control.Micros, seen []ServerView) error {
-	slices.SortFunc(seen, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
-	same := slices.EqualFunc(seen, v.last, func(a, b ServerView) bool { return a.facts() == b.facts() })
-	if v.version > 0 && same && (now < v.figures+figuresEvery || slices.Equal(seen, v.last)) {
+// Publish makes a new version of the servers, if they differ from the last. A change of their loads alone makes one only at
+// each loadPublishInterval: otherwise every request would.
+func (v *View) Publish(now control.Micros, servers []ServerView) error {
+	slices.SortFunc(servers, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
+	same := slices.EqualFunc(servers, v.published, func(a, b ServerView) bool { return a.withoutLoad() == b.withoutLoad() })
+	if v.version > 0 && same && (now < v.loadsPublishedAt+loadPublishInterval || slices.Equal(servers, v.published)) {
 		return nil
 	}
-	v.last, v.figures = seen, now
+	v.published, v.loadsPublishedAt = servers, now
 	v.version++
-	s, err := cache.NewSnapshot(strconv.FormatUint(v.version, 10), map[string][]types.Resource{ClusterType: {viewCluster()}, EndpointType: {assignmentOf(seen)}})
+	s, err := cache.NewSnapshot(strconv.FormatUint(v.version, 10), map[string][]types.Resource{ClusterType: {viewCluster()}, EndpointType: {assignmentOf(servers)}})
 	if err != nil {
 		return err
 	}
 	return v.cache.SetSnapshot(context.Background(), ViewCluster, s)
 }
-
-func viewCluster() *cluster.Cluster {
-	return &cluster.Cluster{Name: ViewCluster, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
-		EdsClusterConfig: &cluster.Cluster_EdsClusterConfig{EdsConfig: &core.ConfigSource{ResourceApiVersion: core.ApiVersion_V3,
-			ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}}}
-}
-
-// assignmentOf gives servers in the protocol's form, by locality.
-func assignmentOf(seen []ServerView) *endpoint.ClusterLoadAssignment {
-	a := &endpoint.ClusterLoadAssignment{ClusterName: ViewCluster}
-	type place struct{ zone, cell string }
-	localities := map[place]*endpoint.LocalityLbEndpoints{}
-	for _, s := range seen {
-		at := place{s.Zone, s.Cell}
-		l := localities[at]
-		if l == nil {
-			l = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: s.Zone, SubZone: s.Cell}}
-			localities[at] = l
-			a.Endpoints = append(a.Endpoints, l)
-		}
-		address := socketAddress(s.Address)
-		if address == nil {
-			continue // a name without a number: it can't be told in this form
-		}
-		fields := map[string]*structpb.Value{"in_flight": structpb.NewNumberValue(float64(s.InFlight))}
-		if s.StartedAt > 0 {
-			fields["born"] = structpb.NewStringValue(time.UnixMicro(s.StartedAt).UTC().Format(time.RFC3339Nano))
-		}
-		e := &endpoint.LbEndpoint{HealthStatus: statuses[s.Health], LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(1, 100*s.Weight), 1<<30))),
-			Metadata:       &core.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataKey: {Fields: fields}}},
-			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: &endpoint.Endpoint{Address: address}}}
-		if report, err := anypb.New(s.report()); err == nil && s.HasLoadReport {
-			e.Metadata.TypedFilterMetadata = map[string]*anypb.Any{orcaKey: report}
-		}
-		l.LbEndpoints = append(l.LbEndpoints, e)
-	}
-	return a
-}
-
-// orcaKey is where a follower finds a server's load.
-const orcaKey = "hollymast.load"
-
-// report gives what a server told of its load in ORCA's form. What it did not tell is left out.
-func (s ServerView) report() *orca.OrcaLoadReport {
-	r := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
-	for name, v := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
-		if v >= 0 {
-			r.NamedMetrics[name] = v
-		}
-	}
-	return r
-}
-
-// statuses is healths the other way.
-var statuses = func() map[membership.Health]core.HealthStatus {
-	m := map[membership.Health]core.HealthStatus{}
-	for s, h := range healths {
-		m[h] = s
-	}
-	return m
-}()
