--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -7,7 +7,7 @@
 )
 
 // Exactly one of Withdraw and Write takes an attempt out of Chosen.
-func TestOneLeavesChosen(t *testing.T) {
+func TestOnlyOneTransitionLeavesChosen(t *testing.T) {
 	for _, s := range []Stage{Writing, Withdrawn} {
 		if _, ok := s.Withdraw(); ok {
 			t.Errorf("withdrawn from %d", s)
@@ -25,7 +25,7 @@
 }
 
 // Only what was not written, or whose handshake the peer refused, is proved not to have run.
-func TestWhatBreaksProve(t *testing.T) {
+func TestBrokenResult(t *testing.T) {
 	for reason, want := range map[BreakReason]bool{ByPeer: false, ByUs: false, ByDeadline: false, ByAuthentication: true} {
 		if BrokenResult(true, reason).ProvesNotRun() != want || !BrokenResult(false, reason).ProvesNotRun() {
 			t.Errorf("%d: %v, %v", reason, BrokenResult(true, reason), BrokenResult(false, reason))
@@ -49,7 +49,7 @@
 }
 
 // A cancellation after an attempt's end does nothing: its connection may carry another.
-func TestCallOffAfterTheEnd(t *testing.T) {
+func TestCancelAfterEnd(t *testing.T) {
 	var s Progress
 	s.End()
 	if s.Cancel() || s.End() {
@@ -67,7 +67,7 @@
 }
 
 // A wait for the journal ends when the choice's endpoint list is stale or the attempt's time is up.
-func TestWaitForTheJournal(t *testing.T) {
+func TestJournalWait(t *testing.T) {
 	for _, c := range [][4]control.Micros{{10, 100, 1000, 90}, {10, 100, 50, 50}, {200, 100, 50, 0}} {
 		if got := JournalWait(c[0], c[1], c[2]); got != c[3] {
 			t.Errorf("%v: %d", c, got)
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -8,7 +8,7 @@
 
 // Without a further check of the client's connection, the first byte of an attempt comes well within the grace
 // after the client has disconnected.
-func TestClientAge(t *testing.T) {
+func TestClientCheckAge(t *testing.T) {
 	oldest := control.Micros(0) // age of a check that is still accepted
 	for !MustCheckClient(oldest) {
 		oldest++
--- a/internal/attempt/endpoint_age_test.go
+++ b/internal/attempt/endpoint_age_test.go
@@ -8,7 +8,7 @@
 
 // For each grace of a deployment: a list that a step need not read again is fresh enough for a first byte, and
 // the last possible first byte leaves as much of the grace for a change's way to the router.
-func TestListAge(t *testing.T) {
+func TestEndpointsAge(t *testing.T) {
 	for _, grace := range []control.Micros{250_000, 400_000, 500_000, 1_000_000} {
 		oldest := control.Micros(0) // age of a list that a step chooses from without a read
 		for !MustReadEndpoints(oldest, grace) {
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -26,7 +26,7 @@
 	return Read(bufio.NewReader(bytes.NewReader(in)), func() {})
 }
 
-func TestExecutionFrame(t *testing.T) {
+func TestAttemptFrame(t *testing.T) {
 	a := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa",
 		Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestOrderFrame(t *testing.T) {
+func TestLoadFrame(t *testing.T) {
 	want := answer(codeLoad, 5, "thing=00000000000000ff,pods=2", nil)
 	want[0] = magicToServer
 	if got := LoadFrame(5, 0xff, 2); !bytes.Equal(got, want) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestReadsAnswers(t *testing.T) {
+func TestReadAnswers(t *testing.T) {
 	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded,
 		codeFull: control.Overloaded, codeError: control.Failed, codeOver: control.NotSent} {
 		a, err := readBytes(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestSpoiltAnswers(t *testing.T) {
+func TestCorruptAnswers(t *testing.T) {
 	good := answer(codeOK, 7, "remark=resident", []byte("body"))
 	for name, test := range map[string]struct {
 		at   int
@@ -119,7 +119,7 @@
 }
 
 // Size is an upper bound of the length of a frame.
-func TestSizeBoundsTheFrame(t *testing.T) {
+func TestSizeBoundsFrame(t *testing.T) {
 	a := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62,
 		Body: []byte("xyz")}
 	if got := len(a.Frame()); got > a.Size() {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -32,7 +32,7 @@
 	return c, now
 }
 
-func BenchmarkTurn(b *testing.B) {
+func BenchmarkStep(b *testing.B) {
 	c, now := crowdedCore()
 	for b.Loop() {
 		c.Step(now)
@@ -41,7 +41,7 @@
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
-func BenchmarkUpkeep(b *testing.B) {
+func BenchmarkMaintenance(b *testing.B) {
 	c, now := crowdedCore()
 	for b.Loop() {
 		c.Step(now)
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -73,7 +73,7 @@
 }
 
 // A router that gets the changes has the same state and decides the same as one that gets the full list at each event.
-func TestChangesAreAsCompleteLists(t *testing.T) {
+func TestIncrementalUpdatesEqualFullLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, next, deployment := control.Micros(10_000_000), control.RequestID(0), randomDeployment(t)
 		var cores [2]*testCore
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -31,14 +31,14 @@
 	if !ok {
 		return control.Decision{Action: control.Hold, Rank: r.Deadline, RecheckAt: now + 50}
 	}
-	return s.sent(r, p)
+	return s.recordAttempt(r, p)
 }
 func (s *scriptedPolicy) HandleOutcome(_ control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	s.calls = append(s.calls, fmt.Sprint("after ", r.ID, " over ", o.RequestDone))
 	r.Attempts[o.Attempt].Done = true
-	return s.sent(r, s.after)
+	return s.recordAttempt(r, s.after)
 }
-func (s *scriptedPolicy) sent(r *control.Request, p control.Decision) control.Decision {
+func (s *scriptedPolicy) recordAttempt(r *control.Request, p control.Decision) control.Decision {
 	if p.Action == control.Forward {
 		r.Attempts = append(r.Attempts, control.Attempt{})
 	}
@@ -46,33 +46,33 @@
 }
 
 // callLog is an executor that records its calls.
-type callLog struct{ asked []string }
+type callLog struct{ calls []string }
 
-func (w *callLog) put(format string, args ...any) {
-	w.asked = append(w.asked, fmt.Sprintf(format, args...))
+func (w *callLog) record(format string, args ...any) {
+	w.calls = append(w.calls, fmt.Sprintf(format, args...))
 }
 func (w *callLog) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, _ control.Micros) {
-	w.put("send %d.%d to %d", r.ID, attempt, to)
+	w.record("send %d.%d to %d", r.ID, attempt, to)
 }
 func (w *callLog) Reject(id control.RequestID, stay control.Micros) {
-	w.put("push back %d for %d", id, stay)
+	w.record("push back %d for %d", id, stay)
 }
-func (w *callLog) Fail(id control.RequestID) { w.put("kill %d", id) }
+func (w *callLog) Fail(id control.RequestID) { w.record("kill %d", id) }
 func (w *callLog) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
-	w.put("call off %d.%d", id, attempt)
+	w.record("call off %d.%d", id, attempt)
 }
-func (w *callLog) Load(r *control.Request, o control.LoadCommand) { w.put("order for %d", r.ID) }
-func (w *callLog) SubscribeEndpoints()                            { w.put("subscribe") }
-func (w *callLog) LogServerEvent(event control.ServerEvent)       { w.put("note %v", event) }
-func (w *callLog) SetTimer(at control.Micros)                     { w.put("alarm %d", at) }
-func (w *callLog) takeCalls() (asked []string)                    { asked, w.asked = w.asked, nil; return }
+func (w *callLog) Load(r *control.Request, o control.LoadCommand) { w.record("order for %d", r.ID) }
+func (w *callLog) SubscribeEndpoints()                            { w.record("subscribe") }
+func (w *callLog) LogServerEvent(event control.ServerEvent)       { w.record("note %v", event) }
+func (w *callLog) SetTimer(at control.Micros)                     { w.record("alarm %d", at) }
+func (w *callLog) takeCalls() (asked []string)                    { asked, w.calls = w.calls, nil; return }
 
 func newCore(s *scriptedPolicy) (*Core, *callLog) {
 	w := &callLog{}
 	return New(s, w), w
 }
 
-func TestTurnAsksInOrder(t *testing.T) {
+func TestStepRoutesByRank(t *testing.T) {
 	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{
 		1: {Action: control.Forward, Server: 7, LoadCommands: []control.LoadCommand{{}}},
 		2: {Action: control.Reject, RetryAfter: 9},
@@ -101,7 +101,7 @@
 }
 
 // A request that is done is kept until the outcome of its attempts in flight, and the policy is not asked again.
-func TestLateNews(t *testing.T) {
+func TestLateOutcome(t *testing.T) {
 	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}},
 		after: control.Decision{Action: control.Fail}}
 	c, w := newCore(s)
--- a/internal/core/memory_test.go
+++ b/internal/core/memory_test.go
@@ -42,7 +42,7 @@
 
 // With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay
 // within their rate limit and requests still run.
-func TestAnyMemoryKeepsTheRules(t *testing.T) {
+func TestAnyLearnedStateIsSafe(t *testing.T) {
 	sent := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now, next := control.Micros(100_000_000), control.RequestID(0)
@@ -102,7 +102,7 @@
 }
 
 // BenchmarkRemember is the copy of the learned state that is taken between two steps to be written.
-func BenchmarkRemember(b *testing.B) {
+func BenchmarkLearnedState(b *testing.B) {
 	c, now := crowdedCore()
 	for b.Loop() {
 		if c.LearnedState(now) == nil {
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -105,7 +105,7 @@
 }
 
 // A core restored from any reachable state decides the same from there on.
-func TestSnapshotGoesOnAlike(t *testing.T) {
+func TestRestoredCoreDecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deployment := randomDeployment(t)
 		now, next := control.Micros(10_000_000), control.RequestID(0)
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestRestoreRefusesWhatDoesNotHoldTogether(t *testing.T) {
+func TestRestoreRejectsInconsistentSnapshots(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
 		"no module": {},
 		"held":      {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,30 +16,30 @@
 )
 
 // steppedClient is a client whose goroutine never runs: the test calls its steps.
-type steppedClient struct {
+type manualClient struct {
 	*Client
 	lists chan []fleet.Endpoint
 }
 
-func newSteppedClient(address string) steppedClient {
+func newManualClient(address string) manualClient {
 	lists := make(chan []fleet.Endpoint, 8)
-	return steppedClient{NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {}), lists}
+	return manualClient{NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {}), lists}
 }
 
 // subscribe subscribes, and returns the watch and the server's end of the connection.
-func (a steppedClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
+func (a manualClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
 	t.Helper()
 	w, err := a.open(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.close)
-	next(t, "a question", subscriptions)
-	return w, next(t, "a connection", conns)
+	receive(t, "a question", subscriptions)
+	return w, receive(t, "a connection", conns)
 }
 
 // arrived waits until something can be read from a watch, and reads nothing.
-func (w *watch) arrived(t *testing.T) {
+func (w *watch) awaitInput(t *testing.T) {
 	t.Helper()
 	for range 4000 {
 		var n int
@@ -55,81 +55,81 @@
 }
 
 // What the server has sent is read by whoever needs the list, whether the client's goroutine has run or not.
-func TestCatchUpReadsWhatCame(t *testing.T) {
+func TestCatchUpReadsPendingEvents(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	fmt.Fprintln(c, event(2, false, "a", "10.0.0.1:1", "draining"))
-	w.arrived(t)
+	w.awaitInput(t)
 	before := time.Now()
 	for a.Revision() < 2 { // the second may come after the first
 		if asOf := a.CatchUp(); asOf.Before(before) {
 			t.Fatalf("the list is as of %v before the look", before.Sub(asOf))
 		}
 	}
-	next(t, "the first list", a.lists)
-	if list := next(t, "the second list", a.lists); len(list) != 1 || list[0].State != control.Draining {
+	receive(t, "the first list", a.lists)
+	if list := receive(t, "the second list", a.lists); len(list) != 1 || list[0].State != control.Draining {
 		t.Errorf("got %v", list)
 	}
 }
 
 // A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the
 // connection.
-func TestDeadlineCrossesAnEvent(t *testing.T) {
+func TestPassedDeadlineDoesNotHideEvents(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	w.arrived(t)
+	w.awaitInput(t)
 	w.conn.SetReadDeadline(time.Now().Add(-time.Second))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.listen(ctx, w) }()
-	next(t, "the list", a.lists)
+	receive(t, "the list", a.lists)
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	next(t, "a list on the same connection", a.lists)
+	receive(t, "a list on the same connection", a.lists)
 	stop()
 	<-ended
 }
 
 // What the old address has sent is applied before its connection is closed for the new one.
-func TestTurnCrossesAnEvent(t *testing.T) {
+func TestAddressChangeReadsOldConnectionFirst(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
 	other, otherConns, otherSubscriptions := listen(t)
 	a.SetAddress(other)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
-	w.arrived(t)
+	w.awaitInput(t)
 	if _, err := a.open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	next(t, "the list", a.lists)
-	next(t, "a connection elsewhere", otherConns)
-	if line := next(t, "a question elsewhere", otherSubscriptions); line != "watch 1\n" {
+	receive(t, "the list", a.lists)
+	receive(t, "a connection elsewhere", otherConns)
+	if line := receive(t, "a question elsewhere", otherSubscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 }
 
 // While the new address can't be reached the old connection goes on being read.
-func TestTurnToAnAddressThatRefuses(t *testing.T) {
+func TestUnreachableNewAddressKeepsOldConnection(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
 	a.SetAddress("127.0.0.1:1")
 	if _, err := a.open(context.Background()); err == nil {
 		t.Fatal("somebody listens on port 1")
 	}
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
-	w.arrived(t)
+	w.awaitInput(t)
 	a.CatchUp()
-	next(t, "the list", a.lists)
+	receive(t, "the list", a.lists)
 }
 
 // A server that was down for long, comes back and breaks off within the first event is asked again within half
 // the grace: what it would have sent counts as listed since it was asked.
-func TestBreakInTheAnswerAfterALongOutage(t *testing.T) {
+func TestReconnectIsQuickAfterAnInterruptedAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
 		"within the first event":   event(1, true, "a", "10.0.0.1:1", "ready")[:60],
 		"after the first event":    event(1, true, "a", "10.0.0.1:1", "ready") + "\n",
@@ -145,7 +145,7 @@
 			}
 			address := l.Addr().String()
 			l.Close() // the server is down until the waits have grown
-			follow(t, address)
+			startClient(t, address)
 			time.Sleep(2500 * time.Millisecond)
 			if l, err = net.Listen("tcp", address); err != nil {
 				t.Fatal(err)
@@ -175,15 +175,15 @@
 }
 
 // A start does not wait for a server that can't be reached.
-func TestStartedWithoutABoard(t *testing.T) {
-	f, _ := follow(t, "127.0.0.1:1")
-	next(t, "the start", f.Started())
+func TestStartedWhenServerIsUnreachable(t *testing.T) {
+	f, _ := startClient(t, "127.0.0.1:1")
+	receive(t, "the start", f.Started())
 }
 
 // A start can be relied on once the server's answer to the first subscription was applied.
-func TestStartedWithTheAnswer(t *testing.T) {
+func TestStartedAfterFirstAnswer(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	a.grace = time.Hour
 	w, c := a.subscribe(t, conns, subscriptions)
 	select {
@@ -192,35 +192,35 @@
 	default:
 	}
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	w.arrived(t)
+	w.awaitInput(t)
 	a.CatchUp()
-	next(t, "the start", a.Started())
-	next(t, "the list", a.lists)
+	receive(t, "the start", a.Started())
+	receive(t, "the list", a.lists)
 }
 
 // A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is
 // read.
-func TestDrainAfterALineOfAbsurdLength(t *testing.T) {
+func TestTooLongLineIsSkippedOnRepeat(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	_, lists := follow(t, address)
+	_, lists := startClient(t, address)
 	for range 2 {
-		c := next(t, "a connection", conns)
-		next(t, "a question", subscriptions)
+		c := receive(t, "a connection", conns)
+		receive(t, "a question", subscriptions)
 		go func() {
 			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*chunk))
 			fmt.Fprintln(c, event(2, true, "a", "10.0.0.1:1", "draining"))
 		}()
 	}
-	if list := next(t, "the list", lists); len(list) != 1 || list[0].State != control.Draining {
+	if list := receive(t, "the list", lists); len(list) != 1 || list[0].State != control.Draining {
 		t.Errorf("got %v", list)
 	}
 }
 
 // The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later
 // read. A server that is gone, and one that has only begun to answer, confirm no later time.
-func TestListIsCompleteAsOfTheLastWholeAnswer(t *testing.T) {
+func TestCompleteAsOfLastCompleteAnswer(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	a := newSteppedClient(address)
+	a := newManualClient(address)
 	_, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	look := func() (before time.Time) {
@@ -245,7 +245,7 @@
 		t.Error("not complete as of the last look")
 	}
 	fmt.Fprint(c, `{"rev":2`) // an incomplete event
-	a.watch.arrived(t)
+	a.watch.awaitInput(t)
 	if before := look(); !a.CompleteAsOf().Before(before) {
 		t.Error("complete with an event that has begun to come")
 	}
@@ -262,14 +262,14 @@
 
 // A connection may end while the client's goroutine is about to read it too: CatchUp must return then. A close waits for
 // readers of the descriptor, and that reader waits for the client's lock, which CatchUp holds.
-func TestCatchUpCrossesTheReader(t *testing.T) {
+func TestCatchUpReturnsWhileReaderWaits(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	c, lists := follow(t, address)
-	next(t, "a question", subscriptions)
-	server := next(t, "a connection", conns)
+	c, lists := startClient(t, address)
+	receive(t, "a question", subscriptions)
+	server := receive(t, "a connection", conns)
 	defer server.Close()
 	fmt.Fprintln(server, event(1, true, "a", "10.0.0.1:1", "ready"))
-	next(t, "a list", lists)
+	receive(t, "a list", lists)
 
 	setRead := func(f func(int, []byte) (int, error)) {
 		c.mu.Lock()
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -20,7 +20,7 @@
 		`"state":%q,"capacity_hint":4,"boot_ms":0}]}}`, rev, all, uid, endpoint, state)
 }
 
-func TestLines(t *testing.T) {
+func TestHandleLine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		line    string
@@ -99,7 +99,7 @@
 }
 
 // follow runs a client that ends with the test.
-func follow(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
+func startClient(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
 	t.Helper()
 	lists := make(chan []fleet.Endpoint, 8)
 	f := NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {})
@@ -110,7 +110,7 @@
 	return f, lists
 }
 
-func next[T any](t *testing.T, what string, c <-chan T) T {
+func receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
@@ -121,59 +121,59 @@
 	}
 }
 
-func TestFollowerAsksAgainAfterABreakWithinAnEvent(t *testing.T) {
+func TestClientResubscribesAfterBreakWithinEvent(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	_, lists := follow(t, address)
-	c := next(t, "a connection", conns)
-	next(t, "a question", subscriptions)
+	_, lists := startClient(t, address)
+	c := receive(t, "a connection", conns)
+	receive(t, "a question", subscriptions)
 	fmt.Fprint(c, event(1, true, "a", "10.0.0.1:1", "ready"), "\n", event(2, false, "b", "10.0.0.2:1", "ready")[:60])
-	next(t, "the first list", lists)
+	receive(t, "the first list", lists)
 	c.Close()
-	c = next(t, "another connection", conns)
-	if line := next(t, "another question", subscriptions); line != "watch 1\n" {
+	c = receive(t, "another connection", conns)
+	if line := receive(t, "another question", subscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	if list := next(t, "the second list", lists); len(list) != 2 {
+	if list := receive(t, "the second list", lists); len(list) != 2 {
 		t.Errorf("got %v", list)
 	}
 }
 
-func TestFollowerAsksAgainAfterSilence(t *testing.T) {
+func TestClientReconnectsAfterSilence(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	follow(t, address)
-	next(t, "a connection", conns) // and nothing is sent on it
-	next(t, "a question", subscriptions)
-	next(t, "another connection", conns)
+	startClient(t, address)
+	receive(t, "a connection", conns) // and nothing is sent on it
+	receive(t, "a question", subscriptions)
+	receive(t, "another connection", conns)
 }
 
-func TestFollowerTurnsToAnotherAddress(t *testing.T) {
+func TestClientChangesAddress(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	f, lists := follow(t, address)
-	c := next(t, "a connection", conns)
-	next(t, "a question", subscriptions)
+	f, lists := startClient(t, address)
+	c := receive(t, "a connection", conns)
+	receive(t, "a question", subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	next(t, "the first list", lists)
+	receive(t, "the first list", lists)
 	other, conns, subscriptions := listen(t)
 	f.SetAddress(other)
-	c = next(t, "a connection elsewhere", conns)
-	if line := next(t, "a question elsewhere", subscriptions); line != "watch 1\n" {
+	c = receive(t, "a connection elsewhere", conns)
+	if line := receive(t, "a question elsewhere", subscriptions); line != "watch 1\n" {
 		t.Errorf("asked %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "a", "", "gone"))
-	if list := next(t, "the second list", lists); len(list) != 0 {
+	if list := receive(t, "the second list", lists); len(list) != 0 {
 		t.Errorf("got %v", list)
 	}
 }
 
 // A server that breaks off after each subscription is asked ever less often: some hundred routers ask at the same time.
-func TestBoardThatBreaksOffIsAskedLessOften(t *testing.T) {
+func TestClientBacksOffFromServerThatBreaksOff(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	follow(t, l.Addr().String())
+	startClient(t, l.Addr().String())
 	const limit = 12 // 20 ms doubled seven times is over 2 s; at 20 ms each there would be a hundred
 	n := 0
 	for l.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); ; n++ {
@@ -203,7 +203,7 @@
 
 // What can't be used is requested again, and skipped only if it stays: the list is unchanged, and the drain behind it is
 // applied.
-func TestDrainBehindWhatCanNotBeUsed(t *testing.T) {
+func TestUnusableEventIsSkippedOnRepeat(t *testing.T) {
 	for name, bad := range map[string]string{
 		"an unreadable line": `{"rev":2,"pool":[`,
 		"an unknown state":   event(2, false, "b", "10.0.0.2:1", "asleep"),
@@ -229,7 +229,7 @@
 }
 
 // After a heartbeat what can't be used is requested again the next time too: it is not skipped at once.
-func TestHeartbeatEndsDoubt(t *testing.T) {
+func TestHeartbeatResetsRetry(t *testing.T) {
 	s := newState(t)
 	if _, err := s.HandleLine([]byte("noise")); err == nil {
 		t.Error("taken")
@@ -242,7 +242,7 @@
 }
 
 // A gap is requested once more before it counts as empty.
-func TestGapAfterAskingIsAskedForOnce(t *testing.T) {
+func TestGapIsRequestedOnce(t *testing.T) {
 	s := newState(t)
 	gap := []byte(event(3, false, "b", "10.0.0.2:1", "ready"))
 	if effect, err := s.HandleLine(gap); effect != Resubscribe || err != nil {
@@ -257,7 +257,7 @@
 }
 
 // Events after a gap in a configuration are not applied: they are requested.
-func TestKnownWithAGap(t *testing.T) {
+func TestRestoreStopsAtGap(t *testing.T) {
 	text := func(line string) (e Event) {
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
 			t.Fatal(err)
@@ -277,7 +277,7 @@
 }
 
 // A heartbeat confirms that the answer to a subscription was complete.
-func TestLevel(t *testing.T) {
+func TestUpToDate(t *testing.T) {
 	s := newState(t)
 	if s.UpToDate() {
 		t.Error("before the heartbeat")
@@ -291,7 +291,7 @@
 }
 
 // An event updates what it changed, and all servers only if it has to.
-func TestNews(t *testing.T) {
+func TestUpdate(t *testing.T) {
 	ready := func(uid, endpoint string) EndpointMessage {
 		return EndpointMessage{UID: uid, Endpoint: endpoint, State: "ready"}
 	}
--- a/internal/eventqueue/queue_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -7,7 +7,7 @@
 	"hollymast/control"
 )
 
-func TestBoxKeepsOrderAndWakesOnce(t *testing.T) {
+func TestQueueKeepsOrderAndSignalsOnce(t *testing.T) {
 	q := New()
 	var got []int
 	for i := range 3 {
@@ -32,7 +32,7 @@
 }
 
 // An endpoint list is called before all else, however late it was posted.
-func TestListsComeFirst(t *testing.T) {
+func TestEndpointListsComeFirst(t *testing.T) {
 	q := New()
 	var got []string
 	record := func(name string) func(control.Micros) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,12 +8,12 @@
 
 const second = 1_000_000
 
-func entry(address string, startedAt int64) Endpoint {
+func endpoint(address string, startedAt int64) Endpoint {
 	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: startedAt}
 }
 
 // Times in lists are wall clock; the router's time 0 is 1000 s of it.
-func TestBornIsBroughtIntoOurTime(t *testing.T) {
+func TestStartTimeIsConvertedToRouterTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, then int64 // start time in the first list at 100 s and the next at 200 s; -1: not listed
 		want        control.Micros
@@ -31,10 +31,10 @@
 		f := New(1000 * second)
 		var list []Endpoint
 		if c.first >= 0 {
-			list = append(list, entry("127.0.0.1:9", c.first))
+			list = append(list, endpoint("127.0.0.1:9", c.first))
 		}
 		f.FullUpdate(100*second, list)
-		got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.then)})
+		got := f.FullUpdate(200*second, []Endpoint{endpoint("127.0.0.1:9", c.then)})
 		if got[0].StartedAt != c.want {
 			t.Errorf("%s: got %d, want %d", name, got[0].StartedAt, c.want)
 		}
@@ -42,10 +42,10 @@
 }
 
 // A server that is off the list for a moment gets no slow start; without a start time it may have restarted.
-func TestReturn(t *testing.T) {
+func TestReturningServer(t *testing.T) {
 	for startedAt, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
 		f := New(1000 * second)
-		list := []Endpoint{entry("127.0.0.1:9", startedAt)}
+		list := []Endpoint{endpoint("127.0.0.1:9", startedAt)}
 		f.FullUpdate(100*second, list)
 		f.FullUpdate(200*second, nil)
 		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
@@ -67,10 +67,10 @@
 	}
 }
 
-func TestForget(t *testing.T) {
+func TestPrune(t *testing.T) {
 	f := New(0)
-	f.FullUpdate(1, []Endpoint{entry("127.0.0.1:1", 0), entry("127.0.0.1:2", 0), entry("127.0.0.1:3", 0)})
-	f.FullUpdate(2, []Endpoint{entry("127.0.0.1:3", 0)})
+	f.FullUpdate(1, []Endpoint{endpoint("127.0.0.1:1", 0), endpoint("127.0.0.1:2", 0), endpoint("127.0.0.1:3", 0)})
+	f.FullUpdate(2, []Endpoint{endpoint("127.0.0.1:3", 0)})
 	keep := func(id control.ServerID) bool { return id == ID("127.0.0.1:2") }
 	if f.Prune(60*second, keep); len(f.servers) != 3 {
 		t.Error("forgotten after a minute")
@@ -85,14 +85,14 @@
 
 // A removed server is kept for its full time after the last list that it was on, whenever it was removed, also if it returns and
 // is removed again; then nothing is left of its removals.
-func TestForgetCountsFromTheLastListThatNamedIt(t *testing.T) {
+func TestPruneCountsFromLastListing(t *testing.T) {
 	const name = "127.0.0.1:1"
 	keep := func(control.ServerID) bool { return false }
 	f := New(0)
-	f.FullUpdate(1, []Endpoint{entry(name, 0), entry("127.0.0.1:2", 0)})
-	f.IncrementalUpdate(500*second, []Endpoint{entry("127.0.0.1:2", 1)})
+	f.FullUpdate(1, []Endpoint{endpoint(name, 0), endpoint("127.0.0.1:2", 0)})
+	f.IncrementalUpdate(500*second, []Endpoint{endpoint("127.0.0.1:2", 1)})
 	f.IncrementalUpdate(900*second, []Endpoint{{Address: name, State: control.Removed}})
-	f.IncrementalUpdate(1000*second, []Endpoint{entry(name, 0)})
+	f.IncrementalUpdate(1000*second, []Endpoint{endpoint(name, 0)})
 	f.IncrementalUpdate(1050*second, []Endpoint{{Address: name, State: control.Removed}})
 	if f.Prune(1600*second, keep); f.Get(ID(name)) == nil {
 		t.Error("forgotten before its time")
@@ -107,7 +107,7 @@
 
 // A server that is added while this router runs started after the list was last complete without it and no later than now,
 // whatever its listed start. The list was complete at 190 s, the change is received at 200 s, and slow start takes 16 s.
-func TestBornLiesWithinWhatTheListShows(t *testing.T) {
+func TestStartTimeIsBoundedByCompleteList(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed   int64
 		complete control.Micros // 0: never since the start
@@ -129,12 +129,12 @@
 			f.SetSlowStartDuration(16 * second)
 			var list []Endpoint
 			if restarted {
-				list = append(list, entry("127.0.0.1:9", 5*second))
+				list = append(list, endpoint("127.0.0.1:9", 5*second))
 			}
 			f.FullUpdate(10*second, list)
 			f.SetCompleteAsOf(c.complete)
-			f.FullUpdate(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
-			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
+			f.FullUpdate(199*second, append(list, endpoint("127.0.0.1:8", 0))) // the last event is no complete list
+			if got := f.FullUpdate(200*second, []Endpoint{endpoint("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
 		}
@@ -142,13 +142,13 @@
 }
 
 // An incarnation started after the previous one, also if both were listed with starts by a clock that was set back meanwhile.
-func TestLaterLifeBeganLater(t *testing.T) {
+func TestLaterIncarnationStartedLater(t *testing.T) {
 	f := New(1000 * second)
 	f.UseSourceClock()
 	f.FullUpdate(10*second, nil)
 	f.SetCompleteAsOf(10 * second)
-	first := f.FullUpdate(20*second, []Endpoint{entry("127.0.0.1:9", 4600*second)})
-	if then := f.FullUpdate(21*second, []Endpoint{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
+	first := f.FullUpdate(20*second, []Endpoint{endpoint("127.0.0.1:9", 4600*second)})
+	if then := f.FullUpdate(21*second, []Endpoint{endpoint("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
 		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
 	}
 }
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -32,7 +32,7 @@
 	return pack(t, 0, 7, "infer", []any{f, []byte{0, 255}})
 }
 
-func TestReadsACall(t *testing.T) {
+func TestReadCall(t *testing.T) {
 	r := NewReader(bytes.NewReader(call(t, fields("dup", "1", "replay", strings.Repeat("5c", 16)))))
 	m, err := r.Read()
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestReadsForgetAndIsWell(t *testing.T) {
+func TestReadCancelAndHealthCheck(t *testing.T) {
 	in := append(pack(t, 2, "forget", []any{7}), pack(t, 0, 8, "isWell", []any{map[string]string{}})...)
 	r := NewReader(bytes.NewReader(in))
 	if m, err := r.Read(); err != nil || m.Kind != Cancel || m.Number != 7 {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestParseDecimal(t *testing.T) {
 	for s, want := range map[string]bool{"1500": true, "0.5": true, "": false, "-1": false, "1e9": false, "Inf": false,
 		"NaN": false, "0x10": false, "1.2.3": false, "99999999999999999999": false, " 1": false} {
 		if _, ok := parseDecimal(s); ok != want {
@@ -83,7 +83,7 @@
 }
 
 // Lengths are rejected before anything is allocated.
-func TestBrokenMessages(t *testing.T) {
+func TestUnreadableMessages(t *testing.T) {
 	head := []byte{0x94, 0, 7, 0xa5, 'i', 'n', 'f', 'e', 'r'}
 	for name, in := range map[string][]byte{
 		"noise":              {0xc1, 0xff, 0x00},
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		data []byte
 		want []any
--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -16,13 +16,13 @@
 )
 
 // replaced is a router whose server connections are never dialled.
-type replaced struct {
+type undialledRouter struct {
 	*Router
-	sent []*serverCall
+	calls []*serverCall
 }
 
 // open puts a load command in flight to a server, written or not, on a connection that is connected or not yet.
-func (r *replaced) open(now control.Micros, to control.ServerID, written, up bool) {
+func (r *undialledRouter) addCall(now control.Micros, to control.ServerID, written, up bool) {
 	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
 		return
 	}
@@ -43,11 +43,11 @@
 	if written {
 		s.stage.Store(int32(attempt.Writing))
 	}
-	r.sent = append(r.sent, s)
+	r.calls = append(r.calls, s)
 }
 
 // pooled describes each connection, by server and in order of creation, except those that are dropped.
-func (r *replaced) pooled(dropped func(l *serverConn) bool) []string {
+func (r *undialledRouter) describeConns(dropped func(l *serverConn) bool) []string {
 	var out []string
 	for id, pl := range r.pools {
 		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.startedAt), 0
@@ -66,28 +66,28 @@
 }
 
 // all describes the connections and what was sent.
-func (r *replaced) all() []string {
-	out := r.pooled(func(*serverConn) bool { return false })
-	for _, s := range r.sent {
+func (r *undialledRouter) describe() []string {
+	out := r.describeConns(func(*serverConn) bool { return false })
+	for _, s := range r.calls {
 		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.currentStage(), s.progress.Ended))
 	}
 	return append(out, fmt.Sprint(r.serverConnCount, " connections, ", len(r.pools), " pools"))
 }
 
 // checkPrune prunes, and checks that just those connections and pools are dropped that a scan of all finds.
-func (r *replaced) checkPrune(t *rapid.T, now control.Micros) {
+func (r *undialledRouter) checkPrune(t *rapid.T, now control.Micros) {
 	r.prunedAt = 0
-	want := r.pooled(func(l *serverConn) bool {
+	want := r.describeConns(func(l *serverConn) bool {
 		return len(l.open) == 0 && l.up && now-l.idleSince > r.config.serverIdleTimeout*3/4
 	})
 	r.prune(now)
-	if got := r.pooled(func(*serverConn) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
+	if got := r.describeConns(func(*serverConn) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
 		t.Fatalf("pruned to\n%q, a look at all gives\n%q", got, want)
 	}
 }
 
 // idle returns the connected connections with nothing open, the least recently used first.
-func (r *replaced) idle() []*serverConn {
+func (r *undialledRouter) idleConns() []*serverConn {
 	var out []*serverConn
 	for _, pl := range r.pools {
 		for _, l := range pl.conns {
@@ -101,10 +101,10 @@
 }
 
 // checkCloseIdle closes an idle connection, and checks that it is one of the least recently used.
-func (r *replaced) checkCloseIdle(t *rapid.T) {
-	before := r.idle()
+func (r *undialledRouter) checkCloseIdle(t *rapid.T) {
+	before := r.idleConns()
 	freed := r.closeIdleServerConn()
-	after := r.idle()
+	after := r.idleConns()
 	if freed != (len(before) > 0) || freed && len(after) != len(before)-1 {
 		t.Fatalf("freed %t, %d of %d are left", freed, len(after), len(before))
 	}
@@ -117,9 +117,9 @@
 
 // A router that handles incremental updates keeps and closes the connections that one does that handles a complete
 // list at each event, and prunes what a scan of all would.
-func TestChangesEndTheSameConnections(t *testing.T) {
+func TestIncrementalUpdatesCloseTheSameConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		both := []*replaced{{Router: idleRouter(t)}, {Router: idleRouter(t)}}
+		both := []*undialledRouter{{Router: idleRouter(t)}, {Router: idleRouter(t)}}
 		now := max(both[0].now(), both[1].now())
 		var s discovery.State
 		for rev := range uint64(rapid.IntRange(1, 40).Draw(rt, "steps")) {
@@ -138,13 +138,13 @@
 			for range rapid.IntRange(0, 3).Draw(rt, "sent") {
 				to, written, up := fleet.ID(uid()), rapid.Bool().Draw(rt, "written"), rapid.Bool().Draw(rt, "up")
 				for _, r := range both {
-					r.open(now, to, written, up)
+					r.addCall(now, to, written, up)
 				}
 			}
-			if n := len(both[0].sent); n > 0 && rapid.Bool().Draw(rt, "answered") {
+			if n := len(both[0].calls); n > 0 && rapid.Bool().Draw(rt, "answered") {
 				i := rapid.IntRange(0, n-1).Draw(rt, "which")
 				for _, r := range both {
-					r.callEnded(now, r.sent[i], control.Succeeded, nil)
+					r.callEnded(now, r.calls[i], control.Succeeded, nil)
 				}
 			}
 			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
@@ -156,7 +156,7 @@
 					r.checkCloseIdle(rt)
 				}
 			}
-			if x, y := both[0].all(), both[1].all(); !reflect.DeepEqual(x, y) {
+			if x, y := both[0].describe(), both[1].describe(); !reflect.DeepEqual(x, y) {
 				rt.Fatalf("by changes\n%q, by lists\n%q", x, y)
 			}
 		}
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -15,7 +15,7 @@
 // steps.
 func steppedRouter(t *testing.T, step time.Duration) *Router {
 	t.Helper()
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 
 // The wall clock was ahead or behind when this router started, and is right when a server starts: the start time that
 // the balancer is given is bounded by when the endpoint list was last complete without the server.
-func TestStartIsBoundedWhateverTheWallClock(t *testing.T) {
+func TestStartTimeIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
 		p := steppedRouter(t, step)
 		complete := p.now()
@@ -46,7 +46,7 @@
 
 // newcomer runs a router whose server is replaced by one in slow start that claims to have started a while ago. It
 // returns the attempts there in the first part of slow start and in one after its end.
-func newcomer(t *testing.T, ago time.Duration) (first, last int) {
+func attemptsInSlowStart(t *testing.T, ago time.Duration) (first, last int) {
 	const cold, part = 2 * time.Second, time.Second
 	old, fresh := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := platformtest.Event(1, "s-0", old.Address(), "ready")
@@ -58,7 +58,7 @@
 	d := &told.Deployment
 	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(cold.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
 	r := serve(t, told)
-	until(t, "the router is well", r.ready.Load)
+	waitFor(t, "the router is well", r.ready.Load)
 	ended := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 24 {
@@ -100,13 +100,13 @@
 // slow start, whether its start is announced as now, an hour ago or in an hour, as after a step of the router's wall
 // clock. Were the announced start taken as it is, it would get full load from the beginning, or slow start to the
 // end.
-func TestStepOfTheWallClockLeavesSlowStart(t *testing.T) {
+func TestSlowStartSurvivesWallClockStep(t *testing.T) {
 	type attempts struct{ first, last int }
 	ago := []time.Duration{0, time.Hour, -time.Hour}
 	got := make([]attempts, len(ago))
 	var all sync.WaitGroup
 	for i, a := range ago { // side by side, so that what else this machine does meets all alike
-		all.Go(func() { got[i].first, got[i].last = newcomer(t, a) })
+		all.Go(func() { got[i].first, got[i].last = attemptsInSlowStart(t, a) })
 	}
 	all.Wait()
 	t.Logf("started %v ago: %v attempts in the first second and in one after slow start", ago, got)
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -26,31 +26,31 @@
 // Each test here forces two events to cross, on real sockets: it holds one until the other has happened.
 
 // crossed is the router's end of a connection; hook sees what a read returned before the router does.
-type crossed struct {
+type hookedConn struct {
 	*net.TCPConn
 	hook func(n int, err error)
 }
 
-func (x *crossed) Read(b []byte) (int, error) {
+func (x *hookedConn) Read(b []byte) (int, error) {
 	n, err := x.TCPConn.Read(b)
 	x.hook(n, err)
 	return n, err
 }
 
 // crossing returns a client of a router, and the router's end of its connection.
-func (r *running) crossing(t *testing.T, hook func(c *caller, n int, err error)) (*caller, *clientConn) {
+func (r *runningRouter) dialHooked(t *testing.T, hook func(c *testClient, n int, err error)) (*testClient, *clientConn) {
 	t.Helper()
 	ours, theirs := platformtest.ConnPair(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
-	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
-	return c, r.serveClient(&crossed{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
+	c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
+	return c, r.serveClient(&hookedConn{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
 }
 
 // once returns a hook that acts at the first read whose deadline has passed: what it sends is pending when the router
 // reads again.
-func once(act func(c *caller)) func(c *caller, n int, err error) {
+func onFirstDeadline(act func(c *testClient)) func(c *testClient, n int, err error) {
 	var done atomic.Bool
-	return func(c *caller, n int, err error) {
+	return func(c *testClient, n int, err error) {
 		if errors.Is(err, os.ErrDeadlineExceeded) && done.CompareAndSwap(false, true) {
 			act(c)
 		}
@@ -58,15 +58,15 @@
 }
 
 // until waits for what another goroutine is about to do.
-func until(t *testing.T, what string, done func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	platformtest.WaitFor(t, what, done)
 }
 
 // A request that comes as its idle connection is about to close is read before, and served.
 func TestRequestCrossesIdleClose(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, ours := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, ours := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	ours.closeWhenIdle(0)
@@ -76,8 +76,8 @@
 
 // A request that comes at a stopping router's last read of its connections is answered before the end.
 func TestRequestCrossesShutdown(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, _ := r.crossing(t, once(func(c *caller) { c.call(2, "again") }))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	r.stop()
@@ -87,8 +87,8 @@
 
 // A request that comes so late in the shutdown that its answer might not come before the kill is rejected at once.
 func TestRequestCrossesKill(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c := r.caller(t)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c := r.dial(t)
 	r.queue.Post(func(now control.Micros) { r.stopRequestedAt = now - acceptRequestsFor })
 	c.call(1, "again")
 	c.expect("1: TryLater")
@@ -96,41 +96,41 @@
 
 // A connection that is to close while a request is open closes with that request's answer.
 func TestConnectionClosesAfterItsRequest(t *testing.T) {
-	held := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+	held := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	c.call(1, "again")
 	a := <-held
 	ours.closeWhenIdle(0)
-	good(a)
+	echo(a)
 	c.expect("1: body 1")
 	c.expect("closed")
 }
 
 // Room is needed while a request is open on a closing connection: that one is not closed at once.
-func TestMakingRoomSparesOpenRequests(t *testing.T) {
-	held := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+func TestMakeRoomSparesOpenRequests(t *testing.T) {
+	held := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	c.call(1, "again")
 	a := <-held
 	ours.abort()
 	r.makeRoom(1)
-	good(a)
+	echo(a)
 	c.expect("1: body 1")
 	c.expect("closed")
 }
 
 // A first message that came during a stall of the process counts as in time.
 func TestMessageCrossesItsDeadline(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, _ := r.crossing(t, once(func(c *caller) { c.call(1, "again") }))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(1, "again") }))
 	c.expect("1: body 1") // after firstWithin
 }
 
 // Connections that wait at the listener when it closes are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
-	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configText(newDiscoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,13 +158,13 @@
 	for _, c := range conns {
 		c.Close()
 	}
-	until(t, "all connections end", p.allClientsClosed)
+	waitFor(t, "all connections end", p.allClientsClosed)
 }
 
 // The sender of an unreadable message reads the error, and then the end: no reset overtakes the answer.
-func TestAnswerIsNotLostToTheClose(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, _ := r.crossing(t, func(*caller, int, error) {})
+func TestAnswerPrecedesClose(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, _ := r.dialHooked(t, func(*testClient, int, error) {})
 	c.conn.Write(append([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}, make([]byte, 64<<10)...))
 	c.expect("1: Invalid")
 	c.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -174,15 +174,15 @@
 }
 
 // What a client cancels, or leaves by closing, is not written any more, though the event loop has yet to handle it.
-func TestClientLeavesBeforeTheFirstByte(t *testing.T) {
-	for name, leave := range map[string]func(c *caller){
-		"cancels": func(c *caller) { c.send(2, "forget", []any{1}) },
-		"closes":  func(c *caller) { c.conn.Close() },
+func TestClientLeavesBeforeFirstByte(t *testing.T) {
+	for name, leave := range map[string]func(c *testClient){
+		"cancels": func(c *testClient) { c.send(2, "forget", []any{1}) },
+		"closes":  func(c *testClient) { c.conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			held := make(chan asked, 1)
-			r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-			c := r.caller(t)
+			held := make(chan receivedFrame, 1)
+			r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+			c := r.dial(t)
 			c.call(1, "again")
 			<-held
 			chosen, turn := make(chan *serverCall), make(chan bool)
@@ -195,8 +195,8 @@
 			})
 			s := <-chosen
 			leave(c)
-			until(t, "the client's leaving is read", s.request.abandoned.Load)
-			if s.begun() {
+			waitFor(t, "the client's leaving is read", s.request.abandoned.Load)
+			if s.beginsWrite() {
 				t.Error("it was written")
 			}
 			close(turn)
@@ -206,8 +206,8 @@
 
 // A client that floods has nothing open: its reader sleeps between messages, and would see a cancellation late.
 func TestFloodingClientHasNothingOpen(t *testing.T) {
-	held := make(chan asked, 1)
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a })).caller(t)
+	held := make(chan receivedFrame, 1)
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a })).dial(t)
 	c.call(1, "again")
 	<-held
 	for n := 2; n < 2+tolerableFaults; n++ {
@@ -224,22 +224,22 @@
 // A duplicate answer to an attempt that has ended comes during the request's next attempt: it is not taken for that
 // one's.
 func TestDuplicateAnswerCrossesNextAttempt(t *testing.T) {
-	var first asked
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
-		if a.nth == 1 {
+	var first receivedFrame
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+		if a.sequence == 1 {
 			first = a
 			a.conn.Write(a.answer(101, a.id, ""))
 			return
 		}
 		first.conn.Write(first.answer(97, first.id, "stale"))
-		good(a)
-	})).caller(t)
+		echo(a)
+	})).dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 }
 
 // Of two free connections the connected one is used: the other may connect late, or never.
-func TestConnectedConnectionComesFirst(t *testing.T) {
+func TestConnectedConnectionIsPreferred(t *testing.T) {
 	stands, comes := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
 	if !stands.preferredOver(comes) || comes.preferredOver(stands) {
 		t.Error("the one that is still dialled comes first")
@@ -248,8 +248,8 @@
 
 // A shortage of descriptors does not count against the server: the request waits for one.
 func TestOutOfDescriptors(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c := r.caller(t)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c := r.dial(t)
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	free, err := syscall.Dup(0)
@@ -268,7 +268,7 @@
 		t.Fatal(err)
 	}
 	c.call(2, "again")
-	until(t, "a dial finds no descriptor", func() bool {
+	waitFor(t, "a dial finds no descriptor", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.anomalies["out of descriptors for a server"] > 0
@@ -285,17 +285,17 @@
 }
 
 // lines passes on each line of a log.
-type lines chan string
+type logLines chan string
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logLines) Write(b []byte) (int, error) {
 	l <- string(b)
 	return len(b), nil
 }
 
 // A configuration that is half written at its signal is read again, without another signal.
-func TestReloadCrossesTheWriting(t *testing.T) {
+func TestReloadOfPartlyWrittenConfig(t *testing.T) {
 	asked := make(chan bool, 8)
-	whole := configuration(listen(t, func(c net.Conn) {
+	whole := configText(listen(t, func(c net.Conn) {
 		select {
 		case asked <- true:
 		default: // it is asked again and again, since it says nothing
@@ -306,11 +306,11 @@
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configText(newDiscoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := make(lines, 100)
+	log := make(logLines, 100)
 	p, err := New(told, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
@@ -335,8 +335,8 @@
 }
 
 // So is one that a start finds half written.
-func TestStartCrossesTheWriting(t *testing.T) {
-	whole := configuration("127.0.0.1:1")
+func TestStartWithPartlyWrittenConfig(t *testing.T) {
+	whole := configText("127.0.0.1:1")
 	env := Environment{File: filepath.Join(t.TempDir(), "config.json")}
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
@@ -353,12 +353,12 @@
 
 // A router whose event loop hangs does not report itself healthy, though its readers go on.
 func TestHealthCheckFailsWhileEventLoopHangs(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
 	turn := make(chan bool)
 	r.queue.Post(func(control.Micros) { <-turn })
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	c.send(0, 1, "isWell", []any{map[string]string{}})
-	until(t, "the question is read", func() bool {
+	waitFor(t, "the question is read", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
 		return ours.healthChecks == 1
@@ -373,19 +373,19 @@
 }
 
 // A panic on one connection closes that one, and is logged; the others go on.
-func TestFaultOnOneConnection(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, _ := r.crossing(t, func(c *caller, n int, err error) {
+func TestPanicOnClientConnection(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, _ := r.dialHooked(t, func(c *testClient, n int, err error) {
 		if n > 0 {
 			panic("planted")
 		}
 	})
 	c.call(1, "again")
 	c.expect("closed")
-	other := r.caller(t)
+	other := r.dial(t)
 	other.call(1, "again", "ref", "00000000000000ff")
 	other.expect("1: body 1")
-	until(t, "the fault is told", func() bool {
+	waitFor(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.anomalies["panic reading a client"] == 1
@@ -393,9 +393,9 @@
 }
 
 // A panic on a server connection closes that one.
-func TestFaultOnOneServerConnection(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c := r.caller(t)
+func TestPanicOnServerConnection(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c := r.dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 	r.queue.Post(func(now control.Micros) {
@@ -403,7 +403,7 @@
 		l.dialing = nil // the dial panics
 		go l.run()
 	})
-	until(t, "the fault is told", func() bool {
+	waitFor(t, "the fault is told", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.anomalies["panic reading a server"] == 1
@@ -413,9 +413,9 @@
 }
 
 // A client that leaves before its first message is not counted as slow.
-func TestLeavingIsNotCountedAsSlow(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+func TestEarlyCloseIsNotCountedAsSlow(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	c.conn.Close()
 	<-ours.closed
 	r.mu.Lock()
@@ -427,14 +427,14 @@
 
 // A request's timeout runs from when its message was read, though its step comes later.
 func TestDeadlineRunsWhileEventLoopHangs(t *testing.T) {
-	got := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { got <- a; good(a) }))
+	got := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { got <- a; echo(a) }))
 	const stood = 300
 	turn := make(chan bool)
 	r.queue.Post(func(control.Micros) { <-turn })
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	c.call(1, "again")
-	until(t, "the job is read", func() bool { idle, _ := ours.idle(); return !idle })
+	waitFor(t, "the job is read", func() bool { idle, _ := ours.idle(); return !idle })
 	time.Sleep(stood * time.Millisecond)
 	close(turn)
 	var most int
@@ -469,7 +469,7 @@
 		}
 		defer c.Close()
 	}
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -24,16 +24,16 @@
 )
 
 // startChanged starts a router whose settings and calls a test changes first.
-func startChanged(t *testing.T, change func(p *Router), servers ...string) *running {
+func startChanged(t *testing.T, change func(p *Router), servers ...string) *runningRouter {
 	t.Helper()
 	r, _ := startLogged(t, change, servers...)
 	return r
 }
 
 // startLogged is startChanged that also returns the router's log.
-func startLogged(t *testing.T, change func(p *Router), servers ...string) (*running, *log) {
+func startLogged(t *testing.T, change func(p *Router), servers ...string) (*runningRouter, *logBuffer) {
 	t.Helper()
-	told, err := parseConfig([]byte(configuration(discoveryServer(t, 1))), Environment{})
+	told, err := parseConfig([]byte(configText(newDiscoveryServer(t, 1))), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,33 +41,33 @@
 		told.History.Events = append(told.History.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
 	}
 	told.History.Revision = uint64(len(servers))
-	noted := &log{}
+	noted := &logBuffer{}
 	p, err := New(told, zerolog.New(noted))
 	if err != nil {
 		t.Fatal(err)
 	}
 	change(p)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{p, stop, make(chan struct{})}
-	go func() { p.Serve(ctx); close(r.ended) }()
-	t.Cleanup(func() { stop(); <-r.ended })
-	until(t, "the router is well", r.ready.Load)
+	r := &runningRouter{p, stop, make(chan struct{})}
+	go func() { p.Serve(ctx); close(r.done) }()
+	t.Cleanup(func() { stop(); <-r.done })
+	waitFor(t, "the router is well", r.ready.Load)
 	return r, noted
 }
 
 // log records what a router logs.
-type log struct {
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *log) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *log) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -105,7 +105,7 @@
 }
 
 // narrow listens with buffers smaller than one long message, and serves each connection.
-func narrow(t *testing.T, serve func(net.Conn)) string {
+func listenNarrow(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
@@ -132,7 +132,7 @@
 
 // The deadline stated to a server is at most what the client has left when the frame arrives, with the allowed excess
 // of 0.15 s, whatever delayed the frame.
-func TestDeadlineIsWhatIsLeft(t *testing.T) {
+func TestStatedDeadlineIsTimeLeft(t *testing.T) {
 	const late = 600 * time.Millisecond
 	var nth atomic.Int32
 	filled := make(chan int, 8)
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var begun time.Time
-			server := narrow(t, func(c net.Conn) { way.serve(c, func() { checkDeadlines(t, c, &begun) }) })
+			server := listenNarrow(t, func(c net.Conn) { way.serve(c, func() { checkDeadlines(t, c, &begun) }) })
 			r := startChanged(t, func(p *Router) {
 				longGrace(p)
 				p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -186,16 +186,16 @@
 					return conn, err
 				}
 			}, server)
-			c := r.caller(t)
+			c := r.dial(t)
 			begun = time.Now()
-			c.send(0, 1, "again", []any{map[string]string{"ref": "0000000000000001", "allow": fmt.Sprint(allowed.Milliseconds()),
+			c.send(0, 1, "again", []any{map[string]string{"ref": "0000000000000001", "allow": fmt.Sprint(clientTimeout.Milliseconds()),
 				"project": "acme", "lookup": "7f3a9c21e0b4d655", "spec": "memory_mb:512;lanes:2"}, make([]byte, way.body)})
 			c.expect(way.want)
 		})
 	}
 }
 
-const allowed = 1500 * time.Millisecond
+const clientTimeout = 1500 * time.Millisecond
 
 // checkDeadlines answers what comes on a connection, and compares the deadline stated in each frame with what is left
 // of the allowed time.
@@ -213,7 +213,7 @@
 		for field := range strings.SplitSeq(f.Fields, ",") {
 			fmt.Sscanf(field, "max=%d", &most)
 		}
-		left := allowed - time.Since(*begun)
+		left := clientTimeout - time.Since(*begun)
 		if told := time.Duration(most) * time.Millisecond; most == 0 || told > left+slack {
 			t.Errorf("told %v where the client has %v left", told, left.Round(time.Millisecond))
 		}
@@ -223,7 +223,7 @@
 
 // An attempt whose deadline has passed when its connection is established is withdrawn, however fresh its endpoint
 // list: it provably never ran.
-func TestNothingLeftIsNotWritten(t *testing.T) {
+func TestExpiredAttemptIsNotWritten(t *testing.T) {
 	p := idleRouter(t)
 	longGrace(p)
 	conn, theirs := platformtest.ConnPair(t)
@@ -238,7 +238,7 @@
 	s.conn.writes.post(s.queued(nil))
 	time.Sleep(left + time.Millisecond)
 	s.conn.writes.connected(conn)
-	until(t, "it is withdrawn", s.conn.writes.empty)
+	waitFor(t, "it is withdrawn", s.conn.writes.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.currentStage() == attempt.Writing {
 		t.Errorf("%d bytes were written, stage %d", n, s.currentStage())
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -19,7 +19,7 @@
 )
 
 // begun reports whether the first byte would be written now.
-func (call *serverCall) begun() bool {
+func (call *serverCall) beginsWrite() bool {
 	wrote := false
 	call.begin(func() bool {
 		wrote = true
@@ -29,7 +29,7 @@
 }
 
 // startWithConfig starts a router with a configuration; it need not be ready at once.
-func startWithConfig(t *testing.T, configuration string) *running {
+func startWithConfig(t *testing.T, configuration string) *runningRouter {
 	t.Helper()
 	told, err := parseConfig([]byte(configuration), Environment{})
 	if err != nil {
@@ -41,7 +41,7 @@
 // idleRouter returns a router that runs no event loop: the test runs its steps.
 func idleRouter(t *testing.T) *Router {
 	t.Helper()
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,24 +65,24 @@
 	p.readEndpoints()
 	p.step(p.now(), nil)
 	fresh, order := p.newCall(1, 1_000_000), p.newCall(1, p.config.loadTimeout)
-	if !fresh.begun() {
+	if !fresh.beginsWrite() {
 		t.Error("not written from a list that is up to date")
 	}
 	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond) // the process is stopped
 	var late *serverCall
 	p.step(p.now(), []func(control.Micros){func(control.Micros) { late = p.newCall(1, 1_000_000) }})
-	if late.begun() || order.begun() {
+	if late.beginsWrite() || order.beginsWrite() {
 		t.Error("written from a list that is older than half the grace")
 	}
 	p.readEndpoints()
 	p.step(p.now(), nil)
-	if again := p.newCall(1, 1_000_000); !again.begun() {
+	if again := p.newCall(1, 1_000_000); !again.beginsWrite() {
 		t.Error("not written after the next look")
 	}
 }
 
 // A server that is not listed as ready is sent nothing, whatever was chosen.
-func TestNothingIsSentToAServerThatIsNotReady(t *testing.T) {
+func TestNothingIsSentToUnreadyServer(t *testing.T) {
 	p := idleRouter(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
 		p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
@@ -98,7 +98,7 @@
 
 // The log states an upper bound on how late the last first byte to a draining server was, and the age of the oldest
 // endpoint list.
-func TestLogTellsHowLateFirstBytesWere(t *testing.T) {
+func TestStateLogReportsLateFirstBytes(t *testing.T) {
 	p := idleRouter(t)
 	var line bytes.Buffer
 	p.log = zerolog.New(&line)
@@ -109,7 +109,7 @@
 	s := p.newCall(fleet.ID("s-0"), 1_000_000)
 	s.conn = &serverConn{pool: p.poolOf(s.to)}
 	time.Sleep(2 * time.Millisecond)
-	if !s.begun() {
+	if !s.beginsWrite() {
 		t.Fatal("not written")
 	}
 	ready[0].State = control.Draining
@@ -131,11 +131,11 @@
 
 // Within a step the endpoint list comes first: events before it lead to further attempts, which must not be chosen
 // from the older list.
-func TestEndpointsComeFirstInTheirStep(t *testing.T) {
+func TestEndpointUpdatesComeFirstInStep(t *testing.T) {
 	server := platformtest.NewModelServer(t)
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
 	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
-	until(t, "the router is well", r.ready.Load)
+	waitFor(t, "the router is well", r.ready.Load)
 	state := make(chan control.ServerState, 1)
 	r.queue.Post(func(control.Micros) { // a turn that lasts
 		r.queue.Post(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
@@ -150,7 +150,7 @@
 }
 
 // A router that starts with an old configuration chooses nothing before discovery has answered.
-func TestStartCrossesADrain(t *testing.T) {
+func TestStartWithOutdatedConfig(t *testing.T) {
 	const grace = 2 * time.Second // the answer has a quarter of it to come
 	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready")}
@@ -159,10 +159,10 @@
 	told := plane.Publish(platformtest.Event(2, "s-0", drains.Address(), "draining"))
 	plane.Publish(platformtest.Event(3, "s-1", stays.Address(), "ready"))
 	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
-	until(t, "the board is asked", func() bool { return len(plane.Subscriptions()) == 1 })
+	waitFor(t, "the board is asked", func() bool { return len(plane.Subscriptions()) == 1 })
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
-	until(t, "the request is read", func() bool {
+	waitFor(t, "the request is read", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for c := range r.clients {
@@ -187,7 +187,7 @@
 }
 
 // Where the connection has no room for the first byte, the check is repeated when it has.
-func TestFullConnectionCrossesTheGrace(t *testing.T) {
+func TestCheckIsRepeatedWhenConnectionHasRoom(t *testing.T) {
 	ours, theirs := platformtest.ConnPair(t)
 	raw, err := ours.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -233,7 +233,7 @@
 		t.Fatalf("read %d: %v", n, err)
 	}
 	ask()
-	until(t, "it is withdrawn", o.empty)
+	waitFor(t, "it is withdrawn", o.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 8)); n > 0 {
 		t.Errorf("%d bytes were written after the grace", n)
@@ -242,12 +242,12 @@
 
 // A uid that returns at another address is another incarnation: its calls go there, on connections of its own, and an
 // address that another server has by then gets nothing meant for the old one.
-func TestUIDReturnsElsewhere(t *testing.T) {
+func TestUIDReturnsAtAnotherAddress(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
-	until(t, "the router is well", r.ready.Load)
+	waitFor(t, "the router is well", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
 	if !client.Answer() || len(first.Received()) == 0 {
@@ -257,7 +257,7 @@
 	plane.Publish(platformtest.Event(2, "s-0", "", "gone"))
 	plane.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
 	plane.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
-	until(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
+	waitFor(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
 	for ref := range uint64(10) {
 		client.Call(ref+2, ref+1)
 	}
@@ -280,7 +280,7 @@
 	t.Cleanup(func() { close(silent) })
 	server := platformtest.NewModelServer(t)
 	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
-	until(t, "the router is well", r.ready.Load)
+	waitFor(t, "the router is well", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
 	if !client.Answer() {
@@ -289,7 +289,7 @@
 }
 
 // A connection established after the grace period writes nothing that was chosen before.
-func TestDialCrossesTheGrace(t *testing.T) {
+func TestDialOutlastsGracePeriod(t *testing.T) {
 	p := idleRouter(t)
 	conn, theirs := platformtest.ConnPair(t)
 	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
@@ -301,7 +301,7 @@
 	s.conn.writes.post(queuedFrame{data: []byte("late"), begin: s.begin, wrote: s.wrote})
 	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond)
 	s.conn.writes.connected(conn)
-	until(t, "it is withdrawn", s.conn.writes.empty)
+	waitFor(t, "it is withdrawn", s.conn.writes.empty)
 	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.currentStage() == attempt.Writing {
 		t.Errorf("%d bytes were written, stage %d", n, s.currentStage())
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -17,13 +17,13 @@
 )
 
 // failing is a listener whose accepts fail for as long as fault returns an error.
-type failing struct {
+type failingListener struct {
 	*net.TCPListener
 	calls atomic.Int32
 	fault func() error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.calls.Add(1)
 	if err := f.fault(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
@@ -39,7 +39,7 @@
 
 // Whatever accept fails with, once or for a while: the listener goes on, without a busy loop, and closes no idle
 // client connection unless the process itself is out of descriptors.
-func TestAcceptFails(t *testing.T) {
+func TestAcceptErrors(t *testing.T) {
 	const lasts = 150 * time.Millisecond
 	for _, errno := range acceptErrors {
 		for name, fault := range map[string]func(nth int32, since time.Duration) bool{
@@ -50,7 +50,7 @@
 			ours, theirs := platformtest.ConnPair(t)
 			idle := p.serveClient(ours)
 			begin := time.Now()
-			l := &failing{TCPListener: p.listener}
+			l := &failingListener{TCPListener: p.listener}
 			l.fault = func() error {
 				if fault(l.calls.Load(), time.Since(begin)) {
 					return errno
@@ -63,10 +63,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			until(t, "the connection is accepted", func() bool {
+			waitFor(t, "the connection is accepted", func() bool {
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				return p.rejectedConns == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.accepts(conn)
+				return p.rejectedConns == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.hasClient(conn)
 			})
 			if _, ends := idle.idle(); ends != (errno == syscall.EMFILE) {
 				t.Errorf("%v %s: an idle client is ended: %t", errno, name, ends)
@@ -78,13 +78,13 @@
 			theirs.Close()
 			l.Close()
 			all.Wait()
-			until(t, "all connections end", p.allClientsClosed)
+			waitFor(t, "all connections end", p.allClientsClosed)
 		}
 	}
 }
 
 // accepts reports whether the router has the other end of a connection.
-func (r *Router) accepts(conn net.Conn) bool {
+func (r *Router) hasClient(conn net.Conn) bool {
 	for c := range r.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
 			return true
@@ -95,11 +95,11 @@
 
 // A stopping router accepts waiting connections though accept fails meanwhile, or its deadline passed before it was
 // called.
-func TestWaitingConnectionsAreAcceptedInSpiteOfFaults(t *testing.T) {
+func TestWaitingConnectionsAreAcceptedDespiteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
 		p := idleRouter(t)
 		begin := time.Now()
-		l := &failing{TCPListener: p.listener, fault: func() error {
+		l := &failingListener{TCPListener: p.listener, fault: func() error {
 			if errno != 0 && time.Since(begin) < 5*lastReadTime {
 				return errno
 			}
@@ -121,18 +121,18 @@
 		}
 		p.mu.Unlock()
 		conn.Close()
-		until(t, "all connections end", p.allClientsClosed)
+		waitFor(t, "all connections end", p.allClientsClosed)
 	}
 }
 
 // A start whose address is still taken, as by a predecessor that was killed, retries; a permanent error is returned
 // at once.
-func TestListenIsTriedAgain(t *testing.T) {
+func TestListenIsRetried(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,17 +152,17 @@
 
 // broken is the router's end of a connection whose reads or writes fail from some time on, or that brings one byte at
 // a time.
-type broken struct {
+type failingConn struct {
 	*net.TCPConn
 	short           bool
 	reading, writes atomic.Pointer[syscall.Errno]
 }
 
-func (b *broken) fails(op string, errno *syscall.Errno) error {
+func (b *failingConn) fails(op string, errno *syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, *errno)}
 }
 
-func (b *broken) Read(p []byte) (int, error) {
+func (b *failingConn) Read(p []byte) (int, error) {
 	if b.short {
 		p = p[:1]
 	}
@@ -173,7 +173,7 @@
 	return n, err
 }
 
-func (b *broken) Write(p []byte) (int, error) {
+func (b *failingConn) Write(p []byte) (int, error) {
 	if errno := b.writes.Load(); errno != nil {
 		return 0, b.fails("write", errno)
 	}
@@ -183,36 +183,36 @@
 // A client connection that breaks, in whatever way, is a client that left: none of its requests is written any more,
 // and no other client notices.
 func TestClientConnectionBreaks(t *testing.T) {
-	held := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
+	held := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
 		if string(a.body) == "body 1" {
 			held <- a
 		} else {
-			good(a)
+			echo(a)
 		}
 	}))
-	other := r.caller(t)
+	other := r.dial(t)
 	nth := 0
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.ENOBUFS, syscall.ENOMEM} {
-		for name, broke := range map[string]func(b *broken, c *caller){
-			"read": func(b *broken, c *caller) {
+		for name, broke := range map[string]func(b *failingConn, c *testClient){
+			"read": func(b *failingConn, c *testClient) {
 				b.reading.Store(&errno)
 				c.conn.Write([]byte{0x93})
 			},
-			"write": func(b *broken, c *caller) {
+			"write": func(b *failingConn, c *testClient) {
 				b.writes.Store(&errno)
 				c.send(0, 2, "isWell", []any{map[string]string{}})
 			},
 		} {
 			ours, theirs := platformtest.ConnPair(t)
 			theirs.SetDeadline(time.Now().Add(5 * time.Second))
-			b := &broken{TCPConn: ours.(*net.TCPConn)}
-			c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
+			b := &failingConn{TCPConn: ours.(*net.TCPConn)}
+			c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
 			client := r.serveClient(b)
 			nth++
 			c.call(1, "once", "ref", fmt.Sprintf("%016x", 1000+nth))
-			var a asked
+			var a receivedFrame
 			select {
 			case a = <-held:
 			case <-time.After(5 * time.Second):
@@ -230,7 +230,7 @@
 			if !j.abandoned.Load() {
 				t.Errorf("%v %s: its request goes on", errno, name)
 			}
-			good(a)
+			echo(a)
 			other.call(nth+1, "again")
 			other.expect(fmt.Sprintf("%d: body %d", nth+1, nth+1))
 		}
@@ -239,11 +239,11 @@
 
 // A connection that brings one byte at a time brings its requests.
 func TestShortReads(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
 	ours, theirs := platformtest.ConnPair(t)
 	theirs.SetDeadline(time.Now().Add(5 * time.Second))
-	c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
-	r.serveClient(&broken{TCPConn: ours.(*net.TCPConn), short: true})
+	c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
+	r.serveClient(&failingConn{TCPConn: ours.(*net.TCPConn), short: true})
 	for n := 1; n <= 3; n++ {
 		c.call(n, "again")
 	}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -13,17 +13,17 @@
 )
 
 // sized is a router that knows many servers and runs no event loop.
-type sized struct {
+type fleetRouter struct {
 	*Router
-	board discovery.State
-	rev   uint64
-	at    control.Micros
+	discoveryState discovery.State
+	revision       uint64
+	clock          control.Micros
 }
 
 // newSized returns one that has a pool of connections to each server.
-func newSized(b testing.TB, servers int) *sized {
+func newFleetRouter(b testing.TB, servers int) *fleetRouter {
 	b.Helper()
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		p.timer.Stop()
 		p.listener.Close()
 	})
-	f := &sized{Router: p, at: p.now()}
+	f := &fleetRouter{Router: p, clock: p.now()}
 	whole := &discovery.UpdateMessage{All: true}
 	for i := range servers {
 		whole.Targets = append(whole.Targets, f.target(i, "ready"))
@@ -47,36 +47,36 @@
 	return f
 }
 
-func (f *sized) target(i int, state string) discovery.EndpointMessage {
+func (f *fleetRouter) target(i int, state string) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
-		Weight: 4, StartedAtMS: int64(f.rev)}
+		Weight: 4, StartedAtMS: int64(f.revision)}
 }
 
 // handle lets the router handle an event in one step, one millisecond after the last.
-func (f *sized) handle(b testing.TB, told *discovery.UpdateMessage) {
-	f.rev++
-	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
+func (f *fleetRouter) handle(b testing.TB, told *discovery.UpdateMessage) {
+	f.revision++
+	meaning, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: told}))
 	if err != nil || meaning != discovery.EndpointsChanged {
 		b.Fatal(meaning, err)
 	}
-	f.handleUpdate(f.at, f.board.Update())
-	f.at += 1000
-	f.step(f.at, nil)
+	f.handleUpdate(f.clock, f.discoveryState.Update())
+	f.clock += 1000
+	f.step(f.clock, nil)
 }
 
 // states are what a server goes through in the benchmark, over and over.
-var states = []string{"draining", "gone", "ready"}
+var serverStates = []string{"draining", "gone", "ready"}
 
 // change moves one server on to its next state.
-func (f *sized) change(b testing.TB, n, servers int) {
-	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
+func (f *fleetRouter) change(b testing.TB, n, servers int) {
+	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
-func TestListChangeAllocatesAlike(t *testing.T) {
+func TestUpdateAllocationsDoNotGrowWithFleet(t *testing.T) {
 	var allocated [2]float64
 	for i, servers := range []int{200, 3200} {
-		f, n := newSized(t, servers), 0
+		f, n := newFleetRouter(t, servers), 0
 		allocated[i] = testing.AllocsPerRun(300, func() {
 			f.change(t, n, servers)
 			n++
@@ -92,18 +92,18 @@
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
-			f := newSized(b, servers)
+			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				f.change(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
-			f := newSized(b, servers)
+			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for b.Loop() {
-				f.at += 500_000
-				f.step(f.at, nil)
+				f.clock += 500_000
+				f.step(f.clock, nil)
 			}
 		})
 	}
--- a/internal/platform/harm_test.go
+++ b/internal/platform/harm_test.go
@@ -11,25 +11,25 @@
 // Trouble with one client, or on its connection, frees no request of its one final answer. Each test here makes one kind.
 
 // Several kinds of bad clients at once cost a well-behaved one none of its answers.
-func TestBadClientsCostNobodyAnAnswer(t *testing.T) {
+func TestBadClientsDoNotAffectOthers(t *testing.T) {
 	const requests = 40
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	usual := r.caller(t)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	usual := r.dial(t)
 	end := make(chan struct{})
 	var all sync.WaitGroup
-	for name, harm := range map[string]func(c *caller, n int){
-		"noise":            func(c *caller, _ int) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"unknown classes":  func(c *caller, n int) { c.call(n, "unheard") },
-		"a number twice":   func(c *caller, _ int) { c.call(1, "again", "ref", "00000000000000ff") },
-		"another's ref":    func(c *caller, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1+n%requests)) },
-		"half and a close": func(c *caller, _ int) { c.conn.Write([]byte{0x94, 0, 1}); c.conn.Close() },
-		"cancels at once": func(c *caller, n int) {
+	for name, harm := range map[string]func(c *testClient, n int){
+		"noise":            func(c *testClient, _ int) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
+		"unknown classes":  func(c *testClient, n int) { c.call(n, "unheard") },
+		"a number twice":   func(c *testClient, _ int) { c.call(1, "again", "ref", "00000000000000ff") },
+		"another's ref":    func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1+n%requests)) },
+		"half and a close": func(c *testClient, _ int) { c.conn.Write([]byte{0x94, 0, 1}); c.conn.Close() },
+		"cancels at once": func(c *testClient, n int) {
 			c.call(2*n, "again", "ref", fmt.Sprintf("%016x", 1<<20+n))
 			c.send(2, "forget", []any{2 * n})
 		},
-		"leaves at once":    func(c *caller, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<30+n)); c.conn.Close() },
-		"reads nothing":     func(c *caller, n int) { c.call(n, "unheard") },
-		"asks for too many": func(c *caller, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<40+n)) },
+		"leaves at once":    func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<30+n)); c.conn.Close() },
+		"reads nothing":     func(c *testClient, n int) { c.call(n, "unheard") },
+		"asks for too many": func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<40+n)) },
 	} {
 		all.Go(func() {
 			for conn := (net.Conn)(nil); ; {
@@ -40,7 +40,7 @@
 					}
 					conn.SetDeadline(time.Now().Add(10 * time.Second))
 				}
-				c := &caller{t: t, conn: conn}
+				c := &testClient{t: t, conn: conn}
 				for n := 1; n <= 50; n++ {
 					harm(c, n)
 					select {
@@ -85,23 +85,23 @@
 // What is open on a connection that turns bad has one answer each, whatever is wrong behind it.
 func TestBadInputBehindOpenRequests(t *testing.T) {
 	const open = 5
-	for name, bad := range map[string]func(c *caller){
-		"noise":          func(c *caller) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"a number twice": func(c *caller) { c.call(open, "again", "ref", "00000000000000ff") },
-		"wrong messages": func(c *caller) {
+	for name, bad := range map[string]func(c *testClient){
+		"noise":          func(c *testClient) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
+		"a number twice": func(c *testClient) { c.call(open, "again", "ref", "00000000000000ff") },
+		"wrong messages": func(c *testClient) {
 			for n := range tolerableFaults + 1 {
 				c.call(100+n, "unheard")
 			}
 		},
-		"a body of 60 MB": func(c *caller) { c.conn.Write([]byte{0x94, 0, 100, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
+		"a body of 60 MB": func(c *testClient) { c.conn.Write([]byte{0x94, 0, 100, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
-		held := make(chan asked, 4*open)
-		r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-		c, ours := r.crossing(t, func(*caller, int, error) {})
+		held := make(chan receivedFrame, 4*open)
+		r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+		c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 		for n := 1; n <= open; n++ {
 			c.call(n, "again")
 		}
-		until(t, "all are open", func() bool {
+		waitFor(t, "all are open", func() bool {
 			ours.mu.Lock()
 			defer ours.mu.Unlock()
 			return len(ours.open) == open
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const settings = `{"balancers": 1, "tick": 1000, "zones": ["east"], "report": {"fields": ["cpu_share"], "how": "on_probe"},
+const settingsText = `{"balancers": 1, "tick": 1000, "zones": ["east"], "report": {"fields": ["cpu_share"], "how": "on_probe"},
 	"ceilings": {"cancel": true, "conn_idle": 15000000, "connect_timeout": 250000, "max_retry_after": 2000000, "retry_after": true,
 		"streams_per_conn": 100, "try_limit": 3},
 	"classes": [{"name": "again", "aim": 1000000, "hard_limit": 4000000, "importance": 1, "semantics": "pure", "window": 0},
@@ -41,7 +41,7 @@
 
 // discoveryServer returns the address of a discovery service that announces nothing but its revision and the given
 // events.
-func discoveryServer(t *testing.T, last int, events ...discovery.Event) string {
+func newDiscoveryServer(t *testing.T, last int, events ...discovery.Event) string {
 	return listen(t, func(c net.Conn) {
 		for _, e := range events {
 			text, _ := json.Marshal(e)
@@ -80,21 +80,21 @@
 }
 
 // asked is one frame that a fake server received.
-type asked struct {
-	code   byte
-	id     uint64
-	fields string
-	body   []byte
-	nth    int // of this server
-	conn   net.Conn
+type receivedFrame struct {
+	code     byte
+	id       uint64
+	fields   string
+	body     []byte
+	sequence int // of this server
+	conn     net.Conn
 }
 
-func (a asked) answer(code byte, id uint64, body string) []byte {
+func (a receivedFrame) answer(code byte, id uint64, body string) []byte {
 	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
 }
 
 // modelServer is a fake model server: do is called for each attempt.
-func modelServer(t *testing.T, do func(a asked)) string {
+func modelServer(t *testing.T, do func(a receivedFrame)) string {
 	var nth atomic.Int32
 	return listen(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -104,31 +104,31 @@
 				return
 			}
 			if f.Code == platformtest.AttemptCode {
-				do(asked{f.Code, f.ID, f.Fields, f.Body, int(nth.Add(1)), c})
+				do(receivedFrame{f.Code, f.ID, f.Fields, f.Body, int(nth.Add(1)), c})
 			}
 		}
 	})
 }
 
 // good answers with the body that it received.
-func good(a asked) { a.conn.Write(a.answer(97, a.id, string(a.body))) }
+func echo(a receivedFrame) { a.conn.Write(a.answer(97, a.id, string(a.body))) }
 
 // running is a router that serves until the test ends.
-type running struct {
+type runningRouter struct {
 	*Router
-	stop  context.CancelFunc
-	ended chan struct{}
+	stop context.CancelFunc
+	done chan struct{}
 }
 
 // configuration returns one without servers.
-func configuration(boardAt string) string {
+func configText(boardAt string) string {
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
-		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, boardAt, settings)
+		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, boardAt, settingsText)
 }
 
-func start(t *testing.T, boardAt string, servers ...string) *running {
+func start(t *testing.T, boardAt string, servers ...string) *runningRouter {
 	t.Helper()
-	told, err := parseConfig([]byte(configuration(boardAt)), Environment{})
+	told, err := parseConfig([]byte(configText(boardAt)), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,32 +137,32 @@
 	}
 	told.History.Revision = uint64(len(servers))
 	r := serve(t, told)
-	until(t, "the router is well, as clients wait for", r.ready.Load)
+	waitFor(t, "the router is well, as clients wait for", r.ready.Load)
 	return r
 }
 
 // serve runs a router until the test ends.
-func serve(t *testing.T, told *Config) *running {
+func serve(t *testing.T, told *Config) *runningRouter {
 	t.Helper()
 	p, err := New(told, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{p, stop, make(chan struct{})}
-	go func() { p.Serve(ctx); close(r.ended) }()
-	t.Cleanup(func() { stop(); <-r.ended })
+	r := &runningRouter{p, stop, make(chan struct{})}
+	go func() { p.Serve(ctx); close(r.done) }()
+	t.Cleanup(func() { stop(); <-r.done })
 	return r
 }
 
 // caller is a client on one connection.
-type caller struct {
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	dec  *msgpack.Decoder
 }
 
-func (r *running) caller(t *testing.T) *caller {
+func (r *runningRouter) dial(t *testing.T) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Address())
 	if err != nil {
@@ -170,10 +170,10 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	return &caller{t, conn, msgpack.NewDecoder(conn)}
+	return &testClient{t, conn, msgpack.NewDecoder(conn)}
 }
 
-func (c *caller) send(v ...any) {
+func (c *testClient) send(v ...any) {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		c.t.Fatal(err)
@@ -181,7 +181,7 @@
 	c.conn.Write(b)
 }
 
-func (c *caller) call(number int, class string, changes ...string) {
+func (c *testClient) call(number int, class string, changes ...string) {
 	f := map[string]string{"ref": fmt.Sprintf("%016x", number), "allow": "1500", "project": "acme", "lookup": "7f3a9c21e0b4d655",
 		"spec": "memory_mb:512;lanes:2"}
 	for i := 0; i < len(changes); i += 2 {
@@ -191,7 +191,7 @@
 }
 
 // receive returns the next answer as "number: text", or what ended the connection.
-func (c *caller) receive() string {
+func (c *testClient) receive() string {
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
 		return "closed"
@@ -208,7 +208,7 @@
 	}
 }
 
-func (c *caller) expect(want string) {
+func (c *testClient) expect(want string) {
 	c.t.Helper()
 	if got := c.receive(); got != want {
 		c.t.Errorf("got %q, want %q", got, want)
@@ -216,7 +216,7 @@
 }
 
 func TestServesRequestUnchanged(t *testing.T) {
-	c := start(t, discoveryServer(t, 1), modelServer(t, good)).caller(t)
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, echo)).dial(t)
 	c.send(0, 1, "isWell", []any{map[string]string{}})
 	c.expect("1: true")
 	c.call(2, "again")
@@ -224,19 +224,19 @@
 }
 
 // spoils are ways in which an answer fails to come.
-var spoils = map[string]func(a asked){
-	"check": func(a asked) { b := a.answer(97, a.id, "x"); b[len(b)-1]++; a.conn.Write(b) },
-	"noise": func(a asked) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
-	"3 GB":  func(a asked) { b := a.answer(97, a.id, "x"); b[4] = 0xc0; a.conn.Write(b) },
-	"reset": func(a asked) { a.conn.Close() },
-	"short": func(a asked) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)-2]) },
+var corruptAnswers = map[string]func(a receivedFrame){
+	"check": func(a receivedFrame) { b := a.answer(97, a.id, "x"); b[len(b)-1]++; a.conn.Write(b) },
+	"noise": func(a receivedFrame) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
+	"3 GB":  func(a receivedFrame) { b := a.answer(97, a.id, "x"); b[4] = 0xc0; a.conn.Write(b) },
+	"reset": func(a receivedFrame) { a.conn.Close() },
+	"short": func(a receivedFrame) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
 // A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
 // safe.
-func TestSpoiltAnswersMayHaveRun(t *testing.T) {
-	for name, spoil := range spoils {
-		c := start(t, discoveryServer(t, 1), modelServer(t, spoil)).caller(t)
+func TestCorruptAnswerMayHaveRun(t *testing.T) {
+	for name, spoil := range corruptAnswers {
+		c := start(t, newDiscoveryServer(t, 1), modelServer(t, spoil)).dial(t)
 		c.call(1, "once")
 		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
@@ -245,15 +245,15 @@
 }
 
 // An idempotent one runs again, on another connection; the server is not ejected.
-func TestSpoiltAnswersRunAgain(t *testing.T) {
+func TestCorruptAnswerIsRetried(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
-		c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
-			if a.nth == 1 {
-				spoils[name](a)
+		c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+			if a.sequence == 1 {
+				corruptAnswers[name](a)
 			} else {
-				good(a)
+				echo(a)
 			}
-		})).caller(t)
+		})).dial(t)
 		c.call(1, "again")
 		if got := c.receive(); got != "1: body 1" {
 			t.Errorf("%s: got %q", name, got)
@@ -262,14 +262,14 @@
 }
 
 // Answers to nothing are dropped, and the connection stays.
-func TestSurplusAnswersAreDropped(t *testing.T) {
+func TestUnsolicitedAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
 		a.conn.Write(a.answer(97, a.id+1, "not yours"))
-		good(a)
-		good(a)
+		echo(a)
+		echo(a)
 		conns <- a.conn
-	})).caller(t)
+	})).dial(t)
 	for n := 1; n <= 3; n++ {
 		c.call(n, "again")
 		c.expect(fmt.Sprintf("%d: body %d", n, n))
@@ -282,36 +282,36 @@
 	}
 }
 
-func TestFullServerProvesNothingRan(t *testing.T) {
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { a.conn.Write(a.answer(100, a.id, "")) })).caller(t)
+func TestOverloadedServerMeansNotRun(t *testing.T) {
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { a.conn.Write(a.answer(100, a.id, "")) })).dial(t)
 	c.call(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
-func TestBadInputIsAnsweredOrClosed(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	for name, bad := range map[string]func(c *caller){
-		"an unknown class":   func(c *caller) { c.call(1, "unheard") },
-		"an unknown project": func(c *caller) { c.call(1, "again", "project", "nobody") },
-		"a huge patience":    func(c *caller) { c.call(1, "again", "allow", "86400000") },
-		"no mark":            func(c *caller) { c.call(1, "marked") },
-		"too much memory":    func(c *caller) { c.call(1, "again", "spec", "memory_mb:5000") },
-		"a body of 60 MB":    func(c *caller) { c.conn.Write([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
+func TestInvalidRequestsAreAnswered(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	for name, bad := range map[string]func(c *testClient){
+		"an unknown class":   func(c *testClient) { c.call(1, "unheard") },
+		"an unknown project": func(c *testClient) { c.call(1, "again", "project", "nobody") },
+		"a huge patience":    func(c *testClient) { c.call(1, "again", "allow", "86400000") },
+		"no mark":            func(c *testClient) { c.call(1, "marked") },
+		"too much memory":    func(c *testClient) { c.call(1, "again", "spec", "memory_mb:5000") },
+		"a body of 60 MB":    func(c *testClient) { c.conn.Write([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
-		c := r.caller(t)
+		c := r.dial(t)
 		bad(c)
 		if got := c.receive(); got != "1: Invalid" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
-	c := r.caller(t)
+	c := r.dial(t)
 	c.call(1, "again") // nobody else is harmed
 	c.expect("1: body 1")
 }
 
 // Of two requests with one id neither is served, since they can't be told apart.
-func TestRefTwiceServesNeither(t *testing.T) {
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
+func TestDuplicateRequestIDFailsBoth(t *testing.T) {
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {})).dial(t)
 	c.call(1, "again")
 	c.call(2, "again", "ref", fmt.Sprintf("%016x", 1))
 	c.expect("1: Invalid")
@@ -319,9 +319,9 @@
 }
 
 // Answers to one number can't be told apart: no request of such a connection gets one that counts.
-func TestNumberTwiceEndsTheConnection(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {}))
-	c := r.caller(t)
+func TestDuplicateNumberClosesConnection(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {}))
+	c := r.dial(t)
 	c.call(1, "again")
 	c.call(1, "again", "ref", "00000000000000ff")
 	c.expect("1: Invalid")
@@ -330,10 +330,10 @@
 }
 
 func TestSilentConnectionsAreClosed(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	silent, half := r.caller(t), r.caller(t)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	silent, half := r.dial(t), r.dial(t)
 	half.conn.Write([]byte{0x94, 0, 1})
-	for _, c := range []*caller{silent, half} {
+	for _, c := range []*testClient{silent, half} {
 		c.conn.SetDeadline(time.Now().Add(3 * time.Second))
 		if _, err := c.conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 			t.Errorf("open after 3 s: %v", err)
@@ -342,7 +342,7 @@
 }
 
 func TestMoreThan32OpenAreRejected(t *testing.T) {
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(asked) {})).caller(t)
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {})).dial(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
 		c.call(n, "again")
 	}
@@ -350,22 +350,22 @@
 }
 
 // Connections beyond the limit make room among those that never sent a message.
-func TestManySilentConnectionsLeaveRoom(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
+func TestSilentConnectionsMakeRoom(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
 	for range r.maxClients + 20 {
-		r.caller(t)
+		r.dial(t)
 	}
-	c := r.caller(t)
+	c := r.dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 }
 
 // So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
-func TestManyHalfMessagesLeaveRoom(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	usual := r.caller(t)
+func TestPartialMessagesMakeRoom(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	usual := r.dial(t)
 	for n := 1; n <= r.maxClients; n++ {
-		half, stays := r.caller(t), r.caller(t)
+		half, stays := r.dial(t), r.dial(t)
 		half.conn.Write([]byte{0x94, 0, 1})
 		stays.send(0, 1, "isWell", []any{map[string]string{}})
 		usual.call(n, "again")
@@ -379,26 +379,26 @@
 }
 
 func TestCancelledRequestIsNotAnswered(t *testing.T) {
-	got := make(chan asked, 1)
-	c := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) {
-		if a.nth == 1 {
+	got := make(chan receivedFrame, 1)
+	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+		if a.sequence == 1 {
 			got <- a
 		} else {
-			good(a)
+			echo(a)
 		}
-	})).caller(t)
+	})).dial(t)
 	c.call(1, "again")
 	a := <-got
 	c.send(2, "forget", []any{1})
 	time.Sleep(20 * time.Millisecond)
-	good(a)
+	echo(a)
 	c.call(2, "again")
 	c.expect("2: body 2")
 }
 
 // A server that drains between the choice and the first byte gets nothing.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
 	done := make(chan bool)
 	r.queue.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
@@ -413,7 +413,7 @@
 		s.conn = r.newServerConn(now, pl)
 		s.conn.open[1] = s
 		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
-		done <- s.progress.Ended && !s.begun()
+		done <- s.progress.Ended && !s.beginsWrite()
 	})
 	if !<-done {
 		t.Error("it could still be written")
@@ -421,11 +421,11 @@
 }
 
 // A new server at the address of a removed one has connections of its own.
-func TestAddressOfAnotherServer(t *testing.T) {
+func TestReusedAddressGetsOwnConnections(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	address := modelServer(t, func(a asked) { good(a); conns <- a.conn })
-	r := start(t, discoveryServer(t, 1), address)
-	c := r.caller(t)
+	address := modelServer(t, func(a receivedFrame) { echo(a); conns <- a.conn })
+	r := start(t, newDiscoveryServer(t, 1), address)
+	c := r.dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 	r.queue.Post(func(now control.Micros) {
@@ -440,14 +440,14 @@
 
 // After a reload the router asks the new discovery address, and requests in flight stay.
 func TestReload(t *testing.T) {
-	first := make(chan asked, 1)
-	old, other := modelServer(t, func(a asked) { first <- a }), modelServer(t, good)
-	r := start(t, discoveryServer(t, 1), old)
-	c := r.caller(t)
+	first := make(chan receivedFrame, 1)
+	old, other := modelServer(t, func(a receivedFrame) { first <- a }), modelServer(t, echo)
+	r := start(t, newDiscoveryServer(t, 1), old)
+	c := r.dial(t)
 	c.call(1, "again")
 	a := <-first
 	fresh := *r.config
-	fresh.DiscoveryAddress = discoveryServer(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
+	fresh.DiscoveryAddress = newDiscoveryServer(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
 	r.Reload(&fresh)
 	for n := 2; ; n++ {
 		c.call(n, "again", "allow", "200")
@@ -458,37 +458,37 @@
 			t.Fatal("the new server was never used")
 		}
 	}
-	good(a)
+	echo(a)
 	c.expect("1: body 1")
 }
 
 // A stopping router serves for a little longer, answers the requests in flight, and ends.
-func TestStop(t *testing.T) {
-	first := make(chan asked, 2)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { first <- a }))
-	c := r.caller(t)
+func TestGracefulShutdown(t *testing.T) {
+	first := make(chan receivedFrame, 2)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { first <- a }))
+	c := r.dial(t)
 	c.call(1, "again")
 	a := <-first
 	r.stop()
 	time.Sleep(200 * time.Millisecond)
-	late := r.caller(t)
+	late := r.dial(t)
 	late.send(0, 1, "isWell", []any{map[string]string{}})
 	late.expect("1: false")
 	late.call(2, "again", "ref", "00000000000000ff")
-	good(<-first)
+	echo(<-first)
 	late.expect("2: body 2")
 	time.Sleep(acceptConnectionsFor)
-	good(a)
+	echo(a)
 	c.expect("1: body 1")
 	select {
-	case <-r.ended:
+	case <-r.done:
 	case <-time.After(2 * time.Second):
 		t.Error("it goes on with nothing in hand")
 	}
 }
 
 // The connection to a peer that does not read is closed once too many bytes are queued.
-func TestOutboxIsBounded(t *testing.T) {
+func TestWriteQueueIsBounded(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	o := &writeQueue{conn: ours, maxQueuedBytes: 1000}
@@ -501,11 +501,11 @@
 	}
 }
 
-func TestConfigurationFaults(t *testing.T) {
+func TestInvalidConfigurations(t *testing.T) {
 	for name, text := range map[string]string{"half a file": `{"name": "n0", "list`, "no settings": `{"listen": "127.0.0.1:1"}`,
-		"no address": `{"listen": "here", "board": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256}, "settings": ` + settings + `}`,
-		"a bad seed": `{"listen": "127.0.0.1:1", "board": "127.0.0.1:1", "seed": "-", "limits": {"sockets": 256}, "settings": ` + settings + `}`,
-		"few sockets": `{"listen": "127.0.0.1:1", "board": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 8}, "settings": ` + settings +
+		"no address": `{"listen": "here", "board": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 256}, "settings": ` + settingsText + `}`,
+		"a bad seed": `{"listen": "127.0.0.1:1", "board": "127.0.0.1:1", "seed": "-", "limits": {"sockets": 256}, "settings": ` + settingsText + `}`,
+		"few sockets": `{"listen": "127.0.0.1:1", "board": "127.0.0.1:1", "seed": "1", "limits": {"sockets": 8}, "settings": ` + settingsText +
 			`}`,
 	} {
 		file := filepath.Join(t.TempDir(), "config.json")
@@ -519,7 +519,7 @@
 }
 
 // The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
-func TestLateIsAsLateAsAChoiceIsWritten(t *testing.T) {
+func TestMaxCommandDelayMatchesWriteDeadline(t *testing.T) {
 	p := idleRouter(t)
 	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
 		t.Errorf("written %d late, told %d", s.writeBefore-s.chosenAt, p.config.Deployment.MaxCommandDelay)
@@ -528,7 +528,7 @@
 
 // Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
+	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/server_faults_test.go
+++ b/internal/platform/server_faults_test.go
@@ -15,13 +15,13 @@
 )
 
 // faulty is a server connection on which reads fail once a request is written.
-type faulty struct {
+type failingReadConn struct {
 	*net.TCPConn
-	asked <-chan asked
+	asked <-chan receivedFrame
 	err   error
 }
 
-func (f *faulty) Read([]byte) (int, error) {
+func (f *failingReadConn) Read([]byte) (int, error) {
 	<-f.asked
 	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
 }
@@ -29,7 +29,7 @@
 // Each system call towards a server fails with each error, once, for a while, or for good. Each row is a
 // non-idempotent request: it has one final answer in time, runs at most once, and the server is not blamed for what
 // may be a local failure.
-func TestCallsFail(t *testing.T) {
+func TestSystemCallErrors(t *testing.T) {
 	const once, while, forGood = time.Nanosecond, 100 * time.Millisecond, time.Hour
 	const served, refused, mayHaveRun = "1: body 1", "1: TryLater", "1: Aborted"
 	type row struct {
@@ -75,14 +75,14 @@
 				now := time.Now().UnixNano()
 				return first.CompareAndSwap(0, now) || time.Duration(now-first.Load()) < row.lasts && row.lasts > once
 			}
-			out := make(chan asked, 8)
-			address := modelServer(t, func(a asked) {
+			out := make(chan receivedFrame, 8)
+			address := modelServer(t, func(a receivedFrame) {
 				runs.Add(1)
 				if row.call == "read" && !mended.Load() {
 					out <- a
 					return
 				}
-				good(a)
+				echo(a)
 			})
 			r, noted := startLogged(t, func(p *Router) {
 				longGrace(p)
@@ -92,7 +92,7 @@
 					}
 					conn, err := systemCalls.dial(ctx, address)
 					if err == nil && fails("read") {
-						return &faulty{conn.(*net.TCPConn), out, row.err}, nil
+						return &failingReadConn{conn.(*net.TCPConn), out, row.err}, nil
 					}
 					return conn, err
 				}
@@ -106,11 +106,11 @@
 					return syscall.Write(fd, b)
 				}
 			}, address)
-			c := r.caller(t)
+			c := r.dial(t)
 			begun := time.Now()
 			c.call(1, "once")
 			c.expect(row.want)
-			if took := time.Since(begun); took > allowed+500*time.Millisecond {
+			if took := time.Since(begun); took > clientTimeout+500*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
 			if n := runs.Load(); n > 1 || n == 1 != (row.want != refused) {
@@ -130,7 +130,7 @@
 }
 
 // A first byte that is retried again and again does not delay its connection's end: the event loop may close it.
-func TestCloseDoesNotWaitForAFirstByte(t *testing.T) {
+func TestCloseDoesNotWaitForFirstByte(t *testing.T) {
 	ours, _ := platformtest.ConnPair(t)
 	tried := make(chan bool, 1)
 	o := &writeQueue{conn: ours, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
@@ -147,7 +147,7 @@
 	if took := time.Since(begun); took > writeTimeout/4 {
 		t.Errorf("the close took %v", took)
 	}
-	until(t, "the writer ends", func() bool {
+	waitFor(t, "the writer ends", func() bool {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		return !o.writing
--- a/internal/platform/stalls_test.go
+++ b/internal/platform/stalls_test.go
@@ -7,7 +7,7 @@
 )
 
 // What is read during a stall, or soon after it, may have come since it began; what is read later came when it was read.
-func TestPulseKnowsStandstills(t *testing.T) {
+func TestStallDetector(t *testing.T) {
 	const second = control.Micros(1_000_000)
 	var u stallDetector
 	if got := u.earliestArrival(second); got != second {
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -15,7 +15,7 @@
 )
 
 // All times of the shutdown follow from the longest deadline: before the earliest kill all is answered and closed.
-func TestStopEndsBeforeTheKill(t *testing.T) {
+func TestShutdownEndsBeforeKill(t *testing.T) {
 	const second = 1_000_000
 	for longest, ends := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
 		3 * second: 800_000, 30 * second: 800_000} {
@@ -35,10 +35,10 @@
 }
 
 // Requests in flight when the kill is near are answered; those that were never written are told that a retry is safe.
-func TestStopAnswersWhatIsInHand(t *testing.T) {
-	held := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-	c := r.caller(t)
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
+	held := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+	c := r.dial(t)
 	c.call(1, "once")
 	<-held
 	r.queue.Post(func(now control.Micros) { // chosen, and not written yet
@@ -52,11 +52,11 @@
 }
 
 // A request that may have run is rejected, for another router, where repeating it is safe.
-func TestStopSendsElsewhereWhatMayRepeat(t *testing.T) {
-	held := make(chan asked, 1)
+func TestShutdownRejectsRetryableRequests(t *testing.T) {
+	held := make(chan receivedFrame, 1)
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
-		r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-		c := r.caller(t)
+		r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+		c := r.dial(t)
 		c.call(1, class)
 		<-held
 		r.queue.Post(func(control.Micros) { r.answerOpen() })
@@ -65,10 +65,10 @@
 }
 
 // Near the kill only held requests are rejected, and of those the ones whose deadline is after it.
-func TestStopPushesBackHeldJobsFirst(t *testing.T) {
-	held := make(chan asked, 1)
-	r := start(t, discoveryServer(t, 1), modelServer(t, func(a asked) { held <- a }))
-	c := r.caller(t)
+func TestShutdownRejectsHeldRequestsFirst(t *testing.T) {
+	held := make(chan receivedFrame, 1)
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+	c := r.dial(t)
 	c.call(1, "again")
 	a := <-held
 	r.queue.Post(func(now control.Micros) {
@@ -89,15 +89,15 @@
 	})
 	c.expect("3: TryLater")
 	c.expect("2: TryLater")
-	good(a)
+	echo(a)
 	c.expect("1: body 1")
 }
 
 // A client that always has something open does not keep its connection: each request is answered, or crosses the
 // close.
-func TestSteadyClientIsClosed(t *testing.T) {
-	r := start(t, discoveryServer(t, 1), modelServer(t, good))
-	c, ours := r.crossing(t, func(*caller, int, error) {})
+func TestBusyClientConnectionIsClosed(t *testing.T) {
+	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
 	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
 	open := make(chan struct{}, maxOpenPerClient) // no more: it is a usual client otherwise
 	var both sync.WaitGroup
@@ -121,7 +121,7 @@
 			c.call(n, "again")
 		}
 	})
-	until(t, "it is answered steadily", func() bool {
+	waitFor(t, "it is answered steadily", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
 		return ours.lastNumber > 100
@@ -145,23 +145,23 @@
 }
 
 // instant is a connection on which nothing comes; a read of it takes no time.
-type instant struct{ net.Conn }
+type emptyConn struct{ net.Conn }
 
 // nothing is the descriptor of an instant.
-type nothing struct{}
+type emptyRawConn struct{}
 
-func (instant) SyscallConn() (syscall.RawConn, error) { return nothing{}, nil }
-func (nothing) Control(func(uintptr)) error           { return nil }
-func (nothing) Read(func(uintptr) bool) error         { return os.ErrDeadlineExceeded }
-func (nothing) Write(func(uintptr) bool) error        { return nil }
+func (emptyConn) SyscallConn() (syscall.RawConn, error) { return emptyRawConn{}, nil }
+func (emptyRawConn) Control(func(uintptr)) error        { return nil }
+func (emptyRawConn) Read(func(uintptr) bool) error      { return os.ErrDeadlineExceeded }
+func (emptyRawConn) Write(func(uintptr) bool) error     { return nil }
 
 // A reader whose deadline passes at this very moment ends, and does not loop: the clock may stand still meanwhile.
-func TestReaderEndsOnTheMoment(t *testing.T) {
+func TestReaderEndsAtDeadline(t *testing.T) {
 	p := idleRouter(t)
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := &clientConn{router: p, conn: ours, in: &deadlineReader{conn: instant{ours}}, open: map[uint32]*request{1: {}}}
+		c := &clientConn{router: p, conn: ours, in: &deadlineReader{conn: emptyConn{ours}}, open: map[uint32]*request{1: {}}}
 		c.sentMessage.Store(true)
 		c.closeBy(finalReadTime)
 		if c.awaitMessage(msgrpc.NewReader(c.in), time.Now()) {
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -19,12 +19,12 @@
 
 // stalling is the router's end of a client connection: while a test holds the lock, nothing is read, as by a reader
 // that waits for the processor.
-type stalling struct {
+type lockedConn struct {
 	*net.TCPConn
 	sync.RWMutex
 }
 
-func (s *stalling) Read(b []byte) (int, error) {
+func (s *lockedConn) Read(b []byte) (int, error) {
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -42,12 +42,12 @@
 }
 
 // leaving are the ways in which a client stops waiting for its request 1.
-var leaving = map[string]func(c *caller){
-	"cancels":     func(c *caller) { c.send(2, "forget", []any{1}) },
-	"closes":      func(c *caller) { c.conn.Close() },
-	"half closes": func(c *caller) { c.conn.(*net.TCPConn).CloseWrite() },
-	"resets":      func(c *caller) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
-	"cancels behind another request": func(c *caller) {
+var departures = map[string]func(c *testClient){
+	"cancels":     func(c *testClient) { c.send(2, "forget", []any{1}) },
+	"closes":      func(c *testClient) { c.conn.Close() },
+	"half closes": func(c *testClient) { c.conn.(*net.TCPConn).CloseWrite() },
+	"resets":      func(c *testClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
+	"cancels behind another request": func(c *testClient) {
 		c.call(2, "again", "lookup", "00000000000000ff")
 		c.send(2, "forget", []any{1})
 		c.send(2, "forget", []any{2})
@@ -55,9 +55,9 @@
 }
 
 // A client leaves while its attempt waits, and nobody reads that for long: no first byte follows.
-func TestLeavingLiesUnread(t *testing.T) {
+func TestUnreadDepartureWithdrawsAttempt(t *testing.T) {
 	const unread, watched = 130 * time.Millisecond, 300 * time.Millisecond
-	for how, leave := range leaving {
+	for how, leave := range departures {
 		for where, way := range map[string]struct {
 			dial   func(conn net.Conn, filled chan<- int, left <-chan bool)
 			accept func(c net.Conn, filled <-chan int, left <-chan bool)
@@ -80,7 +80,7 @@
 				t.Parallel()
 				waits, left, filled, first := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
 				var nth atomic.Int32
-				server := narrow(t, func(c net.Conn) {
+				server := listenNarrow(t, func(c net.Conn) {
 					if way.accept != nil && nth.Add(1) == 1 {
 						waits <- true
 						way.accept(c, filled, left)
@@ -105,9 +105,9 @@
 					}
 				}, server)
 				ours, theirs := platformtest.ConnPair(t)
-				stalled := &stalling{TCPConn: ours.(*net.TCPConn)}
+				stalled := &lockedConn{TCPConn: ours.(*net.TCPConn)}
 				r.serveClient(stalled)
-				c := &caller{t, theirs, msgpack.NewDecoder(theirs)}
+				c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
 				c.call(1, "again")
 				<-waits
 				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
@@ -127,8 +127,8 @@
 }
 
 // What a trackedConn knows of unread input while its reader does not return.
-func TestSeenKnowsWhatIsUnread(t *testing.T) {
-	for how, leave := range leaving {
+func TestTrackedConnDetectsUnreadInput(t *testing.T) {
+	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
 			ours, theirs := platformtest.ConnPair(t)
 			s := newTrackedConn(ours)
@@ -151,8 +151,8 @@
 			if !s.upToDate(later()) {
 				t.Error("nothing is unread")
 			}
-			leave(&caller{t, theirs, msgpack.NewDecoder(theirs)})
-			until(t, "it is told that something is unread", func() bool {
+			leave(&testClient{t, theirs, msgpack.NewDecoder(theirs)})
+			waitFor(t, "it is told that something is unread", func() bool {
 				s.asOf = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
 				return !s.upToDate(time.Now())
 			})
--- a/internal/platform/trouble_test.go
+++ b/internal/platform/trouble_test.go
@@ -18,9 +18,9 @@
 )
 
 // Whatever goes wrong at the only server, each request has its one final answer in time.
-func TestTroubleAtTheServer(t *testing.T) {
+func TestServerFaultsLeaveOneAnswerEach(t *testing.T) {
 	type serve func(c net.Conn)
-	do := func(act func(a asked)) serve { // act on each request
+	do := func(act func(a receivedFrame)) serve { // act on each request
 		return func(c net.Conn) {
 			for in := bufio.NewReader(c); ; {
 				f, err := platformtest.ReadFrame(in)
@@ -28,23 +28,23 @@
 					return
 				}
 				if f.Code == platformtest.AttemptCode {
-					act(asked{f.Code, f.ID, f.Fields, f.Body, 0, c})
+					act(receivedFrame{f.Code, f.ID, f.Fields, f.Body, 0, c})
 				}
 			}
 		}
 	}
 	ways := map[string]serve{
-		"silent":           do(func(asked) {}),
+		"silent":           do(func(receivedFrame) {}),
 		"reads nothing":    func(net.Conn) { <-t.Context().Done() },
 		"closes at once":   func(net.Conn) {},
-		"another's answer": do(func(a asked) { a.conn.Write(a.answer(97, a.id+1, "x")) }),
-		"half and silent":  do(func(a asked) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)/2]) }),
-		"resets": do(func(a asked) {
+		"another's answer": do(func(a receivedFrame) { a.conn.Write(a.answer(97, a.id+1, "x")) }),
+		"half and silent":  do(func(a receivedFrame) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)/2]) }),
+		"resets": do(func(a receivedFrame) {
 			a.conn.(*net.TCPConn).SetLinger(0)
 			a.conn.Close()
 		}),
 	}
-	for name, spoil := range spoils {
+	for name, spoil := range corruptAnswers {
 		ways["spoilt: "+name] = do(spoil)
 	}
 	for name, way := range ways {
@@ -63,17 +63,17 @@
 						}
 						return conn, err
 					}
-				}, narrow(t, way))
+				}, listenNarrow(t, way))
 				const clients, each = 6, maxOpenPerClient
-				var callers []*caller
+				var callers []*testClient
 				begun := time.Now()
 				for i := range clients {
-					c := r.caller(t)
+					c := r.dial(t)
 					callers = append(callers, c)
 					go func() {
 						for n := 1; n <= each; n++ {
 							c.send(0, n, []string{"again", "once"}[n%2], []any{map[string]string{"ref": fmt.Sprintf("%016x", i*each+n),
-								"allow": fmt.Sprint(allowed.Milliseconds()), "project": "acme", "lookup": "7f3a9c21e0b4d655",
+								"allow": fmt.Sprint(clientTimeout.Milliseconds()), "project": "acme", "lookup": "7f3a9c21e0b4d655",
 								"spec": "memory_mb:512;lanes:2"}, make([]byte, msgrpc.MaxBody)})
 						}
 					}()
@@ -87,7 +87,7 @@
 						}
 						answers[fmt.Sprint(v[1])]++
 					}
-					if took := time.Since(begun); took > allowed+500*time.Millisecond {
+					if took := time.Since(begun); took > clientTimeout+500*time.Millisecond {
 						t.Errorf("the last answer came after %v", took)
 					}
 					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
@@ -101,7 +101,7 @@
 }
 
 // A server's write queue that overflows ends all that is queued on it, provably never sent.
-func TestFullQueueEndsWhatWaits(t *testing.T) {
+func TestWriteQueueOverflowEndsQueuedCalls(t *testing.T) {
 	p := idleRouter(t)
 	p.maxServerConns = 1
 	p.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
@@ -114,7 +114,7 @@
 		p.dispatch(p.now(), s, make([]byte, maxUnreadByServer*2/5)) // two of them have room
 		all = append(all, s)
 	}
-	until(t, "all have ended", func() bool {
+	waitFor(t, "all have ended", func() bool {
 		p.step(p.now(), p.queue.Drain(nil))
 		return !slices.ContainsFunc(all, func(s *serverCall) bool { return !s.progress.Ended })
 	})
