--- a/internal/platform/changes_test.go
+++ b/internal/platform/changes_test.go
@@ -15,43 +15,43 @@
 	"hollymast/internal/fleet"
 )
 
-// replaced is a router whose server connections are never dialled.
+// undialledRouter is a router whose server connections are never dialled.
 type undialledRouter struct {
 	*Router
-	calls []*serverCall
+	issued []*serverCall
 }
 
-// open puts a load command in flight to a server, written or not, on a connection that is connected or not yet.
+// addCall puts a load command in flight to a server, written or not, on a connection that is connected or not yet.
 func (r *undialledRouter) addCall(now control.Micros, to control.ServerID, written, up bool) {
 	if s := r.fleet.Get(to); s == nil || s.State != control.Ready {
 		return
 	}
-	s := r.newCall(to, 1_000_000)
-	s.load.Server, s.id = to, r.loadCommandID()
-	pl := r.poolOf(to)
-	for _, l := range pl.conns {
-		if !l.retired && len(l.open) == 0 {
-			s.conn = l
+	call := r.newCall(to, 1_000_000)
+	call.load.Server, call.id = to, r.loadCommandID()
+	pool := r.poolOf(to)
+	for _, sc := range pool.conns {
+		if !sc.retired && len(sc.open) == 0 {
+			call.conn = sc
 		}
 	}
-	if s.conn == nil {
-		s.conn = r.newServerConn(now, pl)
-		s.conn.up = written || up
+	if call.conn == nil {
+		call.conn = r.newServerConn(now, pool)
+		call.conn.up = written || up
 	}
-	s.conn.open[s.id] = s
-	s.timer = r.timer // which ends nothing here
+	call.conn.open[call.id] = call
+	call.timer = r.timer // which ends nothing here
 	if written {
-		s.stage.Store(int32(attempt.Writing))
+		call.stage.Store(int32(attempt.Writing))
 	}
-	r.calls = append(r.calls, s)
+	r.issued = append(r.issued, call)
 }
 
-// pooled describes each connection, by server and in order of creation, except those that are dropped.
+// describeConns describes each connection, by server and in order of creation, except those that are dropped.
 func (r *undialledRouter) describeConns(dropped func(l *serverConn) bool) []string {
 	var out []string
-	for id, pl := range r.pools {
-		line, stay := fmt.Sprintf("%016x at %s born %d:", uint64(id), pl.address, pl.startedAt), 0
-		for _, l := range pl.conns {
+	for id, pool := range r.pools {
+		line, stay := fmt.Sprintf("%016x at %s started %d:", uint64(id), pool.address, pool.startedAt), 0
+		for _, l := range pool.conns {
 			if !dropped(l) {
 				stay++
 				line += fmt.Sprintf(" %d open, up %t, retired %t, since %d;", len(l.open), l.up, l.retired, l.idleSince)
@@ -65,11 +65,11 @@
 	return out
 }
 
-// all describes the connections and what was sent.
+// describe describes the connections and calls.
 func (r *undialledRouter) describe() []string {
 	out := r.describeConns(func(*serverConn) bool { return false })
-	for _, s := range r.calls {
-		out = append(out, fmt.Sprintf("%d %v %t", s.id, s.currentStage(), s.progress.Ended))
+	for _, call := range r.issued {
+		out = append(out, fmt.Sprintf("%d %v %t", call.id, call.currentStage(), call.progress.Ended))
 	}
 	return append(out, fmt.Sprint(r.serverConnCount, " connections, ", len(r.pools), " pools"))
 }
@@ -82,15 +82,15 @@
 	})
 	r.prune(now)
 	if got := r.describeConns(func(*serverConn) bool { return false }); !slices.Equal(got, want) || len(r.pools) != len(want) {
-		t.Fatalf("pruned to\n%q, a look at all gives\n%q", got, want)
+		t.Fatalf("pruned to\n%q, a scan of all gives\n%q", got, want)
 	}
 }
 
-// idle returns the connected connections with nothing open, the least recently used first.
+// idleConns returns the connected connections with nothing open, the least recently used first.
 func (r *undialledRouter) idleConns() []*serverConn {
 	var out []*serverConn
-	for _, pl := range r.pools {
-		for _, l := range pl.conns {
+	for _, pool := range r.pools {
+		for _, l := range pool.conns {
 			if len(l.open) == 0 && l.up {
 				out = append(out, l)
 			}
@@ -141,10 +141,10 @@
 					r.addCall(now, to, written, up)
 				}
 			}
-			if n := len(both[0].calls); n > 0 && rapid.Bool().Draw(rt, "answered") {
+			if n := len(both[0].issued); n > 0 && rapid.Bool().Draw(rt, "answered") {
 				i := rapid.IntRange(0, n-1).Draw(rt, "which")
 				for _, r := range both {
-					r.callEnded(now, r.calls[i], control.Succeeded, nil)
+					r.callEnded(now, r.issued[i], control.Succeeded, nil)
 				}
 			}
 			prune, free := rapid.Bool().Draw(rt, "prune"), rapid.IntRange(0, 4).Draw(rt, "free") == 0
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -9,64 +9,47 @@
 	"hollymast/control"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
-)
 
-// steppedRouter returns a router whose wall clock was ahead by step when it started. The test runs its event-loop
-// steps.
-func steppedRouter(t *testing.T, step time.Duration) *Router {
-	t.Helper()
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	told.wall = func() time.Time { return time.Now().Add(step) }
-	return newRouter(t, told)
-}
+	"github.com/rs/zerolog"
+)
 
 // The wall clock was ahead or behind when this router started, and is right when a server starts: the start time that
 // the balancer is given is bounded by when the endpoint list was last complete without the server.
 func TestStartTimeIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
-		p := steppedRouter(t, step)
-		complete := p.now()
-		p.endpointsCompleteAsOf = complete
-		p.step(complete, nil)
-		time.Sleep(2 * time.Millisecond)
-		started := time.Now()
-		time.Sleep(2 * time.Millisecond)
-		now := p.now()
-		p.step(now, []func(control.Micros){func(control.Micros) {
-			p.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
+		r := steppedRouter(t, step)
+		complete, wall := r.now(), time.Now()
+		r.endpointsCompleteAsOf = complete
+		r.step(complete, nil)
+		started, now := wall.Add(2*time.Millisecond), complete+4000
+		r.step(now, []func(control.Micros){func(control.Micros) {
+			r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: unreachable, Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
 		}})
-		if s := p.fleet.Get(fleet.ID("s-0")); !s.InSlowStart(complete, 1) || s.InSlowStart(now, 0) {
+		if s := r.fleet.Get(fleet.ID("s-0")); !s.InSlowStart(complete, 1) || s.InSlowStart(now, 0) {
 			t.Errorf("step %v: the server began more than %v ago, or after now", step, duration(now-complete))
 		}
 	}
 }
 
-// newcomer runs a router whose server is replaced by one in slow start that claims to have started a while ago. It
+// attemptsInSlowStart runs a router whose server is replaced by one in slow start that claims to have started a while ago. It
 // returns the attempts there in the first part of slow start and in one after its end.
 func attemptsInSlowStart(t *testing.T, ago time.Duration) (first, last int) {
-	const cold, part = 2 * time.Second, time.Second
-	old, fresh := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	known := platformtest.Event(1, "s-0", old.Address(), "ready")
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
-	told, err := parseConfig([]byte(platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), known)), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	d := &told.Deployment
-	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(cold.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
-	r := serve(t, told)
-	waitFor(t, "the router is well", r.ready.Load)
-	ended := make(chan struct{})
+	const slowStart, part = 2 * time.Second, time.Second
+	previous, next := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
+	known := platformtest.Event(1, "s-0", previous.Address(), "ready")
+	discovery := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
+	config := parse(t, platformtest.Deployment{Grace: time.Second}.Configuration(discovery.Address(), known))
+	d := &config.Deployment
+	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(slowStart.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
+	r := serveReady(t, newRouter(t, config, zerolog.Nop()))
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for i := range 24 {
 		c := platformtest.Dial(t, r.Address())
 		clients.Go(func() {
 			for {
 				select {
-				case <-ended:
+				case <-done:
 					return
 				case <-time.After(40 * time.Millisecond):
 					c.Call(rand.Uint64(), uint64(i%4)+1)
@@ -75,21 +58,21 @@
 			}
 		})
 	}
-	defer func() { close(ended); clients.Wait() }()
-	time.Sleep(cold) // the usual pace of answers is known
+	defer func() { close(done); clients.Wait() }()
+	time.Sleep(slowStart) // the usual pace of answers is known
 	start := time.Now()
-	next := platformtest.Event(2, "s-1", fresh.Address(), "ready")
-	next.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
-	plane.Publish(next)
-	plane.Publish(platformtest.Event(3, "s-0", old.Address(), "gone"))
-	time.Sleep(cold + part + part/2)
-	for _, f := range fresh.Received() {
+	added := platformtest.Event(2, "s-1", next.Address(), "ready")
+	added.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
+	discovery.Publish(added)
+	discovery.Publish(platformtest.Event(3, "s-0", previous.Address(), "gone"))
+	time.Sleep(slowStart + part + part/2)
+	for _, f := range next.Received() {
 		age := f.At.Sub(start)
 		switch {
 		case f.Code != platformtest.AttemptCode:
 		case age < part:
 			first++
-		case age > cold+part/2 && age < cold+part+part/2:
+		case age > slowStart+part/2 && age < slowStart+part+part/2:
 			last++
 		}
 	}
@@ -105,14 +88,14 @@
 	ago := []time.Duration{0, time.Hour, -time.Hour}
 	got := make([]attempts, len(ago))
 	var all sync.WaitGroup
-	for i, a := range ago { // side by side, so that what else this machine does meets all alike
+	for i, a := range ago { // side by side, so that other load on this machine affects all alike
 		all.Go(func() { got[i].first, got[i].last = attemptsInSlowStart(t, a) })
 	}
 	all.Wait()
 	t.Logf("started %v ago: %v attempts in the first second and in one after slow start", ago, got)
 	for i, a := range ago {
 		if g := got[i]; g.last < 2*g.first {
-			t.Errorf("told to have started %v ago: %v attempts", a, g)
+			t.Errorf("announced as started %v ago: %v attempts", a, g)
 		}
 	}
 }
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -10,13 +10,11 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/vmihailenco/msgpack/v5"
 
 	"hollymast/control"
 	"hollymast/internal/fleet"
@@ -25,49 +23,11 @@
 
 // Each test here forces two events to cross, on real sockets: it holds one until the other has happened.
 
-// crossed is the router's end of a connection; hook sees what a read returned before the router does.
-type hookedConn struct {
-	*net.TCPConn
-	hook func(n int, err error)
-}
-
-func (x *hookedConn) Read(b []byte) (int, error) {
-	n, err := x.TCPConn.Read(b)
-	x.hook(n, err)
-	return n, err
-}
-
-// crossing returns a client of a router, and the router's end of its connection.
-func (r *runningRouter) dialHooked(t *testing.T, hook func(c *testClient, n int, err error)) (*testClient, *clientConn) {
-	t.Helper()
-	ours, theirs := platformtest.ConnPair(t)
-	theirs.SetDeadline(time.Now().Add(5 * time.Second))
-	c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
-	return c, r.serveClient(&hookedConn{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
-}
-
-// once returns a hook that acts at the first read whose deadline has passed: what it sends is pending when the router
-// reads again.
-func onFirstDeadline(act func(c *testClient)) func(c *testClient, n int, err error) {
-	var done atomic.Bool
-	return func(c *testClient, n int, err error) {
-		if errors.Is(err, os.ErrDeadlineExceeded) && done.CompareAndSwap(false, true) {
-			act(c)
-		}
-	}
-}
-
-// until waits for what another goroutine is about to do.
-func waitFor(t *testing.T, what string, done func() bool) {
-	t.Helper()
-	platformtest.WaitFor(t, what, done)
-}
-
 // A request that comes as its idle connection is about to close is read before, and served.
 func TestRequestCrossesIdleClose(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c, ours := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
-	c.send(0, 1, "isWell", []any{map[string]string{}})
+	c.healthCheck(1)
 	c.expect("1: true")
 	ours.closeWhenIdle(0)
 	c.expect("2: body 2")
@@ -76,9 +36,9 @@
 
 // A request that comes at a stopping router's last read of its connections is answered before the end.
 func TestRequestCrossesShutdown(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
-	c.send(0, 1, "isWell", []any{map[string]string{}})
+	c.healthCheck(1)
 	c.expect("1: true")
 	r.stop()
 	c.expect("2: TryLater")
@@ -87,7 +47,7 @@
 
 // A request that comes so late in the shutdown that its answer might not come before the kill is rejected at once.
 func TestRequestCrossesKill(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
 	r.queue.Post(func(now control.Micros) { r.stopRequestedAt = now - acceptRequestsFor })
 	c.call(1, "again")
@@ -96,9 +56,9 @@
 
 // A connection that is to close while a request is open closes with that request's answer.
 func TestConnectionClosesAfterItsRequest(t *testing.T) {
-	held := make(chan receivedFrame, 1)
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
-	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
+	server, held := holdingServer(t)
+	r := start(t, server)
+	c, ours := r.dialHooked(t, noHook)
 	c.call(1, "again")
 	a := <-held
 	ours.closeWhenIdle(0)
@@ -109,9 +69,9 @@
 
 // Room is needed while a request is open on a closing connection: that one is not closed at once.
 func TestMakeRoomSparesOpenRequests(t *testing.T) {
-	held := make(chan receivedFrame, 1)
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
-	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
+	server, held := holdingServer(t)
+	r := start(t, server)
+	c, ours := r.dialHooked(t, noHook)
 	c.call(1, "again")
 	a := <-held
 	ours.abort()
@@ -123,48 +83,41 @@
 
 // A first message that came during a stall of the process counts as in time.
 func TestMessageCrossesItsDeadline(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(1, "again") }))
-	c.expect("1: body 1") // after firstWithin
+	c.expect("1: body 1") // after firstMessageTimeout
 }
 
 // Connections that wait at the listener when it closes are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
-	told, err := parseConfig([]byte(configText(newDiscoveryServer(t, 1))), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := idleRouter(t)
 	const waiting = 3
 	var conns []net.Conn
 	for range waiting {
-		c, err := net.Dial("tcp", p.Address())
+		c, err := net.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
-	p.stopListening()
-	p.accept(p.listener)
-	p.mu.Lock()
-	accepted := len(p.clients)
-	p.mu.Unlock()
+	r.stopListening()
+	r.accept(r.listener)
+	r.mu.Lock()
+	accepted := len(r.clients)
+	r.mu.Unlock()
 	if accepted != waiting {
 		t.Errorf("%d of %d were accepted", accepted, waiting)
 	}
 	for _, c := range conns {
 		c.Close()
 	}
-	waitFor(t, "all connections end", p.allClientsClosed)
+	platformtest.WaitFor(t, "all connections end", r.allClientsClosed)
 }
 
 // The sender of an unreadable message reads the error, and then the end: no reset overtakes the answer.
 func TestAnswerPrecedesClose(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	c, _ := r.dialHooked(t, func(*testClient, int, error) {})
+	r := start(t, modelServer(t, echo))
+	c, _ := r.dialHooked(t, noHook)
 	c.conn.Write(append([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}, make([]byte, 64<<10)...))
 	c.expect("1: Invalid")
 	c.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -176,42 +129,42 @@
 // What a client cancels, or leaves by closing, is not written any more, though the event loop has yet to handle it.
 func TestClientLeavesBeforeFirstByte(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
-		"cancels": func(c *testClient) { c.send(2, "forget", []any{1}) },
+		"cancels": func(c *testClient) { c.cancel(1) },
 		"closes":  func(c *testClient) { c.conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			held := make(chan receivedFrame, 1)
-			r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
+			server, held := holdingServer(t)
+			r := start(t, server)
 			c := r.dial(t)
 			c.call(1, "again")
 			<-held
-			chosen, turn := make(chan *serverCall), make(chan bool)
-			r.queue.Post(func(control.Micros) { // a further execution is chosen, and the turn lasts
+			chosen, release := make(chan *serverCall), make(chan bool)
+			r.queue.Post(func(control.Micros) { // another attempt is chosen, and the step goes on
 				s := r.newCall(fleet.ID("s-0"), 1_000_000)
 				s.request, s.attempt, s.timer = r.requests[1], 1, time.NewTimer(time.Hour)
 				s.request.answer.AttemptBegan()
 				chosen <- s
-				<-turn
+				<-release
 			})
 			s := <-chosen
 			leave(c)
-			waitFor(t, "the client's leaving is read", s.request.abandoned.Load)
+			platformtest.WaitFor(t, "the client's departure is read", s.request.abandoned.Load)
 			if s.beginsWrite() {
 				t.Error("it was written")
 			}
-			close(turn)
+			close(release)
 		})
 	}
 }
 
 // A client that floods has nothing open: its reader sleeps between messages, and would see a cancellation late.
 func TestFloodingClientHasNothingOpen(t *testing.T) {
-	held := make(chan receivedFrame, 1)
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a })).dial(t)
+	server, held := holdingServer(t)
+	c := start(t, server).dial(t)
 	c.call(1, "again")
 	<-held
 	for n := 2; n < 2+tolerableFaults; n++ {
-		c.call(n, "unheard")
+		c.call(n, "unknown")
 	}
 	for n := 2; n < 2+tolerableFaults; n++ {
 		c.expect(fmt.Sprintf("%d: Invalid", n))
@@ -224,33 +177,33 @@
 // A duplicate answer to an attempt that has ended comes during the request's next attempt: it is not taken for that
 // one's.
 func TestDuplicateAnswerCrossesNextAttempt(t *testing.T) {
-	var first receivedFrame
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+	var first receivedAttempt
+	c := start(t, modelServer(t, func(a receivedAttempt) {
 		if a.sequence == 1 {
 			first = a
-			a.conn.Write(a.answer(101, a.id, ""))
+			a.conn.Write(a.answerFrame(codeError, a.ID, ""))
 			return
 		}
-		first.conn.Write(first.answer(97, first.id, "stale"))
+		first.conn.Write(first.answerFrame(codeOK, first.ID, "stale"))
 		echo(a)
 	})).dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 }
 
-// Of two free connections the connected one is used: the other may connect late, or never.
+// Of two idle connections the connected one is used: the other may connect late, or never.
 func TestConnectedConnectionIsPreferred(t *testing.T) {
-	stands, comes := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
-	if !stands.preferredOver(comes) || comes.preferredOver(stands) {
-		t.Error("the one that is still dialled comes first")
+	connected, dialing := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
+	if !connected.preferredOver(dialing) || dialing.preferredOver(connected) {
+		t.Error("the one that is still dialled is preferred")
 	}
 }
 
 // A shortage of descriptors does not count against the server: the request waits for one.
 func TestOutOfDescriptors(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
-	c.send(0, 1, "isWell", []any{map[string]string{}})
+	c.healthCheck(1)
 	c.expect("1: true")
 	free, err := syscall.Dup(0)
 	if err != nil {
@@ -268,37 +221,23 @@
 		t.Fatal(err)
 	}
 	c.call(2, "again")
-	waitFor(t, "a dial finds no descriptor", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return r.anomalies["out of descriptors for a server"] > 0
-	})
+	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool { return r.anomaly("out of descriptors for a server") > 0 })
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
 	}
 	c.expect("2: body 2")
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if n := r.anomalies["no connection to a server"]; n > 0 {
+	if n := r.anomaly("no connection to a server"); n > 0 {
 		t.Errorf("%d held against the server", n)
 	}
 }
 
-// lines passes on each line of a log.
-type logLines chan string
-
-func (l logLines) Write(b []byte) (int, error) {
-	l <- string(b)
-	return len(b), nil
-}
-
-// A configuration that is half written at its signal is read again, without another signal.
+// A configuration that is partly written at its signal is read again, without another signal.
 func TestReloadOfPartlyWrittenConfig(t *testing.T) {
-	asked := make(chan bool, 8)
+	subscribed := make(chan bool, 1)
 	whole := configText(listen(t, func(c net.Conn) {
 		select {
-		case asked <- true:
-		default: // it is asked again and again, since it says nothing
+		case subscribed <- true:
+		default: // the router subscribes again and again, since nothing comes
 		}
 		c.Read(make([]byte, 100))
 	}))
@@ -306,43 +245,35 @@
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseConfig([]byte(configText(newDiscoveryServer(t, 1))), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	log := make(logLines, 100)
-	p, err := New(told, zerolog.New(log))
-	if err != nil {
-		t.Fatal(err)
-	}
+	log := &logBuffer{}
+	r := newRouter(t, testConfig(t), zerolog.New(log))
 	ctx, stop := context.WithCancel(context.Background())
 	signals := make(chan os.Signal)
 	var all sync.WaitGroup
-	all.Go(func() { p.Serve(ctx) })
-	all.Go(func() { p.ReloadOn(ctx, signals, env) })
+	all.Go(func() { r.Serve(ctx) })
+	all.Go(func() { r.ReloadOn(ctx, signals, env) })
 	t.Cleanup(func() { stop(); all.Wait() })
 	signals <- syscall.SIGHUP
-	for !strings.Contains(<-log, "invalid configuration") {
-	}
+	platformtest.WaitFor(t, "the half is rejected", func() bool { return strings.Contains(log.String(), "invalid configuration") })
 	if err := os.WriteFile(env.File, []byte(whole), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-asked:
+	case <-subscribed:
 	case <-time.After(4 * time.Second):
-		t.Error("the new notice board was not asked")
+		t.Error("no subscription at the new address")
 	}
 }
 
-// So is one that a start finds half written.
+// So is one that a start finds partly written.
 func TestStartWithPartlyWrittenConfig(t *testing.T) {
-	whole := configText("127.0.0.1:1")
+	whole := configText(unreachable)
 	env := Environment{File: filepath.Join(t.TempDir(), "config.json")}
 	if err := os.WriteFile(env.File, []byte(whole[:len(whole)/2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := LoadConfig(env); err == nil {
-		t.Fatal("half of it was taken")
+		t.Fatal("half of it was accepted")
 	}
 	written := time.AfterFunc(configWriteTime/4, func() { os.WriteFile(env.File, []byte(whole), 0o600) })
 	defer written.Stop()
@@ -353,12 +284,12 @@
 
 // A router whose event loop hangs does not report itself healthy, though its readers go on.
 func TestHealthCheckFailsWhileEventLoopHangs(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	turn := make(chan bool)
-	r.queue.Post(func(control.Micros) { <-turn })
-	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
-	c.send(0, 1, "isWell", []any{map[string]string{}})
-	waitFor(t, "the question is read", func() bool {
+	r := start(t, modelServer(t, echo))
+	release := make(chan bool)
+	r.queue.Post(func(control.Micros) { <-release })
+	c, ours := r.dialHooked(t, noHook)
+	c.healthCheck(1)
+	platformtest.WaitFor(t, "the health check is read", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
 		return ours.healthChecks == 1
@@ -368,81 +299,67 @@
 		t.Errorf("answered, or closed: %d, %v", n, err)
 	}
 	c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	close(turn)
+	close(release)
 	c.expect("1: true")
 }
 
 // A panic on one connection closes that one, and is logged; the others go on.
 func TestPanicOnClientConnection(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, func(c *testClient, n int, err error) {
 		if n > 0 {
-			panic("planted")
+			panic("injected")
 		}
 	})
 	c.call(1, "again")
 	c.expect("closed")
 	other := r.dial(t)
-	other.call(1, "again", "ref", "00000000000000ff")
+	other.call(1, "again", withID(255)...)
 	other.expect("1: body 1")
-	waitFor(t, "the fault is told", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return r.anomalies["panic reading a client"] == 1
-	})
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly("panic reading a client") == 1 })
 }
 
 // A panic on a server connection closes that one.
 func TestPanicOnServerConnection(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
 	r.queue.Post(func(now control.Micros) {
-		l := r.newServerConn(now, r.pools[fleet.ID("s-0")])
-		l.dialing = nil // the dial panics
-		go l.run()
-	})
-	waitFor(t, "the fault is told", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return r.anomalies["panic reading a server"] == 1
+		sc := r.newServerConn(now, r.pools[fleet.ID("s-0")])
+		sc.dialing = nil // the dial panics
+		go sc.run()
 	})
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly("panic reading a server") == 1 })
 	c.call(2, "again")
 	c.expect("2: body 2")
 }
 
 // A client that leaves before its first message is not counted as slow.
 func TestEarlyCloseIsNotCountedAsSlow(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
+	r := start(t, modelServer(t, echo))
+	c, ours := r.dialHooked(t, noHook)
 	c.conn.Close()
 	<-ours.closed
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if n := r.anomalies["client closed: no whole message in time"]; n > 0 {
+	if n := r.anomaly("client closed: no whole message in time"); n > 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
 
 // A request's timeout runs from when its message was read, though its step comes later.
 func TestDeadlineRunsWhileEventLoopHangs(t *testing.T) {
-	got := make(chan receivedFrame, 1)
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { got <- a; echo(a) }))
-	const stood = 300
-	turn := make(chan bool)
-	r.queue.Post(func(control.Micros) { <-turn })
-	c, ours := r.dialHooked(t, func(*testClient, int, error) {})
+	got := make(chan receivedAttempt, 1)
+	r := start(t, modelServer(t, func(a receivedAttempt) { got <- a; echo(a) }))
+	const stall = 300 * time.Millisecond
+	release := make(chan bool)
+	r.queue.Post(func(control.Micros) { <-release })
+	c, ours := r.dialHooked(t, noHook)
 	c.call(1, "again")
-	waitFor(t, "the job is read", func() bool { idle, _ := ours.idle(); return !idle })
-	time.Sleep(stood * time.Millisecond)
-	close(turn)
-	var most int
-	for field := range strings.SplitSeq((<-got).fields, ",") {
-		fmt.Sscanf(field, "max=%d", &most)
-	}
-	if most == 0 || most > 1500-stood {
-		t.Errorf("the server was given %d ms of 1500, %d after they began", most, stood)
+	platformtest.WaitFor(t, "the request is read", func() bool { idle, _ := ours.idle(); return !idle })
+	time.Sleep(stall)
+	close(release)
+	if stated := (<-got).timeout(); stated == 0 || stated > clientTimeout-stall {
+		t.Errorf("the server was given %v of %v, %v after they began", stated, clientTimeout, stall)
 	}
 	c.expect("1: body 1")
 }
@@ -469,25 +386,17 @@
 		}
 		defer c.Close()
 	}
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	told.connectTimeout = 60_000_000
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer p.listener.Close()
-	l := p.newServerConn(0, &serverPool{address: address})
+	r := idleRouter(t)
+	r.config.connectTimeout = 60_000_000
+	sc := r.newServerConn(0, &serverPool{address: address})
 	ended := make(chan struct{})
-	go func() { l.run(); close(ended) }()
-	p.removeConn(l)
+	go func() { sc.run(); close(ended) }()
+	r.removeConn(sc)
 	select {
 	case <-ended:
 	case <-time.After(4 * time.Second):
 		t.Error("the dial goes on")
-		l.cancelDial()
+		sc.cancelDial()
 		<-ended
 	}
 }
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"io"
 	"net"
-	"syscall"
 	"testing"
 	"time"
 
@@ -18,113 +17,69 @@
 	"hollymast/internal/platformtest"
 )
 
-// begun reports whether the first byte would be written now.
-func (call *serverCall) beginsWrite() bool {
-	wrote := false
-	call.begin(func() bool {
-		wrote = true
-		return true
-	})
-	return wrote
-}
-
-// startWithConfig starts a router with a configuration; it need not be ready at once.
-func startWithConfig(t *testing.T, configuration string) *runningRouter {
-	t.Helper()
-	told, err := parseConfig([]byte(configuration), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return serve(t, told)
-}
-
-// idleRouter returns a router that runs no event loop: the test runs its steps.
-func idleRouter(t *testing.T) *Router {
-	t.Helper()
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return newRouter(t, told)
-}
-
-func newRouter(t *testing.T, told *Config) *Router {
-	t.Helper()
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { p.listener.Close() })
-	return p
-}
-
 // A stall between reading the endpoint list and the step's clock makes the choice no newer than its list: neither an
 // attempt nor a load command is written then.
 func TestStallBetweenEndpointsAndStep(t *testing.T) {
-	p := idleRouter(t)
-	p.readEndpoints()
-	p.step(p.now(), nil)
-	fresh, order := p.newCall(1, 1_000_000), p.newCall(1, p.config.loadTimeout)
-	if !fresh.beginsWrite() {
+	r := idleRouter(t)
+	r.readEndpoints()
+	r.step(r.now(), nil)
+	call, load := r.newCall(1, 1_000_000), r.newCall(1, r.config.loadTimeout)
+	if !call.beginsWrite() {
 		t.Error("not written from a list that is up to date")
 	}
-	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond) // the process is stopped
-	var late *serverCall
-	p.step(p.now(), []func(control.Micros){func(control.Micros) { late = p.newCall(1, 1_000_000) }})
-	if late.beginsWrite() || order.beginsWrite() {
+	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond) // the process is stalled
+	var stale *serverCall
+	r.step(r.now(), []func(control.Micros){func(control.Micros) { stale = r.newCall(1, 1_000_000) }})
+	if stale.beginsWrite() || load.beginsWrite() {
 		t.Error("written from a list that is older than half the grace")
 	}
-	p.readEndpoints()
-	p.step(p.now(), nil)
-	if again := p.newCall(1, 1_000_000); !again.beginsWrite() {
-		t.Error("not written after the next look")
+	r.readEndpoints()
+	r.step(r.now(), nil)
+	if again := r.newCall(1, 1_000_000); !again.beginsWrite() {
+		t.Error("not written after the list was read again")
 	}
 }
 
 // A server that is not listed as ready is sent nothing, whatever was chosen.
 func TestNothingIsSentToUnreadyServer(t *testing.T) {
-	p := idleRouter(t)
+	r := idleRouter(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
-		p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: state}})
-		s := p.newCall(fleet.ID("s-0"), 1_000_000)
-		s.load.Server = s.to
-		p.dispatch(p.now(), s, []byte("frame"))
-		if s.conn != nil || len(p.pools) > 0 {
+		r.listServer(r.now(), unreachable, state)
+		call := r.newCall(fleet.ID("s-0"), 1_000_000)
+		call.load.Server = call.to
+		r.dispatch(r.now(), call, []byte("frame"))
+		if call.conn != nil || len(r.pools) > 0 {
 			t.Errorf("state %d: it has a connection", state)
 		}
-		s.timer.Stop()
+		call.timer.Stop()
 	}
 }
 
 // The log states an upper bound on how late the last first byte to a draining server was, and the age of the oldest
 // endpoint list.
 func TestStateLogReportsLateFirstBytes(t *testing.T) {
-	p := idleRouter(t)
+	r := idleRouter(t)
 	var line bytes.Buffer
-	p.log = zerolog.New(&line)
-	ready := []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}}
-	p.handleEndpoints(p.now(), ready)
-	p.readEndpoints()
-	p.step(p.now(), nil)
-	s := p.newCall(fleet.ID("s-0"), 1_000_000)
-	s.conn = &serverConn{pool: p.poolOf(s.to)}
-	time.Sleep(2 * time.Millisecond)
-	if !s.beginsWrite() {
+	r.log = zerolog.New(&line)
+	r.stepWithServer(unreachable)
+	call := r.newCall(fleet.ID("s-0"), 1_000_000)
+	call.conn = &serverConn{pool: r.poolOf(call.to)}
+	time.Sleep(2 * time.Millisecond) // the list ages
+	if !call.beginsWrite() {
 		t.Fatal("not written")
 	}
-	ready[0].State = control.Draining
-	p.endpointsAsOfBefore = p.endpointsAsOf
-	p.handleEndpoints(p.now(), ready)
-	p.logState()
-	var told struct {
-		List  int64 `json:"oldest_list_us"`
-		Drain int64 `json:"after_drain_us"`
+	r.endpointsAsOfBefore = r.endpointsAsOf
+	r.listServer(r.now(), unreachable, control.Draining)
+	r.logState()
+	var logged struct {
+		Oldest     int64 `json:"oldest_list_us"`
+		AfterDrain int64 `json:"after_drain_us"`
 	}
-	if err := json.Unmarshal(line.Bytes(), &told); err != nil {
+	if err := json.Unmarshal(line.Bytes(), &logged); err != nil {
 		t.Fatal(err)
 	}
-	grace := int64(p.config.grace)
-	if told.List < 2000 || told.List > grace/2 || told.Drain < 2000 || told.Drain > grace/2 {
+	grace := int64(r.config.grace)
+	if logged.Oldest < 2000 || logged.Oldest > grace/2 || logged.AfterDrain < 2000 || logged.AfterDrain > grace/2 {
 		t.Errorf("%s", &line)
 	}
 }
@@ -133,36 +88,36 @@
 // from the older list.
 func TestEndpointUpdatesComeFirstInStep(t *testing.T) {
 	server := platformtest.NewModelServer(t)
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
-	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
-	waitFor(t, "the router is well", r.ready.Load)
+	service := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", server.Address(), "ready"))
+	r := startDeployment(t, platformtest.Deployment{Grace: time.Second}.Configuration(service.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
+	platformtest.WaitFor(t, "the router is ready", r.ready.Load)
 	state := make(chan control.ServerState, 1)
-	r.queue.Post(func(control.Micros) { // a turn that lasts
+	r.queue.Post(func(control.Micros) { // a long step
 		r.queue.Post(func(control.Micros) { state <- r.fleet.Get(fleet.ID("s-0")).State })
-		plane.Publish(platformtest.Event(2, "s-0", server.Address(), "draining"))
+		service.Publish(platformtest.Event(2, "s-0", server.Address(), "draining"))
 		for r.discovery.Revision() < 2 {
 			r.discovery.CatchUp()
 		}
 	})
 	if got := <-state; got != control.Draining {
-		t.Errorf("a choice for what was heard before the list would find the server in state %d", got)
+		t.Errorf("an event before the update finds the server in state %d", got)
 	}
 }
 
 // A router that starts with an old configuration chooses nothing before discovery has answered.
 func TestStartWithOutdatedConfig(t *testing.T) {
 	const grace = 2 * time.Second // the answer has a quarter of it to come
-	drains, stays := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
-	known := []discovery.Event{platformtest.Event(1, "s-0", drains.Address(), "ready")}
+	draining, ready := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
+	known := []discovery.Event{platformtest.Event(1, "s-0", draining.Address(), "ready")}
 	answer := make(chan bool)
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
-	told := plane.Publish(platformtest.Event(2, "s-0", drains.Address(), "draining"))
-	plane.Publish(platformtest.Event(3, "s-1", stays.Address(), "ready"))
-	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), known...))
-	waitFor(t, "the board is asked", func() bool { return len(plane.Subscriptions()) == 1 })
+	service := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, known...)
+	announced := service.Publish(platformtest.Event(2, "s-0", draining.Address(), "draining"))
+	service.Publish(platformtest.Event(3, "s-1", ready.Address(), "ready"))
+	r := startDeployment(t, platformtest.Deployment{Grace: grace}.Configuration(service.Address(), known...))
+	platformtest.WaitFor(t, "the router subscribes", func() bool { return len(service.Subscriptions()) == 1 })
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
-	waitFor(t, "the request is read", func() bool {
+	platformtest.WaitFor(t, "the request is read", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for c := range r.clients {
@@ -172,45 +127,29 @@
 		}
 		return false
 	})
-	const turns = 20 * time.Millisecond // several
-	time.Sleep(turns)
+	const several = 20 * time.Millisecond // steps
+	time.Sleep(several)
 	if r.ready.Load() {
-		t.Error("the router is well before the board has answered")
+		t.Error("the router is ready before discovery has answered")
 	}
 	close(answer)
 	if !client.Answer() {
 		t.Error("the request was not served")
 	}
-	if n := len(drains.Received()); n > 0 {
-		t.Errorf("%d frames went to the server that drained %v before", n, time.Since(told))
+	if n := len(draining.Received()); n > 0 {
+		t.Errorf("%d frames went to the server that drained %v before", n, time.Since(announced))
 	}
 }
 
 // Where the connection has no room for the first byte, the check is repeated when it has.
 func TestCheckIsRepeatedWhenConnectionHasRoom(t *testing.T) {
 	ours, theirs := platformtest.ConnPair(t)
-	raw, err := ours.(syscall.Conn).SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	filled := 0
-	fill := func(fd uintptr) {
-		for {
-			n, err := syscall.Write(int(fd), make([]byte, 4096))
-			if err != nil {
-				return
-			}
-			filled += n
-		}
-	}
-	raw.Control(fill)
-	time.Sleep(10 * time.Millisecond) // what the kernel still moves on
-	raw.Control(fill)
-	asked, allowed := make(chan bool, 1000), make(chan bool, 1)
+	filled := fill(t, ours)
+	checks, allowed := make(chan bool, 1000), make(chan bool, 1)
 	allowed <- true
-	o := &writeQueue{conn: ours, maxQueuedBytes: 1 << 20}
-	o.post(queuedFrame{data: []byte("late"), begin: func(write func() bool) bool {
-		asked <- true
+	q := &writeQueue{conn: ours, maxQueuedBytes: 1 << 20}
+	q.post(queuedFrame{data: []byte("late"), begin: func(write func() bool) bool {
+		checks <- true
 		select {
 		case <-allowed: // the first time
 			if write() {
@@ -221,21 +160,20 @@
 			return true // the grace has passed
 		}
 	}, wrote: func(bool) { t.Error("it was written") }})
-	ask := func() {
+	awaitCheck := func() {
 		select {
-		case <-asked:
+		case <-checks:
 		case <-time.After(4 * time.Second):
 			t.Fatal("the check does not come")
 		}
 	}
-	ask()
+	awaitCheck()
 	if n, err := io.ReadFull(theirs, make([]byte, filled)); err != nil {
 		t.Fatalf("read %d: %v", n, err)
 	}
-	ask()
-	waitFor(t, "it is withdrawn", o.empty)
-	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 8)); n > 0 {
+	awaitCheck()
+	platformtest.WaitFor(t, "it is withdrawn", q.empty)
+	if n := readSoon(theirs); n > 0 {
 		t.Errorf("%d bytes were written after the grace", n)
 	}
 }
@@ -245,19 +183,19 @@
 func TestUIDReturnsAtAnotherAddress(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	r := startWithConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(plane.Address(), events...))
-	waitFor(t, "the router is well", r.ready.Load)
+	service := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
+	r := startDeployment(t, platformtest.Deployment{Grace: time.Second}.Configuration(service.Address(), events...))
+	platformtest.WaitFor(t, "the router is ready", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
 	if !client.Answer() || len(first.Received()) == 0 {
-		t.Fatal("the first life was not used")
+		t.Fatal("the first incarnation was not used")
 	}
 	before := len(first.Received())
-	plane.Publish(platformtest.Event(2, "s-0", "", "gone"))
-	plane.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
-	plane.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
-	waitFor(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
+	service.Publish(platformtest.Event(2, "s-0", "", "gone"))
+	service.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
+	service.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
+	platformtest.WaitFor(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
 	for ref := range uint64(10) {
 		client.Call(ref+2, ref+1)
 	}
@@ -275,12 +213,12 @@
 // the grace period to answer.
 func TestStartWithSilentDiscovery(t *testing.T) {
 	const grace = 200 * time.Millisecond
-	silent := make(chan bool)
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-silent; return true })
-	t.Cleanup(func() { close(silent) })
+	end := make(chan bool)
+	service := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-end; return true })
+	t.Cleanup(func() { close(end) })
 	server := platformtest.NewModelServer(t)
-	r := startWithConfig(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
-	waitFor(t, "the router is well", r.ready.Load)
+	r := startDeployment(t, platformtest.Deployment{Grace: grace}.Configuration(service.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
+	platformtest.WaitFor(t, "the router is ready", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
 	client.Call(1, 1)
 	if !client.Answer() {
@@ -290,20 +228,17 @@
 
 // A connection established after the grace period writes nothing that was chosen before.
 func TestDialOutlastsGracePeriod(t *testing.T) {
-	p := idleRouter(t)
+	r := idleRouter(t)
 	conn, theirs := platformtest.ConnPair(t)
-	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: theirs.LocalAddr().String(), Zone: "east", State: control.Ready}})
-	p.readEndpoints()
-	p.step(p.now(), nil)
-	s := p.newCall(fleet.ID("s-0"), 1_000_000)
-	s.conn = p.newServerConn(p.now(), p.poolOf(s.to)) // it dials: nothing is up yet
-	defer s.conn.cancelDial()
-	s.conn.writes.post(queuedFrame{data: []byte("late"), begin: s.begin, wrote: s.wrote})
-	time.Sleep(duration(attempt.MaxEndpointsAge(p.config.grace)) + time.Millisecond)
-	s.conn.writes.connected(conn)
-	waitFor(t, "it is withdrawn", s.conn.writes.empty)
-	theirs.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 8)); n > 0 || s.currentStage() == attempt.Writing {
-		t.Errorf("%d bytes were written, stage %d", n, s.currentStage())
+	r.stepWithServer(theirs.LocalAddr().String())
+	call := r.newCall(fleet.ID("s-0"), 1_000_000)
+	call.conn = r.newServerConn(r.now(), r.poolOf(call.to)) // it dials: nothing is connected yet
+	defer call.conn.cancelDial()
+	call.conn.writes.post(queuedFrame{data: []byte("late"), begin: call.begin, wrote: call.wrote})
+	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond)
+	call.conn.writes.connected(conn)
+	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
+	if n := readSoon(theirs); n > 0 || call.currentStage() == attempt.Writing {
+		t.Errorf("%d bytes were written, stage %d", n, call.currentStage())
 	}
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -11,12 +11,11 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/vmihailenco/msgpack/v5"
 
 	"hollymast/internal/platformtest"
 )
 
-// failing is a listener whose accepts fail for as long as fault returns an error.
+// failingListener is a listener whose accepts fail for as long as fault returns an error.
 type failingListener struct {
 	*net.TCPListener
 	calls atomic.Int32
@@ -31,7 +30,7 @@
 	return f.TCPListener.Accept()
 }
 
-// acceptErrors are all that Linux documents of accept, but for those that a fault of our own would cause.
+// acceptErrors are the errors of accept that Linux documents, except those that only a bug of this program causes.
 var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
@@ -40,17 +39,17 @@
 // Whatever accept fails with, once or for a while: the listener goes on, without a busy loop, and closes no idle
 // client connection unless the process itself is out of descriptors.
 func TestAcceptErrors(t *testing.T) {
-	const lasts = 150 * time.Millisecond
+	const duration = 150 * time.Millisecond
 	for _, errno := range acceptErrors {
-		for name, fault := range map[string]func(nth int32, since time.Duration) bool{
-			"once":        func(nth int32, _ time.Duration) bool { return nth == 1 },
-			"for a while": func(_ int32, since time.Duration) bool { return since < lasts },
+		for name, fault := range map[string]func(call int32, since time.Duration) bool{
+			"once":        func(call int32, _ time.Duration) bool { return call == 1 },
+			"for a while": func(_ int32, since time.Duration) bool { return since < duration },
 		} {
-			p := idleRouter(t)
+			r := idleRouter(t)
 			ours, theirs := platformtest.ConnPair(t)
-			idle := p.serveClient(ours)
+			idle := r.serveClient(ours)
 			begin := time.Now()
-			l := &failingListener{TCPListener: p.listener}
+			l := &failingListener{TCPListener: r.listener}
 			l.fault = func() error {
 				if fault(l.calls.Load(), time.Since(begin)) {
 					return errno
@@ -58,18 +57,18 @@
 				return nil
 			}
 			var all sync.WaitGroup
-			all.Go(func() { p.accept(l) })
-			conn, err := net.Dial("tcp", p.Address())
+			all.Go(func() { r.accept(l) })
+			conn, err := net.Dial("tcp", r.Address())
 			if err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "the connection is accepted", func() bool {
-				p.mu.Lock()
-				defer p.mu.Unlock()
-				return p.rejectedConns == 0 && len(p.clients) > 0 && l.calls.Load() > 1 && p.hasClient(conn)
+			platformtest.WaitFor(t, "the connection is accepted", func() bool {
+				r.mu.Lock()
+				defer r.mu.Unlock()
+				return r.rejectedConns == 0 && len(r.clients) > 0 && l.calls.Load() > 1 && r.hasClient(conn)
 			})
-			if _, ends := idle.idle(); ends != (errno == syscall.EMFILE) {
-				t.Errorf("%v %s: an idle client is ended: %t", errno, name, ends)
+			if _, closing := idle.idle(); closing != (errno == syscall.EMFILE) {
+				t.Errorf("%v %s: the idle client is closed: %t", errno, name, closing)
 			}
 			if most := int32(20); l.calls.Load() > most {
 				t.Errorf("%v %s: %d accepts", errno, name, l.calls.Load())
@@ -78,12 +77,12 @@
 			theirs.Close()
 			l.Close()
 			all.Wait()
-			waitFor(t, "all connections end", p.allClientsClosed)
+			platformtest.WaitFor(t, "all connections end", r.allClientsClosed)
 		}
 	}
 }
 
-// accepts reports whether the router has the other end of a connection.
+// hasClient reports whether the router has the other end of a connection.
 func (r *Router) hasClient(conn net.Conn) bool {
 	for c := range r.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
@@ -97,153 +96,144 @@
 // called.
 func TestWaitingConnectionsAreAcceptedDespiteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
-		p := idleRouter(t)
+		r := idleRouter(t)
 		begin := time.Now()
-		l := &failingListener{TCPListener: p.listener, fault: func() error {
+		l := &failingListener{TCPListener: r.listener, fault: func() error {
 			if errno != 0 && time.Since(begin) < 5*lastReadTime {
 				return errno
 			}
 			return nil
 		}}
-		conn, err := net.Dial("tcp", p.Address())
+		conn, err := net.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		p.stopListening()
+		r.stopListening()
 		if errno == 0 {
 			time.Sleep(2 * lastReadTime)
 		}
-		p.accept(l)
-		p.mu.Lock()
-		if len(p.clients) != 1 {
+		r.accept(l)
+		r.mu.Lock()
+		if len(r.clients) != 1 {
 			t.Errorf("%v: the connection was not accepted", errno)
 		}
-		p.mu.Unlock()
+		r.mu.Unlock()
 		conn.Close()
-		waitFor(t, "all connections end", p.allClientsClosed)
+		platformtest.WaitFor(t, "all connections end", r.allClientsClosed)
 	}
 }
 
 // A start whose address is still taken, as by a predecessor that was killed, retries; a permanent error is returned
 // at once.
 func TestListenIsRetried(t *testing.T) {
-	before, err := net.Listen("tcp", "127.0.0.1:0")
+	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	told.Listen = before.Addr().String()
-	gone := time.AfterFunc(5*minRereadPause, func() { before.Close() })
-	defer gone.Stop()
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.listener.Close()
+	config := parse(t, configText(unreachable))
+	config.Listen = predecessor.Addr().String()
+	closing := time.AfterFunc(5*minRereadPause, func() { predecessor.Close() })
+	defer closing.Stop()
+	newRouter(t, config, zerolog.Nop()).listener.Close()
 	begin := time.Now()
 	if _, err := listenAt("192.0.2.1:http-"); err == nil || time.Since(begin) > listenFor/2 {
 		t.Errorf("%v after %v", err, time.Since(begin))
 	}
 }
 
-// broken is the router's end of a connection whose reads or writes fail from some time on, or that brings one byte at
+// failingConn is the router's end of a connection whose reads or writes fail from some time on, or that brings one byte at
 // a time.
 type failingConn struct {
 	*net.TCPConn
-	short           bool
-	reading, writes atomic.Pointer[syscall.Errno]
+	byteByByte            bool
+	readError, writeError atomic.Pointer[syscall.Errno]
 }
 
-func (b *failingConn) fails(op string, errno *syscall.Errno) error {
+func (b *failingConn) opError(op string, errno *syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, *errno)}
 }
 
 func (b *failingConn) Read(p []byte) (int, error) {
-	if b.short {
+	if b.byteByByte {
 		p = p[:1]
 	}
 	n, err := b.TCPConn.Read(p)
-	if errno := b.reading.Load(); errno != nil {
-		return 0, b.fails("read", errno)
+	if errno := b.readError.Load(); errno != nil {
+		return 0, b.opError("read", errno)
 	}
 	return n, err
 }
 
 func (b *failingConn) Write(p []byte) (int, error) {
-	if errno := b.writes.Load(); errno != nil {
-		return 0, b.fails("write", errno)
+	if errno := b.writeError.Load(); errno != nil {
+		return 0, b.opError("write", errno)
 	}
 	return b.TCPConn.Write(p)
 }
 
-// A client connection that breaks, in whatever way, is a client that left: none of its requests is written any more,
-// and no other client notices.
+// A client connection that breaks, in whatever way, counts as closed by the client: none of its requests is written any
+// more, and no other client notices.
 func TestClientConnectionBreaks(t *testing.T) {
-	held := make(chan receivedFrame, 1)
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
-		if string(a.body) == "body 1" {
+	held := make(chan receivedAttempt, 1)
+	r := start(t, modelServer(t, func(a receivedAttempt) {
+		if string(a.Body) == "body 1" {
 			held <- a
 		} else {
 			echo(a)
 		}
 	}))
 	other := r.dial(t)
-	nth := 0
+	requests := 0
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.ENOBUFS, syscall.ENOMEM} {
-		for name, broke := range map[string]func(b *failingConn, c *testClient){
+		for name, breakConn := range map[string]func(b *failingConn, c *testClient){
 			"read": func(b *failingConn, c *testClient) {
-				b.reading.Store(&errno)
+				b.readError.Store(&errno)
 				c.conn.Write([]byte{0x93})
 			},
 			"write": func(b *failingConn, c *testClient) {
-				b.writes.Store(&errno)
-				c.send(0, 2, "isWell", []any{map[string]string{}})
+				b.writeError.Store(&errno)
+				c.healthCheck(2)
 			},
 		} {
 			ours, theirs := platformtest.ConnPair(t)
-			theirs.SetDeadline(time.Now().Add(5 * time.Second))
 			b := &failingConn{TCPConn: ours.(*net.TCPConn)}
-			c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
+			c := newTestClient(t, theirs)
 			client := r.serveClient(b)
-			nth++
-			c.call(1, "once", "ref", fmt.Sprintf("%016x", 1000+nth))
-			var a receivedFrame
+			requests++
+			c.call(1, "once", withID(1000+requests)...)
+			var a receivedAttempt
 			select {
 			case a = <-held:
 			case <-time.After(5 * time.Second):
-				t.Fatalf("%v %s: not sent", errno, name)
+				t.Fatalf("%v %s: not forwarded", errno, name)
 			}
 			client.mu.Lock()
-			j := client.open[1]
+			req := client.open[1]
 			client.mu.Unlock()
-			broke(b, c)
+			breakConn(b, c)
 			select {
 			case <-client.closed:
 			case <-time.After(5 * time.Second):
 				t.Fatalf("%v %s: the connection does not end", errno, name)
 			}
-			if !j.abandoned.Load() {
+			if !req.abandoned.Load() {
 				t.Errorf("%v %s: its request goes on", errno, name)
 			}
 			echo(a)
-			other.call(nth+1, "again")
-			other.expect(fmt.Sprintf("%d: body %d", nth+1, nth+1))
+			other.call(requests+1, "again")
+			other.expect(fmt.Sprintf("%d: body %d", requests+1, requests+1))
 		}
 	}
 }
 
 // A connection that brings one byte at a time brings its requests.
 func TestShortReads(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	ours, theirs := platformtest.ConnPair(t)
-	theirs.SetDeadline(time.Now().Add(5 * time.Second))
-	c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
-	r.serveClient(&failingConn{TCPConn: ours.(*net.TCPConn), short: true})
+	c := newTestClient(t, theirs)
+	r.serveClient(&failingConn{TCPConn: ours.(*net.TCPConn), byteByByte: true})
 	for n := 1; n <= 3; n++ {
 		c.call(n, "again")
 	}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"hollymast/control"
 	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
@@ -23,26 +21,15 @@
 // newSized returns one that has a pool of connections to each server.
 func newFleetRouter(b testing.TB, servers int) *fleetRouter {
 	b.Helper()
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		b.Fatal(err)
-	}
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() {
-		p.timer.Stop()
-		p.listener.Close()
-	})
-	f := &fleetRouter{Router: p, clock: p.now()}
-	whole := &discovery.UpdateMessage{All: true}
+	r := idleRouter(b)
+	f := &fleetRouter{Router: r, clock: r.now()}
+	all := &discovery.UpdateMessage{All: true}
 	for i := range servers {
-		whole.Targets = append(whole.Targets, f.target(i, "ready"))
+		all.Targets = append(all.Targets, f.target(i, "ready"))
 	}
-	f.handle(b, whole)
+	f.handle(b, all)
 	for i := range servers {
-		p.poolOf(fleet.ID(f.target(i, "").UID))
+		r.poolOf(fleet.ID(f.target(i, "").UID))
 	}
 	return f
 }
@@ -53,11 +40,11 @@
 }
 
 // handle lets the router handle an event in one step, one millisecond after the last.
-func (f *fleetRouter) handle(b testing.TB, told *discovery.UpdateMessage) {
+func (f *fleetRouter) handle(b testing.TB, update *discovery.UpdateMessage) {
 	f.revision++
-	meaning, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: told}))
-	if err != nil || meaning != discovery.EndpointsChanged {
-		b.Fatal(meaning, err)
+	effect, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: update}))
+	if err != nil || effect != discovery.EndpointsChanged {
+		b.Fatal(effect, err)
 	}
 	f.handleUpdate(f.clock, f.discoveryState.Update())
 	f.clock += 1000
--- a/internal/platform/harm_test.go
+++ b/internal/platform/harm_test.go
@@ -2,34 +2,36 @@
 
 import (
 	"fmt"
+	"hollymast/internal/platformtest"
 	"net"
 	"sync"
 	"testing"
 	"time"
 )
 
-// Trouble with one client, or on its connection, frees no request of its one final answer. Each test here makes one kind.
+// Whatever a client does, and whatever happens on its connection, each request has its one final answer. Each test here
+// makes one kind of trouble.
 
-// Several kinds of bad clients at once cost a well-behaved one none of its answers.
+// A well-behaved client gets all its answers beside several kinds of bad clients.
 func TestBadClientsDoNotAffectOthers(t *testing.T) {
 	const requests = 40
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	usual := r.dial(t)
+	r := start(t, modelServer(t, echo))
+	regular := r.dial(t)
 	end := make(chan struct{})
 	var all sync.WaitGroup
-	for name, harm := range map[string]func(c *testClient, n int){
+	for name, misbehave := range map[string]func(c *testClient, n int){
 		"noise":            func(c *testClient, _ int) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"unknown classes":  func(c *testClient, n int) { c.call(n, "unheard") },
-		"a number twice":   func(c *testClient, _ int) { c.call(1, "again", "ref", "00000000000000ff") },
-		"another's ref":    func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1+n%requests)) },
+		"unknown classes":  func(c *testClient, n int) { c.call(n, "unknown") },
+		"a number twice":   func(c *testClient, _ int) { c.call(1, "again", withID(255)...) },
+		"another's id":     func(c *testClient, n int) { c.call(n, "again", withID(1+n%requests)...) },
 		"half and a close": func(c *testClient, _ int) { c.conn.Write([]byte{0x94, 0, 1}); c.conn.Close() },
 		"cancels at once": func(c *testClient, n int) {
-			c.call(2*n, "again", "ref", fmt.Sprintf("%016x", 1<<20+n))
-			c.send(2, "forget", []any{2 * n})
+			c.call(2*n, "again", withID(1<<20+n)...)
+			c.cancel(2 * n)
 		},
-		"leaves at once":    func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<30+n)); c.conn.Close() },
-		"reads nothing":     func(c *testClient, n int) { c.call(n, "unheard") },
-		"asks for too many": func(c *testClient, n int) { c.call(n, "again", "ref", fmt.Sprintf("%016x", 1<<40+n)) },
+		"leaves at once":    func(c *testClient, n int) { c.call(n, "again", withID(1<<30+n)...); c.conn.Close() },
+		"reads nothing":     func(c *testClient, n int) { c.call(n, "unknown") },
+		"asks for too many": func(c *testClient, n int) { c.call(n, "again", withID(1<<40+n)...) },
 	} {
 		all.Go(func() {
 			for conn := (net.Conn)(nil); ; {
@@ -42,7 +44,7 @@
 				}
 				c := &testClient{t: t, conn: conn}
 				for n := 1; n <= 50; n++ {
-					harm(c, n)
+					misbehave(c, n)
 					select {
 					case <-end:
 						conn.Close()
@@ -59,22 +61,22 @@
 	}
 	answers := map[string]int{}
 	for n := 1; n <= requests; n++ {
-		usual.call(n, "again")
+		regular.call(n, "again")
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range requests {
-		answers[usual.receive()]++
+		answers[regular.receive()]++
 	}
 	close(end)
 	all.Wait()
 	served := 0
 	for n := 1; n <= requests; n++ {
-		one := 0
-		for _, what := range []string{"body " + fmt.Sprint(n), "TryLater", "Aborted", "Invalid"} { // the ref may be another's that is open
-			one += answers[fmt.Sprintf("%d: %s", n, what)]
+		answered := 0
+		for _, what := range []string{"body " + fmt.Sprint(n), "TryLater", "Aborted", "Invalid"} { // the id may be another's that is open
+			answered += answers[fmt.Sprintf("%d: %s", n, what)]
 		}
-		if served += answers[fmt.Sprintf("%d: body %d", n, n)]; one != 1 {
-			t.Errorf("request %d has %d answers", n, one)
+		if served += answers[fmt.Sprintf("%d: body %d", n, n)]; answered != 1 {
+			t.Errorf("request %d has %d answers", n, answered)
 		}
 	}
 	if served == 0 {
@@ -82,30 +84,26 @@
 	}
 }
 
-// What is open on a connection that turns bad has one answer each, whatever is wrong behind it.
+// Requests that are open on a connection get one answer each, whatever is wrong with what follows them.
 func TestBadInputBehindOpenRequests(t *testing.T) {
 	const open = 5
 	for name, bad := range map[string]func(c *testClient){
 		"noise":          func(c *testClient) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"a number twice": func(c *testClient) { c.call(open, "again", "ref", "00000000000000ff") },
+		"a number twice": func(c *testClient) { c.call(open, "again", withID(255)...) },
 		"wrong messages": func(c *testClient) {
 			for n := range tolerableFaults + 1 {
-				c.call(100+n, "unheard")
+				c.call(100+n, "unknown")
 			}
 		},
 		"a body of 60 MB": func(c *testClient) { c.conn.Write([]byte{0x94, 0, 100, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
-		held := make(chan receivedFrame, 4*open)
-		r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { held <- a }))
-		c, ours := r.dialHooked(t, func(*testClient, int, error) {})
+		server, _ := holdingServer(t)
+		r := start(t, server)
+		c, ours := r.dialHooked(t, noHook)
 		for n := 1; n <= open; n++ {
 			c.call(n, "again")
 		}
-		waitFor(t, "all are open", func() bool {
-			ours.mu.Lock()
-			defer ours.mu.Unlock()
-			return len(ours.open) == open
-		})
+		platformtest.WaitFor(t, "all are open", func() bool { return ours.openRequests() == open })
 		bad(c)
 		c.conn.(*net.TCPConn).CloseWrite()
 		answers := map[string]int{}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -1,242 +1,42 @@
 package platform
 
 import (
-	"bufio"
-	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"os"
 	"path/filepath"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/vmihailenco/msgpack/v5"
-	"go.uber.org/goleak"
 
 	"hollymast/control"
-	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
 )
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
-
-const settingsText = `{"balancers": 1, "tick": 1000, "zones": ["east"], "report": {"fields": ["cpu_share"], "how": "on_probe"},
-	"ceilings": {"cancel": true, "conn_idle": 15000000, "connect_timeout": 250000, "max_retry_after": 2000000, "retry_after": true,
-		"streams_per_conn": 100, "try_limit": 3},
-	"classes": [{"name": "again", "aim": 1000000, "hard_limit": 4000000, "importance": 1, "semantics": "pure", "window": 0},
-		{"name": "once", "aim": 1000000, "hard_limit": 4000000, "importance": 1, "semantics": "side_effect", "window": 0},
-		{"name": "marked", "aim": 1000000, "hard_limit": 4000000, "importance": 1, "semantics": "token", "key_scope": "all", "window": 5000000}],
-	"clients": {"marks_retry": true}, "contract": {"stop_sending_within": 500000}, "customers": [{"name": "acme", "allowance_per_s": 100}],
-	"specifics": {"when_absent": "load", "linger_idle": 9000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`
-
-// event returns a discovery event about one server.
-func event(rev int, uid, endpoint, state string) discovery.Event {
-	return discovery.Event{Revision: uint64(rev), Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
-		{UID: uid, Endpoint: endpoint, Zone: "east", Weight: 4, State: state}}}}
-}
-
-// discoveryServer returns the address of a discovery service that announces nothing but its revision and the given
-// events.
-func newDiscoveryServer(t *testing.T, last int, events ...discovery.Event) string {
-	return listen(t, func(c net.Conn) {
-		for _, e := range events {
-			text, _ := json.Marshal(e)
-			fmt.Fprintf(c, "%s\n", text)
-		}
-		for range 100 {
-			if _, err := fmt.Fprintln(c, last); err != nil {
-				return
-			}
-			time.Sleep(100 * time.Millisecond)
-		}
-	})
-}
-
-// listen serves each connection until the test ends.
-func listen(t *testing.T, serve func(net.Conn)) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				serve(c)
-			}()
-		}
-	}()
-	return l.Addr().String()
-}
-
-// asked is one frame that a fake server received.
-type receivedFrame struct {
-	code     byte
-	id       uint64
-	fields   string
-	body     []byte
-	sequence int // of this server
-	conn     net.Conn
-}
-
-func (a receivedFrame) answer(code byte, id uint64, body string) []byte {
-	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
-}
-
-// modelServer is a fake model server: do is called for each attempt.
-func modelServer(t *testing.T, do func(a receivedFrame)) string {
-	var nth atomic.Int32
-	return listen(t, func(c net.Conn) {
-		in := bufio.NewReader(c)
-		for {
-			f, err := platformtest.ReadFrame(in)
-			if err != nil {
-				return
-			}
-			if f.Code == platformtest.AttemptCode {
-				do(receivedFrame{f.Code, f.ID, f.Fields, f.Body, int(nth.Add(1)), c})
-			}
-		}
-	})
-}
-
-// good answers with the body that it received.
-func echo(a receivedFrame) { a.conn.Write(a.answer(97, a.id, string(a.body))) }
-
-// running is a router that serves until the test ends.
-type runningRouter struct {
-	*Router
-	stop context.CancelFunc
-	done chan struct{}
-}
-
-// configuration returns one without servers.
-func configText(boardAt string) string {
-	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
-		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, boardAt, settingsText)
-}
-
-func start(t *testing.T, boardAt string, servers ...string) *runningRouter {
-	t.Helper()
-	told, err := parseConfig([]byte(configText(boardAt)), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i, address := range servers {
-		told.History.Events = append(told.History.Events, event(i+1, fmt.Sprintf("s-%d", i), address, "ready"))
-	}
-	told.History.Revision = uint64(len(servers))
-	r := serve(t, told)
-	waitFor(t, "the router is well, as clients wait for", r.ready.Load)
-	return r
-}
-
-// serve runs a router until the test ends.
-func serve(t *testing.T, told *Config) *runningRouter {
-	t.Helper()
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	r := &runningRouter{p, stop, make(chan struct{})}
-	go func() { p.Serve(ctx); close(r.done) }()
-	t.Cleanup(func() { stop(); <-r.done })
-	return r
-}
-
-// caller is a client on one connection.
-type testClient struct {
-	t    *testing.T
-	conn net.Conn
-	dec  *msgpack.Decoder
-}
-
-func (r *runningRouter) dial(t *testing.T) *testClient {
-	t.Helper()
-	conn, err := net.Dial("tcp", r.Address())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	return &testClient{t, conn, msgpack.NewDecoder(conn)}
-}
-
-func (c *testClient) send(v ...any) {
-	b, err := msgpack.Marshal(v)
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	c.conn.Write(b)
-}
-
-func (c *testClient) call(number int, class string, changes ...string) {
-	f := map[string]string{"ref": fmt.Sprintf("%016x", number), "allow": "1500", "project": "acme", "lookup": "7f3a9c21e0b4d655",
-		"spec": "memory_mb:512;lanes:2"}
-	for i := 0; i < len(changes); i += 2 {
-		f[changes[i]] = changes[i+1]
-	}
-	c.send(0, number, class, []any{f, []byte(fmt.Sprint("body ", number))})
-}
-
-// receive returns the next answer as "number: text", or what ended the connection.
-func (c *testClient) receive() string {
-	v, err := c.dec.DecodeSlice()
-	if err != nil {
-		return "closed"
-	}
-	what := v[2]
-	if what == nil {
-		what = v[3]
-	}
-	switch first := what.([]any)[0].(type) {
-	case []byte:
-		return fmt.Sprintf("%v: %s", v[1], first)
-	default:
-		return fmt.Sprintf("%v: %v", v[1], first)
-	}
-}
-
-func (c *testClient) expect(want string) {
-	c.t.Helper()
-	if got := c.receive(); got != want {
-		c.t.Errorf("got %q, want %q", got, want)
-	}
-}
-
 func TestServesRequestUnchanged(t *testing.T) {
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, echo)).dial(t)
-	c.send(0, 1, "isWell", []any{map[string]string{}})
+	c := start(t, modelServer(t, echo)).dial(t)
+	c.healthCheck(1)
 	c.expect("1: true")
 	c.call(2, "again")
 	c.expect("2: body 2")
 }
 
-// spoils are ways in which an answer fails to come.
-var corruptAnswers = map[string]func(a receivedFrame){
-	"check": func(a receivedFrame) { b := a.answer(97, a.id, "x"); b[len(b)-1]++; a.conn.Write(b) },
-	"noise": func(a receivedFrame) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
-	"3 GB":  func(a receivedFrame) { b := a.answer(97, a.id, "x"); b[4] = 0xc0; a.conn.Write(b) },
-	"reset": func(a receivedFrame) { a.conn.Close() },
-	"short": func(a receivedFrame) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)-2]) },
+// corruptAnswers are ways in which an answer is corrupt or missing.
+var corruptAnswers = map[string]func(a receivedAttempt){
+	"check": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); b[len(b)-1]++; a.conn.Write(b) },
+	"noise": func(a receivedAttempt) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
+	"3 GB":  func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); b[4] = 0xc0; a.conn.Write(b) },
+	"reset": func(a receivedAttempt) { a.conn.Close() },
+	"short": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
 // A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
 // safe.
 func TestCorruptAnswerMayHaveRun(t *testing.T) {
-	for name, spoil := range corruptAnswers {
-		c := start(t, newDiscoveryServer(t, 1), modelServer(t, spoil)).dial(t)
+	for name, corrupt := range corruptAnswers {
+		c := start(t, modelServer(t, corrupt)).dial(t)
 		c.call(1, "once")
 		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
@@ -247,7 +47,7 @@
 // An idempotent one runs again, on another connection; the server is not ejected.
 func TestCorruptAnswerIsRetried(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
-		c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+		c := start(t, modelServer(t, func(a receivedAttempt) {
 			if a.sequence == 1 {
 				corruptAnswers[name](a)
 			} else {
@@ -261,11 +61,11 @@
 	}
 }
 
-// Answers to nothing are dropped, and the connection stays.
+// Answers that nobody waits for are dropped, and the connection stays.
 func TestUnsolicitedAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
-		a.conn.Write(a.answer(97, a.id+1, "not yours"))
+	c := start(t, modelServer(t, func(a receivedAttempt) {
+		a.conn.Write(a.answerFrame(codeOK, a.ID+1, "not yours"))
 		echo(a)
 		echo(a)
 		conns <- a.conn
@@ -283,18 +83,18 @@
 }
 
 func TestOverloadedServerMeansNotRun(t *testing.T) {
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { a.conn.Write(a.answer(100, a.id, "")) })).dial(t)
+	c := start(t, modelServer(t, func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOverloaded, a.ID, "")) })).dial(t)
 	c.call(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
 func TestInvalidRequestsAreAnswered(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	for name, bad := range map[string]func(c *testClient){
-		"an unknown class":   func(c *testClient) { c.call(1, "unheard") },
+		"an unknown class":   func(c *testClient) { c.call(1, "unknown") },
 		"an unknown project": func(c *testClient) { c.call(1, "again", "project", "nobody") },
-		"a huge patience":    func(c *testClient) { c.call(1, "again", "allow", "86400000") },
-		"no mark":            func(c *testClient) { c.call(1, "marked") },
+		"a huge timeout":     func(c *testClient) { c.call(1, "again", "allow", "86400000") },
+		"no idempotency key": func(c *testClient) { c.call(1, "marked") },
 		"too much memory":    func(c *testClient) { c.call(1, "again", "spec", "memory_mb:5000") },
 		"a body of 60 MB":    func(c *testClient) { c.conn.Write([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
@@ -311,29 +111,29 @@
 
 // Of two requests with one id neither is served, since they can't be told apart.
 func TestDuplicateRequestIDFailsBoth(t *testing.T) {
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {})).dial(t)
+	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	c.call(1, "again")
-	c.call(2, "again", "ref", fmt.Sprintf("%016x", 1))
+	c.call(2, "again", withID(1)...)
 	c.expect("1: Invalid")
 	c.expect("2: Invalid")
 }
 
 // Answers to one number can't be told apart: no request of such a connection gets one that counts.
 func TestDuplicateNumberClosesConnection(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {}))
+	r := start(t, modelServer(t, func(receivedAttempt) {}))
 	c := r.dial(t)
 	c.call(1, "again")
-	c.call(1, "again", "ref", "00000000000000ff")
+	c.call(1, "again", withID(255)...)
 	c.expect("1: Invalid")
 	c.expect("1: Aborted")
 	c.expect("closed")
 }
 
 func TestSilentConnectionsAreClosed(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	silent, half := r.dial(t), r.dial(t)
-	half.conn.Write([]byte{0x94, 0, 1})
-	for _, c := range []*testClient{silent, half} {
+	r := start(t, modelServer(t, echo))
+	silent, partial := r.dial(t), r.dial(t)
+	partial.conn.Write([]byte{0x94, 0, 1})
+	for _, c := range []*testClient{silent, partial} {
 		c.conn.SetDeadline(time.Now().Add(3 * time.Second))
 		if _, err := c.conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 			t.Errorf("open after 3 s: %v", err)
@@ -342,7 +142,7 @@
 }
 
 func TestMoreThan32OpenAreRejected(t *testing.T) {
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(receivedFrame) {})).dial(t)
+	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
 		c.call(n, "again")
 	}
@@ -351,7 +151,7 @@
 
 // Connections beyond the limit make room among those that never sent a message.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+	r := start(t, modelServer(t, echo))
 	for range r.maxClients + 20 {
 		r.dial(t)
 	}
@@ -362,58 +162,56 @@
 
 // So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
 func TestPartialMessagesMakeRoom(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
-	usual := r.dial(t)
+	r := start(t, modelServer(t, echo))
+	regular := r.dial(t)
 	for n := 1; n <= r.maxClients; n++ {
-		half, stays := r.dial(t), r.dial(t)
-		half.conn.Write([]byte{0x94, 0, 1})
-		stays.send(0, 1, "isWell", []any{map[string]string{}})
-		usual.call(n, "again")
-		usual.expect(fmt.Sprintf("%d: body %d", n, n))
+		partial, staying := r.dial(t), r.dial(t)
+		partial.conn.Write([]byte{0x94, 0, 1})
+		staying.healthCheck(1)
+		regular.call(n, "again")
+		regular.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.anomalies["client rejected: too many connections"] > 0 {
-		t.Errorf("%v", r.anomalies)
+	if n := r.anomaly("client rejected: too many connections"); n > 0 {
+		t.Errorf("%d were rejected", n)
 	}
 }
 
 func TestCancelledRequestIsNotAnswered(t *testing.T) {
-	got := make(chan receivedFrame, 1)
-	c := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) {
+	got := make(chan receivedAttempt, 1)
+	r := start(t, modelServer(t, func(a receivedAttempt) {
 		if a.sequence == 1 {
 			got <- a
 		} else {
 			echo(a)
 		}
-	})).dial(t)
+	}))
+	c, ours := r.dialHooked(t, noHook)
 	c.call(1, "again")
 	a := <-got
-	c.send(2, "forget", []any{1})
-	time.Sleep(20 * time.Millisecond)
+	c.cancel(1)
+	platformtest.WaitFor(t, "the cancellation is read", func() bool { return ours.openRequests() == 0 })
+	handled := make(chan struct{})
+	r.queue.Post(func(control.Micros) { close(handled) }) // behind the cancellation
+	<-handled
 	echo(a)
 	c.call(2, "again")
 	c.expect("2: body 2")
 }
 
 // A server that drains between the choice and the first byte gets nothing.
-func TestDrainBeforeTheFirstByte(t *testing.T) {
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, echo))
+func TestDrainBeforeFirstByte(t *testing.T) {
+	r := start(t, modelServer(t, echo))
 	done := make(chan bool)
 	r.queue.Post(func(now control.Micros) {
 		id := fleet.ID("s-0")
-		s := r.newCall(id, 1_000_000)
-		s.load.Server = id
-		s.id, s.timer = 1, time.NewTimer(time.Hour)
-		pl := r.pools[id]
-		if pl == nil {
-			pl = &serverPool{id: id, address: "elsewhere"}
-			r.pools[id] = pl
-		}
-		s.conn = r.newServerConn(now, pl)
-		s.conn.open[1] = s
-		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: pl.address, Zone: "east"}}) // draining, or gone
-		done <- s.progress.Ended && !s.beginsWrite()
+		call := r.newCall(id, 1_000_000)
+		call.load.Server = id
+		call.id, call.timer = 1, time.NewTimer(time.Hour)
+		pool := r.poolOf(id)
+		call.conn = r.newServerConn(now, pool)
+		call.conn.open[1] = call
+		r.listServer(now, pool.address, control.Removed)
+		done <- call.progress.Ended && !call.beginsWrite()
 	})
 	if !<-done {
 		t.Error("it could still be written")
@@ -423,8 +221,8 @@
 // A new server at the address of a removed one has connections of its own.
 func TestReusedAddressGetsOwnConnections(t *testing.T) {
 	conns := make(chan net.Conn, 2)
-	address := modelServer(t, func(a receivedFrame) { echo(a); conns <- a.conn })
-	r := start(t, newDiscoveryServer(t, 1), address)
+	address := modelServer(t, func(a receivedAttempt) { echo(a); conns <- a.conn })
+	r := start(t, address)
 	c := r.dial(t)
 	c.call(1, "again")
 	c.expect("1: body 1")
@@ -438,17 +236,18 @@
 	}
 }
 
-// After a reload the router asks the new discovery address, and requests in flight stay.
+// After a reload the router subscribes at the new discovery address, and requests in flight stay.
 func TestReload(t *testing.T) {
-	first := make(chan receivedFrame, 1)
-	old, other := modelServer(t, func(a receivedFrame) { first <- a }), modelServer(t, echo)
-	r := start(t, newDiscoveryServer(t, 1), old)
+	old, held := holdingServer(t)
+	other := modelServer(t, echo)
+	r := start(t, old)
 	c := r.dial(t)
 	c.call(1, "again")
-	a := <-first
-	fresh := *r.config
-	fresh.DiscoveryAddress = newDiscoveryServer(t, 3, event(2, "s-0", old, "draining"), event(3, "s-1", other, "ready"))
-	r.Reload(&fresh)
+	a := <-held
+	changed := *r.config
+	changed.DiscoveryAddress = platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", old, "ready"),
+		platformtest.Event(2, "s-0", old, "draining"), platformtest.Event(3, "s-1", other, "ready")).Address()
+	r.Reload(&changed)
 	for n := 2; ; n++ {
 		c.call(n, "again", "allow", "200")
 		if c.receive() == fmt.Sprintf("%d: body %d", n, n) {
@@ -464,26 +263,30 @@
 
 // A stopping router serves for a little longer, answers the requests in flight, and ends.
 func TestGracefulShutdown(t *testing.T) {
-	first := make(chan receivedFrame, 2)
-	r := start(t, newDiscoveryServer(t, 1), modelServer(t, func(a receivedFrame) { first <- a }))
+	server, held := holdingServer(t)
+	r := start(t, server)
 	c := r.dial(t)
 	c.call(1, "again")
-	a := <-first
+	a := <-held
 	r.stop()
 	time.Sleep(200 * time.Millisecond)
 	late := r.dial(t)
-	late.send(0, 1, "isWell", []any{map[string]string{}})
+	late.healthCheck(1)
 	late.expect("1: false")
-	late.call(2, "again", "ref", "00000000000000ff")
-	echo(<-first)
+	late.call(2, "again", withID(255)...)
+	echo(<-held)
 	late.expect("2: body 2")
-	time.Sleep(acceptConnectionsFor)
+	select {
+	case <-r.acceptEnded:
+	case <-time.After(2 * time.Second):
+		t.Fatal("the listener stays open")
+	}
 	echo(a)
 	c.expect("1: body 1")
 	select {
 	case <-r.done:
 	case <-time.After(2 * time.Second):
-		t.Error("it goes on with nothing in hand")
+		t.Error("it goes on with no request in flight")
 	}
 }
 
@@ -491,13 +294,13 @@
 func TestWriteQueueIsBounded(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
-	o := &writeQueue{conn: ours, maxQueuedBytes: 1000}
-	taken := 0
-	for o.post(queuedFrame{data: make([]byte, 100)}) {
-		taken++
+	q := &writeQueue{conn: ours, maxQueuedBytes: 1000}
+	accepted := 0
+	for q.post(queuedFrame{data: make([]byte, 100)}) {
+		accepted++
 	}
-	if taken > 11 || !o.empty() {
-		t.Errorf("%d taken", taken)
+	if accepted > 11 || !q.empty() {
+		t.Errorf("%d accepted", accepted)
 	}
 }
 
@@ -513,42 +316,35 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(Environment{File: file}); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
 // The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
 func TestMaxCommandDelayMatchesWriteDeadline(t *testing.T) {
-	p := idleRouter(t)
-	if s := p.newCall(1, p.config.loadTimeout); s.writeBefore-s.chosenAt != p.config.Deployment.MaxCommandDelay || p.config.Deployment.MaxCommandDelay == 0 {
-		t.Errorf("written %d late, told %d", s.writeBefore-s.chosenAt, p.config.Deployment.MaxCommandDelay)
+	r := idleRouter(t)
+	if call := r.newCall(1, r.config.loadTimeout); call.writeBefore-call.chosenAt != r.config.Deployment.MaxCommandDelay || r.config.Deployment.MaxCommandDelay == 0 {
+		t.Errorf("written %d late, configured %d", call.writeBefore-call.chosenAt, r.config.Deployment.MaxCommandDelay)
 	}
 }
 
 // Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
-	told, err := parseConfig([]byte(configText("127.0.0.1:1")), Environment{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	told.Sockets = minSockets
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer p.listener.Close()
-	for range told.Sockets / 3 {
-		if !p.hasRoom() {
+	config := parse(t, configText(unreachable))
+	config.Sockets = minSockets
+	r := newRouter(t, config, zerolog.Nop())
+	for range config.Sockets / 3 {
+		if !r.hasRoom() {
 			t.Fatal("no room")
 		}
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		p.clients[&clientConn{router: p, conn: ours}] = struct{}{}
+		r.clients[&clientConn{router: r, conn: ours}] = struct{}{}
 	}
-	for c := range p.clients {
-		if _, ends := c.idle(); ends {
-			t.Error("a usual client's connection was ended")
+	for c := range r.clients {
+		if _, closing := c.idle(); closing {
+			t.Error("a regular client's connection was closed")
 		}
 	}
 }
--- a/internal/platform/stalls_test.go
+++ b/internal/platform/stalls_test.go
@@ -6,26 +6,26 @@
 	"hollymast/control"
 )
 
-// What is read during a stall, or soon after it, may have come since it began; what is read later came when it was read.
+// What is read during a stall, or soon after it, may have arrived since it began; what is read later arrived when it was read.
 func TestStallDetector(t *testing.T) {
 	const second = control.Micros(1_000_000)
-	var u stallDetector
-	if got := u.earliestArrival(second); got != second {
-		t.Errorf("not watched yet: %d", got)
+	var d stallDetector
+	if got := d.earliestArrival(second); got != second {
+		t.Errorf("before the first tick: %d", got)
 	}
-	u.tick(second)
+	d.tick(second)
 	const short, long = second + stallThreshold, second + stallThreshold + 1
-	if got := u.earliestArrival(short); got != short {
-		t.Errorf("between two beats: %d", got)
+	if got := d.earliestArrival(short); got != short {
+		t.Errorf("between two ticks: %d", got)
 	}
-	if got := u.earliestArrival(long); got != second {
-		t.Errorf("read before the beat after a standstill: %d", got)
+	if got := d.earliestArrival(long); got != second {
+		t.Errorf("read before the tick after a stall: %d", got)
 	}
-	u.tick(long)
-	if got := u.earliestArrival(long + 1); got != second {
-		t.Errorf("read right after that beat: %d", got)
+	d.tick(long)
+	if got := d.earliestArrival(long + 1); got != second {
+		t.Errorf("read right after that tick: %d", got)
 	}
-	if later := u.until; u.earliestArrival(later) != later {
-		t.Error("a standstill counts for ever")
+	if later := d.until; d.earliestArrival(later) != later {
+		t.Error("a stall counts for ever")
 	}
 }
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -12,12 +12,10 @@
 	"testing"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
-
 	"hollymast/internal/platformtest"
 )
 
-// stalling is the router's end of a client connection: while a test holds the lock, nothing is read, as by a reader
+// lockedConn is the router's end of a client connection: while a test holds the lock nothing is read, as by a reader
 // that waits for the processor.
 type lockedConn struct {
 	*net.TCPConn
@@ -41,92 +39,92 @@
 	return s.TCPConn.Read(b)
 }
 
-// leaving are the ways in which a client stops waiting for its request 1.
+// departures are the ways in which a client stops waiting for its request 1.
 var departures = map[string]func(c *testClient){
-	"cancels":     func(c *testClient) { c.send(2, "forget", []any{1}) },
+	"cancels":     func(c *testClient) { c.cancel(1) },
 	"closes":      func(c *testClient) { c.conn.Close() },
 	"half closes": func(c *testClient) { c.conn.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c *testClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
 	"cancels behind another request": func(c *testClient) {
 		c.call(2, "again", "lookup", "00000000000000ff")
-		c.send(2, "forget", []any{1})
-		c.send(2, "forget", []any{2})
+		c.cancel(1)
+		c.cancel(2)
 	},
 }
 
-// A client leaves while its attempt waits, and nobody reads that for long: no first byte follows.
+// A client leaves while its attempt waits, and that lies unread for long: no first byte follows.
 func TestUnreadDepartureWithdrawsAttempt(t *testing.T) {
-	const unread, watched = 130 * time.Millisecond, 300 * time.Millisecond
+	const unreadFor, watchedFor = 130 * time.Millisecond, 300 * time.Millisecond
 	for how, leave := range departures {
-		for where, way := range map[string]struct {
-			dial   func(conn net.Conn, filled chan<- int, left <-chan bool)
-			accept func(c net.Conn, filled <-chan int, left <-chan bool)
+		for where, hold := range map[string]struct {
+			dial   func(conn net.Conn, filled chan<- int, departed <-chan bool)
+			accept func(c net.Conn, filled <-chan int, departed <-chan bool)
 		}{
-			"in a dial": {dial: func(_ net.Conn, _ chan<- int, left <-chan bool) { <-left }},
+			"in a dial": {dial: func(_ net.Conn, _ chan<- int, departed <-chan bool) { <-departed }},
 			"for room": {
 				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fill(t, conn) },
-				accept: func(c net.Conn, filled <-chan int, left <-chan bool) {
-					<-left
+				accept: func(c net.Conn, filled <-chan int, departed <-chan bool) {
+					<-departed
 					io.ReadFull(c, make([]byte, <-filled))
 				},
 			},
-			"between two attempts": {accept: func(c net.Conn, _ <-chan int, left <-chan bool) {
+			"between two attempts": {accept: func(c net.Conn, _ <-chan int, departed <-chan bool) {
 				f, _ := platformtest.ReadFrame(c)
-				<-left
-				c.Write(platformtest.AnswerFrame(101, f.ID, "", nil))
+				<-departed
+				c.Write(platformtest.AnswerFrame(codeError, f.ID, "", nil))
 			}},
 		} {
 			t.Run(how+" "+where, func(t *testing.T) {
 				t.Parallel()
-				waits, left, filled, first := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
-				var nth atomic.Int32
+				waiting, departed, filled, written := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
+				var connections atomic.Int32
 				server := listenNarrow(t, func(c net.Conn) {
-					if way.accept != nil && nth.Add(1) == 1 {
-						waits <- true
-						way.accept(c, filled, left)
+					if hold.accept != nil && connections.Add(1) == 1 {
+						waiting <- true
+						hold.accept(c, filled, departed)
 					}
 					for {
 						f, err := platformtest.ReadFrame(c)
 						if err != nil {
 							return
 						}
-						first <- f
+						written <- f
 					}
 				})
-				r := startChanged(t, func(p *Router) {
-					longGrace(p)
-					p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+				r := startChanged(t, func(r *Router) {
+					longGrace(r)
+					r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
 						conn, err := systemCalls.dial(ctx, address)
-						if err == nil && way.dial != nil {
-							waits <- true
-							way.dial(conn, filled, left)
+						if err == nil && hold.dial != nil {
+							waiting <- true
+							hold.dial(conn, filled, departed)
 						}
 						return conn, err
 					}
 				}, server)
 				ours, theirs := platformtest.ConnPair(t)
-				stalled := &lockedConn{TCPConn: ours.(*net.TCPConn)}
-				r.serveClient(stalled)
-				c := &testClient{t, theirs, msgpack.NewDecoder(theirs)}
+				locked := &lockedConn{TCPConn: ours.(*net.TCPConn)}
+				r.serveClient(locked)
+				c := newTestClient(t, theirs)
 				c.call(1, "again")
-				<-waits
+				<-waiting
 				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
-				stalled.Lock()
+				locked.Lock()
 				leave(c)
-				time.Sleep(unread)
-				close(left)
+				time.Sleep(unreadFor)
+				close(departed)
 				select {
-				case f := <-first:
+				case f := <-written:
 					t.Errorf("a frame of code %d follows", f.Code)
-				case <-time.After(watched):
+				case <-time.After(watchedFor):
 				}
-				stalled.Unlock()
+				locked.Unlock()
 			})
 		}
 	}
 }
 
-// What a trackedConn knows of unread input while its reader does not return.
+// A trackedConn detects unread input while its reader does not return.
 func TestTrackedConnDetectsUnreadInput(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -142,7 +140,7 @@
 				t.Fatalf("read %d, %v", n, err)
 			}
 			if s.upToDate(time.Now()) {
-				t.Error("what was read of a new connection is not taken in yet")
+				t.Error("what was read of a new connection is not processed yet")
 			}
 			s.SetReadDeadline(time.Now().Add(maxUnreadAge))
 			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -151,13 +149,13 @@
 			if !s.upToDate(later()) {
 				t.Error("nothing is unread")
 			}
-			leave(&testClient{t, theirs, msgpack.NewDecoder(theirs)})
-			waitFor(t, "it is told that something is unread", func() bool {
+			leave(newTestClient(t, theirs))
+			platformtest.WaitFor(t, "unread input is detected", func() bool {
 				s.asOf = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
 				return !s.upToDate(time.Now())
 			})
 			if s.asOf = time.Now(); !s.upToDate(time.Now()) {
-				t.Error("where the reader looked just now it is looked again")
+				t.Error("where the reader looked just now the socket is looked at again")
 			}
 		})
 	}
--- a/internal/platform/trouble_test.go
+++ b/internal/platform/trouble_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"net"
@@ -19,62 +18,47 @@
 
 // Whatever goes wrong at the only server, each request has its one final answer in time.
 func TestServerFaultsLeaveOneAnswerEach(t *testing.T) {
-	type serve func(c net.Conn)
-	do := func(act func(a receivedFrame)) serve { // act on each request
-		return func(c net.Conn) {
-			for in := bufio.NewReader(c); ; {
-				f, err := platformtest.ReadFrame(in)
-				if err != nil {
-					return
-				}
-				if f.Code == platformtest.AttemptCode {
-					act(receivedFrame{f.Code, f.ID, f.Fields, f.Body, 0, c})
-				}
-			}
-		}
-	}
-	ways := map[string]serve{
-		"silent":           do(func(receivedFrame) {}),
+	type handler = func(net.Conn)
+	faults := map[string]handler{
+		"silent":           handleAttempts(func(receivedAttempt) {}),
 		"reads nothing":    func(net.Conn) { <-t.Context().Done() },
 		"closes at once":   func(net.Conn) {},
-		"another's answer": do(func(a receivedFrame) { a.conn.Write(a.answer(97, a.id+1, "x")) }),
-		"half and silent":  do(func(a receivedFrame) { b := a.answer(97, a.id, "x"); a.conn.Write(b[:len(b)/2]) }),
-		"resets": do(func(a receivedFrame) {
+		"another's answer": handleAttempts(func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOK, a.ID+1, "x")) }),
+		"half and silent":  handleAttempts(func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)/2]) }),
+		"resets": handleAttempts(func(a receivedAttempt) {
 			a.conn.(*net.TCPConn).SetLinger(0)
 			a.conn.Close()
 		}),
 	}
-	for name, spoil := range corruptAnswers {
-		ways["spoilt: "+name] = do(spoil)
+	for name, corrupt := range corruptAnswers {
+		faults["corrupt: "+name] = handleAttempts(corrupt)
 	}
-	for name, way := range ways {
-		for _, links := range []int{0, 1} { // as many connections as are wanted; one for all
-			t.Run(fmt.Sprintf("%s, links %d", name, links), func(t *testing.T) {
+	for name, fault := range faults {
+		for _, connections := range []int{0, 1} { // as many connections as are wanted; one for all
+			t.Run(fmt.Sprintf("%s, connections %d", name, connections), func(t *testing.T) {
 				t.Parallel()
-				r := startChanged(t, func(p *Router) {
-					longGrace(p)
-					if links > 0 {
-						p.maxServerConns = links
+				r := startChanged(t, func(r *Router) {
+					longGrace(r)
+					if connections > 0 {
+						r.maxServerConns = connections
 					}
-					p.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+					r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
 						conn, err := systemCalls.dial(ctx, address)
 						if err == nil {
 							conn.(*net.TCPConn).SetWriteBuffer(2048) // holds less than one request
 						}
 						return conn, err
 					}
-				}, listenNarrow(t, way))
+				}, listenNarrow(t, fault))
 				const clients, each = 6, maxOpenPerClient
 				var callers []*testClient
-				begun := time.Now()
+				began := time.Now()
 				for i := range clients {
 					c := r.dial(t)
 					callers = append(callers, c)
 					go func() {
 						for n := 1; n <= each; n++ {
-							c.send(0, n, []string{"again", "once"}[n%2], []any{map[string]string{"ref": fmt.Sprintf("%016x", i*each+n),
-								"allow": fmt.Sprint(clientTimeout.Milliseconds()), "project": "acme", "lookup": "7f3a9c21e0b4d655",
-								"spec": "memory_mb:512;lanes:2"}, make([]byte, msgrpc.MaxBody)})
+							c.send(0, n, []string{"again", "once"}[n%2], []any{requestFields(i*each + n), make([]byte, msgrpc.MaxBody)})
 						}
 					}()
 				}
@@ -87,12 +71,14 @@
 						}
 						answers[fmt.Sprint(v[1])]++
 					}
-					if took := time.Since(begun); took > clientTimeout+500*time.Millisecond {
+					if took := time.Since(began); took > clientTimeout+500*time.Millisecond {
 						t.Errorf("the last answer came after %v", took)
 					}
+				}
+				for _, c := range callers { // afterwards, so that this wait does not count as time to an answer
 					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 					if v, err := c.dec.DecodeSlice(); err == nil {
-						t.Errorf("a further answer: %v", v[1])
+						t.Errorf("another answer: %v", v[1])
 					}
 				}
 			})
@@ -100,26 +86,26 @@
 	}
 }
 
-// A server's write queue that overflows ends all that is queued on it, provably never sent.
+// A server's write queue that overflows ends all calls that are queued on it, provably never sent.
 func TestWriteQueueOverflowEndsQueuedCalls(t *testing.T) {
-	p := idleRouter(t)
-	p.maxServerConns = 1
-	p.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
-	p.handleEndpoints(p.now(), []fleet.Endpoint{{Name: "s-0", Address: "127.0.0.1:1", Zone: "east", State: control.Ready}})
+	r := idleRouter(t)
+	r.maxServerConns = 1
+	r.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
+	r.listServer(r.now(), unreachable, control.Ready)
 	id := fleet.ID("s-0")
-	var all []*serverCall
+	var calls []*serverCall
 	for n := range 3 {
-		s := p.newCall(id, 1_000_000)
-		s.load, s.id = control.LoadCommand{Server: id}, binframe.ID(n+1)
-		p.dispatch(p.now(), s, make([]byte, maxUnreadByServer*2/5)) // two of them have room
-		all = append(all, s)
+		call := r.newCall(id, 1_000_000)
+		call.load, call.id = control.LoadCommand{Server: id}, binframe.ID(n+1)
+		r.dispatch(r.now(), call, make([]byte, maxUnreadByServer*2/5)) // two of them have room
+		calls = append(calls, call)
 	}
-	waitFor(t, "all have ended", func() bool {
-		p.step(p.now(), p.queue.Drain(nil))
-		return !slices.ContainsFunc(all, func(s *serverCall) bool { return !s.progress.Ended })
+	platformtest.WaitFor(t, "all have ended", func() bool {
+		r.step(r.now(), r.queue.Drain(nil))
+		return !slices.ContainsFunc(calls, func(call *serverCall) bool { return !call.progress.Ended })
 	})
-	for _, s := range all {
-		if s.currentStage() == attempt.Writing {
+	for _, call := range calls {
+		if call.currentStage() == attempt.Writing {
 			t.Error("one was written")
 		}
 	}
