--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"net"
+	"runtime"
 	"strings"
 	"sync"
 	"syscall"
@@ -15,7 +16,7 @@
 	"hollymast/internal/fleet"
 )
 
-// steppedClient is a client whose goroutine never runs: the test calls its steps.
+// manualClient is a client whose goroutine never runs: the test calls its steps.
 type manualClient struct {
 	*Client
 	lists chan []fleet.Endpoint
@@ -27,31 +28,43 @@
 }
 
 // subscribe subscribes, and returns the watch and the server's end of the connection.
-func (a manualClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
+func (m manualClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
 	t.Helper()
-	w, err := a.open(context.Background())
+	w, err := m.open(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.close)
-	receive(t, "a question", subscriptions)
+	t.Cleanup(m.close)
+	receive(t, "a subscription", subscriptions)
 	return w, receive(t, "a connection", conns)
 }
 
-// arrived waits until something can be read from a watch, and reads nothing.
+// awaitInput waits until something can be read from a watch, and reads nothing.
 func (w *watch) awaitInput(t *testing.T) {
 	t.Helper()
-	for range 4000 {
-		var n int
-		w.raw.Control(func(fd uintptr) {
-			n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		})
-		if n > 0 {
-			return
+	w.conn.SetReadDeadline(time.Now().Add(4 * time.Second))
+	defer w.conn.SetReadDeadline(time.Time{})
+	err := w.raw.Read(func(fd uintptr) bool {
+		n, _, _ := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return n > 0
+	})
+	if err != nil {
+		t.Fatalf("nothing arrived within 4 s: %v", err)
+	}
+}
+
+// awaitGoroutine waits until a goroutine that runs a function is in a state, as the runtime names it.
+func awaitGoroutine(state, function string) bool {
+	buf := make([]byte, 1<<20)
+	for began := time.Now(); time.Since(began) < 4*time.Second; runtime.Gosched() {
+		for goroutine := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
+			header, _, _ := strings.Cut(goroutine, "\n")
+			if strings.Contains(header, state) && strings.Contains(goroutine, function) {
+				return true
+			}
 		}
-		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("nothing came within 4 s")
+	return false
 }
 
 // What the server has sent is read by whoever needs the list, whether the client's goroutine has run or not.
@@ -63,9 +76,9 @@
 	fmt.Fprintln(c, event(2, false, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	before := time.Now()
-	for a.Revision() < 2 { // the second may come after the first
+	for a.Revision() < 2 { // the second may arrive after the first
 		if asOf := a.CatchUp(); asOf.Before(before) {
-			t.Fatalf("the list is as of %v before the look", before.Sub(asOf))
+			t.Fatalf("the list is as of %v before the read", before.Sub(asOf))
 		}
 	}
 	receive(t, "the first list", a.lists)
@@ -107,8 +120,8 @@
 	}
 	receive(t, "the list", a.lists)
 	receive(t, "a connection elsewhere", otherConns)
-	if line := receive(t, "a question elsewhere", otherSubscriptions); line != "watch 1\n" {
-		t.Errorf("asked %q", line)
+	if line := receive(t, "a subscription elsewhere", otherSubscriptions); line != "watch 1\n" {
+		t.Errorf("subscribed with %q", line)
 	}
 }
 
@@ -127,47 +140,43 @@
 	receive(t, "the list", a.lists)
 }
 
-// A server that was down for long, comes back and breaks off within the first event is asked again within half
-// the grace: what it would have sent counts as listed since it was asked.
+// A server that was down for long, comes back and breaks off within the first event is subscribed to again within
+// half the grace: what it would have sent counts as listed since the subscription.
 func TestReconnectIsQuickAfterAnInterruptedAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
-		"within the first event":   event(1, true, "a", "10.0.0.1:1", "ready")[:60],
-		"after the first event":    event(1, true, "a", "10.0.0.1:1", "ready") + "\n",
-		"before it says anything":  "",
-		"an event is missing":      event(1, true, "a", "10.0.0.1:1", "ready") + "\n7\n",
-		"what it says is no event": "{}}\n",
+		"within the first event":    event(1, true, "a", "10.0.0.1:1", "ready")[:60],
+		"after the first event":     event(1, true, "a", "10.0.0.1:1", "ready") + "\n",
+		"before it sends anything":  "",
+		"an event is missing":       event(1, true, "a", "10.0.0.1:1", "ready") + "\n7\n",
+		"what it sends is no event": "{}}\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			address := l.Addr().String()
-			l.Close() // the server is down until the waits have grown
-			startClient(t, address)
-			time.Sleep(2500 * time.Millisecond)
-			if l, err = net.Listen("tcp", address); err != nil {
-				t.Fatal(err)
+			address, up := downServer(t)
+			failures := make(chan error, 100)
+			runClient(t, NewClient(State{}, address, testGrace, 1, func(fleet.Update) {}, func(_ string, err error) { failures <- err }))
+			const untilLongest = 8 // 20 ms, doubled to 1 s
+			for range untilLongest {
+				receive(t, "a failed dial", failures)
 			}
-			defer l.Close()
-			var asked [3]time.Time
-			for i := range asked {
+			l := up()
+			var subscribed [3]time.Time
+			for i := range subscribed {
 				c, err := l.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
 				bufio.NewReader(c).ReadString('\n')
-				asked[i] = time.Now()
-				if i < len(asked)-1 {
+				subscribed[i] = time.Now()
+				if i < len(subscribed)-1 {
 					fmt.Fprint(c, answer)
 				}
 				c.Close()
 			}
 			const slack = 50 * time.Millisecond // of a busy machine
-			for i := range asked[1:] {
-				if took := asked[i+1].Sub(asked[i]); took > testGrace/2+slack {
-					t.Errorf("asked again after %v", took)
+			for i := range subscribed[1:] {
+				if took := subscribed[i+1].Sub(subscribed[i]); took > testGrace/2+slack {
+					t.Errorf("subscribed again after %v", took)
 				}
 			}
 		})
@@ -176,8 +185,8 @@
 
 // A start does not wait for a server that can't be reached.
 func TestStartedWhenServerIsUnreachable(t *testing.T) {
-	f, _ := startClient(t, "127.0.0.1:1")
-	receive(t, "the start", f.Started())
+	c, _ := startClient(t, "127.0.0.1:1")
+	receive(t, "the start", c.Started())
 }
 
 // A start can be relied on once the server's answer to the first subscription was applied.
@@ -205,7 +214,7 @@
 	_, lists := startClient(t, address)
 	for range 2 {
 		c := receive(t, "a connection", conns)
-		receive(t, "a question", subscriptions)
+		receive(t, "a subscription", subscriptions)
 		go func() {
 			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*chunk))
 			fmt.Fprintln(c, event(2, true, "a", "10.0.0.1:1", "draining"))
@@ -223,40 +232,40 @@
 	a := newManualClient(address)
 	_, c := a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	look := func() (before time.Time) {
+	catchUp := func() (before time.Time) {
 		before = time.Now()
 		a.CatchUp()
 		return before
 	}
-	until := func(what string, done func() bool) {
-		for began := time.Now(); !done(); look() {
+	catchUpUntil := func(what string, done func() bool) {
+		for began := time.Now(); !done(); catchUp() {
 			if time.Since(began) > 4*time.Second {
 				t.Fatal(what)
 			}
 		}
 	}
-	until("the event is not read", func() bool { return a.Revision() == 1 })
+	catchUpUntil("the event is not read", func() bool { return a.Revision() == 1 })
 	if !a.CompleteAsOf().IsZero() {
 		t.Error("complete before a heartbeat")
 	}
 	fmt.Fprintln(c, 1)
-	until("not complete after a heartbeat", func() bool { return !a.CompleteAsOf().IsZero() })
-	if before := look(); a.CompleteAsOf().Before(before) {
-		t.Error("not complete as of the last look")
+	catchUpUntil("not complete after a heartbeat", func() bool { return !a.CompleteAsOf().IsZero() })
+	if before := catchUp(); a.CompleteAsOf().Before(before) {
+		t.Error("not complete as of the last read")
 	}
 	fmt.Fprint(c, `{"rev":2`) // an incomplete event
 	a.watch.awaitInput(t)
-	if before := look(); !a.CompleteAsOf().Before(before) {
-		t.Error("complete with an event that has begun to come")
+	if before := catchUp(); !a.CompleteAsOf().Before(before) {
+		t.Error("complete with an incomplete event")
 	}
 	c.Close()
-	until("the end is not read", func() bool { return a.watch.ended != nil })
+	catchUpUntil("the end is not read", func() bool { return a.watch.ended != nil })
 	complete := a.CompleteAsOf()
 	_, c = a.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
-	until("the next event is not read", func() bool { return a.Revision() == 2 })
+	catchUpUntil("the next event is not read", func() bool { return a.Revision() == 2 })
 	if !a.CompleteAsOf().Equal(complete) {
-		t.Errorf("complete as of %v later, with no whole answer since", a.CompleteAsOf().Sub(complete))
+		t.Errorf("complete as of %v later, with no complete answer since", a.CompleteAsOf().Sub(complete))
 	}
 }
 
@@ -265,11 +274,14 @@
 func TestCatchUpReturnsWhileReaderWaits(t *testing.T) {
 	address, conns, subscriptions := listen(t)
 	c, lists := startClient(t, address)
-	receive(t, "a question", subscriptions)
+	receive(t, "a subscription", subscriptions)
 	server := receive(t, "a connection", conns)
 	defer server.Close()
 	fmt.Fprintln(server, event(1, true, "a", "10.0.0.1:1", "ready"))
 	receive(t, "a list", lists)
+	if !awaitGoroutine("IO wait", "discovery.(*watch).wait") {
+		t.Fatal("the goroutine does not wait for input")
+	}
 
 	setRead := func(f func(int, []byte) (int, error)) {
 		c.mu.Lock()
@@ -280,7 +292,9 @@
 	setRead(func(fd int, b []byte) (int, error) {
 		once.Do(func() { // called by CatchUp: the goroutine wakes and waits for the lock, and then the connection ends
 			fmt.Fprintln(server, "heartbeat")
-			time.Sleep(50 * time.Millisecond)
+			if !awaitGoroutine("sync.Mutex.Lock", "discovery.(*Client).readReady") {
+				t.Error("the goroutine does not wait for the lock")
+			}
 			syscall.Shutdown(fd, syscall.SHUT_RD)
 		})
 		return syscall.Read(fd, b)
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -7,7 +7,9 @@
 	"fmt"
 	"maps"
 	"net"
+	"os"
 	"slices"
+	"syscall"
 	"testing"
 	"time"
 
@@ -30,12 +32,12 @@
 	}{
 		{"a further server", event(4, false, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
 		{"one that goes", event(4, false, "a", "", "gone"), EndpointsChanged, false, 0},
-		{"the whole list", event(4, true, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
+		{"the full list", event(4, true, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
 		{"an old event again", event(3, true, "c", "10.0.0.3:1", "ready"), None, false, 1},
 		{"one after a gap", event(5, true, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
-		{"a number we have", "3", None, false, 1},
-		{"a number we lack", "4", Resubscribe, false, 1},
-		{"no number", "x3", None, true, 1},
+		{"a known revision", "3", None, false, 1},
+		{"a missing revision", "4", Resubscribe, false, 1},
+		{"not a number", "x3", None, true, 1},
 		{"a broken event", event(4, false, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
 		{"an unknown state", event(4, true, "b", "10.0.0.2:1", "asleep"), None, true, 1},
 	} {
@@ -98,16 +100,52 @@
 	return slices.SortedFunc(maps.Values(list), byName)
 }
 
-// follow runs a client that ends with the test.
+// startClient runs a client until the test ends, and returns its lists.
 func startClient(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
 	t.Helper()
 	lists := make(chan []fleet.Endpoint, 8)
-	f := NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {})
+	c := NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {})
+	runClient(t, c)
+	return c, lists
+}
+
+// runClient runs a client until the test ends.
+func runClient(t *testing.T, c *Client) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { c.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended })
-	return f, lists
+}
+
+// downServer returns an address that refuses connections, which no other program can get, and a function that starts
+// to listen on it.
+func downServer(t *testing.T) (address string, up func() net.Listener) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := os.NewFile(uintptr(fd), "listener")
+	t.Cleanup(func() { file.Close() })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprint("127.0.0.1:", name.(*syscall.SockaddrInet4).Port), func() net.Listener {
+		t.Helper()
+		if err := syscall.Listen(fd, syscall.SOMAXCONN); err != nil {
+			t.Fatal(err)
+		}
+		l, err := net.FileListener(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { l.Close() })
+		return l
+	}
 }
 
 func receive[T any](t *testing.T, what string, c <-chan T) T {
@@ -125,13 +163,13 @@
 	address, conns, subscriptions := listen(t)
 	_, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
-	receive(t, "a question", subscriptions)
+	receive(t, "a subscription", subscriptions)
 	fmt.Fprint(c, event(1, true, "a", "10.0.0.1:1", "ready"), "\n", event(2, false, "b", "10.0.0.2:1", "ready")[:60])
 	receive(t, "the first list", lists)
 	c.Close()
 	c = receive(t, "another connection", conns)
-	if line := receive(t, "another question", subscriptions); line != "watch 1\n" {
-		t.Errorf("asked %q", line)
+	if line := receive(t, "another subscription", subscriptions); line != "watch 1\n" {
+		t.Errorf("subscribed with %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
 	if list := receive(t, "the second list", lists); len(list) != 2 {
@@ -143,22 +181,22 @@
 	address, conns, subscriptions := listen(t)
 	startClient(t, address)
 	receive(t, "a connection", conns) // and nothing is sent on it
-	receive(t, "a question", subscriptions)
+	receive(t, "a subscription", subscriptions)
 	receive(t, "another connection", conns)
 }
 
 func TestClientChangesAddress(t *testing.T) {
 	address, conns, subscriptions := listen(t)
-	f, lists := startClient(t, address)
+	client, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
-	receive(t, "a question", subscriptions)
+	receive(t, "a subscription", subscriptions)
 	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
 	receive(t, "the first list", lists)
 	other, conns, subscriptions := listen(t)
-	f.SetAddress(other)
+	client.SetAddress(other)
 	c = receive(t, "a connection elsewhere", conns)
-	if line := receive(t, "a question elsewhere", subscriptions); line != "watch 1\n" {
-		t.Errorf("asked %q", line)
+	if line := receive(t, "a subscription elsewhere", subscriptions); line != "watch 1\n" {
+		t.Errorf("subscribed with %q", line)
 	}
 	fmt.Fprintln(c, event(2, false, "a", "", "gone"))
 	if list := receive(t, "the second list", lists); len(list) != 0 {
@@ -166,7 +204,7 @@
 	}
 }
 
-// A server that breaks off after each subscription is asked ever less often: some hundred routers ask at the same time.
+// A server that breaks off after each subscription is subscribed to ever less often: some hundred routers do so at the same time.
 func TestClientBacksOffFromServerThatBreaksOff(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,7 +224,7 @@
 		c.Close()
 	}
 	if n > limit {
-		t.Errorf("asked %d times in 2 s", n)
+		t.Errorf("subscribed %d times in 2 s", n)
 	}
 }
 
@@ -212,7 +250,7 @@
 	} {
 		s := newState(t)
 		if _, err := s.HandleLine([]byte(bad)); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		if list := s.Endpoints(); len(list) != 1 || list[0].State != control.Ready || s.Revision() != 1 {
 			t.Errorf("%s: it changed the list to %v, as of %d", name, list, s.Revision())
@@ -232,12 +270,12 @@
 func TestHeartbeatResetsRetry(t *testing.T) {
 	s := newState(t)
 	if _, err := s.HandleLine([]byte("noise")); err == nil {
-		t.Error("taken")
+		t.Error("accepted")
 	}
 	s.Subscribed()
 	s.HandleLine([]byte("1"))
 	if _, err := s.HandleLine([]byte("noise")); err == nil {
-		t.Error("passed over at once")
+		t.Error("skipped at once")
 	}
 }
 
@@ -249,7 +287,7 @@
 		t.Errorf("the first time: %v, %v", effect, err)
 	}
 	if s.Subscribed(); s.Revision() != 1 {
-		t.Errorf("asked from %d on", s.Revision())
+		t.Errorf("requested from %d on", s.Revision())
 	}
 	if effect, err := s.HandleLine(gap); effect != EndpointsChanged || err != nil {
 		t.Errorf("the second time: %v, %v", effect, err)
@@ -286,7 +324,7 @@
 		t.Error("not after the heartbeat")
 	}
 	if s.Subscribed(); s.UpToDate() {
-		t.Error("a new question was not answered yet")
+		t.Error("the new subscription was not answered yet")
 	}
 }
 
@@ -299,13 +337,13 @@
 	for _, c := range []struct {
 		name    string
 		rev     uint64
-		pool    UpdateMessage
-		whole   bool
-		entries string // the updated servers and their states
+		message UpdateMessage
+		full    bool
+		updated string // the updated servers and their states
 	}{
 		{"a further server", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
 		{"one that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("a")}}, false, "a 0 "},
-		{"one that was never there", 2, UpdateMessage{Targets: []EndpointMessage{gone("b")}}, false, ""},
+		{"an unknown server that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("b")}}, false, ""},
 		{"nothing new", 2, UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
 		{"one that returns elsewhere", 2, UpdateMessage{Targets: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
 			false, "a 2 "},
@@ -319,18 +357,18 @@
 		s := State{}
 		s.Apply(Event{1, &UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}})
 		if update := s.Update(); !update.Full || len(update.Endpoints) != 1 {
-			t.Errorf("the first event told on %v", update)
+			t.Errorf("the first event updated %v", update)
 		}
 		for range 2 { // a gap is requested again and stays
 			s.Subscribed()
-			s.Apply(Event{c.rev, &c.pool})
+			s.Apply(Event{c.rev, &c.message})
 		}
 		update, updated := s.Update(), ""
 		for _, e := range update.Endpoints {
 			updated += fmt.Sprint(e.Name, " ", e.State, " ")
 		}
-		if update.Full != c.whole || updated != c.entries {
-			t.Errorf("%s: told on %v", c.name, update)
+		if update.Full != c.full || updated != c.updated {
+			t.Errorf("%s: updated %v", c.name, update)
 		}
 	}
 }
