--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	if _, ok := Chosen.Write(true, 11, 10); ok {
-		t.Error("an old choice is written")
+		t.Error("written from an old list")
 	}
 	if _, ok := Chosen.Write(false, 0, 10); ok {
 		t.Error("written before the journal has it")
@@ -32,7 +32,7 @@
 		}
 	}
 	if r := UndialledResult(Chosen, true); r != control.NotSent {
-		t.Errorf("waited for its turn to dial: %v tells something of the server", r)
+		t.Errorf("waited to dial: %v says something about the server", r)
 	}
 }
 
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -14,6 +14,6 @@
 		oldest++
 	}
 	if oldest == 0 || oldest > 50_000 {
-		t.Errorf("written without a look for up to %d us", oldest)
+		t.Errorf("written without a check for up to %d us", oldest)
 	}
 }
--- a/internal/attempt/endpoint_age_test.go
+++ b/internal/attempt/endpoint_age_test.go
@@ -17,7 +17,7 @@
 		const asOf, listedAt = 1_000_000, 1_000_001 // of a change that the list just misses
 		until := WriteUntil(asOf, grace)
 		if left := until - (asOf + oldest); left < grace/4 {
-			t.Errorf("grace %d: %d us from a turn to its first byte", grace, left)
+			t.Errorf("grace %d: %d us from a step to its first byte", grace, left)
 		}
 		if _, ok := Chosen.Write(true, until, until); !ok {
 			t.Errorf("grace %d: not written in time", grace)
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -63,7 +63,7 @@
 		put  []byte
 		want error
 	}{
-		"mark":   {0, []byte{1}, ErrMagic},
+		"magic":  {0, []byte{1}, ErrMagic},
 		"code":   {1, []byte{1}, ErrCode},
 		"3 GB":   {4, []byte{0xc0, 0, 0, 0}, ErrLength},
 		"body":   {len(good) - 6, []byte{0}, ErrChecksum},
@@ -123,6 +123,6 @@
 	a := Attempt{ID: 1, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa", Timeout: 1 << 62,
 		Body: []byte("xyz")}
 	if got := len(a.Frame()); got > a.Size() {
-		t.Errorf("%d bytes, at most %d told", got, a.Size())
+		t.Errorf("%d bytes, at most %d expected", got, a.Size())
 	}
 }
--- a/internal/core/changes_test.go
+++ b/internal/core/changes_test.go
@@ -19,8 +19,8 @@
 		Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
 		Zone:     rapid.SampledFrom([]string{"", "east", "west"}).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 		State:       rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(t, "state"),
-		Weight:      float64(rapid.IntRange(1, 2).Draw(t, "power")),
-		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "boot")}
+		Weight:      float64(rapid.IntRange(1, 2).Draw(t, "weight")),
+		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "started at")}
 }
 
 // randomEvent applies a discovery event: one in order, one that is sent twice, or one after a gap that stays after the
@@ -78,16 +78,15 @@
 		now, next, deployment := control.Micros(10_000_000), control.RequestID(0), randomDeployment(t)
 		var cores [2]*testCore
 		fleets := [2]*fleet.Fleet{fleet.New(1_000_000), fleet.New(1_000_000)}
-		sourceClock := rapid.Bool().Draw(t, "one clock")
+		sourceClock := rapid.Bool().Draw(t, "source clock")
 		for i := range cores {
-			cores[i] = &testCore{}
-			cores[i].Core = New(control.New(now, 7, deployment), cores[i])
+			cores[i] = newTestCore(control.New(now, 7, deployment))
 			if sourceClock {
 				fleets[i].UseSourceClock()
 			}
 		}
 		var s discovery.State
-		for step := range rapid.IntRange(1, 60).Draw(t, "turns") {
+		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			if rapid.IntRange(0, 19).Draw(t, "long pause") == 0 {
 				now += 601_000_000 // removed servers are pruned
@@ -104,10 +103,10 @@
 				fleets[i].Prune(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && step%2 == 0 })
 			}
 			if x, y := cores[0].takeCalls(), cores[1].takeCalls(); !slices.Equal(x, y) {
-				t.Fatalf("turn %d: by changes %q, by lists %q", step, x, y)
+				t.Fatalf("step %d: by changes %q, by lists %q", step, x, y)
 			}
 			if x, y := snapshotOf(t, cores[0]), snapshotOf(t, cores[1]); !reflect.DeepEqual(x, y) {
-				t.Fatalf("turn %d: by changes %+v, by lists %+v", step, x.Balancer.Servers, y.Balancer.Servers)
+				t.Fatalf("step %d: by changes %+v, by lists %+v", step, x.Balancer.Servers, y.Balancer.Servers)
 			}
 			for _, f := range fleets {
 				servers, ready := f.Count()
@@ -115,13 +114,13 @@
 					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return only && s.State != control.Ready }))
 				}
 				if servers != count(false) || ready != count(true) {
-					t.Fatalf("turn %d: %d servers, %d of them ready: %+v", step, servers, ready, f.Servers())
+					t.Fatalf("step %d: %d servers, %d of them ready: %+v", step, servers, ready, f.Servers())
 				}
 			}
 			for uid := range 6 {
 				id := fleet.ID(fmt.Sprint("s-", uid))
 				if x, y := comparableServer(fleets[0].Get(id)), comparableServer(fleets[1].Get(id)); x != y {
-					t.Fatalf("turn %d: server %d by changes %+v, by lists %+v", step, uid, x, y)
+					t.Fatalf("step %d: server %d by changes %+v, by lists %+v", step, uid, x, y)
 				}
 			}
 		}
--- a/internal/core/memory_test.go
+++ b/internal/core/learned_test.go
@@ -12,27 +12,27 @@
 
 // randomLearnedState draws a learned state that a file might hold, correct or not.
 func randomLearnedState(t *rapid.T, now control.Micros) *control.LearnedState {
-	time := func() control.Micros {
+	timestamp := func() control.Micros {
 		return control.Micros(rapid.Int64Range(0, int64(now)+5_000_000).Draw(t, "time"))
 	}
-	times := func() []control.Micros {
+	timestamps := func() []control.Micros {
 		return rapid.SliceOfN(rapid.Map(rapid.Int64Range(int64(now)-3_000_000, int64(now)+1_000_000),
 			func(v int64) control.Micros { return control.Micros(v) }), 0, 6).Draw(t, "times")
 	}
-	m := &control.LearnedState{SavedAt: time(), StartedAt: time(), QuotaDebt: times(), LoadCommands: times(),
-		Admitted: times(), Answers: times()}
+	m := &control.LearnedState{SavedAt: timestamp(), StartedAt: timestamp(), QuotaDebt: timestamps(), LoadCommands: timestamps(),
+		Admitted: timestamps(), Answers: timestamps()}
 	for id := range control.ServerID(7) {
 		if rapid.Bool().Draw(t, "known") {
-			m.Servers = append(m.Servers, control.LearnedServer{Server: id, StartedAt: time(), SlowStartSends: times()})
+			m.Servers = append(m.Servers, control.LearnedServer{Server: id, StartedAt: timestamp(), SlowStartSends: timestamps()})
 		}
 	}
 	for id := range control.FunctionID(8) {
 		f := control.LearnedFunction{ID: id, Lanes: rapid.IntRange(0, 4).Draw(t, "lanes")}
 		for s := range control.ServerID(7) {
-			if rapid.Bool().Draw(t, "stands") {
+			if rapid.Bool().Draw(t, "loaded") {
 				f.Instances = append(f.Instances, control.LearnedInstance{Server: s,
-					Replicas: rapid.IntRange(0, 3).Draw(t, "copies"), LastUsed: time(),
-					Loading: rapid.IntRange(0, 2).Draw(t, "loading"), LoadingSince: time()})
+					Replicas: rapid.IntRange(0, 3).Draw(t, "replicas"), LastUsed: timestamp(),
+					Loading: rapid.IntRange(0, 2).Draw(t, "loading"), LoadingSince: timestamp()})
 			}
 		}
 		m.Functions = append(m.Functions, f)
@@ -43,23 +43,15 @@
 // With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay
 // within their rate limit and requests still run.
 func TestAnyLearnedStateIsSafe(t *testing.T) {
-	sent := 0
+	forwarded := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now, next := control.Micros(100_000_000), control.RequestID(0)
-		deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000,
-			SupportsCancel: true, SlowStartInitial: 0.25,
-			SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
-			KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3,
-			LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
-				{LatencyObjective: 300_000, MaxDeadline: 3_000_000},
-				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
-				{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone,
-					Window: 1_000_000}}}
+		deployment := randomDeployment(t)
+		deployment.LoadRatePerRequest = 0 // so that LoadRateBase bounds each window
 		m := randomLearnedState(t, now)
 		balancer := control.New(now, 7, deployment)
 		balancer.ApplyLearned(now, m)
-		d := &testCore{}
-		d.Core = New(balancer, d)
+		d := newTestCore(balancer)
 		list := []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
 			{Server: 2, State: control.Draining, Weight: 1}, {Server: 3, State: control.Ready, Weight: 1}}
 		d.UpdateEndpoints(now, control.FullUpdate, list)
@@ -74,30 +66,30 @@
 				Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
 			d.Step(now)
 			for _, x := range d.takeCalls() {
-				if strings.HasPrefix(x, "send") && strings.HasSuffix(x, "to 2") {
-					t.Fatalf("a draining server got a job: %s", x)
+				if strings.HasPrefix(x, "forward") && strings.HasSuffix(x, "to 2") {
+					t.Fatalf("a draining server got a request: %s", x)
 				}
-				if strings.HasPrefix(x, "order") {
+				if strings.HasPrefix(x, "load") {
 					loadCommands = append(loadCommands, now)
 					old := func(at control.Micros) bool { return at < now-deployment.LoadRateWindow }
 					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), old)); float64(n) > deployment.LoadRateBase {
-						t.Fatalf("%d orders within a window", n)
+						t.Fatalf("%d load commands within a window", n)
 					}
 				}
 			}
 			for _, x := range d.sent {
 				if x.server != 1 && x.server != 3 {
-					t.Fatalf("server %d, not on the list, got a job", x.server)
+					t.Fatalf("server %d, not on the list, got a request", x.server)
 				}
-				sent++
+				forwarded++
 				d.HandleOutcome(now, x.request, control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Succeeded,
 					Duration: 40_000, RequestDone: true})
 			}
 			d.sent = d.sent[:0]
 		}
 	})
-	if sent == 0 {
-		t.Error("no job was ever sent")
+	if forwarded == 0 {
+		t.Error("no request was ever forwarded")
 	}
 }
 
@@ -106,7 +98,7 @@
 	c, now := crowdedCore()
 	for b.Loop() {
 		if c.LearnedState(now) == nil {
-			b.Fatal("nothing to remember")
+			b.Fatal("no learned state")
 		}
 	}
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -24,6 +24,12 @@
 	sent []sentAttempt
 }
 
+func newTestCore(policy Policy) *testCore {
+	d := &testCore{}
+	d.Core = New(policy, d)
+	return d
+}
+
 func (d *testCore) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
 	d.callLog.Forward(r, attempt, to, timeout)
 	d.sent = append(d.sent, sentAttempt{r.ID, attempt, to})
@@ -31,12 +37,12 @@
 
 // traffic adds random requests and outcomes, the same to each core.
 func traffic(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*testCore) {
-	for range rapid.IntRange(0, 4).Draw(t, "jobs") {
+	for range rapid.IntRange(0, 4).Draw(t, "requests") {
 		*next++
-		r := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "workload")),
+		r := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "class")),
 			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
-			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "patience")),
-			IsRetry:  rapid.Bool().Draw(t, "repeat")}
+			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "timeout")),
+			IsRetry:  rapid.Bool().Draw(t, "retry")}
 		for _, d := range ds {
 			d.Add(now, r)
 		}
@@ -49,7 +55,7 @@
 		x := ds[0].sent[i]
 		o := control.Outcome{Attempt: x.attempt, Server: x.server,
 			Result:      control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
-			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "found")),
+			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "cache status")),
 			Duration:    control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
 		o.RequestDone = o.Result == control.Succeeded
 		if rapid.Bool().Draw(t, "reported") {
@@ -67,7 +73,7 @@
 	traffic(t, now, next, ds...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
 	case 0:
-		id := control.RequestID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "left"))
+		id := control.RequestID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "cancelled"))
 		for _, d := range ds {
 			d.Cancel(now, id)
 		}
@@ -76,13 +82,13 @@
 		for i := range list {
 			list[i] = control.Endpoint{Server: control.ServerID(i + 1),
 				State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Weight: 1,
-				Zone: control.ZoneID(i % 2), StartedAt: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "born"))}
+				Zone: control.ZoneID(i % 2), StartedAt: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "started at"))}
 		}
 		for _, d := range ds {
 			d.UpdateEndpoints(now, control.FullUpdate, list)
 		}
 	case 2:
-		s, replicas := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "copies")
+		s, replicas := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "replicas")
 		for _, d := range ds {
 			d.HandleLoadResult(now, s, 1, control.Succeeded, 1000, replicas)
 		}
@@ -109,8 +115,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		deployment := randomDeployment(t)
 		now, next := control.Micros(10_000_000), control.RequestID(0)
-		a := &testCore{}
-		a.Core = New(control.New(now, 7, deployment), a)
+		a := newTestCore(control.New(now, 7, deployment))
 		a.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
 			{Server: 2, State: control.Ready, Weight: 2}})
 		for range rapid.IntRange(1, 60).Draw(t, "before") {
@@ -126,16 +131,16 @@
 			t.Fatal(err)
 		}
 		a.takeCalls()
-		for turn := range 1000 {
-			now += control.Micros(1 + uint64(turn)*7919%200_000)
-			if turn < 100 {
+		for n := range 1000 {
+			now += control.Micros(1 + uint64(n)*7919%200_000)
+			if n < 100 {
 				step(t, now, &next, a, b)
 			} else {
 				a.Step(now)
 				b.Step(now)
 			}
 			if x, y := a.takeCalls(), b.takeCalls(); !slices.Equal(x, y) {
-				t.Fatalf("turn %d after it: %q, restored %q", turn, x, y)
+				t.Fatalf("step %d after it: %q, restored %q", n, x, y)
 			}
 		}
 		x, _ := a.Snapshot()
@@ -147,9 +152,9 @@
 
 func TestRestoreRejectsInconsistentSnapshots(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
-		"no module": {},
-		"held":      {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
-		"tables":    {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
+		"no balancer": {},
+		"held":        {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
+		"tables":      {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
 		"flight": {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{
 			{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
 		"order": {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
@@ -158,7 +163,7 @@
 		"last function": {Balancer: &control.Snapshot{Recent: []int{0}}},
 	} {
 		if _, err := Restore(s, &callLog{}); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/internal/eventqueue/queue_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -26,7 +26,7 @@
 	}
 	select {
 	case <-q.Ready():
-		t.Error("woken for nothing")
+		t.Error("signalled while empty")
 	default:
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,14 +19,14 @@
 		want        control.Micros
 	}{
 		"unknown and old":           {0, 0, 0},
-		"as told":                   {1050 * second, 1050 * second, 50 * second},
-		"long before us":            {5 * second, 5 * second, 1},
+		"as listed":                 {1050 * second, 1050 * second, 50 * second},
+		"long before the router":    {5 * second, 5 * second, 1},
 		"from a clock ahead":        {4600 * second, 4600 * second, 100 * second},
 		"restarted":                 {1050 * second, 1150 * second, 150 * second},
 		"restarted, clock set back": {1050 * second, 500 * second, 100 * second},
 		"restarted, clock ahead":    {1050 * second, 4800 * second, 200 * second},
 		"new, clock set back":       {-1, 500 * second, 100 * second},
-		"new, nothing told":         {-1, 0, 100 * second},
+		"new, without a start time": {-1, 0, 100 * second},
 	} {
 		f := New(1000 * second)
 		var list []Endpoint
@@ -52,7 +52,7 @@
 			t.Errorf("got %+v", s)
 		}
 		if got := f.FullUpdate(300*second, list); got[0].StartedAt != want {
-			t.Errorf("born %d: got %d, want %d", startedAt, got[0].StartedAt, want)
+			t.Errorf("started %d: got %d, want %d", startedAt, got[0].StartedAt, want)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 	f.FullUpdate(2, []Endpoint{endpoint("127.0.0.1:3", 0)})
 	keep := func(id control.ServerID) bool { return id == ID("127.0.0.1:2") }
 	if f.Prune(60*second, keep); len(f.servers) != 3 {
-		t.Error("forgotten after a minute")
+		t.Error("dropped after a minute")
 	}
 	if f.Prune(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
-		t.Error("forgotten while it was in use")
+		t.Error("dropped while it was in use")
 	}
 	if f.Prune(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
 		t.Errorf("got %v", f.servers)
@@ -95,13 +95,13 @@
 	f.IncrementalUpdate(1000*second, []Endpoint{endpoint(name, 0)})
 	f.IncrementalUpdate(1050*second, []Endpoint{{Address: name, State: control.Removed}})
 	if f.Prune(1600*second, keep); f.Get(ID(name)) == nil {
-		t.Error("forgotten before its time")
+		t.Error("dropped too early")
 	}
 	if f.Prune(1601*second, keep); f.Get(ID(name)) != nil || len(f.removed) > 0 {
-		t.Errorf("not forgotten: %v", f.removed)
+		t.Errorf("not dropped: %v", f.removed)
 	}
 	if f.Get(ID("127.0.0.1:2")) == nil {
-		t.Error("one on the list was forgotten")
+		t.Error("a listed server was dropped")
 	}
 }
 
@@ -113,15 +113,15 @@
 		complete control.Micros // 0: never since the start
 		want     control.Micros
 	}{
-		"as told":                          {1195 * second, 190 * second, 195 * second},
-		"told an hour ago":                 {1200*second - 3600*second, 190 * second, 190 * second},
-		"told in an hour":                  {1200*second + 3600*second, 190 * second, 200 * second},
-		"told some time after it began":    {1189*second + 1, 190 * second, 189*second + 1},
-		"told some seconds too early":      {1187 * second, 190 * second, 190 * second},
+		"as listed":                        {1195 * second, 190 * second, 195 * second},
+		"an hour ago":                      {1200*second - 3600*second, 190 * second, 190 * second},
+		"in an hour":                       {1200*second + 3600*second, 190 * second, 200 * second},
+		"listed some time after its start": {1189*second + 1, 190 * second, 189*second + 1},
+		"some seconds too early":           {1187 * second, 190 * second, 190 * second},
 		"discovery was down for long":      {1150 * second, 120 * second, 150 * second},
-		"down, and told an hour ago":       {1200*second - 3600*second, 120 * second, 120 * second},
+		"down, and an hour ago":            {1200*second - 3600*second, 120 * second, 120 * second},
 		"no complete list since the start": {1050 * second, 0, 50 * second},
-		"none, and told in an hour":        {1200*second + 3600*second, 0, 200 * second},
+		"none, and in an hour":             {1200*second + 3600*second, 0, 200 * second},
 	} {
 		for _, restarted := range []bool{false, true} {
 			f := New(1000 * second)
@@ -149,6 +149,6 @@
 	f.SetCompleteAsOf(10 * second)
 	first := f.FullUpdate(20*second, []Endpoint{endpoint("127.0.0.1:9", 4600*second)})
 	if then := f.FullUpdate(21*second, []Endpoint{endpoint("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
-		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
+		t.Errorf("started %d, its previous incarnation %d", then[0].StartedAt, first[0].StartedAt)
 	}
 }
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -86,16 +86,16 @@
 func TestUnreadableMessages(t *testing.T) {
 	head := []byte{0x94, 0, 7, 0xa5, 'i', 'n', 'f', 'e', 'r'}
 	for name, in := range map[string][]byte{
-		"noise":              {0xc1, 0xff, 0x00},
-		"a number":           {7},
-		"an endless array":   {0xdd, 0xff, 0xff, 0xff, 0xff},
-		"a negative number":  {0x94, 0, 0xff},
-		"a number too large": {0x94, 0, 0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"a long method":      {0x94, 0, 7, 0xdb, 0xff, 0xff, 0xff, 0xff},
-		"an endless map":     append(bytes.Clone(head), 0x92, 0xdf, 0xff, 0xff, 0xff, 0xff),
-		"a body of 4 GB":     append(bytes.Clone(head), 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff),
-		"an unknown notice":  {0x93, 2, 0xa1, 'x', 0x91, 7},
-		"a nested array":     append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
+		"noise":                   {0xc1, 0xff, 0x00},
+		"a number":                {7},
+		"an endless array":        {0xdd, 0xff, 0xff, 0xff, 0xff},
+		"a negative number":       {0x94, 0, 0xff},
+		"a number too large":      {0x94, 0, 0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+		"a long method":           {0x94, 0, 7, 0xdb, 0xff, 0xff, 0xff, 0xff},
+		"an endless map":          append(bytes.Clone(head), 0x92, 0xdf, 0xff, 0xff, 0xff, 0xff),
+		"a body of 4 GB":          append(bytes.Clone(head), 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff),
+		"an unknown notification": {0x93, 2, 0xa1, 'x', 0x91, 7},
+		"a nested array":          append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
 	} {
 		_, err := NewReader(io.MultiReader(bytes.NewReader(in), neverRead{t, name})).Read()
 		var f *Fault
@@ -112,7 +112,7 @@
 }
 
 func (n neverRead) Read([]byte) (int, error) {
-	n.t.Errorf("%s: read on", n.name)
+	n.t.Errorf("%s: more was read", n.name)
 	return 0, io.EOF
 }
 
@@ -131,10 +131,10 @@
 		data []byte
 		want []any
 	}{
-		"finished":    {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
-		"pushed back": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
-		"killed":      {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
-		"well":        {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
+		"success":   {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
+		"rejection": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
+		"failure":   {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
+		"health":    {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
 	} {
 		if want := pack(t, c.want...); !bytes.Equal(c.data, want) {
 			t.Errorf("%s: got % x, want % x", name, c.data, want)
@@ -156,7 +156,7 @@
 				return
 			}
 			if m != nil && m.Kind == Call && (len(m.Request.Body) > MaxBody || m.Request.Timeout <= 0) {
-				t.Errorf("taken: %+v", m)
+				t.Errorf("accepted: %+v", m)
 			}
 		}
 	})
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -1,5 +1,5 @@
-// Package platformtest holds fake peers of a router for tests: a notice board, model servers and a client. They speak the
-// platform's protocols on loopback and record what reaches them and when.
+// Package platformtest holds fake peers of a router for tests: a discovery service, model servers and a client. They speak
+// the platform's protocols on loopback and record what they receive and when.
 package platformtest
 
 import (
@@ -11,6 +11,7 @@
 	"hash/crc32"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -23,20 +24,20 @@
 
 // Deployment is what tests vary of a router's start settings.
 type Deployment struct {
-	Grace              time.Duration // within which nothing new may go to a server that was told to drain
-	LoadsOnCommandOnly bool          // model servers load what they are ordered to, and nothing for a request
+	Grace              time.Duration // after which nothing new may go to a draining server
+	LoadsOnCommandOnly bool          // model servers load on command only, not for a request
 	Deadline           time.Duration // after which clients give up; 0: 9 s
 	SlowStart          time.Duration // how long model servers take to reach full capacity
 	Routers            int           // in the fleet; 0: one
 }
 
-// settings are start settings with one restartable class, "again".
+// settings returns start settings with one idempotent class, "again".
 func (d Deployment) settings() string {
-	absent := "load"
+	onMiss := "load"
 	if d.LoadsOnCommandOnly {
-		absent = "miss"
+		onMiss = "miss"
 	}
-	aim, deadline := 8*time.Second, cmp.Or(d.Deadline, 9*time.Second)
+	objective, deadline := 8*time.Second, cmp.Or(d.Deadline, 9*time.Second)
 	return fmt.Sprintf(`{"balancers": %d, "tick": 1000, "zones": ["east"],
 	"ceilings": {"cancel": true, "conn_idle": 15000000, "connect_timeout": 250000, "max_retry_after": 2000000, "retry_after": true,
 		"streams_per_conn": 100, "try_limit": 3},
@@ -44,12 +45,12 @@
 	"contract": {"stop_sending_within": %d, "cold": %d, "cold_from": 0.25, "fall": 1000000, "fall_multiple": 2},
 	"customers": [{"name": "acme", "allowance_per_s": 1000}],
 	"specifics": {"when_absent": %q, "linger_idle": 60000000, "order_limit": 4000000, "kind_memory_mb": [1000], "load_control": true}}`,
-		max(1, d.Routers), min(aim, deadline/2).Microseconds(), deadline.Microseconds(), d.Grace.Microseconds(),
-		d.SlowStart.Microseconds(), absent)
+		max(1, d.Routers), min(objective, deadline/2).Microseconds(), deadline.Microseconds(), d.Grace.Microseconds(),
+		d.SlowStart.Microseconds(), onMiss)
 }
 
-// Configuration is a router's configuration file. The events are those that it knows at its start.
-func (d Deployment) Configuration(boardAddress string, events ...discovery.Event) string {
+// Configuration returns a router's configuration file, with the events that it knows at its start.
+func (d Deployment) Configuration(discoveryAddress string, events ...discovery.Event) string {
 	known := discovery.History{Events: events}
 	if len(events) > 0 {
 		known.Revision = events[len(events)-1].Revision
@@ -59,16 +60,16 @@
 		panic(err) // plain values
 	}
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
-		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": %s, "settings": %s}`, boardAddress, text, d.settings())
+		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": %s, "settings": %s}`, discoveryAddress, text, d.settings())
 }
 
-// Event is one event of the notice board about one server. The first is the whole list.
+// Event returns a discovery event about one server. The first lists all servers.
 func Event(rev uint64, uid, address, state string) discovery.Event {
 	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
 		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// Line is an event as a board writes it.
+// Line returns an event as a discovery service writes it.
 func Line(e discovery.Event) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -77,19 +78,20 @@
 	return append(text, '\n')
 }
 
-// Discovery is a fake notice board. It tells each watcher the events it asks for and a heartbeat each second.
+// Discovery is a fake discovery service. It sends each watcher the events that it subscribes to, and a heartbeat each
+// second.
 type Discovery struct {
-	listener net.Listener
-	mu       sync.Mutex
-	events   []discovery.Event
-	watchers map[net.Conn]struct{}
-	asked    []time.Time
-	written  int64 // bytes, to all watchers
-	ended    chan struct{}
-	script   func(c net.Conn, nth int) (handled bool)
+	listener      net.Listener
+	mu            sync.Mutex
+	events        []discovery.Event
+	watchers      map[net.Conn]struct{}
+	subscriptions []time.Time
+	written       int64 // bytes, to all watchers
+	ended         chan struct{}
+	script        func(c net.Conn, nth int) (handled bool)
 }
 
-// NewDiscovery starts a board that ends with the test. Script, where there is one, is asked first what to do with the nth watch,
+// NewDiscovery starts a discovery service that ends with the test. script, if not nil, is called first with the nth watch,
 // counted from 1.
 func NewDiscovery(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Discovery {
 	t.Helper()
@@ -97,13 +99,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
-	acceptEach(t, l, b.watch)
-	t.Cleanup(func() { close(b.ended) }) // before the connections are waited for
-	return b
+	d := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
+	acceptEach(t, l, d.watch)
+	t.Cleanup(func() { close(d.ended) }) // before the connections are waited for
+	return d
 }
 
-// Connected gives the two ends of a connection, as the one who dialled and the one who accepted have them.
+// ConnPair returns the two ends of a connection, which is closed with the test.
 func ConnPair(t testing.TB) (dialled, accepted net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,7 +124,7 @@
 	return dialled, accepted
 }
 
-// acceptEach serves each connection until the test ends, and has all of them ended by then.
+// acceptEach serves each connection until the test ends, and waits for all of them to end.
 func acceptEach(t testing.TB, l net.Listener, serve func(net.Conn)) {
 	var mu sync.Mutex
 	conns := map[net.Conn]struct{}{}
@@ -156,86 +158,86 @@
 	})
 }
 
-// Address is where it listens.
-func (b *Discovery) Address() string { return b.listener.Addr().String() }
+// Address returns the address that it listens on.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Asked gives when each watch was asked for.
-func (b *Discovery) Subscriptions() []time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]time.Time(nil), b.asked...)
+// Subscriptions returns the time of each subscription.
+func (d *Discovery) Subscriptions() []time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.subscriptions)
 }
 
-// Publish adds an event and writes it to all watchers. It gives the time from which the event counts as told.
-func (b *Discovery) Publish(e discovery.Event) time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.events = append(b.events, e)
-	told := time.Now()
-	for c := range b.watchers {
-		b.write(c, Line(e))
+// Publish adds an event and writes it to all watchers. It returns the time from which the event counts as announced.
+func (d *Discovery) Publish(e discovery.Event) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, e)
+	announced := time.Now()
+	for c := range d.watchers {
+		d.write(c, Line(e))
 	}
-	return told
+	return announced
 }
 
 // write writes to a watcher. The lock is held.
-func (b *Discovery) write(c net.Conn, text []byte) error {
+func (d *Discovery) write(c net.Conn, text []byte) error {
 	n, err := c.Write(text)
-	b.written += int64(n)
+	d.written += int64(n)
 	return err
 }
 
-// Written gives the bytes that it wrote to all watchers.
-func (b *Discovery) Written() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.written
+// Written returns how many bytes it wrote to all watchers.
+func (d *Discovery) Written() int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.written
 }
 
-func (b *Discovery) watch(c net.Conn) {
+func (d *Discovery) watch(c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
 		return
 	}
-	var last uint64
-	fmt.Sscanf(line, "watch %d", &last)
-	b.mu.Lock()
-	b.asked = append(b.asked, time.Now())
-	nth := len(b.asked)
-	b.mu.Unlock()
-	if b.script != nil && b.script(c, nth) {
+	var revision uint64 // of the last event that the watcher has
+	fmt.Sscanf(line, "watch %d", &revision)
+	d.mu.Lock()
+	d.subscriptions = append(d.subscriptions, time.Now())
+	nth := len(d.subscriptions)
+	d.mu.Unlock()
+	if d.script != nil && d.script(c, nth) {
 		return
 	}
-	b.mu.Lock()
-	for _, e := range b.events {
-		if e.Revision > last {
-			b.write(c, Line(e))
+	d.mu.Lock()
+	for _, e := range d.events {
+		if e.Revision > revision {
+			d.write(c, Line(e))
 		}
 	}
-	b.watchers[c] = struct{}{}
-	b.mu.Unlock()
+	d.watchers[c] = struct{}{}
+	d.mu.Unlock()
 	defer func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		delete(b.watchers, c)
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		delete(d.watchers, c)
 	}()
-	for b.heartbeat(c) {
+	for d.heartbeat(c) {
 		select {
 		case <-time.After(time.Second):
-		case <-b.ended:
+		case <-d.ended:
 			return
 		}
 	}
 }
 
-func (b *Discovery) heartbeat(c net.Conn) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (d *Discovery) heartbeat(c net.Conn) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var last uint64
-	if n := len(b.events); n > 0 {
-		last = b.events[n-1].Revision
+	if n := len(d.events); n > 0 {
+		last = d.events[n-1].Revision
 	}
-	return b.write(c, fmt.Appendln(nil, last)) == nil
+	return d.write(c, fmt.Appendln(nil, last)) == nil
 }
 
 // The codes of frames to model servers.
@@ -245,27 +247,27 @@
 	codeOK      = 97 // of their answers
 )
 
-// Received is one frame as a model server got it.
+// Received is one frame as a model server received it.
 type Received struct {
 	Code   byte
 	At     time.Time // of its first byte
 	Fields string
 }
 
-// ModelServer is a fake model server: it has everything loaded and answers each execution with its body.
+// ModelServer is a fake model server: it has everything loaded and answers each attempt with its body.
 type ModelServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	received []Received
 	accepted int
-	held     []func() // answers
-	hold     func(frame []byte) (now []byte)
+	held     []func()                        // write the answers that wait
+	hold     func(frame []byte) (now []byte) // the part of an answer that is written at once; nil: all
 }
 
-// NewModelServer starts one that ends with the test.
+// NewModelServer starts a model server that ends with the test.
 func NewModelServer(t testing.TB) *ModelServer { return NewModelServerAt(t, "127.0.0.1:0") }
 
-// NewModelServerAt starts one at an address; at 0.0.0.0 it stands for as many as there are addresses 127.x.y.z.
+// NewModelServerAt starts a model server at an address; at 0.0.0.0 it serves all addresses 127.x.y.z, as many servers.
 func NewModelServerAt(t testing.TB, address string) *ModelServer {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -277,27 +279,27 @@
 	return s
 }
 
-// Address is where it listens.
+// Address returns the address that it listens on.
 func (s *ModelServer) Address() string { return s.listener.Addr().String() }
 
-// Accepted counts the connections so far.
+// Accepted returns the number of connections so far.
 func (s *ModelServer) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Received gives what came so far.
+// Received returns the frames so far.
 func (s *ModelServer) Received() []Received {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Received(nil), s.received...)
+	return slices.Clone(s.received)
 }
 
-// Hold has answers wait until Release.
+// Hold makes answers wait until Release.
 func (s *ModelServer) Hold() { s.holdBack(func([]byte) []byte { return nil }) }
 
-// HoldHalf has the second half of answers wait until Release.
+// HoldHalf makes the second half of answers wait until Release.
 func (s *ModelServer) HoldHalf() {
 	s.holdBack(func(frame []byte) []byte { return frame[:len(frame)/2] })
 }
@@ -308,7 +310,7 @@
 	s.hold = hold
 }
 
-// Release gives all that waits.
+// Release writes all that waits.
 func (s *ModelServer) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -352,13 +354,13 @@
 		case AttemptCode:
 			s.answer(c, AnswerFrame(codeOK, f.ID, "remark=resident", f.Body))
 		case LoadCode:
-			pods := "1"
+			replicas := "1"
 			for field := range strings.SplitSeq(f.Fields, ",") {
-				if value, is := strings.CutPrefix(field, "pods="); is {
-					pods = value
+				if value, ok := strings.CutPrefix(field, "pods="); ok {
+					replicas = value
 				}
 			}
-			s.answer(c, AnswerFrame(codeOK, f.ID, "pods="+pods, nil))
+			s.answer(c, AnswerFrame(codeOK, f.ID, "pods="+replicas, nil))
 		}
 	}
 }
@@ -371,25 +373,25 @@
 	Body   []byte
 }
 
-// ReadFrame reads one.
+// ReadFrame reads one frame.
 func ReadFrame(in io.Reader) (f Frame, err error) {
-	const check = 4 // bytes behind the body
+	const checksum = 4 // bytes behind the body
 	var head [16]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return f, err
 	}
 	fields := int(binary.BigEndian.Uint16(head[2:]))
-	rest := make([]byte, fields+int(binary.BigEndian.Uint32(head[4:]))+check)
+	rest := make([]byte, fields+int(binary.BigEndian.Uint32(head[4:]))+checksum)
 	if _, err := io.ReadFull(in, rest); err != nil {
 		return f, err
 	}
-	return Frame{head[1], binary.BigEndian.Uint64(head[8:]), string(rest[:fields]), rest[fields : len(rest)-check]}, nil
+	return Frame{head[1], binary.BigEndian.Uint64(head[8:]), string(rest[:fields]), rest[fields : len(rest)-checksum]}, nil
 }
 
-// AnswerFrame is a model server's answer.
+// AnswerFrame returns a model server's answer.
 func AnswerFrame(code byte, id uint64, fields string, body []byte) []byte {
-	const mark = 108
-	b := []byte{mark, code}
+	const magic = 108
+	b := []byte{magic, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
@@ -397,7 +399,7 @@
 	return binary.BigEndian.AppendUint32(append(b, rest...), crc32.ChecksumIEEE(rest))
 }
 
-// Client is one connection of a client.
+// Client is a client on one connection.
 type Client struct {
 	t      testing.TB
 	conn   net.Conn
@@ -413,8 +415,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	const longest = 30 * time.Second
-	conn.SetDeadline(time.Now().Add(longest))
+	const testLimit = 30 * time.Second
+	conn.SetDeadline(time.Now().Add(testLimit))
 	return &Client{t: t, conn: conn, dec: msgpack.NewDecoder(conn)}
 }
 
@@ -430,14 +432,14 @@
 	}
 }
 
-// Call sends a request of the class "again" for a function, and waits for no answer.
-func (c *Client) Call(ref, function uint64) {
+// Call sends a request of the class "again" for a function, and does not wait for its answer.
+func (c *Client) Call(id, function uint64) {
 	c.t.Helper()
-	c.send("again", map[string]string{"ref": fmt.Sprintf("%016x", ref), "allow": "8900", "project": "acme",
+	c.send("again", map[string]string{"ref": fmt.Sprintf("%016x", id), "allow": "8900", "project": "acme",
 		"lookup": fmt.Sprintf("%016x", function), "spec": "memory_mb:512;lanes:2"}, []byte("body"))
 }
 
-// Answer waits for the next answer. Served tells that it is no error.
+// Answer waits for the next answer. served is false if it is an error.
 func (c *Client) Answer() (served bool) {
 	c.t.Helper()
 	v, err := c.dec.DecodeSlice()
@@ -447,7 +449,7 @@
 	return v[2] == nil
 }
 
-// Well asks whether the router is well.
+// Healthy sends a health check and returns the answer.
 func (c *Client) Healthy() bool {
 	c.t.Helper()
 	c.send("isWell", map[string]string{})
@@ -458,13 +460,13 @@
 	return v[3].([]any)[0] == true
 }
 
-// Flood sends requests of a class that doesn't exist at full speed, and reads what comes, until it is told to end.
+// Flood sends requests of a class that doesn't exist at full speed, and discards the answers, until end is called.
 func (c *Client) Flood() (end func()) {
-	var both sync.WaitGroup
-	both.Go(func() { io.Copy(io.Discard, c.conn) })
-	both.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { io.Copy(io.Discard, c.conn) })
+	goroutines.Go(func() {
 		for number := 1; ; number++ {
-			b, err := msgpack.Marshal([]any{0, number, "unheard", []any{map[string]string{}, []byte{}}})
+			b, err := msgpack.Marshal([]any{0, number, "unknown", []any{map[string]string{}, []byte{}}})
 			if err != nil {
 				return
 			}
@@ -475,15 +477,15 @@
 	})
 	return func() {
 		c.conn.Close()
-		both.Wait()
+		goroutines.Wait()
 	}
 }
 
-// Until waits for what another goroutine is about to do.
-func WaitFor(t testing.TB, what string, done func() bool) {
+// WaitFor waits for a condition that another goroutine is about to meet; what names it.
+func WaitFor(t testing.TB, what string, met func() bool) {
 	t.Helper()
 	for range 4000 {
-		if done() {
+		if met() {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -491,7 +493,7 @@
 	t.Fatalf("not within 4 s: %s", what)
 }
 
-// LoadCommands counts the orders to load that came so far.
+// LoadCommands returns the number of load commands so far.
 func (s *ModelServer) LoadCommands() int {
 	n := 0
 	for _, frame := range s.Received() {
