--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -32,7 +32,7 @@
 	return pack(t, 0, 7, "infer", []any{f, []byte{0, 255}})
 }
 
-func TestReadsACall(t *testing.T) {
+func TestReadCall(t *testing.T) {
 	r := NewReader(bytes.NewReader(call(t, fields("dup", "1", "replay", strings.Repeat("5c", 16)))))
 	m, err := r.Read()
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestReadsForgetAndIsWell(t *testing.T) {
+func TestReadCancelAndHealthCheck(t *testing.T) {
 	in := append(pack(t, 2, "forget", []any{7}), pack(t, 0, 8, "isWell", []any{map[string]string{}})...)
 	r := NewReader(bytes.NewReader(in))
 	if m, err := r.Read(); err != nil || m.Kind != Cancel || m.Number != 7 {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestFigures(t *testing.T) {
+func TestParseDecimal(t *testing.T) {
 	for s, want := range map[string]bool{"1500": true, "0.5": true, "": false, "-1": false, "1e9": false, "Inf": false,
 		"NaN": false, "0x10": false, "1.2.3": false, "99999999999999999999": false, " 1": false} {
 		if _, ok := parseDecimal(s); ok != want {
@@ -83,19 +83,19 @@
 }
 
 // Lengths are rejected before anything is allocated.
-func TestBrokenMessages(t *testing.T) {
+func TestUnreadableMessages(t *testing.T) {
 	head := []byte{0x94, 0, 7, 0xa5, 'i', 'n', 'f', 'e', 'r'}
 	for name, in := range map[string][]byte{
-		"noise":              {0xc1, 0xff, 0x00},
-		"a number":           {7},
-		"an endless array":   {0xdd, 0xff, 0xff, 0xff, 0xff},
-		"a negative number":  {0x94, 0, 0xff},
-		"a number too large": {0x94, 0, 0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"a long method":      {0x94, 0, 7, 0xdb, 0xff, 0xff, 0xff, 0xff},
-		"an endless map":     append(bytes.Clone(head), 0x92, 0xdf, 0xff, 0xff, 0xff, 0xff),
-		"a body of 4 GB":     append(bytes.Clone(head), 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff),
-		"an unknown notice":  {0x93, 2, 0xa1, 'x', 0x91, 7},
-		"a nested array":     append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
+		"noise":                   {0xc1, 0xff, 0x00},
+		"a number":                {7},
+		"an endless array":        {0xdd, 0xff, 0xff, 0xff, 0xff},
+		"a negative number":       {0x94, 0, 0xff},
+		"a number too large":      {0x94, 0, 0xcf, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
+		"a long method":           {0x94, 0, 7, 0xdb, 0xff, 0xff, 0xff, 0xff},
+		"an endless map":          append(bytes.Clone(head), 0x92, 0xdf, 0xff, 0xff, 0xff, 0xff),
+		"a body of 4 GB":          append(bytes.Clone(head), 0x92, 0x80, 0xc6, 0xff, 0xff, 0xff, 0xff),
+		"an unknown notification": {0x93, 2, 0xa1, 'x', 0x91, 7},
+		"a nested array":          append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
 	} {
 		_, err := NewReader(io.MultiReader(bytes.NewReader(in), neverRead{t, name})).Read()
 		var f *Fault
@@ -112,7 +112,7 @@
 }
 
 func (n neverRead) Read([]byte) (int, error) {
-	n.t.Errorf("%s: read on", n.name)
+	n.t.Errorf("%s: more was read", n.name)
 	return 0, io.EOF
 }
 
@@ -126,15 +126,15 @@
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		data []byte
 		want []any
 	}{
-		"finished":    {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
-		"pushed back": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
-		"killed":      {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
-		"well":        {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
+		"success":   {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
+		"rejection": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
+		"failure":   {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
+		"health":    {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
 	} {
 		if want := pack(t, c.want...); !bytes.Equal(c.data, want) {
 			t.Errorf("%s: got % x, want % x", name, c.data, want)
@@ -156,7 +156,7 @@
 				return
 			}
 			if m != nil && m.Kind == Call && (len(m.Request.Body) > MaxBody || m.Request.Timeout <= 0) {
-				t.Errorf("taken: %+v", m)
+				t.Errorf("accepted: %+v", m)
 			}
 		}
 	})
