--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,33 +8,33 @@
 
 const second = 1_000_000
 
-func entry(address string, startedAt int64) Endpoint {
+func endpoint(address string, startedAt int64) Endpoint {
 	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: startedAt}
 }
 
 // Times in lists are wall clock; the router's time 0 is 1000 s of it.
-func TestBornIsBroughtIntoOurTime(t *testing.T) {
+func TestStartTimeIsConvertedToRouterTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, then int64 // start time in the first list at 100 s and the next at 200 s; -1: not listed
 		want        control.Micros
 	}{
 		"unknown and old":           {0, 0, 0},
-		"as told":                   {1050 * second, 1050 * second, 50 * second},
-		"long before us":            {5 * second, 5 * second, 1},
+		"as listed":                 {1050 * second, 1050 * second, 50 * second},
+		"long before the router":    {5 * second, 5 * second, 1},
 		"from a clock ahead":        {4600 * second, 4600 * second, 100 * second},
 		"restarted":                 {1050 * second, 1150 * second, 150 * second},
 		"restarted, clock set back": {1050 * second, 500 * second, 100 * second},
 		"restarted, clock ahead":    {1050 * second, 4800 * second, 200 * second},
 		"new, clock set back":       {-1, 500 * second, 100 * second},
-		"new, nothing told":         {-1, 0, 100 * second},
+		"new, without a start time": {-1, 0, 100 * second},
 	} {
 		f := New(1000 * second)
 		var list []Endpoint
 		if c.first >= 0 {
-			list = append(list, entry("127.0.0.1:9", c.first))
+			list = append(list, endpoint("127.0.0.1:9", c.first))
 		}
 		f.FullUpdate(100*second, list)
-		got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.then)})
+		got := f.FullUpdate(200*second, []Endpoint{endpoint("127.0.0.1:9", c.then)})
 		if got[0].StartedAt != c.want {
 			t.Errorf("%s: got %d, want %d", name, got[0].StartedAt, c.want)
 		}
@@ -42,17 +42,17 @@
 }
 
 // A server that is off the list for a moment gets no slow start; without a start time it may have restarted.
-func TestReturn(t *testing.T) {
+func TestReturningServer(t *testing.T) {
 	for startedAt, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
 		f := New(1000 * second)
-		list := []Endpoint{entry("127.0.0.1:9", startedAt)}
+		list := []Endpoint{endpoint("127.0.0.1:9", startedAt)}
 		f.FullUpdate(100*second, list)
 		f.FullUpdate(200*second, nil)
 		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
 			t.Errorf("got %+v", s)
 		}
 		if got := f.FullUpdate(300*second, list); got[0].StartedAt != want {
-			t.Errorf("born %d: got %d, want %d", startedAt, got[0].StartedAt, want)
+			t.Errorf("started %d: got %d, want %d", startedAt, got[0].StartedAt, want)
 		}
 	}
 }
@@ -67,16 +67,16 @@
 	}
 }
 
-func TestForget(t *testing.T) {
+func TestPrune(t *testing.T) {
 	f := New(0)
-	f.FullUpdate(1, []Endpoint{entry("127.0.0.1:1", 0), entry("127.0.0.1:2", 0), entry("127.0.0.1:3", 0)})
-	f.FullUpdate(2, []Endpoint{entry("127.0.0.1:3", 0)})
+	f.FullUpdate(1, []Endpoint{endpoint("127.0.0.1:1", 0), endpoint("127.0.0.1:2", 0), endpoint("127.0.0.1:3", 0)})
+	f.FullUpdate(2, []Endpoint{endpoint("127.0.0.1:3", 0)})
 	keep := func(id control.ServerID) bool { return id == ID("127.0.0.1:2") }
 	if f.Prune(60*second, keep); len(f.servers) != 3 {
-		t.Error("forgotten after a minute")
+		t.Error("dropped after a minute")
 	}
 	if f.Prune(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
-		t.Error("forgotten while it was in use")
+		t.Error("dropped while it was in use")
 	}
 	if f.Prune(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
 		t.Errorf("got %v", f.servers)
@@ -85,43 +85,43 @@
 
 // A removed server is kept for its full time after the last list that it was on, whenever it was removed, also if it returns and
 // is removed again; then nothing is left of its removals.
-func TestForgetCountsFromTheLastListThatNamedIt(t *testing.T) {
+func TestPruneCountsFromLastListing(t *testing.T) {
 	const name = "127.0.0.1:1"
 	keep := func(control.ServerID) bool { return false }
 	f := New(0)
-	f.FullUpdate(1, []Endpoint{entry(name, 0), entry("127.0.0.1:2", 0)})
-	f.IncrementalUpdate(500*second, []Endpoint{entry("127.0.0.1:2", 1)})
+	f.FullUpdate(1, []Endpoint{endpoint(name, 0), endpoint("127.0.0.1:2", 0)})
+	f.IncrementalUpdate(500*second, []Endpoint{endpoint("127.0.0.1:2", 1)})
 	f.IncrementalUpdate(900*second, []Endpoint{{Address: name, State: control.Removed}})
-	f.IncrementalUpdate(1000*second, []Endpoint{entry(name, 0)})
+	f.IncrementalUpdate(1000*second, []Endpoint{endpoint(name, 0)})
 	f.IncrementalUpdate(1050*second, []Endpoint{{Address: name, State: control.Removed}})
 	if f.Prune(1600*second, keep); f.Get(ID(name)) == nil {
-		t.Error("forgotten before its time")
+		t.Error("dropped too early")
 	}
 	if f.Prune(1601*second, keep); f.Get(ID(name)) != nil || len(f.removed) > 0 {
-		t.Errorf("not forgotten: %v", f.removed)
+		t.Errorf("not dropped: %v", f.removed)
 	}
 	if f.Get(ID("127.0.0.1:2")) == nil {
-		t.Error("one on the list was forgotten")
+		t.Error("a listed server was dropped")
 	}
 }
 
 // A server that is added while this router runs started after the list was last complete without it and no later than now,
 // whatever its listed start. The list was complete at 190 s, the change is received at 200 s, and slow start takes 16 s.
-func TestBornLiesWithinWhatTheListShows(t *testing.T) {
+func TestStartTimeIsBoundedByCompleteList(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed   int64
 		complete control.Micros // 0: never since the start
 		want     control.Micros
 	}{
-		"as told":                          {1195 * second, 190 * second, 195 * second},
-		"told an hour ago":                 {1200*second - 3600*second, 190 * second, 190 * second},
-		"told in an hour":                  {1200*second + 3600*second, 190 * second, 200 * second},
-		"told some time after it began":    {1189*second + 1, 190 * second, 189*second + 1},
-		"told some seconds too early":      {1187 * second, 190 * second, 190 * second},
+		"as listed":                        {1195 * second, 190 * second, 195 * second},
+		"an hour ago":                      {1200*second - 3600*second, 190 * second, 190 * second},
+		"in an hour":                       {1200*second + 3600*second, 190 * second, 200 * second},
+		"listed some time after its start": {1189*second + 1, 190 * second, 189*second + 1},
+		"some seconds too early":           {1187 * second, 190 * second, 190 * second},
 		"discovery was down for long":      {1150 * second, 120 * second, 150 * second},
-		"down, and told an hour ago":       {1200*second - 3600*second, 120 * second, 120 * second},
+		"down, and an hour ago":            {1200*second - 3600*second, 120 * second, 120 * second},
 		"no complete list since the start": {1050 * second, 0, 50 * second},
-		"none, and told in an hour":        {1200*second + 3600*second, 0, 200 * second},
+		"none, and in an hour":             {1200*second + 3600*second, 0, 200 * second},
 	} {
 		for _, restarted := range []bool{false, true} {
 			f := New(1000 * second)
@@ -129,12 +129,12 @@
 			f.SetSlowStartDuration(16 * second)
 			var list []Endpoint
 			if restarted {
-				list = append(list, entry("127.0.0.1:9", 5*second))
+				list = append(list, endpoint("127.0.0.1:9", 5*second))
 			}
 			f.FullUpdate(10*second, list)
 			f.SetCompleteAsOf(c.complete)
-			f.FullUpdate(199*second, append(list, entry("127.0.0.1:8", 0))) // the last event is no complete list
-			if got := f.FullUpdate(200*second, []Endpoint{entry("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
+			f.FullUpdate(199*second, append(list, endpoint("127.0.0.1:8", 0))) // the last event is no complete list
+			if got := f.FullUpdate(200*second, []Endpoint{endpoint("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
 		}
@@ -142,13 +142,13 @@
 }
 
 // An incarnation started after the previous one, also if both were listed with starts by a clock that was set back meanwhile.
-func TestLaterLifeBeganLater(t *testing.T) {
+func TestLaterIncarnationStartedLater(t *testing.T) {
 	f := New(1000 * second)
 	f.UseSourceClock()
 	f.FullUpdate(10*second, nil)
 	f.SetCompleteAsOf(10 * second)
-	first := f.FullUpdate(20*second, []Endpoint{entry("127.0.0.1:9", 4600*second)})
-	if then := f.FullUpdate(21*second, []Endpoint{entry("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
-		t.Errorf("born %d, its earlier life %d", then[0].StartedAt, first[0].StartedAt)
+	first := f.FullUpdate(20*second, []Endpoint{endpoint("127.0.0.1:9", 4600*second)})
+	if then := f.FullUpdate(21*second, []Endpoint{endpoint("127.0.0.1:9", 1015*second)}); then[0].StartedAt <= first[0].StartedAt {
+		t.Errorf("started %d, its previous incarnation %d", then[0].StartedAt, first[0].StartedAt)
 	}
 }
