--- a/control/retries.go
+++ b/control/retries.go
@@ -71,6 +71,7 @@
 	case o.Result == Succeeded:
 		b.recordSuccess(now, f, inst, req, o)
 	}
+	b.index.noteLoad(now, s)
 }
 
 // recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
@@ -82,7 +83,7 @@
 		inst.replicas = 0 // no attempt of this router runs there: the replica may have been evicted
 	}
 	s.backoffUntil = now + rejectionBackoff<<min(s.rejections, 5)
-	b.index.markQuestionable(s)
+	b.index.markImpaired(s)
 	b.adaptConcurrencyLimit(now, s, 1000)
 }
 
--- a/internal/certstore/stats.go
+++ b/internal/certstore/stats.go
@@ -2,34 +2,34 @@
 
 import (
 	"errors"
+	"maps"
+
 	"hollymast/control"
 	"hollymast/internal/tlspolicy"
 )
 
-// Counts are what a ring has met.
+// Stats are a store's counters since it was opened, and its certificate's expiry.
 type Stats struct {
-	Handshakes       uint64
-	RejectedPeers    map[string]uint64 // peers, by reason
-	FailedHandshakes uint64            // other handshakes that came to nothing
-	ExpiresAt        control.Micros    // of the certificate in service, wall clock; 0: none
+	Handshakes       uint64                      // with success
+	RejectedPeers    map[tlspolicy.Reason]uint64 // in handshakes and later
+	FailedHandshakes uint64                      // for other reasons
+	ExpiresAt        control.Micros              // of the certificate in service, wall clock; 0: there is none
 }
 
-// Counts gives what was met so far.
-func (r *Store) Stats() Stats {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	c := r.stats
-	c.ExpiresAt = r.identity.ExpiresAt()
-	c.RejectedPeers = make(map[string]uint64, len(r.stats.RejectedPeers))
-	for k, v := range r.stats.RejectedPeers {
-		c.RejectedPeers[k] = v
-	}
-	return c
+// Stats returns the counters.
+func (s *Store) Stats() Stats {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stats := s.stats
+	stats.RejectedPeers = maps.Clone(s.stats.RejectedPeers)
+	stats.ExpiresAt = s.identity.ExpiresAt()
+	return stats
 }
 
-func (r *Store) countRejectedLocked(err error) {
-	var no *tlspolicy.PeerError
-	if errors.As(err, &no) {
-		r.stats.RejectedPeers[no.Reason.String()]++
+// countRejectedLocked counts an error of the verifier.
+func (s *Store) countRejectedLocked(err error) {
+	var rejected *tlspolicy.PeerError
+	if errors.As(err, &rejected) {
+		s.stats.RejectedPeers[rejected.Reason]++
 	}
 }
--- /dev/null
+++ b/internal/xds/parse.go
@@ -0,0 +1,173 @@
+package xds
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"strings"
+
+	cluster "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"hollymast/internal/membership"
+)
+
+// parsedCluster is what matters of a cluster.
+type parsedCluster struct {
+	name    string
+	service string      // the name under which its endpoints are subscribed to
+	inline  *assignment // the endpoints of a static cluster; nil: it is not one
+}
+
+// parseClusters validates clusters. Those of types that are not supported are left out and logged.
+func (c *Client) parseClusters(resources []*anypb.Any) ([]parsedCluster, error) {
+	if len(resources) > c.bounds.Clusters {
+		return nil, fmt.Errorf("%d clusters, over the bound of %d", len(resources), c.bounds.Clusters)
+	}
+	clusters := make([]parsedCluster, 0, len(resources))
+	seen := make(map[string]bool, len(resources))
+	for _, resource := range resources {
+		message := &cluster.Cluster{}
+		if err := resource.UnmarshalTo(message); err != nil {
+			return nil, fmt.Errorf("a cluster can't be read: %w", err)
+		}
+		if message.Name == "" || seen[message.Name] {
+			return nil, fmt.Errorf("cluster %q: no name, or named twice", message.Name)
+		}
+		seen[message.Name] = true
+		parsed, supported, err := c.parseCluster(message)
+		if err != nil {
+			return nil, fmt.Errorf("cluster %s: %w", message.Name, err)
+		}
+		if supported {
+			clusters = append(clusters, parsed)
+		}
+	}
+	return clusters, nil
+}
+
+func (c *Client) parseCluster(message *cluster.Cluster) (parsed parsedCluster, supported bool, err error) {
+	parsed = parsedCluster{name: message.Name, service: cmp.Or(message.GetEdsClusterConfig().GetServiceName(), message.Name)}
+	switch message.GetType() {
+	case cluster.Cluster_EDS:
+		source := message.GetEdsClusterConfig().GetEdsConfig()
+		if _, ads := source.GetConfigSourceSpecifier().(*core.ConfigSource_Ads); source != nil && !ads {
+			c.logOnce("cluster %s: its endpoints are asked for on the same stream, whatever source it names", message.Name)
+		}
+	case cluster.Cluster_STATIC:
+		inline, err := c.parseAssignment(message.GetLoadAssignment())
+		if err != nil {
+			return parsed, false, err
+		}
+		parsed.inline = &inline
+	default:
+		c.logOnce("cluster %s: of type %s, which is not followed", message.Name, message.GetType())
+		return parsed, false, nil
+	}
+	if message.GetLbPolicy() != cluster.Cluster_ROUND_ROBIN || message.GetLoadBalancingPolicy() != nil {
+		c.logOnce("cluster %s: its balancing policy is passed over; jobs go where copies are loaded", message.Name)
+	}
+	return parsed, true, nil
+}
+
+// assignment is the endpoints of one service.
+type assignment struct {
+	name             string
+	overprovisioning float64 // a factor; 0: not given
+	endpoints        []membership.Endpoint
+}
+
+// parseAssignments validates assignments.
+func (c *Client) parseAssignments(resources []*anypb.Any) ([]assignment, error) {
+	assignments := make([]assignment, 0, len(resources))
+	seen := make(map[string]bool, len(resources))
+	for _, resource := range resources {
+		message := &endpoint.ClusterLoadAssignment{}
+		if err := resource.UnmarshalTo(message); err != nil {
+			return nil, fmt.Errorf("an assignment can't be read: %w", err)
+		}
+		if message.ClusterName == "" || seen[message.ClusterName] {
+			return nil, fmt.Errorf("assignment %q: no name, or named twice", message.ClusterName)
+		}
+		seen[message.ClusterName] = true
+		parsed, err := c.parseAssignment(message)
+		if err != nil {
+			return nil, fmt.Errorf("assignment %s: %w", message.ClusterName, err)
+		}
+		assignments = append(assignments, parsed)
+	}
+	return assignments, nil
+}
+
+// minOverprovisioning, in percent: with less a priority would not be enough with all its servers usable.
+const minOverprovisioning = 100
+
+func (c *Client) parseAssignment(message *endpoint.ClusterLoadAssignment) (parsed assignment, err error) {
+	parsed.name = message.GetClusterName()
+	if factor := message.GetPolicy().GetOverprovisioningFactor(); factor != nil {
+		if factor.Value < minOverprovisioning {
+			return parsed, errors.New("an overprovisioning factor below 100 %")
+		}
+		parsed.overprovisioning = float64(factor.Value) / 100
+	}
+	for _, drop := range message.GetPolicy().GetDropOverloads() {
+		if drop.GetDropPercentage().GetNumerator() > 0 {
+			c.logOnce("assignment %s: drop_overloads %q is passed over; jobs are pushed back where they can't be in time", parsed.name, drop.GetCategory())
+		}
+	}
+	for _, locality := range message.GetEndpoints() {
+		if len(parsed.endpoints)+len(locality.GetLbEndpoints()) > c.bounds.Endpoints {
+			return parsed, fmt.Errorf("over %d endpoints", c.bounds.Endpoints)
+		}
+		for _, e := range locality.GetLbEndpoints() {
+			read, err := c.parseEndpoint(parsed.name, locality, e)
+			if err != nil {
+				return parsed, err
+			}
+			parsed.endpoints = append(parsed.endpoints, read)
+		}
+	}
+	return parsed, nil
+}
+
+const maxPort = 65535
+
+func (c *Client) parseEndpoint(assignment string, locality *endpoint.LocalityLbEndpoints, e *endpoint.LbEndpoint) (membership.Endpoint, error) {
+	socket := e.GetEndpoint().GetAddress().GetSocketAddress()
+	if socket == nil || socket.GetAddress() == "" || socket.GetPortValue() == 0 || socket.GetPortValue() > maxPort {
+		return membership.Endpoint{}, errors.New("an endpoint has no address with a port")
+	}
+	health, known := healthOf[e.GetHealthStatus()]
+	if !known {
+		c.logOnce("assignment %s: health status %d is not known and counts as unknown", assignment, e.GetHealthStatus())
+	}
+	host := socket.GetAddress()
+	if strings.Contains(host, ":") { // IPv6
+		host = "[" + host + "]"
+	}
+	startedAt, err := parseStartedAt(e.GetMetadata())
+	if err != nil {
+		return membership.Endpoint{}, err
+	}
+	return membership.Endpoint{
+		Address:   fmt.Sprintf("%s:%d", host, socket.GetPortValue()),
+		Health:    health,
+		Weight:    e.GetLoadBalancingWeight().GetValue(),
+		Priority:  locality.GetPriority(),
+		Zone:      locality.GetLocality().GetZone(),
+		Cell:      locality.GetLocality().GetSubZone(),
+		StartedAt: startedAt,
+	}, nil
+}
+
+// healthOf maps Envoy's health status; statusOf is its opposite.
+var healthOf = map[core.HealthStatus]membership.Health{
+	core.HealthStatus_UNKNOWN:   membership.Unknown,
+	core.HealthStatus_HEALTHY:   membership.Healthy,
+	core.HealthStatus_UNHEALTHY: membership.Unhealthy,
+	core.HealthStatus_DRAINING:  membership.Draining,
+	core.HealthStatus_TIMEOUT:   membership.Timeout,
+	core.HealthStatus_DEGRADED:  membership.Degraded,
+}
