--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/attempt"
 	"hollymast/internal/rest"
 )
 
@@ -68,12 +69,22 @@
 	})
 }
 
-// answerOpen fails every request in flight: the kill would leave it without an answer.
+// answerOpen answers every request in flight: the kill would leave it without an answer. A request that was never written, or
+// that is safe to repeat, is rejected, so that its client can use the time left with another router; any other fails.
 func (g *Gateway) answerOpen(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		if req := g.requests[id]; !req.answer.Given {
-			g.core.Cancel(now, id)
+		req := g.requests[id]
+		if req.answer.Given {
+			continue
+		}
+		g.core.Cancel(now, id)
+		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
+			return call == nil || !call.withdraw() && attempt.Stage(call.stage.Load()) == attempt.Writing
+		})
+		if mayHaveRun && !g.config.Deployment.Classes[req.pattern.Class].SafeToRetryAnywhere() {
 			g.finish(req, answerFailed, failure(reasonStopping))
+		} else {
+			g.finish(req, answerRejected, rejection(reasonStopping, g.config.Deployment.MaxRetryAfter))
 		}
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -105,19 +105,52 @@
 	}
 }
 
-// A request that would take longer than a stopping router has left is answered before the kill.
+// A request that would take longer than a stopping router has left is answered before the kill: rejected where it may be
+// repeated anywhere, so that its client can use the time left with another router, and else failed once it may have run.
 func TestStopAnswersLongRequests(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
-	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
-	conn, r := tg.dialClient()
-	io.WriteString(conn, inferText("1", "ticket-1"))
-	waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
-	tg.gateway.post(tg.gateway.answerOpen)
-	began := time.Now()
-	if lines, err := readStatusLines(r, 1); err != nil || lines[0] != "HTTP/1.1 504 Gateway Timeout" || time.Since(began) > 500*time.Millisecond {
-		t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
-	}
-	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
+	const rejected, failed = "HTTP/1.1 503 Service Unavailable", "HTTP/1.1 504 Gateway Timeout"
+	inZone := func(c *Config) {
+		booking, _ := c.Match("booking-1")
+		c.Deployment.Classes[booking.Class].Scope = control.OneZone
+	}
+	for name, c := range map[string]struct {
+		function string
+		change   func(*Config)
+		dialled  bool // and written
+		want     string
+	}{
+		"must not be repeated":              {"ticket-1", func(*Config) {}, true, failed},
+		"must not be repeated, not written": {"ticket-1", func(*Config) {}, false, rejected},
+		"idempotent":                        {"forecast-1", func(*Config) {}, true, rejected},
+		"idempotent by key":                 {"booking-1", func(*Config) {}, true, rejected},
+		"idempotent by key in one zone":     {"booking-1", inZone, true, failed},
+		"in one zone, not written":          {"booking-1", inZone, false, rejected},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tg := newTestGatewayConfigured(t, "", func(config *Config) {
+				c.change(config)
+				config.MaxDials = 1
+			}, serverOptions(0))
+			tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+			if !c.dialled {
+				tg.gateway.dialing <- struct{}{} // another connection dials
+				defer func() { <-tg.gateway.dialing }()
+			}
+			conn, r := tg.dialClient()
+			io.WriteString(conn, inferText("1", c.function))
+			if c.dialled {
+				waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
+			} else {
+				waitUntil(t, "a request is in flight", func() bool { return tg.inFlight() > 0 })
+			}
+			tg.gateway.post(tg.gateway.answerOpen)
+			began := time.Now()
+			if lines, err := readStatusLines(r, 1); err != nil || lines[0] != c.want || time.Since(began) > 500*time.Millisecond {
+				t.Errorf("got %q, %v after %v", lines, err, time.Since(began))
+			}
+			waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
+		})
+	}
 }
 
 // A stopping router answers all that it has accepted, and accepts nothing more.
