--- /dev/null
+++ b/cmd/hmmodelcheck/moment.go
@@ -0,0 +1,75 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+
+	"hollymast/control"
+	"hollymast/internal/core"
+	"hollymast/internal/modelcheck"
+	"hollymast/internal/program"
+	"hollymast/internal/record"
+	"hollymast/internal/replay"
+)
+
+type momentCommand struct {
+	Recording string   `arg:"" help:"Segment of a recording." type:"path"`
+	Step      uint64   `name:"turn" required:"" help:"Number of the turn after which to begin."`
+	Requests  []uint64 `name:"job" help:"Jobs in hand to follow, up to 3; without, the last that came."`
+	faultFlags
+	Depth  int    `default:"12" help:"Steps at most."`
+	States int    `default:"2000000" help:"States at most, by whole depths."`
+	Save   string `help:"File for the story of a find." type:"path"`
+}
+
+// Run explores from a recorded state.
+func (m momentCommand) Run() error {
+	now, snapshot, err := m.replayToStep()
+	if err != nil {
+		return err
+	}
+	var requests []control.RequestID
+	for _, id := range m.Requests {
+		requests = append(requests, control.RequestID(id))
+	}
+	state, err := modelcheck.NewRecordedState(now, snapshot, requests)
+	if err != nil {
+		return program.UsageError{Err: err}
+	}
+	config := state.Config()
+	m.faultFlags.addTo(&config)
+	return explore(modelcheck.Exploration{Config: config, MaxDepth: m.Depth, MaxStates: m.States}, m.Save)
+}
+
+// errPastStep ends the reading of a recording.
+var errPastStep = errors.New("past the step")
+
+// replayToStep returns the router's state after the step, and the time of it.
+func (m momentCommand) replayToStep() (control.Micros, *core.Snapshot, error) {
+	segment, err := record.OpenSegment(m.Recording)
+	if err != nil {
+		return 0, nil, program.UsageError{Err: err}
+	}
+	defer segment.Close()
+	player, err := replay.NewPlayer(segment.Checkpoint)
+	if err != nil {
+		return 0, nil, err
+	}
+	now := control.Micros(0)
+	err = segment.ForEachStep(func(number uint64, step record.Step) error {
+		if number > m.Step {
+			return errPastStep
+		}
+		player.Step(step)
+		now = step.Clock
+		return nil
+	})
+	if err != nil && !errors.Is(err, errPastStep) {
+		return 0, nil, err
+	}
+	if now == 0 {
+		return 0, nil, program.UsageError{Err: fmt.Errorf("turn %d is not in %s", m.Step, m.Recording)}
+	}
+	snapshot, err := player.Core.Snapshot()
+	return now, snapshot, err
+}
--- /dev/null
+++ b/cmd/hmmodelcheck/walk.go
@@ -0,0 +1,40 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"hollymast/internal/modelcheck"
+)
+
+type walkCommand struct {
+	worldFlags
+	Walks int    `default:"1000" help:"Walks."`
+	Steps int    `default:"200" help:"Steps of each at most."`
+	Seed  uint64 `default:"1" help:"Seed of the first walk; each further has the next."`
+	Save  string `help:"File for the story of a find." type:"path"`
+}
+
+// Run walks through a world at random until a property fails.
+func (w walkCommand) Run() error {
+	config, properties, err := w.config()
+	if err != nil {
+		return err
+	}
+	steps := 0
+	started := time.Now()
+	for i := range w.Walks {
+		seed := w.Seed + uint64(i)
+		trace, n, err := modelcheck.RandomWalk(config, &modelcheck.ProductionRules, properties, w.Steps, modelcheck.RandomChoice(seed))
+		steps += n
+		if err != nil {
+			return err
+		}
+		if trace != nil {
+			fmt.Printf("seed %d:\n", seed)
+			return reportViolation(trace, w.Save)
+		}
+	}
+	fmt.Printf("%d walks, %d steps, %.1f s: no property fails\n", w.Walks, steps, time.Since(started).Seconds())
+	return nil
+}
--- /dev/null
+++ b/cmd/hmmodelcheck/world.go
@@ -0,0 +1,64 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"hollymast/control"
+	"hollymast/internal/modelcheck"
+	"hollymast/internal/program"
+)
+
+// worldFlags describe a world.
+type worldFlags struct {
+	Requests         int           `name:"jobs" default:"1" help:"Jobs, 1 to 3."`
+	Servers          int           `default:"1" help:"Servers, 1 to 3."`
+	Routers          int           `default:"1" help:"Routers, 1 or 2."`
+	Effects          []string      `default:"restartable" help:"Of the jobs, in turn: restartable, fingerprinted, run-once."`
+	Scope            string        `default:"fleet" enum:"fleet,zone" help:"Group of fingerprinted jobs."`
+	ArrivalInterval  time.Duration `name:"apart" help:"Between two jobs' arrivals."`
+	LatencyObjective time.Duration `name:"target" default:"150ms" help:"Start target."`
+	MaxDeadline      time.Duration `name:"limit" default:"500ms" help:"Time limit."`
+	DedupWindow      time.Duration `name:"window" default:"300ms" help:"For which a group knows a fingerprinted job."`
+	LoadCommands     bool          `name:"orders" help:"Copies are ordered; without, jobs load them."`
+	FunctionLoaded   bool          `name:"warm" default:"true" negatable:"" help:"All servers have the function loaded."`
+	SlowStartServer  bool          `name:"cold-server" help:"Server 0 has just started."`
+	Check            []string      `help:"Properties to check; without, all."`
+	faultFlags
+}
+
+// faultFlags say what may go wrong, and how often.
+type faultFlags struct {
+	CallFailures  int      `name:"breaks" help:"Exchanges that go wrong."`
+	FailureModes  []string `name:"ways" help:"How they do: no-connection, refused, reset-before, reset-after, lost, silent; without, in any way."`
+	Drains        int      `help:"Servers that are drained."`
+	Restarts      int      `help:"Servers that die and come back."`
+	ClientCancels int      `name:"leaves" help:"Clients that go."`
+	DelayedWrites int      `name:"stalls" help:"Choices that are written late."`
+	RouterStalls  int      `name:"freezes" help:"Routers that stand still for a while."`
+}
+
+func (f faultFlags) addTo(c *modelcheck.Config) {
+	c.CallFailures, c.FailureModes = f.CallFailures, f.FailureModes
+	c.Drains, c.Restarts = f.Drains, f.Restarts
+	c.ClientCancels, c.DelayedWrites, c.RouterStalls = f.ClientCancels, f.DelayedWrites, f.RouterStalls
+}
+
+// config returns the world, and the properties to check in it.
+func (w worldFlags) config() (modelcheck.Config, []modelcheck.Property, error) {
+	c := modelcheck.Config{Requests: w.Requests, Servers: w.Servers, Routers: w.Routers, Effects: w.Effects, Scope: w.Scope,
+		ArrivalInterval: micros(w.ArrivalInterval), LatencyObjective: micros(w.LatencyObjective), MaxDeadline: micros(w.MaxDeadline),
+		DedupWindow: micros(w.DedupWindow), LoadCommands: w.LoadCommands, FunctionLoaded: w.FunctionLoaded, SlowStartServer: w.SlowStartServer}
+	w.faultFlags.addTo(&c)
+	if err := c.Validate(); err != nil {
+		return c, nil, program.UsageError{Err: err}
+	}
+	properties, ok := modelcheck.SelectProperties(w.Check)
+	if !ok {
+		return c, nil, program.UsageError{Err: fmt.Errorf("a property of %s is not known; hmmodelcheck properties lists them", strings.Join(w.Check, ", "))}
+	}
+	return c, properties, nil
+}
+
+func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
