--- a/internal/persistence/dir.go
+++ b/internal/persistence/dir.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileRead || !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s is no file of ours", path)
+		return nil, fmt.Errorf("%s is not a state file", path)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/persistence/encoding.go
+++ b/internal/persistence/encoding.go
@@ -45,7 +45,7 @@
 // ErrNewer or ErrDamaged.
 func Decode(b []byte) (*State, error) {
 	if len(b) < len(magic)+headerBytes || string(b[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: no memory of a router", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a state file", ErrDamaged)
 	}
 	header, payload := b[len(magic):len(magic)+headerBytes], b[len(magic)+headerBytes:]
 	if uint64(binary.BigEndian.Uint32(header[4:])) != uint64(len(payload)) ||
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// A file that can't be read for a moment at a start is read. One that can't be read for longer is passed over, with a warning.
+// A file that can't be read for a moment at a start is read. One that can't be read for longer is ignored, with a warning.
 func TestJournalThatCannotBeReadAtStart(t *testing.T) {
 	for times, want := range map[int]int{0: 3, 1: 3, startAttempts - 1: 3, startAttempts + 3: 0} {
 		failed := 0
@@ -311,7 +311,7 @@
 		if lost {
 			want = 1 // the entry of the file before
 		}
-		if len(entries) != want || j.Incomplete() != lost || slices.ContainsFunc(warnings, func(line string) bool { return strings.Contains(line, "passed over") }) != lost {
+		if len(entries) != want || j.Incomplete() != lost || slices.ContainsFunc(warnings, func(line string) bool { return strings.HasSuffix(line, ": ignored") }) != lost {
 			t.Errorf("after %d failures: %d entries, incomplete %t, %q", times, len(entries), j.Incomplete(), warnings)
 		}
 		if _, is := d.names["dir/journal-00000002"]; !is {
--- a/internal/persistence/journal_encoding.go
+++ b/internal/persistence/journal_encoding.go
@@ -86,7 +86,7 @@
 
 func readFrames(b []byte) (frames []frame, err error) {
 	if len(b) < len(journalMagic) || string(b[:len(journalMagic)]) != journalMagic {
-		return nil, fmt.Errorf("%w: no journal", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a journal file", ErrDamaged)
 	}
 	for b = b[len(journalMagic):]; len(b) > 0; {
 		f, ok := readFrame(b)
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -98,7 +98,7 @@
 // closeFile closes a file in which all that was promised is synced. An error takes nothing from that and is only reported.
 func (j *Journal) closeFile(f *journalFile) {
 	if err := f.Close(); err != nil {
-		j.OnWarning(fmt.Sprintf("%s: %v when it was closed", journalName(f.number), err))
+		j.OnWarning(fmt.Sprintf("%s: close: %v", journalName(f.number), err))
 	}
 }
 
@@ -179,7 +179,7 @@
 		if err := j.FileSystem.Remove(filepath.Join(j.dir, f.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			if !f.removalReported {
 				f.removalReported = true
-				j.OnWarning(fmt.Sprintf("%s: %v: it stays, and is tried again", f.name, err))
+				j.OnWarning(fmt.Sprintf("%s: %v: not removed yet, retried", f.name, err))
 			}
 			remaining = append(remaining, f)
 			continue
--- a/internal/persistence/journal_reading.go
+++ b/internal/persistence/journal_reading.go
@@ -22,7 +22,7 @@
 		j.lastNumber = max(j.lastNumber, number)
 		b, err := j.readFile(name)
 		if err != nil {
-			warnings = append(warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
+			warnings = append(warnings, fmt.Sprintf("%s: %v: ignored", name, err))
 			j.incomplete = j.incomplete || IsTransient(err)
 			continue
 		}
--- a/internal/persistence/lock.go
+++ b/internal/persistence/lock.go
@@ -21,7 +21,7 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = fmt.Errorf("%s is another router's", dir)
+			err = fmt.Errorf("%s is in use by another router", dir)
 		}
 		return nil, err
 	}
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -55,14 +55,14 @@
 	switch {
 	case errors.Is(err, ErrNewer):
 		result.Writable = false
-		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is left alone and nothing is kept", name, err))
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: left unchanged, nothing is stored", name, err))
 	case err != nil:
-		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: it is passed over", name, err))
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: ignored", name, err))
 	case state.Owner.Router != s.owner.Router:
 		result.Writable = false
-		result.Warnings = append(result.Warnings, fmt.Sprintf("%s is of router %d: it is left alone and nothing is kept", name, state.Owner.Router))
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s is of router %d: left unchanged, nothing is stored", name, state.Owner.Router))
 	case state.Owner != s.owner:
-		result.Warnings = append(result.Warnings, name+" is of other workloads, tenants or name_key: it is passed over")
+		result.Warnings = append(result.Warnings, name+" is of other workloads, tenants or name_key: ignored")
 		s.generation = max(s.generation, state.Generation)
 	case result.State == nil || state.Generation > result.State.Generation:
 		result.State = state
