--- a/cmd/hmhistory/output.go
+++ b/cmd/hmhistory/output.go
@@ -12,7 +12,8 @@
 )
 
 // columns are the names of the columns, which scripts read.
-var columns = []string{"time", "function", "tenant", "jobs", "in time", "pushed back", "killed", "executions", "loads", "p50 us", "p90 us", "p99 us"}
+var columns = []string{"time", "function", "tenant", "jobs", "in time", "pushed back", "killed", "executions", "loads",
+	"p50 us", "p90 us", "p99 us"}
 
 // rowTimeFormat is a row's time, in UTC and to the minute.
 const rowTimeFormat = "2006-01-02T15:04Z"
--- a/cmd/hmhistory/plot.go
+++ b/cmd/hmhistory/plot.go
@@ -39,7 +39,8 @@
 	"loads": "loads", "p50": "median execution, ms", "p99": "99th percentile of executions, ms"}
 
 // lineColours tell eight lines apart in print and for the colour-blind (after Okabe and Ito). Further lines repeat them.
-var lineColours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
+var lineColours = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255},
+	color.RGBA{204, 121, 167, 255},
 	color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}, color.RGBA{150, 140, 0, 255}}
 
 const (
--- a/cmd/hmreplay/against.go
+++ b/cmd/hmreplay/against.go
@@ -15,7 +15,8 @@
 // compareBuild has another build's hmreplay play the same segments. Both builds are compared to the recording: they decide alike if they
 // first differ from it in the same command, or neither does.
 func (c cli) compareBuild(files []string, ours *replay.Difference) error {
-	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job", strconv.FormatUint(c.Job, 10)}
+	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job",
+		strconv.FormatUint(c.Job, 10)}
 	out, err := exec.Command(c.Against, append(args, files...)...).Output()
 	var exit *exec.ExitError
 	if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != program.ExitFailure) {
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -68,10 +68,11 @@
 
 func printSummary(s replay.Summary, duration time.Duration) {
 	played := time.Duration(s.Last-s.First) * time.Microsecond
-	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n", s.Segments, s.Steps, s.Commands,
-		played.Round(time.Millisecond), duration.Round(time.Millisecond), played.Seconds()/duration.Seconds())
+	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n",
+		s.Segments, s.Steps, s.Commands, played.Round(time.Millisecond), duration.Round(time.Millisecond), played.Seconds()/duration.Seconds())
 	if s.Stalls > 0 {
-		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n", s.Stalls, time.Duration(s.LongestStall)*time.Microsecond)
+		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n",
+			s.Stalls, time.Duration(s.LongestStall)*time.Microsecond)
 	}
 	if s.LostSteps > 0 {
 		fmt.Printf("%d turns were lost by the recording\n", s.LostSteps)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,19 +18,22 @@
 // request 2.
 func recordDecisions(t *testing.T) []string {
 	t.Helper()
-	deployment := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000, LoadsOnMiss: true,
-		Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000}}}
+	deployment := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000,
+		LoadsOnMiss: true,
+		Classes:     []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000}}}
 	now := control.Micros(5_000_000)
 	c := core.New(control.New(now, 1, deployment), core.NoopExecutor{})
 	dir := t.TempDir()
-	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, c.Snapshot, zerolog.Nop())
+	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
+		record.Header{Incarnation: "a"}, c.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.SetRecorder(w.Recorder())
 	w.BeginSegment(now)
 	update := func(second control.ServerState) {
-		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: second, Weight: 1}})
+		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
+			{Server: 2, State: second, Weight: 1}})
 	}
 	add := func(id control.RequestID, f control.FunctionID) {
 		c.Add(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
@@ -60,7 +63,8 @@
 			t.Fatalf("request %d: %+v, %v", request, first, err)
 		}
 		a := first[0]
-		if a.Endpoints.Version != version || a.Explanation.Reason != "no replica is loaded or loading" || a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
+		if a.Endpoints.Version != version || a.Explanation.Reason != "no replica is loaded or loading" ||
+			a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
 			t.Errorf("request %d: %+v", request, a)
 		}
 		if unusable := a.Explanation.Servers[1].Unusable != ""; unusable != (request == 2) {
@@ -93,7 +97,8 @@
 	if err != nil || plain[0].Explanation.Decision.Server != 1 {
 		t.Fatalf("%+v, %v", plain, err)
 	}
-	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward, "no-report=1": control.Forward, "ready=2": control.Forward} {
+	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward,
+		"no-report=1": control.Forward, "ready=2": control.Forward} {
 		c, err := ParseChange(change)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/history/collector_test.go
+++ b/internal/history/collector_test.go
@@ -11,7 +11,8 @@
 	a, b := Subject{"a", "x"}, Subject{"b", ""}
 	collector := NewCollector()
 	for i := range int64(100) {
-		collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 * (i + 1))})
+		collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit,
+			Duration: control.Micros(1000 * (i + 1))})
 		collector.RequestDone(at(now), a, control.NoAction, i < 10) // the first ten are late
 	}
 	collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
@@ -23,7 +24,8 @@
 		t.Fatalf("got %+v", rows)
 	}
 	r := rows[0]
-	if r.At != now || r.Subject != a || r.Requests != 101 || r.Succeeded != 100 || r.WithinObjective != 90 || r.Rejected != 1 || r.Attempts != 101 || r.Loads != 1 {
+	if r.At != now || r.Subject != a || r.Requests != 101 || r.Succeeded != 100 || r.WithinObjective != 90 || r.Rejected != 1 ||
+		r.Attempts != 101 || r.Loads != 1 {
 		t.Errorf("got %+v", r)
 	}
 	if p := r.Quantile(0.5); p < 49_500 || p > 51_000 {
@@ -58,13 +60,15 @@
 func TestMergedHistogramsKeepTheirQuantiles(t *testing.T) {
 	collector := NewCollector()
 	for i := range int64(1000) {
-		collector.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
+		collector.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded,
+			CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
 	}
 	var sum Usage
 	for _, r := range collector.Drain().Rows() {
 		sum.Merge(r.Usage)
 	}
-	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Attempts != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 || p99 > 100_000 {
+	if p50, p99 := sum.Quantile(0.5), sum.Quantile(0.99); sum.Attempts != 1000 || p50 < 49_500 || p50 > 50_500 || p99 < 98_000 ||
+		p99 > 100_000 {
 		t.Errorf("%d attempts, median %d, p99 %d", sum.Attempts, p50, p99)
 	}
 }
--- a/internal/history/store_test.go
+++ b/internal/history/store_test.go
@@ -29,7 +29,8 @@
 			var rows []Row
 			for range rapid.IntRange(0, 60).Draw(t, "rows") {
 				r := Row{At: (clock - rapid.Int64Range(0, 3*Hour).Draw(t, "ago")) / Minute * Minute,
-					Subject: Subject{fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "function")), ""}, Usage: Usage{Requests: int64(rapid.IntRange(1, 9).Draw(t, "requests"))}}
+					Subject: Subject{fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "function")), ""},
+					Usage:   Usage{Requests: int64(rapid.IntRange(1, 9).Draw(t, "requests"))}}
 				requests += r.Requests
 				rows = append(rows, r)
 			}
@@ -73,7 +74,8 @@
 		err = NewStore(name, 1e6).Read(0, now+1, func(_ Level, r Row) error { n += r.Requests; return nil })
 		return n, err
 	}
-	for i, damaged := range [][]byte{intact[:len(intact)/2], intact[:4096], append([]byte("rubbish"), intact[7:]...), make([]byte, 1<<15), []byte("x")} {
+	for i, damaged := range [][]byte{intact[:len(intact)/2], intact[:4096], append([]byte("rubbish"), intact[7:]...),
+		make([]byte, 1<<15), []byte("x")} {
 		broken := filepath.Join(dir, fmt.Sprint(i))
 		if err := os.WriteFile(broken, damaged, 0o600); err != nil {
 			t.Fatal(err)
@@ -119,7 +121,8 @@
 	collector := NewCollector()
 	for i := range int64(60_000) { // a minute of 1000 requests a second for 1000 functions
 		subject := Subject{fmt.Sprint("function-", i%1000), ""}
-		collector.AttemptEnded(at(now), subject, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit, Duration: control.Micros(1000 + i)})
+		collector.AttemptEnded(at(now), subject, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit,
+			Duration: control.Micros(1000 + i)})
 		collector.RequestDone(at(now), subject, control.NoAction, OnTime)
 	}
 	batch := collector.Drain()
--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -36,7 +36,7 @@
 			boot uint64
 		}
 		var sent []sending
-		for range rapid.IntRange(2, 5).Draw(t, "lives") {
+		for range rapid.IntRange(2, 5).Draw(t, "incarnations") {
 			now, clock := m.start()
 			if !known {
 				clock = Clock{}
@@ -82,7 +82,8 @@
 			for range rapid.IntRange(1, 3).Draw(t, "sendings") {
 				m.pass(control.Micros(rapid.IntRange(0, 4*minute).Draw(t, "pause")))
 				at := now + m.real - begun // the incarnation's own time: no step reaches it
-				<-j.Append(Entry{EntryAttempt, at, IdempotencyKey(len(sent) + 1), 1}, Entry{EntrySlowStartSend, at, 0, control.ServerID(len(sent))}, Entry{EntryAdmitted, at, 1, 0}).Done()
+				<-j.Append(Entry{EntryAttempt, at, IdempotencyKey(len(sent) + 1), 1},
+					Entry{EntrySlowStartSend, at, 0, control.ServerID(len(sent))}, Entry{EntryAdmitted, at, 1, 0}).Done()
 				sent = append(sent, sending{m.real, m.boot})
 				m.wall += control.Micros(rapid.SampledFrom([]int{0, 0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step"))
 			}
--- a/internal/persistence/dir_test.go
+++ b/internal/persistence/dir_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(filepath.Join(dir, "made")); err == nil {
-		t.Error("a second router got the folder")
+		t.Error("a second router got the directory")
 	}
 	unlock()
 	if unlock, err = Lock(filepath.Join(dir, "made")); err != nil {
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(file); err == nil {
-		t.Error("a file was taken for a folder")
+		t.Error("a file was taken for a directory")
 	}
 	if err := os.Mkdir(filepath.Join(dir, "made", GenerationFiles[0]), 0o700); err != nil {
 		t.Fatal(err)
@@ -39,6 +39,6 @@
 		t.Error(err)
 	}
 	if err := s.Write(testState(2)); err == nil {
-		t.Error("a folder was replaced by a file")
+		t.Error("a directory was replaced by a file")
 	}
 }
--- a/internal/persistence/encoding_test.go
+++ b/internal/persistence/encoding_test.go
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		if rapid.Bool().Draw(t, "changed from a valid one") {
-			b, _ := Encode(testState(rapid.IntRange(0, 9).Draw(t, "mark")))
+			b, _ := Encode(testState(rapid.IntRange(0, 9).Draw(t, "version")))
 			payload = b[len(magic)+12:]
 			for range rapid.IntRange(1, 4).Draw(t, "changes") {
 				payload[rapid.IntRange(0, len(payload)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
@@ -111,7 +111,8 @@
 	for i := range 10_000 {
 		f := control.LearnedFunction{ID: control.FunctionID(uint64(i) * 0x9e3779b97f4a7c15), Lanes: 2}
 		for k := range 3 {
-			f.Instances = append(f.Instances, control.LearnedInstance{Server: m.Servers[(i+k)%80].Server, Replicas: 1, LastUsed: m.SavedAt, LoadingSince: m.SavedAt})
+			f.Instances = append(f.Instances, control.LearnedInstance{Server: m.Servers[(i+k)%80].Server, Replicas: 1,
+				LastUsed: m.SavedAt, LoadingSince: m.SavedAt})
 		}
 		m.Functions = append(m.Functions, f)
 	}
--- a/internal/persistence/faultfs_test.go
+++ b/internal/persistence/faultfs_test.go
@@ -88,7 +88,7 @@
 	d.calls++
 	switch f := d.plan(d.calls, call, filepath.Base(name)); f {
 	case failsBefore:
-		if call == "sync" || call == "sync folder" {
+		if call == "sync" || call == "syncdir" {
 			do(false)
 		}
 		return d.err
@@ -231,8 +231,8 @@
 }
 
 func (d *faultFS) SyncDir(dir string) error {
-	return d.call("sync folder", dir, func(bool) error {
-		bad := d.fails(dir, "sync folder")
+	return d.call("syncdir", dir, func(bool) error {
+		bad := d.fails(dir, "syncdir")
 		for name, i := range d.names {
 			if _, known := d.synced[name]; !known || !bad && d.synced[name] != nil {
 				if d.synced[name] = i; bad {
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -81,8 +81,10 @@
 )
 
 // OpenJournal opens a journal on the machine's file system. See JournalOptions.Open.
-func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onFailure func(error)) (j *Journal, entries []Entry, warnings []string, err error) {
-	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: retention, MaxBytes: maxBytes, OnFailure: onFailure, OnWarning: func(string) {}}.Open(dir)
+func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onFailure func(error)) (
+	j *Journal, entries []Entry, warnings []string, err error) {
+	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: retention, MaxBytes: maxBytes,
+		OnFailure: onFailure, OnWarning: func(string) {}}.Open(dir)
 }
 
 // Open reads a directory's journal files, oldest first, and begins a new one. It returns the entries that were read and warnings about
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -49,7 +49,8 @@
 }
 
 func testOptions(d *faultFS, sync SyncPolicy, failed func(error)) JournalOptions {
-	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300, OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
+	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300,
+		OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
 // appendBatches opens a journal and appends to it, until all is done or the file system is killed. Now and again it waits for a batch.
@@ -64,7 +65,8 @@
 	}
 	for i := range count {
 		at := control.Micros(earlierAt + 10 + i)
-		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)}, {EntryAdmitted, at, 1, 0}}[:1+i%3]
+		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)},
+			{EntryAdmitted, at, 1, 0}}[:1+i%3]
 		r := j.Append(es...)
 		all = append(all, appendedBatch{r, es})
 		if !wait(i) { // the next entries come while these are on their way
@@ -176,7 +178,7 @@
 	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
 			bad, runs := 0, 0
-			for _, kind := range []string{"", "create", "write", "sync", "remove", "sync folder", "close", "rename"} {
+			for _, kind := range []string{"", "create", "write", "sync", "remove", "syncdir", "close", "rename"} {
 				for _, long := range []int{1, 3, 40} {
 					for _, f := range []fault{failsBefore, failsHalfway} {
 						for at := 1; at < 60; at += min(long, 4) {
@@ -227,12 +229,12 @@
 
 // However long a directory fails, in whatever way, it never holds more than one file without entries beside the one being begun.
 func TestLongFailuresLeaveNoEmptyFiles(t *testing.T) {
-	for _, kinds := range []string{"create", "write", "sync", "sync folder", "write remove", "sync remove", "sync folder remove",
-		"sync remove rename", "write remove rename", "sync folder remove rename"} {
+	for _, kinds := range []string{"create", "write", "sync", "syncdir", "write remove", "sync remove", "syncdir remove",
+		"sync remove rename", "write remove rename", "syncdir remove rename"} {
 		t.Run(kinds, func(t *testing.T) {
 			const long = 600
 			d := newFaultFS(func(n int, call, _ string) fault {
-				if n > 20 && n < 20+long && slices.Contains(strings.Fields(strings.Replace(kinds, "sync folder", "folder", 1)), strings.Replace(call, "sync folder", "folder", 1)) {
+				if n > 20 && n < 20+long && slices.Contains(strings.Fields(kinds), call) {
 					return failsBefore
 				}
 				return noFault
@@ -311,7 +313,8 @@
 		if lost {
 			want = 1 // the entry of the file before
 		}
-		if len(entries) != want || j.Incomplete() != lost || slices.ContainsFunc(warnings, func(line string) bool { return strings.HasSuffix(line, ": ignored") }) != lost {
+		warned := slices.ContainsFunc(warnings, func(line string) bool { return strings.HasSuffix(line, ": ignored") })
+		if len(entries) != want || j.Incomplete() != lost || warned != lost {
 			t.Errorf("after %d failures: %d entries, incomplete %t, %q", times, len(entries), j.Incomplete(), warnings)
 		}
 		if _, is := d.names["dir/journal-00000002"]; !is {
--- a/internal/persistence/journal_encoding_test.go
+++ b/internal/persistence/journal_encoding_test.go
@@ -26,7 +26,8 @@
 		return es
 	}
 	for cut := range len(b) + 1 {
-		if got, err := ReadJournal(b[:cut]); !slices.Equal(got, want(cut)) || (err == nil) != (slices.Contains(ends, cut) || cut == len(journalMagic)) {
+		whole := slices.Contains(ends, cut) || cut == len(journalMagic)
+		if got, err := ReadJournal(b[:cut]); !slices.Equal(got, want(cut)) || (err == nil) != whole {
 			t.Fatalf("cut at %d: got %d entries, %v", cut, len(got), err)
 		}
 	}
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -64,7 +64,8 @@
 		t.Fatal(err)
 	}
 	failures := make(chan error, 10)
-	j, _, _, err := JournalOptions{FileSystem: OSFileSystem{}, Sync: SyncGrouped, Retention: 10 * minute, MaxBytes: 1 << 30, MaxFileBytes: 1, OnFailure: func(err error) { failures <- err }, OnWarning: func(string) {}}.Open(dir)
+	j, _, _, err := JournalOptions{FileSystem: OSFileSystem{}, Sync: SyncGrouped, Retention: 10 * minute, MaxBytes: 1 << 30,
+		MaxFileBytes: 1, OnFailure: func(err error) { failures <- err }, OnWarning: func(string) {}}.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,16 +143,16 @@
 			begun := time.Now()
 			n := 0
 			for b.Loop() {
-				rounds := make([]*Batch, 16)
+				batches := make([]*Batch, 16)
 				at := time.Now()
-				for i := range rounds {
-					rounds[i] = j.Append(Entry{EntryAttempt, 1, 1, 1})
+				for i := range batches {
+					batches[i] = j.Append(Entry{EntryAttempt, 1, 1, 1})
 				}
-				for _, r := range rounds {
-					<-r.Done()
+				for _, b := range batches {
+					<-b.Done()
 				}
 				waited += time.Since(at)
-				n += len(rounds)
+				n += len(batches)
 			}
 			b.ReportMetric(float64(n)/time.Since(begun).Seconds(), "entries/s")
 			b.ReportMetric(float64(waited.Microseconds())/float64(n/16), "us/wait")
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -34,7 +34,8 @@
 }
 
 func newWriterState(o JournalOptions) writerState {
-	s := writerState{newestAt: o.Now, nextDelay: o.RetryDelay, retryTimer: time.NewTimer(0), toSync: make(chan File, 1), synced: make(chan error, 1)}
+	s := writerState{newestAt: o.Now, nextDelay: o.RetryDelay, retryTimer: time.NewTimer(0), toSync: make(chan File, 1),
+		synced: make(chan error, 1)}
 	<-s.retryTimer.C
 	return s
 }
--- a/internal/persistence/rebase_test.go
+++ b/internal/persistence/rebase_test.go
@@ -39,9 +39,11 @@
 	unknown.Clock = nil
 	late := of()
 	late.Clock.Offset = -1e9 // the state would be of the future
-	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}}, "no clock": read(unknown), "of the future": late} {
+	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}},
+		"no clock": read(unknown), "of the future": late} {
 		k.Rebase(Clock{7, 100}, 5000)
-		if m := k.Learned; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) || len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
+		if m := k.Learned; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) ||
+			len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
--- a/internal/persistence/store_test.go
+++ b/internal/persistence/store_test.go
@@ -18,7 +18,8 @@
 	m := &control.LearnedState{SavedAt: control.Micros(version), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(version)}}
 	for i := range testItems {
 		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(version)})
-		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2, Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(version)}}})
+		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2,
+			Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(version)}}})
 	}
 	return &State{Owner: testOwner, Learned: m}
 }
--- a/internal/persistence/transient.go
+++ b/internal/persistence/transient.go
@@ -8,8 +8,8 @@
 )
 
 // transientErrors are those of a directory that may be over in a moment. Others say that it is set up wrongly.
-var transientErrors = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EINTR,
-	syscall.ETIMEDOUT, syscall.ESTALE}
+var transientErrors = []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.ENOMEM, syscall.EMFILE,
+	syscall.ENFILE, syscall.EINTR, syscall.ETIMEDOUT, syscall.ESTALE}
 
 // IsTransient reports whether an error may be over in a moment.
 func IsTransient(err error) bool {
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -77,7 +77,8 @@
 }
 
 // LoadEnded records the answer to a load command.
-func (r *Recorder) LoadEnded(server control.ServerID, function control.FunctionID, result control.Result, duration control.Micros, replicas int) {
+func (r *Recorder) LoadEnded(server control.ServerID, function control.FunctionID, result control.Result,
+	duration control.Micros, replicas int) {
 	r.addEvent(Event{LoadResult: &LoadResult{server, function, result, duration, replicas}})
 }
 
--- a/internal/record/recorder_test.go
+++ b/internal/record/recorder_test.go
@@ -20,7 +20,8 @@
 		recorder.RequestAdded(request)
 		recorder.Forward(&request, 0, 0x7f0000019a7b, 2_000_000)
 		recorder.StepEnded(clock)
-		recorder.AttemptEnded(request.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000, RequestDone: true, Report: report})
+		recorder.AttemptEnded(request.ID, control.Outcome{Server: 0x7f0000019a7b, CacheStatus: control.CacheHit, Duration: 50_000,
+			RequestDone: true, Report: report})
 		recorder.StepEnded(clock + 211)
 		if len(steps) >= 200 { // 100 ms at 1000 requests a second
 			frame, err := appendFrame(nil, stepBatch{First: 1, Steps: steps})
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -63,13 +63,15 @@
 	return open(dir, limits, header, snapshot, log, osDisk{})
 }
 
-func open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger, disk disk) (*Writer, error) {
+func open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger,
+	disk disk) (*Writer, error) {
 	// A transient error keeps no router from starting: the directory is made with the first segment for which it can be.
 	dirErr := disk.MakeDir(dir)
 	if dirErr != nil && !persistence.IsTransient(dirErr) {
 		return nil, dirErr
 	}
-	w := &Writer{dir: dir, limits: limits, header: header, log: log, snapshot: snapshot, disk: disk, queue: queue{wake: make(chan struct{}, 1)},
+	w := &Writer{dir: dir, limits: limits, header: header, log: log, snapshot: snapshot, disk: disk,
+		queue:      queue{wake: make(chan struct{}, 1)},
 		dirMissing: dirErr != nil, retryDelay: segmentRetryDelay}
 	w.header.Version = Version
 	w.wg.Add(1)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -33,7 +33,8 @@
 	w.queue.drain(nil)
 	w.endStep(Step{Clock: 99}) // there is room again
 	items, _ := w.queue.drain(nil)
-	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 || items[0].header.FirstStep != queueDepth+10 || items[0].header.Clock != 99 {
+	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 ||
+		items[0].header.FirstStep != queueDepth+10 || items[0].header.Clock != 99 {
 		t.Errorf("got %+v", items)
 	}
 	w.endStep(Step{Clock: 100})
@@ -45,7 +46,8 @@
 // A directory that can't be written to costs steps of the recording; once it can, recording resumes.
 func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
-	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, zerolog.Nop())
+	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"},
+		emptySnapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +118,8 @@
 // openOnFaultDisk opens a recording on such a disk.
 func openOnFaultDisk(t *testing.T, dir string, log zerolog.Logger, disk *faultDisk) *Writer {
 	t.Helper()
-	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"}, emptySnapshot, log, disk)
+	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"},
+		emptySnapshot, log, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,8 +220,9 @@
 
 // BenchmarkCheckpoint encodes the beginning of a segment with 80 servers and 1000 functions, which the writer goroutine does.
 func BenchmarkCheckpoint(b *testing.B) {
-	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadsOnMiss: true,
-		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
+	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
+		LoadsOnMiss: true,
+		Classes:     []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	now := control.Micros(1_000_000_000)
 	c := core.New(control.New(now, 1, deployment), core.NoopExecutor{})
 	endpoints := make([]control.Endpoint, 80)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -52,7 +52,8 @@
 		x := t.inFlight[i]
 		t.inFlight[i] = t.inFlight[len(t.inFlight)-1]
 		t.inFlight = t.inFlight[:len(t.inFlight)-1]
-		o := control.Outcome{Attempt: x.attempt, Server: x.server, Duration: control.Micros(10_000 + t.below(40_000)), Report: &control.LoadReport{Utilization: 0.5}}
+		o := control.Outcome{Attempt: x.attempt, Server: x.server, Duration: control.Micros(10_000 + t.below(40_000)),
+			Report: &control.LoadReport{Utilization: 0.5}}
 		if t.below(5) == 0 {
 			o.Result = control.Result(t.below(9))
 		}
@@ -68,19 +69,22 @@
 // recorded records some steps into several segments and returns the files.
 func recordSteps(t *testing.T, steps int) []string {
 	t.Helper()
-	deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true, OverloadWindow: 1_000_000, OverloadFactor: 2,
+	deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
+		OverloadWindow: 1_000_000, OverloadFactor: 2,
 		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
 			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Effect: control.NonIdempotent}}}
 	tr := &traffic{now: 5_000_000, rand: 1}
 	tr.core = core.New(control.New(tr.now, 1, deployment), tr)
 	dir := t.TempDir()
-	w, err := record.Open(dir, record.Limits{SegmentBytes: 1, SegmentAge: time.Hour, TotalBytes: 1 << 30}, record.Header{Incarnation: "a"}, tr.core.Snapshot, zerolog.Nop())
+	w, err := record.Open(dir, record.Limits{SegmentBytes: 1, SegmentAge: time.Hour, TotalBytes: 1 << 30},
+		record.Header{Incarnation: "a"}, tr.core.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	tr.core.SetRecorder(w.Recorder())
 	w.BeginSegment(tr.now)
-	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}})
+	tr.core.UpdateEndpoints(tr.now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
+		{Server: 2, State: control.Ready, Weight: 1}})
 	tr.core.Step(tr.now)
 	for i := range steps {
 		tr.step()
@@ -184,7 +188,8 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for i, broken := range [][]byte{text[:len(text)-1], text[:len(text)/2], text[:30], append(text[:len(text)-20:len(text)-20], make([]byte, 20)...)} {
+	for i, broken := range [][]byte{text[:len(text)-1], text[:len(text)/2], text[:30],
+		append(text[:len(text)-20:len(text)-20], make([]byte, 20)...)} {
 		name := filepath.Join(dir, "broken.rec")
 		if err := os.WriteFile(name, broken, 0o600); err != nil {
 			t.Fatal(err)
