--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -2,6 +2,7 @@
 package main
 
 import (
+	"os"
 	"time"
 
 	"hollymast/internal/program"
@@ -51,7 +52,7 @@
 	case c.Plot != "":
 		return plotRows(c.Plot, c.Show, c.Most, rows)
 	case c.CSV:
-		return writeCSV(rows)
+		return writeCSV(os.Stdout, rows)
 	}
-	return writeTable(rows)
+	return writeTable(os.Stdout, rows)
 }
--- a/cmd/hmhistory/output.go
+++ b/cmd/hmhistory/output.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/csv"
 	"fmt"
-	"os"
+	"io"
 	"strconv"
 	"text/tabwriter"
 	"time"
@@ -33,12 +33,12 @@
 	return lines
 }
 
-func writeCSV(rows []history.Row) error {
-	return csv.NewWriter(os.Stdout).WriteAll(lines(rows))
+func writeCSV(w io.Writer, rows []history.Row) error {
+	return csv.NewWriter(w).WriteAll(lines(rows))
 }
 
-func writeTable(rows []history.Row) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 1, 2, ' ', tabwriter.AlignRight)
+func writeTable(out io.Writer, rows []history.Row) error {
+	w := tabwriter.NewWriter(out, 0, 1, 2, ' ', tabwriter.AlignRight)
 	for _, line := range lines(rows) {
 		for _, cell := range line {
 			fmt.Fprintf(w, "%s\t", cell)
