--- a/internal/chaostest/loadtest.go
+++ b/internal/chaostest/loadtest.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -159,30 +158,6 @@
 // lastResult is the stream that was measured last.
 func (run *loadRun) lastResult() *LoadResult { return &run.results[len(run.results)-1] }
 
-// measurePersistence measures pairs, one of each through a further router that persists its state. That one runs until the test
-// ends, as idle as the other is meanwhile.
-func (run *loadRun) measurePersistence(ctx context.Context) error {
-	config := loadRouterConfig{name: "remembering", number: 1, endpoints: run.endpointsFile(),
-		extra: fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(run.dir, "memory"))}
-	router, err := run.startRouter(ctx, config)
-	if err != nil {
-		return err
-	}
-	if err := run.warmUp(ctx, router); err != nil {
-		return err
-	}
-	ratios, err := measurePairs(run.PersistencePairs, func(int) (LoadResult, error) {
-		return run.measure(ctx, "router, memory", run.LoadTest, router)
-	}, func(int) (LoadResult, error) {
-		return run.measure(ctx, "router", run.LoadTest, run.plain)
-	})
-	if err != nil {
-		return err
-	}
-	run.lastResult().Ratios = ratios
-	return nil
-}
-
 // measureUnknownFunctions has functions requested that no server has, and measures the stream again.
 func (run *loadRun) measureUnknownFunctions(ctx context.Context) error {
 	unknown := run.LoadTest
@@ -219,89 +194,3 @@
 	run.plain, err = run.startRouter(ctx, loadRouterConfig{name: "router", endpoints: run.endpointsFile(), admin: run.admin})
 	return err
 }
-
-// loadRouterConfig is what differs between the routers of a load test.
-type loadRouterConfig struct {
-	name      string // of its files
-	number    int    // in messages
-	endpoints string // file
-	admin     string // address; empty: none
-	extra     string // further sections
-	secure    rest.Handshake
-}
-
-// startRouter starts a router and waits until it is ready.
-func (run *loadRun) startRouter(ctx context.Context, config loadRouterConfig) (*routerProcess, error) {
-	address, err := freeAddress()
-	if err != nil {
-		return nil, err
-	}
-	r := &routerProcess{number: config.number, address: address, secure: config.secure, configFile: filepath.Join(run.dir, config.name+".ini"),
-		logName: filepath.Join(run.dir, config.name+".log")}
-	if err := os.WriteFile(r.configFile, config.file(address), 0o600); err != nil {
-		return nil, err
-	}
-	if err := r.start(run.program); err != nil {
-		return nil, err
-	}
-	run.routers = append(run.routers, r)
-	return r, r.awaitReady(ctx)
-}
-
-// file gives the router's configuration file. Its bounds are beyond what the streams need.
-func (config loadRouterConfig) file(address string) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "[router]\nlisten = %s\n", address)
-	if config.admin != "" {
-		fmt.Fprintf(&b, "admin = %s\n", config.admin)
-	}
-	fmt.Fprintf(&b, `list = %s
-log = warn
-[servers]
-orders = no
-[bounds]
-per_server = 4096
-[workload any]
-start_target = 1s
-effect = restartable
-[function *]
-workload = any
-lanes = 1024
-`, config.endpoints)
-	b.WriteString(config.extra)
-	return b.Bytes()
-}
-
-func openIdleConnections(address string, n int) ([]net.Conn, error) {
-	idle := make([]net.Conn, 0, n)
-	for range n {
-		conn, err := net.Dial("tcp", address)
-		if err != nil {
-			return idle, err
-		}
-		idle = append(idle, conn)
-	}
-	return idle, nil
-}
-
-func closeAll(conns []net.Conn) {
-	for _, conn := range conns {
-		conn.Close()
-	}
-}
-
-const adminTimeout = 10 * time.Second
-
-// callAdmin makes a request to a router's admin interface.
-func callAdmin(ctx context.Context, admin, target string) error {
-	c, err := rest.Dial(ctx, admin, &rest.DefaultLimits)
-	if err != nil {
-		return err
-	}
-	defer c.Close()
-	res, _, err := c.Do(&rest.Request{Method: http.MethodPost, Target: target, Header: rest.Header{"Host": {admin}}}, time.Now().Add(adminTimeout))
-	if err == nil && res.Status != http.StatusOK {
-		err = fmt.Errorf("the router answers %d: %s", res.Status, res.Body)
-	}
-	return err
-}
