--- a/internal/chaostest/churn.go
+++ b/internal/chaostest/churn.go
@@ -80,7 +80,7 @@
 	return h.churnResult(), nil
 }
 
-// scenario gives the load, and what the router is told.
+// scenario gives the load and the router's settings.
 func (c Churn) scenario() *Scenario {
 	length := time.Duration(c.Changes) * c.Interval
 	s := &Scenario{Seed: c.Seed, Requests: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: churnFunctions,
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -12,8 +12,8 @@
 	"hollymast/internal/invariant"
 )
 
-// The fake servers, and what routers are told about them: together about twice the capacity that the usual load needs, with
-// loads that take far longer than requests.
+// The fake servers, and the routers' settings about them. Together the servers have about twice the capacity that the usual load
+// needs, and a load takes far longer than a request.
 const (
 	serverCores       = 2
 	serverLanes       = 2
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -100,7 +100,7 @@
 	cpu    time.Duration   // of the router, for each connection
 }
 
-// measureConnecting measures new connections, each with one request that the router answers itself: without and with TLS by turns.
+// measureConnecting measures new connections, each with one request that the router answers itself, alternately without and with TLS.
 func measureConnecting(ctx context.Context, plain, withTLS *routerProcess) (note string, err error) {
 	costs := []*connectCost{{router: plain}, {router: withTLS}}
 	before := []time.Duration{cpuTime(plain.pid()), cpuTime(withTLS.pid())}
--- a/internal/chaostest/timeline.go
+++ b/internal/chaostest/timeline.go
@@ -85,7 +85,7 @@
 	recoveryShare   = 0.95 // of the usual share
 )
 
-// MeasureRecovery tells how soon the share of calls in time recovered from a fault. The first second of the run doesn't count
+// MeasureRecovery measures how soon the share of calls in time recovered from a fault. The first second of the run doesn't count
 // as usual, and seconds without such calls are passed over.
 func MeasureRecovery(seconds []Second, f Fault) Recovery {
 	calls, inTime := 0, 0
--- a/internal/invariant/record.go
+++ b/internal/invariant/record.go
@@ -28,7 +28,7 @@
 	// Of whoever injects faults.
 
 	EndpointPublished // the endpoint list that routers read has changed; Detail is the server's state
-	RouterDown        // a router was stopped, killed or told to shut down
+	RouterDown        // a router was suspended, killed or asked to shut down
 	RouterRestarted   // a router was started again; Detail is StateRestored if it restores its load commands
 	RouterUp          // a router runs again
 )
