--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -199,32 +199,57 @@
 	}
 }
 
-// A shortage of descriptors does not count against the server: the request waits for one.
-func TestOutOfDescriptors(t *testing.T) {
-	r := start(t, modelServer(t, echo))
-	c := r.dial(t)
-	c.healthCheck(1)
-	c.expect("1: true")
+// limitDescriptors limits this process to the descriptors that it has now. exhaust takes those that are free below
+// the limit; restore gives them back and removes the limit.
+func limitDescriptors(t *testing.T) (exhaust, restore func()) {
+	t.Helper()
+	var before syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
+		t.Fatal(err)
+	}
 	free, err := syscall.Dup(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	syscall.Close(free)
-	var before syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
+	limit := before
+	limit.Cur = uint64(free)
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before) })
-	none := before
-	none.Cur = uint64(free)
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
-		t.Fatal(err)
+	var taken []int
+	exhaust = func() {
+		for fd, err := syscall.Dup(0); err == nil; fd, err = syscall.Dup(0) {
+			taken = append(taken, fd)
+		}
 	}
-	c.call(2, "again")
-	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool { return r.anomaly("out of descriptors for a server") > 0 })
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
-		t.Fatal(err)
+	restore = func() {
+		for _, fd := range taken {
+			syscall.Close(fd)
+		}
+		taken = nil
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
+			t.Error(err)
+		}
 	}
+	t.Cleanup(restore)
+	return exhaust, restore
+}
+
+// A shortage of descriptors does not count against the server: the request waits for one.
+func TestOutOfDescriptors(t *testing.T) {
+	r := start(t, modelServer(t, echo))
+	c := r.dial(t)
+	c.healthCheck(1)
+	c.expect("1: true")
+	exhaust, restore := limitDescriptors(t)
+	exhaust()
+	c.call(2, "again")
+	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool {
+		exhaust() // others may have been closed meanwhile, by peers of an earlier test
+		return r.anomaly("out of descriptors for a server") > 0
+	})
+	restore()
 	c.expect("2: body 2")
 	if n := r.anomaly("no connection to a server"); n > 0 {
 		t.Errorf("%d held against the server", n)
