--- a/client/attempts.go
+++ b/client/attempts.go
@@ -3,204 +3,275 @@
 import (
 	"context"
 	"errors"
+	"sync"
+	"time"
+
 	"hollymast/control"
 	"hollymast/internal/rest"
 	"hollymast/internal/retry"
-	"sync"
-	"time"
 )
 
-// tries is one call under way.
+// maxUnreadResults is more than the attempts of a call, so that none has to wait for a call that is done.
+const maxUnreadResults = 8
+
+// callState is a call in progress. Its run starts the attempts, each in a goroutine that ends at the latest when the call's
+// context does or its connection is aborted.
 type callState struct {
-	client    *Client
-	call      *Call
-	retry     *retry.Call // under the client's lock
-	deadline  time.Time
-	results   chan attemptResult
-	open      map[*rest.Client]bool
-	connected int // tries that had a connection and whose end was not heard yet
+	client   *Client
+	call     *Call
+	deadline time.Time
+	retry    *retry.Call // guarded by the client's lock
+	results  chan attemptResult
+
+	// These belong to run.
+	inFlight    int
+	attemptDue  *time.Timer
+	hedgeDue    *time.Timer
+	lastFailure *Failed
+	lastRouter  int
+	otherRouter bool // the next attempt avoids lastRouter
+	mayHaveRun  bool // one of the attempts may have
+
 	mu        sync.Mutex
+	conns     map[*rest.Client]bool // of the exchanges in progress; nil: the call is done
+	connected int                   // attempts that had a connection and whose result was not handled yet
 }
 
-// ended is the end of one try.
+// attemptResult is how an attempt ended.
 type attemptResult struct {
-	outcome   retry.Outcome
-	sentAt    control.Micros
 	router    int
+	sentAt    control.Micros
+	outcome   retry.Outcome
 	answer    Answer
-	failed    *Failed
+	failed    *Failed // nil: it succeeded
 	advised   control.Micros
 	duration  time.Duration
 	connected bool // it had a connection
-	local     bool // how it ended says nothing of the router
+	local     bool // its failure says nothing of the router
+}
+
+// outcomeNames are what Hooks.Tried and Call.Tried are called with.
+var outcomeNames = [...]string{
+	retry.Succeeded: "finished",
+	retry.Invalid:   "refused",
+	retry.Rejected:  "pushed back",
+	retry.NotSent:   "unsent",
+	retry.Failed:    "killed",
+	retry.Lost:      "lost",
+}
+
+func (c *Client) newCallState(call *Call, deadline time.Time) *callState {
+	remaining := control.Micros(time.Until(deadline).Microseconds())
+	return &callState{
+		client:      c,
+		call:        call,
+		deadline:    deadline,
+		retry:       retry.NewCall(call.Workload.class(), c.now()+remaining),
+		results:     make(chan attemptResult, maxUnreadResults),
+		lastFailure: &Failed{Kind: Unreached, Why: "its time was up before a router could be asked"},
+		lastRouter:  -1,
+		conns:       map[*rest.Client]bool{},
+	}
 }
 
-// run makes tries until the call has its outcome.
-func (t *callState) run(ctx context.Context) (Answer, *Failed) {
-	c := t.client
-	t.open = map[*rest.Client]bool{}
-	defer t.abort() // a slower try beside the answer, or all where the caller gave up
+// run makes attempts until the call has its outcome.
+func (s *callState) run(ctx context.Context) (Answer, *Failed) {
+	const never = time.Hour // far beyond any call
+	defer s.abort()         // a slower hedged attempt, or all where the caller gave up
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	last := &Failed{Kind: Unreached, Why: "its time was up before a router could be asked"}
-	mayHaveRun := false
-	begin := time.NewTimer(0)
-	defer begin.Stop()
-	hedge := time.NewTimer(time.Hour)
-	defer hedge.Stop()
-	other, from, out := false, -1, 0
+	s.attemptDue, s.hedgeDue = time.NewTimer(0), time.NewTimer(never)
+	defer s.attemptDue.Stop()
+	defer s.hedgeDue.Stop()
 	for {
 		select {
-		case <-begin.C:
-			c.mu.Lock()
-			router := t.retry.PinnedRouter()
-			if router < 0 {
-				avoid := -1
-				if other {
-					avoid = from
-				}
-				router = c.routers.Pick(c.now(), avoid)
-			}
-			may := t.retry.BeginAttempt(c.now())
-			after := c.latencies.HedgeDelay()
-			number := t.retry.Attempts()
-			c.mu.Unlock()
-			if !may {
-				if out == 0 {
-					return Answer{}, t.outcome(last, mayHaveRun)
-				}
-				continue
-			}
-			out++
-			if after > 0 && number == 1 && t.call.Workload.Hedge {
-				hedge.Reset(time.Duration(after) * time.Microsecond)
-			}
-			go t.attempt(ctx, router, number)
-		case <-hedge.C:
-			c.mu.Lock()
-			may := t.retry.AllowHedge(c.now(), c.budget)
-			c.mu.Unlock()
-			if may {
-				other = true
-				begin.Reset(0)
-			}
-		case e := <-t.results:
-			out--
-			if e.connected {
-				t.mu.Lock()
-				t.connected--
-				t.mu.Unlock()
-			}
-			c.mu.Lock()
-			next := t.retry.HandleOutcome(c.now(), e.outcome, e.sentAt, e.router, e.advised, c.budget, c.random)
-			if e.outcome == retry.Succeeded {
-				c.latencies.Add(control.Micros(e.duration.Microseconds()))
-			}
-			c.mu.Unlock()
-			if e.outcome == retry.Succeeded {
-				return e.answer, nil
-			}
-			if e.outcome == retry.Failed || e.outcome == retry.Lost {
-				mayHaveRun = true
+		case <-s.attemptDue.C:
+			if !s.startAttempt(ctx) && s.inFlight == 0 {
+				return Answer{}, s.failure()
 			}
-			last, from, other = e.failed, e.router, next.OtherRouter
-			if e.outcome == retry.Invalid || next.Done && out == 0 {
-				return Answer{}, t.outcome(last, mayHaveRun)
-			}
-			if !next.Done {
-				begin.Reset(time.Until(c.at(next.RetryAt)))
+		case <-s.hedgeDue.C:
+			s.hedge()
+		case result := <-s.results:
+			decision := s.handleResult(result)
+			switch {
+			case result.outcome == retry.Succeeded:
+				return result.answer, nil
+			case result.outcome == retry.Invalid || decision.Done && s.inFlight == 0:
+				return Answer{}, s.failure()
+			case !decision.Done:
+				s.attemptDue.Reset(time.Until(s.client.at(decision.RetryAt)))
 			}
 		case <-ctx.Done():
-			return Answer{}, &Failed{Kind: t.kindOnTimeout(mayHaveRun), Why: "the caller's time was up", Err: context.Cause(ctx)}
+			return Answer{}, &Failed{Kind: s.kindOnTimeout(), Why: "the caller's time was up", Err: context.Cause(ctx)}
 		}
 	}
 }
 
-// outcome gives a failed call's outcome: what may have run is never called harmless, whatever the last try met.
-func (t *callState) outcome(last *Failed, mayHaveRun bool) *Failed {
-	if mayHaveRun && (last.Kind == Unreached || last.Kind == PushedBack && t.call.Workload.Effect == RunOnce) {
-		last.Kind = Unknown
+// startAttempt starts an attempt, if there may be one, and reports whether it did.
+func (s *callState) startAttempt(ctx context.Context) bool {
+	c := s.client
+	c.mu.Lock()
+	router := s.retry.PinnedRouter()
+	if router < 0 {
+		avoid := -1
+		if s.otherRouter {
+			avoid = s.lastRouter
+		}
+		router = c.routers.Pick(c.now(), avoid)
+	}
+	allowed := s.retry.BeginAttempt(c.now())
+	hedgeDelay := c.latencies.HedgeDelay()
+	number := s.retry.Attempts()
+	c.mu.Unlock()
+	if !allowed {
+		return false
 	}
-	return last
+	s.inFlight++
+	if hedgeDelay > 0 && number == 1 && s.call.Workload.Hedge {
+		s.hedgeDue.Reset(time.Duration(hedgeDelay) * time.Microsecond)
+	}
+	go s.attempt(ctx, router, number)
+	return true
 }
 
-// kindNow is the kind of a call that its caller gave up: a try that still waits for a connection has not run.
-func (t *callState) kindOnTimeout(mayHaveRun bool) Kind {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if mayHaveRun || t.connected > 0 {
+// hedge has a second attempt start at another router, if it may.
+func (s *callState) hedge() {
+	c := s.client
+	c.mu.Lock()
+	allowed := s.retry.AllowHedge(c.now(), c.budget)
+	c.mu.Unlock()
+	if allowed {
+		s.otherRouter = true
+		s.attemptDue.Reset(0)
+	}
+}
+
+// handleResult records how an attempt ended and returns what follows.
+func (s *callState) handleResult(result attemptResult) retry.Decision {
+	c := s.client
+	s.inFlight--
+	if result.connected {
+		s.mu.Lock()
+		s.connected--
+		s.mu.Unlock()
+	}
+	c.mu.Lock()
+	decision := s.retry.HandleOutcome(c.now(), result.outcome, result.sentAt, result.router, result.advised, c.budget, c.random)
+	if result.outcome == retry.Succeeded {
+		c.latencies.Add(control.Micros(result.duration.Microseconds()))
+	}
+	c.mu.Unlock()
+	if result.outcome == retry.Failed || result.outcome == retry.Lost {
+		s.mayHaveRun = true
+	}
+	s.lastFailure, s.lastRouter, s.otherRouter = result.failed, result.router, decision.OtherRouter
+	return decision
+}
+
+// failure returns a failed call's outcome. What may have run is never called harmless, whatever the last attempt met.
+func (s *callState) failure() *Failed {
+	failed := s.lastFailure
+	if s.mayHaveRun && (failed.Kind == Unreached || failed.Kind == PushedBack && s.call.Workload.Effect == RunOnce) {
+		failed.Kind = Unknown
+	}
+	return failed
+}
+
+// kindOnTimeout is the kind of a call that its caller gave up: an attempt that waits for a connection has not run.
+func (s *callState) kindOnTimeout() Kind {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.mayHaveRun || s.connected > 0 {
 		return Unknown
 	}
 	return Unreached
 }
 
-// abort breaks off what is still out, which has the router see its client go.
-func (t *callState) abort() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for x := range t.open {
-		x.Abort()
+// abort ends the exchanges in progress, which tells their routers that nobody waits for the answer.
+func (s *callState) abort() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn := range s.conns {
+		conn.Abort()
 	}
-	t.open = nil
+	s.conns = nil
 }
 
-// try makes one try.
-func (t *callState) attempt(ctx context.Context, router, number int) {
-	c, hooks := t.client, &t.client.options.Hooks
-	address := c.options.Routers[router]
+// attempt makes one attempt.
+func (s *callState) attempt(ctx context.Context, router, number int) {
+	hooks := &s.client.options.Hooks
 	begun := time.Now()
-	told := Try{Mark: t.call.Mark, Number: number, Router: address, Left: time.Until(t.deadline)}
+	try := Try{Mark: s.call.Mark, Number: number, Router: s.client.options.Routers[router], Left: time.Until(s.deadline)}
 	if hooks.Try != nil {
-		hooks.Try(told)
-	}
-	e := attemptResult{router: router, sentAt: c.now()}
-	x, err := c.acquire(ctx, router)
-	if err != nil {
-		e.outcome, e.failed = retry.NotSent, &Failed{Kind: Unreached, Why: "no connection to " + address + ": " + err.Error(), Err: err}
-		e.local = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
-	} else if !t.register(x) { // the call is over
-		c.release(router, x, true)
-		e.outcome, e.failed, e.local = retry.NotSent, &Failed{Kind: Unreached, Why: "the call is over"}, true
-	} else {
-		e.sentAt, e.connected = c.now(), true
-		told.Left = time.Until(t.deadline)
-		t.exchange(x, told, &e)
+		hooks.Try(try)
 	}
-	e.duration = time.Since(begun)
-	c.mu.Lock()
+	result := s.connectAndExchange(ctx, router, &try)
+	result.duration = time.Since(begun)
+	s.client.recordResult(result)
+	if s.call.Tried != nil {
+		s.call.Tried(try, outcomeNames[result.outcome])
+	}
+	if hooks.Tried != nil {
+		hooks.Tried(try, outcomeNames[result.outcome], result.duration)
+	}
+	s.results <- result
+}
+
+// connectAndExchange gets a connection and makes the attempt's exchange on it. It sets the time that try has left then.
+func (s *callState) connectAndExchange(ctx context.Context, router int, try *Try) attemptResult {
+	c := s.client
+	result := attemptResult{router: router, sentAt: c.now()}
+	conn, err := c.acquire(ctx, router)
 	switch {
-	case e.local:
-	case e.outcome == retry.NotSent || e.outcome == retry.Lost:
-		c.routers.RecordFailure(c.now(), router)
+	case err != nil:
+		result.outcome = retry.NotSent
+		result.failed = &Failed{Kind: Unreached, Why: "no connection to " + try.Router + ": " + err.Error(), Err: err}
+		result.local = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
+	case !s.register(conn):
+		c.release(router, conn, closeConn)
+		result.notSent("the call is over")
 	default:
-		c.routers.RecordSuccess(router)
+		result.sentAt, result.connected = c.now(), true
+		try.Left = time.Until(s.deadline)
+		s.exchange(conn, *try, &result)
 	}
-	c.mu.Unlock()
-	if t.call.Tried != nil {
-		t.call.Tried(told, outcomeNames[e.outcome])
+	return result
+}
+
+// notSent makes the result that of an attempt that this side did not send.
+func (r *attemptResult) notSent(why string) {
+	r.outcome, r.failed, r.local = retry.NotSent, &Failed{Kind: Unreached, Why: why}, true
+}
+
+// recordResult records what an attempt says of its router.
+func (c *Client) recordResult(result attemptResult) {
+	if result.local {
+		return
 	}
-	if hooks.Tried != nil {
-		hooks.Tried(told, outcomeNames[e.outcome], e.duration)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if result.outcome == retry.NotSent || result.outcome == retry.Lost {
+		c.routers.RecordFailure(c.now(), result.router)
+	} else {
+		c.routers.RecordSuccess(result.router)
 	}
-	t.results <- e // holds all tries of a call
 }
 
-var outcomeNames = [...]string{"finished", "refused", "pushed back", "unsent", "killed", "lost"}
-
-// hold takes a connection for a try; false: the call is over, or its patience ended while the try waited for the connection.
-func (t *callState) register(x *rest.Client) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.open == nil || !time.Now().Before(t.deadline) {
+// register records a connection as in use for an attempt. It returns false where nothing may be sent any more: the call is
+// done, or its time was up while the attempt waited for the connection.
+func (s *callState) register(conn *rest.Client) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conns == nil || !time.Now().Before(s.deadline) {
 		return false
 	}
-	t.open[x] = true
-	t.connected++
+	s.conns[conn] = true
+	s.connected++
 	return true
 }
 
-func (t *callState) unregister(x *rest.Client) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.open, x)
+func (s *callState) unregister(conn *rest.Client) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
 }
--- a/client/call.go
+++ b/client/call.go
@@ -2,56 +2,86 @@
 
 import (
 	"time"
+
+	"hollymast/control"
+	"hollymast/internal/retry"
 )
 
-// Effect tells what a second execution of a job would do.
+// Effect says what it would do to run a request a second time.
 type Effect uint8
 
-// The effects, as the routers' workloads have them.
+// The effects, as the routers' configuration names them.
 const (
-	RunOnce       Effect = iota // never again once it may have run
-	Restartable                 // does no harm
-	Fingerprinted               // is dropped by its group for a while, where its mark is known
+	RunOnce       Effect = iota // harm: a request that may have run is never repeated
+	Restartable                 // nothing: the request is idempotent
+	Fingerprinted               // nothing for a while: servers recognize the idempotency key and drop the repetition
 )
 
-// Workload is what is known of jobs of a kind; it should say what the routers are told.
+// Workload is what is known of a kind of requests. It should agree with the routers' configuration.
 type Workload struct {
-	Effect     Effect
-	Narrow     bool          // a fingerprinted job's group is a part of the servers (zone or cell): another router may not reach it
-	Window     time.Duration // for which a group knows a fingerprinted job
-	Remembered bool          // the routers have a memory: the one that was asked may be asked again for a run-once job
-	Hedge      bool          // two executions at once do no harm, and a slow try is worth a second
+	Effect Effect
+	// Narrow says that only a part of the servers (a zone or a cell) recognizes a Fingerprinted request: another router may
+	// not reach it.
+	Narrow bool
+	// Window is how long servers recognize a Fingerprinted request.
+	Window time.Duration
+	// Remembered says that routers recognize idempotency keys across their restarts: the one that was asked may be asked
+	// again for a RunOnce request.
+	Remembered bool
+	// Hedge says that two attempts at once do no harm, and that a slow attempt is worth a second one.
+	Hedge bool
+}
+
+// class returns the workload in the terms of package retry.
+func (w Workload) class() retry.Class {
+	class := retry.Class{
+		Effect:        effects[w.Effect],
+		Window:        control.Micros(w.Window.Microseconds()),
+		KeysPersisted: w.Remembered,
+		HedgeSafe:     w.Hedge,
+	}
+	if w.Narrow {
+		class.Scope = control.OneZone
+	}
+	return class
 }
 
-// Call is one inference.
+var effects = [...]control.Effect{
+	RunOnce:       control.NonIdempotent,
+	Restartable:   control.Idempotent,
+	Fingerprinted: control.IdempotentByKey,
+}
+
+// Call is one inference request.
 type Call struct {
 	Model    string
-	Version  string
+	Version  string // empty: the server's default
 	Body     []byte // the KServe v2 request: JSON, or JSON and binary tensors
 	Header   int    // length of the JSON part where binary tensors follow; 0: all is JSON
-	Mark     string // names the effect, the same for all its repeats; empty: one is made
+	Mark     string // the idempotency key, the same for all attempts; empty: one is made
 	Tenant   string
 	Workload Workload
-	Patience time.Duration // for all tries; 0: until the context's deadline
-	// BodyOf gives the body of each try, where the request's id or its parameter timeout must tell it; nil: Body. It is called
-	// once the try has a connection, just before it is sent.
+	Patience time.Duration // for all attempts together; 0: until the context's deadline
+	// BodyOf returns the body of each attempt, where the request's id or its parameter timeout depends on it; nil: Body. It is
+	// called once the attempt has a connection, just before it is sent.
 	BodyOf func(Try) []byte
-	Tried  func(t Try, ending string) // hears how each try ended, as Hooks.Tried does; nil: nobody
+	// Tried is called when an attempt has ended, as Hooks.Tried is; nil: nobody is.
+	Tried func(t Try, ending string)
 }
 
-// Try is one sending of a call.
+// Try is one attempt of a call.
 type Try struct {
-	Mark   string // of the call
+	Mark   string // the call's idempotency key
 	Number int    // from 1
 	Router string
-	Left   time.Duration // of the call's patience
+	Left   time.Duration // until the call's deadline
 }
 
-// Answer is a finished call.
+// Answer is the answer to a call.
 type Answer struct {
 	Status int
 	Body   []byte
-	Header int // length of its JSON part where binary tensors follow
-	Tries  int
-	Router string
+	Header int    // length of the JSON part where binary tensors follow
+	Tries  int    // attempts made
+	Router string // that answered
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,6 @@
-// Package client calls a hollymast router, or several, as a client should: one deadline a call, marks on every repeat, retries that
-// do no harm and stay a small part of calls, pauses as advised, reconnects that spread out. It keeps no global state.
+// Package client calls one hollymast router or several: with one deadline a call, an idempotency key on every attempt,
+// retries that do no harm and stay a small part of the calls, pauses as the routers advise, and reconnects that are spread
+// out. It keeps no global state.
 package client
 
 import (
@@ -17,89 +18,90 @@
 	"hollymast/internal/retry"
 )
 
-// Client keeps connections to routers. It may be used by many goroutines.
+// Client keeps connections to routers. It is safe for concurrent use.
 type Client struct {
 	options   Options
 	started   time.Time
 	keyPrefix string
 
 	mu         sync.Mutex
+	closed     bool
 	random     *rand.Rand
 	budget     *retry.Budget
 	routers    *retry.Routers
 	latencies  retry.Latencies
-	idle       [][]*rest.Client
-	open       []int
+	idle       [][]*rest.Client // by router
+	open       []int            // connections, idle or in use, by router
 	keysIssued uint64
-	closed     bool
 }
 
-// New gives a client that has no connection yet. Errors tell what is wrong with the options.
+// Defaults of Options.
+const (
+	defaultConnections = 64
+	defaultPatience    = 10 * time.Second
+)
+
+// New returns a client that has no connection yet. The error says what is wrong with the options.
 func New(o Options) (*Client, error) {
 	if len(o.Routers) == 0 {
 		return nil, errors.New("no router is told")
 	}
-	for _, a := range o.Routers {
-		if _, _, err := net.SplitHostPort(a); err != nil {
-			return nil, fmt.Errorf("router %q: %w", a, err)
+	for _, address := range o.Routers {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return nil, fmt.Errorf("router %q: %w", address, err)
 		}
 	}
 	if o.Connections == 0 {
-		o.Connections = 64
+		o.Connections = defaultConnections
 	}
 	if o.Patience == 0 {
-		o.Patience = 10 * time.Second
+		o.Patience = defaultPatience
 	}
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
-	c := &Client{options: o, started: time.Now(), random: rand.New(rand.NewPCG(o.Seed, 0)), budget: retry.NewBudget(), idle: make([][]*rest.Client, len(o.Routers)),
-		open: make([]int, len(o.Routers))}
-	c.keyPrefix = strconv.FormatUint(c.random.Uint64(), 36) + "-"
-	c.routers = retry.NewRouters(len(o.Routers), c.random.IntN(len(o.Routers)))
-	return c, nil
+	random := rand.New(rand.NewPCG(o.Seed, 0))
+	return &Client{
+		options:   o,
+		started:   time.Now(),
+		keyPrefix: strconv.FormatUint(random.Uint64(), 36) + "-",
+		random:    random,
+		budget:    retry.NewBudget(),
+		routers:   retry.NewRouters(len(o.Routers), random.IntN(len(o.Routers))),
+		idle:      make([][]*rest.Client, len(o.Routers)),
+		open:      make([]int, len(o.Routers)),
+	}, nil
 }
 
-// Close closes all connections that are idle, and the others when their exchanges end.
+// Close closes the connections that are idle now, and the others at the end of their exchanges.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	for i, idle := range c.idle {
-		for _, x := range idle {
-			x.Close()
+		for _, conn := range idle {
+			conn.Close()
 		}
 		c.idle[i] = nil
 	}
 }
 
+// now returns the time since the start in the form that package retry takes, where 0 means none.
 func (c *Client) now() control.Micros {
 	return control.Micros(time.Since(c.started).Microseconds()) + 1
 }
 
+// at is the opposite of now.
 func (c *Client) at(t control.Micros) time.Time {
 	return c.started.Add(time.Duration(t-1) * time.Microsecond)
 }
 
-// Infer makes a call. It has one outcome: an answer, or a *Failed.
+// Infer makes a call. It has one outcome: an answer, or an error that is a *Failed.
 func (c *Client) Infer(ctx context.Context, call Call) (Answer, error) {
 	begun := time.Now()
-	deadline, told := ctx.Deadline()
-	if patience := call.Patience; patience > 0 || !told {
-		if patience == 0 {
-			patience = c.options.Patience
-		}
-		if at := begun.Add(patience); !told || at.Before(deadline) {
-			deadline = at
-		}
-	}
+	deadline := c.deadline(ctx, call, begun)
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.options.Late))
 	defer cancel()
-	w := retry.Class{Effect: [...]control.Effect{control.NonIdempotent, control.Idempotent, control.IdempotentByKey}[call.Workload.Effect],
-		Window: control.Micros(call.Workload.Window.Microseconds()), KeysPersisted: call.Workload.Remembered, HedgeSafe: call.Workload.Hedge}
-	if call.Workload.Narrow {
-		w.Scope = control.OneZone
-	}
 	c.mu.Lock()
 	if call.Mark == "" {
 		c.keysIssued++
@@ -107,19 +109,39 @@
 	}
 	c.budget.Deposit()
 	c.mu.Unlock()
-	t := &callState{client: c, call: &call, retry: retry.NewCall(w, c.now()+control.Micros(time.Until(deadline).Microseconds())), deadline: deadline, results: make(chan attemptResult, 8)}
-	a, failed := t.run(ctx)
+	state := c.newCallState(&call, deadline)
+	answer, failed := state.run(ctx)
+	attempts := state.retry.Attempts()
 	kind := "finished"
 	if failed != nil {
 		kind = string(failed.Kind)
-		failed.Tries = t.retry.Attempts()
+		failed.Tries = attempts
 	}
 	if c.options.Hooks.Done != nil {
-		c.options.Hooks.Done(kind, t.retry.Attempts(), time.Since(begun))
+		c.options.Hooks.Done(kind, attempts, time.Since(begun))
 	}
 	if failed != nil {
 		return Answer{}, failed
 	}
-	a.Tries = t.retry.Attempts()
-	return a, nil
+	answer.Tries = attempts
+	return answer, nil
+}
+
+// deadline returns the earlier of the context's deadline and the end of the call's patience. The default patience is for
+// calls with neither.
+func (c *Client) deadline(ctx context.Context, call Call, begun time.Time) time.Time {
+	deadline, limited := ctx.Deadline()
+	patience := call.Patience
+	if patience <= 0 {
+		if limited {
+			return deadline
+		}
+		if patience == 0 {
+			patience = c.options.Patience
+		}
+	}
+	if at := begun.Add(patience); !limited || at.Before(deadline) {
+		deadline = at
+	}
+	return deadline
 }
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -2,69 +2,95 @@
 
 import (
 	"errors"
-	"hollymast/control"
-	"hollymast/internal/rest"
-	"hollymast/internal/retry"
-	"hollymast/kserve"
+	"net/http"
 	"strconv"
 	"time"
 
 	"github.com/tidwall/gjson"
+
+	"hollymast/control"
+	"hollymast/internal/rest"
+	"hollymast/internal/retry"
+	"hollymast/kserve"
 )
 
-// exchange sends a try on a connection and reads what came of it.
-func (t *callState) exchange(x *rest.Client, told Try, e *attemptResult) {
-	c := t.client
-	address, body := told.Router, t.call.Body
-	if t.call.BodyOf != nil {
-		body = t.call.BodyOf(told)
+const tenantHeader = "X-Tenant"
+
+// exchange sends an attempt on a connection and reads its answer into the result.
+func (s *callState) exchange(conn *rest.Client, try Try, result *attemptResult) {
+	c := s.client
+	body := s.call.Body
+	if s.call.BodyOf != nil {
+		body = s.call.BodyOf(try)
 	}
-	left := time.Until(t.deadline).Milliseconds()
-	if left <= 0 { // the body took what was left
-		t.unregister(x)
-		c.release(e.router, x, true) // the call's end may have broken it
-		e.outcome, e.failed, e.local = retry.NotSent, &Failed{Kind: Unreached, Why: "its time was up before it was sent"}, true
+	left := time.Until(s.deadline).Milliseconds()
+	if left <= 0 { // making the body took what was left
+		s.unregister(conn)
+		c.release(result.router, conn, closeConn) // the end of the call may have aborted it
+		result.notSent("its time was up before it was sent")
 		return
 	}
-	h := rest.Header{"Host": {address}, "Content-Type": {"application/json"}, kserve.RepeatMark: {told.Mark}, kserve.AttemptHeader: {strconv.Itoa(told.Number)},
-		kserve.TimeoutHeader: {strconv.FormatInt(left, 10)}}
-	if t.call.Header > 0 {
-		h["Content-Type"] = []string{"application/octet-stream"}
-		h[kserve.HeaderLength] = []string{strconv.Itoa(t.call.Header)}
-	}
-	if t.call.Tenant != "" {
-		h["X-Tenant"] = []string{t.call.Tenant}
-	}
-	q := &rest.Request{Method: "POST", Target: kserve.Call{Kind: kserve.Infer, Model: t.call.Model, Version: t.call.Version}.Target(), Header: h, Body: body}
-	p, progress, err := x.Do(q, t.deadline.Add(c.options.Late))
-	t.unregister(x)
+	response, progress, err := conn.Do(s.request(try, body, left), s.deadline.Add(c.options.Late))
+	s.unregister(conn)
 	if err != nil {
-		if e.local = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err); e.local { // given up, by the caller or for another try's answer
-			c.release(e.router, x, true)
+		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
+		result.local = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err)
+		if result.local {
+			c.release(result.router, conn, closeConn)
 		} else {
-			c.discard(e.router, x)
+			c.discard(result.router, conn)
 		}
-		e.outcome, e.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
+		result.outcome, result.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
 		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
-			e.outcome, e.failed.Kind = retry.NotSent, Unreached
+			result.outcome, result.failed.Kind = retry.NotSent, Unreached
 		}
 		return
 	}
-	c.release(e.router, x, p.Close)
-	e.answer = Answer{Status: p.Status, Body: p.Body, Router: address}
-	e.answer.Header, _ = strconv.Atoi(p.Header.Get(kserve.HeaderLength))
-	said := gjson.GetManyBytes(p.Body, "error", "answer", "retry_after_us")
-	e.failed = &Failed{Kind: Wrong, Status: p.Status, Why: said[0].Str}
+	if response.Close {
+		c.release(result.router, conn, closeConn)
+	} else {
+		c.release(result.router, conn, keepConn)
+	}
+	result.read(response, try.Router)
+}
+
+// request returns an attempt's request. Left is the time to the deadline, in milliseconds.
+func (s *callState) request(try Try, body []byte, left int64) *rest.Request {
+	header := rest.Header{
+		"Host":               {try.Router},
+		"Content-Type":       {"application/json"},
+		kserve.RepeatMark:    {try.Mark},
+		kserve.AttemptHeader: {strconv.Itoa(try.Number)},
+		kserve.TimeoutHeader: {strconv.FormatInt(left, 10)},
+	}
+	if s.call.Header > 0 {
+		header["Content-Type"] = []string{"application/octet-stream"}
+		header[kserve.HeaderLength] = []string{strconv.Itoa(s.call.Header)}
+	}
+	if s.call.Tenant != "" {
+		header[tenantHeader] = []string{s.call.Tenant}
+	}
+	target := kserve.Call{Kind: kserve.Infer, Model: s.call.Model, Version: s.call.Version}.Target()
+	return &rest.Request{Method: http.MethodPost, Target: target, Header: header, Body: body}
+}
+
+// read sets what a router's response says.
+func (r *attemptResult) read(response *rest.Response, router string) {
+	r.answer = Answer{Status: response.Status, Body: response.Body, Router: router}
+	r.answer.Header, _ = strconv.Atoi(response.Header.Get(kserve.HeaderLength))
+	fault := gjson.GetManyBytes(response.Body, "error", "answer", "retry_after_us")
+	text, answer, retryAfter := fault[0].Str, fault[1].Str, fault[2].Int()
+	r.failed = &Failed{Kind: Wrong, Status: response.Status, Why: text}
 	switch {
-	case p.Status < 300:
-		e.outcome, e.failed = retry.Succeeded, nil
-	case p.Status == 503 && said[1].Str == string(PushedBack):
-		e.outcome, e.failed.Kind = retry.Rejected, PushedBack
-		e.advised = control.Micros(said[2].Int())
-		e.failed.After = time.Duration(e.advised) * time.Microsecond
-	case p.Status >= 500: // killed, or somebody on the way who promises nothing
-		e.outcome, e.failed.Kind = retry.Failed, Killed
+	case response.Status < http.StatusMultipleChoices:
+		r.outcome, r.failed = retry.Succeeded, nil
+	case response.Status == http.StatusServiceUnavailable && answer == string(PushedBack):
+		r.outcome, r.failed.Kind = retry.Rejected, PushedBack
+		r.advised = control.Micros(retryAfter)
+		r.failed.After = time.Duration(r.advised) * time.Microsecond
+	case response.Status >= http.StatusInternalServerError: // the router's, or a proxy's that promises nothing
+		r.outcome, r.failed.Kind = retry.Failed, Killed
 	default:
-		e.outcome = retry.Invalid
+		r.outcome = retry.Invalid
 	}
 }
