--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,38 +19,38 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// heard is a request as a pretend router heard it.
-type heard struct {
-	at      time.Time
-	router  int
-	mark    string
-	attempt int
-	timeout time.Duration
+// receivedRequest is a request as a fake router received it.
+type receivedRequest struct {
+	receivedAt time.Time
+	router     int
+	key        string
+	attempt    int
+	timeout    time.Duration
 }
 
-// routers are pretend ones that answer as they are told.
-type routers struct {
-	addrs []string
-	mu    sync.Mutex
-	log   []heard
-	conns []map[net.Conn]bool
-	made  [][]time.Time // connections
-	wg    sync.WaitGroup
-	ls    []net.Listener
+// fakeRouters answer as a handler says, and record what they received.
+type fakeRouters struct {
+	addresses   []string
+	mu          sync.Mutex
+	requests    []receivedRequest
+	conns       []map[net.Conn]bool
+	connectedAt [][]time.Time // connections
+	wg          sync.WaitGroup
+	listeners   []net.Listener
 }
 
-// act is what a pretend router does with a request: nil breaks the connection.
-type act func(h heard) *rest.Response
+// handler returns a fake router's answer to a request; nil breaks the connection.
+type handler func(h receivedRequest) *rest.Response
 
-func begin(t testing.TB, n int, do act) *routers {
+func startRouters(t testing.TB, n int, handle handler) *fakeRouters {
 	t.Helper()
-	r := &routers{conns: make([]map[net.Conn]bool, n), made: make([][]time.Time, n)}
+	r := &fakeRouters{conns: make([]map[net.Conn]bool, n), connectedAt: make([][]time.Time, n)}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.addrs, r.ls, r.conns[i] = append(r.addrs, l.Addr().String()), append(r.ls, l), map[net.Conn]bool{}
+		r.addresses, r.listeners, r.conns[i] = append(r.addresses, l.Addr().String()), append(r.listeners, l), map[net.Conn]bool{}
 		r.wg.Go(func() {
 			for {
 				nc, err := l.Accept()
@@ -59,9 +59,9 @@
 				}
 				r.mu.Lock()
 				r.conns[i][nc] = true
-				r.made[i] = append(r.made[i], time.Now())
+				r.connectedAt[i] = append(r.connectedAt[i], time.Now())
 				r.mu.Unlock()
-				r.wg.Go(func() { r.serve(i, nc, do) })
+				r.wg.Go(func() { r.serve(i, nc, handle) })
 			}
 		})
 	}
@@ -69,16 +69,16 @@
 	return r
 }
 
-func (r *routers) stop() {
-	for i, l := range r.ls {
+func (r *fakeRouters) stop() {
+	for i, l := range r.listeners {
 		l.Close()
-		r.cut(i)
+		r.breakConnections(i)
 	}
 	r.wg.Wait()
 }
 
-// cut breaks all connections to a router.
-func (r *routers) cut(i int) {
+// breakConnections resets all connections to a router.
+func (r *fakeRouters) breakConnections(i int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for nc := range r.conns[i] {
@@ -88,7 +88,7 @@
 	r.conns[i] = map[net.Conn]bool{}
 }
 
-func (r *routers) serve(i int, nc net.Conn, do act) {
+func (r *fakeRouters) serve(i int, nc net.Conn, handle handler) {
 	defer nc.Close()
 	c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 	for {
@@ -96,29 +96,29 @@
 		if err != nil {
 			return
 		}
-		h := heard{at: time.Now(), router: i, mark: q.Header.Get(kserve.RepeatMark)}
+		h := receivedRequest{receivedAt: time.Now(), router: i, key: q.Header.Get(kserve.RepeatMark)}
 		h.attempt, _ = strconv.Atoi(q.Header.Get(kserve.AttemptHeader))
 		ms, _ := strconv.Atoi(q.Header.Get(kserve.TimeoutHeader))
 		h.timeout = time.Duration(ms) * time.Millisecond
 		r.mu.Lock()
-		r.log = append(r.log, h)
+		r.requests = append(r.requests, h)
 		r.mu.Unlock()
-		p := do(h)
+		p := handle(h)
 		if p == nil || c.WriteResponse(p) != nil {
 			return
 		}
 	}
 }
 
-func well(heard) *rest.Response {
+func succeed(receivedRequest) *rest.Response {
 	return &rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{"outputs":[]}`)}
 }
 
-func fault(status int, answer string, after time.Duration) *rest.Response {
+func failWith(status int, answer string, after time.Duration) *rest.Response {
 	return &rest.Response{Status: status, Header: rest.Header{}, Body: kserve.Fault{Error: answer, Answer: answer, RetryAfter: after.Microseconds()}.Body()}
 }
 
-func made(t *testing.T, o Options) *Client {
+func newClient(t *testing.T, o Options) *Client {
 	t.Helper()
 	o.Seed = 7
 	c, err := New(o)
@@ -131,32 +131,32 @@
 
 var body = []byte(`{"inputs":[]}`)
 
-// Ten thousand calls with faults by chance: each has one outcome, at its caller, within its time; every repeat is marked as one,
+// Ten thousand calls with random faults: each has one outcome, at its caller, within its time; every retry is marked as one and
 // carries the time that is left, and none does harm.
 func TestTenThousandCalls(t *testing.T) {
 	var mu sync.Mutex
-	chance := rand.New(rand.NewPCG(1, 2))
-	r := begin(t, 3, func(h heard) *rest.Response {
+	random := rand.New(rand.NewPCG(1, 2))
+	r := startRouters(t, 3, func(h receivedRequest) *rest.Response {
 		mu.Lock()
-		x := chance.IntN(100)
+		x := random.IntN(100)
 		mu.Unlock()
 		switch {
 		case x < 4:
 			return nil // broken after the whole request came
 		case x < 10:
-			return fault(503, "pushed back", time.Millisecond)
+			return failWith(503, "pushed back", time.Millisecond)
 		case x < 13:
-			return fault(504, "killed", 0)
+			return failWith(504, "killed", 0)
 		case x < 14:
-			return fault(400, "wrong", 0)
+			return failWith(400, "wrong", 0)
 		case x < 15:
 			time.Sleep(60 * time.Millisecond) // past some deadlines
 		}
-		return well(h)
+		return succeed(h)
 	})
 	var doneMu sync.Mutex
 	done := 0
-	c := made(t, Options{Routers: r.addrs, Hooks: Hooks{Done: func(string, int, time.Duration) { doneMu.Lock(); done++; doneMu.Unlock() }}})
+	c := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{Done: func(string, int, time.Duration) { doneMu.Lock(); done++; doneMu.Unlock() }}})
 	const calls, window = 10_000, 30 * time.Millisecond
 	workloads := []Workload{{Effect: RunOnce}, {Effect: Restartable}, {Effect: Fingerprinted, Window: window}, {Effect: Fingerprinted, Window: window, Narrow: true}}
 	kinds := map[string]int{}
@@ -194,73 +194,73 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := map[string][]heard{}
-	for _, h := range r.log {
-		seen[h.mark] = append(seen[h.mark], h)
+	seen := map[string][]receivedRequest{}
+	for _, h := range r.requests {
+		seen[h.key] = append(seen[h.key], h)
 	}
-	repeats := 0
+	retries := 0
 	for mark, hs := range seen {
 		i, err := strconv.Atoi(mark)
 		if err != nil {
 			t.Fatalf("mark %q", mark)
 		}
 		for n, h := range hs {
-			if h.at.After(asked[i].Add(patience[i] + time.Second)) {
-				t.Errorf("call %s is sent %s after its deadline", mark, h.at.Sub(asked[i].Add(patience[i])))
+			if h.receivedAt.After(asked[i].Add(patience[i] + time.Second)) {
+				t.Errorf("call %s is sent %s after its deadline", mark, h.receivedAt.Sub(asked[i].Add(patience[i])))
 			}
 			if h.timeout > patience[i] {
 				t.Errorf("call %s says that %s are left of %s", mark, h.timeout, patience[i])
 			}
 			if n > 0 && h.attempt < 2 {
-				t.Errorf("a repeat of call %s is not marked", mark)
+				t.Errorf("a retry of call %s is not marked", mark)
 			}
 		}
-		repeats += len(hs) - 1
+		retries += len(hs) - 1
 	}
-	if repeats == 0 || repeats > calls/5 {
-		t.Errorf("%d repeats", repeats)
+	if retries == 0 || retries > calls/5 {
+		t.Errorf("%d retries", retries)
 	}
 }
 
-// What may have run is sent again only as its workload allows.
-func TestRepeatsDoNoHarm(t *testing.T) {
+// What may have run is retried only as its workload allows.
+func TestRetriesDoNoHarm(t *testing.T) {
 	for name, c := range map[string]struct {
-		w    Workload
-		act  act
-		want int
-		kind Kind
+		w      Workload
+		handle handler
+		want   int
+		kind   Kind
 	}{
-		"run-once, broken":         {Workload{Effect: RunOnce}, func(heard) *rest.Response { return nil }, 1, Unknown},
-		"run-once, killed":         {Workload{Effect: RunOnce}, func(heard) *rest.Response { return fault(504, "killed", 0) }, 1, Killed},
-		"run-once, another's 502":  {Workload{Effect: RunOnce}, func(heard) *rest.Response { return fault(502, "", 0) }, 1, Killed},
-		"run-once, pushed back":    {Workload{Effect: RunOnce}, func(heard) *rest.Response { return fault(503, "pushed back", time.Millisecond) }, 4, PushedBack},
-		"restartable, broken":      {Workload{Effect: Restartable}, func(heard) *rest.Response { return nil }, 4, Unknown},
-		"fingerprinted, narrow":    {Workload{Effect: Fingerprinted, Window: time.Minute, Narrow: true}, func(heard) *rest.Response { return nil }, 1, Unknown},
-		"fingerprinted, too short": {Workload{Effect: Fingerprinted, Window: time.Millisecond}, func(heard) *rest.Response { return nil }, 1, Unknown},
-		"wrong":                    {Workload{Effect: Restartable}, func(heard) *rest.Response { return fault(400, "", 0) }, 1, Wrong},
+		"run-once, broken":         {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
+		"run-once, killed":         {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(504, "killed", 0) }, 1, Killed},
+		"run-once, another's 502":  {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(502, "", 0) }, 1, Killed},
+		"run-once, pushed back":    {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(503, "pushed back", time.Millisecond) }, 4, PushedBack},
+		"restartable, broken":      {Workload{Effect: Restartable}, func(receivedRequest) *rest.Response { return nil }, 4, Unknown},
+		"fingerprinted, narrow":    {Workload{Effect: Fingerprinted, Window: time.Minute, Narrow: true}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
+		"fingerprinted, too short": {Workload{Effect: Fingerprinted, Window: time.Millisecond}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
+		"wrong":                    {Workload{Effect: Restartable}, func(receivedRequest) *rest.Response { return failWith(400, "", 0) }, 1, Wrong},
 	} {
-		r := begin(t, 2, c.act)
-		lib := made(t, Options{Routers: r.addrs})
+		r := startRouters(t, 2, c.handle)
+		lib := newClient(t, Options{Routers: r.addresses})
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: c.w})
 		var failed *Failed
 		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Tries != c.want {
 			t.Errorf("%s: %v", name, err)
 		}
 		r.mu.Lock()
-		for n, h := range r.log {
-			if h.attempt != n+1 || h.mark != r.log[0].mark || h.mark == "" {
-				t.Errorf("%s: try %d is marked %q and counted %d", name, n, h.mark, h.attempt)
+		for n, h := range r.requests {
+			if h.attempt != n+1 || h.key != r.requests[0].key || h.key == "" {
+				t.Errorf("%s: attempt %d has key %q and count %d", name, n, h.key, h.attempt)
 			}
 		}
-		if len(r.log) != c.want {
-			t.Errorf("%s: sent %d times, want %d", name, len(r.log), c.want)
+		if len(r.requests) != c.want {
+			t.Errorf("%s: sent %d times, want %d", name, len(r.requests), c.want)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// A caller that gives up is heard at the router: its connection ends at once.
-func TestGivingUpReachesTheRouter(t *testing.T) {
+// The router learns at once of a caller that gives up: the connection ends.
+func TestCancellationReachesRouter(t *testing.T) {
 	came, left := make(chan bool), make(chan bool)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -281,7 +281,7 @@
 		stop()
 		close(left)
 	}()
-	lib := made(t, Options{Routers: []string{l.Addr().String()}})
+	lib := newClient(t, Options{Routers: []string{l.Addr().String()}})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
@@ -299,8 +299,8 @@
 
 // A router that loses all of its connections at once gets them back spread out, while others take the calls.
 func TestReconnectsSpread(t *testing.T) {
-	r := begin(t, 2, func(h heard) *rest.Response { time.Sleep(5 * time.Millisecond); return well(h) })
-	lib := made(t, Options{Routers: r.addrs, Connections: 40})
+	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { time.Sleep(5 * time.Millisecond); return succeed(h) })
+	lib := newClient(t, Options{Routers: r.addresses, Connections: 40})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
@@ -319,9 +319,9 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	r.mu.Lock()
-	before := len(r.made[0])
+	before := len(r.connectedAt[0])
 	r.mu.Unlock()
-	r.cut(0)
+	r.breakConnections(0)
 	lost := time.Now()
 	time.Sleep(2 * time.Second)
 	cancel()
@@ -329,7 +329,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first := 0
-	for _, at := range r.made[0][before:] {
+	for _, at := range r.connectedAt[0][before:] {
 		if at.Sub(lost) < 500*time.Millisecond {
 			first++
 		}
@@ -342,10 +342,10 @@
 	}
 }
 
-// A try that gets its connection only after the call's patience is not sent, though late answers would still be read.
+// An attempt that gets its connection only after the call's deadline is not sent, though late answers would still be read.
 func TestNothingIsSentLate(t *testing.T) {
-	r := begin(t, 1, func(h heard) *rest.Response { time.Sleep(150 * time.Millisecond); return well(h) })
-	lib := made(t, Options{Routers: r.addrs, Connections: 1, Late: time.Second})
+	r := startRouters(t, 1, func(h receivedRequest) *rest.Response { time.Sleep(150 * time.Millisecond); return succeed(h) })
+	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, Late: time.Second})
 	first := make(chan error)
 	go func() {
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body})
@@ -353,7 +353,7 @@
 	}()
 	for sent := 0; sent == 0; time.Sleep(time.Millisecond) {
 		r.mu.Lock()
-		sent = len(r.log)
+		sent = len(r.requests)
 		r.mu.Unlock()
 	}
 	_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Patience: 50 * time.Millisecond})
@@ -366,25 +366,25 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.log) != 1 {
-		t.Errorf("%d requests were sent", len(r.log))
+	if len(r.requests) != 1 {
+		t.Errorf("%d requests were sent", len(r.requests))
 	}
 }
 
-// A slow try of a job that may run twice at once is hedged at another router, and the first answer counts.
+// A slow attempt of a request that may run twice at once is hedged at another router, and the first answer counts.
 func TestHedge(t *testing.T) {
 	var mu sync.Mutex
 	slow := false
-	r := begin(t, 2, func(h heard) *rest.Response {
+	r := startRouters(t, 2, func(h receivedRequest) *rest.Response {
 		mu.Lock()
 		wait := slow && h.attempt == 1
 		mu.Unlock()
 		if wait {
 			time.Sleep(500 * time.Millisecond)
 		}
-		return well(h)
+		return succeed(h)
 	})
-	lib := made(t, Options{Routers: r.addrs})
+	lib := newClient(t, Options{Routers: r.addresses})
 	call := Call{Model: "m", Body: body, Workload: Workload{Effect: Restartable, Hedge: true}}
 	for range 30 {
 		if _, err := lib.Infer(context.Background(), call); err != nil {
@@ -401,11 +401,11 @@
 	}
 }
 
-// What the library adds to a call over a plain connection to the same pretend router.
+// BenchmarkInfer shows what the client adds to a call over a plain connection to the same fake router.
 func BenchmarkInfer(b *testing.B) {
-	r := begin(b, 1, well)
+	r := startRouters(b, 1, succeed)
 	b.Run("plain", func(b *testing.B) {
-		x, err := rest.Dial(context.Background(), r.addrs[0], &rest.DefaultLimits)
+		x, err := rest.Dial(context.Background(), r.addresses[0], &rest.DefaultLimits)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -417,7 +417,7 @@
 		}
 	})
 	b.Run("library", func(b *testing.B) {
-		c, err := New(Options{Routers: []string{r.addrs[0]}})
+		c, err := New(Options{Routers: []string{r.addresses[0]}})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -2,17 +2,20 @@
 
 import (
 	"context"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"hollymast/internal/platformtest"
 	"hollymast/internal/rest"
 )
 
-// Callers that give up say nothing of the routers that were asked: these are asked on in turn.
-func TestCallersThatGiveUpCountAgainstNoRouter(t *testing.T) {
+// A caller that gives up says nothing of the router that was asked: routers are asked in turn as before.
+func TestCancellationCountsAgainstNoRouter(t *testing.T) {
 	slow := make(chan bool)
-	r := begin(t, 2, func(h heard) *rest.Response { <-slow; return well(h) })
-	lib := made(t, Options{Routers: r.addrs})
+	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
+	var ended atomic.Int32
+	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{Tried: func(Try, string, time.Duration) { ended.Add(1) }}})
 	const each = 4 // one more than would eject a router
 	for range 2 * each {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -21,9 +24,9 @@
 		cancel()
 	}
 	close(slow)
-	time.Sleep(20 * time.Millisecond) // for the ends of their tries
+	platformtest.WaitFor(t, "the ends of all attempts", func() bool { return ended.Load() == 2*each })
 	r.mu.Lock()
-	r.log = nil
+	r.requests = nil
 	r.mu.Unlock()
 	asked := [2]int{}
 	for range 2 * each {
@@ -33,7 +36,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, h := range r.log {
+	for _, h := range r.requests {
 		asked[h.router]++
 	}
 	if asked != [2]int{each, each} {
@@ -41,10 +44,10 @@
 	}
 }
 
-// A body that takes its time to be made costs the try its time: the router is told what is left, and with nothing left nothing goes out.
+// Making a body costs the attempt its time: the router gets what is left, and with nothing left nothing is sent.
 func TestSlowBodies(t *testing.T) {
-	r := begin(t, 1, well)
-	lib := made(t, Options{Routers: r.addrs})
+	r := startRouters(t, 1, succeed)
+	lib := newClient(t, Options{Routers: r.addresses})
 	slow := func(Try) []byte { time.Sleep(200 * time.Millisecond); return body }
 	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyOf: slow, Patience: time.Second}); err != nil {
 		t.Error(err)
@@ -55,7 +58,7 @@
 	time.Sleep(50 * time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.log) != 1 || r.log[0].timeout > 800*time.Millisecond {
-		t.Errorf("heard %+v", r.log)
+	if len(r.requests) != 1 || r.requests[0].timeout > 800*time.Millisecond {
+		t.Errorf("received %+v", r.requests)
 	}
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -9,7 +9,7 @@
 	"hollymast/internal/invariant"
 )
 
-func start(t *testing.T) (*fakeserver.Server, *invariant.Log) {
+func startServer(t *testing.T) (*fakeserver.Server, *invariant.Log) {
 	log := invariant.NewLog()
 	s := fakeserver.New(fakeserver.Config{MaxReplicas: 4, Lanes: 1, Cores: 2, ExecutionTime: time.Millisecond, QueueLimit: 4, LoadTime: time.Millisecond, MaxLoads: 2, DedupWindow: time.Second},
 		fakeserver.NewStore(time.Millisecond, 2), log)
@@ -21,7 +21,7 @@
 }
 
 func TestProbeRunsNothingUnlessTold(t *testing.T) {
-	s, log := start(t)
+	s, log := startServer(t)
 	ask := Options{Timeout: time.Second}
 	if f := Server(context.Background(), s.Address(), ask); !f.Ready || f.Run != nil || f.Load == nil || len(f.Models) != 0 {
 		t.Errorf("got %+v", f)
@@ -40,7 +40,7 @@
 }
 
 func TestProbeConcludesAsARouterWould(t *testing.T) {
-	s, _ := start(t)
+	s, _ := startServer(t)
 	ask := Options{Timeout: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
 	for _, c := range []struct {
 		f      fakeserver.Faults
