--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -5,34 +5,38 @@
 	"strings"
 )
 
-// Text tells a finding in plain words.
+// Text describes a finding in plain words, a line for the server and one for each model.
 func (f Finding) Text() string {
 	var b strings.Builder
-	word := "not ready"
+	readiness := "not ready"
 	if f.Ready {
-		word = "ready"
+		readiness = "ready"
 	}
-	fmt.Fprintf(&b, "%s: %s after %d us", f.Address, word, f.Duration)
+	fmt.Fprintf(&b, "%s: %s after %d us", f.Address, readiness, f.Duration)
 	if f.Problem != "" {
 		fmt.Fprintf(&b, " (%s)", f.Problem)
 	}
-	if l := f.Load; l != nil {
-		fmt.Fprintf(&b, "; %.2f of its cores in use, %g loads, %.2f pinned", l.Utilization, l.PendingLoads, l.PinnedMemory)
+	if load := f.Load; load != nil {
+		fmt.Fprintf(&b, "; %.2f of its cores in use, %g loads, %.2f pinned", load.Utilization, load.PendingLoads, load.PinnedMemory)
 	}
 	b.WriteString("\n")
-	for _, s := range f.Models {
-		fmt.Fprintf(&b, "  %s %s\n", s.Name, strings.ToLower(s.State))
+	for _, model := range f.Models {
+		fmt.Fprintf(&b, "  %s %s\n", model.Name, strings.ToLower(model.State))
 	}
-	if r := f.Run; r != nil {
-		word := "it did not run"
-		if r.MayHaveRun {
-			word = "it may have run"
-		}
-		fmt.Fprintf(&b, "  job: status %d after %d us; a router takes this as %s: %s", r.Status, r.Duration, r.Result, word)
-		if r.Message != "" {
-			fmt.Fprintf(&b, " (%s)", r.Message)
-		}
-		b.WriteString("\n")
+	if f.Run != nil {
+		b.WriteString(f.Run.text())
 	}
 	return b.String()
 }
+
+func (r *Run) text() string {
+	effect := "it did not run"
+	if r.MayHaveRun {
+		effect = "it may have run"
+	}
+	message := ""
+	if r.Message != "" {
+		message = " (" + r.Message + ")"
+	}
+	return fmt.Sprintf("  job: status %d after %d us; a router takes this as %s: %s%s\n", r.Status, r.Duration, r.Result, effect, message)
+}
--- a/kserve/infer.go
+++ b/kserve/infer.go
@@ -13,13 +13,13 @@
 // Ask is what a router reads of an inference request.
 type Ask struct {
 	ID      string
-	Timeout int64 // microseconds; 0: none told
-	Repeat  bool  // the client asks again
-	Counts  bool  // it counts its tries, so that a first one is known to be one
-	Mark    string
+	Timeout int64  // microseconds; 0: not given
+	Repeat  bool   // a retry of the client's
+	Counts  bool   // the client counts its attempts, so that a first one is known to be one
+	Mark    string // the idempotency key; empty: none
 }
 
-// ReadInfer reads an inference request's parts that matter to a router. The error tells what is malformed; its text may
+// ReadInfer reads the parts of an inference request that matter to a router. The error says what is malformed; its text may
 // be shown to the client.
 func ReadInfer(h textproto.MIMEHeader, body []byte) (Ask, error) {
 	var a Ask
@@ -38,20 +38,8 @@
 	if !fields["inputs"].IsArray() {
 		return a, errors.New("inputs is no array")
 	}
-	if t := fields["parameters"].Get("timeout"); t.Exists() {
-		if t.Type != gjson.Number || t.Num < 1 || t.Num > 1e12 || t.Num != float64(int64(t.Num)) {
-			return a, errors.New("the parameter timeout is no count of microseconds")
-		}
-		a.Timeout = int64(t.Num)
-	}
-	if v := h.Get(TimeoutHeader); v != "" {
-		ms, err := strconv.ParseInt(v, 10, 32)
-		if err != nil || ms < 0 {
-			return a, fmt.Errorf("%s is no count of milliseconds", TimeoutHeader)
-		}
-		if ms > 0 && (a.Timeout == 0 || ms*1000 < a.Timeout) {
-			a.Timeout = ms * 1000
-		}
+	if a.Timeout, err = readTimeout(h, fields["parameters"]); err != nil {
+		return a, err
 	}
 	if v := h.Get(AttemptHeader); v != "" {
 		n, err := strconv.ParseInt(v, 10, 32)
@@ -64,8 +52,31 @@
 	return a, nil
 }
 
-// members walks once over the request's object. Tensors are stepped over: whether they are well formed is for the server
-// to say. A member that stands twice could mean different things to us and to it.
+// maxTimeout, in microseconds, is far beyond any deadline, and exact as a JSON number.
+const maxTimeout = 1e12
+
+// readTimeout returns the shorter one of the parameter timeout and Envoy's header, in microseconds; 0: neither is given.
+func readTimeout(h textproto.MIMEHeader, parameters gjson.Result) (timeout int64, err error) {
+	if t := parameters.Get("timeout"); t.Exists() {
+		if t.Type != gjson.Number || t.Num < 1 || t.Num > maxTimeout || t.Num != float64(int64(t.Num)) {
+			return 0, errors.New("the parameter timeout is no count of microseconds")
+		}
+		timeout = int64(t.Num)
+	}
+	if v := h.Get(TimeoutHeader); v != "" {
+		ms, err := strconv.ParseInt(v, 10, 32)
+		if err != nil || ms < 0 {
+			return timeout, fmt.Errorf("%s is no count of milliseconds", TimeoutHeader)
+		}
+		if ms > 0 && (timeout == 0 || ms*1000 < timeout) {
+			timeout = ms * 1000
+		}
+	}
+	return timeout, nil
+}
+
+// members walks once over the request's object. Tensors are skipped: whether they are well formed is for the server to say. A
+// member that occurs twice is rejected: the server might take the other one.
 func members(head []byte) (map[string]gjson.Result, error) {
 	trimmed := bytes.TrimSpace(head)
 	if len(trimmed) < 2 || trimmed[0] != '{' || trimmed[len(trimmed)-1] != '}' {
@@ -88,7 +99,7 @@
 	return fields, nil
 }
 
-// jsonPart cuts the JSON off the binary tensors behind it.
+// jsonPart returns the JSON without the binary tensors behind it.
 func jsonPart(h textproto.MIMEHeader, body []byte) ([]byte, error) {
 	v := h.Get(HeaderLength)
 	if v == "" {
@@ -101,8 +112,8 @@
 	return body[:n], nil
 }
 
-// Found reads what an answer tells of the copy that it met, the response parameter "found": warm, began, joined or
-// load_failed; empty where it tells nothing.
+// Found reads from an answer whether the model was loaded when the request came, the response parameter "found": warm, began,
+// joined or load_failed; empty: not given.
 func Found(h textproto.MIMEHeader, body []byte) string {
 	head, err := jsonPart(h, body)
 	if err != nil {
--- a/kserve/kserve.go
+++ b/kserve/kserve.go
@@ -2,28 +2,26 @@
 // repository and binary tensor extensions, as far as a router needs: tensors pass through as bytes.
 package kserve
 
-import (
-	"encoding/json"
-)
+import "encoding/json"
 
-// Header fields of the conventions, in canonical form.
+// Header fields, in canonical form.
 const (
-	HeaderLength  = "Inference-Header-Content-Length"
+	HeaderLength  = "Inference-Header-Content-Length" // of the JSON part before binary tensors, in bytes
 	TimeoutHeader = "X-Envoy-Expected-Rq-Timeout-Ms"
-	AttemptHeader = "X-Envoy-Attempt-Count"
+	AttemptHeader = "X-Envoy-Attempt-Count" // from 1
 	RepeatMark    = "Idempotency-Key"
-	LoadMetrics   = "Endpoint-Load-Metrics"
+	LoadMetrics   = "Endpoint-Load-Metrics" // ORCA's
 )
 
-// Fault is the protocol's error object, with the advice on when to return in microseconds where there is one.
+// Fault is the protocol's error object, with what hollymast's routers add to it.
 type Fault struct {
 	Error      string `json:"error"`
-	Answer     string `json:"answer,omitempty"` // pushed back or killed
-	Storm      string `json:"storm,omitempty"`  // the kind of storm, where one is the reason
-	RetryAfter int64  `json:"retry_after_us,omitempty"`
+	Answer     string `json:"answer,omitempty"`         // "pushed back" (rejected) or "killed" (failed)
+	Storm      string `json:"storm,omitempty"`          // the kind of overload, where one is the reason
+	RetryAfter int64  `json:"retry_after_us,omitempty"` // advice on when to retry, microseconds; 0: none
 }
 
-// Body gives the object's JSON.
+// Body returns the object's JSON.
 func (f Fault) Body() []byte {
 	b, _ := json.Marshal(f) // plain strings and numbers: can't fail
 	return b
@@ -38,7 +36,7 @@
 	Platform   string   `json:"platform,omitempty"`
 }
 
-// Standing is one line of the answer to RepositoryIndex.
+// Standing is one model in the answer to RepositoryIndex.
 type Standing struct {
 	Name    string `json:"name"`
 	Version string `json:"version,omitempty"`
@@ -46,7 +44,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// ReadIndex reads the answer to RepositoryIndex.
+// ReadIndex reads the answer to RepositoryIndex. The error is that of the JSON.
 func ReadIndex(body []byte) (list []Standing, err error) {
 	err = json.Unmarshal(body, &list)
 	return list, err
--- a/kserve/load.go
+++ b/kserve/load.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Copies reads how many copies an answer to a load order says stand; -1 where it tells nothing.
+// Copies reads from the answer to a load command how many replicas there are; -1: not given.
 func Copies(body []byte) int {
 	if n := gjson.GetBytes(body, "parameters.copies"); n.Type == gjson.Number && n.Num >= 0 && n.Num < 1<<16 {
 		return int(n.Num)
@@ -16,17 +16,17 @@
 	return -1
 }
 
-// LoadBody is the body of an order to hold copies.
+// LoadBody returns the body of a command to have a number of replicas.
 func LoadBody(copies int) []byte { return fmt.Appendf(nil, `{"parameters":{"copies":%d}}`, copies) }
 
-// Load is a server's load report as ORCA's JSON form carries it; a negative value was not told.
+// Load is a server's load report in ORCA's JSON form. A negative value was not given.
 type Load struct {
 	Util   float64 // cpu_utilization: share of its cores in use
-	Loads  float64 // named metric "loads": under way or waiting
-	Pinned float64 // named metric "pinned": share of its memory that can't be freed
+	Loads  float64 // named metric "loads": models loading or waiting to
+	Pinned float64 // named metric "pinned": share of its memory that can't be freed, 0 to 1
 }
 
-// ReadLoad reads a load report; ok is false where there is none that can be read.
+// ReadLoad reads a load report from the header of an answer; ok is false where there is none that is valid.
 func ReadLoad(h textproto.MIMEHeader) (l Load, ok bool) {
 	text := strings.TrimSpace(strings.TrimPrefix(h.Get(LoadMetrics), "JSON "))
 	if text == "" || !gjson.Valid(text) {
@@ -41,7 +41,7 @@
 	return Load{read("cpu_utilization"), read("named_metrics.loads"), read("named_metrics.pinned")}, true
 }
 
-// String gives the report as the header carries it.
+// String returns the report as the header carries it.
 func (l Load) String() string {
 	return fmt.Sprintf(`JSON {"cpu_utilization":%.3f,"named_metrics":{"loads":%g,"pinned":%.3f}}`, l.Util, l.Loads, l.Pinned)
 }
--- a/kserve/target.go
+++ b/kserve/target.go
@@ -2,14 +2,15 @@
 
 import (
 	"errors"
+	"net/http"
 	"net/url"
 	"strings"
 )
 
-// Kind is what a call asks for.
+// Kind is an operation of the protocol.
 type Kind uint8
 
-// The calls of the protocol and of the model repository extension.
+// The operations of the protocol and of the model repository extension.
 const (
 	ServerLive Kind = iota
 	ServerReady
@@ -22,85 +23,101 @@
 	RepositoryUnload
 )
 
-// Call is what the target of a request names. Version is empty where none is named.
+// Call is what the method and target of a request name.
 type Call struct {
 	Kind    Kind
-	Model   string
-	Version string
+	Model   string // empty: the operation has none
+	Version string // empty: none is named
 }
 
-// Errors of ReadTarget: the path is none of the protocol's, or the method does not fit it.
+// Errors of ReadTarget.
 var (
-	ErrNoSuchCall = errors.New("no such call")
-	ErrMethod     = errors.New("the method does not fit the call")
+	ErrNoSuchCall = errors.New("no such call")                     // the path is none of the protocol's
+	ErrMethod     = errors.New("the method does not fit the call") // but the path is one
 )
 
-const maxName = 256 // bytes of a model's name or version; file systems stop at about as many
+// maxName bounds a model's name or version, in bytes: file systems end at about as many.
+const maxName = 256
 
-// ReadTarget reads a request's method and target.
+// ReadTarget reads a request's method and target; a query is ignored. It returns ErrNoSuchCall, or ErrMethod with the call.
 func ReadTarget(method, target string) (Call, error) {
 	path, _, _ := strings.Cut(target, "?")
 	if path == "/v2" || path == "/v2/" {
-		return gets(method, Call{Kind: ServerMetadata})
+		return requireGet(method, Call{Kind: ServerMetadata})
 	}
 	rest, ok := strings.CutPrefix(path, "/v2/")
 	if !ok {
 		return Call{}, ErrNoSuchCall
 	}
-	parts := strings.Split(rest, "/")
-	for i, p := range parts {
-		name, err := url.PathUnescape(p)
-		if err != nil || name == "" || len(name) > maxName || strings.ContainsAny(name, "\r\n\x00") {
-			return Call{}, ErrNoSuchCall
-		}
-		parts[i] = name
+	parts, ok := splitPath(rest)
+	if !ok {
+		return Call{}, ErrNoSuchCall
 	}
 	switch {
 	case rest == "health/live":
-		return gets(method, Call{Kind: ServerLive})
+		return requireGet(method, Call{Kind: ServerLive})
 	case rest == "health/ready":
-		return gets(method, Call{Kind: ServerReady})
+		return requireGet(method, Call{Kind: ServerReady})
 	case rest == "repository/index":
-		return posts(method, Call{Kind: RepositoryIndex})
+		return requirePost(method, Call{Kind: RepositoryIndex})
 	case len(parts) == 4 && parts[0] == "repository" && parts[1] == "models" && parts[3] == "load":
-		return posts(method, Call{Kind: RepositoryLoad, Model: parts[2]})
+		return requirePost(method, Call{Kind: RepositoryLoad, Model: parts[2]})
 	case len(parts) == 4 && parts[0] == "repository" && parts[1] == "models" && parts[3] == "unload":
-		return posts(method, Call{Kind: RepositoryUnload, Model: parts[2]})
-	case parts[0] != "models" || len(parts) < 2:
-		return Call{}, ErrNoSuchCall
+		return requirePost(method, Call{Kind: RepositoryUnload, Model: parts[2]})
+	case len(parts) >= 2 && parts[0] == "models":
+		return readModelTarget(method, parts[1], parts[2:])
 	}
-	c, tail := Call{Kind: ModelMetadata, Model: parts[1]}, parts[2:]
+	return Call{}, ErrNoSuchCall
+}
+
+// splitPath unescapes the parts of a path. It rejects empty and overlong ones, and bytes that could break a header or a log
+// line on the way to a server.
+func splitPath(path string) (parts []string, ok bool) {
+	parts = strings.Split(path, "/")
+	for i, part := range parts {
+		name, err := url.PathUnescape(part)
+		if err != nil || name == "" || len(name) > maxName || strings.ContainsAny(name, "\r\n\x00") {
+			return nil, false
+		}
+		parts[i] = name
+	}
+	return parts, true
+}
+
+// readModelTarget reads what follows a model's name.
+func readModelTarget(method, model string, tail []string) (Call, error) {
+	c := Call{Kind: ModelMetadata, Model: model}
 	if len(tail) >= 2 && tail[0] == "versions" {
 		c.Version, tail = tail[1], tail[2:]
 	}
 	switch {
 	case len(tail) == 0:
-		return gets(method, c)
+		return requireGet(method, c)
 	case len(tail) == 1 && tail[0] == "ready":
 		c.Kind = ModelReady
-		return gets(method, c)
+		return requireGet(method, c)
 	case len(tail) == 1 && tail[0] == "infer":
 		c.Kind = Infer
-		return posts(method, c)
+		return requirePost(method, c)
 	}
 	return Call{}, ErrNoSuchCall
 }
 
-func gets(method string, c Call) (Call, error) {
-	if method != "GET" && method != "HEAD" {
+func requireGet(method string, c Call) (Call, error) {
+	if method != http.MethodGet && method != http.MethodHead {
 		return c, ErrMethod
 	}
 	return c, nil
 }
 
-func posts(method string, c Call) (Call, error) {
-	if method != "POST" {
+func requirePost(method string, c Call) (Call, error) {
+	if method != http.MethodPost {
 		return c, ErrMethod
 	}
 	return c, nil
 }
 
-// Target gives the path of a call; the opposite of ReadTarget.
+// Target returns the path of a call, the opposite of ReadTarget.
 func (c Call) Target() string {
 	model := "/v2/models/" + url.PathEscape(c.Model)
 	if c.Version != "" {
