--- a/cmd/hmcall/main.go
+++ b/cmd/hmcall/main.go
@@ -13,6 +13,7 @@
 	"hollymast/internal/program"
 )
 
+// cli holds the flags; their names come from the fields.
 type cli struct {
 	program.CommonFlags
 	Router      []string      `required:"" help:"Routers, HOST:PORT; calls go round among them."`
@@ -61,18 +62,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.Model != "" {
-		body := emptyRequest
-		if c.Body != "" {
-			if body, err = readInput(c.Body); err != nil {
-				return program.UsageError{Err: err}
-			}
-		}
-		r := c.infer(ctx, library, call{Model: c.Model, Request: body, Mark: c.Mark, Tenant: c.Tenant})
-		c.print(os.Stdout, r)
-		if r.Outcome != "finished" {
-			return errors.New(r.Outcome + ": " + r.Why)
-		}
-		return nil
+		return c.runOne(ctx, library)
 	}
 	return c.runFile(ctx, library)
 }
