--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -13,7 +13,7 @@
 	if len(server.transitions) >= m.bounds.FlapLimit && !server.Flapping {
 		server.Flapping = true
 		m.timed[server.Address] = true
-		m.logf("server %s comes and goes: it gets nothing until it is calm", server.Address)
+		m.logf("server %s is flapping: it drains until it is stable", server.Address)
 	}
 }
 
--- a/internal/membership/maintenance.go
+++ b/internal/membership/maintenance.go
@@ -29,7 +29,7 @@
 		wake.at(max(now, m.nextUpdateAt()))
 	}
 	if expired > 0 {
-		m.logf("%d servers stayed withdrawn: they are believed gone", expired)
+		m.logf("%d servers stayed withdrawn: they are removed", expired)
 	}
 	return control.Micros(wake)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -67,7 +67,7 @@
 // SourceUp records that the source can be reached.
 func (m *Model) SourceUp(now control.Micros) {
 	if m.sourceDownSince > 0 {
-		m.logf("the source of the list is back after %d us", now-m.sourceDownSince)
+		m.logf("the source of endpoints is back after %d us", now-m.sourceDownSince)
 		m.sourceDownSince = 0
 	}
 }
@@ -75,7 +75,7 @@
 // SourceDown records that the source can't be reached. The list stays as the source last had it until it is back.
 func (m *Model) SourceDown(now control.Micros) {
 	if m.sourceDownSince == 0 {
-		m.logf("the source of the list is down: the list stands as it was")
+		m.logf("the source of endpoints is down: the endpoint list stays as it is")
 		m.sourceDownSince = now
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -175,7 +175,7 @@
 	if ready, draining := states(m); ready+draining != 0 {
 		t.Errorf("%d ready in the end", ready)
 	}
-	if notes := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(notes, "kept") || !strings.Contains(notes, "believed gone") || len(m.TakeLogLines()) > 0 {
+	if notes := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(notes, "held") || !strings.Contains(notes, "stayed withdrawn: they are removed") || len(m.TakeLogLines()) > 0 {
 		t.Errorf("logged %q", notes)
 	}
 }
--- a/internal/membership/priority.go
+++ b/internal/membership/priority.go
@@ -44,7 +44,7 @@
 	case !p.initialized:
 		p.initialized, p.activeThrough = len(p.levels) > 0, required
 	case required > p.activeThrough:
-		m.logf("cluster %s: servers of priority %d are called in", name, required)
+		m.logf("cluster %s: servers of priority %d are activated", name, required)
 		p.activeThrough, p.excessSince = required, 0
 		m.markDirty(c)
 	case required == p.activeThrough:
@@ -112,7 +112,7 @@
 			p := &c.priorities
 			p.activeThrough, p.excessSince = p.required(), 0
 			delete(m.releasing, name)
-			m.logf("cluster %s: servers beyond priority %d are let go", name, p.activeThrough)
+			m.logf("cluster %s: servers beyond priority %d are released", name, p.activeThrough)
 			m.markDirty(c)
 		}
 	}
--- a/internal/membership/withdrawal.go
+++ b/internal/membership/withdrawal.go
@@ -34,7 +34,7 @@
 		m.removeAll(now, withdrawn)
 		return
 	}
-	m.logf("%d of %d servers are withdrawn at once: they are kept for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
+	m.logf("%d of %d servers are withdrawn at once: they are held for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
 	for _, server := range withdrawn {
 		server.Held, server.heldUntil = true, now+m.bounds.HoldTime
 	}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -164,7 +164,7 @@
 				d.Resources = append(d.Resources, &discovery.Resource{Name: "one", Version: "bad", Resource: r})
 			}
 			s.plane.SendRaw(d)
-			if !s.waitForLog("refused") {
+			if !s.waitForLog("rejected") {
 				t.Fatalf("case %d: not rejected", i)
 			}
 			var nacks []string
--- a/internal/xds/parse.go
+++ b/internal/xds/parse.go
@@ -54,7 +54,7 @@
 	case cluster.Cluster_EDS:
 		source := message.GetEdsClusterConfig().GetEdsConfig()
 		if _, ads := source.GetConfigSourceSpecifier().(*core.ConfigSource_Ads); source != nil && !ads {
-			c.logOnce("cluster %s: its endpoints are asked for on the same stream, whatever source it names", message.Name)
+			c.logOnce("cluster %s: its endpoints are subscribed to on the same stream, whatever source it names", message.Name)
 		}
 	case cluster.Cluster_STATIC:
 		inline, err := c.parseAssignment(message.GetLoadAssignment())
@@ -63,11 +63,11 @@
 		}
 		parsed.inline = &inline
 	default:
-		c.logOnce("cluster %s: of type %s, which is not followed", message.Name, message.GetType())
+		c.logOnce("cluster %s: of type %s, which is not supported", message.Name, message.GetType())
 		return parsed, false, nil
 	}
 	if message.GetLbPolicy() != cluster.Cluster_ROUND_ROBIN || message.GetLoadBalancingPolicy() != nil {
-		c.logOnce("cluster %s: its balancing policy is passed over; jobs go where copies are loaded", message.Name)
+		c.logOnce("cluster %s: its balancing policy is ignored; requests go where the model is loaded", message.Name)
 	}
 	return parsed, true, nil
 }
@@ -114,7 +114,7 @@
 	}
 	for _, drop := range message.GetPolicy().GetDropOverloads() {
 		if drop.GetDropPercentage().GetNumerator() > 0 {
-			c.logOnce("assignment %s: drop_overloads %q is passed over; jobs are pushed back where they can't be in time", parsed.name, drop.GetCategory())
+			c.logOnce("assignment %s: drop_overloads %q is ignored; requests that can't be in time are rejected", parsed.name, drop.GetCategory())
 		}
 	}
 	for _, locality := range message.GetEndpoints() {
--- a/internal/xds/response.go
+++ b/internal/xds/response.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	c.RejectedResponses++
-	c.logLines = append(c.logLines, "the control plane's update is refused: "+err.Error())
+	c.logLines = append(c.logLines, "the control plane's update is rejected: "+err.Error())
 	return nack(err)
 }
 
--- a/internal/xds/secrets.go
+++ b/internal/xds/secrets.go
@@ -84,7 +84,7 @@
 		ack.ErrorDetail = nack(err)
 		if s.lastRejection != err.Error() {
 			s.lastRejection = err.Error()
-			s.logLines = append(s.logLines, "secrets are refused: "+err.Error())
+			s.logLines = append(s.logLines, "secrets are rejected: "+err.Error())
 		}
 	} else {
 		s.version, s.lastRejection = r.VersionInfo, ""
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -71,7 +71,7 @@
 			urgentUntil = time.Now().Add(t.Grace)
 		}
 		wait := backoff.NextWithin(t.maxWait(urgentUntil))
-		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
+		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next attempt is in " + wait.Round(time.Millisecond).String())
 		t.wait(ctx, protocol, wait)
 	}
 	return nil
