--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -8,12 +8,12 @@
 
 // Without a further check of the client's connection, the first byte of an attempt comes well within the grace
 // after the client has disconnected.
-func TestClientAge(t *testing.T) {
+func TestClientCheckAge(t *testing.T) {
 	oldest := control.Micros(0) // age of a check that is still accepted
 	for !MustCheckClient(oldest) {
 		oldest++
 	}
 	if oldest == 0 || oldest > 50_000 {
-		t.Errorf("written without a look for up to %d us", oldest)
+		t.Errorf("written without a check for up to %d us", oldest)
 	}
 }
