--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -19,8 +19,8 @@
 	services atomic.Pointer[map[string]string]
 }
 
-// Take takes the counts since the last call from the event loop. After the last step there are none.
-func (r *loadReporter) Take(now control.Micros) (report loadreport.Report) {
+// Flush returns the counts since the last call from the event loop. After the last step there are none.
+func (r *loadReporter) Flush(now control.Micros) (report loadreport.Report) {
 	taken := make(chan loadreport.Report, 1)
 	r.gateway.afterStep(func(control.Micros) { taken <- r.gateway.loadTally.Flush(now) })
 	select {
@@ -30,16 +30,16 @@
 	return report
 }
 
-// Places returns the servers' places in the control plane's list, by address.
-func (r *loadReporter) Places() map[string]loadreport.Locality {
+// Localities returns the servers' places in the control plane's list, by address.
+func (r *loadReporter) Localities() map[string]loadreport.Locality {
 	if places := r.places.Load(); places != nil {
 		return *places
 	}
 	return nil
 }
 
-// Services returns the service names of clusters.
-func (r *loadReporter) Services() map[string]string {
+// ServiceNames returns the service names of clusters.
+func (r *loadReporter) ServiceNames() map[string]string {
 	if services := r.services.Load(); services != nil {
 		return *services
 	}
--- a/internal/xds/loadreporter.go
+++ b/internal/xds/loadreporter.go
@@ -21,9 +21,9 @@
 
 // LoadSource is where reports come from.
 type LoadSource interface {
-	Take(now control.Micros) loadreport.Report // what was counted since the last one
-	Places() map[string]loadreport.Locality    // of the servers that a control plane lists, by address
-	Services() map[string]string               // the name under which a cluster's endpoints are subscribed to, by cluster
+	Flush(now control.Micros) loadreport.Report // what was counted since the last one
+	Localities() map[string]loadreport.Locality // of the servers that a control plane lists, by address
+	ServiceNames() map[string]string            // the name under which a cluster's endpoints are subscribed to, by cluster
 }
 
 // LoadReporter is the client's side of load reporting (LRS): the control plane chooses clusters and an interval. It implements
@@ -80,7 +80,7 @@
 	if due := r.scheduler.NextAt(); due == 0 || now < due {
 		return nil
 	}
-	report := r.scheduler.NextReport(now, r.source.Take(now))
+	report := r.scheduler.NextReport(now, r.source.Flush(now))
 	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusterStats(report)}}
 }
 
@@ -93,7 +93,7 @@
 // clusterStats returns a report in the protocol's form: by cluster, then by priority and locality. Servers of clusters that
 // are not asked for are left out, and so are those that no cluster names any more.
 func (r *LoadReporter) clusterStats(report loadreport.Report) []*endpoint.ClusterStats {
-	request, localities, services := r.scheduler.Request(), r.source.Places(), r.source.Services()
+	request, localities, services := r.scheduler.Request(), r.source.Localities(), r.source.ServiceNames()
 	byCluster := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
 	for _, stats := range report.Endpoints {
 		at, listed := localities[stats.Address]
