--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -13,6 +13,7 @@
 	"hollymast/internal/inifile"
 	"hollymast/internal/persistence"
 	"hollymast/internal/record"
+	"hollymast/internal/xds"
 )
 
 // Config is a gateway's configuration. ParseConfig reads it from an INI file; docs/running.md describes the keys.
@@ -25,12 +26,12 @@
 	NameKey     string // keys the functions' ids; empty: they are plain hashes of the names
 
 	// The source of endpoints: one of the three.
-	EndpointFile string // in this router's own form
-	EnvoyFile    string // in Envoy's bootstrap form
-	ControlPlane string // address of an xDS control plane
-	DeltaXDS     bool   // the control plane is asked for incremental updates
-	LoadReports  bool   // are streamed to the control plane when it asks for them
-	ServeView    string // address that this router's view is served at, in xDS; empty: none
+	EndpointFile string      // in this router's own form
+	EnvoyFile    string      // in Envoy's bootstrap form
+	ControlPlane string      // address of an xDS control plane
+	XDSVariant   xds.Variant // of the control plane's discovery service
+	LoadReports  bool        // are streamed to the control plane when it asks for them
+	ServeView    string      // address that this router's view is served at, in xDS; empty: none
 
 	TLS map[string]*certstore.Config // by kind of connection; plain text where there is none
 
@@ -155,7 +156,7 @@
 			s.Errorf("serve_view", "%s is not on loopback; serve_view_beyond = yes allows it", host)
 		}
 	}
-	c.DeltaXDS = s.OneOf("xds_variant", "sotw", "sotw", "delta") == 1
+	c.XDSVariant = []xds.Variant{xds.StateOfTheWorld, xds.Incremental}[s.OneOf("xds_variant", "sotw", "sotw", "delta")]
 	if c.LoadReports = s.Bool("load_reports", false); c.LoadReports && c.ControlPlane == "" {
 		s.Errorf("load_reports", "no control plane (xds) is told")
 	}
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -15,9 +15,9 @@
 // followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before its first list.
 func (g *Gateway) followControlPlane(ctx context.Context) {
 	members := membership.New(membership.DefaultBounds)
-	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.DeltaXDS, xds.DefaultBounds)
+	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.XDSVariant, xds.DefaultBounds)
 	transport := xds.Transport{
-		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Delta: g.config.DeltaXDS,
+		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Variant: g.config.XDSVariant,
 		Seed: uint64(g.epoch), Now: g.now, Refresh: g.sourceReads, Grace: g.config.GracePeriod,
 		OnComplete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
 		OnUpdate: func(now control.Micros) {
--- a/internal/gateway/endpointfile.go
+++ b/internal/gateway/endpointfile.go
@@ -130,7 +130,7 @@
 func newEnvoyEndpoints(g *Gateway) *envoyEndpoints {
 	members := membership.New(membership.DefaultBounds)
 	return &envoyEndpoints{
-		gateway: g, members: members, client: xds.NewClient(members, "", g.config.Zone, false, xds.DefaultBounds),
+		gateway: g, members: members, client: xds.NewClient(members, "", g.config.Zone, xds.StateOfTheWorld, xds.DefaultBounds),
 	}
 }
 
--- a/internal/xds/bootstrap_test.go
+++ b/internal/xds/bootstrap_test.go
@@ -11,7 +11,7 @@
 
 func TestLoadBootstrap(t *testing.T) {
 	m := membership.New(membership.DefaultBounds)
-	f := NewClient(m, "", "", false, DefaultBounds)
+	f := NewClient(m, "", "", StateOfTheWorld, DefaultBounds)
 	text := `
 node: {id: x, cluster: home}
 static_resources:
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -32,7 +32,7 @@
 	members *membership.Model
 	bounds  Bounds
 	node    *core.Node
-	delta   bool
+	variant Variant
 
 	serviceNames  map[string]string     // the name under which each cluster's endpoints are subscribed to
 	inlined       map[string]bool       // clusters that carry their endpoints
@@ -56,14 +56,14 @@
 	versions map[string]string // incremental: of each resource
 }
 
-// NewClient returns a client that keeps members up to date. ID and zone introduce this router to the control plane; delta
-// chooses the incremental variant, and has to be the Transport's.
-func NewClient(members *membership.Model, id, zone string, delta bool, bounds Bounds) *Client {
+// NewClient returns a client that keeps members up to date. ID and zone introduce this router to the control plane. The variant
+// has to be the Transport's.
+func NewClient(members *membership.Model, id, zone string, variant Variant, bounds Bounds) *Client {
 	return &Client{
 		members:         members,
 		bounds:          bounds,
 		node:            newNode(id, zone),
-		delta:           delta,
+		variant:         variant,
 		serviceNames:    map[string]string{},
 		inlined:         map[string]bool{},
 		awaitedClusters: map[string]bool{},
@@ -91,7 +91,7 @@
 
 func (c *Client) initialRequest(url string) proto.Message {
 	state := c.resourceTypes[url]
-	if c.delta {
+	if c.variant == Incremental {
 		return &discovery.DeltaDiscoveryRequest{Node: c.node, TypeUrl: url, ResourceNamesSubscribe: state.names, InitialResourceVersions: state.versions}
 	}
 	return &discovery.DiscoveryRequest{Node: c.node, TypeUrl: url, ResourceNames: state.names, VersionInfo: state.version}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -33,9 +33,11 @@
 
 func now() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
+var variants = map[string]Variant{"state of the world": StateOfTheWorld, "delta": Incremental}
+
 // forBothVariants runs a test with each variant of the protocol.
 func forBothVariants(t *testing.T, f func(t *testing.T, s *fixture)) {
-	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
+	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
 			plane, err := fakeserver.NewControlPlane()
 			if err != nil {
@@ -43,11 +45,11 @@
 			}
 			s := &fixture{t: t, plane: plane}
 			m := membership.New(membership.DefaultBounds)
-			fo := NewClient(m, "router-0", "a", delta, DefaultBounds)
+			fo := NewClient(m, "router-0", "a", variant, DefaultBounds)
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go func() {
-				done <- Transport{Address: plane.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) {
+				done <- Transport{Address: plane.Address(), Variant: variant, Now: now, OnUpdate: func(control.Micros) {
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					s.list = map[string]control.ServerState{}
@@ -290,7 +292,7 @@
 }
 
 func TestUnsupportedFeaturesAreLogged(t *testing.T) {
-	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", StateOfTheWorld, DefaultBounds)
 	f.Connected(1)
 	f.HandleResponse(2, &discovery.DiscoveryResponse{TypeUrl: ClusterType, VersionInfo: "1", Nonce: "1", Resources: []*anypb.Any{
 		fakeserver.PackAny(&cluster.Cluster{Name: "dns", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_STRICT_DNS}}),
@@ -305,7 +307,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, Bounds{Clusters: 1, Endpoints: 2})
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", StateOfTheWorld, Bounds{Clusters: 1, Endpoints: 2})
 	f.Connected(1)
 	many := []*anypb.Any{fakeserver.PackAny(&cluster.Cluster{Name: "a", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}}),
 		fakeserver.PackAny(&cluster.Cluster{Name: "b", ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS}})}
@@ -319,7 +321,7 @@
 
 // A NACK repeats the last accepted version and the refused nonce; an ACK has the new ones; a new stream begins with what is known.
 func TestVersionsAndNonces(t *testing.T) {
-	f := NewClient(membership.New(membership.DefaultBounds), "r", "", false, DefaultBounds)
+	f := NewClient(membership.New(membership.DefaultBounds), "r", "", StateOfTheWorld, DefaultBounds)
 	first := f.Connected(1)[0].(*discovery.DiscoveryRequest)
 	if first.VersionInfo != "" || first.ResponseNonce != "" || first.Node.GetId() != "r" || len(first.ResourceNames) > 0 {
 		t.Errorf("first: %+v", first)
@@ -339,7 +341,7 @@
 	if c, e := again[0].(*discovery.DiscoveryRequest), again[1].(*discovery.DiscoveryRequest); c.VersionInfo != "7" || c.ResponseNonce != "" || !slices.Equal(e.ResourceNames, []string{"a"}) {
 		t.Errorf("again: %+v, %+v", c, e)
 	}
-	d := NewClient(membership.New(membership.DefaultBounds), "r", "", true, DefaultBounds)
+	d := NewClient(membership.New(membership.DefaultBounds), "r", "", Incremental, DefaultBounds)
 	d.Connected(1)
 	d.HandleResponse(2, &discovery.DeltaDiscoveryResponse{TypeUrl: ClusterType, Nonce: "n1", Resources: []*discovery.Resource{{Name: "a", Version: "3", Resource: one}}})
 	d.Disconnected(3)
--- a/internal/xds/clusters.go
+++ b/internal/xds/clusters.go
@@ -65,7 +65,7 @@
 	}
 	old := state.names
 	state.names = names
-	if !c.delta {
+	if c.variant == StateOfTheWorld {
 		return []proto.Message{&discovery.DiscoveryRequest{Node: c.node, TypeUrl: EndpointType, ResourceNames: names, VersionInfo: state.version, ResponseNonce: state.nonce}}
 	}
 	r := &discovery.DeltaDiscoveryRequest{Node: c.node, TypeUrl: EndpointType}
--- a/internal/xds/loadreporter.go
+++ b/internal/xds/loadreporter.go
@@ -110,7 +110,12 @@
 	for _, name := range slices.Sorted(maps.Keys(byCluster)) {
 		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: interval}
 		for _, at := range slices.SortedFunc(maps.Keys(byCluster[name]), compareLocalities) {
-			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, localityStats(at, byCluster[name][at], request.PerEndpoint))
+			servers := byCluster[name][at]
+			stats := localityStats(at, servers)
+			if request.PerEndpoint {
+				stats.UpstreamEndpointStats = endpointStats(servers)
+			}
+			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, stats)
 		}
 		out = append(out, c)
 	}
--- a/internal/xds/loadstats.go
+++ b/internal/xds/loadstats.go
@@ -17,8 +17,8 @@
 	pinnedMetric      = "named_metrics.pinned"
 )
 
-// localityStats sums the servers of a locality. With perEndpoint it lists each of them too.
-func localityStats(at loadreport.Locality, servers []loadreport.EndpointStats, perEndpoint bool) *endpoint.UpstreamLocalityStats {
+// localityStats sums the servers of a locality.
+func localityStats(at loadreport.Locality, servers []loadreport.EndpointStats) *endpoint.UpstreamLocalityStats {
 	sum := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
 	var metrics loadreport.LoadMetrics
 	for _, server := range servers {
@@ -30,11 +30,19 @@
 		metrics.Utilization += server.Utilization
 		metrics.PendingLoads += server.PendingLoads
 		metrics.PinnedMemory += server.PinnedMemory
+	}
+	sum.LoadMetricStats = loadMetrics(metrics)
+	return sum
+}
+
+// endpointStats lists servers one by one. Those whose port is no number have no place in the protocol.
+func endpointStats(servers []loadreport.EndpointStats) (stats []*endpoint.UpstreamEndpointStats) {
+	for _, server := range servers {
 		address := socketAddress(server.Address)
-		if !perEndpoint || address == nil {
+		if address == nil {
 			continue
 		}
-		sum.UpstreamEndpointStats = append(sum.UpstreamEndpointStats, &endpoint.UpstreamEndpointStats{
+		stats = append(stats, &endpoint.UpstreamEndpointStats{
 			Address:                 address,
 			TotalIssuedRequests:     server.Issued,
 			TotalSuccessfulRequests: server.Succeeded,
@@ -43,8 +51,7 @@
 			LoadMetricStats:         loadMetrics(server.LoadMetrics),
 		})
 	}
-	sum.LoadMetricStats = loadMetrics(metrics)
-	return sum
+	return stats
 }
 
 func loadMetrics(metrics loadreport.LoadMetrics) []*endpoint.EndpointLoadMetricStats {
--- a/internal/xds/protocol.go
+++ b/internal/xds/protocol.go
@@ -27,6 +27,15 @@
 	TimedRequestsSent() // all of them were handed to the stream
 }
 
+// Variant is a variant of the discovery protocol.
+type Variant uint8
+
+// The variants.
+const (
+	StateOfTheWorld Variant = iota
+	Incremental             // delta
+)
+
 // clientName is the cluster and user agent under which every router introduces itself.
 const clientName = "hollymast"
 
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -61,7 +61,7 @@
 	case t.Service == SecretDiscovery:
 		s, err := secrets.NewSecretDiscoveryServiceClient(conn).StreamSecrets(ctx)
 		return fullStream{s}, err
-	case t.Delta:
+	case t.Variant == Incremental:
 		s, err := discovery.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
 		return deltaStream{s}, err
 	default:
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -18,8 +18,8 @@
 	Address     string
 	Credentials credentials.TransportCredentials // nil: plain text
 	Service     Service
-	Delta       bool   // the incremental variant of aggregated discovery
-	Seed        uint64 // of the random part of the backoff
+	Variant     Variant // of aggregated discovery
+	Seed        uint64  // of the random part of the backoff
 	Now         func() control.Micros
 	// Refresh asks for all that has arrived to be handled; the channel received is closed once it is. It may be nil.
 	Refresh <-chan chan struct{}
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -55,7 +55,7 @@
 
 // A refresh handles what has arrived though nobody has read it from the connection yet.
 func TestRefreshHandlesUnreadChange(t *testing.T) {
-	for name, delta := range map[string]bool{"state of the world": false, "delta": true} {
+	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
 			plane, err := fakeserver.NewControlPlane()
 			if err != nil {
@@ -78,7 +78,7 @@
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
 			var complete atomic.Int64
-			transport := Transport{Address: plane.Address(), Delta: delta, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
+			transport := Transport{Address: plane.Address(), Variant: variant, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
 				OnComplete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
@@ -103,7 +103,7 @@
 			}
 			ctx, stop := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- transport.Run(ctx, NewClient(m, "router-0", "a", delta, DefaultBounds)) }()
+			go func() { done <- transport.Run(ctx, NewClient(m, "router-0", "a", variant, DefaultBounds)) }()
 			defer func() {
 				stop()
 				if err := <-done; err != nil {
@@ -173,7 +173,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- source.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", false, DefaultBounds))
+		done <- source.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", StateOfTheWorld, DefaultBounds))
 	}()
 	defer func() {
 		stop()
--- a/internal/xds/view_test.go
+++ b/internal/xds/view_test.go
@@ -11,7 +11,7 @@
 
 // What one router sees another reads alike, by either variant.
 func TestClientFollowsView(t *testing.T) {
-	for _, delta := range []bool{false, true} {
+	for name, variant := range variants {
 		v, err := NewView("127.0.0.1:0", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -26,7 +26,7 @@
 		facts := make(chan []membership.Server, 100)
 		done := make(chan error, 1)
 		go func() {
-			done <- Transport{Address: v.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", delta, DefaultBounds))
+			done <- Transport{Address: v.Address(), Variant: variant, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", variant, DefaultBounds))
 		}()
 		await := func(want []membership.Endpoint) {
 			t.Helper()
@@ -41,7 +41,7 @@
 						}
 					}
 				case <-end:
-					t.Fatalf("delta %t: got %+v, want %+v", delta, got, want)
+					t.Fatalf("%s: got %+v, want %+v", name, got, want)
 				}
 			}
 		}
