--- a/client/attempts.go
+++ b/client/attempts.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 	"hollymast/internal/retry"
 )
@@ -226,7 +227,7 @@
 	case err != nil:
 		result.outcome = retry.NotSent
 		result.failed = &Failed{Kind: Unreached, Why: "no connection to " + try.Router + ": " + err.Error(), Err: err}
-		result.local = rest.LocalFailure(err) || errors.Is(err, context.Canceled)
+		result.local = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
 		result.notSent("the call is over")
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -9,6 +9,7 @@
 	"github.com/tidwall/gjson"
 
 	"hollymast/control"
+	"hollymast/internal/netfail"
 	"hollymast/internal/rest"
 	"hollymast/internal/retry"
 	"hollymast/kserve"
@@ -34,7 +35,7 @@
 	s.unregister(conn)
 	if err != nil {
 		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
-		result.local = errors.Is(err, rest.ErrAborted) || rest.LocalFailure(err)
+		result.local = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err)
 		if result.local {
 			c.release(result.router, conn, closeConn)
 		} else {
