--- /dev/null
+++ b/internal/fakeserver/deltastream.go
@@ -0,0 +1,77 @@
+package fakeserver
+
+import (
+	"maps"
+	"slices"
+
+	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+)
+
+// deltaStream is the incremental variant.
+type deltaStream struct {
+	plane         *ControlPlane
+	server        discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
+	subscriptions subscriptions
+}
+
+func (s *deltaStream) handle(r *discovery.DeltaDiscoveryRequest) {
+	sub := s.subscriptions[r.TypeUrl]
+	if sub == nil {
+		return
+	}
+	s.plane.countAnswer(r.ResponseNonce, r.ErrorDetail)
+	if !sub.active {
+		for name := range r.InitialResourceVersions {
+			sub.sent[name] = "known" // from an earlier stream, its bytes are not: it is sent again or removed
+		}
+	}
+	sub.active = true
+	for _, name := range r.ResourceNamesSubscribe {
+		sub.names[name] = true
+	}
+	for _, name := range r.ResourceNamesUnsubscribe {
+		delete(sub.names, name)
+		delete(sub.sent, name)
+	}
+}
+
+func (s *deltaStream) pending() (messages []proto.Message) {
+	for _, url := range resourceTypes {
+		sub := s.subscriptions[url]
+		if !sub.active || s.plane.stalled {
+			continue
+		}
+		response := &discovery.DeltaDiscoveryResponse{TypeUrl: url, SystemVersionInfo: s.plane.version()}
+		resources := s.plane.resources(url)
+		for _, name := range slices.Sorted(maps.Keys(resources)) {
+			value := string(resources[name].Value)
+			if url == endpointURL && !sub.names[name] || sub.sent[name] == value {
+				continue
+			}
+			sub.sent[name] = value
+			response.Resources = append(response.Resources, &discovery.Resource{Name: name, Version: s.plane.version(), Resource: resources[name]})
+		}
+		for _, name := range slices.Sorted(maps.Keys(sub.sent)) {
+			if _, exists := s.plane.clusters[name]; !exists {
+				delete(sub.sent, name)
+				response.RemovedResources = append(response.RemovedResources, name)
+			}
+		}
+		if len(response.Resources)+len(response.RemovedResources) > 0 {
+			sub.nonce = s.plane.newNonce(url, len(messages))
+			response.Nonce = sub.nonce
+			messages = append(messages, response)
+		}
+	}
+	return messages
+}
+
+// send sends a response; messages of the other variant are left out.
+func (s *deltaStream) send(m proto.Message) error {
+	r, ok := m.(*discovery.DeltaDiscoveryResponse)
+	if !ok {
+		return nil
+	}
+	return s.server.Send(r)
+}
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -115,7 +115,7 @@
 	return s.startedAt, mode
 }
 
-// SetFaults has it fail in these ways from now on, until it is set again or starts anew.
+// SetFaults has it fail in these ways from now on, until they are set again or it restarts.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -52,7 +52,7 @@
 			c.Requests, c.CallFailures, c.ClientCancels, c.Effects = 2, 1, 1, []string{"run-once", "restartable"}
 		}), 9991},
 		"orders": {newConfig(func(c *Config) { c.LoadCommands, c.FunctionLoaded, c.CallFailures, c.ClientCancels = true, false, 1, 1 }), 12196},
-		"a cold server": {newConfig(func(c *Config) {
+		"a server in slow start": {newConfig(func(c *Config) {
 			c.SlowStartServer, c.FunctionLoaded, c.Requests, c.Routers, c.Servers = true, false, 2, 2, 2
 		}), 517},
 	} {
--- a/internal/modelcheck/property_trials.go
+++ b/internal/modelcheck/property_trials.go
@@ -9,10 +9,10 @@
 }
 
 func checkEjectedProbed(c *Config, s *State) string {
-	const most = 20_000_000 // the module's longest pause between trials, where answers are rarest
+	const maxProbePause = 20_000_000 // microseconds; the balancer's longest pause between probes, where answers are rarest
 	for i, router := range s.Routers {
 		for _, server := range router.core.Balancer.Servers {
-			if server.Ejected && server.ProbeAt > s.Now+most {
+			if server.Ejected && server.ProbeAt > s.Now+maxProbePause {
 				return fmt.Sprintf("router %d probes ejected server %d no sooner than in %d us", i, c.serverIndex(server.Endpoint.Server), server.ProbeAt-s.Now)
 			}
 		}
--- a/internal/modelserver/infer.go
+++ b/internal/modelserver/infer.go
@@ -21,20 +21,20 @@
 	status   control.CacheStatus
 	key      string
 	keyed    *keyedRequest // nil: its idempotency key is not kept
-	fate     fate
+	injected injectedFaults
 }
 
-// fate is what the faults at a request's arrival make of its execution.
-type fate struct {
+// injectedFaults are the faults drawn at a request's arrival.
+type injectedFaults struct {
 	slowdown    float64
 	resetBefore bool // the connection breaks before it runs
 	lostAnswer  bool // it is never answered
 	resetAfter  bool // the connection breaks once it ran
 }
 
-// drawFate draws in a fixed order, so that a day of one seed is always the same.
-func (s *Server) drawFate() fate {
-	return fate{slowdown: s.faults.Slowdown, resetBefore: s.happens(s.faults.ResetBefore), lostAnswer: s.happens(s.faults.LostAnswers),
+// drawFaults draws in a fixed order, so that a day of one seed is always the same.
+func (s *Server) drawFaults() injectedFaults {
+	return injectedFaults{slowdown: s.faults.Slowdown, resetBefore: s.happens(s.faults.ResetBefore), lostAnswer: s.happens(s.faults.LostAnswers),
 		resetAfter: s.happens(s.faults.ResetAfter)}
 }
 
@@ -46,14 +46,14 @@
 	x := &execution{key: request.IdempotencyKey, status: control.CacheHit,
 		record: invariant.Record{Server: s.config.Number, Request: request.ID, Effect: request.Effect, Router: request.Router}}
 	s.logExecution(x, invariant.AttemptReceived)
-	x.fate = s.drawFate()
+	x.injected = s.drawFaults()
 	x.exchange = s.open(respond)
 	switch {
 	case s.crashesAtArrival():
 		s.logExecution(x, invariant.ServerCollapsed)
 		s.Kill()
 	case s.faults.Silent:
-	case x.fate.resetBefore:
+	case x.injected.resetBefore:
 		s.end(x.exchange, Response{Result: ConnectionReset})
 	case s.faults.Overloaded:
 		s.logExecution(x, invariant.AttemptRefused)
@@ -115,7 +115,7 @@
 		s.waiting--
 		s.running++
 		s.logExecution(x, invariant.AttemptStarted)
-		s.after(s.drawExecutionTime(x.fate.slowdown), func() { s.complete(x) })
+		s.after(s.drawExecutionTime(x.injected.slowdown), func() { s.complete(x) })
 	}
 }
 
@@ -131,8 +131,8 @@
 		s.endWaiting(x.keyed, Response{CacheStatus: control.CacheHit})
 	}
 	switch {
-	case x.fate.lostAnswer:
-	case x.fate.resetAfter:
+	case x.injected.lostAnswer:
+	case x.injected.resetAfter:
 		s.end(x.exchange, Response{Result: ConnectionReset})
 	default:
 		s.end(x.exchange, Response{CacheStatus: x.status})
--- a/internal/modelserver/server.go
+++ b/internal/modelserver/server.go
@@ -112,7 +112,7 @@
 // StartedAt returns when it last started, and how.
 func (s *Server) StartedAt() (at control.Micros, mode StartMode) { return s.startedAt, s.startMode }
 
-// SetFaults has it fail in these ways from now on, until it is set again or starts anew.
+// SetFaults has it fail in these ways from now on, until they are set again or it restarts.
 func (s *Server) SetFaults(f Faults) { s.faults = f }
 
 // Functions lists the functions that it holds or loads, by name.
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// A bench day can be recorded and replayed like a gateway's.
+// A simulated day can be recorded and replayed like a gateway's.
 func TestRunRecords(t *testing.T) {
 	dir := t.TempDir()
 	in := append(batch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request), batch(2, 5000, encodeRecord(1110, uint32(3)), encodeRecord(1060, uint32(0)))...)
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// StartRouter starts the selected router anew, with nothing known.
+// StartRouter starts or restarts the selected router, with nothing known.
 func (h *host) StartRouter(seed uint64, settings []byte) error {
 	if h.current == nil {
 		return errNoRouter
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -40,14 +40,14 @@
 func (h *recordingHandler) UpdateEndpoints(mode uint8, v uint64, es []Endpoint) error {
 	return h.add("list %d %d %v", mode, v, es)
 }
-func (h *recordingHandler) HandleResponseHeader(id uint64, trial uint16, s ServerAddr, took uint32) error {
-	return h.add("head %x %d %x %d", id, trial, s, took)
+func (h *recordingHandler) HandleResponseHeader(id uint64, attempt uint16, s ServerAddr, duration uint32) error {
+	return h.add("head %x %d %x %d", id, attempt, s, duration)
 }
-func (h *recordingHandler) HandleProbeResult(s ServerAddr, status uint16, took uint32, load []float32) error {
-	return h.add("probed %x %d %d %.3f", s, status, took, load)
+func (h *recordingHandler) HandleProbeResult(s ServerAddr, status uint16, duration uint32, load []float32) error {
+	return h.add("probed %x %d %d %.3f", s, status, duration, load)
 }
-func (h *recordingHandler) HandleLoadResult(s ServerAddr, fn uint64, status uint16, took uint32, held uint8) error {
-	return h.add("loaded %x %x %d %d %d", s, fn, status, took, held)
+func (h *recordingHandler) HandleLoadResult(s ServerAddr, fn uint64, status uint16, duration uint32, replicas uint8) error {
+	return h.add("loaded %x %x %d %d %d", s, fn, status, duration, replicas)
 }
 
 func frame(count byte, records string) []byte {
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -47,7 +47,7 @@
 	StoreDegraded                        // the store is slow or closed
 	StaleEndpoints                       // the endpoint list is not written
 	RouterStall                          // routers stall
-	RouterCrash                          // routers crash and are started anew, with nothing known
+	RouterCrash                          // routers crash and restart, with nothing known
 	NetworkPartition                     // some routers don't reach some servers
 )
 
