--- a/internal/modelcheck/exploration.go
+++ b/internal/modelcheck/exploration.go
@@ -100,7 +100,7 @@
 			return nil, err
 		}
 	}
-	r.visited.add(r.root, origin{})
+	r.visited.add(r.root, origin{}, 0)
 	return r, nil
 }
 
--- a/internal/modelcheck/level.go
+++ b/internal/modelcheck/level.go
@@ -15,9 +15,8 @@
 
 // level is the exploration of one depth: workers take its states through all of their steps.
 type level struct {
-	run     *run
-	next    *frontierWriter
-	reached sync.Map // keys of states first reached at this depth
+	run  *run
+	next *frontierWriter
 
 	mu         sync.Mutex // guards the rest, and next
 	violations []violation
@@ -73,13 +72,9 @@
 // addState adds a state to the next frontier if it is reached for the first time.
 func (l *level) addState(s *State, from origin) {
 	key := s.Key()
-	if !l.run.visited.add(key, from) {
-		if _, atThisDepth := l.reached.Load(key); atThisDepth {
-			l.run.visited.lowerOrigin(key, from)
-		}
+	if !l.run.visited.add(key, from, l.next.depth) {
 		return
 	}
-	l.reached.Store(key, true)
 	text := findViolation(&l.run.Config, s, l.run.Properties)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/modelcheck/resume.go
+++ b/internal/modelcheck/resume.go
@@ -26,9 +26,9 @@
 func (r *run) save() error {
 	saved := savedExploration{Config: r.Config, Progress: r.result.Progress}
 	for i := range r.visited.shards {
-		for key, from := range r.visited.shards[i].origins {
+		for key, visit := range r.visited.shards[i].visits {
 			saved.Keys = append(saved.Keys, key)
-			saved.Origins = append(saved.Origins, from)
+			saved.Origins = append(saved.Origins, visit.origin)
 		}
 	}
 	err := r.frontier.forEach(func(s *State) bool {
@@ -65,8 +65,9 @@
 	if theirs, err := cbor.Marshal(saved.Config); err != nil || string(ours) != string(theirs) {
 		return fmt.Errorf("%s holds an exploration of another world", r.Dir)
 	}
+	const beforeAnyNew = 0 // the depths that follow are greater, so no saved origin is replaced
 	for i, key := range saved.Keys {
-		r.visited.add(key, saved.Origins[i])
+		r.visited.add(key, saved.Origins[i], beforeAnyNew)
 	}
 	r.frontier.states = nil
 	for _, stored := range saved.Frontier {
--- a/internal/modelcheck/visited.go
+++ b/internal/modelcheck/visited.go
@@ -20,48 +20,45 @@
 // shardCount is the number of parts of visitedStates: many more than workers, so that these seldom wait for each other.
 const shardCount = 64
 
+// visit is how a state was reached, and at which depth for the first time.
+type visit struct {
+	origin
+	depth int
+}
+
 // visitedStates are all states that were reached, by key.
 type visitedStates struct {
 	shards [shardCount]struct {
 		sync.Mutex
-		origins map[Key]origin
+		visits map[Key]visit
 	}
 }
 
 func newVisitedStates() *visitedStates {
 	v := &visitedStates{}
 	for i := range v.shards {
-		v.shards[i].origins = map[Key]origin{}
+		v.shards[i].visits = map[Key]visit{}
 	}
 	return v
 }
 
-// add adds a state; isNew is false where it was there already.
-func (v *visitedStates) add(key Key, from origin) (isNew bool) {
+// add adds a state; isNew is false where it was there already. Of several origins at the state's first depth the least is kept.
+func (v *visitedStates) add(key Key, from origin, depth int) (isNew bool) {
 	shard := &v.shards[key[0]%shardCount]
 	shard.Lock()
 	defer shard.Unlock()
-	if _, known := shard.origins[key]; known {
-		return false
+	known, ok := shard.visits[key]
+	if !ok || known.depth == depth && from.less(known.origin) {
+		shard.visits[key] = visit{from, depth}
 	}
-	shard.origins[key] = from
-	return true
+	return !ok
 }
 
+// origin returns how a state was first reached; ok is false where it was not.
 func (v *visitedStates) origin(key Key) (from origin, ok bool) {
 	shard := &v.shards[key[0]%shardCount]
 	shard.Lock()
 	defer shard.Unlock()
-	from, ok = shard.origins[key]
-	return from, ok
-}
-
-// lowerOrigin replaces a state's origin by a lesser one.
-func (v *visitedStates) lowerOrigin(key Key, from origin) {
-	shard := &v.shards[key[0]%shardCount]
-	shard.Lock()
-	defer shard.Unlock()
-	if from.less(shard.origins[key]) {
-		shard.origins[key] = from
-	}
+	known, ok := shard.visits[key]
+	return known.origin, ok
 }
