--- a/internal/fakeserver/controlplane.go
+++ b/internal/fakeserver/controlplane.go
@@ -105,11 +105,20 @@
 	p.wakeStreams()
 }
 
-// DropStreams ends all streams. With resetVersions it sends lower versions from then on, as one that restarted does.
-func (p *ControlPlane) DropStreams(resetVersions bool) {
+// Versions is what a control plane does with its versions.
+type Versions bool
+
+// The ways: to go on counting, or to begin again with lower ones, as one that restarted does.
+const (
+	KeepVersions  Versions = false
+	ResetVersions Versions = true
+)
+
+// DropStreams ends all streams.
+func (p *ControlPlane) DropStreams(versions Versions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if resetVersions {
+	if versions == ResetVersions {
 		p.rollback = p.changes
 	}
 	close(p.drop)
--- a/internal/fakeserver/store.go
+++ b/internal/fakeserver/store.go
@@ -41,10 +41,10 @@
 }
 
 // Degrade multiplies the time of fetches from the next one to begin, and closes or opens the store.
-func (s *Store) Degrade(slowdown float64, closed bool) {
+func (s *Store) Degrade(slowdown float64, state modelserver.StoreState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.model.Degrade(slowdown, closed)
+	s.model.Degrade(slowdown, state)
 }
 
 // source is a store as one server's model sees it.
--- a/internal/modelserver/modelserver_test.go
+++ b/internal/modelserver/modelserver_test.go
@@ -102,14 +102,14 @@
 // A store that closes in mid-fetch keeps loads waiting, in their order, until it opens; the load report counts them meanwhile.
 func TestClosedStore(t *testing.T) {
 	s := newTestServer(func(c *Config) { c.QueueLimit = 9 })
-	s.store.Degrade(1, true)
+	s.store.Degrade(1, StoreClosed)
 	s.infer("a", "")
 	s.infer("b", "")
 	s.clock.advanceTo(1_000_000)
 	if r := s.LoadReport(); len(s.responses) > 0 || r.PendingLoads != 2 || r.PinnedMemory != 0.5 {
 		t.Errorf("%v, %+v", s.responses, r)
 	}
-	s.store.Degrade(1, false)
+	s.store.Degrade(1, StoreOpen)
 	if s.clock.advanceTo(1_026_000); len(s.responses) != 0 {
 		t.Errorf("answered before its work was done: %v", s.responses)
 	}
--- a/internal/modelserver/store.go
+++ b/internal/modelserver/store.go
@@ -9,20 +9,29 @@
 	fetchTime control.Micros // of one fetch of a store that is not slow
 	free      int            // fetches that it can begin to serve
 	slowdown  float64
-	closed    bool
+	state     StoreState
 	queue     []func() // fetches that are not served yet
 	stopped   []func() // fetches that are served and wait for the store to open
 }
 
+// StoreState is whether a store serves.
+type StoreState bool
+
+// The states of a store.
+const (
+	StoreOpen   StoreState = false
+	StoreClosed StoreState = true
+)
+
 // NewStore returns an open store that serves some fetches at once.
 func NewStore(clock Clock, fetchTime control.Micros, concurrent int) *Store {
 	return &Store{clock: clock, fetchTime: fetchTime, free: concurrent, slowdown: 1}
 }
 
 // Degrade multiplies the time of fetches from the next one to begin, and closes or opens the store.
-func (s *Store) Degrade(slowdown float64, closed bool) {
-	s.slowdown, s.closed = slowdown, closed
-	if closed {
+func (s *Store) Degrade(slowdown float64, state StoreState) {
+	s.slowdown, s.state = slowdown, state
+	if state == StoreClosed {
 		return
 	}
 	stopped := s.stopped
@@ -43,7 +52,7 @@
 }
 
 func (s *Store) serve(done func()) {
-	if s.closed {
+	if s.state == StoreClosed {
 		s.stopped = append(s.stopped, done)
 		return
 	}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
 	"reflect"
@@ -96,9 +97,13 @@
 		{"entries beyond the frame", frame(1, "03f2 01 0000000000000001 ffffffff"),
 			"batch 12: record 0 (code 1010) at byte 20 is cut short"},
 	} {
-		if err := Decode(c.frame, &recordingHandler{}); err == nil || err.Error() != c.want {
+		err := Decode(c.frame, &recordingHandler{})
+		if err == nil || err.Error() != c.want {
 			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
 		}
+		if truncated := strings.HasSuffix(c.want, "cut short"); errors.Is(err, ErrTruncated) != truncated {
+			t.Errorf("%s: %v is ErrTruncated: %t", c.name, err, !truncated)
+		}
 	}
 }
 
@@ -110,7 +115,7 @@
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
 		t.Errorf("end of input: got %v", err)
 	}
-	if _, err := ReadFrame(bytes.NewReader(whole[:15]), nil); err == nil || err == io.EOF {
+	if _, err := ReadFrame(bytes.NewReader(whole[:15]), nil); !errors.Is(err, ErrTruncated) || errors.Is(err, io.EOF) {
 		t.Errorf("cut frame: got %v", err)
 	}
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -62,12 +62,12 @@
 	switch {
 	case l.retries == nil:
 		if left < blindRetryMinLeft || l.attempts >= maxBlindAttempts {
-			l.end(false)
+			l.giveUp()
 			return
 		}
 		router = (l.FirstRouter + l.attempts) % c.world.plan.Routers
 	case !l.retries.BeginAttempt(now):
-		l.end(false)
+		l.giveUp()
 		return
 	default:
 		if router = l.retries.PinnedRouter(); router < 0 {
@@ -79,15 +79,16 @@
 	request.send()
 }
 
-// end notes what became of the call.
-func (l *call) end(succeeded bool) {
+// succeed ends the call with its answer.
+func (l *call) succeed() {
 	now := l.client.node.Now()
-	outcome := CallOutcome{Call: l.index, Attempts: l.attempts}
-	if succeeded {
-		outcome.FinishedAt = now
-		outcome.InTime = now-l.begunAt <= l.class.Spec.LatencyObjective
-	}
-	l.client.outcomes = append(l.client.outcomes, outcome)
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts, FinishedAt: now,
+		InTime: now-l.begunAt <= l.class.Spec.LatencyObjective})
+}
+
+// giveUp ends the call without an answer.
+func (l *call) giveUp() {
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts})
 }
 
 // effectName is the call's effect in the records.
--- a/internal/simulation/incident.go
+++ b/internal/simulation/incident.go
@@ -24,8 +24,10 @@
 		w.restartServers(incident, to)
 	case StoreDegraded:
 		infra := w.infrastructure
-		infra.node.at(from, func() { infra.store.Degrade(max(1, incident.StoreSlowdown), incident.StoreClosed) })
-		infra.node.at(to, func() { infra.store.Degrade(1, false) })
+		infra.node.at(from, func() {
+			infra.store.Degrade(max(1, incident.StoreSlowdown), modelserver.StoreState(incident.StoreClosed))
+		})
+		infra.node.at(to, func() { infra.store.Degrade(1, modelserver.StoreOpen) })
 	case StaleEndpoints:
 		infra := w.infrastructure
 		infra.node.at(from, func() { infra.stale++ })
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -79,7 +79,7 @@
 	q.client.node.record(q.responseRecord(r))
 	switch {
 	case r == succeeded:
-		q.end(true)
+		q.succeed()
 	case q.retries == nil:
 		q.retryBlindly(r)
 	default:
@@ -103,7 +103,7 @@
 // retryBlindly retries whatever does no harm twice.
 func (q *clientRequest) retryBlindly(r response) {
 	if r.mayHaveRun() && q.class.Spec.Effect != control.Idempotent {
-		q.end(false)
+		q.giveUp()
 		return
 	}
 	q.client.node.After(blindRetryPause, func() { q.attempt(noRouter) })
@@ -120,7 +120,7 @@
 	}
 	decision := q.retries.HandleOutcome(now, outcome, q.sentAt, q.router, retryAfter, c.budget, c.node.random)
 	if decision.Done {
-		q.end(false)
+		q.giveUp()
 		return
 	}
 	avoid := noRouter
