--- /dev/null
+++ b/internal/modelcheck/trace_test.go
@@ -0,0 +1,28 @@
+package modelcheck
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Traces of violations whose cause was fixed are replayed.
+func TestTraces(t *testing.T) {
+	files, err := filepath.Glob("traces/*.json")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no traces: %v", err)
+	}
+	for _, name := range files {
+		b, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s, err := ParseTrace(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if wrong, after, _ := s.Replay(&ProductionRules, Properties); wrong != "" {
+			t.Errorf("%s fails after %d steps: %s", name, after, wrong)
+		}
+	}
+}
