--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -139,7 +139,8 @@
 		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80", "127.0.0.9:80")
 		s.plane.Update(func(cs map[string][]fakeserver.Endpoint) { delete(cs, "two") })
 		s.waitForList("127.0.0.1:80", "-127.0.0.2:80", "127.0.0.3:80")
-		if acks, streams, nacks := s.plane.Counts(); acks < 5 || streams != 1 || len(nacks) > 0 {
+		platformtest.WaitFor(t, "five ACKs", func() bool { acks, _, _ := s.plane.Counts(); return acks >= 5 })
+		if acks, streams, nacks := s.plane.Counts(); streams != 1 || len(nacks) > 0 {
 			t.Errorf("%d acks on %d streams, nacks %q", acks, streams, nacks)
 		}
 	})
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -39,7 +39,7 @@
 }
 
 // holdsUnread reports whether text is among the bytes that have arrived and were not read. It needs them uncompressed, as
-// gRPC sends them unless told otherwise.
+// gRPC sends them by default.
 func (c gatedConn) holdsUnread(t *testing.T, text string) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -148,21 +148,21 @@
 	}
 }
 
-// A control plane that breaks off before it has answered is asked again within half the grace, however long it was down before;
-// one that can't be reached is asked less and less often.
+// A stream that ends before it has an answer is opened again within half the grace, however long the control plane was down
+// before; one that can't be reached gets ever fewer attempts.
 func TestUnansweredStreamIsRetriedWithinGrace(t *testing.T) {
 	plane, err := fakeserver.NewControlPlane()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer plane.Stop()
-	plane.SetStalled(true) // it says nothing, and then cuts
-	up := make(chan time.Time, 100)
+	plane.SetStalled(true) // it sends nothing, and then ends its streams
+	dialled := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
-	source := Transport{Address: plane.Address(), Now: now, Grace: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
+	transport := Transport{Address: plane.Address(), Now: now, Grace: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			up <- time.Now()
+			dialled <- time.Now()
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
@@ -173,7 +173,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- source.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", StateOfTheWorld, DefaultBounds))
+		done <- transport.Run(ctx, NewClient(membership.New(membership.DefaultBounds), "router-0", "a", StateOfTheWorld, DefaultBounds))
 	}()
 	defer func() {
 		stop()
@@ -181,12 +181,12 @@
 			t.Error(err)
 		}
 	}()
-	const tries = 6 // 100 ms doubled five times: the next wait would be 3.2 s, half of it by chance
-	var at [tries]time.Time
+	const attempts = 6 // 100 ms doubled five times: the next wait would be 3.2 s, half of it by chance
+	var at [attempts]time.Time
 	for i := range at {
-		at[i] = <-up
+		at[i] = <-dialled
 	}
-	if first, last := at[1].Sub(at[0]), at[tries-1].Sub(at[tries-2]); last < 4*first {
+	if first, last := at[1].Sub(at[0]), at[attempts-1].Sub(at[attempts-2]); last < 4*first {
 		t.Errorf("the first wait is %v, the last %v", first, last)
 	}
 	mu.Lock()
@@ -198,6 +198,6 @@
 	platformtest.WaitFor(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
 	const slack = 100 * time.Millisecond
 	if took := time.Since(began); took > testGrace/2+slack {
-		t.Errorf("asked again after %v", took)
+		t.Errorf("opened again after %v", took)
 	}
 }
--- a/internal/xds/view_test.go
+++ b/internal/xds/view_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// What one router sees another reads alike, by either variant.
+// What one router's view holds another router reads, by either variant.
 func TestClientFollowsView(t *testing.T) {
 	for name, variant := range variants {
 		v, err := NewView("127.0.0.1:0", nil)
@@ -49,7 +49,7 @@
 			{Address: "127.0.0.2:80", Health: membership.Unhealthy, Weight: 100, Zone: "b"}, {Address: "127.0.0.3:80", Health: membership.Draining, Weight: 100}}
 		await(want)
 		again := slices.Clone(seen)
-		again[1].InFlight = 1 // too little a change to be told
+		again[1].InFlight = 1 // a change of loads alone, too soon after the last version
 		if err := v.Publish(2, again); err != nil || v.version != 1 {
 			t.Errorf("version %d, %v", v.version, err)
 		}
