--- a/client/attempts.go
+++ b/client/attempts.go
@@ -40,12 +40,9 @@
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
-	router    int
-	sentAt    control.Micros
-	outcome   retry.Outcome
+	retry.AttemptResult
 	answer    Answer
 	failed    *Failed // nil: it succeeded
-	advised   control.Micros
 	duration  time.Duration
 	connected bool // it had a connection
 	local     bool // its failure says nothing of the router
@@ -95,9 +92,9 @@
 		case result := <-s.results:
 			decision := s.handleResult(result)
 			switch {
-			case result.outcome == retry.Succeeded:
+			case result.Outcome == retry.Succeeded:
 				return result.answer, nil
-			case result.outcome == retry.Invalid || decision.Done && s.inFlight == 0:
+			case result.Outcome == retry.Invalid || decision.Done && s.inFlight == 0:
 				return Answer{}, s.failure()
 			case !decision.Done:
 				s.attemptDue.Reset(time.Until(s.client.at(decision.RetryAt)))
@@ -157,15 +154,15 @@
 		s.mu.Unlock()
 	}
 	c.mu.Lock()
-	decision := s.retry.HandleOutcome(c.now(), result.outcome, result.sentAt, result.router, result.advised, c.budget, c.random)
-	if result.outcome == retry.Succeeded {
+	decision := s.retry.HandleOutcome(c.now(), result.AttemptResult, c.budget, c.random)
+	if result.Outcome == retry.Succeeded {
 		c.latencies.Add(control.Micros(result.duration.Microseconds()))
 	}
 	c.mu.Unlock()
-	if result.outcome == retry.Failed || result.outcome == retry.Lost {
+	if result.Outcome == retry.Failed || result.Outcome == retry.Lost {
 		s.mayHaveRun = true
 	}
-	s.lastFailure, s.lastRouter, s.otherRouter = result.failed, result.router, decision.OtherRouter
+	s.lastFailure, s.lastRouter, s.otherRouter = result.failed, result.Router, decision.OtherRouter
 	return decision
 }
 
@@ -210,10 +207,10 @@
 	result.duration = time.Since(begun)
 	s.client.recordResult(result)
 	if s.call.Tried != nil {
-		s.call.Tried(try, outcomeNames[result.outcome])
+		s.call.Tried(try, outcomeNames[result.Outcome])
 	}
 	if hooks.Tried != nil {
-		hooks.Tried(try, outcomeNames[result.outcome], result.duration)
+		hooks.Tried(try, outcomeNames[result.Outcome], result.duration)
 	}
 	s.results <- result
 }
@@ -221,18 +218,18 @@
 // connectAndExchange gets a connection and makes the attempt's exchange on it. It sets the time that try has left then.
 func (s *callState) connectAndExchange(ctx context.Context, router int, try *Try) attemptResult {
 	c := s.client
-	result := attemptResult{router: router, sentAt: c.now()}
+	result := attemptResult{AttemptResult: retry.AttemptResult{Router: router, SentAt: c.now()}}
 	conn, err := c.acquire(ctx, router)
 	switch {
 	case err != nil:
-		result.outcome = retry.NotSent
+		result.Outcome = retry.NotSent
 		result.failed = &Failed{Kind: Unreached, Why: "no connection to " + try.Router + ": " + err.Error(), Err: err}
 		result.local = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
 		result.notSent("the call is over")
 	default:
-		result.sentAt, result.connected = c.now(), true
+		result.SentAt, result.connected = c.now(), true
 		try.Left = time.Until(s.deadline)
 		s.exchange(conn, *try, &result)
 	}
@@ -241,7 +238,7 @@
 
 // notSent makes the result that of an attempt that this side did not send.
 func (r *attemptResult) notSent(why string) {
-	r.outcome, r.failed, r.local = retry.NotSent, &Failed{Kind: Unreached, Why: why}, true
+	r.Outcome, r.failed, r.local = retry.NotSent, &Failed{Kind: Unreached, Why: why}, true
 }
 
 // recordResult records what an attempt says of its router.
@@ -251,10 +248,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if result.outcome == retry.NotSent || result.outcome == retry.Lost {
-		c.routers.RecordFailure(c.now(), result.router)
+	if result.Outcome == retry.NotSent || result.Outcome == retry.Lost {
+		c.routers.RecordFailure(c.now(), result.Router)
 	} else {
-		c.routers.RecordSuccess(result.router)
+		c.routers.RecordSuccess(result.Router)
 	}
 }
 
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -27,7 +27,7 @@
 	left := time.Until(s.deadline).Milliseconds()
 	if left <= 0 { // making the body took what was left
 		s.unregister(conn)
-		c.release(result.router, conn, closeConn) // the end of the call may have aborted it
+		c.release(result.Router, conn, closeConn) // the end of the call may have aborted it
 		result.notSent("its time was up before it was sent")
 		return
 	}
@@ -37,20 +37,20 @@
 		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
 		result.local = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err)
 		if result.local {
-			c.release(result.router, conn, closeConn)
+			c.release(result.Router, conn, closeConn)
 		} else {
-			c.discard(result.router, conn)
+			c.discard(result.Router, conn)
 		}
-		result.outcome, result.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
+		result.Outcome, result.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
 		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
-			result.outcome, result.failed.Kind = retry.NotSent, Unreached
+			result.Outcome, result.failed.Kind = retry.NotSent, Unreached
 		}
 		return
 	}
 	if response.Close {
-		c.release(result.router, conn, closeConn)
+		c.release(result.Router, conn, closeConn)
 	} else {
-		c.release(result.router, conn, keepConn)
+		c.release(result.Router, conn, keepConn)
 	}
 	result.read(response, try.Router)
 }
@@ -84,14 +84,14 @@
 	r.failed = &Failed{Kind: Wrong, Status: response.Status, Why: text}
 	switch {
 	case response.Status < http.StatusMultipleChoices:
-		r.outcome, r.failed = retry.Succeeded, nil
+		r.Outcome, r.failed = retry.Succeeded, nil
 	case response.Status == http.StatusServiceUnavailable && answer == string(PushedBack):
-		r.outcome, r.failed.Kind = retry.Rejected, PushedBack
-		r.advised = control.Micros(retryAfter)
-		r.failed.After = time.Duration(r.advised) * time.Microsecond
+		r.Outcome, r.failed.Kind = retry.Rejected, PushedBack
+		r.RetryAfter = control.Micros(retryAfter)
+		r.failed.After = time.Duration(r.RetryAfter) * time.Microsecond
 	case response.Status >= http.StatusInternalServerError: // the router's, or a proxy's that promises nothing
-		r.outcome, r.failed.Kind = retry.Failed, Killed
+		r.Outcome, r.failed.Kind = retry.Failed, Killed
 	default:
-		r.outcome = retry.Invalid
+		r.Outcome = retry.Invalid
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -96,24 +96,32 @@
 	OtherRouter bool           // at another router, if there is one
 }
 
-// HandleOutcome records how an attempt ended that was sent at a time to a router, and decides what follows. Advised is the
-// pause that the router asked for; 0: none.
-func (c *Call) HandleOutcome(now control.Micros, outcome Outcome, sentAt control.Micros, router int, advised control.Micros, budget *Budget, random *rand.Rand) Decision {
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome    Outcome
+	SentAt     control.Micros
+	Router     int
+	RetryAfter control.Micros // the pause that the router advised; 0: none
+}
+
+// HandleOutcome records how an attempt ended and decides what follows.
+func (c *Call) HandleOutcome(now control.Micros, result AttemptResult, budget *Budget, random *rand.Rand) Decision {
+	outcome := result.Outcome
 	c.inFlight--
-	if (outcome == Failed || outcome == Lost) && (c.firstMayHaveRun == 0 || sentAt < c.firstMayHaveRun) {
-		c.firstMayHaveRun = sentAt
+	if (outcome == Failed || outcome == Lost) && (c.firstMayHaveRun == 0 || result.SentAt < c.firstMayHaveRun) {
+		c.firstMayHaveRun = result.SentAt
 	}
 	switch {
 	case outcome == Succeeded || outcome == Invalid:
 		c.done = true
 	case c.done || c.inFlight > 0 || c.attempts >= maxAttempts:
 	case outcome == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
-		c.pinnedRouter = router // it alone knows whether the request may run again
+		c.pinnedRouter = result.Router // it alone knows whether the request may run again
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case c.pinnedRouter >= 0 && outcome == NotSent: // the pinned router is not back yet
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case outcome == Rejected:
-		return c.retry(Decision{RetryAt: now + rejectionPause(c.attempts, advised, random), OtherRouter: true}, budget)
+		return c.retry(Decision{RetryAt: now + rejectionPause(c.attempts, result.RetryAfter, random), OtherRouter: true}, budget)
 	case outcome == NotSent && c.attempts == 1: // another router may be up
 		return c.retry(Decision{RetryAt: now, OtherRouter: true}, budget)
 	case outcome == NotSent, c.mayRetry(now):
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,7 +17,7 @@
 func afterFirst(w Class, e Outcome, now, advised control.Micros) (*Call, Decision) {
 	c := NewCall(w, 10*second)
 	c.BeginAttempt(second)
-	return c, c.HandleOutcome(now, e, second, 0, advised, NewBudget(), newRandom())
+	return c, c.HandleOutcome(now, AttemptResult{Outcome: e, SentAt: second, RetryAfter: advised}, NewBudget(), newRandom())
 }
 
 // What may have run is retried only where that does no harm: anywhere for idempotent requests, within the window for those
@@ -108,7 +108,7 @@
 					ran = sent
 				}
 				finished = finished || e == Succeeded
-				next := c.HandleOutcome(now, e, sent, 0, control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised")), b, x)
+				next := c.HandleOutcome(now, AttemptResult{Outcome: e, SentAt: sent, RetryAfter: control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised"))}, b, x)
 				if next.Done {
 					break
 				}
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -118,7 +118,8 @@
 	} else {
 		c.routers.RecordSuccess(q.router)
 	}
-	decision := q.retries.HandleOutcome(now, outcome, q.sentAt, q.router, retryAfter, c.budget, c.node.random)
+	decision := q.retries.HandleOutcome(now, retry.AttemptResult{Outcome: outcome, SentAt: q.sentAt, Router: q.router, RetryAfter: retryAfter}, c.budget,
+		c.node.random)
 	if decision.Done {
 		q.end(false)
 		return
