--- a/internal/probe/output_test.go
+++ b/internal/probe/output_test.go
@@ -14,6 +14,6 @@
 	golden.Fill(value)
 	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
-		t.Errorf("told under the name of a field: %q", missing)
+		t.Errorf("has the name of a field: %q", missing)
 	}
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -20,40 +20,40 @@
 	return s, log
 }
 
-func TestProbeRunsNothingUnlessTold(t *testing.T) {
+func TestProbeRunsNothingUnlessAModelIsNamed(t *testing.T) {
 	s, log := startServer(t)
-	ask := Options{Timeout: time.Second}
-	if f := Server(context.Background(), s.Address(), ask); !f.Ready || f.Run != nil || f.Load == nil || len(f.Models) != 0 {
+	options := Options{Timeout: time.Second}
+	if f := Server(context.Background(), s.Address(), options); !f.Ready || f.Run != nil || f.Load == nil || len(f.Models) != 0 {
 		t.Errorf("got %+v", f)
 	}
 	if n := len(log.Records()); n != 0 {
 		t.Errorf("the server saw %d things", n)
 	}
-	ask.Model, ask.Body = "m", []byte(`{"id":"p","inputs":[]}`)
-	if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != "finished" || !f.Run.MayHaveRun || f.Run.Status != 200 {
+	options.Model, options.Body = "m", []byte(`{"id":"p","inputs":[]}`)
+	if f := Server(context.Background(), s.Address(), options); f.Run == nil || f.Run.Result != "finished" || !f.Run.MayHaveRun || f.Run.Status != 200 {
 		t.Errorf("got %+v", f.Run)
 	}
-	ask.Model = ""
-	if f := Server(context.Background(), s.Address(), ask); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
+	options.Model = ""
+	if f := Server(context.Background(), s.Address(), options); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
 		t.Errorf("got %+v", f.Models)
 	}
 }
 
 func TestProbeConcludesAsARouterWould(t *testing.T) {
 	s, _ := startServer(t)
-	ask := Options{Timeout: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
+	options := Options{Timeout: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
 	for _, c := range []struct {
 		f      fakeserver.Faults
 		result string
 		mayRun bool
 	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Silent: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
 		s.SetFaults(c.f)
-		if f := Server(context.Background(), s.Address(), ask); f.Run == nil || f.Run.Result != c.result || f.Run.MayHaveRun != c.mayRun {
+		if f := Server(context.Background(), s.Address(), options); f.Run == nil || f.Run.Result != c.result || f.Run.MayHaveRun != c.mayRun {
 			t.Errorf("%+v: got %+v", c.f, f.Run)
 		}
 	}
 	s.Stop()
-	if f := Server(context.Background(), s.Address(), ask); f.Ready || f.Run != nil || f.Problem == "" {
+	if f := Server(context.Background(), s.Address(), options); f.Ready || f.Run != nil || f.Problem == "" {
 		t.Errorf("gone: got %+v", f)
 	}
 }
