--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"hollymast/control"
 	"hollymast/internal/discovery"
 	"hollymast/internal/fleet"
@@ -13,70 +11,59 @@
 )
 
 // sized is a router that knows many servers and runs no event loop.
-type sized struct {
+type fleetRouter struct {
 	*Router
-	board discovery.State
-	rev   uint64
-	at    control.Micros
+	discoveryState discovery.State
+	revision       uint64
+	clock          control.Micros
 }
 
 // newSized returns one that has a pool of connections to each server.
-func newSized(b testing.TB, servers int) *sized {
+func newFleetRouter(b testing.TB, servers int) *fleetRouter {
 	b.Helper()
-	told, err := parseConfig([]byte(configuration("127.0.0.1:1")), Environment{})
-	if err != nil {
-		b.Fatal(err)
-	}
-	p, err := New(told, zerolog.Nop())
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() {
-		p.timer.Stop()
-		p.listener.Close()
-	})
-	f := &sized{Router: p, at: p.now()}
-	whole := &discovery.UpdateMessage{All: true}
+	r := idleRouter(b)
+	f := &fleetRouter{Router: r, clock: r.now()}
+	all := &discovery.UpdateMessage{All: true}
 	for i := range servers {
-		whole.Targets = append(whole.Targets, f.target(i, "ready"))
+		all.Targets = append(all.Targets, f.target(i, "ready"))
 	}
-	f.handle(b, whole)
+	f.handle(b, all)
 	for i := range servers {
-		p.poolOf(fleet.ID(f.target(i, "").UID))
+		r.poolOf(fleet.ID(f.target(i, "").UID))
 	}
 	return f
 }
 
-func (f *sized) target(i int, state string) discovery.EndpointMessage {
+func (f *fleetRouter) target(i int, state string) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
-		Weight: 4, StartedAtMS: int64(f.rev)}
+		Weight: 4, StartedAtMS: int64(f.revision)}
 }
 
 // handle lets the router handle an event in one step, one millisecond after the last.
-func (f *sized) handle(b testing.TB, told *discovery.UpdateMessage) {
-	f.rev++
-	meaning, err := f.board.HandleLine(platformtest.Line(discovery.Event{Revision: f.rev, Update: told}))
-	if err != nil || meaning != discovery.EndpointsChanged {
-		b.Fatal(meaning, err)
+func (f *fleetRouter) handle(b testing.TB, update *discovery.UpdateMessage) {
+	f.revision++
+	effect, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: update}))
+	if err != nil || effect != discovery.EndpointsChanged {
+		b.Fatal(effect, err)
 	}
-	f.handleUpdate(f.at, f.board.Update())
-	f.at += 1000
-	f.step(f.at, nil)
+	f.handleUpdate(f.clock, f.discoveryState.Update())
+	f.clock += 1000
+	f.step(f.clock, nil)
 }
 
 // states are what a server goes through in the benchmark, over and over.
-var states = []string{"draining", "gone", "ready"}
+var serverStates = []string{"draining", "gone", "ready"}
 
 // change moves one server on to its next state.
-func (f *sized) change(b testing.TB, n, servers int) {
-	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(states)%servers, states[n%len(states)])}})
+func (f *fleetRouter) change(b testing.TB, n, servers int) {
+	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
-func TestListChangeAllocatesAlike(t *testing.T) {
+func TestUpdateAllocationsDoNotGrowWithFleet(t *testing.T) {
 	var allocated [2]float64
 	for i, servers := range []int{200, 3200} {
-		f, n := newSized(t, servers), 0
+		f, n := newFleetRouter(t, servers), 0
 		allocated[i] = testing.AllocsPerRun(300, func() {
 			f.change(t, n, servers)
 			n++
@@ -92,18 +79,18 @@
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
-			f := newSized(b, servers)
+			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				f.change(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
-			f := newSized(b, servers)
+			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for b.Loop() {
-				f.at += 500_000
-				f.step(f.at, nil)
+				f.clock += 500_000
+				f.step(f.clock, nil)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/record/stored_form_test.go
@@ -0,0 +1,18 @@
+package record
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"hollymast/internal/core"
+	"hollymast/internal/golden"
+)
+
+// What routers in service have recorded is read, and written in the same form: each kind of frame with all of its fields set, before
+// compression.
+func TestStoredForm(t *testing.T) {
+	golden.CheckType(t, "header-2.cbor", &Header{}, cbor.Marshal, decodeMode.Unmarshal)
+	golden.CheckType(t, "checkpoint-2.cbor", &core.Snapshot{}, cbor.Marshal, decodeMode.Unmarshal)
+	golden.CheckType(t, "turns-2.cbor", &stepBatch{}, cbor.Marshal, decodeMode.Unmarshal)
+}
