--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -44,7 +44,7 @@
 
 func (d Decision) writeOutcome(b *strings.Builder) {
 	e := d.Explanation
-	fmt.Fprintf(b, "turn %d at %d us: %s", d.Step, e.Now, actionNames[e.Decision.Action])
+	fmt.Fprintf(b, "step %d at %d us: %s", d.Step, e.Now, actionNames[e.Decision.Action])
 	if e.Decision.Action == control.Forward {
 		fmt.Fprintf(b, " to server %x", e.Decision.Server)
 	}
@@ -56,21 +56,21 @@
 
 func (d Decision) writeEndpointList(b *strings.Builder) {
 	if d.Endpoints.ReceivedAt == 0 {
-		b.WriteString("  list: as known when the recording began\n")
+		b.WriteString("  endpoint list: as known when the recording began\n")
 		return
 	}
-	fmt.Fprintf(b, "  list: number %d of the recording, heard at %d us\n", d.Endpoints.Version, d.Endpoints.ReceivedAt)
+	fmt.Fprintf(b, "  endpoint list: number %d of the recording, received at %d us\n", d.Endpoints.Version, d.Endpoints.ReceivedAt)
 }
 
 func (d Decision) writeRequest(b *strings.Builder) {
 	e := d.Explanation
-	fmt.Fprintf(b, "  execution time %d us, start target %d us, B %.2f, slack left %d us (margin %d us), load time %d us, held for the function %d\n",
+	fmt.Fprintf(b, "  execution time %d us, latency objective %d us, B %.2f, slack left %d us (margin %d us), load time %d us, held for the function %d\n",
 		e.ExecTime, e.Objective, e.B, e.Slack, e.Margin, e.LoadTime, e.Held)
 }
 
 func (d Decision) writeCheck(b *strings.Builder) {
 	c := d.Check
-	fmt.Fprintf(b, "  last check at %d us: D_f %d us = held %d x target %d us / slots %d, against load time %d us; delay %d us against slack %d us; %d loads due\n",
+	fmt.Fprintf(b, "  last replica check at %d us: D_f %d us = held %d x objective %d us / slots %d, against load time %d us; delay %d us against slack %d us; %d loads due\n",
 		c.Now, c.QueueDelay(), c.Held, c.Objective, c.Slots, c.LoadTime, c.Delay, c.Slack, d.Explanation.LoadsDue)
 }
 
@@ -78,17 +78,17 @@
 	fmt.Fprintf(b, "  server %x: ", s.Server)
 	switch {
 	case s.Loaded:
-		fmt.Fprintf(b, "%d copies warm, %d of ours out, %d slots", s.Replicas, s.InFlight, s.Slots)
+		fmt.Fprintf(b, "%d replicas loaded, %d of our attempts in flight, %d slots", s.Replicas, s.InFlight, s.Slots)
 	case s.LoadingNow:
-		fmt.Fprintf(b, "%d copies loading, %d of ours out, %d slots", s.Loading, s.InFlight, s.Slots)
+		fmt.Fprintf(b, "%d replicas loading, %d of our attempts in flight, %d slots", s.Loading, s.InFlight, s.Slots)
 	default:
-		b.WriteString("no copy believed")
+		b.WriteString("no replica known")
 	}
-	fmt.Fprintf(b, "; window %.1f, busy %d, behind loads %d", s.ConcurrencyLimit, s.Running, s.PendingLoads)
+	fmt.Fprintf(b, "; concurrency limit %.1f, running %d, pending loads %d", s.ConcurrencyLimit, s.Running, s.PendingLoads)
 	for _, state := range []struct {
 		applies bool
 		name    string
-	}{{s.Ejected, "suspect"}, {s.Overloaded, "shunned"}, {s.SlowStart, "cold"}, {s.Unusable != "", "unusable: " + string(s.Unusable)}} {
+	}{{s.Ejected, "ejected"}, {s.Overloaded, "overloaded"}, {s.SlowStart, "in slow start"}, {s.Unusable != "", "unusable: " + string(s.Unusable)}} {
 		if state.applies {
 			b.WriteString("; " + state.name)
 		}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -92,7 +92,7 @@
 	} else if g.recorder != nil && req.params.ID != "" {
 		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
 	}
-	g.log.Debug().Uint64("job", uint64(req.id)).Str("request", req.params.ID).Str("function", req.function).Msg("request accepted")
+	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
 
 // rejectionOf returns the response to a request that is not accepted, or nil.
@@ -128,7 +128,7 @@
 	req.response <- resp
 	g.metrics.countAnswer(answer)
 	g.historyAnswered(req, answer)
-	g.log.Debug().Uint64("job", uint64(req.id)).Str("answer", string(answer)).Int("executions", len(req.attempts)).Msg("request answered")
+	g.log.Debug().Uint64("request", uint64(req.id)).Str("answer", string(answer)).Int("attempts", len(req.attempts)).Msg("request answered")
 	g.release(req)
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -59,7 +59,7 @@
 	g.ready.Store(false)
 	g.stopRequestedAt.Store(int64(g.now()))
 	times := g.config.shutdownTimes()
-	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new requests are accepted")
+	g.log.Info().Int("requests", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new requests are accepted")
 	for _, l := range g.listeners {
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(acceptConnectionsFor))
 	}
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -39,9 +39,9 @@
 	r.mu.Unlock()
 	slices.Sort(parts)
 	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).
-		Int("jobs", len(r.requests)).Int("held", r.core.Held()).Uint64("list", r.discovery.Revision()).
+		Int("requests", len(r.requests)).Int("held", r.core.Held()).Uint64("list_revision", r.discovery.Revision()).
 		Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
-		Str("out_of_order", strings.Join(parts, "; ")).Msg("state")
+		Str("anomalies", strings.Join(parts, "; ")).Msg("state")
 }
 
 // peak is a maximum that several goroutines record into; zero when there was none.
@@ -78,8 +78,8 @@
 		r.log.Trace().Str("why", string(explanation.Reason)).
 			Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
 			Int64("slack", int64(explanation.Slack)).Int64("load", int64(explanation.LoadTime)).
-			Int("held", explanation.Held).Float64("B", explanation.B).Int("warm", loaded).
-			Int("coming", loading).Int("waiting", pending).Int("shunned", overloaded).Int("suspect", ejected).
+			Int("held", explanation.Held).Float64("B", explanation.B).Int("loaded", loaded).
+			Int("loading", loading).Int("pending_loads", pending).Int("overloaded", overloaded).Int("ejected", ejected).
 			Int("servers", len(explanation.Servers)).Msg("request rejected or failed")
 	}})
 }
@@ -103,10 +103,10 @@
 		function = uint64(call.request.message.FunctionID())
 	}
 	if answer != nil {
-		event = event.Uint8("found", uint8(answer.CacheStatus))
+		event = event.Uint8("cache_status", uint8(answer.CacheStatus))
 	}
-	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("order", call.request == nil).
+	event.Str("id", fmt.Sprintf("%016x", uint64(call.id))).Bool("load_command", call.request == nil).
 		Str("function", fmt.Sprintf("%016x", function)).
-		Str("server", call.address()).Int64("chosen", int64(call.chosenAt)).Bool("whole", call.writtenWhole.Load()).
+		Str("server", call.address()).Int64("chosen", int64(call.chosenAt)).Bool("written_whole", call.writtenWhole.Load()).
 		Int64("answered", int64(now)).Uint8("result", uint8(result)).Msg("attempt ended")
 }
