--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -25,7 +25,7 @@
 }
 
 // actionNames are the words that hmexplain prints, by control.Action.
-var actionNames = [...]string{"nothing", "send", "hold", "push back", "kill"}
+var actionNames = [...]string{"nothing", "forward", "hold", "reject", "fail"}
 
 // Text describes the decision for people.
 func (d Decision) Text() string {
