--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -72,8 +72,8 @@
 	address, conns, subscriptions := listen(t)
 	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
-	fmt.Fprintln(c, event(2, false, "a", "10.0.0.1:1", "draining"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(c, event(2, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	before := time.Now()
 	for a.Revision() < 2 { // the second may arrive after the first
@@ -93,14 +93,14 @@
 	address, conns, subscriptions := listen(t)
 	a := newManualClient(address)
 	w, c := a.subscribe(t, conns, subscriptions)
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	w.awaitInput(t)
 	w.conn.SetReadDeadline(time.Now().Add(-time.Second))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.listen(ctx, w) }()
 	receive(t, "the list", a.lists)
-	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
+	fmt.Fprintln(c, event(2, "b", "10.0.0.2:1", "ready"))
 	receive(t, "a list on the same connection", a.lists)
 	stop()
 	<-ended
@@ -113,7 +113,7 @@
 	w, c := a.subscribe(t, conns, subscriptions)
 	other, otherConns, otherSubscriptions := listen(t)
 	a.SetAddress(other)
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	if _, err := a.open(context.Background()); err != nil {
 		t.Fatal(err)
@@ -134,7 +134,7 @@
 	if _, err := a.open(context.Background()); err == nil {
 		t.Fatal("somebody listens on port 1")
 	}
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "draining"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	a.CatchUp()
 	receive(t, "the list", a.lists)
@@ -144,10 +144,10 @@
 // half the grace: what it would have sent counts as listed since the subscription.
 func TestReconnectIsQuickAfterAnInterruptedAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
-		"within the first event":    event(1, true, "a", "10.0.0.1:1", "ready")[:60],
-		"after the first event":     event(1, true, "a", "10.0.0.1:1", "ready") + "\n",
+		"within the first event":    fullEvent(1, "a", "10.0.0.1:1", "ready")[:60],
+		"after the first event":     fullEvent(1, "a", "10.0.0.1:1", "ready") + "\n",
 		"before it sends anything":  "",
-		"an event is missing":       event(1, true, "a", "10.0.0.1:1", "ready") + "\n7\n",
+		"an event is missing":       fullEvent(1, "a", "10.0.0.1:1", "ready") + "\n7\n",
 		"what it sends is no event": "{}}\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 		t.Fatal("started before the answer")
 	default:
 	}
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	w.awaitInput(t)
 	a.CatchUp()
 	receive(t, "the start", a.Started())
@@ -217,7 +217,7 @@
 		receive(t, "a subscription", subscriptions)
 		go func() {
 			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*chunk))
-			fmt.Fprintln(c, event(2, true, "a", "10.0.0.1:1", "draining"))
+			fmt.Fprintln(c, fullEvent(2, "a", "10.0.0.1:1", "draining"))
 		}()
 	}
 	if list := receive(t, "the list", lists); len(list) != 1 || list[0].State != control.Draining {
@@ -231,7 +231,7 @@
 	address, conns, subscriptions := listen(t)
 	a := newManualClient(address)
 	_, c := a.subscribe(t, conns, subscriptions)
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	catchUp := func() (before time.Time) {
 		before = time.Now()
 		a.CatchUp()
@@ -262,7 +262,7 @@
 	catchUpUntil("the end is not read", func() bool { return a.watch.ended != nil })
 	complete := a.CompleteAsOf()
 	_, c = a.subscribe(t, conns, subscriptions)
-	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
+	fmt.Fprintln(c, event(2, "b", "10.0.0.2:1", "ready"))
 	catchUpUntil("the next event is not read", func() bool { return a.Revision() == 2 })
 	if !a.CompleteAsOf().Equal(complete) {
 		t.Errorf("complete as of %v later, with no complete answer since", a.CompleteAsOf().Sub(complete))
@@ -277,7 +277,7 @@
 	receive(t, "a subscription", subscriptions)
 	server := receive(t, "a connection", conns)
 	defer server.Close()
-	fmt.Fprintln(server, event(1, true, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(server, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	receive(t, "a list", lists)
 	if !awaitGoroutine("IO wait", "discovery.(*watch).wait") {
 		t.Fatal("the goroutine does not wait for input")
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -17,9 +17,18 @@
 	"hollymast/internal/fleet"
 )
 
-func event(rev int, all bool, uid, endpoint, state string) string {
-	return fmt.Sprintf(`{"rev":%d,"pool":{"rev":1,"all":%v,"targets":[{"uid":%q,"endpoint":%q,"az":"east","pod_group":2,`+
-		`"state":%q,"capacity_hint":4,"boot_ms":0}]}}`, rev, all, uid, endpoint, state)
+// event returns the line of an event about one server, and fullEvent that of one that lists all servers.
+func event(revision int, uid, endpoint, state string) string {
+	return eventLine(revision, "false", uid, endpoint, state)
+}
+
+func fullEvent(revision int, uid, endpoint, state string) string {
+	return eventLine(revision, "true", uid, endpoint, state)
+}
+
+func eventLine(revision int, all, uid, endpoint, state string) string {
+	return fmt.Sprintf(`{"rev":%d,"pool":{"rev":1,"all":%s,"targets":[{"uid":%q,"endpoint":%q,"az":"east","pod_group":2,`+
+		`"state":%q,"capacity_hint":4,"boot_ms":0}]}}`, revision, all, uid, endpoint, state)
 }
 
 func TestHandleLine(t *testing.T) {
@@ -30,22 +39,22 @@
 		fails   bool
 		servers int
 	}{
-		{"a further server", event(4, false, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
-		{"one that goes", event(4, false, "a", "", "gone"), EndpointsChanged, false, 0},
-		{"the full list", event(4, true, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
-		{"an old event again", event(3, true, "c", "10.0.0.3:1", "ready"), None, false, 1},
-		{"one after a gap", event(5, true, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
+		{"a further server", event(4, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
+		{"one that goes", event(4, "a", "", "gone"), EndpointsChanged, false, 0},
+		{"the full list", fullEvent(4, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
+		{"an old event again", fullEvent(3, "c", "10.0.0.3:1", "ready"), None, false, 1},
+		{"one after a gap", fullEvent(5, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
 		{"a known revision", "3", None, false, 1},
 		{"a missing revision", "4", Resubscribe, false, 1},
 		{"not a number", "x3", None, true, 1},
-		{"a broken event", event(4, false, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
-		{"an unknown state", event(4, true, "b", "10.0.0.2:1", "asleep"), None, true, 1},
+		{"a broken event", event(4, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
+		{"an unknown state", fullEvent(4, "b", "10.0.0.2:1", "asleep"), None, true, 1},
 	} {
 		var s State
 		s.Restore(History{Revision: 3})
 		s.Subscribed()
 		s.revision = 2
-		if _, err := s.HandleLine([]byte(event(3, true, "a", "10.0.0.1:1", "ready"))); err != nil {
+		if _, err := s.HandleLine([]byte(fullEvent(3, "a", "10.0.0.1:1", "ready"))); err != nil {
 			t.Fatal(err)
 		}
 		effect, err := s.HandleLine([]byte(c.line + "\n"))
@@ -164,14 +173,14 @@
 	_, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
 	receive(t, "a subscription", subscriptions)
-	fmt.Fprint(c, event(1, true, "a", "10.0.0.1:1", "ready"), "\n", event(2, false, "b", "10.0.0.2:1", "ready")[:60])
+	fmt.Fprint(c, fullEvent(1, "a", "10.0.0.1:1", "ready"), "\n", event(2, "b", "10.0.0.2:1", "ready")[:60])
 	receive(t, "the first list", lists)
 	c.Close()
 	c = receive(t, "another connection", conns)
 	if line := receive(t, "another subscription", subscriptions); line != "watch 1\n" {
 		t.Errorf("subscribed with %q", line)
 	}
-	fmt.Fprintln(c, event(2, false, "b", "10.0.0.2:1", "ready"))
+	fmt.Fprintln(c, event(2, "b", "10.0.0.2:1", "ready"))
 	if list := receive(t, "the second list", lists); len(list) != 2 {
 		t.Errorf("got %v", list)
 	}
@@ -190,7 +199,7 @@
 	client, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
 	receive(t, "a subscription", subscriptions)
-	fmt.Fprintln(c, event(1, true, "a", "10.0.0.1:1", "ready"))
+	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	receive(t, "the first list", lists)
 	other, conns, subscriptions := listen(t)
 	client.SetAddress(other)
@@ -198,7 +207,7 @@
 	if line := receive(t, "a subscription elsewhere", subscriptions); line != "watch 1\n" {
 		t.Errorf("subscribed with %q", line)
 	}
-	fmt.Fprintln(c, event(2, false, "a", "", "gone"))
+	fmt.Fprintln(c, event(2, "a", "", "gone"))
 	if list := receive(t, "the second list", lists); len(list) != 0 {
 		t.Errorf("got %v", list)
 	}
@@ -232,7 +241,7 @@
 func newState(t *testing.T) *State {
 	t.Helper()
 	s := &State{}
-	if _, err := s.HandleLine([]byte(event(1, true, "a", "10.0.0.1:1", "ready"))); err != nil {
+	if _, err := s.HandleLine([]byte(fullEvent(1, "a", "10.0.0.1:1", "ready"))); err != nil {
 		t.Fatal(err)
 	}
 	s.Subscribed()
@@ -244,8 +253,8 @@
 func TestUnusableEventIsSkippedOnRepeat(t *testing.T) {
 	for name, bad := range map[string]string{
 		"an unreadable line": `{"rev":2,"pool":[`,
-		"an unknown state":   event(2, false, "b", "10.0.0.2:1", "asleep"),
-		"no address":         event(2, false, "b", "", "ready"),
+		"an unknown state":   event(2, "b", "10.0.0.2:1", "asleep"),
+		"no address":         event(2, "b", "", "ready"),
 		"not even an object": "two",
 	} {
 		s := newState(t)
@@ -259,7 +268,7 @@
 		if _, err := s.HandleLine([]byte(bad)); err != nil {
 			t.Errorf("%s stays: %v", name, err)
 		}
-		effect, err := s.HandleLine([]byte(event(3, false, "a", "10.0.0.1:1", "draining")))
+		effect, err := s.HandleLine([]byte(event(3, "a", "10.0.0.1:1", "draining")))
 		if list := s.Endpoints(); err != nil || effect != EndpointsChanged || list[0].State != control.Draining {
 			t.Errorf("%s: then %v, %v, %v", name, effect, err, list)
 		}
@@ -282,7 +291,7 @@
 // A gap is requested once more before it counts as empty.
 func TestGapIsRequestedOnce(t *testing.T) {
 	s := newState(t)
-	gap := []byte(event(3, false, "b", "10.0.0.2:1", "ready"))
+	gap := []byte(event(3, "b", "10.0.0.2:1", "ready"))
 	if effect, err := s.HandleLine(gap); effect != Resubscribe || err != nil {
 		t.Errorf("the first time: %v, %v", effect, err)
 	}
@@ -303,9 +312,9 @@
 		return e
 	}
 	s := &State{}
-	history := History{Revision: 5, Events: []Event{text(event(1, true, "a", "10.0.0.1:1", "ready")),
-		text(event(2, false, "b", "10.0.0.2:1", "ready")),
-		text(event(4, false, "c", "10.0.0.3:1", "ready"))}}
+	history := History{Revision: 5, Events: []Event{text(fullEvent(1, "a", "10.0.0.1:1", "ready")),
+		text(event(2, "b", "10.0.0.2:1", "ready")),
+		text(event(4, "c", "10.0.0.3:1", "ready"))}}
 	if err := s.Restore(history); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -74,18 +74,18 @@
 	}
 }
 
-// BenchmarkFleetSize shows which costs grow with the number of servers: list is an event about one server through all
-// layers and one step; upkeep is a step with nothing but the maintenance due each half second.
+// BenchmarkFleetSize shows which costs grow with the number of servers: update is an event about one server through all
+// layers and one step; maintenance is a step with nothing but the maintenance due each half second.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
-		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("update/servers=%d", servers), func(b *testing.B) {
 			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				f.change(b, n, servers)
 			}
 		})
-		b.Run(fmt.Sprintf("upkeep/servers=%d", servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("maintenance/servers=%d", servers), func(b *testing.B) {
 			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for b.Loop() {
