--- a/internal/platform/serverfaults_test.go
+++ b/internal/platform/serverfaults_test.go
@@ -74,6 +74,11 @@
 					if took := time.Since(began); took > clientTimeout+500*time.Millisecond {
 						t.Errorf("the last answer came after %v", took)
 					}
+					for number, n := range answers {
+						if n != 1 {
+							t.Errorf("request %v has %d answers", number, n)
+						}
+					}
 				}
 				for _, c := range callers { // afterwards, so that this wait does not count as time to an answer
 					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
