--- a/internal/platform/answers_test.go
+++ b/internal/platform/answers_test.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"fmt"
-	"hollymast/internal/platformtest"
 	"os"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"hollymast/internal/platformtest"
 )
 
 // A request that was read completely is answered, whatever ends its connection. Each test here ends one in its own way.
--- a/internal/platform/badclients_test.go
+++ b/internal/platform/badclients_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"hollymast/internal/platformtest"
 	"net"
 	"sync"
 	"testing"
 	"time"
+
+	"hollymast/internal/platformtest"
 )
 
 // Whatever a client does, and whatever happens on its connection, each request has its one final answer. Each test here
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"hollymast/control"
 	"hollymast/internal/fleet"
 	"hollymast/internal/platformtest"
-
-	"github.com/rs/zerolog"
 )
 
 // The wall clock was ahead or behind when this router started, and is right when a server starts: the start time that
