--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkRemember is the copy of the learned state that is taken between two steps to be written.
+// BenchmarkLearnedState is the copy of the learned state that is taken between two steps to be written.
 func BenchmarkLearnedState(b *testing.B) {
 	c, now := crowdedCore()
 	for b.Loop() {
