--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -116,8 +116,8 @@
 	Success CallOutcome = iota
 	ConnectFailure
 	Rejection
-	ResetBefore // it runs
-	ResetAfter  // it ran
+	ResetBefore // the connection breaks before it runs
+	ResetAfter  // the connection breaks after it ran
 	AnswerLost
 	Unresponsive
 )
--- a/internal/modelserver/dedup.go
+++ b/internal/modelserver/dedup.go
@@ -14,7 +14,7 @@
 	waiting   []uint64 // exchanges of retries that came before its end
 }
 
-// maxKeys bounds the idempotency keys in memory: beyond it those whose window is over go.
+// maxKeys is the number of idempotency keys beyond which those whose window is over are removed.
 const maxKeys = 10_000
 
 // joinsEarlier reports whether an execution's idempotency key is known within its window. Otherwise it notes the key, where keys
--- a/internal/modelserver/replicas.go
+++ b/internal/modelserver/replicas.go
@@ -18,7 +18,7 @@
 
 func (r *replicas) total() int { return r.loaded + r.loading }
 
-// maxReplicasPerLoad bounds the replicas of one load.
+// maxReplicasPerLoad bounds the replicas of one load command; larger ones are rejected.
 const maxReplicasPerLoad = 16
 
 // Load has the server hold as many replicas as a load command asks for; respond is called when they are loaded or can't be.
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -50,7 +50,7 @@
 func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
-	old[len(old)-1] = event{} // lets go of what its function holds
+	old[len(old)-1] = event{} // so that what its function refers to can be collected
 	*q = old[:len(old)-1]
 	return e
 }
--- a/internal/simulation/servercall.go
+++ b/internal/simulation/servercall.go
@@ -19,7 +19,8 @@
 // noReplicas tells the core that the answer to a load command, if any, named no number of replicas.
 const noReplicas = -1
 
-// exchange sends something to a server and has end called with its response, or with what came instead; perhaps more than once.
+// exchange sends something to a server and calls end with its response, and at the timeout, or with the failure to reach it: end must
+// ignore all calls but the first.
 func (r *router) exchange(call *serverCall, timeout control.Micros, send func(*modelserver.Server, func(modelserver.Response)),
 	end func(control.Result, modelserver.Response)) {
 	none := modelserver.Response{Replicas: noReplicas}
