--- a/internal/chaostest/scenario.go
+++ b/internal/chaostest/scenario.go
@@ -44,8 +44,8 @@
 	SourceXDSDelta EndpointSource = "delta" // incremental
 )
 
-// EndpointSources lists all endpoint sources.
-var EndpointSources = []EndpointSource{SourceFile, SourceXDS, SourceXDSDelta}
+// endpointSources lists all endpoint sources.
+var endpointSources = []EndpointSource{SourceFile, SourceXDS, SourceXDSDelta}
 
 // ClientBehavior is how clients retry.
 type ClientBehavior string
@@ -73,8 +73,8 @@
 	StateOther  RouterState = "other"  // everything, learned under quite different load
 )
 
-// RouterStates lists all router states.
-var RouterStates = []RouterState{StateNone, StateLimits, StateKept, StateOld, StateOther}
+// routerStates lists all router states.
+var routerStates = []RouterState{StateNone, StateLimits, StateKept, StateOld, StateOther}
 
 // Bounds of a scenario: what one machine can run as processes and listeners on loopback, and what a simulation fits into memory.
 const (
@@ -106,9 +106,9 @@
 		ClientBehavior:   inifile.OneOf(section, "manners", ClientsUsual, ClientBehaviors...),
 		DampOverload:     section.Bool("damp_storms", true),
 		LibraryClients:   section.Int("clients", 20, 1, 20_000),
-		EndpointSource:   inifile.OneOf(section, "source", SourceFile, EndpointSources...),
+		EndpointSource:   inifile.OneOf(section, "source", SourceFile, endpointSources...),
 		TLS:              section.Bool("keys", false),
-		RouterState:      inifile.OneOf(section, "memory", StateNone, RouterStates...),
+		RouterState:      inifile.OneOf(section, "memory", StateNone, routerStates...),
 	}
 	if s.TLS && s.usesLibrary() {
 		section.Errorf("keys", "clients that behave as the library have no keys here")
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -40,7 +40,7 @@
 // Simulate runs a scenario in simulated time, with the balancer's decisions (a nil factory) or those of another policy. The
 // number of threads doesn't change the result.
 func Simulate(s *Scenario, threads int, newPolicy PolicyFactory) (*SimulationResult, error) {
-	plan, err := s.SimulationPlan()
+	plan, err := s.simulationPlan()
 	if err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 	r.InTime, r.WeightedInTime = share(inTime, len(outcomes)), weightInTime/max(1, weight)
 }
 
-// SimulationPlan gives the scenario as the simulation runs it: with the same calls, servers and settings as on sockets. An
+// simulationPlan gives the scenario as the simulation runs it: with the same calls, servers and settings as on sockets. An
 // error names a fault that can't be simulated.
-func (s *Scenario) SimulationPlan() (*simulation.Plan, error) {
+func (s *Scenario) simulationPlan() (*simulation.Plan, error) {
 	h := &harness{scenario: s}
 	for range s.Routers {
 		h.addresses = append(h.addresses, "127.0.0.1:1") // stands in the configuration only
