--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -16,7 +16,7 @@
 type cli struct {
 	program.CommonFlags
 	Paths    []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
-	Request  uint64   `name:"job" help:"The job's number, as in the router's log."`
+	Request  uint64   `name:"job" help:"The request's number, as in the router's log."`
 	ClientID string   `name:"request" help:"The request's own id."`
 	NameKey  string   `name:"name-key" help:"The router's name_key, for --request, if it was told one."`
 	At       int64    `help:"List the jobs decided about near a time, in microseconds since 1970 as in the log."`
@@ -28,7 +28,7 @@
 
 func main() {
 	var c cli
-	program.Parse(&c, "hmexplain", `Tells from a recording why the decisions about one job came out as they did.
+	program.Parse(&c, "hmexplain", `Tells from a recording why the decisions about one request came out as they did.
 
 Examples:
 
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -15,9 +15,9 @@
 type cli struct {
 	program.CommonFlags
 	Paths []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
-	From  uint64   `help:"First turn to compare."`
-	Until uint64   `help:"Last turn; 0: the end."`
-	Job   uint64   `help:"Only decisions for this job."`
+	From  uint64   `help:"First step to compare."`
+	Until uint64   `help:"Last step; 0: the end."`
+	Job   uint64   `help:"Only decisions for this request."`
 	Show  bool     `help:"Print each decision."`
 
 	Against string `help:"Another build's hmreplay: plays the same recordings, and the two are held against each other." type:"path"`
@@ -31,7 +31,7 @@
 
   hmreplay REC                               exit 1 at the first difference
 
-  hmreplay REC --job 300 --show              what was decided about a job`)
+  hmreplay REC --job 300 --show              what was decided about a request`)
 	program.Exit("hmreplay", c.run())
 }
 
@@ -68,14 +68,14 @@
 
 func printSummary(s replay.Summary, duration time.Duration) {
 	played := time.Duration(s.Last-s.First) * time.Microsecond
-	fmt.Printf("%d segments, %d turns, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n",
+	fmt.Printf("%d segments, %d steps, %d decisions compared; %s of the router's time in %s, %.0f times as fast\n",
 		s.Segments, s.Steps, s.Commands, played.Round(time.Millisecond), duration.Round(time.Millisecond), played.Seconds()/duration.Seconds())
 	if s.Stalls > 0 {
-		fmt.Printf("the router stood still %d times for over a second, for %s at the longest\n",
+		fmt.Printf("the router was stalled %d times for over a second, %s at the longest\n",
 			s.Stalls, time.Duration(s.LongestStall)*time.Microsecond)
 	}
 	if s.LostSteps > 0 {
-		fmt.Printf("%d turns were lost by the recording\n", s.LostSteps)
+		fmt.Printf("%d steps were lost by the recording\n", s.LostSteps)
 	}
 	for _, damage := range s.Damaged {
 		fmt.Println(damage)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -19,7 +19,7 @@
 }
 
 // ErrNoDecision says that the recording holds no decision about the request.
-var ErrNoDecision = errors.New("the recording holds no decision about this job")
+var ErrNoDecision = errors.New("the recording holds no decision about this request")
 
 // Request explains all decisions about a request; with a change, the first one as recorded and as it would have been.
 func Request(files []string, q Question) (decisions []Decision, err error) {
