--- a/internal/fakeserver/authority/authority.go
+++ b/internal/fakeserver/authority/authority.go
@@ -57,6 +57,16 @@
 func newAuthority(name string, issuer *Authority) *Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must(err)
+	return &Authority{cert: certify(name, key, issuer), key: key, serial: 1}
+}
+
+// Reissued returns the PEM of another self-signed certificate of the authority, with the same name and key.
+func (a *Authority) Reissued() []byte {
+	return encodePEM("CERTIFICATE", certify(a.cert.Subject.CommonName, a.key, nil).Raw)
+}
+
+// certify returns an authority's certificate signed by its parent; nil: by itself.
+func certify(name string, key *ecdsa.PrivateKey, issuer *Authority) *x509.Certificate {
 	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name},
 		NotBefore: time.Now().Add(-authorityValidity), NotAfter: time.Now().Add(authorityValidity),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
@@ -69,7 +79,7 @@
 	must(err)
 	cert, err := x509.ParseCertificate(der)
 	must(err)
-	return &Authority{cert: cert, key: key, serial: 1}
+	return cert
 }
 
 func must(err error) {
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -81,7 +81,7 @@
 // restored by accident must not make a revoked certificate good.
 func (v *Verifier) checkNoRevocationLost(authorities []*x509.Certificate, lists []*revocationList) error {
 	for _, old := range v.revocations {
-		if !slices.ContainsFunc(authorities, old.signer.Equal) {
+		if !slices.ContainsFunc(authorities, func(c *x509.Certificate) bool { return sameAuthority(old.signer, c) }) {
 			continue
 		}
 		i := slices.IndexFunc(lists, func(l *revocationList) bool { return l.issuer == old.issuer })
@@ -95,11 +95,17 @@
 	return nil
 }
 
+// sameAuthority reports whether two certificates are of one authority: the same name and key. It guards against a revoked
+// certificate that is good by the path over another certificate of its authority, as after a reissue.
+func sameAuthority(a, b *x509.Certificate) bool {
+	return bytes.Equal(a.RawSubject, b.RawSubject) && bytes.Equal(a.RawSubjectPublicKeyInfo, b.RawSubjectPublicKeyInfo)
+}
+
 // checkRevoked checks that no certificate of a verified path is revoked by the authority after it.
 func (v *Verifier) checkRevoked(path []*x509.Certificate) *PeerError {
 	for i, c := range path[:len(path)-1] {
 		for _, list := range v.revocations {
-			if list.signer.Equal(path[i+1]) && list.revoked[string(c.SerialNumber.Bytes())] {
+			if sameAuthority(list.signer, path[i+1]) && list.revoked[string(c.SerialNumber.Bytes())] {
 				return newPeerError(Revoked, "the certificate of %s, number %x, is revoked", subjectNames(c), c.SerialNumber)
 			}
 		}
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -81,3 +81,26 @@
 		t.Errorf("out of date: %v", err)
 	}
 }
+
+// A CRL counts for each certificate of the authority that signed it: a peer must not evade it by the path over another one.
+func TestRevocationCountsForReissuedAuthority(t *testing.T) {
+	a := authority.New("a")
+	issued := a.Issue(authority.Request{Names: []string{"127.0.0.1"}})
+	a.Revoke(issued.Serial)
+	crl := a.RevocationList(time.Now().Add(time.Hour))
+	for name, authorities := range map[string][]byte{
+		"the older first":    append(a.CertificatePEM(), a.Reissued()...),
+		"the reissued first": append(a.Reissued(), a.CertificatePEM()...),
+	} {
+		v := NewVerifier(nil)
+		if err := v.Update(authorities, crl); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := v.Verify(now(), parse(t, issued), Server, "127.0.0.1"); reasonOf(t, err) != Revoked {
+			t.Errorf("%s: %v", name, err)
+		}
+		if err := v.Update(a.Reissued(), nil); err == nil {
+			t.Errorf("%s: an authority that stays trusted by another certificate has lost its CRL", name)
+		}
+	}
+}
