--- /dev/null
+++ b/internal/platformtest/discovery.go
@@ -0,0 +1,137 @@
+package platformtest
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"hollymast/internal/discovery"
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Event returns a discovery event about one server. The first lists all servers.
+func Event(rev uint64, uid, address, state string) discovery.Event {
+	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
+		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
+}
+
+// Line returns an event as a discovery service writes it.
+func Line(e discovery.Event) []byte {
+	text, err := json.Marshal(e)
+	if err != nil {
+		panic(err) // plain values
+	}
+	return append(text, '\n')
+}
+
+// Discovery is a fake discovery service. It sends each watcher the events that it subscribes to, and a heartbeat each
+// second.
+type Discovery struct {
+	listener      net.Listener
+	mu            sync.Mutex
+	events        []discovery.Event
+	watchers      map[net.Conn]struct{}
+	subscriptions []time.Time
+	written       int64 // bytes, to all watchers
+	ended         chan struct{}
+	script        func(c net.Conn, nth int) (handled bool)
+}
+
+// NewDiscovery starts a discovery service that ends with the test. script, if not nil, is called first with the nth watch,
+// counted from 1.
+func NewDiscovery(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Discovery {
+	t.Helper()
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
+	acceptEach(t, l, d.watch)
+	t.Cleanup(func() { close(d.ended) }) // before the connections are waited for
+	return d
+}
+
+// Address returns the address that it listens on.
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
+
+// Subscriptions returns the time of each subscription.
+func (d *Discovery) Subscriptions() []time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.subscriptions)
+}
+
+// Publish adds an event and writes it to all watchers. It returns the time from which the event counts as announced.
+func (d *Discovery) Publish(e discovery.Event) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, e)
+	announced := time.Now()
+	for c := range d.watchers {
+		d.write(c, Line(e))
+	}
+	return announced
+}
+
+// write writes to a watcher. The lock is held.
+func (d *Discovery) write(c net.Conn, text []byte) error {
+	n, err := c.Write(text)
+	d.written += int64(n)
+	return err
+}
+
+// Written returns how many bytes it wrote to all watchers.
+func (d *Discovery) Written() int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.written
+}
+
+func (d *Discovery) watch(c net.Conn) {
+	line, err := bufio.NewReader(c).ReadString('\n')
+	if err != nil {
+		return
+	}
+	var revision uint64 // of the last event that the watcher has
+	fmt.Sscanf(line, "watch %d", &revision)
+	d.mu.Lock()
+	d.subscriptions = append(d.subscriptions, time.Now())
+	nth := len(d.subscriptions)
+	d.mu.Unlock()
+	if d.script != nil && d.script(c, nth) {
+		return
+	}
+	d.mu.Lock()
+	for _, e := range d.events {
+		if e.Revision > revision {
+			d.write(c, Line(e))
+		}
+	}
+	d.watchers[c] = struct{}{}
+	d.mu.Unlock()
+	defer func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		delete(d.watchers, c)
+	}()
+	for d.heartbeat(c) {
+		select {
+		case <-time.After(time.Second):
+		case <-d.ended:
+			return
+		}
+	}
+}
+
+func (d *Discovery) heartbeat(c net.Conn) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var last uint64
+	if n := len(d.events); n > 0 {
+		last = d.events[n-1].Revision
+	}
+	return d.write(c, fmt.Appendln(nil, last)) == nil
+}
--- /dev/null
+++ b/internal/platformtest/modelserver.go
@@ -0,0 +1,140 @@
+package platformtest
+
+import (
+	"bufio"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Received is one frame as a model server received it.
+type Received struct {
+	Code   byte
+	At     time.Time // of its first byte
+	Fields string
+}
+
+// ModelServer is a fake model server: it has everything loaded and answers each attempt with its body.
+type ModelServer struct {
+	listener net.Listener
+	mu       sync.Mutex
+	received []Received
+	accepted int
+	held     []func()                        // write the answers that wait
+	hold     func(frame []byte) (now []byte) // the part of an answer that is written at once; nil: all
+}
+
+// NewModelServer starts a model server that ends with the test.
+func NewModelServer(t testing.TB) *ModelServer { return NewModelServerAt(t, "127.0.0.1:0") }
+
+// NewModelServerAt starts a model server at an address; at 0.0.0.0 it serves all addresses 127.x.y.z, as many servers.
+func NewModelServerAt(t testing.TB, address string) *ModelServer {
+	t.Helper()
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &ModelServer{listener: l}
+	acceptEach(t, l, s.serve)
+	return s
+}
+
+// Address returns the address that it listens on.
+func (s *ModelServer) Address() string { return s.listener.Addr().String() }
+
+// Accepted returns the number of connections so far.
+func (s *ModelServer) Accepted() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepted
+}
+
+// Received returns the frames so far.
+func (s *ModelServer) Received() []Received {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.received)
+}
+
+// LoadCommands returns the number of load commands so far.
+func (s *ModelServer) LoadCommands() int {
+	n := 0
+	for _, frame := range s.Received() {
+		if frame.Code == LoadCode {
+			n++
+		}
+	}
+	return n
+}
+
+// Hold makes answers wait until Release.
+func (s *ModelServer) Hold() { s.holdBack(func([]byte) []byte { return nil }) }
+
+// HoldHalf makes the second half of answers wait until Release.
+func (s *ModelServer) HoldHalf() {
+	s.holdBack(func(frame []byte) []byte { return frame[:len(frame)/2] })
+}
+
+func (s *ModelServer) holdBack(hold func(frame []byte) (now []byte)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.hold = hold
+}
+
+// Release writes all that waits.
+func (s *ModelServer) Release() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.hold = nil
+	for _, answer := range s.held {
+		answer()
+	}
+	s.held = nil
+}
+
+func (s *ModelServer) answer(c net.Conn, frame []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.hold != nil {
+		now := s.hold(frame)
+		c.Write(now)
+		s.held = append(s.held, func() { c.Write(frame[len(now):]) })
+		return
+	}
+	c.Write(frame)
+}
+
+func (s *ModelServer) serve(c net.Conn) {
+	s.mu.Lock()
+	s.accepted++
+	s.mu.Unlock()
+	in := bufio.NewReader(c)
+	for {
+		if _, err := in.Peek(1); err != nil {
+			return
+		}
+		at := time.Now()
+		f, err := ReadFrame(in)
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.received = append(s.received, Received{f.Code, at, f.Fields})
+		s.mu.Unlock()
+		switch f.Code {
+		case AttemptCode:
+			s.answer(c, AnswerFrame(codeOK, f.ID, "remark=resident", f.Body))
+		case LoadCode:
+			replicas := "1"
+			for field := range strings.SplitSeq(f.Fields, ",") {
+				if value, ok := strings.CutPrefix(field, "pods="); ok {
+					replicas = value
+				}
+			}
+			s.answer(c, AnswerFrame(codeOK, f.ID, "pods="+replicas, nil))
+		}
+	}
+}
