--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -18,8 +18,8 @@
 	Address     string
 	Credentials credentials.TransportCredentials // nil: plain text
 	Service     Service
-	Delta       bool   // the incremental variant of aggregated discovery
-	Seed        uint64 // of the random part of the backoff
+	Variant     Variant // of aggregated discovery
+	Seed        uint64  // of the random part of the backoff
 	Now         func() control.Micros
 	// Refresh asks for all that has arrived to be handled; the channel received is closed once it is. It may be nil.
 	Refresh <-chan chan struct{}
@@ -71,7 +71,7 @@
 			urgentUntil = time.Now().Add(t.Grace)
 		}
 		wait := backoff.NextWithin(t.maxWait(urgentUntil))
-		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next try is in " + wait.Round(time.Millisecond).String())
+		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next attempt is in " + wait.Round(time.Millisecond).String())
 		t.wait(ctx, protocol, wait)
 	}
 	return nil
--- a/internal/xds/view_test.go
+++ b/internal/xds/view_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// What one router sees another reads alike, by either variant.
+// What one router's view holds another router reads, by either variant.
 func TestClientFollowsView(t *testing.T) {
-	for _, delta := range []bool{false, true} {
+	for name, variant := range variants {
 		v, err := NewView("127.0.0.1:0", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -26,7 +26,7 @@
 		facts := make(chan []membership.Server, 100)
 		done := make(chan error, 1)
 		go func() {
-			done <- Transport{Address: v.Address(), Delta: delta, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", delta, DefaultBounds))
+			done <- Transport{Address: v.Address(), Variant: variant, Now: now, OnUpdate: func(control.Micros) { facts <- m.Servers() }, Log: func(string) {}}.Run(ctx, NewClient(m, "r", "", variant, DefaultBounds))
 		}()
 		await := func(want []membership.Endpoint) {
 			t.Helper()
@@ -41,7 +41,7 @@
 						}
 					}
 				case <-end:
-					t.Fatalf("delta %t: got %+v, want %+v", delta, got, want)
+					t.Fatalf("%s: got %+v, want %+v", name, got, want)
 				}
 			}
 		}
@@ -49,7 +49,7 @@
 			{Address: "127.0.0.2:80", Health: membership.Unhealthy, Weight: 100, Zone: "b"}, {Address: "127.0.0.3:80", Health: membership.Draining, Weight: 100}}
 		await(want)
 		again := slices.Clone(seen)
-		again[1].InFlight = 1 // too little a change to be told
+		again[1].InFlight = 1 // a change of loads alone, too soon after the last version
 		if err := v.Publish(2, again); err != nil || v.version != 1 {
 			t.Errorf("version %d, %v", v.version, err)
 		}
