--- a/internal/platformtest/discovery.go
+++ b/internal/platformtest/discovery.go
@@ -4,12 +4,13 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
-	"hollymast/internal/discovery"
 	"net"
 	"slices"
 	"sync"
 	"testing"
 	"time"
+
+	"hollymast/internal/discovery"
 )
 
 // Event returns a discovery event about one server. The first lists all servers.
