--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -315,8 +315,8 @@
 	return value
 }
 
-// ChangesNeedingRestart returns the fields of the configuration that differ and can't change while the gateway runs: all but the
-// log level.
+// ChangesNeedingRestart returns the fields of the configuration that differ and can't change while the gateway runs:
+// all but the log level.
 func ChangesNeedingRestart(old, changed *Config) []string {
 	var names []string
 	a, b := reflect.ValueOf(*old), reflect.ValueOf(*changed)
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -46,7 +46,7 @@
 	tg := newTestGateway(t, serverOptions(0))
 	s := make(chan *serverCall)
 	tg.gateway.loop.Post(func(now control.Micros) {
-		tg.gateway.loop.EndpointsAsOf = now - micros(tg.gateway.config.GracePeriod) // the process was stopped after the look
+		tg.gateway.loop.EndpointsAsOf = now - micros(tg.gateway.config.GracePeriod) // the process was stalled after the read
 		s <- tg.gateway.newCall(fleet.ID(tg.servers[0].Address()), 1_000_000)
 	})
 	old := <-s
@@ -68,14 +68,14 @@
 	if answer := tg.call("1", "forecast-1", time.Second); answer != "finished" {
 		t.Fatalf("got %q", answer)
 	}
-	// From now on the list is a pipe, and a look lasts until somebody writes.
+	// From now on the endpoint file is a pipe, and a read lasts until it is written.
 	if err := os.Remove(tg.endpointFile); err != nil {
 		t.Fatal(err)
 	}
 	if err := syscall.Mkfifo(tg.endpointFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // the look ends before the router does
+	t.Cleanup(func() { // the read ends before the router does
 		writer, err := os.OpenFile(tg.endpointFile, os.O_WRONLY, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -109,7 +109,7 @@
 	}
 	tg.writeEndpoints("ready")
 	look()
-	time.Sleep(100 * time.Millisecond) // the list stands
+	time.Sleep(100 * time.Millisecond) // the list stays in force
 	complete := look()
 	list := fmt.Sprintf("[0]\naddress = %s\n[1]\naddress = %s\nborn = %s\n", tg.servers[0].Address(), tg.servers[1].Address(),
 		time.Now().Add(-time.Hour).UTC().Format(time.RFC3339Nano))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 	config      *Config
 	log         zerolog.Logger
 	loop        *eventloop.Loop // its clock, Post and PostEndpoints are shared, the rest is the event loop's
-	incarnation string          // tells idempotency keys that this process makes from those of others
+	incarnation string          // distinguishes the idempotency keys that this process makes
 	via         string          // names this router to servers (RFC 9110, section 7.6.3)
 	metrics     *metrics
 
@@ -44,9 +44,9 @@
 	lastID           control.RequestID
 	pools            map[control.ServerID]*serverPool
 	openLoadCommands int                        // not answered yet
-	prunedAt         control.Micros             // when idle connections and removed servers were last looked for
+	prunedAt         control.Micros             // when prune last ran
 	afterStepFuncs   []func(now control.Micros) // to be called after this step
-	pendingRead      chan struct{}              // closed when the requested read of the endpoints' source has ended; nil: none yet
+	pendingRead      chan struct{}              // closed when the last requested read of the source has ended
 	stopping         bool
 	recordWriter     *record.Writer   // nil: nothing is recorded
 	recorder         *record.Recorder // of recordWriter
@@ -59,16 +59,16 @@
 	keysUnknownUntil control.Micros
 
 	// Shared with other goroutines.
-	sourceCompleteAsOf atomic.Int64 // when the endpoints' source was complete, as its reader knows it; 0: never
-	sourceReads        chan chan struct{}
-	readRequested      atomic.Bool // the endpoints' source is read before the next step, however fresh the list is
-	ready              atomic.Bool // an endpoint list was read, and requests are accepted
-	stopRequestedAt    atomic.Int64
-	bodyBytes          atomic.Int64 // of the request bodies in memory
-	clientCount        atomic.Int64 // client connections
-	clientConns        sync.Map     // of *rest.Conn
-	dialing            chan struct{}
-	dial               func(ctx context.Context, address string) (*rest.Client, error) // to a server; tests replace it
+	sourceCompleteAsOf atomic.Int64                                                    // when the endpoints' source was complete, as its reader knows it; 0: never
+	sourceReads        chan chan struct{}                                              // requests to read the endpoints' source; each is closed once it was read
+	readRequested      atomic.Bool                                                     // the endpoints' source is read before the next step, however fresh the list is
+	ready              atomic.Bool                                                     // an endpoint list was read, and requests are accepted
+	stopRequestedAt    atomic.Int64                                                    // on the router's clock; 0: not stopping
+	bodyBytes          atomic.Int64                                                    // of the request bodies in memory
+	clientCount        atomic.Int64                                                    // client connections
+	clientConns        sync.Map                                                        // of *rest.Conn
+	dialing            chan struct{}                                                   // semaphore: connections that are being dialled
+	dial               func(ctx context.Context, address string) (*rest.Client, error) // tests replace it
 	certStores         map[string]*certstore.Store                                     // by kind of connection
 	lastTLSErrors      sync.Map                                                        // by server address
 	loadReporter       *loadReporter                                                   // nil: loads are not reported to a control plane
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -21,7 +21,7 @@
 
 // historyBatch is rows to be added once.
 type historyBatch struct {
-	number uint64 // tells the store a batch that it has already
+	number uint64 // by which the store recognizes a batch that it has already
 	rows   []history.Row
 }
 
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -50,9 +50,9 @@
 		{"ticket-1", "sent", invariant.Failed, 0},
 		{"ticket-1", "proved", invariant.Succeeded, 1},
 		{"ticket-1", "new", invariant.Succeeded, 1},
-		{"ticket-1", "new", invariant.Failed, 0}, // asked again of the same life
+		{"ticket-1", "new", invariant.Failed, 0}, // again in the same incarnation
 		{"ticket-2", "sent", invariant.Succeeded, 1},
-		{"booking-1", "late", invariant.Rejected, 0}, // its window is over; no execution does harm in a window of the whole fleet
+		{"booking-1", "late", invariant.Rejected, 0}, // its window is over, so it is not attempted again
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
@@ -131,7 +131,7 @@
 
 // The wall clock is stepped between two incarnations, in one boot: a request that must not be repeated and may have run
 // stays known for its time, and the window of one with an idempotency key is one of real time. What was sent before another
-// boot lies beyond every window, and is known as well.
+// boot is beyond every window, and is known as well.
 func TestRetriesAfterClockStep(t *testing.T) {
 	const hour = 3_600_000_000
 	for _, c := range []struct {
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -27,7 +27,8 @@
 	return max(1, xxhash.Sum64String(key))
 }
 
-// spreadRetryAfter returns the pause that a client whose request the core rejects is told, spread in an overload.
+// spreadRetryAfter returns the time to retry after for a request that the core rejects; in an overload it varies, so that
+// clients do not return all at once.
 func (g *Gateway) spreadRetryAfter(req *request, retryAfter control.Micros) control.Micros {
 	if g.overload == nil {
 		return retryAfter
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -50,8 +50,8 @@
 const reasonStopping = "this router is stopping"
 
 // functionID returns a function's id. It is the same in every router, since all share one order of servers for a
-// function. With a key, which all routers must be configured with alike, nobody without it can check guessed names
-// against the ids in a recording.
+// function. With a key, which must be the same in all routers, the ids in a recording can be checked against
+// guessed names only with that key.
 func functionID(key, name string) control.FunctionID {
 	return control.FunctionID(record.Tag(key, name))
 }
@@ -174,7 +174,8 @@
 func (g *Gateway) Reject(id control.RequestID, retryAfter control.Micros) {
 	g.decisions.add(g.loop.StepTime, record.Command{Kind: record.CommandReject, Request: id, Time: retryAfter})
 	req := g.requests[id]
-	g.finish(req, answerRejected, rejection("not now: it could not be finished in time", g.spreadRetryAfter(req, retryAfter)))
+	retryAfter = g.spreadRetryAfter(req, retryAfter)
+	g.finish(req, answerRejected, rejection("not now: it could not be finished in time", retryAfter))
 }
 
 // Fail ends a request that may have run and must not be repeated.
@@ -197,7 +198,9 @@
 	call := g.newCall(command.Server, micros(g.config.LoadTimeout))
 	call.load = command
 	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a rate limit a restart need not know of it
-		call.journalBatch = g.state.Append(persistence.Entry{Kind: persistence.EntryLoadCommand, At: g.loop.StepTime, Server: command.Server})
+		call.journalBatch = g.state.Append(persistence.Entry{
+			Kind: persistence.EntryLoadCommand, At: g.loop.StepTime, Server: command.Server,
+		})
 	}
 	call.message = &rest.Request{
 		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
@@ -207,7 +210,8 @@
 	g.metrics.loadCommands.Inc()
 	g.historyLoadCommand(req)
 	g.decisions.add(g.loop.StepTime, record.Command{
-		Kind: record.CommandLoad, Request: coreReq.ID, Server: command.Server, Function: command.Function, Replicas: command.Replicas,
+		Kind: record.CommandLoad, Request: coreReq.ID, Server: command.Server, Function: command.Function,
+		Replicas: command.Replicas,
 	})
 	g.dispatch(call)
 }
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -78,7 +78,7 @@
 		call.conn = &serverConn{gateway: g, address: pool.address, calls: make(chan *serverCall, 1)}
 		g.serverConns.Go(call.conn.run)
 	case attempt.NoneLeft: // reported in the next step, since the core is still deciding in this one
-		g.loop.Post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}, false) })
+		g.loop.Post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}) })
 		return
 	}
 	call.conn.calls <- call
@@ -89,6 +89,7 @@
 	result   control.Result
 	response *rest.Response // nil: none was read
 	duration time.Duration
+	connOpen bool // its connection can be used again
 }
 
 // clientWaits reports whether the client of a request, if there is one, still waits. It guards against an attempt that
@@ -116,17 +117,17 @@
 	return left > 0
 }
 
-// callEnded handles the end of a call. connOpen tells whether its connection can be used again.
-func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult, connOpen bool) {
+// callEnded handles the end of a call.
+func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult) {
 	pool := g.pools[call.to]
 	delete(pool.open, call)
 	call.progress.End()
 	if call.conn != nil {
-		switch keep := pool.conns.Release(connOpen, g.isListed(call.to)); {
+		switch keep := pool.conns.Release(result.connOpen, g.isListed(call.to)); {
 		case keep:
 			call.conn.idleSince = now
 			pool.idle = append(pool.idle, call.conn)
-		case connOpen:
+		case result.connOpen:
 			close(call.conn.calls)
 		}
 	}
--- a/internal/gateway/serverconn.go
+++ b/internal/gateway/serverconn.go
@@ -30,9 +30,8 @@
 	for call := range sc.calls {
 		result := sc.exchange(call)
 		call.cancel()
-		open := sc.client.Load() != nil
-		sc.gateway.loop.Post(func(now control.Micros) { sc.gateway.callEnded(now, call, result, open) })
-		if !open {
+		sc.gateway.loop.Post(func(now control.Micros) { sc.gateway.callEnded(now, call, result) })
+		if !result.connOpen {
 			return
 		}
 	}
@@ -41,11 +40,11 @@
 	}
 }
 
-// exchange carries one call, and measures its duration.
+// exchange carries one call, measures its duration, and finds whether the connection can be used again.
 func (sc *serverConn) exchange(call *serverCall) callResult {
 	begun := time.Now()
 	result := sc.send(call)
-	result.duration = time.Since(begun)
+	result.duration, result.connOpen = time.Since(begun), sc.client.Load() != nil
 	return result
 }
 
@@ -91,7 +90,7 @@
 	sc.client.Store(nil)
 }
 
-// errNotDialled tells that a call ended while it waited to dial: nothing is known about the server.
+// errNotDialled is the error of a call that ended while it waited to dial: nothing is known about the server.
 var errNotDialled = errors.New("withdrawn")
 
 // dial connects, as soon as one more connection may be dialled. Failures that say nothing about the server are retried until
--- a/internal/gateway/serverpool.go
+++ b/internal/gateway/serverpool.go
@@ -60,8 +60,7 @@
 	pool.idle = kept
 }
 
-// pruneInterval is how often idle connections and removed servers are looked for, in microseconds: idle timeouts are
-// many seconds.
+// pruneInterval is how often prune runs, in microseconds: idle timeouts are many seconds.
 const pruneInterval = 1_000_000
 
 // prune closes connections that have been idle for longer than the timeout, and forgets removed servers whose
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -65,8 +65,9 @@
 	})
 }
 
-// answerOpen answers every request in flight: the kill would leave it without an answer. A request that was never written, or
-// that is safe to repeat, is rejected, so that its client can use the time left with another router; any other fails.
+// answerOpen answers every request in flight: the kill would leave it without an answer. A request that was never
+// written, or that is safe to repeat, is rejected, so that its client can use the time left with another router; any
+// other fails.
 func (g *Gateway) answerOpen(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		req := g.requests[id]
@@ -85,7 +86,7 @@
 	}
 }
 
-// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they serve nobody here.
+// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they are of no use here.
 func (g *Gateway) cancelLoadCommands() {
 	for _, pool := range g.pools {
 		for call := range pool.open {
@@ -111,7 +112,8 @@
 		g.core.SetRecorder(nil)
 		g.recorder = nil
 		g.recordWriter.Close()
-		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
+		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).
+			Msg("recording ended")
 	}
 	g.closePools()
 	ended := make(chan struct{})
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -59,7 +59,7 @@
 	if answer := both.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
 		t.Error(answer)
 	}
-	// What it does there the first one learns from its reports, with what the server told of its load.
+	// The first router learns what the second has sent from its load reports, with the load that the server stated.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		lines, nodes := tg.gateway.view.ReportedLoads()
 		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
