--- a/control/balancer.go
+++ b/control/balancer.go
@@ -16,7 +16,7 @@
 	deployment    Deployment
 	random        pcg
 	startedAt     Micros
-	servers       []*server // by ascending ID
+	servers       serverList
 	functions     map[FunctionID]*function
 	functionOrder []*function // in order of first use
 	waiting       []*function // functions with requests held or shed since the last replica check
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -18,7 +18,7 @@
 func fleet(config Deployment, n int) *Balancer {
 	r := New(0, 1, config)
 	for i := range n {
-		r.servers = append(r.servers, &server{listed: true,
+		r.servers.insert(&server{listed: true,
 			Endpoint: Endpoint{Server: ServerID(i + 1), State: Ready, Weight: 1}})
 	}
 	r.rebuildIndex()
@@ -32,7 +32,7 @@
 
 // stands gives a server a loaded replica of function 7 with the given number of our attempts in flight there.
 func stands(r *Balancer, server, out int) *instance {
-	inst := r.function(newJob(0)).instanceOn(r.servers[server-1], true)
+	inst := r.function(newJob(0)).instanceOn(r.servers.at(server-1), true)
 	inst.replicas, inst.lastUsed, inst.inFlight = 1, at, out
 	return inst
 }
@@ -78,7 +78,7 @@
 		r := fleet(config, 1)
 		inst := stands(r, 1, 0)
 		inst.replicas, inst.loading, inst.loadingSince, inst.lastUsed = c.copies, c.loading, at, c.used
-		r.servers[0].concurrencyLimit = 100
+		r.servers.at(0).concurrencyLimit = 100
 		if got := r.slots(at, inst, r.functions[7], r.slotsPerLane(r.functions[7], newJob(1))); got != c.want {
 			t.Errorf("%s: got %d slots, want %d", c.name, got, c.want)
 		}
@@ -122,7 +122,7 @@
 	} {
 		r := fleet(deployment(), 2)
 		stands(r, 1, 18)
-		r.servers[0].concurrencyLimit = 100
+		r.servers.at(0).concurrencyLimit = 100
 		r.loadTimes.add(at, 2*second)
 		f := r.functions[7]
 		f.held, f.heldSince, f.lastRequest = c.held, c.since, newJob(1)
@@ -143,7 +143,7 @@
 	} {
 		r := fleet(deployment(), 2)
 		stands(r, 1, 0)
-		harm(r.servers[0])
+		harm(r.servers.at(0))
 		if p := r.Route(at, newJob(1)); p.Action != Forward || p.Server != 2 {
 			t.Errorf("%s: got %+v, want a load on server 2", name, p)
 		}
@@ -154,13 +154,13 @@
 func TestLateJobGivesWayOnACrowdedServer(t *testing.T) {
 	r := fleet(deployment(), 1)
 	stands(r, 1, 1)
-	r.servers[0].concurrencyLimit, r.servers[0].running = 10, 6
+	r.servers.at(0).concurrencyLimit, r.servers.at(0).running = 10, 6
 	req := newJob(1)
 	req.ArrivedAt = at - 850_000
 	if p := r.Route(at, req); p.Action != Reject {
 		t.Errorf("crowded: got %+v, want it pushed back", p)
 	}
-	r.servers[0].running = 1
+	r.servers.at(0).running = 1
 	if p := r.Route(at, req); p.Action != Forward {
 		t.Errorf("free: got %+v, want it sent", p)
 	}
@@ -169,7 +169,7 @@
 // Replicas of many functions share a server's cores: queueing there must lower its concurrency limit.
 func TestWindowNarrowsWithQueueing(t *testing.T) {
 	r := fleet(deployment(), 1)
-	s := r.servers[0]
+	s := r.servers.at(0)
 	s.concurrencyLimit, s.running = 10, 9
 	r.adaptConcurrencyLimit(at, s, 100)
 	if s.concurrencyLimit <= 10 {
@@ -191,7 +191,7 @@
 	req := newJob(1)
 	req.Attempts = []Attempt{{Server: 1, SentAt: at - 1000, MayHaveRun: true}}
 	r.HandleOutcome(at, req, Outcome{Server: 1, Result: Overloaded})
-	if s := r.servers[0]; s.loadsAfter <= at || s.backoffUntil > at || inst.loading != 0 {
+	if s := r.servers.at(0); s.loadsAfter <= at || s.backoffUntil > at || inst.loading != 0 {
 		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadsAfter, s.backoffUntil, inst.loading)
 	}
 }
@@ -199,22 +199,22 @@
 func TestServerThatOwesAnswersIsSuspect(t *testing.T) {
 	r := fleet(deployment(), 4)
 	r.latencies.add(at, 100_000)
-	for i, s := range r.servers {
-		req := newJob(RequestID(i))
+	for s := range r.servers.all {
+		req := newJob(RequestID(s.Server))
 		req.Attempts = []Attempt{{Server: s.Server, MayHaveRun: true}}
 		s.inFlight = []inFlightAttempt{{request: req, sentAt: at - second, toLoaded: true}}
 		s.lastAnswer = at - 10_000
 	}
-	r.servers[2].lastAnswer = at - second
+	r.servers.at(2).lastAnswer = at - second
 	r.rebuildIndex()
 	r.ejectSilentServers(at)
-	if !r.servers[2].ejected || r.servers[1].ejected || len(r.cancellations) != 1 {
+	if !r.servers.at(2).ejected || r.servers.at(1).ejected || len(r.cancellations) != 1 {
 		t.Errorf("suspects wrong, or %d recalls, want 1", len(r.cancellations))
 	}
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		s.ejected, s.lastAnswer = false, at-second
 	}
-	if r.ejectSilentServers(at); r.servers[0].ejected {
+	if r.ejectSilentServers(at); r.servers.at(0).ejected {
 		t.Error("where all owe answers none is to blame")
 	}
 }
@@ -297,7 +297,7 @@
 // Rule 4: a server in slow start gets our fraction of its budget, and many routers alternate.
 func TestColdBudget(t *testing.T) {
 	r := fleet(deployment(), 2)
-	cold := r.servers[1]
+	cold := r.servers.at(1)
 	for i := range 400 { // 20 answers per second from each server
 		r.answers = append(r.answers, at-second+Micros(i))
 	}
@@ -324,12 +324,12 @@
 		config := deployment()
 		config.Routers, config.Number = 200, number
 		r := fleet(config, 2)
-		r.servers[1].StartedAt = at - second
+		r.servers.at(1).StartedAt = at - second
 		r.rebuildIndex()
 		// A tenth of an answer per second from each of 200 servers: 20 in all.
 		r.answers = []Micros{at - second, at - second}
 		r.updateAnswerRate(at)
-		if r.withinSlowStartBudget(at, r.servers[1]) {
+		if r.withinSlowStartBudget(at, r.servers.at(1)) {
 			let++
 		}
 	}
@@ -368,7 +368,7 @@
 // A flaky network breaks some connections while other requests are answered: that is no crash.
 func TestOneBreakIsNoDeath(t *testing.T) {
 	r := fleet(deployment(), 1)
-	inst, s := stands(r, 1, 0), r.servers[0]
+	inst, s := stands(r, 1, 0), r.servers.at(0)
 	inst.lastUsed = at - 1000
 	r.latencies.add(at, 100_000)
 	s.lastAnswer = at - 1000
@@ -426,7 +426,7 @@
 func TestFurtherCopyOnlyWhereThereIsRoom(t *testing.T) {
 	r := fleet(deployment(), 2)
 	stands(r, 1, 0)
-	full, s := r.servers[0], r.servers[1]
+	full, s := r.servers.at(0), r.servers.at(1)
 	full.concurrencyLimit, full.running = 10, 9
 	s.concurrencyLimit, s.running = 10, 8
 	if got := r.loadTarget(at, r.functions[7], newJob(1), additionalReplica); got != nil {
@@ -442,7 +442,7 @@
 // probe request.
 func TestSuspectsComeBack(t *testing.T) {
 	r := fleet(deployment(), 1)
-	s := r.servers[0]
+	s := r.servers.at(0)
 	s.ejected, s.probeAt = true, at+second
 	if p := r.Route(at, newJob(1)); p.Action != Hold {
 		t.Errorf("got %+v before a trial is due", p)
@@ -602,7 +602,7 @@
 // The probe requests of many routers must not add up to a silent server's normal traffic.
 func TestTrialsAreRarerWhereAnswersAre(t *testing.T) {
 	r := fleet(deployment(), 1)
-	s := r.servers[0]
+	s := r.servers.at(0)
 	s.ejections = 1
 	if got := r.probeInterval(s); got != second {
 		t.Errorf("first trial after %d, want a second", got)
@@ -622,9 +622,9 @@
 		req.Function = FunctionID(i)
 		r.function(req)
 	}
-	inst := r.functions[1].instanceOn(r.servers[0], true)
+	inst := r.functions[1].instanceOn(r.servers.at(0), true)
 	inst.replicas, inst.lastUsed = 1, at
-	r.functions[2].instanceOn(r.servers[0], true).inFlight = 1
+	r.functions[2].instanceOn(r.servers.at(0), true).inFlight = 1
 	r.functions[3].held, r.functions[3].waiting = 1, true
 	for range 100 {
 		r.prune(at)
@@ -644,18 +644,18 @@
 	stands(r, 1, 0)
 	r.UpdateEndpoints(at, FullUpdate, []Endpoint{{Server: 2, State: Ready}})
 	r.prune(at + 60*second)
-	if len(r.servers) != 2 {
+	if r.servers.len != 2 {
 		t.Error("forgotten after a minute")
 	}
-	r.servers[0].inFlight = []inFlightAttempt{{}}
+	r.servers.at(0).inFlight = []inFlightAttempt{{}}
 	r.prune(at + 3600*second)
-	if len(r.servers) != 2 {
+	if r.servers.len != 2 {
 		t.Error("forgotten with an execution out")
 	}
-	r.servers[0].inFlight = nil
+	r.servers.at(0).inFlight = nil
 	r.prune(at + 3600*second)
-	if len(r.servers) != 1 || len(r.functions[7].instances) != 0 {
-		t.Errorf("%d servers, %d instances", len(r.servers), len(r.functions[7].instances))
+	if r.servers.len != 1 || len(r.functions[7].instances) != 0 {
+		t.Errorf("%d servers, %d instances", r.servers.len, len(r.functions[7].instances))
 	}
 }
 
@@ -769,10 +769,10 @@
 	for id := range RequestID(3) {
 		req := newJob(id)
 		req.Attempts = []Attempt{{Server: 1, SentAt: at, MayHaveRun: true, toLoaded: true}}
-		r.servers[0].running++
+		r.servers.at(0).running++
 		r.HandleOutcome(at, req, Outcome{Server: 1, Result: Failed})
 	}
-	if s := r.servers[0]; s.healthy() || s.backoffUntil <= at {
+	if s := r.servers.at(0); s.healthy() || s.backoffUntil <= at {
 		t.Errorf("after three errors in a row: sound %v, avoided until %d", s.healthy(), s.backoffUntil)
 	}
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"cmp"
-	"slices"
-)
+import "slices"
 
 // Endpoints: the endpoint list and what is known of each server.
 
@@ -18,17 +15,16 @@
 	previous := b.index.listedAt
 	b.index.listedAt = now
 	if kind != IncrementalUpdate {
-		for _, s := range b.servers {
+		for s := range b.servers.all {
 			s.listed = false
 		}
 	}
 	for _, ep := range endpoints {
-		i, known := b.find(ep.Server)
-		if !known {
-			b.addServer(i, &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now})
-		}
-		s := b.servers[i]
-		if known && ep.StartedAt > s.StartedAt {
+		s := b.servers.find(ep.Server)
+		if s == nil {
+			s = &server{Endpoint: Endpoint{Server: ep.Server}, lastAnswer: now, readyIndex: -1}
+			b.servers.insert(s)
+		} else if ep.StartedAt > s.StartedAt {
 			b.dropInstances(s, ep.StartedAt)
 			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
 		}
@@ -36,12 +32,11 @@
 	}
 	if kind == IncrementalUpdate {
 		for _, ep := range endpoints {
-			i, _ := b.find(ep.Server)
-			b.reindexServer(previous, b.servers[i])
+			b.reindexServer(previous, b.servers.find(ep.Server))
 		}
 		return
 	}
-	for _, s := range b.servers {
+	for s := range b.servers.all {
 		if !s.listed {
 			s.State = Removed
 		}
@@ -59,19 +54,18 @@
 	}
 }
 
-// find returns the position of a server in r.servers, or where it would be inserted.
-func (b *Balancer) find(id ServerID) (int, bool) {
-	return slices.BinarySearchFunc(b.servers, id,
-		func(s *server, id ServerID) int { return cmp.Compare(s.Server, id) })
-}
-
 // server is what the balancer knows and believes about one server.
 type server struct {
 	Endpoint
+	// The number of ready servers with lower IDs when flips of the server list was as given: totalCapacity needs it of
+	// each server in slow start.
+	readyBelow, readyBelowFlips int
+
 	listed         bool        // named in the latest full list or in an update since
 	lastListed     Micros      // when it was last in the list, if it no longer is
 	weight         float64     // as the index has it: 0 if the server is not ready
 	impaired       bool        // is in index.impaired
+	readyIndex     int         // its position in index.ready, -1 if it isn't there
 	present        bool        // as the index has it: not removed
 	functions      []*function // those with an entry for this server in their instances, by id
 	lastAnswer     Micros      // last response, or when it became known
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 )
 
@@ -17,10 +18,11 @@
 		list[i] = Endpoint{Server: ServerID(hash(1, uint64(i))), State: Ready, Weight: 1 + float64(i%4)/2}
 	}
 	r.UpdateEndpoints(at, FullUpdate, list)
+	all := slices.Collect(r.servers.all)
 	for i := range 512 {
 		f := r.function(&Request{Function: FunctionID(hash(2, uint64(i)))})
 		for k := range 2 {
-			inst := f.instanceOn(r.servers[(i*7+k*31)%servers], true)
+			inst := f.instanceOn(all[(i*7+k*31)%servers], true)
 			inst.replicas, inst.lastUsed = 1, at
 		}
 	}
@@ -47,10 +49,12 @@
 // restartTenth puts one in ten servers in slow start.
 func restartTenth(r *Balancer) {
 	var list []Endpoint
-	for k := 0; k < len(r.servers); k += 10 {
-		endpoint := r.servers[k].Endpoint
-		endpoint.StartedAt = at - second
-		list = append(list, endpoint)
+	for i, s := range slices.Collect(r.servers.all) {
+		if i%10 == 0 {
+			endpoint := s.Endpoint
+			endpoint.StartedAt = at - second
+			list = append(list, endpoint)
+		}
 	}
 	r.UpdateEndpoints(at, IncrementalUpdate, list)
 }
@@ -62,10 +66,10 @@
 	const known = 256 // functions in rotation, so that none gets more than its share
 	for _, c := range []struct {
 		name string
-		run  func(b *testing.B, r *Balancer, i, servers int)
+		run  func(b *testing.B, r *Balancer, i int, all []*server)
 	}{
-		{"change", func(_ *testing.B, r *Balancer, i, _ int) { // drains, leaves, returns restarted
-			s := r.servers[i/3*37%len(r.servers)]
+		{"change", func(_ *testing.B, r *Balancer, i int, all []*server) { // drains, leaves, returns restarted
+			s := all[i/3*37%len(all)]
 			endpoint := s.Endpoint
 			if endpoint.State = []ServerState{Draining, Removed, Ready}[i%3]; endpoint.State == Ready {
 				endpoint.StartedAt = max(1, endpoint.StartedAt+1)
@@ -73,43 +77,46 @@
 			r.UpdateEndpoints(at, IncrementalUpdate, []Endpoint{endpoint})
 		}},
 		// Each step replaces a server; half as many as are present are remembered as removed.
-		{"replace", func(_ *testing.B, r *Balancer, i, servers int) {
-			now := at + Micros(i)*1200*second/Micros(servers)
+		{"replace", func(_ *testing.B, r *Balancer, i int, all []*server) {
+			now := at + Micros(i)*1200*second/Micros(len(all))
 			r.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))},
-				{Server: ServerID(hash(1, uint64(servers+i))), State: Ready, Weight: 1, StartedAt: now}})
+				{Server: ServerID(hash(1, uint64(len(all)+i))), State: Ready, Weight: 1, StartedAt: now}})
 			r.Maintain(now)
 		}},
-		{"place-known", func(b *testing.B, r *Balancer, i, _ int) {
+		{"place-known", func(b *testing.B, r *Balancer, i int, _ []*server) {
 			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(3, uint64(i%known)))))
 		}},
-		{"place-known-hot", func(b *testing.B, r *Balancer, i, _ int) {
+		{"place-known-hot", func(b *testing.B, r *Balancer, i int, _ []*server) {
 			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(3, uint64(i%(known/8))))))
 		}},
-		{"place-never-seen", func(b *testing.B, r *Balancer, i, _ int) {
+		{"place-never-seen", func(b *testing.B, r *Balancer, i int, _ []*server) {
 			routeMiss(b, r, sizedRequest(RequestID(i), FunctionID(hash(4, uint64(i)))))
 			if i%1000 == 0 {
 				r.Maintain(at)
 			}
 		}},
-		{"upkeep", func(_ *testing.B, r *Balancer, _, _ int) { r.Maintain(at) }},
-		{"upkeep-tenth-cold", func(_ *testing.B, r *Balancer, i, _ int) {
+		{"upkeep", func(_ *testing.B, r *Balancer, _ int, _ []*server) { r.Maintain(at) }},
+		{"upkeep-tenth-cold", func(_ *testing.B, r *Balancer, i int, _ []*server) {
 			if i == 0 {
 				restartTenth(r)
 			}
 			r.Maintain(at)
 		}},
-		{"forget", func(_ *testing.B, r *Balancer, i, _ int) { r.dropInstances(r.servers[i*37%len(r.servers)], at-second) }},
+		{"forget", func(_ *testing.B, r *Balancer, i int, all []*server) {
+			r.dropInstances(all[i*37%len(all)], at-second)
+		}},
 	} {
 		for _, servers := range []int{200, 3200} {
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
 				r := sizedBalancer(servers)
+				all := slices.Collect(r.servers.all)
 				for i := range 2 * known { // the first ranking of a function is not measured
-					c.run(b, r, i, servers)
+					c.run(b, r, i, all)
 				}
 				b.ReportAllocs()
 				i := 2 * known
 				for b.Loop() {
-					c.run(b, r, i, servers)
+					c.run(b, r, i, all)
 					i++
 				}
 			})
--- a/control/homes.go
+++ b/control/homes.go
@@ -63,14 +63,11 @@
 // buildHomes builds a function's home set from all servers, with about size of them.
 func (b *Balancer) buildHomes(f *function, size int) {
 	hs, idx := &f.homes, &b.index
-	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: idx.keyBound(size), size: size, seen: idx.changeCount()}
+	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, seen: idx.changeCount()}
 	maxDistance := idx.hashBound(hs.bound)
-	for i, id := range idx.ids {
-		weight := b.servers[i].weight
-		if ^hash(uint64(f.id), uint64(id)) > maxDistance || weight == 0 {
-			continue
-		}
-		if e := b.homeEntry(f, id, weight); e.key < hs.bound {
+	for i := idx.nextWithin(0, f, maxDistance); i < len(idx.ready); i = idx.nextWithin(i+1, f, maxDistance) {
+		s := idx.ready[i]
+		if e := b.homeEntry(f, s.Server, s.weight); e.key < hs.bound {
 			hs.keys, hs.entries = append(hs.keys, e.key), append(hs.entries, e)
 		}
 	}
@@ -116,7 +113,7 @@
 	if homes < 2 {
 		return b.firstTwoByRanking(now, f, req)
 	}
-	need := (homes + homes/4 + 2*rankingLength) * b.index.readyCount() / usable
+	need := (homes + homes/4 + 2*rankingLength) * len(b.index.ready) / usable
 	hs := b.currentHomes(f, need)
 	b.findDeviations(now, f, req)
 	if b.countBelow(hs, hs.bound) < homes && hs.size < 4*need {
@@ -137,8 +134,7 @@
 		if len(firstTwo) == 2 && e.ownKey >= firstTwo[1].key {
 			break
 		}
-		i, _ := b.find(e.id)
-		s := b.servers[i]
+		s := b.servers.find(e.id)
 		if !b.usableUnchanged(now, s, req) {
 			continue
 		}
--- a/control/index.go
+++ b/control/index.go
@@ -11,8 +11,8 @@
 	// When an endpoint list was last applied: servers that are present were listed until then.
 	listedAt Micros
 	removed  []*server  // by the time they were last listed, then by ID
-	ids      []ServerID // of all servers
-	notReady []ServerID // of draining and removed servers
+	ready    []*server  // in any order; see server.readyIndex
+	readyIDs []ServerID // of the same servers, side by side for scans
 	// Ready servers, by ID, that totalCapacity has not yet seen at full capacity.
 	inSlowStart []*server
 	busy        []*server // with attempts in flight, by ID
@@ -32,29 +32,15 @@
 	from, to float64
 }
 
-// readyCount returns the number of ready servers.
-func (idx *index) readyCount() int { return len(idx.ids) - len(idx.notReady) }
-
 func byID(a, b *server) int { return cmp.Compare(a.Server, b.Server) }
 
 func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
 
-// addServer inserts a new server at index i.
-func (b *Balancer) addServer(i int, s *server) {
-	b.servers, b.index.ids = slices.Insert(b.servers, i, s), slices.Insert(b.index.ids, i, s.Server)
-}
-
 // removeServer forgets a removed server. The caller deletes it from index.removed.
 func (b *Balancer) removeServer(s *server) {
-	idx := &b.index
-	if i, found := b.find(s.Server); found {
-		b.servers, idx.ids = slices.Delete(b.servers, i, i+1), slices.Delete(idx.ids, i, i+1)
-	}
-	if i, found := slices.BinarySearch(idx.notReady, s.Server); found {
-		idx.notReady = slices.Delete(idx.notReady, i, i+1)
-	}
+	b.servers.remove(s.Server)
 	if s.impaired {
-		idx.dropImpaired(func(other *server) bool { return other == s })
+		b.index.dropImpaired(func(other *server) bool { return other == s })
 	}
 }
 
@@ -100,6 +86,9 @@
 
 // insertSorted returns a sorted list with s inserted, if it isn't in it already.
 func insertSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
+	if n := len(list); n == 0 || compare(list[n-1], s) < 0 { // the usual case in order of time
+		return append(list, s)
+	}
 	i, found := slices.BinarySearchFunc(list, s, compare)
 	if found {
 		return list
@@ -129,17 +118,12 @@
 		idx.removed = insertSorted(idx.removed, s, byRemoval)
 	}
 	s.present = s.State != Removed
-	i, wasNotReady := slices.BinarySearch(idx.notReady, s.Server)
-	switch notReady := s.State != Ready; {
-	case notReady && !wasNotReady:
-		idx.notReady = slices.Insert(idx.notReady, i, s.Server)
-	case !notReady && wasNotReady:
-		idx.notReady = slices.Delete(idx.notReady, i, i+1)
-	}
 	weight := 0.0
 	if s.State == Ready {
 		weight = max(0.1, s.Weight)
 	}
+	b.servers.setReady(s.Server, s.State == Ready)
+	idx.setReady(s)
 	if weight != s.weight {
 		idx.maxWeight, idx.totalWeight = max(idx.maxWeight, weight), idx.totalWeight+weight-s.weight
 		idx.noteChange(weightChange{s.Server, s.weight, weight})
@@ -152,6 +136,21 @@
 	}
 }
 
+// setReady inserts a server into the list of ready ones, or removes it, by its state.
+func (idx *index) setReady(s *server) {
+	switch i := s.readyIndex; {
+	case s.State == Ready && i < 0:
+		s.readyIndex = len(idx.ready)
+		idx.ready, idx.readyIDs = append(idx.ready, s), append(idx.readyIDs, s.Server)
+	case s.State != Ready && i >= 0:
+		last := len(idx.ready) - 1
+		idx.ready[i], idx.readyIDs[i] = idx.ready[last], idx.readyIDs[last]
+		idx.ready[i].readyIndex, s.readyIndex = i, -1
+		idx.ready[last] = nil
+		idx.ready, idx.readyIDs = idx.ready[:last], idx.readyIDs[:last]
+	}
+}
+
 // noteChange records a change that rankings have to apply.
 func (idx *index) noteChange(c weightChange) {
 	const maxKept = 256 // applying more costs a ranking as much as scanning a few thousand servers
@@ -165,17 +164,6 @@
 // changeCount returns the number of changes ever noted.
 func (idx *index) changeCount() int { return idx.droppedChanges + len(idx.changes) }
 
-// seek returns the index of the first ID not below id. The search starts at from, which must not be beyond that
-// index; the closer it is, the cheaper the search.
-func seek(ids []ServerID, from int, id ServerID) int {
-	step := 1
-	for from+step <= len(ids) && ids[from+step-1] < id {
-		from, step = from+step, step*2
-	}
-	i, _ := slices.BinarySearch(ids[from:min(len(ids), from+step-1)], id)
-	return from + i
-}
-
 // lastListed returns when a server was last on the endpoint list.
 func (b *Balancer) lastListed(s *server) Micros {
 	if s.present {
@@ -187,14 +175,13 @@
 // rebuildIndex derives the index from the rest of the state.
 func (b *Balancer) rebuildIndex() {
 	b.index = index{}
-	for _, s := range b.servers {
-		s.weight, s.present, s.impaired, s.functions = 0, false, false, nil
-		b.index.ids = append(b.index.ids, s.Server)
+	for s := range b.servers.all {
+		s.weight, s.present, s.impaired, s.functions, s.readyIndex = 0, false, false, nil, -1
 		if s.State != Removed {
 			b.index.listedAt = max(b.index.listedAt, s.lastListed)
 		}
 	}
-	for _, s := range b.servers {
+	for s := range b.servers.all {
 		b.reindexServer(b.index.listedAt, s)
 		if len(s.inFlight) > 0 {
 			b.index.busy = append(b.index.busy, s)
--- a/control/learned.go
+++ b/control/learned.go
@@ -16,7 +16,7 @@
 		b.quotaDebt[i] = min(state.QuotaDebt[i], now+2_000_000) // see exceedsQuota
 	}
 	for _, v := range state.Servers {
-		b.servers = append(b.servers, &server{
+		b.servers.insert(&server{
 			Endpoint:       Endpoint{Server: v.Server, StartedAt: min(v.StartedAt, now)},
 			lastListed:     now,
 			lastAnswer:     now,
@@ -26,8 +26,8 @@
 	for _, v := range state.Functions {
 		f := b.function(&Request{Function: v.ID, Lanes: v.Lanes})
 		for _, c := range v.Instances {
-			if i, known := b.find(c.Server); known && max(c.LastUsed, c.LoadingSince) <= now {
-				inst := instance{server: b.servers[i], replicas: c.Replicas, lastUsed: c.LastUsed,
+			if s := b.servers.find(c.Server); s != nil && max(c.LastUsed, c.LoadingSince) <= now {
+				inst := instance{server: s, replicas: c.Replicas, lastUsed: c.LastUsed,
 					loading: c.Loading, loadingSince: c.LoadingSince}
 				if b.loaded(now, &inst) || b.loading(now, &inst) {
 					*f.instanceOn(inst.server, true) = inst
@@ -85,7 +85,7 @@
 		Admitted:     slices.Clone(b.admitted),
 		Answers:      slices.Clone(b.answers),
 	}
-	for _, s := range b.servers {
+	for s := range b.servers.all {
 		sends := dropBefore(s.slowStartSends, now-b.deployment.OverloadWindow)
 		state.Servers = append(state.Servers, LearnedServer{s.Server, s.StartedAt, slices.Clone(sends)})
 	}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -26,7 +26,7 @@
 		req := newJob(1)
 		req.ArrivedAt, req.Deadline = at+c.pause, at+c.pause+4*second
 		d := next.Route(at+c.pause, req)
-		inst := next.functions[7].instanceOn(next.servers[1], false)
+		inst := next.functions[7].instanceOn(next.servers.at(1), false)
 		if d.Action != Forward || (d.Server == 2 && next.loaded(at+c.pause, inst)) != c.loaded ||
 			inst != nil && inst.replicas > 0 && inst.inFlight > 1 {
 			t.Errorf("after %d us: got %+v, %+v", c.pause, d, inst)
@@ -64,7 +64,7 @@
 		r.loadCommandAllowed(at)
 		r.loadCommandAllowed(at)
 		for range 50 {
-			r.servers[1].slowStartSends = append(r.servers[1].slowStartSends, at)
+			r.servers.at(1).slowStartSends = append(r.servers.at(1).slowStartSends, at)
 		}
 		now := at + pause
 		next := restarted(r, at, now)
@@ -74,8 +74,8 @@
 		if !next.loadCommandAllowed(now + second + 1) {
 			t.Errorf("after %d us: no load command after the window", pause)
 		}
-		next.servers[1].StartedAt, next.answerRate = now-second, 10
-		if next.withinSlowStartBudget(now, next.servers[1]) {
+		next.servers.at(1).StartedAt, next.answerRate = now-second, 10
+		if next.withinSlowStartBudget(now, next.servers.at(1)) {
 			t.Errorf("after %d us: a request beyond the slow-start budget", pause)
 		}
 	}
--- a/control/loading.go
+++ b/control/loading.go
@@ -35,13 +35,13 @@
 	cs, ranked := []candidate(nil), false
 	switch {
 	case b.deployment.Routers == 1: // all candidates count
-	case b.homeCount(f, b.index.readyCount()) == 1:
+	case b.homeCount(f, len(b.index.ready)) == 1:
 		cs, ranked = b.firstTwoByRanking(now, f, req)
 	default:
 		cs, ranked = b.firstTwoHomes(now, f, req)
 	}
 	if !ranked {
-		if b.deployment.Routers == 1 && !slices.ContainsFunc(b.servers, func(s *server) bool {
+		if b.deployment.Routers == 1 && !b.servers.contains(func(s *server) bool {
 			return acceptsLoads(s) && b.usableUnchanged(now, s, req)
 		}) {
 			return nil // bounds the work of an iteration with many held requests
@@ -198,11 +198,11 @@
 func (b *Balancer) HandleLoadResult(now Micros, id ServerID, functionID FunctionID, result Result, took Micros,
 	replicas int) {
 	f := b.functions[functionID]
-	i, found := b.find(id)
-	if f == nil || !found {
+	s := b.servers.find(id)
+	if f == nil || s == nil {
 		return
 	}
-	inst := f.instanceOn(b.servers[i], true)
+	inst := f.instanceOn(s, true)
 	switch result {
 	case Succeeded:
 		if inst.loading > 0 && replicas > inst.replicas {
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -72,7 +72,10 @@
 		b.removeServer(s)
 		return true
 	})
-	b.index.removed = slices.Delete(removed, len(kept), expired)
+	// Moves those that are kept, not the others: there may be as many as have left in the retention time.
+	copy(removed[expired-len(kept):expired], kept)
+	clear(removed[:expired-len(kept)])
+	b.index.removed = removed[expired-len(kept):]
 }
 
 // idle reports whether everything known of a function can be forgotten.
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -79,7 +79,7 @@
 // EjectedServers returns the ids of the servers that are ejected now.
 func (b *Balancer) EjectedServers() map[ServerID]bool {
 	ejected := map[ServerID]bool{}
-	for _, s := range b.servers {
+	for s := range b.servers.all {
 		if s.ejected {
 			ejected[s.Server] = true
 		}
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -18,15 +18,16 @@
 		r.subscribed = false
 		return
 	}
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		s.listed = s.listed && kind == IncrementalUpdate
 	}
 	for _, l := range list {
-		i, known := r.find(l.Server)
+		s := r.servers.find(l.Server)
+		known := s != nil
 		if !known {
-			r.servers = slices.Insert(r.servers, i, &server{lastAnswer: now})
+			s = &server{Endpoint: Endpoint{Server: l.Server}, lastAnswer: now, readyIndex: -1}
+			r.servers.insert(s)
 		}
-		s := r.servers[i]
 		if known && l.StartedAt > s.StartedAt {
 			for _, f := range r.functionOrder {
 				if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < l.StartedAt {
@@ -37,7 +38,7 @@
 		}
 		s.Endpoint, s.listed = l, true
 	}
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		if !s.listed {
 			s.State = Removed
 		}
@@ -68,7 +69,7 @@
 	const over = 10_000_000
 	r.answers = dropBefore(r.answers, now-over)
 	servers := 0.0
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		if s.State == Ready {
 			servers += r.capacity(now, s)
 		}
@@ -85,7 +86,7 @@
 	}
 	var silent []*server
 	busy := 0
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		if len(s.inFlight) == 0 {
 			continue
 		}
@@ -127,26 +128,26 @@
 		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
 		r.pruned = from + len(kept)
 	}
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool {
+	for _, s := range slices.Collect(r.servers.all) {
 		if s.State != Removed || len(s.inFlight) > 0 || now < s.lastListed+long {
-			return false
+			continue
 		}
 		for _, f := range r.functionOrder {
 			f.instances = slices.DeleteFunc(f.instances, func(inst *instance) bool { return inst.server == s })
 		}
-		return true
-	})
+		r.servers.remove(s.Server)
+	}
 }
 
 func referenceLoadTarget(r *Balancer, now Micros, f *function, req *Request, purpose loadPurpose) *server {
 	takes := func(s *server) bool {
 		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
-	if !slices.ContainsFunc(r.servers, func(s *server) bool { return takes(s) && r.usable(now, s, req) }) {
+	if !slices.ContainsFunc(slices.Collect(r.servers.all), func(s *server) bool { return takes(s) && r.usable(now, s, req) }) {
 		return nil
 	}
 	var cs []candidate
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		if !r.usable(now, s, req) {
 			continue
 		}
@@ -269,7 +270,7 @@
 	}
 	got, want := d.r.Snapshot(), reference.Snapshot()
 	for i := range min(len(got.Servers), len(want.Servers)) {
-		want.Servers[i].LastListed = reference.servers[i].lastListed
+		want.Servers[i].LastListed = reference.servers.at(i).lastListed
 		for _, s := range []*ServerSnapshot{&got.Servers[i], &want.Servers[i]} {
 			s.SlowStartSends = slices.Clone(dropBefore(s.SlowStartSends, d.now-d.r.deployment.OverloadWindow))
 		}
@@ -283,7 +284,7 @@
 func (d *days) checkUsableCount(req *Request) {
 	d.t.Helper()
 	want := 0
-	for _, s := range d.r.servers {
+	for s := range d.r.servers.all {
 		if d.r.usableUnchanged(d.now, s, req) {
 			want++
 		}
@@ -300,21 +301,34 @@
 		return convertAll(servers, func(s *server) ServerID { return s.Server })
 	}
 	got, want := &d.r.index, &restored.index
-	for what, pair := range map[string][2][]ServerID{"known": {got.ids, want.ids}, "ids": {got.ids, ids(d.r.servers)}, "unready": {got.notReady, want.notReady},
+	all := slices.Collect(d.r.servers.all)
+	for what, pair := range map[string][2][]ServerID{"all": {ids(all), ids(slices.Collect(restored.servers.all))},
 		"gone": {ids(got.removed), ids(want.removed)}, "flying": {ids(got.busy), ids(want.busy)}} {
 		if !slices.Equal(pair[0], pair[1]) {
 			d.t.Fatalf("%s at %d: got %x, want %x", what, d.now, pair[0], pair[1])
 		}
 	}
-	for i, s := range d.r.servers {
-		if s.weight != restored.servers[i].weight || !slices.EqualFunc(s.functions, restored.servers[i].functions, func(a, b *function) bool {
+	checkServerList(d.t, &d.r.servers, slices.Sorted(slices.Values(ids(all))), func(s *server) bool { return s.State == Ready })
+	var ready []ServerID
+	for i, s := range got.ready {
+		if s.readyIndex != i || got.readyIDs[i] != s.Server {
+			d.t.Fatalf("server %x at %d is at %d of the ready ones, not at %d: %x", s.Server, d.now, i, s.readyIndex, got.readyIDs)
+		}
+		ready = append(ready, s.Server)
+	}
+	slices.Sort(ready)
+	if want := ids(slices.DeleteFunc(slices.Clone(all), func(s *server) bool { return s.State != Ready })); !slices.Equal(ready, want) {
+		d.t.Fatalf("ready at %d: got %x, want %x", d.now, ready, want)
+	}
+	for i, s := range all {
+		if s.weight != restored.servers.at(i).weight || !slices.EqualFunc(s.functions, restored.servers.at(i).functions, func(a, b *function) bool {
 			return a.id == b.id && a == d.r.functions[a.id]
 		}) {
-			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers[i])
+			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers.at(i))
 		}
 	}
 	for _, s := range append(slices.Clone(got.impaired), got.inSlowStart...) {
-		if i, known := d.r.find(s.Server); !known || d.r.servers[i] != s {
+		if d.r.servers.find(s.Server) != s {
 			d.t.Fatalf("server %x at %d is forgotten, and not", s.Server, d.now)
 		}
 	}
@@ -445,7 +459,7 @@
 
 // trouble changes what is known of a server that is early in some function's order.
 func (d *days) trouble() {
-	s := d.r.servers[d.chance.IntN(len(d.r.servers))]
+	s := d.r.servers.at(d.chance.IntN(d.r.servers.len))
 	switch d.chance.IntN(5) {
 	case 0:
 		s.backoffUntil = d.now + Micros(d.chance.IntN(2*second))
@@ -489,7 +503,7 @@
 	case p < 0.998:
 		d.now += Micros([]int{5, 20, 400, 700}[d.chance.IntN(4)]) * second
 	default: // to the exact microsecond at which one is forgotten
-		for _, s := range d.r.servers {
+		for s := range d.r.servers.all {
 			if s.State == Removed {
 				d.now = max(d.now, s.lastListed+600*second)
 				break
@@ -539,7 +553,7 @@
 // burden gives each server, at random, something that makes it unusable or moves it to the end of the order.
 func (d *days) burden(share float64) {
 	r, one := d.r, d.chance.IntN(12) // one kind of burden for all; six or more: any kind
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		s.backoffUntil, s.ejected, s.loadsAfter, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
 		if !d.chanceOf(share) {
 			continue
@@ -598,7 +612,7 @@
 	d.t.Helper()
 	var keys []float64
 	var entries []homeEntry
-	for _, s := range d.r.servers {
+	for s := range d.r.servers.all {
 		if s.State != Ready {
 			continue
 		}
@@ -623,7 +637,7 @@
 		return
 	}
 	marked := slices.Collect(d.r.index.unusual)
-	for _, s := range d.r.servers {
+	for s := range d.r.servers.all {
 		if s.State == Ready && !slices.Contains(marked, s) &&
 			(!d.r.usableUnchanged(d.now, s, req) || d.r.weight(d.now, s) != s.weight) {
 			d.t.Fatalf("server %x at %d is not marked: %+v", s.Server, d.now, s)
@@ -653,7 +667,7 @@
 func (d *days) checkRanking(f *function) {
 	d.t.Helper()
 	order := []rankingEntry{{key: math.Inf(1)}}
-	for _, s := range d.r.servers {
+	for s := range d.r.servers.all {
 		if s.State == Ready {
 			order = append(order, rankingEntry{s.Server, rankKey(uint64(f.id), s.Server, max(0.1, s.Weight))})
 		}
@@ -690,7 +704,7 @@
 	got, want := r.loadTarget(d.now, f, req, purpose), referenceLoadTarget(r, d.now, f, req, purpose)
 	if got != want {
 		d.t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v",
-			seed, round, f.id, len(r.servers), got, want)
+			seed, round, f.id, r.servers.len, got, want)
 	}
 	if f.recent > 1 {
 		counts.hot++
@@ -743,7 +757,7 @@
 			d.now += Micros(d.chance.IntN(second))
 			list = list[:0]
 			for range min(n, 1+d.chance.IntN(most[d.chance.IntN(len(most))])) {
-				l := r.servers[d.chance.IntN(len(r.servers))].Endpoint
+				l := r.servers.at(d.chance.IntN(r.servers.len)).Endpoint
 				switch d.chance.IntN(4) {
 				case 0:
 					l.State = Draining
@@ -812,3 +826,26 @@
 		}
 	}
 }
+
+// A scan by hash finds every server within the distance, however close to it.
+func TestNextWithinSkipsNone(t *testing.T) {
+	chance := rand.New(rand.NewPCG(1, 1))
+	f := &function{}
+	for range 1000 {
+		var idx index
+		f.id = FunctionID(chance.Uint64())
+		for range 8 {
+			idx.setReady(&server{Endpoint: Endpoint{Server: ServerID(chance.Uint64()), State: Ready}, readyIndex: -1})
+		}
+		for want, id := range idx.readyIDs {
+			distance := ^hash(uint64(f.id), uint64(id))
+			found := false
+			for i := idx.nextWithin(0, f, distance); i < len(idx.ready) && !found; i = idx.nextWithin(i+1, f, distance) {
+				found = i == want
+			}
+			if !found {
+				t.Fatalf("function %x: server %x, %x below 2^64, is skipped", f.id, id, distance)
+			}
+		}
+	}
+}
--- a/control/random.go
+++ b/control/random.go
@@ -19,8 +19,14 @@
 
 // hash mixes two IDs into one evenly distributed number (the SplitMix64 finalizer).
 func hash(a, b uint64) uint64 {
-	x := a*0x9e3779b97f4a7c15 ^ b
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
+	x := mix(a*hashFactor ^ b)
 	return x ^ x>>31
 }
+
+const hashFactor = 0x9e3779b97f4a7c15
+
+// mix is hash without its last step, which changes only the lower 33 bits.
+func mix(x uint64) uint64 {
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	return (x ^ x>>27) * 0x94d049bb133111eb
+}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -33,7 +33,7 @@
 		return
 	}
 	i := len(rk.entries)
-	for i > 0 && rk.entries[i-1].key > key {
+	for i > 0 && (rk.entries[i-1].key > key || rk.entries[i-1].key == key && rk.entries[i-1].id > id) {
 		i--
 	}
 	if len(rk.entries) == rankingLength {
@@ -56,13 +56,13 @@
 // loop is tight. A server's hash is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: an integer
 // comparison skips most.
 func (b *Balancer) buildRanking(f *function) {
-	rk, idx := &f.ranking, &b.index
+	rk := &f.ranking
 	if cap(rk.entries) == 0 {
 		rk.entries = make([]rankingEntry, 0, rankingLength)
 	}
 	// The first pass uses a bound below which three times the needed number of servers is expected. Without it,
 	// most logarithms would be computed for keys that are displaced again.
-	for bound := idx.keyBound(3 * rankingLength); ; bound = math.Inf(1) {
+	for bound := b.keyBound(3 * rankingLength); ; bound = math.Inf(1) {
 		*rk = ranking{entries: rk.entries[:0], bound: bound, built: true}
 		b.scanForRanking(f)
 		if rk.bound < bound || math.IsInf(bound, 1) {
@@ -74,15 +74,25 @@
 func (b *Balancer) scanForRanking(f *function) {
 	rk, idx := &f.ranking, &b.index
 	maxDistance := idx.hashBound(rk.bound)
-	for i, id := range idx.ids {
-		if ^hash(uint64(f.id), uint64(id)) > maxDistance || b.servers[i].weight == 0 {
-			continue
-		}
-		rk.add(id, rankKey(uint64(f.id), id, b.servers[i].weight))
+	for i := idx.nextWithin(0, f, maxDistance); i < len(idx.ready); i = idx.nextWithin(i+1, f, maxDistance) {
+		s := idx.ready[i]
+		rk.add(s.Server, rankKey(uint64(f.id), s.Server, s.weight))
 		maxDistance = idx.hashBound(rk.bound)
 	}
 }
 
+// nextWithin returns the position, from i on, of the next ready server whose hash in a function's order may be at most
+// maxDistance below 2^64. It does only those steps of hash that a comparison of the upper bits needs.
+func (idx *index) nextWithin(i int, f *function, maxDistance uint64) int {
+	seed, lowest := uint64(f.id)*hashFactor, ^maxDistance>>33<<33
+	for k, id := range idx.readyIDs[i:] {
+		if mix(seed^uint64(id)) >= lowest {
+			return i + k
+		}
+	}
+	return len(idx.ready)
+}
+
 // hashBound returns how far below 2^64 the hash of a server may be if its key is below bound. It is rounded up a
 // little: a server that is skipped must certainly have a key at or above the bound.
 func (idx *index) hashBound(bound float64) uint64 {
@@ -94,10 +104,10 @@
 }
 
 // keyBound returns a key below which about n ready servers are expected.
-func (idx *index) keyBound(n int) float64 {
-	ready := float64(idx.readyCount())
+func (b *Balancer) keyBound(n int) float64 {
+	ready := float64(len(b.index.ready))
 	if share := float64(n) / ready; share < 1 {
-		return -math.Log(1-share) * ready / idx.totalWeight
+		return -math.Log(1-share) * ready / b.index.totalWeight
 	}
 	return math.Inf(1)
 }
@@ -117,8 +127,8 @@
 			if ^hash(uint64(f.id), uint64(id)) > maxDistance {
 				continue
 			}
-			if i, found := b.find(id); found && b.servers[i].weight > 0 {
-				rk.add(id, rankKey(uint64(f.id), id, b.servers[i].weight))
+			if s := b.servers.find(id); s != nil && s.weight > 0 {
+				rk.add(id, rankKey(uint64(f.id), id, s.weight))
 			}
 		}
 	}
@@ -149,8 +159,7 @@
 		if len(firstTwo) == 2 && e.key >= firstTwo[1].key {
 			break
 		}
-		i, _ := b.find(e.id)
-		s := b.servers[i]
+		s := b.servers.find(e.id)
 		if !b.usableUnchanged(now, s, req) {
 			continue
 		}
@@ -173,7 +182,7 @@
 // allCandidates returns all servers that a load may go to, in any order. It scans all servers.
 func (b *Balancer) allCandidates(now Micros, f *function, req *Request) []candidate {
 	cs := b.candidates[:0]
-	for _, s := range b.servers {
+	for s := range b.servers.all {
 		if s.weight == 0 || !b.usableUnchanged(now, s, req) {
 			continue
 		}
@@ -195,7 +204,7 @@
 // some that are impaired or in slow start.
 func (b *Balancer) usableCount(now Micros, req *Request) int {
 	idx := &b.index
-	n := idx.readyCount()
+	n := len(b.index.ready)
 	for s := range idx.unusual {
 		if s.State == Ready && !b.usableUnchanged(now, s, req) {
 			n--
--- a/control/retries.go
+++ b/control/retries.go
@@ -19,11 +19,11 @@
 // attempt that is already done, a server that is not known, and a request that is done.
 func (b *Balancer) HandleOutcome(now Micros, req *Request, o Outcome) Decision {
 	attempt := &req.Attempts[o.Attempt]
-	i, known := b.find(o.Server)
-	if attempt.Done || !known {
+	s := b.servers.find(o.Server)
+	if attempt.Done || s == nil {
 		return Decision{Action: NoAction}
 	}
-	f, s := b.function(req), b.servers[i]
+	f := b.function(req)
 	inst := f.instanceOn(s, true)
 	attempt.Done = true
 	attempt.MayHaveRun = !o.Result.ProvesNotRun()
--- /dev/null
+++ b/control/serverlist.go
@@ -0,0 +1,181 @@
+package control
+
+import (
+	"math/bits"
+	"slices"
+)
+
+// serverList is a list of servers by ascending ID that counts those that are ready. It consists of blocks, so that
+// to insert or remove a server moves only a few others. The zero value is an empty list.
+type serverList struct {
+	blocks []serverBlock // none is empty
+	len    int           // number of servers
+	flips  int           // how often a server in the list has become ready or ceased to be
+}
+
+// serverBlock is a part of a serverList. IDs stand apart from the servers: a search needs no access to these.
+type serverBlock struct {
+	first       ServerID
+	readyBefore int    // number of ready servers in the blocks before this one
+	ready       uint64 // bit i tells whether servers[i] is ready
+	ids         []ServerID
+	servers     []*server // at most maxBlock
+}
+
+// maxBlock is the largest number of servers in a block: the bits of serverBlock.ready. In a fleet of a few thousand
+// servers a change moves about as many entries of a block as it renumbers blocks.
+const maxBlock = 64
+
+// locate returns the block in which a server is or would be inserted, and its position there. In an empty list the
+// block doesn't exist.
+func (l *serverList) locate(id ServerID) (block, i int, found bool) {
+	block, end := 0, len(l.blocks)
+	for block < end { // the first block that begins above the ID
+		if mid := (block + end) / 2; l.blocks[mid].first <= id {
+			block = mid + 1
+		} else {
+			end = mid
+		}
+	}
+	if block = max(0, block-1); block == len(l.blocks) {
+		return 0, 0, false
+	}
+	i, found = slices.BinarySearch(l.blocks[block].ids, id)
+	return block, i, found
+}
+
+// find returns the server with the given ID, nil if there is none.
+func (l *serverList) find(id ServerID) *server {
+	if block, i, found := l.locate(id); found {
+		return l.blocks[block].servers[i]
+	}
+	return nil
+}
+
+// readyBelow returns the number of ready servers with a lower ID.
+func (l *serverList) readyBelow(id ServerID) int {
+	block, i, _ := l.locate(id)
+	if len(l.blocks) == 0 {
+		return 0
+	}
+	b := &l.blocks[block]
+	return b.readyBefore + bits.OnesCount64(b.ready&(1<<i-1))
+}
+
+// all calls yield for each server by ascending ID, until it returns false.
+func (l *serverList) all(yield func(s *server) bool) {
+	for _, b := range l.blocks {
+		for _, s := range b.servers {
+			if !yield(s) {
+				return
+			}
+		}
+	}
+}
+
+// contains reports whether at least one server satisfies the condition.
+func (l *serverList) contains(condition func(s *server) bool) bool {
+	for s := range l.all {
+		if condition(s) {
+			return true
+		}
+	}
+	return false
+}
+
+// setReady notes whether a server in the list is ready.
+func (l *serverList) setReady(id ServerID, ready bool) {
+	block, i, found := l.locate(id)
+	if !found {
+		return
+	}
+	b, bit := &l.blocks[block], uint64(1)<<i
+	switch wasReady := b.ready&bit != 0; {
+	case ready && !wasReady:
+		b.ready |= bit
+		l.addReady(block, 1)
+	case !ready && wasReady:
+		b.ready &^= bit
+		l.addReady(block, -1)
+	}
+}
+
+// insert adds a server that isn't in the list, as not ready.
+func (l *serverList) insert(s *server) {
+	block, i, found := l.locate(s.Server)
+	if found {
+		return
+	}
+	if len(l.blocks) == 0 {
+		l.blocks = append(l.blocks, newServerBlock())
+	}
+	if len(l.blocks[block].ids) == maxBlock {
+		const half = maxBlock / 2
+		l.split(block, half)
+		if i > half {
+			block, i = block+1, i-half
+		}
+	}
+	b, below := &l.blocks[block], uint64(1)<<i-1
+	b.ids, b.servers = slices.Insert(b.ids, i, s.Server), slices.Insert(b.servers, i, s)
+	b.ready = b.ready&below | b.ready&^below<<1
+	b.first = b.ids[0]
+	l.len++
+}
+
+func newServerBlock() serverBlock {
+	return serverBlock{ids: make([]ServerID, 0, maxBlock), servers: make([]*server, 0, maxBlock)}
+}
+
+// split moves the servers from position i on to a new block.
+func (l *serverList) split(block, i int) {
+	upper, b := newServerBlock(), &l.blocks[block]
+	upper.ids, upper.servers = append(upper.ids, b.ids[i:]...), append(upper.servers, b.servers[i:]...)
+	upper.first, upper.ready = upper.ids[0], b.ready>>i
+	upper.readyBefore = b.readyBefore + bits.OnesCount64(b.ready&(1<<i-1))
+	clear(b.servers[i:])
+	b.ids, b.servers, b.ready = b.ids[:i], b.servers[:i], b.ready&(1<<i-1)
+	l.blocks = slices.Insert(l.blocks, block+1, upper)
+}
+
+// remove removes the server with the given ID, if there is one.
+func (l *serverList) remove(id ServerID) {
+	l.setReady(id, false)
+	block, i, found := l.locate(id)
+	if !found {
+		return
+	}
+	b, below := &l.blocks[block], uint64(1)<<i-1
+	b.ids, b.servers = slices.Delete(b.ids, i, i+1), slices.Delete(b.servers, i, i+1)
+	b.ready = b.ready&below | b.ready>>1&^below
+	l.len--
+	if len(b.ids) == 0 {
+		l.blocks = slices.Delete(l.blocks, block, block+1)
+	} else {
+		b.first = b.ids[0]
+		l.mergeWithNext(block)
+		l.mergeWithNext(block - 1)
+	}
+}
+
+// mergeWithNext merges a block with the next one if both exist and have few servers. It guards against a list of many
+// small blocks.
+func (l *serverList) mergeWithNext(block int) {
+	if block < 0 || block+1 >= len(l.blocks) {
+		return
+	}
+	b, next := &l.blocks[block], &l.blocks[block+1]
+	if n := len(b.ids); n+len(next.ids) <= maxBlock/2 {
+		b.ids, b.servers = append(b.ids, next.ids...), append(b.servers, next.servers...)
+		b.ready |= next.ready << n
+		l.blocks = slices.Delete(l.blocks, block+1, block+2)
+	}
+}
+
+// addReady adds to the counts of ready servers after a block.
+func (l *serverList) addReady(block, n int) {
+	l.flips++
+	for i := block + 1; i < len(l.blocks); i++ {
+		l.blocks[i].readyBefore += n
+	}
+}
--- /dev/null
+++ b/control/serverlist_test.go
@@ -0,0 +1,85 @@
+package control
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// at returns the server at a position.
+func (l *serverList) at(i int) *server { return slices.Collect(l.all)[i] }
+
+// A server list finds, counts and orders its servers like a sorted slice, while it grows and shrinks, and its blocks
+// are neither empty nor many.
+func TestServerListIsAsASortedSlice(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	var l serverList
+	var plain []ServerID
+	ready := map[ServerID]bool{}
+	for step := range 60_000 {
+		id := ServerID(random.IntN(4000))
+		if step/6000%2 == 1 {
+			id = ServerID(step % 4000) // in order
+		}
+		i, known := slices.BinarySearch(plain, id)
+		if s := l.find(id); (s != nil) != known || s != nil && s.Server != id {
+			t.Fatalf("step %d: server %d: got %+v, known %t", step, id, s, known)
+		}
+		grow := step/3000%2 == 0 // add nine times in ten, else remove as often
+		switch add := random.IntN(10) < 9 == grow; {
+		case known && random.IntN(3) == 0:
+			ready[id] = !ready[id]
+			l.setReady(id, ready[id])
+			l.setReady(id, ready[id])
+		case known && !add:
+			plain = slices.Delete(plain, i, i+1)
+			delete(ready, id)
+			l.remove(id)
+		case !known && add:
+			plain = slices.Insert(plain, i, id)
+			l.insert(&server{Endpoint: Endpoint{Server: id}})
+		case known:
+			l.insert(&server{Endpoint: Endpoint{Server: id}})
+		default:
+			l.remove(id)
+			l.setReady(id, true)
+		}
+		if step%50 == 0 {
+			checkServerList(t, &l, plain, func(s *server) bool { return ready[s.Server] })
+		}
+	}
+	for _, id := range plain {
+		l.remove(id)
+	}
+	checkServerList(t, &l, nil, nil)
+}
+
+// checkServerList compares a list with the sorted IDs of its servers.
+func checkServerList(t *testing.T, l *serverList, want []ServerID, ready func(s *server) bool) {
+	t.Helper()
+	var got []ServerID
+	readyBelow := 0
+	for s := range l.all {
+		got = append(got, s.Server)
+		if n := l.readyBelow(s.Server); n != readyBelow {
+			t.Fatalf("%d servers below %d are ready, want %d", n, s.Server, readyBelow)
+		}
+		if n := l.readyBelow(s.Server + 1); ready(s) != (n > readyBelow) {
+			t.Fatalf("server %d ready: got %t, want %t", s.Server, n > readyBelow, ready(s))
+		}
+		if ready(s) {
+			readyBelow++
+		}
+	}
+	if !slices.Equal(got, want) || l.len != len(want) {
+		t.Fatalf("got %d, %d servers, want %d", got, l.len, want)
+	}
+	for _, b := range l.blocks {
+		if len(b.ids) == 0 || len(b.ids) > maxBlock || b.first != b.ids[0] || len(b.ids) != len(b.servers) {
+			t.Fatalf("a block of %d and %d, first %d", len(b.ids), len(b.servers), b.first)
+		}
+	}
+	if len(l.blocks) > 1+len(want)/(maxBlock/4) {
+		t.Fatalf("%d blocks for %d servers", len(l.blocks), len(want))
+	}
+}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -59,21 +59,24 @@
 
 // totalCapacity sums the capacity of all ready servers, by ascending ID with rounding at each addition: decisions
 // depend on the sum, so it must not depend on which servers are known to be in slow start. All other servers count
-// 1. The cost is the number of servers in slow start times a logarithm.
+// 1. The cost is some nanoseconds for each server in slow start, which can't be less: the capacity of each differs at
+// every call, and each is rounded by itself.
 func (b *Balancer) totalCapacity(now Micros) float64 {
 	idx := &b.index
-	sum, counted, i, notReady := 0.0, 0, 0, 0
+	sum, counted := 0.0, 0
 	idx.inSlowStart = slices.DeleteFunc(idx.inSlowStart, func(s *server) bool {
 		capacity := b.capacity(now, s)
 		if capacity == 1 {
 			return true
 		}
-		i, notReady = seek(idx.ids, i, s.Server), seek(idx.notReady, notReady, s.Server)
-		sum = addOnes(sum, i-notReady-counted) + capacity
-		counted = i - notReady + 1
+		if s.readyBelowFlips != b.servers.flips {
+			s.readyBelow, s.readyBelowFlips = b.servers.readyBelow(s.Server), b.servers.flips
+		}
+		sum = addOnes(sum, s.readyBelow-counted) + capacity
+		counted = s.readyBelow + 1
 		return false
 	})
-	return addOnes(sum, len(idx.ids)-len(idx.notReady)-counted)
+	return addOnes(sum, len(idx.ready)-counted)
 }
 
 // addOnes adds 1 to a positive sum n times, with exactly the result of n single additions: only the step to the
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -84,7 +84,7 @@
 			if t < 0 {
 				continue
 			}
-			s := r.servers[len(r.servers)-1]
+			s := r.servers.at(r.servers.len - 1)
 			for r.withinSlowStartBudget(now, s) {
 				s.slowStartSends = append(s.slowStartSends, now)
 				sent = append(sent, t)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -198,7 +198,7 @@
 		Pruned:        b.pruned,
 		Subscribed:    b.subscribed,
 	}
-	for _, v := range b.servers {
+	for v := range b.servers.all {
 		s.Servers = append(s.Servers, b.serverSnapshot(v))
 	}
 	position := make(map[*function]int, len(b.functionOrder))
@@ -334,7 +334,7 @@
 			}
 			s.inFlight = append(s.inFlight, inFlightAttempt{req, a.Attempt, a.SentAt, a.ToLoaded})
 		}
-		b.servers = append(b.servers, s)
+		b.servers.insert(s)
 	}
 	return nil
 }
@@ -368,12 +368,12 @@
 	for _, v := range from {
 		f := v.restore(requests)
 		for _, inst := range v.Instances {
-			i, known := b.find(inst.Server)
-			if !known {
+			s := b.servers.find(inst.Server)
+			if s == nil {
 				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, inst.Server)
 			}
 			f.instances = append(f.instances,
-				&instance{b.servers[i], inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
+				&instance{s, inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
 		}
 		b.functions[v.ID], b.functionOrder = f, append(b.functionOrder, f)
 	}
--- a/control/trace.go
+++ b/control/trace.go
@@ -103,7 +103,7 @@
 		Held:      f.held,
 		LoadsDue:  f.loadsDue,
 	}
-	for _, s := range r.servers {
+	for s := range r.servers.all {
 		t.explanation.Servers = append(t.explanation.Servers, t.view(r, now, s, f, req))
 	}
 }
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -23,7 +23,7 @@
 			req.Attempts = []Attempt{{Done: true, MayHaveRun: true}}
 		}},
 		"it waits for a replica": {Hold, func(r *Balancer, req *Request) {
-			for _, s := range r.servers {
+			for s := range r.servers.all {
 				s.State = Draining
 			}
 		}},
@@ -43,11 +43,11 @@
 func TestTraceGivesServerViews(t *testing.T) {
 	r := fleet(deployment(), 5)
 	stands(r, 1, 1)
-	r.servers[1].State = Draining
-	r.servers[2].ejected, r.servers[2].probeAt = true, at+1
-	r.servers[3].backoffUntil = at + 1
-	r.servers[4].StartedAt = at - 1
-	r.servers[4].slowStartSends = make([]Micros, 0)
+	r.servers.at(1).State = Draining
+	r.servers.at(2).ejected, r.servers.at(2).probeAt = true, at+1
+	r.servers.at(3).backoffUntil = at + 1
+	r.servers.at(4).StartedAt = at - 1
+	r.servers.at(4).slowStartSends = make([]Micros, 0)
 	var got Explanation
 	r.SetTrace(&Trace{OnDecision: func(e Explanation) { got = e }})
 	r.Route(at, newJob(1))
