--- a/control/estimates.go
+++ b/control/estimates.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"cmp"
-	"slices"
-)
+import "slices"
 
 // Estimates: execution and load times, objectives, and the samples that they are computed from.
 
@@ -29,12 +26,15 @@
 }
 
 // loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
-// objective of the first class. The request may be nil.
+// objective of the first class, else 0. The request may be nil.
 func (b *Balancer) loadTime(req *Request) Micros {
 	if req != nil && req.LoadTime > 0 {
 		return req.LoadTime
 	}
-	return cmp.Or(b.loadTimes.mean(0), b.deployment.Classes[0].LatencyObjective)
+	if recent := b.loadTimes.mean(0); recent != 0 || len(b.deployment.Classes) == 0 {
+		return recent
+	}
+	return b.deployment.Classes[0].LatencyObjective
 }
 
 // latencyObjective returns a request's latency objective, which may grow with its execution time.
