--- /dev/null
+++ b/internal/chaostest/inject.go
@@ -0,0 +1,178 @@
+package chaostest
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"syscall"
+	"time"
+
+	"hollymast/internal/fakeserver"
+	"hollymast/internal/invariant"
+)
+
+// injectFault injects a fault and returns when it is over.
+func (h *harness) injectFault(ctx context.Context, f Fault) {
+	switch f.Kind {
+	case FaultOriginSlow:
+		h.store.Degrade(f.Factor, false)
+		sleep(ctx, f.Duration)
+		h.store.Degrade(1, false)
+	case FaultOriginStopped:
+		h.store.Degrade(1, true)
+		sleep(ctx, f.Duration)
+		h.store.Degrade(1, false)
+	case FaultDiscoveryStale:
+		h.holdPublishing(func() { sleep(ctx, f.Duration) })
+	case FaultControlPlaneLost, FaultControlPlaneHalf, FaultControlPlaneCut, FaultControlPlaneStall:
+		h.injectControlPlaneFault(ctx, f)
+	case FaultCrash, FaultVanish, FaultDeploy:
+		h.injectServerRestart(ctx, f)
+	case FaultRouterStall, FaultRouterRoll, FaultRouterKill:
+		var wg sync.WaitGroup
+		for _, router := range f.targets(len(h.routers)) {
+			wg.Go(func() { h.injectRouterFault(ctx, f, router) })
+		}
+		wg.Wait()
+	case FaultRise: // is in the schedule alone
+	default:
+		h.injectServerFault(ctx, f)
+	}
+}
+
+// setServerFaults sets how some servers misbehave.
+func (h *harness) setServerFaults(servers []int, faults fakeserver.Faults) {
+	for _, i := range servers {
+		h.servers[i].SetFaults(faults)
+	}
+}
+
+// Steps of the faults in which servers are slow.
+const (
+	pauseSlowdown = 10
+	pauseLength   = 200 * time.Millisecond
+	pauseInterval = 600 * time.Millisecond // from the end of a pause to the next
+	ageingSteps   = 5
+)
+
+// injectServerFault has servers misbehave for a time. Faults that are in the schedule have the targets behave well afterwards
+// and do nothing else.
+func (h *harness) injectServerFault(ctx context.Context, f Fault) {
+	servers := f.targets(len(h.servers))
+	switch f.Kind {
+	case FaultPauses:
+		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; {
+			h.setServerFaults(servers, fakeserver.Faults{Slowdown: pauseSlowdown})
+			sleep(ctx, pauseLength)
+			h.setServerFaults(servers, fakeserver.Faults{})
+			sleep(ctx, pauseInterval)
+		}
+		return
+	case FaultAgeing:
+		for step := range ageingSteps {
+			h.setServerFaults(servers, fakeserver.Faults{Slowdown: 1 + (f.Factor-1)*float64(step+1)/ageingSteps})
+			sleep(ctx, f.Duration/ageingSteps)
+		}
+		h.setServerFaults(servers, fakeserver.Faults{})
+		return
+	case FaultHang:
+		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+	case FaultAnswerLost:
+		h.setServerFaults(servers, fakeserver.Faults{LostAnswers: f.Share})
+	case FaultResetBefore:
+		h.setServerFaults(servers, fakeserver.Faults{ResetBefore: f.Share})
+	case FaultResetAfter:
+		h.setServerFaults(servers, fakeserver.Faults{ResetAfter: f.Share})
+	case FaultRefuse:
+		h.setServerFaults(servers, fakeserver.Faults{Overloaded: true})
+	}
+	sleep(ctx, f.Duration)
+	h.setServerFaults(servers, fakeserver.Faults{})
+}
+
+// injectServerRestart stops servers in one way or another and restarts them.
+func (h *harness) injectServerRestart(ctx context.Context, f Fault) {
+	servers := f.targets(len(h.servers))
+	switch f.Kind {
+	case FaultCrash:
+		h.stopServers(servers)
+		sleep(ctx, f.Duration)
+	case FaultVanish:
+		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+		sleep(ctx, f.Duration)
+		h.stopServers(servers)
+	case FaultDeploy:
+		for _, i := range servers {
+			h.setState(i, invariant.EndpointDraining)
+		}
+		sleep(ctx, f.Duration)
+		for _, i := range servers {
+			h.setState(i, invariant.EndpointGone)
+			h.servers[i].Stop()
+		}
+	}
+	h.restartServers(servers)
+}
+
+func (h *harness) stopServers(servers []int) {
+	for _, i := range servers {
+		h.servers[i].Stop()
+	}
+}
+
+// restartServers starts stopped servers, in slow start and without loaded functions, and publishes them afterwards.
+func (h *harness) restartServers(servers []int) {
+	for _, i := range servers {
+		if err := h.servers[i].Start(true); err != nil {
+			h.recordError(fmt.Errorf("server %d could not start again: %w", i, err))
+		}
+	}
+	for _, i := range servers {
+		h.setState(i, invariant.EndpointReady)
+	}
+}
+
+// injectRouterFault stalls a router, or restarts it.
+func (h *harness) injectRouterFault(ctx context.Context, f Fault, router int) {
+	r := h.routers[router]
+	h.log.Add(invariant.Record{Kind: invariant.RouterDown, Router: router})
+	switch f.Kind {
+	case FaultRouterStall:
+		r.signal(syscall.SIGSTOP)
+		sleep(ctx, f.Duration)
+		r.signal(syscall.SIGCONT)
+	case FaultRouterRoll, FaultRouterKill:
+		if f.Kind == FaultRouterRoll {
+			if err := r.stop(syscall.SIGTERM); err != nil {
+				h.recordError(fmt.Errorf("router %d did not end well when told to: %w", router, err))
+			}
+		}
+		r.stop(syscall.SIGKILL)
+		sleep(ctx, f.Duration)
+		if err := h.restartRouter(ctx, router); err != nil {
+			h.recordError(err)
+			return
+		}
+	}
+	h.log.Add(invariant.Record{Kind: invariant.RouterUp, Router: router})
+}
+
+// restartRouter starts a stopped router with the persisted state that the scenario wants, and waits until it is ready.
+func (h *harness) restartRouter(ctx context.Context, router int) error {
+	record := invariant.Record{Kind: invariant.RouterRestarted, Router: router}
+	if h.scenario.keepsRouterState() {
+		record.Detail = invariant.StateRestored
+		if err := h.alterState(router); err != nil {
+			return err
+		}
+	}
+	h.log.Add(record)
+	if err := h.routers[router].start(h.program); err != nil {
+		return err
+	}
+	h.routers[router].awaitReady(ctx)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.restarts = append(h.restarts, restart{router, h.log.Now(), time.Since(h.startedAt)})
+	return nil
+}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -32,7 +32,7 @@
 			}
 			return
 		case err != nil:
-			g.log.Warn().Err(err).Msg("a connection could not be accepted")
+			g.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(acceptRetryPause)
 		default:
 			g.serveClient(ctx, conn, role)
@@ -53,7 +53,7 @@
 	}
 	g.clientCount.Add(1)
 	if role == clientListener && g.overload != nil {
-		g.post(func(now control.Micros) { g.overload.RecordConnection(now) })
+		g.loop.Post(func(now control.Micros) { g.overload.RecordConnection(now) })
 	}
 	g.clientReaders.Go(func() {
 		defer g.clientCount.Add(-1)
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -15,10 +15,10 @@
 // followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before its first list.
 func (g *Gateway) followControlPlane(ctx context.Context) {
 	members := membership.New(membership.DefaultBounds)
-	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.DeltaXDS, xds.DefaultBounds)
+	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.XDSVariant, xds.DefaultBounds)
 	transport := xds.Transport{
-		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Delta: g.config.DeltaXDS,
-		Seed: uint64(g.epoch), Now: g.now, Refresh: g.sourceReads, Grace: g.config.GracePeriod,
+		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Variant: g.config.XDSVariant,
+		Seed: uint64(g.loop.Epoch), Now: g.loop.Now, Refresh: g.sourceReads, Grace: g.config.GracePeriod,
 		OnComplete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
 		OnUpdate: func(now control.Micros) {
 			update, changed := members.TakeUpdate(now)
@@ -28,11 +28,11 @@
 			if g.loadReporter != nil {
 				g.loadReporter.update(members.Servers(), client.ServiceNames())
 			}
-			g.queue.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
+			g.loop.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
 		},
 		Log: func(text string) { g.log.Info().Msg("xds: " + text) },
 	}
 	if err := transport.Run(ctx, client); err != nil {
-		g.log.Error().Err(err).Msg("xds: the control plane can't be followed")
+		g.log.Error().Err(err).Msg("xds: connection to the control plane can't be set up")
 	}
 }
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -21,7 +21,7 @@
 
 // historyBatch is rows to be added once.
 type historyBatch struct {
-	number uint64 // tells the store a batch that it has already
+	number uint64 // by which the store recognizes a batch that it has already
 	rows   []history.Row
 }
 
@@ -41,16 +41,16 @@
 		w.damagedCount = 0
 	}
 	if w.damagedCount >= maxDamagedWrites {
-		w.log.Error().Err(err).Msg("the history is damaged: it is set aside and a new one begun")
+		w.log.Error().Err(err).Msg("history file is damaged: set aside, a new one is begun")
 		if err = w.store.Quarantine(now); err == nil {
 			err = w.drain(now)
 		}
 	}
 	switch {
 	case err != nil && !w.failed:
-		w.log.Error().Err(err).Msg("the history can't be written; each further try is made in silence")
+		w.log.Error().Err(err).Msg("history can't be written: retried, further failures are not logged")
 	case err == nil && w.failed:
-		w.log.Info().Msg("the history is written again")
+		w.log.Info().Msg("history is written again")
 	}
 	w.failed = err != nil
 	w.dropOldest()
@@ -85,7 +85,7 @@
 	defer ticker.Stop()
 	taken := make(chan *history.Batch, 1)
 	writer := historyWriter{store: keeper.history, log: keeper.log}
-	write := func(batch *history.Batch) { writer.write(batch.Rows(), int64(g.now())) }
+	write := func(batch *history.Batch) { writer.write(batch.Rows(), int64(g.loop.Now())) }
 	for {
 		select {
 		case <-ticker.C:
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,15 +8,14 @@
 	"time"
 
 	"hollymast/control"
+	"hollymast/internal/attempt"
+	"hollymast/internal/eventloop"
 	"hollymast/internal/rest"
 )
 
-// A stopping router is killed no sooner than killAfter plus the longest configured deadline, of which at most
-// maxCountedDeadline counts, after it was asked to stop. Requests keep coming on open connections. All its times follow
-// from these.
+// Times of a graceful shutdown; the others follow from the earliest kill (eventloop.EarliestKill). Requests keep coming on
+// open connections.
 const (
-	maxCountedDeadline = 3 * time.Second
-	killAfter          = 700 * time.Millisecond
 	// answerBeforeKill is kept free before the kill for answers that are due at the last moment, half of it for their way
 	// out: some hundred writes on a small part of a core.
 	answerBeforeKill = 100 * time.Millisecond
@@ -34,13 +33,11 @@
 
 // shutdownTimes returns the times that follow from the longest configured deadline.
 func (c *Config) shutdownTimes() shutdownTimes {
-	longest := control.Micros(0)
-	for _, class := range c.Deployment.Classes {
-		longest = max(longest, class.MaxDeadline)
-	}
-	killed := min(duration(longest), maxCountedDeadline) + killAfter
+	kill := duration(eventloop.EarliestKill(c.Deployment.Classes))
 	return shutdownTimes{
-		readUntil: killAfter - answerBeforeKill, answerBy: killed - answerBeforeKill, closeBy: killed - answerBeforeKill/2,
+		readUntil: duration(eventloop.KillAfter) - answerBeforeKill,
+		answerBy:  kill - answerBeforeKill,
+		closeBy:   kill - answerBeforeKill/2,
 	}
 }
 
@@ -49,16 +46,16 @@
 
 // afterStop returns the time that lies d after the request to stop.
 func (g *Gateway) afterStop(d time.Duration) time.Time {
-	return g.startedAt.Add(duration(control.Micros(g.stopRequestedAt.Load())-g.epoch) + d)
+	return g.loop.Time(control.Micros(g.stopRequestedAt.Load())).Add(d)
 }
 
 // beginStop marks the gateway as stopping: it accepts connections for acceptConnectionsFor more, and no requests.
 func (g *Gateway) beginStop() {
 	g.stopping = true
 	g.ready.Store(false)
-	g.stopRequestedAt.Store(int64(g.now()))
+	g.stopRequestedAt.Store(int64(g.loop.Now()))
 	times := g.config.shutdownTimes()
-	g.log.Info().Int("jobs", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new jobs are taken")
+	g.log.Info().Int("requests", len(g.requests)).Dur("at_most_ms", times.closeBy).Msg("stopping: no new requests are accepted")
 	for _, l := range g.listeners {
 		l.(*net.TCPListener).SetDeadline(time.Now().Add(acceptConnectionsFor))
 	}
@@ -68,17 +65,28 @@
 	})
 }
 
-// answerOpen fails every request in flight: the kill would leave it without an answer.
+// answerOpen answers every request in flight: the kill would leave it without an answer. A request that was never
+// written, or that is safe to repeat, is rejected, so that its client can use the time left with another router; any
+// other fails.
 func (g *Gateway) answerOpen(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		if req := g.requests[id]; !req.answer.Given {
-			g.core.Cancel(now, id)
+		req := g.requests[id]
+		if req.answer.Given {
+			continue
+		}
+		g.core.Cancel(now, id)
+		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
+			return call == nil || !call.withdraw() && attempt.Stage(call.stage.Load()) == attempt.Writing
+		})
+		if mayHaveRun && !g.config.Deployment.Classes[req.pattern.Class].SafeToRetryAnywhere() {
 			g.finish(req, answerFailed, failure(reasonStopping))
+		} else {
+			g.finish(req, answerRejected, rejection(reasonStopping, g.config.Deployment.MaxRetryAfter))
 		}
 	}
 }
 
-// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they serve nobody here.
+// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they are of no use here.
 func (g *Gateway) cancelLoadCommands() {
 	for _, pool := range g.pools {
 		for call := range pool.open {
@@ -93,7 +101,7 @@
 // Clients that have read their answers close by themselves; those that have not by closeBy are closed.
 func (g *Gateway) closeAll(stopBackground context.CancelFunc) {
 	if g.state != nil {
-		g.state.finalState = g.learnedState(g.now())
+		g.state.finalState = g.learnedState(g.loop.Now())
 		if g.state.historyTally != nil {
 			g.state.finalHistory = g.state.historyTally.Drain()
 		}
@@ -104,7 +112,8 @@
 		g.core.SetRecorder(nil)
 		g.recorder = nil
 		g.recordWriter.Close()
-		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).Msg("recording ended")
+		g.log.Info().Int64("bytes", g.recordWriter.WrittenBytes()).Int64("lost_turns", g.recordWriter.LostSteps()).
+			Msg("recording ended")
 	}
 	g.closePools()
 	ended := make(chan struct{})
@@ -129,6 +138,6 @@
 	})
 	<-ended
 	if closed > 0 {
-		g.log.Warn().Int("connections", closed).Msg("closed on clients that did not read or go")
+		g.log.Warn().Int("connections", closed).Msg("closed client connections that were still open")
 	}
 }
--- a/internal/gateway/tls.go
+++ b/internal/gateway/tls.go
@@ -14,6 +14,9 @@
 	"hollymast/internal/xds"
 )
 
+// The certificates of connections are checked again after the handshake.
+var _ rest.PeerChecker = (*certstore.Conn)(nil)
+
 // wallClock returns the time that certificates are valid by.
 func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
@@ -51,7 +54,7 @@
 func (g *Gateway) followSecrets(ctx context.Context, kind string, store *certstore.Store, config *certstore.Config) {
 	log := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
 	transport := xds.Transport{
-		Address: config.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.epoch), Now: g.now,
+		Address: config.SecretsAddress, Service: xds.SecretDiscovery, Seed: uint64(g.loop.Epoch), Now: g.loop.Now,
 		OnUpdate: func(control.Micros) {}, Log: log,
 	}
 	client := xds.NewSecretClient(store, g.nodeID(), g.config.Zone, config.CertificateSecret, config.AuthoritiesSecret)
@@ -80,7 +83,7 @@
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
 		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() {
-			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("no connection to this server")
+			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("TLS handshake with a server failed")
 		}
 		return secured, err
 	}
@@ -97,7 +100,7 @@
 	defer cancel()
 	secured, err := store.ServerHandshake(ctx, conn)
 	if err != nil {
-		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("connection refused")
+		g.log.Info().Str("client", conn.RemoteAddr().String()).Str("fault", err.Error()).Msg("TLS handshake with a client failed")
 		conn.Close()
 	}
 	return secured, err
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -29,8 +29,8 @@
 				}
 			})
 		case servers := <-copies:
-			if err := g.view.Publish(g.now(), servers); err != nil {
-				g.log.Error().Err(err).Msg("our view can't be served")
+			if err := g.view.Publish(g.loop.Now(), servers); err != nil {
+				g.log.Error().Err(err).Msg("view can't be published")
 			}
 		case <-g.loopEnded:
 			return
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -11,8 +11,8 @@
 	"hollymast/internal/invariant"
 )
 
-// A second router that follows the first one's view has its list, its drains and what it suspects.
-func TestSecondRouterFollowsTheView(t *testing.T) {
+// A router that follows another's view has its endpoints, drains and ejections.
+func TestRouterFollowsView(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.ServeView = "127.0.0.1:0" }, serverOptions(0), serverOptions(1), serverOptions(2))
 	config := *tg.gateway.config
 	config.ControlPlane, config.ServeView, config.AdminListen, config.LoadReports = tg.gateway.view.Address(), "", "", true
@@ -31,7 +31,7 @@
 	}()
 	states := func() (ready, draining int) {
 		done := make(chan bool)
-		g.post(func(control.Micros) {
+		g.loop.Post(func(control.Micros) {
 			for _, s := range g.fleet.Servers() {
 				if s.State == control.Ready {
 					ready++
@@ -56,10 +56,10 @@
 	}
 	await(3, 0, 5*time.Second)
 	both := &testGateway{t: t, gateway: g, log: tg.log}
-	if word := both.call("1", "forecast-1", time.Second); word != invariant.Succeeded {
-		t.Error(word)
+	if answer := both.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+		t.Error(answer)
 	}
-	// What it does there the first one learns from its reports, with what the server told of its load.
+	// The first router learns what the second has sent from its load reports, with the load that the server stated.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		lines, nodes := tg.gateway.view.ReportedLoads()
 		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -1,42 +1,26 @@
 package history
 
 import (
-	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io/fs"
 	"os"
-	"path/filepath"
 	"runtime/debug"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	bolt "go.etcd.io/bbolt"
 	errs "go.etcd.io/bbolt/errors"
 )
 
-// Store is a file of rows. It is open only while something is written or read, so that hmhistory can read beside a
-// router; each writing is one transaction, so a break leaves the rows before or after it.
+// Store is a file of rows. It is open only while something is written or read, so that hmhistory can read beside a router. Each write is
+// one transaction, so that a crash leaves the rows of before or after it.
 type Store struct {
-	path string
-	most int64 // rows
+	path    string
+	maxRows int64
 }
 
-// NewStore gives a store in a file, bounded to a number of rows.
-func NewStore(path string, most int64) *Store { return &Store{path, most} }
-
-// Version is the format's.
-const Version = 1
-
-var (
-	metaBucket = []byte("meta")
-	versionKey = []byte("version")
-	batchKey   = []byte("batch") // the last writing's, where it had one
-)
+// NewStore returns a store in a file that holds no more than a number of rows.
+func NewStore(path string, maxRows int64) *Store { return &Store{path, maxRows} }
 
 // Errors of a store.
 var (
@@ -44,11 +28,19 @@
 	ErrDamaged = errors.New("damaged")
 )
 
-// lockTime is how long another's writing or reading is awaited: a reader of a full file takes a second or two.
-const lockTime = 5 * time.Second
+// lockTimeout is how long a store waits while another process has the file open: reading a full file takes a second or two.
+const lockTimeout = 5 * time.Second
+
+// access is what a file is opened for.
+type access int
 
-// opened calls f with the file open. A damaged file gives ErrDamaged, whatever its pages hold.
-func (s *Store) opened(readOnly bool, f func(*bolt.DB) error) (err error) {
+const (
+	readWrite access = iota
+	readOnly
+)
+
+// withDB calls f with the file open. A damaged file is ErrDamaged, whatever its pages hold.
+func (s *Store) withDB(a access, f func(*bolt.DB) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file faults where it is mapped
 	var db *bolt.DB
 	defer func() {
@@ -57,16 +49,16 @@
 		}
 		if db != nil {
 			func() {
-				defer func() { recover() }() // it is damaged: there is nothing to be saved
+				defer func() { recover() }() // the file is damaged: there is nothing to be saved
 				db.Close()
 			}()
 		}
 	}()
-	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTime, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType})
+	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: a == readOnly, FreelistType: bolt.FreelistMapType})
 	var path *fs.PathError
 	switch {
 	case err == nil:
-	case errors.As(err, &path), errors.Is(err, errs.ErrTimeout): // the folder's fault, or another has it
+	case errors.As(err, &path), errors.Is(err, errs.ErrTimeout): // it is the directory's fault, or another process has the file open
 		return fmt.Errorf("%s: %w", s.path, err)
 	default:
 		return fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, err)
@@ -74,227 +66,53 @@
 	return f(db)
 }
 
-func version(tx *bolt.Tx) error {
-	b := tx.Bucket(metaBucket)
-	if b == nil {
-		return fmt.Errorf("%w: no history", ErrDamaged)
-	}
-	if v := b.Get(versionKey); len(v) != 4 || binary.BigEndian.Uint32(v) > Version {
-		return ErrNewer
-	}
-	return nil
-}
-
-// rowKey is a row's place: time, then function and tenant.
-func rowKey(at int64, w Subject) []byte {
-	b := binary.BigEndian.AppendUint64(nil, uint64(at))
-	b = append(b, w.Function...)
-	b = append(b, 0)
-	return append(b, w.Tenant...)
-}
-
-func readRow(k, v []byte) (r Row, err error) {
-	if len(k) < 9 {
-		return r, ErrDamaged
-	}
-	i := bytes.LastIndexByte(k[8:], 0) // tenants' names are from settings and hold none
-	if i < 0 {
-		return r, ErrDamaged
-	}
-	r.At, r.Subject = int64(binary.BigEndian.Uint64(k)), Subject{string(k[8 : 8+i]), string(k[9+i:])}
-	if err := cbor.Unmarshal(v, &r.Usage); err != nil {
-		return r, fmt.Errorf("%w: %v", ErrDamaged, err)
-	}
-	return r, nil
-}
-
-// writing is one transaction, with how many rows each level holds: to count them would read the whole file.
-type writing struct {
-	*bolt.Tx
-	rows []int64
-}
-
-func countKey(level int) []byte { return []byte("rows " + Levels[level].Name) }
-
-// begin makes what a file lacks and reads the counts.
-func begin(tx *bolt.Tx) (*writing, error) {
-	w := &writing{tx, make([]int64, len(Levels))}
-	meta := tx.Bucket(metaBucket)
-	if meta == nil {
-		var err error
-		if meta, err = tx.CreateBucket(metaBucket); err != nil {
-			return nil, err
-		}
-		if err := meta.Put(versionKey, binary.BigEndian.AppendUint32(nil, Version)); err != nil {
-			return nil, err
-		}
-	} else if err := version(tx); err != nil {
-		return nil, err
-	}
-	for i, l := range Levels {
-		if _, err := tx.CreateBucketIfNotExists([]byte(l.Name)); err != nil {
-			return nil, err
-		}
-		if b := meta.Get(countKey(i)); len(b) == 8 {
-			w.rows[i] = int64(binary.BigEndian.Uint64(b))
-		}
-	}
-	return w, nil
-}
-
-// end writes the counts.
-func (w *writing) end() error {
-	for i, n := range w.rows {
-		if err := w.Bucket(metaBucket).Put(countKey(i), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// merge adds a row to what stands in its place.
-func (w *writing) merge(level int, r Row) error {
-	b := w.Bucket([]byte(Levels[level].Name))
-	b.FillPercent = 0.9 // rows come by time, so pages are filled from the front
-	k := rowKey(r.At, r.Subject)
-	if was := b.Get(k); was != nil {
-		old, err := readRow(k, was)
-		if err != nil {
-			return err
-		}
-		old.Merge(r.Usage)
-		r.Usage = old.Usage
-	} else {
-		w.rows[level]++
-	}
-	v, err := cbor.Marshal(r.Usage)
-	if err != nil {
-		return err
-	}
-	return b.Put(k, v)
-}
+// noBatch is the number of a batch that is not known to be added twice.
+const noBatch = 0
 
 // Add merges rows of minutes into the file and compacts it, all or nothing.
-func (s *Store) Add(rows []Row, now int64) error { return s.AddOnce(rows, now, 0) }
+func (s *Store) Add(rows []Row, now int64) error { return s.AddOnce(rows, now, noBatch) }
 
-// AddOnce adds rows that were perhaps added before: a writing that failed at its end may stand in the file. The batch's number
-// tells, unless it is 0; it is to be tried again before another batch.
+// AddOnce is Add for a batch that may be in the file already, since a write that failed at its end may have been made. It does nothing
+// if the last batch had the same number. So a batch that failed is to be added again before another. With number 0 it is Add.
 func (s *Store) AddOnce(rows []Row, now int64, batch uint64) error {
-	return s.opened(false, func(db *bolt.DB) error {
+	return s.withDB(readWrite, func(db *bolt.DB) error {
 		return db.Update(func(tx *bolt.Tx) error {
-			w, err := begin(tx)
+			t, err := beginTransaction(tx)
 			if err != nil {
 				return err
 			}
-			if batch != 0 {
-				number := binary.BigEndian.AppendUint64(nil, batch)
-				meta := w.Bucket(metaBucket)
-				if bytes.Equal(meta.Get(batchKey), number) {
-					return nil
-				}
-				if err := meta.Put(batchKey, number); err != nil {
+			if batch != noBatch {
+				if isNew, err := t.claimBatch(batch); err != nil || !isNew {
 					return err
 				}
 			}
 			for _, r := range rows {
-				if err := w.merge(0, r); err != nil {
+				if err := t.merge(0, r); err != nil {
 					return err
 				}
 			}
-			if err := w.compact(now, s.most); err != nil {
+			if err := t.compact(now, s.maxRows); err != nil {
 				return err
 			}
-			return w.end()
+			return t.writeCounts()
 		})
 	})
 }
 
-// compact moves rows up the levels as Horizons decides, until no more need to go.
-func (w *writing) compact(now, most int64) error {
-	for {
-		oldest := make([]int64, len(Levels))
-		for i, l := range Levels {
-			if k, _ := w.Bucket([]byte(l.Name)).Cursor().First(); len(k) >= 8 {
-				oldest[i] = int64(binary.BigEndian.Uint64(k))
-			}
-		}
-		moved := false
-		for i, until := range Horizons(now, w.rows, oldest, most) {
-			n, err := w.move(i, until)
-			if err != nil {
-				return err
-			}
-			moved = moved || n > 0
-		}
-		if !moved {
-			return nil
-		}
-	}
-}
-
-// move merges a level's rows of before a time into the next level; the last one's are dropped.
-func (w *writing) move(level int, until int64) (moved int, err error) {
-	b := w.Bucket([]byte(Levels[level].Name))
-	c := b.Cursor()
-	var keys [][]byte
-	sums := map[key]*Row{}
-	var order []key
-	for k, v := c.First(); len(k) >= 8 && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
-		keys = append(keys, bytes.Clone(k))
-		if level+1 == len(Levels) {
-			continue
-		}
-		r, err := readRow(k, v)
-		if err != nil {
-			return 0, err
-		}
-		span := Levels[level+1].Span
-		at := key{r.At / span * span, r.Subject}
-		if sums[at] == nil {
-			sums[at] = &Row{At: at.minute, Subject: r.Subject}
-			order = append(order, at)
-		}
-		sums[at].Merge(r.Usage)
-	}
-	for _, k := range keys {
-		if err := b.Delete(k); err != nil {
-			return 0, err
-		}
-	}
-	w.rows[level] -= int64(len(keys))
-	for _, at := range order {
-		if err := w.merge(level+1, *sums[at]); err != nil {
-			return 0, err
-		}
-	}
-	return len(keys), nil
-}
-
-// Read hands every row of a span of time to a function, level by level from the coarsest, which is oldest, each by time,
-// then name. From is in time's beginning, until the first time that is no longer meant.
-func (s *Store) Read(from, until int64, each func(level Level, r Row) error) error {
+// Read calls a function with every row from a time until before another (microseconds since 1970), level by level from the coarsest,
+// which is the oldest, and within a level by time, then name. An error of the function ends it and is returned.
+func (s *Store) Read(from, until int64, each func(Level, Row) error) error {
 	if _, err := os.Stat(s.path); err != nil {
 		return err
 	}
-	return s.opened(true, func(db *bolt.DB) error {
+	return s.withDB(readOnly, func(db *bolt.DB) error {
 		return db.View(func(tx *bolt.Tx) error {
-			if err := version(tx); err != nil {
+			if err := checkVersion(tx); err != nil {
 				return err
 			}
 			for i := len(Levels) - 1; i >= 0; i-- {
-				b := tx.Bucket([]byte(Levels[i].Name))
-				if b == nil {
-					continue
-				}
-				c := b.Cursor()
-				for k, v := c.Seek(rowKey(max(0, from), Subject{})[:8]); k != nil && int64(binary.BigEndian.Uint64(k)) < until; k, v = c.Next() {
-					r, err := readRow(k, v)
-					if err != nil {
-						return err
-					}
-					if err := each(Levels[i], r); err != nil {
-						return err
-					}
+				if err := readLevel(tx, Levels[i], from, until, each); err != nil {
+					return err
 				}
 			}
 			return nil
@@ -302,27 +120,20 @@
 	})
 }
 
-// half is the size under which a file never held a row: that of its four first pages, the least that a system has.
-const half = 4*4096 + 1
-
-// Aside moves a file that is damaged out of the way, so that a new one can begin; it is kept for whoever may mend it, but not
-// one that was only half begun, nor more than one a day: a disk that fails for long fills with none.
-func (s *Store) Quarantine(now int64) error {
-	others, err := filepath.Glob(s.path + ".damaged-*")
-	if err != nil {
-		return err
-	}
-	lately := slices.ContainsFunc(others, func(name string) bool {
-		at, err := strconv.ParseInt(name[strings.LastIndexByte(name, '-')+1:], 10, 64)
-		return err == nil && now-at < Day
-	})
-	if info, statErr := os.Stat(s.path); lately || statErr == nil && info.Size() < half {
-		err = os.Remove(s.path)
-	} else {
-		err = os.Rename(s.path, fmt.Sprintf("%s.damaged-%d", s.path, now))
-	}
-	if errors.Is(err, fs.ErrNotExist) {
+func readLevel(tx *bolt.Tx, l Level, from, until int64, each func(Level, Row) error) error {
+	bucket := tx.Bucket([]byte(l.Name))
+	if bucket == nil {
 		return nil
 	}
-	return err
+	cursor := bucket.Cursor()
+	for key, value := cursor.Seek(timeKey(max(0, from))); key != nil && keyTime(key) < until; key, value = cursor.Next() {
+		r, err := readRow(key, value)
+		if err != nil {
+			return err
+		}
+		if err := each(l, r); err != nil {
+			return err
+		}
+	}
+	return nil
 }
