--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -31,8 +31,8 @@
 	states := []string{"ready", "ready"}
 	states[used] = "draining"
 	tg.writeEndpoints(states...)
-	told := tg.gateway.now()
-	for tg.gateway.now()-told < micros(tg.gateway.config.GracePeriod) { // the process may have been stopped meanwhile
+	told := tg.gateway.loop.Now()
+	for tg.gateway.loop.Now()-told < micros(tg.gateway.config.GracePeriod) { // the process may have been stopped meanwhile
 		time.Sleep(time.Millisecond)
 	}
 	tg.call("c", "forecast-1", time.Second)
@@ -45,8 +45,8 @@
 func TestStallBetweenReadAndChoice(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	s := make(chan *serverCall)
-	tg.gateway.post(func(now control.Micros) {
-		tg.gateway.endpointsAsOf = now - micros(tg.gateway.config.GracePeriod) // the process was stopped after the look
+	tg.gateway.loop.Post(func(now control.Micros) {
+		tg.gateway.loop.EndpointsAsOf = now - micros(tg.gateway.config.GracePeriod) // the process was stalled after the read
 		s <- tg.gateway.newCall(fleet.ID(tg.servers[0].Address()), 1_000_000)
 	})
 	old := <-s
@@ -68,14 +68,14 @@
 	if answer := tg.call("1", "forecast-1", time.Second); answer != "finished" {
 		t.Fatalf("got %q", answer)
 	}
-	// From now on the list is a pipe, and a look lasts until somebody writes.
+	// From now on the endpoint file is a pipe, and a read lasts until it is written.
 	if err := os.Remove(tg.endpointFile); err != nil {
 		t.Fatal(err)
 	}
 	if err := syscall.Mkfifo(tg.endpointFile, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // the look ends before the router does
+	t.Cleanup(func() { // the read ends before the router does
 		writer, err := os.OpenFile(tg.endpointFile, os.O_WRONLY, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 func TestStartIsBoundedByLastRead(t *testing.T) {
 	tg := newTestGatewayConfigured(t, "", rareEndpointReads, serverOptions(0), serverOptions(1))
 	look := func() (asOf control.Micros) {
-		asOf = tg.gateway.now()
+		asOf = tg.gateway.loop.Now()
 		for control.Micros(tg.gateway.sourceCompleteAsOf.Load()) < asOf {
 			tg.gateway.RefreshEndpoints()
 			time.Sleep(time.Millisecond)
@@ -109,7 +109,7 @@
 	}
 	tg.writeEndpoints("ready")
 	look()
-	time.Sleep(100 * time.Millisecond) // the list stands
+	time.Sleep(100 * time.Millisecond) // the list stays in force
 	complete := look()
 	list := fmt.Sprintf("[0]\naddress = %s\n[1]\naddress = %s\nborn = %s\n", tg.servers[0].Address(), tg.servers[1].Address(),
 		time.Now().Add(-time.Hour).UTC().Format(time.RFC3339Nano))
@@ -121,7 +121,7 @@
 	}
 	look()
 	bounded := make(chan bool)
-	tg.gateway.post(func(now control.Micros) {
+	tg.gateway.loop.Post(func(now control.Micros) {
 		s := tg.gateway.fleet.Get(fleet.ID(tg.servers[1].Address()))
 		bounded <- s.InSlowStart(complete, 1) && !s.InSlowStart(now, 0)
 	})
@@ -141,7 +141,7 @@
 	} {
 		tg := newTestGatewayConfigured(t, "", rareEndpointReads, serverOptions(0))
 		stages := make(chan [2]attempt.Stage)
-		tg.gateway.post(func(now control.Micros) {
+		tg.gateway.loop.Post(func(now control.Micros) {
 			tg.gateway.handleUpdate(now, fleet.Update{Full: true, Endpoints: []fleet.Endpoint{{Address: address, State: control.Ready}, {Address: other, State: control.Ready}}})
 			var sent [2]*serverCall
 			for i, to := range []control.ServerID{id, fleet.ID(other)} {
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -21,7 +21,7 @@
 
 // historyBatch is rows to be added once.
 type historyBatch struct {
-	number uint64 // tells the store a batch that it has already
+	number uint64 // by which the store recognizes a batch that it has already
 	rows   []history.Row
 }
 
@@ -85,7 +85,7 @@
 	defer ticker.Stop()
 	taken := make(chan *history.Batch, 1)
 	writer := historyWriter{store: keeper.history, log: keeper.log}
-	write := func(batch *history.Batch) { writer.write(batch.Rows(), int64(g.now())) }
+	write := func(batch *history.Batch) { writer.write(batch.Rows(), int64(g.loop.Now())) }
 	for {
 		select {
 		case <-ticker.C:
