--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -137,3 +137,23 @@
 		t.Error("no request was answered")
 	}
 }
+
+// A gateway outlives SIGHUP, and stops in order afterwards.
+func TestGatewayReload(t *testing.T) {
+	endpoints := filepath.Join(t.TempDir(), "workers.ini")
+	if err := os.WriteFile(endpoints, []byte("[a]\naddress = 127.0.0.1:1\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, gateway := startGateway(t, fmt.Sprintf(shortDeadlines, endpoints))
+	gateway.signal(syscall.SIGHUP)
+	time.Sleep(100 * time.Millisecond) // or the stop's signal could be handled before the reload's
+	gateway.signal(syscall.SIGTERM)
+	select {
+	case <-gateway.ended:
+		if gateway.err != nil {
+			t.Error(gateway.err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("the gateway goes on")
+	}
+}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -321,7 +321,11 @@
 	var names []string
 	a, b := reflect.ValueOf(*old), reflect.ValueOf(*changed)
 	for i := range a.NumField() {
-		name := a.Type().Field(i).Name
+		field := a.Type().Field(i)
+		if !field.IsExported() { // no setting: tests set them
+			continue
+		}
+		name := field.Name
 		if name != "LogLevel" && !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
 			names = append(names, name)
 		}
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -50,3 +51,33 @@
 		}
 	}
 }
+
+// A reload names the settings that need a restart: none where they are the same or the log level alone is another.
+func TestChangesNeedingRestart(t *testing.T) {
+	parse := func(old, changed string) *Config {
+		text := strings.Replace(fmt.Sprintf(testSettings, "workers.ini"), old, changed, 1)
+		in, err := inifile.Parse("test.ini", []byte(text))
+		if err != nil {
+			t.Fatal(err)
+		}
+		config, err := ParseConfig(in)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return config
+	}
+	before := parse("", "")
+	for _, c := range []struct {
+		old, changed string
+		want         []string
+	}{
+		{"", "", nil},
+		{"seed = 1", "seed = 1\nlog = debug", nil},
+		{"connections = 300", "connections = 301", []string{"MaxClientConns"}},
+		{"workers.ini", "others.ini", []string{"EndpointFile"}},
+	} {
+		if got := ChangesNeedingRestart(before, parse(c.old, c.changed)); !slices.Equal(got, c.want) {
+			t.Errorf("%q instead of %q: %q need a restart, want %q", c.changed, c.old, got, c.want)
+		}
+	}
+}
