--- a/internal/eventloop/kill.go
+++ b/internal/eventloop/kill.go
@@ -17,3 +17,9 @@
 	}
 	return KillAfter + min(longest, MaxCountedDeadline)
 }
+
+// RejectedByStop reports whether a request that a stop ends while it is in flight is rejected: it was never written, or is
+// safe to repeat, so that its client can use the time left with another router. Any other request fails.
+func RejectedByStop(class control.Class, mayHaveRun bool) bool {
+	return !mayHaveRun || class.SafeToRetryAnywhere()
+}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -161,3 +161,22 @@
 		t.Errorf("without classes: %d", got)
 	}
 }
+
+func TestRejectedByStop(t *testing.T) {
+	for _, c := range []struct {
+		class                  control.Class
+		notWritten, mayHaveRun bool
+	}{
+		{control.Class{Effect: control.NonIdempotent}, true, false},
+		{control.Class{Effect: control.IdempotentByKey, Scope: control.OneZone}, true, false},
+		{control.Class{Effect: control.IdempotentByKey, Scope: control.WholeFleet}, true, true},
+		{control.Class{Effect: control.Idempotent}, true, true},
+	} {
+		if got := RejectedByStop(c.class, false); got != c.notWritten {
+			t.Errorf("%+v, not written: %t", c.class, got)
+		}
+		if got := RejectedByStop(c.class, true); got != c.mayHaveRun {
+			t.Errorf("%+v, may have run: %t", c.class, got)
+		}
+	}
+}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -65,9 +65,7 @@
 	})
 }
 
-// answerOpen answers every request in flight: the kill would leave it without an answer. A request that was never
-// written, or that is safe to repeat, is rejected, so that its client can use the time left with another router; any
-// other fails.
+// answerOpen answers every request in flight: the kill would leave it without an answer.
 func (g *Gateway) answerOpen(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		req := g.requests[id]
@@ -78,10 +76,10 @@
 		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
 			return call == nil || !call.withdraw() && attempt.Stage(call.stage.Load()) == attempt.Writing
 		})
-		if mayHaveRun && !g.config.Deployment.Classes[req.pattern.Class].SafeToRetryAnywhere() {
-			g.finish(req, answerFailed, failure(reasonStopping))
-		} else {
+		if eventloop.RejectedByStop(g.config.Deployment.Classes[req.pattern.Class], mayHaveRun) {
 			g.finish(req, answerRejected, rejection(reasonStopping, g.config.Deployment.MaxRetryAfter))
+		} else {
+			g.finish(req, answerFailed, failure(reasonStopping))
 		}
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -100,8 +100,7 @@
 // answerOpen answers every request in flight: the kill would leave it without an answer.
 func (r *Router) answerOpen() { r.endRequests(func(*request) bool { return true }) }
 
-// endRequests ends the selected requests in flight. A request that was never written, or that is safe to repeat, is
-// rejected, so that its client can use the time left with another router; any other fails.
+// endRequests ends the selected requests in flight.
 func (r *Router) endRequests(selected func(req *request) bool) {
 	now := r.loop.Now()
 	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
@@ -114,10 +113,10 @@
 		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
 			return !call.withdraw() && call.currentStage() == attempt.Writing
 		})
-		if mayHaveRun && !r.config.Deployment.Classes[req.class].SafeToRetryAnywhere() {
-			r.finish(req, msgrpc.Failure(req.number))
-		} else {
+		if eventloop.RejectedByStop(r.config.Deployment.Classes[req.class], mayHaveRun) {
 			r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+		} else {
+			r.finish(req, msgrpc.Failure(req.number))
 		}
 	}
 }
