--- a/control/balancer.go
+++ b/control/balancer.go
@@ -6,9 +6,9 @@
 // attempt; and Maintain, which periodic work is due and when to call it next. In each event-loop iteration the
 // caller passes every pending request to Route, lowest Rank first.
 //
-// Each concern has a file of its own: routing, loading (ranking and index keep it cheap in a large fleet), slow
-// start, outliers, overload, quotas, retries, endpoints, estimates and maintenance. The types of inputs and
-// decisions are in types.go and requests.go.
+// Each concern has a file of its own: routing, loading, slow start, outliers, overload, quotas, retries, endpoints,
+// estimates and maintenance. Ranking, homes, index and serverlist keep the costs low in a large fleet. The types of
+// inputs and decisions are in types.go and requests.go.
 package control
 
 // Balancer holds the routing state of one router. It is not safe for concurrent use: one event loop owns it.
