--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -57,9 +57,7 @@
 // server is what the balancer knows and believes about one server.
 type server struct {
 	Endpoint
-	// The number of ready servers with lower IDs when flips of the server list was as given: totalCapacity needs it of
-	// each server in slow start.
-	readyBelow, readyBelowFlips int
+	slowStartSince Micros // StartedAt while the server is in index.slowStart, else 0
 
 	listed         bool        // named in the latest full list or in an update since
 	lastListed     Micros      // when it was last in the list, if it no longer is
--- a/control/homes.go
+++ b/control/homes.go
@@ -109,7 +109,7 @@
 	ready := len(b.index.ready)
 	homes := b.homeCount(f, ready)
 	walk := 2 * float64(2*b.likelyWithin(homes, ready)) / float64(homes)
-	unusual := len(b.index.impaired) + len(b.index.inSlowStart)
+	unusual := len(b.index.impaired) + len(b.index.slowStart.servers)
 	return walk <= maxWalk*float64(ready) && float64(unusual) <= maxUnusual*float64(ready)
 }
 
--- a/control/index.go
+++ b/control/index.go
@@ -9,13 +9,12 @@
 // is derived from the rest of the state, rebuilt after a restore, and never stored.
 type index struct {
 	// When an endpoint list was last applied: servers that are present were listed until then.
-	listedAt Micros
-	removed  []*server  // by the time they were last listed, then by ID
-	ready    []*server  // in any order; see server.readyIndex
-	readyIDs []ServerID // of the same servers, side by side for scans
-	// Ready servers, by ID, that totalCapacity has not yet seen at full capacity.
-	inSlowStart []*server
-	busy        []*server // with attempts in flight, by ID
+	listedAt  Micros
+	removed   []*server    // by the time they were last listed, then by ID
+	ready     []*server    // in any order; see server.readyIndex
+	readyIDs  []ServerID   // of the same servers, side by side for scans
+	slowStart slowStartSet // also of servers that totalCapacity has not yet seen at full capacity
+	busy      []*server    // with attempts in flight, by ID
 
 	// May be ejected, backed off, or have its weight lowered by what is known of its load; in any order.
 	impaired []*server
@@ -77,7 +76,7 @@
 			return
 		}
 	}
-	for _, s := range idx.inSlowStart {
+	for _, s := range idx.slowStart.servers {
 		if !s.impaired && !yield(s) {
 			return
 		}
@@ -122,7 +121,6 @@
 	if s.State == Ready {
 		weight = max(0.1, s.Weight)
 	}
-	b.servers.setReady(s.Server, s.State == Ready)
 	idx.setReady(s)
 	if weight != s.weight {
 		idx.maxWeight, idx.totalWeight = max(idx.maxWeight, weight), idx.totalWeight+weight-s.weight
@@ -130,9 +128,9 @@
 		s.weight = weight
 	}
 	if s.State == Ready && b.capacity(idx.listedAt, s) != 1 {
-		idx.inSlowStart = insertSorted(idx.inSlowStart, s, byID)
+		idx.slowStart.set(s, s.StartedAt)
 	} else {
-		idx.inSlowStart = deleteSorted(idx.inSlowStart, s, byID)
+		idx.slowStart.set(s, 0)
 	}
 }
 
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -68,17 +68,40 @@
 func referenceUpdateAnswerRate(r *Balancer, now Micros) {
 	const over = 10_000_000
 	r.answers = dropBefore(r.answers, now-over)
-	servers := 0.0
-	for s := range r.servers.all {
-		if s.State == Ready {
-			servers += r.capacity(now, s)
-		}
-	}
+	servers := referenceTotalCapacity(r, now)
 	seen := min(over, max(over/10, now-r.startedAt))
 	r.answerRate = float64(len(r.answers)) * 1e6 / float64(seen) / max(1, servers)
 	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
+// referenceTotalCapacity looks at each server. It counts ages as integers, as totalCapacity does, for the same rounding.
+func referenceTotalCapacity(r *Balancer, now Micros) float64 {
+	full, starting := 0, 0
+	var age Micros
+	oneByOne := 0.0
+	for s := range r.servers.all {
+		if s.State != Ready {
+			continue
+		}
+		oneByOne += r.capacity(now, s)
+		if s.StartedAt > 0 && now-s.StartedAt < r.deployment.SlowStartDuration {
+			starting++
+			age += max(0, now-s.StartedAt)
+		} else {
+			full++
+		}
+	}
+	sum := float64(full)
+	if starting > 0 {
+		initial := r.deployment.SlowStartInitial
+		sum += initial*float64(starting) + (1-initial)*float64(age)/float64(r.deployment.SlowStartDuration)
+	}
+	if math.Abs(sum-oneByOne) > 1e-9*oneByOne {
+		panic(fmt.Sprintf("capacity %v, one by one %v", sum, oneByOne))
+	}
+	return sum
+}
+
 func referenceEjectSilentServers(r *Balancer, now Micros) {
 	limit := 4 * quantile(r.latencies.since(0), 0.9)
 	if limit == 0 {
@@ -308,7 +331,7 @@
 			d.t.Fatalf("%s at %d: got %x, want %x", what, d.now, pair[0], pair[1])
 		}
 	}
-	checkServerList(d.t, &d.r.servers, slices.Sorted(slices.Values(ids(all))), func(s *server) bool { return s.State == Ready })
+	checkServerList(d.t, &d.r.servers, slices.Sorted(slices.Values(ids(all))))
 	var ready []ServerID
 	for i, s := range got.ready {
 		if s.readyIndex != i || got.readyIDs[i] != s.Server {
@@ -327,7 +350,7 @@
 			d.t.Fatalf("server %x at %d: got %+v, want %+v", s.Server, d.now, s, restored.servers.at(i))
 		}
 	}
-	for _, s := range append(slices.Clone(got.impaired), got.inSlowStart...) {
+	for _, s := range append(slices.Clone(got.impaired), got.slowStart.servers...) {
 		if d.r.servers.find(s.Server) != s {
 			d.t.Fatalf("server %x at %d is forgotten, and not", s.Server, d.now)
 		}
@@ -535,21 +558,6 @@
 	}
 }
 
-// addOnes adds up in few steps, with the rounding of single additions.
-func TestAddOnesRoundsAsOneByOne(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 1))
-	for range 2000 {
-		sum, n := chance.Float64()*math.Ldexp(1, chance.IntN(14)), chance.IntN(4000)
-		want := sum
-		for range n {
-			want++
-		}
-		if got := addOnes(sum, n); got != want {
-			t.Fatalf("%v and %d ones: got %v, want %v", sum, n, got, want)
-		}
-	}
-}
-
 // burden gives each server, at random, something that makes it unusable or moves it to the end of the order.
 func (d *days) burden(share float64) {
 	r, one := d.r, d.chance.IntN(12) // one kind of burden for all; six or more: any kind
--- a/control/serverlist.go
+++ b/control/serverlist.go
@@ -1,29 +1,23 @@
 package control
 
-import (
-	"math/bits"
-	"slices"
-)
+import "slices"
 
-// serverList is a list of servers by ascending ID that counts those that are ready. It consists of blocks, so that
-// to insert or remove a server moves only a few others. The zero value is an empty list.
+// serverList is a list of servers by ascending ID. It consists of blocks, so that to insert or remove a server moves only a
+// few others. The zero value is an empty list.
 type serverList struct {
 	blocks []serverBlock // none is empty
 	len    int           // number of servers
-	flips  int           // how often a server in the list has become ready or ceased to be
 }
 
 // serverBlock is a part of a serverList. IDs stand apart from the servers: a search needs no access to these.
 type serverBlock struct {
-	first       ServerID
-	readyBefore int    // number of ready servers in the blocks before this one
-	ready       uint64 // bit i tells whether servers[i] is ready
-	ids         []ServerID
-	servers     []*server // at most maxBlock
+	first   ServerID
+	ids     []ServerID
+	servers []*server // at most maxBlock
 }
 
-// maxBlock is the largest number of servers in a block: the bits of serverBlock.ready. In a fleet of a few thousand
-// servers a change moves about as many entries of a block as it renumbers blocks.
+// maxBlock is the largest number of servers in a block. In a fleet of a few thousand servers a change moves about as many
+// entries of a block as there are blocks.
 const maxBlock = 64
 
 // locate returns the block in which a server is or would be inserted, and its position there. In an empty list the
@@ -52,16 +46,6 @@
 	return nil
 }
 
-// readyBelow returns the number of ready servers with a lower ID.
-func (l *serverList) readyBelow(id ServerID) int {
-	block, i, _ := l.locate(id)
-	if len(l.blocks) == 0 {
-		return 0
-	}
-	b := &l.blocks[block]
-	return b.readyBefore + bits.OnesCount64(b.ready&(1<<i-1))
-}
-
 // all calls yield for each server by ascending ID, until it returns false.
 func (l *serverList) all(yield func(s *server) bool) {
 	for _, b := range l.blocks {
@@ -83,24 +67,7 @@
 	return false
 }
 
-// setReady notes whether a server in the list is ready.
-func (l *serverList) setReady(id ServerID, ready bool) {
-	block, i, found := l.locate(id)
-	if !found {
-		return
-	}
-	b, bit := &l.blocks[block], uint64(1)<<i
-	switch wasReady := b.ready&bit != 0; {
-	case ready && !wasReady:
-		b.ready |= bit
-		l.addReady(block, 1)
-	case !ready && wasReady:
-		b.ready &^= bit
-		l.addReady(block, -1)
-	}
-}
-
-// insert adds a server that isn't in the list, as not ready.
+// insert adds a server that isn't in the list.
 func (l *serverList) insert(s *server) {
 	block, i, found := l.locate(s.Server)
 	if found {
@@ -116,9 +83,8 @@
 			block, i = block+1, i-half
 		}
 	}
-	b, below := &l.blocks[block], uint64(1)<<i-1
+	b := &l.blocks[block]
 	b.ids, b.servers = slices.Insert(b.ids, i, s.Server), slices.Insert(b.servers, i, s)
-	b.ready = b.ready&below | b.ready&^below<<1
 	b.first = b.ids[0]
 	l.len++
 }
@@ -131,10 +97,9 @@
 func (l *serverList) split(block, i int) {
 	upper, b := newServerBlock(), &l.blocks[block]
 	upper.ids, upper.servers = append(upper.ids, b.ids[i:]...), append(upper.servers, b.servers[i:]...)
-	upper.first, upper.ready = upper.ids[0], b.ready>>i
-	upper.readyBefore = b.readyBefore + bits.OnesCount64(b.ready&(1<<i-1))
+	upper.first = upper.ids[0]
 	clear(b.servers[i:])
-	b.ids, b.servers, b.ready = b.ids[:i], b.servers[:i], b.ready&(1<<i-1)
+	b.ids, b.servers = b.ids[:i], b.servers[:i]
 	l.blocks = slices.Insert(l.blocks, block+1, upper)
 }
 
@@ -144,12 +109,8 @@
 	if !found {
 		return
 	}
-	b, below := &l.blocks[block], uint64(1)<<i-1
-	if b.ready>>i&1 != 0 {
-		l.addReady(block, -1)
-	}
+	b := &l.blocks[block]
 	b.ids, b.servers = slices.Delete(b.ids, i, i+1), slices.Delete(b.servers, i, i+1)
-	b.ready = b.ready&below | b.ready>>1&^below
 	l.len--
 	if len(b.ids) == 0 {
 		l.blocks = slices.Delete(l.blocks, block, block+1)
@@ -167,17 +128,8 @@
 		return
 	}
 	b, next := &l.blocks[block], &l.blocks[block+1]
-	if n := len(b.ids); n+len(next.ids) <= maxBlock/2 {
+	if len(b.ids)+len(next.ids) <= maxBlock/2 {
 		b.ids, b.servers = append(b.ids, next.ids...), append(b.servers, next.servers...)
-		b.ready |= next.ready << n
 		l.blocks = slices.Delete(l.blocks, block+1, block+2)
 	}
 }
-
-// addReady adds to the counts of ready servers after a block.
-func (l *serverList) addReady(block, n int) {
-	l.flips++
-	for i := block + 1; i < len(l.blocks); i++ {
-		l.blocks[i].readyBefore += n
-	}
-}
--- a/control/serverlist_test.go
+++ b/control/serverlist_test.go
@@ -15,7 +15,6 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	var l serverList
 	var plain []ServerID
-	ready := map[ServerID]bool{}
 	for step := range 60_000 {
 		id := ServerID(random.IntN(4000))
 		if step/6000%2 == 1 {
@@ -27,13 +26,8 @@
 		}
 		grow := step/3000%2 == 0 // add nine times in ten, else remove as often
 		switch add := random.IntN(10) < 9 == grow; {
-		case known && random.IntN(3) == 0:
-			ready[id] = !ready[id]
-			l.setReady(id, ready[id])
-			l.setReady(id, ready[id])
 		case known && !add:
 			plain = slices.Delete(plain, i, i+1)
-			delete(ready, id)
 			l.remove(id)
 		case !known && add:
 			plain = slices.Insert(plain, i, id)
@@ -42,34 +36,23 @@
 			l.insert(&server{Endpoint: Endpoint{Server: id}})
 		default:
 			l.remove(id)
-			l.setReady(id, true)
 		}
 		if step%50 == 0 {
-			checkServerList(t, &l, plain, func(s *server) bool { return ready[s.Server] })
+			checkServerList(t, &l, plain)
 		}
 	}
 	for _, id := range plain {
 		l.remove(id)
 	}
-	checkServerList(t, &l, nil, nil)
+	checkServerList(t, &l, nil)
 }
 
 // checkServerList compares a list with the sorted IDs of its servers.
-func checkServerList(t *testing.T, l *serverList, want []ServerID, ready func(s *server) bool) {
+func checkServerList(t *testing.T, l *serverList, want []ServerID) {
 	t.Helper()
 	var got []ServerID
-	readyBelow := 0
 	for s := range l.all {
 		got = append(got, s.Server)
-		if n := l.readyBelow(s.Server); n != readyBelow {
-			t.Fatalf("%d servers below %d are ready, want %d", n, s.Server, readyBelow)
-		}
-		if n := l.readyBelow(s.Server + 1); ready(s) != (n > readyBelow) {
-			t.Fatalf("server %d ready: got %t, want %t", s.Server, n > readyBelow, ready(s))
-		}
-		if ready(s) {
-			readyBelow++
-		}
 	}
 	if !slices.Equal(got, want) || l.len != len(want) {
 		t.Fatalf("got %d, %d servers, want %d", got, l.len, want)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 )
 
 // This file limits what all routers together may send to a server that has just started.
@@ -57,38 +56,16 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// totalCapacity sums the capacity of all ready servers, by ascending ID with rounding at each addition: decisions
-// depend on the sum, so it must not depend on which servers are known to be in slow start. All other servers count
-// 1. The cost is some nanoseconds for each server in slow start, which can't be less: the capacity of each differs at
-// every call, and each is rounded by itself.
+// totalCapacity returns the sum of the capacity of all ready servers. Its cost doesn't depend on their number.
 func (b *Balancer) totalCapacity(now Micros) float64 {
-	idx := &b.index
-	sum, counted := 0.0, 0
-	idx.inSlowStart = slices.DeleteFunc(idx.inSlowStart, func(s *server) bool {
-		capacity := b.capacity(now, s)
-		if capacity == 1 {
-			return true
-		}
-		if s.readyBelowFlips != b.servers.flips {
-			s.readyBelow, s.readyBelowFlips = b.servers.readyBelow(s.Server), b.servers.flips
-		}
-		sum = addOnes(sum, s.readyBelow-counted) + capacity
-		counted = s.readyBelow + 1
-		return false
-	})
-	return addOnes(sum, len(idx.ready)-counted)
-}
-
-// addOnes adds 1 to a positive sum n times, with exactly the result of n single additions: only the step to the
-// next power of two and those beyond it may round.
-func addOnes(sum float64, n int) float64 {
-	for n > 0 {
-		// Mantissa bits of a float64. Clearing them and raising the exponent by one gives the next power of two.
-		const mantissaBits = 52
-		next := math.Float64frombits((math.Float64bits(sum)>>mantissaBits + 1) << mantissaBits)
-		exact := max(1, min(n, int(next-sum)))
-		sum += float64(exact)
-		n -= exact
+	set := &b.index.slowStart
+	duration := b.deployment.SlowStartDuration
+	set.expire(now - duration)
+	starting := len(set.servers)
+	initial := b.deployment.SlowStartInitial
+	sum := float64(len(b.index.ready) - starting)
+	if starting > 0 {
+		sum += initial*float64(starting) + (1-initial)*float64(set.totalAge(now))/float64(duration)
 	}
 	return sum
 }
