--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -76,7 +76,7 @@
 // BreakReason is why an exchange broke off.
 type BreakReason uint8
 
-// The reasons. With ByAuthentication the handshake never completed (rest.ErrRefused).
+// The reasons. With ByAuthentication the handshake never completed (rest.ErrCertificateRejected).
 const (
 	ByPeer           BreakReason = iota // the peer closed or reset the connection
 	ByUs                                // this router aborted it
@@ -102,7 +102,7 @@
 
 // UndialledResult returns the result of an attempt for which no connection was established. It says nothing
 // about the server (NotSent) if the attempt was withdrawn meanwhile, or if the cause is local: it was still
-// waiting to dial, or the fault is this machine's (rest.Ours).
+// waiting to dial, or the fault is this machine's (netfail.IsLocal).
 func UndialledResult(s Stage, local bool) control.Result {
 	if local || s == Withdrawn {
 		return control.NotSent
