--- /dev/null
+++ b/internal/platform/anomalies.go
@@ -0,0 +1,97 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+)
+
+// anomaly is a kind of trouble that the state log line counts.
+type anomaly uint8
+
+// The anomalies. Those of badMessage and corruptAnswer are counted by what was wrong.
+const (
+	acceptFailed anomaly = iota
+	badMessage
+	clientTooSlow
+	clientRejected
+	idleClientClosed
+	requestRejected
+	requestEndedByShutdown
+	requestArrivedEarlier
+	processStalled
+	noServerConnection
+	outOfDescriptors
+	temporaryDialFailure
+	corruptAnswer
+	panicReadingClient
+	panicReadingServer
+)
+
+var anomalyTexts = [...]string{
+	acceptFailed:           "accept failed",
+	badMessage:             "bad message",
+	clientTooSlow:          "client closed: no whole message in time",
+	clientRejected:         "client rejected: too many connections",
+	idleClientClosed:       "idle client closed to make room",
+	requestRejected:        "request rejected: too many open on a connection",
+	requestEndedByShutdown: "request ended by the shutdown",
+	requestArrivedEarlier:  "request may have arrived long before it was read",
+	processStalled:         "the process was stalled",
+	noServerConnection:     "no connection to a server",
+	outOfDescriptors:       "out of descriptors for a server",
+	temporaryDialFailure:   "temporary dial failure",
+	corruptAnswer:          "corrupt answer",
+	panicReadingClient:     "panic reading a client",
+	panicReadingServer:     "panic reading a server",
+}
+
+func (a anomaly) String() string { return anomalyTexts[a] }
+
+// anomalyCounts counts anomalies between two state log lines: one line for all, so that a flood of faults does not flood
+// the log. Any goroutine may count.
+type anomalyCounts struct {
+	mu     sync.Mutex
+	counts map[anomalyDetail]int
+}
+
+// anomalyDetail is an anomaly with what was wrong, one of a few texts; empty where the kind tells it.
+type anomalyDetail struct {
+	kind   anomaly
+	detail string
+}
+
+func (d anomalyDetail) String() string {
+	if d.detail == "" {
+		return d.kind.String()
+	}
+	return d.kind.String() + ": " + d.detail
+}
+
+// add counts an anomaly.
+func (c *anomalyCounts) add(kind anomaly) { c.addDetail(kind, "") }
+
+// addDetail counts an anomaly by what was wrong.
+func (c *anomalyCounts) addDetail(kind anomaly, detail string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[anomalyDetail]int{}
+	}
+	c.counts[anomalyDetail{kind, detail}]++
+}
+
+// take returns the counts as text, in order of their texts, and resets them.
+func (c *anomalyCounts) take() string {
+	c.mu.Lock()
+	counts := c.counts
+	c.counts = nil
+	c.mu.Unlock()
+	parts := make([]string, 0, len(counts))
+	for what, n := range counts {
+		parts = append(parts, fmt.Sprintf("%v: %d", what, n))
+	}
+	slices.Sort(parts)
+	return strings.Join(parts, "; ")
+}
--- a/internal/platform/answers_test.go
+++ b/internal/platform/answers_test.go
@@ -102,7 +102,7 @@
 	c.expect("2: Aborted")
 	c.expect("3: Aborted")
 	c.expect("closed")
-	if r.anomaly("panic reading a client") != 1 {
+	if r.anomaly(panicReadingClient) != 1 {
 		t.Error("it is not counted")
 	}
 }
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -153,7 +153,7 @@
 		}
 		if late := errors.Is(err, os.ErrDeadlineExceeded); nothing || !late {
 			if late && !c.sentMessage.Load() {
-				c.router.countAnomaly("client closed: no whole message in time")
+				c.router.anomalies.add(clientTooSlow)
 			}
 			return false
 		}
@@ -178,7 +178,7 @@
 
 // readLoop reads until the connection ends. It owns the connection's end: all that is open then is cancelled.
 func (c *clientConn) readLoop() {
-	defer c.router.recoverPanic("reading a client")
+	defer c.router.recoverPanic(panicReadingClient)
 	defer c.finish()
 	in := msgrpc.NewReader(c.in)
 	firstDeadline := time.Now().Add(firstMessageTimeout)
@@ -204,7 +204,7 @@
 			continue
 		case err != nil:
 			if errors.Is(err, os.ErrDeadlineExceeded) && !c.readTimeOver() {
-				c.router.countAnomaly("client closed: no whole message in time")
+				c.router.anomalies.add(clientTooSlow)
 				c.closeWhenIdle(drainAfterBadInput)
 			}
 			return
@@ -225,7 +225,7 @@
 			}
 		}
 	}()
-	defer c.router.recoverPanic("reading a client")
+	defer c.router.recoverPanic(panicReadingClient)
 	switch m.Kind {
 	case msgrpc.HealthCheck:
 		c.handleHealthCheck(m.Number)
@@ -327,7 +327,7 @@
 		return
 	}
 	if full {
-		c.router.countAnomaly("request rejected: too many open on a connection")
+		c.router.anomalies.add(requestRejected)
 		c.reply(msgrpc.Rejection(m.Number, c.router.config.Deployment.MaxRetryAfter))
 		c.penalize()
 		return
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -84,7 +84,7 @@
 			l.SetDeadline(now.Add(lastReadTime))
 			continue
 		case err != nil:
-			r.countAnomaly("accept failed")
+			r.anomalies.add(acceptFailed)
 			checked = false
 			// Closing clients helps only where the process is short of descriptors.
 			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) {
@@ -96,7 +96,7 @@
 		}
 		pause, checked = minAcceptPause, false
 		if !r.hasRoom() {
-			r.countAnomaly("client rejected: too many connections")
+			r.anomalies.add(clientRejected)
 			r.rejectConn(conn)
 			continue
 		}
@@ -218,7 +218,8 @@
 	})
 	for _, c := range idle[:min(n, len(idle))] {
 		c.abort()
-		if r.anomalies["idle client closed to make room"]++; first == nil {
+		r.anomalies.add(idleClientClosed)
+		if first == nil {
 			first = c
 		}
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -247,11 +247,11 @@
 	c.call(2, "again")
 	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool {
 		exhaust() // others may have been closed meanwhile, by peers of an earlier test
-		return r.anomaly("out of descriptors for a server") > 0
+		return r.anomaly(outOfDescriptors) > 0
 	})
 	restore()
 	c.expect("2: body 2")
-	if n := r.anomaly("no connection to a server"); n > 0 {
+	if n := r.anomaly(noServerConnection); n > 0 {
 		t.Errorf("%d held against the server", n)
 	}
 }
@@ -341,7 +341,7 @@
 	other := r.dial(t)
 	other.call(1, "again", withID(255)...)
 	other.expect("1: body 1")
-	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly("panic reading a client") == 1 })
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly(panicReadingClient) == 1 })
 }
 
 // A panic on a server connection closes that one.
@@ -355,7 +355,7 @@
 		sc.dialing = nil // the dial panics
 		go sc.run()
 	})
-	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly("panic reading a server") == 1 })
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly(panicReadingServer) == 1 })
 	c.call(2, "again")
 	c.expect("2: body 2")
 }
@@ -366,7 +366,7 @@
 	c, ours := r.dialHooked(t, noHook)
 	c.conn.Close()
 	<-ours.closed
-	if n := r.anomaly("client closed: no whole message in time"); n > 0 {
+	if n := r.anomaly(clientTooSlow); n > 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -161,10 +161,10 @@
 }
 
 // anomaly returns how often an anomaly was counted.
-func (r *Router) anomaly(what string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.anomalies[what]
+func (r *Router) anomaly(kind anomaly) int {
+	r.anomalies.mu.Lock()
+	defer r.anomalies.mu.Unlock()
+	return r.anomalies.counts[anomalyDetail{kind: kind}]
 }
 
 // beginsWrite reports whether the first byte would be written now.
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
-	"strings"
 	"sync/atomic"
 
 	"hollymast/control"
@@ -16,32 +14,18 @@
 	r.log.Info().Str("server", fmt.Sprintf("%x", event.Server)).Msg(event.LogMessage())
 }
 
-// countAnomaly counts an anomaly for the next state log line: one line for all, so that a flood of faults does not
-// flood the log.
-func (r *Router) countAnomaly(what string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.anomalies[what]++
-}
-
 // countBadMessage counts a client message that breaks the protocol.
-func (r *Router) countBadMessage(f *msgrpc.Fault) { r.countAnomaly("bad message: " + f.Text) }
+func (r *Router) countBadMessage(f *msgrpc.Fault) { r.anomalies.addDetail(badMessage, f.Text) }
 
 // logState logs the state line: connections, requests, and the anomalies since the last one.
 func (r *Router) logState() {
 	r.mu.Lock()
-	var parts []string
-	for what, n := range r.anomalies {
-		parts = append(parts, fmt.Sprintf("%s: %d", what, n))
-	}
-	clear(r.anomalies)
 	clients := len(r.clients)
 	r.mu.Unlock()
-	slices.Sort(parts)
 	r.log.Info().Int("clients", clients).Int("server_connections", r.serverConnCount).
 		Int("requests", len(r.requests)).Int("held", r.core.Held()).Uint64("list_revision", r.discovery.Revision()).
 		Int64("oldest_list_us", r.oldestEndpoints.take()).Int64("after_drain_us", r.afterDrain.take()).
-		Str("anomalies", strings.Join(parts, "; ")).Msg("state")
+		Str("anomalies", r.anomalies.take()).Msg("state")
 }
 
 // peak is a maximum that several goroutines record into; zero when there was none.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -171,7 +171,7 @@
 		regular.call(n, "again")
 		regular.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
-	if n := r.anomaly("client rejected: too many connections"); n > 0 {
+	if n := r.anomaly(clientRejected); n > 0 {
 		t.Errorf("%d were rejected", n)
 	}
 }
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -55,8 +55,8 @@
 	rejecting     chan struct{} // semaphore: connections that are read only to be rejected
 	mu            sync.Mutex
 	clients       map[*clientConn]struct{}
-	rejectedConns int            // of clients, those beyond the limit
-	anomalies     map[string]int // counts since the last state log line
+	rejectedConns int // of clients, those beyond the limit
+	anomalies     anomalyCounts
 	// Peaks for the state log line, reset with each, in microseconds.
 	oldestEndpoints peak // age of the endpoint list at an attempt's first byte
 	afterDrain      peak // upper bound on a first byte's delay after its server drained or was removed
@@ -78,8 +78,8 @@
 	r := &Router{
 		config: config, log: log, loop: eventloop.New(eventloop.NewClock(config.wall()), config.grace),
 		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
-		clients: map[*clientConn]struct{}{}, anomalies: map[string]int{},
-		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}),
+		clients: map[*clientConn]struct{}{},
+		fleet:   fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}),
 		rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0),
 	}
 	r.fleet.UseSourceClock()
@@ -211,7 +211,7 @@
 // awaitStep keeps steps apart, so that events that come close together share one.
 func (r *Router) awaitStep() {
 	if _, stalled := r.loop.Stalled(); stalled {
-		r.countAnomaly("the process was stalled")
+		r.anomalies.add(processStalled)
 		time.Sleep(postStallReadTime)
 		return
 	}
@@ -242,9 +242,9 @@
 
 // recoverPanic, deferred, logs a panic and its stack; the process goes on. It guards against one connection's fault
 // ending all others.
-func (r *Router) recoverPanic(at string) {
+func (r *Router) recoverPanic(kind anomaly) {
 	if fault := recover(); fault != nil {
-		r.countAnomaly("panic " + at)
-		r.log.Error().Str("at", at).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("panic recovered")
+		r.anomalies.add(kind)
+		r.log.Error().Stringer("at", kind).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("panic recovered")
 	}
 }
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -66,7 +66,7 @@
 		r.loop.Post(func(now control.Micros) { r.connectionBroke(now, sc, result) })
 	}
 	end := control.Failed // after a panic: what was written may have run
-	defer r.recoverPanic("reading a server")
+	defer r.recoverPanic(panicReadingServer)
 	defer func() { broke(end) }()
 	conn, err := sc.dial()
 	if err != nil {
@@ -74,7 +74,7 @@
 		if netfail.IsLocal(err) || errors.Is(err, context.Canceled) {
 			end = control.NotSent // says nothing about the server
 		} else {
-			r.countAnomaly("no connection to a server")
+			r.anomalies.add(noServerConnection)
 		}
 		return
 	}
@@ -89,7 +89,7 @@
 			end = control.ConnectionReset
 			if why := corruptionOf(err); why != "" {
 				end = control.Failed // the server answers, but unreadably
-				r.countAnomaly("corrupt answer: " + why)
+				r.anomalies.addDetail(corruptAnswer, why)
 			} else if netfail.IsLocal(err) {
 				end = control.Failed // may have run; says nothing about the server
 			}
@@ -119,10 +119,10 @@
 	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.calls.dial(sc.dialing, sc.pool.address) },
 		func(err error) netfail.RetryPause {
 			if !errors.Is(err, syscall.EMFILE) {
-				r.countAnomaly("temporary dial failure")
+				r.anomalies.add(temporaryDialFailure)
 				return netfail.AfterPause
 			}
-			r.countAnomaly("out of descriptors for a server")
+			r.anomalies.add(outOfDescriptors)
 			if r.makeRoom(1) {
 				return netfail.AtOnce
 			}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -104,7 +104,7 @@
 		if req.answer.Given || !selected(req) {
 			continue
 		}
-		r.countAnomaly("request ended by the shutdown")
+		r.anomalies.add(requestEndedByShutdown)
 		r.core.Cancel(now, req.id)
 		mayHaveRun := slices.ContainsFunc(req.attempts, func(call *serverCall) bool {
 			return !call.withdraw() && call.currentStage() == attempt.Writing
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -69,7 +69,7 @@
 	now := c.router.loop.Now()
 	since := c.router.stalls.earliestArrival(now)
 	if since < now {
-		c.router.countAnomaly("request may have arrived long before it was read")
+		c.router.anomalies.add(requestArrivedEarlier)
 		since = max(since, c.router.loop.At(c.tracked.emptiedAt())) // not before its reader last found nothing pending
 	}
 	return min(now, since)
