--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -26,7 +26,7 @@
 			b.servers.insert(s)
 		} else if ep.StartedAt > s.StartedAt {
 			b.dropInstances(s, ep.StartedAt)
-			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
+			s.forgetIncarnation(now)
 		}
 		s.Endpoint, s.listed = ep, true
 	}
@@ -86,6 +86,16 @@
 	connectionFailures int    // failed connections since its last answer
 }
 
+// forgetIncarnation drops what was learned of the health and load of a server before it restarted: it says nothing about the
+// new process. Attempts in flight and recent sends in slow start still count.
+func (s *server) forgetIncarnation(now Micros) {
+	s.lastAnswer = now
+	s.report, s.reportedAt = LoadReport{}, 0
+	s.backoffUntil, s.loadsAfter, s.rejections = 0, 0, 0
+	s.concurrencyLimit, s.limitLoweredAt, s.queueing = 0, 0, samples{}
+	s.ejected, s.probeAt, s.ejections, s.connectionFailures = false, 0, 0, 0
+}
+
 // inFlightAttempt is one attempt in flight.
 type inFlightAttempt struct {
 	request  *Request
--- /dev/null
+++ b/control/endpoints_test.go
@@ -0,0 +1,27 @@
+package control
+
+import (
+	"reflect"
+	"testing"
+)
+
+// Nothing that was learned of a server's health and load before its restart keeps requests and loads from the new process.
+func TestRestartForgetsHealthAndLoad(t *testing.T) {
+	const restart = at + second
+	b := fleet(deployment(), 2)
+	s := b.servers.at(0)
+	b.eject(at, s, ConnectionsFail)
+	s.backoffUntil, s.loadsAfter, s.rejections, s.connectionFailures = at+10*second, at+10*second, 3, 1
+	s.concurrencyLimit, s.limitLoweredAt = 1, at
+	s.queueing.add(at, 900)
+	s.report, s.reportedAt = LoadReport{Utilization: 1, PendingLoads: 9}, at
+	b.UpdateEndpoints(restart, IncrementalUpdate, []Endpoint{{Server: s.Server, State: Ready, Weight: 1, StartedAt: restart}})
+
+	fresh := fleet(deployment(), 2)
+	fresh.UpdateEndpoints(restart, IncrementalUpdate, []Endpoint{{Server: 3, State: Ready, Weight: 1, StartedAt: restart}})
+	want := fresh.serverSnapshot(fresh.servers.at(2))
+	want.Endpoint.Server = s.Server
+	if got := b.serverSnapshot(s); !reflect.DeepEqual(got, want) {
+		t.Errorf("after a restart %+v, want as of a new server %+v", got, want)
+	}
+}
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -34,7 +34,7 @@
 					inst.replicas, inst.loading = 0, 0
 				}
 			}
-			s.ejected, s.ejections, s.rejections, s.concurrencyLimit = false, 0, 0, 0
+			s.forgetIncarnation(now)
 		}
 		s.Endpoint, s.listed = l, true
 	}
--- a/internal/modelcheck/exploration_test.go
+++ b/internal/modelcheck/exploration_test.go
@@ -36,7 +36,7 @@
 		}), 5246},
 		"groups by zone": {newConfig(func(c *Config) {
 			c.Effects[0], c.Scope, c.Servers, c.CallFailures, c.Restarts = "fingerprinted", "zone", 2, 2, 1
-		}), 9771},
+		}), 9761},
 		"a client goes":    {newConfig(func(c *Config) { c.Effects[0], c.ClientCancels, c.DelayedWrites, c.CallFailures = "run-once", 1, 1, 1 }), 817},
 		"a router freezes": {newConfig(func(c *Config) { c.RouterStalls, c.Drains, c.Servers, c.CallFailures = 1, 1, 2, 1 }), 24194},
 		"two requests": {newConfig(func(c *Config) {
