--- a/internal/chaostest/routerstate.go
+++ b/internal/chaostest/routerstate.go
@@ -68,27 +68,9 @@
 
 // ageState moves all times of a state into the past.
 func ageState(s *control.LearnedState, by control.Micros) {
-	age := func(t *control.Micros) { *t = max(0, *t-by) }
-	ageAll := func(times []control.Micros) {
-		for i := range times {
-			age(&times[i])
-		}
-	}
-	age(&s.SavedAt)
-	age(&s.StartedAt)
-	for _, times := range [][]control.Micros{s.QuotaDebt, s.LoadCommands, s.Admitted, s.Answers} {
-		ageAll(times)
-	}
+	persistence.ShiftTimes(s, -by)
 	for i := range s.Servers {
-		age(&s.Servers[i].StartedAt)
-		ageAll(s.Servers[i].SlowStartSends)
-	}
-	for i := range s.Functions {
-		instances := s.Functions[i].Instances
-		for j := range instances {
-			age(&instances[j].LastUsed)
-			age(&instances[j].LoadingSince)
-		}
+		s.Servers[i].StartedAt = max(0, s.Servers[i].StartedAt-by)
 	}
 }
 
--- a/internal/persistence/rebase.go
+++ b/internal/persistence/rebase.go
@@ -19,7 +19,7 @@
 		forgetTimes(s.Learned, now)
 		return
 	}
-	shiftTimes(s.Learned, offset)
+	ShiftTimes(s.Learned, offset)
 }
 
 // forgetTimes has a state's limits count as of now and drops what depends on a known time.
@@ -31,8 +31,9 @@
 	}
 }
 
-// shiftTimes adds an offset to each time; one from before this clock's zero becomes 0.
-func shiftTimes(m *control.LearnedState, offset control.Micros) {
+// ShiftTimes adds an offset, in microseconds, to each time of a learned state but those at which servers started, which other
+// clocks tell; one from before the clock's zero becomes 0.
+func ShiftTimes(m *control.LearnedState, offset control.Micros) {
 	shift := func(t *control.Micros) { *t = max(0, *t+offset) }
 	shiftAll := func(times []control.Micros) {
 		for i := range times {
