--- a/cmd/hmchaos/day.go
+++ b/cmd/hmchaos/day.go
@@ -64,7 +64,7 @@
 	fmt.Printf("verdict: %s jobs=%d finished=%d pushed_back=%d killed=%d unanswered=%d in_time=%.3f worth=%.3f storms=%d\n", verdict(result.Passed()), result.Requests,
 		result.Succeeded, result.Rejected, result.Failed, result.Unanswered, result.InTime, result.WeightedInTime, result.Overloads)
 	if !result.Passed() {
-		return errViolation
+		return fmt.Errorf("%w (the routers' logs are kept in %s)", errViolation, result.LogDir())
 	}
 	return nil
 }
--- a/cmd/hmchaos/main.go
+++ b/cmd/hmchaos/main.go
@@ -26,7 +26,7 @@
 
 func main() {
 	var c cli
-	ctx := program.Parse(&c, "hmchaos", `The laboratory of hollymast.
+	ctx := program.Parse(&c, "hmchaos", `Chaos and load tests of hollymast.
 
 Examples:
 
--- a/internal/chaostest/result.go
+++ b/internal/chaostest/result.go
@@ -15,6 +15,7 @@
 	Records            int      `json:"Records"`
 	Seconds            []Second `json:"Seconds"`
 	outcomes           []outcome
+	logDir             string         // see LogDir
 	RestartRetries     RestartRetries `json:"Resumed"`
 	Restarts           []Restart      `json:"Renewed"`
 	WeightedInTime     float64        `json:"Worth"`  // as InTime, each call weighted with its workload's importance
@@ -22,6 +23,9 @@
 	ExcessLoadCommands int            `json:"Over"`   // beyond the load-rate limit, if those before a restart count too
 }
 
+// LogDir returns the folder with the routers' logs of a run that broke an invariant; empty: none are kept.
+func (r *Result) LogDir() string { return r.logDir }
+
 func (h *harness) result() (*Result, error) {
 	overloads, err := h.countOverloads()
 	if err != nil {
--- a/internal/chaostest/run.go
+++ b/internal/chaostest/run.go
@@ -29,11 +29,7 @@
 	}()
 	defer func() {
 		h.stopAll()
-		if err == nil && result.Passed() || ctx.Err() != nil {
-			os.RemoveAll(dir)
-		} else if err != nil {
-			err = fmt.Errorf("%w (the routers' logs are kept in %s)", err, dir)
-		}
+		err = keepLogs(dir, result, err, ctx.Err() != nil)
 	}()
 	if err := h.prepare(certCtx); err != nil {
 		return nil, err
@@ -58,6 +54,20 @@
 	return h.result()
 }
 
+// keepLogs keeps the routers' logs of a run that failed or broke an invariant, and names their folder in the error or the
+// result. It removes all others, also those of a run that was cancelled.
+func keepLogs(dir string, result *Result, err error, cancelled bool) error {
+	switch {
+	case cancelled || err == nil && result.Passed():
+		os.RemoveAll(dir)
+		return err
+	case err != nil:
+		return fmt.Errorf("%w (the routers' logs are kept in %s)", err, dir)
+	}
+	result.logDir = dir
+	return nil
+}
+
 // prepare issues certificates and starts the control plane, where the scenario has them.
 func (h *harness) prepare(ctx context.Context) (err error) {
 	if h.scenario.TLS {
