--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -216,7 +216,7 @@
 		steps, commands uint64
 	}{
 		{"testdata/format2.rec", 200, 201, 131},
-		{"testdata/format3.rec", 0, 600, 711},
+		{slowStartFile, 0, 600, 711},
 	} {
 		a, err := Play([]string{c.file}, Range{Until: c.until})
 		if err != nil || a.Steps != c.steps || a.Commands != c.commands || len(a.Damaged) > 0 {
@@ -225,12 +225,31 @@
 	}
 }
 
-// With GOLDEN_WRITE=1 a recording is made anew where its file is missing: a deliberate change of decisions needs one.
-func TestWriteStoredRecording(t *testing.T) {
-	const file = "testdata/format3.rec"
-	if _, err := os.Stat(file); err == nil || os.Getenv("GOLDEN_WRITE") != "1" {
+// slowStartFile is a recording in which servers start and their budget in slow start binds.
+const slowStartFile = "testdata/format3.rec"
+
+// A recording in which slow start decides is replayed to the same decisions. With GOLDEN_WRITE=1 it is stored where the file is
+// missing: a deliberate change of decisions needs one.
+func TestSlowStartIsReplayed(t *testing.T) {
+	file := recordSlowStart(t)
+	if a, err := Play([]string{file}, Range{}); err != nil || a.Steps != 600 || a.Commands == 0 {
+		t.Errorf("got %+v, %v", a, err)
+	}
+	if _, err := os.Stat(slowStartFile); err == nil || os.Getenv("GOLDEN_WRITE") != "1" {
 		return
 	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(slowStartFile, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// recordSlowStart records 600 steps in which one server after another starts anew, and returns the one file.
+func recordSlowStart(t *testing.T) string {
+	t.Helper()
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		OverloadWindow: 200_000, OverloadFactor: 0.15, SlowStartInitial: 0.25, SlowStartDuration: 10_000_000,
 		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
@@ -263,11 +282,5 @@
 	if err != nil || len(files) != 1 {
 		t.Fatalf("%d segments, %v", len(files), err)
 	}
-	text, err := os.ReadFile(files[0])
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	return files[0]
 }
