--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -28,8 +28,8 @@
 // BeginWrite begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
 // old (WriteUntil): a later list may forbid the server. allowed is false if the client no longer waits, or the
 // journal does not hold what it must hold before the first byte.
-func (s Stage) BeginWrite(allowed bool, now, until control.Micros) (next Stage, ok bool) {
-	return Writing, s == Chosen && allowed && now <= until
+func (s Stage) BeginWrite(allowed bool, now, deadline control.Micros) (next Stage, ok bool) {
+	return Writing, s == Chosen && allowed && now <= deadline
 }
 
 // Transition makes a transition of a stage that the event loop and a connection share; it returns false if the stage
@@ -46,8 +46,8 @@
 
 // MaxJournalWait returns how long, in microseconds, a chosen attempt may wait for the journal: until its endpoint
 // list is stale or its time is up.
-func MaxJournalWait(now, until, timeout control.Micros) control.Micros {
-	return max(0, min(until-now, timeout))
+func MaxJournalWait(now, writeDeadline, timeout control.Micros) control.Micros {
+	return max(0, min(writeDeadline-now, timeout))
 }
 
 // Progress is what the event loop knows of one attempt or load command in flight. Its tags are the stored names.
--- a/internal/attempt/endpoint_age.go
+++ b/internal/attempt/endpoint_age.go
@@ -26,4 +26,4 @@
 
 // Stalled reports whether a router that wakes this late counts as one that was stalled, and reads at once what
 // came meanwhile.
-func Stalled(late, grace control.Micros) bool { return late > grace/4 }
+func Stalled(delay, grace control.Micros) bool { return delay > grace/4 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -30,8 +30,8 @@
 // recheckInterval is after how long a request that no server could be found for is decided again.
 const recheckInterval = control.Micros(50_000)
 
-// lastTicks is how many clock ticks before its deadline a request is rejected: it couldn't be answered in time.
-const lastTicks = 4
+// minTicksLeft is how many clock ticks before its deadline a request is rejected: it couldn't be answered in time.
+const minTicksLeft = 4
 
 // maintenanceInterval is as good as never: these policies have no maintenance.
 const maintenanceInterval = control.Micros(1_000_000)
@@ -112,7 +112,7 @@
 }
 
 func (b *balancer) latestStart(r *control.Request) control.Micros {
-	return r.Deadline - lastTicks*b.deployment.Tick
+	return r.Deadline - minTicksLeft*b.deployment.Tick
 }
 
 func (b *balancer) hold(now control.Micros, r *control.Request) control.Decision {
--- a/internal/baseline/pick.go
+++ b/internal/baseline/pick.go
@@ -16,16 +16,16 @@
 	case LeastRequests:
 		return b.leastRequests(candidates)
 	case TwoChoices:
-		return b.leastRequests([]control.Endpoint{b.any(candidates), b.any(candidates)})
+		return b.leastRequests([]control.Endpoint{b.randomCandidate(candidates), b.randomCandidate(candidates)})
 	case BoundedHash:
 		return b.boundedHash(candidates, r.Function)
 	case LoadedFirst:
 		return b.loadedFirst(candidates, r.Function)
 	}
-	return b.any(candidates)
+	return b.randomCandidate(candidates)
 }
 
-func (b *balancer) any(candidates []control.Endpoint) control.Endpoint {
+func (b *balancer) randomCandidate(candidates []control.Endpoint) control.Endpoint {
 	return candidates[b.random.IntN(len(candidates))]
 }
 
@@ -73,7 +73,7 @@
 	if len(loaded) > 0 {
 		return b.leastRequests(loaded)
 	}
-	s := b.any(candidates)
+	s := b.randomCandidate(candidates)
 	if b.loaded[f] == nil {
 		b.loaded[f] = map[control.ServerID]bool{}
 	}
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -22,20 +22,20 @@
 	magicToServer = 76
 	magicToRouter = 108
 
-	headLength = 16
-	checkBytes = 4
+	headerLength   = 16
+	checksumLength = 4
 
 	codeRequest = 65
 	codeCancel  = 66
 	codeLoad    = 69
 
-	codeOK      = 97
-	codeMiss    = 99
-	codeFull    = 100
-	codeError   = 101
-	codeOver    = 102
-	codeUp      = 103
-	codeReports = 104
+	codeOK         = 97
+	codeNotLoaded  = 99
+	codeOverloaded = 100
+	codeFailed     = 101
+	codeNotRun     = 102
+	codeHealth     = 103
+	codeLoadReport = 104
 )
 
 // MaxBody is the largest body of an answer, in bytes: many times that of a request.
@@ -65,33 +65,33 @@
 		fields.WriteString(",replay=")
 		fields.WriteString(a.IdempotencyKey)
 	}
-	return frame(codeRequest, a.ID, fields.String(), a.Body)
+	return encodeFrame(codeRequest, a.ID, fields.String(), a.Body)
 }
 
 // Size returns an upper bound of the length of Frame, in bytes.
 func (a *Attempt) Size() int {
-	const namesAndFigure = 64 // the fields' names, and the longest time in milliseconds
-	return headLength + namesAndFigure + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checkBytes
+	const namesAndTimeout = 64 // the fields' names, and the longest time in milliseconds
+	return headerLength + namesAndTimeout + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checksumLength
 }
 
 // CancelFrame returns the frame that cancels an attempt.
-func CancelFrame(id ID) []byte { return frame(codeCancel, id, "", nil) }
+func CancelFrame(id ID) []byte { return encodeFrame(codeCancel, id, "", nil) }
 
 // LoadFrame returns the frame of a load command for a number of replicas; with 0 it only asks how many there
 // are.
 func LoadFrame(id ID, function control.FunctionID, replicas int) []byte {
-	return frame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
+	return encodeFrame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
 }
 
-// frame returns a frame: header, fields, body and the CRC-32 of the latter two.
-func frame(code byte, id ID, fields string, body []byte) []byte {
-	b := make([]byte, 0, headLength+len(fields)+len(body)+checkBytes)
+// encodeFrame returns a frame: header, fields, body and the CRC-32 of the latter two.
+func encodeFrame(code byte, id ID, fields string, body []byte) []byte {
+	b := make([]byte, 0, headerLength+len(fields)+len(body)+checksumLength)
 	b = append(b, magicToServer, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, uint64(id))
 	b = append(append(b, fields...), body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headLength:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headerLength:]))
 }
 
 // Answer is a server's answer to an attempt or a load command.
@@ -123,43 +123,43 @@
 
 // Read reads one answer. It calls begun when the first byte has arrived. Its error is one of the above or that
 // of the stream.
-func Read(r *bufio.Reader, begun func()) (*Answer, error) {
+func Read(r *bufio.Reader, onFirstByte func()) (*Answer, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
 	}
-	begun()
-	var head [headLength]byte
-	if _, err := io.ReadFull(r, head[:1]); err != nil {
+	onFirstByte()
+	var header [headerLength]byte
+	if _, err := io.ReadFull(r, header[:1]); err != nil {
 		return nil, err
 	}
-	if head[0] != magicToRouter {
+	if header[0] != magicToRouter {
 		return nil, ErrMagic
 	}
-	if _, err := io.ReadFull(r, head[1:]); err != nil {
+	if _, err := io.ReadFull(r, header[1:]); err != nil {
 		return nil, err
 	}
-	a := &Answer{ID: ID(binary.BigEndian.Uint64(head[8:])), Replicas: -1}
-	switch head[1] {
+	a := &Answer{ID: ID(binary.BigEndian.Uint64(header[8:])), Replicas: -1}
+	switch header[1] {
 	case codeOK:
 		a.Result = control.Succeeded
-	case codeMiss:
+	case codeNotLoaded:
 		a.Result = control.NotLoaded
-	case codeFull:
+	case codeOverloaded:
 		a.Result = control.Overloaded
-	case codeError:
+	case codeFailed:
 		a.Result = control.Failed
-	case codeOver:
+	case codeNotRun:
 		a.Result = control.NotSent
-	case codeUp, codeReports:
+	case codeHealth, codeLoadReport:
 		a.Probe = true
 	default:
 		return nil, ErrCode
 	}
-	fields, body := int(binary.BigEndian.Uint16(head[2:])), binary.BigEndian.Uint32(head[4:])
+	fields, body := int(binary.BigEndian.Uint16(header[2:])), binary.BigEndian.Uint32(header[4:])
 	if body > MaxBody {
 		return nil, ErrLength
 	}
-	rest, err := read(r, fields+int(body)+checkBytes)
+	rest, err := readChunked(r, fields+int(body)+checksumLength)
 	if err != nil {
 		return nil, err
 	}
@@ -172,9 +172,9 @@
 	return a, nil
 }
 
-// read reads n bytes. It guards against a claimed length that is never sent: memory is allocated as the bytes
+// readChunked reads n bytes. It guards against a claimed length that is never sent: memory is allocated as the bytes
 // arrive.
-func read(r *bufio.Reader, n int) ([]byte, error) {
+func readChunked(r *bufio.Reader, n int) ([]byte, error) {
 	const chunk = 32 << 10 // more than the longest request body and its fields
 	b := make([]byte, min(n, chunk))
 	if _, err := io.ReadFull(r, b); err != nil {
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -12,8 +12,8 @@
 	"hollymast/control"
 )
 
-// answer returns a server's frame.
-func answer(code byte, id uint64, fields string, body []byte) []byte {
+// encodeAnswer returns a server's frame.
+func encodeAnswer(code byte, id uint64, fields string, body []byte) []byte {
 	b := []byte{magicToRouter, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
@@ -30,7 +30,7 @@
 	a := Attempt{ID: 0x9b1f03aa5c7e2d41, Class: "infer", Function: "7f3a9c21e0b4d655", IdempotencyKey: "aa",
 		Timeout: 1_500_999, Body: []byte("xyz")}
 	fields := "profile=infer,thing=7f3a9c21e0b4d655,max=1500,replay=aa"
-	want := answer(codeRequest, uint64(a.ID), fields, a.Body)
+	want := encodeAnswer(codeRequest, uint64(a.ID), fields, a.Body)
 	want[0] = magicToServer
 	if got := a.Frame(); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
@@ -38,7 +38,7 @@
 }
 
 func TestLoadFrame(t *testing.T) {
-	want := answer(codeLoad, 5, "thing=00000000000000ff,pods=2", nil)
+	want := encodeAnswer(codeLoad, 5, "thing=00000000000000ff,pods=2", nil)
 	want[0] = magicToServer
 	if got := LoadFrame(5, 0xff, 2); !bytes.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
@@ -46,9 +46,9 @@
 }
 
 func TestReadAnswers(t *testing.T) {
-	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeMiss: control.NotLoaded,
-		codeFull: control.Overloaded, codeError: control.Failed, codeOver: control.NotSent} {
-		a, err := readBytes(answer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
+	for code, want := range map[byte]control.Result{codeOK: control.Succeeded, codeNotLoaded: control.NotLoaded,
+		codeOverloaded: control.Overloaded, codeFailed: control.Failed, codeNotRun: control.NotSent} {
+		a, err := readBytes(encodeAnswer(code, 7, "remark=rode,pods=3,report=inflight:7;util:0.61", []byte("x")))
 		if err != nil || a.ID != 7 || a.Result != want || a.CacheStatus != control.CacheLoading || a.Replicas != 3 ||
 			a.Reports["util"] != 0.61 || string(a.Body) != "x" {
 			t.Errorf("code %d: %+v, %v", code, a, err)
@@ -57,7 +57,7 @@
 }
 
 func TestCorruptAnswers(t *testing.T) {
-	good := answer(codeOK, 7, "remark=resident", []byte("body"))
+	good := encodeAnswer(codeOK, 7, "remark=resident", []byte("body"))
 	for name, test := range map[string]struct {
 		at   int
 		put  []byte
@@ -78,7 +78,7 @@
 }
 
 func TestTruncatedAtEachByte(t *testing.T) {
-	good := answer(codeOK, 7, "remark=resident", []byte("body"))
+	good := encodeAnswer(codeOK, 7, "remark=resident", []byte("body"))
 	for n := range good {
 		if _, err := readBytes(good[:n]); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("after %d bytes: %v", n, err)
@@ -88,12 +88,12 @@
 
 // A claimed length allocates little more than what arrives.
 func TestClaimedLengthCostsLittle(t *testing.T) {
-	claim := answer(codeOK, 7, "", nil)
-	binary.BigEndian.PutUint32(claim[4:], MaxBody)
+	truncated := encodeAnswer(codeOK, 7, "", nil)
+	binary.BigEndian.PutUint32(truncated[4:], MaxBody)
 	r := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
-			readBytes(claim[:headLength])
+			readBytes(truncated[:headerLength])
 		}
 	})
 	if r.AllocedBytesPerOp() > 64<<10 {
@@ -102,8 +102,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(answer(codeOK, 7, "remark=resident", []byte("body")))
-	f.Add(answer(codeReports, 7, "report=util:NaN;x:", nil))
+	f.Add(encodeAnswer(codeOK, 7, "remark=resident", []byte("body")))
+	f.Add(encodeAnswer(codeLoadReport, 7, "report=util:NaN;x:", nil))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReader(bytes.NewReader(in))
 		for {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -6,9 +6,9 @@
 	"hollymast/control"
 )
 
-// crowdedCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
+// newBusyCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
 // loads and the rest is held, as when a fleet comes back empty.
-func crowdedCore() (*Core, control.Micros) {
+func newBusyCore() (*Core, control.Micros) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
 		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
@@ -33,7 +33,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	c, now := crowdedCore()
+	c, now := newBusyCore()
 	for b.Loop() {
 		c.Step(now)
 		now++ // so little that maintenance is seldom due
@@ -42,7 +42,7 @@
 }
 
 func BenchmarkMaintenance(b *testing.B) {
-	c, now := crowdedCore()
+	c, now := newBusyCore()
 	for b.Loop() {
 		c.Step(now)
 		now += 200_000 // maintenance is due each time
@@ -52,7 +52,7 @@
 
 // BenchmarkSnapshot is the checkpoint that a recording takes within a step.
 func BenchmarkSnapshot(b *testing.B) {
-	c, _ := crowdedCore()
+	c, _ := newBusyCore()
 	for b.Loop() {
 		if _, err := c.Snapshot(); err != nil {
 			b.Fatal(err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	recorder      Recorder // nil: none
 	requests      map[control.RequestID]*request
 	held          []*request
-	spare         []*request     // the other array for held, so that a step allocates none
+	spareHeld     []*request     // the other array for held, so that a step allocates none
 	maintenanceAt control.Micros // when the next maintenance is due
 	timerAt       control.Micros // earliest timer requested and not yet passed; 0: none
 }
@@ -93,7 +93,7 @@
 	if r == nil || int(o.Attempt) >= len(r.req.Attempts) || r.req.Attempts[o.Attempt].Done {
 		return false
 	}
-	open := !r.done
+	wasOpen := !r.done
 	r.inFlight--
 	o.RequestDone = o.RequestDone || r.done
 	d := c.policy.HandleOutcome(now, &r.req, o)
@@ -102,7 +102,7 @@
 	} else {
 		c.execute(r, d)
 	}
-	return open
+	return wasOpen
 }
 
 // Cancel ends a request whose client no longer waits for it.
@@ -148,14 +148,14 @@
 func (c *Core) routeHeld(now control.Micros) {
 	slices.SortStableFunc(c.held, func(a, b *request) int { return cmp.Compare(a.rank, b.rank) })
 	held := c.held
-	c.held = c.spare[:0]
+	c.held = c.spareHeld[:0]
 	for _, r := range held {
 		if r.held = false; !r.done {
 			c.execute(r, c.policy.Route(now, &r.req))
 		}
 	}
 	clear(held)
-	c.spare = held[:0]
+	c.spareHeld = held[:0]
 }
 
 // setTimer asks for a step at the next maintenance or recheck, unless a timer is set that is no later.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -27,22 +27,22 @@
 func (s *scriptedPolicy) Maintain(control.Micros) control.Maintenance { return s.maintenance }
 func (s *scriptedPolicy) Route(now control.Micros, r *control.Request) control.Decision {
 	s.calls = append(s.calls, fmt.Sprint("route ", r.ID))
-	p, ok := s.decisions[r.ID]
+	decision, ok := s.decisions[r.ID]
 	if !ok {
 		return control.Decision{Action: control.Hold, Rank: r.Deadline, RecheckAt: now + 50}
 	}
-	return s.recordAttempt(r, p)
+	return s.recordAttempt(r, decision)
 }
 func (s *scriptedPolicy) HandleOutcome(_ control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	s.calls = append(s.calls, fmt.Sprint("outcome ", r.ID, " done ", o.RequestDone))
 	r.Attempts[o.Attempt].Done = true
 	return s.recordAttempt(r, s.onOutcome)
 }
-func (s *scriptedPolicy) recordAttempt(r *control.Request, p control.Decision) control.Decision {
-	if p.Action == control.Forward {
+func (s *scriptedPolicy) recordAttempt(r *control.Request, decision control.Decision) control.Decision {
+	if decision.Action == control.Forward {
 		r.Attempts = append(r.Attempts, control.Attempt{})
 	}
-	return p
+	return decision
 }
 
 // callLog is an executor that records its calls.
@@ -67,19 +67,19 @@
 func (l *callLog) SetTimer(at control.Micros)                     { l.record("timer %d", at) }
 func (l *callLog) takeCalls() (calls []string)                    { calls, l.calls = l.calls, nil; return }
 
-func newCore(s *scriptedPolicy) (*Core, *callLog) {
+func newCore(policy *scriptedPolicy) (*Core, *callLog) {
 	log := &callLog{}
-	return New(s, log), log
+	return New(policy, log), log
 }
 
 func TestStepRoutesByRank(t *testing.T) {
-	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{
+	policy := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{
 		1: {Action: control.Forward, Server: 7, LoadCommands: []control.LoadCommand{{}}},
 		2: {Action: control.Reject, RetryAfter: 9},
 		3: {Action: control.Fail}},
 		maintenance: control.Maintenance{Next: 500, Cancellations: []control.Cancellation{{Request: 8, Attempt: 1}},
 			SubscribeEndpoints: true, ServerEvents: []control.ServerEvent{{Server: 1, Kind: control.ServerReadmitted}}}}
-	c, log := newCore(s)
+	c, log := newCore(policy)
 	for id, deadline := range map[control.RequestID]control.Micros{1: 30, 2: 20, 3: 10, 4: 40} {
 		if err := c.Add(100, control.Request{ID: id, Deadline: deadline}); err != nil {
 			t.Fatal(err)
@@ -102,9 +102,9 @@
 
 // A request that is done is kept until the outcome of its attempts in flight, and the policy is not asked again.
 func TestLateOutcome(t *testing.T) {
-	s := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}},
+	policy := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}},
 		onOutcome: control.Decision{Action: control.Fail}}
-	c, log := newCore(s)
+	c, log := newCore(policy)
 	c.Add(1, control.Request{ID: 1})
 	c.Step(1)
 	c.Cancel(2, 1)
@@ -119,7 +119,7 @@
 		}
 	}
 	want := []string{"route 1", "cancel 1", "outcome 1 done true"}
-	if got := log.takeCalls(); len(got) != 0 || c.Requests() != 0 || !slices.Equal(s.calls, want) {
-		t.Errorf("executor %q, %d requests, policy %q", got, c.Requests(), s.calls)
+	if got := log.takeCalls(); len(got) != 0 || c.Requests() != 0 || !slices.Equal(policy.calls, want) {
+		t.Errorf("executor %q, %d requests, policy %q", got, c.Requests(), policy.calls)
 	}
 }
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -25,25 +25,25 @@
 
 // randomEvent applies a discovery event: one in order, one that is sent twice, or one after a gap that stays after the
 // resubscription. It reports whether the list may have changed.
-func randomEvent(t *rapid.T, now control.Micros, s *discovery.State) bool {
+func randomEvent(t *rapid.T, now control.Micros, state *discovery.State) bool {
 	endpoints := rapid.Custom(func(t *rapid.T) discovery.EndpointMessage { return randomEndpoint(t, now) })
-	e := discovery.Event{Revision: s.Revision() + 1, Update: &discovery.UpdateMessage{
+	event := discovery.Event{Revision: state.Revision() + 1, Update: &discovery.UpdateMessage{
 		All:     rapid.IntRange(0, 9).Draw(t, "all") == 0,
 		Targets: rapid.SliceOfN(endpoints, 0, 3).Draw(t, "targets"),
 	}}
 	switch rapid.IntRange(0, 7).Draw(t, "order") {
 	case 0:
-		e.Revision--
+		event.Revision--
 	case 1:
-		e.Revision++
+		event.Revision++
 	case 2:
-		e.Update = nil
+		event.Update = nil
 	}
-	s.Subscribed()
-	effect, err := s.Apply(e)
+	state.Subscribed()
+	effect, err := state.Apply(event)
 	if effect == discovery.Resubscribe {
-		s.Subscribed()
-		effect, err = s.Apply(e)
+		state.Subscribed()
+		effect, err = state.Apply(event)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -85,21 +85,21 @@
 				fleets[i].UseSourceClock()
 			}
 		}
-		var s discovery.State
+		var state discovery.State
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			if rapid.IntRange(0, 19).Draw(t, "long pause") == 0 {
 				now += 601_000_000 // removed servers are pruned
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
-				if randomEvent(t, now, &s) {
-					applyUpdate(now, cores[0], fleets[0], s.Update())
-					applyUpdate(now, cores[1], fleets[1], fleet.Update{Full: true, Endpoints: s.Endpoints()})
+				if randomEvent(t, now, &state) {
+					applyUpdate(now, cores[0], fleets[0], state.Update())
+					applyUpdate(now, cores[1], fleets[1], fleet.Update{Full: true, Endpoints: state.Endpoints()})
 				}
 			}
-			traffic(t, now, &next, cores[:]...)
-			for i, d := range cores {
-				d.Step(now)
+			addRandomTraffic(t, now, &next, cores[:]...)
+			for i, c := range cores {
+				c.Step(now)
 				fleets[i].Prune(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && step%2 == 0 })
 			}
 			if x, y := cores[0].takeCalls(), cores[1].takeCalls(); !slices.Equal(x, y) {
@@ -110,8 +110,8 @@
 			}
 			for _, f := range fleets {
 				servers, ready := f.Count()
-				count := func(only bool) int {
-					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return only && s.State != control.Ready }))
+				count := func(readyOnly bool) int {
+					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return readyOnly && s.State != control.Ready }))
 				}
 				if servers != count(false) || ready != count(true) {
 					t.Fatalf("step %d: %d servers, %d of them ready: %+v", step, servers, ready, f.Servers())
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -19,11 +19,11 @@
 		return rapid.SliceOfN(rapid.Map(rapid.Int64Range(int64(now)-3_000_000, int64(now)+1_000_000),
 			func(v int64) control.Micros { return control.Micros(v) }), 0, 6).Draw(t, "times")
 	}
-	m := &control.LearnedState{SavedAt: timestamp(), StartedAt: timestamp(), QuotaDebt: timestamps(), LoadCommands: timestamps(),
+	state := &control.LearnedState{SavedAt: timestamp(), StartedAt: timestamp(), QuotaDebt: timestamps(), LoadCommands: timestamps(),
 		Admitted: timestamps(), Answers: timestamps()}
 	for id := range control.ServerID(7) {
 		if rapid.Bool().Draw(t, "known") {
-			m.Servers = append(m.Servers, control.LearnedServer{Server: id, StartedAt: timestamp(), SlowStartSends: timestamps()})
+			state.Servers = append(state.Servers, control.LearnedServer{Server: id, StartedAt: timestamp(), SlowStartSends: timestamps()})
 		}
 	}
 	for id := range control.FunctionID(8) {
@@ -35,9 +35,9 @@
 					Loading: rapid.IntRange(0, 2).Draw(t, "loading"), LoadingSince: timestamp()})
 			}
 		}
-		m.Functions = append(m.Functions, f)
+		state.Functions = append(state.Functions, f)
 	}
-	return m
+	return state
 }
 
 // With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay
@@ -48,44 +48,44 @@
 		now, next := control.Micros(100_000_000), control.RequestID(0)
 		deployment := randomDeployment(t)
 		deployment.LoadRatePerRequest = 0 // so that LoadRateBase bounds each window
-		m := randomLearnedState(t, now)
+		learned := randomLearnedState(t, now)
 		balancer := control.New(now, 7, deployment)
-		balancer.ApplyLearned(now, m)
-		d := newTestCore(balancer)
+		balancer.ApplyLearned(now, learned)
+		c := newTestCore(balancer)
 		list := []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
 			{Server: 2, State: control.Draining, Weight: 1}, {Server: 3, State: control.Ready, Weight: 1}}
-		d.UpdateEndpoints(now, control.FullUpdate, list)
+		c.UpdateEndpoints(now, control.FullUpdate, list)
 		var loadCommands []control.Micros
-		for _, at := range m.LoadCommands {
+		for _, at := range learned.LoadCommands {
 			loadCommands = append(loadCommands, min(at, now))
 		}
 		for range 60 {
 			now += control.Micros(rapid.IntRange(1, 50_000).Draw(t, "pause"))
 			next++
-			d.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")),
+			c.Add(now, control.Request{ID: next, Function: control.FunctionID(rapid.IntRange(0, 9).Draw(t, "function")),
 				Lanes: 2, ArrivedAt: now, Deadline: now + 3_000_000})
-			d.Step(now)
-			for _, x := range d.takeCalls() {
-				if strings.HasPrefix(x, "forward") && strings.HasSuffix(x, "to 2") {
-					t.Fatalf("a draining server got a request: %s", x)
+			c.Step(now)
+			for _, call := range c.takeCalls() {
+				if strings.HasPrefix(call, "forward") && strings.HasSuffix(call, "to 2") {
+					t.Fatalf("a draining server got a request: %s", call)
 				}
-				if strings.HasPrefix(x, "load") {
+				if strings.HasPrefix(call, "load") {
 					loadCommands = append(loadCommands, now)
-					old := func(at control.Micros) bool { return at < now-deployment.LoadRateWindow }
-					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), old)); float64(n) > deployment.LoadRateBase {
+					expired := func(at control.Micros) bool { return at < now-deployment.LoadRateWindow }
+					if n := len(slices.DeleteFunc(slices.Clone(loadCommands), expired)); float64(n) > deployment.LoadRateBase {
 						t.Fatalf("%d load commands within a window", n)
 					}
 				}
 			}
-			for _, x := range d.sent {
-				if x.server != 1 && x.server != 3 {
-					t.Fatalf("server %d, not on the list, got a request", x.server)
+			for _, sent := range c.sent {
+				if sent.server != 1 && sent.server != 3 {
+					t.Fatalf("server %d, not on the list, got a request", sent.server)
 				}
 				forwarded++
-				d.HandleOutcome(now, x.request, control.Outcome{Attempt: x.attempt, Server: x.server, Result: control.Succeeded,
+				c.HandleOutcome(now, sent.request, control.Outcome{Attempt: sent.attempt, Server: sent.server, Result: control.Succeeded,
 					Duration: 40_000, RequestDone: true})
 			}
-			d.sent = d.sent[:0]
+			c.sent = c.sent[:0]
 		}
 	})
 	if forwarded == 0 {
@@ -95,7 +95,7 @@
 
 // BenchmarkLearnedState is the copy of the learned state that is taken between two steps to be written.
 func BenchmarkLearnedState(b *testing.B) {
-	c, now := crowdedCore()
+	c, now := newBusyCore()
 	for b.Loop() {
 		if c.LearnedState(now) == nil {
 			b.Fatal("no learned state")
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -25,35 +25,35 @@
 }
 
 func newTestCore(policy Policy) *testCore {
-	d := &testCore{}
-	d.Core = New(policy, d)
-	return d
+	c := &testCore{}
+	c.Core = New(policy, c)
+	return c
 }
 
-func (d *testCore) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
-	d.callLog.Forward(r, attempt, to, timeout)
-	d.sent = append(d.sent, sentAttempt{r.ID, attempt, to})
+func (c *testCore) Forward(r *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
+	c.callLog.Forward(r, attempt, to, timeout)
+	c.sent = append(c.sent, sentAttempt{r.ID, attempt, to})
 }
 
-// traffic adds random requests and outcomes, the same to each core.
-func traffic(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*testCore) {
+// addRandomTraffic adds random requests and outcomes, the same to each core.
+func addRandomTraffic(t *rapid.T, now control.Micros, next *control.RequestID, cores ...*testCore) {
 	for range rapid.IntRange(0, 4).Draw(t, "requests") {
 		*next++
 		r := control.Request{ID: *next, Class: control.ClassID(rapid.IntRange(0, 2).Draw(t, "class")),
 			Function: control.FunctionID(rapid.IntRange(1, 6).Draw(t, "function")), Lanes: 2, ArrivedAt: now,
 			Deadline: now + control.Micros(rapid.IntRange(1, 3_000_000).Draw(t, "timeout")),
 			IsRetry:  rapid.Bool().Draw(t, "retry")}
-		for _, d := range ds {
-			d.Add(now, r)
+		for _, c := range cores {
+			c.Add(now, r)
 		}
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "answers") {
-		if len(ds[0].sent) == 0 {
+		if len(cores[0].sent) == 0 {
 			break
 		}
-		i := rapid.IntRange(0, len(ds[0].sent)-1).Draw(t, "which")
-		x := ds[0].sent[i]
-		o := control.Outcome{Attempt: x.attempt, Server: x.server,
+		i := rapid.IntRange(0, len(cores[0].sent)-1).Draw(t, "which")
+		sent := cores[0].sent[i]
+		o := control.Outcome{Attempt: sent.attempt, Server: sent.server,
 			Result:      control.Result(rapid.IntRange(0, 8).Draw(t, "result")),
 			CacheStatus: control.CacheStatus(rapid.IntRange(0, 4).Draw(t, "cache status")),
 			Duration:    control.Micros(rapid.IntRange(1, 900_000).Draw(t, "took"))}
@@ -61,21 +61,21 @@
 		if rapid.Bool().Draw(t, "reported") {
 			o.Report = &control.LoadReport{Utilization: rapid.Float64Range(0, 1).Draw(t, "util"), PendingLoads: 1}
 		}
-		for _, d := range ds {
-			d.sent = slices.Delete(d.sent, i, i+1)
-			d.HandleOutcome(now, x.request, o)
+		for _, c := range cores {
+			c.sent = slices.Delete(c.sent, i, i+1)
+			c.HandleOutcome(now, sent.request, o)
 		}
 	}
 }
 
-// step makes one step of random events.
-func step(t *rapid.T, now control.Micros, next *control.RequestID, ds ...*testCore) {
-	traffic(t, now, next, ds...)
+// randomStep makes one step of random events.
+func randomStep(t *rapid.T, now control.Micros, next *control.RequestID, cores ...*testCore) {
+	addRandomTraffic(t, now, next, cores...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
 	case 0:
 		id := control.RequestID(rapid.Uint64Range(0, uint64(*next)).Draw(t, "cancelled"))
-		for _, d := range ds {
-			d.Cancel(now, id)
+		for _, c := range cores {
+			c.Cancel(now, id)
 		}
 	case 1:
 		list := make([]control.Endpoint, rapid.IntRange(1, 5).Draw(t, "servers"))
@@ -84,17 +84,17 @@
 				State: control.ServerState(rapid.IntRange(1, 2).Draw(t, "state")), Weight: 1,
 				Zone: control.ZoneID(i % 2), StartedAt: control.Micros(rapid.Int64Range(0, int64(now)).Draw(t, "started at"))}
 		}
-		for _, d := range ds {
-			d.UpdateEndpoints(now, control.FullUpdate, list)
+		for _, c := range cores {
+			c.UpdateEndpoints(now, control.FullUpdate, list)
 		}
 	case 2:
 		s, replicas := control.ServerID(rapid.IntRange(1, 5).Draw(t, "server")), rapid.IntRange(0, 3).Draw(t, "replicas")
-		for _, d := range ds {
-			d.HandleLoadResult(now, s, 1, control.Succeeded, 1000, replicas)
+		for _, c := range cores {
+			c.HandleLoadResult(now, s, 1, control.Succeeded, 1000, replicas)
 		}
 	}
-	for _, d := range ds {
-		d.Step(now)
+	for _, c := range cores {
+		c.Step(now)
 	}
 }
 
@@ -120,7 +120,7 @@
 			{Server: 2, State: control.Ready, Weight: 2}})
 		for range rapid.IntRange(1, 60).Draw(t, "before") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
-			step(t, now, &next, a)
+			randomStep(t, now, &next, a)
 		}
 		s, err := a.Snapshot()
 		if err != nil {
@@ -134,7 +134,7 @@
 		for n := range 1000 {
 			now += control.Micros(1 + uint64(n)*7919%200_000)
 			if n < 100 {
-				step(t, now, &next, a, b)
+				randomStep(t, now, &next, a, b)
 			} else {
 				a.Step(now)
 				b.Step(now)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -66,7 +66,7 @@
 		if _, stalled := loop.Stalled(); stalled {
 			t.Error("stalled before the timer was set")
 		}
-		fires := func(want time.Duration) {
+		expectFireAfter := func(want time.Duration) {
 			t.Helper()
 			begun := time.Now()
 			<-loop.Timer()
@@ -75,14 +75,14 @@
 			}
 		}
 		loop.SetTimer(loop.Now() + 20_000)
-		fires(20 * time.Millisecond)
+		expectFireAfter(20 * time.Millisecond)
 		loop.SetTimer(loop.Now() - 1)
-		fires(0)
+		expectFireAfter(0)
 		loop.SetTimer(loop.Now() + 20_000)
 		loop.WakeWithin(5 * time.Millisecond)
-		fires(5 * time.Millisecond)
+		expectFireAfter(5 * time.Millisecond)
 		loop.WakeWithin(time.Second)
-		fires(15 * time.Millisecond)
+		expectFireAfter(15 * time.Millisecond)
 		if _, stalled := loop.Stalled(); stalled {
 			t.Error("stalled though on time")
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -55,11 +55,11 @@
 
 // Fleet is the endpoint list as last sent. It is not safe for concurrent use.
 type Fleet struct {
-	offset      int64 // wall clock at the router's time 0, in microseconds since 1970, fixed at the start
-	lastUpdate  control.Micros
-	first       bool
-	sourceClock bool
-	fullUpdates uint64 // number of full updates so far
+	offset            int64 // wall clock at the router's time 0, in microseconds since 1970, fixed at the start
+	lastUpdate        control.Micros
+	beforeFirstUpdate bool
+	sourceClock       bool
+	fullUpdates       uint64 // number of full updates so far
 	// completeAsOf is the last time of which it is known that the list holds all that its source had sent by
 	// then; 0: none is known.
 	completeAsOf control.Micros
@@ -75,12 +75,12 @@
 // read once, so that setting the clock later changes nothing.
 func New(offset int64) *Fleet {
 	return &Fleet{
-		offset:  offset,
-		first:   true,
-		servers: map[control.ServerID]*Server{},
-		counts:  map[control.ServerState]int{},
-		zones:   map[string]control.ZoneID{},
-		cells:   map[string]control.CellID{},
+		offset:            offset,
+		beforeFirstUpdate: true,
+		servers:           map[control.ServerID]*Server{},
+		counts:            map[control.ServerState]int{},
+		zones:             map[string]control.ZoneID{},
+		cells:             map[string]control.CellID{},
 	}
 }
 
@@ -97,13 +97,13 @@
 
 // ID returns a server's ID, from its name or address. It is the same in every router, since all share one order
 // of servers.
-func ID(address string) control.ServerID {
-	if a, err := netip.ParseAddrPort(address); err == nil && a.Addr().Is4() {
+func ID(nameOrAddress string) control.ServerID {
+	if a, err := netip.ParseAddrPort(nameOrAddress); err == nil && a.Addr().Is4() {
 		b := a.Addr().As4()
 		return control.ServerID(b[0])<<40 | control.ServerID(b[1])<<32 | control.ServerID(b[2])<<24 |
 			control.ServerID(b[3])<<16 | control.ServerID(a.Port())
 	}
-	return control.ServerID(xxhash.Sum64String(address) | 1<<63) // no IPv4 address has the top bit
+	return control.ServerID(xxhash.Sum64String(nameOrAddress) | 1<<63) // no IPv4 address has the top bit
 }
 
 // ZoneID returns a zone's ID; the empty name is zone 0.
@@ -135,7 +135,7 @@
 			f.remove(s)
 		}
 	}
-	f.lastUpdate, f.first = now, false
+	f.lastUpdate, f.beforeFirstUpdate = now, false
 	return updated
 }
 
@@ -144,7 +144,7 @@
 // as it was, in state Removed.
 func (f *Fleet) IncrementalUpdate(now control.Micros, changed []Endpoint) []control.Endpoint {
 	updated := f.applyEndpoints(now, changed)
-	f.lastUpdate, f.first = now, false
+	f.lastUpdate, f.beforeFirstUpdate = now, false
 	return updated
 }
 
@@ -204,20 +204,20 @@
 // list was complete without the server (see control.EarliestStart), no later than now, and after the start of the
 // server's previous incarnation.
 func (f *Fleet) startedAt(now control.Micros, listedStart int64, previous control.Micros) control.Micros {
-	if listedStart == 0 && (f.first || f.sourceClock) {
+	if listedStart == 0 && (f.beforeFirstUpdate || f.sourceClock) {
 		return 0
 	}
 	at := control.Micros(listedStart - f.offset)
-	if since := f.lastWithout(); listedStart == 0 || at < control.EarliestStart(since, f.slowStart) {
-		at = since
+	if earliest := f.lastCompleteWithout(); listedStart == 0 || at < control.EarliestStart(earliest, f.slowStart) {
+		at = earliest
 	}
 	return max(1, previous+1, min(at, now))
 }
 
-// lastWithout returns when the list was last complete without a server that is listed now; 0 if that is not
+// lastCompleteWithout returns when the list was last complete without a server that is listed now; 0 if that is not
 // known, as for the servers of the configuration at the start.
-func (f *Fleet) lastWithout() control.Micros {
-	if f.first || f.sourceClock && f.completeAsOf == 0 {
+func (f *Fleet) lastCompleteWithout() control.Micros {
+	if f.beforeFirstUpdate || f.sourceClock && f.completeAsOf == 0 {
 		return 0
 	}
 	return cmp.Or(f.completeAsOf, f.lastUpdate)
@@ -259,15 +259,15 @@
 	if due == 0 {
 		return
 	}
-	kept := slices.DeleteFunc(f.removed[:due:due], func(d removal) bool {
-		s := f.servers[d.id]
-		if s == nil || s.State != control.Removed || s.removedAt != d.at {
+	kept := slices.DeleteFunc(f.removed[:due:due], func(r removal) bool {
+		s := f.servers[r.id]
+		if s == nil || s.State != control.Removed || s.removedAt != r.at {
 			return true // it has returned since
 		}
-		if keep(d.id) {
+		if keep(r.id) {
 			return false
 		}
-		delete(f.servers, d.id)
+		delete(f.servers, r.id)
 		return true
 	})
 	f.removed = slices.Delete(f.removed, len(kept), due)
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -17,13 +17,13 @@
 type File struct {
 	Name     string
 	ini      *ini.File
-	lines    map[position]int // of sections and keys, from 1
-	read     map[position]bool
+	lines    map[entry]int // of sections and keys, from 1
+	read     map[entry]bool
 	problems []problem
 }
 
-// position names a section, or a key if there is one.
-type position struct{ section, key string }
+// entry names a section, or a key if there is one.
+type entry struct{ section, key string }
 
 type problem struct {
 	line int
@@ -42,8 +42,8 @@
 // Parse parses a file's text; the name is for messages. The error is about the syntax only: what else is wrong is reported by
 // Check.
 func Parse(name string, text []byte) (*File, error) {
-	f := &File{Name: name, lines: map[position]int{}, read: map[position]bool{}}
-	f.scanLines(text)
+	f := &File{Name: name, lines: map[entry]int{}, read: map[entry]bool{}}
+	f.indexLines(text)
 	var err error
 	f.ini, err = ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreInlineComment: true, Insensitive: false}, text)
 	if err != nil {
@@ -52,9 +52,9 @@
 	return f, nil
 }
 
-// scanLines notes where sections and keys are, which the INI library doesn't tell, and reports those that appear twice, which it
+// indexLines notes where sections and keys are, which the INI library doesn't tell, and reports those that appear twice, which it
 // merges.
-func (f *File) scanLines(text []byte) {
+func (f *File) indexLines(text []byte) {
 	section := ""
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
@@ -63,27 +63,27 @@
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[' && strings.HasSuffix(line, "]"):
 			section = strings.TrimSpace(line[1 : len(line)-1])
-			f.addLine(n, position{section: section}, "section "+section)
+			f.addLine(n, entry{section: section}, "section "+section)
 		default:
 			if i := strings.IndexAny(line, "=:"); i > 0 {
 				key := strings.TrimSpace(line[:i])
-				f.addLine(n, position{section, key}, key)
+				f.addLine(n, entry{section, key}, key)
 			}
 		}
 	}
 }
 
-func (f *File) addLine(line int, at position, what string) {
-	if first, twice := f.lines[at]; twice {
-		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s stands twice, first at line %d", what, first)})
+func (f *File) addLine(line int, e entry, label string) {
+	if first, duplicate := f.lines[e]; duplicate {
+		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s stands twice, first at line %d", label, first)})
 		return
 	}
-	f.lines[at] = line
+	f.lines[e] = line
 }
 
 // Section gives a section by name. One that isn't in the file has no keys.
 func (f *File) Section(name string) *Section {
-	f.read[position{section: name}] = true
+	f.read[entry{section: name}] = true
 	section, err := f.ini.GetSection(name)
 	if err != nil {
 		section = nil
@@ -130,9 +130,9 @@
 	keys := s.ini.KeyStrings()
 	switch {
 	case s.Name == ini.DefaultSection && len(keys) == 0:
-	case f.read[position{section: s.Name}]:
+	case f.read[entry{section: s.Name}]:
 		for _, key := range keys {
-			if !f.read[position{s.Name, key}] {
+			if !f.read[entry{s.Name, key}] {
 				s.Errorf(key, "unknown key")
 			}
 		}
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -18,8 +18,8 @@
 	a.OneOf("word", "a", "a", "b")
 	f.Section("c").Float("late", 0, 0, 1)
 	f.Section("d").Errorf("", "missing")
-	var faults *ValidationError
-	if err := f.Check(); !errors.As(err, &faults) {
+	var validation *ValidationError
+	if err := f.Check(); !errors.As(err, &validation) {
 		t.Fatalf("got %v", err)
 	}
 	want := []string{
@@ -32,8 +32,8 @@
 		`f.ini:10: [b]: unknown section`,
 		`f.ini:12: [c] late: "99" is no number from 0 to 1`,
 	}
-	if !slices.Equal(faults.Problems, want) {
-		t.Errorf("got %q", faults.Problems)
+	if !slices.Equal(validation.Problems, want) {
+		t.Errorf("got %q", validation.Problems)
 	}
 }
 
--- a/internal/inifile/section.go
+++ b/internal/inifile/section.go
@@ -24,20 +24,20 @@
 
 // Errorf reports that a key's value is wrong, or the section if the key is empty.
 func (s *Section) Errorf(key, format string, args ...any) {
-	what := "[" + s.Name + "]"
+	label := "[" + s.Name + "]"
 	if key != "" {
-		what += " " + key
+		label += " " + key
 	}
-	line := s.file.lines[position{s.Name, key}]
+	line := s.file.lines[entry{s.Name, key}]
 	if line == 0 { // the key isn't in the file
-		line = s.file.lines[position{section: s.Name}]
+		line = s.file.lines[entry{section: s.Name}]
 	}
-	s.file.problems = append(s.file.problems, problem{line, what + ": " + fmt.Sprintf(format, args...)})
+	s.file.problems = append(s.file.problems, problem{line, label + ": " + fmt.Sprintf(format, args...)})
 }
 
 // Has reports whether a key is in the file; either way the key is a known one.
 func (s *Section) Has(key string) bool {
-	s.file.read[position{s.Name, key}] = true
+	s.file.read[entry{s.Name, key}] = true
 	return s.ini != nil && s.ini.HasKey(key)
 }
 
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -79,7 +79,7 @@
 }
 
 // Error returns the text that the client is sent.
-func (f *MessageError) Error() string { return f.Text }
+func (e *MessageError) Error() string { return e.Text }
 
 // Reader reads a client's messages. It is not safe for concurrent use.
 type Reader struct {
@@ -105,13 +105,13 @@
 // Read reads one message. Its error is a *Fault or that of the stream.
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
-	if f, err := r.readMessage(m); f != nil {
+	if msgErr, err := r.readMessage(m); msgErr != nil {
 		var stream *streamError
 		if errors.As(err, &stream) {
 			return nil, stream.err
 		}
-		f.Number = m.Number
-		return nil, f
+		msgErr.Number = m.Number
+		return nil, msgErr
 	}
 	return m, nil
 }
@@ -119,24 +119,24 @@
 // readMessage reads one message into m. If it can't be accepted the fault is not nil, and err is what caused it,
 // if that is an error.
 func (r *Reader) readMessage(m *Message) (*MessageError, error) {
-	n, err := r.array()
+	n, err := r.readArrayLength()
 	if err != nil || n != 3 && n != 4 {
 		return unreadable("not a message"), err
 	}
-	kind, err := r.number(math.MaxUint32)
+	kind, err := r.readNumber(math.MaxUint32)
 	if err != nil {
 		return unreadable("no kind of message"), err
 	}
 	switch {
 	case kind == 0 && n == 4:
-		if m.Number, err = r.number(math.MaxUint32); err != nil {
+		if m.Number, err = r.readNumber(math.MaxUint32); err != nil {
 			return unreadable("no number"), err
 		}
-		f, err := r.readCall(m)
-		if f != nil {
-			f.Answerable = true
+		msgErr, err := r.readCall(m)
+		if msgErr != nil {
+			msgErr.Answerable = true
 		}
-		return f, err
+		return msgErr, err
 	case kind == 2 && n == 3:
 		return r.readNotification(m)
 	}
@@ -148,15 +148,15 @@
 
 // readCall reads the method and parameters of a call.
 func (r *Reader) readCall(m *Message) (*MessageError, error) {
-	method, err := r.text(maxName)
+	method, err := r.readString(maxName)
 	if err != nil {
 		return unreadable("no method"), err
 	}
-	params, err := r.array()
+	params, err := r.readArrayLength()
 	if err != nil || params < 1 || params > 2 {
 		return unreadable("no parameters"), err
 	}
-	fields, err := r.fields()
+	fields, err := r.readFields()
 	if err != nil {
 		return unreadable(err.Error()), err
 	}
@@ -167,7 +167,7 @@
 	if params != 2 {
 		return unreadable("no body"), nil
 	}
-	body, err := r.bytes(MaxBody)
+	body, err := r.readBytes(MaxBody)
 	if err != nil {
 		return unreadable("body: " + err.Error()), err
 	}
@@ -180,14 +180,14 @@
 
 // readNotification reads the method and parameter of a notification; the one there is cancels a request.
 func (r *Reader) readNotification(m *Message) (*MessageError, error) {
-	method, err := r.text(maxName)
+	method, err := r.readString(maxName)
 	if err != nil || method != "forget" {
 		return unreadable("unknown notice"), err
 	}
-	if params, err := r.array(); err != nil || params != 1 {
+	if params, err := r.readArrayLength(); err != nil || params != 1 {
 		return unreadable("notice without its number"), err
 	}
-	if m.Number, err = r.number(math.MaxUint32); err != nil {
+	if m.Number, err = r.readNumber(math.MaxUint32); err != nil {
 		return unreadable("notice without its number"), err
 	}
 	m.Kind = Cancel
@@ -197,10 +197,10 @@
 // streamError marks an error of the stream itself.
 type streamError struct{ err error }
 
-func (b *streamError) Error() string { return b.err.Error() }
+func (e *streamError) Error() string { return e.err.Error() }
 
-// code returns the code of the next value without consuming it.
-func (r *Reader) code() (byte, error) {
+// peekCode returns the code of the next value without consuming it.
+func (r *Reader) peekCode() (byte, error) {
 	c, err := r.dec.PeekCode()
 	if err != nil {
 		return 0, &streamError{err}
@@ -208,9 +208,9 @@
 	return c, nil
 }
 
-// length reads a length if the next value's code fits; what names the form expected in the error.
-func (r *Reader) length(fits func(byte) bool, read func() (int, error), what string) (int, error) {
-	c, err := r.code()
+// readLength reads a length if the next value's code fits; what names the form expected in the error.
+func (r *Reader) readLength(fits func(byte) bool, read func() (int, error), what string) (int, error) {
+	c, err := r.peekCode()
 	if err != nil {
 		return 0, err
 	}
@@ -224,15 +224,15 @@
 	return n, nil
 }
 
-func (r *Reader) array() (int, error) {
-	return r.length(func(c byte) bool {
+func (r *Reader) readArrayLength() (int, error) {
+	return r.readLength(func(c byte) bool {
 		return msgpcode.IsFixedArray(c) || c == msgpcode.Array16 || c == msgpcode.Array32
 	}, r.dec.DecodeArrayLen, "array")
 }
 
-// number reads an unsigned number up to limit.
-func (r *Reader) number(limit int64) (uint32, error) {
-	c, err := r.code()
+// readNumber reads an unsigned number up to limit.
+func (r *Reader) readNumber(limit int64) (uint32, error) {
+	c, err := r.peekCode()
 	if err != nil {
 		return 0, err
 	}
@@ -249,9 +249,9 @@
 	return uint32(n), nil
 }
 
-// bytes reads a string or binary value of at most limit bytes.
-func (r *Reader) bytes(limit int) ([]byte, error) {
-	n, err := r.length(func(c byte) bool { return msgpcode.IsString(c) || msgpcode.IsBin(c) }, r.dec.DecodeBytesLen, "bytes")
+// readBytes reads a string or binary value of at most limit bytes.
+func (r *Reader) readBytes(limit int) ([]byte, error) {
+	n, err := r.readLength(func(c byte) bool { return msgpcode.IsString(c) || msgpcode.IsBin(c) }, r.dec.DecodeBytesLen, "bytes")
 	if err != nil {
 		return nil, err
 	}
@@ -265,14 +265,14 @@
 	return b, nil
 }
 
-func (r *Reader) text(limit int) (string, error) {
-	b, err := r.bytes(limit)
+func (r *Reader) readString(limit int) (string, error) {
+	b, err := r.readBytes(limit)
 	return string(b), err
 }
 
-// fields reads a map of strings.
-func (r *Reader) fields() (map[string]string, error) {
-	n, err := r.length(func(c byte) bool {
+// readFields reads a map of strings.
+func (r *Reader) readFields() (map[string]string, error) {
+	n, err := r.readLength(func(c byte) bool {
 		return msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32
 	}, r.dec.DecodeMapLen, "map")
 	if err != nil {
@@ -283,11 +283,11 @@
 	}
 	fields := make(map[string]string, n)
 	for range n {
-		name, err := r.text(maxName)
+		name, err := r.readString(maxName)
 		if err != nil {
 			return nil, err
 		}
-		if fields[name], err = r.text(maxValue); err != nil {
+		if fields[name], err = r.readString(maxValue); err != nil {
 			return nil, err
 		}
 	}
@@ -363,9 +363,9 @@
 
 // The words of a response without a result.
 const (
-	wireRejected = "TryLater"
-	wireFailed   = "Aborted"
-	wireInvalid  = "Invalid"
+	wordRejected = "TryLater"
+	wordFailed   = "Aborted"
+	wordInvalid  = "Invalid"
 )
 
 // EncodeSuccess returns the response with a server's body.
@@ -381,17 +381,17 @@
 // EncodeRejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
 func EncodeRejection(number uint32, retryAfter control.Micros) []byte {
 	if retryAfter <= 0 {
-		return errorResponse(number, wireRejected)
+		return errorResponse(number, wordRejected)
 	}
-	return errorResponse(number, wireRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
+	return errorResponse(number, wordRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
 }
 
 // EncodeFailure returns the response of a failed request, which may have run.
-func EncodeFailure(number uint32) []byte { return errorResponse(number, wireFailed) }
+func EncodeFailure(number uint32) []byte { return errorResponse(number, wordFailed) }
 
 // EncodeInvalid returns the response to an invalid message, with the reason.
 func EncodeInvalid(number uint32, reason string) []byte {
-	return errorResponse(number, wireInvalid, "why", reason)
+	return errorResponse(number, wordInvalid, "why", reason)
 }
 
 // EncodeHealth returns the response to a health check.
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func fields(changes ...string) map[string]string {
+func testFields(changes ...string) map[string]string {
 	f := map[string]string{"ref": "9b1f03aa5c7e2d41", "allow": "1500", "project": "acme", "lookup": "7f3a9c21e0b4d655",
 		"spec": "memory_mb:512;lanes:2"}
 	for i := 0; i < len(changes); i += 2 {
@@ -19,7 +19,7 @@
 	return f
 }
 
-func pack(t testing.TB, v ...any) []byte {
+func encode(t testing.TB, v ...any) []byte {
 	t.Helper()
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -28,12 +28,12 @@
 	return b
 }
 
-func call(t testing.TB, f map[string]string) []byte {
-	return pack(t, 0, 7, "infer", []any{f, []byte{0, 255}})
+func encodeCall(t testing.TB, f map[string]string) []byte {
+	return encode(t, 0, 7, "infer", []any{f, []byte{0, 255}})
 }
 
 func TestReadCall(t *testing.T) {
-	r := NewReader(bytes.NewReader(call(t, fields("dup", "1", "replay", strings.Repeat("5c", 16)))))
+	r := NewReader(bytes.NewReader(encodeCall(t, testFields("dup", "1", "replay", strings.Repeat("5c", 16)))))
 	m, err := r.Read()
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 func TestReadCancelAndHealthCheck(t *testing.T) {
-	in := append(pack(t, 2, "forget", []any{7}), pack(t, 0, 8, "isWell", []any{map[string]string{}})...)
+	in := append(encode(t, 2, "forget", []any{7}), encode(t, 0, 8, "isWell", []any{map[string]string{}})...)
 	r := NewReader(bytes.NewReader(in))
 	if m, err := r.Read(); err != nil || m.Kind != Cancel || m.Number != 7 {
 		t.Errorf("got %+v, %v", m, err)
@@ -61,10 +61,10 @@
 func TestWrongFieldsLeaveTheConnectionReadable(t *testing.T) {
 	for name, value := range map[string]string{"ref": "9b1f", "lookup": "zzzz9c21e0b4d655", "allow": "NaN",
 		"spec": "lanes:-2", "replay": "5c", "dup": "yes"} {
-		r := NewReader(bytes.NewReader(append(call(t, fields(name, value)), call(t, fields())...)))
+		r := NewReader(bytes.NewReader(append(encodeCall(t, testFields(name, value)), encodeCall(t, testFields())...)))
 		_, err := r.Read()
-		var f *MessageError
-		if !errors.As(err, &f) || f.Unreadable || !f.Answerable || f.Number != 7 || !strings.HasPrefix(f.Text, name) {
+		var msgErr *MessageError
+		if !errors.As(err, &msgErr) || msgErr.Unreadable || !msgErr.Answerable || msgErr.Number != 7 || !strings.HasPrefix(msgErr.Text, name) {
 			t.Errorf("%s: got %v", name, err)
 		}
 		if _, err := r.Read(); err != nil {
@@ -98,8 +98,8 @@
 		"a nested array":          append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
 	} {
 		_, err := NewReader(io.MultiReader(bytes.NewReader(in), neverRead{t, name})).Read()
-		var f *MessageError
-		if !errors.As(err, &f) || !f.Unreadable {
+		var msgErr *MessageError
+		if !errors.As(err, &msgErr) || !msgErr.Unreadable {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 func TestTruncatedAtEachByte(t *testing.T) {
-	data := call(t, fields())
+	data := encodeCall(t, testFields())
 	for n := range data {
 		if m, err := NewReader(bytes.NewReader(data[:n])).Read(); !errors.Is(err, io.EOF) &&
 			!errors.Is(err, io.ErrUnexpectedEOF) {
@@ -136,23 +136,23 @@
 		"failure":   {EncodeFailure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
 		"health":    {EncodeHealth(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
 	} {
-		if want := pack(t, c.want...); !bytes.Equal(c.data, want) {
+		if want := encode(t, c.want...); !bytes.Equal(c.data, want) {
 			t.Errorf("%s: got % x, want % x", name, c.data, want)
 		}
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(call(f, fields()))
-	f.Add(call(f, fields("allow", "-1")))
-	f.Add(pack(f, 2, "forget", []any{7}))
+	f.Add(encodeCall(f, testFields()))
+	f.Add(encodeCall(f, testFields("allow", "-1")))
+	f.Add(encode(f, 2, "forget", []any{7}))
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in))
 		for {
 			m, err := r.Read()
-			var fault *MessageError
-			if err != nil && (!errors.As(err, &fault) || fault.Unreadable) {
+			var msgErr *MessageError
+			if err != nil && (!errors.As(err, &msgErr) || msgErr.Unreadable) {
 				return
 			}
 			if m != nil && m.Kind == Call && (len(m.Request.Body) > MaxBody || m.Request.Timeout <= 0) {
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -43,11 +43,11 @@
 
 func (c *Controller) decide(now control.Micros, r Request) Decision {
 	t := c.tenant(now, r.Tenant)
-	c.count(now, r, t)
+	c.countArrival(now, r, t)
 	if c.kind == TenantStorm && t.overQuota && !c.takeQuotaToken(now, r.Tenant, t) {
 		return c.reject(now, 0)
 	}
-	returnAt, rejectedBefore := c.returnAt[r.KeyHash]
+	retryAt, rejectedBefore := c.retryAt[r.KeyHash]
 	rejectedBefore = rejectedBefore && r.KeyHash != 0
 	switch {
 	case c.kind == None || c.kind == ConnectionStorm:
@@ -56,12 +56,12 @@
 		return c.reject(now, r.KeyHash)
 	case !r.IsRetry && !rejectedBefore:
 		return Decision{Admitted: true}
-	case rejectedBefore && now < returnAt-earlyTolerance:
+	case rejectedBefore && now < retryAt-earlyTolerance:
 		// The time that it was given stands: to put it off would punish the next attempt, which will be in time.
 		c.window.current.rejected++
-		return Decision{Reason: c.kind, RetryAfter: returnAt - now}
+		return Decision{Reason: c.kind, RetryAfter: retryAt - now}
 	case rejectedBefore:
-		delete(c.returnAt, r.KeyHash)
+		delete(c.retryAt, r.KeyHash)
 		return Decision{Admitted: true}
 	case t.retryTokens < 1:
 		return c.reject(now, r.KeyHash)
@@ -70,8 +70,8 @@
 	return Decision{Admitted: true}
 }
 
-// count counts a request on arrival. A first attempt adds to its tenant's retry budget.
-func (c *Controller) count(now control.Micros, r Request, t *tenantState) {
+// countArrival counts a request on arrival. A first attempt adds to its tenant's retry budget.
+func (c *Controller) countArrival(now control.Micros, r Request, t *tenantState) {
 	t.countRequest(now)
 	if r.IsRetry {
 		c.window.current.retries++
@@ -105,20 +105,20 @@
 	if keyHash == 0 {
 		return pause
 	}
-	if len(c.returnAt) >= maxKeys {
-		c.pruneReturns(now)
+	if len(c.retryAt) >= maxKeys {
+		c.pruneRetryTimes(now)
 	}
-	if len(c.returnAt) < maxKeys {
-		c.returnAt[keyHash] = now + pause
+	if len(c.retryAt) < maxKeys {
+		c.retryAt[keyHash] = now + pause
 	}
 	return pause
 }
 
-// pruneReturns forgets the rejected requests whose time to return has passed.
-func (c *Controller) pruneReturns(now control.Micros) {
-	for keyHash, at := range c.returnAt {
+// pruneRetryTimes forgets the rejected requests whose time to return has passed.
+func (c *Controller) pruneRetryTimes(now control.Micros) {
+	for keyHash, at := range c.retryAt {
 		if at < now {
-			delete(c.returnAt, keyHash)
+			delete(c.retryAt, keyHash)
 		}
 	}
 }
--- a/internal/overload/baseline.go
+++ b/internal/overload/baseline.go
@@ -14,10 +14,10 @@
 	intervals     int     // that the mean rests on, baselineIntervals at most
 }
 
-func (b *baseline) update(second counters) {
+func (b *baseline) update(lastSecond counters) {
 	b.intervals = min(b.intervals+1, baselineIntervals)
-	b.firstAttempts += (second.firstAttempts - b.firstAttempts) / float64(b.intervals)
-	b.connections += (second.connections - b.connections) / float64(b.intervals)
+	b.firstAttempts += (lastSecond.firstAttempts - b.firstAttempts) / float64(b.intervals)
+	b.connections += (lastSecond.connections - b.connections) / float64(b.intervals)
 }
 
 // updateBaseline takes in the last second. An overload is not learned: it must not become usual.
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -25,7 +25,7 @@
 	since      control.Micros // when the overload began
 	quietSince control.Micros // since when no condition of an overload holds; 0: one holds, or there is no overload
 
-	returnAt map[uint64]control.Micros // when rejected requests may return, by the hash of their idempotency key
+	retryAt  map[uint64]control.Micros // when rejected requests may return, by the hash of their idempotency key
 	tenants  map[control.TenantID]*tenantState
 	shedder  shedder
 	logLines []string
@@ -40,7 +40,7 @@
 		maxRetryAfter: maxRetryAfter,
 		random:        rand.New(rand.NewPCG(seed, stream)),
 		window:        window{currentSince: now},
-		returnAt:      map[uint64]control.Micros{},
+		retryAt:       map[uint64]control.Micros{},
 		tenants:       map[control.TenantID]*tenantState{},
 		shedder:       newShedder(priorities),
 	}
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -16,18 +16,18 @@
 
 // simulate plays traffic of one tenant for some time, and returns the time at its end.
 func simulate(c *Controller, now, duration control.Micros, rates traffic) (end control.Micros, got admitted) {
-	happens := func(perSecond int, step control.Micros) bool {
+	due := func(perSecond int, step control.Micros) bool {
 		return perSecond > 0 && step%(1000/control.Micros(perSecond)) == 0
 	}
 	for step := range duration / ms {
 		at := now + step*ms
-		if happens(rates.firstAttempts, step) && c.Admit(at, Request{}).Admitted {
+		if due(rates.firstAttempts, step) && c.Admit(at, Request{}).Admitted {
 			got.firstAttempts++
 		}
-		if happens(rates.retries, step) && c.Admit(at, Request{IsRetry: true}).Admitted {
+		if due(rates.retries, step) && c.Admit(at, Request{IsRetry: true}).Admitted {
 			got.retries++
 		}
-		if happens(rates.answers, step) {
+		if due(rates.answers, step) {
 			c.RecordAnswer(at)
 		}
 	}
--- a/internal/overload/detection.go
+++ b/internal/overload/detection.go
@@ -35,7 +35,7 @@
 	case c.kind != None && now >= c.quietSince+quietPeriod:
 		c.logf("the storm (%s) ended after %d ms", c.kind, (now-c.since)/1000)
 		c.kind, c.quietSince = None, 0
-		clear(c.returnAt)
+		clear(c.retryAt)
 	}
 }
 
--- a/internal/overload/tenants.go
+++ b/internal/overload/tenants.go
@@ -114,7 +114,7 @@
 		if int(id) >= len(c.quotas) || len(c.tenants) < 2 {
 			continue
 		}
-		requests, quota := t.recentRequests(now), c.quotas[id]*shortageIntervals/intervals
+		requests, quota := t.recentRequests(now), c.quotas[id]*shortageIntervals/windowIntervals
 		switch {
 		case short && requests > quotaFactor*quota+quotaDeviations*math.Sqrt(quota):
 			if !t.overQuota {
--- a/internal/overload/window.go
+++ b/internal/overload/window.go
@@ -7,12 +7,12 @@
 // The window of observation and its intervals: retries without a pause show within one interval, and a second tells a storm from a
 // burst.
 const (
-	interval  = control.Micros(100_000)
-	intervals = 10
+	interval        = control.Micros(100_000)
+	windowIntervals = 10
 )
 
 // maxCatchUp is the number of intervals without any event after which the window is cleared instead of advanced one by one.
-const maxCatchUp = 2 * intervals
+const maxCatchUp = 2 * windowIntervals
 
 // Capacity is short where at least this share of the last half second's requests was rejected or is still unanswered. Rejections alone
 // would show it too late: they begin only when a request can't meet its deadline, with everything that came before it already queued.
@@ -31,7 +31,7 @@
 
 // window counts the events of the last second and of the interval under way.
 type window struct {
-	past         [intervals]counters
+	past         [windowIntervals]counters
 	oldest       int // index into past
 	current      counters
 	currentSince control.Micros
@@ -40,7 +40,7 @@
 // rotate ends the current interval.
 func (w *window) rotate() {
 	w.past[w.oldest] = w.current
-	w.oldest = (w.oldest + 1) % intervals
+	w.oldest = (w.oldest + 1) % windowIntervals
 	w.current = counters{}
 	w.currentSince += interval
 }
@@ -68,7 +68,7 @@
 // lastHalfSecond sums the requests and answers of the last half second, without the interval under way.
 func (w *window) lastHalfSecond() (sum counters) {
 	for i := range shortageIntervals {
-		c := w.past[(w.oldest+intervals-1-i)%intervals]
+		c := w.past[(w.oldest+windowIntervals-1-i)%windowIntervals]
 		sum.firstAttempts += c.firstAttempts
 		sum.retries += c.retries
 		sum.admitted += c.admitted
@@ -90,5 +90,5 @@
 }
 
 func tooManyUnanswered(requests, answered float64) bool {
-	return requests >= minRequests*shortageIntervals/intervals && requests-answered >= shortageShare*requests
+	return requests >= minRequests*shortageIntervals/windowIntervals && requests-answered >= shortageShare*requests
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,11 +13,11 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// afterFirst makes the first attempt of a call and returns what its outcome leads to.
-func afterFirst(w Class, e Outcome, now, advised control.Micros) (*Call, Decision) {
-	c := NewCall(w, 10*second)
+// afterFirstAttempt makes the first attempt of a call and returns what its outcome leads to.
+func afterFirstAttempt(class Class, outcome Outcome, now, advised control.Micros) (*Call, Decision) {
+	c := NewCall(class, 10*second)
 	c.BeginAttempt(second)
-	return c, c.HandleOutcome(now, AttemptResult{Outcome: e, SentAt: second, RetryAfter: advised}, NewBudget(), newRandom())
+	return c, c.HandleOutcome(now, AttemptResult{Outcome: outcome, SentAt: second, RetryAfter: advised}, NewBudget(), newRandom())
 }
 
 // What may have run is retried only where that does no harm: anywhere for idempotent requests, within the window for those
@@ -28,28 +28,28 @@
 	narrow := byKey
 	narrow.Scope = control.OneZone
 	for name, c := range map[string]struct {
-		w     Class
-		now   control.Micros
-		again bool
+		class   Class
+		now     control.Micros
+		retried bool
 	}{"non-idempotent": {nonIdempotent, 2 * second, false}, "idempotent": {idempotent, 2 * second, true}, "in its window": {byKey, 2 * second, true},
 		"past its window": {byKey, 3*second - 10_000, false}, "narrow": {narrow, 2 * second, false}} {
-		for _, e := range []Outcome{Lost, Failed} {
-			call, next := afterFirst(c.w, e, c.now, 0)
-			if next.Done == c.again {
-				t.Errorf("%s, %d: %+v", name, e, next)
+		for _, outcome := range []Outcome{Lost, Failed} {
+			call, next := afterFirstAttempt(c.class, outcome, c.now, 0)
+			if next.Done == c.retried {
+				t.Errorf("%s, %d: %+v", name, outcome, next)
 			}
-			if c.again && c.w.Effect == control.IdempotentByKey && call.BeginAttempt(3*second) {
+			if c.retried && c.class.Effect == control.IdempotentByKey && call.BeginAttempt(3*second) {
 				t.Errorf("%s: sent once its window is over", name)
 			}
 		}
 	}
 	persisted := nonIdempotent
 	persisted.KeysPersisted = true
-	call, next := afterFirst(persisted, Lost, 2*second, 0)
+	call, next := afterFirstAttempt(persisted, Lost, 2*second, 0)
 	if next.Done || next.OtherRouter || call.PinnedRouter() != 0 {
 		t.Errorf("persisted: %+v, pinned to %d", next, call.PinnedRouter())
 	}
-	if _, next := afterFirst(persisted, Failed, 2*second, 0); !next.Done {
+	if _, next := afterFirstAttempt(persisted, Failed, 2*second, 0); !next.Done {
 		t.Errorf("the router said that it failed: %+v", next)
 	}
 }
@@ -57,19 +57,19 @@
 // What was rejected or never reached a router may be retried whatever it does, after the advised pause and spread over as long
 // again.
 func TestRetryOfWhatDidNotRun(t *testing.T) {
-	for _, e := range []Outcome{Rejected, NotSent} {
-		if _, next := afterFirst(Class{Effect: control.NonIdempotent}, e, 2*second, 0); next.Done || !next.OtherRouter {
-			t.Errorf("%d: %+v", e, next)
+	for _, outcome := range []Outcome{Rejected, NotSent} {
+		if _, next := afterFirstAttempt(Class{Effect: control.NonIdempotent}, outcome, 2*second, 0); next.Done || !next.OtherRouter {
+			t.Errorf("%d: %+v", outcome, next)
 		}
 	}
-	_, next := afterFirst(Class{}, Rejected, 2*second, second)
+	_, next := afterFirstAttempt(Class{}, Rejected, 2*second, second)
 	if next.RetryAt < 3*second || next.RetryAt >= 4*second {
 		t.Errorf("advised a second, comes after %d us", next.RetryAt-2*second)
 	}
-	if _, next := afterFirst(Class{}, Rejected, 2*second, 20*second); !next.Done {
+	if _, next := afterFirstAttempt(Class{}, Rejected, 2*second, 20*second); !next.Done {
 		t.Error("waits past its deadline")
 	}
-	if _, next := afterFirst(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
+	if _, next := afterFirstAttempt(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
 		t.Error("an invalid request is retried")
 	}
 }
@@ -78,16 +78,16 @@
 // retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
+		class := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
 			KeysPersisted: rapid.Bool().Draw(t, "persisted"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
-		b, x := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
+		budget, random := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
 		for range calls {
-			b.Deposit()
+			budget.Deposit()
 			now := control.Micros(1)
 			deadline := now + control.Micros(rapid.IntRange(0, 5_000_000).Draw(t, "deadline"))
-			c := NewCall(w, deadline)
-			finished, ran := false, control.Micros(0)
+			c := NewCall(class, deadline)
+			finished, mayHaveRunAt := false, control.Micros(0)
 			for n := 0; ; n++ {
 				if !c.BeginAttempt(now) {
 					break
@@ -95,27 +95,27 @@
 				if now > deadline || finished || n >= maxAttempts {
 					t.Fatalf("attempt %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
-				if ran > 0 && w.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || ran > 0 && w.Effect == control.IdempotentByKey && now >= ran+w.Window {
-					t.Fatalf("attempt %d at %d after one that may have run at %d", n, now, ran)
+				if mayHaveRunAt > 0 && class.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || mayHaveRunAt > 0 && class.Effect == control.IdempotentByKey && now >= mayHaveRunAt+class.Window {
+					t.Fatalf("attempt %d at %d after one that may have run at %d", n, now, mayHaveRunAt)
 				}
 				if n > 0 {
 					retries++
 				}
 				sent := now
 				now += control.Micros(rapid.IntRange(0, 2_000_000).Draw(t, "took"))
-				e := Outcome(rapid.IntRange(0, 5).Draw(t, "outcome"))
-				if (e == Failed || e == Lost) && ran == 0 {
-					ran = sent
+				outcome := Outcome(rapid.IntRange(0, 5).Draw(t, "outcome"))
+				if (outcome == Failed || outcome == Lost) && mayHaveRunAt == 0 {
+					mayHaveRunAt = sent
 				}
-				finished = finished || e == Succeeded
-				next := c.HandleOutcome(now, AttemptResult{Outcome: e, SentAt: sent, RetryAfter: control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised"))}, b, x)
+				finished = finished || outcome == Succeeded
+				next := c.HandleOutcome(now, AttemptResult{Outcome: outcome, SentAt: sent, RetryAfter: control.Micros(rapid.IntRange(0, 1_000_000).Draw(t, "advised"))}, budget, random)
 				if next.Done {
 					break
 				}
 				now = max(now, next.RetryAt)
 			}
 		}
-		if most := maxTokens + depositPerCall*float64(calls); float64(retries) > most {
+		if allowed := maxTokens + depositPerCall*float64(calls); float64(retries) > allowed {
 			t.Fatalf("%d retries of %d calls", retries, calls)
 		}
 	})
@@ -124,41 +124,41 @@
 // Connections that are lost together are made again over five seconds, each at a time of its own; single ones at once.
 func TestReconnectsSpread(t *testing.T) {
 	const n = 200
-	r, x := NewRouters(1, 0), newRandom()
+	r, random := NewRouters(1, 0), newRandom()
 	for range n {
 		r.ConnectionOpened(0)
 	}
-	r.ConnectionLost(second, 0, x)
+	r.ConnectionLost(second, 0, random)
 	if ok, _ := r.MayConnect(second, 0); !ok {
 		t.Error("one lost connection waits")
 	}
 	for range n - 1 {
-		r.ConnectionLost(10*second, 0, x)
+		r.ConnectionLost(10*second, 0, random)
 	}
-	made, most := 0, 0
+	opened, maxPerTick := 0, 0
 	last := control.Micros(0)
 	for now := 10 * second; now < 16*second; now += second / 10 {
-		in := 0
+		inTick := 0
 		for {
 			ok, _ := r.MayConnect(now, 0)
-			if !ok || len(r.routers[0].reconnectAt) == 0 && made+in >= 100 {
+			if !ok || len(r.routers[0].reconnectAt) == 0 && opened+inTick >= 100 {
 				break
 			}
-			in++
+			inTick++
 		}
-		if made += in; in > 0 {
+		if opened += inTick; inTick > 0 {
 			last = now
 		}
-		most = max(most, in)
+		maxPerTick = max(maxPerTick, inTick)
 	}
-	if made < 95 || most > 15 || last < 14*second {
-		t.Errorf("%d made again, %d at most in a tenth of a second, the last after %d us", made, most, last-10*second)
+	if opened < 95 || maxPerTick > 15 || last < 14*second {
+		t.Errorf("%d made again, %d at most in a tenth of a second, the last after %d us", opened, maxPerTick, last-10*second)
 	}
 }
 
 // A router that loses a connection in thirty while it answers the others has no mass loss: all may be made again at once.
 func TestSingleLossesAreNoMassLoss(t *testing.T) {
-	r, x := NewRouters(1, 0), rand.New(rand.NewPCG(1, 1))
+	r, random := NewRouters(1, 0), rand.New(rand.NewPCG(1, 1))
 	for range 20 {
 		r.ConnectionOpened(0)
 	}
@@ -168,7 +168,7 @@
 			r.RecordSuccess(0)
 			continue
 		}
-		r.ConnectionLost(now, 0, x)
+		r.ConnectionLost(now, 0, random)
 		if ok, _ := r.MayConnect(now, 0); !ok {
 			t.Fatalf("after %d answers a connection has to wait", i)
 		}
@@ -209,18 +209,18 @@
 
 // A hedge is for idempotent requests that may run twice at once, and takes a token.
 func TestHedges(t *testing.T) {
-	b := NewBudget()
+	budget := NewBudget()
 	for _, c := range []struct {
-		w    Class
-		want bool
+		class Class
+		want  bool
 	}{{Class{Effect: control.Idempotent, HedgeSafe: true}, true}, {Class{Effect: control.Idempotent}, false}, {Class{Effect: control.NonIdempotent, HedgeSafe: true}, false}} {
-		call := NewCall(c.w, 10*second)
+		call := NewCall(c.class, 10*second)
 		call.BeginAttempt(second)
-		if got := call.AllowHedge(second, b); got != c.want {
-			t.Errorf("%+v: %t", c.w, got)
+		if got := call.AllowHedge(second, budget); got != c.want {
+			t.Errorf("%+v: %t", c.class, got)
 		}
 	}
-	if b.tokens != maxTokens-1 {
-		t.Errorf("%g tokens", b.tokens)
+	if budget.tokens != maxTokens-1 {
+		t.Errorf("%g tokens", budget.tokens)
 	}
 }
--- a/internal/retry/routers.go
+++ b/internal/retry/routers.go
@@ -40,18 +40,18 @@
 )
 
 // NewRouters returns n routers. The first Pick begins at an index, by which clients differ.
-func NewRouters(n, begin int) *Routers {
-	return &Routers{routers: make([]router, n), next: begin % max(1, n)}
+func NewRouters(n, first int) *Routers {
+	return &Routers{routers: make([]router, n), next: first % max(1, n)}
 }
 
 // Pick returns the router for an attempt: the next in turn that is not ejected and not the one to avoid, if there is such a
 // one; otherwise the next that is not ejected; otherwise the one whose ejection ends first. Avoid may be -1.
 func (r *Routers) Pick(now control.Micros, avoid int) int {
-	best, firstBack := -1, 0
+	best, firstReadmitted := -1, 0
 	for k := range r.routers {
 		i := (r.next + k) % len(r.routers)
-		if r.routers[i].ejectedUntil < r.routers[firstBack].ejectedUntil {
-			firstBack = i
+		if r.routers[i].ejectedUntil < r.routers[firstReadmitted].ejectedUntil {
+			firstReadmitted = i
 		}
 		if now < r.routers[i].ejectedUntil || i == avoid && len(r.routers) > 1 && best >= 0 {
 			continue
@@ -61,7 +61,7 @@
 		}
 	}
 	if best < 0 {
-		best = firstBack
+		best = firstReadmitted
 	}
 	r.next = (best + 1) % len(r.routers)
 	return best
@@ -71,21 +71,21 @@
 // connections only: each answer makes up for a loss. Otherwise a steady loss of a few in a hundred would look like a mass
 // loss at many calls a second, and the connections put off for it would make the next one more likely.
 func (r *Routers) RecordSuccess(i int) {
-	x := &r.routers[i]
-	x.failures, x.ejections = 0, 0
-	if len(x.recentLosses) > 0 {
-		x.recentLosses = x.recentLosses[1:]
+	rt := &r.routers[i]
+	rt.failures, rt.ejections = 0, 0
+	if len(rt.recentLosses) > 0 {
+		rt.recentLosses = rt.recentLosses[1:]
 	}
 }
 
 // RecordFailure records an attempt without an answer. A router that fails several times in a row is ejected, for longer each
 // time.
 func (r *Routers) RecordFailure(now control.Micros, i int) {
-	x := &r.routers[i]
-	if x.failures++; x.failures >= ejectionThreshold && now >= x.ejectedUntil {
-		x.ejectedUntil = now + min(ejectionMax, ejectionBase<<min(x.ejections, maxDoublings))
-		x.ejections++
-		x.failures = ejectionThreshold - 1 // the next failure ejects it again
+	rt := &r.routers[i]
+	if rt.failures++; rt.failures >= ejectionThreshold && now >= rt.ejectedUntil {
+		rt.ejectedUntil = now + min(ejectionMax, ejectionBase<<min(rt.ejections, maxDoublings))
+		rt.ejections++
+		rt.failures = ejectionThreshold - 1 // the next failure ejects it again
 	}
 }
 
@@ -100,24 +100,24 @@
 // ConnectionLost counts a connection that broke. If many break together, each may be made again only at a random time within
 // the spread: otherwise all clients of a router that restarts would reconnect in one moment.
 func (r *Routers) ConnectionLost(now control.Micros, i int, random *rand.Rand) {
-	x := &r.routers[i]
-	x.connections = max(0, x.connections-1)
-	x.recentLosses = append(notBefore(x.recentLosses, now-massLossWindow), now)
-	losses := len(x.recentLosses)
-	if losses < massLossMin || losses < x.connections {
+	rt := &r.routers[i]
+	rt.connections = max(0, rt.connections-1)
+	rt.recentLosses = append(dropBefore(rt.recentLosses, now-massLossWindow), now)
+	losses := len(rt.recentLosses)
+	if losses < massLossMin || losses < rt.connections {
 		return
 	}
-	if len(x.reconnectAt) > 0 {
+	if len(rt.reconnectAt) > 0 {
 		losses = 1 // those before it have their times
 	}
 	for range losses {
-		x.reconnectAt = append(x.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
+		rt.reconnectAt = append(rt.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
 	}
-	slices.Sort(x.reconnectAt)
+	slices.Sort(rt.reconnectAt)
 }
 
-// notBefore returns those of ascending times that are not before a time.
-func notBefore(times []control.Micros, from control.Micros) []control.Micros {
+// dropBefore returns those of ascending times that are not before a time.
+func dropBefore(times []control.Micros, from control.Micros) []control.Micros {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
 	}
@@ -126,13 +126,13 @@
 
 // MayConnect reports whether a connection to a router may be made now; otherwise it returns from when.
 func (r *Routers) MayConnect(now control.Micros, i int) (ok bool, at control.Micros) {
-	x := &r.routers[i]
-	if len(x.reconnectAt) == 0 {
+	rt := &r.routers[i]
+	if len(rt.reconnectAt) == 0 {
 		return true, now
 	}
-	if now >= x.reconnectAt[0] {
-		x.reconnectAt = x.reconnectAt[1:]
+	if now >= rt.reconnectAt[0] {
+		rt.reconnectAt = rt.reconnectAt[1:]
 		return true, now
 	}
-	return false, x.reconnectAt[0]
+	return false, rt.reconnectAt[0]
 }
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -21,7 +21,7 @@
 	h := &host{routers: map[uint32]*router{}, recordDir: recordDir}
 	defer h.closeRecordings()
 	r, w := bufio.NewReaderSize(in, bufferBytes), bufio.NewWriterSize(out, bufferBytes)
-	var frame, answer []byte
+	var frame, reply []byte
 	for {
 		var err error
 		if frame, err = simproto.ReadFrame(r, frame); errors.Is(err, io.EOF) {
@@ -34,8 +34,8 @@
 		if err != nil {
 			return err
 		}
-		answer = simproto.EncodeFrame(answer, batch, parts)
-		if _, err := w.Write(answer); err != nil {
+		reply = simproto.EncodeFrame(reply, batch, parts)
+		if _, err := w.Write(reply); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -13,8 +13,8 @@
 const settings = `{"balancers": 1, "tick": 4000, "classes": [{"aim": 1000000, "importance": 1, "semantics": "pure"}],
 	"ceilings": {"try_limit": 3}, "specifics": {"when_absent": "load", "linger_idle": 9000000}}`
 
-// batch builds a frame of records at a clock.
-func batch(number uint32, clock uint64, records ...[]byte) []byte {
+// encodeBatch builds a frame of records at a clock.
+func encodeBatch(number uint32, clock uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, number)
 	b = binary.BigEndian.AppendUint32(b, uint32(20+len(body)))
@@ -43,7 +43,7 @@
 
 func TestRunForwardsARequest(t *testing.T) {
 	var out bytes.Buffer
-	in := batch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request)
+	in := encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request)
 	if err := Run(bytes.NewReader(in), &out, ""); err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 // Rule 1: a response that had begun and was then cancelled leaves its request owed a final answer.
 func TestRunRetriesAfterABrokenResponse(t *testing.T) {
 	var out bytes.Buffer
-	in := append(batch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request),
-		batch(2, 5000, encodeRecord(1110, uint32(3)),
+	in := append(encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request),
+		encodeBatch(2, 5000, encodeRecord(1110, uint32(3)),
 			encodeRecord(1030, uint64(5), uint16(0), server, uint32(4000)),
 			encodeRecord(1040, uint64(5), uint8(0), uint32(4000), uint16(0), uint8(0), uint16(70), server, uint8(0)))...)
 	if err := Run(bytes.NewReader(in), &out, ""); err != nil {
@@ -73,7 +73,7 @@
 
 func TestRunIgnoresLateRecords(t *testing.T) {
 	var out bytes.Buffer
-	in := batch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints,
+	in := encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints,
 		encodeRecord(1050, uint64(99)),
 		encodeRecord(1040, uint64(99), uint8(0), uint32(5), uint16(0), uint8(1), uint16(10), server, uint8(0)),
 		encodeRecord(1070, []byte{9, 9, 9, 9, 0, 1}, uint16(50), uint32(5), uint8(0)),
@@ -86,10 +86,10 @@
 
 func TestRunReportsBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
-		"settings":     {string(batch(4, 1, encodeRecord(1110, uint32(0)), startRouter("{"))), "batch 4: record 1 (code 1000) at byte 26: start settings:"},
-		"no router":    {string(batch(4, 1, request)), "record before any at"},
-		"status":       {string(batch(4, 1, encodeRecord(1110, uint32(0)), encodeRecord(1070, server, uint16(11), uint32(0), uint8(0)))), "unknown status 11"},
-		"class":        {string(batch(4, 1, encodeRecord(1110, uint32(3)), startRouter(settings), bytes.Replace(request, []byte{5, 0, 0}, []byte{5, 0, 9}, 1))), "unknown class 9"},
+		"settings":     {string(encodeBatch(4, 1, encodeRecord(1110, uint32(0)), startRouter("{"))), "batch 4: record 1 (code 1000) at byte 26: start settings:"},
+		"no router":    {string(encodeBatch(4, 1, request)), "record before any at"},
+		"status":       {string(encodeBatch(4, 1, encodeRecord(1110, uint32(0)), encodeRecord(1070, server, uint16(11), uint32(0), uint8(0)))), "unknown status 11"},
+		"class":        {string(encodeBatch(4, 1, encodeRecord(1110, uint32(3)), startRouter(settings), bytes.Replace(request, []byte{5, 0, 0}, []byte{5, 0, 9}, 1))), "unknown class 9"},
 		"half a frame": {"\x00\x00\x00\x01\x00\x00\x00\x30", "cut short"},
 	} {
 		if err := Run(strings.NewReader(c.in), &bytes.Buffer{}, ""); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -101,7 +101,7 @@
 // A simulated day can be recorded and replayed like a gateway's.
 func TestRunRecords(t *testing.T) {
 	dir := t.TempDir()
-	in := append(batch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request), batch(2, 5000, encodeRecord(1110, uint32(3)), encodeRecord(1060, uint32(0)))...)
+	in := append(encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request), encodeBatch(2, 5000, encodeRecord(1110, uint32(3)), encodeRecord(1060, uint32(0)))...)
 	if err := Run(bytes.NewReader(in), &bytes.Buffer{}, dir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -48,8 +48,8 @@
 	return err
 }
 
-// stepOnly handles a record that changes nothing by itself: its router takes a step once the batch has been read.
-func (h *host) stepOnly() error {
+// requestStep handles a record that changes nothing by itself: its router takes a step once the batch has been read.
+func (h *host) requestStep() error {
 	return h.withRouter(func(*router) error { return nil })
 }
 
@@ -138,7 +138,7 @@
 // HandleResponseHeader ignores that a response has begun: until a result says that the request is done it is owed a final answer,
 // also where the attempt that had begun to answer is cancelled.
 func (h *host) HandleResponseHeader(uint64, uint16, simproto.ServerAddr, uint32) error {
-	return h.stepOnly()
+	return h.requestStep()
 }
 
 // HandleAttemptResult passes on the end of an attempt.
@@ -164,18 +164,18 @@
 }
 
 // HandleTimer leads to a step, which does whatever is due.
-func (h *host) HandleTimer(uint32) error { return h.stepOnly() }
+func (h *host) HandleTimer(uint32) error { return h.requestStep() }
 
 // HandleProbeResult ignores the result: the balancer asks for no probes.
 func (h *host) HandleProbeResult(_ simproto.ServerAddr, status uint16, _ uint32, _ []float32) error {
 	if _, err := resultOf(status); err != nil {
 		return err
 	}
-	return h.stepOnly()
+	return h.requestStep()
 }
 
 // HandlePeerMessage ignores the message: routers share nothing.
-func (h *host) HandlePeerMessage(uint32, []byte) error { return h.stepOnly() }
+func (h *host) HandlePeerMessage(uint32, []byte) error { return h.requestStep() }
 
 // HandleLoadResult passes on the answer to a load command.
 func (h *host) HandleLoadResult(server simproto.ServerAddr, function uint64, status uint16, duration uint32, replicas uint8) error {
--- a/internal/simproto/commands.go
+++ b/internal/simproto/commands.go
@@ -83,10 +83,10 @@
 }
 
 // SetTimer asks for a timer record at an instant.
-func (c *Commands) SetTimer(instant uint64, mark uint32) {
+func (c *Commands) SetTimer(instant uint64, tag uint32) {
 	c.begin(commandSetTimer)
 	c.uint64(instant)
-	c.uint32(mark)
+	c.uint32(tag)
 }
 
 // Probe asks for a health check of a server.
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -57,8 +57,8 @@
 		id := r.uint64()
 		call = func() error { return h.CancelRequest(id) }
 	case recordTimer:
-		mark := r.uint32()
-		call = func() error { return h.HandleTimer(mark) }
+		tag := r.uint32()
+		call = func() error { return h.HandleTimer(tag) }
 	case recordProbeResult:
 		server, status, duration, load := r.server(), r.uint16(), r.uint32(), r.floats()
 		call = func() error { return h.HandleProbeResult(server, status, duration, load) }
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -27,13 +27,13 @@
 
 // ReadFrame reads one whole frame, into buf where it is large enough; io.EOF means that the input ended between frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var head [offsetCount]byte
-	if n, err := io.ReadFull(r, head[:]); errors.Is(err, io.EOF) {
+	var header [offsetCount]byte
+	if n, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	} else if err != nil {
 		return nil, fmt.Errorf("frame header %w after %d bytes", ErrTruncated, n)
 	}
-	batch, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[offsetLength:])
+	batch, size := binary.BigEndian.Uint32(header[:]), binary.BigEndian.Uint32(header[offsetLength:])
 	if size < requestHeader || size > maxFrame {
 		return nil, fmt.Errorf("batch %d: frame length %d out of range", batch, size)
 	}
@@ -41,9 +41,9 @@
 		buf = make([]byte, size)
 	}
 	buf = buf[:size]
-	copy(buf, head[:])
-	if n, err := io.ReadFull(r, buf[len(head):]); err != nil {
-		return nil, fmt.Errorf("batch %d: frame %w at byte %d of %d", batch, ErrTruncated, n+len(head), size)
+	copy(buf, header[:])
+	if n, err := io.ReadFull(r, buf[len(header):]); err != nil {
+		return nil, fmt.Errorf("batch %d: frame %w at byte %d of %d", batch, ErrTruncated, n+len(header), size)
 	}
 	return buf, nil
 }
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -17,8 +17,8 @@
 
 var zeros [maxFixed]byte
 
-// next returns the next n bytes of the frame itself, nil where fewer are left.
-func (r *recordReader) next(n int) []byte {
+// nextBytes returns the next n bytes of the frame itself, nil where fewer are left.
+func (r *recordReader) nextBytes(n int) []byte {
 	if n < 0 || r.at+n > len(r.buf) {
 		r.truncated = true
 		r.at = len(r.buf)
@@ -29,22 +29,22 @@
 	return b
 }
 
-func (r *recordReader) fixed(n int) []byte {
-	if b := r.next(n); b != nil {
+func (r *recordReader) nextFixed(n int) []byte {
+	if b := r.nextBytes(n); b != nil {
 		return b
 	}
 	return zeros[:n]
 }
 
-func (r *recordReader) uint8() uint8       { return r.fixed(1)[0] }
-func (r *recordReader) uint16() uint16     { return binary.BigEndian.Uint16(r.fixed(2)) }
-func (r *recordReader) uint32() uint32     { return binary.BigEndian.Uint32(r.fixed(4)) }
-func (r *recordReader) uint64() uint64     { return binary.BigEndian.Uint64(r.fixed(8)) }
+func (r *recordReader) uint8() uint8       { return r.nextFixed(1)[0] }
+func (r *recordReader) uint16() uint16     { return binary.BigEndian.Uint16(r.nextFixed(2)) }
+func (r *recordReader) uint32() uint32     { return binary.BigEndian.Uint32(r.nextFixed(4)) }
+func (r *recordReader) uint64() uint64     { return binary.BigEndian.Uint64(r.nextFixed(8)) }
 func (r *recordReader) float32() float32   { return math.Float32frombits(r.uint32()) }
-func (r *recordReader) server() ServerAddr { return ServerAddr(r.fixed(len(ServerAddr{}))) }
+func (r *recordReader) server() ServerAddr { return ServerAddr(r.nextFixed(len(ServerAddr{}))) }
 
 // bytes returns a copy of the next n bytes: the frame's buffer is used again.
-func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.next(n)...) }
+func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.nextBytes(n)...) }
 
 // floats reads a count of one byte and as many numbers.
 func (r *recordReader) floats() []float32 {
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -65,7 +65,7 @@
 	HandleResponseHeader(id uint64, attempt uint16, server ServerAddr, duration uint32) error
 	HandleAttemptResult(AttemptResult) error
 	CancelRequest(id uint64) error
-	HandleTimer(mark uint32) error
+	HandleTimer(tag uint32) error
 	HandleProbeResult(server ServerAddr, status uint16, duration uint32, load []float32) error
 	HandlePeerMessage(from uint32, message []byte) error
 	StopRouter() error
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -33,7 +33,7 @@
 func (h *recordingHandler) AddRequest(in Request) error               { return h.add("request %+v", in) }
 func (h *recordingHandler) HandleAttemptResult(v AttemptResult) error { return h.add("result %+v", v) }
 func (h *recordingHandler) CancelRequest(id uint64) error             { return h.add("cancel %x", id) }
-func (h *recordingHandler) HandleTimer(mark uint32) error             { return h.add("timer %d", mark) }
+func (h *recordingHandler) HandleTimer(tag uint32) error              { return h.add("timer %d", tag) }
 func (h *recordingHandler) HandlePeerMessage(from uint32, msg []byte) error {
 	return h.add("message %d %s", from, msg)
 }
