--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -17,14 +17,14 @@
 		}
 	}
 	if _, ok := Chosen.BeginWrite(true, 11, 10); ok {
-		t.Error("written from an old list")
+		t.Error("written although the endpoint list is too old")
 	}
 	if _, ok := Chosen.BeginWrite(false, 0, 10); ok {
-		t.Error("written before the journal has it")
+		t.Error("written although it is not allowed")
 	}
 }
 
-// Only what was not written, or whose handshake the peer refused, is proved not to have run.
+// An exchange provably did not run only if nothing was written or the peer refused the handshake.
 func TestBrokenResult(t *testing.T) {
 	for reason, want := range map[InterruptReason]bool{ClosedByPeer: false, AbortedLocally: false, DeadlineExceeded: false, CertificateRejected: true} {
 		if InterruptedResult(true, reason).ProvesNotRun() != want || !InterruptedResult(false, reason).ProvesNotRun() {
@@ -32,11 +32,12 @@
 		}
 	}
 	if r := UnconnectedResult(Chosen, true); r != control.NotSent {
-		t.Errorf("waited to dial: %v says something about the server", r)
+		t.Errorf("waited to dial: %v counts against the server", r)
 	}
 }
 
-// An answer of a request that has one is dropped, and the request is kept until its last attempt has ended.
+// An answer to a request that has its final response is dropped, and the request is kept until its last attempt has
+// ended.
 func TestLateAnswerIsDropped(t *testing.T) {
 	var a FinalResponse
 	a.AttemptBegan()
@@ -48,7 +49,7 @@
 	}
 }
 
-// A cancellation after an attempt's end does nothing: its connection may carry another.
+// A cancellation after an attempt's end does nothing, since its connection may carry another attempt.
 func TestCancelAfterEnd(t *testing.T) {
 	var s Progress
 	s.End()
@@ -66,7 +67,7 @@
 	}
 }
 
-// A wait for the journal ends when the choice's endpoint list is stale or the attempt's time is up.
+// A wait for the journal ends when the endpoint list is stale or the attempt's timeout expires.
 func TestJournalWait(t *testing.T) {
 	for _, c := range [][4]control.Micros{{10, 100, 1000, 90}, {10, 100, 50, 50}, {200, 100, 50, 0}} {
 		if got := MaxJournalWait(c[0], c[1], c[2]); got != c[3] {
--- a/internal/attempt/clientage_test.go
+++ b/internal/attempt/clientage_test.go
@@ -6,8 +6,7 @@
 	"hollymast/control"
 )
 
-// Without a further check of the client's connection, the first byte of an attempt comes well within the grace
-// after the client has disconnected.
+// An attempt that needs no further check of its client's connection is written well within clientGrace.
 func TestClientCheckAge(t *testing.T) {
 	oldest := control.Micros(0) // age of a check that is still accepted
 	for !MustCheckClient(oldest) {
--- a/internal/attempt/endpoint_age_test.go
+++ b/internal/attempt/endpoint_age_test.go
@@ -6,15 +6,15 @@
 	"hollymast/control"
 )
 
-// For each grace of a deployment: a list that a step need not read again is fresh enough for a first byte, and
-// the last possible first byte leaves as much of the grace for a change's way to the router.
+// For each grace period: a list that a step need not refresh leaves enough time until the write deadline, and the write
+// deadline leaves half the grace period for a change to reach the router.
 func TestEndpointsAge(t *testing.T) {
 	for _, grace := range []control.Micros{250_000, 400_000, 500_000, 1_000_000} {
-		oldest := control.Micros(0) // age of a list that a step chooses from without a read
+		oldest := control.Micros(0) // age of a list that a step uses without a read
 		for !MustReadEndpoints(oldest, grace) {
 			oldest += 1000
 		}
-		const asOf, listedAt = 1_000_000, 1_000_001 // of a change that the list just misses
+		const asOf, listedAt = 1_000_000, 1_000_001 // listedAt: time of a change that the list just misses
 		until := WriteDeadline(asOf, grace)
 		if left := until - (asOf + oldest); left < grace/4 {
 			t.Errorf("grace %d: %d us from a step to its first byte", grace, left)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -6,8 +6,9 @@
 	"hollymast/control"
 )
 
-// newBusyCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
-// loads and the rest is held, as when a fleet comes back empty.
+// newBusyCore returns a core with 80 servers and 1000 functions that are each requested once, as when a whole fleet
+// restarts with nothing loaded: two requests per server wait for loads, the others are held. The last requests are then
+// cancelled until 500 are held.
 func newBusyCore() (*Core, control.Micros) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
 		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
@@ -36,7 +37,7 @@
 	c, now := newBusyCore()
 	for b.Loop() {
 		c.Step(now)
-		now++ // so little that maintenance is seldom due
+		now++ // so little that maintenance is rarely due
 	}
 	b.ReportMetric(float64(c.Held()), "held")
 }
@@ -50,7 +51,7 @@
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
-// BenchmarkSnapshot is the checkpoint that a recording takes within a step.
+// BenchmarkSnapshot measures the checkpoint that a recording takes during a step.
 func BenchmarkSnapshot(b *testing.B) {
 	c, _ := newBusyCore()
 	for b.Loop() {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,11 +1,10 @@
-// Package core holds the requests in flight of one router and runs its event loop. It asks the balancer for
-// decisions and hands them to an Executor: the simulator adapter's frames or the gateway's sockets. It makes no
-// decision of its own.
+// Package core tracks the requests in flight of one router and runs its event loop. A Policy, usually the balancer,
+// makes all decisions; an Executor carries them out, through the simulator adapter's frames or the gateway's sockets.
 //
-// A step, one iteration of the event loop, takes in the events since the last one (UpdateEndpoints, Add,
-// HandleOutcome, Cancel, HandleLoadResult); then Step runs the maintenance if it is due, asks about each held
-// request by ascending rank and sets the one timer. All of a step gets the same clock. What it does depends on
-// its events, that clock and the seed alone.
+// One iteration of the event loop is a step. It first handles the events since the previous step (UpdateEndpoints, Add,
+// HandleOutcome, Cancel, HandleLoadResult). Step then runs maintenance if it is due, asks the policy about each held
+// request by ascending rank, and sets the timer. All calls of a step get the same time, so its decisions depend only on
+// its events, that time and the seed.
 package core
 
 import (
@@ -16,19 +15,19 @@
 	"hollymast/control"
 )
 
-// Core holds the requests in flight of one router around its Policy. It is not safe for concurrent use.
+// Core tracks the requests in flight of one router and consults its Policy about them. It is not safe for concurrent use.
 type Core struct {
 	policy        Policy
 	executor      Executor
-	recorder      Recorder // nil: none
+	recorder      Recorder // nil if nothing is recorded
 	requests      map[control.RequestID]*request
 	held          []*request
-	spareHeld     []*request     // the other array for held, so that a step allocates none
+	spareHeld     []*request     // backing array for the next held, so that a step allocates nothing
 	maintenanceAt control.Micros // when the next maintenance is due
-	timerAt       control.Micros // earliest timer requested and not yet passed; 0: none
+	timerAt       control.Micros // earliest requested timer that has not fired; 0 if none
 }
 
-// request is a request in flight, or one that is done and still has attempts in flight.
+// request is a request that has no final response yet or still has attempts in flight.
 type request struct {
 	req       control.Request
 	rank      control.Micros
@@ -43,14 +42,14 @@
 	return &Core{policy: policy, executor: executor, requests: map[control.RequestID]*request{}}
 }
 
-// Requests returns the number of requests in flight, including those that are done and still have attempts in
-// flight.
+// Requests returns the number of requests in flight, including those that have their final response but still have
+// attempts in flight.
 func (c *Core) Requests() int { return len(c.requests) }
 
-// Held returns the number of requests that wait for a server. Between Add and Step a new request counts.
+// Held returns the number of requests that wait for a server, including new ones that Step has not routed yet.
 func (c *Core) Held() int { return len(c.held) }
 
-// UpdateEndpoints passes the endpoint list, or its changes, to the policy.
+// UpdateEndpoints passes the endpoint list, or changes to it, to the policy.
 func (c *Core) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	if c.recorder != nil {
 		c.recorder.EndpointsUpdated(kind, list)
@@ -67,10 +66,10 @@
 	c.policy.HandleLoadResult(now, s, f, result, took, replicas)
 }
 
-// Add takes in a request; the next Step routes it. It returns an error if a request with this ID is in flight.
+// Add registers a request, which the next Step routes. It returns an error if a request with the same ID is in flight.
 func (c *Core) Add(now control.Micros, req control.Request) error {
 	if c.requests[req.ID] != nil {
-		return fmt.Errorf("request %d is in flight already", req.ID)
+		return fmt.Errorf("request %d is already in flight", req.ID)
 	}
 	if c.recorder != nil {
 		c.recorder.RequestAdded(req)
@@ -82,9 +81,9 @@
 	return nil
 }
 
-// HandleOutcome passes the end of an attempt to the policy and carries out its decision. The caller sets
-// o.RequestDone if the outcome itself gave the client its final response. An outcome of a request or attempt
-// that is not in flight is ignored. The result is true if the request had no final response before.
+// HandleOutcome reports the end of an attempt to the policy and carries out its decision. The caller sets o.RequestDone
+// if the outcome itself gave the client its final response. Outcomes of requests or attempts that are not in flight are
+// ignored. It returns true if the request had no final response before the call.
 func (c *Core) HandleOutcome(now control.Micros, id control.RequestID, o control.Outcome) bool {
 	if c.recorder != nil {
 		c.recorder.AttemptEnded(id, o)
@@ -116,8 +115,7 @@
 	}
 }
 
-// Step ends a step: it runs the maintenance if it is due, asks again about each held request, and sets the
-// timer.
+// Step completes a step: it runs maintenance if it is due, routes the held requests and sets the timer.
 func (c *Core) Step(now control.Micros) {
 	if now >= c.maintenanceAt {
 		c.maintain(now)
@@ -129,7 +127,7 @@
 	}
 }
 
-// maintain runs the policy's maintenance and carries out what it asks for.
+// maintain runs the policy's maintenance and carries out the actions that it returns.
 func (c *Core) maintain(now control.Micros) {
 	maintenance := c.policy.Maintain(now)
 	c.maintenanceAt = maintenance.Next
@@ -158,7 +156,7 @@
 	c.spareHeld = held[:0]
 }
 
-// setTimer asks for a step at the next maintenance or recheck, unless a timer is set that is no later.
+// setTimer requests a step at the next maintenance or recheck, unless a timer is already set for that time or earlier.
 func (c *Core) setTimer(now control.Micros) {
 	wake := c.maintenanceAt
 	for _, r := range c.held {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,7 +8,7 @@
 	"hollymast/control"
 )
 
-// scriptedPolicy returns the decision given for each request, and holds a request without one.
+// scriptedPolicy returns the decision configured for a request, and holds requests that have none.
 type scriptedPolicy struct {
 	decisions   map[control.RequestID]control.Decision
 	onOutcome   control.Decision
@@ -94,13 +94,14 @@
 	if got := log.takeCalls(); !slices.Equal(got, want) {
 		t.Errorf("got %q", got)
 	}
-	c.Step(120) // nothing is due: the timer stays
+	c.Step(120) // nothing is due, so the timer is not set again
 	if got := log.takeCalls(); len(got) != 0 || c.Requests() != 2 || c.Held() != 1 {
 		t.Errorf("got %q, %d requests, %d held", got, c.Requests(), c.Held())
 	}
 }
 
-// A request that is done is kept until the outcome of its attempts in flight, and the policy is not asked again.
+// A request that has its final response is kept until its attempts in flight have ended, and the policy is not asked
+// about it again.
 func TestLateOutcome(t *testing.T) {
 	policy := &scriptedPolicy{decisions: map[control.RequestID]control.Decision{1: {Action: control.Forward}},
 		onOutcome: control.Decision{Action: control.Fail}}
@@ -113,9 +114,9 @@
 		t.Errorf("done %t, %d requests", c.requests[1].done, c.Requests())
 	}
 	log.takeCalls()
-	for _, id := range []control.RequestID{1, 1, 9} { // an outcome, the same again, one of an unknown request
+	for _, id := range []control.RequestID{1, 1, 9} { // an outcome, its duplicate, and one of an unknown request
 		if c.HandleOutcome(3, id, control.Outcome{}) {
-			t.Errorf("the late outcome of request %d counted for an open one", id)
+			t.Errorf("the late outcome of request %d was accepted as if it had no final response", id)
 		}
 	}
 	want := []string{"route 1", "cancel 1", "outcome 1 done true"}
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -13,7 +13,8 @@
 	"hollymast/internal/fleet"
 )
 
-// randomEndpoint is one of a few servers, at one of fewer addresses, so that both return and change hands.
+// randomEndpoint draws one of six servers at one of four addresses, so that servers leave and return, and addresses are
+// reused by other servers.
 func randomEndpoint(t *rapid.T, now control.Micros) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "uid")),
 		Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
@@ -23,8 +24,8 @@
 		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "started at")}
 }
 
-// randomEvent applies a discovery event: one in order, one that is sent twice, or one after a gap that stays after the
-// resubscription. It reports whether the list may have changed.
+// randomEvent applies a discovery event: the next one, a duplicate, or one after a gap that persists after
+// resubscribing. It reports whether the list may have changed.
 func randomEvent(t *rapid.T, now control.Micros, state *discovery.State) bool {
 	endpoints := rapid.Custom(func(t *rapid.T) discovery.EndpointMessage { return randomEndpoint(t, now) })
 	event := discovery.Event{Revision: state.Revision() + 1, Update: &discovery.UpdateMessage{
@@ -51,7 +52,7 @@
 	return effect == discovery.EndpointsChanged
 }
 
-// applyUpdate applies an update to a router: the full list if it is full, else the changes.
+// applyUpdate applies a full or an incremental update to a router's fleet and core.
 func applyUpdate(now control.Micros, c *testCore, f *fleet.Fleet, update fleet.Update) {
 	if update.Full {
 		c.UpdateEndpoints(now, control.FullUpdate, f.FullUpdate(now, update.Endpoints))
@@ -60,7 +61,8 @@
 	c.UpdateEndpoints(now, control.IncrementalUpdate, f.IncrementalUpdate(now, update.Endpoints))
 }
 
-// snapshotOf returns the state of a core. Whether a removed server was on the last list changes no decision.
+// snapshotOf returns the state of a core without the information whether a removed server was on the last list, which
+// affects no decision.
 func snapshotOf(t *rapid.T, c *testCore) *Snapshot {
 	s, err := c.Snapshot()
 	if err != nil {
@@ -72,7 +74,8 @@
 	return s
 }
 
-// A router that gets the changes has the same state and decides the same as one that gets the full list at each event.
+// A router that receives incremental updates has the same state and makes the same decisions as one that receives the
+// full list at each event.
 func TestIncrementalUpdatesEqualFullLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, next, deployment := control.Micros(10_000_000), control.RequestID(0), randomDeployment(t)
--- a/internal/core/learned_test.go
+++ b/internal/core/learned_test.go
@@ -10,7 +10,7 @@
 	"hollymast/control"
 )
 
-// randomLearnedState draws a learned state that a file might hold, correct or not.
+// randomLearnedState draws a learned state that a file might contain, correct or not.
 func randomLearnedState(t *rapid.T, now control.Micros) *control.LearnedState {
 	timestamp := func() control.Micros {
 		return control.Micros(rapid.Int64Range(0, int64(now)+5_000_000).Draw(t, "time"))
@@ -40,14 +40,14 @@
 	return state
 }
 
-// With any learned state, correct or not, no attempt goes to a server that the list forbids, load commands stay
-// within their rate limit and requests still run.
+// Whatever the learned state, no attempt goes to a draining or unlisted server, load commands stay within their rate
+// limit, and requests are still forwarded.
 func TestAnyLearnedStateIsSafe(t *testing.T) {
 	forwarded := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now, next := control.Micros(100_000_000), control.RequestID(0)
 		deployment := randomDeployment(t)
-		deployment.LoadRatePerRequest = 0 // so that LoadRateBase bounds each window
+		deployment.LoadRatePerRequest = 0 // so that LoadRateBase alone limits each window
 		learned := randomLearnedState(t, now)
 		balancer := control.New(now, 7, deployment)
 		balancer.ApplyLearned(now, learned)
@@ -93,7 +93,8 @@
 	}
 }
 
-// BenchmarkLearnedState is the copy of the learned state that is taken between two steps to be written.
+// BenchmarkLearnedState measures the copy of the learned state that is taken between two steps before it is written to
+// disk.
 func BenchmarkLearnedState(b *testing.B) {
 	c, now := newBusyCore()
 	for b.Loop() {
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// Policy makes the decisions. control.Balancer is the one in service; a simulation may use a baseline instead.
+// Policy makes the routing decisions. Services use control.Balancer; a simulation may use a baseline policy instead.
 type Policy interface {
 	UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint)
 	Rank(now control.Micros, r *control.Request) control.Micros
@@ -18,20 +18,20 @@
 	Maintain(now control.Micros) control.Maintenance
 }
 
-// PolicyWrapper is a Policy around the balancer, with which the model checker plants wrong decisions.
+// PolicyWrapper is a Policy that wraps the balancer. The model checker uses it to inject wrong decisions.
 type PolicyWrapper interface {
 	Policy
 	Inner() *control.Balancer
 }
 
-// WrapPolicy puts a policy around the balancer. It does nothing if the policy is a baseline.
+// WrapPolicy replaces the balancer with a policy that wraps it. It does nothing if the policy is a baseline.
 func (c *Core) WrapPolicy(wrap func(*control.Balancer) Policy) {
 	if b := c.balancer(); b != nil {
 		c.policy = wrap(b)
 	}
 }
 
-// balancer returns the balancer that decides, or nil if the policy is a baseline.
+// balancer returns the balancer, wrapped or not, or nil if the policy is a baseline.
 func (c *Core) balancer() *control.Balancer {
 	switch p := c.policy.(type) {
 	case *control.Balancer:
@@ -42,11 +42,12 @@
 	return nil
 }
 
-// SetTrace has the reasons of the balancer's decisions traced. It returns an error if the policy is a baseline.
+// SetTrace makes the balancer write the reasons of its decisions to trace. It returns an error if the policy is a
+// baseline.
 func (c *Core) SetTrace(trace *control.Trace) error {
 	balancer, ok := c.policy.(*control.Balancer)
 	if !ok {
-		return errors.New("the policy supports no trace")
+		return errors.New("the policy does not support tracing")
 	}
 	balancer.SetTrace(trace)
 	return nil
@@ -62,8 +63,8 @@
 	return b.LearnedState(now)
 }
 
-// SlowStartStatus returns what the balancer believes of a server in slow start; ok is false if the server is in none, or the
-// policy is a baseline.
+// SlowStartStatus returns the balancer's estimates for a server in slow start; ok is false if the server is not in slow
+// start or the policy is a baseline.
 func (c *Core) SlowStartStatus(now control.Micros, id control.ServerID) (status control.SlowStartStatus, ok bool) {
 	if b := c.balancer(); b != nil {
 		return b.SlowStartStatus(now, id)
@@ -71,7 +72,7 @@
 	return control.SlowStartStatus{}, false
 }
 
-// Throughput returns the balancer's estimates; zero if the policy is a baseline.
+// Throughput returns the balancer's throughput estimates, or zero values if the policy is a baseline.
 func (c *Core) Throughput() control.Throughput {
 	if b := c.balancer(); b != nil {
 		return b.Throughput()
--- a/internal/core/recorder.go
+++ b/internal/core/recorder.go
@@ -2,7 +2,7 @@
 
 import "hollymast/control"
 
-// Recorder is called with all events and decisions of a core, in order, before the core acts on them.
+// Recorder receives all events and decisions of a core, in order, before the core acts on them.
 type Recorder interface {
 	Executor
 	EndpointsUpdated(kind control.UpdateKind, list []control.Endpoint)
@@ -10,11 +10,11 @@
 	AttemptEnded(id control.RequestID, o control.Outcome)
 	RequestCancelled(id control.RequestID)
 	LoadEnded(s control.ServerID, f control.FunctionID, result control.Result, took control.Micros, replicas int)
-	// StepEnded ends a step, with all that the executor was asked to do in it.
+	// StepEnded is called at the end of a step, after all executor calls of that step.
 	StepEnded(now control.Micros)
 }
 
-// SetRecorder records all from the next event on; nil ends it. It may be called only between steps.
+// SetRecorder starts recording with the next event, or stops it if rec is nil. It may be called only between steps.
 func (c *Core) SetRecorder(rec Recorder) {
 	if recording, ok := c.executor.(recordingExecutor); ok {
 		c.executor = recording.executor
@@ -24,7 +24,7 @@
 	}
 }
 
-// recordingExecutor records each call before the executor gets it.
+// recordingExecutor records each call before it passes it to the executor.
 type recordingExecutor struct {
 	executor Executor
 	recorder Recorder
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -9,8 +9,8 @@
 	"hollymast/control"
 )
 
-// Snapshot is the state of a core between two steps, the balancer's included, in plain values. Its tags are the
-// stored names.
+// Snapshot is the state of a core between two steps, including the balancer's, in plain values. The tags are the names
+// in stored data.
 type Snapshot struct {
 	Balancer      *control.Snapshot   `json:"Module"`
 	Requests      []RequestSnapshot   `json:"Jobs"` // by ascending ID
@@ -29,12 +29,12 @@
 	InFlight  int                     `json:"Out"`
 }
 
-// Snapshot returns the core's state. It may be called only between steps, with no event taken in since the last.
-// It returns an error if the policy is a baseline, which has no snapshot.
+// Snapshot returns the core's state. It may be called only between steps, when no event has arrived since the last
+// step. It returns an error if the policy is a baseline, which has no snapshot.
 func (c *Core) Snapshot() (*Snapshot, error) {
 	b := c.balancer()
 	if b == nil {
-		return nil, errors.New("the policy supports no snapshot")
+		return nil, errors.New("the policy does not support snapshots")
 	}
 	s := &Snapshot{Balancer: b.Snapshot(), MaintenanceAt: c.maintenanceAt, TimerAt: c.timerAt,
 		Requests: make([]RequestSnapshot, 0, len(c.requests))}
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// Restore returns a core with its own executor that goes on from a snapshot. It returns an error if the snapshot
-// is inconsistent.
+// Restore returns a core that continues from a snapshot with the given executor. It returns an error if the snapshot is
+// inconsistent.
 func Restore(s *Snapshot, executor Executor) (*Core, error) {
 	c := New(nil, executor)
 	c.maintenanceAt, c.timerAt = s.MaintenanceAt, s.TimerAt
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -17,7 +17,7 @@
 	server  control.ServerID
 }
 
-// testCore is a core with the log of its executor and its attempts in flight.
+// testCore is a core that logs its executor calls and keeps track of its attempts in flight.
 type testCore struct {
 	*Core
 	callLog
@@ -35,7 +35,7 @@
 	c.sent = append(c.sent, sentAttempt{r.ID, attempt, to})
 }
 
-// addRandomTraffic adds random requests and outcomes, the same to each core.
+// addRandomTraffic adds the same random requests and outcomes to each core.
 func addRandomTraffic(t *rapid.T, now control.Micros, next *control.RequestID, cores ...*testCore) {
 	for range rapid.IntRange(0, 4).Draw(t, "requests") {
 		*next++
@@ -68,7 +68,7 @@
 	}
 }
 
-// randomStep makes one step of random events.
+// randomStep takes a step after random events, the same for each core.
 func randomStep(t *rapid.T, now control.Micros, next *control.RequestID, cores ...*testCore) {
 	addRandomTraffic(t, now, next, cores...)
 	switch rapid.IntRange(0, 9).Draw(t, "else") {
@@ -98,7 +98,7 @@
 	}
 }
 
-// randomDeployment is one of two routers, with each kind of effect.
+// randomDeployment returns the settings of one of two routers, with a class for each kind of effect.
 func randomDeployment(t *rapid.T) control.Deployment {
 	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		SlowStartInitial: 0.25, SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
@@ -110,7 +110,7 @@
 				Window: 1_000_000}}}
 }
 
-// A core restored from any reachable state decides the same from there on.
+// A core restored from any reachable state makes the same decisions as the original from then on.
 func TestRestoredCoreDecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deployment := randomDeployment(t)
@@ -140,7 +140,7 @@
 				b.Step(now)
 			}
 			if x, y := a.takeCalls(), b.takeCalls(); !slices.Equal(x, y) {
-				t.Fatalf("step %d after it: %q, restored %q", n, x, y)
+				t.Fatalf("step %d after the snapshot: original %q, restored %q", n, x, y)
 			}
 		}
 		x, _ := a.Snapshot()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet turns the endpoint lists of a source, discovery or the configuration, into the balancer's terms.
-// It is free of I/O and clocks.
+// Package fleet converts the endpoint lists of a source, discovery or the configuration, to the balancer's endpoints.
+// It does no I/O and reads no clock.
 //
-// What it decides is how old a server is. Lists carry the start time of a server by another machine's wall
-// clock; the router's own time only goes forward. A wall clock that is set must make no server look older than
-// it can be, since a server in slow start would then be sent more than it can take (rule 4).
+// Its main task is to determine how old a server is. Lists carry the start time of a server by another machine's wall
+// clock, while the router's own clock is monotonic. An adjusted wall clock must make no server look older than it can
+// be, since a server in slow start would then be sent more than it can take (rule 4).
 package fleet
 
 import (
@@ -16,18 +16,18 @@
 	"hollymast/control"
 )
 
-// Endpoint is one server as a source lists it.
+// Endpoint is one server as listed by a source.
 type Endpoint struct {
-	Name      string // set if the source names servers apart from their addresses, which other servers may get; else empty
+	Name      string // set if the source identifies servers by name, since another server may get the same address; else empty
 	Address   string
 	State     control.ServerState
 	Zone      string
 	Cell      string
 	Weight    float64
-	StartedAt int64 // wall clock, microseconds since 1970; 0: long ago
+	StartedAt int64 // wall clock, microseconds since 1970; 0 if long ago
 }
 
-// Server is what the fleet keeps of a server.
+// Server is what the fleet knows about a server.
 type Server struct {
 	ID          control.ServerID
 	Address     string
@@ -36,32 +36,32 @@
 	Cell        control.CellID
 	Endpoint    Endpoint       // as last listed
 	listedStart int64          // Endpoint.StartedAt as last listed
-	startedAt   control.Micros // the start in the router's time
-	removedAt   control.Micros // when it was last on a list
-	fullUpdate  uint64         // the number of the last full update that listed it
+	startedAt   control.Micros // start time on the router's clock
+	removedAt   control.Micros // time of the last list that it was on
+	fullUpdate  uint64         // number of the last full update that listed it
 }
 
-// Update is what a source sends at a time: the full list, or only what differs from what it sent before.
+// Update is one message of a source: the full list, or only the changes since the previous update.
 type Update struct {
 	Full      bool
-	Endpoints []Endpoint // if not Full: each server at most once, a server that left in state Removed
+	Endpoints []Endpoint // if not Full: each changed server once; a server that left has state Removed
 }
 
-// removal is the removal of a server from the list.
+// removal records that a server was removed from the list.
 type removal struct {
 	id control.ServerID
-	at control.Micros // when it was last on the list
+	at control.Micros // time of the last list that it was on
 }
 
-// Fleet is the endpoint list as last sent. It is not safe for concurrent use.
+// Fleet is the current endpoint list. It is not safe for concurrent use.
 type Fleet struct {
 	offset            int64 // wall clock at the router's time 0, in microseconds since 1970, fixed at the start
 	lastUpdate        control.Micros
 	beforeFirstUpdate bool
 	sourceClock       bool
 	fullUpdates       uint64 // number of full updates so far
-	// completeAsOf is the last time of which it is known that the list holds all that its source had sent by
-	// then; 0: none is known.
+	// completeAsOf is the latest time for which the list is known to contain everything that its source had sent by
+	// then; 0 if there is none.
 	completeAsOf control.Micros
 	slowStart    control.Micros // duration of slow start
 	servers      map[control.ServerID]*Server
@@ -71,8 +71,8 @@
 	cells        map[string]control.CellID
 }
 
-// New returns an empty fleet. Offset is the wall clock (microseconds since 1970) at the router's time 0: it is
-// read once, so that setting the clock later changes nothing.
+// New returns an empty fleet. offset is the wall clock (microseconds since 1970) at the router's time 0. It is read
+// once, so that later adjustments of the wall clock change nothing.
 func New(offset int64) *Fleet {
 	return &Fleet{
 		offset:            offset,
@@ -84,26 +84,26 @@
 	}
 }
 
-// UseSourceClock is for a source that shares the clock of the router's own time. A server that such a source
-// lists without a start time has run for long, whenever it is first listed.
+// UseSourceClock declares that the source uses the same clock as the router. A server that such a source lists without
+// a start time started long ago, whenever it is first listed.
 func (f *Fleet) UseSourceClock() { f.sourceClock = true }
 
 // SetSlowStartDuration sets the duration of slow start.
 func (f *Fleet) SetSlowStartDuration(duration control.Micros) { f.slowStart = duration }
 
-// SetCompleteAsOf sets the time as of which the list is complete: it holds all that its source had sent by then. It
-// is called after the updates that were sent by then.
+// SetCompleteAsOf declares that the list contains everything that its source had sent by the given time. It is called
+// after those updates have been applied.
 func (f *Fleet) SetCompleteAsOf(asOf control.Micros) { f.completeAsOf = max(f.completeAsOf, asOf) }
 
-// ID returns a server's ID, from its name or address. It is the same in every router, since all share one order
-// of servers.
+// ID returns a server's ID, derived from its name or address. It is the same in every router, since all routers must
+// order servers alike.
 func ID(nameOrAddress string) control.ServerID {
 	if a, err := netip.ParseAddrPort(nameOrAddress); err == nil && a.Addr().Is4() {
 		b := a.Addr().As4()
 		return control.ServerID(b[0])<<40 | control.ServerID(b[1])<<32 | control.ServerID(b[2])<<24 |
 			control.ServerID(b[3])<<16 | control.ServerID(a.Port())
 	}
-	return control.ServerID(xxhash.Sum64String(nameOrAddress) | 1<<63) // no IPv4 address has the top bit
+	return control.ServerID(xxhash.Sum64String(nameOrAddress) | 1<<63) // the top bit is never set for an IPv4 address
 }
 
 // ZoneID returns a zone's ID; the empty name is zone 0.
@@ -121,11 +121,11 @@
 	return id
 }
 
-// Get returns a server by ID, or nil if no list named it.
+// Get returns a server by ID, or nil if it was never listed or has been pruned.
 func (f *Fleet) Get(id control.ServerID) *Server { return f.servers[id] }
 
-// FullUpdate takes in a full list, received at now, and returns it in the balancer's terms by ascending ID. A
-// server that is not on it is removed; it is kept as such until Prune, so that its return is recognized as a
+// FullUpdate applies a full list, received at now, and returns it as balancer endpoints by ascending ID. Servers that
+// are not on the list are removed; they are kept in that state until Prune, so that their return is recognized as a
 // restart.
 func (f *Fleet) FullUpdate(now control.Micros, list []Endpoint) []control.Endpoint {
 	f.fullUpdates++
@@ -139,9 +139,9 @@
 	return updated
 }
 
-// IncrementalUpdate takes in the changes since the last update, received at now, and returns them in the
-// balancer's terms by ascending ID. All is then as if the full list had come. A server that leaves is returned
-// as it was, in state Removed.
+// IncrementalUpdate applies the changes since the last update, received at now, and returns them as balancer endpoints
+// by ascending ID. The resulting state is the same as after the equivalent full list. A server that leaves is returned
+// as it was last listed, in state Removed.
 func (f *Fleet) IncrementalUpdate(now control.Micros, changed []Endpoint) []control.Endpoint {
 	updated := f.applyEndpoints(now, changed)
 	f.lastUpdate, f.beforeFirstUpdate = now, false
@@ -157,7 +157,7 @@
 	}
 }
 
-// applyEndpoints takes in the listed endpoints and returns them in the balancer's terms.
+// applyEndpoints applies listed endpoints and returns them as balancer endpoints.
 func (f *Fleet) applyEndpoints(now control.Micros, list []Endpoint) []control.Endpoint {
 	updated := make([]control.Endpoint, 0, len(list))
 	for _, e := range list {
@@ -174,7 +174,7 @@
 			f.counts[s.State]--
 		}
 		f.counts[e.State]++
-		// Without a start time, a server that was removed may have restarted meanwhile.
+		// Without a start time, a server that was removed may have restarted in the meantime.
 		newStart := s == nil || s.listedStart != e.StartedAt || s.State == control.Removed && e.StartedAt == 0
 		if s == nil {
 			s = &Server{ID: id, Address: e.Address}
@@ -193,16 +193,16 @@
 	return updated
 }
 
-// endpoint returns a server in the balancer's terms.
+// endpoint returns a server as a balancer endpoint.
 func (s *Server) endpoint() control.Endpoint {
 	return control.Endpoint{Server: s.ID, State: s.State, Zone: s.Zone, Cell: s.Cell, Weight: s.Endpoint.Weight,
 		StartedAt: s.startedAt}
 }
 
-// startedAt converts the start time of a server that was not on the last list, or not with this start time, into
-// the router's time; 0 is long ago. Whatever the clocks say, a start is no earlier than the last time that the
-// list was complete without the server (see control.EarliestStart), no later than now, and after the start of the
-// server's previous incarnation.
+// startedAt converts the start time of a server that was not on the last list, or had another start time there, to the
+// router's clock; 0 means long ago. Whatever the clocks say, the result is no earlier than the last time that the list
+// was complete without the server (see control.EarliestStart), no later than now, and after the start of the server's
+// previous incarnation.
 func (f *Fleet) startedAt(now control.Micros, listedStart int64, previous control.Micros) control.Micros {
 	if listedStart == 0 && (f.beforeFirstUpdate || f.sourceClock) {
 		return 0
@@ -214,8 +214,8 @@
 	return max(1, previous+1, min(at, now))
 }
 
-// lastCompleteWithout returns when the list was last complete without a server that is listed now; 0 if that is not
-// known, as for the servers of the configuration at the start.
+// lastCompleteWithout returns when the list was last complete without a server that is listed now. It returns 0 if that
+// is not known, as for the servers of the configuration at startup.
 func (f *Fleet) lastCompleteWithout() control.Micros {
 	if f.beforeFirstUpdate || f.sourceClock && f.completeAsOf == 0 {
 		return 0
@@ -240,7 +240,7 @@
 	return ss
 }
 
-// StartedAt returns when the server started, in the router's time; 0: long ago.
+// StartedAt returns when the server started, on the router's clock; 0 if long ago.
 func (s *Server) StartedAt() control.Micros { return s.startedAt }
 
 // InSlowStart reports whether a server started less than span ago.
@@ -248,10 +248,10 @@
 	return s.startedAt > 0 && now < s.startedAt+span
 }
 
-// Prune drops servers that left the list long ago and for which keep returns false. A server that comes back
-// before that with the start time that it had is known not to need slow start.
+// Prune deletes servers that left the list long ago and for which keep returns false. A server that returns before that
+// with an unchanged start time is known not to need slow start.
 func (f *Fleet) Prune(now control.Micros, keep func(control.ServerID) bool) {
-	const retention = 600_000_000 // 10 minutes, as long as the balancer keeps them
+	const retention = 600_000_000 // 10 minutes, the same as in the balancer
 	due := 0
 	for due < len(f.removed) && now > f.removed[due].at+retention {
 		due++
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	return Endpoint{Address: address, State: control.Ready, Weight: 1, StartedAt: startedAt}
 }
 
-// Times in lists are wall clock; the router's time 0 is 1000 s of it.
+// Listed start times are wall clock times; the router's time 0 is 1000 s on that clock.
 func TestStartTimeIsConvertedToRouterTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, then int64 // start time in the first list at 100 s and the next at 200 s; -1: not listed
@@ -41,7 +41,8 @@
 	}
 }
 
-// A server that is off the list for a moment gets no slow start; without a start time it may have restarted.
+// A server that was off the list for a moment gets no slow start if its start time is unchanged; without a start time
+// it may have restarted.
 func TestReturningServer(t *testing.T) {
 	for startedAt, want := range map[int64]control.Micros{1050 * second: 50 * second, 0: 200 * second} {
 		f := New(1000 * second)
@@ -73,18 +74,18 @@
 	f.FullUpdate(2, []Endpoint{endpoint("127.0.0.1:3", 0)})
 	keep := func(id control.ServerID) bool { return id == ID("127.0.0.1:2") }
 	if f.Prune(60*second, keep); len(f.servers) != 3 {
-		t.Error("dropped after a minute")
+		t.Error("deleted after a minute")
 	}
 	if f.Prune(3600*second, func(control.ServerID) bool { return true }); len(f.servers) != 3 {
-		t.Error("dropped while it was in use")
+		t.Error("deleted while it was in use")
 	}
 	if f.Prune(3600*second, keep); len(f.servers) != 2 || f.Get(ID("127.0.0.1:1")) != nil {
 		t.Errorf("got %v", f.servers)
 	}
 }
 
-// A removed server is kept for its full time after the last list that it was on, whenever it was removed, also if it returns and
-// is removed again; then nothing is left of its removals.
+// The retention of a removed server counts from the last list that it was on, whenever it was removed, also if it
+// returned and was removed again. Afterwards no record of its removals is left.
 func TestPruneCountsFromLastListing(t *testing.T) {
 	const name = "127.0.0.1:1"
 	keep := func(control.ServerID) bool { return false }
@@ -95,22 +96,23 @@
 	f.IncrementalUpdate(1000*second, []Endpoint{endpoint(name, 0)})
 	f.IncrementalUpdate(1050*second, []Endpoint{{Address: name, State: control.Removed}})
 	if f.Prune(1600*second, keep); f.Get(ID(name)) == nil {
-		t.Error("dropped too early")
+		t.Error("deleted too early")
 	}
 	if f.Prune(1601*second, keep); f.Get(ID(name)) != nil || len(f.removed) > 0 {
-		t.Errorf("not dropped: %v", f.removed)
+		t.Errorf("not deleted: %v", f.removed)
 	}
 	if f.Get(ID("127.0.0.1:2")) == nil {
-		t.Error("a listed server was dropped")
+		t.Error("a listed server was deleted")
 	}
 }
 
-// A server that is added while this router runs started after the list was last complete without it and no later than now,
-// whatever its listed start. The list was complete at 190 s, the change is received at 200 s, and slow start takes 16 s.
+// A server that is added while this router runs started after the list was last complete without it and no later than
+// now, whatever start time is listed. The list was complete at 190 s, the change is received at 200 s, and slow start
+// takes 16 s.
 func TestStartTimeIsBoundedByCompleteList(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed   int64
-		complete control.Micros // 0: never since the start
+		complete control.Micros // 0: never since the router started
 		want     control.Micros
 	}{
 		"as listed":                        {1195 * second, 190 * second, 195 * second},
@@ -133,7 +135,7 @@
 			}
 			f.FullUpdate(10*second, list)
 			f.SetCompleteAsOf(c.complete)
-			f.FullUpdate(199*second, append(list, endpoint("127.0.0.1:8", 0))) // the last event is no complete list
+			f.FullUpdate(199*second, append(list, endpoint("127.0.0.1:8", 0))) // receiving an update does not make the list complete
 			if got := f.FullUpdate(200*second, []Endpoint{endpoint("127.0.0.1:9", c.listed)}); got[0].StartedAt != c.want {
 				t.Errorf("%s, restarted %t: got %d, want %d", name, restarted, got[0].StartedAt, c.want)
 			}
@@ -141,7 +143,8 @@
 	}
 }
 
-// An incarnation started after the previous one, also if both were listed with starts by a clock that was set back meanwhile.
+// An incarnation of a server started after the previous one, even if the clock of the listed start times was set back
+// in between.
 func TestLaterIncarnationStartedLater(t *testing.T) {
 	f := New(1000 * second)
 	f.UseSourceClock()
