--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,6 +1,6 @@
-// Package backoff computes how long to wait before a further attempt to reach a server that many clients use:
-// exponential, with half of each wait at random, so that many routers that lost the server in one moment don't
-// come back in one.
+// Package backoff computes the delays between attempts to reach a server that many clients use: exponential backoff
+// with half of each delay random, so that routers that lost the server at the same moment do not all return at the same
+// moment.
 package backoff
 
 import (
@@ -15,7 +15,7 @@
 	random         *rand.Rand
 }
 
-// New returns a Backoff with its own random source, from its first wait to its longest.
+// New returns a Backoff with its own random source, whose waits double from first up to longest.
 func New(seed uint64, first, longest time.Duration) *Backoff {
 	return &Backoff{first: first, longest: longest, next: first, random: rand.New(rand.NewPCG(seed, 1))}
 }
@@ -23,7 +23,7 @@
 // Next returns the next wait.
 func (b *Backoff) Next() time.Duration { return b.NextWithin(b.longest) }
 
-// NextWithin returns the next wait, of at most limit. Half of it is random all the same.
+// NextWithin returns the next wait, at most limit. Half of a limited wait is random too.
 func (b *Backoff) NextWithin(limit time.Duration) time.Duration {
 	wait := min(b.next, limit)
 	b.next = min(2*b.next, b.longest)
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -15,18 +15,18 @@
 		}
 	}
 	if b.Reset(); b.Next() > 20*time.Millisecond {
-		t.Error("an answer changed nothing")
+		t.Error("Reset changed nothing")
 	}
 }
 
 // Two clients that lost the server together retry at different times.
 func TestWaitsAreSpread(t *testing.T) {
 	if New(1, time.Second, time.Second).Next() == New(2, time.Second, time.Second).Next() {
-		t.Error("both wait alike")
+		t.Error("both wait equally long")
 	}
 }
 
-// A limited wait still differs from client to client, and later waits go on growing.
+// A limited wait still differs from client to client, and later waits keep growing.
 func TestNextWithinKeepsChanceAndGrowth(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	seen := map[time.Duration]bool{}
@@ -45,6 +45,6 @@
 		}
 	}
 	if len(seen) < 15 {
-		t.Errorf("%d different waits of 20 askers", len(seen))
+		t.Errorf("%d different waits of 20 clients", len(seen))
 	}
 }
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -6,14 +6,14 @@
 	"hollymast/control"
 )
 
-// Clock is a service's clock. It begins at Unix time, since endpoint lists and stored state carry that, and is monotonic
-// from then on, whatever happens to the wall clock. Any goroutine may read it.
+// Clock is a service's clock. It starts at Unix time, which endpoint lists and stored state use, and is monotonic from
+// then on, whatever happens to the wall clock. Any goroutine may read it.
 type Clock struct {
 	Epoch     control.Micros // the clock's time at the start, in microseconds of Unix time
 	startedAt time.Time
 }
 
-// NewClock returns a clock that starts now, at a wall clock's time.
+// NewClock returns a clock that starts now, with the given wall clock time.
 func NewClock(wall time.Time) Clock {
 	return Clock{Epoch: control.Micros(wall.UnixMicro()), startedAt: time.Now()}
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -6,9 +6,9 @@
 	"hollymast/internal/fleet"
 )
 
-// ApplyUpdate applies an endpoint update, full or incremental, to the fleet and the core. It then calls refresh for each
-// pool of connections whose server may have changed: the service withdraws there what is not to be written any more.
-// refresh may delete the pool from pools.
+// ApplyUpdate applies an endpoint update, full or incremental, to the fleet and the core. It then calls refresh for
+// each connection pool whose server may have changed, where the service withdraws attempts that must not be written any
+// more. refresh may delete the pool from pools.
 func ApplyUpdate[Pool any](
 	now control.Micros, update fleet.Update, fleet *fleet.Fleet, core *core.Core,
 	pools map[control.ServerID]Pool, refresh func(Pool),
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,10 +1,10 @@
-// Package eventloop is the frame of the event loop that each service runs round one core: its clock, queue and timer, how
-// fresh its endpoint list is, the step, and when a stopping process may be killed. What wakes the loop, and what a service
-// does besides in a step, is the service's own.
+// Package eventloop is the common part of the event loop that each service runs around one core: the clock, the event
+// queue, the timer, the freshness of the endpoint list, and the step. What wakes the loop, and what else a service does
+// in a step, is up to the service.
 //
-// An iteration of the loop waits until Ready or Timer is readable, lets ReadEndpoints bring the endpoint list up to date,
-// drains the queue and takes a step, in that order: wherever the process stalls, the step's choices are no newer than its
-// endpoint list.
+// An iteration of the loop waits until Ready or Timer is readable, calls ReadEndpoints to bring the endpoint list up to
+// date, drains the queue and takes a step, in this order. A stall of the process at any point can then not make the
+// endpoint list of a step look fresher than it is.
 package eventloop
 
 import (
@@ -20,13 +20,13 @@
 // Loop is the state of an event loop. One goroutine owns it; others may only use the clock, Post and PostEndpoints.
 type Loop struct {
 	Clock
-	StepTime      control.Micros // of this step, or of the last one
-	TimerAt       control.Micros // when the timer fires; 0: it was not set
-	EndpointsAsOf control.Micros // when the endpoint list that this step chooses from was complete
-	// PreviousEndpointsAsOf is EndpointsAsOf of the step before: an endpoint change that this step handles was announced
-	// after that time.
+	StepTime      control.Micros // time of the current step, or of the last one
+	TimerAt       control.Micros // when the timer fires; 0 if it was never set
+	EndpointsAsOf control.Micros // when the endpoint list that this step uses was complete
+	// PreviousEndpointsAsOf is EndpointsAsOf of the previous step: an endpoint change that this step handles was
+	// announced after that time.
 	PreviousEndpointsAsOf control.Micros
-	// EndpointsCompleteAsOf is the latest time for which the endpoint list is known to be complete; 0: none.
+	// EndpointsCompleteAsOf is the latest time for which the endpoint list is known to be complete; 0 if there is none.
 	EndpointsCompleteAsOf control.Micros
 
 	queue        *eventqueue.Queue
@@ -36,20 +36,20 @@
 	readRequired bool
 }
 
-// noTimer is the timer's duration while it is not set.
+// noTimer is the timer's duration while it is not in use.
 const noTimer = time.Hour
 
-// New returns a loop. The grace period, in microseconds, is that for which new requests may still go to a server after it
-// is listed as draining.
+// New returns a loop. grace is how long, in microseconds, new requests may still go to a server after it is listed as
+// draining.
 func New(clock Clock, grace control.Micros) *Loop {
 	return &Loop{Clock: clock, grace: grace, queue: eventqueue.New(), timer: time.NewTimer(noTimer)}
 }
 
-// Post has f called in the next step. Any goroutine may call it.
+// Post queues f to be called in the next step. Any goroutine may call it.
 func (l *Loop) Post(f func(now control.Micros)) { l.queue.Post(f) }
 
-// PostEndpoints has f, which applies an endpoint update, called in the next step before all other events. Any goroutine
-// may call it.
+// PostEndpoints queues f, which applies an endpoint update, to be called in the next step before all other events. Any
+// goroutine may call it.
 func (l *Loop) PostEndpoints(f func(now control.Micros)) { l.queue.PostEndpoints(f) }
 
 // Ready is readable when events are queued.
@@ -58,13 +58,13 @@
 // Timer is readable when the timer has fired.
 func (l *Loop) Timer() <-chan time.Time { return l.timer.C }
 
-// SetTimer sets the one timer, replacing its time.
+// SetTimer sets the timer, replacing its previous time.
 func (l *Loop) SetTimer(at control.Micros) {
 	l.TimerAt = at
 	l.timer.Reset(duration(max(0, at-l.Now())))
 }
 
-// WakeWithin has the timer fire within d, also if it is set to a later time, which TimerAt keeps.
+// WakeWithin makes the timer fire within d even if it is set to a later time, which TimerAt keeps.
 func (l *Loop) WakeWithin(d time.Duration) {
 	l.timer.Reset(min(d, duration(max(0, l.TimerAt-l.Now()))))
 }
@@ -72,18 +72,19 @@
 // StopTimer stops the timer, at the end of the loop.
 func (l *Loop) StopTimer() { l.timer.Stop() }
 
-// Stalled reports whether the process was stalled: whether this iteration comes so much later than the timer.
+// Stalled reports whether the process was stalled, that is, whether this iteration comes too long after the timer's
+// time.
 func (l *Loop) Stalled() (late control.Micros, stalled bool) {
 	late = l.Now() - l.TimerAt
 	return late, l.TimerAt > 0 && attempt.Stalled(late, l.grace)
 }
 
-// RequireEndpointsRead makes the next ReadEndpoints read, however fresh the list is.
+// RequireEndpointsRead makes the next ReadEndpoints read even if the list is fresh.
 func (l *Loop) RequireEndpointsRead() { l.readRequired = true }
 
-// ReadEndpoints makes the next step handle everything that the source of endpoints has announced, unless the list is fresh
-// enough. read brings the source up to date, and returns as of when it then was. It must run after the last wait before
-// Drain.
+// ReadEndpoints makes the next step handle everything that the source of endpoints has announced, unless the list is
+// fresh enough. read brings the source up to date, and returns the time as of which it is. ReadEndpoints must be called
+// after the last wait before Drain.
 func (l *Loop) ReadEndpoints(read func() (asOf control.Micros)) {
 	l.PreviousEndpointsAsOf = l.EndpointsAsOf
 	if l.readRequired || attempt.MustReadEndpoints(l.Now()-l.EndpointsAsOf, l.grace) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// WriteDeadline returns until when a call that is chosen in this step may begin to be written.
+// WriteDeadline returns the latest time at which writing an attempt that is chosen in this step may begin.
 func (l *Loop) WriteDeadline() control.Micros { return attempt.WriteDeadline(l.EndpointsAsOf, l.grace) }
 
 // Drain returns the queued events, endpoint updates first. They are valid until the next call.
@@ -101,7 +102,7 @@
 	return l.batch
 }
 
-// Step handles a batch of events, which Drain has returned before now, and lets the core decide on them.
+// Step handles a batch of events that Drain returned before now, and then takes the core's step.
 func (l *Loop) Step(now control.Micros, events []func(control.Micros), fleet *fleet.Fleet, core *core.Core) {
 	l.StepTime = now
 	for _, f := range events {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,7 +13,7 @@
 
 const grace = control.Micros(500_000)
 
-// newTestLoop returns a loop, a fleet and a core that begin now.
+// newTestLoop returns a loop, a fleet and a core that start now.
 func newTestLoop(t *testing.T) (*Loop, *fleet.Fleet, *core.Core) {
 	t.Helper()
 	loop := New(NewClock(time.Now()), grace)
@@ -22,13 +22,13 @@
 	return loop, fleet.New(0), core.New(control.New(loop.Epoch, 1, deployment), core.NoopExecutor{})
 }
 
-// The clock begins at the wall clock's time and goes on from there.
+// The clock starts at the wall clock's time and advances from there.
 func TestClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		wall := time.UnixMicro(1_800_000_000_000_000)
 		clock := NewClock(wall)
 		if clock.Epoch != 1_800_000_000_000_000 || clock.Now() != clock.Epoch {
-			t.Errorf("it begins at %d, now %d", clock.Epoch, clock.Now())
+			t.Errorf("it starts at %d, now %d", clock.Epoch, clock.Now())
 		}
 		time.Sleep(1500 * time.Microsecond)
 		now := clock.Now()
@@ -38,7 +38,7 @@
 	})
 }
 
-// Endpoint updates come before other events, the core's step after both.
+// Endpoint updates are handled before other events.
 func TestStep(t *testing.T) {
 	loop, fleet, core := newTestLoop(t)
 	var order []string
@@ -93,7 +93,7 @@
 	})
 }
 
-// Endpoints are read when the list is not fresh, or when that is required; then calls may be written for longer.
+// Endpoints are read when the list is not fresh, or when a read is required; the write deadline follows the last read.
 func TestReadEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		loop, _, _ := newTestLoop(t)
@@ -114,11 +114,11 @@
 			before := loop.EndpointsAsOf
 			loop.ReadEndpoints(read)
 			if reads != c.reads || loop.PreviousEndpointsAsOf != before {
-				t.Errorf("after %v, required %t: %d reads, want %d; before as of %d, want %d", c.wait, c.required, reads, c.reads,
+				t.Errorf("after %v, required %t: %d reads, want %d; previous list as of %d, want %d", c.wait, c.required, reads, c.reads,
 					loop.PreviousEndpointsAsOf, before)
 			}
 			if until := loop.WriteDeadline(); until <= loop.EndpointsAsOf || until >= loop.EndpointsAsOf+grace {
-				t.Errorf("calls may be written until %d after the read", until-loop.EndpointsAsOf)
+				t.Errorf("the write deadline is %d after the read", until-loop.EndpointsAsOf)
 			}
 		}
 	})
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -1,5 +1,4 @@
-// Package eventqueue carries events from the connections' goroutines to the one goroutine that runs a router's
-// event loop.
+// Package eventqueue passes events from the connections' goroutines to the goroutine that runs a router's event loop.
 package eventqueue
 
 import (
@@ -20,11 +19,11 @@
 // New returns an empty queue.
 func New() *Queue { return &Queue{ready: make(chan struct{}, 1)} }
 
-// Post has f called in the next step, after all that was posted before.
+// Post queues f to be called in the next step, after all functions posted before.
 func (q *Queue) Post(f func(now control.Micros)) { q.add(&q.events, f) }
 
-// PostEndpoints has f, which takes in an endpoint list, called in the next step before all else. It guards
-// against choices in that step that are made by the old list for events received before the new one.
+// PostEndpoints queues f, which applies an endpoint update, to be called in the next step before all other events.
+// Otherwise events received before the update would be decided by the old list.
 func (q *Queue) PostEndpoints(f func(now control.Micros)) { q.add(&q.endpoints, f) }
 
 // add appends f to one of the two lists and signals Ready if the queue was empty.
@@ -44,8 +43,8 @@
 // Ready returns a channel that receives a value when the queue is no longer empty.
 func (q *Queue) Ready() <-chan struct{} { return q.ready }
 
-// Drain empties the queue and returns its functions: endpoint lists first, each kind in the order in which it
-// was posted. It reuses the array of previous, the result of the previous call.
+// Drain empties the queue and returns its functions: endpoint updates first, each kind in the order in which it was
+// posted. It reuses the array of previous, the result of the previous call.
 func (q *Queue) Drain(previous []func(control.Micros)) []func(control.Micros) {
 	clear(previous)
 	q.mu.Lock()
--- a/internal/eventqueue/queue_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// An endpoint list is called before all else, however late it was posted.
+// An endpoint update is called before all other events, however late it was posted.
 func TestEndpointListsComeFirst(t *testing.T) {
 	q := New()
 	var got []string
@@ -49,7 +49,7 @@
 	if want := []string{"list 1", "list 2", "answer", "request"}; !slices.Equal(got, want) {
 		t.Errorf("called %v, want %v", got, want)
 	}
-	q.PostEndpoints(record("list 3")) // the reused array holds nothing of before
+	q.PostEndpoints(record("list 3")) // the reused array holds no earlier functions
 	if rest := q.Drain(batch); len(rest) != 1 {
 		t.Errorf("%d left", len(rest))
 	}
--- a/internal/netfail/netfail.go
+++ b/internal/netfail/netfail.go
@@ -1,5 +1,5 @@
-// Package netfail tells failures of connections that say nothing about the peer from those that count against it, and
-// retries dials that fail with the former.
+// Package netfail distinguishes connection failures that say nothing about the peer from those that count against it,
+// and retries dials that fail with the former.
 package netfail
 
 import (
@@ -11,43 +11,45 @@
 	"time"
 )
 
-// localErrnos are this machine's shortages: of descriptors, ports or memory, and interrupted system calls.
+// localErrnos are failures of this machine: it is out of descriptors, ports or memory, or a system call was
+// interrupted.
 var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL, syscall.EINTR,
 	syscall.EAGAIN,
 }
 
-// transientErrnos are network faults that may pass at once.
+// transientErrnos are network failures that may be over in a moment.
 var transientErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED}
 
-// IsLocal reports whether an error is this machine's shortage, and says nothing about the peer.
+// IsLocal reports whether an error is a failure of this machine, which says nothing about the peer.
 func IsLocal(err error) bool { return isAny(err, localErrnos) }
 
-// IsTransient reports whether an error is a network fault that may pass at once. A lasting one counts against the peer.
+// IsTransient reports whether an error is a network failure that may be over in a moment. A lasting one counts against
+// the peer.
 func IsTransient(err error) bool { return isAny(err, transientErrnos) }
 
 func isAny(err error, errnos []syscall.Errno) bool {
 	return slices.ContainsFunc(errnos, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// firstDialPause is the first pause before a dial that failed is retried, doubled up to maxDialPause: such a failure may
-// last no longer than one packet.
+// firstDialPause is the pause before the first retry of a failed dial, doubled up to maxDialPause. It is short because
+// the failure may affect only a single packet.
 const firstDialPause, maxDialPause = 2 * time.Millisecond, 50 * time.Millisecond
 
-// RetryTiming is whether a dial is retried after a pause.
+// RetryTiming is when a failed dial is retried.
 type RetryTiming uint8
 
-// When a dial is retried.
+// The times of a retry.
 const (
 	RetryAfterPause  RetryTiming = iota
-	RetryImmediately             // what the dial lacked is there now
+	RetryImmediately             // the resource that the dial lacked is available now
 )
 
-// Dial dials until it succeeds, ctx ends, or a failure counts against the peer. onFailure is called for each failure that
-// does not. Once a local failure has taken a part of ctx's time, a timeout is no sign about the peer either: the error is
-// then that local failure.
+// Dial calls dial until it succeeds, ctx ends, or a failure counts against the peer. It calls onFailure for each
+// failure that does not. After a local failure has used up part of ctx's time, a timeout says nothing about the peer
+// either; Dial then returns the local failure.
 func Dial[Conn any](ctx context.Context, dial func() (Conn, error), onFailure func(error) RetryTiming) (Conn, error) {
-	var previous error // why the last dial failed, where the peer is not to blame
+	var previous error // the last failure that does not count against the peer
 	var none Conn
 	for pause := firstDialPause; ; pause = min(2*pause, maxDialPause) {
 		conn, err := dial()
@@ -56,7 +58,7 @@
 			return conn, nil
 		case IsLocal(err), IsTransient(err):
 		case IsLocal(previous) && os.IsTimeout(err):
-			return none, previous // the peer only had what was left of the time
+			return none, previous // the peer had only the rest of the time
 		default:
 			return none, err
 		}
--- a/internal/netfail/netfail_test.go
+++ b/internal/netfail/netfail_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if IsLocal(nil) || IsTransient(nil) || IsLocal(context.Canceled) || IsTransient(context.DeadlineExceeded) {
-		t.Error("no system call has failed")
+		t.Error("an error that is not a system call's is classified as local or transient")
 	}
 }
 
@@ -38,7 +38,7 @@
 	local, transient, refused := wrapped(syscall.EMFILE), wrapped(syscall.ENETUNREACH), wrapped(syscall.ECONNREFUSED)
 	timeout := os.ErrDeadlineExceeded
 	for name, c := range map[string]struct {
-		failures []error // of the first dials; the last one's is repeated if forever
+		failures []error // of the first dials; if forever, each dial fails with the first
 		forever  bool
 		timing   RetryTiming
 		err      error
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,22 +1,22 @@
 package retry
 
-// Budget keeps retries a small part of calls, whatever goes wrong: each call earns a part of a retry. It begins full, so that
-// a client of few calls may retry at all. It is not safe for concurrent use.
+// Budget limits retries to a small fraction of calls, whatever goes wrong: each call earns a fraction of a retry. It
+// starts full, so that a client with few calls can retry at all. It is not safe for concurrent use.
 type Budget struct {
-	tokens float64 // one a retry
+	tokens float64 // one per retry
 }
 
 const (
-	// depositPerCall is the share of further load that retries may add in the worst case.
+	// depositPerCall is the share of additional load that retries may cause in the worst case.
 	depositPerCall = 0.1
-	// maxTokens is what a burst of failures may use.
+	// maxTokens is the number of retries that a burst of failures may use.
 	maxTokens = 10.0
 )
 
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
-// Deposit adds what a call earns.
+// Deposit adds the fraction of a token that a call earns.
 func (b *Budget) Deposit() { b.tokens = min(maxTokens, b.tokens+depositPerCall) }
 
 // TryWithdraw takes a token for a retry and reports whether there was one.
--- a/internal/retry/latencies.go
+++ b/internal/retry/latencies.go
@@ -6,16 +6,16 @@
 	"hollymast/control"
 )
 
-// Latencies holds how long the last successful attempts took.
+// Latencies holds the latencies of the last successful attempts.
 type Latencies struct {
-	last  [64]control.Micros // a ring
-	count int                // of all that were added
+	last  [64]control.Micros // ring buffer
+	count int                // of all latencies ever added
 }
 
-// minSamples is how many latencies it takes to know their tail.
+// minSamples is the number of latencies needed to estimate their tail.
 const minSamples = 20
 
-// hedgePercentile leaves the slowest twentieth of the attempts to be hedged.
+// hedgePercentile is the percentile of the latencies after which an attempt is hedged: the slowest 5% are.
 const hedgePercentile = 95
 
 // Add adds a latency.
@@ -24,7 +24,7 @@
 	l.count++
 }
 
-// HedgeDelay returns after how long an attempt is slow enough to be hedged; 0: not known yet.
+// HedgeDelay returns the time after which an attempt is slow enough to be hedged, or 0 if that is not known yet.
 func (l *Latencies) HedgeDelay() control.Micros {
 	if l.count < minSamples {
 		return 0
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides how a client behaves: whether a call may be retried, when and where, whether it may be hedged, which
-// routers are ejected for a while, and when lost connections may be made again. It is free of I/O and clocks; all randomness
-// comes from a seeded generator that the caller hands in.
+// Package retry implements a client's retry policy: whether, when and where a call may be retried, whether it may be
+// hedged, which routers are ejected for a while, and when lost connections may be reopened. It does no I/O and reads no
+// clock; all randomness comes from a seeded generator that the caller passes in.
 package retry
 
 import (
@@ -9,48 +9,48 @@
 	"hollymast/control"
 )
 
-// Class is what a client knows of its requests.
+// Class describes the requests of a class as far as their client knows.
 type Class struct {
 	Effect control.Effect
-	// Scope and Window are those of IdempotentByKey: the servers that recognize a key, and for how long.
+	// Scope and Window apply to IdempotentByKey: which servers recognize a key, and for how long.
 	Scope         control.Scope
 	Window        control.Micros
-	KeysPersisted bool // a router recognizes keys across its restarts: it may get the same request again, whatever its effect
-	HedgeSafe     bool // two attempts at once do no harm
+	KeysPersisted bool // routers recognize keys across restarts: the same router may get a request again, whatever its effect
+	HedgeSafe     bool // two concurrent attempts do no harm
 }
 
-// Outcome is how an attempt ended, as far as its client can know.
+// Outcome is how an attempt ended, as far as its client can tell.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded Outcome = iota
 	Invalid           // the request itself was rejected, and would be again
-	Rejected          // not now; a retry does no harm
-	NotSent           // the router never had the whole request
-	Failed            // it may have run, the router says
-	Lost              // it may have run: the connection broke, or the time was up, after the whole request was sent
+	Rejected          // not accepted now; a retry does no harm
+	NotSent           // the router never received the whole request
+	Failed            // the router reports a failure; the request may have run
+	Lost              // the connection broke or the time ran out after the whole request was sent; it may have run
 )
 
 const (
-	// maxAttempts bounds the attempts of a call. Four give nearly all that retries can give.
+	// maxAttempts limits the attempts of a call. More than four would hardly help.
 	maxAttempts = 4
-	// backoffBase is some times as long as a usual request takes. It doubles with each attempt, up to backoffMax.
+	// backoffBase is several times the duration of a usual request. It doubles with each attempt, up to backoffMax.
 	backoffBase = control.Micros(50_000)
 	backoffMax  = control.Micros(2_000_000)
-	// minRemaining is the time to the deadline below which an attempt can't be answered.
+	// minRemaining is the time to the deadline below which an attempt cannot be answered.
 	minRemaining = control.Micros(20_000)
-	// maxTransit is far longer than any hop on the way to a server.
+	// maxTransit bounds the time a request takes to a server; it is far longer than any network hop.
 	maxTransit = control.Micros(50_000)
 )
 
-// Call is a call with all its attempts. They share one deadline. It is not safe for concurrent use.
+// Call is a call with all its attempts, which share one deadline. It is not safe for concurrent use.
 type Call struct {
 	Class           Class
 	Deadline        control.Micros
 	attempts        int
-	firstMayHaveRun control.Micros // when the first attempt that may have run was sent; 0: none may have
-	pinnedRouter    int            // the only router that may be asked again; -1: any may
+	firstMayHaveRun control.Micros // when the first attempt that may have run was sent; 0 if there is none
+	pinnedRouter    int            // the only router that may be tried again; -1 if any may
 	inFlight        int
 	done            bool
 }
@@ -63,11 +63,11 @@
 // Attempts returns the number of attempts begun.
 func (c *Call) Attempts() int { return c.attempts }
 
-// PinnedRouter returns the only router that may be asked; -1: any may.
+// PinnedRouter returns the only router that may be tried, or -1 if any may.
 func (c *Call) PinnedRouter() int { return c.pinnedRouter }
 
-// BeginAttempt counts an attempt that is sent now. It returns false where none may be: the deadline is too near, the call is
-// done, or a repetition of what may have run would not be recognized any more.
+// BeginAttempt counts an attempt that is sent now. It returns false if none may be sent: the deadline is too near, the
+// call is done, or an earlier attempt may have run and a retry would no longer be recognized.
 func (c *Call) BeginAttempt(now control.Micros) bool {
 	isRetry := c.attempts > 0 && c.inFlight == 0
 	if c.done || now+minRemaining > c.Deadline || isRetry && !c.mayRetry(now) {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// mayRetry reports whether a further attempt does no harm if the earlier ones ran.
+// mayRetry reports whether another attempt does no harm even if the earlier ones ran.
 func (c *Call) mayRetry(now control.Micros) bool {
 	switch {
 	case c.firstMayHaveRun == 0 || c.Class.Effect == control.Idempotent || c.pinnedRouter >= 0:
@@ -91,17 +91,17 @@
 
 // Decision is what to do after an attempt.
 type Decision struct {
-	Done        bool           // nothing: the outcome stands, or other attempts are in flight
-	RetryAt     control.Micros // otherwise retry then
-	OtherRouter bool           // at another router, if there is one
+	Done        bool           // no retry: the outcome is final, or other attempts are in flight
+	RetryAt     control.Micros // when to retry, unless Done
+	OtherRouter bool           // retry at another router, if there is one
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is how and where an attempt ended.
 type AttemptResult struct {
 	Outcome    Outcome
 	SentAt     control.Micros
 	Router     int
-	RetryAfter control.Micros // the pause that the router advised; 0: none
+	RetryAfter control.Micros // the delay that the router advised; 0 if none
 }
 
 // HandleOutcome records how an attempt ended and decides what follows.
@@ -116,13 +116,13 @@
 		c.done = true
 	case c.done || c.inFlight > 0 || c.attempts >= maxAttempts:
 	case outcome == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
-		c.pinnedRouter = result.Router // it alone knows whether the request may run again
+		c.pinnedRouter = result.Router // only this router can tell whether the request may run again
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case c.pinnedRouter >= 0 && outcome == NotSent: // the pinned router is not back yet
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case outcome == Rejected:
 		return c.retry(Decision{RetryAt: now + rejectionPause(c.attempts, result.RetryAfter, random), OtherRouter: true}, budget)
-	case outcome == NotSent && c.attempts == 1: // another router may be up
+	case outcome == NotSent && c.attempts == 1: // another router may be available
 		return c.retry(Decision{RetryAt: now, OtherRouter: true}, budget)
 	case outcome == NotSent, c.mayRetry(now):
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random), OtherRouter: true}, budget)
@@ -133,9 +133,9 @@
 	return Decision{Done: true}
 }
 
-// rejectionPause returns the pause after a rejection. All who were rejected together got the same advice: none comes sooner
-// than advised, and they spread over as long again. The backoff is drawn in any case, so that what later draws give doesn't
-// depend on the advice.
+// rejectionPause returns the delay after a rejection. Clients that were rejected together got the same advice, so each
+// waits at least the advised time plus a random time of up to the same length. The backoff is always drawn from the
+// generator, even if the advice replaces it.
 func rejectionPause(attempts int, advised control.Micros, random *rand.Rand) control.Micros {
 	pause := Backoff(attempts, random)
 	if advised > 0 {
@@ -154,15 +154,15 @@
 	return decision
 }
 
-// AllowHedge reports whether a second attempt may run beside the one in flight. It takes a token for it.
+// AllowHedge reports whether a second attempt may run concurrently with the one in flight, and takes a token for it.
 func (c *Call) AllowHedge(now control.Micros, budget *Budget) bool {
 	safe := c.Class.HedgeSafe && c.Class.Effect == control.Idempotent
 	firstInFlight := c.inFlight == 1 && c.attempts == 1
 	return safe && !c.done && firstInFlight && now+minRemaining <= c.Deadline && budget.TryWithdraw()
 }
 
-// Backoff returns the pause before the next attempt with full jitter: a random time up to a limit that doubles with each
-// attempt.
+// Backoff returns the delay before the next attempt, with full jitter: a random time up to a limit that doubles with
+// each attempt.
 func Backoff(attempts int, random *rand.Rand) control.Micros {
 	limit := min(backoffMax, backoffBase<<min(attempts-1, maxDoublings))
 	return control.Micros(random.Int64N(int64(limit) + 1))
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,15 +13,16 @@
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// afterFirstAttempt makes the first attempt of a call and returns what its outcome leads to.
+// afterFirstAttempt makes the first attempt of a call and returns the decision on its outcome.
 func afterFirstAttempt(class Class, outcome Outcome, now, advised control.Micros) (*Call, Decision) {
 	c := NewCall(class, 10*second)
 	c.BeginAttempt(second)
 	return c, c.HandleOutcome(now, AttemptResult{Outcome: outcome, SentAt: second, RetryAfter: advised}, NewBudget(), newRandom())
 }
 
-// What may have run is retried only where that does no harm: anywhere for idempotent requests, within the window for those
-// idempotent by key in the whole fleet, at the same router for non-idempotent ones if it persists keys.
+// A request that may have run is retried only where that does no harm: anywhere if it is idempotent, within the window
+// if it is idempotent by key in the whole fleet, and at the same router if it is non-idempotent and routers persist
+// keys.
 func TestRetryOfWhatMayHaveRun(t *testing.T) {
 	nonIdempotent, idempotent := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
 	byKey := Class{Effect: control.IdempotentByKey, Window: 2 * second}
@@ -39,7 +40,7 @@
 				t.Errorf("%s, %d: %+v", name, outcome, next)
 			}
 			if c.retried && c.class.Effect == control.IdempotentByKey && call.BeginAttempt(3*second) {
-				t.Errorf("%s: sent once its window is over", name)
+				t.Errorf("%s: sent after its window has ended", name)
 			}
 		}
 	}
@@ -50,12 +51,12 @@
 		t.Errorf("persisted: %+v, pinned to %d", next, call.PinnedRouter())
 	}
 	if _, next := afterFirstAttempt(persisted, Failed, 2*second, 0); !next.Done {
-		t.Errorf("the router said that it failed: %+v", next)
+		t.Errorf("retried although the router reported a failure: %+v", next)
 	}
 }
 
-// What was rejected or never reached a router may be retried whatever it does, after the advised pause and spread over as long
-// again.
+// A request that was rejected or never reached a router may be retried whatever its effect, after the advised delay
+// plus a random time of up to the same length.
 func TestRetryOfWhatDidNotRun(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, NotSent} {
 		if _, next := afterFirstAttempt(Class{Effect: control.NonIdempotent}, outcome, 2*second, 0); next.Done || !next.OtherRouter {
@@ -64,7 +65,7 @@
 	}
 	_, next := afterFirstAttempt(Class{}, Rejected, 2*second, second)
 	if next.RetryAt < 3*second || next.RetryAt >= 4*second {
-		t.Errorf("advised a second, comes after %d us", next.RetryAt-2*second)
+		t.Errorf("advised a second, retried after %d us", next.RetryAt-2*second)
 	}
 	if _, next := afterFirstAttempt(Class{}, Rejected, 2*second, 20*second); !next.Done {
 		t.Error("waits past its deadline")
@@ -74,8 +75,8 @@
 	}
 }
 
-// However calls go, no attempt begins past the deadline, after an answer, beyond the bound, or where it could do harm, and
-// retries stay within the budget.
+// Whatever happens to calls, no attempt begins after the deadline, after a success, beyond the limit on attempts or
+// where it could do harm, and retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		class := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
@@ -121,7 +122,8 @@
 	})
 }
 
-// Connections that are lost together are made again over five seconds, each at a time of its own; single ones at once.
+// Connections that are lost together are reopened over five seconds, each at a random time; a single one is reopened at
+// once.
 func TestReconnectsSpread(t *testing.T) {
 	const n = 200
 	r, random := NewRouters(1, 0), newRandom()
@@ -130,7 +132,7 @@
 	}
 	r.ConnectionLost(second, 0, random)
 	if ok, _ := r.MayConnect(second, 0); !ok {
-		t.Error("one lost connection waits")
+		t.Error("a single lost connection has to wait")
 	}
 	for range n - 1 {
 		r.ConnectionLost(10*second, 0, random)
@@ -152,11 +154,12 @@
 		maxPerTick = max(maxPerTick, inTick)
 	}
 	if opened < 95 || maxPerTick > 15 || last < 14*second {
-		t.Errorf("%d made again, %d at most in a tenth of a second, the last after %d us", opened, maxPerTick, last-10*second)
+		t.Errorf("%d reopened, at most %d in a tenth of a second, the last after %d us", opened, maxPerTick, last-10*second)
 	}
 }
 
-// A router that loses a connection in thirty while it answers the others has no mass loss: all may be made again at once.
+// A router that loses one connection in thirty and answers on the others has no mass loss: each may be reopened at
+// once.
 func TestSingleLossesAreNoMassLoss(t *testing.T) {
 	r, random := NewRouters(1, 0), rand.New(rand.NewPCG(1, 1))
 	for range 20 {
@@ -176,7 +179,8 @@
 	}
 }
 
-// A router that fails three times in a row is ejected, for longer each time; where all are, the first to be back is asked.
+// A router that fails three times in a row is ejected, for longer each time. If all are ejected, the one whose ejection
+// ends first is picked.
 func TestEjection(t *testing.T) {
 	r := NewRouters(2, 0)
 	for range ejectionThreshold {
@@ -184,12 +188,12 @@
 	}
 	for range 4 {
 		if r.Pick(second, -1) != 1 {
-			t.Error("an ejected router is asked")
+			t.Error("an ejected router is picked")
 		}
 	}
 	now := second + ejectionBase
 	if r.Pick(now, 1) != 0 {
-		t.Error("it is not asked again")
+		t.Error("a router is not picked after its ejection")
 	}
 	r.RecordFailure(now, 0)
 	if r.routers[0].ejectedUntil != now+2*ejectionBase {
@@ -199,15 +203,15 @@
 		r.RecordFailure(now, 1)
 	}
 	if r.Pick(now, -1) != 1 {
-		t.Error("not the first to be back")
+		t.Error("not the router whose ejection ends first")
 	}
 	r.RecordSuccess(0)
 	if r.Pick(now+3*ejectionBase, 1) != 0 {
-		t.Error("an avoided router is asked although another is up")
+		t.Error("the router to avoid is picked although another is available")
 	}
 }
 
-// A hedge is for idempotent requests that may run twice at once, and takes a token.
+// Only idempotent requests that may run twice concurrently are hedged, and a hedge takes a token.
 func TestHedges(t *testing.T) {
 	budget := NewBudget()
 	for _, c := range []struct {
--- a/internal/retry/routers.go
+++ b/internal/retry/routers.go
@@ -7,45 +7,46 @@
 	"hollymast/control"
 )
 
-// Routers is what a client has seen of the routers that it may ask, which go by their index. It is not safe for concurrent
-// use.
+// Routers is a client's view of the routers that it may use, which are identified by index. It is not safe for
+// concurrent use.
 type Routers struct {
 	routers []router
-	next    int // where the next Pick begins
+	next    int // index at which the next Pick starts
 }
 
 type router struct {
-	failures     int // in a row
-	ejections    int // in a row
+	failures     int // consecutive
+	ejections    int // consecutive
 	ejectedUntil control.Micros
 	connections  int
 	recentLosses []control.Micros // when connections broke, within massLossWindow
-	reconnectAt  []control.Micros // when lost connections may be made again, ascending
+	reconnectAt  []control.Micros // when lost connections may be reopened, ascending
 }
 
-// Bounds of ejection: three failures in a row are hardly chance. A second is a router's restart, half a minute an outage.
+// Three consecutive failures are hardly chance. The shortest ejection covers a router's restart, the longest an outage.
 const (
 	ejectionThreshold = 3
-	ejectionBase      = control.Micros(1_000_000) // doubled with each ejection in a row
+	ejectionBase      = control.Micros(1_000_000) // doubled with each consecutive ejection
 	ejectionMax       = control.Micros(30_000_000)
 	maxDoublings      = 10 // keeps the shift within 64 bits
 )
 
-// Connections are lost together if they are at least massLossMin, and half of all, within massLossWindow. They are made again
-// over reconnectSpread.
+// Connections are lost together if at least massLossMin of them, and at least half of all, break within massLossWindow.
+// They are reopened over reconnectSpread.
 const (
 	massLossWindow  = control.Micros(1_000_000)
 	massLossMin     = 3
 	reconnectSpread = control.Micros(5_000_000)
 )
 
-// NewRouters returns n routers. The first Pick begins at an index, by which clients differ.
+// NewRouters returns n routers. The first Pick starts at the index first, which should differ from client to client.
 func NewRouters(n, first int) *Routers {
 	return &Routers{routers: make([]router, n), next: first % max(1, n)}
 }
 
-// Pick returns the router for an attempt: the next in turn that is not ejected and not the one to avoid, if there is such a
-// one; otherwise the next that is not ejected; otherwise the one whose ejection ends first. Avoid may be -1.
+// Pick returns the router for an attempt, in round-robin order: the next one that is neither ejected nor the one to
+// avoid; if there is none, the next that is not ejected; if all are ejected, the one whose ejection ends first. avoid
+// is -1 if no router is to be avoided.
 func (r *Routers) Pick(now control.Micros, avoid int) int {
 	best, firstReadmitted := -1, 0
 	for k := range r.routers {
@@ -67,9 +68,10 @@
 	return best
 }
 
-// RecordSuccess records an answer from a router, whatever it says. A router that goes on answering is up, and lost single
-// connections only: each answer makes up for a loss. Otherwise a steady loss of a few in a hundred would look like a mass
-// loss at many calls a second, and the connections put off for it would make the next one more likely.
+// RecordSuccess records an answer from a router, whatever its content. Each answer cancels one recent loss of a
+// connection, since a router that goes on answering is up and lost only single connections. Otherwise, at many calls
+// per second, a steady loss of a few percent would look like a mass loss, and the connections delayed for it would make
+// the next one more likely.
 func (r *Routers) RecordSuccess(i int) {
 	rt := &r.routers[i]
 	rt.failures, rt.ejections = 0, 0
@@ -78,8 +80,8 @@
 	}
 }
 
-// RecordFailure records an attempt without an answer. A router that fails several times in a row is ejected, for longer each
-// time.
+// RecordFailure records an attempt without an answer. A router that fails several times in a row is ejected, for longer
+// each time.
 func (r *Routers) RecordFailure(now control.Micros, i int) {
 	rt := &r.routers[i]
 	if rt.failures++; rt.failures >= ejectionThreshold && now >= rt.ejectedUntil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// ConnectionOpened counts a connection to a router.
+// ConnectionOpened counts a new connection to a router.
 func (r *Routers) ConnectionOpened(i int) { r.routers[i].connections++ }
 
 // ConnectionClosed counts a connection that this side closed, or that was never established.
@@ -97,8 +99,8 @@
 	r.routers[i].connections = max(0, r.routers[i].connections-1)
 }
 
-// ConnectionLost counts a connection that broke. If many break together, each may be made again only at a random time within
-// the spread: otherwise all clients of a router that restarts would reconnect in one moment.
+// ConnectionLost counts a connection that broke. If many break together, each may be reopened only at a random time
+// within reconnectSpread: otherwise all clients of a router that restarts would reconnect at the same moment.
 func (r *Routers) ConnectionLost(now control.Micros, i int, random *rand.Rand) {
 	rt := &r.routers[i]
 	rt.connections = max(0, rt.connections-1)
@@ -108,7 +110,7 @@
 		return
 	}
 	if len(rt.reconnectAt) > 0 {
-		losses = 1 // those before it have their times
+		losses = 1 // the earlier losses have their times already
 	}
 	for range losses {
 		rt.reconnectAt = append(rt.reconnectAt, now+control.Micros(random.Int64N(int64(reconnectSpread))))
@@ -116,7 +118,7 @@
 	slices.Sort(rt.reconnectAt)
 }
 
-// dropBefore returns those of ascending times that are not before a time.
+// dropBefore returns the ascending times without those before from.
 func dropBefore(times []control.Micros, from control.Micros) []control.Micros {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
@@ -124,7 +126,7 @@
 	return times
 }
 
-// MayConnect reports whether a connection to a router may be made now; otherwise it returns from when.
+// MayConnect reports whether a connection to a router may be opened now; otherwise it returns from when.
 func (r *Routers) MayConnect(now control.Micros, i int) (ok bool, at control.Micros) {
 	rt := &r.routers[i]
 	if len(rt.reconnectAt) == 0 {
