--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has textbook policies to compare the balancer with. No service uses it. Each policy keeps the invariants in the
-// simplest way: it sends nothing to a server that isn't ready or is in slow start, and repeats a request that may have run only
-// if it is idempotent.
+// Package baseline implements textbook policies to compare the balancer with. No service uses it. Each policy keeps the
+// invariants in the simplest way: it sends nothing to a server that is not ready or is in slow start, and retries a
+// request that may have run only if it is idempotent.
 package baseline
 
 import (
@@ -21,22 +21,23 @@
 	LeastRequests               // the one with the fewest requests in flight
 	TwoChoices                  // the better of two drawn at random (Mitzenmacher, 2001)
 	BoundedHash                 // the function's server by rendezvous hashing, or the next if that one is over the bound (Mirrokni et al., 2018)
-	LoadedFirst                 // the one with the fewest requests in flight of those believed to have loaded the function; a random one if there are none
+	LoadedFirst                 // the one with the fewest requests in flight of those assumed to have loaded the function; a random one if there are none
 )
 
-// PolicyNames are the policies' names, by their numbers.
+// PolicyNames are the policies' names, indexed by Policy.
 var PolicyNames = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
-// recheckInterval is after how long a request that no server could be found for is decided again.
+// recheckInterval is the time after which a request for which no server was found is decided again.
 const recheckInterval = control.Micros(50_000)
 
-// minTicksLeft is how many clock ticks before its deadline a request is rejected: it couldn't be answered in time.
+// minTicksLeft is the number of clock ticks before its deadline from which a request is rejected: it could not be
+// answered in time.
 const minTicksLeft = 4
 
-// maintenanceInterval is as good as never: these policies have no maintenance.
+// maintenanceInterval is arbitrary, since these policies have no maintenance.
 const maintenanceInterval = control.Micros(1_000_000)
 
-// NewFactory returns what makes a router's policy.
+// NewFactory returns a function that creates a router's policy.
 func NewFactory(p Policy) func(now control.Micros, seed uint64, d control.Deployment) core.Policy {
 	return func(_ control.Micros, seed uint64, d control.Deployment) core.Policy {
 		return &balancer{policy: p, deployment: d, random: rand.New(rand.NewPCG(seed, uint64(p))), inFlight: map[control.ServerID]int{},
@@ -44,15 +45,15 @@
 	}
 }
 
-// balancer decides by one of the policies.
+// balancer implements core.Policy with one of the policies.
 type balancer struct {
 	policy        Policy
 	deployment    control.Deployment
 	random        *rand.Rand
-	servers       []control.Endpoint // that are ready, by identifier
+	servers       []control.Endpoint // ready servers, by ascending ID
 	inFlight      map[control.ServerID]int
 	totalInFlight int
-	loaded        map[control.FunctionID]map[control.ServerID]bool // as LoadedFirst believes
+	loaded        map[control.FunctionID]map[control.ServerID]bool // servers that LoadedFirst assumes to have loaded a function
 }
 
 // UpdateEndpoints implements core.Policy.
@@ -72,10 +73,11 @@
 	slices.SortFunc(b.servers, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
 }
 
-// Rank implements core.Policy: requests are decided in the order of their arrival.
+// Rank implements core.Policy: requests are decided by order of arrival.
 func (b *balancer) Rank(_ control.Micros, r *control.Request) control.Micros { return r.ArrivedAt }
 
-// candidates are the servers that may get a request. Those in slow start get none: policies that count nothing would overload them.
+// candidates returns the servers that may get a request. Servers in slow start are excluded: policies that do not count
+// what they send would overload them.
 func (b *balancer) candidates(now control.Micros) []control.Endpoint {
 	return slices.DeleteFunc(slices.Clone(b.servers), func(s control.Endpoint) bool {
 		return s.StartedAt > 0 && now < s.StartedAt+b.deployment.SlowStartDuration
@@ -92,7 +94,7 @@
 			return control.Decision{Action: control.NoAction}
 		case !a.MayHaveRun || class.Effect == control.Idempotent:
 		case class.Effect == control.IdempotentByKey && class.Scope == control.WholeFleet:
-			return reject // the client may repeat it anywhere
+			return reject // the client may retry it anywhere
 		default:
 			return control.Decision{Action: control.Fail}
 		}
@@ -137,13 +139,13 @@
 	if o.RequestDone {
 		return control.Decision{Action: control.NoAction}
 	}
-	if o.Result == control.Overloaded { // another attempt at once would only go to one overloaded server after another
+	if o.Result == control.Overloaded { // immediate attempts would only go from one overloaded server to the next
 		return b.hold(now, r)
 	}
 	return b.Route(now, r)
 }
 
-// Cancel implements core.Policy. There is nothing to forget.
+// Cancel implements core.Policy. There is no state to release.
 func (b *balancer) Cancel(control.Micros, *control.Request) {}
 
 // HandleLoadResult implements core.Policy. These policies send no load commands.
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -21,7 +21,8 @@
 	return &control.Request{ID: id, Function: 7, ArrivedAt: second, Deadline: 4 * second}
 }
 
-// No policy sends to a server that drains or is in slow start, and none sends a request that can't end in time.
+// No policy sends to a server that is draining or in slow start, and none sends a request that cannot be answered in
+// time.
 func TestOnlyReadyServers(t *testing.T) {
 	for p := range PolicyNames {
 		b := newBalancer(Policy(p), control.Idempotent)
@@ -36,7 +37,7 @@
 	}
 }
 
-// What may have run is sent again only if it is idempotent.
+// A request that may have run is retried only if it is idempotent.
 func TestNothingRunsTwice(t *testing.T) {
 	for effect, want := range map[control.Effect]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
 		b, r := newBalancer(LeastRequests, effect), newRequest(1)
@@ -47,7 +48,7 @@
 	}
 }
 
-// Each policy chooses by its own rule.
+// Each policy distributes requests by its own rule.
 func TestChoices(t *testing.T) {
 	count := func(p Policy) (counts [5]int) {
 		b := newBalancer(p, control.Idempotent)
--- a/internal/baseline/pick.go
+++ b/internal/baseline/pick.go
@@ -29,7 +29,7 @@
 	return candidates[b.random.IntN(len(candidates))]
 }
 
-// leastRequests gives the candidate with the fewest requests in flight; if several have, any of them.
+// leastRequests returns the candidate with the fewest requests in flight; ties are broken at random.
 func (b *balancer) leastRequests(candidates []control.Endpoint) control.Endpoint {
 	best, ties := candidates[0], 0
 	for _, s := range candidates {
@@ -45,7 +45,8 @@
 	return best
 }
 
-// boundedHash gives the first candidate, by rendezvous hashing, with at most 5/4 of the mean number of requests in flight.
+// boundedHash returns the first candidate, by rendezvous hashing, with at most 5/4 of the mean number of requests in
+// flight.
 func (b *balancer) boundedHash(candidates []control.Endpoint, f control.FunctionID) control.Endpoint {
 	bound := 1 + 5*(b.totalInFlight+1)/(4*len(candidates))
 	slices.SortFunc(candidates, func(x, y control.Endpoint) int {
@@ -66,8 +67,8 @@
 	return xxhash.Sum64(key[:])
 }
 
-// loadedFirst gives the best candidate of those believed to have loaded a function. If there are none it gives any one, which
-// loads the function.
+// loadedFirst returns the best candidate of those assumed to have loaded a function. If there are none it returns a
+// random one, which then loads the function.
 func (b *balancer) loadedFirst(candidates []control.Endpoint, f control.FunctionID) control.Endpoint {
 	loaded := slices.DeleteFunc(slices.Clone(candidates), func(s control.Endpoint) bool { return !b.loaded[f][s.Server] })
 	if len(loaded) > 0 {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package config converts the simulator's start settings (wire.BootInfo), and the names in them, into the
-// balancer's terms.
+// Package config converts the simulator's start settings (simproto.BootInfo), and the load reports that they describe,
+// to the balancer's types.
 package config
 
 import (
@@ -9,8 +9,8 @@
 	"hollymast/internal/simproto"
 )
 
-// LoadReport converts a server's load report: the values come in the order of the fields that the settings name. It
-// returns nil if there is none. A value of the result that is not reported is -1.
+// LoadReport converts a server's load report, whose values come in the order of the fields named in the settings. It
+// returns nil if the report is empty. Values that are not reported are -1 in the result.
 func LoadReport(fields []string, load []float32) *control.LoadReport {
 	if len(load) == 0 {
 		return nil
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -12,6 +12,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if LoadReport([]string{"x1"}, nil) != nil {
-		t.Error("a report of nothing")
+		t.Error("an empty report was converted")
 	}
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,4 +1,4 @@
-// Package inifile reads INI files and reports every error in one at once, each with its file, line and key.
+// Package inifile reads INI files and reports all errors of a file at once, each with its file, line and key.
 package inifile
 
 import (
@@ -12,17 +12,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is a parsed INI file. Values are read with the methods of its sections, which collect what is wrong with them; Check
-// reports it.
+// File is a parsed INI file. Values are read with the methods of its sections, which collect errors; Check reports
+// them.
 type File struct {
 	Name     string
 	ini      *ini.File
-	lines    map[entry]int // of sections and keys, from 1
+	lines    map[entry]int // line numbers of sections and keys, from 1
 	read     map[entry]bool
 	problems []problem
 }
 
-// entry names a section, or a key if there is one.
+// entry identifies a key, or a section if the key is empty.
 type entry struct{ section, key string }
 
 type problem struct {
@@ -39,7 +39,7 @@
 	return Parse(name, text)
 }
 
-// Parse parses a file's text; the name is for messages. The error is about the syntax only: what else is wrong is reported by
+// Parse parses a file's text; name is used in messages. It returns only syntax errors; all other errors are reported by
 // Check.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{Name: name, lines: map[entry]int{}, read: map[entry]bool{}}
@@ -52,8 +52,8 @@
 	return f, nil
 }
 
-// indexLines notes where sections and keys are, which the INI library doesn't tell, and reports those that appear twice, which it
-// merges.
+// indexLines records the line numbers of sections and keys, which the INI library does not report, and adds an error
+// for each duplicate, which the library merges.
 func (f *File) indexLines(text []byte) {
 	section := ""
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -75,13 +75,13 @@
 
 func (f *File) addLine(line int, e entry, label string) {
 	if first, duplicate := f.lines[e]; duplicate {
-		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s stands twice, first at line %d", label, first)})
+		f.problems = append(f.problems, problem{line, fmt.Sprintf("%s is defined twice, first at line %d", label, first)})
 		return
 	}
 	f.lines[e] = line
 }
 
-// Section gives a section by name. One that isn't in the file has no keys.
+// Section returns a section by name. A section that is not in the file has no keys.
 func (f *File) Section(name string) *Section {
 	f.read[entry{section: name}] = true
 	section, err := f.ini.GetSection(name)
@@ -91,7 +91,8 @@
 	return &Section{file: f, Name: name, ini: section}
 }
 
-// Sections gives the sections whose names begin with a prefix, in the order of the file. Their names include the prefix.
+// Sections returns the sections whose names begin with a prefix, in the order of the file. Their names include the
+// prefix.
 func (f *File) Sections(prefix string) []*Section {
 	var sections []*Section
 	for _, section := range f.ini.Sections() {
@@ -102,15 +103,16 @@
 	return sections
 }
 
-// ValidationError is everything that is wrong with a file.
+// ValidationError holds all errors of a file.
 type ValidationError struct {
 	File     string
-	Problems []string // each with its file and line, in the order of lines
+	Problems []string // each with its file and line, by ascending line
 }
 
 func (e *ValidationError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Check ends the reading: sections and keys that nobody has read are unknown. It returns a *ValidationError, or nil.
+// Check returns all errors of the file as a *ValidationError, or nil. It is called after all values have been read, and
+// reports sections and keys that have not been read as unknown.
 func (f *File) Check() error {
 	for _, section := range f.ini.Sections() {
 		f.checkSection(&Section{file: f, Name: section.Name(), ini: section})
@@ -139,7 +141,7 @@
 	case s.Name == ini.DefaultSection:
 		s.Name = "" // as in f.lines
 		for _, key := range keys {
-			s.Errorf(key, "stands before any section")
+			s.Errorf(key, "appears before any section")
 		}
 	default:
 		s.Errorf("", "unknown section")
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -24,13 +24,13 @@
 	}
 	want := []string{
 		`f.ini:0: [d]: missing`,
-		`f.ini:1: [] stray: stands before any section`,
-		`f.ini:4: n stands twice, first at line 3`,
-		`f.ini:5: [a] span: "5" is no span of time from 0s to 1m0s`,
-		`f.ini:6: [a] word: "c" is none of a, b`,
+		`f.ini:1: [] stray: appears before any section`,
+		`f.ini:4: n is defined twice, first at line 3`,
+		`f.ini:5: [a] span: "5" is not a duration from 0s to 1m0s`,
+		`f.ini:6: [a] word: "c" is not one of a, b`,
 		`f.ini:8: [a] extra: unknown key`,
 		`f.ini:10: [b]: unknown section`,
-		`f.ini:12: [c] late: "99" is no number from 0 to 1`,
+		`f.ini:12: [c] late: "99" is not a number from 0 to 1`,
 	}
 	if !slices.Equal(validation.Problems, want) {
 		t.Errorf("got %q", validation.Problems)
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -4,22 +4,22 @@
 	"hollymast/control"
 )
 
-// Admission during an overload. First attempts are admitted: they are demand, and package control loads instances only for demand that it
-// sees (to admit no more than servers had just answered starved a fleet that had to load: docs/overload.md). Retries after the pause that
-// they were given are admitted too. Retries without a pause, or without an idempotency key to tell that by, have a budget of a tenth of
-// their tenant's first attempts.
+// Admission during an overload. First attempts are admitted: they are demand, and package control loads instances only
+// for demand that it sees. (Admitting no more than servers had just answered starved a fleet that had to load:
+// docs/overload.md.) Retries that waited for their Retry-After are admitted too. Retries that did not wait, or that
+// have no idempotency key by which that could be checked, have a budget of a tenth of their tenant's first attempts.
 const (
 	retryTokensPerRequest = 0.1
 	maxRetryTokens        = 5.0
-	earlyTolerance        = control.Micros(50_000) // more than clients' clocks and the network differ by
-	maxKeys               = 100_000                // some 4 MB; rejected requests beyond that are not told apart
+	earlyTolerance        = control.Micros(50_000) // more than the deviation of clients' clocks and the network
+	maxKeys               = 100_000                // about 4 MB; rejected requests beyond that are not remembered
 )
 
 // Request is a request on arrival.
 type Request struct {
 	Tenant   control.TenantID
-	IsRetry  bool   // as its client says
-	KeyHash  uint64 // hash of its idempotency key; 0: it has none
+	IsRetry  bool   // as marked by its client
+	KeyHash  uint64 // hash of its idempotency key; 0 if it has none
 	Function control.FunctionID
 	Priority float64 // of its class
 }
@@ -28,7 +28,7 @@
 type Decision struct {
 	Admitted   bool
 	Reason     Kind           // of a rejection
-	RetryAfter control.Micros // of a rejection: the pause before the next attempt, different for each request
+	RetryAfter control.Micros // of a rejection: the delay before the next attempt, different for each request
 }
 
 // Admit counts a request and decides whether it is admitted.
@@ -57,7 +57,7 @@
 	case !r.IsRetry && !rejectedBefore:
 		return Decision{Admitted: true}
 	case rejectedBefore && now < retryAt-earlyTolerance:
-		// The time that it was given stands: to put it off would punish the next attempt, which will be in time.
+		// The client keeps its retry time: to postpone it would penalize the next attempt, which will be in time.
 		c.window.current.rejected++
 		return Decision{Reason: c.kind, RetryAfter: retryAt - now}
 	case rejectedBefore:
@@ -86,8 +86,8 @@
 	return Decision{Reason: c.kind, RetryAfter: c.assignRetryAfter(now, c.maxRetryAfter, keyHash)}
 }
 
-// RecordRejection counts a rejection by package control, with its pause, and returns the pause that the client is given: in an overload a
-// different one for each request.
+// RecordRejection counts a rejection by package control with its retry delay, and returns the delay that the client is
+// given: in an overload a different one for each request.
 func (c *Controller) RecordRejection(now, retryAfter control.Micros, keyHash uint64) control.Micros {
 	c.advance(now)
 	if c.kind == None || retryAfter == 0 {
@@ -97,8 +97,9 @@
 	return c.assignRetryAfter(now, retryAfter, keyHash)
 }
 
-// assignRetryAfter counts a rejection and draws its pause from the later half of the longest one, so that requests that were rejected
-// together don't return together. The time is remembered for requests with an idempotency key.
+// assignRetryAfter counts a rejection and draws its retry delay from the upper half of the longest delay, so that
+// requests that were rejected together do not return together. The retry time of a request with an idempotency key is
+// remembered.
 func (c *Controller) assignRetryAfter(now, longest control.Micros, keyHash uint64) control.Micros {
 	c.window.current.rejected++
 	pause := max(1, longest/2+control.Micros(c.random.Int64N(max(1, int64(longest/2)))))
@@ -114,7 +115,7 @@
 	return pause
 }
 
-// pruneRetryTimes forgets the rejected requests whose time to return has passed.
+// pruneRetryTimes deletes the retry times that have passed.
 func (c *Controller) pruneRetryTimes(now control.Micros) {
 	for keyHash, at := range c.retryAt {
 		if at < now {
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// Rejected requests are given pauses that spread out, within what clients heed.
+// The retry delays of rejected requests are spread out, within the longest delay that clients respect.
 func TestPausesSpread(t *testing.T) {
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
@@ -31,7 +31,8 @@
 	}
 }
 
-// A retry after its pause is admitted; one that comes too early, marked as a retry or not, is given the same time again.
+// A retry after its delay is admitted; one that comes too early, marked as a retry or not, is given the same time
+// again.
 func TestPauseIsHonoured(t *testing.T) {
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
--- a/internal/overload/baseline.go
+++ b/internal/overload/baseline.go
@@ -4,14 +4,14 @@
 	"hollymast/control"
 )
 
-// baselineIntervals is the time over which the baseline is averaged: a minute.
+// baselineIntervals is the number of intervals over which the baseline is averaged: one minute.
 const baselineIntervals = 600
 
-// baseline is the usual traffic, a mean over the last minute without overload.
+// baseline is the usual traffic: a mean over the last minute without overload.
 type baseline struct {
 	firstAttempts float64 // per second
 	connections   float64 // per second
-	intervals     int     // that the mean rests on, baselineIntervals at most
+	intervals     int     // that the mean is based on, baselineIntervals at most
 }
 
 func (b *baseline) update(lastSecond counters) {
@@ -20,31 +20,32 @@
 	b.connections += (lastSecond.connections - b.connections) / float64(b.intervals)
 }
 
-// updateBaseline takes in the last second. An overload is not learned: it must not become usual.
+// updateBaseline adds the last second to the baseline, except during an overload, which must not become the usual
+// traffic.
 func (c *Controller) updateBaseline() {
 	if c.kind == None {
 		c.baseline.update(c.window.lastSecond())
 	}
 }
 
-// Baseline is what outlasts a restart, so that a router that starts during an overload knows the usual traffic. It is stored: the tags
-// must not change.
+// Baseline is the state that survives a restart, so that a router that starts during an overload knows the usual
+// traffic. It is stored: the tags must not change.
 type Baseline struct {
 	FirstAttempts float64 `cbor:"First"`       // per second
 	Connections   float64 `cbor:"Connections"` // per second
-	Kind          Kind    `cbor:"Storm"`       // of the overload at the time
+	Kind          Kind    `cbor:"Storm"`       // of the overload when it was stored
 }
 
-// Baseline returns what Restore takes.
+// Baseline returns the state that is stored for Restore.
 func (c *Controller) Baseline() Baseline {
 	return Baseline{FirstAttempts: c.baseline.firstAttempts, Connections: c.baseline.connections, Kind: c.kind}
 }
 
-// maxRestoreAge is the age up to which a stored overload is taken for one that still goes on: a restart takes seconds.
+// maxRestoreAge is the age up to which a stored overload is assumed to continue: a restart takes seconds.
 const maxRestoreAge = control.Micros(30_000_000)
 
-// Restore sets the baseline at a router's start; age is the time since it was stored. A recent overload goes on until its conditions no
-// longer hold.
+// Restore sets the baseline when a router starts; age is the time since it was stored. A recent overload continues
+// until its conditions no longer hold.
 func (c *Controller) Restore(now control.Micros, stored Baseline, age control.Micros) {
 	c.baseline = baseline{firstAttempts: stored.FirstAttempts, connections: stored.Connections, intervals: baselineIntervals}
 	if stored.Kind != None && age < maxRestoreAge {
--- a/internal/overload/baseline_test.go
+++ b/internal/overload/baseline_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// An overload's traffic does not become the baseline.
+// The traffic of an overload does not become part of the baseline.
 func TestOverloadIsNotLearned(t *testing.T) {
 	c, now := newCalmController(t)
 	before := c.baseline.firstAttempts
@@ -14,14 +14,15 @@
 	}
 }
 
-// A router that starts soon after an overload was stored goes on with it; an old one is forgotten. The baseline is restored either way.
+// A stored overload continues after a restart if it is recent, and is dropped if it is old. The baseline is restored in
+// either case.
 func TestRestore(t *testing.T) {
 	c, now := newCalmController(t)
 	c.RecordStall(now, 2000*ms)
 	fresh := NewController(1, nil, nil, 2_000_000, 1)
 	fresh.Restore(1, c.Baseline(), maxRestoreAge)
 	if fresh.Kind() != None {
-		t.Error("an old overload goes on")
+		t.Error("an old overload continues")
 	}
 	fresh.Restore(1, c.Baseline(), maxRestoreAge/10)
 	if fresh.Kind() != AfterStall || fresh.baseline.firstAttempts == 0 {
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -1,9 +1,9 @@
-// Package overload detects overloads that clients make worse by retrying, tells their kind, and controls admission while they last: which
-// requests are admitted, and when the rejected ones should return. It is free of I/O and clocks; randomness comes from a seeded
-// generator. What becomes of an admitted request is decided by package control.
+// Package overload detects overloads that clients make worse by retrying, determines their kind, and controls admission
+// while they last: which requests are admitted, and when the rejected ones should return. It does no I/O and reads no
+// clock; randomness comes from a seeded generator. Package control decides about admitted requests.
 //
-// Growing demand is no overload of this sort: first attempts alone never make one. It takes retries of requests that failed, all at the
-// same time.
+// Growing demand is not such an overload: first attempts alone never cause one. It takes many simultaneous retries of
+// failed requests.
 package overload
 
 import (
@@ -15,7 +15,7 @@
 
 // Controller is one router's admission control. It is not safe for concurrent use.
 type Controller struct {
-	quotas        []float64 // of tenants at this router, requests per second
+	quotas        []float64 // of the tenants at this router, requests per second
 	maxRetryAfter control.Micros
 	random        *rand.Rand
 	window        window
@@ -23,18 +23,18 @@
 
 	kind       Kind
 	since      control.Micros // when the overload began
-	quietSince control.Micros // since when no condition of an overload holds; 0: one holds, or there is no overload
+	quietSince control.Micros // since when no overload condition holds; 0 if one holds or there is no overload
 
-	retryAt  map[uint64]control.Micros // when rejected requests may return, by the hash of their idempotency key
+	retryAt  map[uint64]control.Micros // when rejected requests may be retried, by the hash of their idempotency key
 	tenants  map[control.TenantID]*tenantState
 	shedder  shedder
 	logLines []string
 }
 
-// NewController returns a controller that has no baseline yet. Quotas are the tenants' requests per second at this router alone,
-// priorities those of all classes, and maxRetryAfter is the longest pause that clients heed.
+// NewController returns a controller without a baseline. quotas are the tenants' requests per second at this router
+// alone, priorities those of all classes, and maxRetryAfter is the longest retry delay that clients respect.
 func NewController(now control.Micros, quotas, priorities []float64, maxRetryAfter control.Micros, seed uint64) *Controller {
-	const stream = 0x570 // the generator's second seed: overload's numbers differ from those of others with the same seed
+	const stream = 0x570 // the generator's second seed, so that its numbers differ from those of other packages with the same seed
 	return &Controller{
 		quotas:        quotas,
 		maxRetryAfter: maxRetryAfter,
@@ -46,7 +46,7 @@
 	}
 }
 
-// advance ends the intervals that are over, and looks for an overload at the end of each.
+// advance ends the intervals that have passed, and looks for an overload at the end of each.
 func (c *Controller) advance(now control.Micros) {
 	for n := 0; now >= c.window.currentSince+interval; n++ {
 		if n > maxCatchUp {
@@ -60,8 +60,8 @@
 	}
 }
 
-// updateShedder sets how much the shedder holds back in the next interval. It holds back nothing in an overload that is one tenant's, for
-// which the others must not pay, nor in one that is made of connections.
+// updateShedder sets how much the shedder rejects in the next interval: nothing in an overload that one tenant causes,
+// which must not affect the others, nor in one that consists of connections.
 func (c *Controller) updateShedder() {
 	switch {
 	case c.kind == None || c.kind == ConnectionStorm || c.kind == TenantStorm:
@@ -73,7 +73,7 @@
 	}
 }
 
-// RecordAnswer counts a request that was answered with success.
+// RecordAnswer counts a request that was answered successfully.
 func (c *Controller) RecordAnswer(now control.Micros) {
 	c.advance(now)
 	c.window.current.answered++
@@ -88,7 +88,8 @@
 // minStall is the shortest stall that clients notice.
 const minStall = control.Micros(500_000)
 
-// RecordStall handles a stall of this process, which has just ended. Events that came meanwhile are no rate and are not counted.
+// RecordStall handles a stall of this process that has just ended. The events of its current interval are not counted,
+// since events that arrived during the stall show no rate.
 func (c *Controller) RecordStall(now, duration control.Micros) {
 	if duration < minStall {
 		return
--- a/internal/overload/controller_test.go
+++ b/internal/overload/controller_test.go
@@ -8,13 +8,13 @@
 
 const ms = control.Micros(1000)
 
-// traffic is what simulate plays, per second.
+// traffic is the load that simulate generates, per second.
 type traffic struct{ firstAttempts, retries, answers int }
 
-// admitted counts what a controller admitted.
+// admitted counts the requests that a controller admitted.
 type admitted struct{ firstAttempts, retries int }
 
-// simulate plays traffic of one tenant for some time, and returns the time at its end.
+// simulate generates traffic of one tenant for a duration, and returns the time at its end and the admitted requests.
 func simulate(c *Controller, now, duration control.Micros, rates traffic) (end control.Micros, got admitted) {
 	due := func(perSecond int, step control.Micros) bool {
 		return perSecond > 0 && step%(1000/control.Micros(perSecond)) == 0
@@ -45,7 +45,7 @@
 	return c, now
 }
 
-// A retry storm is detected within a second, is damped to what servers bear, and ends with its retries.
+// A retry storm is detected within a second, is limited to what the servers can handle, and ends when its retries do.
 func TestRetryStorm(t *testing.T) {
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
@@ -64,7 +64,7 @@
 	}
 }
 
-// Demand that grows, however much, is no overload, and all of it is admitted.
+// Growing demand, however large, is not an overload, and all of it is admitted.
 func TestGrowingDemandIsAdmitted(t *testing.T) {
 	c, now := newCalmController(t)
 	for _, rate := range []int{200, 500, 1000} {
@@ -80,7 +80,7 @@
 	c, now := newCalmController(t)
 	c.RecordStall(now, 100*ms)
 	if c.Kind() != None {
-		t.Error("a stall that nobody notices is an overload")
+		t.Error("a stall that is too short for clients to notice is an overload")
 	}
 	c.RecordStall(now, 2000*ms)
 	if c.Kind() != AfterStall {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Connections that are opened all at once are an overload, compared with the usual number.
+// Many connections that are opened at once, compared with the usual number, are an overload.
 func TestConnectionStorm(t *testing.T) {
 	c, now := newCalmController(t)
 	for i := range control.Micros(20_000) {
--- a/internal/overload/detection.go
+++ b/internal/overload/detection.go
@@ -6,16 +6,17 @@
 
 // The conditions of an overload, over the last second.
 const (
-	minRequests      = 30.0 // with fewer there is nothing to be overloaded by
-	minRetryShare    = 0.35 // of requests; with three attempts each and no fault it is a few hundredths
-	baselineFactor   = 1.5  // all requests to the usual first attempts, or to the answers
+	minRequests      = 30.0 // fewer cannot overload anything
+	minRetryShare    = 0.35 // of all requests; without faults it is a few percent, with three attempts each
+	baselineFactor   = 1.5  // ratio of all requests to the usual first attempts, and to the answers
 	minConnections   = 50.0 // opened
-	connectionFactor = 5.0  // connections opened to the usual ones
-	dominantShare    = 0.6  // of the retries that one tenant makes, to be the only cause
-	recoveryFactor   = 2.0  // answers to rejections, to be a recovery
+	connectionFactor = 5.0  // ratio of opened connections to the usual ones
+	dominantShare    = 0.6  // of the retries, for one tenant to be the only cause
+	recoveryFactor   = 2.0  // ratio of answers to rejections for a recovery
 )
 
-// quietPeriod is how long no condition may hold before an overload has ended: longer than clients pause between two attempts.
+// quietPeriod is how long no condition may hold before an overload has ended. It is longer than clients wait between
+// two attempts.
 const quietPeriod = control.Micros(2_000_000)
 
 // classify begins an overload, changes its kind, or ends it.
--- a/internal/overload/shedder.go
+++ b/internal/overload/shedder.go
@@ -9,25 +9,27 @@
 	"hollymast/control"
 )
 
-// shedder sheds load by priority: it holds back the least important functions while too much of what is admitted stays unanswered. The
-// highest priority is never held back.
+// shedder sheds load by priority: it rejects requests for the least important functions while too many of the admitted
+// requests remain unanswered. The highest priority is never shed.
 type shedder struct {
-	priorities []float64 // ascending, each once
-	level      float64   // priorities of a lower rank are held back; the one at it, by the fraction
+	priorities []float64 // ascending, without duplicates
+	level      float64   // priorities of lower rank are shed, the one at this rank by the fraction
 }
 
-// The steps of the level, in ranks per interval. It rises by a rank a second, about as fast as a storm, and falls more slowly, so that it
-// settles instead of oscillating.
+// The changes of the level, in ranks per interval. It rises by one rank per second, about as fast as a storm, and falls
+// more slowly, so that it settles instead of oscillating.
 const (
 	raiseStep = 0.1
 	lowerStep = 0.03
 )
 
-// admittedShare of the functions of a priority that is held back are admitted nevertheless: that keeps instances of them loaded.
+// admittedShare is the share of the functions of a shed priority that are admitted nevertheless, which keeps instances
+// of them loaded.
 const admittedShare = 0.25
 
-// rotationPeriod is how long the same functions are held back: as long as a few loads take, and longer than clients pause, so that an
-// immediate retry meets the same answer. Functions are chosen, not requests, so that fewer instances do more of the work.
+// rotationPeriod is how long the same functions are shed: as long as a few loads take, and longer than clients wait, so
+// that an immediate retry gets the same result. Functions are selected, not requests, so that fewer instances do more
+// of the work.
 const rotationPeriod = control.Micros(2_000_000)
 
 func newShedder(priorities []float64) shedder {
@@ -45,8 +47,9 @@
 
 func (s *shedder) lower() { s.level = max(0, s.level-lowerStep) }
 
-// sheds reports whether requests for a function are held back now. The choice depends on the function and the time alone, so that all
-// routers hold back the same functions at about the same time, and what is admitted finds its instances loaded.
+// sheds reports whether requests for a function are rejected now. The selection depends on the function and the time
+// only, so that all routers shed the same functions at about the same time, and admitted requests find their instances
+// loaded.
 func (s *shedder) sheds(now control.Micros, priority float64, function control.FunctionID) bool {
 	rank, _ := slices.BinarySearch(s.priorities, priority)
 	share := min(1, s.level-float64(rank)) * (1 - admittedShare)
--- a/internal/overload/shedder_test.go
+++ b/internal/overload/shedder_test.go
@@ -6,8 +6,8 @@
 	"hollymast/control"
 )
 
-// simulatePriorities plays 200 requests a second of each of two priorities, for 40 functions, beside the retries and answers of the
-// rates, and returns how many of the low and the high priority were admitted.
+// simulatePriorities generates 200 requests per second for each of two priorities and 40 functions, as well as retries
+// and answers per second as given, and returns how many requests of low and of high priority were admitted.
 func simulatePriorities(c *Controller, now control.Micros, seconds, retries, answers int) (end control.Micros, low, high int) {
 	for step := range control.Micros(seconds) * 1000 {
 		at := now + step*ms
@@ -27,8 +27,8 @@
 	return now + control.Micros(seconds)*1000*ms, low, high
 }
 
-// While too much of what is admitted stays unanswered the low priority is held back, but for a part; the high one never is. The low one is
-// admitted again once answers come, and all of it after the overload.
+// While too many admitted requests remain unanswered, part of the low priority is admitted and all of the high one.
+// More of the low one is admitted once answers arrive, and all of it after the overload.
 func TestLowPriorityIsShed(t *testing.T) {
 	const (
 		retrying = 500 // retries a second
@@ -53,8 +53,8 @@
 	}
 }
 
-// The choice depends on the function and the time alone, so an immediate retry meets the same answer, and each function is admitted at
-// times.
+// The selection depends on the function and the time only, so an immediate retry gets the same result, and each
+// function is admitted some of the time.
 func TestShedFunctionsRotate(t *testing.T) {
 	s := newShedder([]float64{1, 3, 1})
 	s.level = 1
@@ -64,14 +64,14 @@
 			begin := rotation * rotationPeriod
 			sheds := s.sheds(begin, 1, f)
 			if sheds != s.sheds(begin+rotationPeriod-1, 1, f) || s.sheds(begin, 3, f) {
-				t.Fatal("not the same within a rotation, or the highest priority is held back")
+				t.Fatal("not the same within a rotation, or the highest priority is shed")
 			}
 			if sheds {
 				shed++
 			}
 		}
-		if shed < 55 || shed > 92 { // three quarters are meant
-			t.Errorf("function %d is held back in %d rotations of 100", f, shed)
+		if shed < 55 || shed > 92 { // three quarters are expected
+			t.Errorf("function %d is shed in %d rotations of 100", f, shed)
 		}
 	}
 }
--- a/internal/overload/tenants.go
+++ b/internal/overload/tenants.go
@@ -6,19 +6,19 @@
 	"hollymast/control"
 )
 
-// maxTenants bounds the tenants that are counted apart; all others share one state.
+// maxTenants is the number of tenants that are counted separately; all others share one state.
 const maxTenants = 1000
 
 // otherTenants is the key of the state that tenants beyond maxTenants share.
 const otherTenants = ^control.TenantID(0)
 
-// tenantState is what is known of one tenant.
+// tenantState is the state of one tenant.
 type tenantState struct {
-	retries   float64 // recent ones, halved each second
+	retries   float64 // recent retries, halved each second
 	decayedAt control.Micros
 
-	requests [shortageIntervals]float64 // by interval, the one under way among them
-	interval control.Micros             // number of the one under way
+	requests [shortageIntervals]float64 // by interval, including the current one
+	interval control.Micros             // number of the current interval
 
 	retryTokens float64 // retry budget in an overload
 
@@ -27,7 +27,7 @@
 	refilledAt  control.Micros
 }
 
-// tenant returns a tenant's state, which it creates at the tenant's first request.
+// tenant returns a tenant's state, which is created at the tenant's first request.
 func (c *Controller) tenant(now control.Micros, id control.TenantID) *tenantState {
 	t := c.tenants[id]
 	if t == nil {
@@ -44,7 +44,7 @@
 	return t
 }
 
-// Below minRetries the retries of a tenant count as none.
+// A tenant's retries below minRetries count as none.
 const (
 	retryHalfLife = control.Micros(1_000_000)
 	minRetries    = 0.01
@@ -60,7 +60,7 @@
 	}
 }
 
-// dominantRetryShare is the share of the recent retries that the tenant with the most of them made.
+// dominantRetryShare returns the share of the recent retries that come from the tenant with the most retries.
 func (c *Controller) dominantRetryShare(now control.Micros) float64 {
 	most, all := 0.0, 0.0
 	for _, t := range c.tenants {
@@ -79,7 +79,7 @@
 	t.requests[t.interval%shortageIntervals]++
 }
 
-// recentRequests returns the number of requests in the last half second, with the interval under way.
+// recentRequests returns the number of requests in the last half second, including the current interval.
 func (t *tenantState) recentRequests(now control.Micros) (sum float64) {
 	t.advance(now)
 	for _, n := range t.requests {
@@ -99,15 +99,16 @@
 	}
 }
 
-// A tenant is over quota at twice its quota, which is more than a usual day's ups and downs, and three standard deviations of a Poisson
-// count, which is more than the chance of half a second.
+// A tenant is over quota if it exceeds twice its quota, which is more than the usual variation within a day, by three
+// standard deviations of a Poisson count, which is more than the random variation within half a second.
 const (
 	quotaFactor     = 2.0
 	quotaDeviations = 3.0
 )
 
-// updateOverQuota marks the tenants that ask for far more than their quota while capacity is short, whether or not their requests are
-// marked as retries, and reports whether there are any. A tenant is no longer over quota once it is within it.
+// updateOverQuota marks the tenants that send far more requests than their quota while capacity is short, whether or
+// not the requests are marked as retries, and reports whether there are any. A tenant is no longer over quota once its
+// requests are within the quota.
 func (c *Controller) updateOverQuota(now control.Micros) bool {
 	short, found := c.window.capacityShort(), false
 	for id, t := range c.tenants {
@@ -128,10 +129,10 @@
 	return found
 }
 
-// quotaBurst is the quota, in seconds of it, that a tenant over quota may use at once.
+// quotaBurst is the part of its quota, in seconds, that a tenant over quota may use at once.
 const quotaBurst = 0.5
 
-// takeQuotaToken reports whether a request of a tenant over quota is within the quota, and charges it.
+// takeQuotaToken reports whether a request of a tenant over quota is within the quota, and if so charges it.
 func (c *Controller) takeQuotaToken(now control.Micros, id control.TenantID, t *tenantState) bool {
 	quota := c.quotas[id]
 	t.quotaTokens = min(max(1, quotaBurst*quota), t.quotaTokens+quota*float64(now-t.refilledAt)/1e6)
--- a/internal/overload/tenants_test.go
+++ b/internal/overload/tenants_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// While one tenant retries the others lose nothing.
+// While one tenant retries, the requests of the others are admitted.
 func TestRetriesOfOneTenant(t *testing.T) {
 	c, now := newCalmController(t)
 	admitted, requests := 0, 0
@@ -26,7 +26,7 @@
 	}
 }
 
-// tenantLoad is what the second tenant does, beside the first one's hundred requests a second.
+// tenantLoad is the load of the second tenant; the first one sends a hundred requests per second.
 type tenantLoad int
 
 const (
@@ -35,7 +35,7 @@
 	rejected            // as many, half of them rejected
 )
 
-// simulateTenants plays the traffic of two tenants, and returns how many requests of each were admitted.
+// simulateTenants generates the traffic of two tenants, and returns how many requests of each were admitted.
 func simulateTenants(c *Controller, now, duration control.Micros, second tenantLoad) (end control.Micros, admitted [2]int) {
 	for step := range duration / ms {
 		at := now + step*ms
@@ -54,8 +54,9 @@
 	return now + duration, admitted
 }
 
-// A tenant that asks for far more than its quota while capacity is short gets its quota, though all its requests look like first
-// attempts; the others lose nothing, and it is over quota no longer once it is within it. Without shortage no quota counts.
+// A tenant that sends far more than its quota while capacity is short is limited to its quota, even if all its requests
+// look like first attempts; the other tenants are not affected, and the limit ends once the tenant is within its quota.
+// Without a shortage quotas do not apply.
 func TestTenantOverQuota(t *testing.T) {
 	c, now := newCalmController(t)
 	c.quotas = []float64{200, 20}
@@ -70,6 +71,6 @@
 	}
 	simulateTenants(c, now, 10_000*ms, idle)
 	if c.Kind() != None || c.tenants[1].overQuota {
-		t.Errorf("%s goes on", c.Kind())
+		t.Errorf("%s continues", c.Kind())
 	}
 }
--- a/internal/overload/window.go
+++ b/internal/overload/window.go
@@ -4,8 +4,8 @@
 	"hollymast/control"
 )
 
-// The window of observation and its intervals: retries without a pause show within one interval, and a second tells a storm from a
-// burst.
+// The observation window and its intervals: retries without a delay show within one interval, and a second is enough to
+// distinguish a storm from a burst.
 const (
 	interval        = control.Micros(100_000)
 	windowIntervals = 10
@@ -14,8 +14,9 @@
 // maxCatchUp is the number of intervals without any event after which the window is cleared instead of advanced one by one.
 const maxCatchUp = 2 * windowIntervals
 
-// Capacity is short where at least this share of the last half second's requests was rejected or is still unanswered. Rejections alone
-// would show it too late: they begin only when a request can't meet its deadline, with everything that came before it already queued.
+// Capacity is short if at least this share of the requests of the last half second was rejected or is still unanswered.
+// Rejections alone would show it too late: they begin only when a request cannot meet its deadline, when everything
+// that came before it is already queued.
 const (
 	shortageShare     = 0.2
 	shortageIntervals = 5
@@ -26,10 +27,10 @@
 	firstAttempts, retries, admitted, answered, rejected, connections float64
 }
 
-// requests is the number of requests that arrived.
+// requests returns the number of requests that arrived.
 func (c *counters) requests() float64 { return c.firstAttempts + c.retries }
 
-// window counts the events of the last second and of the interval under way.
+// window counts the events of the last second and of the current interval.
 type window struct {
 	past         [windowIntervals]counters
 	oldest       int // index into past
@@ -45,15 +46,15 @@
 	w.currentSince += interval
 }
 
-// clear forgets all events.
+// clear discards all events.
 func (w *window) clear(now control.Micros) { *w = window{currentSince: now} }
 
-// restartInterval forgets the events of the interval under way and begins it anew.
+// restartInterval discards the events of the current interval and starts it again.
 func (w *window) restartInterval(now control.Micros) {
 	w.currentSince, w.current = now, counters{}
 }
 
-// lastSecond sums the last second, without the interval under way. Admitted requests are not summed.
+// lastSecond sums the last second, without the current interval. Admitted requests are not summed.
 func (w *window) lastSecond() (sum counters) {
 	for _, c := range w.past {
 		sum.firstAttempts += c.firstAttempts
@@ -65,7 +66,7 @@
 	return sum
 }
 
-// lastHalfSecond sums the requests and answers of the last half second, without the interval under way.
+// lastHalfSecond sums the requests and answers of the last half second, without the current interval.
 func (w *window) lastHalfSecond() (sum counters) {
 	for i := range shortageIntervals {
 		c := w.past[(w.oldest+windowIntervals-1-i)%windowIntervals]
