--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs the balancer on the simulator's frames, from standard input to standard output.
+// Command simadapter runs the balancer in the simulator, with which it exchanges frames over standard input and output.
 package main
 
 import (
--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -1,5 +1,5 @@
-// Package binframe implements the model servers' protocol: binary frames, read and written within bounds. The
-// names and codes on the wire are known here only.
+// Package binframe implements the model servers' protocol: binary frames, read and written with limits on all lengths.
+// Only this package knows the names and codes on the wire.
 package binframe
 
 import (
@@ -41,18 +41,18 @@
 // MaxBody is the largest body of an answer, in bytes: many times that of a request.
 const MaxBody = 1 << 20
 
-// Attempt is what a server is sent of one attempt. Class, Function, IdempotencyKey and Body are as the client
-// sent them.
+// Attempt is what is sent to a server for one attempt. Class, Function, IdempotencyKey and Body are as the client sent
+// them.
 type Attempt struct {
 	ID             ID
 	Class          string
 	Function       string
-	IdempotencyKey string // empty: none
+	IdempotencyKey string // empty if there is none
 	Timeout        control.Micros
 	Body           []byte
 }
 
-// Frame returns the frame on the wire.
+// Frame returns the attempt as an encoded frame.
 func (a *Attempt) Frame() []byte {
 	var fields strings.Builder
 	fields.WriteString("profile=")
@@ -70,20 +70,20 @@
 
 // Size returns an upper bound of the length of Frame, in bytes.
 func (a *Attempt) Size() int {
-	const namesAndTimeout = 64 // the fields' names, and the longest time in milliseconds
+	const namesAndTimeout = 64 // the fields' names, and the longest timeout in milliseconds
 	return headerLength + namesAndTimeout + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checksumLength
 }
 
 // CancelFrame returns the frame that cancels an attempt.
 func CancelFrame(id ID) []byte { return encodeFrame(codeCancel, id, "", nil) }
 
-// LoadFrame returns the frame of a load command for a number of replicas; with 0 it only asks how many there
+// LoadFrame returns the frame of a load command for a number of replicas; with 0 replicas it only asks how many there
 // are.
 func LoadFrame(id ID, function control.FunctionID, replicas int) []byte {
 	return encodeFrame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
 }
 
-// encodeFrame returns a frame: header, fields, body and the CRC-32 of the latter two.
+// encodeFrame returns a frame: header, fields, body, and the CRC-32 of fields and body.
 func encodeFrame(code byte, id ID, fields string, body []byte) []byte {
 	b := make([]byte, 0, headerLength+len(fields)+len(body)+checksumLength)
 	b = append(b, magicToServer, code)
@@ -99,13 +99,13 @@
 	ID          ID
 	Result      control.Result
 	CacheStatus control.CacheStatus
-	Replicas    int                // loaded, in the answer to a load command; -1: not specified
-	Reports     map[string]float64 // by the simulator's names; nil: none
+	Replicas    int                // number loaded, in the answer to a load command; -1 if not specified
+	Reports     map[string]float64 // by the simulator's names; nil if there are none
 	Body        []byte
-	Probe       bool // answers neither an attempt nor a load command
+	Probe       bool // neither the answer to an attempt nor to a load command
 }
 
-// Errors of an invalid answer: nothing that follows on its connection can be read.
+// Errors of an invalid answer, after which nothing on its connection can be read.
 var (
 	ErrMagic    = errors.New("wrong magic byte")
 	ErrCode     = errors.New("unknown answer code")
@@ -121,8 +121,8 @@
 	"boot_error": control.CacheLoadFailed,
 }
 
-// Read reads one answer. It calls begun when the first byte has arrived. Its error is one of the above or that
-// of the stream.
+// Read reads one answer. It calls onFirstByte when the first byte has arrived. Its error is one of the above or that of
+// the stream.
 func Read(r *bufio.Reader, onFirstByte func()) (*Answer, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
@@ -172,8 +172,7 @@
 	return a, nil
 }
 
-// readChunked reads n bytes. It guards against a claimed length that is never sent: memory is allocated as the bytes
-// arrive.
+// readChunked reads n bytes. It allocates memory as the bytes arrive, since a claimed length may never be sent.
 func readChunked(r *bufio.Reader, n int) ([]byte, error) {
 	const chunk = 32 << 10 // more than the longest request body and its fields
 	b := make([]byte, min(n, chunk))
--- a/internal/binframe/binframe_test.go
+++ b/internal/binframe/binframe_test.go
@@ -12,7 +12,7 @@
 	"hollymast/control"
 )
 
-// encodeAnswer returns a server's frame.
+// encodeAnswer encodes a server's answer.
 func encodeAnswer(code byte, id uint64, fields string, body []byte) []byte {
 	b := []byte{magicToRouter, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
@@ -86,7 +86,7 @@
 	}
 }
 
-// A claimed length allocates little more than what arrives.
+// A large claimed length allocates little more than the bytes that arrive.
 func TestClaimedLengthCostsLittle(t *testing.T) {
 	truncated := encodeAnswer(codeOK, 7, "", nil)
 	binary.BigEndian.PutUint32(truncated[4:], MaxBody)
@@ -97,7 +97,7 @@
 		}
 	})
 	if r.AllocedBytesPerOp() > 64<<10 {
-		t.Errorf("%d bytes for a header", r.AllocedBytesPerOp())
+		t.Errorf("%d bytes were allocated for a header", r.AllocedBytesPerOp())
 	}
 }
 
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -1,6 +1,5 @@
-// Package msgrpc implements the clients' protocol: MessagePack-RPC messages, read and written within bounds. The
-// names on the wire are known here only. Every length is checked against its bound before anything is allocated
-// for it.
+// Package msgrpc implements the clients' protocol: MessagePack-RPC messages, read and written with limits on all
+// lengths, which are checked before anything is allocated. Only this package knows the names on the wire.
 package msgrpc
 
 import (
@@ -23,7 +22,7 @@
 // MaxBody is the largest request body, in bytes.
 const MaxBody = 16 << 10
 
-// Bounds on what is not the body: several times what the fields of a request need.
+// Limits on everything but the body: several times what the fields of a request need.
 const (
 	maxFields = 32
 	maxName   = 64
@@ -37,7 +36,7 @@
 const (
 	Call        Kind = iota // a request
 	Cancel                  // the client no longer waits for the response to Number
-	HealthCheck             // does this router accept requests?
+	HealthCheck             // asks whether this router accepts requests
 )
 
 // Message is one complete message of a client.
@@ -47,8 +46,7 @@
 	Request Request // of a Call
 }
 
-// Request is a request as the client sent it. Names are not checked: whether they are known is for the caller to
-// say.
+// Request is a request as the client sent it. Names are not checked: the caller decides whether they are known.
 type Request struct {
 	ID             control.RequestID
 	Class          string
@@ -56,8 +54,8 @@
 	Function       string // 16 hex digits
 	Timeout        control.Micros
 	IsRetry        bool
-	IdempotencyKey string // 32 hex digits; empty: none
-	Lanes          int    // 0: not specified
+	IdempotencyKey string // 32 hex digits; empty if there is none
+	Lanes          int    // 0 if not specified
 	MemoryMB       float64
 	LoadTime       control.Micros
 	Work           control.Micros
@@ -70,15 +68,15 @@
 	return control.FunctionID(id)
 }
 
-// MessageError is the error of a message that can't be accepted.
+// MessageError is the error of a message that cannot be accepted.
 type MessageError struct {
 	Number     uint32
-	Answerable bool // Number is known: the fault can be answered
+	Answerable bool // Number is known, so that the error can be answered
 	Unreadable bool // nothing that follows on the connection can be read
 	Text       string
 }
 
-// Error returns the text that the client is sent.
+// Error returns the text that is sent to the client.
 func (e *MessageError) Error() string { return e.Text }
 
 // Reader reads a client's messages. It is not safe for concurrent use.
@@ -89,7 +87,7 @@
 
 // NewReader returns a reader of a stream.
 func NewReader(in io.Reader) *Reader {
-	br := bufio.NewReaderSize(in, 2<<10) // a message with a small body; many connections are idle
+	br := bufio.NewReaderSize(in, 2<<10) // fits a message with a small body; no more, since many connections are idle
 	return &Reader{in: br, dec: msgpack.NewDecoder(br)}
 }
 
@@ -99,10 +97,10 @@
 	return err
 }
 
-// Buffered reports whether some of the next message has arrived already.
+// Buffered reports whether part of the next message has arrived already.
 func (r *Reader) Buffered() bool { return r.in.Buffered() > 0 }
 
-// Read reads one message. Its error is a *Fault or that of the stream.
+// Read reads one message. Its error is a *MessageError or that of the stream.
 func (r *Reader) Read() (*Message, error) {
 	m := &Message{}
 	if msgErr, err := r.readMessage(m); msgErr != nil {
@@ -116,8 +114,8 @@
 	return m, nil
 }
 
-// readMessage reads one message into m. If it can't be accepted the fault is not nil, and err is what caused it,
-// if that is an error.
+// readMessage reads one message into m. If the message cannot be accepted, it returns a MessageError and the error that
+// caused it, if there is one.
 func (r *Reader) readMessage(m *Message) (*MessageError, error) {
 	n, err := r.readArrayLength()
 	if err != nil || n != 3 && n != 4 {
@@ -143,7 +141,7 @@
 	return unreadable("unknown kind of message"), nil
 }
 
-// unreadable returns a fault after which nothing that follows on the connection can be read.
+// unreadable returns an error after which nothing on the connection can be read.
 func unreadable(text string) *MessageError { return &MessageError{Unreadable: true, Text: text} }
 
 // readCall reads the method and parameters of a call.
@@ -172,13 +170,13 @@
 		return unreadable("body: " + err.Error()), err
 	}
 	if text := m.Request.setFields(method, fields); text != "" {
-		return &MessageError{Text: text}, nil // the message was read to its end: what follows can be read
+		return &MessageError{Text: text}, nil // the whole message was read, so the next one can be read
 	}
 	m.Request.Body = body
 	return nil, nil
 }
 
-// readNotification reads the method and parameter of a notification; the one there is cancels a request.
+// readNotification reads the method and parameter of a notification. The only known one cancels a request.
 func (r *Reader) readNotification(m *Message) (*MessageError, error) {
 	method, err := r.readString(maxName)
 	if err != nil || method != "forget" {
@@ -208,7 +206,7 @@
 	return c, nil
 }
 
-// readLength reads a length if the next value's code fits; what names the form expected in the error.
+// readLength reads a length if the code of the next value fits; what names the expected type in the error.
 func (r *Reader) readLength(fits func(byte) bool, read func() (int, error), what string) (int, error) {
 	c, err := r.peekCode()
 	if err != nil {
@@ -294,7 +292,8 @@
 	return fields, nil
 }
 
-// setFields sets the request from the fields of a call; fault is what is wrong with them, or empty.
+// setFields sets the request from the fields of a call. It returns a description of the first invalid field, or an
+// empty string.
 func (r *Request) setFields(method string, fields map[string]string) (fault string) {
 	r.Class, r.Tenant, r.Function, r.IdempotencyKey = method, fields["project"], fields["lookup"], fields["replay"]
 	id, err := strconv.ParseUint(fields["ref"], 16, 64)
@@ -351,24 +350,24 @@
 	return err == nil
 }
 
-// parseDecimal parses a plain decimal number: no sign, no exponent, no name such as NaN, and of at most 20 characters.
+// parseDecimal parses a plain decimal number without sign, exponent or names such as NaN, of at most 20 characters.
 func parseDecimal(s string) (float64, bool) {
 	const maxLength = 20
 	if s == "" || len(s) > maxLength || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v < 1e12 // an hour in microseconds is 4e9; more means nothing here
+	return v, err == nil && v < 1e12 // an hour in microseconds is 4e9, so no valid value is larger
 }
 
-// The words of a response without a result.
+// The error words of responses.
 const (
 	wordRejected = "TryLater"
 	wordFailed   = "Aborted"
 	wordInvalid  = "Invalid"
 )
 
-// EncodeSuccess returns the response with a server's body.
+// EncodeSuccess returns the encoded response with a server's body.
 func EncodeSuccess(number uint32, body []byte) []byte {
 	return response(number, len(body), func(e *msgpack.Encoder) {
 		e.EncodeNil()
@@ -378,7 +377,8 @@
 	})
 }
 
-// EncodeRejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
+// EncodeRejection returns the encoded response that a retry is harmless, after retryAfter microseconds if that is
+// positive.
 func EncodeRejection(number uint32, retryAfter control.Micros) []byte {
 	if retryAfter <= 0 {
 		return errorResponse(number, wordRejected)
@@ -386,15 +386,15 @@
 	return errorResponse(number, wordRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
 }
 
-// EncodeFailure returns the response of a failed request, which may have run.
+// EncodeFailure returns the encoded response to a failed request, which may have run.
 func EncodeFailure(number uint32) []byte { return errorResponse(number, wordFailed) }
 
-// EncodeInvalid returns the response to an invalid message, with the reason.
+// EncodeInvalid returns the encoded response to an invalid message, with the reason.
 func EncodeInvalid(number uint32, reason string) []byte {
 	return errorResponse(number, wordInvalid, "why", reason)
 }
 
-// EncodeHealth returns the response to a health check.
+// EncodeHealth returns the encoded response to a health check.
 func EncodeHealth(number uint32, healthy bool) []byte {
 	return response(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeNil()
@@ -404,7 +404,7 @@
 	})
 }
 
-// errorResponse returns a response without a result: a word, and names and values in turn.
+// errorResponse returns an encoded response with an error: a word, and alternating names and values.
 func errorResponse(number uint32, word string, fields ...string) []byte {
 	return response(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeArrayLen(2)
@@ -417,7 +417,7 @@
 	})
 }
 
-// response encodes a response to memory, so that no write fails.
+// response encodes a response. It writes to memory, so that no write fails.
 func response(number uint32, size int, rest func(*msgpack.Encoder)) []byte {
 	var b bytes.Buffer
 	b.Grow(size + 64)
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A message that was read to its end is answered, and what follows it can be read.
+// A message that was read completely but has an invalid field is answered, and the next message can be read.
 func TestWrongFieldsLeaveTheConnectionReadable(t *testing.T) {
 	for name, value := range map[string]string{"ref": "9b1f", "lookup": "zzzz9c21e0b4d655", "allow": "NaN",
 		"spec": "lanes:-2", "replay": "5c", "dup": "yes"} {
@@ -68,7 +68,7 @@
 			t.Errorf("%s: got %v", name, err)
 		}
 		if _, err := r.Read(); err != nil {
-			t.Errorf("%s: the next message: %v", name, err)
+			t.Errorf("%s: the next message cannot be read: %v", name, err)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// neverRead fails the test if more is read than is needed to find the fault.
+// neverRead fails the test if more is read than is needed to detect the error.
 type neverRead struct {
 	t    *testing.T
 	name string
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,5 @@
-// Package simadapter hosts routers behind the simulator's frames: it turns records into calls on each router's core, and
-// what the core asks for into commands. It decides nothing.
+// Package simadapter runs routers on the simulator's frames: it translates records to calls on each router's core, and
+// what the core requests to commands. It makes no decisions.
 package simadapter
 
 import (
@@ -11,12 +11,12 @@
 	"hollymast/internal/simproto"
 )
 
-// bufferBytes is the size of the buffers round input and output: most batches fit.
+// bufferBytes is the size of the input and output buffers, which most batches fit into.
 const bufferBytes = 1 << 16
 
-// Run answers batches until the input ends. With a recording folder it records each router's steps there, as a gateway does.
-// Its errors are those of reading, of writing and of records that no simulator sends; a panic of the decision code is no
-// error but is reported to the simulator.
+// Run answers batches until the input ends. If recordDir is not empty, it records each router's steps there, as a
+// gateway does. It returns errors of reading and writing, and of records that no simulator sends; a panic of the
+// decision code is reported to the simulator instead.
 func Run(in io.Reader, out io.Writer, recordDir string) error {
 	h := &host{routers: map[uint32]*router{}, recordDir: recordDir}
 	defer h.closeRecordings()
@@ -44,17 +44,17 @@
 	}
 }
 
-// host holds the routers of this process; they share nothing but the frame they are read from.
+// host holds the routers of this process, which share no state but the current frame.
 type host struct {
 	routers    map[uint32]*router
 	recordDir  string    // empty: nothing is recorded
-	recordings int       // begun so far
-	active     []*router // routers with a record in this batch, in the order of their first one
-	current    *router   // the one that the next records belong to
+	recordings int       // number of recordings begun so far
+	active     []*router // routers with a record in this batch, in the order of their first record
+	current    *router   // the router that the next records belong to
 	now        control.Micros
 }
 
-// runBatch handles a batch's records and then takes one step of each router that had one.
+// runBatch handles a batch's records and then takes one step of each router that had a record.
 func (h *host) runBatch(frame []byte, now control.Micros) ([]*simproto.Commands, error) {
 	h.active, h.current, h.now = h.active[:0], nil, now
 	if err := simproto.Decode(frame, h); err != nil {
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -13,7 +13,7 @@
 const settings = `{"balancers": 1, "tick": 4000, "classes": [{"aim": 1000000, "importance": 1, "semantics": "pure"}],
 	"ceilings": {"try_limit": 3}, "specifics": {"when_absent": "load", "linger_idle": 9000000}}`
 
-// encodeBatch builds a frame of records at a clock.
+// encodeBatch encodes a frame of records at a time.
 func encodeBatch(number uint32, clock uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, number)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Rule 1: a response that had begun and was then cancelled leaves its request owed a final answer.
+// Rule 1: a request whose response had begun and was then cancelled still needs a final response.
 func TestRunRetriesAfterABrokenResponse(t *testing.T) {
 	var out bytes.Buffer
 	in := append(encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request),
@@ -87,10 +87,10 @@
 func TestRunReportsBadInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"settings":     {string(encodeBatch(4, 1, encodeRecord(1110, uint32(0)), startRouter("{"))), "batch 4: record 1 (code 1000) at byte 26: start settings:"},
-		"no router":    {string(encodeBatch(4, 1, request)), "record before any at"},
+		"no router":    {string(encodeBatch(4, 1, request)), "record before any router was selected"},
 		"status":       {string(encodeBatch(4, 1, encodeRecord(1110, uint32(0)), encodeRecord(1070, server, uint16(11), uint32(0), uint8(0)))), "unknown status 11"},
 		"class":        {string(encodeBatch(4, 1, encodeRecord(1110, uint32(3)), startRouter(settings), bytes.Replace(request, []byte{5, 0, 0}, []byte{5, 0, 9}, 1))), "unknown class 9"},
-		"half a frame": {"\x00\x00\x00\x01\x00\x00\x00\x30", "cut short"},
+		"half a frame": {"\x00\x00\x00\x01\x00\x00\x00\x30", "truncated"},
 	} {
 		if err := Run(strings.NewReader(c.in), &bytes.Buffer{}, ""); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", name, err, c.want)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A simulated day can be recorded and replayed like a gateway's.
+// A simulated day can be recorded and replayed in the same way as a gateway's steps.
 func TestRunRecords(t *testing.T) {
 	dir := t.TempDir()
 	in := append(encodeBatch(1, 1000, encodeRecord(1110, uint32(3)), startRouter(settings), endpoints, request), encodeBatch(2, 5000, encodeRecord(1110, uint32(3)), encodeRecord(1060, uint32(0)))...)
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -25,11 +25,11 @@
 	optionIsRetry uint16 = 2
 )
 
-// cacheStatusMask selects the bits of a result's flags that tell what the request found at its server.
+// cacheStatusMask selects the bits of a result's flags that contain the cache status.
 const cacheStatusMask = 7
 
-// errNoRouter is the error of a record that comes before any router is selected.
-var errNoRouter = errors.New("record before any at")
+// errNoRouter is the error of a record that comes before any router was selected.
+var errNoRouter = errors.New("record before any router was selected")
 
 func resultOf(status uint16) (control.Result, error) {
 	if r, ok := results[status]; ok {
@@ -38,7 +38,7 @@
 	return 0, fmt.Errorf("unknown status %d", status)
 }
 
-// withRouter runs f on the selected router; a record for one that does not run is ignored.
+// withRouter runs f on the selected router. Records for a router that is not running are ignored.
 func (h *host) withRouter(f func(r *router) error) error {
 	if h.current == nil {
 		return errNoRouter
@@ -48,7 +48,7 @@
 	return err
 }
 
-// requestStep handles a record that changes nothing by itself: its router takes a step once the batch has been read.
+// requestStep handles a record that only makes its router take a step after the batch has been read.
 func (h *host) requestStep() error {
 	return h.withRouter(func(*router) error { return nil })
 }
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// StartRouter starts or restarts the selected router, with nothing known.
+// StartRouter starts or restarts the selected router with an empty state.
 func (h *host) StartRouter(seed uint64, settings []byte) error {
 	if h.current == nil {
 		return errNoRouter
@@ -97,7 +97,7 @@
 	})
 }
 
-// UpdateEndpoints passes on the endpoint list, or its changes.
+// UpdateEndpoints passes the endpoint list, or changes to it, to the core.
 func (h *host) UpdateEndpoints(mode uint8, _ uint64, endpoints []simproto.Endpoint) error {
 	kind, ok := updateKinds[mode]
 	if !ok {
@@ -118,7 +118,7 @@
 	})
 }
 
-// AddRequest adds a request; it is routed when the batch has been read.
+// AddRequest adds a request, which is routed after the batch has been read.
 func (h *host) AddRequest(in simproto.Request) error {
 	return h.withRouter(func(r *router) error {
 		if int(in.Class) >= r.classes {
@@ -135,13 +135,13 @@
 	})
 }
 
-// HandleResponseHeader ignores that a response has begun: until a result says that the request is done it is owed a final answer,
-// also where the attempt that had begun to answer is cancelled.
+// HandleResponseHeader ignores the start of a response: a request needs a final response until a result says that it is
+// done, even if the attempt that had begun to answer is cancelled.
 func (h *host) HandleResponseHeader(uint64, uint16, simproto.ServerAddr, uint32) error {
 	return h.requestStep()
 }
 
-// HandleAttemptResult passes on the end of an attempt.
+// HandleAttemptResult passes the end of an attempt to the core.
 func (h *host) HandleAttemptResult(a simproto.AttemptResult) error {
 	result, err := resultOf(a.Status)
 	if err != nil {
@@ -155,7 +155,7 @@
 	})
 }
 
-// CancelRequest ends a request whose client has gone.
+// CancelRequest ends a request whose client has disconnected.
 func (h *host) CancelRequest(id uint64) error {
 	return h.withRouter(func(r *router) error {
 		r.core.Cancel(h.now, control.RequestID(id))
@@ -163,10 +163,10 @@
 	})
 }
 
-// HandleTimer leads to a step, which does whatever is due.
+// HandleTimer triggers a step, which does whatever is due.
 func (h *host) HandleTimer(uint32) error { return h.requestStep() }
 
-// HandleProbeResult ignores the result: the balancer asks for no probes.
+// HandleProbeResult ignores the result: the balancer requests no probes.
 func (h *host) HandleProbeResult(_ simproto.ServerAddr, status uint16, _ uint32, _ []float32) error {
 	if _, err := resultOf(status); err != nil {
 		return err
@@ -174,10 +174,10 @@
 	return h.requestStep()
 }
 
-// HandlePeerMessage ignores the message: routers share nothing.
+// HandlePeerMessage ignores the message: routers do not communicate.
 func (h *host) HandlePeerMessage(uint32, []byte) error { return h.requestStep() }
 
-// HandleLoadResult passes on the answer to a load command.
+// HandleLoadResult passes the result of a load command to the core.
 func (h *host) HandleLoadResult(server simproto.ServerAddr, function uint64, status uint16, duration uint32, replicas uint8) error {
 	result, err := resultOf(status)
 	if err != nil {
--- a/internal/simadapter/recording.go
+++ b/internal/simadapter/recording.go
@@ -11,10 +11,11 @@
 	"hollymast/internal/record"
 )
 
-// recordingLimits let a simulated day be recorded whole, in segments that hmreplay reads quickly; the simulation waits for the disk.
+// recordingLimits are large enough to record a whole simulated day, in segments that hmreplay reads quickly. The
+// simulation waits for the disk.
 var recordingLimits = record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, WaitForDisk: true}
 
-// beginRecording begins a recording of a router that starts, where one is wanted.
+// beginRecording begins a recording of a router that starts, if recording is enabled.
 func (h *host) beginRecording(r *router) error {
 	if h.recordDir == "" {
 		return nil
--- a/internal/simadapter/router.go
+++ b/internal/simadapter/router.go
@@ -10,19 +10,20 @@
 	"hollymast/internal/simproto"
 )
 
-// router is one hosted router: a core, and the core.Executor that writes its commands. Without a core it is not running.
+// router is one simulated router: a core, and the core.Executor that writes its commands. If core is nil, the router is
+// not running.
 type router struct {
 	number       uint32
 	core         *core.Core
-	reportFields []string // what the numbers of a load report are
+	reportFields []string // meaning of the values in a load report
 	classes      int
-	commands     *simproto.Commands // of this batch; nil: none yet
-	active       bool               // it had a record in this batch
-	failure      string             // the panic that ended it; empty: none
+	commands     *simproto.Commands // of this batch; nil if there are none yet
+	active       bool               // the router had a record in this batch
+	failure      string             // the panic that ended the router; empty if there was none
 	recording    *record.Writer
 }
 
-// output returns the commands of this batch to append to.
+// output returns the commands of this batch, to append to.
 func (r *router) output() *simproto.Commands {
 	if r.commands == nil {
 		r.commands = &simproto.Commands{}
@@ -31,8 +32,8 @@
 	return r.commands
 }
 
-// runProtected calls f while the router runs. It guards the simulation against a panic of the decision code, which becomes the
-// router's failure.
+// runProtected calls f if the router is running. A panic of the decision code becomes the router's failure instead of
+// ending the simulation.
 func (r *router) runProtected(f func()) {
 	if r.core == nil || r.failure != "" {
 		return
@@ -50,7 +51,7 @@
 	r.output().StartAttempt(uint64(request.ID), serverAddr(to), uint32(timeout))
 }
 
-// Reject ends a request that its client may repeat.
+// Reject ends a request that its client may retry.
 func (r *router) Reject(id control.RequestID, retryAfter control.Micros, _ control.Reason) {
 	r.output().Reject(uint64(id), uint32(retryAfter))
 }
@@ -74,10 +75,10 @@
 // LogServerEvent writes a line for the simulator's report.
 func (r *router) LogServerEvent(event control.ServerEvent) { r.output().Log(event.String()) }
 
-// SetTimer asks for a record at an instant, which leads to a step.
+// SetTimer requests a timer record at a time, which triggers a step.
 func (r *router) SetTimer(at control.Micros) { r.output().SetTimer(uint64(at), 0) }
 
-// serverID packs an address and port into the balancer's server id; serverAddr reverses it.
+// serverID packs an address and port into the balancer's server ID; serverAddr is its inverse.
 func serverID(addr simproto.ServerAddr) control.ServerID {
 	return control.ServerID(binary.BigEndian.Uint32(addr[:]))<<16 | control.ServerID(binary.BigEndian.Uint16(addr[4:]))
 }
--- a/internal/simproto/bootinfo.go
+++ b/internal/simproto/bootinfo.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// BootInfo is the start settings' JSON, as far as any caller reads it; unknown keys are ignored. Fields are named after their keys.
-// Times are in microseconds.
+// BootInfo is the JSON of the start settings, as far as any caller reads it; unknown keys are ignored. Fields are named
+// after their keys. Times are in microseconds.
 type BootInfo struct {
 	Balancers int `json:"balancers"`
 	Ceilings  struct {
@@ -70,10 +70,10 @@
 	Zones []string `json:"zones"`
 }
 
-// errIncomplete is the error of start settings that no router can run by.
-var errIncomplete = errors.New("no classes, or no count of balancers")
+// errIncomplete is the error of start settings with which no router can run.
+var errIncomplete = errors.New("no classes or no number of balancers")
 
-// ParseBootInfo reads the start settings. It checks only what every caller needs.
+// ParseBootInfo parses the start settings. It checks only what every caller needs.
 func ParseBootInfo(text []byte) (*BootInfo, error) {
 	var info BootInfo
 	if err := json.Unmarshal(text, &info); err != nil {
--- a/internal/simproto/commands.go
+++ b/internal/simproto/commands.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// The codes of the commands that the adapter answers with. They share their range with the records' codes, not their meanings.
+// The codes of the commands that the adapter answers with. They are in the same range as the records' codes, but have
+// other meanings.
 const (
 	commandCloseIdle        uint16 = 1000
 	commandCancelAttempt    uint16 = 1010
@@ -24,7 +25,7 @@
 	commandFail             uint16 = 1140
 )
 
-// Commands collects one router's commands of a batch, in the order written. Durations and instants are in microseconds.
+// Commands collects one router's commands of a batch, in the order written. Times and durations are in microseconds.
 type Commands struct {
 	body  []byte
 	count uint32
@@ -41,14 +42,14 @@
 func (c *Commands) uint64(v uint64)        { c.body = binary.BigEndian.AppendUint64(c.body, v) }
 func (c *Commands) server(addr ServerAddr) { c.body = append(c.body, addr[:]...) }
 
-// text writes a length of two bytes and the text, cut to what that length can tell.
+// text writes a length of two bytes and the text, which is truncated to the largest such length.
 func (c *Commands) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	c.uint16(uint16(len(s)))
 	c.body = append(c.body, s...)
 }
 
-// SelectRouter names the router whose commands follow.
+// SelectRouter sets the router that the following commands belong to.
 func (c *Commands) SelectRouter(router uint32) {
 	c.begin(commandSelectRouter)
 	c.uint32(router)
@@ -69,7 +70,7 @@
 	c.uint16(attempt)
 }
 
-// Reject ends a request that its client may repeat.
+// Reject ends a request that its client may retry.
 func (c *Commands) Reject(id uint64, retryAfter uint32) {
 	c.begin(commandReject)
 	c.uint64(id)
@@ -82,14 +83,14 @@
 	c.uint64(id)
 }
 
-// SetTimer asks for a timer record at an instant.
+// SetTimer requests a timer record with a tag at a time.
 func (c *Commands) SetTimer(instant uint64, tag uint32) {
 	c.begin(commandSetTimer)
 	c.uint64(instant)
 	c.uint32(tag)
 }
 
-// Probe asks for a health check of a server.
+// Probe requests a health check of a server.
 func (c *Commands) Probe(addr ServerAddr) {
 	c.begin(commandProbe)
 	c.server(addr)
@@ -108,7 +109,7 @@
 	c.text(string(message))
 }
 
-// Load has a server hold replicas of a function; with none it only asks how many there are.
+// Load makes a server hold replicas of a function in memory; with 0 replicas it only asks how many there are.
 func (c *Commands) Load(addr ServerAddr, function uint64, replicas uint8) {
 	c.begin(commandLoad)
 	c.server(addr)
@@ -123,14 +124,14 @@
 	c.uint64(function)
 }
 
-// SubscribeEndpoints asks for the changes of the endpoint list from now on.
+// SubscribeEndpoints subscribes to the changes of the endpoint list from now on.
 func (c *Commands) SubscribeEndpoints() {
 	const on = 1
 	c.begin(commandSubscribe)
 	c.uint8(on)
 }
 
-// RequestEndpoints asks for the whole endpoint list.
+// RequestEndpoints requests the whole endpoint list.
 func (c *Commands) RequestEndpoints() { c.begin(commandRequestEndpoints) }
 
 // Log writes a line for the simulator's report.
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -8,8 +8,8 @@
 
 var errUnknownCode = errors.New("unknown record code")
 
-// Decode hands each record of a whole frame to the handler. Its errors name the batch, the record and its first byte; they wrap
-// ErrTruncated where a record ends early, and the handler's own errors.
+// Decode passes each record of a whole frame to the handler. Its errors contain the batch, the record and the position
+// of its first byte; they wrap ErrTruncated if a record ends early, and the handler's own errors.
 func Decode(frame []byte, h Handler) error {
 	batch, _ := ParseHeader(frame)
 	r := &recordReader{buf: frame, at: requestHeader}
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// decodeRecord reads one record's fields and then calls the handler, which sees no record that is truncated.
+// decodeRecord reads one record's fields and then calls the handler, unless the record is truncated.
 func (r *recordReader) decodeRecord(code uint16, h Handler) error {
 	var call func() error
 	switch code {
@@ -79,7 +79,7 @@
 	return call()
 }
 
-// request reads a request's fields. Go evaluates the calls in the order in which they stand.
+// request reads a request's fields. Go evaluates the calls in source order.
 func (r *recordReader) request() Request {
 	return Request{ID: r.uint64(), Class: r.uint16(), Tenant: r.uint16(), Function: r.uint64(), Timeout: r.uint32(), Work: r.uint32(),
 		MemoryMB: r.float32(), Lanes: r.float32(), LoadMS: r.float32(), Options: r.uint16()}
@@ -93,7 +93,8 @@
 // endpointBytes is the length of one endpoint on the wire.
 const endpointBytes = 25
 
-// endpoints reads an endpoint list. Its length is checked against the bytes that are left, so that a corrupt one allocates nothing.
+// endpoints reads an endpoint list. Its length is checked against the remaining bytes, so that a corrupt length
+// allocates nothing.
 func (r *recordReader) endpoints() []Endpoint {
 	n := int(r.uint32())
 	if n > (len(r.buf)-r.at)/endpointBytes {
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -1,5 +1,5 @@
-// Package simproto reads and writes the frames that the simulator speaks: a header, and records of fixed layouts, all numbers
-// big-endian. It knows the layout of each record and nothing of what the records mean.
+// Package simproto reads and writes the frames of the simulator: a header and records of fixed layouts, with all
+// numbers big-endian. It knows the layout of each record, but not its meaning.
 package simproto
 
 import (
@@ -19,13 +19,14 @@
 	commandHeader = 12
 )
 
-// maxFrame bounds what a corrupt length field can make us allocate, in bytes.
+// maxFrame limits what a corrupt length field can make the reader allocate, in bytes.
 const maxFrame = 1 << 30
 
-// ErrTruncated is wrapped by the errors of frames and records that end before all of their fields.
-var ErrTruncated = errors.New("cut short")
+// ErrTruncated is wrapped by the errors of frames and records that end before their last field.
+var ErrTruncated = errors.New("truncated")
 
-// ReadFrame reads one whole frame, into buf where it is large enough; io.EOF means that the input ended between frames.
+// ReadFrame reads one whole frame, into buf if that is large enough. It returns io.EOF if the input ends between
+// frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	var header [offsetCount]byte
 	if n, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
@@ -53,7 +54,7 @@
 	return binary.BigEndian.Uint32(frame), binary.BigEndian.Uint64(frame[offsetClock:])
 }
 
-// EncodeFrame writes the answer to a batch into buf, which is overwritten: the header, and the parts in their order.
+// EncodeFrame writes the reply to a batch into buf, which is overwritten: the header and the parts in their order.
 func EncodeFrame(buf []byte, batch uint32, parts []*Commands) []byte {
 	buf = binary.BigEndian.AppendUint32(buf[:0], batch)
 	buf = append(buf, make([]byte, commandHeader-offsetLength)...)
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// recordReader reads fields one after another; a read past the end sets truncated and yields zeros.
+// recordReader reads fields one after another. A read past the end sets truncated and returns zeros.
 type recordReader struct {
 	buf       []byte
 	at        int
@@ -17,7 +17,7 @@
 
 var zeros [maxFixed]byte
 
-// nextBytes returns the next n bytes of the frame itself, nil where fewer are left.
+// nextBytes returns the next n bytes of the frame without copying them, or nil if fewer are left.
 func (r *recordReader) nextBytes(n int) []byte {
 	if n < 0 || r.at+n > len(r.buf) {
 		r.truncated = true
@@ -43,10 +43,10 @@
 func (r *recordReader) float32() float32   { return math.Float32frombits(r.uint32()) }
 func (r *recordReader) server() ServerAddr { return ServerAddr(r.nextFixed(len(ServerAddr{}))) }
 
-// bytes returns a copy of the next n bytes: the frame's buffer is used again.
+// bytes returns a copy of the next n bytes, since the frame's buffer is reused.
 func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.nextBytes(n)...) }
 
-// floats reads a count of one byte and as many numbers.
+// floats reads a count of one byte and that many numbers.
 func (r *recordReader) floats() []float32 {
 	n := int(r.uint8())
 	if n == 0 {
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -16,7 +16,7 @@
 	recordSelectRouter    uint16 = 1110
 )
 
-// ServerAddr is a model server's IPv4 address and port as they stand on the wire.
+// ServerAddr is a model server's IPv4 address and port as encoded on the wire.
 type ServerAddr [6]byte
 
 // Endpoint is one entry of the endpoint list.
@@ -30,21 +30,21 @@
 	StartedAt uint64 // microseconds on the simulator's clock
 }
 
-// Request is a client's request as it stands on the wire.
+// Request is a client's request as encoded on the wire.
 type Request struct {
 	ID       uint64
 	Class    uint16
 	Tenant   uint16
 	Function uint64
 	Timeout  uint32 // microseconds
-	Work     uint32 // microseconds; meant only with the option bit that says so
+	Work     uint32 // microseconds; valid only if the option bit for it is set
 	MemoryMB float32
 	Lanes    float32
 	LoadMS   float32 // milliseconds
-	Options  uint16  // bits
+	Options  uint16  // option bits
 }
 
-// AttemptResult is the end of one attempt as it stands on the wire.
+// AttemptResult is the end of an attempt as encoded on the wire.
 type AttemptResult struct {
 	ID          uint64
 	Flags       uint8
@@ -56,7 +56,8 @@
 	Load        []float32 // the server's load report, in the order that the start settings give
 }
 
-// Handler takes the records of a batch, one call for each, in their order. Durations are in microseconds. An error ends the batch.
+// Handler receives the records of a batch in their order, one call for each. Durations are in microseconds. An error
+// ends the batch.
 type Handler interface {
 	SelectRouter(router uint32) error
 	StartRouter(seed uint64, settings []byte) error
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -57,7 +57,7 @@
 		mustDecodeHex("0000000000805c5a")...), body...)
 }
 
-// The records are the examples of the simulator's documentation; the wanted values were worked out from it by hand.
+// The records are the examples in the simulator's documentation; the expected values were derived from it by hand.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct{ name, record, want string }{
 		{"select router", "0456 00000003", "select 3"},
@@ -91,17 +91,17 @@
 		frame []byte
 		want  string
 	}{
-		{"record cut short", frame(1, "0456 0000"), "batch 12: record 0 (code 1110) at byte 20 is cut short"},
+		{"truncated record", frame(1, "0456 0000"), "batch 12: record 0 (code 1110) at byte 20 is truncated"},
 		{"unknown code", frame(1, "0001"), "batch 12: record 0 (code 1) at byte 20: unknown record code"},
 		{"bytes left over", frame(0, "0442"), "batch 12: 2 bytes left over after the last record"},
 		{"entries beyond the frame", frame(1, "03f2 01 0000000000000001 ffffffff"),
-			"batch 12: record 0 (code 1010) at byte 20 is cut short"},
+			"batch 12: record 0 (code 1010) at byte 20 is truncated"},
 	} {
 		err := Decode(c.frame, &recordingHandler{})
 		if err == nil || err.Error() != c.want {
 			t.Errorf("%s: got %v, want %q", c.name, err, c.want)
 		}
-		if truncated := strings.HasSuffix(c.want, "cut short"); errors.Is(err, ErrTruncated) != truncated {
+		if truncated := strings.HasSuffix(c.want, "truncated"); errors.Is(err, ErrTruncated) != truncated {
 			t.Errorf("%s: %v is ErrTruncated: %t", c.name, err, !truncated)
 		}
 	}
@@ -116,7 +116,7 @@
 		t.Errorf("end of input: got %v", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader(whole[:15]), nil); !errors.Is(err, ErrTruncated) || errors.Is(err, io.EOF) {
-		t.Errorf("cut frame: got %v", err)
+		t.Errorf("truncated frame: got %v", err)
 	}
 }
 
@@ -153,7 +153,7 @@
 
 func TestBootInfo(t *testing.T) {
 	if _, err := ParseBootInfo([]byte(`{"balancers": 2, "classes": [{"aim": 5}], "unknown": 1}`)); err != nil {
-		t.Errorf("unknown keys are an error: %v", err)
+		t.Errorf("unknown keys are rejected: %v", err)
 	}
 	for _, bad := range []string{"", "{", `{"balancers": 2}`, `{"classes": [{}]}`} {
 		if _, err := ParseBootInfo([]byte(bad)); err == nil {
