--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -76,7 +76,7 @@
 // InterruptReason is why an exchange with a server was interrupted.
 type InterruptReason uint8
 
-// The reasons of interruptions. With CertificateRejected the handshake was never completed
+// The reasons for interruptions. With CertificateRejected the handshake was never completed
 // (rest.ErrCertificateRejected).
 const (
 	ClosedByPeer        InterruptReason = iota // the peer closed or reset the connection
@@ -203,7 +203,7 @@
 
 // ClientConnection is the state of a connection from a client.
 type ClientConnection struct {
-	Stopping  bool
+	Stopping  bool // this router is stopping
 	Pipelined bool // the client has pipelined further requests
 }
 
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// Exactly one of Withdraw and Write takes an attempt out of Chosen.
+// Exactly one of Withdraw and BeginWrite moves an attempt out of Chosen.
 func TestOnlyOneTransitionLeavesChosen(t *testing.T) {
 	for _, s := range []Stage{Writing, Withdrawn} {
 		if _, ok := s.Withdraw(); ok {
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -377,8 +377,8 @@
 	})
 }
 
-// EncodeRejection returns the encoded response that a retry is harmless, after retryAfter microseconds if that is
-// positive.
+// EncodeRejection returns the encoded response to a rejected request: a retry is harmless, after retryAfter
+// microseconds if that is positive.
 func EncodeRejection(number uint32, retryAfter control.Micros) []byte {
 	if retryAfter <= 0 {
 		return errorResponse(number, wordRejected)
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -89,7 +89,7 @@
 const minStall = control.Micros(500_000)
 
 // RecordStall handles a stall of this process that has just ended. The events of its current interval are not counted,
-// since events that arrived during the stall show no rate.
+// since those that arrived during the stall say nothing about the rate.
 func (c *Controller) RecordStall(now, duration control.Micros) {
 	if duration < minStall {
 		return
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,5 @@
-// Package simadapter runs routers on the simulator's frames: it translates records to calls on each router's core, and
-// what the core requests to commands. It makes no decisions.
+// Package simadapter runs routers on the simulator's frames: it translates records into calls on each router's core,
+// and the core's executor calls into commands. It makes no decisions.
 package simadapter
 
 import (
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -13,7 +13,7 @@
 const settings = `{"balancers": 1, "tick": 4000, "classes": [{"aim": 1000000, "importance": 1, "semantics": "pure"}],
 	"ceilings": {"try_limit": 3}, "specifics": {"when_absent": "load", "linger_idle": 9000000}}`
 
-// encodeBatch encodes a frame of records at a time.
+// encodeBatch encodes a frame of records with the given clock time.
 func encodeBatch(number uint32, clock uint64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.BigEndian.AppendUint32(nil, number)
--- a/internal/simadapter/router.go
+++ b/internal/simadapter/router.go
@@ -69,13 +69,13 @@
 	r.output().Load(serverAddr(command.Server), uint64(command.Function), uint8(command.Replicas))
 }
 
-// SubscribeEndpoints asks for the changes of the endpoint list.
+// SubscribeEndpoints subscribes to changes of the endpoint list.
 func (r *router) SubscribeEndpoints() { r.output().SubscribeEndpoints() }
 
 // LogServerEvent writes a line for the simulator's report.
 func (r *router) LogServerEvent(event control.ServerEvent) { r.output().Log(event.String()) }
 
-// SetTimer requests a timer record at a time, which triggers a step.
+// SetTimer requests a timer record for the given time, which triggers a step.
 func (r *router) SetTimer(at control.Micros) { r.output().SetTimer(uint64(at), 0) }
 
 // serverID packs an address and port into the balancer's server ID; serverAddr is its inverse.
--- a/internal/simproto/commands.go
+++ b/internal/simproto/commands.go
@@ -83,7 +83,7 @@
 	c.uint64(id)
 }
 
-// SetTimer requests a timer record with a tag at a time.
+// SetTimer requests a timer record with a tag for the given time.
 func (c *Commands) SetTimer(instant uint64, tag uint32) {
 	c.begin(commandSetTimer)
 	c.uint64(instant)
