--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -36,13 +36,13 @@
 	readRequired bool
 }
 
-// noTimer is the timer's duration while it is not in use.
-const noTimer = time.Hour
+// unsetTimer is the timer's duration while it is not in use.
+const unsetTimer = time.Hour
 
 // New returns a loop. grace is how long, in microseconds, new requests may still go to a server after it is listed as
 // draining.
 func New(clock Clock, grace control.Micros) *Loop {
-	return &Loop{Clock: clock, grace: grace, queue: eventqueue.New(), timer: time.NewTimer(noTimer)}
+	return &Loop{Clock: clock, grace: grace, queue: eventqueue.New(), timer: time.NewTimer(unsetTimer)}
 }
 
 // Post queues f to be called in the next step. Any goroutine may call it.
--- a/internal/netfail/netfail_test.go
+++ b/internal/netfail/netfail_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// wrapped returns a system call's error as the standard library does, wrapped once more.
-func wrapped(errno syscall.Errno) error {
+// wrappedErrno returns a system call's error as the standard library does, wrapped once more.
+func wrappedErrno(errno syscall.Errno) error {
 	return fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)})
 }
 
@@ -25,7 +25,7 @@
 		syscall.ECONNABORTED: {transient: true},
 		syscall.ECONNREFUSED: {}, syscall.ECONNRESET: {}, syscall.ETIMEDOUT: {}, syscall.EPIPE: {},
 	} {
-		if err := wrapped(errno); IsLocal(err) != want.local || IsTransient(err) != want.transient {
+		if err := wrappedErrno(errno); IsLocal(err) != want.local || IsTransient(err) != want.transient {
 			t.Errorf("%v: local %t, transient %t", errno, IsLocal(err), IsTransient(err))
 		}
 	}
@@ -35,7 +35,7 @@
 }
 
 func TestDial(t *testing.T) {
-	local, transient, refused := wrapped(syscall.EMFILE), wrapped(syscall.ENETUNREACH), wrapped(syscall.ECONNREFUSED)
+	local, transient, refused := wrappedErrno(syscall.EMFILE), wrappedErrno(syscall.ENETUNREACH), wrappedErrno(syscall.ECONNREFUSED)
 	timeout := os.ErrDeadlineExceeded
 	for name, c := range map[string]struct {
 		failures []error // of the first dials; if forever, each dial fails with the first
--- a/internal/overload/baseline.go
+++ b/internal/overload/baseline.go
@@ -49,6 +49,6 @@
 func (c *Controller) Restore(now control.Micros, stored Baseline, age control.Micros) {
 	c.baseline = baseline{firstAttempts: stored.FirstAttempts, connections: stored.Connections, intervals: baselineIntervals}
 	if stored.Kind != None && age < maxRestoreAge {
-		c.enter(now, stored.Kind)
+		c.beginOverload(now, stored.Kind)
 	}
 }
--- a/internal/overload/controller.go
+++ b/internal/overload/controller.go
@@ -96,7 +96,7 @@
 	}
 	c.window.restartInterval(now)
 	if c.kind == None {
-		c.enter(now, AfterStall)
+		c.beginOverload(now, AfterStall)
 	}
 }
 
--- a/internal/overload/detection.go
+++ b/internal/overload/detection.go
@@ -24,7 +24,7 @@
 	kind := c.detect(now)
 	switch {
 	case kind != None && c.kind == None:
-		c.enter(now, kind)
+		c.beginOverload(now, kind)
 	case kind != None:
 		c.quietSince = 0
 		if kind != c.kind && c.kind != AfterStall {
@@ -60,8 +60,8 @@
 	return None
 }
 
-// enter begins an overload.
-func (c *Controller) enter(now control.Micros, kind Kind) {
+// beginOverload begins an overload.
+func (c *Controller) beginOverload(now control.Micros, kind Kind) {
 	sum := c.window.lastSecond()
 	c.kind, c.since, c.quietSince = kind, now, 0
 	c.logf("a storm: %s; %.0f first attempts and %.0f retries in the last second, baseline %.0f; %.0f answered", kind, sum.firstAttempts,
--- a/internal/overload/tenants_test.go
+++ b/internal/overload/tenants_test.go
@@ -26,17 +26,17 @@
 	}
 }
 
-// tenantLoad is the load of the second tenant; the first one sends a hundred requests per second.
-type tenantLoad int
+// secondTenantLoad is the load of the second tenant; the first one sends a hundred requests per second.
+type secondTenantLoad int
 
 const (
-	idle     tenantLoad = iota
-	served              // 500 requests a second, all of them answered
-	rejected            // as many, half of them rejected
+	idle     secondTenantLoad = iota
+	served                    // 500 requests a second, all of them answered
+	rejected                  // as many, half of them rejected
 )
 
 // simulateTenants generates the traffic of two tenants, and returns how many requests of each were admitted.
-func simulateTenants(c *Controller, now, duration control.Micros, second tenantLoad) (end control.Micros, admitted [2]int) {
+func simulateTenants(c *Controller, now, duration control.Micros, second secondTenantLoad) (end control.Micros, admitted [2]int) {
 	for step := range duration / ms {
 		at := now + step*ms
 		if second != idle && step%2 == 0 && c.Admit(at, Request{Tenant: 1}).Admitted {
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -12,10 +12,10 @@
 // of its first byte; they wrap ErrTruncated if a record ends early, and the handler's own errors.
 func Decode(frame []byte, h Handler) error {
 	batch, _ := ParseHeader(frame)
-	r := &recordReader{buf: frame, at: requestHeader}
+	r := &recordReader{buf: frame, pos: requestHeader}
 	count := binary.BigEndian.Uint32(frame[offsetCount:])
 	for i := uint32(0); i < count; i++ {
-		start := r.at
+		start := r.pos
 		code := r.uint16()
 		err := r.decodeRecord(code, h)
 		if r.truncated {
@@ -25,8 +25,8 @@
 			return fmt.Errorf("batch %d: record %d (code %d) at byte %d: %w", batch, i, code, start, err)
 		}
 	}
-	if r.at != len(frame) {
-		return fmt.Errorf("batch %d: %d bytes left over after the last record", batch, len(frame)-r.at)
+	if r.pos != len(frame) {
+		return fmt.Errorf("batch %d: %d bytes left over after the last record", batch, len(frame)-r.pos)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 // allocates nothing.
 func (r *recordReader) endpoints() []Endpoint {
 	n := int(r.uint32())
-	if n > (len(r.buf)-r.at)/endpointBytes {
+	if n > (len(r.buf)-r.pos)/endpointBytes {
 		r.truncated = true
 		return nil
 	}
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -8,7 +8,7 @@
 // recordReader reads fields one after another. A read past the end sets truncated and returns zeros.
 type recordReader struct {
 	buf       []byte
-	at        int
+	pos       int
 	truncated bool
 }
 
@@ -19,13 +19,13 @@
 
 // nextBytes returns the next n bytes of the frame without copying them, or nil if fewer are left.
 func (r *recordReader) nextBytes(n int) []byte {
-	if n < 0 || r.at+n > len(r.buf) {
+	if n < 0 || r.pos+n > len(r.buf) {
 		r.truncated = true
-		r.at = len(r.buf)
+		r.pos = len(r.buf)
 		return nil
 	}
-	b := r.buf[r.at : r.at+n]
-	r.at += n
+	b := r.buf[r.pos : r.pos+n]
+	r.pos += n
 	return b
 }
 
