--- a/internal/binframe/binframe.go
+++ b/internal/binframe/binframe.go
@@ -1,5 +1,5 @@
-// Package binframe implements the model servers' protocol: binary frames, read and written within bounds. The
-// names and codes on the wire are known here only.
+// Package binframe implements the model servers' protocol: binary frames, read and written with limits on all lengths.
+// Only this package knows the names and codes on the wire.
 package binframe
 
 import (
@@ -22,37 +22,37 @@
 	magicToServer = 76
 	magicToRouter = 108
 
-	headLength = 16
-	checkBytes = 4
+	headerLength   = 16
+	checksumLength = 4
 
 	codeRequest = 65
 	codeCancel  = 66
 	codeLoad    = 69
 
-	codeOK      = 97
-	codeMiss    = 99
-	codeFull    = 100
-	codeError   = 101
-	codeOver    = 102
-	codeUp      = 103
-	codeReports = 104
+	codeOK         = 97
+	codeNotLoaded  = 99
+	codeOverloaded = 100
+	codeFailed     = 101
+	codeNotRun     = 102
+	codeHealth     = 103
+	codeLoadReport = 104
 )
 
 // MaxBody is the largest body of an answer, in bytes: many times that of a request.
 const MaxBody = 1 << 20
 
-// Attempt is what a server is sent of one attempt. Class, Function, IdempotencyKey and Body are as the client
-// sent them.
+// Attempt is what is sent to a server for one attempt. Class, Function, IdempotencyKey and Body are as the client sent
+// them.
 type Attempt struct {
 	ID             ID
 	Class          string
 	Function       string
-	IdempotencyKey string // empty: none
+	IdempotencyKey string // empty if there is none
 	Timeout        control.Micros
 	Body           []byte
 }
 
-// Frame returns the frame on the wire.
+// Frame returns the attempt as an encoded frame.
 func (a *Attempt) Frame() []byte {
 	var fields strings.Builder
 	fields.WriteString("profile=")
@@ -65,33 +65,33 @@
 		fields.WriteString(",replay=")
 		fields.WriteString(a.IdempotencyKey)
 	}
-	return frame(codeRequest, a.ID, fields.String(), a.Body)
+	return encodeFrame(codeRequest, a.ID, fields.String(), a.Body)
 }
 
 // Size returns an upper bound of the length of Frame, in bytes.
 func (a *Attempt) Size() int {
-	const namesAndFigure = 64 // the fields' names, and the longest time in milliseconds
-	return headLength + namesAndFigure + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checkBytes
+	const namesAndTimeout = 64 // the fields' names, and the longest timeout in milliseconds
+	return headerLength + namesAndTimeout + len(a.Class) + len(a.Function) + len(a.IdempotencyKey) + len(a.Body) + checksumLength
 }
 
 // CancelFrame returns the frame that cancels an attempt.
-func CancelFrame(id ID) []byte { return frame(codeCancel, id, "", nil) }
+func CancelFrame(id ID) []byte { return encodeFrame(codeCancel, id, "", nil) }
 
-// LoadFrame returns the frame of a load command for a number of replicas; with 0 it only asks how many there
+// LoadFrame returns the frame of a load command for a number of replicas; with 0 replicas it only asks how many there
 // are.
 func LoadFrame(id ID, function control.FunctionID, replicas int) []byte {
-	return frame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
+	return encodeFrame(codeLoad, id, fmt.Sprintf("thing=%016x,pods=%d", uint64(function), replicas), nil)
 }
 
-// frame returns a frame: header, fields, body and the CRC-32 of the latter two.
-func frame(code byte, id ID, fields string, body []byte) []byte {
-	b := make([]byte, 0, headLength+len(fields)+len(body)+checkBytes)
+// encodeFrame returns a frame: header, fields, body, and the CRC-32 of fields and body.
+func encodeFrame(code byte, id ID, fields string, body []byte) []byte {
+	b := make([]byte, 0, headerLength+len(fields)+len(body)+checksumLength)
 	b = append(b, magicToServer, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, uint64(id))
 	b = append(append(b, fields...), body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headLength:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headerLength:]))
 }
 
 // Answer is a server's answer to an attempt or a load command.
@@ -99,13 +99,13 @@
 	ID          ID
 	Result      control.Result
 	CacheStatus control.CacheStatus
-	Replicas    int                // loaded, in the answer to a load command; -1: not specified
-	Reports     map[string]float64 // by the simulator's names; nil: none
+	Replicas    int                // number loaded, in the answer to a load command; -1 if not specified
+	Reports     map[string]float64 // by the simulator's names; nil if there are none
 	Body        []byte
-	Probe       bool // answers neither an attempt nor a load command
+	Probe       bool // neither the answer to an attempt nor to a load command
 }
 
-// Errors of an invalid answer: nothing that follows on its connection can be read.
+// Errors of an invalid answer, after which nothing on its connection can be read.
 var (
 	ErrMagic    = errors.New("wrong magic byte")
 	ErrCode     = errors.New("unknown answer code")
@@ -121,45 +121,45 @@
 	"boot_error": control.CacheLoadFailed,
 }
 
-// Read reads one answer. It calls begun when the first byte has arrived. Its error is one of the above or that
-// of the stream.
-func Read(r *bufio.Reader, begun func()) (*Answer, error) {
+// Read reads one answer. It calls onFirstByte when the first byte has arrived. Its error is one of the above or that of
+// the stream.
+func Read(r *bufio.Reader, onFirstByte func()) (*Answer, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
 	}
-	begun()
-	var head [headLength]byte
-	if _, err := io.ReadFull(r, head[:1]); err != nil {
+	onFirstByte()
+	var header [headerLength]byte
+	if _, err := io.ReadFull(r, header[:1]); err != nil {
 		return nil, err
 	}
-	if head[0] != magicToRouter {
+	if header[0] != magicToRouter {
 		return nil, ErrMagic
 	}
-	if _, err := io.ReadFull(r, head[1:]); err != nil {
+	if _, err := io.ReadFull(r, header[1:]); err != nil {
 		return nil, err
 	}
-	a := &Answer{ID: ID(binary.BigEndian.Uint64(head[8:])), Replicas: -1}
-	switch head[1] {
+	a := &Answer{ID: ID(binary.BigEndian.Uint64(header[8:])), Replicas: -1}
+	switch header[1] {
 	case codeOK:
 		a.Result = control.Succeeded
-	case codeMiss:
+	case codeNotLoaded:
 		a.Result = control.NotLoaded
-	case codeFull:
+	case codeOverloaded:
 		a.Result = control.Overloaded
-	case codeError:
+	case codeFailed:
 		a.Result = control.Failed
-	case codeOver:
+	case codeNotRun:
 		a.Result = control.NotSent
-	case codeUp, codeReports:
+	case codeHealth, codeLoadReport:
 		a.Probe = true
 	default:
 		return nil, ErrCode
 	}
-	fields, body := int(binary.BigEndian.Uint16(head[2:])), binary.BigEndian.Uint32(head[4:])
+	fields, body := int(binary.BigEndian.Uint16(header[2:])), binary.BigEndian.Uint32(header[4:])
 	if body > MaxBody {
 		return nil, ErrLength
 	}
-	rest, err := read(r, fields+int(body)+checkBytes)
+	rest, err := readChunked(r, fields+int(body)+checksumLength)
 	if err != nil {
 		return nil, err
 	}
@@ -172,9 +172,8 @@
 	return a, nil
 }
 
-// read reads n bytes. It guards against a claimed length that is never sent: memory is allocated as the bytes
-// arrive.
-func read(r *bufio.Reader, n int) ([]byte, error) {
+// readChunked reads n bytes. It allocates memory as the bytes arrive, since a claimed length may never be sent.
+func readChunked(r *bufio.Reader, n int) ([]byte, error) {
 	const chunk = 32 << 10 // more than the longest request body and its fields
 	b := make([]byte, min(n, chunk))
 	if _, err := io.ReadFull(r, b); err != nil {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -6,9 +6,10 @@
 	"hollymast/control"
 )
 
-// crowdedCore returns a core with 80 servers and 1000 functions, each with a request. Two on each server wait for
-// loads and the rest is held, as when a fleet comes back empty.
-func crowdedCore() (*Core, control.Micros) {
+// newBusyCore returns a core with 80 servers and 1000 functions that are each requested once, as when a whole fleet
+// restarts with nothing loaded: two requests per server wait for loads, the others are held. The last requests are then
+// cancelled until 500 are held.
+func newBusyCore() (*Core, control.Micros) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
 		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
@@ -33,16 +34,16 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	c, now := crowdedCore()
+	c, now := newBusyCore()
 	for b.Loop() {
 		c.Step(now)
-		now++ // so little that maintenance is seldom due
+		now++ // so little that maintenance is rarely due
 	}
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
 func BenchmarkMaintenance(b *testing.B) {
-	c, now := crowdedCore()
+	c, now := newBusyCore()
 	for b.Loop() {
 		c.Step(now)
 		now += 200_000 // maintenance is due each time
@@ -50,9 +51,9 @@
 	b.ReportMetric(float64(c.Held()), "held")
 }
 
-// BenchmarkSnapshot is the checkpoint that a recording takes within a step.
+// BenchmarkSnapshot measures the checkpoint that a recording takes during a step.
 func BenchmarkSnapshot(b *testing.B) {
-	c, _ := crowdedCore()
+	c, _ := newBusyCore()
 	for b.Loop() {
 		if _, err := c.Snapshot(); err != nil {
 			b.Fatal(err)
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -13,7 +13,8 @@
 	"hollymast/internal/fleet"
 )
 
-// randomEndpoint is one of a few servers, at one of fewer addresses, so that both return and change hands.
+// randomEndpoint draws one of six servers at one of four addresses, so that servers leave and return, and addresses are
+// reused by other servers.
 func randomEndpoint(t *rapid.T, now control.Micros) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "uid")),
 		Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
@@ -23,27 +24,27 @@
 		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "started at")}
 }
 
-// randomEvent applies a discovery event: one in order, one that is sent twice, or one after a gap that stays after the
-// resubscription. It reports whether the list may have changed.
-func randomEvent(t *rapid.T, now control.Micros, s *discovery.State) bool {
+// randomEvent applies a discovery event: the next one, a duplicate, or one after a gap that persists after
+// resubscribing. It reports whether the list may have changed.
+func randomEvent(t *rapid.T, now control.Micros, state *discovery.State) bool {
 	endpoints := rapid.Custom(func(t *rapid.T) discovery.EndpointMessage { return randomEndpoint(t, now) })
-	e := discovery.Event{Revision: s.Revision() + 1, Update: &discovery.UpdateMessage{
+	event := discovery.Event{Revision: state.Revision() + 1, Update: &discovery.UpdateMessage{
 		All:     rapid.IntRange(0, 9).Draw(t, "all") == 0,
 		Targets: rapid.SliceOfN(endpoints, 0, 3).Draw(t, "targets"),
 	}}
 	switch rapid.IntRange(0, 7).Draw(t, "order") {
 	case 0:
-		e.Revision--
+		event.Revision--
 	case 1:
-		e.Revision++
+		event.Revision++
 	case 2:
-		e.Update = nil
+		event.Update = nil
 	}
-	s.Subscribed()
-	effect, err := s.Apply(e)
+	state.Subscribed()
+	effect, err := state.Apply(event)
 	if effect == discovery.Resubscribe {
-		s.Subscribed()
-		effect, err = s.Apply(e)
+		state.Subscribed()
+		effect, err = state.Apply(event)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +52,7 @@
 	return effect == discovery.EndpointsChanged
 }
 
-// applyUpdate applies an update to a router: the full list if it is full, else the changes.
+// applyUpdate applies a full or an incremental update to a router's fleet and core.
 func applyUpdate(now control.Micros, c *testCore, f *fleet.Fleet, update fleet.Update) {
 	if update.Full {
 		c.UpdateEndpoints(now, control.FullUpdate, f.FullUpdate(now, update.Endpoints))
@@ -60,7 +61,8 @@
 	c.UpdateEndpoints(now, control.IncrementalUpdate, f.IncrementalUpdate(now, update.Endpoints))
 }
 
-// snapshotOf returns the state of a core. Whether a removed server was on the last list changes no decision.
+// snapshotOf returns the state of a core without the information whether a removed server was on the last list, which
+// affects no decision.
 func snapshotOf(t *rapid.T, c *testCore) *Snapshot {
 	s, err := c.Snapshot()
 	if err != nil {
@@ -72,7 +74,8 @@
 	return s
 }
 
-// A router that gets the changes has the same state and decides the same as one that gets the full list at each event.
+// A router that receives incremental updates has the same state and makes the same decisions as one that receives the
+// full list at each event.
 func TestIncrementalUpdatesEqualFullLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, next, deployment := control.Micros(10_000_000), control.RequestID(0), randomDeployment(t)
@@ -85,21 +88,21 @@
 				fleets[i].UseSourceClock()
 			}
 		}
-		var s discovery.State
+		var state discovery.State
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += control.Micros(rapid.IntRange(1, 300_000).Draw(t, "pause"))
 			if rapid.IntRange(0, 19).Draw(t, "long pause") == 0 {
 				now += 601_000_000 // removed servers are pruned
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "events") {
-				if randomEvent(t, now, &s) {
-					applyUpdate(now, cores[0], fleets[0], s.Update())
-					applyUpdate(now, cores[1], fleets[1], fleet.Update{Full: true, Endpoints: s.Endpoints()})
+				if randomEvent(t, now, &state) {
+					applyUpdate(now, cores[0], fleets[0], state.Update())
+					applyUpdate(now, cores[1], fleets[1], fleet.Update{Full: true, Endpoints: state.Endpoints()})
 				}
 			}
-			traffic(t, now, &next, cores[:]...)
-			for i, d := range cores {
-				d.Step(now)
+			addRandomTraffic(t, now, &next, cores[:]...)
+			for i, c := range cores {
+				c.Step(now)
 				fleets[i].Prune(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && step%2 == 0 })
 			}
 			if x, y := cores[0].takeCalls(), cores[1].takeCalls(); !slices.Equal(x, y) {
@@ -110,8 +113,8 @@
 			}
 			for _, f := range fleets {
 				servers, ready := f.Count()
-				count := func(only bool) int {
-					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return only && s.State != control.Ready }))
+				count := func(readyOnly bool) int {
+					return len(slices.DeleteFunc(f.Servers(), func(s *fleet.Server) bool { return readyOnly && s.State != control.Ready }))
 				}
 				if servers != count(false) || ready != count(true) {
 					t.Fatalf("step %d: %d servers, %d of them ready: %+v", step, servers, ready, f.Servers())
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -18,22 +18,22 @@
 	a.OneOf("word", "a", "a", "b")
 	f.Section("c").Float("late", 0, 0, 1)
 	f.Section("d").Errorf("", "missing")
-	var faults *ValidationError
-	if err := f.Check(); !errors.As(err, &faults) {
+	var validation *ValidationError
+	if err := f.Check(); !errors.As(err, &validation) {
 		t.Fatalf("got %v", err)
 	}
 	want := []string{
 		`f.ini:0: [d]: missing`,
-		`f.ini:1: [] stray: stands before any section`,
-		`f.ini:4: n stands twice, first at line 3`,
-		`f.ini:5: [a] span: "5" is no span of time from 0s to 1m0s`,
-		`f.ini:6: [a] word: "c" is none of a, b`,
+		`f.ini:1: [] stray: appears before any section`,
+		`f.ini:4: n is defined twice, first at line 3`,
+		`f.ini:5: [a] span: "5" is not a duration from 0s to 1m0s`,
+		`f.ini:6: [a] word: "c" is not one of a, b`,
 		`f.ini:8: [a] extra: unknown key`,
 		`f.ini:10: [b]: unknown section`,
-		`f.ini:12: [c] late: "99" is no number from 0 to 1`,
+		`f.ini:12: [c] late: "99" is not a number from 0 to 1`,
 	}
-	if !slices.Equal(faults.Problems, want) {
-		t.Errorf("got %q", faults.Problems)
+	if !slices.Equal(validation.Problems, want) {
+		t.Errorf("got %q", validation.Problems)
 	}
 }
 
--- a/internal/netfail/netfail_test.go
+++ b/internal/netfail/netfail_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// wrapped returns a system call's error as the standard library does, wrapped once more.
-func wrapped(errno syscall.Errno) error {
+// wrappedErrno returns a system call's error as the standard library does, wrapped once more.
+func wrappedErrno(errno syscall.Errno) error {
 	return fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)})
 }
 
@@ -25,22 +25,22 @@
 		syscall.ECONNABORTED: {transient: true},
 		syscall.ECONNREFUSED: {}, syscall.ECONNRESET: {}, syscall.ETIMEDOUT: {}, syscall.EPIPE: {},
 	} {
-		if err := wrapped(errno); IsLocal(err) != want.local || IsTransient(err) != want.transient {
+		if err := wrappedErrno(errno); IsLocal(err) != want.local || IsTransient(err) != want.transient {
 			t.Errorf("%v: local %t, transient %t", errno, IsLocal(err), IsTransient(err))
 		}
 	}
 	if IsLocal(nil) || IsTransient(nil) || IsLocal(context.Canceled) || IsTransient(context.DeadlineExceeded) {
-		t.Error("no system call has failed")
+		t.Error("an error that is not a system call's is classified as local or transient")
 	}
 }
 
 func TestDial(t *testing.T) {
-	local, transient, refused := wrapped(syscall.EMFILE), wrapped(syscall.ENETUNREACH), wrapped(syscall.ECONNREFUSED)
+	local, transient, refused := wrappedErrno(syscall.EMFILE), wrappedErrno(syscall.ENETUNREACH), wrappedErrno(syscall.ECONNREFUSED)
 	timeout := os.ErrDeadlineExceeded
 	for name, c := range map[string]struct {
-		failures []error // of the first dials; the last one's is repeated if forever
+		failures []error // of the first dials; if forever, each dial fails with the first
 		forever  bool
-		again    RetryPause
+		timing   RetryTiming
 		err      error
 		dials    int
 		took     time.Duration
@@ -48,7 +48,7 @@
 		"succeeds":                   {dials: 1},
 		"local, then succeeds":       {failures: []error{local}, dials: 2, took: 2 * time.Millisecond},
 		"transient, then succeeds":   {failures: []error{transient, transient}, dials: 3, took: 6 * time.Millisecond},
-		"retried at once":            {failures: []error{local, local}, again: AtOnce, dials: 3},
+		"retried at once":            {failures: []error{local, local}, timing: RetryImmediately, dials: 3},
 		"refused":                    {failures: []error{refused}, err: refused, dials: 1},
 		"times out":                  {failures: []error{timeout}, err: timeout, dials: 1},
 		"local, then times out":      {failures: []error{local, timeout}, err: local, dials: 2, took: 2 * time.Millisecond},
@@ -70,9 +70,9 @@
 						return "", c.failures[i]
 					}
 					return "connection", nil
-				}, func(error) RetryPause {
+				}, func(error) RetryTiming {
 					failures++
-					return c.again
+					return c.timing
 				})
 				if !errors.Is(err, c.err) || (err == nil) != (conn == "connection") {
 					t.Errorf("got %q, %v", conn, err)
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -1,5 +1,5 @@
-// Package simproto reads and writes the frames that the simulator speaks: a header, and records of fixed layouts, all numbers
-// big-endian. It knows the layout of each record and nothing of what the records mean.
+// Package simproto reads and writes the frames of the simulator: a header and records of fixed layouts, with all
+// numbers big-endian. It knows the layout of each record, but not its meaning.
 package simproto
 
 import (
@@ -19,21 +19,22 @@
 	commandHeader = 12
 )
 
-// maxFrame bounds what a corrupt length field can make us allocate, in bytes.
+// maxFrame limits what a corrupt length field can make the reader allocate, in bytes.
 const maxFrame = 1 << 30
 
-// ErrTruncated is wrapped by the errors of frames and records that end before all of their fields.
-var ErrTruncated = errors.New("cut short")
+// ErrTruncated is wrapped by the errors of frames and records that end before their last field.
+var ErrTruncated = errors.New("truncated")
 
-// ReadFrame reads one whole frame, into buf where it is large enough; io.EOF means that the input ended between frames.
+// ReadFrame reads one whole frame, into buf if that is large enough. It returns io.EOF if the input ends between
+// frames.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	var head [offsetCount]byte
-	if n, err := io.ReadFull(r, head[:]); errors.Is(err, io.EOF) {
+	var header [offsetCount]byte
+	if n, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	} else if err != nil {
 		return nil, fmt.Errorf("frame header %w after %d bytes", ErrTruncated, n)
 	}
-	batch, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[offsetLength:])
+	batch, size := binary.BigEndian.Uint32(header[:]), binary.BigEndian.Uint32(header[offsetLength:])
 	if size < requestHeader || size > maxFrame {
 		return nil, fmt.Errorf("batch %d: frame length %d out of range", batch, size)
 	}
@@ -41,19 +42,19 @@
 		buf = make([]byte, size)
 	}
 	buf = buf[:size]
-	copy(buf, head[:])
-	if n, err := io.ReadFull(r, buf[len(head):]); err != nil {
-		return nil, fmt.Errorf("batch %d: frame %w at byte %d of %d", batch, ErrTruncated, n+len(head), size)
+	copy(buf, header[:])
+	if n, err := io.ReadFull(r, buf[len(header):]); err != nil {
+		return nil, fmt.Errorf("batch %d: frame %w at byte %d of %d", batch, ErrTruncated, n+len(header), size)
 	}
 	return buf, nil
 }
 
-// ReadHeader returns a frame's batch number, and its clock in microseconds.
-func ReadHeader(frame []byte) (batch uint32, clock uint64) {
+// ParseHeader returns a frame's batch number, and its clock in microseconds.
+func ParseHeader(frame []byte) (batch uint32, clock uint64) {
 	return binary.BigEndian.Uint32(frame), binary.BigEndian.Uint64(frame[offsetClock:])
 }
 
-// EncodeFrame writes the answer to a batch into buf, which is overwritten: the header, and the parts in their order.
+// EncodeFrame writes the reply to a batch into buf, which is overwritten: the header and the parts in their order.
 func EncodeFrame(buf []byte, batch uint32, parts []*Commands) []byte {
 	buf = binary.BigEndian.AppendUint32(buf[:0], batch)
 	buf = append(buf, make([]byte, commandHeader-offsetLength)...)
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -5,10 +5,10 @@
 	"math"
 )
 
-// recordReader reads fields one after another; a read past the end sets truncated and yields zeros.
+// recordReader reads fields one after another. A read past the end sets truncated and returns zeros.
 type recordReader struct {
 	buf       []byte
-	at        int
+	pos       int
 	truncated bool
 }
 
@@ -17,36 +17,36 @@
 
 var zeros [maxFixed]byte
 
-// next returns the next n bytes of the frame itself, nil where fewer are left.
-func (r *recordReader) next(n int) []byte {
-	if n < 0 || r.at+n > len(r.buf) {
+// nextBytes returns the next n bytes of the frame without copying them, or nil if fewer are left.
+func (r *recordReader) nextBytes(n int) []byte {
+	if n < 0 || r.pos+n > len(r.buf) {
 		r.truncated = true
-		r.at = len(r.buf)
+		r.pos = len(r.buf)
 		return nil
 	}
-	b := r.buf[r.at : r.at+n]
-	r.at += n
+	b := r.buf[r.pos : r.pos+n]
+	r.pos += n
 	return b
 }
 
-func (r *recordReader) fixed(n int) []byte {
-	if b := r.next(n); b != nil {
+func (r *recordReader) nextFixed(n int) []byte {
+	if b := r.nextBytes(n); b != nil {
 		return b
 	}
 	return zeros[:n]
 }
 
-func (r *recordReader) uint8() uint8       { return r.fixed(1)[0] }
-func (r *recordReader) uint16() uint16     { return binary.BigEndian.Uint16(r.fixed(2)) }
-func (r *recordReader) uint32() uint32     { return binary.BigEndian.Uint32(r.fixed(4)) }
-func (r *recordReader) uint64() uint64     { return binary.BigEndian.Uint64(r.fixed(8)) }
+func (r *recordReader) uint8() uint8       { return r.nextFixed(1)[0] }
+func (r *recordReader) uint16() uint16     { return binary.BigEndian.Uint16(r.nextFixed(2)) }
+func (r *recordReader) uint32() uint32     { return binary.BigEndian.Uint32(r.nextFixed(4)) }
+func (r *recordReader) uint64() uint64     { return binary.BigEndian.Uint64(r.nextFixed(8)) }
 func (r *recordReader) float32() float32   { return math.Float32frombits(r.uint32()) }
-func (r *recordReader) server() ServerAddr { return ServerAddr(r.fixed(len(ServerAddr{}))) }
+func (r *recordReader) server() ServerAddr { return ServerAddr(r.nextFixed(len(ServerAddr{}))) }
 
-// bytes returns a copy of the next n bytes: the frame's buffer is used again.
-func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.next(n)...) }
+// bytes returns a copy of the next n bytes, since the frame's buffer is reused.
+func (r *recordReader) bytes(n int) []byte { return append([]byte(nil), r.nextBytes(n)...) }
 
-// floats reads a count of one byte and as many numbers.
+// floats reads a count of one byte and that many numbers.
 func (r *recordReader) floats() []float32 {
 	n := int(r.uint8())
 	if n == 0 {
