--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -90,7 +90,7 @@
 }
 
 func (s *Store) flushLogLocked() {
-	for _, line := range append(s.identity.LogLines(), s.verifier.LogLines()...) {
+	for _, line := range append(s.identity.TakeLogLines(), s.verifier.TakeLogLines()...) {
 		s.log(line)
 	}
 }
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -27,19 +27,19 @@
 	if err := i.Update(now(), x.Chain, x.Key); err != nil {
 		t.Fatal(err)
 	}
-	i.LogLines()
-	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.LogLines()) != 0 {
+	i.TakeLogLines()
+	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.TakeLogLines()) != 0 {
 		t.Errorf("half replaced: %v", err)
 	}
 	if err := i.Update(now(), y.Chain, y.Key); err != nil || currentName(&i) != "y" || i.Version() != 2 {
 		t.Errorf("%v, version %d", err, i.Version())
 	}
-	i.LogLines()
+	i.TakeLogLines()
 	for range 3 {
 		i.Update(now(), x.Chain, y.Key)
 	}
 	i.Update(now(), []byte("torn"), y.Key)
-	if lines := i.LogLines(); len(lines) != 2 || currentName(&i) != "y" {
+	if lines := i.TakeLogLines(); len(lines) != 2 || currentName(&i) != "y" {
 		t.Errorf("log lines %q", lines)
 	}
 }
@@ -57,7 +57,7 @@
 	if err := i.Update(microsOf(begin), current.Chain, current.Key); err != nil {
 		t.Fatal(err)
 	}
-	if next := i.Maintain(microsOf(begin)); next != microsOf(after(20*time.Second)) || len(i.LogLines()) != 2 { // in service; expires soon
+	if next := i.Maintain(microsOf(begin)); next != microsOf(after(20*time.Second)) || len(i.TakeLogLines()) != 2 { // in service; expires soon
 		t.Errorf("next at %d", next)
 	}
 	if err := i.Update(microsOf(begin), expired.Chain, expired.Key); err == nil || currentName(&i) != "x" {
@@ -73,10 +73,10 @@
 	if currentName(&i) != "y" {
 		t.Error("the pending certificate is not in service")
 	}
-	i.LogLines()
+	i.TakeLogLines()
 	i.Maintain(microsOf(after(time.Hour)))
 	i.Maintain(microsOf(after(2 * time.Hour)))
-	if lines := i.LogLines(); len(lines) != 1 || !strings.Contains(lines[0], "ended") {
+	if lines := i.TakeLogLines(); len(lines) != 1 || !strings.Contains(lines[0], "ended") {
 		t.Errorf("log lines %q", lines)
 	}
 }
@@ -91,16 +91,16 @@
 		t.Fatal(err)
 	}
 	version := i.Version()
-	if i.ReplaceNow(begin+replacementPeriod, version, 0) {
+	if i.ShouldReplace(begin+replacementPeriod, version, 0) {
 		t.Error("nothing changed")
 	}
 	if err := i.Update(begin, y.Chain, y.Key); err != nil {
 		t.Fatal(err)
 	}
-	if i.ReplaceNow(begin+replacementPeriod/2-1, version, 0.5) || !i.ReplaceNow(begin+replacementPeriod/2, version, 0.5) {
+	if i.ShouldReplace(begin+replacementPeriod/2-1, version, 0.5) || !i.ShouldReplace(begin+replacementPeriod/2, version, 0.5) {
 		t.Error("not at its own position")
 	}
-	if i.ReplaceNow(begin+replacementPeriod, i.Version(), 0.5) {
+	if i.ShouldReplace(begin+replacementPeriod, i.Version(), 0.5) {
 		t.Error("a connection with the current certificate is replaced")
 	}
 }
--- a/internal/tlspolicy/logbuffer.go
+++ b/internal/tlspolicy/logbuffer.go
@@ -9,8 +9,8 @@
 	b.lines = append(b.lines, fmt.Sprintf(format, args...))
 }
 
-// LogLines returns the log lines since the last call.
-func (b *logBuffer) LogLines() []string {
+// TakeLogLines returns the log lines since the last call.
+func (b *logBuffer) TakeLogLines() []string {
 	lines := b.lines
 	b.lines = nil
 	return lines
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -46,13 +46,13 @@
 			t.Errorf("%s is taken in", c.what)
 		}
 	}
-	if lines := v.LogLines(); v.Version() != version || len(lines) != 8 { // two updates and six errors
+	if lines := v.TakeLogLines(); v.Version() != version || len(lines) != 8 { // two updates and six errors
 		t.Errorf("version %d after %d, log lines %q", v.Version(), version, lines)
 	}
 	if err := v.Update(nil, current); err != nil {
 		t.Errorf("a repeated update: %v", err)
 	}
-	if lines := v.LogLines(); len(lines) != 0 {
+	if lines := v.TakeLogLines(); len(lines) != 0 {
 		t.Errorf("a repeated update is logged: %q", lines)
 	}
 	if err := v.Update(b.CertificatePEM(), nil); err != nil {
@@ -73,11 +73,11 @@
 	if next := v.Maintain(now()); next != microsOf(nextUpdate.Truncate(time.Second)) {
 		t.Errorf("next at %d", next)
 	}
-	v.LogLines()
+	v.TakeLogLines()
 	late := microsOf(nextUpdate) + 1
 	v.Maintain(late)
 	v.Maintain(late)
-	if _, err := v.Verify(late, parse(t, issued), Server, "127.0.0.1"); reasonOf(t, err) != Revoked || len(v.LogLines()) != 1 {
+	if _, err := v.Verify(late, parse(t, issued), Server, "127.0.0.1"); reasonOf(t, err) != Revoked || len(v.TakeLogLines()) != 1 {
 		t.Errorf("out of date: %v", err)
 	}
 }
