--- a/internal/membership/bounds.go
+++ b/internal/membership/bounds.go
@@ -2,33 +2,34 @@
 
 import "hollymast/control"
 
-// Bounds limit what a source of endpoints can make of the endpoint list in a short time.
+// Bounds limit how fast an endpoint source can change the endpoint list.
 type Bounds struct {
-	// MassWithdrawalShare is the share of the usable servers above which withdrawals within WithdrawalWindow are held.
+	// MassWithdrawalShare is the share of the usable servers above which servers withdrawn within WithdrawalWindow are held:
+	// they stay listed for HoldTime.
 	MassWithdrawalShare float64
-	// MassWithdrawalMin is how many servers may be withdrawn within WithdrawalWindow whatever their share.
+	// MassWithdrawalMin is the number of servers that may be withdrawn within WithdrawalWindow regardless of their share.
 	MassWithdrawalMin int
-	// WithdrawalWindow is the time within which withdrawals count together.
+	// WithdrawalWindow is the period over which withdrawals are added up.
 	WithdrawalWindow control.Micros
-	// HoldTime is how long servers of a mass withdrawal stay listed. Servers withdrawn for longer are removed.
+	// HoldTime is how long the servers of a mass withdrawal stay listed before they are removed.
 	HoldTime control.Micros
-	// SettleTime is how long the rest of a mass withdrawal stays listed once most of its servers are back.
+	// SettleTime is how long the remaining servers of a mass withdrawal stay listed once most of them have returned.
 	SettleTime control.Micros
-	// FlapLimit is the number of changes between usable and not usable within StableTime from which a server is flapping: it
-	// is listed as draining until it is stable.
+	// FlapLimit is the number of changes between usable and unusable within StableTime at which a server counts as flapping.
+	// A flapping server is listed as draining until it is stable.
 	FlapLimit int
-	// StableTime is how long a flapping server must not change to be stable.
+	// StableTime is how long a flapping server must stay unchanged to count as stable.
 	StableTime control.Micros
-	// MaxOrphans bounds the endpoints kept for clusters that the source has not announced.
+	// MaxOrphans is the maximum number of endpoints kept for clusters that the source has not announced.
 	MaxOrphans int
 }
 
-// DefaultBounds suit a fleet of some ten to some thousand servers.
-//   - Half of the servers: a rolling update takes a tenth or a quarter at a time.
-//   - A hold of 30 s: a control plane restarts within that.
-//   - A window of 1 s: one change of many servers comes in several messages.
-//   - A settle time of 200 ms: their return comes in several messages too, and what is still missing then is removed
-//     within the grace that a drain allows.
+// DefaultBounds suit a fleet of tens to thousands of servers.
+//   - Mass withdrawal at half of the servers: a rolling update replaces a tenth or a quarter at a time.
+//   - A hold of 30 s: a control plane restarts within that time.
+//   - A window of 1 s: a change of many servers arrives in several messages.
+//   - A settle time of 200 ms: returning servers arrive in several messages too, and servers still missing afterwards are
+//     removed within the grace period of a drain.
 var DefaultBounds = Bounds{
 	MassWithdrawalShare: 0.5,
 	MassWithdrawalMin:   2,
--- a/internal/membership/clusters.go
+++ b/internal/membership/clusters.go
@@ -7,14 +7,14 @@
 	"hollymast/control"
 )
 
-// cluster is what a source says of one cluster.
+// cluster is the state of one cluster as reported by the source.
 type cluster struct {
-	announced  bool // false: only its endpoints have come so far
+	announced  bool // false: only its endpoints have been received so far
 	endpoints  map[string]Endpoint
 	priorities priorities
 }
 
-// SetClusters sets all clusters that there are. One that is left out is withdrawn with its endpoints.
+// SetClusters sets the complete list of clusters. Clusters that are not in it are removed with their endpoints.
 func (m *Model) SetClusters(now control.Micros, names []string) {
 	present := make(map[string]bool, len(names))
 	for _, name := range names {
@@ -32,7 +32,7 @@
 	})
 }
 
-// AddCluster announces a cluster; its endpoints may have come before.
+// AddCluster announces a cluster. Its endpoints may have been received before.
 func (m *Model) AddCluster(now control.Micros, name string) {
 	c := m.cluster(name)
 	if c.announced {
@@ -43,7 +43,7 @@
 	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
-// RemoveCluster withdraws a cluster with its endpoints.
+// RemoveCluster removes a cluster and withdraws its endpoints.
 func (m *Model) RemoveCluster(now control.Micros, name string) {
 	c := m.clusters[name]
 	if c == nil || !c.announced {
@@ -53,9 +53,9 @@
 	m.reconcile(now, name, sortedKeys(c.endpoints))
 }
 
-// SetEndpoints sets all endpoints of a cluster. An address listed twice counts once, with its worse health. Endpoints of a
-// cluster that was not announced are kept in case it is, since sources may send them first; the error says that there are
-// more of those than the bounds allow, and that the call changed nothing.
+// SetEndpoints sets the complete list of a cluster's endpoints. An address listed twice counts once, with the worse of its
+// two health states. Endpoints of a cluster that is not announced yet are kept, since a source may send them first. If there
+// are more of those than the bounds allow, SetEndpoints returns an error and changes nothing.
 func (m *Model) SetEndpoints(now control.Micros, name string, list []Endpoint) error {
 	if err := m.checkOrphans(name, len(list)); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	c.endpoints = make(map[string]Endpoint, len(list))
 	for _, endpoint := range list {
 		if other, twice := c.endpoints[endpoint.Address]; twice {
-			endpoint.Health = worse(other.Health, endpoint.Health)
+			endpoint.Health = worseHealth(other.Health, endpoint.Health)
 		}
 		c.endpoints[endpoint.Address] = endpoint
 	}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// checkOrphans guards against a source that names endpoints of ever new clusters.
+// checkOrphans limits the memory that a source can use up by sending endpoints of clusters that it never announces.
 func (m *Model) checkOrphans(name string, endpoints int) error {
 	before := 0
 	if c := m.clusters[name]; c != nil {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// changedAddresses returns the addresses that were added, removed or changed, ascending.
+// changedAddresses returns the addresses that were added, removed or changed, in ascending order.
 func changedAddresses(old, current map[string]Endpoint) []string {
 	var changed []string
 	for address := range old {
@@ -110,7 +110,7 @@
 	return changed
 }
 
-// DropUnannouncedCluster drops the endpoints of a cluster that was never announced.
+// DropUnannouncedCluster drops a cluster that was never announced, with its endpoints.
 func (m *Model) DropUnannouncedCluster(name string) {
 	if c := m.clusters[name]; c != nil && !c.announced {
 		m.orphanEndpoints -= len(c.endpoints)
@@ -118,7 +118,7 @@
 	}
 }
 
-// cluster returns a cluster by its name, a new one where there is none.
+// cluster returns the cluster with the given name, which it creates if necessary.
 func (m *Model) cluster(name string) *cluster {
 	c := m.clusters[name]
 	if c == nil {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,16 +17,16 @@
 
 const second = control.Micros(1_000_000)
 
-func endpoints(n int, h Health) []Endpoint {
-	es := make([]Endpoint, n)
-	for i := range es {
-		es[i] = Endpoint{Address: fmt.Sprintf("10.0.0.%d:80", i), Health: h}
+func newEndpoints(n int, h Health) []Endpoint {
+	endpoints := make([]Endpoint, n)
+	for i := range endpoints {
+		endpoints[i] = Endpoint{Address: fmt.Sprintf("10.0.0.%d:80", i), Health: h}
 	}
-	return es
+	return endpoints
 }
 
-// setSource records a drawn state of the source.
-func setSource(m *Model, now control.Micros, up bool) {
+// setSourceReachable marks the source as up or down.
+func setSourceReachable(m *Model, now control.Micros, up bool) {
 	if up {
 		m.SourceUp(now)
 	} else {
@@ -34,8 +34,8 @@
 	}
 }
 
-// states counts the ready and the draining servers of the endpoint list.
-func states(m *Model) (ready, draining int) {
+// countStates returns the numbers of ready and draining servers in the endpoint list.
+func countStates(m *Model) (ready, draining int) {
 	for _, e := range m.List() {
 		if e.State == control.Ready {
 			ready++
@@ -46,206 +46,208 @@
 	return ready, draining
 }
 
-// listed returns a model of one cluster, "a", with n healthy servers.
-func listed(t *testing.T, n int) *Model {
+// newListedModel returns a model with one cluster, "a", of n healthy servers.
+func newListedModel(t *testing.T, n int) *Model {
 	t.Helper()
 	m := New(DefaultBounds)
 	m.SetClusters(second, []string{"a"})
-	if err := m.SetEndpoints(second, "a", endpoints(n, Healthy)); err != nil {
+	if err := m.SetEndpoints(second, "a", newEndpoints(n, Healthy)); err != nil {
 		t.Fatal(err)
 	}
-	if ready, _ := states(m); ready != n {
+	if ready, _ := countStates(m); ready != n {
 		t.Fatalf("%d ready", ready)
 	}
 	return m
 }
 
 func TestDrainingAppliesAtOnceHoweverMany(t *testing.T) {
-	m := listed(t, 10)
-	m.SetEndpoints(2*second, "a", endpoints(10, Draining))
-	if ready, draining := states(m); ready != 0 || draining != 10 {
+	m := newListedModel(t, 10)
+	m.SetEndpoints(2*second, "a", newEndpoints(10, Draining))
+	if ready, draining := countStates(m); ready != 0 || draining != 10 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
 }
 
 func TestSingleWithdrawalRemovesAtOnce(t *testing.T) {
-	m := listed(t, 10)
+	m := newListedModel(t, 10)
 	for i := 9; i > 4; i-- { // one every two seconds, down to half
-		m.SetEndpoints(control.Micros(2*(11-i))*second, "a", endpoints(i, Healthy))
-		if ready, _ := states(m); ready != i {
+		m.SetEndpoints(control.Micros(2*(11-i))*second, "a", newEndpoints(i, Healthy))
+		if ready, _ := countStates(m); ready != i {
 			t.Errorf("%d ready of %d", ready, i)
 		}
 	}
 }
 
-// Half or all of the servers withdrawn at once, in one message or several, are held, and unchanged when they are listed again.
+// When half or more of the servers are withdrawn together, in one message or several, they are held. They are unchanged once they
+// are listed again.
 func TestMassWithdrawalIsHeld(t *testing.T) {
 	for name, withdraw := range map[string]func(m *Model, now control.Micros){
 		"all at once": func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", nil) },
-		"most":        func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", endpoints(4, Healthy)) },
+		"most":        func(m *Model, now control.Micros) { m.SetEndpoints(now, "a", newEndpoints(4, Healthy)) },
 		"the cluster": func(m *Model, now control.Micros) { m.SetClusters(now, nil) },
-		"some by some": func(m *Model, now control.Micros) {
-			m.SetEndpoints(now, "a", endpoints(5, Healthy))
+		"in two steps": func(m *Model, now control.Micros) {
+			m.SetEndpoints(now, "a", newEndpoints(5, Healthy))
 			m.SetEndpoints(now+1000, "a", nil)
 		},
 	} {
-		m := listed(t, 10)
+		m := newListedModel(t, 10)
 		withdraw(m, 5*second)
-		ready, _ := states(m)
-		if ready != 10 && !(name == "some by some" && ready == 5) {
+		ready, _ := countStates(m)
+		if ready != 10 && !(name == "in two steps" && ready == 5) {
 			t.Errorf("%s: %d ready", name, ready)
 		}
 		if next := m.Tick(6 * second); next == 0 || next > 5*second+1000+DefaultBounds.HoldTime {
 			t.Errorf("%s: next call at %d", name, next)
 		}
 		m.SetClusters(8*second, []string{"a"})
-		m.SetEndpoints(8*second, "a", endpoints(10, Healthy))
+		m.SetEndpoints(8*second, "a", newEndpoints(10, Healthy))
 		m.Tick(100 * second)
-		if ready, _ := states(m); ready != 10 {
-			t.Errorf("%s: %d ready after it came back", name, ready)
+		if ready, _ := countStates(m); ready != 10 {
+			t.Errorf("%s: %d ready after the return", name, ready)
 		}
-		for _, f := range m.Servers() {
-			if f.Held || f.WithdrawnAt > 0 || name != "some by some" && f.FirstSeen != second {
-				t.Errorf("%s: got %+v", name, f)
+		for _, server := range m.Servers() {
+			if server.Held || server.WithdrawnAt > 0 || name != "in two steps" && server.FirstSeen != second {
+				t.Errorf("%s: got %+v", name, server)
 			}
 		}
 	}
 }
 
-// Once most of the held servers are back, the others were withdrawn by intent.
+// Once most of the held servers have returned, the others are taken for withdrawn on purpose: they are removed after SettleTime.
 func TestRestOfMassWithdrawalIsRemovedOnceSettled(t *testing.T) {
-	m := listed(t, 10)
+	m := newListedModel(t, 10)
 	m.SetEndpoints(5*second, "a", nil)
-	m.SetEndpoints(8*second, "a", endpoints(4, Healthy)) // not yet
+	m.SetEndpoints(8*second, "a", newEndpoints(4, Healthy)) // most are still missing: the hold stays
 	if m.Tick(8*second + DefaultBounds.SettleTime); len(m.List()) != 10 {
-		t.Errorf("%d on the list while most are missing", len(m.List()))
+		t.Errorf("%d listed while most are missing", len(m.List()))
 	}
-	m.SetEndpoints(9*second, "a", endpoints(9, Healthy))
+	m.SetEndpoints(9*second, "a", newEndpoints(9, Healthy))
 	if next := m.Tick(9 * second); len(m.List()) != 10 || next != 9*second+DefaultBounds.SettleTime {
-		t.Errorf("%d on the list at once; next call at %d", len(m.List()), next)
+		t.Errorf("%d listed before the settle time; next call at %d", len(m.List()), next)
 	}
 	if m.Tick(9*second + DefaultBounds.SettleTime); len(m.List()) != 9 {
-		t.Errorf("%d on the list in the end", len(m.List()))
+		t.Errorf("%d listed after the settle time", len(m.List()))
 	}
 }
 
-// Many clusters of one server each, withdrawn in one message, are one withdrawal; a server that another cluster names stays.
+// Clusters removed in one message count as one withdrawal, here ten of one server each. A server that moves to another cluster
+// within a batch is not withdrawn.
 func TestBatchCountsAsOneWithdrawal(t *testing.T) {
 	m := New(DefaultBounds)
 	var names []string
 	m.Batch(second, func() {
-		for i, e := range endpoints(10, Healthy) {
+		for i, e := range newEndpoints(10, Healthy) {
 			names = append(names, fmt.Sprint("c", i))
 			m.AddCluster(second, names[i])
 			m.SetEndpoints(second, names[i], []Endpoint{e})
 		}
 	})
 	m.SetClusters(5*second, nil)
-	if ready, _ := states(m); ready != 10 {
+	if ready, _ := countStates(m); ready != 10 {
 		t.Errorf("%d ready", ready)
 	}
 	m.SetClusters(6*second, names[:1])
-	x := endpoints(1, Healthy)
-	m.SetEndpoints(6*second, names[0], x)
+	list := newEndpoints(1, Healthy)
+	m.SetEndpoints(6*second, names[0], list)
 	before := m.Servers()[0].FirstSeen
 	m.Batch(7*second, func() {
 		m.SetEndpoints(7*second, names[0], nil)
 		m.AddCluster(7*second, "other")
-		m.SetEndpoints(7*second, "other", x)
+		m.SetEndpoints(7*second, "other", list)
 	})
-	if f := m.Servers()[0]; f.WithdrawnAt > 0 || f.FirstSeen != before || !slices.Equal(f.Clusters, []string{"other"}) {
-		t.Errorf("got %+v", f)
+	if server := m.Servers()[0]; server.WithdrawnAt > 0 || server.FirstSeen != before || !slices.Equal(server.Clusters, []string{"other"}) {
+		t.Errorf("got %+v", server)
 	}
 }
 
 func TestHeldServersAreRemovedAfterHold(t *testing.T) {
-	m := listed(t, 10)
+	m := newListedModel(t, 10)
 	m.SetEndpoints(5*second, "a", nil)
 	m.Tick(5*second + DefaultBounds.HoldTime - 1)
-	if ready, _ := states(m); ready != 10 {
-		t.Errorf("%d ready before its time", ready)
+	if ready, _ := countStates(m); ready != 10 {
+		t.Errorf("%d ready before the hold expired", ready)
 	}
-	m.SourceDown(6 * second) // holds don't end meanwhile: the source can't list the servers again
+	m.SourceDown(6 * second) // holds don't expire while the source can't list the servers again
 	m.Tick(5*second + DefaultBounds.HoldTime)
-	if ready, _ := states(m); ready != 10 || m.SourceDownSince() != 6*second {
+	if ready, _ := countStates(m); ready != 10 || m.SourceDownSince() != 6*second {
 		t.Errorf("%d ready while the source is down", ready)
 	}
 	m.SourceUp(50 * second)
 	m.Tick(50 * second)
-	if ready, draining := states(m); ready+draining != 0 {
-		t.Errorf("%d ready in the end", ready)
+	if ready, draining := countStates(m); ready+draining != 0 {
+		t.Errorf("%d ready after the hold", ready)
 	}
-	if notes := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(notes, "held") || !strings.Contains(notes, "stayed withdrawn: they are removed") || len(m.TakeLogLines()) > 0 {
-		t.Errorf("logged %q", notes)
+	if logged := strings.Join(m.TakeLogLines(), "; "); !strings.Contains(logged, "held") || !strings.Contains(logged, "hold expired: 10 withdrawn servers are removed") || len(m.TakeLogLines()) > 0 {
+		t.Errorf("logged %q", logged)
 	}
 }
 
-// An endpoint in two clusters is one server: it stays while one names it, and drains where either says so.
+// An address in two clusters is one server: it stays listed while either cluster lists it, and drains if either reports draining.
 func TestOneServerInTwoClusters(t *testing.T) {
 	m := New(DefaultBounds)
 	m.SetClusters(second, []string{"a", "b"})
-	x := Endpoint{Address: "10.0.0.1:80", Health: Healthy, Zone: "z"}
-	m.SetEndpoints(second, "b", []Endpoint{x})
-	drains := x
-	drains.Health = Draining
-	m.SetEndpoints(2*second, "a", []Endpoint{drains})
-	if _, draining := states(m); draining != 1 {
-		t.Error("it does not drain")
+	healthy := Endpoint{Address: "10.0.0.1:80", Health: Healthy, Zone: "z"}
+	m.SetEndpoints(second, "b", []Endpoint{healthy})
+	drainingEndpoint := healthy
+	drainingEndpoint.Health = Draining
+	m.SetEndpoints(2*second, "a", []Endpoint{drainingEndpoint})
+	if _, draining := countStates(m); draining != 1 {
+		t.Error("the server does not drain")
 	}
 	m.SetEndpoints(3*second, "a", nil)
-	if ready, _ := states(m); ready != 1 || !slices.Equal(m.Servers()[0].Clusters, []string{"b"}) {
+	if ready, _ := countStates(m); ready != 1 || !slices.Equal(m.Servers()[0].Clusters, []string{"b"}) {
 		t.Errorf("got %+v", m.Servers())
 	}
-	m.SetEndpoints(4*second, "a", []Endpoint{x}) // it moves
+	m.SetEndpoints(4*second, "a", []Endpoint{healthy}) // the server moves from b to a
 	m.SetEndpoints(4*second, "b", nil)
-	if ready, _ := states(m); ready != 1 || m.Servers()[0].FirstSeen != second {
-		t.Errorf("after its move: %+v", m.Servers())
+	if ready, _ := countStates(m); ready != 1 || m.Servers()[0].FirstSeen != second {
+		t.Errorf("after the move: %+v", m.Servers())
 	}
 }
 
 func TestEndpointsBeforeTheirCluster(t *testing.T) {
 	m := New(Bounds{MaxOrphans: 5})
-	if err := m.SetEndpoints(second, "late", endpoints(3, Healthy)); err != nil {
+	if err := m.SetEndpoints(second, "late", newEndpoints(3, Healthy)); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err == nil {
-		t.Error("endpoints beyond the bound are kept")
+	if err := m.SetEndpoints(second, "never", newEndpoints(3, Healthy)); err == nil {
+		t.Error("endpoints beyond MaxOrphans are accepted")
 	}
-	if ready, _ := states(m); ready != 0 {
-		t.Errorf("%d ready with no cluster", ready)
+	if ready, _ := countStates(m); ready != 0 {
+		t.Errorf("%d ready before the cluster was announced", ready)
 	}
 	m.AddCluster(2*second, "late")
-	if ready, _ := states(m); ready != 3 {
+	if ready, _ := countStates(m); ready != 3 {
 		t.Errorf("%d ready", ready)
 	}
-	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err != nil {
+	if err := m.SetEndpoints(second, "never", newEndpoints(3, Healthy)); err != nil {
 		t.Error(err)
 	}
 	m.DropUnannouncedCluster("never")
-	if err := m.SetEndpoints(second, "other", endpoints(5, Healthy)); err != nil {
+	if err := m.SetEndpoints(second, "other", newEndpoints(5, Healthy)); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestFlappingServerDrainsUntilStable(t *testing.T) {
-	m := listed(t, 3)
+	m := newListedModel(t, 3)
 	now := 2 * second
 	for i := range 6 {
-		es := endpoints(3, Healthy)
+		list := newEndpoints(3, Healthy)
 		if i%2 == 0 {
-			es[0].Health = Unhealthy
+			list[0].Health = Unhealthy
 		}
 		now += second / 2
-		m.SetEndpoints(now, "a", es)
+		m.SetEndpoints(now, "a", list)
 	}
-	if ready, draining := states(m); ready != 2 || draining != 1 {
+	if ready, draining := countStates(m); ready != 2 || draining != 1 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
 	if next := m.Tick(now); next != now+DefaultBounds.StableTime {
 		t.Errorf("next call at %d", next)
 	}
 	m.Tick(now + DefaultBounds.StableTime)
-	if ready, _ := states(m); ready != 3 {
+	if ready, _ := countStates(m); ready != 3 {
 		t.Errorf("%d ready once stable", ready)
 	}
 }
@@ -254,27 +256,28 @@
 	m := New(DefaultBounds)
 	m.AddCluster(second, "a")
 	m.SetEndpoints(second, "a", []Endpoint{{Address: "x:1", Health: Draining}, {Address: "x:1", Health: Healthy}})
-	if ready, draining := states(m); ready != 0 || draining != 1 {
+	if ready, draining := countStates(m); ready != 0 || draining != 1 {
 		t.Errorf("%d ready, %d draining", ready, draining)
 	}
 }
 
-// Any order of arrival ends in the same list, once all has arrived and is stable.
+// Whatever changes came before, and in whatever order the final clusters and endpoints arrive, the list is the same once it is
+// stable.
 func TestOrderOfArrivalDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clusters := []string{"a", "b", "c"}
-		last := map[string][]Endpoint{}
+		finalEndpoints := map[string][]Endpoint{}
 		for _, c := range clusters {
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "in") {
-					last[c] = append(last[c], Endpoint{Address: fmt.Sprint("x:", i), Health: Health(rapid.IntRange(0, 5).Draw(t, "health")),
+					finalEndpoints[c] = append(finalEndpoints[c], Endpoint{Address: fmt.Sprint("x:", i), Health: Health(rapid.IntRange(0, 5).Draw(t, "health")),
 						Zone: fmt.Sprint("zone of ", i), StartedAt: rapid.Int64Range(0, 3).Draw(t, "born")})
 				}
 			}
 		}
-		named := rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named")
-		slices.Sort(named)
-		end := func(label string) *Model {
+		finalClusters := rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named")
+		slices.Sort(finalClusters)
+		runToStable := func(label string) *Model {
 			m := New(DefaultBounds)
 			now := second
 			for range rapid.IntRange(0, 20).Draw(t, label+"changes before") {
@@ -286,20 +289,20 @@
 				case 1:
 					m.RemoveCluster(now, c)
 				case 2:
-					m.SetEndpoints(now, c, endpoints(rapid.IntRange(0, 4).Draw(t, label+"some"), Healthy))
+					m.SetEndpoints(now, c, newEndpoints(rapid.IntRange(0, 4).Draw(t, label+"some"), Healthy))
 				case 3:
-					setSource(m, now, rapid.Bool().Draw(t, label+"up"))
+					setSourceReachable(m, now, rapid.Bool().Draw(t, label+"up"))
 				default:
 					m.Tick(now)
 				}
 			}
-			steps := []func(){func() { m.SetClusters(now, named) }, func() { m.SourceUp(now) }}
-			for _, c := range named {
-				steps = append(steps, func() { m.SetEndpoints(now, c, last[c]) })
+			finalUpdates := []func(){func() { m.SetClusters(now, finalClusters) }, func() { m.SourceUp(now) }}
+			for _, c := range finalClusters {
+				finalUpdates = append(finalUpdates, func() { m.SetEndpoints(now, c, finalEndpoints[c]) })
 			}
-			for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(steps)]).Draw(t, label+"order") {
+			for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(finalUpdates)]).Draw(t, label+"order") {
 				now += 1000
-				steps[i]()
+				finalUpdates[i]()
 			}
 			for range 4 {
 				now += 100 * second
@@ -307,55 +310,55 @@
 			}
 			return m
 		}
-		a, b := end("first "), end("second ")
+		a, b := runToStable("first "), runToStable("second ")
 		if !reflect.DeepEqual(a.List(), b.List()) {
 			t.Fatalf("%+v and %+v", a.List(), b.List())
 		}
 		for _, e := range a.List() {
-			if !slices.ContainsFunc(named, func(c string) bool {
-				return slices.ContainsFunc(last[c], func(x Endpoint) bool { return x.Address == e.Address })
+			if !slices.ContainsFunc(finalClusters, func(c string) bool {
+				return slices.ContainsFunc(finalEndpoints[c], func(x Endpoint) bool { return x.Address == e.Address })
 			}) {
-				t.Fatalf("%s is on the list and in no cluster", e.Address)
+				t.Fatalf("%s is listed but in no cluster", e.Address)
 			}
 		}
 	})
 }
 
-// While the source is down no healthy server is removed.
+// No healthy server is removed while the source is down.
 func TestSourceDownKeepsHealthyServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultBounds)
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
 		m.AddCluster(second, "a")
-		m.SetEndpoints(second, "a", endpoints(n, Healthy))
+		m.SetEndpoints(second, "a", newEndpoints(n, Healthy))
 		now := 10 * second
 		m.SourceDown(now)
 		for range 50 {
 			now += control.Micros(rapid.Int64Range(1, 100_000_000).Draw(t, "pause"))
 			m.Tick(now)
-			if ready, _ := states(m); ready != n {
+			if ready, _ := countStates(m); ready != n {
 				t.Fatalf("%d of %d ready", ready, n)
 			}
 		}
 	})
 }
 
-func large(n int) []Endpoint {
-	es := make([]Endpoint, n)
-	for i := range es {
-		es[i] = Endpoint{Address: fmt.Sprintf("10.%d.%d.1:80", i/256, i%256), Health: Healthy, Zone: fmt.Sprint(i % 3)}
+func manyEndpoints(n int) []Endpoint {
+	endpoints := make([]Endpoint, n)
+	for i := range endpoints {
+		endpoints[i] = Endpoint{Address: fmt.Sprintf("10.%d.%d.1:80", i/256, i%256), Health: Healthy, Zone: fmt.Sprint(i % 3)}
 	}
-	return es
+	return endpoints
 }
 
-// BenchmarkFullList builds the list of 10 000 endpoints in 100 clusters from nothing.
+// BenchmarkFullList builds a list of 10 000 endpoints in 100 clusters from scratch.
 func BenchmarkFullList(b *testing.B) {
-	es := large(10_000)
+	endpoints := manyEndpoints(10_000)
 	for b.Loop() {
 		m := New(DefaultBounds)
 		for c := range 100 {
 			m.AddCluster(second, fmt.Sprint(c))
-			m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+			m.SetEndpoints(second, fmt.Sprint(c), endpoints[c*100:(c+1)*100])
 		}
 		if len(m.List()) != 10_000 {
 			b.Fatal("servers are missing")
@@ -363,29 +366,29 @@
 	}
 }
 
-// BenchmarkOneEndpoint changes one endpoint of 10 000.
+// BenchmarkOneEndpoint changes one endpoint out of 10 000.
 func BenchmarkOneEndpoint(b *testing.B) {
-	es := large(10_000)
+	endpoints := manyEndpoints(10_000)
 	m := New(DefaultBounds)
 	for c := range 100 {
 		m.AddCluster(second, fmt.Sprint(c))
-		m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+		m.SetEndpoints(second, fmt.Sprint(c), endpoints[c*100:(c+1)*100])
 	}
 	now := second
 	for b.Loop() {
 		now += second
-		es[0].StartedAt++
-		m.SetEndpoints(now, "0", es[:100])
+		endpoints[0].StartedAt++
+		m.SetEndpoints(now, "0", endpoints[:100])
 	}
 }
 
-// Servers of a lower priority get nothing while those above are enough, are activated at once when they are not, and released
-// once those above were enough for the stable time. The source's overprovisioning factor counts.
+// A lower priority gets no requests while the higher ones suffice. It is activated at once when they don't, and released once they
+// have sufficed for StableTime. The source's overprovisioning factor is applied.
 func TestLowerPriorityIsActivated(t *testing.T) {
 	m := New(DefaultBounds)
 	m.AddCluster(1, "c")
 	update := func(now control.Micros, healthy int) {
-		list := endpoints(10, Healthy)
+		list := newEndpoints(10, Healthy)
 		for i := range list {
 			switch {
 			case i >= 7:
@@ -398,45 +401,45 @@
 			t.Fatal(err)
 		}
 	}
-	ready := func(want int, why string) {
+	expectReady := func(want int, why string) {
 		t.Helper()
-		if n, _ := states(m); n != want {
+		if n, _ := countStates(m); n != want {
 			t.Errorf("%s: %d ready, want %d", why, n, want)
 		}
 	}
 	update(10, 7)
-	ready(7, "all of the first level are healthy")
+	expectReady(7, "the whole first priority is healthy")
 	update(20, 5)
-	ready(5, "5 of 7 are enough with 1.4 spare")
+	expectReady(5, "5 of 7 suffice with a factor of 1.4")
 	version := m.Version()
 	update(30, 4)
-	ready(5, "4 of 7 and one of the second level")
+	expectReady(5, "4 of 7 don't suffice: the second priority is added")
 	if m.Version() == version {
-		t.Error("the list has the same version")
+		t.Error("the version has not changed")
 	}
 	update(40, 0)
-	ready(1, "none of the first level: one of the second is that level's whole")
+	expectReady(1, "the first priority is unhealthy: the one server of the second is all of it, and suffices")
 	update(50, 7)
-	ready(8, "not yet stable")
+	expectReady(8, "the first priority is back, but not stable yet")
 	next := m.Tick(60)
 	if next != 50+DefaultBounds.StableTime {
-		t.Errorf("the timer is at %d", next)
+		t.Errorf("next call at %d", next)
 	}
 	m.Tick(next)
-	ready(7, "stable")
+	expectReady(7, "the first priority is stable")
 	m.SetOverprovisioning("c", 1)
 	update(next+10, 6)
-	ready(7, "without overprovisioning 6 of 7 are too few")
+	expectReady(7, "6 of 7 don't suffice without overprovisioning")
 }
 
-// A source that changes one server all the time gets paced updates, and the last of them has its last state.
+// If the source changes a server all the time, updates are rate-limited, and the last one has the server's final state.
 func TestUpdatesArePaced(t *testing.T) {
-	m := listed(t, 1000)
+	m := newListedModel(t, 1000)
 	updates, now := 0, control.Micros(1_000_000)
 	m.TakeUpdate(now)
 	for range 1000 {
 		now += 1000
-		list := endpoints(1000, Healthy)
+		list := newEndpoints(1000, Healthy)
 		list[0].Weight = uint32(now)
 		if err := m.SetEndpoints(now, "a", list); err != nil {
 			t.Fatal(err)
@@ -445,19 +448,19 @@
 			updates++
 		}
 	}
-	if least := 400; updates < least || updates > 500 { // one each 2 ms
+	if minUpdates := 400; updates < minUpdates || updates > 500 { // one every 2 ms
 		t.Errorf("%d updates in a second", updates)
 	}
 	last, changed := m.TakeUpdate(m.Tick(now))
 	if m.version == m.takenVersion && !changed {
-		return // the last change was in an update at once
+		return // the last change is already in an update
 	}
 	if !changed || last.Endpoints[0].Weight != float64(uint32(now))/100 {
 		t.Errorf("the last change is missing: %t %+v", changed, last)
 	}
 }
 
-// All updates taken together are the list, whatever the source says.
+// Applied one after another, the updates give the same list as List, whatever the source reports.
 func TestUpdatesAddUpToList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := DefaultBounds
@@ -473,7 +476,7 @@
 			case 1:
 				m.RemoveCluster(now, cluster)
 			case 2:
-				setSource(m, now, rapid.Bool().Draw(t, "up"))
+				setSourceReachable(m, now, rapid.Bool().Draw(t, "up"))
 			case 3:
 				m.SetClusters(now, rapid.SliceOfDistinct(rapid.SampledFrom(clusters), func(s string) string { return s }).Draw(t, "named"))
 			case 4:
@@ -493,7 +496,7 @@
 			}
 			for _, e := range update.Endpoints {
 				if e == list[e.Address] {
-					t.Fatalf("%+v is no change", e)
+					t.Fatalf("%+v changes nothing", e)
 				}
 				if list[e.Address] = e; e.State == control.Removed {
 					delete(list, e.Address)
@@ -501,28 +504,28 @@
 			}
 			got := slices.SortedFunc(maps.Values(list), func(a, b fleet.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 			if want := m.List(); !slices.Equal(got, want) {
-				t.Fatalf("by updates %+v, the list is %+v", got, want)
+				t.Fatalf("the updates give %+v, the list is %+v", got, want)
 			}
 		}
 	})
 }
 
-// BenchmarkFleetSize changes one server in a fleet of clusters of 100 servers, and takes the update.
+// BenchmarkFleetSize changes one server and takes the update, in fleets of different sizes with 100 servers per cluster.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("news/servers=%d", servers), func(b *testing.B) {
-			es, m := large(servers), New(DefaultBounds)
+			endpoints, m := manyEndpoints(servers), New(DefaultBounds)
 			for c := range servers / 100 {
 				m.AddCluster(second, fmt.Sprint(c))
-				m.SetEndpoints(second, fmt.Sprint(c), es[c*100:(c+1)*100])
+				m.SetEndpoints(second, fmt.Sprint(c), endpoints[c*100:(c+1)*100])
 			}
 			m.TakeUpdate(second)
 			now := second
 			b.ReportAllocs()
 			for b.Loop() {
 				now += second
-				es[0].StartedAt++
-				m.SetEndpoints(now, "0", es[:100])
+				endpoints[0].StartedAt++
+				m.SetEndpoints(now, "0", endpoints[:100])
 				if _, changed := m.TakeUpdate(now); !changed {
 					b.Fatal("no update")
 				}
--- a/internal/membership/priority.go
+++ b/internal/membership/priority.go
@@ -7,14 +7,15 @@
 	"hollymast/control"
 )
 
-// Endpoints of a lower priority (a greater number) are a reserve: they are used once those above are too few. Envoy spreads
-// a growing share of the requests over them. The balancer has one pool of servers, so a whole priority is activated at once
-// here, and a server in reserve is listed as draining: it gets nothing new, and keeps what it has loaded for the next time.
+// Endpoints of a lower priority (a greater number) are a reserve, used when too few endpoints of the higher priorities are
+// usable. Envoy shifts a growing share of the requests to them. The balancer has a single pool of servers, so here a priority is
+// activated as a whole, and a server in reserve is listed as draining: it gets no new requests, and what it has loaded stays
+// loaded until it is needed again.
 
-// defaultOverprovisioning is Envoy's default, 140 %: a priority is enough by itself with down to 1/1.4 of its servers usable.
+// defaultOverprovisioning is Envoy's default, 140 %: a priority suffices alone while at least 1/1.4 of its servers are usable.
 const defaultOverprovisioning = 1.4
 
-// priorityLevel counts a cluster's endpoints of one priority.
+// priorityLevel holds the endpoint counts of one priority of a cluster.
 type priorityLevel struct {
 	priority      uint32
 	total, usable int
@@ -22,21 +23,21 @@
 
 // priorities is the state of a cluster's priorities.
 type priorities struct {
-	overprovisioning float64         // 0: the default
-	levels           []priorityLevel // by priority
+	overprovisioning float64         // 0: defaultOverprovisioning
+	levels           []priorityLevel // sorted by priority
 	activeThrough    uint32          // the last priority in use
 	initialized      bool
-	excessSince      control.Micros // since when fewer priorities would do; 0: they would not
+	excessSince      control.Micros // since when fewer priorities have been sufficient; 0: they are not
 }
 
-// SetOverprovisioning sets a cluster's overprovisioning factor; 0: the default. It is to be called before SetEndpoints.
+// SetOverprovisioning sets a cluster's overprovisioning factor; 0: the default. Call it before SetEndpoints, which applies it.
 func (m *Model) SetOverprovisioning(name string, factor float64) {
 	m.cluster(name).priorities.overprovisioning = factor
 }
 
-// updatePriorities recounts a cluster's priorities and activates the next where it is required. One that is no longer
-// required is released by Tick, after the stable time: at the limit, servers that come and go would otherwise have it load
-// and drain in turn.
+// updatePriorities recounts a cluster's endpoints by priority and activates lower priorities if they are required. Tick releases
+// a priority that has not been required for StableTime. Without that delay, a few servers that come and go near the threshold
+// would make a whole priority load and drain again and again.
 func (m *Model) updatePriorities(now control.Micros, name string, c *cluster) {
 	p := &c.priorities
 	p.count(c.endpoints)
@@ -44,7 +45,7 @@
 	case !p.initialized:
 		p.initialized, p.activeThrough = len(p.levels) > 0, required
 	case required > p.activeThrough:
-		m.logf("cluster %s: servers of priority %d are activated", name, required)
+		m.logf("cluster %s: priorities up to %d are activated", name, required)
 		p.activeThrough, p.excessSince = required, 0
 		m.markDirty(c)
 	case required == p.activeThrough:
@@ -73,7 +74,8 @@
 	slices.SortFunc(p.levels, func(a, b priorityLevel) int { return cmp.Compare(a.priority, b.priority) })
 }
 
-// required returns the last priority required: usable shares add up, from the highest priority, until there is enough.
+// required returns the last priority that is required. It adds up the usable shares of the priorities, times the
+// overprovisioning factor, from the highest priority down until the sum reaches 1.
 func (p *priorities) required() (last uint32) {
 	factor := p.overprovisioning
 	if factor == 0 {
@@ -89,7 +91,7 @@
 	return last
 }
 
-// markDirty marks all servers of a cluster, of which others than before are in reserve.
+// markDirty marks all servers of a cluster as possibly changed, after a change of its active priorities.
 func (m *Model) markDirty(c *cluster) {
 	m.version++
 	for address := range c.endpoints {
@@ -97,8 +99,8 @@
 	}
 }
 
-// releasePriorities releases priorities that were not required for the stable time, unless the source is down: it could not
-// say that they are required again.
+// releasePriorities releases priorities that have not been required for StableTime. It releases none while the source is down,
+// since the source could not report that they are required again.
 func (m *Model) releasePriorities(now control.Micros, wake *timer) {
 	for _, name := range sortedKeys(m.releasing) {
 		c := m.clusters[name]
@@ -107,18 +109,18 @@
 			delete(m.releasing, name)
 		case m.sourceDownSince > 0:
 		case now < c.priorities.excessSince+m.bounds.StableTime:
-			wake.at(c.priorities.excessSince + m.bounds.StableTime)
+			wake.schedule(c.priorities.excessSince + m.bounds.StableTime)
 		default:
 			p := &c.priorities
 			p.activeThrough, p.excessSince = p.required(), 0
 			delete(m.releasing, name)
-			m.logf("cluster %s: servers beyond priority %d are released", name, p.activeThrough)
+			m.logf("cluster %s: priorities after %d are released", name, p.activeThrough)
 			m.markDirty(c)
 		}
 	}
 }
 
-// inReserve reports whether a server is in reserve in all clusters that name it.
+// inReserve reports whether a server is in reserve in every cluster that lists it.
 func (m *Model) inReserve(server *Server) bool {
 	for _, name := range server.Clusters {
 		c := m.clusters[name]
--- a/internal/membership/reconcile.go
+++ b/internal/membership/reconcile.go
@@ -6,19 +6,19 @@
 	"hollymast/control"
 )
 
-// Batch applies changes that belong together: a server that one of them withdraws and another names is not withdrawn, and
-// all that they withdraw counts as one withdrawal.
+// Batch applies several changes as one: a server that one change withdraws and another lists is not withdrawn, and all servers
+// withdrawn by the changes count as withdrawn together.
 func (m *Model) Batch(now control.Micros, apply func()) {
 	m.batching = true
 	apply()
 	m.batching = false
 	withdrawn := slices.DeleteFunc(m.batchWithdrawn, func(server *Server) bool { return server.WithdrawnAt == 0 })
 	m.batchWithdrawn = nil
-	m.judgeWithdrawals(now, withdrawn)
+	m.applyWithdrawals(now, withdrawn)
 }
 
-// reconcile recomputes the servers at the given addresses, whose endpoints changed in one cluster. It looks at that cluster
-// and at those that named them before, so that its cost grows with the change alone.
+// reconcile updates the servers at the given addresses, whose endpoints changed in one cluster. It only visits that cluster and
+// the clusters that listed the servers before, so its cost depends on the size of the change and not on that of the fleet.
 func (m *Model) reconcile(now control.Micros, changedCluster string, addresses []string) {
 	var withdrawn []*Server
 	heldReturned := false
@@ -30,7 +30,7 @@
 		case len(clusters) == 0:
 			if server != nil && server.WithdrawnAt == 0 {
 				server.WithdrawnAt, server.Clusters = now, nil
-				m.timed[address] = true
+				m.needsTick[address] = true
 				withdrawn = append(withdrawn, server)
 			}
 		case server == nil:
@@ -47,12 +47,12 @@
 	if m.batching {
 		m.batchWithdrawn = append(m.batchWithdrawn, withdrawn...)
 	} else {
-		m.judgeWithdrawals(now, withdrawn)
+		m.applyWithdrawals(now, withdrawn)
 	}
 }
 
-// merge returns what the announced clusters say of an address, and the names of those that list it, ascending. The first
-// of them decides all but the health, which is the worst of all, and the start, which is the latest.
+// merge returns the endpoint at an address, merged from the announced clusters that list it, and the names of those clusters in
+// ascending order. Health is the worst of all and StartedAt the latest; the other fields are those of the first cluster.
 func (m *Model) merge(address string, server *Server, changedCluster string) (merged Endpoint, clusters []string) {
 	candidates := []string{changedCluster}
 	if server != nil {
@@ -72,7 +72,7 @@
 		if len(clusters) == 0 {
 			merged = endpoint
 		} else {
-			merged.Health = worse(merged.Health, endpoint.Health)
+			merged.Health = worseHealth(merged.Health, endpoint.Health)
 			merged.StartedAt = max(merged.StartedAt, endpoint.StartedAt)
 		}
 		clusters = append(clusters, name)
@@ -80,7 +80,7 @@
 	return merged, clusters
 }
 
-// update sets what the source says of a known server that at least one cluster lists.
+// update applies the merged endpoint to a known server that at least one cluster lists.
 func (m *Model) update(now control.Micros, server *Server, endpoint Endpoint, clusters []string) {
 	if server.WithdrawnAt > 0 || server.Endpoint != endpoint {
 		m.version++
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -8,13 +8,13 @@
 	"hollymast/internal/fleet"
 )
 
-// updatePausePerServer is the pause between two updates, for each server known. To apply one takes some 0.5 us a server: a
-// source that changes all the time costs at most a quarter of a processor, and an update of 10 000 servers waits no longer
-// than 20 ms.
+// updatePausePerServer, times the number of known servers, is the minimum time between two updates. Applying an update takes
+// about 0.5 us per server, so a source that changes all the time uses at most a quarter of a CPU, and an update of 10 000
+// servers is delayed by at most 20 ms.
 const updatePausePerServer = control.Micros(2)
 
-// TakeUpdate returns what has changed in the endpoint list since the last update, at first all of it. Changed is false where
-// nothing has, or where the last update was too short a time ago: Tick then returns when to call again.
+// TakeUpdate returns the changes of the endpoint list since the last update; the first update is the full list. Changed is
+// false if nothing has changed or if the last update was too recent; in that case Tick returns when to call again.
 func (m *Model) TakeUpdate(now control.Micros) (update fleet.Update, changed bool) {
 	if m.version == m.takenVersion || m.takenAt > 0 && now < m.nextUpdateAt() {
 		return fleet.Update{}, false
@@ -62,7 +62,7 @@
 // Version returns a number that grows with each change of the endpoint list.
 func (m *Model) Version() uint64 { return m.version }
 
-// List returns the endpoint list by address: usable servers as ready, others as draining, and none that were removed.
+// List returns the endpoint list sorted by address. Usable servers are ready, others draining; removed servers are left out.
 func (m *Model) List() []fleet.Endpoint {
 	list := make([]fleet.Endpoint, 0, len(m.servers))
 	for _, server := range m.servers {
@@ -74,7 +74,7 @@
 	return list
 }
 
-// listed returns a server's endpoint as the balancer gets it, where the server is on the list. The server may be nil.
+// listed returns a server's entry in the endpoint list; ok is false if it has none. The server may be nil.
 func (m *Model) listed(server *Server) (endpoint fleet.Endpoint, ok bool) {
 	if server == nil || server.WithdrawnAt > 0 && !server.Held {
 		return fleet.Endpoint{}, false
--- a/internal/membership/withdrawal.go
+++ b/internal/membership/withdrawal.go
@@ -6,10 +6,10 @@
 	"hollymast/control"
 )
 
-// judgeWithdrawals decides on servers that no cluster names any more. Those that were not usable are removed. Of the others
-// a few at a time are removed at once; where more than the bounded share of the fleet is withdrawn within the window, the
-// new ones are held. It guards against a source that loses its servers by a fault of its own.
-func (m *Model) judgeWithdrawals(now control.Micros, withdrawn []*Server) {
+// applyWithdrawals removes or holds servers that no cluster lists any more. Servers that were not usable are removed, and so are
+// a few usable ones at a time. If more than MassWithdrawalShare of the usable servers are withdrawn within WithdrawalWindow, the
+// newly withdrawn ones are held. This guards against a source that loses its servers because of its own failure.
+func (m *Model) applyWithdrawals(now control.Micros, withdrawn []*Server) {
 	withdrawn = slices.DeleteFunc(withdrawn, func(server *Server) bool {
 		if !server.Health.usable() {
 			m.remove(now, server)
@@ -25,7 +25,7 @@
 		return returned || server.WithdrawnAt < now-m.bounds.WithdrawalWindow
 	})
 	m.recentlyWithdrawn = append(m.recentlyWithdrawn, withdrawn...)
-	if len(m.recentlyWithdrawn) <= m.bounds.MassWithdrawalMin { // the usual case, without a look at all servers
+	if len(m.recentlyWithdrawn) <= m.bounds.MassWithdrawalMin { // the common case: avoids visiting all servers
 		m.removeAll(now, withdrawn)
 		return
 	}
@@ -34,14 +34,14 @@
 		m.removeAll(now, withdrawn)
 		return
 	}
-	m.logf("%d of %d servers are withdrawn at once: they are held for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
+	m.logf("%d of %d servers were withdrawn together: they are held for %d us", len(m.recentlyWithdrawn), before, m.bounds.HoldTime)
 	for _, server := range withdrawn {
 		server.Held, server.heldUntil = true, now+m.bounds.HoldTime
 	}
 	m.version++
 }
 
-// usableBefore counts the usable servers as there were before the withdrawals of the window, the new ones included.
+// usableBefore counts the servers that were usable before the withdrawals of the current window, including the new ones.
 func (m *Model) usableBefore(now control.Micros, withdrawn []*Server) int {
 	count := 0
 	for _, server := range m.servers {
@@ -57,8 +57,8 @@
 	return count
 }
 
-// shortenHold is called when held servers are listed again. Once most of them are, the others were withdrawn by intent, and
-// their hold is cut to the settle time.
+// shortenHold is called when held servers are listed again. Once most of them have returned, it assumes that the others were
+// withdrawn on purpose, and shortens their hold to SettleTime.
 func (m *Model) shortenHold(now control.Micros) {
 	var held []*Server
 	usable := 0
@@ -84,7 +84,7 @@
 	}
 }
 
-// remove takes a server off the list. What is known of it stays for as long as its return could count as flapping.
+// remove takes a server off the list. Its state is kept until its return could no longer count as flapping (see prune).
 func (m *Model) remove(now control.Micros, server *Server) {
 	server.Held = false
 	m.dirty[server.Address] = true
