--- a/internal/xds/assignments.go
+++ b/internal/xds/assignments.go
@@ -6,7 +6,8 @@
 	"hollymast/control"
 )
 
-// updateAssignments applies the endpoints of services. Those of a service that no cluster names are kept in case one comes.
+// updateAssignments applies assignments to the clusters that use their services. The endpoints of a service that no cluster uses
+// are kept for a cluster that may follow.
 func (c *Client) updateAssignments(now control.Micros, assignments []assignment) error {
 	byService := make(map[string][]string, len(c.serviceNames))
 	for name, service := range c.serviceNames {
@@ -17,8 +18,8 @@
 	if err != nil {
 		return err
 	}
-	if len(c.awaitedClusters) == 0 {
-		c.releaseClusters(now)
+	if len(c.warmingClusters) == 0 {
+		c.removeWithdrawnClusters(now)
 	}
 	return nil
 }
@@ -28,8 +29,8 @@
 		names := byService[a.name]
 		slices.Sort(names)
 		if len(names) == 0 {
-			if slices.Contains(c.leavingClusters, a.name) {
-				continue // the cluster is removed as a whole, once those that replace it have endpoints
+			if slices.Contains(c.withdrawnClusters, a.name) {
+				continue // the cluster will be removed as a whole, once the clusters that replace it have endpoints
 			}
 			names = []string{a.name}
 		}
@@ -41,7 +42,7 @@
 			if err := c.members.SetEndpoints(now, name, a.endpoints); err != nil {
 				return err
 			}
-			delete(c.awaitedClusters, name)
+			delete(c.warmingClusters, name)
 		}
 	}
 	return nil
--- a/internal/xds/bootstrap.go
+++ b/internal/xds/bootstrap.go
@@ -15,19 +15,19 @@
 )
 
 // LoadBootstrap applies the clusters in the static_resources of an Envoy bootstrap (YAML or JSON,
-// envoy.config.bootstrap.v3.Bootstrap), as if a control plane had sent them. Unknown fields are ignored, as are Envoy's
-// listeners and filters. An error is one line long, and nothing has changed then.
+// envoy.config.bootstrap.v3.Bootstrap), as if a control plane had sent them. Unknown fields are ignored, and so are Envoy's
+// listeners and filters. If LoadBootstrap returns an error, which is a single line, nothing has changed.
 func (c *Client) LoadBootstrap(now control.Micros, text []byte) error {
 	json, err := yaml.YAMLToJSON(text)
 	if err != nil {
-		return fmt.Errorf("no YAML: %s", oneLine(err))
+		return fmt.Errorf("invalid YAML: %s", oneLine(err))
 	}
 	b := &bootstrap.Bootstrap{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(json, b); err != nil {
-		return fmt.Errorf("no bootstrap of Envoy's: %s", oneLine(err))
+		return fmt.Errorf("invalid Envoy bootstrap: %s", oneLine(err))
 	}
 	if b.GetStaticResources() == nil {
-		return errors.New("no static_resources in it")
+		return errors.New("the bootstrap has no static_resources")
 	}
 	r := &discovery.DiscoveryResponse{TypeUrl: ClusterType}
 	for _, cluster := range b.GetStaticResources().GetClusters() {
--- a/internal/xds/bootstrap_test.go
+++ b/internal/xds/bootstrap_test.go
@@ -11,7 +11,7 @@
 
 func TestLoadBootstrap(t *testing.T) {
 	m := membership.New(membership.DefaultBounds)
-	f := NewClient(m, "", "", StateOfTheWorld, DefaultBounds)
+	client := NewClient(m, "", "", StateOfTheWorld, DefaultBounds)
 	text := `
 node: {id: x, cluster: home}
 static_resources:
@@ -32,7 +32,7 @@
         - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: 9002}}}
           health_status: DRAINING
 `
-	if err := f.LoadBootstrap(1, []byte(text)); err != nil {
+	if err := client.LoadBootstrap(1, []byte(text)); err != nil {
 		t.Fatal(err)
 	}
 	list := m.List()
@@ -41,11 +41,11 @@
 		t.Errorf("got %+v", list)
 	}
 	for _, bad := range []string{"a: [", "static_resources: 7", "node: {}", strings.Replace(text, "port_value: 9001", "port_value: 0", 1)} {
-		if err := f.LoadBootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := client.LoadBootstrap(2, []byte(bad)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.30q: got %v", bad, err)
 		}
 	}
 	if !slices.EqualFunc(m.List(), list, func(a, b fleet.Endpoint) bool { return a == b }) {
-		t.Errorf("a fault changed the list: %+v", m.List())
+		t.Errorf("an invalid bootstrap changed the list: %+v", m.List())
 	}
 }
--- a/internal/xds/catchup.go
+++ b/internal/xds/catchup.go
@@ -7,29 +7,30 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// errStreamEnded says that a stream has delivered its last message.
+// errStreamEnded is returned after a stream's last message.
 var errStreamEnded = errors.New("the stream has ended")
 
-// deliveryTime is how long after the last byte was read its message may take to come out of the stream: some switches
-// between gRPC's goroutines.
+// deliveryTime is how long a message may take from the read of its last byte until the stream returns it: a few switches between
+// gRPC's goroutines.
 const deliveryTime = 2 * time.Millisecond
 
-// quietWaits is how many waits in a row must bring no message before what was just read counts as delivered. The clock alone
-// can't tell: where the machine is short of processors, deliveryTime may pass before gRPC's goroutines have run at all. Each
-// wait lets them run first.
-const quietWaits = 3
+// requiredIdleWaits is how many waits of deliveryTime in a row must pass without a message before the bytes just read count as
+// delivered. A single wait is not enough: on a machine that is short of CPUs, deliveryTime may pass before gRPC's goroutines have
+// run at all. Each wait gives them another chance to run.
+const requiredIdleWaits = 3
 
-// catchUp handles all that has arrived, also what is not read from the connection yet, within a quarter of the grace. It
-// guards against a decision on an endpoint list that a change has already reached, as after a stall of the process.
+// catchUp handles all messages that have arrived, including bytes not read from the connection yet. It takes at most a quarter
+// of the grace period. Without it, a router could decide on an outdated endpoint list although the change has already arrived,
+// for example after a stall of the process.
 func (s *session) catchUp() error {
 	deadline := time.Now().Add(s.transport.GracePeriod / 4)
-	quiet, needed := 0, 0 // waits in a row without a message; how many there must be
+	idleWaits, requiredWaits := 0, 0 // consecutive waits without a message; how many are required
 	for {
 		var wait time.Duration
-		if !s.dialer.settled() {
-			quiet, needed = 0, quietWaits
+		if !s.dialer.allDelivered() {
+			idleWaits, requiredWaits = 0, requiredIdleWaits
 		}
-		if quiet < needed && time.Now().Before(deadline) {
+		if idleWaits < requiredWaits && time.Now().Before(deadline) {
 			wait = deliveryTime
 		}
 		m, err := nextMessage(s.received, wait)
@@ -37,23 +38,23 @@
 		case err != nil:
 			return err
 		case m != nil:
-			quiet = 0
+			idleWaits = 0
 			if err := s.handle(m); err != nil {
 				return err
 			}
 		case wait == 0:
 			return nil
 		default:
-			quiet++
+			idleWaits++
 		}
 	}
 }
 
-// nextMessage returns the next message, or nil where none comes within the wait. The error is errStreamEnded.
+// nextMessage returns the next message, nil if none arrives within the wait, or errStreamEnded after the last one.
 func nextMessage(received <-chan proto.Message, wait time.Duration) (proto.Message, error) {
-	select { // a message that is there comes before the timer, however late this goroutine runs
+	select { // take a message that is already there before the timer, however late this goroutine runs
 	case m, open := <-received:
-		return m, endedUnless(open)
+		return m, endedError(open)
 	default:
 	}
 	if wait == 0 {
@@ -61,13 +62,13 @@
 	}
 	select {
 	case m, open := <-received:
-		return m, endedUnless(open)
+		return m, endedError(open)
 	case <-time.After(wait):
 		return nil, nil
 	}
 }
 
-func endedUnless(open bool) error {
+func endedError(open bool) error {
 	if open {
 		return nil
 	}
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -18,46 +18,46 @@
 	EndpointType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-// Bounds limit what is accepted from a control plane; more is rejected with a NACK.
+// Bounds limit what is accepted from a control plane. A response that exceeds them is rejected with a NACK.
 type Bounds struct {
 	Clusters  int
-	Endpoints int // of one cluster
+	Endpoints int // per cluster
 }
 
 // DefaultBounds are far beyond a fleet of ten thousand servers.
 var DefaultBounds = Bounds{Clusters: 10_000, Endpoints: 100_000}
 
-// Client is the client's side of aggregated discovery; it implements Protocol.
+// Client is the client side of aggregated discovery (ADS). It implements Protocol.
 type Client struct {
 	members *membership.Model
 	bounds  Bounds
 	node    *core.Node
 	variant Variant
 
-	serviceNames  map[string]string     // the name under which each cluster's endpoints are subscribed to
-	inlined       map[string]bool       // clusters that carry their endpoints
+	serviceNames  map[string]string     // by cluster: the name under which its endpoints are subscribed to
+	inlined       map[string]bool       // clusters that contain their endpoints (type STATIC)
 	resourceTypes map[string]*typeState // by type URL
 
-	leavingClusters []string // withdrawn, but kept while awaitedClusters have no endpoints
-	leavingSince    control.Micros
-	awaitedClusters map[string]bool // new clusters that have no endpoints yet
+	withdrawnClusters []string // removed by the control plane, but kept until warmingClusters is empty or warmingTime has passed
+	withdrawnSince    control.Micros
+	warmingClusters   map[string]bool // new clusters without endpoints so far
 
-	logged   map[string]bool // by logOnce
+	logged   map[string]bool // lines that logOnce has logged
 	logLines []string
 
 	AcceptedResponses, RejectedResponses int
 }
 
-// typeState is the state of the protocol for one type of resource.
+// typeState is the subscription state of one resource type.
 type typeState struct {
-	version  string            // state of the world: the last accepted
-	nonce    string            // of the last response on this stream
-	names    []string          // subscribed to, ascending; of clusters none: all
-	versions map[string]string // incremental: of each resource
+	version  string            // state of the world: the last accepted version
+	nonce    string            // of the last response on the current stream
+	names    []string          // subscribed resources, in ascending order; empty for clusters: all of them
+	versions map[string]string // incremental: version of each resource
 }
 
-// NewClient returns a client that keeps members up to date. ID and zone introduce this router to the control plane. The variant
-// has to be the Transport's.
+// NewClient returns a client that keeps members up to date. ID and zone identify this router to the control plane. The variant
+// must be that of the Transport.
 func NewClient(members *membership.Model, id, zone string, variant Variant, bounds Bounds) *Client {
 	return &Client{
 		members:         members,
@@ -66,7 +66,7 @@
 		variant:         variant,
 		serviceNames:    map[string]string{},
 		inlined:         map[string]bool{},
-		awaitedClusters: map[string]bool{},
+		warmingClusters: map[string]bool{},
 		logged:          map[string]bool{},
 		resourceTypes: map[string]*typeState{
 			ClusterType:  {versions: map[string]string{}},
@@ -75,18 +75,18 @@
 	}
 }
 
-// Connected starts a stream and returns its first requests: for clusters and, where some are known from an earlier stream,
-// for their endpoints, each with the versions known.
+// Connected starts a stream and returns its first requests: one for clusters and, if clusters are known from an earlier stream,
+// one for their endpoints. Each request contains the known versions.
 func (c *Client) Connected(now control.Micros) []proto.Message {
 	c.members.SourceUp(now)
 	for _, state := range c.resourceTypes {
 		state.nonce = ""
 	}
-	out := []proto.Message{c.initialRequest(ClusterType)}
+	requests := []proto.Message{c.initialRequest(ClusterType)}
 	if len(c.resourceTypes[EndpointType].names) > 0 {
-		out = append(out, c.initialRequest(EndpointType))
+		requests = append(requests, c.initialRequest(EndpointType))
 	}
-	return out
+	return requests
 }
 
 func (c *Client) initialRequest(url string) proto.Message {
@@ -97,35 +97,36 @@
 	return &discovery.DiscoveryRequest{Node: c.node, TypeUrl: url, ResourceNames: state.names, VersionInfo: state.version}
 }
 
-// Disconnected ends a stream. The endpoint list stays as it is.
+// Disconnected records the end of a stream. The endpoint list stays as it is.
 func (c *Client) Disconnected(now control.Micros) { c.members.SourceDown(now) }
 
-// ServiceNames returns the name under which each cluster's endpoints are subscribed to, by cluster.
+// ServiceNames returns, by cluster, the name under which the cluster's endpoints are subscribed to.
 func (c *Client) ServiceNames() map[string]string { return maps.Clone(c.serviceNames) }
 
-// Tick applies what is due, here and in the members, and returns when it must be called again; 0: after the next message.
+// Tick applies time-dependent changes, also those of the members, and returns when it must be called again; 0: after the next
+// message.
 func (c *Client) Tick(now control.Micros) (next control.Micros) {
-	if len(c.leavingClusters) > 0 && now >= c.leavingSince+warmingTime {
-		c.releaseClusters(now)
+	if len(c.withdrawnClusters) > 0 && now >= c.withdrawnSince+warmingTime {
+		c.removeWithdrawnClusters(now)
 	}
 	next = c.members.Tick(now)
-	if len(c.leavingClusters) > 0 && (next == 0 || c.leavingSince+warmingTime < next) {
-		next = c.leavingSince + warmingTime
+	if len(c.withdrawnClusters) > 0 && (next == 0 || c.withdrawnSince+warmingTime < next) {
+		next = c.withdrawnSince + warmingTime
 	}
 	return next
 }
 
-// TakeLogLines returns the lines to log since the last call, the members' included.
+// TakeLogLines returns the lines to log that were added since the last call, including those of the members.
 func (c *Client) TakeLogLines() []string {
 	lines := append(c.logLines, c.members.TakeLogLines()...)
 	c.logLines = nil
 	return lines
 }
 
-// maxLoggedOnce bounds the distinct lines of logOnce, against a control plane that changes names each time.
+// maxLoggedOnce limits the distinct lines that logOnce keeps, in case a control plane sends new names all the time.
 const maxLoggedOnce = 1000
 
-// logOnce logs, once for each text, what a resource asks for that is not supported.
+// logOnce logs an unsupported feature that a resource uses. Each distinct text is logged only once.
 func (c *Client) logOnce(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if !c.logged[text] && len(c.logged) < maxLoggedOnce {
--- a/internal/xds/clusters.go
+++ b/internal/xds/clusters.go
@@ -9,13 +9,13 @@
 	"hollymast/control"
 )
 
-// warmingTime is how long withdrawn clusters stay while those that came with the same message have no endpoints yet, so that
-// servers that move between clusters are never missing (make before break). It must leave most of the time within which
-// nothing new may go to a withdrawn server.
+// warmingTime is how long removed clusters are kept while new clusters have no endpoints yet. It keeps servers that move between
+// clusters listed during the move (make before break). It must be a small part of the grace period, after which a withdrawn server
+// must get no new requests.
 const warmingTime = control.Micros(200_000)
 
-// updateClusters applies clusters that are listed, new or not, and those that were removed, and returns the requests for the
-// endpoints that this makes necessary.
+// updateClusters applies new or changed clusters and the names of removed ones. It returns the requests that change the
+// subscription to endpoints accordingly.
 func (c *Client) updateClusters(now control.Micros, clusters []parsedCluster, removed []string) []proto.Message {
 	slices.Sort(removed)
 	for _, cluster := range clusters {
@@ -25,27 +25,27 @@
 		c.inlined[cluster.name] = cluster.inline != nil
 		if cluster.inline != nil {
 			c.members.SetOverprovisioning(cluster.name, cluster.inline.overprovisioning)
-			c.members.SetEndpoints(now, cluster.name, cluster.inline.endpoints) // of an announced cluster: can't fail
+			c.members.SetEndpoints(now, cluster.name, cluster.inline.endpoints) // can't fail for an announced cluster
 		} else if !known {
-			c.awaitedClusters[cluster.name] = true
+			c.warmingClusters[cluster.name] = true
 		}
 	}
 	for _, name := range removed {
 		delete(c.serviceNames, name)
 		delete(c.inlined, name)
-		delete(c.awaitedClusters, name)
+		delete(c.warmingClusters, name)
 	}
-	if len(c.leavingClusters) == 0 {
-		c.leavingSince = now
+	if len(c.withdrawnClusters) == 0 {
+		c.withdrawnSince = now
 	}
-	c.leavingClusters = append(c.leavingClusters, removed...)
-	if len(c.awaitedClusters) == 0 {
-		c.releaseClusters(now)
+	c.withdrawnClusters = append(c.withdrawnClusters, removed...)
+	if len(c.warmingClusters) == 0 {
+		c.removeWithdrawnClusters(now)
 	}
 	return c.subscribeEndpoints(c.subscribedServices())
 }
 
-// subscribedServices returns the services whose endpoints no cluster carries, ascending.
+// subscribedServices returns the services to subscribe to, in ascending order: those of clusters without inlined endpoints.
 func (c *Client) subscribedServices() []string {
 	var services []string
 	for name, service := range c.serviceNames {
@@ -57,7 +57,7 @@
 	return slices.Compact(services)
 }
 
-// subscribeEndpoints returns the requests that change the subscription to endpoints to the given names.
+// subscribeEndpoints sets the endpoint subscription to the given names and returns the requests for it.
 func (c *Client) subscribeEndpoints(names []string) []proto.Message {
 	state := c.resourceTypes[EndpointType]
 	if slices.Equal(names, state.names) {
@@ -83,17 +83,17 @@
 	return []proto.Message{r}
 }
 
-// releaseClusters removes the withdrawn clusters that have not come back.
-func (c *Client) releaseClusters(now control.Micros) {
-	if len(c.leavingClusters) == 0 {
+// removeWithdrawnClusters removes the withdrawn clusters, unless the control plane has listed them again.
+func (c *Client) removeWithdrawnClusters(now control.Micros) {
+	if len(c.withdrawnClusters) == 0 {
 		return
 	}
 	c.members.Batch(now, func() {
-		for _, name := range c.leavingClusters {
+		for _, name := range c.withdrawnClusters {
 			if _, back := c.serviceNames[name]; !back {
 				c.members.RemoveCluster(now, name)
 			}
 		}
 	})
-	c.leavingClusters = nil
+	c.withdrawnClusters = nil
 }
--- a/internal/xds/doc.go
+++ b/internal/xds/doc.go
@@ -1,6 +1,8 @@
-// Package xds follows a control plane by Envoy's discovery protocols, and serves a router's own view by them.
+// Package xds implements clients of Envoy's discovery protocols (xDS), and a control plane that serves a router's own view of its
+// servers.
 //
-// Client is aggregated discovery (ADS) of clusters (CDS) and endpoints (EDS), state of the world or incremental (delta);
-// SecretClient is secret discovery (SDS), LoadReporter load reporting (LRS). All three are free of I/O and clocks; Transport
-// carries their messages over gRPC. View is a control plane with one cluster: what this router sees of its servers.
+// Client implements aggregated discovery (ADS) of clusters (CDS) and endpoints (EDS), in the state-of-the-world and the
+// incremental (delta) variant. SecretClient implements secret discovery (SDS) and LoadReporter load reporting (LRS). These three
+// do no I/O and read no clock; Transport carries their messages over gRPC. View is a control plane with a single cluster, which
+// contains the servers as this router sees them.
 package xds
--- a/internal/xds/loadreporter.go
+++ b/internal/xds/loadreporter.go
@@ -16,17 +16,17 @@
 	"hollymast/internal/loadreport"
 )
 
-// supportsAllClusters is the client feature by which a control plane may ask for all clusters at once.
+// supportsAllClusters is the client feature that allows a control plane to request reports of all clusters without listing them.
 const supportsAllClusters = "envoy.lrs.supports_send_all_clusters"
 
-// LoadSource is where reports come from.
+// LoadSource provides what a LoadReporter reports.
 type LoadSource interface {
-	Flush(now control.Micros) loadreport.Report // what was counted since the last one
-	Localities() map[string]loadreport.Locality // of the servers that a control plane lists, by address
-	ServiceNames() map[string]string            // the name under which a cluster's endpoints are subscribed to, by cluster
+	Flush(now control.Micros) loadreport.Report // counts since the last Flush
+	Localities() map[string]loadreport.Locality // by address, of the servers that a control plane lists
+	ServiceNames() map[string]string            // by cluster: the name under which its endpoints are subscribed to
 }
 
-// LoadReporter is the client's side of load reporting (LRS): the control plane chooses clusters and an interval. It implements
+// LoadReporter is the client side of load reporting (LRS): the control plane selects the clusters and the interval. It implements
 // Protocol.
 type LoadReporter struct {
 	node      *core.Node
@@ -34,23 +34,23 @@
 	scheduler loadreport.Scheduler
 }
 
-// NewLoadReporter returns a reporter of what the source counts.
+// NewLoadReporter returns a reporter of the source's counts. ID and zone identify this router to the control plane.
 func NewLoadReporter(source LoadSource, id, zone string) *LoadReporter {
 	node := newNode(id, zone)
 	node.ClientFeatures = []string{supportsAllClusters}
 	return &LoadReporter{source: source, node: node}
 }
 
-// Connected starts a stream.
+// Connected starts a stream and returns its first request.
 func (r *LoadReporter) Connected(control.Micros) []proto.Message {
 	r.scheduler.StreamOpened()
 	return []proto.Message{&lrs.LoadStatsRequest{Node: r.node}}
 }
 
-// Disconnected ends a stream.
+// Disconnected records the end of a stream.
 func (r *LoadReporter) Disconnected(control.Micros) { r.scheduler.StreamClosed() }
 
-// HandleResponse applies what the control plane asks for.
+// HandleResponse applies the control plane's selection of clusters and interval.
 func (r *LoadReporter) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
 	response, ok := m.(*lrs.LoadStatsResponse)
 	if !ok {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Tick returns when the next report is due; 0: none is.
+// Tick returns when the next report is due; 0: none is requested.
 func (r *LoadReporter) Tick(now control.Micros) control.Micros {
 	if due := r.scheduler.NextAt(); due > 0 {
 		return max(due, now)
@@ -75,7 +75,7 @@
 	return 0
 }
 
-// TimedRequests returns the report, if it is due.
+// TimedRequests returns the next report if it is due.
 func (r *LoadReporter) TimedRequests(now control.Micros) []proto.Message {
 	if due := r.scheduler.NextAt(); due == 0 || now < due {
 		return nil
@@ -84,34 +84,34 @@
 	return []proto.Message{&lrs.LoadStatsRequest{ClusterStats: r.clusterStats(report)}}
 }
 
-// TimedRequestsSent records that the report was sent: until then its counts stay for the next one.
+// TimedRequestsSent records that the report was sent. Until it is called, the counts are included in the next report.
 func (r *LoadReporter) TimedRequestsSent() { r.scheduler.ReportSent() }
 
 // TakeLogLines returns nothing: the reporter has nothing to log.
 func (r *LoadReporter) TakeLogLines() []string { return nil }
 
-// clusterStats returns a report in the protocol's form: by cluster, then by priority and locality. Servers of clusters that
-// are not asked for are left out, and so are those that no cluster names any more.
+// clusterStats converts a report to protocol messages, grouped by cluster, then by priority and locality. It leaves out servers of
+// clusters that were not requested, and servers that no cluster lists any more.
 func (r *LoadReporter) clusterStats(report loadreport.Report) []*endpoint.ClusterStats {
 	request, localities, services := r.scheduler.Request(), r.source.Localities(), r.source.ServiceNames()
 	byCluster := map[string]map[loadreport.Locality][]loadreport.EndpointStats{}
 	for _, stats := range report.Endpoints {
-		at, listed := localities[stats.Address]
-		if !listed || !request.AllClusters && !request.Clusters[at.Cluster] {
+		locality, listed := localities[stats.Address]
+		if !listed || !request.AllClusters && !request.Clusters[locality.Cluster] {
 			continue
 		}
-		if byCluster[at.Cluster] == nil {
-			byCluster[at.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
+		if byCluster[locality.Cluster] == nil {
+			byCluster[locality.Cluster] = map[loadreport.Locality][]loadreport.EndpointStats{}
 		}
-		byCluster[at.Cluster][at] = append(byCluster[at.Cluster][at], stats)
+		byCluster[locality.Cluster][locality] = append(byCluster[locality.Cluster][locality], stats)
 	}
 	interval := durationpb.New(time.Duration(report.To-report.From) * time.Microsecond)
 	var out []*endpoint.ClusterStats
 	for _, name := range slices.Sorted(maps.Keys(byCluster)) {
 		c := &endpoint.ClusterStats{ClusterName: name, ClusterServiceName: services[name], LoadReportInterval: interval}
-		for _, at := range slices.SortedFunc(maps.Keys(byCluster[name]), compareLocalities) {
-			servers := byCluster[name][at]
-			stats := localityStats(at, servers)
+		for _, locality := range slices.SortedFunc(maps.Keys(byCluster[name]), compareLocalities) {
+			servers := byCluster[name][locality]
+			stats := localityStats(locality, servers)
 			if request.PerEndpoint {
 				stats.UpstreamEndpointStats = endpointStats(servers)
 			}
--- a/internal/xds/loadserver.go
+++ b/internal/xds/loadserver.go
@@ -13,17 +13,17 @@
 	"hollymast/internal/loadreport"
 )
 
-// reportInterval is how often those who follow the view report: as often as somebody looks at a page.
+// reportInterval is how often the nodes that follow the view report their loads: frequent enough for a person who watches a page.
 const reportInterval = time.Second
 
-// loadServer is the server's side of load reporting.
+// loadServer is the server side of load reporting.
 type loadServer struct {
 	lrs.UnimplementedLoadReportingServiceServer
 	mu      sync.Mutex
 	reports *loadreport.Aggregator
 }
 
-// StreamLoadStats asks a node for the loads of all its servers, and keeps its latest report until the stream ends.
+// StreamLoadStats requests the loads of all servers of a node, and keeps the node's latest report until the stream ends.
 func (s *loadServer) StreamLoadStats(stream lrs.LoadReportingService_StreamLoadStatsServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// ReportedLoads returns what those who follow the view last reported, summed by server, and how many nodes they are.
+// ReportedLoads returns the latest reports of the nodes that follow the view, summed by server, and the number of these nodes.
 func (v *View) ReportedLoads() (loads []loadreport.EndpointStats, nodes int) {
 	v.loadServer.mu.Lock()
 	defer v.loadServer.mu.Unlock()
--- a/internal/xds/loadstats.go
+++ b/internal/xds/loadstats.go
@@ -10,16 +10,16 @@
 	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 )
 
-// The names of the load metrics: ORCA's own for utilization, its form of named metrics for the others.
+// The names of the load metrics. Utilization has a field of its own in ORCA; the others are ORCA named metrics.
 const (
 	utilizationMetric = "cpu_utilization"
 	loadsMetric       = "named_metrics.loads"
 	pinnedMetric      = "named_metrics.pinned"
 )
 
-// localityStats sums the servers of a locality.
-func localityStats(at loadreport.Locality, servers []loadreport.EndpointStats) *endpoint.UpstreamLocalityStats {
-	sum := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: at.Zone, SubZone: at.Cell}, Priority: at.Priority}
+// localityStats returns the sums over the servers of a locality.
+func localityStats(locality loadreport.Locality, servers []loadreport.EndpointStats) *endpoint.UpstreamLocalityStats {
+	sum := &endpoint.UpstreamLocalityStats{Locality: &core.Locality{Zone: locality.Zone, SubZone: locality.Cell}, Priority: locality.Priority}
 	var metrics loadreport.LoadMetrics
 	for _, server := range servers {
 		sum.TotalIssuedRequests += server.Issued
@@ -35,7 +35,8 @@
 	return sum
 }
 
-// endpointStats lists servers one by one. Those whose port is no number have no place in the protocol.
+// endpointStats converts the stats of single servers. It leaves out servers whose port is not a number, which the protocol can't
+// represent.
 func endpointStats(servers []loadreport.EndpointStats) (stats []*endpoint.UpstreamEndpointStats) {
 	for _, server := range servers {
 		address := socketAddress(server.Address)
@@ -65,8 +66,8 @@
 		stats(pinnedMetric, metrics.PinnedMemory)}
 }
 
-// parseReport reads a node's report, of its servers alone: the sums of localities can't be added to those of other nodes by
-// server.
+// parseReport converts a node's report. It only reads the stats of single servers; the sums of localities can't be split by server
+// to add them to those of other nodes.
 func parseReport(clusters []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
 	report := loadreport.Report{To: now}
 	for _, cluster := range clusters {
@@ -83,7 +84,7 @@
 
 func parseEndpointStats(stats *endpoint.UpstreamEndpointStats) loadreport.EndpointStats {
 	socket := stats.GetAddress().GetSocketAddress()
-	read := loadreport.EndpointStats{
+	parsed := loadreport.EndpointStats{
 		Address:  net.JoinHostPort(socket.GetAddress(), strconv.FormatUint(uint64(socket.GetPortValue()), 10)),
 		InFlight: stats.GetTotalRequestsInProgress(),
 		Counts: loadreport.Counts{
@@ -93,20 +94,20 @@
 		},
 	}
 	for _, metric := range stats.GetLoadMetricStats() {
-		read.Reports = max(read.Reports, metric.GetNumRequestsFinishedWithMetric())
+		parsed.Reports = max(parsed.Reports, metric.GetNumRequestsFinishedWithMetric())
 		switch metric.GetMetricName() {
 		case utilizationMetric:
-			read.Utilization = metric.GetTotalMetricValue()
+			parsed.Utilization = metric.GetTotalMetricValue()
 		case loadsMetric:
-			read.PendingLoads = metric.GetTotalMetricValue()
+			parsed.PendingLoads = metric.GetTotalMetricValue()
 		case pinnedMetric:
-			read.PinnedMemory = metric.GetTotalMetricValue()
+			parsed.PinnedMemory = metric.GetTotalMetricValue()
 		}
 	}
-	return read
+	return parsed
 }
 
-// socketAddress returns an address in the protocol's form; nil: its port is no number.
+// socketAddress converts an address to a protocol message. It returns nil if the port is not a number.
 func socketAddress(address string) *core.Address {
 	host, port, err := net.SplitHostPort(address)
 	number, portErr := strconv.ParseUint(port, 10, 16)
--- a/internal/xds/metadata.go
+++ b/internal/xds/metadata.go
@@ -7,10 +7,10 @@
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 )
 
-// metadataKey is the key of an endpoint's metadata for what Envoy's own fields have no place for: born, its start in RFC 3339.
+// metadataKey is the key of the endpoint metadata that Envoy has no fields for: "born", the server's start time in RFC 3339.
 const metadataKey = "hollymast"
 
-// parseStartedAt returns an endpoint's start in microseconds since 1970; 0: not given.
+// parseStartedAt returns an endpoint's start time in microseconds since 1970; 0: not set.
 func parseStartedAt(m *core.Metadata) (int64, error) {
 	v := m.GetFilterMetadata()[metadataKey].GetFields()["born"]
 	if v == nil {
--- a/internal/xds/parse.go
+++ b/internal/xds/parse.go
@@ -14,14 +14,14 @@
 	"hollymast/internal/membership"
 )
 
-// parsedCluster is what matters of a cluster.
+// parsedCluster holds the settings of a cluster that the client uses.
 type parsedCluster struct {
 	name    string
-	service string      // the name under which its endpoints are subscribed to
-	inline  *assignment // the endpoints of a static cluster; nil: it is not one
+	service string      // the name under which the cluster's endpoints are subscribed to
+	inline  *assignment // the endpoints of a static cluster; nil: the cluster is not static
 }
 
-// parseClusters validates clusters. Those of types that are not supported are left out and logged.
+// parseClusters parses and validates clusters. Clusters of unsupported types are left out and logged.
 func (c *Client) parseClusters(resources []*anypb.Any) ([]parsedCluster, error) {
 	if len(resources) > c.bounds.Clusters {
 		return nil, fmt.Errorf("%d clusters, over the bound of %d", len(resources), c.bounds.Clusters)
@@ -54,7 +54,7 @@
 	case cluster.Cluster_EDS:
 		source := message.GetEdsClusterConfig().GetEdsConfig()
 		if _, ads := source.GetConfigSourceSpecifier().(*core.ConfigSource_Ads); source != nil && !ads {
-			c.logOnce("cluster %s: its endpoints are subscribed to on the same stream, whatever source it names", message.Name)
+			c.logOnce("cluster %s: its EDS config source is ignored; its endpoints are subscribed to on the same stream", message.Name)
 		}
 	case cluster.Cluster_STATIC:
 		inline, err := c.parseAssignment(message.GetLoadAssignment())
@@ -63,23 +63,23 @@
 		}
 		parsed.inline = &inline
 	default:
-		c.logOnce("cluster %s: of type %s, which is not supported", message.Name, message.GetType())
+		c.logOnce("cluster %s: type %s is not supported", message.Name, message.GetType())
 		return parsed, false, nil
 	}
 	if message.GetLbPolicy() != cluster.Cluster_ROUND_ROBIN || message.GetLoadBalancingPolicy() != nil {
-		c.logOnce("cluster %s: its balancing policy is ignored; requests go where the model is loaded", message.Name)
+		c.logOnce("cluster %s: its balancing policy is ignored; requests are sent to servers that have the model loaded", message.Name)
 	}
 	return parsed, true, nil
 }
 
-// assignment is the endpoints of one service.
+// assignment holds the endpoints of one service.
 type assignment struct {
 	name             string
-	overprovisioning float64 // a factor; 0: not given
+	overprovisioning float64 // a factor; 0: not set
 	endpoints        []membership.Endpoint
 }
 
-// parseAssignments validates assignments.
+// parseAssignments parses and validates assignments.
 func (c *Client) parseAssignments(resources []*anypb.Any) ([]assignment, error) {
 	assignments := make([]assignment, 0, len(resources))
 	seen := make(map[string]bool, len(resources))
@@ -101,7 +101,8 @@
 	return assignments, nil
 }
 
-// minOverprovisioning, in percent: with less a priority would not be enough with all its servers usable.
+// minOverprovisioning is the minimum overprovisioning factor in percent. With a smaller one, a priority would not suffice even with
+// all its servers usable.
 const minOverprovisioning = 100
 
 func (c *Client) parseAssignment(message *endpoint.ClusterLoadAssignment) (parsed assignment, err error) {
@@ -114,7 +115,7 @@
 	}
 	for _, drop := range message.GetPolicy().GetDropOverloads() {
 		if drop.GetDropPercentage().GetNumerator() > 0 {
-			c.logOnce("assignment %s: drop_overloads %q is ignored; requests that can't be in time are rejected", parsed.name, drop.GetCategory())
+			c.logOnce("assignment %s: drop_overloads %q is ignored; only requests that can't be answered in time are rejected", parsed.name, drop.GetCategory())
 		}
 	}
 	for _, locality := range message.GetEndpoints() {
@@ -122,11 +123,11 @@
 			return parsed, fmt.Errorf("over %d endpoints", c.bounds.Endpoints)
 		}
 		for _, e := range locality.GetLbEndpoints() {
-			read, err := c.parseEndpoint(parsed.name, locality, e)
+			parsedEndpoint, err := c.parseEndpoint(parsed.name, locality, e)
 			if err != nil {
 				return parsed, err
 			}
-			parsed.endpoints = append(parsed.endpoints, read)
+			parsed.endpoints = append(parsed.endpoints, parsedEndpoint)
 		}
 	}
 	return parsed, nil
@@ -141,7 +142,7 @@
 	}
 	health, known := healthOf[e.GetHealthStatus()]
 	if !known {
-		c.logOnce("assignment %s: health status %d is not known and counts as unknown", assignment, e.GetHealthStatus())
+		c.logOnce("assignment %s: unsupported health status %d counts as unknown", assignment, e.GetHealthStatus())
 	}
 	host := socket.GetAddress()
 	if strings.Contains(host, ":") { // IPv6
@@ -162,7 +163,7 @@
 	}, nil
 }
 
-// healthOf maps Envoy's health status; statusOf is its opposite.
+// healthOf maps Envoy's health status to a health; statusOf is the inverse.
 var healthOf = map[core.HealthStatus]membership.Health{
 	core.HealthStatus_UNKNOWN:   membership.Unknown,
 	core.HealthStatus_HEALTHY:   membership.Healthy,
--- a/internal/xds/response.go
+++ b/internal/xds/response.go
@@ -13,8 +13,8 @@
 	"hollymast/control"
 )
 
-// HandleResponse applies a response and returns the requests that answer it: an ACK, or a NACK with the reason, then what
-// is subscribed to besides. A response of a type that was never subscribed to is ignored.
+// HandleResponse applies a response and returns the requests to send: an ACK, or a NACK with the reason, then changes of the
+// endpoint subscription. A response of a type that is not subscribed to is ignored.
 func (c *Client) HandleResponse(now control.Micros, m proto.Message) []proto.Message {
 	switch r := m.(type) {
 	case *discovery.DiscoveryResponse:
@@ -23,32 +23,32 @@
 			return nil
 		}
 		state.nonce = r.Nonce
-		more, err := c.applyFull(now, r)
+		subscriptions, err := c.applyFull(now, r)
 		if err == nil {
 			state.version = r.VersionInfo
 		}
 		return append([]proto.Message{&discovery.DiscoveryRequest{TypeUrl: r.TypeUrl, VersionInfo: state.version, ResponseNonce: r.Nonce,
-			ResourceNames: state.names, ErrorDetail: c.errorDetail(err)}}, more...)
+			ResourceNames: state.names, ErrorDetail: c.errorDetail(err)}}, subscriptions...)
 	case *discovery.DeltaDiscoveryResponse:
 		state := c.resourceTypes[r.TypeUrl]
 		if state == nil {
 			return nil
 		}
 		state.nonce = r.Nonce
-		more, err := c.applyIncremental(now, r)
-		return append([]proto.Message{&discovery.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, ErrorDetail: c.errorDetail(err)}}, more...)
+		subscriptions, err := c.applyIncremental(now, r)
+		return append([]proto.Message{&discovery.DeltaDiscoveryRequest{TypeUrl: r.TypeUrl, ResponseNonce: r.Nonce, ErrorDetail: c.errorDetail(err)}}, subscriptions...)
 	}
 	return nil
 }
 
-// errorDetail counts a response as accepted or rejected and returns what goes into the answer: nil makes it an ACK.
+// errorDetail counts a response as accepted or rejected, and returns the error detail of the answer; nil makes it an ACK.
 func (c *Client) errorDetail(err error) *status.Status {
 	if err == nil {
 		c.AcceptedResponses++
 		return nil
 	}
 	c.RejectedResponses++
-	c.logLines = append(c.logLines, "the control plane's update is rejected: "+err.Error())
+	c.logLines = append(c.logLines, "an update of the control plane is rejected: "+err.Error())
 	return nack(err)
 }
 
@@ -56,7 +56,8 @@
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 }
 
-// applyFull applies a state of the world: clusters it lists completely, endpoints only those of the clusters that it names.
+// applyFull applies a state-of-the-world response. A cluster response lists all clusters. An endpoint response may leave out
+// assignments, which then stay as they are.
 func (c *Client) applyFull(now control.Micros, r *discovery.DiscoveryResponse) ([]proto.Message, error) {
 	if r.TypeUrl == ClusterType {
 		clusters, err := c.parseClusters(r.Resources)
@@ -78,14 +79,14 @@
 	return nil, c.updateAssignments(now, assignments)
 }
 
-// applyIncremental applies a response of the incremental variant, and records the versions of its resources.
-func (c *Client) applyIncremental(now control.Micros, r *discovery.DeltaDiscoveryResponse) (more []proto.Message, err error) {
+// applyIncremental applies a response of the incremental variant and records the versions of its resources.
+func (c *Client) applyIncremental(now control.Micros, r *discovery.DeltaDiscoveryResponse) (subscriptions []proto.Message, err error) {
 	resources := make([]*anypb.Any, len(r.Resources))
 	for i, resource := range r.Resources {
 		resources[i] = resource.Resource
 	}
 	if r.TypeUrl == ClusterType {
-		more, err = c.applyClusterChanges(now, resources, r.RemovedResources)
+		subscriptions, err = c.applyClusterChanges(now, resources, r.RemovedResources)
 	} else {
 		err = c.applyAssignmentChanges(now, resources, r.RemovedResources)
 	}
@@ -99,7 +100,7 @@
 	for _, name := range r.RemovedResources {
 		delete(versions, name)
 	}
-	return more, nil
+	return subscriptions, nil
 }
 
 func (c *Client) applyClusterChanges(now control.Micros, resources []*anypb.Any, removedNames []string) ([]proto.Message, error) {
@@ -107,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Clusters that come with as many removals may stand beside the old ones for a moment: hence twice the bound.
+	// New clusters may exist beside the removed ones that they replace for a moment: hence twice the bound.
 	if n := len(c.serviceNames) + len(clusters); n > 2*c.bounds.Clusters {
 		return nil, fmt.Errorf("%d clusters, over the bound of %d", n, c.bounds.Clusters)
 	}
--- a/internal/xds/secrets.go
+++ b/internal/xds/secrets.go
@@ -16,50 +16,50 @@
 // SecretType is the type URL of secrets.
 const SecretType = "type.googleapis.com/envoy.extensions.transport_sockets.tls.v3.Secret"
 
-// CertificateStore receives secrets. Its errors say why one is rejected, and go back to the service.
+// CertificateStore receives secrets. Its errors give the reason of a rejection and are returned to the secret service.
 type CertificateStore interface {
 	UpdateKeyPair(chain, key []byte) error
 	UpdateAuthorities(authorities, revoked []byte) error
 }
 
-// SecretClient is the client's side of secret discovery (SDS), state of the world, for one certificate and one set of
-// authorities; it implements Protocol.
+// SecretClient is the client side of secret discovery (SDS), in the state-of-the-world variant, for one certificate and one set of
+// authorities. It implements Protocol.
 type SecretClient struct {
 	node          *core.Node
 	store         CertificateStore
-	names         []string // subscribed to, ascending
-	version       string   // the last accepted
-	lastRejection string   // logged once
+	names         []string // subscribed secrets, in ascending order
+	version       string   // the last accepted version
+	lastRejection string   // the last rejection that was logged, so that a repetition is not
 	logLines      []string
 }
 
-// NewSecretClient returns a client that subscribes to secrets by name; empty names are left out.
+// NewSecretClient returns a client that subscribes to the named secrets; empty names are ignored.
 func NewSecretClient(store CertificateStore, id, zone string, names ...string) *SecretClient {
 	names = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == "" })
 	slices.Sort(names)
 	return &SecretClient{store: store, names: slices.Compact(names), node: newNode(id, zone)}
 }
 
-// Connected starts a stream.
+// Connected starts a stream and returns its first request.
 func (s *SecretClient) Connected(control.Micros) []proto.Message {
 	return []proto.Message{&discovery.DiscoveryRequest{Node: s.node, TypeUrl: SecretType, ResourceNames: s.names, VersionInfo: s.version}}
 }
 
-// Disconnected ends a stream. The secrets stay in use.
+// Disconnected does nothing: the secrets stay in use without a stream.
 func (s *SecretClient) Disconnected(control.Micros) {}
 
-// Tick has nothing to do: secrets have no timer.
+// Tick does nothing: the client has no timer.
 func (s *SecretClient) Tick(control.Micros) control.Micros { return 0 }
 
-// TakeLogLines returns the lines to log since the last call.
+// TakeLogLines returns the lines to log that were added since the last call.
 func (s *SecretClient) TakeLogLines() []string {
 	lines := s.logLines
 	s.logLines = nil
 	return lines
 }
 
-// HandleResponse applies a response and returns its ACK, or its NACK with the reasons. A valid secret is applied whatever is
-// wrong with others beside it: a bad set of authorities must not keep a certificate from being renewed.
+// HandleResponse applies a response and returns an ACK, or a NACK with the reasons. A valid secret is applied even if others in the
+// response are invalid: an invalid set of authorities must not prevent the renewal of a certificate.
 func (s *SecretClient) HandleResponse(_ control.Micros, m proto.Message) []proto.Message {
 	r, ok := m.(*discovery.DiscoveryResponse)
 	if !ok || r.TypeUrl != SecretType {
@@ -73,9 +73,9 @@
 			continue
 		}
 		if !slices.Contains(s.names, secret.Name) {
-			continue // never subscribed to
+			continue // not subscribed to
 		}
-		if err := s.offer(secret); err != nil {
+		if err := s.storeSecret(secret); err != nil {
 			errs = append(errs, fmt.Errorf("secret %s: %w", secret.Name, err))
 		}
 	}
@@ -93,8 +93,8 @@
 	return []proto.Message{ack}
 }
 
-// offer hands a secret to the store.
-func (s *SecretClient) offer(secret *secrets.Secret) error {
+// storeSecret passes a secret to the store.
+func (s *SecretClient) storeSecret(secret *secrets.Secret) error {
 	switch {
 	case secret.GetTlsCertificate() != nil:
 		c := secret.GetTlsCertificate()
@@ -124,9 +124,10 @@
 	return errors.New("neither a certificate nor a set of authorities")
 }
 
-// inlineBytes returns a source's own bytes. A file that it names is rejected: its path may be on another machine.
-func inlineBytes(d *core.DataSource) ([]byte, error) {
-	switch x := d.GetSpecifier().(type) {
+// inlineBytes returns the data of an inline source. Other sources are rejected; the path of a file, for example, may be one on
+// another machine.
+func inlineBytes(source *core.DataSource) ([]byte, error) {
+	switch x := source.GetSpecifier().(type) {
 	case *core.DataSource_InlineBytes:
 		return x.InlineBytes, nil
 	case *core.DataSource_InlineString:
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -16,19 +16,19 @@
 	protocol  Protocol
 	stream    stream
 	received  chan proto.Message // closed at the stream's end
-	ended     chan error         // why it ended
+	ended     chan error         // gets the reason why the stream ended
 	answered  bool               // the control plane has sent a message
 }
 
-// streamEnd says how a stream ended.
+// streamEnd describes how a stream ended.
 type streamEnd struct {
 	requested bool // the first requests were sent
 	answered  bool // the control plane has sent a message
 	err       error
 }
 
-// maxUnhandled bounds the messages that the receiving goroutine reads ahead.
-const maxUnhandled = 64
+// maxQueuedMessages limits the messages that the receiving goroutine reads ahead.
+const maxQueuedMessages = 64
 
 // runStream opens a stream and runs it until it ends or the context does.
 func (t Transport) runStream(ctx context.Context, conn *grpc.ClientConn, dialer *dialer, protocol Protocol) streamEnd {
@@ -39,7 +39,7 @@
 		return streamEnd{err: err}
 	}
 	s := &session{transport: t, dialer: dialer, protocol: protocol, stream: stream,
-		received: make(chan proto.Message, maxUnhandled), ended: make(chan error, 1)}
+		received: make(chan proto.Message, maxQueuedMessages), ended: make(chan error, 1)}
 	if err := s.send(protocol.Connected(t.Now())); err != nil {
 		return streamEnd{err: err}
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// run handles messages, the protocol's timer and refreshes until the stream ends; it returns why.
+// run handles messages, the protocol's timer and refreshes until the stream ends, and returns the reason.
 func (s *session) run() error {
 	t := &s.transport
 	timer := time.NewTimer(t.tick(s.protocol))
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// sendTimed sends what a timedSender has due.
+// sendTimed sends the due requests of a protocol that is a timedSender.
 func (s *session) sendTimed() error {
 	sender, ok := s.protocol.(timedSender)
 	if !ok {
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// refresh handles all that has arrived and then closes done.
+// refresh handles all messages that have arrived and then closes done.
 func (s *session) refresh(done chan struct{}) error {
 	asOf := s.transport.Now()
 	err := s.catchUp()
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -20,13 +20,13 @@
 	LoadReporting                      // LRS
 )
 
-// stream hides which service and variant a stream belongs to.
+// stream is a gRPC stream of any service and variant.
 type stream interface {
 	send(proto.Message) error
 	receive() (proto.Message, error)
 }
 
-// fullStream is the state-of-the-world variant, of aggregated discovery and of secrets alike.
+// fullStream is a state-of-the-world stream, of aggregated or of secret discovery.
 type fullStream struct {
 	discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 }
@@ -35,7 +35,7 @@
 
 func (s fullStream) receive() (proto.Message, error) { return s.Recv() }
 
-// deltaStream is the incremental variant.
+// deltaStream is an incremental stream.
 type deltaStream struct {
 	discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
--- a/internal/xds/trackedconn.go
+++ b/internal/xds/trackedconn.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// trackedConn is a connection that knows whether all that has arrived on it was read.
+// trackedConn is a connection that can tell whether all bytes that have arrived on it were read.
 type trackedConn struct {
 	net.Conn
-	reading  atomic.Bool               // the reader has processed what it was given before, and asks for more
-	lastRead atomic.Pointer[time.Time] // when it was last given something; nil: never
+	reading  atomic.Bool               // a Read is running: the reader has processed all bytes of earlier Reads
+	lastRead atomic.Pointer[time.Time] // when the last Read returned; nil: none has
 }
 
-// Read records that its reader has processed what it was given before.
+// Read records that the reader has processed all bytes of earlier Reads, and when it returns new ones.
 func (c *trackedConn) Read(b []byte) (int, error) {
 	c.reading.Store(true)
 	n, err := c.Conn.Read(b)
@@ -25,7 +25,7 @@
 	return n, err
 }
 
-// unread reports whether something has arrived that the reader has not processed. It reports false where it can't know.
+// unread reports whether bytes have arrived that the reader has not processed. It reports false if it has no access to the socket.
 func (c *trackedConn) unread() bool {
 	if !c.reading.Load() {
 		return true
@@ -45,7 +45,7 @@
 	return n > 0
 }
 
-// dialer dials a control plane and keeps hold of the latest connection.
+// dialer dials a control plane and keeps the latest connection.
 type dialer struct {
 	dial    func(ctx context.Context, address string) (net.Conn, error)
 	current atomic.Pointer[trackedConn] // nil: none yet
@@ -65,8 +65,9 @@
 	return c, nil
 }
 
-// settled reports whether all that has arrived was read, and long enough ago to have come out of its stream.
-func (d *dialer) settled() bool {
+// allDelivered reports whether all bytes that have arrived were read, long enough ago for the stream to have returned their
+// messages.
+func (d *dialer) allDelivered() bool {
 	c := d.current.Load()
 	if c == nil {
 		return true
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -13,7 +13,7 @@
 	"hollymast/control"
 )
 
-// Transport carries a Protocol's messages to and from a control plane over gRPC. One goroutine (Run) calls the functions.
+// Transport carries a Protocol's messages to and from a control plane over gRPC. Run calls all the functions from its goroutine.
 type Transport struct {
 	Address     string
 	Credentials credentials.TransportCredentials // nil: plain text
@@ -21,29 +21,30 @@
 	Variant     Variant // of aggregated discovery
 	Seed        uint64  // of the random part of the backoff
 	Now         func() control.Micros
-	// Refresh asks for all that has arrived to be handled; the channel received is closed once it is. It may be nil.
+	// Refresh delivers requests to handle all messages that have arrived. The received channel is closed when that is done. Refresh
+	// may be nil.
 	Refresh <-chan chan struct{}
-	// GracePeriod is the time within which a change of the endpoint list must take effect; 0: the resources are no list.
+	// GracePeriod is the time within which a change of the endpoint list must take effect; 0: the resources are not endpoints.
 	GracePeriod time.Duration
-	// Dial opens a connection; nil: over TCP.
+	// Dial opens a connection; nil: a TCP connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// OnUpdate is called after each call of the protocol that may have changed something.
+	// OnUpdate is called after each call of the protocol that may have changed its state.
 	OnUpdate func(now control.Micros)
-	// OnComplete is called with the time as of which all that the control plane had sent was handled, on a stream that it
-	// has answered. It may be nil.
+	// OnComplete is called after a refresh on a stream that the control plane has answered: all messages that had arrived by asOf
+	// were handled. It may be nil.
 	OnComplete func(asOf control.Micros)
 	Log        func(text string)
 }
 
 const (
-	// maxMessageSize is far above ten thousand endpoints with metadata, which are some 2 MB.
+	// maxMessageSize is far above the size of ten thousand endpoints with metadata, about 2 MB.
 	maxMessageSize = 64 << 20
-	// pingAfter and pingTimeout bound how long a connection that broke without a sign goes unnoticed.
+	// pingAfter and pingTimeout limit how long a connection that broke silently goes unnoticed.
 	pingAfter, pingTimeout = 10 * time.Second, 3 * time.Second
 )
 
-// Run keeps a stream to the control plane, with backoff between attempts, until the context ends. The error says that the
-// address or the credentials can't be used.
+// Run keeps a stream to the control plane open, with backoff between attempts, until the context ends. It returns an error only if
+// the address or the credentials are unusable.
 func (t Transport) Run(ctx context.Context, protocol Protocol) error {
 	dialer := &dialer{dial: t.Dial}
 	if dialer.dial == nil {
@@ -55,9 +56,9 @@
 	}
 	defer conn.Close()
 	backoff := NewBackoff(t.Seed)
-	var urgentUntil time.Time
+	var fastRetryUntil time.Time
 	for ctx.Err() == nil {
-		conn.ResetConnectBackoff() // the backoff is ours, not gRPC's
+		conn.ResetConnectBackoff() // this loop does the backoff, not gRPC
 		end := t.runStream(ctx, conn, dialer, protocol)
 		if ctx.Err() != nil {
 			break
@@ -68,10 +69,10 @@
 		case end.answered:
 			backoff.Reset()
 		case end.requested:
-			urgentUntil = time.Now().Add(t.GracePeriod)
+			fastRetryUntil = time.Now().Add(t.GracePeriod)
 		}
-		wait := backoff.NextWithin(t.maxWait(urgentUntil))
-		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next attempt is in " + wait.Round(time.Millisecond).String())
+		wait := backoff.NextWithin(t.maxWait(fastRetryUntil))
+		t.Log("the stream to " + t.Address + " ended (" + end.err.Error() + "); next attempt in " + wait.Round(time.Millisecond).String())
 		t.wait(ctx, protocol, wait)
 	}
 	return nil
@@ -89,16 +90,17 @@
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout, PermitWithoutStream: true}))
 }
 
-// maxWait bounds the next wait. After a stream that had its requests and ended without an answer, the next attempt is well
-// within the grace: what that stream would have sent may be in force since.
-func (t Transport) maxWait(urgentUntil time.Time) time.Duration {
-	if time.Now().Before(urgentUntil) {
+// maxWait limits the next wait. After a stream that sent its requests and ended without an answer, the next attempt follows well
+// within the grace period, since the control plane may have had a change to send that is already in force.
+func (t Transport) maxWait(fastRetryUntil time.Time) time.Duration {
+	if time.Now().Before(fastRetryUntil) {
 		return t.GracePeriod / 4
 	}
 	return maxBackoff
 }
 
-// wait waits, and meanwhile serves the protocol's timer and refreshes: without a stream nothing has arrived.
+// wait waits for the duration and meanwhile runs the protocol's timer. It completes refreshes at once, since nothing can have arrived
+// without a stream.
 func (t Transport) wait(ctx context.Context, protocol Protocol, duration time.Duration) {
 	end := time.NewTimer(duration)
 	defer end.Stop()
@@ -121,7 +123,7 @@
 
 // tick calls the protocol's Tick and returns how long to wait until the next call.
 func (t Transport) tick(protocol Protocol) time.Duration {
-	const never = time.Hour // the next message sets the timer anew
+	const never = time.Hour // the next message resets the timer
 	now := t.Now()
 	next := protocol.Tick(now)
 	if next == 0 {
@@ -130,7 +132,7 @@
 	return time.Duration(max(0, next-now)) * time.Microsecond
 }
 
-// notify reports a possible change and logs what the protocol has to say.
+// notify calls OnUpdate and logs the protocol's new lines.
 func (t Transport) notify(protocol Protocol) {
 	t.OnUpdate(t.Now())
 	for _, line := range protocol.TakeLogLines() {
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -19,10 +19,10 @@
 
 const testGrace = 2 * time.Second
 
-// readGate holds up the reader of a connection, as that of a process that was stopped.
+// readGate blocks the reads of a connection, to simulate a process that is stopped.
 type readGate struct {
-	mu      sync.Mutex   // locked: nothing is read
-	waiting atomic.Int32 // readers that wait for mu
+	mu      sync.Mutex   // reads block while it is locked
+	waiting atomic.Int32 // number of reads that wait for mu
 }
 
 type gatedConn struct {
@@ -33,13 +33,13 @@
 func (c gatedConn) Read(b []byte) (int, error) {
 	c.gate.waiting.Add(1)
 	c.gate.mu.Lock()
-	c.gate.waiting.Add(-1) // with the lock held: a reader that is seen waiting by who has locked the gate has not passed it
+	c.gate.waiting.Add(-1) // under the lock: while the gate is locked, a read counted as waiting has not passed it
 	c.gate.mu.Unlock()
 	return c.TCPConn.Read(b)
 }
 
-// holdsUnread reports whether text is among the bytes that have arrived and were not read. It needs them uncompressed, as
-// gRPC sends them by default.
+// holdsUnread reports whether the bytes that have arrived but were not read contain text. This relies on gRPC sending messages
+// uncompressed, which is its default.
 func (c gatedConn) holdsUnread(t *testing.T, text string) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return bytes.Contains(buffer[:max(n, 0)], []byte(text))
 }
 
-// A refresh handles what has arrived though nobody has read it from the connection yet.
+// A refresh handles a change that has arrived in the socket but was not read from the connection yet.
 func TestRefreshHandlesUnreadChange(t *testing.T) {
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
@@ -63,11 +63,11 @@
 			}
 			defer plane.Stop()
 			publish := func(first fakeserver.Endpoint) {
-				plane.Update(func(cs map[string][]fakeserver.Endpoint) {
-					ms := members(healthy, healthy)
-					first.Address = ms[0].Address
-					ms[0] = first
-					cs["c"] = ms
+				plane.Update(func(clusters map[string][]fakeserver.Endpoint) {
+					endpoints := newEndpoints(healthy, healthy)
+					first.Address = endpoints[0].Address
+					endpoints[0] = first
+					clusters["c"] = endpoints
 				})
 			}
 			publish(fakeserver.Endpoint{Health: healthy})
@@ -113,7 +113,7 @@
 			platformtest.WaitFor(t, "the first list", func() bool { return state() == control.Ready })
 			conn := <-conns
 			gate.mu.Lock()
-			// A read that has passed the gate takes what comes next: updates are sent until the reader waits at the gate.
+			// A read that has already passed the gate would take the next update, so send updates until a read waits at the gate.
 			updates := 0
 			platformtest.WaitFor(t, "the reader at the gate", func() bool {
 				if gate.waiting.Load() > 0 {
@@ -133,7 +133,7 @@
 			refresh <- refreshed
 			select {
 			case <-refreshed:
-				t.Error("the refresh ended before what had arrived was read")
+				t.Error("the refresh completed before the reader could read what had arrived")
 			case <-time.After(20 * time.Millisecond):
 			}
 			gate.mu.Unlock()
@@ -148,15 +148,15 @@
 	}
 }
 
-// A stream that ends before it has an answer is opened again within half the grace, however long the control plane was down
-// before; one that can't be reached gets ever fewer attempts.
+// A stream that ends without an answer is opened again within half the grace period, however long the control plane was down
+// before. While the control plane is unreachable, the waits between attempts grow.
 func TestUnansweredStreamIsRetriedWithinGrace(t *testing.T) {
 	plane, err := fakeserver.NewControlPlane()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer plane.Stop()
-	plane.SetStalled(true) // it sends nothing, and then ends its streams
+	plane.SetStalled(true) // it accepts streams but sends nothing
 	dialled := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
@@ -181,23 +181,23 @@
 			t.Error(err)
 		}
 	}()
-	const attempts = 6 // 100 ms doubled five times: the next wait would be 3.2 s, half of it by chance
-	var at [attempts]time.Time
-	for i := range at {
-		at[i] = <-dialled
+	const attempts = 6 // 100 ms doubled five times: the next wait would be up to 3.2 s, half of it random
+	var dialTimes [attempts]time.Time
+	for i := range dialTimes {
+		dialTimes[i] = <-dialled
 	}
-	if first, last := at[1].Sub(at[0]), at[attempts-1].Sub(at[attempts-2]); last < 4*first {
+	if first, last := dialTimes[1].Sub(dialTimes[0]), dialTimes[attempts-1].Sub(dialTimes[attempts-2]); last < 4*first {
 		t.Errorf("the first wait is %v, the last %v", first, last)
 	}
 	mu.Lock()
 	down = false
 	mu.Unlock()
 	platformtest.WaitFor(t, "a stream", func() bool { _, streams, _ := plane.Counts(); return streams == 1 })
-	began := time.Now()
+	droppedAt := time.Now()
 	plane.DropStreams(false)
 	platformtest.WaitFor(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
 	const slack = 100 * time.Millisecond
-	if took := time.Since(began); took > testGrace/2+slack {
+	if took := time.Since(droppedAt); took > testGrace/2+slack {
 		t.Errorf("opened again after %v", took)
 	}
 }
--- a/internal/xds/view.go
+++ b/internal/xds/view.go
@@ -26,7 +26,7 @@
 	"hollymast/internal/membership"
 )
 
-// ViewCluster is the name of the one cluster of a router's view.
+// ViewCluster is the name of the only cluster in a router's view.
 const ViewCluster = "hollymast"
 
 // ServerView is a server as a router sees it.
@@ -34,50 +34,50 @@
 	Address       string
 	Zone          string
 	Cell          string
-	Health        membership.Health // as seen here: unhealthy where it is ejected, whatever the source says
+	Health        membership.Health // as this router sees it: an ejected server is unhealthy, whatever the source reports
 	Weight        float64
 	StartedAt     int64 // wall clock, microseconds since 1970; 0: long ago
-	InFlight      int   // attempts and load commands of this router that are not answered
+	InFlight      int   // unanswered attempts and load commands of this router
 	HasLoadReport bool
-	// The load that the server reported, each as control.LoadReport has it; below zero: not reported.
+	// The server's reported load, with the meanings of control.LoadReport; negative: not reported.
 	Utilization, PendingLoads, PinnedMemory float64
 }
 
-// withoutLoad returns the server without what changes at every request.
+// withoutLoad returns the server without the fields that change with every request.
 func (s ServerView) withoutLoad() ServerView {
 	s.InFlight, s.HasLoadReport, s.Utilization, s.PendingLoads, s.PinnedMemory = 0, false, 0, 0, 0
 	return s
 }
 
-// View serves what a router sees, as a control plane does: one cluster and its endpoints, by ADS and by CDS and EDS of their
-// own, in both variants, so that another installation or a second router can follow it. It also takes load reports from those
-// who follow it. Publish must not be called concurrently.
+// View is a control plane that serves the servers as a router sees them: one cluster and its endpoints, over ADS and over separate
+// CDS and EDS streams, in both variants. Another installation or a second router can follow it. View also accepts load reports from
+// the nodes that follow it. Publish must not be called concurrently.
 type View struct {
 	cache            cache.SnapshotCache
 	server           *grpc.Server
 	address          string
 	stop             context.CancelFunc
-	done             chan struct{} // closed when the server has ended
+	done             chan struct{} // closed when the server has stopped
 	version          uint64
 	published        []ServerView
 	loadsPublishedAt control.Micros
 	loadServer       *loadServer
 }
 
-// sameForAll gives all nodes the same snapshot.
-type sameForAll struct{}
+// sharedNodeHash is a cache.NodeHash that gives all nodes the same snapshot.
+type sharedNodeHash struct{}
 
-func (sameForAll) ID(*core.Node) string { return ViewCluster }
+func (sharedNodeHash) ID(*core.Node) string { return ViewCluster }
 
-// Bounds of those who follow: a few installations, each with some routers.
+// Bounds for the nodes that follow the view: a few installations with a few routers each.
 const (
 	maxStreams  = 64
 	idleTimeout = 5 * time.Minute
-	// minPingInterval is half the interval at which a Transport pings.
+	// minPingInterval is the shortest ping interval that is tolerated: half of a Transport's.
 	minPingInterval = pingAfter / 2
 )
 
-// NewView starts to serve at an address; without credentials in plain text. Errors are those of listening.
+// NewView starts a server at the address, in plain text if creds is nil. It returns an error if it can't listen there.
 func NewView(address string, creds credentials.TransportCredentials) (*View, error) {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -88,7 +88,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	v := &View{
-		cache:      cache.NewSnapshotCache(true, sameForAll{}, nil),
+		cache:      cache.NewSnapshotCache(true, sharedNodeHash{}, nil),
 		address:    listener.Addr().String(),
 		stop:       stop,
 		done:       make(chan struct{}),
@@ -111,21 +111,21 @@
 	return v, nil
 }
 
-// Address returns where the view is served.
+// Address returns the address at which the view is served.
 func (v *View) Address() string { return v.address }
 
-// Close ends the server and all its streams.
+// Close stops the server and ends all its streams.
 func (v *View) Close() {
 	v.stop()
 	v.server.Stop()
 	<-v.done
 }
 
-// loadPublishInterval is how often a change of loads alone makes a new version: a second, as monitoring has it.
+// loadPublishInterval is the minimum time between versions that differ only in loads: one second, a common interval in monitoring.
 const loadPublishInterval = control.Micros(1_000_000)
 
-// Publish makes a new version of the servers, if they differ from the last. A change of their loads alone makes one only at
-// each loadPublishInterval: otherwise every request would.
+// Publish publishes a new version of the servers if they differ from the last version. If only loads differ, it publishes at most
+// one version per loadPublishInterval; otherwise every request would cause one.
 func (v *View) Publish(now control.Micros, servers []ServerView) error {
 	slices.SortFunc(servers, func(a, b ServerView) int { return cmp.Compare(a.Address, b.Address) })
 	same := slices.EqualFunc(servers, v.published, func(a, b ServerView) bool { return a.withoutLoad() == b.withoutLoad() })
--- a/internal/xds/viewmessages.go
+++ b/internal/xds/viewmessages.go
@@ -19,17 +19,18 @@
 			ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}}}
 }
 
-// assignmentOf returns servers in the protocol's form, by locality. An address whose port is no number has no place there.
+// assignmentOf converts servers to a protocol message, grouped by locality. It leaves out servers whose port is not a number, which
+// the protocol can't represent.
 func assignmentOf(servers []ServerView) *endpoint.ClusterLoadAssignment {
 	a := &endpoint.ClusterLoadAssignment{ClusterName: ViewCluster}
-	type place struct{ zone, cell string }
-	localities := map[place]*endpoint.LocalityLbEndpoints{}
+	type localityKey struct{ zone, cell string }
+	localities := map[localityKey]*endpoint.LocalityLbEndpoints{}
 	for _, s := range servers {
-		at := place{s.Zone, s.Cell}
-		locality := localities[at]
+		key := localityKey{s.Zone, s.Cell}
+		locality := localities[key]
 		if locality == nil {
 			locality = &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: s.Zone, SubZone: s.Cell}}
-			localities[at] = locality
+			localities[key] = locality
 			a.Endpoints = append(a.Endpoints, locality)
 		}
 		if address := socketAddress(s.Address); address != nil {
@@ -39,7 +40,7 @@
 	return a
 }
 
-// maxEnvoyWeight keeps a weight far below the 32 bits of Envoy's, also in the sum of many.
+// maxEnvoyWeight keeps a weight, and the sum of several, within the 32 bits of Envoy's weights.
 const maxEnvoyWeight = 1 << 30
 
 func (s ServerView) lbEndpoint(address *core.Address) *endpoint.LbEndpoint {
@@ -59,10 +60,10 @@
 	return e
 }
 
-// orcaMetadataKey is the key of an endpoint's metadata for the server's load report.
+// orcaMetadataKey is the key of the endpoint metadata that contains the server's load report.
 const orcaMetadataKey = "hollymast.load"
 
-// orcaReport returns the server's load in ORCA's form. What it did not report is left out.
+// orcaReport returns the server's load as an ORCA report. Named metrics that the server did not report are left out.
 func (s ServerView) orcaReport() *orca.OrcaLoadReport {
 	report := &orca.OrcaLoadReport{CpuUtilization: max(0, s.Utilization), NamedMetrics: map[string]float64{}}
 	for name, value := range map[string]float64{"loads": s.PendingLoads, "pinned": s.PinnedMemory} {
@@ -73,7 +74,7 @@
 	return report
 }
 
-// statusOf maps a health to Envoy's health status, the opposite of healthOf.
+// statusOf maps a health to Envoy's health status, as the inverse of healthOf.
 var statusOf = func() map[membership.Health]core.HealthStatus {
 	statuses := make(map[membership.Health]core.HealthStatus, len(healthOf))
 	for status, health := range healthOf {
