--- a/internal/tlspolicy/digest.go
+++ b/internal/tlspolicy/digest.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// digest identifies two texts, by which an update that changes nothing is recognised.
+// digest is a hash of the two inputs of an update, used to recognise an update that changes nothing.
 type digest [sha256.Size]byte
 
 func digestOf(first, second []byte) digest {
 	h := sha256.New()
-	fmt.Fprintf(h, "%d ", len(first)) // else a byte that moves from one text to the other would change nothing
+	fmt.Fprintf(h, "%d ", len(first)) // so that moving a byte from one text to the other changes the digest
 	h.Write(first)
 	h.Write(second)
 	return digest(h.Sum(nil))
--- a/internal/tlspolicy/identity.go
+++ b/internal/tlspolicy/identity.go
@@ -1,6 +1,5 @@
-// Package tlspolicy decides which certificate is in service and which peers are trusted. It is free of I/O and clocks: it is given the
-// contents of files or secrets, and the time. Times are those of the wall clock, in microseconds since 1970, since certificates have
-// theirs by it.
+// Package tlspolicy decides which certificate is in service and which peers are trusted. It does no I/O and reads no clock: callers pass
+// the contents of files or secrets, and the time. Times are wall clock times in microseconds since 1970, like those in certificates.
 package tlspolicy
 
 import (
@@ -12,35 +11,36 @@
 	"hollymast/control"
 )
 
-// Identity is the certificate and key that one side of connections presents. A new pair comes into service when it is complete, matches
-// and is valid; until then the current one stays. It is not safe for concurrent use.
+// Identity manages the certificate and key that this side of connections presents. A new pair comes into service once certificate and
+// key match and the chain is valid; until then the current pair stays. It is not safe for concurrent use.
 type Identity struct {
 	current      *tls.Certificate
-	currentSince control.Micros // when it came into service
-	expiresAt    control.Micros
-	version      uint64
-	pending      *tls.Certificate // not yet valid; comes into service when it is
+	currentSince control.Micros   // when it came into service
+	expiresAt    control.Micros   // of the current pair
+	version      uint64           // number of pairs that came into service
+	pending      *tls.Certificate // not valid yet; comes into service once it is
 
 	lastDigest digest // of the last update
-	mismatched bool   // the last update's key was another certificate's, which is not logged yet
+	mismatched bool   // the key of the last update did not match its certificate, which was not logged yet
 
 	warnedOfExpiry bool
 	loggedExpiry   bool
 	logBuffer
 }
 
-// Current returns the pair in service; nil: none was yet.
+// Current returns the pair in service; nil: there is none yet.
 func (i *Identity) Current() *tls.Certificate { return i.current }
 
-// Version counts the pairs that came into service.
+// Version returns the number of pairs that have come into service.
 func (i *Identity) Version() uint64 { return i.version }
 
 // ExpiresAt returns when the pair in service expires; 0: there is none.
 func (i *Identity) ExpiresAt() control.Micros { return i.expiresAt }
 
-// Update takes a certificate chain and its key (PEM) as they are now. The error says why they don't come into service; it is logged as
-// well, once, and a repeated update returns none. A key that doesn't match is logged only when it is found twice: while the two files are
-// being replaced one after the other it is to be expected.
+// Update applies the current contents of a certificate chain and its key (PEM). If they can't come into service, it returns an error. If
+// another pair is in service, it logs the error as well. An update with the same contents as the last one does nothing and returns nil.
+// The exception is a key that does not match, which is logged only when the same contents come a second time: it is to be expected while
+// the two files are replaced one after the other.
 func (i *Identity) Update(now control.Micros, chain, key []byte) error {
 	d := digestOf(chain, key)
 	repeated := d == i.lastDigest
@@ -55,7 +55,7 @@
 	}
 	i.mismatched = false
 	if err == nil && i.current != nil && bytes.Equal(pair.Certificate[0], i.current.Certificate[0]) {
-		i.pending = nil // back to the current one
+		i.pending = nil // the files contain the current pair again
 		return nil
 	}
 	if err == nil && now >= chainExpiry(pair) {
@@ -63,13 +63,13 @@
 	}
 	if err != nil {
 		if i.current != nil {
-			i.logf("%v: the old pair stays in service", err)
+			i.logf("%v: the current certificate stays in service", err)
 		}
 		return err
 	}
 	if now < microsOf(pair.Leaf.NotBefore) {
 		i.pending = pair
-		i.logf("the certificate of %s is not valid before %s and waits until then", subjectNames(pair.Leaf), formatTime(pair.Leaf.NotBefore))
+		i.logf("the certificate of %s is not valid before %s: it comes into service then", subjectNames(pair.Leaf), formatTime(pair.Leaf.NotBefore))
 		return nil
 	}
 	i.activate(now, pair)
@@ -81,25 +81,25 @@
 	i.current, i.currentSince, i.expiresAt, i.pending = pair, now, chainExpiry(pair), nil
 	i.warnedOfExpiry, i.loggedExpiry = false, false
 	i.version++
-	i.logf("the certificate of %s, number %x, is in service until %s", subjectNames(pair.Leaf), pair.Leaf.SerialNumber, formatTime(timeOf(i.expiresAt)))
+	i.logf("the certificate of %s, serial number %x, is in service and valid until %s", subjectNames(pair.Leaf), pair.Leaf.SerialNumber, formatTime(timeOf(i.expiresAt)))
 }
 
-// replacementPeriod is the time within which connections made with an earlier pair are replaced as they fall idle: short compared with
-// the time for which an old authority stays trusted beside the new one, and long enough to spread thousands of handshakes.
+// replacementPeriod is the time within which connections made with an earlier pair are replaced when they become idle. It is short
+// compared with the time for which an old authority stays trusted beside a new one, and long enough to spread thousands of handshakes.
 const replacementPeriod = control.Micros(5_000_000)
 
-// ShouldReplace reports whether a connection that was made with that version of the identity is to be replaced now. Position, from 0 to 1, is
-// the connection's own place in the replacement period.
+// ShouldReplace reports whether a connection made with the given version of the identity should be replaced now. Position, from 0 to 1,
+// is the connection's point in the replacement period, which spreads the replacements.
 func (i *Identity) ShouldReplace(now control.Micros, version uint64, position float64) bool {
 	return version != i.version && now >= i.currentSince+control.Micros(position*float64(replacementPeriod))
 }
 
-// expiryWarningShare is the last share of a certificate's validity, in which its expiry is logged: renewal, usually at two thirds of it,
-// has failed by then.
+// expiryWarningShare is the share of a certificate's validity, at its end, in which a warning is logged. Certificates are usually renewed
+// after two thirds of their validity, so by then the renewal has failed.
 const expiryWarningShare = 0.25
 
-// Maintain brings a pending pair into service and logs an expiry that is near or over. It returns when it must be called again; 0: after
-// the next update.
+// Maintain brings a pending pair into service once it is valid, and logs the approaching and the actual expiry of the current one. It
+// returns when it must be called again; 0: after the next update.
 func (i *Identity) Maintain(now control.Micros) (next control.Micros) {
 	if i.pending != nil && now >= microsOf(i.pending.Leaf.NotBefore) {
 		i.activate(now, i.pending)
@@ -119,10 +119,10 @@
 	switch {
 	case now >= i.expiresAt && !i.loggedExpiry:
 		i.loggedExpiry = true
-		i.logf("the certificate of %s ended at %s: peers refuse it until another is given", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
+		i.logf("the certificate of %s expired at %s: peers reject it until it is replaced", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
 	case now >= warnAt && now < i.expiresAt && !i.warnedOfExpiry:
 		i.warnedOfExpiry = true
-		i.logf("the certificate of %s ends at %s and no other was given", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
+		i.logf("the certificate of %s expires at %s and has not been replaced", subjectNames(i.current.Leaf), formatTime(timeOf(i.expiresAt)))
 	}
 	callAt(warnAt)
 	callAt(i.expiresAt)
--- a/internal/tlspolicy/keypair.go
+++ b/internal/tlspolicy/keypair.go
@@ -12,12 +12,13 @@
 
 var errKeyMismatch = errors.New("the key is not that of the certificate")
 
-// ParseKeyPair parses a certificate chain, which begins with the certificate to be presented, and its key (all PEM). Its errors are one
-// line each: what can't be parsed, a key of another certificate, a certificate that did not sign the one before it in the chain.
+// ParseKeyPair parses a certificate chain, which starts with the certificate to present, and its key (all PEM). It returns an error of one
+// line if something can't be parsed, if the key does not match the certificate, if the first certificate is an authority's, or if a
+// certificate in the chain did not sign the one before it.
 func ParseKeyPair(chain, key []byte) (*tls.Certificate, error) {
 	pair, err := tls.X509KeyPair(chain, key)
 	if err != nil {
-		if strings.Contains(err.Error(), "does not match") { // crypto/tls has no error value for it
+		if strings.Contains(err.Error(), "does not match") { // crypto/tls has no error value for a mismatch
 			return nil, errKeyMismatch
 		}
 		return nil, fmt.Errorf("the certificate or its key can't be read: %w", err)
@@ -39,7 +40,7 @@
 	return &pair, nil
 }
 
-// chainExpiry returns when the first certificate of a chain expires.
+// chainExpiry returns the earliest expiry of the certificates in a chain.
 func chainExpiry(pair *tls.Certificate) control.Micros {
 	expiry := microsOf(pair.Leaf.NotAfter)
 	for _, der := range pair.Certificate[1:] {
--- a/internal/tlspolicy/peererror.go
+++ b/internal/tlspolicy/peererror.go
@@ -6,28 +6,28 @@
 	"fmt"
 )
 
-// Reason is why a peer is rejected.
+// Reason is the reason why a peer is rejected.
 type Reason uint8
 
 // The reasons.
 const (
-	NoCertificate    Reason = iota // it presented none
-	UnknownAuthority               // no trusted authority signed its certificate
+	NoCertificate    Reason = iota // the peer presented none
+	UnknownAuthority               // no trusted authority signed the peer's certificate
 	NotYetValid
 	Expired
-	WrongName     // valid, but not for the peer that was expected
-	WrongKeyUsage // not meant for its side of a connection
+	WrongName     // valid, but for another name than the expected one
+	WrongKeyUsage // not issued for the peer's side of a connection
 	Revoked
-	NoAuthorities // we have no authorities to verify it by
+	NoAuthorities // there are no authorities to verify the peer with
 )
 
-// reasonNames are metric labels: they must not change.
+// reasonNames are used as metric labels and must not change.
 var reasonNames = [...]string{"no certificate", "unknown authority", "not yet valid", "expired", "wrong name", "wrong use", "revoked", "nothing to check by"}
 
 // String returns the reason's name in metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// PeerError is the error with which a peer is rejected.
+// PeerError is the error that is returned for a rejected peer.
 type PeerError struct {
 	Reason Reason
 	Text   string // one line
@@ -39,7 +39,7 @@
 	return &PeerError{Reason: r, Text: fmt.Sprintf(format, args...)}
 }
 
-// chainError turns an error of package x509 into one with a reason.
+// chainError converts an error of package x509 to a PeerError.
 func chainError(leaf *x509.Certificate, err error) *PeerError {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) {
--- a/internal/tlspolicy/peername.go
+++ b/internal/tlspolicy/peername.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// checkName checks that a certificate has one of the accepted names or, without those, is for the host that was dialled.
+// checkName checks that a certificate has one of the accepted names. Without accepted names, a server's certificate must be for the host
+// that was dialled, and a client's may have any name.
 func (v *Verifier) checkName(leaf *x509.Certificate, role Role, host string) error {
 	if len(v.names) == 0 {
 		if role == Client || leaf.VerifyHostname(host) == nil {
@@ -31,8 +32,9 @@
 	return newPeerError(WrongName, "the certificate is of %s, not of %s", subjectNames(leaf), strings.Join(v.names, " or "))
 }
 
-// matchesDNSName matches a certificate's name. A pattern's first label may be *, which stands for exactly one label; a * in the
-// certificate's name stands for nothing, so that a wildcard certificate is not taken for any of its names.
+// matchesDNSName reports whether a certificate's DNS name matches a pattern. The first label of the pattern may be *, which matches exactly
+// one label. A * in the certificate's name is not expanded, and the pattern's * does not match it, so a wildcard certificate is not
+// accepted for one of the names that it covers.
 func matchesDNSName(pattern, name string) bool {
 	if parent, wildcard := strings.CutPrefix(pattern, "*."); wildcard {
 		label, rest, found := strings.Cut(name, ".")
@@ -41,17 +43,17 @@
 	return pattern == name
 }
 
-// matchesURI matches a certificate's URI. A pattern may end in /*, which stands for any path below.
+// matchesURI reports whether a certificate's URI matches a pattern. The pattern may end in /*, which matches any path below.
 func matchesURI(pattern string, uri *url.URL) bool {
 	name := uri.String()
 	prefix, wildcard := strings.CutSuffix(pattern, "/*")
 	return pattern == name || wildcard && strings.HasPrefix(name, prefix+"/")
 }
 
-// maxNames bounds the names of a certificate in a log line.
+// maxNames limits the names of a certificate in a log line.
 const maxNames = 4
 
-// subjectNames returns the names that a certificate is for, or its subject if it has none.
+// subjectNames returns the names in a certificate, or its subject if it has none.
 func subjectNames(c *x509.Certificate) string {
 	var names []string
 	names = append(names, c.DNSNames...)
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -16,15 +16,15 @@
 
 // revocationList is an authority's certificate revocation list (CRL, RFC 5280).
 type revocationList struct {
-	issuer     string // raw subject
-	signer     *x509.Certificate
-	number     *big.Int
-	nextUpdate control.Micros  // when the authority promised the next one; 0: it did not
-	revoked    map[string]bool // by the bytes of the serial number
-	overdue    bool            // logged
+	issuer     string            // raw subject of the authority
+	signer     *x509.Certificate // the trusted authority that signed the list
+	number     *big.Int          // CRL number; grows with each list of the issuer
+	nextUpdate control.Micros    // when the next list is to be issued; 0: not set
+	revoked    map[string]bool   // by serial number, as bytes
+	overdue    bool              // it was logged that nextUpdate has passed
 }
 
-// parseRevocationLists parses CRLs (PEM), and returns the latest of each issuer, in the order of issuers.
+// parseRevocationLists parses CRLs (PEM) and returns the latest one of each issuer, sorted by issuer.
 func parseRevocationLists(authorities []*x509.Certificate, text []byte) ([]*revocationList, error) {
 	byIssuer := map[string]*revocationList{}
 	for block, rest := pem.Decode(text); block != nil; block, rest = pem.Decode(rest) {
@@ -42,7 +42,7 @@
 	return slices.SortedFunc(maps.Values(byIssuer), func(a, b *revocationList) int { return cmp.Compare(a.issuer, b.issuer) }), nil
 }
 
-// parseRevocationList parses a CRL (DER), which a trusted authority must have signed.
+// parseRevocationList parses a CRL (DER) and checks that a trusted authority signed it.
 func parseRevocationList(authorities []*x509.Certificate, der []byte) (*revocationList, error) {
 	crl, err := x509.ParseRevocationList(der)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return list, nil
 }
 
-// checkNoRevocationLost checks that each authority that had a CRL and is still trusted has one again, not an older one: a file emptied or
-// restored by accident must not make a revoked certificate good.
+// checkNoRevocationLost checks that each authority that had a CRL and is still trusted has one in the new lists that is not older. A file
+// that is emptied or restored by accident must not make a revoked certificate valid again.
 func (v *Verifier) checkNoRevocationLost(authorities []*x509.Certificate, lists []*revocationList) error {
 	for _, old := range v.revocations {
 		if !slices.ContainsFunc(authorities, func(c *x509.Certificate) bool { return sameAuthority(old.signer, c) }) {
@@ -95,13 +95,14 @@
 	return nil
 }
 
-// sameAuthority reports whether two certificates are of one authority: the same name and key. It guards against a revoked
-// certificate that is good by the path over another certificate of its authority, as after a reissue.
+// sameAuthority reports whether two certificates belong to the same authority, that is, have the same name and key. A CRL must apply to all
+// certificates of its authority: after the authority's certificate is reissued, a revoked certificate would otherwise verify through the
+// other one.
 func sameAuthority(a, b *x509.Certificate) bool {
 	return bytes.Equal(a.RawSubject, b.RawSubject) && bytes.Equal(a.RawSubjectPublicKeyInfo, b.RawSubjectPublicKeyInfo)
 }
 
-// checkRevoked checks that no certificate of a verified path is revoked by the authority after it.
+// checkRevoked checks that no certificate of a verified path is revoked by the authority that issued it, the next one in the path.
 func (v *Verifier) checkRevoked(path []*x509.Certificate) *PeerError {
 	for i, c := range path[:len(path)-1] {
 		for _, list := range v.revocations {
@@ -113,14 +114,15 @@
 	return nil
 }
 
-// Maintain logs CRLs that are out of date; they stay in use. It returns when it must be called again; 0: after the next update.
+// Maintain logs CRLs that are overdue for replacement; they stay in use. It returns when it must be called again; 0: after the next
+// update.
 func (v *Verifier) Maintain(now control.Micros) (next control.Micros) {
 	for _, list := range v.revocations {
 		switch {
 		case list.nextUpdate == 0 || list.overdue:
 		case now >= list.nextUpdate:
 			list.overdue = true
-			v.logf("the list of revoked certificates of %s should have been replaced by %s; it counts on", list.signer.Subject, formatTime(timeOf(list.nextUpdate)))
+			v.logf("the list of revoked certificates of %s should have been replaced by %s: it stays in use", list.signer.Subject, formatTime(timeOf(list.nextUpdate)))
 		case next == 0 || list.nextUpdate < next:
 			next = list.nextUpdate
 		}
