--- a/internal/loadreport/aggregator.go
+++ b/internal/loadreport/aggregator.go
@@ -2,16 +2,16 @@
 
 // Aggregator sums the latest reports of several nodes. It is not safe for concurrent use.
 type Aggregator struct {
-	nodes    map[string]Report // each one's latest
+	nodes    map[string]Report // latest report by node
 	maxNodes int
 }
 
-// NewAggregator returns an aggregator of at most that many nodes.
+// NewAggregator returns an aggregator for at most maxNodes nodes.
 func NewAggregator(maxNodes int) *Aggregator {
 	return &Aggregator{nodes: map[string]Report{}, maxNodes: maxNodes}
 }
 
-// Update sets a node's latest report. It returns false where there are too many nodes.
+// Update sets a node's latest report. It returns false, and ignores the report, if the node is new and there are too many nodes.
 func (a *Aggregator) Update(node string, r Report) bool {
 	if _, known := a.nodes[node]; !known && len(a.nodes) >= a.maxNodes {
 		return false
@@ -20,10 +20,10 @@
 	return true
 }
 
-// Remove forgets a node.
+// Remove drops a node's report.
 func (a *Aggregator) Remove(node string) { delete(a.nodes, node) }
 
-// Sum adds up the latest reports by address, and returns the number of nodes that they come from.
+// Sum returns the sums of the latest reports by address, and the number of nodes.
 func (a *Aggregator) Sum() (endpoints []EndpointStats, nodes int) {
 	sums := map[string]*EndpointStats{}
 	for _, r := range a.nodes {
--- a/internal/loadreport/aggregator_test.go
+++ b/internal/loadreport/aggregator_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Nodes are summed, each by its latest report, and one too many is not taken in.
+// The latest reports of the nodes are summed, and a node beyond the maximum is not accepted.
 func TestAggregator(t *testing.T) {
 	a := NewAggregator(2)
 	report := func(n uint64) Report {
@@ -13,7 +13,7 @@
 	a.Update("x", report(9))
 	a.Update("x", report(1))
 	if !a.Update("y", report(2)) || a.Update("z", report(4)) {
-		t.Error("the bound on nodes")
+		t.Error("the maximum number of nodes is not respected")
 	}
 	if endpoints, nodes := a.Sum(); nodes != 2 || len(endpoints) != 1 || endpoints[0].InFlight != 3 || endpoints[0].Issued != 30 {
 		t.Errorf("%+v of %d", endpoints, nodes)
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -1,36 +1,38 @@
-// Package loadreport counts what a router did to each server, and what the servers reported of their load, for load reports to a control
-// plane (Envoy's LRS). It is free of I/O and clocks. Each event is reported once: what could not be sent goes into the next report.
+// Package loadreport collects statistics for load reports to a control plane (Envoy's LRS): a router's attempts by server, and the loads that
+// the servers reported. It does no I/O and reads no clock. Each event is reported exactly once: a report that could not be sent becomes
+// part of the next one.
 package loadreport
 
 import (
 	"hollymast/control"
 )
 
-// defaultMaxServers bounds the servers that are counted: no endpoint list may name as many, so more would be addresses that come and go.
+// defaultMaxServers limits the servers that are counted. No endpoint list may contain that many, so more could only be addresses that come
+// and go.
 const defaultMaxServers = 100_000
 
 // Collector counts one router's attempts. It is not safe for concurrent use.
 type Collector struct {
-	since      control.Micros // end of the last report
-	servers    map[string]*serverStats
+	since      control.Micros          // end of the last report
+	servers    map[string]*serverStats // by address
 	maxServers int
 }
 
-// serverStats is what was counted of a server since the last report, and its state.
+// serverStats holds a server's counts since the last report, its attempts in flight and its last load report.
 type serverStats struct {
 	Counts
 	LoadMetrics
 	inFlight   uint64
 	lastReport control.LoadReport
-	reported   bool // whether there is a lastReport
+	hasReport  bool // whether lastReport is set
 }
 
-// NewCollector returns a collector whose first report begins now.
+// NewCollector returns a collector whose first report starts at now.
 func NewCollector(now control.Micros) *Collector {
 	return &Collector{since: now, servers: map[string]*serverStats{}, maxServers: defaultMaxServers}
 }
 
-// AttemptBegan counts an attempt that was assigned to a server.
+// AttemptBegan counts the start of an attempt that was assigned to a server.
 func (c *Collector) AttemptBegan(address string) {
 	s := c.servers[address]
 	if s == nil {
@@ -43,12 +45,12 @@
 	s.inFlight++
 }
 
-// AttemptEnded counts the end of an attempt. One that was never sent was not issued; one that we cancelled neither succeeded nor failed.
-// The load report is nil where the server gave none.
+// AttemptEnded counts the end of an attempt. An attempt that was never sent does not count as issued; one that the router cancelled counts
+// neither as succeeded nor as failed. The load report is nil if the server sent none.
 func (c *Collector) AttemptEnded(address string, result control.Result, load *control.LoadReport) {
 	s := c.servers[address]
 	if s == nil || s.inFlight == 0 {
-		return // its beginning was not counted
+		return // its start was not counted
 	}
 	s.inFlight--
 	switch result {
@@ -64,8 +66,8 @@
 	if load == nil {
 		return
 	}
-	s.lastReport, s.reported = *load, true
-	s.LoadMetrics.add(LoadMetrics{ // a figure below 0 was not reported
+	s.lastReport, s.hasReport = *load, true
+	s.LoadMetrics.add(LoadMetrics{ // a negative value was not reported
 		Reports:      1,
 		Utilization:  max(0, load.Utilization),
 		PendingLoads: max(0, load.PendingLoads),
@@ -73,16 +75,16 @@
 	})
 }
 
-// LastReport returns the last load report of a server; ok is false where it gave none.
+// LastReport returns a server's last load report; ok is false if there is none.
 func (c *Collector) LastReport(address string) (r control.LoadReport, ok bool) {
 	s := c.servers[address]
-	if s == nil || !s.reported {
+	if s == nil || !s.hasReport {
 		return r, false
 	}
 	return s.lastReport, true
 }
 
-// Prune drops the servers that are idle and no longer listed, with what was counted of them since the last report.
+// Prune drops idle servers that are no longer listed, including their counts since the last report.
 func (c *Collector) Prune(listed func(address string) bool) {
 	for address, s := range c.servers {
 		if s.inFlight == 0 && !listed(address) {
@@ -91,7 +93,7 @@
 	}
 }
 
-// Flush returns what was counted since the last report, and begins the next one.
+// Flush returns the counts since the last report and starts the next one.
 func (c *Collector) Flush(now control.Micros) Report {
 	r := Report{From: c.since, To: now}
 	c.since = now
--- a/internal/loadreport/collector_test.go
+++ b/internal/loadreport/collector_test.go
@@ -8,13 +8,14 @@
 	"hollymast/control"
 )
 
-// Whatever happens between them, and whichever of them can't be sent, reports add up to what happened.
+// The reports add up to the events that happened, whatever happens between reports and whichever of them can't be sent. Their periods
+// have no gaps.
 func TestEachEventIsReportedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		collector, scheduler := NewCollector(0), &Scheduler{}
 		addresses := []string{"a:1", "b:1", "c:1"}
-		inFlight, sent, happened := map[string]int{}, Counts{}, Counts{}
-		now, covered := control.Micros(0), control.Micros(0)
+		inFlight, reported, expected := map[string]int{}, Counts{}, Counts{}
+		now, coveredUntil := control.Micros(0), control.Micros(0)
 		scheduler.StreamOpened()
 		scheduler.SetRequest(now, Request{AllClusters: true, Interval: 200_000})
 		report := func(fails bool) {
@@ -27,12 +28,12 @@
 				return
 			}
 			scheduler.ReportSent()
-			if r.From != covered || r.To != now {
-				t.Fatalf("covers %d to %d after %d", r.From, r.To, covered)
+			if r.From != coveredUntil || r.To != now {
+				t.Fatalf("the report covers %d to %d, the one before ended at %d", r.From, r.To, coveredUntil)
 			}
-			covered = r.To
+			coveredUntil = r.To
 			for _, s := range r.Endpoints {
-				sent.add(s.Counts)
+				reported.add(s.Counts)
 				if s.InFlight != uint64(inFlight[s.Address]) {
 					t.Fatalf("%s: %d in flight, reported %d", s.Address, inFlight[s.Address], s.InFlight)
 				}
@@ -52,30 +53,30 @@
 				}
 				inFlight[address]--
 				if result != control.NotSent {
-					happened.Issued++
+					expected.Issued++
 				}
 				switch result {
 				case control.Succeeded:
-					happened.Succeeded++
+					expected.Succeeded++
 				case control.Failed, control.ConnectionReset:
-					happened.Failed++
+					expected.Failed++
 				}
 			case 4:
 				now += control.Micros(rapid.IntRange(0, 900_000).Draw(t, "time"))
 				report(rapid.Bool().Draw(t, "fails"))
 			}
 		}
-		for sent != happened {
-			before := covered
+		for reported != expected {
+			before := coveredUntil
 			report(false)
-			if before != covered && sent != happened {
-				t.Fatalf("reported %+v, happened %+v", sent, happened)
+			if before != coveredUntil && reported != expected {
+				t.Fatalf("reported %+v, want %+v", reported, expected)
 			}
 		}
 	})
 }
 
-// The last load report of a server is known until it is pruned; figures that it did not report add nothing to sums.
+// A server's last load report is available until the server is pruned. Values that it did not report add nothing to the sums.
 func TestLoadMetrics(t *testing.T) {
 	collector := NewCollector(0)
 	for _, r := range []control.LoadReport{{Utilization: 0.5, PendingLoads: 2, PinnedMemory: -1}, {Utilization: 0.7, PendingLoads: -1, PinnedMemory: 0.1}} {
@@ -90,6 +91,6 @@
 	}
 	collector.Prune(func(string) bool { return false })
 	if _, ok := collector.LastReport("a:1"); ok {
-		t.Error("a pruned server still has a report")
+		t.Error("a pruned server still has a load report")
 	}
 }
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -7,13 +7,13 @@
 	"hollymast/control"
 )
 
-// The tags of the following types are the names in the operators' JSON: they must not change.
+// The tags of the following types are the names in the JSON that operators read, and must not change.
 
-// Counts are a server's attempts in the time of a report.
+// Counts holds the numbers of a server's attempts in the period of a report.
 type Counts struct {
-	Issued    uint64 `json:"Issued"` // sent to it
+	Issued    uint64 `json:"Issued"` // sent to the server
 	Succeeded uint64 `json:"Finished"`
-	Failed    uint64 `json:"Errored"` // answered with an error, rejected, timed out, or broken off by the server
+	Failed    uint64 `json:"Errored"` // answered with an error, rejected, timed out, or aborted by the server
 }
 
 func (c *Counts) add(other Counts) {
@@ -22,9 +22,9 @@
 	c.Failed += other.Failed
 }
 
-// LoadMetrics are sums of the load reports that a server gave with its answers.
+// LoadMetrics holds sums over the load reports that a server sent with its answers.
 type LoadMetrics struct {
-	Reports      uint64  `json:"Answers"` // summands
+	Reports      uint64  `json:"Answers"` // number of load reports in the sums
 	Utilization  float64 `json:"Util"`
 	PendingLoads float64 `json:"Loads"`
 	PinnedMemory float64 `json:"Pinned"`
@@ -37,15 +37,15 @@
 	m.PinnedMemory += other.PinnedMemory
 }
 
-// EndpointStats are a server's part of a report.
+// EndpointStats is a server's part of a report.
 type EndpointStats struct {
 	Address  string `json:"Address"`
-	InFlight uint64 `json:"InFlight"` // at the report's end
+	InFlight uint64 `json:"InFlight"` // at the end of the report's period
 	Counts
 	LoadMetrics
 }
 
-// add adds the other's counts and metrics, not its attempts in flight.
+// add adds the other's counts and metrics, but not its attempts in flight.
 func (s *EndpointStats) add(other EndpointStats) {
 	s.Counts.add(other.Counts)
 	s.LoadMetrics.add(other.LoadMetrics)
@@ -55,13 +55,14 @@
 	slices.SortFunc(endpoints, func(a, b EndpointStats) int { return cmp.Compare(a.Address, b.Address) })
 }
 
-// Report is what happened in a time.
+// Report holds the statistics of all servers in a period.
 type Report struct {
 	From, To  control.Micros
-	Endpoints []EndpointStats // by address; those of which there is nothing to report are left out
+	Endpoints []EndpointStats // sorted by address; servers without anything to report are left out
 }
 
-// Merge adds a report that was never sent to the one that follows it.
+// Merge combines a report that was not sent with the one that follows it. The result covers both periods; attempts in flight are those
+// of the later report.
 func Merge(earlier, later Report) Report {
 	if len(earlier.Endpoints) == 0 {
 		if earlier.To > 0 {
@@ -72,12 +73,12 @@
 	merged := Report{From: earlier.From, To: later.To}
 	index := make(map[string]int, len(earlier.Endpoints))
 	for _, s := range earlier.Endpoints {
-		s.InFlight = 0 // they were in flight then
+		s.InFlight = 0 // no longer current
 		index[s.Address] = len(merged.Endpoints)
 		merged.Endpoints = append(merged.Endpoints, s)
 	}
 	for _, s := range later.Endpoints {
-		if i, both := index[s.Address]; both {
+		if i, found := index[s.Address]; found {
 			merged.Endpoints[i].InFlight = s.InFlight
 			merged.Endpoints[i].add(s)
 			continue
@@ -88,7 +89,7 @@
 	return merged
 }
 
-// Locality is a server's place in a control plane's endpoint list. A server that several clusters name is reported under the first.
+// Locality is a server's place in a control plane's endpoint list. A server in several clusters is reported under the first of them.
 type Locality struct {
 	Cluster, Zone, Cell string
 	Priority            uint32
--- a/internal/loadreport/report_test.go
+++ b/internal/loadreport/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The operators' endpoint of load reports writes these names: a renamed field keeps the name that it has there.
+// Operators read load reports as JSON with these names. The test guards against a renamed field that changes its name there.
 func TestEndpointStatsInJSON(t *testing.T) {
 	b, err := json.Marshal(EndpointStats{"a:1", 2, Counts{3, 4, 5}, LoadMetrics{6, 0.5, 1.5, 0.25}})
 	if err != nil {
--- a/internal/loadreport/scheduler_test.go
+++ b/internal/loadreport/scheduler_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A report is due a whole interval after it was requested, then at regular times; a stall is not made up for; an interval out of bounds is
-// brought within them, and nothing is due where nothing is requested.
+// The first report is due one interval after the request, later ones at multiples of the interval. Reports missed in a stall are not made up
+// for. An interval out of bounds is clamped, and nothing is due if nothing is requested.
 func TestScheduler(t *testing.T) {
 	s := &Scheduler{}
 	s.StreamOpened()
@@ -18,11 +18,11 @@
 	}
 	s.NextReport(1000+minInterval+5, Report{})
 	if s.NextAt() != 1000+2*minInterval {
-		t.Errorf("the second is due at %d", s.NextAt())
+		t.Errorf("the second report is due at %d", s.NextAt())
 	}
 	s.NextReport(1000+7*minInterval+5, Report{})
 	if s.NextAt() != 1000+8*minInterval {
-		t.Errorf("after a stall due at %d", s.NextAt())
+		t.Errorf("after a stall the next report is due at %d", s.NextAt())
 	}
 	s.SetRequest(0, Request{AllClusters: true})
 	if s.NextAt() != 0 {
