--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -13,10 +13,11 @@
 	return a.Issue(authority.Request{Names: []string{name}})
 }
 
-// currentName is the name of the certificate in service.
+// currentName returns the name of the certificate in service.
 func currentName(i *Identity) string { return i.Current().Leaf.DNSNames[0] }
 
-// While two files are replaced one after the other neither half comes into service, and a mismatch is logged only if it stays.
+// While the two files are replaced one after the other, the mismatched pair does not come into service. The mismatch is logged only if
+// it persists.
 func TestKeyMismatch(t *testing.T) {
 	a := authority.New("a")
 	x, y := issueNamed(a, "x"), issueNamed(a, "y")
@@ -27,25 +28,25 @@
 	if err := i.Update(now(), x.Chain, x.Key); err != nil {
 		t.Fatal(err)
 	}
-	i.LogLines()
-	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.LogLines()) != 0 {
+	i.TakeLogLines()
+	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.TakeLogLines()) != 0 {
 		t.Errorf("half replaced: %v", err)
 	}
 	if err := i.Update(now(), y.Chain, y.Key); err != nil || currentName(&i) != "y" || i.Version() != 2 {
 		t.Errorf("%v, version %d", err, i.Version())
 	}
-	i.LogLines()
+	i.TakeLogLines()
 	for range 3 {
 		i.Update(now(), x.Chain, y.Key)
 	}
 	i.Update(now(), []byte("torn"), y.Key)
-	if lines := i.LogLines(); len(lines) != 2 || currentName(&i) != "y" {
+	if lines := i.TakeLogLines(); len(lines) != 2 || currentName(&i) != "y" {
 		t.Errorf("log lines %q", lines)
 	}
 }
 
-// A certificate that is not valid yet waits until it is, an expired one does not come into service, and the expiry of the current one is
-// logged in advance and when it comes.
+// A certificate that is not valid yet comes into service once it is; an expired one does not. The expiry of the current certificate is
+// logged in advance and when it happens.
 func TestValidity(t *testing.T) {
 	a := authority.New("a")
 	begin := time.Now().Truncate(time.Second)
@@ -57,7 +58,7 @@
 	if err := i.Update(microsOf(begin), current.Chain, current.Key); err != nil {
 		t.Fatal(err)
 	}
-	if next := i.Maintain(microsOf(begin)); next != microsOf(after(20*time.Second)) || len(i.LogLines()) != 2 { // in service; expires soon
+	if next := i.Maintain(microsOf(begin)); next != microsOf(after(20*time.Second)) || len(i.TakeLogLines()) != 2 { // in service; expires soon
 		t.Errorf("next at %d", next)
 	}
 	if err := i.Update(microsOf(begin), expired.Chain, expired.Key); err == nil || currentName(&i) != "x" {
@@ -73,15 +74,15 @@
 	if currentName(&i) != "y" {
 		t.Error("the pending certificate is not in service")
 	}
-	i.LogLines()
+	i.TakeLogLines()
 	i.Maintain(microsOf(after(time.Hour)))
 	i.Maintain(microsOf(after(2 * time.Hour)))
-	if lines := i.LogLines(); len(lines) != 1 || !strings.Contains(lines[0], "ended") {
+	if lines := i.TakeLogLines(); len(lines) != 1 || !strings.Contains(lines[0], "expired") {
 		t.Errorf("log lines %q", lines)
 	}
 }
 
-// Connections made with an earlier certificate are replaced one after another, all within the period.
+// Connections made with an earlier certificate are replaced at their own points in the replacement period, none before.
 func TestReplaceNow(t *testing.T) {
 	a := authority.New("a")
 	x, y := issueNamed(a, "x"), issueNamed(a, "y")
@@ -91,16 +92,16 @@
 		t.Fatal(err)
 	}
 	version := i.Version()
-	if i.ReplaceNow(begin+replacementPeriod, version, 0) {
-		t.Error("nothing changed")
+	if i.ShouldReplace(begin+replacementPeriod, version, 0) {
+		t.Error("a connection is replaced although the certificate has not changed")
 	}
 	if err := i.Update(begin, y.Chain, y.Key); err != nil {
 		t.Fatal(err)
 	}
-	if i.ReplaceNow(begin+replacementPeriod/2-1, version, 0.5) || !i.ReplaceNow(begin+replacementPeriod/2, version, 0.5) {
-		t.Error("not at its own position")
+	if i.ShouldReplace(begin+replacementPeriod/2-1, version, 0.5) || !i.ShouldReplace(begin+replacementPeriod/2, version, 0.5) {
+		t.Error("the connection is not replaced at its position")
 	}
-	if i.ReplaceNow(begin+replacementPeriod, i.Version(), 0.5) {
+	if i.ShouldReplace(begin+replacementPeriod, i.Version(), 0.5) {
 		t.Error("a connection with the current certificate is replaced")
 	}
 }
