--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -38,7 +38,7 @@
 // adminState is the answer of /router/state.
 type adminState struct {
 	*core.Snapshot
-	Last []decision `json:"Last"` // oldest first
+	Decisions []decision `json:"Last"` // oldest first
 }
 
 func (g *Gateway) serveState(control.Micros) *rest.Response {
--- a/internal/gateway/decisionlog.go
+++ b/internal/gateway/decisionlog.go
@@ -7,8 +7,8 @@
 
 // decision is one decision of the core, as /router/state shows it.
 type decision struct {
-	At       control.Micros `json:"At"`
-	Decision string         `json:"Decision"`
+	At   control.Micros `json:"At"`
+	Text string         `json:"Decision"`
 }
 
 // decisionLog holds the latest decisions: as many as fill some screens.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,7 +20,7 @@
 	call     kserve.Call
 	message  *rest.Request
 	params   kserve.Ask
-	pattern  Pattern
+	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
 	response chan *rest.Response // holds one: the final answer
