--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -11,22 +11,22 @@
 	"hollymast/internal/rest"
 )
 
-// serveAdmin answers the operators' calls at the admin address:
+// serveAdmin answers the admin calls:
 //
-//	GET  /router/state                     the balancer's state, endpoints, requests in flight and latest decisions, as JSON
-//	GET  /router/snapshot                  the same as a recording without steps, for hmexplain and hmprobe
-//	GET  /router/loads                     the loads that followers of this router's view report, as JSON
+//	GET  /router/state                     balancer state, endpoints, requests in flight and latest decisions, as JSON
+//	GET  /router/snapshot                  the same state as a recording without steps, for hmexplain and hmprobe
+//	GET  /router/loads                     load reports from the followers of this router's view, as JSON
 //	POST /router/record/start?folder=DIR   starts a recording, by default in the configured folder
-//	POST /router/record/stop               ends it
+//	POST /router/record/stop               stops the recording
 func (g *Gateway) serveAdmin(msg *rest.Request) *rest.Response {
 	path, query, _ := strings.Cut(strings.TrimPrefix(msg.Target, "/router/"), "?")
 	switch msg.Method + " " + path {
 	case "GET state":
-		return g.inLoop(g.serveState)
+		return g.respondFromLoop(g.serveState)
 	case "GET snapshot":
-		return g.inLoop(g.serveSnapshot)
+		return g.respondFromLoop(g.serveSnapshot)
 	case "GET loads":
-		return g.serveFollowersLoads()
+		return g.serveFollowerLoads()
 	case "POST record/start":
 		return g.serveRecordStart(query)
 	case "POST record/stop":
@@ -35,7 +35,7 @@
 	return errorResponse(404, "no such call: "+msg.Target)
 }
 
-// adminState is the answer of /router/state.
+// adminState is the response body of /router/state.
 type adminState struct {
 	*core.Snapshot
 	Decisions []decision `json:"Last"` // oldest first
@@ -46,7 +46,7 @@
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
-	body, err := json.Marshal(adminState{snapshot, g.decisions.list()})
+	body, err := json.Marshal(adminState{snapshot, g.latestDecisions.list()})
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
@@ -74,7 +74,7 @@
 	if dir == "" {
 		dir = g.config.RecordDir
 	}
-	return g.inLoop(func(now control.Micros) *rest.Response {
+	return g.respondFromLoop(func(now control.Micros) *rest.Response {
 		if err := g.startRecording(now, dir); err != nil {
 			return errorResponse(409, err.Error())
 		}
@@ -84,7 +84,7 @@
 
 func (g *Gateway) serveRecordStop() *rest.Response {
 	ended := make(chan *record.Writer, 1)
-	resp := g.inLoop(func(control.Micros) *rest.Response {
+	resp := g.respondFromLoop(func(control.Micros) *rest.Response {
 		writer := g.stopRecording()
 		if writer == nil {
 			return errorResponse(409, "nothing is being recorded")
@@ -94,14 +94,14 @@
 	})
 	select {
 	case writer := <-ended:
-		writer.Close() // waits for the disk, so not within the step
+		writer.Close() // waits for the disk, so it must not run within a step
 	default:
 	}
 	return resp
 }
 
-// inLoop runs a function on the event loop between two steps, and waits for its response.
-func (g *Gateway) inLoop(f func(now control.Micros) *rest.Response) *rest.Response {
+// respondFromLoop runs a function on the event loop after a step, and returns its response.
+func (g *Gateway) respondFromLoop(f func(now control.Micros) *rest.Response) *rest.Response {
 	done := make(chan *rest.Response, 1)
 	g.afterStep(func(now control.Micros) { done <- f(now) })
 	select {
--- a/internal/gateway/admin_test.go
+++ b/internal/gateway/admin_test.go
@@ -19,19 +19,19 @@
 	"hollymast/internal/rest"
 )
 
-// Scripts read /router/state: its names stay the same.
+// The JSON names of /router/state stay the same, since scripts read them.
 func TestStateJSON(t *testing.T) {
-	view := &adminState{}
-	golden.Fill(view)
-	golden.Check(t, "output-1.json", view, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(view)); len(missing) > 0 {
-		t.Errorf("told under the name of a field: %q", missing)
+	state := &adminState{}
+	golden.Fill(state)
+	golden.Check(t, "output-1.json", state, json.Marshal, json.Unmarshal)
+	if missing := golden.Untagged(reflect.TypeOf(state)); len(missing) > 0 {
+		t.Errorf("fields without a JSON name: %q", missing)
 	}
 }
 
-// Operators read the state, and start and stop a recording, while requests are served.
+// The state can be read, and a recording started and stopped, while requests are served.
 func TestAdminCalls(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	tg.call("1", "forecast-1", time.Second)
 	dir := filepath.Join(t.TempDir(), "rec")
 	for _, c := range []struct {
@@ -39,12 +39,12 @@
 		status         int
 	}{{"GET", "/router/state", 200}, {"GET", "/router/snapshot", 200}, {"POST", "/router/record/stop", 409},
 		{"POST", "/router/record/start?folder=" + dir, 200}, {"POST", "/router/record/start?folder=" + dir, 409}, {"POST", "/router/nothing", 404}} {
-		c2, err := rest.Dial(context.Background(), tg.gateway.AdminAddress(), &rest.DefaultLimits)
+		client, err := rest.Dial(context.Background(), tg.gateway.AdminAddress(), &rest.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, _, err := c2.Do(&rest.Request{Method: c.method, Target: c.target, Header: rest.Header{"Host": {"a"}}}, time.Now().Add(5*time.Second))
-		c2.Close()
+		resp, _, err := client.Do(&rest.Request{Method: c.method, Target: c.target, Header: rest.Header{"Host": {"a"}}}, time.Now().Add(5*time.Second))
+		client.Close()
 		if err != nil || resp.Status != c.status {
 			t.Fatalf("%s: %+v, %v", c.target, resp, err)
 		}
@@ -52,7 +52,7 @@
 			t.Errorf("got %s", resp.Body)
 		}
 		if last := gjson.GetBytes(resp.Body, "Last.0.Decision").String(); strings.HasSuffix(c.target, "state") && !strings.HasPrefix(last, "send job 1, execution 0") {
-			t.Errorf("the first decision: %q", last)
+			t.Errorf("first decision: %q", last)
 		}
 	}
 	tg.call("second", "forecast-1", time.Second)
@@ -65,10 +65,10 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Commands == 0 {
-		t.Errorf("%+v, %v", a, err)
+	if result, err := replay.Play(files, replay.Range{}); err != nil || result.Commands == 0 {
+		t.Errorf("%+v, %v", result, err)
 	}
-	if j, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || j != 2 {
-		t.Errorf("the second request is request %d, %v", j, err)
+	if id, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || id != 2 {
+		t.Errorf("the second request has id %d, %v", id, err)
 	}
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -13,13 +13,13 @@
 	"hollymast/kserve"
 )
 
-// clientConn is one connection from a client. The goroutine that reads it owns it.
+// clientConn is one connection from a client, owned by the goroutine that reads it.
 type clientConn struct {
 	gateway  *Gateway
 	role     listenerRole
 	limits   rest.Limits
 	conn     *rest.Conn
-	reserved int // bytes of the request body in memory, counted in Gateway.bodyBytes
+	reserved int // bytes of the current request body, included in Gateway.bodyBytes
 }
 
 // newClientConn returns the state of a client connection.
@@ -31,7 +31,8 @@
 	return c
 }
 
-// reserve counts bytes of a request body; false if all bodies in memory would exceed the limit.
+// reserve adds to the count of request body bytes in memory. It returns false, and adds nothing, if that would exceed
+// the limit.
 func (c *clientConn) reserve(bytes int) bool {
 	if c.gateway.bodyBytes.Add(int64(bytes)) > int64(c.gateway.config.MaxBodyBytes) {
 		c.gateway.bodyBytes.Add(int64(-bytes))
@@ -41,33 +42,33 @@
 	return true
 }
 
-// freeBody gives back what reserve has counted.
-func (c *clientConn) freeBody() {
+// releaseBody subtracts from the count what reserve has added.
+func (c *clientConn) releaseBody() {
 	c.gateway.bodyBytes.Add(int64(-c.reserved))
 	c.reserved = 0
 }
 
-// readLoop reads requests and answers them, one after another, until the connection ends.
+// readLoop reads and answers requests one by one until the connection ends.
 func (c *clientConn) readLoop() {
 	g := c.gateway
 	defer func() {
-		c.freeBody()
+		c.releaseBody()
 		g.clientConns.Delete(c.conn)
 		c.conn.Close()
 	}()
 	g.clientConns.Store(c.conn, nil)
 	readUntil := g.config.shutdownTimes().readUntil
-	if g.isStopping() { // it may have begun after beginStop has set the deadline of all others
+	if g.isStopping() { // beginStop may have set the deadlines before this connection was stored
 		c.conn.SetIdleDeadline(g.afterStop(readUntil))
 	}
 	for {
 		msg, err := c.conn.ReadRequest()
 		if err != nil {
-			c.respondToUnread(err)
+			c.respondToReadError(err)
 			return
 		}
 		resp, clientClosed := c.respond(msg)
-		c.freeBody()
+		c.releaseBody()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
 		state.More = (clientClosed || state.Stopping) && c.conn.HasPending() &&
 			(!state.Stopping || time.Now().Before(g.afterStop(readUntil)))
@@ -78,8 +79,8 @@
 	}
 }
 
-// respondToUnread answers a request that could not be read, where its client can still be answered.
-func (c *clientConn) respondToUnread(err error) {
+// respondToReadError answers a request that could not be read, if a response can still be sent.
+func (c *clientConn) respondToReadError(err error) {
 	var resp *rest.Response
 	var untrusted *rest.PeerUntrustedError
 	var invalid *rest.MessageError
@@ -97,7 +98,7 @@
 	c.conn.WriteResponse(resp)
 }
 
-// respond returns the response to one request, and whether its client has closed its side.
+// respond returns the response to one request, and whether the client has closed its side of the connection.
 func (c *clientConn) respond(msg *rest.Request) (resp *rest.Response, clientClosed bool) {
 	g := c.gateway
 	if c.role == adminListener && strings.HasPrefix(msg.Target, "/metrics") {
@@ -126,7 +127,7 @@
 	return c.infer(msg, call, pattern)
 }
 
-// serveMetadata answers the calls of KServe's protocol that concern no server.
+// serveMetadata answers the KServe calls other than inference; no server is involved.
 func (g *Gateway) serveMetadata(call kserve.Call, known bool) *rest.Response {
 	switch call.Kind {
 	case kserve.ServerLive:
@@ -150,13 +151,13 @@
 	return errorResponse(405, "copies are loaded as jobs need them, not by clients")
 }
 
-// tenantHeader names the tenant of a request.
+// tenantHeader is the header with the name of a request's tenant.
 const tenantHeader = "X-Tenant"
 
-// reasonClientClosed is the error text for a client that has closed its side.
+// reasonClientClosed is the error text for a client that has closed its side of the connection.
 const reasonClientClosed = "the client closed its side of the connection"
 
-// infer posts a request to the event loop and waits for its one answer.
+// infer posts a request to the event loop and waits for its answer.
 func (c *clientConn) infer(msg *rest.Request, call kserve.Call, pattern FunctionPattern) (resp *rest.Response, clientClosed bool) {
 	g := c.gateway
 	params, err := kserve.ReadInfer(msg.Header, msg.Body)
@@ -171,12 +172,12 @@
 		return rejection(reason, g.config.Deployment.MaxRetryAfter), false
 	}
 	checkedAt := g.loop.Now()
-	if c.conn.PeerClosed() { // it may have closed long ago, if this process was stalled
+	if c.conn.PeerClosed() { // possibly long ago, if this process was stalled
 		return rejection(reasonClientClosed, 0), true
 	}
 	tenant, ok := g.config.Tenants[msg.Header.Get(tenantHeader)]
 	if !ok {
-		tenant = control.TenantID(len(g.config.Deployment.Quotas)) // without a quota
+		tenant = control.TenantID(len(g.config.Deployment.Quotas)) // one past the last tenant with a quota
 	}
 	req := &request{
 		function: call.Model, call: call, message: msg, params: params, pattern: pattern, tenant: tenant, client: c.conn,
@@ -187,7 +188,7 @@
 	return c.awaitAnswer(req)
 }
 
-// awaitAnswer waits for a request's answer, and watches the client meanwhile.
+// awaitAnswer waits for a request's answer, and meanwhile detects that the client closes its side.
 func (c *clientConn) awaitAnswer(req *request) (resp *rest.Response, clientClosed bool) {
 	g := c.gateway
 	closed, stopWatching := c.conn.WatchClose()
@@ -206,7 +207,7 @@
 		return resp, clientClosed
 	case <-g.loopEnded:
 	}
-	select { // the last step is over: what has no answer now never reached the core
+	select { // the last step is over: a request without an answer by now never reached the core
 	case resp := <-req.response:
 		return resp, clientClosed
 	default:
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -18,13 +18,13 @@
 )
 
 func TestInvalidRequests(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
-	half := inferText("h", "forecast-1")
+	tg := newTestGateway(t, serverConfig(0))
+	validRequest := inferText("h", "forecast-1")
 	for name, c := range map[string]struct{ in, want string }{
-		"half a body":     {half[:len(half)-3], "HTTP/1.1 408"},
-		"slow header":     {half[:20], "HTTP/1.1 408"},
+		"half a body":     {validRequest[:len(validRequest)-3], "HTTP/1.1 408"},
+		"slow header":     {validRequest[:20], "HTTP/1.1 408"},
 		"two framings":    {"POST /v2 HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 400"},
-		"no JSON":         {strings.Replace(half, `{"id"`, `["id"`, 1), "HTTP/1.1 400"},
+		"no JSON":         {strings.Replace(validRequest, `{"id"`, `["id"`, 1), "HTTP/1.1 400"},
 		"no such call":    {"GET /v3 HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
 		"wrong method":    {"GET /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 405"},
 		"unknown model":   {inferText("u", "unheard-1"), "HTTP/1.1 404"},
@@ -38,19 +38,19 @@
 	}
 	for _, rec := range tg.log.Records() {
 		if rec.Kind == invariant.AttemptReceived {
-			t.Errorf("a the server got request %q", rec.Request)
+			t.Errorf("the server received request %q", rec.Request)
 		}
 	}
 }
 
-// A client that closes its own side gets its one answer at once, and its attempt is cancelled.
+// A client that closes its side of the connection is answered at once, and its attempt is cancelled.
 func TestClientCloses(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	tg.call("first", "forecast-1", time.Second)
 	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
-	waitUntil(t, "the server has the attempt", func() bool { return tg.received("half") > 0 })
+	waitUntil(t, "the server has the attempt", func() bool { return tg.attemptsReceived("half") > 0 })
 	begun := time.Now()
 	conn.(*net.TCPConn).CloseWrite()
 	line, err := r.ReadString('\n')
@@ -59,14 +59,15 @@
 	}
 	waitUntil(t, "no request is in flight, though the server is silent", func() bool { return tg.inFlight() == 0 })
 	if took := time.Since(begun); took > 900*time.Millisecond {
-		t.Errorf("the attempt was not cancelled before its deadline, but after %s", took)
+		t.Errorf("the attempt was cancelled only after %s", took)
 	}
 }
 
-// Nothing is written for a request whose client closes while a connection is still being dialled (found by hmmodelcheck).
+// No attempt is written for a request whose client closes while its server connection is still being dialled.
+// hmmodelcheck found this case.
 func TestClientClosesBeforeFirstByte(t *testing.T) {
-	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 }, serverOptions(0))
-	tg.gateway.dialing <- struct{}{} // another connection dials
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.MaxDials = 1 }, serverConfig(0))
+	tg.gateway.dialSemaphore <- struct{}{} // occupied by another connection
 	conn, _ := tg.dialClient()
 	if _, err := conn.Write([]byte(inferText("1", "ticket-1"))); err != nil {
 		t.Fatal(err)
@@ -84,15 +85,15 @@
 		})
 		return <-answered
 	})
-	<-tg.gateway.dialing
+	<-tg.gateway.dialSemaphore
 	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
-	if n := tg.received("1"); n > 0 {
+	if n := tg.attemptsReceived("1"); n > 0 {
 		t.Errorf("written %d times", n)
 	}
 }
 
 func TestPipelinedRequests(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("a", "forecast-1")+inferText("b", "forecast-2")+inferText("c", "forecast-1"))
 	for _, want := range []string{"a", "b", "c"} {
@@ -112,7 +113,7 @@
 }
 
 func TestConnectionLimit(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	for range 200 {
 		tg.dialClient()
 	}
@@ -129,12 +130,12 @@
 	}
 }
 
-// An attempt is not written once its client has closed, even if the close was not read yet: half closed, reset, or closed
-// behind a pipelined request.
+// An attempt is not written after its client has closed, half closed or reset the connection, even if the gateway has
+// not read that yet or it comes behind a pipelined request.
 func TestNothingIsWrittenForClosedClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		client  func(conn *net.TCPConn)
-		arrived func(conn *rest.Conn) bool // at the gateway
+		arrived func(conn *rest.Conn) bool // whether it has arrived at the gateway
 		result  control.Result
 	}{
 		"stays": {func(*net.TCPConn) {}, func(*rest.Conn) bool { return true }, control.Succeeded},
@@ -149,7 +150,7 @@
 		}, (*rest.Conn).PeerClosed, control.NotSent},
 	} {
 		tg := newTestGateway(t)
-		address, _ := recordingServer(t, new(atomic.Int64))
+		address, _ := startRecordingServer(t, new(atomic.Int64))
 		call := tg.newCall(address, time.Second)
 		l, err := listenTCP("127.0.0.1:0")
 		if err != nil {
@@ -166,9 +167,9 @@
 		call.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
 		call.request.clientCheckedAt.Store(int64(tg.gateway.loop.Now() - attempt.MaxClientCheckAge - 1))
 		call.request.response, call.request.id = make(chan *rest.Response, 1), 1
-		call.request.answer.Give() // the event loop need not answer it
+		call.request.answer.Give() // so that the event loop does not answer it
 		c.client(conn.(*net.TCPConn))
-		waitUntil(t, "what the client does has arrived", func() bool { return c.arrived(call.request.client) })
+		waitUntil(t, "the client's action has arrived", func() bool { return c.arrived(call.request.client) })
 		sc := &serverConn{gateway: tg.gateway, address: address}
 		if result := sc.exchange(call); result.result != c.result {
 			t.Errorf("%s: got %v", name, result.result)
@@ -183,27 +184,27 @@
 	}
 }
 
-// A close behind a pipelined request is seen: the attempt is cancelled.
+// A close behind a pipelined request is detected, and the attempt in flight is cancelled.
 func TestCloseBehindPipelinedRequest(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	tg.call("first", "forecast-1", time.Second)
 	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
 	conn, _ := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
-	waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
+	waitUntil(t, "the server has the attempt", func() bool { return tg.attemptsReceived("1") > 0 })
 	conn.Close()
 	closed := time.Now()
 	waitUntil(t, "no request is in flight", func() bool { return tg.inFlight() == 0 })
-	if late := time.Since(closed); late > 500*time.Millisecond || tg.received("2") > 0 {
-		t.Errorf("over after %v; the second was sent %d times", late, tg.received("2"))
+	if late := time.Since(closed); late > 500*time.Millisecond || tg.attemptsReceived("2") > 0 {
+		t.Errorf("cancelled after %v; the second request was sent %d times", late, tg.attemptsReceived("2"))
 	}
 }
 
-// A client that sends several requests and closes its side gets an answer to each.
+// A client that sends several requests and then closes its side of the connection gets all answers.
 func TestHalfClosedClientGetsAllAnswers(t *testing.T) {
-	m := serverOptions(0)
-	m.ExecutionTime = 100 * time.Millisecond
-	tg := newTestGateway(t, m)
+	server := serverConfig(0)
+	server.ExecutionTime = 100 * time.Millisecond
+	tg := newTestGateway(t, server)
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1")+inferText("3", "ticket-1"))
 	conn.(*net.TCPConn).CloseWrite()
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -14,11 +14,11 @@
 	"hollymast/internal/invariant"
 )
 
-// The client library against this router, while servers lose responses, reset connections and reject: each call has one
-// outcome within its deadline, attempts are counted and keep their key, none is sent after the deadline or the window, and
-// the rules hold.
+// The client library calls the gateway while servers lose responses, reset connections and reject requests. Each call
+// has one outcome within its deadline, tries are numbered and keep their key, none is sent after the deadline or the
+// window, and no rule is violated.
 func TestClientLibraryUnderFaults(t *testing.T) {
-	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
+	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverConfig(0), serverConfig(1), serverConfig(2))
 	for i, s := range tg.servers {
 		s.SetFaults(fakeserver.Faults{LostAnswers: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
 	}
@@ -30,35 +30,35 @@
 	workloads := map[string]client.Workload{"forecast": {Effect: client.Restartable}, "booking": {Effect: client.Fingerprinted, Window: 600 * time.Millisecond}, "ticket": {}}
 	names := []string{"forecast", "booking", "ticket"}
 	var mu sync.Mutex
-	outcomes, repeats := map[string]int{}, 0
+	outcomes, retries := map[string]int{}, 0
 	const calls = 3000
-	chance := rand.New(rand.NewPCG(1, 1))
-	places := make(chan bool, 60)
+	random := rand.New(rand.NewPCG(1, 1))
+	semaphore := make(chan bool, 60)
 	var wg sync.WaitGroup
 	for i := range calls {
-		places <- true
-		name, patience := names[i%3], time.Duration(300+chance.IntN(700))*time.Millisecond
+		semaphore <- true
+		name, timeout := names[i%3], time.Duration(300+random.IntN(700))*time.Millisecond
 		wg.Go(func() {
-			defer func() { <-places }()
-			key, last, begun := fmt.Sprint("m", i), 0, time.Now()
+			defer func() { <-semaphore }()
+			key, lastTry, start := fmt.Sprint("m", i), 0, time.Now()
 			rec := invariant.Record{Effect: key, Workload: name}
-			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: key, Patience: patience, Workload: workloads[name],
+			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: key, Patience: timeout, Workload: workloads[name],
 				BodyOf: func(x client.Try) []byte {
-					if x.Number <= last || x.Mark != key || x.Left <= 0 || x.Left > patience {
-						t.Errorf("call %d: try %+v after try %d", i, x, last)
+					if x.Number <= lastTry || x.Mark != key || x.Left <= 0 || x.Left > timeout {
+						t.Errorf("call %d: try %+v after try %d", i, x, lastTry)
 					}
 					if x.Number > 1 {
 						mu.Lock()
-						repeats++
+						retries++
 						mu.Unlock()
 					}
-					last = x.Number
+					lastTry = x.Number
 					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
 					tg.log.Add(rec)
 					return inferRequest(rec.Request, "", x.Left).Body
 				},
-				Tried: func(_ client.Try, ending string) {
-					switch rec.Kind, rec.Detail = invariant.ResponseReceived, ending; ending {
+				Tried: func(_ client.Try, outcome string) {
+					switch rec.Kind, rec.Detail = invariant.ResponseReceived, outcome; outcome {
 					case "unsent":
 						rec.Kind = invariant.RequestNotSent
 					case "lost":
@@ -73,8 +73,8 @@
 			} else if err != nil {
 				t.Errorf("call %d: %v", i, err)
 			}
-			if late := time.Since(begun) - patience; late > 200*time.Millisecond {
-				t.Errorf("call %d had its outcome %s after its time", i, late)
+			if overrun := time.Since(start) - timeout; overrun > 200*time.Millisecond {
+				t.Errorf("call %d ended %s after its deadline", i, overrun)
 			}
 			mu.Lock()
 			outcomes[kind]++
@@ -83,12 +83,12 @@
 	}
 	wg.Wait()
 	v := tg.checkRules()
-	all := 0
+	total := 0
 	for _, n := range outcomes {
-		all += n
+		total += n
 	}
-	if all != calls || outcomes["finished"] < calls*9/10 || repeats == 0 || repeats > calls/5 {
-		t.Errorf("%v, %d repeats", outcomes, repeats)
+	if total != calls || outcomes["finished"] < calls*9/10 || retries == 0 || retries > calls/5 {
+		t.Errorf("%v, %d retries", outcomes, retries)
 	}
-	t.Logf("%v, %d repeats, %d attempts", outcomes, repeats, v.Attempts)
+	t.Logf("%v, %d retries, %d attempts", outcomes, retries, v.Attempts)
 }
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -11,22 +11,22 @@
 	"hollymast/internal/rest"
 )
 
-// acceptRetryPause is the pause after a failed accept: it guards against a busy loop while the process is out of
-// descriptors, until connections end.
+// acceptRetryPause is the pause after a failed accept. It prevents a busy loop while the process is out of file
+// descriptors.
 const acceptRetryPause = 10 * time.Millisecond
 
-// rejectWriteTimeout bounds the write of a response to a connection beyond the limit.
+// rejectWriteTimeout limits the time to write the response to a connection beyond the limit.
 const rejectWriteTimeout = time.Second
 
-// accept serves a listener until it closes, or its deadline passes: then it serves the connections that wait, and closes
-// it. No other error ends it.
+// accept serves a listener until the listener is closed or its deadline passes. After the deadline it serves the
+// pending connections and closes the listener. No other error ends it.
 func (g *Gateway) accept(ctx context.Context, l net.Listener, role listenerRole) {
 	for {
 		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // this router stops
+		case errors.Is(err, os.ErrDeadlineExceeded): // set by beginStop
 			for _, conn := range drainListener(l) {
 				g.serveClient(ctx, conn, role)
 			}
@@ -40,12 +40,12 @@
 	}
 }
 
-// serveClient starts to read a client connection; beyond the limit it rejects it. ctx bounds its TLS handshake.
+// serveClient starts reading a client connection, or rejects it if there are too many. ctx limits the TLS handshake.
 func (g *Gateway) serveClient(ctx context.Context, conn net.Conn, role listenerRole) {
 	if role == clientListener && g.clientCount.Load() >= int64(g.config.MaxClientConns) {
 		g.metrics.connsRejected.Inc()
 		if g.certStores[clientConnections] != nil {
-			conn.Close() // nothing was accepted; a handshake would cost more than the limit allows
+			conn.Close() // no request was accepted, and a handshake for the response would cost too much
 			return
 		}
 		go rejectConn(conn, g.config.Deployment.MaxRetryAfter)
@@ -67,8 +67,8 @@
 	})
 }
 
-// rejectConn answers a connection beyond the limit before it has sent anything: nothing was accepted, so its client may
-// retry.
+// rejectConn answers a connection beyond the limit without reading its request, and closes it. Nothing was accepted, so
+// its client may retry.
 func rejectConn(conn net.Conn, retryAfter control.Micros) {
 	limits := rest.Limits{WriteTimeout: rejectWriteTimeout}
 	client := rest.NewConn(conn, &limits, nil)
--- a/internal/gateway/compatibility_test.go
+++ b/internal/gateway/compatibility_test.go
@@ -10,7 +10,7 @@
 	"hollymast/internal/persistence"
 )
 
-// Settings of deployed routers stay valid, key by key, and keep their meaning.
+// Every key in the settings files of deployed routers stays valid and keeps its meaning.
 func TestSettingsStayValid(t *testing.T) {
 	f, err := inifile.Load("testdata/settings-1.ini")
 	if err != nil {
@@ -33,12 +33,12 @@
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
 	} {
 		if !holds {
-			t.Errorf("[%s] is read as something else: %+v", name, got)
+			t.Errorf("[%s] is read differently: %+v", name, got)
 		}
 	}
 }
 
-// Dashboards and alerts name metrics and labels: these stay the same.
+// Metric names and labels stay the same, since dashboards and alerts use them.
 func TestMetricNames(t *testing.T) {
 	m := newMetrics()
 	m.countAnswer("finished")
@@ -61,7 +61,7 @@
 		"hollymast_storm": "", "hollymast_late_answers_total": "", "hollymast_connections_turned_away_total": "", "hollymast_turn_seconds": "",
 	} {
 		if was, ok := got[name]; !ok || was != label {
-			t.Errorf("metric %s with label %q: there %t, label %q", name, label, ok, was)
+			t.Errorf("metric %s with label %q: exists %t, label %q", name, label, ok, was)
 		}
 	}
 	want := []string{"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled", "never sent", "missing"}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -16,54 +16,54 @@
 	"hollymast/internal/xds"
 )
 
-// Config is a gateway's configuration. ParseConfig reads it from an INI file; docs/running.md describes the keys.
+// Config is the configuration of a gateway. ParseConfig reads it from an INI file; docs/running.md describes the keys.
 type Config struct {
 	Listen      string
-	AdminListen string // of metrics, health and the operators' calls; empty: none
+	AdminListen string // address for metrics, health and admin calls; empty: none
 	LogLevel    string
 	Zone        string
-	Seed        uint64 // 0: drawn at the start
-	NameKey     string // keys the functions' ids; empty: they are plain hashes of the names
+	Seed        uint64 // 0: chosen at random on start
+	NameKey     string // key of the hash that makes function ids from names; empty: an unkeyed hash
 
-	// The source of endpoints: one of the three.
-	EndpointFile string      // in this router's own form
-	EnvoyFile    string      // in Envoy's bootstrap form
+	// The endpoint source; exactly one of EndpointFile, EnvoyFile and ControlPlane is set.
+	EndpointFile string      // INI file, see ParseEndpoints
+	EnvoyFile    string      // Envoy bootstrap file
 	ControlPlane string      // address of an xDS control plane
-	XDSVariant   xds.Variant // of the control plane's discovery service
-	LoadReports  bool        // are streamed to the control plane when it asks for them
-	ServeView    string      // address that this router's view is served at, in xDS; empty: none
+	XDSVariant   xds.Variant // protocol variant to use with the control plane
+	LoadReports  bool        // stream load reports to the control plane if it asks for them
+	ServeView    string      // address at which this router serves its view of the servers over xDS; empty: none
 
-	TLS map[string]*certstore.Config // by kind of connection; plain text where there is none
+	TLS map[string]*certstore.Config // by kind of connection; plain text for kinds that are missing
 
 	Deployment   control.Deployment
 	ClassNames   []string  // in the order of Deployment.Classes
-	Priorities   []float64 // of the classes; in an overload the lowest is rejected first
+	Priorities   []float64 // by class; in an overload, the lowest is rejected first
 	Tenants      map[string]control.TenantID
-	TenantNames  []string // by id
+	TenantNames  []string // by tenant id
 	Functions    []FunctionPattern
 	DampOverload bool
 
-	GracePeriod  time.Duration // for which new requests may still go to a server after it is listed as draining
-	AnswerMargin time.Duration // the part of a request's deadline that is kept free for its answer's way to the client
-	LoadTimeout  time.Duration // of load commands
+	GracePeriod  time.Duration // how long new requests may still go to a server after it is listed as draining
+	AnswerMargin time.Duration // subtracted from each deadline, so that the answer reaches the client in time
+	LoadTimeout  time.Duration // for load commands
 
 	RecordDir    string // folder for recordings; empty: none
 	RecordBounds record.Limits
 
 	StateDir       string                 // folder for learned state; empty: none
-	fileSystem     persistence.FileSystem // of StateDir; nil: the operating system's
+	fileSystem     persistence.FileSystem // for StateDir; nil: the operating system's; set by tests
 	StateInterval  time.Duration          // between two writes
-	KeyRetention   time.Duration          // for which the idempotency key of a request that may have run is known
-	MaxKeys        int                    // idempotency keys that are known
+	KeyRetention   time.Duration          // how long the idempotency key of a request that may have run is remembered
+	MaxKeys        int                    // idempotency keys remembered
 	JournalSync    persistence.SyncPolicy
 	MaxHistoryRows int // 0: no history
 
 	MaxClientConns       int
 	MaxRequests          int // in flight
-	MaxBodyBytes         int // of all request bodies in memory
-	MaxBody              int // of one request, in bytes
+	MaxBodyBytes         int // total size of the request bodies in memory
+	MaxBody              int // size of one request body, in bytes
 	MaxConnsPerServer    int
-	MaxDials             int // at once
+	MaxDials             int // concurrent dials
 	ServerIdleTimeout    time.Duration
 	ClientIdleTimeout    time.Duration
 	EndpointFileInterval time.Duration // between two reads of the endpoint file
@@ -72,7 +72,8 @@
 	BodyTimeout          time.Duration
 }
 
-// FunctionPattern is what is known beforehand of the functions whose names match it.
+// FunctionPattern configures the functions whose names match Glob. Work and LoadTime are
+// hints for the balancer; 0: none.
 type FunctionPattern struct {
 	Glob     string // as in path.Match
 	Class    control.ClassID
@@ -84,21 +85,21 @@
 // MatchFunction returns the first pattern that matches a function's name; ok is false if none does.
 func (c *Config) MatchFunction(name string) (pattern FunctionPattern, ok bool) {
 	for _, pattern := range c.Functions {
-		if hit, _ := path.Match(pattern.Glob, name); hit {
+		if matched, _ := path.Match(pattern.Glob, name); matched {
 			return pattern, true
 		}
 	}
 	return FunctionPattern{}, false
 }
 
-// Bounds of durations in the configuration: they only catch mistakes.
+// Upper bounds of durations in the configuration, to catch mistakes.
 const (
 	day  = 24 * time.Hour
 	year = 365 * day
 )
 
-// ParseConfig reads and validates a configuration. An *inifile.ValidationError names every problem with file, line and
-// key.
+// ParseConfig reads and validates a configuration. The error is an *inifile.ValidationError that lists every problem
+// with file, line and key.
 func ParseConfig(f *inifile.File) (*Config, error) {
 	c := &Config{Tenants: map[string]control.TenantID{}}
 	c.parseRouter(f.Section("router"))
@@ -119,7 +120,7 @@
 	return c, f.Check()
 }
 
-// minNameKey is the least length of a name key, in bytes: shorter ones could be found by trial.
+// minNameKey is the minimum length of a name key in bytes: a shorter key could be found by brute force.
 const minNameKey = 16
 
 // parseRouter reads the section [router].
@@ -138,13 +139,13 @@
 	}
 	c.Seed = uint64(s.Int("seed", 0, 0, 1<<62))
 	if c.NameKey = s.String("name_key", ""); c.NameKey != "" && len(c.NameKey) < minNameKey {
-		s.Errorf("name_key", "shorter than %d bytes: names could be found by trying keys", minNameKey)
+		s.Errorf("name_key", "shorter than %d bytes: the key could be found by brute force", minNameKey)
 	}
 	levels := []string{"debug", "info", "warn", "error"}
 	c.LogLevel = levels[s.OneOf("log", "info", levels...)]
 }
 
-// parseEndpointSource reads where endpoints come from, and where they are served.
+// parseEndpointSource reads the endpoint source, and the address at which this router serves its view.
 func (c *Config) parseEndpointSource(s *inifile.Section) {
 	c.EndpointFile = s.String("list", "")
 	if c.ControlPlane = s.String("xds", ""); c.ControlPlane != "" {
@@ -158,7 +159,7 @@
 	}
 	c.XDSVariant = []xds.Variant{xds.StateOfTheWorld, xds.Incremental}[s.OneOf("xds_variant", "sotw", "sotw", "delta")]
 	if c.LoadReports = s.Bool("load_reports", false); c.LoadReports && c.ControlPlane == "" {
-		s.Errorf("load_reports", "no control plane (xds) is told")
+		s.Errorf("load_reports", "no control plane (xds) is configured")
 	}
 	c.EnvoyFile = s.String("envoy_file", "")
 	sources := 0
@@ -169,9 +170,9 @@
 	}
 	switch {
 	case sources == 0:
-		s.Errorf("list", "no file that lists the servers is named, no control plane (xds) and no envoy_file")
+		s.Errorf("list", "no endpoint source is configured: one of list, xds and envoy_file is required")
 	case sources > 1:
-		s.Errorf("list", "servers come from one of list, xds and envoy_file")
+		s.Errorf("list", "only one of list, xds and envoy_file may be set")
 	}
 }
 
@@ -184,7 +185,7 @@
 	d.LoadsOnMiss = s.Bool("loads_on_miss", true)
 	d.LoadCommands = s.Bool("orders", true)
 	if !d.LoadsOnMiss && !d.LoadCommands {
-		s.Errorf("orders", "neither jobs nor orders load what is missing: nothing would ever be loaded")
+		s.Errorf("orders", "loads_on_miss and orders are both off: no function would ever be loaded")
 	}
 	d.SlowStartInitial = s.Float("cold_from", 0.25, 0, 1)
 	d.SlowStartDuration = micros(s.Duration("cold", 10*time.Second, 0, year))
@@ -194,12 +195,12 @@
 	d.LoadRateBase = s.Float("load_free", 0, 0, 1e6)
 	d.LoadRatePerRequest = s.Float("load_share", 0, 0, 100)
 	if d.LoadRateWindow == 0 && (s.Has("load_free") || s.Has("load_share")) {
-		s.Errorf("load_window", "load_free and load_share mean nothing without it")
+		s.Errorf("load_window", "required by load_free and load_share")
 	}
 	c.GracePeriod = s.Duration("grace", 500*time.Millisecond, 10*time.Millisecond, time.Hour)
 	d.MaxCommandDelay = attempt.MaxEndpointsAge(micros(c.GracePeriod))
 	c.LoadTimeout = s.Duration("order_time", 30*time.Second, time.Millisecond, time.Hour)
-	d.SupportsCancel = true // an attempt is cancelled by closing its connection
+	d.SupportsCancel = true // closing the connection cancels an attempt
 }
 
 // parseClients reads the section [clients].
@@ -225,7 +226,7 @@
 	c.BodyTimeout = s.Duration("body_time", 10*time.Second, time.Millisecond, time.Hour)
 	c.EndpointFileInterval = s.Duration("list_every", 50*time.Millisecond, time.Millisecond, time.Hour)
 	if c.EndpointFileInterval > c.GracePeriod/2 {
-		s.Errorf("list_every", "%s leaves too little of the grace of %s", c.EndpointFileInterval, c.GracePeriod)
+		s.Errorf("list_every", "%s is more than half of the grace of %s", c.EndpointFileInterval, c.GracePeriod)
 	}
 }
 
@@ -266,10 +267,10 @@
 			Window:           micros(s.Duration("window", 0, 0, day)),
 		}
 		if class.Effect == control.IdempotentByKey && class.Window == 0 {
-			s.Errorf("window", "a fingerprinted workload needs the time for which its repeats are known")
+			s.Errorf("window", "required for a fingerprinted workload: how long an idempotency key is remembered")
 		}
 		if class.MaxDeadline < class.LatencyObjective {
-			s.Errorf("time_limit", "shorter than the start target")
+			s.Errorf("time_limit", "shorter than start_target")
 		}
 		c.Deployment.Classes = append(c.Deployment.Classes, class)
 	}
@@ -296,11 +297,11 @@
 		c.Functions = append(c.Functions, pattern)
 	}
 	if len(c.Functions) == 0 {
-		f.Section("function").Errorf("", "no section [function PATTERN]: no name would be known")
+		f.Section("function").Errorf("", "no section [function PATTERN]: every function would be unknown")
 	}
 }
 
-// isLoopback reports whether a host is this machine.
+// isLoopback reports whether a host is "localhost" or a loopback address.
 func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
@@ -310,19 +311,19 @@
 func parseAddress(s *inifile.Section, key, fallback string) string {
 	value := s.String(key, fallback)
 	if host, port, err := net.SplitHostPort(value); err != nil || host == "" || port == "" {
-		s.Errorf(key, "%q is no address with a port", value)
+		s.Errorf(key, "%q is not an address of the form host:port", value)
 	}
 	return value
 }
 
-// ChangesNeedingRestart returns the fields of the configuration that differ and can't change while the gateway runs:
-// all but the log level.
+// ChangesNeedingRestart returns the names of the fields that differ between two configurations and can't change while
+// the gateway runs. Only the log level can.
 func ChangesNeedingRestart(old, changed *Config) []string {
 	var names []string
 	a, b := reflect.ValueOf(*old), reflect.ValueOf(*changed)
 	for i := range a.NumField() {
 		field := a.Type().Field(i)
-		if !field.IsExported() { // no setting: tests set them
+		if !field.IsExported() { // not a setting: only tests set it
 			continue
 		}
 		name := field.Name
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -10,7 +10,7 @@
 	"hollymast/internal/inifile"
 )
 
-// The balancer allows for how late a load command may be written: as late as any call.
+// The balancer assumes the same maximum delay for writing a load command as for any other call.
 func TestMaxCommandDelay(t *testing.T) {
 	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings, "workers.ini"))
 	if err != nil {
@@ -20,12 +20,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if late := attempt.MaxEndpointsAge(micros(config.GracePeriod)); config.Deployment.MaxCommandDelay != late || late == 0 {
-		t.Errorf("is %d of %d", config.Deployment.MaxCommandDelay, late)
+	if maxDelay := attempt.MaxEndpointsAge(micros(config.GracePeriod)); config.Deployment.MaxCommandDelay != maxDelay || maxDelay == 0 {
+		t.Errorf("got %d, want %d", config.Deployment.MaxCommandDelay, maxDelay)
 	}
 }
 
-// Every problem of the TLS sections is reported.
+// Every problem in the TLS sections is reported.
 func TestInvalidTLSSections(t *testing.T) {
 	f, err := inifile.Parse("r.ini", []byte(`[router]
 list = workers.ini
@@ -47,12 +47,12 @@
 	_, err = ParseConfig(f)
 	for _, want := range []string{"r.ini:5: [tls workers] key:", "r.ini:5: [tls workers] authorities:", "[tls clients] certificate:", "[tls clients] sds: 10.0.0.1", "[tls clients] sds: keys come", "[tls xds]", "[tls others]"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v lacks %q", err, want)
+			t.Errorf("%v does not contain %q", err, want)
 		}
 	}
 }
 
-// A reload names the settings that need a restart: none where they are the same or the log level alone is another.
+// A reload names the settings that need a restart: none if nothing or only the log level has changed.
 func TestChangesNeedingRestart(t *testing.T) {
 	parse := func(old, changed string) *Config {
 		text := strings.Replace(fmt.Sprintf(testSettings, "workers.ini"), old, changed, 1)
@@ -77,7 +77,7 @@
 		{"workers.ini", "others.ini", []string{"EndpointFile"}},
 	} {
 		if got := ChangesNeedingRestart(before, parse(c.old, c.changed)); !slices.Equal(got, c.want) {
-			t.Errorf("%q instead of %q: %q need a restart, want %q", c.changed, c.old, got, c.want)
+			t.Errorf("%q instead of %q: got %q, want %q", c.changed, c.old, got, c.want)
 		}
 	}
 }
--- a/internal/gateway/config_tls.go
+++ b/internal/gateway/config_tls.go
@@ -9,7 +9,7 @@
 	"hollymast/internal/inifile"
 )
 
-// The kinds of connections that may use TLS, by the names of their sections.
+// The kinds of connections that may use TLS: the NAME of their sections [tls NAME].
 const (
 	serverConnections = "workers"
 	clientConnections = "clients"
@@ -25,16 +25,16 @@
 	for _, s := range f.Sections("tls ") {
 		kind := strings.TrimPrefix(s.Name, "tls ")
 		if !slices.Contains(connectionKinds, kind) {
-			s.Errorf("", "connections are those of workers, clients, xds and view")
+			s.Errorf("", "unknown kind of connection: must be workers, clients, xds or view")
 			continue
 		}
 		c.TLS[kind] = parseCertificates(s, kind)
 	}
 	if c.TLS[xdsConnections] != nil && c.ControlPlane == "" {
-		f.Section("tls "+xdsConnections).Errorf("", "no control plane (xds) is told")
+		f.Section("tls "+xdsConnections).Errorf("", "no control plane (xds) is configured")
 	}
 	if c.TLS[viewConnections] != nil && c.ServeView == "" {
-		f.Section("tls "+viewConnections).Errorf("", "no view is served (serve_view)")
+		f.Section("tls "+viewConnections).Errorf("", "serve_view is not set")
 	}
 }
 
@@ -49,27 +49,27 @@
 		t.SecretsAddress = parseAddress(s, "sds", "")
 		t.CertificateSecret, t.AuthoritiesSecret = s.String("certificate_secret", ""), s.String("authorities_secret", "")
 		if host, _, _ := net.SplitHostPort(t.SecretsAddress); !isLoopback(host) {
-			s.Errorf("sds", "%s is not on loopback, and keys come from it in plain text", host)
+			s.Errorf("sds", "%s is not on loopback, but keys would be sent in plain text", host)
 		}
 		if t.Certificate+t.Key+t.Authorities+t.RevocationLists != "" {
-			s.Errorf("sds", "keys come from files or from a service, not from both")
+			s.Errorf("sds", "keys come from files or from a secret discovery service, not from both")
 		}
 	}
 	if (t.Certificate == "") != (t.Key == "") {
-		s.Errorf("key", "certificate and key go together")
+		s.Errorf("key", "certificate and key must be set together")
 	}
 	if t.RevocationLists != "" && t.Authorities == "" {
-		s.Errorf("revoked", "means nothing without authorities")
+		s.Errorf("revoked", "requires authorities")
 	}
-	shows, checks := t.Certificate+t.CertificateSecret != "", t.Authorities+t.AuthoritiesSecret != ""
-	switch dials := kind == serverConnections || kind == xdsConnections; {
-	case !dials && !shows:
-		s.Errorf("certificate", "whoever is connected to must show one")
-	case dials && !checks:
-		s.Errorf("authorities", "without them anyone could be the other end")
+	hasCertificate, verifiesPeer := t.Certificate+t.CertificateSecret != "", t.Authorities+t.AuthoritiesSecret != ""
+	switch initiates := kind == serverConnections || kind == xdsConnections; {
+	case !initiates && !hasCertificate:
+		s.Errorf("certificate", "required: these connections are accepted, and the accepting end must present a certificate")
+	case initiates && !verifiesPeer:
+		s.Errorf("authorities", "required: without them the peer can't be verified")
 	}
-	if len(t.Names) > 0 && !checks {
-		s.Errorf("names", "mean nothing without authorities")
+	if len(t.Names) > 0 && !verifiesPeer {
+		s.Errorf("names", "require authorities")
 	}
 	return t
 }
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -9,10 +9,11 @@
 	"hollymast/internal/xds"
 )
 
-// nodeID names this router to control planes.
+// nodeID identifies this router to control planes.
 func (g *Gateway) nodeID() string { return fmt.Sprintf("hollymast-%d", g.config.Deployment.Number) }
 
-// followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before its first list.
+// followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before the first
+// endpoint list.
 func (g *Gateway) followControlPlane(ctx context.Context) {
 	members := membership.New(membership.DefaultBounds)
 	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.XDSVariant, xds.DefaultBounds)
@@ -28,7 +29,7 @@
 			if g.loadReporter != nil {
 				g.loadReporter.update(members.Servers(), client.ServiceNames())
 			}
-			g.loop.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
+			g.loop.PostEndpoints(func(now control.Micros) { g.applyEndpointUpdate(now, update) })
 		},
 		Log: func(text string) { g.log.Info().Msg("xds: " + text) },
 	}
--- a/internal/gateway/decisionlog.go
+++ b/internal/gateway/decisionlog.go
@@ -5,22 +5,22 @@
 	"hollymast/internal/record"
 )
 
-// decision is one decision of the core, as /router/state shows it.
+// decision is one decision of the core in the response of /router/state.
 type decision struct {
 	At   control.Micros `json:"At"`
 	Text string         `json:"Decision"`
 }
 
-// decisionLog holds the latest decisions: as many as fill some screens.
+// decisionLog is a ring buffer of the latest decisions, enough to fill a few screens.
 type decisionLog struct {
 	entries [256]struct {
 		at      control.Micros
 		command record.Command
 	}
-	count int // of all that were added
+	count int // decisions added so far
 }
 
-// add adds a decision, in place of the oldest one.
+// add adds a decision, overwriting the oldest one if the buffer is full.
 func (l *decisionLog) add(at control.Micros, command record.Command) {
 	entry := &l.entries[l.count%len(l.entries)]
 	entry.at, entry.command = at, command
--- a/internal/gateway/endpointfile.go
+++ b/internal/gateway/endpointfile.go
@@ -15,7 +15,7 @@
 	"hollymast/internal/xds"
 )
 
-// followEndpoints follows the configured source of endpoints until ctx ends.
+// followEndpoints follows the configured endpoint source until ctx ends.
 func (g *Gateway) followEndpoints(ctx context.Context) {
 	if g.config.ControlPlane != "" {
 		g.followControlPlane(ctx)
@@ -28,22 +28,22 @@
 	w.run(ctx)
 }
 
-// endpointParser handles the text of an endpoint file.
+// endpointParser parses an endpoint file and posts its endpoints to the event loop.
 type endpointParser interface {
-	// parse posts a file's endpoints to the event loop; false if it is invalid, and the old list stays in force.
+	// parse posts the endpoints of a file. It returns false if the file is invalid; the old list then stays in use.
 	parse(text []byte) (valid bool)
-	// tick posts what has become due.
+	// tick posts changes that become due with time. It is called after every periodic read.
 	tick()
 }
 
-// endpointFileWatcher reads an endpoint file at an interval, and when the event loop requests it.
+// endpointFileWatcher reads an endpoint file periodically, and when the event loop requests it.
 type endpointFileWatcher struct {
-	gateway *Gateway
-	file    string
-	parser  endpointParser
-	text    []byte // as last read
-	valid   bool   // text was valid
-	missing bool   // the file could not be read last time
+	gateway    *Gateway
+	file       string
+	parser     endpointParser
+	text       []byte // of the last successful read
+	valid      bool   // text is valid
+	unreadable bool   // the last periodic read failed
 }
 
 // run reads the file until ctx ends.
@@ -63,40 +63,40 @@
 	}
 }
 
-// poll reads the file, and logs once that it can't be read.
+// poll reads the file. It logs only the first of consecutive failed reads.
 func (w *endpointFileWatcher) poll() {
 	asOf := w.gateway.loop.Now()
 	text, err := os.ReadFile(w.file)
 	switch {
-	case err != nil && !w.missing:
-		w.missing = true
-		w.gateway.log.Error().Err(err).Msg("endpoint file can't be read: the old list stays in force")
-	case err == nil && (w.text == nil || w.missing || !bytes.Equal(text, w.text)):
-		w.missing = false
+	case err != nil && !w.unreadable:
+		w.unreadable = true
+		w.gateway.log.Error().Err(err).Msg("endpoint file can't be read: the old list stays in use")
+	case err == nil && (w.text == nil || w.unreadable || !bytes.Equal(text, w.text)):
+		w.unreadable = false
 		w.text, w.valid = text, w.parser.parse(text)
 	}
 	w.parser.tick()
-	w.complete(asOf, err)
+	w.markComplete(asOf, err)
 }
 
-// readNow reads the file for a step that waits for it.
+// readNow reads the file for a step that waits for the read.
 func (w *endpointFileWatcher) readNow() {
 	asOf := w.gateway.loop.Now()
 	text, err := os.ReadFile(w.file)
 	if err == nil && !bytes.Equal(text, w.text) {
 		w.text, w.valid = text, w.parser.parse(text)
 	}
-	w.complete(asOf, err)
+	w.markComplete(asOf, err)
 }
 
-// complete records that the list is complete as of a time, unless the file could not be read or is invalid.
-func (w *endpointFileWatcher) complete(asOf control.Micros, err error) {
+// markComplete records that the endpoint list was complete at asOf, unless the file could not be read or is invalid.
+func (w *endpointFileWatcher) markComplete(asOf control.Micros, err error) {
 	if err == nil && w.valid {
 		w.gateway.sourceCompleteAsOf.Store(int64(asOf))
 	}
 }
 
-// iniEndpoints handles an endpoint file in this router's own form.
+// iniEndpoints parses an endpoint file in INI format (see ParseEndpoints).
 type iniEndpoints struct{ gateway *Gateway }
 
 func (p *iniEndpoints) tick() {}
@@ -111,16 +111,16 @@
 	var invalid *inifile.ValidationError
 	switch {
 	case errors.As(err, &invalid):
-		g.log.Error().Strs("faults", invalid.Problems).Msg("invalid endpoint file: the old list stays in force")
+		g.log.Error().Strs("faults", invalid.Problems).Msg("invalid endpoint file: the old list stays in use")
 	case err != nil:
-		g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("invalid endpoint file: the old list stays in force")
+		g.log.Error().Str("fault", strings.TrimSpace(err.Error())).Msg("invalid endpoint file: the old list stays in use")
 	default:
-		g.loop.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
+		g.loop.PostEndpoints(func(now control.Micros) { g.applyEndpointUpdate(now, update) })
 	}
 	return err == nil
 }
 
-// envoyEndpoints handles an endpoint file in Envoy's bootstrap form.
+// envoyEndpoints parses an Envoy bootstrap file.
 type envoyEndpoints struct {
 	gateway *Gateway
 	members *membership.Model
@@ -138,7 +138,7 @@
 	g := p.gateway
 	err := p.client.LoadBootstrap(g.loop.Now(), text)
 	if err != nil {
-		g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("invalid endpoint file: the old list stays in force")
+		g.log.Error().Str("file", g.config.EnvoyFile).Err(err).Msg("invalid endpoint file: the old list stays in use")
 	}
 	p.post()
 	return err == nil
@@ -149,19 +149,20 @@
 	p.post()
 }
 
-// post logs what the client has noted, and posts a changed list to the event loop.
+// post writes the client's messages to the log, and posts a changed list to the event loop.
 func (p *envoyEndpoints) post() {
 	g := p.gateway
 	for _, line := range p.client.TakeLogLines() {
 		g.log.Info().Msg("xds: " + line)
 	}
 	if update, changed := p.members.TakeUpdate(g.loop.Now()); changed {
-		g.loop.PostEndpoints(func(now control.Micros) { g.handleUpdate(now, update) })
+		g.loop.PostEndpoints(func(now control.Micros) { g.applyEndpointUpdate(now, update) })
 	}
 }
 
-// ParseEndpoints reads an endpoint list: a section for each server, with its address, state, zone, cell, power (its
-// weight) and born (when it started). An *inifile.ValidationError names every problem with file, line and key.
+// ParseEndpoints reads an endpoint list with a section for each server. Its keys are address, state, zone, cell, power
+// (the weight) and born (the time at which the server started). The error is an *inifile.ValidationError that lists
+// every problem with file, line and key.
 func ParseEndpoints(f *inifile.File) ([]fleet.Endpoint, error) {
 	var list []fleet.Endpoint
 	first := map[string]string{}
@@ -172,12 +173,12 @@
 		if born := s.String("born", ""); born != "" {
 			at, err := time.Parse(time.RFC3339Nano, born)
 			if err != nil || at.UnixMicro() <= 0 {
-				s.Errorf("born", "%q is no time as in 2026-07-01T06:30:00Z", born)
+				s.Errorf("born", "%q is not a time like 2026-07-01T06:30:00Z", born)
 			}
 			e.StartedAt = at.UnixMicro()
 		}
 		if other, twice := first[e.Address]; twice {
-			s.Errorf("address", "also that of [%s]", other)
+			s.Errorf("address", "already used by [%s]", other)
 		}
 		first[e.Address] = s.Name
 		list = append(list, e)
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -8,12 +8,12 @@
 	"hollymast/internal/fleet"
 )
 
-// errNoEndpoints is the error text for requests that come before any endpoint list was read.
+// errNoEndpoints is the error text for requests that arrive before the first endpoint list was read.
 var errNoEndpoints = errors.New("no list of servers could be read yet")
 
-// handleUpdate applies an endpoint update, full or incremental.
-func (g *Gateway) handleUpdate(now control.Micros, update fleet.Update) {
-	eventloop.ApplyUpdate(now, update, g.fleet, g.core, g.pools, g.refreshPool)
+// applyEndpointUpdate applies a full or incremental endpoint update.
+func (g *Gateway) applyEndpointUpdate(now control.Micros, update fleet.Update) {
+	eventloop.ApplyUpdate(now, update, g.fleet, g.core, g.pools, g.withdrawUnlessReady)
 	servers, ready := g.fleet.Count()
 	g.metrics.servers.Set(float64(ready))
 	if !g.stopping {
@@ -22,18 +22,18 @@
 	g.log.Info().Int("servers", servers).Int("ready", ready).Msg("endpoint list applied")
 }
 
-// refreshPool withdraws what is not written yet to a server that is not ready any more.
-func (g *Gateway) refreshPool(pool *serverPool) {
+// withdrawUnlessReady withdraws the unwritten calls to a server that is not ready any more.
+func (g *Gateway) withdrawUnlessReady(pool *serverPool) {
 	if s := g.fleet.Get(pool.id); s == nil || s.State != control.Ready {
-		g.withdrawFrom(pool)
+		g.withdrawCalls(pool)
 	}
 }
 
-// RefreshEndpoints has the endpoints' source read again at once.
+// RefreshEndpoints makes the event loop read the endpoint source again at once.
 func (g *Gateway) RefreshEndpoints() {
 	g.readRequested.Store(true)
 	g.loop.Post(func(control.Micros) {})
 }
 
-// SubscribeEndpoints does nothing: the gateway always follows its source of endpoints.
+// SubscribeEndpoints does nothing: the gateway always follows its endpoint source.
 func (g *Gateway) SubscribeEndpoints() {}
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -7,8 +7,8 @@
 	"hollymast/control"
 )
 
-// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts no more requests, answers every
-// request in flight, and returns once each connection has ended. The error is nil.
+// Serve runs the event loop until ctx ends, and then shuts down gracefully: it accepts no more requests, answers every
+// request in flight, and returns once every connection has ended. The error is always nil.
 func (g *Gateway) Serve(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// startBackground starts the goroutines that feed the event loop and store what it learns. They end with ctx, or after
-// the last step.
+// startBackground starts the goroutines that accept clients, follow the endpoint source, and persist and publish state.
+// They end with ctx, or after the last step.
 func (g *Gateway) startBackground(ctx context.Context) {
 	g.watchCertStores(ctx)
 	if g.loadReporter != nil {
@@ -37,7 +37,7 @@
 	g.background.Go(func() { g.followEndpoints(ctx) })
 	if g.state != nil {
 		g.background.Go(func() { g.state.run(g) })
-		if g.state.historyTally != nil {
+		if g.state.historyCollector != nil {
 			g.background.Go(func() { g.state.runHistory(g) })
 		}
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// runEventLoop runs the event loop until the gateway was asked to stop and nothing is in flight.
+// runEventLoop runs the event loop until the gateway was asked to stop and no request is in flight.
 func (g *Gateway) runEventLoop(stopRequested <-chan struct{}) {
-	var answerDue <-chan time.Time // when every request is to have its answer
+	var answerDeadline <-chan time.Time // fires when every open request must be answered
 	g.step(g.loop.Now(), nil)
 	for {
 		select {
@@ -57,18 +57,18 @@
 		case <-stopRequested:
 			stopRequested = nil
 			g.beginStop()
-			answerDue = time.After(g.config.shutdownTimes().answerBy)
-		case <-answerDue:
-			g.loop.Post(g.answerOpen)
+			answerDeadline = time.After(g.config.shutdownTimes().answerBy)
+		case <-answerDeadline:
+			g.loop.Post(g.answerAllInFlight)
 		}
-		if late, stalled := g.loop.Stalled(); stalled {
-			g.handleStall(late)
+		if delay, stalled := g.loop.Stalled(); stalled {
+			g.handleStall(delay)
 		}
 		g.readEndpoints()
 		batch := g.loop.Drain()
 		g.step(g.loop.Now(), batch)
 		if g.stopping && len(g.requests) == 0 {
-			if g.openLoadCommands == 0 {
+			if g.loadCommandsInFlight == 0 {
 				return
 			}
 			g.cancelLoadCommands()
@@ -76,16 +76,17 @@
 	}
 }
 
-// handleStall logs that the process was stalled. late is by how much a step comes after its timer.
-func (g *Gateway) handleStall(late control.Micros) {
-	g.log.Warn().Int64("late_us", int64(late)).Msg("the process was stalled")
+// handleStall logs that the process was stalled; delay is the time since the timer was due.
+func (g *Gateway) handleStall(delay control.Micros) {
+	g.log.Warn().Int64("late_us", int64(delay)).Msg("the process was stalled")
 	if g.overload != nil {
-		g.overload.RecordStall(g.loop.Now(), late)
+		g.overload.RecordStall(g.loop.Now(), delay)
 	}
 }
 
-// readEndpoints makes the next step handle everything that the endpoints' source has announced. It runs before the event
-// batch is taken: wherever the process stalls, the step's choices are no newer than its endpoint list.
+// readEndpoints makes the next step handle everything that the endpoint source has announced, unless the list is recent
+// enough. It must run before the event batch is drained: then the step's choices are based on that list, wherever the
+// process stalls.
 func (g *Gateway) readEndpoints() {
 	if g.readRequested.Swap(false) {
 		g.loop.RequireEndpointsRead()
@@ -95,13 +96,13 @@
 		g.awaitSourceRead()
 		return asOf
 	})
-	// Read before the batch is taken, which so holds everything up to then.
+	// Loaded before the batch is drained, so that the batch contains every update up to that time.
 	g.loop.EndpointsCompleteAsOf = control.Micros(g.sourceCompleteAsOf.Load())
 }
 
-// awaitSourceRead waits until the endpoints' source was read. A source that does not answer within a quarter of the
-// grace period counts as unreachable: the router goes on with the list that it has, and requests no other read before
-// that one has ended.
+// awaitSourceRead waits until the endpoint source was read. If that takes longer than a quarter of the grace period,
+// the source counts as unreachable: the router continues with the list that it has, and requests no other read before
+// this one ends.
 func (g *Gateway) awaitSourceRead() {
 	if g.pendingRead != nil {
 		select {
@@ -111,7 +112,7 @@
 		}
 	}
 	g.pendingRead = make(chan struct{})
-	g.sourceReads <- g.pendingRead // has room: the read before has ended
+	g.sourceReads <- g.pendingRead // does not block: the previous read has ended
 	timer := time.NewTimer(g.config.GracePeriod / 4)
 	defer timer.Stop()
 	select {
@@ -120,9 +121,9 @@
 	}
 }
 
-// step handles a batch of events and lets the core decide on them.
+// step handles a batch of events, lets the core decide on them, and does the work that is due after each step.
 func (g *Gateway) step(now control.Micros, events []func(control.Micros)) {
-	begun := time.Now()
+	start := time.Now()
 	g.loop.Step(now, events, g.fleet, g.core)
 	for _, f := range g.afterStepFuncs {
 		f(now)
@@ -131,15 +132,15 @@
 	g.afterStepFuncs = g.afterStepFuncs[:0]
 	g.prune(now)
 	g.logOverload()
-	g.metrics.stepSeconds.Observe(time.Since(begun).Seconds())
+	g.metrics.stepSeconds.Observe(time.Since(start).Seconds())
 	g.metrics.inFlight.Set(float64(len(g.requests)))
 	g.metrics.held.Set(float64(g.core.Held()))
 }
 
-// afterStep has a function called right after the next step, when no event waits for the core's decision.
+// afterStep schedules a function to be called right after the next step, when the core has decided on all events.
 func (g *Gateway) afterStep(f func(now control.Micros)) {
 	g.loop.Post(func(control.Micros) { g.afterStepFuncs = append(g.afterStepFuncs, f) })
 }
 
-// SetTimer sets the one timer, replacing its time.
+// SetTimer sets the event loop's only timer, replacing its previous time.
 func (g *Gateway) SetTimer(at control.Micros) { g.loop.SetTimer(at) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is a router as a KServe v2 REST service: it connects client connections, server connections and the
-// sources of endpoints to one core. One goroutine runs the event loop: it owns the core and carries out what the core
-// decides. Each connection has a goroutine of its own, which posts events to the loop. Nothing in an event-loop step
-// blocks, and no decision is taken in this package.
+// Package gateway implements a router as a KServe v2 REST service. It connects the client connections, the server
+// connections and the endpoint source to one core. One goroutine runs the event loop, which owns the core and executes
+// its decisions; this package makes no routing decisions itself. Each connection has its own goroutine, which posts
+// events to the loop. Nothing in an event-loop step blocks.
 package gateway
 
 import (
@@ -32,58 +32,59 @@
 type Gateway struct {
 	config      *Config
 	log         zerolog.Logger
-	loop        *eventloop.Loop // its clock, Post and PostEndpoints are shared, the rest is the event loop's
-	incarnation string          // distinguishes the idempotency keys that this process makes
-	via         string          // names this router to servers (RFC 9110, section 7.6.3)
+	loop        *eventloop.Loop // any goroutine may use its clock, Post and PostEndpoints; only the event loop uses the rest
+	incarnation string          // identifies this process; prefix of the idempotency keys that it generates
+	via         string          // value of the Via header sent to servers (RFC 9110, section 7.6.3)
 	metrics     *metrics
 
-	// Owned by the event loop; no other goroutine touches these.
-	core             *core.Core
-	fleet            *fleet.Fleet
-	requests         map[control.RequestID]*request
-	lastID           control.RequestID
-	pools            map[control.ServerID]*serverPool
-	openLoadCommands int                        // not answered yet
-	prunedAt         control.Micros             // when prune last ran
-	afterStepFuncs   []func(now control.Micros) // to be called after this step
-	pendingRead      chan struct{}              // closed when the last requested read of the source has ended
-	stopping         bool
-	recordWriter     *record.Writer   // nil: nothing is recorded
-	recorder         *record.Recorder // of recordWriter
-	recordingCount   int
-	decisions        decisionLog
-	loadTally        *loadreport.Collector
-	overload         *overload.Controller // nil: overload is not damped
-	state            *stateKeeper         // nil: nothing outlasts this process
-	// keysUnknownUntil is until when attempts that an earlier incarnation began may be running and are not known.
+	// Owned by the event loop; no other goroutine accesses these.
+	core                 *core.Core
+	fleet                *fleet.Fleet
+	requests             map[control.RequestID]*request
+	lastID               control.RequestID
+	pools                map[control.ServerID]*serverPool
+	loadCommandsInFlight int                        // sent to servers and not answered yet
+	prunedAt             control.Micros             // when prune last ran
+	afterStepFuncs       []func(now control.Micros) // run at the end of this step, then cleared
+	pendingRead          chan struct{}              // closed when the last requested read of the endpoint source ends; nil: none was requested
+	stopping             bool
+	recordWriter         *record.Writer   // nil: not recording
+	recorder             *record.Recorder // recordWriter's recorder
+	recordingCount       int              // recordings started by this process
+	latestDecisions      decisionLog
+	loadCollector        *loadreport.Collector
+	overload             *overload.Controller // nil: overload damping is off
+	state                *stateKeeper         // nil: no state survives a restart
+	// Until keysUnknownUntil, attempts started by an earlier incarnation that are missing from the key index may still
+	// be running.
 	keysUnknownUntil control.Micros
 
 	// Shared with other goroutines.
-	sourceCompleteAsOf atomic.Int64                                                    // when the endpoints' source was complete, as its reader knows it; 0: never
-	sourceReads        chan chan struct{}                                              // requests to read the endpoints' source; each is closed once it was read
-	readRequested      atomic.Bool                                                     // the endpoints' source is read before the next step, however fresh the list is
-	ready              atomic.Bool                                                     // an endpoint list was read, and requests are accepted
+	sourceCompleteAsOf atomic.Int64                                                    // latest time as of which the endpoint source was read completely; 0: never
+	sourceReads        chan chan struct{}                                              // requests to read the endpoint source now; each channel is closed after the read
+	readRequested      atomic.Bool                                                     // the endpoint source must be read before the next step, however recent the list is
+	ready              atomic.Bool                                                     // an endpoint list was applied, and the gateway is not stopping
 	stopRequestedAt    atomic.Int64                                                    // on the router's clock; 0: not stopping
-	bodyBytes          atomic.Int64                                                    // of the request bodies in memory
-	clientCount        atomic.Int64                                                    // client connections
-	clientConns        sync.Map                                                        // of *rest.Conn
-	dialing            chan struct{}                                                   // semaphore: connections that are being dialled
-	dial               func(ctx context.Context, address string) (*rest.Client, error) // tests replace it
+	bodyBytes          atomic.Int64                                                    // total size of the request bodies in memory
+	clientCount        atomic.Int64                                                    // open client connections
+	clientConns        sync.Map                                                        // keys are *rest.Conn, values unused
+	dialSemaphore      chan struct{}                                                   // holds one value for each connection that is being dialled
+	dial               func(ctx context.Context, address string) (*rest.Client, error) // dials a server; replaced by tests
 	certStores         map[string]*certstore.Store                                     // by kind of connection
-	lastTLSErrors      sync.Map                                                        // by server address
-	loadReporter       *loadReporter                                                   // nil: loads are not reported to a control plane
-	view               *xds.View                                                       // nil: this router's view is not served
-	listeners          []net.Listener                                                  // clients', then the admin listener if there is one
+	lastTLSErrors      sync.Map                                                        // last handshake error by server address
+	loadReporter       *loadReporter                                                   // nil: no load reports are sent to the control plane
+	view               *xds.View                                                       // nil: this router does not serve its view
+	listeners          []net.Listener                                                  // the client listener, then the admin listener if one is configured
 	loopEnded          chan struct{}                                                   // closed after the last step
 
-	background    sync.WaitGroup // goroutines that run as long as the event loop
-	clientReaders sync.WaitGroup // one for each client connection
-	serverConns   sync.WaitGroup // one for each server connection
+	background    sync.WaitGroup // goroutines started by startBackground
+	clientReaders sync.WaitGroup // one goroutine for each client connection
+	serverConns   sync.WaitGroup // one goroutine for each server connection
 }
 
-// New returns a gateway for a configuration, with its listeners open. It fails when an address can't be listened on,
-// when a certificate can't be read, or when a recording can't be started. A folder for learned state that can't be used
-// is logged, and the gateway runs without.
+// New returns a gateway with its listeners open. It fails if an address can't be listened on, a certificate can't be
+// read, or a configured recording can't be started. If the folder for learned state can't be used, New logs that and
+// the gateway runs without it.
 func New(config *Config, log zerolog.Logger) (*Gateway, error) {
 	seed := config.Seed
 	if seed == 0 {
@@ -92,7 +93,7 @@
 	g := &Gateway{
 		config: config, log: log, loop: eventloop.New(eventloop.NewClock(time.Now()), micros(config.GracePeriod)),
 		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
-		dialing: make(chan struct{}, config.MaxDials), sourceReads: make(chan chan struct{}, 1),
+		dialSemaphore: make(chan struct{}, config.MaxDials), sourceReads: make(chan chan struct{}, 1),
 		loopEnded: make(chan struct{}), metrics: newMetrics(),
 	}
 	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
@@ -103,18 +104,19 @@
 	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
-	g.newCore(seed)
-	if err := g.open(); err != nil {
-		g.abandonStart()
+	g.createCore(seed)
+	if err := g.openResources(); err != nil {
+		g.closeResources()
 		return nil, err
 	}
 	return g, nil
 }
 
-// newCore creates the core and what it is fed with, and restores what an earlier incarnation has learned.
-func (g *Gateway) newCore(seed uint64) {
+// createCore creates the core, the fleet and the overload controller, and restores the state that an earlier
+// incarnation learned.
+func (g *Gateway) createCore(seed uint64) {
 	config := g.config
-	g.fleet, g.loadTally = fleet.New(0), loadreport.NewCollector(g.loop.Epoch)
+	g.fleet, g.loadCollector = fleet.New(0), loadreport.NewCollector(g.loop.Epoch)
 	g.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
 	if config.LoadReports {
 		g.loadReporter = &loadReporter{gateway: g}
@@ -132,15 +134,15 @@
 	if config.StateDir != "" {
 		g.state, g.keysUnknownUntil = openStateKeeper(config, g.loop.Now(), balancer, g.log)
 		g.metrics.registerJournal(g.state)
-		if g.state != nil && g.state.usualLoad != nil && g.overload != nil {
-			g.overload.Restore(g.loop.Epoch, *g.state.usualLoad, g.state.usualLoadAge)
+		if g.state != nil && g.state.overloadBaseline != nil && g.overload != nil {
+			g.overload.Restore(g.loop.Epoch, *g.state.overloadBaseline, g.state.overloadBaselineAge)
 		}
 	}
 	g.core = core.New(balancer, g)
 }
 
-// open opens what New may fail at.
-func (g *Gateway) open() error {
+// openResources opens the listeners, and starts the view server and the recording if they are configured.
+func (g *Gateway) openResources() error {
 	for _, address := range []string{g.config.Listen, g.config.AdminListen} {
 		if address == "" {
 			continue
@@ -163,8 +165,8 @@
 	return nil
 }
 
-// abandonStart closes what a start that failed has opened.
-func (g *Gateway) abandonStart() {
+// closeResources closes the listeners, the learned state and the view server after a failed start.
+func (g *Gateway) closeResources() {
 	g.closeListeners()
 	g.state.close()
 	if g.view != nil {
@@ -175,7 +177,7 @@
 // Address returns the address that clients connect to.
 func (g *Gateway) Address() string { return g.listeners[0].Addr().String() }
 
-// AdminAddress returns the address of health, metrics and the operators' calls; empty without one.
+// AdminAddress returns the address that serves health, metrics and the admin calls, or "" if there is none.
 func (g *Gateway) AdminAddress() string {
 	if len(g.listeners) < 2 {
 		return ""
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestRequestsSucceed(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
+	tg := newTestGateway(t, serverConfig(0), serverConfig(1))
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Add(1)
@@ -28,11 +28,11 @@
 	tg.checkRules()
 }
 
-// Servers accept requests and never respond: a request with an idempotency key is answered once and in time, and is not
-// retried after its window; one that must not be repeated fails, and is never rejected.
+// Servers accept requests and never respond. A request with an idempotency key is answered once and in time, and is not
+// retried after its window. A non-idempotent request fails and is never rejected.
 func TestSilentServers(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0), serverOptions(1))
-	for i := range 20 { // the balancer learns the usual times
+	tg := newTestGateway(t, serverConfig(0), serverConfig(1))
+	for i := range 20 { // the balancer learns the execution times
 		tg.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range tg.servers {
@@ -57,28 +57,28 @@
 	}
 }
 
-// Responses and deadlines that meet within a millisecond leave one answer each.
+// Each request gets exactly one answer if its response arrives within a millisecond of its deadline.
 func TestResponseMeetsDeadline(t *testing.T) {
-	m := serverOptions(0)
-	m.ExecutionTime, m.Cores, m.Lanes = 50*time.Millisecond, 200, 200
-	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", m) // so that the delays of a busy machine do not count
+	server := serverConfig(0)
+	server.ExecutionTime, server.Cores, server.Lanes = 50*time.Millisecond, 200, 200
+	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 200ms\n", server) // larger than the delays of a busy machine
 	tg.call("first", "forecast-1", 2*time.Second)
 	var wg sync.WaitGroup
 	for i := range 100 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			// Execution takes 30 to 70 ms; 200 ms are kept free for the answer's way.
+			// Execution takes 30 to 70 ms. The timeouts less the answer margin of 200 ms cover the same range.
 			tg.call(fmt.Sprint(i), "forecast-1", 230*time.Millisecond+time.Duration(i)*400*time.Microsecond)
 		}()
 	}
 	wg.Wait()
 	if v := tg.checkRules(); v.Succeeded == 0 || v.Rejected == 0 {
-		t.Errorf("not both outcomes occurred: %+v", v)
+		t.Errorf("want both successes and rejections: %+v", v)
 	}
 }
 
-// Ids are the same in every router and in every version: recordings and histories name functions by them.
+// Function ids are the same in every router and every version: recordings and histories identify functions by them.
 func TestFunctionIDsAreKeyed(t *testing.T) {
 	for _, c := range []struct {
 		key, name string
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -65,7 +65,7 @@
 lanes = 2
 `
 
-// testGateway is a running gateway with fake servers, and a log of all that happens at both.
+// testGateway is a running gateway with fake servers, and a log of what happens at both.
 type testGateway struct {
 	t            *testing.T
 	gateway      *Gateway
@@ -76,32 +76,32 @@
 	ended        chan error
 }
 
-// serverOptions returns the options of a fake server with a number.
-func serverOptions(n int) fakeserver.Config {
+// serverConfig returns the configuration of the n-th fake server.
+func serverConfig(n int) fakeserver.Config {
 	return fakeserver.Config{Number: n, MaxReplicas: 20, Lanes: 2, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 50, LoadTime: 5 * time.Millisecond,
 		MaxLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
 }
 
-// newTestGateway starts a gateway with fake servers, which the test's end stops.
+// newTestGateway starts a gateway with fake servers. All are stopped at the end of the test.
 func newTestGateway(t *testing.T, servers ...fakeserver.Config) *testGateway {
 	t.Helper()
 	return newTestGatewayWith(t, "", servers...)
 }
 
-// newTestGatewayWith starts one with further sections of settings.
+// newTestGatewayWith starts a gateway with additional sections in its INI file.
 func newTestGatewayWith(t *testing.T, sections string, servers ...fakeserver.Config) *testGateway {
 	t.Helper()
 	return newTestGatewayConfigured(t, sections, func(*Config) {}, servers...)
 }
 
-// newTestGatewayConfigured starts one whose configuration is changed besides.
+// newTestGatewayConfigured starts a gateway with additional sections and further changes to its configuration.
 func newTestGatewayConfigured(t *testing.T, sections string, change func(*Config), servers ...fakeserver.Config) *testGateway {
 	t.Helper()
 	tg := &testGateway{t: t, log: invariant.NewLog(), endpointFile: filepath.Join(t.TempDir(), "workers.ini"), ended: make(chan error, 1)}
 	store := fakeserver.NewStore(time.Millisecond, 8)
 	states := make([]string, len(servers))
-	for i, m := range servers {
-		s := fakeserver.New(m, store, tg.log)
+	for i, server := range servers {
+		s := fakeserver.New(server, store, tg.log)
 		if err := s.Start(false); err != nil {
 			t.Fatal(err)
 		}
@@ -109,11 +109,11 @@
 		states[i] = "ready"
 	}
 	tg.writeEndpoints(states...)
-	in, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings+sections, tg.endpointFile))
+	file, err := inifile.Parse("test.ini", fmt.Appendf(nil, testSettings+sections, tg.endpointFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, err := ParseConfig(in)
+	config, err := ParseConfig(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 	}
 }
 
-// call sends one request, logs it and its response, and returns how it was answered.
-func (tg *testGateway) call(job, function string, limit time.Duration) string {
+// call sends one request, logs it and its response, and returns the kind of answer.
+func (tg *testGateway) call(id, function string, timeout time.Duration) string {
 	ctx := context.Background()
 	client, err := rest.Dial(ctx, tg.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
@@ -174,11 +174,11 @@
 	}
 	defer client.Close()
 	workload, _, _ := strings.Cut(function, "-")
-	rec := invariant.Record{Kind: invariant.RequestSent, Request: job, Effect: job, Workload: workload, Deadline: tg.log.Now() + limit.Microseconds()}
+	rec := invariant.Record{Kind: invariant.RequestSent, Request: id, Effect: id, Workload: workload, Deadline: tg.log.Now() + timeout.Microseconds()}
 	tg.log.Add(rec)
-	resp, _, err := client.Do(inferRequest(job, function, limit), time.Now().Add(limit+500*time.Millisecond))
+	resp, _, err := client.Do(inferRequest(id, function, timeout), time.Now().Add(timeout+500*time.Millisecond))
 	if err != nil {
-		tg.t.Errorf("request %s: %v", job, err)
+		tg.t.Errorf("request %s: %v", id, err)
 		return ""
 	}
 	rec.Kind, rec.Detail = invariant.ResponseReceived, gjson.GetBytes(resp.Body, "answer").Str
@@ -190,26 +190,26 @@
 }
 
 // inferRequest returns an inference request with an id and a timeout.
-func inferRequest(job, function string, limit time.Duration) *rest.Request {
+func inferRequest(id, function string, timeout time.Duration) *rest.Request {
 	return &rest.Request{Method: "POST", Target: "/v2/models/" + function + "/infer", Header: rest.Header{"Host": {"test"}},
-		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[]}`, job, limit.Microseconds(), job)}
+		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[]}`, id, timeout.Microseconds(), id)}
 }
 
-// checkRules fails the test for each violation of a rule that the log shows.
+// checkRules fails the test for each rule violation in the log.
 func (tg *testGateway) checkRules() *invariant.Report {
 	tg.t.Helper()
-	v := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
+	report := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
 		Classes: map[string]invariant.Class{"ticket": {NonIdempotent: true},
 			"booking": {IdempotentByKey: true, Scope: "fleet", Window: 600_000}}}, tg.log.Records())
-	for _, r := range v.Rules {
+	for _, r := range report.Rules {
 		for _, b := range r.Violations {
 			tg.t.Errorf("rule %d: %s", r.Number, b)
 		}
 	}
-	return v
+	return report
 }
 
-// exchange carries one call on a new connection to the first server.
+// exchange sends one call on a new connection to the first server.
 func (tg *testGateway) exchange(call *serverCall) callResult {
 	sc := &serverConn{gateway: tg.gateway, address: tg.servers[0].Address()}
 	defer func() {
@@ -221,7 +221,7 @@
 	return sc.exchange(call)
 }
 
-// listenRaw starts a server that hands each connection, with its number, to a function.
+// listenRaw starts a TCP server that passes each connection and its number to a function.
 func listenRaw(t *testing.T, f func(n int, nc *net.TCPConn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -259,9 +259,9 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// inferText returns an inference request as bytes.
-func inferText(job, function string) string {
-	body := fmt.Sprintf(`{"id":%q,"inputs":[]}`, job)
+// inferText returns the text of an inference request.
+func inferText(id, function string) string {
+	body := fmt.Sprintf(`{"id":%q,"inputs":[]}`, id)
 	return fmt.Sprintf("POST /v2/models/%s/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", function, len(body), body)
 }
 
@@ -272,10 +272,10 @@
 	return <-counted
 }
 
-// received returns how many attempts of a request the servers have received.
-func (tg *testGateway) received(job string) (n int) {
+// attemptsReceived returns how many attempts of a request the servers have received.
+func (tg *testGateway) attemptsReceived(id string) (n int) {
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.AttemptReceived && r.Request == job {
+		if r.Kind == invariant.AttemptReceived && r.Request == id {
 			n++
 		}
 	}
@@ -308,15 +308,15 @@
 	return lines, nil
 }
 
-// callWithKey sends a request with an idempotency key and returns how it was answered.
-func (tg *testGateway) callWithKey(job, function, key string) string {
+// callWithKey sends a request with an idempotency key and returns the kind of answer.
+func (tg *testGateway) callWithKey(id, function, key string) string {
 	tg.t.Helper()
 	client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 	if err != nil {
 		tg.t.Fatal(err)
 	}
 	defer client.Close()
-	msg := inferRequest(job, function, time.Second)
+	msg := inferRequest(id, function, time.Second)
 	msg.Header[kserve.RepeatMark] = []string{key}
 	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 	if err != nil {
@@ -328,18 +328,19 @@
 	return gjson.GetBytes(resp.Body, "answer").Str
 }
 
-// attemptsBegun returns how many attempts of a request a server has begun to execute, or all servers for -1.
-func (tg *testGateway) attemptsBegun(job string, server int) int {
+// attemptsStarted returns how many attempts of a request a server has started to execute; -1 counts all servers.
+func (tg *testGateway) attemptsStarted(id string, server int) int {
 	n := 0
 	for _, r := range tg.log.Records() {
-		if r.Kind == invariant.AttemptStarted && r.Request == job && (server < 0 || r.Server == server) {
+		if r.Kind == invariant.AttemptStarted && r.Request == id && (server < 0 || r.Server == server) {
 			n++
 		}
 	}
 	return n
 }
 
-// newCall returns an attempt that is chosen in the next step, from an endpoint list that stays fresh.
+// newCall returns an attempt that is chosen in the next step. It is not dropped because of an old endpoint list or an
+// old check of its client.
 func (tg *testGateway) newCall(address string, timeout time.Duration) *serverCall {
 	chosen := make(chan *serverCall)
 	tg.gateway.loop.Post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(timeout)) })
@@ -351,29 +352,29 @@
 	return call
 }
 
-// timeoutTolerance is by how much the timeout that an attempt states may differ from what its client has left.
+// timeoutTolerance is the maximum difference between an attempt's timeout header and the time that its client has left.
 const timeoutTolerance = 150 * time.Millisecond
 
-// statedTimeout is an attempt as a server receives it: when, and with which timeout.
-type statedTimeout struct {
+// receivedAttempt is the time at which a server received an attempt, and the attempt's timeout header.
+type receivedAttempt struct {
 	receivedAt time.Time
 	timeout    time.Duration
 }
 
-// recordingServer starts a server that reports the attempts that it receives, and takes its time for the next one if slow
-// is set.
-func recordingServer(t *testing.T, slow *atomic.Int64) (address string, attempts chan statedTimeout) {
-	attempts = make(chan statedTimeout, 64)
+// startRecordingServer starts a server that reports the attempts that it receives. If nextDelay is set, the server
+// delays its next response by that many nanoseconds.
+func startRecordingServer(t *testing.T, nextDelay *atomic.Int64) (address string, attempts chan receivedAttempt) {
+	attempts = make(chan receivedAttempt, 64)
 	return listenRaw(t, func(_ int, nc *net.TCPConn) {
 		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
 		msg, err := client.ReadRequest()
 		if err != nil {
 			return
 		}
-		if strings.HasSuffix(msg.Target, "/infer") { // else it is a load command
+		if strings.HasSuffix(msg.Target, "/infer") { // otherwise it is a load command
 			ms, _ := strconv.Atoi(msg.Header.Get(kserve.TimeoutHeader))
-			attempts <- statedTimeout{time.Now(), time.Duration(ms) * time.Millisecond}
-			time.Sleep(time.Duration(slow.Swap(0)))
+			attempts <- receivedAttempt{time.Now(), time.Duration(ms) * time.Millisecond}
+			time.Sleep(time.Duration(nextDelay.Swap(0)))
 		}
 		client.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`), Close: true})
 	}), attempts
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -9,13 +9,13 @@
 	"hollymast/internal/record"
 )
 
-// HistoryFile is the name of the history's file in the folder of learned state.
+// HistoryFile is the name of the history file in the folder for learned state.
 const HistoryFile = "history.db"
 
-// historyInterval is how often the history is written: what a killed router loses of it.
+// historyInterval is the interval at which the history is written. A router that is killed loses that much of it.
 const historyInterval = 10 * time.Second
 
-// tenantName returns a tenant's name; empty for one without a quota.
+// tenantName returns a tenant's name, or "" for a tenant without a quota.
 func (c *Config) tenantName(id control.TenantID) string {
 	if int(id) < len(c.TenantNames) {
 		return c.TenantNames[id]
@@ -23,8 +23,8 @@
 	return ""
 }
 
-// historySubject returns the function and tenant that the history counts a request for; with a name key, the function
-// only by its id.
+// historySubject returns the function and tenant under which the history counts a request. With a name key, the
+// function is identified by its id instead of its name.
 func (g *Gateway) historySubject(req *request) history.Subject {
 	subject := history.Subject{Function: req.function, Tenant: g.config.tenantName(req.tenant)}
 	if g.config.NameKey != "" {
@@ -34,10 +34,10 @@
 }
 
 // keepsHistory reports whether a history is kept.
-func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyTally != nil }
+func (g *Gateway) keepsHistory() bool { return g.state != nil && g.state.historyCollector != nil }
 
-// historyAnswered counts a request's final answer.
-func (g *Gateway) historyAnswered(req *request, answer finalAnswer) {
+// recordAnswerInHistory counts a request's final answer, and whether it met the latency objective.
+func (g *Gateway) recordAnswerInHistory(req *request, answer finalAnswer) {
 	if !g.keepsHistory() {
 		return
 	}
@@ -48,19 +48,19 @@
 	case answerRejected:
 		action = control.Reject
 	}
-	g.state.historyTally.RequestDone(g.loop.StepTime, g.historySubject(req), action, g.loop.StepTime > req.objectiveAt)
+	g.state.historyCollector.RequestDone(g.loop.StepTime, g.historySubject(req), action, g.loop.StepTime > req.objectiveAt)
 }
 
-// historyAttempt counts the end of an attempt.
-func (g *Gateway) historyAttempt(now control.Micros, req *request, outcome control.Outcome) {
+// recordAttemptInHistory counts the end of an attempt.
+func (g *Gateway) recordAttemptInHistory(now control.Micros, req *request, outcome control.Outcome) {
 	if g.keepsHistory() {
-		g.state.historyTally.AttemptEnded(now, g.historySubject(req), outcome)
+		g.state.historyCollector.AttemptEnded(now, g.historySubject(req), outcome)
 	}
 }
 
-// historyLoadCommand counts a load command for a request's function.
-func (g *Gateway) historyLoadCommand(req *request) {
+// recordLoadCommandInHistory counts a load command for a request's function.
+func (g *Gateway) recordLoadCommandInHistory(req *request) {
 	if g.keepsHistory() {
-		g.state.historyTally.LoadCommanded(g.loop.StepTime, g.historySubject(req))
+		g.state.historyCollector.LoadCommanded(g.loop.StepTime, g.historySubject(req))
 	}
 }
--- a/internal/gateway/history_test.go
+++ b/internal/gateway/history_test.go
@@ -14,10 +14,10 @@
 	"hollymast/internal/invariant"
 )
 
-// A router that stops has written its history, each request counted once.
+// A router writes its history before it stops, with each request counted once.
 func TestHistory(t *testing.T) {
 	dir := t.TempDir()
-	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverOptions(0), serverOptions(1))
+	tg := newTestGatewayWith(t, stateSection(dir)+"[tenant laundry]\nshare = 100\n", serverConfig(0), serverConfig(1))
 	for i := range 30 {
 		if answer := tg.call(fmt.Sprint(i), "forecast-1", time.Second); answer != invariant.Succeeded {
 			t.Fatal(answer)
@@ -46,29 +46,29 @@
 	}
 }
 
-// What could not be written to the history for a while is written once it can be, each request once; a file that looks
-// damaged for a moment is not set aside.
+// Batches that can't be written are written later, each exactly once. A file that only looks damaged for a moment is
+// not set aside; one that stays damaged is.
 func TestHistoryOnFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), HistoryFile)
-	var said strings.Builder
-	o := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&said)}
+	var logs strings.Builder
+	writer := historyWriter{store: history.NewStore(path, 1e6), log: zerolog.New(&logs)}
 	now := int64(1_800_000_000_000_000)
 	rows := func() []history.Row {
 		return []history.Row{{At: now / history.Minute * history.Minute, Subject: history.Subject{Function: "f"}, Usage: history.Usage{Requests: 1}}}
 	}
 	write := func() {
 		now += 10_000_000
-		o.write(rows(), now)
+		writer.write(rows(), now)
 	}
 	write()
-	for _, bad := range []func() error{
+	for _, breakFile := range []func() error{
 		func() error { return os.Mkdir(path, 0o700) },
 		func() error { return os.WriteFile(path, []byte("not to be read just now"), 0o600) },
 	} {
 		if err := os.Rename(path, path+".well"); err != nil {
 			t.Fatal(err)
 		}
-		if err := bad(); err != nil {
+		if err := breakFile(); err != nil {
 			t.Fatal(err)
 		}
 		for range maxDamagedWrites - 1 {
@@ -83,12 +83,12 @@
 		write()
 	}
 	requests := int64(0)
-	err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests += r.Requests; return nil })
-	if want := int64(1 + 2*maxDamagedWrites); err != nil || requests != want || len(o.batches) != 0 {
-		t.Errorf("%d requests of %d, %d batches wait, %v", requests, want, len(o.batches), err)
+	err := writer.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests += r.Requests; return nil })
+	if want := int64(1 + 2*maxDamagedWrites); err != nil || requests != want || len(writer.batches) != 0 {
+		t.Errorf("%d requests of %d, %d batches queued, %v", requests, want, len(writer.batches), err)
 	}
-	if n, m := strings.Count(said.String(), "can't be written"), strings.Count(said.String(), "is written again"); n != 2 || m != 2 || strings.Contains(said.String(), "aside") {
-		t.Errorf("said %d and %d times: %s", n, m, said.String())
+	if failedCount, recoveredCount := strings.Count(logs.String(), "can't be written"), strings.Count(logs.String(), "is written again"); failedCount != 2 || recoveredCount != 2 || strings.Contains(logs.String(), "aside") {
+		t.Errorf("failure logged %d times, recovery %d times: %s", failedCount, recoveredCount, logs.String())
 	}
 	if err := os.WriteFile(path, []byte("rubbish for good"), 0o600); err != nil {
 		t.Fatal(err)
@@ -96,13 +96,13 @@
 	for range maxDamagedWrites {
 		write()
 	}
-	if err := o.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests -= r.Requests; return nil }); err != nil || requests != 1+maxDamagedWrites {
-		t.Errorf("%d requests more in a new one, %v", requests, err)
+	if err := writer.store.Read(0, 1<<60, func(_ history.Level, r history.Row) error { requests -= r.Requests; return nil }); err != nil || requests != 1+maxDamagedWrites {
+		t.Errorf("%d more requests in the new file, %v", requests, err)
 	}
 	for range 40 {
-		o.batches = append(o.batches, historyBatch{1, make([]history.Row, 1000)})
+		writer.batches = append(writer.batches, historyBatch{1, make([]history.Row, 1000)})
 	}
-	if o.dropOldest(); len(o.batches) > maxQueuedRows/1000 {
-		t.Errorf("%d batches wait", len(o.batches))
+	if writer.dropOldest(); len(writer.batches) > maxQueuedRows/1000 {
+		t.Errorf("%d batches queued", len(writer.batches))
 	}
 }
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -10,30 +10,31 @@
 	"hollymast/internal/history"
 )
 
-// historyWriter writes the history, and queues what can't be written for a while.
+// historyWriter writes the history, and queues batches while they can't be written.
 type historyWriter struct {
 	store        *history.Store
 	log          zerolog.Logger
 	batches      []historyBatch
-	damagedCount int // consecutive writes that found the file damaged
-	failed       bool
+	damagedCount int  // consecutive writes that failed because the file is damaged
+	failed       bool // the last write failed
 }
 
-// historyBatch is rows to be added once.
+// historyBatch is a group of rows that must be added exactly once.
 type historyBatch struct {
-	number uint64 // by which the store recognizes a batch that it has already
-	rows   []history.Row
+	id   uint64 // lets the store recognize a batch that it already has
+	rows []history.Row
 }
 
 const (
-	// maxQueuedRows is some 16 minutes of as many functions as have rows of their own: 8 MB.
+	// maxQueuedRows is the number of rows from about 16 minutes with the maximum number of functions that have their
+	// own rows, about 8 MB.
 	maxQueuedRows = 1 << 14
-	// maxDamagedWrites is how often a file must be found damaged, historyInterval apart, before it is set aside: a disk
-	// that can't be read for a moment looks the same.
+	// maxDamagedWrites is how many consecutive writes, historyInterval apart, must find the file damaged before it is
+	// set aside: a disk that can't be read for a moment looks the same.
 	maxDamagedWrites = 3
 )
 
-// write adds rows, after those that are queued.
+// write adds rows to the history after the queued ones.
 func (w *historyWriter) write(rows []history.Row, now int64) {
 	w.batches = append(w.batches, historyBatch{uint64(now), rows})
 	err := w.drain(now)
@@ -41,14 +42,14 @@
 		w.damagedCount = 0
 	}
 	if w.damagedCount >= maxDamagedWrites {
-		w.log.Error().Err(err).Msg("history file is damaged: set aside, a new one is begun")
+		w.log.Error().Err(err).Msg("history file is damaged: set aside, starting a new one")
 		if err = w.store.Quarantine(now); err == nil {
 			err = w.drain(now)
 		}
 	}
 	switch {
 	case err != nil && !w.failed:
-		w.log.Error().Err(err).Msg("history can't be written: retried, further failures are not logged")
+		w.log.Error().Err(err).Msg("history can't be written: retrying, further failures are not logged")
 	case err == nil && w.failed:
 		w.log.Info().Msg("history is written again")
 	}
@@ -56,10 +57,10 @@
 	w.dropOldest()
 }
 
-// drain writes the queued batches, oldest first, until one fails.
+// drain writes the queued batches, oldest first, until a write fails.
 func (w *historyWriter) drain(now int64) error {
 	for len(w.batches) > 0 {
-		if err := w.store.AddOnce(w.batches[0].rows, now, w.batches[0].number); err != nil {
+		if err := w.store.AddOnce(w.batches[0].rows, now, w.batches[0].id); err != nil {
 			return err
 		}
 		w.batches = w.batches[1:]
@@ -78,27 +79,27 @@
 	}
 }
 
-// runHistory writes the history at an interval until the last step, and then once more.
+// runHistory writes the history periodically until the last step, and then once more.
 func (keeper *stateKeeper) runHistory(g *Gateway) {
 	defer close(keeper.historyClosed)
 	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
-	taken := make(chan *history.Batch, 1)
+	batches := make(chan *history.Batch, 1)
 	writer := historyWriter{store: keeper.history, log: keeper.log}
 	write := func(batch *history.Batch) { writer.write(batch.Rows(), int64(g.loop.Now())) }
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(control.Micros) {
-				if len(taken) == 0 { // else the disk is behind, and the counts stay in the tally
-					taken <- keeper.historyTally.Drain()
+				if len(batches) == 0 { // otherwise the disk is slow, and the counts stay in the collector
+					batches <- keeper.historyCollector.Drain()
 				}
 			})
-		case batch := <-taken:
+		case batch := <-batches:
 			write(batch)
 		case <-g.loopEnded:
 			select {
-			case batch := <-taken:
+			case batch := <-batches:
 				write(batch)
 			default:
 			}
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -11,8 +11,8 @@
 	"hollymast/kserve"
 )
 
-// journalRefusal returns why a request with a journal key can't be accepted, or the empty string: a retry of it could
-// not be told from a new request.
+// journalRefusal returns why a request with a journal key can't be accepted, or "" if it can. Without a working
+// journal, a retry could not be distinguished from a new request.
 func (g *Gateway) journalRefusal(now control.Micros, key persistence.IdempotencyKey) string {
 	switch {
 	case key == 0:
@@ -24,8 +24,8 @@
 	return ""
 }
 
-// journalKey returns the journal's key for a client's request; 0 if a retry of it is harmless, or could not be told for
-// one.
+// journalKey returns the journal's key for a client's request. It is 0 if the request is idempotent, so that a retry
+// does no harm, or has no idempotency key, so that a retry can't be recognized.
 func (c *Config) journalKey(function string, params kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
 	if params.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
 		return 0
@@ -33,10 +33,10 @@
 	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
 }
 
-// unknownPlace is the zone and cell of an earlier attempt whose server is not known any more: those of no server.
-const unknownPlace = 1<<16 - 1
+// unknownLocality is the zone and cell of an earlier attempt whose server is not known any more. No server has it.
+const unknownLocality = 1<<16 - 1
 
-// earlierAttempts returns the attempts of a request that may have run, as far as the journal knows.
+// earlierAttempts returns the attempts of a request that may have run according to the journal.
 func (g *Gateway) earlierAttempts(now control.Micros, key persistence.IdempotencyKey) []control.Attempt {
 	if g.state == nil || key == 0 {
 		return nil
@@ -44,7 +44,7 @@
 	var attempts []control.Attempt
 	for _, sent := range g.state.keys.MayHaveRun(now, key) {
 		earlier := control.Attempt{
-			Server: sent.Server, Zone: unknownPlace, Cell: unknownPlace, SentAt: sent.At, Done: true, MayHaveRun: true,
+			Server: sent.Server, Zone: unknownLocality, Cell: unknownLocality, SentAt: sent.At, Done: true, MayHaveRun: true,
 		}
 		if server := g.fleet.Get(sent.Server); server != nil {
 			earlier.Zone, earlier.Cell = server.Zone, server.Cell
@@ -54,30 +54,30 @@
 	return slices.Clip(attempts)
 }
 
-// admittedInterval is for how long admitted requests are counted together before the journal learns of them, in
-// microseconds: a small part of the load rate's window.
-const admittedInterval = 200_000
+// admissionJournalInterval is how long admitted requests are counted before the count is written to the journal, in
+// microseconds. It is a small part of the load rate's window.
+const admissionJournalInterval = 200_000
 
-// countAdmitted counts an admitted request for the limit on load commands, which must outlast a restart.
+// countAdmitted counts an admitted request for the rate limit on load commands, whose state must survive a restart.
 func (g *Gateway) countAdmitted(now control.Micros) {
 	keeper := g.state
 	if keeper == nil || g.config.Deployment.LoadRateWindow == 0 {
 		return
 	}
-	if keeper.admitted > 0 && now > keeper.admittedSince+admittedInterval {
+	if keeper.unjournaledAdmissions > 0 && now > keeper.unjournaledSince+admissionJournalInterval {
 		keeper.Append(persistence.Entry{
-			Kind: persistence.EntryAdmitted, At: keeper.admittedSince, Key: persistence.IdempotencyKey(keeper.admitted),
+			Kind: persistence.EntryAdmitted, At: keeper.unjournaledSince, Key: persistence.IdempotencyKey(keeper.unjournaledAdmissions),
 		})
-		keeper.admitted = 0
+		keeper.unjournaledAdmissions = 0
 	}
-	if keeper.admitted == 0 {
-		keeper.admittedSince = now
+	if keeper.unjournaledAdmissions == 0 {
+		keeper.unjournaledSince = now
 	}
-	keeper.admitted++
+	keeper.unjournaledAdmissions++
 }
 
-// journalAttempt writes an attempt to the journal if a restarted router must know of it, and returns the batch that its
-// first byte must wait for, or nil.
+// journalAttempt appends an attempt to the journal if a restarted router must know of it. It returns the batch that
+// must be written before the attempt's first byte, or nil.
 func (g *Gateway) journalAttempt(key persistence.IdempotencyKey, to control.ServerID) *persistence.Batch {
 	if g.state == nil {
 		return nil
@@ -96,7 +96,7 @@
 	return g.state.Append(entries...)
 }
 
-// journalNotRun writes to the journal that an attempt did not run.
+// journalNotRun appends to the journal that an attempt did not run.
 func (g *Gateway) journalNotRun(key persistence.IdempotencyKey, to control.ServerID) {
 	if g.state != nil && key != 0 {
 		g.state.keys.RemoveNotRun(key, to)
@@ -104,16 +104,17 @@
 	}
 }
 
-// awaitJournal waits until the journal holds a call: an attempt with a key on the disk itself, what counts for seconds
-// only with the kernel. It waits also while the journal fails, since what is sent without it is not known after a kill.
-// It returns false if the call was withdrawn meanwhile, if the disk stalled or failed for too long, or if too much waits
-// for it.
+// awaitJournal waits until a call is in the journal. An attempt with a journal key must be as durable as the sync
+// policy promises. For other entries, which matter for seconds only, it is enough that they were handed to the kernel.
+// It also waits while the journal fails, since a router that is killed would not know of what it sent unjournaled. It
+// returns false if the call is withdrawn meanwhile, if the disk stalls or fails for too long, or if the journal has too
+// much pending.
 func (call *serverCall) awaitJournal(now control.Micros) bool {
 	batch := call.journalBatch
 	if batch == nil {
 		return true
 	}
-	// A disk that stalls for longer: then the endpoint list is too old as well, or the deadline has passed.
+	// A longer wait is useless: by then the endpoint list is too old or the deadline has passed.
 	wait := attempt.JournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
 	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -22,11 +22,12 @@
 	"hollymast/kserve"
 )
 
-// The attempts of an earlier incarnation count as if this one had begun them: a journal stands for the one that was killed.
+// Attempts of an earlier incarnation count like those of this one. The test writes the journal that a killed
+// incarnation would have left.
 func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
 	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
+	journalKey := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
 		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
@@ -36,13 +37,13 @@
 	now := control.Micros(time.Now().UnixMicro())
 	elsewhere := fleet.ID("127.0.0.1:9")
 	j.Append(
-		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "sent", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.EntryNotRun, At: now, Key: mark("ticket-1", "proved", 2), Server: elsewhere},
-		persistence.Entry{Kind: persistence.EntryAttempt, At: now - 1_000_000, Key: mark("booking-1", "late", 1), Server: elsewhere},
-		persistence.Entry{Kind: persistence.EntryAttempt, At: now + 3_600_000_000, Key: mark("booking-1", "clock set back", 1), Server: elsewhere})
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: journalKey("ticket-1", "sent", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: journalKey("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryNotRun, At: now, Key: journalKey("ticket-1", "proved", 2), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now - 1_000_000, Key: journalKey("booking-1", "late", 1), Server: elsewhere},
+		persistence.Entry{Kind: persistence.EntryAttempt, At: now + 3_600_000_000, Key: journalKey("booking-1", "clock set back", 1), Server: elsewhere})
 	j.Close()
-	tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1))
+	tg := newTestGatewayWith(t, stateSection(dir), serverConfig(0), serverConfig(1))
 	for i, c := range []struct {
 		function, mark, want string
 		attempts             int
@@ -50,22 +51,22 @@
 		{"ticket-1", "sent", invariant.Failed, 0},
 		{"ticket-1", "proved", invariant.Succeeded, 1},
 		{"ticket-1", "new", invariant.Succeeded, 1},
-		{"ticket-1", "new", invariant.Failed, 0}, // again in the same incarnation
+		{"ticket-1", "new", invariant.Failed, 0}, // a retry within this incarnation
 		{"ticket-2", "sent", invariant.Succeeded, 1},
-		{"booking-1", "late", invariant.Rejected, 0}, // its window is over, so it is not attempted again
+		{"booking-1", "late", invariant.Rejected, 0}, // its retry window has passed
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		job := fmt.Sprint("job-", i)
-		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsBegun(job, -1) != c.attempts {
-			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsBegun(job, -1), c.want, c.attempts)
+		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsStarted(job, -1) != c.attempts {
+			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsStarted(job, -1), c.want, c.attempts)
 		}
 	}
 }
 
-// A request with a key is rejected, and runs nowhere, while the journal stalls or after it was closed.
+// A request with an idempotency key is rejected and does not run while the journal stalls or after it was closed.
 func TestRequestsWithoutJournal(t *testing.T) {
-	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverOptions(0))
-	set := func(j *persistence.Journal) (old *persistence.Journal) {
+	tg := newTestGatewayWith(t, stateSection(filepath.Join(t.TempDir(), "m")), serverConfig(0))
+	setJournal := func(j *persistence.Journal) (old *persistence.Journal) {
 		done := make(chan bool)
 		tg.gateway.loop.Post(func(control.Micros) {
 			old, tg.gateway.state.Journal = tg.gateway.state.Journal, j
@@ -74,21 +75,21 @@
 		<-done
 		return old
 	}
-	old := set(&persistence.Journal{}) // no round of it ever ends
-	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsBegun("still", -1) > 0 {
-		t.Errorf("got %s with %d attempts", got, tg.attemptsBegun("still", -1))
+	old := setJournal(&persistence.Journal{}) // its batches never complete
+	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsStarted("still", -1) > 0 {
+		t.Errorf("got %s with %d attempts", got, tg.attemptsStarted("still", -1))
 	}
-	set(old)
+	setJournal(old)
 	old.Close()
-	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsBegun("failing", -1) > 0 {
-		t.Errorf("got %s with %d attempts", got, tg.attemptsBegun("failing", -1))
+	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsStarted("failing", -1) > 0 {
+		t.Errorf("got %s with %d attempts", got, tg.attemptsStarted("failing", -1))
 	}
 	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
-		t.Errorf("unmarked: got %s", got)
+		t.Errorf("without a key: got %s", got)
 	}
 }
 
-// fullDisk is the operating system's file system, which fails while it is full.
+// fullDisk is the operating system's file system, except that operations fail while full is set.
 type fullDisk struct {
 	persistence.OSFileSystem
 	full atomic.Bool
@@ -129,17 +130,17 @@
 	return f.File.Sync()
 }
 
-// The wall clock is stepped between two incarnations, in one boot: a request that must not be repeated and may have run
-// stays known for its time, and the window of one with an idempotency key is one of real time. What was sent before another
-// boot is beyond every window, and is known as well.
+// The wall clock is stepped between two incarnations. Within one boot, a non-idempotent request that may have run stays
+// known for the retention time, and the window of a request with an idempotency key is measured in real time. Attempts
+// from before a reboot are known too, but are outside every window.
 func TestRetriesAfterClockStep(t *testing.T) {
 	const hour = 3_600_000_000
 	for _, c := range []struct {
-		name     string
-		step     control.Micros // of the wall clock since
-		boot     bool           // again since
-		booking  string
-		attempts int
+		name          string
+		clockStep     control.Micros // step of the wall clock between the incarnations
+		rebooted      bool           // rebooted between the incarnations
+		bookingAnswer string
+		attempts      int
 	}{
 		{"ahead", hour, false, invariant.Succeeded, 1}, {"back", -hour, false, invariant.Succeeded, 1}, {"by seconds", 5_000_000, false, invariant.Succeeded, 1},
 		{"not at all", 0, false, invariant.Succeeded, 1}, {"another boot", 0, true, invariant.Rejected, 0}, {"another boot, ahead", hour, true, invariant.Rejected, 0},
@@ -147,9 +148,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
-			now := control.Micros(time.Now().UnixMicro()) - c.step
+			now := control.Micros(time.Now().UnixMicro()) - c.clockStep
 			clock := persistence.ReadClock(now)
-			if c.boot {
+			if c.rebooted {
 				clock.BootID++
 			}
 			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
@@ -161,48 +162,48 @@
 			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
 				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
-			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
-				booking, _ := t.MatchFunction("booking-1")
-				t.Deployment.Classes[booking.Class].Window = 60_000_000
-			}, serverOptions(0), serverOptions(1))
-			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
-				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsBegun("booking", -1))
+			tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) {
+				booking, _ := c.MatchFunction("booking-1")
+				c.Deployment.Classes[booking.Class].Window = 60_000_000
+			}, serverConfig(0), serverConfig(1))
+			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.bookingAnswer || tg.attemptsStarted("booking", -1) != c.attempts {
+				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsStarted("booking", -1))
 			}
-			waitUntil(t, "keys were pruned and the state written, once for each of its files", func() bool {
+			waitUntil(t, "the keys are pruned and each state file is written once", func() bool {
 				return !slices.ContainsFunc(persistence.GenerationFiles[:], func(name string) bool {
 					_, err := os.Stat(filepath.Join(dir, name))
 					return err != nil
 				})
 			})
-			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Failed || tg.attemptsBegun("ticket", -1) > 0 {
-				t.Errorf("ticket: got %s with %d attempts", got, tg.attemptsBegun("ticket", -1))
+			if got := tg.callWithKey("ticket", "ticket-1", "sent"); got != invariant.Failed || tg.attemptsStarted("ticket", -1) > 0 {
+				t.Errorf("ticket: got %s with %d attempts", got, tg.attemptsStarted("ticket", -1))
 			}
 		})
 	}
 }
 
-// While the folder fails, a request that must not be repeated is rejected with a time to retry after, and others are
-// served; once the folder works, all are. What ran is known to the next incarnation at any moment, and both metrics count.
+// While the folder fails, non-idempotent requests are rejected with a Retry-After header and others are served. Once it
+// works again, all are served. At any moment the next incarnation would know what ran, and both metrics count.
 func TestRequestsWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{}
-	tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) { c.fileSystem = disk }, serverOptions(0), serverOptions(1))
-	refused := 0
+	tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) { c.fileSystem = disk }, serverConfig(0), serverConfig(1))
+	rejected := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
 		job := fmt.Sprint("job-", i)
 		got := tg.callWithKey(job, "ticket-1", job)
-		switch ran := tg.attemptsBegun(job, -1); {
+		switch ran := tg.attemptsStarted(job, -1); {
 		case got == invariant.Rejected && ran == 0:
-			refused++
+			rejected++
 		case got != invariant.Succeeded || ran != 1:
 			t.Errorf("%s: got %s with %d attempts", job, got, ran)
 		case disk.full.Load():
-			t.Errorf("%s: ran unrecorded", job)
+			t.Errorf("%s: ran without a journal entry", job)
 		}
 		if disk.full.Load() && i%10 == 5 {
 			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
-				t.Errorf("a request that may repeat: %s", got)
+				t.Errorf("an idempotent request: %s", got)
 			}
 			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
@@ -219,28 +220,28 @@
 			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
-					t.Errorf("%s ran, and a next incarnation would not know", job)
+				if tg.attemptsStarted(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
+					t.Errorf("%s ran, but the next incarnation would not know", job)
 				}
 			}
 		}
-		if i%20 == 19 { // until it is tried again
+		if i%20 == 19 { // the journal recovers at its next retry
 			disk.full.Store(false)
 			waitUntil(t, "the journal is written again", func() bool { return !tg.gateway.state.Failing() })
 		}
 	}
-	if refused < 25 {
-		t.Errorf("%d were rejected", refused)
+	if rejected < 25 {
+		t.Errorf("%d were rejected", rejected)
 	}
 	text := string(tg.gateway.metrics.response().Body)
 	for _, name := range []string{"journal_refused_total", "journal_failures_total"} {
 		if !strings.Contains(text, "hollymast_"+name+" ") || strings.Contains(text, "hollymast_"+name+" 0\n") {
-			t.Errorf("%s does not count", name)
+			t.Errorf("%s is not counted", name)
 		}
 	}
 }
 
-// ticketClass returns the class of requests that must not be repeated.
+// ticketClass returns the class of non-idempotent requests.
 func (tg *testGateway) ticketClass() control.ClassID {
 	pattern, _ := tg.gateway.config.MatchFunction("ticket-1")
 	return pattern.Class
@@ -249,21 +250,21 @@
 // keysInJournal returns the keys that another incarnation would know if this one were killed now.
 func (tg *testGateway) keysInJournal(t *testing.T, dir string) *persistence.KeyIndex {
 	t.Helper()
-	copied := t.TempDir()
+	journalCopy := t.TempDir()
 	names, err := filepath.Glob(filepath.Join(dir, "journal-*"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range names { // the memory beside them is being replaced
+	for _, name := range names { // only the journal: the state files beside it are being replaced
 		b, err := os.ReadFile(name)
 		if err == nil {
-			err = os.WriteFile(filepath.Join(copied, filepath.Base(name)), b, 0o600)
+			err = os.WriteFile(filepath.Join(journalCopy, filepath.Base(name)), b, 0o600)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	j, entries, _, err := persistence.OpenJournal(copied, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
+	j, entries, _, err := persistence.OpenJournal(journalCopy, persistence.SyncNever, 1<<40, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,30 +272,30 @@
 	return persistence.ApplyEntries(&control.LearnedState{}, entries, 1<<40, 1000)
 }
 
-// A failing folder is logged when it begins to fail and when it works again, once each. One that fails at the start is no
-// reason to run what an earlier incarnation may have run.
+// The start and the end of a folder's failure are each logged once. If the folder fails when the router starts,
+// requests that an earlier incarnation may have run are not accepted.
 func TestFolderFailsAtStart(t *testing.T) {
-	var said strings.Builder
+	var logs strings.Builder
 	config := &Config{StateDir: t.TempDir(), KeyRetention: 10 * time.Minute, MaxKeys: 10, JournalSync: persistence.SyncGrouped, fileSystem: &fullDisk{}}
 	disk := config.fileSystem.(*fullDisk)
-	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
+	keeper, keysUnknownUntil := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&logs))
 	disk.full.Store(true)
 	for range 3 {
 		failures := keeper.Failures()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
 	}
-	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
+	batch := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
-	<-r.Done()
+	<-batch.Done()
 	keeper.close()
-	if n, m := strings.Count(said.String(), "journal can't be written"), strings.Count(said.String(), "journal is written again"); n != 1 || m != 1 || unknown != 0 {
-		t.Errorf("said %d and %d times, unknown until %d: %s", n, m, unknown, said.String())
+	if failedCount, recoveredCount := strings.Count(logs.String(), "journal can't be written"), strings.Count(logs.String(), "journal is written again"); failedCount != 1 || recoveredCount != 1 || keysUnknownUntil != 0 {
+		t.Errorf("failure logged %d times, recovery %d times, keys unknown until %d: %s", failedCount, recoveredCount, keysUnknownUntil, logs.String())
 	}
 	disk.full.Store(true)
-	keeper, unknown = openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
-	g := &Gateway{config: config, state: keeper, keysUnknownUntil: unknown}
+	keeper, keysUnknownUntil = openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&logs))
+	g := &Gateway{config: config, state: keeper, keysUnknownUntil: keysUnknownUntil}
 	if keeper != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
-		t.Errorf("%v, unknown until %d", keeper, unknown)
+		t.Errorf("%v, keys unknown until %d", keeper, keysUnknownUntil)
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// listenerRole is whom a listener serves.
+// listenerRole says which calls a listener serves.
 type listenerRole uint8
 
 const (
-	clientListener listenerRole = iota // clients' requests
-	adminListener                      // metrics, health and the operators' calls
+	clientListener listenerRole = iota // requests from clients
+	adminListener                      // metrics, health and admin calls
 )
 
-// listenTCP listens on an address, without Multipath TCP: drainListener needs a socket filter, which Linux does not
-// have for that.
+// listenTCP listens on an address without Multipath TCP: drainListener attaches a socket filter, which Linux does not
+// support for Multipath TCP.
 func listenTCP(address string) (net.Listener, error) {
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false)
-	return plain.Listen(context.Background(), "tcp", address)
+	var listenConfig net.ListenConfig
+	listenConfig.SetMultipathTCP(false)
+	return listenConfig.Listen(context.Background(), "tcp", address)
 }
 
 // closeListeners closes all listeners.
@@ -31,14 +31,13 @@
 	}
 }
 
-// maxQueuedConns is how many connections are taken from a listener that closes: a full accept queue, with those in it
-// that have ended.
+// maxQueuedConns is the maximum number of connections accepted from a closing listener: a full accept queue, including
+// connections that have ended already.
 const maxQueuedConns = 1 << 13
 
-// drainListener closes a listener and returns the connections that the kernel has accepted by then. It guards against
-// the reset that closing makes of each of these: their clients may have sent requests already. A filter keeps further
-// connections from beginning before the queue is empty; a client whose SYN it drops finds the port closed with its next
-// one.
+// drainListener closes a listener and returns the connections in its accept queue. Closing it without accepting them
+// would reset them, although their clients may have sent requests already. A socket filter that drops SYN packets keeps
+// new connections out while the queue is emptied; a client whose SYN was dropped is refused when it retransmits.
 func drainListener(l net.Listener) (conns []net.Conn) {
 	defer l.Close()
 	tcp, ok := l.(*net.TCPListener)
@@ -53,14 +52,14 @@
 		filter := unix.SockFprog{Len: uint16(len(dropSYN)), Filter: &dropSYN[0]}
 		unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &filter)
 		for range maxQueuedConns {
-			accepted, _, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+			connFD, _, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err == unix.EINTR || err == unix.ECONNABORTED {
 				continue
 			}
 			if err != nil {
 				return
 			}
-			file := os.NewFile(uintptr(accepted), "client")
+			file := os.NewFile(uintptr(connFD), "client")
 			if conn, err := net.FileConn(file); err == nil {
 				conns = append(conns, conn)
 			}
@@ -70,10 +69,10 @@
 	return conns
 }
 
-// dropSYN drops packets that begin a connection: it loads the byte of flags in the TCP header and tests it for SYN.
+// dropSYN is a socket filter that drops SYN packets: it loads the flags byte of the TCP header and tests the SYN bit.
 var dropSYN = []unix.SockFilter{
 	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: 13},
 	{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: 0x02, Jf: 1},
 	{Code: unix.BPF_RET | unix.BPF_K, K: 0},
-	{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 30}, // the whole packet
+	{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 30}, // accept the whole packet
 }
--- a/internal/gateway/loadreports.go
+++ b/internal/gateway/loadreports.go
@@ -12,33 +12,33 @@
 	"hollymast/internal/xds"
 )
 
-// loadReporter is the source of the load reports that are streamed to a control plane (xds.LoadSource).
+// loadReporter provides the load reports that are streamed to a control plane. It implements xds.LoadSource.
 type loadReporter struct {
-	gateway  *Gateway
-	places   atomic.Pointer[map[string]loadreport.Locality]
-	services atomic.Pointer[map[string]string]
+	gateway    *Gateway
+	localities atomic.Pointer[map[string]loadreport.Locality]
+	services   atomic.Pointer[map[string]string]
 }
 
-// Flush returns the counts since the last call from the event loop. After the last step there are none.
+// Flush returns the counts since the last call; the event loop collects them. After the last step they are empty.
 func (r *loadReporter) Flush(now control.Micros) (report loadreport.Report) {
-	taken := make(chan loadreport.Report, 1)
-	r.gateway.afterStep(func(control.Micros) { taken <- r.gateway.loadTally.Flush(now) })
+	flushed := make(chan loadreport.Report, 1)
+	r.gateway.afterStep(func(control.Micros) { flushed <- r.gateway.loadCollector.Flush(now) })
 	select {
-	case report = <-taken:
+	case report = <-flushed:
 	case <-r.gateway.loopEnded:
 	}
 	return report
 }
 
-// Localities returns the servers' places in the control plane's list, by address.
+// Localities returns the servers' localities in the control plane's endpoint list, by address.
 func (r *loadReporter) Localities() map[string]loadreport.Locality {
-	if places := r.places.Load(); places != nil {
-		return *places
+	if localities := r.localities.Load(); localities != nil {
+		return *localities
 	}
 	return nil
 }
 
-// ServiceNames returns the service names of clusters.
+// ServiceNames returns the service names of the clusters, by cluster.
 func (r *loadReporter) ServiceNames() map[string]string {
 	if services := r.services.Load(); services != nil {
 		return *services
@@ -46,15 +46,15 @@
 	return nil
 }
 
-// update replaces the servers' places and the service names.
+// update replaces the localities and the service names.
 func (r *loadReporter) update(servers []membership.Server, services map[string]string) {
-	places := make(map[string]loadreport.Locality, len(servers))
+	localities := make(map[string]loadreport.Locality, len(servers))
 	for _, s := range servers {
 		if len(s.Clusters) > 0 {
-			places[s.Address] = loadreport.Locality{Cluster: s.Clusters[0], Zone: s.Zone, Cell: s.Cell, Priority: s.Priority}
+			localities[s.Address] = loadreport.Locality{Cluster: s.Clusters[0], Zone: s.Zone, Cell: s.Cell, Priority: s.Priority}
 		}
 	}
-	r.places.Store(&places)
+	r.localities.Store(&localities)
 	r.services.Store(&services)
 }
 
@@ -70,14 +70,14 @@
 	}
 }
 
-// followersLoads is the answer of /router/loads.
-type followersLoads struct {
+// followerLoads is the response body of /router/loads.
+type followerLoads struct {
 	Followers int                        `json:"Followers"`
 	Servers   []loadreport.EndpointStats `json:"Servers"`
 }
 
-// serveFollowersLoads answers with the loads that followers of this router's view report.
-func (g *Gateway) serveFollowersLoads() *rest.Response {
+// serveFollowerLoads answers with the load reports from the followers of this router's view.
+func (g *Gateway) serveFollowerLoads() *rest.Response {
 	if g.view == nil {
 		return errorResponse(409, "no view is served (serve_view)")
 	}
@@ -85,7 +85,7 @@
 	if stats == nil {
 		stats = []loadreport.EndpointStats{}
 	}
-	body, err := json.Marshal(followersLoads{Followers: followers, Servers: stats})
+	body, err := json.Marshal(followerLoads{Followers: followers, Servers: stats})
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,14 +11,14 @@
 	"hollymast/internal/rest"
 )
 
-// metrics are the gateway's metrics. Their names, labels and label values are those that dashboards use.
+// metrics are the gateway's metrics. Dashboards depend on their names, labels and label values.
 type metrics struct {
 	registry           *prometheus.Registry
 	answers            *prometheus.CounterVec // by finalAnswer
 	attempts           *prometheus.CounterVec // by result
 	attemptsByResult   [control.NotLoaded + 1]prometheus.Counter
 	loadCommands       prometheus.Counter
-	loads              prometheus.Counter // attempts that began a load
+	loads              prometheus.Counter // attempts that caused a load
 	lateAnswers        prometheus.Counter
 	connsRejected      prometheus.Counter
 	overloadRejections *prometheus.CounterVec // by kind of overload
@@ -30,7 +30,7 @@
 	stepSeconds        prometheus.Histogram
 }
 
-// newMetrics returns the metrics, registered.
+// newMetrics creates and registers the metrics.
 func newMetrics() *metrics {
 	vector := func(name, label, help string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hollymast_" + name, Help: help}, []string{label})
@@ -43,20 +43,20 @@
 	}
 	m := &metrics{
 		registry:           prometheus.NewRegistry(),
-		answers:            vector("jobs_total", "answer", "Jobs by their final answer."),
-		attempts:           vector("executions_total", "result", "Executions by how they ended."),
-		loadCommands:       counter("orders_total", "Orders to load."),
-		loads:              counter("loads_total", "Executions that began a load."),
-		lateAnswers:        counter("late_answers_total", "Answers dropped because their job had its final answer."),
-		connsRejected:      counter("connections_turned_away_total", "Client connections beyond the bound."),
-		overloadRejections: vector("storm_refused_total", "kind", "Jobs pushed back in a storm, by its kind."),
-		journalRejections:  counter("journal_refused_total", "Jobs pushed back because the journal can't keep what a restart must know of them."),
-		inFlight:           gauge("jobs_in_hand", "Jobs in hand, those included whose executions are still out."),
-		held:               gauge("jobs_held", "Jobs that wait here for a copy."),
-		servers:            gauge("servers_ready", "Servers that the list calls ready."),
-		overloadKind:       gauge("storm", "The storm that is on: 0 none, 1 retry wave, 2 return, 3 woken, 4 one tenant, 5 reconnect rush."),
+		answers:            vector("jobs_total", "answer", "Requests by final answer."),
+		attempts:           vector("executions_total", "result", "Attempts by result."),
+		loadCommands:       counter("orders_total", "Load commands sent to servers."),
+		loads:              counter("loads_total", "Attempts that caused a load."),
+		lateAnswers:        counter("late_answers_total", "Responses dropped because their request had its final answer already."),
+		connsRejected:      counter("connections_turned_away_total", "Client connections rejected because of the connection limit."),
+		overloadRejections: vector("storm_refused_total", "kind", "Requests rejected in an overload, by kind of overload."),
+		journalRejections:  counter("journal_refused_total", "Requests rejected because the journal could not record them."),
+		inFlight:           gauge("jobs_in_hand", "Requests in flight, including answered ones with unfinished attempts."),
+		held:               gauge("jobs_held", "Requests held in this router until an instance is available."),
+		servers:            gauge("servers_ready", "Servers listed as ready."),
+		overloadKind:       gauge("storm", "Current kind of overload: 0 none, 1 retry wave, 2 return after an outage, 3 router woken, 4 one tenant, 5 reconnect rush."),
 		stepSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "hollymast_turn_seconds", Help: "Time of a turn.",
+			Name: "hollymast_turn_seconds", Help: "Duration of an event-loop step.",
 			Buckets: prometheus.ExponentialBuckets(10e-6, 2, 14), // 10 us to 80 ms
 		}),
 	}
@@ -69,10 +69,10 @@
 	return m
 }
 
-// registerJournal registers the count of the journal's failures; keeper may be nil.
+// registerJournal registers the counter of journal failures; keeper may be nil.
 func (m *metrics) registerJournal(keeper *stateKeeper) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-		Name: "hollymast_journal_failures_total", Help: "Writes and syncs of the journal that failed.",
+		Name: "hollymast_journal_failures_total", Help: "Failed writes and syncs of the journal.",
 	}, func() float64 {
 		if keeper == nil {
 			return 0
@@ -87,7 +87,7 @@
 // countAttempt counts the end of an attempt.
 func (m *metrics) countAttempt(result control.Result) { m.attemptsByResult[result].Inc() }
 
-// response returns the metrics in Prometheus' text form.
+// response returns the metrics in the Prometheus text format.
 func (m *metrics) response() *rest.Response {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/gateway/metrics_tls.go
+++ b/internal/gateway/metrics_tls.go
@@ -6,14 +6,14 @@
 	"hollymast/internal/certstore"
 )
 
-// certMetrics collects the counts of certificate stores, by kind of connection.
+// certMetrics exports the statistics of the certificate stores, by kind of connection.
 type certMetrics map[string]*certstore.Store
 
 var (
-	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Secret connections begun.", []string{"connections"}, nil)
-	rejectedDesc   = prometheus.NewDesc("hollymast_tls_refused_total", "Peers that were not believed, and handshakes that failed otherwise.",
+	handshakesDesc = prometheus.NewDesc("hollymast_tls_handshakes_total", "Successful TLS handshakes.", []string{"connections"}, nil)
+	rejectedDesc   = prometheus.NewDesc("hollymast_tls_refused_total", "TLS peers that were rejected, and handshakes that failed otherwise.",
 		[]string{"connections", "reason"}, nil)
-	expiryDesc = prometheus.NewDesc("hollymast_tls_certificate_ends_seconds", "When the certificate in service ends, in Unix time.",
+	expiryDesc = prometheus.NewDesc("hollymast_tls_certificate_ends_seconds", "Expiry of the current certificate, in Unix time.",
 		[]string{"connections"}, nil)
 )
 
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -10,8 +10,8 @@
 	"hollymast/kserve"
 )
 
-// OutcomeOf returns what a server's response to an attempt means to the balancer. The router and the probe (internal/probe)
-// both read responses with it, so that they can't disagree.
+// OutcomeOf converts a server's response to an attempt into an outcome for the balancer. The router and the probe
+// (internal/probe) share it, so that they interpret responses in the same way.
 func OutcomeOf(resp *rest.Response) control.Outcome {
 	outcome := control.Outcome{Result: attemptResult(resp), CacheStatus: cacheStatusOf(resp)}
 	if load, ok := kserve.ReadLoad(resp.Header); ok {
@@ -20,9 +20,8 @@
 	return outcome
 }
 
-// attemptResult returns the result of an attempt. 429 and 503 promise that the request did not run, 404 that its
-// function was not loaded; any other rejection of what the client asked for is the function's own answer, which goes to
-// the client.
+// attemptResult returns the result of an attempt. Status 429 or 503 guarantees that the request did not run, 404 that
+// its function was not loaded. Any other 4xx status except 408 is the function's own answer, which goes to the client.
 func attemptResult(resp *rest.Response) control.Result {
 	switch {
 	case resp.Status == 429 || resp.Status == 503:
@@ -44,7 +43,7 @@
 	return result
 }
 
-// cacheStatusOf returns whether the function was loaded when an attempt came, as the server states it.
+// cacheStatusOf returns whether the function was loaded when the attempt arrived, as reported by the server.
 func cacheStatusOf(resp *rest.Response) control.CacheStatus {
 	switch kserve.Found(resp.Header, resp.Body) {
 	case "warm":
@@ -59,7 +58,8 @@
 	return control.CacheUnknown
 }
 
-// BrokenExchangeResult returns the result of an exchange that ended with an error, by how far it had got.
+// BrokenExchangeResult returns the result of an exchange that ended with an error. It depends on how far the exchange
+// had progressed.
 func BrokenExchangeResult(progress rest.Progress, err error) control.Result {
 	reason := attempt.ByPeer
 	switch {
@@ -72,15 +72,15 @@
 	}
 	written := progress > rest.NothingWritten
 	if written && reason == attempt.ByPeer && netfail.IsLocal(err) {
-		return control.Failed // may have run; says nothing about the server
+		return control.Failed // the request may have run, but a local error says nothing about the server
 	}
 	return attempt.BrokenResult(written, reason)
 }
 
-// ResultName returns a result's name: a metric's label value, which dashboards name.
+// ResultName returns the name of a result. It is a label value of hollymast_executions_total, which dashboards use.
 func ResultName(result control.Result) string { return resultNames[result] }
 
-// resultNames are the results' names, by control.Result.
+// resultNames are the names of the results, indexed by control.Result.
 var resultNames = [...]string{
 	"finished", "errored", "full", "timed out", "no connection", "reset", "cancelled", "never sent", "missing",
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -8,7 +8,7 @@
 	"hollymast/kserve"
 )
 
-// admit decides whether a request is admitted in an overload. Where overload is not damped, all are.
+// admit decides whether a request is admitted in an overload. Without overload damping, all requests are.
 func (g *Gateway) admit(now control.Micros, req *request) overload.Decision {
 	if g.overload == nil {
 		return overload.Decision{Admitted: true}
@@ -27,8 +27,8 @@
 	return max(1, xxhash.Sum64String(key))
 }
 
-// spreadRetryAfter returns the time to retry after for a request that the core rejects; in an overload it varies, so that
-// clients do not return all at once.
+// spreadRetryAfter returns the retry-after time for a request that the core rejects. In an overload it varies between
+// requests, so that clients do not all return at once.
 func (g *Gateway) spreadRetryAfter(req *request, retryAfter control.Micros) control.Micros {
 	if g.overload == nil {
 		return retryAfter
@@ -36,7 +36,7 @@
 	return g.overload.RecordRejection(g.loop.StepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
 }
 
-// logOverload logs what the overload controller has noticed in a step.
+// logOverload logs the overload controller's messages of a step, and updates the metric.
 func (g *Gateway) logOverload() {
 	if g.overload == nil {
 		return
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -8,19 +8,19 @@
 	"hollymast/internal/record"
 )
 
-// Errors of startRecording: texts of the admin address.
+// Errors of startRecording. Their texts are part of the admin API.
 var (
 	errRecording   = errors.New("a recording is under way")
 	errNoRecordDir = errors.New("no folder is named, here or in the settings")
 )
 
-// recordHeader returns the header of this process's recordings.
+// recordHeader returns the header for recordings of this process.
 func (g *Gateway) recordHeader() record.Header {
 	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.Number, Incarnation: g.incarnation}
 }
 
-// startRecording starts a recording in a folder. It may wait for the disk within a step: once, when an operator asks for
-// it.
+// startRecording starts a recording in a folder. It may wait for the disk within a step, which is acceptable because it
+// happens only once, at an operator's request.
 func (g *Gateway) startRecording(now control.Micros, dir string) error {
 	if g.recordWriter != nil {
 		return errRecording
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// stopRecording ends the recording, if any, and returns its writer for the caller to close outside the step: that waits
-// for the disk.
+// stopRecording stops the recording, if there is one, and returns its writer. The caller must close the writer outside
+// the step, since that waits for the disk.
 func (g *Gateway) stopRecording() *record.Writer {
 	writer := g.recordWriter
 	if writer != nil {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -13,8 +13,8 @@
 	"hollymast/kserve"
 )
 
-// request is a client's request as its connection and its attempts see it. Its connection's goroutine fills the first
-// part; from then on the event loop owns it, except clientCheckedAt.
+// request is a client's request. The goroutine of the client connection sets the first group of fields; after that the
+// event loop owns the request, except clientCheckedAt.
 type request struct {
 	function string
 	call     kserve.Call
@@ -23,43 +23,44 @@
 	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
-	response chan *rest.Response // holds one: the final answer
-	// clientCheckedAt is when the client was last seen not to have closed its side, on the router's clock.
+	response chan *rest.Response // the final answer; buffered, so that sending does not block
+	// clientCheckedAt is the last time, on the router's clock, at which the client was known not to have closed its
+	// side.
 	clientCheckedAt atomic.Int64
 
 	id             control.RequestID
 	idempotencyKey string
-	journalKey     persistence.IdempotencyKey // 0: the journal need not know of its attempts
-	objectiveAt    control.Micros             // when it is to be answered by its class's latency objective
+	journalKey     persistence.IdempotencyKey // 0: its attempts are not journaled
+	objectiveAt    control.Micros             // when its class's latency objective requires the answer
 	answer         attempt.FinalAnswer
-	attempts       []*serverCall // nil: an attempt of an earlier incarnation
+	attempts       []*serverCall // by attempt number; nil: an attempt of an earlier incarnation
 }
 
-// finalAnswer is how a request ended, as metrics and the history count it.
+// finalAnswer says how a request ended, for the metrics and the history.
 type finalAnswer string
 
-// The final answers: label values of a metric, which dashboards name.
+// The final answers. They are label values of hollymast_jobs_total, which dashboards use.
 const (
 	answerFinished finalAnswer = "finished"
-	answerRejected finalAnswer = "pushed back" // may be repeated anywhere
-	answerFailed   finalAnswer = "killed"      // may have run
-	answerLeft     finalAnswer = "left"        // its client has closed its side
+	answerRejected finalAnswer = "pushed back" // did not run, or may safely run again: the client may retry anywhere
+	answerFailed   finalAnswer = "killed"      // may have run and must not be retried
+	answerLeft     finalAnswer = "left"        // the client closed its side of the connection
 )
 
-// reasonStopping is the error text of what a stopping router does not accept.
+// reasonStopping is the error text of responses to requests that end because this router is stopping.
 const reasonStopping = "this router is stopping"
 
-// functionID returns a function's id. It is the same in every router, since all share one order of servers for a
-// function. With a key, which must be the same in all routers, the ids in a recording can be checked against
-// guessed names only with that key.
+// functionID returns the id of a function. It must be the same in every router, since all routers rank the servers of a
+// function in the same order by it. A key, which must then be the same in all routers, prevents readers of a recording
+// from checking guessed names against the ids.
 func functionID(key, name string) control.FunctionID {
 	return control.FunctionID(record.Tag(key, name))
 }
 
-// handleRequest hands a request to the core, or rejects it.
+// handleRequest passes a request to the core, or rejects it.
 func (g *Gateway) handleRequest(now control.Micros, req *request) {
 	key := g.config.journalKey(req.function, req.params, req.pattern.Class)
-	if resp := g.rejectionOf(now, req, key); resp != nil {
+	if resp := g.rejectionFor(now, req, key); resp != nil {
 		req.answer.Give()
 		req.response <- resp
 		g.metrics.countAnswer(answerRejected)
@@ -95,8 +96,8 @@
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
 
-// rejectionOf returns the response to a request that is not accepted, or nil.
-func (g *Gateway) rejectionOf(now control.Micros, req *request, key persistence.IdempotencyKey) *rest.Response {
+// rejectionFor returns the rejection of a request that this router does not accept, or nil if it does.
+func (g *Gateway) rejectionFor(now control.Micros, req *request, key persistence.IdempotencyKey) *rest.Response {
 	if g.stopping {
 		return rejection(reasonStopping, g.config.Deployment.MaxRetryAfter)
 	}
@@ -115,32 +116,33 @@
 	return nil
 }
 
-// finish gives a request its one final answer and withdraws what of it is not written yet.
+// finish sends a request's final answer and withdraws its attempts that are not being written yet. It does nothing if
+// the request has its answer already.
 func (g *Gateway) finish(req *request, answer finalAnswer, resp *rest.Response) {
 	if !req.answer.Give() {
 		return
 	}
-	for _, call := range req.attempts { // an answered request is not sent any more
+	for _, call := range req.attempts { // an answered request must not be sent any more
 		if call != nil {
 			call.withdraw()
 		}
 	}
 	req.response <- resp
 	g.metrics.countAnswer(answer)
-	g.historyAnswered(req, answer)
+	g.recordAnswerInHistory(req, answer)
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("answer", string(answer)).Int("attempts", len(req.attempts)).Msg("request answered")
 	g.release(req)
 }
 
-// release forgets a request that is answered and has no attempt in flight.
+// release deletes a request that is answered and has no attempt in flight.
 func (g *Gateway) release(req *request) {
 	if req.answer.Done() {
 		delete(g.requests, req.id)
 	}
 }
 
-// handleClientClosed ends a request whose client has closed its side. The answer is still written: a client that closed
-// only its own side reads it.
+// handleClientClosed ends a request whose client closed its side of the connection. The answer is still written, since
+// a client that is only half closed can read it.
 func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
 	if req.answer.Given {
 		return
@@ -149,8 +151,8 @@
 	g.finish(req, answerLeft, failure(reasonClientClosed))
 }
 
-// Forward starts an attempt of a request on a server, to end within timeout. It is part of core.Executor, as are
-// Reject, Fail, CancelAttempt, Load, SubscribeEndpoints, LogServerEvent and SetTimer; the core calls them within a step.
+// Forward starts an attempt of a request on a server, with a timeout. Forward, Reject, Fail, CancelAttempt, Load,
+// SubscribeEndpoints, LogServerEvent and SetTimer implement core.Executor; the core calls them within a step.
 func (g *Gateway) Forward(
 	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
 ) {
@@ -163,30 +165,30 @@
 	}
 	req.attempts = append(req.attempts, call)
 	req.answer.AttemptBegan()
-	g.loadTally.AttemptBegan(g.fleet.Get(to).Address)
-	g.decisions.add(g.loop.StepTime, record.Command{
+	g.loadCollector.AttemptBegan(g.fleet.Get(to).Address)
+	g.latestDecisions.add(g.loop.StepTime, record.Command{
 		Kind: record.CommandForward, Request: coreReq.ID, Attempt: attemptID, Server: to, Time: timeout,
 	})
 	g.dispatch(call)
 }
 
-// Reject ends a request that did not run; its client may retry after retryAfter.
+// Reject answers a request that did not run; the client may retry after retryAfter.
 func (g *Gateway) Reject(id control.RequestID, retryAfter control.Micros, _ control.Reason) {
-	g.decisions.add(g.loop.StepTime, record.Command{Kind: record.CommandReject, Request: id, Time: retryAfter})
+	g.latestDecisions.add(g.loop.StepTime, record.Command{Kind: record.CommandReject, Request: id, Time: retryAfter})
 	req := g.requests[id]
 	retryAfter = g.spreadRetryAfter(req, retryAfter)
 	g.finish(req, answerRejected, rejection("not now: it could not be finished in time", retryAfter))
 }
 
-// Fail ends a request that may have run and must not be repeated.
+// Fail answers a request that may have run and must not be retried.
 func (g *Gateway) Fail(id control.RequestID, _ control.Reason) {
-	g.decisions.add(g.loop.StepTime, record.Command{Kind: record.CommandFail, Request: id})
+	g.latestDecisions.add(g.loop.StepTime, record.Command{Kind: record.CommandFail, Request: id})
 	g.finish(g.requests[id], answerFailed, failure("the job may have run; its end is not known"))
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt withdraws or aborts an attempt.
 func (g *Gateway) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
-	g.decisions.add(g.loop.StepTime, record.Command{Kind: record.CommandCancelAttempt, Request: id, Attempt: attemptID})
+	g.latestDecisions.add(g.loop.StepTime, record.Command{Kind: record.CommandCancelAttempt, Request: id, Attempt: attemptID})
 	if req := g.requests[id]; req != nil && int(attemptID) < len(req.attempts) {
 		req.attempts[attemptID].abandon()
 	}
@@ -197,7 +199,7 @@
 	req := g.requests[coreReq.ID]
 	call := g.newCall(command.Server, micros(g.config.LoadTimeout))
 	call.load = command
-	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // without a rate limit a restart need not know of it
+	if g.state != nil && g.config.Deployment.LoadRateWindow > 0 { // only the rate limit needs load commands after a restart
 		call.journalBatch = g.state.Append(persistence.Entry{
 			Kind: persistence.EntryLoadCommand, At: g.loop.StepTime, Server: command.Server,
 		})
@@ -206,25 +208,26 @@
 		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
 		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(command.Replicas),
 	}
-	g.openLoadCommands++
+	g.loadCommandsInFlight++
 	g.metrics.loadCommands.Inc()
-	g.historyLoadCommand(req)
-	g.decisions.add(g.loop.StepTime, record.Command{
+	g.recordLoadCommandInHistory(req)
+	g.latestDecisions.add(g.loop.StepTime, record.Command{
 		Kind: record.CommandLoad, Request: coreReq.ID, Server: command.Server, Function: command.Function,
 		Replicas: command.Replicas,
 	})
 	g.dispatch(call)
 }
 
-// attemptEnded reports an attempt's outcome to the core, and delivers its response where that is final.
+// attemptEnded reports the outcome of an attempt to the core, and sends its response to the client if that is the final
+// answer.
 func (g *Gateway) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, resp *rest.Response) {
 	req := call.request
 	delivery := req.answer.AttemptEnded(outcome.Result)
 	g.metrics.countAttempt(outcome.Result)
-	g.loadTally.AttemptEnded(g.pools[call.to].address, outcome.Result, outcome.Report)
-	g.historyAttempt(now, req, outcome)
+	g.loadCollector.AttemptEnded(g.pools[call.server].address, outcome.Result, outcome.Report)
+	g.recordAttemptInHistory(now, req, outcome)
 	if outcome.Result.ProvesNotRun() {
-		g.journalNotRun(req.journalKey, call.to)
+		g.journalNotRun(req.journalKey, call.server)
 	}
 	if outcome.CacheStatus == control.CacheMiss {
 		g.metrics.loads.Inc()
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -13,12 +13,12 @@
 	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"}}, Body: body}
 }
 
-// errorResponse returns a response to what is not a request for the core.
+// errorResponse returns an error response to a call that does not reach the core.
 func errorResponse(status int, reason string) *rest.Response {
 	return jsonResponse(status, kserve.Fault{Error: reason}.Body())
 }
 
-// rejection returns the response to a request that did not run; its client may retry after retryAfter.
+// rejection returns the response to a request that the client may retry after retryAfter.
 func rejection(reason string, retryAfter control.Micros) *rest.Response {
 	return overloadRejection(reason, retryAfter, "")
 }
@@ -34,7 +34,7 @@
 	return resp
 }
 
-// failure returns the response to a request that may have run and must not be repeated.
+// failure returns the response to a request that may have run and must not be retried.
 func failure(reason string) *rest.Response {
 	return jsonResponse(504, kserve.Fault{Error: reason, Answer: "killed"}.Body())
 }
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -16,35 +16,35 @@
 	"hollymast/kserve"
 )
 
-// serverCall is one attempt or load command sent to a server. The event loop creates it and handles its end; in between
+// serverCall is one attempt or load command for a server. The event loop creates it and handles its end; in between,
 // the goroutine of its connection uses it.
 type serverCall struct {
 	request      *request // nil: a load command
 	attempt      control.AttemptID
 	load         control.LoadCommand
-	to           control.ServerID
+	server       control.ServerID
 	message      *rest.Request
-	journalBatch *persistence.Batch // must be in the journal before the first byte is written; nil: nothing
-	writeBefore  control.Micros     // its first byte is not written later
-	deadline     time.Time          // its response is not awaited longer
-	ctx          context.Context    // ends when it is withdrawn, and at its end
+	journalBatch *persistence.Batch // must be in the journal before the first byte is written; nil: not journaled
+	writeBefore  control.Micros     // latest time to write the first byte
+	deadline     time.Time          // latest time to wait for the response
+	ctx          context.Context    // done when the call is withdrawn or ends
 	cancel       context.CancelFunc
 	stage        atomic.Int32     // an attempt.Stage
-	conn         *serverConn      // nil: none was available
-	progress     attempt.Progress // the event loop's
+	conn         *serverConn      // nil: no connection was available
+	progress     attempt.Progress // owned by the event loop
 }
 
-// newCall returns a call chosen in this step, to end within timeout, that must not be written later than its endpoint
-// list allows.
-func (g *Gateway) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+// newCall returns a call chosen in this step. timeout counts from the step's time; the first byte must be written
+// before the endpoint list that the choice is based on gets too old.
+func (g *Gateway) newCall(server control.ServerID, timeout control.Micros) *serverCall {
 	call := &serverCall{
-		to: to, writeBefore: g.loop.WriteUntil(), deadline: g.loop.Time(g.loop.StepTime + timeout),
+		server: server, writeBefore: g.loop.WriteUntil(), deadline: g.loop.Time(g.loop.StepTime + timeout),
 	}
 	call.ctx, call.cancel = context.WithCancel(context.Background())
 	return call
 }
 
-// withdraw withdraws a call that is not being written yet, and reports whether it did: it will never be written.
+// withdraw prevents a call from being written, unless writing has begun. It reports whether it succeeded.
 func (call *serverCall) withdraw() bool {
 	if !attempt.Transition(&call.stage, attempt.Stage.Withdraw) {
 		return false
@@ -53,7 +53,7 @@
 	return true
 }
 
-// abandon stops waiting for a call. What is written ends with its connection.
+// abandon stops waiting for a call: it withdraws the call or, if writing has begun, aborts its connection.
 func (call *serverCall) abandon() {
 	if call.progress.Cancel() && !call.withdraw() && call.conn != nil {
 		if client := call.conn.client.Load(); client != nil {
@@ -62,13 +62,13 @@
 	}
 }
 
-// dispatch hands a call to an idle connection, or to a new one.
+// dispatch passes a call to an idle connection, or to a new one.
 func (g *Gateway) dispatch(call *serverCall) {
-	pool := g.poolOf(call.to)
-	pool.open[call] = struct{}{}
+	pool := g.poolFor(call.server)
+	pool.inFlight[call] = struct{}{}
 	header := call.message.Header
 	header["Host"] = []string{pool.address}
-	header["Via"] = append(slices.Clip(header["Via"]), g.via) // the client's own header shares the array
+	header["Via"] = append(slices.Clip(header["Via"]), g.via) // Clip: the array is shared with the client's header
 	switch pool.conns.Acquire(g.config.MaxConnsPerServer) {
 	case attempt.Reuse:
 		last := len(pool.idle) - 1
@@ -77,24 +77,25 @@
 	case attempt.OpenNew:
 		call.conn = &serverConn{gateway: g, address: pool.address, calls: make(chan *serverCall, 1)}
 		g.serverConns.Go(call.conn.run)
-	case attempt.NoneLeft: // reported in the next step, since the core is still deciding in this one
+	case attempt.NoneLeft: // report it in the next step: the core is still deciding in this one
 		g.loop.Post(func(now control.Micros) { g.callEnded(now, call, callResult{result: control.NotSent}) })
 		return
 	}
 	call.conn.calls <- call
 }
 
-// callResult is how a call ended.
+// callResult is the result of a call.
 type callResult struct {
 	result   control.Result
 	response *rest.Response // nil: none was read
 	duration time.Duration
-	connOpen bool // its connection can be used again
+	reusable bool // the connection can carry another call
 }
 
-// clientWaits reports whether the client of a request, if there is one, still waits. It guards against an attempt that
-// begins while its client's close is unread in the socket, as after a stall of this process.
-func (g *Gateway) clientWaits(req *request) bool {
+// clientStillWaits reports whether the client of a request has not closed its side of the connection; it is true for a
+// load command, where req is nil. It prevents an attempt from starting while the client's close is still unread in the
+// socket, as after a stall of this process.
+func (g *Gateway) clientStillWaits(req *request) bool {
 	now := g.loop.Now()
 	if req == nil || !attempt.MustCheckClient(now-control.Micros(req.clientCheckedAt.Load())) {
 		return true
@@ -107,9 +108,10 @@
 	return true
 }
 
-// stateTimeLeft has an attempt state the time that is left as of now, and reports whether any is. It guards against a
-// timeout from when the attempt was chosen: a dial, the journal or a stall of the process may have taken much of it.
-func (call *serverCall) stateTimeLeft() bool {
+// setRemainingTimeout sets an attempt's timeout header to the time left until its deadline, and reports whether any is
+// left. The timeout at the time of the choice would be too long: dialing, the journal or a stall of the process may
+// have taken much of it.
+func (call *serverCall) setRemainingTimeout() bool {
 	left := time.Until(call.deadline).Milliseconds()
 	if call.request != nil {
 		call.message.Header[kserve.TimeoutHeader] = []string{strconv.FormatInt(left, 10)}
@@ -119,15 +121,15 @@
 
 // callEnded handles the end of a call.
 func (g *Gateway) callEnded(now control.Micros, call *serverCall, result callResult) {
-	pool := g.pools[call.to]
-	delete(pool.open, call)
+	pool := g.pools[call.server]
+	delete(pool.inFlight, call)
 	call.progress.End()
 	if call.conn != nil {
-		switch keep := pool.conns.Release(result.connOpen, g.isListed(call.to)); {
+		switch keep := pool.conns.Release(result.reusable, g.isListed(call.server)); {
 		case keep:
 			call.conn.idleSince = now
 			pool.idle = append(pool.idle, call.conn)
-		case result.connOpen:
+		case result.reusable:
 			close(call.conn.calls)
 		}
 	}
@@ -139,25 +141,25 @@
 	if result.response != nil {
 		outcome = OutcomeOf(result.response)
 	}
-	outcome.Attempt, outcome.Server, outcome.Duration = call.attempt, call.to, micros(result.duration)
+	outcome.Attempt, outcome.Server, outcome.Duration = call.attempt, call.server, micros(result.duration)
 	g.attemptEnded(now, call, outcome, result.response)
 }
 
 // loadCommandEnded reports the result of a load command to the core.
 func (g *Gateway) loadCommandEnded(now control.Micros, call *serverCall, result callResult) {
-	g.openLoadCommands--
+	g.loadCommandsInFlight--
 	replicas := -1
 	if result.response != nil {
 		replicas = kserve.Copies(result.response.Body)
 	}
 	if result.result == control.Succeeded && replicas < 0 {
-		replicas = call.load.Replicas // a response without a number: all replicas that were asked for
+		replicas = call.load.Replicas // the response names no number: assume all replicas that were asked for
 	}
 	g.core.HandleLoadResult(now, call.load.Server, call.load.Function, result.result, micros(result.duration), replicas)
 }
 
-// attemptMessage returns the HTTP request of an attempt: the client's own, with the attempt's number and the
-// idempotency key.
+// attemptMessage returns the HTTP request of an attempt: the client's request with the attempt number and the
+// idempotency key added.
 func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
 	header := forwardedHeader(req.message.Header)
 	header[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
@@ -165,11 +167,10 @@
 	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: header, Body: req.message.Body}
 }
 
-// forwardedHeader returns the fields that are meant for the other end, without those for one connection (RFC 9110,
-// section 7.6.1).
+// forwardedHeader returns the end-to-end fields of a header, without the hop-by-hop ones (RFC 9110, section 7.6.1).
 func forwardedHeader(header rest.Header) rest.Header {
-	const own = 3 // fields that the caller may add
-	forwarded := make(rest.Header, len(header)+own)
+	const addedFields = 3 // capacity for fields that the caller adds
+	forwarded := make(rest.Header, len(header)+addedFields)
 	for name, values := range header {
 		switch name {
 		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/gateway/serverconn.go
+++ b/internal/gateway/serverconn.go
@@ -12,26 +12,26 @@
 	"hollymast/internal/rest"
 )
 
-// serverConn is one connection to a server. A goroutine of its own owns it, and carries one call at a time.
+// serverConn is one connection to a server. Its own goroutine runs it and carries one call at a time.
 type serverConn struct {
 	gateway   *Gateway
 	address   string
-	calls     chan *serverCall            // holds one; closed by the event loop when no more come
-	idleSince control.Micros              // the event loop's
+	calls     chan *serverCall            // buffer of one; closed by the event loop when there are no more calls
+	idleSince control.Micros              // owned by the event loop
 	client    atomic.Pointer[rest.Client] // nil: not connected
 }
 
-// serverLimits bound responses. Servers are trusted more than clients: their headers may be larger, and their bodies of
-// any size that fits.
+// serverLimits limit responses. Servers are trusted more than clients: their headers may be larger, and their bodies of
+// any size up to 64 MiB.
 var serverLimits = rest.Limits{MaxLine: 16 << 10, MaxHeaders: 128, MaxHeaderBytes: 64 << 10, MaxBody: 64 << 20}
 
-// run carries calls until none come, or the connection breaks.
+// run carries calls until the channel is closed or the connection can't be used any more.
 func (sc *serverConn) run() {
 	for call := range sc.calls {
 		result := sc.exchange(call)
 		call.cancel()
 		sc.gateway.loop.Post(func(now control.Micros) { sc.gateway.callEnded(now, call, result) })
-		if !result.connOpen {
+		if !result.reusable {
 			return
 		}
 	}
@@ -40,20 +40,20 @@
 	}
 }
 
-// exchange carries one call, measures its duration, and finds whether the connection can be used again.
+// exchange carries one call. The result includes its duration and whether the connection can be used again.
 func (sc *serverConn) exchange(call *serverCall) callResult {
-	begun := time.Now()
+	start := time.Now()
 	result := sc.send(call)
-	result.duration, result.connOpen = time.Since(begun), sc.client.Load() != nil
+	result.duration, result.reusable = time.Since(start), sc.client.Load() != nil
 	return result
 }
 
-// send connects if need be, makes the last check before the first byte, writes the call and reads its response. The
-// connection stays open only where it can be used again.
+// send connects if necessary, makes the last checks before the first byte, writes the call and reads its response. It
+// closes the connection if it can't be used again.
 func (sc *serverConn) send(call *serverCall) callResult {
 	g := sc.gateway
 	client := sc.client.Load()
-	if client != nil && client.Stale() { // closed while it was idle: nothing of this call was on it
+	if client != nil && client.Stale() { // closed while idle, before anything of this call was written
 		sc.close(client)
 		client = nil
 	}
@@ -65,7 +65,7 @@
 		}
 		sc.client.Store(client)
 	}
-	allowed := call.awaitJournal(g.loop.Now()) && g.clientWaits(call.request) && call.stateTimeLeft()
+	allowed := call.awaitJournal(g.loop.Now()) && g.clientStillWaits(call.request) && call.setRemainingTimeout()
 	if !attempt.Transition(&call.stage, func(stage attempt.Stage) (attempt.Stage, bool) {
 		return stage.Write(allowed, g.loop.Now(), call.writeBefore)
 	}) {
@@ -90,18 +90,18 @@
 	sc.client.Store(nil)
 }
 
-// errNotDialled is the error of a call that ended while it waited to dial: nothing is known about the server.
+// errNotDialled is the error of a call that ended while it waited to dial. It says nothing about the server.
 var errNotDialled = errors.New("withdrawn")
 
-// dial connects, as soon as one more connection may be dialled. Failures that say nothing about the server are retried until
-// the dial timeout.
+// dial connects, once the limit on concurrent dials allows it. It retries failures that say nothing about the server
+// until the dial timeout.
 func (sc *serverConn) dial(call *serverCall) (*rest.Client, error) {
 	g := sc.gateway
 	ctx, cancel := context.WithTimeout(call.ctx, min(g.config.DialTimeout, time.Until(call.deadline)))
 	defer cancel()
 	select {
-	case g.dialing <- struct{}{}:
-		defer func() { <-g.dialing }()
+	case g.dialSemaphore <- struct{}{}:
+		defer func() { <-g.dialSemaphore }()
 	case <-ctx.Done():
 		return nil, errNotDialled
 	}
--- a/internal/gateway/serverconn_test.go
+++ b/internal/gateway/serverconn_test.go
@@ -11,14 +11,13 @@
 	"hollymast/kserve"
 )
 
-// Not sent are a call that a drain has withdrawn, and one whose endpoint list has grown too old while the process was
-// stalled.
+// A call is not sent if a drain has withdrawn it, or if its endpoint list became too old during a stall of the process.
 func TestWithdrawnAndStaleCallsAreNotSent(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	call := tg.gateway.newCall(1, 1_000_000)
 	call.message = inferRequest("1", "forecast-1", time.Second)
 	if !call.withdraw() {
-		t.Error("could not be withdrawn")
+		t.Error("the call could not be withdrawn")
 	}
 	if result := tg.exchange(call); result.result != control.NotSent {
 		t.Errorf("withdrawn: got %v", result.result)
@@ -27,17 +26,17 @@
 	call.message = inferRequest("2", "forecast-1", time.Second)
 	call.writeBefore -= micros(tg.gateway.config.GracePeriod)
 	if result := tg.exchange(call); result.result != control.NotSent {
-		t.Errorf("old: got %v", result.result)
+		t.Errorf("old endpoint list: got %v", result.result)
 	}
 	for _, r := range tg.log.Records() {
 		if r.Kind == invariant.AttemptReceived {
-			t.Errorf("the server got request %s", r.Request)
+			t.Errorf("the server received request %s", r.Request)
 		}
 	}
 }
 
-// A connection that was closed while idle proves that nothing ran; one that is closed after the request was written does
-// not.
+// If the server closes a connection while it is idle, the next request did not run. If it closes the connection after
+// the request was written, the request may have run.
 func TestServerClosesConnection(t *testing.T) {
 	tg := newTestGateway(t)
 	closed := make(chan struct{}, 8)
@@ -46,7 +45,7 @@
 		if _, err := client.ReadRequest(); err != nil {
 			return
 		}
-		if n == 1 { // reads the request, and resets
+		if n == 1 { // read the request, then reset the connection
 			nc.SetLinger(0)
 			return
 		}
@@ -75,7 +74,7 @@
 }
 
 func TestRefusedConnection(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	tg.servers[0].Stop()
 	call := tg.gateway.newCall(1, 1_000_000)
 	call.message = inferRequest("1", "forecast-1", time.Second)
--- a/internal/gateway/serverfaults_test.go
+++ b/internal/gateway/serverfaults_test.go
@@ -15,36 +15,36 @@
 	"hollymast/internal/rest"
 )
 
-// sysCallError returns a system call's error as the standard library does.
+// sysCallError returns the error of a system call in the form that the standard library uses.
 func sysCallError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// A dial that fails through a local shortage never counts against the server, and one that fails in the network only if
-// that lasts.
+// A dial that fails because of a local shortage never counts against the server. One that fails in the network counts
+// only if the failure persists.
 func TestFailedDials(t *testing.T) {
-	const ours, way, server = control.NotSent, control.ConnectFailed, control.Result(255)
+	const localFailure, networkFailure, serverFailure = control.NotSent, control.ConnectFailed, control.Result(255)
 	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.DialTimeout = 40 * time.Millisecond })
-	address, _ := recordingServer(t, new(atomic.Int64))
-	connect := tg.gateway.dial
-	for errno, lasting := range map[syscall.Errno]control.Result{syscall.EMFILE: ours, syscall.ENFILE: ours, syscall.ENOBUFS: ours,
-		syscall.ENOMEM: ours, syscall.EADDRNOTAVAIL: ours, syscall.EINTR: ours, syscall.EAGAIN: ours, syscall.ENETUNREACH: way,
-		syscall.EHOSTUNREACH: way, syscall.ENETDOWN: way, syscall.ECONNABORTED: way, syscall.ECONNREFUSED: server, syscall.ECONNRESET: server,
-		syscall.ETIMEDOUT: server} {
+	address, _ := startRecordingServer(t, new(atomic.Int64))
+	realDial := tg.gateway.dial
+	for errno, wantIfPersistent := range map[syscall.Errno]control.Result{syscall.EMFILE: localFailure, syscall.ENFILE: localFailure, syscall.ENOBUFS: localFailure,
+		syscall.ENOMEM: localFailure, syscall.EADDRNOTAVAIL: localFailure, syscall.EINTR: localFailure, syscall.EAGAIN: localFailure, syscall.ENETUNREACH: networkFailure,
+		syscall.EHOSTUNREACH: networkFailure, syscall.ENETDOWN: networkFailure, syscall.ECONNABORTED: networkFailure, syscall.ECONNREFUSED: serverFailure, syscall.ECONNRESET: serverFailure,
+		syscall.ETIMEDOUT: serverFailure} {
 		for name, times := range map[string]int{"once": 1, "always": 1 << 20} {
 			tries := 0
 			tg.gateway.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 				if tries++; tries <= times {
 					return nil, sysCallError("connect", errno)
 				}
-				return connect(ctx, address)
+				return realDial(ctx, address)
 			}
 			want := control.Succeeded
 			switch {
-			case lasting == server:
+			case wantIfPersistent == serverFailure:
 				want = control.ConnectFailed
 			case times > 1:
-				want = lasting
+				want = wantIfPersistent
 			}
 			call := tg.newCall(address, time.Second)
 			if result := (&serverConn{gateway: tg.gateway, address: address}).exchange(call); result.result != want {
@@ -72,7 +72,7 @@
 	}
 }
 
-// failingListener fails some accepts before the others.
+// failingListener fails the first accepts with errs.
 type failingListener struct {
 	net.Listener
 	errs []syscall.Errno
@@ -87,9 +87,10 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept closes no connection, and the next ones are served, whatever the error and however often it occurs.
+// A failed accept closes no connection and later connections are served, whatever the error and however often it
+// occurs.
 func TestFailedAccepts(t *testing.T) {
-	tg := newTestGateway(t, serverOptions(0))
+	tg := newTestGateway(t, serverConfig(0))
 	open, r := tg.dialClient()
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 		syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
@@ -98,12 +99,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fails := &failingListener{Listener: l}
+			failing := &failingListener{Listener: l}
 			for range times {
-				fails.errs = append(fails.errs, errno)
+				failing.errs = append(failing.errs, errno)
 			}
 			ended := make(chan bool)
-			go func() { defer close(ended); tg.gateway.accept(t.Context(), fails, clientListener) }()
+			go func() { defer close(ended); tg.gateway.accept(t.Context(), failing, clientListener) }()
 			conn, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -120,6 +121,6 @@
 	}
 	io.WriteString(open, "GET /v2/health/live HTTP/1.1\r\nHost: a\r\n\r\n")
 	if _, err := readStatusLines(r, 1); err != nil {
-		t.Errorf("the connection that was open: %v", err)
+		t.Errorf("the connection opened before the failures: %v", err)
 	}
 }
--- a/internal/gateway/serverpool.go
+++ b/internal/gateway/serverpool.go
@@ -6,35 +6,35 @@
 	"hollymast/internal/fleet"
 )
 
-// serverPool holds the connections to one server. The event loop owns it.
+// serverPool holds the connections to one server, owned by the event loop.
 type serverPool struct {
-	id      control.ServerID
-	address string
-	conns   attempt.Connections
-	idle    []*serverConn            // most recently used last
-	open    map[*serverCall]struct{} // calls that have not ended
+	id       control.ServerID
+	address  string
+	conns    attempt.Connections
+	idle     []*serverConn            // most recently used last
+	inFlight map[*serverCall]struct{} // calls that have not ended
 }
 
-// poolOf returns the pool of a known server, and creates it if need be.
-func (g *Gateway) poolOf(id control.ServerID) *serverPool {
+// poolFor returns the pool of a known server, and creates it if necessary.
+func (g *Gateway) poolFor(id control.ServerID) *serverPool {
 	pool := g.pools[id]
 	if pool == nil {
-		pool = &serverPool{id: id, address: g.fleet.Get(id).Address, open: map[*serverCall]struct{}{}}
+		pool = &serverPool{id: id, address: g.fleet.Get(id).Address, inFlight: map[*serverCall]struct{}{}}
 		g.pools[id] = pool
 	}
 	return pool
 }
 
-// isListed reports whether a server is in the endpoint list, in whatever state.
+// isListed reports whether a server is in the endpoint list, in any state.
 func (g *Gateway) isListed(id control.ServerID) bool {
 	s := g.fleet.Get(id)
 	return s != nil && s.State != control.Removed
 }
 
-// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and closes its idle
-// connections. The calls' ends come from the goroutines of their connections.
-func (g *Gateway) withdrawFrom(pool *serverPool) {
-	for call := range pool.open {
+// withdrawCalls withdraws all attempts and load commands to a server that are not being written yet, and closes its
+// idle connections. The goroutines of the calls' connections then report the end of each call.
+func (g *Gateway) withdrawCalls(pool *serverPool) {
+	for call := range pool.inFlight {
 		call.withdraw()
 	}
 	pool.closeIdle()
@@ -45,7 +45,7 @@
 	pool.closeIdleIf(func(*serverConn) bool { return true })
 }
 
-// closeIdleIf closes the idle connections that are selected.
+// closeIdleIf closes the idle connections for which selected returns true.
 func (pool *serverPool) closeIdleIf(selected func(*serverConn) bool) {
 	kept := pool.idle[:0]
 	for _, sc := range pool.idle {
@@ -60,10 +60,10 @@
 	pool.idle = kept
 }
 
-// pruneInterval is how often prune runs, in microseconds: idle timeouts are many seconds.
+// pruneInterval is the time between two runs of prune, in microseconds; idle timeouts are many seconds.
 const pruneInterval = 1_000_000
 
-// prune closes connections that have been idle for longer than the timeout, and forgets removed servers whose
+// prune closes connections that have been idle for longer than the timeout, and deletes removed servers whose
 // connections have ended.
 func (g *Gateway) prune(now control.Micros) {
 	if now < g.prunedAt+pruneInterval {
@@ -73,11 +73,11 @@
 	idleTimeout := micros(g.config.ServerIdleTimeout)
 	for id, pool := range g.pools {
 		pool.closeIdleIf(func(sc *serverConn) bool { return now-sc.idleSince > idleTimeout })
-		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
+		if pool.conns.All == 0 && len(pool.inFlight) == 0 && !g.isListed(id) {
 			delete(g.pools, id)
 		}
 	}
-	g.loadTally.Prune(func(address string) bool { return g.isListed(fleet.ID(address)) })
+	g.loadCollector.Prune(func(address string) bool { return g.isListed(fleet.ID(address)) })
 	g.fleet.Prune(now, func(id control.ServerID) bool { return g.pools[id] != nil })
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -12,21 +12,22 @@
 	"hollymast/internal/rest"
 )
 
-// Times of a graceful shutdown; the others follow from the earliest kill (control.Deployment.EarliestKill). Requests keep coming on
-// open connections.
+// Durations of a graceful shutdown. The others follow from the earliest time of the kill
+// (control.Deployment.EarliestKill). During a shutdown, requests keep arriving on open connections.
 const (
-	// answerBeforeKill is kept free before the kill for answers that are due at the last moment, half of it for their way
-	// out: some hundred writes on a small part of a core.
+	// answerBeforeKill is the time between the last answers and the kill. Half of it is for writing these answers: some
+	// hundred writes on a small share of a core.
 	answerBeforeKill = 100 * time.Millisecond
-	// acceptConnectionsFor is for how long a stopping router accepts connections, to reject what they send: several times
-	// what it takes to accept all that wait. Later ones are refused by the kernel, which proves that nothing ran.
+	// acceptConnectionsFor is how long a stopping router accepts connections, to reject their requests: several times
+	// what it takes to accept all pending ones. The kernel refuses later ones, which proves to their clients that
+	// nothing ran.
 	acceptConnectionsFor = 20 * time.Millisecond
 )
 
-// shutdownTimes are the times of a graceful shutdown, counted from the request to stop.
+// shutdownTimes are the times of a graceful shutdown, relative to the request to stop.
 type shutdownTimes struct {
-	readUntil time.Duration // until when requests are read from open connections, to reject them
-	answerBy  time.Duration // when each request has its answer, however long it would take
+	readUntil time.Duration // latest time to read requests from open connections, to reject them
+	answerBy  time.Duration // when all open requests are answered, finished or not
 	closeBy   time.Duration // when client connections that are still open are closed
 }
 
@@ -40,15 +41,16 @@
 	}
 }
 
-// isStopping reports whether the gateway was asked to stop. It may be called from any goroutine.
+// isStopping reports whether the gateway was asked to stop. Any goroutine may call it.
 func (g *Gateway) isStopping() bool { return g.stopRequestedAt.Load() != 0 }
 
-// afterStop returns the time that lies d after the request to stop.
+// afterStop returns the time d after the request to stop.
 func (g *Gateway) afterStop(d time.Duration) time.Time {
 	return g.loop.Time(control.Micros(g.stopRequestedAt.Load())).Add(d)
 }
 
-// beginStop marks the gateway as stopping: it accepts connections for acceptConnectionsFor more, and no requests.
+// beginStop begins the shutdown: from now on the gateway accepts no requests, and after acceptConnectionsFor no
+// connections.
 func (g *Gateway) beginStop() {
 	g.stopping = true
 	g.ready.Store(false)
@@ -64,8 +66,8 @@
 	})
 }
 
-// answerOpen answers every request in flight: the kill would leave it without an answer.
-func (g *Gateway) answerOpen(now control.Micros) {
+// answerAllInFlight answers every request in flight, since the process may be killed before they finish.
+func (g *Gateway) answerAllInFlight(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		req := g.requests[id]
 		if req.answer.Given {
@@ -83,10 +85,11 @@
 	}
 }
 
-// cancelLoadCommands stops waiting for answers to load commands: with no request in flight they are of no use here.
+// cancelLoadCommands abandons all load commands in flight. It is called when no request is left that could use their
+// results.
 func (g *Gateway) cancelLoadCommands() {
 	for _, pool := range g.pools {
-		for call := range pool.open {
+		for call := range pool.inFlight {
 			if call.request == nil {
 				call.abandon()
 			}
@@ -94,13 +97,13 @@
 	}
 }
 
-// closeAll ends everything after the last step: what goes on in the background, the recording, and all connections.
-// Clients that have read their answers close by themselves; those that have not by closeBy are closed.
+// closeAll ends the background goroutines, the recording and all connections after the last step. It gives clients
+// until closeBy to read their answers and close their connections, and then closes those that are still open.
 func (g *Gateway) closeAll(stopBackground context.CancelFunc) {
 	if g.state != nil {
 		g.state.finalState = g.learnedState(g.loop.Now())
-		if g.state.historyTally != nil {
-			g.state.finalHistory = g.state.historyTally.Drain()
+		if g.state.historyCollector != nil {
+			g.state.finalHistory = g.state.historyCollector.Drain()
 		}
 	}
 	close(g.loopEnded)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -15,8 +15,8 @@
 	"hollymast/internal/record"
 )
 
-// stateKeeper writes what the router has learned to a folder: copied between two steps, encoded and written outside
-// them. docs/persistence.md describes the folder.
+// stateKeeper persists what the router has learned in a folder. The state is copied between two steps of the event
+// loop, and encoded and written outside of them. docs/persistence.md describes the folder.
 type stateKeeper struct {
 	*persistence.Journal
 	store    *persistence.Store
@@ -24,17 +24,17 @@
 	unlock   func()
 	interval time.Duration
 	log      zerolog.Logger
-	clock    persistence.Clock // of this incarnation
-	failed   bool              // the last write did
+	clock    persistence.Clock // read when this incarnation started
+	failed   bool              // the last write failed
 
-	usualLoad    *overload.Baseline // of the last incarnation; nil: not known
-	usualLoadAge control.Micros
+	overloadBaseline    *overload.Baseline // from the last incarnation; nil: not known
+	overloadBaselineAge control.Micros
 
 	// Owned by the event loop.
-	keys          *persistence.KeyIndex
-	historyTally  *history.Collector // nil: no history is kept
-	admitted      int                // requests since admittedSince that the journal does not know of
-	admittedSince control.Micros
+	keys                  *persistence.KeyIndex
+	historyCollector      *history.Collector // nil: no history is kept
+	unjournaledAdmissions int                // requests admitted since unjournaledSince, not yet in the journal
+	unjournaledSince      control.Micros
 
 	// Set by the event loop before loopEnded is closed.
 	finalState   *persistence.State
@@ -43,18 +43,19 @@
 	historyClosed chan struct{} // closed after the last write of the history
 }
 
-// maxJournalBytes bounds the journal's files. With the default configuration, the limit on keys comes first.
+// maxJournalBytes limits the total size of the journal's files. With the default configuration, the limit on keys is
+// reached first.
 const maxJournalBytes = 256 << 20
 
-// openRetryPause is the first pause before opening the folder is retried.
+// openRetryPause is the pause before the first retry of opening the folder.
 const openRetryPause = 5 * time.Millisecond
 
-// forever is a time that no router reaches.
-const forever = control.Micros(1) << 60
+// farFuture is later than any time at which a router runs.
+const farFuture = control.Micros(1) << 60
 
-// openStateKeeper opens the folder of learned state and applies what it holds to the balancer. Whatever is wrong with the
-// folder, the router starts: it then runs without one, logs that, and keeper is nil. keysUnknownUntil is until when
-// attempts that an earlier incarnation began may be running and are not known, because the folder failed.
+// openStateKeeper opens the folder for learned state and applies its contents to the balancer. If the folder is
+// unusable, the router still starts: it logs the problem, keeper is nil, and nothing is stored. Until keysUnknownUntil,
+// attempts started by an earlier incarnation may be running although they could not be read from the folder.
 func openStateKeeper(
 	config *Config, now control.Micros, balancer *control.Balancer, log zerolog.Logger,
 ) (keeper *stateKeeper, keysUnknownUntil control.Micros) {
@@ -65,16 +66,16 @@
 		return err
 	})
 	if err != nil {
-		log.Error().Err(err).Msg("no learned state: the folder can't be used, nothing is stored")
+		log.Error().Err(err).Msg("learned state: the folder can't be used, nothing is stored")
 		return nil, unknownUntil(err)
 	}
-	store, found := persistence.OpenStore(persistence.Dir(config.StateDir), config.owner())
-	for _, line := range found.Warnings {
+	store, loaded := persistence.OpenStore(persistence.Dir(config.StateDir), config.stateOwner())
+	for _, line := range loaded.Warnings {
 		log.Warn().Msg("learned state: " + line)
 	}
 	keeper = &stateKeeper{store: store, unlock: unlock, interval: config.StateInterval, log: log, clock: clock}
-	learned := keeper.restore(found.State, now)
-	if !found.Writable {
+	learned := keeper.restore(loaded.State, now)
+	if !loaded.Writable {
 		unlock()
 		return nil, 0
 	}
@@ -84,7 +85,7 @@
 	}
 	balancer.ApplyLearned(now, learned)
 	if err != nil {
-		log.Error().Err(err).Msg("no learned state: the journal can't be read, nothing is stored")
+		log.Error().Err(err).Msg("learned state: the journal can't be read, nothing is stored")
 		unlock()
 		return nil, unknownUntil(err)
 	}
@@ -93,23 +94,24 @@
 	}
 	log.Info().Int("marks", keeper.keys.Len()).Int("entries", len(entries)).Msg("journal read")
 	if config.MaxHistoryRows > 0 {
-		keeper.historyTally, keeper.historyClosed = history.NewCollector(), make(chan struct{})
+		keeper.historyCollector, keeper.historyClosed = history.NewCollector(), make(chan struct{})
 		keeper.history = history.NewStore(filepath.Join(config.StateDir, HistoryFile), int64(config.MaxHistoryRows))
 	}
 	return keeper, keysUnknownUntil
 }
 
-// restore returns what an earlier incarnation has learned, in this one's time; saved may be nil.
+// restore returns the state that an earlier incarnation saved, with its times converted to this incarnation's clock.
+// saved may be nil.
 func (keeper *stateKeeper) restore(saved *persistence.State, now control.Micros) *control.LearnedState {
 	if saved == nil {
 		return &control.LearnedState{}
 	}
 	learned := saved.Learned
-	keeper.usualLoad, keeper.usualLoadAge = saved.Overload, max(0, now-learned.SavedAt)
+	keeper.overloadBaseline, keeper.overloadBaselineAge = saved.Overload, max(0, now-learned.SavedAt)
 	if saved.Rebase(keeper.clock, now); learned.SavedAt > 0 {
-		keeper.usualLoadAge = now - learned.SavedAt // by the clock that counts from boot
+		keeper.overloadBaselineAge = now - learned.SavedAt // measured by the boot-time clock
 	}
-	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.usualLoadAge)).
+	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.overloadBaselineAge)).
 		Int("functions", len(learned.Functions)).Int("servers", len(learned.Servers)).Msg("learned state restored")
 	return learned
 }
@@ -122,7 +124,7 @@
 		MaxBytes: maxJournalBytes, Clock: keeper.clock, Now: now,
 		OnFailure: func(err error) {
 			if err != nil {
-				log.Error().Err(err).Msg("journal can't be written: attempts that a restart must know of wait until it can")
+				log.Error().Err(err).Msg("journal can't be written: attempts that must survive a restart wait until it can")
 			} else {
 				log.Info().Msg("journal is written again")
 			}
@@ -140,75 +142,76 @@
 	return entries, err
 }
 
-// unknownUntil returns until when earlier attempts are not known, after a folder could not be opened: one that failed
-// still holds them, and one that never was such a folder holds none.
+// unknownUntil returns until when earlier attempts are unknown after the folder could not be opened. After a transient
+// error the folder may still hold them, so they stay unknown. Any other error means that it never was a state folder
+// and holds none.
 func unknownUntil(err error) control.Micros {
 	if persistence.IsTransient(err) {
-		return forever
+		return farFuture
 	}
 	return 0
 }
 
-// owner names this router, and the configuration that the ids in its learned state depend on.
-func (c *Config) owner() persistence.Owner {
+// stateOwner identifies this router and the part of its configuration that the ids in the learned state depend on.
+func (c *Config) stateOwner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
 	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
 }
 
-// run writes the learned state at an interval until the last step, and then once more.
+// run writes the learned state periodically until the last step, and then once more.
 func (keeper *stateKeeper) run(g *Gateway) {
 	defer keeper.close()
 	ticker := time.NewTicker(keeper.interval)
 	defer ticker.Stop()
-	copies := make(chan *persistence.State, 1)
+	states := make(chan *persistence.State, 1)
 	for {
 		select {
 		case <-ticker.C:
 			g.afterStep(func(now control.Micros) {
 				keeper.keys.Prune(now)
 				select {
-				case copies <- g.learnedState(now):
-				default: // the disk is behind: a later copy will do
+				case states <- g.learnedState(now):
+				default: // the previous copy is still being written: skip this one
 				}
 			})
-		case state := <-copies:
+		case state := <-states:
 			keeper.write(state)
 		case <-g.loopEnded:
 			keeper.write(keeper.finalState)
-			if keeper.historyTally != nil {
-				<-keeper.historyClosed // it is in the same folder, which is still locked
+			if keeper.historyCollector != nil {
+				<-keeper.historyClosed // the history is in the same folder, which must stay locked until it is written
 			}
 			return
 		}
 	}
 }
 
-// learnedState returns a copy of what is to outlast this incarnation.
+// learnedState returns a copy of the state that is kept for the next incarnation.
 func (g *Gateway) learnedState(now control.Micros) *persistence.State {
 	state := &persistence.State{Learned: g.core.LearnedState(now)}
 	if g.state.clock.BootID != 0 {
 		state.Clock = &g.state.clock
 	}
 	if g.overload != nil {
-		usual := g.overload.Baseline()
-		state.Overload = &usual
+		baseline := g.overload.Baseline()
+		state.Overload = &baseline
 	}
 	return state
 }
 
-// write writes one generation. It logs when a disk begins to fail and when it works again, not each failure.
+// write writes one generation. It logs the first of consecutive failures and the recovery.
 func (keeper *stateKeeper) write(state *persistence.State) {
 	err := keeper.store.Write(state)
 	switch {
 	case err != nil && !keeper.failed:
-		keeper.log.Error().Err(err).Msg("learned state can't be written: the last one stays, retried, further failures are not logged")
+		keeper.log.Error().Err(err).Msg("learned state can't be written: the previous file is kept; retrying, further failures are not logged")
 	case err == nil && keeper.failed:
 		keeper.log.Info().Msg("learned state is written again")
 	}
 	keeper.failed = err != nil
 }
 
-// close closes the journal and unlocks the folder; a nil keeper has none.
+// close closes the journal and unlocks the folder. It does nothing if keeper is nil.
 func (keeper *stateKeeper) close() {
 	if keeper != nil {
 		keeper.Journal.Close()
