--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -15,26 +15,26 @@
 	"hollymast/internal/persistence"
 )
 
-// stateSection returns the section of settings for a folder.
+// stateSection returns the INI section that configures a folder for learned state.
 func stateSection(dir string) string {
 	return fmt.Sprintf("[memory]\nfolder = %s\nevery = 100ms\n", dir)
 }
 
-// The next incarnation knows where functions are loaded, from the file that this one has written.
+// The next incarnation reads from the folder where functions are loaded.
 func TestLearnedStateOutlastsRestart(t *testing.T) {
 	dir := t.TempDir()
-	first := newTestGatewayWith(t, stateSection(dir), serverOptions(0), serverOptions(1), serverOptions(2))
+	first := newTestGatewayWith(t, stateSection(dir), serverConfig(0), serverConfig(1), serverConfig(2))
 	if answer := first.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
 		t.Fatal(answer)
 	}
-	other, err := New(first.gateway.config, zerolog.Nop())
+	second, err := New(first.gateway.config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if other.state != nil { // two routers on one folder: the second goes without
-		t.Error("a second router has the folder too")
+	if second.state != nil { // a second router on the same folder runs without it
+		t.Error("a second router uses the folder too")
 	}
-	other.closeListeners()
+	second.closeListeners()
 	first.stop()
 	if err := <-first.ended; err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Whatever is wrong with the folder, the router serves.
+// The router serves requests even if the folder is unusable.
 func TestStartWithUnusableFolder(t *testing.T) {
 	for name, prepare := range map[string]func(dir string) error{
 		"a file":       func(dir string) error { return os.WriteFile(dir, nil, 0o600) },
@@ -70,7 +70,7 @@
 			if err := prepare(dir); err != nil {
 				t.Fatal(err)
 			}
-			tg := newTestGatewayWith(t, stateSection(dir), serverOptions(0))
+			tg := newTestGatewayWith(t, stateSection(dir), serverConfig(0))
 			if answer := tg.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
 				t.Error(answer)
 			}
--- a/internal/gateway/tls.go
+++ b/internal/gateway/tls.go
@@ -14,13 +14,13 @@
 	"hollymast/internal/xds"
 )
 
-// The certificates of connections are checked again after the handshake.
+// rest checks the peer's certificate again after the handshake if a connection implements PeerChecker.
 var _ rest.PeerChecker = (*certstore.Conn)(nil)
 
-// wallClock returns the time that certificates are valid by.
+// wallClock returns the time against which the validity of certificates is checked.
 func wallClock() control.Micros { return control.Micros(time.Now().UnixMicro()) }
 
-// openCertStores loads the certificates of all kinds of connections that use TLS.
+// openCertStores loads the certificates for each kind of connection that uses TLS.
 func (g *Gateway) openCertStores() error {
 	g.certStores = map[string]*certstore.Store{}
 	for _, kind := range connectionKinds {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// watchCertStores has the certificates reloaded as they change, until ctx ends.
+// watchCertStores starts goroutines that reload changed certificates until ctx ends.
 func (g *Gateway) watchCertStores(ctx context.Context) {
 	for kind, store := range g.certStores {
 		g.background.Go(func() { store.Run(ctx) })
@@ -50,7 +50,7 @@
 	}
 }
 
-// followSecrets takes a store's certificates from a secret discovery service until ctx ends.
+// followSecrets updates a store's certificates from a secret discovery service until ctx ends.
 func (g *Gateway) followSecrets(ctx context.Context, kind string, store *certstore.Store, config *certstore.Config) {
 	log := func(text string) { g.log.Info().Str("connections", kind).Msg("sds: " + text) }
 	transport := xds.Transport{
@@ -63,7 +63,7 @@
 	}
 }
 
-// credentials returns the credentials of a kind of gRPC connections; nil for plain text.
+// credentials returns the credentials for a kind of gRPC connection; nil for plain text.
 func (g *Gateway) credentials(kind string) credentials.TransportCredentials {
 	if store := g.certStores[kind]; store != nil {
 		return store.Credentials()
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// serverHandshake returns the TLS handshake of connections to servers; nil for plain text. Each distinct error of a
-// server is logged once.
+// serverHandshake returns the TLS handshake for connections to servers; nil for plain text. It logs a server's error
+// only if it differs from the previous one.
 func (g *Gateway) serverHandshake() rest.Handshake {
 	store := g.certStores[serverConnections]
 	if store == nil {
@@ -82,15 +82,15 @@
 		secured, err := store.ClientHandshake(ctx, conn, address)
 		if err == nil {
 			g.lastTLSErrors.Delete(address)
-		} else if before, _ := g.lastTLSErrors.Swap(address, err.Error()); before != err.Error() {
+		} else if previous, _ := g.lastTLSErrors.Swap(address, err.Error()); previous != err.Error() {
 			g.log.Warn().Str("server", address).Str("fault", err.Error()).Msg("TLS handshake with a server failed")
 		}
 		return secured, err
 	}
 }
 
-// clientHandshake makes the TLS handshake of a client's connection, if clients use TLS, within the header timeout. It
-// closes the connection if that fails.
+// clientHandshake performs the TLS handshake of a client connection within the header timeout, if clients use TLS. It
+// closes the connection if the handshake fails.
 func (g *Gateway) clientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	store := g.certStores[clientConnections]
 	if store == nil {
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -8,27 +8,29 @@
 	"hollymast/internal/xds"
 )
 
-// viewInterval is how often this router's view is published: several times within the grace period of its followers.
+// viewInterval is the interval at which this router's view is published: several times within its followers' grace
+// period.
 const viewInterval = 50 * time.Millisecond
 
-// publishView publishes this router's view until the last step. It is copied between two steps and encoded outside them.
+// publishView publishes this router's view periodically until the last step. The view is copied between two steps, and
+// encoded outside of them.
 func (g *Gateway) publishView() {
 	defer g.view.Close()
 	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
-	copies := make(chan []xds.ServerView, 1)
+	views := make(chan []xds.ServerView, 1)
 	for {
 		select {
 		case <-ticker.C:
 			if !g.ready.Load() {
-				continue // without an endpoint list yet: followers of an empty view would drop all servers
+				continue // no endpoint list yet: publishing an empty view would make followers drop all servers
 			}
 			g.afterStep(func(control.Micros) {
-				if len(copies) == 0 {
-					copies <- g.viewServers()
+				if len(views) == 0 {
+					views <- g.viewServers()
 				}
 			})
-		case servers := <-copies:
+		case servers := <-views:
 			if err := g.view.Publish(g.loop.Now(), servers); err != nil {
 				g.log.Error().Err(err).Msg("view can't be published")
 			}
@@ -54,9 +56,9 @@
 			server.Health = membership.Unhealthy
 		}
 		if pool := g.pools[s.ID]; pool != nil {
-			server.InFlight = len(pool.open)
+			server.InFlight = len(pool.inFlight)
 		}
-		if report, ok := g.loadTally.LastReport(s.Address); ok {
+		if report, ok := g.loadCollector.LastReport(s.Address); ok {
 			server.HasLoadReport, server.Utilization = true, report.Utilization
 			server.PendingLoads, server.PinnedMemory = report.PendingLoads, report.PinnedMemory
 		}
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -11,18 +11,18 @@
 	"hollymast/internal/invariant"
 )
 
-// A router that follows another's view has its endpoints, drains and ejections.
+// A router that follows another router's view gets its endpoints, drains and ejections.
 func TestRouterFollowsView(t *testing.T) {
-	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.ServeView = "127.0.0.1:0" }, serverOptions(0), serverOptions(1), serverOptions(2))
+	tg := newTestGatewayConfigured(t, "", func(c *Config) { c.ServeView = "127.0.0.1:0" }, serverConfig(0), serverConfig(1), serverConfig(2))
 	config := *tg.gateway.config
 	config.ControlPlane, config.ServeView, config.AdminListen, config.LoadReports = tg.gateway.view.Address(), "", "", true
-	g, err := New(&config, zerolog.Nop())
+	followerGateway, err := New(&config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- g.Serve(ctx) }()
+	go func() { ended <- followerGateway.Serve(ctx) }()
 	defer func() {
 		stop()
 		if err := <-ended; err != nil {
@@ -31,8 +31,8 @@
 	}()
 	states := func() (ready, draining int) {
 		done := make(chan bool)
-		g.loop.Post(func(control.Micros) {
-			for _, s := range g.fleet.Servers() {
+		followerGateway.loop.Post(func(control.Micros) {
+			for _, s := range followerGateway.fleet.Servers() {
 				if s.State == control.Ready {
 					ready++
 				} else {
@@ -55,11 +55,11 @@
 		t.Fatalf("the second router sees %d ready and %d draining, want %d and %d", r, d, ready, draining)
 	}
 	await(3, 0, 5*time.Second)
-	both := &testGateway{t: t, gateway: g, log: tg.log}
-	if answer := both.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
+	follower := &testGateway{t: t, gateway: followerGateway, log: tg.log}
+	if answer := follower.call("1", "forecast-1", time.Second); answer != invariant.Succeeded {
 		t.Error(answer)
 	}
-	// The first router learns what the second has sent from its load reports, with the load that the server stated.
+	// The second router's load reports tell the first one what it has sent, and the load that the server reported.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		lines, nodes := tg.gateway.view.ReportedLoads()
 		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
@@ -70,11 +70,11 @@
 		}
 	}
 	tg.writeEndpoints("ready", "draining", "ready")
-	begun := time.Now()
+	start := time.Now()
 	await(2, 1, 5*time.Second)
-	t.Logf("a drain reached the second router after %s", time.Since(begun))
+	t.Logf("a drain reached the second router after %s", time.Since(start))
 	tg.servers[2].Stop()
-	for i := range 20 { // the first router finds out that a server is dead; it drains for the second
+	for i := range 20 { // the first router ejects the stopped server, which the second one then sees as draining
 		tg.call(string(rune('a'+i)), "forecast-"+string(rune('a'+i)), 400*time.Millisecond)
 	}
 	await(1, 2, 3*time.Second)
