--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -51,14 +51,14 @@
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
 	waitUntil(t, "the server has the attempt", func() bool { return tg.attemptsReceived("half") > 0 })
-	begun := time.Now()
+	start := time.Now()
 	conn.(*net.TCPConn).CloseWrite()
 	line, err := r.ReadString('\n')
-	if err != nil || !strings.HasPrefix(line, "HTTP/1.1 504") || time.Since(begun) > 500*time.Millisecond {
-		t.Errorf("got %q, %v after %s", line, err, time.Since(begun))
+	if err != nil || !strings.HasPrefix(line, "HTTP/1.1 504") || time.Since(start) > 500*time.Millisecond {
+		t.Errorf("got %q, %v after %s", line, err, time.Since(start))
 	}
 	waitUntil(t, "no request is in flight, though the server is silent", func() bool { return tg.inFlight() == 0 })
-	if took := time.Since(begun); took > 900*time.Millisecond {
+	if took := time.Since(start); took > 900*time.Millisecond {
 		t.Errorf("the attempt was cancelled only after %s", took)
 	}
 }
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -45,15 +45,15 @@
 // A request's deadline counts from its arrival even if it is read later, because the process stalled or the request was
 // pipelined behind another one.
 func TestDeadlineCountsFromArrival(t *testing.T) {
-	const limit, delay = time.Second, 400 * time.Millisecond
+	const requestTimeout, delay = time.Second, 400 * time.Millisecond
 	for name, pipelined := range map[string]int{"read late": 0, "pipelined": 1} {
 		var slow atomic.Int64
-		tg := newTestGatewayConfigured(t, "", func(c *Config) { c.Deployment.Classes[0].LatencyObjective = micros(limit) })
+		tg := newTestGatewayConfigured(t, "", func(c *Config) { c.Deployment.Classes[0].LatencyObjective = micros(requestTimeout) })
 		address, attempts := startRecordingServer(t, &slow)
 		if err := os.WriteFile(tg.endpointFile, []byte("[a]\naddress = "+address+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for tg.call("first", "forecast-1", limit) != invariant.Succeeded { // the endpoints are read, and the function loaded
+		for tg.call("first", "forecast-1", requestTimeout) != invariant.Succeeded { // the endpoints are read, and the function loaded
 			time.Sleep(10 * time.Millisecond)
 		}
 		<-attempts
@@ -68,7 +68,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		body := inferRequest("1", "forecast-1", limit).Body
+		body := inferRequest("1", "forecast-1", requestTimeout).Body
 		start := time.Now()
 		for range pipelined + 1 {
 			fmt.Fprintf(conn, "POST /v2/models/forecast-1/infer HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -85,7 +85,7 @@
 				t.Fatalf("%s: no attempt was received", name)
 			}
 		}
-		if left := limit - received.receivedAt.Sub(start); received.timeout > left+timeoutTolerance || received.timeout < left-timeoutTolerance {
+		if left := requestTimeout - received.receivedAt.Sub(start); received.timeout > left+timeoutTolerance || received.timeout < left-timeoutTolerance {
 			t.Errorf("%s: timeout %v with %v left", name, received.timeout, left)
 		}
 	}
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -56,9 +56,9 @@
 		{"booking-1", "late", invariant.Rejected, 0}, // its retry window has passed
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
-		job := fmt.Sprint("job-", i)
-		if got := tg.callWithKey(job, c.function, c.mark); got != c.want || tg.attemptsStarted(job, -1) != c.attempts {
-			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsStarted(job, -1), c.want, c.attempts)
+		id := fmt.Sprint("job-", i)
+		if got := tg.callWithKey(id, c.function, c.mark); got != c.want || tg.attemptsStarted(id, -1) != c.attempts {
+			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsStarted(id, -1), c.want, c.attempts)
 		}
 	}
 }
@@ -191,26 +191,26 @@
 	rejected := 0
 	for i := range 60 {
 		disk.full.Store(i/10%2 == 1)
-		job := fmt.Sprint("job-", i)
-		got := tg.callWithKey(job, "ticket-1", job)
-		switch ran := tg.attemptsStarted(job, -1); {
+		id := fmt.Sprint("job-", i)
+		got := tg.callWithKey(id, "ticket-1", id)
+		switch ran := tg.attemptsStarted(id, -1); {
 		case got == invariant.Rejected && ran == 0:
 			rejected++
 		case got != invariant.Succeeded || ran != 1:
-			t.Errorf("%s: got %s with %d attempts", job, got, ran)
+			t.Errorf("%s: got %s with %d attempts", id, got, ran)
 		case disk.full.Load():
-			t.Errorf("%s: ran without a journal entry", job)
+			t.Errorf("%s: ran without a journal entry", id)
 		}
 		if disk.full.Load() && i%10 == 5 {
-			if got := tg.call(job+" other", "forecast-1", time.Second); got != invariant.Succeeded {
+			if got := tg.call(id+" other", "forecast-1", time.Second); got != invariant.Succeeded {
 				t.Errorf("an idempotent request: %s", got)
 			}
 			client, err := rest.Dial(context.Background(), tg.gateway.Address(), &rest.DefaultLimits)
 			if err != nil {
 				t.Fatal(err)
 			}
-			msg := inferRequest(job, "ticket-1", time.Second)
-			msg.Header[kserve.RepeatMark] = []string{job + " again"}
+			msg := inferRequest(id, "ticket-1", time.Second)
+			msg.Header[kserve.RepeatMark] = []string{id + " again"}
 			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
 				t.Errorf("%+v, %v", resp, err)
@@ -219,9 +219,9 @@
 		if i%10 == 9 {
 			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
-				job := fmt.Sprint("job-", k)
-				if tg.attemptsStarted(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
-					t.Errorf("%s ran, but the next incarnation would not know", job)
+				id := fmt.Sprint("job-", k)
+				if tg.attemptsStarted(id, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: id}, tg.ticketClass()))) == 0 {
+					t.Errorf("%s ran, but the next incarnation would not know", id)
 				}
 			}
 		}
