--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -70,9 +70,9 @@
 		resp, clientClosed := c.respond(msg)
 		c.releaseBody()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.More = (clientClosed || state.Stopping) && c.conn.HasPending() &&
+		state.Pipelined = (clientClosed || state.Stopping) && c.conn.HasPending() &&
 			(!state.Stopping || time.Now().Before(g.afterStop(readUntil)))
-		resp.Close = state.CloseAfter(resp.Close, msg.Close, clientClosed)
+		resp.Close = state.CloseAfterResponse(resp.Close, msg.Close, clientClosed)
 		if c.conn.WriteResponse(resp) != nil || resp.Close {
 			return
 		}
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -79,7 +79,7 @@
 		tg.gateway.loop.Post(func(control.Micros) {
 			all := true
 			for _, req := range tg.gateway.requests {
-				all = all && req.answer.Given
+				all = all && req.answer.Decided
 			}
 			answered <- all
 		})
@@ -167,7 +167,7 @@
 		call.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
 		call.request.clientCheckedAt.Store(int64(tg.gateway.loop.Now() - attempt.MaxClientCheckAge - 1))
 		call.request.response, call.request.id = make(chan *rest.Response, 1), 1
-		call.request.answer.Give() // so that the event loop does not answer it
+		call.request.answer.Decide() // so that the event loop does not answer it
 		c.client(conn.(*net.TCPConn))
 		waitUntil(t, "the client's action has arrived", func() bool { return c.arrived(call.request.client) })
 		sc := &serverConn{gateway: tg.gateway, address: address}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -32,7 +32,7 @@
 	idempotencyKey string
 	journalKey     persistence.IdempotencyKey // 0: its attempts are not journaled
 	objectiveAt    control.Micros             // when its class's latency objective requires the answer
-	answer         attempt.FinalAnswer
+	answer         attempt.FinalResponse
 	attempts       []*serverCall // by attempt number; nil: an attempt of an earlier incarnation
 }
 
@@ -61,7 +61,7 @@
 func (g *Gateway) handleRequest(now control.Micros, req *request) {
 	key := g.config.journalKey(req.function, req.params, req.pattern.Class)
 	if resp := g.rejectionFor(now, req, key); resp != nil {
-		req.answer.Give()
+		req.answer.Decide()
 		req.response <- resp
 		g.metrics.countAnswer(answerRejected)
 		return
@@ -119,7 +119,7 @@
 // finish sends a request's final answer and withdraws its attempts that are not being written yet. It does nothing if
 // the request has its answer already.
 func (g *Gateway) finish(req *request, answer finalAnswer, resp *rest.Response) {
-	if !req.answer.Give() {
+	if !req.answer.Decide() {
 		return
 	}
 	for _, call := range req.attempts { // an answered request must not be sent any more
@@ -144,7 +144,7 @@
 // handleClientClosed ends a request whose client closed its side of the connection. The answer is still written, since
 // a client that is only half closed can read it.
 func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
-	if req.answer.Given {
+	if req.answer.Decided {
 		return
 	}
 	g.core.Cancel(now, req.id)
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -38,7 +38,7 @@
 // before the endpoint list that the choice is based on gets too old.
 func (g *Gateway) newCall(server control.ServerID, timeout control.Micros) *serverCall {
 	call := &serverCall{
-		server: server, writeBefore: g.loop.WriteUntil(), deadline: g.loop.Time(g.loop.StepTime + timeout),
+		server: server, writeBefore: g.loop.WriteDeadline(), deadline: g.loop.Time(g.loop.StepTime + timeout),
 	}
 	call.ctx, call.cancel = context.WithCancel(context.Background())
 	return call
