--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -27,7 +27,7 @@
 // journalKey returns the journal's key for a client's request. It is 0 if the request is idempotent, so that a retry
 // does no harm, or has no idempotency key, so that a retry can't be recognized.
 func (c *Config) journalKey(function string, params kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
-	if params.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
+	if params.Mark == "" || c.Deployment.Classes[class].Idempotency == control.Idempotent {
 		return 0
 	}
 	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -26,7 +26,7 @@
 // incarnation would have left.
 func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 	journalKey := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
 		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
@@ -147,7 +147,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.clockStep
 			clock := persistence.ReadClock(now)
 			if c.rebooted {
@@ -164,7 +164,7 @@
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) {
 				booking, _ := c.MatchFunction("booking-1")
-				c.Deployment.Classes[booking.Class].Window = 60_000_000
+				c.Deployment.Classes[booking.Class].DedupWindow = 60_000_000
 			}, serverConfig(0), serverConfig(1))
 			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.bookingAnswer || tg.attemptsStarted("booking", -1) != c.attempts {
 				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsStarted("booking", -1))
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -155,7 +155,7 @@
 // stateOwner identifies this router and the part of its configuration that the ids in the learned state depend on.
 func (c *Config) stateOwner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
-	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
+	return persistence.Owner{Router: c.Deployment.RouterIndex, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
 }
 
 // run writes the learned state periodically until the last step, and then once more.
