--- a/control/balancer.go
+++ b/control/balancer.go
@@ -13,32 +13,32 @@
 
 // Balancer holds the routing state of one router. It is not safe for concurrent use: one event loop owns it.
 type Balancer struct {
-	deployment    Deployment
-	random        pcg
-	startedAt     Micros
-	servers       serverList
-	functions     map[FunctionID]*function
-	functionOrder []*function // in order of first use
-	waiting       []*function // functions with requests held or shed since the last replica check
-	execTimes     []samples   // by class
-	deadlines     []samples   // by class: time from arrival to deadline
-	quotaDebt     []Micros    // by tenant: the time at which its admitted requests are back within its quota
-	latencies     samples     // of answers from loaded replicas, all servers
-	loadTimes     samples     // load durations
-	queueing      samples     // queueing on all servers, in the same unit as server.queueing
-	loadCommands  []Micros    // load commands within the load-rate window
-	admitted      []Micros    // requests admitted within the load-rate window
-	cancellations []Cancellation
-	candidates    []candidate // scratch space, reused between decisions
-	deviations    []deviation // scratch space, too
-	serverEvents  []ServerEvent
-	answers       []Micros // recent answers, from all ready servers
-	answerRate    float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
-	freshFor      Micros
+	deployment     Deployment
+	random         pcg
+	startedAt      Micros
+	servers        serverList
+	functions      map[FunctionID]*function
+	functionOrder  []*function // in order of first use
+	pendingChecks  []*function // functions with requests held or shed since the last replica check
+	execTimes      []samples   // by class
+	timeouts       []samples   // by class: time from arrival to deadline
+	quotaDebt      []Micros    // by tenant: the time at which its admitted requests are back within its quota
+	latencies      samples     // of answers from loaded replicas, all servers
+	loadTimes      samples     // load durations
+	queueing       samples     // queueing on all servers, in the same unit as server.queueing
+	loadCommands   []Micros    // load commands within the load-rate window
+	admitted       []Micros    // requests admitted within the load-rate window
+	cancellations  []Cancellation
+	candidates     []candidate // scratch space, reused between decisions
+	deviations     []deviation // scratch space, too
+	serverEvents   []ServerEvent
+	answers        []Micros // recent answers, from all ready servers
+	answerRate     float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
+	observationTTL Micros
 	// The capacity over the time of answers.
 	capacityHistory capacityHistory
-	recent          []*function // functions of the most recently admitted requests
-	pruned          int         // where prune continues in functionOrder
+	recentFunctions []*function // functions of the most recently admitted requests
+	pruneCursor     int         // where prune continues in functionOrder
 	subscribed      bool
 	index           index
 	trace           *Trace // nil except in diagnostic tools
@@ -48,6 +48,6 @@
 // determines its random choices.
 func New(now Micros, seed uint64, config Deployment) *Balancer {
 	return &Balancer{deployment: config, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
-		execTimes: make([]samples, len(config.Classes)), deadlines: make([]samples, len(config.Classes)),
+		execTimes: make([]samples, len(config.Classes)), timeouts: make([]samples, len(config.Classes)),
 		quotaDebt: make([]Micros, len(config.Quotas)), capacityHistory: capacityHistory{asOf: now}}
 }
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -61,21 +61,21 @@
 	slowStartSince  Micros      // StartedAt while the server is in index.slowStart, else 0
 	slowStartWeight milliWeight // as index.slowStart has it
 
-	listed         bool        // named in the latest full list or in an update since
-	lastListed     Micros      // when it was last in the list, if it no longer is
-	weight         float64     // as the index has it: 0 if the server is not ready
-	impaired       bool        // is in index.impaired
-	readyIndex     int         // its position in index.ready, -1 if it isn't there
-	present        bool        // as the index has it: not removed
-	inRemoved      bool        // is in index.removed
-	functions      []*function // those with an entry for this server in their instances, by id
-	lastAnswer     Micros      // last response, or when it became known
-	inFlight       []inFlightAttempt
-	slowStartSends []Micros // times of recent attempts, while it is in slow start
-	report         LoadReport
-	reportedAt     Micros
-	backoffUntil   Micros // no attempts before this time, after a rejection
-	loadsAfter     Micros // no loads before this time, after a rejected load
+	listed           bool        // named in the latest full list or in an update since
+	lastListed       Micros      // when it was last in the list, if it no longer is
+	weight           float64     // as the index has it: 0 if the server is not ready
+	impaired         bool        // is in index.impaired
+	readyIndex       int         // its position in index.ready, -1 if it isn't there
+	present          bool        // as the index has it: not removed
+	inRemoved        bool        // is in index.removed
+	functions        []*function // those with an entry for this server in their instances, by id
+	lastAnswer       Micros      // last response, or when it became known
+	inFlight         []inFlightAttempt
+	slowStartSends   []Micros // times of recent attempts, while it is in slow start
+	report           LoadReport
+	reportedAt       Micros
+	backoffUntil     Micros // no attempts before this time, after a rejection
+	loadBackoffUntil Micros // no loads before this time, after a rejected load
 	// How many of this router's attempts the server handles at once, see adaptConcurrencyLimit; 0: not set yet.
 	concurrencyLimit   float64
 	running            int // attempts that execute there, without those that wait for a load
@@ -93,7 +93,7 @@
 func (s *server) forgetIncarnation(now Micros) {
 	s.lastAnswer = now
 	s.report, s.reportedAt = LoadReport{}, 0
-	s.backoffUntil, s.loadsAfter, s.rejections = 0, 0, 0
+	s.backoffUntil, s.loadBackoffUntil, s.rejections = 0, 0, 0
 	s.concurrencyLimit, s.limitLoweredAt, s.queueing = 0, 0, samples{}
 	s.ejected, s.probeAt, s.ejections, s.connectionFailures = false, 0, 0, 0
 }
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -11,7 +11,7 @@
 	b := fleet(deployment(), 2)
 	s := b.servers.at(0)
 	b.eject(at, s, ConnectionsFail)
-	s.backoffUntil, s.loadsAfter, s.rejections, s.connectionFailures = at+10*second, at+10*second, 3, 1
+	s.backoffUntil, s.loadBackoffUntil, s.rejections, s.connectionFailures = at+10*second, at+10*second, 3, 1
 	s.concurrencyLimit, s.limitLoweredAt = 1, at
 	s.queueing.add(at, 900)
 	s.report, s.reportedAt = LoadReport{Utilization: 1, PendingLoads: 9}, at
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -8,13 +8,13 @@
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
 // uses those of the request's class.
 func (b *Balancer) execTime(f *function, req *Request) Micros {
-	if req.Work > 0 {
-		return req.Work
+	if req.ExecTimeHint > 0 {
+		return req.ExecTimeHint
 	}
 	const minSamples = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
-	if s.n < minSamples {
-		if s = &b.execTimes[req.Class]; s.n < minSamples {
+	if s.count < minSamples {
+		if s = &b.execTimes[req.Class]; s.count < minSamples {
 			// Before any answer: a guess that makes B 3.
 			return b.deployment.Classes[req.Class].LatencyObjective / 4
 		}
@@ -28,8 +28,8 @@
 // loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
 // objective of the first class, else 0. The request may be nil.
 func (b *Balancer) loadTime(req *Request) Micros {
-	if req != nil && req.LoadTime > 0 {
-		return req.LoadTime
+	if req != nil && req.LoadTimeHint > 0 {
+		return req.LoadTimeHint
 	}
 	if recent := b.loadTimes.mean(0); recent != 0 || len(b.deployment.Classes) == 0 {
 		return recent
@@ -40,27 +40,27 @@
 // latencyObjective returns a request's latency objective, which may grow with its execution time.
 func (b *Balancer) latencyObjective(req *Request, exec Micros) Micros {
 	class := b.deployment.Classes[req.Class]
-	return class.LatencyObjective + Micros(class.ObjectivePerWork*float64(exec))
+	return class.LatencyObjective + Micros(class.ObjectivePerExecTime*float64(exec))
 }
 
 // samples is a ring of the latest measurements and their times.
 type samples struct {
-	v, at [16]Micros
-	n     int // number of measurements ever taken
+	values, times [16]Micros
+	count         int // number of measurements ever taken
 }
 
 func (s *samples) add(now, v Micros) {
-	i := s.n % len(s.v)
-	s.v[i], s.at[i] = v, now
-	s.n++
+	i := s.count % len(s.values)
+	s.values[i], s.times[i] = v, now
+	s.count++
 }
 
 // since returns the measurements taken at t or later, in ascending order.
 func (s *samples) since(t Micros) []Micros {
 	var values []Micros
-	for i := range min(s.n, len(s.v)) {
-		if s.at[i] >= t {
-			values = append(values, s.v[i])
+	for i := range min(s.count, len(s.values)) {
+		if s.times[i] >= t {
+			values = append(values, s.values[i])
 		}
 	}
 	slices.Sort(values)
@@ -70,8 +70,8 @@
 // mean returns the mean of the measurements taken at t or later; 0 if there are none.
 func (s *samples) mean(t Micros) Micros {
 	var sum, n Micros
-	for i, v := range s.v[:min(s.n, len(s.v))] {
-		if s.at[i] >= t {
+	for i, v := range s.values[:min(s.count, len(s.values))] {
+		if s.times[i] >= t {
 			sum, n = sum+v, n+1
 		}
 	}
--- a/control/instances.go
+++ b/control/instances.go
@@ -9,21 +9,21 @@
 
 // function is what the balancer knows of one function.
 type function struct {
-	id          FunctionID
-	lanes       int
-	lastRequest *Request    // the latest request routed
-	loadsDue    int         // loads that the last replica check asked for
-	instances   []*instance // by ascending server id
-	execTimes   samples
-	delays      samples // time held here plus queueing delay on the server
-	shed        samples // requests rejected for lack of slack
-	held        int
-	waiting     bool   // is in Balancer.waiting
-	recent      int    // number of its requests among the most recently admitted
-	heldSince   Micros // since when at least one request has been held
-	blockedAt   Micros // when a request for it last found no instance
-	ranking     ranking
-	homes       homeSet
+	id             FunctionID
+	lanes          int
+	lastRequest    *Request    // the latest request routed
+	loadsDue       int         // loads that the last replica check asked for
+	instances      []*instance // by ascending server id
+	execTimes      samples
+	delays         samples // time held here plus queueing delay on the server
+	shed           samples // requests rejected for lack of slack
+	held           int
+	checkPending   bool   // is in Balancer.waiting
+	recentRequests int    // number of its requests among the most recently admitted
+	heldSince      Micros // since when at least one request has been held
+	blockedAt      Micros // when a request for it last found no instance
+	ranking        ranking
+	homes          homeSet
 }
 
 // instance is the set of a function's replicas on one server, as far as this router believes.
--- a/control/loading.go
+++ b/control/loading.go
@@ -29,7 +29,7 @@
 	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
 	const maxPending = 8
 	acceptsLoads := func(s *server) bool {
-		return now >= s.loadsAfter && s.pendingLoads() < maxPending &&
+		return now >= s.loadBackoffUntil && s.pendingLoads() < maxPending &&
 			!(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	cs, ranked := []candidate(nil), false
@@ -79,7 +79,7 @@
 func (b *Balancer) homeCount(f *function, usable int) int {
 	const homesPerServer = 2 // homes per server's worth of requests, so that a home takes half of its server's load
 	const minRequests = 32   // requests needed to estimate a share; the current one says nothing
-	share := float64(f.recent-1) / float64(max(minRequests, len(b.recent)))
+	share := float64(f.recentRequests-1) / float64(max(minRequests, len(b.recentFunctions)))
 	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
 }
 
@@ -124,7 +124,7 @@
 		inst.loading, inst.loadingSince = 1, now
 		return b.forward(now, f, req, inst)
 	}
-	commanded := b.deployment.LoadCommands && b.loadCommandAllowed(now)
+	commanded := b.deployment.SupportsLoadCommands && b.loadCommandAllowed(now)
 	if !commanded && !b.deployment.LoadsOnMiss && len(req.Attempts) == 0 {
 		return b.forward(now, f, req, inst)
 	} else if !commanded {
@@ -211,7 +211,7 @@
 		}
 		inst.replicas, inst.lastUsed = replicas, now
 	case Overloaded, Failed:
-		inst.loading, inst.server.loadsAfter = 0, now+loadBackoff
+		inst.loading, inst.server.loadBackoffUntil = 0, now+loadBackoff
 	case ConnectionReset, ConnectFailed:
 		inst.loading = 0
 		b.connectionFailed(now, inst.server)
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -10,16 +10,16 @@
 // next call, and the cancellations and log lines since the last one.
 func (b *Balancer) Maintain(now Micros) Maintenance {
 	m := Maintenance{Next: now + maintenanceInterval}
-	if b.deployment.EndpointsOnRequest && !b.subscribed {
+	if b.deployment.EndpointsNeedSubscription && !b.subscribed {
 		b.subscribed, m.SubscribeEndpoints = true, true
 	}
 	b.updateAnswerRate(now)
 	b.ejectSilentServers(now)
 	b.prune(now)
-	b.waiting = slices.DeleteFunc(b.waiting, func(f *function) bool {
+	b.pendingChecks = slices.DeleteFunc(b.pendingChecks, func(f *function) bool {
 		b.checkReplicas(now, f)
-		f.waiting = f.held > 0
-		return !f.waiting
+		f.checkPending = f.held > 0
+		return !f.checkPending
 	})
 	m.Cancellations, m.ServerEvents, b.cancellations, b.serverEvents = b.cancellations, b.serverEvents, nil, nil
 	return m
@@ -39,7 +39,7 @@
 	if len(b.functionOrder) <= maxFunctions {
 		return
 	}
-	from := b.pruned % len(b.functionOrder)
+	from := b.pruneCursor % len(b.functionOrder)
 	to := min(len(b.functionOrder), from+batch)
 	kept := slices.DeleteFunc(b.functionOrder[from:to:to], func(f *function) bool {
 		forget := b.idle(now, f)
@@ -52,7 +52,7 @@
 		return forget
 	})
 	b.functionOrder = slices.Delete(b.functionOrder, from+len(kept), to)
-	b.pruned = from + len(kept)
+	b.pruneCursor = from + len(kept)
 }
 
 // pruneServers forgets servers that left the endpoint list long ago and have no attempt in flight.
@@ -80,7 +80,7 @@
 
 // idle reports whether everything known of a function can be forgotten.
 func (b *Balancer) idle(now Micros, f *function) bool {
-	return !f.waiting && f.recent == 0 && !slices.ContainsFunc(f.instances, func(inst *instance) bool {
+	return !f.checkPending && f.recentRequests == 0 && !slices.ContainsFunc(f.instances, func(inst *instance) bool {
 		return inst.inFlight > 0 || b.loaded(now, inst) || b.loading(now, inst)
 	})
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -67,7 +67,7 @@
 // where answers are rare, so that the probes of many routers don't add up. It starts at half a second, in which a
 // router with much traffic can spare one request.
 func (b *Balancer) probeInterval(s *server) Micros {
-	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, b.freshFor) / rareAnswers
+	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, b.observationTTL) / rareAnswers
 }
 
 // healthy reports whether a server is ready, not ejected, and not rejecting everything.
--- a/control/overload.go
+++ b/control/overload.go
@@ -28,8 +28,8 @@
 // queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
 // there then don't count as capacity to wait for either.
 func (b *Balancer) overloaded(now Micros, s *server) bool {
-	return b.freshFor > rareAnswers &&
-		(s.reportsOverload(now, b.freshFor) || s.queueing.mean(now-b.freshFor) > maxQueueing)
+	return b.observationTTL > rareAnswers &&
+		(s.reportsOverload(now, b.observationTTL) || s.queueing.mean(now-b.observationTTL) > maxQueueing)
 }
 
 // maxQueueing is the queueing delay, in thousandths of the requests' slack, above which a server is overloaded: a
@@ -50,8 +50,8 @@
 	if s.crowded() || s.reportsOverload(now, maxFreshFor) {
 		return true
 	}
-	for i, v := range s.queueing.v {
-		if v > maxQueueing && s.queueing.at[i] >= now-maxFreshFor {
+	for i, v := range s.queueing.values {
+		if v > maxQueueing && s.queueing.times[i] >= now-maxFreshFor {
 			return true
 		}
 	}
@@ -63,8 +63,8 @@
 // too rare for concurrency limits to adapt.
 func (b *Balancer) mustShed(now Micros) bool {
 	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
-	excess := quantile(b.queueing.since(now-b.freshFor/2), 0.5) - 250
-	return b.freshFor > rareAnswers && Micros(b.random.below(1000)) < min(excess, 500)
+	excess := quantile(b.queueing.since(now-b.observationTTL/2), 0.5) - 250
+	return b.observationTTL > rareAnswers && Micros(b.random.below(1000)) < min(excess, 500)
 }
 
 // noteShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
@@ -72,8 +72,8 @@
 func (b *Balancer) noteShed(now, slack Micros, f *function) {
 	f.delays.add(now, slack)
 	f.shed.add(now, 1)
-	if !f.waiting {
-		f.waiting, b.waiting = true, append(b.waiting, f)
+	if !f.checkPending {
+		f.checkPending, b.pendingChecks = true, append(b.pendingChecks, f)
 	}
 }
 
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -51,16 +51,16 @@
 
 func referenceMaintain(r *Balancer, now Micros) Maintenance {
 	up := Maintenance{Next: now + maintenanceInterval}
-	if r.deployment.EndpointsOnRequest && !r.subscribed {
+	if r.deployment.EndpointsNeedSubscription && !r.subscribed {
 		r.subscribed, up.SubscribeEndpoints = true, true
 	}
 	referenceUpdateAnswerRate(r, now)
 	referenceEjectSilentServers(r, now)
 	referencePrune(r, now)
-	r.waiting = slices.DeleteFunc(r.waiting, func(f *function) bool {
+	r.pendingChecks = slices.DeleteFunc(r.pendingChecks, func(f *function) bool {
 		r.checkReplicas(now, f)
-		f.waiting = f.held > 0
-		return !f.waiting
+		f.checkPending = f.held > 0
+		return !f.checkPending
 	})
 	up.Cancellations, up.ServerEvents, r.cancellations, r.serverEvents = r.cancellations, r.serverEvents, nil, nil
 	return up
@@ -94,7 +94,7 @@
 		}
 		r.answerRate = float64(len(r.answers)) * 1e6 / capacity * history.meanWeight
 	}
-	r.freshFor = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
+	r.observationTTL = Micros(min(8e6, max(rareAnswers, 1e6/max(0.01, r.answerRate))))
 }
 
 // referenceRecordCapacity records the capacity of the ready servers up to now, as recordCapacity does.
@@ -201,7 +201,7 @@
 func referencePrune(r *Balancer, now Micros) {
 	const many, batch, long = 1 << 14, 1 << 11, 600_000_000
 	if len(r.functionOrder) > many {
-		from := r.pruned % len(r.functionOrder)
+		from := r.pruneCursor % len(r.functionOrder)
 		to := min(len(r.functionOrder), from+batch)
 		kept := slices.DeleteFunc(r.functionOrder[from:to:to], func(f *function) bool {
 			gone := r.idle(now, f)
@@ -211,7 +211,7 @@
 			return gone
 		})
 		r.functionOrder = slices.Delete(r.functionOrder, from+len(kept), to)
-		r.pruned = from + len(kept)
+		r.pruneCursor = from + len(kept)
 	}
 	for _, s := range slices.Collect(r.servers.all) {
 		if s.State != Removed || len(s.inFlight) > 0 || now < s.lastListed+long {
@@ -226,7 +226,7 @@
 
 func referenceLoadTarget(r *Balancer, now Micros, f *function, req *Request, purpose loadPurpose) *server {
 	takes := func(s *server) bool {
-		return now >= s.loadsAfter && s.pendingLoads() < 8 && !(purpose == additionalReplica && s.freeShare() < 0.75)
+		return now >= s.loadBackoffUntil && s.pendingLoads() < 8 && !(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
 	if !slices.ContainsFunc(slices.Collect(r.servers.all), func(s *server) bool { return takes(s) && r.usable(now, s, req) }) {
 		return nil
@@ -241,10 +241,10 @@
 	}
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
 	slices.SortFunc(cs, byKey)
-	part := float64(f.recent-1) / float64(max(32, len(r.recent)))
+	part := float64(f.recentRequests-1) / float64(max(32, len(r.recentFunctions)))
 	homes := cs[:min(len(cs), max(1, int(math.Ceil(2*part*float64(len(cs))))))]
 	for i, c := range homes {
-		homes[i].key = -math.Log(uniform(hash(uint64(f.id), uint64(r.deployment.Number)+1), uint64(c.server.Server))) / c.weight
+		homes[i].key = -math.Log(uniform(hash(uint64(f.id), uint64(r.deployment.RouterIndex)+1), uint64(c.server.Server))) / c.weight
 	}
 	slices.SortFunc(homes, byKey)
 	var best *server
@@ -270,7 +270,7 @@
 
 func referenceWeight(r *Balancer, now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * r.capacity(now, s)
-	if r.freshFor <= rareAnswers && r.deployment.Routers == 1 {
+	if r.observationTTL <= rareAnswers && r.deployment.Routers == 1 {
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
 	} else if s.freeShare() < 0.25 || r.overloaded(now, s) {
@@ -299,12 +299,12 @@
 		requests: map[RequestID]*Request{}, outcomes: map[string]int{}}
 	config := deployment()
 	config.Routers = []int{1, 3, 300, 900}[seed%4]
-	config.Number, config.Zone, config.EndpointsOnRequest = d.chance.IntN(config.Routers), 1, true
+	config.RouterIndex, config.Zone, config.EndpointsNeedSubscription = d.chance.IntN(config.Routers), 1, true
 	if seed%8 >= 6 {
 		config.LoadsOnMiss, config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest = false, 5*second, 100, 1
 	}
-	config.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Effect: IdempotentByKey,
-		Scope: OneZone, Window: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Effect: NonIdempotent}}
+	config.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Idempotency: IdempotentByKey,
+		DedupScope: OneZone, DedupWindow: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Idempotency: NonIdempotent}}
 	d.r = New(0, seed, config)
 	var list []Endpoint
 	for range servers {
@@ -431,7 +431,7 @@
 			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
 		}
 	}
-	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.FreshFor, a.ServerEvents, a.Cancellations)
+	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.ObservationTTL, a.ServerEvents, a.Cancellations)
 }
 
 func (d *days) listed(kind UpdateKind, list []Endpoint) {
@@ -462,7 +462,7 @@
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
 			d.t.Fatalf("a load for function %x at %d, purpose %d: got %+v, want %+v", f.id, d.now, purpose, got, want)
 		}
-		d.outcomes[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recent > 1, got != nil)]++
+		d.outcomes[fmt.Sprintf("several %t, hot %t, found %t", d.r.deployment.Routers > 1, f.recentRequests > 1, got != nil)]++
 	}
 	d.checkUsableCount(req)
 	d.checkUnusual(req)
@@ -624,7 +624,7 @@
 func (d *days) burden(share float64) {
 	r, one := d.r, d.chance.IntN(12) // one kind of burden for all; six or more: any kind
 	for s := range r.servers.all {
-		s.backoffUntil, s.ejected, s.loadsAfter, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
+		s.backoffUntil, s.ejected, s.loadBackoffUntil, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
 		if !d.chanceOf(share) {
 			continue
 		}
@@ -642,7 +642,7 @@
 		case 3:
 			s.concurrencyLimit, s.running = 4, 4
 		case 4:
-			s.loadsAfter = d.now + 1
+			s.loadBackoffUntil = d.now + 1
 		case 5:
 			s.slowStartSends = []Micros{d.now, d.now, d.now, d.now, d.now, d.now}
 		}
@@ -683,7 +683,7 @@
 	slices.SortFunc(all, byKey)
 	want := all[:homes]
 	for i, c := range want {
-		own := hash(uint64(f.id), uint64(d.r.deployment.Number)+1)
+		own := hash(uint64(f.id), uint64(d.r.deployment.RouterIndex)+1)
 		want[i].key = -math.Log(uniform(own, uint64(c.server.Server))) / c.weight
 	}
 	slices.SortFunc(want, byKey)
@@ -706,7 +706,7 @@
 			continue
 		}
 		e := homeEntry{s.Server, rankKey(uint64(f.id), s.Server, max(0.1, s.Weight)),
-			rankKey(hash(uint64(f.id), uint64(d.r.deployment.Number)+1), s.Server, max(0.1, s.Weight))}
+			rankKey(hash(uint64(f.id), uint64(d.r.deployment.RouterIndex)+1), s.Server, max(0.1, s.Weight))}
 		if e.key < f.homes.bound {
 			keys, entries = append(keys, e.key), append(entries, e)
 		}
@@ -779,7 +779,7 @@
 		req.Class, req.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: d.now}}
 	}
 	f := r.function(req)
-	f.recent, r.recent = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
+	f.recentRequests, r.recentFunctions = []int{1, 1, 1, 2, 8, 128}[d.chance.IntN(6)], make([]*function, 128)
 	d.checkUsableCount(req)
 	d.checkUnusual(req)
 	if d.chanceOf(0.3) {
@@ -796,7 +796,7 @@
 		d.t.Fatalf("seed %d, round %d, function %d of %d servers: got %+v, want %+v",
 			seed, round, f.id, r.servers.len, got, want)
 	}
-	if f.recent > 1 {
+	if f.recentRequests > 1 {
 		counts.hot++
 		if d.checkHomes(f, req) {
 			counts.homesSufficient++
@@ -861,7 +861,7 @@
 				list = append(list, l)
 			}
 			r.UpdateEndpoints(d.now, IncrementalUpdate, list)
-			r.answerRate, r.freshFor = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
+			r.answerRate, r.observationTTL = d.chance.Float64()*3, Micros(1+d.chance.IntN(8))*second
 			d.burden([]float64{0, 0.5, 0.9, 0.99}[d.chance.IntN(4)])
 			for range looks {
 				d.compareLoadTarget(seed, round, &counts)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -242,7 +242,7 @@
 // restrictedToGroup reports whether a request's earlier attempts confine it to a zone or cell.
 func (b *Balancer) restrictedToGroup(req *Request) bool {
 	class := b.deployment.Classes[req.Class]
-	return class.Effect == IdempotentByKey && class.Scope != WholeFleet &&
+	return class.Idempotency == IdempotentByKey && class.DedupScope != WholeFleet &&
 		slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return a.MayHaveRun })
 }
 
@@ -271,7 +271,7 @@
 // weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
 func (b *Balancer) weight(now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * b.capacity(now, s)
-	if b.freshFor <= rareAnswers && b.deployment.Routers == 1 {
+	if b.observationTTL <= rareAnswers && b.deployment.Routers == 1 {
 		// What we know of a server is recent and tells how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
--- a/control/requests.go
+++ b/control/requests.go
@@ -20,12 +20,12 @@
 	Tenant          TenantID   `json:"Tenant"`
 	Function        FunctionID `json:"Function"`
 	Lanes           int        `json:"Lanes"`
-	Work            Micros     `json:"Work"`     // hint in microseconds; 0: none
-	LoadTime        Micros     `json:"LoadTime"` // hint in microseconds; 0: none
+	ExecTimeHint    Micros     `json:"Work"`     // hint in microseconds; 0: none
+	LoadTimeHint    Micros     `json:"LoadTime"` // hint in microseconds; 0: none
 	ArrivedAt       Micros     `json:"Arrived"`
 	Deadline        Micros     `json:"Patience"` // when its client gives up
 	IsRetry         bool       `json:"Repeat"`   // its client marked it as a retry
-	RetriesUnmarked bool       `json:"Unmarked"` // its client never does, see Deployment.MarksRetries
+	RetriesUnmarked bool       `json:"Unmarked"` // its client never does, see Deployment.ClientsMarkRetries
 	// How long its client waits in all, where that is known apart from Deadline - ArrivedAt: a request that came while the
 	// router was stalled has a deadline before that. 0: it is not.
 	Timeout Micros `json:"Timeout,omitempty" golden:"joined"`
--- a/control/routing.go
+++ b/control/routing.go
@@ -45,13 +45,13 @@
 	req.overQuota = b.mustShed(now) || b.exceedsQuota(now, req)
 	// Large enough to resolve a function's share of the requests to within a few hundredths.
 	const window = 128
-	b.recent = append(b.recent, f)
-	if f.recent++; len(b.recent) > window {
-		oldest := b.recent[0]
-		if oldest.recent--; oldest.recent == 0 {
+	b.recentFunctions = append(b.recentFunctions, f)
+	if f.recentRequests++; len(b.recentFunctions) > window {
+		oldest := b.recentFunctions[0]
+		if oldest.recentRequests--; oldest.recentRequests == 0 {
 			oldest.homes = homeSet{} // bounds the memory of all home sets
 		}
-		b.recent = b.recent[1:]
+		b.recentFunctions = b.recentFunctions[1:]
 	}
 	if b.deployment.LoadRateWindow > 0 {
 		b.admitted = append(b.admitted, now)
@@ -63,8 +63,8 @@
 	if f.held++; f.held == 1 {
 		f.heldSince = now
 	}
-	if !f.waiting {
-		f.waiting, b.waiting = true, append(b.waiting, f)
+	if !f.checkPending {
+		f.checkPending, b.pendingChecks = true, append(b.pendingChecks, f)
 	}
 	req.held, req.heldSince = true, now
 }
--- a/control/shutdown.go
+++ b/control/shutdown.go
@@ -22,12 +22,12 @@
 	return !mayHaveRun || c.SafeToRetryAnywhere()
 }
 
-// RejectHeldBeforeKill is how long before the kill held requests are rejected that OutlivesStop selects, in microseconds: it
+// RejectHeldBeforeKill is how long before the kill held requests are rejected that RejectEarlyOnStop selects, in microseconds: it
 // leaves their clients time to be served elsewhere.
 const RejectHeldBeforeKill Micros = 550_000
 
-// OutlivesStop reports whether a request that was only held waits for longer than a stopping router can answer, until
+// RejectEarlyOnStop reports whether a request that was only held waits for longer than a stopping router can answer, until
 // lastAnswer. It then rather tells the client soon.
-func OutlivesStop(attempts int, deadline, lastAnswer Micros) bool {
+func RejectEarlyOnStop(attempts int, deadline, lastAnswer Micros) bool {
 	return attempts == 0 && deadline > lastAnswer
 }
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -17,8 +17,8 @@
 		{inFlightAttempt{}, InFlightSnapshot{}, ""},
 		{function{}, FunctionSnapshot{}, "ranking homes"}, // derived, with the index
 		{instance{}, InstanceSnapshot{}, ""},
-		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes Work LoadTime ArrivedAt Deadline IsRetry RetriesUnmarked Timeout"}, // in RequestSnapshot.Request
-		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                         // in AttemptSnapshot.Attempt
+		{Request{}, RequestSnapshot{}, "ID Class Tenant Function Lanes ExecTimeHint LoadTimeHint ArrivedAt Deadline IsRetry RetriesUnmarked Timeout"}, // in RequestSnapshot.Request
+		{Attempt{}, AttemptSnapshot{}, "Server Zone Cell SentAt Done MayHaveRun"},                                                                     // in AttemptSnapshot.Attempt
 		{samples{}, Samples{}, ""},
 	} {
 		carried := map[string]bool{}
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -28,7 +28,7 @@
 		}
 		b.answerRate = float64(len(b.answers)) * 1e6 / serverTime * history.meanWeight
 	}
-	b.freshFor = Micros(min(maxFreshFor, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
+	b.observationTTL = Micros(min(maxFreshFor, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
 }
 
 // answerRateOf returns the answers per second that this router gets from a server at full capacity, by its weight. It guards
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -200,7 +200,7 @@
 // Before any server was ready, an observation stays valid for the longest time.
 func TestObservationsStayValidBeforeAnyServer(t *testing.T) {
 	b := New(at, 1, deployment())
-	if b.Maintain(at); b.freshFor != maxFreshFor {
-		t.Errorf("valid for %d us, want %d", b.freshFor, maxFreshFor)
+	if b.Maintain(at); b.observationTTL != maxFreshFor {
+		t.Errorf("valid for %d us, want %d", b.observationTTL, maxFreshFor)
 	}
 }
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -25,7 +25,7 @@
 // The attempts of an earlier incarnation count as if this one had begun them: a journal stands for the one that was killed.
 func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
 		return config.journalKey(function, kserve.Ask{Mark: key}, class)
 	}
@@ -146,7 +146,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
@@ -163,7 +163,7 @@
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
-				t.Deployment.Classes[booking.Class].Window = 60_000_000
+				t.Deployment.Classes[booking.Class].DedupWindow = 60_000_000
 			}, serverOptions(0), serverOptions(1))
 			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
 				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsBegun("booking", -1))
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -83,7 +83,7 @@
 	req.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
-		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
+		Lanes: req.pattern.Lanes, ExecTimeHint: req.pattern.Work, LoadTimeHint: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
 		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
 	})
@@ -158,7 +158,7 @@
 	call := g.newCall(to, timeout)
 	call.request, call.attempt = req, attemptID
 	call.message, call.journalBatch = g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
-	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Effect == control.IdempotentByKey {
+	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Idempotency == control.IdempotentByKey {
 		call.writeBefore = min(call.writeBefore, g.loop.StepTime+attempt.MaxKeyedRetryDelay)
 	}
 	req.attempts = append(req.attempts, call)
@@ -233,7 +233,7 @@
 		outcome.RequestDone = true
 		g.core.HandleOutcome(now, req.id, outcome)
 		class := g.config.Deployment.Classes[req.pattern.Class]
-		req.objectiveAt += control.Micros(class.ObjectivePerWork * float64(outcome.Duration))
+		req.objectiveAt += control.Micros(class.ObjectivePerExecTime * float64(outcome.Duration))
 		resp.Header = forwardedHeader(resp.Header)
 		resp.Close, resp.ChunkSize = false, 0
 		g.finish(req, answerFinished, resp)
