--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -13,8 +13,8 @@
 		return
 	}
 	b.recordCapacity(now)
-	previous := b.index.listedAt
-	b.index.listedAt = now
+	previous := b.index.updatedAt
+	b.index.updatedAt = now
 	if kind != IncrementalUpdate {
 		for s := range b.servers.all {
 			s.listed = false
@@ -27,7 +27,7 @@
 			b.servers.insert(s)
 		} else if ep.StartedAt > s.StartedAt {
 			b.dropInstances(s, ep.StartedAt)
-			s.forgetIncarnation(now)
+			s.resetAfterRestart(now)
 		}
 		s.Endpoint, s.listed = ep, true
 	}
@@ -88,9 +88,9 @@
 	connectionFailures int    // failed connections since its last answer
 }
 
-// forgetIncarnation drops what was learned of the health and load of a server before it restarted: it says nothing about the
+// resetAfterRestart drops what was learned of the health and load of a server before it restarted: it says nothing about the
 // new process. Attempts in flight and recent sends in slow start still count.
-func (s *server) forgetIncarnation(now Micros) {
+func (s *server) resetAfterRestart(now Micros) {
 	s.lastAnswer = now
 	s.report, s.reportedAt = LoadReport{}, 0
 	s.backoffUntil, s.loadBackoffUntil, s.rejections = 0, 0, 0
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -7,17 +7,17 @@
 
 // Nothing that was learned of a server's health and load before its restart keeps requests and loads from the new process.
 func TestRestartForgetsHealthAndLoad(t *testing.T) {
-	const restart = at + second
-	b := fleet(deployment(), 2)
+	const restart = testNow + second
+	b := newTestBalancer(testDeployment(), 2)
 	s := b.servers.at(0)
-	b.eject(at, s, ConnectionsFail)
-	s.backoffUntil, s.loadBackoffUntil, s.rejections, s.connectionFailures = at+10*second, at+10*second, 3, 1
-	s.concurrencyLimit, s.limitLoweredAt = 1, at
-	s.queueing.add(at, 900)
-	s.report, s.reportedAt = LoadReport{Utilization: 1, PendingLoads: 9}, at
+	b.eject(testNow, s, ConnectionsFail)
+	s.backoffUntil, s.loadBackoffUntil, s.rejections, s.connectionFailures = testNow+10*second, testNow+10*second, 3, 1
+	s.concurrencyLimit, s.limitLoweredAt = 1, testNow
+	s.queueing.add(testNow, 900)
+	s.report, s.reportedAt = LoadReport{Utilization: 1, PendingLoads: 9}, testNow
 	b.UpdateEndpoints(restart, IncrementalUpdate, []Endpoint{{Server: s.Server, State: Ready, Weight: 1, StartedAt: restart}})
 
-	fresh := fleet(deployment(), 2)
+	fresh := newTestBalancer(testDeployment(), 2)
 	fresh.UpdateEndpoints(restart, IncrementalUpdate, []Endpoint{{Server: 3, State: Ready, Weight: 1, StartedAt: restart}})
 	want := fresh.serverSnapshot(fresh.servers.at(2))
 	want.Endpoint.Server = s.Server
--- a/control/estimates_test.go
+++ b/control/estimates_test.go
@@ -4,10 +4,10 @@
 
 // Without classes there is no objective to take for a load's time; what was learned can still be applied.
 func TestLearnedLoadsWithoutClasses(t *testing.T) {
-	r := New(at, 1, Deployment{})
-	r.ApplyLearned(at, &LearnedState{SavedAt: at, Servers: []LearnedServer{{Server: 1}}, Functions: []LearnedFunction{
-		{ID: 7, Lanes: 1, Instances: []LearnedInstance{{Server: 1, Loading: 1, LoadingSince: at}}}}})
-	if got := r.loadTime(nil); got != 0 {
+	b := New(testNow, 1, Deployment{})
+	b.ApplyLearned(testNow, &LearnedState{SavedAt: testNow, Servers: []LearnedServer{{Server: 1}}, Functions: []LearnedFunction{
+		{ID: 7, Lanes: 1, Instances: []LearnedInstance{{Server: 1, Loading: 1, LoadingSince: testNow}}}}})
+	if got := b.loadTime(nil); got != 0 {
 		t.Errorf("got a load time of %d, want 0", got)
 	}
 }
--- a/control/homes.go
+++ b/control/homes.go
@@ -11,11 +11,11 @@
 // whether it is a home, and by its key in this router's order of the homes. Home sets exist for functions that had
 // several homes when a request for them needed a load. They are derived from the endpoint list and never stored.
 type homeSet struct {
-	keys    []float64   // static keys in the shared order, ascending
-	entries []homeEntry // by ownKey
-	bound   float64     // no ready server outside the set has a lower static key
-	size    int         // servers expected below the bound when the set was built; 0: not built
-	seen    int         // changes of the endpoint list applied so far
+	keys           []float64   // static keys in the shared order, ascending
+	entries        []homeEntry // by ownKey
+	bound          float64     // no ready server outside the set has a lower static key
+	size           int         // servers expected below the bound when the set was built; 0: not built
+	appliedChanges int         // changes of the endpoint list applied so far
 }
 
 // homeEntry is a server with its static keys.
@@ -63,7 +63,7 @@
 // buildHomes builds a function's home set from all servers, with about size of them.
 func (b *Balancer) buildHomes(f *function, size int) {
 	hs, idx := &f.homes, &b.index
-	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, seen: idx.changeCount()}
+	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, appliedChanges: idx.changeCount()}
 	maxDistance := idx.hashBound(hs.bound)
 	for i := idx.nextWithin(0, f, maxDistance); i < len(idx.ready); i = idx.nextWithin(i+1, f, maxDistance) {
 		s := idx.ready[i]
@@ -80,13 +80,13 @@
 func (b *Balancer) currentHomes(f *function, need int) *homeSet {
 	const maxExcess = 16 // a walk finds every maxExcess-th server to be a home, and needs two
 	hs, idx := &f.homes, &b.index
-	if hs.size == 0 || hs.seen < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
+	if hs.size == 0 || hs.appliedChanges < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
 		hs.size < need && !math.IsInf(hs.bound, 1) {
 		b.buildHomes(f, 2*need)
 		return hs
 	}
 	maxDistance := idx.hashBound(hs.bound)
-	for _, c := range idx.changes[hs.seen-idx.droppedChanges:] {
+	for _, c := range idx.changes[hs.appliedChanges-idx.droppedChanges:] {
 		if ^hash(uint64(f.id), uint64(c.server)) > maxDistance {
 			continue
 		}
@@ -97,7 +97,7 @@
 			hs.add(b.homeEntry(f, c.server, c.to))
 		}
 	}
-	hs.seen = idx.changeCount()
+	hs.appliedChanges = idx.changeCount()
 	return hs
 }
 
@@ -105,12 +105,12 @@
 // walk would be long, because the function's homes are few in a small fleet, nor where many servers deviate from their
 // static place: a scan then costs no more.
 func (b *Balancer) prefersHomeSet(f *function) bool {
-	const maxWalk, maxUnusual = 1. / 8, 1. / 8 // as a part of all ready servers; measured with 60 to 3,200 servers
+	const maxWalk, maxDeviating = 1. / 8, 1. / 8 // as a part of all ready servers; measured with 60 to 3,200 servers
 	ready := len(b.index.ready)
 	homes := b.homeCount(f, ready)
-	walk := 2 * float64(2*b.likelyWithin(homes, ready)) / float64(homes)
-	unusual := len(b.index.impaired) + len(b.index.slowStart.servers)
-	return walk <= maxWalk*float64(ready) && float64(unusual) <= maxUnusual*float64(ready)
+	walk := 2 * float64(2*b.expectedScanLength(homes, ready)) / float64(homes)
+	deviating := len(b.index.impaired) + len(b.index.slowStart.servers)
+	return walk <= maxWalk*float64(ready) && float64(deviating) <= maxDeviating*float64(ready)
 }
 
 // firstTwoHomes returns the first two servers that a load may go to, in loadTarget's order, from the home set of a
@@ -125,7 +125,7 @@
 	if homes < 2 {
 		return b.firstTwoByRanking(now, f, req)
 	}
-	need := b.likelyWithin(homes, usable)
+	need := b.expectedScanLength(homes, usable)
 	hs := b.currentHomes(f, need)
 	b.findDeviations(now, f, req)
 	if b.countBelow(hs, hs.bound) < homes && hs.size < 4*need {
@@ -147,7 +147,7 @@
 			break
 		}
 		s := b.servers.find(e.id)
-		if !b.usableUnchanged(now, s, req) {
+		if !b.usableReadOnly(now, s, req) {
 			continue
 		}
 		c, key := candidate{s, e.ownKey, b.weight(now, s)}, e.key
@@ -186,7 +186,7 @@
 func (b *Balancer) findDeviations(now Micros, f *function, req *Request) {
 	b.deviations = b.deviations[:0]
 	maxDistance := b.index.hashBound(f.homes.bound)
-	for s := range b.index.unusual {
+	for s := range b.index.impairedOrInSlowStart {
 		if ^hash(uint64(f.id), uint64(s.Server)) > maxDistance || s.weight == 0 {
 			continue
 		}
@@ -194,7 +194,7 @@
 		if d.static >= f.homes.bound {
 			continue
 		}
-		if b.usableUnchanged(now, s, req) {
+		if b.usableReadOnly(now, s, req) {
 			d.present = rankKey(uint64(f.id), s.Server, b.weight(now, s))
 		}
 		if d.present != d.static {
--- a/control/index.go
+++ b/control/index.go
@@ -9,7 +9,7 @@
 // is derived from the rest of the state, rebuilt after a restore, and never stored.
 type index struct {
 	// When an endpoint list was last applied: servers that are present were listed until then.
-	listedAt  Micros
+	updatedAt Micros
 	removed   []*server    // by the time they were last listed, then by ID
 	ready     []*server    // in any order; see server.readyIndex
 	readyIDs  []ServerID   // of the same servers, side by side for scans
@@ -53,9 +53,9 @@
 	}
 }
 
-// noteLoad marks a server as impaired if its load may lower its weight. It must be called after each change of what
+// markImpairedByLoad marks a server as impaired if its load may lower its weight. It must be called after each change of what
 // is known of the load, except for a lower one.
-func (idx *index) noteLoad(now Micros, s *server) {
+func (idx *index) markImpairedByLoad(now Micros, s *server) {
 	if !s.impaired && s.mayHaveLowWeight(now) {
 		idx.markImpaired(s)
 	}
@@ -70,9 +70,9 @@
 	})
 }
 
-// unusual calls yield for each server that may be impaired or in slow start, until it returns false. All other ready
+// impairedOrInSlowStart calls yield for each server that may be impaired or in slow start, until it returns false. All other ready
 // servers are usable, and of unchanged weight.
-func (idx *index) unusual(yield func(s *server) bool) {
+func (idx *index) impairedOrInSlowStart(yield func(s *server) bool) {
 	for _, s := range idx.impaired {
 		if !yield(s) {
 			return
@@ -126,14 +126,14 @@
 	idx.setReady(s)
 	if weight != s.weight {
 		idx.maxWeight, idx.totalWeight = max(idx.maxWeight, weight), idx.totalWeight+weight-s.weight
-		idx.readyWeight += thousandths(weight) - thousandths(s.weight)
-		idx.noteChange(weightChange{s.Server, s.weight, weight})
+		idx.readyWeight += toMilliWeight(weight) - toMilliWeight(s.weight)
+		idx.recordChange(weightChange{s.Server, s.weight, weight})
 		s.weight = weight
 	}
-	if s.State == Ready && b.capacity(idx.listedAt, s) != 1 {
-		idx.slowStart.set(s, s.StartedAt, weightOf(s))
+	if s.State == Ready && b.capacity(idx.updatedAt, s) != 1 {
+		idx.slowStart.update(s, s.StartedAt, milliWeightOf(s))
 	} else {
-		idx.slowStart.set(s, 0, 0)
+		idx.slowStart.update(s, 0, 0)
 	}
 }
 
@@ -152,8 +152,8 @@
 	}
 }
 
-// noteChange records a change that rankings have to apply.
-func (idx *index) noteChange(c weightChange) {
+// recordChange records a change that rankings have to apply.
+func (idx *index) recordChange(c weightChange) {
 	const maxKept = 256 // applying more costs a ranking as much as scanning a few thousand servers
 	if len(idx.changes) == 2*maxKept {
 		idx.droppedChanges += maxKept
@@ -168,7 +168,7 @@
 // lastListed returns when a server was last on the endpoint list.
 func (b *Balancer) lastListed(s *server) Micros {
 	if s.present {
-		return b.index.listedAt
+		return b.index.updatedAt
 	}
 	return s.lastListed
 }
@@ -180,11 +180,11 @@
 		s.weight, s.present, s.inRemoved, s.impaired, s.functions, s.readyIndex = 0, false, false, false, nil, -1
 		s.slowStartSince, s.slowStartWeight = 0, 0
 		if s.State != Removed {
-			b.index.listedAt = max(b.index.listedAt, s.lastListed)
+			b.index.updatedAt = max(b.index.updatedAt, s.lastListed)
 		}
 	}
 	for s := range b.servers.all {
-		b.reindexServer(b.index.listedAt, s)
+		b.reindexServer(b.index.updatedAt, s)
 		if len(s.inFlight) > 0 {
 			b.index.busy = append(b.index.busy, s)
 		}
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// restarted returns the next incarnation of a router at a time, with the endpoint list of three ready servers.
-func restarted(r *Balancer, saved, now Micros) *Balancer {
-	state := r.LearnedState(saved)
-	next := New(now, 1, r.deployment)
+// restartFromLearned returns the next incarnation of a router at a time, with the endpoint list of three ready servers.
+func restartFromLearned(b *Balancer, saved, now Micros) *Balancer {
+	state := b.LearnedState(saved)
+	next := New(now, 1, b.deployment)
 	next.ApplyLearned(now, state)
 	endpoints := make([]Endpoint, 3)
 	for i := range endpoints {
@@ -20,14 +20,14 @@
 		pause  Micros
 		loaded bool
 	}{{second, true}, {9 * second, true}, {11 * second, false}, {-second, false}} {
-		r := fleet(deployment(), 3)
-		stands(r, 2, 3) // attempts of the earlier incarnation don't count
-		next := restarted(r, at, at+c.pause)
-		req := newJob(1)
-		req.ArrivedAt, req.Deadline = at+c.pause, at+c.pause+4*second
-		d := next.Route(at+c.pause, req)
+		b := newTestBalancer(testDeployment(), 3)
+		addReplica(b, 2, 3) // attempts of the earlier incarnation don't count
+		next := restartFromLearned(b, testNow, testNow+c.pause)
+		req := newRequest(1)
+		req.ArrivedAt, req.Deadline = testNow+c.pause, testNow+c.pause+4*second
+		d := next.Route(testNow+c.pause, req)
 		inst := next.functions[7].instanceOn(next.servers.at(1), false)
-		if d.Action != Forward || (d.Server == 2 && next.loaded(at+c.pause, inst)) != c.loaded ||
+		if d.Action != Forward || (d.Server == 2 && next.loaded(testNow+c.pause, inst)) != c.loaded ||
 			inst != nil && inst.replicas > 0 && inst.inFlight > 1 {
 			t.Errorf("after %d us: got %+v, %+v", c.pause, d, inst)
 		}
@@ -37,19 +37,19 @@
 // A server that restarted, was removed or drained while the router was down gets no requests for what was learned of it.
 func TestEndpointListOverridesLearnedState(t *testing.T) {
 	for _, ep := range []Endpoint{
-		{Server: 2, State: Ready, Weight: 1, StartedAt: at + 1},
+		{Server: 2, State: Ready, Weight: 1, StartedAt: testNow + 1},
 		{Server: 2, State: Draining, Weight: 1},
 		{Server: 1, State: Draining, Weight: 1},
 	} {
-		r := fleet(deployment(), 2)
-		stands(r, 2, 0)
-		next := New(at+2, 1, r.deployment)
-		next.ApplyLearned(at+2, r.LearnedState(at))
-		next.UpdateEndpoints(at+2, FullUpdate, []Endpoint{ep})
-		if inst := next.fullestInstance(at+2, next.functions[7], newJob(1)); inst != nil {
+		b := newTestBalancer(testDeployment(), 2)
+		addReplica(b, 2, 0)
+		next := New(testNow+2, 1, b.deployment)
+		next.ApplyLearned(testNow+2, b.LearnedState(testNow))
+		next.UpdateEndpoints(testNow+2, FullUpdate, []Endpoint{ep})
+		if inst := next.fullestInstance(testNow+2, next.functions[7], newRequest(1)); inst != nil {
 			t.Errorf("%+v: got %+v", ep, inst)
 		}
-		if d := next.Route(at+2, newJob(1)); ep.State != Ready && d.Action == Forward {
+		if d := next.Route(testNow+2, newRequest(1)); ep.State != Ready && d.Action == Forward {
 			t.Errorf("%+v: sent to %d", ep, d.Server)
 		}
 	}
@@ -58,16 +58,16 @@
 // Load commands and attempts sent before the restart count, also if the clock was set back since.
 func TestLearnedLimitsCount(t *testing.T) {
 	for _, pause := range []Micros{second / 2, -50 * second} {
-		config := deployment()
+		config := testDeployment()
 		config.LoadRateWindow, config.LoadRateBase = second, 2
-		r := fleet(config, 3)
-		r.loadCommandAllowed(at)
-		r.loadCommandAllowed(at)
+		b := newTestBalancer(config, 3)
+		b.loadCommandAllowed(testNow)
+		b.loadCommandAllowed(testNow)
 		for range 50 {
-			r.servers.at(1).slowStartSends = append(r.servers.at(1).slowStartSends, at)
+			b.servers.at(1).slowStartSends = append(b.servers.at(1).slowStartSends, testNow)
 		}
-		now := at + pause
-		next := restarted(r, at, now)
+		now := testNow + pause
+		next := restartFromLearned(b, testNow, now)
 		if next.loadCommandAllowed(now) {
 			t.Errorf("after %d us: a load command beyond the rate limit", pause)
 		}
@@ -85,12 +85,12 @@
 // allow more.
 func TestLearnedAdmittedRequestsCount(t *testing.T) {
 	for pause, want := range map[Micros]bool{second / 2: true, -50 * second: false} {
-		config := deployment()
+		config := testDeployment()
 		config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest = second, 0, 0.5
-		r := fleet(config, 3)
-		r.admitted = []Micros{at - 1000, at}
-		next := restarted(r, at, at+pause)
-		if got := next.loadCommandAllowed(at + pause); got != want {
+		b := newTestBalancer(config, 3)
+		b.admitted = []Micros{testNow - 1000, testNow}
+		next := restartFromLearned(b, testNow, testNow+pause)
+		if got := next.loadCommandAllowed(testNow + pause); got != want {
 			t.Errorf("after %d us: load command allowed: %t", pause, got)
 		}
 	}
@@ -99,10 +99,10 @@
 // The answer rate counts for a minute, with the earlier start time: no answers came during the downtime.
 func TestLearnedAnswerRateCountsForAMinute(t *testing.T) {
 	for pause, want := range map[Micros]float64{second: 2.0 / 30, 61 * second: 0, -1: 0} {
-		r := fleet(deployment(), 3)
-		r.answers = []Micros{at - second, at}
-		next := restarted(r, at, at+pause)
-		next.updateAnswerRate(at + pause)
+		b := newTestBalancer(testDeployment(), 3)
+		b.answers = []Micros{testNow - second, testNow}
+		next := restartFromLearned(b, testNow, testNow+pause)
+		next.updateAnswerRate(testNow + pause)
 		if next.answerRate < want-1e-9 || next.answerRate > want+1e-9 {
 			t.Errorf("after %d us: %g answers a second, want %g", pause, next.answerRate, want)
 		}
@@ -111,13 +111,13 @@
 
 // The quota that a tenant used up stays used up, but no longer than exceedsQuota looks ahead.
 func TestLearnedQuotaDebtCounts(t *testing.T) {
-	config := deployment()
+	config := testDeployment()
 	config.Quotas = []float64{1}
-	r := New(at, 1, config)
-	r.quotaDebt[0] = at + 2*second
-	for pause, want := range map[Micros]Micros{second: at + 2*second, -3600 * second: at - 3598*second} {
-		next := New(at+pause, 1, config)
-		next.ApplyLearned(at+pause, r.LearnedState(at))
+	b := New(testNow, 1, config)
+	b.quotaDebt[0] = testNow + 2*second
+	for pause, want := range map[Micros]Micros{second: testNow + 2*second, -3600 * second: testNow - 3598*second} {
+		next := New(testNow+pause, 1, config)
+		next.ApplyLearned(testNow+pause, b.LearnedState(testNow))
 		if next.quotaDebt[0] != want {
 			t.Errorf("after %d us: %d, want %d", pause, next.quotaDebt[0], want)
 		}
--- a/control/loading.go
+++ b/control/loading.go
@@ -32,17 +32,17 @@
 		return now >= s.loadBackoffUntil && s.pendingLoads() < maxPending &&
 			!(purpose == additionalReplica && s.freeShare() < 0.75)
 	}
-	cs, ranked := []candidate(nil), false
+	cs, determined := []candidate(nil), false
 	switch {
 	case b.deployment.Routers == 1: // all candidates count
 	case b.homeCount(f, len(b.index.ready)) == 1:
-		cs, ranked = b.firstTwoByRanking(now, f, req)
+		cs, determined = b.firstTwoByRanking(now, f, req)
 	case b.prefersHomeSet(f):
-		cs, ranked = b.firstTwoHomes(now, f, req)
+		cs, determined = b.firstTwoHomes(now, f, req)
 	}
-	if !ranked {
+	if !determined {
 		if b.deployment.Routers == 1 && !b.servers.contains(func(s *server) bool {
-			return acceptsLoads(s) && b.usableUnchanged(now, s, req)
+			return acceptsLoads(s) && b.usableReadOnly(now, s, req)
 		}) {
 			return nil // bounds the work of an iteration with many held requests
 		}
@@ -50,11 +50,11 @@
 	}
 	var best *server
 	fewest := math.MaxInt
-	near := len(cs)
+	eligible := len(cs)
 	if b.deployment.Routers > 1 {
-		near = min(near, 2) // one candidate alone would block while its server is stuck
+		eligible = min(eligible, 2) // one candidate alone would block while its server is stuck
 	}
-	for _, c := range cs[:near] {
+	for _, c := range cs[:eligible] {
 		s, replicas := c.server, 0
 		if !acceptsLoads(s) {
 			continue
@@ -86,9 +86,9 @@
 // candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
 func (b *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
 	cs, n := b.nearestHomes(now, f, req)
-	near := cs
+	eligible := cs
 	if b.deployment.Routers > 1 {
-		near = cs[:min(len(cs), 2)]
+		eligible = cs[:min(len(cs), 2)]
 	}
 	homes := cs[:n]
 	partitionLowest(cs, len(homes))
@@ -96,13 +96,13 @@
 		homes[i].key = rankKey(b.ownOrder(f), c.server.Server, c.weight)
 	}
 	byKey := func(a, b candidate) int { return cmp.Compare(a.key, b.key) }
-	if len(near) <= len(homes) {
-		partitionLowest(homes, len(near))
-		slices.SortFunc(near, byKey)
+	if len(eligible) <= len(homes) {
+		partitionLowest(homes, len(eligible))
+		slices.SortFunc(eligible, byKey)
 	} else {
-		partitionLowest(cs[len(homes):], len(near)-len(homes))
+		partitionLowest(cs[len(homes):], len(eligible)-len(homes))
 		slices.SortFunc(homes, byKey)
-		slices.SortFunc(near[len(homes):], byKey)
+		slices.SortFunc(eligible[len(homes):], byKey)
 	}
 	return cs
 }
@@ -214,7 +214,7 @@
 		inst.loading, inst.server.loadBackoffUntil = 0, now+loadBackoff
 	case ConnectionReset, ConnectFailed:
 		inst.loading = 0
-		b.connectionFailed(now, inst.server)
+		b.recordConnectionFailure(now, inst.server)
 	}
 }
 
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -44,8 +44,8 @@
 	b.index.markImpaired(s)
 }
 
-// answered records an answer from a server, which ends its ejection.
-func (b *Balancer) answered(now Micros, s *server) {
+// recordAnswer records an answer from a server, which ends its ejection.
+func (b *Balancer) recordAnswer(now Micros, s *server) {
 	s.lastAnswer, s.connectionFailures = now, 0
 	if s.ejected {
 		s.ejected, s.ejections = false, 0
@@ -53,10 +53,10 @@
 	}
 }
 
-// connectionFailed records a broken or refused connection. It guards against crashes: a failure after a silence, or a
+// recordConnectionFailure records a broken or refused connection. It guards against crashes: a failure after a silence, or a
 // second one with no answer in between, ejects the server and drops its replicas. A single failure may be just the
 // network.
-func (b *Balancer) connectionFailed(now Micros, s *server) {
+func (b *Balancer) recordConnectionFailure(now Micros, s *server) {
 	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(b.latencies.since(0), 0.5) {
 		b.eject(now, s, ConnectionsFail)
 		b.dropInstances(s, now)
@@ -67,7 +67,7 @@
 // where answers are rare, so that the probes of many routers don't add up. It starts at half a second, in which a
 // router with much traffic can spare one request.
 func (b *Balancer) probeInterval(s *server) Micros {
-	return (500_000 << min(s.ejections, 3)) * max(rareAnswers, b.observationTTL) / rareAnswers
+	return (500_000 << min(s.ejections, 3)) * max(rareAnswerInterval, b.observationTTL) / rareAnswerInterval
 }
 
 // healthy reports whether a server is ready, not ejected, and not rejecting everything.
--- a/control/overload.go
+++ b/control/overload.go
@@ -8,13 +8,13 @@
 // slow server or one in slow start, stalls.
 //
 // Its cost: consecutive heavy requests look like a queue and lower the limit.
-func (b *Balancer) adaptConcurrencyLimit(now Micros, s *server, strain Micros) {
-	const maxStrain = 400 // thousandths: leaves the rest of the slack for holding and for variance
-	const decrease = 0.75 // shrinks a queue within a few answers' time
-	s.queueing.add(now, strain)
-	b.queueing.add(now, strain)
+func (b *Balancer) adaptConcurrencyLimit(now Micros, s *server, queueingPermille Micros) {
+	const maxQueueingPermille = 400 // thousandths: leaves the rest of the slack for holding and for variance
+	const decrease = 0.75           // shrinks a queue within a few answers' time
+	s.queueing.add(now, queueingPermille)
+	b.queueing.add(now, queueingPermille)
 	s.concurrencyLimit = max(0.5, s.concurrencyLimit)
-	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > maxStrain {
+	if now >= s.limitLoweredAt && s.queueing.mean(s.limitLoweredAt) > maxQueueingPermille {
 		s.concurrencyLimit = max(1, min(s.concurrencyLimit, float64(s.running+1))*decrease)
 		// The effect shows only in answers to attempts sent from now on.
 		s.limitLoweredAt = now + quantile(b.latencies.since(0), 0.5)
@@ -28,7 +28,7 @@
 // queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
 // there then don't count as capacity to wait for either.
 func (b *Balancer) overloaded(now Micros, s *server) bool {
-	return b.observationTTL > rareAnswers &&
+	return b.observationTTL > rareAnswerInterval &&
 		(s.reportsOverload(now, b.observationTTL) || s.queueing.mean(now-b.observationTTL) > maxQueueing)
 }
 
@@ -47,11 +47,11 @@
 // mayHaveLowWeight reports whether the load of a server lowers its weight, or may do so later without a further event:
 // the mean of its queueing samples changes as the older ones expire.
 func (s *server) mayHaveLowWeight(now Micros) bool {
-	if s.crowded() || s.reportsOverload(now, maxFreshFor) {
+	if s.crowded() || s.reportsOverload(now, maxObservationTTL) {
 		return true
 	}
 	for i, v := range s.queueing.values {
-		if v > maxQueueing && s.queueing.times[i] >= now-maxFreshFor {
+		if v > maxQueueing && s.queueing.times[i] >= now-maxObservationTTL {
 			return true
 		}
 	}
@@ -64,12 +64,12 @@
 func (b *Balancer) mustShed(now Micros) bool {
 	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
 	excess := quantile(b.queueing.since(now-b.observationTTL/2), 0.5) - 250
-	return b.observationTTL > rareAnswers && Micros(b.random.below(1000)) < min(excess, 500)
+	return b.observationTTL > rareAnswerInterval && Micros(b.random.intN(1000)) < min(excess, 500)
 }
 
-// noteShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
+// recordShed records a request that is rejected for lack of slack. The replica check counts it like a held one, see
 // checkReplicas.
-func (b *Balancer) noteShed(now, slack Micros, f *function) {
+func (b *Balancer) recordShed(now, slack Micros, f *function) {
 	f.delays.add(now, slack)
 	f.shed.add(now, 1)
 	if !f.checkPending {
@@ -77,12 +77,12 @@
 	}
 }
 
-// maxFreshFor is the longest time that an observation of a server stays valid.
-const maxFreshFor = 8_000_000
+// maxObservationTTL is the longest time that an observation of a server stays valid.
+const maxObservationTTL = 8_000_000
 
-// rareAnswers is the interval between a server's answers from which on they are too rare for its concurrency limit to
+// rareAnswerInterval is the interval between a server's answers from which on they are too rare for its concurrency limit to
 // adapt: a few times the age of a load report.
-const rareAnswers = 2_000_000
+const rareAnswerInterval = 2_000_000
 
 // freeShare returns the free fraction of a server's concurrency limit.
 func (s *server) freeShare() float64 {
--- a/control/random.go
+++ b/control/random.go
@@ -7,7 +7,7 @@
 // pcg is a permuted congruential generator (XSH-RR 64/32).
 type pcg uint64
 
-func (p *pcg) below(n int) int {
+func (p *pcg) intN(n int) int {
 	old := uint64(*p)
 	*p = pcg(old*6364136223846793005 + 1442695040888963407)
 	word := bits.RotateLeft32(uint32((old>>18^old)>>27), -int(old>>59))
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -10,10 +10,10 @@
 // order may stop at the first static key that can't beat the candidates it has. Rankings exist for functions that
 // were routed while they had no replica. They are derived from the endpoint list and never stored.
 type ranking struct {
-	entries []rankingEntry // lowest key first
-	bound   float64        // no ready server outside entries has a lower key
-	seen    int            // changes of the endpoint list applied so far
-	built   bool
+	entries        []rankingEntry // lowest key first
+	bound          float64        // no ready server outside entries has a lower key
+	appliedChanges int            // changes of the endpoint list applied so far
+	built          bool
 }
 
 type rankingEntry struct {
@@ -115,11 +115,11 @@
 // currentRanking returns a function's ranking with all changes of the endpoint list applied.
 func (b *Balancer) currentRanking(f *function) *ranking {
 	rk, idx := &f.ranking, &b.index
-	if !rk.built || rk.seen < idx.droppedChanges {
+	if !rk.built || rk.appliedChanges < idx.droppedChanges {
 		b.buildRanking(f)
 	} else {
 		maxDistance := idx.hashBound(rk.bound)
-		for _, c := range idx.changes[rk.seen-idx.droppedChanges:] {
+		for _, c := range idx.changes[rk.appliedChanges-idx.droppedChanges:] {
 			id := c.server
 			if i := slices.IndexFunc(rk.entries, func(e rankingEntry) bool { return e.id == id }); i >= 0 {
 				rk.entries = slices.Delete(rk.entries, i, i+1)
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	rk.seen = idx.changeCount()
+	rk.appliedChanges = idx.changeCount()
 	return rk
 }
 
@@ -147,7 +147,7 @@
 	// Servers that left the endpoint list have shortened the ranking.
 	if !ok && len(rk.entries) < rankingLength && !math.IsInf(rk.bound, 1) {
 		b.buildRanking(f)
-		rk.seen = b.index.changeCount()
+		rk.appliedChanges = b.index.changeCount()
 		firstTwo, ok = b.walkRanking(now, f, req, rk)
 	}
 	return firstTwo, ok
@@ -160,7 +160,7 @@
 			break
 		}
 		s := b.servers.find(e.id)
-		if !b.usableUnchanged(now, s, req) {
+		if !b.usableReadOnly(now, s, req) {
 			continue
 		}
 		c := candidate{s, e.key, b.weight(now, s)}
@@ -187,7 +187,7 @@
 		usable := b.usableCount(now, req)
 		homes := b.homeCount(f, usable)
 		need := max(homes, min(2, usable))
-		likely := b.likelyWithin(need, usable)
+		likely := b.expectedScanLength(need, usable)
 		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
 			if cs := b.candidatesWithin(now, f, req, b.keyBound(n)); len(cs) >= need {
 				return cs, homes
@@ -198,9 +198,9 @@
 	return cs, b.homeCount(f, len(cs))
 }
 
-// likelyWithin returns among how many ready servers with the lowest static keys slightly more than n usable ones are
+// expectedScanLength returns among how many ready servers with the lowest static keys slightly more than n usable ones are
 // expected.
-func (b *Balancer) likelyWithin(n, usable int) int {
+func (b *Balancer) expectedScanLength(n, usable int) int {
 	return (n + n/4 + 2*rankingLength) * len(b.index.ready) / max(1, usable)
 }
 
@@ -213,7 +213,7 @@
 	maxDistance := idx.hashBound(bound)
 	for i := idx.nextWithin(0, f, maxDistance); i < len(idx.ready); i = idx.nextWithin(i+1, f, maxDistance) {
 		s := idx.ready[i]
-		if !b.usableUnchanged(now, s, req) {
+		if !b.usableReadOnly(now, s, req) {
 			continue
 		}
 		weight := b.weight(now, s)
@@ -229,7 +229,7 @@
 func (b *Balancer) allCandidates(now Micros, f *function, req *Request) []candidate {
 	cs := b.candidates[:0]
 	for s := range b.servers.all {
-		if s.weight == 0 || !b.usableUnchanged(now, s, req) {
+		if s.weight == 0 || !b.usableReadOnly(now, s, req) {
 			continue
 		}
 		weight := b.weight(now, s)
@@ -251,17 +251,17 @@
 func (b *Balancer) usableCount(now Micros, req *Request) int {
 	idx := &b.index
 	n := len(b.index.ready)
-	for s := range idx.unusual {
-		if s.State == Ready && !b.usableUnchanged(now, s, req) {
+	for s := range idx.impairedOrInSlowStart {
+		if s.State == Ready && !b.usableReadOnly(now, s, req) {
 			n--
 		}
 	}
 	return n
 }
 
-// usableUnchanged is usable without side effects. Which servers are asked depends on the ranking, and a restored
+// usableReadOnly is usable without side effects. Which servers are asked depends on the ranking, and a restored
 // Balancer starts without one: a side effect would make its decisions differ.
-func (b *Balancer) usableUnchanged(now Micros, s *server, req *Request) bool {
+func (b *Balancer) usableReadOnly(now Micros, s *server, req *Request) bool {
 	sends := s.slowStartSends
 	usable := b.usable(now, s, req)
 	s.slowStartSends = sends
@@ -271,7 +271,7 @@
 // weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
 func (b *Balancer) weight(now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * b.capacity(now, s)
-	if b.observationTTL <= rareAnswers && b.deployment.Routers == 1 {
+	if b.observationTTL <= rareAnswerInterval && b.deployment.Routers == 1 {
 		// What we know of a server is recent and tells how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
--- a/control/retries.go
+++ b/control/retries.go
@@ -54,9 +54,9 @@
 	}
 	switch o.Result {
 	case Succeeded, Failed, Overloaded, NotLoaded:
-		b.answered(now, s)
+		b.recordAnswer(now, s)
 	case ConnectionReset, ConnectFailed:
-		b.connectionFailed(now, s)
+		b.recordConnectionFailure(now, s)
 	}
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
@@ -71,7 +71,7 @@
 	case o.Result == Succeeded:
 		b.recordSuccess(now, f, inst, req, o)
 	}
-	b.index.noteLoad(now, s)
+	b.index.markImpairedByLoad(now, s)
 }
 
 // recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
@@ -129,8 +129,8 @@
 	return true
 }
 
-// giveUp ends a request. It rejects it if the client can retry it safely, else it fails it.
-func (b *Balancer) giveUp(req *Request) Decision {
+// rejectOrFail ends a request. It rejects it if the client can retry it safely, else it fails it.
+func (b *Balancer) rejectOrFail(req *Request) Decision {
 	for _, a := range req.Attempts {
 		if a.MayHaveRun && !b.deployment.Classes[req.Class].SafeToRetryAnywhere() {
 			return Decision{Action: Fail}
--- a/control/routing.go
+++ b/control/routing.go
@@ -108,7 +108,7 @@
 		e.Slack, e.Margin, e.LatestStart = t.slack, t.margin, t.latestStart
 	}
 	if reason := b.endReason(now, req, t); reason != "" {
-		return b.explain(b.giveUp(req), reason)
+		return b.explain(b.rejectOrFail(req), reason)
 	}
 	hold := Decision{Action: Hold, Rank: req.ArrivedAt + t.total, RecheckAt: min(now+maintenanceInterval, t.latestStart)}
 	if f.blockedAt == now && t.slack >= t.margin && len(req.Attempts) == 0 {
@@ -127,8 +127,8 @@
 	}
 	loaded, loading := b.replicaState(now, f)
 	if loaded && t.slack < t.margin && !loading {
-		b.noteShed(now, t.total, f) // guards against the same overload as forwardOrShed
-		return b.explain(b.giveUp(req), reasonReplicasFull)
+		b.recordShed(now, t.total, f) // guards against the same overload as forwardOrShed
+		return b.explain(b.rejectOrFail(req), reasonReplicasFull)
 	}
 	if !loaded && !loading {
 		if s := b.loadTarget(now, f, req, firstReplica); s != nil {
@@ -164,7 +164,7 @@
 	s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*t.total/1000
 	if b.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
 		f.delays.add(now, t.total)
-		return b.explain(b.giveUp(req), reasonQueueTooLong)
+		return b.explain(b.rejectOrFail(req), reasonQueueTooLong)
 	}
 	d := b.forward(now, f, req, inst)
 	inst.lastUsed = max(inst.lastUsed, now)
@@ -215,7 +215,7 @@
 		if best == nil || key > bestKey {
 			best, bestKey, ties = inst, key, 1
 		} else if key == bestKey {
-			if ties++; b.random.below(ties) == 0 {
+			if ties++; b.random.intN(ties) == 0 {
 				best = inst
 			}
 		}
@@ -241,7 +241,7 @@
 	if s.concurrencyLimit == 0 {
 		// The initial limit is what one instance offers.
 		s.concurrencyLimit = max(1, perLane*float64(f.lanes)/float64(b.deployment.Routers))
-		b.index.noteLoad(now, s)
+		b.index.markImpairedByLoad(now, s)
 	}
 	if b.overloaded(now, s) {
 		return 0
@@ -256,7 +256,7 @@
 		MayHaveRun: true, toLoaded: loaded})
 	if loaded {
 		s.running++
-		b.index.noteLoad(now, s)
+		b.index.markImpairedByLoad(now, s)
 	}
 	s.inFlight = append(s.inFlight, inFlightAttempt{req, AttemptID(len(req.Attempts) - 1), now, loaded})
 	b.index.busy = insertSorted(b.index.busy, s, byID)
--- a/control/serverevents_test.go
+++ b/control/serverevents_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The stored form of an event is that of earlier recordings, and is read back.
-func TestServerEventForm(t *testing.T) {
+func TestServerEventText(t *testing.T) {
 	for text, event := range map[string]ServerEvent{
 		"server 1f is suspect: owes answers":               {Server: 0x1f, Kind: ServerEjected, Cause: AnswersOverdue},
 		"server 7f0000012329 is suspect: connections fail": {Server: 0x7f0000012329, Kind: ServerEjected, Cause: ConnectionsFail},
--- a/control/serverlist_test.go
+++ b/control/serverlist_test.go
@@ -11,26 +11,26 @@
 
 // A server list finds, counts and orders its servers like a sorted slice, while it grows and shrinks, and its blocks
 // are neither empty nor many.
-func TestServerListIsAsASortedSlice(t *testing.T) {
+func TestServerListMatchesSortedSlice(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var l serverList
-	var plain []ServerID
+	var want []ServerID
 	for step := range 60_000 {
 		id := ServerID(random.IntN(4000))
 		if step/6000%2 == 1 {
 			id = ServerID(step % 4000) // in order
 		}
-		i, known := slices.BinarySearch(plain, id)
+		i, known := slices.BinarySearch(want, id)
 		if s := l.find(id); (s != nil) != known || s != nil && s.Server != id {
 			t.Fatalf("step %d: server %d: got %+v, known %t", step, id, s, known)
 		}
 		grow := step/3000%2 == 0 // add nine times in ten, else remove as often
 		switch add := random.IntN(10) < 9 == grow; {
 		case known && !add:
-			plain = slices.Delete(plain, i, i+1)
+			want = slices.Delete(want, i, i+1)
 			l.remove(id)
 		case !known && add:
-			plain = slices.Insert(plain, i, id)
+			want = slices.Insert(want, i, id)
 			l.insert(&server{Endpoint: Endpoint{Server: id}})
 		case known:
 			l.insert(&server{Endpoint: Endpoint{Server: id}})
@@ -38,10 +38,10 @@
 			l.remove(id)
 		}
 		if step%50 == 0 {
-			checkServerList(t, &l, plain)
+			checkServerList(t, &l, want)
 		}
 	}
-	for _, id := range plain {
+	for _, id := range want {
 		l.remove(id)
 	}
 	checkServerList(t, &l, nil)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -30,12 +30,12 @@
 	budget := b.deployment.OverloadFactor * capacity * b.answerRateOf(s) * float64(b.deployment.OverloadWindow) / 1e6
 	whole, fraction := math.Modf(margin * budget)
 	routers := float64(max(1, b.deployment.Routers))
-	most := slowStartTolerance(budget*routers) - whole*routers
+	toleranceLeft := slowStartTolerance(budget*routers) - whole*routers
 	wanted := fraction * routers
 	if whole == 0 {
 		wanted = max(wanted, 1) // of all routers, in turns: without answers there would never be any
 	}
-	share := turnShare(wanted, estimateMargin*most) / routers
+	share := routersWithTurn(wanted, estimateMargin*toleranceLeft) / routers
 	// Turns follow the server's age, which all routers compute alike: wall clocks may have been set between their starts.
 	turn := max(0, now-s.StartedAt) / b.deployment.OverloadWindow
 	if b.turnPosition(s.Server, turn) < share {
@@ -48,11 +48,11 @@
 // 588 simulated days goes over what a server in slow start survives; with 0.9 none does, and the worst comes to 0.93 of it.
 const estimateMargin = 0.9
 
-// turnShare returns how many routers have a turn, on average: wanted, or less so that the requests of two consecutive
+// routersWithTurn returns how many routers have a turn, on average: wanted, or less so that the requests of two consecutive
 // turns, which may fall into one window, are at most most.
-func turnShare(wanted, most float64) float64 {
-	share := min(wanted, most/2)
-	if 2*math.Ceil(share) > most {
+func routersWithTurn(wanted, maxInTwoTurns float64) float64 {
+	share := min(wanted, maxInTwoTurns/2)
+	if 2*math.Ceil(share) > maxInTwoTurns {
 		return math.Floor(share)
 	}
 	return share
@@ -87,30 +87,30 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// announcementLag is the largest part of slow start that may pass between a server's start and its first
+// maxListingLag is the largest part of slow start that may pass between a server's start and its first
 // listing: sources list a server once it was found ready. A clock that is off by less makes a server look this
 // much older. If capacity starts at a quarter the slow-start budget is then a fifth too large, which the
 // margin of the budget covers.
-const announcementLag = 1.0 / 16
+const maxListingLag = 1.0 / 16
 
 // EarliestStart returns the earliest start time that is believed of a server, where the endpoint list was last known to
 // be complete without it at the given time.
 func EarliestStart(completeWithout, slowStartDuration Micros) Micros {
-	return completeWithout - Micros(announcementLag*float64(slowStartDuration))
+	return completeWithout - Micros(maxListingLag*float64(slowStartDuration))
 }
 
 // milliWeight is a server's weight in thousandths. Sums of whole numbers don't depend on the order of their parts.
 type milliWeight int64
 
-// thousandths returns a weight in thousandths. One beyond the bound counts as the bound: no sum over thousands of servers and
+// toMilliWeight returns a weight in thousandths. One beyond the bound counts as the bound: no sum over thousands of servers and
 // the length of slow start overflows.
-func thousandths(weight float64) milliWeight {
-	const largest = 10_000
-	return milliWeight(math.Round(1000 * min(weight, largest)))
+func toMilliWeight(weight float64) milliWeight {
+	const maxWeight = 10_000
+	return milliWeight(math.Round(1000 * min(weight, maxWeight)))
 }
 
-// weightOf returns a server's weight, as the index has it of a ready one.
-func weightOf(s *server) milliWeight { return thousandths(max(0.1, s.Weight)) }
+// milliWeightOf returns a server's weight, as the index has it of a ready one.
+func milliWeightOf(s *server) milliWeight { return toMilliWeight(max(0.1, s.Weight)) }
 
 // meanWeight returns the mean weight of the ready servers; 0 if there is none.
 func (b *Balancer) meanWeight() float64 {
--- a/control/slowstartset.go
+++ b/control/slowstartset.go
@@ -25,14 +25,14 @@
 	return cmp.Or(cmp.Compare(a.slowStartSince, b.slowStartSince), byID(a, b))
 }
 
-// set inserts a server that started at the given time, or updates its place and weight; 0 removes it.
-func (set *slowStartSet) set(s *server, startedAt Micros, weight milliWeight) {
+// update inserts a server that started at the given time, or updates its place and weight; 0 removes it.
+func (set *slowStartSet) update(s *server, startedAt Micros, weight milliWeight) {
 	if s.slowStartSince == startedAt && s.slowStartWeight == weight {
 		return
 	}
 	if s.slowStartSince != 0 {
 		set.servers = deleteSorted(set.servers, s, bySlowStart)
-		set.drop(s)
+		set.subtract(s)
 	}
 	if s.slowStartSince, s.slowStartWeight = startedAt, weight; startedAt == 0 {
 		return
@@ -45,8 +45,8 @@
 	set.sum += weight.times(startedAt - set.base)
 }
 
-// drop subtracts a server from the sums.
-func (set *slowStartSet) drop(s *server) {
+// subtract subtracts a server from the sums.
+func (set *slowStartSet) subtract(s *server) {
 	set.weight -= s.slowStartWeight
 	set.sum -= s.slowStartWeight.times(s.slowStartSince - set.base)
 }
@@ -56,7 +56,7 @@
 	n := 0
 	for n < len(set.servers) && set.servers[n].slowStartSince <= until {
 		s := set.servers[n]
-		set.drop(s)
+		set.subtract(s)
 		s.slowStartSince = 0
 		n++
 	}
--- a/control/slowstartset_test.go
+++ b/control/slowstartset_test.go
@@ -7,7 +7,7 @@
 
 // The set's total age is that of its servers one by one, by their weights, whatever came and went, also with start times in the future and
 // with as many servers as a large fleet has.
-func TestSlowStartSetIsAsOneByOne(t *testing.T) {
+func TestSlowStartSetMatchesSum(t *testing.T) {
 	const duration = 10 * second
 	const epoch = 1_800_000_000 * second // as in microseconds since 1970
 	random := rand.New(rand.NewPCG(3, 3))
@@ -22,11 +22,11 @@
 		now += Micros(random.Int64N(2000))
 		s := servers[random.IntN(len(servers))]
 		if random.IntN(4) == 0 {
-			set.set(s, 0, 0)
+			set.update(s, 0, 0)
 			delete(starts, s)
 		} else {
 			at := now - Micros(random.Int64N(int64(duration))) + Micros(random.Int64N(2))*second
-			set.set(s, at, weightOf(s))
+			set.update(s, at, milliWeightOf(s))
 			starts[s] = at
 		}
 		if step%100 != 0 {
@@ -39,7 +39,7 @@
 				delete(starts, s)
 				continue
 			}
-			want += weightOf(s).times(max(0, now-at))
+			want += milliWeightOf(s).times(max(0, now-at))
 		}
 		if got := set.totalAge(now); got != want || len(set.servers) != len(starts) {
 			t.Fatalf("step %d: age %d of %d servers, want %d of %d", step, got, len(set.servers), want, len(starts))
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -183,8 +183,8 @@
 	return req
 }
 
-// convertAll returns the results of f for each element.
-func convertAll[T, S any](from []T, f func(T) S) []S {
+// mapSlice returns the results of f for each element.
+func mapSlice[T, S any](from []T, f func(T) S) []S {
 	to := make([]S, 0, len(from))
 	for _, t := range from {
 		to = append(to, f(t))
@@ -192,7 +192,7 @@
 	return to
 }
 
-func snapshots(s []samples) []Samples {
+func snapshotSamples(s []samples) []Samples {
 	to := make([]Samples, len(s))
 	for i := range s {
 		to[i] = s[i].snapshot()
@@ -206,8 +206,8 @@
 		Deployment:      b.deployment,
 		Random:          uint64(b.random),
 		StartedAt:       b.startedAt,
-		ExecTimes:       snapshots(b.execTimes),
-		Timeouts:        snapshots(b.timeouts),
+		ExecTimes:       snapshotSamples(b.execTimes),
+		Timeouts:        snapshotSamples(b.timeouts),
 		QuotaDebt:       slices.Clone(b.quotaDebt),
 		Latencies:       b.latencies.snapshot(),
 		LoadTimes:       b.loadTimes.snapshot(),
@@ -215,7 +215,7 @@
 		LoadCommands:    slices.Clone(b.loadCommands),
 		Admitted:        slices.Clone(b.admitted),
 		Cancellations:   slices.Clone(b.cancellations),
-		ServerEvents:    convertAll(b.serverEvents, ServerEvent.String),
+		ServerEvents:    mapSlice(b.serverEvents, ServerEvent.String),
 		Answers:         slices.Clone(b.answers),
 		AnswerRate:      b.answerRate,
 		ObservationTTL:  b.observationTTL,
@@ -232,7 +232,7 @@
 		s.Functions = append(s.Functions, f.snapshot())
 	}
 	at := func(f *function) int { return position[f] }
-	s.RecentFunctions, s.PendingChecks = convertAll(b.recentFunctions, at), convertAll(b.pendingChecks, at)
+	s.RecentFunctions, s.PendingChecks = mapSlice(b.recentFunctions, at), mapSlice(b.pendingChecks, at)
 	return s
 }
 
@@ -242,7 +242,7 @@
 		Listed:     s.listed,
 		LastListed: b.lastListed(s),
 		LastAnswer: s.lastAnswer,
-		InFlight: convertAll(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
+		InFlight: mapSlice(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
 			return InFlightSnapshot{a.request.ID, a.attempt, a.sentAt, a.toLoaded}
 		}),
 		SlowStartSends:     slices.Clone(s.slowStartSends),
@@ -267,7 +267,7 @@
 		ID:       f.id,
 		Lanes:    f.lanes,
 		LoadsDue: f.loadsDue,
-		Instances: convertAll(f.instances, func(inst *instance) InstanceSnapshot {
+		Instances: mapSlice(f.instances, func(inst *instance) InstanceSnapshot {
 			return InstanceSnapshot{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince,
 				inst.inFlight}
 		}),
@@ -290,7 +290,7 @@
 // Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
 // balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
 func Restore(s *Snapshot, requests map[RequestID]*Request) (*Balancer, error) {
-	r := &Balancer{
+	b := &Balancer{
 		deployment:      s.Deployment,
 		random:          pcg(s.Random),
 		startedAt:       s.StartedAt,
@@ -308,31 +308,31 @@
 		capacityHistory: s.CapacityHistory.restore(),
 		pruneCursor:     s.PruneCursor,
 		subscribed:      s.Subscribed,
-		execTimes:       convertAll(s.ExecTimes, Samples.restore),
-		timeouts:        convertAll(s.Timeouts, Samples.restore),
+		execTimes:       mapSlice(s.ExecTimes, Samples.restore),
+		timeouts:        mapSlice(s.Timeouts, Samples.restore),
 	}
-	classes, tenants := len(r.deployment.Classes), len(r.deployment.Quotas)
-	if len(r.execTimes) != classes || len(r.timeouts) != classes || len(r.quotaDebt) != tenants {
+	classes, tenants := len(b.deployment.Classes), len(b.deployment.Quotas)
+	if len(b.execTimes) != classes || len(b.timeouts) != classes || len(b.quotaDebt) != tenants {
 		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", classes, tenants)
 	}
-	if err := r.restoreServers(s.Servers, requests); err != nil {
+	if err := b.restoreServers(s.Servers, requests); err != nil {
 		return nil, err
 	}
-	if err := r.restoreFunctions(s.Functions, requests); err != nil {
+	if err := b.restoreFunctions(s.Functions, requests); err != nil {
 		return nil, err
 	}
 	var err error
-	if r.recentFunctions, err = r.functionsAt(s.RecentFunctions); err != nil {
+	if b.recentFunctions, err = b.functionsAt(s.RecentFunctions); err != nil {
 		return nil, err
 	}
-	if r.pendingChecks, err = r.functionsAt(s.PendingChecks); err != nil {
+	if b.pendingChecks, err = b.functionsAt(s.PendingChecks); err != nil {
 		return nil, err
 	}
-	if r.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
+	if b.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
 		return nil, err
 	}
-	r.rebuildIndex()
-	return r, nil
+	b.rebuildIndex()
+	return b, nil
 }
 
 func parseServerEvents(texts []string) ([]ServerEvent, error) {
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -21,14 +21,14 @@
 	if len(history.periods) > 0 { // else no server was ever ready
 		b.answers = dropBefore(b.answers, history.periods[0].From)
 		span, serverTime := history.totals()
-		const shortest = answerWindow / 10 // a shorter time, after a start, counts as so long
-		serverTime *= max(1, shortest/float64(span))
+		const minSpan = answerWindow / 10 // a shorter time, after a start, counts as so long
+		serverTime *= max(1, minSpan/float64(span))
 		if mean := b.meanWeight(); mean > 0 {
 			history.meanWeight = mean
 		}
 		b.answerRate = float64(len(b.answers)) * 1e6 / serverTime * history.meanWeight
 	}
-	b.observationTTL = Micros(min(maxFreshFor, max(rareAnswers, 1e6/max(0.01, b.answerRate))))
+	b.observationTTL = Micros(min(maxObservationTTL, max(rareAnswerInterval, 1e6/max(0.01, b.answerRate))))
 }
 
 // answerRateOf returns the answers per second that this router gets from a server at full capacity, by its weight. It guards
@@ -38,7 +38,7 @@
 	if mean == 0 {
 		return b.answerRate
 	}
-	return b.answerRate * float64(weightOf(s)) / 1000 / mean
+	return b.answerRate * float64(milliWeightOf(s)) / 1000 / mean
 }
 
 // countAnswer counts an answer from a server. One that drains is no part of the capacity, and its answers don't count.
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -5,185 +5,185 @@
 	"testing"
 )
 
-// throughputDay is a balancer whose ready servers each answer at a steady rate.
-type throughputDay struct {
-	t   *testing.T
-	b   *Balancer
-	now Micros
+// throughputSim is a balancer whose ready servers each answer at a steady rate.
+type throughputSim struct {
+	t        *testing.T
+	balancer *Balancer
+	now      Micros
 }
 
 const (
-	dayServers    = 12
-	dayAnswerRate = 10.0 // answers per second of a server at full capacity
+	simServers    = 12
+	simAnswerRate = 10.0 // answers per second of a server at full capacity
 )
 
-// startThroughputDay returns a day of servers that have answered for longer than answers count.
-func startThroughputDay(t *testing.T) *throughputDay {
+// newThroughputSim returns a day of servers that have answered for longer than answers count.
+func newThroughputSim(t *testing.T) *throughputSim {
 	t.Helper()
-	d := &throughputDay{t, New(at, 1, deployment()), at}
+	sim := &throughputSim{t, New(testNow, 1, testDeployment()), testNow}
 	var list []Endpoint
-	for id := range ServerID(dayServers) {
+	for id := range ServerID(simServers) {
 		list = append(list, Endpoint{Server: id + 1, State: Ready, Weight: 1})
 	}
-	d.b.UpdateEndpoints(d.now, FullUpdate, list)
-	d.run(15 * second)
-	return d
+	sim.balancer.UpdateEndpoints(sim.now, FullUpdate, list)
+	sim.run(15 * second)
+	return sim
 }
 
 // run has time pass while the ready servers answer as much as they can, and the maintenance comes when it is due.
-func (d *throughputDay) run(span Micros) {
+func (sim *throughputSim) run(span Micros) {
 	const step = second / 50
 	answers := 0.0
-	for end := d.now + span; d.now < end; d.now += step {
-		for s := range d.b.servers.all {
+	for end := sim.now + span; sim.now < end; sim.now += step {
+		for s := range sim.balancer.servers.all {
 			if s.State == Ready {
-				answers += dayAnswerRate * d.b.capacity(d.now, s) * float64(step) / 1e6
+				answers += simAnswerRate * sim.balancer.capacity(sim.now, s) * float64(step) / 1e6
 			}
 		}
 		for ; answers >= 1; answers-- {
-			d.b.countAnswer(d.now, d.b.servers.at(d.readyServer()))
+			sim.balancer.countAnswer(sim.now, sim.balancer.servers.at(sim.readyServer()))
 		}
-		if d.now%maintenanceInterval == 0 {
-			d.b.Maintain(d.now)
+		if sim.now%maintenanceInterval == 0 {
+			sim.balancer.Maintain(sim.now)
 		}
 	}
-	d.b.Maintain(d.now)
+	sim.balancer.Maintain(sim.now)
 }
 
 // readyServer returns the position of a ready server.
-func (d *throughputDay) readyServer() int {
-	for i := range d.b.servers.len {
-		if d.b.servers.at(i).State == Ready {
+func (sim *throughputSim) readyServer() int {
+	for i := range sim.balancer.servers.len {
+		if sim.balancer.servers.at(i).State == Ready {
 			return i
 		}
 	}
-	d.t.Fatal("no server is ready")
+	sim.t.Fatal("no server is ready")
 	return 0
 }
 
-// set changes the state of servers from one ID to another.
-func (d *throughputDay) set(from, to ServerID, state ServerState, startedAt Micros) {
+// setState changes the state of servers from one ID to another.
+func (sim *throughputSim) setState(from, to ServerID, state ServerState, startedAt Micros) {
 	var changed []Endpoint
 	for id := from; id <= to; id++ {
 		changed = append(changed, Endpoint{Server: id, State: state, Weight: 1, StartedAt: startedAt})
 	}
-	d.b.UpdateEndpoints(d.now, IncrementalUpdate, changed)
+	sim.balancer.UpdateEndpoints(sim.now, IncrementalUpdate, changed)
 }
 
-// wantRate checks the estimate.
-func (d *throughputDay) wantRate(when string) {
-	d.t.Helper()
+// checkRate checks the estimate.
+func (sim *throughputSim) checkRate(when string) {
+	sim.t.Helper()
 	const tolerance = 0.1
-	if got := d.b.answerRate; math.Abs(got-dayAnswerRate) > tolerance*dayAnswerRate {
-		d.t.Errorf("%s: %.2f answers a second, want %.0f", when, got, dayAnswerRate)
+	if got := sim.balancer.answerRate; math.Abs(got-simAnswerRate) > tolerance*simAnswerRate {
+		sim.t.Errorf("%s: %.2f answers a second, want %.0f", when, got, simAnswerRate)
 	}
 }
 
 // The estimate stays what a server does while the ready set changes. It guards against report c39787: servers in slow start were
 // credited with the answers of all that had just begun to drain.
 func TestAnswerRateFollowsTheReadySet(t *testing.T) {
-	d := startThroughputDay(t)
-	d.wantRate("at first")
-	d.set(11, 12, Removed, 0)
-	d.run(5 * second)
-	d.wantRate("two servers less")
-	d.set(1, 10, Draining, 0)
-	d.run(second)
-	d.wantRate("none ready")
-	d.set(11, 12, Ready, d.now-second/2)
+	sim := newThroughputSim(t)
+	sim.checkRate("at first")
+	sim.setState(11, 12, Removed, 0)
+	sim.run(5 * second)
+	sim.checkRate("two servers less")
+	sim.setState(1, 10, Draining, 0)
+	sim.run(second)
+	sim.checkRate("none ready")
+	sim.setState(11, 12, Ready, sim.now-second/2)
 	for range 10 {
-		d.run(second / 5)
-		d.wantRate("two in slow start alone")
+		sim.run(second / 5)
+		sim.checkRate("two in slow start alone")
 	}
-	d.set(1, 10, Ready, 0)
+	sim.setState(1, 10, Ready, 0)
 	for range 10 {
-		d.run(second)
-		d.wantRate("all again")
+		sim.run(second)
+		sim.checkRate("all again")
 	}
 }
 
 // A server that drains still answers what it has, which says nothing of those that are ready.
 func TestAnswersOfDrainingServersDoNotCount(t *testing.T) {
-	d := startThroughputDay(t)
-	d.set(1, 11, Draining, 0)
+	sim := newThroughputSim(t)
+	sim.setState(1, 11, Draining, 0)
 	for range 200 {
-		d.b.countAnswer(d.now, d.b.servers.at(0))
+		sim.balancer.countAnswer(sim.now, sim.balancer.servers.at(0))
 	}
-	d.run(second)
-	d.wantRate("one left")
+	sim.run(second)
+	sim.checkRate("one left")
 }
 
 // What was known before a time without a ready server still holds after it, however long that was.
 func TestAnswerRateOutlastsAnOutage(t *testing.T) {
-	d := startThroughputDay(t)
-	d.set(1, dayServers, Removed, 0)
-	d.run(60 * second)
-	d.wantRate("after a minute without servers")
-	d.set(1, dayServers, Ready, d.now)
-	d.run(2 * second)
-	d.wantRate("all back in slow start")
+	sim := newThroughputSim(t)
+	sim.setState(1, simServers, Removed, 0)
+	sim.run(60 * second)
+	sim.checkRate("after a minute without servers")
+	sim.setState(1, simServers, Ready, sim.now)
+	sim.run(2 * second)
+	sim.checkRate("all back in slow start")
 }
 
 // However often the endpoint list changes, the history of capacity stays short.
 func TestCapacityHistoryIsBounded(t *testing.T) {
-	d := startThroughputDay(t)
+	sim := newThroughputSim(t)
 	for range 10_000 {
-		d.now += second / 1000
-		d.set(12, 12, Draining, 0)
-		d.set(12, 12, Ready, 0)
+		sim.now += second / 1000
+		sim.setState(12, 12, Draining, 0)
+		sim.setState(12, 12, Ready, 0)
 	}
-	d.b.Maintain(d.now)
-	if n := len(d.b.capacityHistory.periods); n > 110 {
+	sim.balancer.Maintain(sim.now)
+	if n := len(sim.balancer.capacityHistory.periods); n > 110 {
 		t.Errorf("%d periods", n)
 	}
 }
 
 // After a restart into a smaller fleet the answers of the former incarnation are shared among the servers of its time.
-func TestLearnedAnswersIntoASmallerFleet(t *testing.T) {
-	d := startThroughputDay(t)
-	next := New(d.now+second, 1, d.b.deployment)
-	next.ApplyLearned(d.now+second, d.b.LearnedState(d.now))
-	next.UpdateEndpoints(d.now+second, FullUpdate, []Endpoint{{Server: 1, State: Ready, Weight: 1}})
-	next.updateAnswerRate(d.now + second)
-	if next.answerRate > dayAnswerRate || next.answerRate < dayAnswerRate/2 {
-		t.Errorf("%.2f answers a second, want about %.0f and no more", next.answerRate, dayAnswerRate)
+func TestLearnedAnswersInASmallerFleet(t *testing.T) {
+	sim := newThroughputSim(t)
+	next := New(sim.now+second, 1, sim.balancer.deployment)
+	next.ApplyLearned(sim.now+second, sim.balancer.LearnedState(sim.now))
+	next.UpdateEndpoints(sim.now+second, FullUpdate, []Endpoint{{Server: 1, State: Ready, Weight: 1}})
+	next.updateAnswerRate(sim.now + second)
+	if next.answerRate > simAnswerRate || next.answerRate < simAnswerRate/2 {
+		t.Errorf("%.2f answers a second, want about %.0f and no more", next.answerRate, simAnswerRate)
 	}
 }
 
 // A checkpoint carries the history of capacity; one that was stored without it is read as if the capacity had not changed.
 func TestSnapshotCarriesCapacityHistory(t *testing.T) {
-	d := startThroughputDay(t)
-	snapshot := d.b.Snapshot()
+	sim := newThroughputSim(t)
+	snapshot := sim.balancer.Snapshot()
 	restored, err := Restore(snapshot, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored.updateAnswerRate(d.now + second)
-	d.b.updateAnswerRate(d.now + second)
-	if restored.answerRate != d.b.answerRate {
-		t.Errorf("restored: %v, want %v", restored.answerRate, d.b.answerRate)
+	restored.updateAnswerRate(sim.now + second)
+	sim.balancer.updateAnswerRate(sim.now + second)
+	if restored.answerRate != sim.balancer.answerRate {
+		t.Errorf("restored: %v, want %v", restored.answerRate, sim.balancer.answerRate)
 	}
 	snapshot.CapacityHistory = nil
 	older, err := Restore(snapshot, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	older.updateAnswerRate(d.now)
-	d.b = older
-	d.wantRate("an older checkpoint")
+	older.updateAnswerRate(sim.now)
+	sim.balancer = older
+	sim.checkRate("an older checkpoint")
 }
 
 // A server's budget in slow start follows its weight: the fleet's answers are mostly those of its large servers.
 func TestSlowStartBudgetFollowsWeight(t *testing.T) {
 	const large, small, started = 1, 2, 3 // IDs; the third starts
 	for weight, want := range map[float64]float64{4: 4, 1: 1} {
-		b := New(at, 1, deployment())
-		b.UpdateEndpoints(at, FullUpdate, []Endpoint{{Server: large, State: Ready, Weight: 4}, {Server: small, State: Ready, Weight: 1}})
+		b := New(testNow, 1, testDeployment())
+		b.UpdateEndpoints(testNow, FullUpdate, []Endpoint{{Server: large, State: Ready, Weight: 4}, {Server: small, State: Ready, Weight: 1}})
 		const answersPerWeight = 10 // a second
 		for i := range Micros(10 * 5 * answersPerWeight) {
-			b.answers = append(b.answers, at+i*second/(5*answersPerWeight))
+			b.answers = append(b.answers, testNow+i*second/(5*answersPerWeight))
 		}
-		now := at + 10*second
+		now := testNow + 10*second
 		b.Maintain(now)
 		b.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: started, State: Ready, Weight: weight, StartedAt: now}})
 		s := b.servers.find(started)
@@ -199,8 +199,8 @@
 
 // Before any server was ready, an observation stays valid for the longest time.
 func TestObservationsStayValidBeforeAnyServer(t *testing.T) {
-	b := New(at, 1, deployment())
-	if b.Maintain(at); b.observationTTL != maxFreshFor {
-		t.Errorf("valid for %d us, want %d", b.observationTTL, maxFreshFor)
+	b := New(testNow, 1, testDeployment())
+	if b.Maintain(testNow); b.observationTTL != maxObservationTTL {
+		t.Errorf("valid for %d us, want %d", b.observationTTL, maxObservationTTL)
 	}
 }
--- a/control/trace.go
+++ b/control/trace.go
@@ -90,36 +90,36 @@
 }
 
 // begin starts the explanation with what is believed before the decision. It must not change any state.
-func (t *Trace) begin(r *Balancer, now Micros, f *function, req *Request) {
-	exec := r.execTime(f, req)
+func (t *Trace) begin(b *Balancer, now Micros, f *function, req *Request) {
+	exec := b.execTime(f, req)
 	t.explanation = Explanation{
 		Now:       now,
 		Request:   req.ID,
 		Function:  f.id,
 		ExecTime:  exec,
-		Objective: r.latencyObjective(req, exec),
-		LoadTime:  r.loadTime(req),
-		B:         r.slotsPerLane(f, req),
+		Objective: b.latencyObjective(req, exec),
+		LoadTime:  b.loadTime(req),
+		B:         b.slotsPerLane(f, req),
 		Held:      f.held,
 		LoadsDue:  f.loadsDue,
 	}
-	for s := range r.servers.all {
-		t.explanation.Servers = append(t.explanation.Servers, t.view(r, now, s, f, req))
+	for s := range b.servers.all {
+		t.explanation.Servers = append(t.explanation.Servers, t.view(b, now, s, f, req))
 	}
 }
 
 // view returns what is believed of a server. It must not change any state.
-func (t *Trace) view(r *Balancer, now Micros, s *server, f *function, req *Request) ServerView {
+func (t *Trace) view(b *Balancer, now Micros, s *server, f *function, req *Request) ServerView {
 	view := ServerView{
 		Server:           s.Server,
 		State:            s.State,
-		Unusable:         r.unusableReason(now, s, req),
+		Unusable:         b.unusableReason(now, s, req),
 		ConcurrencyLimit: s.concurrencyLimit,
 		Running:          s.running,
 		Ejected:          s.ejected,
-		Overloaded:       r.overloaded(now, s),
+		Overloaded:       b.overloaded(now, s),
 		PendingLoads:     s.pendingLoads(),
-		SlowStart:        r.capacity(now, s) < 1,
+		SlowStart:        b.capacity(now, s) < 1,
 		FreeShare:        s.freeShare(),
 		Report:           s.report,
 		ReportAge:        -1,
@@ -129,9 +129,9 @@
 	}
 	if inst := f.instanceOn(s, false); inst != nil {
 		limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
-		view.HasInstance, view.Loaded, view.IsLoading = true, r.loaded(now, inst), r.loading(now, inst)
+		view.HasInstance, view.Loaded, view.IsLoading = true, b.loaded(now, inst), b.loading(now, inst)
 		view.Replicas, view.Loading, view.InFlight = inst.replicas, inst.loading, inst.inFlight
-		view.Slots = r.slots(now, inst, f, t.explanation.B)
+		view.Slots = b.slots(now, inst, f, t.explanation.B)
 		s.concurrencyLimit = limit
 	}
 	return view
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -9,30 +9,30 @@
 func TestTraceGivesReason(t *testing.T) {
 	for want, c := range map[Reason]struct {
 		action Action
-		change func(r *Balancer, req *Request)
+		change func(b *Balancer, req *Request)
 	}{
-		"the fullest instance with room":  {Forward, func(r *Balancer, req *Request) { stands(r, 1, 0) }},
-		"no replica is loaded or loading": {Forward, func(r *Balancer, req *Request) {}},
-		"an attempt is in flight":         {NoAction, func(r *Balancer, req *Request) { req.Attempts = []Attempt{{}} }},
-		"it had all its attempts": {Reject, func(r *Balancer, req *Request) {
+		"the fullest instance with room":  {Forward, func(b *Balancer, req *Request) { addReplica(b, 1, 0) }},
+		"no replica is loaded or loading": {Forward, func(b *Balancer, req *Request) {}},
+		"an attempt is in flight":         {NoAction, func(b *Balancer, req *Request) { req.Attempts = []Attempt{{}} }},
+		"it had all its attempts": {Reject, func(b *Balancer, req *Request) {
 			req.Attempts = []Attempt{{Done: true}, {Done: true}, {Done: true}}
 		}},
-		"it can't end before its deadline": {Reject, func(r *Balancer, req *Request) { req.Deadline = at + 1000 }},
-		"an earlier attempt may have run": {Fail, func(r *Balancer, req *Request) {
-			r.deployment.Classes[0].Idempotency = NonIdempotent
+		"it can't end before its deadline": {Reject, func(b *Balancer, req *Request) { req.Deadline = testNow + 1000 }},
+		"an earlier attempt may have run": {Fail, func(b *Balancer, req *Request) {
+			b.deployment.Classes[0].Idempotency = NonIdempotent
 			req.Attempts = []Attempt{{Done: true, MayHaveRun: true}}
 		}},
-		"it waits for a replica": {Hold, func(r *Balancer, req *Request) {
-			for s := range r.servers.all {
+		"it waits for a replica": {Hold, func(b *Balancer, req *Request) {
+			for s := range b.servers.all {
 				s.State = Draining
 			}
 		}},
 	} {
-		r, req := fleet(deployment(), 2), newJob(1)
-		c.change(r, req)
+		b, req := newTestBalancer(testDeployment(), 2), newRequest(1)
+		c.change(b, req)
 		var got *Explanation
-		r.SetTrace(&Trace{OnDecision: func(e Explanation) { got = &e }})
-		d := r.Route(at, req)
+		b.SetTrace(&Trace{OnDecision: func(e Explanation) { got = &e }})
+		d := b.Route(testNow, req)
 		if got == nil || got.Reason != want || got.Decision.Action != c.action || d.Action != c.action ||
 			len(got.Servers) != 2 {
 			t.Errorf("%s: got %+v, placed %+v", want, got, d)
@@ -41,16 +41,16 @@
 }
 
 func TestTraceGivesServerViews(t *testing.T) {
-	r := fleet(deployment(), 5)
-	stands(r, 1, 1)
-	r.servers.at(1).State = Draining
-	r.servers.at(2).ejected, r.servers.at(2).probeAt = true, at+1
-	r.servers.at(3).backoffUntil = at + 1
-	r.servers.at(4).StartedAt = at - 1
-	r.servers.at(4).slowStartSends = []Micros{at - 1} // all that it gets where nothing has answered
+	b := newTestBalancer(testDeployment(), 5)
+	addReplica(b, 1, 1)
+	b.servers.at(1).State = Draining
+	b.servers.at(2).ejected, b.servers.at(2).probeAt = true, testNow+1
+	b.servers.at(3).backoffUntil = testNow + 1
+	b.servers.at(4).StartedAt = testNow - 1
+	b.servers.at(4).slowStartSends = []Micros{testNow - 1} // all that it gets where nothing has answered
 	var got Explanation
-	r.SetTrace(&Trace{OnDecision: func(e Explanation) { got = e }})
-	r.Route(at, newJob(1))
+	b.SetTrace(&Trace{OnDecision: func(e Explanation) { got = e }})
+	b.Route(testNow, newRequest(1))
 	for i, want := range []UnusableReason{
 		"",
 		"draining or removed",
@@ -72,19 +72,19 @@
 	var states [2]*Snapshot
 	var decisions [2][]Decision
 	for i := range states {
-		r := fleet(deployment(), 3)
+		b := newTestBalancer(testDeployment(), 3)
 		if i == 1 {
-			r.SetTrace(&Trace{OnDecision: func(Explanation) {}, OnReplicaCheck: func(ReplicaCheck) {}})
+			b.SetTrace(&Trace{OnDecision: func(Explanation) {}, OnReplicaCheck: func(ReplicaCheck) {}})
 		}
 		for n := range RequestID(60) {
-			req := newJob(n)
+			req := newRequest(n)
 			req.Function = FunctionID(n % 3)
-			decisions[i] = append(decisions[i], r.Route(at+Micros(n)*1000, req))
+			decisions[i] = append(decisions[i], b.Route(testNow+Micros(n)*1000, req))
 			if n%10 == 9 {
-				r.Maintain(at + Micros(n)*1000)
+				b.Maintain(testNow + Micros(n)*1000)
 			}
 		}
-		states[i] = r.Snapshot()
+		states[i] = b.Snapshot()
 	}
 	if !reflect.DeepEqual(states[0], states[1]) || !reflect.DeepEqual(decisions[0], decisions[1]) {
 		t.Error("the trace changed decisions or state")
@@ -94,14 +94,14 @@
 // BenchmarkRoute measures one decision among 80 full replicas, without a trace. Its cost must be the same as before there
 // were traces.
 func BenchmarkRoute(b *testing.B) {
-	r := fleet(deployment(), 80)
+	balancer := newTestBalancer(testDeployment(), 80)
 	for i := range 80 {
-		stands(r, i+1, 100)
+		addReplica(balancer, i+1, 100)
 	}
-	req := newJob(1)
-	req.Deadline = at + 1<<50
+	req := newRequest(1)
+	req.Deadline = testNow + 1<<50
 	for i := Micros(0); b.Loop(); i++ {
-		if d := r.Route(at+i%1000, req); d.Action != Hold {
+		if d := balancer.Route(testNow+i%1000, req); d.Action != Hold {
 			b.Fatalf("got %+v", d)
 		}
 	}
