--- a/control/balancer.go
+++ b/control/balancer.go
@@ -1,14 +1,15 @@
-// Package control decides where each request for an on-demand loaded function goes. The algorithm is Fifer's; see
-// docs/design.md. The package does no I/O and reads no clock: callers pass the current time in microseconds.
+// Package control decides which server each request for an on-demand loaded function is sent to. It implements the
+// Fifer algorithm as docs/design.md describes it. The package does no I/O and reads no clock: callers pass the current
+// time in microseconds.
 //
 // A caller reports events to a [Balancer] (UpdateEndpoints, HandleOutcome, HandleLoadResult, Cancel) and asks it
 // for three decisions: Route, whether a request is forwarded, held or ended; HandleOutcome, what follows an
 // attempt; and Maintain, which periodic work is due and when to call it next. In each event-loop iteration the
 // caller passes every pending request to Route, lowest Rank first.
 //
-// Each concern has a file of its own: routing, loading, slow start, outliers, overload, quotas, retries, endpoints,
-// estimates and maintenance. Ranking, homes, index and serverlist keep the costs low in a large fleet. The types of
-// inputs and decisions are in types.go and requests.go.
+// Each concern has its own file: routing, loading, slow start, outliers, overload, quotas, retries, endpoints,
+// estimates and maintenance. The files ranking, homes, index and serverlist keep decisions cheap in large fleets. The
+// types of inputs and decisions are in types.go and requests.go.
 package control
 
 // Balancer holds the routing state of one router. It is not safe for concurrent use: one event loop owns it.
@@ -22,7 +23,7 @@
 	pendingChecks  []*function // functions with requests held or shed since the last replica check
 	execTimes      []samples   // by class
 	timeouts       []samples   // by class: time from arrival to deadline
-	quotaDebt      []Micros    // by tenant: the time at which its admitted requests are back within its quota
+	quotaDebt      []Micros    // by tenant: when its quota covers all requests admitted so far
 	latencies      samples     // of answers from loaded replicas, all servers
 	loadTimes      samples     // load durations
 	queueing       samples     // queueing on all servers, in the same unit as server.queueing
@@ -30,15 +31,15 @@
 	admitted       []Micros    // requests admitted within the load-rate window
 	cancellations  []Cancellation
 	candidates     []candidate // scratch space, reused between decisions
-	deviations     []deviation // scratch space, too
+	deviations     []deviation // scratch space, likewise
 	serverEvents   []ServerEvent
-	answers        []Micros // recent answers, from all ready servers
-	answerRate     float64  // answers per second that we get from one server at full capacity, see updateAnswerRate
-	observationTTL Micros
-	// The capacity over the time of answers.
+	answers        []Micros // times of recent answers from ready servers
+	answerRate     float64  // answers per second that this router gets from a server at full capacity, see updateAnswerRate
+	observationTTL Micros   // how long an observation of a server stays valid, see updateAnswerRate
+	// Capacity of the ready servers over the time in which answers are counted.
 	capacityHistory capacityHistory
 	recentFunctions []*function // functions of the most recently admitted requests
-	pruneCursor     int         // where prune continues in functionOrder
+	pruneCursor     int         // position in functionOrder at which prune continues
 	subscribed      bool
 	index           index
 	trace           *Trace // nil except in diagnostic tools
--- a/control/diagnostics.go
+++ b/control/diagnostics.go
@@ -1,8 +1,8 @@
 package control
 
-// Diagnostics: what a service logs of the balancer's state. Nothing here changes a decision.
+// This file provides diagnostics for a service's log. Nothing here influences a decision.
 
-// SlowStartStatus is what the balancer believes of a server in slow start, and what it has sent there.
+// SlowStartStatus describes a server in slow start: its estimated capacity, and what this router has sent it.
 type SlowStartStatus struct {
 	StartedAt Micros
 	Capacity  float64 // fraction of its full capacity
@@ -20,7 +20,7 @@
 	return SlowStartStatus{s.StartedAt, b.capacity(now, s), b.slowStartBudget(now, s), len(sent)}, true
 }
 
-// Throughput is what the slow-start budget is computed from.
+// Throughput holds the estimates from which the slow-start budget is computed.
 type Throughput struct {
 	AnswerRate float64 // answers per second that this router gets from a server at full capacity
 	Ready      int     // ready servers
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Endpoints: the endpoint list and what is known of each server.
+// This file applies the endpoint list and holds the state of each server.
 
 // UpdateEndpoints applies an update of the endpoint list. A later StartedAt than the known one means that the server
 // restarted: it holds no replicas and is in slow start. A failed update keeps the list and makes Maintain ask for a
@@ -45,8 +45,8 @@
 	}
 }
 
-// dropInstances drops what is believed of a server's replicas from before its start, because a restarted server holds
-// none.
+// dropInstances forgets the replicas on a server that were last used, and began to load, before startedAt: a restarted
+// server holds none of them.
 func (b *Balancer) dropInstances(s *server, startedAt Micros) {
 	for _, f := range s.functions {
 		if inst := f.instanceOn(s, false); inst != nil && max(inst.lastUsed, inst.loadingSince) < startedAt {
@@ -55,30 +55,30 @@
 	}
 }
 
-// server is what the balancer knows and believes about one server.
+// server is the balancer's state for one server: its entry in the endpoint list and what was observed of it.
 type server struct {
 	Endpoint
 	slowStartSince  Micros      // StartedAt while the server is in index.slowStart, else 0
-	slowStartWeight milliWeight // as index.slowStart has it
+	slowStartWeight milliWeight // its weight in index.slowStart
 
 	listed           bool        // named in the latest full list or in an update since
 	lastListed       Micros      // when it was last in the list, if it no longer is
-	weight           float64     // as the index has it: 0 if the server is not ready
+	weight           float64     // its weight in the index; 0 if the server is not ready
 	impaired         bool        // is in index.impaired
 	readyIndex       int         // its position in index.ready, -1 if it isn't there
-	present          bool        // as the index has it: not removed
+	present          bool        // not removed, when the index was last updated
 	inRemoved        bool        // is in index.removed
-	functions        []*function // those with an entry for this server in their instances, by id
-	lastAnswer       Micros      // last response, or when it became known
+	functions        []*function // functions with an instance on this server, by ID
+	lastAnswer       Micros      // time of the last response, or when the server became known
 	inFlight         []inFlightAttempt
 	slowStartSends   []Micros // times of recent attempts, while it is in slow start
 	report           LoadReport
 	reportedAt       Micros
 	backoffUntil     Micros // no attempts before this time, after a rejection
 	loadBackoffUntil Micros // no loads before this time, after a rejected load
-	// How many of this router's attempts the server handles at once, see adaptConcurrencyLimit; 0: not set yet.
+	// Limit on this router's concurrent attempts at the server, see adaptConcurrencyLimit; 0: not set yet.
 	concurrencyLimit   float64
-	running            int // attempts that execute there, without those that wait for a load
+	running            int // attempts that execute there; those that wait for a load are not counted
 	limitLoweredAt     Micros
 	queueing           samples // queueing delay there, in thousandths of the requests' slack
 	ejected            bool
@@ -88,8 +88,8 @@
 	connectionFailures int    // failed connections since its last answer
 }
 
-// resetAfterRestart drops what was learned of the health and load of a server before it restarted: it says nothing about the
-// new process. Attempts in flight and recent sends in slow start still count.
+// resetAfterRestart drops what was observed of a server's health and load before it restarted: it says nothing about
+// the new process. Attempts in flight and recent sends in slow start still count.
 func (s *server) resetAfterRestart(now Micros) {
 	s.lastAnswer = now
 	s.report, s.reportedAt = LoadReport{}, 0
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Estimates: execution and load times, objectives, and the samples that they are computed from.
+// This file estimates execution and load times from samples of recent measurements.
 
 // execTime estimates a function's execution time: the request's hint, else the mean of the latest answers from loaded
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
--- a/control/homes.go
+++ b/control/homes.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// homeSet is the part of a function's order of ready servers in which its homes are found: all with a static key (see
-// ranking) below a bound. Each server is in it twice: by its key in the order that all routers share, which tells
-// whether it is a home, and by its key in this router's order of the homes. Home sets exist for functions that had
-// several homes when a request for them needed a load. They are derived from the endpoint list and never stored.
+// homeSet is the part of a function's server order that contains its homes: all ready servers whose static key (see
+// ranking) is below a bound. Each server is in it twice: by its key in the order that all routers share, which
+// determines whether it is a home, and by its key in the order in which this router prefers the homes. A function gets
+// a home set once a request for it needs a load while it has several homes. Home sets are derived from the endpoint
+// list and never stored.
 type homeSet struct {
 	keys           []float64   // static keys in the shared order, ascending
 	entries        []homeEntry // by ownKey
@@ -60,7 +61,8 @@
 	}
 }
 
-// buildHomes builds a function's home set from all servers, with about size of them.
+// buildHomes builds a function's home set by a scan of all ready servers. It chooses the bound so that about size of
+// them are below it.
 func (b *Balancer) buildHomes(f *function, size int) {
 	hs, idx := &f.homes, &b.index
 	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, appliedChanges: idx.changeCount()}
@@ -75,10 +77,10 @@
 	slices.SortFunc(hs.entries, byOwnKey)
 }
 
-// currentHomes returns a function's home set with all changes of the endpoint list applied. It is built if there is
-// none, or if it was built for far more or for fewer servers than are needed now.
+// currentHomes returns a function's home set with all changes of the endpoint list applied. It rebuilds the set if
+// there is none, or if it was built for far more or for fewer servers than are needed now.
 func (b *Balancer) currentHomes(f *function, need int) *homeSet {
-	const maxExcess = 16 // a walk finds every maxExcess-th server to be a home, and needs two
+	const maxExcess = 16 // at this excess one entry in 16 is a home, and a walk needs two
 	hs, idx := &f.homes, &b.index
 	if hs.size == 0 || hs.appliedChanges < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
 		hs.size < need && !math.IsInf(hs.bound, 1) {
@@ -101,11 +103,11 @@
 	return hs
 }
 
-// prefersHomeSet reports whether a home set is worth its cost for a function with several homes. It isn't where its
-// walk would be long, because the function's homes are few in a small fleet, nor where many servers deviate from their
-// static place: a scan then costs no more.
+// prefersHomeSet reports whether a home set is worth its cost for a function with several homes. A scan of all servers
+// costs no more if the walk would be long, because a small fleet has few homes for the function, or if many servers
+// have a key that differs from their static one.
 func (b *Balancer) prefersHomeSet(f *function) bool {
-	const maxWalk, maxDeviating = 1. / 8, 1. / 8 // as a part of all ready servers; measured with 60 to 3,200 servers
+	const maxWalk, maxDeviating = 1. / 8, 1. / 8 // as fractions of the ready servers; measured with 60 to 3,200 servers
 	ready := len(b.index.ready)
 	homes := b.homeCount(f, ready)
 	walk := 2 * float64(2*b.expectedScanLength(homes, ready)) / float64(homes)
@@ -129,7 +131,7 @@
 	hs := b.currentHomes(f, need)
 	b.findDeviations(now, f, req)
 	if b.countBelow(hs, hs.bound) < homes && hs.size < 4*need {
-		b.buildHomes(f, 8*need) // slow start raises keys a few times
+		b.buildHomes(f, 8*need) // slow start can make a key a few times as large
 		b.findDeviations(now, f, req)
 	}
 	if b.countBelow(hs, hs.bound) < homes {
@@ -138,8 +140,8 @@
 	return b.walkHomes(now, f, req, homes), true
 }
 
-// walkHomes returns the first two homes, of which the home set must contain all. It walks the static order: as in
-// walkRanking, the first static key that can't beat the candidates ends it.
+// walkHomes returns the first two homes. All homes must be in the home set. It walks the entries in static order and,
+// as in walkRanking, stops at the first static key that is not below those of the two candidates.
 func (b *Balancer) walkHomes(now Micros, f *function, req *Request, homes int) []candidate {
 	hs, firstTwo := &f.homes, b.candidates[:0]
 	for _, e := range hs.entries {
@@ -162,7 +164,7 @@
 	return firstTwo
 }
 
-// insertFirstTwo inserts a candidate in order into a list of the first two.
+// insertFirstTwo inserts a candidate by key into a list that keeps the first two.
 func insertFirstTwo(firstTwo []candidate, c candidate) []candidate {
 	if len(firstTwo) == 2 {
 		if c.key >= firstTwo[1].key {
@@ -176,13 +178,13 @@
 	return firstTwo
 }
 
-// deviation is a server whose present key in a function's order isn't its static one.
+// deviation holds the two keys of a server whose current key in a function's order differs from its static one.
 type deviation struct {
 	static  float64
-	present float64 // infinite for a server that can't be used
+	current float64 // infinite for a server that can't be used
 }
 
-// findDeviations finds the deviations of servers in a function's home set.
+// findDeviations sets b.deviations to the deviations of the servers in a function's home set.
 func (b *Balancer) findDeviations(now Micros, f *function, req *Request) {
 	b.deviations = b.deviations[:0]
 	maxDistance := b.index.hashBound(f.homes.bound)
@@ -195,23 +197,23 @@
 			continue
 		}
 		if b.usableReadOnly(now, s, req) {
-			d.present = rankKey(uint64(f.id), s.Server, b.weight(now, s))
+			d.current = rankKey(uint64(f.id), s.Server, b.weight(now, s))
 		}
-		if d.present != d.static {
+		if d.current != d.static {
 			b.deviations = append(b.deviations, d)
 		}
 	}
 }
 
-// countBelow returns how many usable servers have a present key below the given one. Above the home set's bound it
-// may leave some out, but still returns no less than at the bound.
+// countBelow returns how many usable servers have a current key below the given one. Above the home set's bound it may
+// miss some, but still returns no less than at the bound.
 func (b *Balancer) countBelow(hs *homeSet, key float64) int {
 	n, _ := slices.BinarySearch(hs.keys, key)
 	for _, d := range b.deviations {
 		if d.static < key {
 			n--
 		}
-		if d.present < key {
+		if d.current < key {
 			n++
 		}
 	}
--- a/control/index.go
+++ b/control/index.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// index keeps what a scan of all servers would find, so that no decision needs one: a fleet may have thousands. It
-// is derived from the rest of the state, rebuilt after a restore, and never stored.
+// index maintains what a scan of all servers would find, so that no decision needs a scan: a fleet may have thousands
+// of servers. It is derived from the rest of the state, rebuilt after a restore, and never stored.
 type index struct {
-	// When an endpoint list was last applied: servers that are present were listed until then.
+	// When the endpoint list was last updated. Servers that are present count as listed until then.
 	updatedAt Micros
 	removed   []*server    // by the time they were last listed, then by ID
 	ready     []*server    // in any order; see server.readyIndex
-	readyIDs  []ServerID   // of the same servers, side by side for scans
-	slowStart slowStartSet // also of servers that totalCapacity has not yet seen at full capacity
+	readyIDs  []ServerID   // IDs of the same servers, contiguous for fast scans
+	slowStart slowStartSet // may still hold servers whose slow start has ended, until totalCapacity removes them
 	busy      []*server    // with attempts in flight, by ID
 
-	// May be ejected, backed off, or have its weight lowered by what is known of its load; in any order.
+	// Servers that may be ejected, in backoff, or of a weight that their observed load lowers; in any order.
 	impaired []*server
 
 	readyWeight milliWeight // of all ready servers
 
 	maxWeight      float64        // no ready server has a larger weight
 	totalWeight    float64        // of all ready servers, approximately
-	changes        []weightChange // the latest
-	droppedChanges int            // number of changes before those
+	changes        []weightChange // latest changes, in order
+	droppedChanges int            // number of earlier changes, no longer kept
 }
 
 // weightChange is a change of a server's static weight, which is 0 while the server isn't ready.
@@ -37,7 +37,7 @@
 
 func byRemoval(a, b *server) int { return cmp.Or(cmp.Compare(a.lastListed, b.lastListed), byID(a, b)) }
 
-// removeServer forgets a removed server. The caller deletes it from index.removed.
+// removeServer drops the state of a removed server. The caller deletes it from index.removed.
 func (b *Balancer) removeServer(s *server) {
 	b.servers.remove(s.Server)
 	if s.impaired {
@@ -45,7 +45,7 @@
 	}
 }
 
-// markImpaired notes that a server may be ejected, backed off, or of lowered weight. It stays marked at least until the
+// markImpaired marks a server as possibly ejected, in backoff, or of lowered weight. It stays marked at least until the
 // next maintenance.
 func (idx *index) markImpaired(s *server) {
 	if !s.impaired {
@@ -53,15 +53,15 @@
 	}
 }
 
-// markImpairedByLoad marks a server as impaired if its load may lower its weight. It must be called after each change of what
-// is known of the load, except for a lower one.
+// markImpairedByLoad marks a server as impaired if its load may lower its weight. It must be called after each
+// observation that may raise the known load.
 func (idx *index) markImpairedByLoad(now Micros, s *server) {
 	if !s.impaired && s.mayHaveLowWeight(now) {
 		idx.markImpaired(s)
 	}
 }
 
-// dropImpaired drops the servers for which recovered is true.
+// dropImpaired unmarks the servers for which recovered returns true.
 func (idx *index) dropImpaired(recovered func(s *server) bool) {
 	idx.impaired = slices.DeleteFunc(idx.impaired, func(s *server) bool {
 		isRecovered := recovered(s)
@@ -70,8 +70,8 @@
 	})
 }
 
-// impairedOrInSlowStart calls yield for each server that may be impaired or in slow start, until it returns false. All other ready
-// servers are usable, and of unchanged weight.
+// impairedOrInSlowStart calls yield for each server that may be impaired or in slow start, until it returns false. All
+// other ready servers are usable and have their static weight.
 func (idx *index) impairedOrInSlowStart(yield func(s *server) bool) {
 	for _, s := range idx.impaired {
 		if !yield(s) {
@@ -87,7 +87,7 @@
 
 // insertSorted returns a sorted list with s inserted, if it isn't in it already.
 func insertSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
-	if n := len(list); n == 0 || compare(list[n-1], s) < 0 { // the usual case in order of time
+	if n := len(list); n == 0 || compare(list[n-1], s) < 0 { // common case: in order of time
 		return append(list, s)
 	}
 	i, found := slices.BinarySearchFunc(list, s, compare)
@@ -105,8 +105,8 @@
 	return list
 }
 
-// reindexServer applies what an endpoint list has changed about a server; previousListing is when the list
-// before it was applied.
+// reindexServer updates the index for a server that an endpoint update may have changed. previousListing is when the
+// update before it was applied.
 func (b *Balancer) reindexServer(previousListing Micros, s *server) {
 	idx := &b.index
 	switch listed := s.State != Removed; {
@@ -152,9 +152,9 @@
 	}
 }
 
-// recordChange records a change that rankings have to apply.
+// recordChange records a weight change, for rankings and home sets to apply later.
 func (idx *index) recordChange(c weightChange) {
-	const maxKept = 256 // applying more costs a ranking as much as scanning a few thousand servers
+	const maxKept = 256 // for a ranking, applying more changes costs as much as scanning a few thousand servers
 	if len(idx.changes) == 2*maxKept {
 		idx.droppedChanges += maxKept
 		idx.changes = append(idx.changes[:0], idx.changes[maxKept:]...)
@@ -162,7 +162,7 @@
 	idx.changes = append(idx.changes, c)
 }
 
-// changeCount returns the number of changes ever noted.
+// changeCount returns the number of changes ever recorded.
 func (idx *index) changeCount() int { return idx.droppedChanges + len(idx.changes) }
 
 // lastListed returns when a server was last on the endpoint list.
@@ -188,7 +188,7 @@
 		if len(s.inFlight) > 0 {
 			b.index.busy = append(b.index.busy, s)
 		}
-		b.index.markImpaired(s) // the next maintenance drops those that aren't
+		b.index.markImpaired(s) // the next maintenance unmarks those that aren't impaired
 	}
 	for _, f := range b.functionOrder {
 		f.ranking, f.homes = ranking{}, homeSet{}
@@ -198,14 +198,14 @@
 	}
 }
 
-// addFunction notes that a function has an instance on the server.
+// addFunction records that a function has an instance on the server.
 func (s *server) addFunction(f *function) {
 	if i, found := slices.BinarySearchFunc(s.functions, f, byFunction); !found {
 		s.functions = slices.Insert(s.functions, i, f)
 	}
 }
 
-// removeFunction notes that a function has no instance on the server any more.
+// removeFunction records that a function no longer has an instance on the server.
 func (s *server) removeFunction(f *function) {
 	if i, found := slices.BinarySearchFunc(s.functions, f, byFunction); found {
 		s.functions = slices.Delete(s.functions, i, i+1)
--- a/control/instances.go
+++ b/control/instances.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Functions and their instances, as far as this router believes.
+// This file holds the state of functions and their instances, as far as this router knows it.
 
-// function is what the balancer knows of one function.
+// function is the balancer's state for one function.
 type function struct {
 	id             FunctionID
 	lanes          int
@@ -18,7 +18,7 @@
 	delays         samples // time held here plus queueing delay on the server
 	shed           samples // requests rejected for lack of slack
 	held           int
-	checkPending   bool   // is in Balancer.waiting
+	checkPending   bool   // is in Balancer.pendingChecks
 	recentRequests int    // number of its requests among the most recently admitted
 	heldSince      Micros // since when at least one request has been held
 	blockedAt      Micros // when a request for it last found no instance
@@ -26,11 +26,11 @@
 	homes          homeSet
 }
 
-// instance is the set of a function's replicas on one server, as far as this router believes.
+// instance is the set of a function's replicas that this router believes to be on one server.
 type instance struct {
 	server       *server
 	replicas     int
-	lastUsed     Micros // last evidence that they were used
+	lastUsed     Micros // when they were last known to be used
 	loading      int
 	loadingSince Micros // when the load began
 	inFlight     int    // attempts of this router there
@@ -64,14 +64,14 @@
 	return f
 }
 
-// loaded reports whether an instance's replicas are believed loaded. Without use they count as unloaded after the
+// loaded reports whether an instance's replicas are believed to be loaded. Unused replicas count as unloaded after the
 // configured keep-alive time.
 func (b *Balancer) loaded(now Micros, inst *instance) bool {
 	return inst.replicas > 0 && (inst.inFlight > 0 || now < inst.lastUsed+b.deployment.KeepAlive)
 }
 
-// loading reports whether replicas are believed to be loading. It guards against loads whose end is never reported:
-// after four times the usual load time a load counts as lost.
+// loading reports whether replicas are believed to be loading. The end of a load may never be reported, so a load
+// counts as lost after four times the usual load time.
 func (b *Balancer) loading(now Micros, inst *instance) bool {
 	return inst.loading > 0 && now < inst.loadingSince+4*b.loadTime(nil)
 }
--- a/control/learned.go
+++ b/control/learned.go
@@ -3,11 +3,11 @@
 import "slices"
 
 // ApplyLearned restores what an earlier incarnation of the router learned. Call it right after New, before anything
-// else. Limits count whatever their age; load commands and attempts with a time in the future, after the clock was set
-// back, count as of now, since they may be recent. Beliefs about replicas expire as they would have without the
-// restart. Execution and load times are not part of it (docs/persistence.md).
+// else. What counts against limits is restored whatever its age; load commands and attempts with a time in the future,
+// after the clock was set back, count as of now, since they may be recent. Replicas expire as they would have without
+// the restart. Execution and load times are not part of the learned state (docs/persistence.md).
 func (b *Balancer) ApplyLearned(now Micros, state *LearnedState) {
-	const recently = 60_000_000 // six times as long as answers count, see updateAnswerRate
+	const recently = 60_000_000 // six times answerWindow
 	b.loadCommands, b.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
 	if now >= state.SavedAt && now < state.SavedAt+recently {
 		b.answers, b.startedAt = dropAfter(state.Answers, now), min(now, state.StartedAt)
@@ -39,8 +39,8 @@
 	b.rebuildIndex()
 }
 
-// LearnedState is what a router learned that a later incarnation may use, in plain values with the times at which they
-// were learned. Unlike a Snapshot it holds nothing in flight. ApplyLearned decides what of it still counts.
+// LearnedState is what a router learned that its next incarnation may use, in plain values with the times at which they
+// were learned. Unlike a Snapshot it holds nothing in flight. ApplyLearned decides which of it is still valid.
 type LearnedState struct {
 	SavedAt      Micros            `cbor:"Saved"`
 	StartedAt    Micros            `cbor:"Started"`
@@ -49,7 +49,7 @@
 	Admitted     []Micros          `cbor:"Taken"`
 	Answers      []Micros          `cbor:"Answers"`
 	Servers      []LearnedServer   `cbor:"Servers"`   // by ascending id
-	Functions    []LearnedFunction `cbor:"Functions"` // as first seen
+	Functions    []LearnedFunction `cbor:"Functions"` // in order of first use
 }
 
 // LearnedServer is what was learned about one server.
@@ -66,7 +66,7 @@
 	Instances []LearnedInstance `cbor:"Copies"` // by ascending server
 }
 
-// LearnedInstance is the set of a function's replicas on one server, as far as the router believed.
+// LearnedInstance is the set of a function's replicas that the router believed to be on one server.
 type LearnedInstance struct {
 	Server       ServerID `cbor:"Server"`
 	Replicas     int      `cbor:"Copies"`
@@ -75,7 +75,7 @@
 	LoadingSince Micros   `cbor:"Since"`
 }
 
-// LearnedState returns what is worth saving. It leaves out functions without a replica that is believed loaded or
+// LearnedState returns the state to save. It leaves out functions without a replica that is believed to be loaded or
 // loading. The result shares no memory with the balancer.
 func (b *Balancer) LearnedState(now Micros) *LearnedState {
 	state := &LearnedState{
@@ -105,7 +105,7 @@
 	return state
 }
 
-// clampTo returns the times in ascending order, with later ones than latest replaced by it.
+// clampTo returns the times in ascending order, with those after latest replaced by latest.
 func clampTo(times []Micros, latest Micros) []Micros {
 	times = slices.Clone(times)
 	for i := range times {
--- a/control/loading.go
+++ b/control/loading.go
@@ -8,25 +8,26 @@
 
 // This file decides when a function gets another replica, and on which server.
 
-// loadPurpose is why a load is wanted.
+// loadPurpose is the reason for a load.
 type loadPurpose uint8
 
 const (
 	firstReplica      loadPurpose = iota // the function has no replica loaded or loading
-	additionalReplica                    // its replicas don't suffice
+	additionalReplica                    // the function's replicas don't suffice
 )
 
-// loadTarget picks the server for one more replica, nil if there is none. Candidates are in the order of a
-// weighted rendezvous hash over the endpoint list: routers that share no state agree on the same servers, and a
-// request sent to load a function finds it already loaded there.
+// loadTarget returns the server that should load one more replica, nil if there is none. Candidates are ordered by a
+// weighted rendezvous hash over the endpoint list, so routers that share no state choose the same servers: a request
+// that is sent to load a function finds it loaded already if another router was first.
 //
-// With several routers only the first two candidates count; otherwise each full server would make the routers
-// spread out and load what others have loaded already. A function with a large share of the requests has several
-// homes, which each router orders by its own number: this guards against all routers crowding onto one replica. An
-// additional replica goes to the candidate with the fewest of them, and only if three quarters of that server are
-// free: in a full fleet it would only take capacity from other functions.
+// With several routers only the first two candidates are eligible; otherwise, whenever a server is full, the routers
+// would move on to further servers and load what others have loaded already. A function with a large share of the
+// requests has several homes, which each router orders differently, by its index, so that not all routers send to one
+// replica. Of the eligible servers, the one with the fewest replicas of the function is chosen. An additional replica
+// is loaded only where three quarters of the server are free: in a full fleet it would only take capacity from other
+// functions.
 func (b *Balancer) loadTarget(now Micros, f *function, req *Request, purpose loadPurpose) *server {
-	// Loads that we have pending on one server: beyond a few, the server itself queues or refuses them.
+	// Limit on this router's pending loads on one server: with more, the server queues or refuses them.
 	const maxPending = 8
 	acceptsLoads := func(s *server) bool {
 		return now >= s.loadBackoffUntil && s.pendingLoads() < maxPending &&
@@ -34,7 +35,7 @@
 	}
 	cs, determined := []candidate(nil), false
 	switch {
-	case b.deployment.Routers == 1: // all candidates count
+	case b.deployment.Routers == 1: // all candidates are eligible
 	case b.homeCount(f, len(b.index.ready)) == 1:
 		cs, determined = b.firstTwoByRanking(now, f, req)
 	case b.prefersHomeSet(f):
@@ -44,7 +45,7 @@
 		if b.deployment.Routers == 1 && !b.servers.contains(func(s *server) bool {
 			return acceptsLoads(s) && b.usableReadOnly(now, s, req)
 		}) {
-			return nil // bounds the work of an iteration with many held requests
+			return nil // bounds the work of an event-loop iteration with many held requests
 		}
 		cs = b.candidatesInOrder(now, f, req)
 	}
@@ -52,7 +53,7 @@
 	fewest := math.MaxInt
 	eligible := len(cs)
 	if b.deployment.Routers > 1 {
-		eligible = min(eligible, 2) // one candidate alone would block while its server is stuck
+		eligible = min(eligible, 2) // a single candidate would block the load while its server is stuck
 	}
 	for _, c := range cs[:eligible] {
 		s, replicas := c.server, 0
@@ -69,7 +70,7 @@
 	return best
 }
 
-// candidate is a server that may take a load, with its key in a function's order: lowest first.
+// candidate is a server that may take a load, with its key in the function's order: the lowest key comes first.
 type candidate struct {
 	server      *server
 	key, weight float64
@@ -77,13 +78,13 @@
 
 // homeCount returns how many of the usable servers are homes of a function.
 func (b *Balancer) homeCount(f *function, usable int) int {
-	const homesPerServer = 2 // homes per server's worth of requests, so that a home takes half of its server's load
-	const minRequests = 32   // requests needed to estimate a share; the current one says nothing
+	const homesPerServer = 2 // homes for each server's worth of requests: the function then takes half of the load of a home
+	const minRequests = 32   // requests needed to estimate a share, without the current one, which says nothing
 	share := float64(f.recentRequests-1) / float64(max(minRequests, len(b.recentFunctions)))
 	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
 }
 
-// candidatesInOrder returns servers that a load may go to. Those that loadTarget looks at come first, in order.
+// candidatesInOrder returns candidates for a load. Those that are eligible in loadTarget come first, in order.
 func (b *Balancer) candidatesInOrder(now Micros, f *function, req *Request) []candidate {
 	cs, n := b.nearestHomes(now, f, req)
 	eligible := cs
@@ -107,11 +108,11 @@
 	return cs
 }
 
-// startLoad starts a load for a request. Where a request to a server that lacks the function loads it
-// (LoadsOnMiss), the request is forwarded at once and finds what other routers have loaded, at no extra cost. A
-// load command precedes it only for an additional replica. Where only load commands load, a request whose command
-// the load-rate limit denies is forwarded once without it: another router may have loaded the function, and a miss
-// is known not to have run.
+// startLoad starts a load for a request. If servers load a missing function on request (LoadsOnMiss), the request is
+// forwarded at once: it starts the load, or finds a replica that another router has loaded, at no extra cost. It is
+// then preceded by a load command only for an additional replica. If functions are loaded only on command, and the
+// load-rate limit denies the command, the request is forwarded once without it: another router may have loaded the
+// function, and a request that misses is known not to have run.
 func (b *Balancer) startLoad(now Micros, f *function, req *Request, s *server) Decision {
 	inst := f.instanceOn(s, true)
 	if !b.loaded(now, inst) {
@@ -143,8 +144,8 @@
 // allowed.
 func (b *Balancer) loadCommandAllowed(now Micros) bool {
 	if b.deployment.LoadRateWindow > 0 {
-		// An earlier command may be written late, this one at once: the window is wider for commands than for
-		// requests.
+		// An earlier command may have been written late, while this one may be written at once, so the window is wider
+		// for commands than for requests.
 		windowStart, delay := now-b.deployment.LoadRateWindow, b.deployment.MaxCommandDelay
 		b.loadCommands = dropBefore(b.loadCommands, windowStart-delay)
 		b.admitted = dropBefore(b.admitted, windowStart+max(b.deployment.Tick, delay))
@@ -157,11 +158,11 @@
 	return true
 }
 
-// checkReplicas is Fifer's test for whether a function needs more replicas: recent delay has reached the slack,
-// and the held requests would wait at least as long as a load takes. Route then starts the loads that are due. The
-// paper's D_f counts every waiting request. Here requests without slack are shed, so those shed within the last
-// load's time count as held; otherwise a latency objective shorter than a load would keep D_f below the load time
-// whatever the demand.
+// checkReplicas tests, as Fifer does, whether a function needs more replicas: it does if the recent delay has reached
+// the slack and the held requests would wait at least as long as a load takes. Route then starts the loads that are
+// due. The D_f of the paper counts every waiting request. Here requests without slack are shed, so those shed within
+// the last load time count as held; otherwise, with a latency objective shorter than a load, D_f would stay below the
+// load time whatever the demand.
 func (b *Balancer) checkReplicas(now Micros, f *function) {
 	held := f.held + len(f.shed.since(now-b.loadTime(f.lastRequest)))
 	if f.loadsDue = 0; held == 0 {
@@ -189,12 +190,11 @@
 	if delay < objective-exec || slots == 0 || Micros(held)*objective/Micros(slots) < b.loadTime(f.lastRequest) {
 		return
 	}
-	const maxLoads = 3 // per check: these are in progress before the next check counts
+	const maxLoads = 3 // per check: the next check already sees these in progress
 	f.loadsDue = min(maxLoads, int(math.Ceil(float64(held-slots)/perLane))-loading)
 }
 
-// HandleLoadResult records the result of a load command. The replica count is what the server reports; took is
-// unused.
+// HandleLoadResult records the result of a load command. replicas is the count that the server reports; took is unused.
 func (b *Balancer) HandleLoadResult(now Micros, id ServerID, functionID FunctionID, result Result, took Micros,
 	replicas int) {
 	f := b.functions[functionID]
@@ -218,6 +218,6 @@
 	}
 }
 
-// loadBackoff is how long no load goes to a server that refused one, in microseconds: a fraction of a load's time,
-// since a load that ends meanwhile frees capacity.
+// loadBackoff is how long a server that refused a load gets no further one, in microseconds. It is a fraction of a
+// load's time, because a load that ends in the meantime frees capacity.
 const loadBackoff = 50_000
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -4,10 +4,10 @@
 	"slices"
 )
 
-// Maintenance: what is due without an event, and what is forgotten.
+// This file does the periodic work, and drops state that is no longer needed.
 
-// Maintain does what is due by time: ejection of silent servers, replica checks, pruning. It returns the time of the
-// next call, and the cancellations and log lines since the last one.
+// Maintain does the work that is due by time: ejection of silent servers, replica checks, pruning. It returns the time
+// of the next call, and the cancellations and server events since the last one.
 func (b *Balancer) Maintain(now Micros) Maintenance {
 	m := Maintenance{Next: now + maintenanceInterval}
 	if b.deployment.EndpointsNeedSubscription && !b.subscribed {
@@ -25,17 +25,17 @@
 	return m
 }
 
-// prune forgets what has long been idle, so that a router can run for months.
+// prune drops state that has not been used for long, so that a router can run for months.
 func (b *Balancer) prune(now Micros) {
 	b.pruneFunctions(now)
 	b.pruneServers(now)
 	b.index.dropImpaired(func(s *server) bool { return !s.ejected && now >= s.backoffUntil && !s.mayHaveLowWeight(now) })
 }
 
-// pruneFunctions forgets idle functions, if many are known. Each call checks the next batch.
+// pruneFunctions drops idle functions, if many are known. Each call checks the next batch.
 func (b *Balancer) pruneFunctions(now Micros) {
 	const maxFunctions = 1 << 14 // about 20 MB; checking all of them takes a fraction of a millisecond
-	const batch = 1 << 11        // functions checked per call: more than a router gets requests in the interval
+	const batch = 1 << 11        // functions checked per call: more than the requests that a router gets between calls
 	if len(b.functionOrder) <= maxFunctions {
 		return
 	}
@@ -55,7 +55,7 @@
 	b.pruneCursor = from + len(kept)
 }
 
-// pruneServers forgets servers that left the endpoint list long ago and have no attempt in flight.
+// pruneServers drops servers that left the endpoint list long ago and have no attempt in flight.
 func (b *Balancer) pruneServers(now Micros) {
 	const retention = 600_000_000 // longer than a rolling restart or an outage of discovery
 	removed, expired := b.index.removed, 0
@@ -72,19 +72,20 @@
 		b.removeServer(s)
 		return true
 	})
-	// Moves those that are kept, not the others: there may be as many as have left in the retention time.
+	// Moves the servers that are kept rather than those after them, which are all that left the list within the
+	// retention time and may be many.
 	copy(removed[expired-len(kept):expired], kept)
 	clear(removed[:expired-len(kept)])
 	b.index.removed = removed[expired-len(kept):]
 }
 
-// idle reports whether everything known of a function can be forgotten.
+// idle reports whether all state of a function can be dropped.
 func (b *Balancer) idle(now Micros, f *function) bool {
 	return !f.checkPending && f.recentRequests == 0 && !slices.ContainsFunc(f.instances, func(inst *instance) bool {
 		return inst.inFlight > 0 || b.loaded(now, inst) || b.loading(now, inst)
 	})
 }
 
-// maintenanceInterval is the time between calls of Maintain. It allows for several replica checks within a load time
-// and within a latency objective.
+// maintenanceInterval is the time between calls of Maintain. It is short enough for several replica checks within a
+// load time and within a latency objective.
 const maintenanceInterval = 200_000
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -1,6 +1,6 @@
 package control
 
-// Outliers: servers that fail or don't answer are ejected, and get a probe request from time to time.
+// This file detects outliers: servers that fail or don't answer are ejected, and get a probe request from time to time.
 
 // ejectSilentServers ejects servers whose answers are overdue by more than recent latencies explain, and cancels their
 // attempts. It guards against machines that hang or vanish without closing connections. If most busy servers are
@@ -53,9 +53,9 @@
 	}
 }
 
-// recordConnectionFailure records a broken or refused connection. It guards against crashes: a failure after a silence, or a
-// second one with no answer in between, ejects the server and drops its replicas. A single failure may be just the
-// network.
+// recordConnectionFailure records a broken or refused connection. A failure after a silence, or a second one with no
+// answer in between, is taken for a crash: the server is ejected and its replicas are dropped. A single failure may be
+// just the network.
 func (b *Balancer) recordConnectionFailure(now Micros, s *server) {
 	if s.connectionFailures++; s.connectionFailures > 1 || now-s.lastAnswer > quantile(b.latencies.since(0), 0.5) {
 		b.eject(now, s, ConnectionsFail)
@@ -63,20 +63,20 @@
 	}
 }
 
-// probeInterval returns the time until an ejected server's next probe request. It grows with each failed probe, and
-// where answers are rare, so that the probes of many routers don't add up. It starts at half a second, in which a
-// router with much traffic can spare one request.
+// probeInterval returns the time until an ejected server's next probe request. It doubles with each ejection or failed
+// probe, up to a limit, and is longer where answers are rare, so that the probes of many routers don't add up. Its base
+// is half a second, in which a router with much traffic can spare one request.
 func (b *Balancer) probeInterval(s *server) Micros {
 	return (500_000 << min(s.ejections, 3)) * max(rareAnswerInterval, b.observationTTL) / rareAnswerInterval
 }
 
 // healthy reports whether a server is ready, not ejected, and not rejecting everything.
 func (s *server) healthy() bool {
-	// Below three in a row: a busy server rejects some requests.
+	// A busy server rejects some requests, but hardly three in a row.
 	return s.State == Ready && !s.ejected && s.rejections < 3
 }
 
-// EjectedServers returns the ids of the servers that are ejected now.
+// EjectedServers returns the IDs of the servers that are ejected now.
 func (b *Balancer) EjectedServers() map[ServerID]bool {
 	ejected := map[ServerID]bool{}
 	for s := range b.servers.all {
--- a/control/overload.go
+++ b/control/overload.go
@@ -1,16 +1,16 @@
 package control
 
-// Overload: concurrency limits of servers, and load shedding when all of them are slow.
+// This file adapts the concurrency limits of servers, and sheds load when all of them are slow.
 
-// adaptConcurrencyLimit lowers or raises a server's concurrency limit by strain: the queueing delay of its latest
-// answer, in thousandths of the request's slack. The design counts slots for each function alone, but replicas share a
-// server's cores. The limit guards against crowding from any cause: many functions on one server, other routers, a
-// slow server or one in slow start, stalls.
+// adaptConcurrencyLimit lowers or raises a server's concurrency limit by the queueing delay of its latest answer, given
+// in thousandths of the request's slack. Slots are counted for each function alone, but replicas share a server's
+// cores. The limit guards against overload of a server from any cause: many functions on it, other routers, slow
+// hardware, slow start, stalls.
 //
-// Its cost: consecutive heavy requests look like a queue and lower the limit.
+// Its drawback: consecutive heavy requests look like a queue and lower the limit.
 func (b *Balancer) adaptConcurrencyLimit(now Micros, s *server, queueingPermille Micros) {
-	const maxQueueingPermille = 400 // thousandths: leaves the rest of the slack for holding and for variance
-	const decrease = 0.75           // shrinks a queue within a few answers' time
+	const maxQueueingPermille = 400 // leaves the rest of the slack for holding and for variance
+	const decrease = 0.75           // shrinks a queue within the time of a few answers
 	s.queueing.add(now, queueingPermille)
 	b.queueing.add(now, queueingPermille)
 	s.concurrencyLimit = max(0.5, s.concurrencyLimit)
@@ -23,10 +23,10 @@
 	}
 }
 
-// overloaded reports whether a server gets no requests because of its load report or of the queueing delay there. It
-// guards against the minimum of one slot: with that, a replica is full for none of many routers, however long its
-// queue. It applies only where a server answers this router too rarely for its concurrency limit to adapt; replicas
-// there then don't count as capacity to wait for either.
+// overloaded reports whether a server gets no requests because of its load report or of the queueing delay there. This
+// is needed where many routers share a server: each has at least one slot at a replica, so the replica is full for none
+// of them, however long its queue. The check applies only where a server answers this router too rarely for its
+// concurrency limit to adapt. Requests don't wait for replicas on an overloaded server either.
 func (b *Balancer) overloaded(now Micros, s *server) bool {
 	return b.observationTTL > rareAnswerInterval &&
 		(s.reportsOverload(now, b.observationTTL) || s.queueing.mean(now-b.observationTTL) > maxQueueing)
@@ -36,11 +36,12 @@
 // quarter of the slack, which performed better than two fifths.
 const maxQueueing = 250
 
-// reportsOverload reports whether a server's load report, if it is no older than freshFor, says that it is overloaded.
-func (s *server) reportsOverload(now, freshFor Micros) bool {
+// reportsOverload reports whether a server's load report, if it is younger than maxAge, says that the server is
+// overloaded.
+func (s *server) reportsOverload(now, maxAge Micros) bool {
 	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
 	// at once. Lower bounds brought no gain.
-	return s.reportedAt > 0 && now < s.reportedAt+freshFor &&
+	return s.reportedAt > 0 && now < s.reportedAt+maxAge &&
 		(s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
 }
 
@@ -58,11 +59,11 @@
 	return false
 }
 
-// mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all
-// servers. It guards against a lasting overload in which every request is answered just too late, where answers are
-// too rare for concurrency limits to adapt.
+// mustShed reports whether to reject a new request because of the queueing delay of the latest requests on all servers.
+// This is needed where answers are too rare for concurrency limits to adapt: otherwise every request may be answered
+// just too late, in an overload that doesn't end.
 func (b *Balancer) mustShed(now Micros) bool {
-	// Thresholds from 150 to 400 performed equally well. At most half of the requests is shed.
+	// Thresholds from 150 to 400 performed equally well. At most half of the requests are shed.
 	excess := quantile(b.queueing.since(now-b.observationTTL/2), 0.5) - 250
 	return b.observationTTL > rareAnswerInterval && Micros(b.random.intN(1000)) < min(excess, 500)
 }
@@ -80,8 +81,8 @@
 // maxObservationTTL is the longest time that an observation of a server stays valid.
 const maxObservationTTL = 8_000_000
 
-// rareAnswerInterval is the interval between a server's answers from which on they are too rare for its concurrency limit to
-// adapt: a few times the age of a load report.
+// rareAnswerInterval is the interval between a server's answers above which its concurrency limit can't adapt. It is a
+// few times the age of a load report.
 const rareAnswerInterval = 2_000_000
 
 // freeShare returns the free fraction of a server's concurrency limit.
--- a/control/quota.go
+++ b/control/quota.go
@@ -4,17 +4,17 @@
 
 // This file decides which of a tenant's requests exceed its quota.
 
-// exceedsQuota reports whether a request with a short deadline exceeds its tenant's configured quota, as far as
-// this router sees, and otherwise charges the request to the quota unless that is 2 s in debt. It guards against
-// clients that give up before the latency objective and retry at once: their earlier attempts run on and take
-// capacity from the other tenants. The cost: it hurts a tenant with short deadlines whose requests reach only a few
-// of the routers.
+// exceedsQuota reports whether a request exceeds its tenant's quota, as far as this router sees. A request is charged
+// to the quota unless the tenant is already more than 2 s in debt; it then exceeds the quota if its deadline is short
+// and it may be a retry. This guards against clients that give up before the latency objective and retry at once: their
+// earlier attempts run on and take capacity from the other tenants. Its drawback: it hurts a tenant with short
+// deadlines whose requests reach only a few of the routers.
 func (b *Balancer) exceedsQuota(now Micros, req *Request) bool {
 	if int(req.Tenant) >= len(b.deployment.Quotas) {
 		return false
 	}
 	debtUntil := max(now, b.quotaDebt[req.Tenant])
-	if debtUntil > now+2_000_000 { // clients are spread unevenly over routers and seconds
+	if debtUntil > now+2_000_000 { // allows for clients that are spread unevenly over routers and seconds
 		// First attempts are exempt where they can be told apart.
 		mayBeRetry := req.IsRetry || req.RetriesUnmarked || !b.deployment.ClientsMarkRetries
 		return mayBeRetry && req.Deadline-req.ArrivedAt < b.deployment.Classes[req.Class].LatencyObjective
@@ -24,14 +24,13 @@
 	return false
 }
 
-// firstSentAt returns when the client first sent the request. It guards against retries, marked or not, that take
-// the place of requests that can still be in time: a deadline shorter than usual is what earlier attempts have
-// left. The cost: it hurts clients whose deadlines are short by design, so for clients that mark retries only the
-// mark counts.
+// firstSentAt estimates when the client first sent the request, so that retries, marked or not, don't take the place of
+// requests that can still be in time. A timeout that is shorter than usual is taken for what earlier attempts have
+// left. This hurts clients whose timeouts are short by design, so for clients that mark retries only the mark counts.
 func (b *Balancer) firstSentAt(now Micros, req *Request) Micros {
 	usualTimeouts, timeout := &b.timeouts[req.Class], cmp.Or(req.Timeout, req.Deadline-now)
 	usualTimeouts.add(now, timeout)
-	// The 30 ms tolerate the time on the way here, a few milliseconds.
+	// 30 ms exceed the time that a request takes to get here, a few milliseconds.
 	if (!b.deployment.ClientsMarkRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
 		return min(req.ArrivedAt, req.Deadline-b.deployment.Classes[req.Class].MaxDeadline)
 	}
--- a/control/random.go
+++ b/control/random.go
@@ -2,11 +2,13 @@
 
 import "math/bits"
 
-// This file holds the generator that breaks ties, and the hash behind the orders that all routers share.
+// This file holds the random generator that breaks ties, and the hash from which the server orders that all routers
+// share are computed.
 
 // pcg is a permuted congruential generator (XSH-RR 64/32).
 type pcg uint64
 
+// intN returns a random number in [0, n).
 func (p *pcg) intN(n int) int {
 	old := uint64(*p)
 	*p = pcg(old*6364136223846793005 + 1442695040888963407)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// ranking is the head of a function's order of ready servers by static key: the key that follows from the endpoint
-// list alone. Whatever else is known of a server lowers its weight and so only raises its key: a walk in static
-// order may stop at the first static key that can't beat the candidates it has. Rankings exist for functions that
-// were routed while they had no replica. They are derived from the endpoint list and never stored.
+// ranking holds the first servers of a function's order of ready servers by static key: the key that follows from the
+// endpoint list alone. Whatever else is known of a server can only lower its weight and so raise its key, so a walk in
+// static order may stop at the first static key that is not below the keys of the candidates found so far. A function
+// gets a ranking when it is routed while it has no replica. Rankings are derived from the endpoint list and never
+// stored.
 type ranking struct {
 	entries        []rankingEntry // lowest key first
 	bound          float64        // no ready server outside entries has a lower key
@@ -21,10 +22,10 @@
 	key float64
 }
 
-// rankingLength is how many entries a ranking has. In trials with 3,200 servers, 12 entries determined the first
-// two candidates in all but 1 of 400 choices with half of the fleet unusable or in slow start without budget, in
-// all but 1 of 20 with one third unusable and another third overloaded, and in 1 of 3 with only one server in ten
-// usable. That is enough: the fallback, a scan of all servers, is merely slow.
+// rankingLength is how many entries a ranking has. With 3,200 servers, 12 entries were measured to determine the first
+// two candidates in all but 1 of 400 choices with half of the fleet unusable or in slow start without budget, in all
+// but 1 of 20 with one third unusable and another third overloaded, and in 1 of 3 with only one server in ten usable.
+// That is enough: the fallback, a scan of all servers, is merely slow.
 const rankingLength = 12
 
 // add inserts a server in order if its key is below the bound, and lowers the bound when the ranking overflows.
@@ -52,16 +53,16 @@
 	return -math.Log(uniform(order, uint64(id))) / weight
 }
 
-// buildRanking builds a function's ranking. This is the only scan of all servers that a function costs, so its
-// loop is tight. A server's hash is 2^64 x u, and its key -ln(u)/weight is at least (1-u)/weight: an integer
-// comparison skips most.
+// buildRanking builds a function's ranking. It is normally the only scan of all servers for a function, and avoids most
+// logarithms: with a hash of 2^64 x u, a server's key -ln(u)/weight is at least (1-u)/weight, so an integer comparison
+// excludes most servers.
 func (b *Balancer) buildRanking(f *function) {
 	rk := &f.ranking
 	if cap(rk.entries) == 0 {
 		rk.entries = make([]rankingEntry, 0, rankingLength)
 	}
-	// The first pass uses a bound below which three times the needed number of servers is expected. Without it,
-	// most logarithms would be computed for keys that are displaced again.
+	// The first pass uses a bound below which three times the needed number of servers is expected. Without it, most
+	// logarithms would be computed for keys that are displaced again.
 	for bound := b.keyBound(3 * rankingLength); ; bound = math.Inf(1) {
 		*rk = ranking{entries: rk.entries[:0], bound: bound, built: true}
 		b.scanForRanking(f)
@@ -71,6 +72,7 @@
 	}
 }
 
+// scanForRanking scans all ready servers for the lowest keys below the ranking's bound.
 func (b *Balancer) scanForRanking(f *function) {
 	rk, idx := &f.ranking, &b.index
 	maxDistance := idx.hashBound(rk.bound)
@@ -82,7 +84,7 @@
 }
 
 // nextWithin returns the position, from i on, of the next ready server whose hash in a function's order may be at most
-// maxDistance below 2^64. It does only those steps of hash that a comparison of the upper bits needs.
+// maxDistance below 2^64. It computes only those steps of the hash that determine the upper bits.
 func (idx *index) nextWithin(i int, f *function, maxDistance uint64) int {
 	seed, lowest := uint64(f.id)*hashFactor, ^maxDistance>>33<<33
 	for k, id := range idx.readyIDs[i:] {
@@ -94,7 +96,7 @@
 }
 
 // hashBound returns how far below 2^64 the hash of a server may be if its key is below bound. It is rounded up a
-// little: a server that is skipped must certainly have a key at or above the bound.
+// little, so that no server with a key below the bound is skipped.
 func (idx *index) hashBound(bound float64) uint64 {
 	const hashRange = 1 << 64
 	if u := bound * idx.maxWeight * (1 + 1e-9); u < 1-1e-9 {
@@ -153,6 +155,8 @@
 	return firstTwo, ok
 }
 
+// walkRanking returns the first two candidates among a ranking's entries. The result is false if the entries don't
+// determine them.
 func (b *Balancer) walkRanking(now Micros, f *function, req *Request, rk *ranking) ([]candidate, bool) {
 	firstTwo := b.candidates[:0]
 	for _, e := range rk.entries {
@@ -173,22 +177,22 @@
 	return firstTwo, math.IsInf(rk.bound, 1) || len(firstTwo) == 2 && rk.bound >= firstTwo[1].key
 }
 
-// weightsOnlyLowered reports whether slow start can only lower a server's weight. An initial capacity above 1
-// would raise it, and an infinite weight can make a bound NaN.
+// weightsOnlyLowered reports whether slow start can only lower a server's weight, as rankings and home sets require. An
+// initial capacity above 1 would raise it, and an infinite weight can make a bound NaN.
 func (b *Balancer) weightsOnlyLowered() bool {
 	return b.deployment.SlowStartInitial <= 1 && b.deployment.SlowStartDuration > 0 && b.index.maxWeight < math.Inf(1)
 }
 
-// nearestHomes returns servers that a load may go to, in any order, and the function's number of homes. The homes
-// and the first two candidates are among them. With several routers it first looks only as far as it expects to
-// find slightly more than it needs.
+// nearestHomes returns candidates for a load, in any order, and the function's number of homes. All homes and the first
+// two candidates are among them. With several routers it first looks only as far as it expects to find slightly more
+// servers than it needs.
 func (b *Balancer) nearestHomes(now Micros, f *function, req *Request) ([]candidate, int) {
 	if b.deployment.Routers > 1 && b.weightsOnlyLowered() && !b.restrictedToGroup(req) {
 		usable := b.usableCount(now, req)
 		homes := b.homeCount(f, usable)
 		need := max(homes, min(2, usable))
 		likely := b.expectedScanLength(need, usable)
-		for _, n := range []int{likely, 4 * likely} { // slow start raises keys a few times
+		for _, n := range []int{likely, 4 * likely} { // slow start can make a key a few times as large
 			if cs := b.candidatesWithin(now, f, req, b.keyBound(n)); len(cs) >= need {
 				return cs, homes
 			}
@@ -198,13 +202,13 @@
 	return cs, b.homeCount(f, len(cs))
 }
 
-// expectedScanLength returns among how many ready servers with the lowest static keys slightly more than n usable ones are
-// expected.
+// expectedScanLength returns how many ready servers, lowest static keys first, are expected to include slightly more
+// than n usable ones.
 func (b *Balancer) expectedScanLength(n, usable int) int {
 	return (n + n/4 + 2*rankingLength) * len(b.index.ready) / max(1, usable)
 }
 
-// candidatesWithin returns all servers that a load may go to whose key is below bound, in any order.
+// candidatesWithin returns all candidates for a load whose key is below bound, in any order.
 func (b *Balancer) candidatesWithin(now Micros, f *function, req *Request, bound float64) []candidate {
 	if math.IsInf(bound, 1) {
 		return b.allCandidates(now, f, req)
@@ -225,7 +229,7 @@
 	return cs
 }
 
-// allCandidates returns all servers that a load may go to, in any order. It scans all servers.
+// allCandidates returns all candidates for a load, in any order. It scans all servers.
 func (b *Balancer) allCandidates(now Micros, f *function, req *Request) []candidate {
 	cs := b.candidates[:0]
 	for s := range b.servers.all {
@@ -259,7 +263,7 @@
 	return n
 }
 
-// usableReadOnly is usable without side effects. Which servers are asked depends on the ranking, and a restored
+// usableReadOnly is usable without side effects. Which servers are checked depends on the ranking, and a restored
 // Balancer starts without one: a side effect would make its decisions differ.
 func (b *Balancer) usableReadOnly(now Micros, s *server, req *Request) bool {
 	sends := s.slowStartSends
@@ -268,15 +272,16 @@
 	return usable
 }
 
-// weight returns a server's weight in the order for loads: its listed weight, reduced by what else is known of it.
+// weight returns a server's weight in the order of candidates for a load: its listed weight, reduced for slow start and
+// by what is known of its load.
 func (b *Balancer) weight(now Micros, s *server) float64 {
 	weight := max(0.1, s.Weight) * b.capacity(now, s)
 	if b.observationTTL <= rareAnswerInterval && b.deployment.Routers == 1 {
-		// What we know of a server is recent and tells how free it is.
+		// Observations of a server are recent enough to tell how free it is.
 		free := max(0.05, min(1-s.report.Utilization, s.freeShare()))
 		weight *= free * free / (1 + max(0, s.report.PendingLoads))
 	} else if s.crowded() || b.overloaded(now, s) {
-		weight *= 0.01 // moves it to the end, in the same order
+		weight *= 0.01 // moves such servers to the end, in their usual order
 	}
 	return max(0.001, weight)
 }
--- a/control/reasons.go
+++ b/control/reasons.go
@@ -1,9 +1,9 @@
 package control
 
-// Reason is the condition that decided about a request, as a recording's explanation and the trace log show it.
+// Reason is the condition that determined a decision, as the explanation of a recording and the trace log show it.
 type Reason string
 
-// The reasons of decisions, in the order in which Route looks at them.
+// The reasons of decisions, in the order in which Route checks them.
 const (
 	reasonAttemptInFlight  Reason = "an attempt is in flight"
 	reasonRetryTooLate     Reason = "it had an attempt and has no slack left"
--- a/control/requests.go
+++ b/control/requests.go
@@ -1,6 +1,6 @@
 package control
 
-// The id types. Each kind of id has a type of its own, so that they can't be mixed up; the values carry no meaning.
+// The ID types are distinct, so that the compiler catches mix-ups. The values carry no meaning.
 type (
 	RequestID  uint64
 	ServerID   uint64
@@ -25,9 +25,9 @@
 	ArrivedAt       Micros     `json:"Arrived"`
 	Deadline        Micros     `json:"Patience"` // when its client gives up
 	IsRetry         bool       `json:"Repeat"`   // its client marked it as a retry
-	RetriesUnmarked bool       `json:"Unmarked"` // its client never does, see Deployment.ClientsMarkRetries
-	// How long its client waits in all, where that is known apart from Deadline - ArrivedAt: a request that came while the
-	// router was stalled has a deadline before that. 0: it is not.
+	RetriesUnmarked bool       `json:"Unmarked"` // its client never marks retries, see Deployment.ClientsMarkRetries
+	// The client's total timeout, where it is known separately from Deadline - ArrivedAt; 0: it is not. The two differ
+	// for a request that came while the router was stalled: its deadline is earlier than ArrivedAt + Timeout.
 	Timeout Micros `json:"Timeout,omitempty" golden:"joined"`
 
 	Attempts    []Attempt `json:"Executions"`
--- a/control/retries.go
+++ b/control/retries.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Retries: what an outcome means for its request, and whether the request may be attempted again.
+// This file evaluates the outcomes of attempts, and decides whether a request may be attempted again.
 
 // SafeToRetryAnywhere reports whether a request that may have run can be sent again to any router and server without
 // harm.
@@ -45,7 +45,7 @@
 	return b.Route(now, req)
 }
 
-// recordOutcome updates what is believed of the instance and its server, and the estimates.
+// recordOutcome updates the estimates, and what is believed of the instance and its server.
 func (b *Balancer) recordOutcome(now Micros, f *function, inst *instance, req *Request, o Outcome) {
 	s, attempt := inst.server, &req.Attempts[o.Attempt]
 	f.blockedAt = 0
@@ -61,7 +61,7 @@
 	switch {
 	case o.CacheStatus == CacheLoadFailed || o.Result == NotLoaded:
 		inst.replicas, inst.loading = 0, 0
-	// A server that fails fast would otherwise look emptier and emptier.
+	// Failures count as rejections: a server that fails fast would otherwise look idle and get ever more requests.
 	case o.Result == Overloaded || o.Result == Failed && attempt.toLoaded:
 		if !attempt.toLoaded {
 			inst.loading, s.loadBackoffUntil = 0, now+loadBackoff // its load queue or memory is full
@@ -74,9 +74,9 @@
 	b.index.markImpairedByLoad(now, s)
 }
 
-// recordRejection backs off from the instance's server. It guards against a server that rejects everything, because
-// it is full or drains before the endpoint list says so: its backoff doubles with each rejection, and soon its
-// replicas don't count as capacity.
+// recordRejection backs off from the instance's server. The server may reject everything, because it is full or drains
+// before the endpoint list says so; its backoff therefore doubles with each rejection, and after a few its replicas
+// don't count as capacity.
 func (b *Balancer) recordRejection(now Micros, inst *instance) {
 	s := inst.server
 	if s.rejections++; inst.inFlight == 0 {
@@ -87,7 +87,7 @@
 	b.adaptConcurrencyLimit(now, s, 1000)
 }
 
-// recordSuccess updates the estimates by an answer from a loaded replica, or the load time by one that waited for a
+// recordSuccess updates the estimates with an answer from a loaded replica, or the load time with one that waited for a
 // load.
 func (b *Balancer) recordSuccess(now Micros, f *function, inst *instance, req *Request, o Outcome) {
 	s, toLoaded := inst.server, req.Attempts[o.Attempt].toLoaded
@@ -116,7 +116,7 @@
 // network.
 func (b *Balancer) mayRetry(now Micros, req *Request, s *server) bool {
 	class := b.deployment.Classes[req.Class]
-	const networkMargin = 50_000 // far longer than the way from a router to a server
+	const networkMargin = 50_000 // far longer than the transit time from a router to a server
 	for _, a := range req.Attempts {
 		outOfScope := s != nil &&
 			(class.DedupScope == OneZone && a.Zone != s.Zone || class.DedupScope == OneCell && a.Cell != s.Cell)
--- a/control/routing.go
+++ b/control/routing.go
@@ -39,11 +39,11 @@
 	return d
 }
 
-// admit takes a request in when Route sees it for the first time.
+// admit initializes a request's state when Route sees it for the first time.
 func (b *Balancer) admit(now Micros, f *function, req *Request) {
 	req.admitted, req.firstSentAt = true, b.firstSentAt(now, req)
 	req.overQuota = b.mustShed(now) || b.exceedsQuota(now, req)
-	// Large enough to resolve a function's share of the requests to within a few hundredths.
+	// Large enough to determine a function's share of the requests to within a few hundredths.
 	const window = 128
 	b.recentFunctions = append(b.recentFunctions, f)
 	if f.recentRequests++; len(b.recentFunctions) > window {
@@ -58,7 +58,7 @@
 	}
 }
 
-// beginHold counts a request as held, and has the next replica check look at its function.
+// beginHold counts a request as held, and includes its function in the next replica check.
 func (b *Balancer) beginHold(now Micros, f *function, req *Request) {
 	if f.held++; f.held == 1 {
 		f.heldSince = now
@@ -80,7 +80,7 @@
 type timing struct {
 	total       Micros // the slack that it had when its client first sent it
 	slack       Micros // what is left of it; negative if the request will miss its objective or deadline
-	margin      Micros // the least slack that a request needs where others compete with it
+	margin      Micros // the least slack with which a request competes with others for a slot
 	latestStart Micros // an attempt started later can't end before the deadline
 }
 
@@ -97,7 +97,7 @@
 	return t
 }
 
-// decide makes Route's decision.
+// decide determines the decision that Route returns.
 func (b *Balancer) decide(now Micros, f *function, req *Request) Decision {
 	if slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return !a.Done }) {
 		return b.explain(Decision{Action: NoAction}, reasonAttemptInFlight)
@@ -139,7 +139,7 @@
 	return b.explain(hold, reasonAwaitsReplica)
 }
 
-// endReason tells why a request gets no further attempt; it is empty if the request may have one.
+// endReason returns why a request gets no further attempt; it is empty if the request may have one.
 func (b *Balancer) endReason(now Micros, req *Request, t timing) Reason {
 	attempts := len(req.Attempts)
 	switch {
@@ -157,9 +157,9 @@
 	return ""
 }
 
-// forwardOrShed forwards a request to an instance with a free slot, unless the queue there would make it late. This
-// guards against an overload in which least-slack-first serves every request just too late: where a server is half
-// full, a request that its queue would make late yields to those that can still be in time.
+// forwardOrShed forwards a request to an instance with a free slot, unless the queue there would make it late. In an
+// overload, least slack first would otherwise serve every request just too late: on a server that is at least half
+// full, a request that the queue would make late gives way to those that can still be in time.
 func (b *Balancer) forwardOrShed(now Micros, f *function, req *Request, inst *instance, t timing) Decision {
 	s, queue := inst.server, inst.server.queueing.mean(now-1_000_000)*t.total/1000
 	if b.loaded(now, inst) && t.slack < t.margin+queue && 2*s.running >= int(s.concurrencyLimit) {
@@ -171,7 +171,8 @@
 	return b.explain(d, reasonFullestInstance)
 }
 
-// replicaState reports whether a function has replicas on usable servers that are loaded, and some that are loading.
+// replicaState reports whether a function has loaded replicas, and whether it has loading ones, on servers that are
+// healthy and not overloaded.
 func (b *Balancer) replicaState(now Micros, f *function) (loaded, loading bool) {
 	for _, inst := range f.instances {
 		if inst.server.healthy() && !b.overloaded(now, inst.server) {
@@ -191,9 +192,9 @@
 	return d
 }
 
-// fullestInstance picks the instance for a request, nil if none has a free slot: among loaded instances with fewer
-// of our attempts in flight than lanes the fullest, otherwise the loaded one with the fewest free slots, otherwise
-// one that is loading. Ties go to our own zone, then to a random choice.
+// fullestInstance returns the instance for a request, nil if none has a free slot: the fullest of the loaded instances
+// with fewer attempts of this router in flight than lanes, otherwise the loaded one with the fewest free slots,
+// otherwise one that is loading. Ties go to this router's zone, then to a random choice.
 func (b *Balancer) fullestInstance(now Micros, f *function, req *Request) *instance {
 	perLane := b.slotsPerLane(f, req)
 	var best *instance
@@ -249,6 +250,7 @@
 	return min(offered, inst.inFlight+int(s.concurrencyLimit)-s.running)
 }
 
+// forward records a new attempt of a request at an instance, and returns the decision to send it.
 func (b *Balancer) forward(now Micros, f *function, req *Request, inst *instance) Decision {
 	s := inst.server
 	loaded := b.loaded(now, inst)
@@ -268,14 +270,14 @@
 	return Decision{Action: Forward, Server: s.Server, Timeout: req.Deadline - now}
 }
 
-// unusableReason tells why a request may not go to a server; it is empty if the request may.
+// unusableReason returns why a request may not go to a server; it is empty if the request may.
 func (b *Balancer) unusableReason(now Micros, s *server, req *Request) UnusableReason {
 	switch {
 	case s.State != Ready:
 		return unusableNotReady
 	case now < s.backoffUntil:
 		return unusableBackoff
-	// An ejected server without replicas gets probe requests, or it would stay ejected.
+	// An ejected server gets probe requests even without replicas; otherwise it would stay ejected.
 	case s.ejected && now < s.probeAt:
 		return unusableEjected
 	case !b.mayRetry(now, req, s):
--- a/control/serverevents.go
+++ b/control/serverevents.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ServerEvent is a change in the health of a server that an operator should hear of.
+// ServerEvent is a change in the health of a server that operators should know about.
 type ServerEvent struct {
 	Server ServerID
 	Kind   ServerEventKind
@@ -26,7 +26,7 @@
 
 // The causes of an ejection.
 const (
-	// AnswersOverdue means that the server owes answers and is silent.
+	// AnswersOverdue means that the server doesn't answer, and its answers are overdue.
 	AnswersOverdue EjectionCause = iota
 	// ConnectionsFail means that connections to the server break or are refused.
 	ConnectionsFail
@@ -39,8 +39,8 @@
 	readmittedText = "answers again"
 )
 
-// String returns the form in which recordings, snapshots and the simulator's wire keep an event. Earlier recordings have it
-// too, so it doesn't change.
+// String returns the stored form of the event, for recordings, snapshots and the simulator's protocol. It must stay as
+// it is, because existing recordings contain it.
 func (e ServerEvent) String() string {
 	if e.Kind == ServerReadmitted {
 		return fmt.Sprintf("server %x %s", e.Server, readmittedText)
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("server %x %s%s", e.Server, ejectedText, causeTexts[e.Cause])
 }
 
-// ParseServerEvent reads what ServerEvent.String wrote.
+// ParseServerEvent parses the result of ServerEvent.String.
 func ParseServerEvent(text string) (ServerEvent, error) {
 	var e ServerEvent
 	var id uint64
@@ -70,7 +70,7 @@
 	return e, fmt.Errorf("server event %q: unknown", text)
 }
 
-// LogMessage returns the message for a service's log.
+// LogMessage returns the event's message for a service's log.
 func (e ServerEvent) LogMessage() string {
 	if e.Kind == ServerReadmitted {
 		return "server readmitted: it answers again"
--- a/control/serverlist.go
+++ b/control/serverlist.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// serverList is a list of servers by ascending ID. It consists of blocks, so that to insert or remove a server moves only a
-// few others. The zero value is an empty list.
+// serverList is a list of servers by ascending ID. It consists of blocks, so that inserting or removing a server moves
+// only a few others. The zero value is an empty list.
 type serverList struct {
 	blocks []serverBlock // none is empty
 	len    int           // number of servers
 }
 
-// serverBlock is a part of a serverList. IDs stand apart from the servers: a search needs no access to these.
+// serverBlock is a part of a serverList. The IDs are stored apart from the servers, so that a search doesn't access the
+// servers.
 type serverBlock struct {
 	first   ServerID
 	ids     []ServerID
 	servers []*server // at most maxBlock
 }
 
-// maxBlock is the largest number of servers in a block. In a fleet of a few thousand servers a change moves about as many
+// maxBlock is the largest number of servers in a block. With a few thousand servers, a change moves about as many
 // entries of a block as there are blocks.
 const maxBlock = 64
 
@@ -121,8 +122,8 @@
 	}
 }
 
-// mergeWithNext merges a block with the next one if both exist and have few servers. It guards against a list of many
-// small blocks.
+// mergeWithNext merges a block with the next one if both exist and have few servers, so that no list of many small
+// blocks remains after removals.
 func (l *serverList) mergeWithNext(block int) {
 	if block < 0 || block+1 >= len(l.blocks) {
 		return
--- a/control/slowstartset.go
+++ b/control/slowstartset.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// slowStartSet holds the ready servers in slow start, by the end of their slow start, with the sum of their ages by weight:
-// the capacity of all of them together is had without visiting each. It is the same for a set however it came about, since
-// its sums are whole numbers.
+// slowStartSet holds the ready servers in slow start, by the end of their slow start, with the sum of their weighted
+// ages, so that their total capacity is computed without visiting each. The sums are integers, so they depend only on
+// the servers in the set, not on the order of changes.
 type slowStartSet struct {
 	servers []*server   // by slowStartSince, then by ID
 	weight  milliWeight // of all of them
@@ -63,8 +63,8 @@
 	set.servers = slices.Delete(set.servers, 0, n)
 }
 
-// totalAge returns the sum of the servers' ages by weight. One that starts in the future, as by another machine's clock,
-// counts 0.
+// totalAge returns the sum of the servers' ages, weighted. A server with a start time in the future, by another
+// machine's clock, counts as of age 0.
 func (set *slowStartSet) totalAge(now Micros) weightTime {
 	started, weight, sum := len(set.servers), set.weight, set.sum
 	for started > 0 && set.servers[started-1].slowStartSince > now {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Snapshot is the whole state of a balancer in plain values; a restored balancer makes the same decisions from there
-// on. Functions are in the order in which they were first seen, servers by ascending id.
+// Snapshot is the whole state of a balancer in plain values; a balancer restored from it makes the same decisions from
+// there on. Functions are in the order of first use, servers by ascending ID.
 type Snapshot struct {
 	Deployment     Deployment         `json:"Told"`
 	Random         uint64             `json:"Chance"`
@@ -26,7 +26,8 @@
 	Answers        []Micros           `json:"Answers"`
 	AnswerRate     float64            `json:"Rate"`
 	ObservationTTL Micros             `json:"Fresh"`
-	// Not in checkpoints of builds before it: their capacity counts as unchanged for the time of Answers.
+	// Missing in checkpoints of builds before it was added: the capacity then counts as unchanged over the time of
+	// Answers.
 	CapacityHistory *CapacityHistorySnapshot `json:"Ready,omitempty" golden:"joined"`
 	PendingChecks   []int                    `json:"Waiting"` // positions in Functions
 	RecentFunctions []int                    `json:"Recent"`  // positions in Functions
@@ -34,11 +35,11 @@
 	Subscribed      bool                     `json:"Watching"`
 }
 
-// CapacityHistorySnapshot is the capacity of the ready servers over the time for which answers count.
+// CapacityHistorySnapshot is the capacity of the ready servers over the time in which answers are counted.
 type CapacityHistorySnapshot struct {
 	Periods []CapacityPeriod `json:"Periods"` // in order of time
 	AsOf    Micros           `json:"AsOf"`
-	// Of the ready servers when the answer rate was last computed.
+	// Mean weight of the ready servers when the answer rate was last computed.
 	MeanWeight float64 `json:"Weight"`
 }
 
@@ -79,7 +80,7 @@
 	ConnectionFailures int                `json:"Breaks"`
 }
 
-// InFlightSnapshot is one attempt in flight, with the id of its request.
+// InFlightSnapshot is one attempt in flight, with the ID of its request.
 type InFlightSnapshot struct {
 	Request  RequestID `json:"Job"`
 	Attempt  AttemptID `json:"No"`
@@ -133,7 +134,7 @@
 	Cancelling bool    `json:"Recall"`
 }
 
-// Samples holds the latest measurements and their times. N counts all that were ever taken.
+// Samples holds the latest measurements and their times. Count is the number of all measurements ever taken.
 type Samples struct {
 	Values []Micros `json:"V"`
 	Times  []Micros `json:"At"`
@@ -183,7 +184,7 @@
 	return req
 }
 
-// mapSlice returns the results of f for each element.
+// mapSlice returns the results of f for all elements.
 func mapSlice[T, S any](from []T, f func(T) S) []S {
 	to := make([]S, 0, len(from))
 	for _, t := range from {
@@ -287,8 +288,8 @@
 	return s
 }
 
-// Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
-// balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
+// Restore returns a balancer with the state of the snapshot. It needs the requests that were not done, by ID, because
+// the balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
 func Restore(s *Snapshot, requests map[RequestID]*Request) (*Balancer, error) {
 	b := &Balancer{
 		deployment:      s.Deployment,
@@ -313,7 +314,7 @@
 	}
 	classes, tenants := len(b.deployment.Classes), len(b.deployment.Quotas)
 	if len(b.execTimes) != classes || len(b.timeouts) != classes || len(b.quotaDebt) != tenants {
-		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", classes, tenants)
+		return nil, fmt.Errorf("snapshot: table lengths do not match its %d request classes and %d tenants", classes, tenants)
 	}
 	if err := b.restoreServers(s.Servers, requests); err != nil {
 		return nil, err
@@ -356,7 +357,7 @@
 		for _, a := range v.InFlight {
 			req := requests[a.Request]
 			if req == nil || int(a.Attempt) >= len(req.Attempts) {
-				return fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", a.Attempt, a.Request)
+				return fmt.Errorf("snapshot: attempt %d of request %d is in flight, but the request or attempt is not known", a.Attempt, a.Request)
 			}
 			s.inFlight = append(s.inFlight, inFlightAttempt{req, a.Attempt, a.SentAt, a.ToLoaded})
 		}
@@ -396,7 +397,7 @@
 		for _, inst := range v.Instances {
 			s := b.servers.find(inst.Server)
 			if s == nil {
-				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, inst.Server)
+				return fmt.Errorf("snapshot: function %x has an instance on the unknown server %x", v.ID, inst.Server)
 			}
 			f.instances = append(f.instances,
 				&instance{s, inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
@@ -430,12 +431,12 @@
 	return f
 }
 
-// functionsAt returns the functions at some positions of functionOrder; nil for no positions.
+// functionsAt returns the functions at the given positions of functionOrder; nil for no positions.
 func (b *Balancer) functionsAt(positions []int) ([]*function, error) {
 	var functions []*function
 	for _, i := range positions {
 		if i < 0 || i >= len(b.functionOrder) {
-			return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(b.functionOrder))
+			return nil, fmt.Errorf("snapshot: position %d is not in its list of %d functions", i, len(b.functionOrder))
 		}
 		functions = append(functions, b.functionOrder[i])
 	}
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -2,18 +2,20 @@
 
 import "slices"
 
-// This file estimates what a server at full capacity does for this router. The slow-start budget follows from it.
+// This file estimates how many answers per second this router gets from a server at full capacity. The slow-start
+// budget is computed from it.
 
-// answerWindow is the ready time over which answers are counted: some tens of answers, even if a router gets only a few
-// requests per second.
+// answerWindow is the time over which answers are counted, leaving out times without a ready server. It covers some
+// tens of answers even if a router gets only a few requests per second.
 const answerWindow = 10_000_000
 
-// updateAnswerRate updates answerRate, the answers per second that this router gets from a server of mean weight at full
-// capacity, and freshFor, how long an observation of a server stays valid: about the time until its next answer is due.
+// updateAnswerRate updates answerRate, the answers per second that this router gets from a server of mean weight at
+// full capacity, and observationTTL, how long an observation of a server stays valid: about the time until its next
+// answer is due.
 //
-// Answers and capacity are those of the same servers over the same time. That guards against a budget many times too large:
-// divided by the present capacity, the answers of all would be credited to the few servers that are left where most have just
-// begun to drain (docs/incidents/slow-start-overload.md).
+// The answers are divided by the capacity of the same servers over the same time. Divided by the present capacity, the
+// answers of all servers would be credited to the few that are left when most have just begun to drain, and the
+// slow-start budget would be many times too large (docs/incidents/slow-start-overload.md).
 func (b *Balancer) updateAnswerRate(now Micros) {
 	b.recordCapacity(now)
 	history := &b.capacityHistory
@@ -21,7 +23,7 @@
 	if len(history.periods) > 0 { // else no server was ever ready
 		b.answers = dropBefore(b.answers, history.periods[0].From)
 		span, serverTime := history.totals()
-		const minSpan = answerWindow / 10 // a shorter time, after a start, counts as so long
+		const minSpan = answerWindow / 10 // a shorter time, after a start, counts as this long
 		serverTime *= max(1, minSpan/float64(span))
 		if mean := b.meanWeight(); mean > 0 {
 			history.meanWeight = mean
@@ -31,8 +33,8 @@
 	b.observationTTL = Micros(min(maxObservationTTL, max(rareAnswerInterval, 1e6/max(0.01, b.answerRate))))
 }
 
-// answerRateOf returns the answers per second that this router gets from a server at full capacity, by its weight. It guards
-// against overload of the smaller servers of a fleet.
+// answerRateOf returns the answers per second that this router gets from a server at full capacity, in proportion to
+// its weight. Without the weight the smaller servers of a fleet would be overloaded.
 func (b *Balancer) answerRateOf(s *server) float64 {
 	mean := b.capacityHistory.meanWeight
 	if mean == 0 {
@@ -41,19 +43,20 @@
 	return b.answerRate * float64(milliWeightOf(s)) / 1000 / mean
 }
 
-// countAnswer counts an answer from a server. One that drains is no part of the capacity, and its answers don't count.
+// countAnswer counts an answer from a server. A draining server is not part of the capacity, so its answers don't
+// count.
 func (b *Balancer) countAnswer(now Micros, s *server) {
 	if s.State == Ready {
 		b.answers = append(b.answers, now)
 	}
 }
 
-// capacityHistory is the capacity of the ready servers over the time for which answers count. Times in which none was ready are
-// left out: they say nothing of what a server does, and what was known before them still holds.
+// capacityHistory is the capacity of the ready servers over the time in which answers are counted. Times in which none
+// was ready are left out: they say nothing about what a server does, and what was known before them still holds.
 type capacityHistory struct {
 	periods    []CapacityPeriod // in order of time
-	asOf       Micros           // until when it is complete; 0: it is not known for the time before
-	meanWeight float64          // of the ready servers when the answer rate was last computed; 0: it was not yet
+	asOf       Micros           // the history is complete up to this time; 0: the capacity before now is not known
+	meanWeight float64          // of the ready servers when the answer rate was last computed; 0: not computed yet
 }
 
 // CapacityPeriod is a time in which servers were ready, and their mean capacity, in units of weight.
@@ -73,11 +76,12 @@
 		}
 		return
 	}
-	// Includes ejected and overloaded servers: leaving them out would make the rest look more capable.
+	// Ejected and overloaded servers are included: leaving them out would make the others look more capable.
 	from, capacity := history.asOf, max(mean, b.totalCapacity(now))
 	if from == 0 {
-		// Restored with answers, but without the capacity of their time: all servers known now may have given them. That
-		// guards against too large a budget after a restart into a smaller fleet; it is too small while these answers count.
+		// Restored with answers, but without the capacity of their time: all servers known now may have given them.
+		// This keeps the budget from being too large after a restart into a smaller fleet; it is too small while these
+		// answers count.
 		from, capacity = max(b.startedAt, now-answerWindow), mean*float64(b.servers.len)
 	}
 	history.asOf = max(history.asOf, now)
@@ -86,8 +90,8 @@
 	}
 }
 
-// add appends a period. It is merged with one that it continues as long as that is short, so that the length of the history
-// does not depend on how often the endpoint list changes.
+// add appends a period, or extends the last one if that is short and adjoins, so that the length of the history does
+// not depend on how often the endpoint list changes.
 func (h *capacityHistory) add(period CapacityPeriod) {
 	const shortPeriod = answerWindow / 100
 	if n := len(h.periods); n > 0 {
@@ -113,7 +117,7 @@
 	return span, serverTime
 }
 
-// keepLatest drops all but the latest periods, of the given length together.
+// keepLatest drops all but the latest periods, up to the given total length.
 func (h *capacityHistory) keepLatest(length Micros) {
 	span, _ := h.totals()
 	excess := span - length
--- a/control/trace.go
+++ b/control/trace.go
@@ -1,7 +1,7 @@
 package control
 
-// Trace lets a tool observe why decisions come out as they do. It has no influence on them; without one the cost is a
-// comparison.
+// Trace lets a tool observe how decisions are made. It has no influence on them; without a trace the only cost is a nil
+// check.
 type Trace struct {
 	OnDecision     func(Explanation)  // after each decision of Route
 	OnReplicaCheck func(ReplicaCheck) // at each replica check of a function with held or shed requests
@@ -11,8 +11,8 @@
 // SetTrace installs a trace; nil removes it.
 func (b *Balancer) SetTrace(t *Trace) { b.trace = t }
 
-// Explanation is how one decision came about, with what was believed before it. Times are in microseconds. Slack,
-// Margin and LatestStart are 0 if an attempt was in flight.
+// Explanation is how one decision came about, with the state before it. Times are in microseconds. Slack, Margin and
+// LatestStart are 0 if an attempt was in flight.
 type Explanation struct {
 	Now         Micros       `json:"Now"`
 	Request     RequestID    `json:"Job"`
@@ -31,12 +31,12 @@
 	Decision    Decision     `json:"Placement"`
 }
 
-// ServerView is what was believed of one server, and of the function's replicas there.
+// ServerView is what the balancer believed of one server, and of the function's replicas there.
 type ServerView struct {
 	Server           ServerID       `json:"Server"`
 	State            ServerState    `json:"State"`
 	Unusable         UnusableReason `json:"Barred"`
-	HasInstance      bool           `json:"Here"` // there is an entry for the function's replicas there
+	HasInstance      bool           `json:"Here"` // the function has an instance there, loaded or not
 	Loaded           bool           `json:"Warm"`
 	IsLoading        bool           `json:"Coming"` // a load is running
 	Replicas         int            `json:"Copies"`
@@ -54,8 +54,8 @@
 	ReportAge        Micros         `json:"Fresh"` // negative: no report
 }
 
-// ReplicaCheck is the design's test whether a function needs more replicas: it does if Delay has reached Slack and
-// D_f, Held x Objective / Slots, has reached LoadTime.
+// ReplicaCheck is a test of whether a function needs more replicas: it does if Delay has reached Slack and D_f, Held x
+// Objective / Slots, has reached LoadTime.
 type ReplicaCheck struct {
 	Now       Micros     `json:"Now"`
 	Function  FunctionID `json:"Function"`
@@ -82,14 +82,14 @@
 	}
 }
 
-// end completes the explanation and hands it to the observer.
+// end completes the explanation and passes it to OnDecision.
 func (t *Trace) end(d Decision) {
 	if t.explanation.Decision = d; t.OnDecision != nil {
 		t.OnDecision(t.explanation)
 	}
 }
 
-// begin starts the explanation with what is believed before the decision. It must not change any state.
+// begin starts the explanation with the state before the decision. It must not change any state.
 func (t *Trace) begin(b *Balancer, now Micros, f *function, req *Request) {
 	exec := b.execTime(f, req)
 	t.explanation = Explanation{
@@ -108,7 +108,7 @@
 	}
 }
 
-// view returns what is believed of a server. It must not change any state.
+// view returns the balancer's view of a server. It must not change any state.
 func (t *Trace) view(b *Balancer, now Micros, s *server, f *function, req *Request) ServerView {
 	view := ServerView{
 		Server:           s.Server,
@@ -128,7 +128,7 @@
 		view.ReportAge = now - s.reportedAt
 	}
 	if inst := f.instanceOn(s, false); inst != nil {
-		limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
+		limit := s.concurrencyLimit // slots sets an initial limit, which only the decision itself may do
 		view.HasInstance, view.Loaded, view.IsLoading = true, b.loaded(now, inst), b.loading(now, inst)
 		view.Replicas, view.Loading, view.InFlight = inst.replicas, inst.loading, inst.inFlight
 		view.Slots = b.slots(now, inst, f, t.explanation.B)
--- a/control/types.go
+++ b/control/types.go
@@ -3,18 +3,18 @@
 // Micros is a point in time or a duration in whole microseconds.
 type Micros int64
 
-// Idempotency is what a second attempt at a request may do, if the first one may have run.
+// Idempotency says whether a request may be attempted again after an attempt that may have run.
 type Idempotency uint8
 
-// The effects. An idempotent request may run again; one that is idempotent by key may run again only where its earlier
-// attempt is remembered (see DedupScope and Class.DedupWindow); a non-idempotent one must not.
+// The levels of idempotency. An idempotent request may run again; one that is idempotent by key may run again only
+// where its earlier attempt is remembered (see DedupScope and Class.DedupWindow); a non-idempotent one must not.
 const (
 	Idempotent Idempotency = iota
 	IdempotentByKey
 	NonIdempotent
 )
 
-// DedupScope is the group of servers that drop repeats of a request by its idempotency key.
+// DedupScope is the group of servers that recognize repeats of a request by its idempotency key, and don't run them.
 type DedupScope uint8
 
 // The scopes.
@@ -37,7 +37,7 @@
 // Deployment is the configuration that a balancer gets when it starts.
 type Deployment struct {
 	Routers                   int       `json:"Routers"` // number of routers that share the fleet
-	RouterIndex               int       `json:"Number"`  // of this router among them, from 0
+	RouterIndex               int       `json:"Number"`  // index of this router among them, from 0
 	Zone                      ZoneID    `json:"Zone"`
 	Tick                      Micros    `json:"Tick"` // shortest interval between event-loop steps
 	Classes                   []Class   `json:"Workloads"`
@@ -55,7 +55,7 @@
 	SupportsLoadCommands      bool      `json:"Orders"`        // servers accept load commands
 	LoadRateWindow            Micros    `json:"LoadWindow"`    // window of the load-rate limit; 0: no limit
 	LoadRateBase              float64   `json:"LoadFree"`      // load commands allowed per window
-	LoadRatePerRequest        float64   `json:"LoadShare"`     // and in addition for each request admitted within it
+	LoadRatePerRequest        float64   `json:"LoadShare"`     // allowed in addition per request admitted within the window
 	MaxCommandDelay           Micros    `json:"Late"`          // longest time from choosing a load command to writing it
 	LoadsOnMiss               bool      `json:"LoadsOnMiss"`   // servers load a missing function on request
 }
@@ -80,10 +80,10 @@
 	Ready
 )
 
-// UpdateKind is what an update of the endpoint list holds.
+// UpdateKind is the kind of an update of the endpoint list.
 type UpdateKind uint8
 
-// The update kinds: the list saved by an earlier incarnation of the router, the whole list, only the changed
+// The update kinds: the list that an earlier incarnation of the router saved, the whole list, only the changed
 // endpoints, or nothing because the subscription failed.
 const (
 	CachedUpdate UpdateKind = iota
@@ -151,10 +151,10 @@
 	Fail
 )
 
-// Decision is the balancer's answer for one request: where it goes, or that it is held, or that it ends.
+// Decision is the balancer's decision for one request: it is forwarded, held, or ended.
 type Decision struct {
 	Action       Action        `json:"Verb"`
-	Server       ServerID      `json:"Server"`   // of Send
+	Server       ServerID      `json:"Server"`   // of Forward
 	Timeout      Micros        `json:"Allow"`    // of Forward: the attempt's timeout
 	Rank         Micros        `json:"Rank"`     // of Hold: lower ranks leave first
 	RecheckAt    Micros        `json:"Again"`    // of Hold: call Route again at this time at the latest
@@ -163,7 +163,7 @@
 	reason       Reason
 }
 
-// Reason returns the condition that decided.
+// Reason returns the condition that determined the decision.
 func (d Decision) Reason() Reason { return d.reason }
 
 // LoadCommand asks a server to hold a number of replicas of a function. With 0 replicas it only asks how many are
