--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -4,7 +4,7 @@
 
 const second = 1_000_000
 
-// testNow is the time at which the tests ask: late enough that no server and no router is in slow start.
+// testNow is the time of most test events: late enough that no server and no router is in slow start.
 const testNow = Micros(100 * second)
 
 func testDeployment() Deployment {
@@ -30,14 +30,14 @@
 	return &Request{ID: id, Function: 7, Lanes: 2, ExecTimeHint: 100_000, ArrivedAt: testNow, Deadline: testNow + 4*second}
 }
 
-// addReplica gives a server a loaded replica of function 7 with the given number of our attempts in flight there.
+// addReplica gives a server a loaded replica of function 7 with the given number of attempts of this router in flight.
 func addReplica(b *Balancer, server, inFlight int) *instance {
 	inst := b.function(newRequest(0)).instanceOn(b.servers.at(server-1), true)
 	inst.replicas, inst.lastUsed, inst.inFlight = 1, testNow, inFlight
 	return inst
 }
 
-// requestWithAttempt returns a request with one finished attempt on server 1 that began some time ago.
+// requestWithAttempt returns a request with one finished attempt on server 1 that was sent the given time ago.
 func requestWithAttempt(ago Micros, mayHaveRun bool) *Request {
 	req := newRequest(1)
 	req.Attempts = []Attempt{{Server: 1, Zone: 1, Cell: 1, SentAt: testNow - ago, Done: true, MayHaveRun: mayHaveRun}}
@@ -54,7 +54,7 @@
 			addReplica(b, i+1, n)
 		}
 		if d := b.Route(testNow, newRequest(1)); d.Action != Forward || d.Server != want {
-			t.Errorf("%v out: got %+v, want server %d", inFlight, d, want)
+			t.Errorf("%v in flight: got %+v, want server %d", inFlight, d, want)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 		{"B slots a lane: (1 s - 0.1 s) / 0.1 s x 2 lanes", 1, 1, 0, testNow, 18},
 		{"divided by the routers", 4, 1, 0, testNow, 4},
 		{"at least one", 40, 1, 0, testNow, 1},
-		{"one that loads offers its lanes", 1, 0, 1, testNow, 2},
-		{"a belief fades", 1, 1, 0, testNow - 11*second, 0},
+		{"a loading one offers its lanes", 1, 0, 1, testNow, 2},
+		{"unused for longer than the keep-alive time", 1, 1, 0, testNow - 11*second, 0},
 	} {
 		config := testDeployment()
 		config.Routers = c.routers
@@ -97,7 +97,7 @@
 func TestLeastSlackRanksFirst(t *testing.T) {
 	b, early, late := newTestBalancer(testDeployment(), 1), newRequest(1), newRequest(2)
 	if late.ArrivedAt += 1000; b.Rank(testNow, early) >= b.Rank(testNow, late) {
-		t.Error("the job with less slack must rank first")
+		t.Error("the request with less slack must rank first")
 	}
 }
 
@@ -105,7 +105,7 @@
 	b := newTestBalancer(testDeployment(), 3)
 	d := b.Route(testNow, newRequest(1))
 	if d.Action != Forward || len(d.LoadCommands) != 0 {
-		t.Errorf("got %+v, want the job sent, which starts the load", d)
+		t.Errorf("got %+v, want the request forwarded, which starts the load", d)
 	}
 }
 
@@ -132,14 +132,14 @@
 	}
 }
 
-// A crash, a hang or a late endpoint list must not keep requests waiting for replicas that are gone.
+// Requests must not wait for replicas on servers that are removed, draining, ejected or rejecting everything.
 func TestReplicasOnUnhealthyServersDontHoldRequests(t *testing.T) {
 	for name, makeUnhealthy := range map[string]func(s *server){
-		"gone":      func(s *server) { s.State = Removed },
-		"draining":  func(s *server) { s.State = Draining },
-		"suspect":   func(s *server) { s.ejected, s.probeAt = true, testNow+second },
-		"deaf":      func(s *server) { s.rejections, s.backoffUntil = 5, testNow+second },
-		"gone full": func(s *server) { s.State, s.concurrencyLimit = Removed, 1 },
+		"removed":            func(s *server) { s.State = Removed },
+		"draining":           func(s *server) { s.State = Draining },
+		"ejected":            func(s *server) { s.ejected, s.probeAt = true, testNow+second },
+		"rejecting":          func(s *server) { s.rejections, s.backoffUntil = 5, testNow+second },
+		"removed while full": func(s *server) { s.State, s.concurrencyLimit = Removed, 1 },
 	} {
 		b := newTestBalancer(testDeployment(), 2)
 		addReplica(b, 1, 0)
@@ -150,7 +150,7 @@
 	}
 }
 
-// In an overload, least slack first serves every request just too late unless late requests yield.
+// In an overload, routing by least slack would serve every request just too late if late requests were not rejected.
 func TestLateRequestRejectedOnCrowdedServer(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	addReplica(b, 1, 1)
@@ -158,11 +158,11 @@
 	req := newRequest(1)
 	req.ArrivedAt = testNow - 850_000
 	if d := b.Route(testNow, req); d.Action != Reject {
-		t.Errorf("crowded: got %+v, want it pushed back", d)
+		t.Errorf("crowded: got %+v, want it rejected", d)
 	}
 	b.servers.at(0).running = 1
 	if d := b.Route(testNow, req); d.Action != Forward {
-		t.Errorf("free: got %+v, want it sent", d)
+		t.Errorf("free: got %+v, want it forwarded", d)
 	}
 }
 
@@ -173,17 +173,17 @@
 	s.concurrencyLimit, s.running = 10, 9
 	b.adaptConcurrencyLimit(testNow, s, 100)
 	if s.concurrencyLimit <= 10 {
-		t.Errorf("window %v after an answer in time, want it wider", s.concurrencyLimit)
+		t.Errorf("limit %v after an answer in time, want it higher", s.concurrencyLimit)
 	}
 	for range 8 {
 		b.adaptConcurrencyLimit(testNow, s, 900)
 	}
 	if s.concurrencyLimit > 8 {
-		t.Errorf("window %v after long queueing, want it narrower", s.concurrencyLimit)
+		t.Errorf("limit %v after long queueing, want it lower", s.concurrencyLimit)
 	}
 }
 
-// A full load queue says nothing about the replicas that are loaded on the server.
+// A full load queue says nothing about the loaded replicas on the server, so only loads must stop.
 func TestRejectedLoadBlocksLoadsOnly(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	inst := addReplica(b, 1, 1)
@@ -192,7 +192,7 @@
 	req.Attempts = []Attempt{{Server: 1, SentAt: testNow - 1000, MayHaveRun: true}}
 	b.HandleOutcome(testNow, req, Outcome{Server: 1, Result: Overloaded})
 	if s := b.servers.at(0); s.loadBackoffUntil <= testNow || s.backoffUntil > testNow || inst.loading != 0 {
-		t.Errorf("loads after %d, avoided until %d, %d loading", s.loadBackoffUntil, s.backoffUntil, inst.loading)
+		t.Errorf("load backoff until %d, backoff until %d, %d loading", s.loadBackoffUntil, s.backoffUntil, inst.loading)
 	}
 }
 
@@ -209,13 +209,13 @@
 	b.rebuildIndex()
 	b.ejectSilentServers(testNow)
 	if !b.servers.at(2).ejected || b.servers.at(1).ejected || len(b.cancellations) != 1 {
-		t.Errorf("suspects wrong, or %d recalls, want 1", len(b.cancellations))
+		t.Errorf("wrong servers ejected, or %d cancellations, want 1", len(b.cancellations))
 	}
 	for s := range b.servers.all {
 		s.ejected, s.lastAnswer = false, testNow-second
 	}
 	if b.ejectSilentServers(testNow); b.servers.at(0).ejected {
-		t.Error("where all owe answers none is to blame")
+		t.Error("no server may be ejected where the answers of all are overdue")
 	}
 }
 
@@ -224,7 +224,7 @@
 	inst := addReplica(b, 1, 0)
 	b.UpdateEndpoints(testNow+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: testNow + 1}})
 	if b.loaded(testNow+2, inst) {
-		t.Error("a server that started anew holds nothing")
+		t.Error("a restarted server holds no replicas")
 	}
 }
 
@@ -235,10 +235,10 @@
 	req := newRequest(1)
 	d := b.Route(testNow, req)
 	if d.Action != Hold || d.RecheckAt >= req.Deadline {
-		t.Fatalf("got %+v, want it asked about again before %d", d, req.Deadline)
+		t.Fatalf("got %+v, want it held and rechecked before %d", d, req.Deadline)
 	}
 	if d = b.Route(req.Deadline-10_000, req); d.Action != Reject {
-		t.Errorf("got %+v, want it pushed back", d)
+		t.Errorf("got %+v, want it rejected", d)
 	}
 }
 
@@ -253,21 +253,21 @@
 		want       Action
 		server     ServerID
 	}{
-		{"restartable", Idempotent, WholeFleet, second, true, Forward, 2},
-		{"run-once that may have run", NonIdempotent, WholeFleet, second, true, Fail, 0},
-		{"run-once that did not run", NonIdempotent, WholeFleet, second, false, Forward, 2},
-		{"fingerprinted within its window", IdempotentByKey, WholeFleet, second, true, Forward, 2},
-		{"fingerprinted beyond it", IdempotentByKey, WholeFleet, 5 * second, true, Reject, 0},
-		{"fingerprinted beyond it, group of a cell", IdempotentByKey, OneCell, 5 * second, true, Fail, 0},
-		{"fingerprinted, copy in another cell", IdempotentByKey, OneCell, second, true, Hold, 0},
-		{"fingerprinted, copy in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
+		{"idempotent", Idempotent, WholeFleet, second, true, Forward, 2},
+		{"non-idempotent, may have run", NonIdempotent, WholeFleet, second, true, Fail, 0},
+		{"non-idempotent, did not run", NonIdempotent, WholeFleet, second, false, Forward, 2},
+		{"idempotent by key, within its window", IdempotentByKey, WholeFleet, second, true, Forward, 2},
+		{"idempotent by key, after its window", IdempotentByKey, WholeFleet, 5 * second, true, Reject, 0},
+		{"idempotent by key in one cell, after its window", IdempotentByKey, OneCell, 5 * second, true, Fail, 0},
+		{"idempotent by key, replica in another cell", IdempotentByKey, OneCell, second, true, Hold, 0},
+		{"idempotent by key, replica in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
 	} {
 		config := testDeployment()
 		config.Classes[0].Idempotency, config.Classes[0].DedupScope = c.effect, c.scope
 		b := newTestBalancer(config, 2)
 		addReplica(b, 2, 0)
 		if d := b.Route(testNow, requestWithAttempt(c.ago, c.mayHaveRun)); d.Action != c.want || d.Server != c.server {
-			t.Errorf("%s: got %+v, want verb %d, server %d", c.name, d, c.want, c.server)
+			t.Errorf("%s: got %+v, want action %d, server %d", c.name, d, c.want, c.server)
 		}
 	}
 }
@@ -278,11 +278,11 @@
 	req := requestWithAttempt(second, true)
 	req.Attempts[0].Done = false
 	if d := b.Route(testNow, req); d.Action != NoAction {
-		t.Errorf("got %+v while an execution is out", d)
+		t.Errorf("got %+v while an attempt is in flight", d)
 	}
 }
 
-// Rule 3: nothing new goes to a server that drains or is removed, loads included.
+// Rule 3: nothing new goes to a server that drains or is removed, not even a load.
 func TestNothingSentToDrainingServers(t *testing.T) {
 	for _, state := range []ServerState{Draining, Removed} {
 		b := newTestBalancer(testDeployment(), 1)
@@ -294,7 +294,7 @@
 	}
 }
 
-// Rule 4: a server in slow start gets our fraction of its budget, and many routers alternate.
+// Rule 4: a server in slow start gets this router's fraction of its budget, and many routers take turns.
 func TestSlowStartBudget(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 2)
 	starting := b.servers.at(1)
@@ -303,22 +303,22 @@
 	}
 	starting.StartedAt = testNow - second
 	b.rebuildIndex()
-	b.capacityHistory = capacityHistory{periods: []CapacityPeriod{{testNow - 10*second, testNow, 1.325}}, asOf: testNow} // as if it had been so throughout
+	b.capacityHistory = capacityHistory{periods: []CapacityPeriod{{testNow - 10*second, testNow, 1.325}}, asOf: testNow} // as if the capacity had been constant
 	b.updateAnswerRate(testNow)
 	// 40 answers per second from 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 requests in a window of a second:
 	// 31.4.
-	b.deployment.RouterIndex = 2 // this router's turn for the fractional request is another one
+	b.deployment.RouterIndex = 2 // another router has the turn for the fractional request
 	for i := range 31 {
 		if !b.withinSlowStartBudget(testNow, starting) {
-			t.Fatalf("refused after %d", i)
+			t.Fatalf("refused after %d requests", i)
 		}
 		starting.slowStartSends = append(starting.slowStartSends, testNow)
 	}
 	if b.withinSlowStartBudget(testNow, starting) {
-		t.Error("32 sent within one window")
+		t.Error("32 requests allowed within one window")
 	}
 	if !b.withinSlowStartBudget(testNow+second+1, starting) {
-		t.Error("the window has passed")
+		t.Error("refused after the window has passed")
 	}
 	allowed := 0
 	for number := range 200 {
@@ -346,27 +346,27 @@
 	b := newTestBalancer(config, 1)
 	b.admitted = []Micros{testNow, testNow}
 	if got := []bool{b.loadCommandAllowed(testNow), b.loadCommandAllowed(testNow), b.loadCommandAllowed(testNow)}; !got[0] || !got[1] || got[2] {
-		t.Errorf("got %v, want two orders within the ration", got)
+		t.Errorf("got %v, want two load commands within the limit", got)
 	}
 }
 
-// The limit counts commands where they arrive: an earlier one that waited for its connection may still fall into
-// the window, and requests admitted before the window began do not count.
+// Load commands count when they arrive at the server: one that waited for its connection may still fall into the
+// window, and requests admitted before the window do not count.
 func TestLoadRateLimitWithDelayedCommands(t *testing.T) {
 	config := testDeployment()
 	config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest, config.MaxCommandDelay = 5*second, 1, 1, second/4
 	for name, c := range map[string]struct{ loadCommands, admitted []Micros }{
-		"a late order": {[]Micros{testNow - 5*second - second/5}, nil},
-		"an early job": {[]Micros{testNow - second}, []Micros{testNow - 5*second + second/5}},
+		"a delayed command":           {[]Micros{testNow - 5*second - second/5}, nil},
+		"a request before the window": {[]Micros{testNow - second}, []Micros{testNow - 5*second + second/5}},
 	} {
 		b := newTestBalancer(config, 1)
 		if b.loadCommands, b.admitted = c.loadCommands, c.admitted; b.loadCommandAllowed(testNow) {
-			t.Errorf("%s: another order was given", name)
+			t.Errorf("%s: another load command was allowed", name)
 		}
 	}
 }
 
-// A flaky network breaks some connections while other requests are answered: that is no crash.
+// A flaky network breaks some connections while other requests are answered, which is no crash of the server.
 func TestOneConnectionFailureDoesNotEject(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	inst, s := addReplica(b, 1, 0), b.servers.at(0)
@@ -374,10 +374,10 @@
 	b.latencies.add(testNow, 100_000)
 	s.lastAnswer = testNow - 1000
 	if b.recordConnectionFailure(testNow, s); s.ejected || inst.replicas != 1 {
-		t.Error("one break just after an answer made a suspect")
+		t.Error("one connection failure just after an answer ejected the server or dropped its replica")
 	}
 	if b.recordConnectionFailure(testNow, s); !s.ejected || inst.replicas != 0 {
-		t.Error("two breaks with no answer between are a crash")
+		t.Error("two connection failures with no answer in between count as a crash")
 	}
 }
 
@@ -386,13 +386,13 @@
 	for _, c := range []struct {
 		name               string
 		clientsMarkRetries bool
-		retriesUnmarked    bool // this client marks no retries
+		retriesUnmarked    bool // the client marks no retries
 		timeout            Micros
 		want               Micros
 	}{
-		{"first try", false, false, 3 * second, testNow},
-		{"what earlier tries left", false, false, 2 * second, testNow - 2*second},
-		{"hasty, where repeats are marked", true, false, 2 * second, testNow},
+		{"first attempt", false, false, 3 * second, testNow},
+		{"timeout shortened by earlier attempts", false, false, 2 * second, testNow - 2*second},
+		{"short timeout, where retries are marked", true, false, 2 * second, testNow},
 		{"a client that marks none, where others do", true, true, 2 * second, testNow - 2*second},
 	} {
 		config := testDeployment()
@@ -409,7 +409,7 @@
 	}
 }
 
-// A heavy tail must not distort B.
+// A few heavy requests must not distort the execution time, and with it B.
 func TestExecutionTimeLeavesOutTheFarTail(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	req := newRequest(1)
@@ -439,56 +439,56 @@
 	}
 }
 
-// An ejected server whose replicas are forgotten must come back: at once with a listed restart, otherwise by a
-// probe request.
+// An ejected server without known replicas must be readmitted: at once with a listed restart, otherwise by a probe
+// request.
 func TestEjectedServerIsReadmitted(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	s := b.servers.at(0)
 	s.ejected, s.probeAt = true, testNow+second
 	if d := b.Route(testNow, newRequest(1)); d.Action != Hold {
-		t.Errorf("got %+v before a trial is due", d)
+		t.Errorf("got %+v before a probe is due", d)
 	}
 	if d := b.Route(testNow+second, newRequest(2)); d.Action != Forward || s.probeAt <= testNow+second {
-		t.Errorf("got %+v, next trial at %d; want one trial load", d, s.probeAt)
+		t.Errorf("got %+v, next probe at %d; want one probe request", d, s.probeAt)
 	}
 	b.UpdateEndpoints(testNow+second, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: testNow + second}})
 	if s.ejected {
-		t.Error("a told restart clears the suspicion")
+		t.Error("a listed restart ends the ejection")
 	}
 }
 
-// Rule 1: a request that waits for a load that may not be commanded yet is rechecked in time, too.
+// Rule 1: a request whose load may not be commanded yet must also be rechecked before its deadline.
 func TestWaitForLoadCommandEndsBeforeDeadline(t *testing.T) {
 	config := testDeployment()
 	config.LoadsOnMiss, config.SupportsLoadCommands = false, false
 	b := newTestBalancer(config, 1)
 	req := newRequest(1)
-	req.Attempts = []Attempt{{Done: true}} // an attempt where other routers would have loaded it
+	req.Attempts = []Attempt{{Done: true}} // an attempt at the server where other routers would have loaded it
 	req.Deadline = testNow + 75_000
 	if d := b.Route(testNow, req); d.Action != Hold || d.RecheckAt >= req.Deadline {
-		t.Errorf("got %+v, want it asked about again before %d", d, req.Deadline)
+		t.Errorf("got %+v, want it held and rechecked before %d", d, req.Deadline)
 	}
 }
 
-// Where only load commands load and the rate limit denies one, a request is forwarded once to where other routers
-// load its function, then held.
+// Where functions are loaded only by command and the rate limit denies one, a request is forwarded once to the server
+// on which other routers load its function, then held.
 func TestForwardedOnceWhenLoadRateLimited(t *testing.T) {
 	config := testDeployment()
 	config.LoadsOnMiss, config.LoadRateWindow = false, 5*second
 	b := newTestBalancer(config, 1)
 	req := newRequest(1)
 	if d := b.Route(testNow, req); d.Action != Forward || len(d.LoadCommands) > 0 {
-		t.Fatalf("got %+v, want it sent without an order", d)
+		t.Fatalf("got %+v, want it forwarded without a load command", d)
 	}
 	if d := b.HandleOutcome(testNow+1000, req, Outcome{Server: 1, Result: NotLoaded}); d.Action != Hold {
 		t.Errorf("got %+v after a miss, want it held", d)
 	}
 }
 
-// Many routers must not all crowd onto one replica, nor spread without need: one home, several for a busy
-// function.
+// Many routers must not all use one replica, nor spread over more servers than needed: a function has one home, a busy
+// one has several.
 func TestManyRoutersShareHomes(t *testing.T) {
-	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the requests: four servers' share, eight homes
+	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the requests is the share of four servers, so eight homes
 		homes := map[ServerID]int{}
 		for number := range 40 {
 			config := testDeployment()
@@ -499,13 +499,12 @@
 			homes[b.loadTarget(testNow, f, newRequest(1), firstReplica).Server]++
 		}
 		if len(homes) > want || len(homes)*4 < want*3 {
-			t.Errorf("%d homes for %d of 100 jobs, want %d or nearly", len(homes), recent, want)
+			t.Errorf("%d homes for %d of 100 requests, want %d or nearly", len(homes), recent, want)
 		}
 	}
 }
 
-// An overloaded server must not keep the requests of many routers, each of which has hardly an attempt in flight
-// there.
+// An overloaded server must get no requests, even from many routers that each have hardly an attempt in flight there.
 func TestAvoidsOverloadedServer(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 2)
 	inst := addReplica(b, 1, 0)
@@ -516,16 +515,15 @@
 	}
 	s.reportedAt = testNow - 9*second // too old to count
 	if d := b.Route(testNow, newRequest(2)); d.Action != Forward || d.Server != 1 && d.Server != 2 || b.overloaded(testNow, s) {
-		t.Errorf("got %+v, want the old report forgotten", d)
+		t.Errorf("got %+v, want the old report ignored", d)
 	}
 	s.queueing.add(testNow, 900)
 	if !b.overloaded(testNow, s) {
-		t.Error("long queueing of our own job tells of a crowd, too")
+		t.Error("long queueing of this router's own requests counts as overload, too")
 	}
 }
 
-// One tenant's clients with short deadlines and immediate retries must not take the place of the other tenants'
-// requests.
+// Clients with short deadlines and immediate retries must not take capacity from other tenants.
 func TestShortDeadlinesOverQuotaAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		timeout                     Micros
@@ -540,30 +538,30 @@
 		config := testDeployment()
 		config.Quotas, config.ClientsMarkRetries = []float64{10}, c.clientsMarkRetries
 		b, got := newTestBalancer(config, 1), false
-		for range 30 { // 2 s of burst and one more are within the quota: 21
+		for range 30 { // a burst of 2 s and one more are within the quota: 21 requests
 			req := newRequest(1)
 			req.Deadline, req.IsRetry = testNow+c.timeout, c.isRetry
 			got = b.exceedsQuota(testNow, req)
 		}
 		if got != c.want {
-			t.Errorf("%+v: surplus %v after 30 jobs at once", c, got)
+			t.Errorf("%+v: over quota %v after 30 requests at once", c, got)
 		}
 	}
 }
 
-// A request that is late already must not run again and add to the overload that made it late.
+// A request that is late already must not be attempted again, which would add to the overload that made it late.
 func TestLateRequestIsNotRetried(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 2)
 	addReplica(b, 2, 0)
 	req := requestWithAttempt(second, true)
 	req.admitted, req.firstSentAt, req.ArrivedAt = true, testNow-second, testNow-second
 	if d := b.Route(testNow, req); d.Action != Reject {
-		t.Errorf("got %+v, want it pushed back", d)
+		t.Errorf("got %+v, want it rejected", d)
 	}
 }
 
-// Where answers carry no cache status, a request that finds another router's replica is not a load: loads would
-// look instant.
+// Where answers carry no cache status, a quick answer comes from a replica that another router loaded. Counted as a
+// load, it would make loads look instant.
 func TestQuickAnswerIsNotALoad(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	inst := addReplica(b, 1, 1)
@@ -579,7 +577,7 @@
 	}
 }
 
-// With many routers no concurrency limit is reached: each router must shed load by itself when queueing persists.
+// With many routers no concurrency limit is reached, so each router must shed load by itself while queueing persists.
 func TestShedsForAStandingQueue(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	shed := func(strain, fresh Micros) (n int) {
@@ -593,28 +591,28 @@
 		return n
 	}
 	if n := shed(1000, 8*second); n < 400 || n > 600 {
-		t.Errorf("%d of 1000 shed for queues of a whole slack, want about half", n)
+		t.Errorf("%d of 1000 shed for a queueing delay of the whole slack, want about half", n)
 	}
 	if a, b := shed(200, 8*second), shed(1000, rareAnswerInterval); a+b != 0 {
-		t.Errorf("%d shed for a short queue, %d where windows tell, want none", a, b)
+		t.Errorf("%d shed for a short queue, %d where concurrency limits adapt, want none", a, b)
 	}
 }
 
-// The probe requests of many routers must not add up to a silent server's normal traffic.
+// The probe requests of many routers must not add up to the normal traffic of a silent server.
 func TestProbesAreRarerWhereAnswersAreRare(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	s := b.servers.at(0)
 	s.ejections = 1
 	if got := b.probeInterval(s); got != second {
-		t.Errorf("first trial after %d, want a second", got)
+		t.Errorf("first probe after %d, want a second", got)
 	}
 	if b.observationTTL = 8 * second; b.probeInterval(s) != 4*second {
-		t.Errorf("first trial after %d, want four seconds", b.probeInterval(s))
+		t.Errorf("first probe after %d, want four seconds", b.probeInterval(s))
 	}
 }
 
-// Functions that no server ever served are forgotten; those with requests held, attempts in flight or loaded
-// replicas are not.
+// Functions that no server ever served are dropped; those with held requests, attempts in flight or loaded replicas are
+// not.
 func TestPruneDropsIdleFunctions(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	const functions = 1 << 16
@@ -646,12 +644,12 @@
 	b.UpdateEndpoints(testNow, FullUpdate, []Endpoint{{Server: 2, State: Ready}})
 	b.prune(testNow + 60*second)
 	if b.servers.len != 2 {
-		t.Error("forgotten after a minute")
+		t.Error("dropped after a minute")
 	}
 	b.servers.at(0).inFlight = []inFlightAttempt{{}}
 	b.prune(testNow + 3600*second)
 	if b.servers.len != 2 {
-		t.Error("forgotten with an execution out")
+		t.Error("dropped with an attempt in flight")
 	}
 	b.servers.at(0).inFlight = nil
 	b.prune(testNow + 3600*second)
@@ -660,7 +658,7 @@
 	}
 }
 
-// A function that was forgotten and is known again must lose its replicas with a server's restart, like any other.
+// A function that was dropped and added again must lose its replicas when their server restarts, like any other.
 func TestRestartDropsReplicasOfReaddedFunction(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	addReplica(b, 1, 0).lastUsed = 0
@@ -671,15 +669,15 @@
 		b.prune(testNow)
 	}
 	if b.functions[7] != nil {
-		t.Fatal("it was not forgotten")
+		t.Fatal("function 7 was not dropped")
 	}
 	inst := addReplica(b, 1, 0)
 	if b.UpdateEndpoints(testNow+2, IncrementalUpdate, []Endpoint{{Server: 1, State: Ready, StartedAt: testNow + 1}}); b.loaded(testNow+2, inst) {
-		t.Error("a server that started anew holds nothing")
+		t.Error("a restarted server holds no replicas")
 	}
 }
 
-// BenchmarkDistinctFunctions asks a balancer for a function that no server serves, a million different ones.
+// BenchmarkDistinctFunctions routes each request for another function that no server serves.
 func BenchmarkDistinctFunctions(b *testing.B) {
 	config := testDeployment()
 	config.Classes[0].MaxDeadline = 4 * second
@@ -701,7 +699,7 @@
 	b.ReportMetric(float64(len(balancer.functions)), "functions")
 }
 
-// Requests that wait for the same load count as one load: they must not keep other functions from theirs.
+// Requests that wait for the same load count as one pending load, so that they don't keep other functions from loading.
 func TestRequestsForOneLoadCountOnce(t *testing.T) {
 	s := &server{inFlight: []inFlightAttempt{{request: &Request{Function: 1}}, {request: &Request{Function: 1}}, {request: &Request{Function: 2}},
 		{request: &Request{Function: 3}, toLoaded: true}}}
@@ -710,7 +708,8 @@
 	}
 }
 
-// Routers without shared state would each load the function elsewhere while its own servers are full of loads.
+// With several routers only two servers are tried for a load: otherwise each router would load the function elsewhere
+// while the usual servers are full of loads.
 func TestSeveralRoutersWaitForTheFirstTwoServers(t *testing.T) {
 	for routers, want := range map[int]int{1: 4, 3: 2} {
 		config := testDeployment()
@@ -729,8 +728,8 @@
 	}
 }
 
-// With a latency objective shorter than a load few requests are held at a time: those shed for want of slack count
-// too.
+// With a latency objective shorter than a load few requests are held at a time, so those shed for lack of slack must
+// count too.
 func TestShedRequestsCountInReplicaCheck(t *testing.T) {
 	for shed, want := range map[int]bool{0: false, 12: true} {
 		b := newTestBalancer(testDeployment(), 2)
@@ -744,26 +743,26 @@
 		}
 		b.checkReplicas(testNow, f)
 		if got := f.loadsDue > 0; got != want {
-			t.Errorf("%d turned away: another copy %v, want %v", shed, got, want)
+			t.Errorf("%d shed: another replica %v, want %v", shed, got, want)
 		}
 	}
 }
 
-// A refused load keeps loads from a server only until one of its own loads may have ended.
+// A server that refused a load gets another one soon, when one of its own loads may have ended.
 func TestRejectedLoadIsRetriedSoon(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	req := newRequest(1)
 	b.Route(testNow, req)
 	d := b.HandleOutcome(testNow+1000, req, Outcome{Server: 1, Result: Overloaded})
 	if d.Action != Hold {
-		t.Fatalf("got %+v right after a refusal, want it held", d)
+		t.Fatalf("got %+v right after the load was refused, want it held", d)
 	}
 	if d = b.Route(testNow+100_000, req); d.Action != Forward {
-		t.Errorf("got %+v a tenth of a second later, want another try", d)
+		t.Errorf("got %+v a tenth of a second later, want it forwarded again", d)
 	}
 }
 
-// A server that answers everything with an immediate error looks like the emptiest of all.
+// A server that answers everything with an immediate error looks idle, and must not attract requests.
 func TestFailingServerIsAvoided(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	addReplica(b, 1, 0)
@@ -774,6 +773,6 @@
 		b.HandleOutcome(testNow, req, Outcome{Server: 1, Result: Failed})
 	}
 	if s := b.servers.at(0); s.healthy() || s.backoffUntil <= testNow {
-		t.Errorf("after three errors in a row: sound %v, avoided until %d", s.healthy(), s.backoffUntil)
+		t.Errorf("after three errors in a row: healthy %v, backoff until %d", s.healthy(), s.backoffUntil)
 	}
 }
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Nothing that was learned of a server's health and load before its restart keeps requests and loads from the new process.
+// What was observed of a server's health and load before its restart must not keep requests and loads from the new
+// process.
 func TestRestartForgetsHealthAndLoad(t *testing.T) {
 	const restart = testNow + second
 	b := newTestBalancer(testDeployment(), 2)
--- a/control/estimates_test.go
+++ b/control/estimates_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Without classes there is no objective to take for a load's time; what was learned can still be applied.
+// Without request classes there is no latency objective to use for a load time; learned state must still be applicable.
 func TestLearnedLoadsWithoutClasses(t *testing.T) {
 	b := New(testNow, 1, Deployment{})
 	b.ApplyLearned(testNow, &LearnedState{SavedAt: testNow, Servers: []LearnedServer{{Server: 1}}, Functions: []LearnedFunction{
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newLargeBalancer returns a balancer of one of many routers, with many servers, functions with some instances, and attempts
-// in flight.
+// newLargeBalancer returns the balancer of one of many routers, with the given number of servers, functions with some
+// instances, and attempts in flight.
 func newLargeBalancer(servers int) *Balancer {
 	config := testDeployment()
 	config.Routers, config.RouterIndex = 300, 7
@@ -59,16 +59,16 @@
 	balancer.UpdateEndpoints(testNow, IncrementalUpdate, list)
 }
 
-// BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a function never seen
-// before, one that becomes busy, and servers in slow start may cost more in a larger fleet: see buildRanking,
-// buildHomes and totalCapacity.
+// BenchmarkFleetSize compares a balancer's costs with 3200 servers and with 200. Only a new function, a function that
+// becomes busy, and servers in slow start may cost more in a larger fleet: see buildRanking, buildHomes and
+// totalCapacity.
 func BenchmarkFleetSize(b *testing.B) {
-	const known = 256 // functions in rotation, so that none gets more than its share
+	const known = 256 // functions in rotation, so that none is busy
 	for _, c := range []struct {
 		name string
 		run  func(b *testing.B, balancer *Balancer, i int, all []*server)
 	}{
-		{"change", func(_ *testing.B, balancer *Balancer, i int, all []*server) { // drains, leaves, returns restarted
+		{"change", func(_ *testing.B, balancer *Balancer, i int, all []*server) { // the server drains, is removed, and returns restarted
 			s := all[i/3*37%len(all)]
 			endpoint := s.Endpoint
 			if endpoint.State = []ServerState{Draining, Removed, Ready}[i%3]; endpoint.State == Ready {
@@ -76,33 +76,33 @@
 			}
 			balancer.UpdateEndpoints(testNow, IncrementalUpdate, []Endpoint{endpoint})
 		}},
-		// Each step replaces a server; half as many as are present are remembered as removed.
+		// Each step replaces a server; half as many as are present are still remembered as removed.
 		{"replace", func(_ *testing.B, balancer *Balancer, i int, all []*server) {
 			now := testNow + Micros(i)*1200*second/Micros(len(all))
 			balancer.UpdateEndpoints(now, IncrementalUpdate, []Endpoint{{Server: ServerID(hash(1, uint64(i)))},
 				{Server: ServerID(hash(1, uint64(len(all)+i))), State: Ready, Weight: 1, StartedAt: now}})
 			balancer.Maintain(now)
 		}},
-		{"place-known", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
+		{"route-known", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
 			routeMiss(b, balancer, newLargeFleetRequest(RequestID(i), FunctionID(hash(3, uint64(i%known)))))
 		}},
-		{"place-known-hot", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
+		{"route-known-busy", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
 			routeMiss(b, balancer, newLargeFleetRequest(RequestID(i), FunctionID(hash(3, uint64(i%(known/8))))))
 		}},
-		{"place-never-seen", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
+		{"route-new", func(b *testing.B, balancer *Balancer, i int, _ []*server) {
 			routeMiss(b, balancer, newLargeFleetRequest(RequestID(i), FunctionID(hash(4, uint64(i)))))
 			if i%1000 == 0 {
 				balancer.Maintain(testNow)
 			}
 		}},
-		{"upkeep", func(_ *testing.B, balancer *Balancer, _ int, _ []*server) { balancer.Maintain(testNow) }},
-		{"upkeep-tenth-cold", func(_ *testing.B, balancer *Balancer, i int, _ []*server) {
+		{"maintain", func(_ *testing.B, balancer *Balancer, _ int, _ []*server) { balancer.Maintain(testNow) }},
+		{"maintain-tenth-in-slow-start", func(_ *testing.B, balancer *Balancer, i int, _ []*server) {
 			if i == 0 {
 				restartTenth(balancer)
 			}
 			balancer.Maintain(testNow)
 		}},
-		{"forget", func(_ *testing.B, balancer *Balancer, i int, all []*server) {
+		{"drop-instances", func(_ *testing.B, balancer *Balancer, i int, all []*server) {
 			balancer.dropInstances(all[i*37%len(all)], testNow-second)
 		}},
 	} {
@@ -110,7 +110,7 @@
 			b.Run(fmt.Sprintf("%s/servers=%d", c.name, servers), func(b *testing.B) {
 				balancer := newLargeBalancer(servers)
 				all := slices.Collect(balancer.servers.all)
-				for i := range 2 * known { // the first ranking of a function is not measured
+				for i := range 2 * known { // the first ranking of each function is not measured
 					c.run(b, balancer, i, all)
 				}
 				b.ReportAllocs()
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// restartFromLearned returns the next incarnation of a router at a time, with the endpoint list of three ready servers.
+// restartFromLearned returns a router's next incarnation, started at now from the state learned at saved, with an
+// endpoint list of three ready servers.
 func restartFromLearned(b *Balancer, saved, now Micros) *Balancer {
 	state := b.LearnedState(saved)
 	next := New(now, 1, b.deployment)
@@ -21,7 +22,7 @@
 		loaded bool
 	}{{second, true}, {9 * second, true}, {11 * second, false}, {-second, false}} {
 		b := newTestBalancer(testDeployment(), 3)
-		addReplica(b, 2, 3) // attempts of the earlier incarnation don't count
+		addReplica(b, 2, 3) // the attempts in flight of the earlier incarnation don't count
 		next := restartFromLearned(b, testNow, testNow+c.pause)
 		req := newRequest(1)
 		req.ArrivedAt, req.Deadline = testNow+c.pause, testNow+c.pause+4*second
@@ -34,7 +35,8 @@
 	}
 }
 
-// A server that restarted, was removed or drained while the router was down gets no requests for what was learned of it.
+// A server that restarted, was removed or drained while the router was down gets no requests because of its learned
+// state.
 func TestEndpointListOverridesLearnedState(t *testing.T) {
 	for _, ep := range []Endpoint{
 		{Server: 2, State: Ready, Weight: 1, StartedAt: testNow + 1},
@@ -55,7 +57,8 @@
 	}
 }
 
-// Load commands and attempts sent before the restart count, also if the clock was set back since.
+// Load commands and attempts sent before the restart count against the limits, even if the clock was set back in
+// between.
 func TestLearnedLimitsCount(t *testing.T) {
 	for _, pause := range []Micros{second / 2, -50 * second} {
 		config := testDeployment()
@@ -81,8 +84,7 @@
 	}
 }
 
-// Admitted requests count for the load-rate limit as load commands do, except those with a time in the future: they would
-// allow more.
+// Requests admitted before the restart raise the load-rate limit, except those with a time in the future.
 func TestLearnedAdmittedRequestsCount(t *testing.T) {
 	for pause, want := range map[Micros]bool{second / 2: true, -50 * second: false} {
 		config := testDeployment()
@@ -96,7 +98,8 @@
 	}
 }
 
-// The answer rate counts for a minute, with the earlier start time: no answers came during the downtime.
+// The learned answer rate is used for a minute, and counts from the earlier start time: no answers came during the
+// downtime.
 func TestLearnedAnswerRateCountsForAMinute(t *testing.T) {
 	for pause, want := range map[Micros]float64{second: 2.0 / 30, 61 * second: 0, -1: 0} {
 		b := newTestBalancer(testDeployment(), 3)
@@ -109,7 +112,7 @@
 	}
 }
 
-// The quota that a tenant used up stays used up, but no longer than exceedsQuota looks ahead.
+// The quota that a tenant has used up stays used up, but no longer than exceedsQuota looks ahead.
 func TestLearnedQuotaDebtCounts(t *testing.T) {
 	config := testDeployment()
 	config.Quotas = []float64{1}
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The reference implementation of all that a Balancer does with its servers: it scans every server each time. The
-// Balancer must decide the same.
+// This file holds a reference implementation of all that a Balancer does with its servers. It scans every server each
+// time. The Balancer must make the same decisions.
 
 func referenceUpdateEndpoints(b *Balancer, now Micros, kind UpdateKind, endpoints []Endpoint) {
 	if kind == FailedUpdate {
@@ -97,7 +97,7 @@
 	b.observationTTL = Micros(min(8e6, max(rareAnswerInterval, 1e6/max(0.01, b.answerRate))))
 }
 
-// referenceRecordCapacity records the capacity of the ready servers up to now, as recordCapacity does.
+// referenceRecordCapacity does the same as recordCapacity.
 func referenceRecordCapacity(b *Balancer, now Micros) {
 	history := &b.capacityHistory
 	from, servers := history.asOf, 0
@@ -121,7 +121,7 @@
 	history.asOf = max(history.asOf, now)
 }
 
-// referenceMeanWeight looks at each server.
+// referenceMeanWeight scans all servers.
 func referenceMeanWeight(b *Balancer) float64 {
 	sum, ready := milliWeight(0), 0
 	for s := range b.servers.all {
@@ -136,7 +136,7 @@
 	return float64(sum) / 1000 / float64(ready)
 }
 
-// referenceTotalCapacity looks at each server. It counts ages as integers, as totalCapacity does, for the same rounding.
+// referenceTotalCapacity scans all servers. It sums ages as integers, as totalCapacity does, for the same rounding.
 func referenceTotalCapacity(b *Balancer, now Micros) float64 {
 	var full, starting milliWeight
 	var age weightTime
@@ -159,7 +159,7 @@
 		sum += initial*float64(starting) + (1-initial)*float64(age)/float64(b.deployment.SlowStartDuration)
 	}
 	if sum /= 1000; math.Abs(sum-want) > 1e-9*want {
-		panic(fmt.Sprintf("capacity %v, one by one %v", sum, want))
+		panic(fmt.Sprintf("capacity %v, sum over all servers %v", sum, want))
 	}
 	return sum
 }
@@ -279,19 +279,19 @@
 	return max(0.001, weight)
 }
 
-// referenceSim drives a balancer through random events: servers join, drain, leave, return and restart, requests arrive
-// and are answered.
+// referenceSim drives a balancer through random events: servers join, drain, are removed, return and restart, requests
+// arrive and are answered.
 type referenceSim struct {
 	t                 *testing.T
 	rng               *rand.Rand
 	now               Micros
 	balancer          *Balancer
-	ids               []ServerID // of all servers there ever were
+	ids               []ServerID // of all servers that were ever listed
 	requests          map[RequestID]*Request
 	inFlight          []RequestID // with one attempt in flight each
 	lastID            RequestID
 	comparisons       int            // comparisons made so far
-	comparisonsByCase map[string]int // the number of compared decisions, by outcome
+	comparisonsByCase map[string]int // number of compared choices of a server, by case
 }
 
 func newReferenceSim(t *testing.T, seed uint64, servers int) *referenceSim {
@@ -345,8 +345,8 @@
 	return b, requests
 }
 
-// checkEqual compares the balancer with a clone that the reference implementation has changed. Sends that are outside
-// the slow-start window are left out: the check for them drops them.
+// checkEqual compares the balancer with a clone to which the reference implementation was applied. Sends outside the
+// overload window are ignored, because the check of the slow-start budget drops them.
 func (sim *referenceSim) checkEqual(reference *Balancer, what string) {
 	sim.t.Helper()
 	if sim.comparisons++; sim.comparisons%4 == 0 {
@@ -388,7 +388,7 @@
 	got, want := &sim.balancer.index, &restored.index
 	all := slices.Collect(sim.balancer.servers.all)
 	for what, pair := range map[string][2][]ServerID{"all": {ids(all), ids(slices.Collect(restored.servers.all))},
-		"gone": {ids(got.removed), ids(want.removed)}, "flying": {ids(got.busy), ids(want.busy)}} {
+		"removed": {ids(got.removed), ids(want.removed)}, "busy": {ids(got.busy), ids(want.busy)}} {
 		if !slices.Equal(pair[0], pair[1]) {
 			sim.t.Fatalf("%s at %d: got %x, want %x", what, sim.now, pair[0], pair[1])
 		}
@@ -414,7 +414,7 @@
 	}
 	for _, s := range append(slices.Clone(got.impaired), got.slowStart.servers...) {
 		if sim.balancer.servers.find(s.Server) != s {
-			sim.t.Fatalf("server %x at %d is forgotten, and not", s.Server, sim.now)
+			sim.t.Fatalf("server %x at %d is in the index, but not in the server list", s.Server, sim.now)
 		}
 	}
 }
@@ -431,27 +431,27 @@
 			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
 		}
 	}
-	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.ObservationTTL, a.ServerEvents, a.Cancellations)
+	return fmt.Sprintf("random state %d, answer rate %v, observation TTL %d, server events %q, cancellations %v", a.Random, a.AnswerRate, a.ObservationTTL, a.ServerEvents, a.Cancellations)
 }
 
 func (sim *referenceSim) updateEndpoints(kind UpdateKind, list []Endpoint) {
 	reference, _ := sim.clone()
 	referenceUpdateEndpoints(reference, sim.now, kind, list)
 	sim.balancer.UpdateEndpoints(sim.now, kind, list)
-	sim.checkEqual(reference, fmt.Sprintf("list of kind %d: %+v", kind, list))
+	sim.checkEqual(reference, fmt.Sprintf("endpoint update of kind %d: %+v", kind, list))
 }
 
 func (sim *referenceSim) maintain() {
 	reference, _ := sim.clone()
 	want, got := referenceMaintain(reference, sim.now), sim.balancer.Maintain(sim.now)
 	if !reflect.DeepEqual(got, want) {
-		sim.t.Fatalf("upkeep at %d: got %+v, want %+v", sim.now, got, want)
+		sim.t.Fatalf("maintenance at %d: got %+v, want %+v", sim.now, got, want)
 	}
-	sim.checkEqual(reference, "upkeep")
+	sim.checkEqual(reference, "maintenance")
 }
 
-// routeAndCompare compares the server that a load would go to with the reference implementation's choice, and then routes
-// the request.
+// routeAndCompare compares the server chosen for a load with the reference implementation's choice, then routes the
+// request.
 func (sim *referenceSim) routeAndCompare(req *Request) {
 	f := sim.balancer.function(req)
 	reference, requests := sim.clone()
@@ -462,16 +462,16 @@
 		if (got == nil) != (want == nil) || got != nil && got.Server != want.Server {
 			sim.t.Fatalf("a load for function %x at %d, purpose %d: got %+v, want %+v", f.id, sim.now, purpose, got, want)
 		}
-		sim.comparisonsByCase[fmt.Sprintf("several %t, hot %t, found %t", sim.balancer.deployment.Routers > 1, f.recentRequests > 1, got != nil)]++
+		sim.comparisonsByCase[fmt.Sprintf("several routers %t, busy function %t, found %t", sim.balancer.deployment.Routers > 1, f.recentRequests > 1, got != nil)]++
 	}
 	sim.checkUsableCount(req)
 	sim.checkImpairedMarks(req)
 	if sim.balancer.deployment.Routers > 1 {
 		sim.checkHomes(f, req)
 	}
-	sim.checkEqual(reference, "a load's server")
+	sim.checkEqual(reference, "choice of a server for a load")
 	if after := sim.balancer.Snapshot(); !reflect.DeepEqual(before, after) {
-		sim.t.Fatalf("to look for a load's server at %d changed\n%s to\n%s", sim.now, firstDifference(before, after), firstDifference(after, before))
+		sim.t.Fatalf("choosing a server for a load at %d changed the state from\n%s to\n%s", sim.now, firstDifference(before, after), firstDifference(after, before))
 	}
 	sim.applyDecision(req, sim.balancer.Route(sim.now, req))
 }
@@ -494,7 +494,7 @@
 	sim.lastID++
 	req := &Request{ID: sim.lastID, Class: ClassID(sim.rng.IntN(3)), Lanes: 1 + sim.rng.IntN(4),
 		ArrivedAt: sim.now, Deadline: sim.now + Micros(sim.rng.IntN(8*second)), IsRetry: sim.withProbability(0.1)}
-	switch sim.rng.IntN(3) { // a busy function, some of them, and many rare ones
+	switch sim.rng.IntN(3) { // one busy function, some in regular use, and many rare ones
 	case 0:
 		req.Function = 1
 	case 1:
@@ -506,7 +506,7 @@
 	sim.routeAndCompare(req)
 }
 
-// completeAttempt ends an attempt that is in flight.
+// completeAttempt ends a random attempt in flight with a random outcome.
 func (sim *referenceSim) completeAttempt() {
 	if len(sim.inFlight) == 0 {
 		return
@@ -529,7 +529,7 @@
 	}
 }
 
-// updateRandomEndpoints sends an endpoint update for one to three servers, known and new ones.
+// updateRandomEndpoints sends an endpoint update for one to three servers, known or new.
 func (sim *referenceSim) updateRandomEndpoints() {
 	var list []Endpoint
 	for range 1 + sim.rng.IntN(3) {
@@ -542,7 +542,7 @@
 	sim.updateEndpoints(IncrementalUpdate, list)
 }
 
-// disturbRandomServer changes what is known of a server that is early in some function's order.
+// disturbRandomServer changes the health or load of a random server.
 func (sim *referenceSim) disturbRandomServer() {
 	s := sim.balancer.servers.at(sim.rng.IntN(sim.balancer.servers.len))
 	switch sim.rng.IntN(5) {
@@ -587,7 +587,7 @@
 		sim.balancer, sim.requests = sim.clone() // a restart from a snapshot
 	case p < 0.998:
 		sim.now += Micros([]int{5, 20, 400, 700}[sim.rng.IntN(4)]) * second
-	default: // to the exact microsecond at which one is forgotten
+	default: // to the exact microsecond at which a removed server is dropped
 		for s := range sim.balancer.servers.all {
 			if s.State == Removed {
 				sim.now = max(sim.now, s.lastListed+600*second)
@@ -598,8 +598,8 @@
 	}
 }
 
-// With the index, each choice of a server for a load, each endpoint update and each maintenance is that of the
-// reference implementation, bit for bit, and uses as many random numbers.
+// With the index, each choice of a server for a load, each endpoint update and each maintenance gives the same result
+// as the reference implementation, bit for bit, and uses as many random numbers.
 func TestMatchesReference(t *testing.T) {
 	comparisons := map[string]int{}
 	for seed := range uint64(16) {
@@ -613,16 +613,17 @@
 	}
 	for _, severalRouters := range []bool{false, true} {
 		for _, busy := range []bool{false, true} {
-			if name := fmt.Sprintf("several %t, hot %t, found %t", severalRouters, busy, true); comparisons[name] < 100 {
-				t.Errorf("%s: compared %d times only", name, comparisons[name])
+			if name := fmt.Sprintf("several routers %t, busy function %t, found %t", severalRouters, busy, true); comparisons[name] < 100 {
+				t.Errorf("%s: compared only %d times", name, comparisons[name])
 			}
 		}
 	}
 }
 
-// impairServers gives each server, at random, something that makes it unusable or moves it to the end of the order.
+// impairServers gives each server, with the given probability, a state that makes it unusable or moves it to the end of
+// the order; all others become healthy and idle.
 func (sim *referenceSim) impairServers(share float64) {
-	b, kind := sim.balancer, sim.rng.IntN(12) // one kind of burden for all; six or more: any kind
+	b, kind := sim.balancer, sim.rng.IntN(12) // one kind of state for all servers; six or more: a random one for each
 	for s := range b.servers.all {
 		s.backoffUntil, s.ejected, s.loadBackoffUntil, s.report, s.reportedAt, s.concurrencyLimit, s.running = 0, false, 0, LoadReport{}, 0, 0, 0
 		if !sim.withProbability(share) {
@@ -650,7 +651,7 @@
 	}
 }
 
-// checkNearestHomes compares nearestHomes' bounded search with a scan of all servers.
+// checkNearestHomes compares the bounded search of nearestHomes with a scan of all servers.
 func (sim *referenceSim) checkNearestHomes(f *function, req *Request) {
 	sim.t.Helper()
 	got, homes := sim.balancer.nearestHomes(sim.now, f, req)
@@ -670,7 +671,8 @@
 }
 
 // checkHomes compares the first two homes by the function's home set with those by a scan of all servers, and the set
-// itself with the static keys of all servers. It reports whether the set was asked and sufficient.
+// itself with the static keys of all servers. It reports whether the function has several homes and the set determined
+// the first two.
 func (sim *referenceSim) checkHomes(f *function, req *Request) bool {
 	sim.t.Helper()
 	all := slices.Clone(sim.balancer.allCandidates(sim.now, f, req))
@@ -718,8 +720,8 @@
 	}
 }
 
-// checkImpairedMarks checks that a server that can't be used, or whose weight is lowered, is marked as impaired or in slow
-// start.
+// checkImpairedMarks checks that each ready server that is unusable or has a lowered weight is marked as impaired or in
+// slow start.
 func (sim *referenceSim) checkImpairedMarks(req *Request) {
 	sim.t.Helper()
 	if sim.balancer.restrictedToGroup(req) || sim.balancer.deployment.Routers == 1 {
@@ -739,7 +741,7 @@
 	}
 }
 
-// A restarted server that still runs earlier attempts is crowded once it has a limit again.
+// A restarted server that still runs attempts from before the restart is crowded once it has a concurrency limit again.
 func TestNewLimitMarksCrowdedServer(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
 	inst := addReplica(b, 1, 0)
@@ -767,15 +769,14 @@
 	}
 }
 
-// rankingCounts counts decisions by whether the ranking, or for a busy function the home set, was sufficient or fell
-// short.
+// rankingCounts counts decisions by whether the ranking, or for a busy function the home set, was sufficient.
 type rankingCounts struct{ sufficient, insufficient, busy, homesSufficient, homesInsufficient int }
 
-// compareLoadTarget compares where a load for a random request goes with the reference implementation's choice.
+// compareLoadTarget compares the server for a load, for a random request, with the reference implementation's choice.
 func (sim *referenceSim) compareLoadTarget(seed uint64, round int, counts *rankingCounts) {
 	b := sim.balancer
 	req := &Request{Function: FunctionID(sim.rng.IntN(8 + round%40)), ArrivedAt: sim.now, Deadline: sim.now + second}
-	if sim.withProbability(0.1) { // one that may only be retried in its zone
+	if sim.withProbability(0.1) { // a request that may only be retried in its zone
 		req.Class, req.Attempts = 1, []Attempt{{Zone: 1, MayHaveRun: true, Done: true, SentAt: sim.now}}
 	}
 	f := b.function(req)
@@ -809,13 +810,13 @@
 		counts.insufficient++
 	}
 	if got != nil {
-		f.instanceOn(got, true).replicas++ // the next goes to another of the first candidates
+		f.instanceOn(got, true).replicas++ // the next load goes to another of the first candidates
 	}
 }
 
-// In fleets of any size, with any part of them unusable, overloaded or in slow start and with few or many endpoint
-// updates between two decisions, a load goes where the reference implementation sends it: by the ranking, and
-// where that is not sufficient.
+// A load goes where the reference implementation sends it, whether or not the ranking is sufficient: in fleets of any
+// size, with any part of them unusable, overloaded or in slow start, and with few or many endpoint updates between two
+// decisions.
 func TestLoadTargetMatchesReference(t *testing.T) {
 	var counts rankingCounts
 	for seed := range uint64(28) {
@@ -828,7 +829,7 @@
 		n := []int{2, rankingLength, rankingLength + 1, rankingLength + 2, 40, 300, 1500}[seed%7]
 		maxChanges, rounds, decisions := []int{2, 30, 300}, 25, 8 // changes per round
 		if seed%4 == 3 {
-			maxChanges, rounds, decisions = []int{1}, 200_000/(n+100), 1 // one by one, through more than the index keeps
+			maxChanges, rounds, decisions = []int{1}, 200_000/(n+100), 1 // one change per round, more in all than the index keeps
 		}
 		weights := []float64{1, 1, 1, 1, 2, 0.05, 10}[:1+sim.rng.IntN(7)]
 		newEndpoint := func(id ServerID) Endpoint {
@@ -869,11 +870,11 @@
 		}
 	}
 	if counts.sufficient < 2000 || counts.insufficient < 500 || counts.busy < 2000 || counts.homesSufficient < 2000 || counts.homesInsufficient < 500 {
-		t.Errorf("the cases are too much alike: %+v", counts)
+		t.Errorf("too few comparisons of some kind: %+v", counts)
 	}
 }
 
-// A ranking has the lowest keys in order, and its bound is the next one.
+// A ranking holds the lowest keys in order, and its bound is the next lowest key.
 func TestRankingKeepsLowestKeys(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 3 * rankingLength {
@@ -896,7 +897,7 @@
 	}
 }
 
-// A weight that is NaN or infinite keeps no load from its server.
+// A server whose weight is NaN or infinite still gets loads.
 func TestNonFiniteWeights(t *testing.T) {
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1)} {
 		config := testDeployment()
@@ -911,13 +912,13 @@
 			req := newRequest(id)
 			req.Function = FunctionID(id)
 			if d := b.Route(testNow, req); d.Action != Forward {
-				t.Errorf("power %v: got %+v", weight, d)
+				t.Errorf("weight %v: got %+v", weight, d)
 			}
 		}
 	}
 }
 
-// A scan by hash finds every server within the distance, however close to it.
+// A scan by hash finds every server within the distance, even one exactly at it.
 func TestNextWithinSkipsNone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	f := &function{}
--- a/control/serverlist_test.go
+++ b/control/serverlist_test.go
@@ -6,11 +6,10 @@
 	"testing"
 )
 
-// at returns the server at a position.
+// at returns the server at a position in the list.
 func (l *serverList) at(i int) *server { return slices.Collect(l.all)[i] }
 
-// A server list finds, counts and orders its servers like a sorted slice, while it grows and shrinks, and its blocks
-// are neither empty nor many.
+// A server list behaves like a sorted slice while it grows and shrinks, and its blocks are neither empty nor too many.
 func TestServerListMatchesSortedSlice(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var l serverList
@@ -24,7 +23,7 @@
 		if s := l.find(id); (s != nil) != known || s != nil && s.Server != id {
 			t.Fatalf("step %d: server %d: got %+v, known %t", step, id, s, known)
 		}
-		grow := step/3000%2 == 0 // add nine times in ten, else remove as often
+		grow := step/3000%2 == 0 // add in nine of ten steps, otherwise remove in nine of ten
 		switch add := random.IntN(10) < 9 == grow; {
 		case known && !add:
 			want = slices.Delete(want, i, i+1)
--- a/control/shutdown_test.go
+++ b/control/shutdown_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The kill comes by the longest configured deadline, which counts up to a bound.
+// The earliest kill is delayed by the longest configured deadline, up to a bound.
 func TestEarliestKill(t *testing.T) {
 	for longest, want := range map[Micros]Micros{0: 700_000, 50_000: 750_000, 3_000_000: 3_700_000, 3_600_000_000: 3_700_000} {
 		if got := (&Deployment{Classes: []Class{{MaxDeadline: 0}, {MaxDeadline: longest}}}).EarliestKill(); got != want {
@@ -14,7 +14,7 @@
 	}
 }
 
-// What may have run and is not safe to repeat fails; all else is rejected.
+// A request that may have run and is not safe to repeat fails; all others are rejected.
 func TestRejectedByStop(t *testing.T) {
 	for _, c := range []struct {
 		class                  Class
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// slowStartSim simulates a slow start while uncoordinated routers have far more requests for the server than it may get.
+// slowStartSim simulates the slow start of a server for which uncoordinated routers have far more requests than it may
+// get.
 type slowStartSim struct {
 	routers       int
-	initialBudget float64                           // N at the server's start
+	initialBudget float64                           // the server's budget in a window at its start, in requests
 	window        Micros                            // the window of the budget
 	restart       func(router int, age Micros) bool // called at each step of the server's age; nil: never restarts
-	clockOffset   func(router int) Micros           // of a router's clock; nil: none
+	clockOffset   func(router int) Micros           // offset of a router's clock; nil: none
 }
 
 const (
@@ -23,7 +24,7 @@
 	fullServers       = 5 // servers at full capacity
 )
 
-// maxRequestsInWindow returns what a server in slow start bears in the window, where N requests are its budget.
+// maxRequestsInWindow returns how many requests a server in slow start can take in a window if its budget is n.
 func maxRequestsInWindow(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -31,10 +32,10 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worstWindow simulates a day. It returns the largest number of requests in any window as a multiple of the bound, when
-// the last of them was sent, and how many they were.
+// worstWindow runs the simulation. It returns the largest number of requests in any window as a multiple of the allowed
+// number, the server's age when the last of them was sent, and how many they were.
 func (sim slowStartSim) worstWindow() (largest float64, at Micros, n int) {
-	const startedAt = 100_000 * second // above any offset
+	const startedAt = 100_000 * second // larger than any clock offset
 	config := testDeployment()
 	config.Routers, config.OverloadWindow = sim.routers, sim.window
 	config.SlowStartDuration, config.SlowStartInitial = slowStartDuration, initialCapacity
@@ -94,7 +95,7 @@
 	return sim.worstWindowOf(sent)
 }
 
-// worstWindowOf finds the worst window among the ages at which requests were sent to the server; see worstWindow.
+// worstWindowOf finds the worst window, given the server's ages at which requests were sent; see worstWindow.
 func (sim slowStartSim) worstWindowOf(sent []Micros) (largest float64, at Micros, n int) {
 	slices.Sort(sent)
 	from := 0
@@ -117,8 +118,8 @@
 	return sim.clockOffset(router)
 }
 
-// All routers together keep within what a server in slow start bears in any window, however few or many they are,
-// and however they restart: a restarted router has forgotten what its earlier incarnation sent.
+// All routers together keep within what a server in slow start can take in any window, however many they are and
+// however they restart: a restarted router doesn't know what its earlier incarnation sent.
 func TestSlowStartBudgetHoldsOverAllRouters(t *testing.T) {
 	at := func(when Micros) func(int, Micros) bool { return func(_ int, age Micros) bool { return age == when } }
 	tenthEvery := func(interval Micros) func(int, Micros) bool {
@@ -135,7 +136,7 @@
 				for _, window := range []Micros{second, 2 * second} {
 					sim := slowStartSim{routers: routers, initialBudget: budget, window: window, restart: restart}
 					if ratio, at, n := sim.worstWindow(); ratio > 1 {
-						t.Errorf("%s, %d routers, %v calls in %d s: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears",
+						t.Errorf("%s, %d routers, budget %v in %d s: %d sent in the window that ends at an age of %.2f s, %.2f times the allowed number",
 							name, routers, budget, window/second, n, float64(at)/1e6, ratio)
 					}
 				}
@@ -144,8 +145,7 @@
 	}
 }
 
-// Routers alternate in the same order although their clocks differ, as where wall clocks were stepped between
-// their starts.
+// Routers take turns in the same order even if their clocks differ, because wall clocks were set between their starts.
 func TestSlowStartBudgetHoldsWithClockOffsets(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	var drawn [300]Micros
@@ -159,7 +159,7 @@
 			for _, budget := range []float64{6, 25, 50, 200} {
 				sim := slowStartSim{routers: routers, initialBudget: budget, window: second, clockOffset: offset}
 				if ratio, at, n := sim.worstWindow(); ratio > 1 {
-					t.Errorf("%s, %d routers, %v calls: %d sent in the window that ends at an age of %.2f s, %.2f times what it bears", name, routers,
+					t.Errorf("%s, %d routers, budget %v: %d sent in the window that ends at an age of %.2f s, %.2f times the allowed number", name, routers,
 						budget, n, float64(at)/1e6, ratio)
 				}
 			}
@@ -167,14 +167,14 @@
 	}
 }
 
-// Where nothing has answered for long, as after an outage of all servers, those that return in slow start still get a request now
-// and then, and no more: what answers there were follows from it.
+// When no server has answered for long, as after an outage of all servers, servers in slow start still get a request
+// now and then, and no more: the answer rate follows from their answers.
 func TestSlowStartIsNotStarvedWithoutAnswers(t *testing.T) {
 	for _, routers := range []int{1, 2, 3, 6, 30, 300} {
 		sim := slowStartSim{routers: routers, initialBudget: 0, window: second}
 		ratio, at, n := sim.worstWindow()
 		if ratio > 1 {
-			t.Errorf("%d routers: %d sent in the window that ends at an age of %.2f s, where 3 are borne", routers, n, float64(at)/1e6)
+			t.Errorf("%d routers: %d sent in the window that ends at an age of %.2f s, where 3 are allowed", routers, n, float64(at)/1e6)
 		}
 		if n == 0 {
 			t.Errorf("%d routers: nothing was sent", routers)
--- a/control/slowstartset_test.go
+++ b/control/slowstartset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The set's total age is that of its servers one by one, by their weights, whatever came and went, also with start times in the future and
+// The set's total weighted age is the sum over its servers after any changes, also with start times in the future and
 // with as many servers as a large fleet has.
 func TestSlowStartSetMatchesSum(t *testing.T) {
 	const duration = 10 * second
@@ -46,6 +46,6 @@
 		}
 	}
 	if len(starts) < 1000 {
-		t.Errorf("%d servers at the end: too few to tell", len(starts))
+		t.Errorf("%d servers at the end: too few for the test", len(starts))
 	}
 }
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// TestSnapshotCarriesEveryField checks that each field of the state is in the snapshot too, so that none is forgotten.
+// TestSnapshotCarriesEveryField checks that each field of the state has a counterpart in the snapshot, so that none is
+// forgotten.
 func TestSnapshotCarriesEveryField(t *testing.T) {
 	for _, c := range []struct {
 		state, snapshot any
 		elsewhere       string // fields of the state that the snapshot represents differently or leaves out
 	}{
-		{Balancer{}, Snapshot{}, "functionOrder candidates deviations index trace"},                                           // Functions are in that order; candidates and deviations are scratch space, the index is rebuilt, a trace belongs to a tool
+		{Balancer{}, Snapshot{}, "functionOrder candidates deviations index trace"},                                           // functions are stored in that order; candidates and deviations are scratch space, the index is rebuilt, a trace belongs to a tool
 		{server{}, ServerSnapshot{}, "slowStartSince slowStartWeight weight present inRemoved impaired readyIndex functions"}, // derived, with the index
 		{inFlightAttempt{}, InFlightSnapshot{}, ""},
 		{function{}, FunctionSnapshot{}, "ranking homes"}, // derived, with the index
@@ -32,7 +33,7 @@
 		from := reflect.TypeOf(c.state)
 		for i := range from.NumField() {
 			if name := from.Field(i).Name; !carried[strings.ToLower(name)] {
-				t.Errorf("%s.%s is not carried", from.Name(), name)
+				t.Errorf("%s.%s is not in the snapshot", from.Name(), name)
 			}
 		}
 	}
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// throughputSim is a balancer whose ready servers each answer at a steady rate.
+// throughputSim simulates a balancer whose ready servers each answer at a steady rate.
 type throughputSim struct {
 	t        *testing.T
 	balancer *Balancer
@@ -17,7 +17,7 @@
 	simAnswerRate = 10.0 // answers per second of a server at full capacity
 )
 
-// newThroughputSim returns a day of servers that have answered for longer than answers count.
+// newThroughputSim returns a simulation that has run for longer than answers are counted.
 func newThroughputSim(t *testing.T) *throughputSim {
 	t.Helper()
 	sim := &throughputSim{t, New(testNow, 1, testDeployment()), testNow}
@@ -30,7 +30,7 @@
 	return sim
 }
 
-// run has time pass while the ready servers answer as much as they can, and the maintenance comes when it is due.
+// run lets time pass: the ready servers answer at their full rate, and Maintain is called when it is due.
 func (sim *throughputSim) run(span Micros) {
 	const step = second / 50
 	answers := 0.0
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// setState changes the state of servers from one ID to another.
+// setState changes the state of the servers with IDs from from to to.
 func (sim *throughputSim) setState(from, to ServerID, state ServerState, startedAt Micros) {
 	var changed []Endpoint
 	for id := from; id <= to; id++ {
@@ -70,7 +70,7 @@
 	sim.balancer.UpdateEndpoints(sim.now, IncrementalUpdate, changed)
 }
 
-// checkRate checks the estimate.
+// checkRate checks the estimated answer rate.
 func (sim *throughputSim) checkRate(when string) {
 	sim.t.Helper()
 	const tolerance = 0.1
@@ -79,8 +79,8 @@
 	}
 }
 
-// The estimate stays what a server does while the ready set changes. It guards against report c39787: servers in slow start were
-// credited with the answers of all that had just begun to drain.
+// The estimate stays at a server's rate while the set of ready servers changes. Otherwise servers in slow start are
+// credited with the answers of all servers that have just begun to drain, and overloaded.
 func TestAnswerRateFollowsTheReadySet(t *testing.T) {
 	sim := newThroughputSim(t)
 	sim.checkRate("at first")
@@ -89,7 +89,7 @@
 	sim.checkRate("two servers less")
 	sim.setState(1, 10, Draining, 0)
 	sim.run(second)
-	sim.checkRate("none ready")
+	sim.checkRate("no server ready")
 	sim.setState(11, 12, Ready, sim.now-second/2)
 	for range 10 {
 		sim.run(second / 5)
@@ -102,7 +102,7 @@
 	}
 }
 
-// A server that drains still answers what it has, which says nothing of those that are ready.
+// A draining server still answers its requests, which says nothing about the rate of ready servers.
 func TestAnswersOfDrainingServersDoNotCount(t *testing.T) {
 	sim := newThroughputSim(t)
 	sim.setState(1, 11, Draining, 0)
@@ -113,7 +113,7 @@
 	sim.checkRate("one left")
 }
 
-// What was known before a time without a ready server still holds after it, however long that was.
+// The estimate from before a time without ready servers still holds after it, however long that time was.
 func TestAnswerRateOutlastsAnOutage(t *testing.T) {
 	sim := newThroughputSim(t)
 	sim.setState(1, simServers, Removed, 0)
@@ -124,7 +124,7 @@
 	sim.checkRate("all back in slow start")
 }
 
-// However often the endpoint list changes, the history of capacity stays short.
+// The capacity history stays short however often the endpoint list changes.
 func TestCapacityHistoryIsBounded(t *testing.T) {
 	sim := newThroughputSim(t)
 	for range 10_000 {
@@ -138,7 +138,8 @@
 	}
 }
 
-// After a restart into a smaller fleet the answers of the former incarnation are shared among the servers of its time.
+// After a restart into a smaller fleet, the answers of the earlier incarnation are shared among the servers known at
+// that time.
 func TestLearnedAnswersInASmallerFleet(t *testing.T) {
 	sim := newThroughputSim(t)
 	next := New(sim.now+second, 1, sim.balancer.deployment)
@@ -150,7 +151,8 @@
 	}
 }
 
-// A checkpoint carries the history of capacity; one that was stored without it is read as if the capacity had not changed.
+// A snapshot contains the capacity history; one that was stored without it is restored as if the capacity had not
+// changed.
 func TestSnapshotCarriesCapacityHistory(t *testing.T) {
 	sim := newThroughputSim(t)
 	snapshot := sim.balancer.Snapshot()
@@ -170,12 +172,12 @@
 	}
 	older.updateAnswerRate(sim.now)
 	sim.balancer = older
-	sim.checkRate("an older checkpoint")
+	sim.checkRate("an older snapshot")
 }
 
-// A server's budget in slow start follows its weight: the fleet's answers are mostly those of its large servers.
+// A server's slow-start budget follows its weight: most of the fleet's answers come from its large servers.
 func TestSlowStartBudgetFollowsWeight(t *testing.T) {
-	const large, small, started = 1, 2, 3 // IDs; the third starts
+	const large, small, started = 1, 2, 3 // server IDs; the third one is in slow start
 	for weight, want := range map[float64]float64{4: 4, 1: 1} {
 		b := New(testNow, 1, testDeployment())
 		b.UpdateEndpoints(testNow, FullUpdate, []Endpoint{{Server: large, State: Ready, Weight: 4}, {Server: small, State: Ready, Weight: 1}})
@@ -190,7 +192,7 @@
 		if got := b.answerRateOf(s); math.Abs(got-want*answersPerWeight) > 0.1 {
 			t.Errorf("weight %v: %.2f answers a second, want %v", weight, got, want*answersPerWeight)
 		}
-		// 0.8 of 4 x 0.25 of that in a second.
+		// The budget is 0.8 x 4 x 0.25 of the answers in a second.
 		if got, budget := b.slowStartBudget(now, s), int(0.8*want*answersPerWeight); got != budget {
 			t.Errorf("weight %v: a budget of %d, want %d", weight, got, budget)
 		}
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A trace gives the condition that decided, and a view of each server.
+// A trace reports the condition that determined the decision, and a view of each server.
 func TestTraceGivesReason(t *testing.T) {
 	for want, c := range map[Reason]struct {
 		action Action
@@ -35,7 +35,7 @@
 		d := b.Route(testNow, req)
 		if got == nil || got.Reason != want || got.Decision.Action != c.action || d.Action != c.action ||
 			len(got.Servers) != 2 {
-			t.Errorf("%s: got %+v, placed %+v", want, got, d)
+			t.Errorf("%s: got %+v, decision %+v", want, got, d)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	b.servers.at(2).ejected, b.servers.at(2).probeAt = true, testNow+1
 	b.servers.at(3).backoffUntil = testNow + 1
 	b.servers.at(4).StartedAt = testNow - 1
-	b.servers.at(4).slowStartSends = []Micros{testNow - 1} // all that it gets where nothing has answered
+	b.servers.at(4).slowStartSends = []Micros{testNow - 1} // its whole budget, as no server has answered
 	var got Explanation
 	b.SetTrace(&Trace{OnDecision: func(e Explanation) { got = e }})
 	b.Route(testNow, newRequest(1))
@@ -91,8 +91,8 @@
 	}
 }
 
-// BenchmarkRoute measures one decision among 80 full replicas, without a trace. Its cost must be the same as before there
-// were traces.
+// BenchmarkRoute measures one decision among 80 full replicas, without a trace. Support for traces must not add to its
+// cost.
 func BenchmarkRoute(b *testing.B) {
 	balancer := newTestBalancer(testDeployment(), 80)
 	for i := range 80 {
