--- a/control/loading.go
+++ b/control/loading.go
@@ -78,7 +78,7 @@
 
 // homeCount returns how many of the usable servers are homes of a function.
 func (b *Balancer) homeCount(f *function, usable int) int {
-	const homesPerServer = 2 // homes for each server's worth of requests: the function then takes half of the load of a home
+	const homesPerServer = 2 // homes for each server's worth of requests, so that the function takes half of each home's load
 	const minRequests = 32   // requests needed to estimate a share, without the current one, which says nothing
 	share := float64(f.recentRequests-1) / float64(max(minRequests, len(b.recentFunctions)))
 	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
