--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -24,8 +24,8 @@
 	LoadedFirst                 // the one with the fewest requests in flight of those believed to have loaded the function; a random one if there are none
 )
 
-// Names are the policies' names, by their numbers.
-var Names = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
+// PolicyNames are the policies' names, by their numbers.
+var PolicyNames = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
 // recheckInterval is after how long a request that no server could be found for is decided again.
 const recheckInterval = control.Micros(50_000)
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -23,15 +23,15 @@
 
 // No policy sends to a server that drains or is in slow start, and none sends a request that can't end in time.
 func TestOnlyReadyServers(t *testing.T) {
-	for p := range Names {
+	for p := range PolicyNames {
 		d := newBalancer(Policy(p), control.Idempotent)
 		for i := range 200 {
 			if got := d.Route(2*second, newRequest(control.RequestID(i))); got.Action != control.Forward || got.Server > 2 {
-				t.Fatalf("%s: %+v", Names[p], got)
+				t.Fatalf("%s: %+v", PolicyNames[p], got)
 			}
 		}
 		if got := d.Route(4*second-5_000, newRequest(999)); got.Action != control.Reject {
-			t.Errorf("%s: %+v", Names[p], got)
+			t.Errorf("%s: %+v", PolicyNames[p], got)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,9 +9,9 @@
 	"hollymast/internal/simproto"
 )
 
-// Report converts a server's load report: the values come in the order of the fields that the settings name. It
+// LoadReport converts a server's load report: the values come in the order of the fields that the settings name. It
 // returns nil if there is none. A value of the result that is not reported is -1.
-func Report(fields []string, load []float32) *control.LoadReport {
+func LoadReport(fields []string, load []float32) *control.LoadReport {
 	if len(load) == 0 {
 		return nil
 	}
--- a/internal/gateway/compatibility_test.go
+++ b/internal/gateway/compatibility_test.go
@@ -29,7 +29,7 @@
 		"record":   got.RecordDir == "rec" && got.RecordBounds.SegmentBytes == 67108865 && got.RecordBounds.SegmentAge == 11*time.Minute,
 		"memory":   got.StateDir == "memory" && got.KeyRetention == 11*time.Minute && got.JournalSync == persistence.SyncEach && got.MaxHistoryRows == 200001,
 		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerExecTime: 1.5, Idempotency: control.IdempotentByKey, DedupScope: control.OneZone, DedupWindow: 6_000_000},
-		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
+		"function": got.Functions[0] == FunctionPattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
 	} {
 		if !holds {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -40,7 +40,7 @@
 	Priorities   []float64 // of the classes; in an overload the lowest is rejected first
 	Tenants      map[string]control.TenantID
 	TenantNames  []string // by id
-	Functions    []Pattern
+	Functions    []FunctionPattern
 	DampOverload bool
 
 	GracePeriod  time.Duration // for which new requests may still go to a server after it is listed as draining
@@ -72,8 +72,8 @@
 	BodyTimeout          time.Duration
 }
 
-// Pattern is what is known beforehand of the functions whose names match it.
-type Pattern struct {
+// FunctionPattern is what is known beforehand of the functions whose names match it.
+type FunctionPattern struct {
 	Glob     string // as in path.Match
 	Class    control.ClassID
 	Lanes    int
@@ -81,14 +81,14 @@
 	LoadTime control.Micros
 }
 
-// Match returns the first pattern that matches a function's name; ok is false if none does.
-func (c *Config) Match(name string) (pattern Pattern, ok bool) {
+// MatchFunction returns the first pattern that matches a function's name; ok is false if none does.
+func (c *Config) MatchFunction(name string) (pattern FunctionPattern, ok bool) {
 	for _, pattern := range c.Functions {
 		if hit, _ := path.Match(pattern.Glob, name); hit {
 			return pattern, true
 		}
 	}
-	return Pattern{}, false
+	return FunctionPattern{}, false
 }
 
 // Bounds of durations in the configuration: they only catch mistakes.
@@ -281,7 +281,7 @@
 // parsePatterns reads the sections [function PATTERN].
 func (c *Config) parsePatterns(f *inifile.File) {
 	for _, s := range f.Sections("function ") {
-		pattern := Pattern{Glob: strings.TrimPrefix(s.Name, "function ")}
+		pattern := FunctionPattern{Glob: strings.TrimPrefix(s.Name, "function ")}
 		if _, err := path.Match(pattern.Glob, ""); err != nil {
 			s.Errorf("", "malformed pattern")
 		}
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -20,7 +20,7 @@
 	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.XDSVariant, xds.DefaultBounds)
 	transport := xds.Transport{
 		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Variant: g.config.XDSVariant,
-		Seed: uint64(g.loop.Epoch), Now: g.loop.Now, Refresh: g.sourceReads, Grace: g.config.GracePeriod,
+		Seed: uint64(g.loop.Epoch), Now: g.loop.Now, Refresh: g.sourceReads, GracePeriod: g.config.GracePeriod,
 		OnComplete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
 		OnUpdate: func(now control.Micros) {
 			update, changed := members.TakeUpdate(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 		g.overload = overload.NewController(g.loop.Epoch, quotas, config.Priorities, config.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := config.Deployment
-	deployment.Zone = g.fleet.Zone(config.Zone)
+	deployment.Zone = g.fleet.ZoneID(config.Zone)
 	balancer := control.New(g.loop.Epoch, seed, deployment)
 	if config.StateDir != "" {
 		g.state, g.keysUnknownUntil = openStateKeeper(config, g.loop.Now(), balancer, g.log)
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -114,7 +114,7 @@
 		return true
 	}
 	// A disk that stalls for longer: then the endpoint list is too old as well, or the deadline has passed.
-	wait := attempt.JournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
+	wait := attempt.MaxJournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
 	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
 	stored, ok := batch.Written(), func() bool { return !batch.Lost() }
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -162,7 +162,7 @@
 				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
-				booking, _ := t.Match("booking-1")
+				booking, _ := t.MatchFunction("booking-1")
 				t.Deployment.Classes[booking.Class].DedupWindow = 60_000_000
 			}, serverOptions(0), serverOptions(1))
 			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
@@ -242,7 +242,7 @@
 
 // ticketClass returns the class of requests that must not be repeated.
 func (tg *testGateway) ticketClass() control.ClassID {
-	pattern, _ := tg.gateway.config.Match("ticket-1")
+	pattern, _ := tg.gateway.config.MatchFunction("ticket-1")
 	return pattern.Class
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,7 +20,7 @@
 	call     kserve.Call
 	message  *rest.Request
 	params   kserve.Ask
-	pattern  Pattern
+	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
 	response chan *rest.Response // holds one: the final answer
@@ -31,7 +31,7 @@
 	idempotencyKey string
 	journalKey     persistence.IdempotencyKey // 0: the journal need not know of its attempts
 	objectiveAt    control.Micros             // when it is to be answered by its class's latency objective
-	answer         attempt.FinalAnswer
+	answer         attempt.FinalResponse
 	attempts       []*serverCall // nil: an attempt of an earlier incarnation
 }
 
@@ -60,7 +60,7 @@
 func (g *Gateway) handleRequest(now control.Micros, req *request) {
 	key := g.config.journalKey(req.function, req.params, req.pattern.Class)
 	if resp := g.rejectionOf(now, req, key); resp != nil {
-		req.answer.Give()
+		req.answer.Decide()
 		req.response <- resp
 		g.metrics.countAnswer(answerRejected)
 		return
@@ -117,7 +117,7 @@
 
 // finish gives a request its one final answer and withdraws what of it is not written yet.
 func (g *Gateway) finish(req *request, answer finalAnswer, resp *rest.Response) {
-	if !req.answer.Give() {
+	if !req.answer.Decide() {
 		return
 	}
 	for _, call := range req.attempts { // an answered request is not sent any more
@@ -142,7 +142,7 @@
 // handleClientClosed ends a request whose client has closed its side. The answer is still written: a client that closed
 // only its own side reads it.
 func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
-	if req.answer.Given {
+	if req.answer.Decided {
 		return
 	}
 	g.core.Cancel(now, req.id)
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -16,7 +16,7 @@
 }
 
 // countBadMessage counts a client message that breaks the protocol.
-func (r *Router) countBadMessage(f *msgrpc.Fault) { r.anomalies.addDetail(badMessage, f.Text) }
+func (r *Router) countBadMessage(f *msgrpc.MessageError) { r.anomalies.addDetail(badMessage, f.Text) }
 
 // logState logs the state line: connections, requests, the estimates behind the slow-start budget, and, counted since the
 // last line, how attempts and requests ended, why there were retries, why connections closed, and the anomalies.
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -73,7 +73,7 @@
 	if h.current == nil {
 		return errNoRouter
 	}
-	boot, err := simproto.ReadBootInfo(settings)
+	boot, err := simproto.ParseBootInfo(settings)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	return h.withRouter(func(r *router) error {
 		r.core.HandleOutcome(h.now, control.RequestID(a.ID), control.Outcome{Attempt: control.AttemptID(a.Attempt),
 			Server: serverID(a.Server), Result: result, CacheStatus: control.CacheStatus(a.Flags & cacheStatusMask),
-			Duration: control.Micros(a.Duration), RequestDone: a.RequestDone, Report: config.Report(r.reportFields, a.Load)})
+			Duration: control.Micros(a.Duration), RequestDone: a.RequestDone, Report: config.LoadReport(r.reportFields, a.Load)})
 		return nil
 	})
 }
