--- a/control/estimates.go
+++ b/control/estimates.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Estimates: execution and load times, objectives, and the samples that they are computed from.
+// This file estimates execution and load times from samples of recent measurements.
 
 // execTime estimates a function's execution time: the request's hint, else the mean of the latest answers from loaded
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
@@ -13,8 +13,8 @@
 	}
 	const minSamples = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
-	if s.n < minSamples {
-		if s = &b.execTimes[req.Class]; s.n < minSamples {
+	if s.count < minSamples {
+		if s = &b.execTimes[req.Class]; s.count < minSamples {
 			// Before any answer: a guess that makes B 3.
 			return b.deployment.Classes[req.Class].LatencyObjective / 4
 		}
@@ -45,22 +45,22 @@
 
 // samples is a ring of the latest measurements and their times.
 type samples struct {
-	v, at [16]Micros
-	n     int // number of measurements ever taken
+	values, times [16]Micros
+	count         int // number of measurements ever taken
 }
 
 func (s *samples) add(now, v Micros) {
-	i := s.n % len(s.v)
-	s.v[i], s.at[i] = v, now
-	s.n++
+	i := s.count % len(s.values)
+	s.values[i], s.times[i] = v, now
+	s.count++
 }
 
 // since returns the measurements taken at t or later, in ascending order.
 func (s *samples) since(t Micros) []Micros {
 	var values []Micros
-	for i := range min(s.n, len(s.v)) {
-		if s.at[i] >= t {
-			values = append(values, s.v[i])
+	for i := range min(s.count, len(s.values)) {
+		if s.times[i] >= t {
+			values = append(values, s.values[i])
 		}
 	}
 	slices.Sort(values)
@@ -70,8 +70,8 @@
 // mean returns the mean of the measurements taken at t or later; 0 if there are none.
 func (s *samples) mean(t Micros) Micros {
 	var sum, n Micros
-	for i, v := range s.v[:min(s.n, len(s.v))] {
-		if s.at[i] >= t {
+	for i, v := range s.values[:min(s.count, len(s.values))] {
+		if s.times[i] >= t {
 			sum, n = sum+v, n+1
 		}
 	}
--- a/control/homes.go
+++ b/control/homes.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// homeSet is the part of a function's order of ready servers in which its homes are found: all with a static key (see
-// ranking) below a bound. Each server is in it twice: by its key in the order that all routers share, which tells
-// whether it is a home, and by its key in this router's order of the homes. Home sets exist for functions that had
-// several homes when a request for them needed a load. They are derived from the endpoint list and never stored.
+// homeSet is the part of a function's server order that contains its homes: all ready servers whose static key (see
+// ranking) is below a bound. Each server is in it twice: by its key in the order that all routers share, which
+// determines whether it is a home, and by its key in the order in which this router prefers the homes. A function gets
+// a home set once a request for it needs a load while it has several homes. Home sets are derived from the endpoint
+// list and never stored.
 type homeSet struct {
-	keys    []float64   // static keys in the shared order, ascending
-	entries []homeEntry // by ownKey
-	bound   float64     // no ready server outside the set has a lower static key
-	size    int         // servers expected below the bound when the set was built; 0: not built
-	seen    int         // changes of the endpoint list applied so far
+	keys           []float64   // static keys in the shared order, ascending
+	entries        []homeEntry // by ownKey
+	bound          float64     // no ready server outside the set has a lower static key
+	size           int         // servers expected below the bound when the set was built; 0: not built
+	appliedChanges int         // changes of the endpoint list applied so far
 }
 
 // homeEntry is a server with its static keys.
@@ -60,10 +61,11 @@
 	}
 }
 
-// buildHomes builds a function's home set from all servers, with about size of them.
+// buildHomes builds a function's home set by a scan of all ready servers. It chooses the bound so that about size of
+// them are below it.
 func (b *Balancer) buildHomes(f *function, size int) {
 	hs, idx := &f.homes, &b.index
-	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, seen: idx.changeCount()}
+	*hs = homeSet{keys: hs.keys[:0], entries: hs.entries[:0], bound: b.keyBound(size), size: size, appliedChanges: idx.changeCount()}
 	maxDistance := idx.hashBound(hs.bound)
 	for i := idx.nextWithin(0, f, maxDistance); i < len(idx.ready); i = idx.nextWithin(i+1, f, maxDistance) {
 		s := idx.ready[i]
@@ -75,18 +77,18 @@
 	slices.SortFunc(hs.entries, byOwnKey)
 }
 
-// currentHomes returns a function's home set with all changes of the endpoint list applied. It is built if there is
-// none, or if it was built for far more or for fewer servers than are needed now.
+// currentHomes returns a function's home set with all changes of the endpoint list applied. It rebuilds the set if
+// there is none, or if it was built for far more or for fewer servers than are needed now.
 func (b *Balancer) currentHomes(f *function, need int) *homeSet {
-	const maxExcess = 16 // a walk finds every maxExcess-th server to be a home, and needs two
+	const maxExcess = 16 // at this excess one entry in 16 is a home, and a walk needs two
 	hs, idx := &f.homes, &b.index
-	if hs.size == 0 || hs.seen < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
+	if hs.size == 0 || hs.appliedChanges < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
 		hs.size < need && !math.IsInf(hs.bound, 1) {
 		b.buildHomes(f, 2*need)
 		return hs
 	}
 	maxDistance := idx.hashBound(hs.bound)
-	for _, c := range idx.changes[hs.seen-idx.droppedChanges:] {
+	for _, c := range idx.changes[hs.appliedChanges-idx.droppedChanges:] {
 		if ^hash(uint64(f.id), uint64(c.server)) > maxDistance {
 			continue
 		}
@@ -97,20 +99,20 @@
 			hs.add(b.homeEntry(f, c.server, c.to))
 		}
 	}
-	hs.seen = idx.changeCount()
+	hs.appliedChanges = idx.changeCount()
 	return hs
 }
 
-// prefersHomeSet reports whether a home set is worth its cost for a function with several homes. It isn't where its
-// walk would be long, because the function's homes are few in a small fleet, nor where many servers deviate from their
-// static place: a scan then costs no more.
+// prefersHomeSet reports whether a home set is worth its cost for a function with several homes. A scan of all servers
+// costs no more if the walk would be long, because a small fleet has few homes for the function, or if many servers
+// have a key that differs from their static one.
 func (b *Balancer) prefersHomeSet(f *function) bool {
-	const maxWalk, maxUnusual = 1. / 8, 1. / 8 // as a part of all ready servers; measured with 60 to 3,200 servers
+	const maxWalk, maxDeviating = 1. / 8, 1. / 8 // as fractions of the ready servers; measured with 60 to 3,200 servers
 	ready := len(b.index.ready)
 	homes := b.homeCount(f, ready)
-	walk := 2 * float64(2*b.likelyWithin(homes, ready)) / float64(homes)
-	unusual := len(b.index.impaired) + len(b.index.slowStart.servers)
-	return walk <= maxWalk*float64(ready) && float64(unusual) <= maxUnusual*float64(ready)
+	walk := 2 * float64(2*b.expectedScanLength(homes, ready)) / float64(homes)
+	deviating := len(b.index.impaired) + len(b.index.slowStart.servers)
+	return walk <= maxWalk*float64(ready) && float64(deviating) <= maxDeviating*float64(ready)
 }
 
 // firstTwoHomes returns the first two servers that a load may go to, in loadTarget's order, from the home set of a
@@ -125,11 +127,11 @@
 	if homes < 2 {
 		return b.firstTwoByRanking(now, f, req)
 	}
-	need := b.likelyWithin(homes, usable)
+	need := b.expectedScanLength(homes, usable)
 	hs := b.currentHomes(f, need)
 	b.findDeviations(now, f, req)
 	if b.countBelow(hs, hs.bound) < homes && hs.size < 4*need {
-		b.buildHomes(f, 8*need) // slow start raises keys a few times
+		b.buildHomes(f, 8*need) // slow start can make a key a few times as large
 		b.findDeviations(now, f, req)
 	}
 	if b.countBelow(hs, hs.bound) < homes {
@@ -138,8 +140,8 @@
 	return b.walkHomes(now, f, req, homes), true
 }
 
-// walkHomes returns the first two homes, of which the home set must contain all. It walks the static order: as in
-// walkRanking, the first static key that can't beat the candidates ends it.
+// walkHomes returns the first two homes. All homes must be in the home set. It walks the entries in static order and,
+// as in walkRanking, stops at the first static key that is not below those of the two candidates.
 func (b *Balancer) walkHomes(now Micros, f *function, req *Request, homes int) []candidate {
 	hs, firstTwo := &f.homes, b.candidates[:0]
 	for _, e := range hs.entries {
@@ -147,7 +149,7 @@
 			break
 		}
 		s := b.servers.find(e.id)
-		if !b.usableUnchanged(now, s, req) {
+		if !b.usableReadOnly(now, s, req) {
 			continue
 		}
 		c, key := candidate{s, e.ownKey, b.weight(now, s)}, e.key
@@ -162,7 +164,7 @@
 	return firstTwo
 }
 
-// insertFirstTwo inserts a candidate in order into a list of the first two.
+// insertFirstTwo inserts a candidate by key into a list that keeps the first two.
 func insertFirstTwo(firstTwo []candidate, c candidate) []candidate {
 	if len(firstTwo) == 2 {
 		if c.key >= firstTwo[1].key {
@@ -176,17 +178,17 @@
 	return firstTwo
 }
 
-// deviation is a server whose present key in a function's order isn't its static one.
+// deviation holds the two keys of a server whose current key in a function's order differs from its static one.
 type deviation struct {
 	static  float64
-	present float64 // infinite for a server that can't be used
+	current float64 // infinite for a server that can't be used
 }
 
-// findDeviations finds the deviations of servers in a function's home set.
+// findDeviations sets b.deviations to the deviations of the servers in a function's home set.
 func (b *Balancer) findDeviations(now Micros, f *function, req *Request) {
 	b.deviations = b.deviations[:0]
 	maxDistance := b.index.hashBound(f.homes.bound)
-	for s := range b.index.unusual {
+	for s := range b.index.impairedOrInSlowStart {
 		if ^hash(uint64(f.id), uint64(s.Server)) > maxDistance || s.weight == 0 {
 			continue
 		}
@@ -194,24 +196,24 @@
 		if d.static >= f.homes.bound {
 			continue
 		}
-		if b.usableUnchanged(now, s, req) {
-			d.present = rankKey(uint64(f.id), s.Server, b.weight(now, s))
+		if b.usableReadOnly(now, s, req) {
+			d.current = rankKey(uint64(f.id), s.Server, b.weight(now, s))
 		}
-		if d.present != d.static {
+		if d.current != d.static {
 			b.deviations = append(b.deviations, d)
 		}
 	}
 }
 
-// countBelow returns how many usable servers have a present key below the given one. Above the home set's bound it
-// may leave some out, but still returns no less than at the bound.
+// countBelow returns how many usable servers have a current key below the given one. Above the home set's bound it may
+// miss some, but still returns no less than at the bound.
 func (b *Balancer) countBelow(hs *homeSet, key float64) int {
 	n, _ := slices.BinarySearch(hs.keys, key)
 	for _, d := range b.deviations {
 		if d.static < key {
 			n--
 		}
-		if d.present < key {
+		if d.current < key {
 			n++
 		}
 	}
--- a/control/slowstartset.go
+++ b/control/slowstartset.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// slowStartSet holds the ready servers in slow start, by the end of their slow start, with the sum of their ages by weight:
-// the capacity of all of them together is had without visiting each. It is the same for a set however it came about, since
-// its sums are whole numbers.
+// slowStartSet holds the ready servers in slow start, by the end of their slow start, with the sum of their weighted
+// ages, so that their total capacity is computed without visiting each. The sums are integers, so they depend only on
+// the servers in the set, not on the order of changes.
 type slowStartSet struct {
 	servers []*server   // by slowStartSince, then by ID
 	weight  milliWeight // of all of them
@@ -25,14 +25,14 @@
 	return cmp.Or(cmp.Compare(a.slowStartSince, b.slowStartSince), byID(a, b))
 }
 
-// set inserts a server that started at the given time, or updates its place and weight; 0 removes it.
-func (set *slowStartSet) set(s *server, startedAt Micros, weight milliWeight) {
+// update inserts a server that started at the given time, or updates its place and weight; 0 removes it.
+func (set *slowStartSet) update(s *server, startedAt Micros, weight milliWeight) {
 	if s.slowStartSince == startedAt && s.slowStartWeight == weight {
 		return
 	}
 	if s.slowStartSince != 0 {
 		set.servers = deleteSorted(set.servers, s, bySlowStart)
-		set.drop(s)
+		set.subtract(s)
 	}
 	if s.slowStartSince, s.slowStartWeight = startedAt, weight; startedAt == 0 {
 		return
@@ -45,8 +45,8 @@
 	set.sum += weight.times(startedAt - set.base)
 }
 
-// drop subtracts a server from the sums.
-func (set *slowStartSet) drop(s *server) {
+// subtract subtracts a server from the sums.
+func (set *slowStartSet) subtract(s *server) {
 	set.weight -= s.slowStartWeight
 	set.sum -= s.slowStartWeight.times(s.slowStartSince - set.base)
 }
@@ -56,15 +56,15 @@
 	n := 0
 	for n < len(set.servers) && set.servers[n].slowStartSince <= until {
 		s := set.servers[n]
-		set.drop(s)
+		set.subtract(s)
 		s.slowStartSince = 0
 		n++
 	}
 	set.servers = slices.Delete(set.servers, 0, n)
 }
 
-// totalAge returns the sum of the servers' ages by weight. One that starts in the future, as by another machine's clock,
-// counts 0.
+// totalAge returns the sum of the servers' ages, weighted. A server with a start time in the future, by another
+// machine's clock, counts as of age 0.
 func (set *slowStartSet) totalAge(now Micros) weightTime {
 	started, weight, sum := len(set.servers), set.weight, set.sum
 	for started > 0 && set.servers[started-1].slowStartSince > now {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Snapshot is the whole state of a balancer in plain values; a restored balancer makes the same decisions from there
-// on. Functions are in the order in which they were first seen, servers by ascending id.
+// Snapshot is the whole state of a balancer in plain values; a balancer restored from it makes the same decisions from
+// there on. Functions are in the order of first use, servers by ascending ID.
 type Snapshot struct {
 	Deployment     Deployment         `json:"Told"`
 	Random         uint64             `json:"Chance"`
@@ -26,7 +26,8 @@
 	Answers        []Micros           `json:"Answers"`
 	AnswerRate     float64            `json:"Rate"`
 	ObservationTTL Micros             `json:"Fresh"`
-	// Not in checkpoints of builds before it: their capacity counts as unchanged for the time of Answers.
+	// Missing in checkpoints of builds before it was added: the capacity then counts as unchanged over the time of
+	// Answers.
 	CapacityHistory *CapacityHistorySnapshot `json:"Ready,omitempty" golden:"joined"`
 	PendingChecks   []int                    `json:"Waiting"` // positions in Functions
 	RecentFunctions []int                    `json:"Recent"`  // positions in Functions
@@ -34,11 +35,11 @@
 	Subscribed      bool                     `json:"Watching"`
 }
 
-// CapacityHistorySnapshot is the capacity of the ready servers over the time for which answers count.
+// CapacityHistorySnapshot is the capacity of the ready servers over the time in which answers are counted.
 type CapacityHistorySnapshot struct {
 	Periods []CapacityPeriod `json:"Periods"` // in order of time
 	AsOf    Micros           `json:"AsOf"`
-	// Of the ready servers when the answer rate was last computed.
+	// Mean weight of the ready servers when the answer rate was last computed.
 	MeanWeight float64 `json:"Weight"`
 }
 
@@ -79,7 +80,7 @@
 	ConnectionFailures int                `json:"Breaks"`
 }
 
-// InFlightSnapshot is one attempt in flight, with the id of its request.
+// InFlightSnapshot is one attempt in flight, with the ID of its request.
 type InFlightSnapshot struct {
 	Request  RequestID `json:"Job"`
 	Attempt  AttemptID `json:"No"`
@@ -133,7 +134,7 @@
 	Cancelling bool    `json:"Recall"`
 }
 
-// Samples holds the latest measurements and their times. N counts all that were ever taken.
+// Samples holds the latest measurements and their times. Count is the number of all measurements ever taken.
 type Samples struct {
 	Values []Micros `json:"V"`
 	Times  []Micros `json:"At"`
@@ -141,14 +142,14 @@
 }
 
 func (s *samples) snapshot() Samples {
-	n := min(s.n, len(s.v))
-	return Samples{slices.Clone(s.v[:n]), slices.Clone(s.at[:n]), s.n}
+	n := min(s.count, len(s.values))
+	return Samples{slices.Clone(s.values[:n]), slices.Clone(s.times[:n]), s.count}
 }
 
 func (s Samples) restore() (r samples) {
-	copy(r.v[:], s.Values)
-	copy(r.at[:], s.Times)
-	r.n = s.Count
+	copy(r.values[:], s.Values)
+	copy(r.times[:], s.Times)
+	r.count = s.Count
 	return r
 }
 
@@ -183,8 +184,8 @@
 	return req
 }
 
-// convertAll returns the results of f for each element.
-func convertAll[T, S any](from []T, f func(T) S) []S {
+// mapSlice returns the results of f for all elements.
+func mapSlice[T, S any](from []T, f func(T) S) []S {
 	to := make([]S, 0, len(from))
 	for _, t := range from {
 		to = append(to, f(t))
@@ -192,7 +193,7 @@
 	return to
 }
 
-func snapshots(s []samples) []Samples {
+func snapshotSamples(s []samples) []Samples {
 	to := make([]Samples, len(s))
 	for i := range s {
 		to[i] = s[i].snapshot()
@@ -206,8 +207,8 @@
 		Deployment:      b.deployment,
 		Random:          uint64(b.random),
 		StartedAt:       b.startedAt,
-		ExecTimes:       snapshots(b.execTimes),
-		Timeouts:        snapshots(b.deadlines),
+		ExecTimes:       snapshotSamples(b.execTimes),
+		Timeouts:        snapshotSamples(b.timeouts),
 		QuotaDebt:       slices.Clone(b.quotaDebt),
 		Latencies:       b.latencies.snapshot(),
 		LoadTimes:       b.loadTimes.snapshot(),
@@ -215,12 +216,12 @@
 		LoadCommands:    slices.Clone(b.loadCommands),
 		Admitted:        slices.Clone(b.admitted),
 		Cancellations:   slices.Clone(b.cancellations),
-		ServerEvents:    convertAll(b.serverEvents, ServerEvent.String),
+		ServerEvents:    mapSlice(b.serverEvents, ServerEvent.String),
 		Answers:         slices.Clone(b.answers),
 		AnswerRate:      b.answerRate,
-		ObservationTTL:  b.freshFor,
+		ObservationTTL:  b.observationTTL,
 		CapacityHistory: b.capacityHistory.snapshot(),
-		PruneCursor:     b.pruned,
+		PruneCursor:     b.pruneCursor,
 		Subscribed:      b.subscribed,
 	}
 	for v := range b.servers.all {
@@ -232,7 +233,7 @@
 		s.Functions = append(s.Functions, f.snapshot())
 	}
 	at := func(f *function) int { return position[f] }
-	s.RecentFunctions, s.PendingChecks = convertAll(b.recent, at), convertAll(b.waiting, at)
+	s.RecentFunctions, s.PendingChecks = mapSlice(b.recentFunctions, at), mapSlice(b.pendingChecks, at)
 	return s
 }
 
@@ -242,14 +243,14 @@
 		Listed:     s.listed,
 		LastListed: b.lastListed(s),
 		LastAnswer: s.lastAnswer,
-		InFlight: convertAll(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
+		InFlight: mapSlice(s.inFlight, func(a inFlightAttempt) InFlightSnapshot {
 			return InFlightSnapshot{a.request.ID, a.attempt, a.sentAt, a.toLoaded}
 		}),
 		SlowStartSends:     slices.Clone(s.slowStartSends),
 		Report:             s.report,
 		ReportedAt:         s.reportedAt,
 		BackoffUntil:       s.backoffUntil,
-		LoadBackoffUntil:   s.loadsAfter,
+		LoadBackoffUntil:   s.loadBackoffUntil,
 		ConcurrencyLimit:   s.concurrencyLimit,
 		Running:            s.running,
 		LimitLoweredAt:     s.limitLoweredAt,
@@ -267,7 +268,7 @@
 		ID:       f.id,
 		Lanes:    f.lanes,
 		LoadsDue: f.loadsDue,
-		Instances: convertAll(f.instances, func(inst *instance) InstanceSnapshot {
+		Instances: mapSlice(f.instances, func(inst *instance) InstanceSnapshot {
 			return InstanceSnapshot{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince,
 				inst.inFlight}
 		}),
@@ -275,8 +276,8 @@
 		Delays:         f.delays.snapshot(),
 		Shed:           f.shed.snapshot(),
 		Held:           f.held,
-		CheckPending:   f.waiting,
-		RecentRequests: f.recent,
+		CheckPending:   f.checkPending,
+		RecentRequests: f.recentRequests,
 		HeldSince:      f.heldSince,
 		BlockedAt:      f.blockedAt,
 	}
@@ -287,10 +288,10 @@
 	return s
 }
 
-// Restore returns a balancer with the state of the snapshot. The requests in hand are given by id, because the
-// balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
+// Restore returns a balancer with the state of the snapshot. It needs the requests that were not done, by ID, because
+// the balancer keeps part of its state in them. It returns an error for an inconsistent snapshot.
 func Restore(s *Snapshot, requests map[RequestID]*Request) (*Balancer, error) {
-	r := &Balancer{
+	b := &Balancer{
 		deployment:      s.Deployment,
 		random:          pcg(s.Random),
 		startedAt:       s.StartedAt,
@@ -304,35 +305,35 @@
 		cancellations:   slices.Clone(s.Cancellations),
 		answers:         slices.Clone(s.Answers),
 		answerRate:      s.AnswerRate,
-		freshFor:        s.ObservationTTL,
+		observationTTL:  s.ObservationTTL,
 		capacityHistory: s.CapacityHistory.restore(),
-		pruned:          s.PruneCursor,
+		pruneCursor:     s.PruneCursor,
 		subscribed:      s.Subscribed,
-		execTimes:       convertAll(s.ExecTimes, Samples.restore),
-		deadlines:       convertAll(s.Timeouts, Samples.restore),
+		execTimes:       mapSlice(s.ExecTimes, Samples.restore),
+		timeouts:        mapSlice(s.Timeouts, Samples.restore),
 	}
-	classes, tenants := len(r.deployment.Classes), len(r.deployment.Quotas)
-	if len(r.execTimes) != classes || len(r.deadlines) != classes || len(r.quotaDebt) != tenants {
-		return nil, fmt.Errorf("snapshot: tables do not fit its %d workloads and %d tenants", classes, tenants)
+	classes, tenants := len(b.deployment.Classes), len(b.deployment.Quotas)
+	if len(b.execTimes) != classes || len(b.timeouts) != classes || len(b.quotaDebt) != tenants {
+		return nil, fmt.Errorf("snapshot: table lengths do not match its %d request classes and %d tenants", classes, tenants)
 	}
-	if err := r.restoreServers(s.Servers, requests); err != nil {
+	if err := b.restoreServers(s.Servers, requests); err != nil {
 		return nil, err
 	}
-	if err := r.restoreFunctions(s.Functions, requests); err != nil {
+	if err := b.restoreFunctions(s.Functions, requests); err != nil {
 		return nil, err
 	}
 	var err error
-	if r.recent, err = r.functionsAt(s.RecentFunctions); err != nil {
+	if b.recentFunctions, err = b.functionsAt(s.RecentFunctions); err != nil {
 		return nil, err
 	}
-	if r.waiting, err = r.functionsAt(s.PendingChecks); err != nil {
+	if b.pendingChecks, err = b.functionsAt(s.PendingChecks); err != nil {
 		return nil, err
 	}
-	if r.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
+	if b.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
 		return nil, err
 	}
-	r.rebuildIndex()
-	return r, nil
+	b.rebuildIndex()
+	return b, nil
 }
 
 func parseServerEvents(texts []string) ([]ServerEvent, error) {
@@ -356,7 +357,7 @@
 		for _, a := range v.InFlight {
 			req := requests[a.Request]
 			if req == nil || int(a.Attempt) >= len(req.Attempts) {
-				return fmt.Errorf("snapshot: execution %d of job %d is out, but not in hand", a.Attempt, a.Request)
+				return fmt.Errorf("snapshot: attempt %d of request %d is in flight, but the request or attempt is not known", a.Attempt, a.Request)
 			}
 			s.inFlight = append(s.inFlight, inFlightAttempt{req, a.Attempt, a.SentAt, a.ToLoaded})
 		}
@@ -376,7 +377,7 @@
 		report:             s.Report,
 		reportedAt:         s.ReportedAt,
 		backoffUntil:       s.BackoffUntil,
-		loadsAfter:         s.LoadBackoffUntil,
+		loadBackoffUntil:   s.LoadBackoffUntil,
 		concurrencyLimit:   s.ConcurrencyLimit,
 		running:            s.Running,
 		limitLoweredAt:     s.LimitLoweredAt,
@@ -396,7 +397,7 @@
 		for _, inst := range v.Instances {
 			s := b.servers.find(inst.Server)
 			if s == nil {
-				return fmt.Errorf("snapshot: function %x stands on the unknown server %x", v.ID, inst.Server)
+				return fmt.Errorf("snapshot: function %x has an instance on the unknown server %x", v.ID, inst.Server)
 			}
 			f.instances = append(f.instances,
 				&instance{s, inst.Replicas, inst.LastUsed, inst.Loading, inst.LoadingSince, inst.InFlight})
@@ -409,17 +410,17 @@
 // restore returns the function without its instances.
 func (s FunctionSnapshot) restore(requests map[RequestID]*Request) *function {
 	f := &function{
-		id:        s.ID,
-		lanes:     s.Lanes,
-		loadsDue:  s.LoadsDue,
-		execTimes: s.ExecTimes.restore(),
-		delays:    s.Delays.restore(),
-		shed:      s.Shed.restore(),
-		held:      s.Held,
-		waiting:   s.CheckPending,
-		recent:    s.RecentRequests,
-		heldSince: s.HeldSince,
-		blockedAt: s.BlockedAt,
+		id:             s.ID,
+		lanes:          s.Lanes,
+		loadsDue:       s.LoadsDue,
+		execTimes:      s.ExecTimes.restore(),
+		delays:         s.Delays.restore(),
+		shed:           s.Shed.restore(),
+		held:           s.Held,
+		checkPending:   s.CheckPending,
+		recentRequests: s.RecentRequests,
+		heldSince:      s.HeldSince,
+		blockedAt:      s.BlockedAt,
 	}
 	if s.LastRequest != nil {
 		if f.lastRequest = requests[s.LastRequest.Request.ID]; f.lastRequest == nil {
@@ -430,12 +431,12 @@
 	return f
 }
 
-// functionsAt returns the functions at some positions of functionOrder; nil for no positions.
+// functionsAt returns the functions at the given positions of functionOrder; nil for no positions.
 func (b *Balancer) functionsAt(positions []int) ([]*function, error) {
 	var functions []*function
 	for _, i := range positions {
 		if i < 0 || i >= len(b.functionOrder) {
-			return nil, fmt.Errorf("snapshot: a job for function %d of %d", i, len(b.functionOrder))
+			return nil, fmt.Errorf("snapshot: position %d is not in its list of %d functions", i, len(b.functionOrder))
 		}
 		functions = append(functions, b.functionOrder[i])
 	}
