--- a/internal/platform/answers_test.go
+++ b/internal/platform/answers_test.go
@@ -29,7 +29,7 @@
 				time.Sleep(2 * lastReadTime) // stalled
 			}
 		})
-		c.healthCheck(1)
+		c.sendHealthCheck(1)
 		c.expect("1: true")
 		end(ours)
 		if got := c.receive(); len(got) < 3 || got[:3] != "2: " {
@@ -60,7 +60,7 @@
 	accepted := make([]*testClient, r.maxClients)
 	for i := range accepted {
 		accepted[i] = r.dial(t)
-		accepted[i].call(1, "again", "ref", fmt.Sprintf("%016x", i+1), "allow", "3500")
+		accepted[i].sendRequest(1, "again", "ref", fmt.Sprintf("%016x", i+1), "allow", "3500")
 		platformtest.WaitFor(t, "it is read", func() bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -94,7 +94,7 @@
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	<-held
 	r.config.classes["panics"] = 99 // there is no such class
 	c.conn.Write(append(longRequest(t, 2, "panics"), longRequest(t, 3, "again")...))
@@ -102,7 +102,7 @@
 	c.expect("2: Aborted")
 	c.expect("3: Aborted")
 	c.expect("closed")
-	if r.anomaly(panicReadingClient) != 1 {
+	if r.anomalyCount(panicReadingClient) != 1 {
 		t.Error("it is not counted")
 	}
 }
--- a/internal/platform/badclients_test.go
+++ b/internal/platform/badclients_test.go
@@ -22,17 +22,17 @@
 	var all sync.WaitGroup
 	for name, misbehave := range map[string]func(c *testClient, n int){
 		"noise":            func(c *testClient, _ int) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"unknown classes":  func(c *testClient, n int) { c.call(n, "unknown") },
-		"a number twice":   func(c *testClient, _ int) { c.call(1, "again", withID(255)...) },
-		"another's id":     func(c *testClient, n int) { c.call(n, "again", withID(1+n%requests)...) },
+		"unknown classes":  func(c *testClient, n int) { c.sendRequest(n, "unknown") },
+		"a number twice":   func(c *testClient, _ int) { c.sendRequest(1, "again", withID(255)...) },
+		"another's id":     func(c *testClient, n int) { c.sendRequest(n, "again", withID(1+n%requests)...) },
 		"half and a close": func(c *testClient, _ int) { c.conn.Write([]byte{0x94, 0, 1}); c.conn.Close() },
 		"cancels at once": func(c *testClient, n int) {
-			c.call(2*n, "again", withID(1<<20+n)...)
-			c.cancel(2 * n)
+			c.sendRequest(2*n, "again", withID(1<<20+n)...)
+			c.sendCancel(2 * n)
 		},
-		"leaves at once":    func(c *testClient, n int) { c.call(n, "again", withID(1<<30+n)...); c.conn.Close() },
-		"reads nothing":     func(c *testClient, n int) { c.call(n, "unknown") },
-		"asks for too many": func(c *testClient, n int) { c.call(n, "again", withID(1<<40+n)...) },
+		"leaves at once":    func(c *testClient, n int) { c.sendRequest(n, "again", withID(1<<30+n)...); c.conn.Close() },
+		"reads nothing":     func(c *testClient, n int) { c.sendRequest(n, "unknown") },
+		"asks for too many": func(c *testClient, n int) { c.sendRequest(n, "again", withID(1<<40+n)...) },
 	} {
 		all.Go(func() {
 			for conn := (net.Conn)(nil); ; {
@@ -62,7 +62,7 @@
 	}
 	answers := map[string]int{}
 	for n := 1; n <= requests; n++ {
-		regular.call(n, "again")
+		regular.sendRequest(n, "again")
 		time.Sleep(5 * time.Millisecond)
 	}
 	for range requests {
@@ -90,21 +90,21 @@
 	const open = 5
 	for name, bad := range map[string]func(c *testClient){
 		"noise":          func(c *testClient) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
-		"a number twice": func(c *testClient) { c.call(open, "again", withID(255)...) },
+		"a number twice": func(c *testClient) { c.sendRequest(open, "again", withID(255)...) },
 		"wrong messages": func(c *testClient) {
 			for n := range tolerableFaults + 1 {
-				c.call(100+n, "unknown")
+				c.sendRequest(100+n, "unknown")
 			}
 		},
 		"a body of 60 MB": func(c *testClient) { c.conn.Write([]byte{0x94, 0, 100, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
 		server, _ := holdingServer(t)
 		r := start(t, server)
-		c, ours := r.dialHooked(t, noHook)
+		c, ours := r.dialHooked(t, ignoreReads)
 		for n := 1; n <= open; n++ {
-			c.call(n, "again")
+			c.sendRequest(n, "again")
 		}
-		platformtest.WaitFor(t, "all are open", func() bool { return ours.openRequests() == open })
+		platformtest.WaitFor(t, "all are open", func() bool { return ours.openRequestCount() == open })
 		bad(c)
 		c.conn.(*net.TCPConn).CloseWrite()
 		answers := map[string]int{}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -18,27 +18,27 @@
 type clientConn struct {
 	router            *Router
 	conn              net.Conn
-	in                *deadlineReader
+	input             *deadlineReader
 	tracked           *trackedConn
 	writes            writeQueue
 	mu                sync.Mutex
 	open              map[uint32]*request // by message number
 	lastNumber        uint32              // the largest so far
 	healthChecks      int                 // health checks not answered yet
-	awaiting          bool                // the reader waits between messages
+	awaitingMessage   bool                // the reader waits between messages
 	closing           bool                // it closes as soon as nothing is open
 	aborting          bool                // it closes even amid a message
 	readUntil         time.Time           // only what is pending is read later; zero: no bound
 	faults            int
 	rejected          bool                       // it is read only to be rejected, and does not count towards the limit
-	refusal           func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
+	rejectWith        func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
 	unanswered        bool                       // the reader's: the request it handles has no answer yet, and is not open
 	sentMessage       atomic.Bool                // a whole message was read
 	idleSince         atomic.Int64               // since when nothing is open, on the router's clock
 	drainTime         time.Duration              // how long input is read after all is written
 	closed            chan struct{}              // closed once the descriptor is free
 	draining          atomic.Bool                // all is written; input is only read and dropped
-	closedNow         atomic.Bool
+	closeNowCalled    atomic.Bool
 	closeNowRequested chan struct{} // closed to end the draining
 	closeReason       atomic.Uint32 // a clientClose
 }
@@ -52,7 +52,7 @@
 
 // closeNow closes a connection at once that only drains.
 func (c *clientConn) closeNow() {
-	if c.draining.Load() && c.closedNow.CompareAndSwap(false, true) {
+	if c.draining.Load() && c.closeNowCalled.CompareAndSwap(false, true) {
 		close(c.closeNowRequested)
 		c.writes.close()
 	}
@@ -62,11 +62,11 @@
 func (c *clientConn) idle() (idle, ending bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nothingOpen(), c.closing
+	return c.hasNothingOpen(), c.closing
 }
 
-// nothingOpen reports whether no request and no health check is open. The lock is held.
-func (c *clientConn) nothingOpen() bool { return len(c.open) == 0 && c.healthChecks == 0 }
+// hasNothingOpen reports whether no request and no health check is open. The lock is held.
+func (c *clientConn) hasNothingOpen() bool { return len(c.open) == 0 && c.healthChecks == 0 }
 
 // closeWhenIdle makes the reader close the connection once nothing is open, after a last read. It then drains for
 // drainTime.
@@ -85,7 +85,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing, c.aborting, c.drainTime = true, true, 0
-	if c.nothingOpen() {
+	if c.hasNothingOpen() {
 		c.conn.SetReadDeadline(time.Now())
 	}
 }
@@ -96,23 +96,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing, c.readUntil = true, time.Now().Add(timeout)
-	if c.awaiting {
+	if c.awaitingMessage {
 		c.conn.SetReadDeadline(time.Now())
 	} else {
 		c.conn.SetReadDeadline(c.readUntil)
 	}
 }
 
-// readTimeOver reports whether reading ends though more may come. It guards against clients that send faster than they
+// readTimeExpired reports whether reading ends though more may come. It guards against clients that send faster than they
 // are read.
-func (c *clientConn) readTimeOver() bool {
+func (c *clientConn) readTimeExpired() bool {
 	c.mu.Lock()
 	late := c.pastReadTime()
 	c.mu.Unlock()
-	if late && !c.in.finished {
-		c.in.finish()
+	if late && !c.input.finished {
+		c.input.finish()
 	}
-	return late && len(c.in.remaining) == 0
+	return late && len(c.input.remaining) == 0
 }
 
 // pastReadTime reports whether only what is pending is still read. The lock is held.
@@ -122,7 +122,7 @@
 
 // wakeReader wakes a reader that waits for a message on a connection that may close. The lock is held.
 func (c *clientConn) wakeReader() {
-	if c.closing && c.awaiting && c.nothingOpen() {
+	if c.closing && c.awaitingMessage && c.hasNothingOpen() {
 		c.conn.SetReadDeadline(time.Now())
 	}
 }
@@ -131,7 +131,7 @@
 func (c *clientConn) awaitMessage(in *msgrpc.Reader, firstDeadline time.Time) bool {
 	for {
 		c.mu.Lock()
-		c.awaiting = true
+		c.awaitingMessage = true
 		at := time.Now().Add(clientIdleTimeout)
 		if !c.sentMessage.Load() {
 			at = firstDeadline
@@ -139,36 +139,36 @@
 		if !c.readUntil.IsZero() {
 			at = c.readUntil
 		}
-		if c.closing && c.nothingOpen() && !c.rejected {
+		if c.closing && c.hasNothingOpen() && !c.rejected {
 			at = time.Now()
 		}
-		c.in.setDeadline(at)
+		c.input.setDeadline(at)
 		c.mu.Unlock()
 		err := in.Await()
 		c.mu.Lock()
-		c.awaiting = false
-		nothing := c.nothingOpen() || c.pastReadTime()
+		c.awaitingMessage = false
+		nothing := c.hasNothingOpen() || c.pastReadTime()
 		c.mu.Unlock()
 		if err == nil {
 			return true
 		}
 		if late := errors.Is(err, os.ErrDeadlineExceeded); nothing || !late {
-			c.noteAwaitEnd(late)
+			c.recordAwaitEnd(late)
 			return false
 		}
 	}
 }
 
-// noteAwaitEnd notes why the wait for a message has ended: by a deadline, or by the client.
-func (c *clientConn) noteAwaitEnd(late bool) {
+// recordAwaitEnd notes why the wait for a message has ended: by a deadline, or by the client.
+func (c *clientConn) recordAwaitEnd(late bool) {
 	switch {
 	case !late:
-		c.closesBecause(clientEnded)
+		c.setCloseReason(clientCloseByClient)
 	case !c.sentMessage.Load():
 		c.router.anomalies.add(clientTooSlow)
-		c.closesBecause(clientSlow)
+		c.setCloseReason(clientCloseSlow)
 	default:
-		c.closesBecause(clientIdle)
+		c.setCloseReason(clientCloseIdle)
 	}
 }
 
@@ -178,13 +178,13 @@
 	defer c.mu.Unlock()
 	switch {
 	case c.aborting:
-		c.in.setDeadline(time.Now())
+		c.input.setDeadline(time.Now())
 	case !c.readUntil.IsZero():
-		c.in.setDeadline(c.readUntil)
+		c.input.setDeadline(c.readUntil)
 	case !c.sentMessage.Load():
-		c.in.setDeadline(firstDeadline)
+		c.input.setDeadline(firstDeadline)
 	default:
-		c.in.setDeadline(time.Now().Add(messageTimeout))
+		c.input.setDeadline(time.Now().Add(messageTimeout))
 	}
 }
 
@@ -192,10 +192,10 @@
 func (c *clientConn) readLoop() {
 	defer c.router.recoverPanic(panicReadingClient)
 	defer c.finish()
-	in := msgrpc.NewReader(c.in)
+	in := msgrpc.NewReader(c.input)
 	firstDeadline := time.Now().Add(firstMessageTimeout)
 	for {
-		if over := c.readTimeOver(); !in.Buffered() && (over || !c.awaitMessage(in, firstDeadline)) {
+		if over := c.readTimeExpired(); !in.Buffered() && (over || !c.awaitMessage(in, firstDeadline)) {
 			return
 		}
 		c.setMessageDeadline(firstDeadline)
@@ -208,7 +208,7 @@
 				c.post(msgrpc.Invalid(fault.Number, fault.Text))
 			}
 			if fault.Unreadable {
-				c.closesBecause(clientMalformed)
+				c.setCloseReason(clientCloseMalformed)
 				c.closeWhenIdle(drainAfterBadInput)
 				return
 			}
@@ -216,12 +216,12 @@
 			c.penalize()
 			continue
 		case err != nil:
-			if errors.Is(err, os.ErrDeadlineExceeded) && !c.readTimeOver() {
+			if errors.Is(err, os.ErrDeadlineExceeded) && !c.readTimeExpired() {
 				c.router.anomalies.add(clientTooSlow)
-				c.closesBecause(clientSlow)
+				c.setCloseReason(clientCloseSlow)
 				c.closeWhenIdle(drainAfterBadInput)
 			}
-			c.closesBecause(clientEnded)
+			c.setCloseReason(clientCloseByClient)
 			return
 		}
 		c.sentMessage.Store(true)
@@ -234,8 +234,8 @@
 	completed := false
 	defer func() {
 		if !completed {
-			c.closesBecause(clientReadFault)
-			c.refuseFurther(msgrpc.Failure)
+			c.setCloseReason(clientClosePanic)
+			c.failConnection(msgrpc.Failure)
 			if c.unanswered {
 				c.reply(msgrpc.Failure(m.Number))
 			}
@@ -254,12 +254,12 @@
 	completed = true
 }
 
-// refuseFurther fails all requests open on the connection, answers those already sent behind them with refusal, and
+// failConnection fails all requests open on the connection, answers those already sent behind them with refusal, and
 // closes the connection.
-func (c *clientConn) refuseFurther(refusal func(number uint32) []byte) {
-	c.refusal = refusal
-	c.closesBecause(clientMalformed)
-	c.failOpen(requestOutcome{endFailed, reasonConnRefuses})
+func (c *clientConn) failConnection(refusal func(number uint32) []byte) {
+	c.rejectWith = refusal
+	c.setCloseReason(clientCloseMalformed)
+	c.failOpen(requestOutcome{endFailed, reasonConnRejects})
 	c.closeWhenIdle(drainAfterBadInput)
 	c.closeBy(drainAfterBadInput)
 }
@@ -300,7 +300,7 @@
 func (c *clientConn) penalize() {
 	switch c.faults++; {
 	case c.faults == tolerableFaults:
-		c.failOpen(requestOutcome{endFailed, reasonConnRefuses})
+		c.failOpen(requestOutcome{endFailed, reasonConnRejects})
 	case c.faults > excessiveFaults:
 		time.Sleep(20 * time.Millisecond)
 	case c.faults > tolerableFaults:
@@ -310,9 +310,9 @@
 
 // handleCall validates a request and posts it to the event loop.
 func (c *clientConn) handleCall(m *msgrpc.Message) {
-	if c.refusal != nil {
-		c.router.requestEnds.add(requestOutcome{endRejected, reasonConnRefuses})
-		c.reply(c.refusal(m.Number))
+	if c.rejectWith != nil {
+		c.router.requestEnds.add(requestOutcome{endRejected, reasonConnRejects})
+		c.reply(c.rejectWith(m.Number))
 		c.penalize()
 		return
 	}
@@ -341,7 +341,7 @@
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
 		c.router.requestEnds.add(requestOutcome{endFailed, reasonInvalid})
 		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
-		c.refuseFurther(func(number uint32) []byte {
+		c.failConnection(func(number uint32) []byte {
 			return msgrpc.Invalid(number, "sent behind a number that did not rise")
 		})
 		return
@@ -404,7 +404,7 @@
 	c.router.clientCloses.add(clientClose(c.closeReason.Load()))
 	c.router.mu.Lock()
 	delete(c.router.clients, c)
-	c.router.rejectedConns -= countOf(c.rejected)
+	c.router.rejectedConns -= boolToInt(c.rejected)
 	c.router.mu.Unlock()
 	close(c.closed)
 }
--- a/internal/platform/clientfaults_test.go
+++ b/internal/platform/clientfaults_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := parse(t, configText(unreachable))
+	config := mustParseConfig(t, configText(unreachable))
 	config.Listen = predecessor.Addr().String()
 	closing := time.AfterFunc(5*minRereadPause, func() { predecessor.Close() })
 	defer closing.Stop()
@@ -194,7 +194,7 @@
 			},
 			"write": func(b *failingConn, c *testClient) {
 				b.writeError.Store(&errno)
-				c.healthCheck(2)
+				c.sendHealthCheck(2)
 			},
 		} {
 			ours, theirs := platformtest.ConnPair(t)
@@ -202,7 +202,7 @@
 			c := newTestClient(t, theirs)
 			client := r.serveClient(b)
 			requests++
-			c.call(1, "once", withID(1000+requests)...)
+			c.sendRequest(1, "once", withID(1000+requests)...)
 			var a receivedAttempt
 			select {
 			case a = <-held:
@@ -222,7 +222,7 @@
 				t.Errorf("%v %s: its request goes on", errno, name)
 			}
 			echo(a)
-			other.call(requests+1, "again")
+			other.sendRequest(requests+1, "again")
 			other.expect(fmt.Sprintf("%d: body %d", requests+1, requests+1))
 		}
 	}
@@ -235,7 +235,7 @@
 	c := newTestClient(t, theirs)
 	r.serveClient(&failingConn{TCPConn: ours.(*net.TCPConn), byteByByte: true})
 	for n := 1; n <= 3; n++ {
-		c.call(n, "again")
+		c.sendRequest(n, "again")
 	}
 	got := map[string]bool{}
 	for range 3 {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -39,13 +39,13 @@
 	// closes after an unreadable message is given drainAfterBadInput to read the error: half of what is left of 3 s
 	// after firstMessageTimeout.
 	drainAfterIdle, drainAfterBadInput = 50 * time.Millisecond, 500 * time.Millisecond
-	// roomMargin is how many connections before the limit idle ones are closed: a thousand a second may come while
+	// closeIdleMargin is how many connections before the limit idle ones are closed: a thousand a second may come while
 	// one closes, which takes a last read and a scheduling delay of a shared core. A quarter of reservedSockets
 	// would do.
-	roomMargin = 32
-	// closeBatch is how many more connections are closed than needed, since choosing them scans all: a few of some
+	closeIdleMargin = 32
+	// extraIdleCloses is how many more connections are closed than needed, since choosing them scans all: a few of some
 	// hundred.
-	closeBatch = 8
+	extraIdleCloses = 8
 	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times what closing a
 	// connection takes.
 	descriptorWait = 50 * time.Millisecond
@@ -111,9 +111,9 @@
 	r.rejecting <- struct{}{}
 	c := r.newClient(conn)
 	c.rejected = true
-	c.closesBecause(clientOverLimit)
+	c.setCloseReason(clientCloseOverLimit)
 	r.addClient(c)
-	c.refusal = func(number uint32) []byte {
+	c.rejectWith = func(number uint32) []byte {
 		c.closeWhenIdle(drainAfterIdle)
 		return msgrpc.Rejection(number, r.config.Deployment.MaxRetryAfter)
 	}
@@ -137,7 +137,7 @@
 func (r *Router) newClient(conn net.Conn) *clientConn {
 	tracked := newTrackedConn(conn)
 	c := &clientConn{
-		router: r, conn: conn, in: &deadlineReader{conn: tracked}, tracked: tracked,
+		router: r, conn: conn, input: &deadlineReader{conn: tracked}, tracked: tracked,
 		open: map[uint32]*request{}, drainTime: drainAfterIdle,
 		closed: make(chan struct{}), closeNowRequested: make(chan struct{}),
 	}
@@ -151,13 +151,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.clients[c] = struct{}{}
-	r.rejectedConns += countOf(c.rejected)
+	r.rejectedConns += boolToInt(c.rejected)
 }
 
 // hasRoom reports whether one more connection may be served. It closes idle ones before the limit is reached: each
 // takes a last read, for which accepts should not have to wait.
 func (r *Router) hasRoom() bool {
-	margin := min(roomMargin, r.maxClients/4) // leaves three eighths of all descriptors: well-behaved clients hold a third
+	margin := min(closeIdleMargin, r.maxClients/4) // leaves three eighths of all descriptors: well-behaved clients hold a third
 	r.mu.Lock()
 	over := len(r.clients) - r.rejectedConns + 1 - (r.maxClients - margin)
 	r.mu.Unlock()
@@ -165,10 +165,10 @@
 		return true
 	}
 	if over <= margin {
-		r.closeIdleClients(over + closeBatch)
+		r.closeIdleClients(over + extraIdleCloses)
 		return true
 	}
-	return r.makeRoom(over + closeBatch)
+	return r.makeRoom(over + extraIdleCloses)
 }
 
 // makeRoom closes n idle connections and reports whether the first has freed its descriptor within descriptorWait.
@@ -218,7 +218,7 @@
 		return cmp.Compare(a.idleSince.Load(), b.idleSince.Load())
 	})
 	for _, c := range idle[:min(n, len(idle))] {
-		c.closesBecause(clientForRoom)
+		c.setCloseReason(clientCloseForRoom)
 		c.abort()
 		r.anomalies.add(idleClientClosed)
 		if first == nil {
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -17,7 +17,7 @@
 // the balancer is given is bounded by when the endpoint list was last complete without the server.
 func TestStartTimeIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
-		r := steppedRouter(t, step)
+		r := routerWithClockOffset(t, step)
 		complete, wall := r.loop.Now(), time.Now()
 		r.loop.EndpointsCompleteAsOf = complete
 		r.step(complete, nil)
@@ -38,7 +38,7 @@
 	previous, next := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := platformtest.Event(1, "s-0", previous.Address(), "ready")
 	discovery := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
-	config := parse(t, platformtest.Deployment{Grace: time.Second}.Configuration(discovery.Address(), known))
+	config := mustParseConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(discovery.Address(), known))
 	d := &config.Deployment
 	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(slowStart.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
 	r := serveReady(t, newRouter(t, config, zerolog.Nop()))
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -40,11 +40,11 @@
 	grace             control.Micros
 	loadTimeout       control.Micros
 	memoryMB          float64          // of the largest server; 0: not configured
-	wall              func() time.Time // the wall clock, read once at the start
+	wallClock         func() time.Time // the wall clock, read once at the start
 }
 
-// document is the configuration file as JSON.
-type document struct {
+// configFile is the configuration file as JSON.
+type configFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -93,7 +93,7 @@
 
 // parseConfig parses and validates the file's text.
 func parseConfig(text []byte, env Environment) (*Config, error) {
-	var doc document
+	var doc configFile
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 		reportFields: boot.Report.Fields, connectTimeout: control.Micros(boot.Ceilings.ConnectTimeout),
 		serverIdleTimeout: control.Micros(boot.Ceilings.ConnIdle), maxStreams: boot.Ceilings.StreamsPerConn,
 		grace: control.Micros(boot.Contract.StopSending), loadTimeout: control.Micros(boot.Specifics.OrderLimit),
-		wall: time.Now,
+		wallClock: time.Now,
 	}
 	if c.Seed, err = strconv.ParseUint(doc.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed %q: %w", doc.Seed, err)
--- a/internal/platform/connlog.go
+++ b/internal/platform/connlog.go
@@ -8,32 +8,32 @@
 // The reasons. The first that is set counts.
 const (
 	clientCloseUnset clientClose = iota
-	clientEnded
-	clientIdle
-	clientSlow
-	clientMalformed
-	clientForRoom
-	clientOverLimit
-	clientShutdown
-	clientReadFault
+	clientCloseByClient
+	clientCloseIdle
+	clientCloseSlow
+	clientCloseMalformed
+	clientCloseForRoom
+	clientCloseOverLimit
+	clientCloseShutdown
+	clientClosePanic
 )
 
 var clientCloseTexts = [...]string{
-	clientCloseUnset: "client, reason not given",
-	clientEnded:      "client closed or broke it",
-	clientIdle:       "client idle",
-	clientSlow:       "client too slow",
-	clientMalformed:  "client broke the protocol",
-	clientForRoom:    "client idle, to make room",
-	clientOverLimit:  "client over the limit",
-	clientShutdown:   "client, shutdown",
-	clientReadFault:  "client, panic",
+	clientCloseUnset:     "client, reason not given",
+	clientCloseByClient:  "client closed or broke it",
+	clientCloseIdle:      "client idle",
+	clientCloseSlow:      "client too slow",
+	clientCloseMalformed: "client broke the protocol",
+	clientCloseForRoom:   "client idle, to make room",
+	clientCloseOverLimit: "client over the limit",
+	clientCloseShutdown:  "client, shutdown",
+	clientClosePanic:     "client, panic",
 }
 
 func (c clientClose) String() string { return clientCloseTexts[c] }
 
-// closesBecause sets why the connection closes, unless a reason is set already.
-func (c *clientConn) closesBecause(reason clientClose) {
+// setCloseReason sets why the connection closes, unless a reason is set already.
+func (c *clientConn) setCloseReason(reason clientClose) {
 	c.closeReason.CompareAndSwap(uint32(clientCloseUnset), uint32(reason))
 }
 
@@ -43,34 +43,34 @@
 // The reasons. The first that is set counts.
 const (
 	serverCloseUnset serverClose = iota
-	serverNotReachable
-	serverDialLocal
-	serverEnded
-	serverUnreadable
-	serverReadFault
-	serverIdle
-	serverForRoom
-	serverUpdated
-	serverAbandoned
+	serverCloseUnreachable
+	serverCloseLocalDialFailure
+	serverCloseByServer
+	serverCloseUnreadable
+	serverCloseReadFault
+	serverCloseIdle
+	serverCloseForRoom
+	serverCloseEndpointChange
+	serverCloseAbandoned
 )
 
 var serverCloseTexts = [...]string{
-	serverCloseUnset:   "server, reason not given",
-	serverNotReachable: "server not reachable",
-	serverDialLocal:    "server, dial failed here or was cancelled",
-	serverEnded:        "server closed or broke it",
-	serverUnreadable:   "server's answer unreadable",
-	serverReadFault:    "server, read failed here",
-	serverIdle:         "server idle",
-	serverForRoom:      "server idle, to make room",
-	serverUpdated:      "server drains, left or restarted",
-	serverAbandoned:    "server, an answer was not awaited",
+	serverCloseUnset:            "server, reason not given",
+	serverCloseUnreachable:      "server not reachable",
+	serverCloseLocalDialFailure: "server, dial failed here or was cancelled",
+	serverCloseByServer:         "server closed or broke it",
+	serverCloseUnreadable:       "server's answer unreadable",
+	serverCloseReadFault:        "server, read failed here",
+	serverCloseIdle:             "server idle",
+	serverCloseForRoom:          "server idle, to make room",
+	serverCloseEndpointChange:   "server drains, left or restarted",
+	serverCloseAbandoned:        "server, an answer was not awaited",
 }
 
 func (c serverClose) String() string { return serverCloseTexts[c] }
 
-// closesBecause sets why the connection closes, unless a reason is set already. The event loop calls it.
-func (sc *serverConn) closesBecause(reason serverClose) {
+// setCloseReason sets why the connection closes, unless a reason is set already. The event loop calls it.
+func (sc *serverConn) setCloseReason(reason serverClose) {
 	if sc.closeReason == serverCloseUnset {
 		sc.closeReason = reason
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -26,8 +26,8 @@
 // A request that comes as its idle connection is about to close is read before, and served.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
-	c.healthCheck(1)
+	c, ours := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(2, "again") }))
+	c.sendHealthCheck(1)
 	c.expect("1: true")
 	ours.closeWhenIdle(0)
 	c.expect("2: body 2")
@@ -37,8 +37,8 @@
 // A request that comes at a stopping router's last read of its connections is answered before the end.
 func TestRequestCrossesShutdown(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(2, "again") }))
-	c.healthCheck(1)
+	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(2, "again") }))
+	c.sendHealthCheck(1)
 	c.expect("1: true")
 	r.stop()
 	c.expect("2: TryLater")
@@ -50,7 +50,7 @@
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
 	r.loop.Post(func(now control.Micros) { r.stopRequestedAt = now - acceptRequestsFor })
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: TryLater")
 }
 
@@ -58,8 +58,8 @@
 func TestConnectionClosesAfterItsRequest(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
-	c, ours := r.dialHooked(t, noHook)
-	c.call(1, "again")
+	c, ours := r.dialHooked(t, ignoreReads)
+	c.sendRequest(1, "again")
 	a := <-held
 	ours.closeWhenIdle(0)
 	echo(a)
@@ -71,8 +71,8 @@
 func TestMakeRoomSparesOpenRequests(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
-	c, ours := r.dialHooked(t, noHook)
-	c.call(1, "again")
+	c, ours := r.dialHooked(t, ignoreReads)
+	c.sendRequest(1, "again")
 	a := <-held
 	ours.abort()
 	r.makeRoom(1)
@@ -84,7 +84,7 @@
 // A first message that came during a stall of the process counts as in time.
 func TestMessageCrossesItsDeadline(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.call(1, "again") }))
+	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(1, "again") }))
 	c.expect("1: body 1") // after firstMessageTimeout
 }
 
@@ -117,7 +117,7 @@
 // The sender of an unreadable message reads the error, and then the end: no reset overtakes the answer.
 func TestAnswerPrecedesClose(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, _ := r.dialHooked(t, noHook)
+	c, _ := r.dialHooked(t, ignoreReads)
 	c.conn.Write(append([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}, make([]byte, 64<<10)...))
 	c.expect("1: Invalid")
 	c.conn.SetReadDeadline(time.Now().Add(3 * time.Second))
@@ -129,14 +129,14 @@
 // What a client cancels, or leaves by closing, is not written any more, though the event loop has yet to handle it.
 func TestClientLeavesBeforeFirstByte(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
-		"cancels": func(c *testClient) { c.cancel(1) },
+		"cancels": func(c *testClient) { c.sendCancel(1) },
 		"closes":  func(c *testClient) { c.conn.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, held := holdingServer(t)
 			r := start(t, server)
 			c := r.dial(t)
-			c.call(1, "again")
+			c.sendRequest(1, "again")
 			<-held
 			chosen, release := make(chan *serverCall), make(chan bool)
 			r.loop.Post(func(control.Micros) { // another attempt is chosen, and the step goes on
@@ -149,7 +149,7 @@
 			s := <-chosen
 			leave(c)
 			platformtest.WaitFor(t, "the client's departure is read", s.request.abandoned.Load)
-			if s.beginsWrite() {
+			if s.canWrite() {
 				t.Error("it was written")
 			}
 			close(release)
@@ -161,16 +161,16 @@
 func TestFloodingClientHasNothingOpen(t *testing.T) {
 	server, held := holdingServer(t)
 	c := start(t, server).dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	<-held
 	for n := 2; n < 2+tolerableFaults; n++ {
-		c.call(n, "unknown")
+		c.sendRequest(n, "unknown")
 	}
 	for n := 2; n < 2+tolerableFaults; n++ {
 		c.expect(fmt.Sprintf("%d: Invalid", n))
 	}
 	c.expect("1: Aborted")
-	c.call(100, "again")
+	c.sendRequest(100, "again")
 	c.expect("100: TryLater")
 }
 
@@ -187,7 +187,7 @@
 		first.conn.Write(first.answerFrame(codeOK, first.ID, "stale"))
 		echo(a)
 	})).dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 }
 
@@ -240,18 +240,18 @@
 func TestOutOfDescriptors(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
-	c.healthCheck(1)
+	c.sendHealthCheck(1)
 	c.expect("1: true")
 	exhaust, restore := limitDescriptors(t)
 	exhaust()
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool {
 		exhaust() // others may have been closed meanwhile, by peers of an earlier test
-		return r.anomaly(outOfDescriptors) > 0
+		return r.anomalyCount(outOfDescriptors) > 0
 	})
 	restore()
 	c.expect("2: body 2")
-	if n := r.anomaly(noServerConnection); n > 0 {
+	if n := r.anomalyCount(noServerConnection); n > 0 {
 		t.Errorf("%d held against the server", n)
 	}
 }
@@ -312,8 +312,8 @@
 	r := start(t, modelServer(t, echo))
 	release := make(chan bool)
 	r.loop.Post(func(control.Micros) { <-release })
-	c, ours := r.dialHooked(t, noHook)
-	c.healthCheck(1)
+	c, ours := r.dialHooked(t, ignoreReads)
+	c.sendHealthCheck(1)
 	platformtest.WaitFor(t, "the health check is read", func() bool {
 		ours.mu.Lock()
 		defer ours.mu.Unlock()
@@ -336,37 +336,37 @@
 			panic("injected")
 		}
 	})
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("closed")
 	other := r.dial(t)
-	other.call(1, "again", withID(255)...)
+	other.sendRequest(1, "again", withID(255)...)
 	other.expect("1: body 1")
-	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly(panicReadingClient) == 1 })
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomalyCount(panicReadingClient) == 1 })
 }
 
 // A panic on a server connection closes that one.
 func TestPanicOnServerConnection(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 	r.loop.Post(func(now control.Micros) {
 		sc := r.newServerConn(now, r.pools[fleet.ID("s-0")])
 		sc.dialing = nil // the dial panics
 		go sc.run()
 	})
-	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomaly(panicReadingServer) == 1 })
-	c.call(2, "again")
+	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomalyCount(panicReadingServer) == 1 })
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
 // A client that leaves before its first message is not counted as slow.
 func TestEarlyCloseIsNotCountedAsSlow(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, noHook)
+	c, ours := r.dialHooked(t, ignoreReads)
 	c.conn.Close()
 	<-ours.closed
-	if n := r.anomaly(clientTooSlow); n > 0 {
+	if n := r.anomalyCount(clientTooSlow); n > 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
@@ -378,8 +378,8 @@
 	const stall = 300 * time.Millisecond
 	release := make(chan bool)
 	r.loop.Post(func(control.Micros) { <-release })
-	c, ours := r.dialHooked(t, noHook)
-	c.call(1, "again")
+	c, ours := r.dialHooked(t, ignoreReads)
+	c.sendRequest(1, "again")
 	platformtest.WaitFor(t, "the request is read", func() bool { idle, _ := ours.idle(); return !idle })
 	time.Sleep(stall)
 	close(release)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -40,7 +40,7 @@
 				io.ReadFull(c, make([]byte, <-filled))
 				answer()
 			},
-			dial: func(conn net.Conn) { filled <- fill(t, conn) },
+			dial: func(conn net.Conn) { filled <- fillSendBuffer(t, conn) },
 			want: "1: done",
 		},
 		"no room for the rest": {
@@ -62,11 +62,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var began time.Time
-			server := listenNarrow(t, func(c net.Conn) { test.serve(c, func() { checkDeadlines(t, c, &began) }) })
-			r := startChanged(t, func(r *Router) {
+			server := listenSmallBuffer(t, func(c net.Conn) { test.serve(c, func() { checkDeadlines(t, c, &began) }) })
+			r := startWith(t, func(r *Router) {
 				longGrace(r)
-				r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-					conn, err := systemCalls.dial(ctx, address)
+				r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
+					conn, err := defaultConnFuncs.dial(ctx, address)
 					if err == nil {
 						test.dial(conn)
 					}
@@ -75,7 +75,7 @@
 			}, server)
 			c := r.dial(t)
 			began = time.Now()
-			c.send(0, 1, "again", []any{requestFields(1), make([]byte, test.body)})
+			c.sendMessage(0, 1, "again", []any{requestFields(1), make([]byte, test.body)})
 			c.expect(test.want)
 		})
 	}
@@ -113,7 +113,7 @@
 	call.message = &binframe.Attempt{ID: 1}
 	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // it dials
 	defer call.conn.cancelDial()
-	call.conn.writes.post(call.queued(nil))
+	call.conn.writes.post(call.queueEntry(nil))
 	time.Sleep(left + time.Millisecond)
 	call.conn.writes.connected(conn)
 	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -79,7 +79,7 @@
 func (d *deadlineReader) nonBlockingRead() func(b []byte) (int, error) {
 	switch c := d.conn.(type) {
 	case *trackedConn:
-		if c.direct && c.raw != nil {
+		if c.readsDescriptor && c.raw != nil {
 			return func(b []byte) (int, error) { return c.read(b, noWait) }
 		}
 	case syscall.Conn:
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -24,18 +24,18 @@
 	r.readEndpoints()
 	r.step(r.loop.Now(), nil)
 	call, load := r.newCall(1, 1_000_000), r.newCall(1, r.config.loadTimeout)
-	if !call.beginsWrite() {
+	if !call.canWrite() {
 		t.Error("not written from a list that is up to date")
 	}
 	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond) // the process is stalled
 	var stale *serverCall
 	r.step(r.loop.Now(), []func(control.Micros){func(control.Micros) { stale = r.newCall(1, 1_000_000) }})
-	if stale.beginsWrite() || load.beginsWrite() {
+	if stale.canWrite() || load.canWrite() {
 		t.Error("written from a list that is older than half the grace")
 	}
 	r.readEndpoints()
 	r.step(r.loop.Now(), nil)
-	if again := r.newCall(1, 1_000_000); !again.beginsWrite() {
+	if again := r.newCall(1, 1_000_000); !again.canWrite() {
 		t.Error("not written after the list was read again")
 	}
 }
@@ -63,7 +63,7 @@
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
 	call.conn = &serverConn{pool: r.poolOf(call.to)}
 	time.Sleep(2 * time.Millisecond) // the list ages
-	if !call.beginsWrite() {
+	if !call.canWrite() {
 		t.Fatal("not written")
 	}
 	r.loop.PreviousEndpointsAsOf = r.loop.EndpointsAsOf
@@ -144,11 +144,11 @@
 // Where the connection has no room for the first byte, the check is repeated when it has.
 func TestCheckIsRepeatedWhenConnectionHasRoom(t *testing.T) {
 	ours, theirs := platformtest.ConnPair(t)
-	filled := fill(t, ours)
+	filled := fillSendBuffer(t, ours)
 	checks, allowed := make(chan bool, 1000), make(chan bool, 1)
 	allowed <- true
 	q := &writeQueue{conn: ours, maxQueuedBytes: 1 << 20}
-	q.post(queuedFrame{data: []byte("late"), begin: func(write func() bool) bool {
+	q.post(queuedFrame{data: []byte("late"), checkAndWrite: func(write func() bool) bool {
 		checks <- true
 		select {
 		case <-allowed: // the first time
@@ -159,7 +159,7 @@
 		default:
 			return true // the grace has passed
 		}
-	}, wrote: func(bool) { t.Error("it was written") }})
+	}, writeEnded: func(bool) { t.Error("it was written") }})
 	awaitCheck := func() {
 		select {
 		case <-checks:
@@ -234,7 +234,7 @@
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
 	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // it dials: nothing is connected yet
 	defer call.conn.cancelDial()
-	call.conn.writes.post(queuedFrame{data: []byte("late"), begin: call.begin, wrote: call.wrote})
+	call.conn.writes.post(queuedFrame{data: []byte("late"), checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded})
 	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond)
 	call.conn.writes.connected(conn)
 	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
--- a/internal/platform/endpointlog.go
+++ b/internal/platform/endpointlog.go
@@ -32,8 +32,8 @@
 	loggedAt control.Micros
 }
 
-// note adds an update as applied at now.
-func (l *endpointLog) note(now control.Micros, update fleet.Update, known *fleet.Fleet) {
+// add adds an update as applied at now.
+func (l *endpointLog) add(now control.Micros, update fleet.Update, known *fleet.Fleet) {
 	for _, endpoint := range update.Endpoints {
 		if update.Full || len(l.changes) >= maxEndpointsPerLine {
 			l.omitted++
@@ -66,15 +66,15 @@
 
 // slowStart is what this router sent to one incarnation of a server in slow start.
 type slowStart struct {
-	startedAt    control.Micros
-	sent         int
-	mostInWindow int            // the largest number of requests in one overload window
-	budgetThen   int            // this router's budget at that time
-	mostAt       control.Micros // the server's age at that time
+	startedAt   control.Micros
+	sent        int
+	maxInWindow int            // the largest number of requests in one overload window
+	budgetAtMax int            // this router's budget at that time
+	ageAtMax    control.Micros // the server's age at that time
 }
 
-// noteSlowStartSend counts a request that was forwarded to a server, if that is in slow start.
-func (r *Router) noteSlowStartSend(now control.Micros, id control.ServerID) {
+// recordSlowStartSend counts a request that was forwarded to a server, if that is in slow start.
+func (r *Router) recordSlowStartSend(now control.Micros, id control.ServerID) {
 	status, ok := r.core.SlowStartStatus(now, id)
 	if !ok {
 		return
@@ -85,8 +85,8 @@
 		r.slowStarts[id] = record
 	}
 	record.sent++
-	if status.Sent > record.mostInWindow {
-		record.mostInWindow, record.budgetThen, record.mostAt = status.Sent, status.Budget, now-status.StartedAt
+	if status.Sent > record.maxInWindow {
+		record.maxInWindow, record.budgetAtMax, record.ageAtMax = status.Sent, status.Budget, now-status.StartedAt
 	}
 }
 
@@ -97,8 +97,8 @@
 		return event
 	}
 	return event.Int64("age_ms", int64(now-record.startedAt)/1000).Int("slow_start_sent", record.sent).
-		Int("slow_start_most_in_window", record.mostInWindow).Int("slow_start_budget_then", record.budgetThen).
-		Int64("slow_start_most_at_ms", int64(record.mostAt)/1000)
+		Int("slow_start_most_in_window", record.maxInWindow).Int("slow_start_budget_then", record.budgetAtMax).
+		Int64("slow_start_most_at_ms", int64(record.ageAtMax)/1000)
 }
 
 // endSlowStarts logs what was sent to each server whose slow start is over, or that has left the list.
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,8 +8,8 @@
 
 // handleUpdate applies an update from discovery, full or incremental.
 func (r *Router) handleUpdate(now control.Micros, update fleet.Update) {
-	eventloop.ApplyUpdate(now, update, r.fleet, r.core, r.pools, func(pool *serverPool) { r.refreshPool(now, pool) })
-	r.endpointLog.note(now, update, r.fleet)
+	eventloop.ApplyUpdate(now, update, r.fleet, r.core, r.pools, func(pool *serverPool) { r.retireChangedPool(now, pool) })
+	r.endpointLog.add(now, update, r.fleet)
 }
 
 // handleEndpoints applies a complete endpoint list.
@@ -17,9 +17,9 @@
 	r.handleUpdate(now, fleet.Update{Full: true, Endpoints: all})
 }
 
-// refreshPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
+// retireChangedPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
 // incarnation).
-func (r *Router) refreshPool(now control.Micros, pool *serverPool) {
+func (r *Router) retireChangedPool(now control.Micros, pool *serverPool) {
 	s := r.fleet.Get(pool.id)
 	if s == nil || s.State != control.Ready || s.Address != pool.address ||
 		control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
@@ -43,7 +43,7 @@
 				r.callEnded(now, call, control.NotSent, nil)
 			}
 		}
-		sc.closesBecause(serverUpdated)
+		sc.setCloseReason(serverCloseEndpointChange)
 		r.retire(sc)
 	}
 }
@@ -52,10 +52,10 @@
 // the server's own close, and forgets removed servers whose connections have ended.
 func (r *Router) prune(now control.Micros) {
 	const every = 500_000 // idle times are many seconds
-	if now < r.prunedAt+every {
+	if now < r.lastPrunedAt+every {
 		return
 	}
-	r.prunedAt = now
+	r.lastPrunedAt = now
 	r.endSlowStarts(now)
 	for e := r.connsByIdle.Front(); e != nil; {
 		sc := e.Value.(*serverConn)
@@ -63,7 +63,7 @@
 			break
 		}
 		if e = e.Next(); len(sc.open) == 0 && sc.up {
-			sc.closesBecause(serverIdle)
+			sc.setCloseReason(serverCloseIdle)
 			r.removeConn(sc)
 		}
 	}
--- a/internal/platform/endpoints_test.go
+++ b/internal/platform/endpoints_test.go
@@ -77,7 +77,7 @@
 
 // checkPrune prunes, and checks that just those connections and pools are dropped that a scan of all finds.
 func (r *undialledRouter) checkPrune(t *rapid.T, now control.Micros) {
-	r.prunedAt = 0
+	r.lastPrunedAt = 0
 	want := r.describeConns(func(l *serverConn) bool {
 		return len(l.open) == 0 && l.up && now-l.idleSince > r.config.serverIdleTimeout*3/4
 	})
@@ -101,8 +101,8 @@
 	return out
 }
 
-// checkCloseIdle closes an idle connection, and checks that it is one of the least recently used.
-func (r *undialledRouter) checkCloseIdle(t *rapid.T) {
+// checkCloseIdleConn closes an idle connection, and checks that it is one of the least recently used.
+func (r *undialledRouter) checkCloseIdleConn(t *rapid.T) {
 	before := r.idleConns()
 	freed := r.closeIdleServerConn()
 	after := r.idleConns()
@@ -154,7 +154,7 @@
 					r.checkPrune(rt, now)
 				}
 				if free {
-					r.checkCloseIdle(rt)
+					r.checkCloseIdleConn(rt)
 				}
 			}
 			if x, y := both[0].describe(), both[1].describe(); !reflect.DeepEqual(x, y) {
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -27,7 +27,7 @@
 	for i := range servers {
 		all.Targets = append(all.Targets, f.target(i, "ready"))
 	}
-	f.handle(b, all)
+	f.handleEvent(b, all)
 	for i := range servers {
 		r.poolOf(fleet.ID(f.target(i, "").UID))
 	}
@@ -39,8 +39,8 @@
 		Weight: 4, StartedAtMS: int64(f.revision)}
 }
 
-// handle lets the router handle an event in one step, one millisecond after the last.
-func (f *fleetRouter) handle(b testing.TB, update *discovery.UpdateMessage) {
+// handleEvent lets the router handle an event in one step, one millisecond after the last.
+func (f *fleetRouter) handleEvent(b testing.TB, update *discovery.UpdateMessage) {
 	f.revision++
 	effect, err := f.discoveryState.HandleLine(platformtest.EncodeEvent(discovery.Event{Revision: f.revision, Update: update}))
 	if err != nil || effect != discovery.EndpointsChanged {
@@ -54,9 +54,9 @@
 // states are what a server goes through in the benchmark, over and over.
 var serverStates = []string{"draining", "gone", "ready"}
 
-// change moves one server on to its next state.
-func (f *fleetRouter) change(b testing.TB, n, servers int) {
-	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
+// advanceServer moves one server on to its next state.
+func (f *fleetRouter) advanceServer(b testing.TB, n, servers int) {
+	f.handleEvent(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
@@ -65,7 +65,7 @@
 	for i, servers := range []int{200, 3200} {
 		f, n := newFleetRouter(t, servers), 0
 		allocated[i] = testing.AllocsPerRun(300, func() {
-			f.change(t, n, servers)
+			f.advanceServer(t, n, servers)
 			n++
 		})
 	}
@@ -82,7 +82,7 @@
 			f := newFleetRouter(b, servers)
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				f.change(b, n, servers)
+				f.advanceServer(b, n, servers)
 			}
 		})
 		b.Run(fmt.Sprintf("maintenance/servers=%d", servers), func(b *testing.B) {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -37,8 +37,8 @@
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, discoveryAddress, settingsText)
 }
 
-// parse parses a configuration file's text.
-func parse(t testing.TB, text string) *Config {
+// mustParseConfig parses a configuration file's text.
+func mustParseConfig(t testing.TB, text string) *Config {
 	t.Helper()
 	config, err := parseConfig([]byte(text), Environment{})
 	if err != nil {
@@ -51,7 +51,7 @@
 // service that announces nothing else.
 func testConfig(t testing.TB, servers ...string) *Config {
 	t.Helper()
-	config := parse(t, configText(unreachable))
+	config := mustParseConfig(t, configText(unreachable))
 	for i, address := range servers {
 		config.History.Events = append(config.History.Events, platformtest.Event(uint64(i+1), fmt.Sprintf("s-%d", i), address, "ready"))
 	}
@@ -77,14 +77,14 @@
 // idleRouter returns a router that knows no server and runs no event loop: the test runs its steps.
 func idleRouter(t testing.TB) *Router {
 	t.Helper()
-	return newRouter(t, parse(t, configText(unreachable)), zerolog.Nop())
+	return newRouter(t, mustParseConfig(t, configText(unreachable)), zerolog.Nop())
 }
 
-// steppedRouter is idleRouter whose wall clock was ahead by step when it started.
-func steppedRouter(t *testing.T, step time.Duration) *Router {
+// routerWithClockOffset is idleRouter whose wall clock was ahead by step when it started.
+func routerWithClockOffset(t *testing.T, step time.Duration) *Router {
 	t.Helper()
-	config := parse(t, configText(unreachable))
-	config.wall = func() time.Time { return time.Now().Add(step) }
+	config := mustParseConfig(t, configText(unreachable))
+	config.wallClock = func() time.Time { return time.Now().Add(step) }
 	return newRouter(t, config, zerolog.Nop())
 }
 
@@ -132,8 +132,8 @@
 	return serveReady(t, newRouter(t, testConfig(t, servers...), zerolog.Nop()))
 }
 
-// startChanged is start with settings and system calls that the test changes first. The router logs at all levels.
-func startChanged(t *testing.T, change func(r *Router), servers ...string) *runningRouter {
+// startWith is start with settings and system calls that the test changes first. The router logs at all levels.
+func startWith(t *testing.T, change func(r *Router), servers ...string) *runningRouter {
 	t.Helper()
 	r, _ := startLogged(t, change, servers...)
 	return r
@@ -151,7 +151,7 @@
 // startDeployment runs a router of a deployment. It need not be ready at once.
 func startDeployment(t *testing.T, configuration string) *runningRouter {
 	t.Helper()
-	return serve(t, newRouter(t, parse(t, configuration), zerolog.Nop()))
+	return serve(t, newRouter(t, mustParseConfig(t, configuration), zerolog.Nop()))
 }
 
 // longGrace makes an endpoint list valid for so long that its age withdraws nothing.
@@ -160,15 +160,15 @@
 	r.config.Deployment.MaxCommandDelay = attempt.MaxEndpointsAge(r.config.grace)
 }
 
-// anomaly returns how often an anomaly was counted.
-func (r *Router) anomaly(kind anomaly) int {
+// anomalyCount returns how often an anomaly was counted.
+func (r *Router) anomalyCount(kind anomaly) int {
 	return r.anomalies.count(anomalyDetail{kind: kind})
 }
 
-// beginsWrite reports whether the first byte would be written now.
-func (call *serverCall) beginsWrite() bool {
+// canWrite reports whether the first byte would be written now.
+func (call *serverCall) canWrite() bool {
 	wrote := false
-	call.begin(func() bool {
+	call.checkAndWrite(func() bool {
 		wrote = true
 		return true
 	})
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -62,8 +62,8 @@
 		var loaded, loading, pending, overloaded, ejected int
 		for _, server := range explanation.Servers {
 			pending += server.PendingLoads
-			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
-			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
+			loaded, loading = loaded+boolToInt(server.Loaded), loading+boolToInt(server.LoadingNow)
+			overloaded, ejected = overloaded+boolToInt(server.Overloaded), ejected+boolToInt(server.Ejected)
 		}
 		r.log.Trace().Str("id", fmt.Sprintf(requestIDFormat, uint64(explanation.Request))).Str("why", string(explanation.Reason)).
 			Str("function", fmt.Sprintf("%016x", uint64(explanation.Function))).Int64("exec", int64(explanation.ExecTime)).
@@ -74,8 +74,8 @@
 	}})
 }
 
-// countOf returns 1 for true and 0 for false.
-func countOf(is bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(is bool) int {
 	if is {
 		return 1
 	}
--- a/internal/platform/logging_test.go
+++ b/internal/platform/logging_test.go
@@ -15,8 +15,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// linesOf returns the lines of a log with a message.
-func linesOf(t *testing.T, log *logBuffer, message string) (lines []map[string]any) {
+// logLines returns the lines of a log with a message.
+func logLines(t *testing.T, log *logBuffer, message string) (lines []map[string]any) {
 	t.Helper()
 	for text := range strings.Lines(log.String()) {
 		line := map[string]any{}
@@ -36,7 +36,7 @@
 	log := &logBuffer{}
 	service := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, event)
 	text := platformtest.Deployment{Grace: 4 * time.Second, Deadline: 5 * time.Second}.Configuration(service.Address(), event)
-	return serveReady(t, newRouter(t, parse(t, text), zerolog.New(log))), log
+	return serveReady(t, newRouter(t, mustParseConfig(t, text), zerolog.New(log))), log
 }
 
 // The state line counts how attempts and requests ended and why connections closed, and each request's end is logged with its
@@ -52,7 +52,7 @@
 	}
 	r.stop()
 	<-r.done
-	state := linesOf(t, log, "state")
+	state := logLines(t, log, "state")
 	if len(state) == 0 {
 		t.Fatalf("no state line: %s", log)
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %v, want %q", field, last[field], want)
 		}
 	}
-	ended := linesOf(t, log, "request ended")
+	ended := logLines(t, log, "request ended")
 	if len(ended) != 1 || ended[0]["id"] != fmt.Sprintf("%016x", uint64(id)) || ended[0]["end"] != "served" || ended[0]["reason"] != string(reasonServerAnswer) {
 		t.Errorf("got %v", ended)
 	}
@@ -77,7 +77,7 @@
 	if c.AwaitAnswer() {
 		t.Fatal("served without a server")
 	}
-	ended := linesOf(t, log, "request ended")
+	ended := logLines(t, log, "request ended")
 	if len(ended) != 1 || ended[0]["end"] != "rejected" || ended[0]["reason"] != "it can't end before its deadline" {
 		t.Errorf("got %v", ended)
 	}
@@ -86,24 +86,24 @@
 // What a server in slow start is sent is logged when it is ejected, and when its slow start is over, with the budget of that time.
 func TestSlowStartIsLogged(t *testing.T) {
 	const uid, slowStart = "s-1", 3 * time.Second
-	config := parse(t, platformtest.Deployment{Grace: time.Second, SlowStart: slowStart}.Configuration(unreachable,
+	config := mustParseConfig(t, platformtest.Deployment{Grace: time.Second, SlowStart: slowStart}.Configuration(unreachable,
 		platformtest.Event(1, "s-0", unreachable, "ready")))
 	log := &logBuffer{}
 	r := newRouter(t, config, zerolog.New(log))
 	now := r.loop.Epoch + 5_000_000 // past the overload window after the router's own start
 	r.handleUpdate(now, fleet.Update{Endpoints: []fleet.Endpoint{{Name: uid, Address: unreachable, State: control.Ready, StartedAt: int64(now)}}})
 	r.logEndpoints(now)
-	changes := linesOf(t, log, "endpoints changed")
+	changes := logLines(t, log, "endpoints changed")
 	if len(changes) != 1 || !strings.Contains(fmt.Sprint(changes[0]["changes"]), uid+" ready started 0 ms ago") {
 		t.Errorf("got %v", changes)
 	}
 	for range 3 {
-		r.noteSlowStartSend(now+1000, fleet.ID(uid))
+		r.recordSlowStartSend(now+1000, fleet.ID(uid))
 	}
 	r.LogServerEvent(control.ServerEvent{Server: fleet.ID(uid), Kind: control.ServerEjected, Cause: control.ConnectionsFail})
 	r.endSlowStarts(now + control.Micros(slowStart.Microseconds()))
 	for _, message := range []string{"server ejected: connections to it fail", "slow start ended"} {
-		lines := linesOf(t, log, message)
+		lines := logLines(t, log, message)
 		if len(lines) != 1 || lines[0]["slow_start_sent"] != 3.0 || lines[0]["server"] != fmt.Sprintf("%x", fleet.ID(uid)) {
 			t.Errorf("%s: got %v", message, lines)
 		}
@@ -116,7 +116,7 @@
 // Lines about the endpoint list are bounded in number and length, and say what they leave out.
 func TestEndpointLogIsBounded(t *testing.T) {
 	log := &logBuffer{}
-	r := newRouter(t, parse(t, configText(unreachable)), zerolog.New(log))
+	r := newRouter(t, mustParseConfig(t, configText(unreachable)), zerolog.New(log))
 	now := r.loop.Epoch + 1_000_000
 	update := fleet.Update{}
 	for n := range 3 * maxEndpointsPerLine {
@@ -126,12 +126,12 @@
 	r.logEndpoints(now)
 	r.handleUpdate(now+1, fleet.Update{Endpoints: []fleet.Endpoint{{Name: "s-0", Address: unreachable, State: control.Draining}}})
 	r.logEndpoints(now + 1)
-	lines := linesOf(t, log, "endpoints changed")
+	lines := logLines(t, log, "endpoints changed")
 	if len(lines) != 1 || lines[0]["omitted"] != 2.0*maxEndpointsPerLine {
 		t.Fatalf("got %v", lines)
 	}
 	r.logEndpoints(now + minEndpointLogInterval)
-	if lines = linesOf(t, log, "endpoints changed"); len(lines) != 2 || lines[1]["changes"] != "s-0 draining" {
+	if lines = logLines(t, log, "endpoints changed"); len(lines) != 2 || lines[1]["changes"] != "s-0 draining" {
 		t.Errorf("then %v", lines)
 	}
 }
@@ -142,16 +142,16 @@
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	<-held
 	r.config.classes["panics"] = 99 // there is no such class
 	c.conn.Write(longRequest(t, 2, "panics"))
 	c.expect("1: Aborted")
 	c.expect("2: Aborted")
 	c.expect("closed")
-	platformtest.WaitFor(t, "the connection's end is counted", func() bool { return r.clientCloses.count(clientReadFault) == 1 })
+	platformtest.WaitFor(t, "the connection's end is counted", func() bool { return r.clientCloses.count(clientClosePanic) == 1 })
 	platformtest.WaitFor(t, "the request's end is counted", func() bool {
-		return r.requestEnds.count(requestOutcome{endFailed, reasonConnRefuses}) == 1
+		return r.requestEnds.count(requestOutcome{endFailed, reasonConnRejects}) == 1
 	})
 	if n := r.requestEnds.count(requestOutcome{endCancelled, reasonClientLeft}); n != 0 {
 		t.Errorf("%d requests count as cancelled by their client", n)
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -23,8 +23,8 @@
 	return listenWith(t, net.ListenConfig{}, handle)
 }
 
-// listenNarrow is listen with receive buffers smaller than one long message.
-func listenNarrow(t *testing.T, handle func(net.Conn)) string {
+// listenSmallBuffer is listen with receive buffers smaller than one long message.
+func listenSmallBuffer(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	return listenWith(t, net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
@@ -87,8 +87,8 @@
 	codeError      = 101
 )
 
-// handleAttempts returns a handler of a fake server's connections that calls do for each attempt.
-func handleAttempts(do func(a receivedAttempt)) func(net.Conn) {
+// attemptHandler returns a handler of a fake server's connections that calls do for each attempt.
+func attemptHandler(do func(a receivedAttempt)) func(net.Conn) {
 	var sequence atomic.Int32
 	return func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -107,7 +107,7 @@
 // modelServer runs a fake model server that calls do for each attempt.
 func modelServer(t *testing.T, do func(a receivedAttempt)) string {
 	t.Helper()
-	return listen(t, handleAttempts(do))
+	return listen(t, attemptHandler(do))
 }
 
 // holdingServer runs a fake model server that answers nothing and passes on each attempt.
@@ -117,9 +117,9 @@
 	return modelServer(t, func(a receivedAttempt) { held <- a }), held
 }
 
-// fill writes to a connection until it accepts no more, also after the kernel has moved some on, and returns how
+// fillSendBuffer writes to a connection until it accepts no more, also after the kernel has moved some on, and returns how
 // much.
-func fill(t *testing.T, conn net.Conn) (filled int) {
+func fillSendBuffer(t *testing.T, conn net.Conn) (filled int) {
 	const kernelDelay = 50 * time.Millisecond
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -173,7 +173,7 @@
 	return newTestClient(t, conn)
 }
 
-func (c *testClient) send(v ...any) {
+func (c *testClient) sendMessage(v ...any) {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		c.t.Fatal(err)
@@ -181,9 +181,11 @@
 	c.conn.Write(b)
 }
 
-// healthCheck asks whether the router is healthy, and cancel cancels a request.
-func (c *testClient) healthCheck(number int) { c.send(0, number, "isWell", []any{map[string]string{}}) }
-func (c *testClient) cancel(number int)      { c.send(2, "forget", []any{number}) }
+// sendHealthCheck asks whether the router is healthy, and cancel cancels a request.
+func (c *testClient) sendHealthCheck(number int) {
+	c.sendMessage(0, number, "isWell", []any{map[string]string{}})
+}
+func (c *testClient) sendCancel(number int) { c.sendMessage(2, "forget", []any{number}) }
 
 // clientTimeout is how long clients wait unless they say otherwise.
 const clientTimeout = 1500 * time.Millisecond
@@ -198,9 +200,9 @@
 	return f
 }
 
-// call sends a request of a class; its id is its number unless changes say otherwise.
-func (c *testClient) call(number int, class string, changes ...string) {
-	c.send(0, number, class, []any{requestFields(number, changes...), []byte(fmt.Sprint("body ", number))})
+// sendRequest sends a request of a class; its id is its number unless changes say otherwise.
+func (c *testClient) sendRequest(number int, class string, changes ...string) {
+	c.sendMessage(0, number, class, []any{requestFields(number, changes...), []byte(fmt.Sprint("body ", number))})
 }
 
 // withID changes a request's id, for requests on several connections.
@@ -265,8 +267,8 @@
 	return c, r.serveClient(&hookedConn{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
 }
 
-// noHook does nothing.
-func noHook(*testClient, int, error) {}
+// ignoreReads does nothing.
+func ignoreReads(*testClient, int, error) {}
 
 // onFirstDeadline returns a hook that acts at the first read whose deadline has passed: what it sends is pending when
 // the router reads again.
@@ -279,8 +281,8 @@
 	}
 }
 
-// openRequests returns how many requests are open on a connection.
-func (c *clientConn) openRequests() int {
+// openRequestCount returns how many requests are open on a connection.
+func (c *clientConn) openRequestCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,9 +17,9 @@
 
 func TestServesRequestUnchanged(t *testing.T) {
 	c := start(t, modelServer(t, echo)).dial(t)
-	c.healthCheck(1)
+	c.sendHealthCheck(1)
 	c.expect("1: true")
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
@@ -37,7 +37,7 @@
 func TestCorruptAnswerMayHaveRun(t *testing.T) {
 	for name, corrupt := range corruptAnswers {
 		c := start(t, modelServer(t, corrupt)).dial(t)
-		c.call(1, "once")
+		c.sendRequest(1, "once")
 		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
 		}
@@ -54,7 +54,7 @@
 				echo(a)
 			}
 		})).dial(t)
-		c.call(1, "again")
+		c.sendRequest(1, "again")
 		if got := c.receive(); got != "1: body 1" {
 			t.Errorf("%s: got %q", name, got)
 		}
@@ -71,7 +71,7 @@
 		conns <- a.conn
 	})).dial(t)
 	for n := 1; n <= 3; n++ {
-		c.call(n, "again")
+		c.sendRequest(n, "again")
 		c.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
 	first := <-conns
@@ -84,18 +84,18 @@
 
 func TestOverloadedServerMeansNotRun(t *testing.T) {
 	c := start(t, modelServer(t, func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOverloaded, a.ID, "")) })).dial(t)
-	c.call(1, "once", "allow", "300")
+	c.sendRequest(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
 func TestInvalidRequestsAreAnswered(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	for name, bad := range map[string]func(c *testClient){
-		"an unknown class":   func(c *testClient) { c.call(1, "unknown") },
-		"an unknown project": func(c *testClient) { c.call(1, "again", "project", "nobody") },
-		"a huge timeout":     func(c *testClient) { c.call(1, "again", "allow", "86400000") },
-		"no idempotency key": func(c *testClient) { c.call(1, "marked") },
-		"too much memory":    func(c *testClient) { c.call(1, "again", "spec", "memory_mb:5000") },
+		"an unknown class":   func(c *testClient) { c.sendRequest(1, "unknown") },
+		"an unknown project": func(c *testClient) { c.sendRequest(1, "again", "project", "nobody") },
+		"a huge timeout":     func(c *testClient) { c.sendRequest(1, "again", "allow", "86400000") },
+		"no idempotency key": func(c *testClient) { c.sendRequest(1, "marked") },
+		"too much memory":    func(c *testClient) { c.sendRequest(1, "again", "spec", "memory_mb:5000") },
 		"a body of 60 MB":    func(c *testClient) { c.conn.Write([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
 		c := r.dial(t)
@@ -105,15 +105,15 @@
 		}
 	}
 	c := r.dial(t)
-	c.call(1, "again") // nobody else is harmed
+	c.sendRequest(1, "again") // nobody else is harmed
 	c.expect("1: body 1")
 }
 
 // Of two requests with one id neither is served, since they can't be told apart.
 func TestDuplicateRequestIDFailsBoth(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
-	c.call(1, "again")
-	c.call(2, "again", withID(1)...)
+	c.sendRequest(1, "again")
+	c.sendRequest(2, "again", withID(1)...)
 	c.expect("1: Invalid")
 	c.expect("2: Invalid")
 }
@@ -122,8 +122,8 @@
 func TestDuplicateNumberClosesConnection(t *testing.T) {
 	r := start(t, modelServer(t, func(receivedAttempt) {}))
 	c := r.dial(t)
-	c.call(1, "again")
-	c.call(1, "again", withID(255)...)
+	c.sendRequest(1, "again")
+	c.sendRequest(1, "again", withID(255)...)
 	c.expect("1: Invalid")
 	c.expect("1: Aborted")
 	c.expect("closed")
@@ -144,7 +144,7 @@
 func TestMoreThan32OpenAreRejected(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
-		c.call(n, "again")
+		c.sendRequest(n, "again")
 	}
 	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
@@ -156,7 +156,7 @@
 		r.dial(t)
 	}
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 }
 
@@ -167,11 +167,11 @@
 	for n := 1; n <= r.maxClients; n++ {
 		partial, staying := r.dial(t), r.dial(t)
 		partial.conn.Write([]byte{0x94, 0, 1})
-		staying.healthCheck(1)
-		regular.call(n, "again")
+		staying.sendHealthCheck(1)
+		regular.sendRequest(n, "again")
 		regular.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
-	if n := r.anomaly(clientRejected); n > 0 {
+	if n := r.anomalyCount(clientRejected); n > 0 {
 		t.Errorf("%d were rejected", n)
 	}
 }
@@ -185,16 +185,16 @@
 			echo(a)
 		}
 	}))
-	c, ours := r.dialHooked(t, noHook)
-	c.call(1, "again")
+	c, ours := r.dialHooked(t, ignoreReads)
+	c.sendRequest(1, "again")
 	a := <-got
-	c.cancel(1)
-	platformtest.WaitFor(t, "the cancellation is read", func() bool { return ours.openRequests() == 0 })
+	c.sendCancel(1)
+	platformtest.WaitFor(t, "the cancellation is read", func() bool { return ours.openRequestCount() == 0 })
 	handled := make(chan struct{})
 	r.loop.Post(func(control.Micros) { close(handled) }) // behind the cancellation
 	<-handled
 	echo(a)
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
@@ -211,7 +211,7 @@
 		call.conn = r.newServerConn(now, pool)
 		call.conn.open[1] = call
 		r.listServer(now, pool.address, control.Removed)
-		done <- call.progress.Ended && !call.beginsWrite()
+		done <- call.progress.Ended && !call.canWrite()
 	})
 	if !<-done {
 		t.Error("it could still be written")
@@ -224,12 +224,12 @@
 	address := modelServer(t, func(a receivedAttempt) { echo(a); conns <- a.conn })
 	r := start(t, address)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 	r.loop.Post(func(now control.Micros) {
 		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
 	})
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 	if <-conns == <-conns {
 		t.Error("the new server was sent to on the old one's connection")
@@ -242,14 +242,14 @@
 	other := modelServer(t, echo)
 	r := start(t, old)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	a := <-held
 	changed := *r.config
 	changed.DiscoveryAddress = platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", old, "ready"),
 		platformtest.Event(2, "s-0", old, "draining"), platformtest.Event(3, "s-1", other, "ready")).Address()
 	r.Reload(&changed)
 	for n := 2; ; n++ {
-		c.call(n, "again", "allow", "200")
+		c.sendRequest(n, "again", "allow", "200")
 		if c.receive() == fmt.Sprintf("%d: body %d", n, n) {
 			break
 		}
@@ -266,14 +266,14 @@
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	a := <-held
 	r.stop()
 	time.Sleep(200 * time.Millisecond)
 	late := r.dial(t)
-	late.healthCheck(1)
+	late.sendHealthCheck(1)
 	late.expect("1: false")
-	late.call(2, "again", withID(255)...)
+	late.sendRequest(2, "again", withID(255)...)
 	echo(<-held)
 	late.expect("2: body 2")
 	select {
@@ -331,7 +331,7 @@
 
 // Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
-	config := parse(t, configText(unreachable))
+	config := mustParseConfig(t, configText(unreachable))
 	config.Sockets = minSockets
 	r := newRouter(t, config, zerolog.Nop())
 	for range config.Sockets / 3 {
--- a/internal/platform/requestlog.go
+++ b/internal/platform/requestlog.go
@@ -51,7 +51,7 @@
 	reasonDuplicate    control.Reason = "its id is in flight already"
 	reasonNotAccepted  control.Reason = "the core did not accept it"
 	reasonTooManyOpen  control.Reason = "too many are open on its connection"
-	reasonConnRefuses  control.Reason = "its connection is over the limit, or fails all requests"
+	reasonConnRejects  control.Reason = "its connection is over the limit, or fails all requests"
 	reasonInvalid      control.Reason = "it breaks the protocol"
 	reasonClientLeft   control.Reason = "its client cancelled or closed"
 	reasonServerAnswer control.Reason = "a server answered"
@@ -69,8 +69,8 @@
 
 func (o requestOutcome) String() string { return o.end.String() + ": " + string(o.reason) }
 
-// noteRequestEnd counts the end of a request, and logs it at debug level.
-func (r *Router) noteRequestEnd(req *request, end requestEnd, reason control.Reason) {
+// recordRequestEnd counts the end of a request, and logs it at debug level.
+func (r *Router) recordRequestEnd(req *request, end requestEnd, reason control.Reason) {
 	if reason == "" {
 		reason = reasonNotGiven
 	}
@@ -83,8 +83,8 @@
 		Int("attempts", len(req.attempts)).Int64("read_at", int64(req.readAt)).Msg("request ended")
 }
 
-// noteRetry counts a request's next attempt by how the one before it ended.
-func (r *Router) noteRetry(req *request) {
+// recordRetry counts a request's next attempt by how the one before it ended.
+func (r *Router) recordRetry(req *request) {
 	if n := len(req.attempts); n > 0 {
 		r.retries.add(req.attempts[n-1].result)
 	}
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -34,7 +34,7 @@
 		return // before this step
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
-		r.noteRequestEnd(req, endRejected, reasonStopping)
+		r.recordRequestEnd(req, endRejected, reasonStopping)
 		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 		return
 	}
@@ -42,10 +42,10 @@
 		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
 		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // ambiguous: both end
 			r.core.Cancel(now, other.id)
-			r.noteRequestEnd(other, endFailed, reasonDuplicate)
+			r.recordRequestEnd(other, endFailed, reasonDuplicate)
 			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
 		}
-		r.noteRequestEnd(req, endFailed, reasonDuplicate)
+		r.recordRequestEnd(req, endFailed, reasonDuplicate)
 		r.finish(req, msgrpc.Invalid(req.number, "ref: open already"))
 		return
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		r.log.Error().Err(err).Msg("request not accepted")
 		delete(r.requests, req.id)
-		r.noteRequestEnd(req, endRejected, reasonNotAccepted)
+		r.recordRequestEnd(req, endRejected, reasonNotAccepted)
 		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 	}
 }
@@ -92,7 +92,7 @@
 		return
 	}
 	r.core.Cancel(now, req.id)
-	r.noteRequestEnd(req, outcome.end, outcome.reason)
+	r.recordRequestEnd(req, outcome.end, outcome.reason)
 	r.finish(req, nil)
 }
 
@@ -111,8 +111,8 @@
 			}
 		}
 	}
-	r.noteRetry(req)
-	r.noteSlowStartSend(r.loop.StepTime, to)
+	r.recordRetry(req)
+	r.recordSlowStartSend(r.loop.StepTime, to)
 	req.attempts = append(req.attempts, call)
 	req.answer.AttemptBegan()
 	call.clientDeadline = min(call.deadline, req.arrivedAt+req.message.Timeout-networkDelay)
@@ -137,14 +137,14 @@
 // Reject ends a request that did not run; its client may retry after retryAfter.
 func (r *Router) Reject(id control.RequestID, retryAfter control.Micros, reason control.Reason) {
 	req := r.requests[id]
-	r.noteRequestEnd(req, endRejected, reason)
+	r.recordRequestEnd(req, endRejected, reason)
 	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
 }
 
 // Fail ends a request that may have run and must not be repeated.
 func (r *Router) Fail(id control.RequestID, reason control.Reason) {
 	req := r.requests[id]
-	r.noteRequestEnd(req, endFailed, reason)
+	r.recordRequestEnd(req, endFailed, reason)
 	r.finish(req, msgrpc.Failure(req.number))
 }
 
@@ -186,7 +186,7 @@
 	if req.answer.AttemptEnded(outcome.Result) == attempt.Deliver {
 		outcome.RequestDone = true
 		r.core.HandleOutcome(now, req.id, outcome)
-		r.noteRequestEnd(req, endServed, reasonServerAnswer)
+		r.recordRequestEnd(req, endServed, reasonServerAnswer)
 		r.finish(req, msgrpc.Success(req.number, answer.Body))
 		return
 	}
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -41,14 +41,14 @@
 	serverConnCount int                              // server connections, all pools
 	connsByIdle     *list.List                       // *serverConn that are in use, least recently used first
 	removedPools    map[control.ServerID]*serverPool // pools of removed servers, until their connections have ended
-	prunedAt        control.Micros
+	lastPrunedAt    control.Micros
 	stopRequestedAt control.Micros // 0: not stopping
 	endpointLog     endpointLog
 	slowStarts      map[control.ServerID]*slowStart // servers in slow start that were sent requests
 	random          *rand.PCG                       // for load commands' ids; no decision depends on it
 
 	// Shared with other goroutines.
-	calls         calls
+	connFuncs     serverConnFuncs
 	stalls        stallDetector
 	discovery     *discovery.Client
 	ready         atomic.Bool
@@ -84,10 +84,10 @@
 // invalid or the listening address can't be had in time.
 func New(config *Config, log zerolog.Logger) (*Router, error) {
 	r := &Router{
-		config: config, log: log, loop: eventloop.New(eventloop.NewClock(config.wall()), config.grace),
+		config: config, log: log, loop: eventloop.New(eventloop.NewClock(config.wallClock()), config.grace),
 		requests: map[control.RequestID]*request{}, pools: map[control.ServerID]*serverPool{},
 		clients: map[*clientConn]struct{}{}, slowStarts: map[control.ServerID]*slowStart{},
-		fleet: fleet.New(0), calls: systemCalls, acceptEnded: make(chan struct{}),
+		fleet: fleet.New(0), connFuncs: defaultConnFuncs, acceptEnded: make(chan struct{}),
 		rejecting: make(chan struct{}, maxRejecting), random: rand.NewPCG(config.Seed, 0),
 	}
 	r.fleet.UseSourceClock()
@@ -194,7 +194,7 @@
 			acceptEnded = nil
 			r.closeClients()
 		}
-		r.awaitStep()
+		r.pauseBeforeStep()
 		r.readEndpoints()
 		batch := r.loop.Drain()
 		r.step(r.loop.Now(), batch)
@@ -216,8 +216,8 @@
 // their answers may have come during the stall. Reading what is pending on some hundred connections takes less.
 const postStallReadTime = 10 * time.Millisecond
 
-// awaitStep keeps steps apart, so that events that come close together share one.
-func (r *Router) awaitStep() {
+// pauseBeforeStep keeps steps apart, so that events that come close together share one.
+func (r *Router) pauseBeforeStep() {
 	if _, stalled := r.loop.Stalled(); stalled {
 		r.anomalies.add(processStalled)
 		time.Sleep(postStallReadTime)
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -28,7 +28,7 @@
 	writeBefore    control.Micros // its first byte is not written later
 	deadline       control.Micros // its answer is not awaited longer
 	clientDeadline control.Micros // the client's deadline: the server is given no longer
-	unread         control.Micros // since when the first byte waits for the client's reader; 0: it doesn't
+	unreadSince    control.Micros // since when the first byte waits for the client's reader; 0: it doesn't
 	writing        sync.Mutex     // held from the last check to the first byte
 	stage          atomic.Int32   // an attempt.Stage
 	writtenWhole   atomic.Bool    // its last byte was written
@@ -59,25 +59,25 @@
 	return attempt.Stage(call.stage.Load())
 }
 
-// readerWait is how long a first byte waits for its client's reader to process what is in the socket: some scheduling
+// maxReaderWait is how long a first byte waits for its client's reader to process what is in the socket: some scheduling
 // delays of a shared core. It guards against a client that sends without pause and so delays others' requests on the
 // same server connection.
-const readerWait = 100 * time.Millisecond
+const maxReaderWait = 100 * time.Millisecond
 
-// begin makes the last check before the first byte, and writes it. It sees without waiting for a step that the client
+// checkAndWrite makes the last check before the first byte, and writes it. It sees without waiting for a step that the client
 // has left, or that the endpoint list has grown too old since the choice. What the client has sent but its reader has
 // not processed may be a cancellation: the reader comes first.
-func (call *serverCall) begin(write func() bool) (withdrawn bool) {
+func (call *serverCall) checkAndWrite(write func() bool) (withdrawn bool) {
 	call.writing.Lock()
 	defer call.writing.Unlock()
 	unread := call.request != nil && !call.request.client.tracked.upToDate(time.Now())
 	wanted := call.request == nil || !call.request.abandoned.Load()
 	now := call.router.loop.Now()
 	if !unread {
-		call.unread = 0
+		call.unreadSince = 0
 	} else {
-		call.unread = cmp.Or(call.unread, now)
-		wanted = wanted && now-call.unread < control.Micros(readerWait.Microseconds())
+		call.unreadSince = cmp.Or(call.unreadSince, now)
+		wanted = wanted && now-call.unreadSince < control.Micros(maxReaderWait.Microseconds())
 	}
 	next, ok := attempt.Stage(call.stage.Load()).Write(wanted, now, call.writeBefore)
 	if !ok {
@@ -106,8 +106,8 @@
 	return call.message.Frame()
 }
 
-// wrote records that a write has ended, and whether it was complete.
-func (call *serverCall) wrote(whole bool) {
+// writeEnded records that a write has ended, and whether it was complete.
+func (call *serverCall) writeEnded(whole bool) {
 	call.writtenWhole.Store(whole)
 	if !whole {
 		call.conn.partialWrite.Store(true)
@@ -127,7 +127,7 @@
 	if sc != nil {
 		call.conn = sc
 		sc.open[call.id] = call
-		if sc.writes.post(call.queued(frame)) {
+		if sc.writes.post(call.queueEntry(frame)) {
 			return
 		}
 		delete(sc.open, call.id)
@@ -136,17 +136,17 @@
 	r.loop.Post(func(now control.Micros) { r.callEnded(now, call, control.NotSent, nil) })
 }
 
-// queued returns the call as a frame for a write queue.
-func (call *serverCall) queued(data []byte) queuedFrame {
-	frame := queuedFrame{data: data, begin: call.begin, wrote: call.wrote}
+// queueEntry returns the call as a frame for a write queue.
+func (call *serverCall) queueEntry(data []byte) queuedFrame {
+	frame := queuedFrame{data: data, checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded}
 	if call.message != nil {
 		frame.encode, frame.size = call.frame, call.message.Size()
 	}
 	return frame
 }
 
-// alreadyUsed reports whether an earlier attempt of the same request was written to a connection.
-func (call *serverCall) alreadyUsed(sc *serverConn) bool {
+// hasUsed reports whether an earlier attempt of the same request was written to a connection.
+func (call *serverCall) hasUsed(sc *serverConn) bool {
 	return call.request != nil && slices.ContainsFunc(call.request.attempts, func(earlier *serverCall) bool {
 		return earlier.conn == sc && earlier.currentStage() == attempt.Writing
 	})
@@ -187,7 +187,7 @@
 		call.conn.writes.post(queuedFrame{data: binframe.CancelFrame(call.id)})
 	}
 	call.conn.retired = true
-	call.conn.closesBecause(serverAbandoned)
+	call.conn.setCloseReason(serverCloseAbandoned)
 }
 
 // callEnded handles the end of a call, once: later ends are ignored.
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -64,16 +64,16 @@
 	r := sc.router
 	broke := func(result control.Result, reason serverClose) {
 		sc.close()
-		r.loop.Post(func(now control.Micros) { r.connectionBroke(now, sc, result, reason) })
+		r.loop.Post(func(now control.Micros) { r.handleConnEnd(now, sc, result, reason) })
 	}
-	end, reason := control.Failed, serverReadFault // after a panic: what was written may have run
+	end, reason := control.Failed, serverCloseReadFault // after a panic: what was written may have run
 	defer r.recoverPanic(panicReadingServer)
 	defer func() { broke(end, reason) }()
 	conn, err := sc.dial()
 	if err != nil {
-		end, reason = control.ConnectFailed, serverNotReachable
+		end, reason = control.ConnectFailed, serverCloseUnreachable
 		if netfail.IsLocal(err) || errors.Is(err, context.Canceled) {
-			end, reason = control.NotSent, serverDialLocal // says nothing about the server
+			end, reason = control.NotSent, serverCloseLocalDialFailure // says nothing about the server
 		} else {
 			r.anomalies.add(noServerConnection)
 		}
@@ -87,12 +87,12 @@
 		reader.setDeadline(time.Time{})
 		answer, err := binframe.Read(in, func() { reader.setDeadline(time.Now().Add(answerTimeout)) })
 		if err != nil {
-			end, reason = control.ConnectionReset, serverEnded
-			if why := corruptionOf(err); why != "" {
-				end, reason = control.Failed, serverUnreadable // the server answers, but unreadably
+			end, reason = control.ConnectionReset, serverCloseByServer
+			if why := describeCorruption(err); why != "" {
+				end, reason = control.Failed, serverCloseUnreadable // the server answers, but unreadably
 				r.anomalies.addDetail(corruptAnswer, why)
 			} else if netfail.IsLocal(err) {
-				end, reason = control.Failed, serverReadFault // may have run; says nothing about the server
+				end, reason = control.Failed, serverCloseReadFault // may have run; says nothing about the server
 			}
 			return
 		}
@@ -100,13 +100,13 @@
 	}
 }
 
-// calls are the system calls that a server connection begins with; tests replace them.
-type calls struct {
+// serverConnFuncs are the system calls that a server connection begins with; tests replace them.
+type serverConnFuncs struct {
 	dial  func(ctx context.Context, address string) (net.Conn, error)
 	write func(fd int, b []byte) (int, error) // does not block
 }
 
-var systemCalls = calls{
+var defaultConnFuncs = serverConnFuncs{
 	dial: func(ctx context.Context, address string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", address)
 	},
@@ -117,7 +117,7 @@
 // short, idle client connections are closed meanwhile.
 func (sc *serverConn) dial() (net.Conn, error) {
 	r := sc.router
-	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.calls.dial(sc.dialing, sc.pool.address) },
+	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.connFuncs.dial(sc.dialing, sc.pool.address) },
 		func(err error) netfail.RetryPause {
 			if !errors.Is(err, syscall.EMFILE) {
 				r.anomalies.add(temporaryDialFailure)
@@ -131,8 +131,8 @@
 		})
 }
 
-// corruptionOf returns what made an answer unreadable, or the empty string where the connection itself ended.
-func corruptionOf(err error) string {
+// describeCorruption returns what made an answer unreadable, or the empty string where the connection itself ended.
+func describeCorruption(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "incomplete"
 	}
@@ -144,11 +144,11 @@
 	return ""
 }
 
-// connectionBroke handles the end of a connection: the result of each call open on it follows from how far it had
+// handleConnEnd handles the end of a connection: the result of each call open on it follows from how far it had
 // got.
-func (r *Router) connectionBroke(now control.Micros, sc *serverConn, result control.Result, reason serverClose) {
+func (r *Router) handleConnEnd(now control.Micros, sc *serverConn, result control.Result, reason serverClose) {
 	open := sc.open
-	sc.closesBecause(reason)
+	sc.setCloseReason(reason)
 	r.serverCloses.add(sc.closeReason)
 	r.removeConn(sc)
 	for _, call := range sortedByID(open) {
--- a/internal/platform/serverfaults_test.go
+++ b/internal/platform/serverfaults_test.go
@@ -20,36 +20,36 @@
 func TestServerFaultsLeaveOneAnswerEach(t *testing.T) {
 	type handler = func(net.Conn)
 	faults := map[string]handler{
-		"silent":           handleAttempts(func(receivedAttempt) {}),
+		"silent":           attemptHandler(func(receivedAttempt) {}),
 		"reads nothing":    func(net.Conn) { <-t.Context().Done() },
 		"closes at once":   func(net.Conn) {},
-		"another's answer": handleAttempts(func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOK, a.ID+1, "x")) }),
-		"half and silent":  handleAttempts(func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)/2]) }),
-		"resets": handleAttempts(func(a receivedAttempt) {
+		"another's answer": attemptHandler(func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOK, a.ID+1, "x")) }),
+		"half and silent":  attemptHandler(func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)/2]) }),
+		"resets": attemptHandler(func(a receivedAttempt) {
 			a.conn.(*net.TCPConn).SetLinger(0)
 			a.conn.Close()
 		}),
 	}
 	for name, corrupt := range corruptAnswers {
-		faults["corrupt: "+name] = handleAttempts(corrupt)
+		faults["corrupt: "+name] = attemptHandler(corrupt)
 	}
 	for name, fault := range faults {
 		for _, connections := range []int{0, 1} { // as many connections as are wanted; one for all
 			t.Run(fmt.Sprintf("%s, connections %d", name, connections), func(t *testing.T) {
 				t.Parallel()
-				r := startChanged(t, func(r *Router) {
+				r := startWith(t, func(r *Router) {
 					longGrace(r)
 					if connections > 0 {
 						r.maxServerConns = connections
 					}
-					r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-						conn, err := systemCalls.dial(ctx, address)
+					r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
+						conn, err := defaultConnFuncs.dial(ctx, address)
 						if err == nil {
 							conn.(*net.TCPConn).SetWriteBuffer(2048) // holds less than one request
 						}
 						return conn, err
 					}
-				}, listenNarrow(t, fault))
+				}, listenSmallBuffer(t, fault))
 				const clients, each = 6, maxOpenPerClient
 				var callers []*testClient
 				began := time.Now()
@@ -58,7 +58,7 @@
 					callers = append(callers, c)
 					go func() {
 						for n := 1; n <= each; n++ {
-							c.send(0, n, []string{"again", "once"}[n%2], []any{requestFields(i*each + n), make([]byte, msgrpc.MaxBody)})
+							c.sendMessage(0, n, []string{"again", "once"}[n%2], []any{requestFields(i*each + n), make([]byte, msgrpc.MaxBody)})
 						}
 					}()
 				}
@@ -95,7 +95,7 @@
 func TestWriteQueueOverflowEndsQueuedCalls(t *testing.T) {
 	r := idleRouter(t)
 	r.maxServerConns = 1
-	r.calls.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
+	r.connFuncs.dial = func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 	r.listServer(r.loop.Now(), unreachable, control.Ready)
 	id := fleet.ID("s-0")
 	var calls []*serverCall
--- a/internal/platform/serverpool.go
+++ b/internal/platform/serverpool.go
@@ -39,7 +39,7 @@
 	pool := r.poolOf(call.to)
 	var best *serverConn
 	for _, sc := range pool.conns {
-		if sc.retired || sc.open[call.id] != nil || len(sc.open) >= r.config.maxStreams || call.alreadyUsed(sc) {
+		if sc.retired || sc.open[call.id] != nil || len(sc.open) >= r.config.maxStreams || call.hasUsed(sc) {
 			continue
 		}
 		if best == nil || sc.preferredOver(best) {
@@ -58,7 +58,7 @@
 func (r *Router) newServerConn(now control.Micros, pool *serverPool) *serverConn {
 	sc := &serverConn{router: r, pool: pool, open: map[binframe.ID]*serverCall{}, idleSince: now}
 	sc.dialing, sc.cancelDial = context.WithTimeout(context.Background(), duration(r.config.connectTimeout))
-	sc.writes.maxQueuedBytes, sc.writes.firstWrite = maxUnreadByServer, r.calls.write
+	sc.writes.maxQueuedBytes, sc.writes.firstWrite = maxUnreadByServer, r.connFuncs.write
 	pool.conns = append(pool.conns, sc)
 	sc.idlePlace = r.connsByIdle.PushBack(sc)
 	r.serverConnCount++
@@ -70,7 +70,7 @@
 func (r *Router) closeIdleServerConn() bool {
 	for e := r.connsByIdle.Front(); e != nil; e = e.Next() {
 		if sc := e.Value.(*serverConn); len(sc.open) == 0 && sc.up {
-			sc.closesBecause(serverForRoom)
+			sc.setCloseReason(serverCloseForRoom)
 			r.removeConn(sc)
 			return true
 		}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -27,7 +27,7 @@
 // any more from stopReadingBeforeKill on, so that clients that never pause keep no connection open.
 const (
 	closeBeforeKill       = 130_000
-	closeNotBefore        = 600_000
+	earliestClose         = 600_000
 	answerBeforeKill      = 80_000
 	stopReadingBeforeKill = 60_000
 )
@@ -50,9 +50,9 @@
 func (r *Router) stopActions() []stopAction {
 	kill := r.config.Deployment.EarliestKill()
 	return []stopAction{
-		{min(control.Micros(acceptConnectionsFor/time.Microsecond), max(closeNotBefore, kill-closeBeforeKill)), r.close},
+		{min(control.Micros(acceptConnectionsFor/time.Microsecond), max(earliestClose, kill-closeBeforeKill)), r.close},
 		{kill - control.RejectHeldBeforeKill, r.rejectHeld},
-		{kill - answerBeforeKill, r.answerOpen},
+		{kill - answerBeforeKill, r.answerOpenRequests},
 		{kill - stopReadingBeforeKill, r.stopReading},
 	}
 }
@@ -72,7 +72,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.clients {
-		c.closesBecause(clientShutdown)
+		c.setCloseReason(clientCloseShutdown)
 		c.closeWhenIdle(drainAfterIdle)
 	}
 }
@@ -82,7 +82,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.clients {
-		c.closesBecause(clientShutdown)
+		c.setCloseReason(clientCloseShutdown)
 		c.closeBy(finalReadTime)
 	}
 }
@@ -95,8 +95,8 @@
 	})
 }
 
-// answerOpen answers every request in flight: the kill would leave it without an answer.
-func (r *Router) answerOpen() { r.endRequests(func(*request) bool { return true }) }
+// answerOpenRequests answers every request in flight: the kill would leave it without an answer.
+func (r *Router) answerOpenRequests() { r.endRequests(func(*request) bool { return true }) }
 
 // endRequests ends the selected requests in flight.
 func (r *Router) endRequests(selected func(req *request) bool) {
@@ -112,10 +112,10 @@
 			return !call.withdraw() && call.currentStage() == attempt.Writing
 		})
 		if r.config.Deployment.Classes[req.class].RejectedByStop(mayHaveRun) {
-			r.noteRequestEnd(req, endRejected, reasonStopping)
+			r.recordRequestEnd(req, endRejected, reasonStopping)
 			r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
 		} else {
-			r.noteRequestEnd(req, endFailed, reasonStopping)
+			r.recordRequestEnd(req, endFailed, reasonStopping)
 			r.finish(req, msgrpc.Failure(req.number))
 		}
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -48,11 +48,11 @@
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "once")
+	c.sendRequest(1, "once")
 	<-held
 	r.loop.Post(func(now control.Micros) { // chosen, and not written yet
 		r.addRequest(2, r.requests[1].client, now)
-		r.answerOpen()
+		r.answerOpenRequests()
 	})
 	c.expect("1: Aborted")
 	c.expect("2: TryLater")
@@ -64,9 +64,9 @@
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
 		r := start(t, server)
 		c := r.dial(t)
-		c.call(1, class)
+		c.sendRequest(1, class)
 		<-held
-		r.loop.Post(func(control.Micros) { r.answerOpen() })
+		r.loop.Post(func(control.Micros) { r.answerOpenRequests() })
 		c.expect(want)
 	}
 }
@@ -76,7 +76,7 @@
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	a := <-held
 	r.loop.Post(func(now control.Micros) {
 		r.stopRequestedAt = now - r.config.Deployment.EarliestKill() + control.RejectHeldBeforeKill
@@ -100,7 +100,7 @@
 // The connection of a client that always has something open is closed: each request is answered, or crosses the close.
 func TestBusyClientConnectionIsClosed(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, noHook)
+	c, ours := r.dialHooked(t, ignoreReads)
 	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
 	open := make(chan struct{}, maxOpenPerClient) // no more: it is well-behaved otherwise
 	var goroutines sync.WaitGroup
@@ -121,7 +121,7 @@
 			}
 			time.Sleep(lastReadTime / 4)
 			sent[n] = time.Now()
-			c.call(n, "again")
+			c.sendRequest(n, "again")
 		}
 	})
 	platformtest.WaitFor(t, "it is answered steadily", func() bool {
@@ -164,10 +164,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
-		c := &clientConn{router: r, conn: ours, in: &deadlineReader{conn: emptyConn{ours}}, open: map[uint32]*request{1: {}}}
+		c := &clientConn{router: r, conn: ours, input: &deadlineReader{conn: emptyConn{ours}}, open: map[uint32]*request{1: {}}}
 		c.sentMessage.Store(true)
 		c.closeBy(finalReadTime)
-		if c.awaitMessage(msgrpc.NewReader(c.in), time.Now()) {
+		if c.awaitMessage(msgrpc.NewReader(c.input), time.Now()) {
 			t.Error("something was read")
 		}
 	})
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -11,10 +11,10 @@
 // stallDetector notices when this process was stalled: stopped, or without a share of its core. A request read right
 // after a stall may have arrived at any time during it, and its deadline runs from when its client sent it.
 type stallDetector struct {
-	mu      sync.Mutex
-	lastRan control.Micros // the last tick; 0: none yet
+	mu       sync.Mutex
+	lastTick control.Micros // the last tick; 0: none yet
 	// The latest stall and the readers' time after it: what is read before until may have arrived from from on.
-	from, until control.Micros
+	stallStart, ambiguousUntil control.Micros
 }
 
 const (
@@ -29,10 +29,10 @@
 func (d *stallDetector) tick(now control.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lastRan > 0 && now-d.lastRan > stallThreshold {
-		d.from, d.until = d.lastRan, now+control.Micros(readerWait.Microseconds())
+	if d.lastTick > 0 && now-d.lastTick > stallThreshold {
+		d.stallStart, d.ambiguousUntil = d.lastTick, now+control.Micros(maxReaderWait.Microseconds())
 	}
-	d.lastRan = now
+	d.lastTick = now
 }
 
 // earliestArrival returns the earliest time at which a message read at now may have arrived; now itself where there was no
@@ -41,10 +41,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.lastRan > 0 && now-d.lastRan > stallThreshold:
-		return d.lastRan
-	case now < d.until:
-		return d.from
+	case d.lastTick > 0 && now-d.lastTick > stallThreshold:
+		return d.lastTick
+	case now < d.ambiguousUntil:
+		return d.stallStart
 	}
 	return now
 }
@@ -70,7 +70,7 @@
 	since := c.router.stalls.earliestArrival(now)
 	if since < now {
 		c.router.anomalies.add(requestArrivedEarlier)
-		since = max(since, c.router.loop.At(c.tracked.emptiedAt())) // not before its reader last found nothing pending
+		since = max(since, c.router.loop.At(c.tracked.lastEmptyAt())) // not before its reader last found nothing pending
 	}
 	return min(now, since)
 }
--- a/internal/platform/stalls_test.go
+++ b/internal/platform/stalls_test.go
@@ -25,7 +25,7 @@
 	if got := d.earliestArrival(long + 1); got != second {
 		t.Errorf("read right after that tick: %d", got)
 	}
-	if later := d.until; d.earliestArrival(later) != later {
+	if later := d.ambiguousUntil; d.earliestArrival(later) != later {
 		t.Error("a stall counts for ever")
 	}
 }
--- a/internal/platform/systemcalls_test.go
+++ b/internal/platform/systemcalls_test.go
@@ -86,17 +86,17 @@
 			})
 			r, log := startLogged(t, func(r *Router) {
 				longGrace(r)
-				r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+				r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
 					if fails("dial") {
 						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", row.err)}
 					}
-					conn, err := systemCalls.dial(ctx, address)
+					conn, err := defaultConnFuncs.dial(ctx, address)
 					if err == nil && fails("read") {
 						return &failingReadConn{conn.(*net.TCPConn), out, row.err}, nil
 					}
 					return conn, err
 				}
-				r.calls.write = func(fd int, b []byte) (int, error) {
+				r.connFuncs.write = func(fd int, b []byte) (int, error) {
 					if fails("short write") {
 						return syscall.Write(fd, b[:1])
 					}
@@ -108,7 +108,7 @@
 			}, address)
 			c := r.dial(t)
 			began := time.Now()
-			c.call(1, "once")
+			c.sendRequest(1, "once")
 			c.expect(row.want)
 			if took := time.Since(began); took > clientTimeout+500*time.Millisecond {
 				t.Errorf("answered after %v", took)
@@ -120,7 +120,7 @@
 				return
 			}
 			repaired.Store(true)
-			c.call(2, "again", "allow", "3000")
+			c.sendRequest(2, "again", "allow", "3000")
 			c.expect("2: body 2")
 			if text := log.String(); strings.Contains(text, "server ejected") {
 				t.Error(text)
@@ -140,7 +140,7 @@
 		}
 		return -1, syscall.ENOBUFS
 	}}
-	q.post(queuedFrame{data: []byte("never"), begin: func(write func() bool) bool { write(); return false }})
+	q.post(queuedFrame{data: []byte("never"), checkAndWrite: func(write func() bool) bool { write(); return false }})
 	<-attempted
 	began := time.Now()
 	q.close()
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -15,12 +15,12 @@
 // the age of what was read, as it does on the age of the endpoint list.
 type trackedConn struct {
 	net.Conn
-	raw          syscall.RawConn // nil: no descriptor to look into
-	direct       bool            // read from the descriptor itself, which shows when nothing is left
-	mu           sync.Mutex      // held from a look into the descriptor until its result is recorded
-	allProcessed bool            // all that was read is processed
-	asOf         time.Time       // all that had come by then is processed; zero: not known yet
-	emptyReadAt  time.Time       // when the last read began; zero: it may have left some
+	raw               syscall.RawConn // nil: no descriptor to look into
+	readsDescriptor   bool            // read from the descriptor itself, which shows when nothing is left
+	mu                sync.Mutex      // held from a look into the descriptor until its result is recorded
+	allProcessed      bool            // all that was read is processed
+	processedUpTo     time.Time       // all that had come by then is processed; zero: not known yet
+	emptyingReadStart time.Time       // when the last read began; zero: it may have left some
 }
 
 // maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s; the other half is
@@ -33,7 +33,7 @@
 	if c, ok := conn.(syscall.Conn); ok {
 		t.raw, _ = c.SyscallConn()
 	}
-	_, t.direct = conn.(*net.TCPConn)
+	_, t.readsDescriptor = conn.(*net.TCPConn)
 	return t
 }
 
@@ -42,47 +42,47 @@
 func (t *trackedConn) Read(b []byte) (n int, err error) {
 	t.mu.Lock()
 	t.allProcessed = true
-	if !t.emptyReadAt.IsZero() {
-		t.asOf = t.emptyReadAt
+	if !t.emptyingReadStart.IsZero() {
+		t.processedUpTo = t.emptyingReadStart
 	}
 	t.mu.Unlock()
-	if !t.direct || t.raw == nil || len(b) == 0 {
+	if !t.readsDescriptor || t.raw == nil || len(b) == 0 {
 		began := time.Now()
 		n, err = t.Conn.Read(b)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.noteRead(began, n, len(b))
+		t.recordRead(began, n, len(b))
 		return n, err
 	}
 	return t.read(b, wait)
 }
 
 // read reads from the descriptor itself and records whether anything was pending.
-func (t *trackedConn) read(b []byte, waiting waiting) (int, error) {
+func (t *trackedConn) read(b []byte, waiting waitMode) (int, error) {
 	return readRaw(t.raw, waiting, func(fd int) (int, error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		began := time.Now()
 		n, err := retryInterrupted(func() (int, error) { return syscall.Read(fd, b) })
 		if errors.Is(err, syscall.EAGAIN) {
-			t.asOf = began
+			t.processedUpTo = began
 		} else {
-			t.noteRead(began, n, len(b))
+			t.recordRead(began, n, len(b))
 		}
 		return n, err
 	})
 }
 
-// waiting is what a read does where nothing is pending.
-type waiting bool
+// waitMode is what a read does where nothing is pending.
+type waitMode bool
 
 const (
-	wait   waiting = true
-	noWait waiting = false // returns EAGAIN
+	wait   waitMode = true
+	noWait waitMode = false // returns EAGAIN
 )
 
 // readRaw reads through a call on a descriptor that does not block.
-func readRaw(raw syscall.RawConn, waiting waiting, call func(fd int) (int, error)) (n int, err error) {
+func readRaw(raw syscall.RawConn, waiting waitMode, call func(fd int) (int, error)) (n int, err error) {
 	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
 		n, readErr = retryInterrupted(func() (int, error) { return call(int(fd)) })
@@ -99,11 +99,11 @@
 	return n, nil
 }
 
-// noteRead records a read of n bytes, of most, that began at began. The lock is held.
-func (t *trackedConn) noteRead(began time.Time, n, size int) {
+// recordRead records a read of n bytes, of most, that began at began. The lock is held.
+func (t *trackedConn) recordRead(began time.Time, n, size int) {
 	t.allProcessed = false
-	if t.emptyReadAt = began; n == size {
-		t.emptyReadAt = time.Time{}
+	if t.emptyingReadStart = began; n == size {
+		t.emptyingReadStart = time.Time{}
 	}
 }
 
@@ -112,21 +112,21 @@
 func (t *trackedConn) upToDate(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.raw == nil || now.Sub(t.asOf) <= maxUnreadAge {
+	if t.raw == nil || now.Sub(t.processedUpTo) <= maxUnreadAge {
 		return true
 	}
 	if !t.allProcessed || t.hasUnread() {
 		return false
 	}
-	t.asOf = now
+	t.processedUpTo = now
 	return true
 }
 
-// emptiedAt returns when the reader last found nothing pending.
-func (t *trackedConn) emptiedAt() time.Time {
+// lastEmptyAt returns when the reader last found nothing pending.
+func (t *trackedConn) lastEmptyAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.asOf
+	return t.processedUpTo
 }
 
 // hasUnread looks into the socket for what came since the last read: a message, or an end. The lock is held.
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -39,30 +39,30 @@
 	return s.TCPConn.Read(b)
 }
 
-// departures are the ways in which a client stops waiting for its request 1.
-var departures = map[string]func(c *testClient){
-	"cancels":     func(c *testClient) { c.cancel(1) },
+// clientDepartures are the ways in which a client stops waiting for its request 1.
+var clientDepartures = map[string]func(c *testClient){
+	"cancels":     func(c *testClient) { c.sendCancel(1) },
 	"closes":      func(c *testClient) { c.conn.Close() },
 	"half closes": func(c *testClient) { c.conn.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c *testClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
 	"cancels behind another request": func(c *testClient) {
-		c.call(2, "again", "lookup", "00000000000000ff")
-		c.cancel(1)
-		c.cancel(2)
+		c.sendRequest(2, "again", "lookup", "00000000000000ff")
+		c.sendCancel(1)
+		c.sendCancel(2)
 	},
 }
 
 // A client leaves while its attempt waits, and that lies unread for long: no first byte follows.
 func TestUnreadDepartureWithdrawsAttempt(t *testing.T) {
 	const unreadFor, watchedFor = 130 * time.Millisecond, 300 * time.Millisecond
-	for how, leave := range departures {
+	for how, leave := range clientDepartures {
 		for where, hold := range map[string]struct {
 			dial   func(conn net.Conn, filled chan<- int, departed <-chan bool)
 			accept func(c net.Conn, filled <-chan int, departed <-chan bool)
 		}{
 			"in a dial": {dial: func(_ net.Conn, _ chan<- int, departed <-chan bool) { <-departed }},
 			"for room": {
-				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fill(t, conn) },
+				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fillSendBuffer(t, conn) },
 				accept: func(c net.Conn, filled <-chan int, departed <-chan bool) {
 					<-departed
 					io.ReadFull(c, make([]byte, <-filled))
@@ -78,7 +78,7 @@
 				t.Parallel()
 				waiting, departed, filled, written := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
 				var connections atomic.Int32
-				server := listenNarrow(t, func(c net.Conn) {
+				server := listenSmallBuffer(t, func(c net.Conn) {
 					if hold.accept != nil && connections.Add(1) == 1 {
 						waiting <- true
 						hold.accept(c, filled, departed)
@@ -91,10 +91,10 @@
 						written <- f
 					}
 				})
-				r := startChanged(t, func(r *Router) {
+				r := startWith(t, func(r *Router) {
 					longGrace(r)
-					r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-						conn, err := systemCalls.dial(ctx, address)
+					r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
+						conn, err := defaultConnFuncs.dial(ctx, address)
 						if err == nil && hold.dial != nil {
 							waiting <- true
 							hold.dial(conn, filled, departed)
@@ -106,7 +106,7 @@
 				locked := &lockedConn{TCPConn: ours.(*net.TCPConn)}
 				r.serveClient(locked)
 				c := newTestClient(t, theirs)
-				c.call(1, "again")
+				c.sendRequest(1, "again")
 				<-waiting
 				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
 				locked.Lock()
@@ -126,11 +126,11 @@
 
 // A trackedConn detects unread input while its reader does not return.
 func TestTrackedConnDetectsUnreadInput(t *testing.T) {
-	for how, leave := range departures {
+	for how, leave := range clientDepartures {
 		t.Run(how, func(t *testing.T) {
 			ours, theirs := platformtest.ConnPair(t)
 			s := newTrackedConn(ours)
-			if !s.direct {
+			if !s.readsDescriptor {
 				t.Fatal("not read from the descriptor")
 			}
 			later := func() time.Time { return time.Now().Add(maxUnreadAge + time.Millisecond) }
@@ -151,10 +151,10 @@
 			}
 			leave(newTestClient(t, theirs))
 			platformtest.WaitFor(t, "unread input is detected", func() bool {
-				s.asOf = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
+				s.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
 				return !s.upToDate(time.Now())
 			})
-			if s.asOf = time.Now(); !s.upToDate(time.Now()) {
+			if s.processedUpTo = time.Now(); !s.upToDate(time.Now()) {
 				t.Error("where the reader looked just now the socket is looked at again")
 			}
 		})
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -37,10 +37,10 @@
 	data []byte
 	// encode, if not nil, returns data right before each attempt to write the first byte. It guards against a stated
 	// deadline that was true when the frame was queued, before a dial or a wait for room.
-	encode func() []byte
-	size   int // upper bound of encode's result
-	begin  func(write func() bool) (withdrawn bool)
-	wrote  func(whole bool)
+	encode        func() []byte
+	size          int // upper bound of encode's result
+	checkAndWrite func(write func() bool) (withdrawn bool)
+	writeEnded    func(whole bool)
 }
 
 // writeTimeout bounds one write: a peer that accepts nothing for this long is gone or malicious.
@@ -163,7 +163,7 @@
 		q.mu.Unlock()
 		q.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		n, err := 0, error(nil)
-		if frame.begin != nil {
+		if frame.checkAndWrite != nil {
 			if n, err = writeFirst(q.conn, &frame, q.firstWrite); n == 0 && err == nil {
 				continue // withdrawn
 			}
@@ -176,8 +176,8 @@
 			more, err = q.conn.Write(frame.data[n:])
 			n += more
 		}
-		if frame.wrote != nil && (n > 0 || frame.begin == nil) {
-			frame.wrote(n == len(frame.data))
+		if frame.writeEnded != nil && (n > 0 || frame.checkAndWrite == nil) {
+			frame.writeEnded(n == len(frame.data))
 		}
 		if err != nil {
 			q.close()
@@ -213,7 +213,7 @@
 				return n > 0
 			}
 			writeErr = nil
-			withdrawn := frame.begin(write)
+			withdrawn := frame.checkAndWrite(write)
 			retry = !withdrawn && (!attempted || n == 0 && netfail.IsLocal(writeErr))
 			return withdrawn || room
 		})
