--- a/internal/platform/anomalies.go
+++ b/internal/platform/anomalies.go
@@ -1,9 +1,9 @@
 package platform
 
-// anomaly is a kind of trouble that the state log line counts.
+// anomaly is a kind of unexpected event that the state log line counts.
 type anomaly uint8
 
-// The anomalies. Those of badMessage and corruptAnswer are counted by what was wrong.
+// The kinds of anomaly. badMessage and corruptAnswer are also counted by what was wrong.
 const (
 	acceptFailed anomaly = iota
 	badMessage
@@ -42,11 +42,12 @@
 
 func (a anomaly) String() string { return anomalyTexts[a] }
 
-// anomalyCounts counts anomalies between two state log lines: one line for all, so that a flood of faults does not flood
-// the log. Any goroutine may count.
+// anomalyCounts counts anomalies between two state log lines. All are logged in one line, so that a flood of faults
+// does not flood the log. It is safe for concurrent use.
 type anomalyCounts struct{ counter[anomalyDetail] }
 
-// anomalyDetail is an anomaly with what was wrong, one of a few texts; empty where the kind tells it.
+// anomalyDetail is an anomaly together with what was wrong: one of a few fixed texts, or empty if the kind says it
+// all.
 type anomalyDetail struct {
 	kind   anomaly
 	detail string
@@ -62,7 +63,7 @@
 // add counts an anomaly.
 func (c *anomalyCounts) add(kind anomaly) { c.addDetail(kind, "") }
 
-// addDetail counts an anomaly by what was wrong.
+// addDetail counts an anomaly together with what was wrong.
 func (c *anomalyCounts) addDetail(kind anomaly, detail string) {
 	c.counter.add(anomalyDetail{kind, detail})
 }
--- a/internal/platform/anomalies_test.go
+++ b/internal/platform/anomalies_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The state line has each kind once, with what was wrong where a kind is counted by it, and begins anew afterwards.
+// The state line lists each kind once, or once for each detail if the kind has details, and the counts are reset
+// afterwards.
 func TestAnomalyCounts(t *testing.T) {
 	var c anomalyCounts
 	c.add(processStalled)
@@ -14,7 +15,7 @@
 		t.Errorf("got %q, want %q", got, want)
 	}
 	if got := c.take(); got != "" {
-		t.Errorf("then %q", got)
+		t.Errorf("after the reset: got %q, want none", got)
 	}
 	for kind := range anomalyTexts {
 		if anomaly(kind).String() == "" {
--- a/internal/platform/answers_test.go
+++ b/internal/platform/answers_test.go
@@ -13,32 +13,33 @@
 	"hollymast/internal/platformtest"
 )
 
-// A request that was read completely is answered, whatever ends its connection. Each test here ends one in its own way.
+// A request that was read completely is answered, however its connection ends. Each test here ends the connection in
+// a different way.
 
-// A request that had arrived completely by its connection's deadline is read to its end, however long the process is
-// stalled.
+// A request that had arrived completely before its connection's deadline is read completely, however long the process
+// is stalled.
 func TestLongRequestIsReadAfterDeadline(t *testing.T) {
 	for name, end := range map[string]func(c *clientConn){"idle": func(c *clientConn) { c.closeWhenIdle(0) }, "room": func(c *clientConn) { c.abort() }} {
 		r := start(t, modelServer(t, echo))
 		var sent atomic.Bool
-		c, ours := r.dialHooked(t, func(c *testClient, n int, err error) {
+		c, routerConn := r.dialHooked(t, func(c *testClient, n int, err error) {
 			if errors.Is(err, os.ErrDeadlineExceeded) && sent.CompareAndSwap(false, true) {
 				c.conn.Write(longRequest(c.t, 2, "again"))
 			}
 			if sent.Load() {
-				time.Sleep(2 * lastReadTime) // stalled
+				time.Sleep(2 * lastReadTime) // the process is stalled
 			}
 		})
 		c.sendHealthCheck(1)
 		c.expect("1: true")
-		end(ours)
+		end(routerConn)
 		if got := c.receive(); len(got) < 3 || got[:3] != "2: " {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
 }
 
-// Each request sent behind a number that does not rise gets an error.
+// Each request sent after one whose number did not increase gets an error.
 func TestRequestsBehindInvalidNumberFail(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	var all []byte
@@ -51,7 +52,7 @@
 	}
 }
 
-// The requests of connections beyond the limit are rejected; many come at once.
+// The requests of connections beyond the limit are rejected, even if many such connections are opened at once.
 func TestRequestsBeyondConnectionLimitAreRejected(t *testing.T) {
 	server, held := holdingServer(t)
 	config := testConfig(t, server)
@@ -88,21 +89,21 @@
 	}
 }
 
-// A panic while handling a request leaves none of its connection without an answer: neither it nor those open or sent
-// behind it.
+// After a panic while handling a request, every request on the connection is answered: that one, those already open,
+// and those sent after it.
 func TestPanicWhileHandlingRequest(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
 	c.sendRequest(1, "again")
 	<-held
-	r.config.classes["panics"] = 99 // there is no such class
+	r.config.classes["panics"] = 99 // no such class: handling the request panics
 	c.conn.Write(append(longRequest(t, 2, "panics"), longRequest(t, 3, "again")...))
 	c.expect("1: Aborted")
 	c.expect("2: Aborted")
 	c.expect("3: Aborted")
 	c.expect("closed")
 	if r.anomalyCount(panicReadingClient) != 1 {
-		t.Error("it is not counted")
+		t.Error("the panic is not counted")
 	}
 }
--- a/internal/platform/badclients_test.go
+++ b/internal/platform/badclients_test.go
@@ -10,16 +10,16 @@
 	"hollymast/internal/platformtest"
 )
 
-// Whatever a client does, and whatever happens on its connection, each request has its one final answer. Each test here
-// makes one kind of trouble.
+// Whatever a client does, and whatever happens on its connection, each request gets exactly one final answer. Each
+// test here causes one kind of fault.
 
-// A well-behaved client gets all its answers beside several kinds of bad clients.
+// A well-behaved client gets all its answers while several kinds of misbehaving clients are active.
 func TestBadClientsDoNotAffectOthers(t *testing.T) {
 	const requests = 40
 	r := start(t, modelServer(t, echo))
 	regular := r.dial(t)
 	end := make(chan struct{})
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for name, misbehave := range map[string]func(c *testClient, n int){
 		"noise":            func(c *testClient, _ int) { c.conn.Write([]byte{0xc1, 0xff, 0}) },
 		"unknown classes":  func(c *testClient, n int) { c.sendRequest(n, "unknown") },
@@ -34,7 +34,7 @@
 		"reads nothing":     func(c *testClient, n int) { c.sendRequest(n, "unknown") },
 		"asks for too many": func(c *testClient, n int) { c.sendRequest(n, "again", withID(1<<40+n)...) },
 	} {
-		all.Go(func() {
+		goroutines.Go(func() {
 			for conn := (net.Conn)(nil); ; {
 				if conn == nil {
 					var err error
@@ -69,11 +69,11 @@
 		answers[regular.receive()]++
 	}
 	close(end)
-	all.Wait()
+	goroutines.Wait()
 	served := 0
 	for n := 1; n <= requests; n++ {
 		answered := 0
-		for _, what := range []string{"body " + fmt.Sprint(n), "TryLater", "Aborted", "Invalid"} { // the id may be another's that is open
+		for _, what := range []string{"body " + fmt.Sprint(n), "TryLater", "Aborted", "Invalid"} { // errors count: another client may use the same id
 			answered += answers[fmt.Sprintf("%d: %s", n, what)]
 		}
 		if served += answers[fmt.Sprintf("%d: body %d", n, n)]; answered != 1 {
@@ -81,11 +81,11 @@
 		}
 	}
 	if served == 0 {
-		t.Errorf("none was served: %v", answers)
+		t.Errorf("no request was served: %v", answers)
 	}
 }
 
-// Requests that are open on a connection get one answer each, whatever is wrong with what follows them.
+// Requests that are open on a connection get exactly one answer each, whatever invalid input follows them.
 func TestBadInputBehindOpenRequests(t *testing.T) {
 	const open = 5
 	for name, bad := range map[string]func(c *testClient){
@@ -100,11 +100,11 @@
 	} {
 		server, _ := holdingServer(t)
 		r := start(t, server)
-		c, ours := r.dialHooked(t, ignoreReads)
+		c, routerConn := r.dialHooked(t, ignoreReads)
 		for n := 1; n <= open; n++ {
 			c.sendRequest(n, "again")
 		}
-		platformtest.WaitFor(t, "all are open", func() bool { return ours.openRequestCount() == open })
+		platformtest.WaitFor(t, "all are open", func() bool { return routerConn.openRequestCount() == open })
 		bad(c)
 		c.conn.(*net.TCPConn).CloseWrite()
 		answers := map[string]int{}
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -13,8 +13,8 @@
 	"hollymast/internal/msgrpc"
 )
 
-// clientConn is one client connection. Its goroutine reads, and it alone decides that nothing more is read: a request
-// was either read before that, or never. The event loop answers through the write queue.
+// clientConn is one client connection. Its goroutine reads messages, and only that goroutine decides when reading
+// ends: a request was either read before that point or never. The event loop responds through the write queue.
 type clientConn struct {
 	router            *Router
 	conn              net.Conn
@@ -23,34 +23,34 @@
 	writes            writeQueue
 	mu                sync.Mutex
 	open              map[uint32]*request // by message number
-	lastNumber        uint32              // the largest so far
-	healthChecks      int                 // health checks not answered yet
-	awaitingMessage   bool                // the reader waits between messages
-	closing           bool                // it closes as soon as nothing is open
-	aborting          bool                // it closes even amid a message
-	readUntil         time.Time           // only what is pending is read later; zero: no bound
+	lastNumber        uint32              // the largest message number so far
+	healthChecks      int                 // health checks that have no response yet
+	awaitingMessage   bool                // the reader waits for the next message to begin
+	closing           bool                // the connection closes as soon as nothing is open
+	aborting          bool                // the connection closes even in the middle of a message
+	readUntil         time.Time           // afterwards only pending input is read; zero: no bound
 	faults            int
-	rejected          bool                       // it is read only to be rejected, and does not count towards the limit
-	rejectWith        func(number uint32) []byte // the reader's: the answer to each further request; nil: they are accepted
-	unanswered        bool                       // the reader's: the request it handles has no answer yet, and is not open
-	sentMessage       atomic.Bool                // a whole message was read
-	idleSince         atomic.Int64               // since when nothing is open, on the router's clock
-	drainTime         time.Duration              // how long input is read after all is written
-	closed            chan struct{}              // closed once the descriptor is free
-	draining          atomic.Bool                // all is written; input is only read and dropped
+	rejected          bool                       // read only to reject its requests; does not count towards the limit
+	rejectWith        func(number uint32) []byte // response to each further request; nil: requests are accepted; reader only
+	unanswered        bool                       // the current request has no response yet and is not in open; reader only
+	sentMessage       atomic.Bool                // a complete message has been read
+	idleSince         atomic.Int64               // when the connection became idle, on the router's clock
+	drainTime         time.Duration              // how long input is still read after everything is written
+	closed            chan struct{}              // closed once the descriptor has been freed
+	draining          atomic.Bool                // everything is written; input is read and discarded
 	closeNowCalled    atomic.Bool
-	closeNowRequested chan struct{} // closed to end the draining
+	closeNowRequested chan struct{} // closed to end draining early
 	closeReason       atomic.Uint32 // a clientClose
 }
 
-// hasAbandoned reports whether the client no longer waits for a request's answer.
+// hasAbandoned reports whether the client has stopped waiting for the response to a request.
 func (c *clientConn) hasAbandoned(req *request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[req.number] != req
 }
 
-// closeNow closes a connection at once that only drains.
+// closeNow closes a connection immediately if it is only being drained.
 func (c *clientConn) closeNow() {
 	if c.draining.Load() && c.closeNowCalled.CompareAndSwap(false, true) {
 		close(c.closeNowRequested)
@@ -59,17 +59,17 @@
 }
 
 // idle reports whether nothing is open on the connection, and whether it is closing.
-func (c *clientConn) idle() (idle, ending bool) {
+func (c *clientConn) idle() (idle, isClosing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasNothingOpen(), c.closing
 }
 
-// hasNothingOpen reports whether no request and no health check is open. The lock is held.
+// hasNothingOpen reports whether no request and no health check is open. The caller holds mu.
 func (c *clientConn) hasNothingOpen() bool { return len(c.open) == 0 && c.healthChecks == 0 }
 
-// closeWhenIdle makes the reader close the connection once nothing is open, after a last read. It then drains for
-// drainTime.
+// closeWhenIdle makes the reader close the connection once nothing is open, after a last read. The connection is then
+// drained for drainTime.
 func (c *clientConn) closeWhenIdle(drainTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	c.wakeReader()
 }
 
-// abort makes the reader close the connection even amid a message. It guards against clients that never complete
-// theirs, by the hundred.
+// abort makes the reader close the connection even in the middle of a message, so that hundreds of clients that never
+// complete a message do not exhaust the connections.
 func (c *clientConn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// closeBy makes the reader close the connection once nothing is open, or after timeout whatever is open, after a last
-// read. It guards against clients that go on sending, so that something is always open.
+// closeBy makes the reader close the connection once nothing is open, or after timeout even if something is, in both
+// cases after a last read. The timeout is needed for clients that keep sending, so that something is always open.
 func (c *clientConn) closeBy(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,31 +103,31 @@
 	}
 }
 
-// readTimeExpired reports whether reading ends though more may come. It guards against clients that send faster than they
-// are read.
+// readTimeExpired reports whether reading must end although more input may arrive. Without it, a client that sends
+// faster than it is read would keep the connection open.
 func (c *clientConn) readTimeExpired() bool {
 	c.mu.Lock()
-	late := c.pastReadTime()
+	expired := c.pastReadTime()
 	c.mu.Unlock()
-	if late && !c.input.finished {
+	if expired && !c.input.finished {
 		c.input.finish()
 	}
-	return late && len(c.input.remaining) == 0
+	return expired && len(c.input.remaining) == 0
 }
 
-// pastReadTime reports whether only what is pending is still read. The lock is held.
+// pastReadTime reports whether only pending input is still read. The caller holds mu.
 func (c *clientConn) pastReadTime() bool {
 	return !c.readUntil.IsZero() && !time.Now().Before(c.readUntil)
 }
 
-// wakeReader wakes a reader that waits for a message on a connection that may close. The lock is held.
+// wakeReader wakes the reader if it waits for a message on a connection that may close. The caller holds mu.
 func (c *clientConn) wakeReader() {
 	if c.closing && c.awaitingMessage && c.hasNothingOpen() {
 		c.conn.SetReadDeadline(time.Now())
 	}
 }
 
-// awaitMessage waits for the first byte of the next message; false: the connection is to end.
+// awaitMessage waits for the first byte of the next message. It returns false if the connection must end.
 func (c *clientConn) awaitMessage(in *msgrpc.Reader, firstDeadline time.Time) bool {
 	for {
 		c.mu.Lock()
@@ -147,19 +147,19 @@
 		err := in.Await()
 		c.mu.Lock()
 		c.awaitingMessage = false
-		nothing := c.hasNothingOpen() || c.pastReadTime()
+		mayEnd := c.hasNothingOpen() || c.pastReadTime()
 		c.mu.Unlock()
 		if err == nil {
 			return true
 		}
-		if late := errors.Is(err, os.ErrDeadlineExceeded); nothing || !late {
+		if late := errors.Is(err, os.ErrDeadlineExceeded); mayEnd || !late {
 			c.recordAwaitEnd(late)
 			return false
 		}
 	}
 }
 
-// recordAwaitEnd notes why the wait for a message has ended: by a deadline, or by the client.
+// recordAwaitEnd records why the wait for a message ended: because of a deadline, if late, or because of the client.
 func (c *clientConn) recordAwaitEnd(late bool) {
 	switch {
 	case !late:
@@ -188,7 +188,7 @@
 	}
 }
 
-// readLoop reads until the connection ends. It owns the connection's end: all that is open then is cancelled.
+// readLoop reads messages until the connection ends. It then cancels every request that is still open.
 func (c *clientConn) readLoop() {
 	defer c.router.recoverPanic(panicReadingClient)
 	defer c.finish()
@@ -229,7 +229,7 @@
 	}
 }
 
-// handle handles a message. After a panic it fails every request of the connection, and closes it.
+// handle handles one message. After a panic it fails every request on the connection and closes the connection.
 func (c *clientConn) handle(m *msgrpc.Message) {
 	completed := false
 	defer func() {
@@ -254,23 +254,23 @@
 	completed = true
 }
 
-// failConnection fails all requests open on the connection, answers those already sent behind them with refusal, and
-// closes the connection.
-func (c *clientConn) failConnection(refusal func(number uint32) []byte) {
-	c.rejectWith = refusal
+// failConnection fails all requests open on the connection, answers those already sent after them with rejectWith,
+// and closes the connection.
+func (c *clientConn) failConnection(rejectWith func(number uint32) []byte) {
+	c.rejectWith = rejectWith
 	c.setCloseReason(clientCloseMalformed)
 	c.failOpen(requestOutcome{endFailed, reasonConnRejects})
 	c.closeWhenIdle(drainAfterBadInput)
 	c.closeBy(drainAfterBadInput)
 }
 
-// reply answers the request that the reader is handling.
+// reply sends the response to the request that the reader is handling.
 func (c *clientConn) reply(data []byte) {
 	c.unanswered = false
 	c.post(data)
 }
 
-// handleHealthCheck lets the event loop answer: a router whose event loop hangs is not healthy.
+// handleHealthCheck lets the event loop respond, because a router whose event loop hangs is not healthy.
 func (c *clientConn) handleHealthCheck(number uint32) {
 	c.mu.Lock()
 	c.healthChecks++
@@ -284,19 +284,20 @@
 	})
 }
 
-// post queues a message to the client.
+// post queues a message for the client.
 func (c *clientConn) post(data []byte) { c.writes.post(queuedFrame{data: data}) }
 
-// tolerableFaults and excessiveFaults are the numbers of malformed or refused messages on one connection from which
-// on penalize acts.
+// tolerableFaults and excessiveFaults are the thresholds of penalize, in malformed or rejected messages on one
+// connection.
 const (
-	tolerableFaults = 64 // no well-behaved client causes as many
+	tolerableFaults = 64 // no well-behaved client reaches this
 	excessiveFaults = 1000
 )
 
-// penalize slows down a client whose messages are malformed. It guards against floods of them, whose answers would
-// cost others their share of the core: some hundreds at once are answered within the time that such a client is owed.
-// While its reader sleeps a cancellation would go unnoticed, so that none of its requests stays open from then on.
+// penalize slows down a client that sends malformed messages. The responses to a flood of them would take processor
+// time from other clients; a few hundred at once can be answered within the time that such a client must be answered
+// in. While its reader sleeps, a cancellation would go unnoticed, so none of the client's requests stay open from
+// tolerableFaults on.
 func (c *clientConn) penalize() {
 	switch c.faults++; {
 	case c.faults == tolerableFaults:
@@ -328,16 +329,17 @@
 		return
 	}
 	c.mu.Lock()
-	rising := m.Number > c.lastNumber
+	increasing := m.Number > c.lastNumber
 	c.lastNumber = max(c.lastNumber, m.Number)
 	full := len(c.open) >= maxOpenPerClient || c.faults >= tolerableFaults
-	if rising && !full {
+	if increasing && !full {
 		c.open[m.Number] = req
 		c.unanswered = false
 	}
 	c.mu.Unlock()
-	if !rising {
-		// Answers could not be told apart, so that no request of this connection gets one that counts.
+	if !increasing {
+		// Responses with the same number can't be told apart, so no request on this connection gets a successful
+		// response.
 		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
 		c.router.requestEnds.add(requestOutcome{endFailed, reasonInvalid})
 		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
@@ -356,8 +358,8 @@
 	c.router.loop.Post(func(now control.Micros) { c.router.handleRequest(now, req) })
 }
 
-// handleCancellation cancels a request. No attempt of it is written from here on, whenever the event loop handles the
-// cancellation.
+// handleCancellation cancels a request. From here on no attempt of it is written, even if the event loop has not
+// handled the cancellation yet.
 func (c *clientConn) handleCancellation(number uint32) {
 	c.mu.Lock()
 	req := c.open[number]
@@ -373,7 +375,7 @@
 	}
 }
 
-// failOpen fails every request open on the connection; outcome is what the log says of them.
+// failOpen fails every request open on the connection. outcome is how the log describes their end.
 func (c *clientConn) failOpen(outcome requestOutcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -385,8 +387,8 @@
 	clear(c.open)
 }
 
-// finish closes the connection after what is queued is written. It counts as a connection until its descriptor is
-// free.
+// finish closes the connection after everything queued is written. The connection counts towards the limit until its
+// descriptor is free.
 func (c *clientConn) finish() {
 	c.failOpen(requestOutcome{endCancelled, reasonClientLeft})
 	c.mu.Lock()
@@ -409,9 +411,9 @@
 	close(c.closed)
 }
 
-// drainAfterClose reads and discards what the client still sends until it closes too, at most for drainTime. It
-// guards against the reset that closing with unread input causes, which may overtake the last answer. Beyond
-// maxInTransit nothing is read, so that a flood costs nothing.
+// drainAfterClose reads and discards what the client still sends until the client closes its end too, for at most
+// drainTime. Closing a connection with unread input sends a reset, which may overtake the last response. After
+// maxInTransit bytes nothing more is read, so that a flood costs nothing.
 func (c *clientConn) drainAfterClose(drainTime time.Duration) {
 	until := time.Now().Add(drainTime)
 	c.conn.SetReadDeadline(until)
@@ -423,7 +425,7 @@
 	}
 }
 
-// respond sends a request's answer, if its client still waits for one.
+// respond sends the response to a request if its client is still waiting for one.
 func (c *clientConn) respond(req *request, data []byte) {
 	c.mu.Lock()
 	open := c.open[req.number] == req
--- a/internal/platform/clientfaults_test.go
+++ b/internal/platform/clientfaults_test.go
@@ -15,7 +15,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// failingListener is a listener whose accepts fail for as long as fault returns an error.
+// failingListener is a listener whose Accept fails while fault returns an error.
 type failingListener struct {
 	*net.TCPListener
 	calls atomic.Int32
@@ -30,14 +30,14 @@
 	return f.TCPListener.Accept()
 }
 
-// acceptErrors are the errors of accept that Linux documents, except those that only a bug of this program causes.
+// acceptErrors are the errors of accept documented by Linux, except those that only a bug of this program can cause.
 var acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 	syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ENOSR, syscall.ESOCKTNOSUPPORT, syscall.EPROTONOSUPPORT,
 	syscall.ETIMEDOUT}
 
-// Whatever accept fails with, once or for a while: the listener goes on, without a busy loop, and closes no idle
-// client connection unless the process itself is out of descriptors.
+// After any error of accept, whether once or for a while, the listener continues without a busy loop. It closes an
+// idle client connection only if the process itself is out of descriptors.
 func TestAcceptErrors(t *testing.T) {
 	const duration = 150 * time.Millisecond
 	for _, errno := range acceptErrors {
@@ -46,8 +46,8 @@
 			"for a while": func(_ int32, since time.Duration) bool { return since < duration },
 		} {
 			r := idleRouter(t)
-			ours, theirs := platformtest.ConnPair(t)
-			idle := r.serveClient(ours)
+			routerConn, peerConn := platformtest.ConnPair(t)
+			idle := r.serveClient(routerConn)
 			begin := time.Now()
 			l := &failingListener{TCPListener: r.listener}
 			l.fault = func() error {
@@ -56,8 +56,8 @@
 				}
 				return nil
 			}
-			var all sync.WaitGroup
-			all.Go(func() { r.accept(l) })
+			var goroutines sync.WaitGroup
+			goroutines.Go(func() { r.accept(l) })
 			conn, err := net.Dial("tcp", r.Address())
 			if err != nil {
 				t.Fatal(err)
@@ -70,19 +70,19 @@
 			if _, closing := idle.idle(); closing != (errno == syscall.EMFILE) {
 				t.Errorf("%v %s: the idle client is closed: %t", errno, name, closing)
 			}
-			if most := int32(20); l.calls.Load() > most {
+			if maxAccepts := int32(20); l.calls.Load() > maxAccepts {
 				t.Errorf("%v %s: %d accepts", errno, name, l.calls.Load())
 			}
 			conn.Close()
-			theirs.Close()
+			peerConn.Close()
 			l.Close()
-			all.Wait()
+			goroutines.Wait()
 			platformtest.WaitFor(t, "all connections end", r.allClientsClosed)
 		}
 	}
 }
 
-// hasClient reports whether the router has the other end of a connection.
+// hasClient reports whether conn is the client's end of one of the router's connections. The caller holds mu.
 func (r *Router) hasClient(conn net.Conn) bool {
 	for c := range r.clients {
 		if c.conn.RemoteAddr().String() == conn.LocalAddr().String() {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// A stopping router accepts waiting connections though accept fails meanwhile, or its deadline passed before it was
-// called.
+// A stopping router accepts pending connections even if accept fails for a while, or if its deadline passed before it
+// was called.
 func TestWaitingConnectionsAreAcceptedDespiteErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.ECONNABORTED, 0} {
 		r := idleRouter(t)
@@ -124,8 +124,8 @@
 	}
 }
 
-// A start whose address is still taken, as by a predecessor that was killed, retries; a permanent error is returned
-// at once.
+// At start, listening is retried while the address is still in use, for example by a predecessor that was killed. A
+// permanent error is returned immediately.
 func TestListenIsRetried(t *testing.T) {
 	predecessor, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -138,12 +138,12 @@
 	newRouter(t, config, zerolog.Nop()).listener.Close()
 	begin := time.Now()
 	if _, err := listenAt("192.0.2.1:http-"); err == nil || time.Since(begin) > listenFor/2 {
-		t.Errorf("%v after %v", err, time.Since(begin))
+		t.Errorf("got error %v after %v, want one immediately", err, time.Since(begin))
 	}
 }
 
-// failingConn is the router's end of a connection whose reads or writes fail from some time on, or that brings one byte at
-// a time.
+// failingConn is the router's end of a connection. Its reads or writes fail once an error is set, or it returns one
+// byte per read.
 type failingConn struct {
 	*net.TCPConn
 	byteByByte            bool
@@ -172,8 +172,8 @@
 	return b.TCPConn.Write(p)
 }
 
-// A client connection that breaks, in whatever way, counts as closed by the client: none of its requests is written any
-// more, and no other client notices.
+// A client connection that breaks, in whatever way, is treated as closed by the client: none of its requests is
+// written to a server any more, and other clients are not affected.
 func TestClientConnectionBreaks(t *testing.T) {
 	held := make(chan receivedAttempt, 1)
 	r := start(t, modelServer(t, func(a receivedAttempt) {
@@ -197,9 +197,9 @@
 				c.sendHealthCheck(2)
 			},
 		} {
-			ours, theirs := platformtest.ConnPair(t)
-			b := &failingConn{TCPConn: ours.(*net.TCPConn)}
-			c := newTestClient(t, theirs)
+			routerConn, peerConn := platformtest.ConnPair(t)
+			b := &failingConn{TCPConn: routerConn.(*net.TCPConn)}
+			c := newTestClient(t, peerConn)
 			client := r.serveClient(b)
 			requests++
 			c.sendRequest(1, "once", withID(1000+requests)...)
@@ -228,12 +228,12 @@
 	}
 }
 
-// A connection that brings one byte at a time brings its requests.
+// Requests are read correctly from a connection that returns one byte per read.
 func TestShortReads(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	ours, theirs := platformtest.ConnPair(t)
-	c := newTestClient(t, theirs)
-	r.serveClient(&failingConn{TCPConn: ours.(*net.TCPConn), byteByByte: true})
+	routerConn, peerConn := platformtest.ConnPair(t)
+	c := newTestClient(t, peerConn)
+	r.serveClient(&failingConn{TCPConn: routerConn.(*net.TCPConn), byteByByte: true})
 	for n := 1; n <= 3; n++ {
 		c.sendRequest(n, "again")
 	}
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -13,59 +13,63 @@
 )
 
 const (
-	// maxOpenPerClient is how many requests a connection may have open, as the protocol states.
+	// maxOpenPerClient is the number of open requests that the protocol allows per connection.
 	maxOpenPerClient = 32
-	// firstMessageTimeout and messageTimeout bound the time for a client's first message, from the connection on,
-	// and for a message that has begun. A client that sends malformed ones must be closed within 3 s; a well-behaved
-	// one sends a message in one piece.
+	// firstMessageTimeout bounds the time from accepting a connection until its first message is complete;
+	// messageTimeout bounds the time for the rest of any later message. Clients that send malformed messages must be
+	// disconnected within 3 s; a well-behaved client sends a message in one piece.
 	firstMessageTimeout, messageTimeout = 2 * time.Second, 2 * time.Second
-	// finalReadTime is for how long a connection is read that must close now, even with requests open: several times
-	// lastReadTime.
+	// finalReadTime is how long a connection that must close now is still read, even if requests are open on it:
+	// several times lastReadTime.
 	finalReadTime = 5 * lastReadTime
-	// maxInTransit is all that a well-behaved client may have in transit, half of it with the longest bodies.
+	// maxInTransit is how many bytes are read beyond a connection's end: all that a well-behaved client may have in
+	// transit, which is half of its open requests if their bodies have the maximum length.
 	maxInTransit = 256 << 10
-	// rejectReadTime is for how long a connection beyond the limit is read: several times what a request takes to
-	// follow its connection. maxRejecting is how many are read at once: less than half of the spare descriptors.
+	// rejectReadTime is how long a connection beyond the limit is read: several times the usual delay between a
+	// connection and its first request. maxRejecting is how many such connections are read at once: less than half of
+	// the reserved descriptors.
 	rejectReadTime, maxRejecting = 20 * time.Millisecond, 16
-	// clientIdleTimeout closes connections with nothing open: well-behaved clients close them after 4 s, some never
-	// do.
+	// clientIdleTimeout is when a connection with no open requests is closed: well-behaved clients close idle
+	// connections after 4 s, others never do.
 	clientIdleTimeout = 6 * time.Second
-	// maxUnreadByClient bounds the bytes queued for a client: the answers to all that it may have open.
+	// maxUnreadByClient bounds the bytes queued for a client: enough for the responses to all requests that it may
+	// have open.
 	maxUnreadByClient = maxOpenPerClient * (msgrpc.MaxBody + 1024)
-	// lastReadTime is for how long a connection is read once its time is up: what is pending is read at once, so
-	// that the shortest time that a timer keeps is enough.
+	// lastReadTime is how long a connection is read once its deadline has passed. Pending input is read immediately,
+	// so the shortest delay that a timer can keep is enough.
 	lastReadTime = 2 * time.Millisecond
-	// A connection that closes idle is read for drainAfterIdle, as long as a request may cross the close. One that
-	// closes after an unreadable message is given drainAfterBadInput to read the error: half of what is left of 3 s
-	// after firstMessageTimeout.
+	// drainAfterIdle is how long a connection that is closed while idle is still read: as long as a request may cross
+	// with the close. drainAfterBadInput is the time that a client has to read the error after an unreadable message:
+	// half of what remains of the 3 s after firstMessageTimeout.
 	drainAfterIdle, drainAfterBadInput = 50 * time.Millisecond, 500 * time.Millisecond
-	// closeIdleMargin is how many connections before the limit idle ones are closed: a thousand a second may come while
-	// one closes, which takes a last read and a scheduling delay of a shared core. A quarter of reservedSockets
-	// would do.
+	// closeIdleMargin is how many connections before the limit the router starts to close idle ones: a thousand
+	// connections per second may arrive while one closes, which takes a last read and a scheduling delay on a shared
+	// core. A quarter of reservedSockets would be enough.
 	closeIdleMargin = 32
-	// extraIdleCloses is how many more connections are closed than needed, since choosing them scans all: a few of some
-	// hundred.
+	// extraIdleCloses is how many connections are closed beyond those needed, because choosing them scans all
+	// connections: a few, out of some hundred.
 	extraIdleCloses = 8
-	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times what closing a
+	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times as long as closing a
 	// connection takes.
 	descriptorWait = 50 * time.Millisecond
-	// minAcceptPause is the first pause before a failed accept is retried, doubled up to descriptorWait while it fails.
+	// minAcceptPause is the first pause before a failed accept is retried; the pause doubles up to descriptorWait
+	// while accepts fail.
 	minAcceptPause = time.Millisecond
 )
 
-// listener is what accept uses of a listening socket.
+// listener is the part of a listening socket that accept uses.
 type listener interface {
 	Accept() (net.Conn, error)
 	SetDeadline(at time.Time) error
 	Close() error
 }
 
-// accept accepts connections until the listener closes, or its deadline passes with none pending; then it closes the
-// listener. No other error ends it: the machine may be short of resources for a while, and a connection may break
-// before it is accepted.
+// accept accepts connections until the listener is closed, or until its deadline passes with no connection pending;
+// then it closes the listener. No other error ends it: the machine may be short of resources for a while, and a
+// connection may break before it is accepted.
 func (r *Router) accept(l listener) {
 	defer l.Close()
-	pause, checked, until := minAcceptPause, false, time.Time{}
+	pause, rechecked, acceptUntil := minAcceptPause, false, time.Time{}
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -73,28 +77,28 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			now := time.Now()
-			if until.IsZero() {
-				until = now.Add(descriptorWait)
+			if acceptUntil.IsZero() {
+				acceptUntil = now.Add(descriptorWait)
 			}
-			if checked || now.After(until) {
+			if rechecked || now.After(acceptUntil) {
 				return
 			}
-			// Connections may have come while this goroutine was not accepting.
-			checked = true
+			// Connections may have arrived while this goroutine was not accepting.
+			rechecked = true
 			l.SetDeadline(now.Add(lastReadTime))
 			continue
 		case err != nil:
 			r.anomalies.add(acceptFailed)
-			checked = false
-			// Closing clients helps only where the process is short of descriptors.
+			rechecked = false
+			// Closing clients helps only if the process is short of descriptors.
 			if errors.Is(err, syscall.EMFILE) && r.makeRoom(1) {
 				continue
 			}
-			time.Sleep(pause) // guards against a busy loop
+			time.Sleep(pause) // avoids a busy loop
 			pause = min(2*pause, descriptorWait)
 			continue
 		}
-		pause, checked = minAcceptPause, false
+		pause, rechecked = minAcceptPause, false
 		if !r.hasRoom() {
 			r.anomalies.add(clientRejected)
 			r.rejectConn(conn)
@@ -104,9 +108,9 @@
 	}
 }
 
-// rejectConn reads a connection beyond the limit, rejects its requests, and closes it. It guards against requests
-// lost on a connection that this machine has accepted. At most maxRejecting are read at once; it blocks until this
-// one may be.
+// rejectConn reads a connection beyond the limit, rejects its requests, and closes it. Without it, requests on a
+// connection that the kernel has already accepted would be lost. At most maxRejecting such connections are read at
+// once; rejectConn blocks until there is capacity for one more.
 func (r *Router) rejectConn(conn net.Conn) {
 	r.rejecting <- struct{}{}
 	c := r.newClient(conn)
@@ -125,7 +129,7 @@
 	}()
 }
 
-// serveClient starts to read a client connection.
+// serveClient starts reading from a client connection.
 func (r *Router) serveClient(conn net.Conn) *clientConn {
 	c := r.newClient(conn)
 	r.addClient(c)
@@ -133,7 +137,7 @@
 	return c
 }
 
-// newClient returns the state of a client connection; addClient counts it.
+// newClient returns the state of a client connection, without registering it; see addClient.
 func (r *Router) newClient(conn net.Conn) *clientConn {
 	tracked := newTrackedConn(conn)
 	c := &clientConn{
@@ -146,7 +150,7 @@
 	return c
 }
 
-// addClient registers a client connection; a rejected one does not count towards the limit.
+// addClient registers a client connection. A rejected connection does not count towards the limit.
 func (r *Router) addClient(c *clientConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,10 +158,10 @@
 	r.rejectedConns += boolToInt(c.rejected)
 }
 
-// hasRoom reports whether one more connection may be served. It closes idle ones before the limit is reached: each
-// takes a last read, for which accepts should not have to wait.
+// hasRoom reports whether one more connection may be served. It starts to close idle connections before the limit is
+// reached: each close takes a last read, and accepts should not have to wait for that.
 func (r *Router) hasRoom() bool {
-	margin := min(closeIdleMargin, r.maxClients/4) // leaves three eighths of all descriptors: well-behaved clients hold a third
+	margin := min(closeIdleMargin, r.maxClients/4) // leaves three eighths of all descriptors to clients; well-behaved ones use a third
 	r.mu.Lock()
 	over := len(r.clients) - r.rejectedConns + 1 - (r.maxClients - margin)
 	r.mu.Unlock()
@@ -171,7 +175,8 @@
 	return r.makeRoom(over + extraIdleCloses)
 }
 
-// makeRoom closes n idle connections and reports whether the first has freed its descriptor within descriptorWait.
+// makeRoom closes n idle connections and reports whether the first of them has freed its descriptor within
+// descriptorWait.
 func (r *Router) makeRoom(n int) bool {
 	first := r.closeIdleClients(n)
 	if first == nil {
@@ -185,19 +190,19 @@
 	}
 }
 
-// closeIdleClients closes n idle connections, counting those that are closing already: first those that only drain,
-// which close at once; then those that never sent a message; then those that have been idle for longest. It returns
-// the first, or nil.
+// closeIdleClients closes n idle connections, including those that are closing already: first those that are only
+// being drained, which close immediately; then those that never sent a message; then those that have been idle
+// longest. It returns the first one closed, or nil.
 func (r *Router) closeIdleClients(n int) (first *clientConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var idle []*clientConn
 	for c := range r.clients {
-		isIdle, ending := c.idle()
+		isIdle, closing := c.idle()
 		switch {
 		case !isIdle || c.rejected:
 			continue
-		case ending:
+		case closing:
 			c.closeNow()
 			first = c
 			n--
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -13,8 +13,9 @@
 	"hollymast/internal/platformtest"
 )
 
-// The wall clock was ahead or behind when this router started, and is right when a server starts: the start time that
-// the balancer is given is bounded by when the endpoint list was last complete without the server.
+// The wall clock was ahead or behind when this router started and is correct when a server starts. The start time
+// passed to the balancer is still no earlier than the last time at which the endpoint list was complete without that
+// server.
 func TestStartTimeIsBoundedWhateverTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -2 * time.Second, 0, 2 * time.Second, time.Hour} {
 		r := routerWithClockOffset(t, step)
@@ -26,13 +27,14 @@
 			r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: unreachable, Zone: "east", State: control.Ready, StartedAt: started.UnixMilli() * 1000}})
 		}})
 		if s := r.fleet.Get(fleet.ID("s-0")); !s.InSlowStart(complete, 1) || s.InSlowStart(now, 0) {
-			t.Errorf("step %v: the server began more than %v ago, or after now", step, duration(now-complete))
+			t.Errorf("step %v: the server is taken to have started more than %v ago, or after now", step, duration(now-complete))
 		}
 	}
 }
 
-// attemptsInSlowStart runs a router whose server is replaced by one in slow start that claims to have started a while ago. It
-// returns the attempts there in the first part of slow start and in one after its end.
+// attemptsInSlowStart runs a router whose server is replaced by one in slow start that claims to have started some
+// time ago. It returns the number of attempts sent to the new server in the first part of slow start and in a part
+// after its end.
 func attemptsInSlowStart(t *testing.T, ago time.Duration) (first, last int) {
 	const slowStart, part = 2 * time.Second, time.Second
 	previous, next := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
@@ -59,7 +61,7 @@
 		})
 	}
 	defer func() { close(done); clients.Wait() }()
-	time.Sleep(slowStart) // the usual pace of answers is known
+	time.Sleep(slowStart) // until the usual rate of answers is known
 	start := time.Now()
 	added := platformtest.Event(2, "s-1", next.Address(), "ready")
 	added.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
@@ -79,19 +81,19 @@
 	return first, last
 }
 
-// A server that starts now gets slow start's attempts at first, a tenth of the demand here, and all of them after
-// slow start, whether its start is announced as now, an hour ago or in an hour, as after a step of the router's wall
-// clock. Were the announced start taken as it is, it would get full load from the beginning, or slow start to the
-// end.
+// A server that starts now gets the reduced number of attempts of slow start at first, here a tenth of the demand,
+// and all of them after slow start. This holds whether its start is announced as now, an hour ago or in an hour, as
+// happens after the router's wall clock is stepped. If the announced start were taken as it is, the server would get
+// full load from the beginning, or remain in slow start to the end of the test.
 func TestSlowStartSurvivesWallClockStep(t *testing.T) {
 	type attempts struct{ first, last int }
 	ago := []time.Duration{0, time.Hour, -time.Hour}
 	got := make([]attempts, len(ago))
-	var all sync.WaitGroup
-	for i, a := range ago { // side by side, so that other load on this machine affects all alike
-		all.Go(func() { got[i].first, got[i].last = attemptsInSlowStart(t, a) })
+	var goroutines sync.WaitGroup
+	for i, a := range ago { // in parallel, so that other load on this machine affects all alike
+		goroutines.Go(func() { got[i].first, got[i].last = attemptsInSlowStart(t, a) })
 	}
-	all.Wait()
+	goroutines.Wait()
 	t.Logf("started %v ago: %v attempts in the first second and in one after slow start", ago, got)
 	for i, a := range ago {
 		if g := got[i]; g.last < 2*g.first {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -33,13 +33,13 @@
 	classes           map[string]control.ClassID
 	tenants           map[string]control.TenantID
 	zone              string
-	reportFields      []string // fields of a load report
+	reportFields      []string // names of the fields of a load report
 	connectTimeout    control.Micros
 	serverIdleTimeout control.Micros
 	maxStreams        int
 	grace             control.Micros
 	loadTimeout       control.Micros
-	memoryMB          float64          // of the largest server; 0: not configured
+	memoryMB          float64          // memory of the largest server; 0: not configured
 	wallClock         func() time.Time // the wall clock, read once at the start
 }
 
@@ -58,12 +58,13 @@
 	Settings json.RawMessage   `json:"settings"`
 }
 
-// Environment holds what the environment sets: Name and Listen override the file's, File is the file's path.
+// Environment holds the values taken from environment variables: Name and Listen override the values in the
+// configuration file, and File is the path of that file.
 type Environment struct {
 	Name, Listen, File string
 }
 
-// LoadConfig reads and validates the configuration file; values of env take precedence.
+// LoadConfig reads and validates the configuration file. Values from env take precedence.
 func LoadConfig(env Environment) (*Config, error) {
 	text, err := os.ReadFile(env.File)
 	if err != nil {
@@ -76,11 +77,12 @@
 	return c, nil
 }
 
-// configWriteTime is for how long a truncated file at the start may be one that is still being written.
+// configWriteTime is how long a truncated configuration file is assumed to be still being written when the process
+// starts.
 const configWriteTime = time.Second
 
-// LoadConfigAtStart is LoadConfig for a process's start, which may find the file half written: it retries for
-// configWriteTime.
+// LoadConfigAtStart is LoadConfig for the start of the process, when the file may be only partly written: it retries
+// for up to configWriteTime.
 func LoadConfigAtStart(env Environment) (*Config, error) {
 	for begin := time.Now(); ; time.Sleep(minRereadPause) {
 		c, err := LoadConfig(env)
@@ -91,7 +93,7 @@
 	}
 }
 
-// parseConfig parses and validates the file's text.
+// parseConfig parses and validates the text of a configuration file.
 func parseConfig(text []byte, env Environment) (*Config, error) {
 	var doc configFile
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -106,7 +108,7 @@
 		return nil, err
 	}
 	deployment.MaxCommandDelay = attempt.MaxEndpointsAge(control.Micros(boot.Contract.StopSending))
-	const defaultSockets = 20_000 // what the settings allow a router to hold open
+	const defaultSockets = 20_000 // the number that the settings allow a router to hold open
 	c := &Config{
 		Name: cmp.Or(env.Name, doc.Name), Listen: cmp.Or(env.Listen, doc.Listen), Cores: doc.Limits.Cores,
 		MemoryMB: int(doc.Limits.MemoryMB), Sockets: cmp.Or(doc.Limits.Sockets, defaultSockets),
--- a/internal/platform/connlog.go
+++ b/internal/platform/connlog.go
@@ -1,11 +1,11 @@
 package platform
 
-// Why connections close, counted for the state log line.
+// Reasons why connections close, counted for the state log line.
 
-// clientClose is why a client connection closed.
+// clientClose is the reason why a client connection closed.
 type clientClose uint32
 
-// The reasons. The first that is set counts.
+// The close reasons. The first reason set for a connection is kept.
 const (
 	clientCloseUnset clientClose = iota
 	clientCloseByClient
@@ -32,15 +32,15 @@
 
 func (c clientClose) String() string { return clientCloseTexts[c] }
 
-// setCloseReason sets why the connection closes, unless a reason is set already.
+// setCloseReason sets the reason why the connection closes, unless one is set already.
 func (c *clientConn) setCloseReason(reason clientClose) {
 	c.closeReason.CompareAndSwap(uint32(clientCloseUnset), uint32(reason))
 }
 
-// serverClose is why a server connection closed.
+// serverClose is the reason why a server connection closed.
 type serverClose uint8
 
-// The reasons. The first that is set counts.
+// The close reasons. The first reason set for a connection is kept.
 const (
 	serverCloseUnset serverClose = iota
 	serverCloseUnreachable
@@ -69,7 +69,8 @@
 
 func (c serverClose) String() string { return serverCloseTexts[c] }
 
-// setCloseReason sets why the connection closes, unless a reason is set already. The event loop calls it.
+// setCloseReason sets the reason why the connection closes, unless one is set already. It is called on the event
+// loop.
 func (sc *serverConn) setCloseReason(reason serverClose) {
 	if sc.closeReason == serverCloseUnset {
 		sc.closeReason = reason
--- a/internal/platform/counter.go
+++ b/internal/platform/counter.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// counter counts by kind between two state log lines. Any goroutine may count.
+// counter counts events by kind between two state log lines. It is safe for concurrent use.
 type counter[Kind interface {
 	comparable
 	fmt.Stringer
@@ -16,7 +16,7 @@
 	counts map[Kind]int
 }
 
-// add counts one of a kind.
+// add counts one event of a kind.
 func (c *counter[Kind]) add(kind Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	c.counts[kind]++
 }
 
-// take returns the counts as text, in order of their texts, and resets them.
+// take returns the counts as text, sorted by that text, and resets them.
 func (c *counter[Kind]) take() string {
 	c.mu.Lock()
 	counts := c.counts
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -21,20 +21,20 @@
 	"hollymast/internal/platformtest"
 )
 
-// Each test here forces two events to cross, on real sockets: it holds one until the other has happened.
+// Each test here makes two events race on real sockets, by delaying one until the other has happened.
 
-// A request that comes as its idle connection is about to close is read before, and served.
+// A request that arrives just before its idle connection would be closed is still read and served.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(2, "again") }))
+	c, routerConn := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(2, "again") }))
 	c.sendHealthCheck(1)
 	c.expect("1: true")
-	ours.closeWhenIdle(0)
+	routerConn.closeWhenIdle(0)
 	c.expect("2: body 2")
 	c.expect("closed")
 }
 
-// A request that comes at a stopping router's last read of its connections is answered before the end.
+// A request that arrives at the last read of its connection during shutdown is answered before the connection closes.
 func TestRequestCrossesShutdown(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(2, "again") }))
@@ -45,7 +45,8 @@
 	c.expect("closed")
 }
 
-// A request that comes so late in the shutdown that its answer might not come before the kill is rejected at once.
+// A request that arrives so late in the shutdown that its answer might not come before the kill is rejected
+// immediately.
 func TestRequestCrossesKill(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
@@ -54,41 +55,41 @@
 	c.expect("1: TryLater")
 }
 
-// A connection that is to close while a request is open closes with that request's answer.
+// A connection that is to close while a request is open closes after that request's answer.
 func TestConnectionClosesAfterItsRequest(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.sendRequest(1, "again")
 	a := <-held
-	ours.closeWhenIdle(0)
+	routerConn.closeWhenIdle(0)
 	echo(a)
 	c.expect("1: body 1")
 	c.expect("closed")
 }
 
-// Room is needed while a request is open on a closing connection: that one is not closed at once.
+// Making room does not immediately close a closing connection on which a request is still open.
 func TestMakeRoomSparesOpenRequests(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.sendRequest(1, "again")
 	a := <-held
-	ours.abort()
+	routerConn.abort()
 	r.makeRoom(1)
 	echo(a)
 	c.expect("1: body 1")
 	c.expect("closed")
 }
 
-// A first message that came during a stall of the process counts as in time.
+// A first message that arrived in time during a stall of the process is accepted although its deadline has passed.
 func TestMessageCrossesItsDeadline(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, onFirstDeadline(func(c *testClient) { c.sendRequest(1, "again") }))
-	c.expect("1: body 1") // after firstMessageTimeout
+	c.expect("1: body 1") // comes after firstMessageTimeout
 }
 
-// Connections that wait at the listener when it closes are served.
+// Connections that are pending when the listener closes are served.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
 	r := idleRouter(t)
 	const waiting = 3
@@ -106,7 +107,7 @@
 	accepted := len(r.clients)
 	r.mu.Unlock()
 	if accepted != waiting {
-		t.Errorf("%d of %d were accepted", accepted, waiting)
+		t.Errorf("%d of %d connections were accepted", accepted, waiting)
 	}
 	for _, c := range conns {
 		c.Close()
@@ -114,7 +115,8 @@
 	platformtest.WaitFor(t, "all connections end", r.allClientsClosed)
 }
 
-// The sender of an unreadable message reads the error, and then the end: no reset overtakes the answer.
+// The sender of an unreadable message reads the error and then the end of the connection; no reset overtakes the
+// answer.
 func TestAnswerPrecedesClose(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, ignoreReads)
@@ -126,7 +128,8 @@
 	}
 }
 
-// What a client cancels, or leaves by closing, is not written any more, though the event loop has yet to handle it.
+// A request that its client cancels, or abandons by closing the connection, is not written to a server any more, even
+// if the event loop has not handled that yet.
 func TestClientLeavesBeforeFirstByte(t *testing.T) {
 	for name, leave := range map[string]func(c *testClient){
 		"cancels": func(c *testClient) { c.sendCancel(1) },
@@ -139,7 +142,7 @@
 			c.sendRequest(1, "again")
 			<-held
 			chosen, release := make(chan *serverCall), make(chan bool)
-			r.loop.Post(func(control.Micros) { // another attempt is chosen, and the step goes on
+			r.loop.Post(func(control.Micros) { // a further attempt is chosen while the step continues
 				s := r.newCall(fleet.ID("s-0"), 1_000_000)
 				s.request, s.attempt, s.timer = r.requests[1], 1, time.NewTimer(time.Hour)
 				s.request.answer.AttemptBegan()
@@ -150,14 +153,15 @@
 			leave(c)
 			platformtest.WaitFor(t, "the client's departure is read", s.request.abandoned.Load)
 			if s.canWrite() {
-				t.Error("it was written")
+				t.Error("the attempt was written")
 			}
 			close(release)
 		})
 	}
 }
 
-// A client that floods has nothing open: its reader sleeps between messages, and would see a cancellation late.
+// None of the requests of a flooding client stay open: its reader sleeps between messages and would notice a
+// cancellation late.
 func TestFloodingClientHasNothingOpen(t *testing.T) {
 	server, held := holdingServer(t)
 	c := start(t, server).dial(t)
@@ -174,8 +178,8 @@
 	c.expect("100: TryLater")
 }
 
-// A duplicate answer to an attempt that has ended comes during the request's next attempt: it is not taken for that
-// one's.
+// A duplicate answer to an attempt that has ended arrives during the request's next attempt. It is not mistaken for
+// the answer to that attempt.
 func TestDuplicateAnswerCrossesNextAttempt(t *testing.T) {
 	var first receivedAttempt
 	c := start(t, modelServer(t, func(a receivedAttempt) {
@@ -191,16 +195,16 @@
 	c.expect("1: body 1")
 }
 
-// Of two idle connections the connected one is used: the other may connect late, or never.
+// Of two idle connections the one that is already connected is used: the other may connect late, or never.
 func TestConnectedConnectionIsPreferred(t *testing.T) {
 	connected, dialing := &serverConn{up: true, idleSince: 1}, &serverConn{idleSince: 2}
 	if !connected.preferredOver(dialing) || dialing.preferredOver(connected) {
-		t.Error("the one that is still dialled is preferred")
+		t.Error("the connection that is still being dialled is preferred")
 	}
 }
 
-// limitDescriptors limits this process to the descriptors that it has now. exhaust takes those that are free below
-// the limit; restore gives them back and removes the limit.
+// limitDescriptors limits this process to the descriptors that are now open. exhaust takes those that become free
+// below the limit; restore returns them and removes the limit.
 func limitDescriptors(t *testing.T) (exhaust, restore func()) {
 	t.Helper()
 	var before syscall.Rlimit
@@ -236,7 +240,7 @@
 	return exhaust, restore
 }
 
-// A shortage of descriptors does not count against the server: the request waits for one.
+// A shortage of descriptors does not count against the server: the request waits for a descriptor.
 func TestOutOfDescriptors(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
@@ -246,23 +250,23 @@
 	exhaust()
 	c.sendRequest(2, "again")
 	platformtest.WaitFor(t, "a dial finds no descriptor", func() bool {
-		exhaust() // others may have been closed meanwhile, by peers of an earlier test
+		exhaust() // peers of an earlier test may have closed others meanwhile
 		return r.anomalyCount(outOfDescriptors) > 0
 	})
 	restore()
 	c.expect("2: body 2")
 	if n := r.anomalyCount(noServerConnection); n > 0 {
-		t.Errorf("%d held against the server", n)
+		t.Errorf("%d failures were counted against the server", n)
 	}
 }
 
-// A configuration that is partly written at its signal is read again, without another signal.
+// A configuration that is only partly written when the signal comes is read again, without another signal.
 func TestReloadOfPartlyWrittenConfig(t *testing.T) {
 	subscribed := make(chan bool, 1)
 	whole := configText(listen(t, func(c net.Conn) {
 		select {
 		case subscribed <- true:
-		default: // the router subscribes again and again, since nothing comes
+		default: // the router subscribes repeatedly, because it receives nothing
 		}
 		c.Read(make([]byte, 100))
 	}))
@@ -274,12 +278,12 @@
 	r := newRouter(t, testConfig(t), zerolog.New(log))
 	ctx, stop := context.WithCancel(context.Background())
 	signals := make(chan os.Signal)
-	var all sync.WaitGroup
-	all.Go(func() { r.Serve(ctx) })
-	all.Go(func() { r.ReloadOn(ctx, signals, env) })
-	t.Cleanup(func() { stop(); all.Wait() })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { r.Serve(ctx) })
+	goroutines.Go(func() { r.ReloadOn(ctx, signals, env) })
+	t.Cleanup(func() { stop(); goroutines.Wait() })
 	signals <- syscall.SIGHUP
-	platformtest.WaitFor(t, "the half is rejected", func() bool { return strings.Contains(log.String(), "invalid configuration") })
+	platformtest.WaitFor(t, "the partly written configuration is rejected", func() bool { return strings.Contains(log.String(), "invalid configuration") })
 	if err := os.WriteFile(env.File, []byte(whole), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -290,7 +294,7 @@
 	}
 }
 
-// So is one that a start finds partly written.
+// A configuration that is only partly written when the router starts is read again too.
 func TestStartWithPartlyWrittenConfig(t *testing.T) {
 	whole := configText(unreachable)
 	env := Environment{File: filepath.Join(t.TempDir(), "config.json")}
@@ -298,7 +302,7 @@
 		t.Fatal(err)
 	}
 	if _, err := LoadConfig(env); err == nil {
-		t.Fatal("half of it was accepted")
+		t.Fatal("a partly written configuration was accepted")
 	}
 	written := time.AfterFunc(configWriteTime/4, func() { os.WriteFile(env.File, []byte(whole), 0o600) })
 	defer written.Stop()
@@ -307,17 +311,17 @@
 	}
 }
 
-// A router whose event loop hangs does not report itself healthy, though its readers go on.
+// A router whose event loop hangs does not report that it is healthy, even though its readers continue.
 func TestHealthCheckFailsWhileEventLoopHangs(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	release := make(chan bool)
 	r.loop.Post(func(control.Micros) { <-release })
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.sendHealthCheck(1)
 	platformtest.WaitFor(t, "the health check is read", func() bool {
-		ours.mu.Lock()
-		defer ours.mu.Unlock()
-		return ours.healthChecks == 1
+		routerConn.mu.Lock()
+		defer routerConn.mu.Unlock()
+		return routerConn.healthChecks == 1
 	})
 	c.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := c.conn.Read(make([]byte, 1)); n > 0 || !os.IsTimeout(err) {
@@ -328,7 +332,7 @@
 	c.expect("1: true")
 }
 
-// A panic on one connection closes that one, and is logged; the others go on.
+// A panic on a client connection closes only that connection, and is counted.
 func TestPanicOnClientConnection(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c, _ := r.dialHooked(t, func(c *testClient, n int, err error) {
@@ -344,7 +348,7 @@
 	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomalyCount(panicReadingClient) == 1 })
 }
 
-// A panic on a server connection closes that one.
+// A panic on a server connection closes only that connection.
 func TestPanicOnServerConnection(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	c := r.dial(t)
@@ -352,7 +356,7 @@
 	c.expect("1: body 1")
 	r.loop.Post(func(now control.Micros) {
 		sc := r.newServerConn(now, r.pools[fleet.ID("s-0")])
-		sc.dialing = nil // the dial panics
+		sc.dialing = nil // makes the dial panic
 		go sc.run()
 	})
 	platformtest.WaitFor(t, "the panic is counted", func() bool { return r.anomalyCount(panicReadingServer) == 1 })
@@ -360,27 +364,27 @@
 	c.expect("2: body 2")
 }
 
-// A client that leaves before its first message is not counted as slow.
+// A client that closes its connection before its first message is not counted as slow.
 func TestEarlyCloseIsNotCountedAsSlow(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.conn.Close()
-	<-ours.closed
+	<-routerConn.closed
 	if n := r.anomalyCount(clientTooSlow); n > 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
 
-// A request's timeout runs from when its message was read, though its step comes later.
+// The timeout of a request starts when its message is read, even if the event loop handles the request later.
 func TestDeadlineRunsWhileEventLoopHangs(t *testing.T) {
 	got := make(chan receivedAttempt, 1)
 	r := start(t, modelServer(t, func(a receivedAttempt) { got <- a; echo(a) }))
 	const stall = 300 * time.Millisecond
 	release := make(chan bool)
 	r.loop.Post(func(control.Micros) { <-release })
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.sendRequest(1, "again")
-	platformtest.WaitFor(t, "the request is read", func() bool { idle, _ := ours.idle(); return !idle })
+	platformtest.WaitFor(t, "the request is read", func() bool { idle, _ := routerConn.idle(); return !idle })
 	time.Sleep(stall)
 	close(release)
 	if stated := (<-got).timeout(); stated == 0 || stated > clientTimeout-stall {
@@ -389,7 +393,7 @@
 	c.expect("1: body 1")
 }
 
-// A hanging dial ends with its connection, whose descriptor is then free for another.
+// A hanging dial ends when its connection is removed, which frees the descriptor.
 func TestDialEndsWithItsConnection(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -404,7 +408,7 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprint("127.0.0.1:", name.(*syscall.SockaddrInet4).Port)
-	for { // until its queue is full and a further dial hangs
+	for { // until the accept queue is full and a further dial hangs
 		c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 		if err != nil {
 			break
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -17,8 +17,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// The deadline stated to a server is at most what the client has left when the frame arrives, with the allowed excess
-// of 0.15 s, whatever delayed the frame.
+// The deadline stated to a server is at most the time that the client has left when the frame arrives, plus the
+// permitted excess of 0.15 s, whatever delayed the frame.
 func TestStatedDeadlineIsTimeLeft(t *testing.T) {
 	const late = 600 * time.Millisecond
 	var connections atomic.Int32
@@ -81,8 +81,8 @@
 	}
 }
 
-// checkDeadlines answers what comes on a connection, and compares the deadline stated in each frame with what is left
-// of the client's timeout.
+// checkDeadlines answers the attempts that arrive on a connection and compares the deadline stated in each frame with
+// the time left of the client's timeout.
 func checkDeadlines(t *testing.T, c net.Conn, began *time.Time) {
 	const slack = 150 * time.Millisecond
 	for in := bufio.NewReader(c); ; {
@@ -95,29 +95,29 @@
 		}
 		left := clientTimeout - time.Since(*began)
 		if stated := statedTimeout(f.Fields); stated == 0 || stated > left+slack {
-			t.Errorf("%v stated where the client has %v left", stated, left.Round(time.Millisecond))
+			t.Errorf("%v is stated, but the client has %v left", stated, left.Round(time.Millisecond))
 		}
 		c.Write(platformtest.AnswerFrame(codeOK, f.ID, "remark=resident", []byte("done")))
 	}
 }
 
-// An attempt whose deadline has passed when its connection is established is withdrawn, however fresh its endpoint
-// list: it provably never ran.
+// An attempt whose deadline has passed by the time its connection is established is withdrawn, however fresh its
+// endpoint list is; it has provably not run.
 func TestExpiredAttemptIsNotWritten(t *testing.T) {
 	r := idleRouter(t)
 	longGrace(r)
-	conn, theirs := platformtest.ConnPair(t)
-	r.stepWithServer(theirs.LocalAddr().String())
+	conn, peerConn := platformtest.ConnPair(t)
+	r.stepWithServer(peerConn.LocalAddr().String())
 	const left = 20 * time.Millisecond
 	call := r.newCall(fleet.ID("s-0"), control.Micros(left.Microseconds()))
 	call.message = &binframe.Attempt{ID: 1}
-	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // it dials
+	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // not connected yet
 	defer call.conn.cancelDial()
 	call.conn.writes.post(call.queueEntry(nil))
 	time.Sleep(left + time.Millisecond)
 	call.conn.writes.connected(conn)
 	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
-	if n := readSoon(theirs); n > 0 || call.currentStage() == attempt.Writing {
+	if n := readSoon(peerConn); n > 0 || call.currentStage() == attempt.Writing {
 		t.Errorf("%d bytes were written, stage %d", n, call.currentStage())
 	}
 }
--- a/internal/platform/deadlinereader.go
+++ b/internal/platform/deadlinereader.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// deadlineReader reads from a connection with a deadline that bounds when bytes arrive, not when they are read. It
-// guards against a deadline that passed while this process was stalled or had no processor: what has arrived by then
-// is read, all of it, before the deadline counts.
+// deadlineReader reads from a connection with a deadline for the arrival of bytes, not for reading them. If the
+// deadline passes while this process is stalled or waits for a processor, everything that has arrived by then is read
+// before the deadline takes effect.
 type deadlineReader struct {
 	conn      net.Conn
-	rechecked bool // nothing was pending after the deadline
-	finished  bool // nothing is read from the connection any more, only what remains
+	rechecked bool // nothing was pending when checked after the deadline
+	finished  bool // nothing more is read from the connection, only remaining is returned
 	remaining []byte
 }
 
-// setDeadline sets the deadline of later reads; zero: none.
+// setDeadline sets the deadline of subsequent reads; the zero time means none.
 func (d *deadlineReader) setDeadline(at time.Time) {
 	d.rechecked = false
 	d.conn.SetReadDeadline(at)
 }
 
-// finish reads what is pending now, up to what a usual client may have in transit; after that nothing is read from the
-// connection. Guards against a client that sends faster than it is read.
+// finish buffers what is pending now, up to what a well-behaved client may have in transit. After that nothing is
+// read from the connection, so that a client that sends faster than it is read can't prolong it.
 func (d *deadlineReader) finish() {
 	b := make([]byte, 2<<10)
 	for len(d.remaining) < maxInTransit {
@@ -37,7 +37,7 @@
 	d.finished = true
 }
 
-// Read reads; past the deadline only what is pending, and then returns os.ErrDeadlineExceeded.
+// Read reads from the connection. Past the deadline it returns only pending input, and then os.ErrDeadlineExceeded.
 func (d *deadlineReader) Read(b []byte) (int, error) {
 	if d.finished {
 		n := copy(b, d.remaining)
@@ -54,15 +54,15 @@
 	return n, err
 }
 
-// readPending reads what is pending, without blocking where the connection supports that.
+// readPending reads pending input, without blocking if the connection supports that.
 func (d *deadlineReader) readPending(b []byte) (n int, err error) {
 	readNow := d.nonBlockingRead()
 	if readNow == nil {
 		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
 		return d.conn.Read(b)
 	}
-	const most = 8 // the deadline may pass again before the read
-	for tries := 0; tries < most; tries++ {
+	const maxTries = 8 // the new deadline may pass again before the read
+	for tries := 0; tries < maxTries; tries++ {
 		d.conn.SetReadDeadline(time.Now().Add(lastReadTime))
 		switch n, err = readNow(b); {
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -75,7 +75,8 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// nonBlockingRead returns a read that returns EAGAIN where nothing is pending, or nil where the connection has none.
+// nonBlockingRead returns a read function that returns EAGAIN if nothing is pending, or nil if the connection has
+// none.
 func (d *deadlineReader) nonBlockingRead() func(b []byte) (int, error) {
 	switch c := d.conn.(type) {
 	case *trackedConn:
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -17,8 +17,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// A stall between reading the endpoint list and the step's clock makes the choice no newer than its list: neither an
-// attempt nor a load command is written then.
+// After a stall between reading the endpoint list and reading the step's clock, a choice counts as no newer than its
+// endpoint list, so neither an attempt nor a load command is written.
 func TestStallBetweenEndpointsAndStep(t *testing.T) {
 	r := idleRouter(t)
 	r.readEndpoints()
@@ -40,7 +40,7 @@
 	}
 }
 
-// A server that is not listed as ready is sent nothing, whatever was chosen.
+// Nothing is sent to a server that is not listed as ready, even if it was chosen.
 func TestNothingIsSentToUnreadyServer(t *testing.T) {
 	r := idleRouter(t)
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
@@ -55,14 +55,14 @@
 	}
 }
 
-// The log states an upper bound on how late the last first byte to a draining server was, and the age of the oldest
-// endpoint list.
+// The state line has an upper bound on how late the last first byte to a draining server was, and the age of the
+// oldest endpoint list used.
 func TestStateLogReportsLateFirstBytes(t *testing.T) {
 	r := idleRouter(t)
 	r.stepWithServer(unreachable)
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
 	call.conn = &serverConn{pool: r.poolOf(call.to)}
-	time.Sleep(2 * time.Millisecond) // the list ages
+	time.Sleep(2 * time.Millisecond) // the endpoint list ages
 	if !call.canWrite() {
 		t.Fatal("not written")
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// Within a step the endpoint list comes first: events before it lead to further attempts, which must not be chosen
+// Within a step endpoint updates are handled first: other events lead to further attempts, which must not be chosen
 // from the older list.
 func TestEndpointUpdatesComeFirstInStep(t *testing.T) {
 	server := platformtest.NewModelServer(t)
@@ -104,9 +104,9 @@
 	}
 }
 
-// A router that starts with an old configuration chooses nothing before discovery has answered.
+// A router that starts with an outdated configuration makes no choices before discovery has answered.
 func TestStartWithOutdatedConfig(t *testing.T) {
-	const grace = 2 * time.Second // the answer has a quarter of it to come
+	const grace = 2 * time.Second // discovery has a quarter of it to answer
 	draining, ready := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := []discovery.Event{platformtest.Event(1, "s-0", draining.Address(), "ready")}
 	answer := make(chan bool)
@@ -127,8 +127,8 @@
 		}
 		return false
 	})
-	const several = 20 * time.Millisecond // steps
-	time.Sleep(several)
+	const severalSteps = 20 * time.Millisecond // longer than several event-loop steps
+	time.Sleep(severalSteps)
 	if r.ready.Load() {
 		t.Error("the router is ready before discovery has answered")
 	}
@@ -137,49 +137,49 @@
 		t.Error("the request was not served")
 	}
 	if n := len(draining.Received()); n > 0 {
-		t.Errorf("%d frames went to the server that drained %v before", n, time.Since(announced))
+		t.Errorf("%d frames were sent to the server, which drained %v earlier", n, time.Since(announced))
 	}
 }
 
-// Where the connection has no room for the first byte, the check is repeated when it has.
+// If the connection has no room for the first byte, the check before it is repeated when there is room.
 func TestCheckIsRepeatedWhenConnectionHasRoom(t *testing.T) {
-	ours, theirs := platformtest.ConnPair(t)
-	filled := fillSendBuffer(t, ours)
+	routerConn, peerConn := platformtest.ConnPair(t)
+	filled := fillSendBuffer(t, routerConn)
 	checks, allowed := make(chan bool, 1000), make(chan bool, 1)
 	allowed <- true
-	q := &writeQueue{conn: ours, maxQueuedBytes: 1 << 20}
+	q := &writeQueue{conn: routerConn, maxQueuedBytes: 1 << 20}
 	q.post(queuedFrame{data: []byte("late"), checkAndWrite: func(write func() bool) bool {
 		checks <- true
 		select {
 		case <-allowed: // the first time
 			if write() {
-				t.Error("there was room")
+				t.Error("the connection had room")
 			}
 			return false
 		default:
 			return true // the grace has passed
 		}
-	}, writeEnded: func(bool) { t.Error("it was written") }})
+	}, writeEnded: func(bool) { t.Error("the frame was written") }})
 	awaitCheck := func() {
 		select {
 		case <-checks:
 		case <-time.After(4 * time.Second):
-			t.Fatal("the check does not come")
+			t.Fatal("the check was not made")
 		}
 	}
 	awaitCheck()
-	if n, err := io.ReadFull(theirs, make([]byte, filled)); err != nil {
+	if n, err := io.ReadFull(peerConn, make([]byte, filled)); err != nil {
 		t.Fatalf("read %d: %v", n, err)
 	}
 	awaitCheck()
 	platformtest.WaitFor(t, "it is withdrawn", q.empty)
-	if n := readSoon(theirs); n > 0 {
+	if n := readSoon(peerConn); n > 0 {
 		t.Errorf("%d bytes were written after the grace", n)
 	}
 }
 
-// A uid that returns at another address is another incarnation: its calls go there, on connections of its own, and an
-// address that another server has by then gets nothing meant for the old one.
+// A uid that returns at another address is another incarnation: its calls use new connections to that address. If
+// another server has the old address by then, it receives nothing meant for the old incarnation.
 func TestUIDReturnsAtAnotherAddress(t *testing.T) {
 	first, second := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", first.Address(), "ready")}
@@ -193,7 +193,7 @@
 	}
 	before := len(first.Received())
 	service.Publish(platformtest.Event(2, "s-0", "", "gone"))
-	service.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in one batch with its end
+	service.Publish(platformtest.Event(3, "s-0", second.Address(), "ready")) // in the same batch as its removal
 	service.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
 	platformtest.WaitFor(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
 	for ref := range uint64(10) {
@@ -209,8 +209,8 @@
 	}
 }
 
-// A discovery service that accepts and says nothing does not keep a router from getting ready: it had a quarter of
-// the grace period to answer.
+// A discovery service that accepts connections but sends nothing does not prevent a router from becoming ready: it
+// has a quarter of the grace period to answer.
 func TestStartWithSilentDiscovery(t *testing.T) {
 	const grace = 200 * time.Millisecond
 	end := make(chan bool)
@@ -226,19 +226,19 @@
 	}
 }
 
-// A connection established after the grace period writes nothing that was chosen before.
+// Nothing chosen before is written on a connection that is established after the grace period.
 func TestDialOutlastsGracePeriod(t *testing.T) {
 	r := idleRouter(t)
-	conn, theirs := platformtest.ConnPair(t)
-	r.stepWithServer(theirs.LocalAddr().String())
+	conn, peerConn := platformtest.ConnPair(t)
+	r.stepWithServer(peerConn.LocalAddr().String())
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
-	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // it dials: nothing is connected yet
+	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // not connected yet
 	defer call.conn.cancelDial()
 	call.conn.writes.post(queuedFrame{data: []byte("late"), checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded})
 	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond)
 	call.conn.writes.connected(conn)
 	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
-	if n := readSoon(theirs); n > 0 || call.currentStage() == attempt.Writing {
+	if n := readSoon(peerConn); n > 0 || call.currentStage() == attempt.Writing {
 		t.Errorf("%d bytes were written, stage %d", n, call.currentStage())
 	}
 }
--- a/internal/platform/endpointlog.go
+++ b/internal/platform/endpointlog.go
@@ -11,28 +11,30 @@
 	"hollymast/internal/fleet"
 )
 
-// The log of endpoint changes and of slow starts: what this router was told of a server, when, and what it then sent there.
+// The log of endpoint changes and slow starts: what discovery announced about a server, when, and what this router
+// then sent to that server.
 
-// A line about the endpoint list names at most maxEndpointsPerLine servers, and at least minEndpointLogInterval (microseconds)
-// passes between two lines: a fleet of thousands may be replaced within seconds. What is left out is counted.
+// maxEndpointsPerLine limits the servers named in a log line about the endpoint list, and minEndpointLogInterval
+// (microseconds) is the minimum time between two such lines, because a fleet of thousands of servers may be replaced
+// within seconds. Omitted changes are counted.
 const (
 	maxEndpointsPerLine                   = 16
 	minEndpointLogInterval control.Micros = 100_000
 )
 
-// serverIDFormat is the form of server ids in the log.
+// serverIDFormat is the format of server ids in the log.
 const serverIDFormat = "%x"
 
 var stateTexts = [...]string{control.Removed: "removed", control.Draining: "draining", control.Ready: "ready"}
 
-// endpointLog collects the endpoint changes since its last line. The event loop owns it.
+// endpointLog collects the endpoint changes since the last log line. The event loop owns it.
 type endpointLog struct {
 	changes  []string
 	omitted  int
 	loggedAt control.Micros
 }
 
-// add adds an update as applied at now.
+// add adds the changes of an update that was applied at now.
 func (l *endpointLog) add(now control.Micros, update fleet.Update, known *fleet.Fleet) {
 	for _, endpoint := range update.Endpoints {
 		if update.Full || len(l.changes) >= maxEndpointsPerLine {
@@ -47,12 +49,12 @@
 	}
 }
 
-// due reports whether a line is to be logged.
+// due reports whether a line should be logged.
 func (l *endpointLog) due(now control.Micros) bool {
 	return len(l.changes)+l.omitted > 0 && now >= l.loggedAt+minEndpointLogInterval
 }
 
-// logEndpoints logs the endpoint changes, if a line is due.
+// logEndpoints logs the endpoint changes if a line is due.
 func (r *Router) logEndpoints(now control.Micros) {
 	l := &r.endpointLog
 	if !l.due(now) {
@@ -64,16 +66,16 @@
 	*l = endpointLog{changes: l.changes[:0], loggedAt: now}
 }
 
-// slowStart is what this router sent to one incarnation of a server in slow start.
+// slowStart records what this router sent to one incarnation of a server in slow start.
 type slowStart struct {
 	startedAt   control.Micros
 	sent        int
-	maxInWindow int            // the largest number of requests in one overload window
-	budgetAtMax int            // this router's budget at that time
-	ageAtMax    control.Micros // the server's age at that time
+	maxInWindow int            // the largest number of requests sent in one overload window
+	budgetAtMax int            // this router's budget when maxInWindow was reached
+	ageAtMax    control.Micros // the server's age when maxInWindow was reached
 }
 
-// recordSlowStartSend counts a request that was forwarded to a server, if that is in slow start.
+// recordSlowStartSend counts a request that was sent to a server, if the server is in slow start.
 func (r *Router) recordSlowStartSend(now control.Micros, id control.ServerID) {
 	status, ok := r.core.SlowStartStatus(now, id)
 	if !ok {
@@ -90,7 +92,7 @@
 	}
 }
 
-// addSlowStart adds to a log line what this router sent to a server in slow start.
+// addSlowStart adds to a log event what this router sent to a server in slow start.
 func (r *Router) addSlowStart(event *zerolog.Event, now control.Micros, id control.ServerID) *zerolog.Event {
 	record := r.slowStarts[id]
 	if record == nil {
@@ -101,7 +103,8 @@
 		Int64("slow_start_most_at_ms", int64(record.ageAtMax)/1000)
 }
 
-// endSlowStarts logs what was sent to each server whose slow start is over, or that has left the list.
+// endSlowStarts logs what was sent to each server whose slow start has ended, or that was removed from the endpoint
+// list.
 func (r *Router) endSlowStarts(now control.Micros) {
 	var ended []control.ServerID
 	for id, record := range r.slowStarts {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -13,19 +13,19 @@
 }
 
 // handleEndpoints applies a complete endpoint list.
-func (r *Router) handleEndpoints(now control.Micros, all []fleet.Endpoint) {
-	r.handleUpdate(now, fleet.Update{Full: true, Endpoints: all})
+func (r *Router) handleEndpoints(now control.Micros, endpoints []fleet.Endpoint) {
+	r.handleUpdate(now, fleet.Update{Full: true, Endpoints: endpoints})
 }
 
-// retireChangedPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
-// incarnation).
+// retireChangedPool retires the connections to a server that is no longer ready, has another address, or has
+// restarted (another incarnation).
 func (r *Router) retireChangedPool(now control.Micros, pool *serverPool) {
 	s := r.fleet.Get(pool.id)
 	if s == nil || s.State != control.Ready || s.Address != pool.address ||
 		control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
 		r.afterDrain.record(pool.firstByte.Load() - int64(r.loop.PreviousEndpointsAsOf))
 		r.withdrawFrom(now, pool)
-		if s != nil && s.State == control.Ready { // another incarnation gets a pool of its own
+		if s != nil && s.State == control.Ready { // another incarnation gets its own pool
 			delete(r.pools, pool.id)
 		}
 	}
@@ -34,8 +34,8 @@
 	}
 }
 
-// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and retires its
-// connections: each closes with the last answer that is open on it.
+// withdrawFrom withdraws all attempts and load commands to a server of which no byte has been written yet, and
+// retires the server's connections: each closes after the last answer that is open on it.
 func (r *Router) withdrawFrom(now control.Micros, pool *serverPool) {
 	for _, sc := range append([]*serverConn(nil), pool.conns...) {
 		for _, call := range sortedByID(sc.open) {
@@ -48,11 +48,11 @@
 	}
 }
 
-// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that none meets
-// the server's own close, and forgets removed servers whose connections have ended.
+// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that a call never
+// coincides with the server's own close. It also removes the pools of removed servers whose connections have ended.
 func (r *Router) prune(now control.Micros) {
-	const every = 500_000 // idle times are many seconds
-	if now < r.lastPrunedAt+every {
+	const pruneInterval = 500_000 // idle timeouts are many seconds
+	if now < r.lastPrunedAt+pruneInterval {
 		return
 	}
 	r.lastPrunedAt = now
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -10,7 +10,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// sized is a router that knows many servers and runs no event loop.
+// fleetRouter is a router that knows many servers and runs no event loop.
 type fleetRouter struct {
 	*Router
 	discoveryState discovery.State
@@ -18,7 +18,7 @@
 	clock          control.Micros
 }
 
-// newSized returns one that has a pool of connections to each server.
+// newFleetRouter returns a fleetRouter that has a connection pool for each server.
 func newFleetRouter(b testing.TB, servers int) *fleetRouter {
 	b.Helper()
 	r := idleRouter(b)
@@ -39,7 +39,7 @@
 		Weight: 4, StartedAtMS: int64(f.revision)}
 }
 
-// handleEvent lets the router handle an event in one step, one millisecond after the last.
+// handleEvent makes the router handle an event in one step, one millisecond after the previous one.
 func (f *fleetRouter) handleEvent(b testing.TB, update *discovery.UpdateMessage) {
 	f.revision++
 	effect, err := f.discoveryState.HandleLine(platformtest.EncodeEvent(discovery.Event{Revision: f.revision, Update: update}))
@@ -51,15 +51,15 @@
 	f.step(f.clock, nil)
 }
 
-// states are what a server goes through in the benchmark, over and over.
+// serverStates are the states that a server goes through repeatedly.
 var serverStates = []string{"draining", "gone", "ready"}
 
-// advanceServer moves one server on to its next state.
+// advanceServer moves one server to its next state. n counts the calls.
 func (f *fleetRouter) advanceServer(b testing.TB, n, servers int) {
 	f.handleEvent(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
-// An event about one server allocates no more among many servers than among a few.
+// Handling an event about one server allocates no more in a large fleet than in a small one.
 func TestUpdateAllocationsDoNotGrowWithFleet(t *testing.T) {
 	var allocated [2]float64
 	for i, servers := range []int{200, 3200} {
@@ -74,8 +74,9 @@
 	}
 }
 
-// BenchmarkFleetSize shows which costs grow with the number of servers: update is an event about one server through all
-// layers and one step; maintenance is a step with nothing but the maintenance due each half second.
+// BenchmarkFleetSize shows which costs grow with the number of servers: update is an event about one server, handled
+// through all layers in one step; maintenance is a step with nothing but the maintenance that is due every half
+// second.
 func BenchmarkFleetSize(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprintf("update/servers=%d", servers), func(b *testing.B) {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -31,13 +31,13 @@
 // unreachable is an address that nothing listens on.
 const unreachable = "127.0.0.1:1"
 
-// configText returns a configuration file without servers.
+// configText returns a configuration file without any servers.
 func configText(discoveryAddress string) string {
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": {"rev": 0, "notices": []}, "settings": %s}`, discoveryAddress, settingsText)
 }
 
-// mustParseConfig parses a configuration file's text.
+// mustParseConfig parses the text of a configuration file, and fails the test if it is invalid.
 func mustParseConfig(t testing.TB, text string) *Config {
 	t.Helper()
 	config, err := parseConfig([]byte(text), Environment{})
@@ -47,8 +47,8 @@
 	return config
 }
 
-// testConfig returns a configuration with the addresses of ready servers, named s-0, s-1 and so on, and a discovery
-// service that announces nothing else.
+// testConfig returns a configuration with ready servers at the given addresses, named s-0, s-1 and so on, and a
+// discovery service that announces only those.
 func testConfig(t testing.TB, servers ...string) *Config {
 	t.Helper()
 	config := mustParseConfig(t, configText(unreachable))
@@ -60,7 +60,7 @@
 	return config
 }
 
-// newRouter returns a router that does not serve.
+// newRouter returns a router that is not serving.
 func newRouter(t testing.TB, config *Config, log zerolog.Logger) *Router {
 	t.Helper()
 	r, err := New(config, log)
@@ -74,13 +74,13 @@
 	return r
 }
 
-// idleRouter returns a router that knows no server and runs no event loop: the test runs its steps.
+// idleRouter returns a router that knows no server and runs no event loop: the test runs its steps itself.
 func idleRouter(t testing.TB) *Router {
 	t.Helper()
 	return newRouter(t, mustParseConfig(t, configText(unreachable)), zerolog.Nop())
 }
 
-// routerWithClockOffset is idleRouter whose wall clock was ahead by step when it started.
+// routerWithClockOffset is idleRouter with a wall clock that was ahead by step when the router started.
 func routerWithClockOffset(t *testing.T, step time.Duration) *Router {
 	t.Helper()
 	config := mustParseConfig(t, configText(unreachable))
@@ -93,8 +93,8 @@
 	r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-0", Address: address, Zone: "east", State: state}})
 }
 
-// stepWithServer runs an event-loop step of an idle router, which lists one ready server, s-0, and finds its endpoint
-// list up to date.
+// stepWithServer runs one event-loop step of an idle router, with a current endpoint list that has one ready server,
+// s-0.
 func (r *Router) stepWithServer(address string) {
 	r.listServer(r.loop.Now(), address, control.Ready)
 	r.readEndpoints()
@@ -108,7 +108,7 @@
 	done chan struct{}
 }
 
-// serve runs a router until the test ends. It need not be ready at once.
+// serve runs a router until the test ends, without waiting until it is ready.
 func serve(t *testing.T, router *Router) *runningRouter {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -118,7 +118,7 @@
 	return r
 }
 
-// serveReady is serve that waits until the router is ready.
+// serveReady is serve, but waits until the router is ready.
 func serveReady(t *testing.T, router *Router) *runningRouter {
 	t.Helper()
 	r := serve(t, router)
@@ -126,20 +126,21 @@
 	return r
 }
 
-// start runs a router with servers, and waits until it is ready.
+// start runs a router with servers at the given addresses, and waits until it is ready.
 func start(t *testing.T, servers ...string) *runningRouter {
 	t.Helper()
 	return serveReady(t, newRouter(t, testConfig(t, servers...), zerolog.Nop()))
 }
 
-// startWith is start with settings and system calls that the test changes first. The router logs at all levels.
+// startWith is start with a function that first changes settings or connection functions of the router. The router
+// logs at all levels.
 func startWith(t *testing.T, change func(r *Router), servers ...string) *runningRouter {
 	t.Helper()
 	r, _ := startLogged(t, change, servers...)
 	return r
 }
 
-// startLogged is startChanged that also returns the router's log.
+// startLogged is startWith, but also returns the router's log.
 func startLogged(t *testing.T, change func(r *Router), servers ...string) (*runningRouter, *logBuffer) {
 	t.Helper()
 	log := &logBuffer{}
@@ -148,24 +149,24 @@
 	return serveReady(t, router), log
 }
 
-// startDeployment runs a router of a deployment. It need not be ready at once.
+// startDeployment runs a router with the given configuration file, without waiting until it is ready.
 func startDeployment(t *testing.T, configuration string) *runningRouter {
 	t.Helper()
 	return serve(t, newRouter(t, mustParseConfig(t, configuration), zerolog.Nop()))
 }
 
-// longGrace makes an endpoint list valid for so long that its age withdraws nothing.
+// longGrace sets a grace period that is so long that nothing is withdrawn because of the age of the endpoint list.
 func longGrace(r *Router) {
 	r.config.grace, r.config.connectTimeout = 4_000_000, 1_000_000
 	r.config.Deployment.MaxCommandDelay = attempt.MaxEndpointsAge(r.config.grace)
 }
 
-// anomalyCount returns how often an anomaly was counted.
+// anomalyCount returns how often an anomaly without detail was counted.
 func (r *Router) anomalyCount(kind anomaly) int {
 	return r.anomalies.count(anomalyDetail{kind: kind})
 }
 
-// canWrite reports whether the first byte would be written now.
+// canWrite reports whether the check before the first byte lets it be written now.
 func (call *serverCall) canWrite() bool {
 	wrote := false
 	call.checkAndWrite(func() bool {
@@ -175,7 +176,7 @@
 	return wrote
 }
 
-// logBuffer holds what a router logs.
+// logBuffer holds the log of a router.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -18,8 +18,9 @@
 // countBadMessage counts a client message that breaks the protocol.
 func (r *Router) countBadMessage(f *msgrpc.Fault) { r.anomalies.addDetail(badMessage, f.Text) }
 
-// logState logs the state line: connections, requests, the estimates behind the slow-start budget, and, counted since the
-// last line, how attempts and requests ended, why there were retries, why connections closed, and the anomalies.
+// logState logs the state line: connections, requests, the estimates behind the slow-start budget, and, counted since
+// the previous line, how attempts and requests ended, the causes of retries, why connections closed, and the
+// anomalies.
 func (r *Router) logState() {
 	r.mu.Lock()
 	clients := len(r.clients)
@@ -34,10 +35,10 @@
 		Str("anomalies", r.anomalies.take()).Msg("state")
 }
 
-// peak is a maximum that several goroutines record into; zero when there was none.
+// peak is a maximum into which several goroutines may record; zero if nothing was recorded.
 type peak struct{ atomic.Int64 }
 
-// record raises the peak to n if n is larger.
+// record sets the peak to n if n is larger.
 func (p *peak) record(n int64) {
 	for {
 		old := p.Load()
@@ -50,7 +51,7 @@
 // take returns the peak and resets it.
 func (p *peak) take() int64 { return p.Swap(0) }
 
-// traceRejections logs the reason for each rejection and failure, at trace level.
+// traceRejections logs the reason for each rejection and failure at trace level.
 func (r *Router) traceRejections() error {
 	if r.log.Trace() == nil {
 		return nil
@@ -75,14 +76,14 @@
 }
 
 // boolToInt returns 1 for true and 0 for false.
-func boolToInt(is bool) int {
-	if is {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// logAttempt logs the end of an attempt or load command, at debug level.
+// logAttempt logs the end of an attempt or load command at debug level.
 func (r *Router) logAttempt(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
 	event := r.log.Debug()
 	if event == nil {
--- a/internal/platform/logging_test.go
+++ b/internal/platform/logging_test.go
@@ -15,7 +15,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// logLines returns the lines of a log with a message.
+// logLines returns the log lines with a given message.
 func logLines(t *testing.T, log *logBuffer, message string) (lines []map[string]any) {
 	t.Helper()
 	for text := range strings.Lines(log.String()) {
@@ -30,7 +30,7 @@
 	return lines
 }
 
-// serveLogged runs a router that logs at all levels; discovery announces one event.
+// serveLogged runs a router that logs at all levels; its discovery service announces one event.
 func serveLogged(t *testing.T, event discovery.Event) (*runningRouter, *logBuffer) {
 	t.Helper()
 	log := &logBuffer{}
@@ -39,8 +39,8 @@
 	return serveReady(t, newRouter(t, mustParseConfig(t, text), zerolog.New(log))), log
 }
 
-// The state line counts how attempts and requests ended and why connections closed, and each request's end is logged with its
-// id and reason.
+// The state line counts how attempts and requests ended and why connections closed. The end of each request is logged
+// with its id and reason.
 func TestEndsAreLogged(t *testing.T) {
 	server := platformtest.NewModelServer(t)
 	r, log := serveLogged(t, platformtest.Event(1, "s-0", server.Address(), "ready"))
@@ -70,7 +70,7 @@
 
 // A request that the balancer rejects is logged with the balancer's reason.
 func TestRejectionIsLoggedWithReason(t *testing.T) {
-	t.Parallel() // it lasts until the deadline
+	t.Parallel() // takes until the deadline
 	r, log := serveLogged(t, platformtest.Event(1, "s-0", unreachable, "draining"))
 	c := platformtest.Dial(t, r.Address())
 	c.SendRequest(1, 1)
@@ -83,7 +83,7 @@
 	}
 }
 
-// What a server in slow start is sent is logged when it is ejected, and when its slow start is over, with the budget of that time.
+// What a server in slow start was sent is logged when the server is ejected and when its slow start ends.
 func TestSlowStartIsLogged(t *testing.T) {
 	const uid, slowStart = "s-1", 3 * time.Second
 	config := mustParseConfig(t, platformtest.Deployment{Grace: time.Second, SlowStart: slowStart}.Configuration(unreachable,
@@ -109,11 +109,11 @@
 		}
 	}
 	if len(r.slowStarts) != 0 {
-		t.Error("its record is kept")
+		t.Error("the slow-start record is kept")
 	}
 }
 
-// Lines about the endpoint list are bounded in number and length, and say what they leave out.
+// Log lines about the endpoint list are limited in number and length, and state how much they omit.
 func TestEndpointLogIsBounded(t *testing.T) {
 	log := &logBuffer{}
 	r := newRouter(t, mustParseConfig(t, configText(unreachable)), zerolog.New(log))
@@ -132,19 +132,19 @@
 	}
 	r.logEndpoints(now + minEndpointLogInterval)
 	if lines = logLines(t, log, "endpoints changed"); len(lines) != 2 || lines[1]["changes"] != "s-0 draining" {
-		t.Errorf("then %v", lines)
+		t.Errorf("after the minimum interval: got %v", lines)
 	}
 }
 
-// Requests that the router itself fails are no cancellations in the log, and a connection that ends after a panic is told apart from one
-// whose client broke the protocol.
+// Requests that the router itself fails are not logged as cancelled, and a connection that ends after a panic is
+// distinguished from one whose client broke the protocol.
 func TestFailedConnectionIsLogged(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
 	c.sendRequest(1, "again")
 	<-held
-	r.config.classes["panics"] = 99 // there is no such class
+	r.config.classes["panics"] = 99 // no such class: handling the request panics
 	c.conn.Write(longRequest(t, 2, "panics"))
 	c.expect("1: Aborted")
 	c.expect("2: Aborted")
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -17,7 +17,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// listen serves each connection until the test ends.
+// listen serves each connection with handle until the test ends, and returns the listening address.
 func listen(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	return listenWith(t, net.ListenConfig{}, handle)
@@ -53,22 +53,22 @@
 	return l.Addr().String()
 }
 
-// receivedAttempt is the frame of one attempt that a fake server received.
+// receivedAttempt is the frame of an attempt received by a fake server.
 type receivedAttempt struct {
 	platformtest.Frame
-	sequence int // among the attempts that this server received, from 1
+	sequence int // number of this attempt among those that the server received, from 1
 	conn     net.Conn
 }
 
-// answerFrame returns an answer with an id of the caller's choice.
+// answerFrame returns an encoded answer with the given id.
 func (a receivedAttempt) answerFrame(code byte, id uint64, body string) []byte {
 	return platformtest.AnswerFrame(code, id, "remark=resident", []byte(body))
 }
 
-// timeout returns the time that the frame states to be left; zero: none.
+// timeout returns the time left that the frame states; zero if none.
 func (a receivedAttempt) timeout() time.Duration { return statedTimeout(a.Fields) }
 
-// statedTimeout returns the time that a frame's fields state to be left; zero: none.
+// statedTimeout returns the time left that a frame's fields state; zero if none.
 func statedTimeout(fields string) time.Duration {
 	var ms int
 	for field := range strings.SplitSeq(fields, ",") {
@@ -77,7 +77,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// echo answers with the body that it received.
+// echo answers an attempt with its body.
 func echo(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOK, a.ID, string(a.Body))) }
 
 // Codes of a server's answers.
@@ -87,7 +87,7 @@
 	codeError      = 101
 )
 
-// attemptHandler returns a handler of a fake server's connections that calls do for each attempt.
+// attemptHandler returns a connection handler of a fake server that calls do for each attempt.
 func attemptHandler(do func(a receivedAttempt)) func(net.Conn) {
 	var sequence atomic.Int32
 	return func(c net.Conn) {
@@ -104,21 +104,21 @@
 	}
 }
 
-// modelServer runs a fake model server that calls do for each attempt.
+// modelServer runs a fake model server that calls do for each attempt, and returns its address.
 func modelServer(t *testing.T, do func(a receivedAttempt)) string {
 	t.Helper()
 	return listen(t, attemptHandler(do))
 }
 
-// holdingServer runs a fake model server that answers nothing and passes on each attempt.
+// holdingServer runs a fake model server that answers nothing and sends each attempt to held.
 func holdingServer(t *testing.T) (address string, held chan receivedAttempt) {
 	t.Helper()
 	held = make(chan receivedAttempt, 256) // more than any test sends
 	return modelServer(t, func(a receivedAttempt) { held <- a }), held
 }
 
-// fillSendBuffer writes to a connection until it accepts no more, also after the kernel has moved some on, and returns how
-// much.
+// fillSendBuffer writes to a connection until it accepts no more, even after the kernel has passed on some of the
+// data, and returns the number of bytes written.
 func fillSendBuffer(t *testing.T, conn net.Conn) (filled int) {
 	const kernelDelay = 50 * time.Millisecond
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -126,7 +126,7 @@
 		t.Error(err)
 		return 0
 	}
-	conn.(*net.TCPConn).SetWriteBuffer(2048) // the kernel makes it no longer by itself
+	conn.(*net.TCPConn).SetWriteBuffer(2048) // keeps the kernel from growing the buffer
 	for before := -1; before < filled; time.Sleep(kernelDelay) {
 		before = filled
 		raw.Control(func(fd uintptr) {
@@ -156,7 +156,7 @@
 	dec  *msgpack.Decoder
 }
 
-// newTestClient returns the client at the end of a connection, which it bounds by 5 s.
+// newTestClient returns a client that uses conn. All its reads and writes must end within 5 s.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	return &testClient{t, conn, msgpack.NewDecoder(conn)}
@@ -181,16 +181,16 @@
 	c.conn.Write(b)
 }
 
-// sendHealthCheck asks whether the router is healthy, and cancel cancels a request.
+// sendHealthCheck sends a health check, and sendCancel cancels a request.
 func (c *testClient) sendHealthCheck(number int) {
 	c.sendMessage(0, number, "isWell", []any{map[string]string{}})
 }
 func (c *testClient) sendCancel(number int) { c.sendMessage(2, "forget", []any{number}) }
 
-// clientTimeout is how long clients wait unless they say otherwise.
+// clientTimeout is the timeout of requests that don't set another.
 const clientTimeout = 1500 * time.Millisecond
 
-// requestFields returns the fields of a request; changes are names and values in turn.
+// requestFields returns the fields of a request. changes are alternating names and values.
 func requestFields(id int, changes ...string) map[string]string {
 	f := map[string]string{"ref": fmt.Sprintf("%016x", id), "allow": fmt.Sprint(clientTimeout.Milliseconds()), "project": "acme",
 		"lookup": "7f3a9c21e0b4d655", "spec": "memory_mb:512;lanes:2"}
@@ -200,15 +200,15 @@
 	return f
 }
 
-// sendRequest sends a request of a class; its id is its number unless changes say otherwise.
+// sendRequest sends a request of a class. Its id is its number unless changes set another.
 func (c *testClient) sendRequest(number int, class string, changes ...string) {
 	c.sendMessage(0, number, class, []any{requestFields(number, changes...), []byte(fmt.Sprint("body ", number))})
 }
 
-// withID changes a request's id, for requests on several connections.
+// withID returns changes that set a request's id, for tests with requests on several connections.
 func withID(id int) []string { return []string{"ref", fmt.Sprintf("%016x", id)} }
 
-// receive returns the next answer as "number: text", or what ended the connection.
+// receive returns the next answer as "number: text", or "closed" if the connection has ended.
 func (c *testClient) receive() string {
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
@@ -233,7 +233,7 @@
 	}
 }
 
-// longRequest returns a request that takes several reads: it has a long body, and unknown fields.
+// longRequest returns a request that takes several reads, because it has a long body and unknown fields.
 func longRequest(t *testing.T, number int, class string) []byte {
 	t.Helper()
 	fields := requestFields(number)
@@ -247,7 +247,8 @@
 	return b
 }
 
-// hookedConn is the router's end of a connection; hook sees what a read returned before the router does.
+// hookedConn is the router's end of a connection. hook is called with the result of each read before the router gets
+// it.
 type hookedConn struct {
 	*net.TCPConn
 	hook func(n int, err error)
@@ -259,19 +260,20 @@
 	return n, err
 }
 
-// dialHooked returns a client of a router, and the router's end of its connection.
+// dialHooked connects a client to a router and returns it with the router's end of the connection. hook is called
+// after each read by the router.
 func (r *runningRouter) dialHooked(t *testing.T, hook func(c *testClient, n int, err error)) (*testClient, *clientConn) {
 	t.Helper()
-	ours, theirs := platformtest.ConnPair(t)
-	c := newTestClient(t, theirs)
-	return c, r.serveClient(&hookedConn{ours.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
+	routerConn, peerConn := platformtest.ConnPair(t)
+	c := newTestClient(t, peerConn)
+	return c, r.serveClient(&hookedConn{routerConn.(*net.TCPConn), func(n int, err error) { hook(c, n, err) }})
 }
 
-// ignoreReads does nothing.
+// ignoreReads is a hook that does nothing.
 func ignoreReads(*testClient, int, error) {}
 
-// onFirstDeadline returns a hook that acts at the first read whose deadline has passed: what it sends is pending when
-// the router reads again.
+// onFirstDeadline returns a hook that calls act at the first read whose deadline has passed: what act sends is
+// pending when the router reads again.
 func onFirstDeadline(act func(c *testClient)) func(c *testClient, n int, err error) {
 	var done atomic.Bool
 	return func(c *testClient, n int, err error) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -23,7 +23,7 @@
 	c.expect("2: body 2")
 }
 
-// corruptAnswers are ways in which an answer is corrupt or missing.
+// corruptAnswers are handlers that send a corrupt answer or none.
 var corruptAnswers = map[string]func(a receivedAttempt){
 	"check": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); b[len(b)-1]++; a.conn.Write(b) },
 	"noise": func(a receivedAttempt) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
@@ -32,8 +32,8 @@
 	"short": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
-// A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
-// safe.
+// A request with a corrupt answer may have run: a non-idempotent one fails, and its client is not told that a retry
+// is safe.
 func TestCorruptAnswerMayHaveRun(t *testing.T) {
 	for name, corrupt := range corruptAnswers {
 		c := start(t, modelServer(t, corrupt)).dial(t)
@@ -44,7 +44,7 @@
 	}
 }
 
-// An idempotent one runs again, on another connection; the server is not ejected.
+// An idempotent request with a corrupt answer is retried on another connection, and the server is not ejected.
 func TestCorruptAnswerIsRetried(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
 		c := start(t, modelServer(t, func(a receivedAttempt) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Answers that nobody waits for are dropped, and the connection stays.
+// Answers that no call waits for are dropped, and the connection stays open.
 func TestUnsolicitedAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
 	c := start(t, modelServer(t, func(a receivedAttempt) {
@@ -105,11 +105,11 @@
 		}
 	}
 	c := r.dial(t)
-	c.sendRequest(1, "again") // nobody else is harmed
+	c.sendRequest(1, "again") // other clients are not affected
 	c.expect("1: body 1")
 }
 
-// Of two requests with one id neither is served, since they can't be told apart.
+// Of two requests with the same id neither is served, because they can't be told apart.
 func TestDuplicateRequestIDFailsBoth(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	c.sendRequest(1, "again")
@@ -118,7 +118,7 @@
 	c.expect("2: Invalid")
 }
 
-// Answers to one number can't be told apart: no request of such a connection gets one that counts.
+// Answers with the same number can't be told apart, so no request on such a connection gets a successful answer.
 func TestDuplicateNumberClosesConnection(t *testing.T) {
 	r := start(t, modelServer(t, func(receivedAttempt) {}))
 	c := r.dial(t)
@@ -149,7 +149,7 @@
 	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
 
-// Connections beyond the limit make room among those that never sent a message.
+// When the connection limit is reached, connections that never sent a message are closed to make room.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	for range r.maxClients + 20 {
@@ -160,7 +160,8 @@
 	c.expect("1: body 1")
 }
 
-// So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
+// Connections that have sent only part of a message, or one message and then nothing, are closed to make room too. A
+// well-behaved client gets all its answers meanwhile.
 func TestPartialMessagesMakeRoom(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	regular := r.dial(t)
@@ -172,7 +173,7 @@
 		regular.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
 	if n := r.anomalyCount(clientRejected); n > 0 {
-		t.Errorf("%d were rejected", n)
+		t.Errorf("%d connections were rejected", n)
 	}
 }
 
@@ -185,20 +186,20 @@
 			echo(a)
 		}
 	}))
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	c.sendRequest(1, "again")
 	a := <-got
 	c.sendCancel(1)
-	platformtest.WaitFor(t, "the cancellation is read", func() bool { return ours.openRequestCount() == 0 })
+	platformtest.WaitFor(t, "the cancellation is read", func() bool { return routerConn.openRequestCount() == 0 })
 	handled := make(chan struct{})
-	r.loop.Post(func(control.Micros) { close(handled) }) // behind the cancellation
+	r.loop.Post(func(control.Micros) { close(handled) }) // handled after the cancellation
 	<-handled
 	echo(a)
 	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
-// A server that drains between the choice and the first byte gets nothing.
+// A server that is removed between the choice and the first byte is sent nothing.
 func TestDrainBeforeFirstByte(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	done := make(chan bool)
@@ -214,11 +215,11 @@
 		done <- call.progress.Ended && !call.canWrite()
 	})
 	if !<-done {
-		t.Error("it could still be written")
+		t.Error("the call could still be written")
 	}
 }
 
-// A new server at the address of a removed one has connections of its own.
+// A new server at the address of a removed one gets new connections.
 func TestReusedAddressGetsOwnConnections(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	address := modelServer(t, func(a receivedAttempt) { echo(a); conns <- a.conn })
@@ -232,11 +233,11 @@
 	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 	if <-conns == <-conns {
-		t.Error("the new server was sent to on the old one's connection")
+		t.Error("a request to the new server used the old server's connection")
 	}
 }
 
-// After a reload the router subscribes at the new discovery address, and requests in flight stay.
+// After a reload the router subscribes at the new discovery address, and requests in flight continue.
 func TestReload(t *testing.T) {
 	old, held := holdingServer(t)
 	other := modelServer(t, echo)
@@ -261,7 +262,7 @@
 	c.expect("1: body 1")
 }
 
-// A stopping router serves for a little longer, answers the requests in flight, and ends.
+// A stopping router serves requests for a short time, answers those in flight, and ends.
 func TestGracefulShutdown(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
@@ -286,21 +287,21 @@
 	select {
 	case <-r.done:
 	case <-time.After(2 * time.Second):
-		t.Error("it goes on with no request in flight")
+		t.Error("the router is still running with no request in flight")
 	}
 }
 
-// The connection to a peer that does not read is closed once too many bytes are queued.
+// A connection whose peer does not read is closed once too many bytes are queued.
 func TestWriteQueueIsBounded(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	q := &writeQueue{conn: ours, maxQueuedBytes: 1000}
+	routerConn, peerConn := net.Pipe()
+	defer peerConn.Close()
+	q := &writeQueue{conn: routerConn, maxQueuedBytes: 1000}
 	accepted := 0
 	for q.post(queuedFrame{data: make([]byte, 100)}) {
 		accepted++
 	}
 	if accepted > 11 || !q.empty() {
-		t.Errorf("%d accepted", accepted)
+		t.Errorf("%d frames were accepted", accepted)
 	}
 }
 
@@ -316,12 +317,13 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(Environment{File: file}); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the configuration was accepted", name)
 		}
 	}
 }
 
-// The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
+// The balancer's load-rate limit assumes a bound on how late a load command may be written. It matches the bound that
+// a call gets.
 func TestMaxCommandDelayMatchesWriteDeadline(t *testing.T) {
 	r := idleRouter(t)
 	if call := r.newCall(1, r.config.loadTimeout); call.writeBefore-call.chosenAt != r.config.Deployment.MaxCommandDelay || r.config.Deployment.MaxCommandDelay == 0 {
@@ -329,7 +331,8 @@
 	}
 }
 
-// Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
+// With few descriptors, making room does not close connections as long as there are no more than well-behaved clients
+// use: a third of all descriptors.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
 	config := mustParseConfig(t, configText(unreachable))
 	config.Sockets = minSockets
@@ -338,9 +341,9 @@
 		if !r.hasRoom() {
 			t.Fatal("no room")
 		}
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		r.clients[&clientConn{router: r, conn: ours}] = struct{}{}
+		routerConn, peerConn := net.Pipe()
+		defer peerConn.Close()
+		r.clients[&clientConn{router: r, conn: routerConn}] = struct{}{}
 	}
 	for c := range r.clients {
 		if _, closing := c.idle(); closing {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Reload applies a changed configuration: the address of the discovery service. Everything else needs a restart.
+// Reload applies a changed configuration. Only the address of the discovery service is applied; every other change
+// needs a restart.
 func (r *Router) Reload(config *Config) { r.discovery.SetAddress(config.DiscoveryAddress) }
 
-// minRereadPause and maxRereadPause bound the pause between two attempts to read a configuration: at first about as long
-// as a file takes to be written, then doubled, for one that stays broken.
+// minRereadPause and maxRereadPause bound the pause between two attempts to read the configuration: the first pause
+// is about as long as writing the file takes, and it doubles if the file stays invalid.
 const minRereadPause, maxRereadPause = 20 * time.Millisecond, time.Second
 
-// ReloadOn reloads the configuration at each signal, until ctx ends. While it can't be read, as when it is half
-// written, the old one stays in force and reading is retried.
+// ReloadOn reloads the configuration on each signal until ctx ends. While the file can't be read, for example because
+// it is only partly written, the old configuration stays in use and reading is retried.
 func (r *Router) ReloadOn(ctx context.Context, signals <-chan os.Signal, env Environment) {
 	for {
 		select {
@@ -31,7 +32,7 @@
 			}
 			if err.Error() != lastError { // log each distinct error once
 				lastError = err.Error()
-				r.log.Error().Err(err).Msg("invalid configuration: the old one stays in force, reading is retried")
+				r.log.Error().Err(err).Msg("invalid configuration: keeping the old one and retrying")
 			}
 			select {
 			case <-ctx.Done():
--- a/internal/platform/requestlog.go
+++ b/internal/platform/requestlog.go
@@ -6,9 +6,9 @@
 	"hollymast/control"
 )
 
-// How requests and attempts end, counted for the state log line and, at debug level, logged one by one.
+// How requests and attempts end: counted for the state log line and, at debug level, logged individually.
 
-// attemptResult is a control.Result in the log's words.
+// attemptResult is a control.Result with the text used in the log.
 type attemptResult control.Result
 
 var attemptResultTexts = [...]string{
@@ -45,7 +45,7 @@
 
 func (e requestEnd) String() string { return requestEndTexts[e] }
 
-// The service's own reasons to end a request, beside the balancer's.
+// The reasons of this package for ending a request, in addition to those of the balancer.
 const (
 	reasonStopping     control.Reason = "the router is stopping"
 	reasonDuplicate    control.Reason = "its id is in flight already"
@@ -58,10 +58,10 @@
 	reasonNotGiven     control.Reason = "not given"
 )
 
-// requestIDFormat is the form of request ids in the log: the one that clients send.
+// requestIDFormat is the format of request ids in the log, the same as the one that clients send.
 const requestIDFormat = "%016x"
 
-// requestOutcome is a request's end with its reason.
+// requestOutcome is how a request ended and why.
 type requestOutcome struct {
 	end    requestEnd
 	reason control.Reason
@@ -69,7 +69,7 @@
 
 func (o requestOutcome) String() string { return o.end.String() + ": " + string(o.reason) }
 
-// recordRequestEnd counts the end of a request, and logs it at debug level.
+// recordRequestEnd counts the end of a request and logs it at debug level.
 func (r *Router) recordRequestEnd(req *request, end requestEnd, reason control.Reason) {
 	if reason == "" {
 		reason = reasonNotGiven
@@ -83,7 +83,7 @@
 		Int("attempts", len(req.attempts)).Int64("read_at", int64(req.readAt)).Msg("request ended")
 }
 
-// recordRetry counts a request's next attempt by how the one before it ended.
+// recordRetry counts a further attempt of a request by how the previous one ended.
 func (r *Router) recordRetry(req *request) {
 	if n := len(req.attempts); n > 0 {
 		r.retries.add(req.attempts[n-1].result)
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -9,29 +9,30 @@
 	"hollymast/internal/msgrpc"
 )
 
-// request is a client's request as its connection and its attempts see it. The event loop owns it, except abandoned.
+// request is a client's request as seen by its connection and its attempts. The event loop owns all fields except
+// abandoned.
 type request struct {
 	id        control.RequestID
 	number    uint32
 	client    *clientConn
 	message   msgrpc.Request
 	readAt    control.Micros // when its last byte was read
-	arrivedAt control.Micros // when it may have arrived: before readAt where the process stalled
-	abandoned atomic.Bool    // its client has cancelled or closed: no attempt begins
+	arrivedAt control.Micros // when it may have arrived at the earliest: before readAt if the process was stalled
+	abandoned atomic.Bool    // its client has cancelled it or closed the connection: no further attempt may start
 	class     control.ClassID
 	tenant    control.TenantID
 	answer    attempt.FinalAnswer
 	attempts  []*serverCall
 }
 
-// networkDelay is the part of a client's deadline, in microseconds, that is spent on the network before its request
-// is here and before its answer is there: a millisecond or two each, and several where the core is shared.
+// networkDelay is the part of a client's deadline, in microseconds, reserved for the network: the request's way to
+// the router and the response's way back. Each takes a millisecond or two, and several milliseconds on a shared core.
 const networkDelay = 10_000
 
-// handleRequest hands a request to the core, unless its client has left or the router is stopping.
+// handleRequest passes a request to the core, unless its client has abandoned it or the router is stopping.
 func (r *Router) handleRequest(now control.Micros, req *request) {
 	if req.client.hasAbandoned(req) {
-		return // before this step
+		return // abandoned before this step
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
 		r.recordRequestEnd(req, endRejected, reasonStopping)
@@ -40,7 +41,7 @@
 	}
 	if r.requests[req.id] != nil {
 		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
-		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // ambiguous: both end
+		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // responses would be ambiguous
 			r.core.Cancel(now, other.id)
 			r.recordRequestEnd(other, endFailed, reasonDuplicate)
 			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
@@ -61,27 +62,28 @@
 	}
 }
 
-// finish gives a request its one final answer and withdraws what of it is not written yet. No data: no answer is
-// sent.
+// finish gives a request its final response and withdraws those of its attempts that are not written yet. If data is
+// nil, no response is sent.
 func (r *Router) finish(req *request, data []byte) {
 	if !req.answer.Give() {
 		return
 	}
-	for _, call := range req.attempts { // an answered request is not sent any more
+	for _, call := range req.attempts { // a finished request must not be sent to a server any more
 		call.withdraw()
 	}
 	req.client.respond(req, data)
 	r.release(req)
 }
 
-// release forgets a request that is answered and has no attempt in flight.
+// release removes a request that has its final response and no attempt in flight.
 func (r *Router) release(req *request) {
 	if req.answer.Done() && r.requests[req.id] == req {
 		delete(r.requests, req.id)
 	}
 }
 
-// handleCancel ends a request whose client waits no longer, or whose connection was failed; outcome is what the log says of it.
+// handleCancel ends a request whose client no longer waits for it, or whose connection has failed. outcome is how the
+// log describes its end.
 func (r *Router) handleCancel(now control.Micros, req *request, outcome requestOutcome) {
 	req.client.mu.Lock()
 	if req.client.open[req.number] == req {
@@ -96,8 +98,9 @@
 	r.finish(req, nil)
 }
 
-// Forward starts an attempt of a request on a server, to end within timeout. It is part of core.Executor, as are
-// Reject, Fail, CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer; the core calls them within a step.
+// Forward starts an attempt of a request on a server; the attempt must end within timeout. Like Reject, Fail,
+// CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer, it implements core.Executor; the core calls these
+// methods within a step.
 func (r *Router) Forward(
 	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
 ) {
@@ -106,7 +109,7 @@
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
 	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
 		for _, earlier := range coreReq.Attempts[:attemptID] {
-			if earlier.MayHaveRun { // the servers must still remember the key when this attempt arrives
+			if earlier.MayHaveRun { // the attempt must arrive while the servers still remember the key
 				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
 			}
 		}
@@ -124,8 +127,8 @@
 	r.dispatch(r.loop.StepTime, call, nil)
 }
 
-// newCall returns a call chosen in this step, to end within timeout, that must not be written later than its endpoint
-// list allows.
+// newCall returns a call to a server chosen in this step, which must end within timeout. writeBefore bounds when it
+// may be written, given the age of the endpoint list.
 func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
 	deadline := r.loop.StepTime + timeout
 	return &serverCall{
@@ -134,21 +137,21 @@
 	}
 }
 
-// Reject ends a request that did not run; its client may retry after retryAfter.
+// Reject ends a request that did not run. Its client may retry after retryAfter.
 func (r *Router) Reject(id control.RequestID, retryAfter control.Micros, reason control.Reason) {
 	req := r.requests[id]
 	r.recordRequestEnd(req, endRejected, reason)
 	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
 }
 
-// Fail ends a request that may have run and must not be repeated.
+// Fail ends a request that may have run and must not be retried.
 func (r *Router) Fail(id control.RequestID, reason control.Reason) {
 	req := r.requests[id]
 	r.recordRequestEnd(req, endFailed, reason)
 	r.finish(req, msgrpc.Failure(req.number))
 }
 
-// CancelAttempt stops waiting for an attempt; its end is reported in the next step.
+// CancelAttempt stops waiting for an attempt. The attempt's end is reported in the next step.
 func (r *Router) CancelAttempt(id control.RequestID, attemptID control.AttemptID) {
 	req := r.requests[id]
 	if req == nil || int(attemptID) >= len(req.attempts) {
@@ -174,13 +177,14 @@
 	r.dispatch(r.loop.StepTime, call, binframe.LoadFrame(call.id, command.Function, command.Replicas))
 }
 
-// SubscribeEndpoints does nothing: the router always watches discovery.
+// SubscribeEndpoints does nothing: the router is always subscribed to discovery.
 func (r *Router) SubscribeEndpoints() {}
 
-// SetTimer sets the one timer, replacing its time.
+// SetTimer sets the router's only timer, replacing its previous time.
 func (r *Router) SetTimer(at control.Micros) { r.loop.SetTimer(at) }
 
-// attemptEnded reports an attempt's outcome to the core, and delivers its answer where that is final.
+// attemptEnded reports the outcome of an attempt to the core, and sends the server's answer to the client if it is
+// the final one.
 func (r *Router) attemptEnded(now control.Micros, call *serverCall, outcome control.Outcome, answer *binframe.Answer) {
 	req := call.request
 	if req.answer.AttemptEnded(outcome.Result) == attempt.Deliver {
@@ -194,7 +198,8 @@
 	r.release(req)
 }
 
-// loadCommandID returns an id for a load command that is no open request's: both share the connections.
+// loadCommandID returns an id for a load command that no open request uses, because both kinds of call share the
+// connections.
 func (r *Router) loadCommandID() binframe.ID {
 	for {
 		id := binframe.ID(r.random.Uint64())
@@ -215,7 +220,7 @@
 		return "unknown project"
 	}
 	class := r.config.Deployment.Classes[req.class]
-	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in all; twice that allows for rounding
+	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in total; the factor allows for rounding
 		return "allow: longer than the class allows"
 	}
 	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -1,7 +1,7 @@
-// Package platform is a router as a network service: it connects client connections, server connections and the
-// discovery service to one core. One goroutine runs the event loop: it owns the core and carries out what the core
-// decides. Each connection has a goroutine of its own. Nothing in an event-loop step blocks, and no decision is taken
-// in this package.
+// Package platform runs a router as a network service: it connects client connections, server connections and the
+// discovery service to one core. One goroutine runs the event loop, which owns the core and carries out the core's
+// decisions. Each connection has its own goroutine. No step of the event loop blocks, and this package makes no
+// routing decisions itself.
 package platform
 
 import (
@@ -26,26 +26,26 @@
 	"hollymast/internal/fleet"
 )
 
-// Router is one router process: its listener, its connections and its event loop. Create it with New, run it with
+// Router is one router process: its listener, its connections and its event loop. Create it with New and run it with
 // Serve.
 type Router struct {
 	config *Config
 	log    zerolog.Logger
-	loop   *eventloop.Loop // its clock, Post and PostEndpoints are shared, the rest is the event loop's
+	loop   *eventloop.Loop // the clock, Post and PostEndpoints are shared; everything else belongs to the event loop
 
-	// Owned by the event loop; no other goroutine touches these.
+	// Owned by the event loop; no other goroutine accesses these fields.
 	core            *core.Core
 	fleet           *fleet.Fleet
 	requests        map[control.RequestID]*request
 	pools           map[control.ServerID]*serverPool
-	serverConnCount int                              // server connections, all pools
-	connsByIdle     *list.List                       // *serverConn that are in use, least recently used first
-	removedPools    map[control.ServerID]*serverPool // pools of removed servers, until their connections have ended
+	serverConnCount int                              // server connections in all pools
+	connsByIdle     *list.List                       // *serverConn, least recently used first
+	removedPools    map[control.ServerID]*serverPool // pools of removed servers that still have connections
 	lastPrunedAt    control.Micros
 	stopRequestedAt control.Micros // 0: not stopping
 	endpointLog     endpointLog
-	slowStarts      map[control.ServerID]*slowStart // servers in slow start that were sent requests
-	random          *rand.PCG                       // for load commands' ids; no decision depends on it
+	slowStarts      map[control.ServerID]*slowStart // servers in slow start that have been sent requests
+	random          *rand.PCG                       // for the ids of load commands; no decision depends on it
 
 	// Shared with other goroutines.
 	connFuncs     serverConnFuncs
@@ -54,34 +54,35 @@
 	ready         atomic.Bool
 	listener      *net.TCPListener
 	acceptEnded   chan struct{} // closed once no more connections are accepted
-	rejecting     chan struct{} // semaphore: connections that are read only to be rejected
+	rejecting     chan struct{} // semaphore for connections that are read only to reject their requests
 	mu            sync.Mutex
 	clients       map[*clientConn]struct{}
-	rejectedConns int // of clients, those beyond the limit
+	rejectedConns int // client connections beyond the limit
 	anomalies     anomalyCounts
-	// Counts for the state log line, reset with each.
+	// Counts for the state log line, reset each time it is logged.
 	attemptEnds  counter[attemptResult]
-	retries      counter[attemptResult] // by how the attempt before ended
+	retries      counter[attemptResult] // by how the previous attempt ended
 	requestEnds  counter[requestOutcome]
 	clientCloses counter[clientClose]
 	serverCloses counter[serverClose]
-	// Peaks for the state log line, reset with each, in microseconds.
-	oldestEndpoints peak // age of the endpoint list at an attempt's first byte
-	afterDrain      peak // upper bound on a first byte's delay after its server drained or was removed
+	// Peaks for the state log line in microseconds, reset each time it is logged.
+	oldestEndpoints peak // age of the endpoint list at the first byte of an attempt
+	afterDrain      peak // upper bound on how long after its server drained or was removed a first byte was written
 
 	maxClients, maxServerConns int
 }
 
 const (
-	// minSockets is the smallest number of sockets that a router can serve with.
+	// minSockets is the smallest socket limit with which a router can serve.
 	minSockets = 128
-	// reservedSockets is the number of descriptors kept back: standard streams, the poller, the listener, two of the
-	// discovery client, the configuration file, and as many accepts and dials as may run ahead of the counters.
+	// reservedSockets is the number of descriptors reserved for the standard streams, the poller, the listener, two
+	// connections of the discovery client, the configuration file, and the accepts and dials that may run ahead of
+	// the counters.
 	reservedSockets = 40
 )
 
-// New returns a router for a configuration, with its listener open. It fails when the recorded endpoint history is
-// invalid or the listening address can't be had in time.
+// New returns a router for a configuration, with its listener open. It fails if the recorded endpoint history is
+// invalid or if it can't listen on the address in time.
 func New(config *Config, log zerolog.Logger) (*Router, error) {
 	r := &Router{
 		config: config, log: log, loop: eventloop.New(eventloop.NewClock(config.wallClock()), config.grace),
@@ -92,7 +93,7 @@
 	}
 	r.fleet.UseSourceClock()
 	r.fleet.SetSlowStartDuration(config.Deployment.SlowStartDuration)
-	// Well-behaved clients hold up to a third; the rest of a half is for silent ones.
+	// Well-behaved clients use up to a third of the sockets; the rest of this half is for silent clients.
 	r.maxClients = config.Sockets / 2
 	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
 	deployment := config.Deployment
@@ -118,30 +119,30 @@
 	return r, nil
 }
 
-// listenFor is for how long New retries to listen: a predecessor's process may still hold the address, or the machine
-// be short of something. A restart is allowed several times as long to become ready.
+// listenFor is how long New retries to listen: the predecessor's process may still hold the address, or the machine
+// may be short of resources. A restarted router is allowed several times as long to become ready.
 const listenFor = 3 * time.Second
 
-// listenAt listens on a TCP address, and retries for up to listenFor while the error may be temporary.
+// listenAt listens on a TCP address. It retries for up to listenFor while the error may be temporary.
 func listenAt(address string) (net.Listener, error) {
 	for begin := time.Now(); ; time.Sleep(minRereadPause) {
 		l, err := net.Listen("tcp", address)
 		retryable := slices.ContainsFunc([]error{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE,
-			syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(known error) bool { return errors.Is(err, known) })
+			syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}, func(temporary error) bool { return errors.Is(err, temporary) })
 		if !retryable || time.Since(begin) > listenFor {
 			return l, err
 		}
 	}
 }
 
-// Address returns the address that the router listens on for clients.
+// Address returns the address on which the router listens for clients.
 func (r *Router) Address() string { return r.listener.Addr().String() }
 
 // duration converts microseconds to a time.Duration.
 func duration(t control.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Serve runs the event loop until ctx ends, and then the graceful shutdown: it accepts requests for a little longer,
-// answers every request in flight, and returns once each client connection was read to its end and has closed.
+// Serve runs the event loop until ctx ends, followed by the graceful shutdown: it accepts requests for a short time,
+// answers every request in flight, and returns once every client connection has been read to its end and closed.
 func (r *Router) Serve(ctx context.Context) {
 	background, stop := context.WithCancel(context.Background())
 	var workers sync.WaitGroup
@@ -154,7 +155,8 @@
 		r.accept(r.listener)
 	})
 	defer r.listener.Close()
-	// The configuration's endpoints may be older than the grace period: none is chosen before discovery has answered.
+	// The endpoints in the configuration may be older than the grace period, so no request is sent before discovery
+	// has answered.
 	select {
 	case <-r.discovery.Started():
 	case <-ctx.Done():
@@ -166,9 +168,9 @@
 	r.closeAll()
 }
 
-// runEventLoop runs the event loop until the router was asked to stop and every client connection has ended.
+// runEventLoop runs the event loop until the router has been asked to stop and every client connection has ended.
 func (r *Router) runEventLoop(stopRequested <-chan struct{}) {
-	acceptEnded, ending := r.acceptEnded, false
+	acceptEnded, shuttingDown := r.acceptEnded, false
 	var nextAction <-chan time.Time
 	var actions []stopAction
 	stateTicker := time.NewTicker(10 * time.Second)
@@ -185,7 +187,7 @@
 			actions = r.beginStop()
 			nextAction = time.After(duration(actions[0].at))
 		case <-nextAction:
-			ending = true
+			shuttingDown = true
 			actions[0].do()
 			if actions = actions[1:]; len(actions) > 0 {
 				nextAction = time.After(duration(r.stopRequestedAt + actions[0].at - r.loop.Now()))
@@ -201,40 +203,42 @@
 		if acceptEnded == nil && r.allClientsClosed() {
 			break
 		}
-		if ending { // poll for the end of the connections
+		if shuttingDown { // poll for the end of the connections
 			r.loop.WakeWithin(5 * time.Millisecond)
 		}
 	}
 }
 
-// minStepInterval is the least time between two event-loop steps, in microseconds, where the configured tick is
-// shorter. Each step considers every held request: 1000 steps/s with 150 held requests took a quarter of a core. It
-// is a hundredth of the shortest latency objective.
+// minStepInterval is the minimum time between two event-loop steps, in microseconds; it applies where the configured
+// tick is shorter. Each step considers every held request: 1000 steps per second with 150 held requests used a
+// quarter of a core. The interval is a hundredth of the shortest latency objective.
 const minStepInterval = 3_000
 
-// postStallReadTime is for how long connections' readers run after a stall before the step that may time out attempts:
-// their answers may have come during the stall. Reading what is pending on some hundred connections takes less.
+// postStallReadTime is how long connection readers may run after a stall before the next step, which may time out
+// attempts: their answers may have arrived during the stall. Reading the pending input of a few hundred connections
+// takes less time.
 const postStallReadTime = 10 * time.Millisecond
 
-// pauseBeforeStep keeps steps apart, so that events that come close together share one.
+// pauseBeforeStep enforces the minimum interval between steps, so that events that come close together are handled in
+// one step. After a stall it waits for the connection readers.
 func (r *Router) pauseBeforeStep() {
 	if _, stalled := r.loop.Stalled(); stalled {
 		r.anomalies.add(processStalled)
 		time.Sleep(postStallReadTime)
 		return
 	}
-	least := max(minStepInterval, r.config.Deployment.Tick)
-	if wait := r.loop.StepTime + least - r.loop.Now(); wait > 0 {
-		time.Sleep(duration(min(wait, least)))
+	minInterval := max(minStepInterval, r.config.Deployment.Tick)
+	if wait := r.loop.StepTime + minInterval - r.loop.Now(); wait > 0 {
+		time.Sleep(duration(min(wait, minInterval)))
 	}
 }
 
-// readEndpoints makes the next step handle everything that discovery has announced. It runs after the last wait
-// before the event batch is taken.
+// readEndpoints makes the next step handle every endpoint change that discovery has announced. It runs after the last
+// wait and before the event batch is taken.
 func (r *Router) readEndpoints() {
 	r.loop.ReadEndpoints(func() (asOf control.Micros) {
 		asOf = r.loop.At(r.discovery.CatchUp())
-		// Read before the batch is taken, which so holds everything up to then.
+		// Read before the batch is taken, so that the batch contains every update up to this time.
 		if complete := r.discovery.CompleteAsOf(); !complete.IsZero() {
 			r.loop.EndpointsCompleteAsOf = r.loop.At(complete)
 		}
@@ -242,18 +246,19 @@
 	})
 }
 
-// step handles a batch of events, lets the core decide on them, and closes what has been idle for long.
+// step handles a batch of events, lets the core make its decisions, and closes connections that have been idle for
+// too long.
 func (r *Router) step(now control.Micros, events []func(control.Micros)) {
 	r.loop.Step(now, events, r.fleet, r.core)
 	r.logEndpoints(now)
 	r.prune(now)
 }
 
-// recoverPanic, deferred, logs a panic and its stack; the process goes on. It guards against one connection's fault
-// ending all others.
+// recoverPanic, when deferred, logs a panic with its stack and lets the process continue, so that a fault on one
+// connection does not end all others.
 func (r *Router) recoverPanic(kind anomaly) {
-	if fault := recover(); fault != nil {
+	if panicValue := recover(); panicValue != nil {
 		r.anomalies.add(kind)
-		r.log.Error().Stringer("at", kind).Interface("fault", fault).Bytes("stack", debug.Stack()).Msg("panic recovered")
+		r.log.Error().Stringer("at", kind).Interface("fault", panicValue).Bytes("stack", debug.Stack()).Msg("panic recovered")
 	}
 }
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -13,38 +13,40 @@
 	"hollymast/internal/config"
 )
 
-// serverCall is one attempt or load command sent to a server. The event loop owns it, except what writing guards.
+// serverCall is one attempt or load command sent to a server. The event loop owns it, except for the fields that are
+// atomic or guarded by writing.
 type serverCall struct {
 	router         *Router
-	request        *request // nil: a load command
+	request        *request // nil for a load command
 	attempt        control.AttemptID
 	load           control.LoadCommand
 	id             binframe.ID
 	to             control.ServerID
-	message        *binframe.Attempt // nil: a load command
-	conn           *serverConn       // nil: none was available
+	message        *binframe.Attempt // nil for a load command
+	conn           *serverConn       // nil if no connection was available
 	chosenAt       control.Micros
-	endpointsAsOf  control.Micros // when the endpoint list that it was chosen from was complete
-	writeBefore    control.Micros // its first byte is not written later
-	deadline       control.Micros // its answer is not awaited longer
-	clientDeadline control.Micros // the client's deadline: the server is given no longer
-	unreadSince    control.Micros // since when the first byte waits for the client's reader; 0: it doesn't
-	writing        sync.Mutex     // held from the last check to the first byte
+	endpointsAsOf  control.Micros // when the endpoint list that it was chosen from was last complete
+	writeBefore    control.Micros // its first byte must not be written later
+	deadline       control.Micros // its answer is not awaited any longer
+	clientDeadline control.Micros // the client's deadline, which bounds the timeout stated to the server
+	unreadSince    control.Micros // since when the first byte waits for the client's reader; 0 if it does not wait
+	writing        sync.Mutex     // held from the last check until the first byte is written
 	stage          atomic.Int32   // an attempt.Stage
-	writtenWhole   atomic.Bool    // its last byte was written
+	writtenWhole   atomic.Bool    // its last byte has been written
 	progress       attempt.Progress
-	result         attemptResult // once it has ended
+	result         attemptResult // set when it has ended
 	timer          *time.Timer
 }
 
-// withdraw withdraws a call that is not being written yet, and reports whether it did: it will never be written.
+// withdraw withdraws a call of which no byte has been written yet, so that it is never written, and reports whether
+// it did so.
 func (call *serverCall) withdraw() bool {
 	call.writing.Lock()
 	defer call.writing.Unlock()
 	return attempt.Transition(&call.stage, attempt.Stage.Withdraw)
 }
 
-// address returns the server's address, or the empty string where no connection was found.
+// address returns the server's address, or the empty string if no connection was available.
 func (call *serverCall) address() string {
 	if call.conn == nil {
 		return ""
@@ -52,34 +54,35 @@
 	return call.conn.pool.address
 }
 
-// currentStage returns how far the call has got. It waits for a first byte that is being written.
+// currentStage returns the stage of the call. If its first byte is just being written, currentStage waits for that.
 func (call *serverCall) currentStage() attempt.Stage {
 	call.writing.Lock()
 	defer call.writing.Unlock()
 	return attempt.Stage(call.stage.Load())
 }
 
-// maxReaderWait is how long a first byte waits for its client's reader to process what is in the socket: some scheduling
-// delays of a shared core. It guards against a client that sends without pause and so delays others' requests on the
-// same server connection.
+// maxReaderWait is how long a first byte waits for its client's reader to process what is in the socket: a few
+// scheduling delays of a shared core. The bound prevents a client that sends without pause from delaying the requests
+// of others on the same server connection.
 const maxReaderWait = 100 * time.Millisecond
 
-// checkAndWrite makes the last check before the first byte, and writes it. It sees without waiting for a step that the client
-// has left, or that the endpoint list has grown too old since the choice. What the client has sent but its reader has
-// not processed may be a cancellation: the reader comes first.
+// checkAndWrite makes the last check before the first byte and then writes that byte. The check does not wait for an
+// event-loop step: it notices that the client has abandoned the request, or that the endpoint list has become too old
+// since the server was chosen. Input that the client's reader has not processed yet may be a cancellation, so the
+// reader gets time to process it first.
 func (call *serverCall) checkAndWrite(write func() bool) (withdrawn bool) {
 	call.writing.Lock()
 	defer call.writing.Unlock()
-	unread := call.request != nil && !call.request.client.tracked.upToDate(time.Now())
-	wanted := call.request == nil || !call.request.abandoned.Load()
+	hasUnread := call.request != nil && !call.request.client.tracked.upToDate(time.Now())
+	mayWrite := call.request == nil || !call.request.abandoned.Load()
 	now := call.router.loop.Now()
-	if !unread {
+	if !hasUnread {
 		call.unreadSince = 0
 	} else {
 		call.unreadSince = cmp.Or(call.unreadSince, now)
-		wanted = wanted && now-call.unreadSince < control.Micros(maxReaderWait.Microseconds())
+		mayWrite = mayWrite && now-call.unreadSince < control.Micros(maxReaderWait.Microseconds())
 	}
-	next, ok := attempt.Stage(call.stage.Load()).Write(wanted, now, call.writeBefore)
+	next, ok := attempt.Stage(call.stage.Load()).Write(mayWrite, now, call.writeBefore)
 	if !ok {
 		call.router.loop.Post(func(now control.Micros) {
 			call.withdraw()
@@ -87,7 +90,7 @@
 		})
 		return true
 	}
-	if unread {
+	if hasUnread {
 		return false
 	}
 	if write() {
@@ -100,13 +103,13 @@
 	return false
 }
 
-// frame encodes the attempt's frame as of now: it states the time left.
+// frame encodes the attempt's frame, which states the time left as of now.
 func (call *serverCall) frame() []byte {
 	call.message.Timeout = call.clientDeadline - call.router.loop.Now()
 	return call.message.Frame()
 }
 
-// writeEnded records that a write has ended, and whether it was complete.
+// writeEnded records that a write has ended and whether the frame was written completely.
 func (call *serverCall) writeEnded(whole bool) {
 	call.writtenWhole.Store(whole)
 	if !whole {
@@ -114,8 +117,8 @@
 	}
 }
 
-// dispatch queues a call on a connection and starts its timeout. frame is a load command's; an attempt's is encoded
-// at its first byte.
+// dispatch queues a call on a connection and starts its timeout. frame is that of a load command; the frame of an
+// attempt is encoded when its first byte is written.
 func (r *Router) dispatch(now control.Micros, call *serverCall, frame []byte) {
 	var sc *serverConn
 	if server := r.fleet.Get(call.to); server != nil && server.State == control.Ready {
@@ -132,11 +135,12 @@
 		}
 		delete(sc.open, call.id)
 	}
-	// Never sent; reported in the next step, since the core is still deciding in this one.
+	// The call was never sent. This is reported in the next step, because the core is still making its decisions in
+	// this one.
 	r.loop.Post(func(now control.Micros) { r.callEnded(now, call, control.NotSent, nil) })
 }
 
-// queueEntry returns the call as a frame for a write queue.
+// queueEntry returns the call as an entry of a write queue.
 func (call *serverCall) queueEntry(data []byte) queuedFrame {
 	frame := queuedFrame{data: data, checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded}
 	if call.message != nil {
@@ -145,26 +149,27 @@
 	return frame
 }
 
-// hasUsed reports whether an earlier attempt of the same request was written to a connection.
+// hasUsed reports whether an earlier attempt of the same request was written to the connection.
 func (call *serverCall) hasUsed(sc *serverConn) bool {
 	return call.request != nil && slices.ContainsFunc(call.request.attempts, func(earlier *serverCall) bool {
 		return earlier.conn == sc && earlier.currentStage() == attempt.Writing
 	})
 }
 
-// handleAnswer handles an answer. One that nobody waits for, or a duplicate, is dropped without harm to others.
+// handleAnswer handles a server's answer. Duplicates and answers that no call waits for are dropped; the connection
+// stays open.
 func (r *Router) handleAnswer(now control.Micros, sc *serverConn, answer *binframe.Answer) {
 	call := sc.open[answer.ID]
 	if call == nil || answer.Probe {
 		return
 	}
 	if call.currentStage() != attempt.Writing {
-		return // an answer to a call that was not written yet
+		return // the call has not been written, so this can't be its answer
 	}
 	r.callEnded(now, call, answer.Result, answer)
 }
 
-// deadlinePassed handles a call's timeout.
+// deadlinePassed handles the timeout of a call.
 func (r *Router) deadlinePassed(now control.Micros, call *serverCall) {
 	if call.progress.Ended {
 		return
@@ -177,8 +182,8 @@
 	r.callEnded(now, call, control.TimedOut, nil)
 }
 
-// abandon tells the server that nobody waits for a call. The answer may be on its way, or never come, so its
-// connection takes no new calls.
+// abandon tells the server that its answer to a call is no longer awaited. The answer may still arrive, or never, so
+// the connection takes no new calls.
 func (r *Router) abandon(call *serverCall) {
 	if call.conn == nil || call.progress.Ended {
 		return
@@ -190,7 +195,7 @@
 	call.conn.setCloseReason(serverCloseAbandoned)
 }
 
-// callEnded handles the end of a call, once: later ends are ignored.
+// callEnded handles the end of a call. Only the first end of a call counts.
 func (r *Router) callEnded(now control.Micros, call *serverCall, result control.Result, answer *binframe.Answer) {
 	if !call.progress.End() {
 		return
@@ -216,7 +221,7 @@
 		replicas := 0
 		if answer != nil && result == control.Succeeded {
 			if replicas = answer.Replicas; replicas < 0 {
-				replicas = call.load.Replicas // an answer without a number: all replicas that were asked for
+				replicas = call.load.Replicas // an answer without a count means all requested replicas
 			}
 		}
 		r.core.HandleLoadResult(now, call.to, call.load.Function, result, duration, replicas)
@@ -229,7 +234,7 @@
 	r.attemptEnded(now, call, outcome, answer)
 }
 
-// report returns an answer's load report in the order of fields that the settings give.
+// report returns the load report of an answer, in the order of fields given by the settings.
 func (r *Router) report(answer *binframe.Answer) *control.LoadReport {
 	if answer.Reports == nil {
 		return nil
@@ -245,5 +250,5 @@
 	return config.Report(r.config.reportFields, values)
 }
 
-// reportNames maps the settings' field names to the simulator's, which the answers use.
+// reportNames maps the field names of the settings to those of the simulator, which the answers use.
 var reportNames = map[string]string{"cpu_share": "util", "x0": "x0", "x1": "x1"}
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -17,31 +17,31 @@
 	"hollymast/internal/netfail"
 )
 
-// serverConn is one connection to a server. The event loop owns all but the write queue and partialWrite; a goroutine
-// of its own dials and reads.
+// serverConn is one connection to a server. The event loop owns all fields except the write queue and partialWrite. A
+// separate goroutine dials and reads.
 type serverConn struct {
 	router       *Router
 	pool         *serverPool
 	writes       writeQueue
 	open         map[binframe.ID]*serverCall
-	up           bool // the event loop knows that it is connected
-	retired      bool // takes no new calls: an abandoned call's answer may come, or the server is removed
+	up           bool // connected, as far as the event loop knows
+	retired      bool // takes no new calls, because an abandoned call may still be answered or the server's endpoint has changed
 	idleSince    control.Micros
 	idlePlace    *list.Element // in Router.connsByIdle
-	partialWrite atomic.Bool   // a write ended amid a frame
+	partialWrite atomic.Bool   // a write ended in the middle of a frame
 	dialing      context.Context
 	cancelDial   context.CancelFunc
 	closeReason  serverClose
 }
 
-// close closes the connection at once and cancels its dial, whose descriptor is then free for another.
+// close closes the connection immediately and cancels its dial, which frees the descriptor.
 func (sc *serverConn) close() {
 	sc.writes.close()
 	sc.cancelDial()
 }
 
-// preferredOver reports whether a new call should go on sc rather than on other: fewer calls open, connected, used
-// last.
+// preferredOver reports whether a new call should use sc rather than other: the one with fewer open calls, then the
+// one that is connected, then the one used last.
 func (sc *serverConn) preferredOver(other *serverConn) bool {
 	switch {
 	case len(sc.open) != len(other.open):
@@ -52,28 +52,29 @@
 	return sc.idleSince > other.idleSince
 }
 
-// maxUnreadByServer bounds the bytes queued for a server: as many calls with the longest bodies as may share a
-// connection.
+// maxUnreadByServer bounds the bytes queued for a server: as many calls with bodies of the maximum length as may
+// share a connection.
 const maxUnreadByServer = 2 << 20
 
-// answerTimeout is how long the rest of an answer may take once it has begun: servers write it in one piece.
+// answerTimeout is how long the rest of an answer may take after its first byte: servers write an answer in one
+// piece.
 const answerTimeout = time.Second
 
-// run dials, then reads answers until the connection ends, and reports its end to the event loop.
+// run dials, reads answers until the connection ends, and then reports the end to the event loop.
 func (sc *serverConn) run() {
 	r := sc.router
-	broke := func(result control.Result, reason serverClose) {
+	reportEnd := func(result control.Result, reason serverClose) {
 		sc.close()
 		r.loop.Post(func(now control.Micros) { r.handleConnEnd(now, sc, result, reason) })
 	}
-	end, reason := control.Failed, serverCloseReadFault // after a panic: what was written may have run
+	end, reason := control.Failed, serverCloseReadFault // applies after a panic: calls that were written may have run
 	defer r.recoverPanic(panicReadingServer)
-	defer func() { broke(end, reason) }()
+	defer func() { reportEnd(end, reason) }()
 	conn, err := sc.dial()
 	if err != nil {
 		end, reason = control.ConnectFailed, serverCloseUnreachable
 		if netfail.IsLocal(err) || errors.Is(err, context.Canceled) {
-			end, reason = control.NotSent, serverCloseLocalDialFailure // says nothing about the server
+			end, reason = control.NotSent, serverCloseLocalDialFailure // not the server's fault
 		} else {
 			r.anomalies.add(noServerConnection)
 		}
@@ -89,10 +90,10 @@
 		if err != nil {
 			end, reason = control.ConnectionReset, serverCloseByServer
 			if why := describeCorruption(err); why != "" {
-				end, reason = control.Failed, serverCloseUnreadable // the server answers, but unreadably
+				end, reason = control.Failed, serverCloseUnreadable // the server answered, but the answer is unreadable
 				r.anomalies.addDetail(corruptAnswer, why)
 			} else if netfail.IsLocal(err) {
-				end, reason = control.Failed, serverCloseReadFault // may have run; says nothing about the server
+				end, reason = control.Failed, serverCloseReadFault // calls may have run; not the server's fault
 			}
 			return
 		}
@@ -100,10 +101,11 @@
 	}
 }
 
-// serverConnFuncs are the system calls that a server connection begins with; tests replace them.
+// serverConnFuncs are the functions that a server connection uses to connect and to write the first bytes of a frame.
+// Tests replace them.
 type serverConnFuncs struct {
 	dial  func(ctx context.Context, address string) (net.Conn, error)
-	write func(fd int, b []byte) (int, error) // does not block
+	write func(fd int, b []byte) (int, error) // must not block
 }
 
 var defaultConnFuncs = serverConnFuncs{
@@ -113,8 +115,8 @@
 	write: syscall.Write,
 }
 
-// dial connects. Failures that say nothing about the server are retried until the connect timeout; where descriptors are
-// short, idle client connections are closed meanwhile.
+// dial connects to the server. Failures that are not the server's fault are retried until the connect timeout; if
+// descriptors are short, idle client connections are closed in the meantime.
 func (sc *serverConn) dial() (net.Conn, error) {
 	r := sc.router
 	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.connFuncs.dial(sc.dialing, sc.pool.address) },
@@ -131,7 +133,7 @@
 		})
 }
 
-// describeCorruption returns what made an answer unreadable, or the empty string where the connection itself ended.
+// describeCorruption returns what made an answer unreadable, or the empty string if the connection itself ended.
 func describeCorruption(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "incomplete"
@@ -144,8 +146,8 @@
 	return ""
 }
 
-// handleConnEnd handles the end of a connection: the result of each call open on it follows from how far it had
-// got.
+// handleConnEnd handles the end of a connection. The result of each call open on it depends on the stage that the
+// call had reached.
 func (r *Router) handleConnEnd(now control.Micros, sc *serverConn, result control.Result, reason serverClose) {
 	open := sc.open
 	sc.setCloseReason(reason)
@@ -161,7 +163,7 @@
 		case call.currentStage() == attempt.Withdrawn:
 			callResult = control.NotSent
 		case sc.partialWrite.Load() && !call.writtenWhole.Load():
-			callResult = control.NotSent // the server did not get a whole frame
+			callResult = control.NotSent // the server did not receive a complete frame
 		}
 		r.callEnded(now, call, callResult, nil)
 	}
--- a/internal/platform/serverfaults_test.go
+++ b/internal/platform/serverfaults_test.go
@@ -16,7 +16,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// Whatever goes wrong at the only server, each request has its one final answer in time.
+// Whatever goes wrong at the only server, each request gets exactly one final answer in time.
 func TestServerFaultsLeaveOneAnswerEach(t *testing.T) {
 	type handler = func(net.Conn)
 	faults := map[string]handler{
@@ -34,7 +34,7 @@
 		faults["corrupt: "+name] = attemptHandler(corrupt)
 	}
 	for name, fault := range faults {
-		for _, connections := range []int{0, 1} { // as many connections as are wanted; one for all
+		for _, connections := range []int{0, 1} { // 0: as many connections as needed; 1: a single connection
 			t.Run(fmt.Sprintf("%s, connections %d", name, connections), func(t *testing.T) {
 				t.Parallel()
 				r := startWith(t, func(r *Router) {
@@ -45,7 +45,7 @@
 					r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
 						conn, err := defaultConnFuncs.dial(ctx, address)
 						if err == nil {
-							conn.(*net.TCPConn).SetWriteBuffer(2048) // holds less than one request
+							conn.(*net.TCPConn).SetWriteBuffer(2048) // smaller than one request
 						}
 						return conn, err
 					}
@@ -80,7 +80,7 @@
 						}
 					}
 				}
-				for _, c := range callers { // afterwards, so that this wait does not count as time to an answer
+				for _, c := range callers { // separately, so that this wait does not count towards the time to an answer
 					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 					if v, err := c.dec.DecodeSlice(); err == nil {
 						t.Errorf("another answer: %v", v[1])
@@ -91,7 +91,7 @@
 	}
 }
 
-// A server's write queue that overflows ends all calls that are queued on it, provably never sent.
+// When the write queue of a server connection overflows, all calls queued on it end; they were provably never sent.
 func TestWriteQueueOverflowEndsQueuedCalls(t *testing.T) {
 	r := idleRouter(t)
 	r.maxServerConns = 1
@@ -102,7 +102,7 @@
 	for n := range 3 {
 		call := r.newCall(id, 1_000_000)
 		call.load, call.id = control.LoadCommand{Server: id}, binframe.ID(n+1)
-		r.dispatch(r.loop.Now(), call, make([]byte, maxUnreadByServer*2/5)) // two of them have room
+		r.dispatch(r.loop.Now(), call, make([]byte, maxUnreadByServer*2/5)) // two of them fit
 		calls = append(calls, call)
 	}
 	platformtest.WaitFor(t, "all have ended", func() bool {
@@ -111,7 +111,7 @@
 	})
 	for _, call := range calls {
 		if call.currentStage() == attempt.Writing {
-			t.Error("one was written")
+			t.Error("a call was written")
 		}
 	}
 }
--- a/internal/platform/serverpool.go
+++ b/internal/platform/serverpool.go
@@ -10,17 +10,17 @@
 	"hollymast/internal/binframe"
 )
 
-// serverPool holds the connections to one incarnation of one server. The event loop owns it.
+// serverPool holds the connections to one incarnation of a server. The event loop owns it.
 type serverPool struct {
 	id        control.ServerID
 	address   string
 	startedAt control.Micros
 	conns     []*serverConn
-	// firstByte is when the latest first byte of a call was written, on the router's clock.
+	// firstByte is when the first byte of the latest call was written, on the router's clock.
 	firstByte peak
 }
 
-// poolOf returns the pool of a known server, and creates it if need be.
+// poolOf returns the pool of a known server, creating it if necessary.
 func (r *Router) poolOf(id control.ServerID) *serverPool {
 	pool := r.pools[id]
 	if pool == nil {
@@ -31,10 +31,11 @@
 	return pool
 }
 
-// connFor returns the connection for a call, or nil: one with no calls open, else a new one, else the one with the
-// fewest; among equals one that is connected. Calls share a connection only once descriptors run out, since a corrupt
-// answer fails every call open on its connection. A request's next attempt uses another connection, so that a
-// duplicate answer to the earlier one can't be taken for its own.
+// connFor returns the connection for a call, or nil if there is none: a connection without open calls, else a new
+// one, else the one with the fewest open calls; connected ones are preferred among equals. Calls share a connection
+// only when descriptors run out, because a corrupt answer fails every call open on its connection. A further attempt
+// of a request uses another connection, so that a duplicate answer to the earlier attempt can't be mistaken for its
+// own.
 func (r *Router) connFor(now control.Micros, call *serverCall) *serverConn {
 	pool := r.poolOf(call.to)
 	var best *serverConn
@@ -54,7 +55,7 @@
 	return sc
 }
 
-// newServerConn adds a connection to a pool; the caller starts its goroutine.
+// newServerConn adds a connection to a pool. The caller starts its goroutine.
 func (r *Router) newServerConn(now control.Micros, pool *serverPool) *serverConn {
 	sc := &serverConn{router: r, pool: pool, open: map[binframe.ID]*serverCall{}, idleSince: now}
 	sc.dialing, sc.cancelDial = context.WithTimeout(context.Background(), duration(r.config.connectTimeout))
@@ -65,7 +66,7 @@
 	return sc
 }
 
-// closeIdleServerConn closes the least recently used idle connection of any server, and reports whether there was
+// closeIdleServerConn closes the least recently used idle connection of all servers, and reports whether there was
 // one.
 func (r *Router) closeIdleServerConn() bool {
 	for e := r.connsByIdle.Front(); e != nil; e = e.Next() {
@@ -78,7 +79,7 @@
 	return false
 }
 
-// removeConn removes a connection from its pool, to close after what is queued on it is written.
+// removeConn removes a connection from its pool. The connection closes once everything queued on it is written.
 func (r *Router) removeConn(sc *serverConn) {
 	sc.retired = true
 	for i, other := range sc.pool.conns {
@@ -94,15 +95,15 @@
 	}
 }
 
-// retire lets a connection take no new calls; it closes with the last one open on it.
+// retire stops assigning new calls to a connection. It closes after the last call open on it has ended.
 func (r *Router) retire(sc *serverConn) {
 	if sc.retired = true; len(sc.open) == 0 {
 		r.removeConn(sc)
 	}
 }
 
-// sortedByID returns the calls open on a connection in order of their ids, so that a recording replays: a map's order
-// varies.
+// sortedByID returns the calls open on a connection ordered by id: map order varies between runs, and a recording
+// must replay in the same order.
 func sortedByID(open map[binframe.ID]*serverCall) []*serverCall {
 	return slices.SortedFunc(maps.Values(open), func(a, b *serverCall) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -11,20 +11,23 @@
 	"hollymast/internal/msgrpc"
 )
 
-// A stopping router accepts requests for acceptRequestsFor (microseconds): clients go on sending for 0.6 s. A request
-// that comes after 0.7 s must be answered before the kill, however long it would take, so it is rejected at once;
-// connections are accepted for acceptConnectionsFor, longer, for that answer, unless the kill comes sooner.
+// A stopping router accepts requests for acceptRequestsFor (microseconds), because clients keep sending for 0.6 s. A
+// request that comes after 0.7 s must be answered before the process is killed, however long it would take, so it is
+// rejected immediately. Connections are accepted for longer, for acceptConnectionsFor, so that such requests get
+// their rejection, unless the kill comes sooner.
 const (
 	acceptRequestsFor    = 650_000
 	acceptConnectionsFor = 800 * time.Millisecond
 )
 
-// Times before the earliest kill (control.Deployment.EarliestKill), in microseconds:
+// Times of the shutdown in microseconds; those named BeforeKill are relative to the earliest kill
+// (control.Deployment.EarliestKill):
 //
-// connections are closed from closeBeforeKill on, since some hundred take tens of milliseconds on a quarter of a
-// core, but not before closeNotBefore, until when requests come; what is still in flight is answered at
-// answerBeforeKill, by which time a request accepted at acceptRequestsFor has had its own deadline; nothing is read
-// any more from stopReadingBeforeKill on, so that clients that never pause keep no connection open.
+// Connections are closed from closeBeforeKill on, because closing some hundred of them takes tens of milliseconds on
+// a quarter of a core, but not before earliestClose after the request to stop, until which clients send requests.
+// Requests still in flight are answered at answerBeforeKill; by then a request accepted at acceptRequestsFor has
+// reached its own deadline. From stopReadingBeforeKill on nothing more is read, so that clients that never pause
+// don't keep their connections open.
 const (
 	closeBeforeKill       = 130_000
 	earliestClose         = 600_000
@@ -32,13 +35,13 @@
 	stopReadingBeforeKill = 60_000
 )
 
-// stopAction is one action of the graceful shutdown, at a time in microseconds after the request to stop.
+// stopAction is one action of the graceful shutdown; at is its time in microseconds after the request to stop.
 type stopAction struct {
 	at control.Micros
 	do func()
 }
 
-// beginStop marks the router as stopping and returns the actions that follow.
+// beginStop marks the router as stopping and returns the shutdown's actions.
 func (r *Router) beginStop() []stopAction {
 	r.stopRequestedAt = r.loop.Now()
 	r.ready.Store(false)
@@ -46,7 +49,7 @@
 	return r.stopActions()
 }
 
-// stopActions returns the actions of the graceful shutdown, in order of time.
+// stopActions returns the actions of the graceful shutdown in chronological order.
 func (r *Router) stopActions() []stopAction {
 	kill := r.config.Deployment.EarliestKill()
 	return []stopAction{
@@ -57,17 +60,17 @@
 	}
 }
 
-// close stops listening, after the connections waiting to be accepted, and closes client connections once they are
-// idle.
+// close stops listening, after accepting the connections that are pending, and closes client connections once they
+// are idle.
 func (r *Router) close() {
 	r.stopListening()
 	r.closeClients()
 }
 
-// stopListening accepts the connections that wait already, and no others.
+// stopListening lets the accept loop take the connections that are already pending, and no others.
 func (r *Router) stopListening() { r.listener.SetDeadline(time.Now().Add(lastReadTime)) }
 
-// closeClients closes each client connection once no request is open on it and nothing is left to read.
+// closeClients makes each client connection close once no request is open on it and no input is left to read.
 func (r *Router) closeClients() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +80,7 @@
 	}
 }
 
-// stopReading closes the connections that are still read, after a last read of what is pending.
+// stopReading closes the connections that are still being read, after a last read of pending input.
 func (r *Router) stopReading() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +90,7 @@
 	}
 }
 
-// rejectHeld rejects requests that were never attempted and whose deadline is after this router's end.
+// rejectHeld rejects the requests that have had no attempt and whose deadline is after this router's end.
 func (r *Router) rejectHeld() {
 	kill := r.stopRequestedAt + r.config.Deployment.EarliestKill()
 	r.endRequests(func(req *request) bool {
@@ -95,10 +98,10 @@
 	})
 }
 
-// answerOpenRequests answers every request in flight: the kill would leave it without an answer.
+// answerOpenRequests gives every request in flight a final response, which it would not get after the kill.
 func (r *Router) answerOpenRequests() { r.endRequests(func(*request) bool { return true }) }
 
-// endRequests ends the selected requests in flight.
+// endRequests ends those requests in flight for which selected returns true.
 func (r *Router) endRequests(selected func(req *request) bool) {
 	now := r.loop.Now()
 	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
@@ -121,14 +124,14 @@
 	}
 }
 
-// allClientsClosed reports whether every client connection has ended, and with them all answers owed.
+// allClientsClosed reports whether every client connection has ended, and therefore every response has been sent.
 func (r *Router) allClientsClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.clients) == 0
 }
 
-// closeAll closes all server connections at once.
+// closeAll closes all server connections immediately.
 func (r *Router) closeAll() {
 	for _, pool := range r.pools {
 		for _, sc := range pool.conns {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -15,7 +15,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// All times of the shutdown follow from the longest deadline: before the earliest kill all is answered and closed.
+// All times of the shutdown follow from the longest deadline: everything is answered and closed before the earliest
+// kill.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	const second = 1_000_000
 	for longest, closesAt := range map[control.Micros]control.Micros{0: 600_000, 50_000: 620_000, 100_000: 670_000, 230_000: 800_000,
@@ -35,7 +36,7 @@
 	}
 }
 
-// addRequest adds a request that was read at now and has no attempt. It runs on the event loop.
+// addRequest adds a request that was read at now and has no attempt. It must run on the event loop.
 func (r *Router) addRequest(number uint32, client *clientConn, now control.Micros) *request {
 	req := &request{id: control.RequestID(number), number: number, client: client, readAt: now}
 	client.open[number] = req
@@ -43,14 +44,15 @@
 	return req
 }
 
-// Requests in flight when the kill is near are answered; those that were never written are told that a retry is safe.
+// Requests still in flight shortly before the kill are answered. The clients of those that were never written are
+// told that a retry is safe.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
 	c.sendRequest(1, "once")
 	<-held
-	r.loop.Post(func(now control.Micros) { // chosen, and not written yet
+	r.loop.Post(func(now control.Micros) { // a request that has not been written yet
 		r.addRequest(2, r.requests[1].client, now)
 		r.answerOpenRequests()
 	})
@@ -58,7 +60,8 @@
 	c.expect("2: TryLater")
 }
 
-// A request that may have run is rejected, for another router, where repeating it is safe.
+// A request that may have run is rejected, so that its client retries at another router, only if repeating it is
+// safe.
 func TestShutdownRejectsRetryableRequests(t *testing.T) {
 	server, held := holdingServer(t)
 	for class, want := range map[string]string{"once": "1: Aborted", "again": "1: TryLater"} {
@@ -71,7 +74,8 @@
 	}
 }
 
-// Near the kill only held requests are rejected, and of those the ones whose deadline is after it.
+// Shortly before the kill only held requests are rejected, and of those only the ones whose deadline is after the
+// kill.
 func TestShutdownRejectsHeldRequestsFirst(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
@@ -97,12 +101,13 @@
 	c.expect("1: body 1")
 }
 
-// The connection of a client that always has something open is closed: each request is answered, or crosses the close.
+// The connection of a client that always has something open is closed. Each request is answered, or was sent too
+// close to the end to arrive.
 func TestBusyClientConnectionIsClosed(t *testing.T) {
 	r := start(t, modelServer(t, echo))
-	c, ours := r.dialHooked(t, ignoreReads)
+	c, routerConn := r.dialHooked(t, ignoreReads)
 	answered, sent, done := map[int]bool{}, map[int]time.Time{}, make(chan struct{})
-	open := make(chan struct{}, maxOpenPerClient) // no more: it is well-behaved otherwise
+	open := make(chan struct{}, maxOpenPerClient) // the client stays within the limit of open requests
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() {
 		for what := c.receive(); what != "closed"; what = c.receive() {
@@ -125,17 +130,17 @@
 		}
 	})
 	platformtest.WaitFor(t, "it is answered steadily", func() bool {
-		ours.mu.Lock()
-		defer ours.mu.Unlock()
-		return ours.lastNumber > 100
+		routerConn.mu.Lock()
+		defer routerConn.mu.Unlock()
+		return routerConn.lastNumber > 100
 	})
-	ours.closeWhenIdle(drainAfterIdle)
-	ours.closeBy(finalReadTime)
+	routerConn.closeWhenIdle(drainAfterIdle)
+	routerConn.closeBy(finalReadTime)
 	select {
-	case <-ours.writes.written:
+	case <-routerConn.writes.written:
 	case <-time.After(time.Second):
-		t.Error("it is still open")
-		ours.conn.Close()
+		t.Error("the connection is still open")
+		routerConn.conn.Close()
 	}
 	closed := time.Now()
 	close(done)
@@ -147,10 +152,10 @@
 	}
 }
 
-// emptyConn is a connection on which nothing comes; a read of it takes no time.
+// emptyConn is a connection without input; reads return immediately.
 type emptyConn struct{ net.Conn }
 
-// emptyRawConn is the descriptor of an emptyConn.
+// emptyRawConn is the raw connection of an emptyConn.
 type emptyRawConn struct{}
 
 func (emptyConn) SyscallConn() (syscall.RawConn, error) { return emptyRawConn{}, nil }
@@ -158,13 +163,13 @@
 func (emptyRawConn) Read(func(uintptr) bool) error      { return os.ErrDeadlineExceeded }
 func (emptyRawConn) Write(func(uintptr) bool) error     { return nil }
 
-// A reader whose deadline passes at this very moment ends and does not loop, even if the clock does not advance meanwhile.
+// A reader whose deadline is exactly now ends instead of looping, even if the clock does not advance meanwhile.
 func TestReaderEndsAtDeadline(t *testing.T) {
 	r := idleRouter(t)
 	synctest.Test(t, func(t *testing.T) {
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		c := &clientConn{router: r, conn: ours, input: &deadlineReader{conn: emptyConn{ours}}, open: map[uint32]*request{1: {}}}
+		routerConn, peerConn := net.Pipe()
+		defer peerConn.Close()
+		c := &clientConn{router: r, conn: routerConn, input: &deadlineReader{conn: emptyConn{routerConn}}, open: map[uint32]*request{1: {}}}
 		c.sentMessage.Store(true)
 		c.closeBy(finalReadTime)
 		if c.awaitMessage(msgrpc.NewReader(c.input), time.Now()) {
--- a/internal/platform/stalls.go
+++ b/internal/platform/stalls.go
@@ -8,24 +8,26 @@
 	"hollymast/control"
 )
 
-// stallDetector notices when this process was stalled: stopped, or without a share of its core. A request read right
-// after a stall may have arrived at any time during it, and its deadline runs from when its client sent it.
+// stallDetector detects that this process was stalled: suspended, or without its share of the processor. A request
+// read right after a stall may have arrived at any time during it, and its deadline counts from when the client sent
+// it.
 type stallDetector struct {
 	mu       sync.Mutex
-	lastTick control.Micros // the last tick; 0: none yet
-	// The latest stall and the readers' time after it: what is read before until may have arrived from from on.
+	lastTick control.Micros // 0: no tick yet
+	// The latest stall: a message read before ambiguousUntil may have arrived at any time since stallStart.
+	// ambiguousUntil leaves the readers time to catch up after the stall.
 	stallStart, ambiguousUntil control.Micros
 }
 
 const (
-	// tickInterval and stallThreshold (microseconds) bound by how much a request may be older than assumed: with the
-	// 10 ms of networkDelay, less than the 0.15 s by which a stated deadline may exceed the client's. A tick costs
-	// some microseconds.
+	// tickInterval and stallThreshold (microseconds) bound by how much a request may be older than assumed. Together
+	// with networkDelay (10 ms) this is less than the 0.15 s by which a stated deadline may exceed the client's. A
+	// tick costs a few microseconds.
 	tickInterval   = 80 * time.Millisecond
 	stallThreshold = 120_000
 )
 
-// tick records that the process runs.
+// tick records that the process is running.
 func (d *stallDetector) tick(now control.Micros) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,8 +37,8 @@
 	d.lastTick = now
 }
 
-// earliestArrival returns the earliest time at which a message read at now may have arrived; now itself where there was no
-// stall.
+// earliestArrival returns the earliest time at which a message read at now may have arrived, which is now itself if
+// there was no stall.
 func (d *stallDetector) earliestArrival(now control.Micros) control.Micros {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +51,7 @@
 	return now
 }
 
-// detectStalls ticks until ctx ends.
+// detectStalls ticks the stall detector until ctx ends.
 func (r *Router) detectStalls(ctx context.Context) {
 	r.stalls.tick(r.loop.Now())
 	ticker := time.NewTicker(tickInterval)
@@ -64,13 +66,14 @@
 	}
 }
 
-// arrivalTime returns when the message that was just read may have arrived: the earliest possible time, after a stall.
+// arrivalTime returns when the message that was just read may have arrived: the earliest possible time if there was a
+// stall.
 func (c *clientConn) arrivalTime() control.Micros {
 	now := c.router.loop.Now()
 	since := c.router.stalls.earliestArrival(now)
 	if since < now {
 		c.router.anomalies.add(requestArrivedEarlier)
-		since = max(since, c.router.loop.At(c.tracked.lastEmptyAt())) // not before its reader last found nothing pending
+		since = max(since, c.router.loop.At(c.tracked.lastEmptyAt())) // it arrived after the reader last found nothing pending
 	}
 	return min(now, since)
 }
--- a/internal/platform/stalls_test.go
+++ b/internal/platform/stalls_test.go
@@ -6,7 +6,8 @@
 	"hollymast/control"
 )
 
-// What is read during a stall, or soon after it, may have arrived since it began; what is read later arrived when it was read.
+// A message read during a stall, or shortly after it, may have arrived at any time since the stall began. One read
+// later arrived when it was read.
 func TestStallDetector(t *testing.T) {
 	const second = control.Micros(1_000_000)
 	var d stallDetector
@@ -26,6 +27,6 @@
 		t.Errorf("read right after that tick: %d", got)
 	}
 	if later := d.ambiguousUntil; d.earliestArrival(later) != later {
-		t.Error("a stall counts for ever")
+		t.Error("a stall never expires")
 	}
 }
--- a/internal/platform/systemcalls_test.go
+++ b/internal/platform/systemcalls_test.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// failingReadConn is a server connection on which reads fail once a request is written.
+// failingReadConn is a server connection on which reads fail once the server has received a request.
 type failingReadConn struct {
 	*net.TCPConn
 	received <-chan receivedAttempt
@@ -26,9 +26,9 @@
 	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
 }
 
-// Each system call towards a server fails with each error, once, for a while, or for good. Each row is a
-// non-idempotent request: it has one final answer in time, runs at most once, and the server is not ejected for what
-// may be a local failure.
+// Each system call on a server connection fails with each error: once, for a while, or permanently. Each row is a
+// non-idempotent request. It gets one final answer in time and runs at most once, and the server is not ejected for a
+// failure that may be local.
 func TestSystemCallErrors(t *testing.T) {
 	const once, shortly, permanently = time.Nanosecond, 100 * time.Millisecond, time.Hour
 	const served, rejected, failed = "1: body 1", "1: TryLater", "1: Aborted"
@@ -65,7 +65,7 @@
 	for _, row := range rows {
 		t.Run(fmt.Sprintf("%s %v %v", row.call, row.err, row.duration), func(t *testing.T) {
 			t.Parallel()
-			var first atomic.Int64 // when the call failed first
+			var first atomic.Int64 // when the call first failed, in ns
 			var runs atomic.Int32
 			var repaired atomic.Bool
 			fails := func(call string) bool {
@@ -114,7 +114,7 @@
 				t.Errorf("answered after %v", took)
 			}
 			if n := runs.Load(); n > 1 || n == 1 != (row.want != rejected) {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the request ran %d times", n)
 			}
 			if row.blame {
 				return
@@ -129,11 +129,11 @@
 	}
 }
 
-// A first byte that is retried again and again does not delay its connection's end: the event loop may close it.
+// A first byte that is retried repeatedly does not delay closing its connection, which the event loop may do.
 func TestCloseDoesNotWaitForFirstByte(t *testing.T) {
-	ours, _ := platformtest.ConnPair(t)
+	routerConn, _ := platformtest.ConnPair(t)
 	attempted := make(chan bool, 1)
-	q := &writeQueue{conn: ours, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
+	q := &writeQueue{conn: routerConn, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
 		select {
 		case attempted <- true:
 		default:
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// trackedConn is a client connection that tracks as of when all that the client sent has been processed. No attempt
-// may begin more than 0.1 s after its client has closed or cancelled, and either may lie unread in the socket: after
-// a stall of the process, or while readers wait for the processor. So the last check before the first byte rests on
-// the age of what was read, as it does on the age of the endpoint list.
+// trackedConn is a client connection that tracks up to which time everything the client sent has been processed. No
+// attempt may start more than 0.1 s after its client has closed the connection or cancelled the request, and either
+// may be unread in the socket: after a stall of the process, or while readers wait for the processor. The last check
+// before the first byte therefore considers the age of what was read, as it considers the age of the endpoint list.
 type trackedConn struct {
 	net.Conn
-	raw               syscall.RawConn // nil: no descriptor to look into
-	readsDescriptor   bool            // read from the descriptor itself, which shows when nothing is left
-	mu                sync.Mutex      // held from a look into the descriptor until its result is recorded
-	allProcessed      bool            // all that was read is processed
-	processedUpTo     time.Time       // all that had come by then is processed; zero: not known yet
-	emptyingReadStart time.Time       // when the last read began; zero: it may have left some
+	raw               syscall.RawConn // nil if there is no descriptor
+	readsDescriptor   bool            // reads use the descriptor itself, which shows when nothing is left
+	mu                sync.Mutex      // held from an access to the descriptor until its result is recorded
+	allProcessed      bool            // everything read has been processed
+	processedUpTo     time.Time       // everything that arrived by then has been processed; zero: not known yet
+	emptyingReadStart time.Time       // when the last read started, if it left nothing unread; zero: it may have left something
 }
 
-// maxUnreadAge is how old what was read from a client may be at a first byte: half of the 0.1 s; the other half is
-// for the network.
+// maxUnreadAge is the maximum age of the last look at a client's input when a first byte is written. It is half of
+// the 0.1 s; the other half is for the network.
 const maxUnreadAge = 50 * time.Millisecond
 
 // newTrackedConn wraps an accepted connection.
@@ -37,8 +37,8 @@
 	return t
 }
 
-// Read reads from the connection. It must be called only once all that was read before has been processed, except
-// amid a message.
+// Read reads from the connection. It must be called only when everything read before has been processed, or in the
+// middle of a message.
 func (t *trackedConn) Read(b []byte) (n int, err error) {
 	t.mu.Lock()
 	t.allProcessed = true
@@ -58,8 +58,8 @@
 }
 
 // read reads from the descriptor itself and records whether anything was pending.
-func (t *trackedConn) read(b []byte, waiting waitMode) (int, error) {
-	return readRaw(t.raw, waiting, func(fd int) (int, error) {
+func (t *trackedConn) read(b []byte, mode waitMode) (int, error) {
+	return readRaw(t.raw, mode, func(fd int) (int, error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		began := time.Now()
@@ -73,7 +73,7 @@
 	})
 }
 
-// waitMode is what a read does where nothing is pending.
+// waitMode is what a read does if nothing is pending.
 type waitMode bool
 
 const (
@@ -81,12 +81,12 @@
 	noWait waitMode = false // returns EAGAIN
 )
 
-// readRaw reads through a call on a descriptor that does not block.
-func readRaw(raw syscall.RawConn, waiting waitMode, call func(fd int) (int, error)) (n int, err error) {
+// readRaw reads by calling a function on a non-blocking descriptor.
+func readRaw(raw syscall.RawConn, mode waitMode, call func(fd int) (int, error)) (n int, err error) {
 	var readErr error
 	err = raw.Read(func(fd uintptr) bool {
 		n, readErr = retryInterrupted(func() (int, error) { return call(int(fd)) })
-		return waiting == noWait || !errors.Is(readErr, syscall.EAGAIN)
+		return mode == noWait || !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
@@ -99,16 +99,17 @@
 	return n, nil
 }
 
-// recordRead records a read of n bytes, of most, that began at began. The lock is held.
-func (t *trackedConn) recordRead(began time.Time, n, size int) {
+// recordRead records a read that started at began and returned n bytes into a buffer of bufferSize. The caller holds
+// mu.
+func (t *trackedConn) recordRead(began time.Time, n, bufferSize int) {
 	t.allProcessed = false
-	if t.emptyingReadStart = began; n == size {
+	if t.emptyingReadStart = began; n == bufferSize {
 		t.emptyingReadStart = time.Time{}
 	}
 }
 
-// upToDate reports whether all that the client had sent by now is processed, or all but what came within
-// maxUnreadAge.
+// upToDate reports whether everything that the client had sent by now is processed, except what may have arrived
+// within maxUnreadAge.
 func (t *trackedConn) upToDate(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,7 +130,8 @@
 	return t.processedUpTo
 }
 
-// hasUnread looks into the socket for what came since the last read: a message, or an end. The lock is held.
+// hasUnread checks the socket for input that arrived since the last read: a message or the end of the connection. The
+// caller holds mu.
 func (t *trackedConn) hasUnread() bool {
 	var peekErr error
 	err := t.raw.Control(func(fd uintptr) {
@@ -142,10 +144,11 @@
 	return err != nil || !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// maxInterruptions bounds how often a call interrupted by a signal is retried at once; one or two come in a row.
+// maxInterruptions bounds how often a call interrupted by a signal is retried immediately; one or two interruptions
+// in a row are usual.
 const maxInterruptions = 100
 
-// retryInterrupted retries a call that returns EINTR. It returns no negative count.
+// retryInterrupted retries a call while it returns EINTR. It never returns a negative count.
 func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for range maxInterruptions {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -15,8 +15,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// lockedConn is the router's end of a client connection: while a test holds the lock nothing is read, as by a reader
-// that waits for the processor.
+// lockedConn is the router's end of a client connection. While a test holds the lock nothing is read, as if the
+// reader were waiting for a processor.
 type lockedConn struct {
 	*net.TCPConn
 	sync.RWMutex
@@ -39,7 +39,7 @@
 	return s.TCPConn.Read(b)
 }
 
-// clientDepartures are the ways in which a client stops waiting for its request 1.
+// clientDepartures are the ways in which a client abandons its request 1.
 var clientDepartures = map[string]func(c *testClient){
 	"cancels":     func(c *testClient) { c.sendCancel(1) },
 	"closes":      func(c *testClient) { c.conn.Close() },
@@ -52,7 +52,8 @@
 	},
 }
 
-// A client leaves while its attempt waits, and that lies unread for long: no first byte follows.
+// A client abandons its request while the attempt waits to be written, and the router does not read that for a long
+// time. No first byte is written.
 func TestUnreadDepartureWithdrawsAttempt(t *testing.T) {
 	const unreadFor, watchedFor = 130 * time.Millisecond, 300 * time.Millisecond
 	for how, leave := range clientDepartures {
@@ -102,13 +103,13 @@
 						return conn, err
 					}
 				}, server)
-				ours, theirs := platformtest.ConnPair(t)
-				locked := &lockedConn{TCPConn: ours.(*net.TCPConn)}
+				routerConn, peerConn := platformtest.ConnPair(t)
+				locked := &lockedConn{TCPConn: routerConn.(*net.TCPConn)}
 				r.serveClient(locked)
-				c := newTestClient(t, theirs)
+				c := newTestClient(t, peerConn)
 				c.sendRequest(1, "again")
 				<-waiting
-				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
+				time.Sleep(maxUnreadAge) // now the attempt waits, and the reader waits for input
 				locked.Lock()
 				leave(c)
 				time.Sleep(unreadFor)
@@ -128,34 +129,34 @@
 func TestTrackedConnDetectsUnreadInput(t *testing.T) {
 	for how, leave := range clientDepartures {
 		t.Run(how, func(t *testing.T) {
-			ours, theirs := platformtest.ConnPair(t)
-			s := newTrackedConn(ours)
+			routerConn, peerConn := platformtest.ConnPair(t)
+			s := newTrackedConn(routerConn)
 			if !s.readsDescriptor {
 				t.Fatal("not read from the descriptor")
 			}
 			later := func() time.Time { return time.Now().Add(maxUnreadAge + time.Millisecond) }
-			theirs.Write([]byte("request"))
+			peerConn.Write([]byte("request"))
 			b := make([]byte, 100)
 			if n, err := s.Read(b); n != 7 || err != nil {
 				t.Fatalf("read %d, %v", n, err)
 			}
 			if s.upToDate(time.Now()) {
-				t.Error("what was read of a new connection is not processed yet")
+				t.Error("up to date before the first input of a new connection is processed")
 			}
 			s.SetReadDeadline(time.Now().Add(maxUnreadAge))
 			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
 			}
 			if !s.upToDate(later()) {
-				t.Error("nothing is unread")
+				t.Error("not up to date although nothing is unread")
 			}
-			leave(newTestClient(t, theirs))
+			leave(newTestClient(t, peerConn))
 			platformtest.WaitFor(t, "unread input is detected", func() bool {
-				s.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
+				s.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // as if the reader had checked that long ago
 				return !s.upToDate(time.Now())
 			})
 			if s.processedUpTo = time.Now(); !s.upToDate(time.Now()) {
-				t.Error("where the reader looked just now the socket is looked at again")
+				t.Error("the socket is checked again although the reader has just checked it")
 			}
 		})
 	}
