--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -12,33 +12,33 @@
 	"hollymast/internal/netfail"
 )
 
-// writeQueue writes frames to one connection; adding one does not block. Its goroutine lives only while there is
-// something to write.
+// writeQueue writes frames to one connection. Adding a frame does not block. The queue's goroutine exists only while
+// there is something to write.
 type writeQueue struct {
 	mu             sync.Mutex
-	conn           net.Conn // nil: not connected yet
+	conn           net.Conn // nil until connected
 	queue          []queuedFrame
 	queuedBytes    int
-	maxQueuedBytes int  // bytes that may be queued
-	writing        bool // the goroutine runs
-	closing        bool // the connection closes with the last frame
+	maxQueuedBytes int  // limit of queuedBytes
+	writing        bool // the goroutine is running
+	closing        bool // the connection closes after the last frame
 	closed         bool
-	// firstWrite writes the first bytes of a frame that has a begin check; nil: the system call.
+	// firstWrite writes the first bytes of a frame that has checkAndWrite; nil means the system call.
 	firstWrite func(fd int, b []byte) (int, error)
-	// written, if not nil, is closed when nothing is written any more: with the last frame only the write direction
-	// of the connection is closed, and whoever reads the other closes the connection.
+	// written, if not nil, is closed when nothing more will be written. In that case only the write direction of the
+	// connection is closed after the last frame, and whoever reads the other direction closes the connection.
 	written chan struct{}
 }
 
-// queuedFrame is one message. If begin is not nil, it either writes the first bytes by calling write, which never
-// blocks and reports whether any byte is out, or withdraws the frame. begin is called again once the connection has
-// room, and after writePause where it did neither.
+// queuedFrame is one frame to write. If checkAndWrite is not nil, it either writes the first bytes by calling write,
+// which never blocks and reports whether any byte was written, or withdraws the frame. If the connection has no room,
+// checkAndWrite is called again once it has; if it neither wrote nor withdrew, it is called again after writePause.
 type queuedFrame struct {
 	data []byte
-	// encode, if not nil, returns data right before each attempt to write the first byte. It guards against a stated
-	// deadline that was true when the frame was queued, before a dial or a wait for room.
+	// encode, if not nil, returns data right before each attempt to write the first byte: the deadline stated in the
+	// frame would be outdated if it were encoded before a dial or a wait for room.
 	encode        func() []byte
-	size          int // upper bound of encode's result
+	size          int // upper bound on the size of encode's result
 	checkAndWrite func(write func() bool) (withdrawn bool)
 	writeEnded    func(whole bool)
 }
@@ -46,13 +46,13 @@
 // writeTimeout bounds one write: a peer that accepts nothing for this long is gone or malicious.
 const writeTimeout = 2 * time.Second
 
-// frameRestTimeout bounds the rest of a frame that states a deadline, once its first bytes are out. It guards against
-// a deadline that is read much later, when the frame is complete: two thirds of the 0.15 s by which it may exceed
-// what the client has left.
+// frameRestTimeout bounds the write of the rest of a frame that states a deadline, after its first bytes are written.
+// The server reads the deadline only when the frame is complete, so a slow write would make it outdated. The bound is
+// two thirds of the 0.15 s by which a stated deadline may exceed the time that the client has left.
 const frameRestTimeout = 100 * time.Millisecond
 
-// post queues a frame, and reports false if the connection accepts none any more. It guards against a peer that asks
-// and does not read: beyond maxQueuedBytes the connection is closed.
+// post queues a frame, and returns false if the connection takes no more frames. If the queue would exceed
+// maxQueuedBytes, because the peer sends requests but does not read the answers, the connection is closed.
 func (q *writeQueue) post(frame queuedFrame) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// start starts the goroutine unless it runs. The lock is held.
+// start starts the goroutine unless it is running. The caller holds mu.
 func (q *writeQueue) start() {
 	if q.conn != nil && !q.writing && !q.closed {
 		q.writing = true
@@ -78,7 +78,7 @@
 	}
 }
 
-// connected sets the connection once it is established, and starts to write what is queued.
+// connected sets the connection once it is established, and starts writing queued frames.
 func (q *writeQueue) connected(conn net.Conn) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// closeWhenWritten closes the connection once all that is queued is written.
+// closeWhenWritten closes the connection once all queued frames are written.
 func (q *writeQueue) closeWhenWritten() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -102,28 +102,28 @@
 	}
 }
 
-// finish ends a connection on which all is written. It guards against the reset that closing with unread input
-// causes, which may overtake the last answer: the read direction stays open where somebody drains it. The lock is
-// held.
+// finish ends a connection on which everything is written. Closing a connection with unread input sends a reset,
+// which may overtake the last answer, so the read direction stays open if another goroutine drains it. The caller
+// holds mu.
 func (q *writeQueue) finish() {
-	half, ok := q.conn.(interface{ CloseWrite() error })
+	halfCloser, ok := q.conn.(interface{ CloseWrite() error })
 	if !ok || q.written == nil || q.closed {
 		q.closeLocked()
 		return
 	}
 	q.closed = true
-	half.CloseWrite()
+	halfCloser.CloseWrite()
 	close(q.written)
 }
 
-// close closes the connection at once; what is queued is dropped.
+// close closes the connection immediately and drops queued frames.
 func (q *writeQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closeLocked()
 }
 
-// closeLocked is close with the lock held.
+// closeLocked is close for callers that hold mu.
 func (q *writeQueue) closeLocked() {
 	if !q.closed && q.written != nil {
 		close(q.written)
@@ -142,7 +142,7 @@
 	return q.closed || !q.writing && len(q.queue) == 0
 }
 
-// write writes what is queued, one frame after the other, until nothing is left.
+// write writes the queued frames one by one until the queue is empty.
 func (q *writeQueue) write() {
 	for {
 		q.mu.Lock()
@@ -185,9 +185,9 @@
 	}
 }
 
-// writeFirst writes a frame's first bytes and returns their number; 0 without an error: the frame was withdrawn. It
-// guards against a check before the first byte that no longer holds at that byte: where the connection has no room,
-// the check is repeated.
+// writeFirst writes the first bytes of a frame and returns their number; 0 without an error means that the frame was
+// withdrawn. If the connection has no room, the check before the first byte is repeated, because its result may no
+// longer hold when there is room.
 func writeFirst(conn net.Conn, frame *queuedFrame, firstWrite func(fd int, b []byte) (int, error)) (n int, err error) {
 	if firstWrite == nil {
 		firstWrite = syscall.Write
@@ -220,11 +220,11 @@
 		if !retry || err != nil {
 			return n, cmp.Or(writeErr, err)
 		}
-		time.Sleep(writePause) // outside of raw.Write, for which Close would wait
+		time.Sleep(writePause) // outside raw.Write, because Close would wait for it
 	}
 	return 0, os.ErrDeadlineExceeded
 }
 
-// writePause is how soon a first byte is retried that failed for a shortage of this machine's, or that waits for the
-// client's reader; the check before it is repeated too.
+// writePause is how soon a first byte is retried that failed because of a local shortage, or that waits for the
+// client's reader. The check before the first byte is repeated too.
 const writePause = time.Millisecond
--- a/internal/platformtest/client.go
+++ b/internal/platformtest/client.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Client is a client on one connection.
+// Client is a client with one connection to a router.
 type Client struct {
 	t      testing.TB
 	conn   net.Conn
@@ -19,7 +19,7 @@
 	number int
 }
 
-// Dial connects to a router.
+// Dial connects a client to a router. The connection is closed when the test ends.
 func Dial(t testing.TB, address string) *Client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -44,14 +44,14 @@
 	}
 }
 
-// SendRequest sends a request of the class "again" for a function, and does not wait for its answer.
+// SendRequest sends a request of class "again" for a function, without waiting for its answer.
 func (c *Client) SendRequest(id, function uint64) {
 	c.t.Helper()
 	c.send("again", map[string]string{"ref": fmt.Sprintf("%016x", id), "allow": "8900", "project": "acme",
 		"lookup": fmt.Sprintf("%016x", function), "spec": "memory_mb:512;lanes:2"}, []byte("body"))
 }
 
-// AwaitAnswer waits for the next answer. served is false if it is an error.
+// AwaitAnswer waits for the next answer. served is false if the answer is an error.
 func (c *Client) AwaitAnswer() (served bool) {
 	c.t.Helper()
 	v, err := c.dec.DecodeSlice()
@@ -61,7 +61,7 @@
 	return v[2] == nil
 }
 
-// CheckHealth sends a health check and returns the answer.
+// CheckHealth sends a health check and returns its result.
 func (c *Client) CheckHealth() bool {
 	c.t.Helper()
 	c.send("isWell", map[string]string{})
@@ -72,7 +72,7 @@
 	return v[3].([]any)[0] == true
 }
 
-// Flood sends requests of a class that doesn't exist at full speed, and discards the answers, until end is called.
+// Flood sends requests of an unknown class at full speed and discards the answers, until end is called.
 func (c *Client) Flood() (end func()) {
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { io.Copy(io.Discard, c.conn) })
--- a/internal/platformtest/discovery.go
+++ b/internal/platformtest/discovery.go
@@ -13,36 +13,36 @@
 	"hollymast/internal/discovery"
 )
 
-// Event returns a discovery event about one server. The first lists all servers.
+// Event returns a discovery event about one server. The event with revision 1 is a full list.
 func Event(rev uint64, uid, address, state string) discovery.Event {
 	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
 		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// EncodeEvent returns an event as a discovery service writes it.
+// EncodeEvent returns an event as the line that a discovery service sends.
 func EncodeEvent(e discovery.Event) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't happen: only plain values
 	}
 	return append(text, '\n')
 }
 
-// Discovery is a fake discovery service. It sends each watcher the events that it subscribes to, and a heartbeat each
-// second.
+// Discovery is a fake discovery service. It sends each watcher the events after the revision that the watcher asks
+// for, and a heartbeat each second.
 type Discovery struct {
 	listener      net.Listener
 	mu            sync.Mutex
 	events        []discovery.Event
 	watchers      map[net.Conn]struct{}
 	subscriptions []time.Time
-	written       int64 // bytes, to all watchers
+	written       int64 // bytes written to all watchers
 	ended         chan struct{}
 	script        func(c net.Conn, nth int) (handled bool)
 }
 
-// NewDiscovery starts a discovery service that ends with the test. script, if not nil, is called first with the nth watch,
-// counted from 1.
+// NewDiscovery starts a discovery service that stops when the test ends. If script is not nil, it is called first
+// with the connection and number, from 1, of each watch; if it returns true, the watch ends there.
 func NewDiscovery(t testing.TB, address string, script func(c net.Conn, nth int) (handled bool), events ...discovery.Event) *Discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -51,11 +51,11 @@
 	}
 	d := &Discovery{listener: l, events: events, watchers: map[net.Conn]struct{}{}, ended: make(chan struct{}), script: script}
 	acceptEach(t, l, d.watch)
-	t.Cleanup(func() { close(d.ended) }) // before the connections are waited for
+	t.Cleanup(func() { close(d.ended) }) // runs before the cleanup that waits for the connections
 	return d
 }
 
-// Address returns the address that it listens on.
+// Address returns the address that the service listens on.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
 // SubscriptionTimes returns the time of each subscription.
@@ -65,7 +65,7 @@
 	return slices.Clone(d.subscriptions)
 }
 
-// Publish adds an event and writes it to all watchers. It returns the time from which the event counts as announced.
+// Publish adds an event and sends it to all watchers. It returns the time from which the event counts as announced.
 func (d *Discovery) Publish(e discovery.Event) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,14 +77,14 @@
 	return announced
 }
 
-// write writes to a watcher. The lock is held.
+// write writes to a watcher. The caller holds mu.
 func (d *Discovery) write(c net.Conn, text []byte) error {
 	n, err := c.Write(text)
 	d.written += int64(n)
 	return err
 }
 
-// BytesWritten returns how many bytes it wrote to all watchers.
+// BytesWritten returns how many bytes the service has written to all watchers.
 func (d *Discovery) BytesWritten() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,7 +96,7 @@
 	if err != nil {
 		return
 	}
-	var revision uint64 // of the last event that the watcher has
+	var revision uint64 // of the last event that the watcher knows
 	fmt.Sscanf(line, "watch %d", &revision)
 	d.mu.Lock()
 	d.subscriptions = append(d.subscriptions, time.Now())
--- a/internal/platformtest/frame.go
+++ b/internal/platformtest/frame.go
@@ -6,14 +6,14 @@
 	"io"
 )
 
-// The codes of frames to model servers.
+// The codes of frames sent to model servers.
 const (
 	AttemptCode = 65
 	LoadCode    = 69
-	codeOK      = 97 // of their answers
+	codeOK      = 97 // in answers
 )
 
-// Frame is one frame to a model server.
+// Frame is one frame sent to a model server.
 type Frame struct {
 	Code   byte
 	ID     uint64
@@ -23,7 +23,7 @@
 
 // ReadFrame reads one frame.
 func ReadFrame(in io.Reader) (f Frame, err error) {
-	const checksum = 4 // bytes behind the body
+	const checksum = 4 // bytes after the body
 	var head [16]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return f, err
@@ -36,7 +36,7 @@
 	return Frame{head[1], binary.BigEndian.Uint64(head[8:]), string(rest[:fields]), rest[fields : len(rest)-checksum]}, nil
 }
 
-// AnswerFrame returns a model server's answer.
+// AnswerFrame returns the encoded answer of a model server.
 func AnswerFrame(code byte, id uint64, fields string, body []byte) []byte {
 	const magic = 108
 	b := []byte{magic, code}
--- a/internal/platformtest/modelserver.go
+++ b/internal/platformtest/modelserver.go
@@ -10,27 +10,29 @@
 	"time"
 )
 
-// ReceivedFrame is one frame as a model server received it.
+// ReceivedFrame is one frame received by a model server.
 type ReceivedFrame struct {
 	Code   byte
-	At     time.Time // of its first byte
+	At     time.Time // when its first byte arrived
 	Fields string
 }
 
-// ModelServer is a fake model server: it has everything loaded and answers each attempt with its body.
+// ModelServer is a fake model server: it behaves as if every function were loaded and answers each attempt with the
+// attempt's body.
 type ModelServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	received []ReceivedFrame
 	accepted int
-	held     []func()                        // write the answers that wait
-	hold     func(frame []byte) (now []byte) // the part of an answer that is written at once; nil: all
+	held     []func()                        // functions that write the held answers
+	hold     func(frame []byte) (now []byte) // returns the part of an answer that is written immediately; nil: the whole answer is
 }
 
-// NewModelServer starts a model server that ends with the test.
+// NewModelServer starts a model server that stops when the test ends.
 func NewModelServer(t testing.TB) *ModelServer { return NewModelServerAt(t, "127.0.0.1:0") }
 
-// NewModelServerAt starts a model server at an address; at 0.0.0.0 it serves all addresses 127.x.y.z, as many servers.
+// NewModelServerAt starts a model server at an address. At 0.0.0.0 it serves all addresses 127.x.y.z and so stands
+// for many servers.
 func NewModelServerAt(t testing.TB, address string) *ModelServer {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -42,24 +44,24 @@
 	return s
 }
 
-// Address returns the address that it listens on.
+// Address returns the address that the server listens on.
 func (s *ModelServer) Address() string { return s.listener.Addr().String() }
 
-// AcceptedConnections returns the number of connections so far.
+// AcceptedConnections returns the number of connections accepted so far.
 func (s *ModelServer) AcceptedConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Received returns the frames so far.
+// Received returns the frames received so far.
 func (s *ModelServer) Received() []ReceivedFrame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
-// LoadCommandCount returns the number of load commands so far.
+// LoadCommandCount returns the number of load commands received so far.
 func (s *ModelServer) LoadCommandCount() int {
 	n := 0
 	for _, frame := range s.Received() {
@@ -70,10 +72,10 @@
 	return n
 }
 
-// HoldAnswers makes answers wait until Release.
+// HoldAnswers holds answers back until ReleaseAnswers.
 func (s *ModelServer) HoldAnswers() { s.holdBack(func([]byte) []byte { return nil }) }
 
-// HoldSecondHalves makes the second half of answers wait until Release.
+// HoldSecondHalves writes the first half of each answer and holds back the second until ReleaseAnswers.
 func (s *ModelServer) HoldSecondHalves() {
 	s.holdBack(func(frame []byte) []byte { return frame[:len(frame)/2] })
 }
@@ -84,7 +86,7 @@
 	s.hold = hold
 }
 
-// ReleaseAnswers writes all that waits.
+// ReleaseAnswers writes everything held back, and stops holding answers.
 func (s *ModelServer) ReleaseAnswers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platformtest/platformtest.go
+++ b/internal/platformtest/platformtest.go
@@ -1,5 +1,5 @@
-// Package platformtest holds fake peers of a router for tests: a discovery service, model servers and a client. They speak
-// the platform's protocols on loopback and record what they receive and when.
+// Package platformtest provides fake peers of a router for tests: a discovery service, model servers and a client.
+// They speak the platform's protocols on loopback and record what they receive and when.
 package platformtest
 
 import (
@@ -14,16 +14,16 @@
 	"hollymast/internal/discovery"
 )
 
-// Deployment is what tests vary of a router's start settings.
+// Deployment holds the start settings of a router that differ between tests.
 type Deployment struct {
-	Grace              time.Duration // after which nothing new may go to a draining server
-	LoadsOnCommandOnly bool          // model servers load on command only, not for a request
-	Deadline           time.Duration // after which clients give up; 0: 9 s
+	Grace              time.Duration // time after which a draining server must not be sent anything new
+	LoadsOnCommandOnly bool          // model servers load functions only on command, not when a request needs one
+	Deadline           time.Duration // time after which clients give up; 0: 9 s
 	SlowStart          time.Duration // how long model servers take to reach full capacity
-	Routers            int           // in the fleet; 0: one
+	Routers            int           // number of routers in the fleet; 0: one
 }
 
-// settings returns start settings with one idempotent class, "again".
+// settings returns the start settings, with one idempotent class, "again".
 func (d Deployment) settings() string {
 	onMiss := "load"
 	if d.LoadsOnCommandOnly {
@@ -41,7 +41,8 @@
 		d.SlowStart.Microseconds(), onMiss)
 }
 
-// Configuration returns a router's configuration file, with the events that it knows at its start.
+// Configuration returns the configuration file of a router. events is the endpoint history that the router knows when
+// it starts.
 func (d Deployment) Configuration(discoveryAddress string, events ...discovery.Event) string {
 	known := discovery.History{Events: events}
 	if len(events) > 0 {
@@ -49,13 +50,13 @@
 	}
 	text, err := json.Marshal(known)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // can't happen: only plain values
 	}
 	return fmt.Sprintf(`{"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "board": %q,
 		"limits": {"cores": 1, "memory_mb": 64, "sockets": 256}, "known": %s, "settings": %s}`, discoveryAddress, text, d.settings())
 }
 
-// ConnPair returns the two ends of a connection, which is closed with the test.
+// ConnPair returns the two ends of a connection, which are closed when the test ends.
 func ConnPair(t testing.TB) (dialled, accepted net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +75,7 @@
 	return dialled, accepted
 }
 
-// acceptEach serves each connection until the test ends, and waits for all of them to end.
+// acceptEach serves each connection in a goroutine until the test ends, and then waits until all have ended.
 func acceptEach(t testing.TB, l net.Listener, serve func(net.Conn)) {
 	var mu sync.Mutex
 	conns := map[net.Conn]struct{}{}
@@ -108,7 +109,8 @@
 	})
 }
 
-// WaitFor waits for a condition that another goroutine is about to meet; what names it.
+// WaitFor waits up to 4 s for a condition that another goroutine is about to fulfil. what describes the condition for
+// the failure message.
 func WaitFor(t testing.TB, what string, met func() bool) {
 	t.Helper()
 	for range 4000 {
