--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -22,8 +22,8 @@
 	// finalReadTime is how long a connection that must close now is still read, even if requests are open on it:
 	// several times lastReadTime.
 	finalReadTime = 5 * lastReadTime
-	// maxInTransit is how many bytes are read beyond a connection's end: all that a well-behaved client may have in
-	// transit, which is half of its open requests if their bodies have the maximum length.
+	// maxInTransit is how many bytes are still read from a connection that is ending: all that a well-behaved client
+	// may have in transit if half of its open requests have bodies of the maximum length.
 	maxInTransit = 256 << 10
 	// rejectReadTime is how long a connection beyond the limit is read: several times the usual delay between a
 	// connection and its first request. maxRejecting is how many such connections are read at once: less than half of
--- a/internal/platform/trackedconn.go
+++ b/internal/platform/trackedconn.go
@@ -20,11 +20,11 @@
 	mu                sync.Mutex      // held from an access to the descriptor until its result is recorded
 	allProcessed      bool            // everything read has been processed
 	processedUpTo     time.Time       // everything that arrived by then has been processed; zero: not known yet
-	emptyingReadStart time.Time       // when the last read started, if it left nothing unread; zero: it may have left something
+	emptyingReadStart time.Time       // when the last read started; zero if it filled its buffer and may have left input
 }
 
-// maxUnreadAge is the maximum age of the last look at a client's input when a first byte is written. It is half of
-// the 0.1 s; the other half is for the network.
+// maxUnreadAge is how old the last processed input of a client may be when a first byte is written, unless the socket
+// proves empty. It is half of the 0.1 s that trackedConn guarantees; the other half is for the network.
 const maxUnreadAge = 50 * time.Millisecond
 
 // newTrackedConn wraps an accepted connection.
