--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -21,7 +21,7 @@
 	abandoned atomic.Bool    // its client has cancelled it or closed the connection: no further attempt may start
 	class     control.ClassID
 	tenant    control.TenantID
-	answer    attempt.FinalAnswer
+	answer    attempt.FinalResponse
 	attempts  []*serverCall
 }
 
@@ -36,36 +36,36 @@
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
 		r.recordRequestEnd(req, endRejected, reasonStopping)
-		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+		r.finish(req, msgrpc.EncodeRejection(req.number, r.config.Deployment.MaxRetryAfter))
 		return
 	}
 	if r.requests[req.id] != nil {
-		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
-		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // responses would be ambiguous
+		r.countBadMessage(&msgrpc.MessageError{Number: req.number, Text: "ref: open already"})
+		if other := r.requests[req.id]; other.client == req.client && !other.answer.Decided { // responses would be ambiguous
 			r.core.Cancel(now, other.id)
 			r.recordRequestEnd(other, endFailed, reasonDuplicate)
-			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
+			r.finish(other, msgrpc.EncodeInvalid(other.number, "ref: sent twice"))
 		}
 		r.recordRequestEnd(req, endFailed, reasonDuplicate)
-		r.finish(req, msgrpc.Invalid(req.number, "ref: open already"))
+		r.finish(req, msgrpc.EncodeInvalid(req.number, "ref: open already"))
 		return
 	}
 	r.requests[req.id] = req
 	err := r.core.Add(now, control.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Function: req.message.FunctionID(),
-		Lanes: req.message.Lanes, Work: req.message.Work, LoadTime: req.message.LoadTime, ArrivedAt: now,
+		Lanes: req.message.Lanes, ExecTimeHint: req.message.Work, LoadTimeHint: req.message.LoadTime, ArrivedAt: now,
 		Deadline: max(now, req.arrivedAt+req.message.Timeout-networkDelay), Timeout: req.message.Timeout - networkDelay, IsRetry: req.message.IsRetry})
 	if err != nil {
 		r.log.Error().Err(err).Msg("request not accepted")
 		delete(r.requests, req.id)
 		r.recordRequestEnd(req, endRejected, reasonNotAccepted)
-		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+		r.finish(req, msgrpc.EncodeRejection(req.number, r.config.Deployment.MaxRetryAfter))
 	}
 }
 
 // finish gives a request its final response and withdraws those of its attempts that are not written yet. If data is
 // nil, no response is sent.
 func (r *Router) finish(req *request, data []byte) {
-	if !req.answer.Give() {
+	if !req.answer.Decide() {
 		return
 	}
 	for _, call := range req.attempts { // a finished request must not be sent to a server any more
@@ -90,7 +90,7 @@
 		delete(req.client.open, req.number)
 	}
 	req.client.mu.Unlock()
-	if req.answer.Given || r.requests[req.id] != req {
+	if req.answer.Decided || r.requests[req.id] != req {
 		return
 	}
 	r.core.Cancel(now, req.id)
@@ -107,10 +107,10 @@
 	req := r.requests[coreReq.ID]
 	call := r.newCall(to, timeout)
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
-	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
+	if class := r.config.Deployment.Classes[req.class]; class.Idempotency == control.IdempotentByKey {
 		for _, earlier := range coreReq.Attempts[:attemptID] {
 			if earlier.MayHaveRun { // the attempt must arrive while the servers still remember the key
-				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
+				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.DedupWindow-networkDelay)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 	deadline := r.loop.StepTime + timeout
 	return &serverCall{
 		router: r, to: to, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
-		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteUntil()),
+		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteDeadline()),
 	}
 }
 
@@ -141,14 +141,14 @@
 func (r *Router) Reject(id control.RequestID, retryAfter control.Micros, reason control.Reason) {
 	req := r.requests[id]
 	r.recordRequestEnd(req, endRejected, reason)
-	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
+	r.finish(req, msgrpc.EncodeRejection(req.number, retryAfter))
 }
 
 // Fail ends a request that may have run and must not be retried.
 func (r *Router) Fail(id control.RequestID, reason control.Reason) {
 	req := r.requests[id]
 	r.recordRequestEnd(req, endFailed, reason)
-	r.finish(req, msgrpc.Failure(req.number))
+	r.finish(req, msgrpc.EncodeFailure(req.number))
 }
 
 // CancelAttempt stops waiting for an attempt. The attempt's end is reported in the next step.
@@ -191,7 +191,7 @@
 		outcome.RequestDone = true
 		r.core.HandleOutcome(now, req.id, outcome)
 		r.recordRequestEnd(req, endServed, reasonServerAnswer)
-		r.finish(req, msgrpc.Success(req.number, answer.Body))
+		r.finish(req, msgrpc.EncodeSuccess(req.number, answer.Body))
 		return
 	}
 	r.core.HandleOutcome(now, req.id, outcome)
@@ -223,7 +223,7 @@
 	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in total; the factor allows for rounding
 		return "allow: longer than the class allows"
 	}
-	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
+	if msg.IdempotencyKey == "" && class.Idempotency == control.IdempotentByKey {
 		return "replay: missing"
 	}
 	if r.config.memoryMB > 0 && msg.MemoryMB > r.config.memoryMB {
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -82,7 +82,7 @@
 		call.unreadSince = cmp.Or(call.unreadSince, now)
 		mayWrite = mayWrite && now-call.unreadSince < control.Micros(maxReaderWait.Microseconds())
 	}
-	next, ok := attempt.Stage(call.stage.Load()).Write(mayWrite, now, call.writeBefore)
+	next, ok := attempt.Stage(call.stage.Load()).BeginWrite(mayWrite, now, call.writeBefore)
 	if !ok {
 		call.router.loop.Post(func(now control.Micros) {
 			call.withdraw()
@@ -247,7 +247,7 @@
 		}
 		values[i] = float32(v)
 	}
-	return config.Report(r.config.reportFields, values)
+	return config.LoadReport(r.config.reportFields, values)
 }
 
 // reportNames maps the field names of the settings to those of the simulator, which the answers use.
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -120,16 +120,16 @@
 func (sc *serverConn) dial() (net.Conn, error) {
 	r := sc.router
 	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.connFuncs.dial(sc.dialing, sc.pool.address) },
-		func(err error) netfail.RetryPause {
+		func(err error) netfail.RetryTiming {
 			if !errors.Is(err, syscall.EMFILE) {
 				r.anomalies.add(temporaryDialFailure)
-				return netfail.AfterPause
+				return netfail.RetryAfterPause
 			}
 			r.anomalies.add(outOfDescriptors)
 			if r.makeRoom(1) {
-				return netfail.AtOnce
+				return netfail.RetryImmediately
 			}
-			return netfail.AfterPause
+			return netfail.RetryAfterPause
 		})
 }
 
