--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -17,8 +17,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// The deadline stated to a server is at most what the client has left when the frame arrives, with the allowed excess
-// of 0.15 s, whatever delayed the frame.
+// The deadline stated to a server is at most the time that the client has left when the frame arrives, plus the
+// permitted excess of 0.15 s, whatever delayed the frame.
 func TestStatedDeadlineIsTimeLeft(t *testing.T) {
 	const late = 600 * time.Millisecond
 	var connections atomic.Int32
@@ -40,7 +40,7 @@
 				io.ReadFull(c, make([]byte, <-filled))
 				answer()
 			},
-			dial: func(conn net.Conn) { filled <- fill(t, conn) },
+			dial: func(conn net.Conn) { filled <- fillSendBuffer(t, conn) },
 			want: "1: done",
 		},
 		"no room for the rest": {
@@ -62,11 +62,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var began time.Time
-			server := listenNarrow(t, func(c net.Conn) { test.serve(c, func() { checkDeadlines(t, c, &began) }) })
-			r := startChanged(t, func(r *Router) {
+			server := listenSmallBuffer(t, func(c net.Conn) { test.serve(c, func() { checkDeadlines(t, c, &began) }) })
+			r := startWith(t, func(r *Router) {
 				longGrace(r)
-				r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-					conn, err := systemCalls.dial(ctx, address)
+				r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
+					conn, err := defaultConnFuncs.dial(ctx, address)
 					if err == nil {
 						test.dial(conn)
 					}
@@ -75,14 +75,14 @@
 			}, server)
 			c := r.dial(t)
 			began = time.Now()
-			c.send(0, 1, "again", []any{requestFields(1), make([]byte, test.body)})
+			c.sendMessage(0, 1, "again", []any{requestFields(1), make([]byte, test.body)})
 			c.expect(test.want)
 		})
 	}
 }
 
-// checkDeadlines answers what comes on a connection, and compares the deadline stated in each frame with what is left
-// of the client's timeout.
+// checkDeadlines answers the attempts that arrive on a connection and compares the deadline stated in each frame with
+// the time left of the client's timeout.
 func checkDeadlines(t *testing.T, c net.Conn, began *time.Time) {
 	const slack = 150 * time.Millisecond
 	for in := bufio.NewReader(c); ; {
@@ -95,29 +95,29 @@
 		}
 		left := clientTimeout - time.Since(*began)
 		if stated := statedTimeout(f.Fields); stated == 0 || stated > left+slack {
-			t.Errorf("%v stated where the client has %v left", stated, left.Round(time.Millisecond))
+			t.Errorf("%v is stated, but the client has %v left", stated, left.Round(time.Millisecond))
 		}
 		c.Write(platformtest.AnswerFrame(codeOK, f.ID, "remark=resident", []byte("done")))
 	}
 }
 
-// An attempt whose deadline has passed when its connection is established is withdrawn, however fresh its endpoint
-// list: it provably never ran.
+// An attempt whose deadline has passed by the time its connection is established is withdrawn, however fresh its
+// endpoint list is; it has provably not run.
 func TestExpiredAttemptIsNotWritten(t *testing.T) {
 	r := idleRouter(t)
 	longGrace(r)
-	conn, theirs := platformtest.ConnPair(t)
-	r.stepWithServer(theirs.LocalAddr().String())
+	conn, peerConn := platformtest.ConnPair(t)
+	r.stepWithServer(peerConn.LocalAddr().String())
 	const left = 20 * time.Millisecond
 	call := r.newCall(fleet.ID("s-0"), control.Micros(left.Microseconds()))
 	call.message = &binframe.Attempt{ID: 1}
-	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // it dials
+	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // not connected yet
 	defer call.conn.cancelDial()
-	call.conn.writes.post(call.queued(nil))
+	call.conn.writes.post(call.queueEntry(nil))
 	time.Sleep(left + time.Millisecond)
 	call.conn.writes.connected(conn)
 	platformtest.WaitFor(t, "it is withdrawn", call.conn.writes.empty)
-	if n := readSoon(theirs); n > 0 || call.currentStage() == attempt.Writing {
+	if n := readSoon(peerConn); n > 0 || call.currentStage() == attempt.Writing {
 		t.Errorf("%d bytes were written, stage %d", n, call.currentStage())
 	}
 }
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,24 +8,24 @@
 
 // handleUpdate applies an update from discovery, full or incremental.
 func (r *Router) handleUpdate(now control.Micros, update fleet.Update) {
-	eventloop.ApplyUpdate(now, update, r.fleet, r.core, r.pools, func(pool *serverPool) { r.refreshPool(now, pool) })
-	r.endpointLog.note(now, update, r.fleet)
+	eventloop.ApplyUpdate(now, update, r.fleet, r.core, r.pools, func(pool *serverPool) { r.retireChangedPool(now, pool) })
+	r.endpointLog.add(now, update, r.fleet)
 }
 
 // handleEndpoints applies a complete endpoint list.
-func (r *Router) handleEndpoints(now control.Micros, all []fleet.Endpoint) {
-	r.handleUpdate(now, fleet.Update{Full: true, Endpoints: all})
+func (r *Router) handleEndpoints(now control.Micros, endpoints []fleet.Endpoint) {
+	r.handleUpdate(now, fleet.Update{Full: true, Endpoints: endpoints})
 }
 
-// refreshPool retires the connections to a server that is not ready any more, has moved, or has restarted (another
-// incarnation).
-func (r *Router) refreshPool(now control.Micros, pool *serverPool) {
+// retireChangedPool retires the connections to a server that is no longer ready, has another address, or has
+// restarted (another incarnation).
+func (r *Router) retireChangedPool(now control.Micros, pool *serverPool) {
 	s := r.fleet.Get(pool.id)
 	if s == nil || s.State != control.Ready || s.Address != pool.address ||
 		control.Micros(s.Endpoint.StartedAt) != pool.startedAt {
 		r.afterDrain.record(pool.firstByte.Load() - int64(r.loop.PreviousEndpointsAsOf))
 		r.withdrawFrom(now, pool)
-		if s != nil && s.State == control.Ready { // another incarnation gets a pool of its own
+		if s != nil && s.State == control.Ready { // another incarnation gets its own pool
 			delete(r.pools, pool.id)
 		}
 	}
@@ -34,8 +34,8 @@
 	}
 }
 
-// withdrawFrom withdraws all attempts and load commands to a server that are not being written yet, and retires its
-// connections: each closes with the last answer that is open on it.
+// withdrawFrom withdraws all attempts and load commands to a server of which no byte has been written yet, and
+// retires the server's connections: each closes after the last answer that is open on it.
 func (r *Router) withdrawFrom(now control.Micros, pool *serverPool) {
 	for _, sc := range append([]*serverConn(nil), pool.conns...) {
 		for _, call := range sortedByID(sc.open) {
@@ -43,19 +43,19 @@
 				r.callEnded(now, call, control.NotSent, nil)
 			}
 		}
-		sc.closesBecause(serverUpdated)
+		sc.setCloseReason(serverCloseEndpointChange)
 		r.retire(sc)
 	}
 }
 
-// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that none meets
-// the server's own close, and forgets removed servers whose connections have ended.
+// prune closes connections that have been idle for three quarters of the servers' idle timeout, so that a call never
+// coincides with the server's own close. It also removes the pools of removed servers whose connections have ended.
 func (r *Router) prune(now control.Micros) {
-	const every = 500_000 // idle times are many seconds
-	if now < r.prunedAt+every {
+	const pruneInterval = 500_000 // idle timeouts are many seconds
+	if now < r.lastPrunedAt+pruneInterval {
 		return
 	}
-	r.prunedAt = now
+	r.lastPrunedAt = now
 	r.endSlowStarts(now)
 	for e := r.connsByIdle.Front(); e != nil; {
 		sc := e.Value.(*serverConn)
@@ -63,7 +63,7 @@
 			break
 		}
 		if e = e.Next(); len(sc.open) == 0 && sc.up {
-			sc.closesBecause(serverIdle)
+			sc.setCloseReason(serverCloseIdle)
 			r.removeConn(sc)
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,13 +17,13 @@
 
 func TestServesRequestUnchanged(t *testing.T) {
 	c := start(t, modelServer(t, echo)).dial(t)
-	c.healthCheck(1)
+	c.sendHealthCheck(1)
 	c.expect("1: true")
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
-// corruptAnswers are ways in which an answer is corrupt or missing.
+// corruptAnswers are handlers that send a corrupt answer or none.
 var corruptAnswers = map[string]func(a receivedAttempt){
 	"check": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); b[len(b)-1]++; a.conn.Write(b) },
 	"noise": func(a receivedAttempt) { a.conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) },
@@ -32,19 +32,19 @@
 	"short": func(a receivedAttempt) { b := a.answerFrame(codeOK, a.ID, "x"); a.conn.Write(b[:len(b)-2]) },
 }
 
-// A request with a corrupt answer has run: a non-idempotent one fails, and its client is not told that a retry is
-// safe.
+// A request with a corrupt answer may have run: a non-idempotent one fails, and its client is not told that a retry
+// is safe.
 func TestCorruptAnswerMayHaveRun(t *testing.T) {
 	for name, corrupt := range corruptAnswers {
 		c := start(t, modelServer(t, corrupt)).dial(t)
-		c.call(1, "once")
+		c.sendRequest(1, "once")
 		if got := c.receive(); got != "1: Aborted" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
 }
 
-// An idempotent one runs again, on another connection; the server is not ejected.
+// An idempotent request with a corrupt answer is retried on another connection, and the server is not ejected.
 func TestCorruptAnswerIsRetried(t *testing.T) {
 	for _, name := range []string{"check", "noise", "3 GB"} {
 		c := start(t, modelServer(t, func(a receivedAttempt) {
@@ -54,14 +54,14 @@
 				echo(a)
 			}
 		})).dial(t)
-		c.call(1, "again")
+		c.sendRequest(1, "again")
 		if got := c.receive(); got != "1: body 1" {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
 }
 
-// Answers that nobody waits for are dropped, and the connection stays.
+// Answers that no call waits for are dropped, and the connection stays open.
 func TestUnsolicitedAnswersAreDropped(t *testing.T) {
 	conns := make(chan net.Conn, 8)
 	c := start(t, modelServer(t, func(a receivedAttempt) {
@@ -71,7 +71,7 @@
 		conns <- a.conn
 	})).dial(t)
 	for n := 1; n <= 3; n++ {
-		c.call(n, "again")
+		c.sendRequest(n, "again")
 		c.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
 	first := <-conns
@@ -84,18 +84,18 @@
 
 func TestOverloadedServerMeansNotRun(t *testing.T) {
 	c := start(t, modelServer(t, func(a receivedAttempt) { a.conn.Write(a.answerFrame(codeOverloaded, a.ID, "")) })).dial(t)
-	c.call(1, "once", "allow", "300")
+	c.sendRequest(1, "once", "allow", "300")
 	c.expect("1: TryLater")
 }
 
 func TestInvalidRequestsAreAnswered(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	for name, bad := range map[string]func(c *testClient){
-		"an unknown class":   func(c *testClient) { c.call(1, "unknown") },
-		"an unknown project": func(c *testClient) { c.call(1, "again", "project", "nobody") },
-		"a huge timeout":     func(c *testClient) { c.call(1, "again", "allow", "86400000") },
-		"no idempotency key": func(c *testClient) { c.call(1, "marked") },
-		"too much memory":    func(c *testClient) { c.call(1, "again", "spec", "memory_mb:5000") },
+		"an unknown class":   func(c *testClient) { c.sendRequest(1, "unknown") },
+		"an unknown project": func(c *testClient) { c.sendRequest(1, "again", "project", "nobody") },
+		"a huge timeout":     func(c *testClient) { c.sendRequest(1, "again", "allow", "86400000") },
+		"no idempotency key": func(c *testClient) { c.sendRequest(1, "marked") },
+		"too much memory":    func(c *testClient) { c.sendRequest(1, "again", "spec", "memory_mb:5000") },
 		"a body of 60 MB":    func(c *testClient) { c.conn.Write([]byte{0x94, 0, 1, 0xa1, 'x', 0x92, 0x80, 0xc6, 3, 0x93, 0x87, 0}) },
 	} {
 		c := r.dial(t)
@@ -105,25 +105,25 @@
 		}
 	}
 	c := r.dial(t)
-	c.call(1, "again") // nobody else is harmed
+	c.sendRequest(1, "again") // other clients are not affected
 	c.expect("1: body 1")
 }
 
-// Of two requests with one id neither is served, since they can't be told apart.
+// Of two requests with the same id neither is served, because they can't be told apart.
 func TestDuplicateRequestIDFailsBoth(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
-	c.call(1, "again")
-	c.call(2, "again", withID(1)...)
+	c.sendRequest(1, "again")
+	c.sendRequest(2, "again", withID(1)...)
 	c.expect("1: Invalid")
 	c.expect("2: Invalid")
 }
 
-// Answers to one number can't be told apart: no request of such a connection gets one that counts.
+// Answers with the same number can't be told apart, so no request on such a connection gets a successful answer.
 func TestDuplicateNumberClosesConnection(t *testing.T) {
 	r := start(t, modelServer(t, func(receivedAttempt) {}))
 	c := r.dial(t)
-	c.call(1, "again")
-	c.call(1, "again", withID(255)...)
+	c.sendRequest(1, "again")
+	c.sendRequest(1, "again", withID(255)...)
 	c.expect("1: Invalid")
 	c.expect("1: Aborted")
 	c.expect("closed")
@@ -144,35 +144,36 @@
 func TestMoreThan32OpenAreRejected(t *testing.T) {
 	c := start(t, modelServer(t, func(receivedAttempt) {})).dial(t)
 	for n := 1; n <= maxOpenPerClient+1; n++ {
-		c.call(n, "again")
+		c.sendRequest(n, "again")
 	}
 	c.expect(fmt.Sprintf("%d: TryLater", maxOpenPerClient+1))
 }
 
-// Connections beyond the limit make room among those that never sent a message.
+// When the connection limit is reached, connections that never sent a message are closed to make room.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	for range r.maxClients + 20 {
 		r.dial(t)
 	}
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 }
 
-// So do those that have begun a message, or sent one and stay: neither costs a well-behaved client its answer.
+// Connections that have sent only part of a message, or one message and then nothing, are closed to make room too. A
+// well-behaved client gets all its answers meanwhile.
 func TestPartialMessagesMakeRoom(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	regular := r.dial(t)
 	for n := 1; n <= r.maxClients; n++ {
 		partial, staying := r.dial(t), r.dial(t)
 		partial.conn.Write([]byte{0x94, 0, 1})
-		staying.healthCheck(1)
-		regular.call(n, "again")
+		staying.sendHealthCheck(1)
+		regular.sendRequest(n, "again")
 		regular.expect(fmt.Sprintf("%d: body %d", n, n))
 	}
-	if n := r.anomaly(clientRejected); n > 0 {
-		t.Errorf("%d were rejected", n)
+	if n := r.anomalyCount(clientRejected); n > 0 {
+		t.Errorf("%d connections were rejected", n)
 	}
 }
 
@@ -185,20 +186,20 @@
 			echo(a)
 		}
 	}))
-	c, ours := r.dialHooked(t, noHook)
-	c.call(1, "again")
+	c, routerConn := r.dialHooked(t, ignoreReads)
+	c.sendRequest(1, "again")
 	a := <-got
-	c.cancel(1)
-	platformtest.WaitFor(t, "the cancellation is read", func() bool { return ours.openRequests() == 0 })
+	c.sendCancel(1)
+	platformtest.WaitFor(t, "the cancellation is read", func() bool { return routerConn.openRequestCount() == 0 })
 	handled := make(chan struct{})
-	r.loop.Post(func(control.Micros) { close(handled) }) // behind the cancellation
+	r.loop.Post(func(control.Micros) { close(handled) }) // handled after the cancellation
 	<-handled
 	echo(a)
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 }
 
-// A server that drains between the choice and the first byte gets nothing.
+// A server that is removed between the choice and the first byte is sent nothing.
 func TestDrainBeforeFirstByte(t *testing.T) {
 	r := start(t, modelServer(t, echo))
 	done := make(chan bool)
@@ -211,45 +212,45 @@
 		call.conn = r.newServerConn(now, pool)
 		call.conn.open[1] = call
 		r.listServer(now, pool.address, control.Removed)
-		done <- call.progress.Ended && !call.beginsWrite()
+		done <- call.progress.Ended && !call.canWrite()
 	})
 	if !<-done {
-		t.Error("it could still be written")
+		t.Error("the call could still be written")
 	}
 }
 
-// A new server at the address of a removed one has connections of its own.
+// A new server at the address of a removed one gets new connections.
 func TestReusedAddressGetsOwnConnections(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	address := modelServer(t, func(a receivedAttempt) { echo(a); conns <- a.conn })
 	r := start(t, address)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	c.expect("1: body 1")
 	r.loop.Post(func(now control.Micros) {
 		r.handleEndpoints(now, []fleet.Endpoint{{Name: "s-9", Address: address, Zone: "east", State: control.Ready}})
 	})
-	c.call(2, "again")
+	c.sendRequest(2, "again")
 	c.expect("2: body 2")
 	if <-conns == <-conns {
-		t.Error("the new server was sent to on the old one's connection")
+		t.Error("a request to the new server used the old server's connection")
 	}
 }
 
-// After a reload the router subscribes at the new discovery address, and requests in flight stay.
+// After a reload the router subscribes at the new discovery address, and requests in flight continue.
 func TestReload(t *testing.T) {
 	old, held := holdingServer(t)
 	other := modelServer(t, echo)
 	r := start(t, old)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	a := <-held
 	changed := *r.config
 	changed.DiscoveryAddress = platformtest.NewDiscovery(t, "127.0.0.1:0", nil, platformtest.Event(1, "s-0", old, "ready"),
 		platformtest.Event(2, "s-0", old, "draining"), platformtest.Event(3, "s-1", other, "ready")).Address()
 	r.Reload(&changed)
 	for n := 2; ; n++ {
-		c.call(n, "again", "allow", "200")
+		c.sendRequest(n, "again", "allow", "200")
 		if c.receive() == fmt.Sprintf("%d: body %d", n, n) {
 			break
 		}
@@ -261,19 +262,19 @@
 	c.expect("1: body 1")
 }
 
-// A stopping router serves for a little longer, answers the requests in flight, and ends.
+// A stopping router serves requests for a short time, answers those in flight, and ends.
 func TestGracefulShutdown(t *testing.T) {
 	server, held := holdingServer(t)
 	r := start(t, server)
 	c := r.dial(t)
-	c.call(1, "again")
+	c.sendRequest(1, "again")
 	a := <-held
 	r.stop()
 	time.Sleep(200 * time.Millisecond)
 	late := r.dial(t)
-	late.healthCheck(1)
+	late.sendHealthCheck(1)
 	late.expect("1: false")
-	late.call(2, "again", withID(255)...)
+	late.sendRequest(2, "again", withID(255)...)
 	echo(<-held)
 	late.expect("2: body 2")
 	select {
@@ -286,21 +287,21 @@
 	select {
 	case <-r.done:
 	case <-time.After(2 * time.Second):
-		t.Error("it goes on with no request in flight")
+		t.Error("the router is still running with no request in flight")
 	}
 }
 
-// The connection to a peer that does not read is closed once too many bytes are queued.
+// A connection whose peer does not read is closed once too many bytes are queued.
 func TestWriteQueueIsBounded(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	q := &writeQueue{conn: ours, maxQueuedBytes: 1000}
+	routerConn, peerConn := net.Pipe()
+	defer peerConn.Close()
+	q := &writeQueue{conn: routerConn, maxQueuedBytes: 1000}
 	accepted := 0
 	for q.post(queuedFrame{data: make([]byte, 100)}) {
 		accepted++
 	}
 	if accepted > 11 || !q.empty() {
-		t.Errorf("%d accepted", accepted)
+		t.Errorf("%d frames were accepted", accepted)
 	}
 }
 
@@ -316,12 +317,13 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(Environment{File: file}); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: the configuration was accepted", name)
 		}
 	}
 }
 
-// The balancer counts its load-rate limit by how late a load command may be written: as late as any choice is.
+// The balancer's load-rate limit assumes a bound on how late a load command may be written. It matches the bound that
+// a call gets.
 func TestMaxCommandDelayMatchesWriteDeadline(t *testing.T) {
 	r := idleRouter(t)
 	if call := r.newCall(1, r.config.loadTimeout); call.writeBefore-call.chosenAt != r.config.Deployment.MaxCommandDelay || r.config.Deployment.MaxCommandDelay == 0 {
@@ -329,18 +331,19 @@
 	}
 }
 
-// Where descriptors are few, room is not made among as many connections as well-behaved clients hold: a third of all.
+// With few descriptors, making room does not close connections as long as there are no more than well-behaved clients
+// use: a third of all descriptors.
 func TestFewDescriptorsSpareWellBehavedClients(t *testing.T) {
-	config := parse(t, configText(unreachable))
+	config := mustParseConfig(t, configText(unreachable))
 	config.Sockets = minSockets
 	r := newRouter(t, config, zerolog.Nop())
 	for range config.Sockets / 3 {
 		if !r.hasRoom() {
 			t.Fatal("no room")
 		}
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
-		r.clients[&clientConn{router: r, conn: ours}] = struct{}{}
+		routerConn, peerConn := net.Pipe()
+		defer peerConn.Close()
+		r.clients[&clientConn{router: r, conn: routerConn}] = struct{}{}
 	}
 	for c := range r.clients {
 		if _, closing := c.idle(); closing {
--- a/internal/platform/systemcalls_test.go
+++ b/internal/platform/systemcalls_test.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/platformtest"
 )
 
-// failingReadConn is a server connection on which reads fail once a request is written.
+// failingReadConn is a server connection on which reads fail once the server has received a request.
 type failingReadConn struct {
 	*net.TCPConn
 	received <-chan receivedAttempt
@@ -26,9 +26,9 @@
 	return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", f.err)}
 }
 
-// Each system call towards a server fails with each error, once, for a while, or for good. Each row is a
-// non-idempotent request: it has one final answer in time, runs at most once, and the server is not ejected for what
-// may be a local failure.
+// Each system call on a server connection fails with each error: once, for a while, or permanently. Each row is a
+// non-idempotent request. It gets one final answer in time and runs at most once, and the server is not ejected for a
+// failure that may be local.
 func TestSystemCallErrors(t *testing.T) {
 	const once, shortly, permanently = time.Nanosecond, 100 * time.Millisecond, time.Hour
 	const served, rejected, failed = "1: body 1", "1: TryLater", "1: Aborted"
@@ -65,7 +65,7 @@
 	for _, row := range rows {
 		t.Run(fmt.Sprintf("%s %v %v", row.call, row.err, row.duration), func(t *testing.T) {
 			t.Parallel()
-			var first atomic.Int64 // when the call failed first
+			var first atomic.Int64 // when the call first failed, in ns
 			var runs atomic.Int32
 			var repaired atomic.Bool
 			fails := func(call string) bool {
@@ -86,17 +86,17 @@
 			})
 			r, log := startLogged(t, func(r *Router) {
 				longGrace(r)
-				r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
+				r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
 					if fails("dial") {
 						return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", row.err)}
 					}
-					conn, err := systemCalls.dial(ctx, address)
+					conn, err := defaultConnFuncs.dial(ctx, address)
 					if err == nil && fails("read") {
 						return &failingReadConn{conn.(*net.TCPConn), out, row.err}, nil
 					}
 					return conn, err
 				}
-				r.calls.write = func(fd int, b []byte) (int, error) {
+				r.connFuncs.write = func(fd int, b []byte) (int, error) {
 					if fails("short write") {
 						return syscall.Write(fd, b[:1])
 					}
@@ -108,19 +108,19 @@
 			}, address)
 			c := r.dial(t)
 			began := time.Now()
-			c.call(1, "once")
+			c.sendRequest(1, "once")
 			c.expect(row.want)
 			if took := time.Since(began); took > clientTimeout+500*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
 			if n := runs.Load(); n > 1 || n == 1 != (row.want != rejected) {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the request ran %d times", n)
 			}
 			if row.blame {
 				return
 			}
 			repaired.Store(true)
-			c.call(2, "again", "allow", "3000")
+			c.sendRequest(2, "again", "allow", "3000")
 			c.expect("2: body 2")
 			if text := log.String(); strings.Contains(text, "server ejected") {
 				t.Error(text)
@@ -129,18 +129,18 @@
 	}
 }
 
-// A first byte that is retried again and again does not delay its connection's end: the event loop may close it.
+// A first byte that is retried repeatedly does not delay closing its connection, which the event loop may do.
 func TestCloseDoesNotWaitForFirstByte(t *testing.T) {
-	ours, _ := platformtest.ConnPair(t)
+	routerConn, _ := platformtest.ConnPair(t)
 	attempted := make(chan bool, 1)
-	q := &writeQueue{conn: ours, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
+	q := &writeQueue{conn: routerConn, maxQueuedBytes: 1000, firstWrite: func(int, []byte) (int, error) {
 		select {
 		case attempted <- true:
 		default:
 		}
 		return -1, syscall.ENOBUFS
 	}}
-	q.post(queuedFrame{data: []byte("never"), begin: func(write func() bool) bool { write(); return false }})
+	q.post(queuedFrame{data: []byte("never"), checkAndWrite: func(write func() bool) bool { write(); return false }})
 	<-attempted
 	began := time.Now()
 	q.close()
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -15,8 +15,8 @@
 	"hollymast/internal/platformtest"
 )
 
-// lockedConn is the router's end of a client connection: while a test holds the lock nothing is read, as by a reader
-// that waits for the processor.
+// lockedConn is the router's end of a client connection. While a test holds the lock nothing is read, as if the
+// reader were waiting for a processor.
 type lockedConn struct {
 	*net.TCPConn
 	sync.RWMutex
@@ -39,30 +39,31 @@
 	return s.TCPConn.Read(b)
 }
 
-// departures are the ways in which a client stops waiting for its request 1.
-var departures = map[string]func(c *testClient){
-	"cancels":     func(c *testClient) { c.cancel(1) },
+// clientDepartures are the ways in which a client abandons its request 1.
+var clientDepartures = map[string]func(c *testClient){
+	"cancels":     func(c *testClient) { c.sendCancel(1) },
 	"closes":      func(c *testClient) { c.conn.Close() },
 	"half closes": func(c *testClient) { c.conn.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c *testClient) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() },
 	"cancels behind another request": func(c *testClient) {
-		c.call(2, "again", "lookup", "00000000000000ff")
-		c.cancel(1)
-		c.cancel(2)
+		c.sendRequest(2, "again", "lookup", "00000000000000ff")
+		c.sendCancel(1)
+		c.sendCancel(2)
 	},
 }
 
-// A client leaves while its attempt waits, and that lies unread for long: no first byte follows.
+// A client abandons its request while the attempt waits to be written, and the router does not read that for a long
+// time. No first byte is written.
 func TestUnreadDepartureWithdrawsAttempt(t *testing.T) {
 	const unreadFor, watchedFor = 130 * time.Millisecond, 300 * time.Millisecond
-	for how, leave := range departures {
+	for how, leave := range clientDepartures {
 		for where, hold := range map[string]struct {
 			dial   func(conn net.Conn, filled chan<- int, departed <-chan bool)
 			accept func(c net.Conn, filled <-chan int, departed <-chan bool)
 		}{
 			"in a dial": {dial: func(_ net.Conn, _ chan<- int, departed <-chan bool) { <-departed }},
 			"for room": {
-				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fill(t, conn) },
+				dial: func(conn net.Conn, filled chan<- int, _ <-chan bool) { filled <- fillSendBuffer(t, conn) },
 				accept: func(c net.Conn, filled <-chan int, departed <-chan bool) {
 					<-departed
 					io.ReadFull(c, make([]byte, <-filled))
@@ -78,7 +79,7 @@
 				t.Parallel()
 				waiting, departed, filled, written := make(chan bool, 8), make(chan bool), make(chan int, 8), make(chan platformtest.Frame, 8)
 				var connections atomic.Int32
-				server := listenNarrow(t, func(c net.Conn) {
+				server := listenSmallBuffer(t, func(c net.Conn) {
 					if hold.accept != nil && connections.Add(1) == 1 {
 						waiting <- true
 						hold.accept(c, filled, departed)
@@ -91,10 +92,10 @@
 						written <- f
 					}
 				})
-				r := startChanged(t, func(r *Router) {
+				r := startWith(t, func(r *Router) {
 					longGrace(r)
-					r.calls.dial = func(ctx context.Context, address string) (net.Conn, error) {
-						conn, err := systemCalls.dial(ctx, address)
+					r.connFuncs.dial = func(ctx context.Context, address string) (net.Conn, error) {
+						conn, err := defaultConnFuncs.dial(ctx, address)
 						if err == nil && hold.dial != nil {
 							waiting <- true
 							hold.dial(conn, filled, departed)
@@ -102,13 +103,13 @@
 						return conn, err
 					}
 				}, server)
-				ours, theirs := platformtest.ConnPair(t)
-				locked := &lockedConn{TCPConn: ours.(*net.TCPConn)}
+				routerConn, peerConn := platformtest.ConnPair(t)
+				locked := &lockedConn{TCPConn: routerConn.(*net.TCPConn)}
 				r.serveClient(locked)
-				c := newTestClient(t, theirs)
-				c.call(1, "again")
+				c := newTestClient(t, peerConn)
+				c.sendRequest(1, "again")
 				<-waiting
-				time.Sleep(maxUnreadAge) // the attempt waits, and the reader for what comes
+				time.Sleep(maxUnreadAge) // now the attempt waits, and the reader waits for input
 				locked.Lock()
 				leave(c)
 				time.Sleep(unreadFor)
@@ -126,36 +127,36 @@
 
 // A trackedConn detects unread input while its reader does not return.
 func TestTrackedConnDetectsUnreadInput(t *testing.T) {
-	for how, leave := range departures {
+	for how, leave := range clientDepartures {
 		t.Run(how, func(t *testing.T) {
-			ours, theirs := platformtest.ConnPair(t)
-			s := newTrackedConn(ours)
-			if !s.direct {
+			routerConn, peerConn := platformtest.ConnPair(t)
+			s := newTrackedConn(routerConn)
+			if !s.readsDescriptor {
 				t.Fatal("not read from the descriptor")
 			}
 			later := func() time.Time { return time.Now().Add(maxUnreadAge + time.Millisecond) }
-			theirs.Write([]byte("request"))
+			peerConn.Write([]byte("request"))
 			b := make([]byte, 100)
 			if n, err := s.Read(b); n != 7 || err != nil {
 				t.Fatalf("read %d, %v", n, err)
 			}
 			if s.upToDate(time.Now()) {
-				t.Error("what was read of a new connection is not processed yet")
+				t.Error("up to date before the first input of a new connection is processed")
 			}
 			s.SetReadDeadline(time.Now().Add(maxUnreadAge))
 			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
 			}
 			if !s.upToDate(later()) {
-				t.Error("nothing is unread")
+				t.Error("not up to date although nothing is unread")
 			}
-			leave(newTestClient(t, theirs))
+			leave(newTestClient(t, peerConn))
 			platformtest.WaitFor(t, "unread input is detected", func() bool {
-				s.asOf = time.Now().Add(-maxUnreadAge - 1) // the reader looked that long ago
+				s.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // as if the reader had checked that long ago
 				return !s.upToDate(time.Now())
 			})
-			if s.asOf = time.Now(); !s.upToDate(time.Now()) {
-				t.Error("where the reader looked just now the socket is looked at again")
+			if s.processedUpTo = time.Now(); !s.upToDate(time.Now()) {
+				t.Error("the socket is checked again although the reader has just checked it")
 			}
 		})
 	}
