--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -30,7 +30,7 @@
 	if params.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
 		return 0
 	}
-	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
+	return persistence.IdempotencyKey(record.KeyedHash(c.NameKey, function+"\n"+params.Mark) | 1)
 }
 
 // unknownPlace is the zone and cell of an earlier attempt whose server is not known any more: those of no server.
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -152,7 +152,7 @@
 			if c.boot {
 				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnStatusChange: func(error) {},
 				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
@@ -280,9 +280,9 @@
 	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		failures := keeper.Failures()
+		failures := keeper.FailureCount()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
-		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
+		waitUntil(t, "the write has failed", func() bool { return keeper.FailureCount() > failures })
 	}
 	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -53,7 +53,7 @@
 // function. With a key, which must be the same in all routers, the ids in a recording can be checked against
 // guessed names only with that key.
 func functionID(key, name string) control.FunctionID {
-	return control.FunctionID(record.Tag(key, name))
+	return control.FunctionID(record.KeyedHash(key, name))
 }
 
 // handleRequest hands a request to the core, or rejects it.
@@ -90,7 +90,7 @@
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
 	} else if g.recorder != nil && req.params.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+		g.recorder.SetClientIDHash(record.KeyedHash(g.config.NameKey, req.params.ID))
 	}
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
