--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -9,33 +9,34 @@
 	"hollymast/control"
 )
 
-// testMachine has a wall clock that may be stepped, and real time.
+// testMachine simulates a machine whose wall clock may be stepped, and which may be rebooted.
 type testMachine struct {
-	real, wall control.Micros
-	boot       uint64
-	booted     control.Micros
+	realTime, wallTime control.Micros
+	bootID             uint64
+	bootedAt           control.Micros
 }
 
-// start returns an incarnation's time at its start, and its clock. From then on its time goes with real time.
+// start returns the current time and the clock of an incarnation that starts now. Its time then advances with real time.
 func (m *testMachine) start() (now control.Micros, c Clock) {
-	return m.wall, Clock{m.boot, m.wall - (m.real - m.booted)}
+	return m.wallTime, Clock{m.bootID, m.wallTime - (m.realTime - m.bootedAt)}
 }
 
-func (m *testMachine) pass(t control.Micros) { m.real += t; m.wall += t }
+func (m *testMachine) advance(t control.Micros) { m.realTime += t; m.wallTime += t }
 
-// Through restarts, boots and steps of the wall clock no attempt counts as more recent than it is for a retry window, nor as older for
-// retention and limits, and within a boot both are exact. Admitted requests count only where their time is known.
+// Across restarts, reboots and steps of the wall clock, no attempt is taken for more recent than it is when a retry window is checked, nor
+// for older than it is when retention and limits are applied. Within one boot all times are exact. Admitted requests count only if their
+// time is known.
 func TestTimesOfEarlierIncarnations(t *testing.T) {
 	const retention = 10 * minute
 	rapid.Check(t, func(t *rapid.T) {
 		dir := newFaultFS(func(int, string, string) fault { return noFault })
-		m := &testMachine{real: 1000 * minute, wall: 1e15, boot: 1}
+		m := &testMachine{realTime: 1000 * minute, wallTime: 1e15, bootID: 1}
 		known := rapid.Bool().Draw(t, "clocks are known")
-		type sending struct {
-			at   control.Micros // real
+		type sentAttempt struct {
+			at   control.Micros // in real time
 			boot uint64
 		}
-		var sent []sending
+		var sent []sentAttempt
 		for range rapid.IntRange(2, 5).Draw(t, "incarnations") {
 			now, clock := m.start()
 			if !known {
@@ -54,16 +55,16 @@
 				slowStartSends[s.Server] = s.SlowStartSends[len(s.SlowStartSends)-1]
 			}
 			for i, s := range sent {
-				age := m.real - s.at
-				certain := known && s.boot == m.boot
-				may := index.MayHaveRun(now, IdempotencyKey(i+1))
-				if len(may) == 0 {
+				age := m.realTime - s.at
+				certain := known && s.boot == m.bootID
+				attempts := index.MayHaveRun(now, IdempotencyKey(i+1))
+				if len(attempts) == 0 {
 					if age < retention {
 						t.Fatalf("sent %d ago, of boot %d, is forgotten", age, s.boot)
 					}
 					continue
 				}
-				if at := may[0].At; at > now-age || certain && at != now-age || !certain && at != 0 {
+				if at := attempts[0].At; at > now-age || certain && at != now-age || !certain && at != 0 {
 					t.Fatalf("sent %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
 				}
 				if at := slowStartSends[control.ServerID(i)]; at < now-age || certain && at != now-age || at > now {
@@ -74,36 +75,36 @@
 				}
 			}
 			for _, at := range state.Admitted {
-				if !slices.ContainsFunc(sent, func(s sending) bool { return s.boot == m.boot && at == now-(m.real-s.at) }) {
+				if !slices.ContainsFunc(sent, func(s sentAttempt) bool { return s.boot == m.bootID && at == now-(m.realTime-s.at) }) {
 					t.Fatalf("admitted at %d", at-now)
 				}
 			}
-			begun := m.real
+			startedAt := m.realTime
 			for range rapid.IntRange(1, 3).Draw(t, "sendings") {
-				m.pass(control.Micros(rapid.IntRange(0, 4*minute).Draw(t, "pause")))
-				at := now + m.real - begun // the incarnation's own time: no step reaches it
+				m.advance(control.Micros(rapid.IntRange(0, 4*minute).Draw(t, "pause")))
+				at := now + m.realTime - startedAt // the incarnation's time, not affected by steps of the wall clock
 				<-j.Append(Entry{EntryAttempt, at, IdempotencyKey(len(sent) + 1), 1},
 					Entry{EntrySlowStartSend, at, 0, control.ServerID(len(sent))}, Entry{EntryAdmitted, at, 1, 0}).Done()
-				sent = append(sent, sending{m.real, m.boot})
-				m.wall += control.Micros(rapid.SampledFrom([]int{0, 0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step"))
+				sent = append(sent, sentAttempt{m.realTime, m.bootID})
+				m.wallTime += control.Micros(rapid.SampledFrom([]int{0, 0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step"))
 			}
 			j.Close()
-			m.pass(control.Micros(rapid.SampledFrom([]int{1000, 100_000, 3 * minute, 12 * minute}).Draw(t, "down")))
+			m.advance(control.Micros(rapid.SampledFrom([]int{1000, 100_000, 3 * minute, 12 * minute}).Draw(t, "down")))
 			if rapid.IntRange(0, 3).Draw(t, "boot") == 0 {
-				m.boot, m.booted = m.boot+1, m.real
+				m.bootID, m.bootedAt = m.bootID+1, m.realTime
 			}
-			m.wall += control.Micros(rapid.SampledFrom([]int{0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step between"))
+			m.wallTime += control.Micros(rapid.SampledFrom([]int{0, -3600e6, -5e6, 5e6, 3600e6}).Draw(t, "step between"))
 		}
 	})
 }
 
-// The machine's clock goes on with real time, and names the same boot each time.
+// Two readings within one boot have the same boot id, and their offsets differ by the difference of the given times.
 func TestReadClock(t *testing.T) {
 	a, b := ReadClock(1e15), ReadClock(1e15+3600e6)
-	if by, sure := b.aheadOf(a); !sure || by < 3599e6 || by > 3600e6 {
-		t.Errorf("ahead by %d, sure %t", by, sure)
+	if offset, known := b.offsetFrom(a); !known || offset < 3599e6 || offset > 3600e6 {
+		t.Errorf("offset %d, known %t", offset, known)
 	}
-	if c, ok := readClockEntries(a.entries()); !ok || c != a {
+	if c, ok := readClockEntries(a.asEntries()); !ok || c != a {
 		t.Errorf("read as %+v", c)
 	}
 }
--- a/internal/persistence/dir.go
+++ b/internal/persistence/dir.go
@@ -9,27 +9,27 @@
 
 // FileStore holds small files by name.
 type FileStore interface {
-	// Read returns a file's bytes; the error is fs.ErrNotExist where there is none.
+	// Read returns a file's content, or fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// Replace writes a file. After a crash the file is the old one or the new one. On a disk that is worse than that it may hold
-	// anything, which is why Store alternates between two files.
+	// Replace writes a file atomically: after a crash it has either the old or the new content. Store alternates between two files
+	// because some disks don't guarantee this and may leave any content.
 	Replace(name string, b []byte) error
 }
 
-// Dir is a FileStore in a directory of the machine's file system.
+// Dir is a FileStore in a directory of the operating system's file system.
 type Dir string
 
-// maxFileRead bounds what a foreign file of our name makes a start read: far more than any state file has.
-const maxFileRead = 1 << 30
+// maxReadBytes is far more than the size of any state file. Without it, a startup would read any large file that has the same name.
+const maxReadBytes = 1 << 30
 
-// Read returns a file's bytes. What is longer than any file that we write, or is no regular file, is refused.
+// Read returns a file's content. It refuses files over maxReadBytes and anything that isn't a regular file.
 func (d Dir) Read(name string) ([]byte, error) {
 	path := filepath.Join(string(d), name)
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxFileRead || !info.Mode().IsRegular() {
+	if info.Size() > maxReadBytes || !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s is not a state file", path)
 	}
 	return os.ReadFile(path)
@@ -42,7 +42,7 @@
 
 func (d Dir) withFileSystem(fileSystem FileSystem) dirStore { return dirStore{fileSystem, string(d)} }
 
-// dirStore is a FileStore in a directory of any file system.
+// dirStore is a FileStore in a directory of any FileSystem.
 type dirStore struct {
 	fileSystem FileSystem
 	dir        string
@@ -52,7 +52,8 @@
 	return s.fileSystem.Read(filepath.Join(s.dir, name))
 }
 
-// temporaryFile is a file's name until it is complete. It is always the same, so that crashes and failing writes leave one at most.
+// temporaryFile is the name under which a file is written before it is renamed. It is always the same, so that crashes and failed
+// writes leave at most one such file.
 const temporaryFile = "memory-new"
 
 func (s dirStore) Replace(name string, b []byte) error {
@@ -62,7 +63,7 @@
 		err = s.fileSystem.Rename(temporary, filepath.Join(s.dir, name))
 	}
 	if err != nil {
-		s.fileSystem.Remove(temporary) // or the next write truncates it
+		s.fileSystem.Remove(temporary) // if this fails, the next write truncates the file
 		return err
 	}
 	return s.fileSystem.SyncDir(s.dir)
--- a/internal/persistence/dir_test.go
+++ b/internal/persistence/dir_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(filepath.Join(dir, "made")); err == nil {
-		t.Error("a second router got the directory")
+		t.Error("a second lock on the directory succeeded")
 	}
 	unlock()
 	if unlock, err = Lock(filepath.Join(dir, "made")); err != nil {
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Lock(file); err == nil {
-		t.Error("a file was taken for a directory")
+		t.Error("a file was locked as a directory")
 	}
 	if err := os.Mkdir(filepath.Join(dir, "made", GenerationFiles[0]), 0o700); err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	if result.State != nil || len(result.Warnings) != 1 {
 		t.Errorf("got %+v", result)
 	}
-	if err := s.Write(testState(1)); err != nil { // the other slot
+	if err := s.Write(testState(1)); err != nil { // to the other generation's file
 		t.Error(err)
 	}
 	if err := s.Write(testState(2)); err == nil {
--- a/internal/persistence/encoding.go
+++ b/internal/persistence/encoding.go
@@ -8,23 +8,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A state file is the magic, a header of three big-endian words (version, length of the payload, checksum), and the payload.
+// A state file consists of the magic, a header of three big-endian 32-bit words (version, payload length, checksum) and the payload.
 const (
 	magic       = "hollymast memory\n"
 	headerBytes = 12
 )
 
-// Version is the state file's format. A newer file is left alone, an older one is read. Format 1 has more fields, which are ignored.
+// Version is the version of the state file's format. Newer files are left unchanged, older ones are read. Format 1 has additional
+// fields, which are ignored.
 const Version = 2
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is the CRC-32C of the header's version and length, and of the payload.
+// checksum is the CRC-32C of the version and length in the header, followed by the payload.
 func checksum(header, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header[:8], castagnoli), castagnoli, payload)
 }
 
-// Encode returns the bytes of a state file. The payload is CBOR.
+// Encode returns the content of a state file. The payload is CBOR.
 func Encode(state *State) ([]byte, error) {
 	payload, err := cbor.Marshal(state)
 	if err != nil {
@@ -38,11 +39,11 @@
 	return append(b, payload...), nil
 }
 
-// decodeMode limits what a file can make a reader allocate: to many times the largest fleet and number of names that a gateway keeps.
+// decodeMode limits how much memory a corrupt file can make a reader allocate. The limits are many times the largest fleet and the
+// number of names that a gateway stores.
 var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode()
 
-// Decode reads a state file's bytes. The state returned is complete and its values are within their ranges; else the error is
-// ErrNewer or ErrDamaged.
+// Decode decodes the content of a state file and checks that all values are in range. The error is ErrNewerVersion or ErrCorrupt.
 func Decode(b []byte) (*State, error) {
 	if len(b) < len(magic)+headerBytes || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: not a state file", ErrCorrupt)
--- a/internal/persistence/encoding_test.go
+++ b/internal/persistence/encoding_test.go
@@ -12,15 +12,15 @@
 	"hollymast/control"
 )
 
-// A file of the older format, by a build that wrote it, is read.
+// A file of the older format, written by an earlier build, can be read.
 func TestOlderFormatIsRead(t *testing.T) {
 	b, err := os.ReadFile("testdata/format1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := Decode(b)
-	if err != nil || len(k.Learned.Servers) != 4 || len(k.Learned.Functions) < 10 || k.Generation == 0 {
-		t.Errorf("got %+v, %v", k, err)
+	state, err := Decode(b)
+	if err != nil || len(state.Learned.Servers) != 4 || len(state.Learned.Functions) < 10 || state.Generation == 0 {
+		t.Errorf("got %+v, %v", state, err)
 	}
 }
 
@@ -32,25 +32,25 @@
 	for i := range b {
 		for bit := range 8 {
 			b[i] ^= 1 << bit
-			if k, err := Decode(b); !errors.Is(err, ErrCorrupt) {
-				t.Fatalf("byte %d, bit %d: got %+v, %v", i, bit, k, err)
+			if state, err := Decode(b); !errors.Is(err, ErrCorrupt) {
+				t.Fatalf("byte %d, bit %d: got %+v, %v", i, bit, state, err)
 			}
 			b[i] ^= 1 << bit
 		}
 	}
 }
 
-// withChecksum returns a file of any version and payload with a right checksum.
+// withChecksum returns a file of the given version and payload with a correct checksum.
 func withChecksum(version uint32, payload []byte) []byte {
 	b := append([]byte(magic), make([]byte, 12)...)
-	head := b[len(magic):]
-	binary.BigEndian.PutUint32(head, version)
-	binary.BigEndian.PutUint32(head[4:], uint32(len(payload)))
-	binary.BigEndian.PutUint32(head[8:], crc32.Update(crc32.Checksum(head[:8], castagnoli), castagnoli, payload))
+	header := b[len(magic):]
+	binary.BigEndian.PutUint32(header, version)
+	binary.BigEndian.PutUint32(header[4:], uint32(len(payload)))
+	binary.BigEndian.PutUint32(header[8:], crc32.Update(crc32.Checksum(header[:8], castagnoli), castagnoli, payload))
 	return append(b, payload...)
 }
 
-// Values out of their ranges are refused, whatever the checksum says.
+// Values out of range are rejected even if the checksum is correct.
 func TestValuesOutOfRange(t *testing.T) {
 	for i, change := range []func(m *control.LearnedState){
 		func(m *control.LearnedState) { m.SavedAt = -1 },
@@ -60,9 +60,9 @@
 		func(m *control.LearnedState) { m.Functions[3].Instances[0].Replicas = -1 },
 		func(m *control.LearnedState) { m.LoadCommands = []control.Micros{-1} },
 	} {
-		k := testState(1)
-		change(k.Learned)
-		b, err := Encode(k)
+		state := testState(1)
+		change(state.Learned)
+		b, err := Encode(state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,8 +82,8 @@
 				payload[rapid.IntRange(0, len(payload)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 			}
 		}
-		if k, err := Decode(withChecksum(Version, payload)); err == nil && validate(k.Learned) != nil {
-			t.Fatalf("got %+v", k)
+		if state, err := Decode(withChecksum(Version, payload)); err == nil && validate(state.Learned) != nil {
+			t.Fatalf("got %+v", state)
 		}
 	})
 }
@@ -95,35 +95,35 @@
 	}
 	f.Add(b[len(magic)+12:])
 	f.Fuzz(func(t *testing.T, payload []byte) {
-		if k, err := Decode(withChecksum(Version, payload)); err == nil {
-			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, k.Learned)
+		if state, err := Decode(withChecksum(Version, payload)); err == nil {
+			control.New(1, 1, control.Deployment{Classes: make([]control.Class, 2)}).ApplyLearned(1<<40, state.Learned)
 		}
 		Decode(payload)
 	})
 }
 
-// BenchmarkDecode reads the state of a gateway with 80 servers and 10 000 functions.
+// BenchmarkDecode decodes the state of a gateway with 80 servers and 10 000 functions.
 func BenchmarkDecode(b *testing.B) {
-	m := &control.LearnedState{SavedAt: 1_796_133_869_057_624}
+	learned := &control.LearnedState{SavedAt: 1_796_133_869_057_624}
 	for i := range 80 {
-		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(0x7f0000019a00 + i)})
+		learned.Servers = append(learned.Servers, control.LearnedServer{Server: control.ServerID(0x7f0000019a00 + i)})
 	}
 	for i := range 10_000 {
 		f := control.LearnedFunction{ID: control.FunctionID(uint64(i) * 0x9e3779b97f4a7c15), Lanes: 2}
 		for k := range 3 {
-			f.Instances = append(f.Instances, control.LearnedInstance{Server: m.Servers[(i+k)%80].Server, Replicas: 1,
-				LastUsed: m.SavedAt, LoadingSince: m.SavedAt})
+			f.Instances = append(f.Instances, control.LearnedInstance{Server: learned.Servers[(i+k)%80].Server, Replicas: 1,
+				LastUsed: learned.SavedAt, LoadingSince: learned.SavedAt})
 		}
-		m.Functions = append(m.Functions, f)
+		learned.Functions = append(learned.Functions, f)
 	}
-	text, err := Encode(&State{Learned: m})
+	encoded, err := Encode(&State{Learned: learned})
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if _, err := Decode(text); err != nil {
+		if _, err := Decode(encoded); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(len(text)), "bytes")
+	b.ReportMetric(float64(len(encoded)), "bytes")
 }
--- a/internal/persistence/faultfs_test.go
+++ b/internal/persistence/faultfs_test.go
@@ -14,51 +14,51 @@
 
 var errKilled = errors.New("killed")
 
-// fault is the way in which a call goes wrong. After a kill nothing is carried out any more; the call itself is not, by half or
-// wholly.
+// fault is the way in which a file system call fails. After a kill no further call has an effect; the call during which it happens has
+// none, a partial or its full effect.
 type fault int
 
 const (
-	noFault fault = iota
-	failsBefore
-	failsHalfway // writes half of its bytes; other calls are carried out and yet fail
-	killedBefore
-	killedHalf
-	killedAfter
+	noFault       fault = iota
+	failsBefore         // fails without an effect
+	failsPartway        // a write writes half of its bytes and fails; other calls take effect and yet fail
+	killedBefore        // killed before the call takes effect
+	killedPartway       // killed as a write has written half of its bytes; other calls take effect
+	killedAfter         // killed after the call took effect
 )
 
-// byteState says whether a byte survives a power cut. A byte that was dirty in a failed sync is lost: the kernel counts its page as
-// clean, and no later sync writes it.
-type byteState byte
+// pageState says whether a byte survives a power failure. A byte that was dirty during a failed sync is lost: the kernel marks its page as
+// clean, so that no later sync writes it.
+type pageState byte
 
 const (
-	dirty byteState = iota
+	dirty pageState = iota
 	durable
 	lost
 )
 
 type inode struct {
 	data   []byte
-	states []byteState
+	states []pageState
 }
 
-// crash is how an incarnation ends: by a kill, after which all that was written is there, or by a power cut.
+// crash is how an incarnation ends: by a kill, after which everything written is still there, or by a power failure.
 type crash struct {
 	powerCut         bool
-	unsyncedSurvives bool // of a power cut: what was not synced is there, but for bytes lost to failed syncs
+	unsyncedSurvives bool // after a power failure: unsynced data is there, except for bytes lost to failed syncs
 }
 
 var crashes = []crash{{}, {powerCut: true}, {powerCut: true, unsyncedSurvives: true}}
 
-// faultFS is a file system in memory that fails or is killed at chosen calls, and knows what the next incarnation finds.
+// faultFS is an in-memory file system that fails or is killed at chosen calls, and can compute what the next incarnation finds.
 type faultFS struct {
 	mu       sync.Mutex
 	names    map[string]*inode
-	synced   map[string]*inode // names that survive a power cut; nil: the name is lost to a failed sync of the directory
-	removed  map[string]*inode // removed, with no sync of the directory since: a power cut may bring them back
+	synced   map[string]*inode // names that survive a power failure; nil: the name is lost to a failed sync of the directory
+	removed  map[string]*inode // removed since the last sync of the directory: a power failure may bring them back
 	calls    int
 	bytes    int
-	maxFiles int // the most at any time
+	maxFiles int // highest number of files at any time
 	plan     func(n int, call, name string) fault
 	err      error
 	crashed  chan struct{} // closed once killed
@@ -78,7 +78,7 @@
 	}
 }
 
-// call makes one call, with the fault that is planned for it; do carries it out, or half of it.
+// call makes one call with the fault that is planned for it; do performs the call, or half of it.
 func (d *faultFS) call(call, name string, do func(half bool) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,12 +92,12 @@
 			do(false)
 		}
 		return d.err
-	case failsHalfway:
+	case failsPartway:
 		do(true)
 		return d.err
-	case killedBefore, killedHalf, killedAfter:
+	case killedBefore, killedPartway, killedAfter:
 		if f != killedBefore {
-			do(f == killedHalf)
+			do(f == killedPartway)
 		}
 		close(d.crashed)
 		return errKilled
@@ -157,7 +157,7 @@
 			n /= 2
 		}
 		f.data = append(f.data, b[:n]...)
-		f.states = append(f.states, make([]byteState, n)...)
+		f.states = append(f.states, make([]pageState, n)...)
 		f.d.bytes += n
 		return nil
 	})
@@ -166,23 +166,23 @@
 
 func (f *faultFile) Sync() error {
 	return f.d.call("sync", f.name, func(bool) error {
-		to := durable
-		if f.d.fails(f.name, "sync") {
-			to = lost
+		newState := durable
+		if f.d.currentCallFails(f.name, "sync") {
+			newState = lost
 		}
 		for i, s := range f.states {
 			if s == dirty {
-				f.states[i] = to
+				f.states[i] = newState
 			}
 		}
 		return nil
 	})
 }
 
-// fails reports whether the call under way fails.
-func (d *faultFS) fails(name, call string) bool {
+// currentCallFails reports whether the current call is planned to fail.
+func (d *faultFS) currentCallFails(name, call string) bool {
 	f := d.plan(d.calls, call, filepath.Base(name))
-	return f == failsBefore || f == failsHalfway || f == killedHalf
+	return f == failsBefore || f == failsPartway || f == killedPartway
 }
 
 func (f *faultFile) Close() error {
@@ -191,11 +191,11 @@
 
 func (d *faultFS) Rename(from, to string) error {
 	return d.call("rename", to, func(bool) error {
-		if d.names[from] == nil { // a removal that was reported as failed had happened
+		if d.names[from] == nil { // a removal that was reported as failed took effect
 			return fs.ErrNotExist
 		}
-		if was := d.synced[to]; was != nil {
-			d.removed[to] = was
+		if previous := d.synced[to]; previous != nil {
+			d.removed[to] = previous
 		}
 		d.dropLostName(to)
 		d.names[to] = d.names[from]
@@ -214,16 +214,16 @@
 	})
 }
 
-// unlink removes a name, which a power cut may bring back.
+// unlink removes a name, which a power failure may bring back.
 func (d *faultFS) unlink(name string) {
-	if was := d.synced[name]; was != nil {
-		d.removed[name] = was
+	if previous := d.synced[name]; previous != nil {
+		d.removed[name] = previous
 	}
 	d.dropLostName(name)
 	delete(d.names, name)
 }
 
-// dropLostName is called when a name changes: if it was lost, the next sync of the directory makes it durable again.
+// dropLostName is called when a name changes: if it was lost, the next sync of the directory can make it durable again.
 func (d *faultFS) dropLostName(name string) {
 	if d.synced[name] == nil {
 		delete(d.synced, name)
@@ -232,15 +232,15 @@
 
 func (d *faultFS) SyncDir(dir string) error {
 	return d.call("syncdir", dir, func(bool) error {
-		bad := d.fails(dir, "syncdir")
+		fails := d.currentCallFails(dir, "syncdir")
 		for name, i := range d.names {
-			if _, known := d.synced[name]; !known || !bad && d.synced[name] != nil {
-				if d.synced[name] = i; bad {
+			if _, known := d.synced[name]; !known || !fails && d.synced[name] != nil {
+				if d.synced[name] = i; fails {
 					d.synced[name] = nil
 				}
 			}
 		}
-		if !bad {
+		if !fails {
 			clear(d.removed)
 			maps.DeleteFunc(d.synced, func(name string, _ *inode) bool { return d.names[name] == nil })
 		}
@@ -248,7 +248,7 @@
 	})
 }
 
-// afterCrash returns what the next incarnation finds.
+// afterCrash returns the file system that the next incarnation finds.
 func (d *faultFS) afterCrash(c crash) *faultFS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -278,7 +278,7 @@
 		if c.powerCut && !c.unsyncedSurvives {
 			b = b[:end]
 		}
-		copied := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
+		copied := &inode{data: b, states: slices.Repeat([]pageState{durable}, len(b))}
 		next.names[name], next.synced[name] = copied, copied
 	}
 	return next
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -15,8 +15,8 @@
 	"hollymast/control"
 )
 
-// appendedBatch is a batch with the entries that were appended.
-type appendedBatch struct {
+// appendedEntries are entries that were appended to a journal, with their batch.
+type appendedEntries struct {
 	*Batch
 	entries []Entry
 }
@@ -31,21 +31,21 @@
 	}
 }
 
-const earlierAt, outdatedAt = 100 * minute, 10 * minute
+const previousAt, outdatedAt = 100 * minute, 10 * minute
 
-// writeEarlierFiles writes files of an earlier incarnation: one that is too old, one whose entries count, and one that is cut off in
-// its magic.
-func writeEarlierFiles(d *faultFS) (counts []Entry) {
-	counts = []Entry{{EntryAttempt, earlierAt, 7, 1}, {EntryNotRun, earlierAt + 1, 7, 1}}
+// writePreviousJournal writes files of an earlier incarnation: one that is too old, one with valid entries, and one that is truncated
+// within its magic. It returns the valid entries.
+func writePreviousJournal(d *faultFS) (validEntries []Entry) {
+	validEntries = []Entry{{EntryAttempt, previousAt, 7, 1}, {EntryNotRun, previousAt + 1, 7, 1}}
 	for name, b := range map[string][]byte{
 		"journal-00000001": appendFrame([]byte(journalMagic), []Entry{{EntryAttempt, outdatedAt, 9, 1}}),
-		"journal-00000002": appendFrame([]byte(journalMagic), counts),
+		"journal-00000002": appendFrame([]byte(journalMagic), validEntries),
 		"journal-00000003": []byte(journalMagic)[:5],
 	} {
-		i := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
+		i := &inode{data: b, states: slices.Repeat([]pageState{durable}, len(b))}
 		d.names["dir/"+name], d.synced["dir/"+name] = i, i
 	}
-	return counts
+	return validEntries
 }
 
 func testOptions(d *faultFS, sync SyncPolicy, failed func(error)) JournalOptions {
@@ -53,71 +53,72 @@
 		OnStatusChange: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
-// appendBatches opens a journal and appends to it, until all is done or the file system is killed. Now and again it waits for a batch.
-func appendBatches(d *faultFS, sync SyncPolicy, count int) (all []appendedBatch) {
+// appendBatches opens a journal and appends batches until count is reached or the file system is killed. It waits for most batches, but
+// not for all.
+func appendBatches(d *faultFS, sync SyncPolicy, count int) (all []appendedEntries) {
 	return appendBatchesWaiting(d, sync, count, func(i int) bool { return i%4 != 3 })
 }
 
-func appendBatchesWaiting(d *faultFS, sync SyncPolicy, count int, wait func(i int) bool) (all []appendedBatch) {
+func appendBatchesWaiting(d *faultFS, sync SyncPolicy, count int, wait func(i int) bool) (all []appendedEntries) {
 	j, _, _, err := testOptions(d, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return nil
 	}
 	for i := range count {
-		at := control.Micros(earlierAt + 10 + i)
-		es := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)},
+		at := control.Micros(previousAt + 10 + i)
+		entries := []Entry{{EntryAttempt, at, IdempotencyKey(i + 100), 1}, {EntrySlowStartSend, at, 0, control.ServerID(i)},
 			{EntryAdmitted, at, 1, 0}}[:1+i%3]
-		r := j.Append(es...)
-		all = append(all, appendedBatch{r, es})
-		if !wait(i) { // the next entries come while these are on their way
+		batch := j.Append(entries...)
+		all = append(all, appendedEntries{batch, entries})
+		if !wait(i) { // the next entries are appended while these are being written
 			if i%2 == 0 {
-				runtime.Gosched() // else they are of the same batch
+				runtime.Gosched() // otherwise they would join the same batch
 			}
 			continue
 		}
 		select {
-		case <-r.Done():
+		case <-batch.Done():
 		case <-d.crashed:
 		case <-time.After(20 * time.Second):
-			panic(fmt.Sprintf("a batch never ended: %+v, %s", j, d))
+			panic(fmt.Sprintf("batch not done after 20 s: %+v, %s", j, d))
 		}
 	}
 	j.Close()
 	return all
 }
 
-// checkRecovery checks what the next incarnation reads after a kill or a power cut: all that was reported as durable, each entry once,
-// in its order, and nothing else; and that it can append.
-func checkRecovery(after *faultFS, sync SyncPolicy, c crash, earlier []Entry, batches []appendedBatch) error {
+// checkRecovery checks that the next incarnation, after a kill or a power failure, reads everything that was reported as durable, each
+// entry once, in order and nothing else, and that it can append.
+func checkRecovery(after *faultFS, sync SyncPolicy, c crash, previousEntries []Entry, batches []appendedEntries) error {
 	j, got, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
 		return err
 	}
 	got = slices.DeleteFunc(got, func(e Entry) bool { return e.At <= outdatedAt })
-	want := slices.Clone(earlier)
-	var maybe []Entry
+	want := slices.Clone(previousEntries)
+	var possible []Entry
 	for _, a := range batches {
-		maybe = append(maybe, a.entries...)
-		if owed := isClosed(a.done) && a.err == nil && (!c.powerCut || sync != SyncNever) || isClosed(a.written) && !a.lost && !c.powerCut; owed {
+		possible = append(possible, a.entries...)
+		if required := isClosed(a.done) && a.err == nil && (!c.powerCut || sync != SyncNever) || isClosed(a.written) && !a.lost && !c.powerCut; required {
 			want = append(want, a.entries...)
 		}
 	}
-	maybe = slices.Concat(earlier, maybe)
-	at := 0
+	possible = slices.Concat(previousEntries, possible)
+	next := 0
 	for _, e := range got {
-		i := slices.Index(maybe[at:], e)
+		i := slices.Index(possible[next:], e)
 		if i < 0 {
-			return fmt.Errorf("%+v is found twice, out of its order, or from nowhere", e)
+			return fmt.Errorf("%+v is a duplicate, out of order, or was never appended", e)
 		}
-		at += i + 1
+		next += i + 1
 	}
 	for _, e := range want {
 		if !slices.Contains(got, e) {
 			return fmt.Errorf("%+v was reported as durable and is lost", e)
 		}
 	}
-	r := j.Append(Entry{EntryAttempt, earlierAt + 1000, 1000, 1})
-	<-r.Done()
+	batch := j.Append(Entry{EntryAttempt, previousAt + 1000, 1000, 1})
+	<-batch.Done()
 	j.Close()
 	j, more, _, err := testOptions(after, sync, func(error) {}).Open("dir")
 	if err != nil {
@@ -125,15 +126,15 @@
 	}
 	j.Close()
 	if more = slices.DeleteFunc(more, func(e Entry) bool { return e.At <= outdatedAt }); len(more) != len(got)+1 {
-		return fmt.Errorf("%d entries, and one more made %d", len(got), len(more))
+		return fmt.Errorf("%d entries before one more was appended, %d after", len(got), len(more))
 	}
 	return nil
 }
 
-// checkRecoveries checks the recovery from each crash.
-func checkRecoveries(d *faultFS, sync SyncPolicy, earlier []Entry, batches []appendedBatch) error {
+// checkRecoveries checks the recovery from each kind of crash.
+func checkRecoveries(d *faultFS, sync SyncPolicy, previousEntries []Entry, batches []appendedEntries) error {
 	for _, c := range crashes {
-		if err := checkRecovery(d.afterCrash(c), sync, c, earlier, batches); err != nil {
+		if err := checkRecovery(d.afterCrash(c), sync, c, previousEntries, batches); err != nil {
 			return fmt.Errorf("%+v: %w; %s", c, err, d)
 		}
 	}
@@ -142,76 +143,77 @@
 
 var syncPolicies = map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach}
 
-// A kill or a power cut at each call, before, within and after it, loses nothing that was reported as durable.
+// A kill or a power failure before, during or after any file system call loses nothing that was reported as durable.
 func TestJournalKilledAtEachCall(t *testing.T) {
 	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
-			bad := 0
+			failureCount := 0
 			for at, more := 1, true; more; at++ {
-				for _, f := range []fault{killedBefore, killedHalf, killedAfter} {
+				for _, f := range []fault{killedBefore, killedPartway, killedAfter} {
 					d := newFaultFS(func(n int, _, _ string) fault {
 						if n == at {
 							return f
 						}
 						return noFault
 					})
-					earlier := writeEarlierFiles(d)
+					previousEntries := writePreviousJournal(d)
 					all := appendBatches(d, sync, 12)
 					more = d.isKilled()
-					if err := checkRecoveries(d, sync, earlier, all); err != nil {
-						if bad++; bad < 5 {
+					if err := checkRecoveries(d, sync, previousEntries, all); err != nil {
+						if failureCount++; failureCount < 5 {
 							t.Errorf("killed at call %d (%d): %v", at, f, err)
 						}
 					}
 				}
 			}
-			if bad > 0 {
-				t.Errorf("%d kills lost something", bad)
+			if failureCount > 0 {
+				t.Errorf("%d kills failed the check", failureCount)
 			}
 		})
 	}
 }
 
-// Each call fails once or for a while, alone or with all of its kind, carried out not at all or by half; then the incarnation ends by a
-// kill or a power cut. Nothing reported as durable is lost, all batches end, and no more than one file without entries is left.
+// Each call fails once or several times, alone or with all calls of its kind, without an effect or with a partial one; then the
+// incarnation ends by a kill or a power failure. Nothing reported as durable is lost, all batches complete, and at most one file without
+// entries is left.
 func TestJournalWithEachCallFailing(t *testing.T) {
 	for name, sync := range syncPolicies {
 		t.Run(name, func(t *testing.T) {
-			bad, runs := 0, 0
+			failureCount, runs := 0, 0
 			for _, kind := range []string{"", "create", "write", "sync", "remove", "syncdir", "close", "rename"} {
-				for _, long := range []int{1, 3, 40} {
-					for _, f := range []fault{failsBefore, failsHalfway} {
-						for at := 1; at < 60; at += min(long, 4) {
+				for _, failingCalls := range []int{1, 3, 40} {
+					for _, f := range []fault{failsBefore, failsPartway} {
+						for at := 1; at < 60; at += min(failingCalls, 4) {
 							d := newFaultFS(func(n int, call, _ string) fault {
-								if n >= at && n < at+long && (kind == "" && call != "list" && call != "read" || call == kind) {
+								if n >= at && n < at+failingCalls && (kind == "" && call != "list" && call != "read" || call == kind) {
 									return f
 								}
 								return noFault
 							})
 							d.err = []error{syscall.ENOSPC, syscall.EIO}[at%2]
-							earlier := writeEarlierFiles(d)
+							previousEntries := writePreviousJournal(d)
 							all := appendBatches(d, sync, 12)
 							runs++
-							err := checkRecoveries(d, sync, earlier, all)
+							err := checkRecoveries(d, sync, previousEntries, all)
 							for i, a := range all {
 								if err == nil && (!isClosed(a.done) || a.err != nil) && i < len(all)-1 {
 									err = fmt.Errorf("batch %d: %v", i, a.err)
 								}
 							}
-							if left := emptyFiles(d); err == nil && left > 1 && at+long < d.calls {
-								err = fmt.Errorf("%d files without entries: %s", left, d)
+							if empty := emptyFiles(d); err == nil && empty > 1 && at+failingCalls < d.calls {
+								err = fmt.Errorf("%d files without entries: %s", empty, d)
 							}
 							if err != nil {
-								if bad++; bad < 5 {
-									t.Errorf("%q fails from call %d, %d times (%d): %v", kind, at, long, f, err)
+								if failureCount++; failureCount < 5 {
+									t.Errorf("%q fails from call %d, %d times (%d): %v", kind, at, failingCalls, f, err)
 								}
 							}
 						}
 					}
 				}
 			}
-			if bad > 0 {
-				t.Errorf("%d of %d runs failed", bad, runs)
+			if failureCount > 0 {
+				t.Errorf("%d of %d runs failed", failureCount, runs)
 			}
 		})
 	}
@@ -227,21 +229,21 @@
 	return n
 }
 
-// However long a directory fails, in whatever way, it never holds more than one file without entries beside the one being begun.
+// However long and in whatever way a directory fails, it never holds more than one file without entries besides the one being created.
 func TestLongFailuresLeaveNoEmptyFiles(t *testing.T) {
 	for _, kinds := range []string{"create", "write", "sync", "syncdir", "write remove", "sync remove", "syncdir remove",
 		"sync remove rename", "write remove rename", "syncdir remove rename"} {
 		t.Run(kinds, func(t *testing.T) {
-			const long = 600
+			const failingCalls = 600
 			d := newFaultFS(func(n int, call, _ string) fault {
-				if n > 20 && n < 20+long && slices.Contains(strings.Fields(kinds), call) {
+				if n > 20 && n < 20+failingCalls && slices.Contains(strings.Fields(kinds), call) {
 					return failsBefore
 				}
 				return noFault
 			})
-			earlier := writeEarlierFiles(d)
+			previousEntries := writePreviousJournal(d)
 			all := appendBatches(d, SyncGrouped, 12)
-			if err := checkRecoveries(d, SyncGrouped, earlier, all); err != nil {
+			if err := checkRecoveries(d, SyncGrouped, previousEntries, all); err != nil {
 				t.Error(err)
 			}
 			for i, a := range all {
@@ -249,61 +251,63 @@
 					t.Errorf("batch %d: %v", i, a.err)
 				}
 			}
-			if n := emptyFiles(d); d.calls < 20+long || n > 1 || d.maxFiles > 12 {
+			if n := emptyFiles(d); d.calls < 20+failingCalls || n > 1 || d.maxFiles > 12 {
 				t.Errorf("%d calls; %d files without entries, %d files at once: %s", d.calls, n, d.maxFiles, d)
 			}
 		})
 	}
 }
 
-// Kills at random bytes of what is written. Before them syncs fail at random, and in half of the runs any other call too.
+// The process is killed after a random number of written bytes. Before that, syncs fail at random, and in half of the runs other calls do
+// too.
 func TestJournalKilledAtChosenBytes(t *testing.T) {
 	runs := uint64(500)
 	if n, err := strconv.ParseUint(os.Getenv("HOLLYMAST_KILLS"), 10, 64); err == nil {
 		runs = n
 	}
 	for seed := range runs {
-		chance := rand.New(rand.NewPCG(seed, 3))
+		random := rand.New(rand.NewPCG(seed, 3))
 		var d *faultFS
-		failing := make([]fault, 2000)
-		for i := range failing {
-			if chance.IntN(5) == 0 {
-				failing[i] = failsBefore + fault(chance.IntN(2))
+		plannedFaults := make([]fault, 2000)
+		for i := range plannedFaults {
+			if random.IntN(5) == 0 {
+				plannedFaults[i] = failsBefore + fault(random.IntN(2))
 			}
 		}
-		until, sync, waits := chance.IntN(2500), []SyncPolicy{SyncGrouped, SyncEach}[seed%2], 1+chance.IntN(12)
+		killAfterBytes, sync, waitEvery := random.IntN(2500), []SyncPolicy{SyncGrouped, SyncEach}[seed%2], 1+random.IntN(12)
 		plan := func(n int, call, _ string) fault {
 			switch {
-			case call == "write" && d.bytes >= until:
-				return killedHalf
-			case n < len(failing) && (call == "sync" || seed%4 > 1 && call != "list" && call != "read"):
-				return failing[n]
+			case call == "write" && d.bytes >= killAfterBytes:
+				return killedPartway
+			case n < len(plannedFaults) && (call == "sync" || seed%4 > 1 && call != "list" && call != "read"):
+				return plannedFaults[n]
 			}
 			return noFault
 		}
 		d = newFaultFS(plan)
-		earlier := writeEarlierFiles(d)
-		all := appendBatchesWaiting(d, sync, 30, func(i int) bool { return i%waits == 0 })
-		if err := checkRecoveries(d, sync, earlier, all); err != nil {
-			t.Fatalf("seed %d, killed after %d bytes: %v", seed, until, err)
+		previousEntries := writePreviousJournal(d)
+		all := appendBatchesWaiting(d, sync, 30, func(i int) bool { return i%waitEvery == 0 })
+		if err := checkRecoveries(d, sync, previousEntries, all); err != nil {
+			t.Fatalf("seed %d, killed after %d bytes: %v", seed, killAfterBytes, err)
 		}
 	}
 }
 
-// A file that can't be read for a moment at a start is read. One that can't be read for longer is ignored, with a warning.
+// During startup, a file that can't be read for a short time is read by a retry. One that can't be read for longer is ignored with a
+// warning.
 func TestJournalThatCannotBeReadAtStart(t *testing.T) {
-	for times, want := range map[int]int{0: 3, 1: 3, startAttempts - 1: 3, startAttempts + 3: 0} {
+	for failures, want := range map[int]int{0: 3, 1: 3, maxStartAttempts - 1: 3, maxStartAttempts + 3: 0} {
 		failed := 0
 		d := newFaultFS(nil)
 		d.plan = func(_ int, call, name string) fault {
-			if call == "read" && name == "journal-00000002" && failed < times {
+			if call == "read" && name == "journal-00000002" && failed < failures {
 				failed++
 				return failsBefore
 			}
 			return noFault
 		}
 		d.err = syscall.EIO
-		writeEarlierFiles(d)
+		writePreviousJournal(d)
 		j, entries, warnings, err := testOptions(d, SyncGrouped, func(error) {}).Open("dir")
 		if err != nil {
 			t.Fatal(err)
@@ -311,14 +315,14 @@
 		j.Close()
 		lost := want == 0
 		if lost {
-			want = 1 // the entry of the file before
+			want = 1 // the entry of the preceding file
 		}
 		warned := slices.ContainsFunc(warnings, func(line string) bool { return strings.HasSuffix(line, ": ignored") })
 		if len(entries) != want || j.Incomplete() != lost || warned != lost {
-			t.Errorf("after %d failures: %d entries, incomplete %t, %q", times, len(entries), j.Incomplete(), warnings)
+			t.Errorf("after %d failures: %d entries, incomplete %t, %q", failures, len(entries), j.Incomplete(), warnings)
 		}
-		if _, is := d.names["dir/journal-00000002"]; !is {
-			t.Error("what was not read was removed")
+		if _, exists := d.names["dir/journal-00000002"]; !exists {
+			t.Error("the unreadable file was removed")
 		}
 	}
 }
--- a/internal/persistence/journal_encoding_test.go
+++ b/internal/persistence/journal_encoding_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// A damaged journal is read up to the damage and no further.
+// A corrupt journal is read up to the first corrupt frame and no further.
 func TestJournalIsReadUpToItsDamage(t *testing.T) {
-	es := testEntries(12)
+	entries := testEntries(12)
 	b := []byte(journalMagic)
 	var ends []int
-	for _, in := range [][]Entry{es[:1], es[1:5], es[5:12]} {
-		b = appendFrame(b, in)
+	for _, frameEntries := range [][]Entry{entries[:1], entries[1:5], entries[5:12]} {
+		b = appendFrame(b, frameEntries)
 		ends = append(ends, len(b))
 	}
 	want := func(at int) []Entry {
@@ -19,11 +19,11 @@
 		case at < ends[0]:
 			return nil
 		case at < ends[1]:
-			return es[:1]
+			return entries[:1]
 		case at < ends[2]:
-			return es[:5]
+			return entries[:5]
 		}
-		return es
+		return entries
 	}
 	for cut := range len(b) + 1 {
 		whole := slices.Contains(ends, cut) || cut == len(journalMagic)
--- a/internal/persistence/journal_files.go
+++ b/internal/persistence/journal_files.go
@@ -10,22 +10,22 @@
 	"hollymast/control"
 )
 
-// journalFile is the file that is being written.
+// journalFile is the file that the journal is writing to.
 type journalFile struct {
 	File
-	number    int
-	size      int64
-	newestAt  control.Micros // time of its newest entry
-	holdsDone bool           // batches in it are done
+	number              int
+	size                int64
+	newestAt            control.Micros // time of its newest entry
+	hasCompletedBatches bool           // it holds batches that are done
 }
 
-// closedFile is a file that is not written to any more.
+// closedFile is a file that is no longer written to.
 type closedFile struct {
 	name            string
 	size            int64
 	newestAt        control.Micros // time of its newest entry
-	empty           bool           // nothing in it is of use
-	removalReported bool           // operators know that it can't be removed
+	empty           bool           // it holds no entries and may be removed
+	removalReported bool           // a warning about its failed removal was issued
 }
 
 func (f *journalFile) closed() closedFile {
@@ -36,7 +36,7 @@
 
 func (j *Journal) path(number int) string { return filepath.Join(j.dir, journalName(number)) }
 
-// abandonFile gives the open file up. What was not synced in it is written again to the next one.
+// abandonFile closes the open file after a failure. Batches in it that were not synced are written again to the next file.
 func (j *Journal) abandonFile() {
 	f := j.file
 	if f == nil {
@@ -49,26 +49,26 @@
 		}
 	}
 	j.file = nil
-	f.Close() // its error doesn't matter: what was not synced is written again
-	back := len(j.unsynced)
+	f.Close() // the error doesn't matter: batches that were not synced are written again
+	unsyncedCount := len(j.unsynced)
 	j.unwritten, j.unsynced = slices.Concat(j.unsynced, j.unwritten), nil
 	if j.abandoned != nil {
-		j.rewriting += back
+		j.rewriteCount += unsyncedCount
 	}
 	switch {
-	case f.holdsDone:
+	case f.hasCompletedBatches:
 		j.closedFiles = append(j.closedFiles, f.closed())
-	case j.abandoned == nil && back > 0:
-		j.abandoned, j.rewriting = f, back
+	case j.abandoned == nil && unsyncedCount > 0:
+		j.abandoned, j.rewriteCount = f, unsyncedCount
 	default:
 		j.removeFile(f.number)
 	}
 }
 
-// removeFile removes a file that holds nothing of use, or notes that it couldn't be removed.
+// removeFile removes a file that is no longer needed. If that fails, its number is kept for another attempt.
 func (j *Journal) removeFile(number int) {
 	if err := j.FileSystem.Remove(j.path(number)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		j.leftovers = append(j.leftovers, number)
+		j.unremoved = append(j.unremoved, number)
 	}
 }
 
@@ -95,28 +95,28 @@
 	return nil
 }
 
-// closeFile closes a file in which all that was promised is synced. An error takes nothing from that and is only reported.
+// closeFile closes a file whose batches are all done or failed. An error is only reported, since it can't affect batches that are synced.
 func (j *Journal) closeFile(f *journalFile) {
 	if err := f.Close(); err != nil {
 		j.OnWarning(fmt.Sprintf("%s: close: %v", journalName(f.number), err))
 	}
 }
 
-// beginFile begins the next file. One whose beginning can't be written is removed.
+// beginFile creates the next file. If its header can't be written, the file is removed.
 func (j *Journal) beginFile() error {
 	j.pruneFiles()
 	number := j.lastNumber + 1
-	if err := j.reuseLeftover(number); err != nil {
+	if err := j.reuseUnremovedFile(number); err != nil {
 		return err
 	}
 	file, err := j.FileSystem.Create(j.path(number))
 	if err != nil {
-		return err // if the file is there all the same, the next call truncates it
+		return err // if the file was created nevertheless, the next call truncates it
 	}
 	if err := j.writeHeader(file); err != nil {
 		file.Close()
-		if j.removeFile(number); slices.Contains(j.leftovers, number) {
-			j.lastNumber = number // the failed sync may have lost its name for good: it is never used again
+		if j.removeFile(number); slices.Contains(j.unremoved, number) {
+			j.lastNumber = number // after a failed directory sync the name may never become durable, so it must not be used again
 		}
 		return err
 	}
@@ -125,32 +125,32 @@
 	return nil
 }
 
-// reuseLeftover renames a file that couldn't be removed to the one that is to begin. It guards against a directory that fails for long
-// filling with files: no more than two of them are left, and the second only while neither can be renamed.
-func (j *Journal) reuseLeftover(number int) error {
-	n := len(j.leftovers)
+// reuseUnremovedFile renames a file that couldn't be removed to the name of the next file. It keeps files from accumulating in a
+// directory that fails for a long time: at most two are left, and the second only while neither can be renamed.
+func (j *Journal) reuseUnremovedFile(number int) error {
+	n := len(j.unremoved)
 	if n == 0 {
 		return nil
 	}
-	err := j.FileSystem.Rename(j.path(j.leftovers[n-1]), j.path(number))
+	err := j.FileSystem.Rename(j.path(j.unremoved[n-1]), j.path(number))
 	if err == nil {
-		j.leftovers = j.leftovers[:n-1]
+		j.unremoved = j.unremoved[:n-1]
 	} else if n == 1 {
 		return nil
 	}
 	return err
 }
 
-// writeHeader writes the beginning of a file, and syncs the directory.
+// writeHeader writes the magic and the clock to a new file and syncs the directory.
 func (j *Journal) writeHeader(f File) error {
 	header := []byte(journalMagic)
 	if j.Clock.BootID != 0 {
-		header = appendFrame(header, j.Clock.entries())
+		header = appendFrame(header, j.Clock.asEntries())
 	}
 	if _, err := f.Write(header); err != nil {
 		return err
 	}
-	if j.Sync != SyncNever { // so that a disk whose syncs fail is not taken for one that works
+	if j.Sync != SyncNever { // otherwise a disk whose syncs fail would seem to have recovered
 		if err := f.Sync(); err != nil {
 			return err
 		}
@@ -158,12 +158,12 @@
 	return j.FileSystem.SyncDir(j.dir)
 }
 
-// pruneFiles removes files whose entries are all too old, and the oldest beyond the bound. One that can't be removed is tried again the
-// next time and stops nothing.
+// pruneFiles removes files whose entries are all older than the retention, and the oldest files beyond MaxBytes. Removals that fail are
+// retried the next time.
 func (j *Journal) pruneFiles() {
-	leftovers := j.leftovers
-	j.leftovers = nil
-	for _, number := range leftovers {
+	unremoved := j.unremoved
+	j.unremoved = nil
+	for _, number := range unremoved {
 		j.removeFile(number)
 	}
 	total := int64(0)
@@ -179,7 +179,7 @@
 		if err := j.FileSystem.Remove(filepath.Join(j.dir, f.name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			if !f.removalReported {
 				f.removalReported = true
-				j.OnWarning(fmt.Sprintf("%s: %v: not removed yet, retried", f.name, err))
+				j.OnWarning(fmt.Sprintf("%s: %v: not removed, will be retried", f.name, err))
 			}
 			remaining = append(remaining, f)
 			continue
--- a/internal/persistence/journal_reading.go
+++ b/internal/persistence/journal_reading.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// readFiles returns the entries of all files, oldest first. The error is that of listing the directory.
+// readFiles returns the entries of all files, oldest first. It fails only if the directory can't be listed.
 func (j *Journal) readFiles() (entries []Entry, warnings []string, err error) {
 	var names []string
 	if err := RetryTransient(j.RetryDelay, func() (err error) { names, err = j.FileSystem.List(j.dir); return err }); err != nil {
 		return nil, nil, err
 	}
-	var earlier []frame          // of the files before
-	for _, name := range names { // by name, so by number
+	var previous []frame         // frames of the preceding files
+	for _, name := range names { // sorted by name, and so by number
 		number, ok := journalNumber(name)
 		if !ok {
 			continue
@@ -30,20 +30,20 @@
 		if warning != "" {
 			warnings = append(warnings, warning)
 		}
-		frames := file.frames[rewrittenFrames(earlier, file.frames):]
+		frames := file.frames[countRewrittenFrames(previous, file.frames):]
 		for _, f := range frames {
 			entries = append(entries, f.entries...)
 		}
 		if !file.timesKnown {
-			j.uncertain = len(entries)
+			j.untimedCount = len(entries)
 		}
-		earlier = append(earlier[max(0, len(earlier)-maxOutstanding):], frames...)
+		previous = append(previous[max(0, len(previous)-maxOutstanding):], frames...)
 		j.closedFiles, j.newestAt = append(j.closedFiles, file.closedFile), max(j.newestAt, file.newestAt)
 	}
 	return entries, warnings, nil
 }
 
-// readFile reads a file. Only the first that fails is retried, since a start may not take long.
+// readFile reads a file. Once a file could not be read, reads are no longer retried, so that startup doesn't take too long.
 func (j *Journal) readFile(name string) (b []byte, err error) {
 	read := func() (err error) { b, err = j.FileSystem.Read(filepath.Join(j.dir, name)); return err }
 	if j.incomplete {
@@ -52,14 +52,14 @@
 	return b, RetryTransient(j.RetryDelay, read)
 }
 
-// parsedFile is a file of an earlier incarnation, with its frames but that of the clock.
+// parsedFile is a file of an earlier incarnation, with its frames other than the clock's.
 type parsedFile struct {
 	closedFile
 	frames     []frame
-	timesKnown bool // entries are in this incarnation's time
+	timesKnown bool // the entries' times were converted to this incarnation's
 }
 
-// parseFile decodes a file. The warning, if any, is about damage.
+// parseFile decodes a file. The warning is not empty if the file is corrupt.
 func (j *Journal) parseFile(name string, b []byte) (file parsedFile, warning string) {
 	frames, err := readFrames(b)
 	var clock Clock
@@ -76,7 +76,7 @@
 	}
 	file.empty = n == 0 && (err == nil || strings.HasPrefix(journalMagic, string(b[:min(len(b), len(journalMagic))])))
 	if j.Now > 0 && !file.timesKnown && (n > 0 || err != nil) {
-		file.newestAt = j.Now // it may be as recent
+		file.newestAt = j.Now // its entries may be that recent
 	}
 	if err != nil && len(b) > 0 {
 		warning = fmt.Sprintf("%s: %v after %d entries", name, err, n)
@@ -84,10 +84,10 @@
 	return file, warning
 }
 
-// convertTimes converts the times of a file's entries to this incarnation's; known is false, and the entries are unchanged, where that
-// can't be done.
+// convertTimes converts the times of a file's entries to this incarnation's. It returns false and changes nothing if the offset between
+// the clocks is unknown or would put an entry into the future.
 func (j *Journal) convertTimes(earlier Clock, frames []frame) (known bool) {
-	offset, known := j.Clock.aheadOf(earlier)
+	offset, known := j.Clock.offsetFrom(earlier)
 	for _, f := range frames {
 		known = known && newestTime(f.entries)+offset <= j.Now
 	}
@@ -102,18 +102,18 @@
 	return true
 }
 
-// rewrittenFrames returns how many of a file's first frames are in the files before. What was not synced in a file that was abandoned
-// was written again, frame by frame, at the beginning of the next.
-func rewrittenFrames(earlier []frame, frames []frame) int {
+// countRewrittenFrames returns how many of a file's first frames are also in the preceding files. Frames that were not synced in an
+// abandoned file were written again at the beginning of the next file.
+func countRewrittenFrames(previous []frame, frames []frame) int {
 	if len(frames) == 0 {
 		return 0
 	}
-	for i := len(earlier) - 1; i >= 0; i-- {
-		if !bytes.Equal(earlier[i].bytes, frames[0].bytes) {
+	for i := len(previous) - 1; i >= 0; i-- {
+		if !bytes.Equal(previous[i].bytes, frames[0].bytes) {
 			continue
 		}
 		n := 1
-		for i+n < len(earlier) && n < len(frames) && bytes.Equal(earlier[i+n].bytes, frames[n].bytes) {
+		for i+n < len(previous) && n < len(frames) && bytes.Equal(previous[i+n].bytes, frames[n].bytes) {
 			n++
 		}
 		return n
@@ -121,7 +121,7 @@
 	return 0
 }
 
-// journalNumber returns the number in a journal file's name; ok is false for other files.
+// journalNumber returns the number in the name of a journal file; ok is false for other files.
 func journalNumber(name string) (number int, ok bool) {
 	n, err := fmt.Sscanf(name, "journal-%d", &number)
 	return number, n == 1 && err == nil && strings.Count(name, "-") == 1
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -13,51 +13,52 @@
 
 const minute = 60_000_000
 
-// testEntries returns n entries of several kinds.
+// testEntries returns n entries of different kinds.
 func testEntries(n int) []Entry {
-	es := make([]Entry, n)
-	for i := range es {
-		es[i] = Entry{EntryKind(1 + i%4), control.Micros(i), IdempotencyKey(i * 7), control.ServerID(i % 5)}
+	entries := make([]Entry, n)
+	for i := range entries {
+		entries[i] = Entry{EntryKind(1 + i%4), control.Micros(i), IdempotencyKey(i * 7), control.ServerID(i % 5)}
 	}
-	return es
+	return entries
 }
 
 func openJournal(t *testing.T, dir string, sync SyncPolicy) (*Journal, []Entry, []string) {
 	t.Helper()
-	j, es, warnings, err := OpenJournal(dir, sync, 10*minute, 1<<30, func(error) {})
+	j, entries, warnings, err := OpenJournal(dir, sync, 10*minute, 1<<30, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, es, warnings
+	return j, entries, warnings
 }
 
-// What a batch reports as durable is there for the next incarnation.
+// Entries whose batch is reported as durable are read by the next incarnation.
 func TestDurableEntriesAreRead(t *testing.T) {
 	for _, sync := range []SyncPolicy{SyncNever, SyncGrouped, SyncEach} {
 		dir := t.TempDir()
-		es := testEntries(100)
+		entries := testEntries(100)
 		for incarnation := range 3 {
 			j, got, warnings := openJournal(t, dir, sync)
-			if !slices.Equal(got, es[:30*incarnation]) || len(warnings) > 0 {
+			if !slices.Equal(got, entries[:30*incarnation]) || len(warnings) > 0 {
 				t.Fatalf("incarnation %d: got %d entries, %q", incarnation, len(got), warnings)
 			}
 			for i := range 3 {
 				at := 30*incarnation + 10*i
-				r := j.Append(es[at : at+10]...)
-				<-r.Done()
-				if r.Err() != nil {
-					t.Fatal(r.Err())
+				batch := j.Append(entries[at : at+10]...)
+				<-batch.Done()
+				if batch.Err() != nil {
+					t.Fatal(batch.Err())
 				}
 			}
 			j.Close()
-			if b := j.Append(es[0]); !errors.Is(b.Err(), ErrOverflow) {
-				t.Errorf("a closed journal took an entry: %v", b.Err())
+			if b := j.Append(entries[0]); !errors.Is(b.Err(), ErrOverflow) {
+				t.Errorf("a closed journal accepted an entry: %v", b.Err())
 			}
 		}
 	}
 }
 
-// While a disk fails batches wait and that is reported once; when it works again all are written and that is reported.
+// While a disk fails, batches wait, and the failure is reported once; when it works again, all batches are written and the recovery is
+// reported.
 func TestJournalOnAFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "j")
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -74,14 +75,14 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	second := j.Append(testEntries(2)...) // with MaxFileBytes of 1 another file begins
+	second := j.Append(testEntries(2)...) // goes into another file, since MaxFileBytes is 1
 	if err := <-failures; err == nil || !j.Failing() {
 		t.Error("no failure was reported")
 	}
-	for j.FailureCount() < 5 { // each is a write that was tried again
+	for j.FailureCount() < 5 { // each failure is a retried write
 		select {
 		case <-second.Done():
-			t.Fatal("written where there is no directory")
+			t.Fatal("done although the directory does not exist")
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -94,16 +95,16 @@
 	}
 	j.Close()
 	if second.Err() != nil || len(failures) != 0 || j.Failing() || j.FailureCount() == 0 {
-		t.Errorf("%v, %d more, failing %t after %d", second.Err(), len(failures), j.Failing(), j.FailureCount())
+		t.Errorf("error %v, %d more reports, failing %t after %d failures", second.Err(), len(failures), j.Failing(), j.FailureCount())
 	}
-	if j, es, _ := openJournal(t, dir, SyncGrouped); len(es) != 2 {
-		t.Errorf("%d entries", len(es))
+	if j, entries, _ := openJournal(t, dir, SyncGrouped); len(entries) != 2 {
+		t.Errorf("%d entries", len(entries))
 	} else {
 		j.Close()
 	}
 }
 
-// Files are removed once all their entries are too old, and the oldest beyond the bound of all.
+// Files are removed once all their entries are too old, and the oldest files beyond MaxBytes are removed too.
 func TestOldFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, SyncNever)
@@ -118,7 +119,7 @@
 	j, entries, _ := openJournal(t, dir, SyncNever)
 	j.Close()
 	if len(entries) != 2*len(full) || entries[0].At != 13*minute {
-		t.Errorf("%d entries, the first of %d", len(entries), entries[0].At)
+		t.Errorf("%d entries, the first at %d", len(entries), entries[0].At)
 	}
 	j, _, _, err := OpenJournal(dir, SyncNever, 10*minute, defaultFileBytes, func(error) {})
 	if err != nil {
@@ -126,12 +127,12 @@
 	}
 	j.Close()
 	if j, entries, _ = openJournal(t, dir, SyncNever); len(entries) != 0 {
-		t.Errorf("%d entries beyond the bound", len(entries))
+		t.Errorf("%d entries beyond MaxBytes", len(entries))
 	}
 	j.Close()
 }
 
-// BenchmarkJournal measures how long 16 concurrent requests wait for their entries, and how many entries a sync covers.
+// BenchmarkJournal measures how long 16 concurrent requests wait for their entries to be durable, and how many entries a sync covers.
 func BenchmarkJournal(b *testing.B) {
 	for name, sync := range map[string]SyncPolicy{"never": SyncNever, "grouped": SyncGrouped, "each": SyncEach} {
 		b.Run(name, func(b *testing.B) {
@@ -140,7 +141,7 @@
 				b.Fatal(err)
 			}
 			waited := time.Duration(0)
-			begun := time.Now()
+			startedAt := time.Now()
 			n := 0
 			for b.Loop() {
 				batches := make([]*Batch, 16)
@@ -154,7 +155,7 @@
 				waited += time.Since(at)
 				n += len(batches)
 			}
-			b.ReportMetric(float64(n)/time.Since(begun).Seconds(), "entries/s")
+			b.ReportMetric(float64(n)/time.Since(startedAt).Seconds(), "entries/s")
 			b.ReportMetric(float64(waited.Microseconds())/float64(n/16), "us/wait")
 			j.Close()
 			if j.syncCount > 0 {
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -7,27 +7,27 @@
 	"hollymast/control"
 )
 
-// writerState belongs to the journal's writer goroutine, after Open. Batches go from unwritten to unsynced to done; when a file is
-// abandoned those unsynced go back.
+// writerState is used only by the journal's writer goroutine once the journal is open. Batches go from unwritten to unsynced to done; when
+// a file is abandoned, its unsynced batches become unwritten again.
 type writerState struct {
 	file       *journalFile   // nil: none is open
-	lastNumber int            // the highest file number in use
+	lastNumber int            // highest file number used
 	newestAt   control.Micros // time of the newest entry in any file
 
 	unwritten      []*Batch
 	unsynced       []*Batch
-	syncingBatches int // how many of the first unsynced batches the sync under way covers
+	syncingBatches int // how many unsynced batches, counted from the first, the current sync covers
 
-	abandoned   *journalFile // a file given up that alone holds batches reported as written; nil: none
-	rewriting   int          // how many of the first unwritten batches those are
-	leftovers   []int        // numbers of files that hold nothing of use and could not be removed
-	closedFiles []closedFile
+	abandoned    *journalFile // an abandoned file that alone holds some batches reported as written; nil: none
+	rewriteCount int          // how many unwritten batches, counted from the first, are in the abandoned file
+	unremoved    []int        // numbers of files that are no longer needed and could not be removed
+	closedFiles  []closedFile
 
-	backingOff bool // after a failure, until retryTimer fires
+	backingOff bool // set by a failure until retryTimer fires
 	nextDelay  time.Duration
 	retryTimer *time.Timer
 
-	toSync    chan File // holds one
+	toSync    chan File // buffer of one
 	synced    chan error
 	syncCount int
 	buf       []byte
@@ -63,7 +63,7 @@
 	}
 }
 
-// syncFiles is the goroutine that syncs files while the writer goes on. It ends with the writer, which closes toSync.
+// syncFiles is the goroutine that syncs files while the writer continues. It ends when the writer closes toSync.
 func (j *Journal) syncFiles() {
 	for f := range j.toSync {
 		j.synced <- f.Sync()
@@ -81,7 +81,7 @@
 	return j.closed
 }
 
-// flushAndStop writes what is left. Each step that fails is tried once more.
+// flushAndStop writes and syncs the remaining batches. A write or sync that fails is retried once.
 func (j *Journal) flushAndStop() {
 	for range 2 {
 		j.flush()
@@ -98,7 +98,7 @@
 	j.retryTimer.Stop()
 }
 
-// flush writes what is unwritten, and has it synced where the policy says so.
+// flush writes all unwritten batches, and starts a sync if the policy is SyncGrouped.
 func (j *Journal) flush() {
 	if err := j.writeAll(); err != nil {
 		j.handleFailure(err)
@@ -130,15 +130,15 @@
 		if j.unsynced = append(j.unsynced, b); j.Sync != SyncGrouped {
 			j.completeBatches(1)
 		} else {
-			b.release()
+			b.markWritten()
 		}
 		j.releaseAbandoned()
 	}
 	return nil
 }
 
-// rotate begins another file before a batch if this one is full. A batch as old as the last one goes into the same file: two files hold
-// an equal frame only if it was written again, which the reader relies on.
+// rotate begins another file if the current one is full. A batch with no newer time than the last entry still goes into the current file,
+// so that equal frames in two files are always rewrites of each other; the reader relies on this (see countRewrittenFrames).
 func (j *Journal) rotate(next *Batch) error {
 	if j.file.size <= j.MaxFileBytes || newestTime(next.entries) <= j.file.newestAt {
 		return nil
@@ -149,12 +149,12 @@
 	return j.beginFile()
 }
 
-// releaseAbandoned removes the abandoned file once the present one holds all that it alone held.
+// releaseAbandoned removes the abandoned file once all batches that only it held were written again.
 func (j *Journal) releaseAbandoned() {
-	if j.rewriting == 0 {
+	if j.rewriteCount == 0 {
 		return
 	}
-	if j.rewriting--; j.rewriting == 0 {
+	if j.rewriteCount--; j.rewriteCount == 0 {
 		abandoned := j.abandoned
 		j.abandoned = nil
 		j.removeFile(abandoned.number)
@@ -177,7 +177,7 @@
 		j.buf = appendFrame(j.buf[:0], entries)
 		n, err := j.file.Write(j.buf)
 		j.file.size += int64(n)
-		if err != nil { // it may have left half a frame, at which reading ends: nothing may follow in this file
+		if err != nil { // a partial frame may be left, where reading stops: nothing more may be written to this file
 			return err
 		}
 		if j.Sync == SyncEach {
@@ -192,20 +192,20 @@
 	return nil
 }
 
-// completeBatches ends the first n unsynced batches as done.
+// completeBatches marks the first n unsynced batches as done.
 func (j *Journal) completeBatches(n int) {
 	batches := j.unsynced[:n]
 	j.unsynced = j.unsynced[n:]
-	j.file.holdsDone = true
+	j.file.hasCompletedBatches = true
 	j.reduceOutstanding(batches)
 	for _, b := range batches {
-		b.release()
+		b.markWritten()
 		close(b.done)
 	}
 }
 
-// reduceOutstanding subtracts batches from what is outstanding. It comes before they are done: who waited for that may append as much
-// again.
+// reduceOutstanding subtracts batches from the outstanding entries. It must be called before the batches are marked as done, so that
+// whoever waits for them can append as many entries again at once.
 func (j *Journal) reduceOutstanding(batches []*Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -225,8 +225,8 @@
 	j.handleRecovery()
 }
 
-// handleFailure abandons the file and backs off. After a failed sync the kernel may count the pages as clean, so that a later success
-// proves nothing; after a failed write the file may end in half a frame.
+// handleFailure abandons the file and backs off. The file can't be used any more: after a failed sync the kernel may mark the pages as
+// clean, so that a later sync succeeds without writing them, and after a failed write the file may end in a partial frame.
 func (j *Journal) handleFailure(err error) {
 	j.failures.Add(1)
 	if !j.failing.Swap(true) {
@@ -238,7 +238,7 @@
 	j.nextDelay = min(2*j.nextDelay, maxRetryDelayFactor*j.RetryDelay)
 }
 
-// handleRecovery ends a failure once nothing is left to be written or synced.
+// handleRecovery resets the failure status once all batches are written and synced.
 func (j *Journal) handleRecovery() {
 	if j.file == nil || len(j.unwritten)+len(j.unsynced) > 0 {
 		return
--- a/internal/persistence/key_index.go
+++ b/internal/persistence/key_index.go
@@ -4,33 +4,33 @@
 	"hollymast/control"
 )
 
-// IdempotencyKey is the hash of a client's idempotency key and its function, as of record.Tag; 0 is none.
+// IdempotencyKey is a hash (see record.KeyedHash) of a client's idempotency key and the function; 0 means none.
 type IdempotencyKey uint64
 
 // SentAttempt is an attempt that may have run.
 type SentAttempt struct {
 	Server control.ServerID
-	At     control.Micros // when it was chosen, no later than it was sent
+	At     control.Micros // when the server was chosen: no later than the attempt was sent
 }
 
-// indexedAttempt is an attempt with the latest time at which it can have been sent, from which it is remembered.
+// indexedAttempt is an attempt with the latest time at which it can have been sent; its retention is counted from then.
 type indexedAttempt struct {
 	SentAttempt
 	latestAt control.Micros
 }
 
-// KeyIndex knows which attempts of keyed requests may have run, so that a client's retry is judged by what this incarnation and
-// earlier ones sent. It does no I/O, reads no clock, and is not safe for use by several goroutines.
+// KeyIndex holds the attempts of requests with an idempotency key that may have run, so that a client's retry can be checked against what
+// this and earlier incarnations sent. It does no I/O, reads no clock, and is not safe for concurrent use.
 type KeyIndex struct {
 	retention control.Micros
 	maxKeys   int
 	attempts  map[IdempotencyKey][]indexedAttempt
-	order     []IdempotencyKey // by their first attempt
-	first     int              // index in order; the keys before it are forgotten
-	Evicted   int              // keys forgotten before their time, at the bound
+	order     []IdempotencyKey // in the order of their first attempts
+	head      int              // index of the first key in order that is not removed
+	Evicted   int              // number of keys removed before the end of their retention because of maxKeys
 }
 
-// NewKeyIndex returns an index that remembers each key for a time after its last attempt, and no more than a number of keys.
+// NewKeyIndex returns an index that keeps each key for the retention after its last attempt, and at most maxKeys keys.
 func NewKeyIndex(retention control.Micros, maxKeys int) *KeyIndex {
 	return &KeyIndex{retention: retention, maxKeys: maxKeys, attempts: map[IdempotencyKey][]indexedAttempt{}}
 }
@@ -46,8 +46,8 @@
 	x.attempts[key] = append(attempts, indexedAttempt{a, latestAt})
 }
 
-// RemoveNotRun removes an attempt that is proven not to have run. Of several to one server it is the last one, since they are made
-// one after another.
+// RemoveNotRun removes an attempt that is proven not to have run. If there are several attempts at the server it removes the last one,
+// since they are made one after another.
 func (x *KeyIndex) RemoveNotRun(key IdempotencyKey, server control.ServerID) {
 	attempts := x.attempts[key]
 	for i := len(attempts) - 1; i >= 0; i-- {
@@ -58,8 +58,8 @@
 	}
 }
 
-// MayHaveRun returns a key's attempts that may have run, first to last. An attempt in the future is of a clock that was set back. How
-// long ago it was can't be told, so it counts as beyond every retry window.
+// MayHaveRun returns a key's attempts that may have run, first to last. If the time of an attempt is in the future, the clock was set
+// back; since its age is unknown, its time is returned as 0, which is outside every retry window.
 func (x *KeyIndex) MayHaveRun(now control.Micros, key IdempotencyKey) []SentAttempt {
 	var attempts []SentAttempt
 	for _, a := range x.attempts[key] {
@@ -71,22 +71,22 @@
 	return attempts
 }
 
-// Len returns the number of keys known.
+// Len returns the number of keys.
 func (x *KeyIndex) Len() int { return len(x.attempts) }
 
-// pruneBatch is how many keys a call of Prune looks at: called once a second, it forgets more than a gateway admits.
+// pruneBatch is how many keys a call of Prune examines. Called once per second, Prune removes keys faster than a gateway admits them.
 const pruneBatch = 4096
 
-// Prune forgets keys that are older than the retention, a part of them with each call, and the oldest beyond the bound.
+// Prune removes keys older than the retention, and the oldest keys beyond maxKeys. Each call examines pruneBatch keys at most.
 func (x *KeyIndex) Prune(now control.Micros) {
-	for range min(pruneBatch, len(x.order)-x.first) {
-		key := x.order[x.first]
+	for range min(pruneBatch, len(x.order)-x.head) {
+		key := x.order[x.head]
 		attempts := x.attempts[key]
 		if n := len(attempts); n > 0 && now < attempts[n-1].latestAt+x.retention {
 			if len(x.attempts) <= x.maxKeys {
-				if now >= attempts[0].latestAt+x.retention { // there was another attempt since: the key moves to the end
+				if now >= attempts[0].latestAt+x.retention { // later attempts are still within the retention: move the key to the end
 					x.order = append(x.order, key)
-					x.first++
+					x.head++
 					continue
 				}
 				break
@@ -94,10 +94,10 @@
 			x.Evicted++
 		}
 		delete(x.attempts, key)
-		x.first++
+		x.head++
 	}
-	if x.first > len(x.order)/2 {
-		x.order = append(x.order[:0:0], x.order[x.first:]...)
-		x.first = 0
+	if x.head > len(x.order)/2 {
+		x.order = append(x.order[:0:0], x.order[x.head:]...)
+		x.head = 0
 	}
 }
--- a/internal/persistence/lock.go
+++ b/internal/persistence/lock.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Lock takes a directory for this process until it ends, however it ends, and makes the directory where there is none. The error says
-// that another process has it, or that it can't be written to.
+// Lock takes an exclusive lock on a directory and creates the directory if needed. The operating system releases the lock when the
+// process ends in any way. Lock fails if another process holds the lock or the directory can't be written to.
 func Lock(dir string) (unlock func(), err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
--- a/internal/persistence/process_test.go
+++ b/internal/persistence/process_test.go
@@ -15,7 +15,7 @@
 	"hollymast/control"
 )
 
-// TestMain runs the tests, or, in a process started by TestKilledWriters, writes until it is killed.
+// TestMain runs the tests or, in a process started by TestKilledWriters, writes until it is killed.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("HOLLYMAST_TEST_WRITE")
 	if dir == "" {
@@ -50,17 +50,17 @@
 	}
 }
 
-// Writers killed at random moments leave an intact generation, no older than the last that they reported, and a journal with all that
-// they reported as durable.
+// A writer process killed at a random moment leaves an intact generation, no older than the last one it reported, and a journal with
+// everything that it reported as durable.
 func TestKilledWriters(t *testing.T) {
 	kills := 50
 	if n, err := strconv.Atoi(os.Getenv("HOLLYMAST_KILLS")); err == nil {
 		kills = n
 	}
 	dir := t.TempDir()
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	temporaryDir := t.TempDir()
-	last, before := 0, 0
+	last, previous := 0, 0
 	written := map[IdempotencyKey]bool{}
 	for i := range kills {
 		cmd := exec.Command(os.Args[0])
@@ -73,14 +73,14 @@
 			t.Fatal(err)
 		}
 		lines := bufio.NewScanner(out)
-		for read, after := 0, 1+chance.IntN(4); lines.Scan(); read++ {
+		for read, killAfter := 0, 1+random.IntN(4); lines.Scan(); read++ {
 			n, err := strconv.Atoi(strings.TrimSpace(lines.Text()))
 			if err != nil {
-				t.Fatalf("kill %d: the writer says %q", i, lines.Text())
+				t.Fatalf("kill %d: the writer printed %q", i, lines.Text())
 			}
 			written[IdempotencyKey(n)] = true
-			if last = max(last, n); read+1 == after { // some generations on, at any moment of the next ones
-				time.Sleep(time.Duration(chance.IntN(3000)) * time.Microsecond)
+			if last = max(last, n); read+1 == killAfter { // kill while one of the following generations is written
+				time.Sleep(time.Duration(random.IntN(3000)) * time.Microsecond)
 				cmd.Process.Kill()
 			}
 		}
@@ -91,10 +91,10 @@
 		}
 		if result.State != nil {
 			version, ok := stateVersion(result.State)
-			if !ok || version < last || version > max(last, before)+1 {
-				t.Fatalf("kill %d: got %d after %d, whole %t", i, version, last, ok)
+			if !ok || version < last || version > max(last, previous)+1 {
+				t.Fatalf("kill %d: got version %d after %d, intact %t", i, version, last, ok)
 			}
-			before = version // perhaps one that its writer could not report any more
+			previous = version // its writer may have been killed before it could report it
 		}
 	}
 	journal, entries, _, err := OpenJournal(dir, SyncNever, 1<<40, 1<<30, func(error) {})
@@ -102,23 +102,23 @@
 		t.Fatal(err)
 	}
 	journal.Close()
-	in := map[IdempotencyKey]bool{}
+	found := map[IdempotencyKey]bool{}
 	for _, e := range entries {
-		in[e.Key] = true
+		found[e.Key] = true
 	}
 	for version := range written {
-		if !in[version] {
-			t.Fatalf("the journal lacks %d of %d", version, last)
+		if !found[version] {
+			t.Fatalf("the journal lacks version %d of %d", version, last)
 		}
 	}
-	left, err := filepath.Glob(filepath.Join(dir, "*memory*"))
+	remaining, err := filepath.Glob(filepath.Join(dir, "*memory*"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if hidden, err := os.ReadDir(temporaryDir); err != nil || len(hidden) > 0 || len(left) > len(GenerationFiles)+1 {
-		t.Errorf("%d kills left %d files elsewhere, and %q, %v", kills, len(hidden), left, err)
+	if temporaryFiles, err := os.ReadDir(temporaryDir); err != nil || len(temporaryFiles) > 0 || len(remaining) > len(GenerationFiles)+1 {
+		t.Errorf("%d kills left %d files in the temporary directory, and %q, %v", kills, len(temporaryFiles), remaining, err)
 	}
 	if last < kills {
-		t.Errorf("only %d generations in %d processes", last, kills)
+		t.Errorf("only %d generations written by %d processes", last, kills)
 	}
 }
--- a/internal/persistence/rebase.go
+++ b/internal/persistence/rebase.go
@@ -6,49 +6,49 @@
 	"hollymast/control"
 )
 
-// ConvertTimes converts a state's times to those of this incarnation, whose time is now. Where the two clocks can't be compared, what limits
-// us counts as of now, and what permits something, or is worth something only while it is fresh, is dropped. When a server started is
-// told by other clocks and stays.
+// ConvertTimes converts a state's times to those of this incarnation, whose time is now. If the two clocks can't be compared, times that
+// restrict the gateway are set to now, and those that permit something or are useful only while recent are dropped. The start times of
+// servers are unchanged, since they come from other clocks.
 func (s *State) ConvertTimes(clock Clock, now control.Micros) {
 	earlier := Clock{}
 	if s.Clock != nil {
 		earlier = *s.Clock
 	}
-	offset, known := clock.aheadOf(earlier)
+	offset, known := clock.offsetFrom(earlier)
 	if !known || s.Learned.SavedAt+offset > now {
-		forgetTimes(s.Learned, now)
+		resetTimes(s.Learned, now)
 		return
 	}
 	ShiftTimes(s.Learned, offset)
 }
 
-// forgetTimes has a state's limits count as of now and drops what depends on a known time.
-func forgetTimes(m *control.LearnedState, now control.Micros) {
-	m.SavedAt, m.StartedAt, m.Admitted, m.Answers = 0, 0, nil, nil
-	m.LoadCommands = slices.Repeat([]control.Micros{now}, len(m.LoadCommands))
-	for i := range m.Servers {
-		m.Servers[i].SlowStartSends = slices.Repeat([]control.Micros{now}, len(m.Servers[i].SlowStartSends))
+// resetTimes sets the times that restrict the gateway to now and drops the others.
+func resetTimes(learned *control.LearnedState, now control.Micros) {
+	learned.SavedAt, learned.StartedAt, learned.Admitted, learned.Answers = 0, 0, nil, nil
+	learned.LoadCommands = slices.Repeat([]control.Micros{now}, len(learned.LoadCommands))
+	for i := range learned.Servers {
+		learned.Servers[i].SlowStartSends = slices.Repeat([]control.Micros{now}, len(learned.Servers[i].SlowStartSends))
 	}
 }
 
-// ShiftTimes adds an offset, in microseconds, to each time of a learned state but those at which servers started, which other
-// clocks tell; one from before the clock's zero becomes 0.
-func ShiftTimes(m *control.LearnedState, offset control.Micros) {
+// ShiftTimes adds an offset to all times of a learned state except the start times of servers, which come from other clocks. A time that
+// would become negative becomes 0.
+func ShiftTimes(learned *control.LearnedState, offset control.Micros) {
 	shift := func(t *control.Micros) { *t = max(0, *t+offset) }
 	shiftAll := func(times []control.Micros) {
 		for i := range times {
 			shift(&times[i])
 		}
 	}
-	shift(&m.SavedAt)
-	shift(&m.StartedAt)
-	for _, times := range [][]control.Micros{m.QuotaDebt, m.LoadCommands, m.Admitted, m.Answers} {
+	shift(&learned.SavedAt)
+	shift(&learned.StartedAt)
+	for _, times := range [][]control.Micros{learned.QuotaDebt, learned.LoadCommands, learned.Admitted, learned.Answers} {
 		shiftAll(times)
 	}
-	for i := range m.Servers {
-		shiftAll(m.Servers[i].SlowStartSends)
+	for i := range learned.Servers {
+		shiftAll(learned.Servers[i].SlowStartSends)
 	}
-	for _, f := range m.Functions {
+	for _, f := range learned.Functions {
 		for i := range f.Instances {
 			shift(&f.Instances[i].LastUsed)
 			shift(&f.Instances[i].LoadingSince)
--- a/internal/persistence/rebase_test.go
+++ b/internal/persistence/rebase_test.go
@@ -8,54 +8,55 @@
 	"hollymast/control"
 )
 
-// A state's times are converted within a boot. Else what limits us counts as of now, and the rest is dropped.
+// A state's times are converted if it was saved during the same boot. Otherwise those that restrict the gateway are set to now, and the
+// others are dropped.
 func TestStateOfAnotherClock(t *testing.T) {
-	of := func() *State {
-		k := testState(1000)
-		k.Learned.LoadCommands, k.Learned.Admitted, k.Learned.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
-		k.Learned.Servers[0].SlowStartSends, k.Learned.Servers[0].StartedAt = []control.Micros{930}, 5
-		k.Clock = &Clock{7, 100}
-		return k
+	newState := func() *State {
+		state := testState(1000)
+		state.Learned.LoadCommands, state.Learned.Admitted, state.Learned.Answers = []control.Micros{900}, []control.Micros{910}, []control.Micros{920}
+		state.Learned.Servers[0].SlowStartSends, state.Learned.Servers[0].StartedAt = []control.Micros{930}, 5
+		state.Clock = &Clock{7, 100}
+		return state
 	}
-	read := func(k *State) *State {
+	reencode := func(state *State) *State {
 		t.Helper()
-		b, err := Encode(k)
+		b, err := Encode(state)
 		if err == nil {
-			k, err = Decode(b)
+			state, err = Decode(b)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		return k
+		return state
 	}
-	k := read(of())
-	k.ConvertTimes(Clock{7, 3600e6 + 100}, 3600e6+2000) // the clock was set an hour ahead, and 1 ms has passed
-	m := k.Learned
-	if m.SavedAt != 3600e6+1000 || m.LoadCommands[0] != 3600e6+900 || m.Admitted[0] != 3600e6+910 || m.Answers[0] != 3600e6+920 ||
-		m.Servers[0].SlowStartSends[0] != 3600e6+930 || m.Servers[0].StartedAt != 5 || m.Functions[0].Instances[0].LastUsed != 3600e6+1000 {
-		t.Errorf("within a boot: %+v", m)
+	state := reencode(newState())
+	state.ConvertTimes(Clock{7, 3600e6 + 100}, 3600e6+2000) // the clock was set an hour ahead, and 1 ms has passed
+	learned := state.Learned
+	if learned.SavedAt != 3600e6+1000 || learned.LoadCommands[0] != 3600e6+900 || learned.Admitted[0] != 3600e6+910 || learned.Answers[0] != 3600e6+920 ||
+		learned.Servers[0].SlowStartSends[0] != 3600e6+930 || learned.Servers[0].StartedAt != 5 || learned.Functions[0].Instances[0].LastUsed != 3600e6+1000 {
+		t.Errorf("within a boot: %+v", learned)
 	}
-	unknown := of()
+	unknown := newState()
 	unknown.Clock = nil
-	late := of()
-	late.Clock.Offset = -1e9 // the state would be of the future
-	for name, k := range map[string]*State{"another boot": {Learned: of().Learned, Clock: &Clock{8, 100}},
-		"no clock": read(unknown), "of the future": late} {
-		k.ConvertTimes(Clock{7, 100}, 5000)
-		if m := k.Learned; m.SavedAt != 0 || !slices.Equal(m.LoadCommands, []control.Micros{5000}) ||
-			len(m.Admitted)+len(m.Answers) > 0 || !slices.Equal(m.Servers[0].SlowStartSends, []control.Micros{5000}) {
-			t.Errorf("%s: %+v", name, m)
+	fromFuture := newState()
+	fromFuture.Clock.Offset = -1e9 // would convert the state's times into the future
+	for name, state := range map[string]*State{"another boot": {Learned: newState().Learned, Clock: &Clock{8, 100}},
+		"no clock": reencode(unknown), "of the future": fromFuture} {
+		state.ConvertTimes(Clock{7, 100}, 5000)
+		if learned := state.Learned; learned.SavedAt != 0 || !slices.Equal(learned.LoadCommands, []control.Micros{5000}) ||
+			len(learned.Admitted)+len(learned.Answers) > 0 || !slices.Equal(learned.Servers[0].SlowStartSends, []control.Micros{5000}) {
+			t.Errorf("%s: %+v", name, learned)
 		}
 	}
 	b, err := os.ReadFile("testdata/format1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k, err = Decode(b); err != nil || k.Clock != nil {
+	if state, err = Decode(b); err != nil || state.Clock != nil {
 		t.Fatal(err)
 	}
-	k.ConvertTimes(Clock{7, 100}, 5000)
-	if k.Learned.SavedAt != 0 || len(k.Learned.Functions) < 10 {
-		t.Errorf("an older file: %+v", k.Learned)
+	state.ConvertTimes(Clock{7, 100}, 5000)
+	if state.Learned.SavedAt != 0 || len(state.Learned.Functions) < 10 {
+		t.Errorf("an older file: %+v", state.Learned)
 	}
 }
--- a/internal/persistence/recovery.go
+++ b/internal/persistence/recovery.go
@@ -7,28 +7,28 @@
 	"hollymast/control"
 )
 
-// RecoveredEntries is what the journals of earlier incarnations hold, in this incarnation's time.
+// RecoveredEntries are the journal entries of earlier incarnations, in this incarnation's time.
 type RecoveredEntries struct {
 	Entries      []Entry
-	UntimedCount int // how many of the first entries have no known time: they were made now at the latest
+	UntimedCount int // how many of the entries, counted from the first, have unknown times: Now at the latest
 	Now          control.Micros
 }
 
-// Recovered returns entries that were read at the start, with what is known of their times.
+// Recovered returns the entries that Open read, with what is known of their times.
 func (j *Journal) Recovered(entries []Entry) RecoveredEntries {
-	return RecoveredEntries{entries, j.uncertain, j.Now}
+	return RecoveredEntries{entries, j.untimedCount, j.Now}
 }
 
-// ApplyEntries is Recovered.Apply of entries whose times are known.
+// ApplyEntries is RecoveredEntries.Apply for entries whose times are all known.
 func ApplyEntries(state *control.LearnedState, entries []Entry, retention control.Micros, maxKeys int) *KeyIndex {
 	return RecoveredEntries{Entries: entries}.Apply(state, retention, maxKeys)
 }
 
-// Apply adds to a learned state what was sent after it was saved: attempts to servers in slow start, load commands and admitted
-// requests. Where there is no saved state, it takes an empty one. The index returned knows the attempts of keyed requests.
+// Apply adds to a learned state what happened after it was saved: attempts to servers in slow start, load commands and admitted
+// requests. If there is no saved state, pass an empty one. The returned index holds the attempts of requests with an idempotency key.
 //
-// Of entries whose time is unknown, those that limit us count as of now and those that permit something are dropped. An attempt
-// that may have run is beyond every retry window, and is remembered as long as if it were sent now.
+// Entries with unknown times are treated as sent now if they restrict the gateway, and dropped if they permit something. An attempt that
+// may have run counts as outside every retry window, and is kept in the index as long as if it had been sent now.
 func (r RecoveredEntries) Apply(state *control.LearnedState, retention control.Micros, maxKeys int) *KeyIndex {
 	index := NewKeyIndex(retention, maxKeys)
 	for i, e := range r.Entries {
--- a/internal/persistence/recovery_test.go
+++ b/internal/persistence/recovery_test.go
@@ -7,7 +7,7 @@
 	"hollymast/control"
 )
 
-// A state holds what was sent before it was saved; the journal adds what came after, once.
+// The state holds what was sent before it was saved; Apply adds from the journal only what came later, and adds it once.
 func TestApplyAddsWhatTheStateLacks(t *testing.T) {
 	state := &control.LearnedState{SavedAt: 100, LoadCommands: []control.Micros{90},
 		Servers: []control.LearnedServer{{Server: 5, SlowStartSends: []control.Micros{95}}}}
@@ -20,6 +20,6 @@
 		t.Errorf("got %+v", state)
 	}
 	if len(index.MayHaveRun(200, 9)) != 1 || len(index.MayHaveRun(200, 11)) != 0 {
-		t.Error("the index is not as the journal says")
+		t.Error("the index does not match the journal")
 	}
 }
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -6,26 +6,26 @@
 	"io/fs"
 )
 
-// GenerationFiles are the names of the two generations. Each write replaces the older.
+// GenerationFiles are the file names of the two generations. Each write replaces the older one.
 var GenerationFiles = [2]string{"memory-a", "memory-b"}
 
-// Store writes generations of a state. It is not safe for use by several goroutines.
+// Store writes generations of a state. It is not safe for concurrent use.
 type Store struct {
 	files          FileStore
 	owner          Owner
 	generation     uint64
-	LastWriteBytes int // size of the last write
+	LastWriteBytes int // size of the last generation written
 }
 
-// OpenResult is what was found in a directory.
+// OpenResult is what OpenStore found in a directory.
 type OpenResult struct {
-	State    *State   // nil: none that may be used
+	State    *State   // nil: no usable state
 	Warnings []string // for operators
-	Writable bool     // whether the directory may be written to
+	Writable bool     // whether the store may write to the directory
 }
 
-// OpenStore reads both generations and takes the newest that is intact and of this owner. Nothing in the directory is an error, since
-// a gateway starts in any case. Files of a newer version or of another gateway are left alone, and nothing is written beside them.
+// OpenStore reads both generations and returns the newest that is intact and belongs to the owner. It returns no error, since a gateway
+// starts whatever is in the directory. If a file was written by a newer version or by another gateway, the directory isn't Writable.
 func OpenStore(files FileStore, owner Owner) (*Store, OpenResult) {
 	s := &Store{files: files, owner: owner}
 	result := OpenResult{Writable: true}
@@ -41,7 +41,7 @@
 	return s, result
 }
 
-// readGeneration reads a file and adds what it holds to the result.
+// readGeneration reads one file and merges it into the result.
 func (s *Store) readGeneration(name string, result *OpenResult) {
 	var b []byte
 	err := RetryTransient(initialRetryDelay, func() (err error) { b, err = s.files.Read(name); return err })
@@ -55,21 +55,21 @@
 	switch {
 	case errors.Is(err, ErrNewerVersion):
 		result.Writable = false
-		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: left unchanged, nothing is stored", name, err))
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: left unchanged, no state is saved", name, err))
 	case err != nil:
 		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: ignored", name, err))
 	case state.Owner.Router != s.owner.Router:
 		result.Writable = false
-		result.Warnings = append(result.Warnings, fmt.Sprintf("%s is of router %d: left unchanged, nothing is stored", name, state.Owner.Router))
+		result.Warnings = append(result.Warnings, fmt.Sprintf("%s belongs to router %d: left unchanged, no state is saved", name, state.Owner.Router))
 	case state.Owner != s.owner:
-		result.Warnings = append(result.Warnings, name+" is of other workloads, tenants or name_key: ignored")
+		result.Warnings = append(result.Warnings, name+" was written for other workloads, tenants or name_key: ignored")
 		s.generation = max(s.generation, state.Generation)
 	case result.State == nil || state.Generation > result.State.Generation:
 		result.State = state
 	}
 }
 
-// Write writes the next generation over the older one. It sets the state's owner and generation.
+// Write sets the state's owner and generation and writes it over the older of the two files.
 func (s *Store) Write(state *State) error {
 	s.generation++
 	state.Owner, state.Generation = s.owner, s.generation
--- a/internal/persistence/store_crash_test.go
+++ b/internal/persistence/store_crash_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// After a kill or a power cut at each call of writing the state, or with each call failing for a while, the last generation that was
-// reported as written, or a later one, is intact, and one temporary file is left at most.
+// After a kill or a power failure at any file system call while the state is written, or with calls failing for a while, the last
+// generation that was reported as written or a later one is intact, and at most one temporary file is left.
 func TestStoreWithEachCallFailing(t *testing.T) {
-	bad := 0
+	failureCount := 0
 	for at := 1; at < 45; at++ {
-		for _, long := range []int{1, 9} {
-			for _, f := range []fault{failsBefore, failsHalfway, killedBefore, killedHalf, killedAfter} {
-				for _, sparing := range []string{"", "remove", "rename"} { // calls that do not fail
+		for _, failingCalls := range []int{1, 9} {
+			for _, f := range []fault{failsBefore, failsPartway, killedBefore, killedPartway, killedAfter} {
+				for _, exempt := range []string{"", "remove", "rename"} { // calls that do not fail
 					disk := newFaultFS(func(n int, call, _ string) fault {
-						if n >= at && n < at+long && call != sparing && call != "read" {
+						if n >= at && n < at+failingCalls && call != exempt && call != "read" {
 							return f
 						}
 						return noFault
@@ -33,9 +33,9 @@
 						if result.State != nil {
 							version, ok = stateVersion(result.State)
 						}
-						if !ok || version < written || len(disk.names) > 3 || f < killedBefore && at+long+6 < disk.calls && written < 6 {
-							if bad++; bad < 5 {
-								t.Errorf("call %d, %d times (%d, but %q), %+v: got %d, written %d; %s", at, long, f, sparing, c, version, written, disk)
+						if !ok || version < written || len(disk.names) > 3 || f < killedBefore && at+failingCalls+6 < disk.calls && written < 6 {
+							if failureCount++; failureCount < 5 {
+								t.Errorf("call %d, %d times (%d, but %q), %+v: got %d, written %d; %s", at, failingCalls, f, exempt, c, version, written, disk)
 							}
 						}
 					}
@@ -43,12 +43,12 @@
 			}
 		}
 	}
-	if bad > 0 {
-		t.Errorf("%d cases failed", bad)
+	if failureCount > 0 {
+		t.Errorf("%d cases failed", failureCount)
 	}
 }
 
-// A state that can't be read for a moment at a start is read.
+// During startup, a state file that can't be read for a short time is read by a retry.
 func TestStoreThatCannotBeReadAtStart(t *testing.T) {
 	disk := newFaultFS(func(n int, call, _ string) fault {
 		if call == "read" && n < 20 && n%3 > 0 {
--- a/internal/persistence/store_test.go
+++ b/internal/persistence/store_test.go
@@ -10,21 +10,21 @@
 
 var testOwner = Owner{Router: 1, Deployment: 7}
 
-// testItems is how many servers and functions a test state holds: few, since it is cut at every byte.
+// testItems is how many servers and functions a test state holds. It is small because a test truncates the file at every byte.
 const testItems = 4
 
-// testState returns a state in which every figure is its version, so that a mixture of two would show.
+// testState returns a state in which every value is the version, so that a mixture of two versions can be detected.
 func testState(version int) *State {
-	m := &control.LearnedState{SavedAt: control.Micros(version), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(version)}}
+	learned := &control.LearnedState{SavedAt: control.Micros(version), StartedAt: 1, QuotaDebt: []control.Micros{control.Micros(version)}}
 	for i := range testItems {
-		m.Servers = append(m.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(version)})
-		m.Functions = append(m.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2,
+		learned.Servers = append(learned.Servers, control.LearnedServer{Server: control.ServerID(i + 1), StartedAt: control.Micros(version)})
+		learned.Functions = append(learned.Functions, control.LearnedFunction{ID: control.FunctionID(i), Lanes: 2,
 			Instances: []control.LearnedInstance{{Server: 1, Replicas: 1, LastUsed: control.Micros(version)}}})
 	}
-	return &State{Owner: testOwner, Learned: m}
+	return &State{Owner: testOwner, Learned: learned}
 }
 
-// stateVersion returns the version of a test state, and whether all of it is of that version.
+// stateVersion returns the version of a test state, and whether all its values are of that version.
 func stateVersion(state *State) (version int, ok bool) {
 	m := state.Learned.SavedAt
 	ok = len(state.Learned.Servers) == testItems && len(state.Learned.Functions) == testItems && state.Learned.QuotaDebt[0] == m
@@ -34,10 +34,10 @@
 	return int(m), ok
 }
 
-// tornStore breaks off within a write, in all ways in which a file system may that reorders what was not synced.
+// tornStore simulates a write that is interrupted on a file system that may reorder unsynced writes.
 type tornStore struct {
-	files   map[string][]byte
-	remains func(old, new []byte) []byte // of the file being replaced; nil: the write succeeds
+	files map[string][]byte
+	tear  func(old, new []byte) []byte // returns what is left of the file being replaced; nil: the write succeeds
 }
 
 func (d *tornStore) Read(name string) ([]byte, error) {
@@ -48,17 +48,17 @@
 }
 
 func (d *tornStore) Replace(name string, b []byte) error {
-	if d.remains == nil {
+	if d.tear == nil {
 		d.files[name] = b
 		return nil
 	}
-	if d.files[name] = d.remains(d.files[name], b); d.files[name] == nil {
+	if d.files[name] = d.tear(d.files[name], b); d.files[name] == nil {
 		delete(d.files, name)
 	}
-	return errors.New("power cut")
+	return errors.New("power failure")
 }
 
-// Whatever is left of a write that was cut off at any point, the last intact generation is found.
+// Whatever an interrupted write leaves of its file, the last intact generation is found.
 func TestTornWrites(t *testing.T) {
 	full, err := Encode(testState(4))
 	if err != nil {
@@ -88,50 +88,50 @@
 					t.Fatal(err)
 				}
 			}
-			store.remains = left
+			store.tear = left
 			s.Write(testState(4))
 			_, result := OpenStore(store, testOwner)
 			if result.State == nil {
 				t.Fatalf("%s at %d: nothing found", name, cut)
 			}
 			if version, ok := stateVersion(result.State); !ok || version < 3 {
-				t.Fatalf("%s at %d: got %d, whole %t", name, cut, version, ok)
+				t.Fatalf("%s at %d: got version %d, intact %t", name, cut, version, ok)
 			}
 		}
 	}
 }
 
-// What is not ours, or not for us, is neither used nor written over.
+// Files of a newer version or of another router are neither used nor overwritten.
 func TestForeignFilesAreLeftAlone(t *testing.T) {
-	newer := withChecksum(Version+1, []byte{0xa0})
-	other, err := Encode(&State{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Learned: &control.LearnedState{}})
+	newerVersion := withChecksum(Version+1, []byte{0xa0})
+	otherRouter, err := Encode(&State{Owner: Owner{Router: 2, Deployment: 7}, Generation: 9, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: &control.LearnedState{}})
+	valid, err := Encode(&State{Owner: testOwner, Generation: 3, Learned: &control.LearnedState{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, b := range map[string][]byte{"newer": newer, "another router's": other} {
-		d := &tornStore{files: map[string][]byte{GenerationFiles[0]: b, GenerationFiles[1]: good}}
-		if _, result := OpenStore(d, testOwner); result.State != nil || result.Writable || len(result.Warnings) != 1 {
+	for name, b := range map[string][]byte{"newer": newerVersion, "another router's": otherRouter} {
+		store := &tornStore{files: map[string][]byte{GenerationFiles[0]: b, GenerationFiles[1]: valid}}
+		if _, result := OpenStore(store, testOwner); result.State != nil || result.Writable || len(result.Warnings) != 1 {
 			t.Errorf("%s: got %+v", name, result)
 		}
 	}
 }
 
-// The state of another deployment is not used, and is replaced by ours.
+// The state of another deployment is not used, and is overwritten.
 func TestOtherDeploymentStartsEmpty(t *testing.T) {
-	d := &tornStore{files: map[string][]byte{}}
-	s, _ := OpenStore(d, Owner{Router: 1, Deployment: 8})
+	store := &tornStore{files: map[string][]byte{}}
+	s, _ := OpenStore(store, Owner{Router: 1, Deployment: 8})
 	s.Write(testState(1))
 	s.Write(testState(2))
-	s, result := OpenStore(d, testOwner)
+	s, result := OpenStore(store, testOwner)
 	if result.State != nil || !result.Writable || len(result.Warnings) != 2 {
 		t.Errorf("got %+v", result)
 	}
 	s.Write(testState(3))
-	if _, result = OpenStore(d, testOwner); result.State == nil || result.State.Learned.SavedAt != 3 || result.State.Generation != 3 {
+	if _, result = OpenStore(store, testOwner); result.State == nil || result.State.Learned.SavedAt != 3 || result.State.Generation != 3 {
 		t.Errorf("got %+v", result)
 	}
 }
--- a/internal/persistence/stored_form_test.go
+++ b/internal/persistence/stored_form_test.go
@@ -16,7 +16,7 @@
 	return err
 }
 
-// What gateways in service have stored is read, and written in the same form. memory-2 is by one that knew of no clock.
+// Files stored by earlier builds can be read, and are written in the same form. memory-2 is from a build without Clock.
 func TestStoredForm(t *testing.T) {
 	state := &State{}
 	golden.CheckType(t, "memory-2-clock", state, encodeState, decodeState)
--- a/internal/persistence/validation.go
+++ b/internal/persistence/validation.go
@@ -7,13 +7,13 @@
 	"hollymast/control"
 )
 
-// Ranges of values. A value outside them was written by no gateway, whatever the checksum says.
+// Upper limits of stored values. A file with larger values is corrupt, even if its checksum is correct.
 const (
-	maxTime  = control.Micros(1) << 60 // some 36 000 years
-	maxCount = 1 << 20                 // of replicas, loads, lanes and requests: more than any fleet has
+	maxTime  = control.Micros(1) << 60 // about 36 000 years
+	maxCount = 1 << 20                 // of replicas, loads, lanes and requests: more than in any fleet
 )
 
-func timesValid(times ...control.Micros) bool {
+func areTimesValid(times ...control.Micros) bool {
 	for _, t := range times {
 		if t < 0 || t > maxTime {
 			return false
@@ -22,7 +22,7 @@
 	return true
 }
 
-func countsValid(counts ...int) bool {
+func areCountsValid(counts ...int) bool {
 	for _, n := range counts {
 		if n < 0 || n > maxCount {
 			return false
@@ -31,29 +31,29 @@
 	return true
 }
 
-// validate checks the ranges and the order that control relies on. It guards against a file whose checksum is right and whose content
-// is not, such as one by a build with a fault.
-func validate(m *control.LearnedState) error {
-	if m == nil {
-		return errors.New("nothing in it")
+// validate checks the value ranges and the ordering that package control relies on. It rejects files with a correct checksum but invalid
+// content, such as those written by a faulty build.
+func validate(learned *control.LearnedState) error {
+	if learned == nil {
+		return errors.New("no learned state")
 	}
-	if !timesValid(m.SavedAt, m.StartedAt) || !timesValid(m.QuotaDebt...) || !timesValid(m.LoadCommands...) || !timesValid(m.Admitted...) ||
-		!timesValid(m.Answers...) {
-		return errors.New("a figure is out of its range")
+	if !areTimesValid(learned.SavedAt, learned.StartedAt) || !areTimesValid(learned.QuotaDebt...) ||
+		!areTimesValid(learned.LoadCommands...) || !areTimesValid(learned.Admitted...) || !areTimesValid(learned.Answers...) {
+		return errors.New("a time is out of range")
 	}
-	if err := validateServers(m.Servers); err != nil {
+	if err := validateServers(learned.Servers); err != nil {
 		return err
 	}
-	return validateFunctions(m.Functions)
+	return validateFunctions(learned.Functions)
 }
 
 func validateServers(servers []control.LearnedServer) error {
 	for i, s := range servers {
 		if i > 0 && servers[i-1].Server >= s.Server {
-			return errors.New("servers are not in ascending order")
+			return errors.New("servers are not in ascending order of their ids")
 		}
-		if !timesValid(s.StartedAt) || !timesValid(s.SlowStartSends...) {
-			return fmt.Errorf("server %x: a figure is out of its range", s.Server)
+		if !areTimesValid(s.StartedAt) || !areTimesValid(s.SlowStartSends...) {
+			return fmt.Errorf("server %x: a time is out of range", s.Server)
 		}
 	}
 	return nil
@@ -62,13 +62,13 @@
 func validateFunctions(functions []control.LearnedFunction) error {
 	seen := make(map[control.FunctionID]bool, len(functions))
 	for _, f := range functions {
-		if seen[f.ID] || !countsValid(f.Lanes) {
-			return fmt.Errorf("function %x: twice, or a figure out of its range", f.ID)
+		if seen[f.ID] || !areCountsValid(f.Lanes) {
+			return fmt.Errorf("function %x: duplicate, or number of lanes out of range", f.ID)
 		}
 		seen[f.ID] = true
 		for _, i := range f.Instances {
-			if !countsValid(i.Replicas, i.Loading) || !timesValid(i.LastUsed, i.LoadingSince) {
-				return fmt.Errorf("function %x: a figure is out of its range", f.ID)
+			if !areCountsValid(i.Replicas, i.Loading) || !areTimesValid(i.LastUsed, i.LoadingSince) {
+				return fmt.Errorf("function %x: a value of an instance is out of range", f.ID)
 			}
 		}
 	}
