--- a/internal/record/command.go
+++ b/internal/record/command.go
@@ -6,10 +6,10 @@
 	"hollymast/control"
 )
 
-// CommandKind is what a Command does.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
-// The kinds of commands. Their numbers are stored.
+// The kinds of commands. Their numbers are stored and must not change.
 const (
 	CommandForward CommandKind = iota + 1
 	CommandReject
@@ -21,22 +21,22 @@
 	CommandSetTimer
 )
 
-// commandNames are the names by kind, as the tools print them.
+// commandNames are the names that tools print, by kind.
 var commandNames = [...]string{"nothing", "send", "push back", "kill", "call off", "order", "subscribe", "note", "alarm"}
 
-// Command is something that the core had its executor do.
+// Command is a command that the core gave to its executor.
 type Command struct {
 	Kind     CommandKind        `cbor:"1,keyasint"`
 	Request  control.RequestID  `cbor:"2,keyasint,omitempty"`
 	Attempt  control.AttemptID  `cbor:"3,keyasint,omitempty"`
 	Server   control.ServerID   `cbor:"4,keyasint,omitempty"`
-	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // timeout of an attempt, retry-after of a rejection, or time of the timer
+	Time     control.Micros     `cbor:"5,keyasint,omitempty"` // timeout of an attempt, retry-after of a rejection, or when a timer fires
 	Function control.FunctionID `cbor:"6,keyasint,omitempty"`
 	Replicas int                `cbor:"7,keyasint,omitempty"`
 	Text     string             `cbor:"8,keyasint,omitempty"`
 }
 
-// String describes a command in the words that the tools have always printed: scripts compare them.
+// String describes a command as tools print it. The texts must not change, since scripts compare them.
 func (c Command) String() string {
 	switch c.Kind {
 	case CommandForward:
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,7 +1,7 @@
-// Package record writes the events that a core handled and the commands it gave to segment files, and reads them back. A segment begins
-// with a header and a checkpoint of the whole state, so that a replay can begin at any of them.
+// Package record writes the events that a core handled and the commands that it gave to segment files, and reads them back. Each segment
+// begins with a header and a checkpoint of the core's whole state, so that a replay can begin at any segment.
 //
-// A segment is the magic bytes, then frames: length and CRC-32C of the payload (four bytes each, big-endian), then the payload, CBOR
-// compressed with zstd. The first frame is a Header, the second a core.Snapshot, the others are batches of Steps. No body is ever
-// recorded, and functions, tenants and clients' ids only as hashes (Tag).
+// A segment consists of the magic and frames. A frame is the length and the CRC-32C of the payload (four bytes each, big-endian) and the
+// payload, which is CBOR compressed with zstd. The first frame holds a Header, the second a core.Snapshot, and the others batches of
+// Steps. Request and response bodies are never recorded; functions, tenants and clients' ids are recorded only as hashes (KeyedHash).
 package record
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -13,13 +13,13 @@
 
 const magic = "hollymast recording\n"
 
-// Version is the format's. A reader refuses newer ones and reads all older ones. Format 1 has no client tags.
+// Version is the version of the format. Newer versions are rejected, all older ones can be read. Format 1 has no hashes of client ids.
 const Version = 2
 
-// Errors of reading.
+// Errors of reading a segment.
 var (
 	// ErrCorrupt says that a segment can't be read further, where more should follow.
-	ErrCorrupt = errors.New("damaged or cut short")
+	ErrCorrupt = errors.New("corrupt or truncated")
 	// ErrNewerVersion says that a later version of this program wrote the segment.
 	ErrNewerVersion = errors.New("written by a newer version")
 )
@@ -27,21 +27,22 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 const (
-	// maxFrame bounds a frame, compressed or not: a checkpoint of many thousand functions fits.
+	// maxFrame limits the size of a frame, both compressed and uncompressed. A checkpoint with many thousands of functions fits.
 	maxFrame = 256 << 20
-	// readChunk is how much is allocated at a time while a frame is read, so that a damaged length costs no more than what follows it.
+	// readChunk is how much memory is allocated at a time while a frame is read, so that a corrupt length makes a reader allocate no more
+	// than the file holds.
 	readChunk = 1 << 20
 	// frameHeaderBytes is the size of a frame's length and checksum.
 	frameHeaderBytes = 8
 )
 
-// encoder and decoder are safe for use by several goroutines through EncodeAll and DecodeAll.
+// The EncodeAll and DecodeAll methods of encoder and decoder are safe for concurrent use.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxFrame), zstd.WithDecoderConcurrency(1))
 )
 
-// appendFrame appends a frame that holds v.
+// appendFrame encodes v as a frame and appends it.
 func appendFrame(b []byte, v any) ([]byte, error) {
 	plain, err := cbor.Marshal(v)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return append(b, payload...), nil
 }
 
-// decodeMode limits what a damaged frame can make a reader allocate.
+// decodeMode limits how much memory a corrupt frame can make a reader allocate.
 var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 24, MaxMapPairs: 1 << 20}.DecMode()
 
 // readFrame reads a frame into v. The error is io.EOF at the regular end of a segment, else ErrDamaged.
@@ -85,16 +86,16 @@
 func readBytes(r io.Reader, n int) ([]byte, error) {
 	b := make([]byte, 0, min(n, readChunk))
 	for len(b) < n {
-		at := len(b)
-		b = append(b, make([]byte, min(n-at, readChunk))...)
-		if _, err := io.ReadFull(r, b[at:]); err != nil {
+		offset := len(b)
+		b = append(b, make([]byte, min(n-offset, readChunk))...)
+		if _, err := io.ReadFull(r, b[offset:]); err != nil {
 			return nil, err
 		}
 	}
 	return b, nil
 }
 
-// stepBatch is the payload of a frame of steps.
+// stepBatch is the payload of a frame of steps. First is the number of the first step.
 type stepBatch struct {
 	_     struct{} `cbor:",toarray"`
 	First uint64
--- a/internal/record/list.go
+++ b/internal/record/list.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// segmentSuffix ends the names of segments. Before it stand the incarnation and the segment's number.
+// segmentSuffix is the suffix of segments' file names, which consist of the incarnation, the segment's number and the suffix.
 const segmentSuffix = ".rec"
 
-// ExpandPaths returns the segments that paths name: files as they are, directories with all segments in them. A directory without
-// segments is an error.
+// ExpandPaths returns the files that the paths name, with each directory replaced by the segments in it. A directory without segments is
+// an error.
 func ExpandPaths(paths []string) ([]string, error) {
 	var files []string
 	for _, p := range paths {
@@ -31,14 +31,15 @@
 			return nil, err
 		}
 		if len(segments) == 0 {
-			return nil, fmt.Errorf("%s: no recordings there", p)
+			return nil, fmt.Errorf("%s: directory contains no recordings", p)
 		}
 		files = append(files, segments...)
 	}
 	return files, nil
 }
 
-// ListSegments returns a directory's segments, oldest first: incarnations by the time of their first file, then by number.
+// ListSegments returns the segments in a directory, oldest first: incarnations are sorted by the modification time of their oldest file,
+// and segments of an incarnation by number.
 func ListSegments(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -48,7 +49,7 @@
 		name, incarnation string
 	}
 	var files []segmentFile
-	begunAt := map[string]time.Time{} // by incarnation
+	startedAt := map[string]time.Time{} // by incarnation
 	for _, e := range entries {
 		name, ok := strings.CutSuffix(e.Name(), segmentSuffix)
 		if !ok || e.IsDir() {
@@ -59,13 +60,13 @@
 		if err != nil {
 			continue
 		}
-		if at, known := begunAt[incarnation]; !known || info.ModTime().Before(at) {
-			begunAt[incarnation] = info.ModTime()
+		if at, known := startedAt[incarnation]; !known || info.ModTime().Before(at) {
+			startedAt[incarnation] = info.ModTime()
 		}
 		files = append(files, segmentFile{e.Name(), incarnation})
 	}
 	slices.SortFunc(files, func(a, b segmentFile) int {
-		return cmp.Or(begunAt[a.incarnation].Compare(begunAt[b.incarnation]), cmp.Compare(a.name, b.name))
+		return cmp.Or(startedAt[a.incarnation].Compare(startedAt[b.incarnation]), cmp.Compare(a.name, b.name))
 	})
 	paths := make([]string, len(files))
 	for i, f := range files {
@@ -74,7 +75,7 @@
 	return paths, nil
 }
 
-// pruneSegments removes the oldest segments, so that another one fits within the bound of all.
+// pruneSegments removes the oldest segments until another full segment fits within TotalBytes.
 func (w *Writer) pruneSegments() {
 	files, err := ListSegments(w.dir)
 	if err != nil {
--- a/internal/record/list_test.go
+++ b/internal/record/list_test.go
@@ -18,6 +18,6 @@
 	}
 	w.pruneSegments()
 	if files, _ := ListSegments(dir); len(files) != 9 {
-		t.Errorf("%d files are left", len(files))
+		t.Errorf("%d segments are left, want 9", len(files))
 	}
 }
--- a/internal/record/queue.go
+++ b/internal/record/queue.go
@@ -6,40 +6,40 @@
 	"hollymast/internal/core"
 )
 
-// item is the beginning of a segment, or a step.
-type item struct {
-	header     *Header // nil: a step
+// queueItem is either the header and checkpoint of a new segment, or a step.
+type queueItem struct {
+	header     *Header // nil if the item is a step
 	checkpoint *core.Snapshot
 	number     uint64
 	step       Step
 }
 
-// queueDepth is how many steps may wait for the disk: a second of a busy router.
+// queueDepth is how many items may wait for the disk: about a second of a busy router's steps.
 const queueDepth = 8192
 
-// queue hands items from the event loop to the writer goroutine. It wakes that one only when it is half full, since a wake-up for each
-// step cost more than all else of the recording.
+// queue passes items from the event loop to the writer goroutine. It wakes that goroutine only when the queue is half full, because a
+// wake-up for each step cost more than the rest of the recording.
 type queue struct {
 	mu     sync.Mutex
-	items  []item
+	items  []queueItem
 	closed bool
-	wake   chan struct{} // holds one
+	wake   chan struct{} // buffer of one
 }
 
-// push adds an item; it reports whether there was room.
-func (q *queue) push(it item) bool {
+// push adds an item and reports whether there was room for it.
+func (q *queue) push(it queueItem) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.items) >= queueDepth {
 		return false
 	}
 	if q.items = append(q.items, it); len(q.items) == queueDepth/2 {
-		q.signal()
+		q.wakeWriter()
 	}
 	return true
 }
 
-func (q *queue) signal() {
+func (q *queue) wakeWriter() {
 	select {
 	case q.wake <- struct{}{}:
 	default:
@@ -52,8 +52,9 @@
 	return len(q.items)
 }
 
-// drain returns all items, and whether the queue is closed: then none follow. The queue takes over a buffer for the next ones.
-func (q *queue) drain(buffer []item) (items []item, closed bool) {
+// drain removes and returns all items, and reports whether the queue is closed, so that no more follow. The queue uses buffer for the next
+// items.
+func (q *queue) drain(buffer []queueItem) (items []queueItem, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items, q.items = q.items, buffer[:0]
@@ -64,5 +65,5 @@
 	q.mu.Lock()
 	q.closed = true
 	q.mu.Unlock()
-	q.signal()
+	q.wakeWriter()
 }
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -10,7 +10,7 @@
 	"hollymast/internal/core"
 )
 
-// Segment is a segment that is being read. The caller must Close it.
+// Segment is a segment opened for reading. The caller must Close it.
 type Segment struct {
 	Header
 	File       string
@@ -19,7 +19,7 @@
 	r          *bufio.Reader
 }
 
-// OpenSegment opens a segment and reads its header and checkpoint. The error is ErrNewer, ErrDamaged or another, and names the file.
+// OpenSegment opens a segment and reads its header and checkpoint. The error names the file; it may wrap ErrNewerVersion or ErrCorrupt.
 func OpenSegment(name string) (s *Segment, err error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -32,9 +32,9 @@
 			s = nil
 		}
 	}()
-	got := make([]byte, len(magic))
-	if _, err := io.ReadFull(s.r, got); err != nil || string(got) != magic {
-		return s, fmt.Errorf("%s: no recording", name)
+	gotMagic := make([]byte, len(magic))
+	if _, err := io.ReadFull(s.r, gotMagic); err != nil || string(gotMagic) != magic {
+		return s, fmt.Errorf("%s: not a recording", name)
 	}
 	if err := readFrame(s.r, &s.Header); err != nil {
 		return s, fmt.Errorf("%s: header: %w", name, err)
@@ -48,18 +48,18 @@
 	return s, nil
 }
 
-// ForEachStep calls a function with each step and its number, until the segment ends, the function returns an error, or the segment is
-// damaged. Then the error is ErrDamaged, and the function was called with all steps before the damage.
-func (s *Segment) ForEachStep(each func(number uint64, t Step) error) error {
+// ForEachStep calls fn with the number of each step and the step. It stops at the first error that fn returns. If a frame is corrupt, it
+// calls fn with all steps before that frame and returns ErrCorrupt.
+func (s *Segment) ForEachStep(fn func(number uint64, step Step) error) error {
 	for {
-		var b stepBatch
-		if err := readFrame(s.r, &b); errors.Is(err, io.EOF) {
+		var batch stepBatch
+		if err := readFrame(s.r, &batch); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: %w", s.File, err)
 		}
-		for i, t := range b.Steps {
-			if err := each(b.First+uint64(i), t); err != nil {
+		for i, step := range batch.Steps {
+			if err := fn(batch.First+uint64(i), step); err != nil {
 				return err
 			}
 		}
--- a/internal/record/read_test.go
+++ b/internal/record/read_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A recording of the older format, by a build that wrote it, is read.
+// A recording of the older format, written by an earlier build, can be read.
 func TestOlderFormatIsRead(t *testing.T) {
 	s, err := OpenSegment("testdata/format1.rec")
 	if err != nil {
@@ -17,8 +17,8 @@
 	steps, requests := 0, 0
 	err = s.ForEachStep(func(_ uint64, step Step) error {
 		steps++
-		for _, n := range step.Events {
-			if n.Added != nil {
+		for _, event := range step.Events {
+			if event.Added != nil {
 				requests++
 			}
 		}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -5,11 +5,11 @@
 	"hollymast/internal/core"
 )
 
-// Recorder turns a core's calls into Steps, within the step of the event loop. It serves the writer, and the comparison at replay. The
-// lists in steps are cut from a few large chunks: allocations of their own would cost more than the rest of the recorder.
+// Recorder collects a core's events and commands into Steps. It runs on the event loop, and is used by Writer and by replays. The lists in
+// steps are slices of a few large chunks, because allocating each list separately would cost more than the rest of the recorder.
 type Recorder struct {
 	step     Step
-	OnStep   func(Step) // called with each step that has ended
+	OnStep   func(Step) // called at the end of each step
 	events   []Event
 	commands []Command
 	requests []control.Request
@@ -18,11 +18,11 @@
 
 var _ core.Recorder = (*Recorder)(nil)
 
-// chunkLen is how many elements are allocated at once: enough for a few hundred steps.
+// chunkLen is how many elements are allocated at a time: enough for a few hundred steps.
 const chunkLen = 256
 
-// place puts v at the end of a chunk, or of a new one, and returns where it is.
-func place[T any](chunk *[]T, v T) *T {
+// appendToChunk appends v to a chunk, or to a new one if the chunk is full, and returns a pointer to it.
+func appendToChunk[T any](chunk *[]T, v T) *T {
 	if len(*chunk) == cap(*chunk) {
 		*chunk = make([]T, 0, chunkLen)
 	}
@@ -30,8 +30,8 @@
 	return &(*chunk)[len(*chunk)-1]
 }
 
-// extend appends to a list that is the end of a chunk. Where the chunk is full the list moves to a new one.
-func extend[T any](chunk *[]T, list []T, v T) []T {
+// extendInChunk appends v to a list that lies at the end of a chunk. If the chunk is full, the list is moved to a new one.
+func extendInChunk[T any](chunk *[]T, list []T, v T) []T {
 	if len(*chunk) == cap(*chunk) {
 		*chunk = append(make([]T, 0, max(chunkLen, 2*len(list))), list...)
 		list = *chunk
@@ -40,7 +40,7 @@
 	return (*chunk)[len(*chunk)-len(list)-1:]
 }
 
-// StepEnded ends a step and hands it to OnStep.
+// StepEnded ends the current step and passes it to OnStep.
 func (r *Recorder) StepEnded(now control.Micros) {
 	r.step.Clock = now
 	step := r.step
@@ -48,8 +48,10 @@
 	r.OnStep(step)
 }
 
-func (r *Recorder) addEvent(e Event)     { r.step.Events = extend(&r.events, r.step.Events, e) }
-func (r *Recorder) addCommand(c Command) { r.step.Commands = extend(&r.commands, r.step.Commands, c) }
+func (r *Recorder) addEvent(e Event) { r.step.Events = extendInChunk(&r.events, r.step.Events, e) }
+func (r *Recorder) addCommand(c Command) {
+	r.step.Commands = extendInChunk(&r.commands, r.step.Commands, c)
+}
 
 // EndpointsUpdated records an update of the endpoint list.
 func (r *Recorder) EndpointsUpdated(kind control.UpdateKind, endpoints []control.Endpoint) {
@@ -58,20 +60,20 @@
 
 // RequestAdded records a new request.
 func (r *Recorder) RequestAdded(request control.Request) {
-	r.addEvent(Event{Added: place(&r.requests, request)})
+	r.addEvent(Event{Added: appendToChunk(&r.requests, request)})
 }
 
-// SetClientIDHash records the Tag of the client's own id for the request that was added last.
+// SetClientIDHash records the KeyedHash of the client's id for the request that was added last.
 func (r *Recorder) SetClientIDHash(tag uint64) {
 	r.step.Events[len(r.step.Events)-1].ClientIDHash = tag
 }
 
 // AttemptEnded records the end of an attempt.
 func (r *Recorder) AttemptEnded(id control.RequestID, o control.Outcome) {
-	r.addEvent(Event{RequestID: id, Outcome: place(&r.outcomes, o)})
+	r.addEvent(Event{RequestID: id, Outcome: appendToChunk(&r.outcomes, o)})
 }
 
-// RequestCancelled records that a client left.
+// RequestCancelled records that a client cancelled its request.
 func (r *Recorder) RequestCancelled(id control.RequestID) {
 	r.addEvent(Event{RequestID: id, Cancelled: true})
 }
@@ -82,7 +84,7 @@
 	r.addEvent(Event{LoadResult: &LoadResult{server, function, result, duration, replicas}})
 }
 
-// Forward records an attempt that is sent.
+// Forward records that an attempt is sent to a server.
 func (r *Recorder) Forward(request *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
 	r.addCommand(Command{Kind: CommandForward, Request: request.ID, Attempt: attempt, Server: to, Time: timeout})
 }
@@ -115,7 +117,7 @@
 	r.addCommand(Command{Kind: CommandLog, Text: event.String()})
 }
 
-// SetTimer records the time at which the core asks for its next step.
+// SetTimer records the time for which the core requests its next step.
 func (r *Recorder) SetTimer(at control.Micros) {
 	r.addCommand(Command{Kind: CommandSetTimer, Time: at})
 }
--- a/internal/record/segment_writer.go
+++ b/internal/record/segment_writer.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// flushInterval is how often queued steps are written: how much a killed router loses of a recording.
+	// flushInterval is how often queued steps are written. It is also how much of its recording a killed router loses.
 	flushInterval = 100 * time.Millisecond
-	// maxFrameSteps is the number of steps in a frame: enough for zstd to find what repeats.
+	// maxFrameSteps is the maximum number of steps in a frame: enough for zstd to compress well.
 	maxFrameSteps = 512
 )
 
-// segment is the segment that is being written.
+// segment is the segment being written.
 type segment struct {
-	file     file
-	name     string
-	hasSteps bool // steps are written to it
-	size     int64
-	begunAt  time.Time
-	batch    stepBatch // not written yet
+	file      file
+	name      string
+	hasSteps  bool // steps were written to the file
+	size      int64
+	startedAt time.Time
+	batch     stepBatch // steps not yet written
 }
 
 // segmentWriter is the state of the writer goroutine.
 type segmentWriter struct {
 	*Writer
-	current  *segment // nil: none was begun, or the last one failed
-	number   int      // of the next segment
-	failing  bool     // a failure is logged, and not its end
+	current  *segment // nil: none was started, or the last one failed
+	number   int      // number of the next segment
+	failing  bool     // a failure was logged and is not over
 	failedAt time.Time
-	buffer   []item
+	buffer   []queueItem
 }
 
-// run is the writer goroutine. It ends when the queue is closed and all that was queued is written.
+// run is the writer goroutine. It ends when the queue is closed and all queued items are written.
 func (w *Writer) run() {
 	s := &segmentWriter{Writer: w}
 	flush := time.NewTicker(flushInterval)
@@ -61,17 +61,17 @@
 			s.flushCurrent()
 		case !s.failedAt.IsZero() && time.Since(s.failedAt) > w.retryDelay:
 			s.failedAt = time.Now()
-			w.segmentWanted.Store(true)
+			w.segmentRequested.Store(true)
 		}
 	}
 }
 
-// writeQueued writes what is queued but for an incomplete frame, and reports whether the queue is closed.
+// writeQueued writes the queued items, except for an incomplete last frame, and reports whether the queue is closed.
 func (s *segmentWriter) writeQueued() (closed bool) {
 	items, closed := s.queue.drain(s.buffer)
 	for _, it := range items {
 		if it.header != nil {
-			s.nextSegment(it)
+			s.startSegment(it)
 		} else {
 			s.addStep(it)
 		}
@@ -81,7 +81,7 @@
 	return closed
 }
 
-func (s *segmentWriter) nextSegment(it item) {
+func (s *segmentWriter) startSegment(it queueItem) {
 	if s.current != nil {
 		s.handleError(s.finishSegment(s.current))
 	}
@@ -93,9 +93,9 @@
 	s.handleError(err)
 }
 
-func (s *segmentWriter) addStep(it item) {
-	if s.current == nil { // its segment failed
-		s.lost.Add(1)
+func (s *segmentWriter) addStep(it queueItem) {
+	if s.current == nil { // the segment of this step failed
+		s.lostSteps.Add(1)
 		return
 	}
 	batch := &s.current.batch
@@ -105,11 +105,11 @@
 	batch.Steps = append(batch.Steps, it.step)
 	if len(batch.Steps) >= maxFrameSteps {
 		s.handleError(s.flush(s.current))
-		runtime.Gosched() // a burst of frames would keep a processor from the event loop for milliseconds
+		runtime.Gosched() // otherwise a burst of frames would keep a processor from the event loop for milliseconds
 	}
 }
 
-// flushCurrent writes an incomplete frame, and asks for the next segment where this one is full or old.
+// flushCurrent writes the incomplete frame of the current segment, and requests the next segment if this one is too large or too old.
 func (s *segmentWriter) flushCurrent() {
 	s.handleError(s.flush(s.current))
 	if s.current == nil {
@@ -119,32 +119,32 @@
 		s.log.Info().Msg("recording resumed")
 		s.failing = false
 	}
-	if s.current.size > s.limits.SegmentBytes || time.Since(s.current.begunAt) > s.limits.SegmentAge {
-		s.current.begunAt = time.Now()
-		s.segmentWanted.Store(true)
+	if s.current.size > s.limits.SegmentBytes || time.Since(s.current.startedAt) > s.limits.SegmentAge {
+		s.current.startedAt = time.Now()
+		s.segmentRequested.Store(true)
 	}
 }
 
-// handleError gives the current segment up. A failure is logged once until it is over.
+// handleError abandons the current segment after an error. A failure is logged only once until it is over.
 func (s *segmentWriter) handleError(err error) {
 	if err == nil {
 		return
 	}
 	if !s.failing {
-		s.log.Error().Err(err).Msg("recording failed: steps are lost until a new segment can be begun")
+		s.log.Error().Err(err).Msg("recording failed: steps are lost until a new segment can be started")
 	}
 	s.failing = true
 	if s.current != nil {
-		s.current.file.Close() // a write failed already
+		s.current.file.Close() // the error doesn't matter after a failed write
 		if !s.current.hasSteps {
 			s.removeSegment(s.current.name)
-			s.number-- // the next one takes its name
+			s.number-- // the next segment reuses the name
 		}
 	}
 	s.current, s.failedAt = nil, time.Now()
 }
 
-// finishSegment writes an incomplete frame and closes the file.
+// finishSegment writes the incomplete frame and closes the file.
 func (w *Writer) finishSegment(s *segment) error {
 	if err := w.flush(s); err != nil {
 		return err
@@ -153,25 +153,25 @@
 }
 
 // createSegment creates a segment's file and writes its header and checkpoint.
-func (w *Writer) createSegment(it item) (*segment, error) {
+func (w *Writer) createSegment(it queueItem) (*segment, error) {
 	w.pruneSegments()
 	if w.dirMissing {
 		if err := w.disk.MakeDir(w.dir); err != nil {
 			return nil, err
 		}
-		w.dirMissing = false // a directory that vanishes later is not made again: what is mounted there may be missing
+		w.dirMissing = false // the directory is not created again if it disappears later, since it may be on an unmounted file system
 	}
 	name := filepath.Join(w.dir, fmt.Sprintf("%s-%06d%s", w.header.Incarnation, it.header.Segment, segmentSuffix))
 	flags := os.O_EXCL
-	if name == w.leftover {
+	if name == w.unremoved {
 		flags = os.O_TRUNC
 	}
 	file, err := w.disk.Create(name, flags)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{file: file, name: name, begunAt: time.Now()}
-	b, err := segmentStart(it.header, it.checkpoint)
+	s := &segment{file: file, name: name, startedAt: time.Now()}
+	b, err := encodeSegmentStart(it.header, it.checkpoint)
 	if err == nil {
 		err = w.writeBytes(s, b)
 	}
@@ -183,15 +183,15 @@
 	return s, nil
 }
 
-// removeSegment removes a segment without steps. One that can't be removed is overwritten by the next one. It guards against a directory
-// that fails for long filling with files.
+// removeSegment removes a segment without steps. If that fails, the next segment overwrites the file, so that files don't accumulate in a
+// directory that fails for a long time.
 func (w *Writer) removeSegment(name string) {
 	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		w.leftover = name
+		w.unremoved = name
 	}
 }
 
-// flush writes an incomplete frame.
+// flush writes the incomplete frame.
 func (w *Writer) flush(s *segment) error {
 	if len(s.batch.Steps) == 0 {
 		return nil
@@ -212,12 +212,12 @@
 func (w *Writer) writeBytes(s *segment, b []byte) error {
 	n, err := s.file.Write(b)
 	s.size += int64(n)
-	w.written.Add(int64(n))
+	w.writtenBytes.Add(int64(n))
 	return err
 }
 
-// segmentStart encodes the magic, the header and the checkpoint of a segment.
-func segmentStart(header *Header, checkpoint *core.Snapshot) (b []byte, err error) {
+// encodeSegmentStart encodes the magic, the header and the checkpoint of a segment.
+func encodeSegmentStart(header *Header, checkpoint *core.Snapshot) (b []byte, err error) {
 	b = []byte(magic)
 	for _, v := range []any{header, checkpoint} {
 		if b, err = appendFrame(b, v); err != nil {
@@ -227,8 +227,8 @@
 	return b, nil
 }
 
-// EncodeSnapshot encodes a segment without steps: a core's state at one moment.
+// EncodeSnapshot encodes a core's state as a segment without steps.
 func EncodeSnapshot(header Header, now control.Micros, checkpoint *core.Snapshot) ([]byte, error) {
 	header.Version, header.Clock = Version, now
-	return segmentStart(&header, checkpoint)
+	return encodeSegmentStart(&header, checkpoint)
 }
--- a/internal/record/stored_form_test.go
+++ b/internal/record/stored_form_test.go
@@ -10,7 +10,7 @@
 	"hollymast/internal/golden"
 )
 
-// What routers in service have recorded is read, and written in the same form: each kind of frame with all of its fields set, before
+// Recordings of earlier builds can be read, and are written in the same form. Checks each kind of frame with all fields set, before
 // compression.
 func TestStoredForm(t *testing.T) {
 	golden.CheckType(t, "header-2.cbor", &Header{}, cbor.Marshal, decodeMode.Unmarshal)
--- a/internal/record/tag.go
+++ b/internal/record/tag.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// KeyedHash hashes a text, such as a name or a client's id. With a key it is an HMAC, so that nobody without the key can check a guess against
-// it.
+// KeyedHash hashes a text, such as a name or a client's id. With a key the hash is an HMAC, so that nobody without the key can test
+// guesses of the text. With an empty key it is a plain, unkeyed hash.
 func KeyedHash(key, text string) uint64 {
 	if key == "" {
 		return xxhash.Sum64String(text)
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -4,19 +4,19 @@
 	"hollymast/control"
 )
 
-// Header begins a segment.
+// Header is the header of a segment.
 type Header struct {
 	Version     int            `cbor:"Version"`
-	Build       string         `cbor:"Build"` // of the program that wrote it
+	Build       string         `cbor:"Build"` // build of the program that wrote the segment
 	Router      int            `cbor:"Router"`
 	Incarnation string         `cbor:"Life"`    // identifies one run of a router
 	Segment     int            `cbor:"Segment"` // number within the incarnation, from 0
-	FirstStep   uint64         `cbor:"Turn"`    // number of the first step in it
+	FirstStep   uint64         `cbor:"Turn"`    // number of the segment's first step
 	Clock       control.Micros `cbor:"Clock"`   // the router's time at the checkpoint
-	LostSteps   uint64         `cbor:"Gap"`     // steps lost before it
+	LostSteps   uint64         `cbor:"Gap"`     // number of steps lost before the segment
 }
 
-// Step is a step of the event loop: its events, and then the commands that the core gave, each in order.
+// Step is a step of the event loop: its events, and the commands that the core then gave, each in order.
 type Step struct {
 	_        struct{} `cbor:",toarray"`
 	Clock    control.Micros
@@ -24,7 +24,7 @@
 	Commands []Command
 }
 
-// Event is an event that the core handled. One of its parts is set.
+// Event is an event that the core handled. Exactly one of Added, Outcome, Endpoints, Cancelled and LoadResult is set.
 type Event struct {
 	Added        *control.Request  `cbor:"1,keyasint,omitempty"`
 	Outcome      *control.Outcome  `cbor:"2,keyasint,omitempty"`
@@ -32,7 +32,7 @@
 	Endpoints    *EndpointUpdate   `cbor:"4,keyasint,omitempty"`
 	Cancelled    bool              `cbor:"5,keyasint,omitempty"`
 	LoadResult   *LoadResult       `cbor:"6,keyasint,omitempty"`
-	ClientIDHash uint64            `cbor:"7,keyasint,omitempty"` // of Added: Tag of the client's own id for the request; 0: none
+	ClientIDHash uint64            `cbor:"7,keyasint,omitempty"` // of Added: KeyedHash of the client's id for the request; 0: none
 }
 
 // EndpointUpdate is an update of the endpoint list.
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -12,26 +12,27 @@
 	"hollymast/internal/persistence"
 )
 
-// Limits bound what a recording takes on disk.
+// Limits limits the disk space of a recording.
 type Limits struct {
 	SegmentBytes  int64         // size after which the next segment begins
-	SegmentAge    time.Duration // age after which it does too
-	TotalBytes    int64         // size of all segments; beyond it the oldest are removed
-	BlockWhenFull bool          // for simulated time: a step waits for the disk, so that no step is lost
+	SegmentAge    time.Duration // age after which the next segment begins
+	TotalBytes    int64         // maximum size of all segments; the oldest beyond it are removed
+	BlockWhenFull bool          // wait for the disk while the queue is full, so that no step is lost; for simulated time
 }
 
 const (
-	// closeTimeout bounds what a stalled disk costs a router that shuts down. A second of steps is written in far less.
+	// closeTimeout limits how long a stalled disk delays the shutdown of a router. Writing a second of steps takes far less.
 	closeTimeout = 2 * time.Second
-	// segmentRetryDelay is the pause between segments that can't be begun: short beside an outage, and rare enough to cost nothing.
+	// segmentRetryDelay is the delay between attempts to start a segment: short compared to an outage, and long enough for the cost not to
+	// matter.
 	segmentRetryDelay = time.Second
-	// diskWaitInterval is the pause between attempts to queue a step where WaitForDisk is set.
+	// diskWaitInterval is the delay between attempts to queue a step if BlockWhenFull is set.
 	diskWaitInterval = time.Millisecond
 )
 
-// Writer records a core. A recording owes nothing to clients: where a disk fails, is full or stalls, steps of the recording are lost and
-// nothing else happens. The Recorder runs within the step and only queues; a goroutine writes. Where that can't keep up, or the disk
-// fails, whole steps are dropped, and the next segment says how many.
+// Writer records a core. A disk that fails, is full or stalls must not affect requests; it only makes the recording lose steps. The
+// Recorder only queues steps on the event loop, and a separate goroutine writes them. If the goroutine can't keep up or the disk fails,
+// whole steps are dropped, and the header of the next segment says how many.
 type Writer struct {
 	dir      string
 	limits   Limits
@@ -40,32 +41,33 @@
 	snapshot func() (*core.Snapshot, error)
 	disk     disk
 
-	queue         queue
-	wg            sync.WaitGroup // the writer goroutine
-	segmentWanted atomic.Bool    // by the writer goroutine
-	written       atomic.Int64
-	lost          atomic.Int64
+	queue            queue
+	wg               sync.WaitGroup // waits for the writer goroutine
+	segmentRequested atomic.Bool    // set by the writer goroutine when a new segment should begin
+	writtenBytes     atomic.Int64
+	lostSteps        atomic.Int64
 
-	// The event loop's own.
+	// Used only by the event loop.
 	steps            uint64
-	lostSinceSegment uint64 // steps dropped since the last one that was queued
-	recording        bool   // a segment was begun and nothing was dropped since
+	lostSinceSegment uint64 // steps dropped since the last segment was queued
+	recording        bool   // no step was dropped since the last segment was queued
 
-	// The writer goroutine's own.
-	dirMissing bool          // the directory could not be made yet
-	retryDelay time.Duration // between segments that can't be begun
-	leftover   string        // a segment without steps that couldn't be removed
+	// Used only by the writer goroutine.
+	dirMissing bool          // the directory could not be created yet
+	retryDelay time.Duration // delay between attempts to start a segment
+	unremoved  string        // file name of a segment without steps that couldn't be removed
 }
 
-// Open begins a recording in a directory, and makes the directory. Snapshot is called within steps for the core's state. The error is
-// that of making the directory, unless it is transient. The caller must call BeginSegment before the first step, and Close.
+// Open starts a recording in a directory and creates the directory if needed. It calls snapshot on the event loop for the core's state.
+// It fails if the directory can't be created because of an error that isn't transient. The caller must call BeginSegment before the first
+// step, and Close at the end.
 func Open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
 	return open(dir, limits, header, snapshot, log, osDisk{})
 }
 
 func open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger,
 	disk disk) (*Writer, error) {
-	// A transient error keeps no router from starting: the directory is made with the first segment for which it can be.
+	// A transient error doesn't prevent the router from starting: creating the directory is retried with each segment.
 	dirErr := disk.MakeDir(dir)
 	if dirErr != nil && !persistence.IsTransient(dirErr) {
 		return nil, dirErr
@@ -82,67 +84,67 @@
 	return w, nil
 }
 
-// Recorder returns what the core is to record to.
+// Recorder returns the recorder that the core must use.
 func (w *Writer) Recorder() *Recorder { return &Recorder{OnStep: w.endStep} }
 
-// BeginSegment begins a segment with a checkpoint of the core as it is between two steps.
+// BeginSegment queues the start of a segment with a checkpoint of the core. It must be called between two steps.
 func (w *Writer) BeginSegment(now control.Micros) {
 	checkpoint, err := w.snapshot()
 	if err != nil {
-		w.log.Error().Err(err).Msg("no checkpoint for the recording")
+		w.log.Error().Err(err).Msg("recording: can't take a checkpoint of the core")
 		return
 	}
-	h := w.header
-	h.Segment, h.FirstStep, h.LostSteps = -1, w.steps, w.lostSinceSegment // the writer goroutine sets the number
-	h.Clock = now
-	if w.recording = w.queue.push(item{header: &h, checkpoint: checkpoint}); w.recording {
+	header := w.header
+	header.Segment, header.FirstStep, header.LostSteps = -1, w.steps, w.lostSinceSegment // the writer goroutine sets the segment's number
+	header.Clock = now
+	if w.recording = w.queue.push(queueItem{header: &header, checkpoint: checkpoint}); w.recording {
 		w.lostSinceSegment = 0
 	}
 }
 
-// endStep queues a step. The checkpoint of a new segment is taken at the end of the step before its first.
+// endStep queues a step. If a new segment should begin, its checkpoint is taken at the end of this step.
 func (w *Writer) endStep(step Step) {
 	number := w.steps
 	w.steps++
-	for w.recording && !w.queue.push(item{number: number, step: step}) {
+	for w.recording && !w.queue.push(queueItem{number: number, step: step}) {
 		if w.recording = w.limits.BlockWhenFull; w.recording {
-			w.queue.signal()
+			w.queue.wakeWriter()
 			time.Sleep(diskWaitInterval)
 		}
 	}
 	if !w.recording {
 		w.lostSinceSegment++
-		w.lost.Add(1)
+		w.lostSteps.Add(1)
 	}
-	if w.segmentWanted.CompareAndSwap(true, false) || !w.recording && w.queue.length() < queueDepth/2 {
+	if w.segmentRequested.CompareAndSwap(true, false) || !w.recording && w.queue.length() < queueDepth/2 {
 		w.BeginSegment(step.Clock)
 	}
 }
 
 // LostSteps returns the number of steps that were not recorded.
-func (w *Writer) LostSteps() int64 { return w.lost.Load() }
+func (w *Writer) LostSteps() int64 { return w.lostSteps.Load() }
 
 // WrittenBytes returns the number of bytes written.
-func (w *Writer) WrittenBytes() int64 { return w.written.Load() }
+func (w *Writer) WrittenBytes() int64 { return w.writtenBytes.Load() }
 
-// Close ends the recording and waits until all queued steps are written; without WaitForDisk for closeTimeout at most. The Recorder
-// must not be in use any more.
+// Close ends the recording and waits until all queued steps are written, for closeTimeout at most unless BlockWhenFull is set. The
+// Recorder must no longer be in use.
 func (w *Writer) Close() {
 	w.queue.close()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		w.wg.Wait()
 	}()
 	if w.limits.BlockWhenFull {
-		<-ended
+		<-done
 		return
 	}
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-done:
 	case <-timer.C:
-		w.log.Warn().Msg("recording's disk stalled: its last steps are lost")
+		w.log.Warn().Msg("recording: the disk stalled, the last steps are lost")
 	}
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -20,18 +20,18 @@
 	return &core.Snapshot{Balancer: &control.Snapshot{}}, nil
 }
 
-// A disk that is too slow delays no step: steps are dropped, and the next segment says how many.
+// A disk that is too slow doesn't delay steps: steps are dropped, and the next segment's header says how many.
 func TestSlowDiskLosesStepsAndReportsThem(t *testing.T) {
-	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, snapshot: emptySnapshot, log: zerolog.Nop()} // there is no writer goroutine
+	w := &Writer{queue: queue{wake: make(chan struct{}, 1)}, snapshot: emptySnapshot, log: zerolog.Nop()} // without a writer goroutine
 	w.BeginSegment(1)
 	for i := range control.Micros(queueDepth + 9) {
 		w.endStep(Step{Clock: i})
 	}
-	if w.LostSteps() != 10 { // the header took a place too
+	if w.LostSteps() != 10 { // the header took one place in the queue
 		t.Errorf("%d steps lost", w.LostSteps())
 	}
 	w.queue.drain(nil)
-	w.endStep(Step{Clock: 99}) // there is room again
+	w.endStep(Step{Clock: 99}) // begins a segment, since there is room again
 	items, _ := w.queue.drain(nil)
 	if len(items) != 1 || items[0].header == nil || items[0].header.LostSteps != 11 ||
 		items[0].header.FirstStep != queueDepth+10 || items[0].header.Clock != 99 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// A directory that can't be written to costs steps of the recording; once it can, recording resumes.
+// While the directory can't be written to, steps are lost; once it can be, recording resumes.
 func TestFailingDisk(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "r")
 	w, err := Open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"},
@@ -62,8 +62,8 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0; time.Sleep(time.Millisecond) {
-		if w.endStep(Step{Clock: 3}); time.Now().After(end) {
+	for deadline := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0; time.Sleep(time.Millisecond) {
+		if w.endStep(Step{Clock: 3}); time.Now().After(deadline) {
 			t.Fatal("recording was not resumed")
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// faultDisk is a disk that is full, stalls, or fails to make a directory so many times.
+// faultDisk is a disk that can be full or stalled, or fail to create a directory a number of times.
 type faultDisk struct {
 	osDisk
 	full, stalled         atomic.Bool
@@ -96,15 +96,15 @@
 func (d *faultDisk) Create(name string, flags int) (file, error) {
 	d.creates.Add(1)
 	f, err := d.osDisk.Create(name, flags)
-	return fullFile{f, d}, err
+	return faultFile{f, d}, err
 }
 
-type fullFile struct {
+type faultFile struct {
 	file
 	disk *faultDisk
 }
 
-func (f fullFile) Write(b []byte) (int, error) {
+func (f faultFile) Write(b []byte) (int, error) {
 	for f.disk.stalled.Load() {
 		time.Sleep(time.Millisecond)
 	}
@@ -115,7 +115,7 @@
 	return f.file.Write(b)
 }
 
-// openOnFaultDisk opens a recording on such a disk.
+// openOnFaultDisk opens a recording on a faultDisk.
 func openOnFaultDisk(t *testing.T, dir string, log zerolog.Logger, disk *faultDisk) *Writer {
 	t.Helper()
 	w, err := open(dir, Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}, Header{Incarnation: "a"},
@@ -123,11 +123,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.retryDelay = time.Millisecond // before anything is queued for its goroutine
+	w.retryDelay = time.Millisecond // safe, since nothing is queued for the writer goroutine yet
 	return w
 }
 
-// logBuffer is a log that is read while it is written.
+// logBuffer collects log output and can be read while the log is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -145,7 +145,7 @@
 	return s.text.String()
 }
 
-// However long a disk is full, segments without steps don't pile up. The failure is logged once, and its end once.
+// However long a disk is full, segments without steps don't accumulate. The failure and its end are each logged once.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
 	log := &logBuffer{}
@@ -156,12 +156,12 @@
 	for disk.creates.Load() < 12 {
 		w.endStep(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
-		if left, err := ListSegments(dir); err != nil || len(left) > 1 {
-			t.Fatalf("%q, %v", left, err)
+		if segments, err := ListSegments(dir); err != nil || len(segments) > 1 {
+			t.Fatalf("%q, %v", segments, err)
 		}
 	}
 	disk.full.Store(false)
-	for begun := time.Now(); !strings.Contains(log.String(), "recording resumed") && time.Since(begun) < 10*time.Second; {
+	for start := time.Now(); !strings.Contains(log.String(), "recording resumed") && time.Since(start) < 10*time.Second; {
 		w.endStep(Step{Clock: 3})
 		time.Sleep(time.Millisecond)
 		if w.LostSteps() > 1<<20 {
@@ -169,56 +169,58 @@
 		}
 	}
 	w.Close()
-	if n, m := strings.Count(log.String(), "recording failed"), strings.Count(log.String(), "recording resumed"); n != 1 || m != 1 {
-		t.Errorf("logged %d and %d times: %s", n, m, log.String())
+	if failedCount, resumedCount := strings.Count(log.String(), "recording failed"),
+		strings.Count(log.String(), "recording resumed"); failedCount != 1 || resumedCount != 1 {
+		t.Errorf("logged %d and %d times: %s", failedCount, resumedCount, log.String())
 	}
-	if left, err := ListSegments(dir); err != nil || len(left) != 1 {
-		t.Errorf("%q, %v", left, err)
+	if segments, err := ListSegments(dir); err != nil || len(segments) != 1 {
+		t.Errorf("%q, %v", segments, err)
 	}
 }
 
-// A stalled disk delays neither a step nor a shutdown.
+// A stalled disk delays neither steps nor the shutdown.
 func TestStalledDisk(t *testing.T) {
 	disk := &faultDisk{}
 	w := openOnFaultDisk(t, t.TempDir(), zerolog.Nop(), disk)
 	disk.stalled.Store(true)
-	begun := time.Now()
+	start := time.Now()
 	w.BeginSegment(1)
 	for range 4 * queueDepth {
 		w.endStep(Step{Clock: 2})
 	}
-	steps := time.Since(begun)
+	stepsDuration := time.Since(start)
 	w.Close()
-	if total := time.Since(begun); steps > closeTimeout || total > 3*closeTimeout || w.LostSteps() < queueDepth {
-		t.Errorf("%v for steps, %v in all, %d lost", steps, total, w.LostSteps())
+	if total := time.Since(start); stepsDuration > closeTimeout || total > 3*closeTimeout || w.LostSteps() < queueDepth {
+		t.Errorf("%v for the steps, %v in total, %d steps lost", stepsDuration, total, w.LostSteps())
 	}
 	disk.stalled.Store(false)
 	w.wg.Wait()
 }
 
-// A directory that can't be made for a moment keeps no router from starting, and is made later; one that can't be made at all does.
+// A transient failure to create the directory doesn't prevent a router from starting, and the directory is created later. A permanent
+// failure is reported by Open.
 func TestDirectoryThatCannotBeMade(t *testing.T) {
 	disk := &faultDisk{}
 	disk.makeFailures.Store(3)
 	w := openOnFaultDisk(t, filepath.Join(t.TempDir(), "r"), zerolog.Nop(), disk)
 	w.BeginSegment(1)
-	for end := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); w.WrittenBytes() == 0 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		w.endStep(Step{Clock: 2})
 	}
 	w.Close()
-	if left, err := ListSegments(w.dir); err != nil || len(left) != 1 {
-		t.Errorf("%q, %v", left, err)
+	if segments, err := ListSegments(w.dir); err != nil || len(segments) != 1 {
+		t.Errorf("%q, %v", segments, err)
 	}
 	name := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(name, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(name, Limits{}, Header{}, emptySnapshot, zerolog.Nop()); err == nil {
-		t.Error("a file was taken for a directory")
+		t.Error("a recording was opened in a file instead of a directory")
 	}
 }
 
-// BenchmarkCheckpoint encodes the beginning of a segment with 80 servers and 1000 functions, which the writer goroutine does.
+// BenchmarkCheckpoint encodes the start of a segment for 80 servers and 1000 functions, as the writer goroutine does.
 func BenchmarkCheckpoint(b *testing.B) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 60_000_000,
 		LoadsOnMiss: true,
