--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -7,34 +7,34 @@
 	"hollymast/control"
 )
 
-// Collector counts usage until it is drained. It is not safe for use by several goroutines.
+// Collector accumulates usage until it is drained. It is not safe for concurrent use.
 type Collector struct {
-	byRow map[rowID]*counts
+	byRow map[rowID]*pendingRow
 }
 
-// rowID identifies a row of a level.
+// rowID identifies a row within a level.
 type rowID struct {
-	at      int64 // the span's beginning, in microseconds since 1970
+	at      int64 // beginning of the row's span, in microseconds since 1970
 	subject Subject
 }
 
-// counts is the usage of a row, with execution times that are not in a histogram yet.
-type counts struct {
+// pendingRow is the usage of a row whose execution times are not in a histogram yet.
+type pendingRow struct {
 	Usage
 	execTimes []control.Micros
 }
 
 // NewCollector returns an empty collector.
-func NewCollector() *Collector { return &Collector{byRow: map[rowID]*counts{}} }
+func NewCollector() *Collector { return &Collector{byRow: map[rowID]*pendingRow{}} }
 
-func (c *Collector) countsOf(now control.Micros, subject Subject) *counts {
+func (c *Collector) rowFor(now control.Micros, subject Subject) *pendingRow {
 	id := rowID{int64(now) / Minute * Minute, subject}
-	n := c.byRow[id]
-	if n == nil {
-		n = &counts{}
-		c.byRow[id] = n
+	row := c.byRow[id]
+	if row == nil {
+		row = &pendingRow{}
+		c.byRow[id] = row
 	}
-	return n
+	return row
 }
 
 // Lateness says whether a request ended after its latency objective.
@@ -46,54 +46,55 @@
 	Late   Lateness = true
 )
 
-// RequestDone counts a request's final answer: Reject, Fail, or any other action for a success. Lateness counts only of a success.
+// RequestDone counts a request's final answer. The action is Reject, Fail, or any other for a success. Lateness matters only for a success.
 func (c *Collector) RequestDone(now control.Micros, subject Subject, action control.Action, lateness Lateness) {
-	n := c.countsOf(now, subject)
-	n.Requests++
+	row := c.rowFor(now, subject)
+	row.Requests++
 	switch action {
 	case control.Reject:
-		n.Rejected++
+		row.Rejected++
 	case control.Fail:
-		n.Failed++
+		row.Failed++
 	default:
-		if n.Succeeded++; lateness == OnTime {
-			n.WithinObjective++
+		if row.Succeeded++; lateness == OnTime {
+			row.WithinObjective++
 		}
 	}
 }
 
 // AttemptEnded counts the end of an attempt.
 func (c *Collector) AttemptEnded(now control.Micros, subject Subject, o control.Outcome) {
-	n := c.countsOf(now, subject)
-	n.Attempts++
+	row := c.rowFor(now, subject)
+	row.Attempts++
 	if o.CacheStatus == control.CacheMiss {
-		n.Loads++
+		row.Loads++
 	}
 	if o.Result == control.Succeeded && o.CacheStatus == control.CacheHit {
-		n.execTimes = append(n.execTimes, o.Duration)
+		row.execTimes = append(row.execTimes, o.Duration)
 	}
 }
 
 // LoadCommandSent counts a load command.
 func (c *Collector) LoadCommandSent(now control.Micros, subject Subject) {
-	c.countsOf(now, subject).Loads++
+	c.rowFor(now, subject).Loads++
 }
 
-// Drain empties the collector and returns what it held. The batch shares nothing with the collector, so another goroutine can use it.
+// Drain returns the collected usage and empties the collector. The batch shares no memory with the collector, so that another goroutine
+// can use it.
 func (c *Collector) Drain() *Batch {
 	batch := &Batch{c.byRow}
-	c.byRow = make(map[rowID]*counts, len(c.byRow))
+	c.byRow = make(map[rowID]*pendingRow, len(c.byRow))
 	return batch
 }
 
-// Batch is what a Collector held.
-type Batch struct{ byRow map[rowID]*counts }
+// Batch is the usage drained from a Collector.
+type Batch struct{ byRow map[rowID]*pendingRow }
 
-// maxSubjects is how many subjects of one minute get rows of their own. More are names that are asked for once.
+// maxSubjects is how many subjects get their own rows in one minute. Subjects beyond that have names that are requested only once.
 const maxSubjects = 1024
 
-// Rows returns a row for each minute and subject, by time, then subject. In a minute with more than maxSubjects the rarest share a row
-// for each tenant.
+// Rows returns a row for each minute and subject, sorted by time and subject. In a minute with more than maxSubjects subjects, those with
+// the fewest requests are merged into one row per tenant.
 func (b *Batch) Rows() []Row {
 	rows := make([]Row, 0, len(b.byRow))
 	recorder := newRecorder()
@@ -112,7 +113,7 @@
 		for n < len(rows) && rows[n].At == rows[0].At {
 			n++
 		}
-		minute := sumRarest(rows[:n])
+		minute := mergeRarest(rows[:n])
 		rows = rows[n:]
 		slices.SortFunc(minute, func(a, b Row) int { return compareSubjects(a.Subject, b.Subject) })
 		result = append(result, minute...)
@@ -120,8 +121,9 @@
 	return result
 }
 
-// sumRarest sums the rows of a minute, which come by falling number of requests, that are beyond maxSubjects.
-func sumRarest(minute []Row) []Row {
+// mergeRarest merges the rows of a minute beyond the first maxSubjects into one row per tenant. The rows are sorted by descending number of
+// requests.
+func mergeRarest(minute []Row) []Row {
 	if len(minute) <= maxSubjects {
 		return minute
 	}
--- a/internal/history/collector_test.go
+++ b/internal/history/collector_test.go
@@ -11,39 +11,40 @@
 	a, b := Subject{"a", "x"}, Subject{"b", ""}
 	collector := NewCollector()
 	for i := range int64(100) {
-		collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit,
+		collector.AttemptEnded(micros(startOfDay), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheHit,
 			Duration: control.Micros(1000 * (i + 1))})
-		collector.RequestDone(at(now), a, control.NoAction, i < 10) // the first ten are late
+		collector.RequestDone(micros(startOfDay), a, control.NoAction, i < 10) // the first ten are late
 	}
-	collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
-	collector.RequestDone(at(now), a, control.Reject, Late)
-	collector.RequestDone(at(now+Minute), b, control.Fail, Late)
-	collector.LoadCommandSent(at(now+Minute), b)
+	collector.AttemptEnded(micros(startOfDay), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss,
+		Duration: 9_000_000})
+	collector.RequestDone(micros(startOfDay), a, control.Reject, Late)
+	collector.RequestDone(micros(startOfDay+Minute), b, control.Fail, Late)
+	collector.LoadCommandSent(micros(startOfDay+Minute), b)
 	rows := collector.Drain().Rows()
 	if len(rows) != 2 || len(collector.Drain().Rows()) != 0 {
 		t.Fatalf("got %+v", rows)
 	}
 	r := rows[0]
-	if r.At != now || r.Subject != a || r.Requests != 101 || r.Succeeded != 100 || r.WithinObjective != 90 || r.Rejected != 1 ||
+	if r.At != startOfDay || r.Subject != a || r.Requests != 101 || r.Succeeded != 100 || r.WithinObjective != 90 || r.Rejected != 1 ||
 		r.Attempts != 101 || r.Loads != 1 {
 		t.Errorf("got %+v", r)
 	}
 	if p := r.Quantile(0.5); p < 49_500 || p > 51_000 {
 		t.Errorf("median %d", p)
 	}
-	if r = rows[1]; r.At != now+Minute || r.Subject != b || r.Failed != 1 || r.Loads != 1 || r.Quantile(0.5) != 0 {
+	if r = rows[1]; r.At != startOfDay+Minute || r.Subject != b || r.Failed != 1 || r.Loads != 1 || r.Quantile(0.5) != 0 {
 		t.Errorf("got %+v", r)
 	}
 }
 
-// Functions asked for once share one row, and nothing of them is lost.
+// Functions that are requested only once share one row, and none of their requests is lost.
 func TestRareSubjectsShareARow(t *testing.T) {
 	collector := NewCollector()
 	for i := range 5000 {
-		collector.RequestDone(at(now), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, OnTime)
+		collector.RequestDone(micros(startOfDay), Subject{fmt.Sprint("once-", i), ""}, control.NoAction, OnTime)
 	}
 	for range 3 {
-		collector.RequestDone(at(now), Subject{"often", ""}, control.NoAction, OnTime)
+		collector.RequestDone(micros(startOfDay), Subject{"often", ""}, control.NoAction, OnTime)
 	}
 	rows := collector.Drain().Rows()
 	requests := int64(0)
@@ -53,14 +54,14 @@
 		named[r.Function] = r.Requests
 	}
 	if len(rows) != maxSubjects+1 || requests != 5003 || named["often"] != 3 || named[""] != 5003-maxSubjects-2 {
-		t.Errorf("%d rows of %d requests, %d of the rarest", len(rows), requests, named[""])
+		t.Errorf("%d rows with %d requests, %d of them in the shared row", len(rows), requests, named[""])
 	}
 }
 
 func TestMergedHistogramsKeepTheirQuantiles(t *testing.T) {
 	collector := NewCollector()
 	for i := range int64(1000) {
-		collector.AttemptEnded(at(now+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded,
+		collector.AttemptEnded(micros(startOfDay+i%10*Minute), Subject{"a", ""}, control.Outcome{Result: control.Succeeded,
 			CacheStatus: control.CacheHit, Duration: control.Micros(100 * (i + 1))})
 	}
 	var sum Usage
--- a/internal/history/doc.go
+++ b/internal/history/doc.go
@@ -1,6 +1,6 @@
-// Package history keeps how functions were used: requests, loads, answers within the objective and execution times, by function, tenant
-// and time, for months and in little room.
+// Package history stores how functions were used: requests, loads, answers within the latency objective and execution times, by function,
+// tenant and time. The stored history covers years and takes little space.
 //
-// A Collector counts on the event loop; its Batch gives Rows. A Store keeps rows in a file and merges older ones into coarser levels.
-// Counting, and what is kept how long (Horizons), do no I/O.
+// A Collector counts on the event loop and is drained into a Batch, which is converted to Rows. A Store keeps rows in a file and merges
+// older ones into coarser levels. Collector, Batch and the retention rules (CompactionCutoffs) do no I/O.
 package history
--- a/internal/history/encoding.go
+++ b/internal/history/encoding.go
@@ -9,23 +9,23 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Version is the file's format. A newer file is refused.
+// Version is the version of the file format. Newer files are rejected.
 const Version = 1
 
-// A file has a bucket for each level, named after it, and one for what follows.
+// A file has a bucket for each level, with the level's name, and a bucket for the following metadata.
 var (
 	metaBucket = []byte("meta")
 	versionKey = []byte("version")
-	batchKey   = []byte("batch") // number of the last batch that had one
+	batchKey   = []byte("batch") // number of the last batch added with a number
 )
 
-// rowCountKey is the key in metaBucket of how many rows a level holds.
+// rowCountKey is the key in metaBucket of the number of rows in a level.
 func rowCountKey(level int) []byte { return []byte("rows " + Levels[level].Name) }
 
 func checkVersion(tx *bolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		return fmt.Errorf("%w: no history", ErrCorrupt)
+		return fmt.Errorf("%w: not a history file", ErrCorrupt)
 	}
 	if v := meta.Get(versionKey); len(v) != 4 || binary.BigEndian.Uint32(v) > Version {
 		return ErrNewerVersion
@@ -33,16 +33,16 @@
 	return nil
 }
 
-// timeBytes is how many bytes of a row's key are its time.
+// timeBytes is the length of the time at the beginning of a row's key.
 const timeBytes = 8
 
-// timeKey is the beginning of the keys of all rows of a time.
+// timeKey is the prefix of the keys of all rows with the given time.
 func timeKey(at int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(at)) }
 
 // keyTime returns the time in a row's key.
 func keyTime(key []byte) int64 { return int64(binary.BigEndian.Uint64(key)) }
 
-// rowKey is a row's key: its time, then function and tenant with a zero between them.
+// rowKey is a row's key: its time, function and tenant, with a zero byte between the last two.
 func rowKey(at int64, s Subject) []byte {
 	b := append(timeKey(at), s.Function...)
 	b = append(b, 0)
@@ -54,7 +54,7 @@
 		return r, ErrCorrupt
 	}
 	names := key[timeBytes:]
-	i := bytes.LastIndexByte(names, 0) // a function's name may hold a zero, a tenant's, which is from the settings, doesn't
+	i := bytes.LastIndexByte(names, 0) // a function's name may contain a zero byte; a tenant's, which comes from the settings, doesn't
 	if i < 0 {
 		return r, ErrCorrupt
 	}
--- a/internal/history/histogram.go
+++ b/internal/history/histogram.go
@@ -6,24 +6,25 @@
 	"hollymast/control"
 )
 
-// Histogram holds execution times as the buckets of an HdrHistogram: each bucket's upper bound in microseconds and the number of times in
-// it, alternating, in ascending order. Empty buckets are left out, which makes some hundred bytes a row. (The library's own compressed
-// form makes much garbage; days with fifteen routers on one machine showed its bursts.)
+// Histogram holds execution times in the buckets of an HdrHistogram: alternating, each bucket's upper bound in microseconds and its count,
+// in ascending order. Empty buckets are omitted, so that a row takes a few hundred bytes. The library's own compressed form is not used
+// because it creates much garbage, which caused bursts of load when fifteen routers ran on one machine.
 type Histogram []int64
 
-// The range of execution times in microseconds, and the significant digits of their buckets: 1% is closer than operators need.
+// The range of execution times in microseconds, and the significant digits of the buckets' bounds: an error of 1% is more precise than
+// operators need.
 const (
 	minExecTime       = 1
 	maxExecTime       = 24 * 3600 * 1_000_000
 	significantDigits = 2
 )
 
-// newRecorder returns what newHistogram needs; it is large, and reused.
+// newRecorder returns the recorder that newHistogram needs. It is large and should be reused.
 func newRecorder() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minExecTime, maxExecTime, significantDigits)
 }
 
-// newHistogram returns the histogram of times. Times out of range count as the nearest in range.
+// newHistogram returns the histogram of the given times. Times out of range are replaced by the nearest value in range.
 func newHistogram(recorder *hdrhistogram.Histogram, times []control.Micros) Histogram {
 	recorder.Reset()
 	for _, t := range times {
@@ -54,7 +55,7 @@
 	return sum
 }
 
-// Quantile returns a quantile (0 to 1) in microseconds, as the upper bound of its bucket; 0 if there are no times.
+// Quantile returns the quantile q (0 to 1) in microseconds, as the upper bound of its bucket, or 0 if the histogram is empty.
 func (h Histogram) Quantile(q float64) int64 {
 	total, seen := int64(0), int64(0)
 	for i := 1; i < len(h); i += 2 {
--- a/internal/history/levels.go
+++ b/internal/history/levels.go
@@ -10,40 +10,41 @@
 // Level is a resolution of the history. Times are in microseconds.
 type Level struct {
 	Name      string
-	Span      int64 // of a row
-	Retention int64 // after it a row is merged into the next level's, or dropped
+	Span      int64 // length of time that a row covers
+	Retention int64 // age after which a row is merged into a row of the next level, or dropped
 }
 
-// Levels are the resolutions, finest first. Two days of minutes show an incident and the same hour of the day before, three months of
-// hours show weeks, three years of days show seasons.
+// Levels are the resolutions, finest first. Two days of minutes are enough to compare an incident with the same time on the previous day;
+// three months of hours show weekly patterns, and three years of days show seasonal ones.
 var Levels = []Level{{"minute", Minute, 2 * Day}, {"hour", Hour, 92 * Day}, {"day", Day, 3 * 365 * Day}}
 
-// compactionSteps are the spans by which each level is shortened beyond the bound of rows.
+// compactionSteps are the spans by which each level is shortened while there are too many rows.
 var compactionSteps = []int64{Hour, 7 * Day, 30 * Day}
 
-// CompactionCutoffs returns, by level, the time before which rows go to the next level (of the last level: are dropped), given how many rows the
-// levels hold and how many may be kept in all. Rows go by age. Beyond the bound the finest level that can be is shortened too, by hours,
-// then the next by weeks, then the last by months. Oldest is the time of each level's oldest row, 0 of an empty one.
+// CompactionCutoffs returns for each level the time before which its rows are merged into the next level, or dropped from the last one.
+// The parameters rows and oldest are, by level, the number of rows and the time of the oldest row (0 if there is none). The cutoffs follow
+// from each level's retention. If there are more than maxRows rows in total, one level is also shortened by its compaction step: the
+// minutes if possible, otherwise the hours, otherwise the days.
 func CompactionCutoffs(now int64, rows, oldest []int64, maxRows int64) []int64 {
-	horizons := make([]int64, len(Levels))
+	cutoffs := make([]int64, len(Levels))
 	total := int64(0)
 	for i, l := range Levels {
 		span := l.Span
-		if i+1 < len(Levels) { // whole spans of the next level
+		if i+1 < len(Levels) { // only whole spans of the next level are merged
 			span = Levels[i+1].Span
 		}
-		horizons[i] = (now - l.Retention) / span * span
+		cutoffs[i] = (now - l.Retention) / span * span
 		total += rows[i]
 	}
 	if total <= maxRows {
-		return horizons
+		return cutoffs
 	}
 	for i, step := range compactionSteps {
-		// The present span of the next level is never cut.
+		// Rows within the last step are never merged or dropped.
 		if rows[i] > 0 && oldest[i]+step < now-step {
-			horizons[i] = max(horizons[i], (oldest[i]/step+1)*step)
+			cutoffs[i] = max(cutoffs[i], (oldest[i]/step+1)*step)
 			break
 		}
 	}
-	return horizons
+	return cutoffs
 }
--- a/internal/history/levels_test.go
+++ b/internal/history/levels_test.go
@@ -4,20 +4,22 @@
 	"testing"
 )
 
-func TestHorizons(t *testing.T) {
-	young := []int64{now - Hour, now - Day, now - 100*Day}
-	if h := CompactionCutoffs(now, []int64{10, 10, 10}, young, 30); h[0] != now-2*Day || h[1] != now-92*Day || h[2] != now-3*365*Day {
-		t.Errorf("within the bound: %v", h)
+func TestCompactionCutoffs(t *testing.T) {
+	oldestRows := []int64{startOfDay - Hour, startOfDay - Day, startOfDay - 100*Day}
+	if cutoffs := CompactionCutoffs(startOfDay, []int64{10, 10, 10}, oldestRows, 30); cutoffs[0] != startOfDay-2*Day ||
+		cutoffs[1] != startOfDay-92*Day || cutoffs[2] != startOfDay-3*365*Day {
+		t.Errorf("with no more than maxRows rows: %v", cutoffs)
 	}
-	h := CompactionCutoffs(now, []int64{10, 10, 10}, []int64{now - 5*Hour, now - Day, now - 100*Day}, 29)
-	if h[0] != now-4*Hour || h[1] != now-92*Day {
-		t.Errorf("beyond it minutes go first: %v", h)
+	cutoffs := CompactionCutoffs(startOfDay, []int64{10, 10, 10}, []int64{startOfDay - 5*Hour, startOfDay - Day, startOfDay - 100*Day}, 29)
+	if cutoffs[0] != startOfDay-4*Hour || cutoffs[1] != startOfDay-92*Day {
+		t.Errorf("beyond maxRows, minutes are shortened first: %v", cutoffs)
 	}
-	h = CompactionCutoffs(now, []int64{10, 10, 10}, []int64{now - Hour, now - 60*Day, now - 100*Day}, 29)
-	if h[0] != now-2*Day || h[1] <= now-60*Day || h[1] > now-53*Day {
-		t.Errorf("then hours: %v", h)
+	cutoffs = CompactionCutoffs(startOfDay, []int64{10, 10, 10}, []int64{startOfDay - Hour, startOfDay - 60*Day, startOfDay - 100*Day}, 29)
+	if cutoffs[0] != startOfDay-2*Day || cutoffs[1] <= startOfDay-60*Day || cutoffs[1] > startOfDay-53*Day {
+		t.Errorf("hours are shortened next: %v", cutoffs)
 	}
-	if h = CompactionCutoffs(now, []int64{10, 10, 10}, young, 29); h[2] <= now-100*Day || h[2] > now-70*Day {
-		t.Errorf("then days: %v", h)
+	if cutoffs = CompactionCutoffs(startOfDay, []int64{10, 10, 10}, oldestRows, 29); cutoffs[2] <= startOfDay-100*Day ||
+		cutoffs[2] > startOfDay-70*Day {
+		t.Errorf("days are shortened last: %v", cutoffs)
 	}
 }
--- a/internal/history/quarantine.go
+++ b/internal/history/quarantine.go
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// maxEmptyFile is the size under which a file never held a row: its first four pages, at the smallest page size of any system.
+// maxEmptyFile is the size below which a file has never held a row: the first four pages, at the smallest page size of any system.
 const maxEmptyFile = 4*4096 + 1
 
 // quarantineSuffix is followed by the time in microseconds since 1970.
 const quarantineSuffix = ".damaged-"
 
-// Quarantine renames a damaged file, so that a new one can begin and the old one can be examined. A file that never held a row is
-// removed, and so is a second one within a day. It guards against a disk that fails for long filling with files.
+// Quarantine renames a corrupt file, so that a new one can be created and the old one can be examined. A file that never held a row is
+// removed instead, and so is a second corrupt file within a day, so that files don't accumulate on a disk that fails for a long time.
 func (s *Store) Quarantine(now int64) error {
 	quarantined, err := filepath.Glob(s.path + quarantineSuffix + "*")
 	if err != nil {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -12,14 +12,14 @@
 	errs "go.etcd.io/bbolt/errors"
 )
 
-// Store is a file of rows. It is open only while something is written or read, so that hmhistory can read beside a router. Each write is
-// one transaction, so that a crash leaves the rows of before or after it.
+// Store keeps rows in a file. The file is open only during a read or write, so that hmhistory can read it while a router is running. Each
+// write is one transaction, so that a crash leaves either all or none of its rows.
 type Store struct {
 	path    string
 	maxRows int64
 }
 
-// NewStore returns a store in a file that holds no more than a number of rows.
+// NewStore returns a store that keeps at most maxRows rows in a file.
 func NewStore(path string, maxRows int64) *Store { return &Store{path, maxRows} }
 
 // Errors of a store.
@@ -28,10 +28,10 @@
 	ErrCorrupt      = errors.New("damaged")
 )
 
-// lockTimeout is how long a store waits while another process has the file open: reading a full file takes a second or two.
+// lockTimeout is how long a store waits while another process has the file open. Reading a full file takes one to two seconds.
 const lockTimeout = 5 * time.Second
 
-// access is what a file is opened for.
+// access is the mode in which a file is opened.
 type access int
 
 const (
@@ -39,9 +39,9 @@
 	readOnly
 )
 
-// withDB calls f with the file open. A damaged file is ErrDamaged, whatever its pages hold.
+// withDB opens the file and calls f. Any panic or error caused by corrupt content is returned as ErrCorrupt.
 func (s *Store) withDB(a access, f func(*bolt.DB) error) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file faults where it is mapped
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // accessing the mapping of a truncated file causes a fault
 	var db *bolt.DB
 	defer func() {
 		if r := recover(); r != nil {
@@ -49,16 +49,16 @@
 		}
 		if db != nil {
 			func() {
-				defer func() { recover() }() // the file is damaged: there is nothing to be saved
+				defer func() { recover() }() // the file is corrupt, so nothing can be lost
 				db.Close()
 			}()
 		}
 	}()
 	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: a == readOnly, FreelistType: bolt.FreelistMapType})
-	var path *fs.PathError
+	var pathError *fs.PathError
 	switch {
 	case err == nil:
-	case errors.As(err, &path), errors.Is(err, errs.ErrTimeout): // it is the directory's fault, or another process has the file open
+	case errors.As(err, &pathError), errors.Is(err, errs.ErrTimeout): // a file system error, or another process has the file open
 		return fmt.Errorf("%s: %w", s.path, err)
 	default:
 		return fmt.Errorf("%s: %w: %v", s.path, ErrCorrupt, err)
@@ -66,14 +66,15 @@
 	return f(db)
 }
 
-// noBatch is the number of a batch that is not known to be added twice.
+// noBatch is the number of a batch that is not checked for duplicates.
 const noBatch = 0
 
-// Add merges rows of minutes into the file and compacts it, all or nothing.
+// Add merges rows of the minute level into the file and compacts it, in one transaction.
 func (s *Store) Add(rows []Row, now int64) error { return s.AddOnce(rows, now, noBatch) }
 
-// AddOnce is Add for a batch that may be in the file already, since a write that failed at its end may have been made. It does nothing
-// if the last batch had the same number. So a batch that failed is to be added again before another. With number 0 it is Add.
+// AddOnce is like Add, but does nothing if the last batch added had the same number. Use it to retry a batch: a write that returned an
+// error may nevertheless have been committed. A failed batch must be retried before another batch is added. If the number is 0, the rows
+// are always added.
 func (s *Store) AddOnce(rows []Row, now int64, batch uint64) error {
 	return s.withDB(readWrite, func(db *bolt.DB) error {
 		return db.Update(func(tx *bolt.Tx) error {
@@ -82,7 +83,7 @@
 				return err
 			}
 			if batch != noBatch {
-				if isNew, err := t.claimBatch(batch); err != nil || !isNew {
+				if isNew, err := t.recordBatch(batch); err != nil || !isNew {
 					return err
 				}
 			}
@@ -99,9 +100,9 @@
 	})
 }
 
-// Read calls a function with every row from a time until before another (microseconds since 1970), level by level from the coarsest,
-// which is the oldest, and within a level by time, then name. An error of the function ends it and is returned.
-func (s *Store) Read(from, until int64, each func(Level, Row) error) error {
+// Read calls fn with each row whose time is at least from and before until (in microseconds since 1970). It reads the coarsest level, which
+// is the oldest, first, and each level by time, function and tenant. If fn returns an error, Read stops and returns it.
+func (s *Store) Read(from, until int64, fn func(Level, Row) error) error {
 	if _, err := os.Stat(s.path); err != nil {
 		return err
 	}
@@ -111,7 +112,7 @@
 				return err
 			}
 			for i := len(Levels) - 1; i >= 0; i-- {
-				if err := readLevel(tx, Levels[i], from, until, each); err != nil {
+				if err := readLevel(tx, Levels[i], from, until, fn); err != nil {
 					return err
 				}
 			}
@@ -120,7 +121,7 @@
 	})
 }
 
-func readLevel(tx *bolt.Tx, l Level, from, until int64, each func(Level, Row) error) error {
+func readLevel(tx *bolt.Tx, l Level, from, until int64, fn func(Level, Row) error) error {
 	bucket := tx.Bucket([]byte(l.Name))
 	if bucket == nil {
 		return nil
@@ -131,7 +132,7 @@
 		if err != nil {
 			return err
 		}
-		if err := each(l, r); err != nil {
+		if err := fn(l, r); err != nil {
 			return err
 		}
 	}
--- a/internal/history/stored_form_test.go
+++ b/internal/history/stored_form_test.go
@@ -8,7 +8,7 @@
 	"hollymast/internal/golden"
 )
 
-// What routers in service have stored is read, and written in the same form.
+// Rows stored by earlier builds can be read, and are written in the same form.
 func TestStoredForm(t *testing.T) {
 	golden.CheckType(t, "use-1.cbor", &Usage{}, cbor.Marshal, cbor.Unmarshal)
 }
--- a/internal/history/transaction.go
+++ b/internal/history/transaction.go
@@ -8,13 +8,14 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// transaction is one write to the file. It carries how many rows each level holds, since counting them would read the whole file.
+// transaction is one write to the file. It maintains the number of rows in each level, since counting them would mean reading the whole
+// file.
 type transaction struct {
 	*bolt.Tx
-	rows []int64
+	rowCounts []int64 // by level
 }
 
-// beginTransaction creates the buckets that a file lacks and reads the counts.
+// beginTransaction creates missing buckets and reads the row counts.
 func beginTransaction(tx *bolt.Tx) (*transaction, error) {
 	t := &transaction{tx, make([]int64, len(Levels))}
 	meta := tx.Bucket(metaBucket)
@@ -34,15 +35,15 @@
 			return nil, err
 		}
 		if b := meta.Get(rowCountKey(i)); len(b) == 8 {
-			t.rows[i] = int64(binary.BigEndian.Uint64(b))
+			t.rowCounts[i] = int64(binary.BigEndian.Uint64(b))
 		}
 	}
 	return t, nil
 }
 
-// writeCounts writes the counts back.
+// writeCounts stores the row counts.
 func (t *transaction) writeCounts() error {
-	for i, n := range t.rows {
+	for i, n := range t.rowCounts {
 		if err := t.Bucket(metaBucket).Put(rowCountKey(i), binary.BigEndian.AppendUint64(nil, uint64(n))); err != nil {
 			return err
 		}
@@ -50,20 +51,21 @@
 	return nil
 }
 
-// claimBatch notes a batch's number as that of the last one; it reports false if it is already.
-func (t *transaction) claimBatch(batch uint64) (bool, error) {
-	number := binary.BigEndian.AppendUint64(nil, batch)
+// recordBatch stores a batch's number as that of the last batch. It returns false if that number is already stored.
+func (t *transaction) recordBatch(batch uint64) (bool, error) {
+	encoded := binary.BigEndian.AppendUint64(nil, batch)
 	meta := t.Bucket(metaBucket)
-	if bytes.Equal(meta.Get(batchKey), number) {
+	if bytes.Equal(meta.Get(batchKey), encoded) {
 		return false, nil
 	}
-	return true, meta.Put(batchKey, number)
+	return true, meta.Put(batchKey, encoded)
 }
 
-// fillPercent is how full pages are made before they are split: rows come in the order of time, so little is inserted later.
+// fillPercent is how full a page gets before it is split. It is high because rows are added in the order of their times, so that few rows
+// are inserted later.
 const fillPercent = 0.9
 
-// merge adds a row to the one with its key.
+// merge adds a row's usage to the stored row with the same key, or stores the row if there is none.
 func (t *transaction) merge(level int, r Row) error {
 	bucket := t.Bucket([]byte(Levels[level].Name))
 	bucket.FillPercent = fillPercent
@@ -76,7 +78,7 @@
 		old.Merge(r.Usage)
 		r.Usage = old.Usage
 	} else {
-		t.rows[level]++
+		t.rowCounts[level]++
 	}
 	value, err := cbor.Marshal(r.Usage)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return bucket.Put(key, value)
 }
 
-// compact moves rows to coarser levels as Horizons decides, until none is left to be moved.
+// compact moves rows to coarser levels until no row is before the cutoffs of CompactionCutoffs.
 func (t *transaction) compact(now, maxRows int64) error {
 	for {
 		oldest := make([]int64, len(Levels))
@@ -95,8 +97,8 @@
 			}
 		}
 		moved := false
-		for i, horizon := range CompactionCutoffs(now, t.rows, oldest, maxRows) {
-			n, err := t.moveRows(i, horizon)
+		for i, cutoff := range CompactionCutoffs(now, t.rowCounts, oldest, maxRows) {
+			n, err := t.moveRows(i, cutoff)
 			if err != nil {
 				return err
 			}
@@ -108,7 +110,7 @@
 	}
 }
 
-// moveRows merges a level's rows of before a time into the next level, and returns their number. Those of the last level are dropped.
+// moveRows merges a level's rows before the given time into the next level, or drops them from the last level, and returns their number.
 func (t *transaction) moveRows(level int, before int64) (moved int, err error) {
 	bucket := t.Bucket([]byte(Levels[level].Name))
 	cursor := bucket.Cursor()
@@ -137,7 +139,7 @@
 			return 0, err
 		}
 	}
-	t.rows[level] -= int64(len(keys))
+	t.rowCounts[level] -= int64(len(keys))
 	for _, id := range order {
 		if err := t.merge(level+1, *sums[id]); err != nil {
 			return 0, err
--- a/internal/replay/difference.go
+++ b/internal/replay/difference.go
@@ -6,17 +6,17 @@
 	"hollymast/control"
 )
 
-// Difference is the first command that is not as recorded. It is an error.
+// Difference is the error that reports the first command that differs from the recorded one.
 type Difference struct {
 	File               string
 	Step               uint64
 	Clock              control.Micros
 	Request            control.RequestID
-	Recorded, Replayed string // the commands
-	AtCheckpoint       bool   // it is no command that differs but the state at the beginning of the segment
+	Recorded, Replayed string // texts of the two commands
+	AtCheckpoint       bool   // not a command differs, but the state at the beginning of the segment
 }
 
-// Error describes the difference in a line, in the words that hmreplay has always printed: another build's are compared to it.
+// Error describes the difference in one line. The text must not change, since hmreplay compares it with the output of other builds.
 func (d *Difference) Error() string {
 	if d.AtCheckpoint {
 		return fmt.Sprintf("%s: the state reached by replay differs from the checkpoint at turn %d", d.File, d.Step)
--- a/internal/replay/player.go
+++ b/internal/replay/player.go
@@ -1,4 +1,4 @@
-// Package replay plays recordings through a core and compares what it decides now with what was recorded.
+// Package replay replays recordings through a core and compares its commands with the recorded ones.
 package replay
 
 import (
@@ -7,14 +7,14 @@
 	"hollymast/internal/record"
 )
 
-// Player is a core that goes through recorded steps.
+// Player replays recorded steps through a core.
 type Player struct {
 	Core     *core.Core
 	recorder record.Recorder
-	commands []record.Command // of the last step
+	commands []record.Command // commands of the last step
 }
 
-// NewPlayer returns a player at a checkpoint.
+// NewPlayer returns a player whose core is in the state of a checkpoint.
 func NewPlayer(checkpoint *core.Snapshot) (*Player, error) {
 	p := &Player{}
 	p.recorder.OnStep = func(step record.Step) { p.commands = step.Commands }
@@ -23,18 +23,18 @@
 	return p, err
 }
 
-// Step plays a recorded step and returns the commands that the core gives now.
+// Step replays a recorded step and returns the commands that the core gives.
 func (p *Player) Step(step record.Step) []record.Command {
 	p.Apply(step)
 	return p.EndStep(step.Clock)
 }
 
-// Apply hands a step's events to the core. EndStep must follow.
+// Apply passes the events of a step to the core. EndStep must be called next.
 func (p *Player) Apply(step record.Step) {
 	for _, e := range step.Events {
 		switch {
 		case e.Added != nil:
-			p.Core.Add(step.Clock, *e.Added) // one that was added twice was refused when it was recorded too
+			p.Core.Add(step.Clock, *e.Added) // the error doesn't matter: a duplicate request was refused during the recording too
 		case e.Outcome != nil:
 			p.Core.HandleOutcome(step.Clock, e.RequestID, *e.Outcome)
 		case e.Endpoints != nil:
@@ -48,7 +48,7 @@
 	}
 }
 
-// EndStep ends a step and returns the commands that the core gives.
+// EndStep ends the current step and returns the commands that the core gives.
 func (p *Player) EndStep(now control.Micros) []record.Command {
 	p.Core.Step(now)
 	p.recorder.StepEnded(now)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -13,31 +13,33 @@
 	"hollymast/internal/record"
 )
 
-// Options limits what is compared. The zero value is everything.
+// Options selects which commands are compared. With the zero value all are.
 type Options struct {
-	From, Until uint64            // first and last step; Until 0: to the end
+	From, Until uint64            // first and last step to compare; Until 0: to the end
 	Request     control.RequestID // compare only commands for this request; 0: for all
-	OnCommand   func(step uint64, clock control.Micros, c record.Command)
+	// OnCommand, if not nil, is called with each command that was compared and found equal.
+	OnCommand func(step uint64, clock control.Micros, c record.Command)
 }
 
-// Summary is what a replay went through.
+// Summary describes what was replayed.
 type Summary struct {
-	Segments, Steps, Commands uint64
-	First, Last               control.Micros // clocks of the first and last step
-	LostSteps                 uint64         // steps that the recordings say they lost
-	Damaged                   []string       // errors of segments that end before they should
-	Stalls                    uint64         // steps that came more than stallThreshold after the one before
+	Segments, Steps, Commands uint64         // Commands: number of commands compared
+	First, Last               control.Micros // times of the first and last step
+	LostSteps                 uint64         // number of steps lost, according to the headers of the segments
+	Damaged                   []string       // errors of corrupt or truncated segments
+	Stalls                    uint64         // number of steps more than stallThreshold after the preceding one
 	LongestStall              control.Micros
 }
 
-// stallThreshold is the time between two steps after which a router counts as stalled: five times its maintenance was due.
+// stallThreshold is the time between two steps above which a router counts as stalled. Within it, maintenance is due five times.
 const stallThreshold control.Micros = 1_000_000
 
-// Play replays segments in the given order. The error is a *Difference where commands differ; the summary covers what was played.
+// Play replays segments in the given order. The error is a *Difference if a command or a state differs. The summary covers everything
+// that was replayed until then.
 func Play(files []string, r Options) (Summary, error) {
-	p := playback{limits: r}
+	p := playback{options: r}
 	for _, file := range files {
-		if err := p.playFile(file); errors.Is(err, errEndOfRange) {
+		if err := p.playFile(file); errors.Is(err, errRangeEnd) {
 			break
 		} else if err != nil {
 			return p.summary, err
@@ -46,21 +48,21 @@
 	return p.summary, nil
 }
 
-var errEndOfRange = errors.New("the end that was asked for")
+var errRangeEnd = errors.New("end of the selected range")
 
 // playback is the state of Play between segments.
 type playback struct {
-	limits      Options
+	options     Options
 	summary     Summary
-	player      *Player // nil: the next segment begins at its checkpoint
+	player      *Player // nil: the next segment is replayed from its checkpoint
 	incarnation string
 	next        uint64 // number of the player's next step
 }
 
-// playFile plays a segment. A damaged one is played up to the damage.
+// playFile replays a segment. A corrupt segment is replayed up to the first corrupt frame.
 func (p *playback) playFile(file string) error {
 	err := p.playSegment(file)
-	if errors.Is(err, record.ErrCorrupt) { // a router that is killed during a write leaves one
+	if errors.Is(err, record.ErrCorrupt) { // a router that is killed during a write leaves a truncated segment
 		p.summary.Damaged = append(p.summary.Damaged, err.Error())
 		p.player = nil
 		return nil
@@ -76,21 +78,21 @@
 	defer s.Close()
 	p.summary.Segments++
 	p.summary.LostSteps += s.LostSteps
-	if err := p.enter(s); err != nil {
+	if err := p.enterSegment(s); err != nil {
 		return err
 	}
 	return s.ForEachStep(func(number uint64, step record.Step) error {
-		if p.limits.Until > 0 && number > p.limits.Until {
-			return errEndOfRange
+		if p.options.Until > 0 && number > p.options.Until {
+			return errRangeEnd
 		}
 		p.next = number + 1
-		return p.summary.playStep(p.player, p.limits, file, number, step)
+		return p.summary.playStep(p.player, p.options, file, number, step)
 	})
 }
 
-// enter brings the player to the beginning of a segment. If the segment follows the one before, the state reached has to be that of its
-// checkpoint; else the player begins there.
-func (p *playback) enter(s *record.Segment) error {
+// enterSegment moves the player to the beginning of a segment. If the segment directly follows the preceding one, the state reached must
+// equal its checkpoint; otherwise a new player starts from the checkpoint.
+func (p *playback) enterSegment(s *record.Segment) error {
 	follows := p.player != nil && p.incarnation == s.Incarnation && p.next == s.FirstStep && s.LostSteps == 0
 	p.incarnation, p.next = s.Incarnation, s.FirstStep
 	if !follows {
@@ -100,7 +102,7 @@
 		}
 		return nil
 	}
-	if s.FirstStep < p.limits.From {
+	if s.FirstStep < p.options.From {
 		return nil
 	}
 	same, err := sameState(p.player.Core, s.Checkpoint)
@@ -115,22 +117,22 @@
 	s.addStep(step.Clock)
 	replayed := p.Step(step)
 	for i := range max(len(replayed), len(step.Commands)) {
-		was, is := commandAt(step.Commands, i), commandAt(replayed, i)
-		if number < r.From || r.Request != 0 && was.Request != r.Request && is.Request != r.Request {
+		recorded, current := commandAt(step.Commands, i), commandAt(replayed, i)
+		if number < r.From || r.Request != 0 && recorded.Request != r.Request && current.Request != r.Request {
 			continue
 		}
-		if s.Commands++; was != is {
-			return &Difference{File: file, Step: number, Clock: step.Clock, Request: cmp.Or(was.Request, is.Request),
-				Recorded: was.String(), Replayed: is.String()}
+		if s.Commands++; recorded != current {
+			return &Difference{File: file, Step: number, Clock: step.Clock, Request: cmp.Or(recorded.Request, current.Request),
+				Recorded: recorded.String(), Replayed: current.String()}
 		}
 		if r.OnCommand != nil {
-			r.OnCommand(number, step.Clock, was)
+			r.OnCommand(number, step.Clock, recorded)
 		}
 	}
 	return nil
 }
 
-// addStep counts a step, and a stall before it.
+// addStep counts a step, and a stall if there was one before it.
 func (s *Summary) addStep(clock control.Micros) {
 	if s.Steps++; s.First == 0 {
 		s.First = clock
@@ -141,7 +143,7 @@
 	s.Last = clock
 }
 
-// commandAt returns a command, or the zero command beyond the end.
+// commandAt returns the command at an index, or the zero command if the index is beyond the end.
 func commandAt(commands []record.Command, i int) (c record.Command) {
 	if i < len(commands) {
 		c = commands[i]
@@ -149,7 +151,7 @@
 	return c
 }
 
-// sameState reports whether a core's state is that of a checkpoint.
+// sameState reports whether a core's state equals a checkpoint.
 func sameState(c *core.Core, checkpoint *core.Snapshot) (bool, error) {
 	restored, err := core.Restore(checkpoint, nil)
 	if err != nil {
