--- a/internal/explain/change.go
+++ b/internal/explain/change.go
@@ -9,18 +9,18 @@
 	"hollymast/internal/core"
 )
 
-// ChangeKind is what a Change makes different about a server.
+// ChangeKind says what a Change changes about a server.
 type ChangeKind string
 
-// The kinds of changes, as they are written.
+// The kinds of changes, as they are written in arguments and output.
 const (
-	ChangeDrain    ChangeKind = "drain"
-	ChangeReady    ChangeKind = "ready"     // and neither ejected nor backing off
-	ChangeAddSlot  ChangeKind = "slot"      // one more than its concurrency limit
-	ChangeNoReport ChangeKind = "no-report" // of its load
+	ChangeDrain    ChangeKind = "drain"     // the server drains
+	ChangeReady    ChangeKind = "ready"     // the server is ready, and neither ejected nor backing off
+	ChangeAddSlot  ChangeKind = "slot"      // its concurrency limit is higher by one
+	ChangeNoReport ChangeKind = "no-report" // its load report is missing
 )
 
-// Change is made to a state before a decision is asked again.
+// Change is a hypothetical change to the state of a server, made before a decision is repeated.
 type Change struct {
 	Kind   ChangeKind
 	Server control.ServerID
@@ -31,19 +31,19 @@
 	kind, id, ok := strings.Cut(text, "=")
 	n, err := strconv.ParseUint(id, 16, 64)
 	if !ok || err != nil {
-		return Change{}, fmt.Errorf("%q is no change: drain, ready, slot or no-report, then = and a server's id in hex", text)
+		return Change{}, fmt.Errorf("%q is not a change: want drain, ready, slot or no-report, followed by = and a server's id in hex", text)
 	}
 	switch k := ChangeKind(kind); k {
 	case ChangeDrain, ChangeReady, ChangeAddSlot, ChangeNoReport:
 		return Change{k, control.ServerID(n)}, nil
 	}
-	return Change{}, fmt.Errorf("%q is none of drain, ready, slot, no-report", kind)
+	return Change{}, fmt.Errorf("unknown change %q: want drain, ready, slot or no-report", kind)
 }
 
-// String is what ParseChange parses.
+// String returns the change in the form that ParseChange accepts.
 func (c Change) String() string { return fmt.Sprintf("%s=%x", string(c.Kind), uint64(c.Server)) }
 
-// apply makes the change in a snapshot.
+// apply makes the change to a snapshot.
 func (c Change) apply(s *core.Snapshot) error {
 	for i := range s.Balancer.Servers {
 		server := &s.Balancer.Servers[i]
@@ -62,5 +62,5 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("server %x is not known at that time", c.Server)
+	return fmt.Errorf("server %x is not known at the time of the decision", c.Server)
 }
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -7,27 +7,27 @@
 	"hollymast/control"
 )
 
-// Decision is a decision about a request, with what the balancer knew. Its JSON is what hmexplain prints.
+// Decision is a decision about a request, with the information that it was based on. hmexplain prints it as JSON.
 type Decision struct {
 	File        string                `json:"File"`
 	Step        uint64                `json:"Turn"`
-	Endpoints   EndpointList          `json:"List"` // that the decision is based on
-	Check       *control.ReplicaCheck `json:"Check"`
+	Endpoints   EndpointList          `json:"List"`  // the endpoint list at the time of the decision
+	Check       *control.ReplicaCheck `json:"Check"` // the function's last replica check; nil: none
 	Explanation control.Explanation   `json:"Why"`
-	WhatIf      string                `json:"If,omitempty"` // the change before it was asked again; empty: as recorded
+	WhatIf      string                `json:"If,omitempty"` // the change under which the decision was repeated; empty: as recorded
 }
 
-// EndpointList identifies the endpoint list that was known: when it was received, and its number in the recording. ReceivedAt is 0 where
-// that was before the recording began.
+// EndpointList identifies an endpoint list by the time at which it was received and its number in the recording. ReceivedAt is 0 if it was
+// received before the recording began.
 type EndpointList struct {
 	ReceivedAt control.Micros `json:"Heard"`
 	Version    int            `json:"Version"`
 }
 
-// actionNames are the words that hmexplain prints, by control.Action.
+// actionNames are the names that hmexplain prints, by control.Action.
 var actionNames = [...]string{"nothing", "forward", "hold", "reject", "fail"}
 
-// Text describes the decision for people.
+// Text returns a human-readable description of the decision.
 func (d Decision) Text() string {
 	var b strings.Builder
 	d.writeOutcome(&b)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain says, from a recording, why the decisions about a request came out as they did. It plays the recording through the same
-// core and listens to the balancer's own trace; it repeats none of its conditions.
+// Package explain explains from a recording why the decisions about a request were made. It replays the recording through the same core and
+// reads the balancer's trace, so that it duplicates none of the balancer's conditions.
 package explain
 
 import (
@@ -12,16 +12,17 @@
 	"hollymast/internal/replay"
 )
 
-// Query says which decisions are to be explained.
+// Query selects the decisions to explain.
 type Query struct {
 	Request control.RequestID
-	WhatIf  *Change // made before the step in which the request was added, which is then played again; nil: none
+	WhatIf  *Change // a change under which the step that added the request is replayed once more; nil: none
 }
 
-// ErrNoDecision says that the recording holds no decision about the request.
-var ErrNoDecision = errors.New("the recording holds no decision about this request")
+// ErrNoDecision means that the recording contains no decision about the request.
+var ErrNoDecision = errors.New("the recording contains no decision about this request")
 
-// Request explains all decisions about a request; with a change, the first one as recorded and as it would have been.
+// Request explains all decisions about a request. If the query has a change, it explains the first decision as it was recorded and as it
+// would have been with the change.
 func Request(files []string, q Query) (decisions []Decision, err error) {
 	for _, file := range files {
 		found, err := explainSegment(file, q)
@@ -39,42 +40,42 @@
 	return decisions, nil
 }
 
-// listener gathers the decisions about a request from the balancer's trace.
-type listener struct {
+// decisionCollector collects the decisions about a request from the balancer's trace.
+type decisionCollector struct {
 	request   control.RequestID
-	current   Decision // file, step and endpoint list of what is played
-	checks    map[control.FunctionID]control.ReplicaCheck
+	current   Decision                                    // with only the file, step and endpoint list of the current step
+	checks    map[control.FunctionID]control.ReplicaCheck // last replica check of each function
 	decisions []Decision
 }
 
-func (l *listener) trace() *control.Trace {
+func (dc *decisionCollector) trace() *control.Trace {
 	return &control.Trace{
-		OnReplicaCheck: func(c control.ReplicaCheck) { l.checks[c.Function] = c },
+		OnReplicaCheck: func(c control.ReplicaCheck) { dc.checks[c.Function] = c },
 		OnDecision: func(e control.Explanation) {
-			if e.Request != l.request {
+			if e.Request != dc.request {
 				return
 			}
-			d := l.current
+			d := dc.current
 			d.Explanation = e
-			if c, ok := l.checks[e.Function]; ok {
+			if c, ok := dc.checks[e.Function]; ok {
 				d.Check = &c
 			}
-			l.decisions = append(l.decisions, d)
+			dc.decisions = append(dc.decisions, d)
 		}}
 }
 
-// enter notes which step is played next.
-func (l *listener) enter(number uint64, step record.Step) {
-	l.current.Step = number
+// setStep sets the step that is replayed next.
+func (dc *decisionCollector) setStep(number uint64, step record.Step) {
+	dc.current.Step = number
 	for _, e := range step.Events {
 		if e.Endpoints != nil {
-			l.current.Endpoints = EndpointList{step.Clock, l.current.Endpoints.Version + 1}
+			dc.current.Endpoints = EndpointList{step.Clock, dc.current.Endpoints.Version + 1}
 		}
 	}
 }
 
-// errPlayedAgain ends a segment once the step in question was played with the change.
-var errPlayedAgain = errors.New("played again")
+// errReplayedWithChange ends the replay of a segment once the request's step was replayed with the change.
+var errReplayedWithChange = errors.New("replayed with the change")
 
 func explainSegment(file string, q Query) ([]Decision, error) {
 	s, err := record.OpenSegment(file)
@@ -86,13 +87,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	l := &listener{request: q.Request, current: Decision{File: file}, checks: map[control.FunctionID]control.ReplicaCheck{}}
-	if err := player.Core.SetTrace(l.trace()); err != nil {
+	dc := &decisionCollector{request: q.Request, current: Decision{File: file}, checks: map[control.FunctionID]control.ReplicaCheck{}}
+	if err := player.Core.SetTrace(dc.trace()); err != nil {
 		return nil, err
 	}
 	err = s.ForEachStep(func(number uint64, step record.Step) error {
-		l.enter(number, step)
-		if q.WhatIf == nil || !adds(step, q.Request) {
+		dc.setStep(number, step)
+		if q.WhatIf == nil || !addsRequest(step, q.Request) {
 			player.Step(step)
 			return nil
 		}
@@ -101,16 +102,16 @@
 			return err
 		}
 		player.Step(step)
-		return l.playAgain(before, step, *q.WhatIf)
+		return dc.replayWithChange(before, step, *q.WhatIf)
 	})
-	if errors.Is(err, errPlayedAgain) {
+	if errors.Is(err, errReplayedWithChange) {
 		err = nil
 	}
-	return l.decisions, err
+	return dc.decisions, err
 }
 
-// adds reports whether a request is added in a step.
-func adds(step record.Step, id control.RequestID) bool {
+// addsRequest reports whether a step adds a request.
+func addsRequest(step record.Step, id control.RequestID) bool {
 	for _, e := range step.Events {
 		if e.Added != nil && e.Added.ID == id {
 			return true
@@ -119,8 +120,8 @@
 	return false
 }
 
-// playAgain plays a step from the state before it, with a change. It returns errPlayedAgain.
-func (l *listener) playAgain(before *core.Snapshot, step record.Step, c Change) error {
+// replayWithChange applies a change to the state before a step and replays the step. If that succeeds, it returns errReplayedWithChange.
+func (dc *decisionCollector) replayWithChange(before *core.Snapshot, step record.Step, c Change) error {
 	if err := c.apply(before); err != nil {
 		return err
 	}
@@ -128,13 +129,13 @@
 	if err != nil {
 		return err
 	}
-	first := len(l.decisions)
-	if err := player.Core.SetTrace(l.trace()); err != nil {
+	first := len(dc.decisions)
+	if err := player.Core.SetTrace(dc.trace()); err != nil {
 		return err
 	}
 	player.Step(step)
-	for i := first; i < len(l.decisions); i++ {
-		l.decisions[i].WhatIf = c.String()
+	for i := first; i < len(dc.decisions); i++ {
+		dc.decisions[i].WhatIf = c.String()
 	}
-	return errPlayedAgain
+	return errReplayedWithChange
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,8 +14,8 @@
 	"hollymast/internal/record"
 )
 
-// recordDecisions records a router that gets a list of two servers, routes request 1, gets to know that server 2 drains, and routes
-// request 2.
+// recordDecisions records a router that receives a list of two servers, routes request 1, receives a list in which server 2 drains, and
+// routes request 2.
 func recordDecisions(t *testing.T) []string {
 	t.Helper()
 	deployment := control.Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, OverloadWindow: 1_000_000, KeepAlive: 1_000_000,
@@ -31,18 +31,18 @@
 	}
 	c.SetRecorder(w.Recorder())
 	w.BeginSegment(now)
-	update := func(second control.ServerState) {
+	updateEndpoints := func(secondState control.ServerState) {
 		c.UpdateEndpoints(now, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready, Weight: 1},
-			{Server: 2, State: second, Weight: 1}})
+			{Server: 2, State: secondState, Weight: 1}})
 	}
 	add := func(id control.RequestID, f control.FunctionID) {
 		c.Add(now, control.Request{ID: id, Function: f, Lanes: 1, ArrivedAt: now, Deadline: now + 2_000_000})
 	}
-	update(control.Ready)
+	updateEndpoints(control.Ready)
 	add(1, 7)
 	c.Step(now)
 	now += 1000
-	update(control.Draining)
+	updateEndpoints(control.Draining)
 	c.Step(now)
 	now += 1000
 	add(2, 8)
@@ -58,23 +58,23 @@
 func TestRequestNamesReasonAndEndpointList(t *testing.T) {
 	files := recordDecisions(t)
 	for request, version := range map[control.RequestID]int{1: 1, 2: 2} {
-		first, err := Request(files, Query{Request: request})
-		if err != nil || len(first) != 1 {
-			t.Fatalf("request %d: %+v, %v", request, first, err)
+		decisions, err := Request(files, Query{Request: request})
+		if err != nil || len(decisions) != 1 {
+			t.Fatalf("request %d: %+v, %v", request, decisions, err)
 		}
-		a := first[0]
-		if a.Endpoints.Version != version || a.Explanation.Reason != "no replica is loaded or loading" ||
-			a.Explanation.Decision.Action != control.Forward || len(a.Explanation.Servers) != 2 {
-			t.Errorf("request %d: %+v", request, a)
+		decision := decisions[0]
+		if decision.Endpoints.Version != version || decision.Explanation.Reason != "no replica is loaded or loading" ||
+			decision.Explanation.Decision.Action != control.Forward || len(decision.Explanation.Servers) != 2 {
+			t.Errorf("request %d: %+v", request, decision)
 		}
-		if unusable := a.Explanation.Servers[1].Unusable != ""; unusable != (request == 2) {
-			t.Errorf("request %d: server 2 is %q", request, a.Explanation.Servers[1].Unusable)
+		if unusable := decision.Explanation.Servers[1].Unusable != ""; unusable != (request == 2) {
+			t.Errorf("request %d: server 2 is %q", request, decision.Explanation.Servers[1].Unusable)
 		}
-		if text := a.Text(); !strings.Contains(text, string(a.Explanation.Reason)) || !strings.Contains(text, "server 2") {
+		if text := decision.Text(); !strings.Contains(text, string(decision.Explanation.Reason)) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
-		if again, err := Request(files, Query{Request: request}); err != nil || !reflect.DeepEqual(first, again) {
-			t.Errorf("another run explains it otherwise: %+v, %v", again, err)
+		if again, err := Request(files, Query{Request: request}); err != nil || !reflect.DeepEqual(decisions, again) {
+			t.Errorf("a second run explains it differently: %+v, %v", again, err)
 		}
 	}
 	if _, err := Request(files, Query{Request: 3}); !errors.Is(err, ErrNoDecision) {
@@ -93,9 +93,9 @@
 
 func TestWhatIf(t *testing.T) {
 	files := recordDecisions(t)
-	plain, err := Request(files, Query{Request: 2}) // by then both servers are known
-	if err != nil || plain[0].Explanation.Decision.Server != 1 {
-		t.Fatalf("%+v, %v", plain, err)
+	recorded, err := Request(files, Query{Request: 2}) // both servers are known by then
+	if err != nil || recorded[0].Explanation.Decision.Server != 1 {
+		t.Fatalf("%+v, %v", recorded, err)
 	}
 	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward,
 		"no-report=1": control.Forward, "ready=2": control.Forward} {
@@ -110,7 +110,7 @@
 	}
 	c := Change{ChangeDrain, 9}
 	if _, err := Request(files, Query{Request: 2, WhatIf: &c}); err == nil {
-		t.Error("an unknown server was drained")
+		t.Error("a change to an unknown server was accepted")
 	}
 	for _, text := range []string{"", "drain", "drain=", "drain=xyz", "flood=1"} {
 		if c, err := ParseChange(text); err == nil {
--- a/internal/explain/find.go
+++ b/internal/explain/find.go
@@ -7,7 +7,7 @@
 	"hollymast/internal/record"
 )
 
-// RequestsNear returns the requests that were decided about within a span round a time, in order, each once.
+// RequestsNear returns the requests with decisions in the steps at most span before or after a time, in order and without duplicates.
 func RequestsNear(files []string, at, span control.Micros) (requests []control.RequestID, err error) {
 	seen := map[control.RequestID]bool{}
 	err = forEachStep(files, func(step record.Step) {
@@ -23,7 +23,8 @@
 	return requests, err
 }
 
-// FindRequest returns the request whose client's id has a record.Tag; the last one, where an id was used again.
+// FindRequest returns the request whose client's id has the given record.KeyedHash. If an id was used several times, it returns the last
+// request.
 func FindRequest(files []string, tag uint64) (request control.RequestID, err error) {
 	err = forEachStep(files, func(step record.Step) {
 		for _, e := range step.Events {
@@ -33,20 +34,20 @@
 		}
 	})
 	if err == nil && request == 0 {
-		err = errors.New("the recording holds no request of this id (under this key)")
+		err = errors.New("the recording contains no request with this id (hashed with this name_key)")
 	}
 	return request, err
 }
 
-// forEachStep calls a function with the steps of all files. Damaged ones are read up to the damage.
-func forEachStep(files []string, each func(record.Step)) error {
+// forEachStep calls fn with the steps of all files. Corrupt files are read up to the first corrupt frame.
+func forEachStep(files []string, fn func(record.Step)) error {
 	for _, file := range files {
 		s, err := record.OpenSegment(file)
 		if err != nil {
 			return err
 		}
 		err = s.ForEachStep(func(_ uint64, step record.Step) error {
-			each(step)
+			fn(step)
 			return nil
 		})
 		s.Close()
--- a/internal/explain/verify.go
+++ b/internal/explain/verify.go
@@ -9,8 +9,8 @@
 	"hollymast/internal/replay"
 )
 
-// VerifyAll plays recordings and compares every explanation to the decision that was recorded. It returns how many agree; the error
-// names the first that doesn't.
+// VerifyAll replays recordings and compares every explanation with the recorded decision. It returns how many agree; the error describes
+// the first that doesn't.
 func VerifyAll(files []string) (agreeing uint64, err error) {
 	for _, file := range files {
 		n, err := verifySegment(file)
@@ -32,7 +32,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", file, err)
 	}
-	var explanations []control.Explanation // of the step that is played
+	var explanations []control.Explanation // explanations of the current step
 	if err := player.Core.SetTrace(&control.Trace{OnDecision: func(e control.Explanation) {
 		if e.Decision.Action != control.NoAction && e.Decision.Action != control.Hold {
 			explanations = append(explanations, e)
@@ -46,33 +46,33 @@
 		n, err := verifyStep(step.Commands, explanations)
 		agreeing += n
 		if err != nil {
-			return fmt.Errorf("%s: turn %d: %w", file, number, err)
+			return fmt.Errorf("%s: step %d: %w", file, number, err)
 		}
 		return nil
 	})
 	return agreeing, err
 }
 
-// verifyStep compares the decisions among a step's commands to the explanations, in order.
+// verifyStep compares the decisions among a step's recorded commands with the explanations, in order.
 func verifyStep(commands []record.Command, explanations []control.Explanation) (agreeing uint64, err error) {
 	for _, c := range commands {
 		if c.Kind != record.CommandForward && c.Kind != record.CommandReject && c.Kind != record.CommandFail {
 			continue
 		}
-		if len(explanations) == 0 || !explains(explanations[0], c) {
-			return agreeing, fmt.Errorf("recorded is %q, and the explanation says otherwise", c)
+		if len(explanations) == 0 || !explanationMatches(explanations[0], c) {
+			return agreeing, fmt.Errorf("recorded command %q does not match its explanation", c)
 		}
 		explanations = explanations[1:]
 		agreeing++
 	}
 	if len(explanations) > 0 {
-		return agreeing, fmt.Errorf("job %d is explained, but no decision was recorded", explanations[0].Request)
+		return agreeing, fmt.Errorf("a decision about request %d is explained but was not recorded", explanations[0].Request)
 	}
 	return agreeing, nil
 }
 
-// explains reports whether an explanation is that of a recorded command.
-func explains(e control.Explanation, c record.Command) bool {
+// explanationMatches reports whether an explanation describes a recorded command.
+func explanationMatches(e control.Explanation, c record.Command) bool {
 	d := e.Decision
 	switch c.Kind {
 	case record.CommandForward:
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -5,15 +5,15 @@
 	"reflect"
 )
 
-// Fill sets each exported field that v points to, at any depth, to a value of its own that is not zero. Slices get two elements.
-// Fields with the tag golden:"joined" stay zero: they are optional, and joined a stored form whose golden file is older. So the
-// form without them stays pinned; each has a golden file of its own.
+// Fill sets all exported fields of the value that v points to, at any depth, to nonzero values that are mostly distinct. Slices get two
+// elements. Fields with the tag golden:"joined" stay zero: these are optional fields that were added after the golden file was written,
+// which therefore still checks the form without them. Each such field needs its own golden file.
 func Fill(v any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem())
 }
 
-// filler counts the values that it has given.
+// filler counts the scalar values that it has set.
 type filler struct{ n int64 }
 
 func (f *filler) fill(v reflect.Value) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// int8Values is how many values of an 8-bit integer are used: they repeat after it.
+// int8Values is the number of different values used for 8-bit integers. They repeat after that.
 const int8Values = 100
 
 func (f *filler) fillScalar(v reflect.Value) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares stored forms to files that an earlier build wrote. It guards against a field that is renamed without a tag of
-// its old name, which would be read as zero without an error. It serves tests only.
+// Package golden compares encoded values with files written by an earlier build. It detects a field that was renamed without a tag for its
+// old name, which would be decoded as zero without an error. It is for use in tests only.
 package golden
 
 import (
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// writeVariable is the environment variable that has Check write its file. It is for new stored forms only: a file that an earlier build
-// wrote stays as it is.
-const writeVariable = "GOLDEN_WRITE"
+// writeEnvVar is the environment variable that makes Check write its file. It is for new stored forms only: files written by an earlier
+// build must not be changed.
+const writeEnvVar = "GOLDEN_WRITE"
 
-// CheckType checks the stored form of a type: value, which points to a zero one, is filled and checked against the file testdata/name,
-// and each of its fields must have its stored name in a tag.
+// CheckType checks the stored form of a type. It fills value, which must point to a zero value, checks it against the file testdata/name,
+// and requires each field to have its stored name in a tag.
 func CheckType(t testing.TB, name string, value any, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	Fill(value)
 	Check(t, name, value, encode, decode)
 	if missing := UntaggedFields(reflect.TypeOf(value)); len(missing) > 0 {
-		t.Errorf("%s: stored under the name of a field: %q", name, missing)
+		t.Errorf("%s: stored under the name of a field, without a tag: %q", name, missing)
 	}
 }
 
-// Check checks a value against the file testdata/name: it must be encoded to the same bytes, and these must be decoded to the same value.
-// Value is a pointer; decode gets one to a zero value.
+// Check checks a value against the file testdata/name: encoding the value must give the content of the file, and decoding the file must
+// give the value. The parameter value is a pointer; decode is called with a pointer to a zero value.
 func Check(t testing.TB, name string, value any, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if os.Getenv(writeVariable) != "" {
+	if os.Getenv(writeEnvVar) != "" {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, stored) {
-		t.Errorf("%s: this build writes other bytes than those stored", path)
+		t.Errorf("%s: this build writes other bytes than those in the file", path)
 	}
 	decoded := reflect.New(reflect.TypeOf(value).Elem())
 	if err := decode(stored, decoded.Interface()); err != nil {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -52,19 +52,19 @@
 	}
 }
 
-// failures is a testing.TB that gathers what a check reports.
-type failures struct {
+// failureRecorder is a testing.TB that records the failures reported by a check.
+type failureRecorder struct {
 	testing.TB
 	lines []string
 }
 
-func (*failures) Helper() {}
+func (*failureRecorder) Helper() {}
 
-func (f *failures) Errorf(format string, args ...any) {
+func (f *failureRecorder) Errorf(format string, args ...any) {
 	f.lines = append(f.lines, fmt.Sprintf(format, args...))
 }
 
-// A field whose stored name has changed is found, both when it is written and when it is read.
+// A changed stored name of a field is detected both when the value is encoded and when it is decoded.
 func TestCheckTypeFindsARenamedField(t *testing.T) {
 	type before struct {
 		Value int `json:"Old"`
@@ -73,7 +73,7 @@
 		Value int `json:"New"`
 	}
 	type untagged struct{ Old int }
-	t.Setenv(writeVariable, "")
+	t.Setenv(writeEnvVar, "")
 	t.Chdir(t.TempDir())
 	if err := os.Mkdir("testdata", 0o755); err != nil {
 		t.Fatal(err)
@@ -93,21 +93,21 @@
 		{&after{}, []string{"other bytes", "read as"}},
 		{&untagged{}, []string{"under the name of a field"}},
 	} {
-		f := &failures{TB: t}
-		CheckType(f, "form", c.value, json.Marshal, json.Unmarshal)
-		if len(f.lines) != len(c.want) {
-			t.Errorf("%T: reported %q", c.value, f.lines)
+		recorder := &failureRecorder{TB: t}
+		CheckType(recorder, "form", c.value, json.Marshal, json.Unmarshal)
+		if len(recorder.lines) != len(c.want) {
+			t.Errorf("%T: reported %q", c.value, recorder.lines)
 			continue
 		}
 		for i, want := range c.want {
-			if !strings.Contains(f.lines[i], want) {
-				t.Errorf("%T: reported %q, want %q", c.value, f.lines[i], want)
+			if !strings.Contains(recorder.lines[i], want) {
+				t.Errorf("%T: reported %q, want %q", c.value, recorder.lines[i], want)
 			}
 		}
 	}
 }
 
-// A field that joined a stored form later stays zero, so that the older golden file still pins the form without it.
+// A field that was added to a stored form later stays zero, so that the older golden file still checks the form without it.
 func TestFillLeavesJoinedFields(t *testing.T) {
 	v := &struct {
 		Old    int
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// UntaggedFields returns the exported fields, at any depth of a type, whose stored name is not written out in a cbor or json tag.
+// UntaggedFields returns the exported fields, at any depth of a type, whose stored name is not given in a cbor or json tag.
 func UntaggedFields(t reflect.Type) []string {
 	var missing []string
 	appendUntagged(t, map[reflect.Type]bool{}, &missing)
@@ -34,7 +34,7 @@
 	}
 }
 
-// storedByPosition reports whether a struct's fields are stored in their order, without names.
+// storedByPosition reports whether a struct is encoded as an array, so that its fields are stored in order and without names.
 func storedByPosition(t reflect.Type) bool {
 	f, ok := t.FieldByName("_")
 	return ok && strings.Contains(f.Tag.Get("cbor"), "toarray")
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -5,104 +5,104 @@
 	"slices"
 )
 
-// Check checks the records of a run, which are in the order of their times.
+// Check checks the invariants on the records of a run, which must be sorted by time.
 func Check(config Config, records []Record) *Report {
 	report := newReport()
-	h := collect(records)
-	for _, q := range h.requests {
-		if q.sent.Request == "" {
-			first := q.firstAttemptRecord()
-			report.Rules[RuleResponses].addViolation(first.At, "job %s reached a server but no client asked it", first.Request)
+	history := groupRecords(records)
+	for _, request := range history.requests {
+		if request.sent.Request == "" {
+			first := request.firstServerRecord()
+			report.Rules[RuleResponses].addViolation(first.At, "request %s reached a server, but no client sent it", first.Request)
 			continue
 		}
-		report.checkResponses(config, q, h.downtimes[q.sent.Router])
+		report.checkResponses(config, request, history.downtimes[request.sent.Router])
 	}
-	report.checkEffects(config, h.requests)
+	report.checkEffects(config, history.requests)
 	report.checkDrains(config, records)
 	report.checkSlowStart(config, records)
-	report.checkLoadRate(config, records, h.downtimes)
+	report.checkLoadRate(config, records, history.downtimes)
 	return report
 }
 
-// request is what happened to one request.
-type request struct {
-	sent       Record
-	response   Record // the last one
-	responses  int
-	abandoned  bool
-	notSent    bool
-	timedOutAt int64
-	received   []Record
-	started    []Record
-	refused    []Record // or deduplicated
+// requestHistory holds the records of one request.
+type requestHistory struct {
+	sent          Record
+	response      Record // the last response
+	responseCount int
+	abandoned     bool
+	notSent       bool
+	timedOutAt    int64
+	received      []Record
+	started       []Record
+	refused       []Record // refused or deduplicated attempts
 }
 
-// firstAttemptRecord gives the first record of a server about the request.
-func (q *request) firstAttemptRecord() Record {
-	for _, records := range [][]Record{q.received, q.started, q.refused} {
+// firstServerRecord returns a server's first record of the request.
+func (h *requestHistory) firstServerRecord() Record {
+	for _, records := range [][]Record{h.received, h.started, h.refused} {
 		if len(records) > 0 {
 			return records[0]
 		}
 	}
-	return q.response
+	return h.response
 }
 
-func (q *request) add(r Record) {
+func (h *requestHistory) add(r Record) {
 	switch r.Kind {
 	case RequestSent:
-		q.sent = r
+		h.sent = r
 	case ResponseReceived:
-		q.response = r
-		q.responses++
+		h.response = r
+		h.responseCount++
 	case RequestTimedOut:
-		q.timedOutAt = r.At
+		h.timedOutAt = r.At
 	case RequestNotSent:
-		q.notSent = true
+		h.notSent = true
 	case RequestAbandoned:
-		q.abandoned = true
+		h.abandoned = true
 	case AttemptReceived:
-		q.received = append(q.received, r)
+		h.received = append(h.received, r)
 	case AttemptStarted:
-		q.started = append(q.started, r)
+		h.started = append(h.started, r)
 	case AttemptRefused, AttemptDeduplicated:
-		q.refused = append(q.refused, r)
+		h.refused = append(h.refused, r)
 	}
 }
 
-// downtime is a time in which a router didn't run.
+// downtime is a period during which a router was not running.
 type downtime struct{ from, to int64 }
 
-// overlaps reports whether a router was down between two times.
+// overlaps reports whether the downtime overlaps the period between two times.
 func (d downtime) overlaps(from, to int64) bool { return d.from < to && d.to > from }
 
-// history is what records tell of requests and routers.
-type history struct {
-	requests  []*request         // in the order of their first records
+// runHistory groups the records of a run by request and router.
+type runHistory struct {
+	requests  []*requestHistory  // in the order of their first records
 	downtimes map[int][]downtime // by router
 }
 
-func collect(records []Record) *history {
-	h := &history{downtimes: map[int][]downtime{}}
-	byID := map[string]*request{}
+func groupRecords(records []Record) *runHistory {
+	history := &runHistory{downtimes: map[int][]downtime{}}
+	byID := map[string]*requestHistory{}
 	for _, r := range records {
 		switch {
 		case r.Kind == RouterDown:
-			h.downtimes[r.Router] = append(h.downtimes[r.Router], downtime{r.At, math.MaxInt64})
+			history.downtimes[r.Router] = append(history.downtimes[r.Router], downtime{r.At, math.MaxInt64})
 		case r.Kind == RouterUp:
-			if d := h.downtimes[r.Router]; len(d) > 0 {
+			if d := history.downtimes[r.Router]; len(d) > 0 {
 				d[len(d)-1].to = r.At
 			}
 		case r.Request != "":
-			q := byID[r.Request]
-			if q == nil {
-				q = &request{}
-				byID[r.Request] = q
-				h.requests = append(h.requests, q)
+			request := byID[r.Request]
+			if request == nil {
+				request = &requestHistory{}
+				byID[r.Request] = request
+				history.requests = append(history.requests, request)
 			}
-			q.add(r)
+			request.add(r)
 		}
 	}
-	return h
+	return history
 }
 
 // wasDown reports whether a router was down between two times.
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -14,35 +14,35 @@
 		LoadRateWindow: 4 * second, LoadRateBase: 1, LoadRatePerRequest: 0.5, MaxNetworkDelay: 50_000}
 }
 
-// at builds a record of a request of a workload.
-func at(ms int64, k Kind, workload string, server int, word string) Record {
+// at returns a record of a request of a workload, or of a published endpoint.
+func at(ms int64, k Kind, workload string, server int, detail string) Record {
 	if k == EndpointPublished {
-		return Record{At: ms * 1000, Kind: k, Server: server, Detail: word}
+		return Record{At: ms * 1000, Kind: k, Server: server, Detail: detail}
 	}
-	return Record{At: ms * 1000, Kind: k, Request: "j", Effect: "e", Workload: workload, Server: server, Detail: word, Deadline: 3 * second}
+	return Record{At: ms * 1000, Kind: k, Request: "j", Effect: "e", Workload: workload, Server: server, Detail: detail, Deadline: 3 * second}
 }
 
-// succeeded gives the records of a request of a workload as they should be.
-func succeeded(workload string) []Record {
+// successfulRequest returns the records of a successful request of a workload.
+func successfulRequest(workload string) []Record {
 	return []Record{at(0, RequestSent, workload, 0, ""), at(10, AttemptReceived, workload, 0, ""), at(10, AttemptStarted, workload, 0, ""),
 		at(60, AttemptEnded, workload, 0, ""), at(70, ResponseReceived, workload, 0, Succeeded)}
 }
 
-// Each rule is violated in ways that have to be found, beside records that violate none.
+// Checks that violations of each rule are found, and that no violation is reported for records that obey all rules.
 func TestViolationsAreFound(t *testing.T) {
 	slowStart := []Record{{At: 0, Kind: ServerStarted, Server: 1}}
-	for i := range int64(5) { // its budget is 4 in the window then
+	for i := range int64(5) { // the server's budget is 4 per window at its start
 		slowStart = append(slowStart, Record{At: 1000 + i, Kind: AttemptReceived, Server: 1})
 	}
 	for name, c := range map[string]struct {
-		rule    int // 0: none is violated
+		rule    int // number of the violated rule; 0: none
 		records []Record
 	}{
-		"succeeded":                {0, succeeded("ticket")},
+		"succeeded":                {0, successfulRequest("ticket")},
 		"no answer":                {1, []Record{at(0, RequestSent, "ticket", 0, ""), at(3300, RequestTimedOut, "ticket", 0, "")}},
-		"two answers":              {1, append(succeeded("ticket"), at(80, ResponseReceived, "ticket", 0, Failed))},
+		"two answers":              {1, append(successfulRequest("ticket"), at(80, ResponseReceived, "ticket", 0, Failed))},
 		"late answer":              {1, []Record{at(0, RequestSent, "ticket", 0, ""), at(3001, ResponseReceived, "ticket", 0, Failed)}},
-		"attempt after its end":    {1, append(succeeded("forecast"), at(200, AttemptReceived, "forecast", 1, ""))},
+		"attempt after its end":    {1, append(successfulRequest("forecast"), at(200, AttemptReceived, "forecast", 1, ""))},
 		"success without a server": {1, []Record{at(0, RequestSent, "ticket", 0, ""), at(70, ResponseReceived, "ticket", 0, Succeeded)}},
 		"no client sent it":        {1, []Record{at(10, AttemptReceived, "ticket", 0, "")}},
 		"router down": {0, []Record{{At: second, Kind: RouterDown}, at(1500, RequestSent, "ticket", 0, ""), at(3300, RequestTimedOut, "ticket", 0, ""),
@@ -67,9 +67,9 @@
 		"inside the scope": {0, []Record{at(0, RequestSent, "label", 0, ""), at(10, AttemptReceived, "label", 0, ""), at(10, AttemptStarted, "label", 0, ""),
 			at(2000, AttemptReceived, "label", 2, ""), at(2100, ResponseReceived, "label", 0, Succeeded)}},
 
-		"request to a draining server":       {3, append([]Record{at(-600, EndpointPublished, "", 0, "draining")}, succeeded("forecast")...)},
-		"within the grace":                   {0, append([]Record{at(-400, EndpointPublished, "", 0, "draining")}, succeeded("forecast")...)},
-		"ready again":                        {0, append([]Record{at(-600, EndpointPublished, "", 0, "gone"), at(-1, EndpointPublished, "", 0, "ready")}, succeeded("forecast")...)},
+		"request to a draining server":       {3, append([]Record{at(-600, EndpointPublished, "", 0, "draining")}, successfulRequest("forecast")...)},
+		"within the grace":                   {0, append([]Record{at(-400, EndpointPublished, "", 0, "draining")}, successfulRequest("forecast")...)},
+		"ready again":                        {0, append([]Record{at(-600, EndpointPublished, "", 0, "gone"), at(-1, EndpointPublished, "", 0, "ready")}, successfulRequest("forecast")...)},
 		"load command to a withdrawn server": {3, []Record{at(0, EndpointPublished, "", 0, "gone"), {At: second, Kind: LoadCommandReceived}}},
 
 		"slow start, over its budget":   {4, slowStart},
@@ -77,7 +77,7 @@
 		"collapsed":                     {4, []Record{{Kind: ServerCollapsed}}},
 
 		"load commands over the limit":        {5, []Record{{At: 1, Kind: LoadCommandReceived}, {At: 2, Kind: LoadCommandReceived}}},
-		"load commands within the limit":      {0, append([]Record{{At: -9, Kind: LoadCommandReceived}}, append(succeeded("forecast"), Record{At: 80_000, Kind: LoadCommandReceived})...)[:6]},
+		"load commands within the limit":      {0, append([]Record{{At: -9, Kind: LoadCommandReceived}}, append(successfulRequest("forecast"), Record{At: 80_000, Kind: LoadCommandReceived})...)[:6]},
 		"load commands of a restarted router": {0, []Record{{At: 1, Kind: LoadCommandReceived}, {At: 2, Kind: RouterRestarted}, {At: 3, Kind: LoadCommandReceived}}},
 		"load commands after a stall":         {5, []Record{{At: 1, Kind: LoadCommandReceived}, {At: 2, Kind: RouterUp}, {At: 3, Kind: LoadCommandReceived}}},
 		"load commands of two routers":        {0, []Record{{At: 1, Kind: LoadCommandReceived}, {At: 2, Kind: LoadCommandReceived, Router: 1}}},
@@ -96,11 +96,11 @@
 
 func TestLogKeepsTheOrderOfTimes(t *testing.T) {
 	l := NewLog()
-	var adding sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 100 {
-		adding.Go(func() { l.Add(Record{Server: i}) })
+		wg.Go(func() { l.Add(Record{Server: i}) })
 	}
-	adding.Wait()
+	wg.Wait()
 	records := l.Records()
 	if len(records) != 100 {
 		t.Errorf("%d records", len(records))
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,3 +1,3 @@
-// Package invariant checks the five invariants of routers against what crossed the sockets: records that clients and model
-// servers made at their ends of the connections. It depends on no router's word, and not on the gateway or its core.
+// Package invariant checks five invariants of routers against records that clients and model servers made at their ends of the
+// connections. It uses no information from the routers themselves and doesn't depend on the gateway or its core.
 package invariant
--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -1,9 +1,9 @@
 package invariant
 
-// checkDrains checks RuleDrain.
+// checkDrains checks RuleDrain: no attempts or load commands reach a server that drains or was withdrawn, except within DrainGrace.
 func (r *Report) checkDrains(config Config, records []Record) {
 	rule := r.Rules[RuleDrain]
-	drainingSince := map[int]int64{} // servers that drain or are withdrawn
+	drainingSince := map[int]int64{} // servers that drain or were withdrawn
 	for _, record := range records {
 		since, draining := drainingSince[record.Server]
 		switch record.Kind {
@@ -16,7 +16,8 @@
 			}
 		case AttemptReceived, LoadCommandReceived:
 			if draining && record.At > since+config.DrainGrace {
-				rule.addViolation(record.At, "server %d got %q %d us after it was told to take nothing new", record.Server, record.Request, record.At-since)
+				rule.addViolation(record.At, "server %d got %q %d us after it was published as not ready",
+					record.Server, record.Request, record.At-since)
 			}
 		}
 	}
--- a/internal/invariant/effects.go
+++ b/internal/invariant/effects.go
@@ -1,17 +1,17 @@
 package invariant
 
-// checkEffects checks RuleEffects over all requests that are for the same effect.
-func (r *Report) checkEffects(config Config, requests []*request) {
-	byEffect, order := map[string][]*request{}, []string{}
-	for _, q := range requests {
-		effect := q.sent.Effect
+// checkEffects checks RuleEffects for each group of requests that are for the same effect.
+func (r *Report) checkEffects(config Config, requests []*requestHistory) {
+	byEffect, order := map[string][]*requestHistory{}, []string{}
+	for _, request := range requests {
+		effect := request.sent.Effect
 		if effect == "" {
 			continue
 		}
 		if byEffect[effect] == nil {
 			order = append(order, effect)
 		}
-		byEffect[effect] = append(byEffect[effect], q)
+		byEffect[effect] = append(byEffect[effect], request)
 	}
 	for _, effect := range order {
 		r.checkEffect(config, effect, byEffect[effect])
@@ -19,20 +19,20 @@
 }
 
 // checkEffect checks RuleEffects for one effect.
-func (r *Report) checkEffect(config Config, effect string, requests []*request) {
+func (r *Report) checkEffect(config Config, effect string, requests []*requestHistory) {
 	rule, class := r.Rules[RuleEffects], config.Classes[requests[0].sent.Workload]
 	var started []Record
 	received := 0
-	for _, q := range requests {
-		started, received = append(started, q.started...), received+len(q.received)
-		if len(q.received) > 1 {
+	for _, request := range requests {
+		started, received = append(started, request.started...), received+len(request.received)
+		if len(request.received) > 1 {
 			r.Retries++
 		}
-		if q.responses == 0 || q.response.Detail != Rejected || len(q.started) == 0 {
+		if request.responseCount == 0 || request.response.Detail != Rejected || len(request.started) == 0 {
 			continue
 		}
 		if class.NonIdempotent || class.IdempotentByKey && class.Scope != scopeFleet {
-			rule.addViolation(q.response.At, "job %s was pushed back though it had run", q.sent.Request)
+			rule.addViolation(request.response.At, "request %s was rejected although it had run", request.sent.Request)
 		}
 	}
 	if !class.NonIdempotent && !class.IdempotentByKey {
@@ -42,28 +42,31 @@
 		rule.CheckCount++
 	}
 	if class.NonIdempotent && len(started) > 1 {
-		rule.addViolation(started[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(started), started[0].Server, started[1].Server)
+		rule.addViolation(started[1].At, "non-idempotent effect %s ran %d times, on servers %d and %d",
+			effect, len(started), started[0].Server, started[1].Server)
 	}
 	if class.IdempotentByKey {
-		for _, q := range requests {
-			r.checkIdempotentByKey(config, class, q)
+		for _, request := range requests {
+			r.checkIdempotentByKey(config, class, request)
 		}
 	}
 }
 
-// checkIdempotentByKey checks the attempts of one request: after one that ran, others go only to servers that share its key, while
-// they remember it.
-func (r *Report) checkIdempotentByKey(config Config, class Class, q *request) {
+// checkIdempotentByKey checks the attempts of one request: once an attempt has run, others may be sent only to servers that share its
+// idempotency key, and only while these remember the key.
+func (r *Report) checkIdempotentByKey(config Config, class Class, request *requestHistory) {
 	rule := r.Rules[RuleEffects]
-	for _, attempt := range q.received {
-		for _, ran := range q.started {
+	for _, attempt := range request.received {
+		for _, run := range request.started {
 			switch {
-			case ran.At >= attempt.At:
-			case attempt.At > ran.At+class.Window:
-				rule.addViolation(attempt.At, "job %s was sent again %d us after it ran, past its window", q.sent.Request, attempt.At-ran.At)
-			case class.Scope == scopeZone && config.Zone[attempt.Server] != config.Zone[ran.Server],
-				class.Scope == scopeCell && config.Cell[attempt.Server] != config.Cell[ran.Server]:
-				rule.addViolation(attempt.At, "job %s ran on server %d and was sent to %d outside its group", q.sent.Request, ran.Server, attempt.Server)
+			case run.At >= attempt.At:
+			case attempt.At > run.At+class.Window:
+				rule.addViolation(attempt.At, "request %s was sent again %d us after it ran, past its window",
+					request.sent.Request, attempt.At-run.At)
+			case class.Scope == scopeZone && config.Zone[attempt.Server] != config.Zone[run.Server],
+				class.Scope == scopeCell && config.Cell[attempt.Server] != config.Cell[run.Server]:
+				rule.addViolation(attempt.At, "request %s ran on server %d and was sent to %d outside its key scope",
+					request.sent.Request, run.Server, attempt.Server)
 			}
 		}
 	}
--- a/internal/invariant/loadrate.go
+++ b/internal/invariant/loadrate.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// checkLoadRate checks RuleLoadRate: each router's load commands against the requests that its clients sent. The network delay
-// counts in the router's favor on both sides.
+// checkLoadRate checks RuleLoadRate: the number of each router's load commands is limited by the number of requests that its clients sent.
+// For both, the network delay is counted in the router's favor.
 func (r *Report) checkLoadRate(config Config, records []Record, downtimes map[int][]downtime) {
 	if config.LoadRateWindow == 0 {
 		return
@@ -13,26 +13,27 @@
 	for _, record := range records {
 		router, at := record.Router, record.At
 		switch record.Kind {
-		case RouterRestarted: // without persisted state the router counts anew
+		case RouterRestarted: // a router without persisted state doesn't know the commands it sent before
 			if record.Detail != StateRestored {
 				delete(commands, router)
 			}
 		case RequestSent:
-			requests[router] = append(requests[router], readAt(downtimes[router], at))
+			requests[router] = append(requests[router], readTime(downtimes[router], at))
 		case LoadCommandReceived:
 			rule.CheckCount++
 			commands[router] = append(commands[router], at)
-			sent := countFrom(commands[router], at-config.LoadRateWindow+config.MaxNetworkDelay)
-			admitted := countFrom(requests[router], at-config.LoadRateWindow-config.MaxNetworkDelay)
-			if limit := config.LoadRateBase + config.LoadRatePerRequest*float64(admitted); float64(sent) > limit {
-				rule.addViolation(at, "router %d gave %d orders within its window, over %.1f for %d jobs", router, sent, limit, admitted)
+			commandCount := countFrom(commands[router], at-config.LoadRateWindow+config.MaxNetworkDelay)
+			requestCount := countFrom(requests[router], at-config.LoadRateWindow-config.MaxNetworkDelay)
+			if limit := config.LoadRateBase + config.LoadRatePerRequest*float64(requestCount); float64(commandCount) > limit {
+				rule.addViolation(at, "router %d sent %d load commands within its window, over the limit of %.1f for %d requests",
+					router, commandCount, limit, requestCount)
 			}
 		}
 	}
 }
 
-// readAt is when a router read what was sent to it at a time: once it runs again, if it was down then.
-func readAt(downtimes []downtime, at int64) int64 {
+// readTime returns when a router can have read what was sent to it at a time: then, or at the end of its downtime if it was down.
+func readTime(downtimes []downtime, at int64) int64 {
 	for _, d := range downtimes {
 		if d.from <= at && at < d.to {
 			at = d.to
@@ -41,7 +42,7 @@
 	return at
 }
 
-// countFrom counts the times, which are sorted, from one on.
+// countFrom returns how many of the sorted times are at or after from.
 func countFrom(times []int64, from int64) int {
 	i, _ := slices.BinarySearch(times, from)
 	return len(times) - i
--- a/internal/invariant/log.go
+++ b/internal/invariant/log.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Log collects records from many goroutines.
+// Log collects records. It is safe for concurrent use.
 type Log struct {
 	start   time.Time
 	mu      sync.Mutex
 	records []Record
 }
 
-// NewLog returns an empty log whose time starts at 0.
+// NewLog returns an empty log whose clock starts at 0.
 func NewLog() *Log { return &Log{start: time.Now()} }
 
-// Now is the log's time in microseconds.
+// Now returns the time since the log was created, in microseconds.
 func (l *Log) Now() int64 { return time.Since(l.start).Microseconds() }
 
-// Add sets a record's time to now and keeps the record.
+// Add sets a record's time to Now and appends the record.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,7 +28,7 @@
 	l.records = append(l.records, r)
 }
 
-// Records returns all records, in the order of their times.
+// Records returns all records, sorted by time.
 func (l *Log) Records() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/invariant/responses.go
+++ b/internal/invariant/responses.go
@@ -1,48 +1,50 @@
 package invariant
 
-// checkResponses checks RuleResponses for one request.
-func (r *Report) checkResponses(config Config, q *request, downtimes []downtime) {
-	if q.notSent && len(q.received) == 0 && q.responses == 0 {
+// checkResponses checks RuleResponses for one request and counts its result.
+func (r *Report) checkResponses(config Config, request *requestHistory, downtimes []downtime) {
+	if request.notSent && len(request.received) == 0 && request.responseCount == 0 {
 		return
 	}
 	rule := r.Rules[RuleResponses]
 	r.Requests++
-	r.Attempts += len(q.received)
-	down := wasDown(downtimes, q.sent.At, q.sent.Deadline)
+	r.Attempts += len(request.received)
+	down := wasDown(downtimes, request.sent.At, request.sent.Deadline)
 	if !down {
 		rule.CheckCount++
 	}
 	switch {
-	case q.responses > 1:
-		rule.addViolation(q.response.At, "job %s got %d final answers", q.sent.Request, q.responses)
-	case q.responses == 1:
-		r.countResponse(q)
-		if q.response.At > q.sent.Deadline && !down {
-			rule.addViolation(q.response.At, "job %s was answered %d us after its client's time", q.sent.Request, q.response.At-q.sent.Deadline)
+	case request.responseCount > 1:
+		rule.addViolation(request.response.At, "request %s got %d final answers", request.sent.Request, request.responseCount)
+	case request.responseCount == 1:
+		r.countResponse(request)
+		if request.response.At > request.sent.Deadline && !down {
+			rule.addViolation(request.response.At, "request %s was answered %d us after its deadline",
+				request.sent.Request, request.response.At-request.sent.Deadline)
 		}
-	case q.abandoned || q.notSent:
+	case request.abandoned || request.notSent:
 		r.Abandoned++
 	case down:
 		r.UnansweredWhileDown++
 	default:
 		r.Unanswered++
-		rule.addViolation(q.sent.Deadline, "job %s got no answer", q.sent.Request)
+		rule.addViolation(request.sent.Deadline, "request %s got no answer", request.sent.Request)
 	}
-	end := q.end(down)
-	for _, attempt := range q.received {
-		if attempt.At > end+config.MaxNetworkDelay {
-			rule.addViolation(attempt.At, "job %s was sent to server %d after it was over", q.sent.Request, attempt.Server)
+	endTime := request.endTime(down)
+	for _, attempt := range request.received {
+		if attempt.At > endTime+config.MaxNetworkDelay {
+			rule.addViolation(attempt.At, "request %s was sent to server %d after it had ended", request.sent.Request, attempt.Server)
 		}
 	}
 }
 
-// countResponse counts a request with one answer. A success has to come from a server.
-func (r *Report) countResponse(q *request) {
-	switch q.response.Detail {
+// countResponse counts a request with one answer, and checks that a successful request reached a server.
+func (r *Report) countResponse(request *requestHistory) {
+	switch request.response.Detail {
 	case Succeeded:
 		r.Succeeded++
-		if len(q.started) == 0 && len(q.refused) == 0 {
-			r.Rules[RuleResponses].addViolation(q.response.At, "job %s is called finished but reached no server", q.sent.Request)
+		if len(request.started) == 0 && len(request.refused) == 0 {
+			r.Rules[RuleResponses].addViolation(request.response.At, "request %s was reported as successful but reached no server",
+				request.sent.Request)
 		}
 	case Rejected:
 		r.Rejected++
@@ -53,16 +55,16 @@
 	}
 }
 
-// end is when the request was over: no attempt may follow. A router that was down can't know for how long the request had waited
-// unread: for it the request is over when the client is gone or has its answer.
-func (q *request) end(routerWasDown bool) int64 {
+// endTime returns the time after which no attempt may be sent. If the router was down, it can't know how long the request was waiting to be
+// read; then the request ends when the client gives up or gets its answer.
+func (h *requestHistory) endTime(routerWasDown bool) int64 {
 	switch {
-	case q.responses > 0 && routerWasDown:
-		return q.response.At
-	case q.responses > 0:
-		return min(q.sent.Deadline, q.response.At)
+	case h.responseCount > 0 && routerWasDown:
+		return h.response.At
+	case h.responseCount > 0:
+		return min(h.sent.Deadline, h.response.At)
 	case routerWasDown:
-		return max(q.sent.Deadline, q.timedOutAt)
+		return max(h.sent.Deadline, h.timedOutAt)
 	}
-	return q.sent.Deadline
+	return h.sent.Deadline
 }
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -1,10 +1,11 @@
 package invariant
 
-// checkSlowStart checks RuleSlowStart: what a server got within each overload window, against what it bore at the end of that.
+// checkSlowStart checks RuleSlowStart: within each overload window a server in slow start gets no more requests than its budget at the end
+// of that window.
 func (r *Report) checkSlowStart(config Config, records []Record) {
 	rule := r.Rules[RuleSlowStart]
 	startedAt := map[int]int64{}
-	window := map[int][]int64{} // when the attempts of the last overload window reached a server
+	window := map[int][]int64{} // by server, when the attempts of the last overload window reached it
 	for _, record := range records {
 		server, at := record.Server, record.At
 		switch record.Kind {
@@ -12,10 +13,10 @@
 			startedAt[server], window[server] = at, nil
 			rule.CheckCount++
 		case ServerCollapsed:
-			rule.addViolation(at, "server %d fell over", server)
+			rule.addViolation(at, "server %d collapsed", server)
 		case AttemptReceived:
-			started, restarted := startedAt[server]
-			if !restarted || at > started+config.SlowStartDuration {
+			started, known := startedAt[server]
+			if !known || at > started+config.SlowStartDuration {
 				continue
 			}
 			times := append(window[server], at)
@@ -27,13 +28,15 @@
 			budget := config.slowStartBudget(age)
 			r.SlowStart = append(r.SlowStart, SlowStartWindow{at, server, got / max(1, budget)})
 			if got > max(1, budget) {
-				rule.addViolation(at, "server %d, %d us old, got %d jobs within %d us, over its %.1f", server, age, len(times), config.OverloadWindow, budget)
+				rule.addViolation(at, "server %d, %d us old, got %d requests within %d us, over its budget of %.1f",
+					server, age, len(times), config.OverloadWindow, budget)
 			}
 		}
 	}
 }
 
-// slowStartBudget is how many requests a server of an age in slow start may get within an overload window. One is always allowed.
+// slowStartBudget returns how many requests a server in slow start may get within an overload window, given the time since its start. At
+// least one is always allowed, whatever the budget.
 func (c *Config) slowStartBudget(age int64) float64 {
 	weight := c.SlowStartInitial + (1-c.SlowStartInitial)*float64(age)/float64(c.SlowStartDuration)
 	return c.OverloadFactor * weight * c.ServerRate * float64(c.OverloadWindow) / 1e6
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -57,7 +57,7 @@
 // decodeMode limits how much memory a corrupt frame can make a reader allocate.
 var decodeMode, _ = cbor.DecOptions{MaxArrayElements: 1 << 24, MaxMapPairs: 1 << 20}.DecMode()
 
-// readFrame reads a frame into v. The error is io.EOF at the regular end of a segment, else ErrDamaged.
+// readFrame reads a frame into v. The error is io.EOF at the regular end of a segment, otherwise ErrCorrupt.
 func readFrame(r io.Reader, v any) error {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
