--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -1,4 +1,4 @@
-// Command hmexplain says why a router decided as it did about a request, from a recording.
+// Command hmexplain explains from a recording why a router made its decisions about a request.
 package main
 
 import (
@@ -15,28 +15,28 @@
 
 type cli struct {
 	program.CommonFlags
-	Paths    []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
-	Request  uint64   `name:"job" help:"The request's number, as in the router's log."`
-	ClientID string   `name:"request" help:"The request's own id."`
-	NameKey  string   `name:"name-key" help:"The router's name_key, for --request, if it was told one."`
-	At       int64    `help:"List the jobs decided about near a time, in microseconds since 1970 as in the log."`
-	Span     int64    `default:"100000" help:"How near, in microseconds."`
-	All      bool     `help:"Hold every explanation against the decision that was recorded, and print how many were alike."`
-	WhatIf   string   `name:"what-if" help:"Ask the first decision again with one thing changed: drain, ready, slot or no-report, then = and a server's id in hex."`
+	Paths    []string `arg:"" help:"Segment files in order, or a directory of them." type:"path"`
+	Request  uint64   `name:"job" help:"Number of the request, as in the router's log."`
+	ClientID string   `name:"request" help:"Id that the client gave the request."`
+	NameKey  string   `name:"name-key" help:"The router's name_key, if it has one; for --request."`
+	At       int64    `help:"List the requests with decisions near this time, in microseconds since 1970 as in the log."`
+	Span     int64    `default:"100000" help:"Maximum distance from --at, in microseconds."`
+	All      bool     `help:"Compare every explanation with the recorded decision, and print how many agree."`
+	WhatIf   string   `name:"what-if" help:"Repeat the first decision with one change: drain, ready, slot or no-report, followed by = and a server's id in hex."`
 	JSON     bool     `name:"json" help:"Print JSON."`
 }
 
 func main() {
 	var c cli
-	program.Parse(&c, "hmexplain", `Tells from a recording why the decisions about one request came out as they did.
+	program.Parse(&c, "hmexplain", `Explains from a recording why the decisions about a request were made.
 
 Examples:
 
-  hmexplain REC --at 1796133869057624        jobs decided about then
+  hmexplain REC --at 1796133869057624        requests with decisions near that time
 
-  hmexplain REC --job 300                    why each decision about it
+  hmexplain REC --job 300                    explain each decision about a request
 
-  hmexplain REC --request 7f3a               the same for the request of this id
+  hmexplain REC --request 7f3a               the same, by the client's id of the request
 
   hmexplain REC --job 300 --what-if drain=7f0000019a7b`)
 	program.Exit("hmexplain", c.run())
@@ -72,8 +72,8 @@
 	return err
 }
 
-// question returns what the arguments ask.
-func (c cli) question(files []string) (q explain.Query, err error) {
+// query returns the query that the arguments specify.
+func (c cli) query(files []string) (q explain.Query, err error) {
 	q.Request = control.RequestID(c.Request)
 	if c.ClientID != "" {
 		if q.Request, err = explain.FindRequest(files, record.KeyedHash(c.NameKey, c.ClientID)); err != nil {
@@ -81,7 +81,7 @@
 		}
 	}
 	if q.Request == 0 {
-		return q, errors.New("name a job with --job or a time with --at, or ask for --all")
+		return q, errors.New("give a request with --job or --request, a time with --at, or --all")
 	}
 	if c.WhatIf != "" {
 		change, err := explain.ParseChange(c.WhatIf)
@@ -94,7 +94,7 @@
 }
 
 func (c cli) explain(files []string) error {
-	q, err := c.question(files)
+	q, err := c.query(files)
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
--- a/cmd/hmexplain/main_test.go
+++ b/cmd/hmexplain/main_test.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	recording = "../../internal/replay/testdata/format3.rec" // by an earlier build
-	decided   = 100                                          // a request that it holds decisions about
+	recording      = "../../internal/replay/testdata/format3.rec" // made by an earlier build
+	decidedRequest = 100                                          // a request about which the recording contains decisions
 )
 
 func TestQuestion(t *testing.T) {
-	q, err := cli{Request: decided, WhatIf: "drain=2"}.question([]string{recording})
-	if err != nil || q.Request != decided || q.WhatIf == nil || *q.WhatIf != (explain.Change{Kind: explain.ChangeDrain, Server: 2}) {
+	q, err := cli{Request: decidedRequest, WhatIf: "drain=2"}.query([]string{recording})
+	if err != nil || q.Request != decidedRequest || q.WhatIf == nil || *q.WhatIf != (explain.Change{Kind: explain.ChangeDrain, Server: 2}) {
 		t.Errorf("got %+v, %v", q, err)
 	}
-	if q, err := (cli{Request: decided}).question(nil); err != nil || q != (explain.Query{Request: decided}) {
+	if q, err := (cli{Request: decidedRequest}).query(nil); err != nil || q != (explain.Query{Request: decidedRequest}) {
 		t.Errorf("got %+v, %v", q, err)
 	}
 }
 
 func TestWrongArguments(t *testing.T) {
 	for name, c := range map[string]cli{
-		"a missing file":       {Paths: []string{recording + ".none"}, Request: decided},
+		"a missing file":       {Paths: []string{recording + ".none"}, Request: decidedRequest},
 		"no request":           {Paths: []string{recording}},
 		"an unknown client id": {Paths: []string{recording}, ClientID: "nobody's"},
-		"an unknown change":    {Paths: []string{recording}, Request: decided, WhatIf: "flood=1"},
+		"an unknown change":    {Paths: []string{recording}, Request: decidedRequest, WhatIf: "flood=1"},
 	} {
 		var usage program.UsageError
 		if err := c.run(); !errors.As(err, &usage) {
@@ -39,8 +39,8 @@
 
 func TestRun(t *testing.T) {
 	for name, c := range map[string]cli{
-		"text": {Request: decided},
-		"JSON": {Request: decided, JSON: true},
+		"text": {Request: decidedRequest},
+		"JSON": {Request: decidedRequest, JSON: true},
 		"all":  {All: true},
 		"near": {At: 5_250_000, Span: 1_000_000},
 	} {
--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -1,4 +1,4 @@
-// Command hmhistory prints a router's history of use as a table or as CSV, or plots it.
+// Command hmhistory prints a router's usage history as a table or as CSV, or plots it.
 package main
 
 import (
@@ -10,26 +10,26 @@
 
 type cli struct {
 	program.CommonFlags
-	Path     string `arg:"" help:"The history, or a router's memory folder." type:"path"`
-	Function string `default:"*" help:"Functions whose names match, as in path.Match."`
-	Tenant   string `default:"*" help:"Tenants whose names match."`
-	From     string `default:"24h" help:"Beginning: a time (RFC 3339), or how long ago."`
-	Until    string `default:"0s" help:"End, alike."`
-	Step     string `enum:"stored,hour,day,all" default:"stored" help:"Rows of a step are summed: stored (as they are kept), hour, day, all."`
-	Sum      string `enum:"none,tenants,functions,both" default:"none" help:"What is summed within a step: none, tenants, functions, both."`
+	Path     string `arg:"" help:"History file, or a router's state directory." type:"path"`
+	Function string `default:"*" help:"Only functions whose names match this pattern (see Go's path.Match)."`
+	Tenant   string `default:"*" help:"Only tenants whose names match this pattern."`
+	From     string `default:"24h" help:"Beginning of the period: a time (RFC 3339) or a duration before now."`
+	Until    string `default:"0s" help:"End of the period, in the same form."`
+	Step     string `enum:"stored,hour,day,all" default:"stored" help:"Sum rows by: stored (as they are stored), hour, day, all."`
+	Sum      string `enum:"none,tenants,functions,both" default:"none" help:"Also sum over: none, tenants, functions, both."`
 	CSV      bool   `name:"csv" help:"Print CSV."`
-	Plot     string `help:"Draw into this file (.png or .svg) instead." type:"path"`
-	Show     string `enum:"jobs,in-time,pushed-back,killed,loads,p50,p99" default:"jobs" help:"What is drawn: jobs, in-time, pushed-back, killed, loads, p50, p99."`
-	Most     int    `default:"8" help:"Lines drawn at most: those with most jobs."`
+	Plot     string `help:"Write a plot to this file (.png or .svg) instead of printing." type:"path"`
+	Show     string `enum:"jobs,in-time,pushed-back,killed,loads,p50,p99" default:"jobs" help:"Value to plot: jobs, in-time, pushed-back, killed, loads, p50, p99."`
+	Most     int    `default:"8" help:"Maximum number of lines in the plot: those with most jobs."`
 }
 
 func main() {
 	var c cli
-	program.Parse(&c, "hmhistory", `Reads a router's history of use.
+	program.Parse(&c, "hmhistory", `Reads a router's usage history.
 
 Examples:
 
-  hmhistory /var/lib/hollymast                             the last day, as it is kept
+  hmhistory /var/lib/hollymast                             the last day, as it is stored
 
   hmhistory /var/lib/hollymast --step hour --sum tenants --function 'label-*'
 
--- a/cmd/hmhistory/main_test.go
+++ b/cmd/hmhistory/main_test.go
@@ -16,8 +16,9 @@
 
 var now = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// stored writes a history into a gateway's folder and returns the folder: two minutes of two functions, and a row of the day before.
-func stored(t *testing.T) string {
+// writeTestHistory writes a history into a gateway's state directory and returns the directory. It holds two minutes with two functions,
+// and a row of the day before.
+func writeTestHistory(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	at := func(ago time.Duration) int64 { return now.Add(-ago).UnixMicro() }
@@ -34,13 +35,13 @@
 	return dir
 }
 
-// arguments are the defaults of the command line, with a folder.
-func arguments(dir string) cli {
+// defaultArguments returns the command line's defaults with the given directory.
+func defaultArguments(dir string) cli {
 	return cli{Path: dir, Function: "*", Tenant: "*", From: "24h", Until: "0s", Step: "stored", Sum: "none"}
 }
 
 func TestQueriesSumRows(t *testing.T) {
-	dir := stored(t)
+	dir := writeTestHistory(t)
 	for name, c := range map[string]struct {
 		change func(c *cli)
 		want   []string // time, function, tenant and requests
@@ -54,7 +55,7 @@
 		"filtered":   {func(c *cli) { c.Function, c.Tenant = "label-*", "b" }, []string{"2026-12-01T10:00Z label-1 b 1"}},
 		"until":      {func(c *cli) { c.From, c.Until = "48h", "2026-12-01T10:00:00Z" }, []string{"2026-11-30T06:00Z label-1 a 100"}},
 	} {
-		arguments := arguments(dir)
+		arguments := defaultArguments(dir)
 		c.change(&arguments)
 		q, err := arguments.query(now)
 		if err != nil {
@@ -66,7 +67,7 @@
 		}
 		var got []string
 		for _, r := range rows {
-			got = append(got, strings.Join(cells(r)[:4], " "))
+			got = append(got, strings.Join(rowCells(r)[:4], " "))
 		}
 		if !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %q, want %q", name, got, c.want)
@@ -75,7 +76,7 @@
 }
 
 func TestWrongArguments(t *testing.T) {
-	dir := stored(t)
+	dir := writeTestHistory(t)
 	for name, change := range map[string]func(c *cli){
 		"a time":    func(c *cli) { c.From = "yesterday" },
 		"a span":    func(c *cli) { c.Until = "-1h" },
@@ -83,7 +84,7 @@
 		"a file":    func(c *cli) { c.Path = filepath.Join(dir, "none") },
 		"a format":  func(c *cli) { c.Plot = filepath.Join(dir, "plot.gif") },
 	} {
-		arguments := arguments(dir)
+		arguments := defaultArguments(dir)
 		change(&arguments)
 		var usage program.UsageError
 		if err := arguments.run(now); !errors.As(err, &usage) {
@@ -92,9 +93,9 @@
 	}
 }
 
-// Scripts read this output.
+// Scripts read this output, so its form must not change.
 func TestOutput(t *testing.T) {
-	q, err := arguments(stored(t)).query(now)
+	q, err := defaultArguments(writeTestHistory(t)).query(now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,20 +121,20 @@
 }
 
 func TestPlot(t *testing.T) {
-	dir := stored(t)
-	for _, figure := range []string{"jobs", "in-time", "pushed-back", "killed", "loads", "p50", "p99"} {
-		c := arguments(dir)
-		c.Plot, c.Show, c.Most = filepath.Join(dir, figure+".svg"), figure, 8
+	dir := writeTestHistory(t)
+	for _, metric := range []string{"jobs", "in-time", "pushed-back", "killed", "loads", "p50", "p99"} {
+		c := defaultArguments(dir)
+		c.Plot, c.Show, c.Most = filepath.Join(dir, metric+".svg"), metric, 8
 		if err := c.run(now); err != nil {
 			t.Fatal(err)
 		}
-		if drawing, err := os.ReadFile(c.Plot); err != nil || !strings.Contains(string(drawing), axisTitles[figure]) {
-			t.Errorf("%s: no axis title in %d bytes, %v", figure, len(drawing), err)
+		if svg, err := os.ReadFile(c.Plot); err != nil || !strings.Contains(string(svg), axisTitles[metric]) {
+			t.Errorf("%s: no axis title in %d bytes, %v", metric, len(svg), err)
 		}
 	}
-	c := arguments(dir)
+	c := defaultArguments(dir)
 	c.Plot, c.From, c.Until = filepath.Join(dir, "empty.svg"), "1h", "0s"
 	if err := c.run(now); err == nil {
-		t.Error("nothing was drawn")
+		t.Error("plotting no rows succeeded")
 	}
 }
--- a/cmd/hmhistory/query.go
+++ b/cmd/hmhistory/query.go
@@ -16,20 +16,20 @@
 	"hollymast/internal/program"
 )
 
-// query says which rows are read, and how they are summed.
+// query selects rows and says how they are summed.
 type query struct {
 	file             string
 	function, tenant string // patterns of path.Match
 	from, until      int64  // microseconds since 1970
-	span             int64  // of the rows that are summed; 0: as stored, wholeSpan: all of them
+	span             int64  // length of time over which rows are summed; 0: as stored, wholeSpan: the whole period
 	sumFunctions     bool
 	sumTenants       bool
 }
 
-// wholeSpan is the span of a query that sums over all of its time.
+// wholeSpan is the span of a query that sums over its whole period.
 const wholeSpan = math.MaxInt64
 
-// query checks the arguments.
+// query checks the arguments and returns them as a query.
 func (c cli) query(now time.Time) (q query, err error) {
 	q = query{file: c.Path, function: c.Function, tenant: c.Tenant}
 	if q.from, err = parseTime(c.From, now); err != nil {
@@ -59,26 +59,26 @@
 	return q, nil
 }
 
-// parseTime reads a time, or a duration before now, and returns microseconds since 1970.
+// parseTime parses a time or a duration before now, and returns microseconds since 1970.
 func parseTime(text string, now time.Time) (int64, error) {
 	if t, err := time.Parse(time.RFC3339, text); err == nil {
 		return t.UnixMicro(), nil
 	}
 	ago, err := time.ParseDuration(text)
 	if err != nil || ago < 0 {
-		return 0, program.UsageError{Err: fmt.Errorf("%q is neither a time as 2026-12-01T06:30:00Z nor a span as 24h", text)}
+		return 0, program.UsageError{Err: fmt.Errorf("%q is neither a time such as 2026-12-01T06:30:00Z nor a duration such as 24h", text)}
 	}
 	return now.Add(-ago).UnixMicro(), nil
 }
 
-// read returns the rows, summed, by time, then function and tenant.
+// read returns the summed rows, sorted by time, function and tenant.
 func (q query) read() ([]history.Row, error) {
 	type rowID struct {
 		at      int64
 		subject history.Subject
 	}
 	sums := map[rowID]*history.Row{}
-	// A row of a coarse level that began before from is partly of this time. It is counted whole.
+	// A row of a coarse level may begin before from and overlap the period only partly. It is counted in full.
 	err := history.NewStore(q.file, 0).Read(q.from-history.Day, q.until, func(l history.Level, r history.Row) error {
 		if !q.matches(r.Subject) || r.At+l.Span <= q.from {
 			return nil
@@ -107,14 +107,14 @@
 	return rows, nil
 }
 
-// matches reports whether a row's subject is asked for. The patterns are valid.
+// matches reports whether a row's subject matches the query's patterns, which are known to be valid.
 func (q query) matches(s history.Subject) bool {
 	function, _ := path.Match(q.function, s.Function)
 	tenant, _ := path.Match(q.tenant, s.Tenant)
 	return function && tenant
 }
 
-// coarsen replaces a row's time and subject by those of the sum that it belongs to.
+// coarsen replaces a row's time and subject with those of the sum that the row belongs to.
 func (q query) coarsen(r *history.Row) {
 	if q.sumTenants {
 		r.Tenant = ""
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -1,4 +1,4 @@
-// Command hmreplay plays recordings through the core of this build and compares every decision.
+// Command hmreplay replays recordings through the core of this build and compares every decision.
 package main
 
 import (
@@ -14,18 +14,18 @@
 
 type cli struct {
 	program.CommonFlags
-	Paths []string `arg:"" help:"Segments in order, or a folder of them." type:"path"`
+	Paths []string `arg:"" help:"Segment files in order, or a directory of them." type:"path"`
 	From  uint64   `help:"First step to compare."`
-	Until uint64   `help:"Last step; 0: the end."`
-	Job   uint64   `help:"Only decisions for this request."`
+	Until uint64   `help:"Last step to compare; 0: until the end."`
+	Job   uint64   `help:"Compare only decisions about this request."`
 	Show  bool     `help:"Print each decision."`
 
-	Against string `help:"Another build's hmreplay: plays the same recordings, and the two are held against each other." type:"path"`
+	Against string `help:"Another build's hmreplay, which replays the same recordings; the decisions of both builds are compared." type:"path"`
 }
 
 func main() {
 	var c cli
-	program.Parse(&c, "hmreplay", `Plays recordings of a router through this build and compares every decision.
+	program.Parse(&c, "hmreplay", `Replays recordings of a router with this build and compares every decision.
 
 Examples:
 
@@ -44,9 +44,9 @@
 	if c.Show {
 		r.OnCommand = func(step uint64, clock control.Micros, c record.Command) { fmt.Printf("%d %d %s\n", step, clock, c) }
 	}
-	begun := time.Now()
+	start := time.Now()
 	summary, err := replay.Play(files, r)
-	duration := time.Since(begun)
+	duration := time.Since(start)
 	var difference *replay.Difference
 	if err != nil && !errors.As(err, &difference) {
 		if errors.Is(err, record.ErrNewerVersion) {
@@ -56,7 +56,7 @@
 	}
 	printSummary(summary, duration)
 	if c.Against != "" {
-		return c.compareBuild(files, difference)
+		return c.compareWithBuild(files, difference)
 	}
 	if difference != nil {
 		fmt.Println(difference)
--- a/cmd/hmreplay/main_test.go
+++ b/cmd/hmreplay/main_test.go
@@ -10,12 +10,12 @@
 	"hollymast/internal/replay"
 )
 
-// recording is one that an earlier build made.
+// recording was made by an earlier build.
 const recording = "../../internal/replay/testdata/format3.rec"
 
 func TestRun(t *testing.T) {
-	other := filepath.Join(t.TempDir(), "other.rec")
-	if err := os.WriteFile(other, []byte("something else, of some length"), 0o600); err != nil {
+	notRecording := filepath.Join(t.TempDir(), "other.rec")
+	if err := os.WriteFile(notRecording, []byte("something else, of some length"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := (cli{Paths: []string{recording}}).run(); err != nil {
@@ -25,8 +25,8 @@
 	if err := (cli{Paths: []string{recording + ".none"}}).run(); !errors.As(err, &usage) {
 		t.Errorf("a missing file: got %v", err)
 	}
-	if err := (cli{Paths: []string{other}}).run(); err == nil {
-		t.Error("a file of another kind was played")
+	if err := (cli{Paths: []string{notRecording}}).run(); err == nil {
+		t.Error("a file that is not a recording was replayed")
 	}
 	if err := (cli{Paths: []string{recording}, Against: recording}).run(); !errors.As(err, &usage) {
 		t.Errorf("a build that can't be run: got %v", err)
@@ -43,7 +43,7 @@
 		summary + "all decisions are the same" + "\n": "",
 		"": "",
 	} {
-		if got := differenceLine(output); got != want {
+		if got := findDifferenceLine(output); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
