--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -37,7 +37,7 @@
 	refused       []Record // refused or deduplicated attempts
 }
 
-// firstServerRecord returns a server's first record of the request.
+// firstServerRecord returns the first record of the request by a server, or the response if there is none.
 func (h *requestHistory) firstServerRecord() Record {
 	for _, records := range [][]Record{h.received, h.started, h.refused} {
 		if len(records) > 0 {
--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -60,23 +60,23 @@
 				attempts := index.MayHaveRun(now, IdempotencyKey(i+1))
 				if len(attempts) == 0 {
 					if age < retention {
-						t.Fatalf("sent %d ago, of boot %d, is forgotten", age, s.boot)
+						t.Fatalf("attempt sent %d ago in boot %d is missing from the index", age, s.boot)
 					}
 					continue
 				}
 				if at := attempts[0].At; at > now-age || certain && at != now-age || !certain && at != 0 {
-					t.Fatalf("sent %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
+					t.Fatalf("attempt sent %d ago in boot %d counts as sent %d ago", age, s.boot, now-at)
 				}
 				if at := slowStartSends[control.ServerID(i)]; at < now-age || certain && at != now-age || at > now {
-					t.Fatalf("to a server in slow start %d ago, of boot %d, counts as of %d ago", age, s.boot, now-at)
+					t.Fatalf("attempt to a server in slow start %d ago in boot %d counts as sent %d ago", age, s.boot, now-at)
 				}
 				if latest := index.attempts[IdempotencyKey(i+1)][0].latestAt; latest < now-age || certain && latest != now-age {
-					t.Fatalf("sent %d ago, of boot %d, is remembered from %d ago", age, s.boot, now-latest)
+					t.Fatalf("attempt sent %d ago in boot %d is retained from %d ago", age, s.boot, now-latest)
 				}
 			}
 			for _, at := range state.Admitted {
 				if !slices.ContainsFunc(sent, func(s sentAttempt) bool { return s.boot == m.bootID && at == now-(m.realTime-s.at) }) {
-					t.Fatalf("admitted at %d", at-now)
+					t.Fatalf("a request admitted at %d was never sent", at-now)
 				}
 			}
 			startedAt := m.realTime
--- a/internal/persistence/faultfs_test.go
+++ b/internal/persistence/faultfs_test.go
@@ -27,19 +27,19 @@
 	killedAfter         // killed after the call took effect
 )
 
-// pageState says whether a byte survives a power failure. A byte that was dirty during a failed sync is lost: the kernel marks its page as
+// byteState says whether a byte survives a power failure. A byte that was dirty during a failed sync is lost: the kernel marks its page as
 // clean, so that no later sync writes it.
-type pageState byte
+type byteState byte
 
 const (
-	dirty pageState = iota
+	dirty byteState = iota
 	durable
 	lost
 )
 
 type inode struct {
 	data   []byte
-	states []pageState
+	states []byteState
 }
 
 // crash is how an incarnation ends: by a kill, after which everything written is still there, or by a power failure.
@@ -157,7 +157,7 @@
 			n /= 2
 		}
 		f.data = append(f.data, b[:n]...)
-		f.states = append(f.states, make([]pageState, n)...)
+		f.states = append(f.states, make([]byteState, n)...)
 		f.d.bytes += n
 		return nil
 	})
@@ -278,7 +278,7 @@
 		if c.powerCut && !c.unsyncedSurvives {
 			b = b[:end]
 		}
-		copied := &inode{data: b, states: slices.Repeat([]pageState{durable}, len(b))}
+		copied := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
 		next.names[name], next.synced[name] = copied, copied
 	}
 	return next
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -42,7 +42,7 @@
 		"journal-00000002": appendFrame([]byte(journalMagic), validEntries),
 		"journal-00000003": []byte(journalMagic)[:5],
 	} {
-		i := &inode{data: b, states: slices.Repeat([]pageState{durable}, len(b))}
+		i := &inode{data: b, states: slices.Repeat([]byteState{durable}, len(b))}
 		d.names["dir/"+name], d.synced["dir/"+name] = i, i
 	}
 	return validEntries
--- a/internal/persistence/rebase_test.go
+++ b/internal/persistence/rebase_test.go
@@ -57,6 +57,6 @@
 	}
 	state.ConvertTimes(Clock{7, 100}, 5000)
 	if state.Learned.SavedAt != 0 || len(state.Learned.Functions) < 10 {
-		t.Errorf("an older file: %+v", state.Learned)
+		t.Errorf("a file without a clock: %+v", state.Learned)
 	}
 }
--- a/internal/persistence/state.go
+++ b/internal/persistence/state.go
@@ -13,7 +13,7 @@
 	Deployment uint64 `cbor:"Deployment"` // hash of the configured names that the ids in the file refer to
 }
 
-// State is the content of a state file.
+// State is the content of a state file: what a gateway has learned.
 type State struct {
 	Owner      Owner                 `cbor:"Owner"`
 	Generation uint64                `cbor:"Generation"` // increases by one with each write
