--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -152,7 +152,7 @@
 // owner names this router, and the configuration that the ids in its learned state depend on.
 func (c *Config) owner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
-	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.KeyedHash(c.NameKey, strings.Join(names, "\n"))}
+	return persistence.Owner{Router: c.Deployment.RouterIndex, Deployment: record.KeyedHash(c.NameKey, strings.Join(names, "\n"))}
 }
 
 // run writes the learned state at an interval until the last step, and then once more.
--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -70,7 +70,7 @@
 		router.EndpointsAsOf = s.Now
 	}
 	for j := range s.Requests {
-		if c.router(j) == i && !s.Requests[j].Answer.Given {
+		if c.router(j) == i && !s.Requests[j].Answer.Decided {
 			s.Requests[j].Excused = true
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	server := &s.Servers[call.Server]
 	call.Stage, call.WrittenAt, call.Incarnation = next, s.Now, server.Incarnation
-	call.WrittenAfterAnswer = s.Requests[call.Request].Answer.Given && call.Replicas == 0
+	call.WrittenAfterAnswer = s.Requests[call.Request].Answer.Decided && call.Replicas == 0
 	if outcome == Rejection || outcome == ResetBefore || outcome == Unresponsive {
 		return
 	}
--- a/internal/modelcheck/recorded.go
+++ b/internal/modelcheck/recorded.go
@@ -85,7 +85,7 @@
 	for i, snapshot := range r.Core.Requests {
 		request := snapshot.Request.Request
 		s.Requests = append(s.Requests, Request{Arrived: true, Inactive: !r.Explored[i], ArrivesAt: request.ArrivedAt, Deadline: request.Deadline + answerMargin,
-			Answer: attempt.FinalAnswer{Given: snapshot.Done, InFlight: snapshot.InFlight}})
+			Answer: attempt.FinalResponse{Decided: snapshot.Done, InFlight: snapshot.InFlight}})
 		for n, a := range snapshot.Request.Attempts {
 			s.Calls = append(s.Calls, recordedCall(c, i, n, a, request.Deadline))
 		}
--- a/internal/modelcheck/resume_test.go
+++ b/internal/modelcheck/resume_test.go
@@ -42,8 +42,8 @@
 // A violation whose way back to the beginning is not known, since what was saved lacks a part, is an error and not a clean result.
 func TestViolationWithoutOriginIsAnError(t *testing.T) {
 	answersTwice := ProductionRules
-	answersTwice.Give = func(a *attempt.FinalAnswer) bool { a.Given = true; return true }
-	answersTwice.AttemptEnded = func(a *attempt.FinalAnswer, result control.Result) attempt.Delivery {
+	answersTwice.Give = func(a *attempt.FinalResponse) bool { a.Decided = true; return true }
+	answersTwice.AttemptEnded = func(a *attempt.FinalResponse, result control.Result) attempt.Delivery {
 		a.InFlight--
 		if result == control.Succeeded {
 			return attempt.Deliver
--- a/internal/modelcheck/routerstep.go
+++ b/internal/modelcheck/routerstep.go
@@ -138,9 +138,9 @@
 	case step.Kind == CallTimesOut && e.Stage == attempt.Chosen:
 		return rules.UndialledResult(e.Stage, false)
 	case step.Kind == CallTimesOut:
-		return rules.BrokenResult(true, attempt.ByDeadline)
+		return rules.BrokenResult(true, attempt.DeadlineExceeded)
 	case step.Outcome == Unresponsive:
-		return rules.BrokenResult(true, attempt.ByUs)
+		return rules.BrokenResult(true, attempt.AbortedLocally)
 	case e.Stage == attempt.Withdrawn:
 		return control.NotSent
 	case e.Outcome == ConnectFailure:
@@ -148,7 +148,7 @@
 	case e.Outcome == Rejection:
 		return control.Overloaded
 	case e.Outcome == ResetBefore || e.Outcome == ResetAfter:
-		return rules.BrokenResult(true, attempt.ByPeer)
+		return rules.BrokenResult(true, attempt.ClosedByPeer)
 	}
 	return control.Succeeded
 }
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -53,16 +53,16 @@
 
 // Request is one request as its client sees it.
 type Request struct {
-	Arrived    bool                `cbor:"Arrived"`
-	Inactive   bool                `cbor:"Still"` // in a recorded state, and not explored
-	ArrivesAt  control.Micros      `cbor:"At"`
-	Deadline   control.Micros      `cbor:"Until"` // its client's
-	Answer     attempt.FinalAnswer `cbor:"State"`
-	Answers    int                 `cbor:"Answers"` // that its client got
-	AnswerKind string              `cbor:"Word"`    // one of the answer words
-	AnsweredAt control.Micros      `cbor:"When"`
-	Excused    bool                `cbor:"Excused"` // its router stalled: nobody can promise it anything
-	Cancelled  bool                `cbor:"Left"`    // by its client
+	Arrived    bool                  `cbor:"Arrived"`
+	Inactive   bool                  `cbor:"Still"` // in a recorded state, and not explored
+	ArrivesAt  control.Micros        `cbor:"At"`
+	Deadline   control.Micros        `cbor:"Until"` // its client's
+	Answer     attempt.FinalResponse `cbor:"State"`
+	Answers    int                   `cbor:"Answers"` // that its client got
+	AnswerKind string                `cbor:"Word"`    // one of the answer words
+	AnsweredAt control.Micros        `cbor:"When"`
+	Excused    bool                  `cbor:"Excused"` // its router stalled: nobody can promise it anything
+	Cancelled  bool                  `cbor:"Left"`    // by its client
 }
 
 // The words for final answers, as they are stored.
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -74,7 +74,7 @@
 		case !request.Arrived && s.Now >= request.ArrivesAt:
 			l.add(RequestArrives, i)
 			l.urgent = true
-		case request.Arrived && !request.Answer.Given && !request.Cancelled && s.FaultBudget.ClientCancels > 0:
+		case request.Arrived && !request.Answer.Decided && !request.Cancelled && s.FaultBudget.ClientCancels > 0:
 			l.add(ClientCancels, i)
 		}
 	}
--- a/internal/modelcheck/time.go
+++ b/internal/modelcheck/time.go
@@ -42,7 +42,7 @@
 		case !request.Arrived:
 			next.consider(request.ArrivesAt)
 			open = true
-		case !request.Answer.Given:
+		case !request.Answer.Decided:
 			next.consider(request.Deadline)
 			open = true
 		}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -75,8 +75,8 @@
 	t.Helper()
 	deployment := control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		OverloadWindow: 1_000_000, OverloadFactor: 2,
-		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
-			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Effect: control.NonIdempotent}}}
+		KeepAlive: 1_000_000, SupportsLoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
+			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Idempotency: control.NonIdempotent}}}
 	generator := &trafficGenerator{now: 5_000_000, randomState: 1}
 	generator.core = core.New(control.New(generator.now, 1, deployment), generator)
 	dir := t.TempDir()
@@ -257,8 +257,8 @@
 	t.Helper()
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		OverloadWindow: 200_000, OverloadFactor: 0.15, SlowStartInitial: 0.25, SlowStartDuration: 10_000_000,
-		KeepAlive: 1_000_000, LoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
-			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Effect: control.NonIdempotent}}}
+		KeepAlive: 1_000_000, SupportsLoadCommands: true, LoadsOnMiss: true, Classes: []control.Class{{LatencyObjective: 300_000, MaxDeadline: 2_000_000},
+			{LatencyObjective: 300_000, MaxDeadline: 2_000_000, Idempotency: control.NonIdempotent}}}
 	generator := &trafficGenerator{now: 5_000_000, randomState: 1}
 	generator.core = core.New(control.New(generator.now, 1, deployment), generator)
 	dir := t.TempDir()
