--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 
 // smallPlan is a plan of a few routers and servers, with calls at an even pace.
 func smallPlan(calls int, incidents ...Incident) *Plan {
-	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, ConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
+	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, MaxConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
 		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.Idempotent}},
 			{Name: "once", Importance: 2, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.NonIdempotent}}},
 		Incidents: incidents}
