--- a/cmd/hmmodelcheck/explore.go
+++ b/cmd/hmmodelcheck/explore.go
@@ -12,7 +12,7 @@
 )
 
 type runCommand struct {
-	worldFlags
+	configFlags
 	Depth   int    `help:"Steps at most; 0: to the end."`
 	States  int    `help:"States at most, by whole depths; 0: all."`
 	Workers int    `help:"Workers; 0: one for each processor."`
@@ -63,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	word := "bounded"
+	outcome := "bounded"
 	if result.Complete {
-		word = "complete"
+		outcome = "complete"
 	}
-	fmt.Printf("%s: depth=%d states=%d steps=%d seconds=%.1f heap_mb=%d\n", word, result.Depth, result.States, result.Steps, result.Elapsed.Seconds(),
+	fmt.Printf("%s: depth=%d states=%d steps=%d seconds=%.1f heap_mb=%d\n", outcome, result.Depth, result.States, result.Steps, result.Elapsed.Seconds(),
 		result.HeapBytes>>20)
 	if result.Trace != nil {
 		return reportViolation(result.Trace, saveTo)
--- a/cmd/hmmodelcheck/walk.go
+++ b/cmd/hmmodelcheck/walk.go
@@ -8,7 +8,7 @@
 )
 
 type walkCommand struct {
-	worldFlags
+	configFlags
 	Walks int    `default:"1000" help:"Walks."`
 	Steps int    `default:"200" help:"Steps of each at most."`
 	Seed  uint64 `default:"1" help:"Seed of the first walk; each further has the next."`
--- a/cmd/hmmodelcheck/world.go
+++ b/cmd/hmmodelcheck/world.go
@@ -10,8 +10,8 @@
 	"hollymast/internal/program"
 )
 
-// worldFlags describe a world.
-type worldFlags struct {
+// configFlags describe a world.
+type configFlags struct {
 	Requests         int           `name:"jobs" default:"1" help:"Requests, 1 to 3."`
 	Servers          int           `default:"1" help:"Servers, 1 to 3."`
 	Routers          int           `default:"1" help:"Routers, 1 or 2."`
@@ -46,7 +46,7 @@
 }
 
 // config returns the world, and the properties to check in it.
-func (w worldFlags) config() (modelcheck.Config, []modelcheck.Property, error) {
+func (w configFlags) config() (modelcheck.Config, []modelcheck.Property, error) {
 	c := modelcheck.Config{Requests: w.Requests, Servers: w.Servers, Routers: w.Routers, Effects: w.Effects, Scope: w.Scope,
 		ArrivalInterval: micros(w.ArrivalInterval), LatencyObjective: micros(w.LatencyObjective), MaxDeadline: micros(w.MaxDeadline),
 		DedupWindow: micros(w.DedupWindow), LoadCommands: w.LoadCommands, FunctionLoaded: w.FunctionLoaded, SlowStartServer: w.SlowStartServer}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// pair is the comparison of the first arm with another one, at one size.
-type pair struct{ size, arm string }
+// comparison is the comparison of the first arm with another one, at one size.
+type comparison struct{ size, arm string }
 
 // Experiment is an experiment under way. It isn't safe for concurrent use.
 type Experiment struct {
 	plan         Plan
 	results      map[Trial]Result
 	started      map[Trial]bool
-	decidedAfter map[pair]int // number of seeds after which a pair was decided
+	decidedAfter map[comparison]int // number of seeds after which a pair was decided
 }
 
 // New begins an experiment with the results that are there already. The plan has at least one arm.
 func New(p Plan, results []Result) *Experiment {
-	e := &Experiment{plan: p, results: map[Trial]Result{}, started: map[Trial]bool{}, decidedAfter: map[pair]int{}}
+	e := &Experiment{plan: p, results: map[Trial]Result{}, started: map[Trial]bool{}, decidedAfter: map[comparison]int{}}
 	for _, r := range results {
 		e.results[r.Trial] = r
 	}
 	for _, size := range p.Sizes {
 		for _, arm := range p.Arms[1:] {
-			e.decide(pair{size, arm})
+			e.tryDecide(comparison{size, arm})
 		}
 	}
 	return e
 }
 
-// trial gives the trial with the i-th seed.
-func (e *Experiment) trial(size, arm string, i int) Trial {
+// trialFor gives the trial with the i-th seed.
+func (e *Experiment) trialFor(size, arm string, i int) Trial {
 	return Trial{size, arm, e.plan.FirstSeed + uint64(i)}
 }
 
@@ -38,8 +38,8 @@
 	for i := range e.plan.MaxSeeds {
 		for _, size := range e.plan.Sizes {
 			for _, arm := range e.plan.Arms {
-				t := e.trial(size, arm, i)
-				if _, done := e.results[t]; done || e.started[t] || !e.needed(size, arm, i) {
+				t := e.trialFor(size, arm, i)
+				if _, done := e.results[t]; done || e.started[t] || !e.isNeeded(size, arm, i) {
 					continue
 				}
 				e.started[t] = true
@@ -50,11 +50,11 @@
 	return Trial{}, false
 }
 
-// needed reports whether an arm's trial with the i-th seed can still change a finding. One of the first arm can while that of any
+// isNeeded reports whether an arm's trial with the i-th seed can still change a finding. One of the first arm can while that of any
 // other arm can.
-func (e *Experiment) needed(size, arm string, i int) bool {
+func (e *Experiment) isNeeded(size, arm string, i int) bool {
 	undecided := func(arm string) bool {
-		end, decided := e.decidedAfter[pair{size, arm}]
+		end, decided := e.decidedAfter[comparison{size, arm}]
 		return !decided || i < end
 	}
 	if arm != e.plan.Arms[0] {
@@ -68,7 +68,7 @@
 	for i := range e.plan.MaxSeeds {
 		for _, size := range e.plan.Sizes {
 			for _, arm := range e.plan.Arms {
-				if _, done := e.results[e.trial(size, arm, i)]; !done && e.needed(size, arm, i) {
+				if _, done := e.results[e.trialFor(size, arm, i)]; !done && e.isNeeded(size, arm, i) {
 					n++
 				}
 			}
@@ -82,7 +82,7 @@
 	e.results[r.Trial] = r
 	for _, arm := range e.plan.Arms[1:] {
 		if r.Arm == arm || r.Arm == e.plan.Arms[0] {
-			e.decide(pair{r.Size, arm})
+			e.tryDecide(comparison{r.Size, arm})
 		}
 	}
 }
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -23,10 +23,10 @@
 
 // differences gives the first arm less the other one, seed by seed up to the first gap: which trials end first depends on the
 // machine, and findings must not.
-func (e *Experiment) differences(p pair) (all []float64) {
+func (e *Experiment) differences(c comparison) (all []float64) {
 	for i := range e.plan.MaxSeeds {
-		first, done := e.results[e.trial(p.size, e.plan.Arms[0], i)]
-		other, otherDone := e.results[e.trial(p.size, p.arm, i)]
+		first, done := e.results[e.trialFor(c.size, e.plan.Arms[0], i)]
+		other, otherDone := e.results[e.trialFor(c.size, c.arm, i)]
 		if !done || !otherDone {
 			break
 		}
@@ -35,15 +35,15 @@
 	return all
 }
 
-// decide decides a pair after the first seed that allows it.
-func (e *Experiment) decide(p pair) {
-	if _, decided := e.decidedAfter[p]; decided {
+// tryDecide decides a pair after the first seed that allows it.
+func (e *Experiment) tryDecide(c comparison) {
+	if _, decided := e.decidedAfter[c]; decided {
 		return
 	}
-	differences := e.differences(p)
+	differences := e.differences(c)
 	for n := max(2, e.plan.MinSeeds); n <= len(differences); n++ {
-		if e.verdict(bootstrap(p, differences[:n])) != Undecided {
-			e.decidedAfter[p] = n
+		if e.verdict(bootstrap(c, differences[:n])) != Undecided {
+			e.decidedAfter[c] = n
 			return
 		}
 	}
@@ -66,8 +66,8 @@
 
 // bootstrap gives the 95 % interval of the mean, by percentiles. Its random numbers depend on the pair's name only, so that the
 // interval is the same each time.
-func bootstrap(p pair, differences []float64) interval {
-	random := rand.New(rand.NewPCG(xxhash.Sum64String(p.size), xxhash.Sum64String(p.arm)))
+func bootstrap(c comparison, differences []float64) interval {
+	random := rand.New(rand.NewPCG(xxhash.Sum64String(c.size), xxhash.Sum64String(c.arm)))
 	means := make([]float64, resamples)
 	for i := range means {
 		for range differences {
@@ -94,27 +94,27 @@
 	var findings []Finding
 	for _, size := range e.plan.Sizes {
 		for _, arm := range e.plan.Arms[1:] {
-			findings = append(findings, e.finding(pair{size, arm}))
+			findings = append(findings, e.finding(comparison{size, arm}))
 		}
 	}
 	return findings
 }
 
-func (e *Experiment) finding(p pair) Finding {
-	differences := e.differences(p)
-	if end, decided := e.decidedAfter[p]; decided {
+func (e *Experiment) finding(c comparison) Finding {
+	differences := e.differences(c)
+	if end, decided := e.decidedAfter[c]; decided {
 		differences = differences[:end]
 	}
-	f := Finding{Size: p.size, Arm: p.arm, SeedCount: len(differences)}
+	f := Finding{Size: c.size, Arm: c.arm, SeedCount: len(differences)}
 	for _, d := range differences {
 		f.MeanDifference += d / float64(len(differences))
 	}
 	if len(differences) > 1 {
-		i := bootstrap(p, differences)
+		i := bootstrap(c, differences)
 		f.Low, f.High, f.Verdict = i.low, i.high, e.verdict(i)
 	}
 	for t, r := range e.results {
-		if t.Size == p.size && t.Arm == p.arm {
+		if t.Size == c.size && t.Arm == c.arm {
 			f.Violations += r.Violations
 		}
 	}
@@ -124,7 +124,7 @@
 // Mean gives an arm's mean over its trials so far, and their number.
 func (e *Experiment) Mean(size, arm string) (mean float64, trials int) {
 	for i := range e.plan.MaxSeeds {
-		if r, done := e.results[e.trial(size, arm, i)]; done {
+		if r, done := e.results[e.trialFor(size, arm, i)]; done {
 			mean, trials = mean+r.value(e.plan.Measure), trials+1
 		}
 	}
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -13,7 +13,7 @@
 // origin: the build and the scenario that they are of.
 type Store struct{ db *bolt.DB }
 
-var bucket = []byte("rows 1") // with the format's version
+var resultsBucket = []byte("rows 1") // with the format's version
 
 // lockTimeout is how long Open waits for another experiment to close the file.
 const lockTimeout = time.Second
@@ -25,7 +25,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists(bucket)
+		_, err := tx.CreateBucketIfNotExists(resultsBucket)
 		return err
 	})
 	if err != nil {
@@ -37,7 +37,7 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-func key(origin string, t Trial) []byte {
+func trialKey(origin string, t Trial) []byte {
 	return fmt.Appendf(nil, "%s\x00%s\x00%s\x00%020d", origin, t.Size, t.Arm, t.Seed)
 }
 
@@ -47,13 +47,13 @@
 	if err != nil {
 		return err
 	}
-	return s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucket).Put(key(origin, r.Trial), b) })
+	return s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(resultsBucket).Put(trialKey(origin, r.Trial), b) })
 }
 
 // Get gives a stored result. One that can't be decoded counts as missing: its trial is run again.
 func (s *Store) Get(origin string, t Trial) (r Result, ok bool) {
 	s.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(bucket).Get(key(origin, t))
+		b := tx.Bucket(resultsBucket).Get(trialKey(origin, t))
 		ok = b != nil && cbor.Unmarshal(b, &r) == nil && r.Trial == t
 		return nil
 	})
--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -70,7 +70,7 @@
 		router.EndpointsAsOf = s.Now
 	}
 	for j := range s.Requests {
-		if c.router(j) == i && !s.Requests[j].Answer.Decided {
+		if c.routerIndex(j) == i && !s.Requests[j].Answer.Decided {
 			s.Requests[j].DeadlineExempt = true
 		}
 	}
--- a/internal/modelcheck/describe.go
+++ b/internal/modelcheck/describe.go
@@ -21,7 +21,7 @@
 	i := int(step.Index)
 	switch step.Kind {
 	case RequestArrives:
-		return fmt.Sprintf("request %d (%s) arrives at router %d", i, effectNames[c.effect(i)], c.router(i))
+		return fmt.Sprintf("request %d (%s) arrives at router %d", i, effectNames[c.effect(i)], c.routerIndex(i))
 	case CallWritten:
 		return s.describeWrite(i, step.Outcome)
 	case CallEnds:
@@ -38,7 +38,7 @@
 		return fmt.Sprintf("router %d takes a step by its timer", i)
 	case UpdateArrives:
 		update := s.Updates[i]
-		return fmt.Sprintf("router %d receives the update that server %d %s", update.Router, update.Server, updateWords[update.State])
+		return fmt.Sprintf("router %d receives the update that server %d %s", update.Router, update.Server, updateTexts[update.State])
 	case TimeAdvances:
 		return fmt.Sprintf("time advances by %d us", s.nextTime()-s.Now)
 	case ServerDrains:
@@ -55,7 +55,7 @@
 	return ""
 }
 
-var updateWords = map[control.ServerState]string{control.Ready: "has restarted", control.Draining: "drains"}
+var updateTexts = map[control.ServerState]string{control.Ready: "has restarted", control.Draining: "drains"}
 
 // outcomeTexts say what becomes of a call that is written.
 var outcomeTexts = [...]string{"it runs, and its answer is on the way", "no connection comes about", "the server rejects it",
--- a/internal/modelcheck/exploration_test.go
+++ b/internal/modelcheck/exploration_test.go
@@ -16,16 +16,16 @@
 func explore(t *testing.T, c Config, rules *Rules) *Result {
 	t.Helper()
 	x := Exploration{Config: c, Rules: rules}
-	f, err := x.Run(context.Background())
+	result, err := x.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return result
 }
 
 // In whole small worlds nothing fails, and each time the same number of states is seen.
 func TestSmallWorlds(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		config Config
 		states int
 	}{
@@ -47,12 +47,12 @@
 			c.SlowStartServer, c.FunctionLoaded, c.Requests, c.Routers, c.Servers = true, false, 2, 2, 2
 		}), 517},
 	} {
-		f := explore(t, c.config, &ProductionRules)
-		if f.Trace != nil {
-			t.Errorf("%s: %s", name, f.Trace.Text(&ProductionRules))
+		result := explore(t, test.config, &ProductionRules)
+		if result.Trace != nil {
+			t.Errorf("%s: %s", name, result.Trace.Text(&ProductionRules))
 		}
-		if !f.Complete || f.States != c.states {
-			t.Errorf("%s: complete %t, %d states, want %d", name, f.Complete, f.States, c.states)
+		if !result.Complete || result.States != test.states {
+			t.Errorf("%s: complete %t, %d states, want %d", name, result.Complete, result.States, test.states)
 		}
 	}
 }
--- a/internal/modelcheck/frontier.go
+++ b/internal/modelcheck/frontier.go
@@ -115,12 +115,12 @@
 	return stored
 }
 
-// errNoRouters is the error of a stored state that lacks a router's core.
-var errNoRouters = errors.New("a state without its routers")
+// errMissingRouter is the error of a stored state that lacks a router's core.
+var errMissingRouter = errors.New("a state without its routers")
 
 func (stored storedState) restore() (*State, error) {
 	if stored.State == nil || len(stored.Cores) != len(stored.State.Routers) {
-		return nil, errNoRouters
+		return nil, errMissingRouter
 	}
 	for i, snapshot := range stored.Cores {
 		router, err := core.Restore(snapshot, nil)
--- a/internal/modelcheck/identity.go
+++ b/internal/modelcheck/identity.go
@@ -42,13 +42,13 @@
 	return int(id) - 1
 }
 
-// router is the router that a request's client sends it to.
-func (c *Config) router(request int) int { return request % c.Routers }
+// routerIndex is the router that a request's client sends it to.
+func (c *Config) routerIndex(request int) int { return request % c.Routers }
 
 // class is a request's class.
 func (c *Config) class(request int) control.Class {
-	if m := c.RecordedState; m != nil {
-		return m.Core.Balancer.Deployment.Classes[m.Core.Requests[request].Request.Request.Class]
+	if recorded := c.RecordedState; recorded != nil {
+		return recorded.Core.Balancer.Deployment.Classes[recorded.Core.Requests[request].Request.Request.Class]
 	}
 	class := control.Class{LatencyObjective: c.LatencyObjective, MaxDeadline: c.MaxDeadline, Effect: effectByName[c.Effects[request%len(c.Effects)]]}
 	if class.Effect == control.IdempotentByKey {
@@ -64,7 +64,7 @@
 
 // sameDedupScope reports whether two servers know the same idempotency keys of a request's class.
 func (c *Config) sameDedupScope(request, a, b int) bool {
-	first, second := c.basicEndpoint(a), c.basicEndpoint(b)
+	first, second := c.staticEndpoint(a), c.staticEndpoint(b)
 	switch c.class(request).Scope {
 	case control.OneZone:
 		return first.Zone == second.Zone
@@ -74,8 +74,8 @@
 	return true
 }
 
-// basicEndpoint is a server's endpoint without what changes.
-func (c *Config) basicEndpoint(server int) control.Endpoint {
+// staticEndpoint is a server's endpoint without what changes.
+func (c *Config) staticEndpoint(server int) control.Endpoint {
 	if c.RecordedState != nil {
 		return c.RecordedState.Core.Balancer.Servers[server].Endpoint
 	}
@@ -84,7 +84,7 @@
 }
 
 func (c *Config) endpoint(server int, state control.ServerState, startedAt control.Micros) control.Endpoint {
-	e := c.basicEndpoint(server)
+	e := c.staticEndpoint(server)
 	e.State, e.StartedAt = state, startedAt
 	return e
 }
--- a/internal/modelcheck/level.go
+++ b/internal/modelcheck/level.go
@@ -24,13 +24,13 @@
 	err        error
 }
 
-// statesPerWorker is how many states wait for each worker: enough that none waits for the files that states are read from.
-const statesPerWorker = 4
+// queuedStatesPerWorker is how many states wait for each worker: enough that none waits for the files that states are read from.
+const queuedStatesPerWorker = 4
 
 // expand takes all states of the frontier through all of their steps. If the context ends it returns early, without an error.
 func (r *run) expand(ctx context.Context, next *frontierWriter) (*level, error) {
 	l := &level{run: r, next: next}
-	states := make(chan *State, statesPerWorker*r.workers)
+	states := make(chan *State, queuedStatesPerWorker*r.workers)
 	var workers sync.WaitGroup
 	for range r.workers {
 		workers.Go(func() {
--- a/internal/modelcheck/minimize.go
+++ b/internal/modelcheck/minimize.go
@@ -7,9 +7,9 @@
 
 // Bounds of minimizing. Pairs of steps are tried in short traces only, since their number grows as the square of a trace's length.
 const (
-	maxRun          = 4
-	maxStepsOfPairs = 40
-	maxCalls        = 4 // of which one may have been begun by what is left out
+	maxRunLength      = 4
+	maxStepsForPairs  = 40
+	maxCandidateCalls = 4 // of which one may have been begun by what is left out
 )
 
 // Minimize leaves out the steps that a trace's violation does not need: runs of steps, or any two at a time, as long as the rest can still
@@ -29,7 +29,7 @@
 
 // removeRuns tries to leave out runs of several steps, longest first and from the end.
 func (m *minimizer) removeRuns() (removed bool) {
-	for length := maxRun; length > 2; length-- {
+	for length := maxRunLength; length > 2; length-- {
 		for i := len(m.best.Steps) - length; i >= 0; i-- {
 			if i+length > len(m.best.Steps) {
 				continue // the trace became shorter meanwhile
@@ -50,7 +50,7 @@
 		if m.remove(i) {
 			return true
 		}
-		for j := i - 1; j >= 0 && len(m.best.Steps) <= maxStepsOfPairs; j-- {
+		for j := i - 1; j >= 0 && len(m.best.Steps) <= maxStepsForPairs; j-- {
 			if m.remove(i, j) {
 				return true
 			}
@@ -62,7 +62,7 @@
 // remove tries to leave out steps; one of them may have begun a server call, whose later steps are gone too.
 func (m *minimizer) remove(steps ...int) bool {
 	const none = -1
-	for removedCall := none; removedCall < maxCalls; removedCall++ {
+	for removedCall := none; removedCall < maxCandidateCalls; removedCall++ {
 		t := &Trace{Config: m.best.Config, Steps: withoutSteps(m.best.Steps, steps, removedCall)}
 		violation, after, err := t.Replay(m.rules, m.properties)
 		if err == nil && violation != "" && propertyOf(violation) == propertyOf(m.best.Violation) {
--- a/internal/modelcheck/planted_test.go
+++ b/internal/modelcheck/planted_test.go
@@ -9,52 +9,52 @@
 	"hollymast/internal/core"
 )
 
-// changedDecisions is a policy that plants wrong decisions.
-type changedDecisions struct {
+// alteredPolicy is a policy that plants wrong decisions.
+type alteredPolicy struct {
 	*control.Balancer
 	change func(r *control.Request, d control.Decision) control.Decision
 }
 
-func (p changedDecisions) Inner() *control.Balancer { return p.Balancer }
+func (p alteredPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p changedDecisions) Route(now control.Micros, r *control.Request) control.Decision {
+func (p alteredPolicy) Route(now control.Micros, r *control.Request) control.Decision {
 	return p.change(r, p.Balancer.Route(now, r))
 }
 
-func (p changedDecisions) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p alteredPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	return p.change(r, p.Balancer.HandleOutcome(now, r, o))
 }
 
-// forgetsRuns forgets which attempts may have run.
-type forgetsRuns struct{ *control.Balancer }
+// runForgettingPolicy forgets which attempts may have run.
+type runForgettingPolicy struct{ *control.Balancer }
 
-func (p forgetsRuns) Inner() *control.Balancer { return p.Balancer }
+func (p runForgettingPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p forgetsRuns) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p runForgettingPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	if o.Result == control.ConnectionReset || o.Result == control.TimedOut {
 		o.Result = control.Overloaded
 	}
 	return p.Balancer.HandleOutcome(now, r, o)
 }
 
-// forgetsResets forgets the end of attempts whose connection broke.
-type forgetsResets struct{ *control.Balancer }
+// resetForgettingPolicy forgets the end of attempts whose connection broke.
+type resetForgettingPolicy struct{ *control.Balancer }
 
-func (p forgetsResets) Inner() *control.Balancer { return p.Balancer }
+func (p resetForgettingPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p forgetsResets) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p resetForgettingPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	if o.Result == control.ConnectionReset && !o.RequestDone {
 		return control.Decision{Action: control.Fail}
 	}
 	return p.Balancer.HandleOutcome(now, r, o)
 }
 
-// ignoresDrains takes draining servers for ready ones.
-type ignoresDrains struct{ *control.Balancer }
+// drainIgnoringPolicy takes draining servers for ready ones.
+type drainIgnoringPolicy struct{ *control.Balancer }
 
-func (p ignoresDrains) Inner() *control.Balancer { return p.Balancer }
+func (p drainIgnoringPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p ignoresDrains) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
+func (p drainIgnoringPolicy) UpdateEndpoints(now control.Micros, kind control.UpdateKind, list []control.Endpoint) {
 	for i := range list {
 		list[i].State = control.Ready
 	}
@@ -68,12 +68,14 @@
 		change(&r)
 		return &r
 	}
-	decide := func(f func(r *control.Request, d control.Decision) control.Decision) *Rules {
-		return with(func(r *Rules) { r.WrapPolicy = func(m *control.Balancer) core.Policy { return changedDecisions{m, f} } })
+	decide := func(change func(r *control.Request, d control.Decision) control.Decision) *Rules {
+		return with(func(r *Rules) {
+			r.WrapPolicy = func(m *control.Balancer) core.Policy { return alteredPolicy{m, change} }
+		})
 	}
 	nonIdempotent := newConfig(func(c *Config) { c.Effects[0], c.Servers, c.CallFailures = "run-once", 2, 1 })
-	keyed := newConfig(func(c *Config) {
-		c.Effects[0], c.Servers, c.CallFailures, c.DedupWindow, c.LatencyObjective, c.MaxDeadline = "fingerprinted", 2, 1, 100_000, 600_000, 900_000
+	keyed := newConfig(func(test *Config) {
+		test.Effects[0], test.Servers, test.CallFailures, test.DedupWindow, test.LatencyObjective, test.MaxDeadline = "fingerprinted", 2, 1, 100_000, 600_000, 900_000
 	})
 	for name, c := range map[string]struct {
 		config Config
@@ -97,13 +99,13 @@
 			r.Withdraw = func(s attempt.Stage) (attempt.Stage, bool) { return s, s == attempt.Chosen }
 		}), "nothing-after"},
 		"leaked slot": {newConfig(func(c *Config) { c.CallFailures, c.Servers = 1, 2 }), with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return forgetsResets{m} }
+			r.WrapPolicy = func(m *control.Balancer) core.Policy { return resetForgettingPolicy{m} }
 		}), "nothing-left"},
 		"a reset taken for a proof": {nonIdempotent, with(func(r *Rules) {
 			r.InterruptedResult = func(bool, attempt.InterruptReason) control.Result { return control.NotSent }
 		}), "proved"},
 		"wrong MayHaveRun": {nonIdempotent, with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return forgetsRuns{m} }
+			r.WrapPolicy = func(m *control.Balancer) core.Policy { return runForgettingPolicy{m} }
 		}), "run-once"},
 		"non-idempotent rejected": {nonIdempotent, decide(func(r *control.Request, d control.Decision) control.Decision {
 			if d.Action == control.Fail {
@@ -123,10 +125,10 @@
 			r.WriteDeadline = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteDeadline(chosen, grace) }
 		}), "drained"},
 		"drains ignored": {newConfig(func(c *Config) { c.Drains, c.Requests, c.ArrivalInterval, c.MaxDeadline = 1, 2, 600_000, 400_000 }), with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return ignoresDrains{m} }
+			r.WrapPolicy = func(m *control.Balancer) core.Policy { return drainIgnoringPolicy{m} }
 		}), "drained"},
 		"window from the wrong end": {keyed, with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return countsWindowLate{m} }
+			r.WrapPolicy = func(m *control.Balancer) core.Policy { return lateWindowPolicy{m} }
 		}), "in-window"},
 		"failed without a reason": {newConfig(func(c *Config) { c.Requests = 2 }), decide(func(r *control.Request, d control.Decision) control.Decision {
 			if r.ID == 2 && d.Action == control.Forward {
@@ -143,35 +145,35 @@
 	} {
 		properties, _ := SelectProperties([]string{c.want})
 		x := Exploration{Config: c.config, Rules: c.rules, Properties: properties}
-		f, err := x.Run(context.Background())
+		result, err := x.Run(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Trace == nil {
-			t.Errorf("%s: not found in %d states", name, f.States)
+		if result.Trace == nil {
+			t.Errorf("%s: not found in %d states", name, result.States)
 			continue
 		}
-		t.Logf("%s: %d states, %.2f s, a trace of %d steps: %s", name, f.States, f.Elapsed.Seconds(), len(f.Trace.Steps), f.Trace.Violation)
-		if wrong, _, _ := f.Trace.Replay(&ProductionRules, Properties); wrong != "" {
+		t.Logf("%s: %d states, %.2f s, a trace of %d steps: %s", name, result.States, result.Elapsed.Seconds(), len(result.Trace.Steps), result.Trace.Violation)
+		if wrong, _, _ := result.Trace.Replay(&ProductionRules, Properties); wrong != "" {
 			t.Errorf("%s: the production rules fail too: %s", name, wrong)
 		}
 	}
 }
 
-// countsWindowLate counts the dedup window from a time after an attempt was sent.
-type countsWindowLate struct{ *control.Balancer }
+// lateWindowPolicy counts the dedup window from a time after an attempt was sent.
+type lateWindowPolicy struct{ *control.Balancer }
 
-func (p countsWindowLate) Inner() *control.Balancer { return p.Balancer }
+func (p lateWindowPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p countsWindowLate) Route(now control.Micros, r *control.Request) control.Decision {
+func (p lateWindowPolicy) Route(now control.Micros, r *control.Request) control.Decision {
 	return p.forward(r, func() control.Decision { return p.Balancer.Route(now, r) })
 }
 
-func (p countsWindowLate) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p lateWindowPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	return p.forward(r, func() control.Decision { return p.Balancer.HandleOutcome(now, r, o) })
 }
 
-func (p countsWindowLate) forward(r *control.Request, f func() control.Decision) control.Decision {
+func (p lateWindowPolicy) forward(r *control.Request, f func() control.Decision) control.Decision {
 	const by = 300_000
 	n := len(r.Attempts)
 	for i := range n {
--- a/internal/modelcheck/property.go
+++ b/internal/modelcheck/property.go
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// findAttempt calls check with each attempt and the earlier ones of its request, and returns the first text that is not empty.
-func (s *State) findAttempt(check func(call *ServerCall, earlier []*ServerCall) string) string {
+// firstAttemptViolation calls check with each attempt and the earlier ones of its request, and returns the first text that is not empty.
+func (s *State) firstAttemptViolation(check func(call *ServerCall, earlier []*ServerCall) string) string {
 	attempts := make([][]*ServerCall, len(s.Requests))
 	for i := range s.Calls {
 		call := &s.Calls[i]
@@ -58,9 +58,9 @@
 }
 
 // provedNotRun reports whether it is proved to its router that an attempt did not run.
-func (e *ServerCall) provedNotRun() bool { return e.Progress.Ended && e.Result.ProvesNotRun() }
+func (call *ServerCall) provedNotRun() bool { return call.Progress.Ended && call.Result.ProvesNotRun() }
 
-// isDedupScopeNarrow reports whether a request's idempotency key is known to a part of the servers alone.
-func isDedupScopeNarrow(c *Config, request int) bool {
+// hasLimitedDedupScope reports whether a request's idempotency key is known to a part of the servers alone.
+func hasLimitedDedupScope(c *Config, request int) bool {
 	return c.effect(request) == control.IdempotentByKey && c.class(request).Scope != control.WholeFleet
 }
--- a/internal/modelcheck/property_few.go
+++ b/internal/modelcheck/property_few.go
@@ -9,8 +9,8 @@
 }
 
 func checkAttemptLimit(_ *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, before []*ServerCall) string {
-		if len(before) >= 3 {
+	return s.firstAttemptViolation(func(call *ServerCall, earlier []*ServerCall) string {
+		if len(earlier) >= 3 {
 			return fmt.Sprintf("request %d has attempt %d", call.Request, call.Attempt)
 		}
 		return ""
--- a/internal/modelcheck/property_harmless.go
+++ b/internal/modelcheck/property_harmless.go
@@ -13,9 +13,9 @@
 }
 
 func checkSafeRejection(c *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, _ []*ServerCall) string {
+	return s.firstAttemptViolation(func(call *ServerCall, _ []*ServerCall) string {
 		request := s.Requests[call.Request]
-		if request.AnswerKind == answerRejected && call.Ran && (c.effect(call.Request) == control.NonIdempotent || isDedupScopeNarrow(c, call.Request)) {
+		if request.AnswerKind == answerRejected && call.Ran && (c.effect(call.Request) == control.NonIdempotent || hasLimitedDedupScope(c, call.Request)) {
 			return fmt.Sprintf("request %d is rejected although attempt %d ran", call.Request, call.Attempt)
 		}
 		return ""
--- a/internal/modelcheck/property_in_window.go
+++ b/internal/modelcheck/property_in_window.go
@@ -13,11 +13,11 @@
 }
 
 func checkWithinDedupWindow(c *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, before []*ServerCall) string {
+	return s.firstAttemptViolation(func(call *ServerCall, earlierCalls []*ServerCall) string {
 		if c.effect(call.Request) != control.IdempotentByKey || call.WrittenAt == 0 {
 			return ""
 		}
-		for _, earlier := range before {
+		for _, earlier := range earlierCalls {
 			switch {
 			case earlier.provedNotRun():
 			case !c.sameDedupScope(call.Request, earlier.Server, call.Server):
--- a/internal/modelcheck/property_nothing_left.go
+++ b/internal/modelcheck/property_nothing_left.go
@@ -26,20 +26,20 @@
 		if router.Stalled {
 			continue
 		}
-		m := router.core.Balancer
-		for _, server := range m.Servers {
+		balancer := router.core.Balancer
+		for _, server := range balancer.Servers {
 			if server.Running != 0 || len(server.InFlight) > 0 {
 				return fmt.Sprintf("router %d still counts %d running and %d in flight at server %d", i, server.Running, len(server.InFlight), c.serverIndex(server.Endpoint.Server))
 			}
 		}
-		for _, f := range m.Functions {
-			for _, in := range f.Instances {
-				if in.InFlight != 0 { // a load may go on without the router, which stops counting it by itself
-					return fmt.Sprintf("router %d still counts %d attempts in flight at server %d", i, in.InFlight, c.serverIndex(in.Server))
+		for _, function := range balancer.Functions {
+			for _, instance := range function.Instances {
+				if instance.InFlight != 0 { // a load may go on without the router, which stops counting it by itself
+					return fmt.Sprintf("router %d still counts %d attempts in flight at server %d", i, instance.InFlight, c.serverIndex(instance.Server))
 				}
 			}
-			if f.Held != 0 {
-				return fmt.Sprintf("router %d still counts %d requests as held", i, f.Held)
+			if function.Held != 0 {
+				return fmt.Sprintf("router %d still counts %d requests as held", i, function.Held)
 			}
 		}
 		if len(router.core.Requests) > 0 || len(router.core.Held) > 0 {
--- a/internal/modelcheck/property_one_at_a_time.go
+++ b/internal/modelcheck/property_one_at_a_time.go
@@ -9,8 +9,8 @@
 }
 
 func checkOneAttemptAtATime(_ *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, before []*ServerCall) string {
-		for _, earlier := range before {
+	return s.firstAttemptViolation(func(call *ServerCall, earlierCalls []*ServerCall) string {
+		for _, earlier := range earlierCalls {
 			if !earlier.Progress.Ended || earlier.EndedAt > call.ChosenAt {
 				return fmt.Sprintf("attempt %d of request %d is chosen while %d is in flight", call.Attempt, call.Request, earlier.Attempt)
 			}
--- a/internal/modelcheck/property_proved.go
+++ b/internal/modelcheck/property_proved.go
@@ -9,7 +9,7 @@
 }
 
 func checkNotRunProofs(_ *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, _ []*ServerCall) string {
+	return s.firstAttemptViolation(func(call *ServerCall, _ []*ServerCall) string {
 		if call.provedNotRun() && call.Ran {
 			return fmt.Sprintf("attempt %d of request %d ran, and its end is taken for a proof that it did not", call.Attempt, call.Request)
 		}
--- a/internal/modelcheck/property_run_once.go
+++ b/internal/modelcheck/property_run_once.go
@@ -13,11 +13,11 @@
 }
 
 func checkNonIdempotentOnce(c *Config, s *State) string {
-	return s.findAttempt(func(call *ServerCall, before []*ServerCall) string {
+	return s.firstAttemptViolation(func(call *ServerCall, earlierCalls []*ServerCall) string {
 		if c.effect(call.Request) != control.NonIdempotent || call.WrittenAt == 0 {
 			return ""
 		}
-		for _, earlier := range before {
+		for _, earlier := range earlierCalls {
 			if earlier.Ran && call.Ran || !earlier.provedNotRun() {
 				return fmt.Sprintf("request %d, run-once, is written again although attempt %d may have run", call.Request, earlier.Attempt)
 			}
--- a/internal/modelcheck/recorded.go
+++ b/internal/modelcheck/recorded.go
@@ -31,8 +31,8 @@
 // NewRecordedState returns a router's state with the requests to explore; none: the last to arrive that have no answer.
 func NewRecordedState(now control.Micros, snapshot *core.Snapshot, explore []control.RequestID) (*RecordedState, error) {
 	r := &RecordedState{Now: now, Core: snapshot}
-	for _, s := range snapshot.Balancer.Servers {
-		r.Servers = append(r.Servers, s.Endpoint.Server)
+	for _, server := range snapshot.Balancer.Servers {
+		r.Servers = append(r.Servers, server.Endpoint.Server)
 	}
 	if len(explore) == 0 {
 		explore = latestRequests(snapshot)
@@ -41,8 +41,8 @@
 		return nil, fmt.Errorf("%d requests to explore, of 1 to %d", len(explore), maxExplored)
 	}
 	found := 0
-	for _, s := range snapshot.Requests {
-		id := s.Request.Request.ID
+	for _, request := range snapshot.Requests {
+		id := request.Request.Request.ID
 		explored := slices.Contains(explore, id)
 		if explored {
 			found++
@@ -58,9 +58,9 @@
 // latestRequests returns the last requests to arrive that have no answer, as many as can be explored.
 func latestRequests(snapshot *core.Snapshot) []control.RequestID {
 	var ids []control.RequestID
-	for _, s := range snapshot.Requests {
-		if !s.Done {
-			ids = append(ids, s.Request.Request.ID)
+	for _, request := range snapshot.Requests {
+		if !request.Done {
+			ids = append(ids, request.Request.Request.ID)
 		}
 	}
 	slices.SortFunc(ids, func(a, b control.RequestID) int { return cmp.Compare(b, a) })
@@ -75,19 +75,19 @@
 // fillInitialState makes the first state of the recorded state's world.
 func (r *RecordedState) fillInitialState(c *Config, s *State) error {
 	s.Now = r.Now
-	for _, v := range r.Core.Balancer.Servers {
-		state := v.Endpoint.State
-		if !v.Listed {
+	for _, server := range r.Core.Balancer.Servers {
+		state := server.Endpoint.State
+		if !server.Listed {
 			state = control.Removed
 		}
-		s.Servers = append(s.Servers, Server{State: state, StateSince: v.LastListed, StartedAt: v.Endpoint.StartedAt, Loaded: true})
+		s.Servers = append(s.Servers, Server{State: state, StateSince: server.LastListed, StartedAt: server.Endpoint.StartedAt, Loaded: true})
 	}
 	for i, snapshot := range r.Core.Requests {
 		request := snapshot.Request.Request
 		s.Requests = append(s.Requests, Request{Arrived: true, Unexplored: !r.Explored[i], ArrivesAt: request.ArrivedAt, Deadline: request.Deadline + answerMargin,
 			Answer: attempt.FinalResponse{Decided: snapshot.Done, InFlight: snapshot.InFlight}})
-		for n, a := range snapshot.Request.Attempts {
-			s.Calls = append(s.Calls, recordedCall(c, i, n, a, request.Deadline))
+		for number, recorded := range snapshot.Request.Attempts {
+			s.Calls = append(s.Calls, recordedCall(c, i, number, recorded, request.Deadline))
 		}
 	}
 	router, err := core.Restore(r.Core, core.NoopExecutor{})
@@ -99,15 +99,15 @@
 }
 
 // recordedCall is an attempt of a recorded request, at its worst.
-func recordedCall(c *Config, request, number int, a control.AttemptSnapshot, deadline control.Micros) ServerCall {
-	call := ServerCall{Request: request, Attempt: number, Server: c.serverIndex(a.Attempt.Server), Stage: attempt.Writing, ChosenAt: a.Attempt.SentAt,
-		WrittenAt: a.Attempt.SentAt, Deadline: deadline, Ran: true}
-	if a.Attempt.Done {
+func recordedCall(c *Config, request, number int, recorded control.AttemptSnapshot, deadline control.Micros) ServerCall {
+	call := ServerCall{Request: request, Attempt: number, Server: c.serverIndex(recorded.Attempt.Server), Stage: attempt.Writing, ChosenAt: recorded.Attempt.SentAt,
+		WrittenAt: recorded.Attempt.SentAt, Deadline: deadline, Ran: true}
+	if recorded.Attempt.Done {
 		call.Progress.Ended, call.Result, call.Ran = true, control.ConnectionReset, false
-		if !a.Attempt.MayHaveRun {
+		if !recorded.Attempt.MayHaveRun {
 			call.Result = control.NotSent
 		}
 	}
-	call.Progress.Cancelled = a.Cancelling
+	call.Progress.Cancelled = recorded.Cancelling
 	return call
 }
--- a/internal/modelcheck/resume.go
+++ b/internal/modelcheck/resume.go
@@ -19,8 +19,8 @@
 	Frontier []storedState `cbor:"Frontier"`
 }
 
-// resumeName is the file in an exploration's folder.
-const resumeName = "resume.cbor"
+// resumeFileName is the file in an exploration's folder.
+const resumeFileName = "resume.cbor"
 
 // save writes all that is needed to go on.
 func (r *run) save() error {
@@ -42,12 +42,12 @@
 	if err != nil {
 		return err
 	}
-	return renameio.WriteFile(filepath.Join(r.Dir, resumeName), b, 0o600)
+	return renameio.WriteFile(filepath.Join(r.Dir, resumeFileName), b, 0o600)
 }
 
 // resume goes on from what was saved, if anything was. It is an error if that is of another world.
 func (r *run) resume() error {
-	b, err := os.ReadFile(filepath.Join(r.Dir, resumeName))
+	b, err := os.ReadFile(filepath.Join(r.Dir, resumeFileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
--- a/internal/modelcheck/resume_test.go
+++ b/internal/modelcheck/resume_test.go
@@ -14,23 +14,23 @@
 
 // The same states are seen whatever the number of workers, with states spilled to files, and in two parts.
 func TestWorkersSpillAndResume(t *testing.T) {
-	s := newConfig(func(c *Config) { c.Servers, c.CallFailures, c.Drains = 2, 1, 1 })
+	config := newConfig(func(c *Config) { c.Servers, c.CallFailures, c.Drains = 2, 1, 1 })
 	runExploration := func(x Exploration) *Result {
 		t.Helper()
-		x.Config = s
-		f, err := x.Run(context.Background())
+		x.Config = config
+		result, err := x.Run(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return f
+		return result
 	}
 	one, many := runExploration(Exploration{Workers: 1, MaxDepth: 12}), runExploration(Exploration{Workers: 7, MaxDepth: 12})
 	dir := t.TempDir()
 	runExploration(Exploration{Dir: dir, MaxDepth: 7})
 	rest := runExploration(Exploration{Dir: dir, MaxDepth: 12, MaxStatesInMemory: 10})
-	for _, f := range []*Result{many, rest} {
-		if f.States != one.States || f.Steps != one.Steps || f.Depth != one.Depth {
-			t.Errorf("%+v, with one worker %+v", f.Progress, one.Progress)
+	for _, result := range []*Result{many, rest} {
+		if result.States != one.States || result.Steps != one.Steps || result.Depth != one.Depth {
+			t.Errorf("%+v, with one worker %+v", result.Progress, one.Progress)
 		}
 	}
 	other := Exploration{Config: MinimalConfig, Dir: dir}
@@ -56,7 +56,7 @@
 	if _, err := first.Run(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	name := filepath.Join(dir, resumeName)
+	name := filepath.Join(dir, resumeFileName)
 	var saved savedExploration
 	b, err := os.ReadFile(name)
 	if err == nil {
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	rest := Exploration{Config: config, Rules: &answersTwice, Dir: dir}
-	if f, err := rest.Run(context.Background()); err == nil {
-		t.Errorf("no error; complete %t, a trace: %t", f.Complete, f.Trace != nil)
+	if result, err := rest.Run(context.Background()); err == nil {
+		t.Errorf("no error; complete %t, a trace: %t", result.Complete, result.Trace != nil)
 	}
 }
--- a/internal/modelcheck/routerstep.go
+++ b/internal/modelcheck/routerstep.go
@@ -13,7 +13,7 @@
 	i := int(step.Index)
 	switch step.Kind {
 	case RequestArrives, ClientCancels:
-		return c.router(i)
+		return c.routerIndex(i)
 	case CallEnds, CallTimesOut:
 		return s.Calls[i].Router
 	case UpdateArrives:
@@ -133,21 +133,21 @@
 }
 
 // resultOf is what a router learns of a call that ends by a step.
-func (e *ServerCall) resultOf(rules *Rules, step Step) control.Result {
+func (call *ServerCall) resultOf(rules *Rules, step Step) control.Result {
 	switch {
-	case step.Kind == CallTimesOut && e.Stage == attempt.Chosen:
-		return rules.UnconnectedResult(e.Stage, false)
+	case step.Kind == CallTimesOut && call.Stage == attempt.Chosen:
+		return rules.UnconnectedResult(call.Stage, false)
 	case step.Kind == CallTimesOut:
 		return rules.InterruptedResult(true, attempt.DeadlineExceeded)
 	case step.Outcome == Unresponsive:
 		return rules.InterruptedResult(true, attempt.AbortedLocally)
-	case e.Stage == attempt.Withdrawn:
+	case call.Stage == attempt.Withdrawn:
 		return control.NotSent
-	case e.Outcome == ConnectFailure:
-		return rules.UnconnectedResult(e.Stage, false)
-	case e.Outcome == Rejection:
+	case call.Outcome == ConnectFailure:
+		return rules.UnconnectedResult(call.Stage, false)
+	case call.Outcome == Rejection:
 		return control.Overloaded
-	case e.Outcome == ResetBefore || e.Outcome == ResetAfter:
+	case call.Outcome == ResetBefore || call.Outcome == ResetAfter:
 		return rules.InterruptedResult(true, attempt.ClosedByPeer)
 	}
 	return control.Succeeded
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -36,10 +36,10 @@
 // Router is one router. Its core's state is replaced whole, so that states can share it.
 type Router struct {
 	core          *core.Snapshot
-	digest        [digestBytes]byte // of core
-	TimerAt       control.Micros    `cbor:"Alarm"`
-	Stalled       bool              `cbor:"Frozen"`
-	EndpointsAsOf control.Micros    `cbor:"AsOf"` // as of when its list was complete when it last stalled; 0: it has caught up since
+	digest        [digestSize]byte // of core
+	TimerAt       control.Micros   `cbor:"Alarm"`
+	Stalled       bool             `cbor:"Frozen"`
+	EndpointsAsOf control.Micros   `cbor:"AsOf"` // as of when its list was complete when it last stalled; 0: it has caught up since
 }
 
 // Server is one server as it really is.
@@ -159,8 +159,8 @@
 	s.Routers = append(s.Routers, Router{})
 	router := core.New(control.New(epoch, uint64(i)+1, c.deployment(i)), &executor{state: s, rules: rules, config: c, router: i})
 	var endpoints []control.Endpoint
-	for j, v := range s.Servers {
-		endpoints = append(endpoints, c.endpoint(j, v.State, v.StartedAt))
+	for j, server := range s.Servers {
+		endpoints = append(endpoints, c.endpoint(j, server.State, server.StartedAt))
 	}
 	router.UpdateEndpoints(epoch, control.FullUpdate, endpoints)
 	router.Step(epoch)
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -42,7 +42,7 @@
 // stepList collects the steps that can happen in a state.
 type stepList struct {
 	steps  []Step
-	urgent bool // one of them happens before time advances
+	dueNow bool // one of them happens before time advances
 }
 
 func (l *stepList) add(kind StepKind, index int) { l.addOutcome(kind, index, Success) }
@@ -59,7 +59,7 @@
 	s.addUpdateSteps(l)
 	s.addRouterSteps(l)
 	s.addServerSteps(l)
-	if !l.urgent && s.nextTime() > 0 {
+	if !l.dueNow && s.nextTime() > 0 {
 		l.add(TimeAdvances, 0)
 	}
 	return l.steps
@@ -67,13 +67,13 @@
 
 func (s *State) addRequestSteps(c *Config, l *stepList) {
 	for i, request := range s.Requests {
-		if request.Unexplored || s.Routers[c.router(i)].Stalled {
+		if request.Unexplored || s.Routers[c.routerIndex(i)].Stalled {
 			continue
 		}
 		switch {
 		case !request.Arrived && s.Now >= request.ArrivesAt:
 			l.add(RequestArrives, i)
-			l.urgent = true
+			l.dueNow = true
 		case request.Arrived && !request.Answer.Decided && !request.Cancelled && s.FaultBudget.ClientCancels > 0:
 			l.add(ClientCancels, i)
 		}
@@ -91,7 +91,7 @@
 			s.addWriteSteps(c, l, i)
 		case attempt.Withdrawn:
 			l.add(CallEnds, i)
-			l.urgent = true
+			l.dueNow = true
 		default:
 			if call.Outcome != AnswerLost && call.Outcome != Unresponsive {
 				l.add(CallEnds, i)
@@ -114,14 +114,14 @@
 			}
 		}
 	}
-	l.urgent = l.urgent || !s.Calls[i].WriteDelayed && s.FaultBudget.DelayedWrites == 0
+	l.dueNow = l.dueNow || !s.Calls[i].WriteDelayed && s.FaultBudget.DelayedWrites == 0
 	s.addTimeout(l, i)
 }
 
 func (s *State) addTimeout(l *stepList, i int) {
 	if s.Now >= s.Calls[i].Deadline {
 		l.add(CallTimesOut, i)
-		l.urgent = true
+		l.dueNow = true
 	}
 }
 
@@ -131,7 +131,7 @@
 		overtakes := slices.ContainsFunc(s.Updates[:i], func(u EndpointUpdate) bool { return u.Router == update.Router })
 		if !s.Routers[update.Router].Stalled && !overtakes {
 			l.add(UpdateArrives, i)
-			l.urgent = l.urgent || s.Now >= update.SentAt+updateDelay
+			l.dueNow = l.dueNow || s.Now >= update.SentAt+updateDelay
 		}
 	}
 }
@@ -143,7 +143,7 @@
 			l.add(RouterResumes, i)
 		case s.Now >= router.TimerAt:
 			l.add(TimerFires, i)
-			l.urgent = true
+			l.dueNow = true
 		}
 		if !router.Stalled && s.FaultBudget.RouterStalls > 0 {
 			l.add(RouterStalls, i)
--- a/internal/modelcheck/trace_test.go
+++ b/internal/modelcheck/trace_test.go
@@ -17,11 +17,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := ParseTrace(b)
+		trace, err := ParseTrace(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if wrong, after, _ := s.Replay(&ProductionRules, Properties); wrong != "" {
+		if wrong, after, _ := trace.Replay(&ProductionRules, Properties); wrong != "" {
 			t.Errorf("%s fails after %d steps: %s", name, after, wrong)
 		}
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -9,38 +9,38 @@
 
 // client is one program that makes calls. Clients that behave decide with package retry, as the client library does.
 type client struct {
-	world    *world
+	sim      *simulation
 	node     *node
 	budget   *retry.Budget
 	routers  *retry.Routers
 	outcomes []CallOutcome
 }
 
-func newClient(w *world) *client {
-	c := &client{world: w, node: w.engine.newNode(w.plan.Seed), budget: retry.NewBudget()}
-	c.routers = retry.NewRouters(w.plan.Routers, c.node.random.IntN(w.plan.Routers))
+func newClient(sim *simulation) *client {
+	c := &client{sim: sim, node: sim.engine.newNode(sim.plan.Seed), budget: retry.NewBudget()}
+	c.routers = retry.NewRouters(sim.plan.Routers, c.node.random.IntN(sim.plan.Routers))
 	return c
 }
 
-// call is a call in progress.
-type call struct {
+// activeCall is a call in progress.
+type activeCall struct {
 	*Call
-	client   *client
-	class    *Class
-	index    int // into Plan.Calls
-	begunAt  control.Micros
-	retries  *retry.Call // nil: it retries blindly
-	attempts int
+	client    *client
+	class     *Class
+	index     int // into Plan.Calls
+	startedAt control.Micros
+	retries   *retry.Call // nil: it retries blindly
+	attempts  int
 }
 
-func (c *client) begin(index int, planned *Call) {
-	l := &call{Call: planned, client: c, class: &c.world.plan.Classes[planned.Class], index: index, begunAt: c.node.Now()}
+func (c *client) startCall(index int, planned *Call) {
+	call := &activeCall{Call: planned, client: c, class: &c.sim.plan.Classes[planned.Class], index: index, startedAt: c.node.Now()}
 	if !planned.RetriesBlindly {
-		spec := l.class.Spec
-		l.retries = retry.NewCall(retry.Class{Effect: spec.Effect, Scope: spec.Scope, Window: spec.Window}, l.begunAt+planned.Timeout)
+		spec := call.class.Spec
+		call.retries = retry.NewCall(retry.Class{Effect: spec.Effect, Scope: spec.Scope, Window: spec.Window}, call.startedAt+planned.Timeout)
 		c.budget.Deposit()
 	}
-	l.attempt(noRouter)
+	call.sendNext(noRouter)
 }
 
 // noRouter stands for a router's number where there is none.
@@ -54,64 +54,64 @@
 	maxBlindAttempts  = 200
 )
 
-// attempt sends the next request, to another router than one where that may help, or ends the call.
-func (l *call) attempt(avoid int) {
-	c, now := l.client, l.client.node.Now()
-	left := l.begunAt + l.Timeout - now
+// sendNext sends the next request, to another router than one where that may help, or ends the call.
+func (call *activeCall) sendNext(avoid int) {
+	c, now := call.client, call.client.node.Now()
+	remaining := call.startedAt + call.Timeout - now
 	router := 0
 	switch {
-	case l.retries == nil:
-		if left < blindRetryMinLeft || l.attempts >= maxBlindAttempts {
-			l.giveUp()
+	case call.retries == nil:
+		if remaining < blindRetryMinLeft || call.attempts >= maxBlindAttempts {
+			call.giveUp()
 			return
 		}
-		router = (l.FirstRouter + l.attempts) % c.world.plan.Routers
-	case !l.retries.BeginAttempt(now):
-		l.giveUp()
+		router = (call.FirstRouter + call.attempts) % c.sim.plan.Routers
+	case !call.retries.BeginAttempt(now):
+		call.giveUp()
 		return
 	default:
-		if router = l.retries.PinnedRouter(); router < 0 {
+		if router = call.retries.PinnedRouter(); router < 0 {
 			router = c.routers.Pick(now, avoid)
 		}
 	}
-	l.attempts++
-	request := &clientRequest{call: l, number: l.attempts, router: router, sentAt: now, timeout: left}
+	call.attempts++
+	request := &clientRequest{activeCall: call, number: call.attempts, router: router, sentAt: now, timeout: remaining}
 	request.send()
 }
 
 // succeed ends the call with its answer.
-func (l *call) succeed() {
-	now := l.client.node.Now()
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts, FinishedAt: now,
-		InTime: now-l.begunAt <= l.class.Spec.LatencyObjective})
+func (call *activeCall) succeed() {
+	now := call.client.node.Now()
+	call.client.outcomes = append(call.client.outcomes, CallOutcome{CallIndex: call.index, Attempts: call.attempts, FinishedAt: now,
+		InTime: now-call.startedAt <= call.class.Spec.LatencyObjective})
 }
 
 // giveUp ends the call without an answer.
-func (l *call) giveUp() {
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts})
+func (call *activeCall) giveUp() {
+	call.client.outcomes = append(call.client.outcomes, CallOutcome{CallIndex: call.index, Attempts: call.attempts})
 }
 
-// effectName is the call's effect in the records.
-func (l *call) effectName() string { return strconv.Itoa(l.Number) }
+// operationName is the call's effect in the records.
+func (call *activeCall) operationName() string { return strconv.Itoa(call.Number) }
 
 // keyHash is the call's idempotency key as routers know it; 0: none.
-func (l *call) keyHash() uint64 {
-	if l.retries == nil {
+func (call *activeCall) keyHash() uint64 {
+	if call.retries == nil {
 		return 0
 	}
-	return uint64(l.Number) + 1
+	return uint64(call.Number) + 1
 }
 
 // NonIdempotentKeyPrefix begins the keys of non-idempotent calls. No server knows such a key, so a wrong retry runs twice and is seen.
 const NonIdempotentKeyPrefix = "once-"
 
 // idempotencyKey is the call's idempotency key as servers know it; empty: none.
-func (l *call) idempotencyKey() string {
-	switch effect := l.class.Spec.Effect; {
+func (call *activeCall) idempotencyKey() string {
+	switch effect := call.class.Spec.Effect; {
 	case effect == control.NonIdempotent:
-		return NonIdempotentKeyPrefix + l.effectName()
-	case l.retries == nil && effect != control.IdempotentByKey:
+		return NonIdempotentKeyPrefix + call.operationName()
+	case call.retries == nil && effect != control.IdempotentByKey:
 		return ""
 	}
-	return "effect-" + l.effectName()
+	return "effect-" + call.operationName()
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -34,15 +34,15 @@
 func (e *engine) run(until control.Micros) (events int) {
 	others := startWorkers(e.shards[1:])
 	for {
-		first, any := e.firstEvent(until)
-		if !any {
+		first, ok := e.firstEvent(until)
+		if !ok {
 			break
 		}
 		end := min(until, first+e.minDelay)
-		others.begin(end)
+		others.startWindow(end)
 		e.shards[0].runWindow(end)
-		others.wait()
-		e.exchange()
+		others.waitWindow()
+		e.deliverOutboxes()
 	}
 	others.stop()
 	for _, s := range e.shards {
@@ -52,22 +52,22 @@
 }
 
 // firstEvent returns the time of the first event before a time.
-func (e *engine) firstEvent(until control.Micros) (first control.Micros, any bool) {
+func (e *engine) firstEvent(until control.Micros) (first control.Micros, ok bool) {
 	first = until
 	for _, s := range e.shards {
 		if len(s.queue) > 0 && s.queue[0].at < first {
-			first, any = s.queue[0].at, true
+			first, ok = s.queue[0].at, true
 		}
 	}
-	return first, any
+	return first, ok
 }
 
-// exchange delivers what shards have sent each other in a window.
-func (e *engine) exchange() {
+// deliverOutboxes delivers what shards have sent each other in a window.
+func (e *engine) deliverOutboxes() {
 	for _, s := range e.shards {
 		for i, sent := range s.outbox {
-			for _, x := range sent {
-				e.shards[i].queue.push(x)
+			for _, e2 := range sent {
+				e.shards[i].queue.push(e2)
 			}
 			clear(sent)
 			s.outbox[i] = sent[:0]
@@ -78,48 +78,48 @@
 // runWindow runs a shard's events before a time.
 func (s *shard) runWindow(end control.Micros) {
 	for len(s.queue) > 0 && s.queue[0].at < end {
-		x := s.queue.pop()
-		s.now = x.at
+		next := s.queue.pop()
+		s.now = next.at
 		s.events++
-		x.run()
+		next.run()
 	}
 }
 
-// workers are goroutines that run a shard each, window by window.
-type workers struct {
-	windows []chan control.Micros
-	window  sync.WaitGroup // those that are in a window
-	running sync.WaitGroup // the goroutines
+// shardWorkers are goroutines that run a shard each, window by window.
+type shardWorkers struct {
+	windowEnds []chan control.Micros
+	inWindow   sync.WaitGroup // those that are in a window
+	goroutines sync.WaitGroup // the goroutines
 }
 
-func startWorkers(shards []*shard) *workers {
-	w := &workers{}
+func startWorkers(shards []*shard) *shardWorkers {
+	w := &shardWorkers{}
 	for _, s := range shards {
 		ends := make(chan control.Micros)
-		w.windows = append(w.windows, ends)
-		w.running.Go(func() {
+		w.windowEnds = append(w.windowEnds, ends)
+		w.goroutines.Go(func() {
 			for end := range ends {
 				s.runWindow(end)
-				w.window.Done()
+				w.inWindow.Done()
 			}
 		})
 	}
 	return w
 }
 
-func (w *workers) begin(end control.Micros) {
-	w.window.Add(len(w.windows))
-	for _, ends := range w.windows {
+func (w *shardWorkers) startWindow(end control.Micros) {
+	w.inWindow.Add(len(w.windowEnds))
+	for _, ends := range w.windowEnds {
 		ends <- end
 	}
 }
 
-func (w *workers) wait() { w.window.Wait() }
+func (w *shardWorkers) waitWindow() { w.inWindow.Wait() }
 
 // stop ends the goroutines and waits for them.
-func (w *workers) stop() {
-	for _, ends := range w.windows {
+func (w *shardWorkers) stop() {
+	for _, ends := range w.windowEnds {
 		close(ends)
 	}
-	w.running.Wait()
+	w.goroutines.Wait()
 }
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -12,7 +12,7 @@
 type event struct {
 	at       control.Micros
 	to, from int // ids of nodes
-	count    uint64
+	sequence uint64
 	run      func()
 }
 
@@ -25,7 +25,7 @@
 	case e.from != o.from:
 		return e.from < o.from
 	}
-	return e.count < o.count
+	return e.sequence < o.sequence
 }
 
 // eventQueue is a heap: the first event is at index 0.
--- a/internal/simulation/infrastructure.go
+++ b/internal/simulation/infrastructure.go
@@ -12,45 +12,45 @@
 
 // infrastructure is the node of what never fails as a whole: the store and the source of the endpoint list.
 type infrastructure struct {
-	node      *node
-	world     *world
-	store     *modelserver.Store
-	endpoints []control.Endpoint    // as they are, by server
-	published []control.ServerState // as last published
-	stale     int                   // incidents that keep the list from being published
-	revision  int                   // of the list
+	node           *node
+	sim            *simulation
+	store          *modelserver.Store
+	endpoints      []control.Endpoint    // as they are, by server
+	published      []control.ServerState // as last published
+	staleIncidents int                   // incidents that keep the list from being published
+	revision       int                   // of the list
 }
 
-func newInfrastructure(w *world) *infrastructure {
-	infra := &infrastructure{node: w.engine.newNode(w.plan.Seed), world: w}
-	infra.store = modelserver.NewStore(infra.node, w.plan.FetchTime, w.plan.MaxConcurrentFetches)
-	for i := range w.plan.Servers {
-		zone := w.plan.ServerZones[i]
+func newInfrastructure(sim *simulation) *infrastructure {
+	infra := &infrastructure{node: sim.engine.newNode(sim.plan.Seed), sim: sim}
+	infra.store = modelserver.NewStore(infra.node, sim.plan.FetchTime, sim.plan.MaxConcurrentFetches)
+	for i := range sim.plan.Servers {
+		zone := sim.plan.ServerZones[i]
 		infra.endpoints = append(infra.endpoints, control.Endpoint{Server: serverID(i), State: control.Ready, Zone: zone, Cell: control.CellID(zone), Weight: 1})
 	}
 	infra.published = make([]control.ServerState, len(infra.endpoints))
 	return infra
 }
 
-// stateWords are the records' words for states of endpoints.
-var stateWords = map[control.ServerState]string{control.Removed: "gone", control.Draining: "draining", control.Ready: "ready"}
+// endpointStateDetails are the records' words for states of endpoints.
+var endpointStateDetails = map[control.ServerState]string{control.Removed: "gone", control.Draining: "draining", control.Ready: "ready"}
 
 // publish publishes the list; each router sees it within the poll interval.
 func (infra *infrastructure) publish() {
-	if infra.stale > 0 {
+	if infra.staleIncidents > 0 {
 		return
 	}
 	for i, e := range infra.endpoints {
 		if infra.published[i] != e.State {
 			infra.published[i] = e.State
-			infra.node.record(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: stateWords[e.State]})
+			infra.node.record(invariant.Record{Kind: invariant.EndpointPublished, Server: i, Detail: endpointStateDetails[e.State]})
 		}
 	}
 	list := slices.DeleteFunc(slices.Clone(infra.endpoints), func(e control.Endpoint) bool { return e.State == control.Removed })
 	infra.revision++
 	revision := infra.revision
-	for _, r := range infra.world.routers {
-		untilPoll := control.Micros(infra.node.random.Int64N(int64(max(1, infra.world.plan.EndpointPollInterval))))
+	for _, r := range infra.sim.routers {
+		untilPoll := control.Micros(infra.node.random.Int64N(int64(max(1, infra.sim.plan.EndpointPollInterval))))
 		infra.node.send(r.node, minDelay+untilPoll, func() { r.updateEndpoints(revision, list) })
 	}
 }
@@ -59,20 +59,20 @@
 type server struct {
 	node  *node
 	model *modelserver.Server
-	world *world
+	sim   *simulation
 }
 
-func newServer(w *world, i int) *server {
-	s := &server{node: w.engine.newNode(w.plan.Seed), world: w}
-	s.model = modelserver.New(w.plan.Servers[i], s.node, s, s.node.record)
+func newServer(sim *simulation, i int) *server {
+	s := &server{node: sim.engine.newNode(sim.plan.Seed), sim: sim}
+	s.model = modelserver.New(sim.plan.Servers[i], s.node, s, s.node.record)
 	return s
 }
 
 // Fetch fetches a function from the store.
 func (s *server) Fetch(done func()) {
-	infra := s.world.infrastructure
-	s.node.send(infra.node, s.node.delay(), func() {
-		infra.store.Fetch(func() { infra.node.send(s.node, infra.node.delay(), done) })
+	infra := s.sim.infrastructure
+	s.node.send(infra.node, s.node.randomDelay(), func() {
+		infra.store.Fetch(func() { infra.node.send(s.node, infra.node.randomDelay(), done) })
 	})
 }
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -10,12 +10,12 @@
 
 // node is one party in simulated time. It shares no state with others, which reach it by messages alone.
 type node struct {
-	engine *engine
-	id     int
-	shard  *shard
-	count  uint64 // of events that come from it
-	random *rand.Rand
-	log    []invariant.Record
+	engine       *engine
+	id           int
+	shard        *shard
+	lastSequence uint64 // of events that come from it
+	random       *rand.Rand
+	records      []invariant.Record
 }
 
 // newNode adds a node. Nodes are dealt to shards in turn, since nodes of a kind, which have similar work, follow each other.
@@ -39,22 +39,22 @@
 
 // send has something happen to another node after a delay, which is never below the engine's least.
 func (n *node) send(to *node, delay control.Micros, f func()) {
-	x := n.newEvent(n.Now()+max(n.engine.minDelay, delay), to, f)
+	e := n.newEvent(n.Now()+max(n.engine.minDelay, delay), to, f)
 	if to.shard == n.shard {
-		n.shard.queue.push(x)
+		n.shard.queue.push(e)
 		return
 	}
 	i := slices.Index(n.engine.shards, to.shard)
-	n.shard.outbox[i] = append(n.shard.outbox[i], x)
+	n.shard.outbox[i] = append(n.shard.outbox[i], e)
 }
 
 func (n *node) newEvent(at control.Micros, to *node, f func()) event {
-	n.count++
-	return event{at: at, to: to.id, from: n.id, count: n.count, run: f}
+	n.lastSequence++
+	return event{at: at, to: to.id, from: n.id, sequence: n.lastSequence, run: f}
 }
 
 // record logs something at this node's end of a connection.
 func (n *node) record(r invariant.Record) {
 	r.At = int64(n.Now())
-	n.log = append(n.log, r)
+	n.records = append(n.records, r)
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -20,8 +20,8 @@
 	noResponse // its client's timeout passed
 )
 
-// responseWords are the records' words for responses.
-var responseWords = map[response]string{succeeded: invariant.Succeeded, rejected: invariant.Rejected, failed: invariant.Failed}
+// responseDetails are the records' words for responses.
+var responseDetails = map[response]string{succeeded: invariant.Succeeded, rejected: invariant.Rejected, failed: invariant.Failed}
 
 // retryOutcomes are what responses mean to package retry.
 var retryOutcomes = map[response]retry.Outcome{rejected: retry.Rejected, failed: retry.Failed, notSent: retry.NotSent, connReset: retry.Lost,
@@ -32,7 +32,7 @@
 
 // clientRequest is one request of a call.
 type clientRequest struct {
-	*call
+	*activeCall
 	number  int
 	router  int
 	sentAt  control.Micros
@@ -42,25 +42,25 @@
 
 func (q *clientRequest) send() {
 	c := q.client
-	c.node.record(q.record(invariant.RequestSent))
-	router := c.world.routers[q.router]
-	c.node.send(router.node, c.node.delay(), func() { router.receive(q) })
+	c.node.record(q.newRecord(invariant.RequestSent))
+	router := c.sim.routers[q.router]
+	c.node.send(router.node, c.node.randomDelay(), func() { router.receive(q) })
 	c.node.After(q.timeout+lateAnswerTimeout, func() {
 		if !q.done {
 			q.handleResponse(noResponse, 0)
-			c.node.send(router.node, c.node.delay(), func() { router.cancel(q) })
+			c.node.send(router.node, c.node.randomDelay(), func() { router.cancel(q) })
 		}
 	})
 }
 
-// record is a record of the request; it has the deadline by which its client wants the answer.
-func (q *clientRequest) record(kind invariant.Kind) invariant.Record {
-	return invariant.Record{Kind: kind, Request: q.name(), Effect: q.effectName(), Workload: q.class.Name, Router: q.router,
+// newRecord is a record of the request; it has the deadline by which its client wants the answer.
+func (q *clientRequest) newRecord(kind invariant.Kind) invariant.Record {
+	return invariant.Record{Kind: kind, Request: q.requestName(), Effect: q.operationName(), Workload: q.class.Name, Router: q.router,
 		Deadline: int64(q.sentAt + q.timeout)}
 }
 
-// name is the request's in the records.
-func (q *clientRequest) name() string { return q.effectName() + "." + strconv.Itoa(q.number) }
+// requestName is the request's in the records.
+func (q *clientRequest) requestName() string { return q.operationName() + "." + strconv.Itoa(q.number) }
 
 // markedRetry reports whether the request tells its router that it is a retry.
 func (q *clientRequest) markedRetry() bool { return q.retries != nil && q.number > 1 }
@@ -95,8 +95,8 @@
 	case connReset, noResponse:
 		kind = invariant.RequestTimedOut
 	}
-	record := q.record(kind)
-	record.Detail = responseWords[r]
+	record := q.newRecord(kind)
+	record.Detail = responseDetails[r]
 	return record
 }
 
@@ -106,7 +106,7 @@
 		q.giveUp()
 		return
 	}
-	q.client.node.After(blindRetryPause, func() { q.attempt(noRouter) })
+	q.client.node.After(blindRetryPause, func() { q.sendNext(noRouter) })
 }
 
 // retry does as package retry decides.
@@ -128,5 +128,5 @@
 	if decision.OtherRouter {
 		avoid = q.router
 	}
-	c.node.After(decision.RetryAt-now, func() { q.attempt(avoid) })
+	c.node.After(decision.RetryAt-now, func() { q.sendNext(avoid) })
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -28,17 +28,17 @@
 }
 
 // newResult brings the nodes' records together.
-func newResult(w *world, events int) *Result {
-	result := &Result{Events: events, Outcomes: make([]CallOutcome, len(w.plan.Calls))}
-	for _, n := range w.engine.nodes {
-		result.Records = append(result.Records, n.log...)
+func newResult(sim *simulation, events int) *Result {
+	result := &Result{Events: events, Outcomes: make([]CallOutcome, len(sim.plan.Calls))}
+	for _, n := range sim.engine.nodes {
+		result.Records = append(result.Records, n.records...)
 	}
 	slices.SortStableFunc(result.Records, func(a, b invariant.Record) int { return int(a.At - b.At) })
 	result.Hash = hashRecords(result.Records)
-	for _, r := range w.routers {
+	for _, r := range sim.routers {
 		result.Steps += r.steps
 	}
-	for _, c := range w.clients {
+	for _, c := range sim.clients {
 		for _, outcome := range c.outcomes {
 			result.Outcomes[outcome.CallIndex] = outcome
 		}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -11,42 +11,42 @@
 
 // router is one router: an unchanged core, and the core.Executor that carries out what it asks, as the gateway does on sockets.
 type router struct {
-	world        *world
-	node         *node
-	number       int
-	core         *core.Core           // nil: it is down
-	overload     *overload.Controller // nil: the plan has no overload protection
-	incarnation  uint64
-	stalledUntil control.Micros
-	partitions   []*Incident // that keep servers from it
-	requests     map[control.RequestID]*request
-	open         []*request // in order of arrival; answered ones are removed now and then
-	lastID       control.RequestID
-	timer        uint64 // counts up with each timer, so that a replaced one is ignored
-	endpoints    []control.Endpoint
-	revision     int // of the endpoints
-	steps        int
+	sim             *simulation
+	node            *node
+	number          int
+	core            *core.Core           // nil: it is down
+	overload        *overload.Controller // nil: the plan has no overload protection
+	incarnation     uint64
+	stalledUntil    control.Micros
+	partitions      []*Incident // that keep servers from it
+	requests        map[control.RequestID]*request
+	openRequests    []*request // in order of arrival; answered ones are removed now and then
+	lastID          control.RequestID
+	timerGeneration uint64 // counts up with each timer, so that a replaced one is ignored
+	endpoints       []control.Endpoint
+	revision        int // of the endpoints
+	steps           int
 }
 
-func newRouter(w *world, number int) *router {
-	return &router{world: w, node: w.engine.newNode(w.plan.Seed), number: number}
+func newRouter(sim *simulation, number int) *router {
+	return &router{sim: sim, node: sim.engine.newNode(sim.plan.Seed), number: number}
 }
 
 // Multipliers that keep the seeds of days, routers and incarnations apart, up to 64 incarnations of a router.
 const (
-	seedsPerDay    = 1_000_003
+	seedsPerRun    = 1_000_003
 	seedsPerRouter = 64
 )
 
 // start begins an incarnation that knows nothing.
 func (r *router) start() {
-	now, plan := r.node.Now(), r.world.plan
+	now, plan := r.node.Now(), r.sim.plan
 	d := plan.Deployment
 	d.Routers, d.Number, d.Zone = plan.Routers, r.number, plan.RouterZones[r.number]
-	seed := plan.Seed*seedsPerDay + uint64(r.number)*seedsPerRouter + r.incarnation
+	seed := plan.Seed*seedsPerRun + uint64(r.number)*seedsPerRouter + r.incarnation
 	r.core = core.New(plan.newPolicy(now, seed, d), r)
 	r.overload = plan.newOverloadController(now, seed)
-	r.requests, r.open = map[control.RequestID]*request{}, nil
+	r.requests, r.openRequests = map[control.RequestID]*request{}, nil
 	if r.incarnation > 0 {
 		r.node.record(invariant.Record{Kind: invariant.RouterRestarted, Router: r.number})
 		r.node.record(invariant.Record{Kind: invariant.RouterUp, Router: r.number})
@@ -79,12 +79,12 @@
 func (r *router) kill() {
 	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.core = nil
-	for _, q := range r.open {
+	for _, q := range r.openRequests {
 		if !q.answered {
 			r.answer(q, connReset, 0)
 		}
 	}
-	r.requests, r.open = nil, nil
+	r.requests, r.openRequests = nil, nil
 }
 
 // stall has it do nothing until a time; what comes meanwhile waits.
@@ -124,7 +124,7 @@
 	r.post(r.incarnation, func(now control.Micros) { r.core.UpdateEndpoints(now, control.FullUpdate, endpoints) })
 }
 
-// reaches reports whether no partition keeps a server from the router.
-func (r *router) reaches(server int) bool {
-	return !slices.ContainsFunc(r.partitions, func(x *Incident) bool { return slices.Contains(x.Unreachable, server) })
+// canReach reports whether no partition keeps a server from the router.
+func (r *router) canReach(server int) bool {
+	return !slices.ContainsFunc(r.partitions, func(partition *Incident) bool { return slices.Contains(partition.Unreachable, server) })
 }
--- a/internal/simulation/routing.go
+++ b/internal/simulation/routing.go
@@ -16,13 +16,13 @@
 	calls    []*serverCall // by attempt
 }
 
-// answeredSlack is how many answered requests may stay in router.open, beside as many as are not answered.
-const answeredSlack = 64
+// openRequestMargin is how many answered requests may stay in router.open, beside as many as are not answered.
+const openRequestMargin = 64
 
 // receive takes a client's request. The machine of a router that is down refuses the connection.
 func (r *router) receive(q *clientRequest) {
 	if r.core == nil {
-		r.node.send(q.client.node, r.node.delay(), func() { q.handleResponse(notSent, 0) })
+		r.node.send(q.client.node, r.node.randomDelay(), func() { q.handleResponse(notSent, 0) })
 		return
 	}
 	r.post(r.incarnation, func(now control.Micros) {
@@ -34,7 +34,7 @@
 
 // admit adds a request to the core unless the overload protection rejects it.
 func (r *router) admit(now control.Micros, q *clientRequest) {
-	plan, function := r.world.plan, functionID(q.Function)
+	plan, function := r.sim.plan, functionID(q.Function)
 	accepted := &request{client: q}
 	if r.overload != nil {
 		verdict := r.overload.Admit(now, overload.Request{IsRetry: q.markedRetry(), KeyHash: q.keyHash(), Function: function, Priority: q.class.Importance})
@@ -46,9 +46,9 @@
 	r.lastID++
 	accepted.id = r.lastID
 	r.requests[accepted.id] = accepted
-	r.open = append(r.open, accepted)
-	if len(r.open) > 2*len(r.requests)+answeredSlack {
-		r.open = slices.DeleteFunc(r.open, func(x *request) bool { return x.answered })
+	r.openRequests = append(r.openRequests, accepted)
+	if len(r.openRequests) > 2*len(r.requests)+openRequestMargin {
+		r.openRequests = slices.DeleteFunc(r.openRequests, func(x *request) bool { return x.answered })
 	}
 	timeout := min(q.class.Spec.MaxDeadline, q.timeout)
 	err := r.core.Add(now, control.Request{ID: accepted.id, Class: control.ClassID(q.Class), Function: function, Lanes: plan.LanesPerRequest,
@@ -61,11 +61,11 @@
 // cancel takes in that a request's client is gone.
 func (r *router) cancel(client *clientRequest) {
 	r.post(r.incarnation, func(now control.Micros) {
-		i := slices.IndexFunc(r.open, func(q *request) bool { return q.client == client && !q.answered })
+		i := slices.IndexFunc(r.openRequests, func(q *request) bool { return q.client == client && !q.answered })
 		if i < 0 {
 			return
 		}
-		q := r.open[i]
+		q := r.openRequests[i]
 		q.answered = true
 		r.core.Cancel(now, q.id)
 		r.release(q)
@@ -78,7 +78,7 @@
 		return
 	}
 	q.answered = true
-	r.node.send(q.client.client.node, r.node.delay(), func() { q.client.handleResponse(result, retryAfter) })
+	r.node.send(q.client.client.node, r.node.randomDelay(), func() { q.client.handleResponse(result, retryAfter) })
 	r.release(q)
 }
 
@@ -109,10 +109,10 @@
 
 // SetTimer replaces the one timer.
 func (r *router) SetTimer(at control.Micros) {
-	r.timer++
-	timer, incarnation := r.timer, r.incarnation
+	r.timerGeneration++
+	timer, incarnation := r.timerGeneration, r.incarnation
 	r.node.at(max(at, r.node.Now()), func() {
-		if r.timer == timer {
+		if r.timerGeneration == timer {
 			r.post(incarnation, func(control.Micros) {})
 		}
 	})
--- a/internal/simulation/servercall.go
+++ b/internal/simulation/servercall.go
@@ -7,32 +7,32 @@
 
 // serverCall is an attempt or a load command on its way to a server.
 type serverCall struct {
-	server  int
-	begunAt control.Micros
-	ended   bool
+	server    int
+	startedAt control.Micros
+	ended     bool
 }
 
 // callResults are what a server's results mean to the core.
 var callResults = map[modelserver.Result]control.Result{modelserver.Succeeded: control.Succeeded, modelserver.Overloaded: control.Overloaded,
 	modelserver.NotLoaded: control.NotLoaded, modelserver.ConnectionReset: control.ConnectionReset}
 
-// noReplicas tells the core that the answer to a load command, if any, named no number of replicas.
-const noReplicas = -1
+// unknownReplicas tells the core that the answer to a load command, if any, named no number of replicas.
+const unknownReplicas = -1
 
-// exchange sends something to a server and calls end with its response, and at the timeout, or with the failure to reach it: end must
+// callServer sends something to a server and calls end with its response, and at the timeout, or with the failure to reach it: end must
 // ignore all calls but the first.
-func (r *router) exchange(call *serverCall, timeout control.Micros, send func(*modelserver.Server, func(modelserver.Response)),
+func (r *router) callServer(call *serverCall, timeout control.Micros, send func(*modelserver.Server, func(modelserver.Response)),
 	end func(control.Result, modelserver.Response)) {
-	none := modelserver.Response{Replicas: noReplicas}
+	none := modelserver.Response{Replicas: unknownReplicas}
 	r.node.After(timeout, func() { end(control.TimedOut, none) })
-	if !r.reaches(call.server) {
+	if !r.canReach(call.server) {
 		r.node.After(min(dialTimeout, timeout), func() { end(control.ConnectFailed, none) })
 		return
 	}
-	s := r.world.servers[call.server]
-	r.node.send(s.node, r.node.delay(), func() {
+	s := r.sim.servers[call.server]
+	r.node.send(s.node, r.node.randomDelay(), func() {
 		reply := func(result control.Result, response modelserver.Response) {
-			s.node.send(r.node, s.node.delay(), func() { end(result, response) })
+			s.node.send(r.node, s.node.randomDelay(), func() { end(result, response) })
 		}
 		if !s.model.Alive() {
 			reply(control.ConnectFailed, none)
@@ -45,12 +45,12 @@
 // Forward starts an attempt.
 func (r *router) Forward(added *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
 	q, incarnation := r.requests[added.ID], r.incarnation
-	call := &serverCall{server: serverIndex(to), begunAt: r.node.Now()}
+	call := &serverCall{server: serverIndex(to), startedAt: r.node.Now()}
 	q.calls = append(q.calls, call)
 	q.inFlight++
-	sent := modelserver.Request{ID: q.client.name(), Effect: q.client.effectName(), Router: r.number, Function: q.client.Function,
+	sent := modelserver.Request{ID: q.client.requestName(), Effect: q.client.operationName(), Router: r.number, Function: q.client.Function,
 		IdempotencyKey: q.client.idempotencyKey()}
-	r.exchange(call, timeout,
+	r.callServer(call, timeout,
 		func(s *modelserver.Server, respond func(modelserver.Response)) { s.Infer(sent, respond) },
 		func(result control.Result, response modelserver.Response) {
 			r.post(incarnation, func(now control.Micros) { r.endAttempt(now, q, attempt, result, response) })
@@ -65,7 +65,7 @@
 	}
 	call.ended = true
 	q.inFlight--
-	outcome := control.Outcome{Attempt: attempt, Server: serverID(call.server), Result: result, CacheStatus: response.CacheStatus, Duration: now - call.begunAt}
+	outcome := control.Outcome{Attempt: attempt, Server: serverID(call.server), Result: result, CacheStatus: response.CacheStatus, Duration: now - call.startedAt}
 	if result == control.Succeeded || result == control.Overloaded || result == control.NotLoaded {
 		outcome.Report = &response.LoadReport
 	}
@@ -96,8 +96,8 @@
 // Load sends a load command for a request's function.
 func (r *router) Load(added *control.Request, command control.LoadCommand) {
 	function, incarnation := r.requests[added.ID].client.Function, r.incarnation
-	call := &serverCall{server: serverIndex(command.Server), begunAt: r.node.Now()}
-	r.exchange(call, loadTimeout,
+	call := &serverCall{server: serverIndex(command.Server), startedAt: r.node.Now()}
+	r.callServer(call, loadTimeout,
 		func(s *modelserver.Server, respond func(modelserver.Response)) {
 			s.Load(function, command.Replicas, r.number, respond)
 		},
@@ -105,7 +105,7 @@
 			r.post(incarnation, func(now control.Micros) {
 				if !call.ended {
 					call.ended = true
-					r.core.HandleLoadResult(now, command.Server, command.Function, result, now-call.begunAt, response.Replicas)
+					r.core.HandleLoadResult(now, command.Server, command.Function, result, now-call.startedAt, response.Replicas)
 				}
 			})
 		})
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -26,11 +26,11 @@
 	lateAnswerTimeout = control.Micros(300_000)
 )
 
-// drainTime is for how long a day goes on after the last call's client stopped reading: long enough for what is in flight to arrive.
-const drainTime = control.Micros(1_000_000)
+// settleTime is for how long a day goes on after the last call's client stopped reading: long enough for what is in flight to arrive.
+const settleTime = control.Micros(1_000_000)
 
-// world is a day that is being simulated.
-type world struct {
+// simulation is a day that is being simulated.
+type simulation struct {
 	plan           *Plan
 	engine         *engine
 	infrastructure *infrastructure
@@ -41,57 +41,57 @@
 
 // Run simulates a day on some threads.
 func Run(plan *Plan, threads int) *Result {
-	w := newWorld(plan, max(1, threads))
-	w.start()
-	longest := w.scheduleCalls()
+	sim := newSimulation(plan, max(1, threads))
+	sim.start()
+	longest := sim.scheduleCalls()
 	for i := range plan.Incidents {
-		w.schedule(&plan.Incidents[i])
+		sim.scheduleIncident(&plan.Incidents[i])
 	}
-	events := w.engine.run(epoch + plan.Duration + longest + lateAnswerTimeout + drainTime)
-	return newResult(w, events)
+	events := sim.engine.run(epoch + plan.Duration + longest + lateAnswerTimeout + settleTime)
+	return newResult(sim, events)
 }
 
-// newWorld makes all nodes. Their order decides their ids, and so their random sources and the order of simultaneous events.
-func newWorld(plan *Plan, threads int) *world {
-	w := &world{plan: plan, engine: newEngine(threads, minDelay)}
-	w.infrastructure = newInfrastructure(w)
+// newSimulation makes all nodes. Their order decides their ids, and so their random sources and the order of simultaneous events.
+func newSimulation(plan *Plan, threads int) *simulation {
+	sim := &simulation{plan: plan, engine: newEngine(threads, minDelay)}
+	sim.infrastructure = newInfrastructure(sim)
 	for i := range plan.Routers {
-		w.routers = append(w.routers, newRouter(w, i))
+		sim.routers = append(sim.routers, newRouter(sim, i))
 	}
 	for i := range plan.Servers {
-		w.servers = append(w.servers, newServer(w, i))
+		sim.servers = append(sim.servers, newServer(sim, i))
 	}
 	for range max(1, plan.Clients) {
-		w.clients = append(w.clients, newClient(w))
+		sim.clients = append(sim.clients, newClient(sim))
 	}
-	return w
+	return sim
 }
 
-func (w *world) start() {
-	for _, s := range w.engine.shards {
+func (sim *simulation) start() {
+	for _, s := range sim.engine.shards {
 		s.now = epoch
 	}
-	w.infrastructure.publish()
-	for _, s := range w.servers {
+	sim.infrastructure.publish()
+	for _, s := range sim.servers {
 		s.model.Start(modelserver.FullCapacity)
 	}
-	for _, r := range w.routers {
+	for _, r := range sim.routers {
 		r.start()
 	}
 }
 
 // scheduleCalls deals the calls to the clients and returns the longest timeout.
-func (w *world) scheduleCalls() (longest control.Micros) {
-	for i := range w.plan.Calls {
-		call := &w.plan.Calls[i]
-		client := w.clients[call.Number%len(w.clients)]
-		client.node.at(epoch+call.At, func() { client.begin(i, call) })
+func (sim *simulation) scheduleCalls() (longest control.Micros) {
+	for i := range sim.plan.Calls {
+		call := &sim.plan.Calls[i]
+		client := sim.clients[call.Number%len(sim.clients)]
+		client.node.at(epoch+call.At, func() { client.startCall(i, call) })
 		longest = max(longest, call.Timeout)
 	}
 	return longest
 }
 
-// delay draws how long a message takes.
-func (n *node) delay() control.Micros {
+// randomDelay draws how long a message takes.
+func (n *node) randomDelay() control.Micros {
 	return minDelay + control.Micros(n.random.ExpFloat64()*meanExtraDelay)
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -19,8 +19,8 @@
 		Incidents: incidents}
 	p.Deployment = control.Deployment{Tick: 4_000, MaxAttempts: 3, MaxRetryAfter: 2 * second, SupportsCancel: true, MarksRetries: true, SlowStartInitial: 0.25, SlowStartDuration: 2 * second,
 		OverloadWindow: second, OverloadFactor: 2, KeepAlive: 5 * second, LoadCommands: true, LoadsOnMiss: true}
-	for _, w := range p.Classes {
-		p.Deployment.Classes = append(p.Deployment.Classes, w.Spec)
+	for _, class := range p.Classes {
+		p.Deployment.Classes = append(p.Deployment.Classes, class.Spec)
 	}
 	for i := range 4 {
 		p.Servers = append(p.Servers, modelserver.Config{Number: i, MaxReplicas: 20, Lanes: 2, Cores: 2, ExecutionTime: 20_000, QueueLimit: 20, LoadTime: 50_000, MaxLoads: 4, DedupWindow: 5 * second,
@@ -35,9 +35,9 @@
 	return p
 }
 
-func judge(p *Plan, res *Result) *invariant.Report {
+func checkInvariants(p *Plan, result *Result) *invariant.Report {
 	return invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, SlowStartDuration: int64(p.Deployment.SlowStartDuration), SlowStartInitial: 0.25, OverloadWindow: int64(second), OverloadFactor: 2, ServerRate: 100,
-		Zone: make([]string, 4), Cell: make([]string, 4), Classes: map[string]invariant.Class{"once": {NonIdempotent: true}}}, res.Records)
+		Zone: make([]string, 4), Cell: make([]string, 4), Classes: map[string]invariant.Class{"once": {NonIdempotent: true}}}, result.Records)
 }
 
 // The same plan gives the same records on one, two and four threads, whatever incidents there are; another seed gives others.
@@ -47,9 +47,9 @@
 		{Kind: NetworkPartition, At: 4 * second, Duration: second, Targets: []int{0}, Unreachable: []int{2, 3}}, {Kind: ServerDeploy, At: 4 * second, Duration: second, Targets: []int{3}}}
 	hashes := map[uint64]bool{}
 	for _, threads := range []int{1, 2, 4} {
-		res := Run(smallPlan(900, incidents...), threads)
-		if hashes[res.Hash] = true; len(res.Records) < 2000 || res.Events < 5000 {
-			t.Errorf("%d records, %d events", len(res.Records), res.Events)
+		result := Run(smallPlan(900, incidents...), threads)
+		if hashes[result.Hash] = true; len(result.Records) < 2000 || result.Events < 5000 {
+			t.Errorf("%d records, %d events", len(result.Records), result.Events)
 		}
 	}
 	if len(hashes) != 1 {
@@ -57,51 +57,51 @@
 	}
 	p := smallPlan(900, incidents...)
 	p.Seed = 2
-	if res := Run(p, 1); hashes[res.Hash] {
+	if result := Run(p, 1); hashes[result.Hash] {
 		t.Error("another seed gives the same day")
 	}
 }
 
 // The rules hold and every call ends, under each kind of incident alone.
 func TestRulesUnderEachIncident(t *testing.T) {
-	for name, x := range map[string]Incident{
+	for name, incident := range map[string]Incident{
 		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
 		"reset": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
 		"store": {Kind: StoreDegraded, StoreClosed: true}, "frozen": {Kind: RouterStall, Targets: []int{0, 1, 2}}, "killed": {Kind: RouterCrash, Targets: []int{0, 1, 2}},
 		"partition": {Kind: NetworkPartition, Targets: []int{0, 1}, Unreachable: []int{0, 1}},
 	} {
-		x.At, x.Duration = 2*second, second
-		p := smallPlan(600, x)
-		res := Run(p, 2)
-		v := judge(p, res)
-		for _, r := range v.Rules {
-			for _, b := range r.Violations {
-				t.Errorf("%s: rule %d: %s", name, r.Number, b)
+		incident.At, incident.Duration = 2*second, second
+		p := smallPlan(600, incident)
+		result := Run(p, 2)
+		report := checkInvariants(p, result)
+		for _, rule := range report.Rules {
+			for _, violation := range rule.Violations {
+				t.Errorf("%s: rule %d: %s", name, rule.Number, violation)
 			}
 		}
-		for i, e := range res.Outcomes {
-			if e.Attempts == 0 {
+		for i, outcome := range result.Outcomes {
+			if outcome.Attempts == 0 {
 				t.Fatalf("%s: call %d never ended", name, i)
 			}
 		}
-		if v.Succeeded < 400 {
-			t.Errorf("%s: %d of 600 finished", name, v.Succeeded)
+		if report.Succeeded < 400 {
+			t.Errorf("%s: %d of 600 finished", name, report.Succeeded)
 		}
 	}
 }
 
 // A router that is partitioned from some servers uses the others, and its requests never reach those; the other routers go on.
 func TestPartition(t *testing.T) {
-	res := Run(smallPlan(600, Incident{Kind: NetworkPartition, At: second, Duration: 3 * second, Targets: []int{0}, Unreachable: []int{0, 1}}), 2)
+	result := Run(smallPlan(600, Incident{Kind: NetworkPartition, At: second, Duration: 3 * second, Targets: []int{0}, Unreachable: []int{0, 1}}), 2)
 	from, to := int64(epoch+second+20_000), int64(epoch+4*second)
-	got := map[bool]int{}
-	for _, r := range res.Records {
+	received := map[bool]int{}
+	for _, r := range result.Records {
 		if r.Kind == invariant.AttemptReceived && r.At > from && r.At < to && r.Server < 2 {
-			got[r.Router == 0]++
+			received[r.Router == 0]++
 		}
 	}
-	if got[true] != 0 || got[false] == 0 {
-		t.Errorf("the servers got %d requests of the partitioned router, and %d of others", got[true], got[false])
+	if received[true] != 0 || received[false] == 0 {
+		t.Errorf("the servers got %d requests of the partitioned router, and %d of others", received[true], received[false])
 	}
 }
 
@@ -113,14 +113,14 @@
 		for range 4 {
 			nodes = append(nodes, e.newNode(1))
 		}
-		var got []int
+		var order []int
 		for _, i := range []int{3, 1, 2} {
 			n := nodes[i]
-			n.at(10, func() { n.send(nodes[0], 0, func() { got = append(got, i) }) })
+			n.at(10, func() { n.send(nodes[0], 0, func() { order = append(order, i) }) })
 		}
 		e.run(second)
-		if fmt.Sprint(got) != "[1 2 3]" {
-			t.Errorf("%d threads: %v", threads, got)
+		if fmt.Sprint(order) != "[1 2 3]" {
+			t.Errorf("%d threads: %v", threads, order)
 		}
 	}
 }
