--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -7,7 +7,8 @@
 	"hollymast/internal/retry"
 )
 
-// client is one program that makes calls. Clients that behave decide with package retry, as the client library does.
+// client is a program that makes calls. It decides on retries with package retry, as the client library does, except for
+// calls that retry blindly.
 type client struct {
 	sim      *simulation
 	node     *node
@@ -22,17 +23,18 @@
 	return c
 }
 
-// activeCall is a call in progress.
+// activeCall is a call that its client has started.
 type activeCall struct {
 	*Call
 	client    *client
 	class     *Class
 	index     int // into Plan.Calls
 	startedAt control.Micros
-	retries   *retry.Call // nil: it retries blindly
-	attempts  int
+	retries   *retry.Call // nil: the call retries blindly
+	attempts  int         // requests sent so far
 }
 
+// startCall starts a planned call.
 func (c *client) startCall(index int, planned *Call) {
 	call := &activeCall{Call: planned, client: c, class: &c.sim.plan.Classes[planned.Class], index: index, startedAt: c.node.Now()}
 	if !planned.RetriesBlindly {
@@ -43,18 +45,20 @@
 	call.sendNext(noRouter)
 }
 
-// noRouter stands for a router's number where there is none.
+// noRouter stands for no router in place of a router's number.
 const noRouter = -1
 
-// The loop of a client that retries blindly, the same as the chaos tester's on sockets: its pause, the time left below which it
-// gives up, and the bound on its requests, more than any timeout allows.
+// Behavior of clients that retry blindly, the same as that of the chaos tester's clients on sockets: the pause between
+// requests, the remaining time below which they give up, and a limit on the requests of a call, which is higher than any
+// timeout allows.
 const (
 	blindRetryPause   = control.Micros(50_000)
 	blindRetryMinLeft = control.Micros(50_000)
 	maxBlindAttempts  = 200
 )
 
-// sendNext sends the next request, to another router than one where that may help, or ends the call.
+// sendNext sends the call's next request, preferably not to the router avoid, or ends the call if no further request is
+// allowed.
 func (call *activeCall) sendNext(avoid int) {
 	c, now := call.client, call.client.node.Now()
 	remaining := call.startedAt + call.Timeout - now
@@ -79,22 +83,22 @@
 	request.send()
 }
 
-// succeed ends the call with its answer.
+// succeed ends the call as successful.
 func (call *activeCall) succeed() {
 	now := call.client.node.Now()
 	call.client.outcomes = append(call.client.outcomes, CallOutcome{CallIndex: call.index, Attempts: call.attempts, FinishedAt: now,
 		InTime: now-call.startedAt <= call.class.Spec.LatencyObjective})
 }
 
-// giveUp ends the call without an answer.
+// giveUp ends the call without success.
 func (call *activeCall) giveUp() {
 	call.client.outcomes = append(call.client.outcomes, CallOutcome{CallIndex: call.index, Attempts: call.attempts})
 }
 
-// operationName is the call's effect in the records.
+// operationName identifies the call in the records, where all its requests have the same Effect.
 func (call *activeCall) operationName() string { return strconv.Itoa(call.Number) }
 
-// keyHash is the call's idempotency key as routers know it; 0: none.
+// keyHash is the hash of the call's idempotency key that routers see; 0: none.
 func (call *activeCall) keyHash() uint64 {
 	if call.retries == nil {
 		return 0
@@ -102,10 +106,11 @@
 	return uint64(call.Number) + 1
 }
 
-// NonIdempotentKeyPrefix begins the keys of non-idempotent calls. No server knows such a key, so a wrong retry runs twice and is seen.
+// NonIdempotentKeyPrefix begins the idempotency keys of non-idempotent calls. Servers do not deduplicate such keys, so
+// that a wrong retry runs twice and is detected.
 const NonIdempotentKeyPrefix = "once-"
 
-// idempotencyKey is the call's idempotency key as servers know it; empty: none.
+// idempotencyKey is the call's idempotency key that servers see; empty: none.
 func (call *activeCall) idempotencyKey() string {
 	switch effect := call.class.Spec.Effect; {
 	case effect == control.NonIdempotent:
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -6,20 +6,20 @@
 	"hollymast/control"
 )
 
-// engine runs nodes in windows no longer than the least delay of a message: within one, nothing that a node does can reach
-// another, so shards run side by side.
+// engine runs the events of all nodes in time windows that are no longer than the minimal delay of a message. Within a
+// window no node can affect another, so that the shards run in parallel.
 type engine struct {
 	minDelay control.Micros
 	nodes    []*node
 	shards   []*shard
 }
 
-// shard is the nodes that one thread runs, with their events.
+// shard is a group of nodes that one goroutine runs, with their events.
 type shard struct {
 	queue  eventQueue
 	now    control.Micros
-	outbox [][]event // to other shards, by their number, until the window ends
-	events int       // that have happened
+	outbox [][]event // for other shards, by shard; delivered when the window ends
+	events int       // number of events run
 }
 
 func newEngine(threads int, minDelay control.Micros) *engine {
@@ -30,7 +30,7 @@
 	return e
 }
 
-// run runs all events before a time and returns how many there were. Nothing may be scheduled from outside meanwhile.
+// run runs all events before a time and returns their number. Meanwhile only events may schedule other events.
 func (e *engine) run(until control.Micros) (events int) {
 	others := startWorkers(e.shards[1:])
 	for {
@@ -51,7 +51,7 @@
 	return events
 }
 
-// firstEvent returns the time of the first event before a time.
+// firstEvent returns the time of the first event before until; ok is false if there is none.
 func (e *engine) firstEvent(until control.Micros) (first control.Micros, ok bool) {
 	first = until
 	for _, s := range e.shards {
@@ -62,7 +62,7 @@
 	return first, ok
 }
 
-// deliverOutboxes delivers what shards have sent each other in a window.
+// deliverOutboxes delivers the events that shards have sent each other during a window.
 func (e *engine) deliverOutboxes() {
 	for _, s := range e.shards {
 		for i, sent := range s.outbox {
@@ -75,7 +75,7 @@
 	}
 }
 
-// runWindow runs a shard's events before a time.
+// runWindow runs the shard's events before end.
 func (s *shard) runWindow(end control.Micros) {
 	for len(s.queue) > 0 && s.queue[0].at < end {
 		next := s.queue.pop()
@@ -85,11 +85,11 @@
 	}
 }
 
-// shardWorkers are goroutines that run a shard each, window by window.
+// shardWorkers are goroutines that run one shard each, window by window.
 type shardWorkers struct {
-	windowEnds []chan control.Micros
-	inWindow   sync.WaitGroup // those that are in a window
-	goroutines sync.WaitGroup // the goroutines
+	windowEnds []chan control.Micros // by worker; receives the end of each window
+	inWindow   sync.WaitGroup        // workers that have not finished the current window
+	goroutines sync.WaitGroup        // running workers
 }
 
 func startWorkers(shards []*shard) *shardWorkers {
@@ -116,7 +116,7 @@
 
 func (w *shardWorkers) waitWindow() { w.inWindow.Wait() }
 
-// stop ends the goroutines and waits for them.
+// stop stops the workers and waits for them.
 func (w *shardWorkers) stop() {
 	for _, ends := range w.windowEnds {
 		close(ends)
--- a/internal/simulation/event.go
+++ b/internal/simulation/event.go
@@ -6,9 +6,9 @@
 	"hollymast/control"
 )
 
-// event is something that happens to one node. A node's events are ordered by time, then by the node that they come from, then by
-// that node's count: nothing of it depends on which thread ran what first, so simultaneous events have the same order whatever
-// the number of threads.
+// event is something that happens to one node. The events of a node are ordered by time, then by the node that scheduled
+// them, then by that node's sequence number. None of these depends on the scheduling of threads, so that simultaneous
+// events have the same order with any number of threads.
 type event struct {
 	at       control.Micros
 	to, from int // ids of nodes
@@ -50,7 +50,7 @@
 func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
-	old[len(old)-1] = event{} // so that what its function refers to can be collected
+	old[len(old)-1] = event{} // releases the function to the garbage collector
 	*q = old[:len(old)-1]
 	return e
 }
--- a/internal/simulation/incident.go
+++ b/internal/simulation/incident.go
@@ -7,7 +7,7 @@
 	"hollymast/internal/modelserver"
 )
 
-// scheduleIncident has an incident begin and end at its targets.
+// scheduleIncident schedules the beginning and the end of an incident.
 func (sim *simulation) scheduleIncident(incident *Incident) {
 	from, to := epoch+incident.At, epoch+incident.At+incident.Duration
 	switch incident.Kind {
@@ -48,12 +48,13 @@
 	}
 }
 
-// restartServers has an incident's servers come back in slow start, and the endpoint list say so.
+// restartServers starts an incident's servers in slow start and publishes them as ready.
 func (sim *simulation) restartServers(incident *Incident, at control.Micros) {
 	sim.atServers(incident, at, func(s *server) { s.model.Start(modelserver.SlowStart) })
 	sim.atEndpoints(incident, at, func(e *control.Endpoint) { e.State, e.StartedAt = control.Ready, at })
 }
 
+// atServers calls f at a time for each of an incident's servers.
 func (sim *simulation) atServers(incident *Incident, at control.Micros, f func(s *server)) {
 	for _, i := range incident.Targets {
 		s := sim.servers[i]
@@ -61,6 +62,7 @@
 	}
 }
 
+// atRouters calls f at a time for each of an incident's routers.
 func (sim *simulation) atRouters(incident *Incident, at control.Micros, f func(r *router)) {
 	for _, i := range incident.Targets {
 		r := sim.routers[i]
@@ -68,7 +70,7 @@
 	}
 }
 
-// atEndpoints changes the endpoints of an incident's servers at once and publishes the list.
+// atEndpoints calls f at a time for the endpoints of all of an incident's servers and then publishes the list once.
 func (sim *simulation) atEndpoints(incident *Incident, at control.Micros, f func(e *control.Endpoint)) {
 	infra := sim.infrastructure
 	infra.node.at(at, func() {
--- a/internal/simulation/infrastructure.go
+++ b/internal/simulation/infrastructure.go
@@ -10,15 +10,16 @@
 	"hollymast/internal/modelserver"
 )
 
-// infrastructure is the node of what never fails as a whole: the store and the source of the endpoint list.
+// infrastructure is the node of the shared services: the function store and the publisher of the endpoint list. They may
+// degrade but never crash.
 type infrastructure struct {
 	node           *node
 	sim            *simulation
 	store          *modelserver.Store
-	endpoints      []control.Endpoint    // as they are, by server
-	published      []control.ServerState // as last published
-	staleIncidents int                   // incidents that keep the list from being published
-	revision       int                   // of the list
+	endpoints      []control.Endpoint    // actual endpoints, by server
+	published      []control.ServerState // states as last published, by server
+	staleIncidents int                   // number of active incidents that prevent publishing
+	revision       int                   // of the published list
 }
 
 func newInfrastructure(sim *simulation) *infrastructure {
@@ -32,10 +33,11 @@
 	return infra
 }
 
-// endpointStateDetails are the records' words for states of endpoints.
+// endpointStateDetails are the states of endpoints in the details of records.
 var endpointStateDetails = map[control.ServerState]string{control.Removed: "gone", control.Draining: "draining", control.Ready: "ready"}
 
-// publish publishes the list; each router sees it within the poll interval.
+// publish publishes the endpoint list unless an incident prevents it. Each router sees it after a random part of the
+// poll interval.
 func (infra *infrastructure) publish() {
 	if infra.staleIncidents > 0 {
 		return
@@ -55,7 +57,7 @@
 	}
 }
 
-// server is a model server on its node.
+// server is a node that runs a model server.
 type server struct {
 	node  *node
 	model *modelserver.Server
@@ -68,7 +70,7 @@
 	return s
 }
 
-// Fetch fetches a function from the store.
+// Fetch fetches a function from the store and then calls done.
 func (s *server) Fetch(done func()) {
 	infra := s.sim.infrastructure
 	s.node.send(infra.node, s.node.randomDelay(), func() {
@@ -76,10 +78,10 @@
 	})
 }
 
-// serverID and serverIndex turn an index into Plan.Servers into the balancer's id and back. No server has id 0.
+// serverID returns the balancer's ID of Plan.Servers[i]; serverIndex is the inverse. No server has ID 0.
 func serverID(i int) control.ServerID { return control.ServerID(i + 1) }
 
 func serverIndex(id control.ServerID) int { return int(id) - 1 }
 
-// functionID is a function's id, the same in all routers.
+// functionID returns a function's ID, which is the same in all routers.
 func functionID(name string) control.FunctionID { return control.FunctionID(xxhash.Sum64String(name)) }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -8,17 +8,18 @@
 	"hollymast/internal/invariant"
 )
 
-// node is one party in simulated time. It shares no state with others, which reach it by messages alone.
+// node is a process in simulated time. Nodes share no state and communicate only by messages.
 type node struct {
 	engine       *engine
 	id           int
 	shard        *shard
-	lastSequence uint64 // of events that come from it
+	lastSequence uint64 // of the events that it has scheduled
 	random       *rand.Rand
 	records      []invariant.Record
 }
 
-// newNode adds a node. Nodes are dealt to shards in turn, since nodes of a kind, which have similar work, follow each other.
+// newNode adds a node. Nodes are assigned to shards in turn, which balances the work: nodes of the same kind have a
+// similar load and are added one after the other.
 func (e *engine) newNode(seed uint64) *node {
 	n := &node{engine: e, id: len(e.nodes), shard: e.shards[len(e.nodes)%len(e.shards)]}
 	n.random = rand.New(rand.NewPCG(seed, uint64(n.id)+1))
@@ -26,18 +27,18 @@
 	return n
 }
 
-// Now is the node's time.
+// Now returns the node's time.
 func (n *node) Now() control.Micros { return n.shard.now }
 
-// After has something happen to the node itself.
+// After calls f at the node itself after a delay.
 func (n *node) After(d control.Micros, f func()) { n.at(n.Now()+max(0, d), f) }
 
-// at is After with a time; before the engine runs it may be called from outside.
+// at calls f at the node at a time. Other than by the node's own events, it may be called only before the engine runs.
 func (n *node) at(t control.Micros, f func()) {
 	n.shard.queue.push(n.newEvent(t, n, f))
 }
 
-// send has something happen to another node after a delay, which is never below the engine's least.
+// send calls f at another node after a delay, which is raised to the engine's minimal delay.
 func (n *node) send(to *node, delay control.Micros, f func()) {
 	e := n.newEvent(n.Now()+max(n.engine.minDelay, delay), to, f)
 	if to.shard == n.shard {
@@ -53,7 +54,7 @@
 	return event{at: at, to: to.id, from: n.id, sequence: n.lastSequence, run: f}
 }
 
-// record logs something at this node's end of a connection.
+// record records what happened at this node's end of a connection.
 func (n *node) record(r invariant.Record) {
 	r.At = int64(n.Now())
 	n.records = append(n.records, r)
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -6,71 +6,71 @@
 	"hollymast/internal/modelserver"
 )
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name       string
 	Spec       control.Class
 	Importance float64
 }
 
-// Call is one effect that a client wants, in one request or several.
+// Call is an operation that a client wants done. It takes one or more requests.
 type Call struct {
-	At             control.Micros // since the beginning of the day
+	At             control.Micros // since the beginning of the run
 	Number         int
 	Class          int // index into Plan.Classes
 	Function       string
 	Timeout        control.Micros
-	RetriesBlindly bool // its client repeats it at once, as if it were new, until the timeout
-	FirstRouter    int  // that a client that retries blindly begins with
+	RetriesBlindly bool // its client retries after a short pause, as if each request were new, until the timeout
+	FirstRouter    int  // first router of a client that retries blindly
 }
 
-// Incident is something that goes wrong for a time.
+// Incident is a fault that lasts for a time.
 type Incident struct {
 	Kind          IncidentKind
-	At            control.Micros // since the beginning of the day
+	At            control.Micros // since the beginning of the run
 	Duration      control.Micros
-	Targets       []int              // indexes of servers or routers, by the kind
-	Unreachable   []int              // NetworkPartition: the servers that the targets don't reach
+	Targets       []int              // indexes of the affected servers or routers, depending on the kind
+	Unreachable   []int              // NetworkPartition: the servers that the targets cannot reach
 	Faults        modelserver.Faults // ServerFault
-	StoreSlowdown float64            // StoreDegraded: multiplies the time of fetches; below 1: 1
-	StoreClosed   bool               // StoreDegraded
+	StoreSlowdown float64            // StoreDegraded: factor of the fetch time, at least 1
+	StoreClosed   bool               // StoreDegraded: no fetch ends
 }
 
-// IncidentKind is what goes wrong.
+// IncidentKind is the kind of a fault.
 type IncidentKind uint8
 
 // The kinds of incidents.
 const (
-	ServerFault      IncidentKind = iota // servers fail in the incident's ways
-	ServerCrash                          // servers crash; they come back in slow start, and the endpoint list says so
-	ServerDeploy                         // servers drain, are stopped at the end and come back in slow start
-	StoreDegraded                        // the store is slow or closed
-	StaleEndpoints                       // the endpoint list is not written
-	RouterStall                          // routers stall
-	RouterCrash                          // routers crash and restart, with nothing known
-	NetworkPartition                     // some routers don't reach some servers
+	ServerFault      IncidentKind = iota // servers have Incident.Faults
+	ServerCrash                          // servers crash; at the end they restart in slow start and are published as ready
+	ServerDeploy                         // servers drain; at the end they are stopped and restart in slow start
+	StoreDegraded                        // the function store is slow or closed
+	StaleEndpoints                       // changes of the endpoint list are not published
+	RouterStall                          // routers do nothing; pending events wait
+	RouterCrash                          // routers crash; at the end they restart without any state
+	NetworkPartition                     // some routers cannot reach some servers
 )
 
-// Plan is a day to be simulated.
+// Plan describes a run to be simulated.
 type Plan struct {
 	Seed                 uint64
 	Routers              int
-	Deployment           control.Deployment // Routers, Number and Zone are set for each router
+	Deployment           control.Deployment // template: Routers, Number and Zone are set for each router
 	Servers              []modelserver.Config
-	ServerZones          []control.ZoneID // by server; its cell has the same number
+	ServerZones          []control.ZoneID // by server; the server's cell has the same number
 	RouterZones          []control.ZoneID // by router
 	Classes              []Class
 	LanesPerRequest      int
-	FetchTime            control.Micros // of a store that is not degraded
-	MaxConcurrentFetches int            // that the store serves
+	FetchTime            control.Micros // of one fetch while the store is not degraded
+	MaxConcurrentFetches int            // of the store
 	Calls                []Call
-	Clients              int // that the calls are dealt to, each with a retry budget and a random source of its own
+	Clients              int // to which the calls are distributed; each has its own retry budget and random source
 	Incidents            []Incident
-	Duration             control.Micros // of the day; calls in flight then have until their timeouts
-	AnswerMargin         control.Micros // that routers keep for an answer's way to the client
+	Duration             control.Micros // of the run; calls in flight at its end continue until their timeouts
+	AnswerMargin         control.Micros // that routers reserve for the response's way to the client
 	OverloadProtection   bool
-	EndpointPollInterval control.Micros // at most, until a router sees a change of the endpoint list
+	EndpointPollInterval control.Micros // maximal delay until a router sees a change of the endpoint list
 
-	// NewPolicy returns a router's policy; nil: the balancer.
+	// NewPolicy creates a router's policy; nil: the balancer.
 	NewPolicy func(now control.Micros, seed uint64, d control.Deployment) core.Policy
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -8,38 +8,39 @@
 	"hollymast/internal/retry"
 )
 
-// response is how a client's request ended.
+// response is the end of a client's request, as the client sees it.
 type response uint8
 
 const (
 	succeeded response = iota
 	rejected
 	failed
-	notSent    // its router was down
-	connReset  // its connection broke after it was sent
-	noResponse // its client's timeout passed
+	notSent    // the connection was refused, since the router was down
+	connReset  // the connection was reset after the request was sent
+	noResponse // the client's timeout passed
 )
 
-// responseDetails are the records' words for responses.
+// responseDetails are the responses in the details of records.
 var responseDetails = map[response]string{succeeded: invariant.Succeeded, rejected: invariant.Rejected, failed: invariant.Failed}
 
-// retryOutcomes are what responses mean to package retry.
+// retryOutcomes maps responses to the outcomes of package retry.
 var retryOutcomes = map[response]retry.Outcome{rejected: retry.Rejected, failed: retry.Failed, notSent: retry.NotSent, connReset: retry.Lost,
 	noResponse: retry.Lost}
 
-// mayHaveRun reports whether a request that ended so may have had its effect.
+// mayHaveRun reports whether a request with this end may have run.
 func (r response) mayHaveRun() bool { return r == failed || r == connReset || r == noResponse }
 
-// clientRequest is one request of a call.
+// clientRequest is a request of a call.
 type clientRequest struct {
 	*activeCall
 	number  int
 	router  int
 	sentAt  control.Micros
-	timeout control.Micros // of its client
+	timeout control.Micros // of the client
 	done    bool
 }
 
+// send sends the request. If no response arrives within the client's timeout and lateAnswerTimeout, the client cancels it.
 func (q *clientRequest) send() {
 	c := q.client
 	c.node.record(q.newRecord(invariant.RequestSent))
@@ -53,24 +54,24 @@
 	})
 }
 
-// newRecord is a record of the request; it has the deadline by which its client wants the answer.
+// newRecord returns a record of the request, with the deadline by which the client wants the response.
 func (q *clientRequest) newRecord(kind invariant.Kind) invariant.Record {
 	return invariant.Record{Kind: kind, Request: q.requestName(), Effect: q.operationName(), Workload: q.class.Name, Router: q.router,
 		Deadline: int64(q.sentAt + q.timeout)}
 }
 
-// requestName is the request's in the records.
+// requestName identifies the request in the records.
 func (q *clientRequest) requestName() string { return q.operationName() + "." + strconv.Itoa(q.number) }
 
-// markedRetry reports whether the request tells its router that it is a retry.
+// markedRetry reports whether the request is marked as a retry for its router.
 func (q *clientRequest) markedRetry() bool { return q.retries != nil && q.number > 1 }
 
-// abandoned reports whether its client no longer reads an answer.
+// abandoned reports whether the client no longer waits for a response.
 func (q *clientRequest) abandoned(now control.Micros) bool {
 	return now >= q.sentAt+q.timeout+lateAnswerTimeout
 }
 
-// handleResponse takes in how the request ended, and goes on with its call.
+// handleResponse handles the end of the request: it ends the call or retries.
 func (q *clientRequest) handleResponse(r response, retryAfter control.Micros) {
 	if q.done {
 		return
@@ -87,6 +88,7 @@
 	}
 }
 
+// responseRecord returns a record of the request's end.
 func (q *clientRequest) responseRecord(r response) invariant.Record {
 	kind := invariant.ResponseReceived
 	switch r {
@@ -100,7 +102,7 @@
 	return record
 }
 
-// retryBlindly retries whatever does no harm twice.
+// retryBlindly retries after a fixed pause, unless the request may have run and is not idempotent.
 func (q *clientRequest) retryBlindly(r response) {
 	if r.mayHaveRun() && q.class.Spec.Effect != control.Idempotent {
 		q.giveUp()
@@ -109,7 +111,7 @@
 	q.client.node.After(blindRetryPause, func() { q.sendNext(noRouter) })
 }
 
-// retry does as package retry decides.
+// retry retries or gives up as package retry decides.
 func (q *clientRequest) retry(r response, retryAfter control.Micros) {
 	c, now := q.client, q.client.node.Now()
 	outcome := retryOutcomes[r]
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -10,24 +10,24 @@
 	"hollymast/internal/invariant"
 )
 
-// Result is a simulated day.
+// Result is the result of a simulated run.
 type Result struct {
-	Records  []invariant.Record // in order of time
-	Hash     uint64             // of all records: equal for equal days and, but for one chance in 2^64, for no others
+	Records  []invariant.Record // ordered by time
+	Hash     uint64             // of all records: equal runs have equal hashes, different runs collide with probability 2^-64
 	Events   int
-	Steps    int           // of all routers
-	Outcomes []CallOutcome // by call
+	Steps    int           // of the event loops of all routers
+	Outcomes []CallOutcome // by index of the call
 }
 
-// CallOutcome is what became of a call.
+// CallOutcome is the outcome of a call.
 type CallOutcome struct {
-	CallIndex  int // index into Plan.Calls
-	InTime     bool
-	FinishedAt control.Micros // 0: never finished
-	Attempts   int            // requests that its client sent
+	CallIndex  int            // index into Plan.Calls
+	InTime     bool           // succeeded within the latency objective of its class
+	FinishedAt control.Micros // 0: did not succeed
+	Attempts   int            // requests that the client sent
 }
 
-// newResult brings the nodes' records together.
+// newResult collects the records of all nodes and the outcomes of all calls.
 func newResult(sim *simulation, events int) *Result {
 	result := &Result{Events: events, Outcomes: make([]CallOutcome, len(sim.plan.Calls))}
 	for _, n := range sim.engine.nodes {
@@ -46,7 +46,7 @@
 	return result
 }
 
-// hashRecords hashes records in a form of its own, which does not change with the records' names.
+// hashRecords hashes records in its own encoding, which does not depend on the names of the fields of a record.
 func hashRecords(records []invariant.Record) uint64 {
 	h := xxhash.New()
 	var b []byte
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -9,22 +9,23 @@
 	"hollymast/internal/overload"
 )
 
-// router is one router: an unchanged core, and the core.Executor that carries out what it asks, as the gateway does on sockets.
+// router runs the production core. It is the core.Executor that carries out the core's commands in simulated time, as
+// the gateway does on sockets.
 type router struct {
 	sim             *simulation
 	node            *node
 	number          int
-	core            *core.Core           // nil: it is down
-	overload        *overload.Controller // nil: the plan has no overload protection
+	core            *core.Core           // nil: the router is down
+	overload        *overload.Controller // nil: no overload protection
 	incarnation     uint64
 	stalledUntil    control.Micros
-	partitions      []*Incident // that keep servers from it
+	partitions      []*Incident // active partitions that affect the router
 	requests        map[control.RequestID]*request
-	openRequests    []*request // in order of arrival; answered ones are removed now and then
+	openRequests    []*request // in order of arrival; answered requests are removed from time to time
 	lastID          control.RequestID
-	timerGeneration uint64 // counts up with each timer, so that a replaced one is ignored
+	timerGeneration uint64 // incremented by each SetTimer, so that a replaced timer is ignored
 	endpoints       []control.Endpoint
-	revision        int // of the endpoints
+	revision        int // of endpoints
 	steps           int
 }
 
@@ -32,13 +33,13 @@
 	return &router{sim: sim, node: sim.engine.newNode(sim.plan.Seed), number: number}
 }
 
-// Multipliers that keep the seeds of days, routers and incarnations apart, up to 64 incarnations of a router.
+// Factors that keep the seeds of runs, routers and incarnations distinct, up to 64 incarnations of a router.
 const (
 	seedsPerRun    = 1_000_003
 	seedsPerRouter = 64
 )
 
-// start begins an incarnation that knows nothing.
+// start begins a new incarnation without any state but the last endpoint list that the router has polled.
 func (r *router) start() {
 	now, plan := r.node.Now(), r.sim.plan
 	d := plan.Deployment
@@ -56,6 +57,7 @@
 	r.step()
 }
 
+// newPolicy returns a router's policy.
 func (p *Plan) newPolicy(now control.Micros, seed uint64, d control.Deployment) core.Policy {
 	if p.NewPolicy != nil {
 		return p.NewPolicy(now, seed, d)
@@ -63,7 +65,7 @@
 	return control.New(now, seed, d)
 }
 
-// newOverloadController returns a router's overload protection, nil without any. Days in simulated time have no tenants.
+// newOverloadController returns a router's overload protection; nil: none. The simulation has no tenants.
 func (p *Plan) newOverloadController(now control.Micros, seed uint64) *overload.Controller {
 	if !p.OverloadProtection {
 		return nil
@@ -75,7 +77,7 @@
 	return overload.NewController(now, nil, importances, p.Deployment.MaxRetryAfter, seed)
 }
 
-// kill ends an incarnation: connections break.
+// kill crashes the router, which resets its clients' connections.
 func (r *router) kill() {
 	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.core = nil
@@ -87,14 +89,15 @@
 	r.requests, r.openRequests = nil, nil
 }
 
-// stall has it do nothing until a time; what comes meanwhile waits.
+// stall stops the router's event loop until a time. Events that arrive meanwhile wait.
 func (r *router) stall(until control.Micros) {
 	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.stalledUntil = until
 	r.node.at(until, func() { r.node.record(invariant.Record{Kind: invariant.RouterUp, Router: r.number}) })
 }
 
-// post has something happen and then takes a step, once the router is not stalled and if its incarnation is still the same.
+// post runs f followed by a step of the event loop. During a stall it waits; if the incarnation has ended it does
+// nothing.
 func (r *router) post(incarnation uint64, f func(now control.Micros)) {
 	now := r.node.Now()
 	switch {
@@ -107,6 +110,7 @@
 	}
 }
 
+// step takes a step of the event loop.
 func (r *router) step() {
 	r.steps++
 	r.core.Step(r.node.Now())
@@ -115,7 +119,8 @@
 	}
 }
 
-// updateEndpoints takes in a polled endpoint list. One older than the last is ignored: no poll could still read it.
+// updateEndpoints applies a polled endpoint list. A list older than the current one is ignored: later polls never return
+// an older list.
 func (r *router) updateEndpoints(revision int, endpoints []control.Endpoint) {
 	if revision <= r.revision {
 		return
@@ -124,7 +129,7 @@
 	r.post(r.incarnation, func(now control.Micros) { r.core.UpdateEndpoints(now, control.FullUpdate, endpoints) })
 }
 
-// canReach reports whether no partition keeps a server from the router.
+// canReach reports whether no partition separates the router from a server.
 func (r *router) canReach(server int) bool {
 	return !slices.ContainsFunc(r.partitions, func(partition *Incident) bool { return slices.Contains(partition.Unreachable, server) })
 }
--- a/internal/simulation/routing.go
+++ b/internal/simulation/routing.go
@@ -7,32 +7,33 @@
 	"hollymast/internal/overload"
 )
 
-// request is a client's request that a router accepted.
+// request is a client's request that a router has received.
 type request struct {
 	id       control.RequestID
 	client   *clientRequest
-	answered bool // or its client has gone
+	answered bool // or cancelled by its client
 	inFlight int
-	calls    []*serverCall // by attempt
+	calls    []*serverCall // by attempt ID
 }
 
-// openRequestMargin is how many answered requests may stay in router.open, beside as many as are not answered.
+// openRequestMargin is the number by which router.openRequests may exceed twice the number of requests that are not
+// released, before answered requests are removed from it.
 const openRequestMargin = 64
 
-// receive takes a client's request. The machine of a router that is down refuses the connection.
+// receive receives a client's request. If the router is down, its host refuses the connection.
 func (r *router) receive(q *clientRequest) {
 	if r.core == nil {
 		r.node.send(q.client.node, r.node.randomDelay(), func() { q.handleResponse(notSent, 0) })
 		return
 	}
 	r.post(r.incarnation, func(now control.Micros) {
-		if !q.abandoned(now) { // while the router was stalled
+		if !q.abandoned(now) { // it may have been abandoned while the router was stalled
 			r.admit(now, q)
 		}
 	})
 }
 
-// admit adds a request to the core unless the overload protection rejects it.
+// admit adds a request to the core, unless the overload protection rejects it.
 func (r *router) admit(now control.Micros, q *clientRequest) {
 	plan, function := r.sim.plan, functionID(q.Function)
 	accepted := &request{client: q}
@@ -54,11 +55,11 @@
 	err := r.core.Add(now, control.Request{ID: accepted.id, Class: control.ClassID(q.Class), Function: function, Lanes: plan.LanesPerRequest,
 		ArrivedAt: now, Deadline: max(now, now+timeout-plan.AnswerMargin), IsRetry: q.markedRetry(), RetriesUnmarked: q.retries == nil})
 	if err != nil {
-		panic(err) // ids count up
+		panic(err) // cannot happen: each request has a new ID
 	}
 }
 
-// cancel takes in that a request's client is gone.
+// cancel handles a request's cancellation by its client.
 func (r *router) cancel(client *clientRequest) {
 	r.post(r.incarnation, func(now control.Micros) {
 		i := slices.IndexFunc(r.openRequests, func(q *request) bool { return q.client == client && !q.answered })
@@ -72,7 +73,7 @@
 	})
 }
 
-// answer gives a request its final answer.
+// answer sends a request's final response, unless it has one or its client has cancelled it.
 func (r *router) answer(q *request, result response, retryAfter control.Micros) {
 	if q.answered {
 		return
@@ -82,14 +83,14 @@
 	r.release(q)
 }
 
-// release forgets a request that is answered and has nothing in flight.
+// release removes a request that is answered and has no attempt in flight.
 func (r *router) release(q *request) {
 	if q.answered && q.inFlight == 0 {
 		delete(r.requests, q.id)
 	}
 }
 
-// Reject ends a request that its client may repeat.
+// Reject gives a request its final response: rejected, so that its client may retry it.
 func (r *router) Reject(id control.RequestID, retryAfter control.Micros, _ control.Reason) {
 	q := r.requests[id]
 	if r.overload != nil {
@@ -98,16 +99,16 @@
 	r.answer(q, rejected, retryAfter)
 }
 
-// Fail ends a request of which nothing may be promised.
+// Fail gives a request its final response: failed. The request may have run.
 func (r *router) Fail(id control.RequestID, _ control.Reason) { r.answer(r.requests[id], failed, 0) }
 
-// SubscribeEndpoints does nothing: the list is polled in any case.
+// SubscribeEndpoints does nothing: all routers poll the endpoint list.
 func (r *router) SubscribeEndpoints() {}
 
 // LogServerEvent does nothing.
 func (r *router) LogServerEvent(control.ServerEvent) {}
 
-// SetTimer replaces the one timer.
+// SetTimer replaces the router's timer.
 func (r *router) SetTimer(at control.Micros) {
 	r.timerGeneration++
 	timer, incarnation := r.timerGeneration, r.incarnation
--- a/internal/simulation/servercall.go
+++ b/internal/simulation/servercall.go
@@ -5,22 +5,22 @@
 	"hollymast/internal/modelserver"
 )
 
-// serverCall is an attempt or a load command on its way to a server.
+// serverCall is an attempt or a load command, sent by a router to a server.
 type serverCall struct {
 	server    int
 	startedAt control.Micros
 	ended     bool
 }
 
-// callResults are what a server's results mean to the core.
+// callResults maps the results of model servers to those of the core.
 var callResults = map[modelserver.Result]control.Result{modelserver.Succeeded: control.Succeeded, modelserver.Overloaded: control.Overloaded,
 	modelserver.NotLoaded: control.NotLoaded, modelserver.ConnectionReset: control.ConnectionReset}
 
-// unknownReplicas tells the core that the answer to a load command, if any, named no number of replicas.
+// unknownReplicas tells the core that no response to a load command reported the number of replicas.
 const unknownReplicas = -1
 
-// callServer sends something to a server and calls end with its response, and at the timeout, or with the failure to reach it: end must
-// ignore all calls but the first.
+// callServer sends a call to a server. It calls end with the response or the connection failure, and also when the timeout
+// expires: end must ignore all invocations but the first.
 func (r *router) callServer(call *serverCall, timeout control.Micros, send func(*modelserver.Server, func(modelserver.Response)),
 	end func(control.Result, modelserver.Response)) {
 	none := modelserver.Response{Replicas: unknownReplicas}
@@ -57,7 +57,7 @@
 		})
 }
 
-// endAttempt takes in the end of an attempt; only the first one counts.
+// endAttempt handles the end of an attempt. Only the first end of an attempt counts.
 func (r *router) endAttempt(now control.Micros, q *request, attempt control.AttemptID, result control.Result, response modelserver.Response) {
 	call := q.calls[attempt]
 	if call.ended {
@@ -82,7 +82,7 @@
 	r.release(q)
 }
 
-// CancelAttempt stops waiting for an attempt; its outcome comes in a step of its own.
+// CancelAttempt cancels an attempt. The core learns the outcome in a later step.
 func (r *router) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
 	q, incarnation := r.requests[id], r.incarnation
 	if q == nil || int(attempt) >= len(q.calls) {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,6 +1,7 @@
-// Package simulation plays days in simulated time: hundreds of unchanged cores, each with a policy of its own, against the same model
-// servers that package fakeserver runs on sockets, with clients that retry, a shared store, network delays, partitions, and routers and
-// servers that stall, crash and come back. The same plan gives the same records, to the last byte, whatever the number of threads.
+// Package simulation is a deterministic discrete-event simulation of a deployment: up to hundreds of routers that run the
+// production core, each with its own policy, and the same model servers that package fakeserver runs on sockets. It
+// includes clients that retry, a shared function store, network delays, partitions, and routers and servers that stall,
+// crash and restart. The same plan gives identical records with any number of threads.
 package simulation
 
 import (
@@ -8,28 +9,28 @@
 	"hollymast/internal/modelserver"
 )
 
-// epoch is the time at which days begin: above zero, which means "long ago" or "none" to the balancer.
+// epoch is the time at which a run begins: well above zero, which means "long ago" or "none" to the balancer.
 const epoch = control.Micros(1_000_000_000)
 
-// Network delays: half a millisecond at least and as much on average on top, as within a data center. The least delay is also
-// the length of the engine's windows.
+// Network delays, as within a data center: at least half a millisecond, plus half a millisecond on average. The minimal
+// delay is also the maximal length of the engine's windows.
 const (
 	minDelay       = control.Micros(500)
 	meanExtraDelay = 500.0
 )
 
-// Timeouts. Those of routers are as deployments usually set them; clients read late answers for as long as the chaos tester's do on
-// sockets, so that late answers are seen.
+// Timeouts. Those of routers have typical values. Clients wait for a late response beyond their timeout, for as long as
+// the chaos tester's clients on sockets, so that late responses are recorded.
 const (
 	dialTimeout       = control.Micros(1_000_000)
 	loadTimeout       = control.Micros(30_000_000)
 	lateAnswerTimeout = control.Micros(300_000)
 )
 
-// settleTime is for how long a day goes on after the last call's client stopped reading: long enough for what is in flight to arrive.
+// settleTime is how long a run continues after all clients have stopped waiting, so that messages in flight arrive.
 const settleTime = control.Micros(1_000_000)
 
-// simulation is a day that is being simulated.
+// simulation is a run in progress.
 type simulation struct {
 	plan           *Plan
 	engine         *engine
@@ -39,7 +40,7 @@
 	clients        []*client
 }
 
-// Run simulates a day on some threads.
+// Run simulates a plan with a number of threads.
 func Run(plan *Plan, threads int) *Result {
 	sim := newSimulation(plan, max(1, threads))
 	sim.start()
@@ -51,7 +52,8 @@
 	return newResult(sim, events)
 }
 
-// newSimulation makes all nodes. Their order decides their ids, and so their random sources and the order of simultaneous events.
+// newSimulation creates all nodes. Their order determines their ids, on which their random sources and the order of
+// simultaneous events depend.
 func newSimulation(plan *Plan, threads int) *simulation {
 	sim := &simulation{plan: plan, engine: newEngine(threads, minDelay)}
 	sim.infrastructure = newInfrastructure(sim)
@@ -67,6 +69,7 @@
 	return sim
 }
 
+// start publishes the endpoint list and starts all servers and routers.
 func (sim *simulation) start() {
 	for _, s := range sim.engine.shards {
 		s.now = epoch
@@ -80,7 +83,7 @@
 	}
 }
 
-// scheduleCalls deals the calls to the clients and returns the longest timeout.
+// scheduleCalls distributes the calls to the clients and returns the longest timeout.
 func (sim *simulation) scheduleCalls() (longest control.Micros) {
 	for i := range sim.plan.Calls {
 		call := &sim.plan.Calls[i]
@@ -91,7 +94,7 @@
 	return longest
 }
 
-// randomDelay draws how long a message takes.
+// randomDelay returns a random network delay.
 func (n *node) randomDelay() control.Micros {
 	return minDelay + control.Micros(n.random.ExpFloat64()*meanExtraDelay)
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,7 +11,7 @@
 
 const second = control.Micros(1_000_000)
 
-// smallPlan is a plan of a few routers and servers, with calls at an even pace.
+// smallPlan returns a plan with a few routers and servers, and calls at regular intervals.
 func smallPlan(calls int, incidents ...Incident) *Plan {
 	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, MaxConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
 		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.Idempotent}},
@@ -35,12 +35,13 @@
 	return p
 }
 
+// checkInvariants checks the records of a run of smallPlan.
 func checkInvariants(p *Plan, result *Result) *invariant.Report {
 	return invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, SlowStartDuration: int64(p.Deployment.SlowStartDuration), SlowStartInitial: 0.25, OverloadWindow: int64(second), OverloadFactor: 2, ServerRate: 100,
 		Zone: make([]string, 4), Cell: make([]string, 4), Classes: map[string]invariant.Class{"once": {NonIdempotent: true}}}, result.Records)
 }
 
-// The same plan gives the same records on one, two and four threads, whatever incidents there are; another seed gives others.
+// A plan with incidents gives the same records with one, two and four threads, and other records with another seed.
 func TestThreadsChangeNothing(t *testing.T) {
 	incidents := []Incident{{Kind: ServerCrash, At: second, Duration: second / 2, Targets: []int{0, 1}}, {Kind: RouterStall, At: 2 * second, Duration: second, Targets: []int{1}},
 		{Kind: RouterCrash, At: 3 * second, Duration: second / 2, Targets: []int{0, 2}}, {Kind: StoreDegraded, At: second, Duration: second, StoreClosed: true},
@@ -53,21 +54,21 @@
 		}
 	}
 	if len(hashes) != 1 {
-		t.Errorf("%d different days of one plan", len(hashes))
+		t.Errorf("the same plan gave %d different results", len(hashes))
 	}
 	p := smallPlan(900, incidents...)
 	p.Seed = 2
 	if result := Run(p, 1); hashes[result.Hash] {
-		t.Error("another seed gives the same day")
+		t.Error("another seed gives the same records")
 	}
 }
 
-// The rules hold and every call ends, under each kind of incident alone.
+// All invariants hold and every call ends under each kind of incident on its own.
 func TestRulesUnderEachIncident(t *testing.T) {
 	for name, incident := range map[string]Incident{
-		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
-		"reset": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
-		"store": {Kind: StoreDegraded, StoreClosed: true}, "frozen": {Kind: RouterStall, Targets: []int{0, 1, 2}}, "killed": {Kind: RouterCrash, Targets: []int{0, 1, 2}},
+		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost answers": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
+		"reset after": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "server crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
+		"store closed": {Kind: StoreDegraded, StoreClosed: true}, "router stall": {Kind: RouterStall, Targets: []int{0, 1, 2}}, "router crash": {Kind: RouterCrash, Targets: []int{0, 1, 2}},
 		"partition": {Kind: NetworkPartition, Targets: []int{0, 1}, Unreachable: []int{0, 1}},
 	} {
 		incident.At, incident.Duration = 2*second, second
@@ -85,12 +86,12 @@
 			}
 		}
 		if report.Succeeded < 400 {
-			t.Errorf("%s: %d of 600 finished", name, report.Succeeded)
+			t.Errorf("%s: %d of 600 calls succeeded", name, report.Succeeded)
 		}
 	}
 }
 
-// A router that is partitioned from some servers uses the others, and its requests never reach those; the other routers go on.
+// During a partition, the servers that a router cannot reach receive no requests from it, but still from other routers.
 func TestPartition(t *testing.T) {
 	result := Run(smallPlan(600, Incident{Kind: NetworkPartition, At: second, Duration: 3 * second, Targets: []int{0}, Unreachable: []int{0, 1}}), 2)
 	from, to := int64(epoch+second+20_000), int64(epoch+4*second)
@@ -101,11 +102,11 @@
 		}
 	}
 	if received[true] != 0 || received[false] == 0 {
-		t.Errorf("the servers got %d requests of the partitioned router, and %d of others", received[true], received[false])
+		t.Errorf("the unreachable servers received %d requests from the partitioned router and %d from others", received[true], received[false])
 	}
 }
 
-// Simultaneous events are ordered by node and count, not by the order in which they were scheduled.
+// Simultaneous events are ordered by node and sequence number, not by the order in which they were scheduled.
 func TestOrderOfSimultaneousEvents(t *testing.T) {
 	for _, threads := range []int{1, 3} {
 		e := newEngine(threads, minDelay)
