--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,3 +1,3 @@
-// Package experiment compares policies by paired differences over simulated runs: it decides which runs are still needed, and what
-// those that were made show. It does no I/O; Store keeps the results.
+// Package experiment compares policies by paired differences between simulated runs. It determines which runs are still
+// needed and evaluates the results. Only Store does I/O; it keeps the results in a file.
 package experiment
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// comparison is the comparison of the first arm with another one, at one size.
+// comparison identifies the comparison of the first arm with another one, at one size.
 type comparison struct{ size, arm string }
 
-// Experiment is an experiment under way. It isn't safe for concurrent use.
+// Experiment is a running experiment. It is not safe for concurrent use.
 type Experiment struct {
 	plan         Plan
 	results      map[Trial]Result
 	started      map[Trial]bool
-	decidedAfter map[comparison]int // number of seeds after which a pair was decided
+	decidedAfter map[comparison]int // number of seeds after which a comparison was decided
 }
 
-// New begins an experiment with the results that are there already. The plan has at least one arm.
+// New returns an experiment that starts with the given results. The plan must have at least one arm.
 func New(p Plan, results []Result) *Experiment {
 	e := &Experiment{plan: p, results: map[Trial]Result{}, started: map[Trial]bool{}, decidedAfter: map[comparison]int{}}
 	for _, r := range results {
@@ -27,13 +27,13 @@
 	return e
 }
 
-// trialFor gives the trial with the i-th seed.
+// trialFor returns the trial with the i-th seed.
 func (e *Experiment) trialFor(size, arm string, i int) Trial {
 	return Trial{size, arm, e.plan.FirstSeed + uint64(i)}
 }
 
-// NextTrial gives a trial to be run; false: none is left that could change a finding. Trials are given seed by seed, so that the
-// results are as complete as can be at any time.
+// NextTrial returns the next trial to run, or false if none is left that could change a finding. It goes through the
+// seeds in order, so that at any time as many seeds as possible have results of all arms.
 func (e *Experiment) NextTrial() (Trial, bool) {
 	for i := range e.plan.MaxSeeds {
 		for _, size := range e.plan.Sizes {
@@ -50,8 +50,8 @@
 	return Trial{}, false
 }
 
-// isNeeded reports whether an arm's trial with the i-th seed can still change a finding. One of the first arm can while that of any
-// other arm can.
+// isNeeded reports whether an arm's trial with the i-th seed can still change a finding. A trial of the first arm can as
+// long as that of any other arm can.
 func (e *Experiment) isNeeded(size, arm string, i int) bool {
 	undecided := func(arm string) bool {
 		end, decided := e.decidedAfter[comparison{size, arm}]
@@ -63,7 +63,7 @@
 	return len(e.plan.Arms) == 1 || slices.ContainsFunc(e.plan.Arms[1:], undecided)
 }
 
-// Remaining counts the trials without a result that would still be run if no further pair were decided.
+// Remaining returns the number of trials without a result that would be run if no further comparison were decided.
 func (e *Experiment) Remaining() (n int) {
 	for i := range e.plan.MaxSeeds {
 		for _, size := range e.plan.Sizes {
@@ -77,7 +77,7 @@
 	return n
 }
 
-// AddResult adds the result of a trial.
+// AddResult adds the result of a trial and decides the comparisons that it allows to decide.
 func (e *Experiment) AddResult(r Result) {
 	e.results[r.Trial] = r
 	for _, arm := range e.plan.Arms[1:] {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// runExperiment runs an experiment in which the other arms are worse by so much on average. Trials of one seed share some noise, and each
-// has some of its own. It also returns the number of trials.
+// runExperiment runs an experiment in which each arm's mean is lower by worseBy. The trials of a seed share noise with a
+// standard deviation of 0.1; each trial also has its own noise. It also returns the number of trials.
 func runExperiment(p Plan, worseBy map[string]float64, noise float64) (*Experiment, int) {
 	e, n := New(p, nil), 0
 	for trial, ok := e.NextTrial(); ok; trial, ok = e.NextTrial() {
@@ -19,7 +19,8 @@
 	return e, n
 }
 
-// A difference far smaller than the noise that trials share is found early, and so is that there is none; other pairs need all seeds.
+// Pairing cancels the noise that trials share: a much smaller difference is found early, and so is the absence of a
+// difference. Comparisons that stay undecided need all seeds.
 func TestPairedDifferences(t *testing.T) {
 	p := Plan{Sizes: []string{"s"}, Arms: []string{"base", "worse", "alike!", "unclear?"}, FirstSeed: 1, MaxSeeds: 40, MinSeeds: 5, Tolerance: 0.005}
 	e, n := runExperiment(p, map[string]float64{"worse": 0.03, "unclear?": 0.004}, 0.01)
@@ -35,7 +36,8 @@
 	}
 }
 
-// The order in which trials end changes no finding, and an experiment that begins with results runs only what is missing.
+// Findings do not depend on the order in which trials end, and an experiment that starts with results runs only the
+// missing trials.
 func TestOrderAndResumption(t *testing.T) {
 	p := Plan{Sizes: []string{"s", "t"}, Arms: []string{"base", "worse"}, FirstSeed: 7, MaxSeeds: 12, MinSeeds: 3, Tolerance: 0.001}
 	original, n := runExperiment(p, map[string]float64{"worse": 0.02}, 0.01)
@@ -50,7 +52,7 @@
 	}
 	for i, f := range reordered.Findings() {
 		if f != original.Findings()[i] {
-			t.Errorf("%+v, then %+v", original.Findings()[i], f)
+			t.Errorf("finding %+v, in another order %+v", original.Findings()[i], f)
 		}
 	}
 	half := New(p, results[:n/2])
@@ -75,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(path); err == nil {
-		t.Error("opened twice")
+		t.Error("the store was opened while it was open already")
 	}
 	store.Close()
 	if store, err = Open(path); err != nil {
@@ -87,10 +89,10 @@
 	}
 	for _, other := range []Trial{{"s", "a", 4}, {"s", "b", 3}} {
 		if _, ok := store.Get("one", other); ok {
-			t.Errorf("%+v is there", other)
+			t.Errorf("got a result for %+v, which was not stored", other)
 		}
 	}
 	if _, ok := store.Get("two", r.Trial); ok {
-		t.Error("another build's result is taken for this one's")
+		t.Error("got the result of another origin")
 	}
 }
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict is how the first arm compares with another one.
+// Verdict says how the first arm compares with another one. Its text is part of what programs print.
 type Verdict string
 
-// The verdicts. A pair is alike if the interval of its difference is within the plan's tolerance.
+// The verdicts. Arms are equivalent if the confidence interval of their difference is within the plan's tolerance.
 const (
 	Undecided   Verdict = ""
 	Equivalent  Verdict = "alike"
@@ -21,8 +21,8 @@
 // interval is a confidence interval.
 type interval struct{ low, high float64 }
 
-// differences gives the first arm less the other one, seed by seed up to the first gap: which trials end first depends on the
-// machine, and findings must not.
+// differences returns the first arm's value minus the other arm's, by seed. It stops at the first seed without both
+// results, since findings must not depend on which trials happen to end first.
 func (e *Experiment) differences(c comparison) (all []float64) {
 	for i := range e.plan.MaxSeeds {
 		first, done := e.results[e.trialFor(c.size, e.plan.Arms[0], i)]
@@ -35,7 +35,7 @@
 	return all
 }
 
-// tryDecide decides a pair after the first seed that allows it.
+// tryDecide decides a comparison after the first seed that allows it.
 func (e *Experiment) tryDecide(c comparison) {
 	if _, decided := e.decidedAfter[c]; decided {
 		return
@@ -49,6 +49,7 @@
 	}
 }
 
+// verdict returns the verdict for a confidence interval of the difference.
 func (e *Experiment) verdict(i interval) Verdict {
 	switch tolerance := e.plan.Tolerance; {
 	case i.low > -tolerance && i.high < tolerance:
@@ -61,11 +62,11 @@
 	return Undecided
 }
 
-// resamples is the number of the bootstrap's samples: with so many, the ends of an interval vary by a few hundredths of its width.
+// resamples is the number of bootstrap samples: with 2000, the ends of an interval vary by a few hundredths of its width.
 const resamples = 2000
 
-// bootstrap gives the 95 % interval of the mean, by percentiles. Its random numbers depend on the pair's name only, so that the
-// interval is the same each time.
+// bootstrap returns the 95 % percentile bootstrap interval of the mean. The random source is seeded from the size and the
+// arm alone, so that the interval is reproducible.
 func bootstrap(c comparison, differences []float64) interval {
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(c.size), xxhash.Sum64String(c.arm)))
 	means := make([]float64, resamples)
@@ -79,17 +80,17 @@
 	return interval{means[resamples*25/1000], means[resamples*975/1000]}
 }
 
-// Finding is what a pair of arms showed: the first arm less the other one.
+// Finding is the result of a comparison: the first arm's value minus the other arm's.
 type Finding struct {
 	Size, Arm      string
 	SeedCount      int
 	MeanDifference float64
-	Low, High      float64 // the 95 % interval of the mean
+	Low, High      float64 // the 95 % confidence interval of MeanDifference
 	Verdict        Verdict
-	Violations     int // of invariants by the other arm, in all its trials
+	Violations     int // of invariants by the other arm, in all of its trials
 }
 
-// Findings gives a finding on each pair. One that was decided rests on the seeds up to then.
+// Findings returns the finding of each comparison. That of a decided comparison uses only the seeds up to the decision.
 func (e *Experiment) Findings() []Finding {
 	var findings []Finding
 	for _, size := range e.plan.Sizes {
@@ -100,6 +101,7 @@
 	return findings
 }
 
+// finding evaluates one comparison.
 func (e *Experiment) finding(c comparison) Finding {
 	differences := e.differences(c)
 	if end, decided := e.decidedAfter[c]; decided {
@@ -121,7 +123,7 @@
 	return f
 }
 
-// Mean gives an arm's mean over its trials so far, and their number.
+// Mean returns the mean value of an arm's trials so far, and their number.
 func (e *Experiment) Mean(size, arm string) (mean float64, trials int) {
 	for i := range e.plan.MaxSeeds {
 		if r, done := e.results[e.trialFor(size, arm, i)]; done {
@@ -131,7 +133,7 @@
 	return mean / float64(max(1, trials)), trials
 }
 
-// Violations counts an arm's violations of invariants, over all sizes.
+// Violations returns the number of an arm's violations of invariants, over all sizes.
 func (e *Experiment) Violations(arm string) (n int) {
 	for t, r := range e.results {
 		if t.Arm == arm {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -9,7 +9,7 @@
 	"hollymast/internal/golden"
 )
 
-// Results that earlier builds stored are read, and written in the same form.
+// Results stored by earlier builds can be read, and are written in the same form.
 func TestStoredForm(t *testing.T) {
 	result := &Result{}
 	golden.Fill(result)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,17 +1,18 @@
 package experiment
 
-// Trial is one simulated run: its size, whose decisions it is made with, and the seed that load and faults are drawn from.
+// Trial is one simulated run. Size names the size of the deployment and the load, Arm the policy or program under test;
+// load and faults are drawn at random from Seed. The tags are the names in stored data.
 type Trial struct {
 	Size string `cbor:"Size"`
 	Arm  string `cbor:"Arm"`
 	Seed uint64 `cbor:"Seed"`
 }
 
-// Result is what a trial showed. It is stored under the names in the tags.
+// Result is the result of a trial. The tags are the names in stored data.
 type Result struct {
 	Trial
 	InTime         float64 `cbor:"InTime"` // share of calls that succeeded within their latency objective
-	WeightedInTime float64 `cbor:"Worth"`  // the same, each call weighted with its importance
+	WeightedInTime float64 `cbor:"Worth"`  // as InTime, each call weighted with its importance
 	Requests       int     `cbor:"Jobs"`
 	Attempts       int     `cbor:"Executions"`
 	Loads          int     `cbor:"Loads"`
@@ -19,21 +20,21 @@
 	Hash           uint64  `cbor:"Hash"`   // of the run's records
 }
 
-// Measure names the figure of a result by which arms are compared.
+// Measure names the value of a result by which arms are compared.
 type Measure string
 
-// The measures, as an experiment's file writes them.
+// The measures, under their names in an experiment's configuration file.
 const (
 	MeasureInTime             Measure = "in_time"
 	MeasureWeightedInTime     Measure = "worth"
-	MeasureAttemptsPerRequest Measure = "executions" // per request
+	MeasureAttemptsPerRequest Measure = "executions" // attempts per request
 	MeasureLoads              Measure = "loads"
 )
 
 // Measures lists all measures.
 var Measures = []Measure{MeasureInTime, MeasureWeightedInTime, MeasureAttemptsPerRequest, MeasureLoads}
 
-// value gives a result's figure.
+// value returns the value of a measure.
 func (r Result) value(m Measure) float64 {
 	switch m {
 	case MeasureWeightedInTime:
@@ -46,13 +47,13 @@
 	return r.InTime
 }
 
-// Plan is what an experiment asks.
+// Plan describes an experiment.
 type Plan struct {
 	Sizes     []string
 	Arms      []string // each one is compared with the first
 	FirstSeed uint64
 	MaxSeeds  int     // for each arm and size
-	MinSeeds  int     // before a pair may be decided
-	Tolerance float64 // a difference within this counts as none
+	MinSeeds  int     // before a comparison may be decided
+	Tolerance float64 // differences up to this are considered none
 	Measure   Measure
 }
