--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -77,7 +77,7 @@
 	return n
 }
 
-// AddResult adds the result of a trial and decides the comparisons that it allows to decide.
+// AddResult adds the result of a trial and updates the comparisons that use it.
 func (e *Experiment) AddResult(r Result) {
 	e.results[r.Trial] = r
 	for _, arm := range e.plan.Arms[1:] {
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -19,7 +19,7 @@
 	Servers          int            `json:"Servers"`
 	Routers          int            `json:"Routers"`
 	Effects          []string       `json:"Effects"` // assigned to the requests in turn: restartable, fingerprinted, run-once
-	Scope            string         `json:"Scope"`   // in which servers know the keys of fingerprinted requests: fleet or zone; servers alternate between two zones
+	Scope            string         `json:"Scope"`   // dedup scope of fingerprinted requests: fleet or zone; servers alternate between two zones
 	ArrivalInterval  control.Micros `json:"Apart"`   // between two requests; 0: all arrive at once
 	LatencyObjective control.Micros `json:"Target"`
 	MaxDeadline      control.Micros `json:"Limit"`
--- a/internal/modelcheck/exploration.go
+++ b/internal/modelcheck/exploration.go
@@ -19,7 +19,7 @@
 	MaxStates         int        // checked after each depth, so that it can be exceeded; 0: unlimited
 	Workers           int        // goroutines; 0: one per processor
 	MaxStatesInMemory int        // states of a depth kept in memory, the others are spilled to files; 0: all
-	Dir               string     // for resuming and for spilled states; empty: not resumable, spilled states go to a temporary directory
+	Dir               string     // for resuming and for spilled states; empty: no resuming, a temporary directory
 	Progress          func(p Progress)
 }
 
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -20,7 +20,7 @@
 	CallTimesOut                   // a server call's deadline passes
 	TimerFires                     // a router's timer fires
 	UpdateArrives                  // a router receives a change of the endpoint list
-	TimeAdvances                   // to the next time at which something can change
+	TimeAdvances                   // the clock advances to the next time at which something can change
 	ServerDrains                   // a server begins to drain
 	ServerRestarts                 // a server crashes and restarts without loaded functions
 	ClientCancels                  // a client cancels its request
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -45,7 +45,7 @@
 	call.sendNext(noRouter)
 }
 
-// noRouter stands for no router in place of a router's number.
+// noRouter is used in place of a router's number if there is none.
 const noRouter = -1
 
 // Behavior of clients that retry blindly, the same as that of the chaos tester's clients on sockets: the pause between
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -40,7 +40,8 @@
 	done    bool
 }
 
-// send sends the request. If no response arrives within the client's timeout and lateAnswerTimeout, the client cancels it.
+// send sends the request. If no response arrives within the client's timeout plus lateAnswerTimeout, the client cancels
+// it.
 func (q *clientRequest) send() {
 	c := q.client
 	c.node.record(q.newRecord(invariant.RequestSent))
