--- a/client/call.go
+++ b/client/call.go
@@ -46,7 +46,7 @@
 	return class
 }
 
-var effects = [...]control.Effect{
+var effects = [...]control.Idempotency{
 	RunOnce:       control.NonIdempotent,
 	Restartable:   control.Idempotent,
 	Fingerprinted: control.IdempotentByKey,
--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -88,8 +88,8 @@
 				tell(target(earlier, "gone", 0))
 			}
 		}
-		client.Call(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*chance.Float64()*chance.Float64()))
-		if u.asked++; client.Answer() {
+		client.SendRequest(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*chance.Float64()*chance.Float64()))
+		if u.asked++; client.AwaitAnswer() {
 			u.served++
 		}
 		if n%perSecond == 0 {
@@ -97,7 +97,7 @@
 		}
 	}
 	u.measure(t, router.command.Process.Pid)
-	u.connections, u.listed = int64(models.Accepted()), plane.Written()
+	u.connections, u.listed = int64(models.AcceptedConnections()), plane.BytesWritten()
 	t.Logf("%d servers: %+v", servers, u)
 	return u
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,7 +20,7 @@
 	call     kserve.Call
 	message  *rest.Request
 	params   kserve.Ask
-	pattern  Pattern
+	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
 	response chan *rest.Response // holds one: the final answer
@@ -53,7 +53,7 @@
 // function. With a key, which must be the same in all routers, the ids in a recording can be checked against
 // guessed names only with that key.
 func functionID(key, name string) control.FunctionID {
-	return control.FunctionID(record.Tag(key, name))
+	return control.FunctionID(record.KeyedHash(key, name))
 }
 
 // handleRequest hands a request to the core, or rejects it.
@@ -83,14 +83,14 @@
 	req.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
-		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
+		Lanes: req.pattern.Lanes, ExecTimeHint: req.pattern.Work, LoadTimeHint: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
 		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
 	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
 	} else if g.recorder != nil && req.params.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+		g.recorder.SetClientIDHash(record.KeyedHash(g.config.NameKey, req.params.ID))
 	}
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
@@ -158,7 +158,7 @@
 	call := g.newCall(to, timeout)
 	call.request, call.attempt = req, attemptID
 	call.message, call.journalBatch = g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
-	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Effect == control.IdempotentByKey {
+	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Idempotency == control.IdempotentByKey {
 		call.writeBefore = min(call.writeBefore, g.loop.StepTime+attempt.MaxKeyedRetryDelay)
 	}
 	req.attempts = append(req.attempts, call)
@@ -233,7 +233,7 @@
 		outcome.RequestDone = true
 		g.core.HandleOutcome(now, req.id, outcome)
 		class := g.config.Deployment.Classes[req.pattern.Class]
-		req.objectiveAt += control.Micros(class.ObjectivePerWork * float64(outcome.Duration))
+		req.objectiveAt += control.Micros(class.ObjectivePerExecTime * float64(outcome.Duration))
 		resp.Header = forwardedHeader(resp.Header)
 		resp.Close, resp.ChunkSize = false, 0
 		g.finish(req, answerFinished, resp)
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -83,7 +83,7 @@
 
 // Names of effects in configs, on the command line and in descriptions of steps.
 var (
-	effectByName = map[string]control.Effect{"restartable": control.Idempotent, "fingerprinted": control.IdempotentByKey, "run-once": control.NonIdempotent}
+	effectByName = map[string]control.Idempotency{"restartable": control.Idempotent, "fingerprinted": control.IdempotentByKey, "run-once": control.NonIdempotent}
 	effectNames  = [...]string{"restartable", "fingerprinted", "run-once"}
 )
 
@@ -107,9 +107,9 @@
 
 // deployment returns a router's configuration.
 func (c *Config) deployment(router int) control.Deployment {
-	d := control.Deployment{Routers: c.Routers, Number: router, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 2_000_000, SupportsCancel: true, MarksRetries: true,
+	d := control.Deployment{Routers: c.Routers, RouterIndex: router, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 2_000_000, SupportsCancel: true, ClientsMarkRetries: true,
 		SlowStartInitial: slowStartInitial, SlowStartDuration: slowStartDuration, OverloadWindow: overloadWindow, OverloadFactor: overloadFactor,
-		KeepAlive: 60_000_000, LoadCommands: c.LoadCommands, LoadsOnMiss: !c.LoadCommands}
+		KeepAlive: 60_000_000, SupportsLoadCommands: c.LoadCommands, LoadsOnMiss: !c.LoadCommands}
 	for i := range c.Effects {
 		d.Classes = append(d.Classes, c.class(i))
 	}
--- a/internal/modelcheck/property.go
+++ b/internal/modelcheck/property.go
@@ -64,5 +64,5 @@
 
 // hasLimitedDedupScope reports whether only some of the servers know a request's idempotency key.
 func hasLimitedDedupScope(c *Config, request int) bool {
-	return c.effect(request) == control.IdempotentByKey && c.class(request).Scope != control.WholeFleet
+	return c.effect(request) == control.IdempotentByKey && c.class(request).DedupScope != control.WholeFleet
 }
--- a/internal/probe/output_test.go
+++ b/internal/probe/output_test.go
@@ -13,7 +13,7 @@
 	value := &Finding{}
 	golden.Fill(value)
 	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+	if missing := golden.UntaggedFields(reflect.TypeOf(value)); len(missing) > 0 {
 		t.Errorf("has the name of a field: %q", missing)
 	}
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -39,7 +39,7 @@
 	call := &activeCall{Call: planned, client: c, class: &c.sim.plan.Classes[planned.Class], index: index, startedAt: c.node.Now()}
 	if !planned.RetriesBlindly {
 		spec := call.class.Spec
-		call.retries = retry.NewCall(retry.Class{Effect: spec.Effect, Scope: spec.Scope, Window: spec.Window}, call.startedAt+planned.Timeout)
+		call.retries = retry.NewCall(retry.Class{Effect: spec.Idempotency, Scope: spec.DedupScope, Window: spec.DedupWindow}, call.startedAt+planned.Timeout)
 		c.budget.Deposit()
 	}
 	call.sendNext(noRouter)
@@ -112,7 +112,7 @@
 
 // idempotencyKey is the call's idempotency key that servers see; empty: none.
 func (call *activeCall) idempotencyKey() string {
-	switch effect := call.class.Spec.Effect; {
+	switch effect := call.class.Spec.Idempotency; {
 	case effect == control.NonIdempotent:
 		return NonIdempotentKeyPrefix + call.operationName()
 	case call.retries == nil && effect != control.IdempotentByKey:
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -105,7 +105,7 @@
 
 // retryBlindly retries after a fixed pause, unless the request may have run and is not idempotent.
 func (q *clientRequest) retryBlindly(r response) {
-	if r.mayHaveRun() && q.class.Spec.Effect != control.Idempotent {
+	if r.mayHaveRun() && q.class.Spec.Idempotency != control.Idempotent {
 		q.giveUp()
 		return
 	}
