--- a/internal/modelcheck/recorded.go
+++ b/internal/modelcheck/recorded.go
@@ -11,9 +11,10 @@
 	"hollymast/internal/core"
 )
 
-// RecordedState is a state of a real router, from a recording, to explore from. Some of its requests are explored; the others stay as
-// they are, since all orderings of tens of requests are too many. What is not recorded is taken at its worst: attempts in flight
-// were written and ran, and they time out at their request's deadline. Its stored form keeps earlier names.
+// RecordedState is a state of a real router, from a recording, as the initial state of an exploration. Only some of its
+// requests are explored and the others never change, since tens of requests have too many orderings. For what is not
+// recorded, the worst case is assumed: attempts in flight were written and ran, and they time out at their request's
+// deadline. The tags are the names in stored data.
 type RecordedState struct {
 	Now      control.Micros      `json:"Now"`
 	Core     *core.Snapshot      `json:"Core"`
@@ -22,27 +23,28 @@
 	Explored []bool              `json:"Watched"` // by request
 }
 
-// maxExplored bounds the requests that are explored from a recorded state.
+// maxExplored is the maximal number of explored requests of a recorded state.
 const maxExplored = maxRequests
 
-// errNotInFlight is the error of a request to explore that the router didn't hold.
-var errNotInFlight = errors.New("a request to be explored is not in flight then")
+// errNotInFlight is returned if a request to explore is not in the recorded state.
+var errNotInFlight = errors.New("a request to explore is not in flight in the recorded state")
 
-// NewRecordedState returns a router's state with the requests to explore; none: the last to arrive that have no answer.
+// NewRecordedState returns a router's state with the requests to explore. If none are given, it chooses the latest
+// requests without a final response.
 func NewRecordedState(now control.Micros, snapshot *core.Snapshot, explore []control.RequestID) (*RecordedState, error) {
 	r := &RecordedState{Now: now, Core: snapshot}
-	for _, s := range snapshot.Balancer.Servers {
-		r.Servers = append(r.Servers, s.Endpoint.Server)
+	for _, server := range snapshot.Balancer.Servers {
+		r.Servers = append(r.Servers, server.Endpoint.Server)
 	}
 	if len(explore) == 0 {
 		explore = latestRequests(snapshot)
 	}
 	if len(explore) == 0 || len(explore) > maxExplored {
-		return nil, fmt.Errorf("%d requests to explore, of 1 to %d", len(explore), maxExplored)
+		return nil, fmt.Errorf("cannot explore %d requests: want 1 to %d", len(explore), maxExplored)
 	}
 	found := 0
-	for _, s := range snapshot.Requests {
-		id := s.Request.Request.ID
+	for _, request := range snapshot.Requests {
+		id := request.Request.Request.ID
 		explored := slices.Contains(explore, id)
 		if explored {
 			found++
@@ -55,39 +57,39 @@
 	return r, nil
 }
 
-// latestRequests returns the last requests to arrive that have no answer, as many as can be explored.
+// latestRequests returns the latest requests without a final response, at most maxExplored.
 func latestRequests(snapshot *core.Snapshot) []control.RequestID {
 	var ids []control.RequestID
-	for _, s := range snapshot.Requests {
-		if !s.Done {
-			ids = append(ids, s.Request.Request.ID)
+	for _, request := range snapshot.Requests {
+		if !request.Done {
+			ids = append(ids, request.Request.Request.ID)
 		}
 	}
 	slices.SortFunc(ids, func(a, b control.RequestID) int { return cmp.Compare(b, a) })
 	return ids[:min(len(ids), maxExplored)]
 }
 
-// Config returns the config of the state's world; faults are added to it.
+// Config returns a config that begins with the recorded state. It has no faults; the caller adds them.
 func (r *RecordedState) Config() Config {
 	return Config{Requests: len(r.Requests), Servers: len(r.Servers), Routers: 1, RecordedState: r}
 }
 
-// fillInitialState makes the first state of the recorded state's world.
+// fillInitialState turns s into the recorded state.
 func (r *RecordedState) fillInitialState(c *Config, s *State) error {
 	s.Now = r.Now
-	for _, v := range r.Core.Balancer.Servers {
-		state := v.Endpoint.State
-		if !v.Listed {
+	for _, server := range r.Core.Balancer.Servers {
+		state := server.Endpoint.State
+		if !server.Listed {
 			state = control.Removed
 		}
-		s.Servers = append(s.Servers, Server{State: state, StateSince: v.LastListed, StartedAt: v.Endpoint.StartedAt, Loaded: true})
+		s.Servers = append(s.Servers, Server{State: state, StateSince: server.LastListed, StartedAt: server.Endpoint.StartedAt, Loaded: true})
 	}
 	for i, snapshot := range r.Core.Requests {
 		request := snapshot.Request.Request
 		s.Requests = append(s.Requests, Request{Arrived: true, Unexplored: !r.Explored[i], ArrivesAt: request.ArrivedAt, Deadline: request.Deadline + answerMargin,
 			Answer: attempt.FinalResponse{Decided: snapshot.Done, InFlight: snapshot.InFlight}})
-		for n, a := range snapshot.Request.Attempts {
-			s.Calls = append(s.Calls, recordedCall(c, i, n, a, request.Deadline))
+		for number, recorded := range snapshot.Request.Attempts {
+			s.Calls = append(s.Calls, recordedCall(c, i, number, recorded, request.Deadline))
 		}
 	}
 	router, err := core.Restore(r.Core, core.NoopExecutor{})
@@ -98,16 +100,16 @@
 	return s.storeRouter(0, router)
 }
 
-// recordedCall is an attempt of a recorded request, at its worst.
-func recordedCall(c *Config, request, number int, a control.AttemptSnapshot, deadline control.Micros) ServerCall {
-	call := ServerCall{Request: request, Attempt: number, Server: c.serverIndex(a.Attempt.Server), Stage: attempt.Writing, ChosenAt: a.Attempt.SentAt,
-		WrittenAt: a.Attempt.SentAt, Deadline: deadline, Ran: true}
-	if a.Attempt.Done {
+// recordedCall returns an attempt of a recorded request. If it is in flight, it is assumed to have run.
+func recordedCall(c *Config, request, number int, recorded control.AttemptSnapshot, deadline control.Micros) ServerCall {
+	call := ServerCall{Request: request, Attempt: number, Server: c.serverIndex(recorded.Attempt.Server), Stage: attempt.Writing, ChosenAt: recorded.Attempt.SentAt,
+		WrittenAt: recorded.Attempt.SentAt, Deadline: deadline, Ran: true}
+	if recorded.Attempt.Done {
 		call.Progress.Ended, call.Result, call.Ran = true, control.ConnectionReset, false
-		if !a.Attempt.MayHaveRun {
+		if !recorded.Attempt.MayHaveRun {
 			call.Result = control.NotSent
 		}
 	}
-	call.Progress.Cancelled = a.Cancelling
+	call.Progress.Cancelled = recorded.Cancelling
 	return call
 }
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -8,69 +8,71 @@
 	"hollymast/internal/retry"
 )
 
-// response is how a client's request ended.
+// response is the end of a client's request, as the client sees it.
 type response uint8
 
 const (
 	succeeded response = iota
 	rejected
 	failed
-	notSent    // its router was down
-	connReset  // its connection broke after it was sent
-	noResponse // its client's timeout passed
+	notSent    // the connection was refused, since the router was down
+	connReset  // the connection was reset after the request was sent
+	noResponse // the client's timeout passed
 )
 
-// responseWords are the records' words for responses.
-var responseWords = map[response]string{succeeded: invariant.Succeeded, rejected: invariant.Rejected, failed: invariant.Failed}
+// responseDetails are the responses in the details of records.
+var responseDetails = map[response]string{succeeded: invariant.Succeeded, rejected: invariant.Rejected, failed: invariant.Failed}
 
-// retryOutcomes are what responses mean to package retry.
+// retryOutcomes maps responses to the outcomes of package retry.
 var retryOutcomes = map[response]retry.Outcome{rejected: retry.Rejected, failed: retry.Failed, notSent: retry.NotSent, connReset: retry.Lost,
 	noResponse: retry.Lost}
 
-// mayHaveRun reports whether a request that ended so may have had its effect.
+// mayHaveRun reports whether a request with this end may have run.
 func (r response) mayHaveRun() bool { return r == failed || r == connReset || r == noResponse }
 
-// clientRequest is one request of a call.
+// clientRequest is a request of a call.
 type clientRequest struct {
-	*call
+	*activeCall
 	number  int
 	router  int
 	sentAt  control.Micros
-	timeout control.Micros // of its client
+	timeout control.Micros // of the client
 	done    bool
 }
 
+// send sends the request. If no response arrives within the client's timeout plus lateAnswerTimeout, the client cancels
+// it.
 func (q *clientRequest) send() {
 	c := q.client
-	c.node.record(q.record(invariant.RequestSent))
-	router := c.world.routers[q.router]
-	c.node.send(router.node, c.node.delay(), func() { router.receive(q) })
+	c.node.record(q.newRecord(invariant.RequestSent))
+	router := c.sim.routers[q.router]
+	c.node.send(router.node, c.node.randomDelay(), func() { router.receive(q) })
 	c.node.After(q.timeout+lateAnswerTimeout, func() {
 		if !q.done {
 			q.handleResponse(noResponse, 0)
-			c.node.send(router.node, c.node.delay(), func() { router.cancel(q) })
+			c.node.send(router.node, c.node.randomDelay(), func() { router.cancel(q) })
 		}
 	})
 }
 
-// record is a record of the request; it has the deadline by which its client wants the answer.
-func (q *clientRequest) record(kind invariant.Kind) invariant.Record {
-	return invariant.Record{Kind: kind, Request: q.name(), Effect: q.effectName(), Workload: q.class.Name, Router: q.router,
+// newRecord returns a record of the request, with the deadline by which the client wants the response.
+func (q *clientRequest) newRecord(kind invariant.Kind) invariant.Record {
+	return invariant.Record{Kind: kind, Request: q.requestName(), Effect: q.operationName(), Workload: q.class.Name, Router: q.router,
 		Deadline: int64(q.sentAt + q.timeout)}
 }
 
-// name is the request's in the records.
-func (q *clientRequest) name() string { return q.effectName() + "." + strconv.Itoa(q.number) }
+// requestName identifies the request in the records.
+func (q *clientRequest) requestName() string { return q.operationName() + "." + strconv.Itoa(q.number) }
 
-// markedRetry reports whether the request tells its router that it is a retry.
+// markedRetry reports whether the request is marked as a retry for its router.
 func (q *clientRequest) markedRetry() bool { return q.retries != nil && q.number > 1 }
 
-// abandoned reports whether its client no longer reads an answer.
+// abandoned reports whether the client no longer waits for a response.
 func (q *clientRequest) abandoned(now control.Micros) bool {
 	return now >= q.sentAt+q.timeout+lateAnswerTimeout
 }
 
-// handleResponse takes in how the request ended, and goes on with its call.
+// handleResponse handles the end of the request: it ends the call or retries.
 func (q *clientRequest) handleResponse(r response, retryAfter control.Micros) {
 	if q.done {
 		return
@@ -87,6 +89,7 @@
 	}
 }
 
+// responseRecord returns a record of the request's end.
 func (q *clientRequest) responseRecord(r response) invariant.Record {
 	kind := invariant.ResponseReceived
 	switch r {
@@ -95,21 +98,21 @@
 	case connReset, noResponse:
 		kind = invariant.RequestTimedOut
 	}
-	record := q.record(kind)
-	record.Detail = responseWords[r]
+	record := q.newRecord(kind)
+	record.Detail = responseDetails[r]
 	return record
 }
 
-// retryBlindly retries whatever does no harm twice.
+// retryBlindly retries after a fixed pause, unless the request may have run and is not idempotent.
 func (q *clientRequest) retryBlindly(r response) {
 	if r.mayHaveRun() && q.class.Spec.Idempotency != control.Idempotent {
 		q.giveUp()
 		return
 	}
-	q.client.node.After(blindRetryPause, func() { q.attempt(noRouter) })
+	q.client.node.After(blindRetryPause, func() { q.sendNext(noRouter) })
 }
 
-// retry does as package retry decides.
+// retry retries or gives up as package retry decides.
 func (q *clientRequest) retry(r response, retryAfter control.Micros) {
 	c, now := q.client, q.client.node.Now()
 	outcome := retryOutcomes[r]
@@ -128,5 +131,5 @@
 	if decision.OtherRouter {
 		avoid = q.router
 	}
-	c.node.After(decision.RetryAt-now, func() { q.attempt(avoid) })
+	c.node.After(decision.RetryAt-now, func() { q.sendNext(avoid) })
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,6 +1,7 @@
-// Package simulation plays days in simulated time: hundreds of unchanged cores, each with a policy of its own, against the same model
-// servers that package fakeserver runs on sockets, with clients that retry, a shared store, network delays, partitions, and routers and
-// servers that stall, crash and come back. The same plan gives the same records, to the last byte, whatever the number of threads.
+// Package simulation is a deterministic discrete-event simulation of a deployment: up to hundreds of routers that run the
+// production core, each with its own policy, and the same model servers that package fakeserver runs on sockets. It
+// includes clients that retry, a shared function store, network delays, partitions, and routers and servers that stall,
+// crash and restart. The same plan gives identical records with any number of threads.
 package simulation
 
 import (
@@ -8,29 +9,29 @@
 	"hollymast/internal/modelserver"
 )
 
-// epoch is the time at which days begin: above zero, which means "long ago" or "none" to the balancer.
+// epoch is the time at which a run begins: well above zero, which means "long ago" or "none" to the balancer.
 const epoch = control.Micros(1_000_000_000)
 
-// Network delays: half a millisecond at least and as much on average on top, as within a data center. The least delay is also
-// the length of the engine's windows.
+// Network delays, as within a data center: at least half a millisecond, plus half a millisecond on average. The minimal
+// delay is also the maximal length of the engine's windows.
 const (
 	minDelay       = control.Micros(500)
 	meanExtraDelay = 500.0
 )
 
-// Timeouts. Those of routers are as deployments usually set them; clients read late answers for as long as the chaos tester's do on
-// sockets, so that late answers are seen.
+// Timeouts. Those of routers have typical values. Clients wait for a late response beyond their timeout, for as long as
+// the chaos tester's clients on sockets, so that late responses are recorded.
 const (
 	dialTimeout       = control.Micros(1_000_000)
 	loadTimeout       = control.Micros(30_000_000)
 	lateAnswerTimeout = control.Micros(300_000)
 )
 
-// drainTime is for how long a day goes on after the last call's client stopped reading: long enough for what is in flight to arrive.
-const drainTime = control.Micros(1_000_000)
+// settleTime is how long a run continues after all clients have stopped waiting, so that messages in flight arrive.
+const settleTime = control.Micros(1_000_000)
 
-// world is a day that is being simulated.
-type world struct {
+// simulation is a run in progress.
+type simulation struct {
 	plan           *Plan
 	engine         *engine
 	infrastructure *infrastructure
@@ -39,59 +40,61 @@
 	clients        []*client
 }
 
-// Run simulates a day on some threads.
+// Run simulates a plan with a number of threads.
 func Run(plan *Plan, threads int) *Result {
-	w := newWorld(plan, max(1, threads))
-	w.start()
-	longest := w.scheduleCalls()
+	sim := newSimulation(plan, max(1, threads))
+	sim.start()
+	longest := sim.scheduleCalls()
 	for i := range plan.Incidents {
-		w.schedule(&plan.Incidents[i])
+		sim.scheduleIncident(&plan.Incidents[i])
 	}
-	events := w.engine.run(epoch + plan.Duration + longest + lateAnswerTimeout + drainTime)
-	return newResult(w, events)
+	events := sim.engine.run(epoch + plan.Duration + longest + lateAnswerTimeout + settleTime)
+	return newResult(sim, events)
 }
 
-// newWorld makes all nodes. Their order decides their ids, and so their random sources and the order of simultaneous events.
-func newWorld(plan *Plan, threads int) *world {
-	w := &world{plan: plan, engine: newEngine(threads, minDelay)}
-	w.infrastructure = newInfrastructure(w)
+// newSimulation creates all nodes. Their order determines their ids, on which their random sources and the order of
+// simultaneous events depend.
+func newSimulation(plan *Plan, threads int) *simulation {
+	sim := &simulation{plan: plan, engine: newEngine(threads, minDelay)}
+	sim.infrastructure = newInfrastructure(sim)
 	for i := range plan.Routers {
-		w.routers = append(w.routers, newRouter(w, i))
+		sim.routers = append(sim.routers, newRouter(sim, i))
 	}
 	for i := range plan.Servers {
-		w.servers = append(w.servers, newServer(w, i))
+		sim.servers = append(sim.servers, newServer(sim, i))
 	}
 	for range max(1, plan.Clients) {
-		w.clients = append(w.clients, newClient(w))
+		sim.clients = append(sim.clients, newClient(sim))
 	}
-	return w
+	return sim
 }
 
-func (w *world) start() {
-	for _, s := range w.engine.shards {
+// start publishes the endpoint list and starts all servers and routers.
+func (sim *simulation) start() {
+	for _, s := range sim.engine.shards {
 		s.now = epoch
 	}
-	w.infrastructure.publish()
-	for _, s := range w.servers {
+	sim.infrastructure.publish()
+	for _, s := range sim.servers {
 		s.model.Start(modelserver.FullCapacity)
 	}
-	for _, r := range w.routers {
+	for _, r := range sim.routers {
 		r.start()
 	}
 }
 
-// scheduleCalls deals the calls to the clients and returns the longest timeout.
-func (w *world) scheduleCalls() (longest control.Micros) {
-	for i := range w.plan.Calls {
-		call := &w.plan.Calls[i]
-		client := w.clients[call.Number%len(w.clients)]
-		client.node.at(epoch+call.At, func() { client.begin(i, call) })
+// scheduleCalls distributes the calls to the clients and returns the longest timeout.
+func (sim *simulation) scheduleCalls() (longest control.Micros) {
+	for i := range sim.plan.Calls {
+		call := &sim.plan.Calls[i]
+		client := sim.clients[call.Number%len(sim.clients)]
+		client.node.at(epoch+call.At, func() { client.startCall(i, call) })
 		longest = max(longest, call.Timeout)
 	}
 	return longest
 }
 
-// delay draws how long a message takes.
-func (n *node) delay() control.Micros {
+// randomDelay returns a random network delay.
+func (n *node) randomDelay() control.Micros {
 	return minDelay + control.Micros(n.random.ExpFloat64()*meanExtraDelay)
 }
