--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -60,18 +60,18 @@
 	models := platformtest.NewModelServerAt(t, "0.0.0.0:0")
 	_, port, _ := net.SplitHostPort(models.Address())
 	target := func(i int, state string, booted int64) discovery.EndpointMessage {
-		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
+		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Address: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
 			State: state, Weight: 4, StartedAtMS: booted}
 	}
 	whole := discovery.Event{Revision: 1, Update: &discovery.UpdateMessage{All: true}}
 	for i := range servers {
-		whole.Update.Targets = append(whole.Update.Targets, target(i, "ready", 0))
+		whole.Update.Endpoints = append(whole.Update.Endpoints, target(i, "ready", 0))
 	}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, whole)
 	rev := uint64(1)
 	tell := func(told discovery.EndpointMessage) {
 		rev++
-		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
+		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{told}}})
 	}
 	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
 	client := router.waitReady()
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -27,7 +27,7 @@
 	dir := t.TempDir()
 	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
 	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
-		return config.journalKey(function, kserve.Ask{Mark: key}, class)
+		return config.journalKey(function, kserve.InferRequest{IdempotencyKey: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -158,8 +158,8 @@
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.InferRequest{IdempotencyKey: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
@@ -209,7 +209,7 @@
 				t.Fatal(err)
 			}
 			msg := inferRequest(job, "ticket-1", time.Second)
-			msg.Header[kserve.RepeatMark] = []string{job + " again"}
+			msg.Header[kserve.IdempotencyKeyHeader] = []string{job + " again"}
 			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
 				t.Errorf("%+v, %v", resp, err)
@@ -219,7 +219,7 @@
 			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
+				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: job}, tg.ticketClass()))) == 0 {
 					t.Errorf("%s ran, and a next incarnation would not know", job)
 				}
 			}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -19,7 +19,7 @@
 	function string
 	call     kserve.Call
 	message  *rest.Request
-	params   kserve.Ask
+	params   kserve.InferRequest
 	pattern  Pattern
 	tenant   control.TenantID
 	client   *rest.Conn
@@ -72,9 +72,9 @@
 	}
 	g.lastID++
 	req.id, req.journalKey = g.lastID, key
-	arrivedAt := now - micros(time.Since(req.message.ArrivedAt))
+	arrivedAt := now - micros(time.Since(req.message.ReceivedAt))
 	req.objectiveAt = arrivedAt + class.LatencyObjective
-	if req.idempotencyKey = req.params.Mark; req.idempotencyKey == "" {
+	if req.idempotencyKey = req.params.IdempotencyKey; req.idempotencyKey == "" {
 		req.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(req.id), 36)
 	}
 	g.requests[req.id] = req
@@ -85,7 +85,7 @@
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
 		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
-		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
+		IsRetry: req.params.IsRetry, RetriesUnmarked: !req.params.HasAttemptCount,
 	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
@@ -203,8 +203,8 @@
 		})
 	}
 	call.message = &rest.Request{
-		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(command.Replicas),
+		Method: "POST", Target: kserve.Call{Operation: kserve.RepositoryLoad, Model: req.function}.Target(),
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadCommandBody(command.Replicas),
 	}
 	g.openLoadCommands++
 	g.metrics.loadCommands.Inc()
--- a/internal/platformtest/discovery.go
+++ b/internal/platformtest/discovery.go
@@ -15,8 +15,8 @@
 
 // Event returns a discovery event about one server. The first lists all servers.
 func Event(rev uint64, uid, address, state string) discovery.Event {
-	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
-		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
+	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Endpoints: []discovery.EndpointMessage{
+		{UID: uid, Address: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
 // Line returns an event as a discovery service writes it.
--- a/internal/probe/output_test.go
+++ b/internal/probe/output_test.go
@@ -10,7 +10,7 @@
 
 // Scripts read this JSON: its names stay.
 func TestJSONForm(t *testing.T) {
-	value := &Finding{}
+	value := &ServerReport{}
 	golden.Fill(value)
 	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
