--- a/client/attempts.go
+++ b/client/attempts.go
@@ -33,19 +33,19 @@
 	otherRouter bool // the next attempt avoids lastRouter
 	mayHaveRun  bool // one of the attempts may have
 
-	mu        sync.Mutex
-	conns     map[*rest.Client]bool // of the exchanges in progress; nil: the call is done
-	connected int                   // attempts that had a connection and whose result was not handled yet
+	mu               sync.Mutex
+	conns            map[*rest.Client]bool // of the exchanges in progress; nil: the call is done
+	pendingConnected int                   // attempts that had a connection and whose result was not handled yet
 }
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
 	retry.AttemptResult
-	answer    Response
-	failed    *CallError // nil: it succeeded
-	duration  time.Duration
-	connected bool // it had a connection
-	local     bool // its failure says nothing of the router
+	response     Response
+	callErr      *CallError // nil: it succeeded
+	duration     time.Duration
+	connected    bool // it had a connection
+	localFailure bool // its failure says nothing of the router
 }
 
 // outcomeNames are what Hooks.Tried and Call.Tried are called with.
@@ -64,7 +64,7 @@
 		client:      c,
 		call:        call,
 		deadline:    deadline,
-		retry:       retry.NewCall(call.Workload.class(), c.now()+remaining),
+		retry:       retry.NewCall(call.Workload.retryClass(), c.now()+remaining),
 		results:     make(chan attemptResult, maxUnreadResults),
 		lastFailure: &CallError{Kind: NotSent, Reason: "its time was up before a router could be asked"},
 		lastRouter:  -1,
@@ -93,11 +93,11 @@
 			decision := s.handleResult(result)
 			switch {
 			case result.Outcome == retry.Succeeded:
-				return result.answer, nil
+				return result.response, nil
 			case result.Outcome == retry.Invalid || decision.Done && s.inFlight == 0:
 				return Response{}, s.failure()
 			case !decision.Done:
-				s.attemptDue.Reset(time.Until(s.client.at(decision.RetryAt)))
+				s.attemptDue.Reset(time.Until(s.client.timeOf(decision.RetryAt)))
 			}
 		case <-ctx.Done():
 			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the caller's time was up", Err: context.Cause(ctx)}
@@ -128,7 +128,7 @@
 	if hedgeDelay > 0 && number == 1 && s.call.Workload.Hedge {
 		s.hedgeDue.Reset(time.Duration(hedgeDelay) * time.Microsecond)
 	}
-	go s.attempt(ctx, router, number)
+	go s.runAttempt(ctx, router, number)
 	return true
 }
 
@@ -150,7 +150,7 @@
 	s.inFlight--
 	if result.connected {
 		s.mu.Lock()
-		s.connected--
+		s.pendingConnected--
 		s.mu.Unlock()
 	}
 	c.mu.Lock()
@@ -162,24 +162,24 @@
 	if result.Outcome == retry.Failed || result.Outcome == retry.Lost {
 		s.mayHaveRun = true
 	}
-	s.lastFailure, s.lastRouter, s.otherRouter = result.failed, result.Router, decision.OtherRouter
+	s.lastFailure, s.lastRouter, s.otherRouter = result.callErr, result.Router, decision.OtherRouter
 	return decision
 }
 
 // failure returns a failed call's outcome. What may have run is never called harmless, whatever the last attempt met.
 func (s *callState) failure() *CallError {
-	failed := s.lastFailure
-	if s.mayHaveRun && (failed.Kind == NotSent || failed.Kind == Rejected && s.call.Workload.Effect == NonIdempotent) {
-		failed.Kind = OutcomeUnknown
+	callErr := s.lastFailure
+	if s.mayHaveRun && (callErr.Kind == NotSent || callErr.Kind == Rejected && s.call.Workload.Effect == NonIdempotent) {
+		callErr.Kind = OutcomeUnknown
 	}
-	return failed
+	return callErr
 }
 
 // kindOnTimeout is the kind of a call that its caller gave up: an attempt that waits for a connection has not run.
 func (s *callState) kindOnTimeout() FailureKind {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.mayHaveRun || s.connected > 0 {
+	if s.mayHaveRun || s.pendingConnected > 0 {
 		return OutcomeUnknown
 	}
 	return NotSent
@@ -195,55 +195,55 @@
 	s.conns = nil
 }
 
-// attempt makes one attempt.
-func (s *callState) attempt(ctx context.Context, router, number int) {
+// runAttempt makes one attempt.
+func (s *callState) runAttempt(ctx context.Context, router, number int) {
 	hooks := &s.client.options.Hooks
-	begun := time.Now()
-	try := Attempt{IdempotencyKey: s.call.IdempotencyKey, Number: number, Router: s.client.options.Routers[router], Remaining: time.Until(s.deadline)}
+	startedAt := time.Now()
+	attempt := Attempt{IdempotencyKey: s.call.IdempotencyKey, Number: number, Router: s.client.options.Routers[router], Remaining: time.Until(s.deadline)}
 	if hooks.AttemptStarted != nil {
-		hooks.AttemptStarted(try)
+		hooks.AttemptStarted(attempt)
 	}
-	result := s.connectAndExchange(ctx, router, &try)
-	result.duration = time.Since(begun)
+	result := s.connectAndExchange(ctx, router, &attempt)
+	result.duration = time.Since(startedAt)
 	s.client.recordResult(result)
 	if s.call.AttemptEnded != nil {
-		s.call.AttemptEnded(try, outcomeNames[result.Outcome])
+		s.call.AttemptEnded(attempt, outcomeNames[result.Outcome])
 	}
 	if hooks.AttemptEnded != nil {
-		hooks.AttemptEnded(try, outcomeNames[result.Outcome], result.duration)
+		hooks.AttemptEnded(attempt, outcomeNames[result.Outcome], result.duration)
 	}
 	s.results <- result
 }
 
 // connectAndExchange gets a connection and makes the attempt's exchange on it. It sets the time that try has left then.
-func (s *callState) connectAndExchange(ctx context.Context, router int, try *Attempt) attemptResult {
+func (s *callState) connectAndExchange(ctx context.Context, router int, attempt *Attempt) attemptResult {
 	c := s.client
 	result := attemptResult{AttemptResult: retry.AttemptResult{Router: router, SentAt: c.now()}}
 	conn, err := c.acquire(ctx, router)
 	switch {
 	case err != nil:
 		result.Outcome = retry.NotSent
-		result.failed = &CallError{Kind: NotSent, Reason: "no connection to " + try.Router + ": " + err.Error(), Err: err}
-		result.local = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
+		result.callErr = &CallError{Kind: NotSent, Reason: "no connection to " + attempt.Router + ": " + err.Error(), Err: err}
+		result.localFailure = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
-		result.notSent("the call is over")
+		result.setNotSent("the call is over")
 	default:
 		result.SentAt, result.connected = c.now(), true
-		try.Remaining = time.Until(s.deadline)
-		s.exchange(conn, *try, &result)
+		attempt.Remaining = time.Until(s.deadline)
+		s.exchange(conn, *attempt, &result)
 	}
 	return result
 }
 
-// notSent makes the result that of an attempt that this side did not send.
-func (r *attemptResult) notSent(why string) {
-	r.Outcome, r.failed, r.local = retry.NotSent, &CallError{Kind: NotSent, Reason: why}, true
+// setNotSent makes the result that of an attempt that this side did not send.
+func (r *attemptResult) setNotSent(reason string) {
+	r.Outcome, r.callErr, r.localFailure = retry.NotSent, &CallError{Kind: NotSent, Reason: reason}, true
 }
 
 // recordResult records what an attempt says of its router.
 func (c *Client) recordResult(result attemptResult) {
-	if result.local {
+	if result.localFailure {
 		return
 	}
 	c.mu.Lock()
@@ -264,7 +264,7 @@
 		return false
 	}
 	s.conns[conn] = true
-	s.connected++
+	s.pendingConnected++
 	return true
 }
 
--- a/client/call.go
+++ b/client/call.go
@@ -32,10 +32,10 @@
 	Hedge bool
 }
 
-// class returns the workload in the terms of package retry.
-func (w Workload) class() retry.Class {
+// retryClass returns the workload in the terms of package retry.
+func (w Workload) retryClass() retry.Class {
 	class := retry.Class{
-		Effect:        effects[w.Effect],
+		Effect:        controlEffects[w.Effect],
 		Window:        control.Micros(w.KeyWindow.Microseconds()),
 		KeysPersisted: w.KeysPersisted,
 		HedgeSafe:     w.Hedge,
@@ -46,7 +46,7 @@
 	return class
 }
 
-var effects = [...]control.Effect{
+var controlEffects = [...]control.Effect{
 	NonIdempotent:   control.NonIdempotent,
 	Idempotent:      control.Idempotent,
 	IdempotentByKey: control.IdempotentByKey,
--- a/client/client.go
+++ b/client/client.go
@@ -38,7 +38,7 @@
 // Defaults of Options.
 const (
 	defaultConnections = 64
-	defaultPatience    = 10 * time.Second
+	defaultTimeout     = 10 * time.Second
 )
 
 // New returns a client that has no connection yet. The error says what is wrong with the options.
@@ -55,7 +55,7 @@
 		o.Connections = defaultConnections
 	}
 	if o.DefaultTimeout == 0 {
-		o.DefaultTimeout = defaultPatience
+		o.DefaultTimeout = defaultTimeout
 	}
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
@@ -91,15 +91,15 @@
 	return control.Micros(time.Since(c.started).Microseconds()) + 1
 }
 
-// at is the opposite of now.
-func (c *Client) at(t control.Micros) time.Time {
+// timeOf is the opposite of now.
+func (c *Client) timeOf(t control.Micros) time.Time {
 	return c.started.Add(time.Duration(t-1) * time.Microsecond)
 }
 
 // Infer makes a call. It has one outcome: an answer, or an error that is a *Failed.
 func (c *Client) Infer(ctx context.Context, call Call) (Response, error) {
-	begun := time.Now()
-	deadline := c.deadline(ctx, call, begun)
+	startedAt := time.Now()
+	deadline := c.deadline(ctx, call, startedAt)
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.options.LateResponseTimeout))
 	defer cancel()
 	c.mu.Lock()
@@ -110,37 +110,37 @@
 	c.budget.Deposit()
 	c.mu.Unlock()
 	state := c.newCallState(&call, deadline)
-	answer, failed := state.run(ctx)
+	response, callErr := state.run(ctx)
 	attempts := state.retry.Attempts()
 	kind := "finished"
-	if failed != nil {
-		kind = string(failed.Kind)
-		failed.Attempts = attempts
+	if callErr != nil {
+		kind = string(callErr.Kind)
+		callErr.Attempts = attempts
 	}
 	if c.options.Hooks.CallEnded != nil {
-		c.options.Hooks.CallEnded(kind, attempts, time.Since(begun))
+		c.options.Hooks.CallEnded(kind, attempts, time.Since(startedAt))
 	}
-	if failed != nil {
-		return Response{}, failed
+	if callErr != nil {
+		return Response{}, callErr
 	}
-	answer.Attempts = attempts
-	return answer, nil
+	response.Attempts = attempts
+	return response, nil
 }
 
 // deadline returns the earlier of the context's deadline and the end of the call's patience. The default patience is for
 // calls with neither.
-func (c *Client) deadline(ctx context.Context, call Call, begun time.Time) time.Time {
-	deadline, limited := ctx.Deadline()
-	patience := call.Timeout
-	if patience <= 0 {
-		if limited {
+func (c *Client) deadline(ctx context.Context, call Call, startedAt time.Time) time.Time {
+	deadline, hasDeadline := ctx.Deadline()
+	timeout := call.Timeout
+	if timeout <= 0 {
+		if hasDeadline {
 			return deadline
 		}
-		if patience == 0 {
-			patience = c.options.DefaultTimeout
+		if timeout == 0 {
+			timeout = c.options.DefaultTimeout
 		}
 	}
-	if at := begun.Add(patience); !limited || at.Before(deadline) {
+	if at := startedAt.Add(timeout); !hasDeadline || at.Before(deadline) {
 		deadline = at
 	}
 	return deadline
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -138,18 +138,18 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	r := startRouters(t, 3, func(h receivedRequest) *rest.Response {
 		mu.Lock()
-		x := random.IntN(100)
+		percent := random.IntN(100)
 		mu.Unlock()
 		switch {
-		case x < 4:
+		case percent < 4:
 			return nil // broken after the whole request came
-		case x < 10:
+		case percent < 10:
 			return failWith(503, "pushed back", time.Millisecond)
-		case x < 13:
+		case percent < 13:
 			return failWith(504, "killed", 0)
-		case x < 14:
+		case percent < 14:
 			return failWith(400, "wrong", 0)
-		case x < 15:
+		case percent < 15:
 			time.Sleep(60 * time.Millisecond) // past some deadlines
 		}
 		return succeed(h)
@@ -160,18 +160,18 @@
 	const calls, window = 10_000, 30 * time.Millisecond
 	workloads := []Workload{{Effect: NonIdempotent}, {Effect: Idempotent}, {Effect: IdempotentByKey, KeyWindow: window}, {Effect: IdempotentByKey, KeyWindow: window, PartialKeyScope: true}}
 	kinds := map[string]int{}
-	asked := make([]time.Time, calls)
-	patience := make([]time.Duration, calls)
-	places := make(chan bool, 100)
+	startedAt := make([]time.Time, calls)
+	timeouts := make([]time.Duration, calls)
+	slots := make(chan bool, 100)
 	var wg sync.WaitGroup
 	for i := range calls {
-		places <- true
+		slots <- true
 		wg.Go(func() {
-			defer func() { <-places }()
-			patience[i] = time.Duration(50+i%100) * time.Millisecond
-			ctx, cancel := context.WithTimeout(context.Background(), patience[i])
+			defer func() { <-slots }()
+			timeouts[i] = time.Duration(50+i%100) * time.Millisecond
+			ctx, cancel := context.WithTimeout(context.Background(), timeouts[i])
 			defer cancel()
-			asked[i] = time.Now()
+			startedAt[i] = time.Now()
 			_, err := c.Infer(ctx, Call{Model: "m", Body: body, IdempotencyKey: strconv.Itoa(i), Workload: workloads[i%4]})
 			kind := "finished"
 			var failed *CallError
@@ -180,7 +180,7 @@
 			} else if err != nil {
 				t.Errorf("call %d: %v", i, err)
 			}
-			if late := time.Since(asked[i]) - patience[i]; late > time.Second {
+			if late := time.Since(startedAt[i]) - timeouts[i]; late > time.Second {
 				t.Errorf("call %d had its outcome %s after its deadline", i, late)
 			}
 			doneMu.Lock()
@@ -194,28 +194,28 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := map[string][]receivedRequest{}
+	byKey := map[string][]receivedRequest{}
 	for _, h := range r.requests {
-		seen[h.key] = append(seen[h.key], h)
+		byKey[h.key] = append(byKey[h.key], h)
 	}
 	retries := 0
-	for mark, hs := range seen {
-		i, err := strconv.Atoi(mark)
+	for key, requests := range byKey {
+		i, err := strconv.Atoi(key)
 		if err != nil {
-			t.Fatalf("mark %q", mark)
+			t.Fatalf("mark %q", key)
 		}
-		for n, h := range hs {
-			if h.receivedAt.After(asked[i].Add(patience[i] + time.Second)) {
-				t.Errorf("call %s is sent %s after its deadline", mark, h.receivedAt.Sub(asked[i].Add(patience[i])))
+		for n, h := range requests {
+			if h.receivedAt.After(startedAt[i].Add(timeouts[i] + time.Second)) {
+				t.Errorf("call %s is sent %s after its deadline", key, h.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
 			}
-			if h.timeout > patience[i] {
-				t.Errorf("call %s says that %s are left of %s", mark, h.timeout, patience[i])
+			if h.timeout > timeouts[i] {
+				t.Errorf("call %s says that %s are left of %s", key, h.timeout, timeouts[i])
 			}
 			if n > 0 && h.attempt < 2 {
-				t.Errorf("a retry of call %s is not marked", mark)
+				t.Errorf("a retry of call %s is not marked", key)
 			}
 		}
-		retries += len(hs) - 1
+		retries += len(requests) - 1
 	}
 	if retries == 0 || retries > calls/5 {
 		t.Errorf("%d retries", retries)
@@ -225,10 +225,10 @@
 // What may have run is retried only as its workload allows.
 func TestRetriesDoNoHarm(t *testing.T) {
 	for name, c := range map[string]struct {
-		w      Workload
-		handle handler
-		want   int
-		kind   FailureKind
+		w        Workload
+		handle   handler
+		attempts int
+		kind     FailureKind
 	}{
 		"run-once, broken":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return nil }, 1, OutcomeUnknown},
 		"run-once, killed":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return failWith(504, "killed", 0) }, 1, RequestFailed},
@@ -243,7 +243,7 @@
 		lib := newClient(t, Options{Routers: r.addresses})
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: c.w})
 		var failed *CallError
-		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Attempts != c.want {
+		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Attempts != c.attempts {
 			t.Errorf("%s: %v", name, err)
 		}
 		r.mu.Lock()
@@ -252,8 +252,8 @@
 				t.Errorf("%s: attempt %d has key %q and count %d", name, n, h.key, h.attempt)
 			}
 		}
-		if len(r.requests) != c.want {
-			t.Errorf("%s: sent %d times, want %d", name, len(r.requests), c.want)
+		if len(r.requests) != c.attempts {
+			t.Errorf("%s: sent %d times, want %d", name, len(r.requests), c.attempts)
 		}
 		r.mu.Unlock()
 	}
@@ -261,7 +261,7 @@
 
 // The router learns at once of a caller that gives up: the connection ends.
 func TestCancellationReachesRouter(t *testing.T) {
-	came, left := make(chan bool), make(chan bool)
+	received, disconnected := make(chan bool), make(chan bool)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -276,10 +276,10 @@
 		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 		c.ReadRequest()
 		gone, stop := c.WatchClose()
-		close(came)
+		close(received)
 		<-gone
 		stop()
-		close(left)
+		close(disconnected)
 	}()
 	lib := newClient(t, Options{Routers: []string{l.Addr().String()}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -288,13 +288,13 @@
 		_, err := lib.Infer(ctx, Call{Model: "m", Body: body})
 		ended <- err
 	}()
-	<-came
+	<-received
 	cancel()
 	var failed *CallError
 	if err := <-ended; !errors.As(err, &failed) || failed.Kind != OutcomeUnknown || !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
-	<-left
+	<-disconnected
 }
 
 // A router that loses all of its connections at once gets them back spread out, while others take the calls.
@@ -304,13 +304,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
-	bad := make(chan string, 1000)
+	failures := make(chan string, 1000)
 	for i := range 60 {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: Workload{Effect: Idempotent}}); err != nil {
 					select {
-					case bad <- fmt.Sprintf("%d: %v", i, err):
+					case failures <- fmt.Sprintf("%d: %v", i, err):
 					default:
 					}
 				}
@@ -322,23 +322,23 @@
 	before := len(r.connectedAt[0])
 	r.mu.Unlock()
 	r.breakConnections(0)
-	lost := time.Now()
+	lostAt := time.Now()
 	time.Sleep(2 * time.Second)
 	cancel()
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := 0
+	early := 0
 	for _, at := range r.connectedAt[0][before:] {
-		if at.Sub(lost) < 500*time.Millisecond {
-			first++
+		if at.Sub(lostAt) < 500*time.Millisecond {
+			early++
 		}
 	}
-	if before < 15 || first > before/3 {
-		t.Errorf("%d connections, of which %d came back within half a second", before, first)
+	if before < 15 || early > before/3 {
+		t.Errorf("%d connections, of which %d came back within half a second", before, early)
 	}
-	if len(bad) > 40 { // what was on the lost connections, beyond what the budget lets be tried again
-		t.Errorf("%d calls failed, as %s", len(bad), <-bad)
+	if len(failures) > 40 { // what was on the lost connections, beyond what the budget lets be tried again
+		t.Errorf("%d calls failed, as %s", len(failures), <-failures)
 	}
 }
 
@@ -394,10 +394,10 @@
 	mu.Lock()
 	slow = true
 	mu.Unlock()
-	begun := time.Now()
-	a, err := lib.Infer(context.Background(), call)
-	if err != nil || a.Attempts != 2 || time.Since(begun) > 400*time.Millisecond {
-		t.Errorf("%+v, %v, %s", a, err, time.Since(begun))
+	startedAt := time.Now()
+	response, err := lib.Infer(context.Background(), call)
+	if err != nil || response.Attempts != 2 || time.Since(startedAt) > 400*time.Millisecond {
+		t.Errorf("%+v, %v, %s", response, err, time.Since(startedAt))
 	}
 }
 
@@ -405,13 +405,13 @@
 func BenchmarkInfer(b *testing.B) {
 	r := startRouters(b, 1, succeed)
 	b.Run("plain", func(b *testing.B) {
-		x, err := rest.Dial(context.Background(), r.addresses[0], &rest.DefaultLimits)
+		conn, err := rest.Dial(context.Background(), r.addresses[0], &rest.DefaultLimits)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer x.Close()
+		defer conn.Close()
 		for b.Loop() {
-			if _, _, err := x.Do(&rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"x"}}, Body: body}, time.Now().Add(time.Second)); err != nil {
+			if _, _, err := conn.Do(&rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"x"}}, Body: body}, time.Now().Add(time.Second)); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/client/connections.go
+++ b/client/connections.go
@@ -21,7 +21,7 @@
 			return c.dial(ctx, router)
 		}
 		// A connection that another call gives back is found by looking again.
-		timer := time.NewTimer(max(minAcquirePause, time.Until(retryAt)))
+		timer := time.NewTimer(max(acquirePollInterval, time.Until(retryAt)))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -31,8 +31,8 @@
 	}
 }
 
-// minAcquirePause is the pause between two looks for a connection.
-const minAcquirePause = time.Millisecond
+// acquirePollInterval is the pause between two looks for a connection.
+const acquirePollInterval = time.Millisecond
 
 // takeIdle returns an idle connection. Where there is none, it returns whether to dial a new one, which it has counted as
 // open then, or when to look again.
@@ -50,7 +50,7 @@
 	}
 	allowed, at := c.routers.MayConnect(c.now(), router)
 	if !allowed || c.open[router] >= c.options.Connections {
-		return nil, false, c.at(at)
+		return nil, false, c.timeOf(at)
 	}
 	c.open[router]++
 	c.routers.ConnectionOpened(router)
@@ -100,19 +100,19 @@
 	}
 }
 
-// connFate is what becomes of a connection after an attempt.
-type connFate bool
+// connDisposition is what becomes of a connection after an attempt.
+type connDisposition bool
 
 const (
-	keepConn  connFate = false
-	closeConn connFate = true
+	keepConn  connDisposition = false
+	closeConn connDisposition = true
 )
 
 // release gives a connection back, for the next call or to be closed.
-func (c *Client) release(router int, conn *rest.Client, fate connFate) {
+func (c *Client) release(router int, conn *rest.Client, disposition connDisposition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if fate == closeConn || c.closed {
+	if disposition == closeConn || c.closed {
 		conn.Close()
 		c.connectionClosed(router)
 		return
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -18,32 +18,32 @@
 const tenantHeader = "X-Tenant"
 
 // exchange sends an attempt on a connection and reads its answer into the result.
-func (s *callState) exchange(conn *rest.Client, try Attempt, result *attemptResult) {
+func (s *callState) exchange(conn *rest.Client, attempt Attempt, result *attemptResult) {
 	c := s.client
 	body := s.call.Body
 	if s.call.BodyFor != nil {
-		body = s.call.BodyFor(try)
+		body = s.call.BodyFor(attempt)
 	}
-	left := time.Until(s.deadline).Milliseconds()
-	if left <= 0 { // making the body took what was left
+	remainingMS := time.Until(s.deadline).Milliseconds()
+	if remainingMS <= 0 { // making the body took what was left
 		s.unregister(conn)
 		c.release(result.Router, conn, closeConn) // the end of the call may have aborted it
-		result.notSent("its time was up before it was sent")
+		result.setNotSent("its time was up before it was sent")
 		return
 	}
-	response, progress, err := conn.Do(s.request(try, body, left), s.deadline.Add(c.options.LateResponseTimeout))
+	response, progress, err := conn.Do(s.request(attempt, body, remainingMS), s.deadline.Add(c.options.LateResponseTimeout))
 	s.unregister(conn)
 	if err != nil {
 		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
-		result.local = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err)
-		if result.local {
+		result.localFailure = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err)
+		if result.localFailure {
 			c.release(result.Router, conn, closeConn)
 		} else {
 			c.discard(result.Router, conn)
 		}
-		result.Outcome, result.failed = retry.Lost, &CallError{Kind: OutcomeUnknown, Reason: err.Error(), Err: err}
+		result.Outcome, result.callErr = retry.Lost, &CallError{Kind: OutcomeUnknown, Reason: err.Error(), Err: err}
 		if progress < rest.FullyWritten || errors.Is(err, rest.ErrCertificateRejected) {
-			result.Outcome, result.failed.Kind = retry.NotSent, NotSent
+			result.Outcome, result.callErr.Kind = retry.NotSent, NotSent
 		}
 		return
 	}
@@ -52,17 +52,17 @@
 	} else {
 		c.release(result.Router, conn, keepConn)
 	}
-	result.read(response, try.Router)
+	result.readResponse(response, attempt.Router)
 }
 
 // request returns an attempt's request. Left is the time to the deadline, in milliseconds.
-func (s *callState) request(try Attempt, body []byte, left int64) *rest.Request {
+func (s *callState) request(attempt Attempt, body []byte, remainingMS int64) *rest.Request {
 	header := rest.Header{
-		"Host":                      {try.Router},
+		"Host":                      {attempt.Router},
 		"Content-Type":              {"application/json"},
-		kserve.IdempotencyKeyHeader: {try.IdempotencyKey},
-		kserve.AttemptHeader:        {strconv.Itoa(try.Number)},
-		kserve.TimeoutHeader:        {strconv.FormatInt(left, 10)},
+		kserve.IdempotencyKeyHeader: {attempt.IdempotencyKey},
+		kserve.AttemptHeader:        {strconv.Itoa(attempt.Number)},
+		kserve.TimeoutHeader:        {strconv.FormatInt(remainingMS, 10)},
 	}
 	if s.call.JSONLength > 0 {
 		header["Content-Type"] = []string{"application/octet-stream"}
@@ -75,22 +75,22 @@
 	return &rest.Request{Method: http.MethodPost, Target: target, Header: header, Body: body}
 }
 
-// read sets what a router's response says.
-func (r *attemptResult) read(response *rest.Response, router string) {
-	r.answer = Response{Status: response.Status, Body: response.Body, Router: router}
-	r.answer.JSONLength, _ = strconv.Atoi(response.Header.Get(kserve.JSONLengthHeader))
-	fault := gjson.GetManyBytes(response.Body, "error", "answer", "retry_after_us")
-	text, answer, retryAfter := fault[0].Str, fault[1].Str, fault[2].Int()
-	r.failed = &CallError{Kind: InvalidRequest, Status: response.Status, Reason: text}
+// readResponse sets what a router's response says.
+func (r *attemptResult) readResponse(response *rest.Response, router string) {
+	r.response = Response{Status: response.Status, Body: response.Body, Router: router}
+	r.response.JSONLength, _ = strconv.Atoi(response.Header.Get(kserve.JSONLengthHeader))
+	fields := gjson.GetManyBytes(response.Body, "error", "answer", "retry_after_us")
+	reason, outcome, retryAfter := fields[0].Str, fields[1].Str, fields[2].Int()
+	r.callErr = &CallError{Kind: InvalidRequest, Status: response.Status, Reason: reason}
 	switch {
 	case response.Status < http.StatusMultipleChoices:
-		r.Outcome, r.failed = retry.Succeeded, nil
-	case response.Status == http.StatusServiceUnavailable && answer == string(Rejected):
-		r.Outcome, r.failed.Kind = retry.Rejected, Rejected
+		r.Outcome, r.callErr = retry.Succeeded, nil
+	case response.Status == http.StatusServiceUnavailable && outcome == string(Rejected):
+		r.Outcome, r.callErr.Kind = retry.Rejected, Rejected
 		r.RetryAfter = control.Micros(retryAfter)
-		r.failed.RetryAfter = time.Duration(r.RetryAfter) * time.Microsecond
+		r.callErr.RetryAfter = time.Duration(r.RetryAfter) * time.Microsecond
 	case response.Status >= http.StatusInternalServerError: // the router's, or a proxy's that promises nothing
-		r.Outcome, r.failed.Kind = retry.Failed, RequestFailed
+		r.Outcome, r.callErr.Kind = retry.Failed, RequestFailed
 	default:
 		r.Outcome = retry.Invalid
 	}
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -16,20 +16,20 @@
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
 	var ended atomic.Int32
 	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{AttemptEnded: func(Attempt, string, time.Duration) { ended.Add(1) }}})
-	const each = 4 // one more than would eject a router
-	for range 2 * each {
+	const callsPerRouter = 4 // one more than would eject a router
+	for range 2 * callsPerRouter {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		lib.Infer(ctx, Call{Model: "m", Body: body, Timeout: time.Second})
 		cancel()
 	}
 	close(slow)
-	platformtest.WaitFor(t, "the ends of all attempts", func() bool { return ended.Load() == 2*each })
+	platformtest.WaitFor(t, "the ends of all attempts", func() bool { return ended.Load() == 2*callsPerRouter })
 	r.mu.Lock()
 	r.requests = nil
 	r.mu.Unlock()
-	asked := [2]int{}
-	for range 2 * each {
+	perRouter := [2]int{}
+	for range 2 * callsPerRouter {
 		if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body}); err != nil {
 			t.Error(err)
 		}
@@ -37,10 +37,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range r.requests {
-		asked[h.router]++
+		perRouter[h.router]++
 	}
-	if asked != [2]int{each, each} {
-		t.Errorf("asked %v", asked)
+	if perRouter != [2]int{callsPerRouter, callsPerRouter} {
+		t.Errorf("asked %v", perRouter)
 	}
 }
 
--- a/cmd/hmcall/calls.go
+++ b/cmd/hmcall/calls.go
@@ -15,12 +15,12 @@
 
 // call is a line of a file of calls. An empty field has the flag's value.
 type call struct {
-	Model   string          `json:"model"`
-	Request json.RawMessage `json:"request"`
-	Effect  string          `json:"effect"`
-	Mark    string          `json:"mark"`
-	Tenant  string          `json:"tenant"`
-	Timeout int64           `json:"timeout"` // milliseconds
+	Model          string          `json:"model"`
+	Request        json.RawMessage `json:"request"`
+	Effect         string          `json:"effect"`
+	IdempotencyKey string          `json:"mark"`
+	Tenant         string          `json:"tenant"`
+	Timeout        int64           `json:"timeout"` // milliseconds
 }
 
 // effects are the values of --effect and of a call's effect.
@@ -54,13 +54,13 @@
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxLine)
 	for number := 1; lines.Scan(); number++ {
-		var x call
+		var input call
 		if len(bytes.TrimSpace(lines.Bytes())) > 0 {
-			if x, err = readCall(lines.Bytes()); err != nil {
+			if input, err = readCall(lines.Bytes()); err != nil {
 				return nil, program.UsageError{Err: fmt.Errorf("%s:%d: %w", name, number, err)}
 			}
 		}
-		calls = append(calls, x)
+		calls = append(calls, input)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, program.UsageError{Err: fmt.Errorf("%s: %w", name, err)}
@@ -68,14 +68,14 @@
 	return calls, nil
 }
 
-func readCall(line []byte) (x call, err error) {
+func readCall(line []byte) (input call, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&x); err != nil {
-		return x, err
+	if err := decoder.Decode(&input); err != nil {
+		return input, err
 	}
-	if _, known := effects[x.Effect]; x.Model == "" || x.Effect != "" && !known || x.Timeout < 0 {
-		return x, errors.New("a call needs a model, an effect that is known and no timeout below zero")
+	if _, known := effects[input.Effect]; input.Model == "" || input.Effect != "" && !known || input.Timeout < 0 {
+		return input, errors.New("a call needs a model, an effect that is known and no timeout below zero")
 	}
-	return x, nil
+	return input, nil
 }
--- a/cmd/hmcall/run.go
+++ b/cmd/hmcall/run.go
@@ -16,16 +16,16 @@
 
 // result is what is printed of a call. Scripts read it: its names stay.
 type result struct {
-	Line    int             `json:"line,omitempty"`
-	Model   string          `json:"model"`
-	Outcome string          `json:"outcome"` // finished, or a client.Kind
-	Status  int             `json:"status,omitempty"`
-	Tries   int             `json:"tries"`
-	Router  string          `json:"router,omitempty"`
-	Took    int64           `json:"took_us"`
-	Why     string          `json:"why,omitempty"`
-	After   int64           `json:"retry_after_us,omitempty"`
-	Answer  json.RawMessage `json:"answer,omitempty"`
+	Line           int             `json:"line,omitempty"`
+	Model          string          `json:"model"`
+	Outcome        string          `json:"outcome"` // finished, or a client.Kind
+	Status         int             `json:"status,omitempty"`
+	Attempts       int             `json:"tries"`
+	Router         string          `json:"router,omitempty"`
+	DurationMicros int64           `json:"took_us"`
+	Reason         string          `json:"why,omitempty"`
+	RetryAfter     int64           `json:"retry_after_us,omitempty"`
+	Answer         json.RawMessage `json:"answer,omitempty"`
 }
 
 // finished is the outcome of a call that was answered.
@@ -40,10 +40,10 @@
 			return program.UsageError{Err: err}
 		}
 	}
-	r := c.infer(ctx, library, call{Model: c.Model, Request: body, Mark: c.Mark, Tenant: c.Tenant})
+	r := c.infer(ctx, library, call{Model: c.Model, Request: body, IdempotencyKey: c.Mark, Tenant: c.Tenant})
 	c.print(os.Stdout, r)
 	if r.Outcome != finished {
-		return errors.New(r.Outcome + ": " + r.Why)
+		return errors.New(r.Outcome + ": " + r.Reason)
 	}
 	return nil
 }
@@ -58,17 +58,17 @@
 	var mu sync.Mutex // for standard output and failed
 	failed := 0
 	inFlight := make(chan struct{}, c.Concurrency)
-	for i, x := range calls {
-		if x.Model == "" || ctx.Err() != nil {
+	for i, input := range calls {
+		if input.Model == "" || ctx.Err() != nil {
 			continue
 		}
 		inFlight <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-inFlight }()
-			if x.Request == nil {
-				x.Request = emptyRequest
+			if input.Request == nil {
+				input.Request = emptyRequest
 			}
-			r := c.infer(ctx, library, x)
+			r := c.infer(ctx, library, input)
 			r.Line = i + 1
 			mu.Lock()
 			defer mu.Unlock()
@@ -85,28 +85,28 @@
 }
 
 // infer makes a call.
-func (c *cli) infer(ctx context.Context, library *client.Client, x call) result {
+func (c *cli) infer(ctx context.Context, library *client.Client, input call) result {
 	effect, timeout := c.Effect, c.Timeout
-	if x.Effect != "" {
-		effect = x.Effect
+	if input.Effect != "" {
+		effect = input.Effect
 	}
-	if x.Timeout > 0 {
-		timeout = time.Duration(x.Timeout) * time.Millisecond
+	if input.Timeout > 0 {
+		timeout = time.Duration(input.Timeout) * time.Millisecond
 	}
-	if x.Tenant == "" {
-		x.Tenant = c.Tenant
+	if input.Tenant == "" {
+		input.Tenant = c.Tenant
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	begun := time.Now()
-	answer, err := library.Infer(ctx, client.Call{Model: x.Model, Body: x.Request, IdempotencyKey: x.Mark, Tenant: x.Tenant, Workload: client.Workload{
+	startedAt := time.Now()
+	response, err := library.Infer(ctx, client.Call{Model: input.Model, Body: input.Request, IdempotencyKey: input.IdempotencyKey, Tenant: input.Tenant, Workload: client.Workload{
 		Effect: effects[effect], PartialKeyScope: c.Narrow, KeyWindow: c.Window, KeysPersisted: c.Remembered, Hedge: c.Hedge}})
-	r := result{Model: x.Model, Outcome: finished, Status: answer.Status, Tries: answer.Attempts, Router: answer.Router,
-		Took: time.Since(begun).Microseconds(), Answer: answer.Body}
-	var failed *client.CallError
-	if errors.As(err, &failed) {
-		r.Outcome, r.Status, r.Tries = string(failed.Kind), failed.Status, failed.Attempts
-		r.Why, r.After = failed.Reason, failed.RetryAfter.Microseconds()
+	r := result{Model: input.Model, Outcome: finished, Status: response.Status, Attempts: response.Attempts, Router: response.Router,
+		DurationMicros: time.Since(startedAt).Microseconds(), Answer: response.Body}
+	var callErr *client.CallError
+	if errors.As(err, &callErr) {
+		r.Outcome, r.Status, r.Attempts = string(callErr.Kind), callErr.Status, callErr.Attempts
+		r.Reason, r.RetryAfter = callErr.Reason, callErr.RetryAfter.Microseconds()
 	}
 	if !json.Valid(r.Answer) { // binary tensors
 		r.Answer = nil
--- a/cmd/hmprobe/servers.go
+++ b/cmd/hmprobe/servers.go
@@ -60,28 +60,28 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	pace := time.NewTicker(time.Duration(float64(time.Second) / s.Rate))
-	defer pace.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / s.Rate))
+	defer ticker.Stop()
 	failed := 0
 	for i, address := range addresses {
 		if i > 0 {
 			select {
-			case <-pace.C:
+			case <-ticker.C:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		}
-		finding := probe.CheckServer(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
-		if !finding.Ready || finding.Request != nil && finding.Request.Result != finished {
+		report := probe.CheckServer(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
+		if !report.Ready || report.Request != nil && report.Request.Result != finished {
 			failed++
 		}
 		if s.JSON {
-			if err := json.NewEncoder(os.Stdout).Encode(finding); err != nil {
+			if err := json.NewEncoder(os.Stdout).Encode(report); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Print(finding.Text())
+		fmt.Print(report.Text())
 	}
 	if failed > 0 {
 		return fmt.Errorf("%d of %d servers are not well", failed, len(addresses))
--- a/cmd/hollymast/drain_test.go
+++ b/cmd/hollymast/drain_test.go
@@ -16,8 +16,8 @@
 	socketSlack = 50 * time.Millisecond // every time limit is this much longer on sockets
 )
 
-// manyFunctions is the first of the functions that tests call: a key with all its bits in use.
-const manyFunctions = 0x7f3a9c21e0b4d600
+// firstFunctionKey is the first of the functions that tests call: a key with all its bits in use.
+const firstFunctionKey = 0x7f3a9c21e0b4d600
 
 // twoServers are model servers, of which one is to drain.
 type twoServers struct {
@@ -34,8 +34,8 @@
 	return s
 }
 
-// drain is the event after the first two with which the one server drains.
-func (s *twoServers) drain() discovery.Event {
+// drainEvent is the event after the first two with which the one server drains.
+func (s *twoServers) drainEvent() discovery.Event {
 	return platformtest.Event(3, "s-0", s.draining.Address(), "draining")
 }
 
@@ -86,12 +86,12 @@
 func testDrainDuringStall(t *testing.T, stall time.Duration, busy bool) {
 	const functions = 12 // some of them are loaded on the server that drains
 	servers := newTwoServers(t)
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
-	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), servers.events...))
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(discoveryServer.Address(), servers.events...))
 	client := router.waitReady()
 	ref := uint64(1)
 	callAll := func(c *platformtest.Client) {
-		callEach(c, ref, manyFunctions, functions)
+		callEach(c, ref, firstFunctionKey, functions)
 		ref += functions
 	}
 	mustServeAll := func(c *platformtest.Client) {
@@ -110,10 +110,10 @@
 		callAll(inFlight)
 	}
 	router.suspend()
-	drainedAt := plane.Publish(servers.drain())
+	drainedAt := discoveryServer.Publish(servers.drainEvent())
 	joining := platformtest.NewModelServer(t) // further events behind it, the last one another drain
-	plane.Publish(platformtest.Event(4, "s-2", joining.Address(), "ready"))
-	plane.Publish(platformtest.Event(5, "s-2", joining.Address(), "draining"))
+	discoveryServer.Publish(platformtest.Event(4, "s-2", joining.Address(), "ready"))
+	discoveryServer.Publish(platformtest.Event(5, "s-2", joining.Address(), "draining"))
 	callAll(client)
 	callAll(late)
 	time.Sleep(stall)
@@ -140,9 +140,9 @@
 		stall     = 1600 * time.Millisecond
 	)
 	servers := newTwoServers(t)
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
 	deployment := platformtest.Deployment{Grace: gracePeriod, LoadsOnCommandOnly: true}
-	router := startRouter(t, deployment.Configuration(plane.Address(), servers.events...))
+	router := startRouter(t, deployment.Configuration(discoveryServer.Address(), servers.events...))
 	client := router.waitReady()
 	callEach(client, 1, 1, functions)
 	if served := countServed(client, functions); served != functions {
@@ -152,7 +152,7 @@
 		t.Fatalf("%d and %d load commands: both servers should get some", servers.draining.LoadCommands(), servers.staying.LoadCommands())
 	}
 	router.suspend()
-	drainedAt := plane.Publish(servers.drain())
+	drainedAt := discoveryServer.Publish(servers.drainEvent())
 	callEach(client, 101, 101, functions)
 	time.Sleep(stall)
 	router.resume()
@@ -169,10 +169,10 @@
 func TestDrainDuringReload(t *testing.T) {
 	const functions = 12
 	servers := newTwoServers(t)
-	before := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
+	oldDiscovery := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, servers.events...)
 	answer := make(chan bool)
-	after := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, servers.events...)
-	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(before.Address(), servers.events...))
+	newDiscovery := platformtest.NewDiscovery(t, "127.0.0.1:0", func(net.Conn, int) bool { <-answer; return false }, servers.events...)
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(oldDiscovery.Address(), servers.events...))
 	client := router.waitReady()
 	callEach(client, 1, 1, functions)
 	if served := countServed(client, functions); served != functions {
@@ -182,9 +182,9 @@
 		t.Fatal("the server that is to drain was never used")
 	}
 	router.suspend()
-	drainedAt := before.Publish(servers.drain())
-	after.Publish(servers.drain())
-	router.writeConfig(platformtest.Deployment{Grace: gracePeriod}.Configuration(after.Address(), servers.events...))
+	drainedAt := oldDiscovery.Publish(servers.drainEvent())
+	newDiscovery.Publish(servers.drainEvent())
+	router.writeConfig(platformtest.Deployment{Grace: gracePeriod}.Configuration(newDiscovery.Address(), servers.events...))
 	router.signal(syscall.SIGHUP)
 	time.Sleep(gracePeriod + socketSlack)
 	router.resume()
@@ -196,7 +196,7 @@
 	if late := framesAfterGrace(servers.draining, drainedAt, gracePeriod); len(late) > 0 {
 		t.Errorf("frames after the grace period: %v", late)
 	}
-	if len(after.Subscriptions()) == 0 {
+	if len(newDiscovery.Subscriptions()) == 0 {
 		t.Error("the new address was not asked")
 	}
 }
@@ -210,14 +210,14 @@
 		functions = 16
 		flooders  = 4
 	)
-	models := make([]*platformtest.ModelServer, servers)
+	modelServers := make([]*platformtest.ModelServer, servers)
 	var events []discovery.Event
-	for i := range models {
-		models[i] = platformtest.NewModelServer(t)
-		events = append(events, platformtest.Event(uint64(i+1), fmt.Sprint("s-", i), models[i].Address(), "ready"))
+	for i := range modelServers {
+		modelServers[i] = platformtest.NewModelServer(t)
+		events = append(events, platformtest.Event(uint64(i+1), fmt.Sprint("s-", i), modelServers[i].Address(), "ready"))
 	}
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	router := startRouter(t, platformtest.Deployment{Grace: grace}.Configuration(plane.Address(), events...))
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
+	router := startRouter(t, platformtest.Deployment{Grace: grace}.Configuration(discoveryServer.Address(), events...))
 	client := router.waitReady()
 	served, requests := 0, 0
 	callAll := func() {
@@ -230,18 +230,18 @@
 		flooder := platformtest.Dial(t, router.address)
 		t.Cleanup(flooder.Flood())
 	}
-	end := router.throttle(25*time.Millisecond, 100*time.Millisecond)
+	stopThrottling := router.throttle(25*time.Millisecond, 100*time.Millisecond)
 	drainedAt := make([]time.Time, servers-1)
 	for i := range drainedAt {
 		callAll()
-		drainedAt[i] = plane.Publish(platformtest.Event(uint64(servers+i+1), fmt.Sprint("s-", i), models[i].Address(), "draining"))
+		drainedAt[i] = discoveryServer.Publish(platformtest.Event(uint64(servers+i+1), fmt.Sprint("s-", i), modelServers[i].Address(), "draining"))
 		for time.Since(drainedAt[i]) < 2*grace {
 			callAll()
 		}
 	}
-	end()
+	stopThrottling()
 	for i, at := range drainedAt {
-		if late := framesAfterGrace(models[i], at, grace); len(late) > 0 {
+		if late := framesAfterGrace(modelServers[i], at, grace); len(late) > 0 {
 			t.Errorf("server %d: frames after the grace period: %v", i, late)
 		}
 	}
--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -18,8 +18,8 @@
 	"hollymast/internal/rest"
 )
 
-// shortDeadlines are settings with deadlines of 50 ms; the file of the endpoint list is to be filled in.
-const shortDeadlines = `
+// shortDeadlineSettings are settings with deadlines of 50 ms; the file of the endpoint list is to be filled in.
+const shortDeadlineSettings = `
 [router]
 listen = 127.0.0.1:0
 list = %s
@@ -52,8 +52,8 @@
 	return address, gateway
 }
 
-// openClient is a client that goes on sending on one open connection.
-type openClient struct {
+// persistentClient is a client that goes on sending on one open connection.
+type persistentClient struct {
 	address    string
 	pause      time.Duration // between two requests
 	answered   int
@@ -61,8 +61,8 @@
 }
 
 // run sends while goOn says so.
-func (o *openClient) run(goOn func() bool) {
-	for goOn() {
+func (o *persistentClient) run(keepRunning func() bool) {
+	for keepRunning() {
 		c, err := rest.Dial(context.Background(), o.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -70,7 +70,7 @@
 			}
 			continue
 		}
-		for goOn() && !c.Stale() {
+		for keepRunning() && !c.Stale() {
 			sentAt := time.Now()
 			request := &rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"a"}}, Body: []byte(`{"inputs":[]}`)}
 			response, progress, err := c.Do(request, sentAt.Add(time.Second))
@@ -111,12 +111,12 @@
 	}
 	answered := 0
 	for range runs {
-		address, gateway := startGateway(t, fmt.Sprintf(shortDeadlines, endpoints))
+		address, gateway := startGateway(t, fmt.Sprintf(shortDeadlineSettings, endpoints))
 		var killed atomic.Bool
-		all := make([]openClient, clients)
+		all := make([]persistentClient, clients)
 		var wg sync.WaitGroup
 		for i := range all {
-			all[i] = openClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
+			all[i] = persistentClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
 			wg.Go(func() { all[i].run(func() bool { return !killed.Load() }) })
 		}
 		time.Sleep(trafficBefore)
@@ -144,7 +144,7 @@
 	if err := os.WriteFile(endpoints, []byte("[a]\naddress = 127.0.0.1:1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, gateway := startGateway(t, fmt.Sprintf(shortDeadlines, endpoints))
+	_, gateway := startGateway(t, fmt.Sprintf(shortDeadlineSettings, endpoints))
 	gateway.signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond) // or the stop's signal could be handled before the reload's
 	gateway.signal(syscall.SIGTERM)
--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -14,16 +14,16 @@
 	"hollymast/internal/platformtest"
 )
 
-// used is what a router needed in a run.
-type used struct {
-	start, cpu                       float64 // seconds of the processor until the first request, and in all
-	memory                           float64 // MB at the peak
-	descriptors, connections, listed int64   // at the peak; made to model servers; bytes from the notice board
-	served, asked                    int
+// resourceUsage is what a router needed in a run.
+type resourceUsage struct {
+	startCPU, cpu                       float64 // seconds of the processor until the first request, and in all
+	memory                              float64 // MB at the peak
+	descriptors, connections, listBytes int64   // at the peak; made to model servers; bytes from the notice board
+	served, sent                        int
 }
 
 // measure reads what the kernel counts of a process.
-func (u *used) measure(t *testing.T, pid int) {
+func (u *resourceUsage) measure(t *testing.T, pid int) {
 	t.Helper()
 	read := func(file string) string {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
@@ -49,7 +49,7 @@
 }
 
 // replaceHalf runs a router for some seconds with the same traffic whatever the number of servers, of which half are replaced.
-func replaceHalf(t *testing.T, servers int) (u used) {
+func replaceHalf(t *testing.T, servers int) (u resourceUsage) {
 	const (
 		rate             = 50 // requests a second
 		functions        = 200
@@ -57,39 +57,39 @@
 		before, rolling  = 1, 4 // seconds
 		after, perSecond = 2, rate
 	)
-	models := platformtest.NewModelServerAt(t, "0.0.0.0:0")
-	_, port, _ := net.SplitHostPort(models.Address())
-	target := func(i int, state string, booted int64) discovery.EndpointMessage {
+	modelServers := platformtest.NewModelServerAt(t, "0.0.0.0:0")
+	_, port, _ := net.SplitHostPort(modelServers.Address())
+	endpointMessage := func(i int, state string, startedAtMS int64) discovery.EndpointMessage {
 		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Address: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
-			State: state, Weight: 4, StartedAtMS: booted}
+			State: state, Weight: 4, StartedAtMS: startedAtMS}
 	}
-	whole := discovery.Event{Revision: 1, Update: &discovery.UpdateMessage{All: true}}
+	fullList := discovery.Event{Revision: 1, Update: &discovery.UpdateMessage{All: true}}
 	for i := range servers {
-		whole.Update.Endpoints = append(whole.Update.Endpoints, target(i, "ready", 0))
+		fullList.Update.Endpoints = append(fullList.Update.Endpoints, endpointMessage(i, "ready", 0))
 	}
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, whole)
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, fullList)
 	rev := uint64(1)
-	tell := func(told discovery.EndpointMessage) {
+	publish := func(endpoint discovery.EndpointMessage) {
 		rev++
-		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{told}}})
+		discoveryServer.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{endpoint}}})
 	}
-	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
+	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(discoveryServer.Address(), fullList))
 	client := router.waitReady()
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	u.measure(t, router.command.Process.Pid)
-	u.start = u.cpu
-	begin, replaced := time.Now(), 0
+	u.startCPU = u.cpu
+	start, replaced := time.Now(), 0
 	for n := range (before + rolling + after) * perSecond {
-		time.Sleep(time.Until(begin.Add(time.Duration(n) * time.Second / perSecond)))
+		time.Sleep(time.Until(start.Add(time.Duration(n) * time.Second / perSecond)))
 		for due := min(servers/2, servers/2*(n-before*perSecond)/(rolling*perSecond)); replaced < due; replaced++ {
-			tell(target(replaced, "draining", 0))
-			tell(target(servers+replaced, "ready", time.Now().UnixMilli()))
+			publish(endpointMessage(replaced, "draining", 0))
+			publish(endpointMessage(servers+replaced, "ready", time.Now().UnixMilli()))
 			if earlier := replaced - servers/20; earlier >= 0 {
-				tell(target(earlier, "gone", 0))
+				publish(endpointMessage(earlier, "gone", 0))
 			}
 		}
-		client.Call(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*chance.Float64()*chance.Float64()))
-		if u.asked++; client.Answer() {
+		client.Call(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*random.Float64()*random.Float64()))
+		if u.sent++; client.Answer() {
 			u.served++
 		}
 		if n%perSecond == 0 {
@@ -97,38 +97,38 @@
 		}
 	}
 	u.measure(t, router.command.Process.Pid)
-	u.connections, u.listed = int64(models.Accepted()), plane.Written()
+	u.connections, u.listBytes = int64(modelServers.Accepted()), discoveryServer.Written()
 	t.Logf("%d servers: %+v", servers, u)
 	return u
 }
 
-// busy is by how much a shared machine may lengthen the few hundred milliseconds of processor time that a run takes. The log tells
+// cpuTolerance is by how much a shared machine may lengthen the few hundred milliseconds of processor time that a run takes. The log tells
 // the plain figures.
-var busy = 2.0
+var cpuTolerance = 2.0
 
 // What a router needs among sixteen times the servers grows no further than the operators allow, over the same traffic.
 func TestGrowthWithTheFleet(t *testing.T) {
 	const few, many = 200, 3200
 	const thousands = many / 1000.0
-	var small, large used
+	var small, large resourceUsage
 	t.Run("runs", func(t *testing.T) {
 		t.Run("few", func(t *testing.T) { t.Parallel(); small = replaceHalf(t, few) })
 		t.Run("many", func(t *testing.T) { t.Parallel(); large = replaceHalf(t, many) })
 	})
 	for _, c := range []struct {
-		what            string
-		of, is, allowed float64
+		quantity                   string
+		withFew, withMany, allowed float64
 	}{
-		{"CPU seconds", small.cpu, large.cpu, busy * (1.4*small.cpu + 0.02 + 0.03*thousands)},
+		{"CPU seconds", small.cpu, large.cpu, cpuTolerance * (1.4*small.cpu + 0.02 + 0.03*thousands)},
 		{"MB of memory", small.memory, large.memory, 1.5*small.memory + 8 + 4*thousands},
 		{"descriptors", float64(small.descriptors), float64(large.descriptors), 2*float64(small.descriptors) + 40},
 		{"connections made", float64(small.connections), float64(large.connections), 2.5*float64(small.connections) + 40},
-		{"KB of lists", float64(small.listed) / 1000, float64(large.listed) / 1000, 2*float64(small.listed)/1000 + 64 + 500*thousands},
-		{"requests not served", float64(small.asked - small.served), float64(large.asked - large.served), float64(large.asked) - 0.85*float64(small.served)},
+		{"KB of lists", float64(small.listBytes) / 1000, float64(large.listBytes) / 1000, 2*float64(small.listBytes)/1000 + 64 + 500*thousands},
+		{"requests not served", float64(small.sent - small.served), float64(large.sent - large.served), float64(large.sent) - 0.85*float64(small.served)},
 	} {
-		t.Logf("%s: %.2f among %d servers, %.2f among %d, allowed %.2f", c.what, c.of, few, c.is, many, c.allowed)
-		if c.is > c.allowed {
-			t.Errorf("too much: %s", c.what)
+		t.Logf("%s: %.2f among %d servers, %.2f among %d, allowed %.2f", c.quantity, c.withFew, few, c.withMany, many, c.allowed)
+		if c.withMany > c.allowed {
+			t.Errorf("too much: %s", c.quantity)
 		}
 	}
 }
--- a/cmd/hollymast/platform_shutdown_test.go
+++ b/cmd/hollymast/platform_shutdown_test.go
@@ -114,10 +114,10 @@
 	return longest
 }
 
-// stopOutcome is what became of the requests of one shutdown.
-type stopOutcome struct {
+// shutdownResult is what became of the requests of one shutdown.
+type shutdownResult struct {
 	sent, served, lost int
-	starved            time.Duration // the longest time that a thread of the router waited for a processor in the last steps
+	longestWait        time.Duration // the longest time that a thread of the router waited for a processor in the last steps
 }
 
 // A shutdown in which a thread of the router waited longer than maxSchedulerWait for a processor shows that the machine is busy, and is
@@ -142,8 +142,8 @@
 				running <- struct{}{}
 				defer func() { <-running }()
 				got := killAfterStop(t, c.deadline, silent)
-				for run := 1; run < maxRuns && got.starved > maxSchedulerWait; run++ {
-					t.Logf("a thread of the router waited %v for a processor: repeated", got.starved)
+				for run := 1; run < maxRuns && got.longestWait > maxSchedulerWait; run++ {
+					t.Logf("a thread of the router waited %v for a processor: repeated", got.longestWait)
 					got = killAfterStop(t, c.deadline, silent)
 				}
 				t.Logf("%+v", got)
@@ -159,7 +159,7 @@
 }
 
 // killAfterStop stops a router with SIGTERM while clients go on sending, and kills it at the earliest time.
-func killAfterStop(t *testing.T, deadline time.Duration, silent bool) (got stopOutcome) {
+func killAfterStop(t *testing.T, deadline time.Duration, silent bool) (got shutdownResult) {
 	const (
 		connections   = 4
 		trafficBefore = 200 * time.Millisecond
@@ -173,8 +173,8 @@
 	)
 	server := platformtest.NewModelServer(t)
 	events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod, Deadline: deadline}.Configuration(plane.Address(), events...))
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
+	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod, Deadline: deadline}.Configuration(discoveryServer.Address(), events...))
 	router.waitReady()
 	if silent {
 		server.Hold()
@@ -213,7 +213,7 @@
 	time.Sleep(time.Until(killAt.Add(-lastSteps)))
 	waits := schedulerWaits(router.command.Process.Pid)
 	time.Sleep(time.Until(killAt))
-	got.starved = longestSchedulerWait(router.command.Process.Pid, waits)
+	got.longestWait = longestSchedulerWait(router.command.Process.Pid, waits)
 	killedAt := time.Now()
 	if err := router.command.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		t.Fatal(err)
--- a/cmd/hollymast/process_test.go
+++ b/cmd/hollymast/process_test.go
@@ -102,16 +102,16 @@
 }
 
 // throttle lets the process run for a part of each period only, as on a share of a core, until end is called.
-func (p *process) throttle(runs, period time.Duration) (end func()) {
+func (p *process) throttle(runTime, period time.Duration) (end func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
 			p.command.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(period - runs)
+			time.Sleep(period - runTime)
 			p.command.Process.Signal(syscall.SIGCONT)
 			select {
-			case <-time.After(runs):
+			case <-time.After(runTime):
 			case <-done:
 				return
 			}
--- a/cmd/hollymast/stall_test.go
+++ b/cmd/hollymast/stall_test.go
@@ -22,8 +22,8 @@
 			t.Parallel()
 			server := platformtest.NewModelServer(t)
 			events := []discovery.Event{platformtest.Event(1, "s-0", server.Address(), "ready")}
-			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
-			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
+			discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
+			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(discoveryServer.Address(), events...))
 			client := router.waitReady()
 			client.Call(1, 1) // loads the function
 			if !client.Answer() {
@@ -66,8 +66,8 @@
 	)
 	server := platformtest.NewModelServer(t)
 	ready := platformtest.Event(1, "s-0", server.Address(), "ready")
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
-	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), ready))
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
+	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(discoveryServer.Address(), ready))
 	first, second := router.waitReady(), platformtest.Dial(t, router.address)
 	first.Call(1, 1)
 	if !first.Answer() {
@@ -107,8 +107,8 @@
 	)
 	server := platformtest.NewModelServer(t)
 	ready := platformtest.Event(1, "s-0", server.Address(), "ready")
-	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
-	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), ready))
+	discoveryServer := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
+	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(discoveryServer.Address(), ready))
 	client := router.waitReady()
 	server.Hold()
 	router.suspend()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -17,15 +17,15 @@
 type Client struct {
 	grace          time.Duration // within which a change of the list must take effect
 	onUpdate       func(fleet.Update)
-	report         func(text string, err error)
+	reportError    func(text string, err error)
 	addressChanged chan struct{} // capacity 1: the address changed
 	backoff        *backoff.Backoff
 
 	startOnce sync.Once
 	started   chan struct{}
-	// urgentUntil bounds the waits after a watch that ended before it was up to date: all that it would have sent
+	// fastReconnectUntil bounds the waits after a watch that ended before it was up to date: all that it would have sent
 	// counts as listed since it was asked for. It belongs to Run.
-	urgentUntil time.Time
+	fastReconnectUntil time.Time
 
 	mu      sync.Mutex
 	address string
@@ -44,7 +44,7 @@
 		address:        address,
 		grace:          grace,
 		onUpdate:       onUpdate,
-		report:         report,
+		reportError:    report,
 		addressChanged: make(chan struct{}, 1),
 		started:        make(chan struct{}),
 		backoff:        backoff.New(seed, minBackoff, maxBackoff),
@@ -105,7 +105,7 @@
 
 // noteComplete records that all that has arrived on a watch was read. The lock is held.
 func (c *Client) noteComplete(w *watch) {
-	if c.state.UpToDate() && len(w.unread) == 0 && !w.skipping {
+	if c.state.UpToDate() && len(w.partialLine) == 0 && !w.skippingLine {
 		c.completeAsOf = w.completeAsOf
 	}
 }
@@ -123,15 +123,15 @@
 		revision, began := c.Revision(), time.Now()
 		w, err := c.open(ctx)
 		if err == nil {
-			if err = c.listen(ctx, w); !c.upToDate() {
-				c.urgentUntil = time.Now().Add(c.grace)
+			if err = c.readWatch(ctx, w); !c.upToDate() {
+				c.fastReconnectUntil = time.Now().Add(c.grace)
 			}
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		c.markStarted()
-		c.report("reconnecting to discovery", err)
+		c.reportError("reconnecting to discovery", err)
 		if errors.Is(err, errAddressChanged) {
 			c.backoff.Reset()
 			c.clearAddressChanged()
@@ -141,7 +141,7 @@
 			c.backoff.Reset()
 		}
 		select {
-		case <-time.After(c.backoff.NextWithin(c.limitWait(maxBackoff))):
+		case <-time.After(c.backoff.NextWithin(c.boundReconnectWait(maxBackoff))):
 		case <-c.addressChanged:
 			c.backoff.Reset()
 		case <-ctx.Done():
@@ -163,10 +163,10 @@
 	return c.state.UpToDate()
 }
 
-// limitWait bounds a wait. While a watch is urgent, a pause and a dial take a quarter of the grace each at most;
+// boundReconnectWait bounds a wait. While a watch is urgent, a pause and a dial take a quarter of the grace each at most;
 // the other half is for the answer and the way to the model server (attempt.MaxEndpointsAge).
-func (c *Client) limitWait(usual time.Duration) time.Duration {
-	if time.Now().Before(c.urgentUntil) {
+func (c *Client) boundReconnectWait(usual time.Duration) time.Duration {
+	if time.Now().Before(c.fastReconnectUntil) {
 		return min(usual, c.grace/4)
 	}
 	return usual
@@ -177,7 +177,7 @@
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
-	dialer := net.Dialer{Timeout: c.limitWait(dialTimeout)}
+	dialer := net.Dialer{Timeout: c.boundReconnectWait(dialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -202,8 +202,8 @@
 	return w, nil
 }
 
-// listen reads a watch until it breaks off, falls silent, leaves out an event, or the address changes.
-func (c *Client) listen(ctx context.Context, w *watch) error {
+// readWatch reads a watch until it breaks off, falls silent, leaves out an event, or the address changes.
+func (c *Client) readWatch(ctx context.Context, w *watch) error {
 	unblock := context.AfterFunc(ctx, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -222,7 +222,7 @@
 			return err
 		}
 		if err != nil {
-			return c.closeOld(w, err)
+			return c.closeEnded(w, err)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 	if err := c.stopReason(ctx, w); err != nil {
 		return err
 	}
-	if err := w.end(w.drain(fd, c)); err != nil {
+	if err := w.markEnded(w.readAvailable(fd, c)); err != nil {
 		return err
 	}
 	c.noteComplete(w)
@@ -299,18 +299,18 @@
 // handleLongLine handles a message that is too long. The lock is held.
 func (c *Client) handleLongLine() (skip bool) { return c.state.HandleLongLine() }
 
-// closeOld closes a watch that has ended, and returns what ended it first.
-func (c *Client) closeOld(w *watch, err error) error {
+// closeEnded closes a watch that has ended, and returns what ended it first.
+func (c *Client) closeEnded(w *watch, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err = w.end(err)
+	err = w.markEnded(err)
 	c.closeWatch(w)
 	return err
 }
 
 // closeWatch closes a watch. The lock is held. Only Run's goroutine calls it, while it isn't reading (CatchUp says why).
 func (c *Client) closeWatch(w *watch) {
-	w.end(net.ErrClosed)
+	w.markEnded(net.ErrClosed)
 	w.conn.Close()
 	if c.watch == w {
 		c.watch = nil
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -69,20 +69,20 @@
 
 // What the server has sent is read by whoever needs the list, whether the client's goroutine has run or not.
 func TestCatchUpReadsPendingEvents(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	w, c := a.subscribe(t, conns, subscriptions)
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	w, c := client.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	fmt.Fprintln(c, event(2, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	before := time.Now()
-	for a.Revision() < 2 { // the second may arrive after the first
-		if asOf := a.CatchUp(); asOf.Before(before) {
+	for client.Revision() < 2 { // the second may arrive after the first
+		if asOf := client.CatchUp(); asOf.Before(before) {
 			t.Fatalf("the list is as of %v before the read", before.Sub(asOf))
 		}
 	}
-	receive(t, "the first list", a.lists)
-	if list := receive(t, "the second list", a.lists); len(list) != 1 || list[0].State != control.Draining {
+	receive(t, "the first list", client.lists)
+	if list := receive(t, "the second list", client.lists); len(list) != 1 || list[0].State != control.Draining {
 		t.Errorf("got %v", list)
 	}
 }
@@ -90,35 +90,35 @@
 // A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the
 // connection.
 func TestPassedDeadlineDoesNotHideEvents(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	w, c := a.subscribe(t, conns, subscriptions)
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	w, c := client.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	w.awaitInput(t)
 	w.conn.SetReadDeadline(time.Now().Add(-time.Second))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- a.listen(ctx, w) }()
-	receive(t, "the list", a.lists)
+	go func() { ended <- client.readWatch(ctx, w) }()
+	receive(t, "the list", client.lists)
 	fmt.Fprintln(c, event(2, "b", "10.0.0.2:1", "ready"))
-	receive(t, "a list on the same connection", a.lists)
+	receive(t, "a list on the same connection", client.lists)
 	stop()
 	<-ended
 }
 
 // What the old address has sent is applied before its connection is closed for the new one.
 func TestAddressChangeReadsOldConnectionFirst(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	w, c := a.subscribe(t, conns, subscriptions)
-	other, otherConns, otherSubscriptions := listen(t)
-	a.SetAddress(other)
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	w, c := client.subscribe(t, conns, subscriptions)
+	other, otherConns, otherSubscriptions := startServer(t)
+	client.SetAddress(other)
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
-	if _, err := a.open(context.Background()); err != nil {
+	if _, err := client.open(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, "the list", a.lists)
+	receive(t, "the list", client.lists)
 	receive(t, "a connection elsewhere", otherConns)
 	if line := receive(t, "a subscription elsewhere", otherSubscriptions); line != "watch 1\n" {
 		t.Errorf("subscribed with %q", line)
@@ -127,17 +127,17 @@
 
 // While the new address can't be reached the old connection goes on being read.
 func TestUnreachableNewAddressKeepsOldConnection(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	w, c := a.subscribe(t, conns, subscriptions)
-	a.SetAddress("127.0.0.1:1")
-	if _, err := a.open(context.Background()); err == nil {
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	w, c := client.subscribe(t, conns, subscriptions)
+	client.SetAddress("127.0.0.1:1")
+	if _, err := client.open(context.Background()); err == nil {
 		t.Fatal("somebody listens on port 1")
 	}
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
-	a.CatchUp()
-	receive(t, "the list", a.lists)
+	client.CatchUp()
+	receive(t, "the list", client.lists)
 }
 
 // A server that was down for long, comes back and breaks off within the first event is subscribed to again within
@@ -152,14 +152,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, up := downServer(t)
+			address, startListening := reserveAddress(t)
 			failures := make(chan error, 100)
 			runClient(t, NewClient(State{}, address, testGrace, 1, func(fleet.Update) {}, func(_ string, err error) { failures <- err }))
-			const untilLongest = 8 // 20 ms, doubled to 1 s
-			for range untilLongest {
+			const failuresUntilMaxBackoff = 8 // 20 ms, doubled to 1 s
+			for range failuresUntilMaxBackoff {
 				receive(t, "a failed dial", failures)
 			}
-			l := up()
+			l := startListening()
 			var subscribed [3]time.Time
 			for i := range subscribed {
 				c, err := l.Accept()
@@ -173,9 +173,9 @@
 				}
 				c.Close()
 			}
-			const slack = 50 * time.Millisecond // of a busy machine
+			const tolerance = 50 * time.Millisecond // of a busy machine
 			for i := range subscribed[1:] {
-				if took := subscribed[i+1].Sub(subscribed[i]); took > testGrace/2+slack {
+				if took := subscribed[i+1].Sub(subscribed[i]); took > testGrace/2+tolerance {
 					t.Errorf("subscribed again after %v", took)
 				}
 			}
@@ -191,32 +191,32 @@
 
 // A start can be relied on once the server's answer to the first subscription was applied.
 func TestStartedAfterFirstAnswer(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	a.grace = time.Hour
-	w, c := a.subscribe(t, conns, subscriptions)
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	client.grace = time.Hour
+	w, c := client.subscribe(t, conns, subscriptions)
 	select {
-	case <-a.Started():
+	case <-client.Started():
 		t.Fatal("started before the answer")
 	default:
 	}
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	w.awaitInput(t)
-	a.CatchUp()
-	receive(t, "the start", a.Started())
-	receive(t, "the list", a.lists)
+	client.CatchUp()
+	receive(t, "the start", client.Started())
+	receive(t, "the list", client.lists)
 }
 
 // A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is
 // read.
 func TestTooLongLineIsSkippedOnRepeat(t *testing.T) {
-	address, conns, subscriptions := listen(t)
+	address, conns, subscriptions := startServer(t)
 	_, lists := startClient(t, address)
 	for range 2 {
 		c := receive(t, "a connection", conns)
 		receive(t, "a subscription", subscriptions)
 		go func() {
-			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*chunk))
+			fmt.Fprintln(c, strings.Repeat("x", maxLine+2*readSize))
 			fmt.Fprintln(c, fullEvent(2, "a", "10.0.0.1:1", "draining"))
 		}()
 	}
@@ -228,13 +228,13 @@
 // The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later
 // read. A server that is gone, and one that has only begun to answer, confirm no later time.
 func TestCompleteAsOfLastCompleteAnswer(t *testing.T) {
-	address, conns, subscriptions := listen(t)
-	a := newManualClient(address)
-	_, c := a.subscribe(t, conns, subscriptions)
+	address, conns, subscriptions := startServer(t)
+	client := newManualClient(address)
+	_, c := client.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	catchUp := func() (before time.Time) {
 		before = time.Now()
-		a.CatchUp()
+		client.CatchUp()
 		return before
 	}
 	catchUpUntil := func(what string, done func() bool) {
@@ -244,35 +244,35 @@
 			}
 		}
 	}
-	catchUpUntil("the event is not read", func() bool { return a.Revision() == 1 })
-	if !a.CompleteAsOf().IsZero() {
+	catchUpUntil("the event is not read", func() bool { return client.Revision() == 1 })
+	if !client.CompleteAsOf().IsZero() {
 		t.Error("complete before a heartbeat")
 	}
 	fmt.Fprintln(c, 1)
-	catchUpUntil("not complete after a heartbeat", func() bool { return !a.CompleteAsOf().IsZero() })
-	if before := catchUp(); a.CompleteAsOf().Before(before) {
+	catchUpUntil("not complete after a heartbeat", func() bool { return !client.CompleteAsOf().IsZero() })
+	if before := catchUp(); client.CompleteAsOf().Before(before) {
 		t.Error("not complete as of the last read")
 	}
 	fmt.Fprint(c, `{"rev":2`) // an incomplete event
-	a.watch.awaitInput(t)
-	if before := catchUp(); !a.CompleteAsOf().Before(before) {
+	client.watch.awaitInput(t)
+	if before := catchUp(); !client.CompleteAsOf().Before(before) {
 		t.Error("complete with an incomplete event")
 	}
 	c.Close()
-	catchUpUntil("the end is not read", func() bool { return a.watch.ended != nil })
-	complete := a.CompleteAsOf()
-	_, c = a.subscribe(t, conns, subscriptions)
+	catchUpUntil("the end is not read", func() bool { return client.watch.endErr != nil })
+	complete := client.CompleteAsOf()
+	_, c = client.subscribe(t, conns, subscriptions)
 	fmt.Fprintln(c, event(2, "b", "10.0.0.2:1", "ready"))
-	catchUpUntil("the next event is not read", func() bool { return a.Revision() == 2 })
-	if !a.CompleteAsOf().Equal(complete) {
-		t.Errorf("complete as of %v later, with no complete answer since", a.CompleteAsOf().Sub(complete))
+	catchUpUntil("the next event is not read", func() bool { return client.Revision() == 2 })
+	if !client.CompleteAsOf().Equal(complete) {
+		t.Errorf("complete as of %v later, with no complete answer since", client.CompleteAsOf().Sub(complete))
 	}
 }
 
 // A connection may end while the client's goroutine is about to read it too: CatchUp must return then. A close waits for
 // readers of the descriptor, and that reader waits for the client's lock, which CatchUp holds.
 func TestCatchUpReturnsWhileReaderWaits(t *testing.T) {
-	address, conns, subscriptions := listen(t)
+	address, conns, subscriptions := startServer(t)
 	c, lists := startClient(t, address)
 	receive(t, "a subscription", subscriptions)
 	server := receive(t, "a connection", conns)
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -57,8 +57,8 @@
 	upToDate   bool         // since then a heartbeat has confirmed that no event is missing
 	// retried is set if what follows revision could not be used and was requested once more. It guards against a
 	// loop over events that stay unusable, behind which a drain would never be read.
-	retried   bool
-	retriedAt uint64 // revision at that time
+	retried         bool
+	retriedRevision uint64 // revision at that time
 }
 
 // Revision returns the number of the last event that was applied.
@@ -70,17 +70,17 @@
 // UpToDate reports whether a heartbeat has confirmed, since the last subscription, that no event is missing.
 func (s *State) UpToDate() bool { return s.upToDate }
 
-// retryOnce records that what follows revision can't be used; again is true if it could not be used the last
+// recordRetry records that what follows revision can't be used; again is true if it could not be used the last
 // time either.
-func (s *State) retryOnce() (again bool) {
-	again = s.retried && s.retriedAt == s.revision
-	s.retried, s.retriedAt = true, s.revision
-	return again
+func (s *State) recordRetry() (alreadyRetried bool) {
+	alreadyRetried = s.retried && s.retriedRevision == s.revision
+	s.retried, s.retriedRevision = true, s.revision
+	return alreadyRetried
 }
 
 // HandleLongLine handles a line that is too long for an event. Skip is true if that happened the last time too:
 // then the line is skipped, and what follows it is used.
-func (s *State) HandleLongLine() (skip bool) { return s.retryOnce() }
+func (s *State) HandleLongLine() (skip bool) { return s.recordRetry() }
 
 // Effect is what a line calls for.
 type Effect uint8
@@ -103,7 +103,7 @@
 	if line[0] != '{' {
 		n, err := strconv.ParseUint(string(line), 10, 64)
 		if err != nil {
-			return s.unusable(fmt.Errorf("discovery: %q is no number", line[:min(len(line), 40)]))
+			return s.errorOnce(fmt.Errorf("discovery: %q is no number", line[:min(len(line), 40)]))
 		}
 		if n > s.revision {
 			return Resubscribe, nil
@@ -115,14 +115,14 @@
 	}
 	var e Event
 	if err := json.Unmarshal(line, &e); err != nil {
-		return s.unusable(fmt.Errorf("discovery: %w", err))
+		return s.errorOnce(fmt.Errorf("discovery: %w", err))
 	}
 	return s.Apply(e)
 }
 
-// unusable returns err the first time that what follows revision can't be used, and nil from then on.
-func (s *State) unusable(err error) (Effect, error) {
-	if s.retryOnce() {
+// errorOnce returns err the first time that what follows revision can't be used, and nil from then on.
+func (s *State) errorOnce(err error) (Effect, error) {
+	if s.recordRetry() {
 		return None, nil
 	}
 	return None, err
@@ -134,12 +134,12 @@
 	if e.Revision <= s.revision {
 		return None, nil
 	}
-	if e.Revision > s.revision+1 && s.revision > 0 && (!s.subscribed || !s.retryOnce()) {
+	if e.Revision > s.revision+1 && s.revision > 0 && (!s.subscribed || !s.recordRetry()) {
 		return Resubscribe, nil
 	}
 	if e.Update != nil {
-		if err := e.Update.check(); err != nil {
-			effect, err := s.unusable(err)
+		if err := e.Update.validate(); err != nil {
+			effect, err := s.errorOnce(err)
 			if err == nil {
 				s.revision, s.subscribed = e.Revision, false
 			}
@@ -176,11 +176,11 @@
 	if full {
 		return fleet.Update{Full: true, Endpoints: s.Endpoints()}
 	}
-	return fleet.Update{Endpoints: s.changed(before)}
+	return fleet.Update{Endpoints: s.changedSince(before)}
 }
 
-// changed returns the servers that differ from before, by name.
-func (s *State) changed(before map[string]fleet.Endpoint) []fleet.Endpoint {
+// changedSince returns the servers that differ from before, by name.
+func (s *State) changedSince(before map[string]fleet.Endpoint) []fleet.Endpoint {
 	changed := make([]fleet.Endpoint, 0, len(before))
 	for uid, old := range before {
 		current, listed := s.servers[uid]
@@ -193,12 +193,12 @@
 		}
 		changed = append(changed, current)
 	}
-	slices.SortFunc(changed, byName)
+	slices.SortFunc(changed, compareByName)
 	return changed
 }
 
-// check returns an error if any part of the update can't be used: then none of it is.
-func (u *UpdateMessage) check() error {
+// validate returns an error if any part of the update can't be used: then none of it is.
+func (u *UpdateMessage) validate() error {
 	for _, t := range u.Endpoints {
 		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Address == "" {
 			return fmt.Errorf("discovery: server %q at %q in state %q", t.UID, t.Address, t.State)
@@ -234,7 +234,7 @@
 
 // Endpoints returns the servers by name.
 func (s *State) Endpoints() []fleet.Endpoint {
-	return slices.SortedFunc(maps.Values(s.servers), byName)
+	return slices.SortedFunc(maps.Values(s.servers), compareByName)
 }
 
-func byName(a, b fleet.Endpoint) int { return cmp.Compare(a.Name, b.Name) }
+func compareByName(a, b fleet.Endpoint) int { return cmp.Compare(a.Name, b.Name) }
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// listen listens as a discovery server and sends each connection and its subscription to the channels.
-func listen(t *testing.T) (string, chan net.Conn, chan string) {
+// startServer listens as a discovery server and sends each connection and its subscription to the channels.
+func startServer(t *testing.T) (string, chan net.Conn, chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,7 +106,7 @@
 			delete(list, e.Name)
 		}
 	}
-	return slices.SortedFunc(maps.Values(list), byName)
+	return slices.SortedFunc(maps.Values(list), compareByName)
 }
 
 // startClient runs a client until the test ends, and returns its lists.
@@ -126,9 +126,9 @@
 	t.Cleanup(func() { stop(); <-ended })
 }
 
-// downServer returns an address that refuses connections, which no other program can get, and a function that starts
+// reserveAddress returns an address that refuses connections, which no other program can get, and a function that starts
 // to listen on it.
-func downServer(t *testing.T) (address string, up func() net.Listener) {
+func reserveAddress(t *testing.T) (address string, startListening func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -169,7 +169,7 @@
 }
 
 func TestClientResubscribesAfterBreakWithinEvent(t *testing.T) {
-	address, conns, subscriptions := listen(t)
+	address, conns, subscriptions := startServer(t)
 	_, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
 	receive(t, "a subscription", subscriptions)
@@ -187,7 +187,7 @@
 }
 
 func TestClientReconnectsAfterSilence(t *testing.T) {
-	address, conns, subscriptions := listen(t)
+	address, conns, subscriptions := startServer(t)
 	startClient(t, address)
 	receive(t, "a connection", conns) // and nothing is sent on it
 	receive(t, "a subscription", subscriptions)
@@ -195,13 +195,13 @@
 }
 
 func TestClientChangesAddress(t *testing.T) {
-	address, conns, subscriptions := listen(t)
+	address, conns, subscriptions := startServer(t)
 	client, lists := startClient(t, address)
 	c := receive(t, "a connection", conns)
 	receive(t, "a subscription", subscriptions)
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "ready"))
 	receive(t, "the first list", lists)
-	other, conns, subscriptions := listen(t)
+	other, conns, subscriptions := startServer(t)
 	client.SetAddress(other)
 	c = receive(t, "a connection elsewhere", conns)
 	if line := receive(t, "a subscription elsewhere", subscriptions); line != "watch 1\n" {
@@ -305,16 +305,16 @@
 
 // Events after a gap in a configuration are not applied: they are requested.
 func TestRestoreStopsAtGap(t *testing.T) {
-	text := func(line string) (e Event) {
+	parseEvent := func(line string) (e Event) {
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
 			t.Fatal(err)
 		}
 		return e
 	}
 	s := &State{}
-	history := History{Revision: 5, Events: []Event{text(fullEvent(1, "a", "10.0.0.1:1", "ready")),
-		text(event(2, "b", "10.0.0.2:1", "ready")),
-		text(event(4, "c", "10.0.0.3:1", "ready"))}}
+	history := History{Revision: 5, Events: []Event{parseEvent(fullEvent(1, "a", "10.0.0.1:1", "ready")),
+		parseEvent(event(2, "b", "10.0.0.2:1", "ready")),
+		parseEvent(event(4, "c", "10.0.0.3:1", "ready"))}}
 	if err := s.Restore(history); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,22 +15,22 @@
 type watch struct {
 	conn         net.Conn
 	raw          syscall.RawConn
-	unread       []byte // read from the connection, but no complete line yet
+	partialLine  []byte // read from the connection, but no complete line yet
 	address      string
 	lastLine     time.Time // when a line was complete, or the subscription was sent
-	skipping     bool      // to the end of a line that is too long
+	skippingLine bool      // to the end of a line that is too long
 	completeAsOf time.Time // as of when all that had arrived was read
-	ended        error     // why nothing more is read
+	endErr       error     // why nothing more is read
 }
 
 const (
 	// maxLine is an event with a few thousand servers. A longer line is no event.
 	maxLine = 4 << 20
-	// chunk is how much is read at a time: several events about one server.
-	chunk = 8 << 10
-	// maxAtOnce bounds how much is read without a pause, so that a server that never stops writing does not block
+	// readSize is how much is read at a time: several events about one server.
+	readSize = 8 << 10
+	// maxReadPerCall bounds how much is read without a pause, so that a server that never stops writing does not block
 	// a step of the event loop for long.
-	maxAtOnce = maxLine
+	maxReadPerCall = maxLine
 )
 
 // maxInterruptions bounds how often a read that a signal interrupts is repeated at once: signals come a few a
@@ -47,8 +47,8 @@
 	errAddressChanged = errors.New("address changed")
 )
 
-// events handles what a watch reads.
-type events interface {
+// lineHandler handles what a watch reads.
+type lineHandler interface {
 	handleLine(line []byte) error
 	handleLongLine() (skip bool)
 }
@@ -74,33 +74,33 @@
 // readAll reads all that has arrived and passes on each complete line, until there is nothing more or the
 // connection ends. It reads the descriptor itself: a deadline that passed while the process was stalled must not
 // hide what has arrived.
-func (w *watch) readAll(to events) error {
+func (w *watch) readAll(handler lineHandler) error {
 	var err error
-	if e := w.raw.Control(func(fd uintptr) { err = w.drain(fd, to) }); e != nil {
+	if e := w.raw.Control(func(fd uintptr) { err = w.readAvailable(fd, handler) }); e != nil {
 		err = e
 	}
-	return w.end(err)
+	return w.markEnded(err)
 }
 
-// end records why the watch ended, the first time, and returns it.
-func (w *watch) end(err error) error {
-	if w.ended == nil && err != nil {
-		w.ended = err
+// markEnded records why the watch ended, the first time, and returns it.
+func (w *watch) markEnded(err error) error {
+	if w.endErr == nil && err != nil {
+		w.endErr = err
 		w.conn.SetReadDeadline(time.Now()) // wakes the goroutine that waits for it
 	}
-	return w.ended
+	return w.endErr
 }
 
-// drain reads from the descriptor until it would block, maxAtOnce bytes were read, or the watch ends.
-func (w *watch) drain(fd uintptr, to events) error {
-	if w.ended != nil {
-		return w.ended
+// readAvailable reads from the descriptor until it would block, maxAtOnce bytes were read, or the watch ends.
+func (w *watch) readAvailable(fd uintptr, handler lineHandler) error {
+	if w.endErr != nil {
+		return w.endErr
 	}
 	began := time.Now()
-	var part [chunk]byte
+	var buf [readSize]byte
 	interrupted := 0
-	for total := 0; total < maxAtOnce; {
-		n, err := read(int(fd), part[:])
+	for total := 0; total < maxReadPerCall; {
+		n, err := read(int(fd), buf[:])
 		switch {
 		case errors.Is(err, syscall.EINTR) && interrupted < maxInterruptions:
 			interrupted++
@@ -114,54 +114,54 @@
 			return io.EOF // an incomplete line is not used
 		}
 		total += n
-		if err := w.lines(part[:n], to); err != nil {
+		if err := w.handleLines(buf[:n], handler); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// lines passes on the lines that are complete with what was read.
-func (w *watch) lines(read []byte, to events) error {
-	w.unread = append(w.unread, read...)
+// handleLines passes on the lines that are complete with what was read.
+func (w *watch) handleLines(data []byte, handler lineHandler) error {
+	w.partialLine = append(w.partialLine, data...)
 	for {
-		end := bytes.IndexByte(w.unread, '\n')
+		end := bytes.IndexByte(w.partialLine, '\n')
 		if end < 0 {
 			break
 		}
-		line := w.unread[:end]
-		w.unread = w.unread[end+1:]
+		line := w.partialLine[:end]
+		w.partialLine = w.partialLine[end+1:]
 		w.lastLine = time.Now()
-		if w.skipping {
-			w.skipping = false
+		if w.skippingLine {
+			w.skippingLine = false
 			continue
 		}
-		if err := to.handleLine(line); err != nil {
+		if err := handler.handleLine(line); err != nil {
 			return err
 		}
 	}
-	if w.skipping || len(w.unread) == 0 {
-		w.unread = nil
+	if w.skippingLine || len(w.partialLine) == 0 {
+		w.partialLine = nil
 	}
-	if len(w.unread) <= maxLine {
+	if len(w.partialLine) <= maxLine {
 		return nil
 	}
-	if !to.handleLongLine() {
+	if !handler.handleLongLine() {
 		return errLineTooLong
 	}
-	w.skipping, w.unread = true, nil
+	w.skippingLine, w.partialLine = true, nil
 	return nil
 }
 
 // wait calls read whenever something has arrived, until read returns an error or the deadline passes.
 func (w *watch) wait(read func(fd uintptr) error) error {
-	var ended error
+	var endErr error
 	err := w.raw.Read(func(fd uintptr) bool {
-		ended = read(fd)
-		return ended != nil
+		endErr = read(fd)
+		return endErr != nil
 	})
-	if ended != nil {
-		return ended
+	if endErr != nil {
+		return endErr
 	}
 	return err
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,7 +19,7 @@
 			return -1, syscall.EAGAIN
 		}
 		w := &watch{}
-		err := w.drain(0, nil)
+		err := w.readAvailable(0, nil)
 		ok := times <= maxInterruptions
 		if (err == nil) != ok || !ok && !errors.Is(err, syscall.EINTR) || w.completeAsOf.IsZero() == ok ||
 			calls > maxInterruptions+1 {
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -51,15 +51,15 @@
 	if err != nil {
 		return ServerReport{Address: address, Problem: "no connection: " + err.Error()}
 	}
-	p := &prober{address: address, options: options, conn: conn, finding: ServerReport{Address: address}}
+	p := &prober{address: address, options: options, conn: conn, report: ServerReport{Address: address}}
 	defer func() { p.conn.Close() }()
-	p.askReady(ctx)
-	p.finding.Duration = since(started)
-	p.askIndex(ctx)
+	p.checkReadiness(ctx)
+	p.report.Duration = microsSince(started)
+	p.fetchIndex(ctx)
 	if options.Model != "" {
-		p.finding.Request = p.infer()
+		p.report.Request = p.infer()
 	}
-	return p.finding
+	return p.report
 }
 
 // prober probes one server over one connection, or a new one after an exchange that broke.
@@ -67,28 +67,28 @@
 	address string
 	options Options
 	conn    *rest.Client
-	finding ServerReport
+	report  ServerReport
 }
 
-func (p *prober) askReady(ctx context.Context) {
+func (p *prober) checkReadiness(ctx context.Context) {
 	response := p.call(ctx, kserve.ServerReady, http.MethodGet)
 	if response == nil {
 		return
 	}
-	p.finding.Ready = response.Status == http.StatusOK
-	if !p.finding.Ready {
-		p.finding.Problem = fmt.Sprintf("status %d", response.Status)
+	p.report.Ready = response.Status == http.StatusOK
+	if !p.report.Ready {
+		p.report.Problem = fmt.Sprintf("status %d", response.Status)
 	}
 }
 
-func (p *prober) askIndex(ctx context.Context) {
+func (p *prober) fetchIndex(ctx context.Context) {
 	response := p.call(ctx, kserve.RepositoryIndex, http.MethodPost)
 	if response == nil || response.Status != http.StatusOK {
 		return
 	}
 	var err error
-	if p.finding.Models, err = kserve.ParseIndex(response.Body); err != nil {
-		p.finding.Problem = "its index can't be read: " + err.Error()
+	if p.report.Models, err = kserve.ParseIndex(response.Body); err != nil {
+		p.report.Problem = "its index can't be read: " + err.Error()
 	}
 }
 
@@ -97,7 +97,7 @@
 	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Operation: kind}.Target(), Header: rest.Header{"Host": {p.address}}})
 	if err != nil {
 		problem := gateway.ResultName(gateway.BrokenExchangeResult(progress, err)) + ": " + err.Error()
-		p.finding.Problem = strings.TrimPrefix(p.finding.Problem+"; ", "; ") + problem
+		p.report.Problem = strings.TrimPrefix(p.report.Problem+"; ", "; ") + problem
 		p.conn.Close()
 		if conn, err := rest.Dial(ctx, p.address, &rest.DefaultLimits); err == nil {
 			p.conn = conn
@@ -105,7 +105,7 @@
 		return nil
 	}
 	if outcome := gateway.OutcomeOf(response); outcome.Report != nil {
-		p.finding.Load = outcome.Report
+		p.report.Load = outcome.Report
 	}
 	return response
 }
@@ -119,7 +119,7 @@
 	started := time.Now()
 	response, progress, err := p.exchange(&rest.Request{Method: http.MethodPost, Target: kserve.Call{Operation: kserve.Infer, Model: p.options.Model}.Target(),
 		Header: rest.Header{"Host": {p.address}, "Content-Type": {"application/json"}}, Body: p.options.Body})
-	run := &RequestReport{Duration: since(started)}
+	run := &RequestReport{Duration: microsSince(started)}
 	var result control.Result
 	if err != nil {
 		result, run.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
@@ -131,4 +131,6 @@
 	return run
 }
 
-func since(start time.Time) control.Micros { return control.Micros(time.Since(start).Microseconds()) }
+func microsSince(start time.Time) control.Micros {
+	return control.Micros(time.Since(start).Microseconds())
+}
--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -30,13 +30,13 @@
 }
 
 func (r *RequestReport) text() string {
-	effect := "it did not run"
+	execution := "it did not run"
 	if r.MayHaveRun {
-		effect = "it may have run"
+		execution = "it may have run"
 	}
 	message := ""
 	if r.Message != "" {
 		message = " (" + r.Message + ")"
 	}
-	return fmt.Sprintf("  job: status %d after %d us; a router takes this as %s: %s%s\n", r.Status, r.Duration, r.Result, effect, message)
+	return fmt.Sprintf("  job: status %d after %d us; a router takes this as %s: %s%s\n", r.Status, r.Duration, r.Result, execution, message)
 }
--- a/internal/rest/body.go
+++ b/internal/rest/body.go
@@ -35,8 +35,8 @@
 }
 
 // parseNumber parses at most so many digits, with no sign or space.
-func parseNumber(s string, base, most int) (int, error) {
-	if len(s) == 0 || len(s) > most {
+func parseNumber(s string, base, maxDigits int) (int, error) {
+	if len(s) == 0 || len(s) > maxDigits {
 		return 0, messageError(400, "a length of %d digits", len(s))
 	}
 	for _, c := range []byte(s) {
@@ -85,7 +85,7 @@
 
 // readChunks reads a body in chunks, with its trailer.
 func readChunks(r *bufio.Reader, l *Limits, reserve Reserve) ([]byte, error) {
-	var whole []byte
+	var body []byte
 	for {
 		size, err := readChunkSize(r, l)
 		if err != nil {
@@ -94,16 +94,16 @@
 		if size == 0 {
 			break
 		}
-		if size > l.MaxBody-len(whole) {
+		if size > l.MaxBody-len(body) {
 			return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		if reserve != nil && !reserve(size) {
 			return nil, messageError(503, "no room for %d bytes more now", size)
 		}
-		begin := len(whole)
-		whole = append(whole, make([]byte, size)...)
+		start := len(body)
+		body = append(body, make([]byte, size)...)
 		var end [2]byte
-		if _, err = io.ReadFull(r, whole[begin:]); err == nil {
+		if _, err = io.ReadFull(r, body[start:]); err == nil {
 			_, err = io.ReadFull(r, end[:])
 		}
 		if err == io.EOF {
@@ -123,7 +123,7 @@
 	if trailer["Content-Length"] != nil || trailer["Transfer-Encoding"] != nil {
 		return nil, messageError(400, "framing in a trailer")
 	}
-	return whole, nil
+	return body, nil
 }
 
 // readChunkSize reads the line before a chunk. Extensions are ignored.
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -91,7 +91,7 @@
 	if c.reader.Buffered() > 0 || checkPeer(c.conn) != nil {
 		return true
 	}
-	if isQuiet(socketOf(c.conn)) {
+	if isIdle(socketOf(c.conn)) {
 		return false
 	}
 	if !isTLS(c.conn) {
--- a/internal/rest/connclose_test.go
+++ b/internal/rest/connclose_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	waitUntil(t, "bytes arrive", func() bool {
 		arrived := 0
-		ok := control(s.conn, func(fd int) { arrived, _ = unix.IoctlGetInt(fd, unix.TIOCINQ) })
+		ok := withDescriptor(s.conn, func(fd int) { arrived, _ = unix.IoctlGetInt(fd, unix.TIOCINQ) })
 		return ok && arrived >= n
 	})
 }
@@ -25,13 +25,13 @@
 // A deadline that passed while the process was stalled does not hide what had arrived: that is read first.
 func TestPendingBytesAreReadAtDeadline(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*readBuffer)
-	for name, passed := range map[string]func(*Limits){
+	for name, setTimeout := range map[string]func(*Limits){
 		"idle":   func(l *Limits) { l.IdleTimeout = time.Nanosecond },
 		"header": func(l *Limits) { l.HeaderTimeout = time.Nanosecond },
 		"body":   func(l *Limits) { l.BodyTimeout = time.Nanosecond },
 	} {
 		l := DefaultLimits
-		passed(&l)
+		setTimeout(&l)
 		s, conn := testConn(t, l)
 		head := requestHead + "Long: " + string(long[:5000]) + "\r\nContent-Length: 6144\r\n\r\n"
 		io.WriteString(conn, head)
@@ -111,7 +111,7 @@
 	}
 	defer func() { recvfrom = syscall.Recvfrom }()
 	for times = range 10 {
-		if calls = 0; s.HasPendingInput() != (times < maxInterrupted) || calls > maxInterrupted {
+		if calls = 0; s.HasPendingInput() != (times < maxInterruptedCalls) || calls > maxInterruptedCalls {
 			t.Errorf("interrupted %d times: %d calls", times, calls)
 		}
 	}
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -14,18 +14,18 @@
 
 // readLine reads one line that ends in CRLF, without that. The bytes are valid until the next read. A longer line is a
 // *MessageError with the given status.
-func readLine(r *bufio.Reader, most int, status int) ([]byte, error) {
+func readLine(r *bufio.Reader, maxBytes int, status int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		whole := append([]byte(nil), b...)
-		for errors.Is(err, bufio.ErrBufferFull) && len(whole) <= most {
+		line := append([]byte(nil), b...)
+		for errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxBytes {
 			b, err = r.ReadSlice('\n')
-			whole = append(whole, b...)
+			line = append(line, b...)
 		}
-		b = whole
+		b = line
 	}
-	if len(b) > most {
-		return nil, messageError(status, "a line of more than %d bytes", most)
+	if len(b) > maxBytes {
+		return nil, messageError(status, "a line of more than %d bytes", maxBytes)
 	}
 	if err != nil {
 		if err == io.EOF && len(b) > 0 {
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -206,7 +206,7 @@
 	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
 	_, err := writeMessage(c.conn, &c.writeBuffer, body)
 	if err == nil && resp.Close {
-		c.drain()
+		c.lingeringClose()
 	}
 	return err
 }
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -13,19 +13,19 @@
 
 // sinceLastData returns how long ago the last bytes arrived, to a millisecond; 0 if that is not known.
 func sinceLastData(conn net.Conn) time.Duration {
-	ago := time.Duration(0)
-	control(conn, func(fd int) {
+	elapsed := time.Duration(0)
+	withDescriptor(conn, func(fd int) {
 		if i, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			ago = time.Duration(i.Last_data_recv) * time.Millisecond
+			elapsed = time.Duration(i.Last_data_recv) * time.Millisecond
 		}
 	})
-	return ago
+	return elapsed
 }
 
 // peerClosed reports whether the peer has closed its side of a connection, or reset it, also behind unread bytes.
 func peerClosed(conn net.Conn) bool {
 	state := 0
-	ok := control(conn, func(fd int) {
+	ok := withDescriptor(conn, func(fd int) {
 		if v, err := unix.GetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			state = v & 0xff // the first field
 		}
@@ -34,8 +34,8 @@
 	return ok && state != 0 && state != established
 }
 
-// control calls f with a connection's descriptor; ok is false if it has none, or is closed.
-func control(conn net.Conn, f func(fd int)) (ok bool) {
+// withDescriptor calls f with a connection's descriptor; ok is false if it has none, or is closed.
+func withDescriptor(conn net.Conn, f func(fd int)) (ok bool) {
 	socket, isSocket := conn.(syscall.Conn)
 	if !isSocket {
 		return false
@@ -70,14 +70,14 @@
 	CheckPeer() error
 }
 
-// isQuiet reports whether a connection is open on both sides and has nothing to read.
-func isQuiet(conn net.Conn) bool {
+// isIdle reports whether a connection is open on both sides and has nothing to read.
+func isIdle(conn net.Conn) bool {
 	e, ok := peekSocket(conn)
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
-// maxInterrupted is how often a system call that a signal interrupts is made: signals come a few per second at most.
-const maxInterrupted = 8
+// maxInterruptedCalls is how often a system call that a signal interrupts is made: signals come a few per second at most.
+const maxInterruptedCalls = 8
 
 var recvfrom = syscall.Recvfrom // tests replace it
 
@@ -95,10 +95,10 @@
 	n := 0
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		for range maxInterrupted {
-			var got error
-			n, _, got = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if errno, _ = got.(syscall.Errno); errno != syscall.EINTR {
+		for range maxInterruptedCalls {
+			var callErr error
+			n, _, callErr = recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			if errno, _ = callErr.(syscall.Errno); errno != syscall.EINTR {
 				break
 			}
 		}
--- a/internal/rest/write.go
+++ b/internal/rest/write.go
@@ -74,16 +74,16 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 const (
-	// maxCopied is the longest body that is copied behind its header: cheaper than a vectored write.
-	maxCopied = 16 << 10
+	// maxCopiedBody is the longest body that is copied behind its header: cheaper than a vectored write.
+	maxCopiedBody = 16 << 10
 	// maxWriteBuffer is the largest buffer that is kept for the next message.
-	maxWriteBuffer = 4 * maxCopied
+	maxWriteBuffer = 4 * maxCopiedBody
 )
 
 // writeMessage writes a header block and a body, and returns how many bytes were written. The block's buffer is used again
 // for the next message, unless it has grown large.
 func writeMessage(conn net.Conn, head *[]byte, body []byte) (int64, error) {
-	if len(body) <= maxCopied {
+	if len(body) <= maxCopiedBody {
 		*head = append(*head, body...)
 		n, err := conn.Write(*head)
 		if cap(*head) > maxWriteBuffer {
--- a/kserve/infer.go
+++ b/kserve/infer.go
@@ -22,41 +22,41 @@
 // ParseInferRequest reads the parts of an inference request that matter to a router. The error says what is malformed; its text may
 // be shown to the client.
 func ParseInferRequest(h textproto.MIMEHeader, body []byte) (InferRequest, error) {
-	var a InferRequest
+	var req InferRequest
 	head, err := jsonPart(h, body)
 	if err != nil {
-		return a, err
+		return req, err
 	}
-	fields, err := members(head)
+	fields, err := parseMembers(head)
 	if err != nil {
-		return a, err
+		return req, err
 	}
 	if id := fields["id"]; id.Exists() && id.Type != gjson.String {
-		return a, errors.New("id is no string")
+		return req, errors.New("id is no string")
 	}
-	a.ID = fields["id"].Str
+	req.ID = fields["id"].Str
 	if !fields["inputs"].IsArray() {
-		return a, errors.New("inputs is no array")
+		return req, errors.New("inputs is no array")
 	}
-	if a.Timeout, err = readTimeout(h, fields["parameters"]); err != nil {
-		return a, err
+	if req.Timeout, err = parseTimeout(h, fields["parameters"]); err != nil {
+		return req, err
 	}
 	if v := h.Get(AttemptHeader); v != "" {
 		n, err := strconv.ParseInt(v, 10, 32)
 		if err != nil || n < 1 {
-			return a, fmt.Errorf("%s is no number of a try", AttemptHeader)
+			return req, fmt.Errorf("%s is no number of a try", AttemptHeader)
 		}
-		a.IsRetry, a.HasAttemptCount = n > 1, true
+		req.IsRetry, req.HasAttemptCount = n > 1, true
 	}
-	a.IdempotencyKey = h.Get(IdempotencyKeyHeader)
-	return a, nil
+	req.IdempotencyKey = h.Get(IdempotencyKeyHeader)
+	return req, nil
 }
 
 // maxTimeout, in microseconds, is far beyond any deadline, and exact as a JSON number.
 const maxTimeout = 1e12
 
-// readTimeout returns the shorter one of the parameter timeout and Envoy's header, in microseconds; 0: neither is given.
-func readTimeout(h textproto.MIMEHeader, parameters gjson.Result) (timeout int64, err error) {
+// parseTimeout returns the shorter one of the parameter timeout and Envoy's header, in microseconds; 0: neither is given.
+func parseTimeout(h textproto.MIMEHeader, parameters gjson.Result) (timeout int64, err error) {
 	if t := parameters.Get("timeout"); t.Exists() {
 		if t.Type != gjson.Number || t.Num < 1 || t.Num > maxTimeout || t.Num != float64(int64(t.Num)) {
 			return 0, errors.New("the parameter timeout is no count of microseconds")
@@ -75,25 +75,25 @@
 	return timeout, nil
 }
 
-// members walks once over the request's object. Tensors are skipped: whether they are well formed is for the server to say. A
+// parseMembers walks once over the request's object. Tensors are skipped: whether they are well formed is for the server to say. A
 // member that occurs twice is rejected: the server might take the other one.
-func members(head []byte) (map[string]gjson.Result, error) {
+func parseMembers(head []byte) (map[string]gjson.Result, error) {
 	trimmed := bytes.TrimSpace(head)
 	if len(trimmed) < 2 || trimmed[0] != '{' || trimmed[len(trimmed)-1] != '}' {
 		return nil, errors.New("the request is no JSON object")
 	}
 	fields := map[string]gjson.Result{}
-	twice := false
+	duplicate := false
 	gjson.ParseBytes(trimmed).ForEach(func(key, value gjson.Result) bool {
 		switch key.Str {
 		case "id", "parameters", "inputs":
 			_, known := fields[key.Str]
-			twice = twice || known
+			duplicate = duplicate || known
 			fields[key.Str] = value
 		}
 		return true
 	})
-	if twice {
+	if duplicate {
 		return nil, errors.New("id, parameters or inputs stands twice")
 	}
 	return fields, nil
--- a/kserve/target.go
+++ b/kserve/target.go
@@ -36,8 +36,8 @@
 	ErrMethodNotAllowed = errors.New("the method does not fit the call") // but the path is one
 )
 
-// maxName bounds a model's name or version, in bytes: file systems end at about as many.
-const maxName = 256
+// maxNameLength bounds a model's name or version, in bytes: file systems end at about as many.
+const maxNameLength = 256
 
 // ParseTarget reads a request's method and target; a query is ignored. It returns ErrNoSuchCall, or ErrMethod with the call.
 func ParseTarget(method, target string) (Call, error) {
@@ -65,7 +65,7 @@
 	case len(parts) == 4 && parts[0] == "repository" && parts[1] == "models" && parts[3] == "unload":
 		return requirePost(method, Call{Operation: RepositoryUnload, Model: parts[2]})
 	case len(parts) >= 2 && parts[0] == "models":
-		return readModelTarget(method, parts[1], parts[2:])
+		return parseModelTarget(method, parts[1], parts[2:])
 	}
 	return Call{}, ErrUnknownPath
 }
@@ -76,7 +76,7 @@
 	parts = strings.Split(path, "/")
 	for i, part := range parts {
 		name, err := url.PathUnescape(part)
-		if err != nil || name == "" || len(name) > maxName || strings.ContainsAny(name, "\r\n\x00") {
+		if err != nil || name == "" || len(name) > maxNameLength || strings.ContainsAny(name, "\r\n\x00") {
 			return nil, false
 		}
 		parts[i] = name
@@ -84,8 +84,8 @@
 	return parts, true
 }
 
-// readModelTarget reads what follows a model's name.
-func readModelTarget(method, model string, tail []string) (Call, error) {
+// parseModelTarget reads what follows a model's name.
+func parseModelTarget(method, model string, tail []string) (Call, error) {
 	c := Call{Operation: ModelMetadata, Model: model}
 	if len(tail) >= 2 && tail[0] == "versions" {
 		c.Version, tail = tail[1], tail[2:]
