--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,31 +12,31 @@
 	"hollymast/internal/fleet"
 )
 
-// Client keeps a State up to date with a discovery server. Its goroutine (Run) dials and waits; what has arrived
-// is read by it or by whoever needs the endpoint list now (CatchUp), under one lock.
+// Client keeps a State in sync with a discovery server. Run dials the server and waits for events. Received bytes
+// are read either by Run or by a caller of CatchUp that needs the current endpoint list; one lock covers both.
 type Client struct {
-	grace          time.Duration // within which a change of the list must take effect
+	grace          time.Duration // time within which a change of the endpoint list must take effect
 	onUpdate       func(fleet.Update)
 	reportError    func(text string, err error)
-	addressChanged chan struct{} // capacity 1: the address changed
+	addressChanged chan struct{} // capacity 1; signals that the address has changed
 	backoff        *backoff.Backoff
 
 	startOnce sync.Once
 	started   chan struct{}
-	// fastReconnectUntil bounds the waits after a watch that ended before it was up to date: all that it would have sent
-	// counts as listed since it was asked for. It belongs to Run.
+	// fastReconnectUntil is the time until which reconnect delays are shortened. It is set when a watch ends before it
+	// is up to date: the events that it would have sent count as received since the subscription. Only Run uses it.
 	fastReconnectUntil time.Time
 
 	mu      sync.Mutex
 	address string
 	state   State
 	watch   *watch // nil: not connected
-	// completeAsOf is the last time of which it is known that the state holds all that the server had sent by then.
+	// completeAsOf is the latest time at which the state is known to contain everything that the server had sent.
 	completeAsOf time.Time
 }
 
-// NewClient returns a client that goes on from a state. onUpdate is called with each change, in their order,
-// with a lock held: it must not block or call the client. report is called with what went wrong.
+// NewClient returns a client that continues from the given state. onUpdate is called with each change, in order and
+// with a lock held, so it must not block or call the client. report is called with each connection error.
 func NewClient(state State, address string, grace time.Duration, seed uint64, onUpdate func(fleet.Update),
 	report func(string, error)) *Client {
 	return &Client{
@@ -52,24 +52,23 @@
 }
 
 const (
-	// silenceTimeout is how long nothing may arrive before the connection counts as broken. A message comes each second:
-	// one and a half without leaves time to reconnect well within the 4 s after which all counts as listed.
+	// silenceTimeout is how long a connection may receive nothing before it counts as broken. The server sends a message
+	// every second; 1.5 s leaves time to reconnect well within the 4 s after which every event counts as received.
 	silenceTimeout = 1500 * time.Millisecond
-	// dialTimeout bounds connecting, a few round trips, well within the 2 s after a break.
+	// dialTimeout is several round trips, and well within the 2 s allowed for reconnecting after a break.
 	dialTimeout = 500 * time.Millisecond
-	// minBackoff and maxBackoff bound the backoff between two failed attempts: with a dial that hangs the longest
-	// stays within the 2 s after a break.
+	// minBackoff and maxBackoff bound the delay between failed attempts: the longest delay and a dial that times out
+	// together stay within those 2 s.
 	minBackoff, maxBackoff = 20 * time.Millisecond, time.Second
 )
 
-// SetAddress makes the client go on at another address. The old connection is read until the new one is
-// established.
+// SetAddress switches the client to another address. The old connection is read until the new one is established.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.address = address
 	if c.watch != nil {
-		c.watch.conn.SetReadDeadline(time.Now()) // wakes Run
+		c.watch.conn.SetReadDeadline(time.Now()) // wake Run
 	}
 	select {
 	case c.addressChanged <- struct{}{}:
@@ -77,11 +76,11 @@
 	}
 }
 
-// CatchUp reads all that the server has sent so far and returns the time as of which the endpoint list is
-// complete. Without a connection, the list is as complete as it can be: that is now.
+// CatchUp reads everything that the server has sent so far and returns the time as of which the endpoint list is
+// complete. Without a connection there is nothing more to read, and it returns the current time.
 //
-// It never closes a connection that has ended, since a close waits for the readers of the descriptor, and Run's goroutine
-// may be one that waits for the lock: that goroutine closes it.
+// It leaves closing an ended connection to Run: a close waits for all readers of the descriptor, and Run may be such a
+// reader that waits for the lock held here, which would be a deadlock.
 func (c *Client) CatchUp() (asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,29 +93,28 @@
 	return time.Now()
 }
 
-// CompleteAsOf returns the last time of which it is known that the endpoint list holds all that the server had
-// sent by then; zero: none is known. While there is no connection, or a new one is not up to date yet, it stays
-// what it was.
+// CompleteAsOf returns the latest time at which the endpoint list is known to contain everything that the server had
+// sent, or zero if it never was. It does not advance without a connection, or until a new one is up to date.
 func (c *Client) CompleteAsOf() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.completeAsOf
 }
 
-// noteComplete records that all that has arrived on a watch was read. The lock is held.
+// noteComplete advances completeAsOf after everything that arrived on a watch was read. The caller holds the lock.
 func (c *Client) noteComplete(w *watch) {
 	if c.state.UpToDate() && len(w.partialLine) == 0 && !w.skippingLine {
 		c.completeAsOf = w.completeAsOf
 	}
 }
 
-// Started returns a channel that is closed once the list can be relied on after a start: the server has
-// answered, has had its time to, or can't be reached.
+// Started returns a channel that is closed when waiting for the first endpoint list is over: the server has answered,
+// has not answered in time, or can't be reached.
 func (c *Client) Started() <-chan struct{} { return c.started }
 
 func (c *Client) markStarted() { c.startOnce.Do(func() { close(c.started) }) }
 
-// Run keeps the state up to date until the context ends. It is called once.
+// Run keeps the state in sync until the context ends. It must be called only once.
 func (c *Client) Run(ctx context.Context) {
 	defer c.close()
 	for ctx.Err() == nil {
@@ -137,7 +135,7 @@
 			c.clearAddressChanged()
 			continue
 		}
-		if c.Revision() > revision || time.Since(began) >= silenceTimeout { // the connection was of use
+		if c.Revision() > revision || time.Since(began) >= silenceTimeout { // the connection was usable
 			c.backoff.Reset()
 		}
 		select {
@@ -149,22 +147,23 @@
 	}
 }
 
-// Revision returns the number of the last event that was applied.
+// Revision returns the revision of the last event that was applied.
 func (c *Client) Revision() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.Revision()
 }
 
-// upToDate reports whether the last watch got up to date.
+// upToDate reports whether the last watch reached the server's current revision.
 func (c *Client) upToDate() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.UpToDate()
 }
 
-// boundReconnectWait bounds a wait. While a watch is urgent, a pause and a dial take a quarter of the grace each at most;
-// the other half is for the answer and the way to the model server (attempt.MaxEndpointsAge).
+// boundReconnectWait shortens a delay or a dial timeout until fastReconnectUntil: each takes at most a quarter of the
+// grace period. The other half is left for the server's answer and for sending to the model server
+// (attempt.MaxEndpointsAge).
 func (c *Client) boundReconnectWait(usual time.Duration) time.Duration {
 	if time.Now().Before(c.fastReconnectUntil) {
 		return min(usual, c.grace/4)
@@ -172,7 +171,8 @@
 	return usual
 }
 
-// open dials and subscribes to all that is new. The previous watch is read to its end first and then closed.
+// open dials and subscribes to all events after the current revision. Between the two it reads what the previous watch
+// has received, and closes that watch.
 func (c *Client) open(ctx context.Context) (*watch, error) {
 	c.mu.Lock()
 	address := c.address
@@ -202,7 +202,7 @@
 	return w, nil
 }
 
-// readWatch reads a watch until it breaks off, falls silent, leaves out an event, or the address changes.
+// readWatch reads a watch until the connection breaks or times out, an event is missing, or the address changes.
 func (c *Client) readWatch(ctx context.Context, w *watch) error {
 	unblock := context.AfterFunc(ctx, func() {
 		c.mu.Lock()
@@ -210,7 +210,7 @@
 		w.conn.SetReadDeadline(time.Now())
 	})
 	defer unblock()
-	// A server with nothing new says so only with its next heartbeat.
+	// A server without new events sends nothing until its next heartbeat.
 	answerTime := time.AfterFunc(c.grace/4, c.markStarted)
 	defer answerTime.Stop()
 	for {
@@ -227,7 +227,7 @@
 	}
 }
 
-// readReady reads what has arrived, and sets the deadline to the end of the silence allowed.
+// readReady reads what has arrived and sets the read deadline to silenceTimeout after the last line.
 func (c *Client) readReady(ctx context.Context, w *watch, fd uintptr) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// stopReason returns why a watch is no longer to be read: the context has ended or the address has changed.
-// The lock is held.
+// stopReason returns why a watch must no longer be read (the context has ended or the address has changed), or nil. The
+// caller holds the lock.
 func (c *Client) stopReason(ctx context.Context, w *watch) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// clearAddressChanged clears the signal of an address change that is being acted on.
+// clearAddressChanged removes a pending address change signal that is being handled.
 func (c *Client) clearAddressChanged() {
 	select {
 	case <-c.addressChanged:
@@ -262,8 +262,8 @@
 	}
 }
 
-// readAfterDeadline reads once more after the deadline of a watch has passed. It guards against a deadline that passed
-// while this process was stalled: what arrived meanwhile is read before the silence counts.
+// readAfterDeadline reads once more after the read deadline of a watch has passed. The deadline may have passed while
+// this process was stalled; lines that arrived meanwhile must be read before the connection counts as silent.
 func (c *Client) readAfterDeadline(ctx context.Context, w *watch) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// handleLine applies a message. The lock is held.
+// handleLine applies one line. The caller holds the lock.
 func (c *Client) handleLine(line []byte) error {
 	effect, err := c.state.HandleLine(line)
 	if err != nil {
@@ -296,10 +296,10 @@
 	return nil
 }
 
-// handleLongLine handles a message that is too long. The lock is held.
+// handleLongLine handles a line that exceeds maxLine. The caller holds the lock.
 func (c *Client) handleLongLine() (skip bool) { return c.state.HandleLongLine() }
 
-// closeEnded closes a watch that has ended, and returns what ended it first.
+// closeEnded closes a watch that has ended and returns the first error that ended it.
 func (c *Client) closeEnded(w *watch, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,7 +308,7 @@
 	return err
 }
 
-// closeWatch closes a watch. The lock is held. Only Run's goroutine calls it, while it isn't reading (CatchUp says why).
+// closeWatch closes a watch. The caller holds the lock, and must be Run's goroutine outside a read (see CatchUp).
 func (c *Client) closeWatch(w *watch) {
 	w.markEnded(net.ErrClosed)
 	w.conn.Close()
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 	"hollymast/internal/fleet"
 )
 
-// manualClient is a client whose goroutine never runs: the test calls its steps.
+// manualClient is a client without its goroutine: Run is not called, and the test calls the single steps instead.
 type manualClient struct {
 	*Client
 	lists chan []fleet.Endpoint
@@ -27,7 +27,7 @@
 	return manualClient{NewClient(State{}, address, testGrace, 1, sendLists(lists), func(string, error) {}), lists}
 }
 
-// subscribe subscribes, and returns the watch and the server's end of the connection.
+// subscribe opens a watch and returns it with the server's end of the connection.
 func (m manualClient) subscribe(t *testing.T, conns chan net.Conn, subscriptions chan string) (*watch, net.Conn) {
 	t.Helper()
 	w, err := m.open(context.Background())
@@ -39,7 +39,7 @@
 	return w, receive(t, "a connection", conns)
 }
 
-// awaitInput waits until something can be read from a watch, and reads nothing.
+// awaitInput waits until a watch has input, without reading it.
 func (w *watch) awaitInput(t *testing.T) {
 	t.Helper()
 	w.conn.SetReadDeadline(time.Now().Add(4 * time.Second))
@@ -53,7 +53,7 @@
 	}
 }
 
-// awaitGoroutine waits until a goroutine that runs a function is in a state, as the runtime names it.
+// awaitGoroutine waits until a goroutine with the function on its stack is in the given state, named as in a stack dump.
 func awaitGoroutine(state, function string) bool {
 	buf := make([]byte, 1<<20)
 	for began := time.Now(); time.Since(began) < 4*time.Second; runtime.Gosched() {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// What the server has sent is read by whoever needs the list, whether the client's goroutine has run or not.
+// CatchUp itself reads what the server has sent, without waiting for the client's goroutine.
 func TestCatchUpReadsPendingEvents(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	client := newManualClient(address)
@@ -76,9 +76,9 @@
 	fmt.Fprintln(c, event(2, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
 	before := time.Now()
-	for client.Revision() < 2 { // the second may arrive after the first
+	for client.Revision() < 2 { // the second event may arrive later than the first
 		if asOf := client.CatchUp(); asOf.Before(before) {
-			t.Fatalf("the list is as of %v before the read", before.Sub(asOf))
+			t.Fatalf("the list is complete as of a time %v before the read", before.Sub(asOf))
 		}
 	}
 	receive(t, "the first list", client.lists)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A deadline that passed while the process was stopped does not hide what arrived meanwhile, nor end the
+// A read deadline that passed while the process was stalled neither hides events that arrived meanwhile nor ends the
 // connection.
 func TestPassedDeadlineDoesNotHideEvents(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
@@ -106,7 +106,7 @@
 	<-ended
 }
 
-// What the old address has sent is applied before its connection is closed for the new one.
+// Events that the old address has sent are applied before its connection is closed.
 func TestAddressChangeReadsOldConnectionFirst(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	client := newManualClient(address)
@@ -125,14 +125,14 @@
 	}
 }
 
-// While the new address can't be reached the old connection goes on being read.
+// As long as the new address can't be reached, the old connection is still read.
 func TestUnreachableNewAddressKeepsOldConnection(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	client := newManualClient(address)
 	w, c := client.subscribe(t, conns, subscriptions)
 	client.SetAddress("127.0.0.1:1")
 	if _, err := client.open(context.Background()); err == nil {
-		t.Fatal("somebody listens on port 1")
+		t.Fatal("something is listening on port 1")
 	}
 	fmt.Fprintln(c, fullEvent(1, "a", "10.0.0.1:1", "draining"))
 	w.awaitInput(t)
@@ -140,8 +140,8 @@
 	receive(t, "the list", client.lists)
 }
 
-// A server that was down for long, comes back and breaks off within the first event is subscribed to again within
-// half the grace: what it would have sent counts as listed since the subscription.
+// After a long outage, a server that breaks its first answer off is subscribed to again within half the grace period,
+// since the events that it would have sent count as received since the subscription.
 func TestReconnectIsQuickAfterAnInterruptedAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
 		"within the first event":    fullEvent(1, "a", "10.0.0.1:1", "ready")[:60],
@@ -173,7 +173,7 @@
 				}
 				c.Close()
 			}
-			const tolerance = 50 * time.Millisecond // of a busy machine
+			const tolerance = 50 * time.Millisecond // for a busy machine
 			for i := range subscribed[1:] {
 				if took := subscribed[i+1].Sub(subscribed[i]); took > testGrace/2+tolerance {
 					t.Errorf("subscribed again after %v", took)
@@ -183,13 +183,13 @@
 	}
 }
 
-// A start does not wait for a server that can't be reached.
+// Started does not wait for a server that can't be reached.
 func TestStartedWhenServerIsUnreachable(t *testing.T) {
 	c, _ := startClient(t, "127.0.0.1:1")
 	receive(t, "the start", c.Started())
 }
 
-// A start can be relied on once the server's answer to the first subscription was applied.
+// Started is signalled once the server's answer to the first subscription was applied.
 func TestStartedAfterFirstAnswer(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	client := newManualClient(address)
@@ -207,8 +207,7 @@
 	receive(t, "the list", client.lists)
 }
 
-// A line that is too long ends the connection; if it is sent again it is skipped, and the drain that follows is
-// read.
+// A line that is too long ends the connection. If it is sent again, it is skipped and the drain behind it is applied.
 func TestTooLongLineIsSkippedOnRepeat(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	_, lists := startClient(t, address)
@@ -225,8 +224,8 @@
 	}
 }
 
-// The list is known to be complete once a heartbeat has confirmed that no event is missing, as of each later
-// read. A server that is gone, and one that has only begun to answer, confirm no later time.
+// The list is known to be complete once a heartbeat has confirmed that no event is missing, and from then on as of each
+// read. The time does not advance after the connection has ended, nor on a new one that has not been confirmed yet.
 func TestCompleteAsOfLastCompleteAnswer(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	client := newManualClient(address)
@@ -269,8 +268,8 @@
 	}
 }
 
-// A connection may end while the client's goroutine is about to read it too: CatchUp must return then. A close waits for
-// readers of the descriptor, and that reader waits for the client's lock, which CatchUp holds.
+// Guards against a deadlock when a connection ends during CatchUp while the client's goroutine is about to read it: a
+// close waits for readers of the descriptor, and that reader waits for the client's lock, which CatchUp holds.
 func TestCatchUpReturnsWhileReaderWaits(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	c, lists := startClient(t, address)
@@ -290,7 +289,7 @@
 	}
 	var once sync.Once
 	setRead(func(fd int, b []byte) (int, error) {
-		once.Do(func() { // called by CatchUp: the goroutine wakes and waits for the lock, and then the connection ends
+		once.Do(func() { // in CatchUp: make the goroutine wake and wait for the lock, then end the connection
 			fmt.Fprintln(server, "heartbeat")
 			if !awaitGoroutine("sync.Mutex.Lock", "discovery.(*Client).readReady") {
 				t.Error("the goroutine does not wait for the lock")
@@ -307,7 +306,7 @@
 	select {
 	case <-caughtUp:
 	case <-time.After(5 * time.Second):
-		t.Fatal("CatchUp and the client's goroutine wait for each other") // so would whoever takes the lock again
+		t.Fatal("CatchUp and the client's goroutine are deadlocked") // any further user of the lock would block too
 	}
 	setRead(syscall.Read)
 }
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -1,6 +1,5 @@
-// Package discovery follows a discovery server: the endpoint list as it sends it, in numbered events, one a
-// line. What a line means and when to subscribe again is plain state (State), free of I/O and clocks; Client
-// dials and reads.
+// Package discovery keeps an endpoint list in sync with a discovery server, which sends changes as numbered events, one
+// per line. State interprets the lines and decides when to subscribe again, without I/O or clocks; Client does the I/O.
 package discovery
 
 import (
@@ -17,7 +16,7 @@
 	"hollymast/internal/fleet"
 )
 
-// History is what a configuration holds of discovery: all events so far.
+// History is the part of a configuration that lists all events up to a revision.
 type History struct {
 	Revision uint64  `json:"rev"`
 	Events   []Event `json:"notices"`
@@ -26,16 +25,16 @@
 // Event is one numbered event.
 type Event struct {
 	Revision uint64         `json:"rev"`
-	Update   *UpdateMessage `json:"pool"` // nil: an event about something else
+	Update   *UpdateMessage `json:"pool"` // nil: the event does not concern the endpoint list
 }
 
-// UpdateMessage lists servers: all of them, or those that changed.
+// UpdateMessage lists either all servers or only those that changed.
 type UpdateMessage struct {
 	All       bool              `json:"all"`
 	Endpoints []EndpointMessage `json:"targets"`
 }
 
-// EndpointMessage is a server as discovery lists it.
+// EndpointMessage describes one server in an UpdateMessage.
 type EndpointMessage struct {
 	UID         string  `json:"uid"`
 	Address     string  `json:"endpoint"`
@@ -48,53 +47,53 @@
 
 var serverStates = map[string]control.ServerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Removed}
 
-// State is the endpoint list as received so far. Its zero value is empty. It is not safe for concurrent use.
+// State is the endpoint list received so far. The zero value is an empty list. It is not safe for concurrent use.
 type State struct {
 	revision   uint64
 	servers    map[string]fleet.Endpoint
-	update     fleet.Update // what the last event that was applied changed
-	subscribed bool         // no event was applied since the last subscription
-	upToDate   bool         // since then a heartbeat has confirmed that no event is missing
-	// retried is set if what follows revision could not be used and was requested once more. It guards against a
-	// loop over events that stay unusable, behind which a drain would never be read.
+	update     fleet.Update // the change made by the last applied event
+	subscribed bool         // no event has been applied since the last subscription
+	upToDate   bool         // a heartbeat since the last subscription confirmed that no event is missing
+	// retried is set once the event after retriedRevision was unusable and has been requested again. Without it, an event
+	// that stays unusable would be requested forever, and a drain behind it would never be read.
 	retried         bool
-	retriedRevision uint64 // revision at that time
+	retriedRevision uint64
 }
 
-// Revision returns the number of the last event that was applied.
+// Revision returns the revision of the last event that was applied.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Subscribed records that all events after Revision were requested.
+// Subscribed records that the client has subscribed to all events after Revision.
 func (s *State) Subscribed() { s.subscribed, s.upToDate = true, false }
 
-// UpToDate reports whether a heartbeat has confirmed, since the last subscription, that no event is missing.
+// UpToDate reports whether a heartbeat since the last subscription has confirmed that no event is missing.
 func (s *State) UpToDate() bool { return s.upToDate }
 
-// recordRetry records that what follows revision can't be used; again is true if it could not be used the last
-// time either.
+// recordRetry records that the event after the current revision is unusable, and reports whether it was so the last time
+// already.
 func (s *State) recordRetry() (alreadyRetried bool) {
 	alreadyRetried = s.retried && s.retriedRevision == s.revision
 	s.retried, s.retriedRevision = true, s.revision
 	return alreadyRetried
 }
 
-// HandleLongLine handles a line that is too long for an event. Skip is true if that happened the last time too:
-// then the line is skipped, and what follows it is used.
+// HandleLongLine handles a line that is too long for an event. skip is true if the event after the current revision was
+// unusable the last time already: then the line is to be skipped, and the lines behind it are to be used.
 func (s *State) HandleLongLine() (skip bool) { return s.recordRetry() }
 
-// Effect is what a line calls for.
+// Effect tells what the caller must do after a line was handled.
 type Effect uint8
 
-// The effects of a line.
+// Values of Effect.
 const (
 	None             Effect = iota
-	EndpointsChanged        // the endpoint list changed: call Update
-	Resubscribe             // an event is missing: request all after Revision
+	EndpointsChanged        // the endpoint list has changed; call Update
+	Resubscribe             // an event is missing; subscribe again to all events after Revision
 )
 
-// HandleLine handles a line: an event, a heartbeat (the number of the last event) or an empty one. An error
-// means that it can't be used: nothing of it was applied, and all after Revision is to be requested again. If it
-// can't be used then either it is skipped, so that what follows is read.
+// HandleLine handles an event, a heartbeat (the revision of the server's last event) or an empty line. An error means
+// that the line is unusable: nothing of it was applied, and the caller must subscribe again to all events after
+// Revision. A line that is unusable again after that is skipped, so that the lines behind it are read.
 func (s *State) HandleLine(line []byte) (Effect, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -103,7 +102,7 @@
 	if line[0] != '{' {
 		n, err := strconv.ParseUint(string(line), 10, 64)
 		if err != nil {
-			return s.errorOnce(fmt.Errorf("discovery: %q is no number", line[:min(len(line), 40)]))
+			return s.errorOnce(fmt.Errorf("discovery: heartbeat %q is not a number", line[:min(len(line), 40)]))
 		}
 		if n > s.revision {
 			return Resubscribe, nil
@@ -120,7 +119,7 @@
 	return s.Apply(e)
 }
 
-// errorOnce returns err the first time that what follows revision can't be used, and nil from then on.
+// errorOnce returns err the first time that the event after the current revision is unusable, and nil from then on.
 func (s *State) errorOnce(err error) (Effect, error) {
 	if s.recordRetry() {
 		return None, nil
@@ -128,8 +127,8 @@
 	return None, err
 }
 
-// Apply applies one event. An older one is ignored. One after a gap is not applied, unless all was requested
-// twice and the gap stays: then the server has no events in it.
+// Apply applies one event and ignores an old one. An event after a gap is applied only if the gap is still there after a
+// second subscription: then the server has no events for those revisions.
 func (s *State) Apply(e Event) (Effect, error) {
 	if e.Revision <= s.revision {
 		return None, nil
@@ -154,14 +153,14 @@
 	return EndpointsChanged, nil
 }
 
-// apply applies the servers of an event and returns what that changed: the full list if the event is the first,
-// lists all servers or comes after a gap.
+// apply applies the servers of an event and returns the change: the full list if the event is the first one, lists all
+// servers or follows a gap.
 func (s *State) apply(e Event) fleet.Update {
 	full := e.Update.All || s.servers == nil || e.Revision > s.revision+1
 	if e.Update.All || s.servers == nil {
 		s.servers = map[string]fleet.Endpoint{}
 	}
-	before := make(map[string]fleet.Endpoint, len(e.Update.Endpoints)) // an event may name a server twice
+	before := make(map[string]fleet.Endpoint, len(e.Update.Endpoints)) // an event may list a server twice
 	for _, t := range e.Update.Endpoints {
 		if _, seen := before[t.UID]; !seen {
 			before[t.UID] = s.servers[t.UID]
@@ -179,7 +178,7 @@
 	return fleet.Update{Endpoints: s.changedSince(before)}
 }
 
-// changedSince returns the servers that differ from before, by name.
+// changedSince returns the servers that differ from before, sorted by name.
 func (s *State) changedSince(before map[string]fleet.Endpoint) []fleet.Endpoint {
 	changed := make([]fleet.Endpoint, 0, len(before))
 	for uid, old := range before {
@@ -197,21 +196,21 @@
 	return changed
 }
 
-// validate returns an error if any part of the update can't be used: then none of it is.
+// validate returns an error if any server of the update is invalid; the whole update is rejected then.
 func (u *UpdateMessage) validate() error {
 	for _, t := range u.Endpoints {
 		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Address == "" {
-			return fmt.Errorf("discovery: server %q at %q in state %q", t.UID, t.Address, t.State)
+			return fmt.Errorf("discovery: invalid server %q with address %q and state %q", t.UID, t.Address, t.State)
 		}
 		if t.StartedAtMS < 0 || t.StartedAtMS > math.MaxInt64/1000 {
-			return fmt.Errorf("discovery: server %q started at %d", t.UID, t.StartedAtMS)
+			return fmt.Errorf("discovery: server %q has invalid start time %d ms", t.UID, t.StartedAtMS)
 		}
 	}
 	return nil
 }
 
-// Restore applies the events of a configuration, up to the first gap: from there on discovery is asked. Update
-// returns nothing of them: Endpoints returns the list.
+// Restore applies the events of a configuration up to the first gap; events after it are requested from the discovery
+// server. The restored servers are returned by Endpoints, not by Update.
 func (s *State) Restore(h History) error {
 	defer s.Update()
 	for _, e := range h.Events {
@@ -225,14 +224,14 @@
 	return nil
 }
 
-// Update returns what the last event that was applied changed, once; no endpoints: nothing.
+// Update returns the change made by the last applied event, once; after that an empty update.
 func (s *State) Update() fleet.Update {
 	update := s.update
 	s.update = fleet.Update{}
 	return update
 }
 
-// Endpoints returns the servers by name.
+// Endpoints returns all servers, sorted by name.
 func (s *State) Endpoints() []fleet.Endpoint {
 	return slices.SortedFunc(maps.Values(s.servers), compareByName)
 }
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -17,7 +17,7 @@
 	"hollymast/internal/fleet"
 )
 
-// event returns the line of an event about one server, and fullEvent that of one that lists all servers.
+// event returns the line of an event that changes one server; fullEvent returns that of a full list with one server.
 func event(revision int, uid, endpoint, state string) string {
 	return eventLine(revision, "false", uid, endpoint, state)
 }
@@ -39,16 +39,16 @@
 		fails   bool
 		servers int
 	}{
-		{"a further server", event(4, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
-		{"one that goes", event(4, "a", "", "gone"), EndpointsChanged, false, 0},
-		{"the full list", fullEvent(4, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
-		{"an old event again", fullEvent(3, "c", "10.0.0.3:1", "ready"), None, false, 1},
-		{"one after a gap", fullEvent(5, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
-		{"a known revision", "3", None, false, 1},
-		{"a missing revision", "4", Resubscribe, false, 1},
+		{"server added", event(4, "b", "10.0.0.2:1", "ready"), EndpointsChanged, false, 2},
+		{"server gone", event(4, "a", "", "gone"), EndpointsChanged, false, 0},
+		{"full list", fullEvent(4, "c", "10.0.0.3:1", "draining"), EndpointsChanged, false, 1},
+		{"old event again", fullEvent(3, "c", "10.0.0.3:1", "ready"), None, false, 1},
+		{"event after a gap", fullEvent(5, "c", "10.0.0.3:1", "ready"), Resubscribe, false, 1},
+		{"heartbeat with the current revision", "3", None, false, 1},
+		{"heartbeat with a later revision", "4", Resubscribe, false, 1},
 		{"not a number", "x3", None, true, 1},
-		{"a broken event", event(4, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
-		{"an unknown state", fullEvent(4, "b", "10.0.0.2:1", "asleep"), None, true, 1},
+		{"truncated event", event(4, "b", "10.0.0.2:1", "ready")[:80], None, true, 1},
+		{"unknown state", fullEvent(4, "b", "10.0.0.2:1", "asleep"), None, true, 1},
 	} {
 		var s State
 		s.Restore(History{Revision: 3})
@@ -64,7 +64,7 @@
 	}
 }
 
-// startServer listens as a discovery server and sends each connection and its subscription to the channels.
+// startServer starts a discovery server that sends each connection and its subscription to the channels.
 func startServer(t *testing.T) (string, chan net.Conn, chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,16 +87,16 @@
 	return l.Addr().String(), conns, subscriptions
 }
 
-// testGrace is that of a usual deployment.
+// testGrace is the grace period of a typical deployment.
 const testGrace = 500 * time.Millisecond
 
-// sendLists returns a callback of NewClient that keeps the list and sends it to the channel after each update.
+// sendLists returns an onUpdate callback for NewClient that sends the whole list to the channel after each update.
 func sendLists(lists chan<- []fleet.Endpoint) func(fleet.Update) {
 	list := map[string]fleet.Endpoint{}
 	return func(update fleet.Update) { lists <- apply(list, update) }
 }
 
-// apply applies an update to a list and returns the list by name.
+// apply applies an update to a list and returns the list, sorted by name.
 func apply(list map[string]fleet.Endpoint, update fleet.Update) []fleet.Endpoint {
 	if update.Full {
 		clear(list)
@@ -109,7 +109,7 @@
 	return slices.SortedFunc(maps.Values(list), compareByName)
 }
 
-// startClient runs a client until the test ends, and returns its lists.
+// startClient runs a client until the test ends and returns it with the channel of its lists.
 func startClient(t *testing.T, address string) (*Client, chan []fleet.Endpoint) {
 	t.Helper()
 	lists := make(chan []fleet.Endpoint, 8)
@@ -126,8 +126,8 @@
 	t.Cleanup(func() { stop(); <-ended })
 }
 
-// reserveAddress returns an address that refuses connections, which no other program can get, and a function that starts
-// to listen on it.
+// reserveAddress returns a bound address, which refuses connections and can't be taken by another program, and a function
+// that starts to listen on it.
 func reserveAddress(t *testing.T) (address string, startListening func() net.Listener) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
@@ -162,8 +162,8 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(4 * time.Second): // by then all counts as listed
-		t.Fatalf("not within 4 s: %s", what)
+	case <-time.After(4 * time.Second): // after this time every event counts as received
+		t.Fatalf("timed out after 4 s waiting for %s", what)
 		panic("not reached")
 	}
 }
@@ -189,7 +189,7 @@
 func TestClientReconnectsAfterSilence(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	startClient(t, address)
-	receive(t, "a connection", conns) // and nothing is sent on it
+	receive(t, "a connection", conns) // the test sends nothing on it
 	receive(t, "a subscription", subscriptions)
 	receive(t, "another connection", conns)
 }
@@ -213,7 +213,8 @@
 	}
 }
 
-// A server that breaks off after each subscription is subscribed to ever less often: some hundred routers do so at the same time.
+// Reconnects back off from a server that closes the connection after each subscription, since some hundred routers may
+// reconnect at the same time.
 func TestClientBacksOffFromServerThatBreaksOff(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -221,7 +222,7 @@
 	}
 	defer l.Close()
 	startClient(t, l.Addr().String())
-	const limit = 12 // 20 ms doubled seven times is over 2 s; at 20 ms each there would be a hundred
+	const limit = 12 // 20 ms doubled seven times exceeds 2 s; without backoff there would be a hundred
 	n := 0
 	for l.(*net.TCPListener).SetDeadline(time.Now().Add(2 * time.Second)); ; n++ {
 		c, err := l.Accept()
@@ -237,7 +238,7 @@
 	}
 }
 
-// newState returns a state with event 1, of server a, applied and subscribed to what follows.
+// newState returns a state that has applied event 1 with server a, and has subscribed to the events after it.
 func newState(t *testing.T) *State {
 	t.Helper()
 	s := &State{}
@@ -248,34 +249,34 @@
 	return s
 }
 
-// What can't be used is requested again, and skipped only if it stays: the list is unchanged, and the drain behind it is
-// applied.
+// An unusable event leaves the list unchanged and is requested again. If it is still unusable, it is skipped and the
+// drain behind it is applied.
 func TestUnusableEventIsSkippedOnRepeat(t *testing.T) {
 	for name, bad := range map[string]string{
-		"an unreadable line": `{"rev":2,"pool":[`,
-		"an unknown state":   event(2, "b", "10.0.0.2:1", "asleep"),
-		"no address":         event(2, "b", "", "ready"),
-		"not even an object": "two",
+		"invalid JSON":  `{"rev":2,"pool":[`,
+		"unknown state": event(2, "b", "10.0.0.2:1", "asleep"),
+		"no address":    event(2, "b", "", "ready"),
+		"not an object": "two",
 	} {
 		s := newState(t)
 		if _, err := s.HandleLine([]byte(bad)); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 		if list := s.Endpoints(); len(list) != 1 || list[0].State != control.Ready || s.Revision() != 1 {
-			t.Errorf("%s: it changed the list to %v, as of %d", name, list, s.Revision())
+			t.Errorf("%s: the list is %v at revision %d", name, list, s.Revision())
 		}
 		s.Subscribed()
 		if _, err := s.HandleLine([]byte(bad)); err != nil {
-			t.Errorf("%s stays: %v", name, err)
+			t.Errorf("%s: not skipped on repeat: %v", name, err)
 		}
 		effect, err := s.HandleLine([]byte(event(3, "a", "10.0.0.1:1", "draining")))
 		if list := s.Endpoints(); err != nil || effect != EndpointsChanged || list[0].State != control.Draining {
-			t.Errorf("%s: then %v, %v, %v", name, effect, err, list)
+			t.Errorf("%s: the drain behind it gave %v, %v, %v", name, effect, err, list)
 		}
 	}
 }
 
-// After a heartbeat what can't be used is requested again the next time too: it is not skipped at once.
+// After a heartbeat, the next unusable event is requested again instead of being skipped at once.
 func TestHeartbeatResetsRetry(t *testing.T) {
 	s := newState(t)
 	if _, err := s.HandleLine([]byte("noise")); err == nil {
@@ -288,7 +289,7 @@
 	}
 }
 
-// A gap is requested once more before it counts as empty.
+// Events in a gap are requested once more before the gap is accepted.
 func TestGapIsRequestedOnce(t *testing.T) {
 	s := newState(t)
 	gap := []byte(event(3, "b", "10.0.0.2:1", "ready"))
@@ -296,14 +297,14 @@
 		t.Errorf("the first time: %v, %v", effect, err)
 	}
 	if s.Subscribed(); s.Revision() != 1 {
-		t.Errorf("requested from %d on", s.Revision())
+		t.Errorf("subscribed after revision %d", s.Revision())
 	}
 	if effect, err := s.HandleLine(gap); effect != EndpointsChanged || err != nil {
 		t.Errorf("the second time: %v, %v", effect, err)
 	}
 }
 
-// Events after a gap in a configuration are not applied: they are requested.
+// Events behind a gap in a configuration are not applied.
 func TestRestoreStopsAtGap(t *testing.T) {
 	parseEvent := func(line string) (e Event) {
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
@@ -319,25 +320,25 @@
 		t.Fatal(err)
 	}
 	if s.Revision() != 2 || len(s.Endpoints()) != 2 {
-		t.Errorf("as of %d: %v", s.Revision(), s.Endpoints())
+		t.Errorf("at revision %d: %v", s.Revision(), s.Endpoints())
 	}
 }
 
-// A heartbeat confirms that the answer to a subscription was complete.
+// A heartbeat confirms that the answer to the subscription is complete.
 func TestUpToDate(t *testing.T) {
 	s := newState(t)
 	if s.UpToDate() {
-		t.Error("before the heartbeat")
+		t.Error("up to date before the heartbeat")
 	}
 	if s.HandleLine([]byte("1")); !s.UpToDate() {
-		t.Error("not after the heartbeat")
+		t.Error("not up to date after the heartbeat")
 	}
 	if s.Subscribed(); s.UpToDate() {
-		t.Error("the new subscription was not answered yet")
+		t.Error("up to date before the new subscription was answered")
 	}
 }
 
-// An event updates what it changed, and all servers only if it has to.
+// An update contains only the servers that an event changed, or all servers if the event requires the full list.
 func TestUpdate(t *testing.T) {
 	ready := func(uid, endpoint string) EndpointMessage {
 		return EndpointMessage{UID: uid, Address: endpoint, State: "ready"}
@@ -348,17 +349,17 @@
 		rev     uint64
 		message UpdateMessage
 		full    bool
-		updated string // the updated servers and their states
+		updated string // names and states of the updated servers
 	}{
-		{"a further server", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
-		{"one that goes", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a")}}, false, "a 0 "},
-		{"an unknown server that goes", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("b")}}, false, ""},
-		{"nothing new", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
-		{"one that returns elsewhere", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
+		{"server added", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
+		{"server gone", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a")}}, false, "a 0 "},
+		{"unknown server gone", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("b")}}, false, ""},
+		{"no change", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
+		{"server returns at another address", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
 			false, "a 2 "},
-		{"one that comes and goes", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}},
+		{"server added and gone", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}},
 			false, ""},
-		{"an address with another owner", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}},
+		{"address moves to another server", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}},
 			false, "a 0 b 2 "},
 		{"all", 2, UpdateMessage{All: true, Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
 		{"after a gap", 3, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
@@ -368,7 +369,7 @@
 		if update := s.Update(); !update.Full || len(update.Endpoints) != 1 {
 			t.Errorf("the first event updated %v", update)
 		}
-		for range 2 { // a gap is requested again and stays
+		for range 2 { // the first time, a gap is only requested again
 			s.Subscribed()
 			s.Apply(Event{c.rev, &c.message})
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// watch is one connection on which a discovery server sends events. It is read without blocking, by whoever
-// holds the client's lock.
+// watch is a connection on which a discovery server sends events. It is read without blocking, with the client's lock
+// held.
 type watch struct {
 	conn         net.Conn
 	raw          syscall.RawConn
-	partialLine  []byte // read from the connection, but no complete line yet
+	partialLine  []byte // start of a line whose end has not arrived
 	address      string
-	lastLine     time.Time // when a line was complete, or the subscription was sent
-	skippingLine bool      // to the end of a line that is too long
-	completeAsOf time.Time // as of when all that had arrived was read
-	endErr       error     // why nothing more is read
+	lastLine     time.Time // when the last line was read, or the subscription was sent
+	skippingLine bool      // discard input up to the end of a line that is too long
+	completeAsOf time.Time // when the last read began that consumed everything received
+	endErr       error     // why the watch ended; nil while it is read
 }
 
 const (
-	// maxLine is an event with a few thousand servers. A longer line is no event.
+	// maxLine fits an event with a few thousand servers; a longer line is not accepted as an event.
 	maxLine = 4 << 20
-	// readSize is how much is read at a time: several events about one server.
+	// readSize is the size of the read buffer. It holds several events about one server.
 	readSize = 8 << 10
-	// maxReadPerCall bounds how much is read without a pause, so that a server that never stops writing does not block
-	// a step of the event loop for long.
+	// maxReadPerCall bounds how much one call reads, so that a server that writes without end does not block a step of
+	// the event loop for long.
 	maxReadPerCall = maxLine
 )
 
-// maxInterruptions bounds how often a read that a signal interrupts is repeated at once: signals come a few a
-// second at most.
+// maxInterruptions bounds the immediate retries of a read that signals interrupt. At most a few signals arrive per
+// second.
 const maxInterruptions = 8
 
-var read = syscall.Read // replaced by tests
+var read = syscall.Read // replaced in tests
 
-// Why a watch ends.
+// Reasons why a watch ends.
 var (
 	errLineTooLong    = errors.New("line too long")
 	errEventMissing   = errors.New("an event is missing")
-	errSilent         = errors.New("no message in time")
+	errSilent         = errors.New("no message within the timeout")
 	errAddressChanged = errors.New("address changed")
 )
 
-// lineHandler handles what a watch reads.
+// lineHandler handles the lines that a watch reads.
 type lineHandler interface {
 	handleLine(line []byte) error
 	handleLongLine() (skip bool)
 }
 
-// newWatch subscribes, on a new connection to address, to all events after a revision.
+// newWatch subscribes to all events after a revision on a new connection to address.
 func newWatch(conn net.Conn, address string, revision uint64) (*watch, error) {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("discovery: %T can't be read without blocking", conn)
+		return nil, fmt.Errorf("discovery: %T does not support non-blocking reads", conn)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -71,9 +71,9 @@
 	return &watch{conn: conn, raw: raw, address: address, lastLine: now, completeAsOf: now}, nil
 }
 
-// readAll reads all that has arrived and passes on each complete line, until there is nothing more or the
-// connection ends. It reads the descriptor itself: a deadline that passed while the process was stalled must not
-// hide what has arrived.
+// readAll reads everything that has arrived, up to maxReadPerCall, and passes each complete line to the handler. It
+// reads the file descriptor directly: with conn.Read, a deadline that passed while the process was stalled would hide
+// input that has already arrived.
 func (w *watch) readAll(handler lineHandler) error {
 	var err error
 	if e := w.raw.Control(func(fd uintptr) { err = w.readAvailable(fd, handler) }); e != nil {
@@ -82,16 +82,17 @@
 	return w.markEnded(err)
 }
 
-// markEnded records why the watch ended, the first time, and returns it.
+// markEnded records err as the reason why the watch ended, unless one is recorded already, and returns the recorded
+// one. A nil err does not end the watch.
 func (w *watch) markEnded(err error) error {
 	if w.endErr == nil && err != nil {
 		w.endErr = err
-		w.conn.SetReadDeadline(time.Now()) // wakes the goroutine that waits for it
+		w.conn.SetReadDeadline(time.Now()) // wake the goroutine that waits for input
 	}
 	return w.endErr
 }
 
-// readAvailable reads from the descriptor until it would block, maxAtOnce bytes were read, or the watch ends.
+// readAvailable reads from the file descriptor until a read would block, maxReadPerCall is reached, or the watch ends.
 func (w *watch) readAvailable(fd uintptr, handler lineHandler) error {
 	if w.endErr != nil {
 		return w.endErr
@@ -111,7 +112,7 @@
 		case err != nil:
 			return err
 		case n == 0:
-			return io.EOF // an incomplete line is not used
+			return io.EOF // an incomplete line is discarded
 		}
 		total += n
 		if err := w.handleLines(buf[:n], handler); err != nil {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// handleLines passes on the lines that are complete with what was read.
+// handleLines passes each line that the new data completes to the handler.
 func (w *watch) handleLines(data []byte, handler lineHandler) error {
 	w.partialLine = append(w.partialLine, data...)
 	for {
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// wait calls read whenever something has arrived, until read returns an error or the deadline passes.
+// wait calls read each time input has arrived, until read returns an error or the read deadline passes.
 func (w *watch) wait(read func(fd uintptr) error) error {
 	var endErr error
 	err := w.raw.Read(func(fd uintptr) bool {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A read that a signal interrupts is repeated, but not for ever; one that goes on failing ends the watch, and
-// the client reconnects.
+// A read interrupted by a signal is retried a limited number of times. If it still fails, the watch ends and the client
+// reconnects.
 func TestInterruptedRead(t *testing.T) {
 	defer func() { read = syscall.Read }()
 	for times := range 20 {
