--- a/internal/rest/body.go
+++ b/internal/rest/body.go
@@ -10,7 +10,7 @@
 
 // Values of bodyLength for a body whose length the header does not state.
 const (
-	chunkedLength = -1 // the body is in chunks
+	chunkedLength = -1 // the body is chunked
 	noLength      = -2 // there is no body, or it ends with the connection
 )
 
@@ -34,7 +34,7 @@
 	return noLength, nil
 }
 
-// parseNumber parses at most so many digits, with no sign or space.
+// parseNumber parses a number of at most maxDigits digits, without sign or spaces.
 func parseNumber(s string, base, maxDigits int) (int, error) {
 	if len(s) == 0 || len(s) > maxDigits {
 		return 0, messageError(400, "a length of %d digits", len(s))
@@ -51,10 +51,10 @@
 	return int(n), nil
 }
 
-// Reserve is called before bytes of a body are read into memory; if it returns false, the message is rejected with 503.
+// Reserve is called before that many bytes of a body are read into memory. If it returns false, the message is rejected with status 503.
 type Reserve func(bytes int) bool
 
-// readBody reads a body of a length that bodyLength found; with noLength there is none. reserve may be nil.
+// readBody reads a body with a length returned by bodyLength; noLength means that there is none. reserve may be nil.
 func readBody(r *bufio.Reader, length int, l *Limits, reserve Reserve) ([]byte, error) {
 	switch {
 	case length == chunkedLength:
@@ -83,7 +83,7 @@
 	return b, err
 }
 
-// readChunks reads a body in chunks, with its trailer.
+// readChunks reads a chunked body and its trailer.
 func readChunks(r *bufio.Reader, l *Limits, reserve Reserve) ([]byte, error) {
 	var body []byte
 	for {
@@ -126,7 +126,7 @@
 	return body, nil
 }
 
-// readChunkSize reads the line before a chunk. Extensions are ignored.
+// readChunkSize reads the chunk size line and ignores chunk extensions.
 func readChunkSize(r *bufio.Reader, l *Limits) (int, error) {
 	b, err := readLine(r, l.MaxLine, 400)
 	if err == io.EOF {
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -14,27 +14,27 @@
 // Progress is how far an exchange had got when it ended.
 type Progress uint8
 
-// The stages of an exchange. Up to PartlyWritten the server never had the whole request; only NothingWritten proves that
-// it had none of it.
+// The stages of an exchange. Up to PartlyWritten, the server can't have received the whole request; only NothingWritten
+// proves that it has received none of it.
 const (
 	NothingWritten Progress = iota
 	PartlyWritten
-	FullyWritten    // the whole request was written, and no byte of a response came
-	ResponseStarted // the response is incomplete
+	FullyWritten    // the whole request was written, and no byte of a response was read
+	ResponseStarted // a part of the response was read; it is incomplete or invalid
 	ResponseRead
 )
 
-// Client is the client's side of a connection. One goroutine owns it; only Abort may be called from others.
+// Client is the client side of a connection. It is owned by one goroutine; only Abort may be called from others.
 type Client struct {
 	conn        net.Conn
 	reader      *bufio.Reader
 	limits      *Limits
 	writeBuffer []byte
-	answered    bool // a response has begun on this connection
+	answered    bool // a byte of a response was received on this connection
 	aborted     atomic.Bool
 }
 
-// Handshake makes the TLS handshake on a connection that was dialled to an address, and authenticates the server.
+// Handshake performs the TLS handshake on a connection dialed to an address, and authenticates the server.
 type Handshake func(ctx context.Context, conn net.Conn, address string) (net.Conn, error)
 
 // Dial connects in plain text.
@@ -42,7 +42,7 @@
 	return DialWithHandshake(ctx, address, limits, nil)
 }
 
-// DialWithHandshake connects and makes a TLS handshake; with a nil handshake the connection is in plain text.
+// DialWithHandshake connects and performs a TLS handshake; if handshake is nil, the connection is in plain text.
 func DialWithHandshake(ctx context.Context, address string, limits *Limits, handshake Handshake) (*Client, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -60,16 +60,16 @@
 }
 
 const (
-	// pendingRecordTimeout is how long a TLS record that has already arrived may take to be read.
+	// pendingRecordTimeout bounds reading a TLS record that has already arrived.
 	pendingRecordTimeout = time.Millisecond
-	// alertTimeout is how long a read waits for an alert after a failed write: it has arrived by then, or is lost.
+	// alertTimeout is how long to wait for a TLS alert after a failed write; by then it has arrived or is lost.
 	alertTimeout = 20 * time.Millisecond
 )
 
 // Close closes the connection.
 func (c *Client) Close() error { return socketOf(c.conn).Close() }
 
-// Abort breaks off the exchange in progress, if any, and all later ones: they end with ErrAborted.
+// Abort interrupts the exchange in progress, if any. It and all later exchanges end with ErrAborted.
 func (c *Client) Abort() {
 	c.aborted.Store(true)
 	c.Close()
@@ -77,16 +77,16 @@
 
 // Errors of an exchange.
 var (
-	ErrAborted = errors.New("aborted")   // by Abort
-	ErrTimeout = errors.New("timed out") // its deadline has passed
-	// ErrCertificateRejected: the server did not accept the client's certificate, and so never read a request on this
-	// connection.
+	ErrAborted = errors.New("aborted")   // Abort was called
+	ErrTimeout = errors.New("timed out") // the deadline has passed
+	// ErrCertificateRejected means that the server rejected the client's certificate, and so never read a request on
+	// this connection.
 	ErrCertificateRejected = errors.New("the server refused our certificate")
 )
 
-// Stale reports whether an idle connection can't be used again: the server has closed or reset it, has sent something
-// without a request, or its certificate is not valid any more. It does not block; with TLS it reads pending records that
-// carry no data.
+// Stale reports whether an idle connection must not be used again: the server has closed or reset it, has sent data
+// without a request, or its certificate is no longer valid. It does not wait for input; with TLS it may take up to
+// pendingRecordTimeout to read pending records that carry no data.
 func (c *Client) Stale() bool {
 	if c.reader.Buffered() > 0 || checkPeer(c.conn) != nil {
 		return true
@@ -102,9 +102,9 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Do writes a request and reads the response, both by the deadline. Progress is valid with every error. After an error,
-// and after a response with Close, the connection must be closed. Errors are ErrAborted, ErrTimeout, or wrap
-// ErrCertificateRejected, a *MessageError or the connection's own error.
+// Do writes a request and reads the response, both before the deadline. The returned Progress is valid with every error.
+// After an error, and after a response with Close set, the connection must be closed. An error is ErrAborted or
+// ErrTimeout, or it wraps ErrCertificateRejected, a *MessageError or the connection's own error.
 func (c *Client) Do(req *Request, deadline time.Time) (*Response, Progress, error) {
 	if c.aborted.Load() {
 		return nil, NothingWritten, ErrAborted
@@ -113,7 +113,7 @@
 	c.writeBuffer = appendRequest(c.writeBuffer[:0], req)
 	body := req.Body
 	if req.ChunkSize > 0 {
-		body = nil // appendRequest has written it
+		body = nil // appendRequest has appended it
 	}
 	if n, err := writeMessage(c.conn, &c.writeBuffer, body); err != nil {
 		return nil, c.writeProgress(n), c.exchangeError(c.writeError(err))
@@ -129,7 +129,8 @@
 	return resp, ResponseRead, nil
 }
 
-// writeProgress returns the progress of a write that failed after n bytes. With TLS, n counts only whole records.
+// writeProgress returns the Progress after a write that failed after n bytes. With TLS, n counts only whole records, so
+// 0 does not prove that nothing was written.
 func (c *Client) writeProgress(n int64) Progress {
 	if n == 0 && !isTLS(c.conn) {
 		return NothingWritten
@@ -137,7 +138,8 @@
 	return PartlyWritten
 }
 
-// writeError returns why a write failed: before the first response, the server's alert may tell more than the write.
+// writeError returns the reason of a failed write. Before the first response, that may be a TLS alert with which the
+// server rejected the client's certificate.
 func (c *Client) writeError(err error) error {
 	if isTLS(c.conn) && !c.answered {
 		c.conn.SetReadDeadline(time.Now().Add(alertTimeout))
@@ -148,7 +150,7 @@
 	return err
 }
 
-// exchangeError returns the error that Do reports for one of the connection.
+// exchangeError converts an error of the connection into the one that Do returns.
 func (c *Client) exchangeError(err error) error {
 	switch {
 	case c.aborted.Load():
--- a/internal/rest/connclose_test.go
+++ b/internal/rest/connclose_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// awaitBytes waits until n bytes have arrived on a server's connection and were not read.
+// awaitBytes waits until a server's connection has n unread bytes.
 func awaitBytes(t *testing.T, s *Conn, n int) {
 	t.Helper()
 	waitUntil(t, "bytes arrive", func() bool {
@@ -22,7 +22,7 @@
 	})
 }
 
-// A deadline that passed while the process was stalled does not hide what had arrived: that is read first.
+// Bytes that arrived before a deadline are read even if the deadline passed while the process was stalled.
 func TestPendingBytesAreReadAtDeadline(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), 3*readBuffer)
 	for name, setTimeout := range map[string]func(*Limits){
@@ -43,38 +43,38 @@
 	}
 }
 
-// An idle deadline is set while a message arrives, between two, or while one is awaited: the message is still read, and
-// the connection is idle when nothing arrives.
+// SetIdleDeadline can be called before a message is awaited, while one arrives, or while the connection waits for one. A
+// message that has begun is still read; without one, ReadRequest returns ErrIdle.
 func TestSetIdleDeadline(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
-	s.SetIdleDeadline(time.Now()) // before anything is awaited
+	s.SetIdleDeadline(time.Now()) // before ReadRequest waits
 	const first = "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
 	io.WriteString(conn, first)
 	awaitBytes(t, s, len(first))
 	if req, err := s.ReadRequest(); err != nil || req.Target != "/1" {
-		t.Errorf("sent before: got %+v, %v", req, err)
+		t.Errorf("request sent before: got %+v, %v", req, err)
 	}
 	if _, err := s.ReadRequest(); !errors.Is(err, ErrIdle) {
 		t.Errorf("nothing sent: got %v", err)
 	}
 
 	begun, client := testConn(t, DefaultLimits)
-	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // it has begun
+	io.WriteString(client, "GET /2 HTTP/1.1\r\n") // start of a message
 	time.AfterFunc(50*time.Millisecond, func() { begun.SetIdleDeadline(time.Now()) })
 	time.AfterFunc(100*time.Millisecond, func() { io.WriteString(client, "Host: a\r\n\r\n") })
 	if req, err := begun.ReadRequest(); err != nil || req.Target != "/2" {
-		t.Errorf("begun before: got %+v, %v", req, err)
+		t.Errorf("request begun before: got %+v, %v", req, err)
 	}
 
 	quiet, _ := testConn(t, DefaultLimits)
 	time.AfterFunc(50*time.Millisecond, func() { quiet.SetIdleDeadline(time.Now()) })
 	if _, err := quiet.ReadRequest(); !errors.Is(err, ErrIdle) {
-		t.Errorf("while nothing comes: got %v", err)
+		t.Errorf("set while waiting: got %v", err)
 	}
 }
 
-// The last response on a connection is complete at a client that reads slowly and has sent more than is read: closing with
-// unread bytes would reset the connection and lose the part of the response that is in transit.
+// The last response on a connection reaches a slow client completely, even if the client has sent bytes that were not
+// read. Closing a connection with unread bytes resets it, which loses the part of the response still in transit.
 func TestLastResponseIsNotLostToReset(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	conn.(*net.TCPConn).SetReadBuffer(16 << 10)
@@ -86,10 +86,10 @@
 	answer := bytes.Repeat([]byte("y"), 48<<10)
 	answered := make(chan error, 1)
 	go func() { answered <- s.WriteResponse(&Response{Status: 400, Body: answer, Close: true}) }()
-	time.Sleep(300 * time.Millisecond) // the client reads slowly
+	time.Sleep(300 * time.Millisecond) // the client is slow to read
 	got, err := io.ReadAll(conn)
 	if err != nil || !bytes.HasSuffix(got, answer) {
-		t.Errorf("%d bytes of over %d, %v", len(got), len(answer), err)
+		t.Errorf("got %d bytes, want more than %d; error %v", len(got), len(answer), err)
 	}
 	conn.Close()
 	if err := <-answered; err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// A system call that a signal interrupts is retried, and not for ever.
+// A system call interrupted by a signal is retried, a limited number of times.
 func TestInterruptedPeek(t *testing.T) {
 	s, conn := testConn(t, DefaultLimits)
 	io.WriteString(conn, "x")
--- a/internal/rest/deadlinereader.go
+++ b/internal/rest/deadlinereader.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// deadlineReader reads from a connection with a deadline. It guards against a deadline that passed while this process was
-// stalled: what had arrived by then is read before the deadline counts, once for each deadline.
+// deadlineReader reads from a connection with a deadline. A deadline may pass while this process is stalled: bytes that
+// arrived by then are still read before the deadline error is returned, once per deadline.
 type deadlineReader struct {
 	conn        net.Conn
-	pendingRead atomic.Bool // what was pending at the deadline was read
-	receivedAt  time.Time   // when the bytes of the last read had arrived
+	pendingRead atomic.Bool // the bytes that were pending at the deadline have been read
+	receivedAt  time.Time   // when the bytes of the last read arrived
 }
 
-// pendingReadTimeout is for how long pending bytes are read after a deadline: they are read at once, but the rest of a message
-// may have to be copied, or that of a TLS record may be in transit.
+// pendingReadTimeout bounds reading pending bytes after a deadline. The read itself is immediate, but the rest of a
+// message may have to be copied, or the rest of a TLS record may be in transit.
 const pendingReadTimeout = 50 * time.Millisecond
 
-// setDeadline sets the deadline of reads; zero means none.
+// setDeadline sets the read deadline; zero means none.
 func (r *deadlineReader) setDeadline(at time.Time) {
 	r.pendingRead.Store(false)
 	r.conn.SetReadDeadline(at)
 }
 
-// interrupt ends a blocked read, without reading what is pending.
+// interrupt ends a blocked read without reading pending bytes.
 func (r *deadlineReader) interrupt() {
 	r.pendingRead.Store(true)
 	r.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Read is part of io.Reader.
+// Read implements io.Reader.
 func (r *deadlineReader) Read(b []byte) (int, error) {
 	n, err := r.read(b)
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.pendingRead.Swap(true) {
@@ -45,8 +45,8 @@
 	return r.read(b)
 }
 
-// read records when the bytes that it returns had arrived. It guards against a request's deadline that begins when the
-// request is read: after a stall of this process that may be long after it arrived.
+// read records when the bytes that it returns arrived. A request's deadline is counted from that time, since after a
+// stall of this process the request may be read long after it arrived.
 func (r *deadlineReader) read(b []byte) (int, error) {
 	n, err := r.conn.Read(b)
 	if n > 0 {
--- a/internal/rest/drain.go
+++ b/internal/rest/drain.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// After its last response a connection is read until the client closes it too, within these bounds: the time is several
-// round trips, the bytes are several times what a usual client has in transit.
+// After its last response, a connection is read until the client closes it too, within these bounds: the time is several
+// round trips, and the bytes are several times what a typical client has in transit.
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 256 << 10
 )
 
-// lingeringClose closes a connection. It guards against losing the response just written to the reset that unread bytes cause.
-// Beyond maxDrainBytes nothing is read, so that a flood costs nothing, and the close still waits for drainTime.
+// lingeringClose closes a connection after reading the client's remaining bytes: closing with unread bytes would reset the
+// connection, and the response just written could be lost. At most maxLingerBytes are read, so that a client that floods
+// the connection costs nothing more; the close still waits until lingerTimeout has passed.
 func (c *Conn) lingeringClose() {
 	if s, ok := c.conn.(interface{ CloseWrite() error }); ok && isTLS(c.conn) {
 		s.CloseWrite()
--- a/internal/rest/parse.go
+++ b/internal/rest/parse.go
@@ -1,6 +1,6 @@
-// Package rest is HTTP/1.1 (RFC 9112) for short exchanges with whole bodies, on net, bufio and net/textproto. It rejects
-// what two readers could frame differently, bounds all that a peer can make it store, and reports how far a failed
-// exchange had got, since that decides whether a request may be repeated.
+// Package rest implements HTTP/1.1 (RFC 9112) for short exchanges with bodies held in memory, on top of net, bufio and
+// net/textproto. It rejects messages with ambiguous framing, bounds everything that a peer can make it store, and reports
+// how far a failed exchange had got, which decides whether a request may be retried.
 package rest
 
 import (
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// readLine reads one line that ends in CRLF, without that. The bytes are valid until the next read. A longer line is a
-// *MessageError with the given status.
+// readLine reads a line and returns it without its CRLF. The bytes are valid until the next read. A line longer than
+// maxBytes is a *MessageError with the given status.
 func readLine(r *bufio.Reader, maxBytes int, status int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -62,7 +62,7 @@
 	return len(b) > 0
 }
 
-// readHeader reads header lines up to the empty one.
+// readHeader reads header lines up to and including the empty line.
 func readHeader(r *bufio.Reader, l *Limits) (Header, error) {
 	h := make(Header, 8)
 	total := 0
@@ -92,10 +92,10 @@
 	}
 }
 
-// readRequestHead reads a request up to its body, and returns the length that bodyLength found.
+// readRequestHead reads a request up to its body, and returns it with the body length as bodyLength returns it.
 func readRequestHead(r *bufio.Reader, l *Limits) (req *Request, length int, err error) {
 	b, err := readLine(r, l.MaxLine, 414)
-	if err == nil && len(b) == 0 { // RFC 9112, 2.2: one empty line before a request is passed over
+	if err == nil && len(b) == 0 { // RFC 9112, 2.2: an empty line before a request is ignored
 		b, err = readLine(r, l.MaxLine, 414)
 	}
 	if err != nil {
@@ -127,7 +127,7 @@
 	return req, length, nil
 }
 
-// wantsClose reports whether a message asks to close the connection after it.
+// wantsClose reports whether a message asks to close the connection after the exchange.
 func wantsClose(h Header, http10 bool) bool {
 	for _, v := range h["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
@@ -142,10 +142,10 @@
 	return http10
 }
 
-// maxInterim is how many interim responses (status 1xx) are skipped: far more than any server sends.
+// maxInterim bounds the interim responses (status 1xx) that are skipped; it is far more than any server sends.
 const maxInterim = 8
 
-// readResponse reads the response to a request with a method, and skips interim responses.
+// readResponse reads the response to a request with the given method, and skips interim responses.
 func readResponse(r *bufio.Reader, method string, l *Limits) (*Response, error) {
 	for range maxInterim {
 		b, err := readLine(r, l.MaxLine, 400)
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// testConn returns a server's connection and the client's raw end of it.
+// testConn returns a server connection and the client's raw end of it.
 func testConn(t testing.TB, l Limits) (*Conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// What two readers could frame differently, and what is too large, is rejected.
+// Messages with ambiguous framing, and messages that exceed a limit, are rejected.
 func TestReadRequestRejects(t *testing.T) {
 	small := DefaultLimits
 	small.MaxHeaders, small.MaxBody, small.MaxLine = 4, 100, 200
@@ -183,7 +183,7 @@
 			t.Errorf("got %v, closed %t", err, s.PeerClosed())
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("not seen")
+		t.Error("the close was not reported within 5 s")
 	}
 }
 
@@ -224,19 +224,19 @@
 
 func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
-// Whether a request may be repeated depends on how far its exchange had got.
+// Do reports how far a failed exchange had got, which decides whether the request may be retried.
 func TestDoReportsProgress(t *testing.T) {
 	c, s := testClient(t)
 	s.SetLinger(0)
 	s.Close()
 	waitUntil(t, "the close is seen", c.Stale)
 	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != NothingWritten {
-		t.Errorf("broken before: got %d, %v", progress, err)
+		t.Errorf("broken before writing: got %d, %v", progress, err)
 	}
 
 	c, s = testClient(t)
 	req := testRequest()
-	req.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the sockets hold
+	req.Body = bytes.Repeat([]byte("x"), 16<<20) // more than the socket buffers hold
 	go func(s *net.TCPConn) {
 		io.ReadFull(s, make([]byte, 1000))
 		s.SetLinger(0)
@@ -252,7 +252,7 @@
 		s.Close()
 	}(s)
 	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != FullyWritten {
-		t.Errorf("broken after: got %d, %v", progress, err)
+		t.Errorf("broken after writing: got %d, %v", progress, err)
 	}
 
 	c, s = testClient(t)
@@ -262,7 +262,7 @@
 		s.Close()
 	}(s)
 	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseStarted {
-		t.Errorf("broken in the answer: got %d, %v", progress, err)
+		t.Errorf("broken within the response: got %d, %v", progress, err)
 	}
 }
 
@@ -277,14 +277,14 @@
 		t.Errorf("got %v", err)
 	}
 	if _, progress, err := c.Do(testRequest(), testDeadline()); !errors.Is(err, ErrAborted) || progress != NothingWritten {
-		t.Errorf("after it: got %d, %v", progress, err)
+		t.Errorf("after Abort: got %d, %v", progress, err)
 	}
 }
 
 func TestStale(t *testing.T) {
 	c, s := testClient(t)
 	if c.Stale() {
-		t.Error("a quiet connection is called stale")
+		t.Error("an idle connection is reported as stale")
 	}
 	io.WriteString(s, "x")
 	waitUntil(t, "bytes without a request are seen", c.Stale)
@@ -306,7 +306,7 @@
 		if req.Body, err = readBody(r, length, &l, nil); err != nil {
 			return
 		}
-		// A message that was read must be the same when it is written and read again, or someone could frame it differently.
+		// Writing a message that was read and reading it again must give the same message; otherwise its framing is ambiguous.
 		b := appendRequest(nil, req)
 		if !bytes.Contains(b, []byte("chunked")) {
 			b = append(b, req.Body...)
@@ -315,7 +315,7 @@
 		again, length, err := readRequestHead(r, &DefaultLimits)
 		if err != nil {
 			if _, ok := req.Header["Host"]; !ok {
-				return // HTTP/1.0 needs none, and is written as 1.1
+				return // a request in HTTP/1.0 needs no Host, but is written as HTTP/1.1, which does
 			}
 			t.Fatalf("%q: written as %q: %v", in, b, err)
 		}
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// readBuffer is small, since most connections are idle most of the time; longer lines are assembled from parts.
+// readBuffer is small because most connections are idle most of the time. Lines that exceed it are assembled from parts.
 const readBuffer = 2 << 10
 
-// Conn is the server's side of a connection. One goroutine owns it; the methods that others may call say so.
+// Conn is the server side of a connection. It is owned by one goroutine; the methods that others may call say so.
 type Conn struct {
 	conn        net.Conn
 	deadlines   *deadlineReader
@@ -22,14 +22,14 @@
 	limits      *Limits
 	reserve     Reserve
 	writeBuffer []byte
-	method      string // of the request that is to be answered
+	method      string // of the request to be answered
 
 	mu              sync.Mutex
 	awaitingRequest bool      // a read waits for the first byte of a request
 	idleDeadline    time.Time // zero: none
 }
 
-// NewConn returns the server's side of a connection; reserve may be nil.
+// NewConn returns the server side of a connection; reserve may be nil.
 func NewConn(conn net.Conn, limits *Limits, reserve Reserve) *Conn {
 	deadlines := &deadlineReader{conn: conn}
 	return &Conn{
@@ -40,8 +40,8 @@
 // Close closes the connection. It may be called from any goroutine.
 func (c *Conn) Close() error { return socketOf(c.conn).Close() }
 
-// SetIdleDeadline sets the time after which no new request is awaited: ReadRequest returns those that had arrived by then,
-// and after that ErrIdle. It may be called from any goroutine, at any time.
+// SetIdleDeadline sets the time after which the connection stops waiting for requests: ReadRequest still returns those
+// that had arrived by then, and after that ErrIdle. It may be called from any goroutine at any time.
 func (c *Conn) SetIdleDeadline(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request, and starts the header timeout.
+// awaitRequest waits for the first byte of a request and starts the header timeout.
 func (c *Conn) awaitRequest() error {
 	c.mu.Lock()
 	at := deadlineAfter(c.limits.IdleTimeout)
@@ -69,7 +69,7 @@
 	return err
 }
 
-// HasPendingInput reports whether a part of a further request has arrived already.
+// HasPendingInput reports whether at least a part of another request has already arrived.
 func (c *Conn) HasPendingInput() bool {
 	if c.reader.Buffered() > 0 {
 		return true
@@ -78,23 +78,23 @@
 	return ok && e == 0
 }
 
-// ErrIdle is the error of ReadRequest when no request began within the idle timeout.
+// ErrIdle is returned by ReadRequest if no request begins within the idle timeout.
 var ErrIdle = errors.New("idle for too long")
 
-// PeerUntrustedError is the error of ReadRequest for a client whose certificate was valid when it connected and is not any
-// more. Nothing of the request was read. It is to be answered, since the client may hold another certificate by now and
-// should connect again.
+// PeerUntrustedError is returned by ReadRequest for a client whose certificate was valid when it connected but no longer
+// is. Nothing of the request was read. The server should respond, so that the client connects again; it may have a new
+// certificate by now.
 type PeerUntrustedError struct{ Err error }
 
-// Error is part of error.
+// Error implements error.
 func (e *PeerUntrustedError) Error() string { return e.Err.Error() + "; connect again" }
 
-// Unwrap returns why the certificate is not valid.
+// Unwrap returns why the certificate is no longer valid.
 func (e *PeerUntrustedError) Unwrap() error { return e.Err }
 
-// ReadRequest waits for the next request and reads it whole. The error is io.EOF when the client has closed its side, and
-// ErrIdle when it was idle for too long; a *MessageError or a *PeerUntrustedError is to be answered before the connection
-// is closed; any other error is the connection's.
+// ReadRequest waits for the next request and reads it completely. The error is io.EOF if the client has closed its side,
+// and ErrIdle if it was idle for too long. The caller must respond to a *MessageError or a *PeerUntrustedError before it
+// closes the connection. Any other error is the connection's own.
 func (c *Conn) ReadRequest() (*Request, error) {
 	if err := c.awaitRequest(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -125,7 +125,8 @@
 	return req, nil
 }
 
-// sendContinue has a client send its body, if it waits to be asked for it. A body that is too large is rejected before.
+// sendContinue sends an interim response 100 if the client waits for one before it sends the body. A body that is too
+// large is rejected instead.
 func (c *Conn) sendContinue(req *Request, length int) error {
 	expect := req.Header.Get("Expect")
 	switch {
@@ -141,7 +142,8 @@
 	return err
 }
 
-// timeoutError returns the *MessageError of a message whose part came too slowly, or another error unchanged.
+// timeoutError converts a timeout error while a part of a message was read into a *MessageError; other errors are returned
+// unchanged.
 func timeoutError(err error, part string) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return messageError(408, "the %s came too slowly", part)
@@ -149,7 +151,7 @@
 	return err
 }
 
-// deadlineAfter returns the deadline of a timeout that begins now; zero for none.
+// deadlineAfter returns the deadline of a timeout that starts now; zero if there is no timeout.
 func deadlineAfter(d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
@@ -157,11 +159,11 @@
 	return time.Now().Add(d)
 }
 
-// closePollInterval is how often WatchClose looks for a close behind pipelined requests, where no read can see it.
+// closePollInterval is how often WatchClose checks for a close behind pipelined requests, which a read does not show.
 const closePollInterval = 20 * time.Millisecond
 
 // WatchClose reports on the channel if the client closes or resets the connection before stop is called. Requests that
-// arrive meanwhile stay buffered. Stop must be called, and returns once the watching goroutine has ended.
+// arrive meanwhile stay buffered. stop must be called; it returns once the watching goroutine has ended.
 func (c *Conn) WatchClose() (closed <-chan error, stop func()) {
 	report, ended, stopped := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	c.deadlines.setDeadline(time.Time{})
@@ -195,13 +197,13 @@
 // goroutine.
 func (c *Conn) PeerClosed() bool { return peerClosed(socketOf(c.conn)) }
 
-// WriteResponse writes the response to the request that ReadRequest has returned last. One with Close closes the
-// connection, once the client has had time to read it.
+// WriteResponse writes the response to the last request that ReadRequest has returned. If the response has Close set, it
+// then closes the connection, after the client has had time to read the response.
 func (c *Conn) WriteResponse(resp *Response) error {
 	c.writeBuffer = appendResponse(c.writeBuffer[:0], c.method, resp)
 	body := resp.Body
 	if c.method == "HEAD" || resp.ChunkSize > 0 {
-		body = nil // there is none, or appendResponse has written it
+		body = nil // there is none, or appendResponse has appended it
 	}
 	c.conn.SetWriteDeadline(deadlineAfter(c.limits.WriteTimeout))
 	_, err := writeMessage(c.conn, &c.writeBuffer, body)
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// The functions of this file return what the kernel knows of a connection and a read does not tell. Each makes one system
-// call that consumes nothing and does not block, and may be called from any goroutine.
+// This file queries the kernel for connection state that a read does not show. The functions neither consume input nor
+// block, and may be called from any goroutine.
 
-// sinceLastData returns how long ago the last bytes arrived, to a millisecond; 0 if that is not known.
+// sinceLastData returns how long ago the last bytes arrived, with millisecond precision, or 0 if that is not known.
 func sinceLastData(conn net.Conn) time.Duration {
 	elapsed := time.Duration(0)
 	withDescriptor(conn, func(fd int) {
@@ -22,19 +22,19 @@
 	return elapsed
 }
 
-// peerClosed reports whether the peer has closed its side of a connection, or reset it, also behind unread bytes.
+// peerClosed reports whether the peer has closed its side of a connection or reset it, even if there are unread bytes.
 func peerClosed(conn net.Conn) bool {
 	state := 0
 	ok := withDescriptor(conn, func(fd int) {
 		if v, err := unix.GetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			state = v & 0xff // the first field
+			state = v & 0xff // tcpi_state is the first byte of struct tcp_info
 		}
 	})
-	const established = 1 // the same in all Linux versions
+	const established = 1 // TCP_ESTABLISHED, the same in all Linux versions
 	return ok && state != 0 && state != established
 }
 
-// withDescriptor calls f with a connection's descriptor; ok is false if it has none, or is closed.
+// withDescriptor calls f with a connection's file descriptor; ok is false if it has none or is closed.
 func withDescriptor(conn net.Conn, f func(fd int)) (ok bool) {
 	socket, isSocket := conn.(syscall.Conn)
 	if !isSocket {
@@ -44,8 +44,9 @@
 	return err == nil && raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// socketOf returns the connection beneath a TLS connection. It is what is closed: the TLS close may block on a peer that
-// does not read, and the messages' lengths already tell where they end.
+// socketOf returns the connection below a TLS connection, or conn itself if it is not TLS. Connections are closed at this
+// level: a TLS close may block if the peer does not read, and a TLS close notification is not needed since messages have
+// explicit lengths.
 func socketOf(conn net.Conn) net.Conn {
 	if s, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		return s.NetConn()
@@ -56,7 +57,7 @@
 // isTLS reports whether a connection uses TLS.
 func isTLS(conn net.Conn) bool { return socketOf(conn) != conn }
 
-// checkPeer returns why the peer's certificate, which was valid at the handshake, is not valid any more.
+// checkPeer returns why the peer's certificate, which was valid at the handshake, is no longer valid, or nil.
 func checkPeer(conn net.Conn) error {
 	if checker, ok := conn.(PeerChecker); ok {
 		return checker.CheckPeer()
@@ -66,27 +67,28 @@
 
 // PeerChecker is a TLS connection whose peer's certificate can be checked again after the handshake.
 type PeerChecker interface {
-	// CheckPeer returns why the certificate is not valid any more, or nil.
+	// CheckPeer returns why the certificate is no longer valid, or nil.
 	CheckPeer() error
 }
 
-// isIdle reports whether a connection is open on both sides and has nothing to read.
+// isIdle reports whether a connection is open in both directions and has no input.
 func isIdle(conn net.Conn) bool {
 	e, ok := peekSocket(conn)
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
-// maxInterruptedCalls is how often a system call that a signal interrupts is made: signals come a few per second at most.
+// maxInterruptedCalls bounds how often a system call that signals interrupt is made. At most a few signals arrive per
+// second.
 const maxInterruptedCalls = 8
 
-var recvfrom = syscall.Recvfrom // tests replace it
+var recvfrom = syscall.Recvfrom // replaced in tests
 
-// peekSocket peeks at a connection's next byte without blocking. errno is 0 if there is one, EAGAIN if there is none yet;
-// ok is false at the end of the connection.
+// peekSocket checks without blocking whether a connection has a byte to read. errno is 0 if it has one and EAGAIN if there
+// is none yet; ok is false at the end of the connection.
 func peekSocket(conn net.Conn) (errno syscall.Errno, ok bool) {
 	socket, isSocket := conn.(syscall.Conn)
 	if !isSocket {
-		return syscall.EAGAIN, true // no socket: nothing can be seen
+		return syscall.EAGAIN, true // not a socket: its state is unknown
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/rest/write.go
+++ b/internal/rest/write.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// appendRequest appends a request's header block, and its body only if that is in chunks.
+// appendRequest appends a request's header block, followed by the body only if it is chunked.
 func appendRequest(b []byte, req *Request) []byte {
 	b = append(append(append(append(b, req.Method...), ' '), req.Target...), " HTTP/1.1\r\n"...)
 	b = appendHeader(b, req.Header)
@@ -18,7 +18,8 @@
 	return appendFraming(b, req.Body, req.ChunkSize)
 }
 
-// appendResponse appends the header block of a response to a request with a method, and its body only if that is in chunks.
+// appendResponse appends the header block of a response to a request with the given method, followed by the body only if
+// it is chunked.
 func appendResponse(b []byte, method string, resp *Response) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(resp.Status), 10)
 	b = append(append(append(b, ' '), reasonPhrases[resp.Status]...), "\r\n"...)
@@ -36,7 +37,7 @@
 	return appendFraming(b, resp.Body, resp.ChunkSize)
 }
 
-// appendHeader appends the fields, in no particular order, except those that frame the message.
+// appendHeader appends the header fields in arbitrary order, except those that frame the message.
 func appendHeader(b []byte, h Header) []byte {
 	for key, values := range h {
 		if key == "Content-Length" || key == "Transfer-Encoding" || key == "Connection" {
@@ -50,7 +51,8 @@
 	return b
 }
 
-// appendFraming appends the fields that frame a message, the end of the header block, and the body if that is in chunks.
+// appendFraming appends the fields that frame a message and the end of the header block, followed by the body if it is
+// chunked.
 func appendFraming(b, body []byte, chunkSize int) []byte {
 	if chunkSize <= 0 {
 		b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(body)), 10)
@@ -66,7 +68,7 @@
 	return append(b, "0\r\n\r\n"...)
 }
 
-// reasonPhrases are those of RFC 9110, by status; 499 is nginx's.
+// reasonPhrases are the reason phrases of RFC 9110 by status; 499 is nginx's.
 var reasonPhrases = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 414: "URI Too Long", 417: "Expectation Failed",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 499: "Client Closed Request",
@@ -74,14 +76,14 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 const (
-	// maxCopiedBody is the longest body that is copied behind its header: cheaper than a vectored write.
+	// maxCopiedBody is the largest body that is copied behind its header, which is cheaper than a vectored write.
 	maxCopiedBody = 16 << 10
 	// maxWriteBuffer is the largest buffer that is kept for the next message.
 	maxWriteBuffer = 4 * maxCopiedBody
 )
 
-// writeMessage writes a header block and a body, and returns how many bytes were written. The block's buffer is used again
-// for the next message, unless it has grown large.
+// writeMessage writes a header block and a body, and returns the number of bytes written. The header buffer is reused for
+// the next message unless it has grown beyond maxWriteBuffer.
 func writeMessage(conn net.Conn, head *[]byte, body []byte) (int64, error) {
 	if len(body) <= maxCopiedBody {
 		*head = append(*head, body...)
