--- a/client/attempts.go
+++ b/client/attempts.go
@@ -12,11 +12,11 @@
 	"hollymast/internal/retry"
 )
 
-// maxUnreadResults is more than the attempts of a call, so that none has to wait for a call that is done.
+// maxUnreadResults exceeds the number of attempts of a call, so that an attempt never blocks on a call that has ended.
 const maxUnreadResults = 8
 
-// callState is a call in progress. Its run starts the attempts, each in a goroutine that ends at the latest when the call's
-// context does or its connection is aborted.
+// callState is a call in progress. Its run method starts the attempts, each in a goroutine that ends at the latest when
+// the call's context ends or its connection is aborted.
 type callState struct {
 	client   *Client
 	call     *Call
@@ -24,31 +24,31 @@
 	retry    *retry.Call // guarded by the client's lock
 	results  chan attemptResult
 
-	// These belong to run.
+	// The following fields are used only by run.
 	inFlight    int
 	attemptDue  *time.Timer
 	hedgeDue    *time.Timer
 	lastFailure *CallError
 	lastRouter  int
 	otherRouter bool // the next attempt avoids lastRouter
-	mayHaveRun  bool // one of the attempts may have
+	mayHaveRun  bool // an attempt may have run at a server
 
 	mu               sync.Mutex
-	conns            map[*rest.Client]bool // of the exchanges in progress; nil: the call is done
-	pendingConnected int                   // attempts that had a connection and whose result was not handled yet
+	conns            map[*rest.Client]bool // connections of the exchanges in progress; nil: the call has ended
+	pendingConnected int                   // attempts that got a connection and whose result is not handled yet
 }
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
 	retry.AttemptResult
 	response     Response
-	callErr      *CallError // nil: it succeeded
+	callErr      *CallError // nil: the attempt succeeded
 	duration     time.Duration
-	connected    bool // it had a connection
-	localFailure bool // its failure says nothing of the router
+	connected    bool // the attempt got a connection
+	localFailure bool // the failure has a local cause and says nothing about the router
 }
 
-// outcomeNames are what Hooks.Tried and Call.Tried are called with.
+// outcomeNames are the outcomes that Hooks.AttemptEnded and Call.AttemptEnded are called with.
 var outcomeNames = [...]string{
 	retry.Succeeded: "finished",
 	retry.Invalid:   "refused",
@@ -66,16 +66,16 @@
 		deadline:    deadline,
 		retry:       retry.NewCall(call.Workload.retryClass(), c.now()+remaining),
 		results:     make(chan attemptResult, maxUnreadResults),
-		lastFailure: &CallError{Kind: NotSent, Reason: "its time was up before a router could be asked"},
+		lastFailure: &CallError{Kind: NotSent, Reason: "the deadline passed before the request could be sent"},
 		lastRouter:  -1,
 		conns:       map[*rest.Client]bool{},
 	}
 }
 
-// run makes attempts until the call has its outcome.
+// run makes attempts until the call's outcome is known.
 func (s *callState) run(ctx context.Context) (Response, *CallError) {
-	const never = time.Hour // far beyond any call
-	defer s.abort()         // a slower hedged attempt, or all where the caller gave up
+	const never = time.Hour // far longer than any call
+	defer s.abort()         // a slower hedged attempt, or all attempts if the caller gave up
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.attemptDue, s.hedgeDue = time.NewTimer(0), time.NewTimer(never)
@@ -100,12 +100,12 @@
 				s.attemptDue.Reset(time.Until(s.client.timeOf(decision.RetryAt)))
 			}
 		case <-ctx.Done():
-			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the caller's time was up", Err: context.Cause(ctx)}
+			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the call's context ended before a response", Err: context.Cause(ctx)}
 		}
 	}
 }
 
-// startAttempt starts an attempt, if there may be one, and reports whether it did.
+// startAttempt starts an attempt if one is allowed, and reports whether it did.
 func (s *callState) startAttempt(ctx context.Context) bool {
 	c := s.client
 	c.mu.Lock()
@@ -132,7 +132,7 @@
 	return true
 }
 
-// hedge has a second attempt start at another router, if it may.
+// hedge schedules a second, concurrent attempt at another router if that is allowed.
 func (s *callState) hedge() {
 	c := s.client
 	c.mu.Lock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// handleResult records how an attempt ended and returns what follows.
+// handleResult records how an attempt ended and returns the decision on a retry.
 func (s *callState) handleResult(result attemptResult) retry.Decision {
 	c := s.client
 	s.inFlight--
@@ -166,7 +166,8 @@
 	return decision
 }
 
-// failure returns a failed call's outcome. What may have run is never called harmless, whatever the last attempt met.
+// failure returns the error of a failed call. If any attempt may have run, the error never says that the call did not run
+// or may safely run again, whatever the outcome of the last attempt.
 func (s *callState) failure() *CallError {
 	callErr := s.lastFailure
 	if s.mayHaveRun && (callErr.Kind == NotSent || callErr.Kind == Rejected && s.call.Workload.Effect == NonIdempotent) {
@@ -175,7 +176,8 @@
 	return callErr
 }
 
-// kindOnTimeout is the kind of a call that its caller gave up: an attempt that waits for a connection has not run.
+// kindOnTimeout returns the FailureKind of a call whose context ended. Attempts that were still waiting for a connection
+// have not run.
 func (s *callState) kindOnTimeout() FailureKind {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +187,7 @@
 	return NotSent
 }
 
-// abort ends the exchanges in progress, which tells their routers that nobody waits for the answer.
+// abort ends the exchanges in progress, from which their routers learn that nobody waits for the response.
 func (s *callState) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +197,7 @@
 	s.conns = nil
 }
 
-// runAttempt makes one attempt.
+// runAttempt makes one attempt, calls the hooks and sends the result to run.
 func (s *callState) runAttempt(ctx context.Context, router, number int) {
 	hooks := &s.client.options.Hooks
 	startedAt := time.Now()
@@ -215,7 +217,8 @@
 	s.results <- result
 }
 
-// connectAndExchange gets a connection and makes the attempt's exchange on it. It sets the time that try has left then.
+// connectAndExchange acquires a connection and makes the attempt's exchange on it. Once connected, it updates
+// attempt.Remaining.
 func (s *callState) connectAndExchange(ctx context.Context, router int, attempt *Attempt) attemptResult {
 	c := s.client
 	result := attemptResult{AttemptResult: retry.AttemptResult{Router: router, SentAt: c.now()}}
@@ -227,7 +230,7 @@
 		result.localFailure = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
-		result.setNotSent("the call is over")
+		result.setNotSent("the call has ended")
 	default:
 		result.SentAt, result.connected = c.now(), true
 		attempt.Remaining = time.Until(s.deadline)
@@ -236,12 +239,12 @@
 	return result
 }
 
-// setNotSent makes the result that of an attempt that this side did not send.
+// setNotSent sets the result to that of an attempt that was not sent for a local reason.
 func (r *attemptResult) setNotSent(reason string) {
 	r.Outcome, r.callErr, r.localFailure = retry.NotSent, &CallError{Kind: NotSent, Reason: reason}, true
 }
 
-// recordResult records what an attempt says of its router.
+// recordResult records an attempt's success or failure for its router, unless the failure was local.
 func (c *Client) recordResult(result attemptResult) {
 	if result.localFailure {
 		return
@@ -255,8 +258,8 @@
 	}
 }
 
-// register records a connection as in use for an attempt. It returns false where nothing may be sent any more: the call is
-// done, or its time was up while the attempt waited for the connection.
+// register records that an attempt uses a connection. It returns false if nothing may be sent any more, because the call
+// has ended or its deadline passed while the attempt waited for the connection.
 func (s *callState) register(conn *rest.Client) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/client/call.go
+++ b/client/call.go
@@ -7,32 +7,32 @@
 	"hollymast/internal/retry"
 )
 
-// Effect says what it would do to run a request a second time.
+// Effect says whether running a request a second time does harm.
 type Effect uint8
 
-// The effects, as the routers' configuration names them.
+// The effects. The routers' configuration calls them run-once, restartable and fingerprinted.
 const (
-	NonIdempotent   Effect = iota // harm: a request that may have run is never repeated
-	Idempotent                    // nothing: the request is idempotent
-	IdempotentByKey               // nothing for a while: servers recognize the idempotency key and drop the repetition
+	NonIdempotent   Effect = iota // it does: a request that may have run is never retried
+	Idempotent                    // it does not
+	IdempotentByKey               // it does not for some time: servers recognize the idempotency key and drop the duplicate
 )
 
-// Workload is what is known of a kind of requests. It should agree with the routers' configuration.
+// Workload describes the requests of one class. It should agree with the routers' configuration.
 type Workload struct {
 	Effect Effect
-	// PartialKeyScope says that only a part of the servers (a zone or a cell) recognizes a Fingerprinted request: another router may
-	// not reach it.
+	// PartialKeyScope says that only a part of the servers (a zone or a cell) recognizes the key of an IdempotentByKey
+	// request. Another router may not reach that part.
 	PartialKeyScope bool
-	// KeyWindow is how long servers recognize a Fingerprinted request.
+	// KeyWindow is how long servers recognize the key of an IdempotentByKey request.
 	KeyWindow time.Duration
-	// KeysPersisted says that routers recognize idempotency keys across their restarts: the one that was asked may be asked
-	// again for a RunOnce request.
+	// KeysPersisted says that routers recognize idempotency keys across restarts, so that a NonIdempotent request may be
+	// sent again to the router that had it.
 	KeysPersisted bool
-	// Hedge says that two attempts at once do no harm, and that a slow attempt is worth a second one.
+	// Hedge says that two concurrent attempts do no harm, and enables a second attempt if the first one is slow.
 	Hedge bool
 }
 
-// retryClass returns the workload in the terms of package retry.
+// retryClass converts the workload into a class of package retry.
 func (w Workload) retryClass() retry.Class {
 	class := retry.Class{
 		Effect:        controlEffects[w.Effect],
@@ -57,31 +57,31 @@
 	Model          string
 	Version        string // empty: the server's default
 	Body           []byte // the KServe v2 request: JSON, or JSON and binary tensors
-	JSONLength     int    // length of the JSON part where binary tensors follow; 0: all is JSON
-	IdempotencyKey string // the idempotency key, the same for all attempts; empty: one is made
+	JSONLength     int    // length of the JSON part if binary tensors follow; 0: the whole body is JSON
+	IdempotencyKey string // the same for all attempts; empty: one is generated
 	Tenant         string
 	Workload       Workload
 	Timeout        time.Duration // for all attempts together; 0: until the context's deadline
-	// BodyFor returns the body of each attempt, where the request's id or its parameter timeout depends on it; nil: Body. It is
-	// called once the attempt has a connection, just before it is sent.
+	// BodyFor returns the body of an attempt, for requests whose id or timeout parameter depends on the attempt; nil: Body
+	// is sent. It is called once the attempt has a connection, just before the request is sent.
 	BodyFor func(Attempt) []byte
-	// AttemptEnded is called when an attempt has ended, as Hooks.Tried is; nil: nobody is.
-	AttemptEnded func(t Attempt, ending string)
+	// AttemptEnded is called when an attempt has ended, like Hooks.AttemptEnded; it may be nil.
+	AttemptEnded func(a Attempt, outcome string)
 }
 
 // Attempt is one attempt of a call.
 type Attempt struct {
-	IdempotencyKey string // the call's idempotency key
+	IdempotencyKey string // of the call
 	Number         int    // from 1
 	Router         string
 	Remaining      time.Duration // until the call's deadline
 }
 
-// Response is the answer to a call.
+// Response is the response to a call.
 type Response struct {
 	Status     int
 	Body       []byte
-	JSONLength int    // length of the JSON part where binary tensors follow
-	Attempts   int    // attempts made
-	Router     string // that answered
+	JSONLength int    // length of the JSON part if binary tensors follow; 0: the whole body is JSON
+	Attempts   int    // number of attempts made
+	Router     string // address of the router that responded
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls one hollymast router or several: with one deadline a call, an idempotency key on every attempt,
-// retries that do no harm and stay a small part of the calls, pauses as the routers advise, and reconnects that are spread
-// out. It keeps no global state.
+// Package client sends inference requests to one or more hollymast routers. A call has one deadline and one idempotency
+// key for all of its attempts. Retries are made only where they do no harm, are limited to a small share of the calls, and
+// follow the delays that routers advise. Reconnects are spread over time. The package keeps no global state.
 package client
 
 import (
@@ -31,7 +31,7 @@
 	routers    *retry.Routers
 	latencies  retry.Latencies
 	idle       [][]*rest.Client // by router
-	open       []int            // connections, idle or in use, by router
+	open       []int            // number of connections, idle or in use, by router
 	keysIssued uint64
 }
 
@@ -41,10 +41,10 @@
 	defaultTimeout     = 10 * time.Second
 )
 
-// New returns a client that has no connection yet. The error says what is wrong with the options.
+// New returns a client, which has no connections yet. The error says which option is invalid.
 func New(o Options) (*Client, error) {
 	if len(o.Routers) == 0 {
-		return nil, errors.New("no router is told")
+		return nil, errors.New("no router address is given")
 	}
 	for _, address := range o.Routers {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// Close closes the connections that are idle now, and the others at the end of their exchanges.
+// Close closes idle connections immediately, and the others at the end of their exchanges.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,17 +86,17 @@
 	}
 }
 
-// now returns the time since the start in the form that package retry takes, where 0 means none.
+// now returns the time since the client was created, plus one microsecond, since package retry takes 0 for no time.
 func (c *Client) now() control.Micros {
 	return control.Micros(time.Since(c.started).Microseconds()) + 1
 }
 
-// timeOf is the opposite of now.
+// timeOf converts a time as returned by now.
 func (c *Client) timeOf(t control.Micros) time.Time {
 	return c.started.Add(time.Duration(t-1) * time.Microsecond)
 }
 
-// Infer makes a call. It has one outcome: an answer, or an error that is a *Failed.
+// Infer makes a call. It returns a response or an error that is a *CallError.
 func (c *Client) Infer(ctx context.Context, call Call) (Response, error) {
 	startedAt := time.Now()
 	deadline := c.deadline(ctx, call, startedAt)
@@ -127,8 +127,8 @@
 	return response, nil
 }
 
-// deadline returns the earlier of the context's deadline and the end of the call's patience. The default patience is for
-// calls with neither.
+// deadline returns the earlier of the context's deadline and the end of the call's timeout. The default timeout applies to
+// calls that have neither.
 func (c *Client) deadline(ctx context.Context, call Call, startedAt time.Time) time.Time {
 	deadline, hasDeadline := ctx.Deadline()
 	timeout := call.Timeout
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// receivedRequest is a request as a fake router received it.
+// receivedRequest describes a request that a fake router received.
 type receivedRequest struct {
 	receivedAt time.Time
 	router     int
@@ -28,18 +28,18 @@
 	timeout    time.Duration
 }
 
-// fakeRouters answer as a handler says, and record what they received.
+// fakeRouters respond with the result of a handler and record the requests that they receive.
 type fakeRouters struct {
 	addresses   []string
 	mu          sync.Mutex
 	requests    []receivedRequest
 	conns       []map[net.Conn]bool
-	connectedAt [][]time.Time // connections
+	connectedAt [][]time.Time // times of connections, by router
 	wg          sync.WaitGroup
 	listeners   []net.Listener
 }
 
-// handler returns a fake router's answer to a request; nil breaks the connection.
+// handler returns a fake router's response to a request; nil breaks the connection.
 type handler func(h receivedRequest) *rest.Response
 
 func startRouters(t testing.TB, n int, handle handler) *fakeRouters {
@@ -131,8 +131,8 @@
 
 var body = []byte(`{"inputs":[]}`)
 
-// Ten thousand calls with random faults: each has one outcome, at its caller, within its time; every retry is marked as one and
-// carries the time that is left, and none does harm.
+// Makes ten thousand calls with random faults. Each call must return one outcome within its timeout. Every retry must carry
+// an attempt count above 1 and no more than the call's timeout, and must not be sent long after the deadline.
 func TestTenThousandCalls(t *testing.T) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, 2))
@@ -142,7 +142,7 @@
 		mu.Unlock()
 		switch {
 		case percent < 4:
-			return nil // broken after the whole request came
+			return nil // break the connection after the whole request was received
 		case percent < 10:
 			return failWith(503, "pushed back", time.Millisecond)
 		case percent < 13:
@@ -150,7 +150,7 @@
 		case percent < 14:
 			return failWith(400, "wrong", 0)
 		case percent < 15:
-			time.Sleep(60 * time.Millisecond) // past some deadlines
+			time.Sleep(60 * time.Millisecond) // longer than some calls' timeouts
 		}
 		return succeed(h)
 	})
@@ -181,7 +181,7 @@
 				t.Errorf("call %d: %v", i, err)
 			}
 			if late := time.Since(startedAt[i]) - timeouts[i]; late > time.Second {
-				t.Errorf("call %d had its outcome %s after its deadline", i, late)
+				t.Errorf("call %d ended %s after its deadline", i, late)
 			}
 			doneMu.Lock()
 			kinds[kind]++
@@ -202,17 +202,17 @@
 	for key, requests := range byKey {
 		i, err := strconv.Atoi(key)
 		if err != nil {
-			t.Fatalf("mark %q", key)
+			t.Fatalf("unknown idempotency key %q", key)
 		}
 		for n, h := range requests {
 			if h.receivedAt.After(startedAt[i].Add(timeouts[i] + time.Second)) {
-				t.Errorf("call %s is sent %s after its deadline", key, h.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
+				t.Errorf("call %s was sent %s after its deadline", key, h.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
 			}
 			if h.timeout > timeouts[i] {
-				t.Errorf("call %s says that %s are left of %s", key, h.timeout, timeouts[i])
+				t.Errorf("call %s was sent with a timeout of %s, more than its own of %s", key, h.timeout, timeouts[i])
 			}
 			if n > 0 && h.attempt < 2 {
-				t.Errorf("a retry of call %s is not marked", key)
+				t.Errorf("a retry of call %s has no attempt count above 1", key)
 			}
 		}
 		retries += len(requests) - 1
@@ -222,7 +222,7 @@
 	}
 }
 
-// What may have run is retried only as its workload allows.
+// A request that may have run is retried only if its workload allows that.
 func TestRetriesDoNoHarm(t *testing.T) {
 	for name, c := range map[string]struct {
 		w        Workload
@@ -249,7 +249,7 @@
 		r.mu.Lock()
 		for n, h := range r.requests {
 			if h.attempt != n+1 || h.key != r.requests[0].key || h.key == "" {
-				t.Errorf("%s: attempt %d has key %q and count %d", name, n, h.key, h.attempt)
+				t.Errorf("%s: attempt %d has key %q and attempt count %d", name, n, h.key, h.attempt)
 			}
 		}
 		if len(r.requests) != c.attempts {
@@ -259,7 +259,7 @@
 	}
 }
 
-// The router learns at once of a caller that gives up: the connection ends.
+// If the caller gives up, the client closes the connection at once, so that the router learns of it.
 func TestCancellationReachesRouter(t *testing.T) {
 	received, disconnected := make(chan bool), make(chan bool)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -297,7 +297,8 @@
 	<-disconnected
 }
 
-// A router that loses all of its connections at once gets them back spread out, while others take the calls.
+// After a router loses all of its connections at once, the client spreads its reconnects over time and sends the calls to
+// other routers.
 func TestReconnectsSpread(t *testing.T) {
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { time.Sleep(5 * time.Millisecond); return succeed(h) })
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 40})
@@ -335,14 +336,14 @@
 		}
 	}
 	if before < 15 || early > before/3 {
-		t.Errorf("%d connections, of which %d came back within half a second", before, early)
+		t.Errorf("%d connections, %d reconnects within half a second", before, early)
 	}
-	if len(failures) > 40 { // what was on the lost connections, beyond what the budget lets be tried again
-		t.Errorf("%d calls failed, as %s", len(failures), <-failures)
+	if len(failures) > 40 { // calls on the lost connections that the retry budget does not allow to be retried
+		t.Errorf("%d calls failed, for example %s", len(failures), <-failures)
 	}
 }
 
-// An attempt that gets its connection only after the call's deadline is not sent, though late answers would still be read.
+// An attempt that gets a connection only after the call's deadline is not sent, even if late responses would still be read.
 func TestNothingIsSentLate(t *testing.T) {
 	r := startRouters(t, 1, func(h receivedRequest) *rest.Response { time.Sleep(150 * time.Millisecond); return succeed(h) })
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, LateResponseTimeout: time.Second})
@@ -371,7 +372,8 @@
 	}
 }
 
-// A slow attempt of a request that may run twice at once is hedged at another router, and the first answer counts.
+// If concurrent attempts are allowed, a slow attempt is hedged with a second one at another router, and the first response
+// is returned.
 func TestHedge(t *testing.T) {
 	var mu sync.Mutex
 	slow := false
@@ -401,7 +403,7 @@
 	}
 }
 
-// BenchmarkInfer shows what the client adds to a call over a plain connection to the same fake router.
+// BenchmarkInfer compares a call of the client library with an exchange over a plain connection to the same fake router.
 func BenchmarkInfer(b *testing.B) {
 	r := startRouters(b, 1, succeed)
 	b.Run("plain", func(b *testing.B) {
--- a/client/connections.go
+++ b/client/connections.go
@@ -9,8 +9,8 @@
 	"hollymast/internal/rest"
 )
 
-// acquire returns a connection to a router: an idle one, or a new one as soon as one may be made. The error is the context's
-// or that of the dial.
+// acquire returns a connection to a router: an idle one, or a new one as soon as a new one is allowed. The error is the
+// context's or the dial's.
 func (c *Client) acquire(ctx context.Context, router int) (*rest.Client, error) {
 	for {
 		conn, mayDial, retryAt := c.takeIdle(router)
@@ -20,7 +20,7 @@
 		case mayDial:
 			return c.dial(ctx, router)
 		}
-		// A connection that another call gives back is found by looking again.
+		// Polling also finds a connection that another call has released.
 		timer := time.NewTimer(max(acquirePollInterval, time.Until(retryAt)))
 		select {
 		case <-timer.C:
@@ -31,11 +31,11 @@
 	}
 }
 
-// acquirePollInterval is the pause between two looks for a connection.
+// acquirePollInterval is the minimum interval between two checks for a connection.
 const acquirePollInterval = time.Millisecond
 
-// takeIdle returns an idle connection. Where there is none, it returns whether to dial a new one, which it has counted as
-// open then, or when to look again.
+// takeIdle returns an idle connection. If there is none, mayDial tells whether to dial a new one, which is then already
+// counted as open; otherwise retryAt tells when to check again.
 func (c *Client) takeIdle(router int) (conn *rest.Client, mayDial bool, retryAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	return nil, true, time.Time{}
 }
 
-// dial makes a connection that is counted as open already.
+// dial makes a connection that is already counted as open.
 func (c *Client) dial(ctx context.Context, router int) (*rest.Client, error) {
 	var handshake rest.Handshake // nil: plain text
 	if c.options.TLS != nil {
@@ -85,13 +85,13 @@
 	return secure, secure.HandshakeContext(ctx)
 }
 
-// connectionClosed counts a connection that this side closed or that was never made. The lock is held.
+// connectionClosed records that a connection was closed locally or could not be made. The caller holds the lock.
 func (c *Client) connectionClosed(router int) {
 	c.open[router]--
 	c.routers.ConnectionClosed(router)
 }
 
-// connectionLost counts a connection that broke. The lock is held.
+// connectionLost records that a connection broke. The caller holds the lock.
 func (c *Client) connectionLost(router int) {
 	c.open[router]--
 	c.routers.ConnectionLost(c.now(), router, c.random)
@@ -100,7 +100,7 @@
 	}
 }
 
-// connDisposition is what becomes of a connection after an attempt.
+// connDisposition tells whether a connection is kept or closed after an attempt.
 type connDisposition bool
 
 const (
@@ -108,7 +108,7 @@
 	closeConn connDisposition = true
 )
 
-// release gives a connection back, for the next call or to be closed.
+// release ends the use of a connection and keeps it for the next call or closes it.
 func (c *Client) release(router int, conn *rest.Client, disposition connDisposition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +120,7 @@
 	c.idle[router] = append(c.idle[router], conn)
 }
 
-// discard closes a connection that broke.
+// discard closes a broken connection.
 func (c *Client) discard(router int, conn *rest.Client) {
 	conn.Close()
 	c.mu.Lock()
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -17,7 +17,7 @@
 
 const tenantHeader = "X-Tenant"
 
-// exchange sends an attempt on a connection and reads its answer into the result.
+// exchange sends an attempt on a connection and reads the response into the result.
 func (s *callState) exchange(conn *rest.Client, attempt Attempt, result *attemptResult) {
 	c := s.client
 	body := s.call.Body
@@ -25,16 +25,17 @@
 		body = s.call.BodyFor(attempt)
 	}
 	remainingMS := time.Until(s.deadline).Milliseconds()
-	if remainingMS <= 0 { // making the body took what was left
+	if remainingMS <= 0 { // the deadline passed while the body was made
 		s.unregister(conn)
-		c.release(result.Router, conn, closeConn) // the end of the call may have aborted it
-		result.setNotSent("its time was up before it was sent")
+		c.release(result.Router, conn, closeConn) // not reused: it may have been aborted at the end of the call
+		result.setNotSent("the deadline passed before the request was sent")
 		return
 	}
 	response, progress, err := conn.Do(s.request(attempt, body, remainingMS), s.deadline.Add(c.options.LateResponseTimeout))
 	s.unregister(conn)
 	if err != nil {
-		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
+		// An exchange that was aborted locally, because the caller gave up or another attempt succeeded, says nothing about
+		// the router.
 		result.localFailure = errors.Is(err, rest.ErrAborted) || netfail.IsLocal(err)
 		if result.localFailure {
 			c.release(result.Router, conn, closeConn)
@@ -55,7 +56,7 @@
 	result.readResponse(response, attempt.Router)
 }
 
-// request returns an attempt's request. Left is the time to the deadline, in milliseconds.
+// request returns an attempt's request. remainingMS is the time until the deadline in milliseconds.
 func (s *callState) request(attempt Attempt, body []byte, remainingMS int64) *rest.Request {
 	header := rest.Header{
 		"Host":                      {attempt.Router},
@@ -75,7 +76,7 @@
 	return &rest.Request{Method: http.MethodPost, Target: target, Header: header, Body: body}
 }
 
-// readResponse sets what a router's response says.
+// readResponse sets the result from a router's response.
 func (r *attemptResult) readResponse(response *rest.Response, router string) {
 	r.response = Response{Status: response.Status, Body: response.Body, Router: router}
 	r.response.JSONLength, _ = strconv.Atoi(response.Header.Get(kserve.JSONLengthHeader))
@@ -89,7 +90,7 @@
 		r.Outcome, r.callErr.Kind = retry.Rejected, Rejected
 		r.RetryAfter = control.Micros(retryAfter)
 		r.callErr.RetryAfter = time.Duration(r.RetryAfter) * time.Microsecond
-	case response.Status >= http.StatusInternalServerError: // the router's, or a proxy's that promises nothing
+	case response.Status >= http.StatusInternalServerError: // from the router, or from a proxy that promises nothing about execution
 		r.Outcome, r.callErr.Kind = retry.Failed, RequestFailed
 	default:
 		r.Outcome = retry.Invalid
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -10,13 +10,13 @@
 	"hollymast/internal/rest"
 )
 
-// A caller that gives up says nothing of the router that was asked: routers are asked in turn as before.
+// A cancelled call does not count as a failure of its router: routers still get requests in turn.
 func TestCancellationCountsAgainstNoRouter(t *testing.T) {
 	slow := make(chan bool)
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
 	var ended atomic.Int32
 	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{AttemptEnded: func(Attempt, string, time.Duration) { ended.Add(1) }}})
-	const callsPerRouter = 4 // one more than would eject a router
+	const callsPerRouter = 4 // one more than the failures that eject a router
 	for range 2 * callsPerRouter {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
@@ -40,11 +40,12 @@
 		perRouter[h.router]++
 	}
 	if perRouter != [2]int{callsPerRouter, callsPerRouter} {
-		t.Errorf("asked %v", perRouter)
+		t.Errorf("requests per router: %v", perRouter)
 	}
 }
 
-// Making a body costs the attempt its time: the router gets what is left, and with nothing left nothing is sent.
+// The time taken to make a body counts against the deadline: the router gets the remaining time as its timeout, and if
+// none remains, nothing is sent.
 func TestSlowBodies(t *testing.T) {
 	r := startRouters(t, 1, succeed)
 	lib := newClient(t, Options{Routers: r.addresses})
@@ -53,7 +54,7 @@
 		t.Error(err)
 	}
 	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyFor: slow, Timeout: 100 * time.Millisecond}); err == nil {
-		t.Error("answered in no time")
+		t.Error("the call succeeded although its deadline passed before it was sent")
 	}
 	time.Sleep(50 * time.Millisecond)
 	r.mu.Lock()
--- a/client/options.go
+++ b/client/options.go
@@ -9,19 +9,20 @@
 type Options struct {
 	Routers             []string      // addresses, HOST:PORT
 	TLS                 *tls.Config   // nil: plain text
-	Connections         int           // to one router at most; 0: 64
-	DefaultTimeout      time.Duration // of calls that set none and whose context has no deadline; 0: 10 s
-	LateResponseTimeout time.Duration // how long an answer is still read after a call's deadline; nothing is sent then
-	Seed                uint64        // of all randomness; 0: a random one
+	Connections         int           // maximum number of connections to one router; 0: 64
+	DefaultTimeout      time.Duration // for calls without a timeout whose context has no deadline; 0: 10 s
+	LateResponseTimeout time.Duration // how long a response is still read after a call's deadline, when nothing is sent any more
+	Seed                uint64        // of the random generator; 0: a random seed
 	Hooks               Hooks
 }
 
-// Hooks are called at a client's events; any may be nil. They are called concurrently and must not block. Endings are
-// "finished", "refused", "pushed back", "unsent", "killed" and "lost"; kinds are "finished" and those of Failed.
+// Hooks are called on a client's events; any of them may be nil. They are called concurrently and must not block. The
+// outcome of an attempt is "finished", "refused", "pushed back", "unsent", "killed" or "lost"; that of a call is
+// "finished" or a FailureKind.
 type Hooks struct {
-	AttemptStarted   func(t Attempt)                                    // an attempt begins
-	AttemptEnded     func(t Attempt, ending string, took time.Duration) // an attempt has ended
-	CallEnded        func(kind string, tries int, took time.Duration)   // a call has its outcome
+	AttemptStarted   func(a Attempt)
+	AttemptEnded     func(a Attempt, outcome string, duration time.Duration)
+	CallEnded        func(outcome string, attempts int, duration time.Duration)
 	ConnectionOpened func(router string)
-	ConnectionLost   func(router string) // a connection broke
+	ConnectionLost   func(router string) // the connection broke; it was not closed by the client
 }
--- a/kserve/infer.go
+++ b/kserve/infer.go
@@ -10,17 +10,17 @@
 	"github.com/tidwall/gjson"
 )
 
-// InferRequest is what a router reads of an inference request.
+// InferRequest holds the parts of an inference request that a router needs.
 type InferRequest struct {
 	ID              string
 	Timeout         int64  // microseconds; 0: not given
-	IsRetry         bool   // a retry of the client's
-	HasAttemptCount bool   // the client counts its attempts, so that a first one is known to be one
-	IdempotencyKey  string // the idempotency key; empty: none
+	IsRetry         bool   // the client marked the request as a retry
+	HasAttemptCount bool   // the client counts its attempts: without IsRetry, this is known to be the first one
+	IdempotencyKey  string // empty: none
 }
 
-// ParseInferRequest reads the parts of an inference request that matter to a router. The error says what is malformed; its text may
-// be shown to the client.
+// ParseInferRequest parses the parts of an inference request that a router needs. The error says what is malformed; its
+// text may be shown to the client.
 func ParseInferRequest(h textproto.MIMEHeader, body []byte) (InferRequest, error) {
 	var req InferRequest
 	head, err := jsonPart(h, body)
@@ -52,10 +52,11 @@
 	return req, nil
 }
 
-// maxTimeout, in microseconds, is far beyond any deadline, and exact as a JSON number.
+// maxTimeout, in microseconds, is far longer than any deadline, and is exactly represented by a JSON number.
 const maxTimeout = 1e12
 
-// parseTimeout returns the shorter one of the parameter timeout and Envoy's header, in microseconds; 0: neither is given.
+// parseTimeout returns the shorter of the request parameter timeout and Envoy's timeout header, in microseconds; 0 means
+// that neither is given.
 func parseTimeout(h textproto.MIMEHeader, parameters gjson.Result) (timeout int64, err error) {
 	if t := parameters.Get("timeout"); t.Exists() {
 		if t.Type != gjson.Number || t.Num < 1 || t.Num > maxTimeout || t.Num != float64(int64(t.Num)) {
@@ -75,8 +76,8 @@
 	return timeout, nil
 }
 
-// parseMembers walks once over the request's object. Tensors are skipped: whether they are well formed is for the server to say. A
-// member that occurs twice is rejected: the server might take the other one.
+// parseMembers returns the members of the request object that a router needs, in one pass. Tensors are skipped; the server
+// checks whether they are well formed. A duplicate member is rejected, since the server might use the other one.
 func parseMembers(head []byte) (map[string]gjson.Result, error) {
 	trimmed := bytes.TrimSpace(head)
 	if len(trimmed) < 2 || trimmed[0] != '{' || trimmed[len(trimmed)-1] != '}' {
@@ -99,7 +100,7 @@
 	return fields, nil
 }
 
-// jsonPart returns the JSON without the binary tensors behind it.
+// jsonPart returns the JSON part of a body, without the binary tensors behind it.
 func jsonPart(h textproto.MIMEHeader, body []byte) ([]byte, error) {
 	v := h.Get(JSONLengthHeader)
 	if v == "" {
@@ -112,8 +113,8 @@
 	return body[:n], nil
 }
 
-// ParseCacheStatus reads from an answer whether the model was loaded when the request came, the response parameter "found": warm, began,
-// joined or load_failed; empty: not given.
+// ParseCacheStatus returns the response parameter "found", which says whether the model was loaded when the request
+// arrived: warm, began, joined or load_failed; empty if it is not given.
 func ParseCacheStatus(h textproto.MIMEHeader, body []byte) string {
 	head, err := jsonPart(h, body)
 	if err != nil {
--- a/kserve/kserve.go
+++ b/kserve/kserve.go
@@ -1,33 +1,33 @@
-// Package kserve reads and writes the messages of the Open Inference Protocol v2 (KServe v2) over REST, with the model
-// repository and binary tensor extensions, as far as a router needs: tensors pass through as bytes.
+// Package kserve parses and formats messages of the Open Inference Protocol v2 (KServe v2) over REST, with the model
+// repository and binary tensor extensions. It covers what a router needs: tensors are passed through as bytes.
 package kserve
 
 import "encoding/json"
 
 // Header fields, in canonical form.
 const (
-	JSONLengthHeader     = "Inference-Header-Content-Length" // of the JSON part before binary tensors, in bytes
+	JSONLengthHeader     = "Inference-Header-Content-Length" // length in bytes of the JSON part before binary tensors
 	TimeoutHeader        = "X-Envoy-Expected-Rq-Timeout-Ms"
 	AttemptHeader        = "X-Envoy-Attempt-Count" // from 1
 	IdempotencyKeyHeader = "Idempotency-Key"
-	LoadMetricsHeader    = "Endpoint-Load-Metrics" // ORCA's
+	LoadMetricsHeader    = "Endpoint-Load-Metrics" // ORCA load report
 )
 
-// ErrorBody is the protocol's error object, with what hollymast's routers add to it.
+// ErrorBody is the protocol's error object, with fields that hollymast's routers add.
 type ErrorBody struct {
 	Error      string `json:"error"`
 	Outcome    string `json:"answer,omitempty"`         // "pushed back" (rejected) or "killed" (failed)
-	Overload   string `json:"storm,omitempty"`          // the kind of overload, where one is the reason
-	RetryAfter int64  `json:"retry_after_us,omitempty"` // advice on when to retry, microseconds; 0: none
+	Overload   string `json:"storm,omitempty"`          // the kind of overload, if that is the reason
+	RetryAfter int64  `json:"retry_after_us,omitempty"` // suggested delay before a retry, in microseconds; 0: none
 }
 
-// JSON returns the object's JSON.
+// JSON returns the object's JSON encoding.
 func (f ErrorBody) JSON() []byte {
-	b, _ := json.Marshal(f) // plain strings and numbers: can't fail
+	b, _ := json.Marshal(f) // can't fail for strings and numbers
 	return b
 }
 
-// Metadata is the answer to ServerMetadata and ModelMetadata.
+// Metadata is the response to ServerMetadata and ModelMetadata.
 type Metadata struct {
 	Name       string   `json:"name"`
 	Version    string   `json:"version,omitempty"`
@@ -36,7 +36,7 @@
 	Platform   string   `json:"platform,omitempty"`
 }
 
-// IndexEntry is one model in the answer to RepositoryIndex.
+// IndexEntry describes one model in the response to RepositoryIndex.
 type IndexEntry struct {
 	Name    string `json:"name"`
 	Version string `json:"version,omitempty"`
@@ -44,7 +44,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// ParseIndex reads the answer to RepositoryIndex. The error is that of the JSON.
+// ParseIndex parses the response to RepositoryIndex. The error is the JSON decoder's.
 func ParseIndex(body []byte) (list []IndexEntry, err error) {
 	err = json.Unmarshal(body, &list)
 	return list, err
--- a/kserve/load.go
+++ b/kserve/load.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// ParseReplicaCount reads from the answer to a load command how many replicas there are; -1: not given.
+// ParseReplicaCount returns the number of replicas stated in the response to a load command, or -1 if it is not given.
 func ParseReplicaCount(body []byte) int {
 	if n := gjson.GetBytes(body, "parameters.copies"); n.Type == gjson.Number && n.Num >= 0 && n.Num < 1<<16 {
 		return int(n.Num)
@@ -16,19 +16,19 @@
 	return -1
 }
 
-// LoadCommandBody returns the body of a command to have a number of replicas.
+// LoadCommandBody returns the body of a load command that sets the number of replicas.
 func LoadCommandBody(copies int) []byte {
 	return fmt.Appendf(nil, `{"parameters":{"copies":%d}}`, copies)
 }
 
-// LoadReport is a server's load report in ORCA's JSON form. A negative value was not given.
+// LoadReport is a server's load report in ORCA's JSON format. A negative value means that it was not given.
 type LoadReport struct {
-	Utilization  float64 // cpu_utilization: share of its cores in use
-	PendingLoads float64 // named metric "loads": models loading or waiting to
-	PinnedMemory float64 // named metric "pinned": share of its memory that can't be freed, 0 to 1
+	Utilization  float64 // cpu_utilization: share of the server's cores in use
+	PendingLoads float64 // named metric "loads": models that are loading or waiting to load
+	PinnedMemory float64 // named metric "pinned": share of the server's memory that can't be freed, 0 to 1
 }
 
-// ParseLoadReport reads a load report from the header of an answer; ok is false where there is none that is valid.
+// ParseLoadReport parses the load report in the header of a response; ok is false if there is no valid one.
 func ParseLoadReport(h textproto.MIMEHeader) (l LoadReport, ok bool) {
 	text := strings.TrimSpace(strings.TrimPrefix(h.Get(LoadMetricsHeader), "JSON "))
 	if text == "" || !gjson.Valid(text) {
@@ -43,7 +43,7 @@
 	return LoadReport{read("cpu_utilization"), read("named_metrics.loads"), read("named_metrics.pinned")}, true
 }
 
-// String returns the report as the header carries it.
+// String formats the report as a header value.
 func (l LoadReport) String() string {
 	return fmt.Sprintf(`JSON {"cpu_utilization":%.3f,"named_metrics":{"loads":%g,"pinned":%.3f}}`, l.Utilization, l.PendingLoads, l.PinnedMemory)
 }
--- a/kserve/target.go
+++ b/kserve/target.go
@@ -10,7 +10,7 @@
 // Operation is an operation of the protocol.
 type Operation uint8
 
-// The operations of the protocol and of the model repository extension.
+// The operations of the protocol and its model repository extension.
 const (
 	ServerLive Operation = iota
 	ServerReady
@@ -23,23 +23,24 @@
 	RepositoryUnload
 )
 
-// Call is what the method and target of a request name.
+// Call is the operation that the method and target of a request select, with the model that it applies to.
 type Call struct {
 	Operation Operation
-	Model     string // empty: the operation has none
-	Version   string // empty: none is named
+	Model     string // empty: the operation applies to no model
+	Version   string // empty: not specified
 }
 
-// Errors of ReadTarget.
+// Errors of ParseTarget.
 var (
-	ErrUnknownPath      = errors.New("no such call")                     // the path is none of the protocol's
-	ErrMethodNotAllowed = errors.New("the method does not fit the call") // but the path is one
+	ErrUnknownPath      = errors.New("no such call")                     // the protocol does not define the path
+	ErrMethodNotAllowed = errors.New("the method does not fit the call") // the path is valid, but not with this method
 )
 
-// maxNameLength bounds a model's name or version, in bytes: file systems end at about as many.
+// maxNameLength bounds a model's name or version in bytes. It is about the limit of file systems.
 const maxNameLength = 256
 
-// ParseTarget reads a request's method and target; a query is ignored. It returns ErrNoSuchCall, or ErrMethod with the call.
+// ParseTarget parses a request's method and target and ignores the query. The error is ErrUnknownPath, or
+// ErrMethodNotAllowed, with which the Call is valid.
 func ParseTarget(method, target string) (Call, error) {
 	path, _, _ := strings.Cut(target, "?")
 	if path == "/v2" || path == "/v2/" {
@@ -70,8 +71,8 @@
 	return Call{}, ErrUnknownPath
 }
 
-// splitPath unescapes the parts of a path. It rejects empty and overlong ones, and bytes that could break a header or a log
-// line on the way to a server.
+// splitPath splits a path and unescapes its parts. It rejects empty and overlong parts, and those with bytes that could
+// break a header or a log line on the way to a server.
 func splitPath(path string) (parts []string, ok bool) {
 	parts = strings.Split(path, "/")
 	for i, part := range parts {
@@ -84,7 +85,7 @@
 	return parts, true
 }
 
-// parseModelTarget reads what follows a model's name.
+// parseModelTarget parses the parts of a path behind a model's name.
 func parseModelTarget(method, model string, tail []string) (Call, error) {
 	c := Call{Operation: ModelMetadata, Model: model}
 	if len(tail) >= 2 && tail[0] == "versions" {
@@ -117,7 +118,7 @@
 	return c, nil
 }
 
-// Target returns the path of a call, the opposite of ReadTarget.
+// Target returns the path of a call; it is the inverse of ParseTarget.
 func (c Call) Target() string {
 	model := "/v2/models/" + url.PathEscape(c.Model)
 	if c.Version != "" {
