--- a/cmd/hmcall/calls.go
+++ b/cmd/hmcall/calls.go
@@ -13,7 +13,7 @@
 	"hollymast/internal/program"
 )
 
-// call is a line of a file of calls. An empty field has the flag's value.
+// call is one line of a file of calls. An empty effect, tenant or timeout takes the value of its flag.
 type call struct {
 	Model          string          `json:"model"`
 	Request        json.RawMessage `json:"request"`
@@ -23,17 +23,17 @@
 	Timeout        int64           `json:"timeout"` // milliseconds
 }
 
-// effects are the values of --effect and of a call's effect.
+// effects maps the values of --effect and of a call's effect field.
 var effects = map[string]client.Effect{
 	"run-once":      client.NonIdempotent,
 	"restartable":   client.Idempotent,
 	"fingerprinted": client.IdempotentByKey,
 }
 
-// emptyRequest is the body of a call that gives none.
+// emptyRequest is the default body of a call.
 var emptyRequest = []byte(`{"inputs":[]}`)
 
-// maxLine bounds a line of a file of calls, in bytes.
+// maxLine bounds a line of a file of calls in bytes.
 const maxLine = 64 << 20
 
 // readInput reads a file, or standard input for "-".
@@ -44,7 +44,7 @@
 	return os.ReadFile(name)
 }
 
-// readCalls reads a file of calls. An empty line is a call without a model, so that indexes go with line numbers.
+// readCalls reads a file of calls. An empty line becomes a call without a model, so that indexes match line numbers.
 func readCalls(name string) ([]call, error) {
 	text, err := readInput(name)
 	if err != nil {
@@ -75,7 +75,7 @@
 		return input, err
 	}
 	if _, known := effects[input.Effect]; input.Model == "" || input.Effect != "" && !known || input.Timeout < 0 {
-		return input, errors.New("a call needs a model, an effect that is known and no timeout below zero")
+		return input, errors.New("a call needs a model; its effect must be valid and its timeout not negative")
 	}
 	return input, nil
 }
--- a/cmd/hmcall/run.go
+++ b/cmd/hmcall/run.go
@@ -14,11 +14,11 @@
 	"hollymast/internal/program"
 )
 
-// result is what is printed of a call. Scripts read it: its names stay.
+// result is the output for one call. Scripts read it, so its JSON names must not change.
 type result struct {
 	Line           int             `json:"line,omitempty"`
 	Model          string          `json:"model"`
-	Outcome        string          `json:"outcome"` // finished, or a client.Kind
+	Outcome        string          `json:"outcome"` // finished, or a client.FailureKind
 	Status         int             `json:"status,omitempty"`
 	Attempts       int             `json:"tries"`
 	Router         string          `json:"router,omitempty"`
@@ -28,7 +28,7 @@
 	Answer         json.RawMessage `json:"answer,omitempty"`
 }
 
-// finished is the outcome of a call that was answered.
+// finished is the outcome of a successful call.
 const finished = "finished"
 
 // runOne makes the call that the flags describe.
@@ -48,14 +48,14 @@
 	return nil
 }
 
-// runFile makes the calls of a file, and prints their results in the order in which they end.
+// runFile makes the calls of a file and prints their results in the order in which they end.
 func (c *cli) runFile(ctx context.Context, library *client.Client) error {
 	calls, err := readCalls(c.Calls)
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	var mu sync.Mutex // for standard output and failed
+	var mu sync.Mutex // guards standard output and failed
 	failed := 0
 	inFlight := make(chan struct{}, c.Concurrency)
 	for i, input := range calls {
@@ -79,12 +79,12 @@
 	}
 	wg.Wait()
 	if failed > 0 {
-		return fmt.Errorf("%d of %d calls were not finished", failed, len(calls))
+		return fmt.Errorf("%d of %d calls failed", failed, len(calls))
 	}
 	return ctx.Err()
 }
 
-// infer makes a call.
+// infer makes a call. An empty effect, tenant or timeout of the input takes the value of its flag.
 func (c *cli) infer(ctx context.Context, library *client.Client, input call) result {
 	effect, timeout := c.Effect, c.Timeout
 	if input.Effect != "" {
--- a/cmd/hmprobe/main.go
+++ b/cmd/hmprobe/main.go
@@ -1,4 +1,4 @@
-// Command hmprobe asks servers what a router would ask, and prints what a router would conclude.
+// Command hmprobe sends servers the requests that a router sends, and prints what a router would conclude from the responses.
 package main
 
 import (
@@ -7,13 +7,13 @@
 
 type cli struct {
 	program.CommonFlags
-	Servers serversCommand `cmd:"" help:"Probe servers by address, or all of a list file. Runs nothing unless told to."`
-	Router  routerCommand  `cmd:"" help:"Ask a router at its admin address: state, snapshot, record-start, record-stop."`
+	Servers serversCommand `cmd:"" help:"Probe servers by address, or all servers of a list file. Runs nothing on them unless --run is given."`
+	Router  routerCommand  `cmd:"" help:"Query or control a router at its admin address: state, snapshot, record-start, record-stop."`
 }
 
 func main() {
 	var c cli
-	ctx := program.Parse(&c, "hmprobe", `Asks servers what a router would ask, and tells what it would conclude from their answers.
+	ctx := program.Parse(&c, "hmprobe", `Sends servers the requests that a router sends, and prints what a router would conclude from the responses.
 
 Examples:
 
--- a/cmd/hmprobe/router.go
+++ b/cmd/hmprobe/router.go
@@ -14,22 +14,22 @@
 	"hollymast/internal/rest"
 )
 
-// routerCommand holds the flags of "hmprobe router"; their names come from the fields.
+// routerCommand holds the arguments and flags of "hmprobe router". The flags are named after the fields.
 type routerCommand struct {
 	Address string `arg:"" help:"The router's admin address."`
 	Ask     string `arg:"" enum:"state,snapshot,record-start,record-stop" help:"state, snapshot, record-start or record-stop."`
-	Folder  string `help:"Folder of the recording, as the router sees it." type:"path"`
-	Output  string `short:"o" help:"Write the answer to this file." type:"path"`
+	Folder  string `help:"Folder for the recording, as a path on the router's machine." type:"path"`
+	Output  string `short:"o" help:"Write the response to this file." type:"path"`
 }
 
 const (
-	// routerTimeout bounds an answer: a state of many thousand functions takes a part of it.
+	// routerTimeout bounds the request. A state with many thousand functions takes only a part of it.
 	routerTimeout = 10 * time.Second
-	// maxAnswer bounds an answer's body, in bytes, far above a snapshot of a large fleet.
+	// maxAnswer bounds the response body in bytes. It is far larger than a snapshot of a large fleet.
 	maxAnswer = 1 << 30
 )
 
-// Run asks the router, and prints its answer or writes it to the output file.
+// Run sends the request to the router and prints the response or writes it to the output file.
 func (r routerCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), routerTimeout)
 	defer cancel()
@@ -45,13 +45,13 @@
 		return err
 	}
 	if response.Status != http.StatusOK {
-		return fmt.Errorf("%s answers %d: %s", r.Address, response.Status, response.Body)
+		return fmt.Errorf("%s responded with status %d: %s", r.Address, response.Status, response.Body)
 	}
 	if r.Output != "" {
 		return renameio.WriteFile(r.Output, response.Body, 0o600)
 	}
 	if r.Ask == "snapshot" {
-		return program.UsageError{Err: errors.New("a snapshot is no text: name a file with --output")}
+		return program.UsageError{Err: errors.New("a snapshot is binary data: specify a file with --output")}
 	}
 	fmt.Println(string(response.Body))
 	return nil
--- a/cmd/hmprobe/servers.go
+++ b/cmd/hmprobe/servers.go
@@ -16,18 +16,18 @@
 	"hollymast/internal/program"
 )
 
-// serversCommand holds the flags of "hmprobe servers"; their names come from the fields.
+// serversCommand holds the arguments and flags of "hmprobe servers". The flags are named after the fields unless tagged.
 type serversCommand struct {
 	Addresses []string      `arg:"" optional:"" help:"Addresses of servers."`
-	List      string        `help:"List of servers (INI) to probe as well." type:"path"`
-	Rate      float64       `default:"10" help:"Servers a second, at most."`
-	Patience  time.Duration `default:"2s" help:"For each call."`
-	Model     string        `name:"run" help:"Run one job of this function on each server."`
-	Body      string        `default:"{\"inputs\":[]}" help:"That job's body."`
+	List      string        `help:"Endpoint list file (INI) with more servers to probe." type:"path"`
+	Rate      float64       `default:"10" help:"Maximum number of servers probed per second."`
+	Patience  time.Duration `default:"2s" help:"Timeout of each call."`
+	Model     string        `name:"run" help:"Send one inference request for this function to each server."`
+	Body      string        `default:"{\"inputs\":[]}" help:"Body of that request."`
 	JSON      bool          `name:"json" help:"Print a JSON object for each server."`
 }
 
-// addresses returns the servers of the arguments and of the list file.
+// addresses returns the addresses of the servers in the arguments and in the list file.
 func (s serversCommand) addresses() ([]string, error) {
 	addresses := s.Addresses
 	if s.List != "" {
@@ -44,15 +44,15 @@
 		}
 	}
 	if len(addresses) == 0 || s.Rate <= 0 {
-		return nil, program.UsageError{Err: errors.New("no server is named, or no rate")}
+		return nil, program.UsageError{Err: errors.New("no servers are given, or the rate is not positive")}
 	}
 	return addresses, nil
 }
 
-// finished is the result of a request that was answered.
+// finished is the Result of a successful request.
 const finished = "finished"
 
-// Run probes each server in turn. The error says how many are not ready, or did not finish the request that was made.
+// Run probes one server after another. The error states how many are not ready or did not answer the request successfully.
 func (s serversCommand) Run() error {
 	addresses, err := s.addresses()
 	if err != nil {
@@ -84,7 +84,7 @@
 		fmt.Print(report.Text())
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d servers are not well", failed, len(addresses))
+		return fmt.Errorf("%d of %d servers are not ready or failed the request", failed, len(addresses))
 	}
 	return nil
 }
--- a/internal/probe/output_test.go
+++ b/internal/probe/output_test.go
@@ -8,12 +8,12 @@
 	"hollymast/internal/golden"
 )
 
-// Scripts read this JSON: its names stay.
+// The JSON is an output format that scripts read, so its field names must not change.
 func TestJSONForm(t *testing.T) {
 	value := &ServerReport{}
 	golden.Fill(value)
 	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
 	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
-		t.Errorf("has the name of a field: %q", missing)
+		t.Errorf("fields without a JSON tag: %q", missing)
 	}
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,4 +1,4 @@
-// Package probe asks servers what a router would ask, and reads their answers with the router's own code.
+// Package probe sends servers the requests that a router sends, and interprets the responses with the router's own code.
 package probe
 
 import (
@@ -14,35 +14,36 @@
 	"hollymast/kserve"
 )
 
-// ServerReport is what one server answered. Its JSON form is an output of hmprobe: its names stay.
+// ServerReport is the result of probing one server. Its JSON encoding is printed by hmprobe, so the JSON names must not
+// change.
 type ServerReport struct {
 	Address  string              `json:"Address"`
 	Ready    bool                `json:"Ready"`
-	Problem  string              `json:"Says,omitempty"` // why it is not ready, or what is unusual
-	Duration control.Micros      `json:"Took"`           // of the readiness call, with the dial
-	Load     *control.LoadReport `json:"Load,omitempty"` // the last that it reported
+	Problem  string              `json:"Says,omitempty"` // why the server is not ready, or what is unusual
+	Duration control.Micros      `json:"Took"`           // of the dial and the readiness call
+	Load     *control.LoadReport `json:"Load,omitempty"` // the last load report received
 	Models   []kserve.IndexEntry `json:"Stands"`
 	Request  *RequestReport      `json:"Run,omitempty"`
 }
 
-// RequestReport is the outcome of a request that the probe was asked to make.
+// RequestReport is the outcome of an inference request made by the probe.
 type RequestReport struct {
 	Status      int                 `json:"Status"`
-	Result      string              `json:"Result"` // as the balancer would get it
+	Result      string              `json:"Result"` // the result that a router would pass to its balancer
 	CacheStatus control.CacheStatus `json:"Found"`
-	MayHaveRun  bool                `json:"MayRun"` // as the balancer would have to assume
+	MayHaveRun  bool                `json:"MayRun"` // whether the balancer would have to assume that the request ran
 	Duration    control.Micros      `json:"Took"`
-	Message     string              `json:"Message,omitempty"` // the error, where there was no answer
+	Message     string              `json:"Message,omitempty"` // the error, if there was no response
 }
 
-// Options say what to ask a server.
+// Options configure a probe.
 type Options struct {
 	Timeout time.Duration // of each call
-	Model   string        // makes one request to it; empty: none is made
-	Body    []byte        // of that request
+	Model   string        // model to send one inference request to; empty: none is sent
+	Body    []byte        // body of that request
 }
 
-// CheckServer probes one server. It runs nothing unless a model is named.
+// CheckServer probes one server. It runs nothing there unless options name a model.
 func CheckServer(ctx context.Context, address string, options Options) ServerReport {
 	started := time.Now()
 	dialCtx, cancel := context.WithTimeout(ctx, options.Timeout)
@@ -62,7 +63,7 @@
 	return p.report
 }
 
-// prober probes one server over one connection, or a new one after an exchange that broke.
+// prober probes one server over a connection, which is replaced after a broken exchange.
 type prober struct {
 	address string
 	options Options
@@ -92,7 +93,7 @@
 	}
 }
 
-// call makes a call without a body and takes the load report from its response; nil: there was none.
+// call makes a call without a body and stores the load report of its response. It returns nil if there was no response.
 func (p *prober) call(ctx context.Context, kind kserve.Operation, method string) *rest.Response {
 	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Operation: kind}.Target(), Header: rest.Header{"Host": {p.address}}})
 	if err != nil {
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("got %+v", f)
 	}
 	if n := len(log.Records()); n != 0 {
-		t.Errorf("the server saw %d things", n)
+		t.Errorf("the server recorded %d events", n)
 	}
 	options.Model, options.Body = "m", []byte(`{"id":"p","inputs":[]}`)
 	if f := CheckServer(context.Background(), s.Address(), options); f.Request == nil || f.Request.Result != "finished" || !f.Request.MayHaveRun || f.Request.Status != 200 {
--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Text describes a finding in plain words, a line for the server and one for each model.
+// Text returns the report as readable text: a line for the server, one for each model and one for the request, if any.
 func (f ServerReport) Text() string {
 	var b strings.Builder
 	readiness := "not ready"
