--- a/client/client.go
+++ b/client/client.go
@@ -91,7 +91,7 @@
 	return control.Micros(time.Since(c.started).Microseconds()) + 1
 }
 
-// timeOf converts a time as returned by now.
+// timeOf converts a time as returned by now into a time.Time.
 func (c *Client) timeOf(t control.Micros) time.Time {
 	return c.started.Add(time.Duration(t-1) * time.Microsecond)
 }
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file queries the kernel for connection state that a read does not show. The functions neither consume input nor
-// block, and may be called from any goroutine.
+// This file queries the kernel for connection state that a read does not show. A query is one system call that neither
+// consumes input nor blocks, and may be made from any goroutine.
 
 // sinceLastData returns how long ago the last bytes arrived, with millisecond precision, or 0 if that is not known.
 func sinceLastData(conn net.Conn) time.Duration {
