--- a/client/call.go
+++ b/client/call.go
@@ -46,7 +46,7 @@
 	return class
 }
 
-var controlEffects = [...]control.Effect{
+var controlEffects = [...]control.Idempotency{
 	NonIdempotent:   control.NonIdempotent,
 	Idempotent:      control.Idempotent,
 	IdempotentByKey: control.IdempotentByKey,
--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -53,7 +53,7 @@
 	violated := false
 	inTime := map[string][]float64{} // by arm, of the seeds in order
 	for _, arm := range e.Arms {
-		if arm != moduleArm && !slices.Contains(baseline.Names, arm) {
+		if arm != moduleArm && !slices.Contains(baseline.PolicyNames, arm) {
 			return program.UsageError{Err: fmt.Errorf("no arm is called %q", arm)}
 		}
 		for seed := e.Seed; seed < e.Seed+uint64(e.Seeds); seed++ {
@@ -112,7 +112,7 @@
 	}
 	var newPolicy chaostest.PolicyFactory // nil: the balancer
 	if arm != moduleArm {
-		newPolicy = baseline.NewFactory(baseline.Policy(slices.Index(baseline.Names, arm)))
+		newPolicy = baseline.NewFactory(baseline.Policy(slices.Index(baseline.PolicyNames, arm)))
 	}
 	result, err := chaostest.Simulate(s, e.Threads, newPolicy)
 	return result, s.Length, err
--- a/cmd/hmchaos/spec.go
+++ b/cmd/hmchaos/spec.go
@@ -95,8 +95,8 @@
 		main.Errorf("arms", "fewer than two")
 	}
 	for _, arm := range spec.plan.Arms {
-		if arm != moduleArm && arm != undampedArm && spec.programs[arm] == "" && !slices.Contains(baseline.Names, arm) {
-			main.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.Names, arm)
+		if arm != moduleArm && arm != undampedArm && spec.programs[arm] == "" && !slices.Contains(baseline.PolicyNames, arm) {
+			main.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.PolicyNames, arm)
 		}
 	}
 }
--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -88,8 +88,8 @@
 				publish(endpointMessage(earlier, "gone", 0))
 			}
 		}
-		client.Call(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*random.Float64()*random.Float64()))
-		if u.sent++; client.Answer() {
+		client.SendRequest(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*random.Float64()*random.Float64()))
+		if u.sent++; client.AwaitAnswer() {
 			u.served++
 		}
 		if n%perSecond == 0 {
@@ -97,7 +97,7 @@
 		}
 	}
 	u.measure(t, router.command.Process.Pid)
-	u.connections, u.listBytes = int64(modelServers.Accepted()), discoveryServer.Written()
+	u.connections, u.listBytes = int64(modelServers.AcceptedConnections()), discoveryServer.BytesWritten()
 	t.Logf("%d servers: %+v", servers, u)
 	return u
 }
--- a/cmd/hollymast/platform_shutdown_test.go
+++ b/cmd/hollymast/platform_shutdown_test.go
@@ -179,7 +179,7 @@
 	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod, Deadline: deadline}.Configuration(discoveryServer.Address(), events...))
 	router.waitReady()
 	if silent {
-		server.Hold()
+		server.HoldAnswers()
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -25,10 +25,10 @@
 // withdrawn before.
 func (s Stage) Withdraw() (next Stage, ok bool) { return Withdrawn, s == Chosen }
 
-// Write begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
+// BeginWrite begins to write, unless the attempt was withdrawn, or the endpoint list that the choice rests on is too
 // old (WriteUntil): a later list may forbid the server. allowed is false if the client no longer waits, or the
 // journal does not hold what it must hold before the first byte.
-func (s Stage) Write(allowed bool, now, until control.Micros) (next Stage, ok bool) {
+func (s Stage) BeginWrite(allowed bool, now, until control.Micros) (next Stage, ok bool) {
 	return Writing, s == Chosen && allowed && now <= until
 }
 
@@ -44,9 +44,9 @@
 	}
 }
 
-// JournalWait returns how long, in microseconds, a chosen attempt may wait for the journal: until its endpoint
+// MaxJournalWait returns how long, in microseconds, a chosen attempt may wait for the journal: until its endpoint
 // list is stale or its time is up.
-func JournalWait(now, until, timeout control.Micros) control.Micros {
+func MaxJournalWait(now, until, timeout control.Micros) control.Micros {
 	return max(0, min(until-now, timeout))
 }
 
@@ -73,59 +73,59 @@
 	return first
 }
 
-// BreakReason is why an exchange broke off.
-type BreakReason uint8
+// InterruptReason is why an exchange broke off.
+type InterruptReason uint8
 
 // The reasons. With ByAuthentication the handshake never completed (rest.ErrCertificateRejected).
 const (
-	ByPeer           BreakReason = iota // the peer closed or reset the connection
-	ByUs                                // this router aborted it
-	ByDeadline                          // its timeout expired
-	ByAuthentication                    // the peer refused our certificate
+	ClosedByPeer        InterruptReason = iota // the peer closed or reset the connection
+	AbortedLocally                             // this router aborted it
+	DeadlineExceeded                           // its timeout expired
+	CertificateRejected                        // the peer refused our certificate
 )
 
-// BrokenResult returns the result of an exchange that broke off. Only one that was not written at all, or whose
+// InterruptedResult returns the result of an exchange that broke off. Only one that was not written at all, or whose
 // handshake was refused, is proved not to have run.
-func BrokenResult(written bool, reason BreakReason) control.Result {
+func InterruptedResult(written bool, reason InterruptReason) control.Result {
 	switch {
 	case !written:
 		return control.NotSent
-	case reason == ByAuthentication:
+	case reason == CertificateRejected:
 		return control.ConnectFailed
-	case reason == ByUs:
+	case reason == AbortedLocally:
 		return control.Cancelled
-	case reason == ByDeadline:
+	case reason == DeadlineExceeded:
 		return control.TimedOut
 	}
 	return control.ConnectionReset
 }
 
-// UndialledResult returns the result of an attempt for which no connection was established. It says nothing
+// UnconnectedResult returns the result of an attempt for which no connection was established. It says nothing
 // about the server (NotSent) if the attempt was withdrawn meanwhile, or if the cause is local: it was still
 // waiting to dial, or the fault is this machine's (netfail.IsLocal).
-func UndialledResult(s Stage, local bool) control.Result {
+func UnconnectedResult(s Stage, local bool) control.Result {
 	if local || s == Withdrawn {
 		return control.NotSent
 	}
 	return control.ConnectFailed
 }
 
-// FinalAnswer is the one final answer of a request, and how many attempts are in flight for it. Its tags are the
+// FinalResponse is the one final answer of a request, and how many attempts are in flight for it. Its tags are the
 // stored names.
-type FinalAnswer struct {
-	Given    bool `cbor:"Given"`
+type FinalResponse struct {
+	Decided  bool `cbor:"Given"`
 	InFlight int  `cbor:"Out"` // attempts whose end was not handled
 }
 
-// Give gives the final answer; first is false if it was given before.
-func (a *FinalAnswer) Give() (first bool) {
-	first = !a.Given
-	a.Given = true
+// Decide gives the final answer; first is false if it was given before.
+func (a *FinalResponse) Decide() (first bool) {
+	first = !a.Decided
+	a.Decided = true
 	return first
 }
 
 // AttemptBegan counts an attempt.
-func (a *FinalAnswer) AttemptBegan() { a.InFlight++ }
+func (a *FinalResponse) AttemptBegan() { a.InFlight++ }
 
 // Delivery is what the end of an attempt means to the client.
 type Delivery uint8
@@ -138,10 +138,10 @@
 )
 
 // AttemptEnded handles the end of an attempt.
-func (a *FinalAnswer) AttemptEnded(r control.Result) Delivery {
+func (a *FinalResponse) AttemptEnded(r control.Result) Delivery {
 	a.InFlight--
 	switch {
-	case a.Given && r == control.Succeeded:
+	case a.Decided && r == control.Succeeded:
 		return Drop
 	case r == control.Succeeded:
 		return Deliver
@@ -150,12 +150,12 @@
 }
 
 // Done reports whether the request can be forgotten.
-func (a *FinalAnswer) Done() bool { return a.Given && a.InFlight == 0 }
+func (a *FinalResponse) Done() bool { return a.Decided && a.InFlight == 0 }
 
 // Connections counts the connections to one server. The event loop owns it.
 type Connections struct {
-	Idle int
-	All  int // idle or not
+	Idle  int
+	Total int // idle or not
 }
 
 // ConnectionChoice is which connection an attempt gets.
@@ -174,8 +174,8 @@
 	case c.Idle > 0:
 		c.Idle--
 		return Reuse
-	case c.All < limit:
-		c.All++
+	case c.Total < limit:
+		c.Total++
 		return OpenNew
 	}
 	return NoneLeft
@@ -188,12 +188,12 @@
 		c.Idle++
 		return true
 	}
-	c.All--
+	c.Total--
 	return false
 }
 
 // CloseIdle counts an idle connection as closed.
-func (c *Connections) CloseIdle() { c.Idle--; c.All-- }
+func (c *Connections) CloseIdle() { c.Idle--; c.Total-- }
 
 // MaxKeyedRetryDelay bounds, in microseconds, the way of a further attempt with an idempotency key to its
 // server: half of what the balancer allows for it (control.mayRetry), so that the servers that share the key
@@ -202,13 +202,13 @@
 
 // ClientConnection is the state of a connection from a client.
 type ClientConnection struct {
-	Stopping bool
-	More     bool // the client has pipelined further requests
+	Stopping  bool
+	Pipelined bool // the client has pipelined further requests
 }
 
-// CloseAfter reports whether the connection is closed after an answer: if either side asked for it, or if the
+// CloseAfterResponse reports whether the connection is closed after an answer: if either side asked for it, or if the
 // client has closed its side or this router is stopping and no pipelined request would be left without an
 // answer.
-func (c ClientConnection) CloseAfter(serverClose, clientClose, clientGone bool) bool {
-	return serverClose || clientClose || (clientGone || c.Stopping) && !c.More
+func (c ClientConnection) CloseAfterResponse(serverClose, clientClose, clientGone bool) bool {
+	return serverClose || clientClose || (clientGone || c.Stopping) && !c.Pipelined
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -12,35 +12,35 @@
 		if _, ok := s.Withdraw(); ok {
 			t.Errorf("withdrawn from %d", s)
 		}
-		if _, ok := s.Write(true, 0, 1); ok {
+		if _, ok := s.BeginWrite(true, 0, 1); ok {
 			t.Errorf("written from %d", s)
 		}
 	}
-	if _, ok := Chosen.Write(true, 11, 10); ok {
+	if _, ok := Chosen.BeginWrite(true, 11, 10); ok {
 		t.Error("written from an old list")
 	}
-	if _, ok := Chosen.Write(false, 0, 10); ok {
+	if _, ok := Chosen.BeginWrite(false, 0, 10); ok {
 		t.Error("written before the journal has it")
 	}
 }
 
 // Only what was not written, or whose handshake the peer refused, is proved not to have run.
 func TestBrokenResult(t *testing.T) {
-	for reason, want := range map[BreakReason]bool{ByPeer: false, ByUs: false, ByDeadline: false, ByAuthentication: true} {
-		if BrokenResult(true, reason).ProvesNotRun() != want || !BrokenResult(false, reason).ProvesNotRun() {
-			t.Errorf("%d: %v, %v", reason, BrokenResult(true, reason), BrokenResult(false, reason))
+	for reason, want := range map[InterruptReason]bool{ClosedByPeer: false, AbortedLocally: false, DeadlineExceeded: false, CertificateRejected: true} {
+		if InterruptedResult(true, reason).ProvesNotRun() != want || !InterruptedResult(false, reason).ProvesNotRun() {
+			t.Errorf("%d: %v, %v", reason, InterruptedResult(true, reason), InterruptedResult(false, reason))
 		}
 	}
-	if r := UndialledResult(Chosen, true); r != control.NotSent {
+	if r := UnconnectedResult(Chosen, true); r != control.NotSent {
 		t.Errorf("waited to dial: %v says something about the server", r)
 	}
 }
 
 // An answer of a request that has one is dropped, and the request is kept until its last attempt has ended.
 func TestLateAnswerIsDropped(t *testing.T) {
-	var a FinalAnswer
+	var a FinalResponse
 	a.AttemptBegan()
-	if !a.Give() || a.Give() || a.Done() {
+	if !a.Decide() || a.Decide() || a.Done() {
 		t.Errorf("%+v", a)
 	}
 	if d := a.AttemptEnded(control.Succeeded); d != Drop || !a.Done() {
@@ -69,7 +69,7 @@
 // A wait for the journal ends when the choice's endpoint list is stale or the attempt's time is up.
 func TestJournalWait(t *testing.T) {
 	for _, c := range [][4]control.Micros{{10, 100, 1000, 90}, {10, 100, 50, 50}, {200, 100, 50, 0}} {
-		if got := JournalWait(c[0], c[1], c[2]); got != c[3] {
+		if got := MaxJournalWait(c[0], c[1], c[2]); got != c[3] {
 			t.Errorf("%v: %d", c, got)
 		}
 	}
--- a/internal/attempt/endpoint_age.go
+++ b/internal/attempt/endpoint_age.go
@@ -14,9 +14,9 @@
 // the choice to the first byte.
 func MustReadEndpoints(age, grace control.Micros) bool { return age > grace/8 }
 
-// WriteUntil returns the latest time for the first byte of an attempt whose choice rests on a list that was
+// WriteDeadline returns the latest time for the first byte of an attempt whose choice rests on a list that was
 // complete at listAsOf.
-func WriteUntil(listAsOf, grace control.Micros) control.Micros {
+func WriteDeadline(listAsOf, grace control.Micros) control.Micros {
 	return listAsOf + MaxEndpointsAge(grace)
 }
 
--- a/internal/attempt/endpoint_age_test.go
+++ b/internal/attempt/endpoint_age_test.go
@@ -15,14 +15,14 @@
 			oldest += 1000
 		}
 		const asOf, listedAt = 1_000_000, 1_000_001 // of a change that the list just misses
-		until := WriteUntil(asOf, grace)
+		until := WriteDeadline(asOf, grace)
 		if left := until - (asOf + oldest); left < grace/4 {
 			t.Errorf("grace %d: %d us from a step to its first byte", grace, left)
 		}
-		if _, ok := Chosen.Write(true, until, until); !ok {
+		if _, ok := Chosen.BeginWrite(true, until, until); !ok {
 			t.Errorf("grace %d: not written in time", grace)
 		}
-		if _, ok := Chosen.Write(true, until+1, until); ok || until > listedAt+grace/2 {
+		if _, ok := Chosen.BeginWrite(true, until+1, until); ok || until > listedAt+grace/2 {
 			t.Errorf("grace %d: written %d us after the change", grace, until+1-listedAt)
 		}
 	}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -24,8 +24,8 @@
 	LoadedFirst                 // the one with the fewest requests in flight of those believed to have loaded the function; a random one if there are none
 )
 
-// Names are the policies' names, by their numbers.
-var Names = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
+// PolicyNames are the policies' names, by their numbers.
+var PolicyNames = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
 // recheckInterval is after how long a request that no server could be found for is decided again.
 const recheckInterval = control.Micros(50_000)
@@ -90,8 +90,8 @@
 		switch {
 		case !a.Done:
 			return control.Decision{Action: control.NoAction}
-		case !a.MayHaveRun || class.Effect == control.Idempotent:
-		case class.Effect == control.IdempotentByKey && class.Scope == control.WholeFleet:
+		case !a.MayHaveRun || class.Idempotency == control.Idempotent:
+		case class.Idempotency == control.IdempotentByKey && class.DedupScope == control.WholeFleet:
 			return reject // the client may repeat it anywhere
 		default:
 			return control.Decision{Action: control.Fail}
--- a/internal/certstore/conn.go
+++ b/internal/certstore/conn.go
@@ -27,7 +27,7 @@
 	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.isClient && s.identity.ReplaceNow(s.now(), c.identityVersion, c.replacePosition) {
+	if c.isClient && s.identity.ShouldReplace(s.now(), c.identityVersion, c.replacePosition) {
 		return errCertificateReplaced
 	}
 	if !s.config.verifiesPeer() {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestReport(t *testing.T) {
-	got := Report([]string{"x1", "cpu_share"}, []float32{3, 0.5, 9})
+	got := LoadReport([]string{"x1", "cpu_share"}, []float32{3, 0.5, 9})
 	if want := (control.LoadReport{Utilization: 0.5, PendingLoads: 3, PinnedMemory: -1}); got == nil || *got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if Report([]string{"x1"}, nil) != nil {
+	if LoadReport([]string{"x1"}, nil) != nil {
 		t.Error("a report of nothing")
 	}
 }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -10,7 +10,7 @@
 // loads and the rest is held, as when a fleet comes back empty.
 func crowdedCore() (*Core, control.Micros) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
-		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
+		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, SupportsLoadCommands: true, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
 	c := New(control.New(1, 1, deployment), NoopExecutor{})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// WriteUntil returns until when a call that is chosen in this step may begin to be written.
-func (l *Loop) WriteUntil() control.Micros { return attempt.WriteUntil(l.EndpointsAsOf, l.grace) }
+// WriteDeadline returns until when a call that is chosen in this step may begin to be written.
+func (l *Loop) WriteDeadline() control.Micros { return attempt.WriteDeadline(l.EndpointsAsOf, l.grace) }
 
 // Drain returns the queued events, endpoint updates first. They are valid until the next call.
 func (l *Loop) Drain() []func(control.Micros) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -117,7 +117,7 @@
 				t.Errorf("after %v, required %t: %d reads, want %d; before as of %d, want %d", c.wait, c.required, reads, c.reads,
 					loop.PreviousEndpointsAsOf, before)
 			}
-			if until := loop.WriteUntil(); until <= loop.EndpointsAsOf || until >= loop.EndpointsAsOf+grace {
+			if until := loop.WriteDeadline(); until <= loop.EndpointsAsOf || until >= loop.EndpointsAsOf+grace {
 				t.Errorf("calls may be written until %d after the read", until-loop.EndpointsAsOf)
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -106,8 +106,8 @@
 	return control.ServerID(xxhash.Sum64String(address) | 1<<63) // no IPv4 address has the top bit
 }
 
-// Zone returns a zone's ID; the empty name is zone 0.
-func (f *Fleet) Zone(name string) control.ZoneID { return intern(f.zones, name) }
+// ZoneID returns a zone's ID; the empty name is zone 0.
+func (f *Fleet) ZoneID(name string) control.ZoneID { return intern(f.zones, name) }
 
 func intern[T ~uint16](ids map[string]T, name string) T {
 	if name == "" {
@@ -184,7 +184,7 @@
 			s.listedStart, s.startedAt = e.StartedAt, f.startedAt(now, e.StartedAt, s.startedAt)
 		}
 		s.Endpoint, s.Address = e, e.Address
-		s.State, s.Zone, s.Cell = e.State, f.Zone(e.Zone), intern(f.cells, e.Cell)
+		s.State, s.Zone, s.Cell = e.State, f.ZoneID(e.Zone), intern(f.cells, e.Cell)
 		s.removedAt = now
 		s.fullUpdate = f.fullUpdates
 		updated = append(updated, s.endpoint())
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -69,9 +69,9 @@
 		resp, clientClosed := c.respond(msg)
 		c.freeBody()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.More = (clientClosed || state.Stopping) && c.conn.HasPendingInput() &&
+		state.Pipelined = (clientClosed || state.Stopping) && c.conn.HasPendingInput() &&
 			(!state.Stopping || time.Now().Before(g.afterStop(readUntil)))
-		resp.Close = state.CloseAfter(resp.Close, msg.Close, clientClosed)
+		resp.Close = state.CloseAfterResponse(resp.Close, msg.Close, clientClosed)
 		if c.conn.WriteResponse(resp) != nil || resp.Close {
 			return
 		}
@@ -113,7 +113,7 @@
 	case err != nil:
 		return errorResponse(404, "no such call: "+msg.Target), false
 	}
-	pattern, known := g.config.Match(call.Model)
+	pattern, known := g.config.MatchFunction(call.Model)
 	if call.Operation != kserve.Infer {
 		return g.serveMetadata(call, known), false
 	}
@@ -157,7 +157,7 @@
 const reasonClientClosed = "the client closed its side of the connection"
 
 // infer posts a request to the event loop and waits for its one answer.
-func (c *clientConn) infer(msg *rest.Request, call kserve.Call, pattern Pattern) (resp *rest.Response, clientClosed bool) {
+func (c *clientConn) infer(msg *rest.Request, call kserve.Call, pattern FunctionPattern) (resp *rest.Response, clientClosed bool) {
 	g := c.gateway
 	params, err := kserve.ParseInferRequest(msg.Header, msg.Body)
 	if err != nil {
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -78,7 +78,7 @@
 		tg.gateway.loop.Post(func(control.Micros) {
 			all := true
 			for _, req := range tg.gateway.requests {
-				all = all && req.answer.Given
+				all = all && req.answer.Decided
 			}
 			answered <- all
 		})
@@ -166,7 +166,7 @@
 		call.request.client = rest.NewConn(accepted, &rest.DefaultLimits, nil)
 		call.request.clientCheckedAt.Store(int64(tg.gateway.loop.Now() - attempt.MaxClientCheckAge - 1))
 		call.request.response, call.request.id = make(chan *rest.Response, 1), 1
-		call.request.answer.Give() // the event loop need not answer it
+		call.request.answer.Decide() // the event loop need not answer it
 		c.client(conn.(*net.TCPConn))
 		waitUntil(t, "what the client does has arrived", func() bool { return c.arrived(call.request.client) })
 		sc := &serverConn{gateway: tg.gateway, address: address}
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -10,7 +10,9 @@
 )
 
 // nodeID names this router to control planes.
-func (g *Gateway) nodeID() string { return fmt.Sprintf("hollymast-%d", g.config.Deployment.Number) }
+func (g *Gateway) nodeID() string {
+	return fmt.Sprintf("hollymast-%d", g.config.Deployment.RouterIndex)
+}
 
 // followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before its first list.
 func (g *Gateway) followControlPlane(ctx context.Context) {
@@ -18,7 +20,7 @@
 	client := xds.NewClient(members, g.nodeID(), g.config.Zone, g.config.XDSVariant, xds.DefaultBounds)
 	transport := xds.Transport{
 		Address: g.config.ControlPlane, Credentials: g.credentials(xdsConnections), Variant: g.config.XDSVariant,
-		Seed: uint64(g.loop.Epoch), Now: g.loop.Now, Refresh: g.sourceReads, Grace: g.config.GracePeriod,
+		Seed: uint64(g.loop.Epoch), Now: g.loop.Now, Refresh: g.sourceReads, GracePeriod: g.config.GracePeriod,
 		OnComplete: func(asOf control.Micros) { g.sourceCompleteAsOf.Store(int64(asOf)) },
 		OnUpdate: func(now control.Micros) {
 			update, changed := members.TakeUpdate(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,8 +98,8 @@
 	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
 		return rest.DialWithHandshake(ctx, address, &serverLimits, g.serverHandshake())
 	}
-	g.incarnation = fmt.Sprintf("%x-%x", config.Deployment.Number, g.loop.Epoch)
-	g.via = fmt.Sprintf("1.1 hollymast-%d", config.Deployment.Number)
+	g.incarnation = fmt.Sprintf("%x-%x", config.Deployment.RouterIndex, g.loop.Epoch)
+	g.via = fmt.Sprintf("1.1 hollymast-%d", config.Deployment.RouterIndex)
 	if err := g.openCertStores(); err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		g.overload = overload.NewController(g.loop.Epoch, quotas, config.Priorities, config.Deployment.MaxRetryAfter, seed)
 	}
 	deployment := config.Deployment
-	deployment.Zone = g.fleet.Zone(config.Zone)
+	deployment.Zone = g.fleet.ZoneID(config.Zone)
 	balancer := control.New(g.loop.Epoch, seed, deployment)
 	if config.StateDir != "" {
 		g.state, g.keysUnknownUntil = openStateKeeper(config, g.loop.Now(), balancer, g.log)
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -27,10 +27,10 @@
 // journalKey returns the journal's key for a client's request; 0 if a retry of it is harmless, or could not be told for
 // one.
 func (c *Config) journalKey(function string, params kserve.InferRequest, class control.ClassID) persistence.IdempotencyKey {
-	if params.IdempotencyKey == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
+	if params.IdempotencyKey == "" || c.Deployment.Classes[class].Idempotency == control.Idempotent {
 		return 0
 	}
-	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.IdempotencyKey) | 1)
+	return persistence.IdempotencyKey(record.KeyedHash(c.NameKey, function+"\n"+params.IdempotencyKey) | 1)
 }
 
 // unknownPlace is the zone and cell of an earlier attempt whose server is not known any more: those of no server.
@@ -114,7 +114,7 @@
 		return true
 	}
 	// A disk that stalls for longer: then the endpoint list is too old as well, or the deadline has passed.
-	wait := attempt.JournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
+	wait := attempt.MaxJournalWait(now, call.writeBefore, micros(time.Until(call.deadline)))
 	timer := time.NewTimer(duration(wait))
 	defer timer.Stop()
 	stored, ok := batch.Written(), func() bool { return !batch.Lost() }
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -25,7 +25,7 @@
 // The attempts of an earlier incarnation count as if this one had begun them: a journal stands for the one that was killed.
 func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
 		return config.journalKey(function, kserve.InferRequest{IdempotencyKey: key}, class)
 	}
@@ -146,13 +146,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
 				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnStatusChange: func(error) {},
 				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
@@ -162,8 +162,8 @@
 				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.InferRequest{IdempotencyKey: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
-				booking, _ := t.Match("booking-1")
-				t.Deployment.Classes[booking.Class].Window = 60_000_000
+				booking, _ := t.MatchFunction("booking-1")
+				t.Deployment.Classes[booking.Class].DedupWindow = 60_000_000
 			}, serverOptions(0), serverOptions(1))
 			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
 				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsBegun("booking", -1))
@@ -242,7 +242,7 @@
 
 // ticketClass returns the class of requests that must not be repeated.
 func (tg *testGateway) ticketClass() control.ClassID {
-	pattern, _ := tg.gateway.config.Match("ticket-1")
+	pattern, _ := tg.gateway.config.MatchFunction("ticket-1")
 	return pattern.Class
 }
 
@@ -280,9 +280,9 @@
 	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		failures := keeper.Failures()
+		failures := keeper.FailureCount()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
-		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
+		waitUntil(t, "the write has failed", func() bool { return keeper.FailureCount() > failures })
 	}
 	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -61,20 +61,20 @@
 
 // BrokenExchangeResult returns the result of an exchange that ended with an error, by how far it had got.
 func BrokenExchangeResult(progress rest.Progress, err error) control.Result {
-	reason := attempt.ByPeer
+	reason := attempt.ClosedByPeer
 	switch {
 	case errors.Is(err, rest.ErrCertificateRejected):
-		reason = attempt.ByAuthentication
+		reason = attempt.CertificateRejected
 	case errors.Is(err, rest.ErrAborted):
-		reason = attempt.ByUs
+		reason = attempt.AbortedLocally
 	case errors.Is(err, rest.ErrTimeout):
-		reason = attempt.ByDeadline
+		reason = attempt.DeadlineExceeded
 	}
 	written := progress > rest.NothingWritten
-	if written && reason == attempt.ByPeer && netfail.IsLocal(err) {
+	if written && reason == attempt.ClosedByPeer && netfail.IsLocal(err) {
 		return control.Failed // may have run; says nothing about the server
 	}
-	return attempt.BrokenResult(written, reason)
+	return attempt.InterruptedResult(written, reason)
 }
 
 // ResultName returns a result's name: a metric's label value, which dashboards name.
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -15,7 +15,7 @@
 	}
 	return g.overload.Admit(now, overload.Request{
 		Tenant: req.tenant, IsRetry: req.params.IsRetry, KeyHash: hashKey(req.params.IdempotencyKey),
-		Function: functionID(g.config.NameKey, req.function), Importance: g.config.Priorities[req.pattern.Class],
+		Function: functionID(g.config.NameKey, req.function), Priority: g.config.Priorities[req.pattern.Class],
 	})
 }
 
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -20,7 +20,7 @@
 	call     kserve.Call
 	message  *rest.Request
 	params   kserve.InferRequest
-	pattern  Pattern
+	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
 	response chan *rest.Response // holds one: the final answer
@@ -31,7 +31,7 @@
 	idempotencyKey string
 	journalKey     persistence.IdempotencyKey // 0: the journal need not know of its attempts
 	objectiveAt    control.Micros             // when it is to be answered by its class's latency objective
-	answer         attempt.FinalAnswer
+	answer         attempt.FinalResponse
 	attempts       []*serverCall // nil: an attempt of an earlier incarnation
 }
 
@@ -53,14 +53,14 @@
 // function. With a key, which must be the same in all routers, the ids in a recording can be checked against
 // guessed names only with that key.
 func functionID(key, name string) control.FunctionID {
-	return control.FunctionID(record.Tag(key, name))
+	return control.FunctionID(record.KeyedHash(key, name))
 }
 
 // handleRequest hands a request to the core, or rejects it.
 func (g *Gateway) handleRequest(now control.Micros, req *request) {
 	key := g.config.journalKey(req.function, req.params, req.pattern.Class)
 	if resp := g.rejectionOf(now, req, key); resp != nil {
-		req.answer.Give()
+		req.answer.Decide()
 		req.response <- resp
 		g.metrics.countAnswer(answerRejected)
 		return
@@ -83,14 +83,14 @@
 	req.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
-		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
+		Lanes: req.pattern.Lanes, ExecTimeHint: req.pattern.Work, LoadTimeHint: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
 		IsRetry: req.params.IsRetry, RetriesUnmarked: !req.params.HasAttemptCount,
 	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
 	} else if g.recorder != nil && req.params.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+		g.recorder.SetClientIDHash(record.KeyedHash(g.config.NameKey, req.params.ID))
 	}
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
@@ -117,7 +117,7 @@
 
 // finish gives a request its one final answer and withdraws what of it is not written yet.
 func (g *Gateway) finish(req *request, answer finalAnswer, resp *rest.Response) {
-	if !req.answer.Give() {
+	if !req.answer.Decide() {
 		return
 	}
 	for _, call := range req.attempts { // an answered request is not sent any more
@@ -142,7 +142,7 @@
 // handleClientClosed ends a request whose client has closed its side. The answer is still written: a client that closed
 // only its own side reads it.
 func (g *Gateway) handleClientClosed(now control.Micros, req *request) {
-	if req.answer.Given {
+	if req.answer.Decided {
 		return
 	}
 	g.core.Cancel(now, req.id)
@@ -158,7 +158,7 @@
 	call := g.newCall(to, timeout)
 	call.request, call.attempt = req, attemptID
 	call.message, call.journalBatch = g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
-	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Effect == control.IdempotentByKey {
+	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Idempotency == control.IdempotentByKey {
 		call.writeBefore = min(call.writeBefore, g.loop.StepTime+attempt.MaxKeyedRetryDelay)
 	}
 	req.attempts = append(req.attempts, call)
@@ -233,7 +233,7 @@
 		outcome.RequestDone = true
 		g.core.HandleOutcome(now, req.id, outcome)
 		class := g.config.Deployment.Classes[req.pattern.Class]
-		req.objectiveAt += control.Micros(class.ObjectivePerWork * float64(outcome.Duration))
+		req.objectiveAt += control.Micros(class.ObjectivePerExecTime * float64(outcome.Duration))
 		resp.Header = forwardedHeader(resp.Header)
 		resp.Close, resp.ChunkSize = false, 0
 		g.finish(req, answerFinished, resp)
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -38,7 +38,7 @@
 // list allows.
 func (g *Gateway) newCall(to control.ServerID, timeout control.Micros) *serverCall {
 	call := &serverCall{
-		to: to, writeBefore: g.loop.WriteUntil(), deadline: g.loop.Time(g.loop.StepTime + timeout),
+		to: to, writeBefore: g.loop.WriteDeadline(), deadline: g.loop.Time(g.loop.StepTime + timeout),
 	}
 	call.ctx, call.cancel = context.WithCancel(context.Background())
 	return call
--- a/internal/gateway/serverconn.go
+++ b/internal/gateway/serverconn.go
@@ -61,13 +61,13 @@
 		var err error
 		if client, err = sc.dial(call); err != nil {
 			local := errors.Is(err, errNotDialled) || netfail.IsLocal(err)
-			return callResult{result: attempt.UndialledResult(attempt.Stage(call.stage.Load()), local)}
+			return callResult{result: attempt.UnconnectedResult(attempt.Stage(call.stage.Load()), local)}
 		}
 		sc.client.Store(client)
 	}
 	allowed := call.awaitJournal(g.loop.Now()) && g.clientWaits(call.request) && call.stateTimeLeft()
 	if !attempt.Transition(&call.stage, func(stage attempt.Stage) (attempt.Stage, bool) {
-		return stage.Write(allowed, g.loop.Now(), call.writeBefore)
+		return stage.BeginWrite(allowed, g.loop.Now(), call.writeBefore)
 	}) {
 		return callResult{result: control.NotSent}
 	}
@@ -106,5 +106,5 @@
 		return nil, errNotDialled
 	}
 	return netfail.Dial(ctx, func() (*rest.Client, error) { return g.dial(ctx, sc.address) },
-		func(error) netfail.RetryPause { return netfail.AfterPause })
+		func(error) netfail.RetryTiming { return netfail.RetryAfterPause })
 }
--- a/internal/gateway/serverpool.go
+++ b/internal/gateway/serverpool.go
@@ -73,7 +73,7 @@
 	idleTimeout := micros(g.config.ServerIdleTimeout)
 	for id, pool := range g.pools {
 		pool.closeIdleIf(func(sc *serverConn) bool { return now-sc.idleSince > idleTimeout })
-		if pool.conns.All == 0 && len(pool.open) == 0 && !g.isListed(id) {
+		if pool.conns.Total == 0 && len(pool.open) == 0 && !g.isListed(id) {
 			delete(g.pools, id)
 		}
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -68,7 +68,7 @@
 func (g *Gateway) answerOpen(now control.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
 		req := g.requests[id]
-		if req.answer.Given {
+		if req.answer.Decided {
 			continue
 		}
 		g.core.Cancel(now, id)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -110,8 +110,8 @@
 func TestStopAnswersLongRequests(t *testing.T) {
 	const rejected, failed = "HTTP/1.1 503 Service Unavailable", "HTTP/1.1 504 Gateway Timeout"
 	inZone := func(c *Config) {
-		booking, _ := c.Match("booking-1")
-		c.Deployment.Classes[booking.Class].Scope = control.OneZone
+		booking, _ := c.MatchFunction("booking-1")
+		c.Deployment.Classes[booking.Class].DedupScope = control.OneZone
 	}
 	for name, c := range map[string]struct {
 		function string
--- a/internal/membership/clusters.go
+++ b/internal/membership/clusters.go
@@ -110,8 +110,8 @@
 	return changed
 }
 
-// ForgetCluster drops the endpoints of a cluster that was never announced.
-func (m *Model) ForgetCluster(name string) {
+// DropUnannouncedCluster drops the endpoints of a cluster that was never announced.
+func (m *Model) DropUnannouncedCluster(name string) {
 	if c := m.clusters[name]; c != nil && !c.announced {
 		m.orphanEndpoints -= len(c.endpoints)
 		delete(m.clusters, name)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -221,7 +221,7 @@
 	if err := m.SetEndpoints(second, "never", endpoints(3, Healthy)); err != nil {
 		t.Error(err)
 	}
-	m.ForgetCluster("never")
+	m.DropUnannouncedCluster("never")
 	if err := m.SetEndpoints(second, "other", endpoints(5, Healthy)); err != nil {
 		t.Error(err)
 	}
--- a/internal/modelcheck/diagram.go
+++ b/internal/modelcheck/diagram.go
@@ -7,8 +7,8 @@
 	"hollymast/internal/attempt"
 )
 
-// Diagram returns the states of an attempt in Mermaid's form, found by trying each step of package attempt in each state.
-func Diagram() string {
+// AttemptDiagram returns the states of an attempt in Mermaid's form, found by trying each step of package attempt in each state.
+func AttemptDiagram() string {
 	var b strings.Builder
 	stages := []string{"Chosen", "Writing", "Withdrawn"}
 	b.WriteString("stateDiagram-v2\n    [*] --> Chosen: the balancer chose a server\n")
@@ -16,17 +16,17 @@
 		if to, ok := from.Withdraw(); ok {
 			fmt.Fprintf(&b, "    %s --> %s: endpoint drained, cancelled or final answer given\n", stages[from], stages[to])
 		}
-		if to, ok := from.Write(true, 0, 0); ok {
+		if to, ok := from.BeginWrite(true, 0, 0); ok {
 			fmt.Fprintf(&b, "    %s --> %s: written, endpoints fresh and key journaled\n", stages[from], stages[to])
 		}
-		if _, ok := from.Write(true, 1, 0); !ok && from == attempt.Chosen {
-			fmt.Fprintf(&b, "    %s --> [*]: endpoints too old or key not journaled: %s\n", stages[from], resultName(attempt.BrokenResult(false, attempt.ByPeer)))
-			fmt.Fprintf(&b, "    %s --> [*]: no connection came about: %s\n", stages[from], resultName(attempt.UndialledResult(from, false)))
+		if _, ok := from.BeginWrite(true, 1, 0); !ok && from == attempt.Chosen {
+			fmt.Fprintf(&b, "    %s --> [*]: endpoints too old or key not journaled: %s\n", stages[from], resultName(attempt.InterruptedResult(false, attempt.ClosedByPeer)))
+			fmt.Fprintf(&b, "    %s --> [*]: no connection came about: %s\n", stages[from], resultName(attempt.UnconnectedResult(from, false)))
 		}
 	}
-	fmt.Fprintf(&b, "    Withdrawn --> [*]: %s\n", resultName(attempt.UndialledResult(attempt.Withdrawn, false)))
+	fmt.Fprintf(&b, "    Withdrawn --> [*]: %s\n", resultName(attempt.UnconnectedResult(attempt.Withdrawn, false)))
 	for reason, text := range []string{"broken by the server", "cancelled", "timed out", "connection not authenticated"} {
-		fmt.Fprintf(&b, "    Writing --> [*]: %s: %s\n", text, resultName(attempt.BrokenResult(true, attempt.BreakReason(reason))))
+		fmt.Fprintf(&b, "    Writing --> [*]: %s: %s\n", text, resultName(attempt.InterruptedResult(true, attempt.InterruptReason(reason))))
 	}
 	b.WriteString("    Writing --> [*]: an answer came\n")
 	return b.String()
--- a/internal/modelcheck/property_nothing_after.go
+++ b/internal/modelcheck/property_nothing_after.go
@@ -10,7 +10,7 @@
 
 func checkNothingAfterAnswer(_ *Config, s *State) string {
 	return s.findAttempt(func(call *ServerCall, _ []*ServerCall) string {
-		if request := s.Requests[call.Request]; request.Answer.Given && call.WrittenAt > 0 && call.WrittenAfterAnswer {
+		if request := s.Requests[call.Request]; request.Answer.Decided && call.WrittenAt > 0 && call.WrittenAfterAnswer {
 			return fmt.Sprintf("attempt %d of request %d is written after the request was %s", call.Attempt, call.Request, answerTexts[request.AnswerKind])
 		}
 		return ""
--- a/internal/modelcheck/property_served.go
+++ b/internal/modelcheck/property_served.go
@@ -18,10 +18,10 @@
 		}
 	}
 	for i, request := range s.Requests {
-		if request.Answer.Given && request.AnswerKind != answerSucceeded {
+		if request.Answer.Decided && request.AnswerKind != answerSucceeded {
 			return fmt.Sprintf("request %d is %s although a server could take it", i, answerTexts[request.AnswerKind])
 		}
-		if request.Arrived && !request.Answer.Given && s.Now > request.ArrivesAt+c.LatencyObjective {
+		if request.Arrived && !request.Answer.Decided && s.Now > request.ArrivesAt+c.LatencyObjective {
 			return fmt.Sprintf("request %d waits past its latency objective although a server could take it", i)
 		}
 	}
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -67,14 +67,14 @@
 
 func (s *State) addRequestSteps(c *Config, l *stepList) {
 	for i, request := range s.Requests {
-		if request.Inactive || s.Routers[c.router(i)].Stalled {
+		if request.Unexplored || s.Routers[c.router(i)].Stalled {
 			continue
 		}
 		switch {
 		case !request.Arrived && s.Now >= request.ArrivesAt:
 			l.add(RequestArrives, i)
 			l.urgent = true
-		case request.Arrived && !request.Answer.Given && !request.Cancelled && s.FaultBudget.ClientCancels > 0:
+		case request.Arrived && !request.Answer.Decided && !request.Cancelled && s.FaultBudget.ClientCancels > 0:
 			l.add(ClientCancels, i)
 		}
 	}
@@ -83,7 +83,7 @@
 func (s *State) addCallSteps(c *Config, l *stepList) {
 	for i := range s.Calls {
 		call := &s.Calls[i]
-		if call.Progress.Ended || s.Routers[call.Router].Stalled || s.Requests[call.Request].Inactive {
+		if call.Progress.Ended || s.Routers[call.Router].Stalled || s.Requests[call.Request].Unexplored {
 			continue
 		}
 		switch call.Stage {
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -70,8 +70,8 @@
 	return control.FunctionID(id)
 }
 
-// Fault is the error of a message that can't be accepted.
-type Fault struct {
+// MessageError is the error of a message that can't be accepted.
+type MessageError struct {
 	Number     uint32
 	Answerable bool // Number is known: the fault can be answered
 	Unreadable bool // nothing that follows on the connection can be read
@@ -79,7 +79,7 @@
 }
 
 // Error returns the text that the client is sent.
-func (f *Fault) Error() string { return f.Text }
+func (f *MessageError) Error() string { return f.Text }
 
 // Reader reads a client's messages. It is not safe for concurrent use.
 type Reader struct {
@@ -118,7 +118,7 @@
 
 // readMessage reads one message into m. If it can't be accepted the fault is not nil, and err is what caused it,
 // if that is an error.
-func (r *Reader) readMessage(m *Message) (*Fault, error) {
+func (r *Reader) readMessage(m *Message) (*MessageError, error) {
 	n, err := r.array()
 	if err != nil || n != 3 && n != 4 {
 		return unreadable("not a message"), err
@@ -144,10 +144,10 @@
 }
 
 // unreadable returns a fault after which nothing that follows on the connection can be read.
-func unreadable(text string) *Fault { return &Fault{Unreadable: true, Text: text} }
+func unreadable(text string) *MessageError { return &MessageError{Unreadable: true, Text: text} }
 
 // readCall reads the method and parameters of a call.
-func (r *Reader) readCall(m *Message) (*Fault, error) {
+func (r *Reader) readCall(m *Message) (*MessageError, error) {
 	method, err := r.text(maxName)
 	if err != nil {
 		return unreadable("no method"), err
@@ -172,14 +172,14 @@
 		return unreadable("body: " + err.Error()), err
 	}
 	if text := m.Request.setFields(method, fields); text != "" {
-		return &Fault{Text: text}, nil // the message was read to its end: what follows can be read
+		return &MessageError{Text: text}, nil // the message was read to its end: what follows can be read
 	}
 	m.Request.Body = body
 	return nil, nil
 }
 
 // readNotification reads the method and parameter of a notification; the one there is cancels a request.
-func (r *Reader) readNotification(m *Message) (*Fault, error) {
+func (r *Reader) readNotification(m *Message) (*MessageError, error) {
 	method, err := r.text(maxName)
 	if err != nil || method != "forget" {
 		return unreadable("unknown notice"), err
@@ -368,8 +368,8 @@
 	wireInvalid  = "Invalid"
 )
 
-// Success returns the response with a server's body.
-func Success(number uint32, body []byte) []byte {
+// EncodeSuccess returns the response with a server's body.
+func EncodeSuccess(number uint32, body []byte) []byte {
 	return response(number, len(body), func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
@@ -378,24 +378,24 @@
 	})
 }
 
-// Rejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
-func Rejection(number uint32, retryAfter control.Micros) []byte {
+// EncodeRejection returns the response that a retry is harmless, after retryAfter microseconds if that is positive.
+func EncodeRejection(number uint32, retryAfter control.Micros) []byte {
 	if retryAfter <= 0 {
 		return errorResponse(number, wireRejected)
 	}
 	return errorResponse(number, wireRejected, "cooldown", strconv.FormatInt((int64(retryAfter)+999)/1000, 10))
 }
 
-// Failure returns the response of a failed request, which may have run.
-func Failure(number uint32) []byte { return errorResponse(number, wireFailed) }
+// EncodeFailure returns the response of a failed request, which may have run.
+func EncodeFailure(number uint32) []byte { return errorResponse(number, wireFailed) }
 
-// Invalid returns the response to an invalid message, with the reason.
-func Invalid(number uint32, reason string) []byte {
+// EncodeInvalid returns the response to an invalid message, with the reason.
+func EncodeInvalid(number uint32, reason string) []byte {
 	return errorResponse(number, wireInvalid, "why", reason)
 }
 
-// Health returns the response to a health check.
-func Health(number uint32, healthy bool) []byte {
+// EncodeHealth returns the response to a health check.
+func EncodeHealth(number uint32, healthy bool) []byte {
 	return response(number, 0, func(e *msgpack.Encoder) {
 		e.EncodeNil()
 		e.EncodeArrayLen(2)
--- a/internal/msgrpc/msgrpc_test.go
+++ b/internal/msgrpc/msgrpc_test.go
@@ -63,7 +63,7 @@
 		"spec": "lanes:-2", "replay": "5c", "dup": "yes"} {
 		r := NewReader(bytes.NewReader(append(call(t, fields(name, value)), call(t, fields())...)))
 		_, err := r.Read()
-		var f *Fault
+		var f *MessageError
 		if !errors.As(err, &f) || f.Unreadable || !f.Answerable || f.Number != 7 || !strings.HasPrefix(f.Text, name) {
 			t.Errorf("%s: got %v", name, err)
 		}
@@ -98,7 +98,7 @@
 		"a nested array":          append(bytes.Clone(head), 0x92, 0x81, 0xa1, 'x', 0x91),
 	} {
 		_, err := NewReader(io.MultiReader(bytes.NewReader(in), neverRead{t, name})).Read()
-		var f *Fault
+		var f *MessageError
 		if !errors.As(err, &f) || !f.Unreadable {
 			t.Errorf("%s: got %v", name, err)
 		}
@@ -131,10 +131,10 @@
 		data []byte
 		want []any
 	}{
-		"success":   {Success(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
-		"rejection": {Rejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
-		"failure":   {Failure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
-		"health":    {Health(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
+		"success":   {EncodeSuccess(7, []byte("x")), []any{1, 7, nil, []any{[]byte("x"), map[string]any{}}}},
+		"rejection": {EncodeRejection(7, 1_500_500), []any{1, 7, []any{"TryLater", map[string]any{"cooldown": "1501"}}, nil}},
+		"failure":   {EncodeFailure(7), []any{1, 7, []any{"Aborted", map[string]any{}}, nil}},
+		"health":    {EncodeHealth(7, true), []any{1, 7, nil, []any{true, map[string]any{}}}},
 	} {
 		if want := pack(t, c.want...); !bytes.Equal(c.data, want) {
 			t.Errorf("%s: got % x, want % x", name, c.data, want)
@@ -151,7 +151,7 @@
 		r := NewReader(bytes.NewReader(in))
 		for {
 			m, err := r.Read()
-			var fault *Fault
+			var fault *MessageError
 			if err != nil && (!errors.As(err, &fault) || fault.Unreadable) {
 				return
 			}
--- a/internal/netfail/netfail.go
+++ b/internal/netfail/netfail.go
@@ -34,19 +34,19 @@
 // last no longer than one packet.
 const firstDialPause, maxDialPause = 2 * time.Millisecond, 50 * time.Millisecond
 
-// RetryPause is whether a dial is retried after a pause.
-type RetryPause uint8
+// RetryTiming is whether a dial is retried after a pause.
+type RetryTiming uint8
 
 // When a dial is retried.
 const (
-	AfterPause RetryPause = iota
-	AtOnce                // what the dial lacked is there now
+	RetryAfterPause  RetryTiming = iota
+	RetryImmediately             // what the dial lacked is there now
 )
 
 // Dial dials until it succeeds, ctx ends, or a failure counts against the peer. onFailure is called for each failure that
 // does not. Once a local failure has taken a part of ctx's time, a timeout is no sign about the peer either: the error is
 // then that local failure.
-func Dial[Conn any](ctx context.Context, dial func() (Conn, error), onFailure func(error) RetryPause) (Conn, error) {
+func Dial[Conn any](ctx context.Context, dial func() (Conn, error), onFailure func(error) RetryTiming) (Conn, error) {
 	var previous error // why the last dial failed, where the peer is not to blame
 	var none Conn
 	for pause := firstDialPause; ; pause = min(2*pause, maxDialPause) {
@@ -61,7 +61,7 @@
 			return none, err
 		}
 		previous = err
-		if onFailure(err) == AtOnce {
+		if onFailure(err) == RetryImmediately {
 			continue
 		}
 		select {
--- a/internal/netfail/netfail_test.go
+++ b/internal/netfail/netfail_test.go
@@ -40,7 +40,7 @@
 	for name, c := range map[string]struct {
 		failures []error // of the first dials; the last one's is repeated if forever
 		forever  bool
-		again    RetryPause
+		again    RetryTiming
 		err      error
 		dials    int
 		took     time.Duration
@@ -48,7 +48,7 @@
 		"succeeds":                   {dials: 1},
 		"local, then succeeds":       {failures: []error{local}, dials: 2, took: 2 * time.Millisecond},
 		"transient, then succeeds":   {failures: []error{transient, transient}, dials: 3, took: 6 * time.Millisecond},
-		"retried at once":            {failures: []error{local, local}, again: AtOnce, dials: 3},
+		"retried at once":            {failures: []error{local, local}, again: RetryImmediately, dials: 3},
 		"refused":                    {failures: []error{refused}, err: refused, dials: 1},
 		"times out":                  {failures: []error{timeout}, err: timeout, dials: 1},
 		"local, then times out":      {failures: []error{local, timeout}, err: local, dials: 2, took: 2 * time.Millisecond},
@@ -70,7 +70,7 @@
 						return "", c.failures[i]
 					}
 					return "connection", nil
-				}, func(error) RetryPause {
+				}, func(error) RetryTiming {
 					failures++
 					return c.again
 				})
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -17,11 +17,11 @@
 
 // Request is a request on arrival.
 type Request struct {
-	Tenant     control.TenantID
-	IsRetry    bool   // as its client says
-	KeyHash    uint64 // hash of its idempotency key; 0: it has none
-	Function   control.FunctionID
-	Importance float64 // of its class
+	Tenant   control.TenantID
+	IsRetry  bool   // as its client says
+	KeyHash  uint64 // hash of its idempotency key; 0: it has none
+	Function control.FunctionID
+	Priority float64 // of its class
 }
 
 // Decision says whether a request is admitted.
@@ -52,7 +52,7 @@
 	switch {
 	case c.kind == None || c.kind == ConnectionStorm:
 		return Decision{Admitted: true}
-	case !rejectedBefore && c.shedder.sheds(now, r.Importance, r.Function):
+	case !rejectedBefore && c.shedder.sheds(now, r.Priority, r.Function):
 		return c.reject(now, r.KeyHash)
 	case !r.IsRetry && !rejectedBefore:
 		return Decision{Admitted: true}
--- a/internal/overload/shedder_test.go
+++ b/internal/overload/shedder_test.go
@@ -11,10 +11,10 @@
 func simulatePriorities(c *Controller, now control.Micros, seconds, retries, answers int) (end control.Micros, low, high int) {
 	for step := range control.Micros(seconds) * 1000 {
 		at := now + step*ms
-		if step%5 == 0 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 1}).Admitted {
+		if step%5 == 0 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Priority: 1}).Admitted {
 			low++
 		}
-		if step%5 == 1 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Importance: 2}).Admitted {
+		if step%5 == 1 && c.Admit(at, Request{Function: control.FunctionID(step % 40), Priority: 2}).Admitted {
 			high++
 		}
 		if retries > 0 && step%(1000/control.Micros(retries)) == 0 {
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -200,12 +200,12 @@
 		}
 		c.setMessageDeadline(firstDeadline)
 		message, err := in.Read()
-		var fault *msgrpc.Fault
+		var fault *msgrpc.MessageError
 		switch {
 		case errors.As(err, &fault):
 			c.router.countBadMessage(fault)
 			if fault.Answerable {
-				c.post(msgrpc.Invalid(fault.Number, fault.Text))
+				c.post(msgrpc.EncodeInvalid(fault.Number, fault.Text))
 			}
 			if fault.Unreadable {
 				c.closesBecause(clientMalformed)
@@ -235,9 +235,9 @@
 	defer func() {
 		if !completed {
 			c.closesBecause(clientReadFault)
-			c.refuseFurther(msgrpc.Failure)
+			c.refuseFurther(msgrpc.EncodeFailure)
 			if c.unanswered {
-				c.reply(msgrpc.Failure(m.Number))
+				c.reply(msgrpc.EncodeFailure(m.Number))
 			}
 		}
 	}()
@@ -276,7 +276,7 @@
 	c.healthChecks++
 	c.mu.Unlock()
 	c.router.loop.Post(func(control.Micros) {
-		c.post(msgrpc.Health(number, c.router.ready.Load()))
+		c.post(msgrpc.EncodeHealth(number, c.router.ready.Load()))
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.healthChecks--
@@ -321,9 +321,9 @@
 		readAt: c.router.loop.Now(), arrivedAt: c.arrivalTime(),
 	}
 	if why := c.router.validate(&m.Request, req); why != "" {
-		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: why})
+		c.router.countBadMessage(&msgrpc.MessageError{Number: m.Number, Text: why})
 		c.router.requestEnds.add(requestOutcome{endFailed, reasonInvalid})
-		c.reply(msgrpc.Invalid(m.Number, why))
+		c.reply(msgrpc.EncodeInvalid(m.Number, why))
 		c.penalize()
 		return
 	}
@@ -338,18 +338,18 @@
 	c.mu.Unlock()
 	if !rising {
 		// Answers could not be told apart, so that no request of this connection gets one that counts.
-		c.router.countBadMessage(&msgrpc.Fault{Number: m.Number, Text: "number does not rise"})
+		c.router.countBadMessage(&msgrpc.MessageError{Number: m.Number, Text: "number does not rise"})
 		c.router.requestEnds.add(requestOutcome{endFailed, reasonInvalid})
-		c.reply(msgrpc.Invalid(m.Number, "number does not rise"))
+		c.reply(msgrpc.EncodeInvalid(m.Number, "number does not rise"))
 		c.refuseFurther(func(number uint32) []byte {
-			return msgrpc.Invalid(number, "sent behind a number that did not rise")
+			return msgrpc.EncodeInvalid(number, "sent behind a number that did not rise")
 		})
 		return
 	}
 	if full {
 		c.router.anomalies.add(requestRejected)
 		c.router.requestEnds.add(requestOutcome{endRejected, reasonTooManyOpen})
-		c.reply(msgrpc.Rejection(m.Number, c.router.config.Deployment.MaxRetryAfter))
+		c.reply(msgrpc.EncodeRejection(m.Number, c.router.config.Deployment.MaxRetryAfter))
 		c.penalize()
 		return
 	}
@@ -379,7 +379,7 @@
 	defer c.mu.Unlock()
 	for number, req := range c.open {
 		req.abandoned.Store(true)
-		c.post(msgrpc.Failure(number))
+		c.post(msgrpc.EncodeFailure(number))
 		c.router.loop.Post(func(now control.Micros) { c.router.handleCancel(now, req, outcome) })
 	}
 	clear(c.open)
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -115,7 +115,7 @@
 	r.addClient(c)
 	c.refusal = func(number uint32) []byte {
 		c.closeWhenIdle(drainAfterIdle)
-		return msgrpc.Rejection(number, r.config.Deployment.MaxRetryAfter)
+		return msgrpc.EncodeRejection(number, r.config.Deployment.MaxRetryAfter)
 	}
 	c.closeWhenIdle(0)
 	c.closeBy(rejectReadTime)
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -52,8 +52,8 @@
 				case <-done:
 					return
 				case <-time.After(40 * time.Millisecond):
-					c.Call(rand.Uint64(), uint64(i%4)+1)
-					c.Answer()
+					c.SendRequest(rand.Uint64(), uint64(i%4)+1)
+					c.AwaitAnswer()
 				}
 			}
 		})
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -97,7 +97,7 @@
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	boot, err := simproto.ReadBootInfo(doc.Settings)
+	boot, err := simproto.ParseBootInfo(doc.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -42,7 +42,7 @@
 // handle lets the router handle an event in one step, one millisecond after the last.
 func (f *fleetRouter) handle(b testing.TB, update *discovery.UpdateMessage) {
 	f.revision++
-	effect, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: update}))
+	effect, err := f.discoveryState.HandleLine(platformtest.EncodeEvent(discovery.Event{Revision: f.revision, Update: update}))
 	if err != nil || effect != discovery.EndpointsChanged {
 		b.Fatal(effect, err)
 	}
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -16,7 +16,7 @@
 }
 
 // countBadMessage counts a client message that breaks the protocol.
-func (r *Router) countBadMessage(f *msgrpc.Fault) { r.anomalies.addDetail(badMessage, f.Text) }
+func (r *Router) countBadMessage(f *msgrpc.MessageError) { r.anomalies.addDetail(badMessage, f.Text) }
 
 // logState logs the state line: connections, requests, the estimates behind the slow-start budget, and, counted since the
 // last line, how attempts and requests ended, why there were retries, why connections closed, and the anomalies.
@@ -62,7 +62,7 @@
 		var loaded, loading, pending, overloaded, ejected int
 		for _, server := range explanation.Servers {
 			pending += server.PendingLoads
-			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
+			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.IsLoading)
 			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
 		}
 		r.log.Trace().Str("id", fmt.Sprintf(requestIDFormat, uint64(explanation.Request))).Str("why", string(explanation.Reason)).
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -20,7 +20,7 @@
 	abandoned atomic.Bool    // its client has cancelled or closed: no attempt begins
 	class     control.ClassID
 	tenant    control.TenantID
-	answer    attempt.FinalAnswer
+	answer    attempt.FinalResponse
 	attempts  []*serverCall
 }
 
@@ -35,36 +35,36 @@
 	}
 	if r.stopRequestedAt > 0 && now >= r.stopRequestedAt+acceptRequestsFor {
 		r.noteRequestEnd(req, endRejected, reasonStopping)
-		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+		r.finish(req, msgrpc.EncodeRejection(req.number, r.config.Deployment.MaxRetryAfter))
 		return
 	}
 	if r.requests[req.id] != nil {
-		r.countBadMessage(&msgrpc.Fault{Number: req.number, Text: "ref: open already"})
-		if other := r.requests[req.id]; other.client == req.client && !other.answer.Given { // ambiguous: both end
+		r.countBadMessage(&msgrpc.MessageError{Number: req.number, Text: "ref: open already"})
+		if other := r.requests[req.id]; other.client == req.client && !other.answer.Decided { // ambiguous: both end
 			r.core.Cancel(now, other.id)
 			r.noteRequestEnd(other, endFailed, reasonDuplicate)
-			r.finish(other, msgrpc.Invalid(other.number, "ref: sent twice"))
+			r.finish(other, msgrpc.EncodeInvalid(other.number, "ref: sent twice"))
 		}
 		r.noteRequestEnd(req, endFailed, reasonDuplicate)
-		r.finish(req, msgrpc.Invalid(req.number, "ref: open already"))
+		r.finish(req, msgrpc.EncodeInvalid(req.number, "ref: open already"))
 		return
 	}
 	r.requests[req.id] = req
 	err := r.core.Add(now, control.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Function: req.message.FunctionID(),
-		Lanes: req.message.Lanes, Work: req.message.Work, LoadTime: req.message.LoadTime, ArrivedAt: now,
+		Lanes: req.message.Lanes, ExecTimeHint: req.message.Work, LoadTimeHint: req.message.LoadTime, ArrivedAt: now,
 		Deadline: max(now, req.arrivedAt+req.message.Timeout-networkDelay), Timeout: req.message.Timeout - networkDelay, IsRetry: req.message.IsRetry})
 	if err != nil {
 		r.log.Error().Err(err).Msg("request not accepted")
 		delete(r.requests, req.id)
 		r.noteRequestEnd(req, endRejected, reasonNotAccepted)
-		r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+		r.finish(req, msgrpc.EncodeRejection(req.number, r.config.Deployment.MaxRetryAfter))
 	}
 }
 
 // finish gives a request its one final answer and withdraws what of it is not written yet. No data: no answer is
 // sent.
 func (r *Router) finish(req *request, data []byte) {
-	if !req.answer.Give() {
+	if !req.answer.Decide() {
 		return
 	}
 	for _, call := range req.attempts { // an answered request is not sent any more
@@ -88,7 +88,7 @@
 		delete(req.client.open, req.number)
 	}
 	req.client.mu.Unlock()
-	if req.answer.Given || r.requests[req.id] != req {
+	if req.answer.Decided || r.requests[req.id] != req {
 		return
 	}
 	r.core.Cancel(now, req.id)
@@ -104,10 +104,10 @@
 	req := r.requests[coreReq.ID]
 	call := r.newCall(to, timeout)
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
-	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
+	if class := r.config.Deployment.Classes[req.class]; class.Idempotency == control.IdempotentByKey {
 		for _, earlier := range coreReq.Attempts[:attemptID] {
 			if earlier.MayHaveRun { // the servers must still remember the key when this attempt arrives
-				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
+				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.DedupWindow-networkDelay)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 	deadline := r.loop.StepTime + timeout
 	return &serverCall{
 		router: r, to: to, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
-		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteUntil()),
+		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteDeadline()),
 	}
 }
 
@@ -138,14 +138,14 @@
 func (r *Router) Reject(id control.RequestID, retryAfter control.Micros, reason control.Reason) {
 	req := r.requests[id]
 	r.noteRequestEnd(req, endRejected, reason)
-	r.finish(req, msgrpc.Rejection(req.number, retryAfter))
+	r.finish(req, msgrpc.EncodeRejection(req.number, retryAfter))
 }
 
 // Fail ends a request that may have run and must not be repeated.
 func (r *Router) Fail(id control.RequestID, reason control.Reason) {
 	req := r.requests[id]
 	r.noteRequestEnd(req, endFailed, reason)
-	r.finish(req, msgrpc.Failure(req.number))
+	r.finish(req, msgrpc.EncodeFailure(req.number))
 }
 
 // CancelAttempt stops waiting for an attempt; its end is reported in the next step.
@@ -187,7 +187,7 @@
 		outcome.RequestDone = true
 		r.core.HandleOutcome(now, req.id, outcome)
 		r.noteRequestEnd(req, endServed, reasonServerAnswer)
-		r.finish(req, msgrpc.Success(req.number, answer.Body))
+		r.finish(req, msgrpc.EncodeSuccess(req.number, answer.Body))
 		return
 	}
 	r.core.HandleOutcome(now, req.id, outcome)
@@ -218,7 +218,7 @@
 	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in all; twice that allows for rounding
 		return "allow: longer than the class allows"
 	}
-	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
+	if msg.IdempotencyKey == "" && class.Idempotency == control.IdempotentByKey {
 		return "replay: missing"
 	}
 	if r.config.memoryMB > 0 && msg.MemoryMB > r.config.memoryMB {
--- a/internal/platform/router.go
+++ b/internal/platform/router.go
@@ -96,7 +96,7 @@
 	r.maxClients = config.Sockets / 2
 	r.maxServerConns = config.Sockets - r.maxClients - reservedSockets
 	deployment := config.Deployment
-	deployment.Zone = r.fleet.Zone(config.zone)
+	deployment.Zone = r.fleet.ZoneID(config.zone)
 	r.core = core.New(control.New(r.loop.Epoch, config.Seed, deployment), r)
 	if err := r.traceRejections(); err != nil {
 		return nil, err
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -79,7 +79,7 @@
 		call.unread = cmp.Or(call.unread, now)
 		wanted = wanted && now-call.unread < control.Micros(readerWait.Microseconds())
 	}
-	next, ok := attempt.Stage(call.stage.Load()).Write(wanted, now, call.writeBefore)
+	next, ok := attempt.Stage(call.stage.Load()).BeginWrite(wanted, now, call.writeBefore)
 	if !ok {
 		call.router.loop.Post(func(now control.Micros) {
 			call.withdraw()
@@ -242,7 +242,7 @@
 		}
 		values[i] = float32(v)
 	}
-	return config.Report(r.config.reportFields, values)
+	return config.LoadReport(r.config.reportFields, values)
 }
 
 // reportNames maps the settings' field names to the simulator's, which the answers use.
--- a/internal/platform/serverconn.go
+++ b/internal/platform/serverconn.go
@@ -118,16 +118,16 @@
 func (sc *serverConn) dial() (net.Conn, error) {
 	r := sc.router
 	return netfail.Dial(sc.dialing, func() (net.Conn, error) { return r.calls.dial(sc.dialing, sc.pool.address) },
-		func(err error) netfail.RetryPause {
+		func(err error) netfail.RetryTiming {
 			if !errors.Is(err, syscall.EMFILE) {
 				r.anomalies.add(temporaryDialFailure)
-				return netfail.AfterPause
+				return netfail.RetryAfterPause
 			}
 			r.anomalies.add(outOfDescriptors)
 			if r.makeRoom(1) {
-				return netfail.AtOnce
+				return netfail.RetryImmediately
 			}
-			return netfail.AfterPause
+			return netfail.RetryAfterPause
 		})
 }
 
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -91,7 +91,7 @@
 func (r *Router) rejectHeld() {
 	kill := r.stopRequestedAt + r.config.Deployment.EarliestKill()
 	r.endRequests(func(req *request) bool {
-		return control.OutlivesStop(len(req.attempts), req.readAt+req.message.Timeout, kill-answerBeforeKill)
+		return control.RejectEarlyOnStop(len(req.attempts), req.readAt+req.message.Timeout, kill-answerBeforeKill)
 	})
 }
 
@@ -103,7 +103,7 @@
 	now := r.loop.Now()
 	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
 	for _, req := range slices.SortedFunc(maps.Values(r.requests), byID) {
-		if req.answer.Given || !selected(req) {
+		if req.answer.Decided || !selected(req) {
 			continue
 		}
 		r.anomalies.add(requestEndedByShutdown)
@@ -113,10 +113,10 @@
 		})
 		if r.config.Deployment.Classes[req.class].RejectedByStop(mayHaveRun) {
 			r.noteRequestEnd(req, endRejected, reasonStopping)
-			r.finish(req, msgrpc.Rejection(req.number, r.config.Deployment.MaxRetryAfter))
+			r.finish(req, msgrpc.EncodeRejection(req.number, r.config.Deployment.MaxRetryAfter))
 		} else {
 			r.noteRequestEnd(req, endFailed, reasonStopping)
-			r.finish(req, msgrpc.Failure(req.number))
+			r.finish(req, msgrpc.EncodeFailure(req.number))
 		}
 	}
 }
--- a/internal/probe/output_test.go
+++ b/internal/probe/output_test.go
@@ -13,7 +13,7 @@
 	value := &ServerReport{}
 	golden.Fill(value)
 	golden.Check(t, "output-1.json", value, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+	if missing := golden.UntaggedFields(reflect.TypeOf(value)); len(missing) > 0 {
 		t.Errorf("fields without a JSON tag: %q", missing)
 	}
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -11,9 +11,9 @@
 
 // Class is what a client knows of its requests.
 type Class struct {
-	Effect control.Effect
+	Effect control.Idempotency
 	// Scope and Window are those of IdempotentByKey: the servers that recognize a key, and for how long.
-	Scope         control.Scope
+	Scope         control.DedupScope
 	Window        control.Micros
 	KeysPersisted bool // a router recognizes keys across its restarts: it may get the same request again, whatever its effect
 	HedgeSafe     bool // two attempts at once do no harm
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -78,7 +78,7 @@
 // retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
+		w := Class{Effect: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
 			KeysPersisted: rapid.Bool().Draw(t, "persisted"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
 		b, x := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -29,7 +29,7 @@
 		} else if err != nil {
 			return err
 		}
-		batch, clock := simproto.ReadHeader(frame)
+		batch, clock := simproto.ParseHeader(frame)
 		parts, err := h.runBatch(frame, control.Micros(clock))
 		if err != nil {
 			return err
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -73,7 +73,7 @@
 	if h.current == nil {
 		return errNoRouter
 	}
-	boot, err := simproto.ReadBootInfo(settings)
+	boot, err := simproto.ParseBootInfo(settings)
 	if err != nil {
 		return err
 	}
@@ -126,10 +126,10 @@
 		}
 		request := control.Request{ID: control.RequestID(in.ID), Class: control.ClassID(in.Class),
 			Tenant: control.TenantID(in.Tenant), Function: control.FunctionID(in.Function),
-			Lanes: int(in.Lanes), LoadTime: control.Micros(in.LoadMS * 1000),
+			Lanes: int(in.Lanes), LoadTimeHint: control.Micros(in.LoadMS * 1000),
 			ArrivedAt: h.now, Deadline: h.now + control.Micros(in.Timeout), IsRetry: in.Options&optionIsRetry != 0}
 		if in.Options&optionHasWork != 0 {
-			request.Work = control.Micros(in.Work)
+			request.ExecTimeHint = control.Micros(in.Work)
 		}
 		return r.core.Add(h.now, request)
 	})
@@ -150,7 +150,7 @@
 	return h.withRouter(func(r *router) error {
 		r.core.HandleOutcome(h.now, control.RequestID(a.ID), control.Outcome{Attempt: control.AttemptID(a.Attempt),
 			Server: serverID(a.Server), Result: result, CacheStatus: control.CacheStatus(a.Flags & cacheStatusMask),
-			Duration: control.Micros(a.Duration), RequestDone: a.RequestDone, Report: config.Report(r.reportFields, a.Load)})
+			Duration: control.Micros(a.Duration), RequestDone: a.RequestDone, Report: config.LoadReport(r.reportFields, a.Load)})
 		return nil
 	})
 }
--- a/internal/simadapter/recording.go
+++ b/internal/simadapter/recording.go
@@ -12,7 +12,7 @@
 )
 
 // recordingLimits let a simulated day be recorded whole, in segments that hmreplay reads quickly; the simulation waits for the disk.
-var recordingLimits = record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, WaitForDisk: true}
+var recordingLimits = record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, BlockWhenFull: true}
 
 // beginRecording begins a recording of a router that starts, where one is wanted.
 func (h *host) beginRecording(r *router) error {
--- a/internal/simproto/bootinfo.go
+++ b/internal/simproto/bootinfo.go
@@ -73,8 +73,8 @@
 // errIncomplete is the error of start settings that no router can run by.
 var errIncomplete = errors.New("no classes, or no count of balancers")
 
-// ReadBootInfo reads the start settings. It checks only what every caller needs.
-func ReadBootInfo(text []byte) (*BootInfo, error) {
+// ParseBootInfo reads the start settings. It checks only what every caller needs.
+func ParseBootInfo(text []byte) (*BootInfo, error) {
 	var info BootInfo
 	if err := json.Unmarshal(text, &info); err != nil {
 		return nil, fmt.Errorf("start settings: %w", err)
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -11,7 +11,7 @@
 // Decode hands each record of a whole frame to the handler. Its errors name the batch, the record and its first byte; they wrap
 // ErrTruncated where a record ends early, and the handler's own errors.
 func Decode(frame []byte, h Handler) error {
-	batch, _ := ReadHeader(frame)
+	batch, _ := ParseHeader(frame)
 	r := &recordReader{buf: frame, at: requestHeader}
 	count := binary.BigEndian.Uint32(frame[offsetCount:])
 	for i := uint32(0); i < count; i++ {
--- a/internal/simproto/frame.go
+++ b/internal/simproto/frame.go
@@ -48,8 +48,8 @@
 	return buf, nil
 }
 
-// ReadHeader returns a frame's batch number, and its clock in microseconds.
-func ReadHeader(frame []byte) (batch uint32, clock uint64) {
+// ParseHeader returns a frame's batch number, and its clock in microseconds.
+func ParseHeader(frame []byte) (batch uint32, clock uint64) {
 	return binary.BigEndian.Uint32(frame), binary.BigEndian.Uint64(frame[offsetClock:])
 }
 
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -152,11 +152,11 @@
 }
 
 func TestBootInfo(t *testing.T) {
-	if _, err := ReadBootInfo([]byte(`{"balancers": 2, "classes": [{"aim": 5}], "unknown": 1}`)); err != nil {
+	if _, err := ParseBootInfo([]byte(`{"balancers": 2, "classes": [{"aim": 5}], "unknown": 1}`)); err != nil {
 		t.Errorf("unknown keys are an error: %v", err)
 	}
 	for _, bad := range []string{"", "{", `{"balancers": 2}`, `{"classes": [{}]}`} {
-		if _, err := ReadBootInfo([]byte(bad)); err == nil {
+		if _, err := ParseBootInfo([]byte(bad)); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
 	}
--- a/internal/simulation/routing.go
+++ b/internal/simulation/routing.go
@@ -37,7 +37,7 @@
 	plan, function := r.world.plan, functionID(q.Function)
 	accepted := &request{client: q}
 	if r.overload != nil {
-		verdict := r.overload.Admit(now, overload.Request{IsRetry: q.markedRetry(), KeyHash: q.keyHash(), Function: function, Importance: q.class.Importance})
+		verdict := r.overload.Admit(now, overload.Request{IsRetry: q.markedRetry(), KeyHash: q.keyHash(), Function: function, Priority: q.class.Importance})
 		if !verdict.Admitted {
 			r.answer(accepted, rejected, verdict.RetryAfter)
 			return
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		boot, err := simproto.ReadBootInfo(text)
+		boot, err := simproto.ParseBootInfo(text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tlspolicy/identity.go
+++ b/internal/tlspolicy/identity.go
@@ -88,9 +88,9 @@
 // the time for which an old authority stays trusted beside the new one, and long enough to spread thousands of handshakes.
 const replacementPeriod = control.Micros(5_000_000)
 
-// ReplaceNow reports whether a connection that was made with that version of the identity is to be replaced now. Position, from 0 to 1, is
+// ShouldReplace reports whether a connection that was made with that version of the identity is to be replaced now. Position, from 0 to 1, is
 // the connection's own place in the replacement period.
-func (i *Identity) ReplaceNow(now control.Micros, version uint64, position float64) bool {
+func (i *Identity) ShouldReplace(now control.Micros, version uint64, position float64) bool {
 	return version != i.version && now >= i.currentSince+control.Micros(position*float64(replacementPeriod))
 }
 
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -91,16 +91,16 @@
 		t.Fatal(err)
 	}
 	version := i.Version()
-	if i.ReplaceNow(begin+replacementPeriod, version, 0) {
+	if i.ShouldReplace(begin+replacementPeriod, version, 0) {
 		t.Error("nothing changed")
 	}
 	if err := i.Update(begin, y.Chain, y.Key); err != nil {
 		t.Fatal(err)
 	}
-	if i.ReplaceNow(begin+replacementPeriod/2-1, version, 0.5) || !i.ReplaceNow(begin+replacementPeriod/2, version, 0.5) {
+	if i.ShouldReplace(begin+replacementPeriod/2-1, version, 0.5) || !i.ShouldReplace(begin+replacementPeriod/2, version, 0.5) {
 		t.Error("not at its own position")
 	}
-	if i.ReplaceNow(begin+replacementPeriod, i.Version(), 0.5) {
+	if i.ShouldReplace(begin+replacementPeriod, i.Version(), 0.5) {
 		t.Error("a connection with the current certificate is replaced")
 	}
 }
--- a/internal/xds/catchup.go
+++ b/internal/xds/catchup.go
@@ -22,7 +22,7 @@
 // catchUp handles all that has arrived, also what is not read from the connection yet, within a quarter of the grace. It
 // guards against a decision on an endpoint list that a change has already reached, as after a stall of the process.
 func (s *session) catchUp() error {
-	deadline := time.Now().Add(s.transport.Grace / 4)
+	deadline := time.Now().Add(s.transport.GracePeriod / 4)
 	quiet, needed := 0, 0 // waits in a row without a message; how many there must be
 	for {
 		var wait time.Duration
--- a/internal/xds/transport.go
+++ b/internal/xds/transport.go
@@ -23,8 +23,8 @@
 	Now         func() control.Micros
 	// Refresh asks for all that has arrived to be handled; the channel received is closed once it is. It may be nil.
 	Refresh <-chan chan struct{}
-	// Grace is the time within which a change of the endpoint list must take effect; 0: the resources are no list.
-	Grace time.Duration
+	// GracePeriod is the time within which a change of the endpoint list must take effect; 0: the resources are no list.
+	GracePeriod time.Duration
 	// Dial opens a connection; nil: over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// OnUpdate is called after each call of the protocol that may have changed something.
@@ -68,7 +68,7 @@
 		case end.answered:
 			backoff.Reset()
 		case end.requested:
-			urgentUntil = time.Now().Add(t.Grace)
+			urgentUntil = time.Now().Add(t.GracePeriod)
 		}
 		wait := backoff.NextWithin(t.maxWait(urgentUntil))
 		t.Log("the stream from " + t.Address + " ended (" + end.err.Error() + "); the next attempt is in " + wait.Round(time.Millisecond).String())
@@ -93,7 +93,7 @@
 // within the grace: what that stream would have sent may be in force since.
 func (t Transport) maxWait(urgentUntil time.Time) time.Duration {
 	if time.Now().Before(urgentUntil) {
-		return t.Grace / 4
+		return t.GracePeriod / 4
 	}
 	return maxBackoff
 }
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -78,7 +78,7 @@
 			list := map[string]control.ServerState{}
 			refresh := make(chan chan struct{})
 			var complete atomic.Int64
-			transport := Transport{Address: plane.Address(), Variant: variant, Now: now, Refresh: refresh, Grace: testGrace, Log: func(string) {},
+			transport := Transport{Address: plane.Address(), Variant: variant, Now: now, Refresh: refresh, GracePeriod: testGrace, Log: func(string) {},
 				OnComplete: func(asOf control.Micros) { complete.Store(int64(asOf)) },
 				Dial: func(ctx context.Context, address string) (net.Conn, error) {
 					c, err := dialTCP(ctx, address)
@@ -160,7 +160,7 @@
 	dialled := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
-	transport := Transport{Address: plane.Address(), Now: now, Grace: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
+	transport := Transport{Address: plane.Address(), Now: now, GracePeriod: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			dialled <- time.Now()
 			mu.Lock()
