--- a/client/client_test.go
+++ b/client/client_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// receivedRequest is a request as a fake router received it.
+// receivedRequest describes a request that a fake router received.
 type receivedRequest struct {
 	receivedAt time.Time
 	router     int
@@ -28,18 +28,18 @@
 	timeout    time.Duration
 }
 
-// fakeRouters answer as a handler says, and record what they received.
+// fakeRouters respond with the result of a handler and record the requests that they receive.
 type fakeRouters struct {
 	addresses   []string
 	mu          sync.Mutex
 	requests    []receivedRequest
 	conns       []map[net.Conn]bool
-	connectedAt [][]time.Time // connections
+	connectedAt [][]time.Time // times of connections, by router
 	wg          sync.WaitGroup
 	listeners   []net.Listener
 }
 
-// handler returns a fake router's answer to a request; nil breaks the connection.
+// handler returns a fake router's response to a request; nil breaks the connection.
 type handler func(h receivedRequest) *rest.Response
 
 func startRouters(t testing.TB, n int, handle handler) *fakeRouters {
@@ -131,26 +131,26 @@
 
 var body = []byte(`{"inputs":[]}`)
 
-// Ten thousand calls with random faults: each has one outcome, at its caller, within its time; every retry is marked as one and
-// carries the time that is left, and none does harm.
+// Makes ten thousand calls with random faults. Each call must return one outcome within its timeout. Every retry must carry
+// an attempt count above 1 and no more than the call's timeout, and must not be sent long after the deadline.
 func TestTenThousandCalls(t *testing.T) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, 2))
 	r := startRouters(t, 3, func(h receivedRequest) *rest.Response {
 		mu.Lock()
-		x := random.IntN(100)
+		percent := random.IntN(100)
 		mu.Unlock()
 		switch {
-		case x < 4:
-			return nil // broken after the whole request came
-		case x < 10:
+		case percent < 4:
+			return nil // break the connection after the whole request was received
+		case percent < 10:
 			return failWith(503, "pushed back", time.Millisecond)
-		case x < 13:
+		case percent < 13:
 			return failWith(504, "killed", 0)
-		case x < 14:
+		case percent < 14:
 			return failWith(400, "wrong", 0)
-		case x < 15:
-			time.Sleep(60 * time.Millisecond) // past some deadlines
+		case percent < 15:
+			time.Sleep(60 * time.Millisecond) // longer than some calls' timeouts
 		}
 		return succeed(h)
 	})
@@ -160,18 +160,18 @@
 	const calls, window = 10_000, 30 * time.Millisecond
 	workloads := []Workload{{Effect: NonIdempotent}, {Effect: Idempotent}, {Effect: IdempotentByKey, KeyWindow: window}, {Effect: IdempotentByKey, KeyWindow: window, PartialKeyScope: true}}
 	kinds := map[string]int{}
-	asked := make([]time.Time, calls)
-	patience := make([]time.Duration, calls)
-	places := make(chan bool, 100)
+	startedAt := make([]time.Time, calls)
+	timeouts := make([]time.Duration, calls)
+	slots := make(chan bool, 100)
 	var wg sync.WaitGroup
 	for i := range calls {
-		places <- true
+		slots <- true
 		wg.Go(func() {
-			defer func() { <-places }()
-			patience[i] = time.Duration(50+i%100) * time.Millisecond
-			ctx, cancel := context.WithTimeout(context.Background(), patience[i])
+			defer func() { <-slots }()
+			timeouts[i] = time.Duration(50+i%100) * time.Millisecond
+			ctx, cancel := context.WithTimeout(context.Background(), timeouts[i])
 			defer cancel()
-			asked[i] = time.Now()
+			startedAt[i] = time.Now()
 			_, err := c.Infer(ctx, Call{Model: "m", Body: body, IdempotencyKey: strconv.Itoa(i), Workload: workloads[i%4]})
 			kind := "finished"
 			var failed *CallError
@@ -180,8 +180,8 @@
 			} else if err != nil {
 				t.Errorf("call %d: %v", i, err)
 			}
-			if late := time.Since(asked[i]) - patience[i]; late > time.Second {
-				t.Errorf("call %d had its outcome %s after its deadline", i, late)
+			if late := time.Since(startedAt[i]) - timeouts[i]; late > time.Second {
+				t.Errorf("call %d ended %s after its deadline", i, late)
 			}
 			doneMu.Lock()
 			kinds[kind]++
@@ -194,41 +194,41 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := map[string][]receivedRequest{}
+	byKey := map[string][]receivedRequest{}
 	for _, h := range r.requests {
-		seen[h.key] = append(seen[h.key], h)
+		byKey[h.key] = append(byKey[h.key], h)
 	}
 	retries := 0
-	for mark, hs := range seen {
-		i, err := strconv.Atoi(mark)
+	for key, requests := range byKey {
+		i, err := strconv.Atoi(key)
 		if err != nil {
-			t.Fatalf("mark %q", mark)
+			t.Fatalf("unknown idempotency key %q", key)
 		}
-		for n, h := range hs {
-			if h.receivedAt.After(asked[i].Add(patience[i] + time.Second)) {
-				t.Errorf("call %s is sent %s after its deadline", mark, h.receivedAt.Sub(asked[i].Add(patience[i])))
+		for n, h := range requests {
+			if h.receivedAt.After(startedAt[i].Add(timeouts[i] + time.Second)) {
+				t.Errorf("call %s was sent %s after its deadline", key, h.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
 			}
-			if h.timeout > patience[i] {
-				t.Errorf("call %s says that %s are left of %s", mark, h.timeout, patience[i])
+			if h.timeout > timeouts[i] {
+				t.Errorf("call %s was sent with a timeout of %s, more than its own of %s", key, h.timeout, timeouts[i])
 			}
 			if n > 0 && h.attempt < 2 {
-				t.Errorf("a retry of call %s is not marked", mark)
+				t.Errorf("a retry of call %s has no attempt count above 1", key)
 			}
 		}
-		retries += len(hs) - 1
+		retries += len(requests) - 1
 	}
 	if retries == 0 || retries > calls/5 {
 		t.Errorf("%d retries", retries)
 	}
 }
 
-// What may have run is retried only as its workload allows.
+// A request that may have run is retried only if its workload allows that.
 func TestRetriesDoNoHarm(t *testing.T) {
 	for name, c := range map[string]struct {
-		w      Workload
-		handle handler
-		want   int
-		kind   FailureKind
+		w        Workload
+		handle   handler
+		attempts int
+		kind     FailureKind
 	}{
 		"run-once, broken":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return nil }, 1, OutcomeUnknown},
 		"run-once, killed":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return failWith(504, "killed", 0) }, 1, RequestFailed},
@@ -243,25 +243,25 @@
 		lib := newClient(t, Options{Routers: r.addresses})
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: c.w})
 		var failed *CallError
-		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Attempts != c.want {
+		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Attempts != c.attempts {
 			t.Errorf("%s: %v", name, err)
 		}
 		r.mu.Lock()
 		for n, h := range r.requests {
 			if h.attempt != n+1 || h.key != r.requests[0].key || h.key == "" {
-				t.Errorf("%s: attempt %d has key %q and count %d", name, n, h.key, h.attempt)
+				t.Errorf("%s: attempt %d has key %q and attempt count %d", name, n, h.key, h.attempt)
 			}
 		}
-		if len(r.requests) != c.want {
-			t.Errorf("%s: sent %d times, want %d", name, len(r.requests), c.want)
+		if len(r.requests) != c.attempts {
+			t.Errorf("%s: sent %d times, want %d", name, len(r.requests), c.attempts)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// The router learns at once of a caller that gives up: the connection ends.
+// If the caller gives up, the client closes the connection at once, so that the router learns of it.
 func TestCancellationReachesRouter(t *testing.T) {
-	came, left := make(chan bool), make(chan bool)
+	received, disconnected := make(chan bool), make(chan bool)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -276,10 +276,10 @@
 		c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 		c.ReadRequest()
 		gone, stop := c.WatchClose()
-		close(came)
+		close(received)
 		<-gone
 		stop()
-		close(left)
+		close(disconnected)
 	}()
 	lib := newClient(t, Options{Routers: []string{l.Addr().String()}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -288,29 +288,30 @@
 		_, err := lib.Infer(ctx, Call{Model: "m", Body: body})
 		ended <- err
 	}()
-	<-came
+	<-received
 	cancel()
 	var failed *CallError
 	if err := <-ended; !errors.As(err, &failed) || failed.Kind != OutcomeUnknown || !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
-	<-left
+	<-disconnected
 }
 
-// A router that loses all of its connections at once gets them back spread out, while others take the calls.
+// After a router loses all of its connections at once, the client spreads its reconnects over time and sends the calls to
+// other routers.
 func TestReconnectsSpread(t *testing.T) {
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { time.Sleep(5 * time.Millisecond); return succeed(h) })
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 40})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
-	bad := make(chan string, 1000)
+	failures := make(chan string, 1000)
 	for i := range 60 {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: Workload{Effect: Idempotent}}); err != nil {
 					select {
-					case bad <- fmt.Sprintf("%d: %v", i, err):
+					case failures <- fmt.Sprintf("%d: %v", i, err):
 					default:
 					}
 				}
@@ -322,27 +323,27 @@
 	before := len(r.connectedAt[0])
 	r.mu.Unlock()
 	r.breakConnections(0)
-	lost := time.Now()
+	lostAt := time.Now()
 	time.Sleep(2 * time.Second)
 	cancel()
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := 0
+	early := 0
 	for _, at := range r.connectedAt[0][before:] {
-		if at.Sub(lost) < 500*time.Millisecond {
-			first++
+		if at.Sub(lostAt) < 500*time.Millisecond {
+			early++
 		}
 	}
-	if before < 15 || first > before/3 {
-		t.Errorf("%d connections, of which %d came back within half a second", before, first)
+	if before < 15 || early > before/3 {
+		t.Errorf("%d connections, %d reconnects within half a second", before, early)
 	}
-	if len(bad) > 40 { // what was on the lost connections, beyond what the budget lets be tried again
-		t.Errorf("%d calls failed, as %s", len(bad), <-bad)
+	if len(failures) > 40 { // calls on the lost connections that the retry budget does not allow to be retried
+		t.Errorf("%d calls failed, for example %s", len(failures), <-failures)
 	}
 }
 
-// An attempt that gets its connection only after the call's deadline is not sent, though late answers would still be read.
+// An attempt that gets a connection only after the call's deadline is not sent, even if late responses would still be read.
 func TestNothingIsSentLate(t *testing.T) {
 	r := startRouters(t, 1, func(h receivedRequest) *rest.Response { time.Sleep(150 * time.Millisecond); return succeed(h) })
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, LateResponseTimeout: time.Second})
@@ -371,7 +372,8 @@
 	}
 }
 
-// A slow attempt of a request that may run twice at once is hedged at another router, and the first answer counts.
+// If concurrent attempts are allowed, a slow attempt is hedged with a second one at another router, and the first response
+// is returned.
 func TestHedge(t *testing.T) {
 	var mu sync.Mutex
 	slow := false
@@ -394,24 +396,24 @@
 	mu.Lock()
 	slow = true
 	mu.Unlock()
-	begun := time.Now()
-	a, err := lib.Infer(context.Background(), call)
-	if err != nil || a.Attempts != 2 || time.Since(begun) > 400*time.Millisecond {
-		t.Errorf("%+v, %v, %s", a, err, time.Since(begun))
+	startedAt := time.Now()
+	response, err := lib.Infer(context.Background(), call)
+	if err != nil || response.Attempts != 2 || time.Since(startedAt) > 400*time.Millisecond {
+		t.Errorf("%+v, %v, %s", response, err, time.Since(startedAt))
 	}
 }
 
-// BenchmarkInfer shows what the client adds to a call over a plain connection to the same fake router.
+// BenchmarkInfer compares a call of the client library with an exchange over a plain connection to the same fake router.
 func BenchmarkInfer(b *testing.B) {
 	r := startRouters(b, 1, succeed)
 	b.Run("plain", func(b *testing.B) {
-		x, err := rest.Dial(context.Background(), r.addresses[0], &rest.DefaultLimits)
+		conn, err := rest.Dial(context.Background(), r.addresses[0], &rest.DefaultLimits)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer x.Close()
+		defer conn.Close()
 		for b.Loop() {
-			if _, _, err := x.Do(&rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"x"}}, Body: body}, time.Now().Add(time.Second)); err != nil {
+			if _, _, err := conn.Do(&rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"x"}}, Body: body}, time.Now().Add(time.Second)); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -10,26 +10,26 @@
 	"hollymast/internal/rest"
 )
 
-// A caller that gives up says nothing of the router that was asked: routers are asked in turn as before.
+// A cancelled call does not count as a failure of its router: routers still get requests in turn.
 func TestCancellationCountsAgainstNoRouter(t *testing.T) {
 	slow := make(chan bool)
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
 	var ended atomic.Int32
 	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{AttemptEnded: func(Attempt, string, time.Duration) { ended.Add(1) }}})
-	const each = 4 // one more than would eject a router
-	for range 2 * each {
+	const callsPerRouter = 4 // one more than the failures that eject a router
+	for range 2 * callsPerRouter {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		lib.Infer(ctx, Call{Model: "m", Body: body, Timeout: time.Second})
 		cancel()
 	}
 	close(slow)
-	platformtest.WaitFor(t, "the ends of all attempts", func() bool { return ended.Load() == 2*each })
+	platformtest.WaitFor(t, "the ends of all attempts", func() bool { return ended.Load() == 2*callsPerRouter })
 	r.mu.Lock()
 	r.requests = nil
 	r.mu.Unlock()
-	asked := [2]int{}
-	for range 2 * each {
+	perRouter := [2]int{}
+	for range 2 * callsPerRouter {
 		if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body}); err != nil {
 			t.Error(err)
 		}
@@ -37,14 +37,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range r.requests {
-		asked[h.router]++
+		perRouter[h.router]++
 	}
-	if asked != [2]int{each, each} {
-		t.Errorf("asked %v", asked)
+	if perRouter != [2]int{callsPerRouter, callsPerRouter} {
+		t.Errorf("requests per router: %v", perRouter)
 	}
 }
 
-// Making a body costs the attempt its time: the router gets what is left, and with nothing left nothing is sent.
+// The time taken to make a body counts against the deadline: the router gets the remaining time as its timeout, and if
+// none remains, nothing is sent.
 func TestSlowBodies(t *testing.T) {
 	r := startRouters(t, 1, succeed)
 	lib := newClient(t, Options{Routers: r.addresses})
@@ -53,7 +54,7 @@
 		t.Error(err)
 	}
 	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyFor: slow, Timeout: 100 * time.Millisecond}); err == nil {
-		t.Error("answered in no time")
+		t.Error("the call succeeded although its deadline passed before it was sent")
 	}
 	time.Sleep(50 * time.Millisecond)
 	r.mu.Lock()
--- a/cmd/hmcall/calls.go
+++ b/cmd/hmcall/calls.go
@@ -13,27 +13,27 @@
 	"hollymast/internal/program"
 )
 
-// call is a line of a file of calls. An empty field has the flag's value.
+// call is one line of a file of calls. An empty effect, tenant or timeout takes the value of its flag.
 type call struct {
-	Model   string          `json:"model"`
-	Request json.RawMessage `json:"request"`
-	Effect  string          `json:"effect"`
-	Mark    string          `json:"mark"`
-	Tenant  string          `json:"tenant"`
-	Timeout int64           `json:"timeout"` // milliseconds
+	Model          string          `json:"model"`
+	Request        json.RawMessage `json:"request"`
+	Effect         string          `json:"effect"`
+	IdempotencyKey string          `json:"mark"`
+	Tenant         string          `json:"tenant"`
+	Timeout        int64           `json:"timeout"` // milliseconds
 }
 
-// effects are the values of --effect and of a call's effect.
+// effects maps the values of --effect and of a call's effect field.
 var effects = map[string]client.Effect{
 	"run-once":      client.NonIdempotent,
 	"restartable":   client.Idempotent,
 	"fingerprinted": client.IdempotentByKey,
 }
 
-// emptyRequest is the body of a call that gives none.
+// emptyRequest is the default body of a call.
 var emptyRequest = []byte(`{"inputs":[]}`)
 
-// maxLine bounds a line of a file of calls, in bytes.
+// maxLine bounds a line of a file of calls in bytes.
 const maxLine = 64 << 20
 
 // readInput reads a file, or standard input for "-".
@@ -44,7 +44,7 @@
 	return os.ReadFile(name)
 }
 
-// readCalls reads a file of calls. An empty line is a call without a model, so that indexes go with line numbers.
+// readCalls reads a file of calls. An empty line becomes a call without a model, so that indexes match line numbers.
 func readCalls(name string) ([]call, error) {
 	text, err := readInput(name)
 	if err != nil {
@@ -54,13 +54,13 @@
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxLine)
 	for number := 1; lines.Scan(); number++ {
-		var x call
+		var input call
 		if len(bytes.TrimSpace(lines.Bytes())) > 0 {
-			if x, err = readCall(lines.Bytes()); err != nil {
+			if input, err = readCall(lines.Bytes()); err != nil {
 				return nil, program.UsageError{Err: fmt.Errorf("%s:%d: %w", name, number, err)}
 			}
 		}
-		calls = append(calls, x)
+		calls = append(calls, input)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, program.UsageError{Err: fmt.Errorf("%s: %w", name, err)}
@@ -68,14 +68,14 @@
 	return calls, nil
 }
 
-func readCall(line []byte) (x call, err error) {
+func readCall(line []byte) (input call, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&x); err != nil {
-		return x, err
+	if err := decoder.Decode(&input); err != nil {
+		return input, err
 	}
-	if _, known := effects[x.Effect]; x.Model == "" || x.Effect != "" && !known || x.Timeout < 0 {
-		return x, errors.New("a call needs a model, an effect that is known and no timeout below zero")
+	if _, known := effects[input.Effect]; input.Model == "" || input.Effect != "" && !known || input.Timeout < 0 {
+		return input, errors.New("a call needs a model; its effect must be valid and its timeout not negative")
 	}
-	return x, nil
+	return input, nil
 }
--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -18,8 +18,8 @@
 	"hollymast/internal/rest"
 )
 
-// shortDeadlines are settings with deadlines of 50 ms; the file of the endpoint list is to be filled in.
-const shortDeadlines = `
+// shortDeadlineSettings is a format of settings with deadlines of 50 ms. Its argument is the endpoint list file.
+const shortDeadlineSettings = `
 [router]
 listen = 127.0.0.1:0
 list = %s
@@ -34,7 +34,7 @@
 lanes = 1
 `
 
-// startGateway starts a gateway and returns once it has its endpoint list.
+// startGateway starts a gateway and waits until it has applied its endpoint list.
 func startGateway(t *testing.T, settings string) (address string, gateway *process) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "router.ini")
@@ -52,17 +52,17 @@
 	return address, gateway
 }
 
-// openClient is a client that goes on sending on one open connection.
-type openClient struct {
+// persistentClient sends requests one after another on a persistent connection, and reconnects if it breaks.
+type persistentClient struct {
 	address    string
 	pause      time.Duration // between two requests
 	answered   int
 	unanswered []string // requests that were sent completely and got no answer
 }
 
-// run sends while goOn says so.
-func (o *openClient) run(goOn func() bool) {
-	for goOn() {
+// run sends requests as long as keepRunning returns true.
+func (o *persistentClient) run(keepRunning func() bool) {
+	for keepRunning() {
 		c, err := rest.Dial(context.Background(), o.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -70,7 +70,7 @@
 			}
 			continue
 		}
-		for goOn() && !c.Stale() {
+		for keepRunning() && !c.Stale() {
 			sentAt := time.Now()
 			request := &rest.Request{Method: "POST", Target: "/v2/models/m/infer", Header: rest.Header{"Host": {"a"}}, Body: []byte(`{"inputs":[]}`)}
 			response, progress, err := c.Do(request, sentAt.Add(time.Second))
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestGatewayShutdownWithShortDeadlines guards against requests that the earliest kill after SIGTERM finds unanswered: with deadlines of
-// 50 ms it may come 0.75 s after. Clients go on sending on open connections until then, quick ones and slow ones.
+// TestGatewayShutdownWithShortDeadlines guards against requests that are still unanswered at the earliest time of a kill after SIGTERM,
+// which is 0.75 s with deadlines of 50 ms. Until then, clients with short and with long pauses keep sending on open connections.
 func TestGatewayShutdownWithShortDeadlines(t *testing.T) {
 	const (
 		runs          = 4
@@ -111,12 +111,12 @@
 	}
 	answered := 0
 	for range runs {
-		address, gateway := startGateway(t, fmt.Sprintf(shortDeadlines, endpoints))
+		address, gateway := startGateway(t, fmt.Sprintf(shortDeadlineSettings, endpoints))
 		var killed atomic.Bool
-		all := make([]openClient, clients)
+		all := make([]persistentClient, clients)
 		var wg sync.WaitGroup
 		for i := range all {
-			all[i] = openClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
+			all[i] = persistentClient{address: address, pause: time.Duration(1+7*i) * time.Millisecond}
 			wg.Go(func() { all[i].run(func() bool { return !killed.Load() }) })
 		}
 		time.Sleep(trafficBefore)
@@ -128,7 +128,7 @@
 		for i := range all {
 			answered += all[i].answered
 			for _, text := range all[i].unanswered {
-				t.Errorf("client with pauses of %v: no answer %s", all[i].pause, text)
+				t.Errorf("client with pauses of %v: request not answered: %s", all[i].pause, text)
 			}
 		}
 	}
@@ -138,15 +138,15 @@
 	}
 }
 
-// A gateway outlives SIGHUP, and stops in order afterwards.
+// A gateway keeps running on SIGHUP, and still shuts down cleanly afterwards.
 func TestGatewayReload(t *testing.T) {
 	endpoints := filepath.Join(t.TempDir(), "workers.ini")
 	if err := os.WriteFile(endpoints, []byte("[a]\naddress = 127.0.0.1:1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, gateway := startGateway(t, fmt.Sprintf(shortDeadlines, endpoints))
+	_, gateway := startGateway(t, fmt.Sprintf(shortDeadlineSettings, endpoints))
 	gateway.signal(syscall.SIGHUP)
-	time.Sleep(100 * time.Millisecond) // or the stop's signal could be handled before the reload's
+	time.Sleep(100 * time.Millisecond) // else SIGTERM could be handled before SIGHUP
 	gateway.signal(syscall.SIGTERM)
 	select {
 	case <-gateway.ended:
@@ -154,6 +154,6 @@
 			t.Error(gateway.err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the gateway goes on")
+		t.Error("the gateway did not stop within 10 s")
 	}
 }
--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Text describes a finding in plain words, a line for the server and one for each model.
+// Text returns the report as readable text: a line for the server, one for each model and one for the request, if any.
 func (f ServerReport) Text() string {
 	var b strings.Builder
 	readiness := "not ready"
@@ -30,13 +30,13 @@
 }
 
 func (r *RequestReport) text() string {
-	effect := "it did not run"
+	execution := "it did not run"
 	if r.MayHaveRun {
-		effect = "it may have run"
+		execution = "it may have run"
 	}
 	message := ""
 	if r.Message != "" {
 		message = " (" + r.Message + ")"
 	}
-	return fmt.Sprintf("  job: status %d after %d us; a router takes this as %s: %s%s\n", r.Status, r.Duration, r.Result, effect, message)
+	return fmt.Sprintf("  job: status %d after %d us; a router takes this as %s: %s%s\n", r.Status, r.Duration, r.Result, execution, message)
 }
--- a/internal/rest/body.go
+++ b/internal/rest/body.go
@@ -10,7 +10,7 @@
 
 // Values of bodyLength for a body whose length the header does not state.
 const (
-	chunkedLength = -1 // the body is in chunks
+	chunkedLength = -1 // the body is chunked
 	noLength      = -2 // there is no body, or it ends with the connection
 )
 
@@ -34,9 +34,9 @@
 	return noLength, nil
 }
 
-// parseNumber parses at most so many digits, with no sign or space.
-func parseNumber(s string, base, most int) (int, error) {
-	if len(s) == 0 || len(s) > most {
+// parseNumber parses a number of at most maxDigits digits, without sign or spaces.
+func parseNumber(s string, base, maxDigits int) (int, error) {
+	if len(s) == 0 || len(s) > maxDigits {
 		return 0, messageError(400, "a length of %d digits", len(s))
 	}
 	for _, c := range []byte(s) {
@@ -51,10 +51,10 @@
 	return int(n), nil
 }
 
-// Reserve is called before bytes of a body are read into memory; if it returns false, the message is rejected with 503.
+// Reserve is called before that many bytes of a body are read into memory. If it returns false, the message is rejected with status 503.
 type Reserve func(bytes int) bool
 
-// readBody reads a body of a length that bodyLength found; with noLength there is none. reserve may be nil.
+// readBody reads a body with a length returned by bodyLength; noLength means that there is none. reserve may be nil.
 func readBody(r *bufio.Reader, length int, l *Limits, reserve Reserve) ([]byte, error) {
 	switch {
 	case length == chunkedLength:
@@ -83,9 +83,9 @@
 	return b, err
 }
 
-// readChunks reads a body in chunks, with its trailer.
+// readChunks reads a chunked body and its trailer.
 func readChunks(r *bufio.Reader, l *Limits, reserve Reserve) ([]byte, error) {
-	var whole []byte
+	var body []byte
 	for {
 		size, err := readChunkSize(r, l)
 		if err != nil {
@@ -94,16 +94,16 @@
 		if size == 0 {
 			break
 		}
-		if size > l.MaxBody-len(whole) {
+		if size > l.MaxBody-len(body) {
 			return nil, messageError(413, "a body of more than %d bytes", l.MaxBody)
 		}
 		if reserve != nil && !reserve(size) {
 			return nil, messageError(503, "no room for %d bytes more now", size)
 		}
-		begin := len(whole)
-		whole = append(whole, make([]byte, size)...)
+		start := len(body)
+		body = append(body, make([]byte, size)...)
 		var end [2]byte
-		if _, err = io.ReadFull(r, whole[begin:]); err == nil {
+		if _, err = io.ReadFull(r, body[start:]); err == nil {
 			_, err = io.ReadFull(r, end[:])
 		}
 		if err == io.EOF {
@@ -123,10 +123,10 @@
 	if trailer["Content-Length"] != nil || trailer["Transfer-Encoding"] != nil {
 		return nil, messageError(400, "framing in a trailer")
 	}
-	return whole, nil
+	return body, nil
 }
 
-// readChunkSize reads the line before a chunk. Extensions are ignored.
+// readChunkSize reads the chunk size line and ignores chunk extensions.
 func readChunkSize(r *bufio.Reader, l *Limits) (int, error) {
 	b, err := readLine(r, l.MaxLine, 400)
 	if err == io.EOF {
