--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -23,7 +23,7 @@
 		p.Deployment.Classes = append(p.Deployment.Classes, class.Spec)
 	}
 	for i := range 4 {
-		p.Servers = append(p.Servers, modelserver.Config{Number: i, MaxReplicas: 20, Lanes: 2, Cores: 2, ExecutionTime: 20_000, QueueLimit: 20, LoadTime: 50_000, MaxLoads: 4, DedupWindow: 5 * second,
+		p.Servers = append(p.Servers, modelserver.Config{Number: i, MaxReplicas: 20, Lanes: 2, Cores: 2, ExecutionTime: 20_000, QueueLimit: 20, LoadTime: 50_000, MaxConcurrentLoads: 4, DedupWindow: 5 * second,
 			NoDedupPrefix: NonIdempotentKeyPrefix, SlowStartDuration: 2 * second, SlowStartInitial: 0.25, OverloadWindow: second, OverloadRate: 200, Seed: 1})
 		p.ServerZones = append(p.ServerZones, 0)
 	}
@@ -66,7 +66,7 @@
 // All invariants hold and every call ends under each kind of incident on its own.
 func TestRulesUnderEachIncident(t *testing.T) {
 	for name, incident := range map[string]Incident{
-		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost answers": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
+		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Unresponsive: true}}, "lost answers": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostResponses: 0.3}},
 		"reset after": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "server crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
 		"store closed": {Kind: StoreDegraded, StoreClosed: true}, "router stall": {Kind: RouterStall, Targets: []int{0, 1, 2}}, "router crash": {Kind: RouterCrash, Targets: []int{0, 1, 2}},
 		"partition": {Kind: NetworkPartition, Targets: []int{0, 1}, Unreachable: []int{0, 1}},
