--- a/cmd/hmchaos/soak.go
+++ b/cmd/hmchaos/soak.go
@@ -33,7 +33,7 @@
 	}
 	ctx, stop := untilInterrupted()
 	defer stop()
-	options := soak.Options{Router: router, RouterLog: c.Log, Dir: c.Logs}
+	options := soak.Options{RouterPath: router, RouterLogLevel: c.Log, Dir: c.Logs}
 	fell, err := c.playAll(ctx, seeds, options)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 		running <- struct{}{}
 		all.Go(func() {
 			defer func() { <-running }()
-			result, playErr := soak.Play(ctx, soak.Draw(seed, c.Length), options)
+			result, playErr := soak.Run(ctx, soak.GenerateScenario(seed, c.Length), options)
 			mu.Lock()
 			defer mu.Unlock()
 			if playErr != nil {
@@ -80,9 +80,9 @@
 		}
 	}
 	const most = 20 // breaks that are printed of a run
-	for i, broken := range result.Breaks {
+	for i, broken := range result.Violations {
 		if i == most {
-			fmt.Printf("  and %d more\n", len(result.Breaks)-most)
+			fmt.Printf("  and %d more\n", len(result.Violations)-most)
 			break
 		}
 		fmt.Println("  BROKEN", broken)
--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -99,7 +99,7 @@
 		killAfter     = 750 * time.Millisecond
 	)
 	server := fakeserver.New(fakeserver.Config{MaxReplicas: 20, Lanes: 20, Cores: 8, ExecutionTime: 5 * time.Millisecond, QueueLimit: 200,
-		LoadTime: time.Millisecond, MaxLoads: 8, OverloadRate: 1e6, OverloadWindow: time.Second, Seed: 1},
+		LoadTime: time.Millisecond, MaxConcurrentLoads: 8, OverloadRate: 1e6, OverloadWindow: time.Second, Seed: 1},
 		fakeserver.NewStore(time.Millisecond, 8), invariant.NewLog())
 	if err := server.Start(false); err != nil {
 		t.Fatal(err)
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -137,9 +137,9 @@
 	case FaultAgeing:
 		return ageingIncidents(incident, f.Factor), nil
 	case FaultHang:
-		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Silent: true}
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Unresponsive: true}
 	case FaultAnswerLost:
-		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostAnswers: f.Share}
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostResponses: f.Share}
 	case FaultResetBefore:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetBefore: f.Share}
 	case FaultResetAfter:
--- a/internal/fakeserver/server_test.go
+++ b/internal/fakeserver/server_test.go
@@ -16,7 +16,7 @@
 
 func startServer(t *testing.T, mode StartMode, change func(*Config)) *Server {
 	t.Helper()
-	config := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxLoads: 2,
+	config := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxConcurrentLoads: 2,
 		DedupWindow: time.Second, SlowStartDuration: time.Minute, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1000}
 	change(&config)
 	s := New(config, NewStore(time.Millisecond, 2), invariant.NewLog())
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -47,7 +47,7 @@
 func TestClientCloses(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
 	waitUntil(t, "the server has the attempt", func() bool { return tg.received("half") > 0 })
@@ -187,7 +187,7 @@
 func TestCloseBehindPipelinedRequest(t *testing.T) {
 	tg := newTestGateway(t, serverOptions(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 	conn, _ := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
 	waitUntil(t, "the server has the attempt", func() bool { return tg.received("1") > 0 })
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -20,7 +20,7 @@
 func TestClientLibraryUnderFaults(t *testing.T) {
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverOptions(0), serverOptions(1), serverOptions(2))
 	for i, s := range tg.servers {
-		s.SetFaults(fakeserver.Faults{LostAnswers: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
+		s.SetFaults(fakeserver.Faults{LostResponses: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
 	}
 	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -79,7 +79,7 @@
 // serverOptions returns the options of a fake server with a number.
 func serverOptions(n int) fakeserver.Config {
 	return fakeserver.Config{Number: n, MaxReplicas: 20, Lanes: 2, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 50, LoadTime: 5 * time.Millisecond,
-		MaxLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
+		MaxConcurrentLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
 }
 
 // newTestGateway starts a gateway with fake servers, which the test's end stops.
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -131,7 +131,7 @@
 				c.change(config)
 				config.MaxDials = 1
 			}, serverOptions(0))
-			tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+			tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 			if !c.dialled {
 				tg.gateway.dialing <- struct{}{} // another connection dials
 				defer func() { <-tg.gateway.dialing }()
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -11,7 +11,7 @@
 
 func startServer(t *testing.T) (*fakeserver.Server, *invariant.Log) {
 	log := invariant.NewLog()
-	s := fakeserver.New(fakeserver.Config{MaxReplicas: 4, Lanes: 1, Cores: 2, ExecutionTime: time.Millisecond, QueueLimit: 4, LoadTime: time.Millisecond, MaxLoads: 2, DedupWindow: time.Second},
+	s := fakeserver.New(fakeserver.Config{MaxReplicas: 4, Lanes: 1, Cores: 2, ExecutionTime: time.Millisecond, QueueLimit: 4, LoadTime: time.Millisecond, MaxConcurrentLoads: 2, DedupWindow: time.Second},
 		fakeserver.NewStore(time.Millisecond, 2), log)
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 		f      fakeserver.Faults
 		result string
 		mayRun bool
-	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Silent: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
+	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Unresponsive: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
 		s.SetFaults(c.f)
 		if f := Server(context.Background(), s.Address(), options); f.Run == nil || f.Run.Result != c.result || f.Run.MayHaveRun != c.mayRun {
 			t.Errorf("%+v: got %+v", c.f, f.Run)
--- a/internal/soak/servers.go
+++ b/internal/soak/servers.go
@@ -25,7 +25,7 @@
 // target returns how discovery lists a server.
 func (s *modelServer) target(state string, startedAt time.Time) discovery.EndpointMessage {
 	message := discovery.EndpointMessage{UID: s.uid, Endpoint: s.address, Zone: s.zone, Cell: s.cell, Weight: 1, State: state}
-	if s.run.scenario.Weighted {
+	if s.run.scenario.WeightedEndpoints {
 		message.Weight = s.speed * float64(s.run.scenario.Cores)
 	}
 	if !startedAt.IsZero() {
@@ -135,7 +135,7 @@
 	case state == stateReady:
 		s.told = at
 	case s.closedFor.IsZero():
-		s.closedFor = at.Add(s.run.scenario.Grace)
+		s.closedFor = at.Add(s.run.scenario.DrainGrace)
 	}
 }
 
