--- a/internal/soak/answerfaults.go
+++ b/internal/soak/answerfaults.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// answerFault is what happens to an answer while answers are lost.
-type answerFault uint8
+// responseFault is what a model server does wrong with a response during the DisruptResponses fault.
+type responseFault uint8
 
 const (
-	answerLost answerFault = iota
-	answerSpoilt
-	answerTwice
-	answerLate
-	answerReset
-	answerFaults // their number
+	responseLost responseFault = iota
+	responseCorrupted
+	responseDuplicated
+	responseDelayed
+	responseReset
+	responseFaultCount // the number of response faults
 )
 
-// deliver writes an answer, or what a fault makes of it.
-func (r *run) deliver(link *serverLink, frame []byte, mayFail bool) {
-	const faultyShare = 0.05
-	if !mayFail || !r.losingAnswers.Load() || r.chance() >= faultyShare {
+// deliverResponse sends a response frame. If mayFail is set and responses are being disrupted, it injects a random fault instead
+// for a small share of them.
+func (r *run) deliverResponse(link *serverLink, frame []byte, mayFail bool) {
+	const faultProbability = 0.05
+	if !mayFail || !r.disruptingResponses.Load() || r.randomFloat() >= faultProbability {
 		link.send(frame)
 		return
 	}
-	switch answerFault(r.chance() * float64(answerFaults)) {
-	case answerSpoilt:
+	switch responseFault(r.randomFloat() * float64(responseFaultCount)) {
+	case responseCorrupted:
 		frame[len(frame)-1] ^= 0xff
 		link.send(frame)
-	case answerTwice:
+	case responseDuplicated:
 		link.send(frame)
-		const apart = 20 * time.Millisecond // at most
-		time.Sleep(time.Duration(r.chance() * float64(apart)))
+		const maxGap = 20 * time.Millisecond
+		time.Sleep(time.Duration(r.randomFloat() * float64(maxGap)))
 		link.send(frame)
-	case answerLate:
-		const late = 3 * time.Second
-		time.AfterFunc(late, func() { link.send(frame) })
-	case answerReset:
+	case responseDelayed:
+		const delay = 3 * time.Second
+		time.AfterFunc(delay, func() { link.send(frame) })
+	case responseReset:
 		if tcp, ok := link.conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -12,34 +12,35 @@
 	"hollymast/internal/platformtest"
 )
 
-// discoveryService tells routers the endpoint list, by the platform's protocol, and can break off, fall silent and move.
+// discoveryService sends routers the endpoint list over the platform's discovery protocol. It can go down, stop sending on open
+// watches and move to another address.
 type discoveryService struct {
 	mu       sync.Mutex
-	listener net.Listener // nil: down
+	listener net.Listener // nil while the service is down
 	address  string
 	events   []discovery.Event
-	watchers map[net.Conn]bool // value: silent
-	// While routers can't be told what happens, it does not count as announced; zero: they can.
-	blindUntil time.Time
-	goes       sync.WaitGroup
-	ended      chan struct{}
+	watchers map[net.Conn]bool // value: whether the watch has been silenced
+	// Until then routers may be unable to receive events, so that none counts as announced; zero: no limit.
+	unreachableUntil time.Time
+	goroutines       sync.WaitGroup
+	done             chan struct{}
 }
 
-// For how long what happens does not count as announced, by the platform's pages: after watches fell silent, after the
-// address moved, and, longer than any router waits to ask again, after discovery has resumed.
+// How long routers may be unable to receive events, as allowed by the platform's specification. An event published in that time
+// counts as announced only at its end. The time after a resume is longer than any router waits before it reconnects.
 const (
-	blindAfterSilence = 4 * time.Second
-	blindAfterMove    = 4 * time.Second
-	blindAfterResume  = 2 * time.Second
-	blindWhileDown    = time.Hour
+	unreachableAfterSilence = 4 * time.Second
+	unreachableAfterMove    = 4 * time.Second
+	unreachableAfterResume  = 2 * time.Second
+	unreachableWhileDown    = time.Hour
 )
 
 func newDiscoveryService() (*discoveryService, error) {
-	d := &discoveryService{watchers: map[net.Conn]bool{}, ended: make(chan struct{})}
+	d := &discoveryService{watchers: map[net.Conn]bool{}, done: make(chan struct{})}
 	return d, d.listen("127.0.0.1:0")
 }
 
-// listen starts to accept at an address.
+// listen opens a listener at an address and serves watches on it.
 func (d *discoveryService) listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -48,52 +49,52 @@
 	d.mu.Lock()
 	d.listener, d.address = l, l.Addr().String()
 	d.mu.Unlock()
-	d.goes.Go(func() {
+	d.goroutines.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			d.goes.Go(func() { d.watch(conn) })
+			d.goroutines.Go(func() { d.watch(conn) })
 		}
 	})
 	return nil
 }
 
-// currentAddress returns the address that routers are told.
+// currentAddress returns the address that routers are configured with.
 func (d *discoveryService) currentAddress() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
 }
 
-// history returns all events so far.
+// history returns all events published so far.
 func (d *discoveryService) history() []discovery.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.events)
 }
 
-// publish adds an event and tells it to the watchers that are not silent. announced is called with the time from which the
-// event counts as announced, once that has come.
+// publish adds an event and sends it to all watchers that are not silenced. It calls announced with the time at which the event
+// counts as announced, as soon as that time has come.
 func (d *discoveryService) publish(update discovery.UpdateMessage, announced func(at time.Time)) {
-	at, blind := d.send(update)
-	if !blind {
+	at, unreachable := d.broadcast(update)
+	if !unreachable {
 		announced(at)
 		return
 	}
-	d.goes.Go(func() {
-		const poll = 50 * time.Millisecond
+	d.goroutines.Go(func() {
+		const pollInterval = 50 * time.Millisecond
 		for {
 			select {
-			case <-time.After(poll):
-			case <-d.ended:
+			case <-time.After(pollInterval):
+			case <-d.done:
 				return
 			}
 			d.mu.Lock()
-			over := !time.Now().Before(d.blindUntil)
+			reachable := !time.Now().Before(d.unreachableUntil)
 			d.mu.Unlock()
-			if over {
+			if reachable {
 				announced(time.Now())
 				return
 			}
@@ -101,8 +102,9 @@
 	})
 }
 
-// send adds an event and writes it. It returns when, and whether routers may not be told yet.
-func (d *discoveryService) send(update discovery.UpdateMessage) (at time.Time, blind bool) {
+// broadcast appends an event to the history and sends it to the watchers. It returns the time of sending and whether routers may
+// be unable to receive events at that time.
+func (d *discoveryService) broadcast(update discovery.UpdateMessage) (at time.Time, unreachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	event := discovery.Event{Revision: uint64(len(d.events) + 1), Update: &update}
@@ -113,17 +115,17 @@
 		}
 	}
 	at = time.Now()
-	return at, at.Before(d.blindUntil)
+	return at, at.Before(d.unreachableUntil)
 }
 
-// blindFor extends the time in which nothing counts as announced. The lock is held.
-func (d *discoveryService) blindFor(span time.Duration) {
-	if until := time.Now().Add(span); until.After(d.blindUntil) {
-		d.blindUntil = until
+// extendUnreachable extends the time in which no event counts as announced. The lock is held.
+func (d *discoveryService) extendUnreachable(duration time.Duration) {
+	if until := time.Now().Add(duration); until.After(d.unreachableUntil) {
+		d.unreachableUntil = until
 	}
 }
 
-// watch serves one watch until its connection ends.
+// watch serves one watch until its connection closes.
 func (d *discoveryService) watch(conn net.Conn) {
 	defer conn.Close()
 	line, err := bufio.NewReader(conn).ReadString('\n')
@@ -146,13 +148,13 @@
 	for d.heartbeat(conn) {
 		select {
 		case <-time.After(time.Second):
-		case <-d.ended:
+		case <-d.done:
 			return
 		}
 	}
 }
 
-// heartbeat writes the number of the last event; false: the connection has ended.
+// heartbeat sends the number of the last event, unless the watch is silenced. It returns false if the connection has closed.
 func (d *discoveryService) heartbeat(conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,8 +165,8 @@
 	return err == nil
 }
 
-// breakOff closes all watches and accepts none until resume.
-func (d *discoveryService) breakOff() {
+// takeDown closes all watches and accepts no connections until resume is called.
+func (d *discoveryService) takeDown() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listener != nil {
@@ -174,10 +176,10 @@
 	for conn := range d.watchers {
 		conn.Close()
 	}
-	d.blindFor(blindWhileDown)
+	d.extendUnreachable(unreachableWhileDown)
 }
 
-// resume accepts again after breakOff.
+// resume accepts connections again after takeDown.
 func (d *discoveryService) resume() error {
 	d.mu.Lock()
 	down, address := d.listener == nil, d.address
@@ -188,21 +190,21 @@
 	err := d.listen(address)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.blindUntil = time.Now().Add(blindAfterResume)
+	d.unreachableUntil = time.Now().Add(unreachableAfterResume)
 	return err
 }
 
-// silence has the open watches fall silent for good; a router that asks again is told all.
+// silence stops all sending on the watches that are open now. A router that reconnects gets all events.
 func (d *discoveryService) silence() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for conn := range d.watchers {
 		d.watchers[conn] = true
 	}
-	d.blindFor(blindAfterSilence)
+	d.extendUnreachable(unreachableAfterSilence)
 }
 
-// move opens another address. The old one accepts nothing more and closes its watches after oldWatchTime.
+// move switches to a new address. The old one accepts no more connections and closes its watches after oldWatchTime.
 func (d *discoveryService) move() error {
 	d.mu.Lock()
 	old, watchers := d.listener, make([]net.Conn, 0, len(d.watchers))
@@ -210,7 +212,7 @@
 		d.watchers[conn] = true
 		watchers = append(watchers, conn)
 	}
-	d.blindFor(blindAfterMove)
+	d.extendUnreachable(unreachableAfterMove)
 	d.mu.Unlock()
 	if old != nil {
 		old.Close()
@@ -224,9 +226,9 @@
 	return d.listen("127.0.0.1:0")
 }
 
-// close ends the service.
+// close stops the service and waits for its goroutines.
 func (d *discoveryService) close() {
-	close(d.ended)
-	d.breakOff()
-	d.goes.Wait()
+	close(d.done)
+	d.takeDown()
+	d.goroutines.Wait()
 }
--- a/internal/soak/execution.go
+++ b/internal/soak/execution.go
@@ -9,80 +9,81 @@
 	"hollymast/internal/platformtest"
 )
 
-// What a model server does with an attempt: its function is loaded first if need be, then it is queued, executed and answered.
+// How a model server handles an attempt: it loads the function if necessary, queues the attempt, executes it and sends the
+// response.
 
-// job is an attempt at a model server.
-type job struct {
-	link    *serverLink
-	id      uint64
-	body    []byte
-	request *requestRecord
-	attempt int
-	remark  string
-	depth   int
-	started bool
-	over    bool // cancelled, or its server has ended
+// execution is the state of an attempt at a model server.
+type execution struct {
+	link      *serverLink
+	id        uint64
+	body      []byte
+	request   *requestRecord
+	attempt   int
+	remark    string // response field: whether the function was loaded
+	depth     int    // response field: executions of the function in progress at arrival
+	started   bool
+	cancelled bool // cancelled by the router, its connection closed, or the server stopped
 }
 
-// loadedFunction is a function that is loaded or being loaded.
+// loadedFunction is a function that is loaded or loading.
 type loadedFunction struct {
-	loading bool
-	waiting []*job
-	open    int
-	usedAt  time.Time
+	loading  bool
+	waiting  []*execution
+	active   int // executions that wait or run
+	lastUsed time.Time
 }
 
-// serverQueue is how many requests a server queues for each core.
-const serverQueue = 8
+// queueLimitPerCore is how many executions a server queues per core; further ones are rejected.
+const queueLimitPerCore = 8
 
-// begin takes an attempt: its function is loaded first if need be.
-func (s *modelServer) begin(j *job) {
+// accept queues an attempt, after loading its function if necessary.
+func (s *modelServer) accept(x *execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.up {
 		return
 	}
-	if !time.Now().Before(j.request.deadline) {
+	if !time.Now().Before(x.request.deadline) {
 		if !s.run.scenario.DropsExpired {
-			s.answerLocked(j, overCode, "")
+			s.respondLocked(x, expiredCode, "")
 		}
 		return
 	}
-	f := s.functions[j.request.function]
+	f := s.functions[x.request.function]
 	if f != nil {
-		j.depth = f.open
-		f.usedAt = time.Now()
+		x.depth = f.active
+		f.lastUsed = time.Now()
 	}
-	j.link.jobs[j.id] = j
+	x.link.executions[x.id] = x
 	switch {
 	case f == nil:
-		j.remark = "booted"
-		s.startLoad(j.request.function, j)
+		x.remark = "booted"
+		s.startLoad(x.request.function, x)
 	case f.loading:
-		j.remark = "rode"
-		f.open++
-		f.waiting = append(f.waiting, j)
+		x.remark = "rode"
+		f.active++
+		f.waiting = append(f.waiting, x)
 	default:
-		j.remark = "resident"
-		f.open++
-		s.enqueue(j)
+		x.remark = "resident"
+		f.active++
+		s.enqueue(x)
 	}
 }
 
-// startLoad loads a function, for an attempt unless that is nil. The lock is held.
-func (s *modelServer) startLoad(function uint64, j *job) {
-	f := &loadedFunction{loading: true, usedAt: time.Now()}
-	if j != nil {
-		f.open, f.waiting = 1, []*job{j}
+// startLoad starts loading a function. x waits for the load; it is nil for a load command. The lock is held.
+func (s *modelServer) startLoad(function uint64, x *execution) {
+	f := &loadedFunction{loading: true, lastUsed: time.Now()}
+	if x != nil {
+		f.active, f.waiting = 1, []*execution{x}
 	}
 	s.evict()
 	s.functions[function] = f
 	listener := s.listener
-	takes := s.run.loadTime(function)
-	time.AfterFunc(takes, func() {
+	duration := s.run.loadTime(function)
+	time.AfterFunc(duration, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.listener != listener || !s.up { // another incarnation
+		if s.listener != listener || !s.up { // the server has been stopped or restarted since
 			return
 		}
 		f.loading = false
@@ -93,101 +94,101 @@
 	})
 }
 
-// evict makes room for one more function. The lock is held.
+// evict unloads the least recently used idle function if the server holds as many as it can. The lock is held.
 func (s *modelServer) evict() {
 	if len(s.functions) < s.run.scenario.MaxLoadedFunctions {
 		return
 	}
-	var oldest uint64
-	var found *loadedFunction
+	var candidateID uint64
+	var candidate *loadedFunction
 	for id, f := range s.functions {
-		if !f.loading && f.open == 0 && (found == nil || f.usedAt.Before(found.usedAt)) {
-			oldest, found = id, f
+		if !f.loading && f.active == 0 && (candidate == nil || f.lastUsed.Before(candidate.lastUsed)) {
+			candidateID, candidate = id, f
 		}
 	}
-	if found != nil {
-		delete(s.functions, oldest)
+	if candidate != nil {
+		delete(s.functions, candidateID)
 	}
 }
 
-// enqueue queues an attempt whose function is loaded. The lock is held.
-func (s *modelServer) enqueue(j *job) {
-	if j.over {
-		s.release(j)
+// enqueue queues an execution whose function is loaded, or rejects it if the queue is full. The lock is held.
+func (s *modelServer) enqueue(x *execution) {
+	if x.cancelled {
+		s.release(x)
 		return
 	}
-	if len(s.queue) >= serverQueue*s.run.scenario.Cores {
-		s.release(j)
-		s.answerLocked(j, fullCode, "")
+	if len(s.queue) >= queueLimitPerCore*s.run.scenario.Cores {
+		s.release(x)
+		s.respondLocked(x, fullCode, "")
 		return
 	}
-	s.queue = append(s.queue, j)
+	s.queue = append(s.queue, x)
 	s.startNext()
 }
 
-// release ends an attempt's use of its function. The lock is held.
-func (s *modelServer) release(j *job) {
-	if f := s.functions[j.request.function]; f != nil {
-		f.open = max(0, f.open-1)
+// release ends an execution's use of its function. The lock is held.
+func (s *modelServer) release(x *execution) {
+	if f := s.functions[x.request.function]; f != nil {
+		f.active = max(0, f.active-1)
 	}
 }
 
-// startNext starts queued attempts while cores are free. The lock is held.
+// startNext starts queued executions while cores are free. The lock is held.
 func (s *modelServer) startNext() {
 	scenario := s.run.scenario
 	for s.running < scenario.Cores && len(s.queue) > 0 {
-		j := s.queue[0]
+		x := s.queue[0]
 		s.queue = s.queue[1:]
-		if j.over {
-			s.release(j)
+		if x.cancelled {
+			s.release(x)
 			continue
 		}
-		j.started = true
+		x.started = true
 		s.running++
 		capacity := 1.0
 		if !s.startedAt.IsZero() {
-			capacity = scenario.capacity(time.Since(s.startedAt))
+			capacity = scenario.slowStartCapacity(time.Since(s.startedAt))
 		}
-		takes := time.Duration(float64(j.request.work) / s.speed / capacity)
+		duration := time.Duration(float64(x.request.work) / s.speed / capacity)
 		listener := s.listener
-		time.AfterFunc(takes, func() { s.finish(j, listener) })
+		time.AfterFunc(duration, func() { s.finish(x, listener) })
 	}
 }
 
-// finish answers an attempt that was executed by an incarnation.
-func (s *modelServer) finish(j *job, listener net.Listener) {
+// finish responds to an execution that has run. It does nothing if the server has been stopped or restarted since.
+func (s *modelServer) finish(x *execution, listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != listener || !s.up {
 		return
 	}
 	s.running--
-	s.release(j)
-	s.answerLocked(j, okCode, j.remark)
+	s.release(x)
+	s.respondLocked(x, okCode, x.remark)
 	s.startNext()
 }
 
-// answerLocked answers an attempt. The lock is held.
-func (s *modelServer) answerLocked(j *job, code byte, remark string) {
-	delete(j.link.jobs, j.id)
-	if j.over {
+// respondLocked sends the response to an attempt, or withholds it while the server hangs. The lock is held.
+func (s *modelServer) respondLocked(x *execution, code byte, remark string) {
+	delete(x.link.executions, x.id)
+	if x.cancelled {
 		return
 	}
-	if code == fullCode || code == overCode {
-		s.run.ledger.noteNotRun(j.request, j.attempt)
+	if code == fullCode || code == expiredCode {
+		s.run.ledger.recordNotRun(x.request, x.attempt)
 	}
 	var fields []string
 	if remark != "" {
 		fields = append(fields, "remark="+remark)
 	}
-	if j.depth > 0 {
-		fields = append(fields, "depth="+strconv.Itoa(j.depth))
+	if x.depth > 0 {
+		fields = append(fields, "depth="+strconv.Itoa(x.depth))
 	}
-	frame := platformtest.AnswerFrame(code, j.id, strings.Join(fields, ","), j.body)
-	send := func() { s.run.deliver(j.link, frame, code == okCode) }
+	frame := platformtest.AnswerFrame(code, x.id, strings.Join(fields, ","), x.body)
+	send := func() { s.run.deliverResponse(x.link, frame, code == okCode) }
 	if s.hung {
 		s.withheld = append(s.withheld, send)
 		return
 	}
-	s.run.goes.Go(send)
+	s.run.goroutines.Go(send)
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Times of faults.
+// Timing of faults.
 const (
-	drainTime       = 5 * time.Second // from the announcement of a drain to the removal
-	offTime         = 500 * time.Millisecond
-	returnLate      = 1200 * time.Millisecond // by how much at most a rolled server's return is put off
-	routerOffTime   = 300 * time.Millisecond
-	termInterval    = 1500 * time.Millisecond // between the signals of a series at most
-	burstFactor     = 2.5
-	quietFactor     = 0.03
-	stoppingDials   = 400 * time.Millisecond // for which new connections come to a router that stops
-	stoppingDialGap = 100 * time.Millisecond
+	drainTime            = 5 * time.Second // from the announcement of a drain to the removal
+	serverOffTime        = 500 * time.Millisecond
+	maxReturnDelay       = 1200 * time.Millisecond // random delay before a rolled server starts again
+	routerOffTime        = 300 * time.Millisecond
+	maxTermInterval      = 1500 * time.Millisecond // between two SIGTERMs to different routers
+	burstFactor          = 2.5
+	quietFactor          = 0.03
+	stoppingDialDuration = 400 * time.Millisecond // how long clients keep opening connections to a stopping router
+	stoppingDialGap      = 100 * time.Millisecond
 )
 
-// inject carries out a fault, to its end.
+// inject injects a fault and returns when it is over.
 func (r *run) inject(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case RollServers:
@@ -32,21 +32,21 @@
 	case ReplaceServers:
 		r.replaceServers(ctx, f.Count, f.Duration)
 	case HangServers:
-		r.hangServers(ctx, r.take(f.Count, stateReady), f.Duration)
+		r.hangServers(ctx, r.reserve(f.Count, stateReady), f.Duration)
 	case ResetConns:
-		servers := r.take(f.Count, stateReady)
+		servers := r.reserve(f.Count, stateReady)
 		for _, s := range servers {
 			s.resetConns()
 		}
-		r.giveBack(servers...)
+		r.release(servers...)
 	case DisruptResponses:
-		r.losingAnswers.Store(true)
+		r.disruptingResponses.Store(true)
 		r.sleep(ctx, f.Duration)
-		r.losingAnswers.Store(false)
+		r.disruptingResponses.Store(false)
 	case DiscoveryDown:
-		r.discovery.breakOff()
+		r.discovery.takeDown()
 		r.sleep(ctx, f.Duration)
-		r.noteFault(r.discovery.resume())
+		r.reportFaultError(r.discovery.resume())
 	case DiscoverySilent:
 		r.discovery.silence()
 	case MoveDiscovery:
@@ -54,7 +54,7 @@
 	case RestartRouters:
 		r.restartRouters(ctx, f.Count)
 	case KillRouters:
-		r.killSome(f.Count)
+		r.killAndRestartRouters(f.Count)
 	case StallRouters:
 		r.stallRouters(ctx, f.Count, f.Duration)
 	case ThrottleRouters:
@@ -62,28 +62,28 @@
 	case PartitionZone:
 		r.partitionZone(ctx, f.Duration)
 	case Burst, Quiet:
-		r.changeTraffic(ctx, f)
+		r.changeTrafficFor(ctx, f)
 	}
 }
 
-// noteFault reports what kept this process from playing a fault.
-func (r *run) noteFault(err error) {
+// reportFaultError reports an error of the harness that prevented a fault from being injected.
+func (r *run) reportFaultError(err error) {
 	if err != nil {
-		r.ledger.report(time.Now(), RuleNoCrash, "the run itself: %v", err)
+		r.ledger.report(time.Now(), RuleNoCrash, "fault injection failed: %v", err)
 	}
 }
 
-// rollServers drains servers, removes and stops them, and has them back in slow start.
+// rollServers drains servers, removes and stops them, and restarts them in slow start.
 func (r *run) rollServers(ctx context.Context, count int) {
-	servers := r.take(count, stateReady)
-	defer r.giveBack(servers...)
+	servers := r.reserve(count, stateReady)
+	defer r.release(servers...)
 	r.announce(stateDraining, servers...)
 	r.sleep(ctx, drainTime)
 	r.announce(stateGone, servers...)
 	for _, s := range servers {
 		s.stop()
 	}
-	r.sleep(ctx, offTime+time.Duration(r.chance()*float64(returnLate)))
+	r.sleep(ctx, serverOffTime+time.Duration(r.randomFloat()*float64(maxReturnDelay)))
 	var returning sync.WaitGroup
 	for _, s := range servers {
 		returning.Go(func() { r.restart(s) })
@@ -91,23 +91,23 @@
 	returning.Wait()
 }
 
-// drainAll drains all ready servers, and ends that without a restart.
-func (r *run) drainAll(ctx context.Context, span time.Duration) {
-	servers := r.take(0, stateReady)
-	defer r.giveBack(servers...)
+// drainAll drains all ready servers and makes them ready again without a restart.
+func (r *run) drainAll(ctx context.Context, duration time.Duration) {
+	servers := r.reserve(0, stateReady)
+	defer r.release(servers...)
 	r.announce(stateDraining, servers...)
-	r.sleep(ctx, span)
+	r.sleep(ctx, duration)
 	r.announce(stateReady, servers...)
 }
 
-// crashServers ends servers without a word; they start again later.
-func (r *run) crashServers(ctx context.Context, count int, span time.Duration) {
-	servers := r.take(count, stateReady)
-	defer r.giveBack(servers...)
+// crashServers stops servers without announcing it and restarts them later.
+func (r *run) crashServers(ctx context.Context, count int, duration time.Duration) {
+	servers := r.reserve(count, stateReady)
+	defer r.release(servers...)
 	for _, s := range servers {
 		s.stop()
 	}
-	r.sleep(ctx, span)
+	r.sleep(ctx, duration)
 	var returning sync.WaitGroup
 	for _, s := range servers {
 		returning.Go(func() { r.restart(s) })
@@ -115,9 +115,9 @@
 	returning.Wait()
 }
 
-// replaceServers replaces servers by new ones, evenly over a span.
-func (r *run) replaceServers(ctx context.Context, count int, span time.Duration) {
-	servers := r.take(count, stateReady)
+// replaceServers replaces servers by new ones, one at a time, spread evenly over a duration.
+func (r *run) replaceServers(ctx context.Context, count int, duration time.Duration) {
+	servers := r.reserve(count, stateReady)
 	var removing sync.WaitGroup
 	for _, s := range servers {
 		r.restart(r.newServer(s.speed))
@@ -127,81 +127,82 @@
 			r.announce(stateGone, s)
 			s.stop()
 		})
-		r.sleep(ctx, span/time.Duration(len(servers)))
+		r.sleep(ctx, duration/time.Duration(len(servers)))
 	}
 	removing.Wait()
 }
 
-// moveDiscovery moves discovery and tells all routers by SIGHUP, twice in a row now and then.
+// moveDiscovery moves discovery to a new address, sometimes twice in a row, and makes the routers reload their configuration with
+// SIGHUP.
 func (r *run) moveDiscovery() {
 	moves := 1
-	if r.chance() < 0.3 {
+	if r.randomFloat() < 0.3 {
 		moves = 2
 	}
 	for range moves {
 		if err := r.discovery.move(); err != nil {
-			r.noteFault(err)
+			r.reportFaultError(err)
 			return
 		}
 		for _, router := range r.routers {
 			if router.isReady() {
-				r.noteFault(router.writeConfig(1))
+				r.reportFaultError(router.writeConfig(1))
 				router.signal(syscall.SIGHUP)
 			}
 		}
 	}
 }
 
-// restartRouters stops routers in a series, kills what is left, and starts them again. Signals overlap.
+// restartRouters restarts routers one after the other. A router may get its SIGTERM while earlier ones are still stopping.
 func (r *run) restartRouters(ctx context.Context, count int) {
 	var restarting sync.WaitGroup
 	for n := range min(count, len(r.routers)) {
 		router := r.routers[n]
-		if router.isReady() && !r.trafficOver() {
+		if router.isReady() && !r.trafficEnded() {
 			restarting.Go(func() { r.restartRouter(ctx, router) })
 		}
-		r.sleep(ctx, time.Duration(r.chance()*float64(termInterval)))
+		r.sleep(ctx, time.Duration(r.randomFloat()*float64(maxTermInterval)))
 	}
 	restarting.Wait()
 }
 
-// restartRouter stops a router, with new connections coming for a while, and starts it again.
+// restartRouter stops a router while clients keep opening connections to it, and starts it again.
 func (r *run) restartRouter(ctx context.Context, router *router) {
-	if r.chance() < 0.3 { // a signal before, and one after
+	if r.randomFloat() < 0.3 { // a SIGHUP shortly before the SIGTERM from stop, and another SIGTERM after it
 		router.signal(syscall.SIGHUP)
 		time.AfterFunc(stoppingDialGap, func() { router.signal(syscall.SIGTERM) })
 	}
-	var dialing sync.WaitGroup
-	dialing.Go(func() { r.connectWhileStopping(router) })
+	var dials sync.WaitGroup
+	dials.Go(func() { r.connectWhileStopping(router) })
 	router.stop()
-	dialing.Wait()
+	dials.Wait()
 	r.sleep(ctx, routerOffTime)
-	if !r.trafficOver() {
-		r.noteFault(router.start())
+	if !r.trafficEnded() {
+		r.reportFaultError(router.start())
 	}
 }
 
-// connectWhileStopping opens new connections to a router that stops, with a request each, until its end.
+// connectWhileStopping opens connections to a stopping router for a while and sends one request on each.
 func (r *run) connectWhileStopping(router *router) {
-	for begin := time.Now(); time.Since(begin) < stoppingDials; time.Sleep(stoppingDialGap) {
+	for begin := time.Now(); time.Since(begin) < stoppingDialDuration; time.Sleep(stoppingDialGap) {
 		random := newRandom(r.newRequestID(), "stopping")
 		c := &client{run: r, random: random}
-		r.goes.Go(func() {
-			c.converse(router, func(cc *clientConn) { cc.sendRequest(r.drawRequest(random), 0) })
+		r.goroutines.Go(func() {
+			c.withConnection(router, func(cc *clientConn) { cc.sendRequest(r.drawRequest(random), 0) })
 		})
 	}
 }
 
-// killSome kills routers outright, all at once, and starts them again.
-func (r *run) killSome(count int) {
+// killAndRestartRouters kills routers with SIGKILL, all at once, and starts them again.
+func (r *run) killAndRestartRouters(count int) {
 	var restarting sync.WaitGroup
 	for _, router := range r.routers[:min(count, len(r.routers))] {
 		if router.isReady() {
 			restarting.Go(func() {
 				router.kill()
 				time.Sleep(routerOffTime)
-				if !r.trafficOver() {
-					r.noteFault(router.start())
+				if !r.trafficEnded() {
+					r.reportFaultError(router.start())
 				}
 			})
 		}
@@ -209,69 +210,69 @@
 	restarting.Wait()
 }
 
-// stallRouters stops the processes of routers for a while.
-func (r *run) stallRouters(ctx context.Context, count int, span time.Duration) {
+// stallRouters suspends the processes of routers for a duration.
+func (r *run) stallRouters(ctx context.Context, count int, duration time.Duration) {
 	stalled := r.routers[:min(count, len(r.routers))]
 	from := time.Now()
 	for _, router := range stalled {
 		router.signal(syscall.SIGSTOP)
 	}
-	r.sleep(ctx, span)
+	r.sleep(ctx, duration)
 	for _, router := range stalled {
 		router.signal(syscall.SIGCONT)
 		r.ledger.stalls.add(stall{router.number, from, time.Now()})
 	}
 }
 
-// throttleRouters lets the processes of routers run for a part of the time only, as on a share of a core.
-func (r *run) throttleRouters(ctx context.Context, count int, span time.Duration) {
-	const runs, stopped = 25 * time.Millisecond, 75 * time.Millisecond
+// throttleRouters suspends and resumes the processes of routers in short intervals, as if they had a fraction of a core.
+func (r *run) throttleRouters(ctx context.Context, count int, duration time.Duration) {
+	const runTime, stopTime = 25 * time.Millisecond, 75 * time.Millisecond
 	throttled := r.routers[:min(count, len(r.routers))]
-	for end := time.Now().Add(span); time.Now().Before(end) && ctx.Err() == nil; {
+	for end := time.Now().Add(duration); time.Now().Before(end) && ctx.Err() == nil; {
 		for _, router := range throttled {
 			router.signal(syscall.SIGSTOP)
 		}
-		r.sleep(ctx, stopped)
+		r.sleep(ctx, stopTime)
 		for _, router := range throttled {
 			router.signal(syscall.SIGCONT)
 		}
-		r.sleep(ctx, runs)
+		r.sleep(ctx, runTime)
 	}
 }
 
-// hangServers keeps servers from answering for a while.
-func (r *run) hangServers(ctx context.Context, servers []*serverSlot, span time.Duration) {
+// hangServers makes servers withhold their responses for a duration.
+func (r *run) hangServers(ctx context.Context, servers []*listedServer, duration time.Duration) {
 	for _, s := range servers {
 		s.hang(true)
 	}
-	r.sleep(ctx, span)
+	r.sleep(ctx, duration)
 	for _, s := range servers {
 		s.hang(false)
 	}
-	r.giveBack(servers...)
+	r.release(servers...)
 }
 
-// partitionZone keeps all servers of a zone from answering for a while.
-func (r *run) partitionZone(ctx context.Context, span time.Duration) {
-	zone := zoneName(int(r.chance() * float64(r.scenario.Zones)))
-	var cut []*serverSlot
-	for _, s := range r.take(0, stateReady) {
+// partitionZone makes all servers of a random zone withhold their responses for a duration.
+func (r *run) partitionZone(ctx context.Context, duration time.Duration) {
+	zone := zoneName(int(r.randomFloat() * float64(r.scenario.Zones)))
+	var zoneServers []*listedServer
+	for _, s := range r.reserve(0, stateReady) {
 		if s.zone == zone {
-			cut = append(cut, s)
+			zoneServers = append(zoneServers, s)
 		} else {
-			r.giveBack(s)
+			r.release(s)
 		}
 	}
-	r.hangServers(ctx, cut, span)
+	r.hangServers(ctx, zoneServers, duration)
 }
 
-// changeTraffic changes the request rate for a while.
-func (r *run) changeTraffic(ctx context.Context, f Fault) {
+// changeTrafficFor changes the request rate for the duration of a Burst or Quiet fault.
+func (r *run) changeTrafficFor(ctx context.Context, f Fault) {
 	factor := burstFactor
 	if f.Kind == Quiet {
 		factor = quietFactor
 	}
-	r.setTraffic(factor)
+	r.setTrafficFactor(factor)
 	r.sleep(ctx, f.Duration)
-	r.setTraffic(1)
+	r.setTrafficFactor(1)
 }
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// lagMeter measures by how much this process itself runs late, as on a busy machine. What it sees of others is late by as much.
+// lagMeter measures the scheduling lag of this process, for example on a busy machine. Events that this process observes may have
+// happened earlier by that much.
 type lagMeter struct {
-	mu   sync.Mutex
-	late []lateness // only those above lagNoise
+	mu      sync.Mutex
+	samples []lagSample // only those above lagThreshold
 }
 
-// lateness is a tick that came late.
-type lateness struct {
-	at time.Time
-	by time.Duration
+// lagSample is a timer tick that came late.
+type lagSample struct {
+	at  time.Time
+	lag time.Duration
 }
 
 const (
-	lagTick  = 5 * time.Millisecond
-	lagNoise = 3 * time.Millisecond
-	// lagReach is for how long before an observation lateness counts towards it.
-	lagReach = time.Second
+	lagTick      = 5 * time.Millisecond
+	lagThreshold = 3 * time.Millisecond
+	// Samples taken up to lagWindow before an observation count towards its tolerance.
+	lagWindow = time.Second
 )
 
-// run measures until ctx ends.
+// run takes samples until ctx ends.
 func (m *lagMeter) run(ctx context.Context) {
 	ticker := time.NewTicker(lagTick)
 	defer ticker.Stop()
@@ -37,33 +38,33 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		if by := now.Sub(last) - lagTick; by > lagNoise {
+		if lag := now.Sub(last) - lagTick; lag > lagThreshold {
 			m.mu.Lock()
-			m.late = append(m.late, lateness{now, by})
+			m.samples = append(m.samples, lagSample{now, lag})
 			m.mu.Unlock()
 		}
 		last = now
 	}
 }
 
-// before returns the largest lateness of the time up to an observation.
-func (m *lagMeter) before(at time.Time) time.Duration {
+// maxBefore returns the largest lag within lagWindow before an observation.
+func (m *lagMeter) maxBefore(at time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var largest time.Duration
-	for i := len(m.late) - 1; i >= 0 && m.late[i].at.After(at.Add(-lagReach)); i-- {
-		largest = max(largest, m.late[i].by)
+	for i := len(m.samples) - 1; i >= 0 && m.samples[i].at.After(at.Add(-lagWindow)); i-- {
+		largest = max(largest, m.samples[i].lag)
 	}
 	return largest
 }
 
-// largest returns the largest lateness of all.
-func (m *lagMeter) largest() time.Duration {
+// max returns the largest lag of the whole run.
+func (m *lagMeter) max() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var largest time.Duration
-	for _, late := range m.late {
-		largest = max(largest, late.by)
+	for _, sample := range m.samples {
+		largest = max(largest, sample.lag)
 	}
 	return largest
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Rule names what a run found broken.
+// Rule is the description of a rule that routers must keep.
 type Rule string
 
-// The rules. The platform's pages have their wording; docs/design.md numbers the first five.
+// The rules, as the platform's specification words them; docs/design.md numbers the first five.
 const (
 	RuleOneResponse       Rule = "one final answer in time, and nothing sent after it"
 	RuleNoDuplicateEffect Rule = "no second effect"
@@ -23,93 +23,93 @@
 	RuleRequestIntegrity  Rule = "servers get clients' requests unchanged"
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
-	At     time.Duration // after the run's start
+	At     time.Duration // since the start of the run
 	Detail string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%.3f s %s: %s", b.At.Seconds(), b.Rule, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%.3f s %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// slack is what every time limit of the platform has beyond its figure.
-const slack = 50 * time.Millisecond
+// timingTolerance is added to every time limit, as the platform's specification allows.
+const timingTolerance = 50 * time.Millisecond
 
-// fate is what became of an attempt at its server.
-type fate uint8
+// attemptOutcome says whether an attempt may have been executed.
+type attemptOutcome uint8
 
 const (
-	mayHaveRun fate = iota // as long as nothing else is known
-	didNotRun              // an answer that says so was written
+	mayHaveRun attemptOutcome = iota // until the server says otherwise
+	didNotRun                        // the server sent a rejection
 )
 
-// attemptRecord is an attempt as a server got it.
+// attemptRecord is an attempt that a server received.
 type attemptRecord struct {
-	at     time.Time
-	server string
-	fate   fate
+	at      time.Time
+	server  string
+	outcome attemptOutcome
 }
 
-// answerKind is how a router answered.
-type answerKind uint8
+// responseKind is the kind of response that a router sent.
+type responseKind uint8
 
 const (
-	answeredServed answerKind = iota
-	answeredRejected
-	answeredFailed
+	responseServed responseKind = iota
+	responseRejected
+	responseFailed
 )
 
-// answerRecord is an answer as a client got it.
-type answerRecord struct {
+// responseRecord is a response that a client received.
+type responseRecord struct {
 	at   time.Time
-	kind answerKind
+	kind responseKind
 }
 
-// requestDraft is what is drawn of a request.
-type requestDraft struct {
+// requestParams are the randomly drawn parameters of a request. A retry has the same.
+type requestParams struct {
 	class    *Class
-	timeout  time.Duration // for which its client waits
+	timeout  time.Duration // how long the client waits for the response
 	function uint64
 	work     time.Duration // execution time on a server of speed 1
 	key      string        // idempotency key
 }
 
-// requestRecord is all that is known of a request.
+// requestRecord is the history of one request as clients and servers saw it.
 type requestRecord struct {
-	requestDraft
-	id        uint64
-	body      []byte
-	retry     int // how often its client has sent it before
-	router    int
-	sentAt    time.Time
-	deadline  time.Time
-	departed  time.Time // when its client cancelled it or closed the connection; zero: it did not
-	attempts  []attemptRecord
-	answers   []answerRecord
-	lostWith  closedBy  // why it got no answer, once its connection has closed
-	closedAt  time.Time // when that connection closed; zero: it did not
-	aloneThen bool      // no other request was open there then
+	requestParams
+	id          uint64
+	body        []byte
+	retry       int // how often the client has sent it before
+	router      int
+	sentAt      time.Time
+	deadline    time.Time
+	abandonedAt time.Time // when the client cancelled it or closed the connection; zero: never
+	attempts    []attemptRecord
+	responses   []responseRecord
+	closeCause  closeCause // why its connection closed
+	closedAt    time.Time  // when its connection closed before a response; zero: it did not
+	connWasIdle bool       // at the close, no request was in flight that had been sent earlier than resendWindow before
 }
 
-// ledger holds what happened to each request of a run. Any goroutine may use it.
+// ledger records what happened to each request of a run and checks it against the rules. It is safe for concurrent use.
 type ledger struct {
 	scenario  *Scenario
 	startedAt time.Time
 	lag       *lagMeter
 	stalls    stallLog
 
-	mu       sync.Mutex
-	requests map[uint64]*requestRecord
-	breaks   []Violation
+	mu         sync.Mutex
+	requests   map[uint64]*requestRecord
+	violations []Violation
 }
 
 func newLedger(s *Scenario, lag *lagMeter) *ledger {
 	return &ledger{scenario: s, startedAt: time.Now(), lag: lag, requests: map[uint64]*requestRecord{}}
 }
 
-// report records a broken rule.
+// report records a violation.
 func (l *ledger) report(at time.Time, rule Rule, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 func (l *ledger) reportLocked(at time.Time, rule Rule, format string, args ...any) {
-	l.breaks = append(l.breaks, Violation{rule, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
+	l.violations = append(l.violations, Violation{rule, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
 }
 
 // add records a request that is about to be sent.
@@ -127,33 +127,33 @@
 	l.requests[r.id] = r
 }
 
-// noteAttempt records an attempt that a server got, and judges whether it may have been sent. It returns the request, or nil
-// for one that no client sent, and the attempt's number.
-func (l *ledger) noteAttempt(id uint64, at time.Time, server string) (*requestRecord, int) {
+// recordAttempt records an attempt that a server received, and checks whether the router was allowed to send it. It returns the
+// request (nil if no client sent it) and the index of the attempt.
+func (l *ledger) recordAttempt(id uint64, at time.Time, server string) (*requestRecord, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
-		l.reportLocked(at, RuleRequestIntegrity, "%s got a request %016x that no client sent", server, id)
+		l.reportLocked(at, RuleRequestIntegrity, "%s received request %016x, which no client sent", server, id)
 		return nil, 0
 	}
-	l.judgeAttempt(r, at, server)
+	l.checkAttempt(r, at, server)
 	r.attempts = append(r.attempts, attemptRecord{at: at, server: server})
 	return r, len(r.attempts) - 1
 }
 
-// judgeAttempt judges an attempt before it is recorded. The lock is held.
-func (l *ledger) judgeAttempt(r *requestRecord, at time.Time, server string) {
-	const departedFor = 100 * time.Millisecond // an attempt may still begin so long after its client has gone
-	tolerance := slack + l.lag.before(at)
-	if len(r.answers) > 0 && at.After(r.answers[0].at.Add(tolerance)) {
-		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its answer", r.id, server, at.Sub(r.answers[0].at))
+// checkAttempt checks whether a router was allowed to send an attempt, given the earlier ones. The lock is held.
+func (l *ledger) checkAttempt(r *requestRecord, at time.Time, server string) {
+	const cancelDelay = 100 * time.Millisecond // an attempt may still start this long after the client has cancelled or disconnected
+	tolerance := timingTolerance + l.lag.maxBefore(at)
+	if len(r.responses) > 0 && at.After(r.responses[0].at.Add(tolerance)) {
+		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its answer", r.id, server, at.Sub(r.responses[0].at))
 	}
-	if !r.departed.IsZero() && at.After(r.departed.Add(departedFor+tolerance)) {
-		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its client had gone", r.id, server, at.Sub(r.departed))
+	if !r.abandonedAt.IsZero() && at.After(r.abandonedAt.Add(cancelDelay+tolerance)) {
+		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its client cancelled it or disconnected", r.id, server, at.Sub(r.abandonedAt))
 	}
 	for _, earlier := range r.attempts {
-		if earlier.fate == didNotRun {
+		if earlier.outcome == didNotRun {
 			continue
 		}
 		age := at.Sub(earlier.at)
@@ -164,91 +164,94 @@
 	}
 }
 
-// noteNotRun records that a server has answered an attempt as one that never ran.
-func (l *ledger) noteNotRun(r *requestRecord, attempt int) {
+// recordNotRun records that a server told the router that it did not execute an attempt.
+func (l *ledger) recordNotRun(r *requestRecord, attempt int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.attempts[attempt].fate = didNotRun
+	r.attempts[attempt].outcome = didNotRun
 }
 
-// noteAnswer records an answer to a client.
-func (l *ledger) noteAnswer(r *requestRecord, at time.Time, kind answerKind) {
+// recordResponse records a response that a client received, and checks it against the attempts.
+func (l *ledger) recordResponse(r *requestRecord, at time.Time, kind responseKind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.answers = append(r.answers, answerRecord{at, kind})
-	mayHave := slices.ContainsFunc(r.attempts, func(a attemptRecord) bool { return a.fate == mayHaveRun })
-	if kind == answeredRejected && r.class.Semantics == NonIdempotent && mayHave {
-		l.reportLocked(at, RuleNoDuplicateEffect, "request %016x was rejected as repeatable though it may have run", r.id)
+	r.responses = append(r.responses, responseRecord{at, kind})
+	mayBeExecuted := slices.ContainsFunc(r.attempts, func(a attemptRecord) bool { return a.outcome == mayHaveRun })
+	if kind == responseRejected && r.class.Semantics == NonIdempotent && mayBeExecuted {
+		l.reportLocked(at, RuleNoDuplicateEffect, "request %016x was rejected, which invites a retry, although it may have run", r.id)
 	}
-	if kind == answeredServed && len(r.attempts) == 0 {
-		l.reportLocked(at, RuleRequestIntegrity, "request %016x was served though no server got it", r.id)
+	if kind == responseServed && len(r.attempts) == 0 {
+		l.reportLocked(at, RuleRequestIntegrity, "request %016x was served although no server received it", r.id)
 	}
 }
 
-// noteDeparted records that a request's client has cancelled it or closed its connection.
-func (l *ledger) noteDeparted(r *requestRecord, at time.Time) {
+// recordAbandoned records that the client cancelled a request or closed its connection.
+func (l *ledger) recordAbandoned(r *requestRecord, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.departed.IsZero() {
-		r.departed = at
+	if r.abandonedAt.IsZero() {
+		r.abandonedAt = at
 	}
 }
 
-// noteClosed records that a request's connection has closed under it.
-func (l *ledger) noteClosed(r *requestRecord, at time.Time, by closedBy, alone bool) {
+// recordClose records that the connection of a request closed before its response.
+func (l *ledger) recordClose(r *requestRecord, at time.Time, cause closeCause, wasIdle bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.closedAt, r.lostWith, r.aloneThen = at, by, alone
+	r.closedAt, r.closeCause, r.connWasIdle = at, cause, wasIdle
 }
 
-// resendWindow is how long before the close of an idle connection a request may be sent that its client then sends again.
+// resendWindow: clients resend a request on their own if its connection was otherwise idle and closed within this time after the
+// request was sent.
 const resendWindow = 50 * time.Millisecond
 
-// judgeAnswers judges, at the end of a run, whether each request got its one answer.
-func (l *ledger) judgeAnswers() {
+// checkResponses checks, at the end of a run, whether each request got exactly one response in time.
+func (l *ledger) checkResponses() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.requests {
-		l.judgeAnswer(r)
+		l.checkResponse(r)
 	}
-	slices.SortStableFunc(l.breaks, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 }
 
-// afterStall is within how long after a stall a router answers what is due: it reads what came meanwhile, and takes a step.
-const afterStall = 300 * time.Millisecond
+// stallRecoveryTime is how long after a stall a router may take to send overdue responses: it first reads what arrived meanwhile
+// and completes a step of its event loop.
+const stallRecoveryTime = 300 * time.Millisecond
 
-// judgeAnswer judges one request. The lock is held.
-func (l *ledger) judgeAnswer(r *requestRecord) {
-	const lateBy = 500 * time.Millisecond // an answer that is later counts as none
-	latest := r.deadline.Add(lateBy + slack + l.lag.before(r.deadline))
-	if over := l.stalls.lastEnd(r.router, r.sentAt, latest).Add(afterStall); over.After(latest) {
-		latest = over // a process that is stopped can answer only then
+// checkResponse checks the responses to one request. The lock is held.
+func (l *ledger) checkResponse(r *requestRecord) {
+	const responseGrace = 500 * time.Millisecond // a response later than this after the deadline counts as missing
+	latest := r.deadline.Add(responseGrace + timingTolerance + l.lag.maxBefore(r.deadline))
+	if afterStall := l.stalls.lastEnd(r.router, r.sentAt, latest).Add(stallRecoveryTime); afterStall.After(latest) {
+		latest = afterStall // a suspended process cannot respond earlier
 	}
-	switch n := len(r.answers); {
+	switch n := len(r.responses); {
 	case n > 1:
-		l.reportLocked(r.answers[1].at, RuleOneResponse, "request %016x got %d answers", r.id, n)
+		l.reportLocked(r.responses[1].at, RuleOneResponse, "request %016x got %d answers", r.id, n)
 	case n == 1:
-		if r.answers[0].at.After(latest) && r.departed.IsZero() {
-			l.reportLocked(r.answers[0].at, RuleOneResponse, "request %016x was answered %v after its deadline", r.id, r.answers[0].at.Sub(r.deadline))
+		if r.responses[0].at.After(latest) && r.abandonedAt.IsZero() {
+			l.reportLocked(r.responses[0].at, RuleOneResponse, "request %016x was answered %v after its deadline", r.id, r.responses[0].at.Sub(r.deadline))
 		}
-	case !r.departed.IsZero():
+	case !r.abandonedAt.IsZero():
 	case r.closedAt.IsZero():
 		l.reportLocked(r.deadline, RuleOneResponse, "request %016x at n%d was never answered", r.id, r.router)
-	case !l.excused(r):
+	case !l.mayBeUnanswered(r):
 		l.reportLocked(r.closedAt, RuleOneResponse, "request %016x at n%d: its connection closed (%s) %v after it was sent, unanswered", r.id, r.router,
-			r.lostWith, r.closedAt.Sub(r.sentAt))
+			r.closeCause, r.closedAt.Sub(r.sentAt))
 	}
 }
 
-// excused reports whether a request may be unanswered whose connection has closed.
-func (l *ledger) excused(r *requestRecord) bool {
-	crossed := r.aloneThen && r.closedAt.Sub(r.sentAt) <= resendWindow+l.lag.before(r.closedAt)
-	// A router may be killed outright, and a kill after SIGTERM may find unanswered what came until lateRequest after that.
-	return crossed || r.lostWith == closedByKill
+// mayBeUnanswered reports whether a request may go without a response, given how its connection closed.
+func (l *ledger) mayBeUnanswered(r *requestRecord) bool {
+	crossedClose := r.connWasIdle && r.closedAt.Sub(r.sentAt) <= resendWindow+l.lag.maxBefore(r.closedAt)
+	// A router may be killed without warning. If the kill follows SIGTERM, closedByKill covers only requests sent up to
+	// lateRequestWindow after the SIGTERM.
+	return crossedClose || r.closeCause == closedByKill
 }
 
-// sentSince counts the requests that clients sent since a time.
-func (l *ledger) sentSince(from time.Time) int {
+// requestsSince returns how many requests clients have sent since a time.
+func (l *ledger) requestsSince(from time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -260,11 +263,11 @@
 	return n
 }
 
-// Counts sums up a run's requests.
+// Counts are the totals of a run's requests.
 type Counts struct {
 	Requests int
 	Served   int
-	InTime   int // served within their objective
+	InTime   int // served within the objective of their class
 	Rejected int
 	Failed   int
 }
@@ -274,18 +277,18 @@
 	defer l.mu.Unlock()
 	for _, r := range l.requests {
 		c.Requests++
-		if len(r.answers) == 0 {
-			continue // cancelled, or lost
+		if len(r.responses) == 0 {
+			continue // cancelled or lost
 		}
-		switch first := r.answers[0]; first.kind {
-		case answeredServed:
+		switch first := r.responses[0]; first.kind {
+		case responseServed:
 			c.Served++
 			if first.at.Before(r.sentAt.Add(r.class.Objective)) {
 				c.InTime++
 			}
-		case answeredRejected:
+		case responseRejected:
 			c.Rejected++
-		case answeredFailed:
+		case responseFailed:
 			c.Failed++
 		}
 	}
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -14,17 +14,17 @@
 	"hollymast/internal/platformtest"
 )
 
-// Codes of answers, and of the frames that platformtest doesn't name.
+// Codes of responses, and of the frames that platformtest has no names for.
 const (
-	cancelCode = 66
-	unloadCode = 71
-	okCode     = 97
-	fullCode   = 100
-	overCode   = 102
+	cancelCode  = 66
+	unloadCode  = 71
+	okCode      = 97
+	fullCode    = 100
+	expiredCode = 102
 )
 
-// modelServer is a model server: it executes requests on a few cores, loads functions on demand, is slow at first, and falls if
-// it is sent too much then. It has several incarnations, one after the other, at one address.
+// modelServer is a fake model server. It executes requests on a few cores, loads functions on demand, has reduced capacity in slow
+// start, and collapses if it gets too many requests then. Each restart begins a new incarnation at the same address.
 type modelServer struct {
 	run     *run
 	uid     string
@@ -33,40 +33,40 @@
 	speed   float64
 	address string
 
-	mu        sync.Mutex
-	startedAt time.Time // of this incarnation; zero: long ago
-	up        bool
-	listener  net.Listener
-	conns     map[net.Conn]*serverLink
-	functions map[uint64]*loadedFunction
-	running   int
-	queue     []*job
-	recent    []arrival // within the overload window, in slow start
-	told      time.Time // when this incarnation was announced; zero: it was not
-	closedFor time.Time // from when on nothing new may come: the announced drain and the grace; zero: it doesn't drain
-	hung      bool
-	withheld  []func()
+	mu             sync.Mutex
+	startedAt      time.Time // of this incarnation; zero: started before the run, thus not in slow start
+	up             bool
+	listener       net.Listener
+	conns          map[net.Conn]*serverLink
+	functions      map[uint64]*loadedFunction
+	running        int
+	queue          []*execution
+	recentArrivals []arrival // during slow start: arrivals within the overload window
+	announcedAt    time.Time // when this incarnation was announced as ready; zero: not yet
+	drainDeadline  time.Time // end of the grace period of an announced drain, after which no new requests may arrive; zero: not draining
+	hung           bool
+	withheld       []func()
 }
 
 // serverLink is a connection to a model server.
 type serverLink struct {
-	conn  net.Conn
-	write sync.Mutex
-	jobs  map[uint64]*job // guarded by modelServer.mu
+	conn       net.Conn
+	write      sync.Mutex
+	executions map[uint64]*execution // guarded by modelServer.mu
 }
 
-// arrival is an attempt that came in slow start.
+// arrival is an attempt that arrived during slow start.
 type arrival struct {
 	at     time.Time
 	work   time.Duration
 	router int
 }
 
-// listen starts an incarnation at the server's address; startedAt is zero for one that has long run.
+// listen starts an incarnation at the server's address. A zero startedAt means that it is not in slow start.
 func (s *modelServer) listen(startedAt time.Time) error {
 	var l net.Listener
 	var err error
-	for range 50 { // the predecessor's connections may still hold the address
+	for range 50 { // connections of the previous incarnation may still block the address
 		if l, err = net.Listen("tcp", s.address); err == nil {
 			break
 		}
@@ -76,23 +76,23 @@
 		return err
 	}
 	s.mu.Lock()
-	s.address, s.listener, s.up, s.startedAt, s.told = l.Addr().String(), l, true, startedAt, time.Time{}
+	s.address, s.listener, s.up, s.startedAt, s.announcedAt = l.Addr().String(), l, true, startedAt, time.Time{}
 	s.conns, s.functions = map[net.Conn]*serverLink{}, map[uint64]*loadedFunction{}
-	s.queue, s.recent, s.running, s.hung, s.withheld, s.closedFor = nil, nil, 0, false, nil, time.Time{}
+	s.queue, s.recentArrivals, s.running, s.hung, s.withheld, s.drainDeadline = nil, nil, 0, false, nil, time.Time{}
 	s.mu.Unlock()
-	s.run.goes.Go(func() {
+	s.run.goroutines.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.run.goes.Go(func() { s.serve(conn) })
+			s.run.goroutines.Go(func() { s.serve(conn) })
 		}
 	})
 	return nil
 }
 
-// stop ends an incarnation without a word: connections are reset.
+// stop ends the incarnation abruptly: its connections are reset.
 func (s *modelServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,12 +106,11 @@
 	s.up = false
 	s.listener.Close()
 	s.resetLocked()
-	for _, j := range s.queue {
-		j.over = true
+	for _, x := range s.queue {
+		x.cancelled = true
 	}
 }
 
-// resetConns resets all connections.
 func (s *modelServer) resetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,15 +123,15 @@
 			tcp.SetLinger(0)
 		}
 		conn.Close()
-		for _, j := range link.jobs {
-			j.over = true
+		for _, x := range link.executions {
+			x.cancelled = true
 		}
 	}
 }
 
-// serve reads the frames of a connection.
+// serve handles the frames of a connection until it closes.
 func (s *modelServer) serve(conn net.Conn) {
-	link := &serverLink{conn: conn, jobs: map[uint64]*job{}}
+	link := &serverLink{conn: conn, executions: map[uint64]*execution{}}
 	defer conn.Close()
 	s.mu.Lock()
 	if !s.up {
@@ -145,13 +144,13 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
-		for _, j := range link.jobs {
-			j.over = true
+		for _, x := range link.executions {
+			x.cancelled = true
 		}
 	}()
 	in := bufio.NewReader(conn)
 	for {
-		if !s.awaitFrame(link, in) {
+		if !s.waitForFrame(link, in) {
 			return
 		}
 		at := time.Now()
@@ -163,8 +162,8 @@
 	}
 }
 
-// awaitFrame waits for the first byte of a frame; false: the connection has ended, or was idle for too long.
-func (s *modelServer) awaitFrame(link *serverLink, in *bufio.Reader) bool {
+// waitForFrame waits for the first byte of a frame. It returns false if the connection has closed or reached the idle timeout.
+func (s *modelServer) waitForFrame(link *serverLink, in *bufio.Reader) bool {
 	for {
 		link.conn.SetReadDeadline(time.Now().Add(s.run.scenario.ServerIdleTimeout))
 		_, err := in.Peek(1)
@@ -173,7 +172,7 @@
 			return true
 		}
 		s.mu.Lock()
-		open := len(link.jobs)
+		open := len(link.executions)
 		s.mu.Unlock()
 		if !errors.Is(err, os.ErrDeadlineExceeded) || open == 0 {
 			return false
@@ -181,50 +180,50 @@
 	}
 }
 
-// handle handles a frame whose first byte came at a time.
+// handle handles a frame; at is when its first byte arrived.
 func (s *modelServer) handle(link *serverLink, frame platformtest.Frame, at time.Time) {
 	switch frame.Code {
 	case platformtest.AttemptCode:
-		s.judgeDrain(at, "a request")
-		request, attempt := s.run.ledger.noteAttempt(frame.ID, at, s.uid)
+		s.checkDrain(at, "a request")
+		request, attempt := s.run.ledger.recordAttempt(frame.ID, at, s.uid)
 		if request == nil {
 			return
 		}
-		s.judgeSlowStart(at, request)
-		s.begin(&job{link: link, id: frame.ID, body: frame.Body, request: request, attempt: attempt})
+		s.checkSlowStart(at, request)
+		s.accept(&execution{link: link, id: frame.ID, body: frame.Body, request: request, attempt: attempt})
 	case platformtest.LoadCode:
-		s.judgeDrain(at, "a load command")
+		s.checkDrain(at, "a load command")
 		s.loadOnCommand(link, frame)
 	case cancelCode:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if j := link.jobs[frame.ID]; j != nil && !j.started {
-			j.over = true
-			delete(link.jobs, frame.ID)
+		if x := link.executions[frame.ID]; x != nil && !x.started {
+			x.cancelled = true
+			delete(link.executions, frame.ID)
 		}
 	case unloadCode:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if f := s.functions[frame.ID]; f != nil && !f.loading && f.open == 0 {
+		if f := s.functions[frame.ID]; f != nil && !f.loading && f.active == 0 {
 			delete(s.functions, frame.ID)
 		}
 	}
 }
 
-// hang keeps answers back, or writes those that were kept.
+// hang starts withholding responses, or stops and sends those withheld.
 func (s *modelServer) hang(hung bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hung = hung
 	if !hung {
 		for _, send := range s.withheld {
-			s.run.goes.Go(send)
+			s.run.goroutines.Go(send)
 		}
 		s.withheld = nil
 	}
 }
 
-// loadOnCommand carries out a load command.
+// loadOnCommand executes a load command.
 func (s *modelServer) loadOnCommand(link *serverLink, frame platformtest.Frame) {
 	var function uint64
 	replicas := 1
@@ -242,15 +241,14 @@
 	if !s.up {
 		return
 	}
-	s.run.noteLoadCommand()
+	s.run.recordLoadCommand()
 	if s.functions[function] == nil && replicas > 0 {
 		s.startLoad(function, nil)
 	}
-	answer := platformtest.AnswerFrame(okCode, frame.ID, fmt.Sprintf("pods=%d", replicas), nil)
-	time.AfterFunc(s.run.loadTime(function), func() { s.run.deliver(link, answer, false) })
+	response := platformtest.AnswerFrame(okCode, frame.ID, fmt.Sprintf("pods=%d", replicas), nil)
+	time.AfterFunc(s.run.loadTime(function), func() { s.run.deliverResponse(link, response, false) })
 }
 
-// send writes a frame to the connection.
 func (link *serverLink) send(frame []byte) {
 	link.write.Lock()
 	defer link.write.Unlock()
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,45 +15,45 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// closedBy is why a client's connection to a router ended.
-type closedBy string
+// closeCause is why a client's connection to a router closed.
+type closeCause string
 
 const (
-	closedByRouter  closedBy = "by the router"
-	closedByStop    closedBy = "by a stopping router"
-	closedByKill    closedBy = "by a kill"
-	closedLateStop  closedBy = "by the kill after SIGTERM"
-	closedByItsExit closedBy = "by the router's end"
+	closedByRouter   closeCause = "by the router"
+	closedByStop     closeCause = "by a stopping router"
+	closedByKill     closeCause = "by a kill"
+	closedByLateKill closeCause = "by the kill after SIGTERM"
+	closedByExit     closeCause = "by the router's end"
 )
 
-// lateRequest is how long after SIGTERM a request may come that the kill may find unanswered.
-const lateRequest = 700 * time.Millisecond
+// lateRequestWindow: requests sent up to this long after SIGTERM may still be unanswered when the router is killed.
+const lateRequestWindow = 700 * time.Millisecond
 
-// router is one router of the fleet; its process may be started again.
+// router is one router of the fleet. Its process may be restarted during the run.
 type router struct {
-	run     *run
-	number  int
-	address string
-	file    string // its configuration
-	logName string
-	random  *rand.Rand // for its seeds
+	run        *run
+	number     int
+	address    string
+	configPath string
+	logPath    string
+	random     *rand.Rand // source of the seeds in its configuration
 
 	mu        sync.Mutex
 	process   *os.Process
 	exited    chan struct{}
-	stoppedAt time.Time // when it got SIGTERM; zero: it runs
+	stoppedAt time.Time // when SIGTERM was sent to the current process; zero: not yet
 	killedAt  time.Time
 	ready     bool
 }
 
-// writeConfig writes the router's configuration as of now.
+// writeConfig writes the router's configuration file with the current discovery address and events.
 func (r *router) writeConfig(seed uint64) error {
 	service := r.run.discovery
 	text, err := r.run.scenario.configuration(r.number, r.address, service.currentAddress(), seed, service.history())
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(r.file, text, 0o600)
+	return os.WriteFile(r.configPath, text, 0o600)
 }
 
 // start starts the process and waits until it is ready.
@@ -61,12 +61,12 @@
 	if err := r.writeConfig(r.random.Uint64()); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(r.logName, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(r.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	command := exec.Command(r.run.options.RouterPath, "platform", "--log", r.run.options.RouterLogLevel)
-	command.Env = append(append(os.Environ(), r.run.options.Env...), "BALANCER_CONFIG="+r.file)
+	command.Env = append(append(os.Environ(), r.run.options.Env...), "BALANCER_CONFIG="+r.configPath)
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
@@ -77,33 +77,33 @@
 	r.mu.Lock()
 	r.process, r.exited, r.stoppedAt, r.killedAt, r.ready = command.Process, exited, time.Time{}, time.Time{}, false
 	r.mu.Unlock()
-	r.run.goes.Go(func() {
+	r.run.goroutines.Go(func() {
 		err := command.Wait()
 		log.Close()
-		r.noteExit(err)
+		r.checkExit(err)
 		close(exited)
 	})
 	return r.awaitReady()
 }
 
-// noteExit judges the end of the process.
-func (r *router) noteExit(err error) {
+// checkExit reports a violation if the process exited unexpectedly.
+func (r *router) checkExit(err error) {
 	r.mu.Lock()
-	asked, killed := !r.stoppedAt.IsZero(), !r.killedAt.IsZero()
+	terminated, killed := !r.stoppedAt.IsZero(), !r.killedAt.IsZero()
 	r.ready = false
 	r.mu.Unlock()
-	if killed || asked && err == nil {
+	if killed || terminated && err == nil {
 		return
 	}
-	r.run.ledger.report(time.Now(), RuleNoCrash, "n%d ended: %v", r.number, err)
+	r.run.ledger.report(time.Now(), RuleNoCrash, "n%d exited unexpectedly: %v", r.number, err)
 }
 
-// readyWithin is how long a router may take to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout is how long a router may take from its start until it is ready.
+const readyTimeout = 10 * time.Second
 
 // awaitReady waits until the router's health check succeeds.
 func (r *router) awaitReady() error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if r.healthy() {
 			r.mu.Lock()
 			r.ready = true
@@ -111,11 +111,11 @@
 			return nil
 		}
 	}
-	r.run.ledger.report(time.Now(), RuleNoCrash, "n%d is not ready within %v", r.number, readyWithin)
+	r.run.ledger.report(time.Now(), RuleNoCrash, "n%d was not ready within %v", r.number, readyTimeout)
 	return fmt.Errorf("n%d is not ready", r.number)
 }
 
-// healthy asks the router for its health.
+// healthy reports whether the router passes its health check.
 func (r *router) healthy() bool {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -123,29 +123,29 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	text, err := msgpack.Marshal([]any{0, 1, "isWell", []any{map[string]string{}}})
+	message, err := msgpack.Marshal([]any{0, 1, "isWell", []any{map[string]string{}}})
 	if err != nil {
 		return false
 	}
-	if _, err := conn.Write(text); err != nil {
+	if _, err := conn.Write(message); err != nil {
 		return false
 	}
-	answer, err := msgpack.NewDecoder(conn).DecodeSlice()
-	if err != nil || len(answer) < 4 {
+	response, err := msgpack.NewDecoder(conn).DecodeSlice()
+	if err != nil || len(response) < 4 {
 		return false
 	}
-	result, ok := answer[3].([]any)
+	result, ok := response[3].([]any)
 	return ok && len(result) > 0 && result[0] == true
 }
 
-// isReady reports whether the front sends clients there.
+// isReady reports whether clients may open connections to the router.
 func (r *router) isReady() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ready && r.stoppedAt.IsZero() && r.killedAt.IsZero()
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process, if it was started.
 func (r *router) signal(s syscall.Signal) {
 	r.mu.Lock()
 	process := r.process
@@ -155,7 +155,7 @@
 	}
 }
 
-// kill ends the process outright and waits for its end.
+// kill kills the process with SIGKILL and waits for its exit.
 func (r *router) kill() {
 	r.mu.Lock()
 	r.killedAt = time.Now()
@@ -163,12 +163,12 @@
 	r.mu.Unlock()
 	process.Signal(syscall.SIGCONT)
 	if err := process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		r.run.ledger.report(time.Now(), RuleNoCrash, "n%d: %v", r.number, err)
+		r.run.ledger.report(time.Now(), RuleNoCrash, "n%d could not be killed: %v", r.number, err)
 	}
 	<-exited
 }
 
-// stop sends SIGTERM, and kills what is left at the earliest time.
+// stop sends SIGTERM, and kills the process if it has not exited by the earliest time allowed.
 func (r *router) stop() {
 	r.mu.Lock()
 	r.stoppedAt, r.ready = time.Now(), false
@@ -182,38 +182,38 @@
 	}
 }
 
-// whyClosed tells why a connection ended at a time under a request that was sent at another.
-func (r *router) whyClosed(at, sentAt time.Time) closedBy {
+// closeCause returns why a connection closed at a time, as it applies to a request sent at sentAt.
+func (r *router) closeCause(at, sentAt time.Time) closeCause {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	killed := !r.killedAt.IsZero() && !at.Before(r.killedAt)
 	switch {
-	case killed && (r.stoppedAt.IsZero() || !sentAt.After(r.stoppedAt.Add(lateRequest))):
+	case killed && (r.stoppedAt.IsZero() || !sentAt.After(r.stoppedAt.Add(lateRequestWindow))):
 		return closedByKill
 	case killed:
-		return closedLateStop
+		return closedByLateKill
 	case !r.stoppedAt.IsZero():
 		return closedByStop
 	}
 	select {
 	case <-r.exited:
-		return closedByItsExit
+		return closedByExit
 	default:
 		return closedByRouter
 	}
 }
 
-// newRouter prepares the nth router of a run, at a free port of its own address.
+// newRouter prepares the nth router of a run; it listens on a free port of its own loopback address.
 func newRouter(run *run, number int) (*router, error) {
-	l, err := net.Listen("tcp", run.hostAddress(hostRouters, number)+":0")
+	l, err := net.Listen("tcp", run.hostAddress(routerAddresses, number)+":0")
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
 	return &router{
 		run: run, number: number, address: l.Addr().String(),
-		file:    filepath.Join(run.dir, routerName(number)+".json"),
-		logName: filepath.Join(run.dir, routerName(number)+".log"),
-		random:  newRandom(run.scenario.Seed, routerName(number)),
+		configPath: filepath.Join(run.dir, routerName(number)+".json"),
+		logPath:    filepath.Join(run.dir, routerName(number)+".log"),
+		random:     newRandom(run.scenario.Seed, routerName(number)),
 	}, nil
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// Options are what a run does not draw.
+// Options are the settings of a run that the scenario does not determine.
 type Options struct {
-	RouterPath     string   // the router's program
-	RouterLogLevel string   // its log level
-	Dir            string   // where each run keeps its routers' logs, in a folder of its own
-	Env            []string // set for the routers beside this process's environment
+	RouterPath     string // path of the router binary
+	RouterLogLevel string
+	Dir            string   // each run creates a directory in it for its routers' logs
+	Env            []string // additional environment variables of the routers
 }
 
-// Result is how a run ended.
+// Result holds the totals of a run and the violations found.
 type Result struct {
 	Counts
 	Scenario   *Scenario
 	Violations []Violation
-	Collapses  int           // servers in slow start that fell, for whatever reason
-	MaxLag     time.Duration // by how much this process itself ran late at most
+	Collapses  int           // servers that collapsed in slow start, for whatever reason
+	MaxLag     time.Duration // largest scheduling lag of this process
 	LogDir     string
 }
 
-// Passed reports whether no rule was broken.
+// Passed reports whether the run found no violation.
 func (r *Result) Passed() bool { return len(r.Violations) == 0 }
 
 func (r *Result) String() string {
@@ -43,56 +43,56 @@
 
 func (r *Result) share(n int) float64 { return float64(n) / float64(max(1, r.Requests)) }
 
-// run is one run while it is played.
+// run is the state of one run.
 type run struct {
-	scenario  *Scenario
-	options   Options
-	dir       string
-	slot      int64 // tells runs of this process apart
-	ledger    *ledger
-	lag       *lagMeter
-	discovery *discoveryService
-	routers   []*router
-	goes      sync.WaitGroup
-
-	falls         atomic.Int64
-	losingAnswers atomic.Bool
-	traffic       atomic.Uint64 // the rate's factor, as bits of a float64
-	over          atomic.Bool   // no new requests
-
-	mu          sync.Mutex
-	random      *rand.Rand // of choices that are made in the course of the run
-	servers     []*serverSlot
-	popular     []float64 // cumulated shares of the functions
-	work        []float64 // by function: its execution time as a multiple of the mean
-	loadTimes   []time.Duration
-	loads       []time.Time // load commands that servers got
-	nextServer  int
-	nextRequest uint64
+	scenario   *Scenario
+	options    Options
+	dir        string
+	id         int64 // unique within this process
+	ledger     *ledger
+	lag        *lagMeter
+	discovery  *discoveryService
+	routers    []*router
+	goroutines sync.WaitGroup
+
+	collapses           atomic.Int64
+	disruptingResponses atomic.Bool
+	trafficFactor       atomic.Uint64 // factor of the request rate, as the bits of a float64
+	trafficStopped      atomic.Bool   // no new requests are sent
+
+	mu           sync.Mutex
+	random       *rand.Rand // for decisions made during the run
+	servers      []*listedServer
+	popularity   []float64 // cumulative distribution of requests over functions
+	relativeWork []float64 // per function: its mean execution time as a multiple of the overall mean
+	loadTimes    []time.Duration
+	loadCommands []time.Time // when servers received load commands
+	nextServer   int
+	nextRequest  uint64
 }
 
-// slots counts the runs of this process.
-var slots atomic.Int64
+// runCount counts the runs of this process.
+var runCount atomic.Int64
 
-// hostKind is what listens on an address.
-type hostKind int
+// addressKind is what a loopback address is used for.
+type addressKind int
 
 const (
-	hostRouters hostKind = iota
-	hostServers
+	routerAddresses addressKind = iota
+	serverAddresses
 )
 
-// hostAddress returns a loopback address that no other run uses.
-func (r *run) hostAddress(kind hostKind, number int) string {
-	const first, processes, hostsPerKind, slotSpan = 64, 128, 2, 120
-	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%processes, int(r.slot%slotSpan)*hostsPerKind+int(kind), 1+number%250)
+// hostAddress returns a loopback address that no other concurrent run uses.
+func (r *run) hostAddress(kind addressKind, number int) string {
+	const firstNet, maxProcesses, netsPerRun, maxRuns = 64, 128, 2, 120
+	return fmt.Sprintf("127.%d.%d.%d", firstNet+os.Getpid()%maxProcesses, int(r.id%maxRuns)*netsPerRun+int(kind), 1+number%250)
 }
 
-// Run plays a scenario.
+// Run runs a scenario.
 func Run(ctx context.Context, s *Scenario, options Options) (*Result, error) {
 	lag := &lagMeter{}
-	r := &run{scenario: s, options: options, slot: slots.Add(1), lag: lag, random: newRandom(s.Seed, "run"), nextRequest: s.Seed << 32}
-	r.setTraffic(1)
+	r := &run{scenario: s, options: options, id: runCount.Add(1), lag: lag, random: newRandom(s.Seed, "run"), nextRequest: s.Seed << 32}
+	r.setTrafficFactor(1)
 	var err error
 	if r.dir, err = os.MkdirTemp(options.Dir, fmt.Sprintf("soak-%d-", s.Seed)); err != nil {
 		return nil, err
@@ -103,11 +103,11 @@
 	meter.Go(func() { lag.run(measuring) })
 	defer meter.Wait()
 	defer stopMeasuring()
-	if err := r.play(ctx); err != nil {
+	if err := r.execute(ctx); err != nil {
 		return nil, fmt.Errorf("seed %d (logs in %s): %w", s.Seed, r.dir, err)
 	}
-	r.ledger.judgeAnswers()
-	result := &Result{Counts: r.ledger.count(), Scenario: s, Violations: r.ledger.breaks, Collapses: int(r.falls.Load()), MaxLag: lag.largest(), LogDir: r.dir}
+	r.ledger.checkResponses()
+	result := &Result{Counts: r.ledger.count(), Scenario: s, Violations: r.ledger.violations, Collapses: int(r.collapses.Load()), MaxLag: lag.max(), LogDir: r.dir}
 	if result.Passed() {
 		result.LogDir = ""
 		return result, os.RemoveAll(r.dir)
@@ -115,20 +115,20 @@
 	return result, nil
 }
 
-// play sets everything up, plays the faults under traffic, and ends all.
-func (r *run) play(ctx context.Context) error {
+// execute starts servers, routers and clients, injects the faults, and stops everything.
+func (r *run) execute(ctx context.Context) error {
 	var err error
 	if r.discovery, err = newDiscoveryService(); err != nil {
 		return err
 	}
-	defer r.goes.Wait()
+	defer r.goroutines.Wait()
 	defer r.discovery.close()
 	r.drawFunctions()
 	defer r.stopServers()
 	if err := r.startServers(); err != nil {
 		return err
 	}
-	defer r.killRouters()
+	defer r.killAllRouters()
 	if err := r.startRouters(); err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 		clients.Go(c.serve)
 	}
 	if r.scenario.MalformedClients {
-		clients.Go(r.crowd)
+		clients.Go(r.runMalformedClients)
 	}
 	for _, fault := range r.scenario.Faults {
 		faults.Go(func() {
@@ -149,18 +149,18 @@
 		})
 	}
 	r.sleep(ctx, r.scenario.TrafficDuration)
-	r.over.Store(true)
+	r.trafficStopped.Store(true)
 	clients.Wait()
 	faults.Wait()
-	var stops sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, router := range r.routers {
-		stops.Go(router.stop)
+		stopping.Go(router.stop)
 	}
-	stops.Wait()
+	stopping.Wait()
 	return ctx.Err()
 }
 
-// sleep waits; false: the run was cancelled.
+// sleep waits for a duration. It returns false if the run was cancelled.
 func (r *run) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -170,26 +170,25 @@
 	}
 }
 
-// chance returns a random number below 1.
-func (r *run) chance() float64 {
+// randomFloat returns a random number in [0, 1).
+func (r *run) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.Float64()
 }
 
-// setTraffic sets the factor of the request rate.
-func (r *run) setTraffic(factor float64) { r.traffic.Store(math.Float64bits(factor)) }
+func (r *run) setTrafficFactor(factor float64) { r.trafficFactor.Store(math.Float64bits(factor)) }
 
-// rate returns the present request rate of all clients.
-func (r *run) rate() float64 {
-	return math.Float64frombits(r.traffic.Load()) * r.scenario.requestRate()
+// currentRate returns the current request rate of all clients together, per second.
+func (r *run) currentRate() float64 {
+	return math.Float64frombits(r.trafficFactor.Load()) * r.scenario.requestRate()
 }
 
-// trafficOver reports whether no new requests are sent.
-func (r *run) trafficOver() bool { return r.over.Load() }
+// trafficEnded reports whether clients must send no new requests.
+func (r *run) trafficEnded() bool { return r.trafficStopped.Load() }
 
-// longestWait returns how long a client waits for an answer at most.
-func (r *run) longestWait() time.Duration {
+// maxResponseWait returns the longest time that a client waits for a response.
+func (r *run) maxResponseWait() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range r.scenario.Classes {
 		longest = max(longest, class.Deadline)
@@ -197,10 +196,10 @@
 	return longest + time.Second
 }
 
-// drawFunctions draws the functions: how often each is called, and what it costs.
+// drawFunctions draws the popularity, execution time and load time of each function.
 func (r *run) drawFunctions() {
 	random := newRandom(r.scenario.Seed, "functions")
-	const exponent, offset = 1.3, 3 // of a Zipf law
+	const exponent, offset = 1.3, 3 // of a Zipf-Mandelbrot distribution
 	spread := r.scenario.ExecutionTimeSigma
 	sum, workSum := 0.0, 0.0
 	for n := range r.scenario.Functions {
@@ -208,20 +207,19 @@
 		work := math.Exp(spread * random.NormFloat64())
 		sum += share
 		workSum += share * work
-		r.popular = append(r.popular, sum)
-		r.work = append(r.work, work)
+		r.popularity = append(r.popularity, sum)
+		r.relativeWork = append(r.relativeWork, work)
 		r.loadTimes = append(r.loadTimes, time.Duration(float64(r.scenario.MeanLoadTime)*math.Exp(spread*random.NormFloat64())))
 	}
-	for n := range r.popular {
-		r.popular[n] /= sum
-		r.work[n] *= sum / workSum // so that the mean over all requests is 1
+	for n := range r.popularity {
+		r.popularity[n] /= sum
+		r.relativeWork[n] *= sum / workSum // so that the mean over all requests is 1
 	}
 }
 
-// drawRequest draws a request.
-func (r *run) drawRequest(random *rand.Rand) requestDraft {
+func (r *run) drawRequest(random *rand.Rand) requestParams {
 	pick, function := random.Float64(), 0
-	for function < len(r.popular)-1 && r.popular[function] < pick {
+	for function < len(r.popularity)-1 && r.popularity[function] < pick {
 		function++
 	}
 	class := r.drawClass(random)
@@ -231,8 +229,8 @@
 	if random.Float64() < r.scenario.ShortDeadlineShare {
 		timeout = max(time.Millisecond, time.Duration(0.2*random.Float64()*float64(timeout)))
 	}
-	return requestDraft{class: class, timeout: timeout.Round(time.Millisecond), function: functionID(function), key: fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()),
-		work: time.Duration(float64(r.scenario.MeanExecutionTime) * r.work[function] * factor)}
+	return requestParams{class: class, timeout: timeout.Round(time.Millisecond), function: functionID(function), key: fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()),
+		work: time.Duration(float64(r.scenario.MeanExecutionTime) * r.relativeWork[function] * factor)}
 }
 
 func (r *run) drawClass(random *rand.Rand) *Class {
@@ -249,17 +247,16 @@
 	return &r.scenario.Classes[0]
 }
 
-// firstFunction is the id of the first function; the others follow.
-const firstFunction = 0x7f3a9c21e0b40000
+// firstFunctionID is the ID of the first function; the others follow it.
+const firstFunctionID = 0x7f3a9c21e0b40000
 
-func functionID(n int) uint64 { return firstFunction + uint64(n) }
+func functionID(n int) uint64 { return firstFunctionID + uint64(n) }
 
-// loadTime returns how long a function takes to load.
 func (r *run) loadTime(function uint64) time.Duration {
-	return r.loadTimes[int(function-firstFunction)%len(r.loadTimes)]
+	return r.loadTimes[int(function-firstFunctionID)%len(r.loadTimes)]
 }
 
-// newRequestID returns an id that no other request of the run has.
+// newRequestID returns an ID that is unique within the run.
 func (r *run) newRequestID() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -267,18 +264,18 @@
 	return r.nextRequest
 }
 
-// noteLoadCommand records a load command, for the limit on them.
-func (r *run) noteLoadCommand() {
+// recordLoadCommand records that a server received a load command, and checks the rate limit.
+func (r *run) recordLoadCommand() {
 	now := time.Now()
 	r.mu.Lock()
-	r.loads = append(r.loads, now)
+	r.loadCommands = append(r.loadCommands, now)
 	r.mu.Unlock()
-	r.judgeLoadRate(now)
+	r.checkLoadRate(now)
 }
 
-// judgeLoadRate judges the load commands of all routers in the window that ends now. Requests that were sent in it count,
-// whether routers had read them or not: the bound is no tighter than the platform's.
-func (r *run) judgeLoadRate(now time.Time) {
+// checkLoadRate checks the load commands of all routers in the window that ends now against the limit. The limit counts all
+// requests that clients sent in the window, whether or not routers had read them: so it is no stricter than the platform's.
+func (r *run) checkLoadRate(now time.Time) {
 	s := r.scenario
 	if s.LoadRateWindow == 0 {
 		return
@@ -286,20 +283,20 @@
 	from := now.Add(-s.LoadRateWindow)
 	count := 0
 	r.mu.Lock()
-	for _, at := range r.loads {
+	for _, at := range r.loadCommands {
 		if at.After(from) {
 			count++
 		}
 	}
 	r.mu.Unlock()
-	sent := r.ledger.sentSince(from.Add(-slack))
+	sent := r.ledger.requestsSince(from.Add(-timingTolerance))
 	if allowed := s.LoadRateBase*float64(s.Routers) + s.LoadRatePerRequest*float64(sent); float64(count) > allowed {
-		r.ledger.report(now, RuleLoadRate, "%d load commands in %v, where %.1f are allowed", count, s.LoadRateWindow, allowed)
+		r.ledger.report(now, RuleLoadRate, "%d load commands in %v, limit %.1f", count, s.LoadRateWindow, allowed)
 	}
 }
 
-// front returns a router for a client: one that is ready, or none.
-func (r *run) front(random *rand.Rand) *router {
+// pickRouter returns a random ready router for a client, or nil if there is none.
+func (r *run) pickRouter(random *rand.Rand) *router {
 	var ready []*router
 	for _, router := range r.routers {
 		if router.isReady() {
@@ -309,20 +306,20 @@
 	if len(ready) == 0 {
 		return nil
 	}
-	// Some routers get several times the mean.
+	// the exponent skews the choice: some routers get several times the mean
 	return ready[int(float64(len(ready))*math.Pow(random.Float64(), 1.5))]
 }
 
-// sendAgain sends a request again on a connection of its own.
-func (r *run) sendAgain(draft requestDraft, retry int) {
-	if r.trafficOver() {
+// retryRequest sends a request again on a new connection.
+func (r *run) retryRequest(params requestParams, retry int) {
+	if r.trafficEnded() {
 		return
 	}
-	r.goes.Go(func() {
+	r.goroutines.Go(func() {
 		random := newRandom(r.newRequestID(), "retry")
-		if router := r.front(random); router != nil {
+		if router := r.pickRouter(random); router != nil {
 			c := &client{run: r, random: random}
-			c.converse(router, func(cc *clientConn) { cc.sendRequest(draft, retry) })
+			c.withConnection(router, func(cc *clientConn) { cc.sendRequest(params, retry) })
 		}
 	})
 }
@@ -350,8 +347,8 @@
 	return errors.Join(errs...)
 }
 
-// killRouters ends what is left of all routers.
-func (r *run) killRouters() {
+// killAllRouters kills the router processes that are still running.
+func (r *run) killAllRouters() {
 	for _, router := range r.routers {
 		router.mu.Lock()
 		router.killedAt = time.Now()
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -10,19 +10,19 @@
 	"hollymast/internal/simproto"
 )
 
-// A seed always draws the same, other seeds draw others, and routers take the settings.
+// A seed always yields the same scenario, different seeds yield different ones, and routers accept the settings.
 func TestDraw(t *testing.T) {
 	const length = 30 * time.Second
 	kinds := map[FaultKind]bool{}
 	for seed := range uint64(200) {
 		s := GenerateScenario(seed, length)
 		if !reflect.DeepEqual(s, GenerateScenario(seed, length)) {
-			t.Errorf("seed %d draws differently", seed)
+			t.Errorf("seed %d yields different scenarios", seed)
 		}
 		for _, fault := range s.Faults {
 			kinds[fault.Kind] = true
 			if fault.At < 0 || fault.At > length {
-				t.Errorf("seed %d: %v", seed, fault)
+				t.Errorf("seed %d: fault outside the run: %v", seed, fault)
 			}
 		}
 		text, err := json.Marshal(s.settings(0))
@@ -41,6 +41,6 @@
 		t.Errorf("%d kinds of faults were drawn, want all 17: %v", len(kinds), kinds)
 	}
 	if reflect.DeepEqual(GenerateScenario(1, length), GenerateScenario(2, length)) {
-		t.Error("two seeds draw the same")
+		t.Error("seeds 1 and 2 yield the same scenario")
 	}
 }
--- a/internal/soak/serverrules.go
+++ b/internal/soak/serverrules.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// What a model server judges of what it gets: drains and slow start.
+// The rules that a model server checks on arriving requests and load commands: drains and slow start.
 
-// judgeDrain judges whether anything new may come.
-func (s *modelServer) judgeDrain(at time.Time, what string) {
+// checkDrain reports a violation if a message arrives after the grace period of a drain.
+func (s *modelServer) checkDrain(at time.Time, message string) {
 	s.mu.Lock()
-	closedFor := s.closedFor
+	deadline := s.drainDeadline
 	s.mu.Unlock()
-	if tolerance := slack + s.run.ledger.lag.before(at); !closedFor.IsZero() && at.After(closedFor.Add(tolerance)) {
-		s.run.ledger.report(at, RuleDrain, "%s got %s %v after the grace", s.uid, what, at.Sub(closedFor))
+	if tolerance := timingTolerance + s.run.ledger.lag.maxBefore(at); !deadline.IsZero() && at.After(deadline.Add(tolerance)) {
+		s.run.ledger.report(at, RuleDrain, "%s received %s %v after the grace period of its drain", s.uid, message, at.Sub(deadline))
 	}
 }
 
-// judgeSlowStart adds an attempt to the window of a server in slow start. If it is more than the server bears, the server
-// falls; that breaks the rule if over two thirds of the window came from routers that had been told of the start.
-func (s *modelServer) judgeSlowStart(at time.Time, request *requestRecord) {
+// checkSlowStart counts an attempt at a server in slow start. If the arrivals in the overload window exceed what the server
+// tolerates, it collapses. That is a violation if over two thirds of the work in the window arrived after the server's start had
+// been announced.
+func (s *modelServer) checkSlowStart(at time.Time, request *requestRecord) {
 	scenario := s.run.scenario
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,29 +25,29 @@
 	if !s.up || s.startedAt.IsZero() || age >= scenario.SlowStartDuration {
 		return
 	}
-	for len(s.recent) > 0 && s.recent[0].at.Before(at.Add(-scenario.OverloadWindow)) {
-		s.recent = s.recent[1:]
+	for len(s.recentArrivals) > 0 && s.recentArrivals[0].at.Before(at.Add(-scenario.OverloadWindow)) {
+		s.recentArrivals = s.recentArrivals[1:]
 	}
-	s.recent = append(s.recent, arrival{at, request.work, request.router})
-	work, told, byRouter := 0.0, 0.0, map[int]int{}
-	for _, a := range s.recent {
+	s.recentArrivals = append(s.recentArrivals, arrival{at, request.work, request.router})
+	work, announcedWork, byRouter := 0.0, 0.0, map[int]int{}
+	for _, a := range s.recentArrivals {
 		units := float64(a.work) / float64(scenario.MeanExecutionTime)
 		work += units
 		byRouter[a.router]++
-		if !s.told.IsZero() && a.at.After(s.told) {
-			told += units
+		if !s.announcedAt.IsZero() && a.at.After(s.announcedAt) {
+			announcedWork += units
 		}
 	}
-	budget := scenario.startBudget(s.speed, age)
-	if work <= bearable(budget) {
+	budget := scenario.slowStartBudget(s.speed, age)
+	if work <= toleratedRequests(budget) {
 		return
 	}
-	s.run.falls.Add(1)
-	if told > work*2/3 {
+	s.run.collapses.Add(1)
+	if announcedWork > work*2/3 {
 		s.run.ledger.report(at, RuleSlowStart,
-			"%s fell at an age of %.2f s, %.3f s after its announcement: %d requests, %.1f of mean work, in %v; N is %.1f, it bears %.1f; by router %v",
-			s.uid, age.Seconds(), at.Sub(s.told).Seconds(), len(s.recent), work, scenario.OverloadWindow, budget, bearable(budget), byRouter)
+			"%s collapsed %.2f s after its start, %.3f s after its announcement: %d requests, equal to %.1f of mean work, in %v; budget %.1f, tolerated %.1f; requests by router: %v",
+			s.uid, age.Seconds(), at.Sub(s.announcedAt).Seconds(), len(s.recentArrivals), work, scenario.OverloadWindow, budget, toleratedRequests(budget), byRouter)
 	}
 	s.stopLocked()
-	s.run.goes.Go(func() { s.run.returnFallen(s) })
+	s.run.goroutines.Go(func() { s.run.restartCollapsed(s) })
 }
--- a/internal/soak/servers.go
+++ b/internal/soak/servers.go
@@ -7,22 +7,22 @@
 	"hollymast/internal/discovery"
 )
 
-// The states of a server in the endpoint list, by the platform's protocol.
+// The states of a server in the endpoint list, as the discovery protocol names them.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 	stateGone     = "gone"
 )
 
-// serverSlot is a server with its place in the endpoint list.
-type serverSlot struct {
+// listedServer is a server and its state in the endpoint list.
+type listedServer struct {
 	*modelServer
-	busy     bool // a fault has it
-	state    string
-	sequence int // of its announcements: a late one does not replace a newer one
+	reserved      bool // in use by a fault
+	state         string
+	announcements int // counts its announcements, so that a delayed one does not override a newer one
 }
 
-// target returns how discovery lists a server.
+// target returns the server's entry in the endpoint list.
 func (s *modelServer) target(state string, startedAt time.Time) discovery.EndpointMessage {
 	message := discovery.EndpointMessage{UID: s.uid, Endpoint: s.address, Zone: s.zone, Cell: s.cell, Weight: 1, State: state}
 	if s.run.scenario.WeightedEndpoints {
@@ -35,20 +35,20 @@
 }
 
 // newServer adds a server to the run; it does not listen yet.
-func (r *run) newServer(speed float64) *serverSlot {
+func (r *run) newServer(speed float64) *listedServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number := r.nextServer
 	r.nextServer++
-	s := &serverSlot{modelServer: &modelServer{
+	s := &listedServer{modelServer: &modelServer{
 		run: r, uid: fmt.Sprintf("s-%d-%d", r.scenario.Seed, number), zone: zoneName(number % r.scenario.Zones), cell: number % 4, speed: speed,
-		address: r.hostAddress(hostServers, number) + ":0",
+		address: r.hostAddress(serverAddresses, number) + ":0",
 	}}
 	r.servers = append(r.servers, s)
 	return s
 }
 
-// startServers starts the servers that have long run, and announces them.
+// startServers starts the initial servers, at full capacity, and announces them.
 func (r *run) startServers() error {
 	update := discovery.UpdateMessage{All: true}
 	for n := range r.scenario.Servers {
@@ -63,7 +63,6 @@
 	return nil
 }
 
-// stopServers ends all servers.
 func (r *run) stopServers() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,45 +71,45 @@
 	}
 }
 
-// take reserves up to count servers in a state for a fault; 0 takes all.
-func (r *run) take(count int, state string) []*serverSlot {
+// reserve reserves up to count random servers in a state for a fault; a count of 0 means all.
+func (r *run) reserve(count int, state string) []*listedServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var taken []*serverSlot
+	var reserved []*listedServer
 	for _, n := range r.random.Perm(len(r.servers)) {
 		s := r.servers[n]
-		if s.busy || s.state != state || count > 0 && len(taken) == count {
+		if s.reserved || s.state != state || count > 0 && len(reserved) == count {
 			continue
 		}
-		s.busy = true
-		taken = append(taken, s)
+		s.reserved = true
+		reserved = append(reserved, s)
 	}
-	return taken
+	return reserved
 }
 
-// giveBack ends the reservation of servers.
-func (r *run) giveBack(servers ...*serverSlot) {
+// release ends the reservation of servers.
+func (r *run) release(servers ...*listedServer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range servers {
-		s.busy = false
+		s.reserved = false
 	}
 }
 
-// announce tells routers the state of servers, in one event.
-func (r *run) announce(state string, servers ...*serverSlot) {
+// announce publishes a new state of servers, in one discovery event.
+func (r *run) announce(state string, servers ...*listedServer) {
 	if len(servers) == 0 {
 		return
 	}
 	var update discovery.UpdateMessage
-	sequences := make([]int, len(servers))
+	numbers := make([]int, len(servers))
 	r.mu.Lock()
 	for i, s := range servers {
-		s.sequence++
-		s.state, sequences[i] = state, s.sequence
+		s.announcements++
+		s.state, numbers[i] = state, s.announcements
 		s.mu.Lock()
 		if state == stateReady {
-			s.closedFor = time.Time{}
+			s.drainDeadline = time.Time{}
 		}
 		update.Targets = append(update.Targets, s.target(state, s.startedAt))
 		s.mu.Unlock()
@@ -120,58 +119,58 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for i, s := range servers {
-			if s.sequence == sequences[i] {
-				s.noteAnnounced(state, at)
+			if s.announcements == numbers[i] {
+				s.recordAnnounced(state, at)
 			}
 		}
 	})
 }
 
-// noteAnnounced records that a state counts as announced.
-func (s *serverSlot) noteAnnounced(state string, at time.Time) {
+// recordAnnounced records that a state counts as announced as of a time.
+func (s *listedServer) recordAnnounced(state string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case state == stateReady:
-		s.told = at
-	case s.closedFor.IsZero():
-		s.closedFor = at.Add(s.run.scenario.DrainGrace)
+		s.announcedAt = at
+	case s.drainDeadline.IsZero():
+		s.drainDeadline = at.Add(s.run.scenario.DrainGrace)
 	}
 }
 
-// announceAfter is how long a server that has started takes to be announced.
-func (r *run) announceAfter() time.Duration {
-	return 200*time.Millisecond + time.Duration(r.chance()*float64(700*time.Millisecond))
+// announceDelay returns a random delay between the start of a server and its announcement.
+func (r *run) announceDelay() time.Duration {
+	return 200*time.Millisecond + time.Duration(r.randomFloat()*float64(700*time.Millisecond))
 }
 
-// restart starts a server anew, in slow start, and announces it.
-func (r *run) restart(s *serverSlot) {
-	if r.trafficOver() {
+// restart starts a new incarnation of a server, in slow start, and announces it.
+func (r *run) restart(s *listedServer) {
+	if r.trafficEnded() {
 		return
 	}
 	if err := s.listen(time.Now()); err != nil {
-		r.ledger.report(time.Now(), RuleNoCrash, "the run itself: %s can't listen again: %v", s.uid, err)
+		r.ledger.report(time.Now(), RuleNoCrash, "test harness: %s cannot listen again: %v", s.uid, err)
 		return
 	}
-	time.Sleep(r.announceAfter())
+	time.Sleep(r.announceDelay())
 	r.announce(stateReady, s)
 }
 
-// returnFallen has a server that fell start again after a while.
-func (r *run) returnFallen(s *modelServer) {
-	const downFor = 2 * time.Second
-	time.Sleep(downFor)
+// restartCollapsed restarts a server some time after it collapsed, unless a fault has reserved it.
+func (r *run) restartCollapsed(s *modelServer) {
+	const downTime = 2 * time.Second
+	time.Sleep(downTime)
 	r.mu.Lock()
-	var slot *serverSlot
+	var server *listedServer
 	for _, candidate := range r.servers {
-		if candidate.modelServer == s && !candidate.busy && candidate.state == stateReady {
-			slot = candidate
-			slot.busy = true
+		if candidate.modelServer == s && !candidate.reserved && candidate.state == stateReady {
+			server = candidate
+			server.reserved = true
 		}
 	}
 	r.mu.Unlock()
-	if slot != nil {
-		r.restart(slot)
-		r.giveBack(slot)
+	if server != nil {
+		r.restart(server)
+		r.release(server)
 	}
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -7,13 +7,12 @@
 	"hollymast/internal/discovery"
 )
 
-// tenant is the one tenant of a run.
+// tenant is the only tenant of a run.
 const tenant = "tenant-a"
 
-// zoneName returns the name of the nth zone.
 func zoneName(nth int) string { return fmt.Sprintf("zone-%d", nth) }
 
-// object is a JSON object of the settings, which have no type of their own here: their keys are the platform's.
+// object is a JSON object of the settings. The platform defines the keys; there is no Go type for them here.
 type object map[string]any
 
 // settings returns a router's start settings.
@@ -40,7 +39,7 @@
 	}
 }
 
-// configuration returns a router's configuration file.
+// configuration returns the contents of a router's configuration file.
 func (s *Scenario) configuration(router int, listen, discoveryAddress string, seed uint64, known []discovery.Event) ([]byte, error) {
 	history := discovery.History{Events: known}
 	if n := len(known); n > 0 {
@@ -52,5 +51,4 @@
 	})
 }
 
-// routerName returns the name of the nth router.
 func routerName(nth int) string { return fmt.Sprintf("n%d", nth) }
--- a/internal/soak/stalls.go
+++ b/internal/soak/stalls.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// stallLog holds for which times this process stopped routers.
+// stallLog records when router processes were suspended.
 type stallLog struct {
 	mu     sync.Mutex
 	stalls []stall
 }
 
-// stall is a time for which a router's process was stopped.
+// stall is a period in which a router's process was suspended.
 type stall struct {
 	router   int
 	from, to time.Time
@@ -24,7 +24,7 @@
 	l.stalls = append(l.stalls, s)
 }
 
-// lastEnd returns when the last stall of a router ended that reaches into the time between two others; zero: there was none.
+// lastEnd returns the end of the last stall of a router that overlaps the period between from and to; zero if there is none.
 func (l *stallLog) lastEnd(router int, from, to time.Time) (end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
