--- a/internal/modelserver/config.go
+++ b/internal/modelserver/config.go
@@ -1,49 +1,53 @@
-// Package modelserver is a model server as plain state, driven by a clock that it is given: lanes, cores, memory, loads from a shared
-// store, slow start, rejections, retries recognized within their window, and scripted faults. Package fakeserver runs it on sockets,
-// package simulation in simulated time. It is free of I/O; one goroutine (or one lock) at a time may use a server.
+// Package modelserver simulates a model server as plain state, driven by a clock that it is given: lanes, cores, memory, loads
+// from a shared store, slow start, rejections, deduplication of retries by idempotency key, and injected faults. Package
+// fakeserver runs it on sockets, package simulation in simulated time. It does no I/O. A server is not safe for concurrent use:
+// callers serialize access.
 package modelserver
 
 import "hollymast/control"
 
-// Clock is a server's time.
+// Clock tells the time and runs timers.
 type Clock interface {
 	Now() control.Micros
-	// After has f called after a span, never within this call.
+	// After calls f after a delay, never within this call.
 	After(d control.Micros, f func())
 }
 
-// Source is where functions' bytes come from. Done is called in the server's own time, never within this call.
+// Source is the store that functions are fetched from. It calls done under the server's clock (and lock, if there is one), never
+// within the call of Fetch.
 type Source interface {
 	Fetch(done func())
 }
 
-// Config is what a server is able to do. Times are in microseconds.
+// Config describes a server's capacity and behaviour. Times are in microseconds.
 type Config struct {
-	Number             int            // in the log
-	MaxReplicas        int            // that fit into its memory
+	Number             int            // identifies the server in the log
+	MaxReplicas        int            // that fit into memory
 	Lanes              int            // requests that one replica runs at once
-	Cores              int            // requests that it runs at once; others wait
-	ExecutionTime      control.Micros // of one request, on average
-	QueueLimit         int            // requests that wait before it rejects
-	LoadTime           control.Micros // beside the fetch
-	MaxConcurrentLoads int            // at once; as many more may wait
-	LoadCommandsOnly   bool           // a request whose function is not loaded is rejected
-	DedupWindow        control.Micros // for which an idempotency key is known
-	NoDedupPrefix      string         // idempotency keys that begin so are not known: a retry runs again
-	KeepAlive          control.Micros // for which a replica stays after its last use
+	Cores              int            // requests that the server runs at once; others wait
+	ExecutionTime      control.Micros // mean time to run one request
+	QueueLimit         int            // requests that may wait; further ones are rejected
+	LoadTime           control.Micros // time to load a function after it has been fetched
+	MaxConcurrentLoads int            // twice this many loads may be pending; further ones are rejected
+	LoadCommandsOnly   bool           // requests for functions that are not loaded are rejected
+	DedupWindow        control.Micros // how long an idempotency key is remembered
+	NoDedupPrefix      string         // idempotency keys with this prefix are not remembered, so retries run again; empty: all are remembered
+	KeepAlive          control.Micros // a replica is not evicted until this long after its last use
 	SlowStartDuration  control.Micros
-	SlowStartInitial   float64 // share of its capacity that it starts with
+	SlowStartInitial   float64 // share of the full capacity at the start of slow start
 	OverloadWindow     control.Micros
-	OverloadRate       float64 // requests a second at full capacity times the overload factor: more, in slow start, and it crashes
-	Seed               uint64
+	// OverloadRate is the rate of requests per second at full capacity, times the overload factor. A server in slow start crashes if it
+	// gets more than its current share of that rate within the OverloadWindow.
+	OverloadRate float64
+	Seed         uint64
 }
 
-// Faults are the ways in which a server fails just now. Shares are of 1.
+// Faults are the faults injected into a server. Shares are between 0 and 1.
 type Faults struct {
-	Unresponsive  bool    // takes all, does nothing, answers nothing
+	Unresponsive  bool    // accepts requests but neither executes nor answers them
 	LostResponses float64 // share of requests that run and are never answered
-	ResetBefore   float64 // share of requests whose connection breaks before they run
-	ResetAfter    float64 // share of requests whose connection breaks after they ran
-	Slowdown      float64 // multiplies the execution time; below 1: as usual
-	Overloaded    bool    // rejects all
+	ResetBefore   float64 // share of requests whose connection is reset before they run
+	ResetAfter    float64 // share of requests whose connection is reset after they ran
+	Slowdown      float64 // factor of the execution time; no effect below 1
+	Overloaded    bool    // rejects all requests
 }
--- a/internal/modelserver/dedup.go
+++ b/internal/modelserver/dedup.go
@@ -7,59 +7,59 @@
 	"hollymast/control"
 )
 
-// keyedRequest is what is known of the first request with an idempotency key.
-type keyedRequest struct {
+// keyEntry is the state of the first request with an idempotency key.
+type keyEntry struct {
 	arrivedAt control.Micros
 	ended     bool
-	waiting   []uint64 // exchanges of retries that came before its end
+	waiting   []uint64 // exchanges of duplicates that arrived before it ended
 }
 
-// maxKeys is the number of idempotency keys beyond which those whose window is over are removed.
-const maxKeys = 10_000
+// keyCleanupThreshold is the number of idempotency keys above which expired ones are removed.
+const keyCleanupThreshold = 10_000
 
-// joinsEarlier reports whether an execution's idempotency key is known within its window. Otherwise it notes the key, where keys
-// are kept at all.
-func (s *Server) joinsEarlier(x *execution) bool {
+// isDuplicate reports whether an execution's idempotency key has been seen within the deduplication window. If not, it remembers
+// the key, unless the execution has none or its prefix is excluded.
+func (s *Server) isDuplicate(x *execution) bool {
 	prefix := s.config.NoDedupPrefix
 	if x.key == "" || prefix != "" && strings.HasPrefix(x.key, prefix) {
 		return false
 	}
 	now := s.clock.Now()
-	if len(s.keys) > maxKeys {
-		maps.DeleteFunc(s.keys, func(_ string, k *keyedRequest) bool { return now-k.arrivedAt > s.config.DedupWindow })
+	if len(s.keys) > keyCleanupThreshold {
+		maps.DeleteFunc(s.keys, func(_ string, k *keyEntry) bool { return now-k.arrivedAt > s.config.DedupWindow })
 	}
-	if first := s.keys[x.key]; first != nil && now-first.arrivedAt <= s.config.DedupWindow {
-		x.keyed = first
+	if original := s.keys[x.key]; original != nil && now-original.arrivedAt <= s.config.DedupWindow {
+		x.keyEntry = original
 		return true
 	}
-	x.keyed = &keyedRequest{arrivedAt: now}
-	s.keys[x.key] = x.keyed
+	x.keyEntry = &keyEntry{arrivedAt: now}
+	s.keys[x.key] = x.keyEntry
 	return false
 }
 
-// awaitFirst ends a retry as its first request ended, or has it wait for that.
-func (s *Server) awaitFirst(x *execution) {
-	if x.keyed.ended {
-		s.end(x.exchange, Response{CacheStatus: control.CacheHit})
+// awaitOriginal answers a duplicate if the original request has ended; otherwise it registers the duplicate to be answered then.
+func (s *Server) awaitOriginal(x *execution) {
+	if x.keyEntry.ended {
+		s.endExchange(x.exchange, Response{CacheStatus: control.CacheHit})
 		return
 	}
-	x.keyed.waiting = append(x.keyed.waiting, x.exchange)
+	x.keyEntry.waiting = append(x.keyEntry.waiting, x.exchange)
 }
 
-// forgetKey drops the idempotency key of a request that did not run, and rejects the retries that wait for it.
+// forgetKey removes the idempotency key of a request that did not run, and rejects the duplicates that wait for it.
 func (s *Server) forgetKey(x *execution) {
-	if x.keyed == nil {
+	if x.keyEntry == nil {
 		return
 	}
-	if s.keys[x.key] == x.keyed {
+	if s.keys[x.key] == x.keyEntry {
 		delete(s.keys, x.key)
 	}
-	s.endWaiting(x.keyed, Response{Result: Overloaded, Reason: reasonFirstLost})
+	s.endDuplicates(x.keyEntry, Response{Result: Overloaded, Reason: reasonOriginalNotRun})
 }
 
-func (s *Server) endWaiting(first *keyedRequest, response Response) {
-	for _, exchange := range first.waiting {
-		s.end(exchange, response)
+func (s *Server) endDuplicates(original *keyEntry, response Response) {
+	for _, exchange := range original.waiting {
+		s.endExchange(exchange, response)
 	}
-	first.waiting = nil
+	original.waiting = nil
 }
--- a/internal/modelserver/infer.go
+++ b/internal/modelserver/infer.go
@@ -5,68 +5,68 @@
 	"hollymast/internal/invariant"
 )
 
-// The reasons of rejections, as clients read them.
+// Reasons for rejections, as sent to clients.
 const (
-	reasonFull      = "full"
-	reasonNoRoom    = "no room"
-	reasonNotLoaded = "not loaded"
-	reasonFirstLost = "its first execution did not run"
+	reasonFull           = "full"
+	reasonNoRoom         = "no room"
+	reasonNotLoaded      = "not loaded"
+	reasonOriginalNotRun = "its first execution did not run"
 )
 
-// execution is one request that the server has accepted.
+// execution is a request that the server has received.
 type execution struct {
 	record   invariant.Record
 	replicas *replicas
 	exchange uint64
 	status   control.CacheStatus
 	key      string
-	keyed    *keyedRequest // nil: its idempotency key is not kept
+	keyEntry *keyEntry // nil: its idempotency key is not remembered
 	injected injectedFaults
 }
 
-// injectedFaults are the faults drawn at a request's arrival.
+// injectedFaults are the faults drawn when a request arrives.
 type injectedFaults struct {
-	slowdown    float64
-	resetBefore bool // the connection breaks before it runs
-	lostAnswer  bool // it is never answered
-	resetAfter  bool // the connection breaks once it ran
+	slowdown     float64
+	resetBefore  bool // the connection is reset before the request runs
+	lostResponse bool // the request is never answered
+	resetAfter   bool // the connection is reset after the request ran
 }
 
-// drawFaults draws in a fixed order, so that a day of one seed is always the same.
+// drawFaults draws all faults in a fixed order, so that a simulation with the same seed is reproducible.
 func (s *Server) drawFaults() injectedFaults {
-	return injectedFaults{slowdown: s.faults.Slowdown, resetBefore: s.happens(s.faults.ResetBefore), lostAnswer: s.happens(s.faults.LostResponses),
-		resetAfter: s.happens(s.faults.ResetAfter)}
+	return injectedFaults{slowdown: s.faults.Slowdown, resetBefore: s.drawBool(s.faults.ResetBefore), lostResponse: s.drawBool(s.faults.LostResponses),
+		resetAfter: s.drawBool(s.faults.ResetAfter)}
 }
 
-func (s *Server) happens(share float64) bool { return share > 0 && s.random.Float64() < share }
+func (s *Server) drawBool(share float64) bool { return share > 0 && s.random.Float64() < share }
 
-// Infer runs one request or rejects it; respond is called once, perhaps within this call, unless the server stays silent until it
-// is killed.
+// Infer runs a request or rejects it. It calls respond once, possibly before it returns. An unresponsive server, or one that loses
+// the response, calls it only when it is killed.
 func (s *Server) Infer(request Request, respond func(Response)) {
 	x := &execution{key: request.IdempotencyKey, status: control.CacheHit,
 		record: invariant.Record{Server: s.config.Number, Request: request.ID, Effect: request.Effect, Router: request.Router}}
 	s.logExecution(x, invariant.AttemptReceived)
 	x.injected = s.drawFaults()
-	x.exchange = s.open(respond)
+	x.exchange = s.openExchange(respond)
 	switch {
-	case s.crashesAtArrival():
+	case s.collapsesAtArrival():
 		s.logExecution(x, invariant.ServerCollapsed)
 		s.Kill()
 	case s.faults.Unresponsive:
 	case x.injected.resetBefore:
-		s.end(x.exchange, Response{Result: ConnectionReset})
+		s.endExchange(x.exchange, Response{Result: ConnectionReset})
 	case s.faults.Overloaded:
 		s.logExecution(x, invariant.AttemptRefused)
-		s.end(x.exchange, Response{Result: Overloaded, Reason: reasonFull})
-	case s.joinsEarlier(x):
+		s.endExchange(x.exchange, Response{Result: Overloaded, Reason: reasonFull})
+	case s.isDuplicate(x):
 		s.logExecution(x, invariant.AttemptDeduplicated)
-		s.awaitFirst(x)
+		s.awaitOriginal(x)
 	default:
 		s.admit(x, request.Function)
 	}
 }
 
-// admit queues an execution at its function's replicas, which it may have to load, or rejects it.
+// admit queues an execution for a replica of its function and starts loading one if there is none, or rejects the execution.
 func (s *Server) admit(x *execution, function string) {
 	r := s.functions[function]
 	if s.config.LoadCommandsOnly && r == nil {
@@ -80,7 +80,7 @@
 			return
 		}
 		x.status = control.CacheMiss
-		s.beginLoad(r, 1, func() {})
+		s.startLoad(r, 1, func() {})
 	case r.loaded == 0:
 		x.status = control.CacheLoading
 	}
@@ -95,14 +95,14 @@
 	s.dispatch(r)
 }
 
-// reject ends an execution that did not run, and what waits for its end.
+// reject answers an execution that did not run, and the duplicates that wait for it.
 func (s *Server) reject(x *execution, result Result, reason string) {
 	s.forgetKey(x)
 	s.logExecution(x, invariant.AttemptRefused)
-	s.end(x.exchange, Response{Result: result, Reason: reason})
+	s.endExchange(x.exchange, Response{Result: result, Reason: reason})
 }
 
-// dispatch gives free lanes and cores to executions that wait.
+// dispatch assigns free lanes of a function's replicas, and free cores, to waiting executions.
 func (s *Server) dispatch(r *replicas) {
 	for r.freeLanes > 0 && len(r.queue) > 0 {
 		r.freeLanes--
@@ -119,28 +119,28 @@
 	}
 }
 
-// complete ends an execution that ran, and the retries that wait for it.
+// complete ends an execution that has run, and answers the duplicates that wait for it.
 func (s *Server) complete(x *execution) {
 	s.running--
 	x.replicas.freeLanes++
 	x.replicas.busy--
 	x.replicas.lastUsed = s.clock.Now()
 	s.logExecution(x, invariant.AttemptEnded)
-	if x.keyed != nil {
-		x.keyed.ended = true
-		s.endWaiting(x.keyed, Response{CacheStatus: control.CacheHit})
+	if x.keyEntry != nil {
+		x.keyEntry.ended = true
+		s.endDuplicates(x.keyEntry, Response{CacheStatus: control.CacheHit})
 	}
 	switch {
-	case x.injected.lostAnswer:
+	case x.injected.lostResponse:
 	case x.injected.resetAfter:
-		s.end(x.exchange, Response{Result: ConnectionReset})
+		s.endExchange(x.exchange, Response{Result: ConnectionReset})
 	default:
-		s.end(x.exchange, Response{CacheStatus: x.status})
+		s.endExchange(x.exchange, Response{CacheStatus: x.status})
 	}
 	s.dispatch(x.replicas)
 }
 
-// drawExecutionTime draws how long a request runs: from 0.6 to 1.4 times the average, and longer in slow start.
+// drawExecutionTime returns a random time from 0.6 to 1.4 times the mean, longer in slow start.
 func (s *Server) drawExecutionTime(slowdown float64) control.Micros {
 	const least, spread = 0.6, 0.8
 	d := float64(s.config.ExecutionTime) * (least + spread*s.random.Float64())
--- a/internal/modelserver/replicas.go
+++ b/internal/modelserver/replicas.go
@@ -7,24 +7,25 @@
 	"hollymast/internal/invariant"
 )
 
-// replicas are the loaded copies of one function.
+// replicas are the replicas of one function.
 type replicas struct {
 	loaded, loading int
 	freeLanes       int
 	busy            int // executions that wait or run
 	lastUsed        control.Micros
-	queue           []*execution // wait for a lane
+	queue           []*execution // executions that wait for a lane
 }
 
 func (r *replicas) total() int { return r.loaded + r.loading }
 
-// maxReplicasPerLoad bounds the replicas of one load command; larger ones are rejected.
+// maxReplicasPerLoad limits the replicas that one load command may add; larger commands are rejected.
 const maxReplicasPerLoad = 16
 
-// Load has the server hold as many replicas as a load command asks for; respond is called when they are loaded or can't be.
+// Load executes a load command: it loads replicas until the server holds count of them. It calls respond when they are loaded, or
+// if they do not fit.
 func (s *Server) Load(function string, count, router int, respond func(Response)) {
 	s.log(invariant.Record{Kind: invariant.LoadCommandReceived, Server: s.config.Number, Router: router})
-	exchange := s.open(respond)
+	exchange := s.openExchange(respond)
 	if s.faults.Unresponsive {
 		return
 	}
@@ -33,19 +34,20 @@
 		held, loaded = r.total(), r.loaded
 	}
 	if count <= held {
-		s.end(exchange, Response{Replicas: loaded})
+		s.endExchange(exchange, Response{Replicas: loaded})
 		return
 	}
 	if r = s.reserve(function, count-held); r == nil {
-		s.end(exchange, Response{Result: Overloaded, Reason: reasonNoRoom})
+		s.endExchange(exchange, Response{Result: Overloaded, Reason: reasonNoRoom})
 		return
 	}
-	s.beginLoad(r, count-held, func() { s.end(exchange, Response{Replicas: r.loaded}) })
+	s.startLoad(r, count-held, func() { s.endExchange(exchange, Response{Replicas: r.loaded}) })
 }
 
-// reserve makes room for replicas and counts their load; nil where memory is pinned or too many loads wait.
+// reserve evicts other functions to make room for new replicas and registers a pending load. It returns nil if not enough memory
+// can be freed or too many loads are pending.
 func (s *Server) reserve(function string, count int) *replicas {
-	if s.loading >= 2*s.config.MaxConcurrentLoads || count > maxReplicasPerLoad || !s.evictFor(function, count) {
+	if s.pendingLoads >= 2*s.config.MaxConcurrentLoads || count > maxReplicasPerLoad || !s.evictFor(function, count) {
 		return nil
 	}
 	r := s.functions[function]
@@ -54,12 +56,12 @@
 		s.functions[function] = r
 	}
 	r.loading += count
-	s.loading++
+	s.pendingLoads++
 	return r
 }
 
-// evictFor evicts other functions, the least recently used first, until the replicas fit; false where too little can be evicted. What
-// was evicted until then stays so.
+// evictFor evicts other functions, the least recently used first, until the replicas fit. It returns false if not enough can be
+// evicted; what has been evicted until then stays evicted.
 func (s *Server) evictFor(function string, count int) bool {
 	total := count
 	for _, r := range s.functions {
@@ -76,7 +78,7 @@
 	return true
 }
 
-// leastRecentlyUsed returns the idle function to evict for another, empty where there is none.
+// leastRecentlyUsed returns the idle function to evict for another one; empty if there is none.
 func (s *Server) leastRecentlyUsed(except string) string {
 	victim, now := "", s.clock.Now()
 	for name, r := range s.functions {
@@ -90,8 +92,8 @@
 	return victim
 }
 
-// beginLoad loads reserved replicas and calls done once they are loaded.
-func (s *Server) beginLoad(r *replicas, count int, done func()) {
+// startLoad loads reserved replicas and calls done when they are loaded.
+func (s *Server) startLoad(r *replicas, count int, done func()) {
 	s.log(invariant.Record{Kind: invariant.LoadStarted, Server: s.config.Number})
 	incarnation := s.incarnation
 	s.source.Fetch(func() {
@@ -99,7 +101,7 @@
 			return
 		}
 		s.after(s.config.LoadTime, func() {
-			s.loading--
+			s.pendingLoads--
 			r.loading -= count
 			r.loaded += count
 			r.freeLanes += count * s.config.Lanes
--- a/internal/modelserver/server.go
+++ b/internal/modelserver/server.go
@@ -9,18 +9,18 @@
 	"hollymast/internal/invariant"
 )
 
-// Request is an attempt as it reaches the server.
+// Request is an attempt as the server receives it.
 type Request struct {
-	ID, Effect     string // for the log
+	ID, Effect     string // recorded in the log
 	Router         int
 	Function       string
 	IdempotencyKey string // empty: none
 }
 
-// Result is how the server ends an exchange.
+// Result is the outcome of an exchange, which is a request or load command and its response.
 type Result uint8
 
-// The results. Overloaded and NotLoaded promise that the request did not run; ConnectionReset is a connection that breaks.
+// The results. Overloaded and NotLoaded guarantee that the request did not run; with ConnectionReset it may have.
 const (
 	Succeeded Result = iota
 	Overloaded
@@ -28,31 +28,31 @@
 	ConnectionReset
 )
 
-// Response ends an exchange.
+// Response is the response of an exchange.
 type Response struct {
 	Result      Result
-	Reason      string              // of a rejection
-	CacheStatus control.CacheStatus // of a request that succeeded
-	Replicas    int                 // that are loaded, in the answer to a load command
-	LoadReport  control.LoadReport  // except with ConnectionReset
+	Reason      string              // for a rejection
+	CacheStatus control.CacheStatus // for a request that succeeded
+	Replicas    int                 // number of loaded replicas, in the response to a load command
+	LoadReport  control.LoadReport  // not with ConnectionReset
 }
 
 // StartMode is how a server starts.
 type StartMode bool
 
-// The ways to start: with all of its capacity, or with a share that grows over the slow start.
+// The start modes: at full capacity, or with a share of it that grows during slow start.
 const (
 	FullCapacity StartMode = false
 	SlowStart    StartMode = true
 )
 
-// FunctionState is a function that a server holds.
+// FunctionState is a function that a server holds or loads.
 type FunctionState struct {
 	Name   string
-	Loaded bool // false: its first load is under way
+	Loaded bool // false: its first load is pending
 }
 
-// Server is one server; Kill and Start make it crash and come back empty.
+// Server is one simulated server. Kill makes it crash; Start brings it back with no functions loaded.
 type Server struct {
 	config Config
 	clock  Clock
@@ -60,39 +60,39 @@
 	log    func(invariant.Record)
 	random *rand.Rand
 
-	incarnation int // counts up with each Kill: what was begun in an earlier one is void
-	alive       bool
-	faults      Faults
-	startedAt   control.Micros
-	startMode   StartMode
-	arrivals    []control.Micros // within the overload window, while in slow start
-	functions   map[string]*replicas
-	keys        map[string]*keyedRequest
-	running     int          // executions that have a core
-	waiting     int          // executions that wait for a lane or a core
-	loading     int          // loads under way
-	runnable    []*execution // have a lane and wait for a core
-	exchanges   map[uint64]func(Response)
-	lastID      uint64 // of an exchange
+	incarnation  int // incremented by Kill; work started in an earlier incarnation is discarded
+	alive        bool
+	faults       Faults
+	startedAt    control.Micros
+	startMode    StartMode
+	arrivals     []control.Micros // during slow start: arrivals within the overload window
+	functions    map[string]*replicas
+	keys         map[string]*keyEntry
+	running      int // executions that occupy a core
+	waiting      int // executions that wait for a lane or a core
+	pendingLoads int
+	runnable     []*execution // executions that have a lane and wait for a core
+	exchanges    map[uint64]func(Response)
+	lastExchange uint64 // ID of the last exchange
 }
 
-// New returns a server that is not started. Log takes what happens at its end of the wire.
+// New returns a server that is not started. It passes what it receives and does to log.
 func New(config Config, clock Clock, source Source, log func(invariant.Record)) *Server {
 	return &Server{config: config, clock: clock, source: source, log: log, random: rand.New(rand.NewPCG(config.Seed, uint64(config.Number)))}
 }
 
-// Start starts it, empty and without faults.
+// Start starts the server with no functions loaded and no faults.
 func (s *Server) Start(mode StartMode) {
 	s.alive, s.startMode, s.startedAt, s.faults = true, mode, s.clock.Now(), Faults{}
-	s.arrivals, s.functions, s.keys = nil, map[string]*replicas{}, map[string]*keyedRequest{}
-	s.running, s.waiting, s.loading, s.runnable = 0, 0, 0, nil
+	s.arrivals, s.functions, s.keys = nil, map[string]*replicas{}, map[string]*keyEntry{}
+	s.running, s.waiting, s.pendingLoads, s.runnable = 0, 0, 0, nil
 	s.exchanges = map[uint64]func(Response){}
 	if mode == SlowStart {
 		s.log(invariant.Record{Kind: invariant.ServerStarted, Server: s.config.Number})
 	}
 }
 
-// Kill has it crash: connections break, replicas and idempotency keys are gone.
+// Kill makes the server crash: all exchanges end with ConnectionReset, replicas and idempotency keys are lost.
 func (s *Server) Kill() {
 	if !s.alive {
 		return
@@ -106,16 +106,16 @@
 	}
 }
 
-// Alive reports whether it runs.
+// Alive reports whether the server is running.
 func (s *Server) Alive() bool { return s.alive }
 
-// StartedAt returns when it last started, and how.
+// StartedAt returns when and how the server last started.
 func (s *Server) StartedAt() (at control.Micros, mode StartMode) { return s.startedAt, s.startMode }
 
-// SetFaults has it fail in these ways from now on, until they are set again or it restarts.
+// SetFaults replaces the injected faults. A restart clears them.
 func (s *Server) SetFaults(f Faults) { s.faults = f }
 
-// Functions lists the functions that it holds or loads, by name.
+// Functions returns the functions that the server holds or loads, sorted by name.
 func (s *Server) Functions() []FunctionState {
 	var states []FunctionState
 	for _, name := range slices.Sorted(maps.Keys(s.functions)) {
@@ -124,7 +124,7 @@
 	return states
 }
 
-// LoadReport is its load as it is now.
+// LoadReport returns the server's current load.
 func (s *Server) LoadReport() control.LoadReport {
 	pinned := 0
 	for _, r := range s.functions {
@@ -133,11 +133,11 @@
 		}
 	}
 	cores := float64(s.config.Cores)
-	return control.LoadReport{Utilization: min(float64(s.running), cores) / cores, PendingLoads: float64(s.loading),
+	return control.LoadReport{Utilization: min(float64(s.running), cores) / cores, PendingLoads: float64(s.pendingLoads),
 		PinnedMemory: float64(pinned) / float64(s.config.MaxReplicas)}
 }
 
-// after has f called after a span if the server has not been killed meanwhile.
+// after calls f after a delay unless the server has been killed meanwhile.
 func (s *Server) after(d control.Micros, f func()) {
 	incarnation := s.incarnation
 	s.clock.After(d, func() {
@@ -147,15 +147,15 @@
 	})
 }
 
-// open begins an exchange, to be ended once by end or by Kill.
-func (s *Server) open(respond func(Response)) (id uint64) {
-	s.lastID++
-	s.exchanges[s.lastID] = respond
-	return s.lastID
+// openExchange starts an exchange, which endExchange or Kill ends.
+func (s *Server) openExchange(respond func(Response)) (id uint64) {
+	s.lastExchange++
+	s.exchanges[s.lastExchange] = respond
+	return s.lastExchange
 }
 
-// end ends an exchange, with the load as it is now.
-func (s *Server) end(id uint64, response Response) {
+// endExchange ends an exchange and adds the current load report to its response.
+func (s *Server) endExchange(id uint64, response Response) {
 	respond := s.exchanges[id]
 	delete(s.exchanges, id)
 	if response.Result != ConnectionReset {
--- a/internal/modelserver/slowstart.go
+++ b/internal/modelserver/slowstart.go
@@ -2,8 +2,8 @@
 
 import "hollymast/control"
 
-// crashesAtArrival counts a request against what a server in slow start bears, and reports whether it is one too many.
-func (s *Server) crashesAtArrival() bool {
+// collapsesAtArrival counts an arriving request, and reports whether it exceeds what a server in slow start tolerates.
+func (s *Server) collapsesAtArrival() bool {
 	now := s.clock.Now()
 	age := now - s.startedAt
 	if s.startMode != SlowStart || age > s.config.SlowStartDuration {
@@ -14,11 +14,11 @@
 	}
 	s.arrivals = append(s.arrivals, now)
 	const microsPerSecond = 1e6
-	limit := s.slowStartShare(age) * s.config.OverloadRate * float64(s.config.OverloadWindow) / microsPerSecond
-	return float64(len(s.arrivals)) > max(1, limit)
+	maxArrivals := s.slowStartShare(age) * s.config.OverloadRate * float64(s.config.OverloadWindow) / microsPerSecond
+	return float64(len(s.arrivals)) > max(1, maxArrivals)
 }
 
-// slowStartShare is the share of its capacity that a server in slow start has at an age.
+// slowStartShare returns the share of its full capacity that a server in slow start has at an age.
 func (s *Server) slowStartShare(age control.Micros) float64 {
 	initial := s.config.SlowStartInitial
 	return initial + (1-initial)*float64(age)/float64(s.config.SlowStartDuration)
--- a/internal/modelserver/store.go
+++ b/internal/modelserver/store.go
@@ -2,19 +2,19 @@
 
 import "hollymast/control"
 
-// Store is the one source of all functions. It serves some fetches at once, the others wait in the order in which they came; each
-// takes its time, multiplied while the store is slow. While it is closed none ends.
+// Store is the store that all functions are fetched from. It serves a limited number of fetches at once; others wait in order of
+// arrival. The duration of a fetch is multiplied while the store is slow. While the store is closed, no fetch starts.
 type Store struct {
 	clock     Clock
-	fetchTime control.Micros // of one fetch of a store that is not slow
-	free      int            // fetches that it can begin to serve
+	fetchTime control.Micros // of one fetch at normal speed
+	freeSlots int            // how many more fetches can be served at once
 	slowdown  float64
 	state     StoreState
-	queue     []func() // fetches that are not served yet
-	stopped   []func() // fetches that are served and wait for the store to open
+	queue     []func() // fetches that wait for a free slot
+	blocked   []func() // fetches that have a slot and wait for the store to open
 }
 
-// StoreState is whether a store serves.
+// StoreState is whether a store is open.
 type StoreState bool
 
 // The states of a store.
@@ -23,47 +23,47 @@
 	StoreClosed StoreState = true
 )
 
-// NewStore returns an open store that serves some fetches at once.
+// NewStore returns an open store that serves up to concurrent fetches at once.
 func NewStore(clock Clock, fetchTime control.Micros, concurrent int) *Store {
-	return &Store{clock: clock, fetchTime: fetchTime, free: concurrent, slowdown: 1}
+	return &Store{clock: clock, fetchTime: fetchTime, freeSlots: concurrent, slowdown: 1}
 }
 
-// Degrade multiplies the time of fetches from the next one to begin, and closes or opens the store.
+// Degrade multiplies the duration of fetches that start from now on, and closes or opens the store.
 func (s *Store) Degrade(slowdown float64, state StoreState) {
 	s.slowdown, s.state = slowdown, state
 	if state == StoreClosed {
 		return
 	}
-	stopped := s.stopped
-	s.stopped = nil
-	for _, done := range stopped {
-		s.serve(done)
+	blocked := s.blocked
+	s.blocked = nil
+	for _, done := range blocked {
+		s.startFetch(done)
 	}
 }
 
-// Fetch calls done once a function's bytes are there.
+// Fetch calls done when a function has been fetched.
 func (s *Store) Fetch(done func()) {
-	if s.free == 0 {
+	if s.freeSlots == 0 {
 		s.queue = append(s.queue, done)
 		return
 	}
-	s.free--
-	s.serve(done)
+	s.freeSlots--
+	s.startFetch(done)
 }
 
-func (s *Store) serve(done func()) {
+func (s *Store) startFetch(done func()) {
 	if s.state == StoreClosed {
-		s.stopped = append(s.stopped, done)
+		s.blocked = append(s.blocked, done)
 		return
 	}
 	s.clock.After(control.Micros(float64(s.fetchTime)*s.slowdown), func() {
 		done()
 		if len(s.queue) == 0 {
-			s.free++
+			s.freeSlots++
 			return
 		}
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		s.serve(next)
+		s.startFetch(next)
 	})
 }
