--- a/internal/fakeserver/config.go
+++ b/internal/fakeserver/config.go
@@ -1,5 +1,5 @@
-// Package fakeserver has servers for tests and for the chaos tester: model servers that speak KServe v2 over loopback sockets and fail in
-// scripted ways (what they do between sockets is package modelserver's), an xDS control plane and a secret discovery service.
+// Package fakeserver provides servers for tests and for the chaos tester: model servers that speak KServe v2 on loopback sockets
+// and can be made to fail (package modelserver simulates their behaviour), an xDS control plane and a secret discovery service.
 package fakeserver
 
 import (
@@ -10,7 +10,7 @@
 	"hollymast/internal/modelserver"
 )
 
-// Config is what a server is able to do; see modelserver.Config.
+// Config describes a server's capacity and behaviour; see modelserver.Config.
 type Config struct {
 	Number             int
 	MaxReplicas        int
@@ -29,10 +29,10 @@
 	OverloadWindow     time.Duration
 	OverloadRate       float64
 	Seed               uint64
-	Handshake          func(net.Conn) (net.Conn, error) // makes accepted connections secure; nil: plain text
+	Handshake          func(net.Conn) (net.Conn, error) // performs the TLS handshake on accepted connections; nil: plain text
 }
 
-// ModelConfig is the same for the model that runs the server.
+// ModelConfig returns the configuration of the server's simulation.
 func (c Config) ModelConfig() modelserver.Config {
 	return modelserver.Config{Number: c.Number, MaxReplicas: c.MaxReplicas, Lanes: c.Lanes, Cores: c.Cores, ExecutionTime: micros(c.ExecutionTime),
 		QueueLimit: c.QueueLimit, LoadTime: micros(c.LoadTime), MaxConcurrentLoads: c.MaxConcurrentLoads, LoadCommandsOnly: c.LoadCommandsOnly, DedupWindow: micros(c.DedupWindow),
@@ -42,13 +42,13 @@
 
 func micros(d time.Duration) control.Micros { return control.Micros(d.Microseconds()) }
 
-// Faults are the ways in which a server fails just now.
+// Faults are the faults injected into a server.
 type Faults = modelserver.Faults
 
 // StartMode is how a server starts.
 type StartMode = modelserver.StartMode
 
-// The ways to start: with all of its capacity, or with a share that grows over the slow start.
+// The start modes: at full capacity, or with a share of it that grows during slow start.
 const (
 	FullCapacity = modelserver.FullCapacity
 	SlowStart    = modelserver.SlowStart
--- a/internal/fakeserver/controlplane.go
+++ b/internal/fakeserver/controlplane.go
@@ -20,125 +20,126 @@
 	Zone      string
 	Cell      string
 	Weight    uint32
-	StartedAt string // as in RFC 3339; empty: not sent
+	StartedAt string // RFC 3339 time; empty: not sent
 }
 
-// ControlPlane is an xDS control plane for tests: aggregated discovery (ADS), state of the world and incremental, with faults on demand.
+// ControlPlane is an xDS control plane for tests. It serves aggregated discovery (ADS), state-of-the-world and incremental, and
+// can be made to fail.
 type ControlPlane struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	server  *grpc.Server
 	address string
 	serving sync.WaitGroup
 
-	mu       sync.Mutex
-	clusters map[string][]Endpoint
-	hidden   map[string]bool // clusters whose endpoints are never sent
-	changes  int             // counts up; versions are made from it
-	rollback int             // subtracted from the versions sent
-	stalled  bool
-	delay    time.Duration
-	wake     chan struct{} // closed at each change
-	drop     chan struct{} // closed to end all streams
-	raw      []proto.Message
-	nacks    []string
-	acks     int
-	streams  int
+	mu             sync.Mutex
+	clusters       map[string][]Endpoint
+	hiddenClusters map[string]bool // clusters whose endpoints are not sent
+	changes        int             // number of changes; determines the version
+	versionOffset  int             // subtracted from changes in the version sent
+	stalled        bool
+	delay          time.Duration
+	changed        chan struct{} // closed and replaced at each change
+	dropped        chan struct{} // closed to end all streams
+	rawMessages    []proto.Message
+	nacks          []string
+	acks           int
+	streams        int
 }
 
-// NewControlPlane starts one on loopback.
+// NewControlPlane starts a control plane on loopback.
 func NewControlPlane(options ...grpc.ServerOption) (*ControlPlane, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &ControlPlane{server: grpc.NewServer(options...), address: listener.Addr().String(), clusters: map[string][]Endpoint{}, hidden: map[string]bool{},
-		wake: make(chan struct{}), drop: make(chan struct{})}
+	p := &ControlPlane{server: grpc.NewServer(options...), address: listener.Addr().String(), clusters: map[string][]Endpoint{}, hiddenClusters: map[string]bool{},
+		changed: make(chan struct{}), dropped: make(chan struct{})}
 	discovery.RegisterAggregatedDiscoveryServiceServer(p.server, p)
 	p.serving.Go(func() { p.server.Serve(listener) })
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the control plane listens on.
 func (p *ControlPlane) Address() string { return p.address }
 
-// Stop ends it and waits for its goroutines.
+// Stop stops the control plane and waits for its goroutines.
 func (p *ControlPlane) Stop() {
 	p.server.Stop()
 	p.serving.Wait()
 }
 
-// Update changes the clusters, all at once, and returns when.
+// Update applies f to the clusters as one change and returns the time of the change.
 func (p *ControlPlane) Update(f func(clusters map[string][]Endpoint)) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.clusters)
 	p.changes++
-	p.wakeStreams()
+	p.notifyStreams()
 	return time.Now()
 }
 
-func (p *ControlPlane) wakeStreams() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+func (p *ControlPlane) notifyStreams() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// SetStalled has it send nothing until it is set back.
+// SetStalled stops all sending, or resumes it.
 func (p *ControlPlane) SetStalled(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stalled = on
-	p.wakeStreams()
+	p.notifyStreams()
 }
 
-// SetDelay has it send everything later.
+// SetDelay delays everything sent from now on.
 func (p *ControlPlane) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// SetHidden keeps a cluster's endpoints from being sent.
+// SetHidden stops sending the endpoints of a cluster, or resumes it.
 func (p *ControlPlane) SetHidden(cluster string, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hidden[cluster] = on
-	p.wakeStreams()
+	p.hiddenClusters[cluster] = on
+	p.notifyStreams()
 }
 
-// VersionPolicy is what a control plane does with its versions.
+// VersionPolicy says how versions continue after streams have been dropped.
 type VersionPolicy bool
 
-// The ways: to go on counting, or to begin again with lower ones, as one that restarted does.
+// The policies: versions keep increasing, or restart from low numbers as after a restart of the control plane.
 const (
 	KeepVersions  VersionPolicy = false
 	ResetVersions VersionPolicy = true
 )
 
-// DropStreams ends all streams.
+// DropStreams ends all streams with an error.
 func (p *ControlPlane) DropStreams(versions VersionPolicy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if versions == ResetVersions {
-		p.rollback = p.changes
+		p.versionOffset = p.changes
 	}
-	close(p.drop)
-	p.drop = make(chan struct{})
-	p.wakeStreams()
+	close(p.dropped)
+	p.dropped = make(chan struct{})
+	p.notifyStreams()
 }
 
-// SendRaw sends a message as it is, on every stream that is open.
+// SendRaw sends a message unchanged on every open stream.
 func (p *ControlPlane) SendRaw(m proto.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.raw = append(p.raw, m)
-	p.wakeStreams()
+	p.rawMessages = append(p.rawMessages, m)
+	p.notifyStreams()
 }
 
-// Counts returns how many acknowledgements and streams there were, and the reasons of negative acknowledgements.
+// Counts returns the number of acknowledgements and of streams so far, and the error messages of negative acknowledgements.
 func (p *ControlPlane) Counts() (acks, streams int, nacks []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.acks, p.streams, slices.Clone(p.nacks)
 }
 
-func (p *ControlPlane) version() string { return strconv.Itoa(p.changes - p.rollback) }
+func (p *ControlPlane) version() string { return strconv.Itoa(p.changes - p.versionOffset) }
--- a/internal/fakeserver/deltastream.go
+++ b/internal/fakeserver/deltastream.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// deltaStream is the incremental variant.
+// deltaStream is a stream of the incremental protocol variant.
 type deltaStream struct {
 	plane         *ControlPlane
 	server        discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer
@@ -20,10 +20,10 @@
 	if sub == nil {
 		return
 	}
-	s.plane.countAnswer(r.ResponseNonce, r.ErrorDetail)
+	s.plane.countAck(r.ResponseNonce, r.ErrorDetail)
 	if !sub.active {
 		for name := range r.InitialResourceVersions {
-			sub.sent[name] = "known" // from an earlier stream, its bytes are not: it is sent again or removed
+			sub.sent[name] = "known" // sent on an earlier stream; contents unknown here, so it is sent again or removed
 		}
 	}
 	sub.active = true
@@ -67,7 +67,7 @@
 	return messages
 }
 
-// send sends a response; messages of the other variant are left out.
+// send sends a response. It skips raw messages of the other protocol variant.
 func (s *deltaStream) send(m proto.Message) error {
 	r, ok := m.(*discovery.DeltaDiscoveryResponse)
 	if !ok {
--- a/internal/fakeserver/fullstream.go
+++ b/internal/fakeserver/fullstream.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// fullStream is the state of the world variant.
+// fullStream is a stream of the state-of-the-world protocol variant.
 type fullStream struct {
 	plane         *ControlPlane
 	server        discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer
@@ -18,9 +18,9 @@
 func (s *fullStream) handle(r *discovery.DiscoveryRequest) {
 	sub := s.subscriptions[r.TypeUrl]
 	if sub == nil || r.ResponseNonce != "" && r.ResponseNonce != sub.nonce {
-		return // it answers an earlier response
+		return // it acknowledges an outdated response
 	}
-	s.plane.countAnswer(r.ResponseNonce, r.ErrorDetail)
+	s.plane.countAck(r.ResponseNonce, r.ErrorDetail)
 	names := map[string]bool{}
 	for _, name := range r.ResourceNames {
 		names[name] = true
@@ -38,17 +38,17 @@
 			continue
 		}
 		response := &discovery.DiscoveryResponse{TypeUrl: url, VersionInfo: s.plane.version()}
-		now := map[string]string{}
+		current := map[string]string{}
 		resources := s.plane.resources(url)
 		for _, name := range slices.Sorted(maps.Keys(resources)) {
 			if url == endpointURL && !sub.names[name] {
 				continue
 			}
 			response.Resources = append(response.Resources, resources[name])
-			now[name] = string(resources[name].Value)
+			current[name] = string(resources[name].Value)
 		}
-		if changed := sub.namesChanged || !maps.Equal(now, sub.sent); changed && (len(now) > 0 || url == clusterURL) {
-			sub.sent, sub.namesChanged = now, false
+		if changed := sub.namesChanged || !maps.Equal(current, sub.sent); changed && (len(current) > 0 || url == clusterURL) {
+			sub.sent, sub.namesChanged = current, false
 			sub.nonce = s.plane.newNonce(url, len(messages))
 			response.Nonce = sub.nonce
 			messages = append(messages, response)
@@ -57,7 +57,7 @@
 	return messages
 }
 
-// send sends a response; messages of the other variant are left out.
+// send sends a response. It skips raw messages of the other protocol variant.
 func (s *fullStream) send(m proto.Message) error {
 	r, ok := m.(*discovery.DiscoveryResponse)
 	if !ok {
--- a/internal/fakeserver/resources.go
+++ b/internal/fakeserver/resources.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// The type URLs of resources.
+// Type URLs of resources.
 const (
 	typePrefix  = "type.googleapis.com/"
 	clusterURL  = typePrefix + "envoy.config.cluster.v3.Cluster"
@@ -20,17 +20,17 @@
 	secretURL   = typePrefix + "envoy.extensions.transport_sockets.tls.v3.Secret"
 )
 
-// resourceTypes are in the order in which they are sent: clusters before their endpoints.
+// resourceTypes are the resource types in the order of sending: clusters before their endpoints.
 var resourceTypes = [...]string{clusterURL, endpointURL}
 
-// resources returns the resources of a type by name.
+// resources returns the resources of a type, keyed by name.
 func (p *ControlPlane) resources(url string) map[string]*anypb.Any {
 	resources := map[string]*anypb.Any{}
 	for name, endpoints := range p.clusters {
 		switch {
 		case url == clusterURL:
 			resources[name] = PackAny(edsCluster(name))
-		case !p.hidden[name]:
+		case !p.hiddenClusters[name]:
 			resources[name] = PackAny(LoadAssignment(name, endpoints))
 		}
 	}
@@ -43,16 +43,16 @@
 		EdsClusterConfig: &cluster.Cluster_EdsClusterConfig{EdsConfig: ads}}
 }
 
-// PackAny packs a message.
+// PackAny packs a message into an Any, with deterministic encoding.
 func PackAny(m proto.Message) *anypb.Any {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // our own message
+		panic(err) // cannot fail: the messages are built by tests and by this package
 	}
 	return &anypb.Any{TypeUrl: typePrefix + string(m.ProtoReflect().Descriptor().FullName()), Value: b}
 }
 
-// LoadAssignment returns a cluster's endpoints in the protocol's form, a locality each.
+// LoadAssignment returns a cluster's endpoints as an xDS resource, each endpoint in a locality of its own.
 func LoadAssignment(name string, endpoints []Endpoint) *endpoint.ClusterLoadAssignment {
 	assignment := &endpoint.ClusterLoadAssignment{ClusterName: name}
 	for _, e := range endpoints {
--- a/internal/fakeserver/secretservice.go
+++ b/internal/fakeserver/secretservice.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc"
 )
 
-// SecretService is a secret discovery service (SDS) for tests, state of the world.
+// SecretService is a secret discovery service (SDS) for tests. It serves the state-of-the-world variant only.
 type SecretService struct {
 	secret.UnimplementedSecretDiscoveryServiceServer
 	server  *grpc.Server
@@ -24,40 +24,40 @@
 	mu      sync.Mutex
 	secrets map[string]*tls.Secret
 	version int
-	wake    chan struct{}
+	changed chan struct{}
 	acks    int
 	nacks   []string
 }
 
-// NewSecretService starts one on loopback.
+// NewSecretService starts a secret service on loopback.
 func NewSecretService() (*SecretService, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	s := &SecretService{server: grpc.NewServer(), address: listener.Addr().String(), secrets: map[string]*tls.Secret{},
-		wake: make(chan struct{})}
+		changed: make(chan struct{})}
 	secret.RegisterSecretDiscoveryServiceServer(s.server, s)
 	s.serving.Go(func() { s.server.Serve(listener) })
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the service listens on.
 func (s *SecretService) Address() string { return s.address }
 
-// Stop ends it and waits for its goroutines.
+// Stop stops the service and waits for its goroutines.
 func (s *SecretService) Stop() {
 	s.server.Stop()
 	s.serving.Wait()
 }
 
-// SetCertificate sends a certificate and its key, PEM, under a name.
+// SetCertificate publishes a certificate chain and its key (PEM) as the named secret.
 func (s *SecretService) SetCertificate(name string, chain, key []byte) {
 	certificate := &tls.TlsCertificate{CertificateChain: inlineBytes(chain), PrivateKey: inlineBytes(key)}
 	s.set(&tls.Secret{Name: name, Type: &tls.Secret_TlsCertificate{TlsCertificate: certificate}})
 }
 
-// SetValidationContext sends certificate authorities and their lists of revoked certificates (nil: none), PEM, under a name.
+// SetValidationContext publishes certificate authorities and revocation lists (PEM; nil: none) as the named secret.
 func (s *SecretService) SetValidationContext(name string, authorities, revoked []byte) {
 	c := &tls.CertificateValidationContext{TrustedCa: inlineBytes(authorities)}
 	if revoked != nil {
@@ -75,25 +75,25 @@
 	defer s.mu.Unlock()
 	s.secrets[x.Name] = x
 	s.version++
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Counts returns how many acknowledgements there were, and the reasons of negative acknowledgements.
+// Counts returns the number of acknowledgements so far and the error messages of negative acknowledgements.
 func (s *SecretService) Counts() (acks int, nacks []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.acks, slices.Clone(s.nacks)
 }
 
-// StreamSecrets serves the state of the world.
+// StreamSecrets implements the state-of-the-world stream.
 func (s *SecretService) StreamSecrets(stream secret.SecretDiscoveryService_StreamSecretsServer) error {
 	requests := receiveAll(stream.Context(), stream.Recv)
 	var names []string
-	const none = -1
-	sent := none
+	const noVersion = -1
+	sent := noVersion
 	for {
-		response, version, wake := s.response(names)
+		response, version, changed := s.response(names)
 		if version != sent && len(response.Resources) > 0 {
 			sent = version
 			if err := stream.Send(response); err != nil {
@@ -106,14 +106,14 @@
 				return nil
 			}
 			names = request.ResourceNames
-			s.countAnswer(request)
-		case <-wake:
+			s.countAck(request)
+		case <-changed:
 		}
 	}
 }
 
-// response returns the secrets of these names as they are now, their version, and what is closed at the next change.
-func (s *SecretService) response(names []string) (response *discovery.DiscoveryResponse, version int, wake <-chan struct{}) {
+// response returns the current secrets with the given names, their version, and a channel that is closed at the next change.
+func (s *SecretService) response(names []string) (response *discovery.DiscoveryResponse, version int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	response = &discovery.DiscoveryResponse{TypeUrl: secretURL, VersionInfo: strconv.Itoa(s.version), Nonce: fmt.Sprint("n", s.version)}
@@ -122,10 +122,10 @@
 			response.Resources = append(response.Resources, PackAny(x))
 		}
 	}
-	return response, s.version, s.wake
+	return response, s.version, s.changed
 }
 
-func (s *SecretService) countAnswer(request *discovery.DiscoveryRequest) {
+func (s *SecretService) countAck(request *discovery.DiscoveryRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if request.ErrorDetail != nil {
--- a/internal/fakeserver/serve.go
+++ b/internal/fakeserver/serve.go
@@ -18,7 +18,7 @@
 	"hollymast/kserve"
 )
 
-// serveConn answers a connection's requests until either side ends it.
+// serveConn serves a connection until either side closes it.
 func (s *Server) serveConn(incarnation context.Context, accepted net.Conn) {
 	defer func() {
 		s.mu.Lock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// handle answers one request; nil breaks the connection.
+// handle returns the response to a request; nil means that the connection is to be broken.
 func (s *Server) handle(incarnation context.Context, request *rest.Request) *rest.Response {
 	call, err := kserve.ReadTarget(request.Method, request.Target)
 	if err != nil {
@@ -69,34 +69,35 @@
 	return s.newResponse(http.StatusOK, []byte(`{"live":true,"ready":true}`))
 }
 
-// cacheStatusWords are the public interface's words for what a request found.
-var cacheStatusWords = map[control.CacheStatus]string{control.CacheHit: "warm", control.CacheMiss: "began", control.CacheLoading: "joined"}
+// cacheStatusNames are the values of the response parameter "found".
+var cacheStatusNames = map[control.CacheStatus]string{control.CacheHit: "warm", control.CacheMiss: "began", control.CacheLoading: "joined"}
 
 func (s *Server) infer(incarnation context.Context, call kserve.Call, request *rest.Request) *rest.Response {
 	fields := gjson.GetManyBytes(request.Body, "id", "parameters.effect")
 	attempt := modelserver.Request{ID: fields[0].Str, Effect: fields[1].Str, Router: routerNumber(request), Function: call.Model,
 		IdempotencyKey: request.Header.Get(kserve.RepeatMark)}
-	r := s.await(incarnation, func(respond func(modelserver.Response)) { s.model.Infer(attempt, respond) })
+	r := s.runExchange(incarnation, func(respond func(modelserver.Response)) { s.model.Infer(attempt, respond) })
 	if r.Result != modelserver.Succeeded {
-		return failure(r)
+		return errorResponse(r)
 	}
-	body := fmt.Appendf(nil, `{"model_name":"m","id":%q,"parameters":{"found":%q},"outputs":[]}`, attempt.ID, cacheStatusWords[r.CacheStatus])
+	body := fmt.Appendf(nil, `{"model_name":"m","id":%q,"parameters":{"found":%q},"outputs":[]}`, attempt.ID, cacheStatusNames[r.CacheStatus])
 	return newResponse(http.StatusOK, body, r.LoadReport)
 }
 
 func (s *Server) load(incarnation context.Context, call kserve.Call, request *rest.Request) *rest.Response {
 	replicas := int(gjson.GetBytes(request.Body, "parameters.copies").Int())
-	r := s.await(incarnation, func(respond func(modelserver.Response)) {
+	r := s.runExchange(incarnation, func(respond func(modelserver.Response)) {
 		s.model.Load(call.Model, replicas, routerNumber(request), respond)
 	})
 	if r.Result != modelserver.Succeeded {
-		return failure(r)
+		return errorResponse(r)
 	}
 	return newResponse(http.StatusOK, kserve.LoadBody(r.Replicas), r.LoadReport)
 }
 
-// await begins an exchange with the model and waits for its end; a server that is killed before resets the connection.
-func (s *Server) await(incarnation context.Context, begin func(respond func(modelserver.Response))) modelserver.Response {
+// runExchange starts an exchange with the simulated server and waits for its end. If the server is killed first, the result is
+// ConnectionReset.
+func (s *Server) runExchange(incarnation context.Context, start func(respond func(modelserver.Response))) modelserver.Response {
 	reset := modelserver.Response{Result: modelserver.ConnectionReset}
 	ended := make(chan modelserver.Response, 1)
 	s.mu.Lock()
@@ -104,7 +105,7 @@
 		s.mu.Unlock()
 		return reset
 	}
-	begin(func(r modelserver.Response) { ended <- r })
+	start(func(r modelserver.Response) { ended <- r })
 	crashed := !s.model.Alive()
 	s.mu.Unlock()
 	if crashed {
@@ -118,8 +119,8 @@
 	}
 }
 
-// failure answers an exchange that did not succeed; nil breaks the connection.
-func failure(r modelserver.Response) *rest.Response {
+// errorResponse returns the response to an exchange that failed; nil means that the connection is to be broken.
+func errorResponse(r modelserver.Response) *rest.Response {
 	status := http.StatusServiceUnavailable
 	switch r.Result {
 	case modelserver.ConnectionReset:
@@ -130,7 +131,7 @@
 	return newResponse(status, kserve.Fault{Error: r.Reason}.Body(), r.LoadReport)
 }
 
-// index lists the functions, as the model repository extension has it.
+// index returns the body of a repository index response (model repository extension).
 func (s *Server) index() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,18 +143,18 @@
 		}
 		list = append(list, kserve.Standing{Name: f.Name, State: state})
 	}
-	b, _ := json.Marshal(list) // plain strings: can't fail
+	b, _ := json.Marshal(list) // cannot fail: only strings
 	return b
 }
 
-// routerNumber reads the number of the router that sent a request from the end of its Via header; 0 where there is none.
+// routerNumber returns the number of the router that sent a request, taken from the end of its Via header; 0 if there is none.
 func routerNumber(request *rest.Request) int {
 	via := request.Header.Get("Via")
 	n, _ := strconv.Atoi(via[strings.LastIndexByte(via, '-')+1:])
 	return n
 }
 
-// newResponse builds a response with the load report as it is now.
+// newResponse builds a response with the server's current load report.
 func (s *Server) newResponse(status int, body []byte) *rest.Response {
 	s.mu.Lock()
 	report := s.model.LoadReport()
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -11,22 +11,22 @@
 	"hollymast/internal/modelserver"
 )
 
-// Server is one model server on a loopback socket; Stop and Start make it crash and come back empty.
+// Server is a model server on a loopback socket. Stop makes it crash; Start brings it back with no functions loaded.
 type Server struct {
 	config Config
 	log    *invariant.Log
 
-	mu        sync.Mutex
-	model     *modelserver.Server
-	listener  net.Listener
-	address   string
-	end       context.CancelFunc // of the context that each incarnation's goroutines run under
-	conns     map[net.Conn]bool
-	startedAt time.Time
-	wg        sync.WaitGroup // the goroutines that accept and serve connections
+	mu         sync.Mutex
+	model      *modelserver.Server
+	listener   net.Listener
+	address    string
+	cancel     context.CancelFunc // ends the current incarnation: cancels the context of its goroutines
+	conns      map[net.Conn]bool
+	startedAt  time.Time
+	goroutines sync.WaitGroup // those that accept and serve connections
 }
 
-// New returns a server that is not started. Its first start chooses its address, later ones keep it.
+// New returns a server that is not started. The first start chooses a free port; later ones reuse the address.
 func New(config Config, store *Store, log *invariant.Log) *Server {
 	s := &Server{config: config, log: log}
 	clock := lockedClock{time.Now(), &s.mu}
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Start listens. Its error is that of the listener.
+// Start starts an incarnation of the server. It returns an error if the server cannot listen.
 func (s *Server) Start(mode StartMode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,11 +43,11 @@
 		return err
 	}
 	s.listener, s.address = listener, listener.Addr().String()
-	incarnation, end := context.WithCancel(context.Background())
-	s.end = end
+	incarnation, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
 	s.conns, s.startedAt = map[net.Conn]bool{}, time.Now()
 	s.model.Start(mode)
-	s.wg.Go(func() { s.acceptAll(incarnation, listener) })
+	s.goroutines.Go(func() { s.acceptAll(incarnation, listener) })
 	return nil
 }
 
@@ -62,11 +62,11 @@
 			conn.Close()
 			return
 		}
-		s.wg.Go(func() { s.serveConn(incarnation, conn) })
+		s.goroutines.Go(func() { s.serveConn(incarnation, conn) })
 	}
 }
 
-// track notes a connection to break when the server is killed; false where it has been already.
+// track registers a connection to be reset when the server is killed. It returns false if the incarnation has ended already.
 func (s *Server) track(incarnation context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,37 +77,37 @@
 	return true
 }
 
-// Stop kills the server: connections break, replicas and idempotency keys are gone. It waits for all of its goroutines.
+// Stop kills the server: its connections are reset, replicas and idempotency keys are lost. It waits for the server's goroutines.
 func (s *Server) Stop() {
 	s.kill()
-	s.wg.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.end == nil {
+	if s.cancel == nil {
 		return
 	}
-	s.end()
+	s.cancel()
 	s.model.Kill()
 	s.listener.Close()
 	for conn := range s.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // as a process that crashed: a reset, not an orderly end
+			tcp.SetLinger(0) // reset the connection, as the crash of a process does, instead of closing it normally
 		}
 		conn.Close()
 	}
 }
 
-// Address is where it listens, or did.
+// Address returns the address that the server listens on, or listened on before it was stopped.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// StartedAt returns when it last started, and how.
+// StartedAt returns when and how the server last started.
 func (s *Server) StartedAt() (at time.Time, mode StartMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 	return s.startedAt, mode
 }
 
-// SetFaults has it fail in these ways from now on, until they are set again or it restarts.
+// SetFaults replaces the injected faults. A restart clears them.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakeserver/server_test.go
+++ b/internal/fakeserver/server_test.go
@@ -14,11 +14,11 @@
 	"hollymast/kserve"
 )
 
-func startServer(t *testing.T, mode StartMode, change func(*Config)) *Server {
+func startServer(t *testing.T, mode StartMode, configure func(*Config)) *Server {
 	t.Helper()
 	config := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxConcurrentLoads: 2,
 		DedupWindow: time.Second, SlowStartDuration: time.Minute, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1000}
-	change(&config)
+	configure(&config)
 	s := New(config, NewStore(time.Millisecond, 2), invariant.NewLog())
 	if err := s.Start(mode); err != nil {
 		t.Fatal(err)
@@ -27,19 +27,19 @@
 	return s
 }
 
-// post sends one request; the status is 0 where the connection broke.
+// post sends one request; the returned status is 0 if the connection failed.
 func post(t *testing.T, s *Server, target, key, body string) (int, string) {
-	c, err := rest.Dial(context.Background(), s.Address(), &rest.DefaultLimits)
+	conn, err := rest.Dial(context.Background(), s.Address(), &rest.DefaultLimits)
 	if err != nil {
 		return 0, ""
 	}
-	defer c.Close()
-	p, _, err := c.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.RepeatMark: {key}},
+	defer conn.Close()
+	response, _, err := conn.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.RepeatMark: {key}},
 		Body: []byte(body)}, time.Now().Add(5*time.Second))
 	if err != nil {
 		return 0, ""
 	}
-	return p.Status, string(p.Body)
+	return response.Status, string(response.Body)
 }
 
 func infer(t *testing.T, s *Server, model, key string) (int, string) {
@@ -47,9 +47,9 @@
 	return status, gjson.Get(body, "parameters.found").Str
 }
 
-func countRecords(s *Server, k invariant.Kind) (n int) {
+func countRecords(s *Server, kind invariant.Kind) (n int) {
 	for _, r := range s.log.Records() {
-		if r.Kind == k {
+		if r.Kind == kind {
 			n++
 		}
 	}
@@ -59,17 +59,17 @@
 func TestLoadsRetriesAndMemory(t *testing.T) {
 	s := startServer(t, FullCapacity, func(*Config) {})
 	for i, want := range []struct{ model, key, found string }{{"a", "1", "began"}, {"a", "2", "warm"}, {"a", "1", "warm"}, {"b", "3", "began"},
-		{"c", "4", "began"}, {"a", "5", "began"}} { // two replicas fit: a was evicted
+		{"c", "4", "began"}, {"a", "5", "began"}} { // only two replicas fit: loading c evicted a
 		if status, found := infer(t, s, want.model, want.key); status != 200 || found != want.found {
 			t.Errorf("%d: got %d %q, want %q", i, status, found, want.found)
 		}
 	}
-	if b, d := countRecords(s, invariant.AttemptStarted), countRecords(s, invariant.AttemptDeduplicated); b != 5 || d != 1 {
-		t.Errorf("%d ran, %d dropped", b, d)
+	if started, deduplicated := countRecords(s, invariant.AttemptStarted), countRecords(s, invariant.AttemptDeduplicated); started != 5 || deduplicated != 1 {
+		t.Errorf("%d requests ran, %d were deduplicated", started, deduplicated)
 	}
 }
 
-// A replica that was used just now stays, and what would need its room is rejected.
+// A recently used replica is not evicted; a request that would need its memory is rejected.
 func TestIdleReplicasAreKeptAlive(t *testing.T) {
 	s := startServer(t, FullCapacity, func(c *Config) { c.KeepAlive = time.Minute })
 	for i, c := range []struct {
@@ -86,34 +86,34 @@
 	s := startServer(t, FullCapacity, func(*Config) {})
 	infer(t, s, "a", "0")
 	for i, c := range []struct {
-		f             Faults
-		status, began int
+		faults          Faults
+		status, started int
 	}{{Faults{ResetBefore: 1}, 0, 0}, {Faults{ResetAfter: 1}, 0, 1}, {Faults{Overloaded: true}, 503, 0}, {Faults{Slowdown: 3}, 200, 1}} {
 		before := countRecords(s, invariant.AttemptStarted)
-		s.SetFaults(c.f)
-		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || countRecords(s, invariant.AttemptStarted)-before != c.began {
-			t.Errorf("%+v: got %d, %d ran", c.f, status, countRecords(s, invariant.AttemptStarted)-before)
+		s.SetFaults(c.faults)
+		if status, _ := infer(t, s, "a", fmt.Sprint("f", i)); status != c.status || countRecords(s, invariant.AttemptStarted)-before != c.started {
+			t.Errorf("%+v: got status %d, %d requests ran", c.faults, status, countRecords(s, invariant.AttemptStarted)-before)
 		}
 	}
 }
 
 func TestServerInSlowStartCrashesWhenOverloaded(t *testing.T) {
-	s := startServer(t, SlowStart, func(c *Config) { c.OverloadRate = 12 }) // 3 a second at its start
+	s := startServer(t, SlowStart, func(c *Config) { c.OverloadRate = 12 }) // at the start of slow start, 3 requests per second are tolerated
 	for i := range 4 {
 		infer(t, s, "a", fmt.Sprint(i))
 	}
 	if countRecords(s, invariant.ServerCollapsed) != 1 {
-		t.Error("it did not crash")
+		t.Error("the server did not crash")
 	}
 	if status, _ := infer(t, s, "a", "9"); status != 0 {
-		t.Errorf("it answers %d after its crash", status)
+		t.Errorf("the server answers with status %d after its crash", status)
 	}
 }
 
 func TestLoadCommands(t *testing.T) {
 	s := startServer(t, FullCapacity, func(c *Config) { c.LoadCommandsOnly = true })
 	if status, _ := infer(t, s, "a", "1"); status != 404 {
-		t.Errorf("missing: got %d", status)
+		t.Errorf("function that is not loaded: got status %d", status)
 	}
 	for _, want := range []struct{ n, status, loaded int }{{1, 200, 1}, {2, 200, 2}, {1, 200, 2}, {3, 503, 0}} {
 		status, body := post(t, s, "/v2/repository/models/a/load", "", string(kserve.LoadBody(want.n)))
@@ -122,7 +122,7 @@
 		}
 	}
 	if status, found := infer(t, s, "a", "2"); status != 200 || found != "warm" {
-		t.Errorf("got %d %q", status, found)
+		t.Errorf("loaded function: got status %d, %q", status, found)
 	}
 }
 
@@ -136,9 +136,9 @@
 	platformtest.WaitFor(t, "the request to run", func() bool { return countRecords(s, invariant.AttemptStarted) > 0 })
 	s.Stop()
 	if status := <-done; status != 0 {
-		t.Errorf("got %d", status)
+		t.Errorf("request in flight at the stop: got status %d", status)
 	}
 	if err := s.Start(SlowStart); err != nil || string(s.index()) != "[]" {
-		t.Errorf("%v, %s", err, s.index())
+		t.Errorf("restart: error %v, functions %s", err, s.index())
 	}
 }
--- a/internal/fakeserver/store.go
+++ b/internal/fakeserver/store.go
@@ -9,16 +9,16 @@
 	"hollymast/internal/modelserver"
 )
 
-// lockedClock is the machine's clock; what falls due runs under a lock.
+// lockedClock is a real clock whose timers run under a lock.
 type lockedClock struct {
-	base time.Time
-	mu   *sync.Mutex
+	startedAt time.Time
+	mu        *sync.Mutex
 }
 
-// Now is the time since the clock was made.
-func (c lockedClock) Now() control.Micros { return micros(time.Since(c.base)) }
+// Now returns the time since the clock was created.
+func (c lockedClock) Now() control.Micros { return micros(time.Since(c.startedAt)) }
 
-// After has f called after a span, under the lock.
+// After calls f after a delay, with the lock held.
 func (c lockedClock) After(d control.Micros, f func()) {
 	time.AfterFunc(time.Duration(d)*time.Microsecond, func() {
 		c.mu.Lock()
@@ -27,40 +27,40 @@
 	})
 }
 
-// Store is the one source of all functions, which servers share.
+// Store is the store that all functions are fetched from; servers share it.
 type Store struct {
 	mu    sync.Mutex
 	model *modelserver.Store
 }
 
-// NewStore returns a store that serves some fetches at once.
+// NewStore returns a store that serves up to concurrent fetches at once.
 func NewStore(fetchTime time.Duration, concurrent int) *Store {
 	s := &Store{}
 	s.model = modelserver.NewStore(lockedClock{time.Now(), &s.mu}, micros(fetchTime), concurrent)
 	return s
 }
 
-// Degrade multiplies the time of fetches from the next one to begin, and closes or opens the store.
+// Degrade multiplies the duration of fetches that start from now on, and closes or opens the store.
 func (s *Store) Degrade(slowdown float64, state modelserver.StoreState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.Degrade(slowdown, state)
 }
 
-// source is a store as one server's model sees it.
+// source gives the simulation of one server access to a store.
 type source struct {
 	store *Store
-	clock lockedClock // the server's
+	clock lockedClock // of the server
 }
 
-// Fetch is called under the server's lock. The store's lock is always taken after a server's, never before one.
+// Fetch is called with the server's lock held. To avoid deadlock, the store's lock is only taken after a server's, never before.
 func (s source) Fetch(done func()) {
 	s.store.mu.Lock()
 	defer s.store.mu.Unlock()
 	s.store.model.Fetch(func() { s.clock.After(0, done) })
 }
 
-// Sleep waits for a duration; it returns the context's error where that ends before.
+// Sleep waits for a duration, or returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fakeserver/streams.go
+++ b/internal/fakeserver/streams.go
@@ -11,19 +11,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// errDropped ends streams that DropStreams drops.
+// errDropped ends the streams that DropStreams drops. Clients receive its text.
 var errDropped = errors.New("cut")
 
-// subscription is what one stream asked for of one type, and what it was sent.
+// subscription is the state of one resource type on one stream.
 type subscription struct {
 	active       bool
-	names        map[string]bool   // of clusters: empty means all
-	sent         map[string]string // resources by name, as bytes
+	names        map[string]bool   // resource names asked for; ignored for clusters, which are all sent
+	sent         map[string]string // resources by name, as encoded bytes
 	nonce        string
-	namesChanged bool // an answer is due even where nothing else changed
+	namesChanged bool // a response is due even if no resource has changed
 }
 
-// subscriptions are a stream's, by type URL.
+// subscriptions are the subscriptions of a stream, keyed by type URL.
 type subscriptions map[string]*subscription
 
 func newSubscriptions() subscriptions {
@@ -34,24 +34,25 @@
 	return s
 }
 
-// stream is one variant of the protocol. Its methods but send are called with the control plane's lock held.
+// stream is a stream of one protocol variant. All methods except send are called with the control plane's lock held.
 type stream[Request any] interface {
 	handle(Request)
 	pending() []proto.Message
 	send(proto.Message) error
 }
 
-// StreamAggregatedResources serves the state of the world.
+// StreamAggregatedResources implements the state-of-the-world variant.
 func (p *ControlPlane) StreamAggregatedResources(s discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	return serveStream(s.Context(), p, receiveAll(s.Context(), s.Recv), &fullStream{p, s, newSubscriptions()})
 }
 
-// DeltaAggregatedResources serves changes.
+// DeltaAggregatedResources implements the incremental variant.
 func (p *ControlPlane) DeltaAggregatedResources(s discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	return serveStream(s.Context(), p, receiveAll(s.Context(), s.Recv), &deltaStream{p, s, newSubscriptions()})
 }
 
-// receiveAll hands on what a stream receives until it ends. Its goroutine ends with the stream's handler, whose context ends then.
+// receiveAll returns a channel of the messages that a stream receives; it is closed when the stream ends. The goroutine exits at
+// the latest when the stream's handler returns, which ends the context.
 func receiveAll[T any](ctx context.Context, receive func() (T, error)) <-chan T {
 	out := make(chan T)
 	go func() {
@@ -71,19 +72,19 @@
 	return out
 }
 
-// serveStream sends what is pending and then waits for a request or a change, until the stream ends.
+// serveStream sends pending messages and then waits for a request or a change, until the stream ends.
 func serveStream[Request any](ctx context.Context, p *ControlPlane, requests <-chan Request, s stream[Request]) error {
 	p.mu.Lock()
 	p.streams++
-	drop, raw := p.drop, len(p.raw)
+	dropped, rawSent := p.dropped, len(p.rawMessages)
 	p.mu.Unlock()
 	for {
 		p.mu.Lock()
-		wake, delay := p.wake, p.delay
+		changed, delay := p.changed, p.delay
 		messages := s.pending()
 		if !p.stalled {
-			messages = append(messages, p.raw[raw:]...)
-			raw = len(p.raw)
+			messages = append(messages, p.rawMessages[rawSent:]...)
+			rawSent = len(p.rawMessages)
 		}
 		p.mu.Unlock()
 		if len(messages) > 0 && Sleep(ctx, delay) != nil {
@@ -95,7 +96,7 @@
 			}
 		}
 		select {
-		case <-drop:
+		case <-dropped:
 			return errDropped
 		default:
 		}
@@ -107,22 +108,22 @@
 			p.mu.Lock()
 			s.handle(r)
 			p.mu.Unlock()
-		case <-wake:
+		case <-changed:
 		}
 	}
 }
 
-// countAnswer counts a request that acknowledges a response, or refuses it.
-func (p *ControlPlane) countAnswer(nonce string, refusal *status.Status) {
+// countAck counts a request that acknowledges a response, positively or negatively.
+func (p *ControlPlane) countAck(nonce string, nack *status.Status) {
 	switch {
-	case refusal != nil:
-		p.nacks = append(p.nacks, refusal.Message)
+	case nack != nil:
+		p.nacks = append(p.nacks, nack.Message)
 	case nonce != "":
 		p.acks++
 	}
 }
 
-// newNonce returns a nonce that no other response has.
+// newNonce returns a nonce that is unique among responses.
 func (p *ControlPlane) newNonce(url string, response int) string {
 	return fmt.Sprint(url[len(url)-3:], p.changes, response, time.Now().UnixNano())
 }
