--- a/internal/soak/answerfaults.go
+++ b/internal/soak/answerfaults.go
@@ -9,7 +9,7 @@
 type responseFault uint8
 
 const (
-	responseLost responseFault = iota
+	responseLost responseFault = iota // nothing is sent
 	responseCorrupted
 	responseDuplicated
 	responseDelayed
--- a/internal/soak/execution.go
+++ b/internal/soak/execution.go
@@ -94,7 +94,8 @@
 	})
 }
 
-// evict unloads the least recently used idle function if the server holds as many as it can. The lock is held.
+// evict unloads the least recently used idle function if the server holds MaxLoadedFunctions. If none is idle, it unloads nothing.
+// The lock is held.
 func (s *modelServer) evict() {
 	if len(s.functions) < s.run.scenario.MaxLoadedFunctions {
 		return
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -43,7 +43,7 @@
 	queue          []*execution
 	recentArrivals []arrival // during slow start: arrivals within the overload window
 	announcedAt    time.Time // when this incarnation was announced as ready; zero: not yet
-	drainDeadline  time.Time // end of the grace period of an announced drain, after which no new requests may arrive; zero: not draining
+	drainDeadline  time.Time // of an announced drain: nothing new may arrive later, grace period included; zero: not draining
 	hung           bool
 	withheld       []func()
 }
--- a/internal/soak/modelserver_test.go
+++ b/internal/soak/modelserver_test.go
@@ -8,8 +8,8 @@
 // A server in slow start collapses at the first request beyond what it tolerates. That is a violation if the server's start had been
 // announced before most of the requests arrived, and none if it had not.
 func TestServerCollapsesInSlowStart(t *testing.T) {
-	scenario := &Scenario{MeanExecutionTime: 50 * time.Millisecond, Cores: 2, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second,
-		OverloadFactor: 4, Functions: 1, ServerIdleTimeout: time.Second}
+	scenario := &Scenario{MeanExecutionTime: 50 * time.Millisecond, Cores: 2, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.25,
+		OverloadWindow: time.Second, OverloadFactor: 4, Functions: 1, ServerIdleTimeout: time.Second}
 	const wantTolerated = 82 // budget N = 4 x (0.25 + 0.75 x 0.2) x 40 = 64 at an age of 2 s, plus 2 x sqrt(N) + 2 = 18 for random variation
 	for announced, wantViolations := range map[bool]int{true: 1, false: 0} {
 		lag := &lagMeter{}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -107,7 +107,8 @@
 		return nil, fmt.Errorf("seed %d (logs in %s): %w", s.Seed, r.dir, err)
 	}
 	r.ledger.checkResponses()
-	result := &Result{Counts: r.ledger.count(), Scenario: s, Violations: r.ledger.violations, Collapses: int(r.collapses.Load()), MaxLag: lag.max(), LogDir: r.dir}
+	result := &Result{Counts: r.ledger.count(), Scenario: s, Violations: r.ledger.violations, Collapses: int(r.collapses.Load()),
+		MaxLag: lag.max(), LogDir: r.dir}
 	if result.Passed() {
 		result.LogDir = ""
 		return result, os.RemoveAll(r.dir)
@@ -229,7 +230,8 @@
 	if random.Float64() < r.scenario.ShortDeadlineShare {
 		timeout = max(time.Millisecond, time.Duration(0.2*random.Float64()*float64(timeout)))
 	}
-	return requestParams{class: class, timeout: timeout.Round(time.Millisecond), function: functionID(function), key: fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()),
+	return requestParams{class: class, timeout: timeout.Round(time.Millisecond), function: functionID(function),
+		key:  fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()),
 		work: time.Duration(float64(r.scenario.MeanExecutionTime) * r.relativeWork[function] * factor)}
 }
 
@@ -306,7 +308,7 @@
 	if len(ready) == 0 {
 		return nil
 	}
-	// the exponent skews the choice: some routers get several times the mean
+	// The exponent skews the choice, so that some routers get several times the mean.
 	return ready[int(float64(len(ready))*math.Pow(random.Float64(), 1.5))]
 }
 
