--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -77,7 +77,7 @@
 			switch {
 			case err == nil:
 				o.answered++
-			case progress >= rest.WrittenWhole:
+			case progress >= rest.FullyWritten:
 				o.unanswered = append(o.unanswered, fmt.Sprintf("after %v: %v", time.Since(sentAt).Round(time.Millisecond), err))
 			}
 			if err != nil || response.Close {
--- a/cmd/hollymast/serve.go
+++ b/cmd/hollymast/serve.go
@@ -48,7 +48,7 @@
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
-	log.Info().Str("listen", g.Address()).Str("admin", g.AdminAddress()).Int("number", config.Deployment.Number).
+	log.Info().Str("listen", g.Address()).Str("admin", g.AdminAddress()).Int("number", config.Deployment.RouterIndex).
 		Int("routers", config.Deployment.Routers).Msg("serving")
 	return g.Serve(ctx)
 }
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -10,8 +10,8 @@
 func deployment() Deployment {
 	return Deployment{Routers: 1, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
 		SlowStartInitial: 0.25, SlowStartDuration: 10 * second,
-		OverloadWindow: second, OverloadFactor: 4, KeepAlive: 10 * second, LoadCommands: true, LoadsOnMiss: true,
-		Classes: []Class{{LatencyObjective: second, Window: 5 * second}}}
+		OverloadWindow: second, OverloadFactor: 4, KeepAlive: 10 * second, SupportsLoadCommands: true, LoadsOnMiss: true,
+		Classes: []Class{{LatencyObjective: second, DedupWindow: 5 * second}}}
 }
 
 // fleet returns a balancer that knows n healthy servers, numbered from 1, all started long ago.
@@ -27,7 +27,7 @@
 
 // newJob returns a request with 100 ms of work for function 7 and a deadline 4 s ahead.
 func newJob(id RequestID) *Request {
-	return &Request{ID: id, Function: 7, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
+	return &Request{ID: id, Function: 7, Lanes: 2, ExecTimeHint: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
 // stands gives a server a loaded replica of function 7 with the given number of our attempts in flight there.
@@ -246,8 +246,8 @@
 func TestFurtherExecutions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect Effect
-		scope  Scope
+		effect Idempotency
+		scope  DedupScope
 		ago    Micros
 		mayRun bool
 		want   Action
@@ -263,7 +263,7 @@
 		{"fingerprinted, copy in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
 	} {
 		config := deployment()
-		config.Classes[0].Effect, config.Classes[0].Scope = c.effect, c.scope
+		config.Classes[0].Idempotency, config.Classes[0].DedupScope = c.effect, c.scope
 		r := fleet(config, 2)
 		stands(r, 2, 0)
 		if p := r.Route(at, sent(c.ago, c.mayRun)); p.Action != c.want || p.Server != c.server {
@@ -307,7 +307,7 @@
 	r.updateAnswerRate(at)
 	// 40 answers per second from 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 requests in a window of a second:
 	// 31.4.
-	r.deployment.Number = 2 // this router's turn for the fractional request is another one
+	r.deployment.RouterIndex = 2 // this router's turn for the fractional request is another one
 	for i := range 31 {
 		if !r.withinSlowStartBudget(at, cold) {
 			t.Fatalf("refused after %d", i)
@@ -323,7 +323,7 @@
 	let := 0
 	for number := range 200 {
 		config := deployment()
-		config.Routers, config.Number = 200, number
+		config.Routers, config.RouterIndex = 200, number
 		r := fleet(config, 2)
 		r.servers.at(1).StartedAt = at - second
 		r.rebuildIndex()
@@ -396,7 +396,7 @@
 		{"a client that marks none, where others do", true, true, 2 * second, at - 2*second},
 	} {
 		config := deployment()
-		config.MarksRetries, config.Classes[0].MaxDeadline = c.marks, 4*second
+		config.ClientsMarkRetries, config.Classes[0].MaxDeadline = c.marks, 4*second
 		r := fleet(config, 1)
 		for range 15 {
 			r.deadlines[0].add(at, 3*second)
@@ -413,7 +413,7 @@
 func TestExecutionTimeLeavesOutTheFarTail(t *testing.T) {
 	r := fleet(deployment(), 1)
 	req := newJob(1)
-	req.Work = 0
+	req.ExecTimeHint = 0
 	f := r.function(req)
 	for _, v := range []Micros{100_000, 120_000, 80_000, 100_000, 3 * second} {
 		f.execTimes.add(at, v)
@@ -460,7 +460,7 @@
 // Rule 1: a request that waits for a load that may not be commanded yet is rechecked in time, too.
 func TestWaitForAnOrderEndsBeforePatience(t *testing.T) {
 	config := deployment()
-	config.LoadsOnMiss, config.LoadCommands = false, false
+	config.LoadsOnMiss, config.SupportsLoadCommands = false, false
 	r := fleet(config, 1)
 	req := newJob(1)
 	req.Attempts = []Attempt{{Done: true}} // an attempt where other routers would have loaded it
@@ -492,7 +492,7 @@
 		homes := map[ServerID]int{}
 		for number := range 40 {
 			config := deployment()
-			config.Routers, config.Number = 40, number
+			config.Routers, config.RouterIndex = 40, number
 			r := fleet(config, 40)
 			f := r.function(newJob(1))
 			f.recent, r.recent, r.freshFor = recent, make([]*function, 100), 8*second
@@ -538,7 +538,7 @@
 		{second / 2, true, false, false}, // a first attempt, where retries are marked
 	} {
 		config := deployment()
-		config.Quotas, config.MarksRetries = []float64{10}, c.marks
+		config.Quotas, config.ClientsMarkRetries = []float64{10}, c.marks
 		r, got := fleet(config, 1), false
 		for range 30 { // 2 s of burst and one more are within the quota: 21
 			req := newJob(1)
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -8,8 +8,8 @@
 // replicas. The mean leaves out the far tail, so that a few heavy requests don't distort B. With too few samples it
 // uses those of the request's class.
 func (b *Balancer) execTime(f *function, req *Request) Micros {
-	if req.Work > 0 {
-		return req.Work
+	if req.ExecTimeHint > 0 {
+		return req.ExecTimeHint
 	}
 	const minSamples = 3 // a mean of fewer depends too much on single requests
 	s := &f.execTimes
@@ -28,8 +28,8 @@
 // loadTime estimates how long a load takes: the request's hint, else the mean of recent loads, else the latency
 // objective of the first class, else 0. The request may be nil.
 func (b *Balancer) loadTime(req *Request) Micros {
-	if req != nil && req.LoadTime > 0 {
-		return req.LoadTime
+	if req != nil && req.LoadTimeHint > 0 {
+		return req.LoadTimeHint
 	}
 	if recent := b.loadTimes.mean(0); recent != 0 || len(b.deployment.Classes) == 0 {
 		return recent
@@ -40,7 +40,7 @@
 // latencyObjective returns a request's latency objective, which may grow with its execution time.
 func (b *Balancer) latencyObjective(req *Request, exec Micros) Micros {
 	class := b.deployment.Classes[req.Class]
-	return class.LatencyObjective + Micros(class.ObjectivePerWork*float64(exec))
+	return class.LatencyObjective + Micros(class.ObjectivePerExecTime*float64(exec))
 }
 
 // samples is a ring of the latest measurements and their times.
--- a/control/fleetsize_test.go
+++ b/control/fleetsize_test.go
@@ -10,7 +10,7 @@
 // in flight.
 func sizedBalancer(servers int) *Balancer {
 	config := deployment()
-	config.Routers, config.Number = 300, 7
+	config.Routers, config.RouterIndex = 300, 7
 	config.Classes[0].MaxDeadline = 4 * second
 	r := New(0, 1, config)
 	list := make([]Endpoint, servers)
@@ -34,7 +34,7 @@
 }
 
 func sizedRequest(id RequestID, f FunctionID) *Request {
-	return &Request{ID: id, Function: f, Lanes: 2, Work: 100_000, ArrivedAt: at, Deadline: at + 4*second}
+	return &Request{ID: id, Function: f, Lanes: 2, ExecTimeHint: 100_000, ArrivedAt: at, Deadline: at + 4*second}
 }
 
 // routeMiss routes a request for a function without replicas and reports a cache miss for it.
--- a/control/homes.go
+++ b/control/homes.go
@@ -31,7 +31,7 @@
 
 // ownOrder returns the seed of this router's order of a function's homes.
 func (b *Balancer) ownOrder(f *function) uint64 {
-	return hash(uint64(f.id), uint64(b.deployment.Number)+1)
+	return hash(uint64(f.id), uint64(b.deployment.RouterIndex)+1)
 }
 
 func byOwnKey(a, b homeEntry) int {
--- a/control/loading.go
+++ b/control/loading.go
@@ -124,7 +124,7 @@
 		inst.loading, inst.loadingSince = 1, now
 		return b.forward(now, f, req, inst)
 	}
-	commanded := b.deployment.LoadCommands && b.loadCommandAllowed(now)
+	commanded := b.deployment.SupportsLoadCommands && b.loadCommandAllowed(now)
 	if !commanded && !b.deployment.LoadsOnMiss && len(req.Attempts) == 0 {
 		return b.forward(now, f, req, inst)
 	} else if !commanded {
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -10,7 +10,7 @@
 // next call, and the cancellations and log lines since the last one.
 func (b *Balancer) Maintain(now Micros) Maintenance {
 	m := Maintenance{Next: now + maintenanceInterval}
-	if b.deployment.EndpointsOnRequest && !b.subscribed {
+	if b.deployment.EndpointsNeedSubscription && !b.subscribed {
 		b.subscribed, m.SubscribeEndpoints = true, true
 	}
 	b.updateAnswerRate(now)
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -51,7 +51,7 @@
 
 func referenceMaintain(r *Balancer, now Micros) Maintenance {
 	up := Maintenance{Next: now + maintenanceInterval}
-	if r.deployment.EndpointsOnRequest && !r.subscribed {
+	if r.deployment.EndpointsNeedSubscription && !r.subscribed {
 		r.subscribed, up.SubscribeEndpoints = true, true
 	}
 	referenceUpdateAnswerRate(r, now)
@@ -244,7 +244,7 @@
 	part := float64(f.recent-1) / float64(max(32, len(r.recent)))
 	homes := cs[:min(len(cs), max(1, int(math.Ceil(2*part*float64(len(cs))))))]
 	for i, c := range homes {
-		homes[i].key = -math.Log(uniform(hash(uint64(f.id), uint64(r.deployment.Number)+1), uint64(c.server.Server))) / c.weight
+		homes[i].key = -math.Log(uniform(hash(uint64(f.id), uint64(r.deployment.RouterIndex)+1), uint64(c.server.Server))) / c.weight
 	}
 	slices.SortFunc(homes, byKey)
 	var best *server
@@ -299,12 +299,12 @@
 		requests: map[RequestID]*Request{}, outcomes: map[string]int{}}
 	config := deployment()
 	config.Routers = []int{1, 3, 300, 900}[seed%4]
-	config.Number, config.Zone, config.EndpointsOnRequest = d.chance.IntN(config.Routers), 1, true
+	config.RouterIndex, config.Zone, config.EndpointsNeedSubscription = d.chance.IntN(config.Routers), 1, true
 	if seed%8 >= 6 {
 		config.LoadsOnMiss, config.LoadRateWindow, config.LoadRateBase, config.LoadRatePerRequest = false, 5*second, 100, 1
 	}
-	config.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Effect: IdempotentByKey,
-		Scope: OneZone, Window: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Effect: NonIdempotent}}
+	config.Classes = []Class{{LatencyObjective: second, MaxDeadline: 8 * second}, {LatencyObjective: second / 2, MaxDeadline: 4 * second, Idempotency: IdempotentByKey,
+		DedupScope: OneZone, DedupWindow: 5 * second}, {LatencyObjective: second, MaxDeadline: 8 * second, Idempotency: NonIdempotent}}
 	d.r = New(0, seed, config)
 	var list []Endpoint
 	for range servers {
@@ -431,7 +431,7 @@
 			return fmt.Sprintf("function %d of %d: %+v", i, len(a.Functions), a.Functions[i])
 		}
 	}
-	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.FreshFor, a.ServerEvents, a.Cancellations)
+	return fmt.Sprintf("chance %d, rate %v, fresh %d, notes %q, recalls %v", a.Random, a.AnswerRate, a.ObservationTTL, a.ServerEvents, a.Cancellations)
 }
 
 func (d *days) listed(kind UpdateKind, list []Endpoint) {
@@ -683,7 +683,7 @@
 	slices.SortFunc(all, byKey)
 	want := all[:homes]
 	for i, c := range want {
-		own := hash(uint64(f.id), uint64(d.r.deployment.Number)+1)
+		own := hash(uint64(f.id), uint64(d.r.deployment.RouterIndex)+1)
 		want[i].key = -math.Log(uniform(own, uint64(c.server.Server))) / c.weight
 	}
 	slices.SortFunc(want, byKey)
@@ -706,7 +706,7 @@
 			continue
 		}
 		e := homeEntry{s.Server, rankKey(uint64(f.id), s.Server, max(0.1, s.Weight)),
-			rankKey(hash(uint64(f.id), uint64(d.r.deployment.Number)+1), s.Server, max(0.1, s.Weight))}
+			rankKey(hash(uint64(f.id), uint64(d.r.deployment.RouterIndex)+1), s.Server, max(0.1, s.Weight))}
 		if e.key < f.homes.bound {
 			keys, entries = append(keys, e.key), append(entries, e)
 		}
--- a/control/quota.go
+++ b/control/quota.go
@@ -16,7 +16,7 @@
 	debtUntil := max(now, b.quotaDebt[req.Tenant])
 	if debtUntil > now+2_000_000 { // clients are spread unevenly over routers and seconds
 		// First attempts are exempt where they can be told apart.
-		mayBeRetry := req.IsRetry || req.RetriesUnmarked || !b.deployment.MarksRetries
+		mayBeRetry := req.IsRetry || req.RetriesUnmarked || !b.deployment.ClientsMarkRetries
 		return mayBeRetry && req.Deadline-req.ArrivedAt < b.deployment.Classes[req.Class].LatencyObjective
 	}
 	b.quotaDebt[req.Tenant] = debtUntil +
@@ -32,7 +32,7 @@
 	usualTimeouts, timeout := &b.deadlines[req.Class], cmp.Or(req.Timeout, req.Deadline-now)
 	usualTimeouts.add(now, timeout)
 	// The 30 ms tolerate the time on the way here, a few milliseconds.
-	if (!b.deployment.MarksRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
+	if (!b.deployment.ClientsMarkRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
 		return min(req.ArrivedAt, req.Deadline-b.deployment.Classes[req.Class].MaxDeadline)
 	}
 	return req.ArrivedAt
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -242,7 +242,7 @@
 // restrictedToGroup reports whether a request's earlier attempts confine it to a zone or cell.
 func (b *Balancer) restrictedToGroup(req *Request) bool {
 	class := b.deployment.Classes[req.Class]
-	return class.Effect == IdempotentByKey && class.Scope != WholeFleet &&
+	return class.Idempotency == IdempotentByKey && class.DedupScope != WholeFleet &&
 		slices.ContainsFunc(req.Attempts, func(a Attempt) bool { return a.MayHaveRun })
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -20,8 +20,8 @@
 	Tenant          TenantID   `json:"Tenant"`
 	Function        FunctionID `json:"Function"`
 	Lanes           int        `json:"Lanes"`
-	Work            Micros     `json:"Work"`     // hint in microseconds; 0: none
-	LoadTime        Micros     `json:"LoadTime"` // hint in microseconds; 0: none
+	ExecTimeHint    Micros     `json:"Work"`     // hint in microseconds; 0: none
+	LoadTimeHint    Micros     `json:"LoadTime"` // hint in microseconds; 0: none
 	ArrivedAt       Micros     `json:"Arrived"`
 	Deadline        Micros     `json:"Patience"` // when its client gives up
 	IsRetry         bool       `json:"Repeat"`   // its client marked it as a retry
--- a/control/retries.go
+++ b/control/retries.go
@@ -7,7 +7,7 @@
 // SafeToRetryAnywhere reports whether a request that may have run can be sent again to any router and server without
 // harm.
 func (c Class) SafeToRetryAnywhere() bool {
-	return c.Effect == Idempotent || c.Effect == IdempotentByKey && c.Scope == WholeFleet
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == WholeFleet
 }
 
 // ProvesNotRun reports whether the result proves that the request did not run.
@@ -119,10 +119,10 @@
 	const networkMargin = 50_000 // far longer than the way from a router to a server
 	for _, a := range req.Attempts {
 		outOfScope := s != nil &&
-			(class.Scope == OneZone && a.Zone != s.Zone || class.Scope == OneCell && a.Cell != s.Cell)
-		expired := now+networkMargin >= a.SentAt+class.Window
+			(class.DedupScope == OneZone && a.Zone != s.Zone || class.DedupScope == OneCell && a.Cell != s.Cell)
+		expired := now+networkMargin >= a.SentAt+class.DedupWindow
 		if a.MayHaveRun &&
-			(class.Effect == NonIdempotent || class.Effect == IdempotentByKey && (outOfScope || expired)) {
+			(class.Idempotency == NonIdempotent || class.Idempotency == IdempotentByKey && (outOfScope || expired)) {
 			return false
 		}
 	}
--- a/control/shutdown.go
+++ b/control/shutdown.go
@@ -26,8 +26,8 @@
 // leaves their clients time to be served elsewhere.
 const RejectHeldBeforeKill Micros = 550_000
 
-// OutlivesStop reports whether a request that was only held waits for longer than a stopping router can answer, until
+// RejectEarlyOnStop reports whether a request that was only held waits for longer than a stopping router can answer, until
 // lastAnswer. It then rather tells the client soon.
-func OutlivesStop(attempts int, deadline, lastAnswer Micros) bool {
+func RejectEarlyOnStop(attempts int, deadline, lastAnswer Micros) bool {
 	return attempts == 0 && deadline > lastAnswer
 }
--- a/control/shutdown_test.go
+++ b/control/shutdown_test.go
@@ -20,10 +20,10 @@
 		class                  Class
 		notWritten, mayHaveRun bool
 	}{
-		{Class{Effect: NonIdempotent}, true, false},
-		{Class{Effect: IdempotentByKey, Scope: OneZone}, true, false},
-		{Class{Effect: IdempotentByKey, Scope: WholeFleet}, true, true},
-		{Class{Effect: Idempotent}, true, true},
+		{Class{Idempotency: NonIdempotent}, true, false},
+		{Class{Idempotency: IdempotentByKey, DedupScope: OneZone}, true, false},
+		{Class{Idempotency: IdempotentByKey, DedupScope: WholeFleet}, true, true},
+		{Class{Idempotency: Idempotent}, true, true},
 	} {
 		if got := c.class.RejectedByStop(false); got != c.notWritten {
 			t.Errorf("%+v, not written: %t", c.class, got)
@@ -41,7 +41,7 @@
 		deadline, lastAnswer Micros
 		want                 bool
 	}{{0, 101, 100, true}, {0, 100, 100, false}, {1, 101, 100, false}} {
-		if got := OutlivesStop(c.attempts, c.deadline, c.lastAnswer); got != c.want {
+		if got := RejectEarlyOnStop(c.attempts, c.deadline, c.lastAnswer); got != c.want {
 			t.Errorf("%+v: got %t", c, got)
 		}
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -65,7 +65,7 @@
 func (b *Balancer) turnPosition(server ServerID, turn Micros) float64 {
 	offset := uniform(0, uint64(server)) // servers that start together have different routers' turns
 	routers := float64(max(1, b.deployment.Routers))
-	_, position := math.Modf(float64(b.deployment.Number)/routers + offset + math.Phi*float64(turn))
+	_, position := math.Modf(float64(b.deployment.RouterIndex)/routers + offset + math.Phi*float64(turn))
 	return position
 }
 
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -43,7 +43,7 @@
 	random := rand.New(rand.NewPCG(1, uint64(d.routers)))
 	routers := make([]*Balancer, d.routers)
 	start := func(i int, now Micros, listed bool) {
-		config.Number = i
+		config.RouterIndex = i
 		now += d.clock(i)
 		r := New(now, uint64(i), config)
 		var list []Endpoint
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,29 +8,29 @@
 // Snapshot is the whole state of a balancer in plain values; a restored balancer makes the same decisions from there
 // on. Functions are in the order in which they were first seen, servers by ascending id.
 type Snapshot struct {
-	Deployment    Deployment         `json:"Told"`
-	Random        uint64             `json:"Chance"`
-	StartedAt     Micros             `json:"Started"`
-	Servers       []ServerSnapshot   `json:"Servers"`
-	Functions     []FunctionSnapshot `json:"Functions"`
-	ExecTimes     []Samples          `json:"Execs"`
-	Deadlines     []Samples          `json:"Patience"`
-	QuotaDebt     []Micros           `json:"Due"`
-	Latencies     Samples            `json:"Latencies"`
-	LoadTimes     Samples            `json:"Loads"`
-	Queueing      Samples            `json:"Strain"`
-	LoadCommands  []Micros           `json:"Orders"`
-	Admitted      []Micros           `json:"Taken"`
-	Cancellations []Cancellation     `json:"Recalls"`
-	ServerEvents  []string           `json:"Notes"` // ServerEvent.String
-	Answers       []Micros           `json:"Answers"`
-	AnswerRate    float64            `json:"Rate"`
-	FreshFor      Micros             `json:"Fresh"`
+	Deployment     Deployment         `json:"Told"`
+	Random         uint64             `json:"Chance"`
+	StartedAt      Micros             `json:"Started"`
+	Servers        []ServerSnapshot   `json:"Servers"`
+	Functions      []FunctionSnapshot `json:"Functions"`
+	ExecTimes      []Samples          `json:"Execs"`
+	Timeouts       []Samples          `json:"Patience"`
+	QuotaDebt      []Micros           `json:"Due"`
+	Latencies      Samples            `json:"Latencies"`
+	LoadTimes      Samples            `json:"Loads"`
+	Queueing       Samples            `json:"Strain"`
+	LoadCommands   []Micros           `json:"Orders"`
+	Admitted       []Micros           `json:"Taken"`
+	Cancellations  []Cancellation     `json:"Recalls"`
+	ServerEvents   []string           `json:"Notes"` // ServerEvent.String
+	Answers        []Micros           `json:"Answers"`
+	AnswerRate     float64            `json:"Rate"`
+	ObservationTTL Micros             `json:"Fresh"`
 	// Not in checkpoints of builds before it: their capacity counts as unchanged for the time of Answers.
 	CapacityHistory *CapacityHistorySnapshot `json:"Ready,omitempty" golden:"joined"`
-	Waiting         []int                    `json:"Waiting"` // positions in Functions
-	Recent          []int                    `json:"Recent"`  // positions in Functions
-	Pruned          int                      `json:"Tidied"`
+	PendingChecks   []int                    `json:"Waiting"` // positions in Functions
+	RecentFunctions []int                    `json:"Recent"`  // positions in Functions
+	PruneCursor     int                      `json:"Tidied"`
 	Subscribed      bool                     `json:"Watching"`
 }
 
@@ -67,7 +67,7 @@
 	Report             LoadReport         `json:"Report"`
 	ReportedAt         Micros             `json:"Reported"`
 	BackoffUntil       Micros             `json:"AvoidUntil"`
-	LoadsAfter         Micros             `json:"LoadsAfter"`
+	LoadBackoffUntil   Micros             `json:"LoadsAfter"`
 	ConcurrencyLimit   float64            `json:"Size"`
 	Running            int                `json:"Busy"`
 	LimitLoweredAt     Micros             `json:"Narrowed"`
@@ -89,19 +89,19 @@
 
 // FunctionSnapshot is the state of one function.
 type FunctionSnapshot struct {
-	ID          FunctionID         `json:"ID"`
-	Lanes       int                `json:"Lanes"`
-	LastRequest *RequestSnapshot   `json:"Last"`
-	LoadsDue    int                `json:"Due"`
-	Instances   []InstanceSnapshot `json:"Instances"`
-	ExecTimes   Samples            `json:"Execs"`
-	Delays      Samples            `json:"Delays"`
-	Shed        Samples            `json:"Turned"`
-	Held        int                `json:"Held"`
-	Waiting     bool               `json:"Waits"`
-	Recent      int                `json:"Recent"`
-	HeldSince   Micros             `json:"HeldFrom"`
-	BlockedAt   Micros             `json:"Blocked"`
+	ID             FunctionID         `json:"ID"`
+	Lanes          int                `json:"Lanes"`
+	LastRequest    *RequestSnapshot   `json:"Last"`
+	LoadsDue       int                `json:"Due"`
+	Instances      []InstanceSnapshot `json:"Instances"`
+	ExecTimes      Samples            `json:"Execs"`
+	Delays         Samples            `json:"Delays"`
+	Shed           Samples            `json:"Turned"`
+	Held           int                `json:"Held"`
+	CheckPending   bool               `json:"Waits"`
+	RecentRequests int                `json:"Recent"`
+	HeldSince      Micros             `json:"HeldFrom"`
+	BlockedAt      Micros             `json:"Blocked"`
 }
 
 // InstanceSnapshot is the state of a function's replicas on one server.
@@ -135,9 +135,9 @@
 
 // Samples holds the latest measurements and their times. N counts all that were ever taken.
 type Samples struct {
-	V  []Micros `json:"V"`
-	At []Micros `json:"At"`
-	N  int      `json:"N"`
+	Values []Micros `json:"V"`
+	Times  []Micros `json:"At"`
+	Count  int      `json:"N"`
 }
 
 func (s *samples) snapshot() Samples {
@@ -146,9 +146,9 @@
 }
 
 func (s Samples) restore() (r samples) {
-	copy(r.v[:], s.V)
-	copy(r.at[:], s.At)
-	r.n = s.N
+	copy(r.v[:], s.Values)
+	copy(r.at[:], s.Times)
+	r.n = s.Count
 	return r
 }
 
@@ -207,7 +207,7 @@
 		Random:          uint64(b.random),
 		StartedAt:       b.startedAt,
 		ExecTimes:       snapshots(b.execTimes),
-		Deadlines:       snapshots(b.deadlines),
+		Timeouts:        snapshots(b.deadlines),
 		QuotaDebt:       slices.Clone(b.quotaDebt),
 		Latencies:       b.latencies.snapshot(),
 		LoadTimes:       b.loadTimes.snapshot(),
@@ -218,9 +218,9 @@
 		ServerEvents:    convertAll(b.serverEvents, ServerEvent.String),
 		Answers:         slices.Clone(b.answers),
 		AnswerRate:      b.answerRate,
-		FreshFor:        b.freshFor,
+		ObservationTTL:  b.freshFor,
 		CapacityHistory: b.capacityHistory.snapshot(),
-		Pruned:          b.pruned,
+		PruneCursor:     b.pruned,
 		Subscribed:      b.subscribed,
 	}
 	for v := range b.servers.all {
@@ -232,7 +232,7 @@
 		s.Functions = append(s.Functions, f.snapshot())
 	}
 	at := func(f *function) int { return position[f] }
-	s.Recent, s.Waiting = convertAll(b.recent, at), convertAll(b.waiting, at)
+	s.RecentFunctions, s.PendingChecks = convertAll(b.recent, at), convertAll(b.waiting, at)
 	return s
 }
 
@@ -249,7 +249,7 @@
 		Report:             s.report,
 		ReportedAt:         s.reportedAt,
 		BackoffUntil:       s.backoffUntil,
-		LoadsAfter:         s.loadsAfter,
+		LoadBackoffUntil:   s.loadsAfter,
 		ConcurrencyLimit:   s.concurrencyLimit,
 		Running:            s.running,
 		LimitLoweredAt:     s.limitLoweredAt,
@@ -271,14 +271,14 @@
 			return InstanceSnapshot{inst.server.Server, inst.replicas, inst.lastUsed, inst.loading, inst.loadingSince,
 				inst.inFlight}
 		}),
-		ExecTimes: f.execTimes.snapshot(),
-		Delays:    f.delays.snapshot(),
-		Shed:      f.shed.snapshot(),
-		Held:      f.held,
-		Waiting:   f.waiting,
-		Recent:    f.recent,
-		HeldSince: f.heldSince,
-		BlockedAt: f.blockedAt,
+		ExecTimes:      f.execTimes.snapshot(),
+		Delays:         f.delays.snapshot(),
+		Shed:           f.shed.snapshot(),
+		Held:           f.held,
+		CheckPending:   f.waiting,
+		RecentRequests: f.recent,
+		HeldSince:      f.heldSince,
+		BlockedAt:      f.blockedAt,
 	}
 	if f.lastRequest != nil {
 		last := f.lastRequest.Snapshot()
@@ -304,12 +304,12 @@
 		cancellations:   slices.Clone(s.Cancellations),
 		answers:         slices.Clone(s.Answers),
 		answerRate:      s.AnswerRate,
-		freshFor:        s.FreshFor,
+		freshFor:        s.ObservationTTL,
 		capacityHistory: s.CapacityHistory.restore(),
-		pruned:          s.Pruned,
+		pruned:          s.PruneCursor,
 		subscribed:      s.Subscribed,
 		execTimes:       convertAll(s.ExecTimes, Samples.restore),
-		deadlines:       convertAll(s.Deadlines, Samples.restore),
+		deadlines:       convertAll(s.Timeouts, Samples.restore),
 	}
 	classes, tenants := len(r.deployment.Classes), len(r.deployment.Quotas)
 	if len(r.execTimes) != classes || len(r.deadlines) != classes || len(r.quotaDebt) != tenants {
@@ -322,10 +322,10 @@
 		return nil, err
 	}
 	var err error
-	if r.recent, err = r.functionsAt(s.Recent); err != nil {
+	if r.recent, err = r.functionsAt(s.RecentFunctions); err != nil {
 		return nil, err
 	}
-	if r.waiting, err = r.functionsAt(s.Waiting); err != nil {
+	if r.waiting, err = r.functionsAt(s.PendingChecks); err != nil {
 		return nil, err
 	}
 	if r.serverEvents, err = parseServerEvents(s.ServerEvents); err != nil {
@@ -376,7 +376,7 @@
 		report:             s.Report,
 		reportedAt:         s.ReportedAt,
 		backoffUntil:       s.BackoffUntil,
-		loadsAfter:         s.LoadsAfter,
+		loadsAfter:         s.LoadBackoffUntil,
 		concurrencyLimit:   s.ConcurrencyLimit,
 		running:            s.Running,
 		limitLoweredAt:     s.LimitLoweredAt,
@@ -416,8 +416,8 @@
 		delays:    s.Delays.restore(),
 		shed:      s.Shed.restore(),
 		held:      s.Held,
-		waiting:   s.Waiting,
-		recent:    s.Recent,
+		waiting:   s.CheckPending,
+		recent:    s.RecentRequests,
 		heldSince: s.HeldSince,
 		blockedAt: s.BlockedAt,
 	}
--- a/control/trace.go
+++ b/control/trace.go
@@ -36,9 +36,9 @@
 	Server           ServerID       `json:"Server"`
 	State            ServerState    `json:"State"`
 	Unusable         UnusableReason `json:"Barred"`
-	Known            bool           `json:"Here"` // there is an entry for the function's replicas there
+	HasInstance      bool           `json:"Here"` // there is an entry for the function's replicas there
 	Loaded           bool           `json:"Warm"`
-	LoadingNow       bool           `json:"Coming"` // a load is running
+	IsLoading        bool           `json:"Coming"` // a load is running
 	Replicas         int            `json:"Copies"`
 	Loading          int            `json:"Loading"`
 	InFlight         int            `json:"Out"`   // attempts of this router there, for the function
@@ -129,7 +129,7 @@
 	}
 	if inst := f.instanceOn(s, false); inst != nil {
 		limit := s.concurrencyLimit // slots sets an initial limit, which is left to the decision itself
-		view.Known, view.Loaded, view.LoadingNow = true, r.loaded(now, inst), r.loading(now, inst)
+		view.HasInstance, view.Loaded, view.IsLoading = true, r.loaded(now, inst), r.loading(now, inst)
 		view.Replicas, view.Loading, view.InFlight = inst.replicas, inst.loading, inst.inFlight
 		view.Slots = r.slots(now, inst, f, t.explanation.B)
 		s.concurrencyLimit = limit
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -19,7 +19,7 @@
 		}},
 		"it can't end before its deadline": {Reject, func(r *Balancer, req *Request) { req.Deadline = at + 1000 }},
 		"an earlier attempt may have run": {Fail, func(r *Balancer, req *Request) {
-			r.deployment.Classes[0].Effect = NonIdempotent
+			r.deployment.Classes[0].Idempotency = NonIdempotent
 			req.Attempts = []Attempt{{Done: true, MayHaveRun: true}}
 		}},
 		"it waits for a replica": {Hold, func(r *Balancer, req *Request) {
@@ -58,7 +58,7 @@
 		"rejected a request or failed lately",
 		"in slow start, and its budget is used up",
 	} {
-		if view := got.Servers[i]; view.Unusable != want || view.Known != (i == 0) {
+		if view := got.Servers[i]; view.Unusable != want || view.HasInstance != (i == 0) {
 			t.Errorf("server %d: got %+v, want %q", i+1, view, want)
 		}
 	}
--- a/control/types.go
+++ b/control/types.go
@@ -3,61 +3,61 @@
 // Micros is a point in time or a duration in whole microseconds.
 type Micros int64
 
-// Effect is what a second attempt at a request may do, if the first one may have run.
-type Effect uint8
+// Idempotency is what a second attempt at a request may do, if the first one may have run.
+type Idempotency uint8
 
 // The effects. An idempotent request may run again; one that is idempotent by key may run again only where its earlier
 // attempt is remembered (see Scope and Class.Window); a non-idempotent one must not.
 const (
-	Idempotent Effect = iota
+	Idempotent Idempotency = iota
 	IdempotentByKey
 	NonIdempotent
 )
 
-// Scope is the group of servers that drop repeats of a request by its idempotency key.
-type Scope uint8
+// DedupScope is the group of servers that drop repeats of a request by its idempotency key.
+type DedupScope uint8
 
 // The scopes.
 const (
-	WholeFleet Scope = iota
+	WholeFleet DedupScope = iota
 	OneZone
 	OneCell
 )
 
 // Class holds the settings of one request class.
 type Class struct {
-	LatencyObjective Micros  `json:"StartTarget"` // target latency
-	MaxDeadline      Micros  `json:"TimeLimit"`   // longest time that a client waits, over all of its retries
-	ObjectivePerWork float64 `json:"Stretch"`     // the objective grows by this multiple of the execution time
-	Effect           Effect  `json:"Effect"`
-	Scope            Scope   `json:"Scope"`  // where an idempotency key is remembered
-	Window           Micros  `json:"Window"` // how long the servers of a scope remember an idempotency key
+	LatencyObjective     Micros      `json:"StartTarget"` // target latency
+	MaxDeadline          Micros      `json:"TimeLimit"`   // longest time that a client waits, over all of its retries
+	ObjectivePerExecTime float64     `json:"Stretch"`     // the objective grows by this multiple of the execution time
+	Idempotency          Idempotency `json:"Effect"`
+	DedupScope           DedupScope  `json:"Scope"`  // where an idempotency key is remembered
+	DedupWindow          Micros      `json:"Window"` // how long the servers of a scope remember an idempotency key
 }
 
 // Deployment is the configuration that a balancer gets when it starts.
 type Deployment struct {
-	Routers            int       `json:"Routers"` // number of routers that share the fleet
-	Number             int       `json:"Number"`  // of this router among them, from 0
-	Zone               ZoneID    `json:"Zone"`
-	Tick               Micros    `json:"Tick"` // shortest interval between event-loop steps
-	Classes            []Class   `json:"Workloads"`
-	Quotas             []float64 `json:"Shares"`        // by tenant: requests per second, over all routers together
-	MaxAttempts        int       `json:"MaxExecutions"` // per request
-	MaxRetryAfter      Micros    `json:"MaxStayAway"`   // longest Retry-After that clients heed; 0: they ignore it
-	SupportsCancel     bool      `json:"Cancels"`       // servers can cancel attempts
-	MarksRetries       bool      `json:"MarksRepeats"`  // clients mark their retries
-	EndpointsOnRequest bool      `json:"ListOnRequest"` // the endpoint list must be subscribed to
-	SlowStartInitial   float64   `json:"ColdFrom"`      // fraction of its capacity that a server starts with
-	SlowStartDuration  Micros    `json:"Cold"`          // time until a started server has full capacity
-	OverloadWindow     Micros    `json:"Fall"`          // window of the limit on attempts at servers in slow start
-	OverloadFactor     float64   `json:"FallMultiple"`  // that limit, as a multiple of the server's present capacity
-	KeepAlive          Micros    `json:"KeepAlive"`     // shortest time that an idle replica stays loaded
-	LoadCommands       bool      `json:"Orders"`        // servers accept load commands
-	LoadRateWindow     Micros    `json:"LoadWindow"`    // window of the load-rate limit; 0: no limit
-	LoadRateBase       float64   `json:"LoadFree"`      // load commands allowed per window
-	LoadRatePerRequest float64   `json:"LoadShare"`     // and in addition for each request admitted within it
-	MaxCommandDelay    Micros    `json:"Late"`          // longest time from choosing a load command to writing it
-	LoadsOnMiss        bool      `json:"LoadsOnMiss"`   // servers load a missing function on request
+	Routers                   int       `json:"Routers"` // number of routers that share the fleet
+	RouterIndex               int       `json:"Number"`  // of this router among them, from 0
+	Zone                      ZoneID    `json:"Zone"`
+	Tick                      Micros    `json:"Tick"` // shortest interval between event-loop steps
+	Classes                   []Class   `json:"Workloads"`
+	Quotas                    []float64 `json:"Shares"`        // by tenant: requests per second, over all routers together
+	MaxAttempts               int       `json:"MaxExecutions"` // per request
+	MaxRetryAfter             Micros    `json:"MaxStayAway"`   // longest Retry-After that clients heed; 0: they ignore it
+	SupportsCancel            bool      `json:"Cancels"`       // servers can cancel attempts
+	ClientsMarkRetries        bool      `json:"MarksRepeats"`  // clients mark their retries
+	EndpointsNeedSubscription bool      `json:"ListOnRequest"` // the endpoint list must be subscribed to
+	SlowStartInitial          float64   `json:"ColdFrom"`      // fraction of its capacity that a server starts with
+	SlowStartDuration         Micros    `json:"Cold"`          // time until a started server has full capacity
+	OverloadWindow            Micros    `json:"Fall"`          // window of the limit on attempts at servers in slow start
+	OverloadFactor            float64   `json:"FallMultiple"`  // that limit, as a multiple of the server's present capacity
+	KeepAlive                 Micros    `json:"KeepAlive"`     // shortest time that an idle replica stays loaded
+	SupportsLoadCommands      bool      `json:"Orders"`        // servers accept load commands
+	LoadRateWindow            Micros    `json:"LoadWindow"`    // window of the load-rate limit; 0: no limit
+	LoadRateBase              float64   `json:"LoadFree"`      // load commands allowed per window
+	LoadRatePerRequest        float64   `json:"LoadShare"`     // and in addition for each request admitted within it
+	MaxCommandDelay           Micros    `json:"Late"`          // longest time from choosing a load command to writing it
+	LoadsOnMiss               bool      `json:"LoadsOnMiss"`   // servers load a missing function on request
 }
 
 // Endpoint is the endpoint list's entry for one server.
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -92,8 +92,8 @@
 		switch {
 		case !a.Done:
 			return control.Decision{Action: control.NoAction}
-		case !a.MayHaveRun || class.Effect == control.Idempotent:
-		case class.Effect == control.IdempotentByKey && class.Scope == control.WholeFleet:
+		case !a.MayHaveRun || class.Idempotency == control.Idempotent:
+		case class.Idempotency == control.IdempotentByKey && class.DedupScope == control.WholeFleet:
 			return reject // the client may retry it anywhere
 		default:
 			return control.Decision{Action: control.Fail}
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -120,7 +120,7 @@
 
 func (c *connectCost) connect(ctx context.Context) error {
 	startedAt := time.Now()
-	conn, err := rest.DialWith(ctx, c.router.address, &rest.DefaultLimits, c.router.secure)
+	conn, err := rest.DialWithHandshake(ctx, c.router.address, &rest.DefaultLimits, c.router.secure)
 	if err != nil {
 		return err
 	}
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	plan := &simulation.Plan{Seed: s.Seed, Routers: s.Routers, Deployment: config.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
-		ConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
+		MaxConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
 		OverloadProtection: s.DampOverload, EndpointPollInterval: control.Micros(config.EndpointFileInterval.Microseconds())}
 	for i := range s.Workers {
 		plan.Servers = append(plan.Servers, h.serverConfig(i).ModelConfig())
--- a/internal/chaostest/stream.go
+++ b/internal/chaostest/stream.go
@@ -63,7 +63,7 @@
 
 // runConnection sends requests over one connection at a time until all are sent. It opens another one after an error.
 func (s *stream) runConnection(ctx context.Context, address string) {
-	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+	c, err := rest.DialWithHandshake(ctx, address, &rest.DefaultLimits, s.test.secure)
 	s.ready.Done()
 	<-s.start
 	if err != nil {
@@ -89,7 +89,7 @@
 			continue
 		}
 		c.Close()
-		another, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+		another, err := rest.DialWithHandshake(ctx, address, &rest.DefaultLimits, s.test.secure)
 		if err != nil {
 			return
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -33,24 +33,24 @@
 // class has unknown semantics, or an unknown key scope where it needs one.
 func Deployment(boot *simproto.BootInfo) (control.Deployment, error) {
 	d := control.Deployment{
-		Routers:            boot.Balancers,
-		Number:             boot.SelfIndex,
-		Zone:               control.ZoneID(boot.Zone),
-		Tick:               control.Micros(boot.Tick),
-		MaxAttempts:        boot.Ceilings.TryLimit,
-		SupportsCancel:     boot.Ceilings.Cancel,
-		MarksRetries:       boot.Clients.MarksRetry,
-		EndpointsOnRequest: boot.Discovery == "on_request",
-		SlowStartInitial:   boot.Contract.ColdFrom,
-		SlowStartDuration:  control.Micros(boot.Contract.Cold),
-		OverloadWindow:     control.Micros(boot.Contract.Fall),
-		OverloadFactor:     boot.Contract.FallMultiple,
-		KeepAlive:          control.Micros(boot.Specifics.LingerIdle),
-		LoadCommands:       boot.Specifics.LoadControl,
-		LoadRateWindow:     control.Micros(boot.Specifics.LoadWindow),
-		LoadRateBase:       boot.Specifics.LoadsAnyway,
-		LoadRatePerRequest: boot.Specifics.LoadPart,
-		LoadsOnMiss:        boot.Specifics.WhenAbsent != "miss",
+		Routers:                   boot.Balancers,
+		RouterIndex:               boot.SelfIndex,
+		Zone:                      control.ZoneID(boot.Zone),
+		Tick:                      control.Micros(boot.Tick),
+		MaxAttempts:               boot.Ceilings.TryLimit,
+		SupportsCancel:            boot.Ceilings.Cancel,
+		ClientsMarkRetries:        boot.Clients.MarksRetry,
+		EndpointsNeedSubscription: boot.Discovery == "on_request",
+		SlowStartInitial:          boot.Contract.ColdFrom,
+		SlowStartDuration:         control.Micros(boot.Contract.Cold),
+		OverloadWindow:            control.Micros(boot.Contract.Fall),
+		OverloadFactor:            boot.Contract.FallMultiple,
+		KeepAlive:                 control.Micros(boot.Specifics.LingerIdle),
+		SupportsLoadCommands:      boot.Specifics.LoadControl,
+		LoadRateWindow:            control.Micros(boot.Specifics.LoadWindow),
+		LoadRateBase:              boot.Specifics.LoadsAnyway,
+		LoadRatePerRequest:        boot.Specifics.LoadPart,
+		LoadsOnMiss:               boot.Specifics.WhenAbsent != "miss",
 	}
 	if boot.Ceilings.RetryAfter {
 		d.MaxRetryAfter = control.Micros(boot.Ceilings.MaxRetryAfter)
@@ -58,9 +58,9 @@
 	for _, c := range boot.Customers {
 		d.Quotas = append(d.Quotas, c.AllowancePerS)
 	}
-	effects := map[string]control.Effect{"pure": control.Idempotent, "token": control.IdempotentByKey,
+	effects := map[string]control.Idempotency{"pure": control.Idempotent, "token": control.IdempotentByKey,
 		"side_effect": control.NonIdempotent}
-	scopes := map[string]control.Scope{"all": control.WholeFleet, "zone": control.OneZone, "cell": control.OneCell}
+	scopes := map[string]control.DedupScope{"all": control.WholeFleet, "zone": control.OneZone, "cell": control.OneCell}
 	for i, c := range boot.Classes {
 		effect, ok := effects[c.Semantics]
 		if !ok {
@@ -71,12 +71,12 @@
 			return d, fmt.Errorf("start settings: class %d: unknown key_scope %q", i, c.KeyScope)
 		}
 		d.Classes = append(d.Classes, control.Class{
-			LatencyObjective: control.Micros(c.Aim),
-			MaxDeadline:      control.Micros(c.HardLimit),
-			ObjectivePerWork: c.Stretch,
-			Effect:           effect,
-			Scope:            scope,
-			Window:           control.Micros(c.Window),
+			LatencyObjective:     control.Micros(c.Aim),
+			MaxDeadline:          control.Micros(c.HardLimit),
+			ObjectivePerExecTime: c.Stretch,
+			Idempotency:          effect,
+			DedupScope:           scope,
+			DedupWindow:          control.Micros(c.Window),
 		})
 	}
 	return d, nil
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -11,7 +11,7 @@
 // cancelled until 500 are held.
 func newBusyCore() (*Core, control.Micros) {
 	deployment := control.Deployment{Routers: 3, Tick: 4000, MaxAttempts: 3, SupportsCancel: true,
-		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, LoadCommands: true, LoadsOnMiss: true,
+		OverloadWindow: 1_000_000, KeepAlive: 60_000_000, SupportsLoadCommands: true, LoadsOnMiss: true,
 		Classes: []control.Class{{LatencyObjective: 1_000_000, MaxDeadline: 60_000_000}}}
 	const functions, servers, held = 1000, 80, 500
 	c := New(control.New(1, 1, deployment), NoopExecutor{})
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -102,12 +102,12 @@
 func randomDeployment(t *rapid.T) control.Deployment {
 	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		SlowStartInitial: 0.25, SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
-		KeepAlive: 1_000_000, LoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
+		KeepAlive: 1_000_000, SupportsLoadCommands: true, LoadRateWindow: 1_000_000, LoadRateBase: 3, LoadRatePerRequest: 0.2,
 		LoadsOnMiss: rapid.Bool().Draw(t, "on miss"), Quotas: []float64{3}, Classes: []control.Class{
 			{LatencyObjective: 300_000, MaxDeadline: 3_000_000},
-			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.NonIdempotent},
-			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Effect: control.IdempotentByKey, Scope: control.OneZone,
-				Window: 1_000_000}}}
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Idempotency: control.NonIdempotent},
+			{LatencyObjective: 300_000, MaxDeadline: 3_000_000, Idempotency: control.IdempotentByKey, DedupScope: control.OneZone,
+				DedupWindow: 1_000_000}}}
 }
 
 // A core restored from any reachable state makes the same decisions as the original from then on.
@@ -160,7 +160,7 @@
 		"order": {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
 		"instance": {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{
 			{Instances: make([]control.InstanceSnapshot, 1)}}}},
-		"last function": {Balancer: &control.Snapshot{Recent: []int{0}}},
+		"last function": {Balancer: &control.Snapshot{RecentFunctions: []int{0}}},
 	} {
 		if _, err := Restore(s, &callLog{}); err == nil {
 			t.Errorf("%s: accepted", name)
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -79,7 +79,7 @@
 	switch {
 	case s.Loaded:
 		fmt.Fprintf(b, "%d replicas loaded, %d of our attempts in flight, %d slots", s.Replicas, s.InFlight, s.Slots)
-	case s.LoadingNow:
+	case s.IsLoading:
 		fmt.Fprintf(b, "%d replicas loading, %d of our attempts in flight, %d slots", s.Loading, s.InFlight, s.Slots)
 	default:
 		b.WriteString("no replica known")
--- a/internal/fakeserver/server_test.go
+++ b/internal/fakeserver/server_test.go
@@ -34,7 +34,7 @@
 		return 0, ""
 	}
 	defer conn.Close()
-	response, _, err := conn.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.RepeatMark: {key}},
+	response, _, err := conn.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.IdempotencyKeyHeader: {key}},
 		Body: []byte(body)}, time.Now().Add(5*time.Second))
 	if err != nil {
 		return 0, ""
@@ -116,8 +116,8 @@
 		t.Errorf("function that is not loaded: got status %d", status)
 	}
 	for _, want := range []struct{ n, status, loaded int }{{1, 200, 1}, {2, 200, 2}, {1, 200, 2}, {3, 503, 0}} {
-		status, body := post(t, s, "/v2/repository/models/a/load", "", string(kserve.LoadBody(want.n)))
-		if status != want.status || status == 200 && kserve.Copies([]byte(body)) != want.loaded {
+		status, body := post(t, s, "/v2/repository/models/a/load", "", string(kserve.LoadCommandBody(want.n)))
+		if status != want.status || status == 200 && kserve.ParseReplicaCount([]byte(body)) != want.loaded {
 			t.Errorf("%d replicas: got %d %s", want.n, status, body)
 		}
 	}
--- a/internal/gateway/admin_test.go
+++ b/internal/gateway/admin_test.go
@@ -24,7 +24,7 @@
 	view := &adminState{}
 	golden.Fill(view)
 	golden.Check(t, "output-1.json", view, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(view)); len(missing) > 0 {
+	if missing := golden.UntaggedFields(reflect.TypeOf(view)); len(missing) > 0 {
 		t.Errorf("told under the name of a field: %q", missing)
 	}
 }
@@ -65,10 +65,10 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Commands == 0 {
+	if a, err := replay.Play(files, replay.Options{}); err != nil || a.Commands == 0 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if j, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || j != 2 {
+	if j, err := explain.FindRequest(files, record.KeyedHash("", "second")); err != nil || j != 2 {
 		t.Errorf("the second request is request %d, %v", j, err)
 	}
 }
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -139,7 +139,7 @@
 	}{
 		"stays": {func(*net.TCPConn) {}, func(*rest.Conn) bool { return true }, control.Succeeded},
 		"pipelines a request": {func(conn *net.TCPConn) { io.WriteString(conn, inferText("2", "forecast-1")) },
-			(*rest.Conn).HasPending, control.Succeeded},
+			(*rest.Conn).HasPendingInput, control.Succeeded},
 		"closes":      {func(conn *net.TCPConn) { conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
 		"half closes": {func(conn *net.TCPConn) { conn.CloseWrite() }, (*rest.Conn).PeerClosed, control.NotSent},
 		"resets":      {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -22,12 +22,12 @@
 	for i, s := range tg.servers {
 		s.SetFaults(fakeserver.Faults{LostResponses: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
 	}
-	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
+	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, LateResponseTimeout: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lib.Close()
-	workloads := map[string]client.Workload{"forecast": {Effect: client.Restartable}, "booking": {Effect: client.Fingerprinted, Window: 600 * time.Millisecond}, "ticket": {}}
+	workloads := map[string]client.Workload{"forecast": {Effect: client.Idempotent}, "booking": {Effect: client.IdempotentByKey, KeyWindow: 600 * time.Millisecond}, "ticket": {}}
 	names := []string{"forecast", "booking", "ticket"}
 	var mu sync.Mutex
 	outcomes, repeats := map[string]int{}, 0
@@ -42,9 +42,9 @@
 			defer func() { <-places }()
 			key, last, begun := fmt.Sprint("m", i), 0, time.Now()
 			rec := invariant.Record{Effect: key, Workload: name}
-			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: key, Patience: patience, Workload: workloads[name],
-				BodyOf: func(x client.Try) []byte {
-					if x.Number <= last || x.Mark != key || x.Left <= 0 || x.Left > patience {
+			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), IdempotencyKey: key, Timeout: patience, Workload: workloads[name],
+				BodyFor: func(x client.Attempt) []byte {
+					if x.Number <= last || x.IdempotencyKey != key || x.Remaining <= 0 || x.Remaining > patience {
 						t.Errorf("call %d: try %+v after try %d", i, x, last)
 					}
 					if x.Number > 1 {
@@ -53,11 +53,11 @@
 						mu.Unlock()
 					}
 					last = x.Number
-					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
+					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Remaining.Microseconds()
 					tg.log.Add(rec)
-					return inferRequest(rec.Request, "", x.Left).Body
+					return inferRequest(rec.Request, "", x.Remaining).Body
 				},
-				Tried: func(_ client.Try, ending string) {
+				AttemptEnded: func(_ client.Attempt, ending string) {
 					switch rec.Kind, rec.Detail = invariant.ResponseReceived, ending; ending {
 					case "unsent":
 						rec.Kind = invariant.RequestNotSent
@@ -67,7 +67,7 @@
 					tg.log.Add(rec)
 				}})
 			kind := "finished"
-			var failed *client.Failed
+			var failed *client.CallError
 			if errors.As(err, &failed) {
 				kind = string(failed.Kind)
 			} else if err != nil {
--- a/internal/gateway/compatibility_test.go
+++ b/internal/gateway/compatibility_test.go
@@ -22,13 +22,13 @@
 	}
 	d := got.Deployment
 	for name, holds := range map[string]bool{
-		"router":   got.Listen == "127.0.0.1:8080" && got.EndpointFile == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.Number == 2,
+		"router":   got.Listen == "127.0.0.1:8080" && got.EndpointFile == "servers.ini" && got.Seed == 7 && got.LogLevel == "warn" && d.Routers == 3 && d.RouterIndex == 2,
 		"servers":  d.MaxAttempts == 4 && d.SlowStartInitial == 0.3 && d.SlowStartDuration == 11_000_000 && d.LoadRateBase == 5 && got.GracePeriod == 600*time.Millisecond,
-		"clients":  !d.MarksRetries && d.MaxRetryAfter == 3_000_000 && !got.DampOverload && got.AnswerMargin == 21*time.Millisecond,
+		"clients":  !d.ClientsMarkRetries && d.MaxRetryAfter == 3_000_000 && !got.DampOverload && got.AnswerMargin == 21*time.Millisecond,
 		"bounds":   got.MaxClientConns == 20001 && got.MaxConnsPerServer == 257 && got.DialTimeout == 2*time.Second && got.BodyTimeout == 11*time.Second,
 		"record":   got.RecordDir == "rec" && got.RecordBounds.SegmentBytes == 67108865 && got.RecordBounds.SegmentAge == 11*time.Minute,
 		"memory":   got.StateDir == "memory" && got.KeyRetention == 11*time.Minute && got.JournalSync == persistence.SyncEach && got.MaxHistoryRows == 200001,
-		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerWork: 1.5, Effect: control.IdempotentByKey, Scope: control.OneZone, Window: 6_000_000},
+		"workload": d.Classes[0] == control.Class{LatencyObjective: 2_000_000, MaxDeadline: 11_000_000, ObjectivePerExecTime: 1.5, Idempotency: control.IdempotentByKey, DedupScope: control.OneZone, DedupWindow: 6_000_000},
 		"function": got.Functions[0] == Pattern{Glob: "*", Lanes: 2, Work: 70_000, LoadTime: 2_000_000},
 		"tenant":   slices.Equal(got.TenantNames, []string{"portal"}) && d.Quotas[0] == 50,
 	} {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -132,9 +132,9 @@
 	c.parseEndpointSource(s)
 	c.Zone = s.String("zone", "")
 	d.Routers = s.Int("routers", 1, 1, 1<<16)
-	d.Number = s.Int("number", 0, 0, 1<<16-1)
-	if d.Number >= d.Routers {
-		s.Errorf("number", "%d, but routers are numbered from 0 and there are %d", d.Number, d.Routers)
+	d.RouterIndex = s.Int("number", 0, 0, 1<<16-1)
+	if d.RouterIndex >= d.Routers {
+		s.Errorf("number", "%d, but routers are numbered from 0 and there are %d", d.RouterIndex, d.Routers)
 	}
 	c.Seed = uint64(s.Int("seed", 0, 0, 1<<62))
 	if c.NameKey = s.String("name_key", ""); c.NameKey != "" && len(c.NameKey) < minNameKey {
@@ -182,8 +182,8 @@
 	d.Tick = micros(s.Duration("tick", 4*time.Millisecond, time.Microsecond, time.Second))
 	d.KeepAlive = micros(s.Duration("keep_alive", time.Minute, 0, year))
 	d.LoadsOnMiss = s.Bool("loads_on_miss", true)
-	d.LoadCommands = s.Bool("orders", true)
-	if !d.LoadsOnMiss && !d.LoadCommands {
+	d.SupportsLoadCommands = s.Bool("orders", true)
+	if !d.LoadsOnMiss && !d.SupportsLoadCommands {
 		s.Errorf("orders", "neither jobs nor orders load what is missing: nothing would ever be loaded")
 	}
 	d.SlowStartInitial = s.Float("cold_from", 0.25, 0, 1)
@@ -204,7 +204,7 @@
 
 // parseClients reads the section [clients].
 func (c *Config) parseClients(s *inifile.Section) {
-	c.Deployment.MarksRetries = s.Bool("mark_repeats", true)
+	c.Deployment.ClientsMarkRetries = s.Bool("mark_repeats", true)
 	c.Deployment.MaxRetryAfter = micros(s.Duration("stay_away", 2*time.Second, 0, time.Hour))
 	c.DampOverload = s.Bool("damp_storms", true)
 	c.AnswerMargin = s.Duration("answer_margin", 20*time.Millisecond, 0, time.Minute)
@@ -258,14 +258,14 @@
 		c.ClassNames = append(c.ClassNames, strings.TrimPrefix(s.Name, "workload "))
 		c.Priorities = append(c.Priorities, s.Float("importance", 1, 0, 1e6))
 		class := control.Class{
-			LatencyObjective: micros(s.Duration("start_target", time.Second, time.Millisecond, day)),
-			MaxDeadline:      micros(s.Duration("time_limit", 10*time.Second, time.Millisecond, day)),
-			ObjectivePerWork: s.Float("stretch", 0, 0, 1000),
-			Effect:           control.Effect(s.OneOf("effect", "run-once", "restartable", "fingerprinted", "run-once")),
-			Scope:            control.Scope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
-			Window:           micros(s.Duration("window", 0, 0, day)),
+			LatencyObjective:     micros(s.Duration("start_target", time.Second, time.Millisecond, day)),
+			MaxDeadline:          micros(s.Duration("time_limit", 10*time.Second, time.Millisecond, day)),
+			ObjectivePerExecTime: s.Float("stretch", 0, 0, 1000),
+			Idempotency:          control.Idempotency(s.OneOf("effect", "run-once", "restartable", "fingerprinted", "run-once")),
+			DedupScope:           control.DedupScope(s.OneOf("group", "fleet", "fleet", "zone", "cell")),
+			DedupWindow:          micros(s.Duration("window", 0, 0, day)),
 		}
-		if class.Effect == control.IdempotentByKey && class.Window == 0 {
+		if class.Idempotency == control.IdempotentByKey && class.DedupWindow == 0 {
 			s.Errorf("window", "a fingerprinted workload needs the time for which its repeats are known")
 		}
 		if class.MaxDeadline < class.LatencyObjective {
--- a/internal/gateway/controlplane.go
+++ b/internal/gateway/controlplane.go
@@ -10,7 +10,9 @@
 )
 
 // nodeID names this router to control planes.
-func (g *Gateway) nodeID() string { return fmt.Sprintf("hollymast-%d", g.config.Deployment.Number) }
+func (g *Gateway) nodeID() string {
+	return fmt.Sprintf("hollymast-%d", g.config.Deployment.RouterIndex)
+}
 
 // followControlPlane follows an xDS control plane until ctx ends. The gateway accepts no requests before its first list.
 func (g *Gateway) followControlPlane(ctx context.Context) {
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -317,7 +317,7 @@
 	}
 	defer client.Close()
 	msg := inferRequest(job, function, time.Second)
-	msg.Header[kserve.RepeatMark] = []string{key}
+	msg.Header[kserve.IdempotencyKeyHeader] = []string{key}
 	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 	if err != nil {
 		tg.t.Fatal(err)
@@ -345,7 +345,7 @@
 	tg.gateway.loop.Post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(timeout)) })
 	call := <-chosen
 	call.writeBefore += micros(time.Hour)
-	req := &request{message: inferRequest("1", "forecast-1", timeout), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
+	req := &request{message: inferRequest("1", "forecast-1", timeout), call: kserve.Call{Operation: kserve.Infer, Model: "forecast-1"}}
 	req.clientCheckedAt.Store(int64(tg.gateway.loop.Now() + micros(time.Hour)))
 	call.request, call.message = req, tg.gateway.attemptMessage(req, 0)
 	return call
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -26,11 +26,11 @@
 
 // journalKey returns the journal's key for a client's request; 0 if a retry of it is harmless, or could not be told for
 // one.
-func (c *Config) journalKey(function string, params kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
-	if params.Mark == "" || c.Deployment.Classes[class].Effect == control.Idempotent {
+func (c *Config) journalKey(function string, params kserve.InferRequest, class control.ClassID) persistence.IdempotencyKey {
+	if params.IdempotencyKey == "" || c.Deployment.Classes[class].Idempotency == control.Idempotent {
 		return 0
 	}
-	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
+	return persistence.IdempotencyKey(record.KeyedHash(c.NameKey, function+"\n"+params.IdempotencyKey) | 1)
 }
 
 // unknownPlace is the zone and cell of an earlier attempt whose server is not known any more: those of no server.
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -25,9 +25,9 @@
 // The attempts of an earlier incarnation count as if this one had begun them: a journal stands for the one that was killed.
 func TestRetriesAfterRestart(t *testing.T) {
 	dir := t.TempDir()
-	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 	mark := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
-		return config.journalKey(function, kserve.Ask{Mark: key}, class)
+		return config.journalKey(function, kserve.InferRequest{IdempotencyKey: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -146,24 +146,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Effect: control.IdempotentByKey}, {Effect: control.NonIdempotent}}}}
+			config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 			now := control.Micros(time.Now().UnixMicro()) - c.step
 			clock := persistence.ReadClock(now)
 			if c.boot {
 				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnStatusChange: func(error) {},
 				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.InferRequest{IdempotencyKey: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(t *Config) {
 				booking, _ := t.Match("booking-1")
-				t.Deployment.Classes[booking.Class].Window = 60_000_000
+				t.Deployment.Classes[booking.Class].DedupWindow = 60_000_000
 			}, serverOptions(0), serverOptions(1))
 			if got := tg.callWithKey("booking", "booking-1", "sent"); got != c.booking || tg.attemptsBegun("booking", -1) != c.attempts {
 				t.Errorf("booking: got %s with %d attempts", got, tg.attemptsBegun("booking", -1))
@@ -209,7 +209,7 @@
 				t.Fatal(err)
 			}
 			msg := inferRequest(job, "ticket-1", time.Second)
-			msg.Header[kserve.RepeatMark] = []string{job + " again"}
+			msg.Header[kserve.IdempotencyKeyHeader] = []string{job + " again"}
 			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
 				t.Errorf("%+v, %v", resp, err)
@@ -219,7 +219,7 @@
 			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				job := fmt.Sprint("job-", k)
-				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: job}, tg.ticketClass()))) == 0 {
+				if tg.attemptsBegun(job, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: job}, tg.ticketClass()))) == 0 {
 					t.Errorf("%s ran, and a next incarnation would not know", job)
 				}
 			}
@@ -280,9 +280,9 @@
 	keeper, unknown := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&said))
 	disk.full.Store(true)
 	for range 3 {
-		failures := keeper.Failures()
+		failures := keeper.FailureCount()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
-		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
+		waitUntil(t, "the write has failed", func() bool { return keeper.FailureCount() > failures })
 	}
 	r := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -16,7 +16,7 @@
 
 // recordHeader returns the header of this process's recordings.
 func (g *Gateway) recordHeader() record.Header {
-	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.Number, Incarnation: g.incarnation}
+	return record.Header{Build: program.BuildID(), Router: g.config.Deployment.RouterIndex, Incarnation: g.incarnation}
 }
 
 // startRecording starts a recording in a folder. It may wait for the disk within a step: once, when an operator asks for
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -19,7 +19,7 @@
 	function string
 	call     kserve.Call
 	message  *rest.Request
-	params   kserve.Ask
+	params   kserve.InferRequest
 	pattern  Pattern
 	tenant   control.TenantID
 	client   *rest.Conn
@@ -53,7 +53,7 @@
 // function. With a key, which must be the same in all routers, the ids in a recording can be checked against
 // guessed names only with that key.
 func functionID(key, name string) control.FunctionID {
-	return control.FunctionID(record.Tag(key, name))
+	return control.FunctionID(record.KeyedHash(key, name))
 }
 
 // handleRequest hands a request to the core, or rejects it.
@@ -72,9 +72,9 @@
 	}
 	g.lastID++
 	req.id, req.journalKey = g.lastID, key
-	arrivedAt := now - micros(time.Since(req.message.ArrivedAt))
+	arrivedAt := now - micros(time.Since(req.message.ReceivedAt))
 	req.objectiveAt = arrivedAt + class.LatencyObjective
-	if req.idempotencyKey = req.params.Mark; req.idempotencyKey == "" {
+	if req.idempotencyKey = req.params.IdempotencyKey; req.idempotencyKey == "" {
 		req.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(req.id), 36)
 	}
 	g.requests[req.id] = req
@@ -83,14 +83,14 @@
 	req.attempts = make([]*serverCall, len(earlier))
 	err := g.core.Add(now, control.Request{
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
-		Lanes: req.pattern.Lanes, Work: req.pattern.Work, LoadTime: req.pattern.LoadTime, ArrivedAt: arrivedAt,
+		Lanes: req.pattern.Lanes, ExecTimeHint: req.pattern.Work, LoadTimeHint: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
-		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
+		IsRetry: req.params.IsRetry, RetriesUnmarked: !req.params.HasAttemptCount,
 	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
 	} else if g.recorder != nil && req.params.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+		g.recorder.SetClientIDHash(record.KeyedHash(g.config.NameKey, req.params.ID))
 	}
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
@@ -158,7 +158,7 @@
 	call := g.newCall(to, timeout)
 	call.request, call.attempt = req, attemptID
 	call.message, call.journalBatch = g.attemptMessage(req, attemptID), g.journalAttempt(req.journalKey, to)
-	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Effect == control.IdempotentByKey {
+	if attemptID > 0 && g.config.Deployment.Classes[req.pattern.Class].Idempotency == control.IdempotentByKey {
 		call.writeBefore = min(call.writeBefore, g.loop.StepTime+attempt.MaxKeyedRetryDelay)
 	}
 	req.attempts = append(req.attempts, call)
@@ -203,8 +203,8 @@
 		})
 	}
 	call.message = &rest.Request{
-		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(command.Replicas),
+		Method: "POST", Target: kserve.Call{Operation: kserve.RepositoryLoad, Model: req.function}.Target(),
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadCommandBody(command.Replicas),
 	}
 	g.openLoadCommands++
 	g.metrics.loadCommands.Inc()
@@ -233,7 +233,7 @@
 		outcome.RequestDone = true
 		g.core.HandleOutcome(now, req.id, outcome)
 		class := g.config.Deployment.Classes[req.pattern.Class]
-		req.objectiveAt += control.Micros(class.ObjectivePerWork * float64(outcome.Duration))
+		req.objectiveAt += control.Micros(class.ObjectivePerExecTime * float64(outcome.Duration))
 		resp.Header = forwardedHeader(resp.Header)
 		resp.Close, resp.ChunkSize = false, 0
 		g.finish(req, answerFinished, resp)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -111,7 +111,7 @@
 	const rejected, failed = "HTTP/1.1 503 Service Unavailable", "HTTP/1.1 504 Gateway Timeout"
 	inZone := func(c *Config) {
 		booking, _ := c.Match("booking-1")
-		c.Deployment.Classes[booking.Class].Scope = control.OneZone
+		c.Deployment.Classes[booking.Class].DedupScope = control.OneZone
 	}
 	for name, c := range map[string]struct {
 		function string
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -106,7 +106,7 @@
 	}
 	learned := saved.Learned
 	keeper.usualLoad, keeper.usualLoadAge = saved.Overload, max(0, now-learned.SavedAt)
-	if saved.Rebase(keeper.clock, now); learned.SavedAt > 0 {
+	if saved.ConvertTimes(keeper.clock, now); learned.SavedAt > 0 {
 		keeper.usualLoadAge = now - learned.SavedAt // by the clock that counts from boot
 	}
 	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.usualLoadAge)).
@@ -120,7 +120,7 @@
 	options := persistence.JournalOptions{
 		FileSystem: config.fileSystem, Sync: config.JournalSync, Retention: micros(config.KeyRetention),
 		MaxBytes: maxJournalBytes, Clock: keeper.clock, Now: now,
-		OnFailure: func(err error) {
+		OnStatusChange: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("journal can't be written: attempts that a restart must know of wait until it can")
 			} else {
@@ -152,7 +152,7 @@
 // owner names this router, and the configuration that the ids in its learned state depend on.
 func (c *Config) owner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
-	return persistence.Owner{Router: c.Deployment.Number, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
+	return persistence.Owner{Router: c.Deployment.RouterIndex, Deployment: record.KeyedHash(c.NameKey, strings.Join(names, "\n"))}
 }
 
 // run writes the learned state at an interval until the last step, and then once more.
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -60,7 +60,7 @@
 	_, unknown := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
 	ask := func(r *certstore.Store, job string) string {
 		t.Helper()
-		c, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, r.ClientHandshake)
+		c, err := rest.DialWithHandshake(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, r.ClientHandshake)
 		if err != nil {
 			return err.Error()
 		}
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -38,8 +38,8 @@
 	RecordedState *RecordedState `json:"Moment,omitempty"` // to begin with, in the place of all but the faults
 }
 
-// Minimal is the world that others are made from: one request, one server, one router, nothing goes wrong.
-var Minimal = Config{Requests: 1, Servers: 1, Routers: 1, Effects: []string{"restartable"}, Scope: "fleet", LatencyObjective: 150_000, MaxDeadline: 500_000,
+// MinimalConfig is the world that others are made from: one request, one server, one router, nothing goes wrong.
+var MinimalConfig = Config{Requests: 1, Servers: 1, Routers: 1, Effects: []string{"restartable"}, Scope: "fleet", LatencyObjective: 150_000, MaxDeadline: 500_000,
 	DedupWindow: 300_000, FunctionLoaded: true}
 
 // The bounds of a world: the number of states grows exponentially with each.
@@ -82,7 +82,7 @@
 
 // The names of effects in configs, on the command line and in descriptions.
 var (
-	effectByName = map[string]control.Effect{"restartable": control.Idempotent, "fingerprinted": control.IdempotentByKey, "run-once": control.NonIdempotent}
+	effectByName = map[string]control.Idempotency{"restartable": control.Idempotent, "fingerprinted": control.IdempotentByKey, "run-once": control.NonIdempotent}
 	effectNames  = [...]string{"restartable", "fingerprinted", "run-once"}
 )
 
@@ -105,9 +105,9 @@
 
 // deployment is what a router is configured with.
 func (c *Config) deployment(router int) control.Deployment {
-	d := control.Deployment{Routers: c.Routers, Number: router, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 2_000_000, SupportsCancel: true, MarksRetries: true,
+	d := control.Deployment{Routers: c.Routers, RouterIndex: router, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 2_000_000, SupportsCancel: true, ClientsMarkRetries: true,
 		SlowStartInitial: slowStartInitial, SlowStartDuration: slowStartDuration, OverloadWindow: overloadWindow, OverloadFactor: overloadFactor,
-		KeepAlive: 60_000_000, LoadCommands: c.LoadCommands, LoadsOnMiss: !c.LoadCommands}
+		KeepAlive: 60_000_000, SupportsLoadCommands: c.LoadCommands, LoadsOnMiss: !c.LoadCommands}
 	for i := range c.Effects {
 		d.Classes = append(d.Classes, c.class(i))
 	}
--- a/internal/modelcheck/identity.go
+++ b/internal/modelcheck/identity.go
@@ -50,22 +50,22 @@
 	if m := c.RecordedState; m != nil {
 		return m.Core.Balancer.Deployment.Classes[m.Core.Requests[request].Request.Request.Class]
 	}
-	class := control.Class{LatencyObjective: c.LatencyObjective, MaxDeadline: c.MaxDeadline, Effect: effectByName[c.Effects[request%len(c.Effects)]]}
-	if class.Effect == control.IdempotentByKey {
-		class.Window = c.DedupWindow
+	class := control.Class{LatencyObjective: c.LatencyObjective, MaxDeadline: c.MaxDeadline, Idempotency: effectByName[c.Effects[request%len(c.Effects)]]}
+	if class.Idempotency == control.IdempotentByKey {
+		class.DedupWindow = c.DedupWindow
 		if c.Scope == "zone" {
-			class.Scope = control.OneZone
+			class.DedupScope = control.OneZone
 		}
 	}
 	return class
 }
 
-func (c *Config) effect(request int) control.Effect { return c.class(request).Effect }
+func (c *Config) effect(request int) control.Idempotency { return c.class(request).Idempotency }
 
 // sameDedupScope reports whether two servers know the same idempotency keys of a request's class.
 func (c *Config) sameDedupScope(request, a, b int) bool {
 	first, second := c.basicEndpoint(a), c.basicEndpoint(b)
-	switch c.class(request).Scope {
+	switch c.class(request).DedupScope {
 	case control.OneZone:
 		return first.Zone == second.Zone
 	case control.OneCell:
--- a/internal/modelcheck/property.go
+++ b/internal/modelcheck/property.go
@@ -46,7 +46,7 @@
 	attempts := make([][]*ServerCall, len(s.Requests))
 	for i := range s.Calls {
 		call := &s.Calls[i]
-		if call.Replicas > 0 || s.Requests[call.Request].Inactive {
+		if call.Replicas > 0 || s.Requests[call.Request].Unexplored {
 			continue
 		}
 		if text := check(call, attempts[call.Request]); text != "" {
@@ -62,5 +62,5 @@
 
 // isDedupScopeNarrow reports whether a request's idempotency key is known to a part of the servers alone.
 func isDedupScopeNarrow(c *Config, request int) bool {
-	return c.effect(request) == control.IdempotentByKey && c.class(request).Scope != control.WholeFleet
+	return c.effect(request) == control.IdempotentByKey && c.class(request).DedupScope != control.WholeFleet
 }
--- a/internal/modelcheck/property_in_window.go
+++ b/internal/modelcheck/property_in_window.go
@@ -22,8 +22,8 @@
 			case earlier.provedNotRun():
 			case !c.sameDedupScope(call.Request, earlier.Server, call.Server):
 				return fmt.Sprintf("request %d is written to server %d, outside the scope of attempt %d", call.Request, call.Server, earlier.Attempt)
-			case call.WrittenAt >= earlier.WrittenAt+c.class(call.Request).Window:
-				return fmt.Sprintf("request %d is written again %d us after attempt %d, whose key was known for %d", call.Request, call.WrittenAt-earlier.WrittenAt, earlier.Attempt, c.class(call.Request).Window)
+			case call.WrittenAt >= earlier.WrittenAt+c.class(call.Request).DedupWindow:
+				return fmt.Sprintf("request %d is written again %d us after attempt %d, whose key was known for %d", call.Request, call.WrittenAt-earlier.WrittenAt, earlier.Attempt, c.class(call.Request).DedupWindow)
 			}
 		}
 		return ""
--- a/internal/platform/logging.go
+++ b/internal/platform/logging.go
@@ -62,7 +62,7 @@
 		var loaded, loading, pending, overloaded, ejected int
 		for _, server := range explanation.Servers {
 			pending += server.PendingLoads
-			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.LoadingNow)
+			loaded, loading = loaded+countOf(server.Loaded), loading+countOf(server.IsLoading)
 			overloaded, ejected = overloaded+countOf(server.Overloaded), ejected+countOf(server.Ejected)
 		}
 		r.log.Trace().Str("id", fmt.Sprintf(requestIDFormat, uint64(explanation.Request))).Str("why", string(explanation.Reason)).
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -51,7 +51,7 @@
 	}
 	r.requests[req.id] = req
 	err := r.core.Add(now, control.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Function: req.message.FunctionID(),
-		Lanes: req.message.Lanes, Work: req.message.Work, LoadTime: req.message.LoadTime, ArrivedAt: now,
+		Lanes: req.message.Lanes, ExecTimeHint: req.message.Work, LoadTimeHint: req.message.LoadTime, ArrivedAt: now,
 		Deadline: max(now, req.arrivedAt+req.message.Timeout-networkDelay), Timeout: req.message.Timeout - networkDelay, IsRetry: req.message.IsRetry})
 	if err != nil {
 		r.log.Error().Err(err).Msg("request not accepted")
@@ -104,10 +104,10 @@
 	req := r.requests[coreReq.ID]
 	call := r.newCall(to, timeout)
 	call.request, call.attempt, call.id = req, attemptID, binframe.ID(req.id)
-	if class := r.config.Deployment.Classes[req.class]; class.Effect == control.IdempotentByKey {
+	if class := r.config.Deployment.Classes[req.class]; class.Idempotency == control.IdempotentByKey {
 		for _, earlier := range coreReq.Attempts[:attemptID] {
 			if earlier.MayHaveRun { // the servers must still remember the key when this attempt arrives
-				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.Window-networkDelay)
+				call.writeBefore = min(call.writeBefore, earlier.SentAt+class.DedupWindow-networkDelay)
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 	if msg.Timeout > 2*class.MaxDeadline { // a client waits at most MaxDeadline in all; twice that allows for rounding
 		return "allow: longer than the class allows"
 	}
-	if msg.IdempotencyKey == "" && class.Effect == control.IdempotentByKey {
+	if msg.IdempotencyKey == "" && class.Idempotency == control.IdempotentByKey {
 		return "replay: missing"
 	}
 	if r.config.memoryMB > 0 && msg.MemoryMB > r.config.memoryMB {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -91,7 +91,7 @@
 func (r *Router) rejectHeld() {
 	kill := r.stopRequestedAt + r.config.Deployment.EarliestKill()
 	r.endRequests(func(req *request) bool {
-		return control.OutlivesStop(len(req.attempts), req.readAt+req.message.Timeout, kill-answerBeforeKill)
+		return control.RejectEarlyOnStop(len(req.attempts), req.readAt+req.message.Timeout, kill-answerBeforeKill)
 	})
 }
 
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -11,9 +11,9 @@
 
 // Class describes the requests of a class as far as their client knows.
 type Class struct {
-	Effect control.Effect
+	Effect control.Idempotency
 	// Scope and Window apply to IdempotentByKey: which servers recognize a key, and for how long.
-	Scope         control.Scope
+	Scope         control.DedupScope
 	Window        control.Micros
 	KeysPersisted bool // routers recognize keys across restarts: the same router may get a request again, whatever its effect
 	HedgeSafe     bool // two concurrent attempts do no harm
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -79,7 +79,7 @@
 // where it could do harm, and retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		class := Class{Effect: control.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
+		class := Class{Effect: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
 			KeysPersisted: rapid.Bool().Draw(t, "persisted"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
 		budget, random := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
--- a/internal/simadapter/handler.go
+++ b/internal/simadapter/handler.go
@@ -126,10 +126,10 @@
 		}
 		request := control.Request{ID: control.RequestID(in.ID), Class: control.ClassID(in.Class),
 			Tenant: control.TenantID(in.Tenant), Function: control.FunctionID(in.Function),
-			Lanes: int(in.Lanes), LoadTime: control.Micros(in.LoadMS * 1000),
+			Lanes: int(in.Lanes), LoadTimeHint: control.Micros(in.LoadMS * 1000),
 			ArrivedAt: h.now, Deadline: h.now + control.Micros(in.Timeout), IsRetry: in.Options&optionIsRetry != 0}
 		if in.Options&optionHasWork != 0 {
-			request.Work = control.Micros(in.Work)
+			request.ExecTimeHint = control.Micros(in.Work)
 		}
 		return r.core.Add(h.now, request)
 	})
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -37,7 +37,7 @@
 	l := &call{Call: planned, client: c, class: &c.world.plan.Classes[planned.Class], index: index, begunAt: c.node.Now()}
 	if !planned.RetriesBlindly {
 		spec := l.class.Spec
-		l.retries = retry.NewCall(retry.Class{Effect: spec.Effect, Scope: spec.Scope, Window: spec.Window}, l.begunAt+planned.Timeout)
+		l.retries = retry.NewCall(retry.Class{Effect: spec.Idempotency, Scope: spec.DedupScope, Window: spec.DedupWindow}, l.begunAt+planned.Timeout)
 		c.budget.Deposit()
 	}
 	l.attempt(noRouter)
@@ -82,13 +82,13 @@
 // succeed ends the call with its answer.
 func (l *call) succeed() {
 	now := l.client.node.Now()
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts, FinishedAt: now,
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts, FinishedAt: now,
 		InTime: now-l.begunAt <= l.class.Spec.LatencyObjective})
 }
 
 // giveUp ends the call without an answer.
 func (l *call) giveUp() {
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts})
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts})
 }
 
 // effectName is the call's effect in the records.
@@ -107,7 +107,7 @@
 
 // idempotencyKey is the call's idempotency key as servers know it; empty: none.
 func (l *call) idempotencyKey() string {
-	switch effect := l.class.Spec.Effect; {
+	switch effect := l.class.Spec.Idempotency; {
 	case effect == control.NonIdempotent:
 		return NonIdempotentKeyPrefix + l.effectName()
 	case l.retries == nil && effect != control.IdempotentByKey:
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -102,7 +102,7 @@
 
 // retryBlindly retries whatever does no harm twice.
 func (q *clientRequest) retryBlindly(r response) {
-	if r.mayHaveRun() && q.class.Spec.Effect != control.Idempotent {
+	if r.mayHaveRun() && q.class.Spec.Idempotency != control.Idempotent {
 		q.giveUp()
 		return
 	}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -42,7 +42,7 @@
 func (r *router) start() {
 	now, plan := r.node.Now(), r.world.plan
 	d := plan.Deployment
-	d.Routers, d.Number, d.Zone = plan.Routers, r.number, plan.RouterZones[r.number]
+	d.Routers, d.RouterIndex, d.Zone = plan.Routers, r.number, plan.RouterZones[r.number]
 	seed := plan.Seed*seedsPerDay + uint64(r.number)*seedsPerRouter + r.incarnation
 	r.core = core.New(plan.newPolicy(now, seed, d), r)
 	r.overload = plan.newOverloadController(now, seed)
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,12 +13,12 @@
 
 // smallPlan is a plan of a few routers and servers, with calls at an even pace.
 func smallPlan(calls int, incidents ...Incident) *Plan {
-	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, ConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
-		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.Idempotent}},
-			{Name: "once", Importance: 2, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Effect: control.NonIdempotent}}},
+	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, MaxConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
+		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Idempotency: control.Idempotent}},
+			{Name: "once", Importance: 2, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Idempotency: control.NonIdempotent}}},
 		Incidents: incidents}
-	p.Deployment = control.Deployment{Tick: 4_000, MaxAttempts: 3, MaxRetryAfter: 2 * second, SupportsCancel: true, MarksRetries: true, SlowStartInitial: 0.25, SlowStartDuration: 2 * second,
-		OverloadWindow: second, OverloadFactor: 2, KeepAlive: 5 * second, LoadCommands: true, LoadsOnMiss: true}
+	p.Deployment = control.Deployment{Tick: 4_000, MaxAttempts: 3, MaxRetryAfter: 2 * second, SupportsCancel: true, ClientsMarkRetries: true, SlowStartInitial: 0.25, SlowStartDuration: 2 * second,
+		OverloadWindow: second, OverloadFactor: 2, KeepAlive: 5 * second, SupportsLoadCommands: true, LoadsOnMiss: true}
 	for _, w := range p.Classes {
 		p.Deployment.Classes = append(p.Deployment.Classes, w.Spec)
 	}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -111,7 +111,7 @@
 	d.events = append(d.events, event)
 	for conn, silent := range d.watchers {
 		if !silent {
-			conn.Write(platformtest.Line(event))
+			conn.Write(platformtest.EncodeEvent(event))
 		}
 	}
 	at = time.Now()
@@ -136,7 +136,7 @@
 	fmt.Sscanf(line, "watch %d", &revision)
 	d.mu.Lock()
 	for _, event := range d.events[min(int(revision), len(d.events)):] {
-		conn.Write(platformtest.Line(event))
+		conn.Write(platformtest.EncodeEvent(event))
 	}
 	d.watchers[conn] = false
 	d.mu.Unlock()
