--- a/cmd/hmchaos/changes.go
+++ b/cmd/hmchaos/changes.go
@@ -42,7 +42,7 @@
 	ctx, stop := untilInterrupted()
 	defer stop()
 	result, err := chaostest.RunChurn(ctx, chaostest.Churn{Seed: c.Seed, Changes: c.Number, Interval: c.Every, Rate: c.Rate, Workers: c.Workers, Delta: c.Delta,
-		CutStreams: c.Cuts, LoseEndpoints: c.Loses, TLS: c.Keys, PublishDelay: c.Delay}, router)
+		DropStreams: c.Cuts, LoseEndpoints: c.Loses, TLS: c.Keys, PublishDelay: c.Delay}, router)
 	if err != nil {
 		return err
 	}
--- a/cmd/hmchaos/day.go
+++ b/cmd/hmchaos/day.go
@@ -81,7 +81,7 @@
 	}
 	s.Seed, s.RecordDir, s.TenantWithinQuota = d.Seed, d.Record, d.Within
 	s.LoadCommandsOnly = s.LoadCommandsOnly || d.Orders || d.Script == "" && d.Seed%2 == 0
-	s.DampOverload = s.DampOverload && !d.Undamped
+	s.OverloadProtection = s.OverloadProtection && !d.Undamped
 	if d.Memory != "" {
 		s.RouterState = chaostest.RouterState(d.Memory)
 	}
--- a/cmd/hmchaos/dayresult.go
+++ b/cmd/hmchaos/dayresult.go
@@ -71,16 +71,16 @@
 func printFaults(r *chaostest.Result, faults []chaostest.Fault) {
 	for _, f := range faults {
 		switch {
-		case f.Kind == chaostest.FaultOneTenant:
+		case f.Kind == chaostest.FaultNoisyTenant:
 			during, otherwise := r.OtherTenantsInTime(f)
 			fmt.Printf("calm tenants in time %.3f while one storms, %.3f otherwise\n", during, otherwise)
-		case f.Kind == chaostest.FaultOriginStopped, f.Kind == chaostest.FaultRouterKill && f.Target == chaostest.AllTargets:
+		case f.Kind == chaostest.FaultStoreStopped, f.Kind == chaostest.FaultRouterKill && f.Target == chaostest.AllTargets:
 			recovery := chaostest.MeasureRecovery(r.Seconds, f)
 			again := "not before the day's end"
 			if recovery.Recovered {
-				again = "after " + recovery.After.String()
+				again = "after " + recovery.RecoveryTime.String()
 			}
-			fmt.Printf("fingerprinted work in time before the outage %.3f; within 5%% of that again %s\n", recovery.Usual, again)
+			fmt.Printf("fingerprinted work in time before the outage %.3f; within 5%% of that again %s\n", recovery.BaselineShare, again)
 		}
 	}
 }
--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	s.Seed, s.DampOverload = seed, s.DampOverload && !e.Undamped
+	s.Seed, s.OverloadProtection = seed, s.OverloadProtection && !e.Undamped
 	o := overrides{requests: e.Jobs, routers: e.Routers, workers: e.Workers, clients: e.Clients, behavior: chaostest.ClientBehavior(e.Manners)}
 	if err := o.apply(s); err != nil {
 		return nil, 0, err
--- a/cmd/hmchaos/scenario.go
+++ b/cmd/hmchaos/scenario.go
@@ -20,7 +20,7 @@
 	for _, count := range []struct {
 		from int
 		to   *int
-	}{{o.requests, &s.Requests}, {o.routers, &s.Routers}, {o.workers, &s.Workers}, {o.clients, &s.LibraryClients}} {
+	}{{o.requests, &s.Calls}, {o.routers, &s.Routers}, {o.workers, &s.Workers}, {o.clients, &s.LibraryClients}} {
 		if count.from < 0 {
 			return program.UsageError{Err: errNegativeCount}
 		}
--- a/internal/chaostest/churn.go
+++ b/internal/chaostest/churn.go
@@ -21,7 +21,7 @@
 	Rate          int           // requests per second
 	Workers       int
 	Delta         bool          // the incremental variant of xDS
-	CutStreams    bool          // streams are dropped now and again
+	DropStreams   bool          // streams are dropped now and again
 	LoseEndpoints bool          // the control plane loses the whole list after a third of the changes, half of it after two thirds
 	TLS           bool          // all connections use TLS, and certificates are rotated meanwhile
 	PublishDelay  time.Duration // by which the control plane sends everything later than it claims: to test the measurement
@@ -83,7 +83,7 @@
 // scenario gives the load and the router's settings.
 func (c Churn) scenario() *Scenario {
 	length := time.Duration(c.Changes) * c.Interval
-	s := &Scenario{Seed: c.Seed, Requests: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: churnFunctions,
+	s := &Scenario{Seed: c.Seed, Calls: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: churnFunctions,
 		TLS: c.TLS, EndpointSource: SourceXDS}
 	if c.Delta {
 		s.EndpointSource = SourceXDSDelta
@@ -172,7 +172,7 @@
 		}
 		h.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: server, Detail: h.states[server]})
 		h.controlPlane.Update(h.clusters(h.states))
-		if c.CutStreams && random.IntN(streamDropOdds) == 0 {
+		if c.DropStreams && random.IntN(streamDropOdds) == 0 {
 			h.controlPlane.DropStreams(random.IntN(2) == 0)
 		}
 	}
--- a/internal/chaostest/churnresult.go
+++ b/internal/chaostest/churnresult.go
@@ -12,13 +12,13 @@
 // ChurnResult is how soon a router followed changes that took servers away.
 type ChurnResult struct {
 	*invariant.Report
-	RemovedServers     int           // changes that took a server away
-	LateServers        int           // those after which something new still reached the server
-	Median, Max        time.Duration // of these: from the change to the last new thing; 0 if there are none
-	SuccessRate        float64       // share of requests
-	Streams            int           // that the router has opened to the control plane
-	CertificateChanges int
-	BrokenConnections  int // client connections that ended without an answer, timeouts aside
+	RemovedServers        int           // changes that took a server away
+	LateServers           int           // those after which something new still reached the server
+	MedianDelay, MaxDelay time.Duration // of these: from the change to the last new thing; 0 if there are none
+	SuccessRate           float64       // share of requests
+	Streams               int           // that the router has opened to the control plane
+	CertificateChanges    int
+	BrokenConnections     int // client connections that ended without an answer, timeouts aside
 }
 
 func (h *harness) churnResult() *ChurnResult {
@@ -72,8 +72,8 @@
 		return
 	}
 	slices.Sort(delays)
-	r.Median = time.Duration(delays[r.LateServers/2]) * time.Microsecond
-	r.Max = time.Duration(delays[r.LateServers-1]) * time.Microsecond
+	r.MedianDelay = time.Duration(delays[r.LateServers/2]) * time.Microsecond
+	r.MaxDelay = time.Duration(delays[r.LateServers-1]) * time.Microsecond
 }
 
 // String gives the result in one line.
@@ -92,5 +92,5 @@
 		verdict = fmt.Sprintf("%d changes of keys; %s", r.CertificateChanges, verdict)
 	}
 	return fmt.Sprintf("%d servers taken away, %d got something new after it: median %s, worst %s; %d jobs, %.3f finished, %d unanswered, %d client connections broken, %d streams; %s",
-		r.RemovedServers, r.LateServers, r.Median, r.Max, r.Requests, r.SuccessRate, r.Unanswered, r.BrokenConnections, r.Streams, verdict)
+		r.RemovedServers, r.LateServers, r.MedianDelay, r.MaxDelay, r.Requests, r.SuccessRate, r.Unanswered, r.BrokenConnections, r.Streams, verdict)
 }
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -70,11 +70,11 @@
 		}
 		fmt.Fprintf(&b, "[function %s-*]\nworkload = %s\nlanes = %d\n", w.name, w.name, serverLanes)
 	}
-	if slices.ContainsFunc(h.scenario.Faults, func(f Fault) bool { return f.Kind == FaultOneTenant }) {
-		perSecond := h.scenario.Requests / max(1, int(h.scenario.Length.Seconds()))
+	if slices.ContainsFunc(h.scenario.Faults, func(f Fault) bool { return f.Kind == FaultNoisyTenant }) {
+		perSecond := h.scenario.Calls / max(1, int(h.scenario.Length.Seconds()))
 		fmt.Fprintf(&b, "[tenant %s]\nshare = %d\n[tenant %s]\nshare = %d\n", usualTenant, perSecond, noisyTenant, noisyTenantQuota)
 	}
-	if !h.scenario.DampOverload {
+	if !h.scenario.OverloadProtection {
 		b.WriteString("[clients]\ndamp_storms = no\n")
 	}
 	b.WriteString(h.certificates.routerConfig())
--- a/internal/chaostest/endpoints.go
+++ b/internal/chaostest/endpoints.go
@@ -108,16 +108,16 @@
 // injectControlPlaneFault breaks the control plane for a time. What happens to servers meanwhile is published afterwards.
 func (h *harness) injectControlPlaneFault(ctx context.Context, f Fault) {
 	switch f.Kind {
-	case FaultControlPlaneLost, FaultControlPlaneHalf:
+	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList:
 		update := loseHalfOfEndpoints
-		if f.Kind == FaultControlPlaneLost {
+		if f.Kind == FaultControlPlaneEmptyList {
 			update = loseAllEndpoints
 		}
 		h.holdPublishing(func() {
 			h.controlPlane.Update(update)
 			sleep(ctx, f.Duration)
 		})
-	case FaultControlPlaneCut:
+	case FaultControlPlaneStreamDrops:
 		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; {
 			h.controlPlane.DropStreams(true)
 			sleep(ctx, streamDropInterval)
--- a/internal/chaostest/fault.go
+++ b/internal/chaostest/fault.go
@@ -39,48 +39,48 @@
 
 // The kinds of fault.
 const (
-	FaultHang        FaultKind = "hang"         // servers accept requests and answer none
-	FaultCrash       FaultKind = "crash"        // servers stop; they restart without loaded functions
-	FaultVanish      FaultKind = "vanish"       // servers fall silent, then crash
-	FaultPauses      FaultKind = "pauses"       // servers are ten times slower now and again
-	FaultAnswerLost  FaultKind = "answer_lost"  // servers run a share of the requests and don't answer
-	FaultResetBefore FaultKind = "reset_before" // servers reset a share of connections before the request runs
-	FaultResetAfter  FaultKind = "reset_after"  // servers reset a share of connections after the request has run
-	FaultRefuse      FaultKind = "refuse"       // servers answer that they are overloaded
-	FaultAgeing      FaultKind = "ageing"       // servers get slower step by step
-	FaultDeploy      FaultKind = "deploy"       // servers drain, are withdrawn, and restart
+	FaultHang                 FaultKind = "hang"         // servers accept requests and answer none
+	FaultCrash                FaultKind = "crash"        // servers stop; they restart without loaded functions
+	FaultHangThenCrash        FaultKind = "vanish"       // servers fall silent, then crash
+	FaultIntermittentSlowness FaultKind = "pauses"       // servers are ten times slower now and again
+	FaultLostResponses        FaultKind = "answer_lost"  // servers run a share of the requests and don't answer
+	FaultResetBefore          FaultKind = "reset_before" // servers reset a share of connections before the request runs
+	FaultResetAfter           FaultKind = "reset_after"  // servers reset a share of connections after the request has run
+	FaultServerOverloaded     FaultKind = "refuse"       // servers answer that they are overloaded
+	FaultProgressiveSlowdown  FaultKind = "ageing"       // servers get slower step by step
+	FaultDeploy               FaultKind = "deploy"       // servers drain, are withdrawn, and restart
 
-	FaultOriginSlow    FaultKind = "origin_slow"    // the model store is slower
-	FaultOriginStopped FaultKind = "origin_stopped" // the model store serves nothing
+	FaultStoreSlow    FaultKind = "origin_slow"    // the model store is slower
+	FaultStoreStopped FaultKind = "origin_stopped" // the model store serves nothing
 
-	FaultHotKey     FaultKind = "hot_key"     // a share of the requests is for one function
-	FaultScan       FaultKind = "scan"        // a share of the requests is for functions of their own
-	FaultGiveUp     FaultKind = "give_up"     // a share of the clients has short timeouts
-	FaultRetryAbuse FaultKind = "retry_abuse" // a share of the clients gives up early and retries at once
-	FaultOneTenant  FaultKind = "one_tenant"  // a share of the requests belongs to a tenant that retries without pause
-	FaultRise       FaultKind = "rise"        // there are more requests
+	FaultHotFunction     FaultKind = "hot_key"     // a share of the requests is for one function
+	FaultUniqueFunctions FaultKind = "scan"        // a share of the requests is for functions of their own
+	FaultShortTimeouts   FaultKind = "give_up"     // a share of the clients has short timeouts
+	FaultRetryAbuse      FaultKind = "retry_abuse" // a share of the clients gives up early and retries at once
+	FaultNoisyTenant     FaultKind = "one_tenant"  // a share of the requests belongs to a tenant that retries without pause
+	FaultDemandSurge     FaultKind = "rise"        // there are more requests
 
-	FaultDiscoveryStale    FaultKind = "discovery_stale" // the endpoint list isn't updated
-	FaultControlPlaneLost  FaultKind = "plane_lost"      // the control plane publishes an empty list
-	FaultControlPlaneHalf  FaultKind = "plane_half"      // the control plane publishes half of the list
-	FaultControlPlaneCut   FaultKind = "plane_cut"       // the control plane drops its streams again and again
-	FaultControlPlaneStall FaultKind = "plane_silent"    // the control plane sends nothing
+	FaultStaleEndpoints          FaultKind = "discovery_stale" // the endpoint list isn't updated
+	FaultControlPlaneEmptyList   FaultKind = "plane_lost"      // the control plane publishes an empty list
+	FaultControlPlaneHalfList    FaultKind = "plane_half"      // the control plane publishes half of the list
+	FaultControlPlaneStreamDrops FaultKind = "plane_cut"       // the control plane drops its streams again and again
+	FaultControlPlaneStall       FaultKind = "plane_silent"    // the control plane sends nothing
 
-	FaultRouterStall FaultKind = "balancer_stall" // routers are stopped by SIGSTOP and go on
-	FaultRouterRoll  FaultKind = "balancer_roll"  // routers shut down gracefully and restart
-	FaultRouterKill  FaultKind = "balancer_kill"  // routers are killed and restart
+	FaultRouterStall   FaultKind = "balancer_stall" // routers are stopped by SIGSTOP and go on
+	FaultRouterRestart FaultKind = "balancer_roll"  // routers shut down gracefully and restart
+	FaultRouterKill    FaultKind = "balancer_kill"  // routers are killed and restart
 )
 
 // faultKinds lists all kinds, in the order in which an error message names them.
-var faultKinds = []FaultKind{FaultHang, FaultCrash, FaultVanish, FaultPauses, FaultAnswerLost, FaultOriginSlow, FaultOriginStopped,
-	FaultHotKey, FaultScan, FaultDiscoveryStale, FaultDeploy, FaultGiveUp, FaultRetryAbuse, FaultRouterStall, FaultRouterRoll,
-	FaultRouterKill, FaultAgeing, FaultResetBefore, FaultResetAfter, FaultRefuse, FaultOneTenant, FaultRise, FaultControlPlaneLost,
-	FaultControlPlaneHalf, FaultControlPlaneCut, FaultControlPlaneStall}
+var faultKinds = []FaultKind{FaultHang, FaultCrash, FaultHangThenCrash, FaultIntermittentSlowness, FaultLostResponses, FaultStoreSlow, FaultStoreStopped,
+	FaultHotFunction, FaultUniqueFunctions, FaultStaleEndpoints, FaultDeploy, FaultShortTimeouts, FaultRetryAbuse, FaultRouterStall, FaultRouterRestart,
+	FaultRouterKill, FaultProgressiveSlowdown, FaultResetBefore, FaultResetAfter, FaultServerOverloaded, FaultNoisyTenant, FaultDemandSurge, FaultControlPlaneEmptyList,
+	FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall}
 
 // needsControlPlane reports whether the fault is one of the control plane.
 func (k FaultKind) needsControlPlane() bool {
 	switch k {
-	case FaultControlPlaneLost, FaultControlPlaneHalf, FaultControlPlaneCut, FaultControlPlaneStall:
+	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall:
 		return true
 	}
 	return false
@@ -88,5 +88,5 @@
 
 // affectsRouters reports whether the fault's target is a router; it is a server otherwise.
 func (k FaultKind) affectsRouters() bool {
-	return k == FaultRouterStall || k == FaultRouterRoll || k == FaultRouterKill
+	return k == FaultRouterStall || k == FaultRouterRestart || k == FaultRouterKill
 }
--- a/internal/chaostest/inject.go
+++ b/internal/chaostest/inject.go
@@ -14,27 +14,27 @@
 // injectFault injects a fault and returns when it is over.
 func (h *harness) injectFault(ctx context.Context, f Fault) {
 	switch f.Kind {
-	case FaultOriginSlow:
+	case FaultStoreSlow:
 		h.store.Degrade(f.Factor, false)
 		sleep(ctx, f.Duration)
 		h.store.Degrade(1, false)
-	case FaultOriginStopped:
+	case FaultStoreStopped:
 		h.store.Degrade(1, true)
 		sleep(ctx, f.Duration)
 		h.store.Degrade(1, false)
-	case FaultDiscoveryStale:
+	case FaultStaleEndpoints:
 		h.holdPublishing(func() { sleep(ctx, f.Duration) })
-	case FaultControlPlaneLost, FaultControlPlaneHalf, FaultControlPlaneCut, FaultControlPlaneStall:
+	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall:
 		h.injectControlPlaneFault(ctx, f)
-	case FaultCrash, FaultVanish, FaultDeploy:
+	case FaultCrash, FaultHangThenCrash, FaultDeploy:
 		h.injectServerRestart(ctx, f)
-	case FaultRouterStall, FaultRouterRoll, FaultRouterKill:
+	case FaultRouterStall, FaultRouterRestart, FaultRouterKill:
 		var wg sync.WaitGroup
 		for _, router := range f.targets(len(h.routers)) {
 			wg.Go(func() { h.injectRouterFault(ctx, f, router) })
 		}
 		wg.Wait()
-	case FaultRise: // is in the schedule alone
+	case FaultDemandSurge: // is in the schedule alone
 	default:
 		h.injectServerFault(ctx, f)
 	}
@@ -60,7 +60,7 @@
 func (h *harness) injectServerFault(ctx context.Context, f Fault) {
 	servers := f.targets(len(h.servers))
 	switch f.Kind {
-	case FaultPauses:
+	case FaultIntermittentSlowness:
 		for end := time.Now().Add(f.Duration); time.Now().Before(end) && ctx.Err() == nil; {
 			h.setServerFaults(servers, fakeserver.Faults{Slowdown: pauseSlowdown})
 			sleep(ctx, pauseLength)
@@ -68,7 +68,7 @@
 			sleep(ctx, pauseInterval)
 		}
 		return
-	case FaultAgeing:
+	case FaultProgressiveSlowdown:
 		for step := range ageingSteps {
 			h.setServerFaults(servers, fakeserver.Faults{Slowdown: 1 + (f.Factor-1)*float64(step+1)/ageingSteps})
 			sleep(ctx, f.Duration/ageingSteps)
@@ -77,13 +77,13 @@
 		return
 	case FaultHang:
 		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
-	case FaultAnswerLost:
+	case FaultLostResponses:
 		h.setServerFaults(servers, fakeserver.Faults{LostAnswers: f.Share})
 	case FaultResetBefore:
 		h.setServerFaults(servers, fakeserver.Faults{ResetBefore: f.Share})
 	case FaultResetAfter:
 		h.setServerFaults(servers, fakeserver.Faults{ResetAfter: f.Share})
-	case FaultRefuse:
+	case FaultServerOverloaded:
 		h.setServerFaults(servers, fakeserver.Faults{Overloaded: true})
 	}
 	sleep(ctx, f.Duration)
@@ -97,7 +97,7 @@
 	case FaultCrash:
 		h.stopServers(servers)
 		sleep(ctx, f.Duration)
-	case FaultVanish:
+	case FaultHangThenCrash:
 		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
 		sleep(ctx, f.Duration)
 		h.stopServers(servers)
@@ -141,8 +141,8 @@
 		r.signal(syscall.SIGSTOP)
 		sleep(ctx, f.Duration)
 		r.signal(syscall.SIGCONT)
-	case FaultRouterRoll, FaultRouterKill:
-		if f.Kind == FaultRouterRoll {
+	case FaultRouterRestart, FaultRouterKill:
+		if f.Kind == FaultRouterRestart {
 			if err := r.stop(syscall.SIGTERM); err != nil {
 				h.recordError(fmt.Errorf("router %d did not end well when told to: %w", router, err))
 			}
--- a/internal/chaostest/perform.go
+++ b/internal/chaostest/perform.go
@@ -12,9 +12,9 @@
 	switch behavior := h.scenario.ClientBehavior; {
 	case c.noisyTenant:
 		return h.performBlindly(ctx, c)
-	case behavior == ClientsGood || behavior == ClientsMixed && c.number%2 == 0:
+	case behavior == ClientsWithLibrary || behavior == ClientsMixed && c.number%2 == 0:
 		return h.performWithLibrary(ctx, c)
-	case behavior == ClientsBad || behavior == ClientsMixed:
+	case behavior == ClientsBlind || behavior == ClientsMixed:
 		return h.performBlindly(ctx, c)
 	}
 	return h.performUsually(ctx, c)
--- a/internal/chaostest/plot.go
+++ b/internal/chaostest/plot.go
@@ -12,12 +12,12 @@
 // curve is one line of a plot.
 type curve struct {
 	name  string
-	value func(s Second) float64
+	value func(s SecondStats) float64
 	color color.Color
 }
 
 // Plot draws a run into a PNG file: counts per second, and shares scaled to the height of the plot.
-func Plot(seconds []Second, title, file string) error {
+func Plot(seconds []SecondStats, title, file string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "a second"
 	top := 0.0
@@ -48,12 +48,12 @@
 // curves gives the lines of a plot in which a share of 1 is drawn at top.
 func curves(top float64) []curve {
 	return []curve{
-		{"tries", func(s Second) float64 { return float64(s.Requests) }, color.RGBA{120, 120, 120, 255}},
-		{"effects wanted", func(s Second) float64 { return float64(s.Calls) }, color.RGBA{0, 0, 0, 255}},
-		{"pushed back", func(s Second) float64 { return float64(s.Rejected) }, color.RGBA{200, 60, 40, 255}},
-		{"loads", func(s Second) float64 { return float64(s.Loads) }, color.RGBA{40, 120, 200, 255}},
-		{"without an answer yet", func(s Second) float64 { return float64(s.Outstanding) }, color.RGBA{150, 80, 170, 255}},
-		{fmt.Sprintf("new hosts' worst window (budget = %.0f)", top), func(s Second) float64 { return top * s.SlowStartBudgetUsed }, color.RGBA{230, 150, 30, 255}},
-		{fmt.Sprintf("in time (1 = %.0f)", top), func(s Second) float64 { return top * share(s.InTime, s.Calls) }, color.RGBA{30, 150, 60, 255}},
+		{"tries", func(s SecondStats) float64 { return float64(s.Requests) }, color.RGBA{120, 120, 120, 255}},
+		{"effects wanted", func(s SecondStats) float64 { return float64(s.Calls) }, color.RGBA{0, 0, 0, 255}},
+		{"pushed back", func(s SecondStats) float64 { return float64(s.Rejected) }, color.RGBA{200, 60, 40, 255}},
+		{"loads", func(s SecondStats) float64 { return float64(s.Loads) }, color.RGBA{40, 120, 200, 255}},
+		{"without an answer yet", func(s SecondStats) float64 { return float64(s.Outstanding) }, color.RGBA{150, 80, 170, 255}},
+		{fmt.Sprintf("new hosts' worst window (budget = %.0f)", top), func(s SecondStats) float64 { return top * s.SlowStartBudgetUsed }, color.RGBA{230, 150, 30, 255}},
+		{fmt.Sprintf("in time (1 = %.0f)", top), func(s SecondStats) float64 { return top * share(s.InTime, s.Calls) }, color.RGBA{30, 150, 60, 255}},
 	}
 }
--- a/internal/chaostest/recording_test.go
+++ b/internal/chaostest/recording_test.go
@@ -19,7 +19,7 @@
 
 // What real routers decided under faults, replay and explanation decide too.
 func TestRecordedRunIsReplayedAndExplained(t *testing.T) {
-	s := &Scenario{Seed: 3, Requests: 1200, Length: 4 * time.Second, Routers: 2, Workers: 6, Functions: 8, LimitLoadRate: true, RecordDir: t.TempDir(), RouterState: StateKept,
+	s := &Scenario{Seed: 3, Calls: 1200, Length: 4 * time.Second, Routers: 2, Workers: 6, Functions: 8, LimitLoadRate: true, RecordDir: t.TempDir(), RouterState: StateComplete,
 		Faults: []Fault{{Kind: FaultHang, At: 500 * time.Millisecond, Duration: time.Second, Target: 1},
 			{Kind: FaultCrash, At: time.Second, Duration: 500 * time.Millisecond, Target: 2},
 			{Kind: FaultRouterKill, At: 2 * time.Second, Duration: 200 * time.Millisecond, Target: 1}}}
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -36,8 +36,8 @@
 	at      time.Duration // since the start of the run
 }
 
-// Restart is what followed a router's restart, within afterRestart.
-type Restart struct {
+// RestartImpact is what followed a router's restart, within afterRestart.
+type RestartImpact struct {
 	Router             int           `json:"Router"`
 	At                 time.Duration `json:"At"`         // since the start of the run
 	Calls              int           `json:"Effects"`    // that asked this router first
@@ -49,10 +49,10 @@
 const afterRestart = 10 * time.Second
 
 // afterRestarts gives what followed each restart.
-func (h *harness) afterRestarts(records []invariant.Record) []Restart {
-	var all []Restart
+func (h *harness) afterRestarts(records []invariant.Record) []RestartImpact {
+	var all []RestartImpact
 	for _, event := range h.restarts {
-		r := Restart{Router: event.router, At: event.at}
+		r := RestartImpact{Router: event.router, At: event.at}
 		inTime := 0
 		for _, o := range h.outcomes {
 			if o.router == event.router && o.at >= event.at && o.at < event.at+afterRestart {
--- a/internal/chaostest/result.go
+++ b/internal/chaostest/result.go
@@ -11,16 +11,16 @@
 // Result is what a run showed. Its JSON form is read by scripts: the names in the tags stay.
 type Result struct {
 	*invariant.Report
-	InTime             float64  `json:"InTime"` // share of calls that succeeded within their latency objective
-	Records            int      `json:"Records"`
-	Seconds            []Second `json:"Seconds"`
+	InTime             float64       `json:"InTime"` // share of calls that succeeded within their latency objective
+	Records            int           `json:"Records"`
+	Seconds            []SecondStats `json:"Seconds"`
 	outcomes           []outcome
-	logDir             string         // see LogDir
-	RestartRetries     RestartRetries `json:"Resumed"`
-	Restarts           []Restart      `json:"Renewed"`
-	WeightedInTime     float64        `json:"Worth"`  // as InTime, each call weighted with its workload's importance
-	Overloads          int            `json:"Storms"` // that routers have logged
-	ExcessLoadCommands int            `json:"Over"`   // beyond the load-rate limit, if those before a restart count too
+	logDir             string          // see LogDir
+	RestartRetries     RestartRetries  `json:"Resumed"`
+	Restarts           []RestartImpact `json:"Renewed"`
+	WeightedInTime     float64         `json:"Worth"`  // as InTime, each call weighted with its workload's importance
+	Overloads          int             `json:"Storms"` // that routers have logged
+	ExcessLoadCommands int             `json:"Over"`   // beyond the load-rate limit, if those before a restart count too
 }
 
 // LogDir returns the folder with the routers' logs of a run that broke an invariant; empty: none are kept.
--- a/internal/chaostest/routerstate.go
+++ b/internal/chaostest/routerstate.go
@@ -24,15 +24,15 @@
 func (h *harness) alterState(router int) error {
 	dir := persistence.Dir(h.stateDir(router))
 	switch h.scenario.RouterState {
-	case StateLimits:
+	case StateJournalOnly:
 		for _, name := range persistence.GenerationFiles {
 			if err := os.Remove(filepath.Join(string(dir), name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
-	case StateOld:
+	case StateAged:
 		return rewriteState(dir, func(s *control.LearnedState) { ageState(s, stateAge) })
-	case StateOther:
+	case StateMismatched:
 		return rewriteState(dir, disarrangeState)
 	}
 	return nil
--- a/internal/chaostest/run_test.go
+++ b/internal/chaostest/run_test.go
@@ -12,7 +12,7 @@
 // Misconfigured routers violate invariants on the wire, and each violation has to be found. RuleResponses can't be violated by a
 // configuration; see the tests of package invariant.
 func TestMisconfiguredRoutersViolateInvariants(t *testing.T) {
-	s := &Scenario{Seed: 1, Requests: 2400, Length: 6 * time.Second, Routers: 2, Workers: 4, Functions: 5, LimitLoadRate: true, LoadCommandsOnly: true,
+	s := &Scenario{Seed: 1, Calls: 2400, Length: 6 * time.Second, Routers: 2, Workers: 4, Functions: 5, LimitLoadRate: true, LoadCommandsOnly: true,
 		configOverrides: []string{"effect = run-once", "effect = restartable", "cold = 4s", "cold = 1ms", "start_target = 400ms", "start_target = 3s", "start_target = 300ms", "start_target = 3s",
 			"load_free = 6", "load_free = 600", "grace = 500ms", "grace = 10s",
 			"[workload forecast]", "[bounds]\nlist_every = 2s\n[workload forecast]"},
@@ -40,8 +40,8 @@
 	const runs = 8 // on a busy machine one in five or so of the runs without persisted state has no request run twice
 	program := buildProgram(t, "hollymast")
 	run := func(seed uint64, overrides ...string) (violations, repeated int) {
-		s := &Scenario{Seed: seed, Requests: 900, Length: 5 * time.Second, Routers: 2, Workers: 6, Functions: 4, RouterState: StateKept, configOverrides: overrides,
-			Faults: []Fault{{Kind: FaultAgeing, At: 500 * time.Millisecond, Duration: 3 * time.Second, Target: AllTargets, Factor: 6},
+		s := &Scenario{Seed: seed, Calls: 900, Length: 5 * time.Second, Routers: 2, Workers: 6, Functions: 4, RouterState: StateComplete, configOverrides: overrides,
+			Faults: []Fault{{Kind: FaultProgressiveSlowdown, At: 500 * time.Millisecond, Duration: 3 * time.Second, Target: AllTargets, Factor: 6},
 				{Kind: FaultRouterKill, At: 2 * time.Second, Duration: 100 * time.Millisecond, Target: 0},
 				{Kind: FaultRouterKill, At: 3 * time.Second, Duration: 100 * time.Millisecond, Target: 1}}}
 		result, err := Run(context.Background(), s, program)
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	startedAt := time.Now()
-	_, err := Run(ctx, &Scenario{Seed: 1, Requests: 100000, Length: time.Minute, Routers: 1, Workers: 2, Functions: 5}, program)
+	_, err := Run(ctx, &Scenario{Seed: 1, Calls: 100000, Length: time.Minute, Routers: 1, Workers: 2, Functions: 5}, program)
 	if err == nil || time.Since(startedAt) > 5*time.Second {
 		t.Errorf("got %v after %s", err, time.Since(startedAt))
 	}
--- a/internal/chaostest/scenario.go
+++ b/internal/chaostest/scenario.go
@@ -13,25 +13,25 @@
 
 // Scenario describes one run: the load, the processes, and the faults that are injected.
 type Scenario struct {
-	Name              string
-	Seed              uint64
-	Requests          int // operations that clients want; retries come on top
-	Length            time.Duration
-	Routers           int
-	Workers           int
-	Functions         int
-	LimitLoadRate     bool // routers have a limit on their load commands
-	LoadCommandsOnly  bool // servers load on command only, never on a cache miss
-	Faults            []Fault
-	EndpointSource    EndpointSource
-	TLS               bool // all connections use TLS, and certificates are rotated during the run
-	ClientBehavior    ClientBehavior
-	LibraryClients    int  // clients of the client library; each has its own connections, keys and retry budget
-	DampOverload      bool // routers dampen retry storms
-	TenantWithinQuota bool // the noisy tenant of a one_tenant fault stays within its quota: the baseline for a run in which it doesn't
-	RouterState       RouterState
-	RecordDir         string   // parent of the routers' recording directories; empty: nothing is recorded
-	configOverrides   []string // pairs of old and new text in the routers' configuration: misconfigures them, to test the checks
+	Name               string
+	Seed               uint64
+	Calls              int // operations that clients want; retries come on top
+	Length             time.Duration
+	Routers            int
+	Workers            int
+	Functions          int
+	LimitLoadRate      bool // routers have a limit on their load commands
+	LoadCommandsOnly   bool // servers load on command only, never on a cache miss
+	Faults             []Fault
+	EndpointSource     EndpointSource
+	TLS                bool // all connections use TLS, and certificates are rotated during the run
+	ClientBehavior     ClientBehavior
+	LibraryClients     int  // clients of the client library; each has its own connections, keys and retry budget
+	OverloadProtection bool // routers dampen retry storms
+	TenantWithinQuota  bool // the noisy tenant of a one_tenant fault stays within its quota: the baseline for a run in which it doesn't
+	RouterState        RouterState
+	RecordDir          string   // parent of the routers' recording directories; empty: nothing is recorded
+	configOverrides    []string // pairs of old and new text in the routers' configuration: misconfigures them, to test the checks
 }
 
 // EndpointSource is where routers read the endpoint list from.
@@ -52,29 +52,29 @@
 
 // The client behaviors.
 const (
-	ClientsUsual ClientBehavior = "usual" // retry as their class and the response allow, three times at most
-	ClientsGood  ClientBehavior = "good"  // use the client library
-	ClientsBad   ClientBehavior = "bad"   // retry almost at once, without retry headers, until their deadline
-	ClientsMixed ClientBehavior = "mixed" // half good, half bad
+	ClientsBasic       ClientBehavior = "usual" // retry as their class and the response allow, three times at most
+	ClientsWithLibrary ClientBehavior = "good"  // use the client library
+	ClientsBlind       ClientBehavior = "bad"   // retry almost at once, without retry headers, until their deadline
+	ClientsMixed       ClientBehavior = "mixed" // half good, half bad
 )
 
 // ClientBehaviors lists all client behaviors.
-var ClientBehaviors = []ClientBehavior{ClientsUsual, ClientsGood, ClientsBad, ClientsMixed}
+var ClientBehaviors = []ClientBehavior{ClientsBasic, ClientsWithLibrary, ClientsBlind, ClientsMixed}
 
 // RouterState is what a restarted router finds of its persisted state.
 type RouterState string
 
 // The router states.
 const (
-	StateNone   RouterState = "none"   // nothing is persisted
-	StateLimits RouterState = "limits" // only the journal of attempts, which rate limits are restored from
-	StateKept   RouterState = "kept"   // everything
-	StateOld    RouterState = "old"    // everything, as if it had been written a month ago
-	StateOther  RouterState = "other"  // everything, learned under quite different load
+	StateNone        RouterState = "none"   // nothing is persisted
+	StateJournalOnly RouterState = "limits" // only the journal of attempts, which rate limits are restored from
+	StateComplete    RouterState = "kept"   // everything
+	StateAged        RouterState = "old"    // everything, as if it had been written a month ago
+	StateMismatched  RouterState = "other"  // everything, learned under quite different load
 )
 
 // routerStates lists all router states.
-var routerStates = []RouterState{StateNone, StateLimits, StateKept, StateOld, StateOther}
+var routerStates = []RouterState{StateNone, StateJournalOnly, StateComplete, StateAged, StateMismatched}
 
 // Bounds of a scenario: what one machine can run as processes and listeners on loopback, and what a simulation fits into memory.
 const (
@@ -95,20 +95,20 @@
 	}
 	section := file.Section("day")
 	s := &Scenario{
-		Name:             section.String("name", name),
-		Requests:         section.Int("jobs", 5000, 1, 10_000_000),
-		Length:           section.Duration("length", 20*time.Second, time.Second, time.Hour),
-		Routers:          section.Int("routers", 3, 1, maxSimulated),
-		Workers:          section.Int("workers", 12, 1, maxSimulated),
-		Functions:        section.Int("functions", 60, 1, 100_000),
-		LimitLoadRate:    section.Bool("ration", true),
-		LoadCommandsOnly: section.Bool("orders_only", false),
-		ClientBehavior:   inifile.OneOf(section, "manners", ClientsUsual, ClientBehaviors...),
-		DampOverload:     section.Bool("damp_storms", true),
-		LibraryClients:   section.Int("clients", 20, 1, 20_000),
-		EndpointSource:   inifile.OneOf(section, "source", SourceFile, endpointSources...),
-		TLS:              section.Bool("keys", false),
-		RouterState:      inifile.OneOf(section, "memory", StateNone, routerStates...),
+		Name:               section.String("name", name),
+		Calls:              section.Int("jobs", 5000, 1, 10_000_000),
+		Length:             section.Duration("length", 20*time.Second, time.Second, time.Hour),
+		Routers:            section.Int("routers", 3, 1, maxSimulated),
+		Workers:            section.Int("workers", 12, 1, maxSimulated),
+		Functions:          section.Int("functions", 60, 1, 100_000),
+		LimitLoadRate:      section.Bool("ration", true),
+		LoadCommandsOnly:   section.Bool("orders_only", false),
+		ClientBehavior:     inifile.OneOf(section, "manners", ClientsBasic, ClientBehaviors...),
+		OverloadProtection: section.Bool("damp_storms", true),
+		LibraryClients:     section.Int("clients", 20, 1, 20_000),
+		EndpointSource:     inifile.OneOf(section, "source", SourceFile, endpointSources...),
+		TLS:                section.Bool("keys", false),
+		RouterState:        inifile.OneOf(section, "memory", StateNone, routerStates...),
 	}
 	if s.TLS && s.usesLibrary() {
 		section.Errorf("keys", "clients that behave as the library have no keys here")
@@ -142,7 +142,7 @@
 
 // usesLibrary reports whether some clients use the client library.
 func (s *Scenario) usesLibrary() bool {
-	return s.ClientBehavior == ClientsGood || s.ClientBehavior == ClientsMixed
+	return s.ClientBehavior == ClientsWithLibrary || s.ClientBehavior == ClientsMixed
 }
 
 // usesControlPlane reports whether the endpoint list comes from a fake control plane.
--- a/internal/chaostest/scenario_test.go
+++ b/internal/chaostest/scenario_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestScheduleFollowsTheSeed(t *testing.T) {
-	s := &Scenario{Seed: 1, Requests: 100, Length: time.Second, Routers: 3, Functions: 9,
-		Faults: []Fault{{Kind: FaultHotKey, Name: "x", Duration: time.Second, Share: 1}}}
+	s := &Scenario{Seed: 1, Calls: 100, Length: time.Second, Routers: 3, Functions: 9,
+		Faults: []Fault{{Kind: FaultHotFunction, Name: "x", Duration: time.Second, Share: 1}}}
 	first, second := s.schedule(), s.schedule()
 	s.Seed = 2
 	other := s.schedule()
--- a/internal/chaostest/schedule.go
+++ b/internal/chaostest/schedule.go
@@ -65,7 +65,7 @@
 
 // arrivals draws a Poisson process and scales it to the length of the run.
 func (s *Scenario) arrivals(random *rand.Rand) []call {
-	calls := make([]call, s.Requests)
+	calls := make([]call, s.Calls)
 	at := 0.0 // in seconds
 	for i := range calls {
 		at += random.ExpFloat64()
@@ -81,10 +81,10 @@
 // addSurges adds the calls of faults in which demand rises.
 func (s *Scenario) addSurges(calls []call, random *rand.Rand) []call {
 	for _, f := range s.Faults {
-		if f.Kind != FaultRise {
+		if f.Kind != FaultDemandSurge {
 			continue
 		}
-		more := (f.Factor - 1) * float64(s.Requests) * f.Duration.Seconds() / s.Length.Seconds()
+		more := (f.Factor - 1) * float64(s.Calls) * f.Duration.Seconds() / s.Length.Seconds()
 		for range int(more) {
 			calls = append(calls, call{at: f.At + time.Duration(random.Float64()*float64(f.Duration)), number: len(calls), router: random.IntN(s.Routers)})
 		}
@@ -109,20 +109,20 @@
 // applyFault changes a call that a fault has hit; hit is what was drawn for that, below the fault's share.
 func (s *Scenario) applyFault(c *call, f Fault, hit float64) {
 	switch f.Kind {
-	case FaultHotKey:
+	case FaultHotFunction:
 		c.workload, c.function = &workloadMix[0], workloadMix[0].name+"-hot-"+f.Name
-	case FaultScan:
+	case FaultUniqueFunctions:
 		c.workload, c.function = &workloadMix[0], workloadMix[0].name+"-once-"+strconv.Itoa(c.number)
-	case FaultGiveUp:
+	case FaultShortTimeouts:
 		c.timeout = c.workload.latencyObjective
 	case FaultRetryAbuse:
 		c.timeout, c.impatient = c.workload.latencyObjective/2, true
-	case FaultOneTenant:
+	case FaultNoisyTenant:
 		if !s.TenantWithinQuota {
 			c.noisyTenant = true
 			return
 		}
 		c.noisyTenant, c.limitedTenant = false, true
-		c.suppressed = hit >= noisyTenantQuota/(float64(s.Requests)/s.Length.Seconds())
+		c.suppressed = hit >= noisyTenantQuota/(float64(s.Calls)/s.Length.Seconds())
 	}
 }
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -94,7 +94,7 @@
 	}
 	plan := &simulation.Plan{Seed: s.Seed, Routers: s.Routers, Deployment: config.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
 		ConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
-		OverloadProtection: s.DampOverload, EndpointPollInterval: control.Micros(config.EndpointFileInterval.Microseconds())}
+		OverloadProtection: s.OverloadProtection, EndpointPollInterval: control.Micros(config.EndpointFileInterval.Microseconds())}
 	for i := range s.Workers {
 		plan.Servers = append(plan.Servers, h.serverConfig(i).ModelConfig())
 		plan.ServerZones = append(plan.ServerZones, control.ZoneID(i%zones))
@@ -121,7 +121,7 @@
 
 // retriesBlindly reports whether a call's client retries at once, at any router and without retry headers.
 func (s *Scenario) retriesBlindly(c *call) bool {
-	return c.noisyTenant || s.ClientBehavior == ClientsBad || s.ClientBehavior == ClientsMixed && c.number%2 == 1
+	return c.noisyTenant || s.ClientBehavior == ClientsBlind || s.ClientBehavior == ClientsMixed && c.number%2 == 1
 }
 
 // incidents gives a fault as the simulation has it; none if it is in the calls already.
@@ -132,33 +132,33 @@
 	}
 	incident := simulation.Incident{At: control.Micros(f.At.Microseconds()), Duration: control.Micros(f.Duration.Microseconds()), Targets: f.targets(count)}
 	switch f.Kind {
-	case FaultHotKey, FaultScan, FaultRise, FaultGiveUp:
+	case FaultHotFunction, FaultUniqueFunctions, FaultDemandSurge, FaultShortTimeouts:
 		return nil, nil
-	case FaultAgeing:
+	case FaultProgressiveSlowdown:
 		return ageingIncidents(incident, f.Factor), nil
 	case FaultHang:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Silent: true}
-	case FaultAnswerLost:
+	case FaultLostResponses:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostAnswers: f.Share}
 	case FaultResetBefore:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetBefore: f.Share}
 	case FaultResetAfter:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetAfter: f.Share}
-	case FaultRefuse:
+	case FaultServerOverloaded:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Overloaded: true}
-	case FaultCrash, FaultVanish:
+	case FaultCrash, FaultHangThenCrash:
 		incident.Kind = simulation.ServerCrash
 	case FaultDeploy:
 		incident.Kind = simulation.ServerDeploy
-	case FaultOriginSlow:
+	case FaultStoreSlow:
 		incident.Kind, incident.StoreSlowdown = simulation.StoreDegraded, f.Factor
-	case FaultOriginStopped:
+	case FaultStoreStopped:
 		incident.Kind, incident.StoreClosed = simulation.StoreDegraded, true
-	case FaultDiscoveryStale:
+	case FaultStaleEndpoints:
 		incident.Kind = simulation.StaleEndpoints
 	case FaultRouterStall:
 		incident.Kind = simulation.RouterStall
-	case FaultRouterKill, FaultRouterRoll:
+	case FaultRouterKill, FaultRouterRestart:
 		incident.Kind = simulation.RouterCrash
 	default:
 		return nil, fmt.Errorf("trouble %s: %s is played on sockets only", f.Name, f.Kind)
--- a/internal/chaostest/timeline.go
+++ b/internal/chaostest/timeline.go
@@ -6,26 +6,26 @@
 	"hollymast/internal/invariant"
 )
 
-// Second is what happened in one second of a run. Calls count in the second in which they began.
-type Second struct {
+// SecondStats is what happened in one second of a run. Calls count in the second in which they began.
+type SecondStats struct {
 	Calls               int     `json:"Effects"`
 	InTime              int     `json:"Well"`       // of the calls
-	Keyed               int     `json:"Marked"`     // calls that are idempotent by key
+	KeyedCalls          int     `json:"Marked"`     // calls that are idempotent by key
 	KeyedInTime         int     `json:"MarkedWell"` // of these
 	Requests            int     `json:"Tries"`
 	Rejected            int     `json:"PushedBack"` // requests
 	Loads               int     `json:"Loads"`
-	OtherTenants        int     `json:"Calm"`     // calls of all tenants but the noisy one
+	OtherTenantCalls    int     `json:"Calm"`     // calls of all tenants but the noisy one
 	OtherTenantsInTime  int     `json:"CalmWell"` // of these
 	Outstanding         int     `json:"Open"`     // requests without an answer at the end of the second
 	SlowStartBudgetUsed float64 `json:"Cold"`     // the largest share of its budget that a server in slow start had got
 }
 
 // seconds gives the run second by second.
-func (h *harness) seconds(records []invariant.Record, slowStart []invariant.SlowStartWindow) []Second {
-	seconds := make([]Second, int(h.scenario.Length.Seconds())+1)
-	at := func(t time.Duration) *Second { return &seconds[min(max(0, int(t.Seconds())), len(seconds)-1)] }
-	atLogTime := func(t int64) *Second { return at(time.Duration(t-h.logStart) * time.Microsecond) }
+func (h *harness) seconds(records []invariant.Record, slowStart []invariant.SlowStartWindow) []SecondStats {
+	seconds := make([]SecondStats, int(h.scenario.Length.Seconds())+1)
+	at := func(t time.Duration) *SecondStats { return &seconds[min(max(0, int(t.Seconds())), len(seconds)-1)] }
+	atLogTime := func(t int64) *SecondStats { return at(time.Duration(t-h.logStart) * time.Microsecond) }
 	for _, o := range h.outcomes {
 		at(o.at).addOutcome(o)
 	}
@@ -55,7 +55,7 @@
 	return seconds
 }
 
-func (s *Second) addOutcome(o outcome) {
+func (s *SecondStats) addOutcome(o outcome) {
 	inTime := 0
 	if o.inTime {
 		inTime = 1
@@ -63,20 +63,20 @@
 	s.Calls++
 	s.InTime += inTime
 	if o.effect == effectIdempotentByKey {
-		s.Keyed++
+		s.KeyedCalls++
 		s.KeyedInTime += inTime
 	}
 	if !o.noisyTenant {
-		s.OtherTenants++
+		s.OtherTenantCalls++
 		s.OtherTenantsInTime += inTime
 	}
 }
 
 // Recovery is how calls that are idempotent by key fared after a fault.
 type Recovery struct {
-	Usual     float64       // share in time before the fault
-	Recovered bool          // the share got back to nearly that
-	After     time.Duration // from the end of the fault, if it did
+	BaselineShare float64       // share in time before the fault
+	Recovered     bool          // the share got back to nearly that
+	RecoveryTime  time.Duration // from the end of the fault, if it did
 }
 
 // Recovery counts as complete with the first of several seconds in a row in which nearly the usual share is in time.
@@ -87,26 +87,26 @@
 
 // MeasureRecovery measures how soon the share of calls in time recovered from a fault. The first second of the run doesn't count
 // as usual, and seconds without such calls are passed over.
-func MeasureRecovery(seconds []Second, f Fault) Recovery {
+func MeasureRecovery(seconds []SecondStats, f Fault) Recovery {
 	calls, inTime := 0, 0
 	for i, s := range seconds {
 		if i > 0 && i < int(f.At.Seconds()) {
-			calls, inTime = calls+s.Keyed, inTime+s.KeyedInTime
+			calls, inTime = calls+s.KeyedCalls, inTime+s.KeyedInTime
 		}
 	}
-	r := Recovery{Usual: share(inTime, calls)}
+	r := Recovery{BaselineShare: share(inTime, calls)}
 	end := f.At + f.Duration
 	inRow := 0
 	for i := int(end.Seconds()); i < len(seconds); i++ {
 		s := seconds[i]
-		if s.Keyed == 0 {
+		if s.KeyedCalls == 0 {
 			continue
 		}
-		if inRow++; float64(s.KeyedInTime) < recoveryShare*r.Usual*float64(s.Keyed) {
+		if inRow++; float64(s.KeyedInTime) < recoveryShare*r.BaselineShare*float64(s.KeyedCalls) {
 			inRow = 0
 		}
 		if inRow == recoverySeconds {
-			r.Recovered, r.After = true, time.Duration(i-recoverySeconds+1)*time.Second-end
+			r.Recovered, r.RecoveryTime = true, time.Duration(i-recoverySeconds+1)*time.Second-end
 			break
 		}
 	}
