--- a/cmd/hmchaos/changes.go
+++ b/cmd/hmchaos/changes.go
@@ -10,34 +10,34 @@
 )
 
 type changesCmd struct {
-	Seed    uint64        `default:"1" help:"Seed of the changes."`
-	Number  int           `default:"1000" help:"Changes."`
-	Every   time.Duration `default:"20ms" help:"Between two of them, on average."`
-	Rate    int           `default:"400" help:"Jobs a second."`
-	Workers int           `default:"60" help:"Workers."`
-	Delta   bool          `help:"By delta, not by the state of the world."`
-	Cuts    bool          `help:"Cut the stream now and again."`
-	Loses   bool          `help:"Lose all of the list, then half of it, for three seconds each, as a broken control plane does."`
-	Keys    bool          `help:"All connections are secret, and keys, authorities and lists of revoked certificates change meanwhile."`
-	Delay   time.Duration `help:"Planted: the control plane says everything later than it claims."`
-	Router  string        `help:"The router's program; without, hollymast beside this one." type:"path"`
+	Seed    uint64        `default:"1" help:"Seed of the random changes."`
+	Number  int           `default:"1000" help:"Number of changes."`
+	Every   time.Duration `default:"20ms" help:"Mean time between two changes."`
+	Rate    int           `default:"400" help:"Requests per second."`
+	Workers int           `default:"60" help:"Number of workers."`
+	Delta   bool          `help:"Use the incremental (delta) variant of xDS instead of state of the world."`
+	Cuts    bool          `help:"Drop the xDS streams occasionally."`
+	Loses   bool          `help:"Publish an empty endpoint list, and later half of the list, for three seconds each, as a broken control plane does."`
+	Keys    bool          `help:"Use TLS on all connections, and rotate keys, authorities and revocation lists during the run."`
+	Delay   time.Duration `help:"Send every update this much later than the log says, to test the measurement."`
+	Router  string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
 }
 
 const (
-	maxChangesWorkers  = 256 // listeners on loopback
+	maxChangesWorkers  = 256 // each listens on loopback
 	minChangesInterval = time.Millisecond
 )
 
-var errWrongChanges = errors.New("a count below one, over 256 workers, or less than 1ms between changes")
+var errInvalidChanges = errors.New("--number, --rate and --workers must be at least 1, --workers at most 256, and --every at least 1ms")
 
-// Run makes the changes, prints how soon the router followed, and ends with an error if an invariant was violated.
+// Run makes the changes, prints how soon the router followed them, and returns an error if an invariant was violated.
 func (c changesCmd) Run() error {
 	router, err := routerProgram(c.Router)
 	if err != nil {
 		return err
 	}
 	if min(c.Number, c.Rate, c.Workers) < 1 || c.Every < minChangesInterval || c.Workers > maxChangesWorkers {
-		return program.UsageError{Err: errWrongChanges}
+		return program.UsageError{Err: errInvalidChanges}
 	}
 	ctx, stop := untilInterrupted()
 	defer stop()
--- a/cmd/hmchaos/day.go
+++ b/cmd/hmchaos/day.go
@@ -10,25 +10,25 @@
 )
 
 type dayCmd struct {
-	Seed     uint64        `default:"1" help:"Seed of the day."`
-	Jobs     int           `help:"Jobs; 0: as the script says."`
-	Routers  int           `help:"Routers; 0: as the script says."`
-	Workers  int           `help:"Workers; 0: as the script says."`
-	Script   string        `help:"Script of the day (INI); without, the built-in bad day." type:"path"`
-	Router   string        `help:"The router's program; without, hollymast beside this one." type:"path"`
-	Orders   bool          `name:"orders-only" help:"Only orders load; without, jobs load what they miss on odd seeds and orders alone on even ones, unless a script is given."`
-	Memory   string        `enum:",none,limits,kept,old,other" default:"" help:"What routers remember after a restart: none, limits (the journal alone), kept, old (as if a month ago), other (of quite another day); without, as the script says."`
-	Record   string        `help:"Folder for the routers' recordings, one in it for each." type:"path"`
-	Manners  string        `enum:",usual,good,bad,mixed" default:"" help:"How clients behave: usual, good (as the client library), bad (at once, unmarked), mixed; without, as the script says."`
-	Clients  int           `help:"Clients that behave as the library, each with connections of its own; 0: as the script says."`
-	Within   bool          `help:"The one tenant that would storm keeps to its share."`
-	Undamped bool          `help:"Routers don't damp storms."`
-	Plot     string        `help:"PNG of the day, second by second." type:"path"`
+	Seed     uint64        `default:"1" help:"Seed of the run."`
+	Jobs     int           `help:"Number of calls, without retries; 0: as in the script."`
+	Routers  int           `help:"Number of routers; 0: as in the script."`
+	Workers  int           `help:"Number of workers; 0: as in the script."`
+	Script   string        `help:"Scenario (INI); default: the built-in one." type:"path"`
+	Router   string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
+	Orders   bool          `name:"orders-only" help:"Workers load functions on command only. Without this flag and without a script they do so for even seeds, and also load on a cache miss for odd ones."`
+	Memory   string        `enum:",none,limits,kept,old,other" default:"" help:"Persisted state that a restarted router finds: none, limits (only the journal of attempts), kept (everything), old (as if written a month ago), other (learned under different load); default: as in the script."`
+	Record   string        `help:"Folder for recordings, with a subfolder for each router." type:"path"`
+	Manners  string        `enum:",usual,good,bad,mixed" default:"" help:"How clients retry: usual, good (with the client library), bad (almost immediately, without retry headers), mixed (half good, half bad); default: as in the script."`
+	Clients  int           `help:"Number of clients that use the client library, each with its own connections; 0: as in the script."`
+	Within   bool          `help:"The noisy tenant of a one_tenant fault stays within its quota."`
+	Undamped bool          `help:"Turn off the routers' overload protection."`
+	Plot     string        `help:"File for a PNG plot of the run, second by second." type:"path"`
 	JSON     bool          `name:"json" help:"Print the result as JSON before the verdict."`
-	Most     time.Duration `default:"10m" help:"End the day after this time, whatever happens."`
+	Most     time.Duration `default:"10m" help:"Abort the run after this time."`
 }
 
-// Run runs the scenario, prints the result and ends with an error if an invariant was violated.
+// Run runs the scenario, prints the result and returns an error if an invariant was violated.
 func (d dayCmd) Run() error {
 	scenario, err := d.scenario()
 	if err != nil {
@@ -55,7 +55,7 @@
 	} else {
 		printResult(result)
 	}
-	printFaults(result, scenario.Faults)
+	printFaultImpact(result, scenario.Faults)
 	if d.Plot != "" {
 		if err := chaostest.Plot(result.Seconds, scenario.Name, d.Plot); err != nil {
 			return err
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// scenario gives the script's scenario with what the flags replace.
+// scenario returns the scenario of the script, with the changes that the flags make.
 func (d dayCmd) scenario() (*chaostest.Scenario, error) {
 	text, err := readScript(d.Script)
 	if err != nil {
@@ -85,11 +85,11 @@
 	if d.Memory != "" {
 		s.RouterState = chaostest.RouterState(d.Memory)
 	}
-	o := overrides{requests: d.Jobs, routers: d.Routers, workers: d.Workers, clients: d.Clients, behavior: chaostest.ClientBehavior(d.Manners)}
+	o := overrides{calls: d.Jobs, routers: d.Routers, workers: d.Workers, clients: d.Clients, behavior: chaostest.ClientBehavior(d.Manners)}
 	return s, o.apply(s)
 }
 
-// verdict says whether all invariants held.
+// verdict returns the word that is printed for whether all invariants held.
 func verdict(passed bool) string {
 	if passed {
 		return "kept"
--- a/cmd/hmchaos/dayresult.go
+++ b/cmd/hmchaos/dayresult.go
@@ -8,7 +8,7 @@
 	"hollymast/internal/invariant"
 )
 
-// printResult prints a table of the result and what was found on each rule.
+// printResult prints a table of the result, and what the check of each invariant found.
 func printResult(r *chaostest.Result) {
 	for _, row := range []struct {
 		name  string
@@ -26,19 +26,19 @@
 		fmt.Printf("%-40s %8d\n", row.name, row.count)
 	}
 	fmt.Printf("%-40s %8.3f\n", "executions a job", perRequest(r.Attempts, r.Requests))
-	if again := r.RestartRetries; again.Sent > 0 {
-		fmt.Printf("run-once jobs asked again of their restarted router: %d, finished %d, pushed back %d, killed %d\n", again.Sent, again.Succeeded, again.Rejected, again.Failed)
+	if retries := r.RestartRetries; retries.Sent > 0 {
+		fmt.Printf("non-idempotent requests sent again to their restarted router: %d, succeeded %d, rejected %d, failed %d\n", retries.Sent, retries.Succeeded, retries.Rejected, retries.Failed)
 	}
-	loads, worst := 0, 0.0
+	loads, maxBudgetUsed := 0, 0.0
 	for _, s := range r.Seconds {
 		loads += s.Loads
 	}
 	fmt.Printf("%-40s %8d\n", "loads", loads)
 	for _, w := range r.SlowStart {
-		worst = max(worst, w.BudgetUsed)
+		maxBudgetUsed = max(maxBudgetUsed, w.BudgetUsed)
 	}
-	if worst > 0 {
-		fmt.Printf("%-40s %8.3f\n", "a cold server's worst window, of budget", worst)
+	if maxBudgetUsed > 0 {
+		fmt.Printf("%-40s %8.3f\n", "a cold server's worst window, of budget", maxBudgetUsed)
 	}
 	printRestarts(r)
 	for _, rule := range r.Rules {
@@ -48,10 +48,10 @@
 
 func printRestarts(r *chaostest.Result) {
 	if len(r.Restarts) > 0 {
-		fmt.Printf("orders over the ration, if those before a restart count: %d\n", r.ExcessLoadCommands)
+		fmt.Printf("load commands beyond the load-rate limit, if those before a restart count too: %d\n", r.ExcessLoadCommands)
 	}
 	for _, restart := range r.Restarts {
-		fmt.Printf("router %d back at %s: in the next 10 s in time %.3f of %d, loads %d, executions a job %.3f\n", restart.Router, restart.At.Round(time.Millisecond),
+		fmt.Printf("router %d ready again at %s: in the next 10 s %.3f of %d calls in time, %d loads, %.3f attempts per request\n", restart.Router, restart.At.Round(time.Millisecond),
 			restart.InTime, restart.Calls, restart.Loads, restart.AttemptsPerRequest)
 	}
 }
@@ -67,23 +67,24 @@
 	}
 }
 
-// printFaults prints how other tenants fared beside a noisy one, and how soon a run recovered from an outage.
-func printFaults(r *chaostest.Result, faults []chaostest.Fault) {
+// printFaultImpact prints how many calls of other tenants were in time beside a noisy one, and how soon a run recovered from an
+// outage.
+func printFaultImpact(r *chaostest.Result, faults []chaostest.Fault) {
 	for _, f := range faults {
 		switch {
 		case f.Kind == chaostest.FaultNoisyTenant:
 			during, otherwise := r.OtherTenantsInTime(f)
-			fmt.Printf("calm tenants in time %.3f while one storms, %.3f otherwise\n", during, otherwise)
+			fmt.Printf("other tenants: %.3f in time while one tenant is noisy, %.3f otherwise\n", during, otherwise)
 		case f.Kind == chaostest.FaultStoreStopped, f.Kind == chaostest.FaultRouterKill && f.Target == chaostest.AllTargets:
 			recovery := chaostest.MeasureRecovery(r.Seconds, f)
-			again := "not before the day's end"
+			recoveryTime := "not before the end of the run"
 			if recovery.Recovered {
-				again = "after " + recovery.RecoveryTime.String()
+				recoveryTime = "after " + recovery.RecoveryTime.String()
 			}
-			fmt.Printf("fingerprinted work in time before the outage %.3f; within 5%% of that again %s\n", recovery.BaselineShare, again)
+			fmt.Printf("calls idempotent by key: %.3f in time before the outage; within 5%% of that again %s\n", recovery.BaselineShare, recoveryTime)
 		}
 	}
 }
 
-// perRequest gives a count per request.
+// perRequest returns a count per request.
 func perRequest(count, requests int) float64 { return float64(count) / float64(max(1, requests)) }
--- a/cmd/hmchaos/emulate.go
+++ b/cmd/hmchaos/emulate.go
@@ -15,37 +15,37 @@
 )
 
 type emulateCmd struct {
-	Script   string   `help:"Script of the day (INI); without, the built-in bad day." type:"path"`
-	Seeds    int      `default:"1" help:"Days, of seeds from --seed on."`
-	Seed     uint64   `default:"1" help:"The first seed."`
-	Threads  int      `help:"Threads; 0: all cores. The result is the same."`
-	Arms     []string `default:"module" help:"Whose decisions: module, or of random, least, two-choices, bounded-hash and first-miss. Each arm plays the same calls and troubles."`
-	Routers  int      `help:"Routers; 0: as the script says."`
-	Workers  int      `help:"Workers; 0: as the script says."`
-	Jobs     int      `help:"Jobs; 0: as the script says."`
-	Clients  int      `help:"Clients; 0: as the script says."`
-	Manners  string   `enum:",good,bad,mixed" default:"" help:"How clients behave; without, as the script says, and good where that says usual."`
-	Undamped bool     `help:"Routers don't damp storms."`
-	JSON     bool     `name:"json" help:"Print each day as JSON."`
+	Script   string   `help:"Scenario (INI); default: the built-in one." type:"path"`
+	Seeds    int      `default:"1" help:"Number of seeds to run, from --seed on."`
+	Seed     uint64   `default:"1" help:"First seed."`
+	Threads  int      `help:"Number of threads, which doesn't change the result; 0: all cores."`
+	Arms     []string `default:"module" help:"Policies to compare: module (this build's balancer), random, least, two-choices, bounded-hash, first-miss. All run the same calls and faults."`
+	Routers  int      `help:"Number of routers; 0: as in the script."`
+	Workers  int      `help:"Number of workers; 0: as in the script."`
+	Jobs     int      `help:"Number of calls, without retries; 0: as in the script."`
+	Clients  int      `help:"Number of clients; 0: as in the script."`
+	Manners  string   `enum:",good,bad,mixed" default:"" help:"How clients retry: good (with the client library), bad (almost immediately, without retry headers), mixed; default: as in the script, with good for usual."`
+	Undamped bool     `help:"Turn off the routers' overload protection."`
+	JSON     bool     `name:"json" help:"Print each result as JSON."`
 }
 
-// The arms that aren't baselines: this build's decisions, and the same without its damping of overload.
+// The arms that aren't baseline policies: this build's balancer, and the same without overload protection.
 const (
-	moduleArm   = "module"
+	balancerArm = "module"
 	undampedArm = "undamped"
 )
 
-var errWrongCount = errors.New("a count below zero, or no day")
+var errInvalidCount = errors.New("counts must not be negative, and --seeds must be at least 1")
 
-// Run runs the scenario with each arm and seed, prints the results and ends with an error if this build's decisions violated an
-// invariant. A baseline that does so is a finding about the baseline.
+// Run runs the scenario with each arm and seed, prints the results and returns an error if this build's balancer violated an
+// invariant. Violations by a baseline policy are only printed.
 func (e emulateCmd) Run() error {
 	text, err := readScript(e.Script)
 	if err != nil {
 		return err
 	}
 	if min(e.Routers, e.Workers, e.Jobs, e.Clients, e.Threads) < 0 || e.Seeds < 1 {
-		return program.UsageError{Err: errWrongCount}
+		return program.UsageError{Err: errInvalidCount}
 	}
 	if e.Threads == 0 {
 		e.Threads = runtime.GOMAXPROCS(0)
@@ -53,8 +53,8 @@
 	violated := false
 	inTime := map[string][]float64{} // by arm, of the seeds in order
 	for _, arm := range e.Arms {
-		if arm != moduleArm && !slices.Contains(baseline.PolicyNames, arm) {
-			return program.UsageError{Err: fmt.Errorf("no arm is called %q", arm)}
+		if arm != balancerArm && !slices.Contains(baseline.PolicyNames, arm) {
+			return program.UsageError{Err: fmt.Errorf("unknown arm %q", arm)}
 		}
 		for seed := e.Seed; seed < e.Seed+uint64(e.Seeds); seed++ {
 			result, err := e.runAndPrint(text, arm, seed)
@@ -62,10 +62,10 @@
 				return err
 			}
 			inTime[arm] = append(inTime[arm], result.InTime)
-			violated = violated || arm == moduleArm && !result.Passed()
+			violated = violated || arm == balancerArm && !result.Passed()
 		}
 	}
-	e.compare(inTime)
+	e.printComparison(inTime)
 	if violated {
 		return errViolation
 	}
@@ -99,28 +99,28 @@
 	return result, nil
 }
 
-// simulate runs the scenario once. It also gives the scenario's length.
+// simulate runs the scenario once. It also returns the scenario's length.
 func (e emulateCmd) simulate(text []byte, arm string, seed uint64) (*chaostest.SimulationResult, time.Duration, error) {
 	s, err := chaostest.ParseScenario(e.Script, text)
 	if err != nil {
 		return nil, 0, err
 	}
 	s.Seed, s.OverloadProtection = seed, s.OverloadProtection && !e.Undamped
-	o := overrides{requests: e.Jobs, routers: e.Routers, workers: e.Workers, clients: e.Clients, behavior: chaostest.ClientBehavior(e.Manners)}
+	o := overrides{calls: e.Jobs, routers: e.Routers, workers: e.Workers, clients: e.Clients, behavior: chaostest.ClientBehavior(e.Manners)}
 	if err := o.apply(s); err != nil {
 		return nil, 0, err
 	}
 	var newPolicy chaostest.PolicyFactory // nil: the balancer
-	if arm != moduleArm {
+	if arm != balancerArm {
 		newPolicy = baseline.NewFactory(baseline.Policy(slices.Index(baseline.PolicyNames, arm)))
 	}
 	result, err := chaostest.Simulate(s, e.Threads, newPolicy)
 	return result, s.Length, err
 }
 
-// compare prints how the first arm fares against each other one with the same seeds: the mean of the differences, and its
-// standard error.
-func (e emulateCmd) compare(inTime map[string][]float64) {
+// printComparison compares the first arm with each other one over the same seeds. It prints the mean of the differences in the share
+// of calls in time, and its standard error.
+func (e emulateCmd) printComparison(inTime map[string][]float64) {
 	for _, arm := range e.Arms[1:] {
 		n, sum, squares := float64(e.Seeds), 0.0, 0.0
 		for i, first := range inTime[e.Arms[0]] {
@@ -131,6 +131,6 @@
 		if n > 1 {
 			standardError = math.Sqrt(max(0, squares-n*mean*mean) / (n - 1) / n)
 		}
-		fmt.Printf("in time, %s less %s: %+.3f, standard error %.3f, over %d days\n", e.Arms[0], arm, mean, standardError, e.Seeds)
+		fmt.Printf("in time, %s less %s: %+.3f, standard error %.3f, over %d seeds\n", e.Arms[0], arm, mean, standardError, e.Seeds)
 	}
 }
--- a/cmd/hmchaos/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -13,12 +13,12 @@
 )
 
 type experimentCmd struct {
-	File  string `arg:"" help:"What is asked (INI)." type:"path"`
-	Rows  string `help:"File that keeps what was played; without, FILE.rows." type:"path"`
-	Quiet bool   `help:"No progress."`
+	File  string `arg:"" help:"Description of the experiment (INI)." type:"path"`
+	Rows  string `help:"File that stores the results; default: FILE.rows." type:"path"`
+	Quiet bool   `help:"Print no progress."`
 }
 
-// Run runs the trials that are still needed, prints the findings and ends with an error if the first arm violated an invariant.
+// Run runs the trials that are still needed, prints the findings and returns an error if the first arm violated an invariant.
 func (x experimentCmd) Run() error {
 	spec, err := readSpec(x.File)
 	if err != nil {
@@ -42,9 +42,9 @@
 	case err != nil:
 		return err
 	case ctx.Err() != nil:
-		return fmt.Errorf("told to stop: what was played is kept in %s", x.Rows)
+		return fmt.Errorf("interrupted: the results so far are stored in %s", x.Rows)
 	case violations > 0:
-		return fmt.Errorf("%s broke rules %d times", first, violations)
+		return fmt.Errorf("%s violated invariants %d times", first, violations)
 	}
 	return nil
 }
@@ -53,7 +53,7 @@
 	if x.Quiet {
 		return progressbar.DefaultSilent(int64(trials))
 	}
-	return progressbar.Default(int64(trials), "days")
+	return progressbar.Default(int64(trials), "trials")
 }
 
 // experimentRun is an experiment whose trials are being run.
@@ -68,7 +68,7 @@
 	err        error // the first
 }
 
-// newExperimentRun begins with the results that the store has.
+// newExperimentRun starts with the results that the store already has.
 func newExperimentRun(spec *experimentSpec, store *experiment.Store) *experimentRun {
 	run := &experimentRun{spec: spec, store: store, origins: map[string]string{}}
 	for _, arm := range spec.plan.Arms {
@@ -89,17 +89,18 @@
 	return run
 }
 
-// runAll runs what is still needed, one trial for each core at a time, until the context ends. It stores each result at once.
+// runAll runs the trials that are still needed, as many at a time as there are cores, until ctx is done. It stores each result at
+// once.
 func (run *experimentRun) runAll(ctx context.Context, bar *progressbar.ProgressBar) error {
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for {
-				t, ok := run.next(ctx)
+				t, ok := run.nextTrial(ctx)
 				if !ok {
 					return
 				}
-				run.add(ctx, t, bar)
+				run.runTrial(ctx, t, bar)
 			}
 		})
 	}
@@ -107,16 +108,16 @@
 	return run.err
 }
 
-// next gives a trial to run; false: there is none, or the run ends.
-func (run *experimentRun) next(ctx context.Context) (experiment.Trial, bool) {
+// nextTrial returns a trial to run; false: there is none, or the run ends.
+func (run *experimentRun) nextTrial(ctx context.Context) (experiment.Trial, bool) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	t, ok := run.experiment.Next()
 	return t, ok && run.err == nil && ctx.Err() == nil
 }
 
-// add runs a trial and adds its result. After an interruption there may be an error that means nothing.
-func (run *experimentRun) add(ctx context.Context, t experiment.Trial, bar *progressbar.ProgressBar) {
+// runTrial runs a trial and adds its result. Errors after an interruption are ignored, because the interruption may have caused them.
+func (run *experimentRun) runTrial(ctx context.Context, t experiment.Trial, bar *progressbar.ProgressBar) {
 	result, err := run.spec.run(ctx, t)
 	if err == nil {
 		err = run.store.Put(run.origins[t.Arm], result)
@@ -134,25 +135,25 @@
 	}
 }
 
-// print prints the means and the findings.
+// print prints the mean of each arm and size, and the findings.
 func (spec *experimentSpec) print(e *experiment.Experiment) {
 	for _, size := range spec.plan.Sizes {
 		for _, arm := range spec.plan.Arms {
 			mean, trials := e.Mean(size, arm)
-			fmt.Printf("%-12s %-14s %s %.3f, mean of %d days\n", size, arm, spec.plan.Measure, mean, trials)
+			fmt.Printf("%-12s %-14s %s %.3f, mean of %d trials\n", size, arm, spec.plan.Measure, mean, trials)
 		}
 	}
 	for _, f := range e.Findings() {
 		verdict := string(f.Verdict) + " than " + f.Arm
 		switch f.Verdict {
 		case experiment.Undecided:
-			verdict = "not told apart"
+			verdict = "undecided"
 		case experiment.Alike:
 			verdict = "alike"
 		}
 		note := ""
 		if f.Violations > 0 {
-			note = fmt.Sprintf("; %s broke rules %d times", f.Arm, f.Violations)
+			note = fmt.Sprintf("; %s violated invariants %d times", f.Arm, f.Violations)
 		}
 		fmt.Printf("%-12s %s less %-14s %+.4f, 95 %% from %+.4f to %+.4f, %d seeds: %s%s\n", f.Size, spec.plan.Arms[0], f.Arm, f.Mean, f.Low, f.High, f.Seeds, verdict, note)
 	}
--- a/cmd/hmchaos/load.go
+++ b/cmd/hmchaos/load.go
@@ -10,30 +10,30 @@
 )
 
 type loadCmd struct {
-	Rates       []int         `default:"1000" help:"Jobs a second; several are measured one after another."`
-	Length      time.Duration `default:"10s" help:"Of each stream."`
-	Connections int           `default:"64" help:"Client connections."`
-	Servers     int           `default:"4" help:"Servers."`
-	Functions   int           `default:"20" help:"Functions."`
-	Idle        int           `default:"200" help:"Client connections that do nothing."`
-	Bytes       int           `default:"64" help:"Bytes of tensors a job."`
-	Recording   int           `help:"Measure this many pairs of streams more, one of each while the router records, and replay what was recorded."`
-	Memory      int           `help:"Measure this many pairs of streams more, one of each through a router that has a memory."`
-	TLS         int           `name:"tls" help:"Measure this many triples of streams more: in plain text, over TLS on all connections, and over TLS while keys change."`
-	Strangers   int           `help:"Distinct functions that no server has, asked for in between; the stream is then measured again."`
-	Router      string        `help:"The router's program; without, hollymast beside this one." type:"path"`
+	Rates       []int         `default:"1000" help:"Requests per second; several rates are measured one after another."`
+	Length      time.Duration `default:"10s" help:"Length of each stream."`
+	Connections int           `default:"64" help:"Number of client connections."`
+	Servers     int           `default:"4" help:"Number of servers."`
+	Functions   int           `default:"20" help:"Number of functions."`
+	Idle        int           `default:"200" help:"Number of idle client connections."`
+	Bytes       int           `default:"64" help:"Bytes of tensor data per request."`
+	Recording   int           `help:"Also measure this many pairs of streams, one of each while the router records, and replay the recordings."`
+	Memory      int           `help:"Also measure this many pairs of streams, one of each through a router that persists its state."`
+	TLS         int           `name:"tls" help:"Also measure this many triples of streams: without TLS, with TLS on all connections, and with TLS while certificates are rotated."`
+	Strangers   int           `help:"Also request this many distinct functions that no server has, and then measure the stream again."`
+	Router      string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
 }
 
-var errNoCount = errors.New("a count below one")
+var errCountBelowOne = errors.New("--connections, --servers and --functions must be at least 1, and --idle must not be negative")
 
-// Run measures the stream at each rate and prints what each path showed.
+// Run measures the streams at each rate and prints a result for each path.
 func (l loadCmd) Run() error {
 	router, err := routerProgram(l.Router)
 	if err != nil {
 		return err
 	}
 	if min(l.Connections, l.Servers, l.Functions) < 1 || l.Idle < 0 {
-		return program.UsageError{Err: errNoCount}
+		return program.UsageError{Err: errCountBelowOne}
 	}
 	ctx, stop := untilInterrupted()
 	defer stop()
@@ -55,12 +55,12 @@
 func printLoad(rate int, r chaostest.LoadResult) {
 	fmt.Printf("%-20s %8d %8.0f %8d %8d %8d %8d %10.1f %10d\n", r.Path, rate, r.Throughput, r.Failed, r.P50, r.P99, r.P999, r.CPUPerRequest, r.MemoryKB)
 	if r.RecordedBytes > 0 {
-		fmt.Printf("  recorded %.1f bytes a job, %d turns lost, replayed alike %.0f times as fast\n", r.RecordedBytes, r.LostSteps, r.ReplaySpeed)
+		fmt.Printf("  recorded %.1f bytes per request, %d steps lost, replayed without differences %.0f times as fast\n", r.RecordedBytes, r.LostSteps, r.ReplaySpeed)
 	}
 	if r.Note != "" {
 		fmt.Println("  " + r.Note)
 	}
 	for _, ratio := range r.Ratios {
-		fmt.Printf("  with over without, %-9s median %.3f, quartiles %.3f to %.3f\n", ratio.Quantity, ratio.Median, ratio.Lower, ratio.Upper)
+		fmt.Printf("  ratio of with to without, %-9s median %.3f, quartiles %.3f to %.3f\n", ratio.Quantity, ratio.Median, ratio.Lower, ratio.Upper)
 	}
 }
--- a/cmd/hmchaos/main.go
+++ b/cmd/hmchaos/main.go
@@ -1,5 +1,5 @@
-// Command hmchaos tests routers under load and faults: real processes on loopback, or simulated ones. It checks the invariants
-// and measures.
+// Command hmchaos tests routers under load and faults, as real processes on loopback or in a simulation. It checks invariants and
+// measures performance.
 package main
 
 import (
@@ -14,16 +14,16 @@
 
 type cli struct {
 	program.CommonFlags
-	Load       loadCmd       `cmd:"" help:"Measure a steady stream of jobs through a router against straight to the servers, in one run."`
-	Changes    changesCmd    `cmd:"" help:"Change the list through a pretend control plane, under load, and measure how soon the router follows."`
-	Emulate    emulateCmd    `cmd:"" help:"Play a day in simulated time, with this build's decisions or a textbook policy's."`
-	Experiment experimentCmd `cmd:"" help:"Play many days in simulated time and hold arms against each other, as a file says."`
-	Soak       soakCmd       `cmd:"" help:"Play seeded faults against routers of the platform, and judge its rules from what crossed the sockets."`
-	Day        dayCmd        `cmd:"" help:"Play a scripted bad day and judge the five rules from what crossed the sockets."`
+	Load       loadCmd       `cmd:"" help:"Measure a steady stream of requests, directly to the servers and through a router."`
+	Changes    changesCmd    `cmd:"" help:"Change the endpoint list through a fake control plane under load, and measure how soon the router follows."`
+	Emulate    emulateCmd    `cmd:"" help:"Run a scenario in simulated time, with this build's balancer or a baseline policy."`
+	Experiment experimentCmd `cmd:"" help:"Compare policies over many simulated runs, as a file describes."`
+	Soak       soakCmd       `cmd:"" help:"Inject random faults into platform routers, and check the platform's invariants on the recorded traffic."`
+	Day        dayCmd        `cmd:"" help:"Run a scenario with real processes, and check the five invariants on the recorded traffic."`
 }
 
-// errViolation ends a command whose report already says which invariants were violated.
-var errViolation = errors.New("a rule was broken")
+// errViolation is returned by a command that has already printed which invariants were violated.
+var errViolation = errors.New("an invariant was violated")
 
 func main() {
 	var c cli
@@ -31,7 +31,7 @@
 
 Examples:
 
-  hmchaos day --seed 7                              the built-in bad day
+  hmchaos day --seed 7                              the built-in scenario
 
   hmchaos day --script days/dawn.ini --record REC
 
--- a/cmd/hmchaos/router.go
+++ b/cmd/hmchaos/router.go
@@ -7,7 +7,7 @@
 	"hollymast/internal/program"
 )
 
-// routerProgram gives the file of the router's program: the named one, or hollymast beside this program.
+// routerProgram returns the file of the router's executable: the named one, or hollymast in the directory of this program.
 func routerProgram(name string) (string, error) {
 	if name == "" {
 		self, err := os.Executable()
--- a/cmd/hmchaos/scenario.go
+++ b/cmd/hmchaos/scenario.go
@@ -8,19 +8,19 @@
 	"hollymast/internal/program"
 )
 
-var errNegativeCount = errors.New("a count below zero")
+var errNegativeCount = errors.New("counts must not be negative")
 
-// overrides replace parts of a scenario; those that are zero leave it as it is.
+// overrides replaces parts of a scenario. Zero values leave them unchanged.
 type overrides struct {
-	requests, routers, workers, clients int
-	behavior                            chaostest.ClientBehavior
+	calls, routers, workers, clients int
+	behavior                         chaostest.ClientBehavior
 }
 
 func (o overrides) apply(s *chaostest.Scenario) error {
 	for _, count := range []struct {
 		from int
 		to   *int
-	}{{o.requests, &s.Calls}, {o.routers, &s.Routers}, {o.workers, &s.Workers}, {o.clients, &s.LibraryClients}} {
+	}{{o.calls, &s.Calls}, {o.routers, &s.Routers}, {o.workers, &s.Workers}, {o.clients, &s.LibraryClients}} {
 		if count.from < 0 {
 			return program.UsageError{Err: errNegativeCount}
 		}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// readScript reads a scenario's file; nil, the built-in scenario, without a name.
+// readScript reads a scenario's file. Without a name it returns nil, which stands for the built-in scenario.
 func readScript(name string) ([]byte, error) {
 	if name == "" {
 		return nil, nil
--- a/cmd/hmchaos/soak.go
+++ b/cmd/hmchaos/soak.go
@@ -12,16 +12,16 @@
 )
 
 type soakCmd struct {
-	Seeds    string        `default:"1-3" help:"Seeds to play: numbers and ranges, as in 1-50,77."`
-	Length   time.Duration `default:"30s" help:"Length of each run's traffic."`
-	Parallel int           `default:"2" help:"Runs at a time."`
-	Router   string        `help:"The router's program; without, hollymast beside this one." type:"path"`
-	Log      string        `help:"The routers' log level." default:"info" enum:"trace,debug,info,warn,error"`
-	Logs     string        `help:"Folder that keeps the routers' logs of the runs that fell; without, the system's for temporary files." type:"path"`
-	Verbose  bool          `help:"Print each run's faults."`
+	Seeds    string        `default:"1-3" help:"Seeds to run: numbers and ranges, as in 1-50,77."`
+	Length   time.Duration `default:"30s" help:"Duration of the traffic of each run."`
+	Parallel int           `default:"2" help:"Number of concurrent runs."`
+	Router   string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
+	Log      string        `help:"Log level of the routers." default:"info" enum:"trace,debug,info,warn,error"`
+	Logs     string        `help:"Folder for the routers' logs of failed runs; default: the system's folder for temporary files." type:"path"`
+	Verbose  bool          `help:"Print the faults of each run."`
 }
 
-// Run plays the seeds, prints a line for each and what it broke, and ends with an error if a rule was broken.
+// Run runs the seeds, prints a line for each and the invariants that it violated, and returns an error if there were violations.
 func (c soakCmd) Run() error {
 	router, err := routerProgram(c.Router)
 	if err != nil {
@@ -34,44 +34,44 @@
 	ctx, stop := untilInterrupted()
 	defer stop()
 	options := soak.Options{Router: router, RouterLog: c.Log, Dir: c.Logs}
-	fell, err := c.playAll(ctx, seeds, options)
+	failed, err := c.runAll(ctx, seeds, options)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("soak: %d seeds of %v, %d fell: %v\n", len(seeds), c.Length, len(fell), fell)
-	if len(fell) > 0 {
+	fmt.Printf("soak: %d seeds of %v, %d failed: %v\n", len(seeds), c.Length, len(failed), failed)
+	if len(failed) > 0 {
 		return errViolation
 	}
 	return nil
 }
 
-// playAll plays all seeds, some at a time, and returns those that fell.
-func (c soakCmd) playAll(ctx context.Context, seeds []uint64, options soak.Options) (fell []uint64, err error) {
+// runAll runs all seeds, c.Parallel at a time, and returns those that violated an invariant.
+func (c soakCmd) runAll(ctx context.Context, seeds []uint64, options soak.Options) (failed []uint64, err error) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	running := make(chan struct{}, max(1, c.Parallel))
 	for _, seed := range seeds {
 		running <- struct{}{}
-		all.Go(func() {
+		wg.Go(func() {
 			defer func() { <-running }()
-			result, playErr := soak.Play(ctx, soak.Draw(seed, c.Length), options)
+			result, runErr := soak.Play(ctx, soak.Draw(seed, c.Length), options)
 			mu.Lock()
 			defer mu.Unlock()
-			if playErr != nil {
-				err = playErr
+			if runErr != nil {
+				err = runErr
 				return
 			}
 			c.print(result)
 			if !result.Passed() {
-				fell = append(fell, seed)
+				failed = append(failed, seed)
 			}
 		})
 	}
-	all.Wait()
-	return fell, err
+	wg.Wait()
+	return failed, err
 }
 
-// print prints a run's result and what it broke.
+// print prints a run's result and its violations.
 func (c soakCmd) print(result *soak.Result) {
 	fmt.Println(result)
 	if c.Verbose {
@@ -79,20 +79,20 @@
 			fmt.Println("  fault:", fault)
 		}
 	}
-	const most = 20 // breaks that are printed of a run
-	for i, broken := range result.Breaks {
-		if i == most {
-			fmt.Printf("  and %d more\n", len(result.Breaks)-most)
+	const maxPrinted = 20 // violations per run
+	for i, violation := range result.Breaks {
+		if i == maxPrinted {
+			fmt.Printf("  and %d more\n", len(result.Breaks)-maxPrinted)
 			break
 		}
-		fmt.Println("  BROKEN", broken)
+		fmt.Println("  BROKEN", violation)
 	}
 	if result.LogDir != "" {
 		fmt.Println("  logs:", result.LogDir)
 	}
 }
 
-// parseSeeds reads numbers and ranges of seeds.
+// parseSeeds parses a list of seeds and ranges of seeds.
 func parseSeeds(text string) (seeds []uint64, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		low, high, isRange := strings.Cut(part, "-")
--- a/cmd/hmchaos/spec.go
+++ b/cmd/hmchaos/spec.go
@@ -14,22 +14,22 @@
 	"hollymast/internal/program"
 )
 
-// experimentSpec is what an experiment's file says.
+// experimentSpec is the content of an experiment's file.
 type experimentSpec struct {
 	plan         experiment.Plan
 	script       string
 	scenarioText []byte
-	sizes        map[string]overrides // of the scenario
+	sizes        map[string]overrides // of the scenario, by name
 	programs     map[string]string    // other builds of this program, by arm
 }
 
 const (
 	sizeSectionPrefix = "size "
 	armSectionPrefix  = "arm "
-	defaultSizeName   = "as told" // the scenario's own size, where the file has no section for one
+	defaultSizeName   = "as told" // the scenario's own size, for a file without a section for a size
 )
 
-// Upper bounds of a size.
+// Upper limits of a size.
 const (
 	maxProcesses = 5000 // routers, or workers
 	maxRequests  = 10_000_000
@@ -73,7 +73,7 @@
 		spec.sizes[name] = overrides{
 			routers:  section.Int("routers", 0, 0, maxProcesses),
 			workers:  section.Int("workers", 0, 0, maxProcesses),
-			requests: section.Int("jobs", 0, 0, maxRequests),
+			calls:    section.Int("jobs", 0, 0, maxRequests),
 			clients:  section.Int("clients", 0, 0, maxClients),
 			behavior: inifile.OneOf(section, "manners", "", behaviors...),
 		}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (spec *experimentSpec) readArms(file *inifile.File, main *inifile.Section) {
+func (spec *experimentSpec) readArms(file *inifile.File, experimentSection *inifile.Section) {
 	for _, section := range file.Sections(armSectionPrefix) {
 		name := section.String("program", "")
 		if program.BuildIDOf(name) == "" {
@@ -92,16 +92,16 @@
 		spec.programs[strings.TrimPrefix(section.Name, armSectionPrefix)] = name
 	}
 	if len(spec.plan.Arms) < 2 {
-		main.Errorf("arms", "fewer than two")
+		experimentSection.Errorf("arms", "requires at least two arms")
 	}
 	for _, arm := range spec.plan.Arms {
-		if arm != moduleArm && arm != undampedArm && spec.programs[arm] == "" && !slices.Contains(baseline.PolicyNames, arm) {
-			main.Errorf("arms", "%q is none of module, undamped, %v, and no section [arm %s] names its program", arm, baseline.PolicyNames, arm)
+		if arm != balancerArm && arm != undampedArm && spec.programs[arm] == "" && !slices.Contains(baseline.PolicyNames, arm) {
+			experimentSection.Errorf("arms", "%q is not one of module, undamped and %v, and no section [arm %s] names its executable", arm, baseline.PolicyNames, arm)
 		}
 	}
 }
 
-// origin identifies what an arm's results depend on beside the trial: the build, the scenario and the sizes.
+// origin identifies what an arm's results depend on besides the trial: the build, the scenario and the sizes.
 func (spec *experimentSpec) origin(arm string) string {
 	build := program.BuildID()
 	if name := spec.programs[arm]; name != "" {
--- a/cmd/hmchaos/trial.go
+++ b/cmd/hmchaos/trial.go
@@ -16,7 +16,7 @@
 // run runs one trial, on one thread.
 func (spec *experimentSpec) run(ctx context.Context, t experiment.Trial) (experiment.Result, error) {
 	size := spec.sizes[t.Size]
-	cmd := emulateCmd{Script: spec.script, Seed: t.Seed, Seeds: 1, Threads: 1, Routers: size.routers, Workers: size.workers, Jobs: size.requests,
+	cmd := emulateCmd{Script: spec.script, Seed: t.Seed, Seeds: 1, Threads: 1, Routers: size.routers, Workers: size.workers, Jobs: size.calls,
 		Clients: size.clients, Manners: string(size.behavior)}
 	var result *chaostest.SimulationResult
 	var err error
@@ -25,7 +25,7 @@
 		result, err = cmd.runProgram(ctx, name)
 	case t.Arm == undampedArm:
 		cmd.Undamped = true
-		result, _, err = cmd.simulate(spec.scenarioText, moduleArm, t.Seed)
+		result, _, err = cmd.simulate(spec.scenarioText, balancerArm, t.Seed)
 	default:
 		result, _, err = cmd.simulate(spec.scenarioText, t.Arm, t.Seed)
 	}
@@ -40,13 +40,13 @@
 	return r, nil
 }
 
-// runProgram has another build of this program run the scenario.
+// runProgram runs the scenario with another build of this program.
 func (e emulateCmd) runProgram(ctx context.Context, name string) (*chaostest.SimulationResult, error) {
 	args := []string{"emulate", "--json", "--threads=1", "--script=" + e.Script, fmt.Sprint("--seed=", e.Seed), fmt.Sprint("--routers=", e.Routers),
 		fmt.Sprint("--workers=", e.Workers), fmt.Sprint("--jobs=", e.Jobs), fmt.Sprint("--clients=", e.Clients), "--manners=" + e.Manners}
 	out, err := exec.CommandContext(ctx, name, args...).Output()
-	var exit *exec.ExitError
-	if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == program.ExitFailure) { // a violation is in the result
+	var exitErr *exec.ExitError
+	if err != nil && !(errors.As(err, &exitErr) && exitErr.ExitCode() == program.ExitFailure) { // violations are part of the result
 		return nil, err
 	}
 	result := &chaostest.SimulationResult{}
--- a/internal/chaostest/certificates.go
+++ b/internal/chaostest/certificates.go
@@ -18,18 +18,19 @@
 	"hollymast/internal/rest"
 )
 
-// certificates are those of a run in which all connections use TLS: files that routers and the harness reload when they change.
-// Each owner has a directory of its own. A nil *certificates stands for a run without TLS.
+// certificates holds the certificates, keys and revocation lists of a run in which all connections use TLS. They are files that
+// routers and the harness reload when they change; each owner has its own directory. A nil *certificates means that the run
+// doesn't use TLS.
 type certificates struct {
-	dir       string
-	authority *authority.Authority
-	issued    map[string]authority.Certificate // the newest, by owner
-	stores    map[string]*certstore.Store      // of the harness's own processes, by owner
-	following sync.WaitGroup                   // goroutines that reload the stores
-	changes   int                              // of certificates and authorities so far
+	dir         string
+	authority   *authority.Authority
+	issued      map[string]authority.Certificate // newest certificate by owner
+	stores      map[string]*certstore.Store      // by owner; of clients, fake servers and the control plane
+	reloaders   sync.WaitGroup                   // goroutines that reload the stores
+	changeCount int                              // renewals, revocations and updates of authorities so far
 }
 
-// The owners of certificates: the router has one for each kind of peer, and each worker has one (workerName).
+// Owners of certificates. Routers have one certificate for each kind of peer, and each worker has one (workerName).
 const (
 	routerToWorkers      = "router-workers"
 	routerToClients      = "router-clients"
@@ -43,8 +44,8 @@
 // revocationListLifetime is longer than any run.
 const revocationListLifetime = time.Hour
 
-// issueCertificates issues a certificate to each owner, and opens the harness's own stores, which are reloaded until the
-// context ends; see wait.
+// issueCertificates issues a certificate to each owner and opens the certificate stores of clients, fake servers and the control
+// plane. The stores are reloaded until ctx is done; see wait.
 func issueCertificates(ctx context.Context, dir string, workers int) (*certificates, error) {
 	c := &certificates{dir: dir, authority: authority.New("laboratory"), issued: map[string]authority.Certificate{}, stores: map[string]*certstore.Store{}}
 	for _, owner := range []string{routerToWorkers, routerToClients, routerToControlPlane} {
@@ -52,11 +53,11 @@
 			return nil, err
 		}
 	}
-	own := []string{clientOwner, controlPlaneOwner}
+	harnessOwners := []string{clientOwner, controlPlaneOwner}
 	for i := range workers {
-		own = append(own, workerName(i))
+		harnessOwners = append(harnessOwners, workerName(i))
 	}
-	for _, owner := range own {
+	for _, owner := range harnessOwners {
 		if err := c.addOwner(owner); err != nil {
 			return nil, err
 		}
@@ -84,14 +85,15 @@
 		return err
 	}
 	c.stores[owner] = store
-	c.following.Go(func() { store.Run(ctx) })
+	c.reloaders.Go(func() { store.Run(ctx) })
 	return nil
 }
 
-// wait waits until no store is reloaded any more, after the context of issueCertificates has ended.
+// wait returns when the goroutines that reload the stores have ended, which they do after the context of issueCertificates is
+// done.
 func (c *certificates) wait() {
 	if c != nil {
-		c.following.Wait()
+		c.reloaders.Wait()
 	}
 }
 
@@ -101,7 +103,7 @@
 	return &certstore.Config{Certificate: c.file(owner, "cert"), Key: c.file(owner, "key"), Authorities: c.file(owner, "authorities"), RevocationLists: c.file(owner, "revoked")}
 }
 
-// routerConfig gives the sections of a router's configuration on TLS towards workers and clients.
+// routerConfig returns the sections of a router's configuration for TLS connections to workers and from clients.
 func (c *certificates) routerConfig() string {
 	if c == nil {
 		return ""
@@ -109,7 +111,7 @@
 	return c.configSection("workers", routerToWorkers) + c.configSection("clients", routerToClients)
 }
 
-// controlPlaneConfig gives the section of a router's configuration on TLS towards the control plane.
+// controlPlaneConfig returns the section of a router's configuration for TLS connections to the control plane.
 func (c *certificates) controlPlaneConfig() string {
 	if c == nil {
 		return ""
@@ -124,7 +126,7 @@
 	return b.String()
 }
 
-// controlPlaneOptions are those of the fake control plane.
+// controlPlaneOptions returns the gRPC options of the fake control plane.
 func (c *certificates) controlPlaneOptions() []grpc.ServerOption {
 	if c == nil {
 		return nil
@@ -132,16 +134,16 @@
 	return []grpc.ServerOption{grpc.Creds(c.stores[controlPlaneOwner].Credentials())}
 }
 
-// clientSecurity gives the handshake of connections that an owner dials; nil without TLS.
-func (c *certificates) clientSecurity(owner string) rest.Handshake {
+// clientHandshake returns the TLS handshake for connections that an owner dials, or nil without TLS.
+func (c *certificates) clientHandshake(owner string) rest.Handshake {
 	if c == nil {
 		return nil
 	}
 	return c.stores[owner].ClientHandshake
 }
 
-// serverSecurity gives the handshake of connections that an owner accepts; nil without TLS.
-func (c *certificates) serverSecurity(owner string) func(net.Conn) (net.Conn, error) {
+// serverHandshake returns the TLS handshake for connections that an owner accepts, or nil without TLS.
+func (c *certificates) serverHandshake(owner string) func(net.Conn) (net.Conn, error) {
 	if c == nil {
 		return nil
 	}
@@ -152,21 +154,22 @@
 	}
 }
 
-// renew writes a new certificate, and its key after a while: one file after the other and in place, as careless operators do.
-func (c *certificates) renew(owner string, between time.Duration) error {
+// renew issues a new certificate. It overwrites the two files in place, the key keyDelay after the certificate, as an operator
+// does who doesn't replace both atomically.
+func (c *certificates) renew(owner string, keyDelay time.Duration) error {
 	issued := c.authority.Issue(authority.Request{Names: []string{"127.0.0.1", owner + ".laboratory.example"}})
 	c.issued[owner] = issued
-	c.changes++
+	c.changeCount++
 	if err := os.WriteFile(c.file(owner, "cert"), issued.Chain, 0o600); err != nil {
 		return err
 	}
-	time.Sleep(between)
+	time.Sleep(keyDelay)
 	return os.WriteFile(c.file(owner, "key"), issued.Key, 0o600)
 }
 
-// writeAuthorities writes which authorities an owner trusts, and the newest revocation list.
+// writeAuthorities writes the authorities that an owner trusts, and the newest revocation list.
 func (c *certificates) writeAuthorities(owner string, authorities []byte) error {
-	c.changes++
+	c.changeCount++
 	if err := os.WriteFile(c.file(owner, "authorities"), authorities, 0o600); err != nil {
 		return err
 	}
--- a/internal/chaostest/churn.go
+++ b/internal/chaostest/churn.go
@@ -13,7 +13,7 @@
 	"hollymast/internal/invariant"
 )
 
-// Churn is a stream of changes of the endpoint list, which a fake control plane sends to one router under load.
+// Churn describes a sequence of changes of the endpoint list that a fake control plane sends to one router under load.
 type Churn struct {
 	Seed          uint64
 	Changes       int
@@ -21,13 +21,13 @@
 	Rate          int           // requests per second
 	Workers       int
 	Delta         bool          // the incremental variant of xDS
-	DropStreams   bool          // streams are dropped now and again
-	LoseEndpoints bool          // the control plane loses the whole list after a third of the changes, half of it after two thirds
-	TLS           bool          // all connections use TLS, and certificates are rotated meanwhile
-	PublishDelay  time.Duration // by which the control plane sends everything later than it claims: to test the measurement
+	DropStreams   bool          // the control plane drops its streams occasionally
+	LoseEndpoints bool          // the control plane publishes an empty list after a third of the changes, and half of the list after two thirds
+	TLS           bool          // all connections use TLS, and certificates are rotated during the run
+	PublishDelay  time.Duration // the control plane sends every update this much later than the log says, to test the measurement
 }
 
-// The fake servers of a churn: fast, so that requests come to each of them all the time.
+// Settings of the fake servers. They are fast, so that each of them receives requests all the time.
 const (
 	churnFunctions     = 12
 	churnReplicas      = 60
@@ -39,20 +39,20 @@
 	churnFetchTime     = 5 * time.Millisecond
 )
 
-// Steps of a churn.
+// Settings of the changes.
 const (
-	// minRemoval is the least time for which a server is away: long enough to see what reaches it after drainGrace.
-	minRemoval = 700 * time.Millisecond
-	// endpointLossTime is how long the control plane has lost endpoints.
+	// minRemovalTime is the minimum time for which a server is removed: long enough to see what reaches it after drainGrace.
+	minRemovalTime = 700 * time.Millisecond
+	// endpointLossTime is how long the control plane publishes an incomplete list.
 	endpointLossTime = 3 * time.Second
-	// streamDropOdds is the number of changes for each of which streams are dropped, on average.
-	streamDropOdds = 50
-	// maxRemoved is the reciprocal of the share of servers that may be away at once.
-	maxRemoved = 3
+	// changesPerStreamDrop is the mean number of changes per drop of the streams.
+	changesPerStreamDrop = 50
+	// removedDivisor limits how many servers are removed at a time: the number of servers divided by it.
+	removedDivisor = 3
 )
 
-// RunChurn makes the changes, with a router of the named program, and measures how soon it follows them. Everything that it
-// starts has ended when it returns.
+// RunChurn starts a router from the given executable, makes the changes and measures how soon the router follows them. Everything
+// that it starts has ended when it returns.
 func RunChurn(ctx context.Context, c Churn, program string) (*ChurnResult, error) {
 	dir, err := os.MkdirTemp("", "hmchaos-changes-")
 	if err != nil {
@@ -80,7 +80,7 @@
 	return h.churnResult(), nil
 }
 
-// scenario gives the load and the router's settings.
+// scenario returns the scenario that sets the load and the router's configuration.
 func (c Churn) scenario() *Scenario {
 	length := time.Duration(c.Changes) * c.Interval
 	s := &Scenario{Seed: c.Seed, Calls: int(length.Seconds() * float64(c.Rate)), Length: length, Routers: 1, Workers: c.Workers, Functions: churnFunctions,
@@ -111,7 +111,7 @@
 	return h.routers[0].awaitReady(ctx)
 }
 
-// driveChurn makes the calls and the changes, and returns when all of them are over.
+// driveChurn makes the calls and the changes, and returns when all of them have finished.
 func (h *harness) driveChurn(ctx context.Context, c Churn) {
 	h.startedAt = time.Now()
 	var wg sync.WaitGroup
@@ -132,11 +132,12 @@
 	}
 }
 
-// applyChanges makes the changes: a server drains, is withdrawn or comes back. Two thirds of the servers stay ready. The order
-// of the draws from the generator makes the changes the same for the same seed, as far as the time between them is.
+// applyChanges makes the changes: a server starts to drain, is withdrawn, or becomes ready again. At least two thirds of the
+// servers stay ready. The order of the draws from the generator is fixed, so that the same seed gives the same changes as long as
+// the times between them are the same.
 func (h *harness) applyChanges(ctx context.Context, c Churn) {
 	random := rand.New(rand.NewPCG(c.Seed, 2))
-	removedAt := map[int]time.Duration{} // of the servers that are away
+	removedAt := map[int]time.Duration{} // by server that is removed at present
 	for n := range c.Changes {
 		if h.waitUntil(ctx, time.Duration(n)*c.Interval+time.Duration(random.Int64N(int64(c.Interval)))) != nil {
 			return
@@ -146,25 +147,25 @@
 			return
 		}
 		server := random.IntN(len(h.states))
-		if c.TLS && server == 0 { // the rotation of certificates takes it away
+		if c.TLS && server == 0 { // the rotation of certificates removes and restores this one
 			continue
 		}
-		due := func(server int) bool {
+		mayReturn := func(server int) bool {
 			at, removed := removedAt[server]
-			return removed && now > at+minRemoval
+			return removed && now > at+minRemovalTime
 		}
-		for i := range h.states { // one that was away long enough comes first
-			if due(i) && random.IntN(2) == 0 {
+		for i := range h.states { // prefer a server that was removed long enough ago
+			if mayReturn(i) && random.IntN(2) == 0 {
 				server = i
 				break
 			}
 		}
 		_, removed := removedAt[server]
 		switch {
-		case due(server):
+		case mayReturn(server):
 			h.states[server] = invariant.EndpointReady
 			delete(removedAt, server)
-		case !removed && len(removedAt) < len(h.states)/maxRemoved:
+		case !removed && len(removedAt) < len(h.states)/removedDivisor:
 			h.states[server] = []string{invariant.EndpointDraining, invariant.EndpointGone}[random.IntN(2)]
 			removedAt[server] = now
 		default:
@@ -172,13 +173,14 @@
 		}
 		h.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: server, Detail: h.states[server]})
 		h.controlPlane.Update(h.clusters(h.states))
-		if c.DropStreams && random.IntN(streamDropOdds) == 0 {
+		if c.DropStreams && random.IntN(changesPerStreamDrop) == 0 {
 			h.controlPlane.DropStreams(random.IntN(2) == 0)
 		}
 	}
 }
 
-// loseEndpoints has the control plane lose all endpoints for a time at a third of the changes, and half of them at two thirds.
+// loseEndpoints has the control plane publish an empty list for a while after a third of the changes, and half of the list after
+// two thirds.
 func (h *harness) loseEndpoints(ctx context.Context, change, changes int) error {
 	switch change {
 	case changes / 3:
--- a/internal/chaostest/churnresult.go
+++ b/internal/chaostest/churnresult.go
@@ -9,16 +9,16 @@
 	"hollymast/internal/invariant"
 )
 
-// ChurnResult is how soon a router followed changes that took servers away.
+// ChurnResult reports how soon a router stopped using servers that were removed from the endpoint list.
 type ChurnResult struct {
 	*invariant.Report
-	RemovedServers        int           // changes that took a server away
-	LateServers           int           // those after which something new still reached the server
-	MedianDelay, MaxDelay time.Duration // of these: from the change to the last new thing; 0 if there are none
-	SuccessRate           float64       // share of requests
-	Streams               int           // that the router has opened to the control plane
+	RemovedServers        int           // changes that removed a server
+	LateServers           int           // removals after which the server still received an attempt or a load command
+	MedianDelay, MaxDelay time.Duration // from the removal to the last such attempt or load command; 0 if there are none
+	SuccessRate           float64       // share of requests that succeeded
+	Streams               int           // streams that the router has opened to the control plane
 	CertificateChanges    int
-	BrokenConnections     int // client connections that ended without an answer, timeouts aside
+	BrokenConnections     int // client connections that ended without an answer, except by a timeout
 }
 
 func (h *harness) churnResult() *ChurnResult {
@@ -26,26 +26,26 @@
 	r := &ChurnResult{Report: invariant.Check(h.invariantConfig(), records), BrokenConnections: h.brokenConnections}
 	_, r.Streams, _ = h.controlPlane.Counts()
 	if h.certificates != nil {
-		r.CertificateChanges = h.certificates.changes
+		r.CertificateChanges = h.certificates.changeCount
 	}
 	r.SuccessRate = share(r.Succeeded, r.Requests)
 	r.measureDelays(records)
 	return r
 }
 
-// removal is a server that was taken away.
+// removal is the removal of a server from the endpoint list.
 type removal struct {
-	at      int64 // microseconds of the log's clock
-	lastNew int64 // when the last new thing reached it since; 0: nothing did
+	at           int64 // in microseconds of the log's clock
+	lastReceived int64 // when the server last received an attempt or a load command since; 0: never
 }
 
-// measureDelays works out how late the last new thing reached each server that was taken away.
+// measureDelays computes, for each removal, the time until the server received its last attempt or load command.
 func (r *ChurnResult) measureDelays(records []invariant.Record) {
-	removed := map[int]*removal{} // servers that are away
+	removed := map[int]*removal{} // servers that are removed at present
 	var delays []int64
-	end := func(server int) {
-		if m := removed[server]; m != nil && m.lastNew > m.at {
-			delays = append(delays, m.lastNew-m.at)
+	addDelay := func(server int) {
+		if m := removed[server]; m != nil && m.lastReceived > m.at {
+			delays = append(delays, m.lastReceived-m.at)
 		}
 		delete(removed, server)
 	}
@@ -54,19 +54,19 @@
 		switch record.Kind {
 		case invariant.EndpointPublished:
 			if record.Detail == invariant.EndpointReady {
-				end(record.Server)
+				addDelay(record.Server)
 			} else if m == nil {
 				removed[record.Server] = &removal{at: record.At}
 				r.RemovedServers++
 			}
 		case invariant.AttemptReceived, invariant.LoadCommandReceived:
 			if m != nil {
-				m.lastNew = record.At
+				m.lastReceived = record.At
 			}
 		}
 	}
 	for server := range removed {
-		end(server)
+		addDelay(server)
 	}
 	if r.LateServers = len(delays); r.LateServers == 0 {
 		return
@@ -76,7 +76,7 @@
 	r.MaxDelay = time.Duration(delays[r.LateServers-1]) * time.Microsecond
 }
 
-// String gives the result in one line.
+// String returns the result in one line.
 func (r *ChurnResult) String() string {
 	var violations []string
 	for _, rule := range r.Rules {
@@ -89,8 +89,8 @@
 		verdict = strings.Join(violations, "; ")
 	}
 	if r.CertificateChanges > 0 {
-		verdict = fmt.Sprintf("%d changes of keys; %s", r.CertificateChanges, verdict)
+		verdict = fmt.Sprintf("%d certificate changes; %s", r.CertificateChanges, verdict)
 	}
-	return fmt.Sprintf("%d servers taken away, %d got something new after it: median %s, worst %s; %d jobs, %.3f finished, %d unanswered, %d client connections broken, %d streams; %s",
+	return fmt.Sprintf("%d servers removed, %d received requests or load commands after it: median delay %s, maximum %s; %d requests, %.3f succeeded, %d unanswered, %d client connections broken, %d streams; %s",
 		r.RemovedServers, r.LateServers, r.MedianDelay, r.MaxDelay, r.Requests, r.SuccessRate, r.Unanswered, r.BrokenConnections, r.Streams, verdict)
 }
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -12,8 +12,8 @@
 	"hollymast/internal/invariant"
 )
 
-// The fake servers, and the routers' settings about them. Together the servers have about twice the capacity that the usual load
-// needs, and a load takes far longer than a request.
+// Settings of the fake servers, which the routers' configuration repeats. Together the servers have about twice the capacity that
+// the normal load needs, and loading a function takes far longer than a request.
 const (
 	serverCores       = 2
 	serverLanes       = 2
@@ -22,7 +22,7 @@
 	serverQueue       = 40
 	maxReplicas       = 40
 	loadTime          = 150 * time.Millisecond
-	maxLoads          = 4 // at once, per server
+	maxLoads          = 4 // concurrent loads per server
 	dedupWindow       = 5 * time.Second
 	keepAlive         = 5 * time.Second
 	slowStartDuration = 4 * time.Second
@@ -34,17 +34,18 @@
 	storeConcurrency  = 8
 )
 
-// The limit on each router's load commands: loadRateBase, and loadRatePerRequest more for each request, in loadRateWindow.
+// Limit on the load commands that each router sends in loadRateWindow: loadRateBase, plus loadRatePerRequest for each request.
 const (
 	loadRateWindow     = 4 * time.Second
 	loadRateBase       = 6
 	loadRatePerRequest = 0.05
 )
 
-// maxNetworkDelay bounds the time between the two ends of a connection, as the balancer allows for one.
+// maxNetworkDelay is the maximum delay between the two ends of a connection for which the invariants allow; the balancer allows
+// for the same delay.
 const maxNetworkDelay = 50 * time.Millisecond
 
-// zone gives the zone of a server or router. Each zone has one cell of the same name.
+// zone returns the zone of a server or router. Each zone has one cell of the same name.
 func zone(i int) string { return string(rune('a' + i%zones)) }
 
 const zones = 3
@@ -56,10 +57,10 @@
 		OverloadRate: serverRate * overloadFactor, Seed: h.scenario.Seed, NoDedupPrefix: nonIdempotentKeyPrefix}
 }
 
-// endpointsFile is the file that routers read the endpoint list from, unless there is a control plane.
+// endpointsFile returns the name of the file that routers read the endpoint list from, unless there is a control plane.
 func (h *harness) endpointsFile() string { return filepath.Join(h.dir, "workers.ini") }
 
-// routerConfig gives a router's configuration file.
+// routerConfig returns the content of a router's configuration file.
 func (h *harness) routerConfig(i int) []byte {
 	var b bytes.Buffer
 	h.writeRouterSections(&b, i)
@@ -72,7 +73,7 @@
 	}
 	if slices.ContainsFunc(h.scenario.Faults, func(f Fault) bool { return f.Kind == FaultNoisyTenant }) {
 		perSecond := h.scenario.Calls / max(1, int(h.scenario.Length.Seconds()))
-		fmt.Fprintf(&b, "[tenant %s]\nshare = %d\n[tenant %s]\nshare = %d\n", usualTenant, perSecond, noisyTenant, noisyTenantQuota)
+		fmt.Fprintf(&b, "[tenant %s]\nshare = %d\n[tenant %s]\nshare = %d\n", regularTenant, perSecond, noisyTenant, noisyTenantQuota)
 	}
 	if !h.scenario.OverloadProtection {
 		b.WriteString("[clients]\ndamp_storms = no\n")
@@ -89,7 +90,7 @@
 	return []byte(text)
 }
 
-// writeRouterSections writes the sections on the router itself and on the servers.
+// writeRouterSections writes the sections about the router itself and about the servers, recordings and persisted state.
 func (h *harness) writeRouterSections(b *bytes.Buffer, i int) {
 	fmt.Fprintf(b, "[router]\nlisten = %s\nnumber = %d\nrouters = %d\nzone = %s\nlist = %s\nseed = %d\nlog = info\n", h.addresses[i], i,
 		h.scenario.Routers, zone(i), h.endpointsFile(), h.scenario.Seed*maxRouters+uint64(i)+1)
@@ -104,12 +105,12 @@
 	if h.scenario.RecordDir != "" {
 		fmt.Fprintf(b, "[record]\nfolder = %s\nsegment = 1000000\nage = 5s\n", filepath.Join(h.scenario.RecordDir, fmt.Sprintf("router-%d", i)))
 	}
-	if h.scenario.keepsRouterState() {
+	if h.scenario.persistsRouterState() {
 		fmt.Fprintf(b, "[memory]\nfolder = %s\nevery = 1s\nmarks_for = 1m\n", h.stateDir(i))
 	}
 }
 
-// invariantConfig gives the check the same figures as routers have, and the fake servers' own rate.
+// invariantConfig returns the configuration of the invariant check: the settings of the routers, and the rate of the fake servers.
 func (h *harness) invariantConfig() invariant.Config {
 	c := invariant.Config{Classes: map[string]invariant.Class{}, DrainGrace: drainGrace.Microseconds(), SlowStartDuration: slowStartDuration.Microseconds(),
 		SlowStartInitial: slowStartInitial, OverloadWindow: overloadWindow.Microseconds(), OverloadFactor: overloadFactor, ServerRate: serverRate,
--- a/internal/chaostest/echo.go
+++ b/internal/chaostest/echo.go
@@ -11,16 +11,16 @@
 	"hollymast/kserve"
 )
 
-// unknownPrefix begins the names of functions that no server has.
+// unknownPrefix is the prefix of the names of functions that no server has.
 const unknownPrefix = "strangers-"
 
-// echoServers answer every request at once. They are simpler than the fake servers, so that a load test measures the router.
+// echoServers answer every request immediately. They do less work than the fake servers, so that a load test measures the router.
 type echoServers struct {
 	running sync.WaitGroup // their goroutines
 }
 
-// start starts a server that runs until the context ends; see wait. A nil secure stands for no TLS.
-func (e *echoServers) start(ctx context.Context, secure func(net.Conn) (net.Conn, error)) (address string, err error) {
+// start starts a server that runs until ctx is done; see wait. A nil handshake means that the server doesn't use TLS.
+func (e *echoServers) start(ctx context.Context, handshake func(net.Conn) (net.Conn, error)) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -32,22 +32,22 @@
 			if err != nil {
 				return
 			}
-			e.running.Go(func() { serveEcho(ctx, conn, secure) })
+			e.running.Go(func() { serveEcho(ctx, conn, handshake) })
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// wait waits until all servers have ended, after their context has.
+// wait returns when all servers have ended, which they do after their context is done.
 func (e *echoServers) wait() { e.running.Wait() }
 
 // serveEcho answers the requests of one connection.
-func serveEcho(ctx context.Context, conn net.Conn, secure func(net.Conn) (net.Conn, error)) {
+func serveEcho(ctx context.Context, conn net.Conn, handshake func(net.Conn) (net.Conn, error)) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if secure != nil {
+	if handshake != nil {
 		var err error
-		if conn, err = secure(conn); err != nil {
+		if conn, err = handshake(conn); err != nil {
 			return
 		}
 	}
--- a/internal/chaostest/endpoints.go
+++ b/internal/chaostest/endpoints.go
@@ -14,11 +14,11 @@
 	"hollymast/internal/invariant"
 )
 
-// publish writes the endpoint list, unless a fault holds it back.
+// publish writes the endpoint list, unless a fault has paused publishing.
 func (h *harness) publish() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.publishHolds > 0 {
+	if h.publishPauses > 0 {
 		return
 	}
 	if h.controlPlane != nil {
@@ -35,7 +35,7 @@
 	h.published = slices.Clone(h.states)
 }
 
-// endpointList gives the endpoint list as a file.
+// endpointList returns the content of the endpoint list file.
 func (h *harness) endpointList() []byte {
 	var b bytes.Buffer
 	for i, server := range h.servers {
@@ -43,14 +43,14 @@
 			continue
 		}
 		fmt.Fprintf(&b, "[server %d]\naddress = %s\nstate = %s\nzone = %s\ncell = %s\n", i, server.Address(), h.states[i], zone(i), zone(i))
-		if startedAt, restarted := server.StartedAt(); restarted { // the others count as started long before the run
+		if startedAt, restarted := server.StartedAt(); restarted { // a server without a start time counts as started long before the run
 			fmt.Fprintf(&b, "born = %s\n", startedAt.UTC().Format(time.RFC3339Nano))
 		}
 	}
 	return b.Bytes()
 }
 
-// setState changes a server's state in the endpoint list.
+// setState changes a server's state and publishes the endpoint list.
 func (h *harness) setState(server int, state string) {
 	h.mu.Lock()
 	h.states[server] = state
@@ -58,27 +58,27 @@
 	h.publish()
 }
 
-// holdPublishing keeps the endpoint list as it is while f runs; what has changed meanwhile is published afterwards.
-func (h *harness) holdPublishing(f func()) {
-	h.addPublishHolds(1)
+// withPublishingPaused runs f without publishing the endpoint list. Changes made meanwhile are published afterwards.
+func (h *harness) withPublishingPaused(f func()) {
+	h.addPublishPauses(1)
 	f()
-	h.addPublishHolds(-1)
+	h.addPublishPauses(-1)
 	h.publish()
 }
 
-func (h *harness) addPublishHolds(n int) {
+func (h *harness) addPublishPauses(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.publishHolds += n
+	h.publishPauses += n
 }
 
-// The two clusters of the control plane share the servers: even and odd numbers.
+// The two clusters of the control plane: servers with even numbers and servers with odd numbers.
 const (
 	evenCluster = "even"
 	oddCluster  = "odd"
 )
 
-// clusters gives an update that replaces the control plane's clusters by the servers in these states.
+// clusters returns an update that sets the control plane's clusters to the servers in the given states.
 func (h *harness) clusters(states []string) func(map[string][]fakeserver.Endpoint) {
 	return func(clusters map[string][]fakeserver.Endpoint) {
 		clusters[evenCluster], clusters[oddCluster] = nil, nil
@@ -99,13 +99,14 @@
 	}
 }
 
-// loseAllEndpoints is an update by which the control plane publishes an empty list.
+// loseAllEndpoints is an update after which the control plane publishes an empty list.
 func loseAllEndpoints(clusters map[string][]fakeserver.Endpoint) { clear(clusters) }
 
-// loseHalfOfEndpoints is an update by which the control plane loses one cluster.
+// loseHalfOfEndpoints is an update after which the control plane publishes only one of the two clusters.
 func loseHalfOfEndpoints(clusters map[string][]fakeserver.Endpoint) { delete(clusters, oddCluster) }
 
-// injectControlPlaneFault breaks the control plane for a time. What happens to servers meanwhile is published afterwards.
+// injectControlPlaneFault injects a fault of the control plane and returns when it is over. Changes of servers during the fault
+// are published afterwards, unless only streams are dropped.
 func (h *harness) injectControlPlaneFault(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList:
@@ -113,7 +114,7 @@
 		if f.Kind == FaultControlPlaneEmptyList {
 			update = loseAllEndpoints
 		}
-		h.holdPublishing(func() {
+		h.withPublishingPaused(func() {
 			h.controlPlane.Update(update)
 			sleep(ctx, f.Duration)
 		})
@@ -122,8 +123,8 @@
 			h.controlPlane.DropStreams(true)
 			sleep(ctx, streamDropInterval)
 		}
-	case FaultControlPlaneStall: // nothing may change meanwhile that routers would have to know
-		h.holdPublishing(func() {
+	case FaultControlPlaneStall: // a change that routers can't receive must not count as published
+		h.withPublishingPaused(func() {
 			h.controlPlane.SetStalled(true)
 			sleep(ctx, f.Duration)
 			h.controlPlane.SetStalled(false)
@@ -131,5 +132,5 @@
 	}
 }
 
-// streamDropInterval is between two drops of all streams: routers have time to reconnect and to read something.
+// streamDropInterval is the time between two drops of all streams: long enough for routers to reconnect and to receive a response.
 const streamDropInterval = 300 * time.Millisecond
--- a/internal/chaostest/fault.go
+++ b/internal/chaostest/fault.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Fault is something that goes wrong for a time.
+// Fault is a fault that is in effect for a limited time.
 type Fault struct {
 	Name     string
 	Kind     FaultKind
 	At       time.Duration // since the start of the run
 	Duration time.Duration
-	Target   int     // number of the server or router, or AllTargets
-	Share    float64 // of requests, for kinds that affect some of them
-	Factor   float64 // of the slowdown, or of the demand
+	Target   int     // number of the affected server or router, or AllTargets
+	Share    float64 // of the requests that are affected, for kinds that affect some of them
+	Factor   float64 // by which something gets slower, or by which demand rises
 }
 
-// AllTargets as a fault's target stands for all servers, or all routers.
+// AllTargets is the Fault.Target that selects all servers, or all routers.
 const AllTargets = -1
 
-// active reports whether a time of the run is within the fault.
+// active reports whether the fault is in effect at a time, given since the start of the run.
 func (f Fault) active(at time.Duration) bool { return at >= f.At && at < f.At+f.Duration }
 
-// targets gives the numbers below n that the fault is about.
+// targets returns the numbers of the affected servers or routers; there are n.
 func (f Fault) targets(n int) []int {
 	if f.Target >= n {
 		return nil
@@ -34,16 +34,16 @@
 	return all
 }
 
-// FaultKind names a kind of fault, as scenarios write it.
+// FaultKind is a kind of fault. Its value is its name in scenario files.
 type FaultKind string
 
 // The kinds of fault.
 const (
 	FaultHang                 FaultKind = "hang"         // servers accept requests and answer none
 	FaultCrash                FaultKind = "crash"        // servers stop; they restart without loaded functions
-	FaultHangThenCrash        FaultKind = "vanish"       // servers fall silent, then crash
-	FaultIntermittentSlowness FaultKind = "pauses"       // servers are ten times slower now and again
-	FaultLostResponses        FaultKind = "answer_lost"  // servers run a share of the requests and don't answer
+	FaultHangThenCrash        FaultKind = "vanish"       // servers stop answering, then crash
+	FaultIntermittentSlowness FaultKind = "pauses"       // servers are ten times slower for short periods
+	FaultLostResponses        FaultKind = "answer_lost"  // servers run a share of the requests without answering
 	FaultResetBefore          FaultKind = "reset_before" // servers reset a share of connections before the request runs
 	FaultResetAfter           FaultKind = "reset_after"  // servers reset a share of connections after the request has run
 	FaultServerOverloaded     FaultKind = "refuse"       // servers answer that they are overloaded
@@ -54,19 +54,19 @@
 	FaultStoreStopped FaultKind = "origin_stopped" // the model store serves nothing
 
 	FaultHotFunction     FaultKind = "hot_key"     // a share of the requests is for one function
-	FaultUniqueFunctions FaultKind = "scan"        // a share of the requests is for functions of their own
+	FaultUniqueFunctions FaultKind = "scan"        // a share of the requests is for a different function each
 	FaultShortTimeouts   FaultKind = "give_up"     // a share of the clients has short timeouts
 	FaultRetryAbuse      FaultKind = "retry_abuse" // a share of the clients gives up early and retries at once
 	FaultNoisyTenant     FaultKind = "one_tenant"  // a share of the requests belongs to a tenant that retries without pause
-	FaultDemandSurge     FaultKind = "rise"        // there are more requests
+	FaultDemandSurge     FaultKind = "rise"        // demand grows by a factor
 
 	FaultStaleEndpoints          FaultKind = "discovery_stale" // the endpoint list isn't updated
 	FaultControlPlaneEmptyList   FaultKind = "plane_lost"      // the control plane publishes an empty list
 	FaultControlPlaneHalfList    FaultKind = "plane_half"      // the control plane publishes half of the list
-	FaultControlPlaneStreamDrops FaultKind = "plane_cut"       // the control plane drops its streams again and again
+	FaultControlPlaneStreamDrops FaultKind = "plane_cut"       // the control plane drops its streams repeatedly
 	FaultControlPlaneStall       FaultKind = "plane_silent"    // the control plane sends nothing
 
-	FaultRouterStall   FaultKind = "balancer_stall" // routers are stopped by SIGSTOP and go on
+	FaultRouterStall   FaultKind = "balancer_stall" // routers are suspended with SIGSTOP and then resumed
 	FaultRouterRestart FaultKind = "balancer_roll"  // routers shut down gracefully and restart
 	FaultRouterKill    FaultKind = "balancer_kill"  // routers are killed and restart
 )
@@ -77,7 +77,7 @@
 	FaultRouterKill, FaultProgressiveSlowdown, FaultResetBefore, FaultResetAfter, FaultServerOverloaded, FaultNoisyTenant, FaultDemandSurge, FaultControlPlaneEmptyList,
 	FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall}
 
-// needsControlPlane reports whether the fault is one of the control plane.
+// needsControlPlane reports whether the fault affects the control plane, so that the scenario must have one.
 func (k FaultKind) needsControlPlane() bool {
 	switch k {
 	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall:
--- a/internal/chaostest/harness.go
+++ b/internal/chaostest/harness.go
@@ -19,8 +19,8 @@
 // harness owns the processes, servers and clients of one run.
 type harness struct {
 	scenario       *Scenario
-	dir            string // of configuration files, logs, certificates and persisted state
-	program        string // the router's
+	dir            string // for configuration files, logs, certificates and persisted state
+	program        string // the routers' executable
 	log            *invariant.Log
 	store          *fakeserver.Store
 	controlPlane   *fakeserver.ControlPlane // nil: the endpoint list is a file
@@ -34,17 +34,17 @@
 	logStart       int64 // time of the log at startedAt
 
 	mu                sync.Mutex // guards what is below
-	states            []string   // of servers, as the endpoint list is to have them
-	published         []string   // of servers, as the endpoint list has them
-	publishHolds      int        // faults that keep the endpoint list from being published
+	states            []string   // of servers, as they are to be published
+	published         []string   // of servers, as last published in the endpoint list
+	publishPauses     int        // number of faults at present that keep the endpoint list from being published
 	outcomes          []outcome
-	restarts          []restart
+	restarts          []restartEvent
 	restartRetries    RestartRetries
-	brokenConnections int   // client connections that ended without an answer, timeouts aside
-	err               error // the first
+	brokenConnections int   // client connections that ended without an answer, except by a timeout
+	err               error // the first one recorded; the run is invalid
 }
 
-// recordError keeps the first error that made the run worthless.
+// recordError records an error that makes the run invalid. The first one is kept.
 func (h *harness) recordError(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// countBrokenConnection counts a client connection that ended without an answer, unless the client's time was up.
+// countBrokenConnection counts a client connection that ended without an answer, unless the request timed out.
 func (h *harness) countBrokenConnection(err error) {
 	if errors.Is(err, rest.ErrTimeout) {
 		return
@@ -86,7 +86,7 @@
 }
 
 func (h *harness) startServer(config fakeserver.Config) error {
-	config.Handshake = h.certificates.serverSecurity(workerName(config.Number))
+	config.Handshake = h.certificates.serverHandshake(workerName(config.Number))
 	server := fakeserver.New(config, h.store, h.log)
 	if err := server.Start(false); err != nil {
 		return err
@@ -101,19 +101,19 @@
 	if err != nil {
 		return err
 	}
-	secure := h.certificates.clientSecurity(clientOwner)
-	r := &routerProcess{number: i, address: address, secure: secure, configFile: filepath.Join(h.dir, fmt.Sprintf("router-%d.ini", i)),
+	handshake := h.certificates.clientHandshake(clientOwner)
+	r := &routerProcess{number: i, address: address, handshake: handshake, configFile: filepath.Join(h.dir, fmt.Sprintf("router-%d.ini", i)),
 		logName: filepath.Join(h.dir, fmt.Sprintf("router-%d.log", i))}
 	h.routers = append(h.routers, r)
 	h.addresses = append(h.addresses, address)
-	h.pools = append(h.pools, &clientPool{address: address, secure: secure})
+	h.pools = append(h.pools, &clientPool{address: address, handshake: handshake})
 	if err := os.WriteFile(r.configFile, h.routerConfig(i), 0o600); err != nil {
 		return err
 	}
 	return r.start(h.program)
 }
 
-// stopAll ends whatever startAll has started.
+// stopAll stops the routers, the control plane and the servers that were started.
 func (h *harness) stopAll() {
 	for _, r := range h.routers {
 		r.stop(syscall.SIGKILL)
@@ -126,7 +126,7 @@
 	}
 }
 
-// drive makes the calls and injects the faults of the scenario, and returns when all of them are over.
+// drive makes the calls and injects the faults of the scenario, and returns when all of them have finished.
 func (h *harness) drive(ctx context.Context) {
 	h.startedAt, h.logStart = time.Now(), h.log.Now()
 	var wg sync.WaitGroup
@@ -152,7 +152,7 @@
 	}
 }
 
-// waitUntil waits for a time since the start of the run.
+// waitUntil waits until a time, given since the start of the run.
 func (h *harness) waitUntil(ctx context.Context, at time.Duration) error {
 	return sleep(ctx, at-time.Since(h.startedAt))
 }
--- a/internal/chaostest/helpers_test.go
+++ b/internal/chaostest/helpers_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// buildProgram builds one of the commands. Logs that a run keeps go with the test.
+// buildProgram builds one of the commands and returns the executable. It also sets TMPDIR, so that logs that a run keeps are
+// removed with the test.
 func buildProgram(t *testing.T, command string, flags ...string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/chaostest/idle.go
+++ b/internal/chaostest/idle.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// openIdleConnections opens connections without requests. With an error it returns those that are open.
+// openIdleConnections opens n connections that carry no requests. On an error it returns those that it has opened.
 func openIdleConnections(address string, n int) ([]net.Conn, error) {
 	idle := make([]net.Conn, 0, n)
 	for range n {
--- a/internal/chaostest/inject.go
+++ b/internal/chaostest/inject.go
@@ -23,7 +23,7 @@
 		sleep(ctx, f.Duration)
 		h.store.Degrade(1, false)
 	case FaultStaleEndpoints:
-		h.holdPublishing(func() { sleep(ctx, f.Duration) })
+		h.withPublishingPaused(func() { sleep(ctx, f.Duration) })
 	case FaultControlPlaneEmptyList, FaultControlPlaneHalfList, FaultControlPlaneStreamDrops, FaultControlPlaneStall:
 		h.injectControlPlaneFault(ctx, f)
 	case FaultCrash, FaultHangThenCrash, FaultDeploy:
@@ -34,29 +34,29 @@
 			wg.Go(func() { h.injectRouterFault(ctx, f, router) })
 		}
 		wg.Wait()
-	case FaultDemandSurge: // is in the schedule alone
+	case FaultDemandSurge: // only the schedule of calls changes
 	default:
 		h.injectServerFault(ctx, f)
 	}
 }
 
-// setServerFaults sets how some servers misbehave.
+// setServerFaults sets the faults of some servers.
 func (h *harness) setServerFaults(servers []int, faults fakeserver.Faults) {
 	for _, i := range servers {
 		h.servers[i].SetFaults(faults)
 	}
 }
 
-// Steps of the faults in which servers are slow.
+// Settings of the faults that make servers slow.
 const (
 	pauseSlowdown = 10
 	pauseLength   = 200 * time.Millisecond
 	pauseInterval = 600 * time.Millisecond // from the end of a pause to the next
-	ageingSteps   = 5
+	slowdownSteps = 5
 )
 
-// injectServerFault has servers misbehave for a time. Faults that are in the schedule have the targets behave well afterwards
-// and do nothing else.
+// injectServerFault sets faults of running servers for a time. For kinds that only change the schedule of calls it does nothing
+// but clear the faults of the targets at the end.
 func (h *harness) injectServerFault(ctx context.Context, f Fault) {
 	servers := f.targets(len(h.servers))
 	switch f.Kind {
@@ -69,9 +69,9 @@
 		}
 		return
 	case FaultProgressiveSlowdown:
-		for step := range ageingSteps {
-			h.setServerFaults(servers, fakeserver.Faults{Slowdown: 1 + (f.Factor-1)*float64(step+1)/ageingSteps})
-			sleep(ctx, f.Duration/ageingSteps)
+		for step := range slowdownSteps {
+			h.setServerFaults(servers, fakeserver.Faults{Slowdown: 1 + (f.Factor-1)*float64(step+1)/slowdownSteps})
+			sleep(ctx, f.Duration/slowdownSteps)
 		}
 		h.setServerFaults(servers, fakeserver.Faults{})
 		return
@@ -90,7 +90,7 @@
 	h.setServerFaults(servers, fakeserver.Faults{})
 }
 
-// injectServerRestart stops servers in one way or another and restarts them.
+// injectServerRestart stops servers in the way that the kind of fault says, and restarts them.
 func (h *harness) injectServerRestart(ctx context.Context, f Fault) {
 	servers := f.targets(len(h.servers))
 	switch f.Kind {
@@ -120,11 +120,11 @@
 	}
 }
 
-// restartServers starts stopped servers, in slow start and without loaded functions, and publishes them afterwards.
+// restartServers restarts stopped servers, in slow start and without loaded functions, and then publishes them as ready.
 func (h *harness) restartServers(servers []int) {
 	for _, i := range servers {
 		if err := h.servers[i].Start(true); err != nil {
-			h.recordError(fmt.Errorf("server %d could not start again: %w", i, err))
+			h.recordError(fmt.Errorf("restarting server %d: %w", i, err))
 		}
 	}
 	for _, i := range servers {
@@ -132,7 +132,7 @@
 	}
 }
 
-// injectRouterFault stalls a router, or restarts it.
+// injectRouterFault suspends a router for a time, or restarts it.
 func (h *harness) injectRouterFault(ctx context.Context, f Fault, router int) {
 	r := h.routers[router]
 	h.log.Add(invariant.Record{Kind: invariant.RouterDown, Router: router})
@@ -144,7 +144,7 @@
 	case FaultRouterRestart, FaultRouterKill:
 		if f.Kind == FaultRouterRestart {
 			if err := r.stop(syscall.SIGTERM); err != nil {
-				h.recordError(fmt.Errorf("router %d did not end well when told to: %w", router, err))
+				h.recordError(fmt.Errorf("router %d did not shut down cleanly: %w", router, err))
 			}
 		}
 		r.stop(syscall.SIGKILL)
@@ -157,12 +157,12 @@
 	h.log.Add(invariant.Record{Kind: invariant.RouterUp, Router: router})
 }
 
-// restartRouter starts a stopped router with the persisted state that the scenario wants, and waits until it is ready.
+// restartRouter starts a stopped router with the persisted state that the scenario specifies, and waits until it is ready.
 func (h *harness) restartRouter(ctx context.Context, router int) error {
 	record := invariant.Record{Kind: invariant.RouterRestarted, Router: router}
-	if h.scenario.keepsRouterState() {
+	if h.scenario.persistsRouterState() {
 		record.Detail = invariant.StateRestored
-		if err := h.alterState(router); err != nil {
+		if err := h.prepareState(router); err != nil {
 			return err
 		}
 	}
@@ -173,6 +173,6 @@
 	h.routers[router].awaitReady(ctx)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.restarts = append(h.restarts, restart{router, h.log.Now(), time.Since(h.startedAt)})
+	h.restarts = append(h.restarts, restartEvent{router, h.log.Now(), time.Since(h.startedAt)})
 	return nil
 }
--- a/internal/chaostest/library.go
+++ b/internal/chaostest/library.go
@@ -11,14 +11,14 @@
 	"hollymast/internal/invariant"
 )
 
-// Connections of library clients to each router: what a router accepts in all, beside those of other clients, shared out; and
-// how many a single client may have.
+// Limits on the connections of library clients to each router. The total is divided among the clients, and leaves room for other
+// clients within what a router accepts.
 const (
-	libraryConnections    = 6400
-	maxLibraryConnections = 64
+	libraryConnections    = 6400 // of all clients
+	maxLibraryConnections = 64   // of one client
 )
 
-// openLibraryClients opens the clients of the client library, where the scenario has them.
+// openLibraryClients creates the clients of the client library, if the scenario has any.
 func (h *harness) openLibraryClients() error {
 	if !h.scenario.usesLibrary() {
 		return nil
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// libraryCall is a call by the client library. It logs each request as it crosses the socket.
+// libraryCall is a call by the client library. It logs each request when it is sent and when it has ended.
 type libraryCall struct {
 	h    *harness
 	call call
@@ -45,24 +45,24 @@
 	pending sync.WaitGroup           // requests that were sent and have not ended
 }
 
-// libraryEffects translates the effects of workloads.
+// libraryEffects maps the effects of workloads to those of the client library.
 var libraryEffects = map[string]client.Effect{effectIdempotent: client.Restartable, effectIdempotentByKey: client.Fingerprinted, effectNonIdempotent: client.RunOnce}
 
-// performWithLibrary makes a call by the client library, and returns when all its requests have ended.
+// performWithLibrary makes a call with the client library, and returns when all its requests have ended.
 func (h *harness) performWithLibrary(ctx context.Context, c call) (inTime bool) {
 	startedAt := time.Now()
 	l := &libraryCall{h: h, call: c, records: map[int]invariant.Record{}}
 	w := client.Workload{Effect: libraryEffects[c.workload.effect], Narrow: c.workload.scope != "" && c.workload.scope != scopeFleet, Window: c.workload.window}
 	library := h.libraryClients[c.number%len(h.libraryClients)]
 	_, err := library.Infer(ctx, client.Call{Model: c.function, Mark: c.workload.keyPrefix() + strconv.Itoa(c.number), Tenant: c.tenant(), Workload: w,
-		Patience: c.timeout, BodyOf: l.sent, Tried: l.ended})
+		Patience: c.timeout, BodyOf: l.recordSent, Tried: l.recordEnded})
 	inTime = err == nil && time.Since(startedAt) <= c.workload.latencyObjective
 	l.pending.Wait()
 	return inTime
 }
 
-// sent logs a request that is about to be sent, and gives its body.
-func (l *libraryCall) sent(t client.Try) []byte {
+// recordSent logs a request that is about to be sent, and returns its body.
+func (l *libraryCall) recordSent(t client.Try) []byte {
 	record := l.h.requestRecord(l.call, slices.Index(l.h.addresses, t.Router), t.Number)
 	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+t.Left.Microseconds()
 	l.mu.Lock()
@@ -73,8 +73,8 @@
 	return requestBody(record, max(time.Microsecond, t.Left))
 }
 
-// ended logs how a request ended.
-func (l *libraryCall) ended(t client.Try, ending string) {
+// recordEnded logs how a request ended; the ending is one of those of the client library.
+func (l *libraryCall) recordEnded(t client.Try, ending string) {
 	l.mu.Lock()
 	record, sent := l.records[t.Number]
 	l.mu.Unlock()
--- a/internal/chaostest/loadpersistence.go
+++ b/internal/chaostest/loadpersistence.go
@@ -6,11 +6,11 @@
 	"path/filepath"
 )
 
-// measurePersistence measures pairs, one of each through a further router that persists its state. That one runs until the test
-// ends, as idle as the other is meanwhile.
+// measurePersistence measures pairs of streams, one through a router that persists its state and one through the plain router.
+// Both routers run until the test ends, and each is idle while the other is measured.
 func (run *loadRun) measurePersistence(ctx context.Context) error {
 	config := loadRouterConfig{name: "remembering", number: 1, endpoints: run.endpointsFile(),
-		extra: fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(run.dir, "memory"))}
+		extraSections: fmt.Sprintf("[memory]\nfolder = %s\nevery = 1s\n", filepath.Join(run.dir, "memory"))}
 	router, err := run.startRouter(ctx, config)
 	if err != nil {
 		return err
--- a/internal/chaostest/loadrecording.go
+++ b/internal/chaostest/loadrecording.go
@@ -11,16 +11,16 @@
 	"hollymast/internal/replay"
 )
 
-// recordingCost sums up what recordings took.
+// recordingCost is the total cost of the recordings.
 type recordingCost struct {
 	requests   int64
 	bytes      int64
-	recorded   float64 // seconds
+	recorded   float64 // seconds of recorded time
 	replayTime time.Duration
 	lostSteps  uint64
 }
 
-// measureRecording measures pairs, one of each while the router records, and replays what it has recorded.
+// measureRecording measures pairs of streams, one of each while the router records, and replays the recordings.
 func (run *loadRun) measureRecording(ctx context.Context) error {
 	var cost recordingCost
 	ratios, err := measurePairs(run.RecordingPairs, func(pair int) (LoadResult, error) {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// replay replays the recording in a directory.
+// replay replays the recording in a directory and adds its cost.
 func (c *recordingCost) replay(dir string) error {
 	files, err := record.ListSegments(dir)
 	if err != nil {
--- a/internal/chaostest/loadrouter.go
+++ b/internal/chaostest/loadrouter.go
@@ -12,14 +12,14 @@
 	"hollymast/internal/rest"
 )
 
-// loadRouterConfig is what differs between the routers of a load test.
+// loadRouterConfig holds the settings that differ between the routers of a load test.
 type loadRouterConfig struct {
-	name      string // of its files
-	number    int    // in messages
-	endpoints string // file
-	admin     string // address; empty: none
-	extra     string // further sections
-	secure    rest.Handshake
+	name          string // base name of its files
+	number        int    // in error messages
+	endpoints     string // file of the endpoint list
+	admin         string // address of the admin interface; empty: none
+	extraSections string // sections to append to the configuration
+	handshake     rest.Handshake
 }
 
 // startRouter starts a router and waits until it is ready.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &routerProcess{number: config.number, address: address, secure: config.secure, configFile: filepath.Join(run.dir, config.name+".ini"),
+	r := &routerProcess{number: config.number, address: address, handshake: config.handshake, configFile: filepath.Join(run.dir, config.name+".ini"),
 		logName: filepath.Join(run.dir, config.name+".log")}
 	if err := os.WriteFile(r.configFile, config.file(address), 0o600); err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return r, r.awaitReady(ctx)
 }
 
-// file gives the router's configuration file. Its bounds are beyond what the streams need.
+// file returns the content of the router's configuration file. Its limits are higher than the streams need.
 func (config loadRouterConfig) file(address string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[router]\nlisten = %s\n", address)
@@ -60,13 +60,13 @@
 workload = any
 lanes = 1024
 `, config.endpoints)
-	b.WriteString(config.extra)
+	b.WriteString(config.extraSections)
 	return b.Bytes()
 }
 
 const adminTimeout = 10 * time.Second
 
-// callAdmin makes a request to a router's admin interface.
+// callAdmin sends a POST request to a router's admin interface.
 func callAdmin(ctx context.Context, admin, target string) error {
 	c, err := rest.Dial(ctx, admin, &rest.DefaultLimits)
 	if err != nil {
@@ -75,7 +75,7 @@
 	defer c.Close()
 	res, _, err := c.Do(&rest.Request{Method: http.MethodPost, Target: target, Header: rest.Header{"Host": {admin}}}, time.Now().Add(adminTimeout))
 	if err == nil && res.Status != http.StatusOK {
-		err = fmt.Errorf("the router answers %d: %s", res.Status, res.Body)
+		err = fmt.Errorf("admin request failed with status %d: %s", res.Status, res.Body)
 	}
 	return err
 }
--- a/internal/chaostest/loadtest.go
+++ b/internal/chaostest/loadtest.go
@@ -13,7 +13,8 @@
 	"hollymast/internal/rest"
 )
 
-// LoadTest is a steady stream of requests that take servers no time, through one router and straight to the same servers.
+// LoadTest describes a steady stream of requests that servers answer immediately. It is sent through one router, and directly to
+// the same servers.
 type LoadTest struct {
 	Rate             int // requests per second
 	Length           time.Duration
@@ -22,51 +23,51 @@
 	Functions        int
 	IdleConnections  int // further client connections, without requests
 	TensorBytes      int // per request
-	RecordingPairs   int // pairs of streams, one of each while the router records
-	PersistencePairs int // pairs of streams, one of each through a router that persists its state
-	TLSTriples       int // triples of streams: without TLS, with TLS, and with TLS while certificates are rotated
-	UnknownFunctions int // distinct functions that no server has, requested before the stream is measured once more
+	RecordingPairs   int // pairs of streams to measure, one of each while the router records
+	PersistencePairs int // pairs of streams to measure, one of each through a router that persists its state
+	TLSTriples       int // triples of streams to measure: without TLS, with TLS, and with TLS while certificates are rotated
+	UnknownFunctions int // distinct functions that no server has, which are requested before the stream is measured again
 
 	functionPrefix string         // of the functions' names
-	secure         rest.Handshake // nil: no TLS
+	handshake      rest.Handshake // nil: no TLS
 }
 
-// LoadResult is what one stream showed. Latencies are microseconds from the time when a request was due if its connection was
-// still busy then, so that a stall counts for all requests that it delayed; from its sending otherwise.
+// LoadResult is the result of one stream. Latencies are in microseconds. They start when a request was due if its connection was
+// still busy then, so that a stall counts for all requests that it delayed, and otherwise when the request was sent.
 type LoadResult struct {
 	Path             string
 	Requests, Failed int64
 	P50, P99, P999   int64
 	CPUPerRequest    float64 // microseconds of the router's processor time
-	MemoryKB         int64   // resident in the router at the end
-	Throughput       float64 // requests per second that were achieved
+	MemoryKB         int64   // the router's resident memory at the end
+	Throughput       float64 // achieved requests per second
 	RecordedBytes    float64 // per request
-	LostSteps        uint64  // event-loop steps that the recording lost
-	ReplaySpeed      float64 // in multiples of the speed at which it was recorded
-	Ratios           []Ratio // with something switched on, over without it
+	LostSteps        uint64  // steps of the event loop that the recordings lost
+	ReplaySpeed      float64 // recorded time per time that the replay took
+	Ratios           []Ratio // of streams with a feature enabled to those without it
 	Note             string
 }
 
-// A stream of this length and, at most, this rate comes before the measured ones.
+// Length and maximum rate of the stream that warms up a router before it is measured.
 const (
 	warmUpTime = time.Second
 	warmUpRate = 1000 // requests per second
 )
 
-// loadRun is a load test under way.
+// loadRun is a load test in progress.
 type loadRun struct {
 	LoadTest
 	dir     string
 	program string
 	admin   string           // address of the plain router's admin interface
-	plain   *routerProcess   // the router that most streams go through
-	routers []*routerProcess // all that were started
+	plain   *routerProcess   // the router without TLS and persisted state
+	routers []*routerProcess // all routers that were started
 	echo    echoServers
 	results []LoadResult
 }
 
-// RunLoadTest measures the streams of a load test, with routers of the named program. Everything that it starts has ended when
-// it returns.
+// RunLoadTest measures the streams of a load test with routers started from the given executable. Everything that it starts has
+// ended when it returns.
 func RunLoadTest(ctx context.Context, test LoadTest, program string) ([]LoadResult, error) {
 	dir, err := os.MkdirTemp("", "hmchaos-load-")
 	if err != nil {
@@ -102,17 +103,17 @@
 	return run.results, run.plain.stop(syscall.SIGTERM)
 }
 
-// measureAll measures the stream straight and through the router, and then whatever else the test asks for.
+// measureAll measures the stream directly and through the router, and then the other streams that the test asks for.
 func (run *loadRun) measureAll(ctx context.Context, servers []string) error {
 	if err := run.warmUp(ctx, run.plain); err != nil {
 		return err
 	}
-	straight, err := runStream(ctx, run.LoadTest, servers)
+	direct, err := runStream(ctx, run.LoadTest, servers)
 	if err != nil {
 		return err
 	}
-	straight.Path = "straight"
-	run.results = append(run.results, straight)
+	direct.Path = "straight"
+	run.results = append(run.results, direct)
 	if _, err := run.measure(ctx, "through the router", run.LoadTest, run.plain); err != nil {
 		return err
 	}
@@ -135,11 +136,11 @@
 	return nil
 }
 
-// measure measures one stream through a router, with what it costs the router's process.
+// measure measures one stream through a router, and the CPU time and memory of the router's process.
 func (run *loadRun) measure(ctx context.Context, path string, test LoadTest, router *routerProcess) (LoadResult, error) {
 	pid := router.pid()
 	before := cpuTime(pid)
-	test.secure = router.secure
+	test.handshake = router.handshake
 	result, err := runStream(ctx, test, []string{router.address})
 	result.Path, result.MemoryKB = path, residentKB(pid)
 	result.CPUPerRequest = float64((cpuTime(pid) - before).Microseconds()) / float64(max(1, result.Requests))
@@ -147,18 +148,18 @@
 	return result, err
 }
 
-// warmUp sends a short stream through a router, which isn't measured.
+// warmUp sends a short stream through a router without measuring it.
 func (run *loadRun) warmUp(ctx context.Context, router *routerProcess) error {
 	test := run.LoadTest
-	test.Length, test.Rate, test.secure = warmUpTime, min(run.Rate, warmUpRate), router.secure
+	test.Length, test.Rate, test.handshake = warmUpTime, min(run.Rate, warmUpRate), router.handshake
 	_, err := runStream(ctx, test, []string{router.address})
 	return err
 }
 
-// lastResult is the stream that was measured last.
+// lastResult returns the result of the stream that was measured last.
 func (run *loadRun) lastResult() *LoadResult { return &run.results[len(run.results)-1] }
 
-// measureUnknownFunctions has functions requested that no server has, and measures the stream again.
+// measureUnknownFunctions requests functions that no server has, and then measures the stream again.
 func (run *loadRun) measureUnknownFunctions(ctx context.Context) error {
 	unknown := run.LoadTest
 	unknown.functionPrefix, unknown.Functions = unknownPrefix, run.UnknownFunctions
@@ -170,14 +171,14 @@
 	return err
 }
 
-// endpointsFile has the endpoint list of all routers that reach servers without TLS.
+// endpointsFile returns the name of the endpoint list file of all routers that connect to servers without TLS.
 func (run *loadRun) endpointsFile() string { return filepath.Join(run.dir, "workers.ini") }
 
 // startServers starts echo servers and writes their endpoint list.
-func (run *loadRun) startServers(ctx context.Context, file string, secure func(net.Conn) (net.Conn, error)) (addresses []string, err error) {
+func (run *loadRun) startServers(ctx context.Context, file string, handshake func(net.Conn) (net.Conn, error)) (addresses []string, err error) {
 	var list bytes.Buffer
 	for i := range run.Servers {
-		address, err := run.echo.start(ctx, secure)
+		address, err := run.echo.start(ctx, handshake)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -12,12 +12,12 @@
 	"hollymast/internal/rest"
 )
 
-// rotationInterval is between two renewals of all certificates in the third stream of each triple: far more often than anybody
-// renews them.
+// rotationInterval is the time between two renewals of all certificates in the third stream of each triple, far shorter than in
+// any deployment.
 const rotationInterval = 500 * time.Millisecond
 
-// measureTLS measures triples of streams: through the plain router, through another one with TLS on both its sides, and the same
-// while certificates are rotated. It also measures what opening a connection costs.
+// measureTLS measures triples of streams: through the plain router, through a router with TLS to clients and servers, and through
+// the latter while certificates are rotated. It also measures the cost of opening a connection.
 func (run *loadRun) measureTLS(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -49,18 +49,18 @@
 		return err
 	}
 	run.lastResult().Ratios = ratios
-	run.lastResult().Note, err = measureConnecting(ctx, run.plain, router)
+	run.lastResult().Note, err = measureConnectionCost(ctx, run.plain, router)
 	return err
 }
 
-// startTLS starts a router and echo servers with TLS between all of them.
+// startTLS starts a router and echo servers that use TLS on all connections.
 func (run *loadRun) startTLS(ctx context.Context, certificates *certificates) (*routerProcess, error) {
 	endpoints := filepath.Join(run.dir, "secret-workers.ini")
-	if _, err := run.startServers(ctx, endpoints, certificates.serverSecurity(workerName(0))); err != nil {
+	if _, err := run.startServers(ctx, endpoints, certificates.serverHandshake(workerName(0))); err != nil {
 		return nil, err
 	}
-	return run.startRouter(ctx, loadRouterConfig{name: "secret", endpoints: endpoints, extra: certificates.routerConfig(),
-		secure: certificates.clientSecurity(clientOwner)})
+	return run.startRouter(ctx, loadRouterConfig{name: "secret", endpoints: endpoints, extraSections: certificates.routerConfig(),
+		handshake: certificates.clientHandshake(clientOwner)})
 }
 
 // measureRotating measures a stream while certificates are rotated.
@@ -76,7 +76,7 @@
 	return result, err
 }
 
-// renewAll renews the certificates of all connections of a load test again and again until the context ends.
+// renewAll repeatedly renews the certificates of all connections of a load test until ctx is done.
 func renewAll(ctx context.Context, certificates *certificates) error {
 	for sleep(ctx, rotationInterval) == nil {
 		for _, owner := range []string{routerToWorkers, routerToClients, workerName(0), clientOwner} {
@@ -93,15 +93,16 @@
 	connectTimeout = time.Second
 )
 
-// connectCost is what connections to a router cost.
+// connectCost is the cost of opening connections to a router.
 type connectCost struct {
 	router *routerProcess
-	times  []time.Duration // one for each connection with its request
-	cpu    time.Duration   // of the router, for each connection
+	times  []time.Duration // from dialing to the response, one for each connection
+	cpu    time.Duration   // CPU time of the router per connection
 }
 
-// measureConnecting measures new connections, each with one request that the router answers itself, alternately without and with TLS.
-func measureConnecting(ctx context.Context, plain, withTLS *routerProcess) (note string, err error) {
+// measureConnectionCost measures new connections, alternately without and with TLS. Each carries one request, which the router
+// answers itself.
+func measureConnectionCost(ctx context.Context, plain, withTLS *routerProcess) (note string, err error) {
 	costs := []*connectCost{{router: plain}, {router: withTLS}}
 	before := []time.Duration{cpuTime(plain.pid()), cpuTime(withTLS.pid())}
 	for range connectRounds {
@@ -120,7 +121,7 @@
 
 func (c *connectCost) connect(ctx context.Context) error {
 	startedAt := time.Now()
-	conn, err := rest.DialWith(ctx, c.router.address, &rest.DefaultLimits, c.router.secure)
+	conn, err := rest.DialWith(ctx, c.router.address, &rest.DefaultLimits, c.router.handshake)
 	if err != nil {
 		return err
 	}
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// String gives the cost once all times are there and sorted.
+// String formats the cost. The times must be complete and sorted.
 func (c *connectCost) String() string {
 	return fmt.Sprintf("median %s p99 %s, router's CPU %s", c.times[connectRounds/2], c.times[connectRounds*99/100], c.cpu)
 }
--- a/internal/chaostest/logs_test.go
+++ b/internal/chaostest/logs_test.go
@@ -10,7 +10,8 @@
 	"hollymast/internal/invariant"
 )
 
-// The logs of a run that failed or broke an invariant are kept and named; those of other runs are removed.
+// The logs of a run that failed or violated an invariant are kept, and the error or the result names their folder. The logs of
+// other runs are removed.
 func TestLogsAreKeptAndNamed(t *testing.T) {
 	passed := &invariant.Report{Rules: []*invariant.Rule{{}}}
 	violated := &invariant.Report{Rules: []*invariant.Rule{{ViolationCount: 1}}}
@@ -38,11 +39,11 @@
 			t.Errorf("%s: got %v", name, err)
 		}
 		if _, statErr := os.Stat(dir); (statErr == nil) != c.kept {
-			t.Errorf("%s: the folder: %v", name, statErr)
+			t.Errorf("%s: state of the folder: %v", name, statErr)
 		}
 		named := err != nil && strings.Contains(err.Error(), dir) || result != nil && result.LogDir() == dir
 		if named != c.kept {
-			t.Errorf("%s: named %t", name, named)
+			t.Errorf("%s: folder named: %t", name, named)
 		}
 	}
 }
--- a/internal/chaostest/output_test.go
+++ b/internal/chaostest/output_test.go
@@ -8,13 +8,13 @@
 	"hollymast/internal/golden"
 )
 
-// Scripts read this JSON: its names stay.
+// Scripts read this JSON, so its names must not change.
 func TestJSONForm(t *testing.T) {
 	for name, value := range map[string]any{"output-1.json": &SimulationResult{}, "day-1.json": &Result{}} {
 		golden.Fill(value)
 		golden.Check(t, name, value, json.Marshal, json.Unmarshal)
 		if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
-			t.Errorf("encoded under the name of a field: %q", missing)
+			t.Errorf("fields without a JSON tag: %q", missing)
 		}
 	}
 }
--- a/internal/chaostest/pairs.go
+++ b/internal/chaostest/pairs.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Ratio gives the quartiles of a quantity's ratio over pairs of streams.
+// Ratio holds the quartiles of the ratio of a quantity, over pairs of streams.
 type Ratio struct {
 	Quantity             string
 	Lower, Median, Upper float64
 }
 
-// measurePairs measures streams in pairs, one with something switched on and one without it, so that whatever else changes on
-// the machine meets both alike. Which of the two comes first alternates. The functions get the number of the pair.
+// measurePairs measures streams in pairs, one with a feature enabled and one without it, so that other changes on the machine
+// affect both alike. Which of the two comes first alternates. The functions are passed the index of the pair.
 func measurePairs(n int, with, without func(pair int) (LoadResult, error)) ([]Ratio, error) {
 	var cpu, p50, p99 []float64
 	for pair := range n {
@@ -38,7 +38,7 @@
 	return a, b, err
 }
 
-// quartiles sorts the values.
+// quartiles returns the quartiles of the values, which it sorts in place.
 func quartiles(quantity string, values []float64) Ratio {
 	slices.Sort(values)
 	at := func(q float64) float64 { return values[int(q*float64(len(values)-1)+0.5)] }
--- a/internal/chaostest/perform.go
+++ b/internal/chaostest/perform.go
@@ -7,51 +7,52 @@
 	"hollymast/internal/invariant"
 )
 
-// perform has one client make a call, as its behavior is. It reports whether the call succeeded within its latency objective.
+// perform makes a call as the client behavior of the scenario says. It reports whether the call succeeded within its latency
+// objective.
 func (h *harness) perform(ctx context.Context, c call) (inTime bool) {
 	switch behavior := h.scenario.ClientBehavior; {
 	case c.noisyTenant:
-		return h.performBlindly(ctx, c)
+		return h.performBlind(ctx, c)
 	case behavior == ClientsWithLibrary || behavior == ClientsMixed && c.number%2 == 0:
 		return h.performWithLibrary(ctx, c)
 	case behavior == ClientsBlind || behavior == ClientsMixed:
-		return h.performBlindly(ctx, c)
+		return h.performBlind(ctx, c)
 	}
-	return h.performUsually(ctx, c)
+	return h.performBasic(ctx, c)
 }
 
-// Bounds of retries.
+// Limits of retries.
 const (
-	maxUsualRequests    = 3
-	minUsualTimeout     = 20 * time.Millisecond // no request is made with less time left
+	maxBasicRequests    = 3
+	minBasicTimeout     = 20 * time.Millisecond // no request is made with less time left
 	maxBlindRequests    = 200                   // more than a deadline allows
-	minBlindTimeout     = 50 * time.Millisecond // with six thousand requests per second, a full machine delays an immediate answer by up to 25 ms
-	blindRetryInterval  = 50 * time.Millisecond // a program's own loop, and what one machine bears
-	stickyRetryInterval = 50 * time.Millisecond // to a router that restarts
+	minBlindTimeout     = 50 * time.Millisecond // at 6000 requests per second, a fully loaded machine delays an immediate answer by up to 25 ms
+	blindRetryInterval  = 50 * time.Millisecond // as in an application's own retry loop, and no shorter than one machine can handle
+	stickyRetryInterval = 50 * time.Millisecond // while the router restarts
 )
 
-// usualClient is a client that retries as the class of its call and the responses allow.
-type usualClient struct {
+// basicClient makes one call, with retries as the call's workload and the responses allow.
+type basicClient struct {
 	h            *harness
 	call         call
 	startedAt    time.Time
-	router       int       // that is asked next
-	mayHaveRunAt time.Time // when the first request began that may have run; zero: none
-	sticky       bool      // only the router that was asked knows whether the request may run again
+	router       int       // that the next request goes to
+	mayHaveRunAt time.Time // when the first request that may have run was sent; zero: none
+	sticky       bool      // retries go to the same router, which alone knows whether the request may run again
 }
 
-// retry says whether there is another request, and how long to wait before it.
-type retry struct {
+// retryDecision says whether to send another request, and how long to wait before that.
+type retryDecision struct {
 	allowed bool
 	after   time.Duration
 }
 
-// performUsually makes a call with a few requests at most, but as many as it takes for a router that restarts.
-func (h *harness) performUsually(ctx context.Context, c call) (inTime bool) {
-	client := &usualClient{h: h, call: c, startedAt: time.Now(), router: c.router}
-	for n := 1; n <= maxUsualRequests || client.sticky; n++ {
+// performBasic makes a call with at most maxBasicRequests requests, or with as many as it takes until a restarting router answers.
+func (h *harness) performBasic(ctx context.Context, c call) (inTime bool) {
+	client := &basicClient{h: h, call: c, startedAt: time.Now(), router: c.router}
+	for n := 1; n <= maxBasicRequests || client.sticky; n++ {
 		timeout := c.timeout - time.Since(client.startedAt)
-		if timeout < minUsualTimeout || ctx.Err() != nil {
+		if timeout < minBasicTimeout || ctx.Err() != nil {
 			return false
 		}
 		sentAt := time.Now()
@@ -66,7 +67,7 @@
 		if r.mayHaveRun && client.mayHaveRunAt.IsZero() {
 			client.mayHaveRunAt = sentAt
 		}
-		next := client.retry(r, timeout)
+		next := client.decideRetry(r, timeout)
 		if !next.allowed || sleep(ctx, next.after) != nil {
 			return false
 		}
@@ -74,31 +75,31 @@
 	return false
 }
 
-func (u *usualClient) isInTime() bool {
+func (u *basicClient) isInTime() bool {
 	return time.Since(u.startedAt) <= u.call.workload.latencyObjective
 }
 
-// retry decides about another request after a response that wasn't a success; timeout was that of the request.
-func (u *usualClient) retry(r response, timeout time.Duration) retry {
+// decideRetry decides whether to send another request after a response other than a success to a request with this timeout.
+func (u *basicClient) decideRetry(r response, timeout time.Duration) retryDecision {
 	w := u.call.workload
-	next := retry{allowed: true}
+	next := retryDecision{allowed: true}
 	switch {
 	case u.call.abandonAfter > 0:
-		return retry{}
+		return retryDecision{}
 	case r.notSent && u.sticky: // the router isn't back yet
 	case r.notSent:
 		u.nextRouter()
-	case r.connectionBroken && w.effect == effectNonIdempotent && u.h.scenario.keepsRouterState():
+	case r.connectionBroken && w.effect == effectNonIdempotent && u.h.scenario.persistsRouterState():
 		u.sticky, next.after = true, stickyRetryInterval
 	case r.answer == invariant.Rejected:
 		next.after = r.retryAfter
 	case r.mayHaveRun:
 		if !u.mayRunTwice(timeout) {
-			return retry{}
+			return retryDecision{}
 		}
 		u.nextRouter()
 	default:
-		return retry{}
+		return retryDecision{}
 	}
 	if u.call.impatient {
 		next.after = 0
@@ -106,8 +107,8 @@
 	return next
 }
 
-// mayRunTwice reports whether a request may be made again at any router though it may have run.
-func (u *usualClient) mayRunTwice(timeout time.Duration) bool {
+// mayRunTwice reports whether a request that may have run may be sent again, to any router.
+func (u *basicClient) mayRunTwice(timeout time.Duration) bool {
 	w := u.call.workload
 	switch {
 	case w.effect == effectNonIdempotent || w.scope == scopeZone:
@@ -118,11 +119,11 @@
 	return true
 }
 
-func (u *usualClient) nextRouter() { u.router = (u.router + 1) % len(u.h.addresses) }
+func (u *basicClient) nextRouter() { u.router = (u.router + 1) % len(u.h.addresses) }
 
-// performBlindly makes a call with requests that all look like first ones, to any router and almost at once, until its deadline.
-// It doesn't repeat what may have run unless that is idempotent: the invariants would blame the routers for it.
-func (h *harness) performBlindly(ctx context.Context, c call) (inTime bool) {
+// performBlind makes a call and retries it until its deadline, almost immediately, at any router and without retry headers. It
+// repeats a request that may have run only if that is idempotent, because a second run would count as a violation by the routers.
+func (h *harness) performBlind(ctx context.Context, c call) (inTime bool) {
 	startedAt := time.Now()
 	c.omitRetryHeaders = true
 	for n := 1; n <= maxBlindRequests; n++ {
--- a/internal/chaostest/plot.go
+++ b/internal/chaostest/plot.go
@@ -19,7 +19,7 @@
 // Plot draws a run into a PNG file: counts per second, and shares scaled to the height of the plot.
 func Plot(seconds []SecondStats, title, file string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "a second"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "per second"
 	top := 0.0
 	for _, s := range seconds {
 		top = max(top, float64(s.Requests))
@@ -45,15 +45,15 @@
 	return p.Save(9*vg.Inch, 4.5*vg.Inch, file)
 }
 
-// curves gives the lines of a plot in which a share of 1 is drawn at top.
+// curves returns the lines of a plot in which a share of 1 is drawn at top.
 func curves(top float64) []curve {
 	return []curve{
-		{"tries", func(s SecondStats) float64 { return float64(s.Requests) }, color.RGBA{120, 120, 120, 255}},
-		{"effects wanted", func(s SecondStats) float64 { return float64(s.Calls) }, color.RGBA{0, 0, 0, 255}},
-		{"pushed back", func(s SecondStats) float64 { return float64(s.Rejected) }, color.RGBA{200, 60, 40, 255}},
+		{"requests", func(s SecondStats) float64 { return float64(s.Requests) }, color.RGBA{120, 120, 120, 255}},
+		{"calls", func(s SecondStats) float64 { return float64(s.Calls) }, color.RGBA{0, 0, 0, 255}},
+		{"rejected", func(s SecondStats) float64 { return float64(s.Rejected) }, color.RGBA{200, 60, 40, 255}},
 		{"loads", func(s SecondStats) float64 { return float64(s.Loads) }, color.RGBA{40, 120, 200, 255}},
-		{"without an answer yet", func(s SecondStats) float64 { return float64(s.Outstanding) }, color.RGBA{150, 80, 170, 255}},
-		{fmt.Sprintf("new hosts' worst window (budget = %.0f)", top), func(s SecondStats) float64 { return top * s.SlowStartBudgetUsed }, color.RGBA{230, 150, 30, 255}},
+		{"without a response", func(s SecondStats) float64 { return float64(s.Outstanding) }, color.RGBA{150, 80, 170, 255}},
+		{fmt.Sprintf("slow start: largest use of a budget (budget = %.0f)", top), func(s SecondStats) float64 { return top * s.SlowStartBudgetUsed }, color.RGBA{230, 150, 30, 255}},
 		{fmt.Sprintf("in time (1 = %.0f)", top), func(s SecondStats) float64 { return top * share(s.InTime, s.Calls) }, color.RGBA{30, 150, 60, 255}},
 	}
 }
--- a/internal/chaostest/pool.go
+++ b/internal/chaostest/pool.go
@@ -21,25 +21,25 @@
 
 // clientPool keeps idle client connections to one router.
 type clientPool struct {
-	address string
-	secure  rest.Handshake // nil: no TLS
-	mu      sync.Mutex
-	idle    []*rest.Client
+	address   string
+	handshake rest.Handshake // nil: no TLS
+	mu        sync.Mutex
+	idle      []*rest.Client
 }
 
 const dialTimeout = time.Second
 
-// get gives an idle connection, or dials.
+// get returns an idle connection, or dials a new one.
 func (p *clientPool) get(ctx context.Context) (*rest.Client, error) {
 	if c := p.takeIdle(); c != nil {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return rest.DialWith(ctx, p.address, &rest.DefaultLimits, p.secure)
+	return rest.DialWith(ctx, p.address, &rest.DefaultLimits, p.handshake)
 }
 
-// takeIdle gives the idle connection that was used last, or nil. It closes those that the router has closed.
+// takeIdle returns the idle connection that was used last, or nil. It closes those that the router has closed.
 func (p *clientPool) takeIdle() *rest.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/chaostest/procstat.go
+++ b/internal/chaostest/procstat.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// clockTick is the unit of times in /proc/PID/stat.
+// clockTick is the unit of CPU times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// cpuTime gives a process's time on processors: fields 14 and 15 of /proc/PID/stat, see proc(5). It is 0 if they can't be read.
+// cpuTime returns the CPU time of a process: fields 14 and 15 of /proc/PID/stat, see proc(5). It is 0 if they can't be read.
 func cpuTime(pid int) time.Duration {
 	const user, system = 14 - 3, 15 - 3 // counted from the first field after the name
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -31,7 +31,7 @@
 	return time.Duration(ticks) * clockTick
 }
 
-// residentKB gives a process's resident memory in kilobytes, 0 if it can't be read.
+// residentKB returns the resident memory of a process in kilobytes, or 0 if it can't be read.
 func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/chaostest/recording_test.go
+++ b/internal/chaostest/recording_test.go
@@ -17,7 +17,7 @@
 	"hollymast/internal/replay"
 )
 
-// What real routers decided under faults, replay and explanation decide too.
+// Replaying and explaining the recordings of real routers under faults must give the same decisions as the routers made.
 func TestRecordedRunIsReplayedAndExplained(t *testing.T) {
 	s := &Scenario{Seed: 3, Calls: 1200, Length: 4 * time.Second, Routers: 2, Workers: 6, Functions: 8, LimitLoadRate: true, RecordDir: t.TempDir(), RouterState: StateComplete,
 		Faults: []Fault{{Kind: FaultHang, At: 500 * time.Millisecond, Duration: time.Second, Target: 1},
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkAlteredBuildDiffers replays a recording with a build in which one constant of the balancer is another: hmreplay has to name
-// the first command that differs. That is the timer of the first maintenance.
+// checkAlteredBuildDiffers replays a recording with a build of hmreplay in which one constant of the balancer is changed. It must
+// report the first command that differs, which is the timer of the first maintenance.
 func checkAlteredBuildDiffers(t *testing.T, files []string) {
 	t.Helper()
 	const constant = "const maintenanceInterval = 200_00"
@@ -53,7 +53,7 @@
 	}
 	text, err := os.ReadFile(source)
 	if err != nil || !strings.Contains(string(text), constant+"0") {
-		t.Fatalf("the constant isn't there: %v", err)
+		t.Fatalf("maintenance.go doesn't contain the constant: %v", err)
 	}
 	dir := t.TempDir()
 	altered, overlay := filepath.Join(dir, "maintenance.go"), filepath.Join(dir, "overlay.json")
@@ -75,8 +75,8 @@
 	}
 }
 
-// firstTimerDifference gives what hmreplay has to print: the first timer for the maintenance interval, and that of the altered build.
-// It is empty if there is no such timer.
+// firstTimerDifference returns what hmreplay must print: the first timer for the maintenance interval as recorded, and as the
+// altered build sets it. It is empty if the recording has no such timer.
 func firstTimerDifference(t *testing.T, file string) string {
 	t.Helper()
 	s, err := record.OpenSegment(file)
--- a/internal/chaostest/requests.go
+++ b/internal/chaostest/requests.go
@@ -15,22 +15,22 @@
 	"hollymast/kserve"
 )
 
-// lateAnswerTime is for how long clients still read an answer after their deadline, so that a late one is seen.
+// lateAnswerTime is how long clients keep reading after their deadline, so that late answers are logged.
 const lateAnswerTime = 300 * time.Millisecond
 
-// retryPause is before a retry after a connection couldn't be opened or broke.
+// retryPause is the pause after a connection couldn't be opened.
 const retryPause = 50 * time.Millisecond
 
-// response is what a request came to.
+// response is the outcome of a request as its client sees it.
 type response struct {
-	answer           string        // one of the final answers of package invariant; empty: there is none
-	notSent          bool          // the request has certainly not reached a router
+	answer           string        // one of the final answers of package invariant; empty: no answer
+	notSent          bool          // the request certainly didn't reach a router
 	mayHaveRun       bool          // the request may have run
-	connectionBroken bool          // the connection ended before an answer, as when the router dies
+	connectionBroken bool          // the connection ended before an answer, as when the router is killed
 	retryAfter       time.Duration // of a rejection
 }
 
-// send makes one request for a call to a router: the n-th of the call, with a timeout.
+// send sends the n-th request of a call to a router, with a timeout.
 func (h *harness) send(ctx context.Context, c call, router, n int, timeout time.Duration) response {
 	conn, err := h.pools[router].get(ctx)
 	if err != nil {
@@ -55,7 +55,7 @@
 		h.pools[router].put(conn)
 	}
 	if res.Status == http.StatusOK && gjson.GetBytes(res.Body, "id").Str != record.Request {
-		h.recordError(fmt.Errorf("job %s got the answer of another: %s", record.Request, res.Body))
+		h.recordError(fmt.Errorf("request %s received the answer to another request: %s", record.Request, res.Body))
 	}
 	r := parseResponse(res)
 	record.Kind, record.Detail = invariant.ResponseReceived, r.answer
@@ -63,12 +63,12 @@
 	return r
 }
 
-// requestRecord gives the record of the n-th request of a call, but for what happened to it.
+// requestRecord returns the log record of the n-th request of a call, without its kind, deadline and detail.
 func (h *harness) requestRecord(c call, router, n int) invariant.Record {
 	return invariant.Record{Request: fmt.Sprintf("%d.%d", c.number, n), Effect: strconv.Itoa(c.number), Workload: c.workload.name, Router: router}
 }
 
-// readDeadline is until when the client reads an answer.
+// readDeadline returns the time until which the client waits for an answer.
 func (c *call) readDeadline(timeout time.Duration) time.Time {
 	switch now := time.Now(); {
 	case c.abandonAfter > 0:
@@ -80,7 +80,7 @@
 	}
 }
 
-// request gives the n-th request of a call.
+// request returns the n-th request of a call.
 func (h *harness) request(c call, record invariant.Record, n int, timeout time.Duration) *rest.Request {
 	header := rest.Header{"Host": {h.addresses[record.Router]}, "Content-Type": {"application/json"}, "X-Tenant": {c.tenant()}}
 	if !c.omitRetryHeaders {
@@ -93,13 +93,13 @@
 		Body: requestBody(record, timeout)}
 }
 
-// requestBody gives the body of a request: the fake servers log its number and its effect.
+// requestBody returns the body of a request. The fake servers log its id and its effect.
 func requestBody(record invariant.Record, timeout time.Duration) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[{"name":"x","shape":[2],"datatype":"FP32","data":[1,2]}]}`,
 		record.Request, timeout.Microseconds(), record.Effect)
 }
 
-// failedResponse gives what an exchange without an answer means.
+// failedResponse interprets an exchange that ended without an answer.
 func failedResponse(c call, progress rest.Progress, err error) (response, invariant.Kind) {
 	r := response{mayHaveRun: progress >= rest.WrittenWhole}
 	r.notSent = !r.mayHaveRun
@@ -114,7 +114,7 @@
 	return r, invariant.RequestTimedOut
 }
 
-// parseResponse gives what an answer means.
+// parseResponse interprets an answer.
 func parseResponse(res *rest.Response) response {
 	switch answer := gjson.GetBytes(res.Body, "answer").Str; {
 	case res.Status == http.StatusOK:
--- a/internal/chaostest/restarts.go
+++ b/internal/chaostest/restarts.go
@@ -29,33 +29,33 @@
 	}
 }
 
-// restart is when a restarted router was ready.
-type restart struct {
+// restartEvent is the time at which a restarted router became ready.
+type restartEvent struct {
 	router  int
 	logTime int64
 	at      time.Duration // since the start of the run
 }
 
-// RestartImpact is what followed a router's restart, within afterRestart.
+// RestartImpact is what happened in restartImpactWindow after a router's restart.
 type RestartImpact struct {
 	Router             int           `json:"Router"`
 	At                 time.Duration `json:"At"`         // since the start of the run
-	Calls              int           `json:"Effects"`    // that asked this router first
-	InTime             float64       `json:"InTime"`     // the share of them that succeeded within their latency objective
-	Loads              int           `json:"Loads"`      // that began on all servers
-	AttemptsPerRequest float64       `json:"Executions"` // of all routers
+	Calls              int           `json:"Effects"`    // whose first request went to this router
+	InTime             float64       `json:"InTime"`     // share of these calls that succeeded within their latency objective
+	Loads              int           `json:"Loads"`      // started on all servers
+	AttemptsPerRequest float64       `json:"Executions"` // over all routers
 }
 
-const afterRestart = 10 * time.Second
+const restartImpactWindow = 10 * time.Second
 
-// afterRestarts gives what followed each restart.
-func (h *harness) afterRestarts(records []invariant.Record) []RestartImpact {
+// restartImpacts returns the impact of each restart.
+func (h *harness) restartImpacts(records []invariant.Record) []RestartImpact {
 	var all []RestartImpact
 	for _, event := range h.restarts {
 		r := RestartImpact{Router: event.router, At: event.at}
 		inTime := 0
 		for _, o := range h.outcomes {
-			if o.router == event.router && o.at >= event.at && o.at < event.at+afterRestart {
+			if o.router == event.router && o.at >= event.at && o.at < event.at+restartImpactWindow {
 				if r.Calls++; o.inTime {
 					inTime++
 				}
@@ -63,7 +63,7 @@
 		}
 		requests, attempts := 0, 0
 		for _, record := range records {
-			if record.At < event.logTime || record.At >= event.logTime+afterRestart.Microseconds() {
+			if record.At < event.logTime || record.At >= event.logTime+restartImpactWindow.Microseconds() {
 				continue
 			}
 			switch record.Kind {
@@ -81,8 +81,8 @@
 	return all
 }
 
-// excessLoadCommands counts the load commands beyond the limit if those from before a restart count, whether the router has
-// persisted them or not.
+// excessLoadCommands counts the load commands beyond the limit if those from before a restart count too, even if the router didn't
+// persist them.
 func (h *harness) excessLoadCommands(records []invariant.Record) int {
 	records = slices.Clone(records)
 	for i := range records {
--- a/internal/chaostest/result.go
+++ b/internal/chaostest/result.go
@@ -8,7 +8,7 @@
 	"hollymast/internal/invariant"
 )
 
-// Result is what a run showed. Its JSON form is read by scripts: the names in the tags stay.
+// Result is the result of a run. Scripts read its JSON form, so the names in the tags must not change.
 type Result struct {
 	*invariant.Report
 	InTime             float64       `json:"InTime"` // share of calls that succeeded within their latency objective
@@ -18,12 +18,12 @@
 	logDir             string          // see LogDir
 	RestartRetries     RestartRetries  `json:"Resumed"`
 	Restarts           []RestartImpact `json:"Renewed"`
-	WeightedInTime     float64         `json:"Worth"`  // as InTime, each call weighted with its workload's importance
-	Overloads          int             `json:"Storms"` // that routers have logged
-	ExcessLoadCommands int             `json:"Over"`   // beyond the load-rate limit, if those before a restart count too
+	WeightedInTime     float64         `json:"Worth"`  // as InTime, with each call weighted by its workload's importance
+	Overloads          int             `json:"Storms"` // that the routers logged
+	ExcessLoadCommands int             `json:"Over"`   // see excessLoadCommands
 }
 
-// LogDir returns the folder with the routers' logs of a run that broke an invariant; empty: none are kept.
+// LogDir returns the folder with the routers' logs of a run that violated an invariant. It is empty if none are kept.
 func (r *Result) LogDir() string { return r.logDir }
 
 func (h *harness) result() (*Result, error) {
@@ -46,17 +46,17 @@
 		Seconds:            h.seconds(records, report.SlowStart),
 		outcomes:           h.outcomes,
 		RestartRetries:     h.restartRetries,
-		Restarts:           h.afterRestarts(records),
+		Restarts:           h.restartImpacts(records),
 		WeightedInTime:     h.weightedInTime(),
 		Overloads:          overloads,
 		ExcessLoadCommands: h.excessLoadCommands(records),
 	}, nil
 }
 
-// share gives part of all, 0 of nothing.
+// share returns part as a share of all, or 0 if all is 0.
 func share(part, all int) float64 { return float64(part) / float64(max(1, all)) }
 
-// outcome is what became of a call.
+// outcome is the outcome of a call.
 type outcome struct {
 	router      int
 	at          time.Duration // of the call, since the start of the run
@@ -72,7 +72,7 @@
 	h.outcomes = append(h.outcomes, outcome{c.router, c.at, inTime, c.workload.effect, c.workload.importance, c.tenant() == noisyTenant})
 }
 
-// weightedInTime gives the importance of the calls that were in time, as a share of that of all.
+// weightedInTime returns the share of calls that were in time, weighted by their importance.
 func (h *harness) weightedInTime() float64 {
 	inTime, all := 0.0, 0.0
 	for _, o := range h.outcomes {
@@ -83,10 +83,10 @@
 	return inTime / max(1, all)
 }
 
-// overloadMessage is in the line that a router logs when it begins to dampen an overload.
+// overloadMessage is contained in the line that a router logs when an overload begins.
 const overloadMessage = "storm: a storm:"
 
-// countOverloads counts the overloads that routers have logged.
+// countOverloads counts the overloads that the routers logged.
 func (h *harness) countOverloads() (n int, err error) {
 	for _, r := range h.routers {
 		text, err := os.ReadFile(r.logName)
@@ -98,7 +98,8 @@
 	return n, nil
 }
 
-// OtherTenantsInTime gives the share of calls that were in time of all tenants but the noisy one: during a fault, and otherwise.
+// OtherTenantsInTime returns the share of calls that were in time, of all tenants except the noisy one: during a fault, and
+// otherwise.
 func (r *Result) OtherTenantsInTime(f Fault) (during, otherwise float64) {
 	type count struct{ calls, inTime int }
 	var within, without count
--- a/internal/chaostest/rotation.go
+++ b/internal/chaostest/rotation.go
@@ -12,29 +12,31 @@
 	"hollymast/internal/invariant"
 )
 
-// reloadTime is longer than anybody takes to reload changed files.
+// reloadTime is longer than any process takes to reload changed files.
 const reloadTime = 700 * time.Millisecond
 
-// Of the steps of a rotation, every revocationCycle-th is a revocation, an incomplete renewal or, every second time, another
-// authority; all others are renewals.
+// Steps of a rotation. In each rotationCycle steps, step revocationStep revokes a certificate, if rotation.revokeWorker is set, and
+// step incompleteRenewalStep leaves a renewal incomplete for a while. Every authorityCycle-th step replaces the authority. All other
+// steps renew a certificate.
 const (
-	revocationCycle       = 12
+	rotationCycle         = 12
 	revocationStep        = 6
 	incompleteRenewalStep = 9
-	authorityCycle        = 2 * revocationCycle
+	authorityCycle        = 2 * rotationCycle
 
 	minRotationPause = 100 // milliseconds between two steps
 	rotationJitter   = 200 // milliseconds
 	maxRenewalDelay  = 20  // milliseconds between the two files of a renewal
 )
 
-// rotation says how certificates are rotated.
+// rotation holds the options of a rotation of certificates.
 type rotation struct {
 	seed         uint64
-	revokeWorker bool // worker 0 is revoked now and again
+	revokeWorker bool // the certificate of worker 0 is revoked once per cycle
 }
 
-// startRotation rotates certificates until the context ends; the channel then has the error, or is closed.
+// startRotation starts to rotate certificates until ctx is done. The channel then delivers the error. It is closed at once if the
+// run doesn't use TLS.
 func (h *harness) startRotation(ctx context.Context, r rotation) <-chan error {
 	done := make(chan error, 1)
 	if !h.scenario.TLS {
@@ -45,8 +47,8 @@
 	return done
 }
 
-// rotateCertificates renews certificates one after another until the context ends. In between a renewal stays incomplete for
-// a while, a worker is revoked and gets another certificate, or all owners change to another authority.
+// rotateCertificates renews certificates one after another until ctx is done. In between, a renewal stays incomplete for a while, a
+// worker's certificate is revoked and replaced, or all owners change to another authority.
 func (h *harness) rotateCertificates(ctx context.Context, r rotation) error {
 	c := h.certificates
 	random := rand.New(rand.NewPCG(r.seed, 3))
@@ -57,9 +59,9 @@
 		}
 		var err error
 		switch {
-		case r.revokeWorker && n%revocationCycle == revocationStep:
+		case r.revokeWorker && n%rotationCycle == revocationStep:
 			err = h.revokeWorker(ctx, 0)
-		case n%revocationCycle == incompleteRenewalStep:
+		case n%rotationCycle == incompleteRenewalStep:
 			err = c.renew(owners[random.IntN(len(owners))], reloadTime)
 		case n%authorityCycle == 0:
 			err = c.replaceAuthority(ctx, owners)
@@ -73,11 +75,11 @@
 	return nil
 }
 
-// revokeWorker revokes a worker's certificate and issues another one later. The invariants count the worker as withdrawn in between.
+// revokeWorker revokes a worker's certificate and issues another one later. For the invariants the worker is withdrawn in between.
 func (h *harness) revokeWorker(ctx context.Context, worker int) error {
 	c := h.certificates
 	c.authority.Revoke(c.issued[workerName(worker)].Serial)
-	c.changes++
+	c.changeCount++
 	h.log.Add(invariant.Record{Kind: invariant.EndpointPublished, Server: worker, Detail: invariant.EndpointGone})
 	if err := c.writeRevocationList(routerToWorkers, revocationList(c.authority)); err != nil {
 		return err
--- a/internal/chaostest/routerprocess.go
+++ b/internal/chaostest/routerprocess.go
@@ -14,13 +14,13 @@
 	"hollymast/internal/rest"
 )
 
-// routerProcess is one router. It can be started again after it has exited.
+// routerProcess is the process of one router. It can be started again after it has exited.
 type routerProcess struct {
 	number     int
 	address    string
-	secure     rest.Handshake // of its clients; nil: no TLS
+	handshake  rest.Handshake // of connections from clients; nil: no TLS
 	configFile string
-	logName    string // of the file that its output is appended to
+	logName    string // file that the process's output is appended to
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd     // nil: never started
@@ -28,7 +28,7 @@
 	exitErr error         // of cmd, once it has exited
 }
 
-// start starts the router's program. The process is killed if this one dies.
+// start starts the router from the given executable. The process is killed if this one dies.
 func (r *routerProcess) start(program string) error {
 	log, err := os.OpenFile(r.logName, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// pid is the identifier of a router that was started.
+// pid returns the process ID. The router must have been started.
 func (r *routerProcess) pid() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,10 +73,10 @@
 // shutdownTimeout is how long a router may take to shut down: longer than any request's deadline.
 const shutdownTimeout = 10 * time.Second
 
-var errShutdownTimeout = errors.New("it had to be killed")
+var errShutdownTimeout = errors.New("killed after the shutdown timeout")
 
-// stop sends a signal and waits until the process has exited; one that takes too long is killed. The error is how the process
-// exited, but none for a process that had exited before or was to be killed.
+// stop sends a signal and waits until the process has exited. It kills a process that takes longer than shutdownTimeout. The error
+// is that of the process's exit, or nil if the process had already exited or if the signal is SIGKILL.
 func (r *routerProcess) stop(s syscall.Signal) error {
 	r.mu.Lock()
 	exited := r.exited
@@ -105,7 +105,7 @@
 	return r.exitErr
 }
 
-// Bounds of the wait for a router that starts.
+// Timeouts and polling interval of the wait for a router that starts.
 const (
 	readyTimeout      = 10 * time.Second
 	readyInterval     = 10 * time.Millisecond
@@ -115,12 +115,12 @@
 // awaitReady waits until the router's readiness probe succeeds.
 func (r *routerProcess) awaitReady(ctx context.Context) error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
-		if probeReady(ctx, r.address, r.secure) {
+		if probeReady(ctx, r.address, r.handshake) {
 			return nil
 		}
 		select {
 		case <-r.exited:
-			return fmt.Errorf("router %d ended before it was ready", r.number)
+			return fmt.Errorf("router %d exited before it was ready", r.number)
 		default:
 		}
 		if err := sleep(ctx, readyInterval); err != nil {
@@ -130,8 +130,8 @@
 	return fmt.Errorf("router %d was not ready within %s", r.number, readyTimeout)
 }
 
-func probeReady(ctx context.Context, address string, secure rest.Handshake) bool {
-	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, secure)
+func probeReady(ctx context.Context, address string, handshake rest.Handshake) bool {
+	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, handshake)
 	if err != nil {
 		return false
 	}
--- a/internal/chaostest/routerstate.go
+++ b/internal/chaostest/routerstate.go
@@ -14,14 +14,14 @@
 	"hollymast/internal/persistence"
 )
 
-// stateDir is the directory of a router's persisted state: with the recordings, where there are some, so that it is still
-// there after the run.
+// stateDir returns the directory of a router's persisted state. If the run makes recordings, it is beside them, so that it is kept
+// after the run.
 func (h *harness) stateDir(router int) string {
 	return filepath.Join(cmp.Or(h.scenario.RecordDir, h.dir), "memory-"+strconv.Itoa(router))
 }
 
-// alterState makes the persisted state of a stopped router what the scenario wants.
-func (h *harness) alterState(router int) error {
+// prepareState changes the persisted state of a stopped router as the scenario specifies.
+func (h *harness) prepareState(router int) error {
 	dir := persistence.Dir(h.stateDir(router))
 	switch h.scenario.RouterState {
 	case StateJournalOnly:
@@ -33,15 +33,15 @@
 	case StateAged:
 		return rewriteState(dir, func(s *control.LearnedState) { ageState(s, stateAge) })
 	case StateMismatched:
-		return rewriteState(dir, disarrangeState)
+		return rewriteState(dir, mismatchState)
 	}
 	return nil
 }
 
-// stateAge is far beyond the time for which anything that was learned is of use.
+// stateAge is far longer than any learned state is useful.
 const stateAge = control.Micros(30 * 24 * time.Hour / time.Microsecond)
 
-// rewriteState changes each generation of a persisted state.
+// rewriteState applies a change to each generation of a persisted state.
 func rewriteState(dir persistence.Dir, change func(*control.LearnedState)) error {
 	for _, name := range persistence.GenerationFiles {
 		b, err := dir.Read(name)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// ageState moves all times of a state into the past.
+// ageState moves all times of a state into the past by a duration.
 func ageState(s *control.LearnedState, by control.Micros) {
 	persistence.ShiftTimes(s, -by)
 	for i := range s.Servers {
@@ -74,9 +74,9 @@
 	}
 }
 
-// disarrangeState makes a state one that was learned elsewhere: answers came three times as fast, and functions were loaded on
-// other servers.
-func disarrangeState(s *control.LearnedState) {
+// mismatchState changes a state to one that was learned under different load: answers came three times as fast, and functions were
+// loaded on other servers.
+func mismatchState(s *control.LearnedState) {
 	const shift = 5 // servers
 	s.Answers = slices.Concat(s.Answers, s.Answers, s.Answers)
 	slices.Sort(s.Answers)
--- a/internal/chaostest/run.go
+++ b/internal/chaostest/run.go
@@ -11,11 +11,11 @@
 	"hollymast/internal/invariant"
 )
 
-// Run runs a scenario with routers of the named program. Everything that it starts has ended when it returns. The routers'
-// logs stay if the run fails or breaks an invariant.
+// Run runs a scenario with routers started from the given executable. Everything that it starts has ended when it returns. The
+// routers' logs are kept if the run fails or violates an invariant.
 func Run(ctx context.Context, s *Scenario, program string) (result *Result, err error) {
 	if s.Routers > maxRouters || s.Workers > maxWorkers {
-		return nil, fmt.Errorf("%d routers and %d workers are more than a day on sockets may have (%d, %d): hmchaos emulate plays it", s.Routers, s.Workers, maxRouters, maxWorkers)
+		return nil, fmt.Errorf("%d routers and %d workers exceed what a run of real processes may have (%d, %d): use hmchaos emulate", s.Routers, s.Workers, maxRouters, maxWorkers)
 	}
 	dir, err := os.MkdirTemp("", "hmchaos-")
 	if err != nil {
@@ -54,8 +54,8 @@
 	return h.result()
 }
 
-// keepLogs keeps the routers' logs of a run that failed or broke an invariant, and names their folder in the error or the
-// result. It removes all others, also those of a run that was cancelled.
+// keepLogs keeps the routers' logs of a run that failed or violated an invariant, and names their folder in the error or the
+// result. It removes those of all other runs, including cancelled ones.
 func keepLogs(dir string, result *Result, err error, cancelled bool) error {
 	switch {
 	case cancelled || err == nil && result.Passed():
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// prepare issues certificates and starts the control plane, where the scenario has them.
+// prepare issues certificates and starts the control plane, if the scenario uses them.
 func (h *harness) prepare(ctx context.Context) (err error) {
 	if h.scenario.TLS {
 		if h.certificates, err = issueCertificates(ctx, filepath.Join(h.dir, "keys"), h.scenario.Workers); err != nil {
@@ -89,11 +89,11 @@
 	}
 }
 
-// shutDownRouters ends all routers gracefully; one that doesn't end so is an error.
+// shutDownRouters shuts all routers down gracefully, and records an error for each that doesn't exit cleanly.
 func (h *harness) shutDownRouters(ctx context.Context) {
 	for i, r := range h.routers {
 		if err := r.stop(syscall.SIGTERM); err != nil && ctx.Err() == nil {
-			h.recordError(fmt.Errorf("router %d did not end well when told to: %w", i, err))
+			h.recordError(fmt.Errorf("router %d did not shut down cleanly: %w", i, err))
 		}
 	}
 }
--- a/internal/chaostest/run_test.go
+++ b/internal/chaostest/run_test.go
@@ -9,8 +9,8 @@
 	"hollymast/internal/invariant"
 )
 
-// Misconfigured routers violate invariants on the wire, and each violation has to be found. RuleResponses can't be violated by a
-// configuration; see the tests of package invariant.
+// Misconfigured routers violate every invariant from RuleEffects on, and the check must find violations of each. No configuration
+// violates RuleResponses; see the tests of package invariant.
 func TestMisconfiguredRoutersViolateInvariants(t *testing.T) {
 	s := &Scenario{Seed: 1, Calls: 2400, Length: 6 * time.Second, Routers: 2, Workers: 4, Functions: 5, LimitLoadRate: true, LoadCommandsOnly: true,
 		configOverrides: []string{"effect = run-once", "effect = restartable", "cold = 4s", "cold = 1ms", "start_target = 400ms", "start_target = 3s", "start_target = 300ms", "start_target = 3s",
@@ -34,10 +34,11 @@
 	}
 }
 
-// Routers without persisted state run non-idempotent requests twice when clients repeat them after a kill, which has to be found;
-// routers with it don't. How many requests run at a kill depends on the machine: there are further runs while too few did.
+// When clients repeat non-idempotent requests after a router was killed, routers without persisted state run some of them twice,
+// which the check must find, and routers with persisted state run none twice. How many requests run at the time of the kill depends
+// on the machine, so there are further runs until one shows the case.
 func TestNonIdempotentRequestsAcrossAKill(t *testing.T) {
-	const runs = 8 // on a busy machine one in five or so of the runs without persisted state has no request run twice
+	const runs = 8 // on a busy machine about one in five runs without persisted state runs no request twice
 	program := buildProgram(t, "hollymast")
 	run := func(seed uint64, overrides ...string) (violations, repeated int) {
 		s := &Scenario{Seed: seed, Calls: 900, Length: 5 * time.Second, Routers: 2, Workers: 6, Functions: 4, RouterState: StateComplete, configOverrides: overrides,
@@ -57,11 +58,11 @@
 			t.Errorf("seed %d, with persisted state: %d requests repeated, %d violations", seed, n, violations)
 		}
 	}
-	found := 0
-	for seed := uint64(2); seed < 2+runs && found == 0; seed++ {
-		found, _ = run(seed, "[memory]\nfolder", "[memory]\n; folder")
+	violations := 0
+	for seed := uint64(2); seed < 2+runs && violations == 0; seed++ {
+		violations, _ = run(seed, "[memory]\nfolder", "[memory]\n; folder")
 	}
-	if repeated == 0 || found == 0 {
+	if repeated == 0 || violations == 0 {
 		t.Errorf("with persisted state %d requests were repeated; without, none was run twice in %d runs", repeated, runs)
 	}
 }
@@ -77,7 +78,7 @@
 	}
 }
 
-// What one machine can't run is refused before anything is started.
+// A scenario that one machine can't run is rejected before anything is started.
 func TestTooLargeScenarioIsRefused(t *testing.T) {
 	if _, err := Run(context.Background(), &Scenario{Routers: maxRouters + 1, Workers: 1, Length: time.Second}, "/none"); err == nil || !strings.Contains(err.Error(), "emulate") {
 		t.Errorf("got %v", err)
--- a/internal/chaostest/scenario.go
+++ b/internal/chaostest/scenario.go
@@ -15,23 +15,23 @@
 type Scenario struct {
 	Name               string
 	Seed               uint64
-	Calls              int // operations that clients want; retries come on top
+	Calls              int // operations of clients, without their retries
 	Length             time.Duration
 	Routers            int
 	Workers            int
 	Functions          int
-	LimitLoadRate      bool // routers have a limit on their load commands
+	LimitLoadRate      bool // routers limit the rate of their load commands
 	LoadCommandsOnly   bool // servers load on command only, never on a cache miss
 	Faults             []Fault
 	EndpointSource     EndpointSource
 	TLS                bool // all connections use TLS, and certificates are rotated during the run
 	ClientBehavior     ClientBehavior
-	LibraryClients     int  // clients of the client library; each has its own connections, keys and retry budget
+	LibraryClients     int  // clients that use the client library, each with its own connections, keys and retry budget
 	OverloadProtection bool // routers dampen retry storms
-	TenantWithinQuota  bool // the noisy tenant of a one_tenant fault stays within its quota: the baseline for a run in which it doesn't
+	TenantWithinQuota  bool // the noisy tenant of a one_tenant fault stays within its quota: a baseline for a run in which it doesn't
 	RouterState        RouterState
 	RecordDir          string   // parent of the routers' recording directories; empty: nothing is recorded
-	configOverrides    []string // pairs of old and new text in the routers' configuration: misconfigures them, to test the checks
+	configOverrides    []string // pairs of old and new text to replace in the routers' configuration: tests misconfigure routers with it
 }
 
 // EndpointSource is where routers read the endpoint list from.
@@ -47,21 +47,21 @@
 // endpointSources lists all endpoint sources.
 var endpointSources = []EndpointSource{SourceFile, SourceXDS, SourceXDSDelta}
 
-// ClientBehavior is how clients retry.
+// ClientBehavior says how clients retry.
 type ClientBehavior string
 
 // The client behaviors.
 const (
-	ClientsBasic       ClientBehavior = "usual" // retry as their class and the response allow, three times at most
+	ClientsBasic       ClientBehavior = "usual" // retry as their workload and the response allow, with three requests per call at most
 	ClientsWithLibrary ClientBehavior = "good"  // use the client library
-	ClientsBlind       ClientBehavior = "bad"   // retry almost at once, without retry headers, until their deadline
+	ClientsBlind       ClientBehavior = "bad"   // retry almost immediately, without retry headers, until their deadline
 	ClientsMixed       ClientBehavior = "mixed" // half good, half bad
 )
 
 // ClientBehaviors lists all client behaviors.
 var ClientBehaviors = []ClientBehavior{ClientsBasic, ClientsWithLibrary, ClientsBlind, ClientsMixed}
 
-// RouterState is what a restarted router finds of its persisted state.
+// RouterState says which persisted state a restarted router finds.
 type RouterState string
 
 // The router states.
@@ -70,21 +70,21 @@
 	StateJournalOnly RouterState = "limits" // only the journal of attempts, which rate limits are restored from
 	StateComplete    RouterState = "kept"   // everything
 	StateAged        RouterState = "old"    // everything, as if it had been written a month ago
-	StateMismatched  RouterState = "other"  // everything, learned under quite different load
+	StateMismatched  RouterState = "other"  // everything, but learned under different load
 )
 
 // routerStates lists all router states.
 var routerStates = []RouterState{StateNone, StateJournalOnly, StateComplete, StateAged, StateMismatched}
 
-// Bounds of a scenario: what one machine can run as processes and listeners on loopback, and what a simulation fits into memory.
+// Limits of a scenario: what one machine can run as processes and listeners on loopback, and what a simulation can hold in memory.
 const (
 	maxRouters   = 64
 	maxWorkers   = 256
 	maxSimulated = 5000
 )
 
-// ParseScenario parses a scenario (INI); a nil text stands for the built-in one. Every error in the text is reported at once,
-// as an *inifile.ValidationError.
+// ParseScenario parses a scenario (INI), or the built-in one if the text is nil. It reports all errors in the text together, as an
+// *inifile.ValidationError.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	if text == nil {
 		name, text = "bad.ini", defaultScenario
@@ -111,7 +111,7 @@
 		RouterState:        inifile.OneOf(section, "memory", StateNone, routerStates...),
 	}
 	if s.TLS && s.usesLibrary() {
-		section.Errorf("keys", "clients that behave as the library have no keys here")
+		section.Errorf("keys", "clients that use the client library don't support TLS here")
 	}
 	for _, section := range file.Sections(faultSectionPrefix) {
 		s.Faults = append(s.Faults, s.parseFault(section))
@@ -132,10 +132,10 @@
 		Kind:     inifile.OneOf(section, "kind", "", faultKinds...),
 	}
 	if f.Kind.needsControlPlane() && s.EndpointSource == SourceFile {
-		section.Errorf("kind", "there is no control plane: the list comes from a file")
+		section.Errorf("kind", "requires a control plane, but the endpoint list comes from a file")
 	}
 	if f.At+f.Duration > s.Length {
-		section.Errorf("lasts", "ends after the day's %s", s.Length)
+		section.Errorf("lasts", "the fault ends after the run, which takes %s", s.Length)
 	}
 	return f
 }
@@ -150,5 +150,7 @@
 	return s.EndpointSource == SourceXDS || s.EndpointSource == SourceXDSDelta
 }
 
-// keepsRouterState reports whether routers persist their state.
-func (s *Scenario) keepsRouterState() bool { return s.RouterState != "" && s.RouterState != StateNone }
+// persistsRouterState reports whether routers persist their state.
+func (s *Scenario) persistsRouterState() bool {
+	return s.RouterState != "" && s.RouterState != StateNone
+}
--- a/internal/chaostest/schedule.go
+++ b/internal/chaostest/schedule.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// call is one operation that a client wants; it may take several requests.
+// call is one operation of a client. It may take several requests.
 type call struct {
-	at               time.Duration // since the start of the run
-	router           int           // that is asked first
-	workload         *workload
-	function         string
-	timeout          time.Duration
-	number           int
-	impatient        bool          // gives up at its deadline, without reading a late answer, and retries at once
-	abandonAfter     time.Duration // the client closes its connection then; 0: never
-	omitRetryHeaders bool          // retries look like first requests
-	noisyTenant      bool          // of the noisy tenant, which retries without pause
-	limitedTenant    bool          // of the noisy tenant, while it stays within its quota
-	suppressed       bool          // not made, so that the noisy tenant stays within its quota
+	at                 time.Duration // since the start of the run
+	router             int           // that the first request goes to
+	workload           *workload
+	function           string
+	timeout            time.Duration
+	number             int
+	impatient          bool          // gives up at its deadline, without reading a late answer, and retries at once
+	abandonAfter       time.Duration // when the client closes its connection without an answer; 0: never
+	omitRetryHeaders   bool          // retries look like first requests
+	noisyTenant        bool          // of the noisy tenant, which retries blindly
+	noisyTenantInQuota bool          // of the noisy tenant, which stays within its quota
+	suppressed         bool          // not made, to keep the noisy tenant within its quota
 }
 
 func (c *call) tenant() string {
-	if c.noisyTenant || c.limitedTenant {
+	if c.noisyTenant || c.noisyTenantInQuota {
 		return noisyTenant
 	}
-	return usualTenant
+	return regularTenant
 }
 
-// Shape of the load. Function popularity is Zipf's, steep enough that a few functions have most of the requests.
+// Shape of the load. The popularity of functions follows a Zipf distribution, steep enough that a few functions get most of the
+// requests.
 const (
 	zipfExponent = 1.2
 	zipfOffset   = 4
 
-	minTimeoutShare = 0.5   // of the workload's longest deadline
+	minTimeoutShare = 0.5   // of the workload's maxDeadline
 	abandonShare    = 0.005 // of clients
 	maxAbandonAfter = 0.2   // seconds
 )
 
-// schedule draws the calls of the run, in order of time. It is the same for the same seed: the order of the draws from the
-// generator is part of that.
+// schedule draws the calls of the run, in order of time. The same seed must give the same calls, so the order of the draws from the
+// generator is fixed.
 func (s *Scenario) schedule() []call {
 	random := rand.New(rand.NewPCG(s.Seed, 1))
 	calls := s.addSurges(s.arrivals(random), random)
@@ -50,13 +51,13 @@
 	for i := range calls {
 		c := &calls[i]
 		c.draw(random, zipf)
-		hit, abandon := random.Float64(), random.Float64()
+		draw, abandon := random.Float64(), random.Float64()
 		if abandon < abandonShare {
 			c.abandonAfter = time.Duration(random.Float64() * maxAbandonAfter * float64(time.Second))
 		}
 		for _, f := range s.Faults {
-			if f.active(c.at) && hit < f.Share {
-				s.applyFault(c, f, hit)
+			if f.active(c.at) && draw < f.Share {
+				s.applyFault(c, f, draw)
 			}
 		}
 	}
@@ -78,7 +79,7 @@
 	return calls
 }
 
-// addSurges adds the calls of faults in which demand rises.
+// addSurges adds the calls of faults that increase demand.
 func (s *Scenario) addSurges(calls []call, random *rand.Rand) []call {
 	for _, f := range s.Faults {
 		if f.Kind != FaultDemandSurge {
@@ -106,8 +107,8 @@
 	c.timeout = time.Duration((minTimeoutShare + (1-minTimeoutShare)*random.Float64()) * float64(c.workload.maxDeadline))
 }
 
-// applyFault changes a call that a fault has hit; hit is what was drawn for that, below the fault's share.
-func (s *Scenario) applyFault(c *call, f Fault, hit float64) {
+// applyFault changes a call that a fault affects. The fault was selected by draw, which is below its share.
+func (s *Scenario) applyFault(c *call, f Fault, draw float64) {
 	switch f.Kind {
 	case FaultHotFunction:
 		c.workload, c.function = &workloadMix[0], workloadMix[0].name+"-hot-"+f.Name
@@ -122,7 +123,7 @@
 			c.noisyTenant = true
 			return
 		}
-		c.noisyTenant, c.limitedTenant = false, true
-		c.suppressed = hit >= noisyTenantQuota/(float64(s.Calls)/s.Length.Seconds())
+		c.noisyTenant, c.noisyTenantInQuota = false, true
+		c.suppressed = draw >= noisyTenantQuota/(float64(s.Calls)/s.Length.Seconds())
 	}
 }
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -16,29 +16,29 @@
 	"hollymast/internal/simulation"
 )
 
-// SimulationResult is what a simulated run showed. Its JSON form is read by scripts and by other builds: the names in the tags
-// stay.
+// SimulationResult is the result of a simulated run. Scripts and other builds of hmchaos read its JSON form, so the names in the
+// tags must not change.
 type SimulationResult struct {
 	*invariant.Report
 	InTime               float64 `json:"InTime"` // share of calls that succeeded within their latency objective
-	WeightedInTime       float64 `json:"Worth"`  // as InTime, each call weighted with its workload's importance
+	WeightedInTime       float64 `json:"Worth"`  // as InTime, with each call weighted by its workload's importance
 	Loads                int     `json:"Loads"`
 	LoadCommands         int     `json:"Orders"`
-	SlowStartUtilization float64 `json:"ColdUse"` // requests that servers ran in slow start, as a share of what they could have run
-	Utilization          float64 `json:"WarmUse"` // the same after slow start
-	Hash                 uint64  `json:"Hash"`    // of all records: equal runs have equal hashes
+	SlowStartUtilization float64 `json:"ColdUse"` // attempts that servers ran in slow start, as a share of their capacity then
+	Utilization          float64 `json:"WarmUse"` // the same outside slow start
+	Hash                 uint64  `json:"Hash"`    // of all records, equal for equal runs
 	Events               int     `json:"Events"`
 	Steps                int     `json:"Turns"`
 }
 
-// PolicyFactory makes the policy of a router, such as a baseline.
+// PolicyFactory creates the policy of a router, such as a baseline policy.
 type PolicyFactory = func(now control.Micros, seed uint64, d control.Deployment) core.Policy
 
-// errNoLoadCommands is why a scenario can't be simulated with a baseline.
-var errNoLoadCommands = errors.New("only orders load on this day, and textbook policies give none")
+// errNoLoadCommands is returned for a scenario that can't be simulated with a baseline policy.
+var errNoLoadCommands = errors.New("servers of this scenario load on command only, and baseline policies send no load commands")
 
-// Simulate runs a scenario in simulated time, with the balancer's decisions (a nil factory) or those of another policy. The
-// number of threads doesn't change the result.
+// Simulate runs a scenario in simulated time, with the balancer (a nil factory) or another policy. The number of threads doesn't
+// change the result.
 func Simulate(s *Scenario, threads int, newPolicy PolicyFactory) (*SimulationResult, error) {
 	plan, err := s.simulationPlan()
 	if err != nil {
@@ -52,7 +52,7 @@
 	h := &harness{scenario: s, servers: make([]*fakeserver.Server, s.Workers)}
 	r := &SimulationResult{Report: invariant.Check(h.invariantConfig(), run.Records), Hash: run.Hash, Events: run.Events, Steps: run.Steps}
 	use := h.utilization(run.Records)
-	r.SlowStartUtilization, r.Utilization = use.slowStart, use.usual
+	r.SlowStartUtilization, r.Utilization = use.slowStart, use.fullSpeed
 	r.addOutcomes(plan, run.Outcomes)
 	for _, record := range run.Records {
 		switch record.Kind {
@@ -77,12 +77,12 @@
 	r.InTime, r.WeightedInTime = share(inTime, len(outcomes)), weightInTime/max(1, weight)
 }
 
-// simulationPlan gives the scenario as the simulation runs it: with the same calls, servers and settings as on sockets. An
-// error names a fault that can't be simulated.
+// simulationPlan converts the scenario to a plan of the simulation, with the same calls, servers and settings as a run with real
+// processes. It returns an error if a fault can't be simulated.
 func (s *Scenario) simulationPlan() (*simulation.Plan, error) {
 	h := &harness{scenario: s}
 	for range s.Routers {
-		h.addresses = append(h.addresses, "127.0.0.1:1") // stands in the configuration only
+		h.addresses = append(h.addresses, "127.0.0.1:1") // needed in the configuration only
 	}
 	file, err := inifile.Parse("emulated", h.routerConfig(0))
 	if err != nil {
@@ -124,7 +124,7 @@
 	return c.noisyTenant || s.ClientBehavior == ClientsBlind || s.ClientBehavior == ClientsMixed && c.number%2 == 1
 }
 
-// incidents gives a fault as the simulation has it; none if it is in the calls already.
+// incidents converts a fault to incidents of the simulation. There are none if the fault only changes the schedule of calls.
 func (s *Scenario) incidents(f Fault) ([]simulation.Incident, error) {
 	count := s.Workers
 	if f.Kind.affectsRouters() {
@@ -135,7 +135,7 @@
 	case FaultHotFunction, FaultUniqueFunctions, FaultDemandSurge, FaultShortTimeouts:
 		return nil, nil
 	case FaultProgressiveSlowdown:
-		return ageingIncidents(incident, f.Factor), nil
+		return slowdownIncidents(incident, f.Factor), nil
 	case FaultHang:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Silent: true}
 	case FaultLostResponses:
@@ -161,31 +161,32 @@
 	case FaultRouterKill, FaultRouterRestart:
 		incident.Kind = simulation.RouterCrash
 	default:
-		return nil, fmt.Errorf("trouble %s: %s is played on sockets only", f.Name, f.Kind)
+		return nil, fmt.Errorf("[trouble %s]: faults of kind %s can't be simulated", f.Name, f.Kind)
 	}
 	return []simulation.Incident{incident}, nil
 }
 
-// ageingIncidents gives one incident for each step in which servers get slower, up to a factor.
-func ageingIncidents(incident simulation.Incident, factor float64) []simulation.Incident {
+// slowdownIncidents returns one incident for each step in which servers get slower, up to a factor.
+func slowdownIncidents(incident simulation.Incident, factor float64) []simulation.Incident {
 	var steps []simulation.Incident
-	incident.Kind, incident.Duration = simulation.ServerFault, incident.Duration/ageingSteps
-	for i := range ageingSteps {
-		incident.Faults = fakeserver.Faults{Slowdown: 1 + (factor-1)*float64(i+1)/ageingSteps}
+	incident.Kind, incident.Duration = simulation.ServerFault, incident.Duration/slowdownSteps
+	for i := range slowdownSteps {
+		incident.Faults = fakeserver.Faults{Slowdown: 1 + (factor-1)*float64(i+1)/slowdownSteps}
 		steps = append(steps, incident)
 		incident.At += incident.Duration
 	}
 	return steps
 }
 
-// utilization is what servers have run, as a share of what they could have run.
-type utilization struct{ slowStart, usual float64 }
+// utilization is how many attempts servers ran, as a share of their capacity.
+type utilization struct{ slowStart, fullSpeed float64 }
 
-// utilization measures it: a server in slow start can run what is expected at its age, any other one the full rate.
+// utilization computes the utilization. The capacity of a server in slow start is the rate expected at its age, that of any other
+// server the full rate.
 func (h *harness) utilization(records []invariant.Record) utilization {
 	type work struct{ run, capacity float64 } // in requests
 	end := h.scenario.Length.Microseconds()
-	slowStart, usual := work{}, work{capacity: serverRate * float64(end) / 1e6 * float64(len(h.servers))}
+	slowStart, fullSpeed := work{}, work{capacity: serverRate * float64(end) / 1e6 * float64(len(h.servers))}
 	var first int64
 	if len(records) > 0 {
 		first = records[0].At
@@ -198,17 +199,17 @@
 			startedAt[r.Server] = at
 			age := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6 // seconds in slow start until the end
 			slowStart.capacity += serverRate * age * (slowStartInitial + (1-slowStartInitial)*age/slowStartDuration.Seconds()/2)
-			usual.capacity -= serverRate * age
+			fullSpeed.capacity -= serverRate * age
 		case invariant.AttemptStarted:
 			if started, restarted := startedAt[r.Server]; restarted && at < started+slowStartDuration.Microseconds() {
 				slowStart.run++
 			} else {
-				usual.run++
+				fullSpeed.run++
 			}
 		}
 	}
-	return utilization{slowStart.run / max(1, slowStart.capacity), usual.run / max(1, usual.capacity)}
+	return utilization{slowStart.run / max(1, slowStart.capacity), fullSpeed.run / max(1, fullSpeed.capacity)}
 }
 
-// ScenarioHash identifies the text of a scenario.
+// ScenarioHash returns a hash of the text of a scenario.
 func ScenarioHash(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/chaostest/simulated_test.go
+++ b/internal/chaostest/simulated_test.go
@@ -10,8 +10,9 @@
 	"hollymast/internal/invariant"
 )
 
-// A small simulated run is equal to the last record on every machine and with any number of threads. The hash changes with every
-// change of what the balancer, the core, the model server or the clients do: then look at the run, and put the new one here.
+// A small simulated run has the same records, and so the same hash, on every machine and with any number of threads. The hash
+// changes with every change in behavior of the balancer, the core, the model server or the clients: check the run then, and update
+// the constant.
 func TestSimulatedRun(t *testing.T) {
 	text, err := os.ReadFile("../../days/short.ini")
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// Attempts on a server in slow start count against what it could run at its age, all others against full speed.
+// Attempts on a server in slow start count against its capacity at its age, all others against the full rate.
 func TestUtilization(t *testing.T) {
 	h := &harness{scenario: &Scenario{Length: 10 * time.Second}, servers: make([]*fakeserver.Server, 2)}
 	records := []invariant.Record{{At: 100, Kind: invariant.EndpointPublished}, {At: 100 + 2_000_000, Kind: invariant.ServerStarted, Server: 1}}
@@ -47,7 +48,7 @@
 		records = append(records, invariant.Record{At: 100 + 3_000_000, Kind: invariant.AttemptStarted, Server: i % 2})
 	}
 	use := h.utilization(records) // 4 s from a quarter to all of 40 per second; 16 s at 40
-	if math.Abs(use.slowStart-0.5) > 0.001 || math.Abs(use.usual-50.0/640) > 0.001 {
-		t.Errorf("slow start %.4f, otherwise %.4f", use.slowStart, use.usual)
+	if math.Abs(use.slowStart-0.5) > 0.001 || math.Abs(use.fullSpeed-50.0/640) > 0.001 {
+		t.Errorf("slow start %.4f, otherwise %.4f", use.slowStart, use.fullSpeed)
 	}
 }
--- a/internal/chaostest/stream.go
+++ b/internal/chaostest/stream.go
@@ -14,7 +14,7 @@
 	"hollymast/internal/rest"
 )
 
-// Latencies are kept from one microsecond to a minute, to three significant digits.
+// Latencies are recorded from one microsecond to a minute, with three significant digits.
 const (
 	maxLatency    = 60_000_000 // microseconds
 	latencyDigits = 3
@@ -23,16 +23,16 @@
 // streamTimeout is how long a client waits for a response: longer than the request's own timeout.
 const streamTimeout = 20 * time.Second
 
-// stream is a steady stream of requests under way. Its connections share it: each takes the next request that is due.
+// stream is a steady stream of requests in progress. Its connections share it: each takes the next request that is due.
 type stream struct {
 	test      LoadTest
-	addresses []string // connections go to them in rotation
+	addresses []string // connections are distributed over them in turn
 	body      []byte   // of each request
 	total     int64    // requests
 	ready     sync.WaitGroup
-	start     chan struct{} // closed once all connections are open: the stream doesn't include what that costs
+	start     chan struct{} // closed once all connections are open, so that opening them isn't measured
 	startedAt time.Time     // set before start is closed
-	next      atomic.Int64  // request
+	next      atomic.Int64  // number of the next request
 	failed    atomic.Int64
 
 	mu        sync.Mutex
@@ -40,7 +40,7 @@
 	err       error // of a connection that couldn't be opened
 }
 
-// runStream sends the stream of a test and returns what it showed.
+// runStream sends the stream of a test and returns the result.
 func runStream(ctx context.Context, test LoadTest, addresses []string) (LoadResult, error) {
 	tensors := strings.Repeat("1,", max(0, test.TensorBytes/2)) + "1"
 	s := &stream{test: test, addresses: addresses, total: int64(float64(test.Rate) * test.Length.Seconds()), start: make(chan struct{}), latencies: newHistogram(),
@@ -63,7 +63,7 @@
 
 // runConnection sends requests over one connection at a time until all are sent. It opens another one after an error.
 func (s *stream) runConnection(ctx context.Context, address string) {
-	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.handshake)
 	s.ready.Done()
 	<-s.start
 	if err != nil {
@@ -89,18 +89,18 @@
 			continue
 		}
 		c.Close()
-		another, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.secure)
+		replacement, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.handshake)
 		if err != nil {
 			return
 		}
-		c = another
+		c = replacement
 	}
 	s.mu.Lock()
 	s.latencies.Merge(latencies)
 	s.mu.Unlock()
 }
 
-// awaitDue waits until a request is due, and gives the time from which its latency counts. A late wake-up of this process isn't
+// awaitDue waits until a request is due, and returns the time from which its latency counts. A late wake-up of this process isn't
 // counted as latency.
 func (s *stream) awaitDue(n int64) time.Time {
 	due := s.startedAt.Add(time.Duration(float64(n) / float64(s.test.Rate) * float64(time.Second)))
--- a/internal/chaostest/timeline.go
+++ b/internal/chaostest/timeline.go
@@ -6,7 +6,7 @@
 	"hollymast/internal/invariant"
 )
 
-// SecondStats is what happened in one second of a run. Calls count in the second in which they began.
+// SecondStats holds the counts of one second of a run. Calls count in the second in which they began.
 type SecondStats struct {
 	Calls               int     `json:"Effects"`
 	InTime              int     `json:"Well"`       // of the calls
@@ -18,10 +18,10 @@
 	OtherTenantCalls    int     `json:"Calm"`     // calls of all tenants but the noisy one
 	OtherTenantsInTime  int     `json:"CalmWell"` // of these
 	Outstanding         int     `json:"Open"`     // requests without an answer at the end of the second
-	SlowStartBudgetUsed float64 `json:"Cold"`     // the largest share of its budget that a server in slow start had got
+	SlowStartBudgetUsed float64 `json:"Cold"`     // the largest share of its budget that a server in slow start received
 }
 
-// seconds gives the run second by second.
+// seconds returns the counts of each second of the run.
 func (h *harness) seconds(records []invariant.Record, slowStart []invariant.SlowStartWindow) []SecondStats {
 	seconds := make([]SecondStats, int(h.scenario.Length.Seconds())+1)
 	at := func(t time.Duration) *SecondStats { return &seconds[min(max(0, int(t.Seconds())), len(seconds)-1)] }
@@ -72,21 +72,21 @@
 	}
 }
 
-// Recovery is how calls that are idempotent by key fared after a fault.
+// Recovery says whether and when calls that are idempotent by key were in time again after a fault.
 type Recovery struct {
 	BaselineShare float64       // share in time before the fault
-	Recovered     bool          // the share got back to nearly that
-	RecoveryTime  time.Duration // from the end of the fault, if it did
+	Recovered     bool          // the share returned to nearly BaselineShare
+	RecoveryTime  time.Duration // from the end of the fault, if Recovered
 }
 
-// Recovery counts as complete with the first of several seconds in a row in which nearly the usual share is in time.
+// A run has recovered in the first of recoverySeconds consecutive seconds in which at least recoveryShare of the baseline is in time.
 const (
 	recoverySeconds = 3
-	recoveryShare   = 0.95 // of the usual share
+	recoveryShare   = 0.95 // of Recovery.BaselineShare
 )
 
-// MeasureRecovery measures how soon the share of calls in time recovered from a fault. The first second of the run doesn't count
-// as usual, and seconds without such calls are passed over.
+// MeasureRecovery measures how soon the share of calls in time recovered from a fault. The first second of the run isn't part of
+// the baseline, and seconds without calls that are idempotent by key are skipped.
 func MeasureRecovery(seconds []SecondStats, f Fault) Recovery {
 	calls, inTime := 0, 0
 	for i, s := range seconds {
@@ -96,16 +96,16 @@
 	}
 	r := Recovery{BaselineShare: share(inTime, calls)}
 	end := f.At + f.Duration
-	inRow := 0
+	consecutive := 0
 	for i := int(end.Seconds()); i < len(seconds); i++ {
 		s := seconds[i]
 		if s.KeyedCalls == 0 {
 			continue
 		}
-		if inRow++; float64(s.KeyedInTime) < recoveryShare*r.BaselineShare*float64(s.KeyedCalls) {
-			inRow = 0
+		if consecutive++; float64(s.KeyedInTime) < recoveryShare*r.BaselineShare*float64(s.KeyedCalls) {
+			consecutive = 0
 		}
-		if inRow == recoverySeconds {
+		if consecutive == recoverySeconds {
 			r.Recovered, r.RecoveryTime = true, time.Duration(i-recoverySeconds+1)*time.Second-end
 			break
 		}
--- a/internal/chaostest/workload.go
+++ b/internal/chaostest/workload.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// workload is a class of requests, and its share of the load.
+// workload is a class of calls, and its share of the load.
 type workload struct {
 	name             string
-	effect           string // as the configuration writes it: one of the effects below
-	scope            string // of idempotency by key: one of the scopes below
+	effect           string // one of the effects below, as the configuration names them
+	scope            string // of idempotency keys: one of the scopes below; empty: not idempotent by key
 	importance       float64
 	share            float64
 	latencyObjective time.Duration
 	maxDeadline      time.Duration
-	window           time.Duration // for which a key is remembered
+	window           time.Duration // for which a key is remembered; 0: not idempotent by key
 }
 
-// What a second run of a request does.
+// Effects: whether a request may run more than once.
 const (
 	effectIdempotent      = "restartable"
 	effectIdempotentByKey = "fingerprinted"
 	effectNonIdempotent   = "run-once"
 )
 
-// Which servers share the keys of a workload that is idempotent by key.
+// Scopes: which servers share the keys of a workload that is idempotent by key.
 const (
 	scopeFleet = "fleet"
 	scopeZone  = "zone"
@@ -34,14 +34,14 @@
 	{"ticket", effectNonIdempotent, "", 2, 0.15, 400 * time.Millisecond, 3 * time.Second, 0},
 }
 
-// Idempotency keys are one of these prefixes and the operation's number. Fake servers remember none with the first prefix:
-// only routers can keep a non-idempotent request from running twice.
+// An idempotency key is one of these prefixes and the number of the call. Fake servers don't deduplicate keys with the first prefix,
+// so that only routers keep a non-idempotent request from running twice.
 const (
 	nonIdempotentKeyPrefix = "once-"
 	idempotentKeyPrefix    = "effect-"
 )
 
-// keyPrefix begins the idempotency keys of the workload's requests.
+// keyPrefix returns the prefix of the idempotency keys of the workload's requests.
 func (w *workload) keyPrefix() string {
 	if w.effect == effectNonIdempotent {
 		return nonIdempotentKeyPrefix
@@ -49,9 +49,9 @@
 	return idempotentKeyPrefix
 }
 
-// The two tenants, and the quota of the one that may send too much, in requests per second.
+// The two tenants, and the quota of the noisy one in requests per second.
 const (
-	usualTenant      = "calm"
+	regularTenant    = "calm"
 	noisyTenant      = "loud"
 	noisyTenantQuota = 20
 )
