--- a/internal/program/buildid.go
+++ b/internal/program/buildid.go
@@ -7,10 +7,11 @@
 	"os"
 )
 
-// buildIDSize is how many bytes of the hash identify a build.
+// buildIDSize is the number of bytes of the hash that identify a build.
 const buildIDSize = 8
 
-// BuildID identifies the running program by its bytes, so that two builds of one version differ. It is empty if they can't be read.
+// BuildID returns an identifier of the running program. It is a hash of the executable, so that two builds of one version differ. It
+// is empty if the executable can't be read.
 func BuildID() string {
 	name, err := os.Executable()
 	if err != nil {
@@ -19,7 +20,7 @@
 	return BuildIDOf(name)
 }
 
-// BuildIDOf identifies a program by its file.
+// BuildIDOf returns the identifier of the program in a file, or an empty string if the file can't be read.
 func BuildIDOf(name string) string {
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/program/doc.go
+++ b/internal/program/doc.go
@@ -1,2 +1,2 @@
-// Package program has what the command-line programs share: flags, logging, exit codes, and how errors are printed.
+// Package program holds what the command-line programs share: flags, logging, exit codes and the printing of errors.
 package program
--- a/internal/program/exit.go
+++ b/internal/program/exit.go
@@ -15,16 +15,16 @@
 	ExitUsage   = 2 // the arguments or a file that they name are wrong
 )
 
-// UsageError marks an error in the arguments of a program, or in a file that they name.
+// UsageError wraps an error in the arguments of a program, or in a file that they name.
 type UsageError struct{ Err error }
 
 func (e UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e UsageError) Unwrap() error { return e.Err }
 
-// Exit ends the program with the exit code that an error stands for, after printing it. Every problem of a configuration file is
-// printed on a line of its own.
+// Exit prints an error, if there is one, and exits with the exit code for it. Every problem of a configuration file is printed on a
+// line of its own.
 func Exit(program string, err error) {
 	var invalid *inifile.ValidationError
 	var usage UsageError
--- a/internal/program/flags.go
+++ b/internal/program/flags.go
@@ -10,14 +10,14 @@
 
 // CommonFlags are the flags of all programs.
 type CommonFlags struct {
-	Version    kong.VersionFlag `help:"Print the build and end."`
-	Completion completion       `placeholder:"SHELL" help:"Print what switches completion on in bash, zsh or fish, and end."`
+	Version    kong.VersionFlag `help:"Print the build and exit."`
+	Completion completion       `placeholder:"SHELL" help:"Print a script that turns on completion in bash, zsh or fish, and exit."`
 }
 
-// completion is the flag that prints a shell's completion script. The scripts have the shell ask the program itself.
+// completion is the flag that prints a shell's completion script. With it the shell runs the program to get completions.
 type completion string
 
-// BeforeReset prints the script and ends the program. It is called before required arguments are checked.
+// BeforeReset prints the script and exits. Kong calls it before it checks required arguments.
 func (completion) BeforeReset(app *kong.Kong, ctx *kong.Context, trace *kong.Path) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -32,14 +32,13 @@
 	case "fish":
 		fmt.Fprintf(app.Stdout, "complete -c %s -f -a '(env COMP_LINE=(commandline -cp) %q)'\n", name, self)
 	default:
-		return fmt.Errorf("%q is none of bash, zsh, fish", shell)
+		return fmt.Errorf("%q is not one of bash, zsh, fish", shell)
 	}
 	app.Exit(ExitOK)
 	return nil
 }
 
-// Parse parses the arguments into a struct as kong wants it, and ends the program if they are wrong or if a shell asks for a
-// completion.
+// Parse parses the arguments into a struct with kong's tags. It exits if they are wrong, or if a shell requests a completion.
 func Parse(cli any, program, description string) *kong.Context {
 	parser, err := kong.New(cli, kong.Name(program), kong.Description(description), kong.Vars{"version": program + " " + BuildID()},
 		kong.Exit(func(code int) {
--- a/internal/program/logging.go
+++ b/internal/program/logging.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger returns a structured logger: one JSON object a line, with times in microseconds since 1970. The level is info if its
+// NewLogger returns a logger that writes one JSON object per line, with times in microseconds since 1970. The level is info if its
 // name is unknown.
 func NewLogger(w io.Writer, program, level string) zerolog.Logger {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -10,8 +10,8 @@
 	"hollymast/internal/inifile"
 )
 
-// ends are the ways in which a program may end, by name.
-var ends = map[string]struct {
+// exitCases maps the ways in which a program may end to the error and the exit code.
+var exitCases = map[string]struct {
 	err  error
 	code int
 }{
@@ -22,28 +22,28 @@
 	"invalid configuration": {&inifile.ValidationError{Problems: []string{"a.ini:3: cold: no span of time"}}, 2},
 }
 
-const endVariable = "PROGRAM_TEST_END"
+const exitCaseVariable = "PROGRAM_TEST_END"
 
-// TestMain ends this process as Exit does where a test started it for that.
+// TestMain calls Exit if a test started this process with the name of an exit case.
 func TestMain(m *testing.M) {
-	if name := os.Getenv(endVariable); name != "" {
-		Exit("program", ends[name].err)
+	if name := os.Getenv(exitCaseVariable); name != "" {
+		Exit("program", exitCases[name].err)
 	}
 	os.Exit(m.Run())
 }
 
-// Scripts and unit files go by the exit codes: these stay.
+// Scripts and systemd unit files depend on the exit codes, so they must not change.
 func TestExitCodes(t *testing.T) {
-	for name, end := range ends {
+	for name, exitCase := range exitCases {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), endVariable+"="+name)
+		cmd.Env = append(os.Environ(), exitCaseVariable+"="+name)
 		err := cmd.Run()
 		var failed *exec.ExitError
 		if err != nil && !errors.As(err, &failed) {
 			t.Fatal(err)
 		}
-		if got := cmd.ProcessState.ExitCode(); got != end.code {
-			t.Errorf("%s: exit code %d, want %d", name, got, end.code)
+		if got := cmd.ProcessState.ExitCode(); got != exitCase.code {
+			t.Errorf("%s: exit code %d, want %d", name, got, exitCase.code)
 		}
 	}
 }
