--- a/cmd/hmchaos/load.go
+++ b/cmd/hmchaos/load.go
@@ -24,7 +24,7 @@
 	Router      string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
 }
 
-var errCountBelowOne = errors.New("--connections, --servers and --functions must be at least 1, and --idle must not be negative")
+var errInvalidLoadCounts = errors.New("--connections, --servers and --functions must be at least 1, and --idle must not be negative")
 
 // Run measures the streams at each rate and prints a result for each path.
 func (l loadCmd) Run() error {
@@ -33,7 +33,7 @@
 		return err
 	}
 	if min(l.Connections, l.Servers, l.Functions) < 1 || l.Idle < 0 {
-		return program.UsageError{Err: errCountBelowOne}
+		return program.UsageError{Err: errInvalidLoadCounts}
 	}
 	ctx, stop := untilInterrupted()
 	defer stop()
--- a/internal/chaostest/churnresult.go
+++ b/internal/chaostest/churnresult.go
@@ -43,7 +43,7 @@
 func (r *ChurnResult) measureDelays(records []invariant.Record) {
 	removed := map[int]*removal{} // servers that are removed at present
 	var delays []int64
-	addDelay := func(server int) {
+	endRemoval := func(server int) {
 		if m := removed[server]; m != nil && m.lastReceived > m.at {
 			delays = append(delays, m.lastReceived-m.at)
 		}
@@ -54,7 +54,7 @@
 		switch record.Kind {
 		case invariant.EndpointPublished:
 			if record.Detail == invariant.EndpointReady {
-				addDelay(record.Server)
+				endRemoval(record.Server)
 			} else if m == nil {
 				removed[record.Server] = &removal{at: record.At}
 				r.RemovedServers++
@@ -66,7 +66,7 @@
 		}
 	}
 	for server := range removed {
-		addDelay(server)
+		endRemoval(server)
 	}
 	if r.LateServers = len(delays); r.LateServers == 0 {
 		return
--- a/internal/chaostest/loadtest.go
+++ b/internal/chaostest/loadtest.go
@@ -43,7 +43,7 @@
 	Throughput       float64 // achieved requests per second
 	RecordedBytes    float64 // per request
 	LostSteps        uint64  // steps of the event loop that the recordings lost
-	ReplaySpeed      float64 // recorded time per time that the replay took
+	ReplaySpeed      float64 // recorded time divided by the time that its replay took
 	Ratios           []Ratio // of streams with a feature enabled to those without it
 	Note             string
 }
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -12,8 +12,8 @@
 	"hollymast/internal/rest"
 )
 
-// rotationInterval is the time between two renewals of all certificates in the third stream of each triple, far shorter than in
-// any deployment.
+// rotationInterval is the time between two renewals of all certificates in the third stream of each triple. It is far
+// shorter than in any deployment.
 const rotationInterval = 500 * time.Millisecond
 
 // measureTLS measures triples of streams: through the plain router, through a router with TLS to clients and servers, and through
--- a/internal/chaostest/scenario.go
+++ b/internal/chaostest/scenario.go
@@ -55,7 +55,7 @@
 	ClientsBasic       ClientBehavior = "usual" // retry as their workload and the response allow, with three requests per call at most
 	ClientsWithLibrary ClientBehavior = "good"  // use the client library
 	ClientsBlind       ClientBehavior = "bad"   // retry almost immediately, without retry headers, until their deadline
-	ClientsMixed       ClientBehavior = "mixed" // half good, half bad
+	ClientsMixed       ClientBehavior = "mixed" // half of the clients use the library, the others retry blindly
 )
 
 // ClientBehaviors lists all client behaviors.
