--- a/client/attempts.go
+++ b/client/attempts.go
@@ -28,7 +28,7 @@
 	inFlight    int
 	attemptDue  *time.Timer
 	hedgeDue    *time.Timer
-	lastFailure *Failed
+	lastFailure *CallError
 	lastRouter  int
 	otherRouter bool // the next attempt avoids lastRouter
 	mayHaveRun  bool // one of the attempts may have
@@ -41,8 +41,8 @@
 // attemptResult is how an attempt ended.
 type attemptResult struct {
 	retry.AttemptResult
-	answer    Answer
-	failed    *Failed // nil: it succeeded
+	answer    Response
+	failed    *CallError // nil: it succeeded
 	duration  time.Duration
 	connected bool // it had a connection
 	local     bool // its failure says nothing of the router
@@ -66,14 +66,14 @@
 		deadline:    deadline,
 		retry:       retry.NewCall(call.Workload.class(), c.now()+remaining),
 		results:     make(chan attemptResult, maxUnreadResults),
-		lastFailure: &Failed{Kind: Unreached, Why: "its time was up before a router could be asked"},
+		lastFailure: &CallError{Kind: NotSent, Reason: "its time was up before a router could be asked"},
 		lastRouter:  -1,
 		conns:       map[*rest.Client]bool{},
 	}
 }
 
 // run makes attempts until the call has its outcome.
-func (s *callState) run(ctx context.Context) (Answer, *Failed) {
+func (s *callState) run(ctx context.Context) (Response, *CallError) {
 	const never = time.Hour // far beyond any call
 	defer s.abort()         // a slower hedged attempt, or all where the caller gave up
 	ctx, cancel := context.WithCancel(ctx)
@@ -85,7 +85,7 @@
 		select {
 		case <-s.attemptDue.C:
 			if !s.startAttempt(ctx) && s.inFlight == 0 {
-				return Answer{}, s.failure()
+				return Response{}, s.failure()
 			}
 		case <-s.hedgeDue.C:
 			s.hedge()
@@ -95,12 +95,12 @@
 			case result.Outcome == retry.Succeeded:
 				return result.answer, nil
 			case result.Outcome == retry.Invalid || decision.Done && s.inFlight == 0:
-				return Answer{}, s.failure()
+				return Response{}, s.failure()
 			case !decision.Done:
 				s.attemptDue.Reset(time.Until(s.client.at(decision.RetryAt)))
 			}
 		case <-ctx.Done():
-			return Answer{}, &Failed{Kind: s.kindOnTimeout(), Why: "the caller's time was up", Err: context.Cause(ctx)}
+			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the caller's time was up", Err: context.Cause(ctx)}
 		}
 	}
 }
@@ -167,22 +167,22 @@
 }
 
 // failure returns a failed call's outcome. What may have run is never called harmless, whatever the last attempt met.
-func (s *callState) failure() *Failed {
+func (s *callState) failure() *CallError {
 	failed := s.lastFailure
-	if s.mayHaveRun && (failed.Kind == Unreached || failed.Kind == PushedBack && s.call.Workload.Effect == RunOnce) {
-		failed.Kind = Unknown
+	if s.mayHaveRun && (failed.Kind == NotSent || failed.Kind == Rejected && s.call.Workload.Effect == NonIdempotent) {
+		failed.Kind = OutcomeUnknown
 	}
 	return failed
 }
 
 // kindOnTimeout is the kind of a call that its caller gave up: an attempt that waits for a connection has not run.
-func (s *callState) kindOnTimeout() Kind {
+func (s *callState) kindOnTimeout() FailureKind {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.mayHaveRun || s.connected > 0 {
-		return Unknown
+		return OutcomeUnknown
 	}
-	return Unreached
+	return NotSent
 }
 
 // abort ends the exchanges in progress, which tells their routers that nobody waits for the answer.
@@ -199,38 +199,38 @@
 func (s *callState) attempt(ctx context.Context, router, number int) {
 	hooks := &s.client.options.Hooks
 	begun := time.Now()
-	try := Try{Mark: s.call.Mark, Number: number, Router: s.client.options.Routers[router], Left: time.Until(s.deadline)}
-	if hooks.Try != nil {
-		hooks.Try(try)
+	try := Attempt{IdempotencyKey: s.call.IdempotencyKey, Number: number, Router: s.client.options.Routers[router], Remaining: time.Until(s.deadline)}
+	if hooks.AttemptStarted != nil {
+		hooks.AttemptStarted(try)
 	}
 	result := s.connectAndExchange(ctx, router, &try)
 	result.duration = time.Since(begun)
 	s.client.recordResult(result)
-	if s.call.Tried != nil {
-		s.call.Tried(try, outcomeNames[result.Outcome])
+	if s.call.AttemptEnded != nil {
+		s.call.AttemptEnded(try, outcomeNames[result.Outcome])
 	}
-	if hooks.Tried != nil {
-		hooks.Tried(try, outcomeNames[result.Outcome], result.duration)
+	if hooks.AttemptEnded != nil {
+		hooks.AttemptEnded(try, outcomeNames[result.Outcome], result.duration)
 	}
 	s.results <- result
 }
 
 // connectAndExchange gets a connection and makes the attempt's exchange on it. It sets the time that try has left then.
-func (s *callState) connectAndExchange(ctx context.Context, router int, try *Try) attemptResult {
+func (s *callState) connectAndExchange(ctx context.Context, router int, try *Attempt) attemptResult {
 	c := s.client
 	result := attemptResult{AttemptResult: retry.AttemptResult{Router: router, SentAt: c.now()}}
 	conn, err := c.acquire(ctx, router)
 	switch {
 	case err != nil:
 		result.Outcome = retry.NotSent
-		result.failed = &Failed{Kind: Unreached, Why: "no connection to " + try.Router + ": " + err.Error(), Err: err}
+		result.failed = &CallError{Kind: NotSent, Reason: "no connection to " + try.Router + ": " + err.Error(), Err: err}
 		result.local = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
 		result.notSent("the call is over")
 	default:
 		result.SentAt, result.connected = c.now(), true
-		try.Left = time.Until(s.deadline)
+		try.Remaining = time.Until(s.deadline)
 		s.exchange(conn, *try, &result)
 	}
 	return result
@@ -238,7 +238,7 @@
 
 // notSent makes the result that of an attempt that this side did not send.
 func (r *attemptResult) notSent(why string) {
-	r.Outcome, r.failed, r.local = retry.NotSent, &Failed{Kind: Unreached, Why: why}, true
+	r.Outcome, r.failed, r.local = retry.NotSent, &CallError{Kind: NotSent, Reason: why}, true
 }
 
 // recordResult records what an attempt says of its router.
--- a/client/client.go
+++ b/client/client.go
@@ -54,8 +54,8 @@
 	if o.Connections == 0 {
 		o.Connections = defaultConnections
 	}
-	if o.Patience == 0 {
-		o.Patience = defaultPatience
+	if o.DefaultTimeout == 0 {
+		o.DefaultTimeout = defaultPatience
 	}
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
@@ -97,15 +97,15 @@
 }
 
 // Infer makes a call. It has one outcome: an answer, or an error that is a *Failed.
-func (c *Client) Infer(ctx context.Context, call Call) (Answer, error) {
+func (c *Client) Infer(ctx context.Context, call Call) (Response, error) {
 	begun := time.Now()
 	deadline := c.deadline(ctx, call, begun)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.options.Late))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(c.options.LateResponseTimeout))
 	defer cancel()
 	c.mu.Lock()
-	if call.Mark == "" {
+	if call.IdempotencyKey == "" {
 		c.keysIssued++
-		call.Mark = c.keyPrefix + strconv.FormatUint(c.keysIssued, 36)
+		call.IdempotencyKey = c.keyPrefix + strconv.FormatUint(c.keysIssued, 36)
 	}
 	c.budget.Deposit()
 	c.mu.Unlock()
@@ -115,15 +115,15 @@
 	kind := "finished"
 	if failed != nil {
 		kind = string(failed.Kind)
-		failed.Tries = attempts
+		failed.Attempts = attempts
 	}
-	if c.options.Hooks.Done != nil {
-		c.options.Hooks.Done(kind, attempts, time.Since(begun))
+	if c.options.Hooks.CallEnded != nil {
+		c.options.Hooks.CallEnded(kind, attempts, time.Since(begun))
 	}
 	if failed != nil {
-		return Answer{}, failed
+		return Response{}, failed
 	}
-	answer.Tries = attempts
+	answer.Attempts = attempts
 	return answer, nil
 }
 
@@ -131,13 +131,13 @@
 // calls with neither.
 func (c *Client) deadline(ctx context.Context, call Call, begun time.Time) time.Time {
 	deadline, limited := ctx.Deadline()
-	patience := call.Patience
+	patience := call.Timeout
 	if patience <= 0 {
 		if limited {
 			return deadline
 		}
 		if patience == 0 {
-			patience = c.options.Patience
+			patience = c.options.DefaultTimeout
 		}
 	}
 	if at := begun.Add(patience); !limited || at.Before(deadline) {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -96,7 +96,7 @@
 		if err != nil {
 			return
 		}
-		h := receivedRequest{receivedAt: time.Now(), router: i, key: q.Header.Get(kserve.RepeatMark)}
+		h := receivedRequest{receivedAt: time.Now(), router: i, key: q.Header.Get(kserve.IdempotencyKeyHeader)}
 		h.attempt, _ = strconv.Atoi(q.Header.Get(kserve.AttemptHeader))
 		ms, _ := strconv.Atoi(q.Header.Get(kserve.TimeoutHeader))
 		h.timeout = time.Duration(ms) * time.Millisecond
@@ -115,7 +115,7 @@
 }
 
 func failWith(status int, answer string, after time.Duration) *rest.Response {
-	return &rest.Response{Status: status, Header: rest.Header{}, Body: kserve.Fault{Error: answer, Answer: answer, RetryAfter: after.Microseconds()}.Body()}
+	return &rest.Response{Status: status, Header: rest.Header{}, Body: kserve.ErrorBody{Error: answer, Outcome: answer, RetryAfter: after.Microseconds()}.JSON()}
 }
 
 func newClient(t *testing.T, o Options) *Client {
@@ -156,9 +156,9 @@
 	})
 	var doneMu sync.Mutex
 	done := 0
-	c := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{Done: func(string, int, time.Duration) { doneMu.Lock(); done++; doneMu.Unlock() }}})
+	c := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{CallEnded: func(string, int, time.Duration) { doneMu.Lock(); done++; doneMu.Unlock() }}})
 	const calls, window = 10_000, 30 * time.Millisecond
-	workloads := []Workload{{Effect: RunOnce}, {Effect: Restartable}, {Effect: Fingerprinted, Window: window}, {Effect: Fingerprinted, Window: window, Narrow: true}}
+	workloads := []Workload{{Effect: NonIdempotent}, {Effect: Idempotent}, {Effect: IdempotentByKey, KeyWindow: window}, {Effect: IdempotentByKey, KeyWindow: window, PartialKeyScope: true}}
 	kinds := map[string]int{}
 	asked := make([]time.Time, calls)
 	patience := make([]time.Duration, calls)
@@ -172,9 +172,9 @@
 			ctx, cancel := context.WithTimeout(context.Background(), patience[i])
 			defer cancel()
 			asked[i] = time.Now()
-			_, err := c.Infer(ctx, Call{Model: "m", Body: body, Mark: strconv.Itoa(i), Workload: workloads[i%4]})
+			_, err := c.Infer(ctx, Call{Model: "m", Body: body, IdempotencyKey: strconv.Itoa(i), Workload: workloads[i%4]})
 			kind := "finished"
-			var failed *Failed
+			var failed *CallError
 			if errors.As(err, &failed) {
 				kind = string(failed.Kind)
 			} else if err != nil {
@@ -228,22 +228,22 @@
 		w      Workload
 		handle handler
 		want   int
-		kind   Kind
+		kind   FailureKind
 	}{
-		"run-once, broken":         {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
-		"run-once, killed":         {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(504, "killed", 0) }, 1, Killed},
-		"run-once, another's 502":  {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(502, "", 0) }, 1, Killed},
-		"run-once, pushed back":    {Workload{Effect: RunOnce}, func(receivedRequest) *rest.Response { return failWith(503, "pushed back", time.Millisecond) }, 4, PushedBack},
-		"restartable, broken":      {Workload{Effect: Restartable}, func(receivedRequest) *rest.Response { return nil }, 4, Unknown},
-		"fingerprinted, narrow":    {Workload{Effect: Fingerprinted, Window: time.Minute, Narrow: true}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
-		"fingerprinted, too short": {Workload{Effect: Fingerprinted, Window: time.Millisecond}, func(receivedRequest) *rest.Response { return nil }, 1, Unknown},
-		"wrong":                    {Workload{Effect: Restartable}, func(receivedRequest) *rest.Response { return failWith(400, "", 0) }, 1, Wrong},
+		"run-once, broken":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return nil }, 1, OutcomeUnknown},
+		"run-once, killed":         {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return failWith(504, "killed", 0) }, 1, RequestFailed},
+		"run-once, another's 502":  {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return failWith(502, "", 0) }, 1, RequestFailed},
+		"run-once, pushed back":    {Workload{Effect: NonIdempotent}, func(receivedRequest) *rest.Response { return failWith(503, "pushed back", time.Millisecond) }, 4, Rejected},
+		"restartable, broken":      {Workload{Effect: Idempotent}, func(receivedRequest) *rest.Response { return nil }, 4, OutcomeUnknown},
+		"fingerprinted, narrow":    {Workload{Effect: IdempotentByKey, KeyWindow: time.Minute, PartialKeyScope: true}, func(receivedRequest) *rest.Response { return nil }, 1, OutcomeUnknown},
+		"fingerprinted, too short": {Workload{Effect: IdempotentByKey, KeyWindow: time.Millisecond}, func(receivedRequest) *rest.Response { return nil }, 1, OutcomeUnknown},
+		"wrong":                    {Workload{Effect: Idempotent}, func(receivedRequest) *rest.Response { return failWith(400, "", 0) }, 1, InvalidRequest},
 	} {
 		r := startRouters(t, 2, c.handle)
 		lib := newClient(t, Options{Routers: r.addresses})
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: c.w})
-		var failed *Failed
-		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Tries != c.want {
+		var failed *CallError
+		if !errors.As(err, &failed) || failed.Kind != c.kind || failed.Attempts != c.want {
 			t.Errorf("%s: %v", name, err)
 		}
 		r.mu.Lock()
@@ -290,8 +290,8 @@
 	}()
 	<-came
 	cancel()
-	var failed *Failed
-	if err := <-ended; !errors.As(err, &failed) || failed.Kind != Unknown || !errors.Is(err, context.Canceled) {
+	var failed *CallError
+	if err := <-ended; !errors.As(err, &failed) || failed.Kind != OutcomeUnknown || !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 	<-left
@@ -308,7 +308,7 @@
 	for i := range 60 {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: Workload{Effect: Restartable}}); err != nil {
+				if _, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Workload: Workload{Effect: Idempotent}}); err != nil {
 					select {
 					case bad <- fmt.Sprintf("%d: %v", i, err):
 					default:
@@ -345,7 +345,7 @@
 // An attempt that gets its connection only after the call's deadline is not sent, though late answers would still be read.
 func TestNothingIsSentLate(t *testing.T) {
 	r := startRouters(t, 1, func(h receivedRequest) *rest.Response { time.Sleep(150 * time.Millisecond); return succeed(h) })
-	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, Late: time.Second})
+	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, LateResponseTimeout: time.Second})
 	first := make(chan error)
 	go func() {
 		_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body})
@@ -356,9 +356,9 @@
 		sent = len(r.requests)
 		r.mu.Unlock()
 	}
-	_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Patience: 50 * time.Millisecond})
-	var failed *Failed
-	if !errors.As(err, &failed) || failed.Kind != Unreached {
+	_, err := lib.Infer(context.Background(), Call{Model: "m", Body: body, Timeout: 50 * time.Millisecond})
+	var failed *CallError
+	if !errors.As(err, &failed) || failed.Kind != NotSent {
 		t.Errorf("got %v", err)
 	}
 	if err := <-first; err != nil {
@@ -385,7 +385,7 @@
 		return succeed(h)
 	})
 	lib := newClient(t, Options{Routers: r.addresses})
-	call := Call{Model: "m", Body: body, Workload: Workload{Effect: Restartable, Hedge: true}}
+	call := Call{Model: "m", Body: body, Workload: Workload{Effect: Idempotent, Hedge: true}}
 	for range 30 {
 		if _, err := lib.Infer(context.Background(), call); err != nil {
 			t.Fatal(err)
@@ -396,7 +396,7 @@
 	mu.Unlock()
 	begun := time.Now()
 	a, err := lib.Infer(context.Background(), call)
-	if err != nil || a.Tries != 2 || time.Since(begun) > 400*time.Millisecond {
+	if err != nil || a.Attempts != 2 || time.Since(begun) > 400*time.Millisecond {
 		t.Errorf("%+v, %v, %s", a, err, time.Since(begun))
 	}
 }
--- a/client/connections.go
+++ b/client/connections.go
@@ -63,15 +63,15 @@
 	if c.options.TLS != nil {
 		handshake = c.tlsHandshake
 	}
-	conn, err := rest.DialWith(ctx, c.options.Routers[router], &rest.DefaultLimits, handshake)
+	conn, err := rest.DialWithHandshake(ctx, c.options.Routers[router], &rest.DefaultLimits, handshake)
 	if err != nil {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.connectionClosed(router)
 		return nil, err
 	}
-	if c.options.Hooks.Connected != nil {
-		c.options.Hooks.Connected(c.options.Routers[router])
+	if c.options.Hooks.ConnectionOpened != nil {
+		c.options.Hooks.ConnectionOpened(c.options.Routers[router])
 	}
 	return conn, nil
 }
@@ -95,8 +95,8 @@
 func (c *Client) connectionLost(router int) {
 	c.open[router]--
 	c.routers.ConnectionLost(c.now(), router, c.random)
-	if c.options.Hooks.Lost != nil {
-		c.options.Hooks.Lost(c.options.Routers[router])
+	if c.options.Hooks.ConnectionLost != nil {
+		c.options.Hooks.ConnectionLost(c.options.Routers[router])
 	}
 }
 
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -18,11 +18,11 @@
 const tenantHeader = "X-Tenant"
 
 // exchange sends an attempt on a connection and reads its answer into the result.
-func (s *callState) exchange(conn *rest.Client, try Try, result *attemptResult) {
+func (s *callState) exchange(conn *rest.Client, try Attempt, result *attemptResult) {
 	c := s.client
 	body := s.call.Body
-	if s.call.BodyOf != nil {
-		body = s.call.BodyOf(try)
+	if s.call.BodyFor != nil {
+		body = s.call.BodyFor(try)
 	}
 	left := time.Until(s.deadline).Milliseconds()
 	if left <= 0 { // making the body took what was left
@@ -31,7 +31,7 @@
 		result.notSent("its time was up before it was sent")
 		return
 	}
-	response, progress, err := conn.Do(s.request(try, body, left), s.deadline.Add(c.options.Late))
+	response, progress, err := conn.Do(s.request(try, body, left), s.deadline.Add(c.options.LateResponseTimeout))
 	s.unregister(conn)
 	if err != nil {
 		// An exchange aborted by this side, by the caller or for another attempt's answer, says nothing of the router.
@@ -41,9 +41,9 @@
 		} else {
 			c.discard(result.Router, conn)
 		}
-		result.Outcome, result.failed = retry.Lost, &Failed{Kind: Unknown, Why: err.Error(), Err: err}
-		if progress < rest.WrittenWhole || errors.Is(err, rest.ErrCertificateRejected) {
-			result.Outcome, result.failed.Kind = retry.NotSent, Unreached
+		result.Outcome, result.failed = retry.Lost, &CallError{Kind: OutcomeUnknown, Reason: err.Error(), Err: err}
+		if progress < rest.FullyWritten || errors.Is(err, rest.ErrCertificateRejected) {
+			result.Outcome, result.failed.Kind = retry.NotSent, NotSent
 		}
 		return
 	}
@@ -56,41 +56,41 @@
 }
 
 // request returns an attempt's request. Left is the time to the deadline, in milliseconds.
-func (s *callState) request(try Try, body []byte, left int64) *rest.Request {
+func (s *callState) request(try Attempt, body []byte, left int64) *rest.Request {
 	header := rest.Header{
-		"Host":               {try.Router},
-		"Content-Type":       {"application/json"},
-		kserve.RepeatMark:    {try.Mark},
-		kserve.AttemptHeader: {strconv.Itoa(try.Number)},
-		kserve.TimeoutHeader: {strconv.FormatInt(left, 10)},
+		"Host":                      {try.Router},
+		"Content-Type":              {"application/json"},
+		kserve.IdempotencyKeyHeader: {try.IdempotencyKey},
+		kserve.AttemptHeader:        {strconv.Itoa(try.Number)},
+		kserve.TimeoutHeader:        {strconv.FormatInt(left, 10)},
 	}
-	if s.call.Header > 0 {
+	if s.call.JSONLength > 0 {
 		header["Content-Type"] = []string{"application/octet-stream"}
-		header[kserve.HeaderLength] = []string{strconv.Itoa(s.call.Header)}
+		header[kserve.JSONLengthHeader] = []string{strconv.Itoa(s.call.JSONLength)}
 	}
 	if s.call.Tenant != "" {
 		header[tenantHeader] = []string{s.call.Tenant}
 	}
-	target := kserve.Call{Kind: kserve.Infer, Model: s.call.Model, Version: s.call.Version}.Target()
+	target := kserve.Call{Operation: kserve.Infer, Model: s.call.Model, Version: s.call.Version}.Target()
 	return &rest.Request{Method: http.MethodPost, Target: target, Header: header, Body: body}
 }
 
 // read sets what a router's response says.
 func (r *attemptResult) read(response *rest.Response, router string) {
-	r.answer = Answer{Status: response.Status, Body: response.Body, Router: router}
-	r.answer.Header, _ = strconv.Atoi(response.Header.Get(kserve.HeaderLength))
+	r.answer = Response{Status: response.Status, Body: response.Body, Router: router}
+	r.answer.JSONLength, _ = strconv.Atoi(response.Header.Get(kserve.JSONLengthHeader))
 	fault := gjson.GetManyBytes(response.Body, "error", "answer", "retry_after_us")
 	text, answer, retryAfter := fault[0].Str, fault[1].Str, fault[2].Int()
-	r.failed = &Failed{Kind: Wrong, Status: response.Status, Why: text}
+	r.failed = &CallError{Kind: InvalidRequest, Status: response.Status, Reason: text}
 	switch {
 	case response.Status < http.StatusMultipleChoices:
 		r.Outcome, r.failed = retry.Succeeded, nil
-	case response.Status == http.StatusServiceUnavailable && answer == string(PushedBack):
-		r.Outcome, r.failed.Kind = retry.Rejected, PushedBack
+	case response.Status == http.StatusServiceUnavailable && answer == string(Rejected):
+		r.Outcome, r.failed.Kind = retry.Rejected, Rejected
 		r.RetryAfter = control.Micros(retryAfter)
-		r.failed.After = time.Duration(r.RetryAfter) * time.Microsecond
+		r.failed.RetryAfter = time.Duration(r.RetryAfter) * time.Microsecond
 	case response.Status >= http.StatusInternalServerError: // the router's, or a proxy's that promises nothing
-		r.Outcome, r.failed.Kind = retry.Failed, Killed
+		r.Outcome, r.failed.Kind = retry.Failed, RequestFailed
 	default:
 		r.Outcome = retry.Invalid
 	}
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -15,12 +15,12 @@
 	slow := make(chan bool)
 	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
 	var ended atomic.Int32
-	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{Tried: func(Try, string, time.Duration) { ended.Add(1) }}})
+	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{AttemptEnded: func(Attempt, string, time.Duration) { ended.Add(1) }}})
 	const each = 4 // one more than would eject a router
 	for range 2 * each {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		lib.Infer(ctx, Call{Model: "m", Body: body, Patience: time.Second})
+		lib.Infer(ctx, Call{Model: "m", Body: body, Timeout: time.Second})
 		cancel()
 	}
 	close(slow)
@@ -48,11 +48,11 @@
 func TestSlowBodies(t *testing.T) {
 	r := startRouters(t, 1, succeed)
 	lib := newClient(t, Options{Routers: r.addresses})
-	slow := func(Try) []byte { time.Sleep(200 * time.Millisecond); return body }
-	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyOf: slow, Patience: time.Second}); err != nil {
+	slow := func(Attempt) []byte { time.Sleep(200 * time.Millisecond); return body }
+	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyFor: slow, Timeout: time.Second}); err != nil {
 		t.Error(err)
 	}
-	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyOf: slow, Patience: 100 * time.Millisecond}); err == nil {
+	if _, err := lib.Infer(context.Background(), Call{Model: "m", BodyFor: slow, Timeout: 100 * time.Millisecond}); err == nil {
 		t.Error("answered in no time")
 	}
 	time.Sleep(50 * time.Millisecond)
--- a/cmd/hmcall/calls.go
+++ b/cmd/hmcall/calls.go
@@ -25,9 +25,9 @@
 
 // effects are the values of --effect and of a call's effect.
 var effects = map[string]client.Effect{
-	"run-once":      client.RunOnce,
-	"restartable":   client.Restartable,
-	"fingerprinted": client.Fingerprinted,
+	"run-once":      client.NonIdempotent,
+	"restartable":   client.Idempotent,
+	"fingerprinted": client.IdempotentByKey,
 }
 
 // emptyRequest is the body of a call that gives none.
--- a/cmd/hmcall/run.go
+++ b/cmd/hmcall/run.go
@@ -99,14 +99,14 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	begun := time.Now()
-	answer, err := library.Infer(ctx, client.Call{Model: x.Model, Body: x.Request, Mark: x.Mark, Tenant: x.Tenant, Workload: client.Workload{
-		Effect: effects[effect], Narrow: c.Narrow, Window: c.Window, Remembered: c.Remembered, Hedge: c.Hedge}})
-	r := result{Model: x.Model, Outcome: finished, Status: answer.Status, Tries: answer.Tries, Router: answer.Router,
+	answer, err := library.Infer(ctx, client.Call{Model: x.Model, Body: x.Request, IdempotencyKey: x.Mark, Tenant: x.Tenant, Workload: client.Workload{
+		Effect: effects[effect], PartialKeyScope: c.Narrow, KeyWindow: c.Window, KeysPersisted: c.Remembered, Hedge: c.Hedge}})
+	r := result{Model: x.Model, Outcome: finished, Status: answer.Status, Tries: answer.Attempts, Router: answer.Router,
 		Took: time.Since(begun).Microseconds(), Answer: answer.Body}
-	var failed *client.Failed
+	var failed *client.CallError
 	if errors.As(err, &failed) {
-		r.Outcome, r.Status, r.Tries = string(failed.Kind), failed.Status, failed.Tries
-		r.Why, r.After = failed.Why, failed.After.Microseconds()
+		r.Outcome, r.Status, r.Tries = string(failed.Kind), failed.Status, failed.Attempts
+		r.Why, r.After = failed.Reason, failed.RetryAfter.Microseconds()
 	}
 	if !json.Valid(r.Answer) { // binary tensors
 		r.Answer = nil
--- a/cmd/hmchaos/dayresult.go
+++ b/cmd/hmchaos/dayresult.go
@@ -19,7 +19,7 @@
 		{"pushed back", r.Rejected},
 		{"killed", r.Failed},
 		{"left by their clients", r.Abandoned},
-		{"excused: their router was halted", r.Excused},
+		{"excused: their router was halted", r.UnansweredWhileDown},
 		{"refused as wrong", r.NotAdmitted},
 		{"repeats by a router", r.Retries},
 	} {
@@ -61,7 +61,7 @@
 	if rule.ViolationCount > 0 {
 		finding = fmt.Sprintf("BROKEN %d times", rule.ViolationCount)
 	}
-	fmt.Printf("rule %d, %-32s %8d chances  %s\n", rule.Number, rule.Name, rule.Opportunities, finding)
+	fmt.Printf("rule %d, %-32s %8d chances  %s\n", rule.Number, rule.Name, rule.CheckCount, finding)
 	for _, v := range rule.Violations {
 		fmt.Println("   ", v)
 	}
--- a/cmd/hmchaos/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -112,7 +112,7 @@
 func (run *experimentRun) nextTrial(ctx context.Context) (experiment.Trial, bool) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	t, ok := run.experiment.Next()
+	t, ok := run.experiment.NextTrial()
 	return t, ok && run.err == nil && ctx.Err() == nil
 }
 
@@ -126,7 +126,7 @@
 	defer run.mu.Unlock()
 	switch {
 	case err == nil:
-		run.experiment.Add(result)
+		run.experiment.AddResult(result)
 		run.done++
 		bar.ChangeMax(run.done + run.experiment.Remaining())
 		bar.Set(run.done)
@@ -148,13 +148,13 @@
 		switch f.Verdict {
 		case experiment.Undecided:
 			verdict = "undecided"
-		case experiment.Alike:
+		case experiment.Equivalent:
 			verdict = "alike"
 		}
 		note := ""
 		if f.Violations > 0 {
 			note = fmt.Sprintf("; %s violated invariants %d times", f.Arm, f.Violations)
 		}
-		fmt.Printf("%-12s %s less %-14s %+.4f, 95 %% from %+.4f to %+.4f, %d seeds: %s%s\n", f.Size, spec.plan.Arms[0], f.Arm, f.Mean, f.Low, f.High, f.Seeds, verdict, note)
+		fmt.Printf("%-12s %s less %-14s %+.4f, 95 %% from %+.4f to %+.4f, %d seeds: %s%s\n", f.Size, spec.plan.Arms[0], f.Arm, f.MeanDifference, f.Low, f.High, f.SeedCount, verdict, note)
 	}
 }
--- a/cmd/hmchaos/soak.go
+++ b/cmd/hmchaos/soak.go
@@ -33,7 +33,7 @@
 	}
 	ctx, stop := untilInterrupted()
 	defer stop()
-	options := soak.Options{Router: router, RouterLog: c.Log, Dir: c.Logs}
+	options := soak.Options{RouterPath: router, RouterLogLevel: c.Log, Dir: c.Logs}
 	failed, err := c.runAll(ctx, seeds, options)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 		running <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-running }()
-			result, runErr := soak.Play(ctx, soak.Draw(seed, c.Length), options)
+			result, runErr := soak.Run(ctx, soak.GenerateScenario(seed, c.Length), options)
 			mu.Lock()
 			defer mu.Unlock()
 			if runErr != nil {
@@ -80,9 +80,9 @@
 		}
 	}
 	const maxPrinted = 20 // violations per run
-	for i, violation := range result.Breaks {
+	for i, violation := range result.Violations {
 		if i == maxPrinted {
-			fmt.Printf("  and %d more\n", len(result.Breaks)-maxPrinted)
+			fmt.Printf("  and %d more\n", len(result.Violations)-maxPrinted)
 			break
 		}
 		fmt.Println("  BROKEN", violation)
--- a/cmd/hmexplain/main.go
+++ b/cmd/hmexplain/main.go
@@ -73,10 +73,10 @@
 }
 
 // question returns what the arguments ask.
-func (c cli) question(files []string) (q explain.Question, err error) {
+func (c cli) question(files []string) (q explain.Query, err error) {
 	q.Request = control.RequestID(c.Request)
 	if c.ClientID != "" {
-		if q.Request, err = explain.FindRequest(files, record.Tag(c.NameKey, c.ClientID)); err != nil {
+		if q.Request, err = explain.FindRequest(files, record.KeyedHash(c.NameKey, c.ClientID)); err != nil {
 			return q, err
 		}
 	}
@@ -99,7 +99,7 @@
 		return program.UsageError{Err: err}
 	}
 	decisions, err := explain.Request(files, q)
-	if errors.Is(err, record.ErrNewer) {
+	if errors.Is(err, record.ErrNewerVersion) {
 		return program.UsageError{Err: err}
 	}
 	if err != nil {
--- a/cmd/hmexplain/main_test.go
+++ b/cmd/hmexplain/main_test.go
@@ -15,10 +15,10 @@
 
 func TestQuestion(t *testing.T) {
 	q, err := cli{Request: decided, WhatIf: "drain=2"}.question([]string{recording})
-	if err != nil || q.Request != decided || q.WhatIf == nil || *q.WhatIf != (explain.Change{Kind: explain.Drain, Server: 2}) {
+	if err != nil || q.Request != decided || q.WhatIf == nil || *q.WhatIf != (explain.Change{Kind: explain.ChangeDrain, Server: 2}) {
 		t.Errorf("got %+v, %v", q, err)
 	}
-	if q, err := (cli{Request: decided}).question(nil); err != nil || q != (explain.Question{Request: decided}) {
+	if q, err := (cli{Request: decided}).question(nil); err != nil || q != (explain.Query{Request: decided}) {
 		t.Errorf("got %+v, %v", q, err)
 	}
 }
--- a/cmd/hmhistory/query.go
+++ b/cmd/hmhistory/query.go
@@ -91,7 +91,7 @@
 		sums[id].Merge(r.Usage)
 		return nil
 	})
-	if errors.Is(err, history.ErrNewer) || errors.Is(err, os.ErrNotExist) {
+	if errors.Is(err, history.ErrNewerVersion) || errors.Is(err, os.ErrNotExist) {
 		return nil, program.UsageError{Err: err}
 	}
 	if err != nil {
--- a/cmd/hmmodelcheck/explore.go
+++ b/cmd/hmmodelcheck/explore.go
@@ -33,7 +33,7 @@
 			return err
 		}
 	}
-	x := modelcheck.Exploration{Config: config, Properties: properties, MaxDepth: r.Depth, MaxStates: r.States, Workers: r.Workers, MaxInMemory: r.Memory,
+	x := modelcheck.Exploration{Config: config, Properties: properties, MaxDepth: r.Depth, MaxStates: r.States, Workers: r.Workers, MaxStatesInMemory: r.Memory,
 		Dir: r.Folder}
 	if !r.Quiet {
 		x.Progress = progressPrinter()
@@ -45,9 +45,9 @@
 func progressPrinter() func(p modelcheck.Progress) {
 	before := 1
 	return func(p modelcheck.Progress) {
-		growth := float64(p.Frontier) / float64(max(1, before))
-		before = p.Frontier
-		fmt.Fprintf(os.Stderr, "depth %d: %d states, %d new (%.2f times the last), %d steps, %.0f states/s\n", p.Depth, p.States, p.Frontier, growth, p.Steps,
+		growth := float64(p.NewStates) / float64(max(1, before))
+		before = p.NewStates
+		fmt.Fprintf(os.Stderr, "depth %d: %d states, %d new (%.2f times the last), %d steps, %.0f states/s\n", p.Depth, p.States, p.NewStates, growth, p.Steps,
 			float64(p.States)/max(0.001, p.Elapsed.Seconds()))
 	}
 }
--- a/cmd/hmmodelcheck/print.go
+++ b/cmd/hmmodelcheck/print.go
@@ -20,6 +20,6 @@
 
 // Run prints the diagram.
 func (diagramCommand) Run() error {
-	fmt.Print(modelcheck.Diagram())
+	fmt.Print(modelcheck.AttemptDiagram())
 	return nil
 }
--- a/cmd/hmmodelcheck/walk.go
+++ b/cmd/hmmodelcheck/walk.go
@@ -25,7 +25,7 @@
 	started := time.Now()
 	for i := range w.Walks {
 		seed := w.Seed + uint64(i)
-		trace, n, err := modelcheck.RandomWalk(config, &modelcheck.ProductionRules, properties, w.Steps, modelcheck.RandomChoice(seed))
+		trace, n, err := modelcheck.RandomWalk(config, &modelcheck.ProductionRules, properties, w.Steps, modelcheck.SeededPicker(seed))
 		steps += n
 		if err != nil {
 			return err
--- a/cmd/hmprobe/servers.go
+++ b/cmd/hmprobe/servers.go
@@ -71,8 +71,8 @@
 				return ctx.Err()
 			}
 		}
-		finding := probe.Server(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
-		if !finding.Ready || finding.Run != nil && finding.Run.Result != finished {
+		finding := probe.CheckServer(ctx, address, probe.Options{Timeout: s.Patience, Model: s.Model, Body: []byte(s.Body)})
+		if !finding.Ready || finding.Request != nil && finding.Request.Result != finished {
 			failed++
 		}
 		if s.JSON {
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
-	r := replay.Range{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
+	r := replay.Options{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
 	if c.Show {
 		r.OnCommand = func(step uint64, clock control.Micros, c record.Command) { fmt.Printf("%d %d %s\n", step, clock, c) }
 	}
@@ -49,7 +49,7 @@
 	duration := time.Since(begun)
 	var difference *replay.Difference
 	if err != nil && !errors.As(err, &difference) {
-		if errors.Is(err, record.ErrNewer) {
+		if errors.Is(err, record.ErrNewerVersion) {
 			err = program.UsageError{Err: err}
 		}
 		return err
--- a/cmd/hmreplay/main_test.go
+++ b/cmd/hmreplay/main_test.go
@@ -35,7 +35,7 @@
 
 func TestDifferenceLine(t *testing.T) {
 	command := (&replay.Difference{File: "a.rec", Step: 7, Clock: 5, Request: 3, Recorded: "kill job 3", Replayed: "nothing"}).Error()
-	checkpoint := (&replay.Difference{File: "a.rec", Step: 7, Checkpoint: true}).Error()
+	checkpoint := (&replay.Difference{File: "a.rec", Step: 7, AtCheckpoint: true}).Error()
 	const summary = "1 segments, 8 steps, 5 decisions compared; 1s of the router's time in 1ms, 1000 times as fast\n"
 	for output, want := range map[string]string{
 		summary + command + "\n":                      command,
--- a/cmd/hollymast/drain_test.go
+++ b/cmd/hollymast/drain_test.go
@@ -42,14 +42,14 @@
 // callEach sends a request for each of n functions, numbered from ref.
 func callEach(c *platformtest.Client, ref, function uint64, n int) {
 	for i := range uint64(n) {
-		c.Call(ref+i, function+i)
+		c.SendRequest(ref+i, function+i)
 	}
 }
 
 // countServed waits for n answers and returns how many of them are a success.
 func countServed(c *platformtest.Client, n int) (served int) {
 	for range n {
-		if c.Answer() {
+		if c.AwaitAnswer() {
 			served++
 		}
 	}
@@ -148,8 +148,8 @@
 	if served := countServed(client, functions); served != functions {
 		t.Errorf("%d of %d requests were served", served, functions)
 	}
-	if servers.draining.LoadCommands() == 0 || servers.staying.LoadCommands() == 0 {
-		t.Fatalf("%d and %d load commands: both servers should get some", servers.draining.LoadCommands(), servers.staying.LoadCommands())
+	if servers.draining.LoadCommandCount() == 0 || servers.staying.LoadCommandCount() == 0 {
+		t.Fatalf("%d and %d load commands: both servers should get some", servers.draining.LoadCommandCount(), servers.staying.LoadCommandCount())
 	}
 	router.suspend()
 	drainedAt := plane.Publish(servers.drain())
@@ -196,7 +196,7 @@
 	if late := framesAfterGrace(servers.draining, drainedAt, gracePeriod); len(late) > 0 {
 		t.Errorf("frames after the grace period: %v", late)
 	}
-	if len(after.Subscriptions()) == 0 {
+	if len(after.SubscriptionTimes()) == 0 {
 		t.Error("the new address was not asked")
 	}
 }
--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -77,7 +77,7 @@
 			switch {
 			case err == nil:
 				o.answered++
-			case progress >= rest.WrittenWhole:
+			case progress >= rest.FullyWritten:
 				o.unanswered = append(o.unanswered, fmt.Sprintf("after %v: %v", time.Since(sentAt).Round(time.Millisecond), err))
 			}
 			if err != nil || response.Close {
@@ -99,7 +99,7 @@
 		killAfter     = 750 * time.Millisecond
 	)
 	server := fakeserver.New(fakeserver.Config{MaxReplicas: 20, Lanes: 20, Cores: 8, ExecutionTime: 5 * time.Millisecond, QueueLimit: 200,
-		LoadTime: time.Millisecond, MaxLoads: 8, OverloadRate: 1e6, OverloadWindow: time.Second, Seed: 1},
+		LoadTime: time.Millisecond, MaxConcurrentLoads: 8, OverloadRate: 1e6, OverloadWindow: time.Second, Seed: 1},
 		fakeserver.NewStore(time.Millisecond, 8), invariant.NewLog())
 	if err := server.Start(false); err != nil {
 		t.Fatal(err)
--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -60,18 +60,18 @@
 	models := platformtest.NewModelServerAt(t, "0.0.0.0:0")
 	_, port, _ := net.SplitHostPort(models.Address())
 	target := func(i int, state string, booted int64) discovery.EndpointMessage {
-		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Endpoint: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
+		return discovery.EndpointMessage{UID: fmt.Sprintf("server-%d", i), Address: fmt.Sprintf("127.1.%d.%d:%s", i/250, 1+i%250, port), Zone: "east", Cell: i % 4,
 			State: state, Weight: 4, StartedAtMS: booted}
 	}
 	whole := discovery.Event{Revision: 1, Update: &discovery.UpdateMessage{All: true}}
 	for i := range servers {
-		whole.Update.Targets = append(whole.Update.Targets, target(i, "ready", 0))
+		whole.Update.Endpoints = append(whole.Update.Endpoints, target(i, "ready", 0))
 	}
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, whole)
 	rev := uint64(1)
 	tell := func(told discovery.EndpointMessage) {
 		rev++
-		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{told}}})
+		plane.Publish(discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{told}}})
 	}
 	router := startRouter(t, platformtest.Deployment{Grace: time.Second, SlowStart: 3 * time.Second, Routers: routers}.Configuration(plane.Address(), whole))
 	client := router.waitReady()
@@ -88,8 +88,8 @@
 				tell(target(earlier, "gone", 0))
 			}
 		}
-		client.Call(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*chance.Float64()*chance.Float64()))
-		if u.asked++; client.Answer() {
+		client.SendRequest(uint64(n+1), 0x7f3a9c21e0b4d600+uint64(functions*chance.Float64()*chance.Float64()))
+		if u.asked++; client.AwaitAnswer() {
 			u.served++
 		}
 		if n%perSecond == 0 {
@@ -97,7 +97,7 @@
 		}
 	}
 	u.measure(t, router.command.Process.Pid)
-	u.connections, u.listed = int64(models.Accepted()), plane.Written()
+	u.connections, u.listed = int64(models.AcceptedConnections()), plane.BytesWritten()
 	t.Logf("%d servers: %+v", servers, u)
 	return u
 }
--- a/cmd/hollymast/platform_shutdown_test.go
+++ b/cmd/hollymast/platform_shutdown_test.go
@@ -177,7 +177,7 @@
 	router := startRouter(t, platformtest.Deployment{Grace: gracePeriod, Deadline: deadline}.Configuration(plane.Address(), events...))
 	router.waitReady()
 	if silent {
-		server.Hold()
+		server.HoldAnswers()
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
--- a/cmd/hollymast/process_test.go
+++ b/cmd/hollymast/process_test.go
@@ -165,7 +165,7 @@
 	r.t.Helper()
 	c := platformtest.Dial(r.t, r.address)
 	for range 1000 {
-		if c.Healthy() {
+		if c.CheckHealth() {
 			return c
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/cmd/hollymast/slowstart_test.go
+++ b/cmd/hollymast/slowstart_test.go
@@ -14,9 +14,9 @@
 func soakOptions(t *testing.T) soak.Options {
 	t.Helper()
 	if built := os.Getenv(routerBinaryEnv); built != "" {
-		return soak.Options{Router: built, RouterLog: "info", Dir: t.TempDir()}
+		return soak.Options{RouterPath: built, RouterLogLevel: "info", Dir: t.TempDir()}
 	}
-	return soak.Options{Router: os.Args[0], Dir: t.TempDir(), Env: []string{routerArgsEnv + "=platform"}}
+	return soak.Options{RouterPath: os.Args[0], Dir: t.TempDir(), Env: []string{routerArgsEnv + "=platform"}}
 }
 
 // TestSlowStartWhileOthersDrain is report c39787: two servers return from a restart, in slow start, while all others drain, and
@@ -26,12 +26,12 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("routers=%d seed=%d", routers, seed), func(t *testing.T) {
 				t.Parallel()
-				result, err := soak.Play(context.Background(), returnWhileOthersDrain(routers, seed), soakOptions(t))
+				result, err := soak.Run(context.Background(), returnWhileOthersDrain(routers, seed), soakOptions(t))
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Log(result)
-				for _, broken := range result.Breaks {
+				for _, broken := range result.Violations {
 					t.Error(broken)
 				}
 				if result.Served == 0 {
@@ -46,13 +46,13 @@
 // drain for some seconds.
 func returnWhileOthersDrain(routers int, seed uint64) *soak.Scenario {
 	return &soak.Scenario{
-		Seed: seed, Length: 13 * time.Second, Routers: routers, Servers: 12, Zones: 1, Functions: 30, Load: 200 * time.Millisecond,
-		Mean: 50 * time.Millisecond, Cores: 2, SlowSpeed: 1, Capacity: 10, Use: 0.5, WorkSpread: 0.4, ServerIdle: 15 * time.Second,
-		Classes: []soak.Class{{Name: "again", Semantics: soak.Idempotent, Objective: time.Second, Deadline: 4 * time.Second, Share: 1}},
-		Grace:   500 * time.Millisecond, SlowStart: 12 * time.Second, SlowStartFrom: 0.3, OverloadWindow: time.Second, OverloadFactor: 4,
+		Seed: seed, TrafficDuration: 13 * time.Second, Routers: routers, Servers: 12, Zones: 1, Functions: 30, MeanLoadTime: 200 * time.Millisecond,
+		MeanExecutionTime: 50 * time.Millisecond, Cores: 2, SlowSpeed: 1, MaxLoadedFunctions: 10, TargetUtilization: 0.5, ExecutionTimeSigma: 0.4, ServerIdleTimeout: 15 * time.Second,
+		Classes:    []soak.Class{{Name: "again", Semantics: soak.Idempotent, Objective: time.Second, Deadline: 4 * time.Second, Share: 1}},
+		DrainGrace: 500 * time.Millisecond, SlowStartDuration: 12 * time.Second, SlowStartInitial: 0.3, OverloadWindow: time.Second, OverloadFactor: 4,
 		Faults: []soak.Fault{
 			{At: 3 * time.Second, Kind: soak.RollServers, Count: 2},
-			{At: 8200 * time.Millisecond, Kind: soak.DrainAll, For: 3500 * time.Millisecond},
+			{At: 8200 * time.Millisecond, Kind: soak.DrainAll, Duration: 3500 * time.Millisecond},
 		},
 	}
 }
--- a/cmd/hollymast/stall_test.go
+++ b/cmd/hollymast/stall_test.go
@@ -15,8 +15,8 @@
 func TestAnswerDuringStall(t *testing.T) {
 	const stall = 1600 * time.Millisecond // longer than such an attempt, and an answer in pieces, may take
 	for name, hold := range map[string]func(*platformtest.ModelServer){
-		"whole":           (*platformtest.ModelServer).Hold,
-		"its second half": (*platformtest.ModelServer).HoldHalf,
+		"whole":           (*platformtest.ModelServer).HoldAnswers,
+		"its second half": (*platformtest.ModelServer).HoldSecondHalves,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -25,19 +25,19 @@
 			plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, events...)
 			router := startRouter(t, platformtest.Deployment{Grace: gracePeriod}.Configuration(plane.Address(), events...))
 			client := router.waitReady()
-			client.Call(1, 1) // loads the function
-			if !client.Answer() {
+			client.SendRequest(1, 1) // loads the function
+			if !client.AwaitAnswer() {
 				t.Fatal("a request was not served")
 			}
 			hold(server)
-			client.Call(2, 1)
+			client.SendRequest(2, 1)
 			platformtest.WaitFor(t, "the attempt", func() bool { return len(server.Received()) >= 2 })
 			time.Sleep(20 * time.Millisecond) // for the router to read what came of the answer, of which nothing can be seen from outside
 			router.suspend()
-			server.Release()
+			server.ReleaseAnswers()
 			time.Sleep(stall)
 			router.resume()
-			if !client.Answer() {
+			if !client.AwaitAnswer() {
 				t.Error("a request was not served")
 			}
 			if n := len(server.Received()); n != 2 {
@@ -69,18 +69,18 @@
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
 	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), ready))
 	first, second := router.waitReady(), platformtest.Dial(t, router.address)
-	first.Call(1, 1)
-	if !first.Answer() {
+	first.SendRequest(1, 1)
+	if !first.AwaitAnswer() {
 		t.Fatal("not served")
 	}
-	attempts := func() []platformtest.Received {
-		return slices.DeleteFunc(server.Received(), func(r platformtest.Received) bool { return r.Code != platformtest.AttemptCode })
+	attempts := func() []platformtest.ReceivedFrame {
+		return slices.DeleteFunc(server.Received(), func(r platformtest.ReceivedFrame) bool { return r.Code != platformtest.AttemptCode })
 	}
 	before := len(attempts())
 	router.suspend()
 	calledAt := time.Now()
 	for i, c := range []*platformtest.Client{first, second, platformtest.Dial(t, router.address)} { // the last is accepted after the stall
-		c.Call(uint64(i+2), 1)
+		c.SendRequest(uint64(i+2), 1)
 	}
 	time.Sleep(stall)
 	router.resume()
@@ -110,13 +110,13 @@
 	plane := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, ready)
 	router := startRouter(t, platformtest.Deployment{Grace: 4 * time.Second}.Configuration(plane.Address(), ready))
 	client := router.waitReady()
-	server.Hold()
+	server.HoldAnswers()
 	router.suspend()
 	sentAt := time.Now()
-	client.Call(1, 1)
+	client.SendRequest(1, 1)
 	time.Sleep(stall)
 	router.resume()
-	if client.Answer() {
+	if client.AwaitAnswer() {
 		t.Error("served, though the server holds its answers")
 	}
 	if took := time.Since(sentAt); took > timeout+slack {
--- a/internal/certstore/secrets_test.go
+++ b/internal/certstore/secrets_test.go
@@ -47,10 +47,10 @@
 	}
 	x, y := a.Issue(loopback), a.Issue(loopback)
 	service.SetCertificate("own", x.Chain, x.Key)
-	service.SetValidation("peers", a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
+	service.SetValidationContext("peers", a.CertificatePEM(), a.RevocationList(time.Now().Add(time.Hour)))
 	waitFor(t, "the first pair", func() bool { return serial() == x.Serial.String() })
 	waitFor(t, "the first authorities", hasAuthorities) // a separate resource
-	service.SetValidation("peers", nil, nil)
+	service.SetValidationContext("peers", nil, nil)
 	waitFor(t, "a NACK", func() bool {
 		_, nacks := service.Counts()
 		return len(nacks) == 1 && strings.Contains(nacks[0], "peers")
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -99,7 +99,7 @@
 }
 
 func dial(store *Store, address string) (*rest.Client, error) {
-	return rest.DialWith(context.Background(), address, &rest.DefaultLimits, store.ClientHandshake)
+	return rest.DialWithHandshake(context.Background(), address, &rest.DefaultLimits, store.ClientHandshake)
 }
 
 // waitFor waits for a condition.
--- a/internal/chaostest/churn.go
+++ b/internal/chaostest/churn.go
@@ -98,7 +98,7 @@
 	}
 	for i := range c.Workers {
 		config := fakeserver.Config{Number: i, MaxReplicas: churnReplicas, Lanes: serverLanes, Cores: churnCores, ExecutionTime: churnExecutionTime,
-			QueueLimit: churnQueue, LoadTime: churnLoadTime, MaxLoads: churnLoads, DedupWindow: dedupWindow, KeepAlive: keepAlive, Seed: c.Seed}
+			QueueLimit: churnQueue, LoadTime: churnLoadTime, MaxConcurrentLoads: churnLoads, DedupWindow: dedupWindow, KeepAlive: keepAlive, Seed: c.Seed}
 		if err := h.startServer(config); err != nil {
 			return err
 		}
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -52,7 +52,7 @@
 
 func (h *harness) serverConfig(i int) fakeserver.Config {
 	return fakeserver.Config{Number: i, MaxReplicas: maxReplicas, Lanes: serverLanes, Cores: serverCores, ExecutionTime: executionTime, QueueLimit: serverQueue,
-		LoadTime: loadTime, MaxLoads: maxLoads, LoadCommandsOnly: h.scenario.LoadCommandsOnly, DedupWindow: dedupWindow, KeepAlive: keepAlive,
+		LoadTime: loadTime, MaxConcurrentLoads: maxLoads, LoadCommandsOnly: h.scenario.LoadCommandsOnly, DedupWindow: dedupWindow, KeepAlive: keepAlive,
 		SlowStartDuration: slowStartDuration, SlowStartInitial: slowStartInitial, OverloadWindow: overloadWindow,
 		OverloadRate: serverRate * overloadFactor, Seed: h.scenario.Seed, NoDedupPrefix: nonIdempotentKeyPrefix}
 }
--- a/internal/chaostest/echo.go
+++ b/internal/chaostest/echo.go
@@ -54,7 +54,7 @@
 	c := rest.NewConn(conn, &rest.DefaultLimits, nil)
 	success := &rest.Response{Status: http.StatusOK, Header: rest.Header{"Content-Type": {"application/json"}},
 		Body: []byte(`{"model_name":"m","parameters":{"found":"warm"},"outputs":[]}`)}
-	notFound := &rest.Response{Status: http.StatusNotFound, Header: rest.Header{}, Body: kserve.Fault{Error: "no such model"}.Body()}
+	notFound := &rest.Response{Status: http.StatusNotFound, Header: rest.Header{}, Body: kserve.ErrorBody{Error: "no such model"}.JSON()}
 	for {
 		q, err := c.ReadRequest()
 		if err != nil {
--- a/internal/chaostest/inject.go
+++ b/internal/chaostest/inject.go
@@ -76,9 +76,9 @@
 		h.setServerFaults(servers, fakeserver.Faults{})
 		return
 	case FaultHang:
-		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+		h.setServerFaults(servers, fakeserver.Faults{Unresponsive: true})
 	case FaultLostResponses:
-		h.setServerFaults(servers, fakeserver.Faults{LostAnswers: f.Share})
+		h.setServerFaults(servers, fakeserver.Faults{LostResponses: f.Share})
 	case FaultResetBefore:
 		h.setServerFaults(servers, fakeserver.Faults{ResetBefore: f.Share})
 	case FaultResetAfter:
@@ -98,7 +98,7 @@
 		h.stopServers(servers)
 		sleep(ctx, f.Duration)
 	case FaultHangThenCrash:
-		h.setServerFaults(servers, fakeserver.Faults{Silent: true})
+		h.setServerFaults(servers, fakeserver.Faults{Unresponsive: true})
 		sleep(ctx, f.Duration)
 		h.stopServers(servers)
 	case FaultDeploy:
--- a/internal/chaostest/library.go
+++ b/internal/chaostest/library.go
@@ -26,7 +26,7 @@
 	n := h.scenario.LibraryClients
 	for i := range n {
 		c, err := client.New(client.Options{Routers: h.addresses, Connections: min(maxLibraryConnections, max(1, libraryConnections/n)),
-			Seed: h.scenario.Seed*100_000 + uint64(i) + 1, Late: lateAnswerTime})
+			Seed: h.scenario.Seed*100_000 + uint64(i) + 1, LateResponseTimeout: lateAnswerTime})
 		if err != nil {
 			return err
 		}
@@ -46,35 +46,35 @@
 }
 
 // libraryEffects maps the effects of workloads to those of the client library.
-var libraryEffects = map[string]client.Effect{effectIdempotent: client.Restartable, effectIdempotentByKey: client.Fingerprinted, effectNonIdempotent: client.RunOnce}
+var libraryEffects = map[string]client.Effect{effectIdempotent: client.Idempotent, effectIdempotentByKey: client.IdempotentByKey, effectNonIdempotent: client.NonIdempotent}
 
 // performWithLibrary makes a call with the client library, and returns when all its requests have ended.
 func (h *harness) performWithLibrary(ctx context.Context, c call) (inTime bool) {
 	startedAt := time.Now()
 	l := &libraryCall{h: h, call: c, records: map[int]invariant.Record{}}
-	w := client.Workload{Effect: libraryEffects[c.workload.effect], Narrow: c.workload.scope != "" && c.workload.scope != scopeFleet, Window: c.workload.window}
+	w := client.Workload{Effect: libraryEffects[c.workload.effect], PartialKeyScope: c.workload.scope != "" && c.workload.scope != scopeFleet, KeyWindow: c.workload.window}
 	library := h.libraryClients[c.number%len(h.libraryClients)]
-	_, err := library.Infer(ctx, client.Call{Model: c.function, Mark: c.workload.keyPrefix() + strconv.Itoa(c.number), Tenant: c.tenant(), Workload: w,
-		Patience: c.timeout, BodyOf: l.recordSent, Tried: l.recordEnded})
+	_, err := library.Infer(ctx, client.Call{Model: c.function, IdempotencyKey: c.workload.keyPrefix() + strconv.Itoa(c.number), Tenant: c.tenant(), Workload: w,
+		Timeout: c.timeout, BodyFor: l.recordSent, AttemptEnded: l.recordEnded})
 	inTime = err == nil && time.Since(startedAt) <= c.workload.latencyObjective
 	l.pending.Wait()
 	return inTime
 }
 
 // recordSent logs a request that is about to be sent, and returns its body.
-func (l *libraryCall) recordSent(t client.Try) []byte {
+func (l *libraryCall) recordSent(t client.Attempt) []byte {
 	record := l.h.requestRecord(l.call, slices.Index(l.h.addresses, t.Router), t.Number)
-	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+t.Left.Microseconds()
+	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+t.Remaining.Microseconds()
 	l.mu.Lock()
 	l.records[t.Number] = record
 	l.mu.Unlock()
 	l.pending.Add(1)
 	l.h.log.Add(record)
-	return requestBody(record, max(time.Microsecond, t.Left))
+	return requestBody(record, max(time.Microsecond, t.Remaining))
 }
 
 // recordEnded logs how a request ended; the ending is one of those of the client library.
-func (l *libraryCall) recordEnded(t client.Try, ending string) {
+func (l *libraryCall) recordEnded(t client.Attempt, ending string) {
 	l.mu.Lock()
 	record, sent := l.records[t.Number]
 	l.mu.Unlock()
--- a/internal/chaostest/loadrecording.go
+++ b/internal/chaostest/loadrecording.go
@@ -63,7 +63,7 @@
 		}
 	}
 	startedAt := time.Now()
-	result, err := replay.Play(files, replay.Range{})
+	result, err := replay.Play(files, replay.Options{})
 	c.replayTime += time.Since(startedAt)
 	c.recorded += float64(result.Last-result.First) / 1e6
 	c.lostSteps += result.LostSteps
--- a/internal/chaostest/loadtls.go
+++ b/internal/chaostest/loadtls.go
@@ -121,7 +121,7 @@
 
 func (c *connectCost) connect(ctx context.Context) error {
 	startedAt := time.Now()
-	conn, err := rest.DialWith(ctx, c.router.address, &rest.DefaultLimits, c.router.handshake)
+	conn, err := rest.DialWithHandshake(ctx, c.router.address, &rest.DefaultLimits, c.router.handshake)
 	if err != nil {
 		return err
 	}
--- a/internal/chaostest/pool.go
+++ b/internal/chaostest/pool.go
@@ -36,7 +36,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return rest.DialWith(ctx, p.address, &rest.DefaultLimits, p.handshake)
+	return rest.DialWithHandshake(ctx, p.address, &rest.DefaultLimits, p.handshake)
 }
 
 // takeIdle returns the idle connection that was used last, or nil. It closes those that the router has closed.
--- a/internal/chaostest/recording_test.go
+++ b/internal/chaostest/recording_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		result, err := replay.Play(files, replay.Range{})
+		result, err := replay.Play(files, replay.Options{})
 		if err != nil || result.LostSteps > 0 || result.Commands < 500 {
 			t.Errorf("%s: %+v, %v", router, result, err)
 		}
--- a/internal/chaostest/requests.go
+++ b/internal/chaostest/requests.go
@@ -87,9 +87,9 @@
 		header[kserve.AttemptHeader] = []string{strconv.Itoa(n)}
 	}
 	if c.workload.effect == effectIdempotentByKey || c.workload.effect == effectNonIdempotent && !c.omitRetryHeaders {
-		header[kserve.RepeatMark] = []string{c.workload.keyPrefix() + strconv.Itoa(c.number)}
+		header[kserve.IdempotencyKeyHeader] = []string{c.workload.keyPrefix() + strconv.Itoa(c.number)}
 	}
-	return &rest.Request{Method: http.MethodPost, Target: kserve.Call{Kind: kserve.Infer, Model: c.function}.Target(), Header: header,
+	return &rest.Request{Method: http.MethodPost, Target: kserve.Call{Operation: kserve.Infer, Model: c.function}.Target(), Header: header,
 		Body: requestBody(record, timeout)}
 }
 
@@ -101,7 +101,7 @@
 
 // failedResponse interprets an exchange that ended without an answer.
 func failedResponse(c call, progress rest.Progress, err error) (response, invariant.Kind) {
-	r := response{mayHaveRun: progress >= rest.WrittenWhole}
+	r := response{mayHaveRun: progress >= rest.FullyWritten}
 	r.notSent = !r.mayHaveRun
 	timedOut := errors.Is(err, rest.ErrTimeout)
 	r.connectionBroken = r.mayHaveRun && !timedOut
--- a/internal/chaostest/routerprocess.go
+++ b/internal/chaostest/routerprocess.go
@@ -131,7 +131,7 @@
 }
 
 func probeReady(ctx context.Context, address string, handshake rest.Handshake) bool {
-	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, handshake)
+	c, err := rest.DialWithHandshake(ctx, address, &rest.DefaultLimits, handshake)
 	if err != nil {
 		return false
 	}
--- a/internal/chaostest/run_test.go
+++ b/internal/chaostest/run_test.go
@@ -25,11 +25,11 @@
 		t.Fatal(err)
 	}
 	for _, r := range result.Rules {
-		t.Logf("rule %d: %d opportunities, violated %d times", r.Number, r.Opportunities, r.ViolationCount)
+		t.Logf("rule %d: %d opportunities, violated %d times", r.Number, r.CheckCount, r.ViolationCount)
 	}
 	for _, r := range result.Rules[invariant.RuleEffects:] {
 		if r.ViolationCount == 0 {
-			t.Errorf("rule %d, %s: %d opportunities, no violation found", r.Number, r.Name, r.Opportunities)
+			t.Errorf("rule %d, %s: %d opportunities, no violation found", r.Number, r.Name, r.CheckCount)
 		}
 	}
 }
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	plan := &simulation.Plan{Seed: s.Seed, Routers: s.Routers, Deployment: config.Deployment, LanesPerRequest: serverLanes, FetchTime: control.Micros(storeFetchTime.Microseconds()),
-		ConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
+		MaxConcurrentFetches: storeConcurrency, Clients: s.LibraryClients, Duration: control.Micros(s.Length.Microseconds()), AnswerMargin: control.Micros(config.AnswerMargin.Microseconds()),
 		OverloadProtection: s.OverloadProtection, EndpointPollInterval: control.Micros(config.EndpointFileInterval.Microseconds())}
 	for i := range s.Workers {
 		plan.Servers = append(plan.Servers, h.serverConfig(i).ModelConfig())
@@ -137,9 +137,9 @@
 	case FaultProgressiveSlowdown:
 		return slowdownIncidents(incident, f.Factor), nil
 	case FaultHang:
-		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Silent: true}
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{Unresponsive: true}
 	case FaultLostResponses:
-		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostAnswers: f.Share}
+		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{LostResponses: f.Share}
 	case FaultResetBefore:
 		incident.Kind, incident.Faults = simulation.ServerFault, fakeserver.Faults{ResetBefore: f.Share}
 	case FaultResetAfter:
--- a/internal/chaostest/simulated_test.go
+++ b/internal/chaostest/simulated_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("%d threads: hash %#x, rules %+v", threads, result.Hash, result.Rules[0])
 		}
 		for _, rule := range []int{invariant.RuleDrain, invariant.RuleSlowStart, invariant.RuleLoadRate} {
-			if result.Rules[rule].Opportunities == 0 {
+			if result.Rules[rule].CheckCount == 0 {
 				t.Errorf("%d threads: no opportunity to violate rule %d", threads, result.Rules[rule].Number)
 			}
 		}
--- a/internal/chaostest/stream.go
+++ b/internal/chaostest/stream.go
@@ -63,7 +63,7 @@
 
 // runConnection sends requests over one connection at a time until all are sent. It opens another one after an error.
 func (s *stream) runConnection(ctx context.Context, address string) {
-	c, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.handshake)
+	c, err := rest.DialWithHandshake(ctx, address, &rest.DefaultLimits, s.test.handshake)
 	s.ready.Done()
 	<-s.start
 	if err != nil {
@@ -89,7 +89,7 @@
 			continue
 		}
 		c.Close()
-		replacement, err := rest.DialWith(ctx, address, &rest.DefaultLimits, s.test.handshake)
+		replacement, err := rest.DialWithHandshake(ctx, address, &rest.DefaultLimits, s.test.handshake)
 		if err != nil {
 			return
 		}
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -17,8 +17,8 @@
 // reused by other servers.
 func randomEndpoint(t *rapid.T, now control.Micros) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprint("s-", rapid.IntRange(0, 5).Draw(t, "uid")),
-		Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
-		Zone:     rapid.SampledFrom([]string{"", "east", "west"}).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
+		Address: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 4).Draw(t, "address")),
+		Zone:    rapid.SampledFrom([]string{"", "east", "west"}).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 		State:       rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(t, "state"),
 		Weight:      float64(rapid.IntRange(1, 2).Draw(t, "weight")),
 		StartedAtMS: rapid.SampledFrom([]int64{0, 0, 1, int64(now) / 1000, int64(now)/1000 + 500}).Draw(t, "started at")}
@@ -29,8 +29,8 @@
 func randomEvent(t *rapid.T, now control.Micros, state *discovery.State) bool {
 	endpoints := rapid.Custom(func(t *rapid.T) discovery.EndpointMessage { return randomEndpoint(t, now) })
 	event := discovery.Event{Revision: state.Revision() + 1, Update: &discovery.UpdateMessage{
-		All:     rapid.IntRange(0, 9).Draw(t, "all") == 0,
-		Targets: rapid.SliceOfN(endpoints, 0, 3).Draw(t, "targets"),
+		All:       rapid.IntRange(0, 9).Draw(t, "all") == 0,
+		Endpoints: rapid.SliceOfN(endpoints, 0, 3).Draw(t, "targets"),
 	}}
 	switch rapid.IntRange(0, 7).Draw(t, "order") {
 	case 0:
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -31,14 +31,14 @@
 
 // UpdateMessage lists servers: all of them, or those that changed.
 type UpdateMessage struct {
-	All     bool              `json:"all"`
-	Targets []EndpointMessage `json:"targets"`
+	All       bool              `json:"all"`
+	Endpoints []EndpointMessage `json:"targets"`
 }
 
 // EndpointMessage is a server as discovery lists it.
 type EndpointMessage struct {
 	UID         string  `json:"uid"`
-	Endpoint    string  `json:"endpoint"`
+	Address     string  `json:"endpoint"`
 	Zone        string  `json:"az"`
 	Cell        int     `json:"pod_group"`
 	State       string  `json:"state"`
@@ -161,8 +161,8 @@
 	if e.Update.All || s.servers == nil {
 		s.servers = map[string]fleet.Endpoint{}
 	}
-	before := make(map[string]fleet.Endpoint, len(e.Update.Targets)) // an event may name a server twice
-	for _, t := range e.Update.Targets {
+	before := make(map[string]fleet.Endpoint, len(e.Update.Endpoints)) // an event may name a server twice
+	for _, t := range e.Update.Endpoints {
 		if _, seen := before[t.UID]; !seen {
 			before[t.UID] = s.servers[t.UID]
 		}
@@ -170,7 +170,7 @@
 			delete(s.servers, t.UID)
 			continue
 		}
-		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Endpoint, State: serverStates[t.State], Zone: t.Zone,
+		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Address, State: serverStates[t.State], Zone: t.Zone,
 			Cell: strconv.Itoa(t.Cell), Weight: t.Weight, StartedAt: t.StartedAtMS * 1000}
 	}
 	if full {
@@ -199,9 +199,9 @@
 
 // check returns an error if any part of the update can't be used: then none of it is.
 func (u *UpdateMessage) check() error {
-	for _, t := range u.Targets {
-		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Endpoint == "" {
-			return fmt.Errorf("discovery: server %q at %q in state %q", t.UID, t.Endpoint, t.State)
+	for _, t := range u.Endpoints {
+		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Address == "" {
+			return fmt.Errorf("discovery: server %q at %q in state %q", t.UID, t.Address, t.State)
 		}
 		if t.StartedAtMS < 0 || t.StartedAtMS > math.MaxInt64/1000 {
 			return fmt.Errorf("discovery: server %q started at %d", t.UID, t.StartedAtMS)
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -340,7 +340,7 @@
 // An event updates what it changed, and all servers only if it has to.
 func TestUpdate(t *testing.T) {
 	ready := func(uid, endpoint string) EndpointMessage {
-		return EndpointMessage{UID: uid, Endpoint: endpoint, State: "ready"}
+		return EndpointMessage{UID: uid, Address: endpoint, State: "ready"}
 	}
 	gone := func(uid string) EndpointMessage { return EndpointMessage{UID: uid, State: "gone"} }
 	for _, c := range []struct {
@@ -350,21 +350,21 @@
 		full    bool
 		updated string // the updated servers and their states
 	}{
-		{"a further server", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
-		{"one that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("a")}}, false, "a 0 "},
-		{"an unknown server that goes", 2, UpdateMessage{Targets: []EndpointMessage{gone("b")}}, false, ""},
-		{"nothing new", 2, UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
-		{"one that returns elsewhere", 2, UpdateMessage{Targets: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
+		{"a further server", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, false, "b 2 "},
+		{"one that goes", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a")}}, false, "a 0 "},
+		{"an unknown server that goes", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("b")}}, false, ""},
+		{"nothing new", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("a", "10.0.0.1:1")}}, false, ""},
+		{"one that returns elsewhere", 2, UpdateMessage{Endpoints: []EndpointMessage{gone("a"), ready("a", "10.0.0.9:1")}},
 			false, "a 2 "},
-		{"one that comes and goes", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}},
+		{"one that comes and goes", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1"), gone("b")}},
 			false, ""},
-		{"an address with another owner", 2, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}},
+		{"an address with another owner", 2, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.1:1"), gone("a")}},
 			false, "a 0 b 2 "},
-		{"all", 2, UpdateMessage{All: true, Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
-		{"after a gap", 3, UpdateMessage{Targets: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
+		{"all", 2, UpdateMessage{All: true, Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "b 2 "},
+		{"after a gap", 3, UpdateMessage{Endpoints: []EndpointMessage{ready("b", "10.0.0.2:1")}}, true, "a 2 b 2 "},
 	} {
 		s := State{}
-		s.Apply(Event{1, &UpdateMessage{Targets: []EndpointMessage{ready("a", "10.0.0.1:1")}}})
+		s.Apply(Event{1, &UpdateMessage{Endpoints: []EndpointMessage{ready("a", "10.0.0.1:1")}}})
 		if update := s.Update(); !update.Full || len(update.Endpoints) != 1 {
 			t.Errorf("the first event updated %v", update)
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -32,9 +32,9 @@
 	return Trial{size, arm, e.plan.FirstSeed + uint64(i)}
 }
 
-// Next gives a trial to be run; false: none is left that could change a finding. Trials are given seed by seed, so that the
+// NextTrial gives a trial to be run; false: none is left that could change a finding. Trials are given seed by seed, so that the
 // results are as complete as can be at any time.
-func (e *Experiment) Next() (Trial, bool) {
+func (e *Experiment) NextTrial() (Trial, bool) {
 	for i := range e.plan.MaxSeeds {
 		for _, size := range e.plan.Sizes {
 			for _, arm := range e.plan.Arms {
@@ -77,8 +77,8 @@
 	return n
 }
 
-// Add adds the result of a trial.
-func (e *Experiment) Add(r Result) {
+// AddResult adds the result of a trial.
+func (e *Experiment) AddResult(r Result) {
 	e.results[r.Trial] = r
 	for _, arm := range e.plan.Arms[1:] {
 		if r.Arm == arm || r.Arm == e.plan.Arms[0] {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,10 +10,10 @@
 // has some of its own. It also returns the number of trials.
 func run(p Plan, worseBy map[string]float64, noise float64) (*Experiment, int) {
 	s, n := New(p, nil), 0
-	for c, ok := s.Next(); ok; c, ok = s.Next() {
+	for c, ok := s.NextTrial(); ok; c, ok = s.NextTrial() {
 		shared := rand.New(rand.NewPCG(c.Seed, 1)).NormFloat64() * 0.1
 		own := rand.New(rand.NewPCG(c.Seed, uint64(len(c.Arm)))).NormFloat64() * noise
-		s.Add(Result{Trial: c, InTime: 0.8 + shared + own - worseBy[c.Arm]})
+		s.AddResult(Result{Trial: c, InTime: 0.8 + shared + own - worseBy[c.Arm]})
 		n++
 	}
 	return s, n
@@ -24,7 +24,7 @@
 	p := Plan{Sizes: []string{"s"}, Arms: []string{"base", "worse", "alike!", "unclear?"}, FirstSeed: 1, MaxSeeds: 40, MinSeeds: 5, Tolerance: 0.005}
 	s, n := run(p, map[string]float64{"worse": 0.03, "unclear?": 0.004}, 0.01)
 	fs := s.Findings()
-	if fs[0].Verdict != "more" || fs[0].Seeds > 10 || fs[0].Low > 0.03 || fs[0].High < 0.03 {
+	if fs[0].Verdict != "more" || fs[0].SeedCount > 10 || fs[0].Low > 0.03 || fs[0].High < 0.03 {
 		t.Errorf("worse: %+v", fs[0])
 	}
 	if fs[1].Verdict != "alike" || fs[1].Low > 0 || fs[1].High < 0 {
@@ -46,7 +46,7 @@
 	again := New(p, nil)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
 	for _, r := range rows {
-		again.Add(r)
+		again.AddResult(r)
 	}
 	for i, f := range again.Findings() {
 		if f != in.Findings()[i] {
@@ -55,8 +55,8 @@
 	}
 	half := New(p, rows[:n/2])
 	left := 0
-	for c, ok := half.Next(); ok; c, ok = half.Next() {
-		half.Add(in.results[c])
+	for c, ok := half.NextTrial(); ok; c, ok = half.NextTrial() {
+		half.AddResult(in.results[c])
 		left++
 	}
 	if left > n-n/2 {
--- a/internal/experiment/findings.go
+++ b/internal/experiment/findings.go
@@ -12,10 +12,10 @@
 
 // The verdicts. A pair is alike if the interval of its difference is within the plan's tolerance.
 const (
-	Undecided Verdict = ""
-	Alike     Verdict = "alike"
-	More      Verdict = "more"
-	Less      Verdict = "less"
+	Undecided   Verdict = ""
+	Equivalent  Verdict = "alike"
+	FirstHigher Verdict = "more"
+	FirstLower  Verdict = "less"
 )
 
 // interval is a confidence interval.
@@ -52,11 +52,11 @@
 func (e *Experiment) verdict(i interval) Verdict {
 	switch tolerance := e.plan.Tolerance; {
 	case i.low > -tolerance && i.high < tolerance:
-		return Alike
+		return Equivalent
 	case i.low > 0:
-		return More
+		return FirstHigher
 	case i.high < 0:
-		return Less
+		return FirstLower
 	}
 	return Undecided
 }
@@ -81,12 +81,12 @@
 
 // Finding is what a pair of arms showed: the first arm less the other one.
 type Finding struct {
-	Size, Arm  string
-	Seeds      int
-	Mean       float64
-	Low, High  float64 // the 95 % interval of the mean
-	Verdict    Verdict
-	Violations int // of invariants by the other arm, in all its trials
+	Size, Arm      string
+	SeedCount      int
+	MeanDifference float64
+	Low, High      float64 // the 95 % interval of the mean
+	Verdict        Verdict
+	Violations     int // of invariants by the other arm, in all its trials
 }
 
 // Findings gives a finding on each pair. One that was decided rests on the seeds up to then.
@@ -105,9 +105,9 @@
 	if end, decided := e.decidedAfter[p]; decided {
 		differences = differences[:end]
 	}
-	f := Finding{Size: p.size, Arm: p.arm, Seeds: len(differences)}
+	f := Finding{Size: p.size, Arm: p.arm, SeedCount: len(differences)}
 	for _, d := range differences {
-		f.Mean += d / float64(len(differences))
+		f.MeanDifference += d / float64(len(differences))
 	}
 	if len(differences) > 1 {
 		i := bootstrap(p, differences)
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -14,7 +14,7 @@
 	result := &Result{}
 	golden.Fill(result)
 	golden.Check(t, "row-1.cbor", result, cbor.Marshal, cbor.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(result)); len(missing) > 0 {
+	if missing := golden.UntaggedFields(reflect.TypeOf(result)); len(missing) > 0 {
 		t.Errorf("stored under the name of a field: %q", missing)
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -24,21 +24,21 @@
 
 // The measures, as an experiment's file writes them.
 const (
-	MeasureInTime         Measure = "in_time"
-	MeasureWeightedInTime Measure = "worth"
-	MeasureAttempts       Measure = "executions" // per request
-	MeasureLoads          Measure = "loads"
+	MeasureInTime             Measure = "in_time"
+	MeasureWeightedInTime     Measure = "worth"
+	MeasureAttemptsPerRequest Measure = "executions" // per request
+	MeasureLoads              Measure = "loads"
 )
 
 // Measures lists all measures.
-var Measures = []Measure{MeasureInTime, MeasureWeightedInTime, MeasureAttempts, MeasureLoads}
+var Measures = []Measure{MeasureInTime, MeasureWeightedInTime, MeasureAttemptsPerRequest, MeasureLoads}
 
 // value gives a result's figure.
 func (r Result) value(m Measure) float64 {
 	switch m {
 	case MeasureWeightedInTime:
 		return r.WeightedInTime
-	case MeasureAttempts:
+	case MeasureAttemptsPerRequest:
 		return float64(r.Attempts) / float64(max(1, r.Requests))
 	case MeasureLoads:
 		return float64(r.Loads)
--- a/internal/explain/change.go
+++ b/internal/explain/change.go
@@ -14,10 +14,10 @@
 
 // The kinds of changes, as they are written.
 const (
-	Drain    ChangeKind = "drain"
-	Ready    ChangeKind = "ready"     // and neither ejected nor backing off
-	Slot     ChangeKind = "slot"      // one more than its concurrency limit
-	NoReport ChangeKind = "no-report" // of its load
+	ChangeDrain    ChangeKind = "drain"
+	ChangeReady    ChangeKind = "ready"     // and neither ejected nor backing off
+	ChangeAddSlot  ChangeKind = "slot"      // one more than its concurrency limit
+	ChangeNoReport ChangeKind = "no-report" // of its load
 )
 
 // Change is made to a state before a decision is asked again.
@@ -34,7 +34,7 @@
 		return Change{}, fmt.Errorf("%q is no change: drain, ready, slot or no-report, then = and a server's id in hex", text)
 	}
 	switch k := ChangeKind(kind); k {
-	case Drain, Ready, Slot, NoReport:
+	case ChangeDrain, ChangeReady, ChangeAddSlot, ChangeNoReport:
 		return Change{k, control.ServerID(n)}, nil
 	}
 	return Change{}, fmt.Errorf("%q is none of drain, ready, slot, no-report", kind)
@@ -51,13 +51,13 @@
 			continue
 		}
 		switch c.Kind {
-		case Drain:
+		case ChangeDrain:
 			server.Endpoint.State = control.Draining
-		case Ready:
+		case ChangeReady:
 			server.Endpoint.State, server.Ejected, server.BackoffUntil = control.Ready, false, 0
-		case Slot:
+		case ChangeAddSlot:
 			server.ConcurrencyLimit++
-		case NoReport:
+		case ChangeNoReport:
 			server.Report, server.ReportedAt = control.LoadReport{}, 0
 		}
 		return nil
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -12,8 +12,8 @@
 	"hollymast/internal/replay"
 )
 
-// Question says which decisions are to be explained.
-type Question struct {
+// Query says which decisions are to be explained.
+type Query struct {
 	Request control.RequestID
 	WhatIf  *Change // made before the step in which the request was added, which is then played again; nil: none
 }
@@ -22,10 +22,10 @@
 var ErrNoDecision = errors.New("the recording holds no decision about this request")
 
 // Request explains all decisions about a request; with a change, the first one as recorded and as it would have been.
-func Request(files []string, q Question) (decisions []Decision, err error) {
+func Request(files []string, q Query) (decisions []Decision, err error) {
 	for _, file := range files {
 		found, err := explainSegment(file, q)
-		if err != nil && !errors.Is(err, record.ErrDamaged) {
+		if err != nil && !errors.Is(err, record.ErrCorrupt) {
 			return decisions, err
 		}
 		decisions = append(decisions, found...)
@@ -76,7 +76,7 @@
 // errPlayedAgain ends a segment once the step in question was played with the change.
 var errPlayedAgain = errors.New("played again")
 
-func explainSegment(file string, q Question) ([]Decision, error) {
+func explainSegment(file string, q Query) ([]Decision, error) {
 	s, err := record.OpenSegment(file)
 	if err != nil {
 		return nil, err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -58,7 +58,7 @@
 func TestRequestNamesReasonAndEndpointList(t *testing.T) {
 	files := recordDecisions(t)
 	for request, version := range map[control.RequestID]int{1: 1, 2: 2} {
-		first, err := Request(files, Question{Request: request})
+		first, err := Request(files, Query{Request: request})
 		if err != nil || len(first) != 1 {
 			t.Fatalf("request %d: %+v, %v", request, first, err)
 		}
@@ -73,11 +73,11 @@
 		if text := a.Text(); !strings.Contains(text, string(a.Explanation.Reason)) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
 		}
-		if again, err := Request(files, Question{Request: request}); err != nil || !reflect.DeepEqual(first, again) {
+		if again, err := Request(files, Query{Request: request}); err != nil || !reflect.DeepEqual(first, again) {
 			t.Errorf("another run explains it otherwise: %+v, %v", again, err)
 		}
 	}
-	if _, err := Request(files, Question{Request: 3}); !errors.Is(err, ErrNoDecision) {
+	if _, err := Request(files, Query{Request: 3}); !errors.Is(err, ErrNoDecision) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -93,7 +93,7 @@
 
 func TestWhatIf(t *testing.T) {
 	files := recordDecisions(t)
-	plain, err := Request(files, Question{Request: 2}) // by then both servers are known
+	plain, err := Request(files, Query{Request: 2}) // by then both servers are known
 	if err != nil || plain[0].Explanation.Decision.Server != 1 {
 		t.Fatalf("%+v, %v", plain, err)
 	}
@@ -103,13 +103,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Request(files, Question{Request: 2, WhatIf: &c})
+		got, err := Request(files, Query{Request: 2, WhatIf: &c})
 		if err != nil || len(got) != 2 || got[0].WhatIf != "" || got[1].WhatIf != change || got[1].Explanation.Decision.Action != want {
 			t.Errorf("%s: %+v, %v", change, got, err)
 		}
 	}
-	c := Change{Drain, 9}
-	if _, err := Request(files, Question{Request: 2, WhatIf: &c}); err == nil {
+	c := Change{ChangeDrain, 9}
+	if _, err := Request(files, Query{Request: 2, WhatIf: &c}); err == nil {
 		t.Error("an unknown server was drained")
 	}
 	for _, text := range []string{"", "drain", "drain=", "drain=xyz", "flood=1"} {
--- a/internal/explain/find.go
+++ b/internal/explain/find.go
@@ -27,7 +27,7 @@
 func FindRequest(files []string, tag uint64) (request control.RequestID, err error) {
 	err = forEachStep(files, func(step record.Step) {
 		for _, e := range step.Events {
-			if e.Added != nil && e.ClientTag == tag {
+			if e.Added != nil && e.ClientIDHash == tag {
 				request = e.Added.ID
 			}
 		}
@@ -50,7 +50,7 @@
 			return nil
 		})
 		s.Close()
-		if err != nil && !errors.Is(err, record.ErrDamaged) {
+		if err != nil && !errors.Is(err, record.ErrCorrupt) {
 			return err
 		}
 	}
--- a/internal/explain/verify.go
+++ b/internal/explain/verify.go
@@ -15,7 +15,7 @@
 	for _, file := range files {
 		n, err := verifySegment(file)
 		agreeing += n
-		if err != nil && !errors.Is(err, record.ErrDamaged) {
+		if err != nil && !errors.Is(err, record.ErrCorrupt) {
 			return agreeing, err
 		}
 	}
--- a/internal/fakeserver/authority/authority.go
+++ b/internal/fakeserver/authority/authority.go
@@ -41,7 +41,7 @@
 type Request struct {
 	Names               []string // DNS names, IP addresses, URIs
 	NotBefore, NotAfter time.Time
-	Uses                []x509.ExtKeyUsage // none: both sides of a connection
+	ExtKeyUsage         []x509.ExtKeyUsage // none: both sides of a connection
 }
 
 // authorityValidity is for how long an authority is valid, before and after now: longer than any test.
@@ -50,8 +50,8 @@
 // New returns a self-signed authority.
 func New(name string) *Authority { return newAuthority(name, nil) }
 
-// Intermediate returns an authority that this one signed.
-func (a *Authority) Intermediate(name string) *Authority { return newAuthority(name, a) }
+// NewIntermediate returns an authority that this one signed.
+func (a *Authority) NewIntermediate(name string) *Authority { return newAuthority(name, a) }
 
 // newAuthority returns an authority signed by its parent; nil: by itself.
 func newAuthority(name string, issuer *Authority) *Authority {
@@ -60,8 +60,8 @@
 	return &Authority{cert: certify(name, key, issuer), key: key, serial: 1}
 }
 
-// Reissued returns the PEM of another self-signed certificate of the authority, with the same name and key.
-func (a *Authority) Reissued() []byte {
+// ReissueCertificatePEM returns the PEM of another self-signed certificate of the authority, with the same name and key.
+func (a *Authority) ReissueCertificatePEM() []byte {
 	return encodePEM("CERTIFICATE", certify(a.cert.Subject.CommonName, a.key, nil).Raw)
 }
 
@@ -118,11 +118,11 @@
 	if request.NotAfter.IsZero() {
 		request.NotAfter = time.Now().Add(defaultValidAfter)
 	}
-	if request.Uses == nil {
-		request.Uses = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	if request.ExtKeyUsage == nil {
+		request.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	}
 	t := &x509.Certificate{SerialNumber: a.nextSerial(), NotBefore: request.NotBefore, NotAfter: request.NotAfter,
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: request.Uses, Subject: pkix.Name{CommonName: "issued"}}
+		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: request.ExtKeyUsage, Subject: pkix.Name{CommonName: "issued"}}
 	for _, n := range request.Names {
 		if ip := net.ParseIP(n); ip != nil {
 			t.IPAddresses = append(t.IPAddresses, ip)
--- a/internal/fakeserver/config.go
+++ b/internal/fakeserver/config.go
@@ -12,30 +12,30 @@
 
 // Config is what a server is able to do; see modelserver.Config.
 type Config struct {
-	Number            int
-	MaxReplicas       int
-	Lanes             int
-	Cores             int
-	ExecutionTime     time.Duration
-	QueueLimit        int
-	LoadTime          time.Duration
-	MaxLoads          int
-	LoadCommandsOnly  bool
-	DedupWindow       time.Duration
-	NoDedupPrefix     string
-	KeepAlive         time.Duration
-	SlowStartDuration time.Duration
-	SlowStartInitial  float64
-	OverloadWindow    time.Duration
-	OverloadRate      float64
-	Seed              uint64
-	Handshake         func(net.Conn) (net.Conn, error) // makes accepted connections secure; nil: plain text
+	Number             int
+	MaxReplicas        int
+	Lanes              int
+	Cores              int
+	ExecutionTime      time.Duration
+	QueueLimit         int
+	LoadTime           time.Duration
+	MaxConcurrentLoads int
+	LoadCommandsOnly   bool
+	DedupWindow        time.Duration
+	NoDedupPrefix      string
+	KeepAlive          time.Duration
+	SlowStartDuration  time.Duration
+	SlowStartInitial   float64
+	OverloadWindow     time.Duration
+	OverloadRate       float64
+	Seed               uint64
+	Handshake          func(net.Conn) (net.Conn, error) // makes accepted connections secure; nil: plain text
 }
 
 // ModelConfig is the same for the model that runs the server.
 func (c Config) ModelConfig() modelserver.Config {
 	return modelserver.Config{Number: c.Number, MaxReplicas: c.MaxReplicas, Lanes: c.Lanes, Cores: c.Cores, ExecutionTime: micros(c.ExecutionTime),
-		QueueLimit: c.QueueLimit, LoadTime: micros(c.LoadTime), MaxLoads: c.MaxLoads, LoadCommandsOnly: c.LoadCommandsOnly, DedupWindow: micros(c.DedupWindow),
+		QueueLimit: c.QueueLimit, LoadTime: micros(c.LoadTime), MaxConcurrentLoads: c.MaxConcurrentLoads, LoadCommandsOnly: c.LoadCommandsOnly, DedupWindow: micros(c.DedupWindow),
 		NoDedupPrefix: c.NoDedupPrefix, KeepAlive: micros(c.KeepAlive), SlowStartDuration: micros(c.SlowStartDuration), SlowStartInitial: c.SlowStartInitial,
 		OverloadWindow: micros(c.OverloadWindow), OverloadRate: c.OverloadRate, Seed: c.Seed}
 }
--- a/internal/fakeserver/controlplane.go
+++ b/internal/fakeserver/controlplane.go
@@ -105,17 +105,17 @@
 	p.wakeStreams()
 }
 
-// Versions is what a control plane does with its versions.
-type Versions bool
+// VersionPolicy is what a control plane does with its versions.
+type VersionPolicy bool
 
 // The ways: to go on counting, or to begin again with lower ones, as one that restarted does.
 const (
-	KeepVersions  Versions = false
-	ResetVersions Versions = true
+	KeepVersions  VersionPolicy = false
+	ResetVersions VersionPolicy = true
 )
 
 // DropStreams ends all streams.
-func (p *ControlPlane) DropStreams(versions Versions) {
+func (p *ControlPlane) DropStreams(versions VersionPolicy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if versions == ResetVersions {
--- a/internal/fakeserver/secretservice.go
+++ b/internal/fakeserver/secretservice.go
@@ -57,8 +57,8 @@
 	s.set(&tls.Secret{Name: name, Type: &tls.Secret_TlsCertificate{TlsCertificate: certificate}})
 }
 
-// SetValidation sends certificate authorities and their lists of revoked certificates (nil: none), PEM, under a name.
-func (s *SecretService) SetValidation(name string, authorities, revoked []byte) {
+// SetValidationContext sends certificate authorities and their lists of revoked certificates (nil: none), PEM, under a name.
+func (s *SecretService) SetValidationContext(name string, authorities, revoked []byte) {
 	c := &tls.CertificateValidationContext{TrustedCa: inlineBytes(authorities)}
 	if revoked != nil {
 		c.Crl = inlineBytes(revoked)
--- a/internal/fakeserver/serve.go
+++ b/internal/fakeserver/serve.go
@@ -38,7 +38,7 @@
 		request, err := conn.ReadRequest()
 		var untrusted *rest.PeerUntrustedError
 		if errors.As(err, &untrusted) && incarnation.Err() == nil {
-			response := s.newResponse(http.StatusServiceUnavailable, kserve.Fault{Error: untrusted.Error()}.Body())
+			response := s.newResponse(http.StatusServiceUnavailable, kserve.ErrorBody{Error: untrusted.Error()}.JSON())
 			response.Close = true
 			conn.WriteResponse(response)
 		}
@@ -54,11 +54,11 @@
 
 // handle answers one request; nil breaks the connection.
 func (s *Server) handle(incarnation context.Context, request *rest.Request) *rest.Response {
-	call, err := kserve.ReadTarget(request.Method, request.Target)
+	call, err := kserve.ParseTarget(request.Method, request.Target)
 	if err != nil {
-		return s.newResponse(http.StatusNotFound, kserve.Fault{Error: err.Error()}.Body())
+		return s.newResponse(http.StatusNotFound, kserve.ErrorBody{Error: err.Error()}.JSON())
 	}
-	switch call.Kind {
+	switch call.Operation {
 	case kserve.Infer:
 		return s.infer(incarnation, call, request)
 	case kserve.RepositoryLoad:
@@ -75,7 +75,7 @@
 func (s *Server) infer(incarnation context.Context, call kserve.Call, request *rest.Request) *rest.Response {
 	fields := gjson.GetManyBytes(request.Body, "id", "parameters.effect")
 	attempt := modelserver.Request{ID: fields[0].Str, Effect: fields[1].Str, Router: routerNumber(request), Function: call.Model,
-		IdempotencyKey: request.Header.Get(kserve.RepeatMark)}
+		IdempotencyKey: request.Header.Get(kserve.IdempotencyKeyHeader)}
 	r := s.await(incarnation, func(respond func(modelserver.Response)) { s.model.Infer(attempt, respond) })
 	if r.Result != modelserver.Succeeded {
 		return failure(r)
@@ -92,7 +92,7 @@
 	if r.Result != modelserver.Succeeded {
 		return failure(r)
 	}
-	return newResponse(http.StatusOK, kserve.LoadBody(r.Replicas), r.LoadReport)
+	return newResponse(http.StatusOK, kserve.LoadCommandBody(r.Replicas), r.LoadReport)
 }
 
 // await begins an exchange with the model and waits for its end; a server that is killed before resets the connection.
@@ -127,20 +127,20 @@
 	case modelserver.NotLoaded:
 		status = http.StatusNotFound
 	}
-	return newResponse(status, kserve.Fault{Error: r.Reason}.Body(), r.LoadReport)
+	return newResponse(status, kserve.ErrorBody{Error: r.Reason}.JSON(), r.LoadReport)
 }
 
 // index lists the functions, as the model repository extension has it.
 func (s *Server) index() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := []kserve.Standing{}
+	list := []kserve.IndexEntry{}
 	for _, f := range s.model.Functions() {
 		state := "LOADING"
 		if f.Loaded {
 			state = "READY"
 		}
-		list = append(list, kserve.Standing{Name: f.Name, State: state})
+		list = append(list, kserve.IndexEntry{Name: f.Name, State: state})
 	}
 	b, _ := json.Marshal(list) // plain strings: can't fail
 	return b
@@ -162,6 +162,6 @@
 }
 
 func newResponse(status int, body []byte, report control.LoadReport) *rest.Response {
-	load := kserve.Load{Util: report.Utilization, Loads: report.PendingLoads, Pinned: report.PinnedMemory}
-	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"}, kserve.LoadMetrics: {load.String()}}, Body: body}
+	load := kserve.LoadReport{Utilization: report.Utilization, PendingLoads: report.PendingLoads, PinnedMemory: report.PinnedMemory}
+	return &rest.Response{Status: status, Header: rest.Header{"Content-Type": {"application/json"}, kserve.LoadMetricsHeader: {load.String()}}, Body: body}
 }
--- a/internal/fakeserver/server_test.go
+++ b/internal/fakeserver/server_test.go
@@ -16,7 +16,7 @@
 
 func startServer(t *testing.T, mode StartMode, change func(*Config)) *Server {
 	t.Helper()
-	config := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxLoads: 2,
+	config := Config{MaxReplicas: 2, Lanes: 1, Cores: 4, ExecutionTime: 5 * time.Millisecond, QueueLimit: 8, LoadTime: 20 * time.Millisecond, MaxConcurrentLoads: 2,
 		DedupWindow: time.Second, SlowStartDuration: time.Minute, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1000}
 	change(&config)
 	s := New(config, NewStore(time.Millisecond, 2), invariant.NewLog())
@@ -34,7 +34,7 @@
 		return 0, ""
 	}
 	defer c.Close()
-	p, _, err := c.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.RepeatMark: {key}},
+	p, _, err := c.Do(&rest.Request{Method: "POST", Target: target, Header: rest.Header{"Host": {"a"}, kserve.IdempotencyKeyHeader: {key}},
 		Body: []byte(body)}, time.Now().Add(5*time.Second))
 	if err != nil {
 		return 0, ""
@@ -116,8 +116,8 @@
 		t.Errorf("missing: got %d", status)
 	}
 	for _, want := range []struct{ n, status, loaded int }{{1, 200, 1}, {2, 200, 2}, {1, 200, 2}, {3, 503, 0}} {
-		status, body := post(t, s, "/v2/repository/models/a/load", "", string(kserve.LoadBody(want.n)))
-		if status != want.status || status == 200 && kserve.Copies([]byte(body)) != want.loaded {
+		status, body := post(t, s, "/v2/repository/models/a/load", "", string(kserve.LoadCommandBody(want.n)))
+		if status != want.status || status == 200 && kserve.ParseReplicaCount([]byte(body)) != want.loaded {
 			t.Errorf("%d replicas: got %d %s", want.n, status, body)
 		}
 	}
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
-	body, err := record.SnapshotSegment(g.recordHeader(), now, snapshot)
+	body, err := record.EncodeSnapshot(g.recordHeader(), now, snapshot)
 	if err != nil {
 		return errorResponse(500, err.Error())
 	}
--- a/internal/gateway/admin_test.go
+++ b/internal/gateway/admin_test.go
@@ -24,7 +24,7 @@
 	state := &adminState{}
 	golden.Fill(state)
 	golden.Check(t, "output-1.json", state, json.Marshal, json.Unmarshal)
-	if missing := golden.Untagged(reflect.TypeOf(state)); len(missing) > 0 {
+	if missing := golden.UntaggedFields(reflect.TypeOf(state)); len(missing) > 0 {
 		t.Errorf("fields without a JSON name: %q", missing)
 	}
 }
@@ -65,10 +65,10 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if result, err := replay.Play(files, replay.Range{}); err != nil || result.Commands == 0 {
+	if result, err := replay.Play(files, replay.Options{}); err != nil || result.Commands == 0 {
 		t.Errorf("%+v, %v", result, err)
 	}
-	if id, err := explain.FindRequest(files, record.Tag("", "second")); err != nil || id != 2 {
+	if id, err := explain.FindRequest(files, record.KeyedHash("", "second")); err != nil || id != 2 {
 		t.Errorf("the second request has id %d, %v", id, err)
 	}
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -70,7 +70,7 @@
 		resp, clientClosed := c.respond(msg)
 		c.releaseBody()
 		state := attempt.ClientConnection{Stopping: g.isStopping()}
-		state.Pipelined = (clientClosed || state.Stopping) && c.conn.HasPending() &&
+		state.Pipelined = (clientClosed || state.Stopping) && c.conn.HasPendingInput() &&
 			(!state.Stopping || time.Now().Before(g.afterStop(readUntil)))
 		resp.Close = state.CloseAfterResponse(resp.Close, msg.Close, clientClosed)
 		if c.conn.WriteResponse(resp) != nil || resp.Close {
@@ -107,15 +107,15 @@
 	if c.role == adminListener && strings.HasPrefix(msg.Target, "/router/") {
 		return g.serveAdmin(msg), false
 	}
-	call, err := kserve.ReadTarget(msg.Method, msg.Target)
+	call, err := kserve.ParseTarget(msg.Method, msg.Target)
 	switch {
-	case errors.Is(err, kserve.ErrMethod):
+	case errors.Is(err, kserve.ErrMethodNotAllowed):
 		return errorResponse(405, err.Error()), false
 	case err != nil:
 		return errorResponse(404, "no such call: "+msg.Target), false
 	}
 	pattern, known := g.config.MatchFunction(call.Model)
-	if call.Kind != kserve.Infer {
+	if call.Operation != kserve.Infer {
 		return g.serveMetadata(call, known), false
 	}
 	if !known {
@@ -129,7 +129,7 @@
 
 // serveMetadata answers the KServe calls other than inference; no server is involved.
 func (g *Gateway) serveMetadata(call kserve.Call, known bool) *rest.Response {
-	switch call.Kind {
+	switch call.Operation {
 	case kserve.ServerLive:
 		return jsonResponse(200, []byte(`{"live":true}`))
 	case kserve.ServerReady:
@@ -143,7 +143,7 @@
 		if !known {
 			return errorResponse(404, "no workload is told for "+call.Model)
 		}
-		if call.Kind == kserve.ModelMetadata {
+		if call.Operation == kserve.ModelMetadata {
 			return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"platform":"hollymast","inputs":[],"outputs":[]}`, call.Model))
 		}
 		return jsonResponse(200, fmt.Appendf(nil, `{"name":%q,"ready":%t}`, call.Model, g.ready.Load()))
@@ -160,7 +160,7 @@
 // infer posts a request to the event loop and waits for its answer.
 func (c *clientConn) infer(msg *rest.Request, call kserve.Call, pattern FunctionPattern) (resp *rest.Response, clientClosed bool) {
 	g := c.gateway
-	params, err := kserve.ReadInfer(msg.Header, msg.Body)
+	params, err := kserve.ParseInferRequest(msg.Header, msg.Body)
 	if err != nil {
 		return errorResponse(400, err.Error()), false
 	}
--- a/internal/gateway/clientconn_test.go
+++ b/internal/gateway/clientconn_test.go
@@ -47,7 +47,7 @@
 func TestClientCloses(t *testing.T) {
 	tg := newTestGateway(t, serverConfig(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 	conn, r := tg.dialClient()
 	io.WriteString(conn, inferText("half", "ticket-1"))
 	waitUntil(t, "the server has the attempt", func() bool { return tg.attemptsReceived("half") > 0 })
@@ -140,7 +140,7 @@
 	}{
 		"stays": {func(*net.TCPConn) {}, func(*rest.Conn) bool { return true }, control.Succeeded},
 		"pipelines a request": {func(conn *net.TCPConn) { io.WriteString(conn, inferText("2", "forecast-1")) },
-			(*rest.Conn).HasPending, control.Succeeded},
+			(*rest.Conn).HasPendingInput, control.Succeeded},
 		"closes":      {func(conn *net.TCPConn) { conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
 		"half closes": {func(conn *net.TCPConn) { conn.CloseWrite() }, (*rest.Conn).PeerClosed, control.NotSent},
 		"resets":      {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, (*rest.Conn).PeerClosed, control.NotSent},
@@ -188,7 +188,7 @@
 func TestCloseBehindPipelinedRequest(t *testing.T) {
 	tg := newTestGateway(t, serverConfig(0))
 	tg.call("first", "forecast-1", time.Second)
-	tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+	tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 	conn, _ := tg.dialClient()
 	io.WriteString(conn, inferText("1", "ticket-1")+inferText("2", "ticket-1"))
 	waitUntil(t, "the server has the attempt", func() bool { return tg.attemptsReceived("1") > 0 })
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -20,14 +20,14 @@
 func TestClientLibraryUnderFaults(t *testing.T) {
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverConfig(0), serverConfig(1), serverConfig(2))
 	for i, s := range tg.servers {
-		s.SetFaults(fakeserver.Faults{LostAnswers: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
+		s.SetFaults(fakeserver.Faults{LostResponses: 0.02, ResetAfter: 0.05, ResetBefore: 0.05, Overloaded: i == 2})
 	}
-	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, Late: 200 * time.Millisecond, Seed: 3})
+	lib, err := client.New(client.Options{Routers: []string{tg.gateway.Address()}, Connections: 200, LateResponseTimeout: 200 * time.Millisecond, Seed: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lib.Close()
-	workloads := map[string]client.Workload{"forecast": {Effect: client.Restartable}, "booking": {Effect: client.Fingerprinted, Window: 600 * time.Millisecond}, "ticket": {}}
+	workloads := map[string]client.Workload{"forecast": {Effect: client.Idempotent}, "booking": {Effect: client.IdempotentByKey, KeyWindow: 600 * time.Millisecond}, "ticket": {}}
 	names := []string{"forecast", "booking", "ticket"}
 	var mu sync.Mutex
 	outcomes, retries := map[string]int{}, 0
@@ -42,9 +42,9 @@
 			defer func() { <-semaphore }()
 			key, lastTry, start := fmt.Sprint("m", i), 0, time.Now()
 			rec := invariant.Record{Effect: key, Workload: name}
-			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), Mark: key, Patience: timeout, Workload: workloads[name],
-				BodyOf: func(x client.Try) []byte {
-					if x.Number <= lastTry || x.Mark != key || x.Left <= 0 || x.Left > timeout {
+			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), IdempotencyKey: key, Timeout: timeout, Workload: workloads[name],
+				BodyFor: func(x client.Attempt) []byte {
+					if x.Number <= lastTry || x.IdempotencyKey != key || x.Remaining <= 0 || x.Remaining > timeout {
 						t.Errorf("call %d: try %+v after try %d", i, x, lastTry)
 					}
 					if x.Number > 1 {
@@ -53,11 +53,11 @@
 						mu.Unlock()
 					}
 					lastTry = x.Number
-					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Left.Microseconds()
+					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Remaining.Microseconds()
 					tg.log.Add(rec)
-					return inferRequest(rec.Request, "", x.Left).Body
+					return inferRequest(rec.Request, "", x.Remaining).Body
 				},
-				Tried: func(_ client.Try, outcome string) {
+				AttemptEnded: func(_ client.Attempt, outcome string) {
 					switch rec.Kind, rec.Detail = invariant.ResponseReceived, outcome; outcome {
 					case "unsent":
 						rec.Kind = invariant.RequestNotSent
@@ -67,7 +67,7 @@
 					tg.log.Add(rec)
 				}})
 			kind := "finished"
-			var failed *client.Failed
+			var failed *client.CallError
 			if errors.As(err, &failed) {
 				kind = string(failed.Kind)
 			} else if err != nil {
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -170,7 +170,7 @@
 		tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := tg.checkRules(); v.Rules[2].Opportunities != 1 || v.Succeeded != 60 {
+	if v := tg.checkRules(); v.Rules[2].CheckCount != 1 || v.Succeeded != 60 {
 		t.Errorf("got %+v", v)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -97,7 +97,7 @@
 		loopEnded: make(chan struct{}), metrics: newMetrics(),
 	}
 	g.dial = func(ctx context.Context, address string) (*rest.Client, error) {
-		return rest.DialWith(ctx, address, &serverLimits, g.serverHandshake())
+		return rest.DialWithHandshake(ctx, address, &serverLimits, g.serverHandshake())
 	}
 	g.incarnation = fmt.Sprintf("%x-%x", config.Deployment.RouterIndex, g.loop.Epoch)
 	g.via = fmt.Sprintf("1.1 hollymast-%d", config.Deployment.RouterIndex)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -36,7 +36,7 @@
 		tg.call(fmt.Sprint("w", i), "forecast-1", time.Second)
 	}
 	for _, s := range tg.servers {
-		s.SetFaults(fakeserver.Faults{Silent: true})
+		s.SetFaults(fakeserver.Faults{Unresponsive: true})
 	}
 	var wg sync.WaitGroup
 	for i := range 10 {
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -79,7 +79,7 @@
 // serverConfig returns the configuration of the n-th fake server.
 func serverConfig(n int) fakeserver.Config {
 	return fakeserver.Config{Number: n, MaxReplicas: 20, Lanes: 2, Cores: 4, ExecutionTime: 10 * time.Millisecond, QueueLimit: 50, LoadTime: 5 * time.Millisecond,
-		MaxLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
+		MaxConcurrentLoads: 4, DedupWindow: 600 * time.Millisecond, SlowStartDuration: time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second, OverloadRate: 1e6, Seed: 1}
 }
 
 // newTestGateway starts a gateway with fake servers. All are stopped at the end of the test.
@@ -317,7 +317,7 @@
 	}
 	defer client.Close()
 	msg := inferRequest(id, function, time.Second)
-	msg.Header[kserve.RepeatMark] = []string{key}
+	msg.Header[kserve.IdempotencyKeyHeader] = []string{key}
 	resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 	if err != nil {
 		tg.t.Fatal(err)
@@ -346,7 +346,7 @@
 	tg.gateway.loop.Post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(timeout)) })
 	call := <-chosen
 	call.writeBefore += micros(time.Hour)
-	req := &request{message: inferRequest("1", "forecast-1", timeout), call: kserve.Call{Kind: kserve.Infer, Model: "forecast-1"}}
+	req := &request{message: inferRequest("1", "forecast-1", timeout), call: kserve.Call{Operation: kserve.Infer, Model: "forecast-1"}}
 	req.clientCheckedAt.Store(int64(tg.gateway.loop.Now() + micros(time.Hour)))
 	call.request, call.message = req, tg.gateway.attemptMessage(req, 0)
 	return call
--- a/internal/gateway/history.go
+++ b/internal/gateway/history.go
@@ -28,7 +28,7 @@
 func (g *Gateway) historySubject(req *request) history.Subject {
 	subject := history.Subject{Function: req.function, Tenant: g.config.tenantName(req.tenant)}
 	if g.config.NameKey != "" {
-		subject.Function = fmt.Sprintf("#%016x", record.Tag(g.config.NameKey, req.function))
+		subject.Function = fmt.Sprintf("#%016x", record.KeyedHash(g.config.NameKey, req.function))
 	}
 	return subject
 }
@@ -61,6 +61,6 @@
 // recordLoadCommandInHistory counts a load command for a request's function.
 func (g *Gateway) recordLoadCommandInHistory(req *request) {
 	if g.keepsHistory() {
-		g.state.historyCollector.LoadCommanded(g.loop.StepTime, g.historySubject(req))
+		g.state.historyCollector.LoadCommandSent(g.loop.StepTime, g.historySubject(req))
 	}
 }
--- a/internal/gateway/historywriter.go
+++ b/internal/gateway/historywriter.go
@@ -38,7 +38,7 @@
 func (w *historyWriter) write(rows []history.Row, now int64) {
 	w.batches = append(w.batches, historyBatch{uint64(now), rows})
 	err := w.drain(now)
-	if w.damagedCount++; !errors.Is(err, history.ErrDamaged) {
+	if w.damagedCount++; !errors.Is(err, history.ErrCorrupt) {
 		w.damagedCount = 0
 	}
 	if w.damagedCount >= maxDamagedWrites {
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -26,11 +26,11 @@
 
 // journalKey returns the journal's key for a client's request. It is 0 if the request is idempotent, so that a retry
 // does no harm, or has no idempotency key, so that a retry can't be recognized.
-func (c *Config) journalKey(function string, params kserve.Ask, class control.ClassID) persistence.IdempotencyKey {
-	if params.Mark == "" || c.Deployment.Classes[class].Idempotency == control.Idempotent {
+func (c *Config) journalKey(function string, params kserve.InferRequest, class control.ClassID) persistence.IdempotencyKey {
+	if params.IdempotencyKey == "" || c.Deployment.Classes[class].Idempotency == control.Idempotent {
 		return 0
 	}
-	return persistence.IdempotencyKey(record.Tag(c.NameKey, function+"\n"+params.Mark) | 1)
+	return persistence.IdempotencyKey(record.KeyedHash(c.NameKey, function+"\n"+params.IdempotencyKey) | 1)
 }
 
 // unknownLocality is the zone and cell of an earlier attempt whose server is not known any more. No server has it.
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -28,7 +28,7 @@
 	dir := t.TempDir()
 	config := &Config{Deployment: control.Deployment{Classes: []control.Class{{}, {Idempotency: control.IdempotentByKey}, {Idempotency: control.NonIdempotent}}}}
 	journalKey := func(function, key string, class control.ClassID) persistence.IdempotencyKey {
-		return config.journalKey(function, kserve.Ask{Mark: key}, class)
+		return config.journalKey(function, kserve.InferRequest{IdempotencyKey: key}, class)
 	}
 	j, _, _, err := persistence.OpenJournal(dir, persistence.SyncGrouped, 1<<40, 1<<30, func(error) {})
 	if err != nil {
@@ -153,14 +153,14 @@
 			if c.rebooted {
 				clock.BootID++
 			}
-			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnFailure: func(error) {},
+			j, _, _, err := persistence.JournalOptions{FileSystem: persistence.OSFileSystem{}, Sync: persistence.SyncGrouped, Retention: 1 << 40, MaxBytes: 1 << 30, OnStatusChange: func(error) {},
 				OnWarning: func(string) {}, Clock: clock, Now: now}.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			elsewhere := fleet.ID("127.0.0.1:9")
-			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.Ask{Mark: "sent"}, 2), Server: elsewhere},
-				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.Ask{Mark: "sent"}, 1), Server: elsewhere})
+			j.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: "sent"}, 2), Server: elsewhere},
+				persistence.Entry{Kind: persistence.EntryAttempt, At: now, Key: config.journalKey("booking-1", kserve.InferRequest{IdempotencyKey: "sent"}, 1), Server: elsewhere})
 			j.Close()
 			tg := newTestGatewayConfigured(t, stateSection(dir), func(c *Config) {
 				booking, _ := c.MatchFunction("booking-1")
@@ -210,7 +210,7 @@
 				t.Fatal(err)
 			}
 			msg := inferRequest(id, "ticket-1", time.Second)
-			msg.Header[kserve.RepeatMark] = []string{id + " again"}
+			msg.Header[kserve.IdempotencyKeyHeader] = []string{id + " again"}
 			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
 				t.Errorf("%+v, %v", resp, err)
@@ -220,7 +220,7 @@
 			known := tg.keysInJournal(t, dir)
 			for k := range i + 1 {
 				id := fmt.Sprint("job-", k)
-				if tg.attemptsStarted(id, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.Ask{Mark: id}, tg.ticketClass()))) == 0 {
+				if tg.attemptsStarted(id, -1) > 0 && len(known.MayHaveRun(tg.gateway.loop.Now(), tg.gateway.config.journalKey("ticket-1", kserve.InferRequest{IdempotencyKey: id}, tg.ticketClass()))) == 0 {
 					t.Errorf("%s ran, but the next incarnation would not know", id)
 				}
 			}
@@ -281,9 +281,9 @@
 	keeper, keysUnknownUntil := openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&logs))
 	disk.full.Store(true)
 	for range 3 {
-		failures := keeper.Failures()
+		failures := keeper.FailureCount()
 		keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
-		waitUntil(t, "the write has failed", func() bool { return keeper.Failures() > failures })
+		waitUntil(t, "the write has failed", func() bool { return keeper.FailureCount() > failures })
 	}
 	batch := keeper.Append(persistence.Entry{Kind: persistence.EntryAttempt, At: 1e15, Key: 1})
 	disk.full.Store(false)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -77,7 +77,7 @@
 		if keeper == nil {
 			return 0
 		}
-		return float64(keeper.Failures())
+		return float64(keeper.FailureCount())
 	}))
 }
 
--- a/internal/gateway/outcome.go
+++ b/internal/gateway/outcome.go
@@ -14,8 +14,8 @@
 // (internal/probe) share it, so that they interpret responses in the same way.
 func OutcomeOf(resp *rest.Response) control.Outcome {
 	outcome := control.Outcome{Result: attemptResult(resp), CacheStatus: cacheStatusOf(resp)}
-	if load, ok := kserve.ReadLoad(resp.Header); ok {
-		outcome.Report = &control.LoadReport{Utilization: load.Util, PendingLoads: load.Loads, PinnedMemory: load.Pinned}
+	if load, ok := kserve.ParseLoadReport(resp.Header); ok {
+		outcome.Report = &control.LoadReport{Utilization: load.Utilization, PendingLoads: load.PendingLoads, PinnedMemory: load.PinnedMemory}
 	}
 	return outcome
 }
@@ -45,7 +45,7 @@
 
 // cacheStatusOf returns whether the function was loaded when the attempt arrived, as reported by the server.
 func cacheStatusOf(resp *rest.Response) control.CacheStatus {
-	switch kserve.Found(resp.Header, resp.Body) {
+	switch kserve.ParseCacheStatus(resp.Header, resp.Body) {
 	case "warm":
 		return control.CacheHit
 	case "began":
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -14,7 +14,7 @@
 		return overload.Decision{Admitted: true}
 	}
 	return g.overload.Admit(now, overload.Request{
-		Tenant: req.tenant, IsRetry: req.params.Repeat, KeyHash: hashKey(req.params.Mark),
+		Tenant: req.tenant, IsRetry: req.params.IsRetry, KeyHash: hashKey(req.params.IdempotencyKey),
 		Function: functionID(g.config.NameKey, req.function), Priority: g.config.Priorities[req.pattern.Class],
 	})
 }
@@ -33,7 +33,7 @@
 	if g.overload == nil {
 		return retryAfter
 	}
-	return g.overload.RecordRejection(g.loop.StepTime, retryAfter, hashKey(req.message.Header.Get(kserve.RepeatMark)))
+	return g.overload.RecordRejection(g.loop.StepTime, retryAfter, hashKey(req.message.Header.Get(kserve.IdempotencyKeyHeader)))
 }
 
 // logOverload logs the overload controller's messages of a step, and updates the metric.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -19,7 +19,7 @@
 	function string
 	call     kserve.Call
 	message  *rest.Request
-	params   kserve.Ask
+	params   kserve.InferRequest
 	pattern  FunctionPattern
 	tenant   control.TenantID
 	client   *rest.Conn
@@ -54,7 +54,7 @@
 // function in the same order by it. A key, which must then be the same in all routers, prevents readers of a recording
 // from checking guessed names against the ids.
 func functionID(key, name string) control.FunctionID {
-	return control.FunctionID(record.Tag(key, name))
+	return control.FunctionID(record.KeyedHash(key, name))
 }
 
 // handleRequest passes a request to the core, or rejects it.
@@ -73,9 +73,9 @@
 	}
 	g.lastID++
 	req.id, req.journalKey = g.lastID, key
-	arrivedAt := now - micros(time.Since(req.message.ArrivedAt))
+	arrivedAt := now - micros(time.Since(req.message.ReceivedAt))
 	req.objectiveAt = arrivedAt + class.LatencyObjective
-	if req.idempotencyKey = req.params.Mark; req.idempotencyKey == "" {
+	if req.idempotencyKey = req.params.IdempotencyKey; req.idempotencyKey == "" {
 		req.idempotencyKey = g.incarnation + "-" + strconv.FormatUint(uint64(req.id), 36)
 	}
 	g.requests[req.id] = req
@@ -86,12 +86,12 @@
 		ID: req.id, Class: req.pattern.Class, Tenant: req.tenant, Function: functionID(g.config.NameKey, req.function),
 		Lanes: req.pattern.Lanes, ExecTimeHint: req.pattern.Work, LoadTimeHint: req.pattern.LoadTime, ArrivedAt: arrivedAt,
 		Deadline: max(now, arrivedAt+timeout-micros(g.config.AnswerMargin)), Attempts: earlier,
-		IsRetry: req.params.Repeat, RetriesUnmarked: !req.params.Counts,
+		IsRetry: req.params.IsRetry, RetriesUnmarked: !req.params.HasAttemptCount,
 	})
 	if err != nil {
 		g.log.Error().Err(err).Msg("request not accepted")
 	} else if g.recorder != nil && req.params.ID != "" {
-		g.recorder.SetClientTag(record.Tag(g.config.NameKey, req.params.ID))
+		g.recorder.SetClientIDHash(record.KeyedHash(g.config.NameKey, req.params.ID))
 	}
 	g.log.Debug().Uint64("request", uint64(req.id)).Str("client_id", req.params.ID).Str("function", req.function).Msg("request accepted")
 }
@@ -205,8 +205,8 @@
 		})
 	}
 	call.message = &rest.Request{
-		Method: "POST", Target: kserve.Call{Kind: kserve.RepositoryLoad, Model: req.function}.Target(),
-		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadBody(command.Replicas),
+		Method: "POST", Target: kserve.Call{Operation: kserve.RepositoryLoad, Model: req.function}.Target(),
+		Header: rest.Header{"Content-Type": {"application/json"}}, Body: kserve.LoadCommandBody(command.Replicas),
 	}
 	g.loadCommandsInFlight++
 	g.metrics.loadCommands.Inc()
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -15,7 +15,7 @@
 
 // errorResponse returns an error response to a call that does not reach the core.
 func errorResponse(status int, reason string) *rest.Response {
-	return jsonResponse(status, kserve.Fault{Error: reason}.Body())
+	return jsonResponse(status, kserve.ErrorBody{Error: reason}.JSON())
 }
 
 // rejection returns the response to a request that the client may retry after retryAfter.
@@ -25,8 +25,8 @@
 
 // overloadRejection returns a rejection that names the kind of overload.
 func overloadRejection(reason string, retryAfter control.Micros, kind string) *rest.Response {
-	fault := kserve.Fault{Error: reason, Answer: "pushed back", Storm: kind, RetryAfter: int64(retryAfter)}
-	resp := jsonResponse(503, fault.Body())
+	fault := kserve.ErrorBody{Error: reason, Outcome: "pushed back", Overload: kind, RetryAfter: int64(retryAfter)}
+	resp := jsonResponse(503, fault.JSON())
 	if retryAfter > 0 {
 		seconds := (int64(retryAfter) + 999_999) / 1_000_000 // rounded up
 		resp.Header["Retry-After"] = []string{strconv.FormatInt(seconds, 10)}
@@ -36,5 +36,5 @@
 
 // failure returns the response to a request that may have run and must not be retried.
 func failure(reason string) *rest.Response {
-	return jsonResponse(504, kserve.Fault{Error: reason, Answer: "killed"}.Body())
+	return jsonResponse(504, kserve.ErrorBody{Error: reason, Outcome: "killed"}.JSON())
 }
--- a/internal/gateway/servercall.go
+++ b/internal/gateway/servercall.go
@@ -150,7 +150,7 @@
 	g.loadCommandsInFlight--
 	replicas := -1
 	if result.response != nil {
-		replicas = kserve.Copies(result.response.Body)
+		replicas = kserve.ParseReplicaCount(result.response.Body)
 	}
 	if result.result == control.Succeeded && replicas < 0 {
 		replicas = call.load.Replicas // the response names no number: assume all replicas that were asked for
@@ -163,7 +163,7 @@
 func (g *Gateway) attemptMessage(req *request, attemptID control.AttemptID) *rest.Request {
 	header := forwardedHeader(req.message.Header)
 	header[kserve.AttemptHeader] = []string{strconv.Itoa(int(attemptID) + 1)}
-	header[kserve.RepeatMark] = []string{req.idempotencyKey}
+	header[kserve.IdempotencyKeyHeader] = []string{req.idempotencyKey}
 	return &rest.Request{Method: "POST", Target: req.call.Target(), Header: header, Body: req.message.Body}
 }
 
--- a/internal/gateway/serverconn_test.go
+++ b/internal/gateway/serverconn_test.go
@@ -84,8 +84,8 @@
 }
 
 func TestForwardedHeaderOmitsHopByHopFields(t *testing.T) {
-	h := forwardedHeader(rest.Header{"Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Te": {"x"}, "A": {"b"}, kserve.HeaderLength: {"3"}})
-	if len(h) != 2 || h.Get("A") != "b" || h.Get(kserve.HeaderLength) != "3" {
+	h := forwardedHeader(rest.Header{"Connection": {"close, x-hop"}, "X-Hop": {"1"}, "Te": {"x"}, "A": {"b"}, kserve.JSONLengthHeader: {"3"}})
+	if len(h) != 2 || h.Get("A") != "b" || h.Get(kserve.JSONLengthHeader) != "3" {
 		t.Errorf("got %v", h)
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -131,7 +131,7 @@
 				c.change(config)
 				config.MaxDials = 1
 			}, serverConfig(0))
-			tg.servers[0].SetFaults(fakeserver.Faults{Silent: true})
+			tg.servers[0].SetFaults(fakeserver.Faults{Unresponsive: true})
 			if !c.connected {
 				tg.gateway.dialSemaphore <- struct{}{} // occupied by another connection
 				defer func() { <-tg.gateway.dialSemaphore }()
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -108,7 +108,7 @@
 	}
 	learned := saved.Learned
 	keeper.overloadBaseline, keeper.overloadBaselineAge = saved.Overload, max(0, now-learned.SavedAt)
-	if saved.Rebase(keeper.clock, now); learned.SavedAt > 0 {
+	if saved.ConvertTimes(keeper.clock, now); learned.SavedAt > 0 {
 		keeper.overloadBaselineAge = now - learned.SavedAt // measured by the boot-time clock
 	}
 	keeper.log.Info().Uint64("generation", saved.Generation).Int64("age_us", int64(keeper.overloadBaselineAge)).
@@ -122,7 +122,7 @@
 	options := persistence.JournalOptions{
 		FileSystem: config.fileSystem, Sync: config.JournalSync, Retention: micros(config.KeyRetention),
 		MaxBytes: maxJournalBytes, Clock: keeper.clock, Now: now,
-		OnFailure: func(err error) {
+		OnStatusChange: func(err error) {
 			if err != nil {
 				log.Error().Err(err).Msg("journal can't be written: attempts that must survive a restart wait until it can")
 			} else {
@@ -155,7 +155,7 @@
 // stateOwner identifies this router and the part of its configuration that the ids in the learned state depend on.
 func (c *Config) stateOwner() persistence.Owner {
 	names := slices.Concat([]string{"workloads"}, c.ClassNames, []string{"tenants"}, c.TenantNames)
-	return persistence.Owner{Router: c.Deployment.RouterIndex, Deployment: record.Tag(c.NameKey, strings.Join(names, "\n"))}
+	return persistence.Owner{Router: c.Deployment.RouterIndex, Deployment: record.KeyedHash(c.NameKey, strings.Join(names, "\n"))}
 }
 
 // run writes the learned state periodically until the last step, and then once more.
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -61,7 +61,7 @@
 	_, untrustedClient := testCertStore(t, theirs.Issue(localhostNames), ours.CertificatePEM())
 	infer := func(store *certstore.Store, id string) string {
 		t.Helper()
-		conn, err := rest.DialWith(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, store.ClientHandshake)
+		conn, err := rest.DialWithHandshake(context.Background(), tg.gateway.Address(), &rest.DefaultLimits, store.ClientHandshake)
 		if err != nil {
 			return err.Error()
 		}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	Fill(value)
 	Check(t, name, value, encode, decode)
-	if missing := Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+	if missing := UntaggedFields(reflect.TypeOf(value)); len(missing) > 0 {
 		t.Errorf("%s: stored under the name of a field: %q", name, missing)
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -32,10 +32,10 @@
 }
 
 func TestUntagged(t *testing.T) {
-	if got := Untagged(reflect.TypeOf(&outer{})); !slices.Equal(got, []string{"golden.inner.Untagged"}) {
+	if got := UntaggedFields(reflect.TypeOf(&outer{})); !slices.Equal(got, []string{"golden.inner.Untagged"}) {
 		t.Errorf("got %q", got)
 	}
-	if got := Untagged(reflect.TypeOf(byPosition{})); !slices.Equal(got, []string{"golden.inner.Untagged"}) {
+	if got := UntaggedFields(reflect.TypeOf(byPosition{})); !slices.Equal(got, []string{"golden.inner.Untagged"}) {
 		t.Errorf("stored by position: got %q", got)
 	}
 }
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Untagged returns the exported fields, at any depth of a type, whose stored name is not written out in a cbor or json tag.
-func Untagged(t reflect.Type) []string {
+// UntaggedFields returns the exported fields, at any depth of a type, whose stored name is not written out in a cbor or json tag.
+func UntaggedFields(t reflect.Type) []string {
 	var missing []string
 	appendUntagged(t, map[reflect.Type]bool{}, &missing)
 	return missing
--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// LoadCommanded counts a load command.
-func (c *Collector) LoadCommanded(now control.Micros, subject Subject) {
+// LoadCommandSent counts a load command.
+func (c *Collector) LoadCommandSent(now control.Micros, subject Subject) {
 	c.countsOf(now, subject).Loads++
 }
 
--- a/internal/history/collector_test.go
+++ b/internal/history/collector_test.go
@@ -18,7 +18,7 @@
 	collector.AttemptEnded(at(now), a, control.Outcome{Result: control.Succeeded, CacheStatus: control.CacheMiss, Duration: 9_000_000})
 	collector.RequestDone(at(now), a, control.Reject, Late)
 	collector.RequestDone(at(now+Minute), b, control.Fail, Late)
-	collector.LoadCommanded(at(now+Minute), b)
+	collector.LoadCommandSent(at(now+Minute), b)
 	rows := collector.Drain().Rows()
 	if len(rows) != 2 || len(collector.Drain().Rows()) != 0 {
 		t.Fatalf("got %+v", rows)
--- a/internal/history/encoding.go
+++ b/internal/history/encoding.go
@@ -25,10 +25,10 @@
 func checkVersion(tx *bolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		return fmt.Errorf("%w: no history", ErrDamaged)
+		return fmt.Errorf("%w: no history", ErrCorrupt)
 	}
 	if v := meta.Get(versionKey); len(v) != 4 || binary.BigEndian.Uint32(v) > Version {
-		return ErrNewer
+		return ErrNewerVersion
 	}
 	return nil
 }
@@ -51,16 +51,16 @@
 
 func readRow(key, value []byte) (r Row, err error) {
 	if len(key) <= timeBytes {
-		return r, ErrDamaged
+		return r, ErrCorrupt
 	}
 	names := key[timeBytes:]
 	i := bytes.LastIndexByte(names, 0) // a function's name may hold a zero, a tenant's, which is from the settings, doesn't
 	if i < 0 {
-		return r, ErrDamaged
+		return r, ErrCorrupt
 	}
 	r.At, r.Subject = keyTime(key), Subject{string(names[:i]), string(names[i+1:])}
 	if err := cbor.Unmarshal(value, &r.Usage); err != nil {
-		return r, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return r, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return r, nil
 }
--- a/internal/history/levels.go
+++ b/internal/history/levels.go
@@ -21,10 +21,10 @@
 // compactionSteps are the spans by which each level is shortened beyond the bound of rows.
 var compactionSteps = []int64{Hour, 7 * Day, 30 * Day}
 
-// Horizons returns, by level, the time before which rows go to the next level (of the last level: are dropped), given how many rows the
+// CompactionCutoffs returns, by level, the time before which rows go to the next level (of the last level: are dropped), given how many rows the
 // levels hold and how many may be kept in all. Rows go by age. Beyond the bound the finest level that can be is shortened too, by hours,
 // then the next by weeks, then the last by months. Oldest is the time of each level's oldest row, 0 of an empty one.
-func Horizons(now int64, rows, oldest []int64, maxRows int64) []int64 {
+func CompactionCutoffs(now int64, rows, oldest []int64, maxRows int64) []int64 {
 	horizons := make([]int64, len(Levels))
 	total := int64(0)
 	for i, l := range Levels {
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -24,8 +24,8 @@
 
 // Errors of a store.
 var (
-	ErrNewer   = errors.New("written by a newer version")
-	ErrDamaged = errors.New("damaged")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrCorrupt      = errors.New("damaged")
 )
 
 // lockTimeout is how long a store waits while another process has the file open: reading a full file takes a second or two.
@@ -45,7 +45,7 @@
 	var db *bolt.DB
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, r)
+			err = fmt.Errorf("%s: %w: %v", s.path, ErrCorrupt, r)
 		}
 		if db != nil {
 			func() {
@@ -61,7 +61,7 @@
 	case errors.As(err, &path), errors.Is(err, errs.ErrTimeout): // it is the directory's fault, or another process has the file open
 		return fmt.Errorf("%s: %w", s.path, err)
 	default:
-		return fmt.Errorf("%s: %w: %v", s.path, ErrDamaged, err)
+		return fmt.Errorf("%s: %w: %v", s.path, ErrCorrupt, err)
 	}
 	return f(db)
 }
--- a/internal/history/store_test.go
+++ b/internal/history/store_test.go
@@ -86,7 +86,7 @@
 		}
 		s := NewStore(broken, 1e6)
 		if err := s.Add(rows[:1], now); err != nil {
-			if !errors.Is(err, ErrDamaged) {
+			if !errors.Is(err, ErrCorrupt) {
 				t.Errorf("damage %d: %v", i, err)
 			}
 			if err := s.Quarantine(now); err != nil {
--- a/internal/history/transaction.go
+++ b/internal/history/transaction.go
@@ -95,7 +95,7 @@
 			}
 		}
 		moved := false
-		for i, horizon := range Horizons(now, t.rows, oldest, maxRows) {
+		for i, horizon := range CompactionCutoffs(now, t.rows, oldest, maxRows) {
 			n, err := t.moveRows(i, horizon)
 			if err != nil {
 				return err
--- a/internal/invariant/drain.go
+++ b/internal/invariant/drain.go
@@ -12,7 +12,7 @@
 				delete(drainingSince, record.Server)
 			} else if !draining {
 				drainingSince[record.Server] = record.At
-				rule.Opportunities++
+				rule.CheckCount++
 			}
 		case AttemptReceived, LoadCommandReceived:
 			if draining && record.At > since+config.DrainGrace {
--- a/internal/invariant/effects.go
+++ b/internal/invariant/effects.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if received > 0 {
-		rule.Opportunities++
+		rule.CheckCount++
 	}
 	if class.NonIdempotent && len(started) > 1 {
 		rule.addViolation(started[1].At, "run-once %s ran %d times, on servers %d and %d", effect, len(started), started[0].Server, started[1].Server)
--- a/internal/invariant/loadrate.go
+++ b/internal/invariant/loadrate.go
@@ -20,7 +20,7 @@
 		case RequestSent:
 			requests[router] = append(requests[router], readAt(downtimes[router], at))
 		case LoadCommandReceived:
-			rule.Opportunities++
+			rule.CheckCount++
 			commands[router] = append(commands[router], at)
 			sent := countFrom(commands[router], at-config.LoadRateWindow+config.MaxNetworkDelay)
 			admitted := countFrom(requests[router], at-config.LoadRateWindow-config.MaxNetworkDelay)
--- a/internal/invariant/report.go
+++ b/internal/invariant/report.go
@@ -24,7 +24,7 @@
 type Rule struct {
 	Number         int      `json:"Number"` // from 1
 	Name           string   `json:"Name"`
-	Opportunities  int      `json:"Opportunities"` // times that it could have been violated
+	CheckCount     int      `json:"Opportunities"` // times that it could have been violated
 	Violations     []string `json:"Breaches"`      // descriptions of the first few
 	ViolationCount int      `json:"Count"`
 }
@@ -38,18 +38,18 @@
 
 // Report is the finding on a run. Its JSON form is read by scripts: the names in the tags stay.
 type Report struct {
-	Rules       []*Rule           `json:"Rules"` // by index
-	Requests    int               `json:"Jobs"`
-	Succeeded   int               `json:"Finished"`
-	Rejected    int               `json:"PushedBack"`
-	Failed      int               `json:"Killed"`
-	Unanswered  int               `json:"Unanswered"`
-	Abandoned   int               `json:"Left"`
-	NotAdmitted int               `json:"Other"`
-	Excused     int               `json:"Excused"` // without an answer, but their router was down before their deadline
-	Attempts    int               `json:"Executions"`
-	Retries     int               `json:"Repeats"` // requests with more than one attempt
-	SlowStart   []SlowStartWindow `json:"Cold"`    // one for each attempt that reached a server in slow start
+	Rules               []*Rule           `json:"Rules"` // by index
+	Requests            int               `json:"Jobs"`
+	Succeeded           int               `json:"Finished"`
+	Rejected            int               `json:"PushedBack"`
+	Failed              int               `json:"Killed"`
+	Unanswered          int               `json:"Unanswered"`
+	Abandoned           int               `json:"Left"`
+	NotAdmitted         int               `json:"Other"`
+	UnansweredWhileDown int               `json:"Excused"` // without an answer, but their router was down before their deadline
+	Attempts            int               `json:"Executions"`
+	Retries             int               `json:"Repeats"` // requests with more than one attempt
+	SlowStart           []SlowStartWindow `json:"Cold"`    // one for each attempt that reached a server in slow start
 }
 
 // SlowStartWindow is how much of its budget a server in slow start had got when a request reached it. Above 1 RuleSlowStart is
--- a/internal/invariant/responses.go
+++ b/internal/invariant/responses.go
@@ -10,7 +10,7 @@
 	r.Attempts += len(q.received)
 	down := wasDown(downtimes, q.sent.At, q.sent.Deadline)
 	if !down {
-		rule.Opportunities++
+		rule.CheckCount++
 	}
 	switch {
 	case q.responses > 1:
@@ -23,7 +23,7 @@
 	case q.abandoned || q.notSent:
 		r.Abandoned++
 	case down:
-		r.Excused++
+		r.UnansweredWhileDown++
 	default:
 		r.Unanswered++
 		rule.addViolation(q.sent.Deadline, "job %s got no answer", q.sent.Request)
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -10,7 +10,7 @@
 		switch record.Kind {
 		case ServerStarted:
 			startedAt[server], window[server] = at, nil
-			rule.Opportunities++
+			rule.CheckCount++
 		case ServerCollapsed:
 			rule.addViolation(at, "server %d fell over", server)
 		case AttemptReceived:
--- a/internal/modelcheck/apply.go
+++ b/internal/modelcheck/apply.go
@@ -17,7 +17,7 @@
 	case ServerDrains:
 		s.FaultBudget.Drains--
 		s.FaultCount++
-		s.Servers[i].State, s.Servers[i].Since = control.Draining, s.Now
+		s.Servers[i].State, s.Servers[i].StateSince = control.Draining, s.Now
 		s.publishEndpoint(i)
 	case ServerRestarts:
 		s.FaultBudget.Restarts--
@@ -40,7 +40,7 @@
 	s.Now = s.nextTime()
 	for i := range s.Calls {
 		call := &s.Calls[i]
-		if call.Stage == attempt.Chosen && !call.Progress.Ended && !call.WriteDelayed && !s.Routers[call.Router].Stalled && !s.Requests[call.Request].Inactive {
+		if call.Stage == attempt.Chosen && !call.Progress.Ended && !call.WriteDelayed && !s.Routers[call.Router].Stalled && !s.Requests[call.Request].Unexplored {
 			call.WriteDelayed = true
 			s.FaultBudget.DelayedWrites--
 		}
@@ -71,7 +71,7 @@
 	}
 	for j := range s.Requests {
 		if c.router(j) == i && !s.Requests[j].Answer.Decided {
-			s.Requests[j].Excused = true
+			s.Requests[j].DeadlineExempt = true
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		call.Stage, call.WrittenAt = attempt.Writing, 0
 		return
 	}
-	next, ok := rules.Write(call.Stage, true, s.Now, call.WriteUntil)
+	next, ok := rules.BeginWrite(call.Stage, true, s.Now, call.WriteDeadline)
 	if !ok {
 		call.Stage = attempt.Withdrawn
 		return
@@ -109,7 +109,7 @@
 		return
 	}
 	call.Ran = call.Replicas == 0
-	if call.BeganLoad = !server.Loaded; call.BeganLoad {
+	if call.StartedLoad = !server.Loaded; call.StartedLoad {
 		server.Loaded = true
 	}
 }
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -38,8 +38,8 @@
 	RecordedState *RecordedState `json:"Moment,omitempty"` // to begin with, in the place of all but the faults
 }
 
-// Minimal is the world that others are made from: one request, one server, one router, nothing goes wrong.
-var Minimal = Config{Requests: 1, Servers: 1, Routers: 1, Effects: []string{"restartable"}, Scope: "fleet", LatencyObjective: 150_000, MaxDeadline: 500_000,
+// MinimalConfig is the world that others are made from: one request, one server, one router, nothing goes wrong.
+var MinimalConfig = Config{Requests: 1, Servers: 1, Routers: 1, Effects: []string{"restartable"}, Scope: "fleet", LatencyObjective: 150_000, MaxDeadline: 500_000,
 	DedupWindow: 300_000, FunctionLoaded: true}
 
 // The bounds of a world: the number of states grows exponentially with each.
--- a/internal/modelcheck/diagram.go
+++ b/internal/modelcheck/diagram.go
@@ -7,8 +7,8 @@
 	"hollymast/internal/attempt"
 )
 
-// Diagram returns the states of an attempt in Mermaid's form, found by trying each step of package attempt in each state.
-func Diagram() string {
+// AttemptDiagram returns the states of an attempt in Mermaid's form, found by trying each step of package attempt in each state.
+func AttemptDiagram() string {
 	var b strings.Builder
 	stages := []string{"Chosen", "Writing", "Withdrawn"}
 	b.WriteString("stateDiagram-v2\n    [*] --> Chosen: the balancer chose a server\n")
--- a/internal/modelcheck/executor.go
+++ b/internal/modelcheck/executor.go
@@ -21,7 +21,7 @@
 		endpointsAsOf = asOf
 	}
 	s.Calls = append(s.Calls, ServerCall{Request: request, Attempt: number, Router: x.router, Server: x.config.serverIndex(to), ChosenAt: s.Now,
-		WriteUntil: x.rules.WriteUntil(endpointsAsOf, s.Now, drainGrace), Deadline: s.Now + timeout})
+		WriteDeadline: x.rules.WriteDeadline(endpointsAsOf, s.Now, drainGrace), Deadline: s.Now + timeout})
 	return &s.Calls[len(s.Calls)-1]
 }
 
@@ -29,7 +29,7 @@
 func (x *executor) Forward(request *control.Request, number control.AttemptID, to control.ServerID, timeout control.Micros) {
 	call := x.newCall(x.config.requestIndex(request.ID), int(number), to, timeout)
 	if number > 0 && x.config.effect(call.Request) == control.IdempotentByKey {
-		call.WriteUntil = min(call.WriteUntil, call.ChosenAt+attempt.MaxKeyedRetryDelay)
+		call.WriteDeadline = min(call.WriteDeadline, call.ChosenAt+attempt.MaxKeyedRetryDelay)
 	}
 	x.state.Requests[call.Request].Answer.AttemptBegan()
 }
@@ -54,10 +54,10 @@
 func (x *executor) giveAnswer(request int, kind string) {
 	s := x.state
 	r := &s.Requests[request]
-	if !x.rules.Give(&r.Answer) {
+	if !x.rules.DecideResponse(&r.Answer) {
 		return
 	}
-	r.Answers++
+	r.AnswerCount++
 	r.AnswerKind, r.AnsweredAt = kind, s.Now
 	for i := range s.Calls {
 		if call := &s.Calls[i]; call.Request == request && call.Replicas == 0 {
--- a/internal/modelcheck/exploration.go
+++ b/internal/modelcheck/exploration.go
@@ -11,24 +11,24 @@
 
 // Exploration goes through all states of a world, breadth first, so that the first violation found has the shortest trace.
 type Exploration struct {
-	Config      Config
-	Properties  []Property // nil: all
-	Rules       *Rules     // nil: ProductionRules
-	MaxDepth    int        // in steps; 0: to the end
-	MaxStates   int        // by whole depths; 0: all there are
-	Workers     int        // 0: one for each processor
-	MaxInMemory int        // states of one depth kept in memory; more are written to files. 0: all
-	Dir         string     // to resume from, and for those files; empty: a temporary one for them alone
-	Progress    func(p Progress)
+	Config            Config
+	Properties        []Property // nil: all
+	Rules             *Rules     // nil: ProductionRules
+	MaxDepth          int        // in steps; 0: to the end
+	MaxStates         int        // by whole depths; 0: all there are
+	Workers           int        // 0: one for each processor
+	MaxStatesInMemory int        // states of one depth kept in memory; more are written to files. 0: all
+	Dir               string     // to resume from, and for those files; empty: a temporary one for them alone
+	Progress          func(p Progress)
 }
 
 // Progress is how far an exploration has got; it is reported after each depth.
 type Progress struct {
-	Depth    int           `cbor:"Depth"`
-	Frontier int           `cbor:"Frontier"` // states first reached at this depth
-	States   int           `cbor:"States"`
-	Steps    int           `cbor:"Steps"`
-	Elapsed  time.Duration `cbor:"Took"`
+	Depth     int           `cbor:"Depth"`
+	NewStates int           `cbor:"Frontier"` // states first reached at this depth
+	States    int           `cbor:"States"`
+	Steps     int           `cbor:"Steps"`
+	Elapsed   time.Duration `cbor:"Took"`
 }
 
 // Result is an exploration's end.
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 	}
-	r.result.Complete = r.result.Trace == nil && r.result.Frontier == 0
+	r.result.Complete = r.result.Trace == nil && r.result.NewStates == 0
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	r.result.HeapBytes = memory.HeapAlloc
@@ -91,11 +91,11 @@
 		return nil, err
 	}
 	r := &run{Exploration: x, workers: x.Workers, spillDir: x.Dir, visited: newVisitedStates(), root: initial.Key(),
-		frontier: &frontier{states: []*State{initial}}, result: &Result{Progress: Progress{Frontier: 1, States: 1}}}
+		frontier: &frontier{states: []*State{initial}}, result: &Result{Progress: Progress{NewStates: 1, States: 1}}}
 	if r.workers == 0 {
 		r.workers = runtime.GOMAXPROCS(0)
 	}
-	if r.spillDir == "" && x.MaxInMemory > 0 {
+	if r.spillDir == "" && x.MaxStatesInMemory > 0 {
 		if r.spillDir, err = os.MkdirTemp("", "hmmodelcheck-"); err != nil {
 			return nil, err
 		}
@@ -119,7 +119,7 @@
 // exploreDepth explores the states of one depth and replaces the frontier. If the context ends meanwhile it returns the context's error, and
 // the depth doesn't count.
 func (r *run) exploreDepth(ctx context.Context, started time.Time) error {
-	next := &frontierWriter{maxInMemory: r.MaxInMemory, dir: r.spillDir, depth: r.result.Depth + 1}
+	next := &frontierWriter{maxInMemory: r.MaxStatesInMemory, dir: r.spillDir, depth: r.result.Depth + 1}
 	level, err := r.expand(ctx, next)
 	err = errors.Join(err, next.close())
 	if ctx.Err() != nil && err == nil {
@@ -132,8 +132,8 @@
 	r.frontier = &next.frontier
 	r.result.Depth++
 	r.result.Steps += level.steps
-	r.result.Frontier = r.frontier.count()
-	r.result.States += r.result.Frontier
+	r.result.NewStates = r.frontier.count()
+	r.result.States += r.result.NewStates
 	r.result.Elapsed = time.Since(started)
 	if r.Progress != nil {
 		r.Progress(r.result.Progress)
--- a/internal/modelcheck/exploration_test.go
+++ b/internal/modelcheck/exploration_test.go
@@ -7,7 +7,7 @@
 )
 
 func newConfig(change func(c *Config)) Config {
-	c := Minimal
+	c := MinimalConfig
 	c.Effects = slices.Clone(c.Effects)
 	change(&c)
 	return c
--- a/internal/modelcheck/golden_test.go
+++ b/internal/modelcheck/golden_test.go
@@ -18,7 +18,7 @@
 	golden.Check(t, "story-1.json", trace, func(v any) ([]byte, error) { return v.(*Trace).Marshal() }, json.Unmarshal)
 	golden.Check(t, "unfinished-1.cbor", unfinished, cbor.Marshal, cbor.Unmarshal)
 	for _, value := range []any{trace, unfinished} {
-		if missing := golden.Untagged(reflect.TypeOf(value)); len(missing) > 0 {
+		if missing := golden.UntaggedFields(reflect.TypeOf(value)); len(missing) > 0 {
 			t.Errorf("%T: stored under the name of a field: %q", value, missing)
 		}
 	}
--- a/internal/modelcheck/planted_test.go
+++ b/internal/modelcheck/planted_test.go
@@ -81,7 +81,7 @@
 		want   string
 	}{
 		"two answers": {newConfig(func(c *Config) { c.ClientCancels = 1 }), with(func(r *Rules) {
-			r.Give = func(a *attempt.FinalResponse) bool { a.Decided = true; return true }
+			r.DecideResponse = func(a *attempt.FinalResponse) bool { a.Decided = true; return true }
 			r.AttemptEnded = func(a *attempt.FinalResponse, res control.Result) attempt.Delivery {
 				a.InFlight--
 				if res == control.Succeeded {
@@ -100,7 +100,7 @@
 			r.WrapPolicy = func(m *control.Balancer) core.Policy { return forgetsResets{m} }
 		}), "nothing-left"},
 		"a reset taken for a proof": {nonIdempotent, with(func(r *Rules) {
-			r.BrokenResult = func(bool, attempt.InterruptReason) control.Result { return control.NotSent }
+			r.InterruptedResult = func(bool, attempt.InterruptReason) control.Result { return control.NotSent }
 		}), "proved"},
 		"wrong MayHaveRun": {nonIdempotent, with(func(r *Rules) {
 			r.WrapPolicy = func(m *control.Balancer) core.Policy { return forgetsRuns{m} }
@@ -114,13 +114,13 @@
 		"calls are written too late": {newConfig(func(c *Config) {
 			c.RouterStalls, c.Drains, c.Servers, c.MaxDeadline, c.LatencyObjective = 1, 1, 2, 1_500_000, 1_200_000
 		}), with(func(r *Rules) {
-			r.Write = func(s attempt.Stage, _ bool, _, _ control.Micros) (attempt.Stage, bool) { return attempt.Writing, true }
+			r.BeginWrite = func(s attempt.Stage, _ bool, _, _ control.Micros) (attempt.Stage, bool) { return attempt.Writing, true }
 		}), "drained"},
 		"a list's age counted from the choice": {newConfig(func(c *Config) {
 			c.RouterStalls, c.Drains, c.Servers, c.Requests, c.ArrivalInterval, c.MaxDeadline = 1, 1, 2, 2, 700_000, 600_000
 		}), with(func(r *Rules) {
 			r.MustReadEndpoints = func(_, _ control.Micros) bool { return false }
-			r.WriteUntil = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteDeadline(chosen, grace) }
+			r.WriteDeadline = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteDeadline(chosen, grace) }
 		}), "drained"},
 		"drains ignored": {newConfig(func(c *Config) { c.Drains, c.Requests, c.ArrivalInterval, c.MaxDeadline = 1, 2, 600_000, 400_000 }), with(func(r *Rules) {
 			r.WrapPolicy = func(m *control.Balancer) core.Policy { return ignoresDrains{m} }
--- a/internal/modelcheck/property.go
+++ b/internal/modelcheck/property.go
@@ -46,7 +46,7 @@
 	attempts := make([][]*ServerCall, len(s.Requests))
 	for i := range s.Calls {
 		call := &s.Calls[i]
-		if call.Replicas > 0 || s.Requests[call.Request].Inactive {
+		if call.Replicas > 0 || s.Requests[call.Request].Unexplored {
 			continue
 		}
 		if text := check(call, attempts[call.Request]); text != "" {
--- a/internal/modelcheck/property_drained.go
+++ b/internal/modelcheck/property_drained.go
@@ -14,8 +14,8 @@
 
 func checkDrained(_ *Config, s *State) string {
 	for _, call := range s.Calls {
-		if server := s.Servers[call.Server]; server.State != control.Ready && call.WrittenAt > server.Since+drainGrace {
-			return fmt.Sprintf("router %d writes to server %d %d us after it began to drain", call.Router, call.Server, call.WrittenAt-server.Since)
+		if server := s.Servers[call.Server]; server.State != control.Ready && call.WrittenAt > server.StateSince+drainGrace {
+			return fmt.Sprintf("router %d writes to server %d %d us after it began to drain", call.Router, call.Server, call.WrittenAt-server.StateSince)
 		}
 	}
 	return ""
--- a/internal/modelcheck/property_one_answer.go
+++ b/internal/modelcheck/property_one_answer.go
@@ -10,7 +10,7 @@
 
 func checkOneAnswer(_ *Config, s *State) string {
 	for i, request := range s.Requests {
-		if request.Answers > 1 {
+		if request.AnswerCount > 1 {
 			return fmt.Sprintf("request %d gets a second answer: %s", i, answerTexts[request.AnswerKind])
 		}
 	}
--- a/internal/modelcheck/recorded.go
+++ b/internal/modelcheck/recorded.go
@@ -80,11 +80,11 @@
 		if !v.Listed {
 			state = control.Removed
 		}
-		s.Servers = append(s.Servers, Server{State: state, Since: v.LastListed, StartedAt: v.Endpoint.StartedAt, Loaded: true})
+		s.Servers = append(s.Servers, Server{State: state, StateSince: v.LastListed, StartedAt: v.Endpoint.StartedAt, Loaded: true})
 	}
 	for i, snapshot := range r.Core.Requests {
 		request := snapshot.Request.Request
-		s.Requests = append(s.Requests, Request{Arrived: true, Inactive: !r.Explored[i], ArrivesAt: request.ArrivedAt, Deadline: request.Deadline + answerMargin,
+		s.Requests = append(s.Requests, Request{Arrived: true, Unexplored: !r.Explored[i], ArrivesAt: request.ArrivedAt, Deadline: request.Deadline + answerMargin,
 			Answer: attempt.FinalResponse{Decided: snapshot.Done, InFlight: snapshot.InFlight}})
 		for n, a := range snapshot.Request.Attempts {
 			s.Calls = append(s.Calls, recordedCall(c, i, n, a, request.Deadline))
--- a/internal/modelcheck/resume_test.go
+++ b/internal/modelcheck/resume_test.go
@@ -27,13 +27,13 @@
 	one, many := runExploration(Exploration{Workers: 1, MaxDepth: 12}), runExploration(Exploration{Workers: 7, MaxDepth: 12})
 	dir := t.TempDir()
 	runExploration(Exploration{Dir: dir, MaxDepth: 7})
-	rest := runExploration(Exploration{Dir: dir, MaxDepth: 12, MaxInMemory: 10})
+	rest := runExploration(Exploration{Dir: dir, MaxDepth: 12, MaxStatesInMemory: 10})
 	for _, f := range []*Result{many, rest} {
 		if f.States != one.States || f.Steps != one.Steps || f.Depth != one.Depth {
 			t.Errorf("%+v, with one worker %+v", f.Progress, one.Progress)
 		}
 	}
-	other := Exploration{Config: Minimal, Dir: dir}
+	other := Exploration{Config: MinimalConfig, Dir: dir}
 	if _, err := other.Run(context.Background()); err == nil {
 		t.Error("an exploration of another world was resumed")
 	}
@@ -42,7 +42,7 @@
 // A violation whose way back to the beginning is not known, since what was saved lacks a part, is an error and not a clean result.
 func TestViolationWithoutOriginIsAnError(t *testing.T) {
 	answersTwice := ProductionRules
-	answersTwice.Give = func(a *attempt.FinalResponse) bool { a.Decided = true; return true }
+	answersTwice.DecideResponse = func(a *attempt.FinalResponse) bool { a.Decided = true; return true }
 	answersTwice.AttemptEnded = func(a *attempt.FinalResponse, result control.Result) attempt.Delivery {
 		a.InFlight--
 		if result == control.Succeeded {
--- a/internal/modelcheck/routerstep.go
+++ b/internal/modelcheck/routerstep.go
@@ -110,7 +110,7 @@
 	outcome := control.Outcome{Attempt: control.AttemptID(call.Attempt), Server: x.config.serverID(call.Server), Result: call.Result, Duration: s.Now - call.ChosenAt}
 	if call.Result == control.Succeeded {
 		outcome.CacheStatus = control.CacheHit
-		if call.BeganLoad {
+		if call.StartedLoad {
 			outcome.CacheStatus = control.CacheMiss
 		}
 	}
@@ -136,19 +136,19 @@
 func (e *ServerCall) resultOf(rules *Rules, step Step) control.Result {
 	switch {
 	case step.Kind == CallTimesOut && e.Stage == attempt.Chosen:
-		return rules.UndialledResult(e.Stage, false)
+		return rules.UnconnectedResult(e.Stage, false)
 	case step.Kind == CallTimesOut:
-		return rules.BrokenResult(true, attempt.DeadlineExceeded)
+		return rules.InterruptedResult(true, attempt.DeadlineExceeded)
 	case step.Outcome == Unresponsive:
-		return rules.BrokenResult(true, attempt.AbortedLocally)
+		return rules.InterruptedResult(true, attempt.AbortedLocally)
 	case e.Stage == attempt.Withdrawn:
 		return control.NotSent
 	case e.Outcome == ConnectFailure:
-		return rules.UndialledResult(e.Stage, false)
+		return rules.UnconnectedResult(e.Stage, false)
 	case e.Outcome == Rejection:
 		return control.Overloaded
 	case e.Outcome == ResetBefore || e.Outcome == ResetAfter:
-		return rules.BrokenResult(true, attempt.ClosedByPeer)
+		return rules.InterruptedResult(true, attempt.ClosedByPeer)
 	}
 	return control.Succeeded
 }
--- a/internal/modelcheck/state.go
+++ b/internal/modelcheck/state.go
@@ -45,7 +45,7 @@
 // Server is one server as it really is.
 type Server struct {
 	State       control.ServerState `cbor:"State"`
-	Since       control.Micros      `cbor:"Since"` // of the state
+	StateSince  control.Micros      `cbor:"Since"` // of the state
 	StartedAt   control.Micros      `cbor:"Born"`  // 0: long ago
 	Incarnation int                 `cbor:"Epoch"` // counts its restarts
 	Loaded      bool                `cbor:"Loaded"`
@@ -53,16 +53,16 @@
 
 // Request is one request as its client sees it.
 type Request struct {
-	Arrived    bool                  `cbor:"Arrived"`
-	Inactive   bool                  `cbor:"Still"` // in a recorded state, and not explored
-	ArrivesAt  control.Micros        `cbor:"At"`
-	Deadline   control.Micros        `cbor:"Until"` // its client's
-	Answer     attempt.FinalResponse `cbor:"State"`
-	Answers    int                   `cbor:"Answers"` // that its client got
-	AnswerKind string                `cbor:"Word"`    // one of the answer words
-	AnsweredAt control.Micros        `cbor:"When"`
-	Excused    bool                  `cbor:"Excused"` // its router stalled: nobody can promise it anything
-	Cancelled  bool                  `cbor:"Left"`    // by its client
+	Arrived        bool                  `cbor:"Arrived"`
+	Unexplored     bool                  `cbor:"Still"` // in a recorded state, and not explored
+	ArrivesAt      control.Micros        `cbor:"At"`
+	Deadline       control.Micros        `cbor:"Until"` // its client's
+	Answer         attempt.FinalResponse `cbor:"State"`
+	AnswerCount    int                   `cbor:"Answers"` // that its client got
+	AnswerKind     string                `cbor:"Word"`    // one of the answer words
+	AnsweredAt     control.Micros        `cbor:"When"`
+	DeadlineExempt bool                  `cbor:"Excused"` // its router stalled: nobody can promise it anything
+	Cancelled      bool                  `cbor:"Left"`    // by its client
 }
 
 // The words for final answers, as they are stored.
@@ -87,11 +87,11 @@
 	Progress           attempt.Progress `cbor:"State"`
 	ChosenAt           control.Micros   `cbor:"Chosen"`
 	WrittenAt          control.Micros   `cbor:"Written"` // 0: not yet
-	WriteUntil         control.Micros   `cbor:"Until"`
+	WriteDeadline      control.Micros   `cbor:"Until"`
 	Deadline           control.Micros   `cbor:"Deadline"`
 	Outcome            CallOutcome      `cbor:"Way"`
 	Ran                bool             `cbor:"Ran"`   // truly
-	BeganLoad          bool             `cbor:"Began"` // of the function, at its server
+	StartedLoad        bool             `cbor:"Began"` // of the function, at its server
 	Incarnation        int              `cbor:"Epoch"` // of the server when it was written
 	Result             control.Result   `cbor:"Result"`
 	EndedAt            control.Micros   `cbor:"Ended"`
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -67,7 +67,7 @@
 
 func (s *State) addRequestSteps(c *Config, l *stepList) {
 	for i, request := range s.Requests {
-		if request.Inactive || s.Routers[c.router(i)].Stalled {
+		if request.Unexplored || s.Routers[c.router(i)].Stalled {
 			continue
 		}
 		switch {
@@ -83,7 +83,7 @@
 func (s *State) addCallSteps(c *Config, l *stepList) {
 	for i := range s.Calls {
 		call := &s.Calls[i]
-		if call.Progress.Ended || s.Routers[call.Router].Stalled || s.Requests[call.Request].Inactive {
+		if call.Progress.Ended || s.Routers[call.Router].Stalled || s.Requests[call.Request].Unexplored {
 			continue
 		}
 		switch call.Stage {
--- a/internal/modelcheck/time.go
+++ b/internal/modelcheck/time.go
@@ -38,7 +38,7 @@
 func (s *State) considerRequests(next *earliestAfter) (open bool) {
 	for _, request := range s.Requests {
 		switch {
-		case request.Inactive:
+		case request.Unexplored:
 		case !request.Arrived:
 			next.consider(request.ArrivesAt)
 			open = true
@@ -54,7 +54,7 @@
 // still in flight.
 func (s *State) considerCalls(next *earliestAfter) (inFlight bool) {
 	for _, call := range s.Calls {
-		if call.Progress.Ended || s.Requests[call.Request].Inactive {
+		if call.Progress.Ended || s.Requests[call.Request].Unexplored {
 			continue
 		}
 		inFlight = true
@@ -62,7 +62,7 @@
 			next.consider(call.Deadline)
 		}
 		if server := s.Servers[call.Server]; server.State != control.Ready && call.Stage == attempt.Chosen {
-			next.consider(server.Since + drainGrace + 1)
+			next.consider(server.StateSince + drainGrace + 1)
 		}
 	}
 	return inFlight
--- a/internal/modelcheck/walk.go
+++ b/internal/modelcheck/walk.go
@@ -30,7 +30,7 @@
 	return nil, len(trace.Steps), nil
 }
 
-// RandomChoice returns a function that picks by a seed.
-func RandomChoice(seed uint64) func(n int) int {
+// SeededPicker returns a function that picks by a seed.
+func SeededPicker(seed uint64) func(n int) int {
 	return rand.New(rand.NewPCG(seed, 0)).IntN
 }
--- a/internal/modelcheck/walk_test.go
+++ b/internal/modelcheck/walk_test.go
@@ -26,7 +26,7 @@
 	bad := ProductionRules
 	bad.Withdraw = func(s attempt.Stage) (attempt.Stage, bool) { return s, false }
 	for seed := uint64(0); seed < 2000; seed++ {
-		trace, _, err := RandomWalk(large, &bad, []Property{nothingAfterAnswer}, 120, RandomChoice(seed))
+		trace, _, err := RandomWalk(large, &bad, []Property{nothingAfterAnswer}, 120, SeededPicker(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/modelserver/infer.go
+++ b/internal/modelserver/infer.go
@@ -34,7 +34,7 @@
 
 // drawFaults draws in a fixed order, so that a day of one seed is always the same.
 func (s *Server) drawFaults() injectedFaults {
-	return injectedFaults{slowdown: s.faults.Slowdown, resetBefore: s.happens(s.faults.ResetBefore), lostAnswer: s.happens(s.faults.LostAnswers),
+	return injectedFaults{slowdown: s.faults.Slowdown, resetBefore: s.happens(s.faults.ResetBefore), lostAnswer: s.happens(s.faults.LostResponses),
 		resetAfter: s.happens(s.faults.ResetAfter)}
 }
 
@@ -52,7 +52,7 @@
 	case s.crashesAtArrival():
 		s.logExecution(x, invariant.ServerCollapsed)
 		s.Kill()
-	case s.faults.Silent:
+	case s.faults.Unresponsive:
 	case x.injected.resetBefore:
 		s.end(x.exchange, Response{Result: ConnectionReset})
 	case s.faults.Overloaded:
--- a/internal/modelserver/modelserver_test.go
+++ b/internal/modelserver/modelserver_test.go
@@ -56,7 +56,7 @@
 
 func newTestServer(change func(*Config)) *testServer {
 	s := &testServer{clock: &manualClock{now: 1}}
-	config := Config{MaxReplicas: 4, Lanes: 1, Cores: 1, ExecutionTime: 10_000, QueueLimit: 3, LoadTime: 20_000, MaxLoads: 2, DedupWindow: 1_000_000,
+	config := Config{MaxReplicas: 4, Lanes: 1, Cores: 1, ExecutionTime: 10_000, QueueLimit: 3, LoadTime: 20_000, MaxConcurrentLoads: 2, DedupWindow: 1_000_000,
 		OverloadWindow: 1_000_000, OverloadRate: 1000}
 	change(&config)
 	s.store = NewStore(s.clock, 5_000, 1)
--- a/internal/modelserver/replicas.go
+++ b/internal/modelserver/replicas.go
@@ -25,7 +25,7 @@
 func (s *Server) Load(function string, count, router int, respond func(Response)) {
 	s.log(invariant.Record{Kind: invariant.LoadCommandReceived, Server: s.config.Number, Router: router})
 	exchange := s.open(respond)
-	if s.faults.Silent {
+	if s.faults.Unresponsive {
 		return
 	}
 	r, held, loaded := s.functions[function], 0, 0
@@ -45,7 +45,7 @@
 
 // reserve makes room for replicas and counts their load; nil where memory is pinned or too many loads wait.
 func (s *Server) reserve(function string, count int) *replicas {
-	if s.loading >= 2*s.config.MaxLoads || count > maxReplicasPerLoad || !s.evictFor(function, count) {
+	if s.loading >= 2*s.config.MaxConcurrentLoads || count > maxReplicasPerLoad || !s.evictFor(function, count) {
 		return nil
 	}
 	r := s.functions[function]
--- a/internal/persistence/encoding.go
+++ b/internal/persistence/encoding.go
@@ -45,22 +45,22 @@
 // ErrNewer or ErrDamaged.
 func Decode(b []byte) (*State, error) {
 	if len(b) < len(magic)+headerBytes || string(b[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: not a state file", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a state file", ErrCorrupt)
 	}
 	header, payload := b[len(magic):len(magic)+headerBytes], b[len(magic)+headerBytes:]
 	if uint64(binary.BigEndian.Uint32(header[4:])) != uint64(len(payload)) ||
 		binary.BigEndian.Uint32(header[8:]) != checksum(header, payload) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	if v := binary.BigEndian.Uint32(header); v > Version { // the header is the same in all versions
-		return nil, fmt.Errorf("%w: format %d, known up to %d", ErrNewer, v, Version)
+		return nil, fmt.Errorf("%w: format %d, known up to %d", ErrNewerVersion, v, Version)
 	}
 	state := &State{}
 	if err := decodeMode.Unmarshal(payload, state); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	if err := validate(state.Learned); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return state, nil
 }
--- a/internal/persistence/encoding_test.go
+++ b/internal/persistence/encoding_test.go
@@ -32,7 +32,7 @@
 	for i := range b {
 		for bit := range 8 {
 			b[i] ^= 1 << bit
-			if k, err := Decode(b); !errors.Is(err, ErrDamaged) {
+			if k, err := Decode(b); !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("byte %d, bit %d: got %+v, %v", i, bit, k, err)
 			}
 			b[i] ^= 1 << bit
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(b); !errors.Is(err, ErrDamaged) {
+		if _, err := Decode(b); !errors.Is(err, ErrCorrupt) {
 			t.Errorf("change %d: got %v", i, err)
 		}
 	}
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -56,16 +56,16 @@
 
 // JournalOptions configures a journal.
 type JournalOptions struct {
-	FileSystem   FileSystem
-	Sync         SyncPolicy
-	Retention    control.Micros // how long entries matter
-	MaxBytes     int64          // size of all files; beyond it the oldest are removed
-	MaxFileBytes int64          // size at which the next file begins; 0: defaultFileBytes
-	OnFailure    func(error)    // called when writing begins to fail, and with nil when it works again
-	OnWarning    func(string)   // called with what else operators should know
-	RetryDelay   time.Duration  // the first after a failure; 0: initialRetryDelay
-	Clock        Clock          // of this incarnation; the zero Clock: unknown, times of earlier ones are uncertain
-	Now          control.Micros // in this incarnation's time; 0: unknown
+	FileSystem     FileSystem
+	Sync           SyncPolicy
+	Retention      control.Micros // how long entries matter
+	MaxBytes       int64          // size of all files; beyond it the oldest are removed
+	MaxFileBytes   int64          // size at which the next file begins; 0: defaultFileBytes
+	OnStatusChange func(error)    // called when writing begins to fail, and with nil when it works again
+	OnWarning      func(string)   // called with what else operators should know
+	RetryDelay     time.Duration  // the first after a failure; 0: initialRetryDelay
+	Clock          Clock          // of this incarnation; the zero Clock: unknown, times of earlier ones are uncertain
+	Now            control.Micros // in this incarnation's time; 0: unknown
 }
 
 const (
@@ -84,7 +84,7 @@
 func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onFailure func(error)) (
 	j *Journal, entries []Entry, warnings []string, err error) {
 	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: retention, MaxBytes: maxBytes,
-		OnFailure: onFailure, OnWarning: func(string) {}}.Open(dir)
+		OnStatusChange: onFailure, OnWarning: func(string) {}}.Open(dir)
 }
 
 // Open reads a directory's journal files, oldest first, and begins a new one. It returns the entries that were read and warnings about
@@ -107,8 +107,8 @@
 // Failing reports whether the last write failed: what is appended waits.
 func (j *Journal) Failing() bool { return j.failing.Load() }
 
-// Failures returns the number of writes that failed.
-func (j *Journal) Failures() int64 { return j.failures.Load() }
+// FailureCount returns the number of writes that failed.
+func (j *Journal) FailureCount() int64 { return j.failures.Load() }
 
 // Incomplete reports that a file could not be read at the start: what it holds still counts and is not known.
 func (j *Journal) Incomplete() bool { return j.incomplete }
--- a/internal/persistence/journal_crash_test.go
+++ b/internal/persistence/journal_crash_test.go
@@ -50,7 +50,7 @@
 
 func testOptions(d *faultFS, sync SyncPolicy, failed func(error)) JournalOptions {
 	return JournalOptions{FileSystem: d, Sync: sync, Retention: 10 * minute, MaxBytes: 1 << 20, MaxFileBytes: 300,
-		OnFailure: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
+		OnStatusChange: failed, OnWarning: func(string) {}, RetryDelay: time.Microsecond}
 }
 
 // appendBatches opens a journal and appends to it, until all is done or the file system is killed. Now and again it waits for a batch.
--- a/internal/persistence/journal_encoding.go
+++ b/internal/persistence/journal_encoding.go
@@ -86,12 +86,12 @@
 
 func readFrames(b []byte) (frames []frame, err error) {
 	if len(b) < len(journalMagic) || string(b[:len(journalMagic)]) != journalMagic {
-		return nil, fmt.Errorf("%w: not a journal file", ErrDamaged)
+		return nil, fmt.Errorf("%w: not a journal file", ErrCorrupt)
 	}
 	for b = b[len(journalMagic):]; len(b) > 0; {
 		f, ok := readFrame(b)
 		if !ok {
-			return frames, ErrDamaged
+			return frames, ErrCorrupt
 		}
 		frames = append(frames, f)
 		b = b[len(f.bytes):]
--- a/internal/persistence/journal_test.go
+++ b/internal/persistence/journal_test.go
@@ -65,7 +65,7 @@
 	}
 	failures := make(chan error, 10)
 	j, _, _, err := JournalOptions{FileSystem: OSFileSystem{}, Sync: SyncGrouped, Retention: 10 * minute, MaxBytes: 1 << 30,
-		MaxFileBytes: 1, OnFailure: func(err error) { failures <- err }, OnWarning: func(string) {}}.Open(dir)
+		MaxFileBytes: 1, OnStatusChange: func(err error) { failures <- err }, OnWarning: func(string) {}}.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	if err := <-failures; err == nil || !j.Failing() {
 		t.Error("no failure was reported")
 	}
-	for j.Failures() < 5 { // each is a write that was tried again
+	for j.FailureCount() < 5 { // each is a write that was tried again
 		select {
 		case <-second.Done():
 			t.Fatal("written where there is no directory")
@@ -93,8 +93,8 @@
 		t.Error(err)
 	}
 	j.Close()
-	if second.Err() != nil || len(failures) != 0 || j.Failing() || j.Failures() == 0 {
-		t.Errorf("%v, %d more, failing %t after %d", second.Err(), len(failures), j.Failing(), j.Failures())
+	if second.Err() != nil || len(failures) != 0 || j.Failing() || j.FailureCount() == 0 {
+		t.Errorf("%v, %d more, failing %t after %d", second.Err(), len(failures), j.Failing(), j.FailureCount())
 	}
 	if j, es, _ := openJournal(t, dir, SyncGrouped); len(es) != 2 {
 		t.Errorf("%d entries", len(es))
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -230,7 +230,7 @@
 func (j *Journal) handleFailure(err error) {
 	j.failures.Add(1)
 	if !j.failing.Swap(true) {
-		j.OnFailure(err)
+		j.OnStatusChange(err)
 	}
 	j.abandonFile()
 	j.backingOff = true
@@ -248,5 +248,5 @@
 		return
 	}
 	j.pruneFiles()
-	j.OnFailure(nil)
+	j.OnStatusChange(nil)
 }
--- a/internal/persistence/key_index.go
+++ b/internal/persistence/key_index.go
@@ -27,7 +27,7 @@
 	attempts  map[IdempotencyKey][]indexedAttempt
 	order     []IdempotencyKey // by their first attempt
 	first     int              // index in order; the keys before it are forgotten
-	Dropped   int              // keys forgotten before their time, at the bound
+	Evicted   int              // keys forgotten before their time, at the bound
 }
 
 // NewKeyIndex returns an index that remembers each key for a time after its last attempt, and no more than a number of keys.
@@ -91,7 +91,7 @@
 				}
 				break
 			}
-			x.Dropped++
+			x.Evicted++
 		}
 		delete(x.attempts, key)
 		x.first++
--- a/internal/persistence/key_index_test.go
+++ b/internal/persistence/key_index_test.go
@@ -41,8 +41,8 @@
 		m.Add(i+10, SentAttempt{7, 11 * minute})
 	}
 	m.Prune(11 * minute)
-	if m.Len() != 3 || m.Dropped == 0 || len(m.MayHaveRun(11*minute, 14)) != 1 {
-		t.Errorf("%d known, %d dropped", m.Len(), m.Dropped)
+	if m.Len() != 3 || m.Evicted == 0 || len(m.MayHaveRun(11*minute, 14)) != 1 {
+		t.Errorf("%d known, %d dropped", m.Len(), m.Evicted)
 	}
 	m.Prune(22 * minute)
 	if m.Len() != 0 || len(m.order)-m.first != 0 {
--- a/internal/persistence/rebase.go
+++ b/internal/persistence/rebase.go
@@ -6,10 +6,10 @@
 	"hollymast/control"
 )
 
-// Rebase converts a state's times to those of this incarnation, whose time is now. Where the two clocks can't be compared, what limits
+// ConvertTimes converts a state's times to those of this incarnation, whose time is now. Where the two clocks can't be compared, what limits
 // us counts as of now, and what permits something, or is worth something only while it is fresh, is dropped. When a server started is
 // told by other clocks and stays.
-func (s *State) Rebase(clock Clock, now control.Micros) {
+func (s *State) ConvertTimes(clock Clock, now control.Micros) {
 	earlier := Clock{}
 	if s.Clock != nil {
 		earlier = *s.Clock
--- a/internal/persistence/recovery.go
+++ b/internal/persistence/recovery.go
@@ -7,19 +7,21 @@
 	"hollymast/control"
 )
 
-// Recovered is what the journals of earlier incarnations hold, in this incarnation's time.
-type Recovered struct {
-	Entries   []Entry
-	Uncertain int // how many of the first entries have no known time: they were made now at the latest
-	Now       control.Micros
+// RecoveredEntries is what the journals of earlier incarnations hold, in this incarnation's time.
+type RecoveredEntries struct {
+	Entries      []Entry
+	UntimedCount int // how many of the first entries have no known time: they were made now at the latest
+	Now          control.Micros
 }
 
 // Recovered returns entries that were read at the start, with what is known of their times.
-func (j *Journal) Recovered(entries []Entry) Recovered { return Recovered{entries, j.uncertain, j.Now} }
+func (j *Journal) Recovered(entries []Entry) RecoveredEntries {
+	return RecoveredEntries{entries, j.uncertain, j.Now}
+}
 
 // ApplyEntries is Recovered.Apply of entries whose times are known.
 func ApplyEntries(state *control.LearnedState, entries []Entry, retention control.Micros, maxKeys int) *KeyIndex {
-	return Recovered{Entries: entries}.Apply(state, retention, maxKeys)
+	return RecoveredEntries{Entries: entries}.Apply(state, retention, maxKeys)
 }
 
 // Apply adds to a learned state what was sent after it was saved: attempts to servers in slow start, load commands and admitted
@@ -27,10 +29,10 @@
 //
 // Of entries whose time is unknown, those that limit us count as of now and those that permit something are dropped. An attempt
 // that may have run is beyond every retry window, and is remembered as long as if it were sent now.
-func (r Recovered) Apply(state *control.LearnedState, retention control.Micros, maxKeys int) *KeyIndex {
+func (r RecoveredEntries) Apply(state *control.LearnedState, retention control.Micros, maxKeys int) *KeyIndex {
 	index := NewKeyIndex(retention, maxKeys)
 	for i, e := range r.Entries {
-		uncertain := i < r.Uncertain
+		uncertain := i < r.UntimedCount
 		latest := e.At
 		if uncertain {
 			latest = r.Now
--- a/internal/persistence/state.go
+++ b/internal/persistence/state.go
@@ -24,6 +24,6 @@
 
 // Errors of Decode and ReadJournal.
 var (
-	ErrNewer   = errors.New("written by a newer version")
-	ErrDamaged = errors.New("damaged or cut short")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrCorrupt      = errors.New("damaged or cut short")
 )
--- a/internal/persistence/store.go
+++ b/internal/persistence/store.go
@@ -11,10 +11,10 @@
 
 // Store writes generations of a state. It is not safe for use by several goroutines.
 type Store struct {
-	files        FileStore
-	owner        Owner
-	generation   uint64
-	WrittenBytes int // size of the last write
+	files          FileStore
+	owner          Owner
+	generation     uint64
+	LastWriteBytes int // size of the last write
 }
 
 // OpenResult is what was found in a directory.
@@ -53,7 +53,7 @@
 		state, err = Decode(b)
 	}
 	switch {
-	case errors.Is(err, ErrNewer):
+	case errors.Is(err, ErrNewerVersion):
 		result.Writable = false
 		result.Warnings = append(result.Warnings, fmt.Sprintf("%s: %v: left unchanged, nothing is stored", name, err))
 	case err != nil:
@@ -77,6 +77,6 @@
 	if err != nil {
 		return err
 	}
-	s.WrittenBytes = len(b)
+	s.LastWriteBytes = len(b)
 	return s.files.Replace(GenerationFiles[s.generation%2], b)
 }
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -52,8 +52,8 @@
 				case <-done:
 					return
 				case <-time.After(40 * time.Millisecond):
-					c.Call(rand.Uint64(), uint64(i%4)+1)
-					c.Answer()
+					c.SendRequest(rand.Uint64(), uint64(i%4)+1)
+					c.AwaitAnswer()
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 	time.Sleep(slowStart) // the usual pace of answers is known
 	start := time.Now()
 	added := platformtest.Event(2, "s-1", next.Address(), "ready")
-	added.Update.Targets[0].StartedAtMS = start.Add(-ago).UnixMilli()
+	added.Update.Endpoints[0].StartedAtMS = start.Add(-ago).UnixMilli()
 	discovery.Publish(added)
 	discovery.Publish(platformtest.Event(3, "s-0", previous.Address(), "gone"))
 	time.Sleep(slowStart + part + part/2)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -114,9 +114,9 @@
 	announced := service.Publish(platformtest.Event(2, "s-0", draining.Address(), "draining"))
 	service.Publish(platformtest.Event(3, "s-1", ready.Address(), "ready"))
 	r := startDeployment(t, platformtest.Deployment{Grace: grace}.Configuration(service.Address(), known...))
-	platformtest.WaitFor(t, "the router subscribes", func() bool { return len(service.Subscriptions()) == 1 })
+	platformtest.WaitFor(t, "the router subscribes", func() bool { return len(service.SubscriptionTimes()) == 1 })
 	client := platformtest.Dial(t, r.Address())
-	client.Call(1, 1)
+	client.SendRequest(1, 1)
 	platformtest.WaitFor(t, "the request is read", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -133,7 +133,7 @@
 		t.Error("the router is ready before discovery has answered")
 	}
 	close(answer)
-	if !client.Answer() {
+	if !client.AwaitAnswer() {
 		t.Error("the request was not served")
 	}
 	if n := len(draining.Received()); n > 0 {
@@ -187,8 +187,8 @@
 	r := startDeployment(t, platformtest.Deployment{Grace: time.Second}.Configuration(service.Address(), events...))
 	platformtest.WaitFor(t, "the router is ready", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
-	client.Call(1, 1)
-	if !client.Answer() || len(first.Received()) == 0 {
+	client.SendRequest(1, 1)
+	if !client.AwaitAnswer() || len(first.Received()) == 0 {
 		t.Fatal("the first incarnation was not used")
 	}
 	before := len(first.Received())
@@ -197,10 +197,10 @@
 	service.Publish(platformtest.Event(4, "s-1", first.Address(), "draining"))
 	platformtest.WaitFor(t, "the list is read", func() bool { return r.discovery.Revision() == 4 })
 	for ref := range uint64(10) {
-		client.Call(ref+2, ref+1)
+		client.SendRequest(ref+2, ref+1)
 	}
 	for range 10 {
-		if !client.Answer() {
+		if !client.AwaitAnswer() {
 			t.Error("a request was not served")
 		}
 	}
@@ -220,8 +220,8 @@
 	r := startDeployment(t, platformtest.Deployment{Grace: grace}.Configuration(service.Address(), platformtest.Event(1, "s-0", server.Address(), "ready")))
 	platformtest.WaitFor(t, "the router is ready", r.ready.Load)
 	client := platformtest.Dial(t, r.Address())
-	client.Call(1, 1)
-	if !client.Answer() {
+	client.SendRequest(1, 1)
+	if !client.AwaitAnswer() {
 		t.Error("the request was not served")
 	}
 }
--- a/internal/platform/endpoints_test.go
+++ b/internal/platform/endpoints_test.go
@@ -128,7 +128,7 @@
 			uid := func() string { return fmt.Sprint("s-", rapid.IntRange(0, 4).Draw(rt, "server")) }
 			e := discovery.Event{Revision: rev + 1, Update: &discovery.UpdateMessage{All: rapid.IntRange(0, 9).Draw(rt, "all") == 0}}
 			for range rapid.IntRange(0, 3).Draw(rt, "servers") {
-				e.Update.Targets = append(e.Update.Targets, discovery.EndpointMessage{UID: uid(), Endpoint: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 3).Draw(rt, "address")),
+				e.Update.Endpoints = append(e.Update.Endpoints, discovery.EndpointMessage{UID: uid(), Address: fmt.Sprintf("127.0.0.%d:80", rapid.IntRange(1, 3).Draw(rt, "address")),
 					State: rapid.SampledFrom([]string{"ready", "ready", "draining", "gone"}).Draw(rt, "state"), StartedAtMS: int64(rapid.IntRange(0, 1).Draw(rt, "boot"))})
 			}
 			if _, err := s.Apply(e); err != nil {
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -25,7 +25,7 @@
 	f := &fleetRouter{Router: r, clock: r.loop.Now()}
 	all := &discovery.UpdateMessage{All: true}
 	for i := range servers {
-		all.Targets = append(all.Targets, f.target(i, "ready"))
+		all.Endpoints = append(all.Endpoints, f.target(i, "ready"))
 	}
 	f.handle(b, all)
 	for i := range servers {
@@ -35,14 +35,14 @@
 }
 
 func (f *fleetRouter) target(i int, state string) discovery.EndpointMessage {
-	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
+	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Address: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
 		Weight: 4, StartedAtMS: int64(f.revision)}
 }
 
 // handle lets the router handle an event in one step, one millisecond after the last.
 func (f *fleetRouter) handle(b testing.TB, update *discovery.UpdateMessage) {
 	f.revision++
-	effect, err := f.discoveryState.HandleLine(platformtest.Line(discovery.Event{Revision: f.revision, Update: update}))
+	effect, err := f.discoveryState.HandleLine(platformtest.EncodeEvent(discovery.Event{Revision: f.revision, Update: update}))
 	if err != nil || effect != discovery.EndpointsChanged {
 		b.Fatal(effect, err)
 	}
@@ -56,7 +56,7 @@
 
 // change moves one server on to its next state.
 func (f *fleetRouter) change(b testing.TB, n, servers int) {
-	f.handle(b, &discovery.UpdateMessage{Targets: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
+	f.handle(b, &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
 // An event about one server allocates no more among many servers than among a few.
--- a/internal/platform/logging_test.go
+++ b/internal/platform/logging_test.go
@@ -46,8 +46,8 @@
 	r, log := serveLogged(t, platformtest.Event(1, "s-0", server.Address(), "ready"))
 	c := platformtest.Dial(t, r.Address())
 	const id = 0x9b1f03aa5c7e2d41
-	c.Call(id, 1)
-	if !c.Answer() {
+	c.SendRequest(id, 1)
+	if !c.AwaitAnswer() {
 		t.Fatal("not served")
 	}
 	r.stop()
@@ -73,8 +73,8 @@
 	t.Parallel() // it lasts until the deadline
 	r, log := serveLogged(t, platformtest.Event(1, "s-0", unreachable, "draining"))
 	c := platformtest.Dial(t, r.Address())
-	c.Call(1, 1)
-	if c.Answer() {
+	c.SendRequest(1, 1)
+	if c.AwaitAnswer() {
 		t.Fatal("served without a server")
 	}
 	ended := linesOf(t, log, "request ended")
--- a/internal/platformtest/client.go
+++ b/internal/platformtest/client.go
@@ -44,15 +44,15 @@
 	}
 }
 
-// Call sends a request of the class "again" for a function, and does not wait for its answer.
-func (c *Client) Call(id, function uint64) {
+// SendRequest sends a request of the class "again" for a function, and does not wait for its answer.
+func (c *Client) SendRequest(id, function uint64) {
 	c.t.Helper()
 	c.send("again", map[string]string{"ref": fmt.Sprintf("%016x", id), "allow": "8900", "project": "acme",
 		"lookup": fmt.Sprintf("%016x", function), "spec": "memory_mb:512;lanes:2"}, []byte("body"))
 }
 
-// Answer waits for the next answer. served is false if it is an error.
-func (c *Client) Answer() (served bool) {
+// AwaitAnswer waits for the next answer. served is false if it is an error.
+func (c *Client) AwaitAnswer() (served bool) {
 	c.t.Helper()
 	v, err := c.dec.DecodeSlice()
 	if err != nil {
@@ -61,8 +61,8 @@
 	return v[2] == nil
 }
 
-// Healthy sends a health check and returns the answer.
-func (c *Client) Healthy() bool {
+// CheckHealth sends a health check and returns the answer.
+func (c *Client) CheckHealth() bool {
 	c.t.Helper()
 	c.send("isWell", map[string]string{})
 	v, err := c.dec.DecodeSlice()
--- a/internal/platformtest/discovery.go
+++ b/internal/platformtest/discovery.go
@@ -15,12 +15,12 @@
 
 // Event returns a discovery event about one server. The first lists all servers.
 func Event(rev uint64, uid, address, state string) discovery.Event {
-	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Targets: []discovery.EndpointMessage{
-		{UID: uid, Endpoint: address, Zone: "east", Weight: 4, State: state}}}}
+	return discovery.Event{Revision: rev, Update: &discovery.UpdateMessage{All: rev == 1, Endpoints: []discovery.EndpointMessage{
+		{UID: uid, Address: address, Zone: "east", Weight: 4, State: state}}}}
 }
 
-// Line returns an event as a discovery service writes it.
-func Line(e discovery.Event) []byte {
+// EncodeEvent returns an event as a discovery service writes it.
+func EncodeEvent(e discovery.Event) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain values
@@ -58,8 +58,8 @@
 // Address returns the address that it listens on.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Subscriptions returns the time of each subscription.
-func (d *Discovery) Subscriptions() []time.Time {
+// SubscriptionTimes returns the time of each subscription.
+func (d *Discovery) SubscriptionTimes() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.subscriptions)
@@ -72,7 +72,7 @@
 	d.events = append(d.events, e)
 	announced := time.Now()
 	for c := range d.watchers {
-		d.write(c, Line(e))
+		d.write(c, EncodeEvent(e))
 	}
 	return announced
 }
@@ -84,8 +84,8 @@
 	return err
 }
 
-// Written returns how many bytes it wrote to all watchers.
-func (d *Discovery) Written() int64 {
+// BytesWritten returns how many bytes it wrote to all watchers.
+func (d *Discovery) BytesWritten() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.written
@@ -108,7 +108,7 @@
 	d.mu.Lock()
 	for _, e := range d.events {
 		if e.Revision > revision {
-			d.write(c, Line(e))
+			d.write(c, EncodeEvent(e))
 		}
 	}
 	d.watchers[c] = struct{}{}
--- a/internal/platformtest/modelserver.go
+++ b/internal/platformtest/modelserver.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Received is one frame as a model server received it.
-type Received struct {
+// ReceivedFrame is one frame as a model server received it.
+type ReceivedFrame struct {
 	Code   byte
 	At     time.Time // of its first byte
 	Fields string
@@ -21,7 +21,7 @@
 type ModelServer struct {
 	listener net.Listener
 	mu       sync.Mutex
-	received []Received
+	received []ReceivedFrame
 	accepted int
 	held     []func()                        // write the answers that wait
 	hold     func(frame []byte) (now []byte) // the part of an answer that is written at once; nil: all
@@ -45,22 +45,22 @@
 // Address returns the address that it listens on.
 func (s *ModelServer) Address() string { return s.listener.Addr().String() }
 
-// Accepted returns the number of connections so far.
-func (s *ModelServer) Accepted() int {
+// AcceptedConnections returns the number of connections so far.
+func (s *ModelServer) AcceptedConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
 // Received returns the frames so far.
-func (s *ModelServer) Received() []Received {
+func (s *ModelServer) Received() []ReceivedFrame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.received)
 }
 
-// LoadCommands returns the number of load commands so far.
-func (s *ModelServer) LoadCommands() int {
+// LoadCommandCount returns the number of load commands so far.
+func (s *ModelServer) LoadCommandCount() int {
 	n := 0
 	for _, frame := range s.Received() {
 		if frame.Code == LoadCode {
@@ -70,11 +70,11 @@
 	return n
 }
 
-// Hold makes answers wait until Release.
-func (s *ModelServer) Hold() { s.holdBack(func([]byte) []byte { return nil }) }
+// HoldAnswers makes answers wait until Release.
+func (s *ModelServer) HoldAnswers() { s.holdBack(func([]byte) []byte { return nil }) }
 
-// HoldHalf makes the second half of answers wait until Release.
-func (s *ModelServer) HoldHalf() {
+// HoldSecondHalves makes the second half of answers wait until Release.
+func (s *ModelServer) HoldSecondHalves() {
 	s.holdBack(func(frame []byte) []byte { return frame[:len(frame)/2] })
 }
 
@@ -84,8 +84,8 @@
 	s.hold = hold
 }
 
-// Release writes all that waits.
-func (s *ModelServer) Release() {
+// ReleaseAnswers writes all that waits.
+func (s *ModelServer) ReleaseAnswers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hold = nil
@@ -122,7 +122,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.received = append(s.received, Received{f.Code, at, f.Fields})
+		s.received = append(s.received, ReceivedFrame{f.Code, at, f.Fields})
 		s.mu.Unlock()
 		switch f.Code {
 		case AttemptCode:
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -14,19 +14,19 @@
 	"hollymast/kserve"
 )
 
-// Finding is what one server answered. Its JSON form is an output of hmprobe: its names stay.
-type Finding struct {
+// ServerReport is what one server answered. Its JSON form is an output of hmprobe: its names stay.
+type ServerReport struct {
 	Address  string              `json:"Address"`
 	Ready    bool                `json:"Ready"`
 	Problem  string              `json:"Says,omitempty"` // why it is not ready, or what is unusual
 	Duration control.Micros      `json:"Took"`           // of the readiness call, with the dial
 	Load     *control.LoadReport `json:"Load,omitempty"` // the last that it reported
-	Models   []kserve.Standing   `json:"Stands"`
-	Run      *Run                `json:"Run,omitempty"`
+	Models   []kserve.IndexEntry `json:"Stands"`
+	Request  *RequestReport      `json:"Run,omitempty"`
 }
 
-// Run is the outcome of a request that the probe was asked to make.
-type Run struct {
+// RequestReport is the outcome of a request that the probe was asked to make.
+type RequestReport struct {
 	Status      int                 `json:"Status"`
 	Result      string              `json:"Result"` // as the balancer would get it
 	CacheStatus control.CacheStatus `json:"Found"`
@@ -42,22 +42,22 @@
 	Body    []byte        // of that request
 }
 
-// Server probes one server. It runs nothing unless a model is named.
-func Server(ctx context.Context, address string, options Options) Finding {
+// CheckServer probes one server. It runs nothing unless a model is named.
+func CheckServer(ctx context.Context, address string, options Options) ServerReport {
 	started := time.Now()
 	dialCtx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
 	conn, err := rest.Dial(dialCtx, address, &rest.DefaultLimits)
 	if err != nil {
-		return Finding{Address: address, Problem: "no connection: " + err.Error()}
+		return ServerReport{Address: address, Problem: "no connection: " + err.Error()}
 	}
-	p := &prober{address: address, options: options, conn: conn, finding: Finding{Address: address}}
+	p := &prober{address: address, options: options, conn: conn, finding: ServerReport{Address: address}}
 	defer func() { p.conn.Close() }()
 	p.askReady(ctx)
 	p.finding.Duration = since(started)
 	p.askIndex(ctx)
 	if options.Model != "" {
-		p.finding.Run = p.infer()
+		p.finding.Request = p.infer()
 	}
 	return p.finding
 }
@@ -67,7 +67,7 @@
 	address string
 	options Options
 	conn    *rest.Client
-	finding Finding
+	finding ServerReport
 }
 
 func (p *prober) askReady(ctx context.Context) {
@@ -87,14 +87,14 @@
 		return
 	}
 	var err error
-	if p.finding.Models, err = kserve.ReadIndex(response.Body); err != nil {
+	if p.finding.Models, err = kserve.ParseIndex(response.Body); err != nil {
 		p.finding.Problem = "its index can't be read: " + err.Error()
 	}
 }
 
 // call makes a call without a body and takes the load report from its response; nil: there was none.
-func (p *prober) call(ctx context.Context, kind kserve.Kind, method string) *rest.Response {
-	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Kind: kind}.Target(), Header: rest.Header{"Host": {p.address}}})
+func (p *prober) call(ctx context.Context, kind kserve.Operation, method string) *rest.Response {
+	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Operation: kind}.Target(), Header: rest.Header{"Host": {p.address}}})
 	if err != nil {
 		problem := gateway.ResultName(gateway.BrokenExchangeResult(progress, err)) + ": " + err.Error()
 		p.finding.Problem = strings.TrimPrefix(p.finding.Problem+"; ", "; ") + problem
@@ -115,11 +115,11 @@
 }
 
 // infer makes one inference request.
-func (p *prober) infer() *Run {
+func (p *prober) infer() *RequestReport {
 	started := time.Now()
-	response, progress, err := p.exchange(&rest.Request{Method: http.MethodPost, Target: kserve.Call{Kind: kserve.Infer, Model: p.options.Model}.Target(),
+	response, progress, err := p.exchange(&rest.Request{Method: http.MethodPost, Target: kserve.Call{Operation: kserve.Infer, Model: p.options.Model}.Target(),
 		Header: rest.Header{"Host": {p.address}, "Content-Type": {"application/json"}}, Body: p.options.Body})
-	run := &Run{Duration: since(started)}
+	run := &RequestReport{Duration: since(started)}
 	var result control.Result
 	if err != nil {
 		result, run.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -11,7 +11,7 @@
 
 func startServer(t *testing.T) (*fakeserver.Server, *invariant.Log) {
 	log := invariant.NewLog()
-	s := fakeserver.New(fakeserver.Config{MaxReplicas: 4, Lanes: 1, Cores: 2, ExecutionTime: time.Millisecond, QueueLimit: 4, LoadTime: time.Millisecond, MaxLoads: 2, DedupWindow: time.Second},
+	s := fakeserver.New(fakeserver.Config{MaxReplicas: 4, Lanes: 1, Cores: 2, ExecutionTime: time.Millisecond, QueueLimit: 4, LoadTime: time.Millisecond, MaxConcurrentLoads: 2, DedupWindow: time.Second},
 		fakeserver.NewStore(time.Millisecond, 2), log)
 	if err := s.Start(false); err != nil {
 		t.Fatal(err)
@@ -23,18 +23,18 @@
 func TestProbeRunsNothingUnlessAModelIsNamed(t *testing.T) {
 	s, log := startServer(t)
 	options := Options{Timeout: time.Second}
-	if f := Server(context.Background(), s.Address(), options); !f.Ready || f.Run != nil || f.Load == nil || len(f.Models) != 0 {
+	if f := CheckServer(context.Background(), s.Address(), options); !f.Ready || f.Request != nil || f.Load == nil || len(f.Models) != 0 {
 		t.Errorf("got %+v", f)
 	}
 	if n := len(log.Records()); n != 0 {
 		t.Errorf("the server saw %d things", n)
 	}
 	options.Model, options.Body = "m", []byte(`{"id":"p","inputs":[]}`)
-	if f := Server(context.Background(), s.Address(), options); f.Run == nil || f.Run.Result != "finished" || !f.Run.MayHaveRun || f.Run.Status != 200 {
-		t.Errorf("got %+v", f.Run)
+	if f := CheckServer(context.Background(), s.Address(), options); f.Request == nil || f.Request.Result != "finished" || !f.Request.MayHaveRun || f.Request.Status != 200 {
+		t.Errorf("got %+v", f.Request)
 	}
 	options.Model = ""
-	if f := Server(context.Background(), s.Address(), options); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
+	if f := CheckServer(context.Background(), s.Address(), options); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
 		t.Errorf("got %+v", f.Models)
 	}
 }
@@ -46,14 +46,14 @@
 		f      fakeserver.Faults
 		result string
 		mayRun bool
-	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Silent: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
+	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Unresponsive: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
 		s.SetFaults(c.f)
-		if f := Server(context.Background(), s.Address(), options); f.Run == nil || f.Run.Result != c.result || f.Run.MayHaveRun != c.mayRun {
-			t.Errorf("%+v: got %+v", c.f, f.Run)
+		if f := CheckServer(context.Background(), s.Address(), options); f.Request == nil || f.Request.Result != c.result || f.Request.MayHaveRun != c.mayRun {
+			t.Errorf("%+v: got %+v", c.f, f.Request)
 		}
 	}
 	s.Stop()
-	if f := Server(context.Background(), s.Address(), options); f.Ready || f.Run != nil || f.Problem == "" {
+	if f := CheckServer(context.Background(), s.Address(), options); f.Ready || f.Request != nil || f.Problem == "" {
 		t.Errorf("gone: got %+v", f)
 	}
 }
--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -6,7 +6,7 @@
 )
 
 // Text describes a finding in plain words, a line for the server and one for each model.
-func (f Finding) Text() string {
+func (f ServerReport) Text() string {
 	var b strings.Builder
 	readiness := "not ready"
 	if f.Ready {
@@ -23,13 +23,13 @@
 	for _, model := range f.Models {
 		fmt.Fprintf(&b, "  %s %s\n", model.Name, strings.ToLower(model.State))
 	}
-	if f.Run != nil {
-		b.WriteString(f.Run.text())
+	if f.Request != nil {
+		b.WriteString(f.Request.text())
 	}
 	return b.String()
 }
 
-func (r *Run) text() string {
+func (r *RequestReport) text() string {
 	effect := "it did not run"
 	if r.MayHaveRun {
 		effect = "it may have run"
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -18,10 +18,10 @@
 
 // Errors of reading.
 var (
-	// ErrDamaged says that a segment can't be read further, where more should follow.
-	ErrDamaged = errors.New("damaged or cut short")
-	// ErrNewer says that a later version of this program wrote the segment.
-	ErrNewer = errors.New("written by a newer version")
+	// ErrCorrupt says that a segment can't be read further, where more should follow.
+	ErrCorrupt = errors.New("damaged or cut short")
+	// ErrNewerVersion says that a later version of this program wrote the segment.
+	ErrNewerVersion = errors.New("written by a newer version")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -62,22 +62,22 @@
 	if _, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
 		return io.EOF
 	} else if err != nil {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	n := binary.BigEndian.Uint32(header[:])
 	if n > maxFrame {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	payload, err := readBytes(r, int(n))
 	if err != nil || crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[4:]) {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	plain, err := decoder.DecodeAll(payload, nil)
 	if err != nil {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	if err := decodeMode.Unmarshal(plain, v); err != nil {
-		return fmt.Errorf("%w: %v", ErrDamaged, err)
+		return fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	return nil
 }
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -40,7 +40,7 @@
 		return s, fmt.Errorf("%s: header: %w", name, err)
 	}
 	if s.Version > Version {
-		return s, fmt.Errorf("%s: %w: format %d, known up to %d", name, ErrNewer, s.Version, Version)
+		return s, fmt.Errorf("%s: %w: format %d, known up to %d", name, ErrNewerVersion, s.Version, Version)
 	}
 	if err := readFrame(s.r, s.Checkpoint); err != nil {
 		return s, fmt.Errorf("%s: checkpoint: %w", name, err)
--- a/internal/record/read_test.go
+++ b/internal/record/read_test.go
@@ -38,7 +38,7 @@
 	if err := os.WriteFile(name, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenSegment(name); !errors.Is(err, ErrNewer) {
+	if _, err := OpenSegment(name); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -61,9 +61,9 @@
 	r.addEvent(Event{Added: place(&r.requests, request)})
 }
 
-// SetClientTag records the Tag of the client's own id for the request that was added last.
-func (r *Recorder) SetClientTag(tag uint64) {
-	r.step.Events[len(r.step.Events)-1].ClientTag = tag
+// SetClientIDHash records the Tag of the client's own id for the request that was added last.
+func (r *Recorder) SetClientIDHash(tag uint64) {
+	r.step.Events[len(r.step.Events)-1].ClientIDHash = tag
 }
 
 // AttemptEnded records the end of an attempt.
--- a/internal/record/segment_writer.go
+++ b/internal/record/segment_writer.go
@@ -227,8 +227,8 @@
 	return b, nil
 }
 
-// SnapshotSegment encodes a segment without steps: a core's state at one moment.
-func SnapshotSegment(header Header, now control.Micros, checkpoint *core.Snapshot) ([]byte, error) {
+// EncodeSnapshot encodes a segment without steps: a core's state at one moment.
+func EncodeSnapshot(header Header, now control.Micros, checkpoint *core.Snapshot) ([]byte, error) {
 	header.Version, header.Clock = Version, now
 	return segmentStart(&header, checkpoint)
 }
--- a/internal/record/tag.go
+++ b/internal/record/tag.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tag hashes a text, such as a name or a client's id. With a key it is an HMAC, so that nobody without the key can check a guess against
+// KeyedHash hashes a text, such as a name or a client's id. With a key it is an HMAC, so that nobody without the key can check a guess against
 // it.
-func Tag(key, text string) uint64 {
+func KeyedHash(key, text string) uint64 {
 	if key == "" {
 		return xxhash.Sum64String(text)
 	}
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -26,13 +26,13 @@
 
 // Event is an event that the core handled. One of its parts is set.
 type Event struct {
-	Added      *control.Request  `cbor:"1,keyasint,omitempty"`
-	Outcome    *control.Outcome  `cbor:"2,keyasint,omitempty"`
-	RequestID  control.RequestID `cbor:"3,keyasint,omitempty"` // of Outcome and Cancelled
-	Endpoints  *EndpointUpdate   `cbor:"4,keyasint,omitempty"`
-	Cancelled  bool              `cbor:"5,keyasint,omitempty"`
-	LoadResult *LoadResult       `cbor:"6,keyasint,omitempty"`
-	ClientTag  uint64            `cbor:"7,keyasint,omitempty"` // of Added: Tag of the client's own id for the request; 0: none
+	Added        *control.Request  `cbor:"1,keyasint,omitempty"`
+	Outcome      *control.Outcome  `cbor:"2,keyasint,omitempty"`
+	RequestID    control.RequestID `cbor:"3,keyasint,omitempty"` // of Outcome and Cancelled
+	Endpoints    *EndpointUpdate   `cbor:"4,keyasint,omitempty"`
+	Cancelled    bool              `cbor:"5,keyasint,omitempty"`
+	LoadResult   *LoadResult       `cbor:"6,keyasint,omitempty"`
+	ClientIDHash uint64            `cbor:"7,keyasint,omitempty"` // of Added: Tag of the client's own id for the request; 0: none
 }
 
 // EndpointUpdate is an update of the endpoint list.
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -14,10 +14,10 @@
 
 // Limits bound what a recording takes on disk.
 type Limits struct {
-	SegmentBytes int64         // size after which the next segment begins
-	SegmentAge   time.Duration // age after which it does too
-	TotalBytes   int64         // size of all segments; beyond it the oldest are removed
-	WaitForDisk  bool          // for simulated time: a step waits for the disk, so that no step is lost
+	SegmentBytes  int64         // size after which the next segment begins
+	SegmentAge    time.Duration // age after which it does too
+	TotalBytes    int64         // size of all segments; beyond it the oldest are removed
+	BlockWhenFull bool          // for simulated time: a step waits for the disk, so that no step is lost
 }
 
 const (
@@ -105,7 +105,7 @@
 	number := w.steps
 	w.steps++
 	for w.recording && !w.queue.push(item{number: number, step: step}) {
-		if w.recording = w.limits.WaitForDisk; w.recording {
+		if w.recording = w.limits.BlockWhenFull; w.recording {
 			w.queue.signal()
 			time.Sleep(diskWaitInterval)
 		}
@@ -134,7 +134,7 @@
 		defer close(ended)
 		w.wg.Wait()
 	}()
-	if w.limits.WaitForDisk {
+	if w.limits.BlockWhenFull {
 		<-ended
 		return
 	}
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -240,7 +240,7 @@
 	}
 	size := 0
 	for b.Loop() {
-		segment, err := SnapshotSegment(Header{}, now, s)
+		segment, err := EncodeSnapshot(Header{}, now, s)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/replay/difference.go
+++ b/internal/replay/difference.go
@@ -13,12 +13,12 @@
 	Clock              control.Micros
 	Request            control.RequestID
 	Recorded, Replayed string // the commands
-	Checkpoint         bool   // it is no command that differs but the state at the beginning of the segment
+	AtCheckpoint       bool   // it is no command that differs but the state at the beginning of the segment
 }
 
 // Error describes the difference in a line, in the words that hmreplay has always printed: another build's are compared to it.
 func (d *Difference) Error() string {
-	if d.Checkpoint {
+	if d.AtCheckpoint {
 		return fmt.Sprintf("%s: the state reached by replay differs from the checkpoint at turn %d", d.File, d.Step)
 	}
 	return fmt.Sprintf("%s: turn %d at %d us, job %d: then %q, now %q", d.File, d.Step, d.Clock, d.Request, d.Recorded, d.Replayed)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -13,8 +13,8 @@
 	"hollymast/internal/record"
 )
 
-// Range limits what is compared. The zero value is everything.
-type Range struct {
+// Options limits what is compared. The zero value is everything.
+type Options struct {
 	From, Until uint64            // first and last step; Until 0: to the end
 	Request     control.RequestID // compare only commands for this request; 0: for all
 	OnCommand   func(step uint64, clock control.Micros, c record.Command)
@@ -34,7 +34,7 @@
 const stallThreshold control.Micros = 1_000_000
 
 // Play replays segments in the given order. The error is a *Difference where commands differ; the summary covers what was played.
-func Play(files []string, r Range) (Summary, error) {
+func Play(files []string, r Options) (Summary, error) {
 	p := playback{limits: r}
 	for _, file := range files {
 		if err := p.playFile(file); errors.Is(err, errEndOfRange) {
@@ -50,7 +50,7 @@
 
 // playback is the state of Play between segments.
 type playback struct {
-	limits      Range
+	limits      Options
 	summary     Summary
 	player      *Player // nil: the next segment begins at its checkpoint
 	incarnation string
@@ -60,7 +60,7 @@
 // playFile plays a segment. A damaged one is played up to the damage.
 func (p *playback) playFile(file string) error {
 	err := p.playSegment(file)
-	if errors.Is(err, record.ErrDamaged) { // a router that is killed during a write leaves one
+	if errors.Is(err, record.ErrCorrupt) { // a router that is killed during a write leaves one
 		p.summary.Damaged = append(p.summary.Damaged, err.Error())
 		p.player = nil
 		return nil
@@ -105,13 +105,13 @@
 	}
 	same, err := sameState(p.player.Core, s.Checkpoint)
 	if err == nil && !same {
-		err = &Difference{File: s.File, Step: s.FirstStep, Clock: s.Clock, Checkpoint: true}
+		err = &Difference{File: s.File, Step: s.FirstStep, Clock: s.Clock, AtCheckpoint: true}
 	}
 	return err
 }
 
 // playStep replays a step and compares its commands.
-func (s *Summary) playStep(p *Player, r Range, file string, number uint64, step record.Step) error {
+func (s *Summary) playStep(p *Player, r Options, file string, number uint64, step record.Step) error {
 	s.addStep(step.Clock)
 	replayed := p.Step(step)
 	for i := range max(len(replayed), len(step.Commands)) {
