--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -135,14 +135,14 @@
 
 func TestReplayDecidesTheSame(t *testing.T) {
 	files := recordSteps(t, 1200)
-	a, err := Play(files, Range{})
+	a, err := Play(files, Options{})
 	if err != nil || a.Steps != 1201 || a.Commands < 500 || len(a.Damaged) > 0 {
 		t.Errorf("got %+v, %v", a, err)
 	}
-	if a, err = Play(files[1:], Range{}); err != nil || a.Steps == 0 || a.Steps >= 1201 {
+	if a, err = Play(files[1:], Options{}); err != nil || a.Steps == 0 || a.Steps >= 1201 {
 		t.Errorf("from the middle: %+v, %v", a, err)
 	}
-	if a, err = Play(files, Range{Until: 99}); err != nil || a.Steps != 100 {
+	if a, err = Play(files, Options{Until: 99}); err != nil || a.Steps != 100 {
 		t.Errorf("until: %+v, %v", a, err)
 	}
 }
@@ -167,7 +167,7 @@
 				rejected = rejected || d.Kind == record.CommandReject
 			}
 			last = n
-			return a.playStep(p, Range{}, name, n, step)
+			return a.playStep(p, Options{}, name, n, step)
 		})
 		s.Close()
 		var d *Difference
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err := Play(files, Range{})
+	whole, err := Play(files, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 		if err := os.WriteFile(name, broken, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		a, err := Play([]string{files[0], name, files[2]}, Range{})
+		a, err := Play([]string{files[0], name, files[2]}, Options{})
 		if err != nil || len(a.Damaged) != 1 || a.Steps >= whole.Steps || a.Steps == 0 {
 			t.Errorf("damage %d: %+v, %v", i, a, err)
 		}
@@ -206,7 +206,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "other.rec"), []byte("something else, of some length"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Play([]string{filepath.Join(dir, "other.rec")}, Range{}); err == nil {
+	if _, err := Play([]string{filepath.Join(dir, "other.rec")}, Options{}); err == nil {
 		t.Error("a file of another kind was played")
 	}
 }
@@ -222,7 +222,7 @@
 		{"testdata/format2.rec", 200, 201, 131},
 		{slowStartFile, 0, 600, 711},
 	} {
-		a, err := Play([]string{c.file}, Range{Until: c.until})
+		a, err := Play([]string{c.file}, Options{Until: c.until})
 		if err != nil || a.Steps != c.steps || a.Commands != c.commands || len(a.Damaged) > 0 {
 			t.Errorf("%s: got %+v, %v", c.file, a, err)
 		}
@@ -236,7 +236,7 @@
 // missing: a deliberate change of decisions needs one.
 func TestSlowStartIsReplayed(t *testing.T) {
 	file := recordSlowStart(t)
-	if a, err := Play([]string{file}, Range{}); err != nil || a.Steps != 600 || a.Commands == 0 {
+	if a, err := Play([]string{file}, Options{}); err != nil || a.Steps != 600 || a.Commands == 0 {
 		t.Errorf("got %+v, %v", a, err)
 	}
 	if _, err := os.Stat(slowStartFile); err == nil || os.Getenv("GOLDEN_WRITE") != "1" {
@@ -261,7 +261,7 @@
 	tr := &traffic{now: 5_000_000, rand: 1}
 	tr.core = core.New(control.New(tr.now, 1, deployment), tr)
 	dir := t.TempDir()
-	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30, WaitForDisk: true},
+	w, err := record.Open(dir, record.Limits{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30, BlockWhenFull: true},
 		record.Header{Incarnation: "a"}, tr.core.Snapshot, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rest/client.go
+++ b/internal/rest/client.go
@@ -19,8 +19,8 @@
 const (
 	NothingWritten Progress = iota
 	PartlyWritten
-	WrittenWhole  // the whole request was written, and no byte of a response came
-	ResponseBegun // the response is incomplete
+	FullyWritten    // the whole request was written, and no byte of a response came
+	ResponseStarted // the response is incomplete
 	ResponseRead
 )
 
@@ -39,11 +39,11 @@
 
 // Dial connects in plain text.
 func Dial(ctx context.Context, address string, limits *Limits) (*Client, error) {
-	return DialWith(ctx, address, limits, nil)
+	return DialWithHandshake(ctx, address, limits, nil)
 }
 
-// DialWith connects and makes a TLS handshake; with a nil handshake the connection is in plain text.
-func DialWith(ctx context.Context, address string, limits *Limits, handshake Handshake) (*Client, error) {
+// DialWithHandshake connects and makes a TLS handshake; with a nil handshake the connection is in plain text.
+func DialWithHandshake(ctx context.Context, address string, limits *Limits, handshake Handshake) (*Client, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -119,12 +119,12 @@
 		return nil, c.writeProgress(n), c.exchangeError(c.writeError(err))
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return nil, WrittenWhole, c.exchangeError(err)
+		return nil, FullyWritten, c.exchangeError(err)
 	}
 	c.answered = true
 	resp, err := readResponse(c.reader, req.Method, c.limits)
 	if err != nil {
-		return nil, ResponseBegun, c.exchangeError(err)
+		return nil, ResponseStarted, c.exchangeError(err)
 	}
 	return resp, ResponseRead, nil
 }
--- a/internal/rest/connclose_test.go
+++ b/internal/rest/connclose_test.go
@@ -111,7 +111,7 @@
 	}
 	defer func() { recvfrom = syscall.Recvfrom }()
 	for times = range 10 {
-		if calls = 0; s.HasPending() != (times < maxInterrupted) || calls > maxInterrupted {
+		if calls = 0; s.HasPendingInput() != (times < maxInterrupted) || calls > maxInterrupted {
 			t.Errorf("interrupted %d times: %d calls", times, calls)
 		}
 	}
--- a/internal/rest/message.go
+++ b/internal/rest/message.go
@@ -45,13 +45,13 @@
 
 // Request is a whole request.
 type Request struct {
-	Method    string
-	Target    string
-	Header    Header
-	Body      []byte
-	Close     bool      // the client asks to close the connection after the response
-	ChunkSize int       // write the body in chunks of this size; 0: with its length
-	ArrivedAt time.Time // when its first byte had arrived
+	Method     string
+	Target     string
+	Header     Header
+	Body       []byte
+	Close      bool      // the client asks to close the connection after the response
+	ChunkSize  int       // write the body in chunks of this size; 0: with its length
+	ReceivedAt time.Time // when its first byte had arrived
 }
 
 // Response is a whole response.
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -251,7 +251,7 @@
 		s.Read(make([]byte, 4096))
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != WrittenWhole {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != FullyWritten {
 		t.Errorf("broken after: got %d, %v", progress, err)
 	}
 
@@ -261,14 +261,14 @@
 		io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 		s.Close()
 	}(s)
-	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseBegun {
+	if _, progress, err := c.Do(testRequest(), testDeadline()); err == nil || progress != ResponseStarted {
 		t.Errorf("broken in the answer: got %d, %v", progress, err)
 	}
 }
 
 func TestDoTimeoutAndAbort(t *testing.T) {
 	c, _ := testClient(t)
-	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); !errors.Is(err, ErrTimeout) || progress != WrittenWhole {
+	if _, progress, err := c.Do(testRequest(), time.Now().Add(30*time.Millisecond)); !errors.Is(err, ErrTimeout) || progress != FullyWritten {
 		t.Errorf("got %d, %v", progress, err)
 	}
 	c, _ = testClient(t)
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -69,8 +69,8 @@
 	return err
 }
 
-// HasPending reports whether a part of a further request has arrived already.
-func (c *Conn) HasPending() bool {
+// HasPendingInput reports whether a part of a further request has arrived already.
+func (c *Conn) HasPendingInput() bool {
 	if c.reader.Buffered() > 0 {
 		return true
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, timeoutError(err, "header")
 	}
-	c.method, req.ArrivedAt = req.Method, arrivedAt
+	c.method, req.ReceivedAt = req.Method, arrivedAt
 	if length == noLength || length == 0 {
 		return req, nil
 	}
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -109,7 +109,7 @@
 	if err != nil || len(files) != 1 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	if a, err := replay.Play(files, replay.Range{}); err != nil || a.Steps != 2 || a.Commands < 2 {
+	if a, err := replay.Play(files, replay.Options{}); err != nil || a.Steps != 2 || a.Commands < 2 {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
--- a/internal/simadapter/recording.go
+++ b/internal/simadapter/recording.go
@@ -13,7 +13,7 @@
 
 // recordingLimits are large enough to record a whole simulated day, in segments that hmreplay reads quickly. The
 // simulation waits for the disk.
-var recordingLimits = record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, WaitForDisk: true}
+var recordingLimits = record.Limits{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 40, BlockWhenFull: true}
 
 // beginRecording begins a recording of a router that starts, if recording is enabled.
 func (h *host) beginRecording(r *router) error {
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -82,13 +82,13 @@
 // succeed ends the call with its answer.
 func (l *call) succeed() {
 	now := l.client.node.Now()
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts, FinishedAt: now,
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts, FinishedAt: now,
 		InTime: now-l.begunAt <= l.class.Spec.LatencyObjective})
 }
 
 // giveUp ends the call without an answer.
 func (l *call) giveUp() {
-	l.client.outcomes = append(l.client.outcomes, CallOutcome{Call: l.index, Attempts: l.attempts})
+	l.client.outcomes = append(l.client.outcomes, CallOutcome{CallIndex: l.index, Attempts: l.attempts})
 }
 
 // effectName is the call's effect in the records.
--- a/internal/simulation/infrastructure.go
+++ b/internal/simulation/infrastructure.go
@@ -23,7 +23,7 @@
 
 func newInfrastructure(w *world) *infrastructure {
 	infra := &infrastructure{node: w.engine.newNode(w.plan.Seed), world: w}
-	infra.store = modelserver.NewStore(infra.node, w.plan.FetchTime, w.plan.ConcurrentFetches)
+	infra.store = modelserver.NewStore(infra.node, w.plan.FetchTime, w.plan.MaxConcurrentFetches)
 	for i := range w.plan.Servers {
 		zone := w.plan.ServerZones[i]
 		infra.endpoints = append(infra.endpoints, control.Endpoint{Server: serverID(i), State: control.Ready, Zone: zone, Cell: control.CellID(zone), Weight: 1})
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -62,7 +62,7 @@
 	Classes              []Class
 	LanesPerRequest      int
 	FetchTime            control.Micros // of a store that is not degraded
-	ConcurrentFetches    int            // that the store serves
+	MaxConcurrentFetches int            // that the store serves
 	Calls                []Call
 	Clients              int // that the calls are dealt to, each with a retry budget and a random source of its own
 	Incidents            []Incident
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -21,7 +21,7 @@
 
 // CallOutcome is what became of a call.
 type CallOutcome struct {
-	Call       int // index into Plan.Calls
+	CallIndex  int // index into Plan.Calls
 	InTime     bool
 	FinishedAt control.Micros // 0: never finished
 	Attempts   int            // requests that its client sent
@@ -40,7 +40,7 @@
 	}
 	for _, c := range w.clients {
 		for _, outcome := range c.outcomes {
-			result.Outcomes[outcome.Call] = outcome
+			result.Outcomes[outcome.CallIndex] = outcome
 		}
 	}
 	return result
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 
 // smallPlan is a plan of a few routers and servers, with calls at an even pace.
 func smallPlan(calls int, incidents ...Incident) *Plan {
-	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, ConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
+	p := &Plan{Seed: 1, Routers: 3, LanesPerRequest: 2, FetchTime: 20_000, MaxConcurrentFetches: 4, Clients: 4, Duration: 6 * second, AnswerMargin: 20_000, OverloadProtection: true, EndpointPollInterval: 50_000,
 		Classes: []Class{{Name: "w", Importance: 1, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Idempotency: control.Idempotent}},
 			{Name: "once", Importance: 2, Spec: control.Class{LatencyObjective: 400_000, MaxDeadline: 3 * second, Idempotency: control.NonIdempotent}}},
 		Incidents: incidents}
@@ -23,7 +23,7 @@
 		p.Deployment.Classes = append(p.Deployment.Classes, w.Spec)
 	}
 	for i := range 4 {
-		p.Servers = append(p.Servers, modelserver.Config{Number: i, MaxReplicas: 20, Lanes: 2, Cores: 2, ExecutionTime: 20_000, QueueLimit: 20, LoadTime: 50_000, MaxLoads: 4, DedupWindow: 5 * second,
+		p.Servers = append(p.Servers, modelserver.Config{Number: i, MaxReplicas: 20, Lanes: 2, Cores: 2, ExecutionTime: 20_000, QueueLimit: 20, LoadTime: 50_000, MaxConcurrentLoads: 4, DedupWindow: 5 * second,
 			NoDedupPrefix: NonIdempotentKeyPrefix, SlowStartDuration: 2 * second, SlowStartInitial: 0.25, OverloadWindow: second, OverloadRate: 200, Seed: 1})
 		p.ServerZones = append(p.ServerZones, 0)
 	}
@@ -65,7 +65,7 @@
 // The rules hold and every call ends, under each kind of incident alone.
 func TestRulesUnderEachIncident(t *testing.T) {
 	for name, x := range map[string]Incident{
-		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Silent: true}}, "lost": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostAnswers: 0.3}},
+		"silent": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{Unresponsive: true}}, "lost": {Kind: ServerFault, Targets: []int{0, 1, 2, 3}, Faults: modelserver.Faults{LostResponses: 0.3}},
 		"reset": {Kind: ServerFault, Targets: []int{0, 1}, Faults: modelserver.Faults{ResetAfter: 0.5}}, "crash": {Kind: ServerCrash, Targets: []int{0, 1, 2}}, "deploy": {Kind: ServerDeploy, Targets: []int{0, 1}},
 		"store": {Kind: StoreDegraded, StoreClosed: true}, "frozen": {Kind: RouterStall, Targets: []int{0, 1, 2}}, "killed": {Kind: RouterCrash, Targets: []int{0, 1, 2}},
 		"partition": {Kind: NetworkPartition, Targets: []int{0, 1}, Unreachable: []int{0, 1}},
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -199,7 +199,7 @@
 			return
 		}
 		if len(answer) < 4 {
-			cc.client.run.ledger.report(at, RuleOneAnswer, "n%d sent a message of %d parts", cc.router.number, len(answer))
+			cc.client.run.ledger.report(at, RuleOneResponse, "n%d sent a message of %d parts", cc.router.number, len(answer))
 			continue
 		}
 		var number uint32
@@ -245,7 +245,7 @@
 	run.ledger.noteAnswer(r, at, kind)
 	if kind == answeredServed {
 		if parts, ok := result.([]any); !ok || len(parts) < 1 || !bytes.Equal(asBytes(parts[0]), r.body) {
-			run.ledger.report(at, RuleKnownRequests, "request %016x was served another body", r.id)
+			run.ledger.report(at, RuleRequestIntegrity, "request %016x was served another body", r.id)
 		}
 	}
 	if kind == answeredRejected && r.retry < maxRetries && run.chance() < retryShare {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -109,7 +109,7 @@
 	d.events = append(d.events, event)
 	for conn, silent := range d.watchers {
 		if !silent {
-			conn.Write(platformtest.Line(event))
+			conn.Write(platformtest.EncodeEvent(event))
 		}
 	}
 	at = time.Now()
@@ -134,7 +134,7 @@
 	fmt.Sscanf(line, "watch %d", &revision)
 	d.mu.Lock()
 	for _, event := range d.events[min(int(revision), len(d.events)):] {
-		conn.Write(platformtest.Line(event))
+		conn.Write(platformtest.EncodeEvent(event))
 	}
 	d.watchers[conn] = false
 	d.mu.Unlock()
--- a/internal/soak/execution.go
+++ b/internal/soak/execution.go
@@ -95,7 +95,7 @@
 
 // evict makes room for one more function. The lock is held.
 func (s *modelServer) evict() {
-	if len(s.functions) < s.run.scenario.Capacity {
+	if len(s.functions) < s.run.scenario.MaxLoadedFunctions {
 		return
 	}
 	var oldest uint64
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -26,26 +26,26 @@
 	case RollServers:
 		r.rollServers(ctx, f.Count)
 	case DrainAll:
-		r.drainAll(ctx, f.For)
+		r.drainAll(ctx, f.Duration)
 	case CrashServers:
-		r.crashServers(ctx, f.Count, f.For)
+		r.crashServers(ctx, f.Count, f.Duration)
 	case ReplaceServers:
-		r.replaceServers(ctx, f.Count, f.For)
+		r.replaceServers(ctx, f.Count, f.Duration)
 	case HangServers:
-		r.hangServers(ctx, r.take(f.Count, stateReady), f.For)
+		r.hangServers(ctx, r.take(f.Count, stateReady), f.Duration)
 	case ResetConns:
 		servers := r.take(f.Count, stateReady)
 		for _, s := range servers {
 			s.resetConns()
 		}
 		r.giveBack(servers...)
-	case LoseAnswers:
+	case DisruptResponses:
 		r.losingAnswers.Store(true)
-		r.sleep(ctx, f.For)
+		r.sleep(ctx, f.Duration)
 		r.losingAnswers.Store(false)
 	case DiscoveryDown:
 		r.discovery.breakOff()
-		r.sleep(ctx, f.For)
+		r.sleep(ctx, f.Duration)
 		r.noteFault(r.discovery.resume())
 	case DiscoverySilent:
 		r.discovery.silence()
@@ -56,11 +56,11 @@
 	case KillRouters:
 		r.killSome(f.Count)
 	case StallRouters:
-		r.stallRouters(ctx, f.Count, f.For)
+		r.stallRouters(ctx, f.Count, f.Duration)
 	case ThrottleRouters:
-		r.throttleRouters(ctx, f.Count, f.For)
+		r.throttleRouters(ctx, f.Count, f.Duration)
 	case PartitionZone:
-		r.partitionZone(ctx, f.For)
+		r.partitionZone(ctx, f.Duration)
 	case Burst, Quiet:
 		r.changeTraffic(ctx, f)
 	}
@@ -272,6 +272,6 @@
 		factor = quietFactor
 	}
 	r.setTraffic(factor)
-	r.sleep(ctx, f.For)
+	r.sleep(ctx, f.Duration)
 	r.setTraffic(1)
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -13,24 +13,26 @@
 
 // The rules. The platform's pages have their wording; docs/design.md numbers the first five.
 const (
-	RuleOneAnswer     Rule = "one final answer in time, and nothing sent after it"
-	RuleNoDouble      Rule = "no second effect"
-	RuleDrain         Rule = "nothing new to a server that drains or is removed"
-	RuleSlowStart     Rule = "no server in slow start is sent over its budget"
-	RuleLoadRate      Rule = "load commands within their limit"
-	RuleMalformed     Rule = "an answer or a close for malformed input within 3 s"
-	RuleNoCrash       Rule = "no router ends unasked, or takes long to be ready"
-	RuleKnownRequests Rule = "servers get clients' requests unchanged"
+	RuleOneResponse       Rule = "one final answer in time, and nothing sent after it"
+	RuleNoDuplicateEffect Rule = "no second effect"
+	RuleDrain             Rule = "nothing new to a server that drains or is removed"
+	RuleSlowStart         Rule = "no server in slow start is sent over its budget"
+	RuleLoadRate          Rule = "load commands within their limit"
+	RuleMalformed         Rule = "an answer or a close for malformed input within 3 s"
+	RuleNoCrash           Rule = "no router ends unasked, or takes long to be ready"
+	RuleRequestIntegrity  Rule = "servers get clients' requests unchanged"
 )
 
-// Break is one broken rule.
-type Break struct {
-	Rule Rule
-	At   time.Duration // after the run's start
-	What string
+// Violation is one broken rule.
+type Violation struct {
+	Rule   Rule
+	At     time.Duration // after the run's start
+	Detail string
 }
 
-func (b Break) String() string { return fmt.Sprintf("%.3f s %s: %s", b.At.Seconds(), b.Rule, b.What) }
+func (b Violation) String() string {
+	return fmt.Sprintf("%.3f s %s: %s", b.At.Seconds(), b.Rule, b.Detail)
+}
 
 // slack is what every time limit of the platform has beyond its figure.
 const slack = 50 * time.Millisecond
@@ -100,7 +102,7 @@
 
 	mu       sync.Mutex
 	requests map[uint64]*requestRecord
-	breaks   []Break
+	breaks   []Violation
 }
 
 func newLedger(s *Scenario, lag *lagMeter) *ledger {
@@ -115,7 +117,7 @@
 }
 
 func (l *ledger) reportLocked(at time.Time, rule Rule, format string, args ...any) {
-	l.breaks = append(l.breaks, Break{rule, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
+	l.breaks = append(l.breaks, Violation{rule, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
 }
 
 // add records a request that is about to be sent.
@@ -132,7 +134,7 @@
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
-		l.reportLocked(at, RuleKnownRequests, "%s got a request %016x that no client sent", server, id)
+		l.reportLocked(at, RuleRequestIntegrity, "%s got a request %016x that no client sent", server, id)
 		return nil, 0
 	}
 	l.judgeAttempt(r, at, server)
@@ -145,10 +147,10 @@
 	const departedFor = 100 * time.Millisecond // an attempt may still begin so long after its client has gone
 	tolerance := slack + l.lag.before(at)
 	if len(r.answers) > 0 && at.After(r.answers[0].at.Add(tolerance)) {
-		l.reportLocked(at, RuleOneAnswer, "request %016x was sent to %s %v after its answer", r.id, server, at.Sub(r.answers[0].at))
+		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its answer", r.id, server, at.Sub(r.answers[0].at))
 	}
 	if !r.departed.IsZero() && at.After(r.departed.Add(departedFor+tolerance)) {
-		l.reportLocked(at, RuleOneAnswer, "request %016x was sent to %s %v after its client had gone", r.id, server, at.Sub(r.departed))
+		l.reportLocked(at, RuleOneResponse, "request %016x was sent to %s %v after its client had gone", r.id, server, at.Sub(r.departed))
 	}
 	for _, earlier := range r.attempts {
 		if earlier.fate == didNotRun {
@@ -156,7 +158,7 @@
 		}
 		age := at.Sub(earlier.at)
 		if r.class.Semantics == NonIdempotent || r.class.Semantics == IdempotentByKey && age > r.class.Window+tolerance {
-			l.reportLocked(at, RuleNoDouble, "request %016x (%s) was sent to %s %v after %s, where it may have run", r.id, r.class.Semantics,
+			l.reportLocked(at, RuleNoDuplicateEffect, "request %016x (%s) was sent to %s %v after %s, where it may have run", r.id, r.class.Semantics,
 				server, age, earlier.server)
 		}
 	}
@@ -176,10 +178,10 @@
 	r.answers = append(r.answers, answerRecord{at, kind})
 	mayHave := slices.ContainsFunc(r.attempts, func(a attemptRecord) bool { return a.fate == mayHaveRun })
 	if kind == answeredRejected && r.class.Semantics == NonIdempotent && mayHave {
-		l.reportLocked(at, RuleNoDouble, "request %016x was rejected as repeatable though it may have run", r.id)
+		l.reportLocked(at, RuleNoDuplicateEffect, "request %016x was rejected as repeatable though it may have run", r.id)
 	}
 	if kind == answeredServed && len(r.attempts) == 0 {
-		l.reportLocked(at, RuleKnownRequests, "request %016x was served though no server got it", r.id)
+		l.reportLocked(at, RuleRequestIntegrity, "request %016x was served though no server got it", r.id)
 	}
 }
 
@@ -209,7 +211,7 @@
 	for _, r := range l.requests {
 		l.judgeAnswer(r)
 	}
-	slices.SortStableFunc(l.breaks, func(a, b Break) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.breaks, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 }
 
 // afterStall is within how long after a stall a router answers what is due: it reads what came meanwhile, and takes a step.
@@ -224,16 +226,16 @@
 	}
 	switch n := len(r.answers); {
 	case n > 1:
-		l.reportLocked(r.answers[1].at, RuleOneAnswer, "request %016x got %d answers", r.id, n)
+		l.reportLocked(r.answers[1].at, RuleOneResponse, "request %016x got %d answers", r.id, n)
 	case n == 1:
 		if r.answers[0].at.After(latest) && r.departed.IsZero() {
-			l.reportLocked(r.answers[0].at, RuleOneAnswer, "request %016x was answered %v after its deadline", r.id, r.answers[0].at.Sub(r.deadline))
+			l.reportLocked(r.answers[0].at, RuleOneResponse, "request %016x was answered %v after its deadline", r.id, r.answers[0].at.Sub(r.deadline))
 		}
 	case !r.departed.IsZero():
 	case r.closedAt.IsZero():
-		l.reportLocked(r.deadline, RuleOneAnswer, "request %016x at n%d was never answered", r.id, r.router)
+		l.reportLocked(r.deadline, RuleOneResponse, "request %016x at n%d was never answered", r.id, r.router)
 	case !l.excused(r):
-		l.reportLocked(r.closedAt, RuleOneAnswer, "request %016x at n%d: its connection closed (%s) %v after it was sent, unanswered", r.id, r.router,
+		l.reportLocked(r.closedAt, RuleOneResponse, "request %016x at n%d: its connection closed (%s) %v after it was sent, unanswered", r.id, r.router,
 			r.lostWith, r.closedAt.Sub(r.sentAt))
 	}
 }
--- a/internal/soak/ledger_test.go
+++ b/internal/soak/ledger_test.go
@@ -48,37 +48,37 @@
 		want      Rule
 	}{
 		"served":               {Idempotent, func(j *judged) { j.attempt(0); j.answer(time.Second, answeredServed) }, none},
-		"never answered":       {Idempotent, func(j *judged) { j.attempt(0) }, RuleOneAnswer},
-		"answered twice":       {Idempotent, func(j *judged) { j.attempt(0); j.answer(1, answeredServed); j.answer(2, answeredServed) }, RuleOneAnswer},
-		"answered late":        {Idempotent, func(j *judged) { j.answer(2600*time.Millisecond, answeredRejected) }, RuleOneAnswer},
+		"never answered":       {Idempotent, func(j *judged) { j.attempt(0) }, RuleOneResponse},
+		"answered twice":       {Idempotent, func(j *judged) { j.attempt(0); j.answer(1, answeredServed); j.answer(2, answeredServed) }, RuleOneResponse},
+		"answered late":        {Idempotent, func(j *judged) { j.answer(2600*time.Millisecond, answeredRejected) }, RuleOneResponse},
 		"answered a bit late":  {Idempotent, func(j *judged) { j.answer(2400*time.Millisecond, answeredRejected) }, none},
-		"served by nobody":     {Idempotent, func(j *judged) { j.answer(time.Second, answeredServed) }, RuleKnownRequests},
-		"sent after an answer": {Idempotent, func(j *judged) { j.answer(0, answeredRejected); j.attempt(100 * time.Millisecond) }, RuleOneAnswer},
+		"served by nobody":     {Idempotent, func(j *judged) { j.answer(time.Second, answeredServed) }, RuleRequestIntegrity},
+		"sent after an answer": {Idempotent, func(j *judged) { j.answer(0, answeredRejected); j.attempt(100 * time.Millisecond) }, RuleOneResponse},
 		"sent after its client had gone": {Idempotent, func(j *judged) {
 			j.noteDeparted(j.request, j.now)
 			j.attempt(200 * time.Millisecond)
-		}, RuleOneAnswer},
-		"closed under it":       {Idempotent, func(j *judged) { j.closed(time.Second, closedByRouter, true) }, RuleOneAnswer},
+		}, RuleOneResponse},
+		"closed under it":       {Idempotent, func(j *judged) { j.closed(time.Second, closedByRouter, true) }, RuleOneResponse},
 		"crossed a close":       {Idempotent, func(j *judged) { j.closed(20*time.Millisecond, closedByStop, true) }, none},
-		"closed, others open":   {Idempotent, func(j *judged) { j.closed(20*time.Millisecond, closedByStop, false) }, RuleOneAnswer},
+		"closed, others open":   {Idempotent, func(j *judged) { j.closed(20*time.Millisecond, closedByStop, false) }, RuleOneResponse},
 		"killed outright":       {Idempotent, func(j *judged) { j.closed(time.Second, closedByKill, false) }, none},
-		"late, killed":          {Idempotent, func(j *judged) { j.closed(time.Second, closedLateStop, true) }, RuleOneAnswer},
-		"run twice":             {NonIdempotent, func(j *judged) { j.attempt(0); j.attempt(1); j.answer(2, answeredServed) }, RuleNoDouble},
+		"late, killed":          {Idempotent, func(j *judged) { j.closed(time.Second, closedLateStop, true) }, RuleOneResponse},
+		"run twice":             {NonIdempotent, func(j *judged) { j.attempt(0); j.attempt(1); j.answer(2, answeredServed) }, RuleNoDuplicateEffect},
 		"sent again, never ran": {NonIdempotent, func(j *judged) { j.noteNotRun(j.request, j.attempt(0)); j.attempt(1); j.answer(2, answeredServed) }, none},
 		"rejected, may have run": {NonIdempotent, func(j *judged) {
 			j.attempt(0)
 			j.answer(time.Second, answeredRejected)
-		}, RuleNoDouble},
+		}, RuleNoDuplicateEffect},
 		"by key, in its window": {IdempotentByKey, func(j *judged) { j.attempt(0); j.attempt(time.Second); j.answer(time.Second, answeredServed) }, none},
 		"by key, after its window": {IdempotentByKey, func(j *judged) {
 			j.attempt(0)
 			j.attempt(1200 * time.Millisecond)
 			j.answer(1300*time.Millisecond, answeredServed)
-		}, RuleNoDouble},
+		}, RuleNoDuplicateEffect},
 		"unknown": {Idempotent, func(j *judged) {
 			j.noteAttempt(2, j.now, "s-0")
 			j.answer(time.Second, answeredFailed)
-		}, RuleKnownRequests},
+		}, RuleRequestIntegrity},
 	} {
 		j := newJudged(c.semantics)
 		c.happens(j)
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -166,7 +166,7 @@
 // awaitFrame waits for the first byte of a frame; false: the connection has ended, or was idle for too long.
 func (s *modelServer) awaitFrame(link *serverLink, in *bufio.Reader) bool {
 	for {
-		link.conn.SetReadDeadline(time.Now().Add(s.run.scenario.ServerIdle))
+		link.conn.SetReadDeadline(time.Now().Add(s.run.scenario.ServerIdleTimeout))
 		_, err := in.Peek(1)
 		if err == nil {
 			link.conn.SetReadDeadline(time.Time{})
--- a/internal/soak/modelserver_test.go
+++ b/internal/soak/modelserver_test.go
@@ -8,8 +8,8 @@
 // A server in slow start falls with the first request beyond what it bears. That breaks the rule if routers that were told of its start
 // sent most, and not if they were not told.
 func TestServerFalls(t *testing.T) {
-	scenario := &Scenario{Mean: 50 * time.Millisecond, Cores: 2, SlowStart: 10 * time.Second, SlowStartFrom: 0.25, OverloadWindow: time.Second,
-		OverloadFactor: 4, Functions: 1, ServerIdle: time.Second}
+	scenario := &Scenario{MeanExecutionTime: 50 * time.Millisecond, Cores: 2, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.25, OverloadWindow: time.Second,
+		OverloadFactor: 4, Functions: 1, ServerIdleTimeout: time.Second}
 	const bears = 82 // N = 4 x (0.25 + 0.75 x 0.2) x 40 = 64 at an age of 2 s, and 2 x 8 + 2 for random variation
 	for told, wantBreaks := range map[bool]int{true: 1, false: 0} {
 		lag := &lagMeter{}
@@ -26,7 +26,7 @@
 		if bound != bears {
 			t.Fatalf("it bears %d, want %d", bound, bears)
 		}
-		request := &requestRecord{requestDraft: requestDraft{work: scenario.Mean}}
+		request := &requestRecord{requestDraft: requestDraft{work: scenario.MeanExecutionTime}}
 		for n := range bound {
 			if s.judgeSlowStart(now, request); !s.up {
 				t.Fatalf("it fell after %d of %d", n+1, bound)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	command := exec.Command(r.run.options.Router, "platform", "--log", r.run.options.RouterLog)
+	command := exec.Command(r.run.options.RouterPath, "platform", "--log", r.run.options.RouterLogLevel)
 	command.Env = append(append(os.Environ(), r.run.options.Env...), "BALANCER_CONFIG="+r.file)
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -15,30 +15,30 @@
 
 // Options are what a run does not draw.
 type Options struct {
-	Router    string   // the router's program
-	RouterLog string   // its log level
-	Dir       string   // where each run keeps its routers' logs, in a folder of its own
-	Env       []string // set for the routers beside this process's environment
+	RouterPath     string   // the router's program
+	RouterLogLevel string   // its log level
+	Dir            string   // where each run keeps its routers' logs, in a folder of its own
+	Env            []string // set for the routers beside this process's environment
 }
 
 // Result is how a run ended.
 type Result struct {
 	Counts
-	Scenario *Scenario
-	Breaks   []Break
-	Falls    int           // servers in slow start that fell, for whatever reason
-	Lag      time.Duration // by how much this process itself ran late at most
-	LogDir   string
+	Scenario   *Scenario
+	Violations []Violation
+	Collapses  int           // servers in slow start that fell, for whatever reason
+	MaxLag     time.Duration // by how much this process itself ran late at most
+	LogDir     string
 }
 
 // Passed reports whether no rule was broken.
-func (r *Result) Passed() bool { return len(r.Breaks) == 0 }
+func (r *Result) Passed() bool { return len(r.Violations) == 0 }
 
 func (r *Result) String() string {
 	s := r.Scenario
 	return fmt.Sprintf("seed %d: %d routers, %d servers, crowd %t, %d faults: %d requests, served %.3f, in time %.3f, rejected %.3f, failed %.3f; "+
-		"%d falls in slow start; own lag %v; %d breaks", s.Seed, s.Routers, s.Servers, s.Crowd, len(s.Faults), r.Requests, r.share(r.Served),
-		r.share(r.InTime), r.share(r.Rejected), r.share(r.Failed), r.Falls, r.Lag.Round(time.Millisecond), len(r.Breaks))
+		"%d falls in slow start; own lag %v; %d breaks", s.Seed, s.Routers, s.Servers, s.MalformedClients, len(s.Faults), r.Requests, r.share(r.Served),
+		r.share(r.InTime), r.share(r.Rejected), r.share(r.Failed), r.Collapses, r.MaxLag.Round(time.Millisecond), len(r.Violations))
 }
 
 func (r *Result) share(n int) float64 { return float64(n) / float64(max(1, r.Requests)) }
@@ -88,8 +88,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%processes, int(r.slot%slotSpan)*hostsPerKind+int(kind), 1+number%250)
 }
 
-// Play plays a scenario.
-func Play(ctx context.Context, s *Scenario, options Options) (*Result, error) {
+// Run plays a scenario.
+func Run(ctx context.Context, s *Scenario, options Options) (*Result, error) {
 	lag := &lagMeter{}
 	r := &run{scenario: s, options: options, slot: slots.Add(1), lag: lag, random: newRandom(s.Seed, "run"), nextRequest: s.Seed << 32}
 	r.setTraffic(1)
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("seed %d (logs in %s): %w", s.Seed, r.dir, err)
 	}
 	r.ledger.judgeAnswers()
-	result := &Result{Counts: r.ledger.count(), Scenario: s, Breaks: r.ledger.breaks, Falls: int(r.falls.Load()), Lag: lag.largest(), LogDir: r.dir}
+	result := &Result{Counts: r.ledger.count(), Scenario: s, Violations: r.ledger.breaks, Collapses: int(r.falls.Load()), MaxLag: lag.largest(), LogDir: r.dir}
 	if result.Passed() {
 		result.LogDir = ""
 		return result, os.RemoveAll(r.dir)
@@ -138,7 +138,7 @@
 		c := &client{run: r, random: newRandom(r.scenario.Seed, fmt.Sprintf("client %d", n))}
 		clients.Go(c.serve)
 	}
-	if r.scenario.Crowd {
+	if r.scenario.MalformedClients {
 		clients.Go(r.crowd)
 	}
 	for _, fault := range r.scenario.Faults {
@@ -148,7 +148,7 @@
 			}
 		})
 	}
-	r.sleep(ctx, r.scenario.Length)
+	r.sleep(ctx, r.scenario.TrafficDuration)
 	r.over.Store(true)
 	clients.Wait()
 	faults.Wait()
@@ -201,7 +201,7 @@
 func (r *run) drawFunctions() {
 	random := newRandom(r.scenario.Seed, "functions")
 	const exponent, offset = 1.3, 3 // of a Zipf law
-	spread := r.scenario.WorkSpread
+	spread := r.scenario.ExecutionTimeSigma
 	sum, workSum := 0.0, 0.0
 	for n := range r.scenario.Functions {
 		share := math.Pow(float64(n)+offset, -exponent)
@@ -210,7 +210,7 @@
 		workSum += share * work
 		r.popular = append(r.popular, sum)
 		r.work = append(r.work, work)
-		r.loadTimes = append(r.loadTimes, time.Duration(float64(r.scenario.Load)*math.Exp(spread*random.NormFloat64())))
+		r.loadTimes = append(r.loadTimes, time.Duration(float64(r.scenario.MeanLoadTime)*math.Exp(spread*random.NormFloat64())))
 	}
 	for n := range r.popular {
 		r.popular[n] /= sum
@@ -225,14 +225,14 @@
 		function++
 	}
 	class := r.drawClass(random)
-	variation := r.scenario.WorkSpread
+	variation := r.scenario.ExecutionTimeSigma
 	factor := math.Exp(variation*random.NormFloat64() - variation*variation/2)
 	timeout := class.Deadline
-	if random.Float64() < r.scenario.ShortShare {
+	if random.Float64() < r.scenario.ShortDeadlineShare {
 		timeout = max(time.Millisecond, time.Duration(0.2*random.Float64()*float64(timeout)))
 	}
 	return requestDraft{class: class, timeout: timeout.Round(time.Millisecond), function: functionID(function), key: fmt.Sprintf("%016x%016x", random.Uint64(), random.Uint64()),
-		work: time.Duration(float64(r.scenario.Mean) * r.work[function] * factor)}
+		work: time.Duration(float64(r.scenario.MeanExecutionTime) * r.work[function] * factor)}
 }
 
 func (r *run) drawClass(random *rand.Rand) *Class {
@@ -280,10 +280,10 @@
 // whether routers had read them or not: the bound is no tighter than the platform's.
 func (r *run) judgeLoadRate(now time.Time) {
 	s := r.scenario
-	if s.LoadWindow == 0 {
+	if s.LoadRateWindow == 0 {
 		return
 	}
-	from := now.Add(-s.LoadWindow)
+	from := now.Add(-s.LoadRateWindow)
 	count := 0
 	r.mu.Lock()
 	for _, at := range r.loads {
@@ -293,8 +293,8 @@
 	}
 	r.mu.Unlock()
 	sent := r.ledger.sentSince(from.Add(-slack))
-	if allowed := s.LoadBase*float64(s.Routers) + s.LoadPerRequest*float64(sent); float64(count) > allowed {
-		r.ledger.report(now, RuleLoadRate, "%d load commands in %v, where %.1f are allowed", count, s.LoadWindow, allowed)
+	if allowed := s.LoadRateBase*float64(s.Routers) + s.LoadRatePerRequest*float64(sent); float64(count) > allowed {
+		r.ledger.report(now, RuleLoadRate, "%d load commands in %v, where %.1f are allowed", count, s.LoadRateWindow, allowed)
 	}
 }
 
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -15,39 +15,39 @@
 
 // Scenario is what one run plays.
 type Scenario struct {
-	Seed    uint64
-	Length  time.Duration // of the traffic
-	Routers int
-	Servers int
-	Zones   int
+	Seed            uint64
+	TrafficDuration time.Duration // of the traffic
+	Routers         int
+	Servers         int
+	Zones           int
 
-	Functions int
-	Load      time.Duration // mean time to load a function
-	Mean      time.Duration // mean execution time on a server of speed 1
-	Cores     int           // of a server: how many requests it executes at once
-	SlowSpeed float64       // of every second server; the others' is 1
-	Weighted  bool          // the endpoint list states how much a server can do
-	Capacity  int           // functions that a server holds loaded
-	Use       float64       // the part of all servers' capacity that clients ask for
+	Functions          int
+	MeanLoadTime       time.Duration // mean time to load a function
+	MeanExecutionTime  time.Duration // mean execution time on a server of speed 1
+	Cores              int           // of a server: how many requests it executes at once
+	SlowSpeed          float64       // of every second server; the others' is 1
+	WeightedEndpoints  bool          // the endpoint list states how much a server can do
+	MaxLoadedFunctions int           // functions that a server holds loaded
+	TargetUtilization  float64       // the part of all servers' capacity that clients ask for
 
-	Classes        []Class
-	Grace          time.Duration // for which new requests may go to a server that drains
-	SlowStart      time.Duration
-	SlowStartFrom  float64
-	OverloadWindow time.Duration
-	OverloadFactor float64
-	LoadWindow     time.Duration // of the limit on load commands; 0: none
-	LoadBase       float64
-	LoadPerRequest float64
+	Classes            []Class
+	DrainGrace         time.Duration // for which new requests may go to a server that drains
+	SlowStartDuration  time.Duration
+	SlowStartInitial   float64
+	OverloadWindow     time.Duration
+	OverloadFactor     float64
+	LoadRateWindow     time.Duration // of the limit on load commands; 0: none
+	LoadRateBase       float64
+	LoadRatePerRequest float64
 
-	WorkSpread   float64       // of execution times, of a function's and of its requests': of their logarithms
-	CancelShare  float64       // of requests that their clients cancel
-	ShortShare   float64       // of requests that come with a small part of their class's deadline left
-	DropsExpired bool          // servers drop requests whose time is up without a word
-	ServerIdle   time.Duration // after which servers close connections that are idle
+	ExecutionTimeSigma float64       // of execution times, of a function's and of its requests': of their logarithms
+	CancelShare        float64       // of requests that their clients cancel
+	ShortDeadlineShare float64       // of requests that come with a small part of their class's deadline left
+	DropsExpired       bool          // servers drop requests whose time is up without a word
+	ServerIdleTimeout  time.Duration // after which servers close connections that are idle
 
-	Crowd  bool // hundreds of connections that send nothing, or what can't be read
-	Faults []Fault
+	MalformedClients bool // hundreds of connections that send nothing, or what can't be read
+	Faults           []Fault
 }
 
 // Class is a class of requests.
@@ -88,8 +88,8 @@
 	HangServers FaultKind = "hang-servers"
 	// ResetConns resets the connections of Count servers.
 	ResetConns FaultKind = "reset-connections"
-	// LoseAnswers loses, spoils or doubles some answers for For.
-	LoseAnswers FaultKind = "lose-answers"
+	// DisruptResponses loses, spoils or doubles some answers for For.
+	DisruptResponses FaultKind = "lose-answers"
 	// DiscoveryDown has discovery break off and accept nothing for For.
 	DiscoveryDown FaultKind = "discovery-down"
 	// DiscoverySilent has open watches fall silent for For.
@@ -115,14 +115,14 @@
 
 // Fault is one fault of a scenario.
 type Fault struct {
-	At    time.Duration // after the traffic's start
-	Kind  FaultKind
-	Count int
-	For   time.Duration
+	At       time.Duration // after the traffic's start
+	Kind     FaultKind
+	Count    int
+	Duration time.Duration
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%.1f s %s count=%d for=%v", f.At.Seconds(), f.Kind, f.Count, f.For.Round(time.Millisecond))
+	return fmt.Sprintf("%.1f s %s count=%d for=%v", f.At.Seconds(), f.Kind, f.Count, f.Duration.Round(time.Millisecond))
 }
 
 // between draws a number evenly.
@@ -143,33 +143,33 @@
 	return rand.New(rand.NewPCG(seed, hash.Sum64()))
 }
 
-// Draw returns the scenario of a seed.
-func Draw(seed uint64, length time.Duration) *Scenario {
+// GenerateScenario returns the scenario of a seed.
+func GenerateScenario(seed uint64, length time.Duration) *Scenario {
 	random := newRandom(seed, "scenario")
 	s := &Scenario{
-		Seed: seed, Length: length,
+		Seed: seed, TrafficDuration: length,
 		Routers: countBetween(random, 1, 6), Servers: countBetween(random, 3, 20), Zones: countBetween(random, 1, 3),
-		Functions: countBetween(random, 10, 50), Load: spanBetween(random, 100*time.Millisecond, 500*time.Millisecond),
-		Mean: spanBetween(random, 30*time.Millisecond, 90*time.Millisecond), Cores: countBetween(random, 2, 4),
-		SlowSpeed: between(random, 0.5, 1), Use: between(random, 0.35, 0.6),
-		Grace:     spanBetween(random, 400*time.Millisecond, 800*time.Millisecond),
-		SlowStart: spanBetween(random, 7*time.Second, 17*time.Second), SlowStartFrom: between(random, 0.25, 0.45),
-		OverloadWindow: []time.Duration{time.Second, time.Second, 500 * time.Millisecond, 2 * time.Second}[random.IntN(4)],
-		OverloadFactor: between(random, 2, 5),
-		Crowd:          random.IntN(4) == 0,
+		Functions: countBetween(random, 10, 50), MeanLoadTime: spanBetween(random, 100*time.Millisecond, 500*time.Millisecond),
+		MeanExecutionTime: spanBetween(random, 30*time.Millisecond, 90*time.Millisecond), Cores: countBetween(random, 2, 4),
+		SlowSpeed: between(random, 0.5, 1), TargetUtilization: between(random, 0.35, 0.6),
+		DrainGrace:        spanBetween(random, 400*time.Millisecond, 800*time.Millisecond),
+		SlowStartDuration: spanBetween(random, 7*time.Second, 17*time.Second), SlowStartInitial: between(random, 0.25, 0.45),
+		OverloadWindow:   []time.Duration{time.Second, time.Second, 500 * time.Millisecond, 2 * time.Second}[random.IntN(4)],
+		OverloadFactor:   between(random, 2, 5),
+		MalformedClients: random.IntN(4) == 0,
 	}
-	s.Capacity = max(4, 3*s.Functions/s.Servers)
-	s.Classes = drawClasses(random, s.Mean)
+	s.MaxLoadedFunctions = max(4, 3*s.Functions/s.Servers)
+	s.Classes = drawClasses(random, s.MeanExecutionTime)
 	if random.IntN(4) == 0 {
-		s.LoadWindow, s.LoadBase, s.LoadPerRequest = 5*time.Second, float64(4+random.IntN(8)), between(random, 0.2, 0.5)
+		s.LoadRateWindow, s.LoadRateBase, s.LoadRatePerRequest = 5*time.Second, float64(4+random.IntN(8)), between(random, 0.2, 0.5)
 	}
 	s.Faults = drawFaults(random, s)
-	s.Weighted = random.IntN(2) == 0
-	s.WorkSpread, s.CancelShare = between(random, 0.2, 0.7), between(random, 0.01, 0.1)
-	s.ShortShare, s.DropsExpired = between(random, 0, 0.1), random.IntN(2) == 0
-	s.ServerIdle = spanBetween(random, 2*time.Second, 15*time.Second)
+	s.WeightedEndpoints = random.IntN(2) == 0
+	s.ExecutionTimeSigma, s.CancelShare = between(random, 0.2, 0.7), between(random, 0.01, 0.1)
+	s.ShortDeadlineShare, s.DropsExpired = between(random, 0, 0.1), random.IntN(2) == 0
+	s.ServerIdleTimeout = spanBetween(random, 2*time.Second, 15*time.Second)
 	if random.IntN(5) == 0 { // overload
-		s.Use = between(random, 0.8, 1.2)
+		s.TargetUtilization = between(random, 0.8, 1.2)
 	}
 	return s
 }
@@ -199,12 +199,12 @@
 // series.
 func drawFaults(random *rand.Rand, s *Scenario) []Fault {
 	var faults []Fault
-	for at := 3 * time.Second; at < s.Length-rollEvery; at += rollEvery {
+	for at := 3 * time.Second; at < s.TrafficDuration-rollEvery; at += rollEvery {
 		faults = append(faults, Fault{At: at, Kind: RollServers, Count: countBetween(random, 1, max(1, s.Servers/4))})
 	}
 	add := func(kind FaultKind, count int, longest time.Duration) {
-		faults = append(faults, Fault{At: spanBetween(random, 4*time.Second, s.Length-4*time.Second), Kind: kind, Count: count,
-			For: spanBetween(random, longest/4, longest)})
+		faults = append(faults, Fault{At: spanBetween(random, 4*time.Second, s.TrafficDuration-4*time.Second), Kind: kind, Count: count,
+			Duration: spanBetween(random, longest/4, longest)})
 	}
 	some := func(n int) int { return countBetween(random, 1, max(1, n)) }
 	kinds := []func(){
@@ -214,7 +214,7 @@
 		func() { add(ReplaceServers, some(2*s.Servers/3), 7*time.Second) },
 		func() { add(HangServers, some(s.Servers/3), 8*time.Second) },
 		func() { add(ResetConns, some(s.Servers), 0) },
-		func() { add(LoseAnswers, 0, 10*time.Second) },
+		func() { add(DisruptResponses, 0, 10*time.Second) },
 		func() { add(DiscoveryDown, 0, 8*time.Second) },
 		func() { add(DiscoverySilent, 0, 6*time.Second) },
 		func() { add(MoveDiscovery, 0, 0) },
@@ -244,7 +244,7 @@
 
 // serverRate returns how many requests of mean work per second a server of a speed executes.
 func (s *Scenario) serverRate(speed float64) float64 {
-	return speed * float64(s.Cores) / s.Mean.Seconds()
+	return speed * float64(s.Cores) / s.MeanExecutionTime.Seconds()
 }
 
 // requestRate returns how many requests per second clients send.
@@ -254,12 +254,12 @@
 		rate += s.serverRate(s.speed(nth))
 	}
 	const most = 300 // per second and router: more would measure this machine
-	return min(s.Use*rate, float64(most*s.Routers))
+	return min(s.TargetUtilization*rate, float64(most*s.Routers))
 }
 
 // capacity returns the part of its full capacity that a server has at an age.
 func (s *Scenario) capacity(age time.Duration) float64 {
-	return min(1, s.SlowStartFrom+(1-s.SlowStartFrom)*float64(max(0, age))/float64(s.SlowStart))
+	return min(1, s.SlowStartInitial+(1-s.SlowStartInitial)*float64(max(0, age))/float64(s.SlowStartDuration))
 }
 
 // startBudget returns N, the requests of mean work that a server in slow start may get in an overload window at an age.
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -15,8 +15,8 @@
 	const length = 30 * time.Second
 	kinds := map[FaultKind]bool{}
 	for seed := range uint64(200) {
-		s := Draw(seed, length)
-		if !reflect.DeepEqual(s, Draw(seed, length)) {
+		s := GenerateScenario(seed, length)
+		if !reflect.DeepEqual(s, GenerateScenario(seed, length)) {
 			t.Errorf("seed %d draws differently", seed)
 		}
 		for _, fault := range s.Faults {
@@ -40,7 +40,7 @@
 	if len(kinds) != 17 {
 		t.Errorf("%d kinds of faults were drawn, want all 17: %v", len(kinds), kinds)
 	}
-	if reflect.DeepEqual(Draw(1, length), Draw(2, length)) {
+	if reflect.DeepEqual(GenerateScenario(1, length), GenerateScenario(2, length)) {
 		t.Error("two seeds draw the same")
 	}
 }
--- a/internal/soak/serverrules.go
+++ b/internal/soak/serverrules.go
@@ -21,7 +21,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	age := at.Sub(s.startedAt)
-	if !s.up || s.startedAt.IsZero() || age >= scenario.SlowStart {
+	if !s.up || s.startedAt.IsZero() || age >= scenario.SlowStartDuration {
 		return
 	}
 	for len(s.recent) > 0 && s.recent[0].at.Before(at.Add(-scenario.OverloadWindow)) {
@@ -30,7 +30,7 @@
 	s.recent = append(s.recent, arrival{at, request.work, request.router})
 	work, told, byRouter := 0.0, 0.0, map[int]int{}
 	for _, a := range s.recent {
-		units := float64(a.work) / float64(scenario.Mean)
+		units := float64(a.work) / float64(scenario.MeanExecutionTime)
 		work += units
 		byRouter[a.router]++
 		if !s.told.IsZero() && a.at.After(s.told) {
--- a/internal/soak/servers.go
+++ b/internal/soak/servers.go
@@ -24,8 +24,8 @@
 
 // target returns how discovery lists a server.
 func (s *modelServer) target(state string, startedAt time.Time) discovery.EndpointMessage {
-	message := discovery.EndpointMessage{UID: s.uid, Endpoint: s.address, Zone: s.zone, Cell: s.cell, Weight: 1, State: state}
-	if s.run.scenario.Weighted {
+	message := discovery.EndpointMessage{UID: s.uid, Address: s.address, Zone: s.zone, Cell: s.cell, Weight: 1, State: state}
+	if s.run.scenario.WeightedEndpoints {
 		message.Weight = s.speed * float64(s.run.scenario.Cores)
 	}
 	if !startedAt.IsZero() {
@@ -57,7 +57,7 @@
 			return err
 		}
 		s.state = stateReady
-		update.Targets = append(update.Targets, s.target(stateReady, time.Time{}))
+		update.Endpoints = append(update.Endpoints, s.target(stateReady, time.Time{}))
 	}
 	r.discovery.publish(update, func(time.Time) {})
 	return nil
@@ -112,7 +112,7 @@
 		if state == stateReady {
 			s.closedFor = time.Time{}
 		}
-		update.Targets = append(update.Targets, s.target(state, s.startedAt))
+		update.Endpoints = append(update.Endpoints, s.target(state, s.startedAt))
 		s.mu.Unlock()
 	}
 	r.mu.Unlock()
@@ -135,7 +135,7 @@
 	case state == stateReady:
 		s.told = at
 	case s.closedFor.IsZero():
-		s.closedFor = at.Add(s.run.scenario.Grace)
+		s.closedFor = at.Add(s.run.scenario.DrainGrace)
 	}
 }
 
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -29,14 +29,14 @@
 	}
 	return object{
 		"balancers": s.Routers, "self_index": router, "tick": 4000, "zones": zones, "zone": router % s.Zones,
-		"ceilings": object{"cancel": true, "conn_idle": s.ServerIdle.Microseconds(), "connect_timeout": 250_000, "max_retry_after": 2_000_000,
+		"ceilings": object{"cancel": true, "conn_idle": s.ServerIdleTimeout.Microseconds(), "connect_timeout": 250_000, "max_retry_after": 2_000_000,
 			"retry_after": true, "streams_per_conn": 100, "try_limit": 3},
 		"classes": classes, "clients": object{"marks_retry": true},
-		"contract": object{"stop_sending_within": s.Grace.Microseconds(), "cold": s.SlowStart.Microseconds(), "cold_from": s.SlowStartFrom,
+		"contract": object{"stop_sending_within": s.DrainGrace.Microseconds(), "cold": s.SlowStartDuration.Microseconds(), "cold_from": s.SlowStartInitial,
 			"fall": s.OverloadWindow.Microseconds(), "fall_multiple": s.OverloadFactor},
 		"customers": []object{{"name": tenant, "allowance_per_s": 2 * s.requestRate()}},
 		"specifics": object{"when_absent": "load", "linger_idle": 10_000_000, "order_limit": 4_000_000, "kind_memory_mb": []int{4000},
-			"load_control": true, "load_window": s.LoadWindow.Microseconds(), "loads_anyway": s.LoadBase, "load_part": s.LoadPerRequest},
+			"load_control": true, "load_window": s.LoadRateWindow.Microseconds(), "loads_anyway": s.LoadRateBase, "load_part": s.LoadRatePerRequest},
 	}
 }
 
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -91,8 +91,8 @@
 	a.Revoke(issued.Serial)
 	crl := a.RevocationList(time.Now().Add(time.Hour))
 	for name, authorities := range map[string][]byte{
-		"the older first":    append(a.CertificatePEM(), a.Reissued()...),
-		"the reissued first": append(a.Reissued(), a.CertificatePEM()...),
+		"the older first":    append(a.CertificatePEM(), a.ReissueCertificatePEM()...),
+		"the reissued first": append(a.ReissueCertificatePEM(), a.CertificatePEM()...),
 	} {
 		v := NewVerifier(nil)
 		if err := v.Update(authorities, crl); err != nil {
@@ -101,7 +101,7 @@
 		if _, err := v.Verify(now(), parse(t, issued), Server, "127.0.0.1"); reasonOf(t, err) != Revoked {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err := v.Update(a.Reissued(), nil); err == nil {
+		if err := v.Update(a.ReissueCertificatePEM(), nil); err == nil {
 			t.Errorf("%s: the CRL of an authority that stays trusted by another certificate may be left out", name)
 		}
 	}
--- a/internal/tlspolicy/verifier_test.go
+++ b/internal/tlspolicy/verifier_test.go
@@ -46,14 +46,14 @@
 // Valid peers are trusted, and each kind of invalid peer is rejected with its own reason.
 func TestVerify(t *testing.T) {
 	ours, others := authority.New("ours"), authority.New("theirs")
-	intermediate := ours.Intermediate("middle")
+	intermediate := ours.NewIntermediate("middle")
 	issue := func(by *authority.Authority, request authority.Request) []*x509.Certificate {
 		if request.Names == nil {
 			request.Names = []string{"127.0.0.1", "w1.workers.example", "spiffe://example/worker/1"}
 		}
 		return parse(t, by.Issue(request))
 	}
-	revoked, revokedIntermediate := ours.Issue(authority.Request{Names: []string{"127.0.0.1"}}), ours.Intermediate("gone")
+	revoked, revokedIntermediate := ours.Issue(authority.Request{Names: []string{"127.0.0.1"}}), ours.NewIntermediate("gone")
 	ours.Revoke(revoked.Serial)
 	underRevoked := revokedIntermediate.Issue(authority.Request{Names: []string{"127.0.0.1"}})
 	ours.Revoke(parse(t, underRevoked)[1].SerialNumber)
@@ -78,7 +78,7 @@
 		"another authority":    {chain: issue(others, authority.Request{}), host: "127.0.0.1", want: UnknownAuthority},
 		"not yet valid":        {chain: issue(ours, authority.Request{NotBefore: time.Now().Add(day), NotAfter: time.Now().Add(2 * day)}), host: "127.0.0.1", want: NotYetValid},
 		"expired":              {chain: issue(ours, authority.Request{NotBefore: time.Now().Add(-2 * day), NotAfter: time.Now().Add(-day)}), host: "127.0.0.1", want: Expired},
-		"for clients alone":    {chain: issue(ours, authority.Request{Uses: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongKeyUsage},
+		"for clients alone":    {chain: issue(ours, authority.Request{ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}), host: "127.0.0.1", want: WrongKeyUsage},
 		"revoked":              {chain: parse(t, revoked), host: "127.0.0.1", want: Revoked},
 		"revoked intermediate": {chain: parse(t, underRevoked), host: "127.0.0.1", want: Revoked},
 	} {
--- a/kserve/infer.go
+++ b/kserve/infer.go
@@ -10,19 +10,19 @@
 	"github.com/tidwall/gjson"
 )
 
-// Ask is what a router reads of an inference request.
-type Ask struct {
-	ID      string
-	Timeout int64  // microseconds; 0: not given
-	Repeat  bool   // a retry of the client's
-	Counts  bool   // the client counts its attempts, so that a first one is known to be one
-	Mark    string // the idempotency key; empty: none
+// InferRequest is what a router reads of an inference request.
+type InferRequest struct {
+	ID              string
+	Timeout         int64  // microseconds; 0: not given
+	IsRetry         bool   // a retry of the client's
+	HasAttemptCount bool   // the client counts its attempts, so that a first one is known to be one
+	IdempotencyKey  string // the idempotency key; empty: none
 }
 
-// ReadInfer reads the parts of an inference request that matter to a router. The error says what is malformed; its text may
+// ParseInferRequest reads the parts of an inference request that matter to a router. The error says what is malformed; its text may
 // be shown to the client.
-func ReadInfer(h textproto.MIMEHeader, body []byte) (Ask, error) {
-	var a Ask
+func ParseInferRequest(h textproto.MIMEHeader, body []byte) (InferRequest, error) {
+	var a InferRequest
 	head, err := jsonPart(h, body)
 	if err != nil {
 		return a, err
@@ -46,9 +46,9 @@
 		if err != nil || n < 1 {
 			return a, fmt.Errorf("%s is no number of a try", AttemptHeader)
 		}
-		a.Repeat, a.Counts = n > 1, true
+		a.IsRetry, a.HasAttemptCount = n > 1, true
 	}
-	a.Mark = h.Get(RepeatMark)
+	a.IdempotencyKey = h.Get(IdempotencyKeyHeader)
 	return a, nil
 }
 
@@ -101,20 +101,20 @@
 
 // jsonPart returns the JSON without the binary tensors behind it.
 func jsonPart(h textproto.MIMEHeader, body []byte) ([]byte, error) {
-	v := h.Get(HeaderLength)
+	v := h.Get(JSONLengthHeader)
 	if v == "" {
 		return body, nil
 	}
 	n, err := strconv.ParseUint(v, 10, 31)
 	if err != nil || int(n) > len(body) {
-		return nil, fmt.Errorf("%s is no length within the body", HeaderLength)
+		return nil, fmt.Errorf("%s is no length within the body", JSONLengthHeader)
 	}
 	return body[:n], nil
 }
 
-// Found reads from an answer whether the model was loaded when the request came, the response parameter "found": warm, began,
+// ParseCacheStatus reads from an answer whether the model was loaded when the request came, the response parameter "found": warm, began,
 // joined or load_failed; empty: not given.
-func Found(h textproto.MIMEHeader, body []byte) string {
+func ParseCacheStatus(h textproto.MIMEHeader, body []byte) string {
 	head, err := jsonPart(h, body)
 	if err != nil {
 		return ""
--- a/kserve/kserve.go
+++ b/kserve/kserve.go
@@ -6,23 +6,23 @@
 
 // Header fields, in canonical form.
 const (
-	HeaderLength  = "Inference-Header-Content-Length" // of the JSON part before binary tensors, in bytes
-	TimeoutHeader = "X-Envoy-Expected-Rq-Timeout-Ms"
-	AttemptHeader = "X-Envoy-Attempt-Count" // from 1
-	RepeatMark    = "Idempotency-Key"
-	LoadMetrics   = "Endpoint-Load-Metrics" // ORCA's
+	JSONLengthHeader     = "Inference-Header-Content-Length" // of the JSON part before binary tensors, in bytes
+	TimeoutHeader        = "X-Envoy-Expected-Rq-Timeout-Ms"
+	AttemptHeader        = "X-Envoy-Attempt-Count" // from 1
+	IdempotencyKeyHeader = "Idempotency-Key"
+	LoadMetricsHeader    = "Endpoint-Load-Metrics" // ORCA's
 )
 
-// Fault is the protocol's error object, with what hollymast's routers add to it.
-type Fault struct {
+// ErrorBody is the protocol's error object, with what hollymast's routers add to it.
+type ErrorBody struct {
 	Error      string `json:"error"`
-	Answer     string `json:"answer,omitempty"`         // "pushed back" (rejected) or "killed" (failed)
-	Storm      string `json:"storm,omitempty"`          // the kind of overload, where one is the reason
+	Outcome    string `json:"answer,omitempty"`         // "pushed back" (rejected) or "killed" (failed)
+	Overload   string `json:"storm,omitempty"`          // the kind of overload, where one is the reason
 	RetryAfter int64  `json:"retry_after_us,omitempty"` // advice on when to retry, microseconds; 0: none
 }
 
-// Body returns the object's JSON.
-func (f Fault) Body() []byte {
+// JSON returns the object's JSON.
+func (f ErrorBody) JSON() []byte {
 	b, _ := json.Marshal(f) // plain strings and numbers: can't fail
 	return b
 }
@@ -36,16 +36,16 @@
 	Platform   string   `json:"platform,omitempty"`
 }
 
-// Standing is one model in the answer to RepositoryIndex.
-type Standing struct {
+// IndexEntry is one model in the answer to RepositoryIndex.
+type IndexEntry struct {
 	Name    string `json:"name"`
 	Version string `json:"version,omitempty"`
 	State   string `json:"state,omitempty"` // READY, LOADING, UNAVAILABLE
 	Reason  string `json:"reason,omitempty"`
 }
 
-// ReadIndex reads the answer to RepositoryIndex. The error is that of the JSON.
-func ReadIndex(body []byte) (list []Standing, err error) {
+// ParseIndex reads the answer to RepositoryIndex. The error is that of the JSON.
+func ParseIndex(body []byte) (list []IndexEntry, err error) {
 	err = json.Unmarshal(body, &list)
 	return list, err
 }
--- a/kserve/target.go
+++ b/kserve/target.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Kind is an operation of the protocol.
-type Kind uint8
+// Operation is an operation of the protocol.
+type Operation uint8
 
 // The operations of the protocol and of the model repository extension.
 const (
-	ServerLive Kind = iota
+	ServerLive Operation = iota
 	ServerReady
 	ServerMetadata
 	ModelReady
@@ -25,49 +25,49 @@
 
 // Call is what the method and target of a request name.
 type Call struct {
-	Kind    Kind
-	Model   string // empty: the operation has none
-	Version string // empty: none is named
+	Operation Operation
+	Model     string // empty: the operation has none
+	Version   string // empty: none is named
 }
 
 // Errors of ReadTarget.
 var (
-	ErrNoSuchCall = errors.New("no such call")                     // the path is none of the protocol's
-	ErrMethod     = errors.New("the method does not fit the call") // but the path is one
+	ErrUnknownPath      = errors.New("no such call")                     // the path is none of the protocol's
+	ErrMethodNotAllowed = errors.New("the method does not fit the call") // but the path is one
 )
 
 // maxName bounds a model's name or version, in bytes: file systems end at about as many.
 const maxName = 256
 
-// ReadTarget reads a request's method and target; a query is ignored. It returns ErrNoSuchCall, or ErrMethod with the call.
-func ReadTarget(method, target string) (Call, error) {
+// ParseTarget reads a request's method and target; a query is ignored. It returns ErrNoSuchCall, or ErrMethod with the call.
+func ParseTarget(method, target string) (Call, error) {
 	path, _, _ := strings.Cut(target, "?")
 	if path == "/v2" || path == "/v2/" {
-		return requireGet(method, Call{Kind: ServerMetadata})
+		return requireGet(method, Call{Operation: ServerMetadata})
 	}
 	rest, ok := strings.CutPrefix(path, "/v2/")
 	if !ok {
-		return Call{}, ErrNoSuchCall
+		return Call{}, ErrUnknownPath
 	}
 	parts, ok := splitPath(rest)
 	if !ok {
-		return Call{}, ErrNoSuchCall
+		return Call{}, ErrUnknownPath
 	}
 	switch {
 	case rest == "health/live":
-		return requireGet(method, Call{Kind: ServerLive})
+		return requireGet(method, Call{Operation: ServerLive})
 	case rest == "health/ready":
-		return requireGet(method, Call{Kind: ServerReady})
+		return requireGet(method, Call{Operation: ServerReady})
 	case rest == "repository/index":
-		return requirePost(method, Call{Kind: RepositoryIndex})
+		return requirePost(method, Call{Operation: RepositoryIndex})
 	case len(parts) == 4 && parts[0] == "repository" && parts[1] == "models" && parts[3] == "load":
-		return requirePost(method, Call{Kind: RepositoryLoad, Model: parts[2]})
+		return requirePost(method, Call{Operation: RepositoryLoad, Model: parts[2]})
 	case len(parts) == 4 && parts[0] == "repository" && parts[1] == "models" && parts[3] == "unload":
-		return requirePost(method, Call{Kind: RepositoryUnload, Model: parts[2]})
+		return requirePost(method, Call{Operation: RepositoryUnload, Model: parts[2]})
 	case len(parts) >= 2 && parts[0] == "models":
 		return readModelTarget(method, parts[1], parts[2:])
 	}
-	return Call{}, ErrNoSuchCall
+	return Call{}, ErrUnknownPath
 }
 
 // splitPath unescapes the parts of a path. It rejects empty and overlong ones, and bytes that could break a header or a log
@@ -86,7 +86,7 @@
 
 // readModelTarget reads what follows a model's name.
 func readModelTarget(method, model string, tail []string) (Call, error) {
-	c := Call{Kind: ModelMetadata, Model: model}
+	c := Call{Operation: ModelMetadata, Model: model}
 	if len(tail) >= 2 && tail[0] == "versions" {
 		c.Version, tail = tail[1], tail[2:]
 	}
@@ -94,25 +94,25 @@
 	case len(tail) == 0:
 		return requireGet(method, c)
 	case len(tail) == 1 && tail[0] == "ready":
-		c.Kind = ModelReady
+		c.Operation = ModelReady
 		return requireGet(method, c)
 	case len(tail) == 1 && tail[0] == "infer":
-		c.Kind = Infer
+		c.Operation = Infer
 		return requirePost(method, c)
 	}
-	return Call{}, ErrNoSuchCall
+	return Call{}, ErrUnknownPath
 }
 
 func requireGet(method string, c Call) (Call, error) {
 	if method != http.MethodGet && method != http.MethodHead {
-		return c, ErrMethod
+		return c, ErrMethodNotAllowed
 	}
 	return c, nil
 }
 
 func requirePost(method string, c Call) (Call, error) {
 	if method != http.MethodPost {
-		return c, ErrMethod
+		return c, ErrMethodNotAllowed
 	}
 	return c, nil
 }
@@ -123,7 +123,7 @@
 	if c.Version != "" {
 		model += "/versions/" + url.PathEscape(c.Version)
 	}
-	switch c.Kind {
+	switch c.Operation {
 	case ServerLive:
 		return "/v2/health/live"
 	case ServerReady:
