--- a/control/balancer.go
+++ b/control/balancer.go
@@ -4,7 +4,7 @@
 //
 // A caller reports events to a [Balancer] (UpdateEndpoints, HandleOutcome, HandleLoadResult, Cancel) and asks it
 // for three decisions: Route, whether a request is forwarded, held or ended; HandleOutcome, what follows an
-// attempt; and Maintain, which periodic work is due and when to call it next. In each event-loop iteration the
+// attempt; and Maintain, which periodic work is due and when to call it next. In each step of the event loop the
 // caller passes every pending request to Route, lowest Rank first.
 //
 // Each concern has its own file: routing, loading, slow start, outliers, overload, quotas, retries, endpoints,
@@ -47,8 +47,8 @@
 
 // New returns a Balancer for the given deployment. It knows no servers until UpdateEndpoints is called; seed
 // determines its random choices.
-func New(now Micros, seed uint64, config Deployment) *Balancer {
-	return &Balancer{deployment: config, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
-		execTimes: make([]samples, len(config.Classes)), timeouts: make([]samples, len(config.Classes)),
-		quotaDebt: make([]Micros, len(config.Quotas)), capacityHistory: capacityHistory{asOf: now}}
+func New(now Micros, seed uint64, deployment Deployment) *Balancer {
+	return &Balancer{deployment: deployment, random: pcg(seed), startedAt: now, functions: map[FunctionID]*function{},
+		execTimes: make([]samples, len(deployment.Classes)), timeouts: make([]samples, len(deployment.Classes)),
+		quotaDebt: make([]Micros, len(deployment.Quotas)), capacityHistory: capacityHistory{asOf: now}}
 }
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -245,13 +245,13 @@
 // Rule 2: which requests may be retried, where, and how they end.
 func TestRetries(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		effect     Idempotency
-		scope      DedupScope
-		ago        Micros
-		mayHaveRun bool
-		want       Action
-		server     ServerID
+		name        string
+		idempotency Idempotency
+		scope       DedupScope
+		ago         Micros
+		mayHaveRun  bool
+		want        Action
+		server      ServerID
 	}{
 		{"idempotent", Idempotent, WholeFleet, second, true, Forward, 2},
 		{"non-idempotent, may have run", NonIdempotent, WholeFleet, second, true, Fail, 0},
@@ -263,7 +263,7 @@
 		{"idempotent by key, replica in another zone", IdempotentByKey, OneZone, second, true, Hold, 0},
 	} {
 		config := testDeployment()
-		config.Classes[0].Idempotency, config.Classes[0].DedupScope = c.effect, c.scope
+		config.Classes[0].Idempotency, config.Classes[0].DedupScope = c.idempotency, c.scope
 		b := newTestBalancer(config, 2)
 		addReplica(b, 2, 0)
 		if d := b.Route(testNow, requestWithAttempt(c.ago, c.mayHaveRun)); d.Action != c.want || d.Server != c.server {
@@ -305,8 +305,8 @@
 	b.rebuildIndex()
 	b.capacityHistory = capacityHistory{periods: []CapacityPeriod{{testNow - 10*second, testNow, 1.325}}, asOf: testNow} // as if the capacity had been constant
 	b.updateAnswerRate(testNow)
-	// 40 answers per second from 1 + 0.325 servers; 0.8 of 4 x 0.325 x 30.2 requests in a window of a second:
-	// 31.4.
+	// A capacity of 1 + 0.325 servers gives 40 answers per second, so a server at full capacity gives 30.2. The budget
+	// for a window of a second is 0.8 x 4 x 0.325 x 30.2 = 31.4 requests.
 	b.deployment.RouterIndex = 2 // another router has the turn for the fractional request
 	for i := range 31 {
 		if !b.withinSlowStartBudget(testNow, starting) {
@@ -321,9 +321,9 @@
 		t.Error("refused after the window has passed")
 	}
 	allowed := 0
-	for number := range 200 {
+	for routerIndex := range 200 {
 		config := testDeployment()
-		config.Routers, config.RouterIndex = 200, number
+		config.Routers, config.RouterIndex = 200, routerIndex
 		b := newTestBalancer(config, 2)
 		b.servers.at(1).StartedAt = testNow - second
 		b.rebuildIndex()
@@ -490,16 +490,16 @@
 func TestManyRoutersShareHomes(t *testing.T) {
 	for recent, want := range map[int]int{1: 1, 11: 8} { // a tenth of the requests is the share of four servers, so eight homes
 		homes := map[ServerID]int{}
-		for number := range 40 {
+		for routerIndex := range 40 {
 			config := testDeployment()
-			config.Routers, config.RouterIndex = 40, number
+			config.Routers, config.RouterIndex = 40, routerIndex
 			b := newTestBalancer(config, 40)
 			f := b.function(newRequest(1))
 			f.recentRequests, b.recentFunctions, b.observationTTL = recent, make([]*function, 100), 8*second
 			homes[b.loadTarget(testNow, f, newRequest(1), firstReplica).Server]++
 		}
 		if len(homes) > want || len(homes)*4 < want*3 {
-			t.Errorf("%d homes for %d of 100 requests, want %d or nearly", len(homes), recent, want)
+			t.Errorf("%d homes for %d of 100 requests, want at most %d and at least three quarters of that", len(homes), recent, want)
 		}
 	}
 }
@@ -573,16 +573,16 @@
 			Outcome{Server: 1, Result: Succeeded, CacheStatus: CacheUnknown, Duration: took, RequestDone: true})
 	}
 	if got := b.loadTime(newRequest(1)); got != 900_000 {
-		t.Errorf("a load takes %d, want 900 ms", got)
+		t.Errorf("a load takes %d us, want 900 ms", got)
 	}
 }
 
 // With many routers no concurrency limit is reached, so each router must shed load by itself while queueing persists.
 func TestShedsForAStandingQueue(t *testing.T) {
 	b := newTestBalancer(testDeployment(), 1)
-	shed := func(strain, fresh Micros) (n int) {
-		b.observationTTL, b.queueing = fresh, samples{}
-		b.queueing.add(testNow, strain)
+	shed := func(queueing, observationTTL Micros) (n int) {
+		b.observationTTL, b.queueing = observationTTL, samples{}
+		b.queueing.add(testNow, queueing)
 		for range 1000 {
 			if b.mustShed(testNow) {
 				n++
@@ -593,8 +593,8 @@
 	if n := shed(1000, 8*second); n < 400 || n > 600 {
 		t.Errorf("%d of 1000 shed for a queueing delay of the whole slack, want about half", n)
 	}
-	if a, b := shed(200, 8*second), shed(1000, rareAnswerInterval); a+b != 0 {
-		t.Errorf("%d shed for a short queue, %d where concurrency limits adapt, want none", a, b)
+	if short, adapting := shed(200, 8*second), shed(1000, rareAnswerInterval); short+adapting != 0 {
+		t.Errorf("%d shed for a short queue, %d where concurrency limits adapt, want none", short, adapting)
 	}
 }
 
@@ -604,10 +604,10 @@
 	s := b.servers.at(0)
 	s.ejections = 1
 	if got := b.probeInterval(s); got != second {
-		t.Errorf("first probe after %d, want a second", got)
+		t.Errorf("first probe after %d us, want a second", got)
 	}
 	if b.observationTTL = 8 * second; b.probeInterval(s) != 4*second {
-		t.Errorf("first probe after %d, want four seconds", b.probeInterval(s))
+		t.Errorf("first probe after %d us, want four seconds", b.probeInterval(s))
 	}
 }
 
--- a/control/homes.go
+++ b/control/homes.go
@@ -80,7 +80,7 @@
 // currentHomes returns a function's home set with all changes of the endpoint list applied. It rebuilds the set if
 // there is none, or if it was built for far more or for fewer servers than are needed now.
 func (b *Balancer) currentHomes(f *function, need int) *homeSet {
-	const maxExcess = 16 // at this excess one entry in 16 is a home, and a walk needs two
+	const maxExcess = 16 // beyond it, fewer than one entry in 16 is a home, and a walk has to find two
 	hs, idx := &f.homes, &b.index
 	if hs.size == 0 || hs.appliedChanges < idx.droppedChanges || len(hs.entries) > maxExcess*need ||
 		hs.size < need && !math.IsInf(hs.bound, 1) {
@@ -107,7 +107,8 @@
 // costs no more if the walk would be long, because a small fleet has few homes for the function, or if many servers
 // have a key that differs from their static one.
 func (b *Balancer) prefersHomeSet(f *function) bool {
-	const maxWalk, maxDeviating = 1. / 8, 1. / 8 // as fractions of the ready servers; measured with 60 to 3,200 servers
+	// As fractions of the ready servers. Beyond either of them a scan of all servers is as fast as the home set.
+	const maxWalk, maxDeviating = 1. / 8, 1. / 8
 	ready := len(b.index.ready)
 	homes := b.homeCount(f, ready)
 	walk := 2 * float64(2*b.expectedScanLength(homes, ready)) / float64(homes)
--- a/control/index.go
+++ b/control/index.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// insertSorted returns a sorted list with s inserted, if it isn't in it already.
+// insertSorted inserts s into a sorted list, unless the list contains it already, and returns the list.
 func insertSorted(list []*server, s *server, compare func(a, b *server) int) []*server {
 	if n := len(list); n == 0 || compare(list[n-1], s) < 0 { // common case: in order of time
 		return append(list, s)
@@ -137,7 +137,7 @@
 	}
 }
 
-// setReady inserts a server into the list of ready ones, or removes it, by its state.
+// setReady adds a server to the list of ready servers, or removes it, depending on its state.
 func (idx *index) setReady(s *server) {
 	switch i := s.readyIndex; {
 	case s.State == Ready && i < 0:
--- a/control/learned.go
+++ b/control/learned.go
@@ -3,9 +3,10 @@
 import "slices"
 
 // ApplyLearned restores what an earlier incarnation of the router learned. Call it right after New, before anything
-// else. What counts against limits is restored whatever its age; load commands and attempts with a time in the future,
-// after the clock was set back, count as of now, since they may be recent. Replicas expire as they would have without
-// the restart. Execution and load times are not part of the learned state (docs/persistence.md).
+// else. Load commands, attempts and quota debt count against their limits whatever their age. If the clock was set back
+// in the meantime, load commands and attempts with a time in the future count as of now, since they may be recent.
+// Replicas expire as they would have without the restart. Execution and load times are not part of the learned state
+// (docs/persistence.md).
 func (b *Balancer) ApplyLearned(now Micros, state *LearnedState) {
 	const recently = 60_000_000 // six times answerWindow
 	b.loadCommands, b.admitted = clampTo(state.LoadCommands, now), dropAfter(state.Admitted, now)
--- a/control/learned_test.go
+++ b/control/learned_test.go
@@ -72,14 +72,14 @@
 		now := testNow + pause
 		next := restartFromLearned(b, testNow, now)
 		if next.loadCommandAllowed(now) {
-			t.Errorf("after %d us: a load command beyond the rate limit", pause)
+			t.Errorf("after %d us: a load command beyond the rate limit is allowed", pause)
 		}
 		if !next.loadCommandAllowed(now + second + 1) {
-			t.Errorf("after %d us: no load command after the window", pause)
+			t.Errorf("after %d us: no load command is allowed after the window", pause)
 		}
 		next.servers.at(1).StartedAt, next.answerRate = now-second, 10
 		if next.withinSlowStartBudget(now, next.servers.at(1)) {
-			t.Errorf("after %d us: a request beyond the slow-start budget", pause)
+			t.Errorf("after %d us: a request beyond the slow-start budget is allowed", pause)
 		}
 	}
 }
--- a/control/loading.go
+++ b/control/loading.go
@@ -45,7 +45,7 @@
 		if b.deployment.Routers == 1 && !b.servers.contains(func(s *server) bool {
 			return acceptsLoads(s) && b.usableReadOnly(now, s, req)
 		}) {
-			return nil // bounds the work of an event-loop iteration with many held requests
+			return nil // bounds the work of a step of the event loop with many held requests
 		}
 		cs = b.candidatesInOrder(now, f, req)
 	}
@@ -78,8 +78,9 @@
 
 // homeCount returns how many of the usable servers are homes of a function.
 func (b *Balancer) homeCount(f *function, usable int) int {
-	const homesPerServer = 2 // homes for each server's worth of requests, so that the function takes half of each home's load
-	const minRequests = 32   // requests needed to estimate a share, without the current one, which says nothing
+	const homesPerServer = 2 // homes for each server's share of all requests, so that the function uses half of each home's capacity
+	const minRequests = 32   // a share can't be estimated from fewer recent requests
+	// The current request is not counted, since alone it says nothing about the function's share.
 	share := float64(f.recentRequests-1) / float64(max(minRequests, len(b.recentFunctions)))
 	return min(usable, max(1, int(math.Ceil(homesPerServer*share*float64(usable)))))
 }
@@ -160,9 +161,9 @@
 
 // checkReplicas tests, as Fifer does, whether a function needs more replicas: it does if the recent delay has reached
 // the slack and the held requests would wait at least as long as a load takes. Route then starts the loads that are
-// due. The D_f of the paper counts every waiting request. Here requests without slack are shed, so those shed within
-// the last load time count as held; otherwise, with a latency objective shorter than a load, D_f would stay below the
-// load time whatever the demand.
+// due. In the Fifer paper the queueing delay D_f counts every waiting request. Here requests without slack are shed, so
+// those shed within the last load time count as held; otherwise, with a latency objective shorter than a load, D_f
+// would stay below the load time whatever the demand.
 func (b *Balancer) checkReplicas(now Micros, f *function) {
 	held := f.held + len(f.shed.since(now-b.loadTime(f.lastRequest)))
 	if f.loadsDue = 0; held == 0 {
--- a/control/overload.go
+++ b/control/overload.go
@@ -33,14 +33,14 @@
 }
 
 // maxQueueing is the queueing delay, in thousandths of the requests' slack, above which a server is overloaded: a
-// quarter of the slack, which performed better than two fifths.
+// quarter of the slack. Two fifths of it perform worse.
 const maxQueueing = 250
 
 // reportsOverload reports whether a server's load report, if it is younger than maxAge, says that the server is
 // overloaded.
 func (s *server) reportsOverload(now, maxAge Micros) bool {
-	// Above a utilization of 0.85 requests queue for cores; more than 4 pending loads are more than most servers run
-	// at once. Lower bounds brought no gain.
+	// Above a utilization of 0.85 requests queue for cores, and most servers run no more than 4 loads at once. Lower
+	// thresholds perform no better.
 	return s.reportedAt > 0 && now < s.reportedAt+maxAge &&
 		(s.report.Utilization > 0.85 || s.report.PendingLoads > 4)
 }
@@ -63,7 +63,7 @@
 // This is needed where answers are too rare for concurrency limits to adapt: otherwise every request may be answered
 // just too late, in an overload that doesn't end.
 func (b *Balancer) mustShed(now Micros) bool {
-	// Thresholds from 150 to 400 performed equally well. At most half of the requests are shed.
+	// Any threshold from 150 to 400 performs as well as 250. At most half of the requests are shed.
 	excess := quantile(b.queueing.since(now-b.observationTTL/2), 0.5) - 250
 	return b.observationTTL > rareAnswerInterval && Micros(b.random.intN(1000)) < min(excess, 500)
 }
--- a/control/quota.go
+++ b/control/quota.go
@@ -25,12 +25,13 @@
 }
 
 // firstSentAt estimates when the client first sent the request, so that retries, marked or not, don't take the place of
-// requests that can still be in time. A timeout that is shorter than usual is taken for what earlier attempts have
-// left. This hurts clients whose timeouts are short by design, so for clients that mark retries only the mark counts.
+// requests that can still be in time. A timeout that is shorter than usual is assumed to be what earlier attempts have
+// left of the usual one. This hurts clients whose timeouts are short by design, so for clients that mark retries only
+// the mark counts.
 func (b *Balancer) firstSentAt(now Micros, req *Request) Micros {
 	usualTimeouts, timeout := &b.timeouts[req.Class], cmp.Or(req.Timeout, req.Deadline-now)
 	usualTimeouts.add(now, timeout)
-	// 30 ms exceed the time that a request takes to get here, a few milliseconds.
+	// The margin of 30 ms exceeds the transit time of a request, which is a few milliseconds.
 	if (!b.deployment.ClientsMarkRetries || req.RetriesUnmarked) && timeout < quantile(usualTimeouts.since(0), 0.8)-30_000 {
 		return min(req.ArrivedAt, req.Deadline-b.deployment.Classes[req.Class].MaxDeadline)
 	}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -22,10 +22,10 @@
 	key float64
 }
 
-// rankingLength is how many entries a ranking has. With 3,200 servers, 12 entries were measured to determine the first
-// two candidates in all but 1 of 400 choices with half of the fleet unusable or in slow start without budget, in all
-// but 1 of 20 with one third unusable and another third overloaded, and in 1 of 3 with only one server in ten usable.
-// That is enough: the fallback, a scan of all servers, is merely slow.
+// rankingLength is how many entries a ranking has. If they don't determine the first two candidates, the fallback is a
+// scan of all servers, which makes the same choice but is slow. Of 3,200 servers, 12 entries suffice in all but 1 of 400
+// choices while half of the servers are unusable, in all but 1 of 20 while a third is unusable and another third
+// overloaded, but only in 1 of 3 while nine servers in ten are unusable.
 const rankingLength = 12
 
 // add inserts a server in order if its key is below the bound, and lowers the bound when the ranking overflows.
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -121,7 +121,7 @@
 	history.asOf = max(history.asOf, now)
 }
 
-// referenceMeanWeight scans all servers.
+// referenceMeanWeight does the same as meanWeight by a scan of all servers.
 func referenceMeanWeight(b *Balancer) float64 {
 	sum, ready := milliWeight(0), 0
 	for s := range b.servers.all {
@@ -136,7 +136,8 @@
 	return float64(sum) / 1000 / float64(ready)
 }
 
-// referenceTotalCapacity scans all servers. It sums ages as integers, as totalCapacity does, for the same rounding.
+// referenceTotalCapacity does the same as totalCapacity by a scan of all servers. It sums ages as integers, too, for the
+// same rounding.
 func referenceTotalCapacity(b *Balancer, now Micros) float64 {
 	var full, starting milliWeight
 	var age weightTime
@@ -249,11 +250,11 @@
 	slices.SortFunc(homes, byKey)
 	var best *server
 	fewest := math.MaxInt
-	near := len(cs)
+	eligible := len(cs)
 	if b.deployment.Routers > 1 {
-		near = min(near, 2)
+		eligible = min(eligible, 2)
 	}
-	for _, c := range cs[:near] {
+	for _, c := range cs[:eligible] {
 		s, replicas := c.server, 0
 		if !acceptsLoads(s) {
 			continue
--- a/control/routing.go
+++ b/control/routing.go
@@ -112,8 +112,8 @@
 	}
 	hold := Decision{Action: Hold, Rank: req.ArrivedAt + t.total, RecheckAt: min(now+maintenanceInterval, t.latestStart)}
 	if f.blockedAt == now && t.slack >= t.margin && len(req.Attempts) == 0 {
-		// A request with less slack found no instance in this event-loop iteration. Skipping the rest bounds the
-		// work of an iteration with many held requests.
+		// A request with less slack found no instance in this step of the event loop. Skipping the rest bounds the work
+		// of a step with many held requests.
 		return b.explain(hold, reasonFunctionBlocked)
 	}
 	if inst := b.fullestInstance(now, f, req); inst != nil {
--- a/control/serverevents.go
+++ b/control/serverevents.go
@@ -26,7 +26,7 @@
 
 // The causes of an ejection.
 const (
-	// AnswersOverdue means that the server doesn't answer, and its answers are overdue.
+	// AnswersOverdue means that the server has not answered its attempts in time.
 	AnswersOverdue EjectionCause = iota
 	// ConnectionsFail means that connections to the server break or are refused.
 	ConnectionsFail
--- a/control/shutdown_test.go
+++ b/control/shutdown_test.go
@@ -6,11 +6,11 @@
 func TestEarliestKill(t *testing.T) {
 	for longest, want := range map[Micros]Micros{0: 700_000, 50_000: 750_000, 3_000_000: 3_700_000, 3_600_000_000: 3_700_000} {
 		if got := (&Deployment{Classes: []Class{{MaxDeadline: 0}, {MaxDeadline: longest}}}).EarliestKill(); got != want {
-			t.Errorf("longest deadline %d: %d, want %d", longest, got, want)
+			t.Errorf("longest deadline %d: got %d, want %d", longest, got, want)
 		}
 	}
 	if got := (&Deployment{}).EarliestKill(); got != 700_000 {
-		t.Errorf("without classes: %d", got)
+		t.Errorf("without classes: got %d, want 700000", got)
 	}
 }
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -7,9 +7,10 @@
 // This file limits what all routers together may send to a server that has just started.
 
 // withinSlowStartBudget enforces rule 4 of docs/design.md: in each overload window, all routers together may send a
-// server in slow start a configured multiple of its present capacity, where full capacity is at least its share of the
-// fleet's answers. Where this router's part is less than one request per window, the routers take turns, which follow
-// from their index, the server and the time: the sum stays within the budget without any coordination.
+// server in slow start a configured multiple of its present capacity. Its full capacity is taken to be its share of the
+// fleet's answers, which is a lower bound. Where this router's part of the budget is less than one request per window,
+// the routers take turns. The turns follow from the router's index, the server and the time, so the sum stays within the
+// budget without any coordination.
 func (b *Balancer) withinSlowStartBudget(now Micros, s *server) bool {
 	if b.capacity(now, s) == 1 {
 		return true
@@ -71,7 +72,7 @@
 	return position
 }
 
-// capacity returns a server's capacity as a fraction of its full capacity: 1 unless it is in slow start, where it is a
+// capacity returns a server's capacity as a fraction of its full capacity: 1 unless the server is in slow start, else a
 // lower bound.
 func (b *Balancer) capacity(now Micros, s *server) float64 {
 	if age := now - s.StartedAt; s.StartedAt > 0 && age < b.deployment.SlowStartDuration {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -153,8 +153,8 @@
 		drawn[i] = Micros(random.Int64N(7200*second)) - 3600*second
 	}
 	for name, offset := range map[string]func(router int) Micros{
-		"half an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
-		"any":                func(r int) Micros { return drawn[r] }, "a window more each": func(r int) Micros { return Micros(-r) * second }} {
+		"every second one an hour ahead": func(r int) Micros { return Micros(r%2) * (3600*second + 370_000) },
+		"random":                         func(r int) Micros { return drawn[r] }, "each a window behind the previous one": func(r int) Micros { return Micros(-r) * second }} {
 		for _, routers := range []int{6, 30, 300} {
 			for _, budget := range []float64{6, 25, 50, 200} {
 				sim := slowStartSim{routers: routers, initialBudget: budget, window: second, clockOffset: offset}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -26,8 +26,7 @@
 	Answers        []Micros           `json:"Answers"`
 	AnswerRate     float64            `json:"Rate"`
 	ObservationTTL Micros             `json:"Fresh"`
-	// Missing in checkpoints of builds before it was added: the capacity then counts as unchanged over the time of
-	// Answers.
+	// nil in checkpoints of older builds: the capacity then counts as unchanged over the time of Answers.
 	CapacityHistory *CapacityHistorySnapshot `json:"Ready,omitempty" golden:"joined"`
 	PendingChecks   []int                    `json:"Waiting"` // positions in Functions
 	RecentFunctions []int                    `json:"Recent"`  // positions in Functions
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -79,9 +79,9 @@
 	// Ejected and overloaded servers are included: leaving them out would make the others look more capable.
 	from, capacity := history.asOf, max(mean, b.totalCapacity(now))
 	if from == 0 {
-		// Restored with answers, but without the capacity of their time: all servers known now may have given them.
-		// This keeps the budget from being too large after a restart into a smaller fleet; it is too small while these
-		// answers count.
+		// The answers were restored, but not the capacity at that time: all servers known now may have given them.
+		// This keeps the budget from being too large after a restart into a smaller fleet; the budget is too small
+		// while the restored answers count.
 		from, capacity = max(b.startedAt, now-answerWindow), mean*float64(b.servers.len)
 	}
 	history.asOf = max(history.asOf, now)
--- a/control/throughput_test.go
+++ b/control/throughput_test.go
@@ -61,10 +61,10 @@
 	return 0
 }
 
-// setState changes the state of the servers with IDs from from to to.
-func (sim *throughputSim) setState(from, to ServerID, state ServerState, startedAt Micros) {
+// setState changes the state of the servers with the IDs first to last.
+func (sim *throughputSim) setState(first, last ServerID, state ServerState, startedAt Micros) {
 	var changed []Endpoint
-	for id := from; id <= to; id++ {
+	for id := first; id <= last; id++ {
 		changed = append(changed, Endpoint{Server: id, State: state, Weight: 1, StartedAt: startedAt})
 	}
 	sim.balancer.UpdateEndpoints(sim.now, IncrementalUpdate, changed)
--- a/control/types.go
+++ b/control/types.go
@@ -39,7 +39,7 @@
 	Routers                   int       `json:"Routers"` // number of routers that share the fleet
 	RouterIndex               int       `json:"Number"`  // index of this router among them, from 0
 	Zone                      ZoneID    `json:"Zone"`
-	Tick                      Micros    `json:"Tick"` // shortest interval between event-loop steps
+	Tick                      Micros    `json:"Tick"` // shortest interval between steps of the event loop
 	Classes                   []Class   `json:"Workloads"`
 	Quotas                    []float64 `json:"Shares"`        // by tenant: requests per second, over all routers together
 	MaxAttempts               int       `json:"MaxExecutions"` // per request
