--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -56,9 +56,9 @@
 	Ended     bool `cbor:"Over"` // its end was handled; its connection may carry another attempt by now
 }
 
-// Cancel marks the attempt as cancelled. If act is true, the caller has to stop it: withdraw it if writing has not
-// begun, otherwise abort it. After its end nothing may be stopped, since its connection may carry another attempt.
-func (p *Progress) Cancel() (act bool) {
+// Cancel marks the attempt as cancelled. If mustStop is true, the caller has to stop it: withdraw it if writing has not
+// begun, otherwise abort it. An attempt that has ended is not stopped, since its connection may carry another one.
+func (p *Progress) Cancel() (mustStop bool) {
 	if p.Cancelled || p.Ended {
 		return false
 	}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -27,11 +27,11 @@
 // PolicyNames are the policies' names, indexed by Policy.
 var PolicyNames = []string{"random", "least", "two-choices", "bounded-hash", "first-miss"}
 
-// recheckInterval is the time after which a request for which no server was found is decided again.
+// recheckInterval is the time after which a request for which no server was found is routed again.
 const recheckInterval = control.Micros(50_000)
 
-// minTicksLeft is the number of clock ticks before its deadline from which a request is rejected: it could not be
-// answered in time.
+// minTicksLeft is how many clock ticks must be left before a request's deadline. With fewer it is rejected, since it
+// could not be answered in time.
 const minTicksLeft = 4
 
 // maintenanceInterval is arbitrary, since these policies have no maintenance.
@@ -73,7 +73,7 @@
 	slices.SortFunc(b.servers, func(a, b control.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
 }
 
-// Rank implements core.Policy: requests are decided by order of arrival.
+// Rank implements core.Policy: requests are routed in order of arrival.
 func (b *balancer) Rank(_ control.Micros, r *control.Request) control.Micros { return r.ArrivedAt }
 
 // candidates returns the servers that may get a request. Servers in slow start are excluded: policies that do not count
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -9,9 +9,9 @@
 
 const second = control.Micros(1_000_000)
 
-func newBalancer(p Policy, effect control.Idempotency) core.Policy {
+func newBalancer(p Policy, idempotency control.Idempotency) core.Policy {
 	b := NewFactory(p)(second, 1, control.Deployment{Tick: 4_000, MaxAttempts: 3, SlowStartDuration: 4 * second, MaxRetryAfter: second,
-		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Idempotency: effect}}})
+		Classes: []control.Class{{LatencyObjective: second, MaxDeadline: 4 * second, Idempotency: idempotency}}})
 	b.UpdateEndpoints(second, control.FullUpdate, []control.Endpoint{{Server: 1, State: control.Ready}, {Server: 2, State: control.Ready}, {Server: 3, State: control.Draining},
 		{Server: 4, State: control.Ready, StartedAt: second}})
 	return b
@@ -39,11 +39,11 @@
 
 // A request that may have run is retried only if it is idempotent.
 func TestNothingRunsTwice(t *testing.T) {
-	for effect, want := range map[control.Idempotency]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
-		b, r := newBalancer(LeastRequests, effect), newRequest(1)
+	for idempotency, want := range map[control.Idempotency]control.Action{control.Idempotent: control.Forward, control.IdempotentByKey: control.Reject, control.NonIdempotent: control.Fail} {
+		b, r := newBalancer(LeastRequests, idempotency), newRequest(1)
 		decision := b.Route(2*second, r)
 		if got := b.HandleOutcome(2*second, r, control.Outcome{Server: decision.Server, Result: control.ConnectionReset}); got.Action != want {
-			t.Errorf("%d: %+v", effect, got)
+			t.Errorf("%d: %+v", idempotency, got)
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -58,23 +58,23 @@
 	for _, c := range boot.Customers {
 		d.Quotas = append(d.Quotas, c.AllowancePerS)
 	}
-	effects := map[string]control.Idempotency{"pure": control.Idempotent, "token": control.IdempotentByKey,
+	idempotencies := map[string]control.Idempotency{"pure": control.Idempotent, "token": control.IdempotentByKey,
 		"side_effect": control.NonIdempotent}
 	scopes := map[string]control.DedupScope{"all": control.WholeFleet, "zone": control.OneZone, "cell": control.OneCell}
 	for i, c := range boot.Classes {
-		effect, ok := effects[c.Semantics]
+		idempotency, ok := idempotencies[c.Semantics]
 		if !ok {
 			return d, fmt.Errorf("start settings: class %d: unknown semantics %q", i, c.Semantics)
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && effect == control.IdempotentByKey {
+		if !ok && idempotency == control.IdempotentByKey {
 			return d, fmt.Errorf("start settings: class %d: unknown key_scope %q", i, c.KeyScope)
 		}
 		d.Classes = append(d.Classes, control.Class{
 			LatencyObjective:     control.Micros(c.Aim),
 			MaxDeadline:          control.Micros(c.HardLimit),
 			ObjectivePerExecTime: c.Stretch,
-			Idempotency:          effect,
+			Idempotency:          idempotency,
 			DedupScope:           scope,
 			DedupWindow:          control.Micros(c.Window),
 		})
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -106,10 +106,10 @@
 				fleets[i].Prune(now, func(id control.ServerID) bool { return id == fleet.ID("s-0") && step%2 == 0 })
 			}
 			if x, y := cores[0].takeCalls(), cores[1].takeCalls(); !slices.Equal(x, y) {
-				t.Fatalf("step %d: by changes %q, by lists %q", step, x, y)
+				t.Fatalf("step %d: with incremental updates %q, with full lists %q", step, x, y)
 			}
 			if x, y := snapshotOf(t, cores[0]), snapshotOf(t, cores[1]); !reflect.DeepEqual(x, y) {
-				t.Fatalf("step %d: by changes %+v, by lists %+v", step, x.Balancer.Servers, y.Balancer.Servers)
+				t.Fatalf("step %d: with incremental updates %+v, with full lists %+v", step, x.Balancer.Servers, y.Balancer.Servers)
 			}
 			for _, f := range fleets {
 				servers, ready := f.Count()
@@ -123,7 +123,7 @@
 			for uid := range 6 {
 				id := fleet.ID(fmt.Sprint("s-", uid))
 				if x, y := comparableServer(fleets[0].Get(id)), comparableServer(fleets[1].Get(id)); x != y {
-					t.Fatalf("step %d: server %d by changes %+v, by lists %+v", step, uid, x, y)
+					t.Fatalf("step %d: server %d with incremental updates %+v, with full lists %+v", step, uid, x, y)
 				}
 			}
 		}
--- a/internal/core/policy.go
+++ b/internal/core/policy.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// SetTrace makes the balancer write the reasons of its decisions to trace. It returns an error if the policy is a
-// baseline.
+// SetTrace makes the balancer report its decisions to trace, with their reasons. It returns an error if the policy is a
+// baseline or wraps the balancer.
 func (c *Core) SetTrace(trace *control.Trace) error {
 	balancer, ok := c.policy.(*control.Balancer)
 	if !ok {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// LearnedState returns what the balancer has learned, or nil if the policy is a baseline. It may be called
-// between steps.
+// LearnedState returns what the balancer has learned, or nil if the policy is a baseline or wraps the balancer. It may be
+// called between steps.
 func (c *Core) LearnedState(now control.Micros) *control.LearnedState {
 	b, ok := c.policy.(*control.Balancer)
 	if !ok {
@@ -80,7 +80,8 @@
 	return control.Throughput{}
 }
 
-// EjectedServers returns the servers that the balancer has ejected, or nil if the policy is a baseline.
+// EjectedServers returns the servers that the balancer has ejected, or nil if the policy is a baseline or wraps the
+// balancer.
 func (c *Core) EjectedServers() map[control.ServerID]bool {
 	if b, ok := c.policy.(*control.Balancer); ok {
 		return b.EjectedServers()
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// randomDeployment returns the settings of one of two routers, with a class for each kind of effect.
+// randomDeployment returns the settings of one of two routers, with a class for each level of idempotency.
 func randomDeployment(t *rapid.T) control.Deployment {
 	return control.Deployment{Routers: 2, Tick: 4000, MaxAttempts: 3, MaxRetryAfter: 1_000_000, SupportsCancel: true,
 		SlowStartInitial: 0.25, SlowStartDuration: 2_000_000, OverloadWindow: 500_000, OverloadFactor: 2,
@@ -152,12 +152,12 @@
 
 func TestRestoreRejectsInconsistentSnapshots(t *testing.T) {
 	for name, s := range map[string]*Snapshot{
-		"no balancer": {},
-		"held":        {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
-		"tables":      {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
-		"flight": {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{
+		"no balancer":   {},
+		"held request":  {Held: []control.RequestID{1}, Balancer: &control.Snapshot{}},
+		"table lengths": {Balancer: &control.Snapshot{QuotaDebt: []control.Micros{1}}},
+		"attempt in flight": {Balancer: &control.Snapshot{Servers: []control.ServerSnapshot{
 			{InFlight: []control.InFlightSnapshot{{Request: 1}}}}}},
-		"order": {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
+		"order of servers": {Balancer: &control.Snapshot{Servers: make([]control.ServerSnapshot, 2)}},
 		"instance": {Balancer: &control.Snapshot{Functions: []control.FunctionSnapshot{
 			{Instances: make([]control.InstanceSnapshot, 1)}}}},
 		"last function": {Balancer: &control.Snapshot{RecentFunctions: []int{0}}},
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -52,10 +52,10 @@
 // goroutine may call it.
 func (l *Loop) PostEndpoints(f func(now control.Micros)) { l.queue.PostEndpoints(f) }
 
-// Ready is readable when events are queued.
+// Ready returns a channel that is readable when events are queued.
 func (l *Loop) Ready() <-chan struct{} { return l.queue.Ready() }
 
-// Timer is readable when the timer has fired.
+// Timer returns a channel that is readable when the timer has fired.
 func (l *Loop) Timer() <-chan time.Time { return l.timer.C }
 
 // SetTimer sets the timer, replacing its previous time.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -33,7 +33,7 @@
 		time.Sleep(1500 * time.Microsecond)
 		now := clock.Now()
 		if now != clock.Epoch+1500 || clock.At(time.Now().Add(-time.Millisecond)) != clock.Epoch+500 || !clock.Time(now).Equal(time.Now()) {
-			t.Errorf("after 1500 us: %d, %v", now-clock.Epoch, clock.Time(now))
+			t.Errorf("after 1500 us: got %d us since the start, converted to %v", now-clock.Epoch, clock.Time(now))
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(duration(grace))
 		if late, stalled := loop.Stalled(); !stalled || late != grace {
-			t.Errorf("stalled %t by %d", stalled, late)
+			t.Errorf("stalled %t, late by %d us", stalled, late)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 					loop.PreviousEndpointsAsOf, before)
 			}
 			if until := loop.WriteDeadline(); until <= loop.EndpointsAsOf || until >= loop.EndpointsAsOf+grace {
-				t.Errorf("the write deadline is %d after the read", until-loop.EndpointsAsOf)
+				t.Errorf("the write deadline is %d us after the read", until-loop.EndpointsAsOf)
 			}
 		}
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -3,7 +3,7 @@
 //
 // Its main task is to determine how old a server is. Lists carry the start time of a server by another machine's wall
 // clock, while the router's own clock is monotonic. An adjusted wall clock must make no server look older than it can
-// be, since a server in slow start would then be sent more than it can take (rule 4).
+// be, since a server in slow start would then be sent more than it can take (rule 4 of docs/design.md).
 package fleet
 
 import (
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -50,7 +50,7 @@
 		f.FullUpdate(100*second, list)
 		f.FullUpdate(200*second, nil)
 		if s := f.Get(ID("127.0.0.1:9")); s.State != control.Removed {
-			t.Errorf("got %+v", s)
+			t.Errorf("got %+v, want it removed", s)
 		}
 		if got := f.FullUpdate(300*second, list); got[0].StartedAt != want {
 			t.Errorf("started %d: got %d, want %d", startedAt, got[0].StartedAt, want)
--- a/internal/overload/admission.go
+++ b/internal/overload/admission.go
@@ -5,13 +5,14 @@
 )
 
 // Admission during an overload. First attempts are admitted: they are demand, and package control loads instances only
-// for demand that it sees. (Admitting no more than servers had just answered starved a fleet that had to load:
-// docs/overload.md.) Retries that waited for their Retry-After are admitted too. Retries that did not wait, or that
-// have no idempotency key by which that could be checked, have a budget of a tenth of their tenant's first attempts.
+// for demand that it sees. If no more requests were admitted than servers have just answered, a fleet that has to load
+// would get too few requests to do so (docs/overload.md). Retries that waited for their Retry-After are admitted too.
+// Retries that did not wait, or that have no idempotency key by which that could be checked, have a budget of a tenth of
+// their tenant's first attempts.
 const (
 	retryTokensPerRequest = 0.1
 	maxRetryTokens        = 5.0
-	earlyTolerance        = control.Micros(50_000) // more than the deviation of clients' clocks and the network
+	earlyTolerance        = control.Micros(50_000) // more than the deviation of clients' clocks and of network delays
 	maxKeys               = 100_000                // about 4 MB; rejected requests beyond that are not remembered
 )
 
@@ -41,6 +42,7 @@
 	return d
 }
 
+// decide counts a request and decides whether it is admitted, without counting the admission.
 func (c *Controller) decide(now control.Micros, r Request) Decision {
 	t := c.tenant(now, r.Tenant)
 	c.countArrival(now, r, t)
@@ -57,7 +59,7 @@
 	case !r.IsRetry && !rejectedBefore:
 		return Decision{Admitted: true}
 	case rejectedBefore && now < retryAt-earlyTolerance:
-		// The client keeps its retry time: to postpone it would penalize the next attempt, which will be in time.
+		// The retry time is unchanged: postponing it would penalize the next attempt, which may come in time.
 		c.window.current.rejected++
 		return Decision{Reason: c.kind, RetryAfter: retryAt - now}
 	case rejectedBefore:
@@ -102,17 +104,17 @@
 // remembered.
 func (c *Controller) assignRetryAfter(now, longest control.Micros, keyHash uint64) control.Micros {
 	c.window.current.rejected++
-	pause := max(1, longest/2+control.Micros(c.random.Int64N(max(1, int64(longest/2)))))
+	delay := max(1, longest/2+control.Micros(c.random.Int64N(max(1, int64(longest/2)))))
 	if keyHash == 0 {
-		return pause
+		return delay
 	}
 	if len(c.retryAt) >= maxKeys {
 		c.pruneRetryTimes(now)
 	}
 	if len(c.retryAt) < maxKeys {
-		c.retryAt[keyHash] = now + pause
+		c.retryAt[keyHash] = now + delay
 	}
-	return pause
+	return delay
 }
 
 // pruneRetryTimes deletes the retry times that have passed.
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -37,14 +37,14 @@
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
 	const key = 5
-	pause := c.RecordRejection(now, 1000*ms, key)
-	if d := c.Admit(now+pause/2, Request{IsRetry: true, KeyHash: key}); d.Admitted || d.RetryAfter != pause-pause/2 {
-		t.Errorf("too early: %+v, pause %d", d, pause)
+	delay := c.RecordRejection(now, 1000*ms, key)
+	if d := c.Admit(now+delay/2, Request{IsRetry: true, KeyHash: key}); d.Admitted || d.RetryAfter != delay-delay/2 {
+		t.Errorf("too early: %+v, delay %d us", d, delay)
 	}
-	if d := c.Admit(now+pause/2, Request{KeyHash: key}); d.Admitted {
+	if d := c.Admit(now+delay/2, Request{KeyHash: key}); d.Admitted {
 		t.Error("a retry that is not marked as one is admitted too early")
 	}
-	if d := c.Admit(now+pause, Request{IsRetry: true, KeyHash: key}); !d.Admitted {
+	if d := c.Admit(now+delay, Request{IsRetry: true, KeyHash: key}); !d.Admitted {
 		t.Errorf("in time: %+v", d)
 	}
 }
--- a/internal/overload/shedder.go
+++ b/internal/overload/shedder.go
@@ -16,7 +16,7 @@
 	level      float64   // priorities of lower rank are shed, the one at this rank by the fraction
 }
 
-// The changes of the level, in ranks per interval. It rises by one rank per second, about as fast as a storm, and falls
+// The changes of the level, in ranks per interval. It rises by one rank per second, about as fast as a storm grows, and falls
 // more slowly, so that it settles instead of oscillating.
 const (
 	raiseStep = 0.1
--- a/internal/retry/latencies.go
+++ b/internal/retry/latencies.go
@@ -9,7 +9,7 @@
 // Latencies holds the latencies of the last successful attempts.
 type Latencies struct {
 	last  [64]control.Micros // ring buffer
-	count int                // of all latencies ever added
+	count int                // number of latencies ever added
 }
 
 // minSamples is the number of latencies needed to estimate their tail.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -26,14 +26,14 @@
 func TestRetryOfWhatMayHaveRun(t *testing.T) {
 	nonIdempotent, idempotent := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
 	byKey := Class{Effect: control.IdempotentByKey, Window: 2 * second}
-	narrow := byKey
-	narrow.Scope = control.OneZone
+	byKeyInZone := byKey
+	byKeyInZone.Scope = control.OneZone
 	for name, c := range map[string]struct {
 		class   Class
 		now     control.Micros
 		retried bool
 	}{"non-idempotent": {nonIdempotent, 2 * second, false}, "idempotent": {idempotent, 2 * second, true}, "in its window": {byKey, 2 * second, true},
-		"past its window": {byKey, 3*second - 10_000, false}, "narrow": {narrow, 2 * second, false}} {
+		"past its window": {byKey, 3*second - 10_000, false}, "by key in one zone": {byKeyInZone, 2 * second, false}} {
 		for _, outcome := range []Outcome{Lost, Failed} {
 			call, next := afterFirstAttempt(c.class, outcome, c.now, 0)
 			if next.Done == c.retried {
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -15,8 +15,8 @@
 const bufferBytes = 1 << 16
 
 // Run answers batches until the input ends. If recordDir is not empty, it records each router's steps there, as a
-// gateway does. It returns errors of reading and writing, and of records that no simulator sends; a panic of the
-// decision code is reported to the simulator instead.
+// gateway does. It returns an error if reading or writing fails or a record is invalid; a panic of the decision code is
+// reported to the simulator instead.
 func Run(in io.Reader, out io.Writer, recordDir string) error {
 	h := &host{routers: map[uint32]*router{}, recordDir: recordDir}
 	defer h.closeRecordings()
--- a/internal/simproto/bootinfo.go
+++ b/internal/simproto/bootinfo.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// BootInfo is the JSON of the start settings, as far as any caller reads it; unknown keys are ignored. Fields are named
+// BootInfo holds the start settings, a JSON object, that the callers read; unknown keys are ignored. Fields are named
 // after their keys. Times are in microseconds.
 type BootInfo struct {
 	Balancers int `json:"balancers"`
