--- a/control/homes.go
+++ b/control/homes.go
@@ -26,6 +26,7 @@
 	ownKey float64 // in this router's order
 }
 
+// homeEntry returns the entry of a server with the given weight in a function's home set.
 func (b *Balancer) homeEntry(f *function, id ServerID, weight float64) homeEntry {
 	return homeEntry{id, rankKey(uint64(f.id), id, weight), rankKey(b.ownOrder(f), id, weight)}
 }
@@ -39,6 +40,7 @@
 	return cmp.Or(cmp.Compare(a.ownKey, b.ownKey), cmp.Compare(a.id, b.id))
 }
 
+// add inserts an entry if its key is below the bound.
 func (hs *homeSet) add(e homeEntry) {
 	if e.key >= hs.bound {
 		return
@@ -49,6 +51,7 @@
 	hs.entries = slices.Insert(hs.entries, i, e)
 }
 
+// remove deletes an entry if the set contains it.
 func (hs *homeSet) remove(e homeEntry) {
 	if e.key >= hs.bound {
 		return
--- a/control/throughput.go
+++ b/control/throughput.go
@@ -13,9 +13,9 @@
 // full capacity, and observationTTL, how long an observation of a server stays valid: about the time until its next
 // answer is due.
 //
-// The answers are divided by the capacity of the same servers over the same time. Divided by the present capacity, the
-// answers of all servers would be credited to the few that are left when most have just begun to drain, and the
-// slow-start budget would be many times too large (docs/incidents/slow-start-overload.md).
+// The answers are divided by the capacity of the servers that gave them, over the same time. If they were divided by the
+// present capacity, the few servers that are left when most have just begun to drain would be credited with the answers
+// of all, and the slow-start budget would be many times too large (docs/incidents/slow-start-overload.md).
 func (b *Balancer) updateAnswerRate(now Micros) {
 	b.recordCapacity(now)
 	history := &b.capacityHistory
@@ -51,8 +51,8 @@
 	}
 }
 
-// capacityHistory is the capacity of the ready servers over the time in which answers are counted. Times in which none
-// was ready are left out: they say nothing about what a server does, and what was known before them still holds.
+// capacityHistory is the capacity of the ready servers over the time in which answers are counted. Times in which no
+// server was ready are left out: they say nothing about a server's rate, and the earlier estimate still holds after them.
 type capacityHistory struct {
 	periods    []CapacityPeriod // in order of time
 	asOf       Micros           // the history is complete up to this time; 0: the capacity before now is not known
--- a/control/trace.go
+++ b/control/trace.go
@@ -76,6 +76,7 @@
 	return Micros(c.Held) * c.Objective / Micros(c.Slots)
 }
 
+// replicaCheck passes a replica check to OnReplicaCheck.
 func (t *Trace) replicaCheck(c ReplicaCheck) {
 	if t.OnReplicaCheck != nil {
 		t.OnReplicaCheck(c)
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -17,7 +17,7 @@
 // The stages of an attempt.
 const (
 	Chosen    Stage = iota // the balancer chose a server; no byte has been written
-	Writing                // bytes may have been written: only the end of the attempt shows its outcome
+	Writing                // bytes may have been written: its outcome is known only when the attempt ends
 	Withdrawn              // cancelled before a byte was written: provably never sent
 )
 
--- a/internal/overload/window.go
+++ b/internal/overload/window.go
@@ -15,8 +15,8 @@
 const maxCatchUp = 2 * windowIntervals
 
 // Capacity is short if at least this share of the requests of the last half second was rejected or is still unanswered.
-// Rejections alone would show it too late: they begin only when a request cannot meet its deadline, when everything
-// that came before it is already queued.
+// Rejections alone would show it too late: they begin only once a request cannot meet its deadline, and by then a long
+// queue has built up.
 const (
 	shortageShare     = 0.2
 	shortageIntervals = 5
