--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -17,7 +17,7 @@
 // The stages of an attempt.
 const (
 	Chosen    Stage = iota // the balancer chose a server; no byte has been written
-	Writing                // bytes may have been written: only the end of the attempt shows its outcome
+	Writing                // bytes may have been written: its outcome is known only when the attempt ends
 	Withdrawn              // cancelled before a byte was written: provably never sent
 )
 
@@ -56,9 +56,9 @@
 	Ended     bool `cbor:"Over"` // its end was handled; its connection may carry another attempt by now
 }
 
-// Cancel marks the attempt as cancelled. If act is true, the caller has to stop it: withdraw it if writing has not
-// begun, otherwise abort it. After its end nothing may be stopped, since its connection may carry another attempt.
-func (p *Progress) Cancel() (act bool) {
+// Cancel marks the attempt as cancelled. If mustStop is true, the caller has to stop it: withdraw it if writing has not
+// begun, otherwise abort it. An attempt that has ended is not stopped, since its connection may carry another one.
+func (p *Progress) Cancel() (mustStop bool) {
 	if p.Cancelled || p.Ended {
 		return false
 	}
