--- a/client/attempts.go
+++ b/client/attempts.go
@@ -66,7 +66,7 @@
 		deadline:    deadline,
 		retry:       retry.NewCall(call.Workload.retryClass(), c.now()+remaining),
 		results:     make(chan attemptResult, maxUnreadResults),
-		lastFailure: &CallError{Kind: NotSent, Reason: "the deadline passed before the request could be sent"},
+		lastFailure: &CallError{Kind: NotSent, Reason: "its time was up before a router could be asked"},
 		lastRouter:  -1,
 		conns:       map[*rest.Client]bool{},
 	}
@@ -100,7 +100,7 @@
 				s.attemptDue.Reset(time.Until(s.client.timeOf(decision.RetryAt)))
 			}
 		case <-ctx.Done():
-			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the call's context ended before a response", Err: context.Cause(ctx)}
+			return Response{}, &CallError{Kind: s.kindOnTimeout(), Reason: "the caller's time was up", Err: context.Cause(ctx)}
 		}
 	}
 }
@@ -230,7 +230,7 @@
 		result.localFailure = netfail.IsLocal(err) || errors.Is(err, context.Canceled)
 	case !s.register(conn):
 		c.release(router, conn, closeConn)
-		result.setNotSent("the call has ended")
+		result.setNotSent("the call is over")
 	default:
 		result.SentAt, result.connected = c.now(), true
 		attempt.Remaining = time.Until(s.deadline)
--- a/client/exchange.go
+++ b/client/exchange.go
@@ -28,7 +28,7 @@
 	if remainingMS <= 0 { // the deadline passed while the body was made
 		s.unregister(conn)
 		c.release(result.Router, conn, closeConn) // not reused: it may have been aborted at the end of the call
-		result.setNotSent("the deadline passed before the request was sent")
+		result.setNotSent("its time was up before it was sent")
 		return
 	}
 	response, progress, err := conn.Do(s.request(attempt, body, remainingMS), s.deadline.Add(c.options.LateResponseTimeout))
