--- a/client/call.go
+++ b/client/call.go
@@ -12,9 +12,9 @@
 
 // The effects. The routers' configuration calls them run-once, restartable and fingerprinted.
 const (
-	NonIdempotent   Effect = iota // it does: a request that may have run is never retried
-	Idempotent                    // it does not
-	IdempotentByKey               // it does not for some time: servers recognize the idempotency key and drop the duplicate
+	NonIdempotent   Effect = iota // a second run does harm: a request that may have run is never retried
+	Idempotent                    // a second run does no harm
+	IdempotentByKey               // servers recognize the idempotency key for some time and drop a duplicate
 )
 
 // Workload describes the requests of one class. It should agree with the routers' configuration.
--- a/client/client.go
+++ b/client/client.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// now returns the time since the client was created, plus one microsecond, since package retry takes 0 for no time.
+// now returns the time since the client was created, plus one microsecond, because 0 means "not set" in package retry.
 func (c *Client) now() control.Micros {
 	return control.Micros(time.Since(c.started).Microseconds()) + 1
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -40,7 +40,7 @@
 }
 
 // handler returns a fake router's response to a request; nil breaks the connection.
-type handler func(h receivedRequest) *rest.Response
+type handler func(received receivedRequest) *rest.Response
 
 func startRouters(t testing.TB, n int, handle handler) *fakeRouters {
 	t.Helper()
@@ -92,19 +92,19 @@
 	defer nc.Close()
 	c := rest.NewConn(nc, &rest.DefaultLimits, nil)
 	for {
-		q, err := c.ReadRequest()
+		request, err := c.ReadRequest()
 		if err != nil {
 			return
 		}
-		h := receivedRequest{receivedAt: time.Now(), router: i, key: q.Header.Get(kserve.IdempotencyKeyHeader)}
-		h.attempt, _ = strconv.Atoi(q.Header.Get(kserve.AttemptHeader))
-		ms, _ := strconv.Atoi(q.Header.Get(kserve.TimeoutHeader))
-		h.timeout = time.Duration(ms) * time.Millisecond
+		received := receivedRequest{receivedAt: time.Now(), router: i, key: request.Header.Get(kserve.IdempotencyKeyHeader)}
+		received.attempt, _ = strconv.Atoi(request.Header.Get(kserve.AttemptHeader))
+		ms, _ := strconv.Atoi(request.Header.Get(kserve.TimeoutHeader))
+		received.timeout = time.Duration(ms) * time.Millisecond
 		r.mu.Lock()
-		r.requests = append(r.requests, h)
+		r.requests = append(r.requests, received)
 		r.mu.Unlock()
-		p := handle(h)
-		if p == nil || c.WriteResponse(p) != nil {
+		response := handle(received)
+		if response == nil || c.WriteResponse(response) != nil {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 func TestTenThousandCalls(t *testing.T) {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(1, 2))
-	r := startRouters(t, 3, func(h receivedRequest) *rest.Response {
+	r := startRouters(t, 3, func(received receivedRequest) *rest.Response {
 		mu.Lock()
 		percent := random.IntN(100)
 		mu.Unlock()
@@ -152,7 +152,7 @@
 		case percent < 15:
 			time.Sleep(60 * time.Millisecond) // longer than some calls' timeouts
 		}
-		return succeed(h)
+		return succeed(received)
 	})
 	var doneMu sync.Mutex
 	done := 0
@@ -195,8 +195,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	byKey := map[string][]receivedRequest{}
-	for _, h := range r.requests {
-		byKey[h.key] = append(byKey[h.key], h)
+	for _, received := range r.requests {
+		byKey[received.key] = append(byKey[received.key], received)
 	}
 	retries := 0
 	for key, requests := range byKey {
@@ -204,14 +204,14 @@
 		if err != nil {
 			t.Fatalf("unknown idempotency key %q", key)
 		}
-		for n, h := range requests {
-			if h.receivedAt.After(startedAt[i].Add(timeouts[i] + time.Second)) {
-				t.Errorf("call %s was sent %s after its deadline", key, h.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
+		for n, received := range requests {
+			if received.receivedAt.After(startedAt[i].Add(timeouts[i] + time.Second)) {
+				t.Errorf("call %s was sent %s after its deadline", key, received.receivedAt.Sub(startedAt[i].Add(timeouts[i])))
 			}
-			if h.timeout > timeouts[i] {
-				t.Errorf("call %s was sent with a timeout of %s, more than its own of %s", key, h.timeout, timeouts[i])
+			if received.timeout > timeouts[i] {
+				t.Errorf("call %s was sent with a timeout of %s, more than its own of %s", key, received.timeout, timeouts[i])
 			}
-			if n > 0 && h.attempt < 2 {
+			if n > 0 && received.attempt < 2 {
 				t.Errorf("a retry of call %s has no attempt count above 1", key)
 			}
 		}
@@ -247,9 +247,9 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		r.mu.Lock()
-		for n, h := range r.requests {
-			if h.attempt != n+1 || h.key != r.requests[0].key || h.key == "" {
-				t.Errorf("%s: attempt %d has key %q and attempt count %d", name, n, h.key, h.attempt)
+		for n, received := range r.requests {
+			if received.attempt != n+1 || received.key != r.requests[0].key || received.key == "" {
+				t.Errorf("%s: attempt %d has key %q and attempt count %d", name, n, received.key, received.attempt)
 			}
 		}
 		if len(r.requests) != c.attempts {
@@ -300,7 +300,10 @@
 // After a router loses all of its connections at once, the client spreads its reconnects over time and sends the calls to
 // other routers.
 func TestReconnectsSpread(t *testing.T) {
-	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { time.Sleep(5 * time.Millisecond); return succeed(h) })
+	r := startRouters(t, 2, func(received receivedRequest) *rest.Response {
+		time.Sleep(5 * time.Millisecond)
+		return succeed(received)
+	})
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 40})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -345,7 +348,10 @@
 
 // An attempt that gets a connection only after the call's deadline is not sent, even if late responses would still be read.
 func TestNothingIsSentLate(t *testing.T) {
-	r := startRouters(t, 1, func(h receivedRequest) *rest.Response { time.Sleep(150 * time.Millisecond); return succeed(h) })
+	r := startRouters(t, 1, func(received receivedRequest) *rest.Response {
+		time.Sleep(150 * time.Millisecond)
+		return succeed(received)
+	})
 	lib := newClient(t, Options{Routers: r.addresses, Connections: 1, LateResponseTimeout: time.Second})
 	first := make(chan error)
 	go func() {
@@ -377,14 +383,14 @@
 func TestHedge(t *testing.T) {
 	var mu sync.Mutex
 	slow := false
-	r := startRouters(t, 2, func(h receivedRequest) *rest.Response {
+	r := startRouters(t, 2, func(received receivedRequest) *rest.Response {
 		mu.Lock()
-		wait := slow && h.attempt == 1
+		wait := slow && received.attempt == 1
 		mu.Unlock()
 		if wait {
 			time.Sleep(500 * time.Millisecond)
 		}
-		return succeed(h)
+		return succeed(received)
 	})
 	lib := newClient(t, Options{Routers: r.addresses})
 	call := Call{Model: "m", Body: body, Workload: Workload{Effect: Idempotent, Hedge: true}}
--- a/client/failed.go
+++ b/client/failed.go
@@ -28,9 +28,9 @@
 }
 
 // Error implements error.
-func (f *CallError) Error() string {
-	return fmt.Sprintf("%s after %d tries: %s", f.Kind, f.Attempts, f.Reason)
+func (e *CallError) Error() string {
+	return fmt.Sprintf("%s after %d tries: %s", e.Kind, e.Attempts, e.Reason)
 }
 
 // Unwrap returns the underlying error, such as context.Canceled, or nil if there is none.
-func (f *CallError) Unwrap() error { return f.Err }
+func (e *CallError) Unwrap() error { return e.Err }
--- a/client/faults_test.go
+++ b/client/faults_test.go
@@ -13,7 +13,7 @@
 // A cancelled call does not count as a failure of its router: routers still get requests in turn.
 func TestCancellationCountsAgainstNoRouter(t *testing.T) {
 	slow := make(chan bool)
-	r := startRouters(t, 2, func(h receivedRequest) *rest.Response { <-slow; return succeed(h) })
+	r := startRouters(t, 2, func(received receivedRequest) *rest.Response { <-slow; return succeed(received) })
 	var ended atomic.Int32
 	lib := newClient(t, Options{Routers: r.addresses, Hooks: Hooks{AttemptEnded: func(Attempt, string, time.Duration) { ended.Add(1) }}})
 	const callsPerRouter = 4 // one more than the failures that eject a router
@@ -36,8 +36,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, h := range r.requests {
-		perRouter[h.router]++
+	for _, received := range r.requests {
+		perRouter[received.router]++
 	}
 	if perRouter != [2]int{callsPerRouter, callsPerRouter} {
 		t.Errorf("requests per router: %v", perRouter)
--- a/cmd/hmcall/calls.go
+++ b/cmd/hmcall/calls.go
@@ -68,6 +68,7 @@
 	return calls, nil
 }
 
+// readCall parses and validates one line of a file of calls.
 func readCall(line []byte) (input call, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
--- a/cmd/hollymast/drain_test.go
+++ b/cmd/hollymast/drain_test.go
@@ -111,7 +111,7 @@
 	}
 	router.suspend()
 	drainedAt := discoveryServer.Publish(servers.drainEvent())
-	joining := platformtest.NewModelServer(t) // more events behind the drain, the last one being another drain
+	joining := platformtest.NewModelServer(t) // more events after the drain; the last one is another drain
 	discoveryServer.Publish(platformtest.Event(4, "s-2", joining.Address(), "ready"))
 	discoveryServer.Publish(platformtest.Event(5, "s-2", joining.Address(), "draining"))
 	callAll(client)
--- a/cmd/hollymast/gateway_shutdown_test.go
+++ b/cmd/hollymast/gateway_shutdown_test.go
@@ -61,12 +61,12 @@
 }
 
 // run sends requests as long as keepRunning returns true.
-func (o *persistentClient) run(keepRunning func() bool) {
+func (client *persistentClient) run(keepRunning func() bool) {
 	for keepRunning() {
-		c, err := rest.Dial(context.Background(), o.address, &rest.DefaultLimits)
+		c, err := rest.Dial(context.Background(), client.address, &rest.DefaultLimits)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				time.Sleep(o.pause)
+				time.Sleep(client.pause)
 			}
 			continue
 		}
@@ -76,14 +76,14 @@
 			response, progress, err := c.Do(request, sentAt.Add(time.Second))
 			switch {
 			case err == nil:
-				o.answered++
+				client.answered++
 			case progress >= rest.FullyWritten:
-				o.unanswered = append(o.unanswered, fmt.Sprintf("after %v: %v", time.Since(sentAt).Round(time.Millisecond), err))
+				client.unanswered = append(client.unanswered, fmt.Sprintf("after %v: %v", time.Since(sentAt).Round(time.Millisecond), err))
 			}
 			if err != nil || response.Close {
 				break
 			}
-			time.Sleep(o.pause)
+			time.Sleep(client.pause)
 		}
 		c.Close()
 	}
--- a/cmd/hollymast/growth_test.go
+++ b/cmd/hollymast/growth_test.go
@@ -48,7 +48,7 @@
 	u.descriptors = max(u.descriptors, int64(len(open)))
 }
 
-// replaceHalf runs a router for some seconds while half of the servers are replaced. The traffic does not depend on their number.
+// replaceHalf runs a router for some seconds while half of the servers are replaced. The traffic does not depend on the number of servers.
 func replaceHalf(t *testing.T, servers int) (u resourceUsage) {
 	const (
 		rate             = 50 // requests per second
--- a/cmd/hollymast/platform_shutdown_test.go
+++ b/cmd/hollymast/platform_shutdown_test.go
@@ -91,9 +91,9 @@
 }
 
 // schedulerWaits returns how long each thread of a process has waited for a CPU, from the kernel's scheduler statistics.
-func schedulerWaits(process int) map[string]time.Duration {
+func schedulerWaits(pid int) map[string]time.Duration {
 	threads := map[string]time.Duration{}
-	names, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is well formed
+	names, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
 	for _, name := range names {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -109,8 +109,8 @@
 
 // longestSchedulerWait returns the longest time that a thread of a process has waited for a CPU since the statistics in since were read;
 // threads that started later count from 0.
-func longestSchedulerWait(process int, since map[string]time.Duration) (longest time.Duration) {
-	for name, waits := range schedulerWaits(process) {
+func longestSchedulerWait(pid int, since map[string]time.Duration) (longest time.Duration) {
+	for name, waits := range schedulerWaits(pid) {
 		longest = max(longest, waits-since[name])
 	}
 	return longest
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -24,7 +24,8 @@
 	startOnce sync.Once
 	started   chan struct{}
 	// fastReconnectUntil is the time until which reconnect delays are shortened. It is set when a watch ends before it
-	// is up to date: the events that it would have sent count as received since the subscription. Only Run uses it.
+	// is up to date: the events that were still to come count as received at the time of the subscription, so their
+	// grace period is already running. Only Run uses it.
 	fastReconnectUntil time.Time
 
 	mu      sync.Mutex
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -140,8 +140,8 @@
 	receive(t, "the list", client.lists)
 }
 
-// After a long outage, a server that breaks its first answer off is subscribed to again within half the grace period,
-// since the events that it would have sent count as received since the subscription.
+// After a long outage, the client subscribes again within half the grace period if the server ends the connection before
+// its first answer is complete: the events that were still to come count as received at the time of the subscription.
 func TestReconnectIsQuickAfterAnInterruptedAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
 		"within the first event":    fullEvent(1, "a", "10.0.0.1:1", "ready")[:60],
@@ -207,7 +207,7 @@
 	receive(t, "the list", client.lists)
 }
 
-// A line that is too long ends the connection. If it is sent again, it is skipped and the drain behind it is applied.
+// A line that is too long ends the connection. If it is sent again, it is skipped and the drain after it is applied.
 func TestTooLongLineIsSkippedOnRepeat(t *testing.T) {
 	address, conns, subscriptions := startServer(t)
 	_, lists := startClient(t, address)
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -55,7 +55,7 @@
 	subscribed bool         // no event has been applied since the last subscription
 	upToDate   bool         // a heartbeat since the last subscription confirmed that no event is missing
 	// retried is set once the event after retriedRevision was unusable and has been requested again. Without it, an event
-	// that stays unusable would be requested forever, and a drain behind it would never be read.
+	// that stays unusable would be requested forever, and a drain after it would never be read.
 	retried         bool
 	retriedRevision uint64
 }
@@ -69,16 +69,16 @@
 // UpToDate reports whether a heartbeat since the last subscription has confirmed that no event is missing.
 func (s *State) UpToDate() bool { return s.upToDate }
 
-// recordRetry records that the event after the current revision is unusable, and reports whether it was so the last time
-// already.
+// recordRetry records that the event after the current revision is unusable, and reports whether this was already recorded
+// for the same revision.
 func (s *State) recordRetry() (alreadyRetried bool) {
 	alreadyRetried = s.retried && s.retriedRevision == s.revision
 	s.retried, s.retriedRevision = true, s.revision
 	return alreadyRetried
 }
 
-// HandleLongLine handles a line that is too long for an event. skip is true if the event after the current revision was
-// unusable the last time already: then the line is to be skipped, and the lines behind it are to be used.
+// HandleLongLine handles a line that is too long for an event. It returns true if the event after the current revision was
+// already unusable when it was last sent: the caller must then skip the line and handle the lines after it.
 func (s *State) HandleLongLine() (skip bool) { return s.recordRetry() }
 
 // Effect tells what the caller must do after a line was handled.
@@ -93,7 +93,7 @@
 
 // HandleLine handles an event, a heartbeat (the revision of the server's last event) or an empty line. An error means
 // that the line is unusable: nothing of it was applied, and the caller must subscribe again to all events after
-// Revision. A line that is unusable again after that is skipped, so that the lines behind it are read.
+// Revision. A line that is unusable again after that is skipped, so that the lines after it are read.
 func (s *State) HandleLine(line []byte) (Effect, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -161,16 +161,16 @@
 		s.servers = map[string]fleet.Endpoint{}
 	}
 	before := make(map[string]fleet.Endpoint, len(e.Update.Endpoints)) // an event may list a server twice
-	for _, t := range e.Update.Endpoints {
-		if _, seen := before[t.UID]; !seen {
-			before[t.UID] = s.servers[t.UID]
+	for _, server := range e.Update.Endpoints {
+		if _, seen := before[server.UID]; !seen {
+			before[server.UID] = s.servers[server.UID]
 		}
-		if t.State == "gone" {
-			delete(s.servers, t.UID)
+		if server.State == "gone" {
+			delete(s.servers, server.UID)
 			continue
 		}
-		s.servers[t.UID] = fleet.Endpoint{Name: t.UID, Address: t.Address, State: serverStates[t.State], Zone: t.Zone,
-			Cell: strconv.Itoa(t.Cell), Weight: t.Weight, StartedAt: t.StartedAtMS * 1000}
+		s.servers[server.UID] = fleet.Endpoint{Name: server.UID, Address: server.Address, State: serverStates[server.State], Zone: server.Zone,
+			Cell: strconv.Itoa(server.Cell), Weight: server.Weight, StartedAt: server.StartedAtMS * 1000}
 	}
 	if full {
 		return fleet.Update{Full: true, Endpoints: s.Endpoints()}
@@ -198,12 +198,12 @@
 
 // validate returns an error if any server of the update is invalid; the whole update is rejected then.
 func (u *UpdateMessage) validate() error {
-	for _, t := range u.Endpoints {
-		if _, ok := serverStates[t.State]; !ok || t.UID == "" || t.State != "gone" && t.Address == "" {
-			return fmt.Errorf("discovery: invalid server %q with address %q and state %q", t.UID, t.Address, t.State)
+	for _, server := range u.Endpoints {
+		if _, ok := serverStates[server.State]; !ok || server.UID == "" || server.State != "gone" && server.Address == "" {
+			return fmt.Errorf("discovery: invalid server %q with address %q and state %q", server.UID, server.Address, server.State)
 		}
-		if t.StartedAtMS < 0 || t.StartedAtMS > math.MaxInt64/1000 {
-			return fmt.Errorf("discovery: server %q has invalid start time %d ms", t.UID, t.StartedAtMS)
+		if server.StartedAtMS < 0 || server.StartedAtMS > math.MaxInt64/1000 {
+			return fmt.Errorf("discovery: server %q has invalid start time %d ms", server.UID, server.StartedAtMS)
 		}
 	}
 	return nil
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -250,7 +250,7 @@
 }
 
 // An unusable event leaves the list unchanged and is requested again. If it is still unusable, it is skipped and the
-// drain behind it is applied.
+// drain after it is applied.
 func TestUnusableEventIsSkippedOnRepeat(t *testing.T) {
 	for name, bad := range map[string]string{
 		"invalid JSON":  `{"rev":2,"pool":[`,
@@ -271,7 +271,7 @@
 		}
 		effect, err := s.HandleLine([]byte(event(3, "a", "10.0.0.1:1", "draining")))
 		if list := s.Endpoints(); err != nil || effect != EndpointsChanged || list[0].State != control.Draining {
-			t.Errorf("%s: the drain behind it gave %v, %v, %v", name, effect, err, list)
+			t.Errorf("%s: the drain after it gave %v, %v, %v", name, effect, err, list)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	}
 }
 
-// Events behind a gap in a configuration are not applied.
+// Events after a gap in a configuration are not applied.
 func TestRestoreStopsAtGap(t *testing.T) {
 	parseEvent := func(line string) (e Event) {
 		if err := json.Unmarshal([]byte(line), &e); err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -33,8 +33,8 @@
 	maxReadPerCall = maxLine
 )
 
-// maxInterruptions bounds the immediate retries of a read that signals interrupt. At most a few signals arrive per
-// second.
+// maxInterruptions bounds the immediate retries of a read that was interrupted by a signal (EINTR). At most a few
+// signals arrive per second.
 const maxInterruptions = 8
 
 var read = syscall.Read // replaced in tests
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -94,8 +94,8 @@
 }
 
 // call makes a call without a body and stores the load report of its response. It returns nil if there was no response.
-func (p *prober) call(ctx context.Context, kind kserve.Operation, method string) *rest.Response {
-	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Operation: kind}.Target(), Header: rest.Header{"Host": {p.address}}})
+func (p *prober) call(ctx context.Context, operation kserve.Operation, method string) *rest.Response {
+	response, progress, err := p.exchange(&rest.Request{Method: method, Target: kserve.Call{Operation: operation}.Target(), Header: rest.Header{"Host": {p.address}}})
 	if err != nil {
 		problem := gateway.ResultName(gateway.BrokenExchangeResult(progress, err)) + ": " + err.Error()
 		p.report.Problem = strings.TrimPrefix(p.report.Problem+"; ", "; ") + problem
@@ -120,16 +120,16 @@
 	started := time.Now()
 	response, progress, err := p.exchange(&rest.Request{Method: http.MethodPost, Target: kserve.Call{Operation: kserve.Infer, Model: p.options.Model}.Target(),
 		Header: rest.Header{"Host": {p.address}, "Content-Type": {"application/json"}}, Body: p.options.Body})
-	run := &RequestReport{Duration: microsSince(started)}
+	report := &RequestReport{Duration: microsSince(started)}
 	var result control.Result
 	if err != nil {
-		result, run.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
+		result, report.Message = gateway.BrokenExchangeResult(progress, err), err.Error()
 	} else {
 		outcome := gateway.OutcomeOf(response)
-		result, run.Status, run.CacheStatus = outcome.Result, response.Status, outcome.CacheStatus
+		result, report.Status, report.CacheStatus = outcome.Result, response.Status, outcome.CacheStatus
 	}
-	run.Result, run.MayHaveRun = gateway.ResultName(result), !result.ProvesNotRun()
-	return run
+	report.Result, report.MayHaveRun = gateway.ResultName(result), !result.ProvesNotRun()
+	return report
 }
 
 func microsSince(start time.Time) control.Micros {
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -23,19 +23,19 @@
 func TestProbeRunsNothingUnlessAModelIsNamed(t *testing.T) {
 	s, log := startServer(t)
 	options := Options{Timeout: time.Second}
-	if f := CheckServer(context.Background(), s.Address(), options); !f.Ready || f.Request != nil || f.Load == nil || len(f.Models) != 0 {
-		t.Errorf("got %+v", f)
+	if report := CheckServer(context.Background(), s.Address(), options); !report.Ready || report.Request != nil || report.Load == nil || len(report.Models) != 0 {
+		t.Errorf("got %+v", report)
 	}
 	if n := len(log.Records()); n != 0 {
 		t.Errorf("the server recorded %d events", n)
 	}
 	options.Model, options.Body = "m", []byte(`{"id":"p","inputs":[]}`)
-	if f := CheckServer(context.Background(), s.Address(), options); f.Request == nil || f.Request.Result != "finished" || !f.Request.MayHaveRun || f.Request.Status != 200 {
-		t.Errorf("got %+v", f.Request)
+	if report := CheckServer(context.Background(), s.Address(), options); report.Request == nil || report.Request.Result != "finished" || !report.Request.MayHaveRun || report.Request.Status != 200 {
+		t.Errorf("got %+v", report.Request)
 	}
 	options.Model = ""
-	if f := CheckServer(context.Background(), s.Address(), options); len(f.Models) != 1 || f.Models[0].Name != "m" || f.Models[0].State != "READY" {
-		t.Errorf("got %+v", f.Models)
+	if report := CheckServer(context.Background(), s.Address(), options); len(report.Models) != 1 || report.Models[0].Name != "m" || report.Models[0].State != "READY" {
+		t.Errorf("got %+v", report.Models)
 	}
 }
 
@@ -43,17 +43,17 @@
 	s, _ := startServer(t)
 	options := Options{Timeout: 200 * time.Millisecond, Model: "m", Body: []byte(`{"id":"p","inputs":[]}`)}
 	for _, c := range []struct {
-		f      fakeserver.Faults
+		faults fakeserver.Faults
 		result string
 		mayRun bool
 	}{{fakeserver.Faults{Overloaded: true}, "full", false}, {fakeserver.Faults{Unresponsive: true}, "timed out", true}, {fakeserver.Faults{ResetBefore: 1}, "reset", true}} {
-		s.SetFaults(c.f)
-		if f := CheckServer(context.Background(), s.Address(), options); f.Request == nil || f.Request.Result != c.result || f.Request.MayHaveRun != c.mayRun {
-			t.Errorf("%+v: got %+v", c.f, f.Request)
+		s.SetFaults(c.faults)
+		if report := CheckServer(context.Background(), s.Address(), options); report.Request == nil || report.Request.Result != c.result || report.Request.MayHaveRun != c.mayRun {
+			t.Errorf("%+v: got %+v", c.faults, report.Request)
 		}
 	}
 	s.Stop()
-	if f := CheckServer(context.Background(), s.Address(), options); f.Ready || f.Request != nil || f.Problem == "" {
-		t.Errorf("gone: got %+v", f)
+	if report := CheckServer(context.Background(), s.Address(), options); report.Ready || report.Request != nil || report.Problem == "" {
+		t.Errorf("stopped server: got %+v", report)
 	}
 }
--- a/internal/probe/text.go
+++ b/internal/probe/text.go
@@ -6,25 +6,25 @@
 )
 
 // Text returns the report as readable text: a line for the server, one for each model and one for the request, if any.
-func (f ServerReport) Text() string {
+func (r ServerReport) Text() string {
 	var b strings.Builder
 	readiness := "not ready"
-	if f.Ready {
+	if r.Ready {
 		readiness = "ready"
 	}
-	fmt.Fprintf(&b, "%s: %s after %d us", f.Address, readiness, f.Duration)
-	if f.Problem != "" {
-		fmt.Fprintf(&b, " (%s)", f.Problem)
+	fmt.Fprintf(&b, "%s: %s after %d us", r.Address, readiness, r.Duration)
+	if r.Problem != "" {
+		fmt.Fprintf(&b, " (%s)", r.Problem)
 	}
-	if load := f.Load; load != nil {
+	if load := r.Load; load != nil {
 		fmt.Fprintf(&b, "; %.2f of its cores in use, %g loads, %.2f pinned", load.Utilization, load.PendingLoads, load.PinnedMemory)
 	}
 	b.WriteString("\n")
-	for _, model := range f.Models {
+	for _, model := range r.Models {
 		fmt.Fprintf(&b, "  %s %s\n", model.Name, strings.ToLower(model.State))
 	}
-	if f.Request != nil {
-		b.WriteString(f.Request.text())
+	if r.Request != nil {
+		b.WriteString(r.Request.text())
 	}
 	return b.String()
 }
--- a/internal/rest/body.go
+++ b/internal/rest/body.go
@@ -51,7 +51,8 @@
 	return int(n), nil
 }
 
-// Reserve is called before that many bytes of a body are read into memory. If it returns false, the message is rejected with status 503.
+// Reserve is called before the given number of bytes of a body is read into memory. If it returns false, the message is
+// rejected with status 503.
 type Reserve func(bytes int) bool
 
 // readBody reads a body with a length returned by bodyLength; noLength means that there is none. reserve may be nil.
--- a/internal/rest/message.go
+++ b/internal/rest/message.go
@@ -18,8 +18,8 @@
 	WriteTimeout   time.Duration // for one message
 }
 
-// DefaultLimits suit a gateway for small requests: the header limits are those of common servers, bodies may be well
-// larger than the tensors of a forecast, and timeouts allow a few round trips on a bad network.
+// DefaultLimits suit a gateway for small requests: the header limits are those of common servers, bodies may be much
+// larger than the tensors of a forecast model, and timeouts allow a few round trips on a bad network.
 var DefaultLimits = Limits{
 	MaxLine: 8 << 10, MaxHeaders: 64, MaxHeaderBytes: 32 << 10, MaxBody: 4 << 20,
 	HeaderTimeout: 5 * time.Second, BodyTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, WriteTimeout: 5 * time.Second,
--- a/internal/rest/server.go
+++ b/internal/rest/server.go
@@ -159,7 +159,8 @@
 	return time.Now().Add(d)
 }
 
-// closePollInterval is how often WatchClose checks for a close behind pipelined requests, which a read does not show.
+// closePollInterval is how often WatchClose checks for a close that follows pipelined requests. A read does not show it
+// while these requests are buffered.
 const closePollInterval = 20 * time.Millisecond
 
 // WatchClose reports on the channel if the client closes or resets the connection before stop is called. Requests that
--- a/internal/rest/sockets.go
+++ b/internal/rest/sockets.go
@@ -77,8 +77,8 @@
 	return ok && (e == syscall.EAGAIN || e == syscall.EWOULDBLOCK)
 }
 
-// maxInterruptedCalls bounds how often a system call that signals interrupt is made. At most a few signals arrive per
-// second.
+// maxInterruptedCalls bounds how often a system call is made if each time a signal interrupts it (EINTR). At most a few
+// signals arrive per second.
 const maxInterruptedCalls = 8
 
 var recvfrom = syscall.Recvfrom // replaced in tests
--- a/kserve/infer.go
+++ b/kserve/infer.go
@@ -100,7 +100,7 @@
 	return fields, nil
 }
 
-// jsonPart returns the JSON part of a body, without the binary tensors behind it.
+// jsonPart returns the JSON part of a body, without the binary tensors that follow it.
 func jsonPart(h textproto.MIMEHeader, body []byte) ([]byte, error) {
 	v := h.Get(JSONLengthHeader)
 	if v == "" {
--- a/kserve/kserve.go
+++ b/kserve/kserve.go
@@ -22,8 +22,8 @@
 }
 
 // JSON returns the object's JSON encoding.
-func (f ErrorBody) JSON() []byte {
-	b, _ := json.Marshal(f) // can't fail for strings and numbers
+func (e ErrorBody) JSON() []byte {
+	b, _ := json.Marshal(e) // can't fail for strings and numbers
 	return b
 }
 
--- a/kserve/kserve_test.go
+++ b/kserve/kserve_test.go
@@ -46,9 +46,9 @@
 func TestReadInfer(t *testing.T) {
 	h := textproto.MIMEHeader{JSONLengthHeader: {"55"}, TimeoutHeader: {"3"}, AttemptHeader: {"2"}, IdempotencyKeyHeader: {"k"}}
 	body := `{"id":"a","parameters":{"timeout":5000},"inputs":[{}]} ` + "\x00\xff tensors"
-	a, err := ParseInferRequest(h, []byte(body))
-	if err != nil || a != (InferRequest{ID: "a", Timeout: 3000, IsRetry: true, HasAttemptCount: true, IdempotencyKey: "k"}) {
-		t.Errorf("got %+v, %v", a, err)
+	req, err := ParseInferRequest(h, []byte(body))
+	if err != nil || req != (InferRequest{ID: "a", Timeout: 3000, IsRetry: true, HasAttemptCount: true, IdempotencyKey: "k"}) {
+		t.Errorf("got %+v, %v", req, err)
 	}
 	for name, c := range map[string]struct {
 		h    textproto.MIMEHeader
@@ -68,8 +68,8 @@
 		"timeout in header": {textproto.MIMEHeader{TimeoutHeader: {"soon"}}, `{"inputs":[]}`},
 		"try 0":             {textproto.MIMEHeader{AttemptHeader: {"0"}}, `{"inputs":[]}`},
 	} {
-		if a, err := ParseInferRequest(c.h, []byte(c.body)); err == nil {
-			t.Errorf("%s: got %+v", name, a)
+		if req, err := ParseInferRequest(c.h, []byte(c.body)); err == nil {
+			t.Errorf("%s: got %+v", name, req)
 		}
 	}
 }
@@ -95,12 +95,12 @@
 		if length != "" {
 			h[JSONLengthHeader] = []string{length}
 		}
-		if a, err := ParseInferRequest(h, body); err == nil && a.Timeout < 0 {
-			t.Fatalf("got %+v", a)
+		if req, err := ParseInferRequest(h, body); err == nil && req.Timeout < 0 {
+			t.Fatalf("got %+v", req)
 		}
 		ParseCacheStatus(h, body)
 		if n := ParseReplicaCount(body); n < -1 {
-			t.Fatalf("got %d copies", n)
+			t.Fatalf("got %d replicas", n)
 		}
 	})
 }
--- a/kserve/load.go
+++ b/kserve/load.go
@@ -17,8 +17,8 @@
 }
 
 // LoadCommandBody returns the body of a load command that sets the number of replicas.
-func LoadCommandBody(copies int) []byte {
-	return fmt.Appendf(nil, `{"parameters":{"copies":%d}}`, copies)
+func LoadCommandBody(replicas int) []byte {
+	return fmt.Appendf(nil, `{"parameters":{"copies":%d}}`, replicas)
 }
 
 // LoadReport is a server's load report in ORCA's JSON format. A negative value means that it was not given.
--- a/kserve/target.go
+++ b/kserve/target.go
@@ -36,7 +36,7 @@
 	ErrMethodNotAllowed = errors.New("the method does not fit the call") // the path is valid, but not with this method
 )
 
-// maxNameLength bounds a model's name or version in bytes. It is about the limit of file systems.
+// maxNameLength bounds a model's name or version in bytes. File systems have about the same limit for a file name.
 const maxNameLength = 256
 
 // ParseTarget parses a request's method and target and ignores the query. The error is ErrUnknownPath, or
@@ -85,7 +85,7 @@
 	return parts, true
 }
 
-// parseModelTarget parses the parts of a path behind a model's name.
+// parseModelTarget parses the parts of a path after a model's name.
 func parseModelTarget(method, model string, tail []string) (Call, error) {
 	c := Call{Operation: ModelMetadata, Model: model}
 	if len(tail) >= 2 && tail[0] == "versions" {
