--- a/internal/certstore/conn.go
+++ b/internal/certstore/conn.go
@@ -8,7 +8,7 @@
 )
 
 // errCertificateReplaced is returned for a client connection made with a certificate that is no longer in service.
-var errCertificateReplaced = errors.New("another certificate of ours is in service")
+var errCertificateReplaced = errors.New("the connection was made with a certificate that has been replaced")
 
 // Conn is a TLS connection with a verified peer.
 type Conn struct {
--- a/internal/certstore/credentials.go
+++ b/internal/certstore/credentials.go
@@ -73,6 +73,6 @@
 	return &transportCredentials{store: c.store}
 }
 
-// OverrideServerName implements credentials.TransportCredentials. It does nothing: the host that was dialled is
+// OverrideServerName implements credentials.TransportCredentials. It does nothing: the host that was dialed is
 // verified instead.
 func (c *transportCredentials) OverrideServerName(string) error { return nil }
--- a/internal/certstore/handshake.go
+++ b/internal/certstore/handshake.go
@@ -14,7 +14,7 @@
 
 var errNoCertificate = errors.New("no certificate is in service yet")
 
-// ClientHandshake runs the TLS handshake on a connection that was dialled to the address. If it returns an error, the connection must not be
+// ClientHandshake runs the TLS handshake on a connection that was dialed to the address. If it returns an error, the connection must not be
 // used. For an untrusted peer the error is a *tlspolicy.PeerError.
 func (s *Store) ClientHandshake(ctx context.Context, nc net.Conn, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -150,7 +150,7 @@
 	expectAnswer()
 	writeFiles(t, dir, map[string][]byte{"cert": after.Chain})
 	if err := server.reload(); err == nil || presentedSerial() != before.Serial.String() {
-		t.Errorf("half replaced: %v", err)
+		t.Errorf("only the certificate is replaced: %v", err)
 	}
 	writeFiles(t, dir, map[string][]byte{"key": after.Key})
 	if err := server.reload(); err != nil || presentedSerial() != after.Serial.String() {
@@ -159,7 +159,7 @@
 	expectAnswer()
 	os.Remove(filepath.Join(dir, "key"))
 	if err := server.reload(); err == nil || presentedSerial() != after.Serial.String() {
-		t.Errorf("no key: %v", err)
+		t.Errorf("the key file is missing: %v", err)
 	}
 	writeFiles(t, dir, map[string][]byte{"key": after.Key})
 	a.Revoke(peer.Serial)
--- a/internal/loadreport/collector.go
+++ b/internal/loadreport/collector.go
@@ -7,8 +7,8 @@
 	"hollymast/control"
 )
 
-// defaultMaxServers limits the servers that are counted. No endpoint list may contain that many, so more could only be addresses that come
-// and go.
+// defaultMaxServers limits the number of servers that are counted. No endpoint list may contain that many, so only addresses that keep
+// changing could exceed it.
 const defaultMaxServers = 100_000
 
 // Collector counts one router's attempts. It is not safe for concurrent use.
--- a/internal/loadreport/report.go
+++ b/internal/loadreport/report.go
@@ -22,7 +22,7 @@
 	c.Failed += other.Failed
 }
 
-// LoadMetrics holds sums over the load reports that a server sent with its answers.
+// LoadMetrics holds sums over the load reports that a server sent with its responses.
 type LoadMetrics struct {
 	Reports      uint64  `json:"Answers"` // number of load reports in the sums
 	Utilization  float64 `json:"Util"`
--- a/internal/loadreport/scheduler.go
+++ b/internal/loadreport/scheduler.go
@@ -64,5 +64,5 @@
 // ReportSent records that the last report was sent.
 func (s *Scheduler) ReportSent() { s.unsent = Report{} }
 
-// StreamClosed records the end of a stream. What was not sent is sent on the next one.
+// StreamClosed records the end of a stream. Unsent statistics are sent on the next stream.
 func (s *Scheduler) StreamClosed() { s.streamOpen = false }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// Once most of the held servers have returned, the others are taken for withdrawn on purpose: they are removed after SettleTime.
+// Once most of the held servers have returned, the others are assumed to be withdrawn on purpose: they are removed after SettleTime.
 func TestRestOfMassWithdrawalIsRemovedOnceSettled(t *testing.T) {
 	m := newListedModel(t, 10)
 	m.SetEndpoints(5*second, "a", nil)
--- a/internal/tlspolicy/digest.go
+++ b/internal/tlspolicy/digest.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// digest is a hash of the two inputs of an update, used to recognise an update that changes nothing.
+// digest is a hash of the two inputs of an update, used to recognize an update that changes nothing.
 type digest [sha256.Size]byte
 
 func digestOf(first, second []byte) digest {
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -30,7 +30,7 @@
 	}
 	i.TakeLogLines()
 	if err := i.Update(now(), y.Chain, x.Key); err == nil || len(i.TakeLogLines()) != 0 {
-		t.Errorf("half replaced: %v", err)
+		t.Errorf("only the certificate is replaced: %v", err)
 	}
 	if err := i.Update(now(), y.Chain, y.Key); err != nil || currentName(&i) != "y" || i.Version() != 2 {
 		t.Errorf("%v, version %d", err, i.Version())
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if i.ShouldReplace(begin+replacementPeriod/2-1, version, 0.5) || !i.ShouldReplace(begin+replacementPeriod/2, version, 0.5) {
-		t.Error("the connection is not replaced at its position")
+		t.Error("the connection is replaced before its point in the replacement period, or not at that point")
 	}
 	if i.ShouldReplace(begin+replacementPeriod, i.Version(), 0.5) {
 		t.Error("a connection with the current certificate is replaced")
--- a/internal/tlspolicy/peererror.go
+++ b/internal/tlspolicy/peererror.go
@@ -33,6 +33,7 @@
 	Text   string // one line
 }
 
+// Error implements error.
 func (e *PeerError) Error() string { return e.Text }
 
 func newPeerError(r Reason, format string, args ...any) *PeerError {
--- a/internal/tlspolicy/peername.go
+++ b/internal/tlspolicy/peername.go
@@ -9,7 +9,7 @@
 )
 
 // checkName checks that a certificate has one of the accepted names. Without accepted names, a server's certificate must be for the host
-// that was dialled, and a client's may have any name.
+// that was dialed, and a client's may have any name.
 func (v *Verifier) checkName(leaf *x509.Certificate, role Role, host string) error {
 	if len(v.names) == 0 {
 		if role == Client || leaf.VerifyHostname(host) == nil {
--- a/internal/tlspolicy/verifier.go
+++ b/internal/tlspolicy/verifier.go
@@ -21,7 +21,7 @@
 
 // Verifier decides which peers are trusted. It is not safe for concurrent use.
 type Verifier struct {
-	names       []string // accepted names (patterns); none: the host that was dialled for a server, any name for a client
+	names       []string // accepted names (patterns); none: the host that was dialed for a server, any name for a client
 	authorities []*x509.Certificate
 	pool        *x509.CertPool    // of the authorities
 	revocations []*revocationList // sorted by issuer
@@ -31,7 +31,7 @@
 }
 
 // NewVerifier returns a verifier without trusted authorities. A peer's certificate must match one of the names: a DNS name, whose first
-// label may be *, or a URI, which may end in /*. Without names, a server's certificate must be for the host that was dialled, and a
+// label may be *, or a URI, which may end in /*. Without names, a server's certificate must be for the host that was dialed, and a
 // client's may have any name.
 func NewVerifier(names []string) *Verifier { return &Verifier{names: names} }
 
@@ -115,7 +115,7 @@
 }
 
 // Verify checks whether a peer that presented this chain, its own certificate first, is trusted. Its errors are *PeerError. Role is that of
-// the peer. Host is the host that was dialled, empty if the peer is a client.
+// the peer. Host is the host that was dialed, empty if the peer is a client.
 func (v *Verifier) Verify(now control.Micros, chain []*x509.Certificate, role Role, host string) (VerifiedPeer, error) {
 	if len(chain) == 0 {
 		return VerifiedPeer{}, newPeerError(NoCertificate, "the peer showed no certificate")
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -45,7 +45,7 @@
 	logged   map[string]bool // lines that logOnce has logged
 	logLines []string
 
-	AcceptedResponses, RejectedResponses int
+	AcceptedResponses, RejectedResponses int // numbers of responses answered with an ACK and with a NACK
 }
 
 // typeState is the subscription state of one resource type.
--- a/internal/xds/loadstats.go
+++ b/internal/xds/loadstats.go
@@ -66,8 +66,8 @@
 		stats(pinnedMetric, metrics.PinnedMemory)}
 }
 
-// parseReport converts a node's report. It only reads the stats of single servers; the sums of localities can't be split by server
-// to add them to those of other nodes.
+// parseReport converts a node's report. It reads only the stats of single servers: sums by locality can't be split by server,
+// so they can't be added to those of other nodes.
 func parseReport(clusters []*endpoint.ClusterStats, now control.Micros) loadreport.Report {
 	report := loadreport.Report{To: now}
 	for _, cluster := range clusters {
--- a/internal/xds/metadata.go
+++ b/internal/xds/metadata.go
@@ -7,7 +7,7 @@
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 )
 
-// metadataKey is the key of the endpoint metadata that Envoy has no fields for: "born", the server's start time in RFC 3339.
+// metadataKey is the key of the endpoint metadata for which Envoy has no fields, such as "born", the server's start time in RFC 3339.
 const metadataKey = "hollymast"
 
 // parseStartedAt returns an endpoint's start time in microseconds since 1970; 0: not set.
--- a/internal/xds/response.go
+++ b/internal/xds/response.go
@@ -52,6 +52,7 @@
 	return nack(err)
 }
 
+// nack returns the error detail that makes a request a NACK.
 func nack(err error) *status.Status {
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 }
--- a/internal/xds/transport_test.go
+++ b/internal/xds/transport_test.go
@@ -157,12 +157,12 @@
 	}
 	defer plane.Stop()
 	plane.SetStalled(true) // it accepts streams but sends nothing
-	dialled := make(chan time.Time, 100)
+	dialed := make(chan time.Time, 100)
 	var mu sync.Mutex
 	down := true
 	transport := Transport{Address: plane.Address(), Now: now, GracePeriod: testGrace, Log: func(string) {}, OnUpdate: func(control.Micros) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			dialled <- time.Now()
+			dialed <- time.Now()
 			mu.Lock()
 			defer mu.Unlock()
 			if down {
@@ -184,7 +184,7 @@
 	const attempts = 6 // 100 ms doubled five times: the next wait would be up to 3.2 s, half of it random
 	var dialTimes [attempts]time.Time
 	for i := range dialTimes {
-		dialTimes[i] = <-dialled
+		dialTimes[i] = <-dialed
 	}
 	if first, last := dialTimes[1].Sub(dialTimes[0]), dialTimes[attempts-1].Sub(dialTimes[attempts-2]); last < 4*first {
 		t.Errorf("the first wait is %v, the last %v", first, last)
@@ -198,6 +198,6 @@
 	platformtest.WaitFor(t, "another stream", func() bool { _, streams, _ := plane.Counts(); return streams == 2 })
 	const slack = 100 * time.Millisecond
 	if took := time.Since(droppedAt); took > testGrace/2+slack {
-		t.Errorf("opened again after %v", took)
+		t.Errorf("the stream was opened again after %v", took)
 	}
 }
