--- a/internal/rest/write.go
+++ b/internal/rest/write.go
@@ -76,9 +76,9 @@
 	504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 const (
-	// maxCopiedBody is the largest body that is copied behind its header, which is cheaper than a vectored write.
+	// maxCopiedBody is the largest body, in bytes, that is appended to its header: one copy is cheaper than a vectored write.
 	maxCopiedBody = 16 << 10
-	// maxWriteBuffer is the largest buffer that is kept for the next message.
+	// maxWriteBuffer is the largest buffer, in bytes, that is kept for the next message.
 	maxWriteBuffer = 4 * maxCopiedBody
 )
 
