--- a/cmd/hmhistory/main.go
+++ b/cmd/hmhistory/main.go
@@ -20,7 +20,7 @@
 	CSV      bool   `name:"csv" help:"Print CSV."`
 	Plot     string `help:"Write a plot to this file (.png or .svg) instead of printing." type:"path"`
 	Show     string `enum:"jobs,in-time,pushed-back,killed,loads,p50,p99" default:"jobs" help:"Value to plot: jobs, in-time, pushed-back, killed, loads, p50, p99."`
-	Most     int    `default:"8" help:"Maximum number of lines in the plot: those with most jobs."`
+	Most     int    `default:"8" help:"Maximum number of lines in the plot: those with the most jobs."`
 }
 
 func main() {
--- a/cmd/hmhistory/plot.go
+++ b/cmd/hmhistory/plot.go
@@ -48,7 +48,7 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// plotRows plots a line for each of the maxLines subjects with most requests. The file's extension, .png or .svg, is its format.
+// plotRows plots a line for each of the maxLines subjects with the most requests. The file's extension, .png or .svg, is its format.
 func plotRows(file, metric string, maxLines int, rows []history.Row) error {
 	if extension := filepath.Ext(file); extension != ".png" && extension != ".svg" {
 		return program.UsageError{Err: errors.New(file + ": file name must end in .png or .svg")}
--- a/cmd/hmreplay/against.go
+++ b/cmd/hmreplay/against.go
@@ -12,8 +12,8 @@
 	"hollymast/internal/replay"
 )
 
-// compareWithBuild runs another build's hmreplay on the same segments. Both builds are compared with the recording: they decide alike if
-// both first differ from it in the same way, or neither differs.
+// compareWithBuild runs another build's hmreplay on the same segments and compares the first difference that each build has from the
+// recording. The builds decide the same if these differences are equal, or if neither has any.
 func (c cli) compareWithBuild(files []string, difference *replay.Difference) error {
 	args := []string{"--from", strconv.FormatUint(c.From, 10), "--until", strconv.FormatUint(c.Until, 10), "--job",
 		strconv.FormatUint(c.Job, 10)}
--- a/cmd/hmreplay/main.go
+++ b/cmd/hmreplay/main.go
@@ -40,12 +40,14 @@
 	if err != nil {
 		return program.UsageError{Err: err}
 	}
-	r := replay.Options{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
+	options := replay.Options{From: c.From, Until: c.Until, Request: control.RequestID(c.Job)}
 	if c.Show {
-		r.OnCommand = func(step uint64, clock control.Micros, c record.Command) { fmt.Printf("%d %d %s\n", step, clock, c) }
+		options.OnCommand = func(step uint64, clock control.Micros, command record.Command) {
+			fmt.Printf("%d %d %s\n", step, clock, command)
+		}
 	}
 	start := time.Now()
-	summary, err := replay.Play(files, r)
+	summary, err := replay.Play(files, options)
 	duration := time.Since(start)
 	var difference *replay.Difference
 	if err != nil && !errors.As(err, &difference) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -60,15 +60,15 @@
 	for request, version := range map[control.RequestID]int{1: 1, 2: 2} {
 		decisions, err := Request(files, Query{Request: request})
 		if err != nil || len(decisions) != 1 {
-			t.Fatalf("request %d: %+v, %v", request, decisions, err)
+			t.Fatalf("request %d: got %+v, %v", request, decisions, err)
 		}
 		decision := decisions[0]
 		if decision.Endpoints.Version != version || decision.Explanation.Reason != "no replica is loaded or loading" ||
 			decision.Explanation.Decision.Action != control.Forward || len(decision.Explanation.Servers) != 2 {
-			t.Errorf("request %d: %+v", request, decision)
+			t.Errorf("request %d: got %+v", request, decision)
 		}
 		if unusable := decision.Explanation.Servers[1].Unusable != ""; unusable != (request == 2) {
-			t.Errorf("request %d: server 2 is %q", request, decision.Explanation.Servers[1].Unusable)
+			t.Errorf("request %d: server 2 is unusable because %q", request, decision.Explanation.Servers[1].Unusable)
 		}
 		if text := decision.Text(); !strings.Contains(text, string(decision.Explanation.Reason)) || !strings.Contains(text, "server 2") {
 			t.Errorf("got %s", text)
@@ -86,7 +86,7 @@
 	files := recordDecisions(t)
 	for at, want := range map[control.Micros][]control.RequestID{5_000_000: {1}, 5_002_000: {2}, 9_000_000: nil} {
 		if requests, err := RequestsNear(files, at, 500); err != nil || !reflect.DeepEqual(requests, want) {
-			t.Errorf("at %d: %v, %v", at, requests, err)
+			t.Errorf("at %d: got requests %v, %v", at, requests, err)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	files := recordDecisions(t)
 	recorded, err := Request(files, Query{Request: 2}) // both servers are known by then
 	if err != nil || recorded[0].Explanation.Decision.Server != 1 {
-		t.Fatalf("%+v, %v", recorded, err)
+		t.Fatalf("as recorded: got %+v, %v", recorded, err)
 	}
 	for change, want := range map[string]control.Action{"drain=1": control.Hold, "slot=1": control.Forward,
 		"no-report=1": control.Forward, "ready=2": control.Forward} {
@@ -105,7 +105,7 @@
 		}
 		got, err := Request(files, Query{Request: 2, WhatIf: &c})
 		if err != nil || len(got) != 2 || got[0].WhatIf != "" || got[1].WhatIf != change || got[1].Explanation.Decision.Action != want {
-			t.Errorf("%s: %+v, %v", change, got, err)
+			t.Errorf("%s: got %+v, %v", change, got, err)
 		}
 	}
 	c := Change{ChangeDrain, 9}
--- a/internal/explain/find.go
+++ b/internal/explain/find.go
@@ -25,10 +25,10 @@
 
 // FindRequest returns the request whose client's id has the given record.KeyedHash. If an id was used several times, it returns the last
 // request.
-func FindRequest(files []string, tag uint64) (request control.RequestID, err error) {
+func FindRequest(files []string, clientIDHash uint64) (request control.RequestID, err error) {
 	err = forEachStep(files, func(step record.Step) {
 		for _, e := range step.Events {
-			if e.Added != nil && e.ClientIDHash == tag {
+			if e.Added != nil && e.ClientIDHash == clientIDHash {
 				request = e.Added.ID
 			}
 		}
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -6,8 +6,8 @@
 )
 
 // Fill sets all exported fields of the value that v points to, at any depth, to nonzero values that are mostly distinct. Slices get two
-// elements. Fields with the tag golden:"joined" stay zero: these are optional fields that were added after the golden file was written,
-// which therefore still checks the form without them. Each such field needs its own golden file.
+// elements. Fields with the tag golden:"joined" stay zero: these are optional fields that were added after the golden file was written, so
+// that the file still checks the form without them. Each such field needs its own golden file.
 func Fill(v any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem())
--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -90,7 +90,8 @@
 // Batch is the usage drained from a Collector.
 type Batch struct{ byRow map[rowID]*pendingRow }
 
-// maxSubjects is how many subjects get their own rows in one minute. Subjects beyond that have names that are requested only once.
+// maxSubjects is how many subjects get their own rows in one minute. Where there are more, most of them are functions that are requested
+// only once.
 const maxSubjects = 1024
 
 // Rows returns a row for each minute and subject, sorted by time and subject. In a minute with more than maxSubjects subjects, those with
--- a/internal/history/levels.go
+++ b/internal/history/levels.go
@@ -18,7 +18,7 @@
 // three months of hours show weekly patterns, and three years of days show seasonal ones.
 var Levels = []Level{{"minute", Minute, 2 * Day}, {"hour", Hour, 92 * Day}, {"day", Day, 3 * 365 * Day}}
 
-// compactionSteps are the spans by which each level is shortened while there are too many rows.
+// compactionSteps are the spans, by level, by which a level is shortened while there are too many rows.
 var compactionSteps = []int64{Hour, 7 * Day, 30 * Day}
 
 // CompactionCutoffs returns for each level the time before which its rows are merged into the next level, or dropped from the last one.
--- a/internal/history/store_test.go
+++ b/internal/history/store_test.go
@@ -44,7 +44,7 @@
 			found += r.Requests
 			rows++
 			if r.At%l.Span != 0 || r.At < clock-l.Retention-Day {
-				t.Fatalf("%+v in level %s at %d", r, l.Name, clock)
+				t.Fatalf("row %+v does not belong in level %s at %d", r, l.Name, clock)
 			}
 			return nil
 		}); err != nil {
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -14,7 +14,7 @@
 		LoadRateWindow: 4 * second, LoadRateBase: 1, LoadRatePerRequest: 0.5, MaxNetworkDelay: 50_000}
 }
 
-// at returns a record of a request of a workload, or of a published endpoint.
+// at returns a record, at a time in milliseconds, of a request of a workload or of a published endpoint.
 func at(ms int64, k Kind, workload string, server int, detail string) Record {
 	if k == EndpointPublished {
 		return Record{At: ms * 1000, Kind: k, Server: server, Detail: detail}
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -5,12 +5,12 @@
 func (r *Report) checkSlowStart(config Config, records []Record) {
 	rule := r.Rules[RuleSlowStart]
 	startedAt := map[int]int64{}
-	window := map[int][]int64{} // by server, when the attempts of the last overload window reached it
+	receivedAt := map[int][]int64{} // by server, times at which the attempts within the last overload window reached it
 	for _, record := range records {
 		server, at := record.Server, record.At
 		switch record.Kind {
 		case ServerStarted:
-			startedAt[server], window[server] = at, nil
+			startedAt[server], receivedAt[server] = at, nil
 			rule.CheckCount++
 		case ServerCollapsed:
 			rule.addViolation(at, "server %d collapsed", server)
@@ -19,11 +19,11 @@
 			if !known || at > started+config.SlowStartDuration {
 				continue
 			}
-			times := append(window[server], at)
+			times := append(receivedAt[server], at)
 			for times[0] < at-config.OverloadWindow {
 				times = times[1:]
 			}
-			window[server] = times
+			receivedAt[server] = times
 			age, got := at-started, float64(len(times))
 			budget := config.slowStartBudget(age)
 			r.SlowStart = append(r.SlowStart, SlowStartWindow{at, server, got / max(1, budget)})
--- a/internal/persistence/clock_test.go
+++ b/internal/persistence/clock_test.go
@@ -23,9 +23,9 @@
 
 func (m *testMachine) advance(t control.Micros) { m.realTime += t; m.wallTime += t }
 
-// Across restarts, reboots and steps of the wall clock, no attempt is taken for more recent than it is when a retry window is checked, nor
-// for older than it is when retention and limits are applied. Within one boot all times are exact. Admitted requests count only if their
-// time is known.
+// Across restarts, reboots and steps of the wall clock, the time of an attempt is never assumed to be later than it was when a retry window
+// is checked, and never earlier when retention and limits are applied. Within one boot all times are exact. Admitted requests count only if
+// their time is known.
 func TestTimesOfEarlierIncarnations(t *testing.T) {
 	const retention = 10 * minute
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/persistence/journal.go
+++ b/internal/persistence/journal.go
@@ -81,10 +81,10 @@
 )
 
 // OpenJournal opens a journal on the operating system's file system. See JournalOptions.Open.
-func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onFailure func(error)) (
+func OpenJournal(dir string, sync SyncPolicy, retention control.Micros, maxBytes int64, onStatusChange func(error)) (
 	j *Journal, entries []Entry, warnings []string, err error) {
 	return JournalOptions{FileSystem: OSFileSystem{}, Sync: sync, Retention: retention, MaxBytes: maxBytes,
-		OnStatusChange: onFailure, OnWarning: func(string) {}}.Open(dir)
+		OnStatusChange: onStatusChange, OnWarning: func(string) {}}.Open(dir)
 }
 
 // Open reads a directory's journal files, oldest first, and begins a new one. It returns the entries that were read and, for operators,
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// takePending moves the batch that Append fills to the unwritten batches, and reports whether the journal is closed.
 func (j *Journal) takePending() (closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -168,6 +169,7 @@
 	return at
 }
 
+// writeBatch writes a batch to the open file. With SyncEach it writes and syncs each entry separately.
 func (j *Journal) writeBatch(b *Batch) error {
 	chunk := maxFrameEntries
 	if j.Sync == SyncEach {
--- a/internal/persistence/rebase_test.go
+++ b/internal/persistence/rebase_test.go
@@ -45,7 +45,7 @@
 		state.ConvertTimes(Clock{7, 100}, 5000)
 		if learned := state.Learned; learned.SavedAt != 0 || !slices.Equal(learned.LoadCommands, []control.Micros{5000}) ||
 			len(learned.Admitted)+len(learned.Answers) > 0 || !slices.Equal(learned.Servers[0].SlowStartSends, []control.Micros{5000}) {
-			t.Errorf("%s: %+v", name, learned)
+			t.Errorf("%s: got %+v", name, learned)
 		}
 	}
 	b, err := os.ReadFile("testdata/format1")
--- a/internal/persistence/store_crash_test.go
+++ b/internal/persistence/store_crash_test.go
@@ -63,6 +63,6 @@
 	disk.err = syscall.EIO
 	disk.names["dir/"+GenerationFiles[1]] = &inode{data: b}
 	if _, result := OpenStore(Dir("dir").withFileSystem(disk), testOwner); result.State == nil || len(result.Warnings) > 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v", result)
 	}
 }
--- a/internal/persistence/store_test.go
+++ b/internal/persistence/store_test.go
@@ -26,12 +26,12 @@
 
 // stateVersion returns the version of a test state, and whether all its values are of that version.
 func stateVersion(state *State) (version int, ok bool) {
-	m := state.Learned.SavedAt
-	ok = len(state.Learned.Servers) == testItems && len(state.Learned.Functions) == testItems && state.Learned.QuotaDebt[0] == m
+	value := state.Learned.SavedAt
+	ok = len(state.Learned.Servers) == testItems && len(state.Learned.Functions) == testItems && state.Learned.QuotaDebt[0] == value
 	for i := range state.Learned.Servers {
-		ok = ok && state.Learned.Servers[i].StartedAt == m && state.Learned.Functions[i].Instances[0].LastUsed == m
+		ok = ok && state.Learned.Servers[i].StartedAt == value && state.Learned.Functions[i].Instances[0].LastUsed == value
 	}
-	return int(m), ok
+	return int(value), ok
 }
 
 // tornStore simulates a write that is interrupted on a file system that may reorder unsynced writes.
--- a/internal/record/frame.go
+++ b/internal/record/frame.go
@@ -18,9 +18,9 @@
 
 // Errors of reading a segment.
 var (
-	// ErrCorrupt says that a segment can't be read further, where more should follow.
+	// ErrCorrupt means that a segment is truncated or has an invalid frame.
 	ErrCorrupt = errors.New("corrupt or truncated")
-	// ErrNewerVersion says that a later version of this program wrote the segment.
+	// ErrNewerVersion means that a later version of this program wrote the segment.
 	ErrNewerVersion = errors.New("written by a newer version")
 )
 
--- a/internal/record/queue.go
+++ b/internal/record/queue.go
@@ -18,7 +18,7 @@
 const queueDepth = 8192
 
 // queue passes items from the event loop to the writer goroutine. It wakes that goroutine only when the queue is half full, because a
-// wake-up for each step cost more than the rest of the recording.
+// wake-up for each step would cost more than the rest of the recording. Otherwise the goroutine takes the items every flushInterval.
 type queue struct {
 	mu     sync.Mutex
 	items  []queueItem
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -64,8 +64,8 @@
 }
 
 // SetClientIDHash records the KeyedHash of the client's id for the request that was added last.
-func (r *Recorder) SetClientIDHash(tag uint64) {
-	r.step.Events[len(r.step.Events)-1].ClientIDHash = tag
+func (r *Recorder) SetClientIDHash(hash uint64) {
+	r.step.Events[len(r.step.Events)-1].ClientIDHash = hash
 }
 
 // AttemptEnded records the end of an attempt.
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -58,9 +58,9 @@
 	unremoved  string        // file name of a segment without steps that couldn't be removed
 }
 
-// Open starts a recording in a directory and creates the directory if needed. It calls snapshot on the event loop for the core's state.
-// It fails if the directory can't be created because of an error that isn't transient. The caller must call BeginSegment before the first
-// step, and Close at the end.
+// Open starts a recording in a directory and creates the directory if needed. The Writer calls snapshot on the event loop to get the core's
+// state. Open fails if the directory can't be created because of an error that isn't transient. The caller must call BeginSegment before
+// the first step, and Close at the end.
 func Open(dir string, limits Limits, header Header, snapshot func() (*core.Snapshot, error), log zerolog.Logger) (*Writer, error) {
 	return open(dir, limits, header, snapshot, log, osDisk{})
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -70,7 +70,7 @@
 	w.Close()
 	files, err := ListSegments(dir)
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got segments %q, %v", files, err)
 	}
 	if s, err := OpenSegment(files[0]); err != nil {
 		t.Error(err)
@@ -157,7 +157,7 @@
 		w.endStep(Step{Clock: 2})
 		time.Sleep(time.Millisecond)
 		if segments, err := ListSegments(dir); err != nil || len(segments) > 1 {
-			t.Fatalf("%q, %v", segments, err)
+			t.Fatalf("got segments %q, %v", segments, err)
 		}
 	}
 	disk.full.Store(false)
--- a/internal/replay/difference.go
+++ b/internal/replay/difference.go
@@ -13,7 +13,7 @@
 	Clock              control.Micros
 	Request            control.RequestID
 	Recorded, Replayed string // texts of the two commands
-	AtCheckpoint       bool   // not a command differs, but the state at the beginning of the segment
+	AtCheckpoint       bool   // the state at the beginning of the segment differs, not a command
 }
 
 // Error describes the difference in one line. The text must not change, since hmreplay compares it with the output of other builds.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -36,8 +36,8 @@
 
 // Play replays segments in the given order. The error is a *Difference if a command or a state differs. The summary covers everything
 // that was replayed until then.
-func Play(files []string, r Options) (Summary, error) {
-	p := playback{options: r}
+func Play(files []string, options Options) (Summary, error) {
+	p := playback{options: options}
 	for _, file := range files {
 		if err := p.playFile(file); errors.Is(err, errRangeEnd) {
 			break
@@ -113,20 +113,20 @@
 }
 
 // playStep replays a step and compares its commands.
-func (s *Summary) playStep(p *Player, r Options, file string, number uint64, step record.Step) error {
+func (s *Summary) playStep(p *Player, options Options, file string, number uint64, step record.Step) error {
 	s.addStep(step.Clock)
 	replayed := p.Step(step)
 	for i := range max(len(replayed), len(step.Commands)) {
 		recorded, current := commandAt(step.Commands, i), commandAt(replayed, i)
-		if number < r.From || r.Request != 0 && recorded.Request != r.Request && current.Request != r.Request {
+		if number < options.From || options.Request != 0 && recorded.Request != options.Request && current.Request != options.Request {
 			continue
 		}
 		if s.Commands++; recorded != current {
 			return &Difference{File: file, Step: number, Clock: step.Clock, Request: cmp.Or(recorded.Request, current.Request),
 				Recorded: recorded.String(), Replayed: current.String()}
 		}
-		if r.OnCommand != nil {
-			r.OnCommand(number, step.Clock, recorded)
+		if options.OnCommand != nil {
+			options.OnCommand(number, step.Clock, recorded)
 		}
 	}
 	return nil
