--- a/cmd/hmmodelcheck/explore.go
+++ b/cmd/hmmodelcheck/explore.go
@@ -13,7 +13,7 @@
 
 type runCommand struct {
 	configFlags
-	Depth   int    `help:"Maximal number of steps from the initial state; 0: unlimited."`
+	Depth   int    `help:"Maximum number of steps from the initial state; 0: unlimited."`
 	States  int    `help:"Stop after the depth that reaches this number of states; 0: unlimited."`
 	Workers int    `help:"Number of workers; 0: one per processor."`
 	Memory  int    `default:"400000" help:"States of one depth kept in memory; the others are spilled to files."`
--- a/cmd/hmmodelcheck/flags.go
+++ b/cmd/hmmodelcheck/flags.go
@@ -19,7 +19,7 @@
 	Scope            string        `default:"fleet" enum:"fleet,zone" help:"Scope in which servers know the keys of fingerprinted requests."`
 	ArrivalInterval  time.Duration `name:"apart" help:"Time between the arrivals of two requests."`
 	LatencyObjective time.Duration `name:"target" default:"150ms" help:"Latency objective."`
-	MaxDeadline      time.Duration `name:"limit" default:"500ms" help:"Maximal deadline."`
+	MaxDeadline      time.Duration `name:"limit" default:"500ms" help:"Maximum deadline."`
 	DedupWindow      time.Duration `name:"window" default:"300ms" help:"Dedup window: how long servers know the key of a fingerprinted request."`
 	LoadCommands     bool          `name:"orders" help:"Routers send load commands; by default, requests load functions."`
 	FunctionLoaded   bool          `name:"warm" default:"true" negatable:"" help:"All servers have the function loaded."`
@@ -47,17 +47,17 @@
 }
 
 // config returns the system's config and the properties to check.
-func (w configFlags) config() (modelcheck.Config, []modelcheck.Property, error) {
-	c := modelcheck.Config{Requests: w.Requests, Servers: w.Servers, Routers: w.Routers, Effects: w.Effects, Scope: w.Scope,
-		ArrivalInterval: micros(w.ArrivalInterval), LatencyObjective: micros(w.LatencyObjective), MaxDeadline: micros(w.MaxDeadline),
-		DedupWindow: micros(w.DedupWindow), LoadCommands: w.LoadCommands, FunctionLoaded: w.FunctionLoaded, SlowStartServer: w.SlowStartServer}
-	w.faultFlags.addTo(&c)
+func (f configFlags) config() (modelcheck.Config, []modelcheck.Property, error) {
+	c := modelcheck.Config{Requests: f.Requests, Servers: f.Servers, Routers: f.Routers, Effects: f.Effects, Scope: f.Scope,
+		ArrivalInterval: micros(f.ArrivalInterval), LatencyObjective: micros(f.LatencyObjective), MaxDeadline: micros(f.MaxDeadline),
+		DedupWindow: micros(f.DedupWindow), LoadCommands: f.LoadCommands, FunctionLoaded: f.FunctionLoaded, SlowStartServer: f.SlowStartServer}
+	f.faultFlags.addTo(&c)
 	if err := c.Validate(); err != nil {
 		return c, nil, program.UsageError{Err: err}
 	}
-	properties, ok := modelcheck.SelectProperties(w.Check)
+	properties, ok := modelcheck.SelectProperties(f.Check)
 	if !ok {
-		return c, nil, program.UsageError{Err: fmt.Errorf("unknown property in %s; hmmodelcheck properties lists all names", strings.Join(w.Check, ", "))}
+		return c, nil, program.UsageError{Err: fmt.Errorf("unknown property in %s; hmmodelcheck properties lists all names", strings.Join(f.Check, ", "))}
 	}
 	return c, properties, nil
 }
--- a/cmd/hmmodelcheck/moment.go
+++ b/cmd/hmmodelcheck/moment.go
@@ -17,7 +17,7 @@
 	Step      uint64   `name:"turn" required:"" help:"Number of the recorded step after which to begin."`
 	Requests  []uint64 `name:"job" help:"Requests in flight to explore, up to 3; default: the last to arrive."`
 	faultFlags
-	Depth  int    `default:"12" help:"Maximal number of steps."`
+	Depth  int    `default:"12" help:"Maximum number of steps."`
 	States int    `default:"2000000" help:"Stop after the depth that reaches this number of states."`
 	Save   string `help:"File to save the trace of a violation to." type:"path"`
 }
@@ -41,8 +41,8 @@
 	return explore(modelcheck.Exploration{Config: config, MaxDepth: m.Depth, MaxStates: m.States}, m.Save)
 }
 
-// errPastStep stops reading a recording after the wanted step.
-var errPastStep = errors.New("past the step")
+// errPastStep stops reading a recording after the requested step.
+var errPastStep = errors.New("past the requested step")
 
 // replayToStep replays the recording and returns the time of the step and the router's state after it.
 func (m momentCommand) replayToStep() (control.Micros, *core.Snapshot, error) {
--- a/cmd/hmmodelcheck/replay.go
+++ b/cmd/hmmodelcheck/replay.go
@@ -26,7 +26,7 @@
 			failed++
 			fmt.Printf("%s: fails after %d steps: %s\n", filepath.Base(name), after, violation)
 		case err != nil:
-			fmt.Printf("%s: no property fails; %v any more\n", filepath.Base(name), err)
+			fmt.Printf("%s: no property fails; the trace can no longer be replayed: %v\n", filepath.Base(name), err)
 		default:
 			fmt.Printf("%s: no property fails\n", filepath.Base(name))
 		}
--- a/cmd/hmmodelcheck/walk.go
+++ b/cmd/hmmodelcheck/walk.go
@@ -10,7 +10,7 @@
 type walkCommand struct {
 	configFlags
 	Walks int    `default:"1000" help:"Number of walks."`
-	Steps int    `default:"200" help:"Maximal number of steps per walk."`
+	Steps int    `default:"200" help:"Maximum number of steps per walk."`
 	Seed  uint64 `default:"1" help:"Seed of the first walk; each further walk uses the next one."`
 	Save  string `help:"File to save the trace of a violation to." type:"path"`
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -85,7 +85,7 @@
 	}
 	defer store.Close()
 	if got, ok := store.Get("one", r.Trial); !ok || got != r {
-		t.Errorf("%+v, %t", got, ok)
+		t.Errorf("got %+v, found %t", got, ok)
 	}
 	for _, other := range []Trial{{"s", "a", 4}, {"s", "b", 3}} {
 		if _, ok := store.Get("one", other); ok {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -12,7 +12,7 @@
 type Result struct {
 	Trial
 	InTime         float64 `cbor:"InTime"` // share of calls that succeeded within their latency objective
-	WeightedInTime float64 `cbor:"Worth"`  // as InTime, each call weighted with its importance
+	WeightedInTime float64 `cbor:"Worth"`  // as InTime, with each call weighted by its importance
 	Requests       int     `cbor:"Jobs"`
 	Attempts       int     `cbor:"Executions"`
 	Loads          int     `cbor:"Loads"`
--- a/internal/modelcheck/config.go
+++ b/internal/modelcheck/config.go
@@ -62,7 +62,7 @@
 	case c.Requests < 1 || c.Requests > maxRequests || c.Servers < 1 || c.Servers > maxServers || c.Routers < 1 || c.Routers > maxRouters:
 		return fmt.Errorf("out of range: a system has 1 to %d requests, 1 to %d servers and 1 to %d routers", maxRequests, maxServers, maxRouters)
 	case c.LatencyObjective <= 0 || c.MaxDeadline <= c.LatencyObjective || c.DedupWindow < 0:
-		return fmt.Errorf("need 0 < latency objective (%d us) < maximal deadline (%d us) and dedup window (%d us) >= 0", c.LatencyObjective, c.MaxDeadline, c.DedupWindow)
+		return fmt.Errorf("need 0 < latency objective (%d us) < maximum deadline (%d us) and dedup window (%d us) >= 0", c.LatencyObjective, c.MaxDeadline, c.DedupWindow)
 	case c.Scope != "fleet" && c.Scope != "zone":
 		return fmt.Errorf("scope %q is neither fleet nor zone", c.Scope)
 	case len(c.Effects) == 0:
--- a/internal/modelcheck/minimize.go
+++ b/internal/modelcheck/minimize.go
@@ -10,12 +10,12 @@
 const (
 	maxRunLength      = 4
 	maxStepsForPairs  = 40
-	maxCandidateCalls = 4 // calls, from index 0, that are tried as the one that the removed steps started
+	maxCandidateCalls = 4 // how many calls, from index 0, are tried as the call that a removed step started
 )
 
 // Minimize removes steps that the violation does not need: runs of consecutive steps, single steps and pairs, as long as
 // the remaining steps are enabled and the same property fails. Traces of random walks need it; those of breadth-first
-// explorations are shortest already.
+// explorations are already the shortest.
 func (t *Trace) Minimize(rules *Rules, properties []Property) *Trace {
 	m := &minimizer{rules: rules, properties: properties, best: &Trace{t.Config, slices.Clone(t.Steps), t.Violation}}
 	for m.removeRuns() || m.removeOneOrTwo() {
--- a/internal/modelcheck/planted_test.go
+++ b/internal/modelcheck/planted_test.go
@@ -25,24 +25,24 @@
 	return p.change(r, p.Balancer.HandleOutcome(now, r, o))
 }
 
-// runForgettingPolicy treats attempts that may have run as rejected by the server.
-type runForgettingPolicy struct{ *control.Balancer }
+// mayHaveRunIgnoringPolicy treats attempts that may have run as rejected by the server.
+type mayHaveRunIgnoringPolicy struct{ *control.Balancer }
 
-func (p runForgettingPolicy) Inner() *control.Balancer { return p.Balancer }
+func (p mayHaveRunIgnoringPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p runForgettingPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p mayHaveRunIgnoringPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	if o.Result == control.ConnectionReset || o.Result == control.TimedOut {
 		o.Result = control.Overloaded
 	}
 	return p.Balancer.HandleOutcome(now, r, o)
 }
 
-// resetForgettingPolicy does not release attempts whose connection was reset.
-type resetForgettingPolicy struct{ *control.Balancer }
+// resetIgnoringPolicy does not release attempts whose connection was reset.
+type resetIgnoringPolicy struct{ *control.Balancer }
 
-func (p resetForgettingPolicy) Inner() *control.Balancer { return p.Balancer }
+func (p resetIgnoringPolicy) Inner() *control.Balancer { return p.Balancer }
 
-func (p resetForgettingPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
+func (p resetIgnoringPolicy) HandleOutcome(now control.Micros, r *control.Request, o control.Outcome) control.Decision {
 	if o.Result == control.ConnectionReset && !o.RequestDone {
 		return control.Decision{Action: control.Fail}
 	}
@@ -70,12 +70,12 @@
 	}
 	decide := func(change func(r *control.Request, d control.Decision) control.Decision) *Rules {
 		return with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return alteredPolicy{m, change} }
+			r.WrapPolicy = func(b *control.Balancer) core.Policy { return alteredPolicy{b, change} }
 		})
 	}
 	nonIdempotent := newConfig(func(c *Config) { c.Effects[0], c.Servers, c.CallFailures = "run-once", 2, 1 })
-	keyed := newConfig(func(test *Config) {
-		test.Effects[0], test.Servers, test.CallFailures, test.DedupWindow, test.LatencyObjective, test.MaxDeadline = "fingerprinted", 2, 1, 100_000, 600_000, 900_000
+	keyed := newConfig(func(c *Config) {
+		c.Effects[0], c.Servers, c.CallFailures, c.DedupWindow, c.LatencyObjective, c.MaxDeadline = "fingerprinted", 2, 1, 100_000, 600_000, 900_000
 	})
 	for name, c := range map[string]struct {
 		config Config
@@ -99,13 +99,13 @@
 			r.Withdraw = func(s attempt.Stage) (attempt.Stage, bool) { return s, s == attempt.Chosen }
 		}), "nothing-after"},
 		"leaked slot": {newConfig(func(c *Config) { c.CallFailures, c.Servers = 1, 2 }), with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return resetForgettingPolicy{m} }
+			r.WrapPolicy = func(b *control.Balancer) core.Policy { return resetIgnoringPolicy{b} }
 		}), "nothing-left"},
 		"a reset counts as proof that the attempt did not run": {nonIdempotent, with(func(r *Rules) {
 			r.InterruptedResult = func(bool, attempt.InterruptReason) control.Result { return control.NotSent }
 		}), "proved"},
 		"MayHaveRun is lost": {nonIdempotent, with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return runForgettingPolicy{m} }
+			r.WrapPolicy = func(b *control.Balancer) core.Policy { return mayHaveRunIgnoringPolicy{b} }
 		}), "run-once"},
 		"non-idempotent rejected": {nonIdempotent, decide(func(r *control.Request, d control.Decision) control.Decision {
 			if d.Action == control.Fail {
@@ -125,10 +125,10 @@
 			r.WriteDeadline = func(_, chosen, grace control.Micros) control.Micros { return attempt.WriteDeadline(chosen, grace) }
 		}), "drained"},
 		"drains are ignored": {newConfig(func(c *Config) { c.Drains, c.Requests, c.ArrivalInterval, c.MaxDeadline = 1, 2, 600_000, 400_000 }), with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return drainIgnoringPolicy{m} }
+			r.WrapPolicy = func(b *control.Balancer) core.Policy { return drainIgnoringPolicy{b} }
 		}), "drained"},
 		"dedup window counts from too late": {keyed, with(func(r *Rules) {
-			r.WrapPolicy = func(m *control.Balancer) core.Policy { return lateWindowPolicy{m} }
+			r.WrapPolicy = func(b *control.Balancer) core.Policy { return lateWindowPolicy{b} }
 		}), "in-window"},
 		"failed without a cause": {newConfig(func(c *Config) { c.Requests = 2 }), decide(func(r *control.Request, d control.Decision) control.Decision {
 			if r.ID == 2 && d.Action == control.Forward {
--- a/internal/modelcheck/recorded.go
+++ b/internal/modelcheck/recorded.go
@@ -11,7 +11,7 @@
 	"hollymast/internal/core"
 )
 
-// RecordedState is a state of a real router, from a recording, as the initial state of an exploration. Only some of its
+// RecordedState is a state of a real router, taken from a recording, that an exploration starts from. Only some of its
 // requests are explored and the others never change, since tens of requests have too many orderings. For what is not
 // recorded, the worst case is assumed: attempts in flight were written and ran, and they time out at their request's
 // deadline. The tags are the names in stored data.
@@ -23,7 +23,7 @@
 	Explored []bool              `json:"Watched"` // by request
 }
 
-// maxExplored is the maximal number of explored requests of a recorded state.
+// maxExplored is the maximum number of explored requests of a recorded state.
 const maxExplored = maxRequests
 
 // errNotInFlight is returned if a request to explore is not in the recorded state.
--- a/internal/modelcheck/resume.go
+++ b/internal/modelcheck/resume.go
@@ -65,7 +65,7 @@
 	if theirs, err := cbor.Marshal(saved.Config); err != nil || string(ours) != string(theirs) {
 		return fmt.Errorf("%s holds an exploration with another configuration", r.Dir)
 	}
-	const savedDepth = 0 // below the depths to come, so that no saved origin is replaced
+	const savedDepth = 0 // lower than any depth still to be explored, so that no saved origin is replaced
 	for i, key := range saved.Keys {
 		r.visited.add(key, saved.Origins[i], savedDepth)
 	}
--- a/internal/modelcheck/routerstep.go
+++ b/internal/modelcheck/routerstep.go
@@ -24,9 +24,9 @@
 
 // stepRouter delivers an event to a router, followed by a step of its event loop.
 func (s *State) stepRouter(c *Config, rules *Rules, step Step) error {
-	i, number := int(step.Index), s.routerOf(c, step)
-	x := &executor{state: s, config: c, rules: rules, router: number}
-	router, err := core.Restore(s.Routers[number].core, x)
+	i, routerIndex := int(step.Index), s.routerOf(c, step)
+	x := &executor{state: s, config: c, rules: rules, router: routerIndex}
+	router, err := core.Restore(s.Routers[routerIndex].core, x)
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 		router.WrapPolicy(rules.WrapPolicy)
 	}
 	if step.Kind != UpdateArrives {
-		s.readEndpoints(c, rules, router, number)
+		s.readEndpoints(c, rules, router, routerIndex)
 	}
 	switch step.Kind {
 	case RequestArrives:
@@ -54,7 +54,7 @@
 	case TimerFires: // nothing but the step of the event loop
 	}
 	router.Step(s.Now)
-	return s.storeRouter(number, router)
+	return s.storeRouter(routerIndex, router)
 }
 
 // addRequest hands an arriving request to its router's core.
@@ -67,14 +67,14 @@
 
 // readEndpoints makes a router apply all pending endpoint updates before it handles anything else, if it has stalled for
 // so long that the rules require it.
-func (s *State) readEndpoints(c *Config, rules *Rules, router *core.Core, number int) {
-	r := &s.Routers[number]
+func (s *State) readEndpoints(c *Config, rules *Rules, router *core.Core, routerIndex int) {
+	r := &s.Routers[routerIndex]
 	if r.EndpointsAsOf == 0 || !rules.MustReadEndpoints(s.Now-r.EndpointsAsOf, drainGrace) {
 		return
 	}
 	r.EndpointsAsOf = 0
 	for i := 0; i < len(s.Updates); {
-		if s.Updates[i].Router == number {
+		if s.Updates[i].Router == routerIndex {
 			s.applyUpdate(c, rules, router, i) // removes the update
 		} else {
 			i++
--- a/internal/modelcheck/rules.go
+++ b/internal/modelcheck/rules.go
@@ -6,7 +6,7 @@
 	"hollymast/internal/core"
 )
 
-// Rules are the functions that routers use beside the core. ProductionRules are those of the production code; tests
+// Rules are the functions that routers use besides the core. ProductionRules are those of the production code; tests
 // replace some of them to plant bugs.
 type Rules struct {
 	Withdraw          func(attempt.Stage) (attempt.Stage, bool)
--- a/internal/modelcheck/step.go
+++ b/internal/modelcheck/step.go
@@ -32,7 +32,7 @@
 type Step struct {
 	Kind    StepKind    `json:"Kind"`
 	Index   int16       `json:"Of"`  // of the request, call, router, update or server that the kind concerns
-	Outcome CallOutcome `json:"Way"` // of CallWritten; for CallEnds, Unresponsive: the router aborted the call
+	Outcome CallOutcome `json:"Way"` // of CallWritten; of CallEnds, Unresponsive if the router aborted the call
 }
 
 // less orders steps. It makes the choice between several steps to the same state independent of the number of workers.
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -48,13 +48,13 @@
 // noRouter is used in place of a router's number if there is none.
 const noRouter = -1
 
-// Behavior of clients that retry blindly, the same as that of the chaos tester's clients on sockets: the pause between
-// requests, the remaining time below which they give up, and a limit on the requests of a call, which is higher than any
-// timeout allows.
+// Behavior of clients that retry blindly. It is the same as that of the chaos tester's clients in a run of real processes:
+// the pause between requests, the remaining time below which they give up, and a limit on the requests of a call, which is
+// higher than any timeout allows.
 const (
-	blindRetryPause   = control.Micros(50_000)
-	blindRetryMinLeft = control.Micros(50_000)
-	maxBlindAttempts  = 200
+	blindRetryInterval = control.Micros(50_000)
+	minBlindTimeout    = control.Micros(50_000)
+	maxBlindRequests   = 200
 )
 
 // sendNext sends the call's next request, preferably not to the router avoid, or ends the call if no further request is
@@ -65,7 +65,7 @@
 	router := 0
 	switch {
 	case call.retries == nil:
-		if remaining < blindRetryMinLeft || call.attempts >= maxBlindAttempts {
+		if remaining < minBlindTimeout || call.attempts >= maxBlindRequests {
 			call.giveUp()
 			return
 		}
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-// engine runs the events of all nodes in time windows that are no longer than the minimal delay of a message. Within a
+// engine runs the events of all nodes in time windows that are no longer than the minimum delay of a message. Within a
 // window no node can affect another, so that the shards run in parallel.
 type engine struct {
 	minDelay control.Micros
@@ -66,8 +66,8 @@
 func (e *engine) deliverOutboxes() {
 	for _, s := range e.shards {
 		for i, sent := range s.outbox {
-			for _, e2 := range sent {
-				e.shards[i].queue.push(e2)
+			for _, sentEvent := range sent {
+				e.shards[i].queue.push(sentEvent)
 			}
 			clear(sent)
 			s.outbox[i] = sent[:0]
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -38,7 +38,7 @@
 	n.shard.queue.push(n.newEvent(t, n, f))
 }
 
-// send calls f at another node after a delay, which is raised to the engine's minimal delay.
+// send calls f at another node after a delay, which is raised to the engine's minimum delay.
 func (n *node) send(to *node, delay control.Micros, f func()) {
 	e := n.newEvent(n.Now()+max(n.engine.minDelay, delay), to, f)
 	if to.shard == n.shard {
--- a/internal/simulation/plan.go
+++ b/internal/simulation/plan.go
@@ -55,7 +55,7 @@
 type Plan struct {
 	Seed                 uint64
 	Routers              int
-	Deployment           control.Deployment // template: Routers, Number and Zone are set for each router
+	Deployment           control.Deployment // template: Routers, RouterIndex and Zone are set for each router
 	Servers              []modelserver.Config
 	ServerZones          []control.ZoneID // by server; the server's cell has the same number
 	RouterZones          []control.ZoneID // by router
@@ -64,12 +64,12 @@
 	FetchTime            control.Micros // of one fetch while the store is not degraded
 	MaxConcurrentFetches int            // of the store
 	Calls                []Call
-	Clients              int // to which the calls are distributed; each has its own retry budget and random source
+	Clients              int // that the calls are distributed among; each has its own retry budget and random source
 	Incidents            []Incident
 	Duration             control.Micros // of the run; calls in flight at its end continue until their timeouts
 	AnswerMargin         control.Micros // that routers reserve for the response's way to the client
 	OverloadProtection   bool
-	EndpointPollInterval control.Micros // maximal delay until a router sees a change of the endpoint list
+	EndpointPollInterval control.Micros // maximum delay until a router sees a change of the endpoint list
 
 	// NewPolicy creates a router's policy; nil: the balancer.
 	NewPolicy func(now control.Micros, seed uint64, d control.Deployment) core.Policy
--- a/internal/simulation/request.go
+++ b/internal/simulation/request.go
@@ -27,7 +27,7 @@
 var retryOutcomes = map[response]retry.Outcome{rejected: retry.Rejected, failed: retry.Failed, notSent: retry.NotSent, connReset: retry.Lost,
 	noResponse: retry.Lost}
 
-// mayHaveRun reports whether a request with this end may have run.
+// mayHaveRun reports whether a request that ended with this response may have run.
 func (r response) mayHaveRun() bool { return r == failed || r == connReset || r == noResponse }
 
 // clientRequest is a request of a call.
@@ -40,14 +40,14 @@
 	done    bool
 }
 
-// send sends the request. If no response arrives within the client's timeout plus lateAnswerTimeout, the client cancels
+// send sends the request. If no response arrives within the client's timeout plus lateResponseTimeout, the client cancels
 // it.
 func (q *clientRequest) send() {
 	c := q.client
 	c.node.record(q.newRecord(invariant.RequestSent))
 	router := c.sim.routers[q.router]
 	c.node.send(router.node, c.node.randomDelay(), func() { router.receive(q) })
-	c.node.After(q.timeout+lateAnswerTimeout, func() {
+	c.node.After(q.timeout+lateResponseTimeout, func() {
 		if !q.done {
 			q.handleResponse(noResponse, 0)
 			c.node.send(router.node, c.node.randomDelay(), func() { router.cancel(q) })
@@ -69,7 +69,7 @@
 
 // abandoned reports whether the client no longer waits for a response.
 func (q *clientRequest) abandoned(now control.Micros) bool {
-	return now >= q.sentAt+q.timeout+lateAnswerTimeout
+	return now >= q.sentAt+q.timeout+lateResponseTimeout
 }
 
 // handleResponse handles the end of the request: it ends the call or retries.
@@ -109,7 +109,7 @@
 		q.giveUp()
 		return
 	}
-	q.client.node.After(blindRetryPause, func() { q.sendNext(noRouter) })
+	q.client.node.After(blindRetryInterval, func() { q.sendNext(noRouter) })
 }
 
 // retry retries or gives up as package retry decides.
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -81,9 +81,9 @@
 func (r *router) kill() {
 	r.node.record(invariant.Record{Kind: invariant.RouterDown, Router: r.number})
 	r.core = nil
-	for _, q := range r.openRequests {
-		if !q.answered {
-			r.answer(q, connReset, 0)
+	for _, req := range r.openRequests {
+		if !req.answered {
+			r.answer(req, connReset, 0)
 		}
 	}
 	r.requests, r.openRequests = nil, nil
--- a/internal/simulation/routing.go
+++ b/internal/simulation/routing.go
@@ -9,11 +9,11 @@
 
 // request is a client's request that a router has received.
 type request struct {
-	id       control.RequestID
-	client   *clientRequest
-	answered bool // or cancelled by its client
-	inFlight int
-	calls    []*serverCall // by attempt ID
+	id            control.RequestID
+	clientRequest *clientRequest
+	answered      bool // or cancelled by its client
+	inFlight      int
+	calls         []*serverCall // by attempt ID
 }
 
 // openRequestMargin is the number by which router.openRequests may exceed twice the number of requests that are not
@@ -21,82 +21,82 @@
 const openRequestMargin = 64
 
 // receive receives a client's request. If the router is down, its host refuses the connection.
-func (r *router) receive(q *clientRequest) {
+func (r *router) receive(clientReq *clientRequest) {
 	if r.core == nil {
-		r.node.send(q.client.node, r.node.randomDelay(), func() { q.handleResponse(notSent, 0) })
+		r.node.send(clientReq.client.node, r.node.randomDelay(), func() { clientReq.handleResponse(notSent, 0) })
 		return
 	}
 	r.post(r.incarnation, func(now control.Micros) {
-		if !q.abandoned(now) { // it may have been abandoned while the router was stalled
-			r.admit(now, q)
+		if !clientReq.abandoned(now) { // it may have been abandoned while the router was stalled
+			r.admit(now, clientReq)
 		}
 	})
 }
 
 // admit adds a request to the core, unless the overload protection rejects it.
-func (r *router) admit(now control.Micros, q *clientRequest) {
-	plan, function := r.sim.plan, functionID(q.Function)
-	accepted := &request{client: q}
+func (r *router) admit(now control.Micros, clientReq *clientRequest) {
+	plan, function := r.sim.plan, functionID(clientReq.Function)
+	req := &request{clientRequest: clientReq}
 	if r.overload != nil {
-		verdict := r.overload.Admit(now, overload.Request{IsRetry: q.markedRetry(), KeyHash: q.keyHash(), Function: function, Priority: q.class.Importance})
+		verdict := r.overload.Admit(now, overload.Request{IsRetry: clientReq.markedRetry(), KeyHash: clientReq.keyHash(), Function: function, Priority: clientReq.class.Importance})
 		if !verdict.Admitted {
-			r.answer(accepted, rejected, verdict.RetryAfter)
+			r.answer(req, rejected, verdict.RetryAfter)
 			return
 		}
 	}
 	r.lastID++
-	accepted.id = r.lastID
-	r.requests[accepted.id] = accepted
-	r.openRequests = append(r.openRequests, accepted)
+	req.id = r.lastID
+	r.requests[req.id] = req
+	r.openRequests = append(r.openRequests, req)
 	if len(r.openRequests) > 2*len(r.requests)+openRequestMargin {
-		r.openRequests = slices.DeleteFunc(r.openRequests, func(x *request) bool { return x.answered })
+		r.openRequests = slices.DeleteFunc(r.openRequests, func(req *request) bool { return req.answered })
 	}
-	timeout := min(q.class.Spec.MaxDeadline, q.timeout)
-	err := r.core.Add(now, control.Request{ID: accepted.id, Class: control.ClassID(q.Class), Function: function, Lanes: plan.LanesPerRequest,
-		ArrivedAt: now, Deadline: max(now, now+timeout-plan.AnswerMargin), IsRetry: q.markedRetry(), RetriesUnmarked: q.retries == nil})
+	timeout := min(clientReq.class.Spec.MaxDeadline, clientReq.timeout)
+	err := r.core.Add(now, control.Request{ID: req.id, Class: control.ClassID(clientReq.Class), Function: function, Lanes: plan.LanesPerRequest,
+		ArrivedAt: now, Deadline: max(now, now+timeout-plan.AnswerMargin), IsRetry: clientReq.markedRetry(), RetriesUnmarked: clientReq.retries == nil})
 	if err != nil {
 		panic(err) // cannot happen: each request has a new ID
 	}
 }
 
 // cancel handles a request's cancellation by its client.
-func (r *router) cancel(client *clientRequest) {
+func (r *router) cancel(clientReq *clientRequest) {
 	r.post(r.incarnation, func(now control.Micros) {
-		i := slices.IndexFunc(r.openRequests, func(q *request) bool { return q.client == client && !q.answered })
+		i := slices.IndexFunc(r.openRequests, func(req *request) bool { return req.clientRequest == clientReq && !req.answered })
 		if i < 0 {
 			return
 		}
-		q := r.openRequests[i]
-		q.answered = true
-		r.core.Cancel(now, q.id)
-		r.release(q)
+		req := r.openRequests[i]
+		req.answered = true
+		r.core.Cancel(now, req.id)
+		r.release(req)
 	})
 }
 
 // answer sends a request's final response, unless it has one or its client has cancelled it.
-func (r *router) answer(q *request, result response, retryAfter control.Micros) {
-	if q.answered {
+func (r *router) answer(req *request, result response, retryAfter control.Micros) {
+	if req.answered {
 		return
 	}
-	q.answered = true
-	r.node.send(q.client.client.node, r.node.randomDelay(), func() { q.client.handleResponse(result, retryAfter) })
-	r.release(q)
+	req.answered = true
+	r.node.send(req.clientRequest.client.node, r.node.randomDelay(), func() { req.clientRequest.handleResponse(result, retryAfter) })
+	r.release(req)
 }
 
 // release removes a request that is answered and has no attempt in flight.
-func (r *router) release(q *request) {
-	if q.answered && q.inFlight == 0 {
-		delete(r.requests, q.id)
+func (r *router) release(req *request) {
+	if req.answered && req.inFlight == 0 {
+		delete(r.requests, req.id)
 	}
 }
 
 // Reject gives a request its final response: rejected, so that its client may retry it.
 func (r *router) Reject(id control.RequestID, retryAfter control.Micros, _ control.Reason) {
-	q := r.requests[id]
+	req := r.requests[id]
 	if r.overload != nil {
-		retryAfter = r.overload.RecordRejection(r.node.Now(), retryAfter, q.client.keyHash())
+		retryAfter = r.overload.RecordRejection(r.node.Now(), retryAfter, req.clientRequest.keyHash())
 	}
-	r.answer(q, rejected, retryAfter)
+	r.answer(req, rejected, retryAfter)
 }
 
 // Fail gives a request its final response: failed. The request may have run.
--- a/internal/simulation/servercall.go
+++ b/internal/simulation/servercall.go
@@ -44,58 +44,58 @@
 
 // Forward starts an attempt.
 func (r *router) Forward(added *control.Request, attempt control.AttemptID, to control.ServerID, timeout control.Micros) {
-	q, incarnation := r.requests[added.ID], r.incarnation
+	req, incarnation := r.requests[added.ID], r.incarnation
 	call := &serverCall{server: serverIndex(to), startedAt: r.node.Now()}
-	q.calls = append(q.calls, call)
-	q.inFlight++
-	sent := modelserver.Request{ID: q.client.requestName(), Effect: q.client.operationName(), Router: r.number, Function: q.client.Function,
-		IdempotencyKey: q.client.idempotencyKey()}
+	req.calls = append(req.calls, call)
+	req.inFlight++
+	sent := modelserver.Request{ID: req.clientRequest.requestName(), Effect: req.clientRequest.operationName(), Router: r.number, Function: req.clientRequest.Function,
+		IdempotencyKey: req.clientRequest.idempotencyKey()}
 	r.callServer(call, timeout,
 		func(s *modelserver.Server, respond func(modelserver.Response)) { s.Infer(sent, respond) },
 		func(result control.Result, response modelserver.Response) {
-			r.post(incarnation, func(now control.Micros) { r.endAttempt(now, q, attempt, result, response) })
+			r.post(incarnation, func(now control.Micros) { r.endAttempt(now, req, attempt, result, response) })
 		})
 }
 
 // endAttempt handles the end of an attempt. Only the first end of an attempt counts.
-func (r *router) endAttempt(now control.Micros, q *request, attempt control.AttemptID, result control.Result, response modelserver.Response) {
-	call := q.calls[attempt]
+func (r *router) endAttempt(now control.Micros, req *request, attempt control.AttemptID, result control.Result, response modelserver.Response) {
+	call := req.calls[attempt]
 	if call.ended {
 		return
 	}
 	call.ended = true
-	q.inFlight--
+	req.inFlight--
 	outcome := control.Outcome{Attempt: attempt, Server: serverID(call.server), Result: result, CacheStatus: response.CacheStatus, Duration: now - call.startedAt}
 	if result == control.Succeeded || result == control.Overloaded || result == control.NotLoaded {
 		outcome.Report = &response.LoadReport
 	}
-	if result == control.Succeeded && !q.answered {
+	if result == control.Succeeded && !req.answered {
 		outcome.RequestDone = true
-		r.core.HandleOutcome(now, q.id, outcome)
+		r.core.HandleOutcome(now, req.id, outcome)
 		if r.overload != nil {
 			r.overload.RecordAnswer(now)
 		}
-		r.answer(q, succeeded, 0)
+		r.answer(req, succeeded, 0)
 		return
 	}
-	r.core.HandleOutcome(now, q.id, outcome)
-	r.release(q)
+	r.core.HandleOutcome(now, req.id, outcome)
+	r.release(req)
 }
 
 // CancelAttempt cancels an attempt. The core learns the outcome in a later step.
 func (r *router) CancelAttempt(id control.RequestID, attempt control.AttemptID) {
-	q, incarnation := r.requests[id], r.incarnation
-	if q == nil || int(attempt) >= len(q.calls) {
+	req, incarnation := r.requests[id], r.incarnation
+	if req == nil || int(attempt) >= len(req.calls) {
 		return
 	}
 	r.node.After(0, func() {
-		r.post(incarnation, func(now control.Micros) { r.endAttempt(now, q, attempt, control.Cancelled, modelserver.Response{}) })
+		r.post(incarnation, func(now control.Micros) { r.endAttempt(now, req, attempt, control.Cancelled, modelserver.Response{}) })
 	})
 }
 
 // Load sends a load command for a request's function.
 func (r *router) Load(added *control.Request, command control.LoadCommand) {
-	function, incarnation := r.requests[added.ID].client.Function, r.incarnation
+	function, incarnation := r.requests[added.ID].clientRequest.Function, r.incarnation
 	call := &serverCall{server: serverIndex(command.Server), startedAt: r.node.Now()}
 	r.callServer(call, loadTimeout,
 		func(s *modelserver.Server, respond func(modelserver.Response)) {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -12,19 +12,19 @@
 // epoch is the time at which a run begins: well above zero, which means "long ago" or "none" to the balancer.
 const epoch = control.Micros(1_000_000_000)
 
-// Network delays, as within a data center: at least half a millisecond, plus half a millisecond on average. The minimal
-// delay is also the maximal length of the engine's windows.
+// Network delays, as within a data center: at least half a millisecond, plus half a millisecond on average. The minimum
+// delay is also the maximum length of the engine's windows.
 const (
 	minDelay       = control.Micros(500)
 	meanExtraDelay = 500.0
 )
 
-// Timeouts. Those of routers have typical values. Clients wait for a late response beyond their timeout, for as long as
-// the chaos tester's clients on sockets, so that late responses are recorded.
+// Timeouts. Those of routers have typical values. Clients wait for a late response beyond their timeout, as long as the
+// chaos tester's clients do in a run of real processes, so that late responses are recorded.
 const (
-	dialTimeout       = control.Micros(1_000_000)
-	loadTimeout       = control.Micros(30_000_000)
-	lateAnswerTimeout = control.Micros(300_000)
+	dialTimeout         = control.Micros(1_000_000)
+	loadTimeout         = control.Micros(30_000_000)
+	lateResponseTimeout = control.Micros(300_000)
 )
 
 // settleTime is how long a run continues after all clients have stopped waiting, so that messages in flight arrive.
@@ -48,7 +48,7 @@
 	for i := range plan.Incidents {
 		sim.scheduleIncident(&plan.Incidents[i])
 	}
-	events := sim.engine.run(epoch + plan.Duration + longest + lateAnswerTimeout + settleTime)
+	events := sim.engine.run(epoch + plan.Duration + longest + lateResponseTimeout + settleTime)
 	return newResult(sim, events)
 }
 
