--- a/cmd/hmchaos/changes.go
+++ b/cmd/hmchaos/changes.go
@@ -19,7 +19,7 @@
 	Cuts    bool          `help:"Drop the xDS streams occasionally."`
 	Loses   bool          `help:"Publish an empty endpoint list, and later half of the list, for three seconds each, as a broken control plane does."`
 	Keys    bool          `help:"Use TLS on all connections, and rotate keys, authorities and revocation lists during the run."`
-	Delay   time.Duration `help:"Send every update this much later than the log says, to test the measurement."`
+	Delay   time.Duration `help:"Send every update this much later than the log records, to check that the delay is measured."`
 	Router  string        `help:"Executable of the router; default: hollymast in the directory of this program." type:"path"`
 }
 
--- a/cmd/hmchaos/day.go
+++ b/cmd/hmchaos/day.go
@@ -89,7 +89,7 @@
 	return s, o.apply(s)
 }
 
-// verdict returns the word that is printed for whether all invariants held.
+// verdict returns the printed verdict of a run; passed means that no invariant was violated.
 func verdict(passed bool) string {
 	if passed {
 		return "kept"
--- a/cmd/hmchaos/dayresult.go
+++ b/cmd/hmchaos/dayresult.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// printFaultImpact prints how many calls of other tenants were in time beside a noisy one, and how soon a run recovered from an
-// outage.
+// printFaultImpact prints how many calls of other tenants were in time while one tenant was noisy, and how soon a run recovered from
+// an outage.
 func printFaultImpact(r *chaostest.Result, faults []chaostest.Fault) {
 	for _, f := range faults {
 		switch {
--- a/cmd/hmchaos/experiment.go
+++ b/cmd/hmchaos/experiment.go
@@ -108,7 +108,7 @@
 	return run.err
 }
 
-// nextTrial returns a trial to run; false: there is none, or the run ends.
+// nextTrial returns a trial to run. It returns false if no trial is needed, if one has failed, or if ctx is done.
 func (run *experimentRun) nextTrial(ctx context.Context) (experiment.Trial, bool) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
--- a/cmd/hmchaos/spec.go
+++ b/cmd/hmchaos/spec.go
@@ -19,14 +19,14 @@
 	plan         experiment.Plan
 	script       string
 	scenarioText []byte
-	sizes        map[string]overrides // of the scenario, by name
+	sizes        map[string]overrides // what each size changes in the scenario, by name of the size
 	programs     map[string]string    // other builds of this program, by arm
 }
 
 const (
 	sizeSectionPrefix = "size "
 	armSectionPrefix  = "arm "
-	defaultSizeName   = "as told" // the scenario's own size, for a file without a section for a size
+	defaultSizeName   = "as told" // the scenario's own size, for a file without sections for sizes
 )
 
 // Upper limits of a size.
--- a/internal/chaostest/certificates.go
+++ b/internal/chaostest/certificates.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// renew issues a new certificate. It overwrites the two files in place, the key keyDelay after the certificate, as an operator
-// does who doesn't replace both atomically.
+// renew issues a new certificate. It overwrites the two files in place, the key keyDelay after the certificate, as happens when an
+// operator doesn't replace both atomically.
 func (c *certificates) renew(owner string, keyDelay time.Duration) error {
 	issued := c.authority.Issue(authority.Request{Names: []string{"127.0.0.1", owner + ".laboratory.example"}})
 	c.issued[owner] = issued
--- a/internal/chaostest/churn.go
+++ b/internal/chaostest/churn.go
@@ -24,7 +24,7 @@
 	DropStreams   bool          // the control plane drops its streams occasionally
 	LoseEndpoints bool          // the control plane publishes an empty list after a third of the changes, and half of the list after two thirds
 	TLS           bool          // all connections use TLS, and certificates are rotated during the run
-	PublishDelay  time.Duration // the control plane sends every update this much later than the log says, to test the measurement
+	PublishDelay  time.Duration // by which updates are sent later than the log records, to check that RunChurn measures it
 }
 
 // Settings of the fake servers. They are fast, so that each of them receives requests all the time.
--- a/internal/chaostest/config.go
+++ b/internal/chaostest/config.go
@@ -41,8 +41,8 @@
 	loadRatePerRequest = 0.05
 )
 
-// maxNetworkDelay is the maximum delay between the two ends of a connection for which the invariants allow; the balancer allows
-// for the same delay.
+// maxNetworkDelay is the maximum delay between the two ends of a connection that the invariant check allows for. The balancer allows for
+// the same delay.
 const maxNetworkDelay = 50 * time.Millisecond
 
 // zone returns the zone of a server or router. Each zone has one cell of the same name.
--- a/internal/chaostest/echo.go
+++ b/internal/chaostest/echo.go
@@ -56,12 +56,12 @@
 		Body: []byte(`{"model_name":"m","parameters":{"found":"warm"},"outputs":[]}`)}
 	notFound := &rest.Response{Status: http.StatusNotFound, Header: rest.Header{}, Body: kserve.ErrorBody{Error: "no such model"}.JSON()}
 	for {
-		q, err := c.ReadRequest()
+		request, err := c.ReadRequest()
 		if err != nil {
 			return
 		}
 		response := success
-		if strings.Contains(q.Target, "/"+unknownPrefix) {
+		if strings.Contains(request.Target, "/"+unknownPrefix) {
 			response = notFound
 		}
 		if c.WriteResponse(response) != nil {
--- a/internal/chaostest/harness.go
+++ b/internal/chaostest/harness.go
@@ -36,7 +36,7 @@
 	mu                sync.Mutex // guards what is below
 	states            []string   // of servers, as they are to be published
 	published         []string   // of servers, as last published in the endpoint list
-	publishPauses     int        // number of faults at present that keep the endpoint list from being published
+	publishPauses     int        // number of active faults that keep the endpoint list from being published
 	outcomes          []outcome
 	restarts          []restartEvent
 	restartRetries    RestartRetries
--- a/internal/chaostest/library.go
+++ b/internal/chaostest/library.go
@@ -12,7 +12,7 @@
 )
 
 // Limits on the connections of library clients to each router. The total is divided among the clients, and leaves room for other
-// clients within what a router accepts.
+// clients below the number of connections that a router accepts.
 const (
 	libraryConnections    = 6400 // of all clients
 	maxLibraryConnections = 64   // of one client
@@ -26,7 +26,7 @@
 	n := h.scenario.LibraryClients
 	for i := range n {
 		c, err := client.New(client.Options{Routers: h.addresses, Connections: min(maxLibraryConnections, max(1, libraryConnections/n)),
-			Seed: h.scenario.Seed*100_000 + uint64(i) + 1, LateResponseTimeout: lateAnswerTime})
+			Seed: h.scenario.Seed*100_000 + uint64(i) + 1, LateResponseTimeout: lateResponseTimeout})
 		if err != nil {
 			return err
 		}
@@ -62,21 +62,21 @@
 }
 
 // recordSent logs a request that is about to be sent, and returns its body.
-func (l *libraryCall) recordSent(t client.Attempt) []byte {
-	record := l.h.requestRecord(l.call, slices.Index(l.h.addresses, t.Router), t.Number)
-	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+t.Remaining.Microseconds()
+func (l *libraryCall) recordSent(attempt client.Attempt) []byte {
+	record := l.h.requestRecord(l.call, slices.Index(l.h.addresses, attempt.Router), attempt.Number)
+	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+attempt.Remaining.Microseconds()
 	l.mu.Lock()
-	l.records[t.Number] = record
+	l.records[attempt.Number] = record
 	l.mu.Unlock()
 	l.pending.Add(1)
 	l.h.log.Add(record)
-	return requestBody(record, max(time.Microsecond, t.Remaining))
+	return requestBody(record, max(time.Microsecond, attempt.Remaining))
 }
 
-// recordEnded logs how a request ended; the ending is one of those of the client library.
-func (l *libraryCall) recordEnded(t client.Attempt, ending string) {
+// recordEnded logs how a request ended. The ending is one that the client library passes to AttemptEnded.
+func (l *libraryCall) recordEnded(attempt client.Attempt, ending string) {
 	l.mu.Lock()
-	record, sent := l.records[t.Number]
+	record, sent := l.records[attempt.Number]
 	l.mu.Unlock()
 	if !sent {
 		return
--- a/internal/chaostest/pairs.go
+++ b/internal/chaostest/pairs.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Ratio holds the quartiles of the ratio of a quantity, over pairs of streams.
+// Ratio holds the quartiles, over pairs of streams, of the ratio of a quantity with a feature enabled to that without it.
 type Ratio struct {
 	Quantity             string
 	Lower, Median, Upper float64
--- a/internal/chaostest/perform.go
+++ b/internal/chaostest/perform.go
@@ -23,10 +23,12 @@
 
 // Limits of retries.
 const (
-	maxBasicRequests    = 3
-	minBasicTimeout     = 20 * time.Millisecond // no request is made with less time left
-	maxBlindRequests    = 200                   // more than a deadline allows
-	minBlindTimeout     = 50 * time.Millisecond // at 6000 requests per second, a fully loaded machine delays an immediate answer by up to 25 ms
+	maxBasicRequests = 3
+	minBasicTimeout  = 20 * time.Millisecond // no request is made with less time left
+	maxBlindRequests = 200                   // more than a deadline allows
+	// minBlindTimeout is the time left below which no request is made. An answer that the router gives immediately takes up to 25 ms on a
+	// machine fully loaded with 6000 requests per second, and would be late with less time left.
+	minBlindTimeout     = 50 * time.Millisecond
 	blindRetryInterval  = 50 * time.Millisecond // as in an application's own retry loop, and no shorter than one machine can handle
 	stickyRetryInterval = 50 * time.Millisecond // while the router restarts
 )
@@ -75,51 +77,51 @@
 	return false
 }
 
-func (u *basicClient) isInTime() bool {
-	return time.Since(u.startedAt) <= u.call.workload.latencyObjective
+func (c *basicClient) isInTime() bool {
+	return time.Since(c.startedAt) <= c.call.workload.latencyObjective
 }
 
 // decideRetry decides whether to send another request after a response other than a success to a request with this timeout.
-func (u *basicClient) decideRetry(r response, timeout time.Duration) retryDecision {
-	w := u.call.workload
+func (c *basicClient) decideRetry(r response, timeout time.Duration) retryDecision {
+	w := c.call.workload
 	next := retryDecision{allowed: true}
 	switch {
-	case u.call.abandonAfter > 0:
+	case c.call.abandonAfter > 0:
 		return retryDecision{}
-	case r.notSent && u.sticky: // the router isn't back yet
+	case r.notSent && c.sticky: // the router isn't back yet
 	case r.notSent:
-		u.nextRouter()
-	case r.connectionBroken && w.effect == effectNonIdempotent && u.h.scenario.persistsRouterState():
-		u.sticky, next.after = true, stickyRetryInterval
+		c.nextRouter()
+	case r.connectionBroken && w.effect == effectNonIdempotent && c.h.scenario.persistsRouterState():
+		c.sticky, next.after = true, stickyRetryInterval
 	case r.answer == invariant.Rejected:
 		next.after = r.retryAfter
 	case r.mayHaveRun:
-		if !u.mayRunTwice(timeout) {
+		if !c.mayRunTwice(timeout) {
 			return retryDecision{}
 		}
-		u.nextRouter()
+		c.nextRouter()
 	default:
 		return retryDecision{}
 	}
-	if u.call.impatient {
+	if c.call.impatient {
 		next.after = 0
 	}
 	return next
 }
 
 // mayRunTwice reports whether a request that may have run may be sent again, to any router.
-func (u *basicClient) mayRunTwice(timeout time.Duration) bool {
-	w := u.call.workload
+func (c *basicClient) mayRunTwice(timeout time.Duration) bool {
+	w := c.call.workload
 	switch {
 	case w.effect == effectNonIdempotent || w.scope == scopeZone:
 		return false
 	case w.effect == effectIdempotentByKey:
-		return time.Since(u.mayHaveRunAt)+timeout <= w.window
+		return time.Since(c.mayHaveRunAt)+timeout <= w.window
 	}
 	return true
 }
 
-func (u *basicClient) nextRouter() { u.router = (u.router + 1) % len(u.h.addresses) }
+func (c *basicClient) nextRouter() { c.router = (c.router + 1) % len(c.h.addresses) }
 
 // performBlind makes a call and retries it until its deadline, almost immediately, at any router and without retry headers. It
 // repeats a request that may have run only if that is idempotent, because a second run would count as a violation by the routers.
--- a/internal/chaostest/recording_test.go
+++ b/internal/chaostest/recording_test.go
@@ -33,7 +33,7 @@
 		}
 		result, err := replay.Play(files, replay.Options{})
 		if err != nil || result.LostSteps > 0 || result.Commands < 500 {
-			t.Errorf("%s: %+v, %v", router, result, err)
+			t.Errorf("%s: replay gave %+v, %v", router, result, err)
 		}
 		if n, err := explain.VerifyAll(files); err != nil || n < 300 {
 			t.Errorf("%s: %d explained, %v", router, n, err)
@@ -84,12 +84,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	difference, found := "", errors.New("found")
+	difference, errFound := "", errors.New("found")
 	s.ForEachStep(func(n uint64, step record.Step) error {
 		for _, c := range step.Commands {
 			if c.Kind == record.CommandSetTimer && c.Time == step.Clock+200_000 {
 				difference = fmt.Sprintf("turn %d at %d us, job 0: then %q, now %q", n, step.Clock, c, record.Command{Kind: record.CommandSetTimer, Time: c.Time + 1})
-				return found
+				return errFound
 			}
 		}
 		return nil
--- a/internal/chaostest/requests.go
+++ b/internal/chaostest/requests.go
@@ -15,8 +15,8 @@
 	"hollymast/kserve"
 )
 
-// lateAnswerTime is how long clients keep reading after their deadline, so that late answers are logged.
-const lateAnswerTime = 300 * time.Millisecond
+// lateResponseTimeout is how long clients keep reading after their deadline, so that late answers are logged.
+const lateResponseTimeout = 300 * time.Millisecond
 
 // retryPause is the pause after a connection couldn't be opened.
 const retryPause = 50 * time.Millisecond
@@ -76,7 +76,7 @@
 	case c.impatient:
 		return now.Add(timeout)
 	default:
-		return now.Add(timeout + lateAnswerTime)
+		return now.Add(timeout + lateResponseTimeout)
 	}
 }
 
--- a/internal/chaostest/rotation.go
+++ b/internal/chaostest/rotation.go
@@ -35,8 +35,8 @@
 	revokeWorker bool // the certificate of worker 0 is revoked once per cycle
 }
 
-// startRotation starts to rotate certificates until ctx is done. The channel then delivers the error. It is closed at once if the
-// run doesn't use TLS.
+// startRotation starts a goroutine that rotates certificates until ctx is done or a change fails, and then sends the error, or nil, on the
+// returned channel. If the run doesn't use TLS, the channel is closed at once.
 func (h *harness) startRotation(ctx context.Context, r rotation) <-chan error {
 	done := make(chan error, 1)
 	if !h.scenario.TLS {
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// revokeWorker revokes a worker's certificate and issues another one later. For the invariants the worker is withdrawn in between.
+// revokeWorker revokes a worker's certificate and issues another one later. In between, the log records the worker as withdrawn, so that
+// the invariant check reports attempts that it still receives after the drain grace.
 func (h *harness) revokeWorker(ctx context.Context, worker int) error {
 	c := h.certificates
 	c.authority.Revoke(c.issued[workerName(worker)].Serial)
--- a/internal/chaostest/run_test.go
+++ b/internal/chaostest/run_test.go
@@ -36,7 +36,7 @@
 
 // When clients repeat non-idempotent requests after a router was killed, routers without persisted state run some of them twice,
 // which the check must find, and routers with persisted state run none twice. How many requests run at the time of the kill depends
-// on the machine, so there are further runs until one shows the case.
+// on the machine, so the test tries further seeds until one shows the case.
 func TestNonIdempotentRequestsAcrossAKill(t *testing.T) {
 	const runs = 8 // on a busy machine about one in five runs without persisted state runs no request twice
 	program := buildProgram(t, "hollymast")
@@ -74,13 +74,13 @@
 	startedAt := time.Now()
 	_, err := Run(ctx, &Scenario{Seed: 1, Calls: 100000, Length: time.Minute, Routers: 1, Workers: 2, Functions: 5}, program)
 	if err == nil || time.Since(startedAt) > 5*time.Second {
-		t.Errorf("got %v after %s", err, time.Since(startedAt))
+		t.Errorf("a cancelled run returned %v after %s", err, time.Since(startedAt))
 	}
 }
 
 // A scenario that one machine can't run is rejected before anything is started.
 func TestTooLargeScenarioIsRefused(t *testing.T) {
 	if _, err := Run(context.Background(), &Scenario{Routers: maxRouters + 1, Workers: 1, Length: time.Second}, "/none"); err == nil || !strings.Contains(err.Error(), "emulate") {
-		t.Errorf("got %v", err)
+		t.Errorf("a scenario with too many routers: got %v", err)
 	}
 }
--- a/internal/chaostest/scenario_test.go
+++ b/internal/chaostest/scenario_test.go
@@ -33,7 +33,7 @@
 	_, err := ParseScenario("d.ini", []byte("[day]\njobs = 0\n[trouble x]\nkind = flood\nat = 19s\nlasts = 5s\n"))
 	var invalid *inifile.ValidationError
 	if !errors.As(err, &invalid) || len(invalid.Problems) != 3 || strings.Count(err.Error(), "\n") != 2 {
-		t.Errorf("got %v", err)
+		t.Errorf("want three problems, got %v", err)
 	}
 	if _, err := ParseScenario("", nil); err != nil {
 		t.Errorf("the built-in scenario: %v", err)
--- a/internal/chaostest/simulated.go
+++ b/internal/chaostest/simulated.go
@@ -52,7 +52,7 @@
 	h := &harness{scenario: s, servers: make([]*fakeserver.Server, s.Workers)}
 	r := &SimulationResult{Report: invariant.Check(h.invariantConfig(), run.Records), Hash: run.Hash, Events: run.Events, Steps: run.Steps}
 	use := h.utilization(run.Records)
-	r.SlowStartUtilization, r.Utilization = use.slowStart, use.fullSpeed
+	r.SlowStartUtilization, r.Utilization = use.slowStart, use.fullCapacity
 	r.addOutcomes(plan, run.Outcomes)
 	for _, record := range run.Records {
 		switch record.Kind {
@@ -119,7 +119,7 @@
 	return plan, nil
 }
 
-// retriesBlindly reports whether a call's client retries at once, at any router and without retry headers.
+// retriesBlindly reports whether a call's client retries almost immediately, at any router and without retry headers.
 func (s *Scenario) retriesBlindly(c *call) bool {
 	return c.noisyTenant || s.ClientBehavior == ClientsBlind || s.ClientBehavior == ClientsMixed && c.number%2 == 1
 }
@@ -179,14 +179,14 @@
 }
 
 // utilization is how many attempts servers ran, as a share of their capacity.
-type utilization struct{ slowStart, fullSpeed float64 }
+type utilization struct{ slowStart, fullCapacity float64 }
 
 // utilization computes the utilization. The capacity of a server in slow start is the rate expected at its age, that of any other
 // server the full rate.
 func (h *harness) utilization(records []invariant.Record) utilization {
 	type work struct{ run, capacity float64 } // in requests
 	end := h.scenario.Length.Microseconds()
-	slowStart, fullSpeed := work{}, work{capacity: serverRate * float64(end) / 1e6 * float64(len(h.servers))}
+	slowStart, fullCapacity := work{}, work{capacity: serverRate * float64(end) / 1e6 * float64(len(h.servers))}
 	var first int64
 	if len(records) > 0 {
 		first = records[0].At
@@ -199,16 +199,16 @@
 			startedAt[r.Server] = at
 			age := float64(min(end-at, slowStartDuration.Microseconds())) / 1e6 // seconds in slow start until the end
 			slowStart.capacity += serverRate * age * (slowStartInitial + (1-slowStartInitial)*age/slowStartDuration.Seconds()/2)
-			fullSpeed.capacity -= serverRate * age
+			fullCapacity.capacity -= serverRate * age
 		case invariant.AttemptStarted:
 			if started, restarted := startedAt[r.Server]; restarted && at < started+slowStartDuration.Microseconds() {
 				slowStart.run++
 			} else {
-				fullSpeed.run++
+				fullCapacity.run++
 			}
 		}
 	}
-	return utilization{slowStart.run / max(1, slowStart.capacity), fullSpeed.run / max(1, fullSpeed.capacity)}
+	return utilization{slowStart.run / max(1, slowStart.capacity), fullCapacity.run / max(1, fullCapacity.capacity)}
 }
 
 // ScenarioHash returns a hash of the text of a scenario.
--- a/internal/chaostest/simulated_test.go
+++ b/internal/chaostest/simulated_test.go
@@ -48,7 +48,7 @@
 		records = append(records, invariant.Record{At: 100 + 3_000_000, Kind: invariant.AttemptStarted, Server: i % 2})
 	}
 	use := h.utilization(records) // 4 s from a quarter to all of 40 per second; 16 s at 40
-	if math.Abs(use.slowStart-0.5) > 0.001 || math.Abs(use.fullSpeed-50.0/640) > 0.001 {
-		t.Errorf("slow start %.4f, otherwise %.4f", use.slowStart, use.fullSpeed)
+	if math.Abs(use.slowStart-0.5) > 0.001 || math.Abs(use.fullCapacity-50.0/640) > 0.001 {
+		t.Errorf("slow start %.4f, otherwise %.4f", use.slowStart, use.fullCapacity)
 	}
 }
