--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -48,6 +48,7 @@
 	decisions []Decision
 }
 
+// trace returns a trace that adds the decisions about the request to the collector.
 func (dc *decisionCollector) trace() *control.Trace {
 	return &control.Trace{
 		OnReplicaCheck: func(c control.ReplicaCheck) { dc.checks[c.Function] = c },
@@ -77,6 +78,8 @@
 // errReplayedWithChange ends the replay of a segment once the request's step was replayed with the change.
 var errReplayedWithChange = errors.New("replayed with the change")
 
+// explainSegment returns the decisions about the request in one segment. If the query has a change, it stops after the step that added the
+// request, and also returns the decisions of that step under the change.
 func explainSegment(file string, q Query) ([]Decision, error) {
 	s, err := record.OpenSegment(file)
 	if err != nil {
--- a/internal/explain/verify.go
+++ b/internal/explain/verify.go
@@ -22,6 +22,7 @@
 	return agreeing, nil
 }
 
+// verifySegment is VerifyAll for one segment.
 func verifySegment(file string) (agreeing uint64, err error) {
 	s, err := record.OpenSegment(file)
 	if err != nil {
--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -27,6 +27,7 @@
 // NewCollector returns an empty collector.
 func NewCollector() *Collector { return &Collector{byRow: map[rowID]*pendingRow{}} }
 
+// rowFor returns the row of a subject in the minute of the given time, and creates it if needed.
 func (c *Collector) rowFor(now control.Micros, subject Subject) *pendingRow {
 	id := rowID{int64(now) / Minute * Minute, subject}
 	row := c.byRow[id]
--- a/internal/history/encoding.go
+++ b/internal/history/encoding.go
@@ -49,6 +49,7 @@
 	return append(b, s.Tenant...)
 }
 
+// readRow decodes a row from its key and its CBOR value. The error is ErrCorrupt or wraps it.
 func readRow(key, value []byte) (r Row, err error) {
 	if len(key) <= timeBytes {
 		return r, ErrCorrupt
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -121,6 +121,7 @@
 	})
 }
 
+// readLevel calls fn with the rows of one level whose time is at least from and before until.
 func readLevel(tx *bolt.Tx, l Level, from, until int64, fn func(Level, Row) error) error {
 	bucket := tx.Bucket([]byte(l.Name))
 	if bucket == nil {
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -81,6 +81,7 @@
 	downtimes map[int][]downtime // by router
 }
 
+// groupRecords groups records by request, and collects the downtimes of each router.
 func groupRecords(records []Record) *runHistory {
 	history := &runHistory{downtimes: map[int][]downtime{}}
 	byID := map[string]*requestHistory{}
--- a/internal/modelcheck/exploration.go
+++ b/internal/modelcheck/exploration.go
@@ -81,6 +81,7 @@
 	return r.result, nil
 }
 
+// start fills in the defaults and returns a run whose frontier is the initial state.
 func (x *Exploration) start() (*run, error) {
 	if x.Rules == nil {
 		x.Rules = &ProductionRules
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -113,6 +113,7 @@
 	j.handleRecovery()
 }
 
+// writeAll writes all unwritten batches. It begins a file if none is open.
 func (j *Journal) writeAll() error {
 	if j.file == nil {
 		if err := j.beginFile(); err != nil {
@@ -162,6 +163,7 @@
 	}
 }
 
+// newestTime returns the latest time of any entry, or 0 if there are no entries.
 func newestTime(entries []Entry) (at control.Micros) {
 	for _, e := range entries {
 		at = max(at, e.At)
@@ -216,6 +218,7 @@
 	}
 }
 
+// handleSyncResult completes the batches that a sync by syncFiles covered. If the sync failed, it abandons the file.
 func (j *Journal) handleSyncResult(err error) {
 	n := j.syncingBatches
 	j.syncingBatches = 0
--- a/internal/record/segment_writer.go
+++ b/internal/record/segment_writer.go
@@ -81,6 +81,7 @@
 	return closed
 }
 
+// startSegment finishes the current segment and creates the next one.
 func (s *segmentWriter) startSegment(it queueItem) {
 	if s.current != nil {
 		s.handleError(s.finishSegment(s.current))
@@ -93,6 +94,7 @@
 	s.handleError(err)
 }
 
+// addStep adds a step to the frame being collected, and writes the frame once it has maxFrameSteps steps.
 func (s *segmentWriter) addStep(it queueItem) {
 	if s.current == nil { // the segment of this step failed
 		s.lostSteps.Add(1)
