--- a/internal/chaostest/library.go
+++ b/internal/chaostest/library.go
@@ -37,8 +37,8 @@
 
 // libraryCall is a call by the client library. It logs each request when it is sent and when it has ended.
 type libraryCall struct {
-	h    *harness
-	call call
+	harness *harness
+	call    call
 
 	mu      sync.Mutex
 	records map[int]invariant.Record // of the requests that were sent, by number
@@ -51,7 +51,7 @@
 // performWithLibrary makes a call with the client library, and returns when all its requests have ended.
 func (h *harness) performWithLibrary(ctx context.Context, c call) (inTime bool) {
 	startedAt := time.Now()
-	l := &libraryCall{h: h, call: c, records: map[int]invariant.Record{}}
+	l := &libraryCall{harness: h, call: c, records: map[int]invariant.Record{}}
 	w := client.Workload{Effect: libraryEffects[c.workload.effect], PartialKeyScope: c.workload.scope != "" && c.workload.scope != scopeFleet, KeyWindow: c.workload.window}
 	library := h.libraryClients[c.number%len(h.libraryClients)]
 	_, err := library.Infer(ctx, client.Call{Model: c.function, IdempotencyKey: c.workload.keyPrefix() + strconv.Itoa(c.number), Tenant: c.tenant(), Workload: w,
@@ -63,13 +63,13 @@
 
 // recordSent logs a request that is about to be sent, and returns its body.
 func (l *libraryCall) recordSent(attempt client.Attempt) []byte {
-	record := l.h.requestRecord(l.call, slices.Index(l.h.addresses, attempt.Router), attempt.Number)
-	record.Kind, record.Deadline = invariant.RequestSent, l.h.log.Now()+attempt.Remaining.Microseconds()
+	record := l.harness.requestRecord(l.call, slices.Index(l.harness.addresses, attempt.Router), attempt.Number)
+	record.Kind, record.Deadline = invariant.RequestSent, l.harness.log.Now()+attempt.Remaining.Microseconds()
 	l.mu.Lock()
 	l.records[attempt.Number] = record
 	l.mu.Unlock()
 	l.pending.Add(1)
-	l.h.log.Add(record)
+	l.harness.log.Add(record)
 	return requestBody(record, max(time.Microsecond, attempt.Remaining))
 }
 
@@ -90,6 +90,6 @@
 	case "refused":
 		record.Detail = invariant.NotAdmitted
 	}
-	l.h.log.Add(record)
+	l.harness.log.Add(record)
 	l.pending.Done()
 }
--- a/internal/chaostest/perform.go
+++ b/internal/chaostest/perform.go
@@ -35,7 +35,7 @@
 
 // basicClient makes one call, with retries as the call's workload and the responses allow.
 type basicClient struct {
-	h            *harness
+	harness      *harness
 	call         call
 	startedAt    time.Time
 	router       int       // that the next request goes to
@@ -51,7 +51,7 @@
 
 // performBasic makes a call with at most maxBasicRequests requests, or with as many as it takes until a restarting router answers.
 func (h *harness) performBasic(ctx context.Context, c call) (inTime bool) {
-	client := &basicClient{h: h, call: c, startedAt: time.Now(), router: c.router}
+	client := &basicClient{harness: h, call: c, startedAt: time.Now(), router: c.router}
 	for n := 1; n <= maxBasicRequests || client.sticky; n++ {
 		timeout := c.timeout - time.Since(client.startedAt)
 		if timeout < minBasicTimeout || ctx.Err() != nil {
@@ -91,7 +91,7 @@
 	case r.notSent && c.sticky: // the router isn't back yet
 	case r.notSent:
 		c.nextRouter()
-	case r.connectionBroken && w.effect == effectNonIdempotent && c.h.scenario.persistsRouterState():
+	case r.connectionBroken && w.effect == effectNonIdempotent && c.harness.scenario.persistsRouterState():
 		c.sticky, next.after = true, stickyRetryInterval
 	case r.answer == invariant.Rejected:
 		next.after = r.retryAfter
@@ -121,7 +121,7 @@
 	return true
 }
 
-func (c *basicClient) nextRouter() { c.router = (c.router + 1) % len(c.h.addresses) }
+func (c *basicClient) nextRouter() { c.router = (c.router + 1) % len(c.harness.addresses) }
 
 // performBlind makes a call and retries it until its deadline, almost immediately, at any router and without retry headers. It
 // repeats a request that may have run only if that is idempotent, because a second run would count as a violation by the routers.
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -14,7 +14,7 @@
 }
 
 // filler counts the scalar values that it has set.
-type filler struct{ n int64 }
+type filler struct{ count int64 }
 
 func (f *filler) fill(v reflect.Value) {
 	switch v.Kind() {
@@ -33,7 +33,7 @@
 	case reflect.Array:
 		f.fillElements(v)
 	default:
-		f.n++
+		f.count++
 		f.fillScalar(v)
 	}
 }
@@ -52,17 +52,17 @@
 	case v.Kind() == reflect.Bool:
 		v.SetBool(true)
 	case v.Kind() == reflect.String:
-		v.SetString(fmt.Sprint("text ", f.n))
+		v.SetString(fmt.Sprint("text ", f.count))
 	case v.CanFloat():
-		v.SetFloat(float64(f.n) + 0.5)
+		v.SetFloat(float64(f.count) + 0.5)
 	case v.Kind() == reflect.Int8:
-		v.SetInt(f.n%int8Values + 1)
+		v.SetInt(f.count%int8Values + 1)
 	case v.CanInt():
-		v.SetInt(f.n)
+		v.SetInt(f.count)
 	case v.Kind() == reflect.Uint8:
-		v.SetUint(uint64(f.n%int8Values + 1))
+		v.SetUint(uint64(f.count%int8Values + 1))
 	case v.CanUint():
-		v.SetUint(uint64(f.n))
+		v.SetUint(uint64(f.count))
 	default:
 		panic(fmt.Sprintf("golden: no value for a %s", v.Type()))
 	}
--- a/internal/history/store.go
+++ b/internal/history/store.go
@@ -40,7 +40,7 @@
 )
 
 // withDB opens the file and calls f. Any panic or error caused by corrupt content is returned as ErrCorrupt.
-func (s *Store) withDB(a access, f func(*bolt.DB) error) (err error) {
+func (s *Store) withDB(mode access, f func(*bolt.DB) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // accessing the mapping of a truncated file causes a fault
 	var db *bolt.DB
 	defer func() {
@@ -54,7 +54,7 @@
 			}()
 		}
 	}()
-	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: a == readOnly, FreelistType: bolt.FreelistMapType})
+	db, err = bolt.Open(s.path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: mode == readOnly, FreelistType: bolt.FreelistMapType})
 	var pathError *fs.PathError
 	switch {
 	case err == nil:
--- a/internal/persistence/faultfs_test.go
+++ b/internal/persistence/faultfs_test.go
@@ -130,12 +130,12 @@
 
 type faultFile struct {
 	*inode
-	d    *faultFS
-	name string
+	fileSystem *faultFS
+	name       string
 }
 
 func (d *faultFS) Create(name string) (File, error) {
-	f := &faultFile{d: d, name: name}
+	f := &faultFile{fileSystem: d, name: name}
 	err := d.call("create", name, func(bool) error {
 		if f.inode = d.names[name]; f.inode == nil {
 			f.inode = &inode{}
@@ -152,22 +152,22 @@
 }
 
 func (f *faultFile) Write(b []byte) (n int, err error) {
-	err = f.d.call("write", f.name, func(half bool) error {
+	err = f.fileSystem.call("write", f.name, func(half bool) error {
 		if n = len(b); half {
 			n /= 2
 		}
 		f.data = append(f.data, b[:n]...)
 		f.states = append(f.states, make([]byteState, n)...)
-		f.d.bytes += n
+		f.fileSystem.bytes += n
 		return nil
 	})
 	return n, err
 }
 
 func (f *faultFile) Sync() error {
-	return f.d.call("sync", f.name, func(bool) error {
+	return f.fileSystem.call("sync", f.name, func(bool) error {
 		newState := durable
-		if f.d.currentCallFails(f.name, "sync") {
+		if f.fileSystem.currentCallFails(f.name, "sync") {
 			newState = lost
 		}
 		for i, s := range f.states {
@@ -186,7 +186,7 @@
 }
 
 func (f *faultFile) Close() error {
-	return f.d.call("close", f.name, func(bool) error { return nil })
+	return f.fileSystem.call("close", f.name, func(bool) error { return nil })
 }
 
 func (d *faultFS) Rename(from, to string) error {
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -16,7 +16,7 @@
 	File       string
 	Checkpoint *core.Snapshot
 	file       *os.File
-	r          *bufio.Reader
+	reader     *bufio.Reader
 }
 
 // OpenSegment opens a segment and reads its header and checkpoint. The error names the file; it may wrap ErrNewerVersion or ErrCorrupt.
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s = &Segment{File: name, file: file, r: bufio.NewReaderSize(file, 1<<16), Checkpoint: &core.Snapshot{}}
+	s = &Segment{File: name, file: file, reader: bufio.NewReaderSize(file, 1<<16), Checkpoint: &core.Snapshot{}}
 	defer func() {
 		if err != nil {
 			file.Close()
@@ -33,16 +33,16 @@
 		}
 	}()
 	gotMagic := make([]byte, len(magic))
-	if _, err := io.ReadFull(s.r, gotMagic); err != nil || string(gotMagic) != magic {
+	if _, err := io.ReadFull(s.reader, gotMagic); err != nil || string(gotMagic) != magic {
 		return s, fmt.Errorf("%s: not a recording", name)
 	}
-	if err := readFrame(s.r, &s.Header); err != nil {
+	if err := readFrame(s.reader, &s.Header); err != nil {
 		return s, fmt.Errorf("%s: header: %w", name, err)
 	}
 	if s.Version > Version {
 		return s, fmt.Errorf("%s: %w: format %d, known up to %d", name, ErrNewerVersion, s.Version, Version)
 	}
-	if err := readFrame(s.r, s.Checkpoint); err != nil {
+	if err := readFrame(s.reader, s.Checkpoint); err != nil {
 		return s, fmt.Errorf("%s: checkpoint: %w", name, err)
 	}
 	return s, nil
@@ -53,7 +53,7 @@
 func (s *Segment) ForEachStep(fn func(number uint64, step Step) error) error {
 	for {
 		var batch stepBatch
-		if err := readFrame(s.r, &batch); errors.Is(err, io.EOF) {
+		if err := readFrame(s.reader, &batch); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("%s: %w", s.File, err)
