--- a/internal/history/collector.go
+++ b/internal/history/collector.go
@@ -27,6 +27,7 @@
 // NewCollector returns an empty collector.
 func NewCollector() *Collector { return &Collector{byRow: map[rowID]*pendingRow{}} }
 
+// rowFor returns the row of a subject in the minute of the given time, and creates it if needed.
 func (c *Collector) rowFor(now control.Micros, subject Subject) *pendingRow {
 	id := rowID{int64(now) / Minute * Minute, subject}
 	row := c.byRow[id]
@@ -90,7 +91,8 @@
 // Batch is the usage drained from a Collector.
 type Batch struct{ byRow map[rowID]*pendingRow }
 
-// maxSubjects is how many subjects get their own rows in one minute. Subjects beyond that have names that are requested only once.
+// maxSubjects is how many subjects get their own rows in one minute. Where there are more, most of them are functions that are requested
+// only once.
 const maxSubjects = 1024
 
 // Rows returns a row for each minute and subject, sorted by time and subject. In a minute with more than maxSubjects subjects, those with
--- a/internal/persistence/journal_writing.go
+++ b/internal/persistence/journal_writing.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// takePending moves the batch that Append fills to the unwritten batches, and reports whether the journal is closed.
 func (j *Journal) takePending() (closed bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -112,6 +113,7 @@
 	j.handleRecovery()
 }
 
+// writeAll writes all unwritten batches. It begins a file if none is open.
 func (j *Journal) writeAll() error {
 	if j.file == nil {
 		if err := j.beginFile(); err != nil {
@@ -161,6 +163,7 @@
 	}
 }
 
+// newestTime returns the latest time of any entry, or 0 if there are no entries.
 func newestTime(entries []Entry) (at control.Micros) {
 	for _, e := range entries {
 		at = max(at, e.At)
@@ -168,6 +171,7 @@
 	return at
 }
 
+// writeBatch writes a batch to the open file. With SyncEach it writes and syncs each entry separately.
 func (j *Journal) writeBatch(b *Batch) error {
 	chunk := maxFrameEntries
 	if j.Sync == SyncEach {
@@ -214,6 +218,7 @@
 	}
 }
 
+// handleSyncResult completes the batches that a sync by syncFiles covered. If the sync failed, it abandons the file.
 func (j *Journal) handleSyncResult(err error) {
 	n := j.syncingBatches
 	j.syncingBatches = 0
