--- a/internal/fakeserver/serve.go
+++ b/internal/fakeserver/serve.go
@@ -18,8 +18,8 @@
 	"hollymast/kserve"
 )
 
-// serveConn serves a connection until either side closes it.
-func (s *Server) serveConn(incarnation context.Context, accepted net.Conn) {
+// serveConn serves a connection until either side closes it. ctx ends when the server is killed.
+func (s *Server) serveConn(ctx context.Context, accepted net.Conn) {
 	defer func() {
 		s.mu.Lock()
 		delete(s.conns, accepted)
@@ -37,15 +37,15 @@
 	for {
 		request, err := conn.ReadRequest()
 		var untrusted *rest.PeerUntrustedError
-		if errors.As(err, &untrusted) && incarnation.Err() == nil {
+		if errors.As(err, &untrusted) && ctx.Err() == nil {
 			response := s.newResponse(http.StatusServiceUnavailable, kserve.ErrorBody{Error: untrusted.Error()}.JSON())
 			response.Close = true
 			conn.WriteResponse(response)
 		}
-		if err != nil || incarnation.Err() != nil {
+		if err != nil || ctx.Err() != nil {
 			return
 		}
-		response := s.handle(incarnation, request)
+		response := s.handle(ctx, request)
 		if response == nil || conn.WriteResponse(response) != nil {
 			return
 		}
@@ -53,16 +53,16 @@
 }
 
 // handle returns the response to a request; nil means that the connection is to be broken.
-func (s *Server) handle(incarnation context.Context, request *rest.Request) *rest.Response {
+func (s *Server) handle(ctx context.Context, request *rest.Request) *rest.Response {
 	call, err := kserve.ParseTarget(request.Method, request.Target)
 	if err != nil {
 		return s.newResponse(http.StatusNotFound, kserve.ErrorBody{Error: err.Error()}.JSON())
 	}
 	switch call.Operation {
 	case kserve.Infer:
-		return s.infer(incarnation, call, request)
+		return s.infer(ctx, call, request)
 	case kserve.RepositoryLoad:
-		return s.load(incarnation, call, request)
+		return s.load(ctx, call, request)
 	case kserve.RepositoryIndex:
 		return s.newResponse(http.StatusOK, s.index())
 	}
@@ -72,11 +72,12 @@
 // cacheStatusNames are the values of the response parameter "found".
 var cacheStatusNames = map[control.CacheStatus]string{control.CacheHit: "warm", control.CacheMiss: "began", control.CacheLoading: "joined"}
 
-func (s *Server) infer(incarnation context.Context, call kserve.Call, request *rest.Request) *rest.Response {
+// infer runs an inference request and returns its response.
+func (s *Server) infer(ctx context.Context, call kserve.Call, request *rest.Request) *rest.Response {
 	fields := gjson.GetManyBytes(request.Body, "id", "parameters.effect")
 	attempt := modelserver.Request{ID: fields[0].Str, Effect: fields[1].Str, Router: routerNumber(request), Function: call.Model,
 		IdempotencyKey: request.Header.Get(kserve.IdempotencyKeyHeader)}
-	r := s.runExchange(incarnation, func(respond func(modelserver.Response)) { s.model.Infer(attempt, respond) })
+	r := s.runExchange(ctx, func(respond func(modelserver.Response)) { s.model.Infer(attempt, respond) })
 	if r.Result != modelserver.Succeeded {
 		return errorResponse(r)
 	}
@@ -84,9 +85,10 @@
 	return newResponse(http.StatusOK, body, r.LoadReport)
 }
 
-func (s *Server) load(incarnation context.Context, call kserve.Call, request *rest.Request) *rest.Response {
+// load executes a load command and returns its response.
+func (s *Server) load(ctx context.Context, call kserve.Call, request *rest.Request) *rest.Response {
 	replicas := int(gjson.GetBytes(request.Body, "parameters.copies").Int())
-	r := s.runExchange(incarnation, func(respond func(modelserver.Response)) {
+	r := s.runExchange(ctx, func(respond func(modelserver.Response)) {
 		s.model.Load(call.Model, replicas, routerNumber(request), respond)
 	})
 	if r.Result != modelserver.Succeeded {
@@ -97,11 +99,11 @@
 
 // runExchange starts an exchange with the simulated server and waits for its end. If the server is killed first, the result is
 // ConnectionReset.
-func (s *Server) runExchange(incarnation context.Context, start func(respond func(modelserver.Response))) modelserver.Response {
+func (s *Server) runExchange(ctx context.Context, start func(respond func(modelserver.Response))) modelserver.Response {
 	reset := modelserver.Response{Result: modelserver.ConnectionReset}
 	ended := make(chan modelserver.Response, 1)
 	s.mu.Lock()
-	if incarnation.Err() != nil {
+	if ctx.Err() != nil {
 		s.mu.Unlock()
 		return reset
 	}
@@ -114,7 +116,7 @@
 	select {
 	case r := <-ended:
 		return r
-	case <-incarnation.Done():
+	case <-ctx.Done():
 		return reset
 	}
 }
--- a/internal/fakeserver/server.go
+++ b/internal/fakeserver/server.go
@@ -43,34 +43,35 @@
 		return err
 	}
 	s.listener, s.address = listener, listener.Addr().String()
-	incarnation, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.conns, s.startedAt = map[net.Conn]bool{}, time.Now()
 	s.model.Start(mode)
-	s.goroutines.Go(func() { s.acceptAll(incarnation, listener) })
+	s.goroutines.Go(func() { s.acceptAll(ctx, listener) })
 	return nil
 }
 
-// acceptAll accepts connections until the listener is closed or the incarnation ends.
-func (s *Server) acceptAll(incarnation context.Context, listener net.Listener) {
+// acceptAll accepts connections until the listener is closed, or until ctx ends with the incarnation.
+func (s *Server) acceptAll(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		if !s.track(incarnation, conn) {
+		if !s.track(ctx, conn) {
 			conn.Close()
 			return
 		}
-		s.goroutines.Go(func() { s.serveConn(incarnation, conn) })
+		s.goroutines.Go(func() { s.serveConn(ctx, conn) })
 	}
 }
 
-// track registers a connection to be reset when the server is killed. It returns false if the incarnation has ended already.
-func (s *Server) track(incarnation context.Context, conn net.Conn) bool {
+// track registers a connection to be reset when the server is killed. It returns false if ctx, and with it the incarnation, has
+// ended already.
+func (s *Server) track(ctx context.Context, conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if incarnation.Err() != nil {
+	if ctx.Err() != nil {
 		return false
 	}
 	s.conns[conn] = true
--- a/internal/gateway/clientlibrary_test.go
+++ b/internal/gateway/clientlibrary_test.go
@@ -15,8 +15,8 @@
 )
 
 // The client library calls the gateway while servers lose responses, reset connections and reject requests. Each call
-// has one outcome within its deadline, tries are numbered and keep their key, none is sent after the deadline or the
-// window, and no rule is violated.
+// has one outcome within its deadline, its attempts are numbered and keep its key, none is sent after the deadline or
+// the deduplication window, and no rule is violated.
 func TestClientLibraryUnderFaults(t *testing.T) {
 	tg := newTestGatewayWith(t, "[clients]\nanswer_margin = 100ms\nstay_away = 40ms\n", serverConfig(0), serverConfig(1), serverConfig(2))
 	for i, s := range tg.servers {
@@ -43,19 +43,19 @@
 			key, lastTry, start := fmt.Sprint("m", i), 0, time.Now()
 			rec := invariant.Record{Effect: key, Workload: name}
 			_, err := lib.Infer(context.Background(), client.Call{Model: fmt.Sprint(name, "-", i%4), IdempotencyKey: key, Timeout: timeout, Workload: workloads[name],
-				BodyFor: func(x client.Attempt) []byte {
-					if x.Number <= lastTry || x.IdempotencyKey != key || x.Remaining <= 0 || x.Remaining > timeout {
-						t.Errorf("call %d: try %+v after try %d", i, x, lastTry)
+				BodyFor: func(attempt client.Attempt) []byte {
+					if attempt.Number <= lastTry || attempt.IdempotencyKey != key || attempt.Remaining <= 0 || attempt.Remaining > timeout {
+						t.Errorf("call %d: try %+v after try %d", i, attempt, lastTry)
 					}
-					if x.Number > 1 {
+					if attempt.Number > 1 {
 						mu.Lock()
 						retries++
 						mu.Unlock()
 					}
-					lastTry = x.Number
-					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", x.Number), tg.log.Now()+x.Remaining.Microseconds()
+					lastTry = attempt.Number
+					rec.Kind, rec.Request, rec.Deadline = invariant.RequestSent, fmt.Sprint(i, ".", attempt.Number), tg.log.Now()+attempt.Remaining.Microseconds()
 					tg.log.Add(rec)
-					return inferRequest(rec.Request, "", x.Remaining).Body
+					return inferRequest(rec.Request, "", attempt.Remaining).Body
 				},
 				AttemptEnded: func(_ client.Attempt, outcome string) {
 					switch rec.Kind, rec.Detail = invariant.ResponseReceived, outcome; outcome {
@@ -82,7 +82,7 @@
 		})
 	}
 	wg.Wait()
-	v := tg.checkRules()
+	report := tg.checkRules()
 	total := 0
 	for _, n := range outcomes {
 		total += n
@@ -90,5 +90,5 @@
 	if total != calls || outcomes["finished"] < calls*9/10 || retries == 0 || retries > calls/5 {
 		t.Errorf("%v, %d retries", outcomes, retries)
 	}
-	t.Logf("%v, %d retries, %d attempts", outcomes, retries, v.Attempts)
+	t.Logf("%v, %d retries, %d attempts", outcomes, retries, report.Attempts)
 }
--- a/internal/gateway/deadline_test.go
+++ b/internal/gateway/deadline_test.go
@@ -25,7 +25,7 @@
 	}
 	call.cancel()
 	if received := <-attempts; received.timeout > call.deadline.Sub(received.receivedAt)+timeoutTolerance || received.timeout < 100*time.Millisecond {
-		t.Errorf("timeout %v with %v left", received.timeout, call.deadline.Sub(received.receivedAt))
+		t.Errorf("the attempt states a timeout of %v with %v left", received.timeout, call.deadline.Sub(received.receivedAt))
 	}
 }
 
@@ -86,7 +86,7 @@
 			}
 		}
 		if left := requestTimeout - received.receivedAt.Sub(start); received.timeout > left+timeoutTolerance || received.timeout < left-timeoutTolerance {
-			t.Errorf("%s: timeout %v with %v left", name, received.timeout, left)
+			t.Errorf("%s: the attempt states a timeout of %v with %v left", name, received.timeout, left)
 		}
 	}
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -170,8 +170,8 @@
 		tg.call(fmt.Sprint(i), fmt.Sprintf("forecast-%d", i%7), time.Second)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if v := tg.checkRules(); v.Rules[2].CheckCount != 1 || v.Succeeded != 60 {
-		t.Errorf("got %+v", v)
+	if report := tg.checkRules(); report.Rules[2].CheckCount != 1 || report.Succeeded != 60 {
+		t.Errorf("want one drain checked and 60 successes: got %+v", report)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 	lastID               control.RequestID
 	pools                map[control.ServerID]*serverPool
 	loadCommandsInFlight int                        // sent to servers and not answered yet
-	prunedAt             control.Micros             // when prune last ran
+	lastPrunedAt         control.Micros             // when prune last ran
 	afterStepFuncs       []func(now control.Micros) // run at the end of this step, then cleared
 	pendingRead          chan struct{}              // closed when the last requested read of the endpoint source ends; nil: none was requested
 	stopping             bool
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -52,8 +52,8 @@
 		}
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Failed == 0 || v.Attempts < 21 {
-		t.Errorf("got %+v", v)
+	if report := tg.checkRules(); report.Failed == 0 || report.Attempts < 21 {
+		t.Errorf("got %+v", report)
 	}
 }
 
@@ -73,8 +73,8 @@
 		}()
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Succeeded == 0 || v.Rejected == 0 {
-		t.Errorf("want both successes and rejections: %+v", v)
+	if report := tg.checkRules(); report.Succeeded == 0 || report.Rejected == 0 {
+		t.Errorf("want both successes and rejections: %+v", report)
 	}
 }
 
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -195,15 +195,15 @@
 		Body: fmt.Appendf(nil, `{"id":%q,"parameters":{"timeout":%d,"effect":%q},"inputs":[]}`, id, timeout.Microseconds(), id)}
 }
 
-// checkRules fails the test for each rule violation in the log.
+// checkRules checks the log against the rules, fails the test for each violation, and returns the report.
 func (tg *testGateway) checkRules() *invariant.Report {
 	tg.t.Helper()
 	report := invariant.Check(invariant.Config{DrainGrace: 500_000, MaxNetworkDelay: 50_000, Zone: make([]string, len(tg.servers)), Cell: make([]string, len(tg.servers)),
 		Classes: map[string]invariant.Class{"ticket": {NonIdempotent: true},
 			"booking": {IdempotentByKey: true, Scope: "fleet", Window: 600_000}}}, tg.log.Records())
-	for _, r := range report.Rules {
-		for _, b := range r.Violations {
-			tg.t.Errorf("rule %d: %s", r.Number, b)
+	for _, rule := range report.Rules {
+		for _, violation := range rule.Violations {
+			tg.t.Errorf("rule %d: %s", rule.Number, violation)
 		}
 	}
 	return report
@@ -221,9 +221,9 @@
 	return sc.exchange(call)
 }
 
-// listenRaw starts a TCP server that passes each connection and its number to a function.
-func listenRaw(t *testing.T, f func(n int, nc *net.TCPConn)) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// listenRaw starts a TCP server that passes each connection and its number, from 0, to handle. It returns its address.
+func listenRaw(t *testing.T, handle func(n int, conn *net.TCPConn)) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 	go func() {
 		defer wg.Done()
 		for n := 0; ; n++ {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -240,12 +240,12 @@
 			go func() {
 				defer wg.Done()
 				defer conn.Close()
-				f(n, conn.(*net.TCPConn))
+				handle(n, conn.(*net.TCPConn))
 			}()
 		}
 	}()
-	t.Cleanup(func() { ln.Close(); wg.Wait() })
-	return ln.Addr().String()
+	t.Cleanup(func() { listener.Close(); wg.Wait() })
+	return listener.Addr().String()
 }
 
 // dialClient opens a raw client connection.
@@ -339,8 +339,8 @@
 	return n
 }
 
-// newCall returns an attempt that is chosen in the next step. It is not dropped because of an old endpoint list or an
-// old check of its client.
+// newCall returns an attempt that is chosen in the next step. It stays valid for an hour longer than usual, so that no
+// delay in the test withdraws it because of an old endpoint list or an old check of its client.
 func (tg *testGateway) newCall(address string, timeout time.Duration) *serverCall {
 	chosen := make(chan *serverCall)
 	tg.gateway.loop.Post(func(control.Micros) { chosen <- tg.gateway.newCall(fleet.ID(address), micros(timeout)) })
@@ -365,8 +365,8 @@
 // delays its next response by that many nanoseconds.
 func startRecordingServer(t *testing.T, nextDelay *atomic.Int64) (address string, attempts chan receivedAttempt) {
 	attempts = make(chan receivedAttempt, 64)
-	return listenRaw(t, func(_ int, nc *net.TCPConn) {
-		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
+	return listenRaw(t, func(_ int, conn *net.TCPConn) {
+		client := rest.NewConn(conn, &rest.DefaultLimits, nil)
 		msg, err := client.ReadRequest()
 		if err != nil {
 			return
--- a/internal/gateway/journal.go
+++ b/internal/gateway/journal.go
@@ -11,9 +11,9 @@
 	"hollymast/kserve"
 )
 
-// journalRefusal returns why a request with a journal key can't be accepted, or "" if it can. Without a working
+// journalRejectionReason returns why a request with a journal key can't be accepted, or "" if it can. Without a working
 // journal, a retry could not be distinguished from a new request.
-func (g *Gateway) journalRefusal(now control.Micros, key persistence.IdempotencyKey) string {
+func (g *Gateway) journalRejectionReason(now control.Micros, key persistence.IdempotencyKey) string {
 	switch {
 	case key == 0:
 	case g.state != nil && g.state.Failing():
--- a/internal/gateway/journal_test.go
+++ b/internal/gateway/journal_test.go
@@ -45,8 +45,8 @@
 	j.Close()
 	tg := newTestGatewayWith(t, stateSection(dir), serverConfig(0), serverConfig(1))
 	for i, c := range []struct {
-		function, mark, want string
-		attempts             int
+		function, key, want string
+		attempts            int
 	}{
 		{"ticket-1", "sent", invariant.Failed, 0},
 		{"ticket-1", "proved", invariant.Succeeded, 1},
@@ -57,8 +57,8 @@
 		{"booking-1", "clock set back", invariant.Rejected, 0},
 	} {
 		id := fmt.Sprint("job-", i)
-		if got := tg.callWithKey(id, c.function, c.mark); got != c.want || tg.attemptsStarted(id, -1) != c.attempts {
-			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.mark, got, tg.attemptsStarted(id, -1), c.want, c.attempts)
+		if got := tg.callWithKey(id, c.function, c.key); got != c.want || tg.attemptsStarted(id, -1) != c.attempts {
+			t.Errorf("%s, %s: got %s with %d attempts, want %s with %d", c.function, c.key, got, tg.attemptsStarted(id, -1), c.want, c.attempts)
 		}
 	}
 }
@@ -77,12 +77,12 @@
 	}
 	old := setJournal(&persistence.Journal{}) // its batches never complete
 	if got := tg.callWithKey("still", "ticket-1", "still"); got != invariant.Rejected || tg.attemptsStarted("still", -1) > 0 {
-		t.Errorf("got %s with %d attempts", got, tg.attemptsStarted("still", -1))
+		t.Errorf("while the journal stalls: got %s with %d attempts", got, tg.attemptsStarted("still", -1))
 	}
 	setJournal(old)
 	old.Close()
 	if got := tg.callWithKey("failing", "ticket-1", "failing"); got != invariant.Rejected || tg.attemptsStarted("failing", -1) > 0 {
-		t.Errorf("got %s with %d attempts", got, tg.attemptsStarted("failing", -1))
+		t.Errorf("after the journal was closed: got %s with %d attempts", got, tg.attemptsStarted("failing", -1))
 	}
 	if got := tg.call("unmarked", "ticket-1", time.Second); got != invariant.Succeeded {
 		t.Errorf("without a key: got %s", got)
@@ -213,7 +213,7 @@
 			msg.Header[kserve.IdempotencyKeyHeader] = []string{id + " again"}
 			resp, _, err := client.Do(msg, time.Now().Add(2*time.Second))
 			if client.Close(); err != nil || resp.Status != 503 || resp.Header["Retry-After"] == nil {
-				t.Errorf("%+v, %v", resp, err)
+				t.Errorf("want status 503 with Retry-After: got %+v, %v", resp, err)
 			}
 		}
 		if i%10 == 9 {
@@ -295,7 +295,7 @@
 	disk.full.Store(true)
 	keeper, keysUnknownUntil = openStateKeeper(config, 1e15, control.New(1e15, 1, control.Deployment{}), zerolog.New(&logs))
 	g := &Gateway{config: config, state: keeper, keysUnknownUntil: keysUnknownUntil}
-	if keeper != nil || g.journalRefusal(1e15, 1) == "" || g.journalRefusal(1e15, 0) != "" {
+	if keeper != nil || g.journalRejectionReason(1e15, 1) == "" || g.journalRejectionReason(1e15, 0) != "" {
 		t.Errorf("%v, keys unknown until %d", keeper, keysUnknownUntil)
 	}
 }
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -29,7 +29,7 @@
 		return errNoRecordDir
 	}
 	header := g.recordHeader()
-	if g.recordingCount++; g.recordingCount > 1 {
+	if g.recordingCount++; g.recordingCount > 1 { // file names begin with the incarnation: a suffix tells recordings apart
 		header.Incarnation += "r" + string(rune('a'+g.recordingCount%26))
 	}
 	writer, err := record.Open(dir, g.config.RecordBounds, header, g.core.Snapshot, g.log)
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -109,7 +109,7 @@
 		g.metrics.overloadRejections.WithLabelValues(reason).Inc()
 		return overloadRejection("a storm of calls: "+reason, decision.RetryAfter, reason)
 	}
-	if reason := g.journalRefusal(now, key); reason != "" {
+	if reason := g.journalRejectionReason(now, key); reason != "" {
 		g.metrics.journalRejections.Inc()
 		return rejection(reason, g.config.Deployment.MaxRetryAfter)
 	}
--- a/internal/gateway/responses.go
+++ b/internal/gateway/responses.go
@@ -25,8 +25,8 @@
 
 // overloadRejection returns a rejection that names the kind of overload.
 func overloadRejection(reason string, retryAfter control.Micros, kind string) *rest.Response {
-	fault := kserve.ErrorBody{Error: reason, Outcome: "pushed back", Overload: kind, RetryAfter: int64(retryAfter)}
-	resp := jsonResponse(503, fault.JSON())
+	body := kserve.ErrorBody{Error: reason, Outcome: "pushed back", Overload: kind, RetryAfter: int64(retryAfter)}
+	resp := jsonResponse(503, body.JSON())
 	if retryAfter > 0 {
 		seconds := (int64(retryAfter) + 999_999) / 1_000_000 // rounded up
 		resp.Header["Retry-After"] = []string{strconv.FormatInt(seconds, 10)}
--- a/internal/gateway/serverconn_test.go
+++ b/internal/gateway/serverconn_test.go
@@ -40,17 +40,17 @@
 func TestServerClosesConnection(t *testing.T) {
 	tg := newTestGateway(t)
 	closed := make(chan struct{}, 8)
-	address := listenRaw(t, func(n int, nc *net.TCPConn) {
-		client := rest.NewConn(nc, &rest.DefaultLimits, nil)
+	address := listenRaw(t, func(n int, conn *net.TCPConn) {
+		client := rest.NewConn(conn, &rest.DefaultLimits, nil)
 		if _, err := client.ReadRequest(); err != nil {
 			return
 		}
 		if n == 1 { // read the request, then reset the connection
-			nc.SetLinger(0)
+			conn.SetLinger(0)
 			return
 		}
 		client.WriteResponse(&rest.Response{Status: 200, Header: rest.Header{}, Body: []byte(`{}`)})
-		nc.Close()
+		conn.Close()
 		closed <- struct{}{}
 	})
 	sc := &serverConn{gateway: tg.gateway, address: address}
--- a/internal/gateway/serverpool.go
+++ b/internal/gateway/serverpool.go
@@ -66,10 +66,10 @@
 // prune closes connections that have been idle for longer than the timeout, and deletes removed servers whose
 // connections have ended.
 func (g *Gateway) prune(now control.Micros) {
-	if now < g.prunedAt+pruneInterval {
+	if now < g.lastPrunedAt+pruneInterval {
 		return
 	}
-	g.prunedAt = now
+	g.lastPrunedAt = now
 	idleTimeout := micros(g.config.ServerIdleTimeout)
 	for id, pool := range g.pools {
 		pool.closeIdleIf(func(sc *serverConn) bool { return now-sc.idleSince > idleTimeout })
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -176,8 +176,8 @@
 		t.Errorf("a request sent just before the stop: got %q, %v", line, err)
 	}
 	wg.Wait()
-	if v := tg.checkRules(); v.Succeeded == 0 {
-		t.Errorf("got %+v", v)
+	if report := tg.checkRules(); report.Succeeded == 0 {
+		t.Errorf("got %+v", report)
 	}
 	if _, err := net.Dial("tcp", tg.gateway.Address()); err == nil {
 		t.Error("it still listens")
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -199,7 +199,8 @@
 	return state
 }
 
-// write writes one generation. It logs the first of consecutive failures and the recovery.
+// write writes the state as the next generation of the state files. It logs the first of consecutive failures and the
+// recovery.
 func (keeper *stateKeeper) write(state *persistence.State) {
 	err := keeper.store.Write(state)
 	switch {
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -61,12 +61,12 @@
 	}
 	// The second router's load reports tell the first one what it has sent, and the load that the server reported.
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		lines, nodes := tg.gateway.view.ReportedLoads()
-		if nodes == 1 && len(lines) == 1 && lines[0].Succeeded == 1 && lines[0].Reports == 1 {
+		stats, followers := tg.gateway.view.ReportedLoads()
+		if followers == 1 && len(stats) == 1 && stats[0].Succeeded == 1 && stats[0].Reports == 1 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d followers report %+v", nodes, lines)
+			t.Fatalf("%d followers report %+v", followers, stats)
 		}
 	}
 	tg.writeEndpoints("ready", "draining", "ready")
--- a/internal/modelserver/dedup.go
+++ b/internal/modelserver/dedup.go
@@ -19,44 +19,45 @@
 
 // isDuplicate reports whether an execution's idempotency key has been seen within the deduplication window. If not, it remembers
 // the key, unless the execution has none or its prefix is excluded.
-func (s *Server) isDuplicate(x *execution) bool {
+func (s *Server) isDuplicate(exec *execution) bool {
 	prefix := s.config.NoDedupPrefix
-	if x.key == "" || prefix != "" && strings.HasPrefix(x.key, prefix) {
+	if exec.key == "" || prefix != "" && strings.HasPrefix(exec.key, prefix) {
 		return false
 	}
 	now := s.clock.Now()
 	if len(s.keys) > keyCleanupThreshold {
 		maps.DeleteFunc(s.keys, func(_ string, k *keyEntry) bool { return now-k.arrivedAt > s.config.DedupWindow })
 	}
-	if original := s.keys[x.key]; original != nil && now-original.arrivedAt <= s.config.DedupWindow {
-		x.keyEntry = original
+	if original := s.keys[exec.key]; original != nil && now-original.arrivedAt <= s.config.DedupWindow {
+		exec.keyEntry = original
 		return true
 	}
-	x.keyEntry = &keyEntry{arrivedAt: now}
-	s.keys[x.key] = x.keyEntry
+	exec.keyEntry = &keyEntry{arrivedAt: now}
+	s.keys[exec.key] = exec.keyEntry
 	return false
 }
 
 // awaitOriginal answers a duplicate if the original request has ended; otherwise it registers the duplicate to be answered then.
-func (s *Server) awaitOriginal(x *execution) {
-	if x.keyEntry.ended {
-		s.endExchange(x.exchange, Response{CacheStatus: control.CacheHit})
+func (s *Server) awaitOriginal(exec *execution) {
+	if exec.keyEntry.ended {
+		s.endExchange(exec.exchange, Response{CacheStatus: control.CacheHit})
 		return
 	}
-	x.keyEntry.waiting = append(x.keyEntry.waiting, x.exchange)
+	exec.keyEntry.waiting = append(exec.keyEntry.waiting, exec.exchange)
 }
 
 // forgetKey removes the idempotency key of a request that did not run, and rejects the duplicates that wait for it.
-func (s *Server) forgetKey(x *execution) {
-	if x.keyEntry == nil {
+func (s *Server) forgetKey(exec *execution) {
+	if exec.keyEntry == nil {
 		return
 	}
-	if s.keys[x.key] == x.keyEntry {
-		delete(s.keys, x.key)
+	if s.keys[exec.key] == exec.keyEntry {
+		delete(s.keys, exec.key)
 	}
-	s.endDuplicates(x.keyEntry, Response{Result: Overloaded, Reason: reasonOriginalNotRun})
+	s.endDuplicates(exec.keyEntry, Response{Result: Overloaded, Reason: reasonOriginalNotRun})
 }
 
+// endDuplicates answers the duplicates that wait for an original request.
 func (s *Server) endDuplicates(original *keyEntry, response Response) {
 	for _, exchange := range original.waiting {
 		s.endExchange(exchange, response)
--- a/internal/modelserver/infer.go
+++ b/internal/modelserver/infer.go
@@ -43,63 +43,63 @@
 // Infer runs a request or rejects it. It calls respond once, possibly before it returns. An unresponsive server, or one that loses
 // the response, calls it only when it is killed.
 func (s *Server) Infer(request Request, respond func(Response)) {
-	x := &execution{key: request.IdempotencyKey, status: control.CacheHit,
+	exec := &execution{key: request.IdempotencyKey, status: control.CacheHit,
 		record: invariant.Record{Server: s.config.Number, Request: request.ID, Effect: request.Effect, Router: request.Router}}
-	s.logExecution(x, invariant.AttemptReceived)
-	x.injected = s.drawFaults()
-	x.exchange = s.openExchange(respond)
+	s.logExecution(exec, invariant.AttemptReceived)
+	exec.injected = s.drawFaults()
+	exec.exchange = s.openExchange(respond)
 	switch {
 	case s.collapsesAtArrival():
-		s.logExecution(x, invariant.ServerCollapsed)
+		s.logExecution(exec, invariant.ServerCollapsed)
 		s.Kill()
 	case s.faults.Unresponsive:
-	case x.injected.resetBefore:
-		s.endExchange(x.exchange, Response{Result: ConnectionReset})
+	case exec.injected.resetBefore:
+		s.endExchange(exec.exchange, Response{Result: ConnectionReset})
 	case s.faults.Overloaded:
-		s.logExecution(x, invariant.AttemptRefused)
-		s.endExchange(x.exchange, Response{Result: Overloaded, Reason: reasonFull})
-	case s.isDuplicate(x):
-		s.logExecution(x, invariant.AttemptDeduplicated)
-		s.awaitOriginal(x)
+		s.logExecution(exec, invariant.AttemptRefused)
+		s.endExchange(exec.exchange, Response{Result: Overloaded, Reason: reasonFull})
+	case s.isDuplicate(exec):
+		s.logExecution(exec, invariant.AttemptDeduplicated)
+		s.awaitOriginal(exec)
 	default:
-		s.admit(x, request.Function)
+		s.admit(exec, request.Function)
 	}
 }
 
 // admit queues an execution for a replica of its function and starts loading one if there is none, or rejects the execution.
-func (s *Server) admit(x *execution, function string) {
+func (s *Server) admit(exec *execution, function string) {
 	r := s.functions[function]
 	if s.config.LoadCommandsOnly && r == nil {
-		s.reject(x, NotLoaded, reasonNotLoaded)
+		s.reject(exec, NotLoaded, reasonNotLoaded)
 		return
 	}
 	switch {
 	case r == nil:
 		if r = s.reserve(function, 1); r == nil {
-			s.reject(x, Overloaded, reasonNoRoom)
+			s.reject(exec, Overloaded, reasonNoRoom)
 			return
 		}
-		x.status = control.CacheMiss
+		exec.status = control.CacheMiss
 		s.startLoad(r, 1, func() {})
 	case r.loaded == 0:
-		x.status = control.CacheLoading
+		exec.status = control.CacheLoading
 	}
 	if s.waiting >= s.config.QueueLimit {
-		s.reject(x, Overloaded, reasonNoRoom)
+		s.reject(exec, Overloaded, reasonNoRoom)
 		return
 	}
 	s.waiting++
 	r.busy++
-	x.replicas = r
-	r.queue = append(r.queue, x)
+	exec.replicas = r
+	r.queue = append(r.queue, exec)
 	s.dispatch(r)
 }
 
 // reject answers an execution that did not run, and the duplicates that wait for it.
-func (s *Server) reject(x *execution, result Result, reason string) {
-	s.forgetKey(x)
-	s.logExecution(x, invariant.AttemptRefused)
-	s.endExchange(x.exchange, Response{Result: result, Reason: reason})
+func (s *Server) reject(exec *execution, result Result, reason string) {
+	s.forgetKey(exec)
+	s.logExecution(exec, invariant.AttemptRefused)
+	s.endExchange(exec.exchange, Response{Result: result, Reason: reason})
 }
 
 // dispatch assigns free lanes of a function's replicas, and free cores, to waiting executions.
@@ -110,34 +110,34 @@
 		r.queue = r.queue[1:]
 	}
 	for s.running < s.config.Cores && len(s.runnable) > 0 {
-		x := s.runnable[0]
+		exec := s.runnable[0]
 		s.runnable = s.runnable[1:]
 		s.waiting--
 		s.running++
-		s.logExecution(x, invariant.AttemptStarted)
-		s.after(s.drawExecutionTime(x.injected.slowdown), func() { s.complete(x) })
+		s.logExecution(exec, invariant.AttemptStarted)
+		s.after(s.drawExecutionTime(exec.injected.slowdown), func() { s.complete(exec) })
 	}
 }
 
 // complete ends an execution that has run, and answers the duplicates that wait for it.
-func (s *Server) complete(x *execution) {
+func (s *Server) complete(exec *execution) {
 	s.running--
-	x.replicas.freeLanes++
-	x.replicas.busy--
-	x.replicas.lastUsed = s.clock.Now()
-	s.logExecution(x, invariant.AttemptEnded)
-	if x.keyEntry != nil {
-		x.keyEntry.ended = true
-		s.endDuplicates(x.keyEntry, Response{CacheStatus: control.CacheHit})
+	exec.replicas.freeLanes++
+	exec.replicas.busy--
+	exec.replicas.lastUsed = s.clock.Now()
+	s.logExecution(exec, invariant.AttemptEnded)
+	if exec.keyEntry != nil {
+		exec.keyEntry.ended = true
+		s.endDuplicates(exec.keyEntry, Response{CacheStatus: control.CacheHit})
 	}
 	switch {
-	case x.injected.lostResponse:
-	case x.injected.resetAfter:
-		s.endExchange(x.exchange, Response{Result: ConnectionReset})
+	case exec.injected.lostResponse:
+	case exec.injected.resetAfter:
+		s.endExchange(exec.exchange, Response{Result: ConnectionReset})
 	default:
-		s.endExchange(x.exchange, Response{CacheStatus: x.status})
+		s.endExchange(exec.exchange, Response{CacheStatus: exec.status})
 	}
-	s.dispatch(x.replicas)
+	s.dispatch(exec.replicas)
 }
 
 // drawExecutionTime returns a random time from 0.6 to 1.4 times the mean, longer in slow start.
@@ -150,7 +150,7 @@
 	return control.Micros(d * max(1, slowdown))
 }
 
-func (s *Server) logExecution(x *execution, kind invariant.Kind) {
-	x.record.Kind = kind
-	s.log(x.record)
+func (s *Server) logExecution(exec *execution, kind invariant.Kind) {
+	exec.record.Kind = kind
+	s.log(exec.record)
 }
--- a/internal/modelserver/modelserver_test.go
+++ b/internal/modelserver/modelserver_test.go
@@ -87,7 +87,7 @@
 	s.infer("a", "y") // rejected: the queue is full
 	s.infer("a", "y") // its key was forgotten, so it is rejected as a request of its own
 	if s.clock.advanceTo(1_000_000); !slices.Equal(s.results(), []Result{Overloaded, Overloaded, Succeeded, Succeeded}) {
-		t.Errorf("responses: %v", s.responses)
+		t.Errorf("want two rejections and then two successes: got %v", s.responses)
 	}
 	started := 0
 	for _, r := range s.log {
@@ -115,7 +115,7 @@
 		t.Errorf("responses before the executions ended: %v", s.responses)
 	}
 	if s.clock.advanceTo(2_000_000); !slices.Equal(s.results(), []Result{Succeeded, Succeeded}) || s.responses[0].CacheStatus != control.CacheMiss {
-		t.Errorf("responses: %v", s.responses)
+		t.Errorf("want two successes, the first with a cache miss: got %v", s.responses)
 	}
 }
 
--- a/internal/modelserver/server.go
+++ b/internal/modelserver/server.go
@@ -28,7 +28,7 @@
 	ConnectionReset
 )
 
-// Response is the response of an exchange.
+// Response is what the server answers to a request or load command.
 type Response struct {
 	Result      Result
 	Reason      string              // for a rejection
--- a/internal/modelserver/store.go
+++ b/internal/modelserver/store.go
@@ -14,7 +14,7 @@
 	blocked   []func() // fetches that have a slot and wait for the store to open
 }
 
-// StoreState is whether a store is open.
+// StoreState says whether a store is open or closed.
 type StoreState bool
 
 // The states of a store.
@@ -51,6 +51,7 @@
 	s.startFetch(done)
 }
 
+// startFetch starts a fetch that has a slot, or keeps it until the store opens.
 func (s *Store) startFetch(done func()) {
 	if s.state == StoreClosed {
 		s.blocked = append(s.blocked, done)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -159,7 +159,8 @@
 	}
 }
 
-// recordAwaitEnd records why the wait for a message ended: because of a deadline, if late, or because of the client.
+// recordAwaitEnd records why the wait for a message ended: the deadline passed if late is set, otherwise the client
+// closed or broke the connection.
 func (c *clientConn) recordAwaitEnd(late bool) {
 	switch {
 	case !late:
--- a/internal/platform/clientfaults_test.go
+++ b/internal/platform/clientfaults_test.go
@@ -71,7 +71,7 @@
 				t.Errorf("%v %s: the idle client is closed: %t", errno, name, closing)
 			}
 			if maxAccepts := int32(20); l.calls.Load() > maxAccepts {
-				t.Errorf("%v %s: %d accepts", errno, name, l.calls.Load())
+				t.Errorf("%v %s: %d calls of Accept", errno, name, l.calls.Load())
 			}
 			conn.Close()
 			peerConn.Close()
@@ -150,26 +150,26 @@
 	readError, writeError atomic.Pointer[syscall.Errno]
 }
 
-func (b *failingConn) opError(op string, errno *syscall.Errno) error {
+func (f *failingConn) opError(op string, errno *syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, *errno)}
 }
 
-func (b *failingConn) Read(p []byte) (int, error) {
-	if b.byteByByte {
+func (f *failingConn) Read(p []byte) (int, error) {
+	if f.byteByByte {
 		p = p[:1]
 	}
-	n, err := b.TCPConn.Read(p)
-	if errno := b.readError.Load(); errno != nil {
-		return 0, b.opError("read", errno)
+	n, err := f.TCPConn.Read(p)
+	if errno := f.readError.Load(); errno != nil {
+		return 0, f.opError("read", errno)
 	}
 	return n, err
 }
 
-func (b *failingConn) Write(p []byte) (int, error) {
-	if errno := b.writeError.Load(); errno != nil {
-		return 0, b.opError("write", errno)
+func (f *failingConn) Write(p []byte) (int, error) {
+	if errno := f.writeError.Load(); errno != nil {
+		return 0, f.opError("write", errno)
 	}
-	return b.TCPConn.Write(p)
+	return f.TCPConn.Write(p)
 }
 
 // A client connection that breaks, in whatever way, is treated as closed by the client: none of its requests is
@@ -187,20 +187,20 @@
 	requests := 0
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
 		syscall.ENOBUFS, syscall.ENOMEM} {
-		for name, breakConn := range map[string]func(b *failingConn, c *testClient){
-			"read": func(b *failingConn, c *testClient) {
-				b.readError.Store(&errno)
+		for name, breakConn := range map[string]func(failing *failingConn, c *testClient){
+			"read": func(failing *failingConn, c *testClient) {
+				failing.readError.Store(&errno)
 				c.conn.Write([]byte{0x93})
 			},
-			"write": func(b *failingConn, c *testClient) {
-				b.writeError.Store(&errno)
+			"write": func(failing *failingConn, c *testClient) {
+				failing.writeError.Store(&errno)
 				c.sendHealthCheck(2)
 			},
 		} {
 			routerConn, peerConn := platformtest.ConnPair(t)
-			b := &failingConn{TCPConn: routerConn.(*net.TCPConn)}
+			failing := &failingConn{TCPConn: routerConn.(*net.TCPConn)}
 			c := newTestClient(t, peerConn)
-			client := r.serveClient(b)
+			client := r.serveClient(failing)
 			requests++
 			c.sendRequest(1, "once", withID(1000+requests)...)
 			var a receivedAttempt
@@ -212,7 +212,7 @@
 			client.mu.Lock()
 			req := client.open[1]
 			client.mu.Unlock()
-			breakConn(b, c)
+			breakConn(failing, c)
 			select {
 			case <-client.closed:
 			case <-time.After(5 * time.Second):
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -19,8 +19,8 @@
 	// messageTimeout bounds the time for the rest of any later message. Clients that send malformed messages must be
 	// disconnected within 3 s; a well-behaved client sends a message in one piece.
 	firstMessageTimeout, messageTimeout = 2 * time.Second, 2 * time.Second
-	// finalReadTime is how long a connection that must close now is still read, even if requests are open on it:
-	// several times lastReadTime.
+	// finalReadTime is how long a connection that must close now, even with requests open on it, is still read: several
+	// times lastReadTime.
 	finalReadTime = 5 * lastReadTime
 	// maxInTransit is how many bytes are still read from a connection that is ending: all that a well-behaved client
 	// may have in transit if half of its open requests have bodies of the maximum length.
@@ -29,7 +29,7 @@
 	// connection and its first request. maxRejecting is how many such connections are read at once: less than half of
 	// the reserved descriptors.
 	rejectReadTime, maxRejecting = 20 * time.Millisecond, 16
-	// clientIdleTimeout is when a connection with no open requests is closed: well-behaved clients close idle
+	// clientIdleTimeout is how long a connection without open requests stays open: well-behaved clients close idle
 	// connections after 4 s, others never do.
 	clientIdleTimeout = 6 * time.Second
 	// maxUnreadByClient bounds the bytes queued for a client: enough for the responses to all requests that it may
@@ -46,8 +46,8 @@
 	// connections per second may arrive while one closes, which takes a last read and a scheduling delay on a shared
 	// core. A quarter of reservedSockets would be enough.
 	closeIdleMargin = 32
-	// extraIdleCloses is how many connections are closed beyond those needed, because choosing them scans all
-	// connections: a few, out of some hundred.
+	// extraIdleCloses is how many more idle connections are closed than needed, because choosing them scans all
+	// connections, which may be some hundred.
 	extraIdleCloses = 8
 	// descriptorWait is how long an accept or a dial waits for a free descriptor: several times as long as closing a
 	// connection takes.
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -32,17 +32,17 @@
 	}
 }
 
-// attemptsInSlowStart runs a router whose server is replaced by one in slow start that claims to have started some
-// time ago. It returns the number of attempts sent to the new server in the first part of slow start and in a part
-// after its end.
+// attemptsInSlowStart runs a router whose server is replaced by a new one that is announced as started some time ago.
+// It returns the number of attempts sent to the new server in the first second of slow start and in a second after its
+// end.
 func attemptsInSlowStart(t *testing.T, ago time.Duration) (first, last int) {
 	const slowStart, part = 2 * time.Second, time.Second
 	previous, next := platformtest.NewModelServer(t), platformtest.NewModelServer(t)
 	known := platformtest.Event(1, "s-0", previous.Address(), "ready")
 	discovery := platformtest.NewDiscovery(t, "127.0.0.1:0", nil, known)
 	config := mustParseConfig(t, platformtest.Deployment{Grace: time.Second}.Configuration(discovery.Address(), known))
-	d := &config.Deployment
-	d.SlowStartDuration, d.SlowStartInitial, d.OverloadWindow, d.OverloadFactor = control.Micros(slowStart.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
+	deployment := &config.Deployment
+	deployment.SlowStartDuration, deployment.SlowStartInitial, deployment.OverloadWindow, deployment.OverloadFactor = control.Micros(slowStart.Microseconds()), 0.25, 250_000, 0.4 // far below the demand
 	r := serveReady(t, newRouter(t, config, zerolog.Nop()))
 	done := make(chan struct{})
 	var clients sync.WaitGroup
@@ -97,7 +97,7 @@
 	t.Logf("started %v ago: %v attempts in the first second and in one after slow start", ago, got)
 	for i, a := range ago {
 		if g := got[i]; g.last < 2*g.first {
-			t.Errorf("announced as started %v ago: %v attempts", a, g)
+			t.Errorf("announced as started %v ago: attempts in slow start and after it %v, want at least twice as many after it", a, g)
 		}
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -128,7 +128,7 @@
 		}
 	}
 	if c.Cores < 0 || math.IsNaN(c.Cores) || c.MemoryMB < 0 || c.Sockets < minSockets {
-		return nil, fmt.Errorf("limits %+v: at least %d sockets, nothing negative", doc.Limits, minSockets)
+		return nil, fmt.Errorf("limits %+v: want at least %d sockets and no negative value", doc.Limits, minSockets)
 	}
 	if c.connectTimeout <= 0 || c.serverIdleTimeout <= 0 || c.maxStreams <= 0 || c.grace <= 0 || c.loadTimeout <= 0 {
 		return nil, errors.New("settings: connect_timeout, conn_idle, streams_per_conn, stop_sending_within and " +
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -143,16 +143,16 @@
 			<-held
 			chosen, release := make(chan *serverCall), make(chan bool)
 			r.loop.Post(func(control.Micros) { // a further attempt is chosen while the step continues
-				s := r.newCall(fleet.ID("s-0"), 1_000_000)
-				s.request, s.attempt, s.timer = r.requests[1], 1, time.NewTimer(time.Hour)
-				s.request.answer.AttemptBegan()
-				chosen <- s
+				call := r.newCall(fleet.ID("s-0"), 1_000_000)
+				call.request, call.attempt, call.timer = r.requests[1], 1, time.NewTimer(time.Hour)
+				call.request.answer.AttemptBegan()
+				chosen <- call
 				<-release
 			})
-			s := <-chosen
+			call := <-chosen
 			leave(c)
-			platformtest.WaitFor(t, "the client's departure is read", s.request.abandoned.Load)
-			if s.canWrite() {
+			platformtest.WaitFor(t, "the client's departure is read", call.request.abandoned.Load)
+			if call.canWrite() {
 				t.Error("the attempt was written")
 			}
 			close(release)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -111,7 +111,7 @@
 	const left = 20 * time.Millisecond
 	call := r.newCall(fleet.ID("s-0"), control.Micros(left.Microseconds()))
 	call.message = &binframe.Attempt{ID: 1}
-	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // not connected yet
+	call.conn = r.newServerConn(r.loop.Now(), r.poolFor(call.server)) // not connected yet
 	defer call.conn.cancelDial()
 	call.conn.writes.post(call.queueEntry(nil))
 	time.Sleep(left + time.Millisecond)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -46,7 +46,7 @@
 	for _, state := range []control.ServerState{control.Draining, control.Removed} {
 		r.listServer(r.loop.Now(), unreachable, state)
 		call := r.newCall(fleet.ID("s-0"), 1_000_000)
-		call.load.Server = call.to
+		call.load.Server = call.server
 		r.dispatch(r.loop.Now(), call, []byte("frame"))
 		if call.conn != nil || len(r.pools) > 0 {
 			t.Errorf("state %d: it has a connection", state)
@@ -61,7 +61,7 @@
 	r := idleRouter(t)
 	r.stepWithServer(unreachable)
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
-	call.conn = &serverConn{pool: r.poolOf(call.to)}
+	call.conn = &serverConn{pool: r.poolFor(call.server)}
 	time.Sleep(2 * time.Millisecond) // the endpoint list ages
 	if !call.canWrite() {
 		t.Fatal("not written")
@@ -232,7 +232,7 @@
 	conn, peerConn := platformtest.ConnPair(t)
 	r.stepWithServer(peerConn.LocalAddr().String())
 	call := r.newCall(fleet.ID("s-0"), 1_000_000)
-	call.conn = r.newServerConn(r.loop.Now(), r.poolOf(call.to)) // not connected yet
+	call.conn = r.newServerConn(r.loop.Now(), r.poolFor(call.server)) // not connected yet
 	defer call.conn.cancelDial()
 	call.conn.writes.post(queuedFrame{data: []byte("late"), checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded})
 	time.Sleep(duration(attempt.MaxEndpointsAge(r.config.grace)) + time.Millisecond)
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -51,7 +51,7 @@
 // prune closes connections that have been idle for three quarters of the servers' idle timeout, so that a call never
 // coincides with the server's own close. It also removes the pools of removed servers whose connections have ended.
 func (r *Router) prune(now control.Micros) {
-	const pruneInterval = 500_000 // idle timeouts are many seconds
+	const pruneInterval = 500_000 // microseconds; idle timeouts are many seconds
 	if now < r.lastPrunedAt+pruneInterval {
 		return
 	}
--- a/internal/platform/endpoints_test.go
+++ b/internal/platform/endpoints_test.go
@@ -16,10 +16,10 @@
 	"hollymast/internal/fleet"
 )
 
-// undialledRouter is a router whose server connections are never dialled; issued are the calls added to it.
+// undialledRouter is a router whose server connections are never dialled.
 type undialledRouter struct {
 	*Router
-	issued []*serverCall
+	issued []*serverCall // the calls added by addCall
 }
 
 // addCall adds an open load command to a server, written or not, on a connection that is connected or not.
@@ -29,7 +29,7 @@
 	}
 	call := r.newCall(to, 1_000_000)
 	call.load.Server, call.id = to, r.loadCommandID()
-	pool := r.poolOf(to)
+	pool := r.poolFor(to)
 	for _, sc := range pool.conns {
 		if !sc.retired && len(sc.open) == 0 {
 			call.conn = sc
--- a/internal/platform/fleetsize_test.go
+++ b/internal/platform/fleetsize_test.go
@@ -25,16 +25,16 @@
 	f := &fleetRouter{Router: r, clock: r.loop.Now()}
 	all := &discovery.UpdateMessage{All: true}
 	for i := range servers {
-		all.Endpoints = append(all.Endpoints, f.target(i, "ready"))
+		all.Endpoints = append(all.Endpoints, f.endpointMessage(i, "ready"))
 	}
 	f.handleEvent(b, all)
 	for i := range servers {
-		r.poolOf(fleet.ID(f.target(i, "").UID))
+		r.poolFor(fleet.ID(f.endpointMessage(i, "").UID))
 	}
 	return f
 }
 
-func (f *fleetRouter) target(i int, state string) discovery.EndpointMessage {
+func (f *fleetRouter) endpointMessage(i int, state string) discovery.EndpointMessage {
 	return discovery.EndpointMessage{UID: fmt.Sprintf("s-%d", i), Address: fmt.Sprintf("127.%d.%d.1:80", i/256, i%256), Zone: "east", Cell: i % 4, State: state,
 		Weight: 4, StartedAtMS: int64(f.revision)}
 }
@@ -56,7 +56,7 @@
 
 // advanceServer moves one server to its next state. n counts the calls.
 func (f *fleetRouter) advanceServer(b testing.TB, n, servers int) {
-	f.handleEvent(b, &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{f.target(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
+	f.handleEvent(b, &discovery.UpdateMessage{Endpoints: []discovery.EndpointMessage{f.endpointMessage(n/len(serverStates)%servers, serverStates[n%len(serverStates)])}})
 }
 
 // Handling an event about one server allocates no more in a large fleet than in a small one.
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -81,10 +81,10 @@
 }
 
 // routerWithClockOffset is idleRouter with a wall clock that was ahead by step when the router started.
-func routerWithClockOffset(t *testing.T, step time.Duration) *Router {
+func routerWithClockOffset(t *testing.T, offset time.Duration) *Router {
 	t.Helper()
 	config := mustParseConfig(t, configText(unreachable))
-	config.wallClock = func() time.Time { return time.Now().Add(step) }
+	config.wallClock = func() time.Time { return time.Now().Add(offset) }
 	return newRouter(t, config, zerolog.Nop())
 }
 
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -254,9 +254,9 @@
 	hook func(n int, err error)
 }
 
-func (x *hookedConn) Read(b []byte) (int, error) {
-	n, err := x.TCPConn.Read(b)
-	x.hook(n, err)
+func (h *hookedConn) Read(b []byte) (int, error) {
+	n, err := h.TCPConn.Read(b)
+	h.hook(n, err)
 	return n, err
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -208,7 +208,7 @@
 		call := r.newCall(id, 1_000_000)
 		call.load.Server = id
 		call.id, call.timer = 1, time.NewTimer(time.Hour)
-		pool := r.poolOf(id)
+		pool := r.poolFor(id)
 		call.conn = r.newServerConn(now, pool)
 		call.conn.open[1] = call
 		r.listServer(now, pool.address, control.Removed)
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -129,10 +129,10 @@
 
 // newCall returns a call to a server chosen in this step, which must end within timeout. writeBefore bounds when it
 // may be written, given the age of the endpoint list.
-func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+func (r *Router) newCall(server control.ServerID, timeout control.Micros) *serverCall {
 	deadline := r.loop.StepTime + timeout
 	return &serverCall{
-		router: r, to: to, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
+		router: r, server: server, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
 		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteDeadline()),
 	}
 }
--- a/internal/platform/servercall.go
+++ b/internal/platform/servercall.go
@@ -21,7 +21,7 @@
 	attempt        control.AttemptID
 	load           control.LoadCommand
 	id             binframe.ID
-	to             control.ServerID
+	server         control.ServerID
 	message        *binframe.Attempt // nil for a load command
 	conn           *serverConn       // nil if no connection was available
 	chosenAt       control.Micros
@@ -117,11 +117,11 @@
 	}
 }
 
-// dispatch queues a call on a connection and starts its timeout. frame is that of a load command; the frame of an
-// attempt is encoded when its first byte is written.
+// dispatch queues a call on a connection and starts its timeout. frame is the encoded load command; it is nil for an
+// attempt, whose frame is encoded when its first byte is written.
 func (r *Router) dispatch(now control.Micros, call *serverCall, frame []byte) {
 	var sc *serverConn
-	if server := r.fleet.Get(call.to); server != nil && server.State == control.Ready {
+	if server := r.fleet.Get(call.server); server != nil && server.State == control.Ready {
 		sc = r.connFor(now, call)
 	}
 	call.timer = time.AfterFunc(duration(max(0, call.deadline-now)), func() {
@@ -140,7 +140,7 @@
 	r.loop.Post(func(now control.Micros) { r.callEnded(now, call, control.NotSent, nil) })
 }
 
-// queueEntry returns the call as an entry of a write queue.
+// queueEntry returns the call as an entry of a write queue. data is the encoded load command; nil for an attempt.
 func (call *serverCall) queueEntry(data []byte) queuedFrame {
 	frame := queuedFrame{data: data, checkAndWrite: call.checkAndWrite, writeEnded: call.writeEnded}
 	if call.message != nil {
@@ -224,10 +224,10 @@
 				replicas = call.load.Replicas // an answer without a count means all requested replicas
 			}
 		}
-		r.core.HandleLoadResult(now, call.to, call.load.Function, result, duration, replicas)
+		r.core.HandleLoadResult(now, call.server, call.load.Function, result, duration, replicas)
 		return
 	}
-	outcome := control.Outcome{Attempt: call.attempt, Server: call.to, Result: result, Duration: duration}
+	outcome := control.Outcome{Attempt: call.attempt, Server: call.server, Result: result, Duration: duration}
 	if answer != nil {
 		outcome.CacheStatus, outcome.Report = answer.CacheStatus, r.report(answer)
 	}
--- a/internal/platform/serverfaults_test.go
+++ b/internal/platform/serverfaults_test.go
@@ -83,7 +83,7 @@
 				for _, c := range callers { // separately, so that this wait does not count towards the time to an answer
 					c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 					if v, err := c.dec.DecodeSlice(); err == nil {
-						t.Errorf("another answer: %v", v[1])
+						t.Errorf("request %v was answered again", v[1])
 					}
 				}
 			})
--- a/internal/platform/serverpool.go
+++ b/internal/platform/serverpool.go
@@ -20,8 +20,8 @@
 	firstByte peak
 }
 
-// poolOf returns the pool of a known server, creating it if necessary.
-func (r *Router) poolOf(id control.ServerID) *serverPool {
+// poolFor returns the pool of a known server, creating it if necessary.
+func (r *Router) poolFor(id control.ServerID) *serverPool {
 	pool := r.pools[id]
 	if pool == nil {
 		server := r.fleet.Get(id)
@@ -37,7 +37,7 @@
 // of a request uses another connection, so that a duplicate answer to the earlier attempt can't be mistaken for its
 // own.
 func (r *Router) connFor(now control.Micros, call *serverCall) *serverConn {
-	pool := r.poolOf(call.to)
+	pool := r.poolFor(call.server)
 	var best *serverConn
 	for _, sc := range pool.conns {
 		if sc.retired || sc.open[call.id] != nil || len(sc.open) >= r.config.maxStreams || call.hasUsed(sc) {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -55,7 +55,7 @@
 	return []stopAction{
 		{min(control.Micros(acceptConnectionsFor/time.Microsecond), max(earliestClose, kill-closeBeforeKill)), r.close},
 		{kill - control.RejectHeldBeforeKill, r.rejectHeld},
-		{kill - answerBeforeKill, r.answerOpenRequests},
+		{kill - answerBeforeKill, r.answerAllInFlight},
 		{kill - stopReadingBeforeKill, r.stopReading},
 	}
 }
@@ -98,8 +98,8 @@
 	})
 }
 
-// answerOpenRequests gives every request in flight a final response, which it would not get after the kill.
-func (r *Router) answerOpenRequests() { r.endRequests(func(*request) bool { return true }) }
+// answerAllInFlight gives every request in flight a final response, which it would not get after the kill.
+func (r *Router) answerAllInFlight() { r.endRequests(func(*request) bool { return true }) }
 
 // endRequests ends those requests in flight for which selected returns true.
 func (r *Router) endRequests(selected func(req *request) bool) {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -54,7 +54,7 @@
 	<-held
 	r.loop.Post(func(now control.Micros) { // a request that has not been written yet
 		r.addRequest(2, r.requests[1].client, now)
-		r.answerOpenRequests()
+		r.answerAllInFlight()
 	})
 	c.expect("1: Aborted")
 	c.expect("2: TryLater")
@@ -69,7 +69,7 @@
 		c := r.dial(t)
 		c.sendRequest(1, class)
 		<-held
-		r.loop.Post(func(control.Micros) { r.answerOpenRequests() })
+		r.loop.Post(func(control.Micros) { r.answerAllInFlight() })
 		c.expect(want)
 	}
 }
--- a/internal/platform/systemcalls_test.go
+++ b/internal/platform/systemcalls_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// A first byte that is retried repeatedly does not delay closing its connection, which the event loop may do.
+// Closing a connection does not wait while the write of a first byte is being retried: the event loop closes
+// connections and must not block.
 func TestCloseDoesNotWaitForFirstByte(t *testing.T) {
 	routerConn, _ := platformtest.ConnPair(t)
 	attempted := make(chan bool, 1)
--- a/internal/platform/trackedconn_test.go
+++ b/internal/platform/trackedconn_test.go
@@ -22,8 +22,8 @@
 	sync.RWMutex
 }
 
-func (s *lockedConn) Read(b []byte) (int, error) {
-	raw, err := s.SyscallConn()
+func (l *lockedConn) Read(b []byte) (int, error) {
+	raw, err := l.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
@@ -34,9 +34,9 @@
 	if err != nil {
 		return 0, err
 	}
-	s.RLock()
-	defer s.RUnlock()
-	return s.TCPConn.Read(b)
+	l.RLock()
+	defer l.RUnlock()
+	return l.TCPConn.Read(b)
 }
 
 // clientDepartures are the ways in which a client abandons its request 1.
@@ -116,7 +116,7 @@
 				close(departed)
 				select {
 				case f := <-written:
-					t.Errorf("a frame of code %d follows", f.Code)
+					t.Errorf("a frame with code %d was written after the client had left", f.Code)
 				case <-time.After(watchedFor):
 				}
 				locked.Unlock()
@@ -130,32 +130,32 @@
 	for how, leave := range clientDepartures {
 		t.Run(how, func(t *testing.T) {
 			routerConn, peerConn := platformtest.ConnPair(t)
-			s := newTrackedConn(routerConn)
-			if !s.readsDescriptor {
+			tracked := newTrackedConn(routerConn)
+			if !tracked.readsDescriptor {
 				t.Fatal("not read from the descriptor")
 			}
 			later := func() time.Time { return time.Now().Add(maxUnreadAge + time.Millisecond) }
 			peerConn.Write([]byte("request"))
 			b := make([]byte, 100)
-			if n, err := s.Read(b); n != 7 || err != nil {
+			if n, err := tracked.Read(b); n != 7 || err != nil {
 				t.Fatalf("read %d, %v", n, err)
 			}
-			if s.upToDate(time.Now()) {
+			if tracked.upToDate(time.Now()) {
 				t.Error("up to date before the first input of a new connection is processed")
 			}
-			s.SetReadDeadline(time.Now().Add(maxUnreadAge))
-			if _, err := s.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
+			tracked.SetReadDeadline(time.Now().Add(maxUnreadAge))
+			if _, err := tracked.Read(b); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatal(err)
 			}
-			if !s.upToDate(later()) {
+			if !tracked.upToDate(later()) {
 				t.Error("not up to date although nothing is unread")
 			}
 			leave(newTestClient(t, peerConn))
 			platformtest.WaitFor(t, "unread input is detected", func() bool {
-				s.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // as if the reader had checked that long ago
-				return !s.upToDate(time.Now())
+				tracked.processedUpTo = time.Now().Add(-maxUnreadAge - 1) // as if the reader had checked that long ago
+				return !tracked.upToDate(time.Now())
 			})
-			if s.processedUpTo = time.Now(); !s.upToDate(time.Now()) {
+			if tracked.processedUpTo = time.Now(); !tracked.upToDate(time.Now()) {
 				t.Error("the socket is checked again although the reader has just checked it")
 			}
 		})
--- a/internal/platformtest/discovery.go
+++ b/internal/platformtest/discovery.go
@@ -91,6 +91,7 @@
 	return d.written
 }
 
+// watch serves one watcher until its connection or the test ends.
 func (d *Discovery) watch(c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
@@ -127,6 +128,7 @@
 	}
 }
 
+// heartbeat sends a watcher the revision of the last event, and reports whether the write succeeded.
 func (d *Discovery) heartbeat(c net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -20,7 +20,7 @@
 	address  string
 	events   []discovery.Event
 	watchers map[net.Conn]bool // value: whether the watch has been silenced
-	// Until then routers may be unable to receive events, so that none counts as announced; zero: no limit.
+	// unreachableUntil is the time until which routers may be unable to receive events: before it, no event counts as announced.
 	unreachableUntil time.Time
 	goroutines       sync.WaitGroup
 	done             chan struct{}
@@ -118,7 +118,7 @@
 	return at, at.Before(d.unreachableUntil)
 }
 
-// extendUnreachable extends the time in which no event counts as announced. The lock is held.
+// extendUnreachable extends the time in which no event counts as announced. The caller holds mu.
 func (d *discoveryService) extendUnreachable(duration time.Duration) {
 	if until := time.Now().Add(duration); until.After(d.unreachableUntil) {
 		d.unreachableUntil = until
@@ -154,7 +154,7 @@
 	}
 }
 
-// heartbeat sends the number of the last event, unless the watch is silenced. It returns false if the connection has closed.
+// heartbeat sends the revision of the last event, unless the watch is silenced. It returns false if the connection has closed.
 func (d *discoveryService) heartbeat(conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/soak/execution.go
+++ b/internal/soak/execution.go
@@ -37,44 +37,44 @@
 const queueLimitPerCore = 8
 
 // accept queues an attempt, after loading its function if necessary.
-func (s *modelServer) accept(x *execution) {
+func (s *modelServer) accept(exec *execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.up {
 		return
 	}
-	if !time.Now().Before(x.request.deadline) {
+	if !time.Now().Before(exec.request.deadline) {
 		if !s.run.scenario.DropsExpired {
-			s.respondLocked(x, expiredCode, "")
+			s.respondLocked(exec, expiredCode, "")
 		}
 		return
 	}
-	f := s.functions[x.request.function]
+	f := s.functions[exec.request.function]
 	if f != nil {
-		x.depth = f.active
+		exec.depth = f.active
 		f.lastUsed = time.Now()
 	}
-	x.link.executions[x.id] = x
+	exec.link.executions[exec.id] = exec
 	switch {
 	case f == nil:
-		x.remark = "booted"
-		s.startLoad(x.request.function, x)
+		exec.remark = "booted"
+		s.startLoad(exec.request.function, exec)
 	case f.loading:
-		x.remark = "rode"
+		exec.remark = "rode"
 		f.active++
-		f.waiting = append(f.waiting, x)
+		f.waiting = append(f.waiting, exec)
 	default:
-		x.remark = "resident"
+		exec.remark = "resident"
 		f.active++
-		s.enqueue(x)
+		s.enqueue(exec)
 	}
 }
 
-// startLoad starts loading a function. x waits for the load; it is nil for a load command. The lock is held.
-func (s *modelServer) startLoad(function uint64, x *execution) {
+// startLoad starts loading a function. exec waits for the load; it is nil for a load command. The caller holds mu.
+func (s *modelServer) startLoad(function uint64, exec *execution) {
 	f := &loadedFunction{loading: true, lastUsed: time.Now()}
-	if x != nil {
-		f.active, f.waiting = 1, []*execution{x}
+	if exec != nil {
+		f.active, f.waiting = 1, []*execution{exec}
 	}
 	s.evict()
 	s.functions[function] = f
@@ -95,7 +95,7 @@
 }
 
 // evict unloads the least recently used idle function if the server holds MaxLoadedFunctions. If none is idle, it unloads nothing.
-// The lock is held.
+// The caller holds mu.
 func (s *modelServer) evict() {
 	if len(s.functions) < s.run.scenario.MaxLoadedFunctions {
 		return
@@ -112,81 +112,81 @@
 	}
 }
 
-// enqueue queues an execution whose function is loaded, or rejects it if the queue is full. The lock is held.
-func (s *modelServer) enqueue(x *execution) {
-	if x.cancelled {
-		s.release(x)
+// enqueue queues an execution whose function is loaded, or rejects it if the queue is full. The caller holds mu.
+func (s *modelServer) enqueue(exec *execution) {
+	if exec.cancelled {
+		s.release(exec)
 		return
 	}
 	if len(s.queue) >= queueLimitPerCore*s.run.scenario.Cores {
-		s.release(x)
-		s.respondLocked(x, fullCode, "")
+		s.release(exec)
+		s.respondLocked(exec, fullCode, "")
 		return
 	}
-	s.queue = append(s.queue, x)
+	s.queue = append(s.queue, exec)
 	s.startNext()
 }
 
-// release ends an execution's use of its function. The lock is held.
-func (s *modelServer) release(x *execution) {
-	if f := s.functions[x.request.function]; f != nil {
+// release ends an execution's use of its function. The caller holds mu.
+func (s *modelServer) release(exec *execution) {
+	if f := s.functions[exec.request.function]; f != nil {
 		f.active = max(0, f.active-1)
 	}
 }
 
-// startNext starts queued executions while cores are free. The lock is held.
+// startNext starts queued executions while cores are free. The caller holds mu.
 func (s *modelServer) startNext() {
 	scenario := s.run.scenario
 	for s.running < scenario.Cores && len(s.queue) > 0 {
-		x := s.queue[0]
+		exec := s.queue[0]
 		s.queue = s.queue[1:]
-		if x.cancelled {
-			s.release(x)
+		if exec.cancelled {
+			s.release(exec)
 			continue
 		}
-		x.started = true
+		exec.started = true
 		s.running++
 		capacity := 1.0
 		if !s.startedAt.IsZero() {
 			capacity = scenario.slowStartCapacity(time.Since(s.startedAt))
 		}
-		duration := time.Duration(float64(x.request.work) / s.speed / capacity)
+		duration := time.Duration(float64(exec.request.work) / s.speed / capacity)
 		listener := s.listener
-		time.AfterFunc(duration, func() { s.finish(x, listener) })
+		time.AfterFunc(duration, func() { s.finish(exec, listener) })
 	}
 }
 
 // finish responds to an execution that has run. It does nothing if the server has been stopped or restarted since.
-func (s *modelServer) finish(x *execution, listener net.Listener) {
+func (s *modelServer) finish(exec *execution, listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listener != listener || !s.up {
 		return
 	}
 	s.running--
-	s.release(x)
-	s.respondLocked(x, okCode, x.remark)
+	s.release(exec)
+	s.respondLocked(exec, okCode, exec.remark)
 	s.startNext()
 }
 
-// respondLocked sends the response to an attempt, or withholds it while the server hangs. The lock is held.
-func (s *modelServer) respondLocked(x *execution, code byte, remark string) {
-	delete(x.link.executions, x.id)
-	if x.cancelled {
+// respondLocked sends the response to an attempt, or withholds it while the server hangs. The caller holds mu.
+func (s *modelServer) respondLocked(exec *execution, code byte, remark string) {
+	delete(exec.link.executions, exec.id)
+	if exec.cancelled {
 		return
 	}
 	if code == fullCode || code == expiredCode {
-		s.run.ledger.recordNotRun(x.request, x.attempt)
+		s.run.ledger.recordNotRun(exec.request, exec.attempt)
 	}
 	var fields []string
 	if remark != "" {
 		fields = append(fields, "remark="+remark)
 	}
-	if x.depth > 0 {
-		fields = append(fields, "depth="+strconv.Itoa(x.depth))
+	if exec.depth > 0 {
+		fields = append(fields, "depth="+strconv.Itoa(exec.depth))
 	}
-	frame := platformtest.AnswerFrame(code, x.id, strings.Join(fields, ","), x.body)
-	send := func() { s.run.deliverResponse(x.link, frame, code == okCode) }
+	frame := platformtest.AnswerFrame(code, exec.id, strings.Join(fields, ","), exec.body)
+	send := func() { s.run.deliverResponse(exec.link, frame, code == okCode) }
 	if s.hung {
 		s.withheld = append(s.withheld, send)
 		return
--- a/internal/soak/lag.go
+++ b/internal/soak/lag.go
@@ -22,7 +22,7 @@
 const (
 	lagTick      = 5 * time.Millisecond
 	lagThreshold = 3 * time.Millisecond
-	// Samples taken up to lagWindow before an observation count towards its tolerance.
+	// lagWindow is how long before an observation a sample may be taken and still count towards the observation's tolerance.
 	lagWindow = time.Second
 )
 
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -116,6 +116,7 @@
 	l.reportLocked(at, rule, format, args...)
 }
 
+// reportLocked is report for callers that hold mu.
 func (l *ledger) reportLocked(at time.Time, rule Rule, format string, args ...any) {
 	l.violations = append(l.violations, Violation{rule, at.Sub(l.startedAt), fmt.Sprintf(format, args...)})
 }
@@ -142,7 +143,7 @@
 	return r, len(r.attempts) - 1
 }
 
-// checkAttempt checks whether a router was allowed to send an attempt, given the earlier ones. The lock is held.
+// checkAttempt checks whether a router was allowed to send an attempt, given the earlier ones. The caller holds mu.
 func (l *ledger) checkAttempt(r *requestRecord, at time.Time, server string) {
 	const cancelDelay = 100 * time.Millisecond // an attempt may still start this long after the client has cancelled or disconnected
 	tolerance := timingTolerance + l.lag.maxBefore(at)
@@ -201,8 +202,8 @@
 	r.closedAt, r.closeCause, r.connWasIdle = at, cause, wasIdle
 }
 
-// resendWindow: clients resend a request on their own if its connection was otherwise idle and closed within this time after the
-// request was sent.
+// resendWindow is how soon after a request was sent its connection must close for the client to resend the request on its own,
+// provided that the connection was otherwise idle.
 const resendWindow = 50 * time.Millisecond
 
 // checkResponses checks, at the end of a run, whether each request got exactly one response in time.
@@ -219,7 +220,7 @@
 // and completes a step of its event loop.
 const stallRecoveryTime = 300 * time.Millisecond
 
-// checkResponse checks the responses to one request. The lock is held.
+// checkResponse checks the responses to one request. The caller holds mu.
 func (l *ledger) checkResponse(r *requestRecord) {
 	const responseGrace = 500 * time.Millisecond // a response later than this after the deadline counts as missing
 	latest := r.deadline.Add(responseGrace + timingTolerance + l.lag.maxBefore(r.deadline))
@@ -272,6 +273,7 @@
 	Failed   int
 }
 
+// count returns the totals of the requests recorded so far.
 func (l *ledger) count() (c Counts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -106,8 +106,8 @@
 	s.up = false
 	s.listener.Close()
 	s.resetLocked()
-	for _, x := range s.queue {
-		x.cancelled = true
+	for _, exec := range s.queue {
+		exec.cancelled = true
 	}
 }
 
@@ -123,8 +123,8 @@
 			tcp.SetLinger(0)
 		}
 		conn.Close()
-		for _, x := range link.executions {
-			x.cancelled = true
+		for _, exec := range link.executions {
+			exec.cancelled = true
 		}
 	}
 }
@@ -144,8 +144,8 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
-		for _, x := range link.executions {
-			x.cancelled = true
+		for _, exec := range link.executions {
+			exec.cancelled = true
 		}
 	}()
 	in := bufio.NewReader(conn)
@@ -197,8 +197,8 @@
 	case cancelCode:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if x := link.executions[frame.ID]; x != nil && !x.started {
-			x.cancelled = true
+		if exec := link.executions[frame.ID]; exec != nil && !exec.started {
+			exec.cancelled = true
 			delete(link.executions, frame.ID)
 		}
 	case unloadCode:
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -26,7 +26,8 @@
 	closedByExit     closeCause = "by the router's end"
 )
 
-// lateRequestWindow: requests sent up to this long after SIGTERM may still be unanswered when the router is killed.
+// lateRequestWindow is the time after SIGTERM up to which a request may be sent and still be unanswered when the router is killed.
+// Later requests must be answered before the kill.
 const lateRequestWindow = 700 * time.Millisecond
 
 // router is one router of the fleet. Its process may be restarted during the run.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -218,6 +218,7 @@
 	}
 }
 
+// drawRequest draws the parameters of a request.
 func (r *run) drawRequest(random *rand.Rand) requestParams {
 	pick, function := random.Float64(), 0
 	for function < len(r.popularity)-1 && r.popularity[function] < pick {
@@ -235,6 +236,7 @@
 		work: time.Duration(float64(r.scenario.MeanExecutionTime) * r.relativeWork[function] * factor)}
 }
 
+// drawClass draws a class, each with a probability proportional to its Share.
 func (r *run) drawClass(random *rand.Rand) *Class {
 	sum := 0.0
 	for _, class := range r.scenario.Classes {
@@ -246,7 +248,7 @@
 			return &r.scenario.Classes[n]
 		}
 	}
-	return &r.scenario.Classes[0]
+	return &r.scenario.Classes[0] // only after a rounding error in the sum
 }
 
 // firstFunctionID is the ID of the first function; the others follow it.
--- a/internal/soak/servers.go
+++ b/internal/soak/servers.go
@@ -22,8 +22,8 @@
 	announcements int // counts its announcements, so that a delayed one does not override a newer one
 }
 
-// target returns the server's entry in the endpoint list.
-func (s *modelServer) target(state string, startedAt time.Time) discovery.EndpointMessage {
+// endpointMessage returns the server's entry in the endpoint list.
+func (s *modelServer) endpointMessage(state string, startedAt time.Time) discovery.EndpointMessage {
 	message := discovery.EndpointMessage{UID: s.uid, Address: s.address, Zone: s.zone, Cell: s.cell, Weight: 1, State: state}
 	if s.run.scenario.WeightedEndpoints {
 		message.Weight = s.speed * float64(s.run.scenario.Cores)
@@ -57,7 +57,7 @@
 			return err
 		}
 		s.state = stateReady
-		update.Endpoints = append(update.Endpoints, s.target(stateReady, time.Time{}))
+		update.Endpoints = append(update.Endpoints, s.endpointMessage(stateReady, time.Time{}))
 	}
 	r.discovery.publish(update, func(time.Time) {})
 	return nil
@@ -111,7 +111,7 @@
 		if state == stateReady {
 			s.drainDeadline = time.Time{}
 		}
-		update.Endpoints = append(update.Endpoints, s.target(state, s.startedAt))
+		update.Endpoints = append(update.Endpoints, s.endpointMessage(state, s.startedAt))
 		s.mu.Unlock()
 	}
 	r.mu.Unlock()
