--- a/internal/fakeserver/controlplane.go
+++ b/internal/fakeserver/controlplane.go
@@ -78,6 +78,7 @@
 	return time.Now()
 }
 
+// notifyStreams makes all streams check for pending messages. The caller holds mu.
 func (p *ControlPlane) notifyStreams() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/fakeserver/deltastream.go
+++ b/internal/fakeserver/deltastream.go
@@ -15,6 +15,7 @@
 	subscriptions subscriptions
 }
 
+// handle updates the subscription that a request is about.
 func (s *deltaStream) handle(r *discovery.DeltaDiscoveryRequest) {
 	sub := s.subscriptions[r.TypeUrl]
 	if sub == nil {
@@ -36,6 +37,7 @@
 	}
 }
 
+// pending returns a response for each resource type with resources that have changed or were removed since they were last sent.
 func (s *deltaStream) pending() (messages []proto.Message) {
 	for _, url := range resourceTypes {
 		sub := s.subscriptions[url]
--- a/internal/fakeserver/fullstream.go
+++ b/internal/fakeserver/fullstream.go
@@ -15,6 +15,7 @@
 	subscriptions subscriptions
 }
 
+// handle updates the subscription that a request is about.
 func (s *fullStream) handle(r *discovery.DiscoveryRequest) {
 	sub := s.subscriptions[r.TypeUrl]
 	if sub == nil || r.ResponseNonce != "" && r.ResponseNonce != sub.nonce {
@@ -31,6 +32,7 @@
 	sub.active, sub.names = true, names
 }
 
+// pending returns a response with all subscribed resources for each resource type that has changed since the last response.
 func (s *fullStream) pending() (messages []proto.Message) {
 	for _, url := range resourceTypes {
 		sub := s.subscriptions[url]
--- a/internal/fakeserver/resources.go
+++ b/internal/fakeserver/resources.go
@@ -37,6 +37,7 @@
 	return resources
 }
 
+// edsCluster returns a cluster whose endpoints are sent over the same stream.
 func edsCluster(name string) *cluster.Cluster {
 	ads := &core.ConfigSource{ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}}}
 	return &cluster.Cluster{Name: name, ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
@@ -62,6 +63,7 @@
 	return assignment
 }
 
+// lbEndpoint returns an endpoint as part of an xDS resource; its start time is sent as metadata.
 func lbEndpoint(e Endpoint) *endpoint.LbEndpoint {
 	host, port, _ := net.SplitHostPort(e.Address)
 	number, _ := strconv.Atoi(port)
--- a/internal/fakeserver/streams.go
+++ b/internal/fakeserver/streams.go
@@ -36,8 +36,8 @@
 
 // stream is a stream of one protocol variant. All methods except send are called with the control plane's lock held.
 type stream[Request any] interface {
-	handle(Request)
-	pending() []proto.Message
+	handle(Request)           // handles a request of the client: a subscription or an acknowledgement
+	pending() []proto.Message // returns the responses that are due, and records them as sent
 	send(proto.Message) error
 }
 
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -98,9 +98,9 @@
 	r.finish(req, nil)
 }
 
-// Forward starts an attempt of a request on a server; the attempt must end within timeout. Like Reject, Fail,
-// CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer, it implements core.Executor; the core calls these
-// methods within a step.
+// Forward starts an attempt of a request on a server; the attempt must end within timeout. Forward, Reject, Fail,
+// CancelAttempt, Load, SubscribeEndpoints, LogServerEvent and SetTimer implement core.Executor; the core calls them
+// within a step.
 func (r *Router) Forward(
 	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
 ) {
--- a/internal/platform/writequeue.go
+++ b/internal/platform/writequeue.go
@@ -26,7 +26,7 @@
 	// firstWrite writes the first bytes of a frame that has checkAndWrite; nil means the system call.
 	firstWrite func(fd int, b []byte) (int, error)
 	// written, if not nil, is closed when nothing more will be written. In that case only the write direction of the
-	// connection is closed after the last frame, and whoever reads the other direction closes the connection.
+	// connection is closed after the last frame, and the goroutine that reads closes the connection.
 	written chan struct{}
 }
 
--- a/internal/platformtest/modelserver.go
+++ b/internal/platformtest/modelserver.go
@@ -80,6 +80,7 @@
 	s.holdBack(func(frame []byte) []byte { return frame[:len(frame)/2] })
 }
 
+// holdBack makes hold decide which part of each further answer is written immediately; the rest is held back.
 func (s *ModelServer) holdBack(hold func(frame []byte) (now []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,6 +98,7 @@
 	s.held = nil
 }
 
+// answer writes an answer, or holds back what is to be held back.
 func (s *ModelServer) answer(c net.Conn, frame []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,6 +111,7 @@
 	c.Write(frame)
 }
 
+// serve records the frames of a connection and answers attempts and load commands until the connection closes.
 func (s *ModelServer) serve(c net.Conn) {
 	s.mu.Lock()
 	s.accepted++
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -99,6 +99,7 @@
 	s.stopLocked()
 }
 
+// stopLocked is stop for callers that hold mu.
 func (s *modelServer) stopLocked() {
 	if !s.up {
 		return
@@ -111,12 +112,14 @@
 	}
 }
 
+// resetConns resets all connections and cancels the executions that arrived on them.
 func (s *modelServer) resetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resetLocked()
 }
 
+// resetLocked is resetConns for callers that hold mu.
 func (s *modelServer) resetLocked() {
 	for conn, link := range s.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
@@ -249,6 +252,7 @@
 	time.AfterFunc(s.run.loadTime(function), func() { s.run.deliverResponse(link, response, false) })
 }
 
+// send writes a frame and ignores errors.
 func (link *serverLink) send(frame []byte) {
 	link.write.Lock()
 	defer link.write.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -254,8 +254,10 @@
 // firstFunctionID is the ID of the first function; the others follow it.
 const firstFunctionID = 0x7f3a9c21e0b40000
 
+// functionID returns the ID of the nth function.
 func functionID(n int) uint64 { return firstFunctionID + uint64(n) }
 
+// loadTime returns how long it takes to load a function, given its ID.
 func (r *run) loadTime(function uint64) time.Duration {
 	return r.loadTimes[int(function-firstFunctionID)%len(r.loadTimes)]
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -193,7 +193,7 @@
 // rollInterval is the time between the starts of two rolls of servers, about as long as a roll takes.
 const rollInterval = 6 * time.Second
 
-// drawFaults draws the faults: rolling restarts of servers throughout the run, and some faults of other kinds besides.
+// drawFaults draws the faults: rolling restarts of servers throughout the run, and three to eight faults of other kinds.
 func drawFaults(random *rand.Rand, s *Scenario) []Fault {
 	var faults []Fault
 	for at := 3 * time.Second; at < s.TrafficDuration-rollInterval; at += rollInterval {
@@ -231,6 +231,7 @@
 	return faults
 }
 
+// speed returns the speed of the nth server.
 func (s *Scenario) speed(nth int) float64 {
 	if nth%2 == 1 {
 		return s.SlowSpeed
