--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -98,9 +98,9 @@
 	r.finish(req, nil)
 }
 
-// Forward starts an attempt of a request on a server; the attempt must end within timeout. Like Reject, Fail,
-// CancelAttempt, Load, SubscribeEndpoints, Log and SetTimer, it implements core.Executor; the core calls these
-// methods within a step.
+// Forward starts an attempt of a request on a server; the attempt must end within timeout. Forward, Reject, Fail,
+// CancelAttempt, Load, SubscribeEndpoints, LogServerEvent and SetTimer implement core.Executor; the core calls them
+// within a step.
 func (r *Router) Forward(
 	coreReq *control.Request, attemptID control.AttemptID, to control.ServerID, timeout control.Micros,
 ) {
@@ -129,10 +129,10 @@
 
 // newCall returns a call to a server chosen in this step, which must end within timeout. writeBefore bounds when it
 // may be written, given the age of the endpoint list.
-func (r *Router) newCall(to control.ServerID, timeout control.Micros) *serverCall {
+func (r *Router) newCall(server control.ServerID, timeout control.Micros) *serverCall {
 	deadline := r.loop.StepTime + timeout
 	return &serverCall{
-		router: r, to: to, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
+		router: r, server: server, chosenAt: r.loop.StepTime, deadline: deadline, clientDeadline: deadline,
 		endpointsAsOf: r.loop.EndpointsAsOf, writeBefore: min(deadline, r.loop.WriteDeadline()),
 	}
 }
--- a/internal/soak/modelserver.go
+++ b/internal/soak/modelserver.go
@@ -99,6 +99,7 @@
 	s.stopLocked()
 }
 
+// stopLocked is stop for callers that hold mu.
 func (s *modelServer) stopLocked() {
 	if !s.up {
 		return
@@ -106,25 +107,27 @@
 	s.up = false
 	s.listener.Close()
 	s.resetLocked()
-	for _, x := range s.queue {
-		x.cancelled = true
+	for _, exec := range s.queue {
+		exec.cancelled = true
 	}
 }
 
+// resetConns resets all connections and cancels the executions that arrived on them.
 func (s *modelServer) resetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resetLocked()
 }
 
+// resetLocked is resetConns for callers that hold mu.
 func (s *modelServer) resetLocked() {
 	for conn, link := range s.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		conn.Close()
-		for _, x := range link.executions {
-			x.cancelled = true
+		for _, exec := range link.executions {
+			exec.cancelled = true
 		}
 	}
 }
@@ -144,8 +147,8 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
-		for _, x := range link.executions {
-			x.cancelled = true
+		for _, exec := range link.executions {
+			exec.cancelled = true
 		}
 	}()
 	in := bufio.NewReader(conn)
@@ -197,8 +200,8 @@
 	case cancelCode:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if x := link.executions[frame.ID]; x != nil && !x.started {
-			x.cancelled = true
+		if exec := link.executions[frame.ID]; exec != nil && !exec.started {
+			exec.cancelled = true
 			delete(link.executions, frame.ID)
 		}
 	case unloadCode:
@@ -249,6 +252,7 @@
 	time.AfterFunc(s.run.loadTime(function), func() { s.run.deliverResponse(link, response, false) })
 }
 
+// send writes a frame and ignores errors.
 func (link *serverLink) send(frame []byte) {
 	link.write.Lock()
 	defer link.write.Unlock()
