--- a/client/call.go
+++ b/client/call.go
@@ -35,13 +35,13 @@
 // retryClass converts the workload into a class of package retry.
 func (w Workload) retryClass() retry.Class {
 	class := retry.Class{
-		Effect:        controlEffects[w.Effect],
-		Window:        control.Micros(w.KeyWindow.Microseconds()),
+		Idempotency:   controlEffects[w.Effect],
+		DedupWindow:   control.Micros(w.KeyWindow.Microseconds()),
 		KeysPersisted: w.KeysPersisted,
 		HedgeSafe:     w.Hedge,
 	}
 	if w.PartialKeyScope {
-		class.Scope = control.OneZone
+		class.DedupScope = control.OneZone
 	}
 	return class
 }
--- a/cmd/hmexplain/main_test.go
+++ b/cmd/hmexplain/main_test.go
@@ -13,7 +13,7 @@
 	decidedRequest = 100                                          // a request about which the recording contains decisions
 )
 
-func TestQuestion(t *testing.T) {
+func TestQuery(t *testing.T) {
 	q, err := cli{Request: decidedRequest, WhatIf: "drain=2"}.query([]string{recording})
 	if err != nil || q.Request != decidedRequest || q.WhatIf == nil || *q.WhatIf != (explain.Change{Kind: explain.ChangeDrain, Server: 2}) {
 		t.Errorf("got %+v, %v", q, err)
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -25,7 +25,7 @@
 }
 
 // An exchange provably did not run only if nothing was written or the peer refused the handshake.
-func TestBrokenResult(t *testing.T) {
+func TestInterruptedResult(t *testing.T) {
 	for reason, want := range map[InterruptReason]bool{ClosedByPeer: false, AbortedLocally: false, DeadlineExceeded: false, CertificateRejected: true} {
 		if InterruptedResult(true, reason).ProvesNotRun() != want || !InterruptedResult(false, reason).ProvesNotRun() {
 			t.Errorf("%d: %v, %v", reason, InterruptedResult(true, reason), InterruptedResult(false, reason))
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -27,7 +27,7 @@
 }
 
 // A limited wait still differs from client to client, and later waits keep growing.
-func TestNextWithinKeepsChanceAndGrowth(t *testing.T) {
+func TestNextWithinKeepsJitterAndGrowth(t *testing.T) {
 	const limit = 100 * time.Millisecond
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(20) {
--- a/internal/certstore/handshake_test.go
+++ b/internal/certstore/handshake_test.go
@@ -14,7 +14,7 @@
 
 // A rejected client always gets the TLS alert, although it has already sent its whole request. Without the alert it could not tell that the
 // server did not read the request.
-func TestRejectedClientLearnsIt(t *testing.T) {
+func TestRejectedClientGetsAlert(t *testing.T) {
 	a, b := authority.New("a"), authority.New("b")
 	server, _ := newStore(t, a.Issue(loopback), a.CertificatePEM(), nil)
 	client, _ := newStore(t, b.Issue(loopback), a.CertificatePEM(), nil)
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -6,7 +6,7 @@
 	"hollymast/control"
 )
 
-func TestReport(t *testing.T) {
+func TestLoadReport(t *testing.T) {
 	got := LoadReport([]string{"x1", "cpu_share"}, []float32{3, 0.5, 9})
 	if want := (control.LoadReport{Utilization: 0.5, PendingLoads: 3, PinnedMemory: -1}); got == nil || *got != want {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -31,7 +31,7 @@
 	private int
 }
 
-func TestUntagged(t *testing.T) {
+func TestUntaggedFields(t *testing.T) {
 	if got := UntaggedFields(reflect.TypeOf(&outer{})); !slices.Equal(got, []string{"golden.inner.Untagged"}) {
 		t.Errorf("got %q", got)
 	}
--- a/internal/history/store_test.go
+++ b/internal/history/store_test.go
@@ -57,7 +57,7 @@
 }
 
 // A corrupt file causes an error and never a panic; once it is in quarantine, a new file can be created.
-func TestDamagedFiles(t *testing.T) {
+func TestCorruptFiles(t *testing.T) {
 	dir := t.TempDir()
 	name := filepath.Join(dir, "h.db")
 	var rows []Row
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestCheckTellsEveryFault(t *testing.T) {
+func TestCheckReportsEveryProblem(t *testing.T) {
 	f, err := Parse("f.ini", []byte("stray = 1\n[a]\nn = x\nn = 2\nspan = 5\nword = c\n; comment\nextra = 1\n\n[b]\n[c]\nlate = 99\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/modelcheck/exploration_test.go
+++ b/internal/modelcheck/exploration_test.go
@@ -26,7 +26,7 @@
 }
 
 // No property fails in small systems that are explored completely, and the number of states is reproducible.
-func TestSmallWorlds(t *testing.T) {
+func TestSmallConfigs(t *testing.T) {
 	for name, test := range map[string]struct {
 		config Config
 		states int
--- a/internal/msgrpc/msgrpc.go
+++ b/internal/msgrpc/msgrpc.go
@@ -57,8 +57,8 @@
 	IdempotencyKey string // 32 hex digits; empty if there is none
 	Lanes          int    // 0 if not specified
 	MemoryMB       float64
-	LoadTime       control.Micros
-	Work           control.Micros
+	LoadTimeHint   control.Micros
+	ExecTimeHint   control.Micros
 	Body           []byte
 }
 
@@ -336,7 +336,7 @@
 		case "memory_mb":
 			r.MemoryMB = v
 		case "load_ms":
-			r.LoadTime = control.Micros(v * 1000)
+			r.LoadTimeHint = control.Micros(v * 1000)
 		}
 	}
 	return ""
--- a/internal/overload/admission_test.go
+++ b/internal/overload/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 // The retry delays of rejected requests are spread out, within the longest delay that clients respect.
-func TestPausesSpread(t *testing.T) {
+func TestRetryDelaysAreSpread(t *testing.T) {
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
 	byTenth := map[control.Micros]int{} // of a second
@@ -33,7 +33,7 @@
 
 // A retry after its delay is admitted; one that comes too early, marked as a retry or not, is given the same time
 // again.
-func TestPauseIsHonoured(t *testing.T) {
+func TestRetryDelayIsHonoured(t *testing.T) {
 	c, now := newCalmController(t)
 	now, _ = simulate(c, now, 1000*ms, traffic{100, 500, 0})
 	const key = 5
--- a/internal/persistence/journal_encoding_test.go
+++ b/internal/persistence/journal_encoding_test.go
@@ -6,7 +6,7 @@
 )
 
 // A corrupt journal is read up to the first corrupt frame and no further.
-func TestJournalIsReadUpToItsDamage(t *testing.T) {
+func TestJournalIsReadUpToFirstCorruptFrame(t *testing.T) {
 	entries := testEntries(12)
 	b := []byte(journalMagic)
 	var ends []int
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -52,7 +52,7 @@
 	}
 	r.requests[req.id] = req
 	err := r.core.Add(now, control.Request{ID: req.id, Class: req.class, Tenant: req.tenant, Function: req.message.FunctionID(),
-		Lanes: req.message.Lanes, ExecTimeHint: req.message.Work, LoadTimeHint: req.message.LoadTime, ArrivedAt: now,
+		Lanes: req.message.Lanes, ExecTimeHint: req.message.ExecTimeHint, LoadTimeHint: req.message.LoadTimeHint, ArrivedAt: now,
 		Deadline: max(now, req.arrivedAt+req.message.Timeout-networkDelay), Timeout: req.message.Timeout - networkDelay, IsRetry: req.message.IsRetry})
 	if err != nil {
 		r.log.Error().Err(err).Msg("request not accepted")
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -11,11 +11,11 @@
 
 // Class describes the requests of a class as far as their client knows.
 type Class struct {
-	Effect control.Idempotency
-	// Scope and Window apply to IdempotentByKey: which servers recognize a key, and for how long.
-	Scope         control.DedupScope
-	Window        control.Micros
-	KeysPersisted bool // routers recognize keys across restarts: the same router may get a request again, whatever its effect
+	Idempotency control.Idempotency
+	// DedupScope and DedupWindow apply to IdempotentByKey: which servers recognize a key, and for how long.
+	DedupScope    control.DedupScope
+	DedupWindow   control.Micros
+	KeysPersisted bool // routers recognize keys across restarts: the same router may get a request again even if it is non-idempotent
 	HedgeSafe     bool // two concurrent attempts do no harm
 }
 
@@ -81,10 +81,10 @@
 // mayRetry reports whether another attempt does no harm even if the earlier ones ran.
 func (c *Call) mayRetry(now control.Micros) bool {
 	switch {
-	case c.firstMayHaveRun == 0 || c.Class.Effect == control.Idempotent || c.pinnedRouter >= 0:
+	case c.firstMayHaveRun == 0 || c.Class.Idempotency == control.Idempotent || c.pinnedRouter >= 0:
 		return true
-	case c.Class.Effect == control.IdempotentByKey && c.Class.Scope == control.WholeFleet:
-		return now+maxTransit < c.firstMayHaveRun+c.Class.Window
+	case c.Class.Idempotency == control.IdempotentByKey && c.Class.DedupScope == control.WholeFleet:
+		return now+maxTransit < c.firstMayHaveRun+c.Class.DedupWindow
 	}
 	return false
 }
@@ -115,7 +115,7 @@
 	case outcome == Succeeded || outcome == Invalid:
 		c.done = true
 	case c.done || c.inFlight > 0 || c.attempts >= maxAttempts:
-	case outcome == Lost && c.Class.KeysPersisted && c.Class.Effect == control.NonIdempotent:
+	case outcome == Lost && c.Class.KeysPersisted && c.Class.Idempotency == control.NonIdempotent:
 		c.pinnedRouter = result.Router // only this router can tell whether the request may run again
 		return c.retry(Decision{RetryAt: now + Backoff(c.attempts, random)}, budget)
 	case c.pinnedRouter >= 0 && outcome == NotSent: // the pinned router is not back yet
@@ -156,7 +156,7 @@
 
 // AllowHedge reports whether a second attempt may run concurrently with the one in flight, and takes a token for it.
 func (c *Call) AllowHedge(now control.Micros, budget *Budget) bool {
-	safe := c.Class.HedgeSafe && c.Class.Effect == control.Idempotent
+	safe := c.Class.HedgeSafe && c.Class.Idempotency == control.Idempotent
 	firstInFlight := c.inFlight == 1 && c.attempts == 1
 	return safe && !c.done && firstInFlight && now+minRemaining <= c.Deadline && budget.TryWithdraw()
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -24,10 +24,10 @@
 // if it is idempotent by key in the whole fleet, and at the same router if it is non-idempotent and routers persist
 // keys.
 func TestRetryOfWhatMayHaveRun(t *testing.T) {
-	nonIdempotent, idempotent := Class{Effect: control.NonIdempotent}, Class{Effect: control.Idempotent}
-	byKey := Class{Effect: control.IdempotentByKey, Window: 2 * second}
+	nonIdempotent, idempotent := Class{Idempotency: control.NonIdempotent}, Class{Idempotency: control.Idempotent}
+	byKey := Class{Idempotency: control.IdempotentByKey, DedupWindow: 2 * second}
 	byKeyInZone := byKey
-	byKeyInZone.Scope = control.OneZone
+	byKeyInZone.DedupScope = control.OneZone
 	for name, c := range map[string]struct {
 		class   Class
 		now     control.Micros
@@ -39,7 +39,7 @@
 			if next.Done == c.retried {
 				t.Errorf("%s, %d: %+v", name, outcome, next)
 			}
-			if c.retried && c.class.Effect == control.IdempotentByKey && call.BeginAttempt(3*second) {
+			if c.retried && c.class.Idempotency == control.IdempotentByKey && call.BeginAttempt(3*second) {
 				t.Errorf("%s: sent after its window has ended", name)
 			}
 		}
@@ -55,11 +55,11 @@
 	}
 }
 
-// A request that was rejected or never reached a router may be retried whatever its effect, after the advised delay
-// plus a random time of up to the same length.
+// A request that was rejected or never reached a router may be retried even if it is non-idempotent, after the advised
+// delay plus a random time of up to the same length.
 func TestRetryOfWhatDidNotRun(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, NotSent} {
-		if _, next := afterFirstAttempt(Class{Effect: control.NonIdempotent}, outcome, 2*second, 0); next.Done || !next.OtherRouter {
+		if _, next := afterFirstAttempt(Class{Idempotency: control.NonIdempotent}, outcome, 2*second, 0); next.Done || !next.OtherRouter {
 			t.Errorf("%d: %+v", outcome, next)
 		}
 	}
@@ -70,7 +70,7 @@
 	if _, next := afterFirstAttempt(Class{}, Rejected, 2*second, 20*second); !next.Done {
 		t.Error("waits past its deadline")
 	}
-	if _, next := afterFirstAttempt(Class{Effect: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
+	if _, next := afterFirstAttempt(Class{Idempotency: control.Idempotent}, Invalid, 2*second, 0); !next.Done {
 		t.Error("an invalid request is retried")
 	}
 }
@@ -79,7 +79,7 @@
 // where it could do harm, and retries stay within the budget.
 func TestCallsNeverDoHarm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		class := Class{Effect: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), Window: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "window")),
+		class := Class{Idempotency: control.Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")), DedupWindow: control.Micros(rapid.IntRange(0, 3_000_000).Draw(t, "dedup window")),
 			KeysPersisted: rapid.Bool().Draw(t, "persisted"), HedgeSafe: rapid.Bool().Draw(t, "hedge")}
 		budget, random := NewBudget(), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		retries, calls := 0, rapid.IntRange(1, 40).Draw(t, "calls")
@@ -96,7 +96,7 @@
 				if now > deadline || finished || n >= maxAttempts {
 					t.Fatalf("attempt %d at %d, deadline %d, finished %t", n, now, deadline, finished)
 				}
-				if mayHaveRunAt > 0 && class.Effect == control.NonIdempotent && c.PinnedRouter() < 0 || mayHaveRunAt > 0 && class.Effect == control.IdempotentByKey && now >= mayHaveRunAt+class.Window {
+				if mayHaveRunAt > 0 && class.Idempotency == control.NonIdempotent && c.PinnedRouter() < 0 || mayHaveRunAt > 0 && class.Idempotency == control.IdempotentByKey && now >= mayHaveRunAt+class.DedupWindow {
 					t.Fatalf("attempt %d at %d after one that may have run at %d", n, now, mayHaveRunAt)
 				}
 				if n > 0 {
@@ -217,7 +217,7 @@
 	for _, c := range []struct {
 		class Class
 		want  bool
-	}{{Class{Effect: control.Idempotent, HedgeSafe: true}, true}, {Class{Effect: control.Idempotent}, false}, {Class{Effect: control.NonIdempotent, HedgeSafe: true}, false}} {
+	}{{Class{Idempotency: control.Idempotent, HedgeSafe: true}, true}, {Class{Idempotency: control.Idempotent}, false}, {Class{Idempotency: control.NonIdempotent, HedgeSafe: true}, false}} {
 		call := NewCall(c.class, 10*second)
 		call.BeginAttempt(second)
 		if got := call.AllowHedge(second, budget); got != c.want {
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -39,7 +39,7 @@
 	call := &activeCall{Call: planned, client: c, class: &c.sim.plan.Classes[planned.Class], index: index, startedAt: c.node.Now()}
 	if !planned.RetriesBlindly {
 		spec := call.class.Spec
-		call.retries = retry.NewCall(retry.Class{Effect: spec.Idempotency, Scope: spec.DedupScope, Window: spec.DedupWindow}, call.startedAt+planned.Timeout)
+		call.retries = retry.NewCall(retry.Class{Idempotency: spec.Idempotency, DedupScope: spec.DedupScope, DedupWindow: spec.DedupWindow}, call.startedAt+planned.Timeout)
 		c.budget.Deposit()
 	}
 	call.sendNext(noRouter)
--- a/internal/soak/ledger_test.go
+++ b/internal/soak/ledger_test.go
@@ -98,8 +98,8 @@
 }
 
 // A response that a stall of the router delays is due stallRecoveryTime after the stall ends. Without that limit, a long stall would
-// excuse any late response.
-func TestStallExcusesUntilItsEnd(t *testing.T) {
+// make any late response allowed.
+func TestStalledResponseIsDueAfterStall(t *testing.T) {
 	for respondedAfter, allowed := range map[time.Duration]bool{4200 * time.Millisecond: true, 4400 * time.Millisecond: false} {
 		f := newLedgerFixture(Idempotent)
 		f.stalls.add(stall{from: f.now.Add(time.Second), to: f.now.Add(4 * time.Second)})
--- a/internal/soak/scenario_test.go
+++ b/internal/soak/scenario_test.go
@@ -11,7 +11,7 @@
 )
 
 // A seed always yields the same scenario, different seeds yield different ones, and routers accept the settings.
-func TestDraw(t *testing.T) {
+func TestGenerateScenario(t *testing.T) {
 	const length = 30 * time.Second
 	kinds := map[FaultKind]bool{}
 	for seed := range uint64(200) {
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -83,7 +83,7 @@
 }
 
 // Connections made with an earlier certificate are replaced at their own points in the replacement period, none before.
-func TestReplaceNow(t *testing.T) {
+func TestShouldReplace(t *testing.T) {
 	a := authority.New("a")
 	x, y := issueNamed(a, "x"), issueNamed(a, "y")
 	begin := now()
--- a/kserve/kserve_test.go
+++ b/kserve/kserve_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestReadTarget(t *testing.T) {
+func TestParseTarget(t *testing.T) {
 	for target, want := range map[string]Call{
 		"/v2/health/live":                {Operation: ServerLive},
 		"/v2":                            {Operation: ServerMetadata},
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestReadInfer(t *testing.T) {
+func TestParseInferRequest(t *testing.T) {
 	h := textproto.MIMEHeader{JSONLengthHeader: {"55"}, TimeoutHeader: {"3"}, AttemptHeader: {"2"}, IdempotencyKeyHeader: {"k"}}
 	body := `{"id":"a","parameters":{"timeout":5000},"inputs":[{}]} ` + "\x00\xff tensors"
 	req, err := ParseInferRequest(h, []byte(body))
